--- a/src/main/java/org/quincecross/emulator/VirtualNet.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNet.java
@@ -29,6 +29,7 @@
     private double holdNext;
     private Consumer<byte[]> startWatcher = body -> { };
 
+    private MessageObserver observer = MessageObserver.NONE;
     private LateCopies copies = LateCopies.NONE;
     private HeldMessages held = HeldMessages.NONE;
 
@@ -116,6 +117,16 @@
         startWatcher = watcher;
     }
 
+    /** Has an observer see every message from now on. */
+    void observe(MessageObserver messageObserver) {
+        observer = messageObserver;
+    }
+
+    /** One controller sends a frame to another. */
+    void frameSent(byte[] frame) {
+        observer.frame(frame);
+    }
+
     private void countUnheard(String to, byte[] body) {
         if (isDeaf(to)) {
             startsUnheard += new String(body, StandardCharsets.UTF_8).split("\"Verb\":\"start\"", -1).length - 1;
@@ -183,6 +194,7 @@
             return;
         }
         countUnheard(name, request.body());
+        observer.request(from, name, request);
         if (request.path().equals("/orders")) {
             startWatcher.accept(request.body());
         }
@@ -206,6 +218,7 @@
                 connected.put(link, process);
                 host.request(from, request, response -> {
                     countUnheard(from, response.body());
+                    observer.response(from, name, request, response);
                     if (request.path().equals("/agent/beat")) {
                         startWatcher.accept(response.body());
                     }
--- a/src/main/java/org/quincecross/emulator/World.java
+++ b/src/main/java/org/quincecross/emulator/World.java
@@ -115,6 +115,11 @@
         }
     }
 
+    /** Has an observer see every message from now on. */
+    void observe(MessageObserver observer) {
+        net.observe(observer);
+    }
+
     Site site() {
         return site;
     }
@@ -226,6 +231,7 @@
                 if (refusedUntil.getOrDefault(Set.of(name, peer.text()), 0.0) > time.seconds()) {
                     return false;
                 }
+                net.frameSent(frame);
                 if (net.isSilent(peer.text())) {
                     hanging.add(name + " " + peer);
                 }
