--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -34,166 +34,283 @@
 
 /** Requests below {@code /admin}. */
 public final class AdminApi {
-    public static final String ROOT = "/admin";
-    private static final Logger LOG = LoggerFactory.getLogger(AdminApi.class);
-
-    private final Timers timers;
-    private final Ledger ledger;
-    private final Follower follower;
-    private final Membership membership;
-    private final StateClient client;
-    private final Holdings holdings;
-    private final Leader leader;
-    private final Metrics metrics;
-    private final Stalls stalls;
-    private final ServedLog served;
-    private final MemberId self;
-    private final Settings.StateLimits limits;
-
-    /** @param served null where it is not counted who is served */
-    public AdminApi(Timers timers, Ledger ledger, Follower follower, Membership membership, StateClient client,
-            Holdings holdings, Leader leader, Metrics metrics, Stalls stalls, ServedLog served,
-            MemberId self, Settings.StateLimits limits) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.follower = follower;
-        this.membership = membership;
-        this.client = client;
-        this.holdings = holdings;
-        this.leader = leader;
-        this.metrics = metrics;
-        this.stalls = stalls;
-        this.served = served;
-        this.self = self;
-        this.limits = limits;
-    }
+  public static final String ROOT = "/admin";
+  private static final Logger LOG = LoggerFactory.getLogger(AdminApi.class);
 
-    public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-        String what = request.path().substring(ROOT.length());
-        boolean get = request.method().equals("GET");
-        switch (what) {
-            case "/status" -> answer(get, this::status, reply);
-            case "/blocks" -> answer(get, this::blocks, reply);
-            case "/machines" -> answer(get, this::machines, reply);
-            case "/metrics" -> answer(get, metrics::write, reply);
-            case "/settings" -> {
-                if (request.method().equals("PUT")) {
-                    change(request.body(), reply);
-                } else {
-                    answer(get, this::settings, reply);
-                }
-            }
-            default -> reply.accept(error(404, "unknown path; there are status, blocks, machines, metrics and settings"));
+  private final Timers timers;
+  private final Ledger ledger;
+  private final Follower follower;
+  private final Membership membership;
+  private final StateClient client;
+  private final Holdings holdings;
+  private final Leader leader;
+  private final Metrics metrics;
+  private final Stalls stalls;
+  private final ServedLog served;
+  private final MemberId self;
+  private final Settings.StateLimits limits;
+
+  /**
+   * @param served null where it is not counted who is served
+   */
+  public AdminApi(
+      Timers timers,
+      Ledger ledger,
+      Follower follower,
+      Membership membership,
+      StateClient client,
+      Holdings holdings,
+      Leader leader,
+      Metrics metrics,
+      Stalls stalls,
+      ServedLog served,
+      MemberId self,
+      Settings.StateLimits limits) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.follower = follower;
+    this.membership = membership;
+    this.client = client;
+    this.holdings = holdings;
+    this.leader = leader;
+    this.metrics = metrics;
+    this.stalls = stalls;
+    this.served = served;
+    this.self = self;
+    this.limits = limits;
+  }
+
+  public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
+    String what = request.path().substring(ROOT.length());
+    boolean get = request.method().equals("GET");
+    switch (what) {
+      case "/status" -> answer(get, this::status, reply);
+      case "/blocks" -> answer(get, this::blocks, reply);
+      case "/machines" -> answer(get, this::machines, reply);
+      case "/metrics" -> answer(get, metrics::write, reply);
+      case "/settings" -> {
+        if (request.method().equals("PUT")) {
+          change(request.body(), reply);
+        } else {
+          answer(get, this::settings, reply);
         }
+      }
+      default ->
+          reply.accept(
+              error(404, "unknown path; there are status, blocks, machines, metrics and settings"));
     }
+  }
 
-    private static HttpResponse error(int status, String why) {
-        return HttpResponse.of(status, JobCodec.error(why));
-    }
+  private static HttpResponse error(int status, String why) {
+    return HttpResponse.of(status, JobCodec.error(why));
+  }
 
-    /** Makes an answer. */
-    private interface View {
-        Object make();
-    }
+  /** Makes an answer. */
+  private interface View {
+    Object make();
+  }
 
-    private static void answer(boolean get, View view, Consumer<HttpResponse> reply) {
-        reply.accept(get ? HttpResponse.of(200, Json.write(view.make())) : HttpResponse.of(405));
-    }
+  private static void answer(boolean get, View view, Consumer<HttpResponse> reply) {
+    reply.accept(get ? HttpResponse.of(200, Json.write(view.make())) : HttpResponse.of(405));
+  }
 
-    private Object status() {
-        List<Object> members = new ArrayList<>();
-        List<Object> builds = new ArrayList<>();
-        ledger.members().values().forEach(member -> {
-            members.add(member.member().text());
-            builds.add(Json.object("member", member.member().text(), "build", member.build().name(), "least_level", member.build().least().number(),
-                    "most_level", member.build().most().number()));
-        });
-        return Json.object("membership", membership.state().toString(), "life", membership.life().number(),
-                "role", leader.state().toString(), "leader", ledger.leader() == null ? null : ledger.leader().member().text(),
-                "members", members, "builds", builds, "unable", membership.unable(), "settings_differ", Terms.differences(self, ledger.terms()), "level", ledger.level().level().number(),
-                "level_since", ledger.level().version().number(), "level_state", leader.isLeading() ? leader.levels().decision().state().toString() : null,
-                "level_waits_for", leader.isLeading() ? leader.levels().decision().why() : null, "revision", ledger.revision().number(),
-                "unconfirmed_ms", follower.confirmed() == null ? null : timers.now().since(follower.confirmed()).millis(),
-                "jobs", ledger.jobCount(), "blocks", ledger.blocks().size(), "blocks_held", holdings.all().size(),
-                "too_large", Oversized.of(ledger, limits.plannedValue()), "stalled", stalls.write(), "served", served == null ? null : served.write(),
-                "largest", served == null ? null : served.largest(),
-                "overload", served == null ? null : served.overload(timers.now()));
-    }
+  private Object status() {
+    List<Object> members = new ArrayList<>();
+    List<Object> builds = new ArrayList<>();
+    ledger
+        .members()
+        .values()
+        .forEach(
+            member -> {
+              members.add(member.member().text());
+              builds.add(
+                  Json.object(
+                      "member",
+                      member.member().text(),
+                      "build",
+                      member.build().name(),
+                      "least_level",
+                      member.build().least().number(),
+                      "most_level",
+                      member.build().most().number()));
+            });
+    return Json.object(
+        "membership",
+        membership.state().toString(),
+        "life",
+        membership.life().number(),
+        "role",
+        leader.state().toString(),
+        "leader",
+        ledger.leader() == null ? null : ledger.leader().member().text(),
+        "members",
+        members,
+        "builds",
+        builds,
+        "unable",
+        membership.unable(),
+        "settings_differ",
+        Terms.differences(self, ledger.terms()),
+        "level",
+        ledger.level().level().number(),
+        "level_since",
+        ledger.level().version().number(),
+        "level_state",
+        leader.isLeading() ? leader.levels().decision().state().toString() : null,
+        "level_waits_for",
+        leader.isLeading() ? leader.levels().decision().why() : null,
+        "revision",
+        ledger.revision().number(),
+        "unconfirmed_ms",
+        follower.confirmed() == null ? null : timers.now().since(follower.confirmed()).millis(),
+        "jobs",
+        ledger.jobCount(),
+        "blocks",
+        ledger.blocks().size(),
+        "blocks_held",
+        holdings.all().size(),
+        "too_large",
+        Oversized.of(ledger, limits.plannedValue()),
+        "stalled",
+        stalls.write(),
+        "served",
+        served == null ? null : served.write(),
+        "largest",
+        served == null ? null : served.largest(),
+        "overload",
+        served == null ? null : served.overload(timers.now()));
+  }
 
-    private Object blocks() {
-        List<Object> list = new ArrayList<>();
-        for (BlockLease block : ledger.blocks().values()) {
-            int tasks = ledger.allocation(block.id()).tasks().values().stream().mapToInt(set -> set.size()).sum();
-            BlockHolder holder = holdings.get(block.id());
-            Map<String, Object> out = Json.object("block", block.id().text(), "holder", block.holder().text(), "token",
-                    block.token().number(), "type", block.type(), "zone", block.zone(), "spot", block.spot(),
-                    "machines", block.machines().size(), "allocated", tasks);
-            if (holder != null) {
-                out.put("waiting", holder.waitingCount());
-                out.put("unreported_results", holder.completed().size());
-            }
-            list.add(out);
-        }
-        return list;
+  private Object blocks() {
+    List<Object> list = new ArrayList<>();
+    for (BlockLease block : ledger.blocks().values()) {
+      int tasks =
+          ledger.allocation(block.id()).tasks().values().stream().mapToInt(set -> set.size()).sum();
+      BlockHolder holder = holdings.get(block.id());
+      Map<String, Object> out =
+          Json.object(
+              "block",
+              block.id().text(),
+              "holder",
+              block.holder().text(),
+              "token",
+              block.token().number(),
+              "type",
+              block.type(),
+              "zone",
+              block.zone(),
+              "spot",
+              block.spot(),
+              "machines",
+              block.machines().size(),
+              "allocated",
+              tasks);
+      if (holder != null) {
+        out.put("waiting", holder.waitingCount());
+        out.put("unreported_results", holder.completed().size());
+      }
+      list.add(out);
     }
+    return list;
+  }
 
-    /** The machines that this controller holds. */
-    private Object machines() {
-        List<Object> list = new ArrayList<>();
-        for (BlockHolder holder : holdings.all()) {
-            for (PeerReport.MachineState machine : holder.machines()) {
-                list.add(Json.object("machine", machine.id().text(), "block", holder.id().text(), "free_cpus",
-                        machine.free().cpus(), "free_gpus", machine.free().gpus(), "free_memory_gb", machine.free().memoryGb(),
-                        "tasks", machine.tasks(), "queued", machine.queued(), "open", machine.open(), "fenced", machine.fenced(), "notice",
-                        machine.notice(), "sick", machine.sick(), "silent_ms", machine.silent().millis(),
-                        "images", machine.images()));
-            }
-        }
-        return list;
+  /** The machines that this controller holds. */
+  private Object machines() {
+    List<Object> list = new ArrayList<>();
+    for (BlockHolder holder : holdings.all()) {
+      for (PeerReport.MachineState machine : holder.machines()) {
+        list.add(
+            Json.object(
+                "machine",
+                machine.id().text(),
+                "block",
+                holder.id().text(),
+                "free_cpus",
+                machine.free().cpus(),
+                "free_gpus",
+                machine.free().gpus(),
+                "free_memory_gb",
+                machine.free().memoryGb(),
+                "tasks",
+                machine.tasks(),
+                "queued",
+                machine.queued(),
+                "open",
+                machine.open(),
+                "fenced",
+                machine.fenced(),
+                "notice",
+                machine.notice(),
+                "sick",
+                machine.sick(),
+                "silent_ms",
+                machine.silent().millis(),
+                "images",
+                machine.images()));
+      }
     }
+    return list;
+  }
 
-    // ---- settings ----
+  // ---- settings ----
 
-    private OperatorSettings present() {
-        return settings(ledger);
-    }
+  private OperatorSettings present() {
+    return settings(ledger);
+  }
 
-    /** The operators' settings as the ledger has them. */
-    public static OperatorSettings settings(Ledger ledger) {
-        return ledger.operatorSettingsOrDefaults();
-    }
+  /** The operators' settings as the ledger has them. */
+  public static OperatorSettings settings(Ledger ledger) {
+    return ledger.operatorSettingsOrDefaults();
+  }
 
-    private Object settings() {
-        return Json.object("version", ledger.version(Keys.OPERATOR_SETTINGS).number(), "settings", present().write());
-    }
+  private Object settings() {
+    return Json.object(
+        "version", ledger.version(Keys.OPERATOR_SETTINGS).number(), "settings", present().write());
+  }
 
-    /** Takes {@code {"version": V, "settings": {...}}}, where V is the version that the change was made on. */
-    private void change(byte[] body, Consumer<HttpResponse> reply) {
-        OperatorSettings next;
-        Map<String, Object> record;
-        Revision version;
-        try {
-            Fields in = Json.parseFields(body);
-            version = new Revision(in.unsigned("version"));
-            next = OperatorSettings.read(in.raw("settings"), present());
-            record = next.write();
-            record.putAll(OperatorSettings.unknown(ledger.operatorSettings()));
-        } catch (BadMessage e) {
-            reply.accept(error(400, e.getMessage()));
-            return;
-        }
-        client.txn(List.of(new Guard(Keys.OPERATOR_SETTINGS, version)),
-                List.of(Change.put(Keys.OPERATOR_SETTINGS, record)), outcome -> {
-                    switch (outcome.kind()) {
-                        case COMMITTED -> {
-                            LOG.info("settings changed: {}", next);
-                            reply.accept(HttpResponse.of(200, Json.write(Json.object("version", outcome.revision().number(),
-                                    "settings", next.write()))));
-                        }
-                        case CONFLICT -> reply.accept(error(409, "the settings have changed since that version"));
-                        case TOO_LARGE -> reply.accept(error(413, "the settings would be larger than the state service takes"));
-                        default -> reply.accept(error(503, "the state service did not confirm the change: look before trying again"));
-                    }
-                });
+  /**
+   * Takes {@code {"version": V, "settings": {...}}}, where V is the version that the change was
+   * made on.
+   */
+  private void change(byte[] body, Consumer<HttpResponse> reply) {
+    OperatorSettings next;
+    Map<String, Object> record;
+    Revision version;
+    try {
+      Fields in = Json.parseFields(body);
+      version = new Revision(in.unsigned("version"));
+      next = OperatorSettings.read(in.raw("settings"), present());
+      record = next.write();
+      record.putAll(OperatorSettings.unknown(ledger.operatorSettings()));
+    } catch (BadMessage e) {
+      reply.accept(error(400, e.getMessage()));
+      return;
     }
+    client.txn(
+        List.of(new Guard(Keys.OPERATOR_SETTINGS, version)),
+        List.of(Change.put(Keys.OPERATOR_SETTINGS, record)),
+        outcome -> {
+          switch (outcome.kind()) {
+            case COMMITTED -> {
+              LOG.info("settings changed: {}", next);
+              reply.accept(
+                  HttpResponse.of(
+                      200,
+                      Json.write(
+                          Json.object(
+                              "version", outcome.revision().number(), "settings", next.write()))));
+            }
+            case CONFLICT ->
+                reply.accept(error(409, "the settings have changed since that version"));
+            case TOO_LARGE ->
+                reply.accept(
+                    error(413, "the settings would be larger than the state service takes"));
+            default ->
+                reply.accept(
+                    error(
+                        503,
+                        "the state service did not confirm the change: look before trying again"));
+          }
+        });
+  }
 }
--- a/src/main/java/org/quincecross/admin/Metrics.java
+++ b/src/main/java/org/quincecross/admin/Metrics.java
@@ -9,20 +9,33 @@
 
 /** How long requests took, by what was asked and how it was answered. */
 public final class Metrics {
-    private static final long MOST_MS = 60_000;
+  private static final long MOST_MS = 60_000;
 
-    private final Map<String, Histogram> latencies = new TreeMap<>();
+  private final Map<String, Histogram> latencies = new TreeMap<>();
 
-    public void record(String what, int status, Span took) {
-        latencies.computeIfAbsent(what + " " + status, name -> new Histogram(MOST_MS, 2))
-                .recordValue(Math.min(MOST_MS, Math.max(0, took.millis())));
-    }
+  public void record(String what, int status, Span took) {
+    latencies
+        .computeIfAbsent(what + " " + status, name -> new Histogram(MOST_MS, 2))
+        .recordValue(Math.min(MOST_MS, Math.max(0, took.millis())));
+  }
 
-    Map<String, Object> write() {
-        Map<String, Object> out = new LinkedHashMap<>();
-        latencies.forEach((name, histogram) -> out.put(name, Json.object("count", histogram.getTotalCount(),
-                "p50_ms", histogram.getValueAtPercentile(50), "p95_ms", histogram.getValueAtPercentile(95),
-                "p99_ms", histogram.getValueAtPercentile(99), "max_ms", histogram.getMaxValue())));
-        return out;
-    }
+  Map<String, Object> write() {
+    Map<String, Object> out = new LinkedHashMap<>();
+    latencies.forEach(
+        (name, histogram) ->
+            out.put(
+                name,
+                Json.object(
+                    "count",
+                    histogram.getTotalCount(),
+                    "p50_ms",
+                    histogram.getValueAtPercentile(50),
+                    "p95_ms",
+                    histogram.getValueAtPercentile(95),
+                    "p99_ms",
+                    histogram.getValueAtPercentile(99),
+                    "max_ms",
+                    histogram.getMaxValue())));
+    return out;
+  }
 }
--- a/src/main/java/org/quincecross/admin/ModelDesk.java
+++ b/src/main/java/org/quincecross/admin/ModelDesk.java
@@ -29,147 +29,176 @@
 import org.quincecross.state.ModelRecords;
 
 /**
- * Where one controller hears who wants a model. Wakes are joined: however many come, one change is asked for until the record shows the
- * model up, and all who wait are answered together. What is seen of demand goes to the leader with the reports.
+ * Where one controller hears who wants a model. Wakes are joined: however many come, one change is
+ * asked for until the record shows the model up, and all who wait are answered together. What is
+ * seen of demand goes to the leader with the reports.
  */
 public final class ModelDesk {
-    /** A wake that could not be made durable is tried again after so long. */
-    private static final Span AGAIN = Span.ofMillis(500);
-    /** So many wait for one answer; the others are told at once that it is on its way. */
-    private static final int MOST_WAITING = 256;
-    /** Models that nobody has wanted for so much longer than their idle time are forgotten here. */
-    private static final double FORGOTTEN_AFTER = 2;
-
-    private final AgreedBase base;
-    private final Ledger ledger;
-    private final ModelRecords records;
-    private final BiFunction<JobId, Integer, Boolean> runsHere;
-    private final SteadyTime begun;
-    private final Map<String, Demand> demands = new TreeMap<>();
-    private final Map<String, List<Consumer<AgreedStore.Answer>>> waiting = new HashMap<>();
-    private final Set<String> asking = new HashSet<>();
-    private long wakes;
-    private long asked;
-
-    /** @param runsHere whether a replica runs in a block of this controller */
-    public ModelDesk(AgreedBase base, ModelRecords records, BiFunction<JobId, Integer, Boolean> runsHere) {
-        this.base = base;
-        this.ledger = base.ledger();
-        this.records = records;
-        this.runsHere = runsHere;
-        this.begun = base.timers().now();
-    }
+  /** A wake that could not be made durable is tried again after so long. */
+  private static final Span AGAIN = Span.ofMillis(500);
 
-    /** Begins to look after wakes that were not heard. */
-    public void start() {
-        base.timers().every(AGAIN, () -> List.copyOf(demands.keySet()).forEach(this::askIfWanted));
-    }
+  /** So many wait for one answer; the others are told at once that it is on its way. */
+  private static final int MOST_WAITING = 256;
 
-    /** How many wakes have come here, and for how many changes of a record they asked. */
-    public Map<String, Long> counts() {
-        return Map.of("wakes", wakes, "asked", asked);
-    }
+  /** Models that nobody has wanted for so much longer than their idle time are forgotten here. */
+  private static final double FORGOTTEN_AFTER = 2;
 
-    /** What callers of this controller have in flight. */
-    public int inFlight(String name) {
-        Demand demand = demands.get(name);
-        return demand == null ? 0 : demand.inFlight(base.timers().now());
-    }
+  private final AgreedBase base;
+  private final Ledger ledger;
+  private final ModelRecords records;
+  private final BiFunction<JobId, Integer, Boolean> runsHere;
+  private final SteadyTime begun;
+  private final Map<String, Demand> demands = new TreeMap<>();
+  private final Map<String, List<Consumer<AgreedStore.Answer>>> waiting = new HashMap<>();
+  private final Set<String> asking = new HashSet<>();
+  private long wakes;
+  private long asked;
 
-    /** Follows the records. */
-    public void ledgerChanged(Ledger.Changes changes) {
-        SteadyTime now = base.timers().now();
-        if (changes.reloaded()) {
-            demands.forEach((name, demand) -> demand.seen(records.book().state(name), now));
-        } else {
-            for (RecordId record : changes.agreed()) {
-                Demand demand = record.kind().equals(ModelKind.NAME) ? demands.get(record.id()) : null;
-                if (demand != null) {
-                    demand.seen(records.book().state(record.id()), now);
-                }
-            }
-        }
-        if (!changes.agreed().isEmpty() || changes.reloaded()) {
-            List.copyOf(demands.keySet()).forEach(this::askIfWanted);
+  /**
+   * @param runsHere whether a replica runs in a block of this controller
+   */
+  public ModelDesk(
+      AgreedBase base, ModelRecords records, BiFunction<JobId, Integer, Boolean> runsHere) {
+    this.base = base;
+    this.ledger = base.ledger();
+    this.records = records;
+    this.runsHere = runsHere;
+    this.begun = base.timers().now();
+  }
+
+  /** Begins to look after wakes that were not heard. */
+  public void start() {
+    base.timers().every(AGAIN, () -> List.copyOf(demands.keySet()).forEach(this::askIfWanted));
+  }
+
+  /** How many wakes have come here, and for how many changes of a record they asked. */
+  public Map<String, Long> counts() {
+    return Map.of("wakes", wakes, "asked", asked);
+  }
+
+  /** What callers of this controller have in flight. */
+  public int inFlight(String name) {
+    Demand demand = demands.get(name);
+    return demand == null ? 0 : demand.inFlight(base.timers().now());
+  }
+
+  /** Follows the records. */
+  public void ledgerChanged(Ledger.Changes changes) {
+    SteadyTime now = base.timers().now();
+    if (changes.reloaded()) {
+      demands.forEach((name, demand) -> demand.seen(records.book().state(name), now));
+    } else {
+      for (RecordId record : changes.agreed()) {
+        Demand demand = record.kind().equals(ModelKind.NAME) ? demands.get(record.id()) : null;
+        if (demand != null) {
+          demand.seen(records.book().state(record.id()), now);
         }
+      }
+    }
+    if (!changes.agreed().isEmpty() || changes.reloaded()) {
+      List.copyOf(demands.keySet()).forEach(this::askIfWanted);
     }
+  }
 
-    private Demand demand(String name) {
-        return demands.computeIfAbsent(name, id -> {
-            Demand demand = new Demand(begun);
-            demand.seen(records.book().state(id), base.timers().now());
-            return demand;
+  private Demand demand(String name) {
+    return demands.computeIfAbsent(
+        name,
+        id -> {
+          Demand demand = new Demand(begun);
+          demand.seen(records.book().state(id), base.timers().now());
+          return demand;
         });
-    }
+  }
 
-    /** Somebody wants a model that is defined; {@code done} hears when that is durable, at once where the record shows it up. */
-    public void wake(String name, Consumer<AgreedStore.Answer> done) {
-        wakes++;
-        Demand demand = demand(name);
-        demand.wake(base.timers().now());
-        wait(name, demand, done);
-    }
+  /**
+   * Somebody wants a model that is defined; {@code done} hears when that is durable, at once where
+   * the record shows it up.
+   */
+  public void wake(String name, Consumer<AgreedStore.Answer> done) {
+    wakes++;
+    Demand demand = demand(name);
+    demand.wake(base.timers().now());
+    wait(name, demand, done);
+  }
 
-    /** A caller has so many requests in flight. */
-    public void told(String name, String caller, int inFlight, Consumer<AgreedStore.Answer> done) {
-        Demand demand = demand(name);
-        demand.told(caller, inFlight, base.timers().now());
-        wait(name, demand, done);
-    }
+  /** A caller has so many requests in flight. */
+  public void told(String name, String caller, int inFlight, Consumer<AgreedStore.Answer> done) {
+    Demand demand = demand(name);
+    demand.told(caller, inFlight, base.timers().now());
+    wait(name, demand, done);
+  }
 
-    private void wait(String name, Demand demand, Consumer<AgreedStore.Answer> done) {
-        if (demand.state() == Demand.State.SATISFIED) {
-            done.accept(new AgreedStore.Answer(200, "", 0, Revision.NONE, 0));
-            return;
-        }
-        List<Consumer<AgreedStore.Answer>> all = waiting.computeIfAbsent(name, id -> new ArrayList<>());
-        if (all.size() >= MOST_WAITING) {
-            done.accept(new AgreedStore.Answer(202, "it has been asked for", 0, Revision.NONE, 1));
-        } else {
-            all.add(done);
-            askIfWanted(name);
-        }
+  private void wait(String name, Demand demand, Consumer<AgreedStore.Answer> done) {
+    if (demand.state() == Demand.State.SATISFIED) {
+      done.accept(new AgreedStore.Answer(200, "", 0, Revision.NONE, 0));
+      return;
     }
+    List<Consumer<AgreedStore.Answer>> all = waiting.computeIfAbsent(name, id -> new ArrayList<>());
+    if (all.size() >= MOST_WAITING) {
+      done.accept(new AgreedStore.Answer(202, "it has been asked for", 0, Revision.NONE, 1));
+    } else {
+      all.add(done);
+      askIfWanted(name);
+    }
+  }
 
-    private void askIfWanted(String name) {
-        Demand demand = demands.get(name);
-        if (demand.state() != Demand.State.WANTED || !asking.add(name)) {
-            return;
-        }
-        asked++;
-        base.store().ask(records.book(), name, AgreedStore.Ask.own(new ModelCommand.Wake()), answer -> {
-            asking.remove(name);
-            if (answer.status() >= 400 && answer.status() < 500) {
+  private void askIfWanted(String name) {
+    Demand demand = demands.get(name);
+    if (demand.state() != Demand.State.WANTED || !asking.add(name)) {
+      return;
+    }
+    asked++;
+    base.store()
+        .ask(
+            records.book(),
+            name,
+            AgreedStore.Ask.own(new ModelCommand.Wake()),
+            answer -> {
+              asking.remove(name);
+              if (answer.status() >= 400 && answer.status() < 500) {
                 demand.refused();
-            }
-            List<Consumer<AgreedStore.Answer>> all = waiting.remove(name);
-            if (all != null) {
+              }
+              List<Consumer<AgreedStore.Answer>> all = waiting.remove(name);
+              if (all != null) {
                 all.forEach(done -> done.accept(answer));
-            }
-        });
-    }
+              }
+            });
+  }
 
-    /** What the reports say of models; null where there is nothing to say, for there are none. */
-    public byte[] section() {
-        if (records.book().all().isEmpty()) {
-            return null;
-        }
-        SteadyTime now = base.timers().now();
-        Map<String, DemandSum.Told> told = new LinkedHashMap<>();
-        demands.entrySet().removeIf(each -> {
-            Model model = records.book().state(each.getKey());
-            return !model.isDefined() || each.getValue().state() == Demand.State.SATISFIED && !model.isUp()
-                    && each.getValue().quiet(now).isMoreThan(model.terms().idle().times(FORGOTTEN_AFTER));
-        });
-        demands.forEach((name, demand) -> told.put(name, new DemandSum.Told(demand.inFlight(now), demand.quiet(now))));
-        Set<TaskId> running = new HashSet<>();
-        for (AgreedBook.Held<Model> held : records.book().all().values()) {
-            held.state().places().keySet().forEach(replica -> {
+  /** What the reports say of models; null where there is nothing to say, for there are none. */
+  public byte[] section() {
+    if (records.book().all().isEmpty()) {
+      return null;
+    }
+    SteadyTime now = base.timers().now();
+    Map<String, DemandSum.Told> told = new LinkedHashMap<>();
+    demands
+        .entrySet()
+        .removeIf(
+            each -> {
+              Model model = records.book().state(each.getKey());
+              return !model.isDefined()
+                  || each.getValue().state() == Demand.State.SATISFIED
+                      && !model.isUp()
+                      && each.getValue()
+                          .quiet(now)
+                          .isMoreThan(model.terms().idle().times(FORGOTTEN_AFTER));
+            });
+    demands.forEach(
+        (name, demand) ->
+            told.put(name, new DemandSum.Told(demand.inFlight(now), demand.quiet(now))));
+    Set<TaskId> running = new HashSet<>();
+    for (AgreedBook.Held<Model> held : records.book().all().values()) {
+      held.state()
+          .places()
+          .keySet()
+          .forEach(
+              replica -> {
                 if (runsHere.apply(held.state().job(), replica)) {
-                    running.add(held.state().job().task(replica));
+                  running.add(held.state().job().task(replica));
                 }
-            });
-        }
-        return new ModelNews(now.since(begun), told, running).write();
+              });
     }
+    return new ModelNews(now.since(begun), told, running).write();
+  }
 }
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -29,200 +29,314 @@
 import org.quincecross.wire.Json;
 
 /**
- * Requests below {@code /admin/models}: what models there are, one of them, defining it, waking it, telling what is in flight, draining
- * it. What is changed goes the way of all agreed records; what is shown is as this controller has it.
+ * Requests below {@code /admin/models}: what models there are, one of them, defining it, waking it,
+ * telling what is in flight, draining it. What is changed goes the way of all agreed records; what
+ * is shown is as this controller has it.
  */
 public final class ModelsApi {
-    public static final String ROOT = AdminApi.ROOT + "/models";
-    private static final int MOST_IN_FLIGHT = 10_000_000;
-    private static final List<String> TERMS = List.of("job", "least", "most", "per_replica", "idle_s", "keep_warm");
-
-    private final AgreedBase base;
-    private final ModelRecords records;
-    private final ModelDesk desk;
-    private final ModelFleet fleet;
-    private final ToIntFunction<JobId> running;
-
-    /** @param running how many tasks of a job run, as their holders say */
-    public ModelsApi(AgreedBase base, ModelRecords records, ModelDesk desk, ModelFleet fleet, ToIntFunction<JobId> running) {
-        this.base = base;
-        this.records = records;
-        this.desk = desk;
-        this.fleet = fleet;
-        this.running = running;
-    }
+  public static final String ROOT = AdminApi.ROOT + "/models";
+  private static final int MOST_IN_FLIGHT = 10_000_000;
+  private static final List<String> TERMS =
+      List.of("job", "least", "most", "per_replica", "idle_s", "keep_warm");
 
-    private static HttpResponse error(int status, String why) {
-        return HttpResponse.of(status, JobCodec.error(why));
-    }
+  private final AgreedBase base;
+  private final ModelRecords records;
+  private final ModelDesk desk;
+  private final ModelFleet fleet;
+  private final ToIntFunction<JobId> running;
 
-    /** Answers a request below {@link #ROOT}. */
-    public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-        String path = request.path().substring(ROOT.length());
-        String[] parts = path.isEmpty() || path.equals("/") ? new String[0] : path.substring(1).split("/", -1);
-        boolean get = request.method().equals("GET");
-        if (!get && !request.method().equals("POST") || get && parts.length > 1 || !get && parts.length == 0) {
-            reply.accept(HttpResponse.of(405));
-        } else if (parts.length == 0) {
-            reply.accept(list());
-        } else if (parts.length > 2 || !RecordId.isName(parts[0])) {
-            reply.accept(error(404, "no name of a model: letters, digits, '.', '_' and '-', at most 100"));
-        } else if (get) {
-            reply.accept(known(parts[0]) ? HttpResponse.of(200, Json.write(show(parts[0]))) : unknown(parts[0]));
-        } else {
-            try {
-                post(parts[0], parts.length == 1 ? "define" : parts[1], request.body(), reply);
-            } catch (BadMessage | Unreadable e) {
-                reply.accept(error(400, e.getMessage()));
-            }
-        }
-    }
+  /**
+   * @param running how many tasks of a job run, as their holders say
+   */
+  public ModelsApi(
+      AgreedBase base,
+      ModelRecords records,
+      ModelDesk desk,
+      ModelFleet fleet,
+      ToIntFunction<JobId> running) {
+    this.base = base;
+    this.records = records;
+    this.desk = desk;
+    this.fleet = fleet;
+    this.running = running;
+  }
 
-    private boolean known(String name) {
-        return records.book().state(name).isDefined();
-    }
+  private static HttpResponse error(int status, String why) {
+    return HttpResponse.of(status, JobCodec.error(why));
+  }
 
-    private static HttpResponse unknown(String name) {
-        return error(404, "no model " + name + " is defined");
+  /** Answers a request below {@link #ROOT}. */
+  public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
+    String path = request.path().substring(ROOT.length());
+    String[] parts =
+        path.isEmpty() || path.equals("/") ? new String[0] : path.substring(1).split("/", -1);
+    boolean get = request.method().equals("GET");
+    if (!get && !request.method().equals("POST")
+        || get && parts.length > 1
+        || !get && parts.length == 0) {
+      reply.accept(HttpResponse.of(405));
+    } else if (parts.length == 0) {
+      reply.accept(list());
+    } else if (parts.length > 2 || !RecordId.isName(parts[0])) {
+      reply.accept(
+          error(404, "no name of a model: letters, digits, '.', '_' and '-', at most 100"));
+    } else if (get) {
+      reply.accept(
+          known(parts[0]) ? HttpResponse.of(200, Json.write(show(parts[0]))) : unknown(parts[0]));
+    } else {
+      try {
+        post(parts[0], parts.length == 1 ? "define" : parts[1], request.body(), reply);
+      } catch (BadMessage | Unreadable e) {
+        reply.accept(error(400, e.getMessage()));
+      }
     }
+  }
 
-    private void post(String name, String what, byte[] body, Consumer<HttpResponse> reply) throws BadMessage, Unreadable {
-        Fields in = Json.parseFields(body);
-        if (!what.equals("define") && !known(name)) {
-            reply.accept(unknown(name));
-            return;
+  private boolean known(String name) {
+    return records.book().state(name).isDefined();
+  }
+
+  private static HttpResponse unknown(String name) {
+    return error(404, "no model " + name + " is defined");
+  }
+
+  private void post(String name, String what, byte[] body, Consumer<HttpResponse> reply)
+      throws BadMessage, Unreadable {
+    Fields in = Json.parseFields(body);
+    if (!what.equals("define") && !known(name)) {
+      reply.accept(unknown(name));
+      return;
+    }
+    switch (what) {
+      case "define" -> define(name, in, reply);
+      case "wake" -> {
+        only(in, List.of());
+        if (mayWake(name, reply)) {
+          desk.wake(name, answer -> reply.accept(answered(name, answer)));
         }
-        switch (what) {
-            case "define" -> define(name, in, reply);
-            case "wake" -> {
-                only(in, List.of());
-                if (mayWake(name, reply)) {
-                    desk.wake(name, answer -> reply.accept(answered(name, answer)));
-                }
-            }
-            case "load" -> {
-                only(in, List.of("from", "in_flight"));
-                String from = in.text("from");
-                int inFlight = in.count("in_flight", 0, MOST_IN_FLIGHT);
-                if (from.isBlank() || from.length() > Kept.LONGEST_NAME) {
-                    throw new BadMessage("field from is not 1 to " + Kept.LONGEST_NAME + " characters");
-                }
-                if (inFlight == 0 || mayWake(name, reply)) {
-                    desk.told(name, from, inFlight, answer -> reply.accept(answered(name, answer)));
-                }
-            }
-            case "drain" -> {
-                only(in, List.of("request", "by"));
-                change(name, in, new ModelKind().command(Json.object("do", "drain")), reply);
-            }
-            default -> reply.accept(error(404, "unknown request " + what + "; there are wake, load and drain"));
+      }
+      case "load" -> {
+        only(in, List.of("from", "in_flight"));
+        String from = in.text("from");
+        int inFlight = in.count("in_flight", 0, MOST_IN_FLIGHT);
+        if (from.isBlank() || from.length() > Kept.LONGEST_NAME) {
+          throw new BadMessage("field from is not 1 to " + Kept.LONGEST_NAME + " characters");
         }
+        if (inFlight == 0 || mayWake(name, reply)) {
+          desk.told(name, from, inFlight, answer -> reply.accept(answered(name, answer)));
+        }
+      }
+      case "drain" -> {
+        only(in, List.of("request", "by"));
+        change(name, in, new ModelKind().command(Json.object("do", "drain")), reply);
+      }
+      default ->
+          reply.accept(error(404, "unknown request " + what + "; there are wake, load and drain"));
     }
+  }
 
-    private static void only(Fields in, List<String> names) throws BadMessage {
-        for (String name : in.names()) {
-            if (!names.contains(name)) {
-                throw new BadMessage("unknown field " + name + (names.isEmpty() ? "" : "; there are " + String.join(", ", names)));
-            }
-        }
+  private static void only(Fields in, List<String> names) throws BadMessage {
+    for (String name : in.names()) {
+      if (!names.contains(name)) {
+        throw new BadMessage(
+            "unknown field "
+                + name
+                + (names.isEmpty() ? "" : "; there are " + String.join(", ", names)));
+      }
     }
+  }
 
-    /** Whether the model's job can run; else that is answered. */
-    private boolean mayWake(String name, Consumer<HttpResponse> reply) {
-        JobRecord job = base.ledger().job(records.book().state(name).job());
-        if (job == null || job.phase() == JobPhase.OPEN) {
-            return true;
-        }
-        reply.accept(error(409, "the job of model " + name + ", " + job.id() + ", is " + job.phase().toString().toLowerCase(Locale.ROOT)));
-        return false;
+  /** Whether the model's job can run; else that is answered. */
+  private boolean mayWake(String name, Consumer<HttpResponse> reply) {
+    JobRecord job = base.ledger().job(records.book().state(name).job());
+    if (job == null || job.phase() == JobPhase.OPEN) {
+      return true;
     }
+    reply.accept(
+        error(
+            409,
+            "the job of model "
+                + name
+                + ", "
+                + job.id()
+                + ", is "
+                + job.phase().toString().toLowerCase(Locale.ROOT)));
+    return false;
+  }
 
-    private void define(String name, Fields in, Consumer<HttpResponse> reply) throws BadMessage, Unreadable {
-        List<String> names = new ArrayList<>(TERMS);
-        names.addAll(List.of("request", "by"));
-        only(in, names);
-        Map<String, Object> command = Json.object("do", "define");
-        TERMS.forEach(term -> {
-            if (in.has(term)) {
-                command.put(term, in.raw(term));
-            }
+  private void define(String name, Fields in, Consumer<HttpResponse> reply)
+      throws BadMessage, Unreadable {
+    List<String> names = new ArrayList<>(TERMS);
+    names.addAll(List.of("request", "by"));
+    only(in, names);
+    Map<String, Object> command = Json.object("do", "define");
+    TERMS.forEach(
+        term -> {
+          if (in.has(term)) {
+            command.put(term, in.raw(term));
+          }
         });
-        ModelCommand.Define define = (ModelCommand.Define) new ModelKind().command(command);
-        JobRecord job = base.ledger().job(define.job());
-        String other = records.nameOf(define.job());
-        if (job == null) {
-            reply.accept(error(404, "no job " + define.job() + " is known here: submit it first"));
-        } else if (job.phase() != JobPhase.OPEN || job.job() == null) {
-            reply.accept(error(409, "job " + define.job() + " is " + job.phase().toString().toLowerCase(Locale.ROOT)));
-        } else if (job.job().shape() == Shape.ARRAY) {
-            reply.accept(error(400, "job " + define.job() + " is an array: a model is a service, or a gang that serves"));
-        } else if (define.terms().most() > job.job().tasks()) {
-            reply.accept(error(400, "field most is " + define.terms().most() + ", and job " + define.job() + " has " + job.job().tasks() + " tasks"));
-        } else if (job.job().shape() == Shape.GANG && define.terms().least() != job.job().tasks()) {
-            reply.accept(error(400, "job " + define.job() + " is a gang: least is all of its " + job.job().tasks() + " tasks"));
-        } else if (other != null && !other.equals(name)) {
-            reply.accept(error(409, "job " + define.job() + " is model " + other + " already"));
-        } else {
-            change(name, in, define, reply);
-        }
+    ModelCommand.Define define = (ModelCommand.Define) new ModelKind().command(command);
+    JobRecord job = base.ledger().job(define.job());
+    String other = records.nameOf(define.job());
+    if (job == null) {
+      reply.accept(error(404, "no job " + define.job() + " is known here: submit it first"));
+    } else if (job.phase() != JobPhase.OPEN || job.job() == null) {
+      reply.accept(
+          error(
+              409,
+              "job " + define.job() + " is " + job.phase().toString().toLowerCase(Locale.ROOT)));
+    } else if (job.job().shape() == Shape.ARRAY) {
+      reply.accept(
+          error(
+              400,
+              "job " + define.job() + " is an array: a model is a service, or a gang that serves"));
+    } else if (define.terms().most() > job.job().tasks()) {
+      reply.accept(
+          error(
+              400,
+              "field most is "
+                  + define.terms().most()
+                  + ", and job "
+                  + define.job()
+                  + " has "
+                  + job.job().tasks()
+                  + " tasks"));
+    } else if (job.job().shape() == Shape.GANG && define.terms().least() != job.job().tasks()) {
+      reply.accept(
+          error(
+              400,
+              "job "
+                  + define.job()
+                  + " is a gang: least is all of its "
+                  + job.job().tasks()
+                  + " tasks"));
+    } else if (other != null && !other.equals(name)) {
+      reply.accept(error(409, "job " + define.job() + " is model " + other + " already"));
+    } else {
+      change(name, in, define, reply);
     }
+  }
 
-    private void change(String name, Fields in, ModelCommand command, Consumer<HttpResponse> reply) throws BadMessage {
-        String request = in.text("request");
-        if (request.isBlank() || request.length() > Kept.LONGEST_NAME) {
-            throw new BadMessage("field request is not 1 to " + Kept.LONGEST_NAME + " characters");
-        }
-        base.store().ask(records.book(), name, new AgreedStore.Ask<>(request, -1, command, in.textOr("by", "")), answer -> {
-            if (answer.isDurable()) {
-                reply.accept(HttpResponse.of(200, Json.write(Json.object("model", name, "change", answer.change(), "revision",
-                        answer.revision().number(), "note", answer.why().isEmpty() ? null : answer.why()))));
-            } else {
-                reply.accept(error(answer.status(), answer.why()).withRetryAfter(answer.retryAfterS()));
-            }
-        });
+  private void change(String name, Fields in, ModelCommand command, Consumer<HttpResponse> reply)
+      throws BadMessage {
+    String request = in.text("request");
+    if (request.isBlank() || request.length() > Kept.LONGEST_NAME) {
+      throw new BadMessage("field request is not 1 to " + Kept.LONGEST_NAME + " characters");
     }
+    base.store()
+        .ask(
+            records.book(),
+            name,
+            new AgreedStore.Ask<>(request, -1, command, in.textOr("by", "")),
+            answer -> {
+              if (answer.isDurable()) {
+                reply.accept(
+                    HttpResponse.of(
+                        200,
+                        Json.write(
+                            Json.object(
+                                "model",
+                                name,
+                                "change",
+                                answer.change(),
+                                "revision",
+                                answer.revision().number(),
+                                "note",
+                                answer.why().isEmpty() ? null : answer.why()))));
+              } else {
+                reply.accept(
+                    error(answer.status(), answer.why()).withRetryAfter(answer.retryAfterS()));
+              }
+            });
+  }
 
-    private HttpResponse answered(String name, AgreedStore.Answer answer) {
-        if (answer.status() != 200 && answer.status() != 202) {
-            return error(answer.status(), answer.why()).withRetryAfter(answer.retryAfterS());
-        }
-        return HttpResponse.of(answer.status(), Json.write(show(name)));
+  private HttpResponse answered(String name, AgreedStore.Answer answer) {
+    if (answer.status() != 200 && answer.status() != 202) {
+      return error(answer.status(), answer.why()).withRetryAfter(answer.retryAfterS());
     }
+    return HttpResponse.of(answer.status(), Json.write(show(name)));
+  }
 
-    private HttpResponse list() {
-        List<Object> rows = new ArrayList<>();
-        for (Map.Entry<String, AgreedBook.Held<Model>> each : records.book().all().entrySet()) {
-            records.book().kind().rows(each.getKey(), each.getValue().state(), base.at()).forEach(row -> {
+  private HttpResponse list() {
+    List<Object> rows = new ArrayList<>();
+    for (Map.Entry<String, AgreedBook.Held<Model>> each : records.book().all().entrySet()) {
+      records
+          .book()
+          .kind()
+          .rows(each.getKey(), each.getValue().state(), base.at())
+          .forEach(
+              row -> {
                 row.put("running", running.applyAsInt(each.getValue().state().job()));
                 rows.add(row);
-            });
-        }
-        return HttpResponse.of(200, Json.write(Json.object("rows", rows, "wakes", desk.counts().get("wakes"), "asked", desk.counts().get("asked"))));
+              });
     }
+    return HttpResponse.of(
+        200,
+        Json.write(
+            Json.object(
+                "rows",
+                rows,
+                "wakes",
+                desk.counts().get("wakes"),
+                "asked",
+                desk.counts().get("asked"))));
+  }
 
-    private Map<String, Object> show(String name) {
-        Model model = records.book().state(name);
-        JobRecord record = base.ledger().job(model.job());
-        int runs = running.applyAsInt(model.job());
-        Map<String, Object> out = Json.object("model", name, "job", model.job().text(), "state", model.phase().toString().toLowerCase(Locale.ROOT),
-                "epoch", model.epoch(), "wanted", model.wanted(), "running", runs, "why", model.why(), "in_flight_here", desk.inFlight(name));
-        if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
-            double elapsedS = Math.max(0, (base.at().timeOfDayMs() - model.sinceMs()) / 1000.0);
-            ModelFleet.Estimate estimate = model.phase() == Model.Phase.WARM && runs > 0 ? new ModelFleet.Estimate(0, 0)
-                    : model.isUp() ? fleet.estimate(record.job(), model, elapsedS, base.timers().now()) : fleet.estimate(record.job(), base.timers().now());
-            if (!Double.isInfinite(estimate.worstS())) {
-                out.put("ready_in_s", Math.round(10 * estimate.bestS()) / 10.0);
-                out.put("ready_by_s", Math.round(10 * estimate.worstS()) / 10.0);
-            }
-        }
-        List<Object> places = new ArrayList<>();
-        model.places().forEach((replica, place) -> places.add(Json.object("replica", replica, "machine", place.machine().text(), "epoch", place.epoch())));
-        out.put("places", places);
-        out.put("least", model.terms().least());
-        out.put("most", model.terms().most());
-        out.put("per_replica", model.terms().perReplica());
-        out.put("idle_s", model.terms().idle().seconds());
-        out.put("keep_warm", model.terms().keepWarm());
-        return out;
+  private Map<String, Object> show(String name) {
+    Model model = records.book().state(name);
+    JobRecord record = base.ledger().job(model.job());
+    int runs = running.applyAsInt(model.job());
+    Map<String, Object> out =
+        Json.object(
+            "model",
+            name,
+            "job",
+            model.job().text(),
+            "state",
+            model.phase().toString().toLowerCase(Locale.ROOT),
+            "epoch",
+            model.epoch(),
+            "wanted",
+            model.wanted(),
+            "running",
+            runs,
+            "why",
+            model.why(),
+            "in_flight_here",
+            desk.inFlight(name));
+    if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
+      double elapsedS = Math.max(0, (base.at().timeOfDayMs() - model.sinceMs()) / 1000.0);
+      ModelFleet.Estimate estimate =
+          model.phase() == Model.Phase.WARM && runs > 0
+              ? new ModelFleet.Estimate(0, 0)
+              : model.isUp()
+                  ? fleet.estimate(record.job(), model, elapsedS, base.timers().now())
+                  : fleet.estimate(record.job(), base.timers().now());
+      if (!Double.isInfinite(estimate.worstS())) {
+        out.put("ready_in_s", Math.round(10 * estimate.bestS()) / 10.0);
+        out.put("ready_by_s", Math.round(10 * estimate.worstS()) / 10.0);
+      }
     }
+    List<Object> places = new ArrayList<>();
+    model
+        .places()
+        .forEach(
+            (replica, place) ->
+                places.add(
+                    Json.object(
+                        "replica",
+                        replica,
+                        "machine",
+                        place.machine().text(),
+                        "epoch",
+                        place.epoch())));
+    out.put("places", places);
+    out.put("least", model.terms().least());
+    out.put("most", model.terms().most());
+    out.put("per_replica", model.terms().perReplica());
+    out.put("idle_s", model.terms().idle().seconds());
+    out.put("keep_warm", model.terms().keepWarm());
+    return out;
+  }
 }
--- a/src/main/java/org/quincecross/admin/ServedLog.java
+++ b/src/main/java/org/quincecross/admin/ServedLog.java
@@ -24,174 +24,286 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts from the records who is served, team by team and class by class, on every controller alike, so that a new leader knows what
- * went before. The leader logs it, a line a team; all show it in their status. Counted from the start of the process; of jobs that are
- * open then, what they got before counts as got by then.
+ * Counts from the records who is served, team by team and class by class, on every controller
+ * alike, so that a new leader knows what went before. The leader logs it, a line a team; all show
+ * it in their status. Counted from the start of the process; of jobs that are open then, what they
+ * got before counts as got by then.
  */
 public final class ServedLog {
-    private static final Logger LOG = LoggerFactory.getLogger(ServedLog.class);
-    /** What others allocate is looked at so often: a start is not counted later than this after it was recorded. */
-    private static final Span LOOK_EVERY = Span.ofSeconds(2);
-    /** Of more teams than this, those that were served least are named. */
-    private static final int MOST_TEAMS = 50;
-
-    private final Timers timers;
-    private final Ledger ledger;
-    private final Leader leader;
-    private final LongSupplier clockMs;
-    private final Span every;
-    private final Withheld withheld;
-    private final ServedBooks books;
-
-    /**
-     * @param clockMs tells the time of day
-     * @param every how often the leader logs it
-     * @param withheld tasks that may not run now: that they do not is nobody's fault
-     */
-    public ServedLog(Timers timers, Ledger ledger, Leader leader, Settings settings, LongSupplier clockMs, Span every, Withheld withheld) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.leader = leader;
-        this.clockMs = clockMs;
-        this.every = every;
-        this.withheld = withheld;
-        this.books = new ServedBooks(job -> {
-            JobRecord record = ledger.asRecorded(job.id());
-            return settings.aims(job, Span.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
-        });
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(ServedLog.class);
 
-    public void start() {
-        ledger.listen(this::ledgerChanged);
-        leader.listen((job, more, reached) -> books.started(job, reached, timers.now()));
-        timers.every(LOOK_EVERY, () -> {
-            if (ledger.isLoaded()) {
-                leader.lookAtBooks();
-            }
+  /**
+   * What others allocate is looked at so often: a start is not counted later than this after it was
+   * recorded.
+   */
+  private static final Span LOOK_EVERY = Span.ofSeconds(2);
+
+  /** Of more teams than this, those that were served least are named. */
+  private static final int MOST_TEAMS = 50;
+
+  private final Timers timers;
+  private final Ledger ledger;
+  private final Leader leader;
+  private final LongSupplier clockMs;
+  private final Span every;
+  private final Withheld withheld;
+  private final ServedBooks books;
+
+  /**
+   * @param clockMs tells the time of day
+   * @param every how often the leader logs it
+   * @param withheld tasks that may not run now: that they do not is nobody's fault
+   */
+  public ServedLog(
+      Timers timers,
+      Ledger ledger,
+      Leader leader,
+      Settings settings,
+      LongSupplier clockMs,
+      Span every,
+      Withheld withheld) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.leader = leader;
+    this.clockMs = clockMs;
+    this.every = every;
+    this.withheld = withheld;
+    this.books =
+        new ServedBooks(
+            job -> {
+              JobRecord record = ledger.asRecorded(job.id());
+              return settings.aims(
+                  job, Span.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+            });
+  }
+
+  public void start() {
+    ledger.listen(this::ledgerChanged);
+    leader.listen((job, more, reached) -> books.started(job, reached, timers.now()));
+    timers.every(
+        LOOK_EVERY,
+        () -> {
+          if (ledger.isLoaded()) {
+            leader.lookAtBooks();
+          }
         });
-        timers.every(every, this::log);
-    }
+    timers.every(every, this::log);
+  }
 
-    private void ledgerChanged(Ledger.Changes changes) {
-        SteadyTime now = timers.now();
-        for (JobId id : changes.jobs()) {
-            JobRecord record = ledger.job(id);
-            if (record == null) {
-                continue;
-            }
-            switch (record.phase()) {
-                case OPEN -> {
-                    if (ledger.pipelines().waits(id)) {
-                        continue; // nothing is expected of it before it can run
-                    }
-                    Span age = Span.ofMillis(Math.max(0, clockMs.getAsLong() - ledger.readyMs(record)));
-                    SteadyTime accepted = new SteadyTime(now.nanos() - age.nanos());
-                    if (changes.reloaded()) {
-                        books.found(ledger.asRecorded(id).job(), accepted);
-                    } else {
-                        books.accepted(ledger.asRecorded(id).job(), accepted);
-                    }
-                    books.withheld(id, withheld.of(record.job()).size(), now);
-                }
-                case DONE -> books.done(id, now);
-                case CANCELLED -> books.cancelled(id, now);
-                default -> throw new IllegalStateException(record.phase().toString());
-            }
+  private void ledgerChanged(Ledger.Changes changes) {
+    SteadyTime now = timers.now();
+    for (JobId id : changes.jobs()) {
+      JobRecord record = ledger.job(id);
+      if (record == null) {
+        continue;
+      }
+      switch (record.phase()) {
+        case OPEN -> {
+          if (ledger.pipelines().waits(id)) {
+            continue; // nothing is expected of it before it can run
+          }
+          Span age = Span.ofMillis(Math.max(0, clockMs.getAsLong() - ledger.readyMs(record)));
+          SteadyTime accepted = new SteadyTime(now.nanos() - age.nanos());
+          if (changes.reloaded()) {
+            books.found(ledger.asRecorded(id).job(), accepted);
+          } else {
+            books.accepted(ledger.asRecorded(id).job(), accepted);
+          }
+          books.withheld(id, withheld.of(record.job()).size(), now);
         }
+        case DONE -> books.done(id, now);
+        case CANCELLED -> books.cancelled(id, now);
+        default -> throw new IllegalStateException(record.phase().toString());
+      }
     }
+  }
 
-    /** Other tasks of some jobs are kept back than before. */
-    public void withheldChanged(Set<JobId> jobs) {
-        for (JobId id : jobs) {
-            JobRecord record = ledger.job(id);
-            if (record != null && record.phase() == JobPhase.OPEN) {
-                books.withheld(id, withheld.of(record.job()).size(), timers.now());
-            }
-        }
+  /** Other tasks of some jobs are kept back than before. */
+  public void withheldChanged(Set<JobId> jobs) {
+    for (JobId id : jobs) {
+      JobRecord record = ledger.job(id);
+      if (record != null && record.phase() == JobPhase.OPEN) {
+        books.withheld(id, withheld.of(record.job()).size(), timers.now());
+      }
     }
+  }
 
-    /** The teams, those that were served least first. */
-    private List<Map.Entry<String, Served>> teams(SteadyTime now) {
-        leader.heldBack(books.openIds()).forEach(books::heldBack);
-        List<Map.Entry<String, Served>> teams = new ArrayList<>(books.teams(now).entrySet());
-        teams.sort(Comparator.comparingDouble((Map.Entry<String, Served> team) -> team.getValue().least()).thenComparing(Map.Entry::getKey));
-        return teams.subList(0, Math.min(MOST_TEAMS, teams.size()));
-    }
+  /** The teams, those that were served least first. */
+  private List<Map.Entry<String, Served>> teams(SteadyTime now) {
+    leader.heldBack(books.openIds()).forEach(books::heldBack);
+    List<Map.Entry<String, Served>> teams = new ArrayList<>(books.teams(now).entrySet());
+    teams.sort(
+        Comparator.comparingDouble((Map.Entry<String, Served> team) -> team.getValue().least())
+            .thenComparing(Map.Entry::getKey));
+    return teams.subList(0, Math.min(MOST_TEAMS, teams.size()));
+  }
 
-    private void log() {
-        if (!leader.isLeading() || !ledger.isLoaded()) {
-            return;
-        }
-        SteadyTime now = timers.now();
-        List<Map.Entry<String, Served>> teams = teams(now);
-        Map<ServedBooks.Group, Served> groups = books.groups(now);
-        for (Map.Entry<String, Served> team : teams) {
-            StringBuilder line = new StringBuilder();
-            groups.forEach((group, served) -> {
-                if (group.team().equals(team.getKey())) {
-                    line.append("; ").append(group.jobClass()).append(words(served));
-                }
-            });
-            LOG.info("served {}{}{}", team.getKey(), words(team.getValue()), line);
-        }
-        books.largest(now).forEach((name, parts) -> parts.forEach(part -> LOG.info("{}", String.format(Locale.ROOT,
-                "served %s largest %.2f: done %d/%d, begun in time %d/%d, longest %.0f s", name, part.part(), part.served(), part.jobs(), part.inTime(),
-                part.due(), part.longestS()))));
-        if (leader.overload() != null) {
-            LOG.info("{}", Json.object("overload", overload(now)));
-        }
+  private void log() {
+    if (!leader.isLeading() || !ledger.isLoaded()) {
+      return;
     }
-
-    /** For people and for counting: jobs ended of accepted, tasks started of what could be, each aim as met of due. */
-    private static String words(Served served) {
-        StringBuilder words = new StringBuilder(String.format(Locale.ROOT, " least %.2f: jobs %d/%d, tasks %d/%d", served.least(), served.ended(),
-                served.jobs(), served.started(), served.startable()));
-        served.aims().forEach(met -> words.append(", ").append(met.aim()).append(' ').append(met.met()).append('/').append(met.met() + met.missed()));
-        return words.append(String.format(Locale.ROOT, ", starved %.0f s", served.starvedS())).toString();
+    SteadyTime now = timers.now();
+    List<Map.Entry<String, Served>> teams = teams(now);
+    Map<ServedBooks.Group, Served> groups = books.groups(now);
+    for (Map.Entry<String, Served> team : teams) {
+      StringBuilder line = new StringBuilder();
+      groups.forEach(
+          (group, served) -> {
+            if (group.team().equals(team.getKey())) {
+              line.append("; ").append(group.jobClass()).append(words(served));
+            }
+          });
+      LOG.info("served {}{}{}", team.getKey(), words(team.getValue()), line);
     }
-
-    /** For the status: each team and class, least served first. */
-    List<Object> write() {
-        SteadyTime now = timers.now();
-        List<Map.Entry<String, Served>> teams = ledger.isLoaded() ? teams(now) : List.of();
-        Map<ServedBooks.Group, Served> groups = books.groups(now);
-        List<Object> list = new ArrayList<>();
-        for (Map.Entry<String, Served> team : teams) {
-            Map<String, Object> item = served(team.getValue());
-            Map<String, Object> classes = Json.object();
-            groups.forEach((group, each) -> {
-                if (group.team().equals(team.getKey())) {
-                    classes.put(group.jobClass(), served(each));
-                }
-            });
-            item.put("team", team.getKey());
-            item.put("classes", classes);
-            list.add(item);
-        }
-        return list;
+    books
+        .largest(now)
+        .forEach(
+            (name, parts) ->
+                parts.forEach(
+                    part ->
+                        LOG.info(
+                            "{}",
+                            String.format(
+                                Locale.ROOT,
+                                "served %s largest %.2f: done %d/%d, begun in time %d/%d, longest %.0f s",
+                                name,
+                                part.part(),
+                                part.served(),
+                                part.jobs(),
+                                part.inTime(),
+                                part.due(),
+                                part.longestS()))));
+    if (leader.overload() != null) {
+      LOG.info("{}", Json.object("overload", overload(now)));
     }
+  }
 
-    /** For the status: how the largest jobs of each class fared. */
-    Map<String, Object> largest() {
-        Map<String, Object> classes = Json.object();
-        books.largest(timers.now()).forEach((name, parts) -> classes.put(name, parts.stream().map(each -> Json.object("part", each.part(), "jobs", each.jobs(),
-                "served", each.served(), "due", each.due(), "in_time", each.inTime(), "longest_s", each.longestS())).toList()));
-        return classes;
-    }
+  /**
+   * For people and for counting: jobs ended of accepted, tasks started of what could be, each aim
+   * as met of due.
+   */
+  private static String words(Served served) {
+    StringBuilder words =
+        new StringBuilder(
+            String.format(
+                Locale.ROOT,
+                " least %.2f: jobs %d/%d, tasks %d/%d",
+                served.least(),
+                served.ended(),
+                served.jobs(),
+                served.started(),
+                served.startable()));
+    served
+        .aims()
+        .forEach(
+            met ->
+                words
+                    .append(", ")
+                    .append(met.aim())
+                    .append(' ')
+                    .append(met.met())
+                    .append('/')
+                    .append(met.met() + met.missed()));
+    return words
+        .append(String.format(Locale.ROOT, ", starved %.0f s", served.starvedS()))
+        .toString();
+  }
 
-    private static Map<String, Object> served(Served served) {
-        Map<String, Object> aims = Json.object();
-        served.aims().forEach(met -> aims.put(met.aim(), Json.object("met", met.met(), "missed", met.missed())));
-        return Json.object("least", served.least(), "jobs", served.jobs(), "ended", served.ended(), "tasks", served.tasks(), "startable",
-                served.startable(), "started", served.started(), "starved_s", served.starvedS(), "aims", aims);
+  /** For the status: each team and class, least served first. */
+  List<Object> write() {
+    SteadyTime now = timers.now();
+    List<Map.Entry<String, Served>> teams = ledger.isLoaded() ? teams(now) : List.of();
+    Map<ServedBooks.Group, Served> groups = books.groups(now);
+    List<Object> list = new ArrayList<>();
+    for (Map.Entry<String, Served> team : teams) {
+      Map<String, Object> item = served(team.getValue());
+      Map<String, Object> classes = Json.object();
+      groups.forEach(
+          (group, each) -> {
+            if (group.team().equals(team.getKey())) {
+              classes.put(group.jobClass(), served(each));
+            }
+          });
+      item.put("team", team.getKey());
+      item.put("classes", classes);
+      list.add(item);
     }
+    return list;
+  }
 
-    /** For the status: whether there is more work than can be done in time; null where nobody looks at that here. */
-    Map<String, Object> overload(SteadyTime now) {
-        if (leader.overload() == null || leader.overload().since() == null) {
-            return null;
-        }
-        return Json.object("state", leader.overload().state().toString(), "for_s", now.since(leader.overload().since()).seconds(),
-                "rate", leader.overload().rate(), "arriving", leader.overload().arriving(), "set_aside", leader.overload().setAside(), "behind_s", leader.overload().behindS());
+  /** For the status: how the largest jobs of each class fared. */
+  Map<String, Object> largest() {
+    Map<String, Object> classes = Json.object();
+    books
+        .largest(timers.now())
+        .forEach(
+            (name, parts) ->
+                classes.put(
+                    name,
+                    parts.stream()
+                        .map(
+                            each ->
+                                Json.object(
+                                    "part",
+                                    each.part(),
+                                    "jobs",
+                                    each.jobs(),
+                                    "served",
+                                    each.served(),
+                                    "due",
+                                    each.due(),
+                                    "in_time",
+                                    each.inTime(),
+                                    "longest_s",
+                                    each.longestS()))
+                        .toList()));
+    return classes;
+  }
+
+  private static Map<String, Object> served(Served served) {
+    Map<String, Object> aims = Json.object();
+    served
+        .aims()
+        .forEach(met -> aims.put(met.aim(), Json.object("met", met.met(), "missed", met.missed())));
+    return Json.object(
+        "least",
+        served.least(),
+        "jobs",
+        served.jobs(),
+        "ended",
+        served.ended(),
+        "tasks",
+        served.tasks(),
+        "startable",
+        served.startable(),
+        "started",
+        served.started(),
+        "starved_s",
+        served.starvedS(),
+        "aims",
+        aims);
+  }
+
+  /**
+   * For the status: whether there is more work than can be done in time; null where nobody looks at
+   * that here.
+   */
+  Map<String, Object> overload(SteadyTime now) {
+    if (leader.overload() == null || leader.overload().since() == null) {
+      return null;
     }
+    return Json.object(
+        "state",
+        leader.overload().state().toString(),
+        "for_s",
+        now.since(leader.overload().since()).seconds(),
+        "rate",
+        leader.overload().rate(),
+        "arriving",
+        leader.overload().arriving(),
+        "set_aside",
+        leader.overload().setAside(),
+        "behind_s",
+        leader.overload().behindS());
+  }
 }
--- a/src/main/java/org/quincecross/admin/Stalls.java
+++ b/src/main/java/org/quincecross/admin/Stalls.java
@@ -27,125 +27,151 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Names the jobs that make no progress, with what they wait for: for operators, in the log and in the status. The
- * leader watches all open jobs, every other controller those that have tasks in its blocks.
+ * Names the jobs that make no progress, with what they wait for: for operators, in the log and in
+ * the status. The leader watches all open jobs, every other controller those that have tasks in its
+ * blocks.
  */
 public final class Stalls {
-    private static final Logger LOG = LoggerFactory.getLogger(Stalls.class);
-    private static final Span LOOK_EVERY = Span.ofSeconds(5);
-    private static final Span SAY_AGAIN = Span.ofSeconds(300);
-    private static final int MOST_SHOWN = 50;
+  private static final Logger LOG = LoggerFactory.getLogger(Stalls.class);
+  private static final Span LOOK_EVERY = Span.ofSeconds(5);
+  private static final Span SAY_AGAIN = Span.ofSeconds(300);
+  private static final int MOST_SHOWN = 50;
 
-    private final Timers timers;
-    private final Ledger ledger;
-    private final Holdings holdings;
-    private final Leader leader;
-    private final ToIntFunction<JobId> running;
-    private final Withheld withheld;
-    private final ProgressWatch watch = new ProgressWatch();
-    private final Map<JobId, SteadyTime> said = new HashMap<>();
-    private List<ProgressWatch.Stall> stalls = List.of();
+  private final Timers timers;
+  private final Ledger ledger;
+  private final Holdings holdings;
+  private final Leader leader;
+  private final ToIntFunction<JobId> running;
+  private final Withheld withheld;
+  private final ProgressWatch watch = new ProgressWatch();
+  private final Map<JobId, SteadyTime> said = new HashMap<>();
+  private List<ProgressWatch.Stall> stalls = List.of();
 
-    /**
-     * @param running how many tasks of a job run, as far as is known here
-     * @param withheld tasks that may not run now: that they do not is no stall
-     */
-    public Stalls(Timers timers, Ledger ledger, Holdings holdings, Leader leader, ToIntFunction<JobId> running, Withheld withheld) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.holdings = holdings;
-        this.leader = leader;
-        this.running = running;
-        this.withheld = withheld;
-    }
+  /**
+   * @param running how many tasks of a job run, as far as is known here
+   * @param withheld tasks that may not run now: that they do not is no stall
+   */
+  public Stalls(
+      Timers timers,
+      Ledger ledger,
+      Holdings holdings,
+      Leader leader,
+      ToIntFunction<JobId> running,
+      Withheld withheld) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.holdings = holdings;
+    this.leader = leader;
+    this.running = running;
+    this.withheld = withheld;
+  }
 
-    public void start() {
-        timers.every(LOOK_EVERY, this::look);
-    }
+  public void start() {
+    timers.every(LOOK_EVERY, this::look);
+  }
 
-    private void look() {
-        SteadyTime now = timers.now();
-        stalls = watch.look(watched(), now);
-        said.keySet().retainAll(stalls.stream().map(ProgressWatch.Stall::job).toList());
-        for (ProgressWatch.Stall stall : stalls) {
-            SteadyTime before = said.get(stall.job());
-            if (before == null || now.since(before).isMoreThan(SAY_AGAIN)) {
-                said.put(stall.job(), now);
-                LOG.info("{} has made no progress for {}: {}", stall.job(), now.since(stall.since()), waits(stall.job()));
-            }
-        }
+  private void look() {
+    SteadyTime now = timers.now();
+    stalls = watch.look(watched(), now);
+    said.keySet().retainAll(stalls.stream().map(ProgressWatch.Stall::job).toList());
+    for (ProgressWatch.Stall stall : stalls) {
+      SteadyTime before = said.get(stall.job());
+      if (before == null || now.since(before).isMoreThan(SAY_AGAIN)) {
+        said.put(stall.job(), now);
+        LOG.info(
+            "{} has made no progress for {}: {}",
+            stall.job(),
+            now.since(stall.since()),
+            waits(stall.job()));
+      }
     }
+  }
 
-    private Collection<ProgressWatch.Standing> watched() {
-        Map<JobId, ProgressWatch.Standing> standings = new TreeMap<>();
-        if (leader.isLeading()) {
-            ledger.openJobs().forEach(record -> watch(record, standings));
-        } else {
-            for (BlockHolder holder : holdings.all()) {
-                for (JobId job : holder.jobs()) {
-                    JobRecord record = ledger.job(job);
-                    if (record != null && record.phase() == JobPhase.OPEN && !standings.containsKey(job)) {
-                        watch(record, standings);
-                    }
-                }
-            }
+  private Collection<ProgressWatch.Standing> watched() {
+    Map<JobId, ProgressWatch.Standing> standings = new TreeMap<>();
+    if (leader.isLeading()) {
+      ledger.openJobs().forEach(record -> watch(record, standings));
+    } else {
+      for (BlockHolder holder : holdings.all()) {
+        for (JobId job : holder.jobs()) {
+          JobRecord record = ledger.job(job);
+          if (record != null && record.phase() == JobPhase.OPEN && !standings.containsKey(job)) {
+            watch(record, standings);
+          }
         }
-        return standings.values();
+      }
     }
+    return standings.values();
+  }
 
-    /** A job of which no more is left than what may not run now is not watched until it may. */
-    private void watch(JobRecord record, Map<JobId, ProgressWatch.Standing> standings) {
-        if (ledger.pipelines().waits(record.id())) {
-            return; // those that it waits for are watched
-        }
-        boolean service = record.job().shape() == Shape.SERVICE;
-        int mayRun = record.job().tasks() - withheld.of(record.job()).size();
-        int done = service ? 0 : ledger.doneCount(record.id());
-        if (mayRun > done) {
-            standings.put(record.id(), new ProgressWatch.Standing(record.id(), service, record.job().estimate(), mayRun, done,
-                    running.applyAsInt(record.id())));
-        }
+  /** A job of which no more is left than what may not run now is not watched until it may. */
+  private void watch(JobRecord record, Map<JobId, ProgressWatch.Standing> standings) {
+    if (ledger.pipelines().waits(record.id())) {
+      return; // those that it waits for are watched
+    }
+    boolean service = record.job().shape() == Shape.SERVICE;
+    int mayRun = record.job().tasks() - withheld.of(record.job()).size();
+    int done = service ? 0 : ledger.doneCount(record.id());
+    if (mayRun > done) {
+      standings.put(
+          record.id(),
+          new ProgressWatch.Standing(
+              record.id(),
+              service,
+              record.job().estimate(),
+              mayRun,
+              done,
+              running.applyAsInt(record.id())));
     }
+  }
 
-    /** What a job's tasks wait for, as far as this controller knows. */
-    private List<String> waits(JobId job) {
-        List<String> waits = new ArrayList<>();
-        String kept = withheld.reason(job);
-        if (kept != null) {
-            waits.add(kept);
-        }
-        String pool = leader.poolWait(job);
-        if (pool != null) {
-            waits.add(pool);
-        }
-        for (BlockId block : ledger.allocatedBlocks()) {
-            if (!ledger.allocation(block).tasks().containsKey(job)) {
-                continue;
-            }
-            BlockHolder holder = holdings.get(block);
-            BlockLease lease = ledger.block(block);
-            if (holder != null) {
-                waits.addAll(holder.waits(job));
-            } else {
-                waits.add(lease == null ? "tasks in block " + block + ", which has no lease"
-                        : "tasks in block " + block + ": ask " + lease.holder());
-            }
-        }
-        int count = running.applyAsInt(job);
-        if (count > 0) {
-            waits.add(count + " tasks run");
-        }
-        return waits;
+  /** What a job's tasks wait for, as far as this controller knows. */
+  private List<String> waits(JobId job) {
+    List<String> waits = new ArrayList<>();
+    String kept = withheld.reason(job);
+    if (kept != null) {
+      waits.add(kept);
+    }
+    String pool = leader.poolWait(job);
+    if (pool != null) {
+      waits.add(pool);
     }
+    for (BlockId block : ledger.allocatedBlocks()) {
+      if (!ledger.allocation(block).tasks().containsKey(job)) {
+        continue;
+      }
+      BlockHolder holder = holdings.get(block);
+      BlockLease lease = ledger.block(block);
+      if (holder != null) {
+        waits.addAll(holder.waits(job));
+      } else {
+        waits.add(
+            lease == null
+                ? "tasks in block " + block + ", which has no lease"
+                : "tasks in block " + block + ": ask " + lease.holder());
+      }
+    }
+    int count = running.applyAsInt(job);
+    if (count > 0) {
+      waits.add(count + " tasks run");
+    }
+    return waits;
+  }
 
-    /** For the status. */
-    Object write() {
-        SteadyTime now = timers.now();
-        List<Object> list = new ArrayList<>();
-        for (ProgressWatch.Stall stall : stalls.subList(0, Math.min(MOST_SHOWN, stalls.size()))) {
-            list.add(Json.object("job", stall.job().text(), "for_s", Math.floor(now.since(stall.since()).seconds()),
-                    "waits_for", waits(stall.job())));
-        }
-        return list;
+  /** For the status. */
+  Object write() {
+    SteadyTime now = timers.now();
+    List<Object> list = new ArrayList<>();
+    for (ProgressWatch.Stall stall : stalls.subList(0, Math.min(MOST_SHOWN, stalls.size()))) {
+      list.add(
+          Json.object(
+              "job",
+              stall.job().text(),
+              "for_s",
+              Math.floor(now.since(stall.since()).seconds()),
+              "waits_for",
+              waits(stall.job())));
     }
+    return list;
+  }
 }
--- a/src/main/java/org/quincecross/admin/package-info.java
+++ b/src/main/java/org/quincecross/admin/package-info.java
@@ -1,2 +1,5 @@
-/** The administration API: what an operator can see of a controller, and the operators' own settings. */
+/**
+ * The administration API: what an operator can see of a controller, and the operators' own
+ * settings.
+ */
 package org.quincecross.admin;
--- a/src/main/java/org/quincecross/agreed/At.java
+++ b/src/main/java/org/quincecross/agreed/At.java
@@ -8,13 +8,13 @@
  * @param by who asked, as they say; empty where a controller makes the step itself
  */
 public record At(long timeOfDayMs, long clockBoundMs, String by) {
-    /** The earliest that it may be, in ms since 1970. */
-    public long earliestMs() {
-        return timeOfDayMs - clockBoundMs;
-    }
+  /** The earliest that it may be, in ms since 1970. */
+  public long earliestMs() {
+    return timeOfDayMs - clockBoundMs;
+  }
 
-    /** The latest that it may be, in ms since 1970. */
-    public long latestMs() {
-        return timeOfDayMs + clockBoundMs;
-    }
+  /** The latest that it may be, in ms since 1970. */
+  public long latestMs() {
+    return timeOfDayMs + clockBoundMs;
+  }
 }
--- a/src/main/java/org/quincecross/agreed/Kept.java
+++ b/src/main/java/org/quincecross/agreed/Kept.java
@@ -14,148 +14,183 @@
  * @param trail lines that are on no page yet, oldest first
  */
 public record Kept<S>(S state, long change, List<Request> requests, List<TrailLine> trail) {
-    /** So many requests of one record are known by their names; the values of records are small. */
-    public static final int MOST_REQUESTS = 12;
-    /** A name is known for so long at least, by the clocks of the controllers, whose bound comes on top. */
-    public static final long REQUESTS_KNOWN_MS = 120_000;
-    /** The longest name of a request. */
-    public static final int LONGEST_NAME = 64;
-
-    /**
-     * A request that has been followed.
-     *
-     * @param change how often the state had changed then
-     * @param same why nothing was to be changed; empty where it was
-     */
-    public record Request(String name, long change, long atMs, String same) {
-    }
-
-    /** What becomes of a request. */
-    public sealed interface Result<S> {
-        /** To be written in place of what there was; {@code withholds}: with it the fence rises. */
-        record Write<S>(Kept<S> next, Request made, boolean withholds) implements Result<S> {
-        }
-
-        /** It was followed before. */
-        record Known<S>(Request made) implements Result<S> {
-        }
-
-        /** Nothing is to be written; {@code status} as HTTP has it. */
-        record Refused<S>(int status, String why) implements Result<S> {
-        }
-
-        /** A step of a controller's own that changes nothing. */
-        record Nothing<S>(String why) implements Result<S> {
+  /** So many requests of one record are known by their names; the values of records are small. */
+  public static final int MOST_REQUESTS = 12;
+
+  /**
+   * A name is known for so long at least, by the clocks of the controllers, whose bound comes on
+   * top.
+   */
+  public static final long REQUESTS_KNOWN_MS = 120_000;
+
+  /** The longest name of a request. */
+  public static final int LONGEST_NAME = 64;
+
+  /**
+   * A request that has been followed.
+   *
+   * @param change how often the state had changed then
+   * @param same why nothing was to be changed; empty where it was
+   */
+  public record Request(String name, long change, long atMs, String same) {}
+
+  /** What becomes of a request. */
+  public sealed interface Result<S> {
+    /** To be written in place of what there was; {@code withholds}: with it the fence rises. */
+    record Write<S>(Kept<S> next, Request made, boolean withholds) implements Result<S> {}
+
+    /** It was followed before. */
+    record Known<S>(Request made) implements Result<S> {}
+
+    /** Nothing is to be written; {@code status} as HTTP has it. */
+    record Refused<S>(int status, String why) implements Result<S> {}
+
+    /** A step of a controller's own that changes nothing. */
+    record Nothing<S>(String why) implements Result<S> {}
+  }
+
+  public static <S> Kept<S> none(Kind<S, ?> kind) {
+    return new Kept<>(kind.initial(), 0, List.of(), List.of());
+  }
+
+  /**
+   * The one function that changes a record.
+   *
+   * @param version of the record as it is, none where it is not there
+   * @param request the caller's own name of the request; null for a step of a controller's own,
+   *     which is made again only if its state asks for it
+   * @param onChange the change that the caller has seen, and wants to have been the last; -1 for
+   *     whatever it is
+   */
+  public <C> Result<S> apply(
+      Kind<S, C> kind,
+      String id,
+      Revision version,
+      String request,
+      long onChange,
+      C command,
+      At at) {
+    if (request != null) {
+      for (Request before : requests) {
+        if (before.name().equals(request)) {
+          return new Result.Known<>(before);
         }
+      }
+      if (requests.size() >= MOST_REQUESTS && !isOld(requests.get(0), at)) {
+        return new Result.Refused<>(
+            429,
+            "too many requests for one record: the names of the last "
+                + MOST_REQUESTS
+                + " are to be known for "
+                + REQUESTS_KNOWN_MS / 1000
+                + " s");
+      }
     }
-
-    public static <S> Kept<S> none(Kind<S, ?> kind) {
-        return new Kept<>(kind.initial(), 0, List.of(), List.of());
+    if (onChange >= 0 && onChange != change) {
+      return new Result.Refused<>(
+          409, "the record has changed: " + change + " changes, not " + onChange);
     }
-
-    /**
-     * The one function that changes a record.
-     *
-     * @param version of the record as it is, none where it is not there
-     * @param request the caller's own name of the request; null for a step of a controller's own, which is made again only if its state
-     *        asks for it
-     * @param onChange the change that the caller has seen, and wants to have been the last; -1 for whatever it is
-     */
-    public <C> Result<S> apply(Kind<S, C> kind, String id, Revision version, String request, long onChange, C command, At at) {
-        if (request != null) {
-            for (Request before : requests) {
-                if (before.name().equals(request)) {
-                    return new Result.Known<>(before);
-                }
-            }
-            if (requests.size() >= MOST_REQUESTS && !isOld(requests.get(0), at)) {
-                return new Result.Refused<>(429, "too many requests for one record: the names of the last " + MOST_REQUESTS
-                        + " are to be known for " + REQUESTS_KNOWN_MS / 1000 + " s");
-            }
-        }
-        if (onChange >= 0 && onChange != change) {
-            return new Result.Refused<>(409, "the record has changed: " + change + " changes, not " + onChange);
-        }
-        Step<S> step = kind.step(state, command, at);
-        if (step instanceof Step.Refused<S> refused) {
-            return new Result.Refused<>(refused.status(), refused.why());
-        }
-        if (step instanceof Step.Changed<S> changed) {
-            Request made = new Request(request, change + 1, at.timeOfDayMs(), "");
-            List<TrailLine> lines = new ArrayList<>();
-            trail.forEach(line -> lines.add(line.stamped(version)));
-            changed.trail().forEach(entry -> lines.add(new TrailLine(Revision.NONE, id, change + 1, at.timeOfDayMs(), at.by(), entry)));
-            return new Result.Write<>(new Kept<>(changed.next(), change + 1, with(made, at), List.copyOf(lines)), made,
-                    kind.startsWithholding(state, changed.next()));
-        }
-        String why = ((Step.Same<S>) step).why();
-        if (request == null) {
-            return new Result.Nothing<>(why);
-        }
-        // Known by its name from now on: a copy of it that comes late may find a state in which there is something to change.
-        Request made = new Request(request, change, at.timeOfDayMs(), why.isEmpty() ? "nothing to change" : why);
-        return new Result.Write<>(new Kept<>(state, change, with(made, at), stamped(version)), made, false);
+    Step<S> step = kind.step(state, command, at);
+    if (step instanceof Step.Refused<S> refused) {
+      return new Result.Refused<>(refused.status(), refused.why());
     }
-
-    private static boolean isOld(Request request, At at) {
-        return at.timeOfDayMs() - request.atMs() > REQUESTS_KNOWN_MS + 2 * at.clockBoundMs();
+    if (step instanceof Step.Changed<S> changed) {
+      Request made = new Request(request, change + 1, at.timeOfDayMs(), "");
+      List<TrailLine> lines = new ArrayList<>();
+      trail.forEach(line -> lines.add(line.stamped(version)));
+      changed
+          .trail()
+          .forEach(
+              entry ->
+                  lines.add(
+                      new TrailLine(
+                          Revision.NONE, id, change + 1, at.timeOfDayMs(), at.by(), entry)));
+      return new Result.Write<>(
+          new Kept<>(changed.next(), change + 1, with(made, at), List.copyOf(lines)),
+          made,
+          kind.startsWithholding(state, changed.next()));
     }
-
-    private List<Request> with(Request made, At at) {
-        if (made.name() == null) {
-            return requests;
-        }
-        List<Request> all = new ArrayList<>(requests);
-        while (!all.isEmpty() && (all.size() >= MOST_REQUESTS || isOld(all.get(0), at))) {
-            all.remove(0);
-        }
-        all.add(made);
-        return List.copyOf(all);
+    String why = ((Step.Same<S>) step).why();
+    if (request == null) {
+      return new Result.Nothing<>(why);
     }
-
-    private List<TrailLine> stamped(Revision version) {
-        return trail.stream().map(line -> line.stamped(version)).toList();
+    // Known by its name from now on: a copy of it that comes late may find a state in which there
+    // is something to change.
+    Request made =
+        new Request(request, change, at.timeOfDayMs(), why.isEmpty() ? "nothing to change" : why);
+    return new Result.Write<>(
+        new Kept<>(state, change, with(made, at), stamped(version)), made, false);
+  }
+
+  private static boolean isOld(Request request, At at) {
+    return at.timeOfDayMs() - request.atMs() > REQUESTS_KNOWN_MS + 2 * at.clockBoundMs();
+  }
+
+  private List<Request> with(Request made, At at) {
+    if (made.name() == null) {
+      return requests;
     }
-
-    /** The lines of the trail that stand here, with the revision of the latest from the record itself. */
-    public List<TrailLine> lines(Revision version) {
-        return stamped(version);
+    List<Request> all = new ArrayList<>(requests);
+    while (!all.isEmpty() && (all.size() >= MOST_REQUESTS || isOld(all.get(0), at))) {
+      all.remove(0);
     }
-
-    /** The same without its first {@code lines} lines of the trail, which are on a page now. */
-    public Kept<S> without(int lines, Revision version) {
-        List<TrailLine> all = stamped(version);
-        return new Kept<>(state, change, requests, all.subList(Math.min(lines, all.size()), all.size()));
+    all.add(made);
+    return List.copyOf(all);
+  }
+
+  private List<TrailLine> stamped(Revision version) {
+    return trail.stream().map(line -> line.stamped(version)).toList();
+  }
+
+  /**
+   * The lines of the trail that stand here, with the revision of the latest from the record itself.
+   */
+  public List<TrailLine> lines(Revision version) {
+    return stamped(version);
+  }
+
+  /** The same without its first {@code lines} lines of the trail, which are on a page now. */
+  public Kept<S> without(int lines, Revision version) {
+    List<TrailLine> all = stamped(version);
+    return new Kept<>(
+        state, change, requests, all.subList(Math.min(lines, all.size()), all.size()));
+  }
+
+  /** The record. */
+  public Map<String, Object> write(Kind<S, ?> kind) {
+    Map<String, Object> out = new LinkedHashMap<>();
+    if (kind.restrains()) {
+      out.put("must", true); // who does not know the kind must not go on without it
     }
-
-    /** The record. */
-    public Map<String, Object> write(Kind<S, ?> kind) {
-        Map<String, Object> out = new LinkedHashMap<>();
-        if (kind.restrains()) {
-            out.put("must", true); // who does not know the kind must not go on without it
-        }
-        out.put("change", change);
-        out.put("state", kind.write(state));
-        List<Object> names = new ArrayList<>();
-        for (Request request : requests) {
-            names.add(List.of(request.name(), request.change(), request.atMs(), request.same()));
-        }
-        out.put("requests", names);
-        out.put("trail", TrailLine.writeAll(trail));
-        return out;
+    out.put("change", change);
+    out.put("state", kind.write(state));
+    List<Object> names = new ArrayList<>();
+    for (Request request : requests) {
+      names.add(List.of(request.name(), request.change(), request.atMs(), request.same()));
     }
-
-    public static <S> Kept<S> read(Kind<S, ?> kind, Object value) throws Unreadable {
-        Body in = Body.of(value, "a record of " + kind.name());
-        List<Request> requests = new ArrayList<>();
-        for (Object each : in.list("requests")) {
-            if (!(each instanceof List<?> fields && fields.size() == 4 && fields.get(0) instanceof String name
-                    && fields.get(1) instanceof Number change && fields.get(2) instanceof Number atMs && fields.get(3) instanceof String same)) {
-                throw new Unreadable("a request of a record of " + kind.name() + " is none");
-            }
-            requests.add(new Request(name, change.longValue(), atMs.longValue(), same));
-        }
-        return new Kept<>(kind.read(in.body("state").all()), in.integer("change", 0, Long.MAX_VALUE), List.copyOf(requests),
-                List.copyOf(TrailLine.readAll(in.list("trail"))));
+    out.put("requests", names);
+    out.put("trail", TrailLine.writeAll(trail));
+    return out;
+  }
+
+  public static <S> Kept<S> read(Kind<S, ?> kind, Object value) throws Unreadable {
+    Body in = Body.of(value, "a record of " + kind.name());
+    List<Request> requests = new ArrayList<>();
+    for (Object each : in.list("requests")) {
+      if (!(each instanceof List<?> fields
+          && fields.size() == 4
+          && fields.get(0) instanceof String name
+          && fields.get(1) instanceof Number change
+          && fields.get(2) instanceof Number atMs
+          && fields.get(3) instanceof String same)) {
+        throw new Unreadable("a request of a record of " + kind.name() + " is none");
+      }
+      requests.add(new Request(name, change.longValue(), atMs.longValue(), same));
     }
+    return new Kept<>(
+        kind.read(in.body("state").all()),
+        in.integer("change", 0, Long.MAX_VALUE),
+        List.copyOf(requests),
+        List.copyOf(TrailLine.readAll(in.list("trail"))));
+  }
 }
--- a/src/main/java/org/quincecross/agreed/RecordId.java
+++ b/src/main/java/org/quincecross/agreed/RecordId.java
@@ -1,35 +1,38 @@
 package org.quincecross.agreed;
 
-/** A record: its kind and its own name, 1 to 100 of the letters a-z and A-Z, digits, '.', '_' and '-'; it begins with a letter or digit. */
+/**
+ * A record: its kind and its own name, 1 to 100 of the letters a-z and A-Z, digits, '.', '_' and
+ * '-'; it begins with a letter or digit.
+ */
 public record RecordId(String kind, String id) implements Comparable<RecordId> {
-    private static final int MOST = 100;
+  private static final int MOST = 100;
 
-    /** Whether a record may have this name. */
-    public static boolean isName(String id) {
-        if (id.isEmpty() || id.length() > MOST || !isLetterOrDigit(id.charAt(0))) {
-            return false;
-        }
-        for (int i = 1; i < id.length(); i++) {
-            char c = id.charAt(i);
-            if (!isLetterOrDigit(c) && c != '.' && c != '_' && c != '-') {
-                return false;
-            }
-        }
-        return true;
+  /** Whether a record may have this name. */
+  public static boolean isName(String id) {
+    if (id.isEmpty() || id.length() > MOST || !isLetterOrDigit(id.charAt(0))) {
+      return false;
     }
-
-    private static boolean isLetterOrDigit(char c) {
-        return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9';
+    for (int i = 1; i < id.length(); i++) {
+      char c = id.charAt(i);
+      if (!isLetterOrDigit(c) && c != '.' && c != '_' && c != '-') {
+        return false;
+      }
     }
+    return true;
+  }
 
-    @Override
-    public int compareTo(RecordId other) {
-        int byKind = kind.compareTo(other.kind);
-        return byKind != 0 ? byKind : id.compareTo(other.id);
-    }
+  private static boolean isLetterOrDigit(char c) {
+    return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9';
+  }
 
-    @Override
-    public String toString() {
-        return kind + "/" + id;
-    }
+  @Override
+  public int compareTo(RecordId other) {
+    int byKind = kind.compareTo(other.kind);
+    return byKind != 0 ? byKind : id.compareTo(other.id);
+  }
+
+  @Override
+  public String toString() {
+    return kind + "/" + id;
+  }
 }
--- a/src/main/java/org/quincecross/agreed/TrailLine.java
+++ b/src/main/java/org/quincecross/agreed/TrailLine.java
@@ -9,68 +9,84 @@
 /**
  * A line of the trail.
  *
- * @param revision with which it became durable; {@link Revision#NONE} while that is the version of the record that it stands in
+ * @param revision with which it became durable; {@link Revision#NONE} while that is the version of
+ *     the record that it stands in
  * @param id of the record
  * @param change which change of that record it belongs to, counted from 1
  * @param atMs the time of day where it was made, in ms since 1970
  * @param by who asked; empty where a controller made the step itself
  */
-public record TrailLine(Revision revision, String id, long change, long atMs, String by, TrailEntry entry) {
-    private static final int FIELDS = 7;
+public record TrailLine(
+    Revision revision, String id, long change, long atMs, String by, TrailEntry entry) {
+  private static final int FIELDS = 7;
 
-    /** With the revision, where that is not known yet. */
-    TrailLine stamped(Revision version) {
-        return revision.equals(Revision.NONE) ? new TrailLine(version, id, change, atMs, by, entry) : this;
-    }
+  /** With the revision, where that is not known yet. */
+  TrailLine stamped(Revision version) {
+    return revision.equals(Revision.NONE)
+        ? new TrailLine(version, id, change, atMs, by, entry)
+        : this;
+  }
 
-    /** A list in place of an object: a page has 4 KiB. */
-    List<Object> write() {
-        List<Object> out = new ArrayList<>();
-        out.add(revision.number());
-        out.add(id);
-        out.add(change);
-        out.add(atMs);
-        out.add(by);
-        out.add(entry.event());
-        out.add(entry.details());
-        return out;
-    }
+  /** A list in place of an object: a page has 4 KiB. */
+  List<Object> write() {
+    List<Object> out = new ArrayList<>();
+    out.add(revision.number());
+    out.add(id);
+    out.add(change);
+    out.add(atMs);
+    out.add(by);
+    out.add(entry.event());
+    out.add(entry.details());
+    return out;
+  }
 
-    static TrailLine read(Object value) throws Unreadable {
-        if (value instanceof List<?> in && in.size() == FIELDS && in.get(0) instanceof Number revision && in.get(1) instanceof String id
-                && in.get(2) instanceof Number change && in.get(3) instanceof Number atMs && in.get(4) instanceof String by
-                && in.get(5) instanceof String event && in.get(6) instanceof Map<?, ?> raw) {
-            Map<String, Object> details = new LinkedHashMap<>();
-            raw.forEach((name, detail) -> details.put(String.valueOf(name), detail));
-            return new TrailLine(new Revision(revision.longValue()), id, change.longValue(), atMs.longValue(), by, new TrailEntry(event, details));
-        }
-        throw new Unreadable("a line of a trail is none");
+  static TrailLine read(Object value) throws Unreadable {
+    if (value instanceof List<?> in
+        && in.size() == FIELDS
+        && in.get(0) instanceof Number revision
+        && in.get(1) instanceof String id
+        && in.get(2) instanceof Number change
+        && in.get(3) instanceof Number atMs
+        && in.get(4) instanceof String by
+        && in.get(5) instanceof String event
+        && in.get(6) instanceof Map<?, ?> raw) {
+      Map<String, Object> details = new LinkedHashMap<>();
+      raw.forEach((name, detail) -> details.put(String.valueOf(name), detail));
+      return new TrailLine(
+          new Revision(revision.longValue()),
+          id,
+          change.longValue(),
+          atMs.longValue(),
+          by,
+          new TrailEntry(event, details));
     }
+    throw new Unreadable("a line of a trail is none");
+  }
 
-    static List<TrailLine> readAll(List<?> in) throws Unreadable {
-        List<TrailLine> lines = new ArrayList<>();
-        for (Object each : in) {
-            lines.add(read(each));
-        }
-        return lines;
+  static List<TrailLine> readAll(List<?> in) throws Unreadable {
+    List<TrailLine> lines = new ArrayList<>();
+    for (Object each : in) {
+      lines.add(read(each));
     }
+    return lines;
+  }
 
-    static List<Object> writeAll(List<TrailLine> lines) {
-        List<Object> out = new ArrayList<>();
-        lines.forEach(line -> out.add(line.write()));
-        return out;
-    }
+  static List<Object> writeAll(List<TrailLine> lines) {
+    List<Object> out = new ArrayList<>();
+    lines.forEach(line -> out.add(line.write()));
+    return out;
+  }
 
-    /** For operators. */
-    public Map<String, Object> show() {
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("revision", revision.number());
-        out.put("id", id);
-        out.put("change", change);
-        out.put("at_ms", atMs);
-        out.put("by", by);
-        out.put("event", entry.event());
-        out.put("details", entry.details());
-        return out;
-    }
+  /** For operators. */
+  public Map<String, Object> show() {
+    Map<String, Object> out = new LinkedHashMap<>();
+    out.put("revision", revision.number());
+    out.put("id", id);
+    out.put("change", change);
+    out.put("at_ms", atMs);
+    out.put("by", by);
+    out.put("event", entry.event());
+    out.put("details", entry.details());
+    return out;
+  }
 }
--- a/src/main/java/org/quincecross/agreed/Withheld.java
+++ b/src/main/java/org/quincecross/agreed/Withheld.java
@@ -6,34 +6,40 @@
 import org.quincecross.model.TaskSet;
 
 /**
- * Tasks of accepted jobs that may not run now, by an agreed record (a hold, a model at zero). They are not allocated, not started and cause
- * no renting; what runs of them is stopped in order.
+ * Tasks of accepted jobs that may not run now, by an agreed record (a hold, a model at zero). They
+ * are not allocated, not started and cause no renting; what runs of them is stopped in order.
  */
 public interface Withheld {
-    /** Nothing is kept back. */
-    Withheld NONE = new Withheld() {
+  /** Nothing is kept back. */
+  Withheld NONE =
+      new Withheld() {
         private final TaskSet none = new TaskSet();
 
         @Override
         public TaskSet of(Job job) {
-            return none;
+          return none;
         }
 
         @Override
         public String reason(JobId job) {
-            return null;
+          return null;
         }
-    };
+      };
 
-    /** The tasks of a job that may not run; the caller does not change the set. Asked for often: kept, not made anew. */
-    TaskSet of(Job job);
+  /**
+   * The tasks of a job that may not run; the caller does not change the set. Asked for often: kept,
+   * not made anew.
+   */
+  TaskSet of(Job job);
 
-    /** Why, in words, for operators; null where nothing of the job is kept back. */
-    String reason(JobId job);
+  /** Why, in words, for operators; null where nothing of the job is kept back. */
+  String reason(JobId job);
 
-    /** Whether a task may not run; a gang, which runs whole, may not where one of its tasks may not. */
-    default boolean has(Job job, int index) {
-        TaskSet withheld = of(job);
-        return !withheld.isEmpty() && (withheld.has(index) || job.shape() == Shape.GANG);
-    }
+  /**
+   * Whether a task may not run; a gang, which runs whole, may not where one of its tasks may not.
+   */
+  default boolean has(Job job, int index) {
+    TaskSet withheld = of(job);
+    return !withheld.isEmpty() && (withheld.has(index) || job.shape() == Shape.GANG);
+  }
 }
--- a/src/main/java/org/quincecross/agreed/WithheldByAny.java
+++ b/src/main/java/org/quincecross/agreed/WithheldByAny.java
@@ -9,61 +9,64 @@
 import org.quincecross.model.Shape;
 import org.quincecross.model.TaskSet;
 
-/** The tasks that any one part keeps back. Each part says of which jobs its answer has changed; whoever goes by it is told. */
+/**
+ * The tasks that any one part keeps back. Each part says of which jobs its answer has changed;
+ * whoever goes by it is told.
+ */
 public final class WithheldByAny implements Withheld {
-    private final List<Withheld> parts = new ArrayList<>();
-    private final List<Consumer<Set<JobId>>> listeners = new ArrayList<>();
+  private final List<Withheld> parts = new ArrayList<>();
+  private final List<Consumer<Set<JobId>>> listeners = new ArrayList<>();
 
-    /** Has a part asked from now on. */
-    public void add(Withheld part) {
-        parts.add(part);
-    }
+  /** Has a part asked from now on. */
+  public void add(Withheld part) {
+    parts.add(part);
+  }
 
-    /** Has {@code listener} told of jobs of which other tasks are kept back than before. */
-    public void listen(Consumer<Set<JobId>> listener) {
-        listeners.add(listener);
-    }
+  /** Has {@code listener} told of jobs of which other tasks are kept back than before. */
+  public void listen(Consumer<Set<JobId>> listener) {
+    listeners.add(listener);
+  }
 
-    /** A part answers otherwise than before of these jobs. */
-    public void changed(Set<JobId> jobs) {
-        if (!jobs.isEmpty()) {
-            listeners.forEach(listener -> listener.accept(jobs));
-        }
+  /** A part answers otherwise than before of these jobs. */
+  public void changed(Set<JobId> jobs) {
+    if (!jobs.isEmpty()) {
+      listeners.forEach(listener -> listener.accept(jobs));
     }
+  }
 
-    @Override
-    public TaskSet of(Job job) {
-        TaskSet all = null;
-        boolean mine = false;
-        for (Withheld part : parts) {
-            TaskSet one = part.of(job);
-            if (one.isEmpty()) {
-                continue;
-            }
-            if (all == null) {
-                all = one;
-            } else {
-                all = mine ? all : all.copy();
-                mine = true;
-                all.addAll(one);
-            }
-        }
-        if (all == null) {
-            return NONE.of(job);
-        }
-        // A gang runs whole or not at all.
-        return job.shape() == Shape.GANG ? TaskSet.below(job.tasks()) : all;
+  @Override
+  public TaskSet of(Job job) {
+    TaskSet all = null;
+    boolean mine = false;
+    for (Withheld part : parts) {
+      TaskSet one = part.of(job);
+      if (one.isEmpty()) {
+        continue;
+      }
+      if (all == null) {
+        all = one;
+      } else {
+        all = mine ? all : all.copy();
+        mine = true;
+        all.addAll(one);
+      }
+    }
+    if (all == null) {
+      return NONE.of(job);
     }
+    // A gang runs whole or not at all.
+    return job.shape() == Shape.GANG ? TaskSet.below(job.tasks()) : all;
+  }
 
-    @Override
-    public String reason(JobId job) {
-        String reasons = null;
-        for (Withheld part : parts) {
-            String reason = part.reason(job);
-            if (reason != null) {
-                reasons = reasons == null ? reason : reasons + "; " + reason;
-            }
-        }
-        return reasons;
+  @Override
+  public String reason(JobId job) {
+    String reasons = null;
+    for (Withheld part : parts) {
+      String reason = part.reason(job);
+      if (reason != null) {
+        reasons = reasons == null ? reason : reasons + "; " + reason;
+      }
     }
+    return reasons;
+  }
 }
--- a/src/main/java/org/quincecross/api/AfterParts.java
+++ b/src/main/java/org/quincecross/api/AfterParts.java
@@ -13,48 +13,59 @@
 import org.quincecross.wire.StateCodec.Change;
 
 /**
- * Makes durable what a new job waits on where its own record has no room for it, before that record is written.
+ * Makes durable what a new job waits on where its own record has no room for it, before that record
+ * is written.
  *
- * <p>A part says the same whenever it is written, so a change that comes twice, late or after its user has given up does no harm, and
- * a repetition at the same controller writes only what is not on record yet.
+ * <p>A part says the same whenever it is written, so a change that comes twice, late or after its
+ * user has given up does no harm, and a repetition at the same controller writes only what is not
+ * on record yet.
  */
 final class AfterParts {
-    /** In one transaction: with less than 2 KiB each, far below its 64 KiB; also fewer where the limit is lower. */
-    private static final int MOST_AT_ONCE = 4;
+  /**
+   * In one transaction: with less than 2 KiB each, far below its 64 KiB; also fewer where the limit
+   * is lower.
+   */
+  private static final int MOST_AT_ONCE = 4;
 
-    private final StateClient client;
-    private final Ledger ledger;
-    private final int mostChanges;
+  private final StateClient client;
+  private final Ledger ledger;
+  private final int mostChanges;
 
-    AfterParts(StateClient client, Ledger ledger, int mostChanges) {
-        this.client = client;
-        this.ledger = ledger;
-        this.mostChanges = Math.min(MOST_AT_ONCE, mostChanges);
-    }
+  AfterParts(StateClient client, Ledger ledger, int mostChanges) {
+    this.client = client;
+    this.ledger = ledger;
+    this.mostChanges = Math.min(MOST_AT_ONCE, mostChanges);
+  }
 
-    /** Writes what is not on record yet; {@code durable}: whether all of it is, told within a transaction's time for each few parts. */
-    void write(Set<JobId> waitsOn, Consumer<Boolean> durable) {
-        List<Change> changes = new ArrayList<>();
-        for (Map.Entry<String, Map<String, Object>> part : Predecessors.parts(waitsOn).entrySet()) {
-            if (!ledger.hasPart(part.getKey())) {
-                changes.add(Change.put(part.getKey(), part.getValue()));
-            }
-        }
-        write(changes, durable);
+  /**
+   * Writes what is not on record yet; {@code durable}: whether all of it is, told within a
+   * transaction's time for each few parts.
+   */
+  void write(Set<JobId> waitsOn, Consumer<Boolean> durable) {
+    List<Change> changes = new ArrayList<>();
+    for (Map.Entry<String, Map<String, Object>> part : Predecessors.parts(waitsOn).entrySet()) {
+      if (!ledger.hasPart(part.getKey())) {
+        changes.add(Change.put(part.getKey(), part.getValue()));
+      }
     }
+    write(changes, durable);
+  }
 
-    private void write(List<Change> changes, Consumer<Boolean> durable) {
-        if (changes.isEmpty()) {
-            durable.accept(true);
-            return;
-        }
-        int now = Math.min(mostChanges, changes.size());
-        client.txn(List.of(), changes.subList(0, now), outcome -> {
-            if (outcome.kind() == TxnOutcome.Kind.COMMITTED) {
-                write(changes.subList(now, changes.size()), durable);
-            } else {
-                durable.accept(false);
-            }
-        });
+  private void write(List<Change> changes, Consumer<Boolean> durable) {
+    if (changes.isEmpty()) {
+      durable.accept(true);
+      return;
     }
+    int now = Math.min(mostChanges, changes.size());
+    client.txn(
+        List.of(),
+        changes.subList(0, now),
+        outcome -> {
+          if (outcome.kind() == TxnOutcome.Kind.COMMITTED) {
+            write(changes.subList(now, changes.size()), durable);
+          } else {
+            durable.accept(false);
+          }
+        });
+  }
 }
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -29,149 +29,177 @@
 
 /** Workers' reports: answered by the holder of their block, sent on to it by everyone else. */
 final class AgentApi {
-    private static final Logger LOG = LoggerFactory.getLogger(AgentApi.class);
-    /** A report whose block is just being leased waits this long for its answer; workers give up after 4 s. */
-    private static final Span WAIT_FOR_LEASE = Span.ofSeconds(2.5);
-    private static final Span LOOK_AGAIN = Span.ofMillis(250);
+  private static final Logger LOG = LoggerFactory.getLogger(AgentApi.class);
 
-    /** A holder's word that is older says nothing of whom it hears. */
-    private static final Span WORD_FRESH = Span.ofSeconds(2.5);
-    /** A machine that its holder has not heard of for so long is not sent there. */
-    private static final Span UNHEARD = Span.ofSeconds(3);
+  /**
+   * A report whose block is just being leased waits this long for its answer; workers give up after
+   * 4 s.
+   */
+  private static final Span WAIT_FOR_LEASE = Span.ofSeconds(2.5);
 
-    private record Waiting(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {
-    }
+  private static final Span LOOK_AGAIN = Span.ofMillis(250);
 
-    private final Timers timers;
-    private final Ledger ledger;
-    private final Holdings holdings;
-    private final Leader leader;
-    private final PeerViews views;
-    private final MemberId self;
-    private final Strays strays = new Strays();
-    private final Arrivals arrivals;
-    private final Aloneness aloneness;
-    private List<Waiting> waiting = new ArrayList<>();
-    private boolean lookPlanned;
-
-    AgentApi(Timers timers, Ledger ledger, Holdings holdings, Leader leader, PeerViews views, HttpCaller http, MemberId self,
-            Aloneness aloneness) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.holdings = holdings;
-        this.leader = leader;
-        this.views = views;
-        this.self = self;
-        this.arrivals = new Arrivals(timers, http, leader);
-        this.aloneness = aloneness;
-    }
+  /** A holder's word that is older says nothing of whom it hears. */
+  private static final Span WORD_FRESH = Span.ofSeconds(2.5);
 
-    /** Machines of others' blocks that have reported here lately. */
-    List<MachineId> strays() {
-        return strays.lately(timers.now());
-    }
+  /** A machine that its holder has not heard of for so long is not sent there. */
+  private static final Span UNHEARD = Span.ofSeconds(3);
 
-    void beat(byte[] body, Consumer<HttpResponse> reply) {
-        WorkerReport report;
-        try {
-            report = WorkerCodec.readReport(Json.parseFields(body));
-        } catch (BadMessage e) {
-            LOG.info("unreadable report: {}", e.getMessage());
-            reply.accept(HttpResponse.of(400, JobCodec.error(e.getMessage())));
-            return;
-        }
-        if (!ledger.isLoaded()) {
-            reply.accept(HttpResponse.of(503));
-            return;
-        }
-        BlockLease lease = ledger.blockOf(report.machine().id());
-        aloneness.machine(report.token(), new Token(ledger.revision().number()), lease != null && lease.holder().equals(self), timers.now());
-        route(report, timers.now().plus(WAIT_FOR_LEASE), reply);
-    }
+  private record Waiting(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {}
 
-    private void route(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {
-        MachineId machine = report.machine().id();
-        BlockLease lease = ledger.blockOf(machine);
-        if (lease == null) {
-            if (leader.isLeading()) {
-                arrivals.reported(report);
-                waitForLease(report, until, reply);
-            } else if (ledger.leader() != null) {
-                redirect(ledger.leader().member(), reply);
-            } else {
-                waitForLease(report, until, reply);
-            }
-            return;
-        }
-        if (lease.holder().equals(self)) {
-            BlockHolder holder = holdings.get(lease.id());
-            byte[] answer = holder == null ? null : holder.answer(report);
-            if (answer != null) {
-                strays.answered(report, timers.now());
-                reply.accept(HttpResponse.of(200, answer));
-            } else if (holder != null && holder.isSuperseded()) {
-                // Another controller has the block and this one does not know yet which: the next will say, and every
-                // second that the machine waits here is lost to its lease.
-                reply.accept(HttpResponse.of(503));
-            } else {
-                // Also where the holder cannot tell it from a late copy: that waits for nothing, and a machine that has begun
-                // anew is asked meanwhile, and answered once that is proven.
-                waitForLease(report, until, reply);
-            }
-            return;
-        }
-        strays.heard(report, timers.now());
-        // A worker that is sent to a controller which it cannot reach loses five seconds of its lease, and on a short one that is
-        // the second time (docs/incidents/inc-6ced.md). The leader is told of it and moves the block.
-        if (ledger.members().containsKey(lease.holder()) && !isUnheard(lease, machine)) {
-            redirect(lease.holder(), reply);
-        } else {
-            waitForLease(report, until, reply);
-        }
-    }
+  private final Timers timers;
+  private final Ledger ledger;
+  private final Holdings holdings;
+  private final Leader leader;
+  private final PeerViews views;
+  private final MemberId self;
+  private final Strays strays = new Strays();
+  private final Arrivals arrivals;
+  private final Aloneness aloneness;
+  private List<Waiting> waiting = new ArrayList<>();
+  private boolean lookPlanned;
+
+  AgentApi(
+      Timers timers,
+      Ledger ledger,
+      Holdings holdings,
+      Leader leader,
+      PeerViews views,
+      HttpCaller http,
+      MemberId self,
+      Aloneness aloneness) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.holdings = holdings;
+    this.leader = leader;
+    this.views = views;
+    this.self = self;
+    this.arrivals = new Arrivals(timers, http, leader);
+    this.aloneness = aloneness;
+  }
+
+  /** Machines of others' blocks that have reported here lately. */
+  List<MachineId> strays() {
+    return strays.lately(timers.now());
+  }
 
-    /** Whether the holder of a block itself says that it has not heard of a machine for a while. */
-    private boolean isUnheard(BlockLease lease, MachineId machine) {
-        PeerViews.View view = views.of(lease.holder());
-        if (view == null || timers.now().since(view.at()).isMoreThan(WORD_FRESH)) {
-            return false;
-        }
-        PeerViews.BlockView block = view.blocks().get(lease.id());
-        PeerReport.MachineState state = block == null || !block.token().equals(lease.token()) ? null : block.machines().get(machine);
-        return state != null && state.silent().isMoreThan(UNHEARD);
+  void beat(byte[] body, Consumer<HttpResponse> reply) {
+    WorkerReport report;
+    try {
+      report = WorkerCodec.readReport(Json.parseFields(body));
+    } catch (BadMessage e) {
+      LOG.info("unreadable report: {}", e.getMessage());
+      reply.accept(HttpResponse.of(400, JobCodec.error(e.getMessage())));
+      return;
     }
+    if (!ledger.isLoaded()) {
+      reply.accept(HttpResponse.of(503));
+      return;
+    }
+    BlockLease lease = ledger.blockOf(report.machine().id());
+    aloneness.machine(
+        report.token(),
+        new Token(ledger.revision().number()),
+        lease != null && lease.holder().equals(self),
+        timers.now());
+    route(report, timers.now().plus(WAIT_FOR_LEASE), reply);
+  }
 
-    private void redirect(MemberId member, Consumer<HttpResponse> reply) {
-        reply.accept(member.equals(self) ? HttpResponse.of(503)
-                : HttpResponse.of(421, WorkerCodec.writeRedirect(member)));
+  private void route(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {
+    MachineId machine = report.machine().id();
+    BlockLease lease = ledger.blockOf(machine);
+    if (lease == null) {
+      if (leader.isLeading()) {
+        arrivals.reported(report);
+        waitForLease(report, until, reply);
+      } else if (ledger.leader() != null) {
+        redirect(ledger.leader().member(), reply);
+      } else {
+        waitForLease(report, until, reply);
+      }
+      return;
+    }
+    if (lease.holder().equals(self)) {
+      BlockHolder holder = holdings.get(lease.id());
+      byte[] answer = holder == null ? null : holder.answer(report);
+      if (answer != null) {
+        strays.answered(report, timers.now());
+        reply.accept(HttpResponse.of(200, answer));
+      } else if (holder != null && holder.isSuperseded()) {
+        // Another controller has the block and this one does not know yet which: the next will say,
+        // and every
+        // second that the machine waits here is lost to its lease.
+        reply.accept(HttpResponse.of(503));
+      } else {
+        // Also where the holder cannot tell it from a late copy: that waits for nothing, and a
+        // machine that has begun
+        // anew is asked meanwhile, and answered once that is proven.
+        waitForLease(report, until, reply);
+      }
+      return;
+    }
+    strays.heard(report, timers.now());
+    // A worker that is sent to a controller which it cannot reach loses five seconds of its lease,
+    // and on a short one that is
+    // the second time (docs/incidents/inc-6ced.md). The leader is told of it and moves the block.
+    if (ledger.members().containsKey(lease.holder()) && !isUnheard(lease, machine)) {
+      redirect(lease.holder(), reply);
+    } else {
+      waitForLease(report, until, reply);
     }
+  }
 
-    /** The block is about to get a holder: better a late answer than a round of the other controllers. */
-    private void waitForLease(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {
-        if (until.isBefore(timers.now())) {
-            reply.accept(HttpResponse.of(503));
-            return;
-        }
-        waiting.add(new Waiting(report, until, reply));
-        if (!lookPlanned) {
-            lookPlanned = true;
-            timers.after(LOOK_AGAIN, () -> {
-                lookPlanned = false;
-                lookAgain();
-            });
-        }
+  /** Whether the holder of a block itself says that it has not heard of a machine for a while. */
+  private boolean isUnheard(BlockLease lease, MachineId machine) {
+    PeerViews.View view = views.of(lease.holder());
+    if (view == null || timers.now().since(view.at()).isMoreThan(WORD_FRESH)) {
+      return false;
     }
+    PeerViews.BlockView block = view.blocks().get(lease.id());
+    PeerReport.MachineState state =
+        block == null || !block.token().equals(lease.token())
+            ? null
+            : block.machines().get(machine);
+    return state != null && state.silent().isMoreThan(UNHEARD);
+  }
 
-    /** New leases may be what reports wait for. */
-    void ledgerChanged(Ledger.Changes changes) {
-        if (changes.reloaded() || !changes.blocks().isEmpty()) {
+  private void redirect(MemberId member, Consumer<HttpResponse> reply) {
+    reply.accept(
+        member.equals(self)
+            ? HttpResponse.of(503)
+            : HttpResponse.of(421, WorkerCodec.writeRedirect(member)));
+  }
+
+  /**
+   * The block is about to get a holder: better a late answer than a round of the other controllers.
+   */
+  private void waitForLease(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {
+    if (until.isBefore(timers.now())) {
+      reply.accept(HttpResponse.of(503));
+      return;
+    }
+    waiting.add(new Waiting(report, until, reply));
+    if (!lookPlanned) {
+      lookPlanned = true;
+      timers.after(
+          LOOK_AGAIN,
+          () -> {
+            lookPlanned = false;
             lookAgain();
-        }
+          });
     }
+  }
 
-    private void lookAgain() {
-        List<Waiting> now = waiting;
-        waiting = new ArrayList<>();
-        now.forEach(each -> route(each.report(), each.until(), each.reply()));
+  /** New leases may be what reports wait for. */
+  void ledgerChanged(Ledger.Changes changes) {
+    if (changes.reloaded() || !changes.blocks().isEmpty()) {
+      lookAgain();
     }
+  }
+
+  private void lookAgain() {
+    List<Waiting> now = waiting;
+    waiting = new ArrayList<>();
+    now.forEach(each -> route(each.report(), each.until(), each.reply()));
+  }
 }
--- a/src/main/java/org/quincecross/api/AgreedParts.java
+++ b/src/main/java/org/quincecross/api/AgreedParts.java
@@ -38,110 +38,141 @@
 import org.quincecross.wire.Json;
 import org.quincecross.wire.Settings;
 
-/** The records that all controllers follow, and the parts that rest on them, where they are switched on. */
+/**
+ * The records that all controllers follow, and the parts that rest on them, where they are switched
+ * on.
+ */
 final class AgreedParts {
-    /** What the holds keep back, as the controller that is asked sees it. */
-    private static final String KEPT = AgreedApi.ROOT + "/kept";
+  /** What the holds keep back, as the controller that is asked sees it. */
+  private static final String KEPT = AgreedApi.ROOT + "/kept";
 
-    private final AgreedBase base;
-    private final AgreedApi api;
-    private HeldRecords held;
-    private final ModelsPart models;
-    private final RequestPart requests;
+  private final AgreedBase base;
+  private final AgreedApi api;
+  private HeldRecords held;
+  private final ModelsPart models;
+  private final RequestPart requests;
 
-    /**
-     * @param parts those that are switched on, with their settings; null: there are no such records
-     * @param longest for how long a controller acts after it last heard from the state service
-     */
-    AgreedParts(Timers timers, StateClient client, Follower follower, Ledger ledger, Membership membership, PeerViews views, Settings settings,
-            Map<String, Object> parts, LongSupplier clockMs, Span longest) {
-        if (parts == null) {
-            base = null;
-            api = null;
-            models = null;
-            requests = null;
-            return;
-        }
-        base = new AgreedBase(timers, ledger, new AgreedStore(timers, client, follower, ledger, membership, settings, clockMs),
-                new KnownRevisions(timers, ledger, views, settings, longest), new WithheldByAny(), settings, clockMs, parts);
-        api = new AgreedApi(base, follower);
-        models = base.has("models") ? new ModelsPart(base, views) : null;
-        requests = base.has(RequestKind.NAME) ? new RequestPart(base) : null;
+  /**
+   * @param parts those that are switched on, with their settings; null: there are no such records
+   * @param longest for how long a controller acts after it last heard from the state service
+   */
+  AgreedParts(
+      Timers timers,
+      StateClient client,
+      Follower follower,
+      Ledger ledger,
+      Membership membership,
+      PeerViews views,
+      Settings settings,
+      Map<String, Object> parts,
+      LongSupplier clockMs,
+      Span longest) {
+    if (parts == null) {
+      base = null;
+      api = null;
+      models = null;
+      requests = null;
+      return;
     }
+    base =
+        new AgreedBase(
+            timers,
+            ledger,
+            new AgreedStore(timers, client, follower, ledger, membership, settings, clockMs),
+            new KnownRevisions(timers, ledger, views, settings, longest),
+            new WithheldByAny(),
+            settings,
+            clockMs,
+            parts);
+    api = new AgreedApi(base, follower);
+    models = base.has("models") ? new ModelsPart(base, views) : null;
+    requests = base.has(RequestKind.NAME) ? new RequestPart(base) : null;
+  }
 
-    /** What is the same on all controllers that have the same parts with the same settings. */
-    static String mark(Map<String, Object> parts) {
-        return Integer.toHexString(new TreeMap<>(parts).toString().hashCode());
-    }
+  /** What is the same on all controllers that have the same parts with the same settings. */
+  static String mark(Map<String, Object> parts) {
+    return Integer.toHexString(new TreeMap<>(parts).toString().hashCode());
+  }
 
-    AgreedBase base() {
-        return base;
-    }
+  AgreedBase base() {
+    return base;
+  }
 
-    /** What is not to run now. */
-    Withheld withheld() {
-        return base == null ? Withheld.NONE : base.withheld();
-    }
+  /** What is not to run now. */
+  Withheld withheld() {
+    return base == null ? Withheld.NONE : base.withheld();
+  }
 
-    /** Has room kept for requests, where that is switched on. */
-    void keepRoom(Foresight foresight, Leader leader) {
-        if (requests != null) {
-            requests.start(foresight, leader);
-        }
+  /** Has room kept for requests, where that is switched on. */
+  void keepRoom(Foresight foresight, Leader leader) {
+    if (requests != null) {
+      requests.start(foresight, leader);
     }
+  }
 
-    /**
-     * Follows the records, before whoever asks what is kept back: each part that keeps something back has its listener here.
-     *
-     * @param served null where it is not counted who is served
-     */
-    void listen(Ledger ledger, Holdings holdings, Leader leader, ServedLog served,
-            ToIntFunction<JobId> running) {
-        if (base == null) {
-            return;
-        }
-        ledger.listen(base.known()::ledgerChanged);
-        base.withheld().listen((Set<JobId> jobs) -> {
-            leader.withheldChanged(jobs);
-            holdings.withheldChanged(jobs);
-            if (served != null) {
+  /**
+   * Follows the records, before whoever asks what is kept back: each part that keeps something back
+   * has its listener here.
+   *
+   * @param served null where it is not counted who is served
+   */
+  void listen(
+      Ledger ledger,
+      Holdings holdings,
+      Leader leader,
+      ServedLog served,
+      ToIntFunction<JobId> running) {
+    if (base == null) {
+      return;
+    }
+    ledger.listen(base.known()::ledgerChanged);
+    base.withheld()
+        .listen(
+            (Set<JobId> jobs) -> {
+              leader.withheldChanged(jobs);
+              holdings.withheldChanged(jobs);
+              if (served != null) {
                 served.withheldChanged(jobs);
-            }
-        });
-        if (base.has(HoldKind.NAME)) {
-            held = new HeldRecords(base);
-            new HoldSteps(base, held, leader::isLeading);
-        }
-        if (models != null) {
-            models.listen(ledger, holdings, leader, running);
-        }
+              }
+            });
+    if (base.has(HoldKind.NAME)) {
+      held = new HeldRecords(base);
+      new HoldSteps(base, held, leader::isLeading);
     }
-
-    /** The machines that a task may start on; null for any. */
-    Set<MachineId> places(Job job, int index) {
-        return models == null ? null : models.places(job, index);
+    if (models != null) {
+      models.listen(ledger, holdings, leader, running);
     }
+  }
 
-    /** What the parts tell the other controllers. */
-    Map<String, byte[]> sections() {
-        return models == null ? Map.of() : models.sections();
-    }
+  /** The machines that a task may start on; null for any. */
+  Set<MachineId> places(Job job, int index) {
+    return models == null ? null : models.places(job, index);
+  }
 
-    static boolean isAsked(String path) {
-        return Stream.of(AgreedApi.ROOT, ModelsApi.ROOT).anyMatch(root -> path.equals(root) || path.startsWith(root + "/"));
-    }
+  /** What the parts tell the other controllers. */
+  Map<String, byte[]> sections() {
+    return models == null ? Map.of() : models.sections();
+  }
+
+  static boolean isAsked(String path) {
+    return Stream.of(AgreedApi.ROOT, ModelsApi.ROOT)
+        .anyMatch(root -> path.equals(root) || path.startsWith(root + "/"));
+  }
 
-    void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-        if (models != null && request.path().startsWith(ModelsApi.ROOT)) {
-            models.handle(request, reply);
-        } else if (api == null || request.path().startsWith(ModelsApi.ROOT)) {
-            reply.accept(HttpResponse.of(404, JobCodec.error("this is not switched on here")));
-        } else {
-            if (held != null && request.path().equals(KEPT)) {
-                reply.accept(request.method().equals("GET") ? HttpResponse.of(200, Json.write(held.kept(request.query("after")))) : HttpResponse.of(405));
-                return;
-            }
-            api.handle(request, reply);
-        }
+  void handle(HttpRequest request, Consumer<HttpResponse> reply) {
+    if (models != null && request.path().startsWith(ModelsApi.ROOT)) {
+      models.handle(request, reply);
+    } else if (api == null || request.path().startsWith(ModelsApi.ROOT)) {
+      reply.accept(HttpResponse.of(404, JobCodec.error("this is not switched on here")));
+    } else {
+      if (held != null && request.path().equals(KEPT)) {
+        reply.accept(
+            request.method().equals("GET")
+                ? HttpResponse.of(200, Json.write(held.kept(request.query("after"))))
+                : HttpResponse.of(405));
+        return;
+      }
+      api.handle(request, reply);
     }
+  }
 }
--- a/src/main/java/org/quincecross/api/Arrivals.java
+++ b/src/main/java/org/quincecross/api/Arrivals.java
@@ -18,67 +18,75 @@
 import org.quincecross.wire.WorkerReport;
 
 /**
- * Machines that report and are in no block. A late copy of the report of one that was returned or taken looks the same as the first
- * report of a new one, and a block that takes it in waits for a machine that is gone. So it is asked itself before it is taken in: an
- * answer to a request that is sent now was made now. That holds for one that shows no token as well: a copy of a gone machine's very
- * first report shows none, and a leader that has just begun knows of no machine that is gone
- * (docs/incidents/a-gone-machines-first-report.md). Only a leader that has led since there was no block knows all that are gone and
- * asks nobody without a token.
+ * Machines that report and are in no block. A late copy of the report of one that was returned or
+ * taken looks the same as the first report of a new one, and a block that takes it in waits for a
+ * machine that is gone. So it is asked itself before it is taken in: an answer to a request that is
+ * sent now was made now. That holds for one that shows no token as well: a copy of a gone machine's
+ * very first report shows none, and a leader that has just begun knows of no machine that is gone
+ * (docs/incidents/a-gone-machines-first-report.md). Only a leader that has led since there was no
+ * block knows all that are gone and asks nobody without a token.
  */
 final class Arrivals {
-    private static final Span ASK_TIMEOUT = Span.ofSeconds(1.5);
-    private static final Span ASK_AGAIN = Span.ofSeconds(1);
-    /** So long after its answer a machine counts as there. */
-    private static final Span THERE_FOR = Span.ofSeconds(4);
+  private static final Span ASK_TIMEOUT = Span.ofSeconds(1.5);
+  private static final Span ASK_AGAIN = Span.ofSeconds(1);
 
-    private final Timers timers;
-    private final HttpCaller http;
-    private final Leader leader;
-    private final Map<MachineId, SteadyTime> askAfter = new HashMap<>();
-    private final Map<MachineId, SteadyTime> there = new HashMap<>();
+  /** So long after its answer a machine counts as there. */
+  private static final Span THERE_FOR = Span.ofSeconds(4);
 
-    Arrivals(Timers timers, HttpCaller http, Leader leader) {
-        this.timers = timers;
-        this.http = http;
-        this.leader = leader;
-    }
+  private final Timers timers;
+  private final HttpCaller http;
+  private final Leader leader;
+  private final Map<MachineId, SteadyTime> askAfter = new HashMap<>();
+  private final Map<MachineId, SteadyTime> there = new HashMap<>();
 
-    /** A machine that is in no block has reported, or a copy of its report came. */
-    void reported(WorkerReport report) {
-        Machine machine = report.machine();
-        if (report.token().equals(Token.NONE) && leader.newcomer(machine, false)) {
-            return;
-        }
-        SteadyTime now = timers.now();
-        SteadyTime answered = there.get(machine.id());
-        if (answered != null && !now.since(answered).isMoreThan(THERE_FOR)) {
-            leader.newcomer(machine, true);
-        } else if (!now.isBefore(askAfter.getOrDefault(machine.id(), now))) {
-            forgetOld(now);
-            askAfter.put(machine.id(), now.plus(ASK_TIMEOUT).plus(ASK_AGAIN));
-            http.call(machine.address(), HttpRequest.get(WorkerCodec.STATUS), ASK_TIMEOUT, outcome -> answered(machine, outcome));
-        }
-    }
+  Arrivals(Timers timers, HttpCaller http, Leader leader) {
+    this.timers = timers;
+    this.http = http;
+    this.leader = leader;
+  }
 
-    private void forgetOld(SteadyTime now) {
-        askAfter.values().removeIf(after -> after.isBefore(now));
-        there.values().removeIf(at -> now.since(at).isMoreThan(THERE_FOR));
+  /** A machine that is in no block has reported, or a copy of its report came. */
+  void reported(WorkerReport report) {
+    Machine machine = report.machine();
+    if (report.token().equals(Token.NONE) && leader.newcomer(machine, false)) {
+      return;
+    }
+    SteadyTime now = timers.now();
+    SteadyTime answered = there.get(machine.id());
+    if (answered != null && !now.since(answered).isMoreThan(THERE_FOR)) {
+      leader.newcomer(machine, true);
+    } else if (!now.isBefore(askAfter.getOrDefault(machine.id(), now))) {
+      forgetOld(now);
+      askAfter.put(machine.id(), now.plus(ASK_TIMEOUT).plus(ASK_AGAIN));
+      http.call(
+          machine.address(),
+          HttpRequest.get(WorkerCodec.STATUS),
+          ASK_TIMEOUT,
+          outcome -> answered(machine, outcome));
     }
+  }
+
+  private void forgetOld(SteadyTime now) {
+    askAfter.values().removeIf(after -> after.isBefore(now));
+    there.values().removeIf(at -> now.since(at).isMoreThan(THERE_FOR));
+  }
 
-    private void answered(Machine machine, HttpOutcome outcome) {
-        try {
-            // Another machine may have the address of one that is gone.
-            if (outcome.status() == 200
-                    && WorkerCodec.readReport(Json.parseFields(outcome.response().body())).machine().equals(machine)) {
-                askAfter.remove(machine.id());
-                there.put(machine.id(), timers.now());
-                if (leader.isLeading()) {
-                    leader.newcomer(machine, true);
-                }
-            }
-        } catch (BadMessage e) {
-            // It is asked again when it reports again.
-            there.remove(machine.id());
+  private void answered(Machine machine, HttpOutcome outcome) {
+    try {
+      // Another machine may have the address of one that is gone.
+      if (outcome.status() == 200
+          && WorkerCodec.readReport(Json.parseFields(outcome.response().body()))
+              .machine()
+              .equals(machine)) {
+        askAfter.remove(machine.id());
+        there.put(machine.id(), timers.now());
+        if (leader.isLeading()) {
+          leader.newcomer(machine, true);
         }
+      }
+    } catch (BadMessage e) {
+      // It is asked again when it reports again.
+      there.remove(machine.id());
     }
+  }
 }
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -22,133 +22,148 @@
 import org.quincecross.state.Ledger;
 
 /**
- * Decides when users may be told that a job is cancelled: by the rule of {@link UnconfirmedBound}, which has the proof.
+ * Decides when users may be told that a job is cancelled: by the rule of {@link UnconfirmedBound},
+ * which has the proof.
  *
- * <p>The wait runs from when the record was first seen here, never by the time of day in it: that is from when the change was
- * formed, and one that waited, or was not answered and is carried out late, may be durable only now
- * (docs/incidents/told-by-an-old-time.md). What was cancelled before the records were read waits as well, while they allocate any of it.
+ * <p>The wait runs from when the record was first seen here, never by the time of day in it: that
+ * is from when the change was formed, and one that waited, or was not answered and is carried out
+ * late, may be durable only now (docs/incidents/told-by-an-old-time.md). What was cancelled before
+ * the records were read waits as well, while they allocate any of it.
  */
 final class Cancellations {
-    private static final Span LOOK_AGAIN = Span.ofMillis(100);
-    private static final Span PATIENCE = Span.ofSeconds(1.2);
-
-    private final Timers timers;
-    private final Ledger ledger;
-    private final Holdings holdings;
-    private final PeerViews views;
-    private final UnconfirmedBound bound;
-    /** When cancellations were first seen that may not be told without a look, oldest first; those over the delay go. */
-    private final Map<JobId, SteadyTime> untold = new LinkedHashMap<>();
-    private Revision known = Revision.NONE;
-    private boolean sweepPlanned;
-
-    Cancellations(Timers timers, Ledger ledger, Holdings holdings, PeerViews views, UnconfirmedBound bound) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.holdings = holdings;
-        this.views = views;
-        this.bound = bound;
-    }
+  private static final Span LOOK_AGAIN = Span.ofMillis(100);
+  private static final Span PATIENCE = Span.ofSeconds(1.2);
 
-    void ledgerChanged(Ledger.Changes changes) {
-        if (changes.reloaded()) {
-            for (BlockId block : ledger.allocatedBlocks()) {
-                ledger.allocation(block).tasks().keySet().forEach(this::seen);
-            }
-        } else {
-            for (JobId id : changes.jobs()) {
-                JobRecord record = ledger.job(id);
-                if (record != null && record.version().isAfter(known)) {
-                    seen(id); // else something else of it has changed
-                }
-            }
-        }
-        known = ledger.revision();
-    }
+  private final Timers timers;
+  private final Ledger ledger;
+  private final Holdings holdings;
+  private final PeerViews views;
+  private final UnconfirmedBound bound;
+
+  /**
+   * When cancellations were first seen that may not be told without a look, oldest first; those
+   * over the delay go.
+   */
+  private final Map<JobId, SteadyTime> untold = new LinkedHashMap<>();
+
+  private Revision known = Revision.NONE;
+  private boolean sweepPlanned;
 
-    private void seen(JobId id) {
+  Cancellations(
+      Timers timers, Ledger ledger, Holdings holdings, PeerViews views, UnconfirmedBound bound) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.holdings = holdings;
+    this.views = views;
+    this.bound = bound;
+  }
+
+  void ledgerChanged(Ledger.Changes changes) {
+    if (changes.reloaded()) {
+      for (BlockId block : ledger.allocatedBlocks()) {
+        ledger.allocation(block).tasks().keySet().forEach(this::seen);
+      }
+    } else {
+      for (JobId id : changes.jobs()) {
         JobRecord record = ledger.job(id);
-        if (record != null && record.phase() == JobPhase.CANCELLED) {
-            untold.putIfAbsent(id, timers.now());
-            planSweep();
+        if (record != null && record.version().isAfter(known)) {
+          seen(id); // else something else of it has changed
         }
+      }
     }
+    known = ledger.revision();
+  }
 
-    private void planSweep() {
-        if (!sweepPlanned && !untold.isEmpty()) {
-            sweepPlanned = true;
-            timers.after(bound.toldAfter(), () -> {
-                sweepPlanned = false;
-                for (Iterator<SteadyTime> oldest = untold.values().iterator(); oldest.hasNext() && isOver(oldest.next()); ) {
-                    oldest.remove();
-                }
-                planSweep();
-            });
-        }
+  private void seen(JobId id) {
+    JobRecord record = ledger.job(id);
+    if (record != null && record.phase() == JobPhase.CANCELLED) {
+      untold.putIfAbsent(id, timers.now());
+      planSweep();
     }
+  }
 
-    /** How many cancellations are remembered. */
-    int remembered() {
-        return untold.size();
+  private void planSweep() {
+    if (!sweepPlanned && !untold.isEmpty()) {
+      sweepPlanned = true;
+      timers.after(
+          bound.toldAfter(),
+          () -> {
+            sweepPlanned = false;
+            for (Iterator<SteadyTime> oldest = untold.values().iterator();
+                oldest.hasNext() && isOver(oldest.next()); ) {
+              oldest.remove();
+            }
+            planSweep();
+          });
     }
+  }
+
+  /** How many cancellations are remembered. */
+  int remembered() {
+    return untold.size();
+  }
+
+  /** Says, soon, whether a user may be told what the record says. */
+  void whenSafe(JobRecord record, Consumer<Boolean> safe) {
+    whenSafe(record, timers.now().plus(PATIENCE), safe);
+  }
 
-    /** Says, soon, whether a user may be told what the record says. */
-    void whenSafe(JobRecord record, Consumer<Boolean> safe) {
-        whenSafe(record, timers.now().plus(PATIENCE), safe);
+  private void whenSafe(JobRecord record, SteadyTime until, Consumer<Boolean> safe) {
+    if (record.phase() != JobPhase.CANCELLED || mayTell(record)) {
+      safe.accept(true);
+    } else if (until.isBefore(timers.now())) {
+      safe.accept(false);
+    } else {
+      timers.after(LOOK_AGAIN, () -> whenSafe(record, until, safe));
     }
+  }
 
-    private void whenSafe(JobRecord record, SteadyTime until, Consumer<Boolean> safe) {
-        if (record.phase() != JobPhase.CANCELLED || mayTell(record)) {
-            safe.accept(true);
-        } else if (until.isBefore(timers.now())) {
-            safe.accept(false);
-        } else {
-            timers.after(LOOK_AGAIN, () -> whenSafe(record, until, safe));
-        }
+  private boolean mayTell(JobRecord record) {
+    SteadyTime since = untold.get(record.id());
+    if (since == null) {
+      return true;
+    }
+    if (isOver(since)
+        || ledger.blocksOf(record.id()).isEmpty()
+        || bound.notingSuffices() && allHoldersHaveSeen(record)) {
+      untold.remove(record.id());
+      return true;
     }
+    return false;
+  }
 
-    private boolean mayTell(JobRecord record) {
-        SteadyTime since = untold.get(record.id());
-        if (since == null) {
-            return true;
-        }
-        if (isOver(since) || ledger.blocksOf(record.id()).isEmpty() || bound.notingSuffices() && allHoldersHaveSeen(record)) {
-            untold.remove(record.id());
-            return true;
-        }
+  private boolean isOver(SteadyTime since) {
+    return timers.now().since(since).isMoreThan(bound.toldAfter());
+  }
+
+  private boolean allHoldersHaveSeen(JobRecord record) {
+    for (BlockId id : ledger.blocksOf(record.id())) {
+      BlockLease lease = ledger.block(id);
+      if (lease == null || !hasSeen(lease, record)) {
         return false;
+      }
     }
+    return true;
+  }
 
-    private boolean isOver(SteadyTime since) {
-        return timers.now().since(since).isMoreThan(bound.toldAfter());
+  private boolean hasSeen(BlockLease lease, JobRecord record) {
+    BlockHolder own = holdings.get(lease.id());
+    if (own != null) {
+      return own.hasAllFenced();
     }
-
-    private boolean allHoldersHaveSeen(JobRecord record) {
-        for (BlockId id : ledger.blocksOf(record.id())) {
-            BlockLease lease = ledger.block(id);
-            if (lease == null || !hasSeen(lease, record)) {
-                return false;
-            }
-        }
-        return true;
+    PeerViews.View view = views.of(lease.holder());
+    PeerViews.BlockView block = view == null ? null : view.blocks().get(lease.id());
+    if (block == null
+        || !block.token().equals(lease.token())
+        || record.version().isAfter(view.ledger())) {
+      return false;
     }
-
-    private boolean hasSeen(BlockLease lease, JobRecord record) {
-        BlockHolder own = holdings.get(lease.id());
-        if (own != null) {
-            return own.hasAllFenced();
-        }
-        PeerViews.View view = views.of(lease.holder());
-        PeerViews.BlockView block = view == null ? null : view.blocks().get(lease.id());
-        if (block == null || !block.token().equals(lease.token()) || record.version().isAfter(view.ledger())) {
-            return false;
-        }
-        for (MachineId machine : lease.machines().keySet()) {
-            PeerReport.MachineState state = block.machines().get(machine);
-            if (state == null || !state.fenced()) {
-                return false;
-            }
-        }
-        return true;
+    for (MachineId machine : lease.machines().keySet()) {
+      PeerReport.MachineState state = block.machines().get(machine);
+      if (state == null || !state.fenced()) {
+        return false;
+      }
     }
+    return true;
+  }
 }
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -61,410 +61,545 @@
 
 /** A whole controller, but for its sockets and its clock. */
 public final class Controller implements HttpHandler, HolderContext {
-    private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    private static final Span TELL_EVERY = Span.ofMillis(500);
-    private static final Span NEWS_AFTER = Span.ofMillis(100);
-    /** What changes with time alone is looked at in every second of the regular reports. */
-    private static final int LOOK_AT_ALL_EVERY = 2;
-
-    private final Timers timers;
-    private final HttpCaller http;
-    private final Settings settings;
-    private final PeerSender peers;
-    private final Ledger ledger = new Ledger();
-    private final Foresight foresight;
-    private final Follower follower;
-    private final Membership membership;
-    private final Holdings holdings;
-    private final AgreedParts agreed;
-    private final Leader leader;
-    private final Fleet fleet;
-    private final UserApi users;
-    private final AgentApi agents;
-    private final AdminApi admin;
-    private final Stalls stalls;
-    private final ServedLog served;
-    private final Cancellations cancellations;
-    private final Metrics metrics = new Metrics();
-    private final PeerViews views = new PeerViews();
-    private final RoomElsewhere roomElsewhere;
-    private final Map<MemberId, Long> sent = new HashMap<>();
-    private final Map<MemberId, LinkWatch> links = new HashMap<>();
-    private final Stillness stillness;
-    private final Aloneness aloneness;
-    private final UnconfirmedBound unconfirmedBound;
-    private final StartPermission startPermission;
-    private final LongSupplier clockMs;
-    private long reports;
-    private long regularReports;
-    private boolean newsPlanned;
-    private boolean newsForAll;
-
-    /**
-     * @param features what is switched on
-     * @param clockMs tells the time of day
-     * @param memoryIsShort whether there is no memory for more jobs
-     */
-    public Controller(Timers clock, HttpCaller caller, PeerSender peers, Settings settings, Features features, LongSupplier clockMs,
-            BooleanSupplier memoryIsShort) {
-        // Whatever comes to pass here comes by a timer, an answer, a request or a frame, and each begins with a look at the clock.
-        stillness = new Stillness(clock.now());
-        timers = Watched.timers(clock, this::lookAtClock);
-        http = Watched.caller(caller, this::lookAtClock);
-        this.peers = peers;
-        this.settings = settings;
-        this.clockMs = clockMs;
-        StateClient client = new StateClient(timers, http, settings.state(), settings.stateLimits());
-        follower = new Follower(timers, client, ledger);
-        aloneness = new Aloneness(settings.siblings().stream().allMatch(other -> settings.member().compareTo(other.member()) < 0), clock.now());
-        membership = new Membership(timers, client, settings.member(), settings.zone(), features.build(),
-                features.agreed() == null ? settings.terms() : settings.terms().with("agreed parts", AgreedParts.mark(features.agreed())),
-                settings.stateLimits().plannedValue());
-        unconfirmedBound = settings.workers().unconfirmedBound();
-        startPermission = new StartPermission(settings.siblings().stream().map(Settings.Sibling::member).filter(other -> !other.equals(settings.member()))
-                .collect(Collectors.toSet()), unconfirmedBound.starts());
-        agreed = new AgreedParts(timers, client, follower, ledger, membership, views, settings, features.agreed(), clockMs,
-                unconfirmedBound.unconfirmed());
-        foresight = new Foresight(ledger, agreed.withheld());
-        roomElsewhere = new RoomElsewhere(ledger, views, this::reserves);
-        holdings = new Holdings(this, settings.member(), membership::life);
-        fleet = new Fleet(timers, http, ledger, settings, foresight, membership::life,
-                () -> AdminApi.settings(ledger));
-        leader = new Leader(timers, client, ledger, follower, membership, settings, fleet, foresight, views, clockMs, this::isWaking,
-                features.overload() == null ? null : new Overload(features.overload()), agreed.withheld());
-        cancellations = new Cancellations(timers, ledger, holdings, views, unconfirmedBound);
-        users = new UserApi(timers, ledger, follower, client, settings, this::running, clockMs, cancellations,
-                membership::life, memoryIsShort, aloneness::state);
-        agents = new AgentApi(timers, ledger, holdings, leader, views, http, settings.member(), aloneness);
-        stalls = new Stalls(timers, ledger, holdings, leader, this::running, agreed.withheld());
-        served = features.servedEvery() == null ? null : new ServedLog(timers, ledger, leader, settings, clockMs, features.servedEvery(), agreed.withheld());
-        admin = new AdminApi(timers, ledger, follower, membership, client, holdings, leader, metrics, stalls, served, settings.member(),
-                settings.stateLimits());
-    }
-
-    /** What the parts that rest on agreed records are given; null where there are none. */
-    public AgreedBase agreed() {
-        return agreed.base();
-    }
-
-    public void start() {
-        ledger.listen(changes -> membership.ledgerChanged(ledger));
-        agreed.listen(ledger, holdings, leader, served, this::running);
-        agreed.keepRoom(foresight, leader);
-        ledger.listen(holdings::ledgerChanged);
-        ledger.listen(cancellations::ledgerChanged);
-        ledger.listen(this::forgetFormerHolders);
-        ledger.listen(leader::ledgerChanged);
-        ledger.listen(agents::ledgerChanged);
-        membership.start();
-        follower.start();
-        holdings.start();
-        leader.start();
-        fleet.start();
-        stalls.start();
-        if (served != null) {
-            served.start();
-        }
-        timers.every(TELL_EVERY, () -> tell(true, ++regularReports % LOOK_AT_ALL_EVERY == 0));
-    }
-
-    /**
-     * Notices that this process has stood still while its clocks ran on, before anything is done by what it knew. It is its own
-     * stillness that nobody was heard meanwhile.
-     */
-    private void lookAtClock() {
-        Span gap = stillness.turn(timers.now());
-        if (gap.equals(Span.ZERO) || follower.confirmed() == null) {
-            return;
-        }
-        LOG.info("stood still for {}: nothing is decided before the records are confirmed", gap);
-        views.excuse(gap);
-        holdings.excuse(gap);
-        follower.barrier(confirmed -> leader.lookAgain());
-    }
-
-    private boolean isWaking() {
-        return stillness.isWaking(follower.confirmed(), timers.now());
-    }
-
-    // ---- the other controllers ----
-
-    private PeerReport report(long base) {
-        SteadyTime answering = follower.answering();
-        Span unconfirmed = answering == null ? Span.ofSeconds(1e6) : timers.now().since(answering);
-        return new PeerReport(settings.member(), membership.life(), reports, base, views.receipts(),
-                ledger.revision(), unconfirmed,
-                holdings.since(base), agents.strays(), agreed.sections());
-    }
-
-    private void tell(boolean everyone, boolean lookAtAll) {
-        reports++;
-        startPermission.sent(membership.life(), reports, timers.now());
-        lookAround();
-        holdings.refresh(reports, lookAtAll);
-        PeerViews.View own = views.of(settings.member());
-        views.take(report(own == null || !own.life().equals(membership.life()) ? 0 : own.number()), timers.now());
-        for (Settings.Sibling sibling : settings.siblings()) {
-            MemberId member = sibling.member();
-            LinkWatch link = links.computeIfAbsent(member, m -> new LinkWatch());
-            if (link.takeStuck(timers.now())) {
-                LOG.debug("nothing arrives at {}: a new connection is made", member);
-                peers.renew(member);
-            }
-            boolean leads = ledger.leader() != null && ledger.leader().member().equals(member);
-            if ((everyone || leads) && peers.send(member, PeerCodec.write(report(sent.getOrDefault(member, 0L))))) {
-                // On one connection nothing is lost; if this one is, the receiver will say that it has a gap.
-                sent.put(member, reports);
-                link.sent(timers.now());
-            }
-        }
-    }
-
-    /** Takes a frame from another controller; false if it cannot be read. */
-    public boolean frame(byte[] frame) {
-        lookAtClock();
-        try {
-            PeerReport report = PeerCodec.read(frame);
-            PeerReport.Receipt receipt = report.receipts().get(settings.member());
-            if (receipt != null) {
-                startPermission.received(report.member(), receipt.life(), receipt.number(), report.ledger());
-            }
-            if (receipt != null && receipt.life().equals(membership.life())) {
-                links.computeIfAbsent(report.member(), member -> new LinkWatch()).receipt(receipt.number(), receipt.gap(), timers.now());
-            }
-            if (receipt != null && receipt.gap() && receipt.life().equals(membership.life())) {
-                sent.merge(report.member(), receipt.number(), Math::min);
-            }
-            if (!views.take(report, timers.now())) {
-                newsForAll = true; // with the receipt that says so
-                newsForLeader();
-            }
-            return true;
-        } catch (BadMessage e) {
-            LOG.info("{}", e.getMessage());
-            return false;
-        }
-    }
-
-    /** What a controller said of a block that another one holds now is of no use any more. */
-    private void forgetFormerHolders(Ledger.Changes changes) {
-        for (BlockId id : changes.blocks()) {
-            BlockLease lease = ledger.block(id);
-            for (Settings.Sibling sibling : settings.siblings()) {
-                forgetIfFormer(sibling.member(), id, lease);
-            }
-            forgetIfFormer(settings.member(), id, lease);
-        }
-    }
-
-    private void forgetIfFormer(MemberId member, BlockId id, BlockLease lease) {
-        PeerViews.View view = views.of(member);
-        PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
-        // A report may be ahead of the ledger here: what it says of a later lease is kept.
-        if (block != null && (lease == null || !lease.holder().equals(member) && !block.token().isAfter(lease.token()))) {
-            views.forget(member, id);
-        }
-    }
-
-    private int running(JobId job) {
-        int count = holdings.running(job);
-        for (BlockId id : ledger.blocksOf(job)) {
-            BlockLease lease = holdings.get(id) == null ? ledger.block(id) : null;
-            PeerViews.View view = lease == null ? null : views.of(lease.holder());
-            PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
-            count += block == null ? 0 : block.running().getOrDefault(job, 0);
-        }
-        return count;
-    }
-
-    // ---- requests ----
-
-    @Override
-    public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-        lookAtClock();
-        SteadyTime begun = timers.now();
-        String path = request.path();
-        String what = path.startsWith(JobCodec.JOBS) ? request.method() + (path.endsWith(JobCodec.CANCEL) ? " cancel" : " job")
-                : path.equals(WorkerCodec.BEAT) ? "report" : "other";
-        route(request, path, response -> {
-            metrics.record(what, response.status(), timers.now().since(begun));
-            reply.accept(response);
+  private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
+  private static final Span TELL_EVERY = Span.ofMillis(500);
+  private static final Span NEWS_AFTER = Span.ofMillis(100);
+
+  /** What changes with time alone is looked at in every second of the regular reports. */
+  private static final int LOOK_AT_ALL_EVERY = 2;
+
+  private final Timers timers;
+  private final HttpCaller http;
+  private final Settings settings;
+  private final PeerSender peers;
+  private final Ledger ledger = new Ledger();
+  private final Foresight foresight;
+  private final Follower follower;
+  private final Membership membership;
+  private final Holdings holdings;
+  private final AgreedParts agreed;
+  private final Leader leader;
+  private final Fleet fleet;
+  private final UserApi users;
+  private final AgentApi agents;
+  private final AdminApi admin;
+  private final Stalls stalls;
+  private final ServedLog served;
+  private final Cancellations cancellations;
+  private final Metrics metrics = new Metrics();
+  private final PeerViews views = new PeerViews();
+  private final RoomElsewhere roomElsewhere;
+  private final Map<MemberId, Long> sent = new HashMap<>();
+  private final Map<MemberId, LinkWatch> links = new HashMap<>();
+  private final Stillness stillness;
+  private final Aloneness aloneness;
+  private final UnconfirmedBound unconfirmedBound;
+  private final StartPermission startPermission;
+  private final LongSupplier clockMs;
+  private long reports;
+  private long regularReports;
+  private boolean newsPlanned;
+  private boolean newsForAll;
+
+  /**
+   * @param features what is switched on
+   * @param clockMs tells the time of day
+   * @param memoryIsShort whether there is no memory for more jobs
+   */
+  public Controller(
+      Timers clock,
+      HttpCaller caller,
+      PeerSender peers,
+      Settings settings,
+      Features features,
+      LongSupplier clockMs,
+      BooleanSupplier memoryIsShort) {
+    // Whatever comes to pass here comes by a timer, an answer, a request or a frame, and each
+    // begins with a look at the clock.
+    stillness = new Stillness(clock.now());
+    timers = Watched.timers(clock, this::lookAtClock);
+    http = Watched.caller(caller, this::lookAtClock);
+    this.peers = peers;
+    this.settings = settings;
+    this.clockMs = clockMs;
+    StateClient client = new StateClient(timers, http, settings.state(), settings.stateLimits());
+    follower = new Follower(timers, client, ledger);
+    aloneness =
+        new Aloneness(
+            settings.siblings().stream()
+                .allMatch(other -> settings.member().compareTo(other.member()) < 0),
+            clock.now());
+    membership =
+        new Membership(
+            timers,
+            client,
+            settings.member(),
+            settings.zone(),
+            features.build(),
+            features.agreed() == null
+                ? settings.terms()
+                : settings.terms().with("agreed parts", AgreedParts.mark(features.agreed())),
+            settings.stateLimits().plannedValue());
+    unconfirmedBound = settings.workers().unconfirmedBound();
+    startPermission =
+        new StartPermission(
+            settings.siblings().stream()
+                .map(Settings.Sibling::member)
+                .filter(other -> !other.equals(settings.member()))
+                .collect(Collectors.toSet()),
+            unconfirmedBound.starts());
+    agreed =
+        new AgreedParts(
+            timers,
+            client,
+            follower,
+            ledger,
+            membership,
+            views,
+            settings,
+            features.agreed(),
+            clockMs,
+            unconfirmedBound.unconfirmed());
+    foresight = new Foresight(ledger, agreed.withheld());
+    roomElsewhere = new RoomElsewhere(ledger, views, this::reserves);
+    holdings = new Holdings(this, settings.member(), membership::life);
+    fleet =
+        new Fleet(
+            timers,
+            http,
+            ledger,
+            settings,
+            foresight,
+            membership::life,
+            () -> AdminApi.settings(ledger));
+    leader =
+        new Leader(
+            timers,
+            client,
+            ledger,
+            follower,
+            membership,
+            settings,
+            fleet,
+            foresight,
+            views,
+            clockMs,
+            this::isWaking,
+            features.overload() == null ? null : new Overload(features.overload()),
+            agreed.withheld());
+    cancellations = new Cancellations(timers, ledger, holdings, views, unconfirmedBound);
+    users =
+        new UserApi(
+            timers,
+            ledger,
+            follower,
+            client,
+            settings,
+            this::running,
+            clockMs,
+            cancellations,
+            membership::life,
+            memoryIsShort,
+            aloneness::state);
+    agents =
+        new AgentApi(timers, ledger, holdings, leader, views, http, settings.member(), aloneness);
+    stalls = new Stalls(timers, ledger, holdings, leader, this::running, agreed.withheld());
+    served =
+        features.servedEvery() == null
+            ? null
+            : new ServedLog(
+                timers,
+                ledger,
+                leader,
+                settings,
+                clockMs,
+                features.servedEvery(),
+                agreed.withheld());
+    admin =
+        new AdminApi(
+            timers,
+            ledger,
+            follower,
+            membership,
+            client,
+            holdings,
+            leader,
+            metrics,
+            stalls,
+            served,
+            settings.member(),
+            settings.stateLimits());
+  }
+
+  /** What the parts that rest on agreed records are given; null where there are none. */
+  public AgreedBase agreed() {
+    return agreed.base();
+  }
+
+  public void start() {
+    ledger.listen(changes -> membership.ledgerChanged(ledger));
+    agreed.listen(ledger, holdings, leader, served, this::running);
+    agreed.keepRoom(foresight, leader);
+    ledger.listen(holdings::ledgerChanged);
+    ledger.listen(cancellations::ledgerChanged);
+    ledger.listen(this::forgetFormerHolders);
+    ledger.listen(leader::ledgerChanged);
+    ledger.listen(agents::ledgerChanged);
+    membership.start();
+    follower.start();
+    holdings.start();
+    leader.start();
+    fleet.start();
+    stalls.start();
+    if (served != null) {
+      served.start();
+    }
+    timers.every(TELL_EVERY, () -> tell(true, ++regularReports % LOOK_AT_ALL_EVERY == 0));
+  }
+
+  /**
+   * Notices that this process has stood still while its clocks ran on, before anything is done by
+   * what it knew. It is its own stillness that nobody was heard meanwhile.
+   */
+  private void lookAtClock() {
+    Span gap = stillness.turn(timers.now());
+    if (gap.equals(Span.ZERO) || follower.confirmed() == null) {
+      return;
+    }
+    LOG.info("stood still for {}: nothing is decided before the records are confirmed", gap);
+    views.excuse(gap);
+    holdings.excuse(gap);
+    follower.barrier(confirmed -> leader.lookAgain());
+  }
+
+  private boolean isWaking() {
+    return stillness.isWaking(follower.confirmed(), timers.now());
+  }
+
+  // ---- the other controllers ----
+
+  private PeerReport report(long base) {
+    SteadyTime answering = follower.answering();
+    Span unconfirmed = answering == null ? Span.ofSeconds(1e6) : timers.now().since(answering);
+    return new PeerReport(
+        settings.member(),
+        membership.life(),
+        reports,
+        base,
+        views.receipts(),
+        ledger.revision(),
+        unconfirmed,
+        holdings.since(base),
+        agents.strays(),
+        agreed.sections());
+  }
+
+  private void tell(boolean everyone, boolean lookAtAll) {
+    reports++;
+    startPermission.sent(membership.life(), reports, timers.now());
+    lookAround();
+    holdings.refresh(reports, lookAtAll);
+    PeerViews.View own = views.of(settings.member());
+    views.take(
+        report(own == null || !own.life().equals(membership.life()) ? 0 : own.number()),
+        timers.now());
+    for (Settings.Sibling sibling : settings.siblings()) {
+      MemberId member = sibling.member();
+      LinkWatch link = links.computeIfAbsent(member, m -> new LinkWatch());
+      if (link.takeStuck(timers.now())) {
+        LOG.debug("nothing arrives at {}: a new connection is made", member);
+        peers.renew(member);
+      }
+      boolean leads = ledger.leader() != null && ledger.leader().member().equals(member);
+      if ((everyone || leads)
+          && peers.send(member, PeerCodec.write(report(sent.getOrDefault(member, 0L))))) {
+        // On one connection nothing is lost; if this one is, the receiver will say that it has a
+        // gap.
+        sent.put(member, reports);
+        link.sent(timers.now());
+      }
+    }
+  }
+
+  /** Takes a frame from another controller; false if it cannot be read. */
+  public boolean frame(byte[] frame) {
+    lookAtClock();
+    try {
+      PeerReport report = PeerCodec.read(frame);
+      PeerReport.Receipt receipt = report.receipts().get(settings.member());
+      if (receipt != null) {
+        startPermission.received(
+            report.member(), receipt.life(), receipt.number(), report.ledger());
+      }
+      if (receipt != null && receipt.life().equals(membership.life())) {
+        links
+            .computeIfAbsent(report.member(), member -> new LinkWatch())
+            .receipt(receipt.number(), receipt.gap(), timers.now());
+      }
+      if (receipt != null && receipt.gap() && receipt.life().equals(membership.life())) {
+        sent.merge(report.member(), receipt.number(), Math::min);
+      }
+      if (!views.take(report, timers.now())) {
+        newsForAll = true; // with the receipt that says so
+        newsForLeader();
+      }
+      return true;
+    } catch (BadMessage e) {
+      LOG.info("{}", e.getMessage());
+      return false;
+    }
+  }
+
+  /** What a controller said of a block that another one holds now is of no use any more. */
+  private void forgetFormerHolders(Ledger.Changes changes) {
+    for (BlockId id : changes.blocks()) {
+      BlockLease lease = ledger.block(id);
+      for (Settings.Sibling sibling : settings.siblings()) {
+        forgetIfFormer(sibling.member(), id, lease);
+      }
+      forgetIfFormer(settings.member(), id, lease);
+    }
+  }
+
+  private void forgetIfFormer(MemberId member, BlockId id, BlockLease lease) {
+    PeerViews.View view = views.of(member);
+    PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
+    // A report may be ahead of the ledger here: what it says of a later lease is kept.
+    if (block != null
+        && (lease == null
+            || !lease.holder().equals(member) && !block.token().isAfter(lease.token()))) {
+      views.forget(member, id);
+    }
+  }
+
+  private int running(JobId job) {
+    int count = holdings.running(job);
+    for (BlockId id : ledger.blocksOf(job)) {
+      BlockLease lease = holdings.get(id) == null ? ledger.block(id) : null;
+      PeerViews.View view = lease == null ? null : views.of(lease.holder());
+      PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
+      count += block == null ? 0 : block.running().getOrDefault(job, 0);
+    }
+    return count;
+  }
+
+  // ---- requests ----
+
+  @Override
+  public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
+    lookAtClock();
+    SteadyTime begun = timers.now();
+    String path = request.path();
+    String what =
+        path.startsWith(JobCodec.JOBS)
+            ? request.method() + (path.endsWith(JobCodec.CANCEL) ? " cancel" : " job")
+            : path.equals(WorkerCodec.BEAT) ? "report" : "other";
+    route(
+        request,
+        path,
+        response -> {
+          metrics.record(what, response.status(), timers.now().since(begun));
+          reply.accept(response);
         });
-    }
-
-    private void route(HttpRequest request, String path, Consumer<HttpResponse> reply) {
-        if (isUnable() && (path.equals(WorkerCodec.BEAT) || path.startsWith(JobCodec.JOBS))) {
-            reply.accept(HttpResponse.of(503, JobCodec.error("this controller cannot take part")));
-        } else if (path.equals(WorkerCodec.BEAT)) {
-            if (request.method().equals("POST")) {
-                agents.beat(request.body(), reply);
-            } else {
-                reply.accept(HttpResponse.of(405));
-            }
-        } else if (path.equals(JobCodec.JOBS) || path.startsWith(JobCodec.JOBS + "/")) {
-            users.handle(request, reply);
-        } else if (path.equals(JobCodec.HEALTH)) {
-            reply.accept(request.method().equals("GET") ? HttpResponse.of(isHealthy() ? 200 : 503) : HttpResponse.of(405));
-        } else if (AgreedParts.isAsked(path)) {
-            agreed.handle(request, reply);
-        } else if (path.startsWith(AdminApi.ROOT + "/")) {
-            admin.handle(request, reply);
-        } else {
-            reply.accept(HttpResponse.of(404));
+  }
+
+  private void route(HttpRequest request, String path, Consumer<HttpResponse> reply) {
+    if (isUnable() && (path.equals(WorkerCodec.BEAT) || path.startsWith(JobCodec.JOBS))) {
+      reply.accept(HttpResponse.of(503, JobCodec.error("this controller cannot take part")));
+    } else if (path.equals(WorkerCodec.BEAT)) {
+      if (request.method().equals("POST")) {
+        agents.beat(request.body(), reply);
+      } else {
+        reply.accept(HttpResponse.of(405));
+      }
+    } else if (path.equals(JobCodec.JOBS) || path.startsWith(JobCodec.JOBS + "/")) {
+      users.handle(request, reply);
+    } else if (path.equals(JobCodec.HEALTH)) {
+      reply.accept(
+          request.method().equals("GET")
+              ? HttpResponse.of(isHealthy() ? 200 : 503)
+              : HttpResponse.of(405));
+    } else if (AgreedParts.isAsked(path)) {
+      agreed.handle(request, reply);
+    } else if (path.startsWith(AdminApi.ROOT + "/")) {
+      admin.handle(request, reply);
+    } else {
+      reply.accept(HttpResponse.of(404));
+    }
+  }
+
+  /**
+   * Also before it is a member, or between two lives: a job whose record is skipped must not be
+   * called unknown.
+   */
+  private boolean isUnable() {
+    return !membership.unable().isEmpty() || !ledger.unreadable().isEmpty();
+  }
+
+  /**
+   * Whether users should come here. A controller that alone cannot reach the state service sends
+   * them elsewhere; if nobody can, staying in keeps users' way back open for the moment that the
+   * state service returns.
+   */
+  private boolean isHealthy() {
+    if (!ledger.isLoaded() || isUnable()) {
+      return false;
+    }
+    lookAround();
+    return aloneness.state().takesUsers();
+  }
+
+  private void lookAround() {
+    if (follower.answering() == null) {
+      return; // nothing was read yet
+    }
+    Aloneness.State before = aloneness.state();
+    aloneness.look(
+        follower.answering(),
+        settings.siblings().stream()
+            .map(
+                sibling -> {
+                  PeerViews.View view = views.of(sibling.member());
+                  return new Aloneness.Word(
+                      view == null ? null : view.at(),
+                      view == null ? Span.ZERO : view.unconfirmed());
+                })
+            .toList(),
+        timers.now());
+    if (aloneness.state() != before) {
+      LOG.info("state service and others: {}, was {}", aloneness.state(), before);
+    }
+  }
+
+  // ---- what the holders of blocks need ----
+
+  @Override
+  public Timers timers() {
+    return timers;
+  }
+
+  @Override
+  public HttpCaller http() {
+    return http;
+  }
+
+  @Override
+  public Ledger ledger() {
+    return ledger;
+  }
+
+  @Override
+  public List<Reserve> reserves(BlockId block) {
+    return foresight.of(block, timers.now());
+  }
+
+  @Override
+  public Settings.Workers workers() {
+    return settings.workers();
+  }
+
+  @Override
+  public Withheld withheld() {
+    return agreed.withheld();
+  }
+
+  @Override
+  public Set<MachineId> places(Job job, int index) {
+    return agreed.places(job, index);
+  }
+
+  @Override
+  public boolean isIdle(Job job) {
+    return settings.isIdle(job);
+  }
+
+  @Override
+  public Span startWithin(String jobClass) {
+    return settings.startWithin(jobClass);
+  }
+
+  @Override
+  public boolean hasRoomElsewhere(Job job, BlockId here) {
+    return roomElsewhere.isFor(job, here);
+  }
+
+  @Override
+  public List<String> imagesOf(MachineId machine) {
+    BlockLease block = ledger.blockOf(machine);
+    if (block != null) {
+      for (PeerViews.View view : views.all()) {
+        PeerViews.BlockView known = view.blocks().get(block.id());
+        PeerReport.MachineState state = known == null ? null : known.machines().get(machine);
+        if (state != null) {
+          return state.images();
         }
-    }
-
-    /** Also before it is a member, or between two lives: a job whose record is skipped must not be called unknown. */
-    private boolean isUnable() {
-        return !membership.unable().isEmpty() || !ledger.unreadable().isEmpty();
-    }
-
-    /**
-     * Whether users should come here. A controller that alone cannot reach the state service sends them elsewhere; if
-     * nobody can, staying in keeps users' way back open for the moment that the state service returns.
-     */
-    private boolean isHealthy() {
-        if (!ledger.isLoaded() || isUnable()) {
-            return false;
-        }
-        lookAround();
-        return aloneness.state().takesUsers();
-    }
-
-    private void lookAround() {
-        if (follower.answering() == null) {
-            return; // nothing was read yet
-        }
-        Aloneness.State before = aloneness.state();
-        aloneness.look(follower.answering(), settings.siblings().stream().map(sibling -> {
-            PeerViews.View view = views.of(sibling.member());
-            return new Aloneness.Word(view == null ? null : view.at(), view == null ? Span.ZERO : view.unconfirmed());
-        }).toList(), timers.now());
-        if (aloneness.state() != before) {
-            LOG.info("state service and others: {}, was {}", aloneness.state(), before);
-        }
-    }
-
-    // ---- what the holders of blocks need ----
-
-    @Override
-    public Timers timers() {
-        return timers;
-    }
-
-    @Override
-    public HttpCaller http() {
-        return http;
-    }
-
-    @Override
-    public Ledger ledger() {
-        return ledger;
-    }
-
-    @Override
-    public List<Reserve> reserves(BlockId block) {
-        return foresight.of(block, timers.now());
-    }
-
-    @Override
-    public Settings.Workers workers() {
-        return settings.workers();
-    }
-
-    @Override
-    public Withheld withheld() {
-        return agreed.withheld();
-    }
-
-    @Override
-    public Set<MachineId> places(Job job, int index) {
-        return agreed.places(job, index);
-    }
-
-    @Override
-    public boolean isIdle(Job job) {
-        return settings.isIdle(job);
-    }
-
-    @Override
-    public Span startWithin(String jobClass) {
-        return settings.startWithin(jobClass);
-    }
-
-    @Override
-    public boolean hasRoomElsewhere(Job job, BlockId here) {
-        return roomElsewhere.isFor(job, here);
-    }
-
-    @Override
-    public List<String> imagesOf(MachineId machine) {
-        BlockLease block = ledger.blockOf(machine);
-        if (block != null) {
-            for (PeerViews.View view : views.all()) {
-                PeerViews.BlockView known = view.blocks().get(block.id());
-                PeerReport.MachineState state = known == null ? null : known.machines().get(machine);
-                if (state != null) {
-                    return state.images();
-                }
-            }
-        }
-        return List.of();
-    }
-
-    @Override
-    public SteadyTime confirmed() {
-        return follower.confirmed();
-    }
-
-    @Override
-    public boolean isEntitled() {
-        SteadyTime confirmed = confirmed();
-        return confirmed != null && !isWaking() && !isUnable() && !timers.now().since(confirmed).isMoreThan(unconfirmedBound.unconfirmed());
-    }
-
-    @Override
-    public boolean mayStart() {
-        return isEntitled() && startPermission.isGiven(confirmed(), ledger.revision(), timers.now());
-    }
-
-    @Override
-    public Span longestUnconfirmed() {
-        return unconfirmedBound.unconfirmed();
-    }
-
-    @Override
-    public boolean isLongCancelled(JobId id) {
-        JobRecord record = ledger.job(id);
-        if (record == null || record.phase() != JobPhase.CANCELLED) {
-            return false;
-        }
-        // It was made at this time or later, whatever the clocks here and there are off; and told no earlier.
-        Span atMost = Span.ofMillis(clockMs.getAsLong() - record.cancelledMs()).plus(settings.clockBound().times(2));
-        return atMost.plus(unconfirmedBound.toldAfter()).isMoreThan(unconfirmedBound.unconfirmed());
-    }
-
-    @Override
-    public boolean allHaveNoted(Revision revision) {
-        for (Settings.Sibling sibling : settings.siblings()) {
-            PeerViews.View view = views.of(sibling.member());
-            if (!sibling.member().equals(settings.member()) && (view == null || revision.isAfter(view.ledger()))) {
-                return false;
-            }
-        }
-        return true;
-    }
-
-    @Override
-    public void newsForLeader() {
-        if (!newsPlanned) {
-            newsPlanned = true;
-            timers.after(NEWS_AFTER, () -> {
-                newsPlanned = false;
-                boolean everyone = newsForAll;
-                newsForAll = false;
-                tell(everyone, false);
-            });
-        }
-    }
+      }
+    }
+    return List.of();
+  }
+
+  @Override
+  public SteadyTime confirmed() {
+    return follower.confirmed();
+  }
+
+  @Override
+  public boolean isEntitled() {
+    SteadyTime confirmed = confirmed();
+    return confirmed != null
+        && !isWaking()
+        && !isUnable()
+        && !timers.now().since(confirmed).isMoreThan(unconfirmedBound.unconfirmed());
+  }
+
+  @Override
+  public boolean mayStart() {
+    return isEntitled() && startPermission.isGiven(confirmed(), ledger.revision(), timers.now());
+  }
+
+  @Override
+  public Span longestUnconfirmed() {
+    return unconfirmedBound.unconfirmed();
+  }
+
+  @Override
+  public boolean isLongCancelled(JobId id) {
+    JobRecord record = ledger.job(id);
+    if (record == null || record.phase() != JobPhase.CANCELLED) {
+      return false;
+    }
+    // It was made at this time or later, whatever the clocks here and there are off; and told no
+    // earlier.
+    Span atMost =
+        Span.ofMillis(clockMs.getAsLong() - record.cancelledMs())
+            .plus(settings.clockBound().times(2));
+    return atMost.plus(unconfirmedBound.toldAfter()).isMoreThan(unconfirmedBound.unconfirmed());
+  }
+
+  @Override
+  public boolean allHaveNoted(Revision revision) {
+    for (Settings.Sibling sibling : settings.siblings()) {
+      PeerViews.View view = views.of(sibling.member());
+      if (!sibling.member().equals(settings.member())
+          && (view == null || revision.isAfter(view.ledger()))) {
+        return false;
+      }
+    }
+    return true;
+  }
+
+  @Override
+  public void newsForLeader() {
+    if (!newsPlanned) {
+      newsPlanned = true;
+      timers.after(
+          NEWS_AFTER,
+          () -> {
+            newsPlanned = false;
+            boolean everyone = newsForAll;
+            newsForAll = false;
+            tell(everyone, false);
+          });
+    }
+  }
 }
--- a/src/main/java/org/quincecross/api/InTime.java
+++ b/src/main/java/org/quincecross/api/InTime.java
@@ -8,65 +8,68 @@
 import org.quincecross.net.Timers;
 
 /**
- * Answers requests before their users stop waiting, whatever becomes of what they asked for: a request that is held back
- * costs its user the whole wait, and one that is refused in time is soon tried again. What the request had set going may
- * still happen; its repetition finds it done.
+ * Answers requests before their users stop waiting, whatever becomes of what they asked for: a
+ * request that is held back costs its user the whole wait, and one that is refused in time is soon
+ * tried again. What the request had set going may still happen; its repetition finds it done.
  */
 final class InTime {
-    private static final class Open implements Consumer<HttpResponse> {
-        private final SteadyTime until;
-        private Consumer<HttpResponse> reply;
+  private static final class Open implements Consumer<HttpResponse> {
+    private final SteadyTime until;
+    private Consumer<HttpResponse> reply;
 
-        Open(SteadyTime until, Consumer<HttpResponse> reply) {
-            this.until = until;
-            this.reply = reply;
-        }
+    Open(SteadyTime until, Consumer<HttpResponse> reply) {
+      this.until = until;
+      this.reply = reply;
+    }
 
-        @Override
-        public void accept(HttpResponse response) {
-            Consumer<HttpResponse> to = reply;
-            reply = null;
-            if (to != null) {
-                to.accept(response);
-            }
-        }
+    @Override
+    public void accept(HttpResponse response) {
+      Consumer<HttpResponse> to = reply;
+      reply = null;
+      if (to != null) {
+        to.accept(response);
+      }
     }
+  }
 
-    private final Timers timers;
-    private final Span within;
-    private final HttpResponse otherwise;
-    private final ArrayDeque<Open> open = new ArrayDeque<>();
-    private boolean armed;
+  private final Timers timers;
+  private final Span within;
+  private final HttpResponse otherwise;
+  private final ArrayDeque<Open> open = new ArrayDeque<>();
+  private boolean armed;
 
-    /** What is not answered {@code within} this long is answered with {@code otherwise}. */
-    InTime(Timers timers, Span within, HttpResponse otherwise) {
-        this.timers = timers;
-        this.within = within;
-        this.otherwise = otherwise;
-    }
+  /** What is not answered {@code within} this long is answered with {@code otherwise}. */
+  InTime(Timers timers, Span within, HttpResponse otherwise) {
+    this.timers = timers;
+    this.within = within;
+    this.otherwise = otherwise;
+  }
 
-    /** A reply that is answered in time: the first answer goes out, later ones are dropped. */
-    Consumer<HttpResponse> guard(Consumer<HttpResponse> reply) {
-        Open one = new Open(timers.now().plus(within), reply);
-        open.add(one);
-        arm();
-        return one;
-    }
+  /** A reply that is answered in time: the first answer goes out, later ones are dropped. */
+  Consumer<HttpResponse> guard(Consumer<HttpResponse> reply) {
+    Open one = new Open(timers.now().plus(within), reply);
+    open.add(one);
+    arm();
+    return one;
+  }
 
-    private void arm() {
-        while (!open.isEmpty() && open.peek().reply == null) {
-            open.poll();
-        }
-        if (!armed && !open.isEmpty()) {
-            armed = true;
-            timers.after(open.peek().until.since(timers.now()), () -> {
-                armed = false;
-                SteadyTime now = timers.now();
-                while (!open.isEmpty() && (open.peek().reply == null || !now.isBefore(open.peek().until))) {
-                    open.poll().accept(otherwise);
-                }
-                arm();
-            });
-        }
+  private void arm() {
+    while (!open.isEmpty() && open.peek().reply == null) {
+      open.poll();
+    }
+    if (!armed && !open.isEmpty()) {
+      armed = true;
+      timers.after(
+          open.peek().until.since(timers.now()),
+          () -> {
+            armed = false;
+            SteadyTime now = timers.now();
+            while (!open.isEmpty()
+                && (open.peek().reply == null || !now.isBefore(open.peek().until))) {
+              open.poll().accept(otherwise);
+            }
+            arm();
+          });
     }
+  }
 }
--- a/src/main/java/org/quincecross/api/ModelsPart.java
+++ b/src/main/java/org/quincecross/api/ModelsPart.java
@@ -24,52 +24,53 @@
 
 /** Models from zero, put together for one controller. */
 final class ModelsPart {
-    private final AgreedBase base;
-    private final ModelRecords records;
-    private final PeerViews views;
-    private ModelDesk desk;
-    private ModelsApi api;
+  private final AgreedBase base;
+  private final ModelRecords records;
+  private final PeerViews views;
+  private ModelDesk desk;
+  private ModelsApi api;
 
-    ModelsPart(AgreedBase base, PeerViews views) {
-        this.base = base;
-        this.views = views;
-        this.records = new ModelRecords(base.ledger());
-        base.withheld().add(records);
-    }
+  ModelsPart(AgreedBase base, PeerViews views) {
+    this.base = base;
+    this.views = views;
+    this.records = new ModelRecords(base.ledger());
+    base.withheld().add(records);
+  }
 
-    /** Follows the records, and has the leader keep the models. */
-    void listen(Ledger ledger, Holdings holdings, Leader leader, ToIntFunction<JobId> running) {
-        desk = new ModelDesk(base, records, (job, replica) -> runs(holdings, job.task(replica)));
-        api = new ModelsApi(base, records, desk, new ModelFleet(ledger, views, records), running);
-        ledger.listen(changes -> {
-            records.ledgerChanged(changes, base.withheld()::changed);
-            desk.ledgerChanged(changes);
+  /** Follows the records, and has the leader keep the models. */
+  void listen(Ledger ledger, Holdings holdings, Leader leader, ToIntFunction<JobId> running) {
+    desk = new ModelDesk(base, records, (job, replica) -> runs(holdings, job.task(replica)));
+    api = new ModelsApi(base, records, desk, new ModelFleet(ledger, views, records), running);
+    ledger.listen(
+        changes -> {
+          records.ledgerChanged(changes, base.withheld()::changed);
+          desk.ledgerChanged(changes);
         });
-        leader.keepModels(base, records);
-        desk.start();
-    }
+    leader.keepModels(base, records);
+    desk.start();
+  }
 
-    private static boolean runs(Holdings holdings, TaskId task) {
-        for (BlockHolder holder : holdings.all()) {
-            if (holder.running(task.job()) > 0 && holder.runs(task)) {
-                return true;
-            }
-        }
-        return false;
+  private static boolean runs(Holdings holdings, TaskId task) {
+    for (BlockHolder holder : holdings.all()) {
+      if (holder.running(task.job()) > 0 && holder.runs(task)) {
+        return true;
+      }
     }
+    return false;
+  }
 
-    /** The machines that a task may start on; null for any. */
-    Set<MachineId> places(Job job, int index) {
-        return records.places(job, index);
-    }
+  /** The machines that a task may start on; null for any. */
+  Set<MachineId> places(Job job, int index) {
+    return records.places(job, index);
+  }
 
-    /** What the reports to the other controllers say of models. */
-    Map<String, byte[]> sections() {
-        byte[] section = desk == null ? null : desk.section();
-        return section == null ? Map.of() : Map.of(ModelNews.SECTION, section);
-    }
+  /** What the reports to the other controllers say of models. */
+  Map<String, byte[]> sections() {
+    byte[] section = desk == null ? null : desk.section();
+    return section == null ? Map.of() : Map.of(ModelNews.SECTION, section);
+  }
 
-    void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-        api.handle(request, reply);
-    }
+  void handle(HttpRequest request, Consumer<HttpResponse> reply) {
+    api.handle(request, reply);
+  }
 }
