--- a/src/main/java/org/quincecross/api/Refusals.java
+++ b/src/main/java/org/quincecross/api/Refusals.java
@@ -10,46 +10,51 @@
 import org.quincecross.wire.JobCodec;
 
 /**
- * How requests are refused that need the state service while it is not heard. The users' balancer favours whoever has the fewest
- * open connections: a controller that refuses at once has none, and draws all. So where it is known to be alone the refusal is
- * held for a moment, in which word may come and the request be answered after all; then it ends the connection, for the next one to be made
- * to another controller.
+ * How requests are refused that need the state service while it is not heard. The users' balancer
+ * favours whoever has the fewest open connections: a controller that refuses at once has none, and
+ * draws all. So where it is known to be alone the refusal is held for a moment, in which word may
+ * come and the request be answered after all; then it ends the connection, for the next one to be
+ * made to another controller.
  */
 final class Refusals {
-    /** Of a poll's 2 s; several times what another controller takes for an answer. */
-    private static final Span HELD = Span.ofSeconds(1);
-    /** Each takes a socket. */
-    private static final int MOST_HELD = 100;
+  /** Of a poll's 2 s; several times what another controller takes for an answer. */
+  private static final Span HELD = Span.ofSeconds(1);
 
-    private final Timers timers;
-    private final Supplier<Aloneness.State> aloneness;
-    private final BooleanSupplier cutOff;
-    private int held;
+  /** Each takes a socket. */
+  private static final int MOST_HELD = 100;
 
-    Refusals(Timers timers, Supplier<Aloneness.State> aloneness, BooleanSupplier cutOff) {
-        this.timers = timers;
-        this.aloneness = aloneness;
-        this.cutOff = cutOff;
-    }
+  private final Timers timers;
+  private final Supplier<Aloneness.State> aloneness;
+  private final BooleanSupplier cutOff;
+  private int held;
 
-    private static HttpResponse refusal() {
-        return HttpResponse.of(503, JobCodec.error("the state service cannot be reached")).withRetryAfter(1);
-    }
+  Refusals(Timers timers, Supplier<Aloneness.State> aloneness, BooleanSupplier cutOff) {
+    this.timers = timers;
+    this.aloneness = aloneness;
+    this.cutOff = cutOff;
+  }
 
-    /** Refuses a request, or has it tried {@code again} if there is word by then. */
-    void refuse(Consumer<HttpResponse> reply, Runnable again) {
-        if (aloneness.get().takesUsers() || held >= MOST_HELD) {
-            reply.accept(refusal());
-            return;
-        }
-        held++;
-        timers.after(HELD, () -> {
-            held--;
-            if (cutOff.getAsBoolean()) {
-                reply.accept(refusal().closing());
-            } else {
-                again.run();
-            }
-        });
+  private static HttpResponse refusal() {
+    return HttpResponse.of(503, JobCodec.error("the state service cannot be reached"))
+        .withRetryAfter(1);
+  }
+
+  /** Refuses a request, or has it tried {@code again} if there is word by then. */
+  void refuse(Consumer<HttpResponse> reply, Runnable again) {
+    if (aloneness.get().takesUsers() || held >= MOST_HELD) {
+      reply.accept(refusal());
+      return;
     }
+    held++;
+    timers.after(
+        HELD,
+        () -> {
+          held--;
+          if (cutOff.getAsBoolean()) {
+            reply.accept(refusal().closing());
+          } else {
+            again.run();
+          }
+        });
+  }
 }
--- a/src/main/java/org/quincecross/api/RequestPart.java
+++ b/src/main/java/org/quincecross/api/RequestPart.java
@@ -16,44 +16,50 @@
 
 /** Requests with a due time, where they are switched on. */
 final class RequestPart {
-    private static final double SHARE = 0.2;
-    private static final double WARN_S = 24 * 3600;
-    private static final double MOST_WARN_S = 366 * 24 * 3600;
+  private static final double SHARE = 0.2;
+  private static final double WARN_S = 24 * 3600;
+  private static final double MOST_WARN_S = 366 * 24 * 3600;
 
-    private final AgreedBase base;
-    private final RequestRooms rooms;
-    private final RequestKeeper keeper;
-    private final double share;
-    private Reservation.Plan plan;
-    private Revision planned;
+  private final AgreedBase base;
+  private final RequestRooms rooms;
+  private final RequestKeeper keeper;
+  private final double share;
+  private Reservation.Plan plan;
+  private Revision planned;
 
-    /** @throws IllegalArgumentException where its settings cannot be read */
-    RequestPart(AgreedBase base) {
-        this.base = base;
-        double warnS;
-        try {
-            Body settings = base.settingsOf(RequestKind.NAME).only(java.util.List.of("share", "warn_s"));
-            share = settings.has("share") ? settings.amount("share", 0, 1) : SHARE;
-            warnS = settings.has("warn_s") ? settings.amount("warn_s", 0, MOST_WARN_S) : WARN_S;
-        } catch (Unreadable e) {
-            throw new IllegalArgumentException(e.getMessage(), e);
-        }
-        AgreedBook<Request, RequestCommand> book = base.ledger().agreed().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
-        rooms = new RequestRooms(base.ledger(), book);
-        keeper = new RequestKeeper(base.store(), book, rooms, share);
+  /**
+   * @throws IllegalArgumentException where its settings cannot be read
+   */
+  RequestPart(AgreedBase base) {
+    this.base = base;
+    double warnS;
+    try {
+      Body settings = base.settingsOf(RequestKind.NAME).only(java.util.List.of("share", "warn_s"));
+      share = settings.has("share") ? settings.amount("share", 0, 1) : SHARE;
+      warnS = settings.has("warn_s") ? settings.amount("warn_s", 0, MOST_WARN_S) : WARN_S;
+    } catch (Unreadable e) {
+      throw new IllegalArgumentException(e.getMessage(), e);
     }
+    AgreedBook<Request, RequestCommand> book =
+        base.ledger().agreed().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
+    rooms = new RequestRooms(base.ledger(), book);
+    keeper = new RequestKeeper(base.store(), book, rooms, share);
+  }
 
-    void start(Foresight foresight, Leader leader) {
-        foresight.keep(rooms);
-        leader.keep(keeper);
-    }
+  void start(Foresight foresight, Leader leader) {
+    foresight.keep(rooms);
+    leader.keep(keeper);
+  }
 
-    /** Why a request has no room, by the records as they are here: any controller that has read the same says the same. */
-    private String outlook(String reference) {
-        if (plan == null || !base.ledger().revision().equals(planned)) {
-            plan = rooms.plan(base.settings().teams(), share);
-            planned = base.ledger().revision();
-        }
-        return plan.without().getOrDefault(reference, "");
+  /**
+   * Why a request has no room, by the records as they are here: any controller that has read the
+   * same says the same.
+   */
+  private String outlook(String reference) {
+    if (plan == null || !base.ledger().revision().equals(planned)) {
+      plan = rooms.plan(base.settings().teams(), share);
+      planned = base.ledger().revision();
     }
+    return plan.without().getOrDefault(reference, "");
+  }
 }
--- a/src/main/java/org/quincecross/api/Strays.java
+++ b/src/main/java/org/quincecross/api/Strays.java
@@ -9,50 +9,63 @@
 import org.quincecross.wire.WorkerReport;
 
 /**
- * Machines of others' blocks that have reported here lately: the leader moves a block that its holder does not hear, and returns no
- * machine that somebody hears. A late copy must do neither, so that a report counts only if it was made after all that came here
- * from that machine before: one that goes on shows larger counts at each.
+ * Machines of others' blocks that have reported here lately: the leader moves a block that its
+ * holder does not hear, and returns no machine that somebody hears. A late copy must do neither, so
+ * that a report counts only if it was made after all that came here from that machine before: one
+ * that goes on shows larger counts at each.
  */
 final class Strays {
-    private static final Span STRAY_FOR = Span.ofSeconds(6);
-    /** Counts are remembered for so long after the last report that counted: copies come later than most of leases. */
-    private static final Span REMEMBERED = Span.ofSeconds(300);
-
-    /** @param stray false where the machine's block was held here at that time */
-    private record Heard(long session, long order, SteadyTime at, boolean stray) {
-        boolean isBefore(WorkerReport report) {
-            int bySession = Long.compareUnsigned(report.session(), session);
-            return bySession != 0 ? bySession > 0 : Long.compareUnsigned(report.order(), order) > 0;
-        }
-    }
+  private static final Span STRAY_FOR = Span.ofSeconds(6);
 
-    private final Map<MachineId, Heard> heard = new HashMap<>();
-    private SteadyTime tidied = new SteadyTime(0);
+  /**
+   * Counts are remembered for so long after the last report that counted: copies come later than
+   * most of leases.
+   */
+  private static final Span REMEMBERED = Span.ofSeconds(300);
 
-    /** A machine of another's block has reported here, or a copy of a report came. */
-    void heard(WorkerReport report, SteadyTime now) {
-        note(report, now, true);
+  /**
+   * @param stray false where the machine's block was held here at that time
+   */
+  private record Heard(long session, long order, SteadyTime at, boolean stray) {
+    boolean isBefore(WorkerReport report) {
+      int bySession = Long.compareUnsigned(report.session(), session);
+      return bySession != 0 ? bySession > 0 : Long.compareUnsigned(report.order(), order) > 0;
     }
+  }
 
-    /** Its block is held here now, and that holder has answered it. */
-    void answered(WorkerReport report, SteadyTime now) {
-        note(report, now, false);
-    }
+  private final Map<MachineId, Heard> heard = new HashMap<>();
+  private SteadyTime tidied = new SteadyTime(0);
+
+  /** A machine of another's block has reported here, or a copy of a report came. */
+  void heard(WorkerReport report, SteadyTime now) {
+    note(report, now, true);
+  }
+
+  /** Its block is held here now, and that holder has answered it. */
+  void answered(WorkerReport report, SteadyTime now) {
+    note(report, now, false);
+  }
 
-    private void note(WorkerReport report, SteadyTime now, boolean stray) {
-        MachineId machine = report.machine().id();
-        Heard before = heard.get(machine);
-        if (before == null || before.isBefore(report) || now.since(before.at()).isMoreThan(REMEMBERED)) {
-            heard.put(machine, new Heard(report.session(), report.order(), now, stray));
-        }
+  private void note(WorkerReport report, SteadyTime now, boolean stray) {
+    MachineId machine = report.machine().id();
+    Heard before = heard.get(machine);
+    if (before == null
+        || before.isBefore(report)
+        || now.since(before.at()).isMoreThan(REMEMBERED)) {
+      heard.put(machine, new Heard(report.session(), report.order(), now, stray));
     }
+  }
 
-    List<MachineId> lately(SteadyTime now) {
-        if (now.since(tidied).isMoreThan(STRAY_FOR)) {
-            tidied = now;
-            heard.values().removeIf(each -> now.since(each.at()).isMoreThan(REMEMBERED));
-        }
-        return heard.entrySet().stream().filter(each -> each.getValue().stray() && !now.since(each.getValue().at()).isMoreThan(STRAY_FOR))
-                .map(Map.Entry::getKey).toList();
+  List<MachineId> lately(SteadyTime now) {
+    if (now.since(tidied).isMoreThan(STRAY_FOR)) {
+      tidied = now;
+      heard.values().removeIf(each -> now.since(each.at()).isMoreThan(REMEMBERED));
     }
+    return heard.entrySet().stream()
+        .filter(
+            each ->
+                each.getValue().stray() && !now.since(each.getValue().at()).isMoreThan(STRAY_FOR))
+        .map(Map.Entry::getKey)
+        .toList();
+  }
 }
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -29,282 +29,378 @@
 /**
  * Makes submissions durable, several in one change where several have come.
  *
- * <p>What ends each wait: a transaction waits for the budget, which refills, and then for its answer, for as long as
- * {@link StateClient} gives it; one without an answer, or in conflict, waits for a reading of the records, which fails after
- * a second; one that was refused for its number is tried again until {@link #PATIENCE} is over, and one that the state
- * service does not serve ends at once. An answer that is long in coming holds up nobody but those that it is about, and they are answered as soon as the
- * records have their jobs (docs/incidents/an-answer-that-holds-up-others.md). Whatever this comes to together, {@link InTime} answers before the user stops waiting;
- * what has not been written by then is not written any more.
+ * <p>What ends each wait: a transaction waits for the budget, which refills, and then for its
+ * answer, for as long as {@link StateClient} gives it; one without an answer, or in conflict, waits
+ * for a reading of the records, which fails after a second; one that was refused for its number is
+ * tried again until {@link #PATIENCE} is over, and one that the state service does not serve ends
+ * at once. An answer that is long in coming holds up nobody but those that it is about, and they
+ * are answered as soon as the records have their jobs
+ * (docs/incidents/an-answer-that-holds-up-others.md). Whatever this comes to together, {@link
+ * InTime} answers before the user stops waiting; what has not been written by then is not written
+ * any more.
  */
 final class Submissions {
-    private static final Span PATIENCE = Span.ofSeconds(2);
-    /** The longest that a user is left without an answer, who waits 5 s for it. */
-    static final Span ANSWERED = Span.ofSeconds(3.2);
-    private static final Span RETRY = Span.ofMillis(120);
-    /** What would be written later than this is not taken: its user is told when to come back instead of waiting in vain. */
-    private static final Span LONGEST_QUEUE = Span.ofSeconds(1.2);
-    /** Users come back for a minute in all, so they had better be let come several times. */
-    private static final int LONGEST_RETRY_S = 8;
-    /** So many of each team may wait however many others do: they have their turns. */
-    private static final int ALWAYS_TAKEN = 4;
-    /** Before any was written: of the changes a second, what may go to new jobs, and how many of them share one. */
-    private static final double JOBS_PER_CHANGE = 4;
-    /** The weight of the last change in what a job takes to be written. */
-    private static final double LATEST = 0.3;
-    private static final int MOST_BYTES = 40 * 1024;
-    /** The state service answers within a tenth of this, as a rule: from then on others are written beside what waits for its answer. */
-    private static final Span HELD_UP = Span.ofMillis(100);
-    private static final int MOST_AT_ONCE = 4;
-
-    /** How a submission ended. */
-    enum Outcome {
-        ACCEPTED,
-        /** The record was there before, or what became of the write is not known: the ledger has the answer. */
-        LOOK,
-        /** Not taken. */
-        REFUSED
-    }
+  private static final Span PATIENCE = Span.ofSeconds(2);
 
-    /** @param alone whether it is to be written by itself: among others it was too much for the state service */
-    private record Pending(Job job, long acceptedMs, SteadyTime since, Consumer<Outcome> done, boolean alone) {
-    }
+  /** The longest that a user is left without an answer, who waits 5 s for it. */
+  static final Span ANSWERED = Span.ofSeconds(3.2);
 
-    /** Those whose submission of the same job waits for the same outcome. */
-    private final Map<JobId, List<Consumer<Outcome>>> pending = new HashMap<>();
-
-    private final Timers timers;
-    private final StateClient client;
-    private final Follower follower;
-    private final MemberId member;
-    private final Supplier<Incarnation> life;
-    private final int mostChanges;
-    private final int mostValue;
-    /** By team: a swarm of jobs of one has its own jobs wait. */
-    private final Turns<String, Pending> waiting = new Turns<>();
-    private final Predicate<JobId> isKnown;
-    /** Transactions without an answer so far, and how many of these have waited for long. */
-    private int writing;
-    private int heldUp;
-    private boolean flushPlanned;
-    private int underWay;
-    private double secondsPerJob;
-    private final Map<String, SteadyTime> spokenForUntil = new HashMap<>();
-    private long bundles;
-
-    /** @param isKnown whether this controller's copy of the records has a job */
-    Submissions(Timers timers, StateClient client, Follower follower, MemberId member, Supplier<Incarnation> life,
-            Settings.StateLimits limits, Predicate<JobId> isKnown) {
-        this.isKnown = isKnown;
-        this.timers = timers;
-        this.client = client;
-        this.follower = follower;
-        this.member = member;
-        this.life = life;
-        this.mostChanges = limits.txnChanges();
-        this.mostValue = limits.plannedValue();
-        this.secondsPerJob = 1 / (limits.writesPerS() * JOBS_PER_CHANGE);
-    }
+  private static final Span RETRY = Span.ofMillis(120);
 
-    /**
-     * In how many seconds a new job of a team had better come back, because it would wait too long here; 0 where it would not. Each
-     * who is told so is told a later time, so that they do not all come at once.
-     */
-    int comeBackInS(String team) {
-        if (waiting.size(team) < ALWAYS_TAKEN) {
-            return 0;
-        }
-        SteadyTime now = timers.now();
-        Span wait = Span.ofSeconds((underWay + waiting.ahead(team)) * secondsPerJob);
-        if (!wait.isMoreThan(LONGEST_QUEUE)) {
-            return 0;
-        }
-        SteadyTime free = now.plus(wait);
-        SteadyTime spokenFor = spokenForUntil.getOrDefault(team, free);
-        SteadyTime at = spokenFor.isBefore(free) ? free : spokenFor;
-        spokenForUntil.put(team, at.plus(Span.ofSeconds(secondsPerJob)));
-        return (int) Math.max(1, Math.min(LONGEST_RETRY_S, Math.ceil(at.since(now).seconds())));
-    }
+  /**
+   * What would be written later than this is not taken: its user is told when to come back instead
+   * of waiting in vain.
+   */
+  private static final Span LONGEST_QUEUE = Span.ofSeconds(1.2);
 
+  /** Users come back for a minute in all, so they had better be let come several times. */
+  private static final int LONGEST_RETRY_S = 8;
+
+  /** So many of each team may wait however many others do: they have their turns. */
+  private static final int ALWAYS_TAKEN = 4;
+
+  /**
+   * Before any was written: of the changes a second, what may go to new jobs, and how many of them
+   * share one.
+   */
+  private static final double JOBS_PER_CHANGE = 4;
+
+  /** The weight of the last change in what a job takes to be written. */
+  private static final double LATEST = 0.3;
+
+  private static final int MOST_BYTES = 40 * 1024;
+
+  /**
+   * The state service answers within a tenth of this, as a rule: from then on others are written
+   * beside what waits for its answer.
+   */
+  private static final Span HELD_UP = Span.ofMillis(100);
+
+  private static final int MOST_AT_ONCE = 4;
+
+  /** How a submission ended. */
+  enum Outcome {
+    ACCEPTED,
     /**
-     * Whether a job's record fits a value of the state service, also the larger one that it will have if it is cancelled: one that
-     * does not cannot be accepted, or could never be cancelled (docs/incidents/too-large-for-a-record.md).
+     * The record was there before, or what became of the write is not known: the ledger has the
+     * answer.
      */
-    boolean fits(Job job, long nowMs) {
-        return Json.write(JobRecord.cancelled(job, nowMs)).length <= mostValue && Json.write(JobRecord.open(job, nowMs)).length <= mostValue;
+    LOOK,
+    /** Not taken. */
+    REFUSED
+  }
+
+  /**
+   * @param alone whether it is to be written by itself: among others it was too much for the state
+   *     service
+   */
+  private record Pending(
+      Job job, long acceptedMs, SteadyTime since, Consumer<Outcome> done, boolean alone) {}
+
+  /** Those whose submission of the same job waits for the same outcome. */
+  private final Map<JobId, List<Consumer<Outcome>>> pending = new HashMap<>();
+
+  private final Timers timers;
+  private final StateClient client;
+  private final Follower follower;
+  private final MemberId member;
+  private final Supplier<Incarnation> life;
+  private final int mostChanges;
+  private final int mostValue;
+
+  /** By team: a swarm of jobs of one has its own jobs wait. */
+  private final Turns<String, Pending> waiting = new Turns<>();
+
+  private final Predicate<JobId> isKnown;
+
+  /** Transactions without an answer so far, and how many of these have waited for long. */
+  private int writing;
+
+  private int heldUp;
+  private boolean flushPlanned;
+  private int underWay;
+  private double secondsPerJob;
+  private final Map<String, SteadyTime> spokenForUntil = new HashMap<>();
+  private long bundles;
+
+  /**
+   * @param isKnown whether this controller's copy of the records has a job
+   */
+  Submissions(
+      Timers timers,
+      StateClient client,
+      Follower follower,
+      MemberId member,
+      Supplier<Incarnation> life,
+      Settings.StateLimits limits,
+      Predicate<JobId> isKnown) {
+    this.isKnown = isKnown;
+    this.timers = timers;
+    this.client = client;
+    this.follower = follower;
+    this.member = member;
+    this.life = life;
+    this.mostChanges = limits.txnChanges();
+    this.mostValue = limits.plannedValue();
+    this.secondsPerJob = 1 / (limits.writesPerS() * JOBS_PER_CHANGE);
+  }
+
+  /**
+   * In how many seconds a new job of a team had better come back, because it would wait too long
+   * here; 0 where it would not. Each who is told so is told a later time, so that they do not all
+   * come at once.
+   */
+  int comeBackInS(String team) {
+    if (waiting.size(team) < ALWAYS_TAKEN) {
+      return 0;
     }
+    SteadyTime now = timers.now();
+    Span wait = Span.ofSeconds((underWay + waiting.ahead(team)) * secondsPerJob);
+    if (!wait.isMoreThan(LONGEST_QUEUE)) {
+      return 0;
+    }
+    SteadyTime free = now.plus(wait);
+    SteadyTime spokenFor = spokenForUntil.getOrDefault(team, free);
+    SteadyTime at = spokenFor.isBefore(free) ? free : spokenFor;
+    spokenForUntil.put(team, at.plus(Span.ofSeconds(secondsPerJob)));
+    return (int) Math.max(1, Math.min(LONGEST_RETRY_S, Math.ceil(at.since(now).seconds())));
+  }
 
-    void submit(Job job, long nowMs, Consumer<Outcome> done) {
-        List<Consumer<Outcome>> others = pending.get(job.id());
-        if (others != null) {
-            // Asked for again before the answer to the write is here: once is enough. But the write, and the reading after it, may be over
-            // in the state service, and what others have told since would be newer than what they say. So who joins waits for a reading of
-            // his own (docs/incidents/joined-submission.md).
-            others.add(outcome -> {
-                if (outcome == Outcome.REFUSED) {
-                    done.accept(outcome);
-                } else {
-                    look(done);
-                }
-            });
-            return;
-        }
-        List<Consumer<Outcome>> all = new ArrayList<>(List.of(done));
-        pending.put(job.id(), all);
-        waiting.add(job.team(), new Pending(job, nowMs, timers.now(), outcome -> {
-            if (pending.get(job.id()) == all) { // else the records have said so before
-                pending.remove(job.id());
-                all.forEach(each -> each.accept(outcome));
+  /**
+   * Whether a job's record fits a value of the state service, also the larger one that it will have
+   * if it is cancelled: one that does not cannot be accepted, or could never be cancelled
+   * (docs/incidents/too-large-for-a-record.md).
+   */
+  boolean fits(Job job, long nowMs) {
+    return Json.write(JobRecord.cancelled(job, nowMs)).length <= mostValue
+        && Json.write(JobRecord.open(job, nowMs)).length <= mostValue;
+  }
+
+  void submit(Job job, long nowMs, Consumer<Outcome> done) {
+    List<Consumer<Outcome>> others = pending.get(job.id());
+    if (others != null) {
+      // Asked for again before the answer to the write is here: once is enough. But the write, and
+      // the reading after it, may be over
+      // in the state service, and what others have told since would be newer than what they say. So
+      // who joins waits for a reading of
+      // his own (docs/incidents/joined-submission.md).
+      others.add(
+          outcome -> {
+            if (outcome == Outcome.REFUSED) {
+              done.accept(outcome);
+            } else {
+              look(done);
             }
-        }, false));
-        flush();
+          });
+      return;
     }
+    List<Consumer<Outcome>> all = new ArrayList<>(List.of(done));
+    pending.put(job.id(), all);
+    waiting.add(
+        job.team(),
+        new Pending(
+            job,
+            nowMs,
+            timers.now(),
+            outcome -> {
+              if (pending.get(job.id()) == all) { // else the records have said so before
+                pending.remove(job.id());
+                all.forEach(each -> each.accept(outcome));
+              }
+            },
+            false));
+    flush();
+  }
 
-    private void flush() {
-        if (writing > heldUp || writing == MOST_AT_ONCE) {
-            return;
-        }
-        if (heldUp > 0 && client.changesAffordable() == 0) {
-            flushLater();
-            return;
-        }
-        // Whoever asked has been answered: the repetition will be written.
-        List<Pending> late = new ArrayList<>();
-        waiting.takeIf(each -> timers.now().since(each.since()).isMoreThan(ANSWERED), late::add);
-        late.forEach(each -> each.done().accept(Outcome.REFUSED));
-        if (waiting.isEmpty()) {
-            return;
-        }
-        if (waiting.size() == 1 || waiting.peek().alone()) {
-            writeOne(waiting.poll());
-        } else {
-            writeMany();
-        }
+  private void flush() {
+    if (writing > heldUp || writing == MOST_AT_ONCE) {
+      return;
     }
-
-    /** Beside what is held up nothing is written that would have to wait for the budget. */
-    private void flushLater() {
-        if (!flushPlanned && !waiting.isEmpty()) {
-            flushPlanned = true;
-            timers.after(HELD_UP, () -> {
-                flushPlanned = false;
-                flush();
-            });
-        }
+    if (heldUp > 0 && client.changesAffordable() == 0) {
+      flushLater();
+      return;
+    }
+    // Whoever asked has been answered: the repetition will be written.
+    List<Pending> late = new ArrayList<>();
+    waiting.takeIf(each -> timers.now().since(each.since()).isMoreThan(ANSWERED), late::add);
+    late.forEach(each -> each.done().accept(Outcome.REFUSED));
+    if (waiting.isEmpty()) {
+      return;
+    }
+    if (waiting.size() == 1 || waiting.peek().alone()) {
+      writeOne(waiting.poll());
+    } else {
+      writeMany();
     }
+  }
 
-    private void writeOne(Pending one) {
-        String key = Keys.job(one.job().id());
-        write(List.of(new Guard(key, Revision.NONE)),
-                List.of(Change.put(key, JobRecord.open(one.job(), one.acceptedMs()))), List.of(one), outcome -> {
-                    switch (outcome.kind()) {
-                        case COMMITTED -> one.done().accept(Outcome.ACCEPTED);
-                        case CONFLICT, UNKNOWN -> end(one);
-                        case UNAVAILABLE, TOO_LARGE -> one.done().accept(Outcome.REFUSED);
-                        case REFUSED, NO_LEASE -> again(one);
-                        default -> throw new IllegalStateException(outcome.kind().toString());
-                    }
-                });
+  /** Beside what is held up nothing is written that would have to wait for the budget. */
+  private void flushLater() {
+    if (!flushPlanned && !waiting.isEmpty()) {
+      flushPlanned = true;
+      timers.after(
+          HELD_UP,
+          () -> {
+            flushPlanned = false;
+            flush();
+          });
     }
+  }
 
-    /** Changes are few and jobs may come many at a time: what fits one value is accepted with one change. */
-    private void writeMany() {
-        List<Pending> group = new ArrayList<>();
-        List<Guard> guards = new ArrayList<>();
-        List<Change> changes = new ArrayList<>();
-        int bytes = 0;
-        // No more than can go out now: a change that waits for its budget has all behind it wait, other teams' jobs among them.
-        int most = Math.max(1, Math.min(mostChanges, client.changesAffordable()));
-        while (!waiting.isEmpty() && !waiting.peek().alone() && changes.size() < most && bytes < MOST_BYTES) {
-            List<Map<String, Object>> jobs = new ArrayList<>();
-            int size = 0;
-            while (!waiting.isEmpty() && !waiting.peek().alone()) {
-                Map<String, Object> open = JobRecord.open(waiting.peek().job(), waiting.peek().acceptedMs());
-                int more = Json.write(open).length + 1;
-                if (!jobs.isEmpty() && size + more > mostValue) {
-                    break;
-                }
-                size += more;
-                jobs.add(open);
-                group.add(waiting.poll());
-            }
-            String key = Keys.bundle(member, life.get(), ++bundles);
-            guards.add(new Guard(key, Revision.NONE));
-            changes.add(Change.put(key, JobRecord.bundle(jobs)));
-            bytes += size;
-        }
-        write(guards, changes, group, outcome -> {
-            switch (outcome.kind()) {
-                // Nothing says whether a job was known already: only a ledger that has the bundle can tell.
-                case COMMITTED, UNKNOWN -> group.forEach(this::end);
-                case UNAVAILABLE -> group.forEach(each -> each.done().accept(Outcome.REFUSED));
-                case CONFLICT, REFUSED, NO_LEASE -> group.forEach(this::again);
-                // One of them is too much, as the state service counts: the others must not wait for it.
-                case TOO_LARGE -> group.forEach(each -> again(new Pending(each.job(), each.acceptedMs(), each.since(), each.done(), true)));
-                default -> throw new IllegalStateException(outcome.kind().toString());
-            }
+  private void writeOne(Pending one) {
+    String key = Keys.job(one.job().id());
+    write(
+        List.of(new Guard(key, Revision.NONE)),
+        List.of(Change.put(key, JobRecord.open(one.job(), one.acceptedMs()))),
+        List.of(one),
+        outcome -> {
+          switch (outcome.kind()) {
+            case COMMITTED -> one.done().accept(Outcome.ACCEPTED);
+            case CONFLICT, UNKNOWN -> end(one);
+            case UNAVAILABLE, TOO_LARGE -> one.done().accept(Outcome.REFUSED);
+            case REFUSED, NO_LEASE -> again(one);
+            default -> throw new IllegalStateException(outcome.kind().toString());
+          }
         });
-    }
+  }
 
-    private void write(List<Guard> guards, List<Change> changes, List<Pending> group, Consumer<TxnOutcome> done) {
-        writing++;
-        underWay += group.size();
-        SteadyTime begun = timers.now();
-        boolean[] answered = new boolean[1];
-        boolean[] isHeldUp = new boolean[1];
-        timers.after(HELD_UP, () -> {
-            if (!answered[0]) {
-                isHeldUp[0] = true;
-                heldUp++;
-                lookFor(group, answered, HELD_UP);
-                flush();
-            }
+  /**
+   * Changes are few and jobs may come many at a time: what fits one value is accepted with one
+   * change.
+   */
+  private void writeMany() {
+    List<Pending> group = new ArrayList<>();
+    List<Guard> guards = new ArrayList<>();
+    List<Change> changes = new ArrayList<>();
+    int bytes = 0;
+    // No more than can go out now: a change that waits for its budget has all behind it wait, other
+    // teams' jobs among them.
+    int most = Math.max(1, Math.min(mostChanges, client.changesAffordable()));
+    while (!waiting.isEmpty()
+        && !waiting.peek().alone()
+        && changes.size() < most
+        && bytes < MOST_BYTES) {
+      List<Map<String, Object>> jobs = new ArrayList<>();
+      int size = 0;
+      while (!waiting.isEmpty() && !waiting.peek().alone()) {
+        Map<String, Object> open =
+            JobRecord.open(waiting.peek().job(), waiting.peek().acceptedMs());
+        int more = Json.write(open).length + 1;
+        if (!jobs.isEmpty() && size + more > mostValue) {
+          break;
+        }
+        size += more;
+        jobs.add(open);
+        group.add(waiting.poll());
+      }
+      String key = Keys.bundle(member, life.get(), ++bundles);
+      guards.add(new Guard(key, Revision.NONE));
+      changes.add(Change.put(key, JobRecord.bundle(jobs)));
+      bytes += size;
+    }
+    write(
+        guards,
+        changes,
+        group,
+        outcome -> {
+          switch (outcome.kind()) {
+            // Nothing says whether a job was known already: only a ledger that has the bundle can
+            // tell.
+            case COMMITTED, UNKNOWN -> group.forEach(this::end);
+            case UNAVAILABLE -> group.forEach(each -> each.done().accept(Outcome.REFUSED));
+            case CONFLICT, REFUSED, NO_LEASE -> group.forEach(this::again);
+            // One of them is too much, as the state service counts: the others must not wait for
+            // it.
+            case TOO_LARGE ->
+                group.forEach(
+                    each ->
+                        again(
+                            new Pending(
+                                each.job(), each.acceptedMs(), each.since(), each.done(), true)));
+            default -> throw new IllegalStateException(outcome.kind().toString());
+          }
         });
-        client.txn(guards, changes, outcome -> {
-            answered[0] = true;
-            writing--;
-            heldUp -= isHeldUp[0] ? 1 : 0;
-            underWay -= group.size();
-            // One that was held up kept others from being written only as far as no more could go beside it.
-            double each = timers.now().since(begun).seconds() / group.size() / (isHeldUp[0] ? MOST_AT_ONCE : 1);
-            secondsPerJob = (1 - LATEST) * secondsPerJob + LATEST * each;
-            done.accept(outcome);
+  }
+
+  private void write(
+      List<Guard> guards, List<Change> changes, List<Pending> group, Consumer<TxnOutcome> done) {
+    writing++;
+    underWay += group.size();
+    SteadyTime begun = timers.now();
+    boolean[] answered = new boolean[1];
+    boolean[] isHeldUp = new boolean[1];
+    timers.after(
+        HELD_UP,
+        () -> {
+          if (!answered[0]) {
+            isHeldUp[0] = true;
+            heldUp++;
+            lookFor(group, answered, HELD_UP);
             flush();
+          }
         });
-    }
+    client.txn(
+        guards,
+        changes,
+        outcome -> {
+          answered[0] = true;
+          writing--;
+          heldUp -= isHeldUp[0] ? 1 : 0;
+          underWay -= group.size();
+          // One that was held up kept others from being written only as far as no more could go
+          // beside it.
+          double each =
+              timers.now().since(begun).seconds() / group.size() / (isHeldUp[0] ? MOST_AT_ONCE : 1);
+          secondsPerJob = (1 - LATEST) * secondsPerJob + LATEST * each;
+          done.accept(outcome);
+          flush();
+        });
+  }
 
-    /** The answer to a write may be lost, or late: whoever's job is on record by now need not wait for it. Looks again after ever longer pauses. */
-    private void lookFor(List<Pending> group, boolean[] answered, Span pause) {
-        follower.barrier(current -> {
-            if (current) {
-                group.stream().filter(each -> isKnown.test(each.job().id())).forEach(each -> each.done().accept(Outcome.LOOK));
-            }
+  /**
+   * The answer to a write may be lost, or late: whoever's job is on record by now need not wait for
+   * it. Looks again after ever longer pauses.
+   */
+  private void lookFor(List<Pending> group, boolean[] answered, Span pause) {
+    follower.barrier(
+        current -> {
+          if (current) {
+            group.stream()
+                .filter(each -> isKnown.test(each.job().id()))
+                .forEach(each -> each.done().accept(Outcome.LOOK));
+          }
         });
-        timers.after(pause.times(2), () -> {
-            if (!answered[0] && group.stream().anyMatch(each -> pending.containsKey(each.job().id()))) {
-                lookFor(group, answered, pause.times(2));
-            }
+    timers.after(
+        pause.times(2),
+        () -> {
+          if (!answered[0]
+              && group.stream().anyMatch(each -> pending.containsKey(each.job().id()))) {
+            lookFor(group, answered, pause.times(2));
+          }
         });
-    }
+  }
 
-    private void again(Pending one) {
-        if (!pending.containsKey(one.job().id())) {
-            return; // it is on record already
-        }
-        if (timers.now().since(one.since()).isMoreThan(PATIENCE)) {
-            one.done().accept(Outcome.REFUSED);
-            return;
-        }
-        timers.after(RETRY, () -> {
-            waiting.add(one.job().team(), one);
-            flush();
-        });
+  private void again(Pending one) {
+    if (!pending.containsKey(one.job().id())) {
+      return; // it is on record already
     }
-
-    private void end(Pending one) {
-        look(one.done());
+    if (timers.now().since(one.since()).isMoreThan(PATIENCE)) {
+      one.done().accept(Outcome.REFUSED);
+      return;
     }
+    timers.after(
+        RETRY,
+        () -> {
+          waiting.add(one.job().team(), one);
+          flush();
+        });
+  }
 
-    private void look(Consumer<Outcome> done) {
-        follower.barrier(current -> done.accept(current ? Outcome.LOOK : Outcome.REFUSED));
-    }
+  private void end(Pending one) {
+    look(one.done());
+  }
+
+  private void look(Consumer<Outcome> done) {
+    follower.barrier(current -> done.accept(current ? Outcome.LOOK : Outcome.REFUSED));
+  }
 }
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -40,336 +40,414 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Submissions, polls and cancellations. What users are told is durable first, and what is not final is told only after
- * the ledger was confirmed to be current: no answer is older than one that another controller has given.
+ * Submissions, polls and cancellations. What users are told is durable first, and what is not final
+ * is told only after the ledger was confirmed to be current: no answer is older than one that
+ * another controller has given.
  */
 final class UserApi {
-    /** Without word from the state service for so long, what needs it is refused at once. */
-    private static final Span UNCONFIRMED = Span.ofSeconds(2);
-    /** Of a poll's 2 s: what is left is for the way there and back. */
-    private static final Span POLL_ANSWERED = Span.ofSeconds(1.6);
-    private static final int CANCEL_TRIES = 6;
-    /** What fills the memory stays for long, so there is no hurry to come back. */
-    private static final int WITHOUT_MEMORY_S = 20;
-    private static final Span SAY_EVERY = Span.ofSeconds(60);
-    private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
+  /** Without word from the state service for so long, what needs it is refused at once. */
+  private static final Span UNCONFIRMED = Span.ofSeconds(2);
 
-    private final Timers timers;
-    private final Ledger ledger;
-    private final Follower follower;
-    private final StateClient client;
-    private final Settings settings;
-    private final ToIntFunction<JobId> running;
-    private final LongSupplier clockMs;
-    private final InTime polls;
-    private final InTime changes;
-    private final Submissions submissions;
-    private final AfterParts afterParts;
-    private final Cancellations cancellations;
-    private final BooleanSupplier memoryIsShort;
-    private final Refusals refusals;
-    /**
-     * Who waits for the same cancellation to be written. In a wave that is larger than the budget for changes each waits for its turn, and
-     * its user asks again every few seconds: each time one more write, and the wave would feed itself (docs/incidents/wave-that-feeds-itself.md).
-     */
-    private final Map<JobId, List<Consumer<TxnOutcome>>> cancelling = new HashMap<>();
-    private SteadyTime saidShort;
+  /** Of a poll's 2 s: what is left is for the way there and back. */
+  private static final Span POLL_ANSWERED = Span.ofSeconds(1.6);
 
-    UserApi(Timers timers, Ledger ledger, Follower follower, StateClient client, Settings settings,
-            ToIntFunction<JobId> running, LongSupplier clockMs, Cancellations cancellations, Supplier<Incarnation> life,
-            BooleanSupplier memoryIsShort, Supplier<Aloneness.State> aloneness) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.follower = follower;
-        this.client = client;
-        this.settings = settings;
-        this.running = running;
-        this.clockMs = clockMs;
-        this.cancellations = cancellations;
-        this.memoryIsShort = memoryIsShort;
-        this.refusals = new Refusals(timers, aloneness, this::isCutOff);
-        this.polls = new InTime(timers, POLL_ANSWERED, later("the state service cannot be reached"));
-        this.changes = new InTime(timers, Submissions.ANSWERED, later("not confirmed in time, ask again"));
-        this.submissions = new Submissions(timers, client, follower, settings.member(), life, settings.stateLimits(),
-                id -> ledger.job(id) != null);
-        this.afterParts = new AfterParts(client, ledger, settings.stateLimits().txnChanges());
-    }
+  private static final int CANCEL_TRIES = 6;
 
-    /** Answers a request below {@link JobCodec#JOBS}. */
-    void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-        String rest = request.path().substring(JobCodec.JOBS.length());
-        if (rest.isEmpty()) {
-            if (request.method().equals("POST")) {
-                submit(request.body(), changes.guard(reply));
-            } else {
-                reply.accept(HttpResponse.of(405));
-            }
-            return;
-        }
-        boolean cancel = rest.endsWith(JobCodec.CANCEL);
-        JobId id = JobId.parse(rest.substring(1, cancel ? Math.max(1, rest.length() - JobCodec.CANCEL.length()) : rest.length()));
-        if (rest.charAt(0) != '/' || id == null) {
-            reply.accept(HttpResponse.of(404));
-        } else if (cancel && request.method().equals("POST")) {
-            cancel(id, CANCEL_TRIES, changes.guard(reply));
-        } else if (!cancel && request.method().equals("GET")) {
-            poll(id, polls.guard(reply));
-        } else {
-            reply.accept(HttpResponse.of(405));
-        }
-    }
+  /** What fills the memory stays for long, so there is no hurry to come back. */
+  private static final int WITHOUT_MEMORY_S = 20;
 
-    private static HttpResponse later(String why) {
-        return HttpResponse.of(503, JobCodec.error(why)).withRetryAfter(1);
-    }
+  private static final Span SAY_EVERY = Span.ofSeconds(60);
+  private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
 
-    private static HttpResponse bad(int status, String why) {
-        return HttpResponse.of(status, JobCodec.error(why));
-    }
+  private final Timers timers;
+  private final Ledger ledger;
+  private final Follower follower;
+  private final StateClient client;
+  private final Settings settings;
+  private final ToIntFunction<JobId> running;
+  private final LongSupplier clockMs;
+  private final InTime polls;
+  private final InTime changes;
+  private final Submissions submissions;
+  private final AfterParts afterParts;
+  private final Cancellations cancellations;
+  private final BooleanSupplier memoryIsShort;
+  private final Refusals refusals;
 
-    private boolean isCutOff() {
-        SteadyTime confirmed = follower.confirmed();
-        return confirmed == null || timers.now().since(confirmed).isMoreThan(UNCONFIRMED);
-    }
+  /**
+   * Who waits for the same cancellation to be written. In a wave that is larger than the budget for
+   * changes each waits for its turn, and its user asks again every few seconds: each time one more
+   * write, and the wave would feed itself (docs/incidents/wave-that-feeds-itself.md).
+   */
+  private final Map<JobId, List<Consumer<TxnOutcome>>> cancelling = new HashMap<>();
 
-    /** Answers with a job's state; where a cancellation may not be told yet, the user is to come back. */
-    private void tell(JobRecord record, Consumer<HttpResponse> reply) {
-        cancellations.whenSafe(record, safe -> reply.accept(safe ? state(record) : later("being cancelled")));
-    }
+  private SteadyTime saidShort;
 
-    private HttpResponse state(JobRecord record) {
-        int tasks = record.job() == null ? 0 : record.job().tasks();
-        int done = record.phase() == JobPhase.DONE ? tasks : ledger.doneCount(record.id());
-        return HttpResponse.of(200, JobCodec.status(record.id(), record.phase(), done,
-                record.phase() == JobPhase.OPEN ? running.applyAsInt(record.id()) : 0,
-                record.phase() == JobPhase.OPEN ? ledger.pipelines().unfinished(record.id()) : List.of()));
-    }
+  UserApi(
+      Timers timers,
+      Ledger ledger,
+      Follower follower,
+      StateClient client,
+      Settings settings,
+      ToIntFunction<JobId> running,
+      LongSupplier clockMs,
+      Cancellations cancellations,
+      Supplier<Incarnation> life,
+      BooleanSupplier memoryIsShort,
+      Supplier<Aloneness.State> aloneness) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.follower = follower;
+    this.client = client;
+    this.settings = settings;
+    this.running = running;
+    this.clockMs = clockMs;
+    this.cancellations = cancellations;
+    this.memoryIsShort = memoryIsShort;
+    this.refusals = new Refusals(timers, aloneness, this::isCutOff);
+    this.polls = new InTime(timers, POLL_ANSWERED, later("the state service cannot be reached"));
+    this.changes =
+        new InTime(timers, Submissions.ANSWERED, later("not confirmed in time, ask again"));
+    this.submissions =
+        new Submissions(
+            timers,
+            client,
+            follower,
+            settings.member(),
+            life,
+            settings.stateLimits(),
+            id -> ledger.job(id) != null);
+    this.afterParts = new AfterParts(client, ledger, settings.stateLimits().txnChanges());
+  }
 
-    /** Answers with a job's state: at once if it is final, else when the ledger is known to be current. */
-    private void look(JobId id, Consumer<HttpResponse> reply, Runnable unknown) {
-        look(id, reply, unknown, false);
+  /** Answers a request below {@link JobCodec#JOBS}. */
+  void handle(HttpRequest request, Consumer<HttpResponse> reply) {
+    String rest = request.path().substring(JobCodec.JOBS.length());
+    if (rest.isEmpty()) {
+      if (request.method().equals("POST")) {
+        submit(request.body(), changes.guard(reply));
+      } else {
+        reply.accept(HttpResponse.of(405));
+      }
+      return;
+    }
+    boolean cancel = rest.endsWith(JobCodec.CANCEL);
+    JobId id =
+        JobId.parse(
+            rest.substring(
+                1, cancel ? Math.max(1, rest.length() - JobCodec.CANCEL.length()) : rest.length()));
+    if (rest.charAt(0) != '/' || id == null) {
+      reply.accept(HttpResponse.of(404));
+    } else if (cancel && request.method().equals("POST")) {
+      cancel(id, CANCEL_TRIES, changes.guard(reply));
+    } else if (!cancel && request.method().equals("GET")) {
+      poll(id, polls.guard(reply));
+    } else {
+      reply.accept(HttpResponse.of(405));
     }
+  }
+
+  private static HttpResponse later(String why) {
+    return HttpResponse.of(503, JobCodec.error(why)).withRetryAfter(1);
+  }
+
+  private static HttpResponse bad(int status, String why) {
+    return HttpResponse.of(status, JobCodec.error(why));
+  }
+
+  private boolean isCutOff() {
+    SteadyTime confirmed = follower.confirmed();
+    return confirmed == null || timers.now().since(confirmed).isMoreThan(UNCONFIRMED);
+  }
 
-    private void look(JobId id, Consumer<HttpResponse> reply, Runnable unknown, boolean mayWait) {
-        JobRecord known = ledger.job(id);
-        if (known != null && known.phase().isFinal()) {
-            tell(known, reply);
-        } else if (isCutOff()) {
-            refusals.refuse(reply, () -> look(id, reply, unknown, mayWait));
-        } else {
-            Consumer<Boolean> answer = current -> {
-                JobRecord record = ledger.job(id);
-                if (!current) {
-                    reply.accept(later("the state service cannot be reached"));
-                } else if (record == null) {
-                    unknown.run();
-                } else {
-                    tell(record, reply);
-                }
-            };
-            if (mayWait) {
-                follower.barrierSoon(answer);
+  /**
+   * Answers with a job's state; where a cancellation may not be told yet, the user is to come back.
+   */
+  private void tell(JobRecord record, Consumer<HttpResponse> reply) {
+    cancellations.whenSafe(
+        record, safe -> reply.accept(safe ? state(record) : later("being cancelled")));
+  }
+
+  private HttpResponse state(JobRecord record) {
+    int tasks = record.job() == null ? 0 : record.job().tasks();
+    int done = record.phase() == JobPhase.DONE ? tasks : ledger.doneCount(record.id());
+    return HttpResponse.of(
+        200,
+        JobCodec.status(
+            record.id(),
+            record.phase(),
+            done,
+            record.phase() == JobPhase.OPEN ? running.applyAsInt(record.id()) : 0,
+            record.phase() == JobPhase.OPEN
+                ? ledger.pipelines().unfinished(record.id())
+                : List.of()));
+  }
+
+  /**
+   * Answers with a job's state: at once if it is final, else when the ledger is known to be
+   * current.
+   */
+  private void look(JobId id, Consumer<HttpResponse> reply, Runnable unknown) {
+    look(id, reply, unknown, false);
+  }
+
+  private void look(JobId id, Consumer<HttpResponse> reply, Runnable unknown, boolean mayWait) {
+    JobRecord known = ledger.job(id);
+    if (known != null && known.phase().isFinal()) {
+      tell(known, reply);
+    } else if (isCutOff()) {
+      refusals.refuse(reply, () -> look(id, reply, unknown, mayWait));
+    } else {
+      Consumer<Boolean> answer =
+          current -> {
+            JobRecord record = ledger.job(id);
+            if (!current) {
+              reply.accept(later("the state service cannot be reached"));
+            } else if (record == null) {
+              unknown.run();
             } else {
-                follower.barrier(answer);
+              tell(record, reply);
             }
-        }
+          };
+      if (mayWait) {
+        follower.barrierSoon(answer);
+      } else {
+        follower.barrier(answer);
+      }
     }
+  }
 
-    private void poll(JobId id, Consumer<HttpResponse> reply) {
-        look(id, reply, () -> reply.accept(HttpResponse.of(404, JobCodec.error("no such job"))), true);
-    }
+  private void poll(JobId id, Consumer<HttpResponse> reply) {
+    look(id, reply, () -> reply.accept(HttpResponse.of(404, JobCodec.error("no such job"))), true);
+  }
 
-    private void submit(byte[] body, Consumer<HttpResponse> reply) {
-        Fields in;
-        JobId id;
-        try {
-            in = Json.parseFields(body);
-            id = JobCodec.id(in);
-        } catch (BadMessage e) {
-            reply.accept(bad(400, e.getMessage()));
-            return;
-        }
-        if (ledger.job(id) != null) {
-            look(id, reply, () -> reply.accept(later("try again")));
-            return;
-        }
-        if (isCutOff()) {
-            refusals.refuse(reply, () -> submit(body, reply));
-            return;
-        }
-        if (memoryIsShort.getAsBoolean()) {
-            sayShort();
-            reply.accept(later("no memory for more jobs").withRetryAfter(WITHOUT_MEMORY_S));
-            return;
-        }
-        HttpResponse refusal;
-        Job job = null;
-        try {
-            job = JobCodec.readSubmission(in);
-            refusal = refusal(job);
-        } catch (BadMessage e) {
-            refusal = bad(400, e.getMessage());
-        }
-        if (refusal == null) {
-            if (namesUnknown(job)) {
-                takeIfKnown(job, reply);
-                return;
-            }
-            take(job, reply);
-        } else if (refusal.status() == 503) {
-            reply.accept(refusal);
-        } else {
-            // A known job is known whatever its repetition says: another controller may have accepted it just now.
-            HttpResponse verdict = refusal;
-            look(id, reply, () -> reply.accept(verdict));
-        }
+  private void submit(byte[] body, Consumer<HttpResponse> reply) {
+    Fields in;
+    JobId id;
+    try {
+      in = Json.parseFields(body);
+      id = JobCodec.id(in);
+    } catch (BadMessage e) {
+      reply.accept(bad(400, e.getMessage()));
+      return;
     }
-
-    private void sayShort() {
-        SteadyTime now = timers.now();
-        if (saidShort == null || now.since(saidShort).isMoreThan(SAY_EVERY)) {
-            saidShort = now;
-            LOG.error("memory is short with {} jobs on record: new ones are refused", ledger.jobCount());
-        }
+    if (ledger.job(id) != null) {
+      look(id, reply, () -> reply.accept(later("try again")));
+      return;
     }
-
-    private boolean namesUnknown(Job job) {
-        return job.waitsOn().stream().anyMatch(id -> ledger.job(id) == null);
+    if (isCutOff()) {
+      refusals.refuse(reply, () -> submit(body, reply));
+      return;
+    }
+    if (memoryIsShort.getAsBoolean()) {
+      sayShort();
+      reply.accept(later("no memory for more jobs").withRetryAfter(WITHOUT_MEMORY_S));
+      return;
+    }
+    HttpResponse refusal;
+    Job job = null;
+    try {
+      job = JobCodec.readSubmission(in);
+      refusal = refusal(job);
+    } catch (BadMessage e) {
+      refusal = bad(400, e.getMessage());
+    }
+    if (refusal == null) {
+      if (namesUnknown(job)) {
+        takeIfKnown(job, reply);
+        return;
+      }
+      take(job, reply);
+    } else if (refusal.status() == 503) {
+      reply.accept(refusal);
+    } else {
+      // A known job is known whatever its repetition says: another controller may have accepted it
+      // just now.
+      HttpResponse verdict = refusal;
+      look(id, reply, () -> reply.accept(verdict));
     }
+  }
 
-    /** Another controller may have accepted what a job names a moment ago: only records read from now on can say that nobody has. */
-    private void takeIfKnown(Job job, Consumer<HttpResponse> reply) {
-        look(job.id(), reply, () -> {
-            HttpResponse refusal = namesUnknown(job) ? bad(422, "waits on a job that was never accepted") : refusal(job); // more is known now
-            if (refusal != null) {
-                reply.accept(refusal);
-            } else {
-                take(job, reply);
-            }
-        });
+  private void sayShort() {
+    SteadyTime now = timers.now();
+    if (saidShort == null || now.since(saidShort).isMoreThan(SAY_EVERY)) {
+      saidShort = now;
+      LOG.error("memory is short with {} jobs on record: new ones are refused", ledger.jobCount());
     }
+  }
 
-    private void take(Job job, Consumer<HttpResponse> reply) {
-        int comeBackInS = submissions.comeBackInS(job.team());
-        if (comeBackInS > 0) {
-            reply.accept(bad(429, "too many submissions at once").withRetryAfter(comeBackInS));
-            return;
-        }
-        afterParts.write(job.waitsOn(), durable -> {
-            if (durable) {
-                accept(job, reply);
-            } else {
-                reply.accept(later("the state service does not take it now"));
-            }
+  private boolean namesUnknown(Job job) {
+    return job.waitsOn().stream().anyMatch(id -> ledger.job(id) == null);
+  }
+
+  /**
+   * Another controller may have accepted what a job names a moment ago: only records read from now
+   * on can say that nobody has.
+   */
+  private void takeIfKnown(Job job, Consumer<HttpResponse> reply) {
+    look(
+        job.id(),
+        reply,
+        () -> {
+          HttpResponse refusal =
+              namesUnknown(job)
+                  ? bad(422, "waits on a job that was never accepted")
+                  : refusal(job); // more is known now
+          if (refusal != null) {
+            reply.accept(refusal);
+          } else {
+            take(job, reply);
+          }
         });
+  }
+
+  private void take(Job job, Consumer<HttpResponse> reply) {
+    int comeBackInS = submissions.comeBackInS(job.team());
+    if (comeBackInS > 0) {
+      reply.accept(bad(429, "too many submissions at once").withRetryAfter(comeBackInS));
+      return;
     }
+    afterParts.write(
+        job.waitsOn(),
+        durable -> {
+          if (durable) {
+            accept(job, reply);
+          } else {
+            reply.accept(later("the state service does not take it now"));
+          }
+        });
+  }
 
-    private void accept(Job job, Consumer<HttpResponse> reply) {
-        submissions.submit(job, clockMs.getAsLong(), outcome -> {
-            JobRecord record = ledger.job(job.id());
-            switch (outcome) {
-                case ACCEPTED -> {
-                    // What needs a cancelled job is cancelled from its acceptance on, and may long have to be called so: only a reading that
-                    // begins now tells whether it does.
-                    if (!job.waitsOn().isEmpty()) {
-                        look(job.id(), told -> reply.accept(told.status() == 200 ? HttpResponse.of(201, told.body()) : told),
-                                () -> reply.accept(later("try again")));
-                    } else {
-                        reply.accept(HttpResponse.of(201, JobCodec.status(job.id(), JobPhase.OPEN, 0, 0)));
-                    }
-                }
-                case LOOK -> {
-                    if (record == null) {
-                        reply.accept(later("try again"));
-                    } else {
-                        tell(record, reply);
-                    }
-                }
-                case REFUSED -> reply.accept(later("the state service does not take it now"));
-                default -> throw new IllegalStateException(outcome.toString());
+  private void accept(Job job, Consumer<HttpResponse> reply) {
+    submissions.submit(
+        job,
+        clockMs.getAsLong(),
+        outcome -> {
+          JobRecord record = ledger.job(job.id());
+          switch (outcome) {
+            case ACCEPTED -> {
+              // What needs a cancelled job is cancelled from its acceptance on, and may long have
+              // to be called so: only a reading that
+              // begins now tells whether it does.
+              if (!job.waitsOn().isEmpty()) {
+                look(
+                    job.id(),
+                    told ->
+                        reply.accept(
+                            told.status() == 200 ? HttpResponse.of(201, told.body()) : told),
+                    () -> reply.accept(later("try again")));
+              } else {
+                reply.accept(HttpResponse.of(201, JobCodec.status(job.id(), JobPhase.OPEN, 0, 0)));
+              }
             }
+            case LOOK -> {
+              if (record == null) {
+                reply.accept(later("try again"));
+              } else {
+                tell(record, reply);
+              }
+            }
+            case REFUSED -> reply.accept(later("the state service does not take it now"));
+            default -> throw new IllegalStateException(outcome.toString());
+          }
         });
-    }
+  }
 
-    /** Why a job can never run or be kept, or null. */
-    private HttpResponse refusal(Job job) {
-        Team team = settings.teams().get(job.team());
-        if (team == null) {
-            return bad(422, "unknown team");
-        }
-        if (ledger.types().isEmpty()) {
-            return later("the machine types are not known yet");
-        }
-        boolean fits = false;
-        for (MachineType type : ledger.types().values()) {
-            // A type that the cloud has only in other zones than the job's is none that the job may use.
-            boolean allowed = (job.types() == null || job.types().contains(type.name())) && (job.zone() == null || type.zones().contains(job.zone()));
-            fits |= allowed && job.each().fitsIn(type.capacity());
-        }
-        if (!fits) {
-            return bad(422, "no allowed machine type fits a task");
-        }
-        for (JobId id : job.waitsOn()) {
-            JobRecord before = ledger.job(id);
-            if (before != null && before.phase() == JobPhase.OPEN && before.job().shape() == Shape.SERVICE) {
-                return bad(422, "waits on a service, which is never done");
-            }
-        }
-        Resources need = job.shape() == Shape.ARRAY ? job.each() : job.each().times(job.tasks());
-        if (!need.fitsIn(team.limit())) {
-            return bad(422, "more than the team's limit");
-        }
-        return submissions.fits(job, clockMs.getAsLong()) ? null : bad(400, "the description is too long");
+  /** Why a job can never run or be kept, or null. */
+  private HttpResponse refusal(Job job) {
+    Team team = settings.teams().get(job.team());
+    if (team == null) {
+      return bad(422, "unknown team");
     }
+    if (ledger.types().isEmpty()) {
+      return later("the machine types are not known yet");
+    }
+    boolean fits = false;
+    for (MachineType type : ledger.types().values()) {
+      // A type that the cloud has only in other zones than the job's is none that the job may use.
+      boolean allowed =
+          (job.types() == null || job.types().contains(type.name()))
+              && (job.zone() == null || type.zones().contains(job.zone()));
+      fits |= allowed && job.each().fitsIn(type.capacity());
+    }
+    if (!fits) {
+      return bad(422, "no allowed machine type fits a task");
+    }
+    for (JobId id : job.waitsOn()) {
+      JobRecord before = ledger.job(id);
+      if (before != null
+          && before.phase() == JobPhase.OPEN
+          && before.job().shape() == Shape.SERVICE) {
+        return bad(422, "waits on a service, which is never done");
+      }
+    }
+    Resources need = job.shape() == Shape.ARRAY ? job.each() : job.each().times(job.tasks());
+    if (!need.fitsIn(team.limit())) {
+      return bad(422, "more than the team's limit");
+    }
+    return submissions.fits(job, clockMs.getAsLong())
+        ? null
+        : bad(400, "the description is too long");
+  }
 
-    private void cancel(JobId id, int tries, Consumer<HttpResponse> reply) {
-        JobRecord known = ledger.job(id);
-        if (known == null) {
-            follower.barrier(current -> {
-                if (current && ledger.job(id) == null) {
-                    reply.accept(HttpResponse.of(404, JobCodec.error("no such job")));
-                } else if (current) {
-                    cancel(id, tries, reply);
-                } else {
-                    reply.accept(later("the state service cannot be reached"));
-                }
-            });
-            return;
-        }
-        if (known.phase().isFinal()) {
-            tell(known, reply);
-            return;
-        }
-        if (tries == 0) {
-            reply.accept(later("the state service cannot be reached"));
-            return;
-        }
-        if (isCutOff()) {
-            refusals.refuse(reply, () -> cancel(id, tries - 1, reply));
-            return;
-        }
-        Consumer<TxnOutcome> then = outcome -> {
-            if (outcome.committed()) {
-                follower.barrier(current -> cancel(id, current ? tries - 1 : 0, reply));
-            } else if (outcome.kind() == TxnOutcome.Kind.UNAVAILABLE) {
-                reply.accept(later("the state service cannot be reached"));
-            } else if (outcome.kind() == TxnOutcome.Kind.TOO_LARGE) {
-                reply.accept(later("the state service takes no record so large"));
+  private void cancel(JobId id, int tries, Consumer<HttpResponse> reply) {
+    JobRecord known = ledger.job(id);
+    if (known == null) {
+      follower.barrier(
+          current -> {
+            if (current && ledger.job(id) == null) {
+              reply.accept(HttpResponse.of(404, JobCodec.error("no such job")));
+            } else if (current) {
+              cancel(id, tries, reply);
             } else {
-                follower.barrier(current -> timers.after(Span.ofMillis(60), () -> cancel(id, tries - 1, reply)));
+              reply.accept(later("the state service cannot be reached"));
             }
+          });
+      return;
+    }
+    if (known.phase().isFinal()) {
+      tell(known, reply);
+      return;
+    }
+    if (tries == 0) {
+      reply.accept(later("the state service cannot be reached"));
+      return;
+    }
+    if (isCutOff()) {
+      refusals.refuse(reply, () -> cancel(id, tries - 1, reply));
+      return;
+    }
+    Consumer<TxnOutcome> then =
+        outcome -> {
+          if (outcome.committed()) {
+            follower.barrier(current -> cancel(id, current ? tries - 1 : 0, reply));
+          } else if (outcome.kind() == TxnOutcome.Kind.UNAVAILABLE) {
+            reply.accept(later("the state service cannot be reached"));
+          } else if (outcome.kind() == TxnOutcome.Kind.TOO_LARGE) {
+            reply.accept(later("the state service takes no record so large"));
+          } else {
+            follower.barrier(
+                current -> timers.after(Span.ofMillis(60), () -> cancel(id, tries - 1, reply)));
+          }
         };
-        List<Consumer<TxnOutcome>> others = cancelling.get(id);
-        if (others != null) {
-            others.add(then); // each is answered after a reading that begins when the outcome is known
-            return;
-        }
-        List<Consumer<TxnOutcome>> all = new ArrayList<>(List.of(then));
-        cancelling.put(id, all);
-        client.txn(List.of(new Guard(Keys.job(id), ledger.version(Keys.job(id)))),
-                List.of(Change.put(Keys.job(id), ledger.asRecorded(id).cancelled(clockMs.getAsLong(), settings.stateLimits().valueBytes()))), outcome -> {
-                    cancelling.remove(id);
-                    all.forEach(each -> each.accept(outcome));
-                });
+    List<Consumer<TxnOutcome>> others = cancelling.get(id);
+    if (others != null) {
+      others.add(then); // each is answered after a reading that begins when the outcome is known
+      return;
     }
+    List<Consumer<TxnOutcome>> all = new ArrayList<>(List.of(then));
+    cancelling.put(id, all);
+    client.txn(
+        List.of(new Guard(Keys.job(id), ledger.version(Keys.job(id)))),
+        List.of(
+            Change.put(
+                Keys.job(id),
+                ledger
+                    .asRecorded(id)
+                    .cancelled(clockMs.getAsLong(), settings.stateLimits().valueBytes()))),
+        outcome -> {
+          cancelling.remove(id);
+          all.forEach(each -> each.accept(outcome));
+        });
+  }
 }
--- a/src/main/java/org/quincecross/block/BlockReporter.java
+++ b/src/main/java/org/quincecross/block/BlockReporter.java
@@ -11,90 +11,103 @@
 import org.quincecross.peer.PeerReport;
 
 /**
- * What the other controllers should know of a block, and in which report each part of it last changed: what a receiver
- * has already is not told again, so a report costs what has changed.
+ * What the other controllers should know of a block, and in which report each part of it last
+ * changed: what a receiver has already is not told again, so a report costs what has changed.
  */
 public final class BlockReporter {
-    private record Part<T>(T content, long changedIn) {
-    }
+  private record Part<T>(T content, long changedIn) {}
 
-    private final BlockHolder holder;
-    private final Map<MachineId, Part<PeerReport.MachineState>> machines = new LinkedHashMap<>();
-    private final Set<MachineId> dirty = new LinkedHashSet<>();
-    private Part<PeerReport.Block> header;
-    private boolean inDoubt;
-    private boolean dirtyHeader = true;
-    private boolean beginning = true;
-    private long begunIn;
+  private final BlockHolder holder;
+  private final Map<MachineId, Part<PeerReport.MachineState>> machines = new LinkedHashMap<>();
+  private final Set<MachineId> dirty = new LinkedHashSet<>();
+  private Part<PeerReport.Block> header;
+  private boolean inDoubt;
+  private boolean dirtyHeader = true;
+  private boolean beginning = true;
+  private long begunIn;
 
-    BlockReporter(BlockHolder holder) {
-        this.holder = holder;
-    }
+  BlockReporter(BlockHolder holder) {
+    this.holder = holder;
+  }
 
-    /** The machines of the block may have changed: all of it is told anew. */
-    void begin() {
-        beginning = true;
-        dirtyHeader = true;
-    }
+  /** The machines of the block may have changed: all of it is told anew. */
+  void begin() {
+    beginning = true;
+    dirtyHeader = true;
+  }
 
-    void headerChanged() {
-        dirtyHeader = true;
-    }
+  void headerChanged() {
+    dirtyHeader = true;
+  }
 
-    void machinesChanged(Collection<MachineId> changed) {
-        if (!changed.isEmpty()) {
-            dirty.addAll(changed);
-            dirtyHeader = true;
-        }
+  void machinesChanged(Collection<MachineId> changed) {
+    if (!changed.isEmpty()) {
+      dirty.addAll(changed);
+      dirtyHeader = true;
     }
+  }
 
-    /** Brings the parts up to date for report {@code number}; {@code all}: also those that change with time alone. */
-    void refresh(long number, boolean all) {
-        if (beginning) {
-            beginning = false;
-            begunIn = number;
-            machines.clear();
-            header = null;
-            all = true;
-        }
-        if (all) {
-            inDoubt = holder.isInDoubt();
-        }
-        if (dirtyHeader || all) {
-            dirtyHeader = false;
-            PeerReport.Block next = new PeerReport.Block(holder.id(), holder.lease().token(), holder.allocated(), inDoubt, holder.declined(), true,
-                    holder.completed(), holder.released(), holder.running(), List.of());
-            if (header == null || !header.content().equals(next)) {
-                header = new Part<>(next.keeping(Map.copyOf(next.running())), number);
-            }
-        }
-        if (all) {
-            for (MachineId machine : holder.lease().machines().keySet()) {
-                Part<PeerReport.MachineState> told = machines.get(machine);
-                if (told == null || holder.hasAged(told.content())) {
-                    dirty.add(machine);
-                }
-            }
-        }
-        for (MachineId machine : dirty) {
-            PeerReport.MachineState next = holder.machine(machine);
-            Part<PeerReport.MachineState> before = machines.get(machine);
-            if (next != null && (before == null || !before.content().equals(next))) {
-                machines.put(machine, new Part<>(next, number));
-            }
+  /**
+   * Brings the parts up to date for report {@code number}; {@code all}: also those that change with
+   * time alone.
+   */
+  void refresh(long number, boolean all) {
+    if (beginning) {
+      beginning = false;
+      begunIn = number;
+      machines.clear();
+      header = null;
+      all = true;
+    }
+    if (all) {
+      inDoubt = holder.isInDoubt();
+    }
+    if (dirtyHeader || all) {
+      dirtyHeader = false;
+      PeerReport.Block next =
+          new PeerReport.Block(
+              holder.id(),
+              holder.lease().token(),
+              holder.allocated(),
+              inDoubt,
+              holder.declined(),
+              true,
+              holder.completed(),
+              holder.released(),
+              holder.running(),
+              List.of());
+      if (header == null || !header.content().equals(next)) {
+        header = new Part<>(next.keeping(Map.copyOf(next.running())), number);
+      }
+    }
+    if (all) {
+      for (MachineId machine : holder.lease().machines().keySet()) {
+        Part<PeerReport.MachineState> told = machines.get(machine);
+        if (told == null || holder.hasAged(told.content())) {
+          dirty.add(machine);
         }
-        dirty.clear();
+      }
+    }
+    for (MachineId machine : dirty) {
+      PeerReport.MachineState next = holder.machine(machine);
+      Part<PeerReport.MachineState> before = machines.get(machine);
+      if (next != null && (before == null || !before.content().equals(next))) {
+        machines.put(machine, new Part<>(next, number));
+      }
     }
+    dirty.clear();
+  }
 
-    /** What has changed after report {@code base}, or null if nothing has. */
-    PeerReport.Block since(long base) {
-        List<PeerReport.MachineState> changed = new ArrayList<>();
-        for (Part<PeerReport.MachineState> part : machines.values()) {
-            if (part.changedIn() > base) {
-                changed.add(part.content());
-            }
-        }
-        return header.changedIn() > base || !changed.isEmpty()
-                ? header.content().with(begunIn > base, changed) : null;
+  /** What has changed after report {@code base}, or null if nothing has. */
+  PeerReport.Block since(long base) {
+    List<PeerReport.MachineState> changed = new ArrayList<>();
+    for (Part<PeerReport.MachineState> part : machines.values()) {
+      if (part.changedIn() > base) {
+        changed.add(part.content());
+      }
     }
+    return header.changedIn() > base || !changed.isEmpty()
+        ? header.content().with(begunIn > base, changed)
+        : null;
+  }
 }
--- a/src/main/java/org/quincecross/block/Commands.java
+++ b/src/main/java/org/quincecross/block/Commands.java
@@ -26,178 +26,213 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a holder tells its machines, beside the answers to their reports: starts and stops at once, and the present token
- * to those that have not shown it.
+ * What a holder tells its machines, beside the answers to their reports: starts and stops at once,
+ * and the present token to those that have not shown it.
  *
- * <p>Each direct command waits for its answer, {@link #DIRECT_TIMEOUT} at most. A command that was not answered is not sent
- * again by itself: what it said is said again by the answer to the machine's next report, or after {@link #DIRECT_RETRY}.
- * That it may still be executed is remembered per attempt by {@link Session} until the machine has shown a higher token or
- * a new session.
+ * <p>Each direct command waits for its answer, {@link #DIRECT_TIMEOUT} at most. A command that was
+ * not answered is not sent again by itself: what it said is said again by the answer to the
+ * machine's next report, or after {@link #DIRECT_RETRY}. That it may still be executed is
+ * remembered per attempt by {@link Session} until the machine has shown a higher token or a new
+ * session.
  */
 final class Commands {
-    private static final Logger LOG = LoggerFactory.getLogger(Commands.class);
-    private static final Span DIRECT_TIMEOUT = Span.ofSeconds(1.5);
-    private static final Span DIRECT_RETRY = Span.ofSeconds(1);
-    private static final int MOST_ORDERS = 300;
+  private static final Logger LOG = LoggerFactory.getLogger(Commands.class);
+  private static final Span DIRECT_TIMEOUT = Span.ofSeconds(1.5);
+  private static final Span DIRECT_RETRY = Span.ofSeconds(1);
+  private static final int MOST_ORDERS = 300;
 
-    private final HolderContext context;
-    private final BlockHolder holder;
-    private final Placements placements;
-    private final Map<MachineId, Session> sessions;
-    private final LastAnswers lastAnswers;
+  private final HolderContext context;
+  private final BlockHolder holder;
+  private final Placements placements;
+  private final Map<MachineId, Session> sessions;
+  private final LastAnswers lastAnswers;
 
-    Commands(HolderContext context, BlockHolder holder, Placements placements, Map<MachineId, Session> sessions) {
-        this.context = context;
-        this.holder = holder;
-        this.placements = placements;
-        this.sessions = sessions;
-        this.lastAnswers = new LastAnswers(context, placements);
-    }
+  Commands(
+      HolderContext context,
+      BlockHolder holder,
+      Placements placements,
+      Map<MachineId, Session> sessions) {
+    this.context = context;
+    this.holder = holder;
+    this.placements = placements;
+    this.sessions = sessions;
+    this.lastAnswers = new LastAnswers(context, placements);
+  }
 
-    /** All that the machine should be told now; everything in it may be told again. */
-    List<Order> orders(Session session) {
-        List<Order> orders = new ArrayList<>();
-        MachineId machine = session.machine().id();
-        Set<Attempt> present = new HashSet<>();
-        for (Piece piece : session.report().pieces()) {
-            present.add(piece.attempt());
-            Placement placement = placements.get(piece.task());
-            boolean ours = placement != null && placement.isBoundTo(machine, piece.attempt());
-            if (piece.state() == TaskState.EXITED) {
-                boolean keep = ours || placement != null && placement.state() == Placement.State.COMPLETED
-                        && placement.machine().equals(machine) && placement.attempt().equals(piece.attempt());
-                if (!keep && !session.mayStillStart(piece.attempt())) {
-                    orders.add(Order.forget(piece.task(), piece.attempt()));
-                }
-            } else if (!ours) {
-                orders.add(Order.stop(piece.task(), piece.attempt(), Span.ZERO));
-            } else if (placement.state() == Placement.State.STOPPING
-                    && (piece.state() != TaskState.SAVING || placement.grace().nanos() == 0)) {
-                orders.add(Order.stop(piece.task(), piece.attempt(), placement.grace()));
-            }
-        }
-        // Said again, a start is a start: one that is held back here is said once the records are confirmed (docs/incidents/started-without-word.md).
-        for (Placement placement : context.mayStart() ? placements.on(machine) : List.<Placement>of()) {
-            if (placement.state() == Placement.State.STARTING && !present.contains(placement.attempt())) {
-                orders.add(Order.start(placement.task(), placement.attempt()));
-            }
+  /** All that the machine should be told now; everything in it may be told again. */
+  List<Order> orders(Session session) {
+    List<Order> orders = new ArrayList<>();
+    MachineId machine = session.machine().id();
+    Set<Attempt> present = new HashSet<>();
+    for (Piece piece : session.report().pieces()) {
+      present.add(piece.attempt());
+      Placement placement = placements.get(piece.task());
+      boolean ours = placement != null && placement.isBoundTo(machine, piece.attempt());
+      if (piece.state() == TaskState.EXITED) {
+        boolean keep =
+            ours
+                || placement != null
+                    && placement.state() == Placement.State.COMPLETED
+                    && placement.machine().equals(machine)
+                    && placement.attempt().equals(piece.attempt());
+        if (!keep && !session.mayStillStart(piece.attempt())) {
+          orders.add(Order.forget(piece.task(), piece.attempt()));
         }
-        return orders.size() > MOST_ORDERS ? orders.subList(0, MOST_ORDERS) : orders;
+      } else if (!ours) {
+        orders.add(Order.stop(piece.task(), piece.attempt(), Span.ZERO));
+      } else if (placement.state() == Placement.State.STOPPING
+          && (piece.state() != TaskState.SAVING || placement.grace().nanos() == 0)) {
+        orders.add(Order.stop(piece.task(), piece.attempt(), placement.grace()));
+      }
     }
-
-    /** Whether the machine may be answered, which renews its lease. */
-    boolean mayAnswer(Session session) {
-        return lastAnswers.mayAnswer(session);
+    // Said again, a start is a start: one that is held back here is said once the records are
+    // confirmed (docs/incidents/started-without-word.md).
+    for (Placement placement : context.mayStart() ? placements.on(machine) : List.<Placement>of()) {
+      if (placement.state() == Placement.State.STARTING && !present.contains(placement.attempt())) {
+        orders.add(Order.start(placement.task(), placement.attempt()));
+      }
     }
+    return orders.size() > MOST_ORDERS ? orders.subList(0, MOST_ORDERS) : orders;
+  }
 
-    /** The answer to the machine's report; one that does not obey yet is told nothing but the token. */
-    byte[] answer(Session session) {
-        List<Order> orders = session.state() == Session.State.FENCED ? orders(session) : List.of();
-        tell(orders);
-        session.startsInAnswer(starts(orders).keySet());
-        return WorkerCodec.writeAnswer(holder.lease().token(), orders);
-    }
+  /** Whether the machine may be answered, which renews its lease. */
+  boolean mayAnswer(Session session) {
+    return lastAnswers.mayAnswer(session);
+  }
 
-    private void tell(List<Order> orders) {
-        for (Order order : orders) {
-            Placement placement = placements.get(order.task());
-            if (placement != null && placement.attempt().equals(order.attempt())) {
-                placement.tell();
-            }
-        }
+  /**
+   * The answer to the machine's report; one that does not obey yet is told nothing but the token.
+   */
+  byte[] answer(Session session) {
+    List<Order> orders = session.state() == Session.State.FENCED ? orders(session) : List.of();
+    tell(orders);
+    session.startsInAnswer(starts(orders).keySet());
+    return WorkerCodec.writeAnswer(holder.lease().token(), orders);
+  }
+
+  private void tell(List<Order> orders) {
+    for (Order order : orders) {
+      Placement placement = placements.get(order.task());
+      if (placement != null && placement.attempt().equals(order.attempt())) {
+        placement.tell();
+      }
     }
+  }
 
-    private static Map<Attempt, TaskId> starts(List<Order> orders) {
-        Map<Attempt, TaskId> starts = new HashMap<>();
-        for (Order order : orders) {
-            if (order.verb() == Order.Verb.START) {
-                starts.put(order.attempt(), order.task());
-            }
-        }
-        return starts;
+  private static Map<Attempt, TaskId> starts(List<Order> orders) {
+    Map<Attempt, TaskId> starts = new HashMap<>();
+    for (Order order : orders) {
+      if (order.verb() == Order.Verb.START) {
+        starts.put(order.attempt(), order.task());
+      }
     }
+    return starts;
+  }
 
-    /** Sends starts and stops at once rather than with the answer to the next report. */
-    void sendUntold() {
-        Set<MachineId> untold = new LinkedHashSet<>();
-        for (Placement.State state : List.of(Placement.State.STARTING, Placement.State.STOPPING)) {
-            for (Placement placement : placements.in(state)) {
-                if (!placement.isTold()) {
-                    untold.add(placement.machine());
-                }
-            }
+  /** Sends starts and stops at once rather than with the answer to the next report. */
+  void sendUntold() {
+    Set<MachineId> untold = new LinkedHashSet<>();
+    for (Placement.State state : List.of(Placement.State.STARTING, Placement.State.STOPPING)) {
+      for (Placement placement : placements.in(state)) {
+        if (!placement.isTold()) {
+          untold.add(placement.machine());
         }
-        SteadyTime now = context.now();
-        for (MachineId machine : untold) {
-            Session session = sessions.get(machine);
-            if (session != null && session.state() == Session.State.FENCED && session.canSendDirect(now)) {
-                List<Order> orders = orders(session);
-                if (!orders.isEmpty()) {
-                    tell(orders);
-                    sendDirect(session, orders);
-                }
-            }
+      }
+    }
+    SteadyTime now = context.now();
+    for (MachineId machine : untold) {
+      Session session = sessions.get(machine);
+      if (session != null
+          && session.state() == Session.State.FENCED
+          && session.canSendDirect(now)) {
+        List<Order> orders = orders(session);
+        if (!orders.isEmpty()) {
+          tell(orders);
+          sendDirect(session, orders);
         }
+      }
     }
+  }
 
-    private void sendDirect(Session session, List<Order> orders) {
-        Token sentWith = holder.lease().token();
-        Map<Attempt, TaskId> starts = starts(orders);
-        session.directSent(starts);
-        LOG.debug("block {}: {} commands to {}", holder.id(), orders.size(), session.machine().id());
-        HttpRequest request = HttpRequest.post(WorkerCodec.ORDERS,
-                WorkerCodec.writeDirect(sentWith, session.report().session(), orders));
-        context.http().call(session.machine().address(), request, DIRECT_TIMEOUT,
-                outcome -> directEnded(session, starts, sentWith, outcome));
-    }
+  private void sendDirect(Session session, List<Order> orders) {
+    Token sentWith = holder.lease().token();
+    Map<Attempt, TaskId> starts = starts(orders);
+    session.directSent(starts);
+    LOG.debug("block {}: {} commands to {}", holder.id(), orders.size(), session.machine().id());
+    HttpRequest request =
+        HttpRequest.post(
+            WorkerCodec.ORDERS,
+            WorkerCodec.writeDirect(sentWith, session.report().session(), orders));
+    context
+        .http()
+        .call(
+            session.machine().address(),
+            request,
+            DIRECT_TIMEOUT,
+            outcome -> directEnded(session, starts, sentWith, outcome));
+  }
 
-    private void directEnded(Session session, Map<Attempt, TaskId> starts, Token sentWith, HttpOutcome outcome) {
-        WorkerReport report = readReport(outcome);
-        // Another machine may have the address of one that is gone: what that one says is nothing of this one.
-        if (report == null || !report.machine().id().equals(session.machine().id())) {
-            LOG.debug("block {}: no answer from {}, status {}", holder.id(), session.machine().id(), outcome.status());
-            boolean mayHaveArrived = outcome.sent() && sentWith.equals(holder.lease().token());
-            session.directFailed(starts, mayHaveArrived, context.now().plus(DIRECT_RETRY));
-            if (outcome.sent()) {
-                session.hearing().commandUnanswered();
-                holder.stir(session);
-            }
-            return;
-        }
-        session.directAnswered(starts);
-        if (sessions.get(session.machine().id()) == session) {
-            holder.answered(session, report);
-        }
+  private void directEnded(
+      Session session, Map<Attempt, TaskId> starts, Token sentWith, HttpOutcome outcome) {
+    WorkerReport report = readReport(outcome);
+    // Another machine may have the address of one that is gone: what that one says is nothing of
+    // this one.
+    if (report == null || !report.machine().id().equals(session.machine().id())) {
+      LOG.debug(
+          "block {}: no answer from {}, status {}",
+          holder.id(),
+          session.machine().id(),
+          outcome.status());
+      boolean mayHaveArrived = outcome.sent() && sentWith.equals(holder.lease().token());
+      session.directFailed(starts, mayHaveArrived, context.now().plus(DIRECT_RETRY));
+      if (outcome.sent()) {
+        session.hearing().commandUnanswered();
+        holder.stir(session);
+      }
+      return;
+    }
+    session.directAnswered(starts);
+    if (sessions.get(session.machine().id()) == session) {
+      holder.answered(session, report);
     }
+  }
 
-    private static WorkerReport readReport(HttpOutcome outcome) {
-        if (outcome.status() != 200 && outcome.status() != 409) {
-            return null;
-        }
-        try {
-            return WorkerCodec.readReport(Json.parseFields(outcome.response().body()));
-        } catch (BadMessage e) {
-            LOG.info("unreadable answer of a worker: {}", e.getMessage());
-            return null;
-        }
+  private static WorkerReport readReport(HttpOutcome outcome) {
+    if (outcome.status() != 200 && outcome.status() != 409) {
+      return null;
+    }
+    try {
+      return WorkerCodec.readReport(Json.parseFields(outcome.response().body()));
+    } catch (BadMessage e) {
+      LOG.info("unreadable answer of a worker: {}", e.getMessage());
+      return null;
     }
+  }
 
-    /**
-     * Shows unfenced machines the present token: asks for the session, then sends a command that commands nothing. Such a command also
-     * asks a doubted machine what it has ({@link org.quincecross.silence.Freshness}): its answer is made after the doubt.
-     */
-    void fence() {
-        SteadyTime now = context.now();
-        for (Session session : sessions.values()) {
-            if (session.isToBeAsked(context.workers().report(), now) && session.canSendDirect(now) && context.isEntitled()) {
-                if (session.report() != null) {
-                    sendDirect(session, List.of());
-                    continue;
-                }
-                session.directSent(Map.of());
-                context.http().call(session.machine().address(), HttpRequest.get(WorkerCodec.STATUS), DIRECT_TIMEOUT,
-                        outcome -> directEnded(session, Map.of(), holder.lease().token(), outcome));
-            }
+  /**
+   * Shows unfenced machines the present token: asks for the session, then sends a command that
+   * commands nothing. Such a command also asks a doubted machine what it has ({@link
+   * org.quincecross.silence.Freshness}): its answer is made after the doubt.
+   */
+  void fence() {
+    SteadyTime now = context.now();
+    for (Session session : sessions.values()) {
+      if (session.isToBeAsked(context.workers().report(), now)
+          && session.canSendDirect(now)
+          && context.isEntitled()) {
+        if (session.report() != null) {
+          sendDirect(session, List.of());
+          continue;
         }
+        session.directSent(Map.of());
+        context
+            .http()
+            .call(
+                session.machine().address(),
+                HttpRequest.get(WorkerCodec.STATUS),
+                DIRECT_TIMEOUT,
+                outcome -> directEnded(session, Map.of(), holder.lease().token(), outcome));
+      }
     }
+  }
 }
--- a/src/main/java/org/quincecross/block/GivingBack.java
+++ b/src/main/java/org/quincecross/block/GivingBack.java
@@ -9,9 +9,9 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Shape;
 import org.quincecross.model.Rank;
 import org.quincecross.model.Resources;
+import org.quincecross.model.Shape;
 import org.quincecross.model.Span;
 import org.quincecross.model.SteadyTime;
 import org.quincecross.model.TaskId;
@@ -22,208 +22,257 @@
 
 /** Gives work that the block cannot run back to the pool, where others may have it. */
 final class GivingBack {
-    private static final Logger LOG = LoggerFactory.getLogger(GivingBack.class);
-    private static final Span GANG_PATIENCE = Span.ofSeconds(30);
-    /** Beyond twice its estimate: what runs before it should have ended by then. */
-    private static final Span LONG_WAIT = Span.ofSeconds(90);
-    /** Urgent work: longer than lower work takes to save and make room for it. */
-    private static final Span URGENT_WAIT = Span.ofSeconds(6);
-    /** Of what services do not use, so much may be spoken for beyond what there is: what the leader gives, too. */
-    private static final double QUEUE_AHEAD = 0.15;
-    private static final Span SURPLUS_PATIENCE = Span.ofSeconds(3);
-    private static final Span SURPLUS_EVERY = Span.ofSeconds(1);
-    /** Where another block has room and this one none, work does not wait for longer than this and the time between two looks. */
-    private static final Span ELSEWHERE_PATIENCE = Span.ofSeconds(20);
-    private static final Span ELSEWHERE_EVERY = Span.ofSeconds(5);
-    private static final Span CONFIRMED_LATELY = Span.ofSeconds(2);
-    /** A job in doubt is looked at again so often: one task of it is under way, and others wait to know what becomes of that. */
-    private static final Span TRY_AGAIN = Span.ofSeconds(1);
-    /** How long work waits for any machine of the block to take work again. */
-    private static final Span NONE_OPEN_PATIENCE = Span.ofSeconds(10);
-
-    private final HolderContext context;
-    private final BlockHolder holder;
-    private final Placements placements;
-    private final Map<TaskId, Entry> entries;
-    private final Map<MachineId, Session> sessions;
-    private final Evidence evidence;
-    private final BlockScheduler scheduler;
-    private SteadyTime noneOpenSince;
-    private SteadyTime surplusAt;
-    private SteadyTime elsewhereAt;
-    /** Before this nothing here has waited for long, as long as some machine takes work. */
-    private SteadyTime lookAt;
-
-    GivingBack(HolderContext context, BlockHolder holder, Placements placements, Map<TaskId, Entry> entries,
-            Map<MachineId, Session> sessions, Evidence evidence, BlockScheduler scheduler) {
-        this.context = context;
-        this.holder = holder;
-        this.placements = placements;
-        this.entries = entries;
-        this.sessions = sessions;
-        this.evidence = evidence;
-        this.scheduler = scheduler;
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(GivingBack.class);
+  private static final Span GANG_PATIENCE = Span.ofSeconds(30);
 
-    /** Gives back all that should not wait here any longer. */
-    void giveBack(SteadyTime now) {
-        giveBackGangs(now);
-        giveBackLongWaiting(now);
-        giveBackSurplus(now);
-        giveBackToIdle(now);
-    }
+  /** Beyond twice its estimate: what runs before it should have ended by then. */
+  private static final Span LONG_WAIT = Span.ofSeconds(90);
 
-    /**
-     * Gives back what a block that has lost machines cannot start soon. The leader gives a block no more than it can start
-     * soon, but what was on machines that are gone waits here all at once, and others may have room: without this a replica
-     * whose machine had vanished with half of its block waited for 90 s.
-     */
-    private void giveBackSurplus(SteadyTime now) {
-        if (entries.isEmpty() || surplusAt != null && now.isBefore(surplusAt) || !leaderCanAct(now)) {
-            return;
-        }
-        surplusAt = now.plus(SURPLUS_EVERY);
-        holder.wakeBy(surplusAt);
-        Resources standing = Resources.NONE;
-        for (Session session : sessions.values()) {
-            for (Placement placement : session.wasOpen() ? placements.seenOn(session.machine().id()) : List.<Placement>of()) {
-                boolean stays = placement.job().shape() == Shape.SERVICE && placement.isBound();
-                standing = stays ? standing.plus(placement.job().each()) : standing;
-            }
-        }
-        for (Entry entry : scheduler.surplus(QUEUE_AHEAD, standing)) {
-            Placement placement = placements.get(entry.tasks().get(0));
-            if (now.since(placement.since()).isMoreThan(SURPLUS_PATIENCE)) {
-                holder.dequeue(placement.task());
-                placement.release(now);
-                context.newsForLeader();
-            }
-        }
-    }
+  /** Urgent work: longer than lower work takes to save and make room for it. */
+  private static final Span URGENT_WAIT = Span.ofSeconds(6);
 
-    /**
-     * Gives back what has waited here for a while though another block has room: what is queued ahead of its time stands behind what runs
-     * here, which may go on for long after others have run out of work. Guards against docs/incidents/idle-room.md: nothing waits for
-     * {@link #LONG_WAIT} and twice its estimate while machines that could run it are idle, or are even returned.
-     */
-    private void giveBackToIdle(SteadyTime now) {
-        if (entries.isEmpty() || elsewhereAt != null && now.isBefore(elsewhereAt) || !leaderCanAct(now)) {
-            return;
-        }
-        elsewhereAt = now.plus(ELSEWHERE_EVERY);
-        holder.wakeBy(elsewhereAt);
-        Map<JobId, Boolean> asked = new HashMap<>();
-        for (Entry entry : List.copyOf(entries.values())) {
-            Placement placement = placements.get(entry.tasks().get(0));
-            if (entry.job().shape() != Shape.GANG && now.since(placement.since()).isMoreThan(ELSEWHERE_PATIENCE)
-                    && asked.computeIfAbsent(entry.job().id(), id -> context.hasRoomElsewhere(entry.job(), holder.id()))) {
-                holder.dequeue(placement.task());
-                placement.release(now);
-                context.newsForLeader();
-            }
-        }
-    }
+  /**
+   * Of what services do not use, so much may be spoken for beyond what there is: what the leader
+   * gives, too.
+   */
+  private static final double QUEUE_AHEAD = 0.15;
+
+  private static final Span SURPLUS_PATIENCE = Span.ofSeconds(3);
+  private static final Span SURPLUS_EVERY = Span.ofSeconds(1);
+
+  /**
+   * Where another block has room and this one none, work does not wait for longer than this and the
+   * time between two looks.
+   */
+  private static final Span ELSEWHERE_PATIENCE = Span.ofSeconds(20);
+
+  private static final Span ELSEWHERE_EVERY = Span.ofSeconds(5);
+  private static final Span CONFIRMED_LATELY = Span.ofSeconds(2);
+
+  /**
+   * A job in doubt is looked at again so often: one task of it is under way, and others wait to
+   * know what becomes of that.
+   */
+  private static final Span TRY_AGAIN = Span.ofSeconds(1);
+
+  /** How long work waits for any machine of the block to take work again. */
+  private static final Span NONE_OPEN_PATIENCE = Span.ofSeconds(10);
+
+  private final HolderContext context;
+  private final BlockHolder holder;
+  private final Placements placements;
+  private final Map<TaskId, Entry> entries;
+  private final Map<MachineId, Session> sessions;
+  private final Evidence evidence;
+  private final BlockScheduler scheduler;
+  private SteadyTime noneOpenSince;
+  private SteadyTime surplusAt;
+  private SteadyTime elsewhereAt;
+
+  /** Before this nothing here has waited for long, as long as some machine takes work. */
+  private SteadyTime lookAt;
 
-    /** Cut off from the records, a block had better keep what it has: nobody else will start it either. */
-    private boolean leaderCanAct(SteadyTime now) {
-        return context.confirmed() != null && !now.since(context.confirmed()).isMoreThan(CONFIRMED_LATELY);
+  GivingBack(
+      HolderContext context,
+      BlockHolder holder,
+      Placements placements,
+      Map<TaskId, Entry> entries,
+      Map<MachineId, Session> sessions,
+      Evidence evidence,
+      BlockScheduler scheduler) {
+    this.context = context;
+    this.holder = holder;
+    this.placements = placements;
+    this.entries = entries;
+    this.sessions = sessions;
+    this.evidence = evidence;
+    this.scheduler = scheduler;
+  }
+
+  /** Gives back all that should not wait here any longer. */
+  void giveBack(SteadyTime now) {
+    giveBackGangs(now);
+    giveBackLongWaiting(now);
+    giveBackSurplus(now);
+    giveBackToIdle(now);
+  }
+
+  /**
+   * Gives back what a block that has lost machines cannot start soon. The leader gives a block no
+   * more than it can start soon, but what was on machines that are gone waits here all at once, and
+   * others may have room: without this a replica whose machine had vanished with half of its block
+   * waited for 90 s.
+   */
+  private void giveBackSurplus(SteadyTime now) {
+    if (entries.isEmpty() || surplusAt != null && now.isBefore(surplusAt) || !leaderCanAct(now)) {
+      return;
+    }
+    surplusAt = now.plus(SURPLUS_EVERY);
+    holder.wakeBy(surplusAt);
+    Resources standing = Resources.NONE;
+    for (Session session : sessions.values()) {
+      for (Placement placement :
+          session.wasOpen() ? placements.seenOn(session.machine().id()) : List.<Placement>of()) {
+        boolean stays = placement.job().shape() == Shape.SERVICE && placement.isBound();
+        standing = stays ? standing.plus(placement.job().each()) : standing;
+      }
+    }
+    for (Entry entry : scheduler.surplus(QUEUE_AHEAD, standing)) {
+      Placement placement = placements.get(entry.tasks().get(0));
+      if (now.since(placement.since()).isMoreThan(SURPLUS_PATIENCE)) {
+        holder.dequeue(placement.task());
+        placement.release(now);
+        context.newsForLeader();
+      }
     }
+  }
 
-    /**
-     * A gang that has waited long may wait for ever: services that stay for hours can be all over the machines that it
-     * needs. The leader may know a better block by now.
-     */
-    private void giveBackGangs(SteadyTime now) {
-        Set<Entry> gangs = new LinkedHashSet<>();
-        for (Entry entry : entries.values()) {
-            if (entry.job().shape() == Shape.GANG) {
-                gangs.add(entry);
-            }
-        }
-        for (Entry entry : gangs) {
-            Placement first = placements.get(entry.tasks().get(0));
-            SteadyTime patient = first.since().plus(GANG_PATIENCE);
-            if (now.isBefore(patient)) {
-                holder.wakeBy(patient);
-                continue;
-            }
-            holder.dequeue(first.task());
-            entry.tasks().forEach(task -> placements.get(task).release(now));
-            context.newsForLeader();
-        }
+  /**
+   * Gives back what has waited here for a while though another block has room: what is queued ahead
+   * of its time stands behind what runs here, which may go on for long after others have run out of
+   * work. Guards against docs/incidents/idle-room.md: nothing waits for {@link #LONG_WAIT} and
+   * twice its estimate while machines that could run it are idle, or are even returned.
+   */
+  private void giveBackToIdle(SteadyTime now) {
+    if (entries.isEmpty()
+        || elsewhereAt != null && now.isBefore(elsewhereAt)
+        || !leaderCanAct(now)) {
+      return;
     }
+    elsewhereAt = now.plus(ELSEWHERE_EVERY);
+    holder.wakeBy(elsewhereAt);
+    Map<JobId, Boolean> asked = new HashMap<>();
+    for (Entry entry : List.copyOf(entries.values())) {
+      Placement placement = placements.get(entry.tasks().get(0));
+      if (entry.job().shape() != Shape.GANG
+          && now.since(placement.since()).isMoreThan(ELSEWHERE_PATIENCE)
+          && asked.computeIfAbsent(
+              entry.job().id(), id -> context.hasRoomElsewhere(entry.job(), holder.id()))) {
+        holder.dequeue(placement.task());
+        placement.release(now);
+        context.newsForLeader();
+      }
+    }
+  }
+
+  /**
+   * Cut off from the records, a block had better keep what it has: nobody else will start it
+   * either.
+   */
+  private boolean leaderCanAct(SteadyTime now) {
+    return context.confirmed() != null
+        && !now.since(context.confirmed()).isMoreThan(CONFIRMED_LATELY);
+  }
 
-    /**
-     * What has waited here for long may wait for ever as well: behind services that stay for hours, or for machines of
-     * which none takes work any more. In the pool it may go where there is room.
-     */
-    private void giveBackLongWaiting(SteadyTime now) {
-        if (sessions.values().stream().anyMatch(holder::isOpen)) {
-            noneOpenSince = null;
-        } else if (noneOpenSince == null) {
-            noneOpenSince = now;
-        }
-        if (noneOpenSince == null && lookAt != null && now.isBefore(lookAt)) {
-            holder.wakeBy(lookAt);
-            return; // what has come since waits longer than what was here
-        }
-        lookAt = now.plus(URGENT_WAIT);
-        for (Placement placement : placements.in(Placement.State.WAITING)) {
-            Job job = placement.job();
-            SteadyTime patient = placement.since().plus(job.rank() == Rank.PRODUCTION && leaderCanAct(now) ? URGENT_WAIT
-                    : LONG_WAIT.plus(job.estimate().times(2)));
-            if (noneOpenSince != null && noneOpenSince.plus(NONE_OPEN_PATIENCE).isBefore(patient)) {
-                patient = noneOpenSince.plus(NONE_OPEN_PATIENCE);
-            }
-            if (job.shape() == Shape.GANG && noneOpenSince == null) {
-                continue; // goes back as one, and sooner
-            }
-            if (now.isBefore(patient)) {
-                lookAt = patient.isBefore(lookAt) ? patient : lookAt;
-                holder.wakeBy(patient);
-                continue;
-            }
-            holder.dequeue(placement.task());
-            placement.release(now);
-            context.newsForLeader();
-        }
+  /**
+   * A gang that has waited long may wait for ever: services that stay for hours can be all over the
+   * machines that it needs. The leader may know a better block by now.
+   */
+  private void giveBackGangs(SteadyTime now) {
+    Set<Entry> gangs = new LinkedHashSet<>();
+    for (Entry entry : entries.values()) {
+      if (entry.job().shape() == Shape.GANG) {
+        gangs.add(entry);
+      }
+    }
+    for (Entry entry : gangs) {
+      Placement first = placements.get(entry.tasks().get(0));
+      SteadyTime patient = first.since().plus(GANG_PATIENCE);
+      if (now.isBefore(patient)) {
+        holder.wakeBy(patient);
+        continue;
+      }
+      holder.dequeue(first.task());
+      entry.tasks().forEach(task -> placements.get(task).release(now));
+      context.newsForLeader();
     }
+  }
 
-    /** Whether a job has failed on every machine that takes work here. */
-    private boolean hasFailedEverywhere(Job job) {
-        Set<MachineId> failedOn = evidence.failedOn(job.id());
-        return !failedOn.isEmpty() && sessions.values().stream()
-                .allMatch(session -> failedOn.contains(session.machine().id()) || !holder.isOpen(session));
+  /**
+   * What has waited here for long may wait for ever as well: behind services that stay for hours,
+   * or for machines of which none takes work any more. In the pool it may go where there is room.
+   */
+  private void giveBackLongWaiting(SteadyTime now) {
+    if (sessions.values().stream().anyMatch(holder::isOpen)) {
+      noneOpenSince = null;
+    } else if (noneOpenSince == null) {
+      noneOpenSince = now;
     }
+    if (noneOpenSince == null && lookAt != null && now.isBefore(lookAt)) {
+      holder.wakeBy(lookAt);
+      return; // what has come since waits longer than what was here
+    }
+    lookAt = now.plus(URGENT_WAIT);
+    for (Placement placement : placements.in(Placement.State.WAITING)) {
+      Job job = placement.job();
+      SteadyTime patient =
+          placement
+              .since()
+              .plus(
+                  job.rank() == Rank.PRODUCTION && leaderCanAct(now)
+                      ? URGENT_WAIT
+                      : LONG_WAIT.plus(job.estimate().times(2)));
+      if (noneOpenSince != null && noneOpenSince.plus(NONE_OPEN_PATIENCE).isBefore(patient)) {
+        patient = noneOpenSince.plus(NONE_OPEN_PATIENCE);
+      }
+      if (job.shape() == Shape.GANG && noneOpenSince == null) {
+        continue; // goes back as one, and sooner
+      }
+      if (now.isBefore(patient)) {
+        lookAt = patient.isBefore(lookAt) ? patient : lookAt;
+        holder.wakeBy(patient);
+        continue;
+      }
+      holder.dequeue(placement.task());
+      placement.release(now);
+      context.newsForLeader();
+    }
+  }
+
+  /** Whether a job has failed on every machine that takes work here. */
+  private boolean hasFailedEverywhere(Job job) {
+    Set<MachineId> failedOn = evidence.failedOn(job.id());
+    return !failedOn.isEmpty()
+        && sessions.values().stream()
+            .allMatch(
+                session -> failedOn.contains(session.machine().id()) || !holder.isOpen(session));
+  }
 
-    /**
-     * Whether a task that waits is not to enter a queue now: its job has failed here and run nowhere. Where it has failed on enough
-     * machines, or on all, the block declines it, and all of it that waits goes back; until then one task at a time is tried, on
-     * machines where it has not failed. One machine that fails what it is given looks from here like a job that fails wherever it is
-     * tried: other blocks tell them apart, and a task that only this block may have would be tried here for ever.
-     */
-    boolean keepsBack(Placement placement) {
-        Job job = placement.job();
-        SteadyTime now = context.now();
-        if (!evidence.isDoubtful(job.id())) {
-            return false;
-        }
-        if (!evidence.isDeclined(job.id(), now) && placement.failures() > 0
-                && (evidence.isBad(job.id()) || hasFailedEverywhere(job))) {
-            LOG.info("block {}: {} has failed on {} machines here and run on none", holder.id(), job.id(), evidence.failedOn(job.id()).size());
-            evidence.decline(job.id(), now);
-            holder.reporter().headerChanged();
-        }
-        if (evidence.isDeclined(job.id(), now)) {
-            holder.dequeue(placement.task());
-            placement.release(now);
-            context.newsForLeader();
-            return true;
-        }
-        if (job.shape() != Shape.GANG && holder.hasAnotherUnderWay(placement)) {
-            holder.wakeBy(now.plus(TRY_AGAIN));
-            return true;
-        }
-        return false;
+  /**
+   * Whether a task that waits is not to enter a queue now: its job has failed here and run nowhere.
+   * Where it has failed on enough machines, or on all, the block declines it, and all of it that
+   * waits goes back; until then one task at a time is tried, on machines where it has not failed.
+   * One machine that fails what it is given looks from here like a job that fails wherever it is
+   * tried: other blocks tell them apart, and a task that only this block may have would be tried
+   * here for ever.
+   */
+  boolean keepsBack(Placement placement) {
+    Job job = placement.job();
+    SteadyTime now = context.now();
+    if (!evidence.isDoubtful(job.id())) {
+      return false;
+    }
+    if (!evidence.isDeclined(job.id(), now)
+        && placement.failures() > 0
+        && (evidence.isBad(job.id()) || hasFailedEverywhere(job))) {
+      LOG.info(
+          "block {}: {} has failed on {} machines here and run on none",
+          holder.id(),
+          job.id(),
+          evidence.failedOn(job.id()).size());
+      evidence.decline(job.id(), now);
+      holder.reporter().headerChanged();
+    }
+    if (evidence.isDeclined(job.id(), now)) {
+      holder.dequeue(placement.task());
+      placement.release(now);
+      context.newsForLeader();
+      return true;
+    }
+    if (job.shape() != Shape.GANG && holder.hasAnotherUnderWay(placement)) {
+      holder.wakeBy(now.plus(TRY_AGAIN));
+      return true;
     }
+    return false;
+  }
 }
--- a/src/main/java/org/quincecross/block/Holdings.java
+++ b/src/main/java/org/quincecross/block/Holdings.java
@@ -20,111 +20,122 @@
 
 /** The blocks that this controller holds. */
 public final class Holdings {
-    private static final Logger LOG = LoggerFactory.getLogger(Holdings.class);
-    private static final Span TICK = Span.ofMillis(150);
+  private static final Logger LOG = LoggerFactory.getLogger(Holdings.class);
+  private static final Span TICK = Span.ofMillis(150);
 
-    private final HolderContext context;
-    private final MemberId self;
-    private final Supplier<Incarnation> life;
-    private final Map<BlockId, BlockHolder> holders = new LinkedHashMap<>();
+  private final HolderContext context;
+  private final MemberId self;
+  private final Supplier<Incarnation> life;
+  private final Map<BlockId, BlockHolder> holders = new LinkedHashMap<>();
 
-    public Holdings(HolderContext context, MemberId self, Supplier<Incarnation> life) {
-        this.context = context;
-        this.self = self;
-        this.life = life;
-    }
+  public Holdings(HolderContext context, MemberId self, Supplier<Incarnation> life) {
+    this.context = context;
+    this.self = self;
+    this.life = life;
+  }
 
-    public void start() {
-        context.timers().every(TICK, () -> List.copyOf(holders.values()).forEach(BlockHolder::tick));
-    }
+  public void start() {
+    context.timers().every(TICK, () -> List.copyOf(holders.values()).forEach(BlockHolder::tick));
+  }
 
-    public Collection<BlockHolder> all() {
-        return holders.values();
-    }
+  public Collection<BlockHolder> all() {
+    return holders.values();
+  }
 
-    public BlockHolder get(BlockId block) {
-        return holders.get(block);
-    }
+  public BlockHolder get(BlockId block) {
+    return holders.get(block);
+  }
 
-    /** Follows the leases, allocations and jobs that have changed. */
-    public void ledgerChanged(Ledger.Changes changes) {
-        Ledger ledger = context.ledger();
-        for (BlockId id : changes.reloaded() ? List.copyOf(holders.keySet()) : changes.blocks()) {
-            BlockLease lease = ledger.block(id);
-            if (holders.containsKey(id) && (lease == null || !lease.holder().equals(self))) {
-                LOG.info("block {} is no longer held here", id);
-                holders.remove(id).retire();
-            }
-        }
-        for (BlockId id : changes.reloaded() ? List.copyOf(ledger.blocks().keySet()) : changes.blocks()) {
-            BlockLease lease = ledger.block(id);
-            if (lease != null && lease.holder().equals(self)) {
-                follow(lease);
-            }
-        }
-        for (BlockHolder holder : holders.values()) {
-            if (changes.reloaded()) {
-                holder.jobsChanged(ledger.jobs());
-            } else if (!changes.jobs().isEmpty()) {
-                holder.jobsChanged(changes.jobs());
-            }
-            if (changes.reloaded() || changes.blocks().contains(holder.id())) {
-                holder.sync();
-            }
-        }
+  /** Follows the leases, allocations and jobs that have changed. */
+  public void ledgerChanged(Ledger.Changes changes) {
+    Ledger ledger = context.ledger();
+    for (BlockId id : changes.reloaded() ? List.copyOf(holders.keySet()) : changes.blocks()) {
+      BlockLease lease = ledger.block(id);
+      if (holders.containsKey(id) && (lease == null || !lease.holder().equals(self))) {
+        LOG.info("block {} is no longer held here", id);
+        holders.remove(id).retire();
+      }
     }
-
-    /** Other tasks of some jobs are kept back than before. */
-    public void withheldChanged(Set<JobId> jobs) {
-        holders.values().forEach(holder -> holder.jobsChanged(jobs));
+    for (BlockId id :
+        changes.reloaded() ? List.copyOf(ledger.blocks().keySet()) : changes.blocks()) {
+      BlockLease lease = ledger.block(id);
+      if (lease != null && lease.holder().equals(self)) {
+        follow(lease);
+      }
     }
-
-    private void follow(BlockLease lease) {
-        BlockHolder holder = holders.get(lease.id());
-        if (holder != null && holder.lease().token().equals(lease.token())) {
-            if (!holder.lease().version().equals(lease.version())) {
-                holder.renewed(lease);
-            }
-        } else if (lease.life().equals(life.get())) {
-            // Held from here on, by this life: whatever this process knew of the block is out of date.
-            LOG.info("block {} taken over, token {}, {} machines", lease.id(), lease.token(), lease.machines().size());
-            if (holder != null) {
-                holder.retire(); // what it has under way ends with it
-            }
-            holders.put(lease.id(), new BlockHolder(context, lease));
-            context.newsForLeader();
-        }
+    for (BlockHolder holder : holders.values()) {
+      if (changes.reloaded()) {
+        holder.jobsChanged(ledger.jobs());
+      } else if (!changes.jobs().isEmpty()) {
+        holder.jobsChanged(changes.jobs());
+      }
+      if (changes.reloaded() || changes.blocks().contains(holder.id())) {
+        holder.sync();
+      }
     }
+  }
 
-    /** For so long no machine was listened to here: that nothing came is no sign of its silence. */
-    public void excuse(Span gap) {
-        holders.values().forEach(holder -> holder.excuse(gap));
-    }
+  /** Other tasks of some jobs are kept back than before. */
+  public void withheldChanged(Set<JobId> jobs) {
+    holders.values().forEach(holder -> holder.jobsChanged(jobs));
+  }
 
-    /** How many tasks of a job run in the blocks held here that it is allocated to. */
-    public int running(JobId job) {
-        int running = 0;
-        for (BlockId block : context.ledger().blocksOf(job)) {
-            BlockHolder holder = holders.get(block);
-            running += holder == null ? 0 : holder.running(job);
-        }
-        return running;
+  private void follow(BlockLease lease) {
+    BlockHolder holder = holders.get(lease.id());
+    if (holder != null && holder.lease().token().equals(lease.token())) {
+      if (!holder.lease().version().equals(lease.version())) {
+        holder.renewed(lease);
+      }
+    } else if (lease.life().equals(life.get())) {
+      // Held from here on, by this life: whatever this process knew of the block is out of date.
+      LOG.info(
+          "block {} taken over, token {}, {} machines",
+          lease.id(),
+          lease.token(),
+          lease.machines().size());
+      if (holder != null) {
+        holder.retire(); // what it has under way ends with it
+      }
+      holders.put(lease.id(), new BlockHolder(context, lease));
+      context.newsForLeader();
     }
+  }
 
-    /** Notes what is new for report {@code number}; {@code all}: looks also at what changes with time alone. */
-    public void refresh(long number, boolean all) {
-        holders.values().forEach(holder -> holder.reporter().refresh(number, all));
+  /** For so long no machine was listened to here: that nothing came is no sign of its silence. */
+  public void excuse(Span gap) {
+    holders.values().forEach(holder -> holder.excuse(gap));
+  }
+
+  /** How many tasks of a job run in the blocks held here that it is allocated to. */
+  public int running(JobId job) {
+    int running = 0;
+    for (BlockId block : context.ledger().blocksOf(job)) {
+      BlockHolder holder = holders.get(block);
+      running += holder == null ? 0 : holder.running(job);
     }
+    return running;
+  }
+
+  /**
+   * Notes what is new for report {@code number}; {@code all}: looks also at what changes with time
+   * alone.
+   */
+  public void refresh(long number, boolean all) {
+    holders.values().forEach(holder -> holder.reporter().refresh(number, all));
+  }
 
-    /** What has changed after report {@code base} in the blocks held here, as of the last {@link #refresh}. */
-    public List<PeerReport.Block> since(long base) {
-        List<PeerReport.Block> changed = new ArrayList<>();
-        for (BlockHolder holder : holders.values()) {
-            PeerReport.Block block = holder.reporter().since(base);
-            if (block != null) {
-                changed.add(block);
-            }
-        }
-        return changed;
+  /**
+   * What has changed after report {@code base} in the blocks held here, as of the last {@link
+   * #refresh}.
+   */
+  public List<PeerReport.Block> since(long base) {
+    List<PeerReport.Block> changed = new ArrayList<>();
+    for (BlockHolder holder : holders.values()) {
+      PeerReport.Block block = holder.reporter().since(base);
+      if (block != null) {
+        changed.add(block);
+      }
     }
+    return changed;
+  }
 }
--- a/src/main/java/org/quincecross/block/Intake.java
+++ b/src/main/java/org/quincecross/block/Intake.java
@@ -16,124 +16,144 @@
 
 /** What the machines' reports say of the tasks, and what they say by not naming them. */
 final class Intake {
-    private static final Logger LOG = LoggerFactory.getLogger(Intake.class);
+  private static final Logger LOG = LoggerFactory.getLogger(Intake.class);
 
-    private final HolderContext context;
-    private final BlockHolder holder;
-    private final Placements placements;
-    private final Evidence evidence;
+  private final HolderContext context;
+  private final BlockHolder holder;
+  private final Placements placements;
+  private final Evidence evidence;
 
-    Intake(HolderContext context, BlockHolder holder, Placements placements, Evidence evidence) {
-        this.context = context;
-        this.holder = holder;
-        this.placements = placements;
-        this.evidence = evidence;
-    }
+  Intake(HolderContext context, BlockHolder holder, Placements placements, Evidence evidence) {
+    this.context = context;
+    this.holder = holder;
+    this.placements = placements;
+    this.evidence = evidence;
+  }
 
-    void takePiece(Session session, Piece piece, SteadyTime now) {
-        Placement placement = placements.get(piece.task());
-        MachineId machine = session.machine().id();
-        if (placement == null) {
-            return;
-        }
-        boolean ours = placement.isBoundTo(machine, piece.attempt());
-        if (piece.state() != TaskState.EXITED) {
-            boolean hasImage = piece.state() != TaskState.FETCHING;
-            session.usedImage(placement.job().image(), placement.job().imageGb());
-            if (hasImage) {
-                session.fetched(placement.job().image());
-            }
-            if (ours || placement.state() == Placement.State.UNSETTLED) {
-                boolean ran = placement.isRunning();
-                placement.reported(machine, piece.attempt(), hasImage && piece.state() != TaskState.WAITING, now);
-                if (!ran && placement.isRunning()) {
-                    LOG.debug("block {}: {} runs on {}", holder.id(), placement.task(), machine);
-                }
-                if (placement.isRunning() && now.since(placement.runningSince()).isMoreThan(Evidence.STARTED_WELL)) {
-                    holder.callSick(evidence.startedWell(machine, placement.task().job(), placement.runningSince(), now));
-                }
-            }
-            return;
-        }
-        if (piece.cause() == Cause.DONE && placement.job().shape() != Shape.SERVICE) {
-            boolean open = placement.state() != Placement.State.COMPLETED && placement.state() != Placement.State.RELEASED;
-            if (open && (ours || placement.state() == Placement.State.UNSETTLED || placement.state() == Placement.State.WAITING)) {
-                holder.dequeue(piece.task());
-                holder.callSick(evidence.completed(machine, piece.task().job(), now));
-                placement.completed(machine, piece.attempt(), now);
-                context.newsForLeader();
-            }
-            return;
-        }
-        if (ours) {
-            // Also where a start of this attempt may still arrive: the worker keeps the exit until it is cleared, which
-            // Commands does not do before that start is surely over, and while it keeps it such a start does nothing.
-            // Guards against docs/incidents/unanswered-start.md: a task that waited for an answer that never came.
-            exited(session, placement, piece, now);
-        }
+  void takePiece(Session session, Piece piece, SteadyTime now) {
+    Placement placement = placements.get(piece.task());
+    MachineId machine = session.machine().id();
+    if (placement == null) {
+      return;
     }
-
-    private void exited(Session session, Placement placement, Piece piece, SteadyTime now) {
-        MachineId machine = session.machine().id();
-        JobId job = placement.task().job();
-        if (piece.cause() == Cause.ERROR) {
-            placement.failed();
-            Span ranFor = placement.isRunning() ? now.since(placement.runningSince()) : Span.ZERO;
-            holder.callSick(evidence.failed(machine, job, ranFor, now));
-            if (evidence.isDoubtful(job)) {
-                // What else of it waits is tried one task at a time: it leaves the queues, and enters them again as that allows.
-                placements.ofJob(job).stream().filter(other -> other.state() == Placement.State.WAITING)
-                        .forEach(other -> holder.dequeue(other.task()));
-            }
-        } else if (piece.cause() == Cause.FULL || piece.cause() == Cause.IN_USE || piece.cause() == Cause.NO_SUCH) {
-            LOG.info("block {}: {} refused {}: {}", holder.id(), machine, placement.task(), piece.cause());
-            placement.failed();
+    boolean ours = placement.isBoundTo(machine, piece.attempt());
+    if (piece.state() != TaskState.EXITED) {
+      boolean hasImage = piece.state() != TaskState.FETCHING;
+      session.usedImage(placement.job().image(), placement.job().imageGb());
+      if (hasImage) {
+        session.fetched(placement.job().image());
+      }
+      if (ours || placement.state() == Placement.State.UNSETTLED) {
+        boolean ran = placement.isRunning();
+        placement.reported(
+            machine, piece.attempt(), hasImage && piece.state() != TaskState.WAITING, now);
+        if (!ran && placement.isRunning()) {
+          LOG.debug("block {}: {} runs on {}", holder.id(), placement.task(), machine);
         }
-        placement.gone(now);
-        LOG.debug("block {}: {} has left {}, {}", holder.id(), placement.task(), machine, piece.cause());
-        if (placement.state() == Placement.State.RELEASED) {
-            context.newsForLeader();
+        if (placement.isRunning()
+            && now.since(placement.runningSince()).isMoreThan(Evidence.STARTED_WELL)) {
+          holder.callSick(
+              evidence.startedWell(machine, placement.task().job(), placement.runningSince(), now));
         }
+      }
+      return;
+    }
+    if (piece.cause() == Cause.DONE && placement.job().shape() != Shape.SERVICE) {
+      boolean open =
+          placement.state() != Placement.State.COMPLETED
+              && placement.state() != Placement.State.RELEASED;
+      if (open
+          && (ours
+              || placement.state() == Placement.State.UNSETTLED
+              || placement.state() == Placement.State.WAITING)) {
+        holder.dequeue(piece.task());
+        holder.callSick(evidence.completed(machine, piece.task().job(), now));
+        placement.completed(machine, piece.attempt(), now);
+        context.newsForLeader();
+      }
+      return;
+    }
+    if (ours) {
+      // Also where a start of this attempt may still arrive: the worker keeps the exit until it is
+      // cleared, which
+      // Commands does not do before that start is surely over, and while it keeps it such a start
+      // does nothing.
+      // Guards against docs/incidents/unanswered-start.md: a task that waited for an answer that
+      // never came.
+      exited(session, placement, piece, now);
     }
+  }
 
-    /** Tasks bound to the machine that its complete report does not have. */
-    void freeMissing(Session session, boolean beat, SteadyTime now) {
-        // By attempt: a machine may still report the exit of an earlier attempt of a task that it is to start again.
-        Set<Attempt> reported = session.reportedAttempts();
-        for (Placement placement : placements.on(session.machine().id())) {
-            if (!placement.isBound() || reported.contains(placement.attempt())) {
-                continue;
-            }
-            if (placement.state() == Placement.State.STARTING) {
-                placement.untell(); // the start did not get there, or not yet: it may be repeated
-            } else if (beat && !session.mayStillStart(placement.attempt())) {
-                placement.gone(now);
-                context.newsForLeader();
-            }
-        }
+  private void exited(Session session, Placement placement, Piece piece, SteadyTime now) {
+    MachineId machine = session.machine().id();
+    JobId job = placement.task().job();
+    if (piece.cause() == Cause.ERROR) {
+      placement.failed();
+      Span ranFor = placement.isRunning() ? now.since(placement.runningSince()) : Span.ZERO;
+      holder.callSick(evidence.failed(machine, job, ranFor, now));
+      if (evidence.isDoubtful(job)) {
+        // What else of it waits is tried one task at a time: it leaves the queues, and enters them
+        // again as that allows.
+        placements.ofJob(job).stream()
+            .filter(other -> other.state() == Placement.State.WAITING)
+            .forEach(other -> holder.dequeue(other.task()));
+      }
+    } else if (piece.cause() == Cause.FULL
+        || piece.cause() == Cause.IN_USE
+        || piece.cause() == Cause.NO_SUCH) {
+      LOG.info(
+          "block {}: {} refused {}: {}", holder.id(), machine, placement.task(), piece.cause());
+      placement.failed();
+    }
+    placement.gone(now);
+    LOG.debug(
+        "block {}: {} has left {}, {}", holder.id(), placement.task(), machine, piece.cause());
+    if (placement.state() == Placement.State.RELEASED) {
+      context.newsForLeader();
     }
+  }
 
-    /**
-     * All that a worker of a new session, or one that has begun anew, does not have; but for starts that may still reach one that has
-     * begun anew, which end with the new token that the holder asks for.
-     */
-    void freeUnreported(Session session, SteadyTime now) {
-        Set<Attempt> reported = session.reportedAttempts();
-        for (Placement placement : placements.on(session.machine().id())) {
-            if (placement.isBound() && !reported.contains(placement.attempt())
-                    && !(session.hasBegunAnew() && session.mayStillStart(placement.attempt()))) {
-                placement.gone(now);
-            }
-        }
+  /** Tasks bound to the machine that its complete report does not have. */
+  void freeMissing(Session session, boolean beat, SteadyTime now) {
+    // By attempt: a machine may still report the exit of an earlier attempt of a task that it is to
+    // start again.
+    Set<Attempt> reported = session.reportedAttempts();
+    for (Placement placement : placements.on(session.machine().id())) {
+      if (!placement.isBound() || reported.contains(placement.attempt())) {
+        continue;
+      }
+      if (placement.state() == Placement.State.STARTING) {
+        placement.untell(); // the start did not get there, or not yet: it may be repeated
+      } else if (beat && !session.mayStillStart(placement.attempt())) {
+        placement.gone(now);
         context.newsForLeader();
+      }
     }
+  }
 
-    void freeAll(MachineId machine, SteadyTime now) {
-        for (Placement placement : placements.on(machine)) {
-            if (placement.isBound()) {
-                placement.gone(now);
-            }
-        }
-        context.newsForLeader();
+  /**
+   * All that a worker of a new session, or one that has begun anew, does not have; but for starts
+   * that may still reach one that has begun anew, which end with the new token that the holder asks
+   * for.
+   */
+  void freeUnreported(Session session, SteadyTime now) {
+    Set<Attempt> reported = session.reportedAttempts();
+    for (Placement placement : placements.on(session.machine().id())) {
+      if (placement.isBound()
+          && !reported.contains(placement.attempt())
+          && !(session.hasBegunAnew() && session.mayStillStart(placement.attempt()))) {
+        placement.gone(now);
+      }
+    }
+    context.newsForLeader();
+  }
+
+  void freeAll(MachineId machine, SteadyTime now) {
+    for (Placement placement : placements.on(machine)) {
+      if (placement.isBound()) {
+        placement.gone(now);
+      }
     }
+    context.newsForLeader();
+  }
 }
--- a/src/main/java/org/quincecross/block/MachineViews.java
+++ b/src/main/java/org/quincecross/block/MachineViews.java
@@ -23,154 +23,194 @@
 
 /** What machines have room for and are doing, put together from placements and reports. */
 final class MachineViews {
-    /** A replica that has just been started should not be stopped again for tidiness. */
-    private static final Span MOVABLE_AFTER = Span.ofSeconds(40);
+  /** A replica that has just been started should not be stopped again for tidiness. */
+  private static final Span MOVABLE_AFTER = Span.ofSeconds(40);
 
-    /** A machine that hears nothing goes the round of the controllers in this time. */
-    private static final Span ROUND = Span.ofSeconds(20);
+  /** A machine that hears nothing goes the round of the controllers in this time. */
+  private static final Span ROUND = Span.ofSeconds(20);
 
-    private final HolderContext context;
-    private final BlockHolder holder;
-    private final Placements placements;
-    private final Map<MachineId, Session> sessions;
-    private final BlockScheduler scheduler;
-    private final MachineWatch watch;
+  private final HolderContext context;
+  private final BlockHolder holder;
+  private final Placements placements;
+  private final Map<MachineId, Session> sessions;
+  private final BlockScheduler scheduler;
+  private final MachineWatch watch;
 
-    MachineViews(HolderContext context, BlockHolder holder, Placements placements, Map<MachineId, Session> sessions,
-            BlockScheduler scheduler, MachineWatch watch) {
-        this.context = context;
-        this.holder = holder;
-        this.placements = placements;
-        this.sessions = sessions;
-        this.scheduler = scheduler;
-        this.watch = watch;
-    }
+  MachineViews(
+      HolderContext context,
+      BlockHolder holder,
+      Placements placements,
+      Map<MachineId, Session> sessions,
+      BlockScheduler scheduler,
+      MachineWatch watch) {
+    this.context = context;
+    this.holder = holder;
+    this.placements = placements;
+    this.sessions = sessions;
+    this.scheduler = scheduler;
+    this.watch = watch;
+  }
 
-    /** What the machine's tasks take: those placed there, and what else it reports. */
-    Resources used(Session session) {
-        Resources used = Resources.NONE;
-        MachineId machine = session.machine().id();
-        for (Placement placement : placements.seenOn(machine)) {
-            if (placement.isBound()) {
-                used = used.plus(placement.job().each());
-            }
-        }
-        if (session.report() != null) {
-            for (Piece piece : session.report().pieces()) {
-                Placement placement = placements.get(piece.task());
-                boolean counted = placement != null && placement.isBoundTo(machine, piece.attempt());
-                JobRecord job = context.ledger().job(piece.task().job());
-                if (piece.state() != TaskState.EXITED && !counted && job != null && job.job() != null) {
-                    used = used.plus(job.job().each());
-                }
-            }
-        }
-        return used;
+  /** What the machine's tasks take: those placed there, and what else it reports. */
+  Resources used(Session session) {
+    Resources used = Resources.NONE;
+    MachineId machine = session.machine().id();
+    for (Placement placement : placements.seenOn(machine)) {
+      if (placement.isBound()) {
+        used = used.plus(placement.job().each());
+      }
     }
-
-    /** What urgent work could have in a moment: what takes no time to stop, or is being stopped already. */
-    Resources displaceable(MachineId machine) {
-        Resources sum = Resources.NONE;
-        for (Placement placement : placements.seenOn(machine)) {
-            Job job = placement.job();
-            if (placement.state() == Placement.State.STOPPING || placement.isBound() && job.rank() != Rank.PRODUCTION
-                    && job.shape() != Shape.GANG && !job.saves()) {
-                sum = sum.plus(job.each());
-            }
+    if (session.report() != null) {
+      for (Piece piece : session.report().pieces()) {
+        Placement placement = placements.get(piece.task());
+        boolean counted = placement != null && placement.isBoundTo(machine, piece.attempt());
+        JobRecord job = context.ledger().job(piece.task().job());
+        if (piece.state() != TaskState.EXITED && !counted && job != null && job.job() != null) {
+          used = used.plus(job.job().each());
         }
-        return sum;
+      }
     }
+    return used;
+  }
 
-    /** What is to be kept free, but for room for requests that is lent to what makes way for them. */
-    List<Reserve> lessLent(List<Reserve> reserves) {
-        if (reserves.stream().noneMatch(reserve -> reserve.purpose() == Reserve.Purpose.REQUESTS)) {
-            return reserves;
-        }
-        List<Reserve> less = new ArrayList<>();
-        for (Reserve reserve : reserves) {
-            less.add(reserve.purpose() == Reserve.Purpose.REQUESTS ? reserve.lent(lent(reserve)) : reserve);
-        }
-        return less;
+  /**
+   * What urgent work could have in a moment: what takes no time to stop, or is being stopped
+   * already.
+   */
+  Resources displaceable(MachineId machine) {
+    Resources sum = Resources.NONE;
+    for (Placement placement : placements.seenOn(machine)) {
+      Job job = placement.job();
+      if (placement.state() == Placement.State.STOPPING
+          || placement.isBound()
+              && job.rank() != Rank.PRODUCTION
+              && job.shape() != Shape.GANG
+              && !job.saves()) {
+        sum = sum.plus(job.each());
+      }
     }
+    return sum;
+  }
 
-    private int lent(Reserve reserve) {
-        int tasks = 0;
-        for (Session session : sessions.values()) {
-            if (holder.isOpen(session)) {
-                Resources borrowed = Resources.NONE;
-                for (Placement placement : placements.seenOn(session.machine().id())) {
-                    borrowed = Reserve.mayBorrow(placement.job()) ? borrowed.plus(placement.job().each()) : borrowed;
-                }
-                Resources free = session.capacity().minus(used(session));
-                tasks += free.plus(borrowed).count(reserve.each()) - free.count(reserve.each());
-            }
-        }
-        return tasks;
+  /** What is to be kept free, but for room for requests that is lent to what makes way for them. */
+  List<Reserve> lessLent(List<Reserve> reserves) {
+    if (reserves.stream().noneMatch(reserve -> reserve.purpose() == Reserve.Purpose.REQUESTS)) {
+      return reserves;
+    }
+    List<Reserve> less = new ArrayList<>();
+    for (Reserve reserve : reserves) {
+      less.add(
+          reserve.purpose() == Reserve.Purpose.REQUESTS ? reserve.lent(lent(reserve)) : reserve);
     }
+    return less;
+  }
 
-    /** The images that tasks on the machine wait for, and the highest priority among those tasks. */
-    Map<String, Rank> fetching(Session session) {
-        Map<String, Rank> images = new HashMap<>();
+  private int lent(Reserve reserve) {
+    int tasks = 0;
+    for (Session session : sessions.values()) {
+      if (holder.isOpen(session)) {
+        Resources borrowed = Resources.NONE;
         for (Placement placement : placements.seenOn(session.machine().id())) {
-            if (placement.isBound() && !placement.isRunning() && session.isFetching(placement.job().image())) {
-                images.merge(placement.job().image(), placement.job().rank(), (one, other) -> one.isAbove(other) ? one : other);
-            }
+          borrowed =
+              Reserve.mayBorrow(placement.job()) ? borrowed.plus(placement.job().each()) : borrowed;
         }
-        return images;
+        Resources free = session.capacity().minus(used(session));
+        tasks += free.plus(borrowed).count(reserve.each()) - free.count(reserve.each());
+      }
     }
+    return tasks;
+  }
 
-    /** What is known of a machine, for the leader and for operators; null if it is not in the block. */
-    PeerReport.MachineState machine(MachineId id) {
-        Session session = sessions.get(id);
-        if (session == null) {
-            return null;
-        }
-        SteadyTime now = context.now();
-        int tasks = 0;
-        Set<String> inUse = new TreeSet<>();
-        for (Placement placement : placements.seenOn(id)) {
-            tasks++;
-            inUse.add(placement.job().image());
-        }
-        // Where nothing that is sent arrives there is no room for anybody, however empty it looks.
-        boolean hears = session.hearing().hears();
-        return new PeerReport.MachineState(id, hears ? session.capacity().minus(used(session)) : Resources.NONE,
-                hears ? displaceable(id) : Resources.NONE, silence(session, now),
-                holder.isOpen(session), session.state() == Session.State.FENCED, session.hasNotice(),
-                session.isSick() || watch.isToBeReplaced(session, now), isMovable(id, now),
-                tasks, scheduler.machine(id).waiting().size(), session.images(), List.copyOf(inUse));
+  /** The images that tasks on the machine wait for, and the highest priority among those tasks. */
+  Map<String, Rank> fetching(Session session) {
+    Map<String, Rank> images = new HashMap<>();
+    for (Placement placement : placements.seenOn(session.machine().id())) {
+      if (placement.isBound()
+          && !placement.isRunning()
+          && session.isFetching(placement.job().image())) {
+        images.merge(
+            placement.job().image(),
+            placement.job().rank(),
+            (one, other) -> one.isAbove(other) ? one : other);
+      }
     }
+    return images;
+  }
 
-    /** Whether time alone has made what was last told of a machine out of date: it fell silent, or its replicas have stayed. */
-    boolean hasAged(PeerReport.MachineState told) {
-        Session session = sessions.get(told.id());
-        SteadyTime now = context.now();
-        return session != null && (!silence(session, now).equals(told.silent()) || holder.isOpen(session) != told.open()
-                || !told.sick() && watch.isToBeReplaced(session, now)
-                || !told.movable() && told.tasks() > 0 && isMovable(told.id(), now));
+  /**
+   * What is known of a machine, for the leader and for operators; null if it is not in the block.
+   */
+  PeerReport.MachineState machine(MachineId id) {
+    Session session = sessions.get(id);
+    if (session == null) {
+      return null;
     }
-
-    /** Whether all that is there are replicas that have run for a while. */
-    private boolean isMovable(MachineId machine, SteadyTime now) {
-        for (Placement placement : placements.seenOn(machine)) {
-            if (placement.job().shape() != Shape.SERVICE || placement.state() != Placement.State.ACTIVE || !placement.isRunning()
-                    || !now.since(placement.runningSince()).isMoreThan(MOVABLE_AFTER)) {
-                return false;
-            }
-        }
-        return true;
+    SteadyTime now = context.now();
+    int tasks = 0;
+    Set<String> inUse = new TreeSet<>();
+    for (Placement placement : placements.seenOn(id)) {
+      tasks++;
+      inUse.add(placement.job().image());
     }
+    // Where nothing that is sent arrives there is no room for anybody, however empty it looks.
+    boolean hears = session.hearing().hears();
+    return new PeerReport.MachineState(
+        id,
+        hears ? session.capacity().minus(used(session)) : Resources.NONE,
+        hears ? displaceable(id) : Resources.NONE,
+        silence(session, now),
+        holder.isOpen(session),
+        session.state() == Session.State.FENCED,
+        session.hasNotice(),
+        session.isSick() || watch.isToBeReplaced(session, now),
+        isMovable(id, now),
+        tasks,
+        scheduler.machine(id).waiting().size(),
+        session.images(),
+        List.copyOf(inUse));
+  }
 
-    private Span silence(Session session, SteadyTime now) {
-        Span silent = now.since(session.heard());
-        if (!session.hearing().hears() && !silent.isMoreThan(ROUND)) {
-            return Span.ZERO; // it goes the round of the controllers and speaks to each; another would not be heard either
-        }
-        return silent.isMoreThan(quiet(context.workers())) ? Span.ofSeconds(Math.floor(silent.seconds())) : Span.ZERO;
+  /**
+   * Whether time alone has made what was last told of a machine out of date: it fell silent, or its
+   * replicas have stayed.
+   */
+  boolean hasAged(PeerReport.MachineState told) {
+    Session session = sessions.get(told.id());
+    SteadyTime now = context.now();
+    return session != null
+        && (!silence(session, now).equals(told.silent())
+            || holder.isOpen(session) != told.open()
+            || !told.sick() && watch.isToBeReplaced(session, now)
+            || !told.movable() && told.tasks() > 0 && isMovable(told.id(), now));
+  }
+
+  /** Whether all that is there are replicas that have run for a while. */
+  private boolean isMovable(MachineId machine, SteadyTime now) {
+    for (Placement placement : placements.seenOn(machine)) {
+      if (placement.job().shape() != Shape.SERVICE
+          || placement.state() != Placement.State.ACTIVE
+          || !placement.isRunning()
+          || !now.since(placement.runningSince()).isMoreThan(MOVABLE_AFTER)) {
+        return false;
+      }
     }
+    return true;
+  }
 
-    /** A machine that has reported this lately is not called silent. */
-    private static Span quiet(Settings.Workers workers) {
-        return workers.report().times(1.25).plus(Span.ofSeconds(2));
+  private Span silence(Session session, SteadyTime now) {
+    Span silent = now.since(session.heard());
+    if (!session.hearing().hears() && !silent.isMoreThan(ROUND)) {
+      return Span
+          .ZERO; // it goes the round of the controllers and speaks to each; another would not be
+      // heard either
     }
+    return silent.isMoreThan(quiet(context.workers()))
+        ? Span.ofSeconds(Math.floor(silent.seconds()))
+        : Span.ZERO;
+  }
+
+  /** A machine that has reported this lately is not called silent. */
+  private static Span quiet(Settings.Workers workers) {
+    return workers.report().times(1.25).plus(Span.ofSeconds(2));
+  }
 }
--- a/src/main/java/org/quincecross/block/MachineWatch.java
+++ b/src/main/java/org/quincecross/block/MachineWatch.java
@@ -13,140 +13,165 @@
 
 /** Which machines of a block are heard and hear, and which have surely lost their leases. */
 final class MachineWatch {
-    private static final Logger LOG = LoggerFactory.getLogger(MachineWatch.class);
-    /** Beyond the clocks' drift: what a worker and this process may take to notice. */
-    private static final Span LEASE_MARGIN = Span.ofSeconds(0.7);
-    private static final double CLOCK_DRIFT = 1.001;
-    private static final Span LONGEST_UNLOOKED = Span.ofSeconds(1);
-    /** A machine that has not heard anything for so much longer than a lease is to be replaced. */
-    private static final Span LASTING = Span.ofSeconds(75);
-    /** Of so many machines of a block one may be replaced for being deaf; where more are, it is the network. */
-    private static final int MACHINES_PER_DEAF = 5;
-
-    private final HolderContext context;
-    private final BlockHolder holder;
-    private final Intake intake;
-    private final Map<MachineId, Session> sessions;
-    /** Before this no machine loses anything by its silence; what is heard meanwhile only puts it off. */
-    private SteadyTime silentAt;
-    private boolean formerHaveEnded;
-
-    MachineWatch(HolderContext context, BlockHolder holder, Intake intake, Map<MachineId, Session> sessions) {
-        this.context = context;
-        this.holder = holder;
-        this.intake = intake;
-        this.sessions = sessions;
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(MachineWatch.class);
 
-    private Span lease() {
-        return context.workers().lease().times(CLOCK_DRIFT).plus(LEASE_MARGIN);
-    }
+  /** Beyond the clocks' drift: what a worker and this process may take to notice. */
+  private static final Span LEASE_MARGIN = Span.ofSeconds(0.7);
 
-    /** Looks for machines whose silence has ended their leases. Returns whether one was found. */
-    boolean tick() {
-        SteadyTime now = context.now();
-        if (!formerHaveEnded && context.allHaveNoted(new Revision(holder.lease().token().number()))) {
-            // Whoever held the block before this lease knows by now that it does not, and answers no machine of it any more.
-            formerHaveEnded = true;
-            sessions.values().forEach(session -> session.answeredByOthersUntil(now));
-            silentAt = null;
-        }
-        if (silentAt != null && now.isBefore(silentAt)) {
-            return false;
-        }
-        silentAt = now.plus(LONGEST_UNLOOKED);
-        boolean found = false;
-        for (Session session : List.copyOf(sessions.values())) {
-            found |= lookAtSilence(session, now);
-        }
-        return found;
-    }
+  private static final double CLOCK_DRIFT = 1.001;
+  private static final Span LONGEST_UNLOOKED = Span.ofSeconds(1);
 
-    /** For so long no machine was listened to. Their leases ran on all the same. */
-    void excuse(Span gap) {
-        SteadyTime now = context.now();
-        for (Session session : sessions.values()) {
-            SteadyTime heard = session.heard().plus(gap);
-            session.hear(now.isBefore(heard) ? now : heard);
-        }
-    }
+  /** A machine that has not heard anything for so much longer than a lease is to be replaced. */
+  private static final Span LASTING = Span.ofSeconds(75);
 
-    /** What a machine that is not heard loses with time, and when that is to be looked at again. */
-    private boolean lookAtSilence(Session session, SteadyTime now) {
-        boolean lost = loseIfOver(session, now);
-        boolean open = holder.isOpen(session);
-        if (session.wasOpen() != open) {
-            holder.stir(session); // by falling silent
-        }
-        SteadyTime next = open ? session.heard().plus(openFor()) : session.leaseEnds(lease());
-        if (session.state() != Session.State.LOST && next.isBefore(silentAt)) {
-            silentAt = next;
-        }
-        return lost;
-    }
+  /**
+   * Of so many machines of a block one may be replaced for being deaf; where more are, it is the
+   * network.
+   */
+  private static final int MACHINES_PER_DEAF = 5;
+
+  private final HolderContext context;
+  private final BlockHolder holder;
+  private final Intake intake;
+  private final Map<MachineId, Session> sessions;
+
+  /**
+   * Before this no machine loses anything by its silence; what is heard meanwhile only puts it off.
+   */
+  private SteadyTime silentAt;
+
+  private boolean formerHaveEnded;
+
+  MachineWatch(
+      HolderContext context, BlockHolder holder, Intake intake, Map<MachineId, Session> sessions) {
+    this.context = context;
+    this.holder = holder;
+    this.intake = intake;
+    this.sessions = sessions;
+  }
 
-    /**
-     * That a lease is over counts only as of the last word from the state service: until then nobody else held the block, so
-     * nobody else can have renewed it. After that another controller may have, and what runs there goes on, while the other
-     * machines may still obey this holder (docs/incidents/lost-by-a-former-holder.md).
-     */
-    private boolean loseIfOver(Session session, SteadyTime now) {
-        SteadyTime confirmed = context.confirmed();
-        if (session.state() == Session.State.LOST || confirmed == null || !session.leaseIsOver(lease(), confirmed)) {
-            return false;
-        }
-        LOG.info("block {}: machine {} has not taken an answer for a lease, which is over", holder.id(), session.machine().id());
-        session.enter(Session.State.LOST);
-        intake.freeAll(session.machine().id(), now);
-        holder.stir(session);
-        return true;
+  private Span lease() {
+    return context.workers().lease().times(CLOCK_DRIFT).plus(LEASE_MARGIN);
+  }
+
+  /** Looks for machines whose silence has ended their leases. Returns whether one was found. */
+  boolean tick() {
+    SteadyTime now = context.now();
+    if (!formerHaveEnded && context.allHaveNoted(new Revision(holder.lease().token().number()))) {
+      // Whoever held the block before this lease knows by now that it does not, and answers no
+      // machine of it any more.
+      formerHaveEnded = true;
+      sessions.values().forEach(session -> session.answeredByOthersUntil(now));
+      silentAt = null;
+    }
+    if (silentAt != null && now.isBefore(silentAt)) {
+      return false;
+    }
+    silentAt = now.plus(LONGEST_UNLOOKED);
+    boolean found = false;
+    for (Session session : List.copyOf(sessions.values())) {
+      found |= lookAtSilence(session, now);
     }
+    return found;
+  }
 
-    private Span openFor() {
-        return context.workers().report().times(2).plus(Span.ofSeconds(2));
+  /** For so long no machine was listened to. Their leases ran on all the same. */
+  void excuse(Span gap) {
+    SteadyTime now = context.now();
+    for (Session session : sessions.values()) {
+      SteadyTime heard = session.heard().plus(gap);
+      session.hear(now.isBefore(heard) ? now : heard);
     }
+  }
 
-    /** Whether it is heard and hears. */
-    boolean isInTouch(Session session) {
-        return session.hearing().hears() && !context.now().since(session.heard()).isMoreThan(openFor());
+  /** What a machine that is not heard loses with time, and when that is to be looked at again. */
+  private boolean lookAtSilence(Session session, SteadyTime now) {
+    boolean lost = loseIfOver(session, now);
+    boolean open = holder.isOpen(session);
+    if (session.wasOpen() != open) {
+      holder.stir(session); // by falling silent
     }
+    SteadyTime next = open ? session.heard().plus(openFor()) : session.leaseEnds(lease());
+    if (session.state() != Session.State.LOST && next.isBefore(silentAt)) {
+      silentAt = next;
+    }
+    return lost;
+  }
 
-    /**
-     * What a newer report says of whether the machine hears, before it is taken. Returns whether it proves that the machine's
-     * lease is over, or that the session is in which a former holder may have commanded.
-     */
-    boolean reported(Session session, WorkerReport report, boolean beat) {
-        SteadyTime now = context.now();
-        if (!beat) {
-            session.hearing().commandAnswered(report.order(), now);
-            return false;
-        }
-        boolean hadHeard = session.hearing().hears();
-        session.hearing().reported(report.session(), report.order(), context.workers().lease(), now);
-        if (hadHeard != session.hearing().hears()) {
-            if (session.hearing().state() == Deafness.State.DEAF) {
-                LOG.info("block {}: machine {} speaks and does not hear", holder.id(), session.machine().id());
-            }
-            holder.stir(session);
-        }
-        if (!session.provesNoneTaken(report, holder.lease().token())) {
-            return false;
-        }
-        session.hearing().noneTaken(now);
-        boolean isCleared = context.confirmed() != null && session.clearByTime(lease(), context.confirmed());
-        return loseIfOver(session, now) || isCleared;
+  /**
+   * That a lease is over counts only as of the last word from the state service: until then nobody
+   * else held the block, so nobody else can have renewed it. After that another controller may
+   * have, and what runs there goes on, while the other machines may still obey this holder
+   * (docs/incidents/lost-by-a-former-holder.md).
+   */
+  private boolean loseIfOver(Session session, SteadyTime now) {
+    SteadyTime confirmed = context.confirmed();
+    if (session.state() == Session.State.LOST
+        || confirmed == null
+        || !session.leaseIsOver(lease(), confirmed)) {
+      return false;
     }
+    LOG.info(
+        "block {}: machine {} has not taken an answer for a lease, which is over",
+        holder.id(),
+        session.machine().id());
+    session.enter(Session.State.LOST);
+    intake.freeAll(session.machine().id(), now);
+    holder.stir(session);
+    return true;
+  }
+
+  private Span openFor() {
+    return context.workers().report().times(2).plus(Span.ofSeconds(2));
+  }
 
-    /** Whether a machine has been deaf for so long that another should take its place, and the others are not deaf as well. */
-    boolean isToBeReplaced(Session session, SteadyTime now) {
-        if (!isLastingDeaf(session, now)) {
-            return false;
-        }
-        long deaf = sessions.values().stream().filter(other -> !other.hearing().hears()).count();
-        return deaf <= Math.max(1, sessions.size() / MACHINES_PER_DEAF);
+  /** Whether it is heard and hears. */
+  boolean isInTouch(Session session) {
+    return session.hearing().hears() && !context.now().since(session.heard()).isMoreThan(openFor());
+  }
+
+  /**
+   * What a newer report says of whether the machine hears, before it is taken. Returns whether it
+   * proves that the machine's lease is over, or that the session is in which a former holder may
+   * have commanded.
+   */
+  boolean reported(Session session, WorkerReport report, boolean beat) {
+    SteadyTime now = context.now();
+    if (!beat) {
+      session.hearing().commandAnswered(report.order(), now);
+      return false;
+    }
+    boolean hadHeard = session.hearing().hears();
+    session.hearing().reported(report.session(), report.order(), context.workers().lease(), now);
+    if (hadHeard != session.hearing().hears()) {
+      if (session.hearing().state() == Deafness.State.DEAF) {
+        LOG.info(
+            "block {}: machine {} speaks and does not hear", holder.id(), session.machine().id());
+      }
+      holder.stir(session);
     }
+    if (!session.provesNoneTaken(report, holder.lease().token())) {
+      return false;
+    }
+    session.hearing().noneTaken(now);
+    boolean isCleared =
+        context.confirmed() != null && session.clearByTime(lease(), context.confirmed());
+    return loseIfOver(session, now) || isCleared;
+  }
 
-    private boolean isLastingDeaf(Session session, SteadyTime now) {
-        return session.hearing().deafFor(now).isMoreThan(context.workers().lease().plus(LASTING));
+  /**
+   * Whether a machine has been deaf for so long that another should take its place, and the others
+   * are not deaf as well.
+   */
+  boolean isToBeReplaced(Session session, SteadyTime now) {
+    if (!isLastingDeaf(session, now)) {
+      return false;
     }
+    long deaf = sessions.values().stream().filter(other -> !other.hearing().hears()).count();
+    return deaf <= Math.max(1, sessions.size() / MACHINES_PER_DEAF);
+  }
+
+  private boolean isLastingDeaf(Session session, SteadyTime now) {
+    return session.hearing().deafFor(now).isMoreThan(context.workers().lease().plus(LASTING));
+  }
 }
--- a/src/main/java/org/quincecross/block/Placements.java
+++ b/src/main/java/org/quincecross/block/Placements.java
@@ -17,164 +17,165 @@
 import org.quincecross.model.TaskId;
 
 /**
- * The placements of a block, found by task, job, machine and state. A report or a change of a record then costs what it
- * touches, not what the block holds. What changed since it was last asked is remembered as well.
+ * The placements of a block, found by task, job, machine and state. A report or a change of a
+ * record then costs what it touches, not what the block holds. What changed since it was last asked
+ * is remembered as well.
  */
 final class Placements implements Placement.Observer {
-    private final Map<TaskId, Placement> byTask = new LinkedHashMap<>();
-    private final Map<JobId, Set<Placement>> byJob = new HashMap<>();
-    private final Map<MachineId, Set<Placement>> byMachine = new HashMap<>();
-    private final Map<Placement.State, Set<Placement>> byState = new EnumMap<>(Placement.State.class);
-    private final Map<JobId, Integer> running = new HashMap<>();
-    private final Map<JobId, Integer> runningSeen = Collections.unmodifiableMap(running);
-    private Set<Placement> changed = new LinkedHashSet<>();
-    private Set<MachineId> changedMachines = new LinkedHashSet<>();
-    private boolean stirred;
-
-    Placements() {
-        for (Placement.State state : Placement.State.values()) {
-            byState.put(state, new LinkedHashSet<>());
-        }
-    }
-
-    /** The one place where the indexes change. */
-    @Override
-    public void moved(Placement placement, Placement.State before, MachineId from) {
-        if (before != null) {
-            unlink(placement, before, from);
-        }
-        byState.get(placement.state()).add(placement);
-        if (placement.machine() != null) {
-            byMachine.computeIfAbsent(placement.machine(), id -> new LinkedHashSet<>()).add(placement);
-            changedMachines.add(placement.machine());
-        }
-        countRunning(placement, placement.isRunning());
-        changed.add(placement);
-        stirred = true;
-    }
-
-    private void countRunning(Placement placement, boolean runs) {
-        if (placement.countAsRunning(runs)) {
-            running.merge(placement.task().job(), runs ? 1 : -1, Integer::sum);
-            running.remove(placement.task().job(), 0);
-        }
-    }
-
-    private void unlink(Placement placement, Placement.State state, MachineId machine) {
-        stirred = true;
-        byState.get(state).remove(placement);
-        if (machine != null) {
-            Set<Placement> there = byMachine.get(machine);
-            there.remove(placement);
-            if (there.isEmpty()) {
-                byMachine.remove(machine);
-            }
-            changedMachines.add(machine);
-        }
-    }
-
-    Placement add(TaskId task, Job job, Placement.State state, SteadyTime now) {
-        Placement placement = new Placement(this, task, job, state, now);
-        byTask.put(task, placement);
-        byJob.computeIfAbsent(task.job(), id -> new LinkedHashSet<>()).add(placement);
-        return placement;
-    }
-
-    void remove(Placement placement) {
-        byTask.remove(placement.task());
-        Set<Placement> ofJob = byJob.get(placement.task().job());
-        ofJob.remove(placement);
-        if (ofJob.isEmpty()) {
-            byJob.remove(placement.task().job());
-        }
-        unlink(placement, placement.state(), placement.machine());
-        countRunning(placement, false);
-        changed.remove(placement);
-    }
-
-    Placement get(TaskId task) {
-        return byTask.get(task);
-    }
-
-    boolean has(TaskId task) {
-        return byTask.containsKey(task);
-    }
-
-    int size() {
-        return byTask.size();
-    }
-
-    List<Placement> all() {
-        return new ArrayList<>(byTask.values());
-    }
-
-    /** The jobs that have a placement here. */
-    Collection<JobId> jobs() {
-        return byJob.keySet();
-    }
-
-    List<Placement> ofJob(JobId job) {
-        return copy(byJob.get(job));
-    }
-
-    boolean hasJob(JobId job) {
-        return byJob.containsKey(job);
-    }
-
-    /** How many tasks of each job run here. */
-    Map<JobId, Integer> running() {
-        return runningSeen;
-    }
-
-    /** Those that a machine has to count or keeps the result of. */
-    List<Placement> on(MachineId machine) {
-        return copy(byMachine.get(machine));
-    }
-
-    /** The same, to look at: they must not be changed meanwhile. */
-    Collection<Placement> seenOn(MachineId machine) {
-        return byMachine.getOrDefault(machine, Set.of());
-    }
-
-    List<Placement> in(Placement.State state) {
-        return copy(byState.get(state));
-    }
-
-    int count(Placement.State state) {
-        return byState.get(state).size();
-    }
-
-    /** Those in a state, to look at: they must not be changed meanwhile. */
-    Collection<Placement> seenIn(Placement.State state) {
-        return byState.get(state);
-    }
-
-    private static List<Placement> copy(Set<Placement> placements) {
-        return placements == null ? List.of() : new ArrayList<>(placements);
-    }
-
-    /** What has changed since this was last asked. */
-    Collection<Placement> takeChanged() {
-        Set<Placement> taken = changed;
-        changed = new LinkedHashSet<>();
-        return taken;
-    }
-
-    boolean hasChanged() {
-        return !changed.isEmpty();
-    }
-
-    /** Whether anything has changed since this was last asked. */
-    boolean takeStirred() {
-        boolean taken = stirred;
-        stirred = false;
-        return taken;
-    }
-
-    /** The machines on which something has changed since this was last asked. */
-    Set<MachineId> takeChangedMachines() {
-        Set<MachineId> taken = changedMachines;
-        changedMachines = new LinkedHashSet<>();
-        return taken;
-    }
+  private final Map<TaskId, Placement> byTask = new LinkedHashMap<>();
+  private final Map<JobId, Set<Placement>> byJob = new HashMap<>();
+  private final Map<MachineId, Set<Placement>> byMachine = new HashMap<>();
+  private final Map<Placement.State, Set<Placement>> byState = new EnumMap<>(Placement.State.class);
+  private final Map<JobId, Integer> running = new HashMap<>();
+  private final Map<JobId, Integer> runningSeen = Collections.unmodifiableMap(running);
+  private Set<Placement> changed = new LinkedHashSet<>();
+  private Set<MachineId> changedMachines = new LinkedHashSet<>();
+  private boolean stirred;
+
+  Placements() {
+    for (Placement.State state : Placement.State.values()) {
+      byState.put(state, new LinkedHashSet<>());
+    }
+  }
+
+  /** The one place where the indexes change. */
+  @Override
+  public void moved(Placement placement, Placement.State before, MachineId from) {
+    if (before != null) {
+      unlink(placement, before, from);
+    }
+    byState.get(placement.state()).add(placement);
+    if (placement.machine() != null) {
+      byMachine.computeIfAbsent(placement.machine(), id -> new LinkedHashSet<>()).add(placement);
+      changedMachines.add(placement.machine());
+    }
+    countRunning(placement, placement.isRunning());
+    changed.add(placement);
+    stirred = true;
+  }
+
+  private void countRunning(Placement placement, boolean runs) {
+    if (placement.countAsRunning(runs)) {
+      running.merge(placement.task().job(), runs ? 1 : -1, Integer::sum);
+      running.remove(placement.task().job(), 0);
+    }
+  }
+
+  private void unlink(Placement placement, Placement.State state, MachineId machine) {
+    stirred = true;
+    byState.get(state).remove(placement);
+    if (machine != null) {
+      Set<Placement> there = byMachine.get(machine);
+      there.remove(placement);
+      if (there.isEmpty()) {
+        byMachine.remove(machine);
+      }
+      changedMachines.add(machine);
+    }
+  }
+
+  Placement add(TaskId task, Job job, Placement.State state, SteadyTime now) {
+    Placement placement = new Placement(this, task, job, state, now);
+    byTask.put(task, placement);
+    byJob.computeIfAbsent(task.job(), id -> new LinkedHashSet<>()).add(placement);
+    return placement;
+  }
+
+  void remove(Placement placement) {
+    byTask.remove(placement.task());
+    Set<Placement> ofJob = byJob.get(placement.task().job());
+    ofJob.remove(placement);
+    if (ofJob.isEmpty()) {
+      byJob.remove(placement.task().job());
+    }
+    unlink(placement, placement.state(), placement.machine());
+    countRunning(placement, false);
+    changed.remove(placement);
+  }
+
+  Placement get(TaskId task) {
+    return byTask.get(task);
+  }
+
+  boolean has(TaskId task) {
+    return byTask.containsKey(task);
+  }
+
+  int size() {
+    return byTask.size();
+  }
+
+  List<Placement> all() {
+    return new ArrayList<>(byTask.values());
+  }
+
+  /** The jobs that have a placement here. */
+  Collection<JobId> jobs() {
+    return byJob.keySet();
+  }
+
+  List<Placement> ofJob(JobId job) {
+    return copy(byJob.get(job));
+  }
+
+  boolean hasJob(JobId job) {
+    return byJob.containsKey(job);
+  }
+
+  /** How many tasks of each job run here. */
+  Map<JobId, Integer> running() {
+    return runningSeen;
+  }
+
+  /** Those that a machine has to count or keeps the result of. */
+  List<Placement> on(MachineId machine) {
+    return copy(byMachine.get(machine));
+  }
+
+  /** The same, to look at: they must not be changed meanwhile. */
+  Collection<Placement> seenOn(MachineId machine) {
+    return byMachine.getOrDefault(machine, Set.of());
+  }
+
+  List<Placement> in(Placement.State state) {
+    return copy(byState.get(state));
+  }
+
+  int count(Placement.State state) {
+    return byState.get(state).size();
+  }
+
+  /** Those in a state, to look at: they must not be changed meanwhile. */
+  Collection<Placement> seenIn(Placement.State state) {
+    return byState.get(state);
+  }
+
+  private static List<Placement> copy(Set<Placement> placements) {
+    return placements == null ? List.of() : new ArrayList<>(placements);
+  }
+
+  /** What has changed since this was last asked. */
+  Collection<Placement> takeChanged() {
+    Set<Placement> taken = changed;
+    changed = new LinkedHashSet<>();
+    return taken;
+  }
+
+  boolean hasChanged() {
+    return !changed.isEmpty();
+  }
+
+  /** Whether anything has changed since this was last asked. */
+  boolean takeStirred() {
+    boolean taken = stirred;
+    stirred = false;
+    return taken;
+  }
+
+  /** The machines on which something has changed since this was last asked. */
+  Set<MachineId> takeChangedMachines() {
+    Set<MachineId> taken = changedMachines;
+    changedMachines = new LinkedHashSet<>();
+    return taken;
+  }
 }
--- a/src/main/java/org/quincecross/block/RoomElsewhere.java
+++ b/src/main/java/org/quincecross/block/RoomElsewhere.java
@@ -14,58 +14,71 @@
 import org.quincecross.state.Ledger;
 
 /**
- * Whether work that waits in one block would most likely start at once in another, as far as the controllers have told. A hint alone, by
- * which work goes back to the pool: where it may go and start is decided by the leader.
+ * Whether work that waits in one block would most likely start at once in another, as far as the
+ * controllers have told. A hint alone, by which work goes back to the pool: where it may go and
+ * start is decided by the leader.
  */
 public final class RoomElsewhere {
-    private final Ledger ledger;
-    private final PeerViews views;
-    private final Function<BlockId, List<Reserve>> reserves;
+  private final Ledger ledger;
+  private final PeerViews views;
+  private final Function<BlockId, List<Reserve>> reserves;
 
-    /** @param reserves what a block keeps free */
-    public RoomElsewhere(Ledger ledger, PeerViews views, Function<BlockId, List<Reserve>> reserves) {
-        this.ledger = ledger;
-        this.views = views;
-        this.reserves = reserves;
+  /**
+   * @param reserves what a block keeps free
+   */
+  public RoomElsewhere(Ledger ledger, PeerViews views, Function<BlockId, List<Reserve>> reserves) {
+    this.ledger = ledger;
+    this.views = views;
+    this.reserves = reserves;
+  }
+
+  /**
+   * Whether another block than {@code here} has room for a task of a job, and nothing in its queues
+   * that would take it first.
+   */
+  public boolean isFor(Job job, BlockId here) {
+    BlockLease own = ledger.block(here);
+    for (BlockLease block : ledger.blocks().values()) {
+      // The other tasks of a job bound to one zone are most likely here.
+      boolean mayGo =
+          !block.id().equals(here)
+              && job.allows(block.type(), block.zone(), block.spot())
+              && (!job.oneZone()
+                  || job.tasks() == 1
+                  || own != null && block.zone().equals(own.zone()));
+      if (mayGo && hasRoom(job, block)) {
+        return true;
+      }
     }
+    return false;
+  }
 
-    /** Whether another block than {@code here} has room for a task of a job, and nothing in its queues that would take it first. */
-    public boolean isFor(Job job, BlockId here) {
-        BlockLease own = ledger.block(here);
-        for (BlockLease block : ledger.blocks().values()) {
-            // The other tasks of a job bound to one zone are most likely here.
-            boolean mayGo = !block.id().equals(here) && job.allows(block.type(), block.zone(), block.spot())
-                    && (!job.oneZone() || job.tasks() == 1 || own != null && block.zone().equals(own.zone()));
-            if (mayGo && hasRoom(job, block)) {
-                return true;
-            }
-        }
+  private boolean hasRoom(Job job, BlockLease block) {
+    PeerViews.View holder = views.of(block.holder());
+    PeerViews.BlockView view = holder == null ? null : holder.blocks().get(block.id());
+    MachineType type = ledger.types().get(block.type());
+    if (view == null
+        || type == null
+        || !view.token().equals(block.token())
+        || view.declined().contains(job.id())) {
+      return false;
+    }
+    Resources free = Resources.NONE;
+    boolean fits = false;
+    for (MachineId id : block.machines().keySet()) {
+      PeerReport.MachineState machine = view.machines().get(id);
+      if (machine == null || !machine.open() || block.leaving().contains(id)) {
+        continue;
+      }
+      if (machine.queued() > 0) {
         return false;
+      }
+      free = free.plus(machine.free());
+      fits |= job.each().fitsIn(machine.free());
     }
-
-    private boolean hasRoom(Job job, BlockLease block) {
-        PeerViews.View holder = views.of(block.holder());
-        PeerViews.BlockView view = holder == null ? null : holder.blocks().get(block.id());
-        MachineType type = ledger.types().get(block.type());
-        if (view == null || type == null || !view.token().equals(block.token()) || view.declined().contains(job.id())) {
-            return false;
-        }
-        Resources free = Resources.NONE;
-        boolean fits = false;
-        for (MachineId id : block.machines().keySet()) {
-            PeerReport.MachineState machine = view.machines().get(id);
-            if (machine == null || !machine.open() || block.leaving().contains(id)) {
-                continue;
-            }
-            if (machine.queued() > 0) {
-                return false;
-            }
-            free = free.plus(machine.free());
-            fits |= job.each().fitsIn(machine.free());
-        }
-        for (Reserve reserve : reserves.apply(block.id())) {
-            free = reserve.keepsOut(job, type.capacity()) ? free.minus(reserve.total()) : free;
-        }
-        return fits && job.each().fitsIn(free);
+    for (Reserve reserve : reserves.apply(block.id())) {
+      free = reserve.keepsOut(job, type.capacity()) ? free.minus(reserve.total()) : free;
     }
+    return fits && job.each().fitsIn(free);
+  }
 }
--- a/src/main/java/org/quincecross/block/RoomMaker.java
+++ b/src/main/java/org/quincecross/block/RoomMaker.java
@@ -20,167 +20,208 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Stops what runs: for work of higher priority, and on machines that go, or fail what they are given. */
+/**
+ * Stops what runs: for work of higher priority, and on machines that go, or fail what they are
+ * given.
+ */
 final class RoomMaker {
-    private static final Logger LOG = LoggerFactory.getLogger(RoomMaker.class);
-    private static final Span ROOM_PATIENCE = Span.ofMillis(20);
+  private static final Logger LOG = LoggerFactory.getLogger(RoomMaker.class);
+  private static final Span ROOM_PATIENCE = Span.ofMillis(20);
 
-    /** What nobody expects by any time is stopped as soon as other work finds no room. */
-    private static final Span IDLE_PATIENCE = Span.ofSeconds(1);
+  /** What nobody expects by any time is stopped as soon as other work finds no room. */
+  private static final Span IDLE_PATIENCE = Span.ofSeconds(1);
 
-    /** Before that it is not: its floors and turns would come to nothing, and machines would do little but start and save. */
-    private static final Span IDLE_TURN = Span.ofSeconds(20);
+  /**
+   * Before that it is not: its floors and turns would come to nothing, and machines would do little
+   * but start and save.
+   */
+  private static final Span IDLE_TURN = Span.ofSeconds(20);
 
-    private final HolderContext context;
-    private final BlockHolder holder;
-    private final Placements placements;
-    private final Map<TaskId, Entry> entries;
-    private final Map<MachineId, Session> sessions;
-    private final BlockScheduler scheduler;
+  private final HolderContext context;
+  private final BlockHolder holder;
+  private final Placements placements;
+  private final Map<TaskId, Entry> entries;
+  private final Map<MachineId, Session> sessions;
+  private final BlockScheduler scheduler;
 
-    RoomMaker(HolderContext context, BlockHolder holder, Placements placements, Map<TaskId, Entry> entries, Map<MachineId, Session> sessions,
-            BlockScheduler scheduler) {
-        this.context = context;
-        this.holder = holder;
-        this.placements = placements;
-        this.entries = entries;
-        this.sessions = sessions;
-        this.scheduler = scheduler;
-    }
+  RoomMaker(
+      HolderContext context,
+      BlockHolder holder,
+      Placements placements,
+      Map<TaskId, Entry> entries,
+      Map<MachineId, Session> sessions,
+      BlockScheduler scheduler) {
+    this.context = context;
+    this.holder = holder;
+    this.placements = placements;
+    this.entries = entries;
+    this.sessions = sessions;
+    this.scheduler = scheduler;
+  }
 
-    /** Stops a task and, of a gang, all others with it: progress is saved only if all are told in time. */
-    private void stopAll(Placement placement, boolean back, SteadyTime now) {
-        Job job = placement.job();
-        if (job.shape() != Shape.GANG) {
-            placement.stop(graceOf(job), back, now);
-            return;
-        }
-        for (int i = 0; i < job.tasks(); i++) {
-            Placement member = placements.get(job.id().task(i));
-            if (member != null && member.isBound()) {
-                member.stop(graceOf(job), back, now);
-            }
-        }
+  /**
+   * Stops a task and, of a gang, all others with it: progress is saved only if all are told in
+   * time.
+   */
+  private void stopAll(Placement placement, boolean back, SteadyTime now) {
+    Job job = placement.job();
+    if (job.shape() != Shape.GANG) {
+      placement.stop(graceOf(job), back, now);
+      return;
     }
-
-    /** Stops work of lower priority for work that has waited a moment and fits nowhere. */
-    void makeRoom(SteadyTime now) {
-        if (entries.isEmpty()) {
-            return;
-        }
-        boolean idleWork = placements.seenIn(Placement.State.ACTIVE).stream().anyMatch(placement -> context.isIdle(placement.job()));
-        Map<Entry, Boolean> impatient = new TreeMap<>(Entry.ORDER);
-        for (Entry entry : entries.values()) {
-            Placement first = placements.get(entry.tasks().get(0));
-            SteadyTime patient = first.since().plus(patience(first.job()));
-            boolean gang = entry.tasks().size() > 1;
-            if (!gang && !now.isBefore(patient)) {
-                impatient.put(entry, false);
-            } else if (idleWork && first.job().rank().isAbove(Rank.LOW)) {
-                SteadyTime soon = first.since().plus(IDLE_PATIENCE);
-                if (now.isBefore(soon)) {
-                    holder.wakeBy(soon);
-                } else {
-                    impatient.put(entry, true);
-                }
-            }
-            if (!gang && now.isBefore(patient)) {
-                holder.wakeBy(patient);
-            }
-        }
-        Preemption preemption = null;
-        for (Map.Entry<Entry, Boolean> waits : impatient.entrySet()) {
-            Entry entry = waits.getKey();
-            preemption = preemption == null ? new Preemption(scheduler, stoppable(now), stopping()) : preemption;
-            for (Preemption.Running victim : preemption.makeRoom(entry, waits.getValue())) {
-                LOG.info("block {}: {} makes room for {}", holder.id(), victim.task(), entry.tasks().get(0));
-                stopAll(placements.get(victim.task()), true, now);
-            }
-        }
+    for (int i = 0; i < job.tasks(); i++) {
+      Placement member = placements.get(job.id().task(i));
+      if (member != null && member.isBound()) {
+        member.stop(graceOf(job), back, now);
+      }
     }
+  }
 
-    /** What the tasks take that are being stopped, on each machine. */
-    private Map<MachineId, Resources> stopping() {
-        Map<MachineId, Resources> stopping = new HashMap<>();
-        for (Placement placement : placements.in(Placement.State.STOPPING)) {
-            stopping.merge(placement.machine(), placement.job().each(), Resources::plus);
-        }
-        return stopping;
+  /** Stops work of lower priority for work that has waited a moment and fits nowhere. */
+  void makeRoom(SteadyTime now) {
+    if (entries.isEmpty()) {
+      return;
     }
-
-    private List<Preemption.Running> stoppable(SteadyTime now) {
-        List<Preemption.Running> running = new ArrayList<>();
-        for (Placement.State state : List.of(Placement.State.STARTING, Placement.State.ACTIVE)) {
-            for (Placement placement : placements.in(state)) {
-                if (placement.job().shape() != Shape.GANG) {
-                    running.add(new Preemption.Running(placement.task(), placement.machine(), placement.job().rank(),
-                            context.isIdle(placement.job()) && now.since(placement.since()).isMoreThan(IDLE_TURN),
-                            placement.job().each(), placement.job().saves(), placement.since()));
-                }
-            }
+    boolean idleWork =
+        placements.seenIn(Placement.State.ACTIVE).stream()
+            .anyMatch(placement -> context.isIdle(placement.job()));
+    Map<Entry, Boolean> impatient = new TreeMap<>(Entry.ORDER);
+    for (Entry entry : entries.values()) {
+      Placement first = placements.get(entry.tasks().get(0));
+      SteadyTime patient = first.since().plus(patience(first.job()));
+      boolean gang = entry.tasks().size() > 1;
+      if (!gang && !now.isBefore(patient)) {
+        impatient.put(entry, false);
+      } else if (idleWork && first.job().rank().isAbove(Rank.LOW)) {
+        SteadyTime soon = first.since().plus(IDLE_PATIENCE);
+        if (now.isBefore(soon)) {
+          holder.wakeBy(soon);
+        } else {
+          impatient.put(entry, true);
         }
-        return running;
+      }
+      if (!gang && now.isBefore(patient)) {
+        holder.wakeBy(patient);
+      }
     }
+    Preemption preemption = null;
+    for (Map.Entry<Entry, Boolean> waits : impatient.entrySet()) {
+      Entry entry = waits.getKey();
+      preemption =
+          preemption == null ? new Preemption(scheduler, stoppable(now), stopping()) : preemption;
+      for (Preemption.Running victim : preemption.makeRoom(entry, waits.getValue())) {
+        LOG.info(
+            "block {}: {} makes room for {}", holder.id(), victim.task(), entry.tasks().get(0));
+        stopAll(placements.get(victim.task()), true, now);
+      }
+    }
+  }
 
-    /** How long work waits before other work is stopped for it: what is queued ahead of its time may well start soon. */
-    private static Span patience(Job job) {
-        return job.rank() == Rank.PRODUCTION ? ROOM_PATIENCE
-                : Span.ofSeconds(Math.max(5, 0.25 * job.estimate().seconds()));
+  /** What the tasks take that are being stopped, on each machine. */
+  private Map<MachineId, Resources> stopping() {
+    Map<MachineId, Resources> stopping = new HashMap<>();
+    for (Placement placement : placements.in(Placement.State.STOPPING)) {
+      stopping.merge(placement.machine(), placement.job().each(), Resources::plus);
     }
+    return stopping;
+  }
 
-    /** A machine that is about to be taken: what can save does so, and what cannot finish goes elsewhere at once. */
-    void clearNoticed(SteadyTime now) {
-        for (Session session : sessions.values()) {
-            if (!session.hasNotice()) {
-                continue;
-            }
-            for (Placement placement : placements.on(session.machine().id())) {
-                if (!placement.isBound() || placement.state() == Placement.State.STOPPING) {
-                    continue;
-                }
-                double left = placement.job().estimate().seconds()
-                        - (placement.isRunning() ? now.since(placement.runningSince()).seconds() : 0);
-                if (left < 0 || left > 0.6 * session.report().notice().seconds() || placement.job().shape() == Shape.SERVICE) {
-                    stopAll(placement, true, now);
-                }
-            }
+  private List<Preemption.Running> stoppable(SteadyTime now) {
+    List<Preemption.Running> running = new ArrayList<>();
+    for (Placement.State state : List.of(Placement.State.STARTING, Placement.State.ACTIVE)) {
+      for (Placement placement : placements.in(state)) {
+        if (placement.job().shape() != Shape.GANG) {
+          running.add(
+              new Preemption.Running(
+                  placement.task(),
+                  placement.machine(),
+                  placement.job().rank(),
+                  context.isIdle(placement.job())
+                      && now.since(placement.since()).isMoreThan(IDLE_TURN),
+                  placement.job().each(),
+                  placement.job().saves(),
+                  placement.since()));
         }
+      }
     }
+    return running;
+  }
+
+  /**
+   * How long work waits before other work is stopped for it: what is queued ahead of its time may
+   * well start soon.
+   */
+  private static Span patience(Job job) {
+    return job.rank() == Rank.PRODUCTION
+        ? ROOM_PATIENCE
+        : Span.ofSeconds(Math.max(5, 0.25 * job.estimate().seconds()));
+  }
 
-    /**
-     * A machine that is to go back to the cloud, or fails what it is given: its work goes elsewhere. What has room and
-     * its image on another machine of the block starts there at once, the rest goes back to the pool.
-     */
-    void clearLeaving(SteadyTime now) {
-        Map<MachineId, Resources> room = new LinkedHashMap<>();
-        List<Placement> toMove = new ArrayList<>();
-        for (Session session : sessions.values()) {
-            if (session.isSick() || holder.lease().leaving().contains(session.machine().id())) {
-                toMove.addAll(placements.on(session.machine().id()));
-            }
+  /**
+   * A machine that is about to be taken: what can save does so, and what cannot finish goes
+   * elsewhere at once.
+   */
+  void clearNoticed(SteadyTime now) {
+    for (Session session : sessions.values()) {
+      if (!session.hasNotice()) {
+        continue;
+      }
+      for (Placement placement : placements.on(session.machine().id())) {
+        if (!placement.isBound() || placement.state() == Placement.State.STOPPING) {
+          continue;
         }
-        for (Placement placement : toMove) {
-            if (!placement.isBound() || placement.state() == Placement.State.STOPPING) {
-                continue;
-            }
-            if (room.isEmpty()) {
-                sessions.values().stream().filter(holder::isOpen).forEach(session ->
-                        room.put(session.machine().id(), session.capacity().minus(holder.used(session))));
-            }
-            boolean back = true;
-            for (Map.Entry<MachineId, Resources> other : room.entrySet()) {
-                if (back && placement.job().each().fitsIn(other.getValue())
-                        && sessions.get(other.getKey()).hasImage(placement.job().image())) {
-                    other.setValue(other.getValue().minus(placement.job().each()));
-                    back = false;
-                }
-            }
-            stopAll(placement, back, now);
+        double left =
+            placement.job().estimate().seconds()
+                - (placement.isRunning() ? now.since(placement.runningSince()).seconds() : 0);
+        if (left < 0
+            || left > 0.6 * session.report().notice().seconds()
+            || placement.job().shape() == Shape.SERVICE) {
+          stopAll(placement, true, now);
         }
+      }
     }
+  }
 
-    /** How long a task that is stopped has for saving its progress. */
-    static Span graceOf(Job job) {
-        return job.saves() ? job.saveTime().plus(Span.ofSeconds(1)) : Span.ZERO;
+  /**
+   * A machine that is to go back to the cloud, or fails what it is given: its work goes elsewhere.
+   * What has room and its image on another machine of the block starts there at once, the rest goes
+   * back to the pool.
+   */
+  void clearLeaving(SteadyTime now) {
+    Map<MachineId, Resources> room = new LinkedHashMap<>();
+    List<Placement> toMove = new ArrayList<>();
+    for (Session session : sessions.values()) {
+      if (session.isSick() || holder.lease().leaving().contains(session.machine().id())) {
+        toMove.addAll(placements.on(session.machine().id()));
+      }
     }
+    for (Placement placement : toMove) {
+      if (!placement.isBound() || placement.state() == Placement.State.STOPPING) {
+        continue;
+      }
+      if (room.isEmpty()) {
+        sessions.values().stream()
+            .filter(holder::isOpen)
+            .forEach(
+                session ->
+                    room.put(
+                        session.machine().id(), session.capacity().minus(holder.used(session))));
+      }
+      boolean back = true;
+      for (Map.Entry<MachineId, Resources> other : room.entrySet()) {
+        if (back
+            && placement.job().each().fitsIn(other.getValue())
+            && sessions.get(other.getKey()).hasImage(placement.job().image())) {
+          other.setValue(other.getValue().minus(placement.job().each()));
+          back = false;
+        }
+      }
+      stopAll(placement, back, now);
+    }
+  }
+
+  /** How long a task that is stopped has for saving its progress. */
+  static Span graceOf(Job job) {
+    return job.saves() ? job.saveTime().plus(Span.ofSeconds(1)) : Span.ZERO;
+  }
 }
--- a/src/main/java/org/quincecross/block/Waits.java
+++ b/src/main/java/org/quincecross/block/Waits.java
@@ -9,38 +9,55 @@
 
 /** Says in words what the tasks of a job wait for in a block. */
 final class Waits {
-    private Waits() {
-    }
+  private Waits() {}
 
-    /** One line for each thing that tasks of the job wait for; none where all that is here runs. */
-    static List<String> of(JobId job, BlockHolder holder, Placements placements, Map<MachineId, Session> sessions) {
-        Map<String, Integer> counts = new TreeMap<>();
-        for (Placement placement : placements.ofJob(job)) {
-            String what = what(placement, placement.machine() == null ? null : sessions.get(placement.machine()));
-            if (what != null) {
-                counts.merge(what, 1, Integer::sum);
-            }
-        }
-        List<String> waits = new ArrayList<>();
-        counts.forEach((what, tasks) -> waits.add(tasks + (tasks == 1 ? " task in block " : " tasks in block ") + holder.id() + ": " + what));
-        return waits;
+  /** One line for each thing that tasks of the job wait for; none where all that is here runs. */
+  static List<String> of(
+      JobId job, BlockHolder holder, Placements placements, Map<MachineId, Session> sessions) {
+    Map<String, Integer> counts = new TreeMap<>();
+    for (Placement placement : placements.ofJob(job)) {
+      String what =
+          what(placement, placement.machine() == null ? null : sessions.get(placement.machine()));
+      if (what != null) {
+        counts.merge(what, 1, Integer::sum);
+      }
     }
+    List<String> waits = new ArrayList<>();
+    counts.forEach(
+        (what, tasks) ->
+            waits.add(
+                tasks
+                    + (tasks == 1 ? " task in block " : " tasks in block ")
+                    + holder.id()
+                    + ": "
+                    + what));
+    return waits;
+  }
 
-    private static String what(Placement placement, Session session) {
-        return switch (placement.state()) {
-            case UNSETTLED -> "not to be started before every machine there has shown the present token or is proven gone";
-            case WAITING -> placement.failures() == 0 ? "queued for room"
-                    : "queued again after " + placement.failures() + " failed or refused starts";
-            case STARTING -> "to start on " + on(placement, session);
-            case ACTIVE -> placement.isRunning() ? null : "on " + on(placement, session) + ", waiting for its image or its gang";
-            case STOPPING -> "being stopped on " + on(placement, session);
-            case COMPLETED -> "completed, its result not yet durable";
-            case RELEASED -> "given back, its allocation not yet written anew";
-        };
-    }
+  private static String what(Placement placement, Session session) {
+    return switch (placement.state()) {
+      case UNSETTLED ->
+          "not to be started before every machine there has shown the present token or is proven gone";
+      case WAITING ->
+          placement.failures() == 0
+              ? "queued for room"
+              : "queued again after " + placement.failures() + " failed or refused starts";
+      case STARTING -> "to start on " + on(placement, session);
+      case ACTIVE ->
+          placement.isRunning()
+              ? null
+              : "on " + on(placement, session) + ", waiting for its image or its gang";
+      case STOPPING -> "being stopped on " + on(placement, session);
+      case COMPLETED -> "completed, its result not yet durable";
+      case RELEASED -> "given back, its allocation not yet written anew";
+    };
+  }
 
-    private static String on(Placement placement, Session session) {
-        String doubt = session != null && session.isInDoubt(placement.attempt()) ? ", whose answer to the start never came" : "";
-        return placement.machine() + doubt;
-    }
+  private static String on(Placement placement, Session session) {
+    String doubt =
+        session != null && session.isInDoubt(placement.attempt())
+            ? ", whose answer to the start never came"
+            : "";
+    return placement.machine() + doubt;
+  }
 }
