--- a/src/main/java/org/quincecross/block/Withholding.java
+++ b/src/main/java/org/quincecross/block/Withholding.java
@@ -8,52 +8,58 @@
 import org.quincecross.state.JobRecord;
 
 /**
- * Which of a block's tasks may start, by the records: open, not done, allocated here, and kept back by nothing. What is kept back and
- * runs is stopped in order, saved where it saves, and goes back; the allocation without it is the proof that it is gone.
+ * Which of a block's tasks may start, by the records: open, not done, allocated here, and kept back
+ * by nothing. What is kept back and runs is stopped in order, saved where it saves, and goes back;
+ * the allocation without it is the proof that it is gone.
  */
 final class Withholding {
-    private final HolderContext context;
-    private final BlockHolder holder;
+  private final HolderContext context;
+  private final BlockHolder holder;
 
-    Withholding(HolderContext context, BlockHolder holder) {
-        this.context = context;
-        this.holder = holder;
-    }
+  Withholding(HolderContext context, BlockHolder holder) {
+    this.context = context;
+    this.holder = holder;
+  }
 
-    private boolean isWithheld(Placement placement) {
-        // A leader allocates nothing of a job that waits for others; should it, nothing of it starts here either.
-        Withheld withheld = context.withheld();
-        return context.ledger().pipelines().waits(placement.task().job()) || withheld != Withheld.NONE && withheld.has(placement.job(), placement.task().index());
-    }
+  private boolean isWithheld(Placement placement) {
+    // A leader allocates nothing of a job that waits for others; should it, nothing of it starts
+    // here either.
+    Withheld withheld = context.withheld();
+    return context.ledger().pipelines().waits(placement.task().job())
+        || withheld != Withheld.NONE && withheld.has(placement.job(), placement.task().index());
+  }
 
-    /**
-     * Whether the ledger lets a task start. Asked where a task enters a queue and again where it leaves one: what
-     * became free to start since the ledger last changed (a block that has just been settled) may have been cancelled
-     * long before.
-     */
-    boolean mayStart(Placement placement) {
-        TaskId task = placement.task();
-        JobRecord job = context.ledger().job(task.job());
-        return job != null && job.phase() == JobPhase.OPEN && !context.ledger().isDone(task.job(), task.index())
-                && context.ledger().allocation(holder.id()).has(task.job(), task.index()) && !isWithheld(placement);
-    }
+  /**
+   * Whether the ledger lets a task start. Asked where a task enters a queue and again where it
+   * leaves one: what became free to start since the ledger last changed (a block that has just been
+   * settled) may have been cancelled long before.
+   */
+  boolean mayStart(Placement placement) {
+    TaskId task = placement.task();
+    JobRecord job = context.ledger().job(task.job());
+    return job != null
+        && job.phase() == JobPhase.OPEN
+        && !context.ledger().isDone(task.job(), task.index())
+        && context.ledger().allocation(holder.id()).has(task.job(), task.index())
+        && !isWithheld(placement);
+  }
 
-    /** Has what is kept back stopped, or given back where it is on no machine. */
-    void sync(Placement placement, SteadyTime now) {
-        if (!isWithheld(placement)) {
-            return;
-        }
-        Job job = placement.job();
-        switch (placement.state()) {
-            case STARTING, ACTIVE, STOPPING -> placement.stop(RoomMaker.graceOf(job), true, now);
-            case WAITING -> {
-                holder.dequeue(placement.task());
-                placement.release(now);
-                context.newsForLeader();
-            }
-            // Completed before it was kept back, or not known yet where it is, or given back already.
-            case COMPLETED, UNSETTLED, RELEASED -> { }
-            default -> throw new IllegalStateException(placement.state().toString());
-        }
+  /** Has what is kept back stopped, or given back where it is on no machine. */
+  void sync(Placement placement, SteadyTime now) {
+    if (!isWithheld(placement)) {
+      return;
+    }
+    Job job = placement.job();
+    switch (placement.state()) {
+      case STARTING, ACTIVE, STOPPING -> placement.stop(RoomMaker.graceOf(job), true, now);
+      case WAITING -> {
+        holder.dequeue(placement.task());
+        placement.release(now);
+        context.newsForLeader();
+      }
+      // Completed before it was kept back, or not known yet where it is, or given back already.
+      case COMPLETED, UNSETTLED, RELEASED -> {}
+      default -> throw new IllegalStateException(placement.state().toString());
     }
+  }
 }
--- a/src/main/java/org/quincecross/block/package-info.java
+++ b/src/main/java/org/quincecross/block/package-info.java
@@ -1,2 +1,5 @@
-/** Holding a block: the sessions of its machines, fencing, reconciliation, and what its tasks are doing. */
+/**
+ * Holding a block: the sessions of its machines, fencing, reconciliation, and what its tasks are
+ * doing.
+ */
 package org.quincecross.block;
--- a/src/main/java/org/quincecross/emulator/Bound.java
+++ b/src/main/java/org/quincecross/emulator/Bound.java
@@ -19,142 +19,161 @@
 import org.quincecross.model.Resources;
 
 /**
- * What the best of schedulers could not have surpassed: the largest share of jobs in time that every class could have had at
- * once. A relaxation over slices of time, so no scheduler is better, and none may be as good: work is a fluid, known in
- * advance, that flows into any machine without images, and a job that is half done counts half.
+ * What the best of schedulers could not have surpassed: the largest share of jobs in time that
+ * every class could have had at once. A relaxation over slices of time, so no scheduler is better,
+ * and none may be as good: work is a fluid, known in advance, that flows into any machine without
+ * images, and a job that is half done counts half.
  */
 final class Bound {
-    private static final int RESOURCES = 3;
-    private static final int MOST_ITERATIONS = 200_000;
-    /** Jobs of a class that come in the same slice are taken together, by so many sizes. */
-    private static final int SIZES = 3;
+  private static final int RESOURCES = 3;
+  private static final int MOST_ITERATIONS = 200_000;
 
-    /** A job that should have been over by some time, and what it takes: amounts times seconds. */
-    record Wanted(String jobClass, double from, double until, Resources work) {
-    }
+  /** Jobs of a class that come in the same slice are taken together, by so many sizes. */
+  private static final int SIZES = 3;
 
-    /** Jobs that are alike, each taken for the least of them and until the latest. */
-    private static final class Cohort {
-        private final String jobClass;
-        private final int first;
-        private int last;
-        private int jobs;
-        private Resources least;
+  /** A job that should have been over by some time, and what it takes: amounts times seconds. */
+  record Wanted(String jobClass, double from, double until, Resources work) {}
 
-        Cohort(String jobClass, int first) {
-            this.jobClass = jobClass;
-            this.first = first;
-        }
+  /** Jobs that are alike, each taken for the least of them and until the latest. */
+  private static final class Cohort {
+    private final String jobClass;
+    private final int first;
+    private int last;
+    private int jobs;
+    private Resources least;
+
+    Cohort(String jobClass, int first) {
+      this.jobClass = jobClass;
+      this.first = first;
     }
+  }
 
-    private final double sliceS;
-    private final List<Resources> capacity;
-    private final List<Cohort> cohorts = new ArrayList<>();
-    private final Map<String, Integer> jobs = new TreeMap<>();
+  private final double sliceS;
+  private final List<Resources> capacity;
+  private final List<Cohort> cohorts = new ArrayList<>();
+  private final Map<String, Integer> jobs = new TreeMap<>();
 
-    /**
-     * @param sliceS how long a slice is, in seconds
-     * @param capacity what machines had beside services, in each slice
-     */
-    Bound(double sliceS, List<Resources> capacity, Collection<Wanted> wanted) {
-        this.sliceS = sliceS;
-        this.capacity = capacity;
-        Map<String, List<Wanted>> alike = new LinkedHashMap<>();
-        for (Wanted each : wanted) {
-            if (slice(each.until()) < capacity.size() - 1) { // the others could have been in time after the end
-                alike.computeIfAbsent(each.jobClass() + " " + slice(each.from()), key -> new ArrayList<>()).add(each);
-                jobs.merge(each.jobClass(), 1, Integer::sum);
-            }
-        }
-        alike.values().forEach(this::gather);
+  /**
+   * @param sliceS how long a slice is, in seconds
+   * @param capacity what machines had beside services, in each slice
+   */
+  Bound(double sliceS, List<Resources> capacity, Collection<Wanted> wanted) {
+    this.sliceS = sliceS;
+    this.capacity = capacity;
+    Map<String, List<Wanted>> alike = new LinkedHashMap<>();
+    for (Wanted each : wanted) {
+      if (slice(each.until())
+          < capacity.size() - 1) { // the others could have been in time after the end
+        alike
+            .computeIfAbsent(each.jobClass() + " " + slice(each.from()), key -> new ArrayList<>())
+            .add(each);
+        jobs.merge(each.jobClass(), 1, Integer::sum);
+      }
     }
+    alike.values().forEach(this::gather);
+  }
 
-    private int slice(double seconds) {
-        return (int) Math.floor(seconds / sliceS);
-    }
+  private int slice(double seconds) {
+    return (int) Math.floor(seconds / sliceS);
+  }
 
-    private void gather(List<Wanted> alike) {
-        alike.sort((one, other) -> Double.compare(one.work().cpus(), other.work().cpus()));
-        int each = (alike.size() + SIZES - 1) / SIZES;
-        for (int i = 0; i < alike.size(); i++) {
-            Wanted wanted = alike.get(i);
-            if (i % each == 0) {
-                Cohort next = new Cohort(wanted.jobClass(), slice(wanted.from()));
-                next.least = wanted.work();
-                cohorts.add(next);
-            }
-            Cohort cohort = cohorts.get(cohorts.size() - 1);
-            cohort.jobs++;
-            cohort.least = cohort.least.least(wanted.work());
-            cohort.last = Math.max(cohort.last, slice(wanted.until()));
-        }
+  private void gather(List<Wanted> alike) {
+    alike.sort((one, other) -> Double.compare(one.work().cpus(), other.work().cpus()));
+    int each = (alike.size() + SIZES - 1) / SIZES;
+    for (int i = 0; i < alike.size(); i++) {
+      Wanted wanted = alike.get(i);
+      if (i % each == 0) {
+        Cohort next = new Cohort(wanted.jobClass(), slice(wanted.from()));
+        next.least = wanted.work();
+        cohorts.add(next);
+      }
+      Cohort cohort = cohorts.get(cohorts.size() - 1);
+      cohort.jobs++;
+      cohort.least = cohort.least.least(wanted.work());
+      cohort.last = Math.max(cohort.last, slice(wanted.until()));
     }
+  }
 
-    /** How many jobs of each class are in it. */
-    Map<String, Integer> jobs() {
-        return jobs;
-    }
+  /** How many jobs of each class are in it. */
+  Map<String, Integer> jobs() {
+    return jobs;
+  }
 
-    /** The least share of any class, from 0 to 1, at its largest; NaN where it could not be found. */
-    double leastShare() {
-        if (cohorts.isEmpty()) {
-            return 1;
-        }
-        // Unknowns: of each cohort, how much is done of its jobs in each slice (in jobs), and the share.
-        int unknowns = 1;
-        int[] at = new int[cohorts.size()];
-        for (int i = 0; i < at.length; i++) {
-            at[i] = unknowns;
-            unknowns += cohorts.get(i).last - cohorts.get(i).first + 1;
-        }
-        List<LinearConstraint> constraints = new ArrayList<>();
-        Map<String, double[]> classes = new TreeMap<>();
-        double[][] slices = new double[capacity.size() * RESOURCES][];
-        for (int i = 0; i < at.length; i++) {
-            Cohort cohort = cohorts.get(i);
-            double[] all = new double[unknowns];
-            double[] ofClass = classes.computeIfAbsent(cohort.jobClass, name -> new double[at[at.length - 1] + lengthOf(at.length - 1)]);
-            for (int s = cohort.first; s <= cohort.last; s++) {
-                int x = at[i] + s - cohort.first;
-                all[x] = 1;
-                ofClass[x] = 1;
-                double[] takes = {cohort.least.cpus(), cohort.least.gpus(), cohort.least.memoryGb()};
-                for (int r = 0; r < RESOURCES; r++) {
-                    if (takes[r] > 0) {
-                        double[] row = slices[s * RESOURCES + r] == null ? new double[unknowns] : slices[s * RESOURCES + r];
-                        row[x] = takes[r];
-                        slices[s * RESOURCES + r] = row;
-                    }
-                }
-            }
-            constraints.add(new LinearConstraint(all, Relationship.LEQ, cohort.jobs));
+  /** The least share of any class, from 0 to 1, at its largest; NaN where it could not be found. */
+  double leastShare() {
+    if (cohorts.isEmpty()) {
+      return 1;
+    }
+    // Unknowns: of each cohort, how much is done of its jobs in each slice (in jobs), and the
+    // share.
+    int unknowns = 1;
+    int[] at = new int[cohorts.size()];
+    for (int i = 0; i < at.length; i++) {
+      at[i] = unknowns;
+      unknowns += cohorts.get(i).last - cohorts.get(i).first + 1;
+    }
+    List<LinearConstraint> constraints = new ArrayList<>();
+    Map<String, double[]> classes = new TreeMap<>();
+    double[][] slices = new double[capacity.size() * RESOURCES][];
+    for (int i = 0; i < at.length; i++) {
+      Cohort cohort = cohorts.get(i);
+      double[] all = new double[unknowns];
+      double[] ofClass =
+          classes.computeIfAbsent(
+              cohort.jobClass, name -> new double[at[at.length - 1] + lengthOf(at.length - 1)]);
+      for (int s = cohort.first; s <= cohort.last; s++) {
+        int x = at[i] + s - cohort.first;
+        all[x] = 1;
+        ofClass[x] = 1;
+        double[] takes = {cohort.least.cpus(), cohort.least.gpus(), cohort.least.memoryGb()};
+        for (int r = 0; r < RESOURCES; r++) {
+          if (takes[r] > 0) {
+            double[] row =
+                slices[s * RESOURCES + r] == null
+                    ? new double[unknowns]
+                    : slices[s * RESOURCES + r];
+            row[x] = takes[r];
+            slices[s * RESOURCES + r] = row;
+          }
         }
-        for (int s = 0; s < capacity.size(); s++) {
-            Resources has = capacity.get(s).most(Resources.NONE);
-            double[] amounts = {has.cpus(), has.gpus(), has.memoryGb()};
-            for (int r = 0; r < RESOURCES; r++) {
-                if (slices[s * RESOURCES + r] != null) {
-                    constraints.add(new LinearConstraint(slices[s * RESOURCES + r], Relationship.LEQ, amounts[r] * sliceS));
-                }
-            }
+      }
+      constraints.add(new LinearConstraint(all, Relationship.LEQ, cohort.jobs));
+    }
+    for (int s = 0; s < capacity.size(); s++) {
+      Resources has = capacity.get(s).most(Resources.NONE);
+      double[] amounts = {has.cpus(), has.gpus(), has.memoryGb()};
+      for (int r = 0; r < RESOURCES; r++) {
+        if (slices[s * RESOURCES + r] != null) {
+          constraints.add(
+              new LinearConstraint(
+                  slices[s * RESOURCES + r], Relationship.LEQ, amounts[r] * sliceS));
         }
-        classes.forEach((name, row) -> {
-            row[0] = -jobs.get(name);
-            constraints.add(new LinearConstraint(row, Relationship.GEQ, 0));
+      }
+    }
+    classes.forEach(
+        (name, row) -> {
+          row[0] = -jobs.get(name);
+          constraints.add(new LinearConstraint(row, Relationship.GEQ, 0));
         });
-        double[] share = new double[unknowns];
-        share[0] = 1;
-        constraints.add(new LinearConstraint(share, Relationship.LEQ, 1));
-        try {
-            PointValuePair best = new SimplexSolver().optimize(new MaxIter(MOST_ITERATIONS), new LinearObjectiveFunction(share, 0),
-                    new LinearConstraintSet(constraints), GoalType.MAXIMIZE, new NonNegativeConstraint(true));
-            return best.getValue();
-        } catch (MathIllegalStateException e) {
-            return Double.NaN;
-        }
+    double[] share = new double[unknowns];
+    share[0] = 1;
+    constraints.add(new LinearConstraint(share, Relationship.LEQ, 1));
+    try {
+      PointValuePair best =
+          new SimplexSolver()
+              .optimize(
+                  new MaxIter(MOST_ITERATIONS),
+                  new LinearObjectiveFunction(share, 0),
+                  new LinearConstraintSet(constraints),
+                  GoalType.MAXIMIZE,
+                  new NonNegativeConstraint(true));
+      return best.getValue();
+    } catch (MathIllegalStateException e) {
+      return Double.NaN;
     }
+  }
 
-    private int lengthOf(int cohort) {
-        return cohorts.get(cohort).last - cohorts.get(cohort).first + 1;
-    }
+  private int lengthOf(int cohort) {
+    return cohorts.get(cohort).last - cohorts.get(cohort).first + 1;
+  }
 }
--- a/src/main/java/org/quincecross/emulator/CloseLooks.java
+++ b/src/main/java/org/quincecross/emulator/CloseLooks.java
@@ -4,54 +4,61 @@
 import org.quincecross.model.JobId;
 
 /**
- * Users who look closely: right after a job was accepted, its last task has ended, or one of them was told that it is done or cancelled,
- * they put five questions to the nodes in turn within 10 ms, and submit it once more; some call it off at once.
+ * Users who look closely: right after a job was accepted, its last task has ended, or one of them
+ * was told that it is done or cancelled, they put five questions to the nodes in turn within 10 ms,
+ * and submit it once more; some call it off at once.
  */
 final class CloseLooks {
-    private static final int QUESTIONS = 5;
-    private static final double WITHIN_S = 0.01;
+  private static final int QUESTIONS = 5;
+  private static final double WITHIN_S = 0.01;
 
-    private final Surroundings around;
-    private final Random random;
-    private final double share;
-    private final double cancelShare;
-    private final double untilS;
+  private final Surroundings around;
+  private final Random random;
+  private final double share;
+  private final double cancelShare;
+  private final double untilS;
 
-    private CloseLooks(Surroundings around, Random random, double share, double cancelShare, double seconds) {
-        this.around = around;
-        this.random = random;
-        this.share = share;
-        this.cancelShare = cancelShare;
-        this.untilS = around.clock().seconds() + seconds;
-    }
+  private CloseLooks(
+      Surroundings around, Random random, double share, double cancelShare, double seconds) {
+    this.around = around;
+    this.random = random;
+    this.share = share;
+    this.cancelShare = cancelShare;
+    this.untilS = around.clock().seconds() + seconds;
+  }
 
-    /**
-     * From now on, for some seconds.
-     *
-     * @param share of the moments that are looked at closely, 0 to 1
-     * @param cancelShare of the jobs that are called off as soon as they are accepted
-     */
-    static void begin(Surroundings around, double share, double cancelShare, double seconds, Random random) {
-        CloseLooks looks = new CloseLooks(around, random, share, cancelShare, seconds);
-        around.users().watch(looks::look);
-    }
+  /**
+   * From now on, for some seconds.
+   *
+   * @param share of the moments that are looked at closely, 0 to 1
+   * @param cancelShare of the jobs that are called off as soon as they are accepted
+   */
+  static void begin(
+      Surroundings around, double share, double cancelShare, double seconds, Random random) {
+    CloseLooks looks = new CloseLooks(around, random, share, cancelShare, seconds);
+    around.users().watch(looks::look);
+  }
 
-    private void look(Users.Moment moment, JobId id) {
-        if (around.clock().seconds() >= untilS || random.nextDouble() >= share) {
-            return;
-        }
-        int first = random.nextInt(around.site().nodes());
-        for (int i = 0; i < QUESTIONS; i++) {
-            at(first + i, Users.Asks.STATE, id);
-        }
-        at(random.nextInt(around.site().nodes()), Users.Asks.AGAIN, id);
-        if (moment == Users.Moment.ACCEPTED && random.nextDouble() < cancelShare) {
-            at(random.nextInt(around.site().nodes()), Users.Asks.CANCEL, id);
-            around.clock().after(WITHIN_S, () -> around.users().cancel(id));
-        }
+  private void look(Users.Moment moment, JobId id) {
+    if (around.clock().seconds() >= untilS || random.nextDouble() >= share) {
+      return;
     }
-
-    private void at(int node, Users.Asks what, JobId id) {
-        around.clock().after(WITHIN_S * random.nextDouble(), () -> around.users().once(node % around.site().nodes(), what, id));
+    int first = random.nextInt(around.site().nodes());
+    for (int i = 0; i < QUESTIONS; i++) {
+      at(first + i, Users.Asks.STATE, id);
     }
+    at(random.nextInt(around.site().nodes()), Users.Asks.AGAIN, id);
+    if (moment == Users.Moment.ACCEPTED && random.nextDouble() < cancelShare) {
+      at(random.nextInt(around.site().nodes()), Users.Asks.CANCEL, id);
+      around.clock().after(WITHIN_S, () -> around.users().cancel(id));
+    }
+  }
+
+  private void at(int node, Users.Asks what, JobId id) {
+    around
+        .clock()
+        .after(
+            WITHIN_S * random.nextDouble(),
+            () -> around.users().once(node % around.site().nodes(), what, id));
+  }
 }
--- a/src/main/java/org/quincecross/emulator/Cloud.java
+++ b/src/main/java/org/quincecross/emulator/Cloud.java
@@ -20,229 +20,301 @@
 import org.quincecross.wire.JobCodec;
 import org.quincecross.wire.Json;
 
-/** A stand-in for the cloud, as its protocol describes it; on odd sites some machines are slow, sick, late or never up. */
+/**
+ * A stand-in for the cloud, as its protocol describes it; on odd sites some machines are slow,
+ * sick, late or never up.
+ */
 final class Cloud implements Network.Host {
-    private static final int MOST_AT_ONCE = 50;
-    private static final int MOST_LISTED = 500;
-    private static final double LIST_EVERY_S = 1;
-
-    /** A machine that is rented: {@code worker} is null until it is up. */
-    private static final class Rented {
-        private final Machine machine;
-        private final Site.Pool pool;
-        private final double since;
-        private Worker worker;
-
-        Rented(Machine machine, Site.Pool pool, double since) {
-            this.machine = machine;
-            this.pool = pool;
-            this.since = since;
-        }
-    }
+  private static final int MOST_AT_ONCE = 50;
+  private static final int MOST_LISTED = 500;
+  private static final double LIST_EVERY_S = 1;
 
-    private record Listed(MachineId id, Map<String, Object> item) {
-    }
+  /** A machine that is rented: {@code worker} is null until it is up. */
+  private static final class Rented {
+    private final Machine machine;
+    private final Site.Pool pool;
+    private final double since;
+    private Worker worker;
 
-    private final Surroundings around;
-    private final Random random;
-    private final Limiter requests;
-    private final Map<MachineId, Rented> rented = new TreeMap<>();
-    private final Map<Site.Pool, Integer> taken = new HashMap<>();
-    private final Map<String, List<Object>> charters = new HashMap<>();
-    private List<Listed> listed = List.of();
-    private boolean out;
-    private int machines;
-    private double longestBootS;
-    private double bootsQuicklyUntil;
-
-    Cloud(Surroundings around) {
-        this.around = around;
-        this.random = around.random();
-        double perSecond = around.site().cloudLimits().requestsPerS();
-        this.requests = new Limiter(perSecond, 2 * perSecond, now());
-        for (int more = 1, i = 0; more > 0; i++) {
-            more = 0;
-            for (Site.Pool pool : around.site().pools()) {
-                if (i < pool.initial()) {
-                    boot(pool, 0, true);
-                    more++;
-                }
-            }
-        }
-        refreshList();
+    Rented(Machine machine, Site.Pool pool, double since) {
+      this.machine = machine;
+      this.pool = pool;
+      this.since = since;
     }
+  }
 
-    private SteadyTime now() {
-        return new SteadyTime((long) (around.clock().seconds() * 1e9));
-    }
+  private record Listed(MachineId id, Map<String, Object> item) {}
 
-    /** What the list will say once its delay is over. */
-    private void refreshList() {
-        List<Listed> list = new ArrayList<>();
-        for (Rented each : rented.values()) {
-            Machine machine = each.machine;
-            list.add(new Listed(machine.id(), Json.object("Uid", machine.id().text(), "Addr", machine.address().toString(), "Hull",
-                    machine.type(), "Yard", machine.zone(), "Loaners", machine.spot(), "Status",
-                    each.worker == null ? "starting" : "running", "AgeS", around.clock().seconds() - each.since)));
+  private final Surroundings around;
+  private final Random random;
+  private final Limiter requests;
+  private final Map<MachineId, Rented> rented = new TreeMap<>();
+  private final Map<Site.Pool, Integer> taken = new HashMap<>();
+  private final Map<String, List<Object>> charters = new HashMap<>();
+  private List<Listed> listed = List.of();
+  private boolean out;
+  private int machines;
+  private double longestBootS;
+  private double bootsQuicklyUntil;
+
+  Cloud(Surroundings around) {
+    this.around = around;
+    this.random = around.random();
+    double perSecond = around.site().cloudLimits().requestsPerS();
+    this.requests = new Limiter(perSecond, 2 * perSecond, now());
+    for (int more = 1, i = 0; more > 0; i++) {
+      more = 0;
+      for (Site.Pool pool : around.site().pools()) {
+        if (i < pool.initial()) {
+          boot(pool, 0, true);
+          more++;
         }
-        around.clock().after(around.site().cloudLimits().listLag().seconds() * (1 + random.nextDouble()), () -> listed = list);
-        around.clock().after(LIST_EVERY_S, this::refreshList);
+      }
     }
+    refreshList();
+  }
 
-    List<MachineId> machines() {
-        return rented.values().stream().filter(each -> each.worker != null).map(each -> each.machine.id()).toList();
-    }
+  private SteadyTime now() {
+    return new SteadyTime((long) (around.clock().seconds() * 1e9));
+  }
 
-    List<Worker> workers() {
-        return rented.values().stream().filter(each -> each.worker != null).map(each -> each.worker).toList();
+  /** What the list will say once its delay is over. */
+  private void refreshList() {
+    List<Listed> list = new ArrayList<>();
+    for (Rented each : rented.values()) {
+      Machine machine = each.machine;
+      list.add(
+          new Listed(
+              machine.id(),
+              Json.object(
+                  "Uid",
+                  machine.id().text(),
+                  "Addr",
+                  machine.address().toString(),
+                  "Hull",
+                  machine.type(),
+                  "Yard",
+                  machine.zone(),
+                  "Loaners",
+                  machine.spot(),
+                  "Status",
+                  each.worker == null ? "starting" : "running",
+                  "AgeS",
+                  around.clock().seconds() - each.since)));
     }
+    around
+        .clock()
+        .after(
+            around.site().cloudLimits().listLag().seconds() * (1 + random.nextDouble()),
+            () -> listed = list);
+    around.clock().after(LIST_EVERY_S, this::refreshList);
+  }
 
-    private MachineId boot(Site.Pool pool, double bootS, boolean ordinary) {
-        MachineId id = new MachineId(String.format("m-%06d", machines++));
-        Machine machine = new Machine(id, around.network().machineAddress(machines), pool.type(), pool.zone(), pool.spot());
-        Rented place = new Rented(machine, pool, around.clock().seconds());
-        rented.put(id, place);
-        taken.merge(pool, 1, Integer::sum);
-        boolean odd = around.site().odd() && !ordinary;
-        MachineTraits traits = odd ? traits() : MachineTraits.ORDINARY;
-        if (!odd || random.nextInt(25) != 0) {
-            around.clock().after(bootS, () -> {
+  List<MachineId> machines() {
+    return rented.values().stream()
+        .filter(each -> each.worker != null)
+        .map(each -> each.machine.id())
+        .toList();
+  }
+
+  List<Worker> workers() {
+    return rented.values().stream()
+        .filter(each -> each.worker != null)
+        .map(each -> each.worker)
+        .toList();
+  }
+
+  private MachineId boot(Site.Pool pool, double bootS, boolean ordinary) {
+    MachineId id = new MachineId(String.format("m-%06d", machines++));
+    Machine machine =
+        new Machine(
+            id, around.network().machineAddress(machines), pool.type(), pool.zone(), pool.spot());
+    Rented place = new Rented(machine, pool, around.clock().seconds());
+    rented.put(id, place);
+    taken.merge(pool, 1, Integer::sum);
+    boolean odd = around.site().odd() && !ordinary;
+    MachineTraits traits = odd ? traits() : MachineTraits.ORDINARY;
+    if (!odd || random.nextInt(25) != 0) {
+      around
+          .clock()
+          .after(
+              bootS,
+              () -> {
                 if (rented.get(id) == place) {
-                    MachineType type = around.site().type(pool.type());
-                    place.worker = new Worker(around, machine, type, traits, random.nextInt(around.site().nodes()));
-                    around.network().host(machine.address(), id.text(), place.worker);
+                  MachineType type = around.site().type(pool.type());
+                  place.worker =
+                      new Worker(
+                          around, machine, type, traits, random.nextInt(around.site().nodes()));
+                  around.network().host(machine.address(), id.text(), place.worker);
                 }
-            });
-        }
-        return id;
+              });
     }
+    return id;
+  }
 
-    private MachineTraits traits() {
-        double speed = random.nextInt(12) == 0 ? 0.2 + 0.5 * random.nextDouble() : 0.95 + 0.1 * random.nextDouble();
-        return new MachineTraits(speed, random.nextInt(20) == 0, 1 + 0.0005 * (2 * random.nextDouble() - 1));
-    }
+  private MachineTraits traits() {
+    double speed =
+        random.nextInt(12) == 0
+            ? 0.2 + 0.5 * random.nextDouble()
+            : 0.95 + 0.1 * random.nextDouble();
+    return new MachineTraits(
+        speed, random.nextInt(20) == 0, 1 + 0.0005 * (2 * random.nextDouble() - 1));
+  }
 
-    /** Takes a machine back, after {@code noticeS} seconds' notice if that is more than 0. */
-    void take(MachineId id, double noticeS) {
-        Rented place = rented.get(id);
-        if (place == null) {
-            return;
-        }
-        if (noticeS > 0 && place.worker != null) {
-            place.worker.notice(noticeS);
-            around.clock().after(noticeS, () -> take(id, 0));
-            return;
-        }
-        rented.remove(id);
-        taken.merge(place.pool, -1, Integer::sum);
-        if (place.worker != null) {
-            place.worker.destroy();
-            around.network().remove(place.machine.address());
-        }
+  /** Takes a machine back, after {@code noticeS} seconds' notice if that is more than 0. */
+  void take(MachineId id, double noticeS) {
+    Rented place = rented.get(id);
+    if (place == null) {
+      return;
     }
-
-    /** For a while machines that are rented are up within so many seconds. */
-    void bootWithin(double mostS, double seconds) {
-        longestBootS = mostS;
-        bootsQuicklyUntil = around.clock().seconds() + seconds;
+    if (noticeS > 0 && place.worker != null) {
+      place.worker.notice(noticeS);
+      around.clock().after(noticeS, () -> take(id, 0));
+      return;
     }
-
-    private double longestBootS() {
-        return around.clock().seconds() < bootsQuicklyUntil ? longestBootS * random.nextDouble() : Double.MAX_VALUE;
+    rented.remove(id);
+    taken.merge(place.pool, -1, Integer::sum);
+    if (place.worker != null) {
+      place.worker.destroy();
+      around.network().remove(place.machine.address());
     }
+  }
 
-    void outage(double seconds) {
-        out = true;
-        around.clock().after(seconds, () -> out = false);
-    }
+  /** For a while machines that are rented are up within so many seconds. */
+  void bootWithin(double mostS, double seconds) {
+    longestBootS = mostS;
+    bootsQuicklyUntil = around.clock().seconds() + seconds;
+  }
 
-    @Override
-    public boolean isUp() {
-        return true;
-    }
+  private double longestBootS() {
+    return around.clock().seconds() < bootsQuicklyUntil
+        ? longestBootS * random.nextDouble()
+        : Double.MAX_VALUE;
+  }
 
-    @Override
-    public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
-        try {
-            if (out) {
-                reply.accept(HttpResponse.of(503, JobCodec.error("trouble")));
-            } else if (!requests.take(1, now())) {
-                reply.accept(HttpResponse.of(429));
-            } else {
-                reply.accept(answer(request));
-            }
-        } catch (BadMessage | NumberFormatException e) {
-            reply.accept(HttpResponse.of(400));
-        }
-    }
+  void outage(double seconds) {
+    out = true;
+    around.clock().after(seconds, () -> out = false);
+  }
 
-    private HttpResponse answer(HttpRequest request) throws BadMessage {
-        Object body;
-        if (request.path().equals("/catalog")) {
-            body = Json.object("Hulls", around.site().types().stream().map(Cloud::hull).toList());
-        } else if (request.path().equals("/hosts/return")) {
-            for (String name : Json.parseFields(request.body()).texts("Hosts")) {
-                take(new MachineId(name), 0);
-            }
-            body = Json.object();
-        } else if (request.method().equals("POST")) {
-            List<Object> names = rent(Json.parseFields(request.body()));
-            if (names == null) {
-                return HttpResponse.of(503, JobCodec.error("no capacity"));
-            }
-            body = Json.object("Hosts", names);
-        } else {
-            body = page(request);
-        }
-        return HttpResponse.of(200, Json.write(body));
+  @Override
+  public boolean isUp() {
+    return true;
+  }
+
+  @Override
+  public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
+    try {
+      if (out) {
+        reply.accept(HttpResponse.of(503, JobCodec.error("trouble")));
+      } else if (!requests.take(1, now())) {
+        reply.accept(HttpResponse.of(429));
+      } else {
+        reply.accept(answer(request));
+      }
+    } catch (BadMessage | NumberFormatException e) {
+      reply.accept(HttpResponse.of(400));
     }
+  }
 
-    private static Map<String, Object> hull(MachineType type) {
-        return Json.object("Sku", type.name(), "Cpus", type.capacity().cpus(), "Cards", type.capacity().gpus(), "MemGb",
-                type.capacity().memoryGb(), "CacheGb", type.cacheGb(), "PullGbPerS", type.fetchGbPerS(), "Rate", type.price(),
-                "MarketPrice", type.spotPrice(), "StartupS", type.boot().seconds(), "Yards", type.zones());
+  private HttpResponse answer(HttpRequest request) throws BadMessage {
+    Object body;
+    if (request.path().equals("/catalog")) {
+      body = Json.object("Hulls", around.site().types().stream().map(Cloud::hull).toList());
+    } else if (request.path().equals("/hosts/return")) {
+      for (String name : Json.parseFields(request.body()).texts("Hosts")) {
+        take(new MachineId(name), 0);
+      }
+      body = Json.object();
+    } else if (request.method().equals("POST")) {
+      List<Object> names = rent(Json.parseFields(request.body()));
+      if (names == null) {
+        return HttpResponse.of(503, JobCodec.error("no capacity"));
+      }
+      body = Json.object("Hosts", names);
+    } else {
+      body = page(request);
     }
+    return HttpResponse.of(200, Json.write(body));
+  }
 
-    /** The machines rented, those of the same request if it is a repeated one; null where there is none to be had. */
-    private List<Object> rent(Fields in) throws BadMessage {
-        String type = in.text("Hull");
-        String zone = in.text("Yard");
-        boolean spot = in.flag("Loaners");
-        List<Object> known = charters.get(in.text("Charter"));
-        int more = in.count("HowMany", 1, MOST_AT_ONCE);
-        if (known != null) {
-            return known;
-        }
-        List<Object> names = new ArrayList<>();
-        for (Site.Pool pool : around.site().pools()) {
-            if (pool.type().equals(type) && pool.zone().equals(zone) && pool.spot() == spot) {
-                Span boot = around.site().type(type).boot();
-                while (names.size() < more && taken.getOrDefault(pool, 0) < pool.most() && rented.size() < around.site().mostMachines()) {
-                    names.add(boot(pool, Math.min(boot.seconds() * (0.6 + 0.9 * random.nextDouble()), longestBootS()), false).text());
-                }
-            }
-        }
-        if (names.isEmpty()) {
-            return null;
+  private static Map<String, Object> hull(MachineType type) {
+    return Json.object(
+        "Sku",
+        type.name(),
+        "Cpus",
+        type.capacity().cpus(),
+        "Cards",
+        type.capacity().gpus(),
+        "MemGb",
+        type.capacity().memoryGb(),
+        "CacheGb",
+        type.cacheGb(),
+        "PullGbPerS",
+        type.fetchGbPerS(),
+        "Rate",
+        type.price(),
+        "MarketPrice",
+        type.spotPrice(),
+        "StartupS",
+        type.boot().seconds(),
+        "Yards",
+        type.zones());
+  }
+
+  /**
+   * The machines rented, those of the same request if it is a repeated one; null where there is
+   * none to be had.
+   */
+  private List<Object> rent(Fields in) throws BadMessage {
+    String type = in.text("Hull");
+    String zone = in.text("Yard");
+    boolean spot = in.flag("Loaners");
+    List<Object> known = charters.get(in.text("Charter"));
+    int more = in.count("HowMany", 1, MOST_AT_ONCE);
+    if (known != null) {
+      return known;
+    }
+    List<Object> names = new ArrayList<>();
+    for (Site.Pool pool : around.site().pools()) {
+      if (pool.type().equals(type) && pool.zone().equals(zone) && pool.spot() == spot) {
+        Span boot = around.site().type(type).boot();
+        while (names.size() < more
+            && taken.getOrDefault(pool, 0) < pool.most()
+            && rented.size() < around.site().mostMachines()) {
+          names.add(
+              boot(
+                      pool,
+                      Math.min(boot.seconds() * (0.6 + 0.9 * random.nextDouble()), longestBootS()),
+                      false)
+                  .text());
         }
-        charters.put(in.text("Charter"), names);
-        return names;
+      }
+    }
+    if (names.isEmpty()) {
+      return null;
     }
+    charters.put(in.text("Charter"), names);
+    return names;
+  }
 
-    private Object page(HttpRequest request) {
-        String after = request.query("Since");
-        int most = request.query("Page") == null ? MOST_LISTED : Math.min(MOST_LISTED, Integer.parseInt(request.query("Page")));
-        List<Object> items = new ArrayList<>();
-        boolean more = false;
-        for (Listed each : listed) {
-            if (after == null || each.id().text().compareTo(after) > 0) {
-                if (items.size() == most) {
-                    more = true;
-                    break;
-                }
-                items.add(each.item());
-            }
+  private Object page(HttpRequest request) {
+    String after = request.query("Since");
+    int most =
+        request.query("Page") == null
+            ? MOST_LISTED
+            : Math.min(MOST_LISTED, Integer.parseInt(request.query("Page")));
+    List<Object> items = new ArrayList<>();
+    boolean more = false;
+    for (Listed each : listed) {
+      if (after == null || each.id().text().compareTo(after) > 0) {
+        if (items.size() == most) {
+          more = true;
+          break;
         }
-        return Json.object("Hosts", items, "More", more);
+        items.add(each.item());
+      }
     }
+    return Json.object("Hosts", items, "More", more);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -15,325 +15,391 @@
 
 /** Something that fails on a site that is tried, and how long it takes until all is as it was. */
 public final class Drill {
-    /** What fails. */
-    public enum Kind {
-        /** All controllers are killed and started again at once. */
-        RESTART,
-        /** The controller of one zone stands still, and its workers hang, for longer than leases last. */
-        ZONE,
-        /** The state service refuses everybody for a while. */
-        STATE,
-        /** Half of the machines are gone without notice. */
-        WORKERS,
-        /**
-         * A third of the machines still report, but nothing reaches them, for three leases and a half; a controller is killed meanwhile and
-         * started again. The replicas are to run elsewhere before the machines hear.
-         */
-        DEAF,
-        /**
-         * The controllers are replaced one after the other, under load, by ones that can do the next level of the stored state; the first is
-         * put back once before. Then jobs that wait for others are submitted, and the state service lowers its limits. Over when the level
-         * has risen.
-         */
-        ROLL,
-        /** The records of sweeps that run are held, and a controller is killed while they are being pinned. */
-        HOLD,
-        /** A model comes from zero, cold and then cached, wanted everywhere; the leading controller is killed in the middle. */
-        MODEL
-    }
+  /** What fails. */
+  public enum Kind {
+    /** All controllers are killed and started again at once. */
+    RESTART,
+    /**
+     * The controller of one zone stands still, and its workers hang, for longer than leases last.
+     */
+    ZONE,
+    /** The state service refuses everybody for a while. */
+    STATE,
+    /** Half of the machines are gone without notice. */
+    WORKERS,
+    /**
+     * A third of the machines still report, but nothing reaches them, for three leases and a half;
+     * a controller is killed meanwhile and started again. The replicas are to run elsewhere before
+     * the machines hear.
+     */
+    DEAF,
+    /**
+     * The controllers are replaced one after the other, under load, by ones that can do the next
+     * level of the stored state; the first is put back once before. Then jobs that wait for others
+     * are submitted, and the state service lowers its limits. Over when the level has risen.
+     */
+    ROLL,
+    /**
+     * The records of sweeps that run are held, and a controller is killed while they are being
+     * pinned.
+     */
+    HOLD,
+    /**
+     * A model comes from zero, cold and then cached, wanted everywhere; the leading controller is
+     * killed in the middle.
+     */
+    MODEL
+  }
 
-    /** Where the drill stands. */
-    enum Phase { WAITS_FOR_REPLICAS, TROUBLE, RECOVERY, OVER, FAILED }
+  /** Where the drill stands. */
+  enum Phase {
+    WAITS_FOR_REPLICAS,
+    TROUBLE,
+    RECOVERY,
+    OVER,
+    FAILED
+  }
 
-    private static final double LOOK_S = 0.1;
-    private static final double STATE_OUT_S = 12;
-    private static final double ROLL_EVERY_S = 5;
-    private static final double SWITCHED_WITHIN_S = 60;
-    private static final double LONGER_THAN_LEASE = 1.5;
-    private static final double DEAF_LEASES = 3.5;
-    private static final int DEAF_ONE_IN = 3;
-    private static final double KILLED_AFTER_S = 5;
-    private static final double BACK_AFTER_S = 1;
-    private static final double PREPARED_WITHIN_S = 90;
-    private static final double RECOVERED_WITHIN_S = 150;
+  private static final double LOOK_S = 0.1;
+  private static final double STATE_OUT_S = 12;
+  private static final double ROLL_EVERY_S = 5;
+  private static final double SWITCHED_WITHIN_S = 60;
+  private static final double LONGER_THAN_LEASE = 1.5;
+  private static final double DEAF_LEASES = 3.5;
+  private static final int DEAF_ONE_IN = 3;
+  private static final double KILLED_AFTER_S = 5;
+  private static final double BACK_AFTER_S = 1;
+  private static final double PREPARED_WITHIN_S = 90;
+  private static final double RECOVERED_WITHIN_S = 150;
 
-    private final Kind kind;
-    private final Surroundings around;
-    private final List<ControllerProcess> controllers;
-    /** The commands of the controllers before and after a roll; empty where there is none. */
-    private final List<List<String>> before;
-    private final List<List<String>> after;
-    private final Map<String, Object> result;
-    private Phase phase = Phase.WAITS_FOR_REPLICAS;
-    private double since;
-    private double failedAt;
-    private double notBefore;
-    private int acceptedBefore;
-    private double missingS;
-    private Runnable allNew = () -> { };
-    private HoldDrill hold;
-    private ModelDrill model;
+  private final Kind kind;
+  private final Surroundings around;
+  private final List<ControllerProcess> controllers;
 
-    Drill(Kind kind, Surroundings around, List<ControllerProcess> controllers, List<List<String>> before, List<List<String>> after) {
-        this.before = before;
-        this.after = after;
-        this.kind = kind;
-        this.around = around;
-        this.controllers = controllers;
-        this.result = Json.object("kind", kind.toString().toLowerCase(java.util.Locale.ROOT));
-    }
+  /** The commands of the controllers before and after a roll; empty where there is none. */
+  private final List<List<String>> before;
 
-    boolean isOver() {
-        return phase == Phase.OVER;
-    }
+  private final List<List<String>> after;
+  private final Map<String, Object> result;
+  private Phase phase = Phase.WAITS_FOR_REPLICAS;
+  private double since;
+  private double failedAt;
+  private double notBefore;
+  private int acceptedBefore;
+  private double missingS;
+  private Runnable allNew = () -> {};
+  private HoldDrill hold;
+  private ModelDrill model;
 
-    Phase phase() {
-        return phase;
-    }
+  Drill(
+      Kind kind,
+      Surroundings around,
+      List<ControllerProcess> controllers,
+      List<List<String>> before,
+      List<List<String>> after) {
+    this.before = before;
+    this.after = after;
+    this.kind = kind;
+    this.around = around;
+    this.controllers = controllers;
+    this.result = Json.object("kind", kind.toString().toLowerCase(java.util.Locale.ROOT));
+  }
 
-    /** Has something done once all controllers of a roll have been replaced. */
-    void whenAllNew(Runnable what) {
-        allNew = what;
-    }
+  boolean isOver() {
+    return phase == Phase.OVER;
+  }
 
-    /** What was measured, in seconds since the trouble began. */
-    Map<String, Object> result() {
-        result.put("phase", phase.toString().toLowerCase(java.util.Locale.ROOT));
-        return result;
-    }
+  Phase phase() {
+    return phase;
+  }
 
-    /** The one place where the drill changes its phase. */
-    private void enter(Phase next) {
-        phase = next;
-        since = around.clock().seconds();
-    }
+  /** Has something done once all controllers of a roll have been replaced. */
+  void whenAllNew(Runnable what) {
+    allNew = what;
+  }
 
-    /** Begins once the site's replicas run, and not before so many seconds from now. */
-    void begin(double afterS) {
-        notBefore = around.clock().seconds() + afterS;
-        enter(Phase.WAITS_FOR_REPLICAS);
-        around.clock().after(LOOK_S, this::look);
-    }
+  /** What was measured, in seconds since the trouble began. */
+  Map<String, Object> result() {
+    result.put("phase", phase.toString().toLowerCase(java.util.Locale.ROOT));
+    return result;
+  }
 
-    private void look() {
-        double now = around.clock().seconds();
-        switch (phase) {
-            case WAITS_FOR_REPLICAS -> {
-                if (now >= notBefore && replicasMissing() == 0 && allAccepted()) {
-                    result.put("replicas", replicas());
-                    result.put("machines", around.cloud().workers().size());
-                    acceptedBefore = around.users().acceptedAfter().size();
-                    failedAt = now;
-                    enter(Phase.TROUBLE);
-                    fail();
-                } else if (now - since > PREPARED_WITHIN_S) {
-                    result.put("why", replicasMissing() + " replicas never ran");
-                    enter(Phase.FAILED);
-                }
-            }
-            case TROUBLE -> {
-                if (kind == Kind.ROLL) {
-                    lookAtRoll(now);
-                } else if (kind == Kind.DEAF) {
-                    lookAtDeaf(now);
-                } else if (kind == Kind.HOLD) {
-                    hold.look();
-                    if (hold.state() == HoldDrill.State.OVER || hold.state() == HoldDrill.State.FAILED) {
-                        enter(hold.state() == HoldDrill.State.OVER ? Phase.RECOVERY : Phase.FAILED);
-                    }
-                }
-            }
-            case RECOVERY -> {
-                measure(now);
-                if (kind == Kind.DEAF && result.containsKey("why")) {
-                    enter(Phase.FAILED);
-                } else if (result.containsKey("all_replicas_s") && result.containsKey("all_workers_s")) {
-                    enter(Phase.OVER);
-                } else if (now - since > RECOVERED_WITHIN_S) {
-                    result.put("why", replicasMissing() + " replicas do not run, " + workersUnanswered() + " workers were not answered");
-                    enter(Phase.FAILED);
-                }
-            }
-            default -> throw new IllegalStateException(phase.toString());
+  /** The one place where the drill changes its phase. */
+  private void enter(Phase next) {
+    phase = next;
+    since = around.clock().seconds();
+  }
+
+  /** Begins once the site's replicas run, and not before so many seconds from now. */
+  void begin(double afterS) {
+    notBefore = around.clock().seconds() + afterS;
+    enter(Phase.WAITS_FOR_REPLICAS);
+    around.clock().after(LOOK_S, this::look);
+  }
+
+  private void look() {
+    double now = around.clock().seconds();
+    switch (phase) {
+      case WAITS_FOR_REPLICAS -> {
+        if (now >= notBefore && replicasMissing() == 0 && allAccepted()) {
+          result.put("replicas", replicas());
+          result.put("machines", around.cloud().workers().size());
+          acceptedBefore = around.users().acceptedAfter().size();
+          failedAt = now;
+          enter(Phase.TROUBLE);
+          fail();
+        } else if (now - since > PREPARED_WITHIN_S) {
+          result.put("why", replicasMissing() + " replicas never ran");
+          enter(Phase.FAILED);
+        }
+      }
+      case TROUBLE -> {
+        if (kind == Kind.ROLL) {
+          lookAtRoll(now);
+        } else if (kind == Kind.DEAF) {
+          lookAtDeaf(now);
+        } else if (kind == Kind.HOLD) {
+          hold.look();
+          if (hold.state() == HoldDrill.State.OVER || hold.state() == HoldDrill.State.FAILED) {
+            enter(hold.state() == HoldDrill.State.OVER ? Phase.RECOVERY : Phase.FAILED);
+          }
         }
-        if (phase != Phase.OVER && phase != Phase.FAILED) {
-            around.clock().after(LOOK_S, this::look);
+      }
+      case RECOVERY -> {
+        measure(now);
+        if (kind == Kind.DEAF && result.containsKey("why")) {
+          enter(Phase.FAILED);
+        } else if (result.containsKey("all_replicas_s") && result.containsKey("all_workers_s")) {
+          enter(Phase.OVER);
+        } else if (now - since > RECOVERED_WITHIN_S) {
+          result.put(
+              "why",
+              replicasMissing()
+                  + " replicas do not run, "
+                  + workersUnanswered()
+                  + " workers were not answered");
+          enter(Phase.FAILED);
         }
+      }
+      default -> throw new IllegalStateException(phase.toString());
+    }
+    if (phase != Phase.OVER && phase != Phase.FAILED) {
+      around.clock().after(LOOK_S, this::look);
     }
+  }
 
-    private void fail() {
-        try {
-            switch (kind) {
-                case RESTART -> {
-                    controllers.forEach(ControllerProcess::kill);
-                    failedAt = around.clock().seconds();
-                    for (ControllerProcess controller : controllers) {
-                        controller.start();
-                    }
-                    enter(Phase.RECOVERY);
-                }
-                case ZONE -> {
-                    double length = LONGER_THAN_LEASE * around.site().workers().lease().seconds();
-                    String zone = around.site().nodeZones().get(0);
-                    controllers.get(0).freeze(true);
-                    around.cloud().workers().stream().filter(worker -> worker.machine().zone().equals(zone))
-                            .forEach(worker -> worker.hang(length));
-                    end(length, () -> controllers.get(0).freeze(false));
-                }
-                case STATE -> {
-                    around.state().outage(STATE_OUT_S);
-                    end(STATE_OUT_S, () -> { });
-                }
-                case WORKERS -> {
-                    List<MachineId> machines = new ArrayList<>(around.cloud().machines());
-                    for (int i = 0; i < machines.size(); i += 2) {
-                        around.cloud().take(machines.get(i), 0);
-                    }
-                    result.put("machines_lost", (machines.size() + 1) / 2);
-                    enter(Phase.RECOVERY);
-                }
-                case DEAF -> {
-                    double length = DEAF_LEASES * around.site().workers().lease().seconds();
-                    List<Worker> workers = around.cloud().workers();
-                    for (int i = 0; i < workers.size(); i += DEAF_ONE_IN) {
-                        workers.get(i).deafen(length);
-                    }
-                    result.put("machines_deaf", (workers.size() + DEAF_ONE_IN - 1) / DEAF_ONE_IN);
-                    around.clock().after(KILLED_AFTER_S, () -> controllers.get(0).kill());
-                    around.clock().after(KILLED_AFTER_S + BACK_AFTER_S, () -> start(controllers.get(0)));
-                    end(length, () -> {
-                        if (!result.containsKey("replicas_elsewhere_s")) {
-                            result.put("why", replicasMissing() + " replicas waited for machines that did not hear");
-                        }
-                    });
-                }
-                case HOLD -> hold = new HoldDrill(around, controllers, result);
-                case ROLL -> {
-                    replace(0, 0, after);
-                    replace(1, 0, before);
-                    for (int node = 0; node < controllers.size(); node++) {
-                        replace(2 + node, node, after);
-                    }
-                    double allNewAfterS = (1 + controllers.size()) * ROLL_EVERY_S;
-                    around.clock().after(allNewAfterS, () -> allNew.run());
-                    around.clock().after(allNewAfterS + ROLL_EVERY_S, () -> {
-                        around.state().limit(around.site().stateLimits().smaller(Site.TRY_OUT_NEXT));
-                        result.put("limits_lowered_s", TrySite.round(around.clock().seconds() - failedAt));
-                    });
-                }
-                case MODEL -> {
-                    model = new ModelDrill(around, controllers, result, () -> enter(model.hasFailed() ? Phase.FAILED : Phase.RECOVERY));
-                    model.begin();
+  private void fail() {
+    try {
+      switch (kind) {
+        case RESTART -> {
+          controllers.forEach(ControllerProcess::kill);
+          failedAt = around.clock().seconds();
+          for (ControllerProcess controller : controllers) {
+            controller.start();
+          }
+          enter(Phase.RECOVERY);
+        }
+        case ZONE -> {
+          double length = LONGER_THAN_LEASE * around.site().workers().lease().seconds();
+          String zone = around.site().nodeZones().get(0);
+          controllers.get(0).freeze(true);
+          around.cloud().workers().stream()
+              .filter(worker -> worker.machine().zone().equals(zone))
+              .forEach(worker -> worker.hang(length));
+          end(length, () -> controllers.get(0).freeze(false));
+        }
+        case STATE -> {
+          around.state().outage(STATE_OUT_S);
+          end(STATE_OUT_S, () -> {});
+        }
+        case WORKERS -> {
+          List<MachineId> machines = new ArrayList<>(around.cloud().machines());
+          for (int i = 0; i < machines.size(); i += 2) {
+            around.cloud().take(machines.get(i), 0);
+          }
+          result.put("machines_lost", (machines.size() + 1) / 2);
+          enter(Phase.RECOVERY);
+        }
+        case DEAF -> {
+          double length = DEAF_LEASES * around.site().workers().lease().seconds();
+          List<Worker> workers = around.cloud().workers();
+          for (int i = 0; i < workers.size(); i += DEAF_ONE_IN) {
+            workers.get(i).deafen(length);
+          }
+          result.put("machines_deaf", (workers.size() + DEAF_ONE_IN - 1) / DEAF_ONE_IN);
+          around.clock().after(KILLED_AFTER_S, () -> controllers.get(0).kill());
+          around.clock().after(KILLED_AFTER_S + BACK_AFTER_S, () -> start(controllers.get(0)));
+          end(
+              length,
+              () -> {
+                if (!result.containsKey("replicas_elsewhere_s")) {
+                  result.put(
+                      "why", replicasMissing() + " replicas waited for machines that did not hear");
                 }
-                default -> throw new IllegalStateException(kind.toString());
-            }
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+              });
+        }
+        case HOLD -> hold = new HoldDrill(around, controllers, result);
+        case ROLL -> {
+          replace(0, 0, after);
+          replace(1, 0, before);
+          for (int node = 0; node < controllers.size(); node++) {
+            replace(2 + node, node, after);
+          }
+          double allNewAfterS = (1 + controllers.size()) * ROLL_EVERY_S;
+          around.clock().after(allNewAfterS, () -> allNew.run());
+          around
+              .clock()
+              .after(
+                  allNewAfterS + ROLL_EVERY_S,
+                  () -> {
+                    around.state().limit(around.site().stateLimits().smaller(Site.TRY_OUT_NEXT));
+                    result.put(
+                        "limits_lowered_s", TrySite.round(around.clock().seconds() - failedAt));
+                  });
         }
+        case MODEL -> {
+          model =
+              new ModelDrill(
+                  around,
+                  controllers,
+                  result,
+                  () -> enter(model.hasFailed() ? Phase.FAILED : Phase.RECOVERY));
+          model.begin();
+        }
+        default -> throw new IllegalStateException(kind.toString());
+      }
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    private void replace(int step, int node, List<List<String>> by) {
-        around.clock().after(step * ROLL_EVERY_S, () -> {
-            try {
+  private void replace(int step, int node, List<List<String>> by) {
+    around
+        .clock()
+        .after(
+            step * ROLL_EVERY_S,
+            () -> {
+              try {
                 controllers.get(node).replaceBy(by.get(node));
-            } catch (IOException e) {
+              } catch (IOException e) {
                 throw new UncheckedIOException(e);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    private static void start(ControllerProcess controller) {
-        try {
-            controller.start();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  private static void start(ControllerProcess controller) {
+    try {
+      controller.start();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    /** Replicas on machines that lose their lease go missing once it is over; they are back when none is missing any more. */
-    private void lookAtDeaf(double now) {
-        if (replicasMissing() > 0) {
-            missingS += LOOK_S;
-            result.remove("replicas_elsewhere_s");
-        } else if (missingS > 0) {
-            result.putIfAbsent("replicas_elsewhere_s", TrySite.round(now - failedAt));
-        }
-        result.put("replicas_missing_s", TrySite.round(missingS));
+  /**
+   * Replicas on machines that lose their lease go missing once it is over; they are back when none
+   * is missing any more.
+   */
+  private void lookAtDeaf(double now) {
+    if (replicasMissing() > 0) {
+      missingS += LOOK_S;
+      result.remove("replicas_elsewhere_s");
+    } else if (missingS > 0) {
+      result.putIfAbsent("replicas_elsewhere_s", TrySite.round(now - failedAt));
     }
+    result.put("replicas_missing_s", TrySite.round(missingS));
+  }
 
-    private void lookAtRoll(double now) {
-        missingS += replicasMissing() > 0 ? LOOK_S : 0;
-        result.put("replicas_missing_s", TrySite.round(missingS));
-        boolean risen = around.state().value("q/level") instanceof Map<?, ?> level && level.get("level") instanceof Number number && number.intValue() > 1;
-        if (risen && result.containsKey("limits_lowered_s")) {
-            result.put("level_risen_s", TrySite.round(now - failedAt));
-            result.put("longest_answer_s", TrySite.round(around.users().longest().values().stream().mapToDouble(each -> each).max().orElse(0)));
-            enter(Phase.RECOVERY);
-        } else if (now - failedAt > (controllers.size() + 2) * ROLL_EVERY_S + SWITCHED_WITHIN_S) {
-            result.put("why", "the level has not risen");
-            enter(Phase.FAILED);
-        }
+  private void lookAtRoll(double now) {
+    missingS += replicasMissing() > 0 ? LOOK_S : 0;
+    result.put("replicas_missing_s", TrySite.round(missingS));
+    boolean risen =
+        around.state().value("q/level") instanceof Map<?, ?> level
+            && level.get("level") instanceof Number number
+            && number.intValue() > 1;
+    if (risen && result.containsKey("limits_lowered_s")) {
+      result.put("level_risen_s", TrySite.round(now - failedAt));
+      result.put(
+          "longest_answer_s",
+          TrySite.round(
+              around.users().longest().values().stream()
+                  .mapToDouble(each -> each)
+                  .max()
+                  .orElse(0)));
+      enter(Phase.RECOVERY);
+    } else if (now - failedAt > (controllers.size() + 2) * ROLL_EVERY_S + SWITCHED_WITHIN_S) {
+      result.put("why", "the level has not risen");
+      enter(Phase.FAILED);
     }
+  }
 
-    /** Something that ends a trouble. */
-    private interface End {
-        void run() throws IOException;
-    }
+  /** Something that ends a trouble. */
+  private interface End {
+    void run() throws IOException;
+  }
 
-    private void end(double afterS, End end) {
-        around.clock().after(afterS, () -> {
-            try {
+  private void end(double afterS, End end) {
+    around
+        .clock()
+        .after(
+            afterS,
+            () -> {
+              try {
                 end.run();
-            } catch (IOException e) {
+              } catch (IOException e) {
                 throw new UncheckedIOException(e);
-            }
-            result.put("trouble_s", afterS);
-            enter(Phase.RECOVERY);
-        });
-    }
+              }
+              result.put("trouble_s", afterS);
+              enter(Phase.RECOVERY);
+            });
+  }
 
-    private void measure(double now) {
-        double began = kind == Kind.RESTART ? failedAt : since;
-        List<Worker> workers = around.cloud().workers();
-        if (workers.stream().anyMatch(worker -> worker.answeredFrom() > began)) {
-            result.putIfAbsent("first_report_answered_s", TrySite.round(now - failedAt));
-        }
-        if (workersUnanswered() == 0) {
-            result.putIfAbsent("all_workers_s", TrySite.round(now - failedAt));
-        }
-        if (replicasMissing() == 0 && result.containsKey("all_workers_s")) {
-            result.putIfAbsent("all_replicas_s", TrySite.round(now - failedAt));
-        }
-        if (around.users().acceptedAfter().size() > acceptedBefore) {
-            result.putIfAbsent("first_job_accepted_s", TrySite.round(now - failedAt));
-        }
+  private void measure(double now) {
+    double began = kind == Kind.RESTART ? failedAt : since;
+    List<Worker> workers = around.cloud().workers();
+    if (workers.stream().anyMatch(worker -> worker.answeredFrom() > began)) {
+      result.putIfAbsent("first_report_answered_s", TrySite.round(now - failedAt));
     }
-
-    private long workersUnanswered() {
-        double began = kind == Kind.RESTART ? failedAt : since;
-        return around.cloud().workers().stream().filter(worker -> worker.answeredFrom() <= began).count();
+    if (workersUnanswered() == 0) {
+      result.putIfAbsent("all_workers_s", TrySite.round(now - failedAt));
     }
-
-    private boolean allAccepted() {
-        return around.users().submitted() > 0 && around.users().acceptedAfter().size() >= around.users().submitted();
+    if (replicasMissing() == 0 && result.containsKey("all_workers_s")) {
+      result.putIfAbsent("all_replicas_s", TrySite.round(now - failedAt));
     }
-
-    private Set<Job> services() {
-        Set<Job> services = new HashSet<>();
-        for (JobId id : around.users().told().keySet()) {
-            Job job = around.job(id);
-            if (job.shape() == Shape.SERVICE && around.rules().cancelledAt(id) == null) {
-                services.add(job);
-            }
-        }
-        return services;
+    if (around.users().acceptedAfter().size() > acceptedBefore) {
+      result.putIfAbsent("first_job_accepted_s", TrySite.round(now - failedAt));
     }
+  }
 
-    private int replicas() {
-        return services().stream().mapToInt(Job::tasks).sum();
-    }
+  private long workersUnanswered() {
+    double began = kind == Kind.RESTART ? failedAt : since;
+    return around.cloud().workers().stream()
+        .filter(worker -> worker.answeredFrom() <= began)
+        .count();
+  }
+
+  private boolean allAccepted() {
+    return around.users().submitted() > 0
+        && around.users().acceptedAfter().size() >= around.users().submitted();
+  }
 
-    private int replicasMissing() {
-        return services().stream().mapToInt(job -> job.tasks() - around.rules().onMachines(job.id())).sum();
+  private Set<Job> services() {
+    Set<Job> services = new HashSet<>();
+    for (JobId id : around.users().told().keySet()) {
+      Job job = around.job(id);
+      if (job.shape() == Shape.SERVICE && around.rules().cancelledAt(id) == null) {
+        services.add(job);
+      }
     }
+    return services;
+  }
+
+  private int replicas() {
+    return services().stream().mapToInt(Job::tasks).sum();
+  }
+
+  private int replicasMissing() {
+    return services().stream()
+        .mapToInt(job -> job.tasks() - around.rules().onMachines(job.id()))
+        .sum();
+  }
 }
--- a/src/main/java/org/quincecross/emulator/Front.java
+++ b/src/main/java/org/quincecross/emulator/Front.java
@@ -9,69 +9,84 @@
 import org.quincecross.wire.Json;
 
 /**
- * A stand-in for the users' load balancer, for people and scripts that try a site: each request goes to the next controller
- * that says it is well. Jobs that are submitted here are made known to the machines, as their users upload them.
+ * A stand-in for the users' load balancer, for people and scripts that try a site: each request
+ * goes to the next controller that says it is well. Jobs that are submitted here are made known to
+ * the machines, as their users upload them.
  */
 final class Front implements Network.Host {
-    private static final double PROBE_S = 0.5;
-    private static final Span PROBE_TIMEOUT = Span.ofSeconds(1);
-    private static final Span TIMEOUT = Span.ofSeconds(5);
+  private static final double PROBE_S = 0.5;
+  private static final Span PROBE_TIMEOUT = Span.ofSeconds(1);
+  private static final Span TIMEOUT = Span.ofSeconds(5);
 
-    private final Surroundings around;
-    private final Life life = new Life();
-    private final boolean[] well;
-    private int next;
+  private final Surroundings around;
+  private final Life life = new Life();
+  private final boolean[] well;
+  private int next;
 
-    Front(Surroundings around) {
-        this.around = around;
-        this.well = new boolean[around.site().nodes()];
-        probe();
-    }
+  Front(Surroundings around) {
+    this.around = around;
+    this.well = new boolean[around.site().nodes()];
+    probe();
+  }
 
-    private void probe() {
-        for (int node = 0; node < well.length; node++) {
-            int probed = node;
-            around.network().call(life, "probe", around.node(node), HttpRequest.get(JobCodec.HEALTH), PROBE_TIMEOUT,
-                    outcome -> well[probed] = outcome.status() == 200);
-        }
-        around.clock().after(PROBE_S, this::probe);
+  private void probe() {
+    for (int node = 0; node < well.length; node++) {
+      int probed = node;
+      around
+          .network()
+          .call(
+              life,
+              "probe",
+              around.node(node),
+              HttpRequest.get(JobCodec.HEALTH),
+              PROBE_TIMEOUT,
+              outcome -> well[probed] = outcome.status() == 200);
     }
+    around.clock().after(PROBE_S, this::probe);
+  }
 
-    /** How many controllers answer and say that they are well. */
-    int wellCount() {
-        int count = 0;
-        for (boolean each : well) {
-            count += each ? 1 : 0;
-        }
-        return count;
+  /** How many controllers answer and say that they are well. */
+  int wellCount() {
+    int count = 0;
+    for (boolean each : well) {
+      count += each ? 1 : 0;
     }
+    return count;
+  }
 
-    @Override
-    public boolean isUp() {
-        return true;
-    }
+  @Override
+  public boolean isUp() {
+    return true;
+  }
 
-    @Override
-    public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
-        if (request.path().equals(JobCodec.JOBS) && request.method().equals("POST")) {
-            try {
-                around.users().upload(JobCodec.read(Json.parseFields(request.body())));
-            } catch (BadMessage e) {
-                // the controller says what is wrong with it
-            }
-        }
-        for (int tried = 0; tried < well.length; tried++) {
-            next = (next + 1) % well.length;
-            if (well[next]) {
-                around.network().call(life, "front", around.node(next), request, TIMEOUT, outcome -> reply.accept(
-                        outcome.status() == 0 ? none() : outcome.response()));
-                return;
-            }
-        }
-        reply.accept(none());
+  @Override
+  public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
+    if (request.path().equals(JobCodec.JOBS) && request.method().equals("POST")) {
+      try {
+        around.users().upload(JobCodec.read(Json.parseFields(request.body())));
+      } catch (BadMessage e) {
+        // the controller says what is wrong with it
+      }
     }
-
-    private static HttpResponse none() {
-        return HttpResponse.of(503, JobCodec.error("no controller answers")).withRetryAfter(1);
+    for (int tried = 0; tried < well.length; tried++) {
+      next = (next + 1) % well.length;
+      if (well[next]) {
+        around
+            .network()
+            .call(
+                life,
+                "front",
+                around.node(next),
+                request,
+                TIMEOUT,
+                outcome -> reply.accept(outcome.status() == 0 ? none() : outcome.response()));
+        return;
+      }
     }
+    reply.accept(none());
+  }
+
+  private static HttpResponse none() {
+    return HttpResponse.of(503, JobCodec.error("no controller answers")).withRetryAfter(1);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/HoldDrill.java
+++ b/src/main/java/org/quincecross/emulator/HoldDrill.java
@@ -16,140 +16,207 @@
 import org.quincecross.wire.Json;
 
 /**
- * A hold against sweeps that run: one lane is told to be of sweeps, all of its records are held, and the controller that was asked is killed
- * in the middle. Once "pinned" stands in the records no task of the lane is on a machine, until the hold is closed.
+ * A hold against sweeps that run: one lane is told to be of sweeps, all of its records are held,
+ * and the controller that was asked is killed in the middle. Once "pinned" stands in the records no
+ * task of the lane is on a machine, until the hold is closed.
  */
 final class HoldDrill {
-    /** Where it stands. */
-    enum State { WAITS_FOR_LEVEL, TELLS_LANE, OPENS, PINNING, PINNED, CLOSES, OVER, FAILED }
+  /** Where it stands. */
+  enum State {
+    WAITS_FOR_LEVEL,
+    TELLS_LANE,
+    OPENS,
+    PINNING,
+    PINNED,
+    CLOSES,
+    OVER,
+    FAILED
+  }
 
-    private static final String REFERENCE = "drill";
-    private static final String SERIES = "records";
-    private static final Span TIMEOUT = Span.ofSeconds(5);
-    private static final double AGAIN_S = 1;
-    private static final double KILL_AFTER_S = 0.03;
-    private static final double BACK_AFTER_S = 3;
-    private static final double WATCHED_S = 4;
-    private static final double PINNED_WITHIN_S = 60;
-    private static final double LEVEL_WITHIN_S = 90;
+  private static final String REFERENCE = "drill";
+  private static final String SERIES = "records";
+  private static final Span TIMEOUT = Span.ofSeconds(5);
+  private static final double AGAIN_S = 1;
+  private static final double KILL_AFTER_S = 0.03;
+  private static final double BACK_AFTER_S = 3;
+  private static final double WATCHED_S = 4;
+  private static final double PINNED_WITHIN_S = 60;
+  private static final double LEVEL_WITHIN_S = 90;
 
-    private final Surroundings around;
-    private final List<ControllerProcess> controllers;
-    private final Map<String, Object> result;
-    private State state = State.WAITS_FOR_LEVEL;
-    private double since;
-    private double openedAt;
-    private String lane;
+  private final Surroundings around;
+  private final List<ControllerProcess> controllers;
+  private final Map<String, Object> result;
+  private State state = State.WAITS_FOR_LEVEL;
+  private double since;
+  private double openedAt;
+  private String lane;
 
-    HoldDrill(Surroundings around, List<ControllerProcess> controllers, Map<String, Object> result) {
-        this.around = around;
-        this.controllers = controllers;
-        this.result = result;
-        this.since = around.clock().seconds();
-    }
+  HoldDrill(Surroundings around, List<ControllerProcess> controllers, Map<String, Object> result) {
+    this.around = around;
+    this.controllers = controllers;
+    this.result = result;
+    this.since = around.clock().seconds();
+  }
 
-    State state() {
-        return state;
-    }
+  State state() {
+    return state;
+  }
 
-    /** The one place where the state changes. */
-    private void enter(State next) {
-        state = next;
-        since = around.clock().seconds();
-    }
+  /** The one place where the state changes. */
+  private void enter(State next) {
+    state = next;
+    since = around.clock().seconds();
+  }
 
-    private void fail(String why) {
-        result.put("why", why);
-        enter(State.FAILED);
-    }
+  private void fail(String why) {
+    result.put("why", why);
+    enter(State.FAILED);
+  }
 
-    /** To be called several times a second. */
-    void look() {
-        double now = around.clock().seconds();
-        switch (state) {
-            case WAITS_FOR_LEVEL -> {
-                lane = sweeps();
-                if (lane == null) {
-                    fail("no array is left that could be a sweep");
-                } else if (around.state().value("q/level") instanceof Map<?, ?> level && level.get("level") instanceof Number number && number.intValue() > 2) {
-                    enter(State.TELLS_LANE);
-                    ask(0, SweepKind.NAME, lane, Json.object("series", List.of(SERIES)), () -> enter(State.OPENS));
-                } else if (now - since > LEVEL_WITHIN_S) {
-                    fail("the level of agreed records is not in force");
-                }
-            }
-            case OPENS -> {
-                openedAt = now;
-                result.put("tasks_running", onMachines());
-                enter(State.PINNING);
-                ask(1, HoldKind.NAME, REFERENCE, Json.object("do", "open", "records", List.of(SERIES)), () -> { });
-                around.clock().after(KILL_AFTER_S, this::kill);
-            }
-            case PINNING -> {
-                if ("PINNED".equals(held())) {
-                    result.put("pinned_s", TrySite.round(now - openedAt));
-                    enter(State.PINNED);
-                } else if (now - since > PINNED_WITHIN_S) {
-                    fail("not pinned after " + PINNED_WITHIN_S + " s, " + onMachines() + " tasks of " + lane + " run");
-                }
-            }
-            case PINNED -> {
-                if (onMachines() > 0) {
-                    fail(onMachines() + " tasks of " + lane + " run though their records are pinned");
-                } else if (now - since > WATCHED_S) {
-                    enter(State.CLOSES);
-                    ask(2, HoldKind.NAME, REFERENCE, Json.object("do", "close", "opening", 1), () -> enter(State.OVER));
-                }
-            }
-            case TELLS_LANE, CLOSES, OVER, FAILED -> { }
-            default -> throw new IllegalStateException(state.toString());
+  /** To be called several times a second. */
+  void look() {
+    double now = around.clock().seconds();
+    switch (state) {
+      case WAITS_FOR_LEVEL -> {
+        lane = sweeps();
+        if (lane == null) {
+          fail("no array is left that could be a sweep");
+        } else if (around.state().value("q/level") instanceof Map<?, ?> level
+            && level.get("level") instanceof Number number
+            && number.intValue() > 2) {
+          enter(State.TELLS_LANE);
+          ask(
+              0,
+              SweepKind.NAME,
+              lane,
+              Json.object("series", List.of(SERIES)),
+              () -> enter(State.OPENS));
+        } else if (now - since > LEVEL_WITHIN_S) {
+          fail("the level of agreed records is not in force");
+        }
+      }
+      case OPENS -> {
+        openedAt = now;
+        result.put("tasks_running", onMachines());
+        enter(State.PINNING);
+        ask(
+            1,
+            HoldKind.NAME,
+            REFERENCE,
+            Json.object("do", "open", "records", List.of(SERIES)),
+            () -> {});
+        around.clock().after(KILL_AFTER_S, this::kill);
+      }
+      case PINNING -> {
+        if ("PINNED".equals(held())) {
+          result.put("pinned_s", TrySite.round(now - openedAt));
+          enter(State.PINNED);
+        } else if (now - since > PINNED_WITHIN_S) {
+          fail(
+              "not pinned after "
+                  + PINNED_WITHIN_S
+                  + " s, "
+                  + onMachines()
+                  + " tasks of "
+                  + lane
+                  + " run");
+        }
+      }
+      case PINNED -> {
+        if (onMachines() > 0) {
+          fail(onMachines() + " tasks of " + lane + " run though their records are pinned");
+        } else if (now - since > WATCHED_S) {
+          enter(State.CLOSES);
+          ask(
+              2,
+              HoldKind.NAME,
+              REFERENCE,
+              Json.object("do", "close", "opening", 1),
+              () -> enter(State.OVER));
         }
+      }
+      case TELLS_LANE, CLOSES, OVER, FAILED -> {}
+      default -> throw new IllegalStateException(state.toString());
     }
+  }
 
-    private void kill() {
-        controllers.get(1).kill();
-        around.clock().after(BACK_AFTER_S, () -> {
-            try {
+  private void kill() {
+    controllers.get(1).kill();
+    around
+        .clock()
+        .after(
+            BACK_AFTER_S,
+            () -> {
+              try {
                 controllers.get(1).start();
-            } catch (IOException e) {
+              } catch (IOException e) {
                 throw new UncheckedIOException(e);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    private Object held() {
-        return around.state().value("q/agreed/" + HoldKind.NAME + "/" + REFERENCE) instanceof Map<?, ?> record
-                && record.get("state") instanceof Map<?, ?> hold ? hold.get("state") : null;
-    }
+  private Object held() {
+    return around.state().value("q/agreed/" + HoldKind.NAME + "/" + REFERENCE)
+                instanceof Map<?, ?> record
+            && record.get("state") instanceof Map<?, ?> hold
+        ? hold.get("state")
+        : null;
+  }
 
-    /** The lane of an array that has not ended, or null. */
-    private String sweeps() {
-        for (JobId id : around.users().told().keySet()) {
-            Job job = around.job(id);
-            if (job.shape() == Shape.ARRAY && !"done".equals(around.users().told().get(id))) {
-                return job.jobClass();
-            }
-        }
-        return null;
+  /** The lane of an array that has not ended, or null. */
+  private String sweeps() {
+    for (JobId id : around.users().told().keySet()) {
+      Job job = around.job(id);
+      if (job.shape() == Shape.ARRAY && !"done".equals(around.users().told().get(id))) {
+        return job.jobClass();
+      }
     }
+    return null;
+  }
 
-    private int onMachines() {
-        return around.users().told().keySet().stream().filter(id -> around.job(id).jobClass().equals(lane)).mapToInt(around.rules()::onMachines).sum();
-    }
+  private int onMachines() {
+    return around.users().told().keySet().stream()
+        .filter(id -> around.job(id).jobClass().equals(lane))
+        .mapToInt(around.rules()::onMachines)
+        .sum();
+  }
 
-    /** Asks one controller after the other, by the same name of the request, until it is done or refused. */
-    private void ask(int node, String kind, String id, Map<String, Object> command, Runnable done) {
-        byte[] body = Json.write(Json.object("request", kind + "-" + command.getOrDefault("do", "tell"), "by", "drill", "command", command));
-        Consumer<HttpOutcome> answered = outcome -> {
-            int status = outcome.status();
-            if (status == 200) {
-                done.run();
-            } else if (status >= 400 && status < 500 && status != 429 && status != 409) {
-                fail("refused with " + status);
-            } else {
-                around.clock().after(AGAIN_S, () -> ask((node + 1) % controllers.size(), kind, id, command, done));
-            }
+  /**
+   * Asks one controller after the other, by the same name of the request, until it is done or
+   * refused.
+   */
+  private void ask(int node, String kind, String id, Map<String, Object> command, Runnable done) {
+    byte[] body =
+        Json.write(
+            Json.object(
+                "request",
+                kind + "-" + command.getOrDefault("do", "tell"),
+                "by",
+                "drill",
+                "command",
+                command));
+    Consumer<HttpOutcome> answered =
+        outcome -> {
+          int status = outcome.status();
+          if (status == 200) {
+            done.run();
+          } else if (status >= 400 && status < 500 && status != 429 && status != 409) {
+            fail("refused with " + status);
+          } else {
+            around
+                .clock()
+                .after(
+                    AGAIN_S, () -> ask((node + 1) % controllers.size(), kind, id, command, done));
+          }
         };
-        around.network().call(new Life(), "users", around.node(node), HttpRequest.post("/admin/agreed/" + kind + "/" + id, body), TIMEOUT, answered);
-    }
+    around
+        .network()
+        .call(
+            new Life(),
+            "users",
+            around.node(node),
+            HttpRequest.post("/admin/agreed/" + kind + "/" + id, body),
+            TIMEOUT,
+            answered);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/IdleRoom.java
+++ b/src/main/java/org/quincecross/emulator/IdleRoom.java
@@ -13,80 +13,92 @@
 import org.quincecross.model.Shape;
 
 /**
- * Once all troubles are over, no job is left waiting for 90 s while a machine that fits has room and its team is under its limit. A job
- * waits while some of it is to be done and on no machine, and none of its tasks has started. Looked at each second, as machines are.
+ * Once all troubles are over, no job is left waiting for 90 s while a machine that fits has room
+ * and its team is under its limit. A job waits while some of it is to be done and on no machine,
+ * and none of its tasks has started. Looked at each second, as machines are.
  */
 final class IdleRoom {
-    static final double LONGEST_S = 90;
+  static final double LONGEST_S = 90;
 
-    private record Waiting(double since, int started) {
-    }
+  private record Waiting(double since, int started) {}
 
-    private final Surroundings around;
-    private final Map<JobId, Waiting> waiting = new HashMap<>();
-    private final Set<JobId> found = new HashSet<>();
-    private boolean isWatching;
+  private final Surroundings around;
+  private final Map<JobId, Waiting> waiting = new HashMap<>();
+  private final Set<JobId> found = new HashSet<>();
+  private boolean isWatching;
 
-    IdleRoom(Surroundings around) {
-        this.around = around;
-    }
+  IdleRoom(Surroundings around) {
+    this.around = around;
+  }
 
-    /** All troubles are over: from now on it is watched. */
-    void watch() {
-        if (!isWatching) {
-            isWatching = true;
-            look();
-        }
+  /** All troubles are over: from now on it is watched. */
+  void watch() {
+    if (!isWatching) {
+      isWatching = true;
+      look();
     }
+  }
 
-    private void look() {
-        List<Worker> open = around.cloud().workers().stream().filter(Worker::takesWork).toList();
-        for (JobId id : List.copyOf(around.users().told().keySet())) {
-            if (!around.users().isOpen(id) || around.users().isCancelAsked(id) || around.users().isMistaken(id) || !hasRoom(around.job(id), open)) {
-                waiting.remove(id);
-                continue;
-            }
-            double now = around.clock().seconds();
-            int started = around.rules().started(id);
-            Waiting before = waiting.get(id);
-            if (before == null || before.started() != started) {
-                waiting.put(id, new Waiting(now, started));
-            } else if (now - before.since() >= LONGEST_S && found.add(id)) {
-                around.rules().leftWaiting(id, now - before.since());
-            }
-        }
-        around.clock().after(1, this::look);
+  private void look() {
+    List<Worker> open = around.cloud().workers().stream().filter(Worker::takesWork).toList();
+    for (JobId id : List.copyOf(around.users().told().keySet())) {
+      if (!around.users().isOpen(id)
+          || around.users().isCancelAsked(id)
+          || around.users().isMistaken(id)
+          || !hasRoom(around.job(id), open)) {
+        waiting.remove(id);
+        continue;
+      }
+      double now = around.clock().seconds();
+      int started = around.rules().started(id);
+      Waiting before = waiting.get(id);
+      if (before == null || before.started() != started) {
+        waiting.put(id, new Waiting(now, started));
+      } else if (now - before.since() >= LONGEST_S && found.add(id)) {
+        around.rules().leftWaiting(id, now - before.since());
+      }
     }
+    around.clock().after(1, this::look);
+  }
 
-    /** Whether what is to start next of a job could: one task, or all of a gang. */
-    private boolean hasRoom(Job job, List<Worker> open) {
-        int next = 0;
-        while (next < job.tasks() && (around.rules().isCompleted(job.id().task(next)) || around.rules().isOn(job.id().task(next)))) {
-            next++;
-        }
-        int together = job.shape() == Shape.GANG ? job.tasks() : 1;
-        Resources left = around.site().teams().get(job.team()).limit().minus(around.rules().used(job.team()));
-        boolean isBegunGang = job.shape() == Shape.GANG && around.rules().onMachines(job.id()) > 0;
-        if (next == job.tasks() || isBegunGang || left.count(job.each()) < together) {
-            return false;
-        }
-        Map<String, Integer> places = new HashMap<>();
-        for (Worker worker : open) {
-            Machine machine = worker.machine();
-            if (job.allows(machine.type(), machine.zone(), machine.spot())) {
-                places.merge(job.oneZone() ? machine.zone() : "any", inZone(job, machine.zone(), worker.capacity().minus(worker.used()).count(job.each())), Integer::sum);
-            }
-        }
-        return places.values().stream().anyMatch(each -> each >= together);
+  /** Whether what is to start next of a job could: one task, or all of a gang. */
+  private boolean hasRoom(Job job, List<Worker> open) {
+    int next = 0;
+    while (next < job.tasks()
+        && (around.rules().isCompleted(job.id().task(next))
+            || around.rules().isOn(job.id().task(next)))) {
+      next++;
+    }
+    int together = job.shape() == Shape.GANG ? job.tasks() : 1;
+    Resources left =
+        around.site().teams().get(job.team()).limit().minus(around.rules().used(job.team()));
+    boolean isBegunGang = job.shape() == Shape.GANG && around.rules().onMachines(job.id()) > 0;
+    if (next == job.tasks() || isBegunGang || left.count(job.each()) < together) {
+      return false;
+    }
+    Map<String, Integer> places = new HashMap<>();
+    for (Worker worker : open) {
+      Machine machine = worker.machine();
+      if (job.allows(machine.type(), machine.zone(), machine.spot())) {
+        places.merge(
+            job.oneZone() ? machine.zone() : "any",
+            inZone(job, machine.zone(), worker.capacity().minus(worker.used()).count(job.each())),
+            Integer::sum);
+      }
     }
+    return places.values().stream().anyMatch(each -> each >= together);
+  }
 
-    /** Of the tasks that machines of a zone have room for, those that may be there. */
-    private int inZone(Job job, String zone, int room) {
-        List<String> zones = new ArrayList<>(around.site().zones());
-        zones.removeIf(each -> around.rules().onMachines(job.id(), each) == 0);
-        if (job.oneZone() && !zones.isEmpty() && !zones.contains(zone)) {
-            return 0;
-        }
-        return job.spread() ? Math.min(room, Math.max(0, job.mostInOneZone() - around.rules().onMachines(job.id(), zone))) : room;
+  /** Of the tasks that machines of a zone have room for, those that may be there. */
+  private int inZone(Job job, String zone, int room) {
+    List<String> zones = new ArrayList<>(around.site().zones());
+    zones.removeIf(each -> around.rules().onMachines(job.id(), each) == 0);
+    if (job.oneZone() && !zones.isEmpty() && !zones.contains(zone)) {
+      return 0;
     }
+    return job.spread()
+        ? Math.min(
+            room, Math.max(0, job.mostInOneZone() - around.rules().onMachines(job.id(), zone)))
+        : room;
+  }
 }
--- a/src/main/java/org/quincecross/emulator/ImageStore.java
+++ b/src/main/java/org/quincecross/emulator/ImageStore.java
@@ -6,105 +6,110 @@
 import java.util.Map;
 
 /**
- * The images of one machine: each is fetched once for all tasks that wait for it, fetches at the same time share the rate,
- * a fetch for which nobody waits any more is given up, and the images used last are kept.
+ * The images of one machine: each is fetched once for all tasks that wait for it, fetches at the
+ * same time share the rate, a fetch for which nobody waits any more is given up, and the images
+ * used last are kept.
  */
 final class ImageStore {
-    private static final double ALMOST_GB = 1e-6;
+  private static final double ALMOST_GB = 1e-6;
 
-    private static final class Fetch {
-        private final double gb;
-        private double left;
-        private final List<Runnable> waiting = new ArrayList<>();
+  private static final class Fetch {
+    private final double gb;
+    private double left;
+    private final List<Runnable> waiting = new ArrayList<>();
 
-        Fetch(double gb) {
-            this.gb = gb;
-            this.left = gb;
-        }
+    Fetch(double gb) {
+      this.gb = gb;
+      this.left = gb;
     }
+  }
 
-    private final Clock clock;
-    private final double cacheGb;
-    private final double rate;
-    private final Map<String, Double> cached = new LinkedHashMap<>(16, 0.75f, true);
-    private final Map<String, Fetch> fetches = new LinkedHashMap<>();
-    private double at;
-    private long plan;
+  private final Clock clock;
+  private final double cacheGb;
+  private final double rate;
+  private final Map<String, Double> cached = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<String, Fetch> fetches = new LinkedHashMap<>();
+  private double at;
+  private long plan;
 
-    ImageStore(Clock clock, double cacheGb, double rate) {
-        this.clock = clock;
-        this.cacheGb = cacheGb;
-        this.rate = rate;
-    }
+  ImageStore(Clock clock, double cacheGb, double rate) {
+    this.clock = clock;
+    this.cacheGb = cacheGb;
+    this.rate = rate;
+  }
 
-    double cacheGb() {
-        return cacheGb;
-    }
+  double cacheGb() {
+    return cacheGb;
+  }
 
-    double rate() {
-        return rate;
-    }
+  double rate() {
+    return rate;
+  }
 
-    /** Runs {@code there} once the machine has the image; whether it begins to be fetched for that. */
-    boolean want(String image, double gb, Runnable there) {
-        if (cached.get(image) != null || gb <= 0) {
-            clock.after(0, there);
-            return false;
-        }
-        settle();
-        boolean begins = !fetches.containsKey(image);
-        fetches.computeIfAbsent(image, i -> new Fetch(gb)).waiting.add(there);
-        replan();
-        return begins;
+  /**
+   * Runs {@code there} once the machine has the image; whether it begins to be fetched for that.
+   */
+  boolean want(String image, double gb, Runnable there) {
+    if (cached.get(image) != null || gb <= 0) {
+      clock.after(0, there);
+      return false;
     }
+    settle();
+    boolean begins = !fetches.containsKey(image);
+    fetches.computeIfAbsent(image, i -> new Fetch(gb)).waiting.add(there);
+    replan();
+    return begins;
+  }
 
-    /** What {@link #want} was called with does not want it any more. */
-    void giveUp(String image, Runnable there) {
-        Fetch fetch = fetches.get(image);
-        if (fetch != null && fetch.waiting.remove(there) && fetch.waiting.isEmpty()) {
-            settle();
-            fetches.remove(image);
-            replan();
-        }
+  /** What {@link #want} was called with does not want it any more. */
+  void giveUp(String image, Runnable there) {
+    Fetch fetch = fetches.get(image);
+    if (fetch != null && fetch.waiting.remove(there) && fetch.waiting.isEmpty()) {
+      settle();
+      fetches.remove(image);
+      replan();
     }
+  }
 
-    /** Notes how far the fetches have come. */
-    private void settle() {
-        double now = clock.seconds();
-        if (!fetches.isEmpty()) {
-            double each = (now - at) * rate / fetches.size();
-            fetches.values().forEach(fetch -> fetch.left -= each);
-        }
-        at = now;
+  /** Notes how far the fetches have come. */
+  private void settle() {
+    double now = clock.seconds();
+    if (!fetches.isEmpty()) {
+      double each = (now - at) * rate / fetches.size();
+      fetches.values().forEach(fetch -> fetch.left -= each);
     }
+    at = now;
+  }
 
-    private void replan() {
-        long mine = ++plan;
-        double least = fetches.values().stream().mapToDouble(fetch -> fetch.left).min().orElse(-1);
-        if (!fetches.isEmpty()) {
-            clock.after(Math.max(0, least) * fetches.size() / rate, () -> {
-                if (plan == mine) {
-                    settle();
-                    finish();
-                    replan();
-                }
-            });
-        }
+  private void replan() {
+    long mine = ++plan;
+    double least = fetches.values().stream().mapToDouble(fetch -> fetch.left).min().orElse(-1);
+    if (!fetches.isEmpty()) {
+      clock.after(
+          Math.max(0, least) * fetches.size() / rate,
+          () -> {
+            if (plan == mine) {
+              settle();
+              finish();
+              replan();
+            }
+          });
     }
+  }
 
-    private void finish() {
-        for (Map.Entry<String, Fetch> entry : List.copyOf(fetches.entrySet())) {
-            if (entry.getValue().left <= ALMOST_GB) {
-                fetches.remove(entry.getKey());
-                cached.put(entry.getKey(), entry.getValue().gb);
-                double sum = cached.values().stream().mapToDouble(Double::doubleValue).sum();
-                var oldest = cached.entrySet().iterator();
-                while (sum > cacheGb && cached.size() > 1) {
-                    sum -= oldest.next().getValue();
-                    oldest.remove();
-                }
-                entry.getValue().waiting.forEach(Runnable::run);
-            }
+  private void finish() {
+    for (Map.Entry<String, Fetch> entry : List.copyOf(fetches.entrySet())) {
+      if (entry.getValue().left <= ALMOST_GB) {
+        fetches.remove(entry.getKey());
+        cached.put(entry.getKey(), entry.getValue().gb);
+        double sum = cached.values().stream().mapToDouble(Double::doubleValue).sum();
+        var oldest = cached.entrySet().iterator();
+        while (sum > cacheGb && cached.size() > 1) {
+          sum -= oldest.next().getValue();
+          oldest.remove();
         }
+        entry.getValue().waiting.forEach(Runnable::run);
+      }
     }
+  }
 }
--- a/src/main/java/org/quincecross/emulator/JobsFile.java
+++ b/src/main/java/org/quincecross/emulator/JobsFile.java
@@ -19,191 +19,265 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** The jobs that a site is to be tried with, as a TOML file has them. What is wrong is told by line and field. */
+/**
+ * The jobs that a site is to be tried with, as a TOML file has them. What is wrong is told by line
+ * and field.
+ */
 final class JobsFile {
-    private static final Map<String, Shape> SHAPES = Map.of("array", Shape.ARRAY, "gang", Shape.GANG, "service", Shape.SERVICE);
-    private static final Map<String, Rank> RANKS =
-            Map.of("critical", Rank.PRODUCTION, "high", Rank.HIGH, "standard", Rank.NORMAL, "idle", Rank.LOW);
-    private static final Set<String> FIELDS = Set.of("name", "shape", "rank", "team", "copies", "per_machines", "every_s", "tasks",
-            "cpus", "gpus", "memory_gb", "image", "image_gb", "run_s", "save_every_s", "save_s", "spread", "one_zone", "spot", "due_s", "waits_on");
-    private static final int MOST_TASKS = 100_000;
-    private static final int MOST_COPIES = 10_000;
-    private static final int FIRST_NUMBER = 1000;
-
-    /** A job and when it is submitted, at the earliest: those that it names are accepted before. */
-    record Due(double atS, Job job) {
-        Pipelines.Step step() {
-            return new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED);
-        }
-    }
-
-    private final Site site;
-    private final List<Due> due = new ArrayList<>();
-    /** The jobs of each name that others may wait for: tables of one name are told apart by nobody. */
-    private final Map<String, List<JobId>> named = new HashMap<>();
-
-    private JobsFile(Site site) {
-        this.site = site;
-    }
-
-    /**
-     * The jobs in a file, first due first; their sizes and copies are checked against the site.
-     *
-     * @throws BadMessage with the line and the field that are wrong
-     */
-    static List<Due> read(String text, Site site) throws BadMessage {
-        TomlParseResult toml = Toml.parse(text);
-        if (toml.hasErrors()) {
-            throw new BadMessage("line " + toml.errors().get(0).position().line() + ": " + firstLine(toml.errors().get(0).getMessage()));
-        }
-        for (String key : toml.keySet()) {
-            if (!key.equals("jobs")) {
-                throw wrong(toml.inputPositionOf(List.of(key)), key, "is not known; there are [[jobs]]");
-            }
-        }
-        TomlArray jobs = toml.isArray("jobs") ? toml.getArray("jobs") : null;
-        if (jobs == null || jobs.isEmpty() || !jobs.toList().stream().allMatch(TomlTable.class::isInstance)) {
-            throw new BadMessage("line 1: no [[jobs]]");
-        }
-        JobsFile file = new JobsFile(site);
-        for (int i = 0; i < jobs.size(); i++) {
-            file.take(jobs.getTable(i), jobs.inputPositionOf(i));
-        }
-        file.due.sort((one, other) -> Double.compare(one.atS(), other.atS()));
-        return file.due;
-    }
-
-    private static String firstLine(String text) {
-        return text == null ? "not TOML" : text.lines().findFirst().orElse("not TOML");
-    }
-
-    private static BadMessage wrong(TomlPosition at, String field, String what) {
-        return new BadMessage("line " + (at == null ? "?" : at.line()) + ": field " + field + " " + what);
-    }
-
-    /** One table of the file, and where it begins. */
-    private record Item(TomlTable table, TomlPosition begins) {
-        BadMessage wrong(String field, String what) {
-            TomlPosition at = table.inputPositionOf(List.of(field));
-            return JobsFile.wrong(at == null ? begins : at, field, what);
-        }
-
-        String text(String field, String otherwise) throws BadMessage {
-            Object value = table.get(List.of(field));
-            if (value == null && otherwise == null) {
-                throw wrong(field, "is missing");
-            }
-            if (value == null) {
-                return otherwise;
-            }
-            if (value instanceof String text && !text.isBlank() && text.length() <= 60) {
-                return text;
-            }
-            throw wrong(field, "is not a short text");
-        }
-
-        double amount(String field, double otherwise, double most) throws BadMessage {
-            Object value = table.get(List.of(field));
-            if (value == null && otherwise < 0) {
-                throw wrong(field, "is missing");
-            }
-            double amount = value == null ? otherwise : value instanceof Number number ? number.doubleValue() : Double.NaN;
-            if (!(amount >= 0 && amount <= most)) {
-                throw wrong(field, "is not a number from 0 to " + most);
-            }
-            return amount;
-        }
-
-        int count(String field, int otherwise, int most) throws BadMessage {
-            Object value = table.get(List.of(field));
-            if (value == null && otherwise < 0) {
-                throw wrong(field, "is missing");
-            }
-            long count = value == null ? otherwise : value instanceof Long number ? number : -1;
-            if (count < 1 || count > most) {
-                throw wrong(field, "is not a whole number from 1 to " + most);
-            }
-            return (int) count;
-        }
-
-        boolean flag(String field) throws BadMessage {
-            Object value = table.get(List.of(field));
-            if (value == null || value instanceof Boolean) {
-                return Boolean.TRUE.equals(value);
-            }
-            throw wrong(field, "is not true or false");
-        }
-
-        List<?> list(String field) throws BadMessage {
-            Object value = table.get(List.of(field));
-            if (value == null || value instanceof TomlArray) {
-                return value == null ? List.of() : ((TomlArray) value).toList();
-            }
-            throw wrong(field, "is not a list");
-        }
-
-        <T> T word(String field, Map<String, T> words) throws BadMessage {
-            T value = words.get(text(field, null));
-            if (value == null) {
-                throw wrong(field, "is not one of " + words.keySet().stream().sorted().toList());
-            }
-            return value;
-        }
-    }
-
-    private void take(TomlTable table, TomlPosition begins) throws BadMessage {
-        Item in = new Item(table, begins);
-        for (String key : table.keySet()) {
-            if (!FIELDS.contains(key)) {
-                throw in.wrong(key, "is not known");
-            }
-        }
-        String name = in.text("name", null);
-        Shape shape = in.word("shape", SHAPES);
-        String team = in.text("team", null);
-        if (!site.teams().containsKey(team)) {
-            throw in.wrong("team", "is not one of " + site.teams().keySet());
-        }
-        int tasks = in.count("tasks", 1, MOST_TASKS);
-        Resources each = new Resources(in.amount("cpus", -1, 1000), in.amount("gpus", 0, 100), in.amount("memory_gb", -1, 10_000));
-        if (each.cpus() <= 0) {
-            throw in.wrong("cpus", "is not above 0");
-        }
-        if (site.types().stream().noneMatch(type -> each.fitsIn(type.capacity()))) {
-            throw in.wrong("cpus", "and memory_gb of a task fit no machine of this site");
-        }
-        boolean runs = shape != Shape.SERVICE;
-        double run = runs ? in.amount("run_s", -1, 100_000) : 0;
-        double every = in.amount("every_s", 0, 100_000);
-        double due = in.amount("due_s", 0, 1_000_000);
-        int copies = in.count("copies", 1, MOST_COPIES);
-        int perMachines = in.count("per_machines", site.mostMachines(), Integer.MAX_VALUE);
-        int all = Math.max(1, copies * site.mostMachines() / perMachines);
-        List<List<JobId>> before = before(in);
-        List<JobId> ids = new ArrayList<>();
-        for (int i = 0; i < all; i++) {
-            int number = i;
-            JobId id = new JobId("job-" + (FIRST_NUMBER + this.due.size()));
-            ids.add(id);
-            this.due.add(new Due(i * every * copies / all, new Job(id, name, team, shape, in.word("rank", RANKS), tasks, each, null, null,
-                    in.flag("one_zone"), in.flag("spread"), in.flag("spot"), in.text("image", name), in.amount("image_gb", 0, 1000),
-                    Span.ofSeconds(run), Span.ofSeconds(in.amount("save_every_s", 0, 100_000)),
-                    Span.ofSeconds(in.amount("save_s", 0, 1000)), due == 0 ? null : Span.ofSeconds(due),
-                    before.stream().map(those -> those.get(number % those.size())).collect(Collectors.toSet()))));
-        }
-        named.put(name, named.containsKey(name) || shape == Shape.SERVICE ? List.of() : ids);
-    }
-
-    /** The copies of each job that this one waits for; each of its own copies waits for one of them, in turn. */
-    private List<List<JobId>> before(Item in) throws BadMessage {
-        List<List<JobId>> before = new ArrayList<>();
-        for (Object name : in.list("waits_on")) {
-            List<JobId> those = named.getOrDefault(String.valueOf(name), List.of());
-            if (those.isEmpty()) {
-                throw in.wrong("waits_on", "names " + name + ", which is not the name of one job above that ends");
-            }
-            before.add(those);
-        }
-        return before;
+  private static final Map<String, Shape> SHAPES =
+      Map.of("array", Shape.ARRAY, "gang", Shape.GANG, "service", Shape.SERVICE);
+  private static final Map<String, Rank> RANKS =
+      Map.of(
+          "critical",
+          Rank.PRODUCTION,
+          "high",
+          Rank.HIGH,
+          "standard",
+          Rank.NORMAL,
+          "idle",
+          Rank.LOW);
+  private static final Set<String> FIELDS =
+      Set.of(
+          "name",
+          "shape",
+          "rank",
+          "team",
+          "copies",
+          "per_machines",
+          "every_s",
+          "tasks",
+          "cpus",
+          "gpus",
+          "memory_gb",
+          "image",
+          "image_gb",
+          "run_s",
+          "save_every_s",
+          "save_s",
+          "spread",
+          "one_zone",
+          "spot",
+          "due_s",
+          "waits_on");
+  private static final int MOST_TASKS = 100_000;
+  private static final int MOST_COPIES = 10_000;
+  private static final int FIRST_NUMBER = 1000;
+
+  /** A job and when it is submitted, at the earliest: those that it names are accepted before. */
+  record Due(double atS, Job job) {
+    Pipelines.Step step() {
+      return new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED);
+    }
+  }
+
+  private final Site site;
+  private final List<Due> due = new ArrayList<>();
+
+  /**
+   * The jobs of each name that others may wait for: tables of one name are told apart by nobody.
+   */
+  private final Map<String, List<JobId>> named = new HashMap<>();
+
+  private JobsFile(Site site) {
+    this.site = site;
+  }
+
+  /**
+   * The jobs in a file, first due first; their sizes and copies are checked against the site.
+   *
+   * @throws BadMessage with the line and the field that are wrong
+   */
+  static List<Due> read(String text, Site site) throws BadMessage {
+    TomlParseResult toml = Toml.parse(text);
+    if (toml.hasErrors()) {
+      throw new BadMessage(
+          "line "
+              + toml.errors().get(0).position().line()
+              + ": "
+              + firstLine(toml.errors().get(0).getMessage()));
+    }
+    for (String key : toml.keySet()) {
+      if (!key.equals("jobs")) {
+        throw wrong(toml.inputPositionOf(List.of(key)), key, "is not known; there are [[jobs]]");
+      }
+    }
+    TomlArray jobs = toml.isArray("jobs") ? toml.getArray("jobs") : null;
+    if (jobs == null
+        || jobs.isEmpty()
+        || !jobs.toList().stream().allMatch(TomlTable.class::isInstance)) {
+      throw new BadMessage("line 1: no [[jobs]]");
+    }
+    JobsFile file = new JobsFile(site);
+    for (int i = 0; i < jobs.size(); i++) {
+      file.take(jobs.getTable(i), jobs.inputPositionOf(i));
+    }
+    file.due.sort((one, other) -> Double.compare(one.atS(), other.atS()));
+    return file.due;
+  }
+
+  private static String firstLine(String text) {
+    return text == null ? "not TOML" : text.lines().findFirst().orElse("not TOML");
+  }
+
+  private static BadMessage wrong(TomlPosition at, String field, String what) {
+    return new BadMessage(
+        "line " + (at == null ? "?" : at.line()) + ": field " + field + " " + what);
+  }
+
+  /** One table of the file, and where it begins. */
+  private record Item(TomlTable table, TomlPosition begins) {
+    BadMessage wrong(String field, String what) {
+      TomlPosition at = table.inputPositionOf(List.of(field));
+      return JobsFile.wrong(at == null ? begins : at, field, what);
+    }
+
+    String text(String field, String otherwise) throws BadMessage {
+      Object value = table.get(List.of(field));
+      if (value == null && otherwise == null) {
+        throw wrong(field, "is missing");
+      }
+      if (value == null) {
+        return otherwise;
+      }
+      if (value instanceof String text && !text.isBlank() && text.length() <= 60) {
+        return text;
+      }
+      throw wrong(field, "is not a short text");
+    }
+
+    double amount(String field, double otherwise, double most) throws BadMessage {
+      Object value = table.get(List.of(field));
+      if (value == null && otherwise < 0) {
+        throw wrong(field, "is missing");
+      }
+      double amount =
+          value == null
+              ? otherwise
+              : value instanceof Number number ? number.doubleValue() : Double.NaN;
+      if (!(amount >= 0 && amount <= most)) {
+        throw wrong(field, "is not a number from 0 to " + most);
+      }
+      return amount;
+    }
+
+    int count(String field, int otherwise, int most) throws BadMessage {
+      Object value = table.get(List.of(field));
+      if (value == null && otherwise < 0) {
+        throw wrong(field, "is missing");
+      }
+      long count = value == null ? otherwise : value instanceof Long number ? number : -1;
+      if (count < 1 || count > most) {
+        throw wrong(field, "is not a whole number from 1 to " + most);
+      }
+      return (int) count;
+    }
+
+    boolean flag(String field) throws BadMessage {
+      Object value = table.get(List.of(field));
+      if (value == null || value instanceof Boolean) {
+        return Boolean.TRUE.equals(value);
+      }
+      throw wrong(field, "is not true or false");
+    }
+
+    List<?> list(String field) throws BadMessage {
+      Object value = table.get(List.of(field));
+      if (value == null || value instanceof TomlArray) {
+        return value == null ? List.of() : ((TomlArray) value).toList();
+      }
+      throw wrong(field, "is not a list");
+    }
+
+    <T> T word(String field, Map<String, T> words) throws BadMessage {
+      T value = words.get(text(field, null));
+      if (value == null) {
+        throw wrong(field, "is not one of " + words.keySet().stream().sorted().toList());
+      }
+      return value;
+    }
+  }
+
+  private void take(TomlTable table, TomlPosition begins) throws BadMessage {
+    Item in = new Item(table, begins);
+    for (String key : table.keySet()) {
+      if (!FIELDS.contains(key)) {
+        throw in.wrong(key, "is not known");
+      }
+    }
+    String name = in.text("name", null);
+    Shape shape = in.word("shape", SHAPES);
+    String team = in.text("team", null);
+    if (!site.teams().containsKey(team)) {
+      throw in.wrong("team", "is not one of " + site.teams().keySet());
+    }
+    int tasks = in.count("tasks", 1, MOST_TASKS);
+    Resources each =
+        new Resources(
+            in.amount("cpus", -1, 1000),
+            in.amount("gpus", 0, 100),
+            in.amount("memory_gb", -1, 10_000));
+    if (each.cpus() <= 0) {
+      throw in.wrong("cpus", "is not above 0");
+    }
+    if (site.types().stream().noneMatch(type -> each.fitsIn(type.capacity()))) {
+      throw in.wrong("cpus", "and memory_gb of a task fit no machine of this site");
+    }
+    boolean runs = shape != Shape.SERVICE;
+    double run = runs ? in.amount("run_s", -1, 100_000) : 0;
+    double every = in.amount("every_s", 0, 100_000);
+    double due = in.amount("due_s", 0, 1_000_000);
+    int copies = in.count("copies", 1, MOST_COPIES);
+    int perMachines = in.count("per_machines", site.mostMachines(), Integer.MAX_VALUE);
+    int all = Math.max(1, copies * site.mostMachines() / perMachines);
+    List<List<JobId>> before = before(in);
+    List<JobId> ids = new ArrayList<>();
+    for (int i = 0; i < all; i++) {
+      int number = i;
+      JobId id = new JobId("job-" + (FIRST_NUMBER + this.due.size()));
+      ids.add(id);
+      this.due.add(
+          new Due(
+              i * every * copies / all,
+              new Job(
+                  id,
+                  name,
+                  team,
+                  shape,
+                  in.word("rank", RANKS),
+                  tasks,
+                  each,
+                  null,
+                  null,
+                  in.flag("one_zone"),
+                  in.flag("spread"),
+                  in.flag("spot"),
+                  in.text("image", name),
+                  in.amount("image_gb", 0, 1000),
+                  Span.ofSeconds(run),
+                  Span.ofSeconds(in.amount("save_every_s", 0, 100_000)),
+                  Span.ofSeconds(in.amount("save_s", 0, 1000)),
+                  due == 0 ? null : Span.ofSeconds(due),
+                  before.stream()
+                      .map(those -> those.get(number % those.size()))
+                      .collect(Collectors.toSet()))));
+    }
+    named.put(name, named.containsKey(name) || shape == Shape.SERVICE ? List.of() : ids);
+  }
+
+  /**
+   * The copies of each job that this one waits for; each of its own copies waits for one of them,
+   * in turn.
+   */
+  private List<List<JobId>> before(Item in) throws BadMessage {
+    List<List<JobId>> before = new ArrayList<>();
+    for (Object name : in.list("waits_on")) {
+      List<JobId> those = named.getOrDefault(String.valueOf(name), List.of());
+      if (those.isEmpty()) {
+        throw in.wrong(
+            "waits_on", "names " + name + ", which is not the name of one job above that ends");
+      }
+      before.add(those);
     }
+    return before;
+  }
 }
--- a/src/main/java/org/quincecross/emulator/LateCancels.java
+++ b/src/main/java/org/quincecross/emulator/LateCancels.java
@@ -8,50 +8,69 @@
 import java.util.Set;
 import org.quincecross.model.JobId;
 
-/** Users who call jobs off when it matters most: at the very end of the last task, or many long ones all at once. */
+/**
+ * Users who call jobs off when it matters most: at the very end of the last task, or many long ones
+ * all at once.
+ */
 final class LateCancels {
-    private static final double WITHIN_S = 0.2;
-    private static final int MOST_HANGING = 8;
+  private static final double WITHIN_S = 0.2;
+  private static final int MOST_HANGING = 8;
 
-    private LateCancels() {
-    }
+  private LateCancels() {}
 
-    /**
-     * For some seconds that share of the jobs that end is called off when the last task ends.
-     *
-     * @param withinS how long after that at the most; 0: at that very moment
-     */
-    static void atEnd(Surroundings around, double share, double withinS, double seconds, Random random) {
-        double untilS = around.clock().seconds() + seconds;
-        around.users().watch((moment, id) -> {
-            if (moment == Users.Moment.LAST_TASK_ENDED && around.clock().seconds() < untilS && random.nextDouble() < share) {
-                around.clock().after(withinS * random.nextDouble(), () -> around.users().cancel(id));
-            }
-        });
-    }
+  /**
+   * For some seconds that share of the jobs that end is called off when the last task ends.
+   *
+   * @param withinS how long after that at the most; 0: at that very moment
+   */
+  static void atEnd(
+      Surroundings around, double share, double withinS, double seconds, Random random) {
+    double untilS = around.clock().seconds() + seconds;
+    around
+        .users()
+        .watch(
+            (moment, id) -> {
+              if (moment == Users.Moment.LAST_TASK_ENDED
+                  && around.clock().seconds() < untilS
+                  && random.nextDouble() < share) {
+                around
+                    .clock()
+                    .after(withinS * random.nextDouble(), () -> around.users().cancel(id));
+              }
+            });
+  }
 
-    /**
-     * Within a fifth of a second so many jobs are called off that run and have longest to go.
-     *
-     * @param hangS for how long up to eight of their machines hang; 0: none does
-     * @return the jobs
-     */
-    static List<JobId> now(Surroundings around, int count, double hangS, Random random) {
-        List<JobId> running = new ArrayList<>();
-        for (JobId id : around.users().told().keySet()) {
-            if (around.users().isOpen(id) && !around.users().isCancelAsked(id) && around.rules().onMachines(id) > 0) {
-                running.add(id);
-            }
-        }
-        Collections.shuffle(running, random);
-        running.sort((one, other) -> Double.compare(around.job(other).estimate().seconds(), around.job(one).estimate().seconds()));
-        List<JobId> called = List.copyOf(running.subList(0, Math.min(count, running.size())));
-        called.forEach(id -> around.clock().after(WITHIN_S * random.nextDouble(), () -> around.users().cancel(id)));
-        if (hangS > 0) {
-            Set<JobId> theirs = new HashSet<>(called);
-            around.cloud().workers().stream().filter(worker -> around.rules().runsAny(worker.machine().id(), theirs)).limit(MOST_HANGING)
-                    .forEach(worker -> worker.hang(hangS));
-        }
-        return called;
+  /**
+   * Within a fifth of a second so many jobs are called off that run and have longest to go.
+   *
+   * @param hangS for how long up to eight of their machines hang; 0: none does
+   * @return the jobs
+   */
+  static List<JobId> now(Surroundings around, int count, double hangS, Random random) {
+    List<JobId> running = new ArrayList<>();
+    for (JobId id : around.users().told().keySet()) {
+      if (around.users().isOpen(id)
+          && !around.users().isCancelAsked(id)
+          && around.rules().onMachines(id) > 0) {
+        running.add(id);
+      }
+    }
+    Collections.shuffle(running, random);
+    running.sort(
+        (one, other) ->
+            Double.compare(
+                around.job(other).estimate().seconds(), around.job(one).estimate().seconds()));
+    List<JobId> called = List.copyOf(running.subList(0, Math.min(count, running.size())));
+    called.forEach(
+        id ->
+            around.clock().after(WITHIN_S * random.nextDouble(), () -> around.users().cancel(id)));
+    if (hangS > 0) {
+      Set<JobId> theirs = new HashSet<>(called);
+      around.cloud().workers().stream()
+          .filter(worker -> around.rules().runsAny(worker.machine().id(), theirs))
+          .limit(MOST_HANGING)
+          .forEach(worker -> worker.hang(hangS));
     }
+    return called;
+  }
 }
--- a/src/main/java/org/quincecross/emulator/Load.java
+++ b/src/main/java/org/quincecross/emulator/Load.java
@@ -17,102 +17,164 @@
 import org.quincecross.model.Span;
 
 /**
- * The jobs that a site's classes name, submitted as they come: Poisson arrivals, log-normal sizes and run times, images by
- * Zipf's law. Open loop: users do not wait for one another.
+ * The jobs that a site's classes name, submitted as they come: Poisson arrivals, log-normal sizes
+ * and run times, images by Zipf's law. Open loop: users do not wait for one another.
  */
 final class Load {
-    private static final int FIRST_NUMBER = 100_000;
-    private static final int FIRST_OF_PIPELINES = 10_000_000;
-    /** Of the logarithm of sizes and run times: a twentieth of them are above two and a half times the median. */
-    private static final double SIGMA = 0.55;
-    private static final double ZIPF = 0.9;
+  private static final int FIRST_NUMBER = 100_000;
+  private static final int FIRST_OF_PIPELINES = 10_000_000;
 
-    private final Surroundings around;
-    private final UniformRandomProvider random;
-    private final ContinuousSampler nearOne;
-    private int number = FIRST_NUMBER;
+  /**
+   * Of the logarithm of sizes and run times: a twentieth of them are above two and a half times the
+   * median.
+   */
+  private static final double SIGMA = 0.55;
 
-    Load(Surroundings around, long seed) {
-        this.around = around;
-        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        this.nearOne = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), 0, SIGMA);
-    }
+  private static final double ZIPF = 0.9;
 
-    /** Submits what is there at the start, spread over some seconds, and what comes after that. */
-    void begin(double overSeconds) {
-        for (Site.JobClass each : around.site().classes()) {
-            DiscreteSampler images = RejectionInversionZipfSampler.of(random, each.images(), ZIPF);
-            for (int i = 0; i < each.initial(); i++) {
-                around.clock().after(random.nextDouble() * overSeconds, () -> around.users().submit(draw(each, images)));
-            }
-            if (each.perMinute() > 0) {
-                arrive(each, images, ZigguratSampler.Exponential.of(random, 60 / each.perMinute()), overSeconds);
-            }
-        }
-    }
+  private final Surroundings around;
+  private final UniformRandomProvider random;
+  private final ContinuousSampler nearOne;
+  private int number = FIRST_NUMBER;
+
+  Load(Surroundings around, long seed) {
+    this.around = around;
+    this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+    this.nearOne = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), 0, SIGMA);
+  }
 
-    /** From now on pipelines come beside what the classes have, each behind nothing or behind a job of one that came before. */
-    void pipelines(double perMinute, Resources each) {
-        PipelineDraws draws = new PipelineDraws(new Random(random.nextLong()), List.copyOf(around.site().teams().keySet()), each, FIRST_OF_PIPELINES);
-        pipeline(draws, ZigguratSampler.Exponential.of(random, 60 / perMinute), new ArrayList<>());
+  /** Submits what is there at the start, spread over some seconds, and what comes after that. */
+  void begin(double overSeconds) {
+    for (Site.JobClass each : around.site().classes()) {
+      DiscreteSampler images = RejectionInversionZipfSampler.of(random, each.images(), ZIPF);
+      for (int i = 0; i < each.initial(); i++) {
+        around
+            .clock()
+            .after(
+                random.nextDouble() * overSeconds, () -> around.users().submit(draw(each, images)));
+      }
+      if (each.perMinute() > 0) {
+        arrive(
+            each,
+            images,
+            ZigguratSampler.Exponential.of(random, 60 / each.perMinute()),
+            overSeconds);
+      }
     }
+  }
 
-    private void pipeline(PipelineDraws draws, ContinuousSampler gaps, List<JobId> earlier) {
-        around.clock().after(gaps.sample(), () -> {
-            for (Pipelines.Step step : draws.draw(earlier)) {
+  /**
+   * From now on pipelines come beside what the classes have, each behind nothing or behind a job of
+   * one that came before.
+   */
+  void pipelines(double perMinute, Resources each) {
+    PipelineDraws draws =
+        new PipelineDraws(
+            new Random(random.nextLong()),
+            List.copyOf(around.site().teams().keySet()),
+            each,
+            FIRST_OF_PIPELINES);
+    pipeline(draws, ZigguratSampler.Exponential.of(random, 60 / perMinute), new ArrayList<>());
+  }
+
+  private void pipeline(PipelineDraws draws, ContinuousSampler gaps, List<JobId> earlier) {
+    around
+        .clock()
+        .after(
+            gaps.sample(),
+            () -> {
+              for (Pipelines.Step step : draws.draw(earlier)) {
                 earlier.add(step.job().id());
                 around.pipelines().submit(step);
-            }
-            pipeline(draws, gaps, earlier);
-        });
-    }
+              }
+              pipeline(draws, gaps, earlier);
+            });
+  }
 
-    /** From now on for some time jobs of a class come several times as often. */
-    void burst(String jobClass, double factor, double seconds) {
-        double until = around.clock().seconds() + seconds;
-        for (Site.JobClass each : around.site().classes()) {
-            if (each.name().equals(jobClass) && each.perMinute() > 0 && factor > 1) {
-                more(each, RejectionInversionZipfSampler.of(random, each.images(), ZIPF),
-                        ZigguratSampler.Exponential.of(random, 60 / (each.perMinute() * (factor - 1))), until);
-            }
-        }
+  /** From now on for some time jobs of a class come several times as often. */
+  void burst(String jobClass, double factor, double seconds) {
+    double until = around.clock().seconds() + seconds;
+    for (Site.JobClass each : around.site().classes()) {
+      if (each.name().equals(jobClass) && each.perMinute() > 0 && factor > 1) {
+        more(
+            each,
+            RejectionInversionZipfSampler.of(random, each.images(), ZIPF),
+            ZigguratSampler.Exponential.of(random, 60 / (each.perMinute() * (factor - 1))),
+            until);
+      }
     }
+  }
 
-    private void more(Site.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double until) {
-        double gap = gaps.sample();
-        if (around.clock().seconds() + gap < until) {
-            around.clock().after(gap, () -> {
+  private void more(
+      Site.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double until) {
+    double gap = gaps.sample();
+    if (around.clock().seconds() + gap < until) {
+      around
+          .clock()
+          .after(
+              gap,
+              () -> {
                 submit(each, images);
                 more(each, images, gaps, until);
-            });
-        }
+              });
     }
+  }
 
-    private void submit(Site.JobClass each, DiscreteSampler images) {
-        Job job = draw(each, images);
-        around.users().submit(job);
-        if (job.shape() == Shape.SERVICE) {
-            around.clock().after(each.runS() * nearOne.sample(), () -> around.users().cancel(job.id()));
-        }
+  private void submit(Site.JobClass each, DiscreteSampler images) {
+    Job job = draw(each, images);
+    around.users().submit(job);
+    if (job.shape() == Shape.SERVICE) {
+      around.clock().after(each.runS() * nearOne.sample(), () -> around.users().cancel(job.id()));
     }
+  }
 
-    private void arrive(Site.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double inSeconds) {
-        around.clock().after(inSeconds + gaps.sample(), () -> {
-            submit(each, images);
-            arrive(each, images, gaps, 0);
-        });
-    }
+  private void arrive(
+      Site.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double inSeconds) {
+    around
+        .clock()
+        .after(
+            inSeconds + gaps.sample(),
+            () -> {
+              submit(each, images);
+              arrive(each, images, gaps, 0);
+            });
+  }
 
-    private Job draw(Site.JobClass each, DiscreteSampler images) {
-        String[] teams = around.site().teams().keySet().toArray(String[]::new);
-        String team = around.site().teams().containsKey(each.name()) ? each.name() : teams[random.nextInt(teams.length)];
-        boolean varies = each.shape() != Shape.GANG;
-        int tasks = varies ? (int) Math.max(1, Math.min(4 * each.meanTasks(), Math.round(each.meanTasks() * nearOne.sample()))) : each.meanTasks();
-        int image = images.sample();
-        return new Job(new JobId("job-" + number++), each.name(), team, each.shape(), each.rank(), tasks, each.each(), null, null,
-                each.shape() == Shape.GANG, each.spread(), each.spot(), each.name() + "-" + image, each.imageGb() * (0.6 + 0.8 * image / each.images()),
-                each.shape() == Shape.SERVICE ? Span.ZERO : Span.ofSeconds(each.runS() * Math.min(4, nearOne.sample())),
-                Span.ofSeconds(each.saveEveryS()), Span.ofSeconds(each.saveEveryS() > 0 ? 3 : 0),
-                each.dueS() > 0 ? Span.ofSeconds(each.dueS()) : null);
-    }
+  private Job draw(Site.JobClass each, DiscreteSampler images) {
+    String[] teams = around.site().teams().keySet().toArray(String[]::new);
+    String team =
+        around.site().teams().containsKey(each.name())
+            ? each.name()
+            : teams[random.nextInt(teams.length)];
+    boolean varies = each.shape() != Shape.GANG;
+    int tasks =
+        varies
+            ? (int)
+                Math.max(
+                    1,
+                    Math.min(4 * each.meanTasks(), Math.round(each.meanTasks() * nearOne.sample())))
+            : each.meanTasks();
+    int image = images.sample();
+    return new Job(
+        new JobId("job-" + number++),
+        each.name(),
+        team,
+        each.shape(),
+        each.rank(),
+        tasks,
+        each.each(),
+        null,
+        null,
+        each.shape() == Shape.GANG,
+        each.spread(),
+        each.spot(),
+        each.name() + "-" + image,
+        each.imageGb() * (0.6 + 0.8 * image / each.images()),
+        each.shape() == Shape.SERVICE
+            ? Span.ZERO
+            : Span.ofSeconds(each.runS() * Math.min(4, nearOne.sample())),
+        Span.ofSeconds(each.saveEveryS()),
+        Span.ofSeconds(each.saveEveryS() > 0 ? 3 : 0),
+        each.dueS() > 0 ? Span.ofSeconds(each.dueS()) : null);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/LoopClock.java
+++ b/src/main/java/org/quincecross/emulator/LoopClock.java
@@ -6,21 +6,21 @@
 
 /** The time of a selector loop: stand-ins that live in it run beside its sockets, on its thread. */
 final class LoopClock implements Clock {
-    private final Loop loop;
-    private final SteadyTime began;
+  private final Loop loop;
+  private final SteadyTime began;
 
-    LoopClock(Loop loop) {
-        this.loop = loop;
-        this.began = loop.now();
-    }
+  LoopClock(Loop loop) {
+    this.loop = loop;
+    this.began = loop.now();
+  }
 
-    @Override
-    public double seconds() {
-        return loop.now().since(began).seconds();
-    }
+  @Override
+  public double seconds() {
+    return loop.now().since(began).seconds();
+  }
 
-    @Override
-    public void after(double seconds, Runnable action) {
-        loop.after(Span.ofSeconds(Math.max(0, seconds)), action);
-    }
+  @Override
+  public void after(double seconds, Runnable action) {
+    loop.after(Span.ofSeconds(Math.max(0, seconds)), action);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
+++ b/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
@@ -13,74 +13,95 @@
 import org.quincecross.net.HttpServer;
 import org.quincecross.net.Loop;
 
-/** Real sockets on loopback. Each host listens at a port of its own and each caller has connections of its own. */
+/**
+ * Real sockets on loopback. Each host listens at a port of its own and each caller has connections
+ * of its own.
+ */
 final class LoopbackNetwork implements Network {
-    private static final String LOOPBACK = "127.0.0.1";
-    private static final int MOST_CONNECTIONS = 4000;
+  private static final String LOOPBACK = "127.0.0.1";
+  private static final int MOST_CONNECTIONS = 4000;
 
-    private final Loop loop;
-    private final int firstMachinePort;
-    private final Map<Endpoint, String> callers = new HashMap<>();
-    private final Map<Endpoint, HttpServer> servers = new HashMap<>();
-    private final Map<String, HttpClient> clients = new HashMap<>();
+  private final Loop loop;
+  private final int firstMachinePort;
+  private final Map<Endpoint, String> callers = new HashMap<>();
+  private final Map<Endpoint, HttpServer> servers = new HashMap<>();
+  private final Map<String, HttpClient> clients = new HashMap<>();
 
-    LoopbackNetwork(Loop loop, int firstMachinePort) {
-        this.loop = loop;
-        this.firstMachinePort = firstMachinePort;
-    }
+  LoopbackNetwork(Loop loop, int firstMachinePort) {
+    this.loop = loop;
+    this.firstMachinePort = firstMachinePort;
+  }
 
-    static Endpoint at(int port) {
-        return new Endpoint(LOOPBACK, port);
-    }
+  static Endpoint at(int port) {
+    return new Endpoint(LOOPBACK, port);
+  }
 
-    /** Says who calls at an address: what comes over a socket does not tell. */
-    void callerAt(Endpoint address, String caller) {
-        callers.put(address, caller);
-    }
+  /** Says who calls at an address: what comes over a socket does not tell. */
+  void callerAt(Endpoint address, String caller) {
+    callers.put(address, caller);
+  }
 
-    @Override
-    public void host(Endpoint address, String name, Host host) {
-        String caller = callers.getOrDefault(address, "");
-        try {
-            servers.put(address, new HttpServer(loop, address, MOST_CONNECTIONS, (request, reply) -> host.request(caller, request, reply)));
-        } catch (IOException e) {
-            throw new UncheckedIOException("cannot listen at " + address + ": " + e.getMessage(), e);
-        }
+  @Override
+  public void host(Endpoint address, String name, Host host) {
+    String caller = callers.getOrDefault(address, "");
+    try {
+      servers.put(
+          address,
+          new HttpServer(
+              loop,
+              address,
+              MOST_CONNECTIONS,
+              (request, reply) -> host.request(caller, request, reply)));
+    } catch (IOException e) {
+      throw new UncheckedIOException("cannot listen at " + address + ": " + e.getMessage(), e);
     }
+  }
 
-    @Override
-    public void remove(Endpoint address) {
-        HttpServer server = servers.remove(address);
-        if (server != null) {
-            server.close();
-        }
+  @Override
+  public void remove(Endpoint address) {
+    HttpServer server = servers.remove(address);
+    if (server != null) {
+      server.close();
     }
+  }
 
-    /** A caller is gone: its connections end. */
-    @Override
-    public void forget(String caller) {
-        HttpClient client = clients.remove(caller);
-        if (client != null) {
-            client.close();
-        }
+  /** A caller is gone: its connections end. */
+  @Override
+  public void forget(String caller) {
+    HttpClient client = clients.remove(caller);
+    if (client != null) {
+      client.close();
     }
+  }
 
-    @Override
-    public Endpoint machineAddress(int number) {
-        return at(firstMachinePort + number);
-    }
+  @Override
+  public Endpoint machineAddress(int number) {
+    return at(firstMachinePort + number);
+  }
 
-    @Override
-    public void call(Life caller, String from, Endpoint to, HttpRequest request, Span timeout, Consumer<HttpOutcome> done) {
-        clients.computeIfAbsent(from, name -> new HttpClient(loop)).call(to, request, timeout, outcome -> {
-            if (caller.isAlive()) {
+  @Override
+  public void call(
+      Life caller,
+      String from,
+      Endpoint to,
+      HttpRequest request,
+      Span timeout,
+      Consumer<HttpOutcome> done) {
+    clients
+        .computeIfAbsent(from, name -> new HttpClient(loop))
+        .call(
+            to,
+            request,
+            timeout,
+            outcome -> {
+              if (caller.isAlive()) {
                 done.accept(outcome);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    void close() {
-        servers.values().forEach(HttpServer::close);
-        clients.values().forEach(HttpClient::close);
-    }
+  void close() {
+    servers.values().forEach(HttpServer::close);
+    clients.values().forEach(HttpClient::close);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/MachineTraits.java
+++ b/src/main/java/org/quincecross/emulator/MachineTraits.java
@@ -8,5 +8,5 @@
  * @param clock how fast its steady clock runs
  */
 record MachineTraits(double speed, boolean sick, double clock) {
-    static final MachineTraits ORDINARY = new MachineTraits(1, false, 1);
+  static final MachineTraits ORDINARY = new MachineTraits(1, false, 1);
 }
--- a/src/main/java/org/quincecross/emulator/MessageObserver.java
+++ b/src/main/java/org/quincecross/emulator/MessageObserver.java
@@ -5,27 +5,25 @@
 
 /** Sees every message that crosses a virtual network. Hosts are named as on that network. */
 interface MessageObserver {
-    /** Ignores all messages. */
-    MessageObserver NONE = new MessageObserver() {
+  /** Ignores all messages. */
+  MessageObserver NONE =
+      new MessageObserver() {
         @Override
-        public void request(String from, String to, HttpRequest request) {
-        }
+        public void request(String from, String to, HttpRequest request) {}
 
         @Override
-        public void response(String from, String to, HttpRequest request, HttpResponse response) {
-        }
+        public void response(String from, String to, HttpRequest request, HttpResponse response) {}
 
         @Override
-        public void frame(byte[] frame) {
-        }
-    };
+        public void frame(byte[] frame) {}
+      };
 
-    /** A request leaves its sender. */
-    void request(String from, String to, HttpRequest request);
+  /** A request leaves its sender. */
+  void request(String from, String to, HttpRequest request);
 
-    /** The host {@code to} has answered a request of {@code from}. */
-    void response(String from, String to, HttpRequest request, HttpResponse response);
+  /** The host {@code to} has answered a request of {@code from}. */
+  void response(String from, String to, HttpRequest request, HttpResponse response);
 
-    /** One controller sends a frame to another. */
-    void frame(byte[] frame);
+  /** One controller sends a frame to another. */
+  void frame(byte[] frame);
 }
--- a/src/main/java/org/quincecross/emulator/Meter.java
+++ b/src/main/java/org/quincecross/emulator/Meter.java
@@ -6,83 +6,88 @@
 import org.quincecross.net.Watched;
 
 /**
- * What controllers cost, by what they were called for: how often, processor time, bytes allocated. Everything in a virtual
- * site runs on one thread, so both are read before and after each call into a controller.
+ * What controllers cost, by what they were called for: how often, processor time, bytes allocated.
+ * Everything in a virtual site runs on one thread, so both are read before and after each call into
+ * a controller.
  */
 final class Meter {
-    /** The calls of one kind. */
-    static final class Cost {
-        private long calls;
-        private long nanos;
-        private long bytes;
-        private long longest;
+  /** The calls of one kind. */
+  static final class Cost {
+    private long calls;
+    private long nanos;
+    private long bytes;
+    private long longest;
 
-        long calls() {
-            return calls;
-        }
+    long calls() {
+      return calls;
+    }
 
-        long nanos() {
-            return nanos;
-        }
+    long nanos() {
+      return nanos;
+    }
 
-        long bytes() {
-            return bytes;
-        }
+    long bytes() {
+      return bytes;
+    }
 
-        /** The longest single call, in nanoseconds. */
-        long longest() {
-            return longest;
-        }
+    /** The longest single call, in nanoseconds. */
+    long longest() {
+      return longest;
     }
+  }
 
-    /** Reads no clock: for days in which nothing is measured. */
-    static final Meter OFF = new Meter(false);
+  /** Reads no clock: for days in which nothing is measured. */
+  static final Meter OFF = new Meter(false);
 
-    private final boolean on;
-    private final Map<String, Cost> costs = new TreeMap<>();
-    private final com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
-    private boolean running;
+  private final boolean on;
+  private final Map<String, Cost> costs = new TreeMap<>();
+  private final com.sun.management.ThreadMXBean threads =
+      (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
+  private boolean running;
 
-    Meter(boolean on) {
-        this.on = on;
-    }
+  Meter(boolean on) {
+    this.on = on;
+  }
 
-    /** Runs what a controller put off; it is named after the class that put it off. */
-    void run(Runnable action) {
-        if (!on) {
-            action.run();
-            return;
-        }
-        Runnable named = action instanceof Watched.Step ? ((Watched.Step) action).action() : action;
-        String name = named.getClass().getName();
-        int lambda = name.indexOf("$$");
-        String owner = lambda < 0 ? name : name.substring(0, lambda);
-        run("timer " + owner.substring(owner.lastIndexOf('.') + 1), action);
+  /** Runs what a controller put off; it is named after the class that put it off. */
+  void run(Runnable action) {
+    if (!on) {
+      action.run();
+      return;
     }
+    Runnable named = action instanceof Watched.Step ? ((Watched.Step) action).action() : action;
+    String name = named.getClass().getName();
+    int lambda = name.indexOf("$$");
+    String owner = lambda < 0 ? name : name.substring(0, lambda);
+    run("timer " + owner.substring(owner.lastIndexOf('.') + 1), action);
+  }
 
-    /** Runs a call into a controller and notes what it cost; calls inside others count for the outer one. */
-    void run(String kind, Runnable action) {
-        if (!on || running) {
-            action.run();
-            return;
-        }
-        running = true;
-        long bytes = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
-        long began = System.nanoTime();
-        try {
-            action.run();
-        } finally {
-            long took = System.nanoTime() - began;
-            Cost cost = costs.computeIfAbsent(kind, k -> new Cost());
-            cost.calls++;
-            cost.nanos += took;
-            cost.longest = Math.max(cost.longest, took);
-            cost.bytes += threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - bytes;
-            running = false;
-        }
+  /**
+   * Runs a call into a controller and notes what it cost; calls inside others count for the outer
+   * one.
+   */
+  void run(String kind, Runnable action) {
+    if (!on || running) {
+      action.run();
+      return;
     }
-
-    Map<String, Cost> costs() {
-        return costs;
+    running = true;
+    long bytes = threads.getThreadAllocatedBytes(Thread.currentThread().getId());
+    long began = System.nanoTime();
+    try {
+      action.run();
+    } finally {
+      long took = System.nanoTime() - began;
+      Cost cost = costs.computeIfAbsent(kind, k -> new Cost());
+      cost.calls++;
+      cost.nanos += took;
+      cost.longest = Math.max(cost.longest, took);
+      cost.bytes += threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - bytes;
+      running = false;
     }
+  }
+
+  Map<String, Cost> costs() {
+    return costs;
+  }
 }
--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -17,173 +17,226 @@
 import org.quincecross.wire.Json;
 
 /**
- * A model that comes from zero twice, once cold and once with its weights in the caches, wanted at all controllers at once, again and
- * again, while the one that leads is killed in the middle.
+ * A model that comes from zero twice, once cold and once with its weights in the caches, wanted at
+ * all controllers at once, again and again, while the one that leads is killed in the middle.
  */
 final class ModelDrill {
-    /** Where the drill stands. */
-    enum Phase {
-        /** Waits for the level that agreed records come with. */
-        LEVEL,
-        /** Its job is submitted, and defined as a model before its weights are anywhere. */
-        DEFINING,
-        /** Waits for the model to be at zero. */
-        TO_ZERO,
-        /** Waits for it to serve, its weights on no machine. */
-        COLD,
-        /** Waits for it to be idle and back at zero. */
-        IDLE,
-        /** Waits for it to serve, its weights in caches. */
-        CACHED,
-        OVER,
-        FAILED
-    }
+  /** Where the drill stands. */
+  enum Phase {
+    /** Waits for the level that agreed records come with. */
+    LEVEL,
+    /** Its job is submitted, and defined as a model before its weights are anywhere. */
+    DEFINING,
+    /** Waits for the model to be at zero. */
+    TO_ZERO,
+    /** Waits for it to serve, its weights on no machine. */
+    COLD,
+    /** Waits for it to be idle and back at zero. */
+    IDLE,
+    /** Waits for it to serve, its weights in caches. */
+    CACHED,
+    OVER,
+    FAILED
+  }
 
-    private static final String NAME = "drilled";
-    private static final JobId JOB = new JobId("job-990001");
-    private static final int REPLICAS = 2;
-    private static final double WEIGHTS_GB = 8;
-    private static final double IDLE_S = 6;
-    private static final double LOOK_S = 0.05;
-    private static final double ASK_EVERY_S = 0.2;
-    private static final double EACH_WITHIN_S = 60;
-    private static final double KILLED_AFTER_S = 0.3;
+  private static final String NAME = "drilled";
+  private static final JobId JOB = new JobId("job-990001");
+  private static final int REPLICAS = 2;
+  private static final double WEIGHTS_GB = 8;
+  private static final double IDLE_S = 6;
+  private static final double LOOK_S = 0.05;
+  private static final double ASK_EVERY_S = 0.2;
+  private static final double EACH_WITHIN_S = 60;
+  private static final double KILLED_AFTER_S = 0.3;
 
-    private final Surroundings around;
-    private final List<ControllerProcess> controllers;
-    private final Map<String, Object> result;
-    private final Runnable over;
-    private Phase phase;
-    private double since;
-    private double asked = -10;
-    private int wakes;
+  private final Surroundings around;
+  private final List<ControllerProcess> controllers;
+  private final Map<String, Object> result;
+  private final Runnable over;
+  private Phase phase;
+  private double since;
+  private double asked = -10;
+  private int wakes;
 
-    /** @param result where what is measured is written; {@code over}: told at the end */
-    ModelDrill(Surroundings around, List<ControllerProcess> controllers, Map<String, Object> result, Runnable over) {
-        this.around = around;
-        this.controllers = controllers;
-        this.result = result;
-        this.over = over;
-    }
+  /**
+   * @param result where what is measured is written; {@code over}: told at the end
+   */
+  ModelDrill(
+      Surroundings around,
+      List<ControllerProcess> controllers,
+      Map<String, Object> result,
+      Runnable over) {
+    this.around = around;
+    this.controllers = controllers;
+    this.result = result;
+    this.over = over;
+  }
 
-    void begin() {
-        enter(Phase.LEVEL);
-        around.clock().after(LOOK_S, this::look);
-    }
+  void begin() {
+    enter(Phase.LEVEL);
+    around.clock().after(LOOK_S, this::look);
+  }
 
-    boolean hasFailed() {
-        return phase == Phase.FAILED;
-    }
+  boolean hasFailed() {
+    return phase == Phase.FAILED;
+  }
 
-    /** The one place where the drill changes its phase. */
-    private void enter(Phase next) {
-        phase = next;
-        since = around.clock().seconds();
-    }
+  /** The one place where the drill changes its phase. */
+  private void enter(Phase next) {
+    phase = next;
+    since = around.clock().seconds();
+  }
 
-    private String state() {
-        Map<?, ?> state = ColdStarts.state(around.state(), NAME);
-        return state == null ? "" : String.valueOf(state.get("state"));
-    }
+  private String state() {
+    Map<?, ?> state = ColdStarts.state(around.state(), NAME);
+    return state == null ? "" : String.valueOf(state.get("state"));
+  }
 
-    private boolean serves() {
-        return state().equals("WARM") && around.rules().onMachines(JOB) == REPLICAS;
-    }
+  private boolean serves() {
+    return state().equals("WARM") && around.rules().onMachines(JOB) == REPLICAS;
+  }
 
-    private void look() {
-        double now = around.clock().seconds();
-        switch (phase) {
-            case LEVEL -> {
-                if (around.state().value("q/level") instanceof Map<?, ?> level && level.get("level") instanceof Number number
-                        && number.intValue() >= Feature.AGREED_RECORDS.since().number()) {
-                    around.users().submit(new Job(JOB, "front", "web", Shape.SERVICE, Rank.PRODUCTION, REPLICAS, new Resources(2, 0, 4), null, null,
-                            false, false, false, "weights", WEIGHTS_GB, Span.ZERO, Span.ZERO, Span.ZERO, null));
-                    enter(Phase.DEFINING);
-                }
-            }
-            case DEFINING -> {
-                if (!state().isEmpty()) {
-                    around.coldStarts().watch(NAME, JOB);
-                    enter(Phase.TO_ZERO);
-                } else if (now - asked > ASK_EVERY_S) {
-                    asked = now;
-                    post(0, "", Json.object("job", JOB.text(), "least", REPLICAS, "most", REPLICAS, "idle_s", IDLE_S, "request", "drill-define"),
-                            outcome -> { });
-                }
-            }
-            case TO_ZERO -> {
-                if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
-                    enter(Phase.COLD);
-                    around.clock().after(KILLED_AFTER_S, this::killLeader);
-                }
-            }
-            case COLD -> {
-                wakeEverywhere();
-                if (serves()) {
-                    result.put("cold_ready_s", TrySite.round(now - since));
-                    result.put("cold_starts", around.coldStarts().starts());
-                    result.put("cold_fetches", around.coldStarts().fetches());
-                    enter(Phase.IDLE);
-                }
-            }
-            case IDLE -> {
-                if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
-                    result.put("back_at_zero_s", TrySite.round(now - since));
-                    enter(Phase.CACHED);
-                    around.clock().after(KILLED_AFTER_S, this::killLeader);
-                }
-            }
-            case CACHED -> {
-                wakeEverywhere();
-                if (serves()) {
-                    result.put("cached_ready_s", TrySite.round(now - since));
-                    end(Phase.OVER);
-                }
-            }
-            default -> throw new IllegalStateException(phase.toString());
+  private void look() {
+    double now = around.clock().seconds();
+    switch (phase) {
+      case LEVEL -> {
+        if (around.state().value("q/level") instanceof Map<?, ?> level
+            && level.get("level") instanceof Number number
+            && number.intValue() >= Feature.AGREED_RECORDS.since().number()) {
+          around
+              .users()
+              .submit(
+                  new Job(
+                      JOB,
+                      "front",
+                      "web",
+                      Shape.SERVICE,
+                      Rank.PRODUCTION,
+                      REPLICAS,
+                      new Resources(2, 0, 4),
+                      null,
+                      null,
+                      false,
+                      false,
+                      false,
+                      "weights",
+                      WEIGHTS_GB,
+                      Span.ZERO,
+                      Span.ZERO,
+                      Span.ZERO,
+                      null));
+          enter(Phase.DEFINING);
+        }
+      }
+      case DEFINING -> {
+        if (!state().isEmpty()) {
+          around.coldStarts().watch(NAME, JOB);
+          enter(Phase.TO_ZERO);
+        } else if (now - asked > ASK_EVERY_S) {
+          asked = now;
+          post(
+              0,
+              "",
+              Json.object(
+                  "job",
+                  JOB.text(),
+                  "least",
+                  REPLICAS,
+                  "most",
+                  REPLICAS,
+                  "idle_s",
+                  IDLE_S,
+                  "request",
+                  "drill-define"),
+              outcome -> {});
         }
-        if (phase != Phase.OVER && phase != Phase.FAILED) {
-            if (now - since > EACH_WITHIN_S) {
-                result.put("why", "nothing more happened in phase " + phase + ": " + ColdStarts.state(around.state(), NAME));
-                end(Phase.FAILED);
-                return;
-            }
-            around.clock().after(LOOK_S, this::look);
+      }
+      case TO_ZERO -> {
+        if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
+          enter(Phase.COLD);
+          around.clock().after(KILLED_AFTER_S, this::killLeader);
         }
+      }
+      case COLD -> {
+        wakeEverywhere();
+        if (serves()) {
+          result.put("cold_ready_s", TrySite.round(now - since));
+          result.put("cold_starts", around.coldStarts().starts());
+          result.put("cold_fetches", around.coldStarts().fetches());
+          enter(Phase.IDLE);
+        }
+      }
+      case IDLE -> {
+        if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
+          result.put("back_at_zero_s", TrySite.round(now - since));
+          enter(Phase.CACHED);
+          around.clock().after(KILLED_AFTER_S, this::killLeader);
+        }
+      }
+      case CACHED -> {
+        wakeEverywhere();
+        if (serves()) {
+          result.put("cached_ready_s", TrySite.round(now - since));
+          end(Phase.OVER);
+        }
+      }
+      default -> throw new IllegalStateException(phase.toString());
     }
-
-    private void end(Phase last) {
-        result.put("wakes", wakes);
-        result.put("starts", around.coldStarts().starts());
-        result.put("fetches", around.coldStarts().fetches());
-        result.put("twice", around.coldStarts().wrong());
-        around.users().cancel(JOB);
-        enter(around.coldStarts().wrong().isEmpty() ? last : Phase.FAILED);
-        over.run();
+    if (phase != Phase.OVER && phase != Phase.FAILED) {
+      if (now - since > EACH_WITHIN_S) {
+        result.put(
+            "why",
+            "nothing more happened in phase "
+                + phase
+                + ": "
+                + ColdStarts.state(around.state(), NAME));
+        end(Phase.FAILED);
+        return;
+      }
+      around.clock().after(LOOK_S, this::look);
     }
+  }
 
-    private void wakeEverywhere() {
-        for (int node = 0; node < controllers.size(); node++) {
-            wakes++;
-            post(node, "/wake", Json.object(), outcome -> { });
-        }
-    }
+  private void end(Phase last) {
+    result.put("wakes", wakes);
+    result.put("starts", around.coldStarts().starts());
+    result.put("fetches", around.coldStarts().fetches());
+    result.put("twice", around.coldStarts().wrong());
+    around.users().cancel(JOB);
+    enter(around.coldStarts().wrong().isEmpty() ? last : Phase.FAILED);
+    over.run();
+  }
 
-    private void post(int node, String what, Map<String, Object> body, Consumer<HttpOutcome> done) {
-        around.network().call(new Life(), "operators", around.node(node), HttpRequest.post("/admin/models/" + NAME + what, Json.write(body)),
-                Span.ofSeconds(2), done);
+  private void wakeEverywhere() {
+    for (int node = 0; node < controllers.size(); node++) {
+      wakes++;
+      post(node, "/wake", Json.object(), outcome -> {});
     }
+  }
 
-    private void killLeader() {
-        Object leads = around.state().value("q/leads");
-        String leader = leads instanceof Map<?, ?> record ? String.valueOf(record.get("member")) : Site.nodeName(0);
-        int node = around.nodeNamed("\"" + leader + "\"");
-        try {
-            controllers.get(Math.max(0, node)).kill();
-            controllers.get(Math.max(0, node)).start();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        result.merge("controllers_killed", 1, (a, b) -> (int) a + (int) b);
+  private void post(int node, String what, Map<String, Object> body, Consumer<HttpOutcome> done) {
+    around
+        .network()
+        .call(
+            new Life(),
+            "operators",
+            around.node(node),
+            HttpRequest.post("/admin/models/" + NAME + what, Json.write(body)),
+            Span.ofSeconds(2),
+            done);
+  }
+
+  private void killLeader() {
+    Object leads = around.state().value("q/leads");
+    String leader =
+        leads instanceof Map<?, ?> record ? String.valueOf(record.get("member")) : Site.nodeName(0);
+    int node = around.nodeNamed("\"" + leader + "\"");
+    try {
+      controllers.get(Math.max(0, node)).kill();
+      controllers.get(Math.max(0, node)).start();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+    result.merge("controllers_killed", 1, (a, b) -> (int) a + (int) b);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/OddRequests.java
+++ b/src/main/java/org/quincecross/emulator/OddRequests.java
@@ -12,117 +12,179 @@
 import org.quincecross.wire.Json;
 
 /**
- * Users who err: they submit jobs again that are not over, call off jobs that are, ask for and call off jobs that nobody submitted, and
- * submit what can never run, lacks a field or is no job at all. Whatever goes on, each gets the answer that the protocol has, or is to come
- * again; and nothing comes of it.
+ * Users who err: they submit jobs again that are not over, call off jobs that are, ask for and call
+ * off jobs that nobody submitted, and submit what can never run, lacks a field or is no job at all.
+ * Whatever goes on, each gets the answer that the protocol has, or is to come again; and nothing
+ * comes of it.
  */
 final class OddRequests {
-    /** Refused for now, or not answered. */
-    private static final Set<Integer> LATER = Set.of(0, 429, 503, 504);
-    private static final List<String> MAY_BE_NULL = List.of("Hulls", "Yard", "DueS");
-    private static final int FIRST_NUMBER = 900_000;
+  /** Refused for now, or not answered. */
+  private static final Set<Integer> LATER = Set.of(0, 429, 503, 504);
 
-    /** What a submission is that no controller may accept. */
-    enum Bad {
-        FITS_NO_MACHINE(422), NO_SUCH_TYPE(422), NO_SUCH_ZONE(422), UNKNOWN_TEAM(422), BEYOND_THE_LIMIT(422), LACKS_A_FIELD(400), WRONG_FIELD(400), NO_OBJECT(400),
-        NO_JSON(400);
+  private static final List<String> MAY_BE_NULL = List.of("Hulls", "Yard", "DueS");
+  private static final int FIRST_NUMBER = 900_000;
 
-        private final int status;
+  /** What a submission is that no controller may accept. */
+  enum Bad {
+    FITS_NO_MACHINE(422),
+    NO_SUCH_TYPE(422),
+    NO_SUCH_ZONE(422),
+    UNKNOWN_TEAM(422),
+    BEYOND_THE_LIMIT(422),
+    LACKS_A_FIELD(400),
+    WRONG_FIELD(400),
+    NO_OBJECT(400),
+    NO_JSON(400);
 
-        Bad(int status) {
-            this.status = status;
-        }
+    private final int status;
+
+    Bad(int status) {
+      this.status = status;
     }
+  }
 
-    private final Surroundings around;
-    private final Random random;
-    private final double everyS;
-    private final double untilS;
-    private int number = FIRST_NUMBER;
+  private final Surroundings around;
+  private final Random random;
+  private final double everyS;
+  private final double untilS;
+  private int number = FIRST_NUMBER;
 
-    private OddRequests(Surroundings around, Random random, double everyS, double seconds) {
-        this.around = around;
-        this.random = random;
-        this.everyS = everyS;
-        this.untilS = around.clock().seconds() + seconds;
-    }
+  private OddRequests(Surroundings around, Random random, double everyS, double seconds) {
+    this.around = around;
+    this.random = random;
+    this.everyS = everyS;
+    this.untilS = around.clock().seconds() + seconds;
+  }
 
-    /** From now on one such request in so many seconds, for some time. */
-    static void begin(Surroundings around, double everyS, double seconds, Random random) {
-        new OddRequests(around, random, everyS, seconds).next();
-    }
+  /** From now on one such request in so many seconds, for some time. */
+  static void begin(Surroundings around, double everyS, double seconds, Random random) {
+    new OddRequests(around, random, everyS, seconds).next();
+  }
 
-    private void next() {
-        if (around.clock().seconds() >= untilS) {
-            return;
-        }
-        List<JobId> open = new ArrayList<>();
-        List<JobId> done = new ArrayList<>();
-        around.users().told().forEach((id, state) -> {
-            if (around.users().isOpen(id)) {
+  private void next() {
+    if (around.clock().seconds() >= untilS) {
+      return;
+    }
+    List<JobId> open = new ArrayList<>();
+    List<JobId> done = new ArrayList<>();
+    around
+        .users()
+        .told()
+        .forEach(
+            (id, state) -> {
+              if (around.users().isOpen(id)) {
                 open.add(id);
-            } else if (state.equals("done")) {
+              } else if (state.equals("done")) {
                 done.add(id);
-            }
-        });
-        int node = random.nextInt(around.site().nodes());
-        switch (random.nextInt(4)) {
-            case 0 -> some(open, node, Users.Asks.AGAIN);
-            case 1 -> some(done, node, Users.Asks.CANCEL);
-            case 2 -> unknown(new JobId("job-" + (FIRST_NUMBER + random.nextInt(1000))));
-            default -> bad(Bad.values()[random.nextInt(Bad.values().length)]);
-        }
-        around.clock().after(everyS * (0.5 + random.nextDouble()), this::next);
+              }
+            });
+    int node = random.nextInt(around.site().nodes());
+    switch (random.nextInt(4)) {
+      case 0 -> some(open, node, Users.Asks.AGAIN);
+      case 1 -> some(done, node, Users.Asks.CANCEL);
+      case 2 -> unknown(new JobId("job-" + (FIRST_NUMBER + random.nextInt(1000))));
+      default -> bad(Bad.values()[random.nextInt(Bad.values().length)]);
     }
+    around.clock().after(everyS * (0.5 + random.nextDouble()), this::next);
+  }
 
-    private void some(List<JobId> jobs, int node, Users.Asks what) {
-        if (!jobs.isEmpty()) {
-            around.users().once(node, what, jobs.get(random.nextInt(jobs.size())));
-        }
+  private void some(List<JobId> jobs, int node, Users.Asks what) {
+    if (!jobs.isEmpty()) {
+      around.users().once(node, what, jobs.get(random.nextInt(jobs.size())));
     }
+  }
 
-    /** Also those that were submitted and refused: they are as if they had never been. */
-    private void unknown(JobId id) {
-        String path = JobCodec.JOBS + "/" + id;
-        expect("state of none", HttpRequest.get(path), 404);
-        expect("cancel of none", HttpRequest.post(path + JobCodec.CANCEL, new byte[0]), 404);
-    }
+  /** Also those that were submitted and refused: they are as if they had never been. */
+  private void unknown(JobId id) {
+    String path = JobCodec.JOBS + "/" + id;
+    expect("state of none", HttpRequest.get(path), 404);
+    expect("cancel of none", HttpRequest.post(path + JobCodec.CANCEL, new byte[0]), 404);
+  }
 
-    private void bad(Bad what) {
-        expect(what.toString(), HttpRequest.post(JobCodec.JOBS, body(what)), what.status);
-    }
+  private void bad(Bad what) {
+    expect(what.toString(), HttpRequest.post(JobCodec.JOBS, body(what)), what.status);
+  }
 
-    private byte[] body(Bad what) {
-        Map<String, Object> job = Json.object("Uid", "job-" + number++, "Lane", "odd", "Crew", around.site().teams().keySet().iterator().next(),
-                "Shape", "standing", "Rank", "standard", "Pieces", 1L, "Cpus", 1.0, "Cards", 0.0, "MemGb", 1.0, "Hulls", null, "Yard", null,
-                "OneZone", false, "Scatter", false, "Loaners", true, "Bundle", "odd", "ImageGb", 1.0, "GuessS", 0.0, "MarkEveryS", 0.0,
-                "MarkCostS", 0.0, "DueS", null);
-        List<String> needed = job.keySet().stream().filter(name -> !MAY_BE_NULL.contains(name)).toList();
-        switch (what) {
-            case FITS_NO_MACHINE -> job.put("MemGb", 1e6);
-            case NO_SUCH_TYPE -> job.put("Hulls", List.of("none"));
-            case NO_SUCH_ZONE -> job.put("Yard", "nowhere");
-            case UNKNOWN_TEAM -> job.put("Crew", "nobody");
-            case BEYOND_THE_LIMIT -> job.put("Pieces", 100_000L);
-            case LACKS_A_FIELD -> job.remove(needed.get(random.nextInt(needed.size())));
-            case WRONG_FIELD -> job.put(needed.get(random.nextInt(needed.size())), List.of());
-            case NO_OBJECT -> {
-                return Json.write(List.of(job));
-            }
-            case NO_JSON -> {
-                byte[] whole = Json.write(job);
-                return new String(whole, 0, 1 + random.nextInt(whole.length - 1), StandardCharsets.UTF_8).getBytes(StandardCharsets.UTF_8);
-            }
-            default -> throw new IllegalStateException(what.toString());
-        }
-        return Json.write(job);
+  private byte[] body(Bad what) {
+    Map<String, Object> job =
+        Json.object(
+            "Uid",
+            "job-" + number++,
+            "Lane",
+            "odd",
+            "Crew",
+            around.site().teams().keySet().iterator().next(),
+            "Shape",
+            "standing",
+            "Rank",
+            "standard",
+            "Pieces",
+            1L,
+            "Cpus",
+            1.0,
+            "Cards",
+            0.0,
+            "MemGb",
+            1.0,
+            "Hulls",
+            null,
+            "Yard",
+            null,
+            "OneZone",
+            false,
+            "Scatter",
+            false,
+            "Loaners",
+            true,
+            "Bundle",
+            "odd",
+            "ImageGb",
+            1.0,
+            "GuessS",
+            0.0,
+            "MarkEveryS",
+            0.0,
+            "MarkCostS",
+            0.0,
+            "DueS",
+            null);
+    List<String> needed =
+        job.keySet().stream().filter(name -> !MAY_BE_NULL.contains(name)).toList();
+    switch (what) {
+      case FITS_NO_MACHINE -> job.put("MemGb", 1e6);
+      case NO_SUCH_TYPE -> job.put("Hulls", List.of("none"));
+      case NO_SUCH_ZONE -> job.put("Yard", "nowhere");
+      case UNKNOWN_TEAM -> job.put("Crew", "nobody");
+      case BEYOND_THE_LIMIT -> job.put("Pieces", 100_000L);
+      case LACKS_A_FIELD -> job.remove(needed.get(random.nextInt(needed.size())));
+      case WRONG_FIELD -> job.put(needed.get(random.nextInt(needed.size())), List.of());
+      case NO_OBJECT -> {
+        return Json.write(List.of(job));
+      }
+      case NO_JSON -> {
+        byte[] whole = Json.write(job);
+        return new String(whole, 0, 1 + random.nextInt(whole.length - 1), StandardCharsets.UTF_8)
+            .getBytes(StandardCharsets.UTF_8);
+      }
+      default -> throw new IllegalStateException(what.toString());
     }
+    return Json.write(job);
+  }
 
-    private void expect(String what, HttpRequest request, int status) {
-        around.users().request("odd", request, outcome -> {
-            if (outcome.status() != status && !LATER.contains(outcome.status())) {
-                around.rules().wronglyAnswered(what + " " + new String(request.body(), StandardCharsets.UTF_8), outcome.status());
-            }
-        });
-    }
+  private void expect(String what, HttpRequest request, int status) {
+    around
+        .users()
+        .request(
+            "odd",
+            request,
+            outcome -> {
+              if (outcome.status() != status && !LATER.contains(outcome.status())) {
+                around
+                    .rules()
+                    .wronglyAnswered(
+                        what + " " + new String(request.body(), StandardCharsets.UTF_8),
+                        outcome.status());
+              }
+            });
+  }
 }
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -15,147 +15,188 @@
 import org.quincecross.wire.Features;
 
 /**
- * A day on which a fleet has more work than it can do in time, in virtual time: one class or two come several times as often,
- * machines are lost, the cloud refuses, controllers crash; which, when and how much is drawn from the seed.
+ * A day on which a fleet has more work than it can do in time, in virtual time: one class or two
+ * come several times as often, machines are lost, the cloud refuses, controllers crash; which, when
+ * and how much is drawn from the seed.
  */
 public final class OverloadDay {
-    private static final double JOBS_FROM_S = 15;
-    private static final double JOBS_OVER_S = 20;
-    private static final double LASTS_S = 420;
-    private static final double SLICE_S = 15;
-
-    /**
-     * What came of a day.
-     *
-     * @param bound the least share of any class in time that no scheduler could have surpassed
-     * @param usedShare the part of the processors beside services that arrays and gangs had, from 0 to 1
-     */
-    public record Result(long seed, Map<ServedBooks.Group, Served> groups, Map<String, Served> teams, Map<String, Served> classes,
-            Map<String, List<Largest>> largest, double bound, double usedShare, int rulesBroken, int starts) {
-
-        /** The least share served of any class's largest tenth or quarter. */
-        public double leastOfLargest() {
-            return largest.values().stream().flatMap(List::stream).mapToDouble(Largest::servedShare).min().orElse(1);
-        }
-
-        /** The least share of any class's largest tenth or quarter that began in time. */
-        public double largestInTime() {
-            return largest.values().stream().flatMap(List::stream).mapToDouble(Largest::inTimeShare).min().orElse(1);
-        }
-
-        /** The longest that any of them took to begin, in seconds. */
-        public double longestS() {
-            return largest.values().stream().flatMap(List::stream).mapToDouble(Largest::longestS).max().orElse(0);
-        }
+  private static final double JOBS_FROM_S = 15;
+  private static final double JOBS_OVER_S = 20;
+  private static final double LASTS_S = 420;
+  private static final double SLICE_S = 15;
+
+  /**
+   * What came of a day.
+   *
+   * @param bound the least share of any class in time that no scheduler could have surpassed
+   * @param usedShare the part of the processors beside services that arrays and gangs had, from 0
+   *     to 1
+   */
+  public record Result(
+      long seed,
+      Map<ServedBooks.Group, Served> groups,
+      Map<String, Served> teams,
+      Map<String, Served> classes,
+      Map<String, List<Largest>> largest,
+      double bound,
+      double usedShare,
+      int rulesBroken,
+      int starts) {
+
+    /** The least share served of any class's largest tenth or quarter. */
+    public double leastOfLargest() {
+      return largest.values().stream()
+          .flatMap(List::stream)
+          .mapToDouble(Largest::servedShare)
+          .min()
+          .orElse(1);
+    }
 
-        /** The least share of what was due that any class got, by each aim and by starts. */
-        public double leastOfClasses() {
-            return classes.values().stream().mapToDouble(Served::least).min().orElse(1);
-        }
+    /** The least share of any class's largest tenth or quarter that began in time. */
+    public double largestInTime() {
+      return largest.values().stream()
+          .flatMap(List::stream)
+          .mapToDouble(Largest::inTimeShare)
+          .min()
+          .orElse(1);
+    }
 
-        /** The same of teams. */
-        public double leastOfTeams() {
-            return teams.values().stream().mapToDouble(Served::least).min().orElse(1);
-        }
+    /** The longest that any of them took to begin, in seconds. */
+    public double longestS() {
+      return largest.values().stream()
+          .flatMap(List::stream)
+          .mapToDouble(Largest::longestS)
+          .max()
+          .orElse(0);
+    }
 
-        /** The share of a class whose jobs should end by a time: of those of which the first such aim was due. */
-        public double leastInTime() {
-            double least = 1;
-            for (Served served : classes.values()) {
-                for (Served.Met met : served.aims()) {
-                    if (met.aim().startsWith("deadline")) {
-                        least = Math.min(least, met.share());
-                        break;
-                    }
-                }
-            }
-            return least;
-        }
+    /** The least share of what was due that any class got, by each aim and by starts. */
+    public double leastOfClasses() {
+      return classes.values().stream().mapToDouble(Served::least).min().orElse(1);
     }
 
-    private final World world;
-    private final Random random;
-    private final Load load;
-    private final List<Resources> capacity = new ArrayList<>();
-    private final List<Resources> used = new ArrayList<>();
-    private final long seed;
-
-    public OverloadDay(Measurement.Kind kind, int machines, long seed, Features features) {
-        Site site = kind == Measurement.Kind.FLEET ? Site.fleet(machines) : Site.mixed(machines);
-        this.seed = seed;
-        this.random = new Random(seed);
-        this.world = new World(site, seed, Meter.OFF, features);
-        this.load = new Load(world.around(), seed);
-        world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
-        sample();
-        int troubles = 1 + random.nextInt(3);
-        for (int i = 0; i < troubles; i++) {
-            Site.JobClass burst = site.classes().get(random.nextInt(site.classes().size()));
-            double factor = 2 + 3 * random.nextDouble();
-            double lasts = 40 + 60 * random.nextDouble();
-            world.time().at(70 + 90 * random.nextDouble(), () -> load.burst(burst.name(), factor, lasts));
-        }
-        double share = 0.25 * random.nextDouble();
-        world.time().at(90 + 80 * random.nextDouble(), () -> lose(share));
-        double outage = 60 * random.nextDouble();
-        world.time().at(90 + 60 * random.nextDouble(), () -> world.cloud().outage(outage));
-        int crashes = random.nextInt(4);
-        for (int node = 0; node < Math.min(crashes, world.nodeCount()); node++) {
-            int each = node;
-            double at = crashes == world.nodeCount() ? 170 : 100 + 100 * random.nextDouble();
-            world.time().at(at, () -> world.crash(each));
-        }
+    /** The same of teams. */
+    public double leastOfTeams() {
+      return teams.values().stream().mapToDouble(Served::least).min().orElse(1);
     }
 
-    private void lose(double share) {
-        for (MachineId machine : world.cloud().machines()) {
-            if (random.nextDouble() < share) {
-                world.cloud().take(machine, 0);
-            }
+    /**
+     * The share of a class whose jobs should end by a time: of those of which the first such aim
+     * was due.
+     */
+    public double leastInTime() {
+      double least = 1;
+      for (Served served : classes.values()) {
+        for (Served.Met met : served.aims()) {
+          if (met.aim().startsWith("deadline")) {
+            least = Math.min(least, met.share());
+            break;
+          }
         }
+      }
+      return least;
     }
-
-    /** Notes what machines have beside services, in the middle of each slice. */
-    private void sample() {
-        world.time().after(capacity.isEmpty() ? SLICE_S / 2 : SLICE_S, () -> {
-            Resources up = Resources.NONE;
-            for (Worker worker : world.cloud().workers()) {
-                up = up.plus(worker.capacity());
-            }
-            capacity.add(up.minus(world.rules().standing()));
-            Resources inUse = Resources.NONE;
-            for (String team : world.site().teams().keySet()) {
-                inUse = inUse.plus(world.rules().used(team));
-            }
-            used.add(inUse.minus(world.rules().standing()));
-            sample();
-        });
+  }
+
+  private final World world;
+  private final Random random;
+  private final Load load;
+  private final List<Resources> capacity = new ArrayList<>();
+  private final List<Resources> used = new ArrayList<>();
+  private final long seed;
+
+  public OverloadDay(Measurement.Kind kind, int machines, long seed, Features features) {
+    Site site = kind == Measurement.Kind.FLEET ? Site.fleet(machines) : Site.mixed(machines);
+    this.seed = seed;
+    this.random = new Random(seed);
+    this.world = new World(site, seed, Meter.OFF, features);
+    this.load = new Load(world.around(), seed);
+    world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
+    sample();
+    int troubles = 1 + random.nextInt(3);
+    for (int i = 0; i < troubles; i++) {
+      Site.JobClass burst = site.classes().get(random.nextInt(site.classes().size()));
+      double factor = 2 + 3 * random.nextDouble();
+      double lasts = 40 + 60 * random.nextDouble();
+      world.time().at(70 + 90 * random.nextDouble(), () -> load.burst(burst.name(), factor, lasts));
     }
-
-    /** Plays the day to its end. */
-    public Result play() {
-        world.time().runUntil(LASTS_S);
-        ServedBooks served = world.around().served();
-        return new Result(seed, served.groups(world.around().now()), served.teams(world.around().now()), served.classes(world.around().now()),
-                served.largest(world.around().now()), bound(), cpus(used) / cpus(capacity), world.rules().broken().size(), world.rules().starts());
+    double share = 0.25 * random.nextDouble();
+    world.time().at(90 + 80 * random.nextDouble(), () -> lose(share));
+    double outage = 60 * random.nextDouble();
+    world.time().at(90 + 60 * random.nextDouble(), () -> world.cloud().outage(outage));
+    int crashes = random.nextInt(4);
+    for (int node = 0; node < Math.min(crashes, world.nodeCount()); node++) {
+      int each = node;
+      double at = crashes == world.nodeCount() ? 170 : 100 + 100 * random.nextDouble();
+      world.time().at(at, () -> world.crash(each));
     }
+  }
 
-    private static double cpus(List<Resources> all) {
-        return all.stream().mapToDouble(Resources::cpus).sum();
+  private void lose(double share) {
+    for (MachineId machine : world.cloud().machines()) {
+      if (random.nextDouble() < share) {
+        world.cloud().take(machine, 0);
+      }
     }
-
-    /** Of every job that should end in time, what it takes, and from when until when. */
-    private double bound() {
-        List<Bound.Wanted> wanted = new ArrayList<>();
-        for (Map.Entry<JobId, Double> submitted : world.users().submittedAt().entrySet()) {
-            Job job = world.job(submitted.getKey());
-            if (job.shape() == Shape.SERVICE || job.deadline() == null) {
-                continue;
-            }
-            double runs = world.around().tasks().secondsOf(job);
-            wanted.add(new Bound.Wanted(job.jobClass(), submitted.getValue(), submitted.getValue() + job.deadline().seconds(),
-                    job.each().times(job.tasks() * runs)));
-        }
-        return new Bound(SLICE_S, capacity, wanted).leastShare();
+  }
+
+  /** Notes what machines have beside services, in the middle of each slice. */
+  private void sample() {
+    world
+        .time()
+        .after(
+            capacity.isEmpty() ? SLICE_S / 2 : SLICE_S,
+            () -> {
+              Resources up = Resources.NONE;
+              for (Worker worker : world.cloud().workers()) {
+                up = up.plus(worker.capacity());
+              }
+              capacity.add(up.minus(world.rules().standing()));
+              Resources inUse = Resources.NONE;
+              for (String team : world.site().teams().keySet()) {
+                inUse = inUse.plus(world.rules().used(team));
+              }
+              used.add(inUse.minus(world.rules().standing()));
+              sample();
+            });
+  }
+
+  /** Plays the day to its end. */
+  public Result play() {
+    world.time().runUntil(LASTS_S);
+    ServedBooks served = world.around().served();
+    return new Result(
+        seed,
+        served.groups(world.around().now()),
+        served.teams(world.around().now()),
+        served.classes(world.around().now()),
+        served.largest(world.around().now()),
+        bound(),
+        cpus(used) / cpus(capacity),
+        world.rules().broken().size(),
+        world.rules().starts());
+  }
+
+  private static double cpus(List<Resources> all) {
+    return all.stream().mapToDouble(Resources::cpus).sum();
+  }
+
+  /** Of every job that should end in time, what it takes, and from when until when. */
+  private double bound() {
+    List<Bound.Wanted> wanted = new ArrayList<>();
+    for (Map.Entry<JobId, Double> submitted : world.users().submittedAt().entrySet()) {
+      Job job = world.job(submitted.getKey());
+      if (job.shape() == Shape.SERVICE || job.deadline() == null) {
+        continue;
+      }
+      double runs = world.around().tasks().secondsOf(job);
+      wanted.add(
+          new Bound.Wanted(
+              job.jobClass(),
+              submitted.getValue(),
+              submitted.getValue() + job.deadline().seconds(),
+              job.each().times(job.tasks() * runs)));
     }
+    return new Bound(SLICE_S, capacity, wanted).leastShare();
+  }
 }
