--- a/src/main/java/org/quincecross/emulator/OverloadDays.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDays.java
@@ -16,142 +16,252 @@
 
 /** Many overloaded days, on all processors at once, and how they come out beside each other. */
 public final class OverloadDays {
-    private static final int STEPS = 10;
+  private static final int STEPS = 10;
 
-    private final Measurement.Kind kind;
-    private final int machines;
-    private final List<OverloadDay.Result> results;
+  private final Measurement.Kind kind;
+  private final int machines;
+  private final List<OverloadDay.Result> results;
 
-    /** Plays {@code days} days, the first of which is that of {@code seed}. */
-    public OverloadDays(Measurement.Kind kind, int machines, long seed, int days, Features features) {
-        this.kind = kind;
-        this.machines = machines;
-        this.results = LongStream.range(seed, seed + days).parallel()
-                .mapToObj(each -> new OverloadDay(kind, machines, each, features).play()).toList();
-    }
+  /** Plays {@code days} days, the first of which is that of {@code seed}. */
+  public OverloadDays(Measurement.Kind kind, int machines, long seed, int days, Features features) {
+    this.kind = kind;
+    this.machines = machines;
+    this.results =
+        LongStream.range(seed, seed + days)
+            .parallel()
+            .mapToObj(each -> new OverloadDay(kind, machines, each, features).play())
+            .toList();
+  }
 
-    /** Whether every rule was kept. */
-    public boolean isSound() {
-        return results.stream().allMatch(result -> result.rulesBroken() == 0);
-    }
+  /** Whether every rule was kept. */
+  public boolean isSound() {
+    return results.stream().allMatch(result -> result.rulesBroken() == 0);
+  }
 
-    /** Writes how many days came out how, and what each class and team got. */
-    public void write(PrintStream out) {
-        out.printf(Locale.ROOT, "%s, %d machines, %d days from seed %d, rules broken on %d%n%n", kind.toString().toLowerCase(Locale.ROOT), machines,
-                results.size(), results.get(0).seed(), results.stream().filter(result -> result.rulesBroken() > 0).count());
-        out.println("| days on which the least share was | 0 to 0.1 | 0.2 | 0.3 | 0.4 | 0.5 | 0.6 | 0.7 | 0.8 | 0.9 | 1 | mean |");
-        out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        row(out, "in time, of any class", OverloadDay.Result::leastInTime);
-        row(out, "that no scheduler surpasses", OverloadDay.Result::bound);
-        row(out, "by any aim or by starts, of any class", OverloadDay.Result::leastOfClasses);
-        row(out, "by any aim or by starts, of any team", OverloadDay.Result::leastOfTeams);
-        row(out, "of any class's largest tenth or quarter, done", OverloadDay.Result::leastOfLargest);
-        row(out, "of any class's largest tenth or quarter, begun in time", OverloadDay.Result::largestInTime);
-        row(out, "of the processors beside services, used", OverloadDay.Result::usedShare);
-        out.println();
-        out.printf(Locale.ROOT, "longest until one of a class's largest quarter began: %.0f s; on %d days within %.0f s%n%n",
-                results.stream().mapToDouble(OverloadDay.Result::longestS).max().orElse(0),
-                results.stream().filter(result -> result.longestS() <= Sizes.BEGIN_S).count(), Sizes.BEGIN_S);
-        if (results.size() == 1) {
-            table(out, results.get(0));
-        } else {
-            means(out);
-        }
+  /** Writes how many days came out how, and what each class and team got. */
+  public void write(PrintStream out) {
+    out.printf(
+        Locale.ROOT,
+        "%s, %d machines, %d days from seed %d, rules broken on %d%n%n",
+        kind.toString().toLowerCase(Locale.ROOT),
+        machines,
+        results.size(),
+        results.get(0).seed(),
+        results.stream().filter(result -> result.rulesBroken() > 0).count());
+    out.println(
+        "| days on which the least share was | 0 to 0.1 | 0.2 | 0.3 | 0.4 | 0.5 | 0.6 | 0.7 | 0.8 | 0.9 | 1 | mean |");
+    out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
+    row(out, "in time, of any class", OverloadDay.Result::leastInTime);
+    row(out, "that no scheduler surpasses", OverloadDay.Result::bound);
+    row(out, "by any aim or by starts, of any class", OverloadDay.Result::leastOfClasses);
+    row(out, "by any aim or by starts, of any team", OverloadDay.Result::leastOfTeams);
+    row(out, "of any class's largest tenth or quarter, done", OverloadDay.Result::leastOfLargest);
+    row(
+        out,
+        "of any class's largest tenth or quarter, begun in time",
+        OverloadDay.Result::largestInTime);
+    row(out, "of the processors beside services, used", OverloadDay.Result::usedShare);
+    out.println();
+    out.printf(
+        Locale.ROOT,
+        "longest until one of a class's largest quarter began: %.0f s; on %d days within %.0f s%n%n",
+        results.stream().mapToDouble(OverloadDay.Result::longestS).max().orElse(0),
+        results.stream().filter(result -> result.longestS() <= Sizes.BEGIN_S).count(),
+        Sizes.BEGIN_S);
+    if (results.size() == 1) {
+      table(out, results.get(0));
+    } else {
+      means(out);
     }
+  }
 
-    private void row(PrintStream out, String name, ToDoubleFunction<OverloadDay.Result> share) {
-        int[] days = new int[STEPS];
-        double sum = 0;
-        int known = 0;
-        for (OverloadDay.Result result : results) {
-            double value = share.applyAsDouble(result);
-            if (!Double.isNaN(value)) {
-                days[Math.max(0, Math.min(STEPS - 1, (int) Math.ceil(value * STEPS) - 1))]++;
-                sum += value;
-                known++;
-            }
-        }
-        StringBuilder line = new StringBuilder("| " + name);
-        for (int count : days) {
-            line.append(" | ").append(count);
-        }
-        out.println(line + String.format(Locale.ROOT, " | %.3f |", known == 0 ? 0 : sum / known));
+  private void row(PrintStream out, String name, ToDoubleFunction<OverloadDay.Result> share) {
+    int[] days = new int[STEPS];
+    double sum = 0;
+    int known = 0;
+    for (OverloadDay.Result result : results) {
+      double value = share.applyAsDouble(result);
+      if (!Double.isNaN(value)) {
+        days[Math.max(0, Math.min(STEPS - 1, (int) Math.ceil(value * STEPS) - 1))]++;
+        sum += value;
+        known++;
+      }
+    }
+    StringBuilder line = new StringBuilder("| " + name);
+    for (int count : days) {
+      line.append(" | ").append(count);
     }
+    out.println(line + String.format(Locale.ROOT, " | %.3f |", known == 0 ? 0 : sum / known));
+  }
 
-    /** What each class got, on all days together. */
-    private void means(PrintStream out) {
-        Map<String, double[]> sums = new TreeMap<>();
-        for (OverloadDay.Result result : results) {
-            result.classes().forEach((name, served) -> {
+  /** What each class got, on all days together. */
+  private void means(PrintStream out) {
+    Map<String, double[]> sums = new TreeMap<>();
+    for (OverloadDay.Result result : results) {
+      result
+          .classes()
+          .forEach(
+              (name, served) -> {
                 add(sums, name + " jobs ended", served.ended(), served.jobs());
                 add(sums, name + " tasks started", served.started(), served.startable());
-                served.aims().forEach(met -> add(sums, name + " " + met.aim(), met.met(), met.met() + met.missed()));
-            });
-        }
-        for (OverloadDay.Result result : results) {
-            result.largest().forEach((name, parts) -> parts.forEach(part -> {
-                String which = name + " largest " + part.part();
-                add(sums, which + " served", part.served(), part.jobs());
-                add(sums, which + " begun in time", part.inTime(), part.due());
-            }));
-        }
-        out.println("| what, of all days together | share | of |");
-        out.println("| --- | --- | --- |");
-        sums.forEach((name, sum) -> out.printf(Locale.ROOT, "| %s | %.3f | %.0f |%n", name, sum[1] == 0 ? 1 : sum[0] / sum[1], sum[1]));
+                served
+                    .aims()
+                    .forEach(
+                        met ->
+                            add(sums, name + " " + met.aim(), met.met(), met.met() + met.missed()));
+              });
     }
-
-    private static void add(Map<String, double[]> sums, String name, double part, double all) {
-        double[] sum = sums.computeIfAbsent(name, key -> new double[2]);
-        sum[0] += part;
-        sum[1] += all;
+    for (OverloadDay.Result result : results) {
+      result
+          .largest()
+          .forEach(
+              (name, parts) ->
+                  parts.forEach(
+                      part -> {
+                        String which = name + " largest " + part.part();
+                        add(sums, which + " served", part.served(), part.jobs());
+                        add(sums, which + " begun in time", part.inTime(), part.due());
+                      }));
     }
+    out.println("| what, of all days together | share | of |");
+    out.println("| --- | --- | --- |");
+    sums.forEach(
+        (name, sum) ->
+            out.printf(
+                Locale.ROOT,
+                "| %s | %.3f | %.0f |%n",
+                name,
+                sum[1] == 0 ? 1 : sum[0] / sum[1],
+                sum[1]));
+  }
 
-    private static void table(PrintStream out, OverloadDay.Result day) {
-        out.println("| team, class | least | jobs ended | tasks started | aims | starved, s |");
-        out.println("| --- | --- | --- | --- | --- | --- |");
-        day.groups().forEach((group, served) -> line(out, group.team() + ", " + group.jobClass(), served));
-        day.teams().forEach((team, served) -> line(out, "all of " + team, served));
-        out.println();
-        out.println("| of a class the largest | jobs | served | begun in time | longest, s |");
-        out.println("| --- | --- | --- | --- | --- |");
-        day.largest().forEach((name, parts) -> parts.forEach(part -> out.printf(Locale.ROOT, "| %s, %.2f | %d | %.2f | %d of %d | %.0f |%n", name,
-                part.part(), part.jobs(), part.servedShare(), part.inTime(), part.due(), part.longestS())));
-    }
+  private static void add(Map<String, double[]> sums, String name, double part, double all) {
+    double[] sum = sums.computeIfAbsent(name, key -> new double[2]);
+    sum[0] += part;
+    sum[1] += all;
+  }
 
-    private static void line(PrintStream out, String name, Served served) {
-        List<String> aims = new ArrayList<>();
-        served.aims().forEach(met -> aims.add(met.aim() + ": " + met.met() + " of " + (met.met() + met.missed())));
-        out.printf(Locale.ROOT, "| %s | %.2f | %d of %d | %d of %d | %s | %.0f |%n", name, served.least(), served.ended(), served.jobs(),
-                served.started(), served.startable(), String.join("; ", aims), served.starvedS());
-    }
+  private static void table(PrintStream out, OverloadDay.Result day) {
+    out.println("| team, class | least | jobs ended | tasks started | aims | starved, s |");
+    out.println("| --- | --- | --- | --- | --- | --- |");
+    day.groups()
+        .forEach((group, served) -> line(out, group.team() + ", " + group.jobClass(), served));
+    day.teams().forEach((team, served) -> line(out, "all of " + team, served));
+    out.println();
+    out.println("| of a class the largest | jobs | served | begun in time | longest, s |");
+    out.println("| --- | --- | --- | --- | --- |");
+    day.largest()
+        .forEach(
+            (name, parts) ->
+                parts.forEach(
+                    part ->
+                        out.printf(
+                            Locale.ROOT,
+                            "| %s, %.2f | %d | %.2f | %d of %d | %.0f |%n",
+                            name,
+                            part.part(),
+                            part.jobs(),
+                            part.servedShare(),
+                            part.inTime(),
+                            part.due(),
+                            part.longestS())));
+  }
 
-    /** The same as JSON: a list of days. */
-    public void writeJson(PrintStream out) {
-        List<Object> days = new ArrayList<>();
-        for (OverloadDay.Result result : results) {
-            days.add(Json.object("seed", result.seed(), "bound", Double.isNaN(result.bound()) ? null : result.bound(), "in_time", result.leastInTime(),
-                    "classes", served(result.classes()), "largest", largest(result.largest()), "teams", served(result.teams()), "rules_broken", result.rulesBroken()));
-        }
-        out.println(new String(Json.write(days), java.nio.charset.StandardCharsets.UTF_8));
-    }
+  private static void line(PrintStream out, String name, Served served) {
+    List<String> aims = new ArrayList<>();
+    served
+        .aims()
+        .forEach(
+            met -> aims.add(met.aim() + ": " + met.met() + " of " + (met.met() + met.missed())));
+    out.printf(
+        Locale.ROOT,
+        "| %s | %.2f | %d of %d | %d of %d | %s | %.0f |%n",
+        name,
+        served.least(),
+        served.ended(),
+        served.jobs(),
+        served.started(),
+        served.startable(),
+        String.join("; ", aims),
+        served.starvedS());
+  }
 
-    /** How the largest jobs of each class fared, as JSON has it. */
-    static Map<String, Object> largest(Map<String, List<Largest>> all) {
-        Map<String, Object> written = Json.object();
-        all.forEach((name, parts) -> written.put(name, parts.stream().map(each -> Json.object("part", each.part(), "jobs", each.jobs(), "served", each.served(),
-                "due", each.due(), "in_time", each.inTime(), "longest_s", each.longestS())).toList()));
-        return written;
+  /** The same as JSON: a list of days. */
+  public void writeJson(PrintStream out) {
+    List<Object> days = new ArrayList<>();
+    for (OverloadDay.Result result : results) {
+      days.add(
+          Json.object(
+              "seed",
+              result.seed(),
+              "bound",
+              Double.isNaN(result.bound()) ? null : result.bound(),
+              "in_time",
+              result.leastInTime(),
+              "classes",
+              served(result.classes()),
+              "largest",
+              largest(result.largest()),
+              "teams",
+              served(result.teams()),
+              "rules_broken",
+              result.rulesBroken()));
     }
+    out.println(new String(Json.write(days), java.nio.charset.StandardCharsets.UTF_8));
+  }
 
-    /** What each class or team got, as JSON has it. */
-    static Map<String, Object> served(Map<String, Served> all) {
-        Map<String, Object> written = Json.object();
-        all.forEach((name, served) -> {
-            Map<String, Object> aims = Json.object();
-            served.aims().forEach(met -> aims.put(met.aim(), met.share()));
-            written.put(name, Json.object("least", served.least(), "jobs", served.jobs(), "ended", served.ended(), "startable", served.startable(),
-                    "started", served.started(), "starved_s", served.starvedS(), "aims", aims));
+  /** How the largest jobs of each class fared, as JSON has it. */
+  static Map<String, Object> largest(Map<String, List<Largest>> all) {
+    Map<String, Object> written = Json.object();
+    all.forEach(
+        (name, parts) ->
+            written.put(
+                name,
+                parts.stream()
+                    .map(
+                        each ->
+                            Json.object(
+                                "part",
+                                each.part(),
+                                "jobs",
+                                each.jobs(),
+                                "served",
+                                each.served(),
+                                "due",
+                                each.due(),
+                                "in_time",
+                                each.inTime(),
+                                "longest_s",
+                                each.longestS()))
+                    .toList()));
+    return written;
+  }
+
+  /** What each class or team got, as JSON has it. */
+  static Map<String, Object> served(Map<String, Served> all) {
+    Map<String, Object> written = Json.object();
+    all.forEach(
+        (name, served) -> {
+          Map<String, Object> aims = Json.object();
+          served.aims().forEach(met -> aims.put(met.aim(), met.share()));
+          written.put(
+              name,
+              Json.object(
+                  "least",
+                  served.least(),
+                  "jobs",
+                  served.jobs(),
+                  "ended",
+                  served.ended(),
+                  "startable",
+                  served.startable(),
+                  "started",
+                  served.started(),
+                  "starved_s",
+                  served.starvedS(),
+                  "aims",
+                  aims));
         });
-        return written;
-    }
+    return written;
+  }
 }
--- a/src/main/java/org/quincecross/emulator/PipelineDraws.java
+++ b/src/main/java/org/quincecross/emulator/PipelineDraws.java
@@ -12,78 +12,109 @@
 import org.quincecross.model.Span;
 
 /**
- * Draws pipelines as users have them: two to four stages of one to three jobs, each of which names some of the stage before, and now and
- * then one of the stage before that; some begin behind a job of another team; one last job names the whole last stage and alone has a
- * deadline and the priority that its user cares about.
+ * Draws pipelines as users have them: two to four stages of one to three jobs, each of which names
+ * some of the stage before, and now and then one of the stage before that; some begin behind a job
+ * of another team; one last job names the whole last stage and alone has a deadline and the
+ * priority that its user cares about.
  */
 final class PipelineDraws {
-    private static final int MOST_JOBS_OF_A_STAGE = 3;
-    private static final int MOST_TASKS = 8;
-    /** One last job in so many is submitted only when all before it are over. */
-    private static final int LATE_ONE_IN = 3;
-    private static final double DUE_S = 240;
+  private static final int MOST_JOBS_OF_A_STAGE = 3;
+  private static final int MOST_TASKS = 8;
 
-    private final Random random;
-    private final List<String> teams;
-    private final Resources each;
-    private int number;
+  /** One last job in so many is submitted only when all before it are over. */
+  private static final int LATE_ONE_IN = 3;
 
-    /**
-     * @param firstNumber of the ids of the jobs that are drawn
-     * @param each what a task takes
-     */
-    PipelineDraws(Random random, List<String> teams, Resources each, int firstNumber) {
-        this.random = random;
-        this.teams = teams;
-        this.each = each;
-        this.number = firstNumber;
-    }
+  private static final double DUE_S = 240;
 
-    /** The jobs of one pipeline, none before one that it names; {@code earlier}: jobs of others that its first ones may name. */
-    List<Pipelines.Step> draw(List<JobId> earlier) {
-        String team = teams.get(random.nextInt(teams.size()));
-        List<Pipelines.Step> steps = new ArrayList<>();
-        List<JobId> stage = List.of();
-        List<JobId> before = earlier.isEmpty() || random.nextBoolean() ? List.of() : List.of(earlier.get(random.nextInt(earlier.size())));
-        int stages = 2 + random.nextInt(3);
-        for (int i = 0; i < stages - 1; i++) {
-            List<JobId> next = new ArrayList<>();
-            for (int jobs = 1 + random.nextInt(MOST_JOBS_OF_A_STAGE); jobs > 0; jobs--) {
-                Job job = job(team, i % 2 == 0 ? Rank.LOW : Rank.NORMAL, null, some(stage, before));
-                next.add(job.id());
-                steps.add(new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED));
-            }
-            before = stage;
-            stage = next;
-        }
-        steps.add(new Pipelines.Step(job(team, Rank.HIGH, Span.ofSeconds(DUE_S), stage),
-                random.nextInt(LATE_ONE_IN) == 0 ? Pipelines.Submitted.ONCE_OVER : Pipelines.Submitted.ONCE_ACCEPTED));
-        return steps;
-    }
+  private final Random random;
+  private final List<String> teams;
+  private final Resources each;
+  private int number;
+
+  /**
+   * @param firstNumber of the ids of the jobs that are drawn
+   * @param each what a task takes
+   */
+  PipelineDraws(Random random, List<String> teams, Resources each, int firstNumber) {
+    this.random = random;
+    this.teams = teams;
+    this.each = each;
+    this.number = firstNumber;
+  }
 
-    /** A job that names another, without any pipeline. */
-    Job lone(JobId named) {
-        return job(teams.get(random.nextInt(teams.size())), Rank.NORMAL, null, List.of(named));
+  /**
+   * The jobs of one pipeline, none before one that it names; {@code earlier}: jobs of others that
+   * its first ones may name.
+   */
+  List<Pipelines.Step> draw(List<JobId> earlier) {
+    String team = teams.get(random.nextInt(teams.size()));
+    List<Pipelines.Step> steps = new ArrayList<>();
+    List<JobId> stage = List.of();
+    List<JobId> before =
+        earlier.isEmpty() || random.nextBoolean()
+            ? List.of()
+            : List.of(earlier.get(random.nextInt(earlier.size())));
+    int stages = 2 + random.nextInt(3);
+    for (int i = 0; i < stages - 1; i++) {
+      List<JobId> next = new ArrayList<>();
+      for (int jobs = 1 + random.nextInt(MOST_JOBS_OF_A_STAGE); jobs > 0; jobs--) {
+        Job job = job(team, i % 2 == 0 ? Rank.LOW : Rank.NORMAL, null, some(stage, before));
+        next.add(job.id());
+        steps.add(new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED));
+      }
+      before = stage;
+      stage = next;
     }
+    steps.add(
+        new Pipelines.Step(
+            job(team, Rank.HIGH, Span.ofSeconds(DUE_S), stage),
+            random.nextInt(LATE_ONE_IN) == 0
+                ? Pipelines.Submitted.ONCE_OVER
+                : Pipelines.Submitted.ONCE_ACCEPTED));
+    return steps;
+  }
 
-    private List<JobId> some(List<JobId> stage, List<JobId> before) {
-        List<JobId> some = new ArrayList<>();
-        stage.forEach(id -> {
-            if (some.isEmpty() || random.nextBoolean()) {
-                some.add(id);
-            }
+  /** A job that names another, without any pipeline. */
+  Job lone(JobId named) {
+    return job(teams.get(random.nextInt(teams.size())), Rank.NORMAL, null, List.of(named));
+  }
+
+  private List<JobId> some(List<JobId> stage, List<JobId> before) {
+    List<JobId> some = new ArrayList<>();
+    stage.forEach(
+        id -> {
+          if (some.isEmpty() || random.nextBoolean()) {
+            some.add(id);
+          }
         });
-        if (!before.isEmpty() && (stage.isEmpty() || random.nextInt(3) == 0)) {
-            some.add(before.get(0));
-        }
-        return some;
+    if (!before.isEmpty() && (stage.isEmpty() || random.nextInt(3) == 0)) {
+      some.add(before.get(0));
     }
+    return some;
+  }
 
-    private Job job(String team, Rank rank, Span due, List<JobId> waitsOn) {
-        Shape shape = random.nextInt(4) == 0 ? Shape.GANG : Shape.ARRAY;
-        boolean saves = random.nextInt(3) == 0;
-        return new Job(new JobId("job-" + number++), "pipeline", team, shape, rank, 1 + random.nextInt(shape == Shape.GANG ? 2 : MOST_TASKS), each,
-                null, null, false, false, shape == Shape.ARRAY && random.nextBoolean(), "img-" + random.nextInt(3), 1,
-                Span.ofSeconds(2 + random.nextInt(10)), saves ? Span.ofSeconds(3) : Span.ZERO, saves ? Span.ofSeconds(1) : Span.ZERO, due, Set.copyOf(waitsOn));
-    }
+  private Job job(String team, Rank rank, Span due, List<JobId> waitsOn) {
+    Shape shape = random.nextInt(4) == 0 ? Shape.GANG : Shape.ARRAY;
+    boolean saves = random.nextInt(3) == 0;
+    return new Job(
+        new JobId("job-" + number++),
+        "pipeline",
+        team,
+        shape,
+        rank,
+        1 + random.nextInt(shape == Shape.GANG ? 2 : MOST_TASKS),
+        each,
+        null,
+        null,
+        false,
+        false,
+        shape == Shape.ARRAY && random.nextBoolean(),
+        "img-" + random.nextInt(3),
+        1,
+        Span.ofSeconds(2 + random.nextInt(10)),
+        saves ? Span.ofSeconds(3) : Span.ZERO,
+        saves ? Span.ofSeconds(1) : Span.ZERO,
+        due,
+        Set.copyOf(waitsOn));
+  }
 }
--- a/src/main/java/org/quincecross/emulator/PipelineRules.java
+++ b/src/main/java/org/quincecross/emulator/PipelineRules.java
@@ -9,100 +9,135 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskId;
 
-/** Watches over the rules of jobs that wait for others, by what machines do and what users are told. */
+/**
+ * Watches over the rules of jobs that wait for others, by what machines do and what users are told.
+ */
 final class PipelineRules {
-    private final Surroundings around;
-    private final BiConsumer<String, Object> breaks;
-    /** Since when a job's users know that one before it is cancelled. */
-    private final Map<JobId, Double> cancelledBefore = new HashMap<>();
-    /** The jobs that are known to be cancelled; who needs them is looked up once. */
-    private final Set<JobId> told = new HashSet<>();
-    /** The jobs of which it is settled that they are cancelled with another. */
-    private final Set<JobId> withAnother = new HashSet<>();
-    private final Set<JobId> orphaned = new HashSet<>();
-    private final Set<JobId> late = new HashSet<>();
-
-    /** @param breaks to be told of a broken rule and of what broke it */
-    PipelineRules(Surroundings around, BiConsumer<String, Object> breaks) {
-        this.around = around;
-        this.breaks = breaks;
-    }
+  private final Surroundings around;
+  private final BiConsumer<String, Object> breaks;
 
-    /** A job is submitted that names others: some of them may be known to be cancelled. */
-    void submitted(JobId id) {
-        for (JobId each : around.pipelines().before(id)) {
-            Double at = around.rules().cancelledAt(each);
-            if (at != null) {
-                cancelledBefore.merge(id, at, Math::min);
-            }
-        }
-    }
+  /** Since when a job's users know that one before it is cancelled. */
+  private final Map<JobId, Double> cancelledBefore = new HashMap<>();
 
-    /** A submission that names others was answered for good: accepted if all that it names were, and else not. */
-    void answered(JobId id, int status) {
-        boolean known = around.pipelines().waitsOn(id).stream().allMatch(around.users().told()::containsKey);
-        boolean accepted = status == 200 || status == 201;
-        if (accepted && !known) {
-            breaks.accept("names_unknown", id + " is accepted, and names " + around.pipelines().waitsOn(id));
-        } else if (!accepted && known) {
-            breaks.accept("refused", id + " gets " + status + ", and all that it names were accepted: " + around.pipelines().waitsOn(id));
-        }
-    }
+  /** The jobs that are known to be cancelled; who needs them is looked up once. */
+  private final Set<JobId> told = new HashSet<>();
+
+  /** The jobs of which it is settled that they are cancelled with another. */
+  private final Set<JobId> withAnother = new HashSet<>();
 
-    /** A task is on a machine now. */
-    void starts(TaskId task) {
-        for (JobId each : around.pipelines().waitsOn(task.job())) {
-            if (!around.rules().isComplete(each)) {
-                breaks.accept("too_early", task + " before " + each);
-            }
-        }
-        checkGone(task.job());
+  private final Set<JobId> orphaned = new HashSet<>();
+  private final Set<JobId> late = new HashSet<>();
+
+  /**
+   * @param breaks to be told of a broken rule and of what broke it
+   */
+  PipelineRules(Surroundings around, BiConsumer<String, Object> breaks) {
+    this.around = around;
+    this.breaks = breaks;
+  }
+
+  /** A job is submitted that names others: some of them may be known to be cancelled. */
+  void submitted(JobId id) {
+    for (JobId each : around.pipelines().before(id)) {
+      Double at = around.rules().cancelledAt(each);
+      if (at != null) {
+        cancelledBefore.merge(id, at, Math::min);
+      }
     }
+  }
 
-    /** To be called now and then. */
-    void check() {
-        cancelledBefore.keySet().forEach(this::checkGone);
+  /**
+   * A submission that names others was answered for good: accepted if all that it names were, and
+   * else not.
+   */
+  void answered(JobId id, int status) {
+    boolean known =
+        around.pipelines().waitsOn(id).stream().allMatch(around.users().told()::containsKey);
+    boolean accepted = status == 200 || status == 201;
+    if (accepted && !known) {
+      breaks.accept(
+          "names_unknown", id + " is accepted, and names " + around.pipelines().waitsOn(id));
+    } else if (!accepted && known) {
+      breaks.accept(
+          "refused",
+          id
+              + " gets "
+              + status
+              + ", and all that it names were accepted: "
+              + around.pipelines().waitsOn(id));
     }
+  }
 
-    private boolean isTime(JobId id) {
-        Double at = cancelledBefore.get(id);
-        return at != null && around.clock().seconds() > at + around.site().workers().cancel().seconds();
+  /** A task is on a machine now. */
+  void starts(TaskId task) {
+    for (JobId each : around.pipelines().waitsOn(task.job())) {
+      if (!around.rules().isComplete(each)) {
+        breaks.accept("too_early", task + " before " + each);
+      }
     }
+    checkGone(task.job());
+  }
+
+  /** To be called now and then. */
+  void check() {
+    cancelledBefore.keySet().forEach(this::checkGone);
+  }
+
+  private boolean isTime(JobId id) {
+    Double at = cancelledBefore.get(id);
+    return at != null && around.clock().seconds() > at + around.site().workers().cancel().seconds();
+  }
 
-    private void checkGone(JobId id) {
-        if (isTime(id) && around.rules().onMachines(id) > 0 && late.add(id)) {
-            breaks.accept("ran_cancelled", id + " after one that it needs was cancelled");
-        }
+  private void checkGone(JobId id) {
+    if (isTime(id) && around.rules().onMachines(id) > 0 && late.add(id)) {
+      breaks.accept("ran_cancelled", id + " after one that it needs was cancelled");
     }
+  }
 
-    /** Users were told of a job. */
-    void told(JobId id, String state) {
-        if (state.equals("cancelled") && told.add(id)) {
-            around.pipelines().spread(id, each -> cancelledBefore.putIfAbsent(each, around.clock().seconds()) == null);
-        } else if (state.equals("done") && around.users().isCancelAsked(id)) {
-            around.pipelines().after(id).forEach(this::checkCancelled);
-        } else if ((state.equals("queued") || state.equals("running")) && isTime(id) && orphaned.add(id)) {
-            breaks.accept("orphaned", id + " is called " + state);
-        }
+  /** Users were told of a job. */
+  void told(JobId id, String state) {
+    if (state.equals("cancelled") && told.add(id)) {
+      around
+          .pipelines()
+          .spread(id, each -> cancelledBefore.putIfAbsent(each, around.clock().seconds()) == null);
+    } else if (state.equals("done") && around.users().isCancelAsked(id)) {
+      around.pipelines().after(id).forEach(this::checkCancelled);
+    } else if ((state.equals("queued") || state.equals("running"))
+        && isTime(id)
+        && orphaned.add(id)) {
+      breaks.accept("orphaned", id + " is called " + state);
     }
+  }
 
-    /** A cancellation that was answered with {@code done} cancels nothing. */
-    private void checkCancelled(JobId id) {
-        if ("cancelled".equals(around.rules().lastTold(id)) && !around.users().isCancelAsked(id) && !isCancelledBefore(id)) {
-            breaks.accept("went_back", id + " is cancelled, and what it needs was done before it could be cancelled");
-        }
+  /** A cancellation that was answered with {@code done} cancels nothing. */
+  private void checkCancelled(JobId id) {
+    if ("cancelled".equals(around.rules().lastTold(id))
+        && !around.users().isCancelAsked(id)
+        && !isCancelledBefore(id)) {
+      breaks.accept(
+          "went_back",
+          id + " is cancelled, and what it needs was done before it could be cancelled");
     }
+  }
 
-    /** Whether somebody asked for a job that it needs to be cancelled, and has not heard that it is done. */
-    boolean isCancelledBefore(JobId id) {
-        if (!withAnother.contains(id)) {
-            List<JobId> asked = around.pipelines().before(id).stream().filter(each -> around.users().isCancelAsked(each)
-                    && !"done".equals(around.rules().lastTold(each))).toList();
-            if (asked.stream().noneMatch(each -> "cancelled".equals(around.rules().lastTold(each)))) {
-                return !asked.isEmpty();
-            }
-            withAnother.add(id);
-        }
-        return true;
+  /**
+   * Whether somebody asked for a job that it needs to be cancelled, and has not heard that it is
+   * done.
+   */
+  boolean isCancelledBefore(JobId id) {
+    if (!withAnother.contains(id)) {
+      List<JobId> asked =
+          around.pipelines().before(id).stream()
+              .filter(
+                  each ->
+                      around.users().isCancelAsked(each)
+                          && !"done".equals(around.rules().lastTold(each)))
+              .toList();
+      if (asked.stream().noneMatch(each -> "cancelled".equals(around.rules().lastTold(each)))) {
+        return !asked.isEmpty();
+      }
+      withAnother.add(id);
     }
+    return true;
+  }
 }
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -24,184 +24,334 @@
 import org.quincecross.wire.Json;
 
 /**
- * What room kept for requests costs, in virtual time: a fleet's day on which every class but the front service comes three times as often for a
- * while, and another front service grows until there is no more room for it; in the middle of that the work for the requests' answers is
- * submitted, with so much of the processors reserved beforehand or with nothing reserved.
+ * What room kept for requests costs, in virtual time: a fleet's day on which every class but the
+ * front service comes three times as often for a while, and another front service grows until there
+ * is no more room for it; in the middle of that the work for the requests' answers is submitted,
+ * with so much of the processors reserved beforehand or with nothing reserved.
  */
 public final class RequestDay {
-    private static final double JOBS_FROM_S = 15;
-    private static final double JOBS_OVER_S = 20;
-    /** By then the level is in force that requests come with. */
-    private static final double REQUESTS_AT_S = 40;
-    private static final double FLOOD_AT_S = 100;
-    private static final double FLOOD_LASTS_S = 120;
-    private static final double FLOOD_FACTOR = 3;
-    private static final double ANSWERS_AT_S = 180;
-    private static final double DELIVERED_AT_S = 270;
-    private static final double LASTS_S = 330;
-    /** Enough for all of them, beyond any guarantee. */
-    private static final double SHARE = 0.5;
-    private static final int TASKS_EACH = 8;
-    private static final int FIRST_NUMBER = 10_000;
-    private static final double LOOK_EVERY_S = 0.25;
-    /** The other front service grows in so many steps. */
-    private static final int GROWS_IN = 25;
-    private static final String OTHER_FRONT = "other front";
-    /** The lane of the work for answers: of its own, so that what else the front service does leaves its room alone. */
-    private static final String ANSWERS = "answers";
-
-    /**
-     * What came of a day.
-     *
-     * @param price of all machines while they were up, at the catalog's prices an hour
-     * @param reserved how many requests had room as their work was submitted
-     * @param waitsMs from submission to the first task on a machine, of a service to the last, by class; what never came so far counts as the
-     *        time that it waited
-     */
-    public record Result(double share, double price, int requests, int reserved, int rulesBroken, Map<String, Histogram> waitsMs) {
-    }
+  private static final double JOBS_FROM_S = 15;
+  private static final double JOBS_OVER_S = 20;
 
-    private final double share;
-    private final World world;
-    private final Map<JobId, String> waiting = new HashMap<>();
-    private final Set<JobId> known = new HashSet<>();
-    private final Set<JobId> ofRequests = new HashSet<>();
-    private final Map<String, Histogram> waits = new TreeMap<>();
-    private final int requests;
-    private final Site.JobClass front;
-    private double price;
-    private int reserved;
-    private int answeredAmiss;
-    private int grown;
-
-    private RequestDay(int machines, long seed, double share, double mostShare) {
-        this.share = share;
-        Site site = Site.fleet(machines);
-        world = new World(site, seed, Meter.OFF, new Features(null, null, Build.present("requests", Level.NEWEST.number()), Map.of("requests", Map.of("share", SHARE))));
-        front = site.classes().stream().filter(each -> each.shape() == Shape.SERVICE).findFirst().orElseThrow();
-        MachineType type = site.types().get(0);
-        requests = (int) Math.max(1, Math.round(mostShare * machines * type.capacity().count(front.each()) / TASKS_EACH));
-        Load load = new Load(world.around(), seed);
-        world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
-        world.time().at(FLOOD_AT_S, () -> site.classes().stream().filter(each -> each != front)
-                .forEach(each -> load.burst(each.name(), FLOOD_FACTOR, FLOOD_LASTS_S)));
-        if (share > 0) {
-            world.time().at(REQUESTS_AT_S, () -> send(0, (int) Math.round(requests * share / mostShare)));
-        }
-        for (int i = 0; i < GROWS_IN; i++) {
-            world.time().at(FLOOD_AT_S + 2 * i, this::grow);
-        }
-        world.time().at(ANSWERS_AT_S, this::submitAnswers);
-        world.time().at(DELIVERED_AT_S, this::deliver);
-        look();
-    }
+  /** By then the level is in force that requests come with. */
+  private static final double REQUESTS_AT_S = 40;
 
-    private void send(int number, int count) {
-        if (number >= count) {
-            return;
-        }
-        long nowMs = (long) (world.time().seconds() * 1000);
-        Map<String, Object> command = Json.object("do", "arrive", "kind", "police", "arrived_ms", nowMs, "due_ms", nowMs + 3_600_000L * (1 + number),
-                "lane", ANSWERS, "team", front.name(), "tasks", TASKS_EACH, "cpus", front.each().cpus(), "memory_gb", front.each().memoryGb(), "zones", List.of());
-        change(number, "a", command, () -> { });
-        world.time().after(0.3, () -> send(number + 1, count));
-    }
+  private static final double FLOOD_AT_S = 100;
+  private static final double FLOOD_LASTS_S = 120;
+  private static final double FLOOD_FACTOR = 3;
+  private static final double ANSWERS_AT_S = 180;
+  private static final double DELIVERED_AT_S = 270;
+  private static final double LASTS_S = 330;
 
-    private void change(int number, String name, Map<String, Object> command, Runnable done) {
-        world.ask(number % world.nodeCount(), HttpRequest.post("/admin/agreed/requests/r-" + number, Json.write(Json.object("request", name, "command", command))),
-                response -> {
-                    answeredAmiss += response.status() == 200 ? 0 : 1;
-                    done.run();
-                });
-    }
+  /** Enough for all of them, beyond any guarantee. */
+  private static final double SHARE = 0.5;
 
-    /** Another front service, of the team that may have the most, by a part of what all machines of the cloud have. */
-    private void grow() {
-        Site site = world.site();
-        String team = site.teams().values().stream().filter(each -> !each.name().equals(front.name()))
-                .max(Comparator.comparing(each -> each.limit().cpus())).orElseThrow().name();
-        int tasks = site.mostMachines() * site.types().get(0).capacity().count(front.each()) / GROWS_IN;
-        world.users().submit(new Job(new JobId("job-" + (FIRST_NUMBER / 2 + grown++)), OTHER_FRONT, team, Shape.SERVICE, front.rank(), tasks, front.each(), null, null,
-                false, false, false, OTHER_FRONT, front.imageGb(), Span.ZERO, Span.ZERO, Span.ZERO, null));
-    }
+  private static final int TASKS_EACH = 8;
+  private static final int FIRST_NUMBER = 10_000;
+  private static final double LOOK_EVERY_S = 0.25;
+
+  /** The other front service grows in so many steps. */
+  private static final int GROWS_IN = 25;
+
+  private static final String OTHER_FRONT = "other front";
+
+  /**
+   * The lane of the work for answers: of its own, so that what else the front service does leaves
+   * its room alone.
+   */
+  private static final String ANSWERS = "answers";
+
+  /**
+   * What came of a day.
+   *
+   * @param price of all machines while they were up, at the catalog's prices an hour
+   * @param reserved how many requests had room as their work was submitted
+   * @param waitsMs from submission to the first task on a machine, of a service to the last, by
+   *     class; what never came so far counts as the time that it waited
+   */
+  public record Result(
+      double share,
+      double price,
+      int requests,
+      int reserved,
+      int rulesBroken,
+      Map<String, Histogram> waitsMs) {}
+
+  private final double share;
+  private final World world;
+  private final Map<JobId, String> waiting = new HashMap<>();
+  private final Set<JobId> known = new HashSet<>();
+  private final Set<JobId> ofRequests = new HashSet<>();
+  private final Map<String, Histogram> waits = new TreeMap<>();
+  private final int requests;
+  private final Site.JobClass front;
+  private double price;
+  private int reserved;
+  private int answeredAmiss;
+  private int grown;
 
-    /** The work for the answers, the same whether there is room for it or not. */
-    private void submitAnswers() {
-        for (String key : world.state().under("q/agreed/requests/r-")) {
-            reserved += world.state().value(key) instanceof Map<?, ?> record && record.get("state") instanceof Map<?, ?> state
-                    && "reserved".equals(state.get("state")) ? 1 : 0;
-        }
-        for (int i = 0; i < requests; i++) {
-            Job job = new Job(new JobId("job-" + (FIRST_NUMBER + i)), ANSWERS, front.name(), Shape.SERVICE, front.rank(), TASKS_EACH, front.each(), null, null,
-                    false, true, false, front.name() + "-1", front.imageGb(), Span.ZERO, Span.ZERO, Span.ZERO, null);
-            ofRequests.add(job.id());
-            world.time().after(0.05 * i, () -> world.users().submit(job));
-        }
+  private RequestDay(int machines, long seed, double share, double mostShare) {
+    this.share = share;
+    Site site = Site.fleet(machines);
+    world =
+        new World(
+            site,
+            seed,
+            Meter.OFF,
+            new Features(
+                null,
+                null,
+                Build.present("requests", Level.NEWEST.number()),
+                Map.of("requests", Map.of("share", SHARE))));
+    front =
+        site.classes().stream()
+            .filter(each -> each.shape() == Shape.SERVICE)
+            .findFirst()
+            .orElseThrow();
+    MachineType type = site.types().get(0);
+    requests =
+        (int)
+            Math.max(
+                1,
+                Math.round(
+                    mostShare * machines * type.capacity().count(front.each()) / TASKS_EACH));
+    Load load = new Load(world.around(), seed);
+    world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
+    world
+        .time()
+        .at(
+            FLOOD_AT_S,
+            () ->
+                site.classes().stream()
+                    .filter(each -> each != front)
+                    .forEach(each -> load.burst(each.name(), FLOOD_FACTOR, FLOOD_LASTS_S)));
+    if (share > 0) {
+      world.time().at(REQUESTS_AT_S, () -> send(0, (int) Math.round(requests * share / mostShare)));
     }
+    for (int i = 0; i < GROWS_IN; i++) {
+      world.time().at(FLOOD_AT_S + 2 * i, this::grow);
+    }
+    world.time().at(ANSWERS_AT_S, this::submitAnswers);
+    world.time().at(DELIVERED_AT_S, this::deliver);
+    look();
+  }
 
-    private void deliver() {
-        ofRequests.forEach(id -> world.users().cancel(id));
-        for (int i = 0; i < world.state().under("q/agreed/requests/r-").size(); i++) {
-            int number = i;
-            world.time().after(0.3 * i, () -> change(number, "d", Json.object("do", "answer"), () -> { }));
-        }
+  private void send(int number, int count) {
+    if (number >= count) {
+      return;
     }
+    long nowMs = (long) (world.time().seconds() * 1000);
+    Map<String, Object> command =
+        Json.object(
+            "do",
+            "arrive",
+            "kind",
+            "police",
+            "arrived_ms",
+            nowMs,
+            "due_ms",
+            nowMs + 3_600_000L * (1 + number),
+            "lane",
+            ANSWERS,
+            "team",
+            front.name(),
+            "tasks",
+            TASKS_EACH,
+            "cpus",
+            front.each().cpus(),
+            "memory_gb",
+            front.each().memoryGb(),
+            "zones",
+            List.of());
+    change(number, "a", command, () -> {});
+    world.time().after(0.3, () -> send(number + 1, count));
+  }
 
-    private void look() {
-        for (JobId id : world.users().submittedAt().keySet()) {
-            if (known.add(id)) {
-                waiting.put(id, world.job(id).jobClass());
-            }
-        }
-        waiting.entrySet().removeIf(entry -> {
-            Job job = world.job(entry.getKey());
-            boolean started = world.rules().onMachines(entry.getKey()) >= (job.shape() == Shape.SERVICE ? job.tasks() : 1);
-            if (started) {
-                note(entry.getValue(), entry.getKey());
-            }
-            return started;
+  private void change(int number, String name, Map<String, Object> command, Runnable done) {
+    world.ask(
+        number % world.nodeCount(),
+        HttpRequest.post(
+            "/admin/agreed/requests/r-" + number,
+            Json.write(Json.object("request", name, "command", command))),
+        response -> {
+          answeredAmiss += response.status() == 200 ? 0 : 1;
+          done.run();
         });
-        for (Worker worker : world.cloud().workers()) {
-            MachineType type = world.site().type(worker.machine().type());
-            price += (worker.machine().spot() ? type.spotPrice() : type.price()) * LOOK_EVERY_S / 3600;
-        }
-        world.time().after(LOOK_EVERY_S, this::look);
+  }
+
+  /**
+   * Another front service, of the team that may have the most, by a part of what all machines of
+   * the cloud have.
+   */
+  private void grow() {
+    Site site = world.site();
+    String team =
+        site.teams().values().stream()
+            .filter(each -> !each.name().equals(front.name()))
+            .max(Comparator.comparing(each -> each.limit().cpus()))
+            .orElseThrow()
+            .name();
+    int tasks = site.mostMachines() * site.types().get(0).capacity().count(front.each()) / GROWS_IN;
+    world
+        .users()
+        .submit(
+            new Job(
+                new JobId("job-" + (FIRST_NUMBER / 2 + grown++)),
+                OTHER_FRONT,
+                team,
+                Shape.SERVICE,
+                front.rank(),
+                tasks,
+                front.each(),
+                null,
+                null,
+                false,
+                false,
+                false,
+                OTHER_FRONT,
+                front.imageGb(),
+                Span.ZERO,
+                Span.ZERO,
+                Span.ZERO,
+                null));
+  }
+
+  /** The work for the answers, the same whether there is room for it or not. */
+  private void submitAnswers() {
+    for (String key : world.state().under("q/agreed/requests/r-")) {
+      reserved +=
+          world.state().value(key) instanceof Map<?, ?> record
+                  && record.get("state") instanceof Map<?, ?> state
+                  && "reserved".equals(state.get("state"))
+              ? 1
+              : 0;
+    }
+    for (int i = 0; i < requests; i++) {
+      Job job =
+          new Job(
+              new JobId("job-" + (FIRST_NUMBER + i)),
+              ANSWERS,
+              front.name(),
+              Shape.SERVICE,
+              front.rank(),
+              TASKS_EACH,
+              front.each(),
+              null,
+              null,
+              false,
+              true,
+              false,
+              front.name() + "-1",
+              front.imageGb(),
+              Span.ZERO,
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      ofRequests.add(job.id());
+      world.time().after(0.05 * i, () -> world.users().submit(job));
     }
+  }
 
-    private void note(String jobClass, JobId id) {
-        waits.computeIfAbsent(jobClass, name -> new Histogram(3_600_000, 3))
-                .recordValue((long) (1000 * (world.time().seconds() - world.users().submittedAt().get(id))));
+  private void deliver() {
+    ofRequests.forEach(id -> world.users().cancel(id));
+    for (int i = 0; i < world.state().under("q/agreed/requests/r-").size(); i++) {
+      int number = i;
+      world.time().after(0.3 * i, () -> change(number, "d", Json.object("do", "answer"), () -> {}));
     }
+  }
 
-    private Result play() {
-        world.time().runUntil(LASTS_S);
-        waiting.forEach((id, jobClass) -> note(jobClass, id));
-        return new Result(share, price, requests, reserved, world.rules().broken().size() + answeredAmiss, waits);
+  private void look() {
+    for (JobId id : world.users().submittedAt().keySet()) {
+      if (known.add(id)) {
+        waiting.put(id, world.job(id).jobClass());
+      }
     }
+    waiting
+        .entrySet()
+        .removeIf(
+            entry -> {
+              Job job = world.job(entry.getKey());
+              boolean started =
+                  world.rules().onMachines(entry.getKey())
+                      >= (job.shape() == Shape.SERVICE ? job.tasks() : 1);
+              if (started) {
+                note(entry.getValue(), entry.getKey());
+              }
+              return started;
+            });
+    for (Worker worker : world.cloud().workers()) {
+      MachineType type = world.site().type(worker.machine().type());
+      price += (worker.machine().spot() ? type.spotPrice() : type.price()) * LOOK_EVERY_S / 3600;
+    }
+    world.time().after(LOOK_EVERY_S, this::look);
+  }
+
+  private void note(String jobClass, JobId id) {
+    waits
+        .computeIfAbsent(jobClass, name -> new Histogram(3_600_000, 3))
+        .recordValue(
+            (long) (1000 * (world.time().seconds() - world.users().submittedAt().get(id))));
+  }
 
-    /** Plays the day of a seed with nothing reserved and with each of some shares of all processors, and writes a table; whether all was in order. */
-    public static boolean play(int machines, long seed, double[] shares, PrintStream out) {
-        double most = 0;
-        for (double share : shares) {
-            most = Math.max(most, share);
-        }
-        double mostShare = most;
-        List<Result> results = IntStream.range(-1, shares.length).parallel()
-                .mapToObj(i -> new RequestDay(machines, seed, i < 0 ? 0 : shares[i], mostShare).play()).toList();
-        out.printf(Locale.ROOT, "%d machines, seed %d, work for %d requests of %d tasks submitted in the middle of a flood of all other classes%n%n", machines, seed,
-                results.get(0).requests, TASKS_EACH);
-        List<String> classes = new ArrayList<>(results.get(0).waitsMs.keySet());
-        out.println("| reserved | requests with room | price | " + String.join(" | ", classes.stream().map(name -> name + ": p50, p90, most (s)").toList()) + " |");
-        out.println("| --- | --- | --- |" + " --- |".repeat(classes.size()));
-        for (Result result : results) {
-            StringBuilder row = new StringBuilder(String.format(Locale.ROOT, "| %.2f | %d | %.2f |", result.share, result.reserved, result.price));
-            for (String name : classes) {
-                Histogram waits = result.waitsMs.get(name);
-                row.append(waits == null ? " - |" : String.format(Locale.ROOT, " %.1f, %.1f, %.1f |", waits.getValueAtPercentile(50) / 1e3,
-                        waits.getValueAtPercentile(90) / 1e3, waits.getMaxValue() / 1e3));
-            }
-            out.println(row);
-        }
-        return results.stream().allMatch(result -> result.rulesBroken == 0);
+  private Result play() {
+    world.time().runUntil(LASTS_S);
+    waiting.forEach((id, jobClass) -> note(jobClass, id));
+    return new Result(
+        share, price, requests, reserved, world.rules().broken().size() + answeredAmiss, waits);
+  }
+
+  /**
+   * Plays the day of a seed with nothing reserved and with each of some shares of all processors,
+   * and writes a table; whether all was in order.
+   */
+  public static boolean play(int machines, long seed, double[] shares, PrintStream out) {
+    double most = 0;
+    for (double share : shares) {
+      most = Math.max(most, share);
+    }
+    double mostShare = most;
+    List<Result> results =
+        IntStream.range(-1, shares.length)
+            .parallel()
+            .mapToObj(i -> new RequestDay(machines, seed, i < 0 ? 0 : shares[i], mostShare).play())
+            .toList();
+    out.printf(
+        Locale.ROOT,
+        "%d machines, seed %d, work for %d requests of %d tasks submitted in the middle of a flood of all other classes%n%n",
+        machines,
+        seed,
+        results.get(0).requests,
+        TASKS_EACH);
+    List<String> classes = new ArrayList<>(results.get(0).waitsMs.keySet());
+    out.println(
+        "| reserved | requests with room | price | "
+            + String.join(
+                " | ", classes.stream().map(name -> name + ": p50, p90, most (s)").toList())
+            + " |");
+    out.println("| --- | --- | --- |" + " --- |".repeat(classes.size()));
+    for (Result result : results) {
+      StringBuilder row =
+          new StringBuilder(
+              String.format(
+                  Locale.ROOT,
+                  "| %.2f | %d | %.2f |",
+                  result.share,
+                  result.reserved,
+                  result.price));
+      for (String name : classes) {
+        Histogram waits = result.waitsMs.get(name);
+        row.append(
+            waits == null
+                ? " - |"
+                : String.format(
+                    Locale.ROOT,
+                    " %.1f, %.1f, %.1f |",
+                    waits.getValueAtPercentile(50) / 1e3,
+                    waits.getValueAtPercentile(90) / 1e3,
+                    waits.getMaxValue() / 1e3));
+      }
+      out.println(row);
     }
+    return results.stream().allMatch(result -> result.rulesBroken == 0);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/Rules.java
+++ b/src/main/java/org/quincecross/emulator/Rules.java
@@ -17,232 +17,250 @@
 
 /** Watches over the rules of the protocol, at a cost in proportion to what happens. */
 final class Rules {
-    private final Surroundings around;
-    private final Map<TaskId, Map<MachineId, Machine>> on = new HashMap<>();
-    private final Map<JobId, Map<String, Integer>> zones = new HashMap<>();
-    private final Map<String, Resources> used = new HashMap<>();
-    private final Map<JobId, Double> cancelled = new HashMap<>();
-    private final Set<JobId> late = new HashSet<>();
-    private final Map<JobId, String> last = new HashMap<>();
-    private final Map<JobId, String> ends = new HashMap<>();
-    private final Map<JobId, Set<Integer>> done = new HashMap<>();
-    private final Map<JobId, Integer> startsOf = new HashMap<>();
-    private final Map<JobId, TaskSet> startedTasks = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
-    private Resources standing = Resources.NONE;
-    private int starts;
-
-    Rules(Surroundings around) {
-        this.around = around;
+  private final Surroundings around;
+  private final Map<TaskId, Map<MachineId, Machine>> on = new HashMap<>();
+  private final Map<JobId, Map<String, Integer>> zones = new HashMap<>();
+  private final Map<String, Resources> used = new HashMap<>();
+  private final Map<JobId, Double> cancelled = new HashMap<>();
+  private final Set<JobId> late = new HashSet<>();
+  private final Map<JobId, String> last = new HashMap<>();
+  private final Map<JobId, String> ends = new HashMap<>();
+  private final Map<JobId, Set<Integer>> done = new HashMap<>();
+  private final Map<JobId, Integer> startsOf = new HashMap<>();
+  private final Map<JobId, TaskSet> startedTasks = new HashMap<>();
+  private final List<String> broken = new ArrayList<>();
+  private Resources standing = Resources.NONE;
+  private int starts;
+
+  Rules(Surroundings around) {
+    this.around = around;
+  }
+
+  List<String> broken() {
+    return broken;
+  }
+
+  int starts() {
+    return starts;
+  }
+
+  /** How often tasks of a job have started. */
+  int started(JobId job) {
+    return startsOf.getOrDefault(job, 0);
+  }
+
+  /** Notes that a rule is broken. */
+  void breaks(String rule, Object what) {
+    broken.add(rule + " at " + around.clock().seconds() + ": " + what);
+  }
+
+  /** The one place where it is counted what is where. */
+  private void count(TaskId task, Machine machine, int more) {
+    Job job = around.job(task.job());
+    used.merge(job.team(), job.each().times(more), Resources::plus);
+    if (job.shape() == Shape.SERVICE) {
+      standing = standing.plus(job.each().times(more));
     }
-
-    List<String> broken() {
-        return broken;
-    }
-
-    int starts() {
-        return starts;
-    }
-
-    /** How often tasks of a job have started. */
-    int started(JobId job) {
-        return startsOf.getOrDefault(job, 0);
-    }
-
-    /** Notes that a rule is broken. */
-    void breaks(String rule, Object what) {
-        broken.add(rule + " at " + around.clock().seconds() + ": " + what);
-    }
-
-    /** The one place where it is counted what is where. */
-    private void count(TaskId task, Machine machine, int more) {
-        Job job = around.job(task.job());
-        used.merge(job.team(), job.each().times(more), Resources::plus);
-        if (job.shape() == Shape.SERVICE) {
-            standing = standing.plus(job.each().times(more));
-        }
-        Map<String, Integer> ofJob = zones.computeIfAbsent(task.job(), id -> new HashMap<>());
-        ofJob.merge(machine.zone(), more, Integer::sum);
-        ofJob.values().remove(0);
-        if (ofJob.isEmpty()) {
-            zones.remove(task.job());
-        }
-    }
-
-    void on(TaskId task, Machine machine) {
-        starts++;
-        startsOf.merge(task.job(), 1, Integer::sum);
-        Job job = around.job(task.job());
-        TaskSet everOn = startedTasks.computeIfAbsent(task.job(), id -> new TaskSet());
-        everOn.add(task.index());
-        around.served().started(task.job(), everOn.size(), around.now());
-        Map<MachineId, Machine> places = on.computeIfAbsent(task, t -> new HashMap<>(2));
-        if (places.put(machine.id(), machine) == null) {
-            count(task, machine, 1);
-        }
-        if (places.size() > 1) {
-            breaks("ran_twice", task + " on " + places.keySet());
-        }
-        if (!used(job.team()).fitsIn(around.site().teams().get(job.team()).limit())) {
-            breaks("quota", task + " brings " + job.team() + " to " + used(job.team()));
-        }
-        Map<String, Integer> inZones = zones.get(job.id());
-        boolean misplaced = !job.allows(machine.type(), machine.zone(), machine.spot()) || job.oneZone() && inZones.size() > 1
-                || job.spread() && inZones.get(machine.zone()) > job.mostInOneZone();
-        if (misplaced) {
-            breaks("wrong_place", task + " on " + machine);
-        }
-        checkCancelled(job.id());
-        around.pipelineRules().starts(task);
-    }
-
-    void off(TaskId task, MachineId machine) {
-        Map<MachineId, Machine> places = on.get(task);
-        if (places != null) {
-            checkCancelled(task.job());
-            Machine left = places.remove(machine);
-            if (left != null) {
-                count(task, left, -1);
-            }
-            if (places.isEmpty()) {
-                on.remove(task);
-            }
-        }
-    }
-
-    void completed(TaskId task) {
-        boolean isNew = done.computeIfAbsent(task.job(), job -> new HashSet<>()).add(task.index());
-        if (isComplete(task.job())) {
-            around.served().done(task.job(), around.now());
-            around.pipelines().completed(task.job());
-            if (isNew) {
-                around.users().happens(Users.Moment.LAST_TASK_ENDED, task.job());
-            }
-        }
-    }
-
-    boolean isCompleted(TaskId task) {
-        return done.getOrDefault(task.job(), Set.of()).contains(task.index());
-    }
-
-    /** Whether all tasks of a job are done. */
-    boolean isComplete(JobId job) {
-        return around.job(job) != null && completedTasks(job) == around.job(job).tasks();
-    }
-
-    int completedTasks(JobId job) {
-        return done.getOrDefault(job, Set.of()).size();
-    }
-
-    /** When a job's user was told that it is cancelled, or null. */
-    Double cancelledAt(JobId job) {
-        return cancelled.get(job);
-    }
-
-    /** How many tasks of a job are on machines. */
-    int onMachines(JobId job) {
-        return zones.getOrDefault(job, Map.of()).values().stream().mapToInt(Integer::intValue).sum();
+    Map<String, Integer> ofJob = zones.computeIfAbsent(task.job(), id -> new HashMap<>());
+    ofJob.merge(machine.zone(), more, Integer::sum);
+    ofJob.values().remove(0);
+    if (ofJob.isEmpty()) {
+      zones.remove(task.job());
     }
-
-    /** How many tasks of a job are on machines in a zone. */
-    int onMachines(JobId job, String zone) {
-        return zones.getOrDefault(job, Map.of()).getOrDefault(zone, 0);
+  }
+
+  void on(TaskId task, Machine machine) {
+    starts++;
+    startsOf.merge(task.job(), 1, Integer::sum);
+    Job job = around.job(task.job());
+    TaskSet everOn = startedTasks.computeIfAbsent(task.job(), id -> new TaskSet());
+    everOn.add(task.index());
+    around.served().started(task.job(), everOn.size(), around.now());
+    Map<MachineId, Machine> places = on.computeIfAbsent(task, t -> new HashMap<>(2));
+    if (places.put(machine.id(), machine) == null) {
+      count(task, machine, 1);
     }
-
-    /** How many tasks are on a machine. */
-    int onMachine(MachineId machine) {
-        return (int) on.values().stream().filter(places -> places.containsKey(machine)).count();
+    if (places.size() > 1) {
+      breaks("ran_twice", task + " on " + places.keySet());
     }
-
-    /** Whether a task of one of these jobs is on a machine. */
-    boolean runsAny(MachineId machine, Set<JobId> jobs) {
-        return on.entrySet().stream().anyMatch(each -> jobs.contains(each.getKey().job()) && each.getValue().containsKey(machine));
+    if (!used(job.team()).fitsIn(around.site().teams().get(job.team()).limit())) {
+      breaks("quota", task + " brings " + job.team() + " to " + used(job.team()));
     }
-
-    boolean isOn(TaskId task) {
-        return on.containsKey(task);
+    Map<String, Integer> inZones = zones.get(job.id());
+    boolean misplaced =
+        !job.allows(machine.type(), machine.zone(), machine.spot())
+            || job.oneZone() && inZones.size() > 1
+            || job.spread() && inZones.get(machine.zone()) > job.mostInOneZone();
+    if (misplaced) {
+      breaks("wrong_place", task + " on " + machine);
     }
-
-    /** How many tasks are on machines. */
-    int onMachines() {
-        return on.size();
+    checkCancelled(job.id());
+    around.pipelineRules().starts(task);
+  }
+
+  void off(TaskId task, MachineId machine) {
+    Map<MachineId, Machine> places = on.get(task);
+    if (places != null) {
+      checkCancelled(task.job());
+      Machine left = places.remove(machine);
+      if (left != null) {
+        count(task, left, -1);
+      }
+      if (places.isEmpty()) {
+        on.remove(task);
+      }
     }
-
-    /** What the tasks of a team take that are on machines. */
-    Resources used(String team) {
-        return used.getOrDefault(team, Resources.NONE);
+  }
+
+  void completed(TaskId task) {
+    boolean isNew = done.computeIfAbsent(task.job(), job -> new HashSet<>()).add(task.index());
+    if (isComplete(task.job())) {
+      around.served().done(task.job(), around.now());
+      around.pipelines().completed(task.job());
+      if (isNew) {
+        around.users().happens(Users.Moment.LAST_TASK_ENDED, task.job());
+      }
     }
-
-    /** What services take that are on machines. */
-    Resources standing() {
-        return standing;
+  }
+
+  boolean isCompleted(TaskId task) {
+    return done.getOrDefault(task.job(), Set.of()).contains(task.index());
+  }
+
+  /** Whether all tasks of a job are done. */
+  boolean isComplete(JobId job) {
+    return around.job(job) != null && completedTasks(job) == around.job(job).tasks();
+  }
+
+  int completedTasks(JobId job) {
+    return done.getOrDefault(job, Set.of()).size();
+  }
+
+  /** When a job's user was told that it is cancelled, or null. */
+  Double cancelledAt(JobId job) {
+    return cancelled.get(job);
+  }
+
+  /** How many tasks of a job are on machines. */
+  int onMachines(JobId job) {
+    return zones.getOrDefault(job, Map.of()).values().stream().mapToInt(Integer::intValue).sum();
+  }
+
+  /** How many tasks of a job are on machines in a zone. */
+  int onMachines(JobId job, String zone) {
+    return zones.getOrDefault(job, Map.of()).getOrDefault(zone, 0);
+  }
+
+  /** How many tasks are on a machine. */
+  int onMachine(MachineId machine) {
+    return (int) on.values().stream().filter(places -> places.containsKey(machine)).count();
+  }
+
+  /** Whether a task of one of these jobs is on a machine. */
+  boolean runsAny(MachineId machine, Set<JobId> jobs) {
+    return on.entrySet().stream()
+        .anyMatch(
+            each -> jobs.contains(each.getKey().job()) && each.getValue().containsKey(machine));
+  }
+
+  boolean isOn(TaskId task) {
+    return on.containsKey(task);
+  }
+
+  /** How many tasks are on machines. */
+  int onMachines() {
+    return on.size();
+  }
+
+  /** What the tasks of a team take that are on machines. */
+  Resources used(String team) {
+    return used.getOrDefault(team, Resources.NONE);
+  }
+
+  /** What services take that are on machines. */
+  Resources standing() {
+    return standing;
+  }
+
+  /** To be called now and then. */
+  void check() {
+    cancelled.keySet().forEach(this::checkCancelled);
+    around.pipelineRules().check();
+  }
+
+  private void checkCancelled(JobId job) {
+    Double at = cancelled.get(job);
+    if (at != null
+        && !late.contains(job)
+        && zones.containsKey(job)
+        && around.clock().seconds() > at + around.site().workers().cancel().seconds()) {
+      late.add(job);
+      breaks("ran_cancelled", job + " in " + zones.get(job));
     }
-
-    /** To be called now and then. */
-    void check() {
-        cancelled.keySet().forEach(this::checkCancelled);
-        around.pipelineRules().check();
+  }
+
+  /** What users were told of a job last, or null. */
+  String lastTold(JobId id) {
+    return last.get(id);
+  }
+
+  /**
+   * A user was told of a job; {@code before}: what users had been told when the question was put.
+   */
+  void told(JobId id, String state, String before, boolean asked) {
+    last.put(id, state);
+    if (before != null
+        && (before.equals("done") || before.equals("cancelled"))
+        && !before.equals(state)) {
+      breaks("went_back", id + " from " + before + " to " + state);
     }
-
-    private void checkCancelled(JobId job) {
-        Double at = cancelled.get(job);
-        if (at != null && !late.contains(job) && zones.containsKey(job) && around.clock().seconds() > at + around.site().workers().cancel().seconds()) {
-            late.add(job);
-            breaks("ran_cancelled", job + " in " + zones.get(job));
-        }
+    String over =
+        state.equals("done") || state.equals("cancelled") ? ends.putIfAbsent(id, state) : null;
+    if (over != null && !over.equals(state)) {
+      breaks(
+          "told_two_ends",
+          id + " is " + over + " and " + state); // whenever it was asked: neither ever changes
     }
-
-    /** What users were told of a job last, or null. */
-    String lastTold(JobId id) {
-        return last.get(id);
+    if (state.equals("cancelled")) {
+      cancelled.putIfAbsent(id, around.clock().seconds());
+      if (!asked && !around.pipelineRules().isCancelledBefore(id)) {
+        breaks("went_back", id + " was not cancelled by its user");
+      }
     }
-
-    /** A user was told of a job; {@code before}: what users had been told when the question was put. */
-    void told(JobId id, String state, String before, boolean asked) {
-        last.put(id, state);
-        if (before != null && (before.equals("done") || before.equals("cancelled")) && !before.equals(state)) {
-            breaks("went_back", id + " from " + before + " to " + state);
-        }
-        String over = state.equals("done") || state.equals("cancelled") ? ends.putIfAbsent(id, state) : null;
-        if (over != null && !over.equals(state)) {
-            breaks("told_two_ends", id + " is " + over + " and " + state); // whenever it was asked: neither ever changes
-        }
-        if (state.equals("cancelled")) {
-            cancelled.putIfAbsent(id, around.clock().seconds());
-            if (!asked && !around.pipelineRules().isCancelledBefore(id)) {
-                breaks("went_back", id + " was not cancelled by its user");
-            }
-        }
-        if (state.equals("done") && done.getOrDefault(id, Set.of()).size() < around.job(id).tasks()) {
-            breaks("not_done", id);
-        }
+    if (state.equals("done") && done.getOrDefault(id, Set.of()).size() < around.job(id).tasks()) {
+      breaks("not_done", id);
     }
-
-    /** An answer that does not tell a job's state; {@code before}: what users had been told when the question was put. */
-    void refused(JobId id, int status, String before) {
-        if (before != null && (status == 400 || status == 404 || status == 422)) {
-            breaks("went_back", id + " from " + before + " to " + status);
-        }
+  }
+
+  /**
+   * An answer that does not tell a job's state; {@code before}: what users had been told when the
+   * question was put.
+   */
+  void refused(JobId id, int status, String before) {
+    if (before != null && (status == 400 || status == 404 || status == 422)) {
+      breaks("went_back", id + " from " + before + " to " + status);
     }
+  }
 
-    /** A job was left waiting while there was room for it. */
-    void leftWaiting(JobId id, double seconds) {
-        breaks("idle_room", around.job(id) + " for " + seconds + " s");
-    }
+  /** A job was left waiting while there was room for it. */
+  void leftWaiting(JobId id, double seconds) {
+    breaks("idle_room", around.job(id) + " for " + seconds + " s");
+  }
 
-    boolean hasCancelled() {
-        return !cancelled.isEmpty();
-    }
+  boolean hasCancelled() {
+    return !cancelled.isEmpty();
+  }
 
-    /** A start leaves a controller: none may of a job that is confirmed as cancelled. */
-    void startSent(JobId id) {
-        if (cancelled.containsKey(id)) {
-            breaks("started_cancelled", id + ", confirmed as cancelled at " + cancelled.get(id));
-        }
+  /** A start leaves a controller: none may of a job that is confirmed as cancelled. */
+  void startSent(JobId id) {
+    if (cancelled.containsKey(id)) {
+      breaks("started_cancelled", id + ", confirmed as cancelled at " + cancelled.get(id));
     }
+  }
 
-    /** An answer other than the protocol has it, to a request about no accepted job. */
-    void wronglyAnswered(String what, int status) {
-        breaks(status == 200 || status == 201 ? "accepted_bad" : "wrong_answer", what + " got " + status);
-    }
+  /** An answer other than the protocol has it, to a request about no accepted job. */
+  void wronglyAnswered(String what, int status) {
+    breaks(
+        status == 200 || status == 201 ? "accepted_bad" : "wrong_answer", what + " got " + status);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/Site.java
+++ b/src/main/java/org/quincecross/emulator/Site.java
@@ -22,192 +22,466 @@
  * @param restart after which a crashed controller is started again
  * @param odd whether some rented machines are slow, sick, late or never up
  */
-record Site(List<String> nodeZones, List<String> zones, List<MachineType> types, List<Pool> pools, int mostMachines,
-        Map<String, Team> teams, Settings.Workers workers, Settings.StateLimits stateLimits, Settings.CloudLimits cloudLimits,
-        Settings.Quota quota, List<Settings.Objective> objectives, Span restart, boolean odd, List<JobClass> classes) {
+record Site(
+    List<String> nodeZones,
+    List<String> zones,
+    List<MachineType> types,
+    List<Pool> pools,
+    int mostMachines,
+    Map<String, Team> teams,
+    Settings.Workers workers,
+    Settings.StateLimits stateLimits,
+    Settings.CloudLimits cloudLimits,
+    Settings.Quota quota,
+    List<Settings.Objective> objectives,
+    Span restart,
+    boolean odd,
+    List<JobClass> classes) {
 
-    /** Machines of one type, zone and kind: so many are up at the start, and so many the cloud has. */
-    record Pool(String type, String zone, boolean spot, int initial, int most) {
-    }
+  /**
+   * Machines of one type, zone and kind: so many are up at the start, and so many the cloud has.
+   */
+  record Pool(String type, String zone, boolean spot, int initial, int most) {}
 
-    /**
-     * Jobs of one kind.
-     *
-     * @param initial submitted at once when the day begins
-     * @param perMinute submitted in each minute after that
-     * @param meanTasks of a job; sizes are spread around it
-     */
-    record JobClass(String name, Shape shape, Rank rank, int initial, double perMinute, int meanTasks, Resources each,
-            double runS, double imageGb, int images, boolean spread, boolean spot, double saveEveryS, double dueS) {
-    }
+  /**
+   * Jobs of one kind.
+   *
+   * @param initial submitted at once when the day begins
+   * @param perMinute submitted in each minute after that
+   * @param meanTasks of a job; sizes are spread around it
+   */
+  record JobClass(
+      String name,
+      Shape shape,
+      Rank rank,
+      int initial,
+      double perMinute,
+      int meanTasks,
+      Resources each,
+      double runS,
+      double imageGb,
+      int images,
+      boolean spread,
+      boolean spot,
+      double saveEveryS,
+      double dueS) {}
 
-    private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
+  private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
 
-    int nodes() {
-        return nodeZones.size();
-    }
+  int nodes() {
+    return nodeZones.size();
+  }
 
-    static String nodeName(int node) {
-        return "n" + node;
-    }
+  static String nodeName(int node) {
+    return "n" + node;
+  }
 
-    MachineType type(String name) {
-        for (MachineType type : types) {
-            if (type.name().equals(name)) {
-                return type;
-            }
-        }
-        throw new IllegalArgumentException(name);
+  MachineType type(String name) {
+    for (MachineType type : types) {
+      if (type.name().equals(name)) {
+        return type;
+      }
     }
+    throw new IllegalArgumentException(name);
+  }
 
-    private static Team team(String name, double cpus, double most) {
-        return new Team(name, new Resources(cpus, 0, 1e9), new Resources(most, NO_LIMIT, 1e9));
-    }
+  private static Team team(String name, double cpus, double most) {
+    return new Team(name, new Resources(cpus, 0, 1e9), new Resources(most, NO_LIMIT, 1e9));
+  }
 
-    private static Map<String, Team> teams(Team... teams) {
-        Map<String, Team> named = new LinkedHashMap<>();
-        for (Team team : teams) {
-            named.put(team.name(), team);
-        }
-        return named;
+  private static Map<String, Team> teams(Team... teams) {
+    Map<String, Team> named = new LinkedHashMap<>();
+    for (Team team : teams) {
+      named.put(team.name(), team);
     }
+    return named;
+  }
 
-    private static Settings.Workers workers(double report, double lease, double gangWait, double gangPeer, double cancel) {
-        return new Settings.Workers(Span.ofSeconds(report), Span.ofSeconds(lease), Span.ofSeconds(gangWait),
-                Span.ofSeconds(gangPeer), Span.ofSeconds(cancel));
-    }
+  private static Settings.Workers workers(
+      double report, double lease, double gangWait, double gangPeer, double cancel) {
+    return new Settings.Workers(
+        Span.ofSeconds(report),
+        Span.ofSeconds(lease),
+        Span.ofSeconds(gangWait),
+        Span.ofSeconds(gangPeer),
+        Span.ofSeconds(cancel));
+  }
 
-    /** Three controllers, two zones, one small type of machine: for days with many troubles. */
-    static Site small() {
-        MachineType type = new MachineType("m8", new Resources(8, 0, 32), 50, 1.25, 1, 0.4, Span.ofSeconds(5), List.of("a", "b"));
-        List<Pool> pools = new ArrayList<>();
-        for (String zone : type.zones()) {
-            pools.add(new Pool("m8", zone, false, 4, 14));
-            pools.add(new Pool("m8", zone, true, 0, 14));
-        }
-        return new Site(List.of("a", "b", "a"), type.zones(), List.of(type), pools, 14,
-                teams(team("red", 16, 40), team("blue", 8, 24)), workers(0.8, 11, 35, 8, 36),
-                new Settings.StateLimits(200, 40, 4096, 8), new Settings.CloudLimits(4, Span.ofSeconds(2)),
-                new Settings.Quota(0.5, 200, 1000), List.of(), Span.ofSeconds(4), true, List.of());
+  /** Three controllers, two zones, one small type of machine: for days with many troubles. */
+  static Site small() {
+    MachineType type =
+        new MachineType(
+            "m8", new Resources(8, 0, 32), 50, 1.25, 1, 0.4, Span.ofSeconds(5), List.of("a", "b"));
+    List<Pool> pools = new ArrayList<>();
+    for (String zone : type.zones()) {
+      pools.add(new Pool("m8", zone, false, 4, 14));
+      pools.add(new Pool("m8", zone, true, 0, 14));
     }
+    return new Site(
+        List.of("a", "b", "a"),
+        type.zones(),
+        List.of(type),
+        pools,
+        14,
+        teams(team("red", 16, 40), team("blue", 8, 24)),
+        workers(0.8, 11, 35, 8, 36),
+        new Settings.StateLimits(200, 40, 4096, 8),
+        new Settings.CloudLimits(4, Span.ofSeconds(2)),
+        new Settings.Quota(0.5, 200, 1000),
+        List.of(),
+        Span.ofSeconds(4),
+        true,
+        List.of());
+  }
 
-    /**
-     * A fleet of one type in three zones: long-running replicas, arrays and sweeps, so many that the machines are mostly
-     * used. Work and limits grow with the machines, but for what the state service allows.
-     *
-     * @param machines that the cloud has; a quarter of them are up at the start
-     */
-    static Site fleet(int machines) {
-        MachineType type = new MachineType("rack-16", new Resources(16, 0, 128), 60, 0.5, 0.7, 0.2, Span.ofSeconds(30),
-                List.of("east", "north", "west"));
-        List<Pool> pools = new ArrayList<>();
-        for (String zone : type.zones()) {
-            pools.add(new Pool("rack-16", zone, false, machines / 8, machines / 5));
-            pools.add(new Pool("rack-16", zone, true, 0, machines / 6));
-        }
-        double of = machines / 1000.0;
-        double cpus = 16.0 * machines;
-        List<JobClass> classes = List.of(
-                new JobClass("front", Shape.SERVICE, Rank.PRODUCTION, (int) (200 * of), 24 * of, 4, new Resources(4, 0, 28), 600,
-                        1.5, 10, true, false, 0, 0),
-                new JobClass("rebuild", Shape.ARRAY, Rank.NORMAL, (int) (40 * of), 36 * of, 50, new Resources(2, 0, 13), 40,
-                        1.2, 16, false, true, 0, 240),
-                new JobClass("sweep", Shape.ARRAY, Rank.LOW, (int) (60 * of), 32 * of, 45, new Resources(2, 0, 9), 50,
-                        2, 16, false, true, 15, 0));
-        return new Site(type.zones(), type.zones(), List.of(type), pools, machines,
-                teams(team("front", 0.25 * cpus, 0.6 * cpus), team("rebuild", 0.3 * cpus, cpus), team("sweep", 0.3 * cpus, cpus)),
-                workers(5, 24, 35, 4, 54), new Settings.StateLimits(250, 90, 8192, 24), new Settings.CloudLimits(5, Span.ofSeconds(8)),
-                new Settings.Quota(0.25, 360, 3000),
-                List.of(new Settings.Objective("wait", "front", Span.ofSeconds(5), 1, 0.85),
-                        new Settings.Objective("finished", "sweep", Span.ofSeconds(180), 1, 0.93)),
-                Span.ofSeconds(8), false, classes);
+  /**
+   * A fleet of one type in three zones: long-running replicas, arrays and sweeps, so many that the
+   * machines are mostly used. Work and limits grow with the machines, but for what the state
+   * service allows.
+   *
+   * @param machines that the cloud has; a quarter of them are up at the start
+   */
+  static Site fleet(int machines) {
+    MachineType type =
+        new MachineType(
+            "rack-16",
+            new Resources(16, 0, 128),
+            60,
+            0.5,
+            0.7,
+            0.2,
+            Span.ofSeconds(30),
+            List.of("east", "north", "west"));
+    List<Pool> pools = new ArrayList<>();
+    for (String zone : type.zones()) {
+      pools.add(new Pool("rack-16", zone, false, machines / 8, machines / 5));
+      pools.add(new Pool("rack-16", zone, true, 0, machines / 6));
     }
+    double of = machines / 1000.0;
+    double cpus = 16.0 * machines;
+    List<JobClass> classes =
+        List.of(
+            new JobClass(
+                "front",
+                Shape.SERVICE,
+                Rank.PRODUCTION,
+                (int) (200 * of),
+                24 * of,
+                4,
+                new Resources(4, 0, 28),
+                600,
+                1.5,
+                10,
+                true,
+                false,
+                0,
+                0),
+            new JobClass(
+                "rebuild",
+                Shape.ARRAY,
+                Rank.NORMAL,
+                (int) (40 * of),
+                36 * of,
+                50,
+                new Resources(2, 0, 13),
+                40,
+                1.2,
+                16,
+                false,
+                true,
+                0,
+                240),
+            new JobClass(
+                "sweep",
+                Shape.ARRAY,
+                Rank.LOW,
+                (int) (60 * of),
+                32 * of,
+                45,
+                new Resources(2, 0, 9),
+                50,
+                2,
+                16,
+                false,
+                true,
+                15,
+                0));
+    return new Site(
+        type.zones(),
+        type.zones(),
+        List.of(type),
+        pools,
+        machines,
+        teams(
+            team("front", 0.25 * cpus, 0.6 * cpus),
+            team("rebuild", 0.3 * cpus, cpus),
+            team("sweep", 0.3 * cpus, cpus)),
+        workers(5, 24, 35, 4, 54),
+        new Settings.StateLimits(250, 90, 8192, 24),
+        new Settings.CloudLimits(5, Span.ofSeconds(8)),
+        new Settings.Quota(0.25, 360, 3000),
+        List.of(
+            new Settings.Objective("wait", "front", Span.ofSeconds(5), 1, 0.85),
+            new Settings.Objective("finished", "sweep", Span.ofSeconds(180), 1, 0.93)),
+        Span.ofSeconds(8),
+        false,
+        classes);
+  }
 
-    /**
-     * A fleet of three types in two zones, with gangs that take whole machines, and few changes a second.
-     *
-     * @param machines that the cloud has; half of them are up at the start
-     */
-    static Site mixed(int machines) {
-        MachineType small = new MachineType("box-8", new Resources(8, 0, 32), 50, 0.5, 0.5, 0.2, Span.ofSeconds(15), List.of("left", "right"));
-        MachineType wide = new MachineType("wide-64", new Resources(64, 0, 128), 40, 0.4, 4, 1.4, Span.ofSeconds(30), List.of("left"));
-        MachineType cards = new MachineType("card-96", new Resources(96, 8, 384), 150, 0.3, 24, 9, Span.ofSeconds(50), List.of("left", "right"));
-        List<Pool> pools = List.of(
-                new Pool("box-8", "left", false, machines * 21 / 100, machines / 4), new Pool("box-8", "left", true, 0, machines * 23 / 100),
-                new Pool("box-8", "right", false, machines * 12 / 100, machines * 15 / 100), new Pool("box-8", "right", true, 0, machines / 8),
-                new Pool("wide-64", "left", false, machines * 3 / 100, machines * 4 / 100), new Pool("wide-64", "left", true, 0, machines / 100),
-                new Pool("card-96", "left", false, machines * 6 / 100, machines * 8 / 100), new Pool("card-96", "left", true, 0, machines * 3 / 100),
-                new Pool("card-96", "right", false, machines * 4 / 100, machines * 5 / 100), new Pool("card-96", "right", true, 0, machines * 2 / 100));
-        double of = machines / 690.0;
-        Team[] teams = new Team[6];
-        for (int i = 0; i < teams.length; i++) {
-            teams[i] = team("crew-" + i, 1500 * of, 3500 * of);
-        }
-        List<JobClass> classes = List.of(
-                new JobClass("intake", Shape.SERVICE, Rank.PRODUCTION, (int) (442 * of), 32 * of, 6, new Resources(2, 0, 2.1), 800,
-                        2, 12, true, false, 0, 0),
-                new JobClass("sync", Shape.ARRAY, Rank.NORMAL, (int) (44 * of), 41 * of, 100, new Resources(2, 0, 2.8), 40,
-                        2, 18, false, true, 0, 115),
-                new JobClass("train", Shape.GANG, Rank.NORMAL, (int) (17 * of), 7.7 * of, 1, new Resources(86, 8, 310), 80,
-                        8, 4, false, false, 15, 0));
-        return new Site(List.of("left", "right", "left"), List.of("left", "right"), List.of(small, wide, cards), pools, machines,
-                teams(teams), workers(3, 17.5, 35, 8, 42.5), new Settings.StateLimits(700, 60, 4096, 8),
-                new Settings.CloudLimits(4, Span.ofSeconds(8)), new Settings.Quota(1.1, 414, 2700),
-                List.of(new Settings.Objective("wait", "intake", Span.ofSeconds(1), 1, 0.94),
-                        new Settings.Objective("wait", "train", Span.ofSeconds(150), 1, 0.96)),
-                Span.ofSeconds(4), false, classes);
+  /**
+   * A fleet of three types in two zones, with gangs that take whole machines, and few changes a
+   * second.
+   *
+   * @param machines that the cloud has; half of them are up at the start
+   */
+  static Site mixed(int machines) {
+    MachineType small =
+        new MachineType(
+            "box-8",
+            new Resources(8, 0, 32),
+            50,
+            0.5,
+            0.5,
+            0.2,
+            Span.ofSeconds(15),
+            List.of("left", "right"));
+    MachineType wide =
+        new MachineType(
+            "wide-64",
+            new Resources(64, 0, 128),
+            40,
+            0.4,
+            4,
+            1.4,
+            Span.ofSeconds(30),
+            List.of("left"));
+    MachineType cards =
+        new MachineType(
+            "card-96",
+            new Resources(96, 8, 384),
+            150,
+            0.3,
+            24,
+            9,
+            Span.ofSeconds(50),
+            List.of("left", "right"));
+    List<Pool> pools =
+        List.of(
+            new Pool("box-8", "left", false, machines * 21 / 100, machines / 4),
+                new Pool("box-8", "left", true, 0, machines * 23 / 100),
+            new Pool("box-8", "right", false, machines * 12 / 100, machines * 15 / 100),
+                new Pool("box-8", "right", true, 0, machines / 8),
+            new Pool("wide-64", "left", false, machines * 3 / 100, machines * 4 / 100),
+                new Pool("wide-64", "left", true, 0, machines / 100),
+            new Pool("card-96", "left", false, machines * 6 / 100, machines * 8 / 100),
+                new Pool("card-96", "left", true, 0, machines * 3 / 100),
+            new Pool("card-96", "right", false, machines * 4 / 100, machines * 5 / 100),
+                new Pool("card-96", "right", true, 0, machines * 2 / 100));
+    double of = machines / 690.0;
+    Team[] teams = new Team[6];
+    for (int i = 0; i < teams.length; i++) {
+      teams[i] = team("crew-" + i, 1500 * of, 3500 * of);
     }
+    List<JobClass> classes =
+        List.of(
+            new JobClass(
+                "intake",
+                Shape.SERVICE,
+                Rank.PRODUCTION,
+                (int) (442 * of),
+                32 * of,
+                6,
+                new Resources(2, 0, 2.1),
+                800,
+                2,
+                12,
+                true,
+                false,
+                0,
+                0),
+            new JobClass(
+                "sync",
+                Shape.ARRAY,
+                Rank.NORMAL,
+                (int) (44 * of),
+                41 * of,
+                100,
+                new Resources(2, 0, 2.8),
+                40,
+                2,
+                18,
+                false,
+                true,
+                0,
+                115),
+            new JobClass(
+                "train",
+                Shape.GANG,
+                Rank.NORMAL,
+                (int) (17 * of),
+                7.7 * of,
+                1,
+                new Resources(86, 8, 310),
+                80,
+                8,
+                4,
+                false,
+                false,
+                15,
+                0));
+    return new Site(
+        List.of("left", "right", "left"),
+        List.of("left", "right"),
+        List.of(small, wide, cards),
+        pools,
+        machines,
+        teams(teams),
+        workers(3, 17.5, 35, 8, 42.5),
+        new Settings.StateLimits(700, 60, 4096, 8),
+        new Settings.CloudLimits(4, Span.ofSeconds(8)),
+        new Settings.Quota(1.1, 414, 2700),
+        List.of(
+            new Settings.Objective("wait", "intake", Span.ofSeconds(1), 1, 0.94),
+            new Settings.Objective("wait", "train", Span.ofSeconds(150), 1, 0.96)),
+        Span.ofSeconds(4),
+        false,
+        classes);
+  }
 
-    /** What the state service of a site that is tried allows once it has lowered its limits. */
-    static final Settings.StateLimits TRY_OUT_NEXT = new Settings.StateLimits(400, 80, 2048, 8);
-
-    /**
-     * A site to be tried on one machine in real time: small leases, quick boots.
-     *
-     * @param machines that the cloud has
-     * @param allUp whether all of them are up at the start, rather than a third
-     */
-    static Site tryOut(int machines, boolean allUp) {
-        MachineType type = new MachineType("box-8", new Resources(8, 0, 32), 20, 1, 0.5, 0.2, Span.ofSeconds(3), List.of("east", "north", "west"));
-        List<Pool> pools = new ArrayList<>();
-        for (int i = 0; i < type.zones().size(); i++) {
-            int ordinary = machines * 2 / 3 / 3 + (i < machines * 2 / 3 % 3 ? 1 : 0);
-            int spot = machines / 3 / 3 + 1;
-            pools.add(new Pool("box-8", type.zones().get(i), false, allUp ? ordinary : Math.max(1, machines / 9), ordinary));
-            pools.add(new Pool("box-8", type.zones().get(i), true, allUp ? spot : 0, spot));
-        }
-        double cpus = 8.0 * machines;
-        return new Site(type.zones(), type.zones(), List.of(type), pools, machines,
-                teams(team("web", 0.4 * cpus, 0.8 * cpus), team("batch", 0.4 * cpus, cpus)), workers(2, 12, 20, 4, 36),
-                new Settings.StateLimits(400, 120, 8192, 24), new Settings.CloudLimits(5, Span.ofSeconds(2)),
-                new Settings.Quota(1, 360, 3000), List.of(new Settings.Objective("wait", "front", Span.ofSeconds(5), 1, 0.9)),
-                Span.ofSeconds(0), false, List.of());
-    }
+  /** What the state service of a site that is tried allows once it has lowered its limits. */
+  static final Settings.StateLimits TRY_OUT_NEXT = new Settings.StateLimits(400, 80, 2048, 8);
 
-    /** The same with other teams. */
-    Site with(Map<String, Team> other) {
-        return new Site(nodeZones, zones, types, pools, mostMachines, other, workers, stateLimits, cloudLimits, quota, objectives, restart, odd, classes);
+  /**
+   * A site to be tried on one machine in real time: small leases, quick boots.
+   *
+   * @param machines that the cloud has
+   * @param allUp whether all of them are up at the start, rather than a third
+   */
+  static Site tryOut(int machines, boolean allUp) {
+    MachineType type =
+        new MachineType(
+            "box-8",
+            new Resources(8, 0, 32),
+            20,
+            1,
+            0.5,
+            0.2,
+            Span.ofSeconds(3),
+            List.of("east", "north", "west"));
+    List<Pool> pools = new ArrayList<>();
+    for (int i = 0; i < type.zones().size(); i++) {
+      int ordinary = machines * 2 / 3 / 3 + (i < machines * 2 / 3 % 3 ? 1 : 0);
+      int spot = machines / 3 / 3 + 1;
+      pools.add(
+          new Pool(
+              "box-8",
+              type.zones().get(i),
+              false,
+              allUp ? ordinary : Math.max(1, machines / 9),
+              ordinary));
+      pools.add(new Pool("box-8", type.zones().get(i), true, allUp ? spot : 0, spot));
     }
+    double cpus = 8.0 * machines;
+    return new Site(
+        type.zones(),
+        type.zones(),
+        List.of(type),
+        pools,
+        machines,
+        teams(team("web", 0.4 * cpus, 0.8 * cpus), team("batch", 0.4 * cpus, cpus)),
+        workers(2, 12, 20, 4, 36),
+        new Settings.StateLimits(400, 120, 8192, 24),
+        new Settings.CloudLimits(5, Span.ofSeconds(2)),
+        new Settings.Quota(1, 360, 3000),
+        List.of(new Settings.Objective("wait", "front", Span.ofSeconds(5), 1, 0.9)),
+        Span.ofSeconds(0),
+        false,
+        List.of());
+  }
 
-    /** The same with machines that report, and whose leases end, at other times. */
-    Site with(Settings.Workers other) {
-        return new Site(nodeZones, zones, types, pools, mostMachines, teams, other, stateLimits, cloudLimits, quota, objectives, restart, odd, classes);
-    }
+  /** The same with other teams. */
+  Site with(Map<String, Team> other) {
+    return new Site(
+        nodeZones,
+        zones,
+        types,
+        pools,
+        mostMachines,
+        other,
+        workers,
+        stateLimits,
+        cloudLimits,
+        quota,
+        objectives,
+        restart,
+        odd,
+        classes);
+  }
 
-    /** The same with a state service of other limits. */
-    Site with(Settings.StateLimits other) {
-        return new Site(nodeZones, zones, types, pools, mostMachines, teams, workers, other, cloudLimits, quota, objectives, restart, odd, classes);
-    }
+  /** The same with machines that report, and whose leases end, at other times. */
+  Site with(Settings.Workers other) {
+    return new Site(
+        nodeZones,
+        zones,
+        types,
+        pools,
+        mostMachines,
+        teams,
+        other,
+        stateLimits,
+        cloudLimits,
+        quota,
+        objectives,
+        restart,
+        odd,
+        classes);
+  }
+
+  /** The same with a state service of other limits. */
+  Site with(Settings.StateLimits other) {
+    return new Site(
+        nodeZones,
+        zones,
+        types,
+        pools,
+        mostMachines,
+        teams,
+        workers,
+        other,
+        cloudLimits,
+        quota,
+        objectives,
+        restart,
+        odd,
+        classes);
+  }
 
-    /** What controller {@code node} is told; {@code state} is where it reaches the state service. */
-    Settings settings(int node, List<Endpoint> listen, List<Endpoint> peers, Endpoint cloud, Endpoint state) {
-        List<Settings.Sibling> siblings = new ArrayList<>();
-        for (int other = 0; other < nodes(); other++) {
-            if (other != node) {
-                siblings.add(new Settings.Sibling(new MemberId(nodeName(other)), nodeZones.get(other), peers.get(other)));
-            }
-        }
-        return new Settings(new MemberId(nodeName(node)), nodeZones.get(node), listen.get(node), peers.get(node), siblings, cloud, state,
-                zones, teams, objectives, workers, stateLimits, cloudLimits, Span.ofSeconds(1), quota);
+  /** What controller {@code node} is told; {@code state} is where it reaches the state service. */
+  Settings settings(
+      int node, List<Endpoint> listen, List<Endpoint> peers, Endpoint cloud, Endpoint state) {
+    List<Settings.Sibling> siblings = new ArrayList<>();
+    for (int other = 0; other < nodes(); other++) {
+      if (other != node) {
+        siblings.add(
+            new Settings.Sibling(
+                new MemberId(nodeName(other)), nodeZones.get(other), peers.get(other)));
+      }
     }
+    return new Settings(
+        new MemberId(nodeName(node)),
+        nodeZones.get(node),
+        listen.get(node),
+        peers.get(node),
+        siblings,
+        cloud,
+        state,
+        zones,
+        teams,
+        objectives,
+        workers,
+        stateLimits,
+        cloudLimits,
+        Span.ofSeconds(1),
+        quota);
+  }
 }
--- a/src/main/java/org/quincecross/emulator/SmallJobs.java
+++ b/src/main/java/org/quincecross/emulator/SmallJobs.java
@@ -8,30 +8,60 @@
 import org.quincecross.model.Shape;
 import org.quincecross.model.Span;
 
-/** A swarm of jobs of one class, each of one short task; some are called off, at any time of their lives. */
+/**
+ * A swarm of jobs of one class, each of one short task; some are called off, at any time of their
+ * lives.
+ */
 final class SmallJobs {
-    private static final int FIRST_NUMBER = 700_000;
-    private static final double LONGEST_S = 16;
+  private static final int FIRST_NUMBER = 700_000;
+  private static final double LONGEST_S = 16;
 
-    private SmallJobs() {
-    }
+  private SmallJobs() {}
 
-    /**
-     * Has them come one after the other.
-     *
-     * @param aSecond how many
-     * @param cancelShare of them that is called off within some seconds, 0 to 1
-     */
-    static void begin(World world, double aSecond, double cancelShare, double fromS, double seconds, Random random) {
-        String team = world.site().teams().keySet().stream().sorted().findFirst().orElseThrow();
-        for (int i = 0; i < aSecond * seconds; i++) {
-            Job job = new Job(new JobId("job-" + (FIRST_NUMBER + i)), "small", team, Shape.ARRAY, Rank.NORMAL, 1, new Resources(1, 0, 1), null, null,
-                    false, false, true, "img-" + random.nextInt(3), 0.5, Span.ofSeconds(1 + random.nextDouble() * LONGEST_S / 2), Span.ZERO, Span.ZERO, null);
-            double at = fromS + (i + random.nextDouble()) / aSecond;
-            world.time().at(at, () -> world.users().submit(job));
-            if (random.nextDouble() < cancelShare) {
-                world.time().at(at + LONGEST_S * random.nextDouble() * random.nextDouble(), () -> world.users().cancel(job.id()));
-            }
-        }
+  /**
+   * Has them come one after the other.
+   *
+   * @param aSecond how many
+   * @param cancelShare of them that is called off within some seconds, 0 to 1
+   */
+  static void begin(
+      World world,
+      double aSecond,
+      double cancelShare,
+      double fromS,
+      double seconds,
+      Random random) {
+    String team = world.site().teams().keySet().stream().sorted().findFirst().orElseThrow();
+    for (int i = 0; i < aSecond * seconds; i++) {
+      Job job =
+          new Job(
+              new JobId("job-" + (FIRST_NUMBER + i)),
+              "small",
+              team,
+              Shape.ARRAY,
+              Rank.NORMAL,
+              1,
+              new Resources(1, 0, 1),
+              null,
+              null,
+              false,
+              false,
+              true,
+              "img-" + random.nextInt(3),
+              0.5,
+              Span.ofSeconds(1 + random.nextDouble() * LONGEST_S / 2),
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      double at = fromS + (i + random.nextDouble()) / aSecond;
+      world.time().at(at, () -> world.users().submit(job));
+      if (random.nextDouble() < cancelShare) {
+        world
+            .time()
+            .at(
+                at + LONGEST_S * random.nextDouble() * random.nextDouble(),
+                () -> world.users().cancel(job.id()));
+      }
     }
+  }
 }
--- a/src/main/java/org/quincecross/emulator/Tasks.java
+++ b/src/main/java/org/quincecross/emulator/Tasks.java
@@ -7,89 +7,97 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.TaskId;
 
-/** What tasks do, wherever they are: how far they are, and how the tasks of a gang find one another. */
+/**
+ * What tasks do, wherever they are: how far they are, and how the tasks of a gang find one another.
+ */
 final class Tasks {
-    private record Start(TaskId task, long attempt) {
-    }
+  private record Start(TaskId task, long attempt) {}
 
-    private final Users users;
-    private final Rules rules;
-    private final Map<TaskId, Double> saved = new HashMap<>();
-    private final Map<TaskId, Double> more = new HashMap<>();
-    private final Map<Start, Worker> gangs = new HashMap<>();
+  private final Users users;
+  private final Rules rules;
+  private final Map<TaskId, Double> saved = new HashMap<>();
+  private final Map<TaskId, Double> more = new HashMap<>();
+  private final Map<Start, Worker> gangs = new HashMap<>();
 
-    Tasks(Users users, Rules rules) {
-        this.users = users;
-        this.rules = rules;
-    }
+  Tasks(Users users, Rules rules) {
+    this.users = users;
+    this.rules = rules;
+  }
 
-    /** Seconds of work, at nominal speed, that a task still has to do. */
-    double secondsLeft(TaskId task) {
-        if (rules.isCompleted(task)) {
-            return 0; // its result is kept
-        }
-        Job job = users.job(task.job());
-        return Math.max(0, secondsOf(job) + more.getOrDefault(task, 0.0) - saved.getOrDefault(task, 0.0));
+  /** Seconds of work, at nominal speed, that a task still has to do. */
+  double secondsLeft(TaskId task) {
+    if (rules.isCompleted(task)) {
+      return 0; // its result is kept
     }
+    Job job = users.job(task.job());
+    return Math.max(
+        0, secondsOf(job) + more.getOrDefault(task, 0.0) - saved.getOrDefault(task, 0.0));
+  }
 
-    /** Seconds of work, at nominal speed, of each task of a job: half of its estimate to one and a half times. */
-    double secondsOf(Job job) {
-        return job.estimate().seconds() * (0.5 + Math.floorMod(job.id().hashCode(), 100) / 100.0);
-    }
+  /**
+   * Seconds of work, at nominal speed, of each task of a job: half of its estimate to one and a
+   * half times.
+   */
+  double secondsOf(Job job) {
+    return job.estimate().seconds() * (0.5 + Math.floorMod(job.id().hashCode(), 100) / 100.0);
+  }
 
-    /** A task has so many seconds of work more than its job's others; less where negative. */
-    void runsLonger(TaskId task, double seconds) {
-        more.put(task, seconds);
-    }
+  /** A task has so many seconds of work more than its job's others; less where negative. */
+  void runsLonger(TaskId task, double seconds) {
+    more.put(task, seconds);
+  }
 
-    /** A task has saved so many seconds more than it had when it started. */
-    void save(TaskId task, double seconds) {
-        saved.merge(task, seconds, Double::sum);
-    }
+  /** A task has saved so many seconds more than it had when it started. */
+  void save(TaskId task, double seconds) {
+    saved.merge(task, seconds, Double::sum);
+  }
 
-    void gangTaskGone(TaskId task, long attempt) {
-        gangs.remove(new Start(task, attempt));
-    }
+  void gangTaskGone(TaskId task, long attempt) {
+    gangs.remove(new Start(task, attempt));
+  }
 
-    /** A task of a gang waits for the others: if all do, they start together, at the pace of the slowest machine. */
-    void gangGathers(Job job, TaskId task, long attempt, Worker place) {
-        gangs.put(new Start(task, attempt), place);
-        List<Worker> places = new ArrayList<>();
-        double seconds = 0;
-        double speed = Double.MAX_VALUE;
-        for (int i = 0; i < job.tasks(); i++) {
-            TaskId each = job.id().task(i);
-            Worker worker = gangs.get(new Start(each, attempt));
-            if (worker == null || !worker.gathers(each, attempt)) {
-                return;
-            }
-            places.add(worker);
-            seconds = Math.max(seconds, secondsLeft(each));
-            speed = Math.min(speed, worker.speed());
-        }
-        for (int i = 0; i < job.tasks(); i++) {
-            places.get(i).gangStarts(job, job.id().task(i), attempt, seconds / speed);
-        }
+  /**
+   * A task of a gang waits for the others: if all do, they start together, at the pace of the
+   * slowest machine.
+   */
+  void gangGathers(Job job, TaskId task, long attempt, Worker place) {
+    gangs.put(new Start(task, attempt), place);
+    List<Worker> places = new ArrayList<>();
+    double seconds = 0;
+    double speed = Double.MAX_VALUE;
+    for (int i = 0; i < job.tasks(); i++) {
+      TaskId each = job.id().task(i);
+      Worker worker = gangs.get(new Start(each, attempt));
+      if (worker == null || !worker.gathers(each, attempt)) {
+        return;
+      }
+      places.add(worker);
+      seconds = Math.max(seconds, secondsLeft(each));
+      speed = Math.min(speed, worker.speed());
+    }
+    for (int i = 0; i < job.tasks(); i++) {
+      places.get(i).gangStarts(job, job.id().task(i), attempt, seconds / speed);
     }
+  }
 
-    /** A gang completes together: if one task is done, every one is. */
-    void completeGang(Job job, long attempt) {
-        for (int i = 0; i < job.tasks(); i++) {
-            TaskId task = job.id().task(i);
-            rules.completed(task);
-            Worker worker = gangs.get(new Start(task, attempt));
-            if (worker != null) {
-                worker.complete(task, attempt);
-            }
-        }
+  /** A gang completes together: if one task is done, every one is. */
+  void completeGang(Job job, long attempt) {
+    for (int i = 0; i < job.tasks(); i++) {
+      TaskId task = job.id().task(i);
+      rules.completed(task);
+      Worker worker = gangs.get(new Start(task, attempt));
+      if (worker != null) {
+        worker.complete(task, attempt);
+      }
     }
+  }
 
-    void gangLost(Job job, long attempt) {
-        for (int i = 0; i < job.tasks(); i++) {
-            Worker worker = gangs.get(new Start(job.id().task(i), attempt));
-            if (worker != null) {
-                worker.gangLost(job.id().task(i), attempt);
-            }
-        }
+  void gangLost(Job job, long attempt) {
+    for (int i = 0; i < job.tasks(); i++) {
+      Worker worker = gangs.get(new Start(job.id().task(i), attempt));
+      if (worker != null) {
+        worker.gangLost(job.id().task(i), attempt);
+      }
     }
+  }
 }
--- a/src/main/java/org/quincecross/emulator/TrySite.java
+++ b/src/main/java/org/quincecross/emulator/TrySite.java
@@ -31,403 +31,538 @@
 import org.quincecross.wire.SettingsWriter;
 
 /**
- * A whole site on this machine: controllers as processes of their own with the deployed options, and around them, in this
- * process, stand-ins for the state service, the cloud, the workers, the users and their load balancer, over real sockets on
- * loopback. Jobs are submitted from a file; with a {@link Drill} something fails. Ends when every job has, or its time is up.
+ * A whole site on this machine: controllers as processes of their own with the deployed options,
+ * and around them, in this process, stand-ins for the state service, the cloud, the workers, the
+ * users and their load balancer, over real sockets on loopback. Jobs are submitted from a file;
+ * with a {@link Drill} something fails. Ends when every job has, or its time is up.
  */
 public final class TrySite {
-    /** A roll is shown by what this level changes. */
-    private static final Level ROLL_TO = Feature.ALLOCATION_CHANGES.since();
-    private static final double TICK_S = 0.25;
-    private static final double SAY_EVERY_S = 2;
-    private static final double READY_WITHIN_S = 60;
-    private static final double STOP_SERVICES_WITHIN_S = 30;
-    private static final int STATE_PORT = 1;
-    private static final int CLOUD_PORT = 9;
-    private static final int NODE_PORT = 10;
-    private static final int PEER_PORT = 20;
-    private static final int MACHINE_PORT = 100;
-
-    /** The states of a trial. */
-    enum State { STARTING, READY, FINISHING, OVER }
-
-    /**
-     * What to try.
-     *
-     * @param machines that the cloud has
-     * @param jobs the text of a jobs file, or null for the one that is shipped
-     * @param forS seconds after which it ends in any case
-     * @param front where users and scripts reach the site; its host is a loopback address
-     * @param basePort the first of the ports that everything else takes
-     * @param drill what is to fail, or null
-     * @param from the jar of another build that a roll begins with, or null for this program without the next level
-     * @param run the deployed command, or null for a plain one
-     * @param home the directory in which the command is run
-     * @param json whether the summary is written as JSON
-     * @param live whether progress is shown in one line that changes
-     */
-    public record Plan(int machines, String jobs, double forS, Endpoint front, int basePort, Drill.Kind drill, File from, String run, File jar,
-            Path home, boolean json, boolean live) {
-    }
+  /** A roll is shown by what this level changes. */
+  private static final Level ROLL_TO = Feature.ALLOCATION_CHANGES.since();
 
-    private final Plan plan;
-    private final Site site;
-    private final PrintStream out;
-    private final Loop loop = new Loop();
-    private final Clock clock = new LoopClock(loop);
-    private final LoopbackNetwork network;
-    private final List<ControllerProcess> controllers = new ArrayList<>();
-    private final List<JobsFile.Due> jobs;
-    private final Path directory;
-    private final Surroundings around;
-    private final Front front;
-    private final Drill drill;
-    private State state = State.STARTING;
-    private double since;
-    private double readyAt;
-    private double saidAt;
-    private int peakTasks;
-
-    /** @throws IOException with one line that says what stands in the way */
-    public TrySite(Plan plan, PrintStream out) throws IOException {
-        this.plan = plan;
-        this.out = out;
-        this.site = Site.tryOut(plan.machines(), plan.drill() != null);
-        try {
-            this.jobs = JobsFile.read(plan.jobs() == null ? shipped() : plan.jobs(), site);
-        } catch (BadMessage e) {
-            throw new IOException("jobs file, " + e.getMessage(), e);
-        }
-        List<Endpoint> nodes = ports(NODE_PORT);
-        List<Endpoint> peers = ports(PEER_PORT);
-        List<Endpoint> states = ports(STATE_PORT);
-        Endpoint cloud = LoopbackNetwork.at(plan.basePort() + CLOUD_PORT);
-        checkMemory();
-        for (Endpoint each : Stream.of(nodes, peers, states, List.of(cloud, plan.front())).flatMap(List::stream).toList()) {
-            checkFree(each);
-        }
-        network = new LoopbackNetwork(loop, plan.basePort() + MACHINE_PORT);
-        for (int node = 0; node < site.nodes(); node++) {
-            network.callerAt(states.get(node), Site.nodeName(node));
-        }
-        directory = Files.createTempDirectory("quincecross-try-");
-        try {
-            around = new Surroundings(site, clock, network, new Random(plan.machines()), nodes, cloud, states);
-            front = new Front(around);
-            network.host(plan.front(), "front", front);
-        } catch (UncheckedIOException e) {
-            deleteDirectory();
-            throw new IOException(e.getMessage(), e);
-        }
-        List<List<String>> before = new ArrayList<>();
-        List<List<String>> after = new ArrayList<>();
-        for (int node = 0; node < site.nodes(); node++) {
-            Path settings = directory.resolve(Site.nodeName(node) + ".json");
-            Files.write(settings, SettingsWriter.write(site.settings(node, nodes, peers, cloud, states.get(node)),
-                    plan.drill() == Drill.Kind.ROLL ? Site.TRY_OUT_NEXT : null));
-            String run = plan.run() == null ? ControllerProcess.plainRun(plan.jar()) : plan.run();
-            List<String> command = ControllerProcess.command(run, settings);
-            if (plan.drill() == Drill.Kind.ROLL) {
-                after.add(ControllerProcess.withFeatures(command, features(command, "after", ROLL_TO.number())));
-                before.add(plan.from() != null ? ControllerProcess.command(ControllerProcess.plainRun(plan.from()), settings)
-                        : ControllerProcess.withFeatures(command, features(command, "before", ROLL_TO.previous().number())));
-                command = before.get(node);
-            } else if (plan.drill() == Drill.Kind.HOLD) {
-                command = ControllerProcess.withFeatures(command, agreed(command));
-            } else if (plan.drill() == Drill.Kind.MODEL) {
-                command = ControllerProcess.withFeatures(command, features(command, "models", Level.NEWEST.number()));
-            }
-            controllers.add(new ControllerProcess(command, plan.home(), directory.resolve(Site.nodeName(node) + ".log")));
-        }
-        drill = plan.drill() == null ? null : new Drill(plan.drill(), around, controllers, before, after);
+  private static final double TICK_S = 0.25;
+  private static final double SAY_EVERY_S = 2;
+  private static final double READY_WITHIN_S = 60;
+  private static final double STOP_SERVICES_WITHIN_S = 30;
+  private static final int STATE_PORT = 1;
+  private static final int CLOUD_PORT = 9;
+  private static final int NODE_PORT = 10;
+  private static final int PEER_PORT = 20;
+  private static final int MACHINE_PORT = 100;
+
+  /** The states of a trial. */
+  enum State {
+    STARTING,
+    READY,
+    FINISHING,
+    OVER
+  }
+
+  /**
+   * What to try.
+   *
+   * @param machines that the cloud has
+   * @param jobs the text of a jobs file, or null for the one that is shipped
+   * @param forS seconds after which it ends in any case
+   * @param front where users and scripts reach the site; its host is a loopback address
+   * @param basePort the first of the ports that everything else takes
+   * @param drill what is to fail, or null
+   * @param from the jar of another build that a roll begins with, or null for this program without
+   *     the next level
+   * @param run the deployed command, or null for a plain one
+   * @param home the directory in which the command is run
+   * @param json whether the summary is written as JSON
+   * @param live whether progress is shown in one line that changes
+   */
+  public record Plan(
+      int machines,
+      String jobs,
+      double forS,
+      Endpoint front,
+      int basePort,
+      Drill.Kind drill,
+      File from,
+      String run,
+      File jar,
+      Path home,
+      boolean json,
+      boolean live) {}
+
+  private final Plan plan;
+  private final Site site;
+  private final PrintStream out;
+  private final Loop loop = new Loop();
+  private final Clock clock = new LoopClock(loop);
+  private final LoopbackNetwork network;
+  private final List<ControllerProcess> controllers = new ArrayList<>();
+  private final List<JobsFile.Due> jobs;
+  private final Path directory;
+  private final Surroundings around;
+  private final Front front;
+  private final Drill drill;
+  private State state = State.STARTING;
+  private double since;
+  private double readyAt;
+  private double saidAt;
+  private int peakTasks;
+
+  /**
+   * @throws IOException with one line that says what stands in the way
+   */
+  public TrySite(Plan plan, PrintStream out) throws IOException {
+    this.plan = plan;
+    this.out = out;
+    this.site = Site.tryOut(plan.machines(), plan.drill() != null);
+    try {
+      this.jobs = JobsFile.read(plan.jobs() == null ? shipped() : plan.jobs(), site);
+    } catch (BadMessage e) {
+      throw new IOException("jobs file, " + e.getMessage(), e);
+    }
+    List<Endpoint> nodes = ports(NODE_PORT);
+    List<Endpoint> peers = ports(PEER_PORT);
+    List<Endpoint> states = ports(STATE_PORT);
+    Endpoint cloud = LoopbackNetwork.at(plan.basePort() + CLOUD_PORT);
+    checkMemory();
+    for (Endpoint each :
+        Stream.of(nodes, peers, states, List.of(cloud, plan.front()))
+            .flatMap(List::stream)
+            .toList()) {
+      checkFree(each);
+    }
+    network = new LoopbackNetwork(loop, plan.basePort() + MACHINE_PORT);
+    for (int node = 0; node < site.nodes(); node++) {
+      network.callerAt(states.get(node), Site.nodeName(node));
+    }
+    directory = Files.createTempDirectory("quincecross-try-");
+    try {
+      around =
+          new Surroundings(site, clock, network, new Random(plan.machines()), nodes, cloud, states);
+      front = new Front(around);
+      network.host(plan.front(), "front", front);
+    } catch (UncheckedIOException e) {
+      deleteDirectory();
+      throw new IOException(e.getMessage(), e);
     }
+    List<List<String>> before = new ArrayList<>();
+    List<List<String>> after = new ArrayList<>();
+    for (int node = 0; node < site.nodes(); node++) {
+      Path settings = directory.resolve(Site.nodeName(node) + ".json");
+      Files.write(
+          settings,
+          SettingsWriter.write(
+              site.settings(node, nodes, peers, cloud, states.get(node)),
+              plan.drill() == Drill.Kind.ROLL ? Site.TRY_OUT_NEXT : null));
+      String run = plan.run() == null ? ControllerProcess.plainRun(plan.jar()) : plan.run();
+      List<String> command = ControllerProcess.command(run, settings);
+      if (plan.drill() == Drill.Kind.ROLL) {
+        after.add(
+            ControllerProcess.withFeatures(command, features(command, "after", ROLL_TO.number())));
+        before.add(
+            plan.from() != null
+                ? ControllerProcess.command(ControllerProcess.plainRun(plan.from()), settings)
+                : ControllerProcess.withFeatures(
+                    command, features(command, "before", ROLL_TO.previous().number())));
+        command = before.get(node);
+      } else if (plan.drill() == Drill.Kind.HOLD) {
+        command = ControllerProcess.withFeatures(command, agreed(command));
+      } else if (plan.drill() == Drill.Kind.MODEL) {
+        command =
+            ControllerProcess.withFeatures(
+                command, features(command, "models", Level.NEWEST.number()));
+      }
+      controllers.add(
+          new ControllerProcess(
+              command, plan.home(), directory.resolve(Site.nodeName(node) + ".log")));
+    }
+    drill =
+        plan.drill() == null ? null : new Drill(plan.drill(), around, controllers, before, after);
+  }
 
-    /** A file with the features that a command has, and with a build that can do levels up to {@code most}. */
-    private Path features(List<String> command, String build, int most) throws IOException {
-        Map<String, Object> features = new LinkedHashMap<>();
-        int with = command.indexOf("--with");
-        try {
-            if (with >= 0) {
-                Fields known = Json.parseFields(Files.readAllBytes(plan.home().resolve(command.get(with + 1))));
-                known.names().forEach(name -> features.put(name, known.raw(name)));
-            }
-        } catch (BadMessage e) {
-            throw new IOException(command.get(with + 1) + ": " + e.getMessage(), e);
-        }
-        features.put("rollout", Json.object("build", build, "most_level", most));
-        if (plan.drill() == Drill.Kind.MODEL) {
-            features.put("agreed", Json.object("models", Json.object()));
-        }
-        return Files.write(directory.resolve("features-" + build + ".json"), Json.write(features));
+  /**
+   * A file with the features that a command has, and with a build that can do levels up to {@code
+   * most}.
+   */
+  private Path features(List<String> command, String build, int most) throws IOException {
+    Map<String, Object> features = new LinkedHashMap<>();
+    int with = command.indexOf("--with");
+    try {
+      if (with >= 0) {
+        Fields known =
+            Json.parseFields(Files.readAllBytes(plan.home().resolve(command.get(with + 1))));
+        known.names().forEach(name -> features.put(name, known.raw(name)));
+      }
+    } catch (BadMessage e) {
+      throw new IOException(command.get(with + 1) + ": " + e.getMessage(), e);
+    }
+    features.put("rollout", Json.object("build", build, "most_level", most));
+    if (plan.drill() == Drill.Kind.MODEL) {
+      features.put("agreed", Json.object("models", Json.object()));
     }
+    return Files.write(directory.resolve("features-" + build + ".json"), Json.write(features));
+  }
 
-    /** A file with the features that a command has, and with holds. */
-    private Path agreed(List<String> command) throws IOException {
-        Path file = features(command, "holds", Feature.AGREED_RECORDS.since().number());
-        try {
-            Fields known = Json.parseFields(Files.readAllBytes(file));
-            Map<String, Object> features = new LinkedHashMap<>();
-            known.names().forEach(name -> features.put(name, known.raw(name)));
-            features.put("agreed", Json.object(HoldKind.NAME, Json.object()));
-            return Files.write(file, Json.write(features));
-        } catch (BadMessage e) {
-            throw new IOException(file + ": " + e.getMessage(), e);
-        }
+  /** A file with the features that a command has, and with holds. */
+  private Path agreed(List<String> command) throws IOException {
+    Path file = features(command, "holds", Feature.AGREED_RECORDS.since().number());
+    try {
+      Fields known = Json.parseFields(Files.readAllBytes(file));
+      Map<String, Object> features = new LinkedHashMap<>();
+      known.names().forEach(name -> features.put(name, known.raw(name)));
+      features.put("agreed", Json.object(HoldKind.NAME, Json.object()));
+      return Files.write(file, Json.write(features));
+    } catch (BadMessage e) {
+      throw new IOException(file + ": " + e.getMessage(), e);
     }
+  }
 
-    private List<Endpoint> ports(int first) {
-        List<Endpoint> all = new ArrayList<>();
-        for (int node = 0; node < site.nodes(); node++) {
-            all.add(LoopbackNetwork.at(plan.basePort() + first + node));
-        }
-        return all;
+  private List<Endpoint> ports(int first) {
+    List<Endpoint> all = new ArrayList<>();
+    for (int node = 0; node < site.nodes(); node++) {
+      all.add(LoopbackNetwork.at(plan.basePort() + first + node));
     }
+    return all;
+  }
 
-    private static String shipped() throws IOException {
-        try (var in = TrySite.class.getResourceAsStream("sample-jobs.toml")) {
-            return new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
-        }
+  private static String shipped() throws IOException {
+    try (var in = TrySite.class.getResourceAsStream("sample-jobs.toml")) {
+      return new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
     }
+  }
 
-    private static void checkFree(Endpoint address) throws IOException {
-        try (ServerSocket socket = new ServerSocket()) {
-            socket.setReuseAddress(true);
-            socket.bind(new InetSocketAddress(address.host(), address.port()));
-        } catch (IOException e) {
-            throw new IOException("port " + address + " is in use; choose others with --listen and --base-port", e);
-        }
+  private static void checkFree(Endpoint address) throws IOException {
+    try (ServerSocket socket = new ServerSocket()) {
+      socket.setReuseAddress(true);
+      socket.bind(new InetSocketAddress(address.host(), address.port()));
+    } catch (IOException e) {
+      throw new IOException(
+          "port " + address + " is in use; choose others with --listen and --base-port", e);
     }
+  }
 
-    private void checkMemory() throws IOException {
-        Path info = Path.of("/proc/meminfo");
-        if (!Files.exists(info)) {
-            return;
-        }
-        for (String line : Files.readAllLines(info)) {
-            if (line.startsWith("MemAvailable:")) {
-                long have = Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024;
-                long need = 200L * site.nodes() + site.mostMachines() / 2;
-                if (have < need) {
-                    throw new IOException("too little memory: " + need + " MB are needed, " + have + " MB are free");
-                }
-            }
+  private void checkMemory() throws IOException {
+    Path info = Path.of("/proc/meminfo");
+    if (!Files.exists(info)) {
+      return;
+    }
+    for (String line : Files.readAllLines(info)) {
+      if (line.startsWith("MemAvailable:")) {
+        long have = Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024;
+        long need = 200L * site.nodes() + site.mostMachines() / 2;
+        if (have < need) {
+          throw new IOException(
+              "too little memory: " + need + " MB are needed, " + have + " MB are free");
         }
+      }
     }
+  }
 
-    // ---- running ----
+  // ---- running ----
 
-    /** The one place where the trial changes its state. */
-    private void enter(State next) {
-        state = next;
-        since = clock.seconds();
-    }
+  /** The one place where the trial changes its state. */
+  private void enter(State next) {
+    state = next;
+    since = clock.seconds();
+  }
 
-    /** Runs until it is over; returns 0 if every job ended as it should and no rule was broken. */
-    public int run() throws IOException {
-        Thread onInterrupt = new Thread(this::interrupted);
-        Runtime.getRuntime().addShutdownHook(onInterrupt);
-        try {
-            for (ControllerProcess controller : controllers) {
-                controller.start();
-            }
-            clock.after(TICK_S, this::tick);
-            loop.run();
-        } finally {
-            cleanUp();
-            try {
-                Runtime.getRuntime().removeShutdownHook(onInterrupt);
-            } catch (IllegalStateException e) {
-                // the program is ending already
-            }
-        }
-        return summary();
+  /** Runs until it is over; returns 0 if every job ended as it should and no rule was broken. */
+  public int run() throws IOException {
+    Thread onInterrupt = new Thread(this::interrupted);
+    Runtime.getRuntime().addShutdownHook(onInterrupt);
+    try {
+      for (ControllerProcess controller : controllers) {
+        controller.start();
+      }
+      clock.after(TICK_S, this::tick);
+      loop.run();
+    } finally {
+      cleanUp();
+      try {
+        Runtime.getRuntime().removeShutdownHook(onInterrupt);
+      } catch (IllegalStateException e) {
+        // the program is ending already
+      }
     }
+    return summary();
+  }
 
-    private void interrupted() {
-        loop.stop();
-        cleanUp();
-    }
+  private void interrupted() {
+    loop.stop();
+    cleanUp();
+  }
 
-    private synchronized void cleanUp() {
-        controllers.forEach(ControllerProcess::kill);
-        network.close();
-        deleteDirectory();
-    }
+  private synchronized void cleanUp() {
+    controllers.forEach(ControllerProcess::kill);
+    network.close();
+    deleteDirectory();
+  }
 
-    private void deleteDirectory() {
-        try (Stream<Path> files = Files.walk(directory)) {
-            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
-                Files.deleteIfExists(file);
-            }
-        } catch (IOException | UncheckedIOException e) {
-            // gone already
-        }
+  private void deleteDirectory() {
+    try (Stream<Path> files = Files.walk(directory)) {
+      for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
+        Files.deleteIfExists(file);
+      }
+    } catch (IOException | UncheckedIOException e) {
+      // gone already
     }
+  }
 
-    private void tick() {
-        controllers.forEach(ControllerProcess::look);
-        peakTasks = Math.max(peakTasks, around.rules().onMachines());
-        double now = clock.seconds();
-        switch (state) {
-            case STARTING -> {
-                boolean heard = around.cloud().workers().stream().anyMatch(worker -> worker.answeredFrom() >= 0);
-                if (front.wellCount() == site.nodes() && heard) {
-                    readyAt = now;
-                    enter(State.READY);
-                    say(String.format("ready after %.1f s: %d controllers, %d machines; users reach them at %s", now, site.nodes(),
-                            around.cloud().workers().size(), plan.front()));
-                    submit();
-                    if (drill != null) {
-                        drill.begin(jobs.get(jobs.size() - 1).atS());
-                    }
-                } else if (now > READY_WITHIN_S || controllers.stream().anyMatch(each -> each.state() == ControllerProcess.State.DOWN)) {
-                    say(String.format("not ready after %.1f s: %s", now, failures()));
-                    enter(State.OVER);
-                }
-            }
-            case READY -> {
-                boolean timeIsUp = now - readyAt > plan.forS();
-                if (timeIsUp || allSubmitted() && openWork().isEmpty() && (drill == null || drill.isOver())) {
-                    services().forEach(id -> around.users().cancel(id));
-                    enter(State.FINISHING);
-                }
-            }
-            case FINISHING -> {
-                if (services().isEmpty() && around.rules().onMachines() == 0 || now - since > STOP_SERVICES_WITHIN_S) {
-                    enter(State.OVER);
-                }
-            }
-            default -> throw new IllegalStateException(state.toString());
+  private void tick() {
+    controllers.forEach(ControllerProcess::look);
+    peakTasks = Math.max(peakTasks, around.rules().onMachines());
+    double now = clock.seconds();
+    switch (state) {
+      case STARTING -> {
+        boolean heard =
+            around.cloud().workers().stream().anyMatch(worker -> worker.answeredFrom() >= 0);
+        if (front.wellCount() == site.nodes() && heard) {
+          readyAt = now;
+          enter(State.READY);
+          say(
+              String.format(
+                  "ready after %.1f s: %d controllers, %d machines; users reach them at %s",
+                  now, site.nodes(), around.cloud().workers().size(), plan.front()));
+          submit();
+          if (drill != null) {
+            drill.begin(jobs.get(jobs.size() - 1).atS());
+          }
+        } else if (now > READY_WITHIN_S
+            || controllers.stream()
+                .anyMatch(each -> each.state() == ControllerProcess.State.DOWN)) {
+          say(String.format("not ready after %.1f s: %s", now, failures()));
+          enter(State.OVER);
         }
-        progress(now);
-        if (state == State.OVER) {
-            loop.stop();
-        } else {
-            clock.after(TICK_S, this::tick);
+      }
+      case READY -> {
+        boolean timeIsUp = now - readyAt > plan.forS();
+        if (timeIsUp
+            || allSubmitted() && openWork().isEmpty() && (drill == null || drill.isOver())) {
+          services().forEach(id -> around.users().cancel(id));
+          enter(State.FINISHING);
         }
-    }
-
-    /** Jobs that wait for others are asked for only once all controllers of a roll are new. */
-    private void submit() {
-        List<JobsFile.Due> later = jobs.stream().filter(due -> plan.drill() == Drill.Kind.ROLL && !due.job().waitsOn().isEmpty()).toList();
-        if (!later.isEmpty()) {
-            drill.whenAllNew(() -> later.forEach(due -> around.pipelines().submit(due.step())));
+      }
+      case FINISHING -> {
+        if (services().isEmpty() && around.rules().onMachines() == 0
+            || now - since > STOP_SERVICES_WITHIN_S) {
+          enter(State.OVER);
         }
-        jobs.stream().filter(due -> !later.contains(due)).forEach(due -> clock.after(due.atS(), () -> around.pipelines().submit(due.step())));
+      }
+      default -> throw new IllegalStateException(state.toString());
     }
-
-    private String failures() {
-        StringBuilder why = new StringBuilder();
-        for (int node = 0; node < controllers.size(); node++) {
-            if (controllers.get(node).state() == ControllerProcess.State.DOWN) {
-                why.append(Site.nodeName(node)).append(" has ended: ").append(lastLine(node)).append(' ');
-            }
-        }
-        return why.length() == 0 ? front.wellCount() + " of " + controllers.size() + " controllers answer" : why.toString().trim();
+    progress(now);
+    if (state == State.OVER) {
+      loop.stop();
+    } else {
+      clock.after(TICK_S, this::tick);
     }
+  }
 
-    private String lastLine(int node) {
-        try {
-            List<String> lines = Files.readAllLines(directory.resolve(Site.nodeName(node) + ".log"));
-            return lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1);
-        } catch (IOException e) {
-            return "its log cannot be read";
-        }
+  /** Jobs that wait for others are asked for only once all controllers of a roll are new. */
+  private void submit() {
+    List<JobsFile.Due> later =
+        jobs.stream()
+            .filter(due -> plan.drill() == Drill.Kind.ROLL && !due.job().waitsOn().isEmpty())
+            .toList();
+    if (!later.isEmpty()) {
+      drill.whenAllNew(() -> later.forEach(due -> around.pipelines().submit(due.step())));
     }
+    jobs.stream()
+        .filter(due -> !later.contains(due))
+        .forEach(due -> clock.after(due.atS(), () -> around.pipelines().submit(due.step())));
+  }
 
-    private boolean allSubmitted() {
-        return around.users().submitted() >= jobs.size();
+  private String failures() {
+    StringBuilder why = new StringBuilder();
+    for (int node = 0; node < controllers.size(); node++) {
+      if (controllers.get(node).state() == ControllerProcess.State.DOWN) {
+        why.append(Site.nodeName(node)).append(" has ended: ").append(lastLine(node)).append(' ');
+      }
     }
+    return why.length() == 0
+        ? front.wellCount() + " of " + controllers.size() + " controllers answer"
+        : why.toString().trim();
+  }
 
-    private boolean isOver(JobId id) {
-        String told = around.users().told().get(id);
-        return "done".equals(told) || "cancelled".equals(told);
+  private String lastLine(int node) {
+    try {
+      List<String> lines = Files.readAllLines(directory.resolve(Site.nodeName(node) + ".log"));
+      return lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1);
+    } catch (IOException e) {
+      return "its log cannot be read";
     }
+  }
 
-    /** The arrays and gangs that have not ended. */
-    private List<Job> openWork() {
-        return jobs.stream().map(JobsFile.Due::job).filter(job -> job.shape() != Shape.SERVICE && !isOver(job.id())).toList();
-    }
+  private boolean allSubmitted() {
+    return around.users().submitted() >= jobs.size();
+  }
 
-    private List<JobId> services() {
-        return jobs.stream().map(JobsFile.Due::job).filter(job -> job.shape() == Shape.SERVICE && around.users().told().containsKey(job.id())
-                && !isOver(job.id())).map(Job::id).toList();
-    }
+  private boolean isOver(JobId id) {
+    String told = around.users().told().get(id);
+    return "done".equals(told) || "cancelled".equals(told);
+  }
 
-    // ---- what is shown ----
+  /** The arrays and gangs that have not ended. */
+  private List<Job> openWork() {
+    return jobs.stream()
+        .map(JobsFile.Due::job)
+        .filter(job -> job.shape() != Shape.SERVICE && !isOver(job.id()))
+        .toList();
+  }
 
-    private void say(String line) {
-        if (!plan.json()) {
-            out.println((plan.live() ? "\r\033[K" : "") + line);
-        }
-    }
+  private List<JobId> services() {
+    return jobs.stream()
+        .map(JobsFile.Due::job)
+        .filter(
+            job ->
+                job.shape() == Shape.SERVICE
+                    && around.users().told().containsKey(job.id())
+                    && !isOver(job.id()))
+        .map(Job::id)
+        .toList();
+  }
 
-    private void progress(double now) {
-        if (plan.json() || state == State.OVER || !plan.live() && now - saidAt < SAY_EVERY_S) {
-            return;
-        }
-        saidAt = now;
-        Set<JobId> ended = new HashSet<>();
-        jobs.forEach(due -> {
-            if (isOver(due.job().id())) {
-                ended.add(due.job().id());
-            }
-        });
-        String line = String.format("%6.1f s  %-9s controllers %d of %d well  machines %d  jobs %d submitted, %d ended  tasks on machines %d%s",
-                now, state.toString().toLowerCase(java.util.Locale.ROOT), front.wellCount(), site.nodes(),
-                around.cloud().workers().size(), around.users().submitted(), ended.size(), around.rules().onMachines(),
-                drill == null ? "" : "  drill " + drill.phase());
-        out.print(plan.live() ? "\r\033[K" + line : line + System.lineSeparator());
-        out.flush();
+  // ---- what is shown ----
+
+  private void say(String line) {
+    if (!plan.json()) {
+      out.println((plan.live() ? "\r\033[K" : "") + line);
     }
+  }
 
-    private int summary() {
-        List<String> unfinished = new ArrayList<>();
-        for (JobsFile.Due due : jobs) {
-            String told = around.users().told().get(due.job().id());
-            String wanted = due.job().shape() == Shape.SERVICE ? "cancelled" : "done";
-            if (!wanted.equals(told)) {
-                unfinished.add(due.job().id() + " (" + due.job().jobClass() + ") " + (told == null ? "was not accepted" : "is " + told));
-            }
-        }
-        List<String> broken = around.rules().broken();
-        boolean good = state == State.OVER && readyAt > 0 && unfinished.isEmpty() && broken.isEmpty() && (drill == null || drill.isOver());
-        Map<String, Object> all = Json.object("good", good, "ready_s", round(readyAt), "seconds", round(clock.seconds()),
-                "machines", plan.machines(), "jobs", jobs.size(), "unfinished", unfinished, "rules_broken", broken,
-                "tasks_started", around.rules().starts(), "most_tasks_at_once", peakTasks, "answers", around.users().answers(),
-                "longest_answer_s", around.users().longest(), "teams", OverloadDays.served(around.served().teams(around.now())),
-                "classes", OverloadDays.served(around.served().classes(around.now())));
-        List<JobId> dependent = jobs.stream().map(JobsFile.Due::job).filter(job -> !job.waitsOn().isEmpty()).map(Job::id).toList();
-        all.put("dependent_jobs", dependent.size());
-        all.put("dependent_accepted_within_s", round(dependent.stream()
-                .mapToDouble(id -> around.users().acceptedAfter().getOrDefault(id, Double.MAX_VALUE)).max().orElse(0)));
-        List<Object> nodes = new ArrayList<>();
-        for (int node = 0; node < controllers.size(); node++) {
-            ControllerProcess.Footprint most = controllers.get(node).most();
-            nodes.add(Json.object("controller", Site.nodeName(node), "starts", controllers.get(node).starts(), "resident_mb",
-                    round(most.residentMb()), "sockets", most.sockets(), "threads", most.threads()));
-        }
-        all.put("controllers", nodes);
-        if (drill != null) {
-            all.put("drill", drill.result());
-        }
-        if (plan.json()) {
-            out.println(new String(Json.write(all), java.nio.charset.StandardCharsets.UTF_8));
-            return good ? 0 : 1;
-        }
-        say(String.format("%s after %.1f s: %d of %d jobs ended as they should, %d tasks were started, %s", good ? "good" : "NOT GOOD",
-                clock.seconds(), jobs.size() - unfinished.size(), jobs.size(), around.rules().starts(),
-                broken.isEmpty() ? "every rule was kept" : broken.size() + " times a rule was broken"));
-        unfinished.stream().limit(10).forEach(line -> say("  " + line));
-        broken.stream().limit(10).forEach(line -> say("  " + line));
-        nodes.forEach(line -> say("  " + line));
-        if (drill != null) {
-            say("  drill " + drill.result());
-        }
-        return good ? 0 : 1;
+  private void progress(double now) {
+    if (plan.json() || state == State.OVER || !plan.live() && now - saidAt < SAY_EVERY_S) {
+      return;
     }
+    saidAt = now;
+    Set<JobId> ended = new HashSet<>();
+    jobs.forEach(
+        due -> {
+          if (isOver(due.job().id())) {
+            ended.add(due.job().id());
+          }
+        });
+    String line =
+        String.format(
+            "%6.1f s  %-9s controllers %d of %d well  machines %d  jobs %d submitted, %d ended  tasks on machines %d%s",
+            now,
+            state.toString().toLowerCase(java.util.Locale.ROOT),
+            front.wellCount(),
+            site.nodes(),
+            around.cloud().workers().size(),
+            around.users().submitted(),
+            ended.size(),
+            around.rules().onMachines(),
+            drill == null ? "" : "  drill " + drill.phase());
+    out.print(plan.live() ? "\r\033[K" + line : line + System.lineSeparator());
+    out.flush();
+  }
 
-    static double round(double value) {
-        return Math.round(value * 100) / 100.0;
+  private int summary() {
+    List<String> unfinished = new ArrayList<>();
+    for (JobsFile.Due due : jobs) {
+      String told = around.users().told().get(due.job().id());
+      String wanted = due.job().shape() == Shape.SERVICE ? "cancelled" : "done";
+      if (!wanted.equals(told)) {
+        unfinished.add(
+            due.job().id()
+                + " ("
+                + due.job().jobClass()
+                + ") "
+                + (told == null ? "was not accepted" : "is " + told));
+      }
+    }
+    List<String> broken = around.rules().broken();
+    boolean good =
+        state == State.OVER
+            && readyAt > 0
+            && unfinished.isEmpty()
+            && broken.isEmpty()
+            && (drill == null || drill.isOver());
+    Map<String, Object> all =
+        Json.object(
+            "good",
+            good,
+            "ready_s",
+            round(readyAt),
+            "seconds",
+            round(clock.seconds()),
+            "machines",
+            plan.machines(),
+            "jobs",
+            jobs.size(),
+            "unfinished",
+            unfinished,
+            "rules_broken",
+            broken,
+            "tasks_started",
+            around.rules().starts(),
+            "most_tasks_at_once",
+            peakTasks,
+            "answers",
+            around.users().answers(),
+            "longest_answer_s",
+            around.users().longest(),
+            "teams",
+            OverloadDays.served(around.served().teams(around.now())),
+            "classes",
+            OverloadDays.served(around.served().classes(around.now())));
+    List<JobId> dependent =
+        jobs.stream()
+            .map(JobsFile.Due::job)
+            .filter(job -> !job.waitsOn().isEmpty())
+            .map(Job::id)
+            .toList();
+    all.put("dependent_jobs", dependent.size());
+    all.put(
+        "dependent_accepted_within_s",
+        round(
+            dependent.stream()
+                .mapToDouble(
+                    id -> around.users().acceptedAfter().getOrDefault(id, Double.MAX_VALUE))
+                .max()
+                .orElse(0)));
+    List<Object> nodes = new ArrayList<>();
+    for (int node = 0; node < controllers.size(); node++) {
+      ControllerProcess.Footprint most = controllers.get(node).most();
+      nodes.add(
+          Json.object(
+              "controller",
+              Site.nodeName(node),
+              "starts",
+              controllers.get(node).starts(),
+              "resident_mb",
+              round(most.residentMb()),
+              "sockets",
+              most.sockets(),
+              "threads",
+              most.threads()));
+    }
+    all.put("controllers", nodes);
+    if (drill != null) {
+      all.put("drill", drill.result());
     }
+    if (plan.json()) {
+      out.println(new String(Json.write(all), java.nio.charset.StandardCharsets.UTF_8));
+      return good ? 0 : 1;
+    }
+    say(
+        String.format(
+            "%s after %.1f s: %d of %d jobs ended as they should, %d tasks were started, %s",
+            good ? "good" : "NOT GOOD",
+            clock.seconds(),
+            jobs.size() - unfinished.size(),
+            jobs.size(),
+            around.rules().starts(),
+            broken.isEmpty() ? "every rule was kept" : broken.size() + " times a rule was broken"));
+    unfinished.stream().limit(10).forEach(line -> say("  " + line));
+    broken.stream().limit(10).forEach(line -> say("  " + line));
+    nodes.forEach(line -> say("  " + line));
+    if (drill != null) {
+      say("  drill " + drill.result());
+    }
+    return good ? 0 : 1;
+  }
+
+  static double round(double value) {
+    return Math.round(value * 100) / 100.0;
+  }
 }
--- a/src/main/java/org/quincecross/emulator/Users.java
+++ b/src/main/java/org/quincecross/emulator/Users.java
@@ -21,344 +21,517 @@
 import org.quincecross.wire.JobCodec;
 import org.quincecross.wire.Json;
 
-/** Those who submit jobs, ask for them and cancel some, each over a connection to one of the controllers. */
+/**
+ * Those who submit jobs, ask for them and cancel some, each over a connection to one of the
+ * controllers.
+ */
 final class Users {
-    /** Beyond one chunk of the records of done tasks. */
-    private static final int MANY_TASKS = 4500;
-    private static final double SUBMIT_TIMEOUT_S = 5;
-    private static final double POLL_TIMEOUT_S = 2;
-    private static final double GIVES_UP_AFTER_S = 60;
-    private static final double MOST_RETRY_AFTER_S = 30;
-    private static final double POLL_EVERY_S = 3;
-    private static final double POLL_EVERY_AT_SIZE_S = 5;
-
-    /** What users put to a controller about a job that they know. */
-    enum Asks { STATE, AGAIN, CANCEL }
-
-    /** What happens to a job in the eyes of its user: the last three each come once. */
-    enum Moment { ACCEPTED, LAST_TASK_ENDED, TOLD_DONE, TOLD_CANCELLED }
-
-    /** Of the nodes, whichever is drawn, or the load balancer's. */
-    private static final int ANY = -1;
-
-    private final Surroundings around;
-    private final Random random;
-    private final Map<JobId, Job> jobs = new LinkedHashMap<>();
-    private final Map<JobId, String> told = new TreeMap<>();
-    private final Map<JobId, Boolean> cancelAsked = new HashMap<>();
-    private final Map<JobId, Double> submittedAt = new HashMap<>();
-    private final Map<JobId, Double> acceptedAfter = new HashMap<>();
-    private final Map<JobId, Double> overAfter = new HashMap<>();
-    private final Map<String, Integer> answers = new TreeMap<>();
-    private final Map<String, Double> longest = new TreeMap<>();
-    private final Map<JobId, Integer> mistakes = new TreeMap<>();
-    private final Polls polls;
-    private final List<BiConsumer<Moment, JobId>> watchers = new ArrayList<>();
-    private double pollsFaster = 1;
-    private Balancer balancer;
-
-    Users(Surroundings around) {
-        this.around = around;
-        this.random = around.random();
-        this.polls = new Polls(around.clock());
-    }
-
-    /** From now on users go through the load balancer, each over a connection of its own that stays as long as it can. */
-    Balancer balance() {
-        balancer = new Balancer(around);
-        return balancer;
-    }
-
-    /** When questions were put and answered, job by job. */
-    Polls polls() {
-        return polls;
-    }
-
-    Job job(JobId id) {
-        return jobs.get(id);
-    }
-
-    /** From now on somebody is told at once of what happens to jobs. */
-    void watch(BiConsumer<Moment, JobId> watcher) {
-        watchers.add(watcher);
-    }
-
-    void happens(Moment moment, JobId id) {
-        watchers.forEach(each -> each.accept(moment, id));
-    }
-
-    /** Whether a job was accepted and its user does not know it as over. */
-    boolean isOpen(JobId id) {
-        String state = told.get(id);
-        return state != null && !state.equals("done") && !state.equals("cancelled");
-    }
-
-    /** Whether somebody has asked for a job to be cancelled. */
-    boolean isCancelAsked(JobId id) {
-        return cancelAsked.containsKey(id);
-    }
-
-    /** Makes a job known to the machines that are to run it, as its user uploads it. */
-    void upload(Job job) {
-        jobs.put(job.id(), job);
-    }
-
-    /** Submits a job that fails on every machine as soon as it runs there. */
-    JobId submitMistaken(Job job) {
-        mistakes.put(job.id(), 0);
-        return submit(job);
-    }
-
-    boolean isMistaken(JobId id) {
-        return mistakes.containsKey(id);
-    }
-
-    void mistakeMade(JobId id) {
-        mistakes.merge(id, 1, Integer::sum);
-    }
-
-    /** How often tasks of each job with a mistake were tried. */
-    Map<JobId, Integer> mistakes() {
-        return mistakes;
-    }
-
-    /** For a while users ask so many times as often, and as often again for jobs that nobody submitted. */
-    void storm(double factor, double seconds) {
-        pollsFaster = factor;
-        askForUnknown(around.clock().seconds() + seconds);
-        around.clock().after(seconds, () -> pollsFaster = 1);
-    }
-
-    private void askForUnknown(double untilS) {
-        if (around.clock().seconds() < untilS) {
-            JobId id = new JobId("job-" + (800_000 + random.nextInt(100_000)));
-            ask("strangers", "poll unknown", HttpRequest.get(JobCodec.JOBS + "/" + id), POLL_TIMEOUT_S, outcome -> {
-                if (outcome.status() == 200) {
-                    throw new IllegalStateException("invented " + id);
-                }
-            });
-            around.clock().after(POLL_EVERY_S / pollsFaster / Math.max(1, told.size()), () -> askForUnknown(untilS));
-        }
-    }
-
-    /** How many jobs have been submitted here. */
-    int submitted() {
-        return submittedAt.size();
-    }
-
-    /** What users were told last of the jobs that were accepted. */
-    Map<JobId, String> told() {
-        return told;
-    }
-
-    /** When each job was submitted for the first time. */
-    Map<JobId, Double> submittedAt() {
-        return submittedAt;
-    }
-
-    /** Seconds from the first try to the acceptance of each job that was accepted. */
-    Map<JobId, Double> acceptedAfter() {
-        return acceptedAfter;
-    }
-
-    /** Seconds from the first try until a user heard that the job is done. */
-    Map<JobId, Double> overAfter() {
-        return overAfter;
-    }
-
-    /** How many answers of each kind there were, such as {@code submit 201}; status 0: none in time. */
-    Map<String, Integer> answers() {
-        return answers;
-    }
-
-    /** The longest that an answer of each kind took, in seconds. */
-    Map<String, Double> longest() {
-        return longest;
-    }
-
-    /** Submits one service replica that stays until it is cancelled. */
-    JobId submitService(int number) {
-        return submit(new Job(new JobId("job-" + number), "service", "red", Shape.SERVICE, Rank.PRODUCTION, 1,
-                new Resources(1, 0, 2), null, null, false, false, false, "img-0", 1, Span.ZERO, Span.ZERO, Span.ZERO, null));
-    }
-
-    /** Submits a gang each of whose tasks takes most of a machine. */
-    JobId submitLargeGang(int number, int tasks) {
-        return submit(new Job(new JobId("job-" + number), "gang", "red", Shape.GANG, Rank.NORMAL, tasks,
-                new Resources(5, 0, 2), null, null, true, false, false, "img-0", 1, Span.ofSeconds(20), Span.ZERO, Span.ZERO, null));
-    }
-
-    /** Submits one array of long tasks. */
-    JobId submitArray(int number, int tasks) {
-        return submit(new Job(new JobId("job-" + number), "array", "red", Shape.ARRAY, Rank.NORMAL, tasks,
-                new Resources(4, 0, 2), null, null, false, false, true, "img-0", 1, Span.ofSeconds(300), Span.ZERO, Span.ZERO, null));
-    }
-
-    /** Submits an array of short tasks, more than a chunk of the records of done tasks has. */
-    JobId submitManyTasks(int number) {
-        return submit(new Job(new JobId("job-" + number), "many", "red", Shape.ARRAY, Rank.NORMAL, MANY_TASKS,
-                new Resources(0.25, 0, 0.5), null, null, false, false, true, "img-0", 1, Span.ofSeconds(1), Span.ZERO, Span.ZERO, null));
-    }
-
-    JobId submit(Job job) {
-        jobs.put(job.id(), job);
-        submittedAt.put(job.id(), around.clock().seconds());
-        around.pipelines().submitted(job);
-        sendSubmission(job, around.clock().seconds());
-        return job.id();
-    }
-
-    /** Submits a job of any kind; some are cancelled later, services all. */
-    void submit(int number) {
-        Shape shape = random.nextInt(4) == 0 ? Shape.SERVICE : random.nextInt(5) == 0 ? Shape.GANG : Shape.ARRAY;
-        boolean wide = shape == Shape.GANG && random.nextInt(3) == 0;
-        int tasks = shape == Shape.ARRAY ? 1 + random.nextInt(8) : wide ? 2 + random.nextInt(2) : 1 + random.nextInt(2);
-        boolean spread = shape == Shape.SERVICE && random.nextBoolean();
-        boolean saves = shape != Shape.SERVICE && random.nextInt(3) == 0;
-        Job job = new Job(new JobId("job-" + number), shape.name(), random.nextInt(3) == 0 && !wide ? "blue" : "red", shape,
-                shape == Shape.SERVICE ? Rank.PRODUCTION : random.nextBoolean() ? Rank.NORMAL : Rank.LOW, tasks,
-                new Resources(wide ? 5 : 1 + random.nextInt(3), 0, 2), null, null, shape == Shape.GANG && tasks > 1, spread,
-                shape != Shape.SERVICE && random.nextBoolean(), "img-" + random.nextInt(3), 1,
-                Span.ofSeconds(2 + random.nextInt(15)), saves ? Span.ofSeconds(3) : Span.ZERO,
-                saves ? Span.ofSeconds(0.5 + random.nextDouble()) : Span.ZERO, null);
-        submit(job);
-        if (shape == Shape.SERVICE || random.nextInt(4) == 0) {
-            around.clock().after(1 + random.nextDouble() * 60, () -> cancel(job.id()));
-        }
-    }
-
-    // ---- requests ----
-
-    private void sendSubmission(Job job, double since) {
-        HttpRequest request = HttpRequest.post(JobCodec.JOBS, Json.write(JobCodec.submission(job)));
-        String before = around.rules().lastTold(job.id());
-        ask(job.id(), "submit", request, SUBMIT_TIMEOUT_S, outcome -> {
-            double now = around.clock().seconds();
-            if (isTold(job.id(), outcome, before)) {
-                acceptedAfter.putIfAbsent(job.id(), now - since);
-                polls.accepted(job.id());
-                around.pipelines().answered(job.id(), outcome.status());
-                around.clock().after(2, () -> poll(job.id()));
-                happens(Moment.ACCEPTED, job.id());
-            } else if (outcome.status() != 400 && outcome.status() != 422 && now - since < GIVES_UP_AFTER_S) {
-                around.clock().after(Math.max(1, retryAfter(outcome)), () -> sendSubmission(job, since));
-            } else {
-                around.pipelines().answered(job.id(), outcome.status());
+  /** Beyond one chunk of the records of done tasks. */
+  private static final int MANY_TASKS = 4500;
+
+  private static final double SUBMIT_TIMEOUT_S = 5;
+  private static final double POLL_TIMEOUT_S = 2;
+  private static final double GIVES_UP_AFTER_S = 60;
+  private static final double MOST_RETRY_AFTER_S = 30;
+  private static final double POLL_EVERY_S = 3;
+  private static final double POLL_EVERY_AT_SIZE_S = 5;
+
+  /** What users put to a controller about a job that they know. */
+  enum Asks {
+    STATE,
+    AGAIN,
+    CANCEL
+  }
+
+  /** What happens to a job in the eyes of its user: the last three each come once. */
+  enum Moment {
+    ACCEPTED,
+    LAST_TASK_ENDED,
+    TOLD_DONE,
+    TOLD_CANCELLED
+  }
+
+  /** Of the nodes, whichever is drawn, or the load balancer's. */
+  private static final int ANY = -1;
+
+  private final Surroundings around;
+  private final Random random;
+  private final Map<JobId, Job> jobs = new LinkedHashMap<>();
+  private final Map<JobId, String> told = new TreeMap<>();
+  private final Map<JobId, Boolean> cancelAsked = new HashMap<>();
+  private final Map<JobId, Double> submittedAt = new HashMap<>();
+  private final Map<JobId, Double> acceptedAfter = new HashMap<>();
+  private final Map<JobId, Double> overAfter = new HashMap<>();
+  private final Map<String, Integer> answers = new TreeMap<>();
+  private final Map<String, Double> longest = new TreeMap<>();
+  private final Map<JobId, Integer> mistakes = new TreeMap<>();
+  private final Polls polls;
+  private final List<BiConsumer<Moment, JobId>> watchers = new ArrayList<>();
+  private double pollsFaster = 1;
+  private Balancer balancer;
+
+  Users(Surroundings around) {
+    this.around = around;
+    this.random = around.random();
+    this.polls = new Polls(around.clock());
+  }
+
+  /**
+   * From now on users go through the load balancer, each over a connection of its own that stays as
+   * long as it can.
+   */
+  Balancer balance() {
+    balancer = new Balancer(around);
+    return balancer;
+  }
+
+  /** When questions were put and answered, job by job. */
+  Polls polls() {
+    return polls;
+  }
+
+  Job job(JobId id) {
+    return jobs.get(id);
+  }
+
+  /** From now on somebody is told at once of what happens to jobs. */
+  void watch(BiConsumer<Moment, JobId> watcher) {
+    watchers.add(watcher);
+  }
+
+  void happens(Moment moment, JobId id) {
+    watchers.forEach(each -> each.accept(moment, id));
+  }
+
+  /** Whether a job was accepted and its user does not know it as over. */
+  boolean isOpen(JobId id) {
+    String state = told.get(id);
+    return state != null && !state.equals("done") && !state.equals("cancelled");
+  }
+
+  /** Whether somebody has asked for a job to be cancelled. */
+  boolean isCancelAsked(JobId id) {
+    return cancelAsked.containsKey(id);
+  }
+
+  /** Makes a job known to the machines that are to run it, as its user uploads it. */
+  void upload(Job job) {
+    jobs.put(job.id(), job);
+  }
+
+  /** Submits a job that fails on every machine as soon as it runs there. */
+  JobId submitMistaken(Job job) {
+    mistakes.put(job.id(), 0);
+    return submit(job);
+  }
+
+  boolean isMistaken(JobId id) {
+    return mistakes.containsKey(id);
+  }
+
+  void mistakeMade(JobId id) {
+    mistakes.merge(id, 1, Integer::sum);
+  }
+
+  /** How often tasks of each job with a mistake were tried. */
+  Map<JobId, Integer> mistakes() {
+    return mistakes;
+  }
+
+  /**
+   * For a while users ask so many times as often, and as often again for jobs that nobody
+   * submitted.
+   */
+  void storm(double factor, double seconds) {
+    pollsFaster = factor;
+    askForUnknown(around.clock().seconds() + seconds);
+    around.clock().after(seconds, () -> pollsFaster = 1);
+  }
+
+  private void askForUnknown(double untilS) {
+    if (around.clock().seconds() < untilS) {
+      JobId id = new JobId("job-" + (800_000 + random.nextInt(100_000)));
+      ask(
+          "strangers",
+          "poll unknown",
+          HttpRequest.get(JobCodec.JOBS + "/" + id),
+          POLL_TIMEOUT_S,
+          outcome -> {
+            if (outcome.status() == 200) {
+              throw new IllegalStateException("invented " + id);
             }
+          });
+      around
+          .clock()
+          .after(
+              POLL_EVERY_S / pollsFaster / Math.max(1, told.size()), () -> askForUnknown(untilS));
+    }
+  }
+
+  /** How many jobs have been submitted here. */
+  int submitted() {
+    return submittedAt.size();
+  }
+
+  /** What users were told last of the jobs that were accepted. */
+  Map<JobId, String> told() {
+    return told;
+  }
+
+  /** When each job was submitted for the first time. */
+  Map<JobId, Double> submittedAt() {
+    return submittedAt;
+  }
+
+  /** Seconds from the first try to the acceptance of each job that was accepted. */
+  Map<JobId, Double> acceptedAfter() {
+    return acceptedAfter;
+  }
+
+  /** Seconds from the first try until a user heard that the job is done. */
+  Map<JobId, Double> overAfter() {
+    return overAfter;
+  }
+
+  /**
+   * How many answers of each kind there were, such as {@code submit 201}; status 0: none in time.
+   */
+  Map<String, Integer> answers() {
+    return answers;
+  }
+
+  /** The longest that an answer of each kind took, in seconds. */
+  Map<String, Double> longest() {
+    return longest;
+  }
+
+  /** Submits one service replica that stays until it is cancelled. */
+  JobId submitService(int number) {
+    return submit(
+        new Job(
+            new JobId("job-" + number),
+            "service",
+            "red",
+            Shape.SERVICE,
+            Rank.PRODUCTION,
+            1,
+            new Resources(1, 0, 2),
+            null,
+            null,
+            false,
+            false,
+            false,
+            "img-0",
+            1,
+            Span.ZERO,
+            Span.ZERO,
+            Span.ZERO,
+            null));
+  }
+
+  /** Submits a gang each of whose tasks takes most of a machine. */
+  JobId submitLargeGang(int number, int tasks) {
+    return submit(
+        new Job(
+            new JobId("job-" + number),
+            "gang",
+            "red",
+            Shape.GANG,
+            Rank.NORMAL,
+            tasks,
+            new Resources(5, 0, 2),
+            null,
+            null,
+            true,
+            false,
+            false,
+            "img-0",
+            1,
+            Span.ofSeconds(20),
+            Span.ZERO,
+            Span.ZERO,
+            null));
+  }
+
+  /** Submits one array of long tasks. */
+  JobId submitArray(int number, int tasks) {
+    return submit(
+        new Job(
+            new JobId("job-" + number),
+            "array",
+            "red",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            tasks,
+            new Resources(4, 0, 2),
+            null,
+            null,
+            false,
+            false,
+            true,
+            "img-0",
+            1,
+            Span.ofSeconds(300),
+            Span.ZERO,
+            Span.ZERO,
+            null));
+  }
+
+  /** Submits an array of short tasks, more than a chunk of the records of done tasks has. */
+  JobId submitManyTasks(int number) {
+    return submit(
+        new Job(
+            new JobId("job-" + number),
+            "many",
+            "red",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            MANY_TASKS,
+            new Resources(0.25, 0, 0.5),
+            null,
+            null,
+            false,
+            false,
+            true,
+            "img-0",
+            1,
+            Span.ofSeconds(1),
+            Span.ZERO,
+            Span.ZERO,
+            null));
+  }
+
+  JobId submit(Job job) {
+    jobs.put(job.id(), job);
+    submittedAt.put(job.id(), around.clock().seconds());
+    around.pipelines().submitted(job);
+    sendSubmission(job, around.clock().seconds());
+    return job.id();
+  }
+
+  /** Submits a job of any kind; some are cancelled later, services all. */
+  void submit(int number) {
+    Shape shape =
+        random.nextInt(4) == 0 ? Shape.SERVICE : random.nextInt(5) == 0 ? Shape.GANG : Shape.ARRAY;
+    boolean wide = shape == Shape.GANG && random.nextInt(3) == 0;
+    int tasks =
+        shape == Shape.ARRAY
+            ? 1 + random.nextInt(8)
+            : wide ? 2 + random.nextInt(2) : 1 + random.nextInt(2);
+    boolean spread = shape == Shape.SERVICE && random.nextBoolean();
+    boolean saves = shape != Shape.SERVICE && random.nextInt(3) == 0;
+    Job job =
+        new Job(
+            new JobId("job-" + number),
+            shape.name(),
+            random.nextInt(3) == 0 && !wide ? "blue" : "red",
+            shape,
+            shape == Shape.SERVICE
+                ? Rank.PRODUCTION
+                : random.nextBoolean() ? Rank.NORMAL : Rank.LOW,
+            tasks,
+            new Resources(wide ? 5 : 1 + random.nextInt(3), 0, 2),
+            null,
+            null,
+            shape == Shape.GANG && tasks > 1,
+            spread,
+            shape != Shape.SERVICE && random.nextBoolean(),
+            "img-" + random.nextInt(3),
+            1,
+            Span.ofSeconds(2 + random.nextInt(15)),
+            saves ? Span.ofSeconds(3) : Span.ZERO,
+            saves ? Span.ofSeconds(0.5 + random.nextDouble()) : Span.ZERO,
+            null);
+    submit(job);
+    if (shape == Shape.SERVICE || random.nextInt(4) == 0) {
+      around.clock().after(1 + random.nextDouble() * 60, () -> cancel(job.id()));
+    }
+  }
+
+  // ---- requests ----
+
+  private void sendSubmission(Job job, double since) {
+    HttpRequest request = HttpRequest.post(JobCodec.JOBS, Json.write(JobCodec.submission(job)));
+    String before = around.rules().lastTold(job.id());
+    ask(
+        job.id(),
+        "submit",
+        request,
+        SUBMIT_TIMEOUT_S,
+        outcome -> {
+          double now = around.clock().seconds();
+          if (isTold(job.id(), outcome, before)) {
+            acceptedAfter.putIfAbsent(job.id(), now - since);
+            polls.accepted(job.id());
+            around.pipelines().answered(job.id(), outcome.status());
+            around.clock().after(2, () -> poll(job.id()));
+            happens(Moment.ACCEPTED, job.id());
+          } else if (outcome.status() != 400
+              && outcome.status() != 422
+              && now - since < GIVES_UP_AFTER_S) {
+            around
+                .clock()
+                .after(Math.max(1, retryAfter(outcome)), () -> sendSubmission(job, since));
+          } else {
+            around.pipelines().answered(job.id(), outcome.status());
+          }
         });
-    }
-
-    /** An accepted job is submitted once more, as a retry may come at any later time. */
-    void submitAgain(JobId id) {
-        once(ANY, Asks.AGAIN, id, outcome -> { });
-    }
-
-    /** A job that was accepted is asked about, submitted again or called off at one of the nodes, once. */
-    void once(int node, Asks what, JobId id) {
-        once(node, what, id, outcome -> { });
-    }
-
-    private void once(int node, Asks what, JobId id, Consumer<HttpOutcome> done) {
-        String before = around.rules().lastTold(id);
-        HttpRequest request = switch (what) {
-            case STATE -> HttpRequest.get(JobCodec.JOBS + "/" + id);
-            case AGAIN -> HttpRequest.post(JobCodec.JOBS, Json.write(JobCodec.submission(jobs.get(id))));
-            case CANCEL -> HttpRequest.post(JobCodec.JOBS + "/" + id + JobCodec.CANCEL, new byte[0]);
+  }
+
+  /** An accepted job is submitted once more, as a retry may come at any later time. */
+  void submitAgain(JobId id) {
+    once(ANY, Asks.AGAIN, id, outcome -> {});
+  }
+
+  /**
+   * A job that was accepted is asked about, submitted again or called off at one of the nodes,
+   * once.
+   */
+  void once(int node, Asks what, JobId id) {
+    once(node, what, id, outcome -> {});
+  }
+
+  private void once(int node, Asks what, JobId id, Consumer<HttpOutcome> done) {
+    String before = around.rules().lastTold(id);
+    HttpRequest request =
+        switch (what) {
+          case STATE -> HttpRequest.get(JobCodec.JOBS + "/" + id);
+          case AGAIN ->
+              HttpRequest.post(JobCodec.JOBS, Json.write(JobCodec.submission(jobs.get(id))));
+          case CANCEL -> HttpRequest.post(JobCodec.JOBS + "/" + id + JobCodec.CANCEL, new byte[0]);
         };
-        String kind = switch (what) {
-            case STATE -> "poll";
-            case AGAIN -> "submit";
-            case CANCEL -> "cancel";
+    String kind =
+        switch (what) {
+          case STATE -> "poll";
+          case AGAIN -> "submit";
+          case CANCEL -> "cancel";
         };
-        if (what == Asks.CANCEL && !"done".equals(before)) {
-            noteCancel(id);
-        }
-        ask(node, id, kind, request, what == Asks.STATE ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S, outcome -> {
-            isTold(id, outcome, before);
-            done.accept(outcome);
+    if (what == Asks.CANCEL && !"done".equals(before)) {
+      noteCancel(id);
+    }
+    ask(
+        node,
+        id,
+        kind,
+        request,
+        what == Asks.STATE ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S,
+        outcome -> {
+          isTold(id, outcome, before);
+          done.accept(outcome);
         });
-    }
-
-    /** Somebody's request, at any node, that is about no job of the users here. */
-    void request(String kind, HttpRequest request, Consumer<HttpOutcome> done) {
-        ask(ANY, "strangers", kind, request, SUBMIT_TIMEOUT_S, done);
-    }
-
-    private static double retryAfter(HttpOutcome outcome) {
-        return outcome.response() == null ? 0 : Math.min(MOST_RETRY_AFTER_S, outcome.response().retryAfterS());
-    }
-
-    private void ask(Object user, String kind, HttpRequest request, double timeout, Consumer<HttpOutcome> done) {
-        ask(ANY, user, kind, request, timeout, done);
-    }
-
-    private void ask(int node, Object user, String kind, HttpRequest request, double timeout, Consumer<HttpOutcome> done) {
-        double begun = around.clock().seconds();
-        Consumer<HttpOutcome> answered = outcome -> {
-            answers.merge(kind + " " + outcome.status(), 1, Integer::sum);
-            if (outcome.status() != 0) {
-                longest.merge(kind + " " + outcome.status(), around.clock().seconds() - begun, Math::max);
-            }
-            done.accept(outcome);
+  }
+
+  /** Somebody's request, at any node, that is about no job of the users here. */
+  void request(String kind, HttpRequest request, Consumer<HttpOutcome> done) {
+    ask(ANY, "strangers", kind, request, SUBMIT_TIMEOUT_S, done);
+  }
+
+  private static double retryAfter(HttpOutcome outcome) {
+    return outcome.response() == null
+        ? 0
+        : Math.min(MOST_RETRY_AFTER_S, outcome.response().retryAfterS());
+  }
+
+  private void ask(
+      Object user, String kind, HttpRequest request, double timeout, Consumer<HttpOutcome> done) {
+    ask(ANY, user, kind, request, timeout, done);
+  }
+
+  private void ask(
+      int node,
+      Object user,
+      String kind,
+      HttpRequest request,
+      double timeout,
+      Consumer<HttpOutcome> done) {
+    double begun = around.clock().seconds();
+    Consumer<HttpOutcome> answered =
+        outcome -> {
+          answers.merge(kind + " " + outcome.status(), 1, Integer::sum);
+          if (outcome.status() != 0) {
+            longest.merge(
+                kind + " " + outcome.status(), around.clock().seconds() - begun, Math::max);
+          }
+          done.accept(outcome);
         };
-        if (balancer != null && node == ANY) {
-            balancer.call(user, request, timeout, answered);
-        } else {
-            around.network().call(new Life(), "users", around.node(node == ANY ? random.nextInt(around.site().nodes()) : node), request,
-                    Span.ofSeconds(timeout), answered);
-        }
-    }
-
-    /** Takes an answer to any request about a job; whether it says in which state the job is. */
-    private boolean isTold(JobId id, HttpOutcome outcome, String before) {
-        if (outcome.status() != 200 && outcome.status() != 201) {
-            around.rules().refused(id, outcome.status(), before);
-            return false;
-        }
-        try {
-            String status = Json.parseFields(outcome.response().body()).text("Status");
-            String last = told.put(id, status);
-            around.rules().told(id, status, before, cancelAsked.containsKey(id));
-            around.pipelines().told(id, status);
-            if (status.equals("done") && overAfter.putIfAbsent(id, around.clock().seconds() - submittedAt.getOrDefault(id, 0.0)) == null) {
-                happens(Moment.TOLD_DONE, id);
-            } else if (status.equals("cancelled") && !status.equals(last)) {
-                happens(Moment.TOLD_CANCELLED, id);
-            }
-            return true;
-        } catch (BadMessage e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
-    private void poll(JobId id) {
-        once(ANY, Asks.STATE, id, outcome -> {
-            if (outcome.status() == 200) {
-                polls.answered(id);
-            }
-            boolean atSize = !around.site().classes().isEmpty();
-            if (!atSize || isOpen(id)) {
-                around.clock().after((atSize ? POLL_EVERY_AT_SIZE_S : POLL_EVERY_S) / pollsFaster, () -> poll(id));
-            }
+    if (balancer != null && node == ANY) {
+      balancer.call(user, request, timeout, answered);
+    } else {
+      around
+          .network()
+          .call(
+              new Life(),
+              "users",
+              around.node(node == ANY ? random.nextInt(around.site().nodes()) : node),
+              request,
+              Span.ofSeconds(timeout),
+              answered);
+    }
+  }
+
+  /** Takes an answer to any request about a job; whether it says in which state the job is. */
+  private boolean isTold(JobId id, HttpOutcome outcome, String before) {
+    if (outcome.status() != 200 && outcome.status() != 201) {
+      around.rules().refused(id, outcome.status(), before);
+      return false;
+    }
+    try {
+      String status = Json.parseFields(outcome.response().body()).text("Status");
+      String last = told.put(id, status);
+      around.rules().told(id, status, before, cancelAsked.containsKey(id));
+      around.pipelines().told(id, status);
+      if (status.equals("done")
+          && overAfter.putIfAbsent(id, around.clock().seconds() - submittedAt.getOrDefault(id, 0.0))
+              == null) {
+        happens(Moment.TOLD_DONE, id);
+      } else if (status.equals("cancelled") && !status.equals(last)) {
+        happens(Moment.TOLD_CANCELLED, id);
+      }
+      return true;
+    } catch (BadMessage e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  private void poll(JobId id) {
+    once(
+        ANY,
+        Asks.STATE,
+        id,
+        outcome -> {
+          if (outcome.status() == 200) {
+            polls.answered(id);
+          }
+          boolean atSize = !around.site().classes().isEmpty();
+          if (!atSize || isOpen(id)) {
+            around
+                .clock()
+                .after(
+                    (atSize ? POLL_EVERY_AT_SIZE_S : POLL_EVERY_S) / pollsFaster, () -> poll(id));
+          }
         });
-    }
-
-    /** Somebody asks for a job to be cancelled, here or by a request of a test's own. */
-    void noteCancel(JobId id) {
-        if (cancelAsked.put(id, true) == null) {
-            around.served().cancelled(id, around.now());
-        }
-    }
-
-    void cancel(JobId id) {
-        if (!told.containsKey(id)) {
-            around.clock().after(1, () -> cancel(id)); // not accepted yet
-            return;
-        }
-        once(ANY, Asks.CANCEL, id, outcome -> {
-            if (outcome.status() != 200) {
-                around.clock().after(1, () -> cancel(id));
-            }
+  }
+
+  /** Somebody asks for a job to be cancelled, here or by a request of a test's own. */
+  void noteCancel(JobId id) {
+    if (cancelAsked.put(id, true) == null) {
+      around.served().cancelled(id, around.now());
+    }
+  }
+
+  void cancel(JobId id) {
+    if (!told.containsKey(id)) {
+      around.clock().after(1, () -> cancel(id)); // not accepted yet
+      return;
+    }
+    once(
+        ANY,
+        Asks.CANCEL,
+        id,
+        outcome -> {
+          if (outcome.status() != 200) {
+            around.clock().after(1, () -> cancel(id));
+          }
         });
-    }
+  }
 }
--- a/src/main/java/org/quincecross/emulator/VirtualNet.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNet.java
@@ -14,225 +14,263 @@
 
 /** A network that delays, and that holds or loses what goes over a cut. */
 final class VirtualNet implements Network {
-    private final VirtualTime time;
-    private final Random random;
-    private final Map<Endpoint, Host> hosts = new HashMap<>();
-    /** The process that each caller has reached at an address: a connection to it stands. */
-    private final Map<String, Object> connected = new HashMap<>();
-    private final Map<Endpoint, String> names = new HashMap<>();
-    private final Map<Set<String>, Double> cutUntil = new HashMap<>();
-    private final Set<Set<String>> losing = new HashSet<>();
-    private final Map<String, Double> silentUntil = new HashMap<>();
-    private final Map<String, Double> deafUntil = new HashMap<>();
-    private final Map<String, Double> muteUntil = new HashMap<>();
-    private int startsUnheard;
-    private double holdNext;
-    private Consumer<byte[]> startWatcher = body -> { };
-
-    private MessageObserver observer = MessageObserver.NONE;
-    private LateCopies copies = LateCopies.NONE;
-    private HeldMessages held = HeldMessages.NONE;
-
-    VirtualNet(VirtualTime time, Random random) {
-        this.time = time;
-        this.random = random;
-    }
+  private final VirtualTime time;
+  private final Random random;
+  private final Map<Endpoint, Host> hosts = new HashMap<>();
 
-    @Override
-    public void host(Endpoint address, String name, Host host) {
-        hosts.put(address, host);
-        names.put(address, name);
-    }
+  /** The process that each caller has reached at an address: a connection to it stands. */
+  private final Map<String, Object> connected = new HashMap<>();
 
-    @Override
-    public void remove(Endpoint address) {
-        // A host that is gone says so itself; behind a cut nobody can tell.
-    }
+  private final Map<Endpoint, String> names = new HashMap<>();
+  private final Map<Set<String>, Double> cutUntil = new HashMap<>();
+  private final Set<Set<String>> losing = new HashSet<>();
+  private final Map<String, Double> silentUntil = new HashMap<>();
+  private final Map<String, Double> deafUntil = new HashMap<>();
+  private final Map<String, Double> muteUntil = new HashMap<>();
+  private int startsUnheard;
+  private double holdNext;
+  private Consumer<byte[]> startWatcher = body -> {};
 
-    @Override
-    public Endpoint machineAddress(int number) {
-        return new Endpoint("10." + (16 + number / 62_500) + "." + number / 250 % 250 + "." + number % 250, 9000);
-    }
+  private MessageObserver observer = MessageObserver.NONE;
+  private LateCopies copies = LateCopies.NONE;
+  private HeldMessages held = HeldMessages.NONE;
 
-    /** Cuts two hosts off from each other: packets are held, or lost. */
-    void cut(String one, String other, double untilS, boolean lose) {
-        Set<String> link = new HashSet<>(Set.of(one, other));
-        cutUntil.put(link, untilS);
-        if (lose) {
-            losing.add(link);
-        } else {
-            losing.remove(link);
-        }
-    }
+  VirtualNet(VirtualTime time, Random random) {
+    this.time = time;
+    this.random = random;
+  }
 
-    /** A host says nothing and hears nothing; connections to it hang. */
-    void silence(String name, double untilS) {
-        silentUntil.put(name, untilS);
-    }
+  @Override
+  public void host(Endpoint address, String name, Host host) {
+    hosts.put(address, host);
+    names.put(address, name);
+  }
 
-    /** The next request is held up for so long. */
-    void holdNext(double seconds) {
-        holdNext = seconds;
-    }
+  @Override
+  public void remove(Endpoint address) {
+    // A host that is gone says so itself; behind a cut nobody can tell.
+  }
 
-    /** From now on some reports come a second time, later. */
-    void copyLate(LateCopies late) {
-        copies = late;
-    }
+  @Override
+  public Endpoint machineAddress(int number) {
+    return new Endpoint(
+        "10." + (16 + number / 62_500) + "." + number / 250 % 250 + "." + number % 250, 9000);
+  }
 
-    /** From now on some messages between controllers and machines are held up. */
-    void hold(HeldMessages messages) {
-        held = messages;
+  /** Cuts two hosts off from each other: packets are held, or lost. */
+  void cut(String one, String other, double untilS, boolean lose) {
+    Set<String> link = new HashSet<>(Set.of(one, other));
+    cutUntil.put(link, untilS);
+    if (lose) {
+      losing.add(link);
+    } else {
+      losing.remove(link);
     }
+  }
 
-    boolean isSilent(String name) {
-        return !silentUntil.isEmpty() && silentUntil.getOrDefault(name, 0.0) > time.seconds();
-    }
+  /** A host says nothing and hears nothing; connections to it hang. */
+  void silence(String name, double untilS) {
+    silentUntil.put(name, untilS);
+  }
 
-    /** A host goes on speaking and is heard, and hears nothing: neither what is sent to it nor the answers to what it sends. */
-    void deafen(String name, double untilS) {
-        deafUntil.put(name, untilS);
-    }
+  /** The next request is held up for so long. */
+  void holdNext(double seconds) {
+    holdNext = seconds;
+  }
 
-    private boolean isDeaf(String name) {
-        return !deafUntil.isEmpty() && deafUntil.getOrDefault(name, 0.0) > time.seconds();
-    }
+  /** From now on some reports come a second time, later. */
+  void copyLate(LateCopies late) {
+    copies = late;
+  }
 
-    /** A host opens no connection, and those that it had are gone; what is sent to it arrives, and is answered. */
-    void mute(String name, double untilS) {
-        muteUntil.put(name, untilS);
-    }
+  /** From now on some messages between controllers and machines are held up. */
+  void hold(HeldMessages messages) {
+    held = messages;
+  }
 
-    private boolean isMute(String name) {
-        return !muteUntil.isEmpty() && muteUntil.getOrDefault(name, 0.0) > time.seconds();
-    }
+  boolean isSilent(String name) {
+    return !silentUntil.isEmpty() && silentUntil.getOrDefault(name, 0.0) > time.seconds();
+  }
 
-    /** How many starts were sent to machines that did not hear them. */
-    int startsUnheard() {
-        return startsUnheard;
-    }
+  /**
+   * A host goes on speaking and is heard, and hears nothing: neither what is sent to it nor the
+   * answers to what it sends.
+   */
+  void deafen(String name, double untilS) {
+    deafUntil.put(name, untilS);
+  }
 
-    /** Has somebody told of each message that leaves for a machine, or answers one. */
-    void watchStarts(Consumer<byte[]> watcher) {
-        startWatcher = watcher;
-    }
+  private boolean isDeaf(String name) {
+    return !deafUntil.isEmpty() && deafUntil.getOrDefault(name, 0.0) > time.seconds();
+  }
 
-    /** Has an observer see every message from now on. */
-    void observe(MessageObserver messageObserver) {
-        observer = messageObserver;
-    }
+  /**
+   * A host opens no connection, and those that it had are gone; what is sent to it arrives, and is
+   * answered.
+   */
+  void mute(String name, double untilS) {
+    muteUntil.put(name, untilS);
+  }
 
-    /** One controller sends a frame to another. */
-    void frameSent(byte[] frame) {
-        observer.frame(frame);
-    }
+  private boolean isMute(String name) {
+    return !muteUntil.isEmpty() && muteUntil.getOrDefault(name, 0.0) > time.seconds();
+  }
 
-    private void countUnheard(String to, byte[] body) {
-        if (isDeaf(to)) {
-            startsUnheard += new String(body, StandardCharsets.UTF_8).split("\"Verb\":\"start\"", -1).length - 1;
-        }
-    }
+  /** How many starts were sent to machines that did not hear them. */
+  int startsUnheard() {
+    return startsUnheard;
+  }
+
+  /** Has somebody told of each message that leaves for a machine, or answers one. */
+  void watchStarts(Consumer<byte[]> watcher) {
+    startWatcher = watcher;
+  }
 
-    /** Seconds until a packet arrives, or a negative number if it never does. */
-    double delay(String from, String to) {
-        double delay = 0.001 + random.nextDouble() * 0.004 + (random.nextInt(100) == 0 ? random.nextDouble() * 3 : 0);
-        if (isSilent(from) || isSilent(to) || isDeaf(to)) {
-            return -1;
-        }
-        if (cutUntil.isEmpty()) {
-            return delay;
-        }
-        Set<String> link = new HashSet<>();
-        link.add(from);
-        link.add(to);
-        Double until = cutUntil.get(link);
-        if (until != null && until > time.seconds()) {
-            return losing.contains(link) ? -1 : until - time.seconds() + delay;
-        }
-        return delay;
+  /** Has an observer see every message from now on. */
+  void observe(MessageObserver messageObserver) {
+    observer = messageObserver;
+  }
+
+  /** One controller sends a frame to another. */
+  void frameSent(byte[] frame) {
+    observer.frame(frame);
+  }
+
+  private void countUnheard(String to, byte[] body) {
+    if (isDeaf(to)) {
+      startsUnheard +=
+          new String(body, StandardCharsets.UTF_8).split("\"Verb\":\"start\"", -1).length - 1;
     }
+  }
 
-    private boolean isCut(String from, String to) {
-        if (isSilent(from) || isSilent(to) || isDeaf(to)) {
-            return true;
-        }
-        if (cutUntil.isEmpty()) {
-            return false;
-        }
-        Set<String> link = new HashSet<>();
-        link.add(from);
-        link.add(to);
-        return cutUntil.getOrDefault(link, 0.0) > time.seconds();
+  /** Seconds until a packet arrives, or a negative number if it never does. */
+  double delay(String from, String to) {
+    double delay =
+        0.001
+            + random.nextDouble() * 0.004
+            + (random.nextInt(100) == 0 ? random.nextDouble() * 3 : 0);
+    if (isSilent(from) || isSilent(to) || isDeaf(to)) {
+      return -1;
+    }
+    if (cutUntil.isEmpty()) {
+      return delay;
+    }
+    Set<String> link = new HashSet<>();
+    link.add(from);
+    link.add(to);
+    Double until = cutUntil.get(link);
+    if (until != null && until > time.seconds()) {
+      return losing.contains(link) ? -1 : until - time.seconds() + delay;
     }
+    return delay;
+  }
 
-    void send(String from, String to, Runnable arrival) {
-        send(from, to, 0, arrival);
+  private boolean isCut(String from, String to) {
+    if (isSilent(from) || isSilent(to) || isDeaf(to)) {
+      return true;
     }
+    if (cutUntil.isEmpty()) {
+      return false;
+    }
+    Set<String> link = new HashSet<>();
+    link.add(from);
+    link.add(to);
+    return cutUntil.getOrDefault(link, 0.0) > time.seconds();
+  }
+
+  void send(String from, String to, Runnable arrival) {
+    send(from, to, 0, arrival);
+  }
 
-    private void send(String from, String to, double heldS, Runnable arrival) {
-        double delay = delay(from, to);
-        if (delay >= 0) {
-            time.after(delay + heldS, arrival);
-        }
+  private void send(String from, String to, double heldS, Runnable arrival) {
+    double delay = delay(from, to);
+    if (delay >= 0) {
+      time.after(delay + heldS, arrival);
     }
+  }
 
-    /** A request of {@code caller}; connections that stand already carry it into a cut, as if it were sent. */
-    @Override
-    public void call(Life caller, String from, Endpoint to, HttpRequest request, Span timeout,
-            Consumer<HttpOutcome> done) {
-        boolean[] over = new boolean[1];
-        Consumer<HttpOutcome> once = outcome -> {
-            if (!over[0] && caller.isAlive()) {
-                over[0] = true;
-                done.accept(outcome);
-            }
+  /**
+   * A request of {@code caller}; connections that stand already carry it into a cut, as if it were
+   * sent.
+   */
+  @Override
+  public void call(
+      Life caller,
+      String from,
+      Endpoint to,
+      HttpRequest request,
+      Span timeout,
+      Consumer<HttpOutcome> done) {
+    boolean[] over = new boolean[1];
+    Consumer<HttpOutcome> once =
+        outcome -> {
+          if (!over[0] && caller.isAlive()) {
+            over[0] = true;
+            done.accept(outcome);
+          }
         };
-        String name = names.getOrDefault(to, "nowhere");
-        Host host = hosts.get(to);
-        if (host == null || !host.isUp() && !isCut(from, name)) {
-            time.after(0.001, () -> once.accept(HttpOutcome.failed(false)));
-            return;
-        }
-        countUnheard(name, request.body());
-        observer.request(from, name, request);
-        if (request.path().equals("/orders")) {
-            startWatcher.accept(request.body());
-        }
-        double heldS = holdNext + held.seconds(request);
-        holdNext = 0;
-        Object process = host.process();
-        String link = from + ">" + to;
-        if (isMute(from)) {
-            connected.remove(link);
-        }
-        if (isMute(from) || isCut(from, name) && connected.get(link) != process) {
-            // A connection that is attempted in a cut never completes.
-            time.after(timeout.seconds(), () -> once.accept(HttpOutcome.failed(false)));
-            return;
-        }
-        send(from, name, heldS, () -> {
-            // Of what was lost on its way there is no copy: that would be a report that is late, and news.
-            copies.perhaps(request, to, time, (late, endpoint) -> time.after(late, () -> copyArrives(from, endpoint, request)));
-            // What is held back is on a connection; a process that is back since knows nothing of it.
-            if (host.isUp() && host.process() == process) {
-                connected.put(link, process);
-                host.request(from, request, response -> {
-                    countUnheard(from, response.body());
-                    observer.response(from, name, request, response);
-                    if (request.path().equals("/agent/beat")) {
-                        startWatcher.accept(response.body());
-                    }
-                    send(name, from, held.seconds(request), () -> once.accept(HttpOutcome.answered(response)));
+    String name = names.getOrDefault(to, "nowhere");
+    Host host = hosts.get(to);
+    if (host == null || !host.isUp() && !isCut(from, name)) {
+      time.after(0.001, () -> once.accept(HttpOutcome.failed(false)));
+      return;
+    }
+    countUnheard(name, request.body());
+    observer.request(from, name, request);
+    if (request.path().equals("/orders")) {
+      startWatcher.accept(request.body());
+    }
+    double heldS = holdNext + held.seconds(request);
+    holdNext = 0;
+    Object process = host.process();
+    String link = from + ">" + to;
+    if (isMute(from)) {
+      connected.remove(link);
+    }
+    if (isMute(from) || isCut(from, name) && connected.get(link) != process) {
+      // A connection that is attempted in a cut never completes.
+      time.after(timeout.seconds(), () -> once.accept(HttpOutcome.failed(false)));
+      return;
+    }
+    send(
+        from,
+        name,
+        heldS,
+        () -> {
+          // Of what was lost on its way there is no copy: that would be a report that is late, and
+          // news.
+          copies.perhaps(
+              request,
+              to,
+              time,
+              (late, endpoint) -> time.after(late, () -> copyArrives(from, endpoint, request)));
+          // What is held back is on a connection; a process that is back since knows nothing of it.
+          if (host.isUp() && host.process() == process) {
+            connected.put(link, process);
+            host.request(
+                from,
+                request,
+                response -> {
+                  countUnheard(from, response.body());
+                  observer.response(from, name, request, response);
+                  if (request.path().equals("/agent/beat")) {
+                    startWatcher.accept(response.body());
+                  }
+                  send(
+                      name,
+                      from,
+                      held.seconds(request),
+                      () -> once.accept(HttpOutcome.answered(response)));
                 });
-            }
+          }
         });
-        time.after(timeout.seconds(), () -> once.accept(HttpOutcome.failed(true)));
-    }
+    time.after(timeout.seconds(), () -> once.accept(HttpOutcome.failed(true)));
+  }
 
-    private void copyArrives(String from, Endpoint at, HttpRequest request) {
-        Host there = hosts.get(at);
-        if (there != null && there.isUp()) {
-            there.request(from, request, response -> { }); // nobody waits for the answer to a copy
-        }
+  private void copyArrives(String from, Endpoint at, HttpRequest request) {
+    Host there = hosts.get(at);
+    if (there != null && there.isUp()) {
+      there.request(from, request, response -> {}); // nobody waits for the answer to a copy
     }
+  }
 }
