--- a/src/main/java/org/quincecross/emulator/Worker.java
+++ b/src/main/java/org/quincecross/emulator/Worker.java
@@ -20,507 +20,586 @@
 import org.quincecross.wire.Fields;
 import org.quincecross.wire.Json;
 
-/** A stand-in for a worker, as its protocol describes it: sessions, tokens, leases, commands, what becomes of tasks. */
+/**
+ * A stand-in for a worker, as its protocol describes it: sessions, tokens, leases, commands, what
+ * becomes of tasks.
+ */
 final class Worker implements Network.Host {
-    private static final double NO_ANSWER_S = 4;
-    private static final double FAILS_AFTER_S = 0.3;
-    private static final double MISTAKE_AFTER_S = 0.001; // a job with a mistake fails as soon as it runs
-    private static final double LEAST_BETWEEN_REPORTS_S = 0.5;
-    /** A lease that runs out is noticed so much later at the most. */
-    private static final double LEASE_LOOK_S = 0.05;
-    /** A rest of less than the clock's step would be waited for without the time moving on. */
-    private static final double CLOCK_STEP_S = 1e-9;
-
-    /** A start: the worker tells attempts of a task apart and keeps each until it is cleared. */
-    private record Key(TaskId task, long attempt) {
-    }
-
-    private static final class Task {
-        private String state = "pulling";
-        private String cause;
-        private boolean saved;
-        private double runningFrom;
-        private boolean ran;
-        private Runnable there;
-
-        boolean isOver() {
-            return state.equals("exited");
-        }
-    }
-
-    private final Surroundings around;
-    private final Clock clock;
-    private final Machine machine;
-    private final Resources capacity;
-    private final MachineTraits traits;
-    private ImageStore images;
-    private Life life = new Life();
-    private final Map<Key, Task> tasks = new LinkedHashMap<>();
-    private long session = 1;
-    private long order;
-    private long token;
-    private double leaseFrom;
-    private double takenAt = Double.NaN;
-    private int node;
-    private boolean reporting;
-    private double lastBeat = -1;
-    private double tokenTold = -100;
-    private double hangsUntil;
-    private double deafUntil;
-    private double answeredFrom = -1;
-    private boolean destroyed;
-
-    Worker(Surroundings around, Machine machine, MachineType type, MachineTraits traits, int firstNode) {
-        this.around = around;
-        this.clock = around.clock();
-        this.machine = machine;
-        this.capacity = type.capacity();
-        this.traits = traits;
-        this.images = new ImageStore(clock, type.cacheGb(), type.fetchGbPerS());
-        this.node = firstNode;
-        this.leaseFrom = clock.seconds();
-        beatLater(0.1);
-        watchLease();
-    }
-
-    /** When the last report was sent that a controller has answered which it obeys; negative before the first. */
-    double answeredFrom() {
-        return answeredFrom;
-    }
-
-    Machine machine() {
-        return machine;
-    }
-
-    void destroy() {
-        destroyed = true;
-        life.end();
-        dropAll();
-        around.network().forget(machine.id().text());
-    }
-
-    /** It ends and is back after so many seconds, with nothing on it; as a new worker: its counts and its token begin anew. */
-    void restart(double seconds) {
-        if (!life.isAlive()) {
-            return;
-        }
-        life.end();
-        dropAll();
-        Life next = new Life();
-        clock.after(seconds, () -> {
-            if (!destroyed) {
-                life = next;
-                images = new ImageStore(clock, images.cacheGb(), images.rate());
-                session = 1;
-                order = 0;
-                token = 0;
-                reporting = false;
-                lastBeat = -1;
-                tokenTold = -100;
-                hangsUntil = 0;
-                leaseFrom = clock.seconds();
-                beatLater(0.1);
-                watchLease();
-            }
+  private static final double NO_ANSWER_S = 4;
+  private static final double FAILS_AFTER_S = 0.3;
+  private static final double MISTAKE_AFTER_S =
+      0.001; // a job with a mistake fails as soon as it runs
+  private static final double LEAST_BETWEEN_REPORTS_S = 0.5;
+
+  /** A lease that runs out is noticed so much later at the most. */
+  private static final double LEASE_LOOK_S = 0.05;
+
+  /** A rest of less than the clock's step would be waited for without the time moving on. */
+  private static final double CLOCK_STEP_S = 1e-9;
+
+  /** A start: the worker tells attempts of a task apart and keeps each until it is cleared. */
+  private record Key(TaskId task, long attempt) {}
+
+  private static final class Task {
+    private String state = "pulling";
+    private String cause;
+    private boolean saved;
+    private double runningFrom;
+    private boolean ran;
+    private Runnable there;
+
+    boolean isOver() {
+      return state.equals("exited");
+    }
+  }
+
+  private final Surroundings around;
+  private final Clock clock;
+  private final Machine machine;
+  private final Resources capacity;
+  private final MachineTraits traits;
+  private ImageStore images;
+  private Life life = new Life();
+  private final Map<Key, Task> tasks = new LinkedHashMap<>();
+  private long session = 1;
+  private long order;
+  private long token;
+  private double leaseFrom;
+  private double takenAt = Double.NaN;
+  private int node;
+  private boolean reporting;
+  private double lastBeat = -1;
+  private double tokenTold = -100;
+  private double hangsUntil;
+  private double deafUntil;
+  private double answeredFrom = -1;
+  private boolean destroyed;
+
+  Worker(
+      Surroundings around, Machine machine, MachineType type, MachineTraits traits, int firstNode) {
+    this.around = around;
+    this.clock = around.clock();
+    this.machine = machine;
+    this.capacity = type.capacity();
+    this.traits = traits;
+    this.images = new ImageStore(clock, type.cacheGb(), type.fetchGbPerS());
+    this.node = firstNode;
+    this.leaseFrom = clock.seconds();
+    beatLater(0.1);
+    watchLease();
+  }
+
+  /**
+   * When the last report was sent that a controller has answered which it obeys; negative before
+   * the first.
+   */
+  double answeredFrom() {
+    return answeredFrom;
+  }
+
+  Machine machine() {
+    return machine;
+  }
+
+  void destroy() {
+    destroyed = true;
+    life.end();
+    dropAll();
+    around.network().forget(machine.id().text());
+  }
+
+  /**
+   * It ends and is back after so many seconds, with nothing on it; as a new worker: its counts and
+   * its token begin anew.
+   */
+  void restart(double seconds) {
+    if (!life.isAlive()) {
+      return;
+    }
+    life.end();
+    dropAll();
+    Life next = new Life();
+    clock.after(
+        seconds,
+        () -> {
+          if (!destroyed) {
+            life = next;
+            images = new ImageStore(clock, images.cacheGb(), images.rate());
+            session = 1;
+            order = 0;
+            token = 0;
+            reporting = false;
+            lastBeat = -1;
+            tokenTold = -100;
+            hangsUntil = 0;
+            leaseFrom = clock.seconds();
+            beatLater(0.1);
+            watchLease();
+          }
         });
-    }
-
-    /** The cloud gives notice that it takes the machine back. */
-    void notice(double seconds) {
-        takenAt = clock.seconds() + seconds;
-        beatLater(0.5);
-    }
-
-    private void dropAll() {
-        around.coldStarts().lost(machine.id());
-        Map<Key, Task> lost = Map.copyOf(tasks);
-        for (Map.Entry<Key, Task> entry : lost.entrySet()) {
-            keepCheckpoint(entry.getKey().task(), entry.getValue());
-            around.rules().off(entry.getKey().task(), machine.id());
-            around.tasks().gangTaskGone(entry.getKey().task(), entry.getKey().attempt());
-            if (entry.getValue().state.equals("pulling")) {
-                images.giveUp(around.job(entry.getKey().task().job()).image(), entry.getValue().there);
-            }
-            tasks.remove(entry.getKey());
-        }
-        lost.forEach((key, task) -> {
-            Job job = around.job(key.task().job());
-            if (job != null && job.shape() == Shape.GANG && task.ran && !task.isOver()) {
-                around.tasks().gangLost(job, key.attempt());
-            }
+  }
+
+  /** The cloud gives notice that it takes the machine back. */
+  void notice(double seconds) {
+    takenAt = clock.seconds() + seconds;
+    beatLater(0.5);
+  }
+
+  private void dropAll() {
+    around.coldStarts().lost(machine.id());
+    Map<Key, Task> lost = Map.copyOf(tasks);
+    for (Map.Entry<Key, Task> entry : lost.entrySet()) {
+      keepCheckpoint(entry.getKey().task(), entry.getValue());
+      around.rules().off(entry.getKey().task(), machine.id());
+      around.tasks().gangTaskGone(entry.getKey().task(), entry.getKey().attempt());
+      if (entry.getValue().state.equals("pulling")) {
+        images.giveUp(around.job(entry.getKey().task().job()).image(), entry.getValue().there);
+      }
+      tasks.remove(entry.getKey());
+    }
+    lost.forEach(
+        (key, task) -> {
+          Job job = around.job(key.task().job());
+          if (job != null && job.shape() == Shape.GANG && task.ran && !task.isOver()) {
+            around.tasks().gangLost(job, key.attempt());
+          }
         });
-    }
-
-    @Override
-    public boolean isUp() {
-        return life.isAlive();
-    }
-
-    @Override
-    public Object process() {
-        return life;
-    }
-
-    /** When the next report is due: they come a quarter earlier or later. */
-    private double reportS() {
-        return around.site().workers().report().seconds() * (0.75 + 0.5 * around.random().nextDouble());
-    }
-
-    // ---- reports ----
-
-    private void after(double seconds, Runnable action) {
-        Life begun = life;
-        clock.after(seconds, () -> {
-            if (begun != life) {
-                return; // put off by a worker that has ended since
-            }
-            if (life.isAlive() && clock.seconds() < hangsUntil) {
-                after(Math.max(hangsUntil - clock.seconds(), CLOCK_STEP_S), action);
-            } else if (life.isAlive()) {
-                action.run();
-            }
+  }
+
+  @Override
+  public boolean isUp() {
+    return life.isAlive();
+  }
+
+  @Override
+  public Object process() {
+    return life;
+  }
+
+  /** When the next report is due: they come a quarter earlier or later. */
+  private double reportS() {
+    return around.site().workers().report().seconds() * (0.75 + 0.5 * around.random().nextDouble());
+  }
+
+  // ---- reports ----
+
+  private void after(double seconds, Runnable action) {
+    Life begun = life;
+    clock.after(
+        seconds,
+        () -> {
+          if (begun != life) {
+            return; // put off by a worker that has ended since
+          }
+          if (life.isAlive() && clock.seconds() < hangsUntil) {
+            after(Math.max(hangsUntil - clock.seconds(), CLOCK_STEP_S), action);
+          } else if (life.isAlive()) {
+            action.run();
+          }
         });
-    }
-
-    /** Nothing happens here for a while; then the machine goes on, if its lease lets it. */
-    void hang(double seconds) {
-        hangsUntil = clock.seconds() + seconds;
-    }
-
-    /** What is sent here does not arrive for a while, answers to reports among it; what this machine sends does. */
-    void deafen(double seconds) {
-        deafUntil = clock.seconds() + seconds;
-    }
-
-    private boolean isDeaf() {
-        return clock.seconds() < deafUntil;
-    }
-
-    /** Whether it is up and well, and stays. */
-    boolean takesWork() {
-        return life.isAlive() && Double.isNaN(takenAt) && !traits.sick() && !isDeaf() && clock.seconds() >= hangsUntil && answeredFrom >= 0;
-    }
-
-    private void watchLease() {
-        double lease = around.site().workers().lease().seconds();
-        double held = (clock.seconds() - leaseFrom) * traits.clock();
-        if (held > lease) {
-            dropAll();
-            session++;
-            leaseFrom = clock.seconds();
-            beatLater(LEAST_BETWEEN_REPORTS_S);
-            held = 0;
-        }
-        // Also of a machine that hangs: it may go on within its lease, not after it.
-        Life begun = life;
-        clock.after(Math.max(LEASE_LOOK_S, (lease - held) / traits.clock()), () -> {
-            if (begun == life && life.isAlive()) {
-                watchLease();
-            }
+  }
+
+  /** Nothing happens here for a while; then the machine goes on, if its lease lets it. */
+  void hang(double seconds) {
+    hangsUntil = clock.seconds() + seconds;
+  }
+
+  /**
+   * What is sent here does not arrive for a while, answers to reports among it; what this machine
+   * sends does.
+   */
+  void deafen(double seconds) {
+    deafUntil = clock.seconds() + seconds;
+  }
+
+  private boolean isDeaf() {
+    return clock.seconds() < deafUntil;
+  }
+
+  /** Whether it is up and well, and stays. */
+  boolean takesWork() {
+    return life.isAlive()
+        && Double.isNaN(takenAt)
+        && !traits.sick()
+        && !isDeaf()
+        && clock.seconds() >= hangsUntil
+        && answeredFrom >= 0;
+  }
+
+  private void watchLease() {
+    double lease = around.site().workers().lease().seconds();
+    double held = (clock.seconds() - leaseFrom) * traits.clock();
+    if (held > lease) {
+      dropAll();
+      session++;
+      leaseFrom = clock.seconds();
+      beatLater(LEAST_BETWEEN_REPORTS_S);
+      held = 0;
+    }
+    // Also of a machine that hangs: it may go on within its lease, not after it.
+    Life begun = life;
+    clock.after(
+        Math.max(LEASE_LOOK_S, (lease - held) / traits.clock()),
+        () -> {
+          if (begun == life && life.isAlive()) {
+            watchLease();
+          }
         });
-    }
-
-    private void beatLater(double seconds) {
-        after(seconds, () -> {
-            if (!reporting && clock.seconds() - lastBeat >= 0.4) {
-                beat();
-            }
+  }
+
+  private void beatLater(double seconds) {
+    after(
+        seconds,
+        () -> {
+          if (!reporting && clock.seconds() - lastBeat >= 0.4) {
+            beat();
+          }
         });
-    }
-
-    private void beat() {
-        reporting = true;
-        lastBeat = clock.seconds();
-        long sentSession = session;
-        double sentAt = lastBeat;
-        HttpRequest request = HttpRequest.post("/agent/beat", report());
-        around.network().call(life, machine.id().text(), around.node(node), request, Span.ofSeconds(NO_ANSWER_S), outcome -> {
-            // An answer that does not arrive is missed only when its time is up.
-            boolean lost = isDeaf() && outcome.response() != null;
-            after(lost ? sentAt + NO_ANSWER_S - clock.seconds() : 0, () -> {
-                reporting = false;
-                answered(lost ? HttpOutcome.failed(true) : outcome, sentSession, sentAt);
+  }
+
+  private void beat() {
+    reporting = true;
+    lastBeat = clock.seconds();
+    long sentSession = session;
+    double sentAt = lastBeat;
+    HttpRequest request = HttpRequest.post("/agent/beat", report());
+    around
+        .network()
+        .call(
+            life,
+            machine.id().text(),
+            around.node(node),
+            request,
+            Span.ofSeconds(NO_ANSWER_S),
+            outcome -> {
+              // An answer that does not arrive is missed only when its time is up.
+              boolean lost = isDeaf() && outcome.response() != null;
+              after(
+                  lost ? sentAt + NO_ANSWER_S - clock.seconds() : 0,
+                  () -> {
+                    reporting = false;
+                    answered(lost ? HttpOutcome.failed(true) : outcome, sentSession, sentAt);
+                  });
             });
-        });
-    }
-
-    private void answered(HttpOutcome outcome, long sentSession, double sentAt) {
-        if (outcome.status() == 200 && sentSession == session) {
-            try {
-                Fields in = Json.parseFields(outcome.response().body());
-                long answerToken = in.has("Baton") ? in.unsigned("Baton") : 0;
-                if (answerToken >= token) {
-                    answeredFrom = sentAt;
-                    leaseFrom = Math.max(leaseFrom, sentAt);
-                    raise(answerToken);
-                    execute(in.objects("Orders"));
-                }
-            } catch (BadMessage e) {
-                throw new IllegalStateException(e);
-            }
-            beatLater(reportS());
-        } else if (outcome.status() == 421) {
-            int next = around.nodeNamed(new String(outcome.response().body(), StandardCharsets.UTF_8));
-            boolean known = next >= 0 && next != node;
-            node = known ? next : (node + 1) % around.site().nodes();
-            beatLater(known ? 0.4 : 1);
-        } else {
-            node = (node + 1) % around.site().nodes();
-            beatLater(1);
-        }
-    }
-
-    private void raise(long seen) {
-        if (seen > token) {
-            token = seen;
-            if (clock.seconds() - tokenTold > around.site().workers().lease().seconds() / 2) {
-                tokenTold = clock.seconds();
-                beatLater(0.5);
-            }
+  }
+
+  private void answered(HttpOutcome outcome, long sentSession, double sentAt) {
+    if (outcome.status() == 200 && sentSession == session) {
+      try {
+        Fields in = Json.parseFields(outcome.response().body());
+        long answerToken = in.has("Baton") ? in.unsigned("Baton") : 0;
+        if (answerToken >= token) {
+          answeredFrom = sentAt;
+          leaseFrom = Math.max(leaseFrom, sentAt);
+          raise(answerToken);
+          execute(in.objects("Orders"));
         }
-    }
-
-    private byte[] report() {
-        List<Object> pieces = new ArrayList<>();
-        tasks.forEach((key, task) -> {
-            Map<String, Object> piece = Json.object("Piece", key.task().toString(), "Try", key.attempt(), "Status", task.state);
-            if (task.cause != null) {
-                piece.put("Cause", task.cause);
-                piece.put("Stored", task.saved);
-            }
-            pieces.add(piece);
+      } catch (BadMessage e) {
+        throw new IllegalStateException(e);
+      }
+      beatLater(reportS());
+    } else if (outcome.status() == 421) {
+      int next = around.nodeNamed(new String(outcome.response().body(), StandardCharsets.UTF_8));
+      boolean known = next >= 0 && next != node;
+      node = known ? next : (node + 1) % around.site().nodes();
+      beatLater(known ? 0.4 : 1);
+    } else {
+      node = (node + 1) % around.site().nodes();
+      beatLater(1);
+    }
+  }
+
+  private void raise(long seen) {
+    if (seen > token) {
+      token = seen;
+      if (clock.seconds() - tokenTold > around.site().workers().lease().seconds() / 2) {
+        tokenTold = clock.seconds();
+        beatLater(0.5);
+      }
+    }
+  }
+
+  private byte[] report() {
+    List<Object> pieces = new ArrayList<>();
+    tasks.forEach(
+        (key, task) -> {
+          Map<String, Object> piece =
+              Json.object(
+                  "Piece", key.task().toString(), "Try", key.attempt(), "Status", task.state);
+          if (task.cause != null) {
+            piece.put("Cause", task.cause);
+            piece.put("Stored", task.saved);
+          }
+          pieces.add(piece);
         });
-        Map<String, Object> out = Json.object("Host", machine.id().text(), "Addr", machine.address().toString(), "Hull",
-                machine.type(), "Yard", machine.zone(), "Loaners", machine.spot(), "Shift", session, "Tick", ++order, "Baton",
-                token, "Pieces", pieces);
-        if (!Double.isNaN(takenAt)) {
-            out.put("RecallS", Math.max(0, takenAt - clock.seconds()));
-        }
-        return Json.write(out);
-    }
-
-    // ---- commands ----
-
-    @Override
-    public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
-        if (isDeaf()) {
-            return; // whoever asked waits until its time is up
+    Map<String, Object> out =
+        Json.object(
+            "Host",
+            machine.id().text(),
+            "Addr",
+            machine.address().toString(),
+            "Hull",
+            machine.type(),
+            "Yard",
+            machine.zone(),
+            "Loaners",
+            machine.spot(),
+            "Shift",
+            session,
+            "Tick",
+            ++order,
+            "Baton",
+            token,
+            "Pieces",
+            pieces);
+    if (!Double.isNaN(takenAt)) {
+      out.put("RecallS", Math.max(0, takenAt - clock.seconds()));
+    }
+    return Json.write(out);
+  }
+
+  // ---- commands ----
+
+  @Override
+  public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
+    if (isDeaf()) {
+      return; // whoever asked waits until its time is up
+    }
+    if (clock.seconds() < hangsUntil) {
+      after(
+          Math.max(hangsUntil - clock.seconds(), CLOCK_STEP_S),
+          () -> request(from, request, reply));
+      return;
+    }
+    if (request.path().equals("/status")) {
+      reply.accept(HttpResponse.of(200, report()));
+      return;
+    }
+    try {
+      Fields in = Json.parseFields(request.body());
+      if (in.unsigned("Baton") < token || in.unsigned("Shift") != session) {
+        reply.accept(HttpResponse.of(409, report()));
+        return;
+      }
+      raise(in.unsigned("Baton"));
+      execute(in.objects("Orders"));
+      reply.accept(HttpResponse.of(200, report()));
+    } catch (BadMessage e) {
+      reply.accept(HttpResponse.of(400));
+    }
+  }
+
+  private void execute(List<Fields> orders) throws BadMessage {
+    for (Fields command : orders) {
+      Key key = new Key(TaskId.parse(command.text("Piece")), command.unsigned("Try"));
+      Task task = tasks.get(key);
+      switch (command.text("Verb")) {
+        case "start" -> {
+          if (task == null) {
+            start(key);
+          }
         }
-        if (clock.seconds() < hangsUntil) {
-            after(Math.max(hangsUntil - clock.seconds(), CLOCK_STEP_S), () -> request(from, request, reply));
-            return;
+        case "halt" -> {
+          if (task != null && !task.isOver()) {
+            halt(key, task, command.amount("WindDownS"));
+          }
         }
-        if (request.path().equals("/status")) {
-            reply.accept(HttpResponse.of(200, report()));
-            return;
+        case "clear" -> {
+          if (task != null && task.isOver()) {
+            tasks.remove(key);
+          }
         }
-        try {
-            Fields in = Json.parseFields(request.body());
-            if (in.unsigned("Baton") < token || in.unsigned("Shift") != session) {
-                reply.accept(HttpResponse.of(409, report()));
-                return;
+        default -> throw new IllegalStateException();
+      }
+    }
+  }
+
+  private void start(Key key) {
+    Job job = around.job(key.task().job());
+    if (job == null || key.task().index() >= job.tasks()) {
+      Task unknown = new Task();
+      unknown.state = "exited";
+      unknown.cause = "no_such";
+      tasks.put(key, unknown);
+      return;
+    }
+    boolean inUse =
+        tasks.entrySet().stream()
+            .anyMatch(
+                other -> !other.getValue().isOver() && other.getKey().task().equals(key.task()));
+    Task task = new Task();
+    tasks.put(key, task);
+    if (inUse || !used().fitsIn(capacity)) {
+      task.state = "exited";
+      task.cause = inUse ? "in_use" : "full";
+      return;
+    }
+    task.there =
+        () -> {
+          if (life.isAlive() && tasks.get(key) == task && task.state.equals("pulling")) {
+            around.rules().on(key.task(), machine);
+            beatLater(0.5);
+            if (job.shape() == Shape.GANG) {
+              gather(key, task, job);
+            } else {
+              run(key, task, job, around.tasks().secondsLeft(key.task()) / traits.speed());
             }
-            raise(in.unsigned("Baton"));
-            execute(in.objects("Orders"));
-            reply.accept(HttpResponse.of(200, report()));
-        } catch (BadMessage e) {
-            reply.accept(HttpResponse.of(400));
-        }
-    }
-
-    private void execute(List<Fields> orders) throws BadMessage {
-        for (Fields command : orders) {
-            Key key = new Key(TaskId.parse(command.text("Piece")), command.unsigned("Try"));
-            Task task = tasks.get(key);
-            switch (command.text("Verb")) {
-                case "start" -> {
-                    if (task == null) {
-                        start(key);
-                    }
-                }
-                case "halt" -> {
-                    if (task != null && !task.isOver()) {
-                        halt(key, task, command.amount("WindDownS"));
-                    }
-                }
-                case "clear" -> {
-                    if (task != null && task.isOver()) {
-                        tasks.remove(key);
-                    }
-                }
-                default -> throw new IllegalStateException();
+          }
+        };
+    around
+        .coldStarts()
+        .started(key.task(), machine.id(), images.want(job.image(), job.imageGb(), task.there));
+  }
+
+  private void gather(Key key, Task task, Job job) {
+    task.state = "gathering";
+    after(
+        around.site().workers().gangWait().seconds(),
+        () -> {
+          if (tasks.get(key) == task && task.state.equals("gathering")) {
+            exit(key, task, "alone");
+          }
+        });
+    around.tasks().gangGathers(job, key.task(), key.attempt(), this);
+  }
+
+  private void run(Key key, Task task, Job job, double seconds) {
+    task.state = "running";
+    task.runningFrom = clock.seconds();
+    task.ran = true;
+    beatLater(0.5);
+    boolean mistaken = around.users().isMistaken(job.id());
+    if (traits.sick() || mistaken) {
+      after(
+          mistaken ? MISTAKE_AFTER_S : FAILS_AFTER_S,
+          () -> {
+            if (tasks.get(key) == task && !task.isOver()) {
+              if (mistaken) {
+                around.users().mistakeMade(job.id());
+              }
+              exit(key, task, "error");
             }
-        }
-    }
-
-    private void start(Key key) {
-        Job job = around.job(key.task().job());
-        if (job == null || key.task().index() >= job.tasks()) {
-            Task unknown = new Task();
-            unknown.state = "exited";
-            unknown.cause = "no_such";
-            tasks.put(key, unknown);
-            return;
-        }
-        boolean inUse = tasks.entrySet().stream().anyMatch(other -> !other.getValue().isOver() && other.getKey().task().equals(key.task()));
-        Task task = new Task();
-        tasks.put(key, task);
-        if (inUse || !used().fitsIn(capacity)) {
-            task.state = "exited";
-            task.cause = inUse ? "in_use" : "full";
-            return;
-        }
-        task.there = () -> {
-            if (life.isAlive() && tasks.get(key) == task && task.state.equals("pulling")) {
-                around.rules().on(key.task(), machine);
-                beatLater(0.5);
-                if (job.shape() == Shape.GANG) {
-                    gather(key, task, job);
-                } else {
-                    run(key, task, job, around.tasks().secondsLeft(key.task()) / traits.speed());
-                }
+          });
+    } else if (job.shape() != Shape.SERVICE) {
+      after(
+          seconds,
+          () -> {
+            if (tasks.get(key) == task && task.state.equals("running")) {
+              if (job.shape() == Shape.GANG) {
+                around.tasks().completeGang(job, key.attempt());
+              } else {
+                complete(key.task(), key.attempt());
+              }
             }
-        };
-        around.coldStarts().started(key.task(), machine.id(), images.want(job.image(), job.imageGb(), task.there));
-    }
-
-    private void gather(Key key, Task task, Job job) {
-        task.state = "gathering";
-        after(around.site().workers().gangWait().seconds(), () -> {
-            if (tasks.get(key) == task && task.state.equals("gathering")) {
-                exit(key, task, "alone");
+          });
+    }
+  }
+
+  // ---- gangs ----
+
+  /** Whether a task of a gang waits here for the others of its attempt. */
+  boolean gathers(TaskId id, long attempt) {
+    Task task = tasks.get(new Key(id, attempt));
+    return task != null && task.state.equals("gathering");
+  }
+
+  Resources capacity() {
+    return capacity;
+  }
+
+  Resources used() {
+    return tasks.entrySet().stream()
+        .filter(each -> !each.getValue().isOver())
+        .map(each -> around.job(each.getKey().task().job()).each())
+        .reduce(Resources.NONE, Resources::plus);
+  }
+
+  double speed() {
+    return traits.speed();
+  }
+
+  /** All tasks of the attempt have their images: they start together, and run for so long. */
+  void gangStarts(Job job, TaskId id, long attempt, double seconds) {
+    Key key = new Key(id, attempt);
+    Task task = tasks.get(key);
+    if (task != null && task.state.equals("gathering")) {
+      run(key, task, job, seconds);
+    }
+  }
+
+  /** Another task of the gang is gone: this one notices after a while. */
+  void gangLost(TaskId id, long attempt) {
+    Key key = new Key(id, attempt);
+    Task task = tasks.get(key);
+    if (task != null && task.state.equals("running")) {
+      after(
+          around.site().workers().gangPeer().seconds(),
+          () -> {
+            if (tasks.get(key) == task && !task.isOver()) {
+              exit(key, task, "peers");
             }
-        });
-        around.tasks().gangGathers(job, key.task(), key.attempt(), this);
-    }
-
-    private void run(Key key, Task task, Job job, double seconds) {
-        task.state = "running";
-        task.runningFrom = clock.seconds();
-        task.ran = true;
-        beatLater(0.5);
-        boolean mistaken = around.users().isMistaken(job.id());
-        if (traits.sick() || mistaken) {
-            after(mistaken ? MISTAKE_AFTER_S : FAILS_AFTER_S, () -> {
-                if (tasks.get(key) == task && !task.isOver()) {
-                    if (mistaken) {
-                        around.users().mistakeMade(job.id());
-                    }
-                    exit(key, task, "error");
-                }
-            });
-        } else if (job.shape() != Shape.SERVICE) {
-            after(seconds, () -> {
-                if (tasks.get(key) == task && task.state.equals("running")) {
-                    if (job.shape() == Shape.GANG) {
-                        around.tasks().completeGang(job, key.attempt());
-                    } else {
-                        complete(key.task(), key.attempt());
-                    }
-                }
-            });
-        }
-    }
-
-    // ---- gangs ----
-
-    /** Whether a task of a gang waits here for the others of its attempt. */
-    boolean gathers(TaskId id, long attempt) {
-        Task task = tasks.get(new Key(id, attempt));
-        return task != null && task.state.equals("gathering");
-    }
-
-    Resources capacity() {
-        return capacity;
-    }
-
-    Resources used() {
-        return tasks.entrySet().stream().filter(each -> !each.getValue().isOver()).map(each -> around.job(each.getKey().task().job()).each())
-                .reduce(Resources.NONE, Resources::plus);
-    }
-
-    double speed() {
-        return traits.speed();
-    }
-
-    /** All tasks of the attempt have their images: they start together, and run for so long. */
-    void gangStarts(Job job, TaskId id, long attempt, double seconds) {
-        Key key = new Key(id, attempt);
-        Task task = tasks.get(key);
-        if (task != null && task.state.equals("gathering")) {
-            run(key, task, job, seconds);
-        }
-    }
-
-    /** Another task of the gang is gone: this one notices after a while. */
-    void gangLost(TaskId id, long attempt) {
-        Key key = new Key(id, attempt);
-        Task task = tasks.get(key);
-        if (task != null && task.state.equals("running")) {
-            after(around.site().workers().gangPeer().seconds(), () -> {
-                if (tasks.get(key) == task && !task.isOver()) {
-                    exit(key, task, "peers");
-                }
-            });
-        }
-    }
-
-    // ---- ends ----
-
-    private void halt(Key key, Task task, double windDown) {
-        Job job = around.job(key.task().job());
-        if (task.state.equals("running") && job.saves() && windDown >= job.saveTime().seconds()) {
-            task.state = "saving";
-            after(job.saveTime().seconds(), () -> {
-                if (tasks.get(key) == task && task.state.equals("saving")) {
-                    task.saved = true;
-                    around.tasks().save(key.task(), progress(task));
-                    exit(key, task, "stopped");
-                }
-            });
-        } else if (!task.state.equals("saving") || windDown == 0) {
-            exit(key, task, "stopped");
-        }
-    }
-
-    private double progress(Task task) {
-        return task.ran ? (clock.seconds() - task.runningFrom) * traits.speed() : 0;
-    }
-
-    private void keepCheckpoint(TaskId id, Task task) {
-        Job job = around.job(id.job());
-        double every = job == null ? 0 : job.checkpointEvery().seconds();
-        if (every > 0 && !task.isOver()) {
-            around.tasks().save(id, Math.floor(progress(task) / every) * every);
-        }
-    }
-
-    /** The task, if it is here with this attempt, is done. */
-    void complete(TaskId id, long attempt) {
-        Key key = new Key(id, attempt);
-        Task task = tasks.get(key);
-        if (task != null && !task.isOver()) {
-            exit(key, task, "done");
-            around.rules().completed(id);
-        }
-    }
-
-    private void exit(Key key, Task task, String cause) {
-        if (!cause.equals("done") && !task.saved) {
-            keepCheckpoint(key.task(), task);
-        }
-        boolean ran = task.ran;
-        if (task.state.equals("pulling")) {
-            images.giveUp(around.job(key.task().job()).image(), task.there);
-        }
-        task.state = "exited";
-        task.cause = cause;
-        around.rules().off(key.task(), machine.id());
-        around.tasks().gangTaskGone(key.task(), key.attempt());
-        beatLater(0.5);
-        Job job = around.job(key.task().job());
-        if (job.shape() == Shape.GANG && ran && !cause.equals("done") && !cause.equals("peers")) {
-            around.tasks().gangLost(job, key.attempt());
-        }
-    }
+          });
+    }
+  }
+
+  // ---- ends ----
+
+  private void halt(Key key, Task task, double windDown) {
+    Job job = around.job(key.task().job());
+    if (task.state.equals("running") && job.saves() && windDown >= job.saveTime().seconds()) {
+      task.state = "saving";
+      after(
+          job.saveTime().seconds(),
+          () -> {
+            if (tasks.get(key) == task && task.state.equals("saving")) {
+              task.saved = true;
+              around.tasks().save(key.task(), progress(task));
+              exit(key, task, "stopped");
+            }
+          });
+    } else if (!task.state.equals("saving") || windDown == 0) {
+      exit(key, task, "stopped");
+    }
+  }
+
+  private double progress(Task task) {
+    return task.ran ? (clock.seconds() - task.runningFrom) * traits.speed() : 0;
+  }
+
+  private void keepCheckpoint(TaskId id, Task task) {
+    Job job = around.job(id.job());
+    double every = job == null ? 0 : job.checkpointEvery().seconds();
+    if (every > 0 && !task.isOver()) {
+      around.tasks().save(id, Math.floor(progress(task) / every) * every);
+    }
+  }
+
+  /** The task, if it is here with this attempt, is done. */
+  void complete(TaskId id, long attempt) {
+    Key key = new Key(id, attempt);
+    Task task = tasks.get(key);
+    if (task != null && !task.isOver()) {
+      exit(key, task, "done");
+      around.rules().completed(id);
+    }
+  }
+
+  private void exit(Key key, Task task, String cause) {
+    if (!cause.equals("done") && !task.saved) {
+      keepCheckpoint(key.task(), task);
+    }
+    boolean ran = task.ran;
+    if (task.state.equals("pulling")) {
+      images.giveUp(around.job(key.task().job()).image(), task.there);
+    }
+    task.state = "exited";
+    task.cause = cause;
+    around.rules().off(key.task(), machine.id());
+    around.tasks().gangTaskGone(key.task(), key.attempt());
+    beatLater(0.5);
+    Job job = around.job(key.task().job());
+    if (job.shape() == Shape.GANG && ran && !cause.equals("done") && !cause.equals("peers")) {
+      around.tasks().gangLost(job, key.attempt());
+    }
+  }
 }
--- a/src/main/java/org/quincecross/emulator/World.java
+++ b/src/main/java/org/quincecross/emulator/World.java
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import java.util.function.Predicate;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
+import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import org.quincecross.api.Controller;
 import org.quincecross.api.PeerSender;
@@ -32,436 +32,555 @@
 import org.quincecross.wire.Json;
 import org.quincecross.wire.Settings;
 
-/** A whole deployment in virtual time, on one thread: controllers as they are, everything around them a stand-in. */
+/**
+ * A whole deployment in virtual time, on one thread: controllers as they are, everything around
+ * them a stand-in.
+ */
 final class World {
-    private static final Endpoint STATE = new Endpoint("10.2.0.1", 2379);
-    private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 8443);
-
-    /** The time of day when a world begins. */
-    static final double EPOCH_S = 1_000_000;
-
-    private final VirtualTime time = new VirtualTime();
-    private final Site site;
-    private final BiConsumer<Integer, Controller> prepare;
-    private final Features[] features;
-    private final Random random;
-    private final VirtualNet net;
-    private final Surroundings around;
-    private final Meter meter;
-    private final List<Endpoint> nodes;
-    private final Map<Integer, Map<String, Team>> toldTeams = new HashMap<>();
-    /** What a controller is told of the state service's limits, by its number; those of the site where nothing is said. */
-    private final Map<Integer, Settings.StateLimits> toldLimits = new HashMap<>();
-    private boolean memoryIsShort;
-    private Trap trap;
-    private double clockAheadS = EPOCH_S;
-    private final Map<String, Double> longestAnswers = new TreeMap<>();
-    private final Life[] lives;
-    private final Controller[] controllers;
-    /** Connections between controllers that something was sent on while the other side was silent. */
-    private final Set<String> hanging = new HashSet<>();
-    private final Map<String, Double> hangsUntil = new HashMap<>();
-    private final Map<Set<String>, Double> refusedUntil = new HashMap<>();
-
-    /** A small site with odd machines and a state service that now and then applies a transaction late. */
-    World(long seed) {
-        this(Site.small(), seed, Meter.OFF);
-        state().applyLate(60);
-    }
-
-    World(Site site, long seed, Meter meter) {
-        this(site, seed, meter, Features.NONE);
-    }
-
-    /** @param features what is switched on in all controllers */
-    World(Site site, long seed, Meter meter, Features features) {
-        this(site, seed, meter, features, (node, controller) -> { });
-    }
-
-    /** @param prepare done with each controller, by its number, before it is started */
-    World(Site site, long seed, Meter meter, Features features, BiConsumer<Integer, Controller> prepare) {
-        this.prepare = prepare;
-        this.site = site;
-        this.features = new Features[site.nodes()];
-        Arrays.fill(this.features, features);
-        this.meter = meter;
-        random = new Random(seed);
-        net = new VirtualNet(time, random);
-        nodes = IntStream.range(0, site.nodes()).mapToObj(node -> new Endpoint("10.0.0." + (node + 1), 8080)).toList();
-        lives = new Life[site.nodes()];
-        controllers = new Controller[site.nodes()];
-        around = new Surroundings(site, time, net, random, nodes, CLOUD, Collections.nCopies(site.nodes(), STATE));
-        net.watchStarts(this::checkStarts);
-        for (int node = 0; node < site.nodes(); node++) {
-            hostNode(node);
-            startNode(node);
+  private static final Endpoint STATE = new Endpoint("10.2.0.1", 2379);
+  private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 8443);
+
+  /** The time of day when a world begins. */
+  static final double EPOCH_S = 1_000_000;
+
+  private final VirtualTime time = new VirtualTime();
+  private final Site site;
+  private final BiConsumer<Integer, Controller> prepare;
+  private final Features[] features;
+  private final Random random;
+  private final VirtualNet net;
+  private final Surroundings around;
+  private final Meter meter;
+  private final List<Endpoint> nodes;
+  private final Map<Integer, Map<String, Team>> toldTeams = new HashMap<>();
+
+  /**
+   * What a controller is told of the state service's limits, by its number; those of the site where
+   * nothing is said.
+   */
+  private final Map<Integer, Settings.StateLimits> toldLimits = new HashMap<>();
+
+  private boolean memoryIsShort;
+  private Trap trap;
+  private double clockAheadS = EPOCH_S;
+  private final Map<String, Double> longestAnswers = new TreeMap<>();
+  private final Life[] lives;
+  private final Controller[] controllers;
+
+  /** Connections between controllers that something was sent on while the other side was silent. */
+  private final Set<String> hanging = new HashSet<>();
+
+  private final Map<String, Double> hangsUntil = new HashMap<>();
+  private final Map<Set<String>, Double> refusedUntil = new HashMap<>();
+
+  /**
+   * A small site with odd machines and a state service that now and then applies a transaction
+   * late.
+   */
+  World(long seed) {
+    this(Site.small(), seed, Meter.OFF);
+    state().applyLate(60);
+  }
+
+  World(Site site, long seed, Meter meter) {
+    this(site, seed, meter, Features.NONE);
+  }
+
+  /**
+   * @param features what is switched on in all controllers
+   */
+  World(Site site, long seed, Meter meter, Features features) {
+    this(site, seed, meter, features, (node, controller) -> {});
+  }
+
+  /**
+   * @param prepare done with each controller, by its number, before it is started
+   */
+  World(
+      Site site,
+      long seed,
+      Meter meter,
+      Features features,
+      BiConsumer<Integer, Controller> prepare) {
+    this.prepare = prepare;
+    this.site = site;
+    this.features = new Features[site.nodes()];
+    Arrays.fill(this.features, features);
+    this.meter = meter;
+    random = new Random(seed);
+    net = new VirtualNet(time, random);
+    nodes =
+        IntStream.range(0, site.nodes())
+            .mapToObj(node -> new Endpoint("10.0.0." + (node + 1), 8080))
+            .toList();
+    lives = new Life[site.nodes()];
+    controllers = new Controller[site.nodes()];
+    around =
+        new Surroundings(
+            site, time, net, random, nodes, CLOUD, Collections.nCopies(site.nodes(), STATE));
+    net.watchStarts(this::checkStarts);
+    for (int node = 0; node < site.nodes(); node++) {
+      hostNode(node);
+      startNode(node);
+    }
+  }
+
+  /**
+   * What leaves for a machine is looked at once a job is cancelled: what was under way before that
+   * is not held against anybody.
+   */
+  private void checkStarts(byte[] message) {
+    if (!rules().hasCancelled() || message.length == 0) {
+      return;
+    }
+    try {
+      Fields in = Json.parseFields(message);
+      for (Fields order : in.has("Orders") ? in.objects("Orders") : List.<Fields>of()) {
+        if (order.text("Verb").equals("start")) {
+          rules().startSent(TaskId.parse(order.text("Piece")).job());
         }
-    }
-
-    /** What leaves for a machine is looked at once a job is cancelled: what was under way before that is not held against anybody. */
-    private void checkStarts(byte[] message) {
-        if (!rules().hasCancelled() || message.length == 0) {
-            return;
-        }
-        try {
-            Fields in = Json.parseFields(message);
-            for (Fields order : in.has("Orders") ? in.objects("Orders") : List.<Fields>of()) {
-                if (order.text("Verb").equals("start")) {
-                    rules().startSent(TaskId.parse(order.text("Piece")).job());
-                }
-            }
-        } catch (BadMessage e) {
-            throw new IllegalStateException(e);
-        }
-    }
-
-    /** Has an observer see every message from now on. */
-    void observe(MessageObserver observer) {
-        net.observe(observer);
-    }
-
-    Site site() {
-        return site;
-    }
-
-    VirtualTime time() {
-        return time;
-    }
-
-    Surroundings around() {
-        return around;
-    }
-
-    Rules rules() {
-        return around.rules();
-    }
-
-    Random random() {
-        return random;
-    }
-
-    StateService state() {
-        return around.state();
-    }
-
-    Cloud cloud() {
-        return around.cloud();
-    }
-
-    Users users() {
-        return around.users();
-    }
-
-    Job job(JobId id) {
-        return around.job(id);
-    }
-
-    Team team(String name) {
-        return site.teams().get(name);
-    }
-
-    int nodeCount() {
-        return site.nodes();
-    }
-
-    // ---- controllers ----
-
-    private void hostNode(int node) {
-        net.host(nodes.get(node), Site.nodeName(node), new Network.Host() {
-            @Override
-            public boolean isUp() {
-                return lives[node] != null && lives[node].isAlive();
-            }
-
-            @Override
-            public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
-                Life life = lives[node];
-                String kind = request.method() + " " + kind(request.path());
-                double begun = time.seconds();
-                time.whenAwake(life, () -> meter.run(kind, () -> controllers[node].handle(request, response -> {
-                    if (life.isAlive()) {
-                        longestAnswers.merge(kind, time.seconds() - begun, Math::max);
-                        reply.accept(response);
-                    }
-                })));
-            }
+      }
+    } catch (BadMessage e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  /** Has an observer see every message from now on. */
+  void observe(MessageObserver observer) {
+    net.observe(observer);
+  }
+
+  Site site() {
+    return site;
+  }
+
+  VirtualTime time() {
+    return time;
+  }
+
+  Surroundings around() {
+    return around;
+  }
+
+  Rules rules() {
+    return around.rules();
+  }
+
+  Random random() {
+    return random;
+  }
+
+  StateService state() {
+    return around.state();
+  }
+
+  Cloud cloud() {
+    return around.cloud();
+  }
+
+  Users users() {
+    return around.users();
+  }
+
+  Job job(JobId id) {
+    return around.job(id);
+  }
+
+  Team team(String name) {
+    return site.teams().get(name);
+  }
+
+  int nodeCount() {
+    return site.nodes();
+  }
+
+  // ---- controllers ----
+
+  private void hostNode(int node) {
+    net.host(
+        nodes.get(node),
+        Site.nodeName(node),
+        new Network.Host() {
+          @Override
+          public boolean isUp() {
+            return lives[node] != null && lives[node].isAlive();
+          }
+
+          @Override
+          public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
+            Life life = lives[node];
+            String kind = request.method() + " " + kind(request.path());
+            double begun = time.seconds();
+            time.whenAwake(
+                life,
+                () ->
+                    meter.run(
+                        kind,
+                        () ->
+                            controllers[node].handle(
+                                request,
+                                response -> {
+                                  if (life.isAlive()) {
+                                    longestAnswers.merge(kind, time.seconds() - begun, Math::max);
+                                    reply.accept(response);
+                                  }
+                                })));
+          }
         });
-    }
-
-    /** The longest that a controller took for an answer, in seconds, by method and path; the way there and back is not in it. */
-    Map<String, Double> longestAnswers() {
-        return longestAnswers;
-    }
-
-    /** A path without ids. */
-    private static String kind(String path) {
-        String kind = path.replaceAll("[0-9]+", "N");
-        int last = kind.indexOf('/', 1);
-        return last < 0 ? kind : kind.substring(0, last) + "/…" + (kind.endsWith("/cancel") ? "/cancel" : "");
-    }
-
-    private void startNode(int node) {
-        if (lives[node] != null) {
-            lives[node].end(); // where two troubles had it started anew, the second start takes the first one's place
+  }
+
+  /**
+   * The longest that a controller took for an answer, in seconds, by method and path; the way there
+   * and back is not in it.
+   */
+  Map<String, Double> longestAnswers() {
+    return longestAnswers;
+  }
+
+  /** A path without ids. */
+  private static String kind(String path) {
+    String kind = path.replaceAll("[0-9]+", "N");
+    int last = kind.indexOf('/', 1);
+    return last < 0
+        ? kind
+        : kind.substring(0, last) + "/…" + (kind.endsWith("/cancel") ? "/cancel" : "");
+  }
+
+  private void startNode(int node) {
+    if (lives[node] != null) {
+      lives[node]
+          .end(); // where two troubles had it started anew, the second start takes the first one's
+      // place
+    }
+    Life life = new Life();
+    lives[node] = life;
+    String name = Site.nodeName(node);
+    controllers[node] =
+        new Controller(
+            time.timersOf(
+                life, random.nextInt(1_000_000_000), 1 + 0.0005 * random.nextDouble(), meter),
+            (to, request, timeout, done) -> {
+              Runnable send =
+                  () ->
+                      net.call(
+                          life,
+                          name,
+                          to,
+                          request,
+                          timeout,
+                          outcome ->
+                              time.whenAwake(
+                                  life,
+                                  () ->
+                                      meter.run(
+                                          "answer " + kind(request.path()),
+                                          () -> done.accept(outcome))));
+              double late = trap == null ? 0 : trap.sprung(node, request);
+              if (late > 0) {
+                time.after(late, send);
+              } else {
+                send.run();
+              }
+            },
+            peerLinks(name),
+            site.with(toldTeams.getOrDefault(node, site.teams()))
+                .with(toldLimits.getOrDefault(node, site.stateLimits()))
+                .settings(node, nodes, nodes, CLOUD, STATE),
+            features[node],
+            () -> (long) ((time.seconds() + clockAheadS) * 1000),
+            () -> memoryIsShort);
+    prepare.accept(node, controllers[node]);
+    meter.run("start", controllers[node]::start);
+  }
+
+  private PeerSender peerLinks(String name) {
+    return new PeerSender() {
+      @Override
+      public boolean send(MemberId peer, byte[] frame) {
+        int other = Integer.parseInt(peer.text().substring(1));
+        if (refusedUntil.getOrDefault(Set.of(name, peer.text()), 0.0) > time.seconds()) {
+          return false;
         }
-        Life life = new Life();
-        lives[node] = life;
-        String name = Site.nodeName(node);
-        controllers[node] = new Controller(time.timersOf(life, random.nextInt(1_000_000_000), 1 + 0.0005 * random.nextDouble(), meter),
-                (to, request, timeout, done) -> {
-                    Runnable send = () -> net.call(life, name, to, request, timeout,
-                            outcome -> time.whenAwake(life, () -> meter.run("answer " + kind(request.path()), () -> done.accept(outcome))));
-                    double late = trap == null ? 0 : trap.sprung(node, request);
-                    if (late > 0) {
-                        time.after(late, send);
-                    } else {
-                        send.run();
-                    }
-                },
-                peerLinks(name), site.with(toldTeams.getOrDefault(node, site.teams())).with(toldLimits.getOrDefault(node, site.stateLimits())).settings(node, nodes, nodes, CLOUD, STATE), features[node], () -> (long) ((time.seconds() + clockAheadS) * 1000), () -> memoryIsShort);
-        prepare.accept(node, controllers[node]);
-        meter.run("start", controllers[node]::start);
-    }
-
-    private PeerSender peerLinks(String name) {
-        return new PeerSender() {
-            @Override
-            public boolean send(MemberId peer, byte[] frame) {
-                int other = Integer.parseInt(peer.text().substring(1));
-                if (refusedUntil.getOrDefault(Set.of(name, peer.text()), 0.0) > time.seconds()) {
-                    return false;
-                }
-                net.frameSent(frame);
-                if (net.isSilent(peer.text())) {
-                    hanging.add(name + " " + peer);
-                }
-                // Tried again by TCP only when as much time has passed again as the silence took; a new connection is quicker.
-                boolean hangs = hanging.contains(name + " " + peer) && time.seconds() < hangsUntil.getOrDefault(peer.text(), 0.0);
-                if (!hangs) {
-                    net.send(name, peer.text(), () -> {
-                        Controller to = controllers[other];
-                        time.whenAwake(lives[other], () -> meter.run("peer report", () -> to.frame(frame)));
-                    });
-                }
-                return true;
-            }
-
-            @Override
-            public void renew(MemberId peer) {
-                hanging.remove(name + " " + peer);
-            }
-        };
-    }
-
-    /** A controller says nothing and hears nothing for a while, then is back, with its memory or started anew without. */
-    void silence(int node, double seconds, boolean keepsMemory) {
-        net.silence(Site.nodeName(node), time.seconds() + seconds);
-        hangsUntil.put(Site.nodeName(node), time.seconds() + 2 * seconds);
-        if (!keepsMemory) {
-            down(node, seconds);
+        net.frameSent(frame);
+        if (net.isSilent(peer.text())) {
+          hanging.add(name + " " + peer);
         }
-    }
-
-    /** What may come over a controller as it sends a message. */
-    enum Mishap {
-        /** It has decided, and stands still before the message is sent: the packet goes out late. */
-        STILL_BEFORE,
-        /** The message is sent, and its answer waits for the controller. */
-        STILL_AFTER,
-        /** The message is the last that is heard of it for a while. */
-        SILENT,
-        /** The message alone is held up by the network; its sender goes on, and gives up on it. */
-        HELD
-    }
-
-    /** A controller that sends a request of a kind for the first time meets with a mishap. */
-    private final class Trap {
-        private final Predicate<String> request;
-        private final double seconds;
-        private final Mishap mishap;
-        private int sprungAt = -1;
-
-        Trap(Predicate<String> request, double seconds, Mishap mishap) {
-            this.request = request;
-            this.seconds = seconds;
-            this.mishap = mishap;
+        // Tried again by TCP only when as much time has passed again as the silence took; a new
+        // connection is quicker.
+        boolean hangs =
+            hanging.contains(name + " " + peer)
+                && time.seconds() < hangsUntil.getOrDefault(peer.text(), 0.0);
+        if (!hangs) {
+          net.send(
+              name,
+              peer.text(),
+              () -> {
+                Controller to = controllers[other];
+                time.whenAwake(lives[other], () -> meter.run("peer report", () -> to.frame(frame)));
+              });
         }
-
-        /** For how long a request waits to be sent. */
-        double sprung(int node, HttpRequest sent) {
-            if (sprungAt >= 0 || !request.test(sent.method() + " " + sent.path() + " " + new String(sent.body(), StandardCharsets.UTF_8))) {
-                return 0;
-            }
-            sprungAt = node;
-            if (mishap == Mishap.HELD) {
-                net.holdNext(seconds);
-            } else if (mishap == Mishap.SILENT) {
-                time.after(0.006, () -> silence(node, seconds, true));
-            } else {
-                standStill(node, seconds);
-            }
-            return mishap == Mishap.STILL_BEFORE ? seconds : 0;
+        return true;
+      }
+
+      @Override
+      public void renew(MemberId peer) {
+        hanging.remove(name + " " + peer);
+      }
+    };
+  }
+
+  /**
+   * A controller says nothing and hears nothing for a while, then is back, with its memory or
+   * started anew without.
+   */
+  void silence(int node, double seconds, boolean keepsMemory) {
+    net.silence(Site.nodeName(node), time.seconds() + seconds);
+    hangsUntil.put(Site.nodeName(node), time.seconds() + 2 * seconds);
+    if (!keepsMemory) {
+      down(node, seconds);
+    }
+  }
+
+  /** What may come over a controller as it sends a message. */
+  enum Mishap {
+    /** It has decided, and stands still before the message is sent: the packet goes out late. */
+    STILL_BEFORE,
+    /** The message is sent, and its answer waits for the controller. */
+    STILL_AFTER,
+    /** The message is the last that is heard of it for a while. */
+    SILENT,
+    /** The message alone is held up by the network; its sender goes on, and gives up on it. */
+    HELD
+  }
+
+  /** A controller that sends a request of a kind for the first time meets with a mishap. */
+  private final class Trap {
+    private final Predicate<String> request;
+    private final double seconds;
+    private final Mishap mishap;
+    private int sprungAt = -1;
+
+    Trap(Predicate<String> request, double seconds, Mishap mishap) {
+      this.request = request;
+      this.seconds = seconds;
+      this.mishap = mishap;
+    }
+
+    /** For how long a request waits to be sent. */
+    double sprung(int node, HttpRequest sent) {
+      if (sprungAt >= 0
+          || !request.test(
+              sent.method()
+                  + " "
+                  + sent.path()
+                  + " "
+                  + new String(sent.body(), StandardCharsets.UTF_8))) {
+        return 0;
+      }
+      sprungAt = node;
+      if (mishap == Mishap.HELD) {
+        net.holdNext(seconds);
+      } else if (mishap == Mishap.SILENT) {
+        time.after(0.006, () -> silence(node, seconds, true));
+      } else {
+        standStill(node, seconds);
+      }
+      return mishap == Mishap.STILL_BEFORE ? seconds : 0;
+    }
+  }
+
+  /**
+   * Has the next controller that sends a request which looks so (method, path and body) meet with a
+   * mishap.
+   */
+  void mishapAt(Predicate<String> request, double seconds, Mishap mishap) {
+    trap = new Trap(request, seconds, mishap);
+  }
+
+  /** The controller that has met with the mishap; -1 where no such request was sent. */
+  int mishapHit() {
+    return trap.sprungAt;
+  }
+
+  void crash(int node) {
+    if (lives[node].isAlive()) {
+      lives[node].end();
+      time.after(site.restart().seconds(), () -> startNode(node));
+    }
+  }
+
+  /** A controller has another build from its next start on. */
+  void install(int node, Build build) {
+    features[node] =
+        new Features(
+            features[node].overload(),
+            features[node].servedEvery(),
+            build,
+            features[node].agreed());
+  }
+
+  /**
+   * From its next start on the platform's file of a controller has other teams than those of the
+   * others.
+   */
+  void tellTeams(int node, Map<String, Team> teams) {
+    toldTeams.put(node, teams);
+  }
+
+  /**
+   * From its next start on the platform's file of a controller says what the state service will
+   * allow from some moment on.
+   */
+  void tellNext(int node, Settings.StateLimits next) {
+    toldLimits.put(node, site.stateLimits().smaller(next));
+  }
+
+  /** A controller is replaced by one of another build: it ends, and the other is started. */
+  void roll(int node, Build build) {
+    install(node, build);
+    crash(node);
+  }
+
+  /** A controller is down for some time. */
+  void down(int node, double seconds) {
+    lives[node].end();
+    time.after(seconds, () -> startNode(node));
+  }
+
+  /** A controller stands still for a while: its clocks run on, and what comes waits. */
+  void standStill(int node, double seconds) {
+    lives[node].standStill(time.seconds() + seconds);
+  }
+
+  /** The controller that says it leads, or -1. */
+  int leader() {
+    for (int node = 0; node < nodeCount(); node++) {
+      try {
+        Fields status = status(node);
+        if (status != null && status.text("role").equals("LEADING")) {
+          return node;
         }
-    }
-
-    /** Has the next controller that sends a request which looks so (method, path and body) meet with a mishap. */
-    void mishapAt(Predicate<String> request, double seconds, Mishap mishap) {
-        trap = new Trap(request, seconds, mishap);
-    }
-
-    /** The controller that has met with the mishap; -1 where no such request was sent. */
-    int mishapHit() {
-        return trap.sprungAt;
-    }
-
-    void crash(int node) {
-        if (lives[node].isAlive()) {
-            lives[node].end();
-            time.after(site.restart().seconds(), () -> startNode(node));
+      } catch (BadMessage e) {
+        throw new IllegalStateException(e);
+      }
+    }
+    return -1;
+  }
+
+  /** Has all controllers find their memory short, or not. */
+  void memoryIsShort(boolean now) {
+    memoryIsShort = now;
+  }
+
+  /** The time of day is set forward for all controllers, or back. */
+  void setClock(double aheadS) {
+    clockAheadS = EPOCH_S + aheadS;
+  }
+
+  /** From now on a share of all reports comes a second time, 1 s to three leases later. */
+  void copyLate(double share, Random draws) {
+    net.copyLate(
+        share == 0
+            ? LateCopies.NONE
+            : LateCopies.inTime(share, 3 * site.workers().lease().seconds(), nodes, draws));
+  }
+
+  /**
+   * From now on copies of a share of all reports are kept until there is a new leader, and then
+   * come to every controller.
+   */
+  void keepForNextLeader(double share, Random draws) {
+    net.copyLate(
+        share == 0 ? LateCopies.NONE : LateCopies.forNext(share, nodes, draws, this::leadership));
+  }
+
+  /** Who leads by the records, in which life; null where nobody does. */
+  Object leadership() {
+    Object leader =
+        state().value("q/leads") instanceof Map<?, ?> moved ? moved : state().value("q/leader");
+    return leader instanceof Map<?, ?> record
+        ? List.of(record.get("member"), record.get("life"))
+        : null;
+  }
+
+  /**
+   * From now on a share of all commands to machines, of reports, and of the answers to either is
+   * held up for 0.5 s to so long.
+   */
+  void holdMessages(double share, double longestS, Random draws) {
+    net.hold(new HeldMessages(share, longestS, draws));
+  }
+
+  /** Connections between a controller and the others are refused for a while. */
+  void refuseLinks(int node, double seconds) {
+    for (int other = 0; other < nodeCount(); other++) {
+      if (other != node) {
+        refusedUntil.merge(
+            Set.of(Site.nodeName(node), Site.nodeName(other)), time.seconds() + seconds, Math::max);
+      }
+    }
+  }
+
+  /**
+   * A controller is without the state service and the others for a while, and hears its machines
+   * and users as ever.
+   *
+   * @param lose whether what it sends there is lost, rather than refused at once
+   */
+  void lone(int node, double seconds, boolean lose) {
+    if (lose) {
+      cut(Site.nodeName(node), "state", seconds, true);
+      for (int other = 0; other < nodeCount(); other++) {
+        if (other != node) {
+          cut(Site.nodeName(node), Site.nodeName(other), seconds, true);
         }
-    }
-
-    /** A controller has another build from its next start on. */
-    void install(int node, Build build) {
-        features[node] = new Features(features[node].overload(), features[node].servedEvery(), build, features[node].agreed());
-    }
-
-    /** From its next start on the platform's file of a controller has other teams than those of the others. */
-    void tellTeams(int node, Map<String, Team> teams) {
-        toldTeams.put(node, teams);
-    }
-
-    /** From its next start on the platform's file of a controller says what the state service will allow from some moment on. */
-    void tellNext(int node, Settings.StateLimits next) {
-        toldLimits.put(node, site.stateLimits().smaller(next));
-    }
-
-    /** A controller is replaced by one of another build: it ends, and the other is started. */
-    void roll(int node, Build build) {
-        install(node, build);
-        crash(node);
-    }
-
-    /** A controller is down for some time. */
-    void down(int node, double seconds) {
-        lives[node].end();
-        time.after(seconds, () -> startNode(node));
-    }
-
-    /** A controller stands still for a while: its clocks run on, and what comes waits. */
-    void standStill(int node, double seconds) {
-        lives[node].standStill(time.seconds() + seconds);
-    }
-
-    /** The controller that says it leads, or -1. */
-    int leader() {
-        for (int node = 0; node < nodeCount(); node++) {
+      }
+    } else {
+      state().refuse(Site.nodeName(node), seconds);
+      refuseLinks(node, seconds);
+    }
+  }
+
+  void cut(String one, String other, double seconds, boolean lose) {
+    net.cut(one, other, time.seconds() + seconds, lose);
+  }
+
+  /** A machine's reports arrive, and for a while nothing that is sent to it does. */
+  void deafen(MachineId machine, double seconds) {
+    net.deafen(machine.text(), time.seconds() + seconds);
+  }
+
+  /**
+   * A machine reaches no controller for a while; what is sent straight to it arrives, and is
+   * answered.
+   */
+  void mute(MachineId machine, double seconds) {
+    net.mute(machine.text(), time.seconds() + seconds);
+  }
+
+  int startsUnheard() {
+    return net.startsUnheard();
+  }
+
+  /** Asks a controller that is up, without the way there. */
+  void ask(int node, HttpRequest request, Consumer<HttpResponse> reply) {
+    controllers[node].handle(request, reply);
+  }
+
+  /** What a controller's status says; null where it is down. */
+  Fields status(int node) {
+    Fields[] status = new Fields[1];
+    if (lives[node].isAlive()) {
+      controllers[node].handle(
+          HttpRequest.get("/admin/status"),
+          response -> {
             try {
-                Fields status = status(node);
-                if (status != null && status.text("role").equals("LEADING")) {
-                    return node;
-                }
+              status[0] = Json.parseFields(response.body());
             } catch (BadMessage e) {
-                throw new IllegalStateException(e);
-            }
-        }
-        return -1;
-    }
-
-    /** Has all controllers find their memory short, or not. */
-    void memoryIsShort(boolean now) {
-        memoryIsShort = now;
-    }
-
-    /** The time of day is set forward for all controllers, or back. */
-    void setClock(double aheadS) {
-        clockAheadS = EPOCH_S + aheadS;
-    }
-
-    /** From now on a share of all reports comes a second time, 1 s to three leases later. */
-    void copyLate(double share, Random draws) {
-        net.copyLate(share == 0 ? LateCopies.NONE : LateCopies.inTime(share, 3 * site.workers().lease().seconds(), nodes, draws));
-    }
-
-    /** From now on copies of a share of all reports are kept until there is a new leader, and then come to every controller. */
-    void keepForNextLeader(double share, Random draws) {
-        net.copyLate(share == 0 ? LateCopies.NONE : LateCopies.forNext(share, nodes, draws, this::leadership));
-    }
-
-    /** Who leads by the records, in which life; null where nobody does. */
-    Object leadership() {
-        Object leader = state().value("q/leads") instanceof Map<?, ?> moved ? moved : state().value("q/leader");
-        return leader instanceof Map<?, ?> record ? List.of(record.get("member"), record.get("life")) : null;
-    }
-
-    /** From now on a share of all commands to machines, of reports, and of the answers to either is held up for 0.5 s to so long. */
-    void holdMessages(double share, double longestS, Random draws) {
-        net.hold(new HeldMessages(share, longestS, draws));
-    }
-
-    /** Connections between a controller and the others are refused for a while. */
-    void refuseLinks(int node, double seconds) {
-        for (int other = 0; other < nodeCount(); other++) {
-            if (other != node) {
-                refusedUntil.merge(Set.of(Site.nodeName(node), Site.nodeName(other)), time.seconds() + seconds, Math::max);
-            }
-        }
-    }
-
-    /**
-     * A controller is without the state service and the others for a while, and hears its machines and users as ever.
-     *
-     * @param lose whether what it sends there is lost, rather than refused at once
-     */
-    void lone(int node, double seconds, boolean lose) {
-        if (lose) {
-            cut(Site.nodeName(node), "state", seconds, true);
-            for (int other = 0; other < nodeCount(); other++) {
-                if (other != node) {
-                    cut(Site.nodeName(node), Site.nodeName(other), seconds, true);
-                }
+              throw new IllegalStateException(e);
             }
-        } else {
-            state().refuse(Site.nodeName(node), seconds);
-            refuseLinks(node, seconds);
-        }
-    }
-
-    void cut(String one, String other, double seconds, boolean lose) {
-        net.cut(one, other, time.seconds() + seconds, lose);
-    }
-
-    /** A machine's reports arrive, and for a while nothing that is sent to it does. */
-    void deafen(MachineId machine, double seconds) {
-        net.deafen(machine.text(), time.seconds() + seconds);
-    }
-
-    /** A machine reaches no controller for a while; what is sent straight to it arrives, and is answered. */
-    void mute(MachineId machine, double seconds) {
-        net.mute(machine.text(), time.seconds() + seconds);
-    }
-
-    int startsUnheard() {
-        return net.startsUnheard();
-    }
-
-    /** Asks a controller that is up, without the way there. */
-    void ask(int node, HttpRequest request, Consumer<HttpResponse> reply) {
-        controllers[node].handle(request, reply);
-    }
-
-    /** What a controller's status says; null where it is down. */
-    Fields status(int node) {
-        Fields[] status = new Fields[1];
-        if (lives[node].isAlive()) {
-            controllers[node].handle(HttpRequest.get("/admin/status"), response -> {
-                try {
-                    status[0] = Json.parseFields(response.body());
-                } catch (BadMessage e) {
-                    throw new IllegalStateException(e);
-                }
-            });
-        }
-        return status[0];
+          });
     }
+    return status[0];
+  }
 }
--- a/src/main/java/org/quincecross/emulator/package-info.java
+++ b/src/main/java/org/quincecross/emulator/package-info.java
@@ -1,2 +1,5 @@
-/** A site around the controllers: state service, cloud, workers and users as the protocol describes them, on any clock. */
+/**
+ * A site around the controllers: state service, cloud, workers and users as the protocol describes
+ * them, on any clock.
+ */
 package org.quincecross.emulator;
--- a/src/main/java/org/quincecross/holds/Claim.java
+++ b/src/main/java/org/quincecross/holds/Claim.java
@@ -4,5 +4,4 @@
 import org.quincecross.model.TaskSet;
 
 /** Which records some tasks of a job touch: each of these tasks may touch all of these records. */
-public record Claim(TaskSet tasks, List<Records> records) {
-}
+public record Claim(TaskSet tasks, List<Records> records) {}
--- a/src/main/java/org/quincecross/holds/ClaimKind.java
+++ b/src/main/java/org/quincecross/holds/ClaimKind.java
@@ -14,117 +14,132 @@
 import org.quincecross.model.TaskSet;
 
 /**
- * Claims as agreed records, by pages named {@code <job>.<page>}. What was told is not told otherwise later: the job is cancelled and
- * submitted anew in its place, for a task may have gone by what was told.
+ * Claims as agreed records, by pages named {@code <job>.<page>}. What was told is not told
+ * otherwise later: the job is cancelled and submitted anew in its place, for a task may have gone
+ * by what was told.
  */
 public final class ClaimKind implements Kind<List<Claim>, List<Claim>> {
-    public static final String NAME = "claims";
-    /** The most tasks that a job can have. */
-    public static final int MOST_TASKS = 100_000;
-    /** So many characters of claims fit into one page. */
-    public static final int MOST_PAGE = 2600;
-
-    @Override
-    public String name() {
-        return NAME;
-    }
+  public static final String NAME = "claims";
 
-    @Override
-    public List<Claim> initial() {
-        return List.of();
-    }
+  /** The most tasks that a job can have. */
+  public static final int MOST_TASKS = 100_000;
 
-    @Override
-    public boolean restrains() {
-        return true;
-    }
+  /** So many characters of claims fit into one page. */
+  public static final int MOST_PAGE = 2600;
 
-    /** A job whose lane is none of sweeps touched nothing before. */
-    @Override
-    public boolean startsWithholding(List<Claim> before, List<Claim> next) {
-        return !next.equals(before);
-    }
+  @Override
+  public String name() {
+    return NAME;
+  }
 
-    @Override
-    public Step<List<Claim>> step(List<Claim> claims, List<Claim> told, At at) {
-        if (claims.equals(told)) {
-            return new Step.Same<>("told already");
-        }
-        if (!claims.isEmpty()) {
-            return new Step.Refused<>(409, "told otherwise already: tasks may have run by it; cancel the job and submit it under a new id");
-        }
-        Map<String, Object> details = new LinkedHashMap<>();
-        details.put("claims", told.size());
-        details.put("tasks", told.stream().mapToInt(each -> each.tasks().size()).sum());
-        return new Step.Changed<>(told, List.of(new TrailEntry("told", details)));
-    }
+  @Override
+  public List<Claim> initial() {
+    return List.of();
+  }
 
-    /** The job whose page this is, or null. */
-    public static JobId job(String id) {
-        int dot = id.indexOf('.');
-        return JobId.parse(dot < 0 ? id : id.substring(0, dot));
-    }
+  @Override
+  public boolean restrains() {
+    return true;
+  }
 
-    private static List<Claim> claims(Body in) throws Unreadable {
-        List<Claim> claims = new ArrayList<>();
-        for (Body each : in.bodies("claims")) {
-            each.only(List.of("tasks", "records"));
-            TaskSet tasks = TaskSet.parse(each.text("tasks"), MOST_TASKS);
-            if (tasks == null || tasks.isEmpty()) {
-                throw new Unreadable("field tasks of a claim: '" + each.text("tasks") + "' is not like 0-15,17, all below " + MOST_TASKS);
-            }
-            claims.add(new Claim(tasks, HoldKind.records(each, "records")));
-        }
-        return List.copyOf(claims);
-    }
+  /** A job whose lane is none of sweeps touched nothing before. */
+  @Override
+  public boolean startsWithholding(List<Claim> before, List<Claim> next) {
+    return !next.equals(before);
+  }
 
-    @Override
-    public List<Claim> read(Map<String, Object> value) throws Unreadable {
-        return claims(Body.of(value, "a page of claims"));
+  @Override
+  public Step<List<Claim>> step(List<Claim> claims, List<Claim> told, At at) {
+    if (claims.equals(told)) {
+      return new Step.Same<>("told already");
+    }
+    if (!claims.isEmpty()) {
+      return new Step.Refused<>(
+          409,
+          "told otherwise already: tasks may have run by it; cancel the job and submit it under a new id");
     }
+    Map<String, Object> details = new LinkedHashMap<>();
+    details.put("claims", told.size());
+    details.put("tasks", told.stream().mapToInt(each -> each.tasks().size()).sum());
+    return new Step.Changed<>(told, List.of(new TrailEntry("told", details)));
+  }
+
+  /** The job whose page this is, or null. */
+  public static JobId job(String id) {
+    int dot = id.indexOf('.');
+    return JobId.parse(dot < 0 ? id : id.substring(0, dot));
+  }
 
-    @Override
-    public List<Claim> command(Map<String, Object> body) throws Unreadable {
-        Body in = Body.of(body, "the command").only(List.of("claims"));
-        List<Claim> claims = claims(in);
-        if (claims.isEmpty()) {
-            throw new Unreadable("field claims is empty");
-        }
-        if (claims.stream().mapToInt(ClaimKind::length).sum() > MOST_PAGE) {
-            throw new Unreadable("field claims is longer than " + MOST_PAGE + " characters: tell the rest as another page");
-        }
-        return claims;
+  private static List<Claim> claims(Body in) throws Unreadable {
+    List<Claim> claims = new ArrayList<>();
+    for (Body each : in.bodies("claims")) {
+      each.only(List.of("tasks", "records"));
+      TaskSet tasks = TaskSet.parse(each.text("tasks"), MOST_TASKS);
+      if (tasks == null || tasks.isEmpty()) {
+        throw new Unreadable(
+            "field tasks of a claim: '"
+                + each.text("tasks")
+                + "' is not like 0-15,17, all below "
+                + MOST_TASKS);
+      }
+      claims.add(new Claim(tasks, HoldKind.records(each, "records")));
     }
+    return List.copyOf(claims);
+  }
 
-    /** About how long a claim is as it is written. */
-    public static int length(Claim claim) {
-        return 27 + claim.tasks().textLength() + claim.records().stream().mapToInt(each -> each.toString().length() + 3).sum();
+  @Override
+  public List<Claim> read(Map<String, Object> value) throws Unreadable {
+    return claims(Body.of(value, "a page of claims"));
+  }
+
+  @Override
+  public List<Claim> command(Map<String, Object> body) throws Unreadable {
+    Body in = Body.of(body, "the command").only(List.of("claims"));
+    List<Claim> claims = claims(in);
+    if (claims.isEmpty()) {
+      throw new Unreadable("field claims is empty");
+    }
+    if (claims.stream().mapToInt(ClaimKind::length).sum() > MOST_PAGE) {
+      throw new Unreadable(
+          "field claims is longer than "
+              + MOST_PAGE
+              + " characters: tell the rest as another page");
     }
+    return claims;
+  }
+
+  /** About how long a claim is as it is written. */
+  public static int length(Claim claim) {
+    return 27
+        + claim.tasks().textLength()
+        + claim.records().stream().mapToInt(each -> each.toString().length() + 3).sum();
+  }
 
-    @Override
-    public Map<String, Object> write(List<Claim> claims) {
-        List<Object> list = new ArrayList<>();
-        for (Claim claim : claims) {
-            Map<String, Object> out = new LinkedHashMap<>();
-            out.put("tasks", claim.tasks().toString());
-            out.put("records", claim.records().stream().map(Records::toString).toList());
-            list.add(out);
-        }
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("claims", list);
-        return out;
+  @Override
+  public Map<String, Object> write(List<Claim> claims) {
+    List<Object> list = new ArrayList<>();
+    for (Claim claim : claims) {
+      Map<String, Object> out = new LinkedHashMap<>();
+      out.put("tasks", claim.tasks().toString());
+      out.put("records", claim.records().stream().map(Records::toString).toList());
+      list.add(out);
     }
+    Map<String, Object> out = new LinkedHashMap<>();
+    out.put("claims", list);
+    return out;
+  }
 
-    @Override
-    public List<Map<String, Object>> rows(String id, List<Claim> claims, At at) {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        for (Claim claim : claims) {
-            Map<String, Object> row = new LinkedHashMap<>();
-            row.put("page", id);
-            row.put("tasks", claim.tasks().toString());
-            row.put("records", String.join(" ", claim.records().stream().map(Records::toString).toList()));
-            rows.add(row);
-        }
-        return rows;
+  @Override
+  public List<Map<String, Object>> rows(String id, List<Claim> claims, At at) {
+    List<Map<String, Object>> rows = new ArrayList<>();
+    for (Claim claim : claims) {
+      Map<String, Object> row = new LinkedHashMap<>();
+      row.put("page", id);
+      row.put("tasks", claim.tasks().toString());
+      row.put(
+          "records", String.join(" ", claim.records().stream().map(Records::toString).toList()));
+      rows.add(row);
     }
+    return rows;
+  }
 }
--- a/src/main/java/org/quincecross/holds/Hold.java
+++ b/src/main/java/org/quincecross/holds/Hold.java
@@ -11,66 +11,80 @@
  * @param fromMs from when, in ms since 1970; 0: from its opening on
  * @param reviewMs when somebody is to look at it again, in ms since 1970; 0: never. It only reminds
  * @param by who opened it, or who closed it
- * @param scope how often it was found, after it had been pinned, that more tasks touch its records than was known
- * @param provenAt the revision of the records by which it was last found that no task that touches its records runs; 0 where not yet
+ * @param scope how often it was found, after it had been pinned, that more tasks touch its records
+ *     than was known
+ * @param provenAt the revision of the records by which it was last found that no task that touches
+ *     its records runs; 0 where not yet
  * @param notes how many notes of its trail were made in this opening
- * @param kept stands for what the last note of tasks kept back said: another one is made only of something else
+ * @param kept stands for what the last note of tasks kept back said: another one is made only of
+ *     something else
  */
-public record Hold(State state, int opening, List<Records> records, long fromMs, long reviewMs, String by, int scope, long provenAt, int notes,
-        long kept) {
-    /** The states of a hold. */
-    public enum State {
-        /** Never opened. */
-        NONE,
-        /** Opened for a later time. */
-        FUTURE,
-        /** In force; a task that touches its records may still run. */
-        PINNING,
-        /** In force, and proven: no such task runs or can start anywhere. */
-        PINNED,
-        /** Closed; may be opened again. */
-        CLOSED
-    }
+public record Hold(
+    State state,
+    int opening,
+    List<Records> records,
+    long fromMs,
+    long reviewMs,
+    String by,
+    int scope,
+    long provenAt,
+    int notes,
+    long kept) {
+  /** The states of a hold. */
+  public enum State {
+    /** Never opened. */
+    NONE,
+    /** Opened for a later time. */
+    FUTURE,
+    /** In force; a task that touches its records may still run. */
+    PINNING,
+    /** In force, and proven: no such task runs or can start anywhere. */
+    PINNED,
+    /** Closed; may be opened again. */
+    CLOSED
+  }
 
-    static final Hold NONE = new Hold(State.NONE, 0, List.of(), 0, 0, "", 0, 0, 0, 0);
+  static final Hold NONE = new Hold(State.NONE, 0, List.of(), 0, 0, "", 0, 0, 0, 0);
 
-    /** Whether it keeps tasks back whatever the time of day. */
-    public boolean isInForce() {
-        return state == State.PINNING || state == State.PINNED;
-    }
+  /** Whether it keeps tasks back whatever the time of day. */
+  public boolean isInForce() {
+    return state == State.PINNING || state == State.PINNED;
+  }
 
-    public boolean isOpen() {
-        return isInForce() || state == State.FUTURE;
-    }
+  public boolean isOpen() {
+    return isInForce() || state == State.FUTURE;
+  }
 
-    /** Whether it may be in force by a clock: the bound of the clocks counts against the sweep. */
-    public boolean isDue(At at) {
-        return state == State.FUTURE && at.latestMs() >= fromMs;
-    }
+  /** Whether it may be in force by a clock: the bound of the clocks counts against the sweep. */
+  public boolean isDue(At at) {
+    return state == State.FUTURE && at.latestMs() >= fromMs;
+  }
 
-    /** Whether its review date may have passed. */
-    public boolean isToBeReviewed(At at) {
-        return isOpen() && reviewMs > 0 && at.latestMs() >= reviewMs;
-    }
+  /** Whether its review date may have passed. */
+  public boolean isToBeReviewed(At at) {
+    return isOpen() && reviewMs > 0 && at.latestMs() >= reviewMs;
+  }
 
-    /** The one function that changes the state; all else of a hold changes with it or stays. */
-    Hold enter(State next, String who) {
-        return new Hold(next, opening, records, fromMs, reviewMs, who, scope, provenAt, notes, kept);
-    }
+  /** The one function that changes the state; all else of a hold changes with it or stays. */
+  Hold enter(State next, String who) {
+    return new Hold(next, opening, records, fromMs, reviewMs, who, scope, provenAt, notes, kept);
+  }
 
-    Hold proven(long revision, long what) {
-        return new Hold(state, opening, records, fromMs, reviewMs, by, scope, revision, notes, what);
-    }
+  Hold proven(long revision, long what) {
+    return new Hold(state, opening, records, fromMs, reviewMs, by, scope, revision, notes, what);
+  }
 
-    Hold widened() {
-        return new Hold(state, opening, records, fromMs, reviewMs, by, scope + 1, provenAt, notes, kept);
-    }
+  Hold widened() {
+    return new Hold(
+        state, opening, records, fromMs, reviewMs, by, scope + 1, provenAt, notes, kept);
+  }
 
-    Hold noted(long what) {
-        return new Hold(state, opening, records, fromMs, reviewMs, by, scope, provenAt, notes + 1, what);
-    }
+  Hold noted(long what) {
+    return new Hold(
+        state, opening, records, fromMs, reviewMs, by, scope, provenAt, notes + 1, what);
+  }
 
-    Hold reviewedAt(long ms) {
-        return new Hold(state, opening, records, fromMs, ms, by, scope, provenAt, notes, kept);
-    }
+  Hold reviewedAt(long ms) {
+    return new Hold(state, opening, records, fromMs, ms, by, scope, provenAt, notes, kept);
+  }
 }
--- a/src/main/java/org/quincecross/holds/HoldBooks.java
+++ b/src/main/java/org/quincecross/holds/HoldBooks.java
@@ -16,356 +16,379 @@
 import org.quincecross.model.TaskSet;
 
 /**
- * Which tasks the holds in force keep back. Kept current as holds, claims and lanes change, at a cost in proportion to what changes with
- * it: the claims on the records concerned and the tasks that are kept back or set free. Memory is in proportion to what was told.
+ * Which tasks the holds in force keep back. Kept current as holds, claims and lanes change, at a
+ * cost in proportion to what changes with it: the claims on the records concerned and the tasks
+ * that are kept back or set free. Memory is in proportion to what was told.
  */
 public final class HoldBooks {
-    private static final TaskSet NONE = new TaskSet();
+  private static final TaskSet NONE = new TaskSet();
+
+  /**
+   * Records that some claims name, how many different records under hold they touch, and who claims
+   * them.
+   */
+  private static final class Claimed {
+    private final Records records;
+    private final Set<Entry> entries = new HashSet<>();
+    private int covers;
+
+    private Claimed(Records records) {
+      this.records = records;
+    }
+  }
 
-    /** Records that some claims name, how many different records under hold they touch, and who claims them. */
-    private static final class Claimed {
-        private final Records records;
-        private final Set<Entry> entries = new HashSet<>();
-        private int covers;
+  /** Tasks of a job that touch the same records: kept back while any of these are under hold. */
+  private static final class Entry {
+    private final Tracked job;
 
-        private Claimed(Records records) {
-            this.records = records;
-        }
-    }
+    /** First and last of each run of tasks. */
+    private final int[] runs;
 
-    /** Tasks of a job that touch the same records: kept back while any of these are under hold. */
-    private static final class Entry {
-        private final Tracked job;
-        /** First and last of each run of tasks. */
-        private final int[] runs;
-        private final List<Claimed> records;
-        private int covered;
-
-        private Entry(Tracked job, int[] runs, List<Claimed> records) {
-            this.job = job;
-            this.runs = runs;
-            this.records = records;
-        }
+    private final List<Claimed> records;
+    private int covered;
 
-        private int addTo(TaskSet set) {
-            int tasks = 0;
-            for (int i = 0; i < runs.length; i += 2) {
-                for (int task = runs[i]; task <= runs[i + 1]; task++, tasks++) {
-                    set.add(task);
-                }
-            }
-            return tasks;
-        }
+    private Entry(Tracked job, int[] runs, List<Claimed> records) {
+      this.job = job;
+      this.runs = runs;
+      this.records = records;
     }
 
-    /** A job that has claims, or of which was asked while its lane is one of sweeps. */
-    private static final class Tracked {
-        private final JobId id;
-        private final Map<String, List<Claim>> pages = new TreeMap<>();
-        private final List<Entry> entries = new ArrayList<>();
-        private final TaskSet claimed = new TaskSet();
-        private TaskSet withheld = new TaskSet();
-        /** Whether a task is in more than one entry. */
-        private boolean mixed;
-        /** The tasks that no claim names, where the job is a sweep. */
-        private Entry rest;
-        private Job job;
-
-        private Tracked(JobId id) {
-            this.id = id;
+    private int addTo(TaskSet set) {
+      int tasks = 0;
+      for (int i = 0; i < runs.length; i += 2) {
+        for (int task = runs[i]; task <= runs[i + 1]; task++, tasks++) {
+          set.add(task);
         }
+      }
+      return tasks;
     }
+  }
 
-    private final RecordIndex<Claimed> claimed = new RecordIndex<>();
-    private final RecordIndex<Set<String>> held = new RecordIndex<>();
-    private final Map<String, List<Records>> holds = new HashMap<>();
-    private final Map<JobId, Tracked> jobs = new HashMap<>();
-    private final Map<String, List<Records>> lanes = new HashMap<>();
-    private final Map<String, Set<JobId>> sweeps = new HashMap<>();
-    private int entries;
-    private long work;
-
-    // ---- holds ----
-
-    /** A hold is in force from now on. Returns the jobs of which other tasks are kept back than before. */
-    public Set<JobId> opened(String reference, Collection<Records> records) {
-        Set<JobId> changed = closed(reference);
-        List<Records> distinct = List.copyOf(new LinkedHashSet<>(records));
-        holds.put(reference, distinct);
-        for (Records each : distinct) {
-            Set<String> under = held.get(each);
-            if (under == null) {
-                under = new TreeSet<>();
-                held.put(each, under);
-                cover(each, 1, changed);
-            }
-            under.add(reference);
-        }
-        return changed;
-    }
+  /** A job that has claims, or of which was asked while its lane is one of sweeps. */
+  private static final class Tracked {
+    private final JobId id;
+    private final Map<String, List<Claim>> pages = new TreeMap<>();
+    private final List<Entry> entries = new ArrayList<>();
+    private final TaskSet claimed = new TaskSet();
+    private TaskSet withheld = new TaskSet();
 
-    /** A hold is in force no more. Returns the jobs of which other tasks are kept back than before. */
-    public Set<JobId> closed(String reference) {
-        Set<JobId> changed = new LinkedHashSet<>();
-        for (Records each : holds.getOrDefault(reference, List.of())) {
-            Set<String> under = held.get(each);
-            under.remove(reference);
-            if (under.isEmpty()) {
-                held.remove(each);
-                cover(each, -1, changed);
-            }
-        }
-        holds.remove(reference);
-        return changed;
-    }
+    /** Whether a task is in more than one entry. */
+    private boolean mixed;
+
+    /** The tasks that no claim names, where the job is a sweep. */
+    private Entry rest;
 
-    private void cover(Records records, int by, Set<JobId> changed) {
-        for (Claimed each : claimed.overlapping(records)) {
-            work++;
-            boolean before = each.covers > 0;
-            each.covers += by;
-            if (before == each.covers > 0) {
-                continue;
-            }
-            for (Entry entry : each.entries) {
-                work++;
-                entry.covered += by;
-                if (entry.covered == (by > 0 ? 1 : 0)) {
-                    turn(entry);
-                    changed.add(entry.job.id);
-                }
-            }
+    private Job job;
+
+    private Tracked(JobId id) {
+      this.id = id;
+    }
+  }
+
+  private final RecordIndex<Claimed> claimed = new RecordIndex<>();
+  private final RecordIndex<Set<String>> held = new RecordIndex<>();
+  private final Map<String, List<Records>> holds = new HashMap<>();
+  private final Map<JobId, Tracked> jobs = new HashMap<>();
+  private final Map<String, List<Records>> lanes = new HashMap<>();
+  private final Map<String, Set<JobId>> sweeps = new HashMap<>();
+  private int entries;
+  private long work;
+
+  // ---- holds ----
+
+  /**
+   * A hold is in force from now on. Returns the jobs of which other tasks are kept back than
+   * before.
+   */
+  public Set<JobId> opened(String reference, Collection<Records> records) {
+    Set<JobId> changed = closed(reference);
+    List<Records> distinct = List.copyOf(new LinkedHashSet<>(records));
+    holds.put(reference, distinct);
+    for (Records each : distinct) {
+      Set<String> under = held.get(each);
+      if (under == null) {
+        under = new TreeSet<>();
+        held.put(each, under);
+        cover(each, 1, changed);
+      }
+      under.add(reference);
+    }
+    return changed;
+  }
+
+  /**
+   * A hold is in force no more. Returns the jobs of which other tasks are kept back than before.
+   */
+  public Set<JobId> closed(String reference) {
+    Set<JobId> changed = new LinkedHashSet<>();
+    for (Records each : holds.getOrDefault(reference, List.of())) {
+      Set<String> under = held.get(each);
+      under.remove(reference);
+      if (under.isEmpty()) {
+        held.remove(each);
+        cover(each, -1, changed);
+      }
+    }
+    holds.remove(reference);
+    return changed;
+  }
+
+  private void cover(Records records, int by, Set<JobId> changed) {
+    for (Claimed each : claimed.overlapping(records)) {
+      work++;
+      boolean before = each.covers > 0;
+      each.covers += by;
+      if (before == each.covers > 0) {
+        continue;
+      }
+      for (Entry entry : each.entries) {
+        work++;
+        entry.covered += by;
+        if (entry.covered == (by > 0 ? 1 : 0)) {
+          turn(entry);
+          changed.add(entry.job.id);
         }
+      }
     }
-
-    /** An entry is kept back now and was not, or the reverse. */
-    private void turn(Entry entry) {
-        Tracked job = entry.job;
-        if (entry.covered > 0) {
-            work += entry.addTo(job.withheld);
-        } else if (job.mixed) {
-            sum(job);
-        } else {
-            for (int i = 0; i < entry.runs.length; i += 2) {
-                for (int task = entry.runs[i]; task <= entry.runs[i + 1]; task++, work++) {
-                    job.withheld.remove(task);
-                }
-            }
+  }
+
+  /** An entry is kept back now and was not, or the reverse. */
+  private void turn(Entry entry) {
+    Tracked job = entry.job;
+    if (entry.covered > 0) {
+      work += entry.addTo(job.withheld);
+    } else if (job.mixed) {
+      sum(job);
+    } else {
+      for (int i = 0; i < entry.runs.length; i += 2) {
+        for (int task = entry.runs[i]; task <= entry.runs[i + 1]; task++, work++) {
+          job.withheld.remove(task);
         }
+      }
     }
+  }
 
-    private void sum(Tracked job) {
-        job.withheld = new TaskSet();
-        for (Entry entry : job.entries) {
-            work++;
-            work += entry.covered > 0 ? entry.addTo(job.withheld) : 0;
-        }
+  private void sum(Tracked job) {
+    job.withheld = new TaskSet();
+    for (Entry entry : job.entries) {
+      work++;
+      work += entry.covered > 0 ? entry.addTo(job.withheld) : 0;
     }
+  }
 
-    // ---- claims and lanes ----
+  // ---- claims and lanes ----
 
-    /** A page of a job's claims was told, or (with none) is gone. Returns the jobs concerned. */
-    public Set<JobId> claims(JobId id, String page, List<Claim> claims) {
-        Tracked job = jobs.computeIfAbsent(id, Tracked::new);
-        List<Claim> before = claims.isEmpty() ? job.pages.remove(page) : job.pages.put(page, claims);
-        if (claims.equals(before == null ? List.of() : before)) {
-            return Set.of();
-        }
-        if (before != null) {
-            job.entries.forEach(this::drop);
-            job.entries.clear();
-            job.rest = null;
-            job.claimed.removeAll(job.claimed.copy());
-            job.mixed = false;
-            job.pages.values().forEach(each -> take(job, each));
-        } else {
-            take(job, claims);
-        }
-        return rest(job);
+  /** A page of a job's claims was told, or (with none) is gone. Returns the jobs concerned. */
+  public Set<JobId> claims(JobId id, String page, List<Claim> claims) {
+    Tracked job = jobs.computeIfAbsent(id, Tracked::new);
+    List<Claim> before = claims.isEmpty() ? job.pages.remove(page) : job.pages.put(page, claims);
+    if (claims.equals(before == null ? List.of() : before)) {
+      return Set.of();
     }
-
-    private void take(Tracked job, List<Claim> page) {
-        for (Claim claim : page) {
-            job.mixed |= claim.tasks().common(job.claimed) > 0;
-            job.claimed.addAll(claim.tasks());
-            add(job, claim);
-        }
+    if (before != null) {
+      job.entries.forEach(this::drop);
+      job.entries.clear();
+      job.rest = null;
+      job.claimed.removeAll(job.claimed.copy());
+      job.mixed = false;
+      job.pages.values().forEach(each -> take(job, each));
+    } else {
+      take(job, claims);
     }
-
-    /** Jobs of a lane are sweeps that may touch these records; none: they are no sweeps. Returns the jobs concerned. */
-    public Set<JobId> lane(String lane, List<Records> series) {
-        List<Records> before = series.isEmpty() ? lanes.remove(lane) : lanes.put(lane, List.copyOf(series));
-        Set<JobId> changed = new LinkedHashSet<>();
-        if (!series.equals(before == null ? List.of() : before)) {
-            for (JobId job : Set.copyOf(sweeps.getOrDefault(lane, Set.of()))) {
-                changed.addAll(rest(jobs.get(job)));
-            }
-        }
-        return changed;
+    return rest(job);
+  }
+
+  private void take(Tracked job, List<Claim> page) {
+    for (Claim claim : page) {
+      job.mixed |= claim.tasks().common(job.claimed) > 0;
+      job.claimed.addAll(claim.tasks());
+      add(job, claim);
     }
-
-    /** The tasks that no claim names are told anew, and what is kept back is summed up. */
-    private Set<JobId> rest(Tracked job) {
-        if (job.rest != null) {
-            drop(job.rest);
-            job.entries.remove(job.rest);
-            job.rest = null;
-        }
-        if (job.job != null) {
-            // What is unknown is not touched: tasks of a sweep without claims may touch all of its series.
-            TaskSet rest = TaskSet.below(job.job.tasks());
-            rest.removeAll(job.claimed);
-            List<Records> series = lanes.getOrDefault(job.job.jobClass(), List.of());
-            if (!rest.isEmpty() && !series.isEmpty()) {
-                job.rest = add(job, new Claim(rest, series));
-            }
-        }
-        sum(job);
-        return Set.of(job.id);
+  }
+
+  /**
+   * Jobs of a lane are sweeps that may touch these records; none: they are no sweeps. Returns the
+   * jobs concerned.
+   */
+  public Set<JobId> lane(String lane, List<Records> series) {
+    List<Records> before =
+        series.isEmpty() ? lanes.remove(lane) : lanes.put(lane, List.copyOf(series));
+    Set<JobId> changed = new LinkedHashSet<>();
+    if (!series.equals(before == null ? List.of() : before)) {
+      for (JobId job : Set.copyOf(sweeps.getOrDefault(lane, Set.of()))) {
+        changed.addAll(rest(jobs.get(job)));
+      }
     }
-
-    private void drop(Entry entry) {
-        entries--;
-        for (Claimed each : entry.records) {
-            each.entries.remove(entry);
-            if (each.entries.isEmpty()) {
-                claimed.remove(each.records);
-            }
-        }
+    return changed;
+  }
+
+  /** The tasks that no claim names are told anew, and what is kept back is summed up. */
+  private Set<JobId> rest(Tracked job) {
+    if (job.rest != null) {
+      drop(job.rest);
+      job.entries.remove(job.rest);
+      job.rest = null;
     }
-
-    private Entry add(Tracked job, Claim claim) {
-        List<Claimed> records = new ArrayList<>();
-        Entry entry = new Entry(job, runs(claim.tasks()), records);
-        for (Records each : broadened(claim.records())) {
-            Claimed known = claimed.get(each);
-            if (known == null) {
-                known = new Claimed(each);
-                known.covers = held.count(each);
-                work++;
-                claimed.put(each, known);
-            }
-            known.entries.add(entry);
-            records.add(known);
-            entry.covered += known.covers > 0 ? 1 : 0;
-        }
-        job.entries.add(entry);
-        entries++;
-        return entry;
+    if (job.job != null) {
+      // What is unknown is not touched: tasks of a sweep without claims may touch all of its
+      // series.
+      TaskSet rest = TaskSet.below(job.job.tasks());
+      rest.removeAll(job.claimed);
+      List<Records> series = lanes.getOrDefault(job.job.jobClass(), List.of());
+      if (!rest.isEmpty() && !series.isEmpty()) {
+        job.rest = add(job, new Claim(rest, series));
+      }
     }
-
-    /** A key may be of any period under hold, and a period may hold any key. */
-    private static Set<Records> broadened(List<Records> records) {
-        Set<Records> all = new LinkedHashSet<>(records);
-        for (Records each : records) {
-            if (each.isKey()) {
-                all.add(RecordIndex.anyKey(each.series()));
-            } else if (each.isPeriod()) {
-                all.add(RecordIndex.anyPeriod(each.series()));
-            }
-        }
-        return all;
+    sum(job);
+    return Set.of(job.id);
+  }
+
+  private void drop(Entry entry) {
+    entries--;
+    for (Claimed each : entry.records) {
+      each.entries.remove(entry);
+      if (each.entries.isEmpty()) {
+        claimed.remove(each.records);
+      }
     }
-
-    private static int[] runs(TaskSet tasks) {
-        List<Integer> runs = new ArrayList<>();
-        for (int first = tasks.next(0); first >= 0; ) {
-            int last = first;
-            while (tasks.has(last + 1)) {
-                last++;
-            }
-            runs.add(first);
-            runs.add(last);
-            first = tasks.next(last + 1);
-        }
-        return runs.stream().mapToInt(Integer::intValue).toArray();
+  }
+
+  private Entry add(Tracked job, Claim claim) {
+    List<Claimed> records = new ArrayList<>();
+    Entry entry = new Entry(job, runs(claim.tasks()), records);
+    for (Records each : broadened(claim.records())) {
+      Claimed known = claimed.get(each);
+      if (known == null) {
+        known = new Claimed(each);
+        known.covers = held.count(each);
+        work++;
+        claimed.put(each, known);
+      }
+      known.entries.add(entry);
+      records.add(known);
+      entry.covered += known.covers > 0 ? 1 : 0;
     }
-
-    // ---- what comes of it ----
-
-    /** The tasks of a job that are kept back; not to be changed. */
-    public TaskSet of(Job job) {
-        if (jobs.isEmpty() && lanes.isEmpty()) {
-            return NONE;
-        }
-        Tracked known = jobs.get(job.id());
-        if (known == null && !lanes.containsKey(job.jobClass())) {
-            // Its lane may become one of sweeps: it is found then by being asked for again.
-            return NONE;
-        }
-        if (known == null || known.job == null) {
-            known = jobs.computeIfAbsent(job.id(), Tracked::new);
-            known.job = job;
-            sweeps.computeIfAbsent(job.jobClass(), lane -> new LinkedHashSet<>()).add(job.id());
-            rest(known);
-        }
-        return known.withheld;
+    job.entries.add(entry);
+    entries++;
+    return entry;
+  }
+
+  /** A key may be of any period under hold, and a period may hold any key. */
+  private static Set<Records> broadened(List<Records> records) {
+    Set<Records> all = new LinkedHashSet<>(records);
+    for (Records each : records) {
+      if (each.isKey()) {
+        all.add(RecordIndex.anyKey(each.series()));
+      } else if (each.isPeriod()) {
+        all.add(RecordIndex.anyPeriod(each.series()));
+      }
     }
-
-    /** Nothing is asked of a job any more that is over: what its claims say stays, as long as they are told. */
-    public void over(JobId id) {
-        Tracked known = jobs.get(id);
-        if (known != null && known.job != null) {
-            Set<JobId> lane = sweeps.get(known.job.jobClass());
-            lane.remove(id);
-            if (lane.isEmpty()) {
-                sweeps.remove(known.job.jobClass());
-            }
-            known.job = null;
-            rest(known);
-            if (known.pages.isEmpty()) {
-                jobs.remove(id);
-            }
-        }
+    return all;
+  }
+
+  private static int[] runs(TaskSet tasks) {
+    List<Integer> runs = new ArrayList<>();
+    for (int first = tasks.next(0); first >= 0; ) {
+      int last = first;
+      while (tasks.has(last + 1)) {
+        last++;
+      }
+      runs.add(first);
+      runs.add(last);
+      first = tasks.next(last + 1);
     }
+    return runs.stream().mapToInt(Integer::intValue).toArray();
+  }
 
-    /** The references of the holds that keep tasks of a job back, in order of their names. */
-    public Set<String> holding(JobId id) {
-        Set<String> references = new TreeSet<>();
-        Tracked known = jobs.get(id);
-        if (known != null) {
-            for (Entry entry : known.entries) {
-                if (entry.covered > 0) {
-                    entry.records.forEach(each -> held.overlapping(each.records).forEach(references::addAll));
-                }
-            }
-        }
-        return references;
-    }
+  // ---- what comes of it ----
 
-    /** The tasks, by job, that touch some of these records, by what is known of claims and lanes. */
-    public Map<JobId, TaskSet> touching(Collection<Records> records) {
-        Map<JobId, TaskSet> touching = new LinkedHashMap<>();
-        for (Records each : records) {
-            for (Claimed claims : claimed.overlapping(each)) {
-                claims.entries.forEach(entry -> entry.addTo(touching.computeIfAbsent(entry.job.id, id -> new TaskSet())));
-            }
-        }
-        return touching;
+  /** The tasks of a job that are kept back; not to be changed. */
+  public TaskSet of(Job job) {
+    if (jobs.isEmpty() && lanes.isEmpty()) {
+      return NONE;
     }
-
-    /** Whether a hold is in force, on these records. */
-    public boolean isInForce(String reference, Collection<Records> records) {
-        return List.copyOf(new LinkedHashSet<>(records)).equals(holds.get(reference));
+    Tracked known = jobs.get(job.id());
+    if (known == null && !lanes.containsKey(job.jobClass())) {
+      // Its lane may become one of sweeps: it is found then by being asked for again.
+      return NONE;
     }
-
-    /** The holds in force. */
-    public Set<String> references() {
-        return Set.copyOf(holds.keySet());
+    if (known == null || known.job == null) {
+      known = jobs.computeIfAbsent(job.id(), Tracked::new);
+      known.job = job;
+      sweeps.computeIfAbsent(job.jobClass(), lane -> new LinkedHashSet<>()).add(job.id());
+      rest(known);
     }
-
-    /** Whether a job has claims, or was asked for as a sweep. */
-    public boolean isTracked(JobId id) {
-        return jobs.containsKey(id);
+    return known.withheld;
+  }
+
+  /**
+   * Nothing is asked of a job any more that is over: what its claims say stays, as long as they are
+   * told.
+   */
+  public void over(JobId id) {
+    Tracked known = jobs.get(id);
+    if (known != null && known.job != null) {
+      Set<JobId> lane = sweeps.get(known.job.jobClass());
+      lane.remove(id);
+      if (lane.isEmpty()) {
+        sweeps.remove(known.job.jobClass());
+      }
+      known.job = null;
+      rest(known);
+      if (known.pages.isEmpty()) {
+        jobs.remove(id);
+      }
     }
-
-    /** How many claims are known, each of some tasks of a job. */
-    public int size() {
-        return entries;
+  }
+
+  /** The references of the holds that keep tasks of a job back, in order of their names. */
+  public Set<String> holding(JobId id) {
+    Set<String> references = new TreeSet<>();
+    Tracked known = jobs.get(id);
+    if (known != null) {
+      for (Entry entry : known.entries) {
+        if (entry.covered > 0) {
+          entry.records.forEach(each -> held.overlapping(each.records).forEach(references::addAll));
+        }
+      }
     }
-
-    /** The steps made so far: claims and holds looked at, tasks kept back or set free. */
-    long work() {
-        return work;
+    return references;
+  }
+
+  /** The tasks, by job, that touch some of these records, by what is known of claims and lanes. */
+  public Map<JobId, TaskSet> touching(Collection<Records> records) {
+    Map<JobId, TaskSet> touching = new LinkedHashMap<>();
+    for (Records each : records) {
+      for (Claimed claims : claimed.overlapping(each)) {
+        claims.entries.forEach(
+            entry -> entry.addTo(touching.computeIfAbsent(entry.job.id, id -> new TaskSet())));
+      }
     }
+    return touching;
+  }
+
+  /** Whether a hold is in force, on these records. */
+  public boolean isInForce(String reference, Collection<Records> records) {
+    return List.copyOf(new LinkedHashSet<>(records)).equals(holds.get(reference));
+  }
+
+  /** The holds in force. */
+  public Set<String> references() {
+    return Set.copyOf(holds.keySet());
+  }
+
+  /** Whether a job has claims, or was asked for as a sweep. */
+  public boolean isTracked(JobId id) {
+    return jobs.containsKey(id);
+  }
+
+  /** How many claims are known, each of some tasks of a job. */
+  public int size() {
+    return entries;
+  }
+
+  /** The steps made so far: claims and holds looked at, tasks kept back or set free. */
+  long work() {
+    return work;
+  }
 }
--- a/src/main/java/org/quincecross/holds/HoldKind.java
+++ b/src/main/java/org/quincecross/holds/HoldKind.java
@@ -15,203 +15,290 @@
 
 /** Holds as agreed records; a hold's name is its reference. */
 public final class HoldKind implements Kind<Hold, HoldCommand> {
-    public static final String NAME = "holds";
-    /** So many characters of records fit beside the trail. */
-    public static final int MOST_RECORDS = 1000;
-    private static final long LAST_MS = 253_402_300_799_999L;
+  public static final String NAME = "holds";
 
-    @Override
-    public String name() {
-        return NAME;
-    }
+  /** So many characters of records fit beside the trail. */
+  public static final int MOST_RECORDS = 1000;
 
-    @Override
-    public Hold initial() {
-        return Hold.NONE;
-    }
+  private static final long LAST_MS = 253_402_300_799_999L;
 
-    @Override
-    public boolean restrains() {
-        return true;
-    }
+  @Override
+  public String name() {
+    return NAME;
+  }
 
-    @Override
-    public boolean startsWithholding(Hold before, Hold next) {
-        return next.isInForce() && !before.isInForce();
-    }
+  @Override
+  public Hold initial() {
+    return Hold.NONE;
+  }
 
-    // ---- the step ----
+  @Override
+  public boolean restrains() {
+    return true;
+  }
 
-    @Override
-    public Step<Hold> step(Hold hold, HoldCommand command, At at) {
-        if (command instanceof HoldCommand.Open open) {
-            return open(hold, open, at);
-        }
-        if (command instanceof HoldCommand.Close close) {
-            return close(hold, close, at);
-        }
-        if (command instanceof HoldCommand.Review review) {
-            return review(hold, review, at);
-        }
-        if (command instanceof HoldCommand.Due due) {
-            return due.opening() != hold.opening() || !hold.isDue(at) ? new Step.Same<>("not due")
-                    : changed(hold.enter(State.PINNING, hold.by()), "due", "opening", due.opening());
-        }
-        if (command instanceof HoldCommand.Pinned pinned) {
-            return pinned.opening() != hold.opening() || pinned.scope() != hold.scope() || hold.state() != State.PINNING
-                    ? new Step.Same<>("nothing to be pinned")
-                    : changed(hold.enter(State.PINNED, hold.by()).proven(pinned.revision(), pinned.what()), "pinned", "opening", pinned.opening(),
-                            "proven_at", pinned.revision(), "kept_back", pinned.kept());
-        }
-        if (command instanceof HoldCommand.Widened widened) {
-            return widened.opening() != hold.opening() || widened.scope() != hold.scope() || hold.state() != State.PINNED
-                    ? new Step.Same<>("not pinned") : changed(hold.enter(State.PINNING, hold.by()).widened(), "widened", "opening",
-                            widened.opening(), "tasks", widened.tasks());
-        }
-        HoldCommand.Note note = (HoldCommand.Note) command;
-        return note.opening() != hold.opening() || note.number() != hold.notes() || !hold.isInForce() ? new Step.Same<>("noted before")
-                : changed(hold.noted(note.what()), note.event(), "opening", note.opening(), "tasks", note.tasks());
+  @Override
+  public boolean startsWithholding(Hold before, Hold next) {
+    return next.isInForce() && !before.isInForce();
+  }
+
+  // ---- the step ----
+
+  @Override
+  public Step<Hold> step(Hold hold, HoldCommand command, At at) {
+    if (command instanceof HoldCommand.Open open) {
+      return open(hold, open, at);
+    }
+    if (command instanceof HoldCommand.Close close) {
+      return close(hold, close, at);
+    }
+    if (command instanceof HoldCommand.Review review) {
+      return review(hold, review, at);
+    }
+    if (command instanceof HoldCommand.Due due) {
+      return due.opening() != hold.opening() || !hold.isDue(at)
+          ? new Step.Same<>("not due")
+          : changed(hold.enter(State.PINNING, hold.by()), "due", "opening", due.opening());
     }
+    if (command instanceof HoldCommand.Pinned pinned) {
+      return pinned.opening() != hold.opening()
+              || pinned.scope() != hold.scope()
+              || hold.state() != State.PINNING
+          ? new Step.Same<>("nothing to be pinned")
+          : changed(
+              hold.enter(State.PINNED, hold.by()).proven(pinned.revision(), pinned.what()),
+              "pinned",
+              "opening",
+              pinned.opening(),
+              "proven_at",
+              pinned.revision(),
+              "kept_back",
+              pinned.kept());
+    }
+    if (command instanceof HoldCommand.Widened widened) {
+      return widened.opening() != hold.opening()
+              || widened.scope() != hold.scope()
+              || hold.state() != State.PINNED
+          ? new Step.Same<>("not pinned")
+          : changed(
+              hold.enter(State.PINNING, hold.by()).widened(),
+              "widened",
+              "opening",
+              widened.opening(),
+              "tasks",
+              widened.tasks());
+    }
+    HoldCommand.Note note = (HoldCommand.Note) command;
+    return note.opening() != hold.opening() || note.number() != hold.notes() || !hold.isInForce()
+        ? new Step.Same<>("noted before")
+        : changed(
+            hold.noted(note.what()),
+            note.event(),
+            "opening",
+            note.opening(),
+            "tasks",
+            note.tasks());
+  }
 
-    private static Step<Hold> changed(Hold next, String event, Object... details) {
-        Map<String, Object> map = new LinkedHashMap<>();
-        for (int i = 0; i < details.length; i += 2) {
-            map.put((String) details[i], details[i + 1]);
-        }
-        return new Step.Changed<>(next, List.of(new TrailEntry(event, map)));
+  private static Step<Hold> changed(Hold next, String event, Object... details) {
+    Map<String, Object> map = new LinkedHashMap<>();
+    for (int i = 0; i < details.length; i += 2) {
+      map.put((String) details[i], details[i + 1]);
     }
+    return new Step.Changed<>(next, List.of(new TrailEntry(event, map)));
+  }
 
-    private static Step<Hold> open(Hold hold, HoldCommand.Open open, At at) {
-        if (at.by().isBlank()) {
-            return new Step.Refused<>(400, "who asks for the hold is to be named (by)");
-        }
-        if (hold.isOpen()) {
-            boolean same = hold.records().equals(open.records()) && hold.reviewMs() == open.reviewMs()
-                    && (hold.fromMs() == open.fromMs() || hold.isInForce() && open.fromMs() == 0);
-            return same ? new Step.Same<>("open already, opening " + hold.opening())
-                    : new Step.Refused<>(409, "open already, opening " + hold.opening() + ", with other records or dates: see it, or close it first");
-        }
-        Hold next = new Hold(State.FUTURE, hold.opening() + 1, open.records(), open.fromMs(), open.reviewMs(), at.by(), 0, 0, 0, 0);
-        Hold opened = next.isDue(at) ? next.enter(State.PINNING, at.by()) : next;
-        return changed(opened, "opened", "opening", opened.opening(), "records", texts(open.records()), "from_ms", open.fromMs(),
-                "review_ms", open.reviewMs());
+  private static Step<Hold> open(Hold hold, HoldCommand.Open open, At at) {
+    if (at.by().isBlank()) {
+      return new Step.Refused<>(400, "who asks for the hold is to be named (by)");
+    }
+    if (hold.isOpen()) {
+      boolean same =
+          hold.records().equals(open.records())
+              && hold.reviewMs() == open.reviewMs()
+              && (hold.fromMs() == open.fromMs() || hold.isInForce() && open.fromMs() == 0);
+      return same
+          ? new Step.Same<>("open already, opening " + hold.opening())
+          : new Step.Refused<>(
+              409,
+              "open already, opening "
+                  + hold.opening()
+                  + ", with other records or dates: see it, or close it first");
     }
+    Hold next =
+        new Hold(
+            State.FUTURE,
+            hold.opening() + 1,
+            open.records(),
+            open.fromMs(),
+            open.reviewMs(),
+            at.by(),
+            0,
+            0,
+            0,
+            0);
+    Hold opened = next.isDue(at) ? next.enter(State.PINNING, at.by()) : next;
+    return changed(
+        opened,
+        "opened",
+        "opening",
+        opened.opening(),
+        "records",
+        texts(open.records()),
+        "from_ms",
+        open.fromMs(),
+        "review_ms",
+        open.reviewMs());
+  }
 
-    private static Step<Hold> close(Hold hold, HoldCommand.Close close, At at) {
-        if (hold.state() == State.NONE) {
-            return new Step.Refused<>(404, "there is no such hold");
-        }
-        if (at.by().isBlank()) {
-            return new Step.Refused<>(400, "who asks for the closing is to be named (by)");
-        }
-        if (close.opening() > hold.opening()) {
-            return new Step.Refused<>(409, "there is no opening " + close.opening() + " yet; the last is " + hold.opening());
-        }
-        if (close.opening() < hold.opening() || hold.state() == State.CLOSED) {
-            return new Step.Same<>("opening " + close.opening() + " is closed already"
-                    + (close.opening() < hold.opening() ? "; opening " + hold.opening() + " is a later one, and stays as it is" : ""));
-        }
-        return changed(hold.enter(State.CLOSED, at.by()), "closed", "opening", close.opening(), "was", hold.state().name());
+  private static Step<Hold> close(Hold hold, HoldCommand.Close close, At at) {
+    if (hold.state() == State.NONE) {
+      return new Step.Refused<>(404, "there is no such hold");
+    }
+    if (at.by().isBlank()) {
+      return new Step.Refused<>(400, "who asks for the closing is to be named (by)");
+    }
+    if (close.opening() > hold.opening()) {
+      return new Step.Refused<>(
+          409, "there is no opening " + close.opening() + " yet; the last is " + hold.opening());
     }
+    if (close.opening() < hold.opening() || hold.state() == State.CLOSED) {
+      return new Step.Same<>(
+          "opening "
+              + close.opening()
+              + " is closed already"
+              + (close.opening() < hold.opening()
+                  ? "; opening " + hold.opening() + " is a later one, and stays as it is"
+                  : ""));
+    }
+    return changed(
+        hold.enter(State.CLOSED, at.by()),
+        "closed",
+        "opening",
+        close.opening(),
+        "was",
+        hold.state().name());
+  }
 
-    private static Step<Hold> review(Hold hold, HoldCommand.Review review, At at) {
-        if (!hold.isOpen() || review.opening() != hold.opening()) {
-            return new Step.Refused<>(409, "opening " + review.opening() + " is not open");
-        }
-        if (at.by().isBlank()) {
-            return new Step.Refused<>(400, "who sets the review date is to be named (by)");
-        }
-        return review.reviewMs() == hold.reviewMs() ? new Step.Same<>("so already")
-                : changed(hold.reviewedAt(review.reviewMs()), "review", "opening", review.opening(), "review_ms", review.reviewMs());
+  private static Step<Hold> review(Hold hold, HoldCommand.Review review, At at) {
+    if (!hold.isOpen() || review.opening() != hold.opening()) {
+      return new Step.Refused<>(409, "opening " + review.opening() + " is not open");
+    }
+    if (at.by().isBlank()) {
+      return new Step.Refused<>(400, "who sets the review date is to be named (by)");
     }
+    return review.reviewMs() == hold.reviewMs()
+        ? new Step.Same<>("so already")
+        : changed(
+            hold.reviewedAt(review.reviewMs()),
+            "review",
+            "opening",
+            review.opening(),
+            "review_ms",
+            review.reviewMs());
+  }
+
+  // ---- how it is written ----
 
-    // ---- how it is written ----
+  private static List<Object> texts(List<Records> records) {
+    List<Object> texts = new ArrayList<>();
+    records.forEach(each -> texts.add(each.toString()));
+    return texts;
+  }
 
-    private static List<Object> texts(List<Records> records) {
-        List<Object> texts = new ArrayList<>();
-        records.forEach(each -> texts.add(each.toString()));
-        return texts;
+  static List<Records> records(Body in, String name) throws Unreadable {
+    List<Records> records = new ArrayList<>();
+    for (String text : in.texts(name)) {
+      try {
+        records.add(Records.parse(text));
+      } catch (IllegalArgumentException e) {
+        throw new Unreadable("field " + name + ": " + e.getMessage());
+      }
     }
+    if (records.isEmpty()) {
+      throw new Unreadable("field " + name + " names no records");
+    }
+    return List.copyOf(records);
+  }
 
-    static List<Records> records(Body in, String name) throws Unreadable {
-        List<Records> records = new ArrayList<>();
-        for (String text : in.texts(name)) {
-            try {
-                records.add(Records.parse(text));
-            } catch (IllegalArgumentException e) {
-                throw new Unreadable("field " + name + ": " + e.getMessage());
-            }
-        }
-        if (records.isEmpty()) {
-            throw new Unreadable("field " + name + " names no records");
-        }
-        return List.copyOf(records);
-    }
-
-    @Override
-    public Map<String, Object> write(Hold hold) {
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("state", hold.state().name());
-        out.put("opening", hold.opening());
-        out.put("records", texts(hold.records()));
-        out.put("from_ms", hold.fromMs());
-        out.put("review_ms", hold.reviewMs());
-        out.put("by", hold.by());
-        out.put("scope", hold.scope());
-        out.put("proven_at", hold.provenAt());
-        out.put("notes", hold.notes());
-        out.put("kept", hold.kept());
-        return out;
-    }
-
-    @Override
-    public Hold read(Map<String, Object> value) throws Unreadable {
-        Body in = Body.of(value, "a hold");
-        State state = in.word("state", State.class);
-        return new Hold(state, (int) in.integer("opening", 0, Integer.MAX_VALUE), state == State.NONE ? List.of() : records(in, "records"),
-                in.integer("from_ms", 0, LAST_MS), in.integer("review_ms", 0, LAST_MS), in.text("by"), (int) in.integer("scope", 0, Integer.MAX_VALUE),
-                in.integer("proven_at", 0, Long.MAX_VALUE), (int) in.integer("notes", 0, Integer.MAX_VALUE),
-                in.integer("kept", Long.MIN_VALUE, Long.MAX_VALUE));
-    }
-
-    /** Operators open, close and set review dates; what controllers find is nobody else's to say. */
-    @Override
-    public HoldCommand command(Map<String, Object> body) throws Unreadable {
-        Body in = Body.of(body, "the command");
-        String what = in.text("do").toLowerCase(Locale.ROOT);
-        switch (what) {
-            case "open" -> {
-                in.only(List.of("do", "records", "from_ms", "review_ms"));
-                List<Records> records = records(in, "records");
-                if (records.stream().mapToInt(each -> each.toString().length() + 3).sum() > MOST_RECORDS) {
-                    throw new Unreadable("field records is longer than " + MOST_RECORDS + " characters: open a second hold for the rest");
-                }
-                return new HoldCommand.Open(records, in.integerOr("from_ms", 0, LAST_MS, 0), in.integerOr("review_ms", 0, LAST_MS, 0));
-            }
-            case "close" -> {
-                in.only(List.of("do", "opening"));
-                return new HoldCommand.Close((int) in.integer("opening", 1, Integer.MAX_VALUE));
-            }
-            case "review" -> {
-                in.only(List.of("do", "opening", "review_ms"));
-                return new HoldCommand.Review((int) in.integer("opening", 1, Integer.MAX_VALUE), in.integer("review_ms", 0, LAST_MS));
-            }
-            default -> throw new Unreadable("field do of the command is not one of open, close, review");
+  @Override
+  public Map<String, Object> write(Hold hold) {
+    Map<String, Object> out = new LinkedHashMap<>();
+    out.put("state", hold.state().name());
+    out.put("opening", hold.opening());
+    out.put("records", texts(hold.records()));
+    out.put("from_ms", hold.fromMs());
+    out.put("review_ms", hold.reviewMs());
+    out.put("by", hold.by());
+    out.put("scope", hold.scope());
+    out.put("proven_at", hold.provenAt());
+    out.put("notes", hold.notes());
+    out.put("kept", hold.kept());
+    return out;
+  }
+
+  @Override
+  public Hold read(Map<String, Object> value) throws Unreadable {
+    Body in = Body.of(value, "a hold");
+    State state = in.word("state", State.class);
+    return new Hold(
+        state,
+        (int) in.integer("opening", 0, Integer.MAX_VALUE),
+        state == State.NONE ? List.of() : records(in, "records"),
+        in.integer("from_ms", 0, LAST_MS),
+        in.integer("review_ms", 0, LAST_MS),
+        in.text("by"),
+        (int) in.integer("scope", 0, Integer.MAX_VALUE),
+        in.integer("proven_at", 0, Long.MAX_VALUE),
+        (int) in.integer("notes", 0, Integer.MAX_VALUE),
+        in.integer("kept", Long.MIN_VALUE, Long.MAX_VALUE));
+  }
+
+  /** Operators open, close and set review dates; what controllers find is nobody else's to say. */
+  @Override
+  public HoldCommand command(Map<String, Object> body) throws Unreadable {
+    Body in = Body.of(body, "the command");
+    String what = in.text("do").toLowerCase(Locale.ROOT);
+    switch (what) {
+      case "open" -> {
+        in.only(List.of("do", "records", "from_ms", "review_ms"));
+        List<Records> records = records(in, "records");
+        if (records.stream().mapToInt(each -> each.toString().length() + 3).sum() > MOST_RECORDS) {
+          throw new Unreadable(
+              "field records is longer than "
+                  + MOST_RECORDS
+                  + " characters: open a second hold for the rest");
         }
+        return new HoldCommand.Open(
+            records,
+            in.integerOr("from_ms", 0, LAST_MS, 0),
+            in.integerOr("review_ms", 0, LAST_MS, 0));
+      }
+      case "close" -> {
+        in.only(List.of("do", "opening"));
+        return new HoldCommand.Close((int) in.integer("opening", 1, Integer.MAX_VALUE));
+      }
+      case "review" -> {
+        in.only(List.of("do", "opening", "review_ms"));
+        return new HoldCommand.Review(
+            (int) in.integer("opening", 1, Integer.MAX_VALUE), in.integer("review_ms", 0, LAST_MS));
+      }
+      default -> throw new Unreadable("field do of the command is not one of open, close, review");
     }
+  }
 
-    @Override
-    public List<Map<String, Object>> rows(String id, Hold hold, At at) {
-        Map<String, Object> row = new LinkedHashMap<>();
-        row.put("reference", id);
-        row.put("state", hold.state().name());
-        row.put("opening", hold.opening());
-        row.put("records", String.join(" ", hold.records().stream().map(Records::toString).toList()));
-        row.put("from_ms", hold.fromMs());
-        row.put("review_ms", hold.reviewMs());
-        row.put("to_be_reviewed", hold.isToBeReviewed(at));
-        row.put("by", hold.by());
-        row.put("proven_at", hold.provenAt());
-        return List.of(row);
-    }
+  @Override
+  public List<Map<String, Object>> rows(String id, Hold hold, At at) {
+    Map<String, Object> row = new LinkedHashMap<>();
+    row.put("reference", id);
+    row.put("state", hold.state().name());
+    row.put("opening", hold.opening());
+    row.put("records", String.join(" ", hold.records().stream().map(Records::toString).toList()));
+    row.put("from_ms", hold.fromMs());
+    row.put("review_ms", hold.reviewMs());
+    row.put("to_be_reviewed", hold.isToBeReviewed(at));
+    row.put("by", hold.by());
+    row.put("proven_at", hold.provenAt());
+    return List.of(row);
+  }
 }
--- a/src/main/java/org/quincecross/holds/Listing.java
+++ b/src/main/java/org/quincecross/holds/Listing.java
@@ -9,50 +9,54 @@
 
 /** Tasks by job as text for a trail, cut into parts that fit its lines. */
 public final class Listing {
-    /** So many characters are in one part. */
-    static final int MOST = 700;
+  /** So many characters are in one part. */
+  static final int MOST = 700;
 
-    private Listing() {
-    }
+  private Listing() {}
 
-    /** Each part is like {@code job-1/0-5,7 job-2/0}; together they name all the tasks. None for no tasks. */
-    public static List<String> parts(Map<JobId, TaskSet> tasks) {
-        List<String> parts = new ArrayList<>();
-        StringBuilder part = new StringBuilder();
-        new TreeMap<>(tasks).forEach((job, set) -> {
-            TaskSet rest = set.copy();
-            while (!rest.isEmpty()) {
+  /**
+   * Each part is like {@code job-1/0-5,7 job-2/0}; together they name all the tasks. None for no
+   * tasks.
+   */
+  public static List<String> parts(Map<JobId, TaskSet> tasks) {
+    List<String> parts = new ArrayList<>();
+    StringBuilder part = new StringBuilder();
+    new TreeMap<>(tasks)
+        .forEach(
+            (job, set) -> {
+              TaskSet rest = set.copy();
+              while (!rest.isEmpty()) {
                 String name = (part.length() > 0 ? " " : "") + job + "/";
                 if (part.length() + name.length() + rest.textLength() <= MOST) {
-                    part.append(name).append(rest);
-                    return;
+                  part.append(name).append(rest);
+                  return;
                 }
                 if (part.length() > 0) {
-                    parts.add(part.toString());
-                    part.setLength(0);
-                    continue;
+                  parts.add(part.toString());
+                  part.setLength(0);
+                  continue;
                 }
                 TaskSet first = new TaskSet();
                 while (first.textLength() < MOST - 60) {
-                    int next = rest.next(0);
-                    first.add(next);
-                    rest.remove(next);
+                  int next = rest.next(0);
+                  first.add(next);
+                  rest.remove(next);
                 }
                 parts.add(job + "/" + first);
-            }
-        });
-        if (part.length() > 0) {
-            parts.add(part.toString());
-        }
-        return parts;
+              }
+            });
+    if (part.length() > 0) {
+      parts.add(part.toString());
     }
+    return parts;
+  }
 
-    /** Stands for the tasks of a listing: another one of the same tasks has the same. */
-    public static long what(Map<JobId, TaskSet> tasks) {
-        long what = 1;
-        for (Map.Entry<JobId, TaskSet> each : new TreeMap<>(tasks).entrySet()) {
-            what = what * 1_000_003 + each.getKey().hashCode() * 31L + each.getValue().hashCode();
-        }
-        return tasks.isEmpty() ? 0 : what;
+  /** Stands for the tasks of a listing: another one of the same tasks has the same. */
+  public static long what(Map<JobId, TaskSet> tasks) {
+    long what = 1;
+    for (Map.Entry<JobId, TaskSet> each : new TreeMap<>(tasks).entrySet()) {
+      what = what * 1_000_003 + each.getKey().hashCode() * 31L + each.getValue().hashCode();
     }
+    return tasks.isEmpty() ? 0 : what;
+  }
 }
--- a/src/main/java/org/quincecross/holds/RecordIndex.java
+++ b/src/main/java/org/quincecross/holds/RecordIndex.java
@@ -8,153 +8,160 @@
 import org.locationtech.jts.index.bintree.Interval;
 
 /**
- * Something for each of many records, found by what overlaps others: periods in a tree of intervals for each series, keys by their names.
- * That a key may be of any period is not looked up pair by pair: {@link #anyKey} and {@link #anyPeriod} stand for it, and whoever puts a
- * key or a period into one index puts these into the other.
+ * Something for each of many records, found by what overlaps others: periods in a tree of intervals
+ * for each series, keys by their names. That a key may be of any period is not looked up pair by
+ * pair: {@link #anyKey} and {@link #anyPeriod} stand for it, and whoever puts a key or a period
+ * into one index puts these into the other.
  */
 final class RecordIndex<V> {
-    private static final int KEYS = -1;
-    private static final int PERIODS = -2;
+  private static final int KEYS = -1;
+  private static final int PERIODS = -2;
 
-    private record Item<V>(Records records, V value) {
-    }
+  private record Item<V>(Records records, V value) {}
 
-    private static final class Series<V> {
-        /** The whole series, and what stands for any key or any period of it. */
-        private final Map<Records, V> broad = new HashMap<>();
-        private final Map<Records, V> keys = new HashMap<>();
-        private final Map<Records, Item<V>> periods = new HashMap<>();
-        private final Bintree tree = new Bintree();
+  private static final class Series<V> {
+    /** The whole series, and what stands for any key or any period of it. */
+    private final Map<Records, V> broad = new HashMap<>();
 
-        private boolean isEmpty() {
-            return broad.isEmpty() && keys.isEmpty() && periods.isEmpty();
-        }
+    private final Map<Records, V> keys = new HashMap<>();
+    private final Map<Records, Item<V>> periods = new HashMap<>();
+    private final Bintree tree = new Bintree();
 
-        private int size() {
-            return broad.size() + keys.size() + periods.size();
-        }
+    private boolean isEmpty() {
+      return broad.isEmpty() && keys.isEmpty() && periods.isEmpty();
     }
 
-    private final Map<String, Series<V>> series = new HashMap<>();
-
-    /** Stands for all keys of a series, whichever they are: overlaps every period. */
-    static Records anyKey(String series) {
-        return new Records(series, KEYS, 0, null);
+    private int size() {
+      return broad.size() + keys.size() + periods.size();
     }
+  }
 
-    /** Stands for all periods of a series: overlaps every key. */
-    static Records anyPeriod(String series) {
-        return new Records(series, PERIODS, 0, null);
-    }
+  private final Map<String, Series<V>> series = new HashMap<>();
 
-    private static Records whole(String series) {
-        return new Records(series, 0, 0, null);
-    }
+  /** Stands for all keys of a series, whichever they are: overlaps every period. */
+  static Records anyKey(String series) {
+    return new Records(series, KEYS, 0, null);
+  }
 
-    V get(Records records) {
-        Series<V> there = series.get(records.series());
-        if (there == null) {
-            return null;
-        }
-        if (records.isPeriod()) {
-            Item<V> item = there.periods.get(records);
-            return item == null ? null : item.value();
-        }
-        return (records.isKey() ? there.keys : there.broad).get(records);
-    }
+  /** Stands for all periods of a series: overlaps every key. */
+  static Records anyPeriod(String series) {
+    return new Records(series, PERIODS, 0, null);
+  }
 
-    /** The ends of an interval belong to it in the tree, so the end is put half a day before the first that is not in the period. */
-    private static Interval span(Records records) {
-        return new Interval(records.from(), records.to() - 0.5);
-    }
+  private static Records whole(String series) {
+    return new Records(series, 0, 0, null);
+  }
 
-    void put(Records records, V value) {
-        Series<V> there = series.computeIfAbsent(records.series(), name -> new Series<>());
-        if (records.isPeriod()) {
-            Item<V> item = new Item<>(records, value);
-            there.periods.put(records, item);
-            there.tree.insert(span(records), item);
-        } else {
-            (records.isKey() ? there.keys : there.broad).put(records, value);
-        }
+  V get(Records records) {
+    Series<V> there = series.get(records.series());
+    if (there == null) {
+      return null;
     }
-
-    void remove(Records records) {
-        Series<V> there = series.get(records.series());
-        if (records.isPeriod()) {
-            there.tree.remove(span(records), there.periods.remove(records));
-        } else {
-            (records.isKey() ? there.keys : there.broad).remove(records);
-        }
-        if (there.isEmpty()) {
-            series.remove(records.series());
-        }
+    if (records.isPeriod()) {
+      Item<V> item = there.periods.get(records);
+      return item == null ? null : item.value();
     }
-
-    /** How many there are that overlap {@code records}; of what is broad this is known without looking at each. */
-    int count(Records records) {
-        Series<V> there = series.get(records.series());
-        if (records.equals(Records.ANY)) {
-            return series.values().stream().mapToInt(Series::size).sum();
-        }
-        int any = get(Records.ANY) == null ? 0 : 1;
-        if (there == null) {
-            return any;
-        }
-        int whole = get(whole(records.series())) == null ? 0 : 1;
-        return switch (records.from()) {
-            case KEYS -> any + whole + there.periods.size();
-            case PERIODS -> any + whole + there.keys.size();
-            default -> overlapping(records).size();
-        };
+    return (records.isKey() ? there.keys : there.broad).get(records);
+  }
+
+  /**
+   * The ends of an interval belong to it in the tree, so the end is put half a day before the first
+   * that is not in the period.
+   */
+  private static Interval span(Records records) {
+    return new Interval(records.from(), records.to() - 0.5);
+  }
+
+  void put(Records records, V value) {
+    Series<V> there = series.computeIfAbsent(records.series(), name -> new Series<>());
+    if (records.isPeriod()) {
+      Item<V> item = new Item<>(records, value);
+      there.periods.put(records, item);
+      there.tree.insert(span(records), item);
+    } else {
+      (records.isKey() ? there.keys : there.broad).put(records, value);
     }
-
-    /** What there is for records of which some may be among {@code records}. */
-    List<V> overlapping(Records records) {
-        List<V> found = new ArrayList<>();
-        if (records.equals(Records.ANY)) {
-            series.values().forEach(each -> addAll(each, found));
-            return found;
-        }
-        add(found, Records.ANY);
-        Series<V> there = series.get(records.series());
-        if (there == null) {
-            return found;
-        }
-        if (records.equals(whole(records.series()))) {
-            addAll(there, found);
-            return found;
-        }
-        add(found, whole(records.series()));
-        if (records.isKey()) {
-            add(found, records);
-            add(found, anyPeriod(records.series()));
-        } else if (records.isPeriod()) {
-            add(found, anyKey(records.series()));
-            for (Object candidate : there.tree.query(span(records))) {
-                Records other = ((Item<?>) candidate).records();
-                if (other.overlaps(records)) { // the tree finds some beside those that overlap
-                    found.add(get(other));
-                }
-            }
-        } else if (records.from() == KEYS) {
-            there.periods.values().forEach(item -> found.add(item.value()));
-        } else {
-            found.addAll(there.keys.values());
-        }
-        return found;
+  }
+
+  void remove(Records records) {
+    Series<V> there = series.get(records.series());
+    if (records.isPeriod()) {
+      there.tree.remove(span(records), there.periods.remove(records));
+    } else {
+      (records.isKey() ? there.keys : there.broad).remove(records);
     }
-
-    private void add(List<V> found, Records records) {
-        V value = get(records);
-        if (value != null) {
-            found.add(value);
+    if (there.isEmpty()) {
+      series.remove(records.series());
+    }
+  }
+
+  /**
+   * How many there are that overlap {@code records}; of what is broad this is known without looking
+   * at each.
+   */
+  int count(Records records) {
+    Series<V> there = series.get(records.series());
+    if (records.equals(Records.ANY)) {
+      return series.values().stream().mapToInt(Series::size).sum();
+    }
+    int any = get(Records.ANY) == null ? 0 : 1;
+    if (there == null) {
+      return any;
+    }
+    int whole = get(whole(records.series())) == null ? 0 : 1;
+    return switch (records.from()) {
+      case KEYS -> any + whole + there.periods.size();
+      case PERIODS -> any + whole + there.keys.size();
+      default -> overlapping(records).size();
+    };
+  }
+
+  /** What there is for records of which some may be among {@code records}. */
+  List<V> overlapping(Records records) {
+    List<V> found = new ArrayList<>();
+    if (records.equals(Records.ANY)) {
+      series.values().forEach(each -> addAll(each, found));
+      return found;
+    }
+    add(found, Records.ANY);
+    Series<V> there = series.get(records.series());
+    if (there == null) {
+      return found;
+    }
+    if (records.equals(whole(records.series()))) {
+      addAll(there, found);
+      return found;
+    }
+    add(found, whole(records.series()));
+    if (records.isKey()) {
+      add(found, records);
+      add(found, anyPeriod(records.series()));
+    } else if (records.isPeriod()) {
+      add(found, anyKey(records.series()));
+      for (Object candidate : there.tree.query(span(records))) {
+        Records other = ((Item<?>) candidate).records();
+        if (other.overlaps(records)) { // the tree finds some beside those that overlap
+          found.add(get(other));
         }
+      }
+    } else if (records.from() == KEYS) {
+      there.periods.values().forEach(item -> found.add(item.value()));
+    } else {
+      found.addAll(there.keys.values());
     }
+    return found;
+  }
 
-    private void addAll(Series<V> there, List<V> found) {
-        found.addAll(there.broad.values());
-        found.addAll(there.keys.values());
-        there.periods.values().forEach(item -> found.add(item.value()));
+  private void add(List<V> found, Records records) {
+    V value = get(records);
+    if (value != null) {
+      found.add(value);
     }
+  }
+
+  private void addAll(Series<V> there, List<V> found) {
+    found.addAll(there.broad.values());
+    found.addAll(there.keys.values());
+    there.periods.values().forEach(item -> found.add(item.value()));
+  }
 }
--- a/src/main/java/org/quincecross/holds/Records.java
+++ b/src/main/java/org/quincecross/holds/Records.java
@@ -4,111 +4,121 @@
 import java.util.regex.Pattern;
 
 /**
- * Records as a hold or a claim names them: all of a series ({@code cdr}), those of a period of it ({@code cdr/2026},
- * {@code cdr/2026-03}, {@code cdr/2026-03-15}, {@code cdr/2026-01..2026-03}, both ends included), or one by its key ({@code cdr#key}).
- * Which period a key is of nobody has said, so a key touches every period of its series.
+ * Records as a hold or a claim names them: all of a series ({@code cdr}), those of a period of it
+ * ({@code cdr/2026}, {@code cdr/2026-03}, {@code cdr/2026-03-15}, {@code cdr/2026-01..2026-03},
+ * both ends included), or one by its key ({@code cdr#key}). Which period a key is of nobody has
+ * said, so a key touches every period of its series.
  *
- * @param from the first day of the period, as the number that its digits form (20260315); 0 unless it is a period
+ * @param from the first day of the period, as the number that its digits form (20260315); 0 unless
+ *     it is a period
  * @param to the first such number after the period
  * @param key the record's key; null unless it is named by key
  */
 public record Records(String series, int from, int to, String key) {
-    /** Any record of any series: what is touched by a task of which nothing is known. */
-    public static final Records ANY = new Records("*", 0, 0, null);
+  /** Any record of any series: what is touched by a task of which nothing is known. */
+  public static final Records ANY = new Records("*", 0, 0, null);
 
-    private static final String SERIES = "[A-Za-z0-9][A-Za-z0-9._-]{0,39}";
-    private static final String PERIOD = "(\\d{4})(?:-(\\d{2})(?:-(\\d{2}))?)?";
-    private static final Pattern FORM =
-            Pattern.compile("(" + SERIES + ")(?:/" + PERIOD + "(?:\\.\\." + PERIOD + ")?|#([!-~&&[^,;\"]]{1,80}))?");
-    private static final int[] DAYS = {31, 29, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31};
+  private static final String SERIES = "[A-Za-z0-9][A-Za-z0-9._-]{0,39}";
+  private static final String PERIOD = "(\\d{4})(?:-(\\d{2})(?:-(\\d{2}))?)?";
+  private static final Pattern FORM =
+      Pattern.compile(
+          "(" + SERIES + ")(?:/" + PERIOD + "(?:\\.\\." + PERIOD + ")?|#([!-~&&[^,;\"]]{1,80}))?");
+  private static final int[] DAYS = {31, 29, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31};
 
-    /**
-     * Reads the text of records.
-     *
-     * @throws IllegalArgumentException saying what is wrong with it
-     */
-    public static Records parse(String text) {
-        Matcher form = FORM.matcher(text);
-        if (!form.matches()) {
-            throw new IllegalArgumentException("'" + text + "' names no records: SERIES, SERIES/2026-03, SERIES/2026-01..2026-03 or SERIES#KEY");
-        }
-        if (form.group(2) == null) {
-            return new Records(form.group(1), 0, 0, form.group(8));
-        }
-        int from = start(text, form, 2);
-        int to = end(form, form.group(5) == null ? 2 : 5);
-        if (form.group(5) != null) {
-            start(text, form, 5);
-        }
-        if (to <= from) {
-            throw new IllegalArgumentException("'" + text + "' ends before it begins");
-        }
-        return new Records(form.group(1), from, to, null);
+  /**
+   * Reads the text of records.
+   *
+   * @throws IllegalArgumentException saying what is wrong with it
+   */
+  public static Records parse(String text) {
+    Matcher form = FORM.matcher(text);
+    if (!form.matches()) {
+      throw new IllegalArgumentException(
+          "'"
+              + text
+              + "' names no records: SERIES, SERIES/2026-03, SERIES/2026-01..2026-03 or SERIES#KEY");
     }
-
-    private static int part(Matcher form, int group) {
-        return form.group(group) == null ? 0 : Integer.parseInt(form.group(group));
+    if (form.group(2) == null) {
+      return new Records(form.group(1), 0, 0, form.group(8));
     }
-
-    private static int start(String text, Matcher form, int at) {
-        int month = part(form, at + 1);
-        int day = part(form, at + 2);
-        boolean good = (form.group(at + 1) == null || month >= 1 && month <= 12)
-                && (form.group(at + 2) == null || day >= 1 && day <= DAYS[month - 1]);
-        if (!good) {
-            throw new IllegalArgumentException("'" + text + "' has a month or a day that there is not");
-        }
-        return part(form, at) * 10_000 + month * 100 + day;
+    int from = start(text, form, 2);
+    int to = end(form, form.group(5) == null ? 2 : 5);
+    if (form.group(5) != null) {
+      start(text, form, 5);
     }
-
-    private static int end(Matcher form, int at) {
-        int width = form.group(at + 2) != null ? 1 : form.group(at + 1) != null ? 100 : 10_000;
-        return part(form, at) * 10_000 + part(form, at + 1) * 100 + part(form, at + 2) + width;
+    if (to <= from) {
+      throw new IllegalArgumentException("'" + text + "' ends before it begins");
     }
+    return new Records(form.group(1), from, to, null);
+  }
 
-    public boolean isPeriod() {
-        return to > 0;
-    }
+  private static int part(Matcher form, int group) {
+    return form.group(group) == null ? 0 : Integer.parseInt(form.group(group));
+  }
 
-    public boolean isKey() {
-        return key != null;
+  private static int start(String text, Matcher form, int at) {
+    int month = part(form, at + 1);
+    int day = part(form, at + 2);
+    boolean good =
+        (form.group(at + 1) == null || month >= 1 && month <= 12)
+            && (form.group(at + 2) == null || day >= 1 && day <= DAYS[month - 1]);
+    if (!good) {
+      throw new IllegalArgumentException("'" + text + "' has a month or a day that there is not");
     }
+    return part(form, at) * 10_000 + month * 100 + day;
+  }
 
-    /** Whether some record may be among both. */
-    public boolean overlaps(Records other) {
-        if (!series.equals(other.series)) {
-            return equals(ANY) || other.equals(ANY);
-        }
-        if (isPeriod() && other.isPeriod()) {
-            return from < other.to && other.from < to;
-        }
-        return !isKey() || !other.isKey() || key.equals(other.key);
-    }
+  private static int end(Matcher form, int at) {
+    int width = form.group(at + 2) != null ? 1 : form.group(at + 1) != null ? 100 : 10_000;
+    return part(form, at) * 10_000 + part(form, at + 1) * 100 + part(form, at + 2) + width;
+  }
 
-    private static String day(int number) {
-        String text = String.format("%08d", number);
-        StringBuilder out = new StringBuilder(text.substring(0, 4));
-        if (number % 10_000 != 0) {
-            out.append('-').append(text, 4, 6);
-        }
-        if (number % 100 != 0) {
-            out.append('-').append(text, 6, 8);
-        }
-        return out.toString();
+  public boolean isPeriod() {
+    return to > 0;
+  }
+
+  public boolean isKey() {
+    return key != null;
+  }
+
+  /** Whether some record may be among both. */
+  public boolean overlaps(Records other) {
+    if (!series.equals(other.series)) {
+      return equals(ANY) || other.equals(ANY);
+    }
+    if (isPeriod() && other.isPeriod()) {
+      return from < other.to && other.from < to;
     }
+    return !isKey() || !other.isKey() || key.equals(other.key);
+  }
 
-    /** The text that {@link #parse} reads. */
-    @Override
-    public String toString() {
-        if (!isPeriod()) {
-            return isKey() ? series + "#" + key : series;
-        }
-        // The end is the number after the last day, month or year: which of them it was its own digits say.
-        int last = to % 100 != 0 ? to - 1 : to % 10_000 != 0 ? to - 100 : to - 10_000;
-        return series + "/" + (last == from && width(last) == to - from ? day(from) : day(from) + ".." + day(last));
+  private static String day(int number) {
+    String text = String.format("%08d", number);
+    StringBuilder out = new StringBuilder(text.substring(0, 4));
+    if (number % 10_000 != 0) {
+      out.append('-').append(text, 4, 6);
     }
+    if (number % 100 != 0) {
+      out.append('-').append(text, 6, 8);
+    }
+    return out.toString();
+  }
 
-    private static int width(int start) {
-        return start % 100 != 0 ? 1 : start % 10_000 != 0 ? 100 : 10_000;
+  /** The text that {@link #parse} reads. */
+  @Override
+  public String toString() {
+    if (!isPeriod()) {
+      return isKey() ? series + "#" + key : series;
     }
+    // The end is the number after the last day, month or year: which of them it was its own digits
+    // say.
+    int last = to % 100 != 0 ? to - 1 : to % 10_000 != 0 ? to - 100 : to - 10_000;
+    return series
+        + "/"
+        + (last == from && width(last) == to - from ? day(from) : day(from) + ".." + day(last));
+  }
+
+  private static int width(int start) {
+    return start % 100 != 0 ? 1 : start % 10_000 != 0 ? 100 : 10_000;
+  }
 }
--- a/src/main/java/org/quincecross/holds/SweepKind.java
+++ b/src/main/java/org/quincecross/holds/SweepKind.java
@@ -11,92 +11,97 @@
 import org.quincecross.agreed.TrailEntry;
 import org.quincecross.agreed.Unreadable;
 
-/** Which lanes are sweeps, as agreed records named by the lane: the series that their jobs may touch, {@code *} for any; none: no sweeps. */
+/**
+ * Which lanes are sweeps, as agreed records named by the lane: the series that their jobs may
+ * touch, {@code *} for any; none: no sweeps.
+ */
 public final class SweepKind implements Kind<List<Records>, List<Records>> {
-    public static final String NAME = "sweeps";
+  public static final String NAME = "sweeps";
 
-    @Override
-    public String name() {
-        return NAME;
-    }
+  @Override
+  public String name() {
+    return NAME;
+  }
 
-    @Override
-    public List<Records> initial() {
-        return List.of();
-    }
+  @Override
+  public List<Records> initial() {
+    return List.of();
+  }
 
-    @Override
-    public boolean restrains() {
-        return true;
-    }
+  @Override
+  public boolean restrains() {
+    return true;
+  }
 
-    @Override
-    public boolean startsWithholding(List<Records> before, List<Records> next) {
-        return !before.containsAll(next);
-    }
+  @Override
+  public boolean startsWithholding(List<Records> before, List<Records> next) {
+    return !before.containsAll(next);
+  }
 
-    @Override
-    public Step<List<Records>> step(List<Records> series, List<Records> next, At at) {
-        if (at.by().isBlank()) {
-            return new Step.Refused<>(400, "who says so is to be named (by)");
-        }
-        if (series.equals(next)) {
-            return new Step.Same<>("so already");
-        }
-        Map<String, Object> details = new LinkedHashMap<>();
-        details.put("series", texts(next));
-        return new Step.Changed<>(next, List.of(new TrailEntry(next.isEmpty() ? "no sweeps" : "sweeps", details)));
+  @Override
+  public Step<List<Records>> step(List<Records> series, List<Records> next, At at) {
+    if (at.by().isBlank()) {
+      return new Step.Refused<>(400, "who says so is to be named (by)");
     }
-
-    private static List<Object> texts(List<Records> series) {
-        List<Object> texts = new ArrayList<>();
-        series.forEach(each -> texts.add(each.series()));
-        return texts;
+    if (series.equals(next)) {
+      return new Step.Same<>("so already");
     }
+    Map<String, Object> details = new LinkedHashMap<>();
+    details.put("series", texts(next));
+    return new Step.Changed<>(
+        next, List.of(new TrailEntry(next.isEmpty() ? "no sweeps" : "sweeps", details)));
+  }
 
-    private static List<Records> series(Body in) throws Unreadable {
-        List<Records> series = new ArrayList<>();
-        for (String text : in.texts("series")) {
-            Records one;
-            try {
-                one = text.equals(Records.ANY.series()) ? Records.ANY : Records.parse(text);
-            } catch (IllegalArgumentException e) {
-                throw new Unreadable("field series: " + e.getMessage());
-            }
-            if (one.isPeriod() || one.isKey()) {
-                throw new Unreadable("field series: " + text + " is not a whole series");
-            }
-            series.add(one);
-        }
-        return List.copyOf(series);
-    }
+  private static List<Object> texts(List<Records> series) {
+    List<Object> texts = new ArrayList<>();
+    series.forEach(each -> texts.add(each.series()));
+    return texts;
+  }
 
-    @Override
-    public List<Records> read(Map<String, Object> value) throws Unreadable {
-        return series(Body.of(value, "a lane of sweeps"));
+  private static List<Records> series(Body in) throws Unreadable {
+    List<Records> series = new ArrayList<>();
+    for (String text : in.texts("series")) {
+      Records one;
+      try {
+        one = text.equals(Records.ANY.series()) ? Records.ANY : Records.parse(text);
+      } catch (IllegalArgumentException e) {
+        throw new Unreadable("field series: " + e.getMessage());
+      }
+      if (one.isPeriod() || one.isKey()) {
+        throw new Unreadable("field series: " + text + " is not a whole series");
+      }
+      series.add(one);
     }
+    return List.copyOf(series);
+  }
 
-    @Override
-    public List<Records> command(Map<String, Object> body) throws Unreadable {
-        Body in = Body.of(body, "the command").only(List.of("series"));
-        if (!in.has("series")) {
-            throw new Unreadable("field series of the command is missing; [] says that the lane has no sweeps");
-        }
-        return series(in);
-    }
+  @Override
+  public List<Records> read(Map<String, Object> value) throws Unreadable {
+    return series(Body.of(value, "a lane of sweeps"));
+  }
 
-    @Override
-    public Map<String, Object> write(List<Records> series) {
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("series", texts(series));
-        return out;
+  @Override
+  public List<Records> command(Map<String, Object> body) throws Unreadable {
+    Body in = Body.of(body, "the command").only(List.of("series"));
+    if (!in.has("series")) {
+      throw new Unreadable(
+          "field series of the command is missing; [] says that the lane has no sweeps");
     }
+    return series(in);
+  }
 
-    @Override
-    public List<Map<String, Object>> rows(String id, List<Records> series, At at) {
-        Map<String, Object> row = new LinkedHashMap<>();
-        row.put("lane", id);
-        row.put("series", String.join(" ", series.stream().map(Records::series).toList()));
-        return List.of(row);
-    }
+  @Override
+  public Map<String, Object> write(List<Records> series) {
+    Map<String, Object> out = new LinkedHashMap<>();
+    out.put("series", texts(series));
+    return out;
+  }
+
+  @Override
+  public List<Map<String, Object>> rows(String id, List<Records> series, At at) {
+    Map<String, Object> row = new LinkedHashMap<>();
+    row.put("lane", id);
+    row.put("series", String.join(" ", series.stream().map(Records::series).toList()));
+    return List.of(row);
+  }
 }
--- a/src/main/java/org/quincecross/http/HttpParser.java
+++ b/src/main/java/org/quincecross/http/HttpParser.java
@@ -6,337 +6,370 @@
 import java.util.Locale;
 
 /**
- * Reads one side of a connection, in pieces of any size. One message at a time: after {@link Phase#COMPLETE} the
- * caller takes the message and calls {@link #next()}; bytes not yet read stay in the caller's buffer.
+ * Reads one side of a connection, in pieces of any size. One message at a time: after {@link
+ * Phase#COMPLETE} the caller takes the message and calls {@link #next()}; bytes not yet read stay
+ * in the caller's buffer.
  */
 public final class HttpParser {
-    /** What is read: the requests of a client or the responses of a server. */
-    public enum Role { REQUESTS, RESPONSES }
+  /** What is read: the requests of a client or the responses of a server. */
+  public enum Role {
+    REQUESTS,
+    RESPONSES
+  }
 
-    /** Where in a message the parser is. */
-    public enum Phase { START_LINE, HEADERS, BODY, CHUNK_SIZE, CHUNK_DATA, CHUNK_END, TRAILERS, UNTIL_CLOSE, COMPLETE, FAILED }
+  /** Where in a message the parser is. */
+  public enum Phase {
+    START_LINE,
+    HEADERS,
+    BODY,
+    CHUNK_SIZE,
+    CHUNK_DATA,
+    CHUNK_END,
+    TRAILERS,
+    UNTIL_CLOSE,
+    COMPLETE,
+    FAILED
+  }
 
-    private static final int MOST_HEAD = 16 * 1024;
-    private static final String[] KNOWN = {"content-length", "connection", "transfer-encoding", "retry-after"};
-    private static final byte[] NONE = new byte[0];
+  private static final int MOST_HEAD = 16 * 1024;
+  private static final String[] KNOWN = {
+    "content-length", "connection", "transfer-encoding", "retry-after"
+  };
+  private static final byte[] NONE = new byte[0];
 
-    private final Role role;
-    private final int mostBody;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
+  private final Role role;
+  private final int mostBody;
+  private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
 
-    private Phase phase = Phase.START_LINE;
-    private int headBytes;
-    /** The body where all of it came in one piece; else it is put together in {@link #body}. */
-    private byte[] whole;
-    private ByteArrayOutputStream body;
-    private long left;
-    private String method;
-    private String target;
-    private int status;
-    private boolean oldVersion;
-    private boolean close;
-    private boolean chunked;
-    private long length;
-    private int retryAfterS;
-    private int failure;
+  private Phase phase = Phase.START_LINE;
+  private int headBytes;
 
-    public HttpParser(Role role, int mostBody) {
-        this.role = role;
-        this.mostBody = mostBody;
-    }
+  /** The body where all of it came in one piece; else it is put together in {@link #body}. */
+  private byte[] whole;
 
-    /** The one place where the parser changes its phase. */
-    private void enter(Phase next) {
-        phase = next;
-    }
+  private ByteArrayOutputStream body;
+  private long left;
+  private String method;
+  private String target;
+  private int status;
+  private boolean oldVersion;
+  private boolean close;
+  private boolean chunked;
+  private long length;
+  private int retryAfterS;
+  private int failure;
 
-    private Phase fail(int code) {
-        failure = code;
-        enter(Phase.FAILED);
-        return phase;
-    }
+  public HttpParser(Role role, int mostBody) {
+    this.role = role;
+    this.mostBody = mostBody;
+  }
 
-    public Phase phase() {
-        return phase;
-    }
+  /** The one place where the parser changes its phase. */
+  private void enter(Phase next) {
+    phase = next;
+  }
 
-    /** Whether some of a message has come, but not all. */
-    public boolean isMidMessage() {
-        return phase != Phase.COMPLETE && phase != Phase.FAILED && (phase != Phase.START_LINE || headBytes > 0);
-    }
+  private Phase fail(int code) {
+    failure = code;
+    enter(Phase.FAILED);
+    return phase;
+  }
 
-    /** The status that tells the other side what was wrong. */
-    public int failure() {
-        return failure;
-    }
+  public Phase phase() {
+    return phase;
+  }
 
-    public HttpRequest request() {
-        return new HttpRequest(method, target, bytes(), close);
-    }
+  /** Whether some of a message has come, but not all. */
+  public boolean isMidMessage() {
+    return phase != Phase.COMPLETE
+        && phase != Phase.FAILED
+        && (phase != Phase.START_LINE || headBytes > 0);
+  }
 
-    public HttpResponse response() {
-        return new HttpResponse(status, bytes(), retryAfterS, close);
-    }
+  /** The status that tells the other side what was wrong. */
+  public int failure() {
+    return failure;
+  }
+
+  public HttpRequest request() {
+    return new HttpRequest(method, target, bytes(), close);
+  }
+
+  public HttpResponse response() {
+    return new HttpResponse(status, bytes(), retryAfterS, close);
+  }
+
+  private byte[] bytes() {
+    return whole != null ? whole : body == null ? NONE : body.toByteArray();
+  }
 
-    private byte[] bytes() {
-        return whole != null ? whole : body == null ? NONE : body.toByteArray();
+  /** Gets ready for the message after a complete one. */
+  public void next() {
+    enter(Phase.START_LINE);
+    line.reset();
+    headBytes = 0;
+    body = null;
+    whole = null;
+  }
+
+  /**
+   * The connection has ended: a body that runs to the end is complete, anything else in the middle
+   * has failed.
+   */
+  public Phase end() {
+    if (phase == Phase.UNTIL_CLOSE) {
+      close = true;
+      enter(Phase.COMPLETE);
+    } else if (isMidMessage()) {
+      fail(400);
     }
+    return phase;
+  }
 
-    /** Gets ready for the message after a complete one. */
-    public void next() {
-        enter(Phase.START_LINE);
-        line.reset();
-        headBytes = 0;
-        body = null;
-        whole = null;
+  /** Reads until the buffer is empty or a message is complete. */
+  public Phase feed(ByteBuffer in) {
+    while (phase != Phase.COMPLETE && phase != Phase.FAILED && in.hasRemaining()) {
+      switch (phase) {
+        case START_LINE, HEADERS, CHUNK_SIZE, CHUNK_END, TRAILERS -> readLine(in);
+        case BODY, CHUNK_DATA, UNTIL_CLOSE -> readBody(in);
+        default -> throw new IllegalStateException(phase.toString());
+      }
     }
+    return phase;
+  }
 
-    /** The connection has ended: a body that runs to the end is complete, anything else in the middle has failed. */
-    public Phase end() {
-        if (phase == Phase.UNTIL_CLOSE) {
-            close = true;
-            enter(Phase.COMPLETE);
-        } else if (isMidMessage()) {
-            fail(400);
-        }
-        return phase;
+  private void readBody(ByteBuffer in) {
+    int n = (int) Math.min(in.remaining(), phase == Phase.UNTIL_CLOSE ? Integer.MAX_VALUE : left);
+    if (bodySize() + (long) n > mostBody) {
+      fail(413);
+      return;
+    }
+    byte[] piece = new byte[n];
+    in.get(piece);
+    if (phase == Phase.BODY && body == null && n == left) {
+      whole = piece;
+    } else {
+      body = body == null ? new ByteArrayOutputStream(Math.max(n, 512)) : body;
+      body.write(piece, 0, n);
     }
+    if (phase == Phase.UNTIL_CLOSE) {
+      return;
+    }
+    left -= n;
+    if (left == 0) {
+      enter(phase == Phase.BODY ? Phase.COMPLETE : Phase.CHUNK_END);
+    }
+  }
 
-    /** Reads until the buffer is empty or a message is complete. */
-    public Phase feed(ByteBuffer in) {
-        while (phase != Phase.COMPLETE && phase != Phase.FAILED && in.hasRemaining()) {
-            switch (phase) {
-                case START_LINE, HEADERS, CHUNK_SIZE, CHUNK_END, TRAILERS -> readLine(in);
-                case BODY, CHUNK_DATA, UNTIL_CLOSE -> readBody(in);
-                default -> throw new IllegalStateException(phase.toString());
-            }
-        }
-        return phase;
+  private int bodySize() {
+    return body == null ? 0 : body.size();
+  }
+
+  private void readLine(ByteBuffer in) {
+    int from = in.position();
+    int at = from;
+    int last = Math.min(in.limit(), from + MOST_HEAD - headBytes);
+    while (at < last && in.get(at) != '\n') {
+      at++;
+    }
+    if (at >= last && last < in.limit()) {
+      fail(431);
+      return;
+    }
+    boolean ends = at < last;
+    byte[] piece = new byte[at - from];
+    in.get(piece);
+    headBytes += piece.length;
+    if (!ends) {
+      line.write(piece, 0, piece.length);
+      return;
     }
+    in.get();
+    headBytes++;
+    byte[] bytes = piece;
+    if (line.size() > 0) {
+      line.write(piece, 0, piece.length);
+      bytes = line.toByteArray();
+      line.reset();
+    }
+    int end = bytes.length > 0 && bytes[bytes.length - 1] == '\r' ? bytes.length - 1 : bytes.length;
+    takeLine(new String(bytes, 0, end, StandardCharsets.ISO_8859_1));
+  }
 
-    private void readBody(ByteBuffer in) {
-        int n = (int) Math.min(in.remaining(), phase == Phase.UNTIL_CLOSE ? Integer.MAX_VALUE : left);
-        if (bodySize() + (long) n > mostBody) {
-            fail(413);
-            return;
+  private void takeLine(String text) {
+    switch (phase) {
+      case START_LINE -> {
+        if (text.isEmpty() && headBytes <= 4) {
+          return; // a stray line end between messages is allowed for
         }
-        byte[] piece = new byte[n];
-        in.get(piece);
-        if (phase == Phase.BODY && body == null && n == left) {
-            whole = piece;
+        startLine(text);
+      }
+      case HEADERS -> {
+        if (text.isEmpty()) {
+          headDone();
         } else {
-            body = body == null ? new ByteArrayOutputStream(Math.max(n, 512)) : body;
-            body.write(piece, 0, n);
+          header(text);
         }
-        if (phase == Phase.UNTIL_CLOSE) {
-            return;
+      }
+      case CHUNK_SIZE -> chunkSize(text);
+      case CHUNK_END -> {
+        if (text.isEmpty()) {
+          headBytes = 0;
+          enter(Phase.CHUNK_SIZE);
+        } else {
+          fail(400);
         }
-        left -= n;
-        if (left == 0) {
-            enter(phase == Phase.BODY ? Phase.COMPLETE : Phase.CHUNK_END);
+      }
+      case TRAILERS -> {
+        if (text.isEmpty()) {
+          enter(Phase.COMPLETE);
         }
+      }
+      default -> throw new IllegalStateException(phase.toString());
     }
+  }
 
-    private int bodySize() {
-        return body == null ? 0 : body.size();
+  private void startLine(String text) {
+    close = false;
+    chunked = false;
+    length = -1;
+    retryAfterS = 0;
+    String[] parts = text.split(" ", role == Role.REQUESTS ? -1 : 3);
+    String version;
+    if (role == Role.REQUESTS) {
+      if (parts.length != 3 || !isToken(parts[0], parts[0].length()) || !parts[1].startsWith("/")) {
+        fail(400);
+        return;
+      }
+      method = parts[0];
+      target = parts[1];
+      version = parts[2];
+    } else {
+      if (parts.length < 2 || parts[1].length() != 3 || !isDigits(parts[1])) {
+        fail(400);
+        return;
+      }
+      status = Integer.parseInt(parts[1]);
+      version = parts[0];
     }
-
-    private void readLine(ByteBuffer in) {
-        int from = in.position();
-        int at = from;
-        int last = Math.min(in.limit(), from + MOST_HEAD - headBytes);
-        while (at < last && in.get(at) != '\n') {
-            at++;
-        }
-        if (at >= last && last < in.limit()) {
-            fail(431);
-            return;
-        }
-        boolean ends = at < last;
-        byte[] piece = new byte[at - from];
-        in.get(piece);
-        headBytes += piece.length;
-        if (!ends) {
-            line.write(piece, 0, piece.length);
-            return;
-        }
-        in.get();
-        headBytes++;
-        byte[] bytes = piece;
-        if (line.size() > 0) {
-            line.write(piece, 0, piece.length);
-            bytes = line.toByteArray();
-            line.reset();
-        }
-        int end = bytes.length > 0 && bytes[bytes.length - 1] == '\r' ? bytes.length - 1 : bytes.length;
-        takeLine(new String(bytes, 0, end, StandardCharsets.ISO_8859_1));
+    if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
+      fail(400);
+      return;
     }
+    oldVersion = version.equals("HTTP/1.0");
+    close = oldVersion;
+    enter(Phase.HEADERS);
+  }
 
-    private void takeLine(String text) {
-        switch (phase) {
-            case START_LINE -> {
-                if (text.isEmpty() && headBytes <= 4) {
-                    return; // a stray line end between messages is allowed for
-                }
-                startLine(text);
-            }
-            case HEADERS -> {
-                if (text.isEmpty()) {
-                    headDone();
-                } else {
-                    header(text);
-                }
-            }
-            case CHUNK_SIZE -> chunkSize(text);
-            case CHUNK_END -> {
-                if (text.isEmpty()) {
-                    headBytes = 0;
-                    enter(Phase.CHUNK_SIZE);
-                } else {
-                    fail(400);
-                }
-            }
-            case TRAILERS -> {
-                if (text.isEmpty()) {
-                    enter(Phase.COMPLETE);
-                }
-            }
-            default -> throw new IllegalStateException(phase.toString());
-        }
+  private void header(String text) {
+    int colon = text.indexOf(':');
+    if (colon < 1 || !isToken(text, colon)) {
+      fail(400);
+      return;
     }
-
-    private void startLine(String text) {
-        close = false;
-        chunked = false;
-        length = -1;
-        retryAfterS = 0;
-        String[] parts = text.split(" ", role == Role.REQUESTS ? -1 : 3);
-        String version;
-        if (role == Role.REQUESTS) {
-            if (parts.length != 3 || !isToken(parts[0], parts[0].length()) || !parts[1].startsWith("/")) {
-                fail(400);
-                return;
-            }
-            method = parts[0];
-            target = parts[1];
-            version = parts[2];
-        } else {
-            if (parts.length < 2 || parts[1].length() != 3 || !isDigits(parts[1])) {
-                fail(400);
-                return;
-            }
-            status = Integer.parseInt(parts[1]);
-            version = parts[0];
-        }
-        if (!version.equals("HTTP/1.1") && !version.equals("HTTP/1.0")) {
-            fail(400);
-            return;
-        }
-        oldVersion = version.equals("HTTP/1.0");
-        close = oldVersion;
-        enter(Phase.HEADERS);
+    String name = known(text, colon);
+    if (name == null) {
+      return; // what says nothing here is not taken apart
     }
-
-    private void header(String text) {
-        int colon = text.indexOf(':');
-        if (colon < 1 || !isToken(text, colon)) {
-            fail(400);
-            return;
+    String value = text.substring(colon + 1).strip().toLowerCase(Locale.ROOT);
+    switch (name) {
+      case "content-length" -> {
+        if (value.isEmpty()
+            || value.length() > 12
+            || !isDigits(value)
+            || length >= 0 && length != Long.parseLong(value)) {
+          fail(400);
+        } else {
+          length = Long.parseLong(value);
         }
-        String name = known(text, colon);
-        if (name == null) {
-            return; // what says nothing here is not taken apart
+      }
+      case "transfer-encoding" -> {
+        if (value.equals("chunked") && !chunked) {
+          chunked = true;
+        } else {
+          fail(400);
         }
-        String value = text.substring(colon + 1).strip().toLowerCase(Locale.ROOT);
-        switch (name) {
-            case "content-length" -> {
-                if (value.isEmpty() || value.length() > 12 || !isDigits(value)
-                        || length >= 0 && length != Long.parseLong(value)) {
-                    fail(400);
-                } else {
-                    length = Long.parseLong(value);
-                }
-            }
-            case "transfer-encoding" -> {
-                if (value.equals("chunked") && !chunked) {
-                    chunked = true;
-                } else {
-                    fail(400);
-                }
-            }
-            case "connection" -> {
-                if (value.contains("close")) {
-                    close = true;
-                } else if (oldVersion && value.contains("keep-alive")) {
-                    close = false;
-                }
-            }
-            case "retry-after" -> retryAfterS = value.length() < 6 && !value.isEmpty() && isDigits(value) ? Integer.parseInt(value) : 0;
-            default -> throw new IllegalStateException(name);
+      }
+      case "connection" -> {
+        if (value.contains("close")) {
+          close = true;
+        } else if (oldVersion && value.contains("keep-alive")) {
+          close = false;
         }
+      }
+      case "retry-after" ->
+          retryAfterS =
+              value.length() < 6 && !value.isEmpty() && isDigits(value)
+                  ? Integer.parseInt(value)
+                  : 0;
+      default -> throw new IllegalStateException(name);
     }
+  }
 
-    /** The name of a header that means something here, or null. */
-    private static String known(String text, int length) {
-        for (String name : KNOWN) {
-            if (name.length() == length && text.regionMatches(true, 0, name, 0, length)) {
-                return name;
-            }
-        }
-        return null;
+  /** The name of a header that means something here, or null. */
+  private static String known(String text, int length) {
+    for (String name : KNOWN) {
+      if (name.length() == length && text.regionMatches(true, 0, name, 0, length)) {
+        return name;
+      }
     }
+    return null;
+  }
 
-    private void headDone() {
-        if (chunked && length >= 0) {
-            fail(400); // two framings at once: what one reader takes for a body another takes for a request
-        } else if (role == Role.RESPONSES && status < 200) {
-            next();
-        } else if (chunked) {
-            headBytes = 0;
-            enter(Phase.CHUNK_SIZE);
-        } else if (length > mostBody) {
-            fail(413);
-        } else if (length > 0) {
-            left = length;
-            enter(Phase.BODY);
-        } else if (length == 0 || role == Role.REQUESTS || status == 204 || status == 304) {
-            enter(Phase.COMPLETE);
-        } else {
-            enter(Phase.UNTIL_CLOSE);
-        }
+  private void headDone() {
+    if (chunked && length >= 0) {
+      fail(400); // two framings at once: what one reader takes for a body another takes for a
+      // request
+    } else if (role == Role.RESPONSES && status < 200) {
+      next();
+    } else if (chunked) {
+      headBytes = 0;
+      enter(Phase.CHUNK_SIZE);
+    } else if (length > mostBody) {
+      fail(413);
+    } else if (length > 0) {
+      left = length;
+      enter(Phase.BODY);
+    } else if (length == 0 || role == Role.REQUESTS || status == 204 || status == 304) {
+      enter(Phase.COMPLETE);
+    } else {
+      enter(Phase.UNTIL_CLOSE);
     }
+  }
 
-    private void chunkSize(String text) {
-        int semicolon = text.indexOf(';');
-        String digits = (semicolon < 0 ? text : text.substring(0, semicolon)).strip();
-        if (digits.isEmpty() || digits.length() > 7 || !digits.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
-            fail(400);
-            return;
-        }
-        left = Long.parseLong(digits, 16);
-        if (bodySize() + left > mostBody) {
-            fail(413);
-        } else {
-            enter(left == 0 ? Phase.TRAILERS : Phase.CHUNK_DATA);
-        }
+  private void chunkSize(String text) {
+    int semicolon = text.indexOf(';');
+    String digits = (semicolon < 0 ? text : text.substring(0, semicolon)).strip();
+    if (digits.isEmpty()
+        || digits.length() > 7
+        || !digits.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
+      fail(400);
+      return;
+    }
+    left = Long.parseLong(digits, 16);
+    if (bodySize() + left > mostBody) {
+      fail(413);
+    } else {
+      enter(left == 0 ? Phase.TRAILERS : Phase.CHUNK_DATA);
     }
+  }
 
-    private static boolean isDigits(String text) {
-        for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) < '0' || text.charAt(i) > '9') {
-                return false;
-            }
-        }
-        return true;
+  private static boolean isDigits(String text) {
+    for (int i = 0; i < text.length(); i++) {
+      if (text.charAt(i) < '0' || text.charAt(i) > '9') {
+        return false;
+      }
     }
+    return true;
+  }
 
-    private static boolean isToken(String text, int length) {
-        for (int i = 0; i < length; i++) {
-            char c = text.charAt(i);
-            if (c <= ' ' || c >= 127 || "()<>@,;:\\\"/[]?={}".indexOf(c) >= 0) {
-                return false;
-            }
-        }
-        return length > 0;
+  private static boolean isToken(String text, int length) {
+    for (int i = 0; i < length; i++) {
+      char c = text.charAt(i);
+      if (c <= ' ' || c >= 127 || "()<>@,;:\\\"/[]?={}".indexOf(c) >= 0) {
+        return false;
+      }
     }
+    return length > 0;
+  }
 }
--- a/src/main/java/org/quincecross/http/HttpRequest.java
+++ b/src/main/java/org/quincecross/http/HttpRequest.java
@@ -10,52 +10,59 @@
  * @param close whether the sender wants the connection closed after the response
  */
 public record HttpRequest(String method, String target, byte[] body, boolean close) {
-    private static final byte[] EMPTY = new byte[0];
+  private static final byte[] EMPTY = new byte[0];
 
-    public static HttpRequest get(String target) {
-        return new HttpRequest("GET", target, EMPTY, false);
-    }
+  public static HttpRequest get(String target) {
+    return new HttpRequest("GET", target, EMPTY, false);
+  }
 
-    public static HttpRequest delete(String target) {
-        return new HttpRequest("DELETE", target, EMPTY, false);
-    }
+  public static HttpRequest delete(String target) {
+    return new HttpRequest("DELETE", target, EMPTY, false);
+  }
 
-    public static HttpRequest post(String target, byte[] body) {
-        return new HttpRequest("POST", target, body, false);
-    }
+  public static HttpRequest post(String target, byte[] body) {
+    return new HttpRequest("POST", target, body, false);
+  }
 
-    public String path() {
-        int mark = target.indexOf('?');
-        return mark < 0 ? target : target.substring(0, mark);
-    }
+  public String path() {
+    int mark = target.indexOf('?');
+    return mark < 0 ? target : target.substring(0, mark);
+  }
 
-    /** The value of a query parameter, or null. */
-    public String query(String name) {
-        int mark = target.indexOf('?');
-        if (mark < 0) {
-            return null;
-        }
-        for (String pair : target.substring(mark + 1).split("&")) {
-            int equals = pair.indexOf('=');
-            if (equals >= 0 && pair.substring(0, equals).equals(name)) {
-                try {
-                    return URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8);
-                } catch (IllegalArgumentException e) {
-                    return null;
-                }
-            }
+  /** The value of a query parameter, or null. */
+  public String query(String name) {
+    int mark = target.indexOf('?');
+    if (mark < 0) {
+      return null;
+    }
+    for (String pair : target.substring(mark + 1).split("&")) {
+      int equals = pair.indexOf('=');
+      if (equals >= 0 && pair.substring(0, equals).equals(name)) {
+        try {
+          return URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8);
+        } catch (IllegalArgumentException e) {
+          return null;
         }
-        return null;
+      }
     }
+    return null;
+  }
 
-    /** The bytes that go out on a connection to {@code host}. */
-    public byte[] encode(String host) {
-        StringBuilder head = new StringBuilder(128);
-        head.append(method).append(' ').append(target).append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n");
-        if (body.length > 0 || method.equals("POST") || method.equals("PUT")) {
-            head.append("Content-Type: application/json\r\nContent-Length: ").append(body.length).append("\r\n");
-        }
-        head.append("\r\n");
-        return Bytes.join(head.toString(), body);
+  /** The bytes that go out on a connection to {@code host}. */
+  public byte[] encode(String host) {
+    StringBuilder head = new StringBuilder(128);
+    head.append(method)
+        .append(' ')
+        .append(target)
+        .append(" HTTP/1.1\r\nHost: ")
+        .append(host)
+        .append("\r\n");
+    if (body.length > 0 || method.equals("POST") || method.equals("PUT")) {
+      head.append("Content-Type: application/json\r\nContent-Length: ")
+          .append(body.length)
+          .append("\r\n");
     }
+    head.append("\r\n");
+    return Bytes.join(head.toString(), body);
+  }
 }
--- a/src/main/java/org/quincecross/leader/AgreedTrails.java
+++ b/src/main/java/org/quincecross/leader/AgreedTrails.java
@@ -13,91 +13,106 @@
 import org.quincecross.state.Ledger;
 import org.quincecross.wire.Json;
 
-/** Moves what the trails of agreed records have grown to onto pages, now and then: the leader alone does, so a page has one writer. */
+/**
+ * Moves what the trails of agreed records have grown to onto pages, now and then: the leader alone
+ * does, so a page has one writer.
+ */
 final class AgreedTrails {
-    /** A record with so many lines is worth writing for their sake; and one that takes so much of a value. */
-    private static final int MOST_LINES = 6;
-    private static final double LARGEST_SHARE = 0.5;
+  /**
+   * A record with so many lines is worth writing for their sake; and one that takes so much of a
+   * value.
+   */
+  private static final int MOST_LINES = 6;
 
-    private static final Span MOVE_EVERY = Span.ofSeconds(5);
+  private static final double LARGEST_SHARE = 0.5;
 
-    private final Ledger ledger;
-    private final Set<RecordId> toLookAt = new LinkedHashSet<>();
-    private SteadyTime movedAt;
+  private static final Span MOVE_EVERY = Span.ofSeconds(5);
 
-    AgreedTrails(Ledger ledger) {
-        this.ledger = ledger;
-    }
+  private final Ledger ledger;
+  private final Set<RecordId> toLookAt = new LinkedHashSet<>();
+  private SteadyTime movedAt;
 
-    /** Follows the records. */
-    void changed(Ledger.Changes changes) {
-        toLookAt.addAll(changes.agreed());
-    }
+  AgreedTrails(Ledger ledger) {
+    this.ledger = ledger;
+  }
 
-    /** Whether some record may have a trail to be moved, and none has been moved for a while: however much else there is to write. */
-    boolean isDue(SteadyTime now) {
-        return !toLookAt.isEmpty() && (movedAt == null || now.since(movedAt).isMoreThan(MOVE_EVERY));
-    }
+  /** Follows the records. */
+  void changed(Ledger.Changes changes) {
+    toLookAt.addAll(changes.agreed());
+  }
 
-    /** Adds what is to be moved to a transaction that has nothing else. */
-    void plan(TxnPlan plan, SteadyTime now) {
-        movedAt = now;
-        for (AgreedBook<?, ?> book : ledger.agreed().books()) {
-            if (plan.room() >= 2) {
-                move(plan, book);
-            }
-        }
-    }
+  /**
+   * Whether some record may have a trail to be moved, and none has been moved for a while: however
+   * much else there is to write.
+   */
+  boolean isDue(SteadyTime now) {
+    return !toLookAt.isEmpty() && (movedAt == null || now.since(movedAt).isMoreThan(MOVE_EVERY));
+  }
 
-    private <S> void move(TxnPlan plan, AgreedBook<S, ?> book) {
-        TrailPage page = book.lastPage();
-        int number = Math.max(1, book.lastPageNumber());
-        TrailPage next = page;
-        for (RecordId id : List.copyOf(toLookAt)) {
-            if (!id.kind().equals(book.kind().name())) {
-                continue;
-            }
-            AgreedBook.Held<S> held = book.get(id.id());
-            if (held == null || !isLong(book, held.kept(), plan)) {
-                toLookAt.remove(id);
-                continue;
-            }
-            if (plan.room() < 2) {
-                break; // what is moved changes, and is looked at again then; what has no room now stays here
-            }
-            List<TrailLine> lines = held.kept().lines(held.version());
-            int fit = fitting(next, lines, plan);
-            if (fit == 0 && next == page) {
-                number++; // the page is full: the next one begins
-                next = TrailPage.EMPTY;
-                fit = fitting(next, lines, plan);
-            }
-            if (fit == 0) {
-                break;
-            }
-            if (!plan.put(book.key(id.id()), held.kept().without(fit, held.version()).write(book.kind()))) {
-                // Too large without its trail too. Moved all the same, its lines came to a page again and again.
-                toLookAt.remove(id);
-                continue;
-            }
-            next = next.with(lines.subList(0, fit));
-        }
-        if (next != page && !next.lines().isEmpty() && !plan.put(book.pageKey(number), next.write())) {
-            throw new IllegalStateException("no room for page " + number + " of " + book.kind().name());
-        }
+  /** Adds what is to be moved to a transaction that has nothing else. */
+  void plan(TxnPlan plan, SteadyTime now) {
+    movedAt = now;
+    for (AgreedBook<?, ?> book : ledger.agreed().books()) {
+      if (plan.room() >= 2) {
+        move(plan, book);
+      }
     }
+  }
 
-    /** How many of the first lines fit a page beside what it has. */
-    private static int fitting(TrailPage page, List<TrailLine> lines, TxnPlan plan) {
-        int fit = lines.size();
-        while (fit > 0 && Json.write(page.with(lines.subList(0, fit)).write()).length > plan.mostValue()) {
-            fit--;
-        }
-        return fit;
+  private <S> void move(TxnPlan plan, AgreedBook<S, ?> book) {
+    TrailPage page = book.lastPage();
+    int number = Math.max(1, book.lastPageNumber());
+    TrailPage next = page;
+    for (RecordId id : List.copyOf(toLookAt)) {
+      if (!id.kind().equals(book.kind().name())) {
+        continue;
+      }
+      AgreedBook.Held<S> held = book.get(id.id());
+      if (held == null || !isLong(book, held.kept(), plan)) {
+        toLookAt.remove(id);
+        continue;
+      }
+      if (plan.room() < 2) {
+        break; // what is moved changes, and is looked at again then; what has no room now stays
+        // here
+      }
+      List<TrailLine> lines = held.kept().lines(held.version());
+      int fit = fitting(next, lines, plan);
+      if (fit == 0 && next == page) {
+        number++; // the page is full: the next one begins
+        next = TrailPage.EMPTY;
+        fit = fitting(next, lines, plan);
+      }
+      if (fit == 0) {
+        break;
+      }
+      if (!plan.put(
+          book.key(id.id()), held.kept().without(fit, held.version()).write(book.kind()))) {
+        // Too large without its trail too. Moved all the same, its lines came to a page again and
+        // again.
+        toLookAt.remove(id);
+        continue;
+      }
+      next = next.with(lines.subList(0, fit));
+    }
+    if (next != page && !next.lines().isEmpty() && !plan.put(book.pageKey(number), next.write())) {
+      throw new IllegalStateException("no room for page " + number + " of " + book.kind().name());
     }
+  }
 
-    private static <S> boolean isLong(AgreedBook<S, ?> book, Kept<S> kept, TxnPlan plan) {
-        return kept.trail().size() >= MOST_LINES
-                || !kept.trail().isEmpty() && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue();
+  /** How many of the first lines fit a page beside what it has. */
+  private static int fitting(TrailPage page, List<TrailLine> lines, TxnPlan plan) {
+    int fit = lines.size();
+    while (fit > 0
+        && Json.write(page.with(lines.subList(0, fit)).write()).length > plan.mostValue()) {
+      fit--;
     }
+    return fit;
+  }
+
+  private static <S> boolean isLong(AgreedBook<S, ?> book, Kept<S> kept, TxnPlan plan) {
+    return kept.trail().size() >= MOST_LINES
+        || !kept.trail().isEmpty()
+            && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue();
+  }
 }
