--- a/src/main/java/org/quincecross/leader/Allocations.java
+++ b/src/main/java/org/quincecross/leader/Allocations.java
@@ -18,73 +18,92 @@
 import org.quincecross.wire.Json;
 
 /**
- * Writes which tasks a block has: whole, or from level 2 on what has changed since it was last written whole.
+ * Writes which tasks a block has: whole, or from level 2 on what has changed since it was last
+ * written whole.
  *
- * <p>A block may have more tasks than a value takes now: its whole record is from when values could be larger. Nothing is admitted to
- * such a block, and what its holder gives back is taken out by a change, which names only tasks that are not over. So it shrinks, and is
- * written whole again once it fits. Before level 2 what is given back waits for that.
+ * <p>A block may have more tasks than a value takes now: its whole record is from when values could
+ * be larger. Nothing is admitted to such a block, and what its holder gives back is taken out by a
+ * change, which names only tasks that are not over. So it shrinks, and is written whole again once
+ * it fits. Before level 2 what is given back waits for that.
  */
 final class Allocations {
-    /** A change larger than this part of the whole record is not worth having beside it. */
-    private static final double LARGEST_CHANGE = 0.5;
+  /** A change larger than this part of the whole record is not worth having beside it. */
+  private static final double LARGEST_CHANGE = 0.5;
 
-    private final Ledger ledger;
-    private final BooleanSupplier wholeOnly;
+  private final Ledger ledger;
+  private final BooleanSupplier wholeOnly;
 
-    /** @param wholeOnly whether no changes are to be written, for a level is to come that does not have them */
-    Allocations(Ledger ledger, BooleanSupplier wholeOnly) {
-        this.ledger = ledger;
-        this.wholeOnly = wholeOnly;
-    }
+  /**
+   * @param wholeOnly whether no changes are to be written, for a level is to come that does not
+   *     have them
+   */
+  Allocations(Ledger ledger, BooleanSupplier wholeOnly) {
+    this.ledger = ledger;
+    this.wholeOnly = wholeOnly;
+  }
 
-    /** Adds the write to a transaction; false if there is no room for it. */
-    boolean put(TxnPlan plan, BlockId id, Map<JobId, TaskSet> next) {
-        int bytes = Json.write(Allocation.write(next)).length;
-        boolean isTooLarge = bytes > plan.mostValue();
-        Allocation whole = ledger.wholeAllocation(id);
-        if ((isTooLarge || !wholeOnly.getAsBoolean()) && Feature.ALLOCATION_CHANGES.isIn(ledger.level().level()) && whole.version().number() != 0) {
-            Map<String, Object> change = AllocationChange.write(whole, isTooLarge ? withOver(whole, next) : next);
-            if (isTooLarge || Json.write(change).length < LARGEST_CHANGE * bytes) {
-                return plan.put(Keys.changedAllocation(id), change, Keys.allocation(id)); // a change of another whole record says nothing
-            }
-        }
-        return putWhole(plan, id, next);
+  /** Adds the write to a transaction; false if there is no room for it. */
+  boolean put(TxnPlan plan, BlockId id, Map<JobId, TaskSet> next) {
+    int bytes = Json.write(Allocation.write(next)).length;
+    boolean isTooLarge = bytes > plan.mostValue();
+    Allocation whole = ledger.wholeAllocation(id);
+    if ((isTooLarge || !wholeOnly.getAsBoolean())
+        && Feature.ALLOCATION_CHANGES.isIn(ledger.level().level())
+        && whole.version().number() != 0) {
+      Map<String, Object> change =
+          AllocationChange.write(whole, isTooLarge ? withOver(whole, next) : next);
+      if (isTooLarge || Json.write(change).length < LARGEST_CHANGE * bytes) {
+        return plan.put(
+            Keys.changedAllocation(id),
+            change,
+            Keys.allocation(id)); // a change of another whole record says nothing
+      }
     }
+    return putWhole(plan, id, next);
+  }
 
-    /**
-     * What a block is to have, and those tasks of its whole record that are over: done, or of a job that is done. They stay so, and
-     * whoever reads a record passes them over; to name all of them as gone would soon take more than a value.
-     */
-    private Map<JobId, TaskSet> withOver(Allocation whole, Map<JobId, TaskSet> next) {
-        Map<JobId, TaskSet> with = new LinkedHashMap<>(next);
-        whole.tasks().forEach((job, tasks) -> {
-            JobRecord record = ledger.job(job);
-            TaskSet all = with.containsKey(job) ? with.get(job).copy() : new TaskSet();
-            for (int i = tasks.next(0); i >= 0; i = tasks.next(i + 1)) {
+  /**
+   * What a block is to have, and those tasks of its whole record that are over: done, or of a job
+   * that is done. They stay so, and whoever reads a record passes them over; to name all of them as
+   * gone would soon take more than a value.
+   */
+  private Map<JobId, TaskSet> withOver(Allocation whole, Map<JobId, TaskSet> next) {
+    Map<JobId, TaskSet> with = new LinkedHashMap<>(next);
+    whole
+        .tasks()
+        .forEach(
+            (job, tasks) -> {
+              JobRecord record = ledger.job(job);
+              TaskSet all = with.containsKey(job) ? with.get(job).copy() : new TaskSet();
+              for (int i = tasks.next(0); i >= 0; i = tasks.next(i + 1)) {
                 if (record == null || record.phase() == JobPhase.DONE || ledger.isDone(job, i)) {
-                    all.add(i);
+                  all.add(i);
                 }
-            }
-            if (!all.isEmpty()) {
+              }
+              if (!all.isEmpty()) {
                 with.put(job, all);
-            }
-        });
-        return with;
-    }
+              }
+            });
+    return with;
+  }
 
-    /** Writes it whole: at any level it can be read so. */
-    boolean putWhole(TxnPlan plan, BlockId id, Map<JobId, TaskSet> next) {
-        String changeKey = Keys.changedAllocation(id);
-        Map<String, Object> whole = Allocation.write(next);
-        boolean hasChange = ledger.version(changeKey).number() != 0;
-        if (hasChange && plan.room() < 2) {
-            return false;
-        }
-        return plan.put(Keys.allocation(id), whole) && (!hasChange || plan.delete(changeKey));
+  /** Writes it whole: at any level it can be read so. */
+  boolean putWhole(TxnPlan plan, BlockId id, Map<JobId, TaskSet> next) {
+    String changeKey = Keys.changedAllocation(id);
+    Map<String, Object> whole = Allocation.write(next);
+    boolean hasChange = ledger.version(changeKey).number() != 0;
+    if (hasChange && plan.room() < 2) {
+      return false;
     }
+    return plan.put(Keys.allocation(id), whole) && (!hasChange || plan.delete(changeKey));
+  }
 
-    /** The records that there are of a block's tasks: whoever deletes the block deletes them with it. */
-    List<String> keys(BlockId id) {
-        return Stream.of(Keys.allocation(id), Keys.changedAllocation(id)).filter(key -> ledger.version(key).number() != 0).toList();
-    }
+  /**
+   * The records that there are of a block's tasks: whoever deletes the block deletes them with it.
+   */
+  List<String> keys(BlockId id) {
+    return Stream.of(Keys.allocation(id), Keys.changedAllocation(id))
+        .filter(key -> ledger.version(key).number() != 0)
+        .toList();
+  }
 }
--- a/src/main/java/org/quincecross/leader/Books.java
+++ b/src/main/java/org/quincecross/leader/Books.java
@@ -23,299 +23,315 @@
 import org.quincecross.state.Ledger;
 
 /**
- * What the ledger comes to for admission: which tasks each block holds, what each job has out and in the pool, what each
- * team uses. Kept current as the ledger changes, at a cost in proportion to what changed: the tasks of the jobs and
- * blocks concerned.
+ * What the ledger comes to for admission: which tasks each block holds, what each job has out and
+ * in the pool, what each team uses. Kept current as the ledger changes, at a cost in proportion to
+ * what changed: the tasks of the jobs and blocks concerned.
  */
 final class Books {
-    private static final int SUM_ANEW_AFTER = 10_000;
+  private static final int SUM_ANEW_AFTER = 10_000;
 
-    /**
-     * A job that is not done.
-     *
-     * @param done tasks whose completion is durable
-     * @param out allocated tasks that are not done: each may be on a machine
-     * @param pool tasks that wait to be allocated; none once the job is cancelled, or while it waits for other jobs
-     * @param perZone how many tasks are out in each zone
-     */
-    record Account(Job job, TaskSet done, TaskSet out, TaskSet pool, Map<String, Integer> perZone) {
-    }
+  /**
+   * A job that is not done.
+   *
+   * @param done tasks whose completion is durable
+   * @param out allocated tasks that are not done: each may be on a machine
+   * @param pool tasks that wait to be allocated; none once the job is cancelled, or while it waits
+   *     for other jobs
+   * @param perZone how many tasks are out in each zone
+   */
+  record Account(Job job, TaskSet done, TaskSet out, TaskSet pool, Map<String, Integer> perZone) {}
 
-    private final Ledger ledger;
-    private final Withheld withheld;
-    private final Map<BlockId, Map<JobId, TaskSet>> allocated = new HashMap<>();
-    private final Map<JobId, Map<BlockId, TaskSet>> where = new HashMap<>();
-    private final Map<JobId, Account> accounts = new HashMap<>();
-    private final Map<JobId, JobRecord> openRecords = new HashMap<>();
-    private final Map<JobRecord, Account> open = new TreeMap<>(Comparator.comparing(JobRecord::version).thenComparing(JobRecord::id));
-    private final Set<BlockId> leased = new HashSet<>();
-    private final Set<JobId> waiting = new LinkedHashSet<>();
-    private final Map<String, Use> use = new HashMap<>();
-    private final Set<BlockId> toRead = new LinkedHashSet<>();
-    private final Set<JobId> toCount = new LinkedHashSet<>();
-    private final Set<BlockId> changedBlocks = new HashSet<>();
-    private long counted;
-    private final List<Given> listeners = new ArrayList<>();
+  private final Ledger ledger;
+  private final Withheld withheld;
+  private final Map<BlockId, Map<JobId, TaskSet>> allocated = new HashMap<>();
+  private final Map<JobId, Map<BlockId, TaskSet>> where = new HashMap<>();
+  private final Map<JobId, Account> accounts = new HashMap<>();
+  private final Map<JobId, JobRecord> openRecords = new HashMap<>();
+  private final Map<JobRecord, Account> open =
+      new TreeMap<>(Comparator.comparing(JobRecord::version).thenComparing(JobRecord::id));
+  private final Set<BlockId> leased = new HashSet<>();
+  private final Set<JobId> waiting = new LinkedHashSet<>();
+  private final Map<String, Use> use = new HashMap<>();
+  private final Set<BlockId> toRead = new LinkedHashSet<>();
+  private final Set<JobId> toCount = new LinkedHashSet<>();
+  private final Set<BlockId> changedBlocks = new HashSet<>();
+  private long counted;
+  private final List<Given> listeners = new ArrayList<>();
 
-    /** Has {@code listener} told of tasks that leave the pool from now on. */
-    void listen(Given listener) {
-        listeners.add(listener);
-    }
+  /** Has {@code listener} told of tasks that leave the pool from now on. */
+  void listen(Given listener) {
+    listeners.add(listener);
+  }
 
-    Books(Ledger ledger) {
-        this(ledger, Withheld.NONE);
-    }
+  Books(Ledger ledger) {
+    this(ledger, Withheld.NONE);
+  }
 
-    /** @param withheld tasks that are in no pool, for they may not run now */
-    Books(Ledger ledger, Withheld withheld) {
-        this.ledger = ledger;
-        this.withheld = withheld;
-    }
+  /**
+   * @param withheld tasks that are in no pool, for they may not run now
+   */
+  Books(Ledger ledger, Withheld withheld) {
+    this.ledger = ledger;
+    this.withheld = withheld;
+  }
 
-    /** Other tasks of some jobs are kept back than before. */
-    void withheldChanged(Set<JobId> jobs) {
-        toCount.addAll(jobs);
-    }
+  /** Other tasks of some jobs are kept back than before. */
+  void withheldChanged(Set<JobId> jobs) {
+    toCount.addAll(jobs);
+  }
 
-    /** What the tasks of a team take that are out, and how many of its jobs have such tasks. */
-    private static final class Use {
-        private Resources sum = Resources.NONE;
-        private int jobs;
-        private int changes;
-    }
+  /** What the tasks of a team take that are out, and how many of its jobs have such tasks. */
+  private static final class Use {
+    private Resources sum = Resources.NONE;
+    private int jobs;
+    private int changes;
+  }
 
-    /** Notes what has changed; it is looked at when the books are next asked. */
-    void changed(Ledger.Changes changes) {
-        toRead.addAll(changes.blocks());
-        toCount.addAll(changes.jobs());
-        if (changes.reloaded()) {
-            toRead.addAll(allocated.keySet());
-            toRead.addAll(ledger.allocatedBlocks());
-            toRead.addAll(ledger.blocks().keySet());
-            toCount.addAll(ledger.jobs());
-        }
+  /** Notes what has changed; it is looked at when the books are next asked. */
+  void changed(Ledger.Changes changes) {
+    toRead.addAll(changes.blocks());
+    toCount.addAll(changes.jobs());
+    if (changes.reloaded()) {
+      toRead.addAll(allocated.keySet());
+      toRead.addAll(ledger.allocatedBlocks());
+      toRead.addAll(ledger.blocks().keySet());
+      toCount.addAll(ledger.jobs());
     }
+  }
 
-    /** The one place where the books change. */
-    private void refresh() {
-        for (BlockId block : toRead) {
-            read(block);
-        }
-        toRead.clear();
-        for (JobId job : toCount) {
-            count(job);
-        }
-        toCount.clear();
+  /** The one place where the books change. */
+  private void refresh() {
+    for (BlockId block : toRead) {
+      read(block);
     }
+    toRead.clear();
+    for (JobId job : toCount) {
+      count(job);
+    }
+    toCount.clear();
+  }
 
-    private void read(BlockId block) {
-        Map<JobId, TaskSet> next = ledger.allocation(block).tasks();
-        Map<JobId, TaskSet> before = next.isEmpty() ? allocated.remove(block) : allocated.put(block, next);
-        changedBlocks.add(block);
-        boolean isLeased = ledger.block(block) != null;
-        if (isLeased ? leased.add(block) : leased.remove(block)) {
-            toCount.addAll(next.keySet()); // what is in no zone now is in one, or the reverse
-        }
-        if (before != null) {
-            for (JobId job : before.keySet()) {
-                if (!next.containsKey(job)) {
-                    Map<BlockId, TaskSet> there = where.get(job);
-                    there.remove(block);
-                    if (there.isEmpty()) {
-                        where.remove(job);
-                    }
-                    toCount.add(job);
-                }
-            }
+  private void read(BlockId block) {
+    Map<JobId, TaskSet> next = ledger.allocation(block).tasks();
+    Map<JobId, TaskSet> before =
+        next.isEmpty() ? allocated.remove(block) : allocated.put(block, next);
+    changedBlocks.add(block);
+    boolean isLeased = ledger.block(block) != null;
+    if (isLeased ? leased.add(block) : leased.remove(block)) {
+      toCount.addAll(next.keySet()); // what is in no zone now is in one, or the reverse
+    }
+    if (before != null) {
+      for (JobId job : before.keySet()) {
+        if (!next.containsKey(job)) {
+          Map<BlockId, TaskSet> there = where.get(job);
+          there.remove(block);
+          if (there.isEmpty()) {
+            where.remove(job);
+          }
+          toCount.add(job);
         }
-        next.forEach((job, tasks) -> {
-            TaskSet known = where.computeIfAbsent(job, id -> new TreeMap<>()).put(block, tasks);
-            if (!tasks.equals(known)) {
-                toCount.add(job);
-            }
-        });
+      }
     }
+    next.forEach(
+        (job, tasks) -> {
+          TaskSet known = where.computeIfAbsent(job, id -> new TreeMap<>()).put(block, tasks);
+          if (!tasks.equals(known)) {
+            toCount.add(job);
+          }
+        });
+  }
 
-    private void count(JobId id) {
-        Map<BlockId, TaskSet> there = where.getOrDefault(id, Map.of());
-        changedBlocks.addAll(there.keySet());
-        JobRecord record = ledger.job(id);
-        waiting.remove(id);
-        JobRecord wasOpen = openRecords.remove(id);
-        if (wasOpen != null) {
-            open.remove(wasOpen);
-        }
-        if (record == null || record.job() == null) {
-            used(accounts.remove(id), null);
-            return;
-        }
-        Job job = record.job();
-        TaskSet done = ledger.doneTasks(id);
-        TaskSet allOut = new TaskSet();
-        Map<String, Integer> perZone = new TreeMap<>();
-        there.forEach((block, tasks) -> {
-            int open = tasks.size() - tasks.common(done);
-            BlockLease lease = ledger.block(block);
-            if (open > 0 && lease != null) {
-                perZone.merge(lease.zone(), open, Integer::sum);
-            }
-            allOut.addAll(tasks);
-            counted++;
+  private void count(JobId id) {
+    Map<BlockId, TaskSet> there = where.getOrDefault(id, Map.of());
+    changedBlocks.addAll(there.keySet());
+    JobRecord record = ledger.job(id);
+    waiting.remove(id);
+    JobRecord wasOpen = openRecords.remove(id);
+    if (wasOpen != null) {
+      open.remove(wasOpen);
+    }
+    if (record == null || record.job() == null) {
+      used(accounts.remove(id), null);
+      return;
+    }
+    Job job = record.job();
+    TaskSet done = ledger.doneTasks(id);
+    TaskSet allOut = new TaskSet();
+    Map<String, Integer> perZone = new TreeMap<>();
+    there.forEach(
+        (block, tasks) -> {
+          int open = tasks.size() - tasks.common(done);
+          BlockLease lease = ledger.block(block);
+          if (open > 0 && lease != null) {
+            perZone.merge(lease.zone(), open, Integer::sum);
+          }
+          allOut.addAll(tasks);
+          counted++;
         });
-        allOut.removeAll(done);
-        TaskSet pool = new TaskSet();
-        if (record.phase() == JobPhase.OPEN && !ledger.pipelines().waits(id)) {
-            pool = TaskSet.below(job.tasks());
-            pool.removeAll(done);
-            pool.removeAll(allOut);
-            pool.removeAll(withheld.of(job));
-        }
-        Account account = new Account(job, done, allOut, pool, perZone);
-        Account before = accounts.put(id, account);
-        used(before, account);
-        int reached = done.size() + allOut.size();
-        int more = reached - (before == null ? 0 : before.done().size() + before.out().size());
-        if (more > 0) {
-            listeners.forEach(listener -> listener.given(id, more, reached));
-        }
-        if (record.phase() == JobPhase.OPEN) {
-            openRecords.put(id, record);
-            open.put(record, account);
-        }
-        if (!pool.isEmpty()) {
-            waiting.add(id);
-        }
+    allOut.removeAll(done);
+    TaskSet pool = new TaskSet();
+    if (record.phase() == JobPhase.OPEN && !ledger.pipelines().waits(id)) {
+      pool = TaskSet.below(job.tasks());
+      pool.removeAll(done);
+      pool.removeAll(allOut);
+      pool.removeAll(withheld.of(job));
     }
-
-    /** Counts what a job has out now in place of what it had. */
-    private void used(Account before, Account now) {
-        if (before != null && !before.out().isEmpty()) {
-            add(before, -1);
-        }
-        if (now != null && !now.out().isEmpty()) {
-            add(now, 1);
-        }
+    Account account = new Account(job, done, allOut, pool, perZone);
+    Account before = accounts.put(id, account);
+    used(before, account);
+    int reached = done.size() + allOut.size();
+    int more = reached - (before == null ? 0 : before.done().size() + before.out().size());
+    if (more > 0) {
+      listeners.forEach(listener -> listener.given(id, more, reached));
     }
-
-    private void add(Account account, int sign) {
-        String team = account.job().team();
-        Use sum = use.computeIfAbsent(team, name -> new Use());
-        sum.jobs += sign;
-        sum.sum = sum.sum.plus(account.job().each().times(sign * account.out().size()));
-        if (sum.jobs == 0) {
-            use.remove(team);
-        } else {
-            sum.changes++;
-        }
+    if (record.phase() == JobPhase.OPEN) {
+      openRecords.put(id, record);
+      open.put(record, account);
     }
-
-    /** Sums up anew what many changes may have rounded: a team's limit holds whatever the order of additions was. */
-    private void sumAnew(String team, Use sum) {
-        sum.changes = 0;
-        sum.sum = Resources.NONE;
-        for (Account account : accounts.values()) {
-            if (account.job().team().equals(team)) {
-                sum.sum = sum.sum.plus(account.job().each().times(account.out().size()));
-            }
-        }
+    if (!pool.isEmpty()) {
+      waiting.add(id);
     }
+  }
 
-    /** How many items of allocations have been counted so far: the work that was done. */
-    long counted() {
-        return counted;
+  /** Counts what a job has out now in place of what it had. */
+  private void used(Account before, Account now) {
+    if (before != null && !before.out().isEmpty()) {
+      add(before, -1);
     }
-
-    /** What is known of a job that is not done, or null. */
-    Account account(JobId job) {
-        refresh();
-        return accounts.get(job);
+    if (now != null && !now.out().isEmpty()) {
+      add(now, 1);
     }
+  }
 
-    /** The open jobs, first accepted first. */
-    Map<JobRecord, Account> open() {
-        refresh();
-        return open;
+  private void add(Account account, int sign) {
+    String team = account.job().team();
+    Use sum = use.computeIfAbsent(team, name -> new Use());
+    sum.jobs += sign;
+    sum.sum = sum.sum.plus(account.job().each().times(sign * account.out().size()));
+    if (sum.jobs == 0) {
+      use.remove(team);
+    } else {
+      sum.changes++;
     }
+  }
 
-    /** The ids of the open jobs. */
-    Set<JobId> openIds() {
-        refresh();
-        return openRecords.keySet();
+  /**
+   * Sums up anew what many changes may have rounded: a team's limit holds whatever the order of
+   * additions was.
+   */
+  private void sumAnew(String team, Use sum) {
+    sum.changes = 0;
+    sum.sum = Resources.NONE;
+    for (Account account : accounts.values()) {
+      if (account.job().team().equals(team)) {
+        sum.sum = sum.sum.plus(account.job().each().times(account.out().size()));
+      }
     }
+  }
 
-    /** The jobs with tasks in the pool. */
-    Collection<JobId> waiting() {
-        refresh();
-        return waiting;
-    }
+  /** How many items of allocations have been counted so far: the work that was done. */
+  long counted() {
+    return counted;
+  }
 
-    /** Takes the tasks of one job that a block has. */
-    interface HeldTasks {
-        /** {@code tasks}: those that its record names, {@code open} of which are not done. */
-        void of(Job job, TaskSet tasks, int open);
-    }
+  /** What is known of a job that is not done, or null. */
+  Account account(JobId job) {
+    refresh();
+    return accounts.get(job);
+  }
 
-    /** Goes through the jobs of a block of which some task is not done. */
-    void eachHeld(BlockId block, HeldTasks action) {
-        refresh();
-        allocated.getOrDefault(block, Map.of()).forEach((id, tasks) -> {
-            Account account = accounts.get(id);
-            int open = account == null ? 0 : tasks.size() - tasks.common(account.done());
-            if (open > 0) {
+  /** The open jobs, first accepted first. */
+  Map<JobRecord, Account> open() {
+    refresh();
+    return open;
+  }
+
+  /** The ids of the open jobs. */
+  Set<JobId> openIds() {
+    refresh();
+    return openRecords.keySet();
+  }
+
+  /** The jobs with tasks in the pool. */
+  Collection<JobId> waiting() {
+    refresh();
+    return waiting;
+  }
+
+  /** Takes the tasks of one job that a block has. */
+  interface HeldTasks {
+    /** {@code tasks}: those that its record names, {@code open} of which are not done. */
+    void of(Job job, TaskSet tasks, int open);
+  }
+
+  /** Goes through the jobs of a block of which some task is not done. */
+  void eachHeld(BlockId block, HeldTasks action) {
+    refresh();
+    allocated
+        .getOrDefault(block, Map.of())
+        .forEach(
+            (id, tasks) -> {
+              Account account = accounts.get(id);
+              int open = account == null ? 0 : tasks.size() - tasks.common(account.done());
+              if (open > 0) {
                 action.of(account.job(), tasks, open);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    /** The tasks of a block that are not done. */
-    Map<JobId, TaskSet> held(BlockId block) {
-        refresh();
-        Map<JobId, TaskSet> held = new LinkedHashMap<>();
-        allocated.getOrDefault(block, Map.of()).forEach((job, tasks) -> {
-            Account account = accounts.get(job);
-            if (account != null) {
+  /** The tasks of a block that are not done. */
+  Map<JobId, TaskSet> held(BlockId block) {
+    refresh();
+    Map<JobId, TaskSet> held = new LinkedHashMap<>();
+    allocated
+        .getOrDefault(block, Map.of())
+        .forEach(
+            (job, tasks) -> {
+              Account account = accounts.get(job);
+              if (account != null) {
                 TaskSet open = tasks.copy();
                 open.removeAll(account.done());
                 if (!open.isEmpty()) {
-                    held.put(job, open);
+                  held.put(job, open);
                 }
-            }
-        });
-        return held;
-    }
+              }
+            });
+    return held;
+  }
 
-    /** How many tasks a block's record names that are done. */
-    int stale(BlockId block) {
-        refresh();
-        int stale = 0;
-        for (Map.Entry<JobId, TaskSet> entry : allocated.getOrDefault(block, Map.of()).entrySet()) {
-            Account account = accounts.get(entry.getKey());
-            stale += account == null ? entry.getValue().size() : entry.getValue().common(account.done());
-        }
-        return stale;
+  /** How many tasks a block's record names that are done. */
+  int stale(BlockId block) {
+    refresh();
+    int stale = 0;
+    for (Map.Entry<JobId, TaskSet> entry : allocated.getOrDefault(block, Map.of()).entrySet()) {
+      Account account = accounts.get(entry.getKey());
+      stale += account == null ? entry.getValue().size() : entry.getValue().common(account.done());
     }
+    return stale;
+  }
 
-    /**
-     * What the tasks of each team take that are not proven gone, completed or not: a completion that is lost with its
-     * holder and its machine before it is durable is run again under its allocation.
-     */
-    Map<String, Resources> teamUse() {
-        refresh();
-        Map<String, Resources> sums = new HashMap<>();
-        use.forEach((team, sum) -> {
-            if (sum.changes > SUM_ANEW_AFTER) {
-                sumAnew(team, sum);
-            }
-            sums.put(team, sum.sum);
+  /**
+   * What the tasks of each team take that are not proven gone, completed or not: a completion that
+   * is lost with its holder and its machine before it is durable is run again under its allocation.
+   */
+  Map<String, Resources> teamUse() {
+    refresh();
+    Map<String, Resources> sums = new HashMap<>();
+    use.forEach(
+        (team, sum) -> {
+          if (sum.changes > SUM_ANEW_AFTER) {
+            sumAnew(team, sum);
+          }
+          sums.put(team, sum.sum);
         });
-        return sums;
-    }
+    return sums;
+  }
 
-    /** The blocks of which something has changed since this was last asked. */
-    List<BlockId> takeChangedBlocks() {
-        refresh();
-        List<BlockId> taken = new ArrayList<>(changedBlocks);
-        changedBlocks.clear();
-        return taken;
-    }
+  /** The blocks of which something has changed since this was last asked. */
+  List<BlockId> takeChangedBlocks() {
+    refresh();
+    List<BlockId> taken = new ArrayList<>(changedBlocks);
+    changedBlocks.clear();
+    return taken;
+  }
 }
--- a/src/main/java/org/quincecross/leader/CloudClient.java
+++ b/src/main/java/org/quincecross/leader/CloudClient.java
@@ -21,79 +21,97 @@
 
 /** Speaks to the cloud, within its limit of requests. */
 final class CloudClient {
-    private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
-    private static final Span TIMEOUT = Span.ofSeconds(5);
-    private static final Span BACK_OFF = Span.ofSeconds(1.5);
+  private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
+  private static final Span TIMEOUT = Span.ofSeconds(5);
+  private static final Span BACK_OFF = Span.ofSeconds(1.5);
 
-    private final Timers timers;
-    private final HttpCaller http;
-    private final Endpoint cloud;
-    private final Limiter limiter;
+  private final Timers timers;
+  private final HttpCaller http;
+  private final Endpoint cloud;
+  private final Limiter limiter;
 
-    CloudClient(Timers timers, HttpCaller http, Endpoint cloud, double requestsPerS) {
-        this.timers = timers;
-        this.http = http;
-        this.cloud = cloud;
-        this.limiter = new Limiter(requestsPerS * 0.8, requestsPerS, timers.now());
-    }
+  CloudClient(Timers timers, HttpCaller http, Endpoint cloud, double requestsPerS) {
+    this.timers = timers;
+    this.http = http;
+    this.cloud = cloud;
+    this.limiter = new Limiter(requestsPerS * 0.8, requestsPerS, timers.now());
+  }
 
-    /** Whether a request may go out now; if so, it counts as sent. */
-    boolean take() {
-        return limiter.take(1, timers.now());
-    }
+  /** Whether a request may go out now; if so, it counts as sent. */
+  boolean take() {
+    return limiter.take(1, timers.now());
+  }
 
-    Span backOff() {
-        return BACK_OFF;
-    }
+  Span backOff() {
+    return BACK_OFF;
+  }
 
-    /** {@code done} gets null where there is no readable answer. */
-    void catalog(Consumer<List<MachineType>> done) {
-        call(HttpRequest.get(CloudCodec.CATALOG), outcome ->
-                done.accept(read(outcome, () -> CloudCodec.readCatalog(Json.parseFields(outcome.response().body())))));
-    }
+  /** {@code done} gets null where there is no readable answer. */
+  void catalog(Consumer<List<MachineType>> done) {
+    call(
+        HttpRequest.get(CloudCodec.CATALOG),
+        outcome ->
+            done.accept(
+                read(
+                    outcome,
+                    () -> CloudCodec.readCatalog(Json.parseFields(outcome.response().body())))));
+  }
 
-    void list(MachineId after, Consumer<CloudCodec.Page> done) {
-        call(HttpRequest.get(CloudCodec.listPath(after, 500)), outcome ->
-                done.accept(read(outcome, () -> CloudCodec.readPage(Json.parseFields(outcome.response().body())))));
-    }
+  void list(MachineId after, Consumer<CloudCodec.Page> done) {
+    call(
+        HttpRequest.get(CloudCodec.listPath(after, 500)),
+        outcome ->
+            done.accept(
+                read(
+                    outcome,
+                    () -> CloudCodec.readPage(Json.parseFields(outcome.response().body())))));
+  }
 
-    /** What became of a request to rent. */
-    record Rented(List<MachineId> machines, boolean noCapacity) {
-    }
+  /** What became of a request to rent. */
+  record Rented(List<MachineId> machines, boolean noCapacity) {}
 
-    void rent(String request, String type, String zone, boolean spot, int count, Consumer<Rented> done) {
-        byte[] body = CloudCodec.writeRent(request, type, zone, spot, count);
-        call(HttpRequest.post(CloudCodec.MACHINES, body), outcome -> {
-            List<MachineId> machines = read(outcome, () -> CloudCodec.readRented(Json.parseFields(outcome.response().body())));
-            boolean none = outcome.status() == 503 && new String(outcome.response().body(),
-                    StandardCharsets.UTF_8).contains("capacity");
-            done.accept(new Rented(machines == null ? List.of() : machines, none));
+  void rent(
+      String request, String type, String zone, boolean spot, int count, Consumer<Rented> done) {
+    byte[] body = CloudCodec.writeRent(request, type, zone, spot, count);
+    call(
+        HttpRequest.post(CloudCodec.MACHINES, body),
+        outcome -> {
+          List<MachineId> machines =
+              read(
+                  outcome,
+                  () -> CloudCodec.readRented(Json.parseFields(outcome.response().body())));
+          boolean none =
+              outcome.status() == 503
+                  && new String(outcome.response().body(), StandardCharsets.UTF_8)
+                      .contains("capacity");
+          done.accept(new Rented(machines == null ? List.of() : machines, none));
         });
-    }
+  }
 
-    void giveBack(Collection<MachineId> machines, Consumer<Boolean> done) {
-        call(HttpRequest.post(CloudCodec.RETURN, CloudCodec.writeReturn(machines)),
-                outcome -> done.accept(outcome.status() == 200));
-    }
+  void giveBack(Collection<MachineId> machines, Consumer<Boolean> done) {
+    call(
+        HttpRequest.post(CloudCodec.RETURN, CloudCodec.writeReturn(machines)),
+        outcome -> done.accept(outcome.status() == 200));
+  }
 
-    private void call(HttpRequest request, Consumer<HttpOutcome> done) {
-        http.call(cloud, request, TIMEOUT, done);
-    }
+  private void call(HttpRequest request, Consumer<HttpOutcome> done) {
+    http.call(cloud, request, TIMEOUT, done);
+  }
 
-    /** Reads what an answer says. */
-    private interface Reader<T> {
-        T read() throws BadMessage;
-    }
+  /** Reads what an answer says. */
+  private interface Reader<T> {
+    T read() throws BadMessage;
+  }
 
-    private static <T> T read(HttpOutcome outcome, Reader<T> reader) {
-        if (outcome.status() != 200) {
-            return null;
-        }
-        try {
-            return reader.read();
-        } catch (BadMessage e) {
-            LOG.info("unreadable answer of the cloud: {}", e.getMessage());
-            return null;
-        }
+  private static <T> T read(HttpOutcome outcome, Reader<T> reader) {
+    if (outcome.status() != 200) {
+      return null;
+    }
+    try {
+      return reader.read();
+    } catch (BadMessage e) {
+      LOG.info("unreadable answer of the cloud: {}", e.getMessage());
+      return null;
     }
+  }
 }
--- a/src/main/java/org/quincecross/leader/Demands.java
+++ b/src/main/java/org/quincecross/leader/Demands.java
@@ -29,266 +29,373 @@
 import org.quincecross.state.Ledger;
 import org.quincecross.wire.Settings;
 
-/** What waits to be admitted, and when it should be over; where there is more than can be done in time, in what order. */
+/**
+ * What waits to be admitted, and when it should be over; where there is more than can be done in
+ * time, in what order.
+ */
 final class Demands {
-    /** A job that nobody waits for by a certain time comes after those of about an hour's patience. */
-    private static final double NO_DEADLINE_S = 3600;
-    /** Estimates are often too high by half: a job that has less of its estimated time left will be late. */
-    private static final double FEASIBLE = 0.6;
+  /**
+   * A job that nobody waits for by a certain time comes after those of about an hour's patience.
+   */
+  private static final double NO_DEADLINE_S = 3600;
 
-    /** From the start of its last task to the end of a job, in estimates: the estimate and a fetch. */
-    private static final double TAIL = 1.1;
+  /**
+   * Estimates are often too high by half: a job that has less of its estimated time left will be
+   * late.
+   */
+  private static final double FEASIBLE = 0.6;
 
-    /** Most of what runs has ended after so many mean times. */
-    private static final double EMPTIED = 1.5;
+  /**
+   * From the start of its last task to the end of a job, in estimates: the estimate and a fetch.
+   */
+  private static final double TAIL = 1.1;
 
-    private final Ledger ledger;
-    private final Settings settings;
-    private final Books books;
-    private final LongSupplier clockMs;
-    private final Overload overload;
-    private final ToIntFunction<JobId> running;
-    private final Suspects suspects = new Suspects();
-    private final Map<JobId, Age> ages = new HashMap<>();
+  /** Most of what runs has ended after so many mean times. */
+  private static final double EMPTIED = 1.5;
 
-    /** How old a job was, since it could run, when it was first looked at here, when that was, and what is expected of it. */
-    private record Age(double seconds, SteadyTime at, Job job, List<Aim> aims) {
-    }
+  private final Ledger ledger;
+  private final Settings settings;
+  private final Books books;
+  private final LongSupplier clockMs;
+  private final Overload overload;
+  private final ToIntFunction<JobId> running;
+  private final Suspects suspects = new Suspects();
+  private final Map<JobId, Age> ages = new HashMap<>();
 
-    /**
-     * @param clockMs tells the time of day
-     * @param overload null where work is ordered by due time alone
-     * @param running how many tasks of a job run, as their holders say
-     */
-    Demands(Ledger ledger, Settings settings, Books books, LongSupplier clockMs, Overload overload, ToIntFunction<JobId> running) {
-        this.ledger = ledger;
-        this.settings = settings;
-        this.books = books;
-        this.clockMs = clockMs;
-        this.overload = overload;
-        this.running = running;
-        books.listen((job, more, reached) -> suspects.given(job));
-        if (overload != null) {
-            books.listen((job, more, reached) -> overload.given(job, more));
-        }
-    }
+  /**
+   * How old a job was, since it could run, when it was first looked at here, when that was, and
+   * what is expected of it.
+   */
+  private record Age(double seconds, SteadyTime at, Job job, List<Aim> aims) {}
 
-    /** A job with tasks in the pool, {@code pool} of which may be admitted now. */
-    private record Waiting(JobRecord record, Books.Account account, TaskSet pool, boolean guaranteed) {
+  /**
+   * @param clockMs tells the time of day
+   * @param overload null where work is ordered by due time alone
+   * @param running how many tasks of a job run, as their holders say
+   */
+  Demands(
+      Ledger ledger,
+      Settings settings,
+      Books books,
+      LongSupplier clockMs,
+      Overload overload,
+      ToIntFunction<JobId> running) {
+    this.ledger = ledger;
+    this.settings = settings;
+    this.books = books;
+    this.clockMs = clockMs;
+    this.overload = overload;
+    this.running = running;
+    books.listen((job, more, reached) -> suspects.given(job));
+    if (overload != null) {
+      books.listen((job, more, reached) -> overload.given(job, more));
     }
+  }
 
-    /** Why nothing of a job is admitted though it waits, in words; null where it is none that fails wherever it is tried. */
-    String heldBack(JobId job) {
-        Suspects.State state = suspects.of(job);
-        return state == null ? null : switch (state) {
-            case PAUSED -> "failed wherever it was tried, to be tried again with one task";
-            case TO_BE_TRIED, ON_TRIAL -> "failed wherever it was tried, one task is being tried again";
+  /** A job with tasks in the pool, {@code pool} of which may be admitted now. */
+  private record Waiting(
+      JobRecord record, Books.Account account, TaskSet pool, boolean guaranteed) {}
+
+  /**
+   * Why nothing of a job is admitted though it waits, in words; null where it is none that fails
+   * wherever it is tried.
+   */
+  String heldBack(JobId job) {
+    Suspects.State state = suspects.of(job);
+    return state == null
+        ? null
+        : switch (state) {
+          case PAUSED -> "failed wherever it was tried, to be tried again with one task";
+          case TO_BE_TRIED, ON_TRIAL ->
+              "failed wherever it was tried, one task is being tried again";
         };
-    }
+  }
 
-    /** What may be admitted of a job that waits: all, or where blocks have declined it, what tries it anew. */
-    private TaskSet mayGo(Books.Account account, Collection<Admission.Block> blocks, SteadyTime now) {
-        Job job = account.job();
-        int declinedBy = Admission.declines(job, blocks);
-        if (declinedBy == 0 && !suspects.isSuspect(job.id())) {
-            return account.pool();
-        }
-        int most = suspects.mayGo(new Suspects.Look(job.id(), declinedBy, Admission.couldGoTo(job, blocks), account.done().size(),
-                account.out().size(), running.applyAsInt(job.id())), now);
-        if (most >= account.pool().size() || most > 0 && job.shape() == Shape.GANG) {
-            return account.pool();
-        }
-        TaskSet first = new TaskSet();
-        if (most > 0) {
-            first.add(account.pool().next(0));
-        }
-        return first;
+  /**
+   * What may be admitted of a job that waits: all, or where blocks have declined it, what tries it
+   * anew.
+   */
+  private TaskSet mayGo(Books.Account account, Collection<Admission.Block> blocks, SteadyTime now) {
+    Job job = account.job();
+    int declinedBy = Admission.declines(job, blocks);
+    if (declinedBy == 0 && !suspects.isSuspect(job.id())) {
+      return account.pool();
     }
-
-    /** All that waits; of a job that has its turn for some of its tasks, these first. */
-    List<JobDemand> demands(Collection<Admission.Block> blocks, SteadyTime now) {
-        List<JobDemand> demands = new ArrayList<>();
-        List<Waiting> waiting = waiting(blocks, now);
-        if (overload == null) {
-            for (Waiting each : waiting) {
-                demands.add(inOrder(each, dueS(each.account.job(), age(each.record), aims(each.record))));
-            }
-            return demands;
-        }
-        ages.keySet().retainAll(books.openIds());
-        List<Claim> claims = new ArrayList<>();
-        Resources room = Admission.roomForArrays(blocks);
-        for (Waiting each : waiting) {
-            if (each.account.job().rank() != Rank.PRODUCTION) {
-                claims.add(claim(each, room, now));
-            }
-        }
-        Map<JobId, Verdict> verdicts = overload.look(claims, now);
-        Map<JobId, Integer> begin = toBegin(waiting, room, now);
-        for (Waiting each : waiting) {
-            Verdict verdict = verdicts.get(each.record.id());
-            if (verdict == null) {
-                inOrder(each, dueS(each.account.job(), steadyAge(each.record, now), ages.get(each.record.id()).aims()))
-                        .with(begin.getOrDefault(each.record.id(), 0), Admission.Place.BEGINNING).forEach(demands::add);
-                continue;
-            }
-            JobDemand all = demand(each, verdict.dueS(),
-                    verdict.standing() == Verdict.Standing.SET_ASIDE ? Admission.Place.SET_ASIDE : Admission.Place.IN_ORDER, verdict.order());
-            for (JobDemand part : all.with(begin.getOrDefault(each.record.id(), 0), Admission.Place.BEGINNING)) {
-                demands.addAll(part.with(verdict.turn(), Admission.Place.TURN));
-            }
-        }
-        return demands;
+    int most =
+        suspects.mayGo(
+            new Suspects.Look(
+                job.id(),
+                declinedBy,
+                Admission.couldGoTo(job, blocks),
+                account.done().size(),
+                account.out().size(),
+                running.applyAsInt(job.id())),
+            now);
+    if (most >= account.pool().size() || most > 0 && job.shape() == Shape.GANG) {
+      return account.pool();
     }
-
-    /** How many tasks of which jobs go before all others, because the jobs have waited too long to begin. */
-    private Map<JobId, Integer> toBegin(List<Waiting> waiting, Resources room, SteadyTime now) {
-        Beginnings beginnings = overload.beginnings();
-        List<Beginnings.Waiting> old = new ArrayList<>();
-        for (Waiting each : waiting) {
-            Job job = each.account.job();
-            // It was submitted before it was accepted, by a clock that may have been ahead.
-            double age = steadyAge(each.record, now) + 2 * settings.clockBound().seconds();
-            if (beginnings.isYoung(age)) {
-                continue;
-            }
-            int done = each.account.done().size();
-            int given = done + each.account.out().size();
-            int ran = beginnings.of(job.id()) == Beginnings.State.BEGUN || given < job.tasksToBegin() ? given : done + running.applyAsInt(job.id());
-            old.add(new Beginnings.Waiting(job.id(), each.record.version(), age, job.tasksToBegin(), ran, given,
-                    job.each().shareOf(room.most(job.each())), job.shape() == Shape.GANG));
-        }
-        return beginnings.look(old, old.isEmpty() ? 0 : emptyS());
+    TaskSet first = new TaskSet();
+    if (most > 0) {
+      first.add(account.pool().next(0));
     }
+    return first;
+  }
 
-    /** How long it takes until most of what arrays run now has ended: long tasks are met with more often, for they stay longer. */
-    private double emptyS() {
-        double sum = 0;
-        double squares = 0;
-        for (Books.Account account : books.open().values()) {
-            double run = account.job().shape() == Shape.ARRAY && !account.out().isEmpty() ? account.job().estimate().seconds() : 0;
-            sum += account.out().size() * run;
-            squares += account.out().size() * run * run;
-        }
-        return sum == 0 ? 0 : EMPTIED * squares / sum;
+  /** All that waits; of a job that has its turn for some of its tasks, these first. */
+  List<JobDemand> demands(Collection<Admission.Block> blocks, SteadyTime now) {
+    List<JobDemand> demands = new ArrayList<>();
+    List<Waiting> waiting = waiting(blocks, now);
+    if (overload == null) {
+      for (Waiting each : waiting) {
+        demands.add(inOrder(each, dueS(each.account.job(), age(each.record), aims(each.record))));
+      }
+      return demands;
     }
-
-    private List<Waiting> waiting(Collection<Admission.Block> blocks, SteadyTime now) {
-        List<Waiting> waiting = new ArrayList<>();
-        suspects.keepOnly(books.openIds());
-        if (books.waiting().isEmpty()) {
-            return waiting;
-        }
-        Map<String, Guarantee> guarantees = new HashMap<>();
-        settings.teams().forEach((name, team) -> guarantees.put(name, new Guarantee(team.guarantee())));
-        books.open().forEach((record, account) -> {
-            Guarantee guarantee = guarantees.get(account.job().team());
-            if (guarantee == null || ledger.pipelines().waits(record.id())) {
-                return; // what waits for other jobs takes no part of a guarantee
-            }
-            boolean within = guarantee.covers(account.job().each(), account.job().tasks() - account.done().size());
-            TaskSet pool = account.pool().isEmpty() ? account.pool() : mayGo(account, blocks, now);
-            if (!pool.isEmpty()) {
-                waiting.add(new Waiting(record, account, pool, within));
-            }
-        });
-        return waiting;
+    ages.keySet().retainAll(books.openIds());
+    List<Claim> claims = new ArrayList<>();
+    Resources room = Admission.roomForArrays(blocks);
+    for (Waiting each : waiting) {
+      if (each.account.job().rank() != Rank.PRODUCTION) {
+        claims.add(claim(each, room, now));
+      }
+    }
+    Map<JobId, Verdict> verdicts = overload.look(claims, now);
+    Map<JobId, Integer> begin = toBegin(waiting, room, now);
+    for (Waiting each : waiting) {
+      Verdict verdict = verdicts.get(each.record.id());
+      if (verdict == null) {
+        inOrder(
+                each,
+                dueS(
+                    each.account.job(),
+                    steadyAge(each.record, now),
+                    ages.get(each.record.id()).aims()))
+            .with(begin.getOrDefault(each.record.id(), 0), Admission.Place.BEGINNING)
+            .forEach(demands::add);
+        continue;
+      }
+      JobDemand all =
+          demand(
+              each,
+              verdict.dueS(),
+              verdict.standing() == Verdict.Standing.SET_ASIDE
+                  ? Admission.Place.SET_ASIDE
+                  : Admission.Place.IN_ORDER,
+              verdict.order());
+      for (JobDemand part :
+          all.with(begin.getOrDefault(each.record.id(), 0), Admission.Place.BEGINNING)) {
+        demands.addAll(part.with(verdict.turn(), Admission.Place.TURN));
+      }
     }
+    return demands;
+  }
 
-    private JobDemand inOrder(Waiting each, double dueS) {
-        return demand(each, dueS, Admission.Place.IN_ORDER, Verdict.byDue(dueS));
+  /**
+   * How many tasks of which jobs go before all others, because the jobs have waited too long to
+   * begin.
+   */
+  private Map<JobId, Integer> toBegin(List<Waiting> waiting, Resources room, SteadyTime now) {
+    Beginnings beginnings = overload.beginnings();
+    List<Beginnings.Waiting> old = new ArrayList<>();
+    for (Waiting each : waiting) {
+      Job job = each.account.job();
+      // It was submitted before it was accepted, by a clock that may have been ahead.
+      double age = steadyAge(each.record, now) + 2 * settings.clockBound().seconds();
+      if (beginnings.isYoung(age)) {
+        continue;
+      }
+      int done = each.account.done().size();
+      int given = done + each.account.out().size();
+      int ran =
+          beginnings.of(job.id()) == Beginnings.State.BEGUN || given < job.tasksToBegin()
+              ? given
+              : done + running.applyAsInt(job.id());
+      old.add(
+          new Beginnings.Waiting(
+              job.id(),
+              each.record.version(),
+              age,
+              job.tasksToBegin(),
+              ran,
+              given,
+              job.each().shareOf(room.most(job.each())),
+              job.shape() == Shape.GANG));
     }
+    return beginnings.look(old, old.isEmpty() ? 0 : emptyS());
+  }
 
-    private JobDemand demand(Waiting each, double dueS, Admission.Place place, double order) {
-        Job job = each.account.job();
-        return new JobDemand(job, each.record.version(), dueS, each.guaranteed, isHurried(job), each.pool,
-                each.account.perZone(), place, order);
+  /**
+   * How long it takes until most of what arrays run now has ended: long tasks are met with more
+   * often, for they stay longer.
+   */
+  private double emptyS() {
+    double sum = 0;
+    double squares = 0;
+    for (Books.Account account : books.open().values()) {
+      double run =
+          account.job().shape() == Shape.ARRAY && !account.out().isEmpty()
+              ? account.job().estimate().seconds()
+              : 0;
+      sum += account.out().size() * run;
+      squares += account.out().size() * run * run;
     }
+    return sum == 0 ? 0 : EMPTIED * squares / sum;
+  }
 
-    private Claim claim(Waiting each, Resources room, SteadyTime now) {
-        Job job = each.account.job();
-        double age = steadyAge(each.record, now);
-        // Where there is next to no room, a task takes at least all of it.
-        double share = job.each().shareOf(room.most(job.each()));
-        double run = Math.max(1, job.estimate().seconds());
-        return new Claim(job.id(), new Claim.Group(job.team(), job.jobClass()), job.rank(), each.guaranteed, each.record.version(),
-                each.pool.size(), job.shape() != Shape.GANG, share * run, TAIL * run, age, goals(job, age));
+  private List<Waiting> waiting(Collection<Admission.Block> blocks, SteadyTime now) {
+    List<Waiting> waiting = new ArrayList<>();
+    suspects.keepOnly(books.openIds());
+    if (books.waiting().isEmpty()) {
+      return waiting;
     }
+    Map<String, Guarantee> guarantees = new HashMap<>();
+    settings.teams().forEach((name, team) -> guarantees.put(name, new Guarantee(team.guarantee())));
+    books
+        .open()
+        .forEach(
+            (record, account) -> {
+              Guarantee guarantee = guarantees.get(account.job().team());
+              if (guarantee == null || ledger.pipelines().waits(record.id())) {
+                return; // what waits for other jobs takes no part of a guarantee
+              }
+              boolean within =
+                  guarantee.covers(
+                      account.job().each(), account.job().tasks() - account.done().size());
+              TaskSet pool =
+                  account.pool().isEmpty() ? account.pool() : mayGo(account, blocks, now);
+              if (!pool.isEmpty()) {
+                waiting.add(new Waiting(record, account, pool, within));
+              }
+            });
+    return waiting;
+  }
 
-    /** What a team is guaranteed, and what its jobs come to that were accepted so far: looked at for every open job. */
-    private static final class Guarantee {
-        private final Resources most;
-        private double cpus;
-        private double gpus;
-        private double memoryGb;
+  private JobDemand inOrder(Waiting each, double dueS) {
+    return demand(each, dueS, Admission.Place.IN_ORDER, Verdict.byDue(dueS));
+  }
 
-        Guarantee(Resources most) {
-            this.most = most;
-        }
+  private JobDemand demand(Waiting each, double dueS, Admission.Place place, double order) {
+    Job job = each.account.job();
+    return new JobDemand(
+        job,
+        each.record.version(),
+        dueS,
+        each.guaranteed,
+        isHurried(job),
+        each.pool,
+        each.account.perZone(),
+        place,
+        order);
+  }
 
-        /** Counts the tasks of one more job; whether all up to it are within the guarantee. */
-        boolean covers(Resources each, int tasks) {
-            cpus += each.cpus() * tasks;
-            gpus += each.gpus() * tasks;
-            memoryGb += each.memoryGb() * tasks;
-            return new Resources(cpus, gpus, memoryGb).fitsIn(most);
-        }
-    }
+  private Claim claim(Waiting each, Resources room, SteadyTime now) {
+    Job job = each.account.job();
+    double age = steadyAge(each.record, now);
+    // Where there is next to no room, a task takes at least all of it.
+    double share = job.each().shareOf(room.most(job.each()));
+    double run = Math.max(1, job.estimate().seconds());
+    return new Claim(
+        job.id(),
+        new Claim.Group(job.team(), job.jobClass()),
+        job.rank(),
+        each.guaranteed,
+        each.record.version(),
+        each.pool.size(),
+        job.shape() != Shape.GANG,
+        share * run,
+        TAIL * run,
+        age,
+        goals(job, age));
+  }
+
+  /**
+   * What a team is guaranteed, and what its jobs come to that were accepted so far: looked at for
+   * every open job.
+   */
+  private static final class Guarantee {
+    private final Resources most;
+    private double cpus;
+    private double gpus;
+    private double memoryGb;
 
-    /** Whether fetching its image takes longer, on the quickest machines, than the job's tasks may take to start. */
-    private boolean isHurried(Job job) {
-        Span within = settings.startWithin(job.jobClass());
-        double rate = 0;
-        for (MachineType type : ledger.types().values()) {
-            rate = Math.max(rate, type.fetchGbPerS());
-        }
-        return within != null && job.rank() == Rank.PRODUCTION && job.imageGb() > rate * within.seconds();
+    Guarantee(Resources most) {
+      this.most = most;
     }
 
-    /** Seconds since a job could run: only its own deadline counts from before, while it waited for other jobs. */
-    private double age(JobRecord record) {
-        return (clockMs.getAsLong() - ledger.readyMs(record)) / 1000.0;
+    /** Counts the tasks of one more job; whether all up to it are within the guarantee. */
+    boolean covers(Resources each, int tasks) {
+      cpus += each.cpus() * tasks;
+      gpus += each.gpus() * tasks;
+      memoryGb += each.memoryGb() * tasks;
+      return new Resources(cpus, gpus, memoryGb).fitsIn(most);
     }
+  }
 
-    /**
-     * How old a job is, in seconds: by the time of day as it was when the job was first looked at here, and by the steady clock from
-     * then on. A time of day that jumps makes nothing late that is known, and nothing younger than new.
-     */
-    private double steadyAge(JobRecord record, SteadyTime now) {
-        Age age = ages.computeIfAbsent(record.id(), id -> new Age(Math.max(0, age(record)), now, record.job(), aims(record)));
-        if (age.job != record.job()) { // it has become more urgent, for the sake of one that needs it
-            age = new Age(age.seconds, age.at, record.job(), aims(record));
-            ages.put(record.id(), age);
-        }
-        return age.seconds + now.since(age.at).seconds();
+  /**
+   * Whether fetching its image takes longer, on the quickest machines, than the job's tasks may
+   * take to start.
+   */
+  private boolean isHurried(Job job) {
+    Span within = settings.startWithin(job.jobClass());
+    double rate = 0;
+    for (MachineType type : ledger.types().values()) {
+      rate = Math.max(rate, type.fetchGbPerS());
     }
+    return within != null
+        && job.rank() == Rank.PRODUCTION
+        && job.imageGb() > rate * within.seconds();
+  }
 
-    private List<Aim> aims(JobRecord record) {
-        return settings.aims(record.job(), Span.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+  /**
+   * Seconds since a job could run: only its own deadline counts from before, while it waited for
+   * other jobs.
+   */
+  private double age(JobRecord record) {
+    return (clockMs.getAsLong() - ledger.readyMs(record)) / 1000.0;
+  }
+
+  /**
+   * How old a job is, in seconds: by the time of day as it was when the job was first looked at
+   * here, and by the steady clock from then on. A time of day that jumps makes nothing late that is
+   * known, and nothing younger than new.
+   */
+  private double steadyAge(JobRecord record, SteadyTime now) {
+    Age age =
+        ages.computeIfAbsent(
+            record.id(), id -> new Age(Math.max(0, age(record)), now, record.job(), aims(record)));
+    if (age.job != record.job()) { // it has become more urgent, for the sake of one that needs it
+      age = new Age(age.seconds, age.at, record.job(), aims(record));
+      ages.put(record.id(), age);
     }
+    return age.seconds + now.since(age.at).seconds();
+  }
+
+  private List<Aim> aims(JobRecord record) {
+    return settings.aims(record.job(), Span.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+  }
 
-    private List<Goal> goals(Job job, double age) {
-        List<Goal> goals = new ArrayList<>();
-        for (Aim aim : ages.get(job.id()).aims()) {
-            goals.add(new Goal(aim.within().seconds() - age, aim.of() == Aim.Of.EACH_START));
-        }
-        return goals;
+  private List<Goal> goals(Job job, double age) {
+    List<Goal> goals = new ArrayList<>();
+    for (Aim aim : ages.get(job.id()).aims()) {
+      goals.add(new Goal(aim.within().seconds() - age, aim.of() == Aim.Of.EACH_START));
     }
+    return goals;
+  }
 
-    /**
-     * Seconds until a job should be over: by its deadline, a multiple of it, or what is expected of its class, whichever
-     * comes first of those that it can still meet. What can meet none is late.
-     */
-    private static double dueS(Job job, double age, List<Aim> aims) {
-        double soonest = FEASIBLE * job.estimate().seconds();
-        double last = NO_DEADLINE_S;
-        for (Aim aim : aims) {
-            double left = aim.within().seconds() - age;
-            if (left > soonest) {
-                return left;
-            }
-            last = Math.min(-1, left);
-        }
-        return last < 0 ? last : last - age;
+  /**
+   * Seconds until a job should be over: by its deadline, a multiple of it, or what is expected of
+   * its class, whichever comes first of those that it can still meet. What can meet none is late.
+   */
+  private static double dueS(Job job, double age, List<Aim> aims) {
+    double soonest = FEASIBLE * job.estimate().seconds();
+    double last = NO_DEADLINE_S;
+    for (Aim aim : aims) {
+      double left = aim.within().seconds() - age;
+      if (left > soonest) {
+        return left;
+      }
+      last = Math.min(-1, left);
     }
+    return last < 0 ? last : last - age;
+  }
 }
--- a/src/main/java/org/quincecross/leader/FreshViews.java
+++ b/src/main/java/org/quincecross/leader/FreshViews.java
@@ -9,29 +9,32 @@
 
 /** What the controllers have told lately: older word of a block is no ground for a decision. */
 final class FreshViews {
-    private static final Span REPORT_FRESH = Span.ofSeconds(2.5);
+  private static final Span REPORT_FRESH = Span.ofSeconds(2.5);
 
-    private final Timers timers;
-    private final Ledger ledger;
-    private final PeerViews views;
+  private final Timers timers;
+  private final Ledger ledger;
+  private final PeerViews views;
 
-    FreshViews(Timers timers, Ledger ledger, PeerViews views) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.views = views;
-    }
+  FreshViews(Timers timers, Ledger ledger, PeerViews views) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.views = views;
+  }
 
-    /** What a controller has told lately, or null. */
-    PeerViews.View of(MemberId member) {
-        PeerViews.View view = views.of(member);
-        return view == null || !ledger.members().containsKey(member)
-                || timers.now().since(view.at()).isMoreThan(REPORT_FRESH) ? null : view;
-    }
+  /** What a controller has told lately, or null. */
+  PeerViews.View of(MemberId member) {
+    PeerViews.View view = views.of(member);
+    return view == null
+            || !ledger.members().containsKey(member)
+            || timers.now().since(view.at()).isMoreThan(REPORT_FRESH)
+        ? null
+        : view;
+  }
 
-    /** What the holder of a block last said of it, if that is recent and of the present lease. */
-    PeerViews.BlockView of(BlockLease block) {
-        PeerViews.View view = of(block.holder());
-        PeerViews.BlockView known = view == null ? null : view.blocks().get(block.id());
-        return known != null && known.token().equals(block.token()) ? known : null;
-    }
+  /** What the holder of a block last said of it, if that is recent and of the present lease. */
+  PeerViews.BlockView of(BlockLease block) {
+    PeerViews.View view = of(block.holder());
+    PeerViews.BlockView known = view == null ? null : view.blocks().get(block.id());
+    return known != null && known.token().equals(block.token()) ? known : null;
+  }
 }
--- a/src/main/java/org/quincecross/leader/Given.java
+++ b/src/main/java/org/quincecross/leader/Given.java
@@ -4,6 +4,9 @@
 
 /** Told of tasks that left the pool. */
 public interface Given {
-    /** So many more of a job's tasks have been given to blocks; with those that are done, so many are out of the pool now. */
-    void given(JobId job, int more, int reached);
+  /**
+   * So many more of a job's tasks have been given to blocks; with those that are done, so many are
+   * out of the pool now.
+   */
+  void given(JobId job, int more, int reached);
 }
--- a/src/main/java/org/quincecross/leader/HeldRecords.java
+++ b/src/main/java/org/quincecross/leader/HeldRecords.java
@@ -37,342 +37,408 @@
 import org.quincecross.wire.Json;
 
 /**
- * What the holds, claims and sweeps in the ledger keep back, on every controller. A hold whose time is to come is in force here as soon as
- * it may be that time by the clocks, written or not: the state service may be out then.
+ * What the holds, claims and sweeps in the ledger keep back, on every controller. A hold whose time
+ * is to come is in force here as soon as it may be that time by the clocks, written or not: the
+ * state service may be out then.
  */
 public final class HeldRecords implements Withheld {
-    private static final Span LOOK_EVERY = Span.ofMillis(250);
-    /** So many sweeps that are over are remembered, to be listed where they may have touched what is held. */
-    private static final int MOST_LATE = 500;
-    private static final Span LATELY = Span.ofSeconds(600);
-    private static final int MOST_NAMED = 5;
-    private static final int MOST_ROWS = 200;
-
-    /**
-     * What touched the records of a hold when it was first seen here to be in force.
-     *
-     * @param opening of the hold
-     * @param scope of the hold
-     * @param at the revision of the records by which this was found
-     */
-    record Touched(int opening, int scope, Revision at, Map<JobId, TaskSet> out, Map<JobId, TaskSet> done) {
-    }
+  private static final Span LOOK_EVERY = Span.ofMillis(250);
 
-    private record Over(JobId job, List<Records> series, TaskSet tasks, SteadyTime at) {
-    }
+  /**
+   * So many sweeps that are over are remembered, to be listed where they may have touched what is
+   * held.
+   */
+  private static final int MOST_LATE = 500;
 
-    private final AgreedBase base;
-    private final Ledger ledger;
-    private final AgreedBook<Hold, HoldCommand> holds;
-    private final AgreedBook<List<Claim>, List<Claim>> claims;
-    private final AgreedBook<List<Records>, List<Records>> sweeps;
-    private final HoldBooks books = new HoldBooks();
-    private final Map<String, Integer> future = new TreeMap<>();
-    private final Map<String, Touched> touched = new HashMap<>();
-    private final Map<String, Touched> disturbed = new HashMap<>();
-    private final Set<String> stirred = new LinkedHashSet<>();
-    private final ArrayDeque<Over> late = new ArrayDeque<>();
-    private final Map<JobId, Job> sweeping = new HashMap<>();
-    private long latestMs;
-    private SteadyTime latestAt;
-
-    /** Follows the records from now on: to be made before the first of them is read, and before whoever asks it follows them. */
-    public HeldRecords(AgreedBase base) {
-        this.base = base;
-        this.ledger = base.ledger();
-        holds = ledger.agreed().add(new HoldKind());
-        claims = ledger.agreed().add(new ClaimKind());
-        sweeps = ledger.agreed().add(new SweepKind());
-        base.withheld().add(this);
-        ledger.listen(this::changed);
-        base.timers().every(LOOK_EVERY, this::look);
-    }
+  private static final Span LATELY = Span.ofSeconds(600);
+  private static final int MOST_NAMED = 5;
+  private static final int MOST_ROWS = 200;
 
-    /** Now; a clock that is set back while this process runs does not set free what it kept back. */
-    At at() {
-        SteadyTime now = base.timers().now();
-        long ran = latestAt == null ? 0 : latestMs + now.since(latestAt).millis();
-        latestMs = Math.max(ran, base.clockMs().getAsLong());
-        latestAt = now;
-        return new At(latestMs, base.settings().clockBound().millis(), "");
-    }
+  /**
+   * What touched the records of a hold when it was first seen here to be in force.
+   *
+   * @param opening of the hold
+   * @param scope of the hold
+   * @param at the revision of the records by which this was found
+   */
+  record Touched(
+      int opening, int scope, Revision at, Map<JobId, TaskSet> out, Map<JobId, TaskSet> done) {}
 
-    AgreedBook<Hold, HoldCommand> holds() {
-        return holds;
-    }
+  private record Over(JobId job, List<Records> series, TaskSet tasks, SteadyTime at) {}
 
-    HoldBooks books() {
-        return books;
-    }
+  private final AgreedBase base;
+  private final Ledger ledger;
+  private final AgreedBook<Hold, HoldCommand> holds;
+  private final AgreedBook<List<Claim>, List<Claim>> claims;
+  private final AgreedBook<List<Records>, List<Records>> sweeps;
+  private final HoldBooks books = new HoldBooks();
+  private final Map<String, Integer> future = new TreeMap<>();
+  private final Map<String, Touched> touched = new HashMap<>();
+  private final Map<String, Touched> disturbed = new HashMap<>();
+  private final Set<String> stirred = new LinkedHashSet<>();
+  private final ArrayDeque<Over> late = new ArrayDeque<>();
+  private final Map<JobId, Job> sweeping = new HashMap<>();
+  private long latestMs;
+  private SteadyTime latestAt;
 
-    // ---- following the ledger ----
+  /**
+   * Follows the records from now on: to be made before the first of them is read, and before
+   * whoever asks it follows them.
+   */
+  public HeldRecords(AgreedBase base) {
+    this.base = base;
+    this.ledger = base.ledger();
+    holds = ledger.agreed().add(new HoldKind());
+    claims = ledger.agreed().add(new ClaimKind());
+    sweeps = ledger.agreed().add(new SweepKind());
+    base.withheld().add(this);
+    ledger.listen(this::changed);
+    base.timers().every(LOOK_EVERY, this::look);
+  }
 
-    private void changed(Ledger.Changes changes) {
-        if (changes.agreed().isEmpty() && sweeps.all().isEmpty() && claims.all().isEmpty() && holds.all().isEmpty() && !changes.reloaded()) {
-            return;
-        }
-        Set<JobId> concerned = new LinkedHashSet<>();
-        if (changes.reloaded()) {
-            reload(concerned);
-        }
-        Set<String> lanes = new HashSet<>();
-        for (RecordId record : changes.agreed()) {
-            switch (record.kind()) {
-                case HoldKind.NAME -> { }
-                case ClaimKind.NAME -> claim(record.id(), concerned);
-                case SweepKind.NAME -> {
-                    concerned.addAll(books.lane(record.id(), sweeps.state(record.id())));
-                    lanes.add(record.id());
-                }
-                default -> { }
-            }
-        }
-        if (!lanes.isEmpty()) {
-            // A lane that was none of sweeps: its jobs were not followed.
-            ledger.jobs().forEach(id -> follow(ledger.job(id), lanes, concerned));
-        }
-        (changes.reloaded() ? ledger.jobs() : changes.jobs()).forEach(id -> job(id, concerned));
-        for (RecordId record : changes.agreed()) {
-            if (record.kind().equals(HoldKind.NAME)) {
-                hold(record.id(), concerned);
-            }
-        }
-        if (changes.agreed().stream().anyMatch(record -> !record.kind().equals(HoldKind.NAME))) {
-            disturb(concerned);
-        }
-        tell(concerned);
-    }
+  /** Now; a clock that is set back while this process runs does not set free what it kept back. */
+  At at() {
+    SteadyTime now = base.timers().now();
+    long ran = latestAt == null ? 0 : latestMs + now.since(latestAt).millis();
+    latestMs = Math.max(ran, base.clockMs().getAsLong());
+    latestAt = now;
+    return new At(latestMs, base.settings().clockBound().millis(), "");
+  }
 
-    /** Claims or lanes were told: what touches pinned records by them and is out is noted before it is stopped. */
-    private void disturb(Set<JobId> concerned) {
-        Set<String> references = new TreeSet<>();
-        concerned.forEach(id -> references.addAll(books.holding(id)));
-        for (String reference : references) {
-            Hold hold = holds.state(reference);
-            Map<JobId, TaskSet> out = hold.state() == Hold.State.PINNED ? look(hold).out() : Map.of();
-            if (!out.isEmpty()) {
-                disturbed.put(reference, new Touched(hold.opening(), hold.scope(), ledger.revision(), out, Map.of()));
-            }
+  AgreedBook<Hold, HoldCommand> holds() {
+    return holds;
+  }
+
+  HoldBooks books() {
+    return books;
+  }
+
+  // ---- following the ledger ----
+
+  private void changed(Ledger.Changes changes) {
+    if (changes.agreed().isEmpty()
+        && sweeps.all().isEmpty()
+        && claims.all().isEmpty()
+        && holds.all().isEmpty()
+        && !changes.reloaded()) {
+      return;
+    }
+    Set<JobId> concerned = new LinkedHashSet<>();
+    if (changes.reloaded()) {
+      reload(concerned);
+    }
+    Set<String> lanes = new HashSet<>();
+    for (RecordId record : changes.agreed()) {
+      switch (record.kind()) {
+        case HoldKind.NAME -> {}
+        case ClaimKind.NAME -> claim(record.id(), concerned);
+        case SweepKind.NAME -> {
+          concerned.addAll(books.lane(record.id(), sweeps.state(record.id())));
+          lanes.add(record.id());
         }
+        default -> {}
+      }
     }
-
-    private void reload(Set<JobId> concerned) {
-        sweeps.all().forEach((lane, held) -> concerned.addAll(books.lane(lane, held.state())));
-        claims.all().keySet().forEach(page -> claim(page, concerned));
-        Set<String> gone = new HashSet<>(books.references());
-        gone.removeAll(holds.all().keySet());
-        gone.forEach(reference -> hold(reference, concerned));
-        Set.copyOf(sweeping.keySet()).forEach(id -> job(id, concerned));
-        ledger.jobs().forEach(id -> job(id, concerned));
-        holds.all().keySet().forEach(reference -> hold(reference, concerned));
+    if (!lanes.isEmpty()) {
+      // A lane that was none of sweeps: its jobs were not followed.
+      ledger.jobs().forEach(id -> follow(ledger.job(id), lanes, concerned));
+    }
+    (changes.reloaded() ? ledger.jobs() : changes.jobs()).forEach(id -> job(id, concerned));
+    for (RecordId record : changes.agreed()) {
+      if (record.kind().equals(HoldKind.NAME)) {
+        hold(record.id(), concerned);
+      }
     }
+    if (changes.agreed().stream().anyMatch(record -> !record.kind().equals(HoldKind.NAME))) {
+      disturb(concerned);
+    }
+    tell(concerned);
+  }
 
-    private void tell(Set<JobId> concerned) {
-        concerned.forEach(id -> stirred.addAll(books.holding(id)));
-        base.withheld().changed(concerned);
+  /**
+   * Claims or lanes were told: what touches pinned records by them and is out is noted before it is
+   * stopped.
+   */
+  private void disturb(Set<JobId> concerned) {
+    Set<String> references = new TreeSet<>();
+    concerned.forEach(id -> references.addAll(books.holding(id)));
+    for (String reference : references) {
+      Hold hold = holds.state(reference);
+      Map<JobId, TaskSet> out = hold.state() == Hold.State.PINNED ? look(hold).out() : Map.of();
+      if (!out.isEmpty()) {
+        disturbed.put(
+            reference, new Touched(hold.opening(), hold.scope(), ledger.revision(), out, Map.of()));
+      }
     }
+  }
 
-    private void claim(String page, Set<JobId> concerned) {
-        JobId job = ClaimKind.job(page);
-        if (job != null) {
-            concerned.addAll(books.claims(job, page, claims.state(page)));
-        }
+  private void reload(Set<JobId> concerned) {
+    sweeps.all().forEach((lane, held) -> concerned.addAll(books.lane(lane, held.state())));
+    claims.all().keySet().forEach(page -> claim(page, concerned));
+    Set<String> gone = new HashSet<>(books.references());
+    gone.removeAll(holds.all().keySet());
+    gone.forEach(reference -> hold(reference, concerned));
+    Set.copyOf(sweeping.keySet()).forEach(id -> job(id, concerned));
+    ledger.jobs().forEach(id -> job(id, concerned));
+    holds.all().keySet().forEach(reference -> hold(reference, concerned));
+  }
+
+  private void tell(Set<JobId> concerned) {
+    concerned.forEach(id -> stirred.addAll(books.holding(id)));
+    base.withheld().changed(concerned);
+  }
+
+  private void claim(String page, Set<JobId> concerned) {
+    JobId job = ClaimKind.job(page);
+    if (job != null) {
+      concerned.addAll(books.claims(job, page, claims.state(page)));
     }
+  }
 
-    private void follow(JobRecord record, Set<String> lanes, Set<JobId> concerned) {
-        if (record != null && record.job() != null && lanes.contains(record.job().jobClass())) {
-            job(record.id(), concerned);
-        }
+  private void follow(JobRecord record, Set<String> lanes, Set<JobId> concerned) {
+    if (record != null && record.job() != null && lanes.contains(record.job().jobClass())) {
+      job(record.id(), concerned);
     }
+  }
 
-    private void job(JobId id, Set<JobId> concerned) {
-        JobRecord record = ledger.job(id);
-        if (record != null && record.job() != null) {
-            boolean before = sweeping.containsKey(id);
-            TaskSet withheld = books.of(record.job());
-            if (books.isTracked(id)) {
-                sweeping.put(id, record.job());
-                if (!before && !withheld.isEmpty()) {
-                    concerned.add(id);
-                }
-            }
-            return;
-        }
-        Job over = sweeping.remove(id);
-        if (over != null) {
-            List<Records> series = sweeps.state(over.jobClass());
-            late.add(new Over(id, series, TaskSet.below(over.tasks()), base.timers().now()));
-            while (late.size() > MOST_LATE) {
-                late.poll();
-            }
-            stirred.addAll(books.holding(id));
-            books.over(id);
+  private void job(JobId id, Set<JobId> concerned) {
+    JobRecord record = ledger.job(id);
+    if (record != null && record.job() != null) {
+      boolean before = sweeping.containsKey(id);
+      TaskSet withheld = books.of(record.job());
+      if (books.isTracked(id)) {
+        sweeping.put(id, record.job());
+        if (!before && !withheld.isEmpty()) {
+          concerned.add(id);
         }
+      }
+      return;
     }
+    Job over = sweeping.remove(id);
+    if (over != null) {
+      List<Records> series = sweeps.state(over.jobClass());
+      late.add(new Over(id, series, TaskSet.below(over.tasks()), base.timers().now()));
+      while (late.size() > MOST_LATE) {
+        late.poll();
+      }
+      stirred.addAll(books.holding(id));
+      books.over(id);
+    }
+  }
 
-    private void hold(String reference, Set<JobId> concerned) {
-        Hold hold = holds.state(reference);
-        boolean due = hold.isDue(at());
-        disturbed.computeIfPresent(reference, (name, found) -> hold.state() == Hold.State.PINNED && hold.opening() == found.opening()
-                && hold.scope() == found.scope() ? found : null);
-        if (hold.isOpen() && !hold.isInForce() && !due) {
-            future.put(reference, hold.opening());
-        } else {
-            future.remove(reference);
-        }
-        if (hold.isInForce() || due) {
-            Touched before = touched.get(reference);
-            if (hold.state() == Hold.State.PINNED) {
-                touched.remove(reference); // it is in the trail
-            } else if (before == null || before.opening() != hold.opening() || before.scope() != hold.scope()) {
-                touched.put(reference, look(hold));
-            }
-            if (!books.isInForce(reference, hold.records())) {
-                concerned.addAll(books.opened(reference, hold.records()));
-            }
-        } else {
-            touched.remove(reference);
-            concerned.addAll(books.closed(reference));
-        }
-        stirred.add(reference);
+  private void hold(String reference, Set<JobId> concerned) {
+    Hold hold = holds.state(reference);
+    boolean due = hold.isDue(at());
+    disturbed.computeIfPresent(
+        reference,
+        (name, found) ->
+            hold.state() == Hold.State.PINNED
+                    && hold.opening() == found.opening()
+                    && hold.scope() == found.scope()
+                ? found
+                : null);
+    if (hold.isOpen() && !hold.isInForce() && !due) {
+      future.put(reference, hold.opening());
+    } else {
+      future.remove(reference);
+    }
+    if (hold.isInForce() || due) {
+      Touched before = touched.get(reference);
+      if (hold.state() == Hold.State.PINNED) {
+        touched.remove(reference); // it is in the trail
+      } else if (before == null
+          || before.opening() != hold.opening()
+          || before.scope() != hold.scope()) {
+        touched.put(reference, look(hold));
+      }
+      if (!books.isInForce(reference, hold.records())) {
+        concerned.addAll(books.opened(reference, hold.records()));
+      }
+    } else {
+      touched.remove(reference);
+      concerned.addAll(books.closed(reference));
     }
+    stirred.add(reference);
+  }
 
-    /** What runs or has run of what touches the records of a hold: found before anything of it is stopped. */
-    private Touched look(Hold hold) {
-        Map<JobId, TaskSet> out = new TreeMap<>();
-        Map<JobId, TaskSet> done = new TreeMap<>();
-        books.touching(hold.records()).forEach((job, tasks) -> {
-            JobRecord record = ledger.job(job);
-            if (record == null || record.job() == null) {
+  /**
+   * What runs or has run of what touches the records of a hold: found before anything of it is
+   * stopped.
+   */
+  private Touched look(Hold hold) {
+    Map<JobId, TaskSet> out = new TreeMap<>();
+    Map<JobId, TaskSet> done = new TreeMap<>();
+    books
+        .touching(hold.records())
+        .forEach(
+            (job, tasks) -> {
+              JobRecord record = ledger.job(job);
+              if (record == null || record.job() == null) {
                 if (record != null) {
-                    done.put(job, tasks); // a done job
+                  done.put(job, tasks); // a done job
                 }
                 return;
-            }
-            TaskSet completed = common(tasks, ledger.doneTasks(job));
-            if (!completed.isEmpty()) {
+              }
+              TaskSet completed = common(tasks, ledger.doneTasks(job));
+              if (!completed.isEmpty()) {
                 done.put(job, completed);
-            }
-            TaskSet running = new TaskSet();
-            ledger.blocksOf(job).forEach(block -> running.addAll(common(tasks, ledger.allocation(block).tasks().getOrDefault(job, new TaskSet()))));
-            running.removeAll(completed);
-            if (!running.isEmpty()) {
+              }
+              TaskSet running = new TaskSet();
+              ledger
+                  .blocksOf(job)
+                  .forEach(
+                      block ->
+                          running.addAll(
+                              common(
+                                  tasks,
+                                  ledger
+                                      .allocation(block)
+                                      .tasks()
+                                      .getOrDefault(job, new TaskSet()))));
+              running.removeAll(completed);
+              if (!running.isEmpty()) {
                 out.put(job, running);
-            }
-        });
-        SteadyTime now = base.timers().now();
-        for (Over each : late) {
-            if (!now.since(each.at()).isMoreThan(LATELY) && !done.containsKey(each.job()) && !books.isTracked(each.job())
-                    && each.series().stream().anyMatch(series -> hold.records().stream().anyMatch(series::overlaps))) {
-                done.put(each.job(), each.tasks());
-            }
-        }
-        return new Touched(hold.opening(), hold.scope(), ledger.revision(), out, done);
+              }
+            });
+    SteadyTime now = base.timers().now();
+    for (Over each : late) {
+      if (!now.since(each.at()).isMoreThan(LATELY)
+          && !done.containsKey(each.job())
+          && !books.isTracked(each.job())
+          && each.series().stream()
+              .anyMatch(series -> hold.records().stream().anyMatch(series::overlaps))) {
+        done.put(each.job(), each.tasks());
+      }
     }
+    return new Touched(hold.opening(), hold.scope(), ledger.revision(), out, done);
+  }
 
-    static TaskSet common(TaskSet one, TaskSet other) {
-        TaskSet common = new TaskSet();
-        for (int i = one.next(0); i >= 0; i = one.next(i + 1)) {
-            if (other.has(i)) {
-                common.add(i);
-            }
-        }
-        return common;
+  static TaskSet common(TaskSet one, TaskSet other) {
+    TaskSet common = new TaskSet();
+    for (int i = one.next(0); i >= 0; i = one.next(i + 1)) {
+      if (other.has(i)) {
+        common.add(i);
+      }
     }
+    return common;
+  }
 
-    /** A time may have come. */
-    private void look() {
-        if (!future.isEmpty()) {
-            At at = at();
-            Set<JobId> concerned = new LinkedHashSet<>();
-            List.copyOf(future.keySet()).forEach(reference -> {
+  /** A time may have come. */
+  private void look() {
+    if (!future.isEmpty()) {
+      At at = at();
+      Set<JobId> concerned = new LinkedHashSet<>();
+      List.copyOf(future.keySet())
+          .forEach(
+              reference -> {
                 if (holds.state(reference).isDue(at)) {
-                    hold(reference, concerned);
+                  hold(reference, concerned);
                 }
-            });
-            tell(concerned);
-        }
+              });
+      tell(concerned);
     }
+  }
 
-    // ---- for who decides what to write ----
+  // ---- for who decides what to write ----
 
-    /** The holds of which something has changed since this was last asked. */
-    Collection<String> takeStirred() {
-        Set<String> taken = new LinkedHashSet<>(stirred);
-        stirred.clear();
-        return taken;
-    }
+  /** The holds of which something has changed since this was last asked. */
+  Collection<String> takeStirred() {
+    Set<String> taken = new LinkedHashSet<>(stirred);
+    stirred.clear();
+    return taken;
+  }
 
-    /** What touched the records of a hold when it came into force, as was seen here. */
-    Touched touched(String reference) {
-        return touched.get(reference);
-    }
+  /** What touched the records of a hold when it came into force, as was seen here. */
+  Touched touched(String reference) {
+    return touched.get(reference);
+  }
 
-    /** What was out and touches the records of a pinned hold by what was told since; none where nothing does. */
-    Map<JobId, TaskSet> disturbed(String reference) {
-        Touched found = disturbed.get(reference);
-        return found == null ? Map.of() : found.out();
-    }
+  /**
+   * What was out and touches the records of a pinned hold by what was told since; none where
+   * nothing does.
+   */
+  Map<JobId, TaskSet> disturbed(String reference) {
+    Touched found = disturbed.get(reference);
+    return found == null ? Map.of() : found.out();
+  }
 
-    /** The tasks that touch the records of a hold, of jobs that are not over. */
-    Map<JobId, TaskSet> touching(Hold hold) {
-        Map<JobId, TaskSet> all = books.touching(hold.records());
-        all.keySet().removeIf(id -> ledger.job(id) == null || ledger.job(id).job() == null);
-        return all;
-    }
+  /** The tasks that touch the records of a hold, of jobs that are not over. */
+  Map<JobId, TaskSet> touching(Hold hold) {
+    Map<JobId, TaskSet> all = books.touching(hold.records());
+    all.keySet().removeIf(id -> ledger.job(id) == null || ledger.job(id).job() == null);
+    return all;
+  }
 
-    /** The tasks of open jobs, out of these, that are still to be done. */
-    Map<JobId, TaskSet> keptBack(Map<JobId, TaskSet> touching) {
-        Map<JobId, TaskSet> kept = new TreeMap<>();
-        touching.forEach((id, tasks) -> {
-            JobRecord record = ledger.job(id);
-            if (record != null && record.phase() == JobPhase.OPEN) {
-                TaskSet rest = tasks.copy();
-                rest.removeAll(ledger.doneTasks(id));
-                if (!rest.isEmpty()) {
-                    kept.put(id, rest);
-                }
+  /** The tasks of open jobs, out of these, that are still to be done. */
+  Map<JobId, TaskSet> keptBack(Map<JobId, TaskSet> touching) {
+    Map<JobId, TaskSet> kept = new TreeMap<>();
+    touching.forEach(
+        (id, tasks) -> {
+          JobRecord record = ledger.job(id);
+          if (record != null && record.phase() == JobPhase.OPEN) {
+            TaskSet rest = tasks.copy();
+            rest.removeAll(ledger.doneTasks(id));
+            if (!rest.isEmpty()) {
+              kept.put(id, rest);
             }
+          }
         });
-        return kept;
-    }
+    return kept;
+  }
 
-    /** For operators: what each hold in force keeps back, in the order of their references from after {@code after} on. */
-    public Map<String, Object> kept(String after) {
-        List<Object> rows = new ArrayList<>();
-        String last = null;
-        for (String reference : new TreeSet<>(books.references())) {
-            if (after != null && reference.compareTo(after) <= 0) {
-                continue;
-            }
-            if (rows.size() >= MOST_ROWS) {
-                return Json.object("kind", "kept", "rows", rows, "next_after", last);
-            }
-            Map<JobId, TaskSet> kept = keptBack(touching(holds.state(reference)));
-            List<String> parts = Listing.parts(kept);
-            rows.add(Json.object("reference", reference, "state", holds.state(reference).state().name(), "jobs", kept.size(),
-                    "tasks", kept.values().stream().mapToInt(TaskSet::size).sum(), "keeps_back", parts.isEmpty() ? "" : parts.get(0),
-                    "listed_in_part", parts.size() > 1));
-            last = reference;
-        }
-        return Json.object("kind", "kept", "rows", rows);
+  /**
+   * For operators: what each hold in force keeps back, in the order of their references from after
+   * {@code after} on.
+   */
+  public Map<String, Object> kept(String after) {
+    List<Object> rows = new ArrayList<>();
+    String last = null;
+    for (String reference : new TreeSet<>(books.references())) {
+      if (after != null && reference.compareTo(after) <= 0) {
+        continue;
+      }
+      if (rows.size() >= MOST_ROWS) {
+        return Json.object("kind", "kept", "rows", rows, "next_after", last);
+      }
+      Map<JobId, TaskSet> kept = keptBack(touching(holds.state(reference)));
+      List<String> parts = Listing.parts(kept);
+      rows.add(
+          Json.object(
+              "reference",
+              reference,
+              "state",
+              holds.state(reference).state().name(),
+              "jobs",
+              kept.size(),
+              "tasks",
+              kept.values().stream().mapToInt(TaskSet::size).sum(),
+              "keeps_back",
+              parts.isEmpty() ? "" : parts.get(0),
+              "listed_in_part",
+              parts.size() > 1));
+      last = reference;
     }
+    return Json.object("kind", "kept", "rows", rows);
+  }
 
-    // ---- for who allocates and starts ----
+  // ---- for who allocates and starts ----
 
-    @Override
-    public TaskSet of(Job job) {
-        return books.of(job);
-    }
+  @Override
+  public TaskSet of(Job job) {
+    return books.of(job);
+  }
 
-    @Override
-    public String reason(JobId job) {
-        Set<String> references = books.holding(job);
-        if (references.isEmpty()) {
-            return null;
-        }
-        List<String> named = references.stream().limit(MOST_NAMED).toList();
-        return "kept back by hold " + String.join(", ", named)
-                + (references.size() > named.size() ? " and " + (references.size() - named.size()) + " more" : "");
+  @Override
+  public String reason(JobId job) {
+    Set<String> references = books.holding(job);
+    if (references.isEmpty()) {
+      return null;
     }
+    List<String> named = references.stream().limit(MOST_NAMED).toList();
+    return "kept back by hold "
+        + String.join(", ", named)
+        + (references.size() > named.size()
+            ? " and " + (references.size() - named.size()) + " more"
+            : "");
+  }
 }
--- a/src/main/java/org/quincecross/leader/HoldSteps.java
+++ b/src/main/java/org/quincecross/leader/HoldSteps.java
@@ -24,161 +24,212 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the leader makes of the holds: those whose time has come are written to be in force, what touched their records goes into their
- * trail, and they are pinned once it is proven that nothing which touches these runs or can start. Each step is written by itself and
- * guarded by the record, so it does not matter who leads, or who believes to.
+ * What the leader makes of the holds: those whose time has come are written to be in force, what
+ * touched their records goes into their trail, and they are pinned once it is proven that nothing
+ * which touches these runs or can start. Each step is written by itself and guarded by the record,
+ * so it does not matter who leads, or who believes to.
  */
 public final class HoldSteps {
-    private static final Logger LOG = LoggerFactory.getLogger(HoldSteps.class);
-    private static final Span LOOK_EVERY = Span.ofMillis(250);
-    /** Steps that wait to be written at the same time: whoever asks from outside is to have room beside them. */
-    private static final int MOST_ASKED = 24;
-    /** What is kept back is noted again no more often than this for one hold. */
-    private static final Span NOTE_EVERY = Span.ofSeconds(60);
+  private static final Logger LOG = LoggerFactory.getLogger(HoldSteps.class);
+  private static final Span LOOK_EVERY = Span.ofMillis(250);
 
-    private final AgreedBase base;
-    private final HeldRecords held;
-    private final BooleanSupplier leading;
-    private final Set<String> open = new LinkedHashSet<>();
-    private final Set<String> toNote = new LinkedHashSet<>();
-    private final Set<String> asked = new HashSet<>();
-    private final Map<String, SteadyTime> noted = new HashMap<>();
-    private boolean wasLeading;
+  /**
+   * Steps that wait to be written at the same time: whoever asks from outside is to have room
+   * beside them.
+   */
+  private static final int MOST_ASKED = 24;
 
-    /** @param leading whether this controller leads */
-    public HoldSteps(AgreedBase base, HeldRecords held, BooleanSupplier leading) {
-        this.base = base;
-        this.held = held;
-        this.leading = leading;
-        base.timers().every(LOOK_EVERY, this::look);
-    }
+  /** What is kept back is noted again no more often than this for one hold. */
+  private static final Span NOTE_EVERY = Span.ofSeconds(60);
 
-    private void look() {
-        boolean leads = leading.getAsBoolean();
-        if (leads && !wasLeading) {
-            open.addAll(held.holds().all().keySet());
-        }
-        wasLeading = leads;
-        open.addAll(held.takeStirred());
-        if (!leads || open.isEmpty() && toNote.isEmpty()) {
-            return;
-        }
-        for (String reference : List.copyOf(open)) {
-            if (asked.size() >= MOST_ASKED) {
-                return;
-            }
-            if (!asked.contains(reference)) {
-                step(reference);
-            }
-        }
-        for (String reference : List.copyOf(toNote)) {
-            if (asked.size() < MOST_ASKED && !asked.contains(reference)) {
-                note(reference);
-            }
-        }
-    }
+  private final AgreedBase base;
+  private final HeldRecords held;
+  private final BooleanSupplier leading;
+  private final Set<String> open = new LinkedHashSet<>();
+  private final Set<String> toNote = new LinkedHashSet<>();
+  private final Set<String> asked = new HashSet<>();
+  private final Map<String, SteadyTime> noted = new HashMap<>();
+  private boolean wasLeading;
 
-    /** Makes the next step of a hold, if there is one now. */
-    private void step(String reference) {
-        AgreedBook.Held<Hold> record = held.holds().get(reference);
-        Hold hold = record == null ? null : record.state();
-        if (hold == null || !hold.isOpen()) {
-            open.remove(reference);
-            toNote.remove(reference);
-            noted.remove(reference);
-            return;
-        }
-        switch (hold.state()) {
-            case FUTURE -> {
-                if (hold.isDue(held.at())) {
-                    ask(reference, new HoldCommand.Due(hold.opening()));
-                }
-            }
-            case PINNING -> pin(reference, record);
-            case PINNED -> {
-                Map<JobId, TaskSet> touching = held.touching(hold);
-                Gone.Proof proof = Gone.of(base.ledger(), touching, record.version());
-                Map<JobId, TaskSet> out = proof.state() == Gone.State.HELD ? together(proof) : held.disturbed(reference);
-                if (!out.isEmpty()) {
-                    // A claim or a lane was told after these had begun.
-                    ask(reference, new HoldCommand.Widened(hold.opening(), hold.scope(), firstPart(out)));
-                } else if (proof.isProven()) {
-                    open.remove(reference);
-                    if (Listing.what(held.keptBack(touching)) != hold.kept()) {
-                        toNote.add(reference);
-                    }
-                }
-            }
-            default -> throw new IllegalStateException(hold.state().toString());
-        }
+  /**
+   * @param leading whether this controller leads
+   */
+  public HoldSteps(AgreedBase base, HeldRecords held, BooleanSupplier leading) {
+    this.base = base;
+    this.held = held;
+    this.leading = leading;
+    base.timers().every(LOOK_EVERY, this::look);
+  }
+
+  private void look() {
+    boolean leads = leading.getAsBoolean();
+    if (leads && !wasLeading) {
+      open.addAll(held.holds().all().keySet());
+    }
+    wasLeading = leads;
+    open.addAll(held.takeStirred());
+    if (!leads || open.isEmpty() && toNote.isEmpty()) {
+      return;
+    }
+    for (String reference : List.copyOf(open)) {
+      if (asked.size() >= MOST_ASKED) {
+        return;
+      }
+      if (!asked.contains(reference)) {
+        step(reference);
+      }
+    }
+    for (String reference : List.copyOf(toNote)) {
+      if (asked.size() < MOST_ASKED && !asked.contains(reference)) {
+        note(reference);
+      }
     }
+  }
 
-    private void pin(String reference, AgreedBook.Held<Hold> record) {
-        Hold hold = record.state();
-        List<HoldCommand.Note> notes = touchedNotes(reference, hold);
-        if (hold.notes() < notes.size()) {
-            ask(reference, notes.get(hold.notes()));
-            return;
+  /** Makes the next step of a hold, if there is one now. */
+  private void step(String reference) {
+    AgreedBook.Held<Hold> record = held.holds().get(reference);
+    Hold hold = record == null ? null : record.state();
+    if (hold == null || !hold.isOpen()) {
+      open.remove(reference);
+      toNote.remove(reference);
+      noted.remove(reference);
+      return;
+    }
+    switch (hold.state()) {
+      case FUTURE -> {
+        if (hold.isDue(held.at())) {
+          ask(reference, new HoldCommand.Due(hold.opening()));
         }
+      }
+      case PINNING -> pin(reference, record);
+      case PINNED -> {
         Map<JobId, TaskSet> touching = held.touching(hold);
         Gone.Proof proof = Gone.of(base.ledger(), touching, record.version());
-        if (proof.isProven()) {
-            Map<JobId, TaskSet> kept = held.keptBack(touching);
-            ask(reference, new HoldCommand.Pinned(hold.opening(), hold.scope(), proof.revision().number(), firstPart(kept), Listing.what(kept)));
+        Map<JobId, TaskSet> out =
+            proof.state() == Gone.State.HELD ? together(proof) : held.disturbed(reference);
+        if (!out.isEmpty()) {
+          // A claim or a lane was told after these had begun.
+          ask(reference, new HoldCommand.Widened(hold.opening(), hold.scope(), firstPart(out)));
+        } else if (proof.isProven()) {
+          open.remove(reference);
+          if (Listing.what(held.keptBack(touching)) != hold.kept()) {
+            toNote.add(reference);
+          }
         }
+      }
+      default -> throw new IllegalStateException(hold.state().toString());
     }
+  }
 
-    /** What touched the records just before. Numbered alike by whoever leads, from what each saw when the hold came into force. */
-    private List<HoldCommand.Note> touchedNotes(String reference, Hold hold) {
-        HeldRecords.Touched touched = held.touched(reference);
-        List<HoldCommand.Note> notes = new ArrayList<>();
-        if (touched == null || hold.scope() > 0) {
-            return notes;
-        }
-        Listing.parts(touched.out()).forEach(part -> notes.add(new HoldCommand.Note(hold.opening(), notes.size(), "was out", part, 0)));
-        Listing.parts(touched.done()).forEach(part -> notes.add(new HoldCommand.Note(hold.opening(), notes.size(), "was done", part, 0)));
-        return notes;
+  private void pin(String reference, AgreedBook.Held<Hold> record) {
+    Hold hold = record.state();
+    List<HoldCommand.Note> notes = touchedNotes(reference, hold);
+    if (hold.notes() < notes.size()) {
+      ask(reference, notes.get(hold.notes()));
+      return;
     }
-
-    private void note(String reference) {
-        AgreedBook.Held<Hold> record = held.holds().get(reference);
-        SteadyTime now = base.timers().now();
-        SteadyTime before = noted.get(reference);
-        if (record == null || record.state().state() != Hold.State.PINNED) {
-            toNote.remove(reference);
-            return;
-        }
-        if (before != null && !now.since(before).isMoreThan(NOTE_EVERY)) {
-            return;
-        }
-        toNote.remove(reference);
-        noted.put(reference, now);
-        Map<JobId, TaskSet> kept = held.keptBack(held.touching(record.state()));
-        long what = Listing.what(kept);
-        if (what != record.state().kept()) {
-            ask(reference, new HoldCommand.Note(record.state().opening(), record.state().notes(), "keeps back", firstPart(kept), what));
-        }
+    Map<JobId, TaskSet> touching = held.touching(hold);
+    Gone.Proof proof = Gone.of(base.ledger(), touching, record.version());
+    if (proof.isProven()) {
+      Map<JobId, TaskSet> kept = held.keptBack(touching);
+      ask(
+          reference,
+          new HoldCommand.Pinned(
+              hold.opening(),
+              hold.scope(),
+              proof.revision().number(),
+              firstPart(kept),
+              Listing.what(kept)));
     }
+  }
 
-    private static Map<JobId, TaskSet> together(Gone.Proof proof) {
-        Map<JobId, TaskSet> all = new TreeMap<>();
-        proof.where().values().forEach(block -> block.forEach((job, tasks) -> all.computeIfAbsent(job, id -> new TaskSet()).addAll(tasks)));
-        return all;
+  /**
+   * What touched the records just before. Numbered alike by whoever leads, from what each saw when
+   * the hold came into force.
+   */
+  private List<HoldCommand.Note> touchedNotes(String reference, Hold hold) {
+    HeldRecords.Touched touched = held.touched(reference);
+    List<HoldCommand.Note> notes = new ArrayList<>();
+    if (touched == null || hold.scope() > 0) {
+      return notes;
     }
+    Listing.parts(touched.out())
+        .forEach(
+            part ->
+                notes.add(new HoldCommand.Note(hold.opening(), notes.size(), "was out", part, 0)));
+    Listing.parts(touched.done())
+        .forEach(
+            part ->
+                notes.add(new HoldCommand.Note(hold.opening(), notes.size(), "was done", part, 0)));
+    return notes;
+  }
 
-    private static String firstPart(Map<JobId, TaskSet> tasks) {
-        List<String> parts = Listing.parts(tasks);
-        return parts.isEmpty() ? "" : parts.size() == 1 ? parts.get(0)
-                : parts.get(0) + " and more, of " + tasks.size() + " jobs, " + tasks.values().stream().mapToInt(TaskSet::size).sum() + " tasks in all";
+  private void note(String reference) {
+    AgreedBook.Held<Hold> record = held.holds().get(reference);
+    SteadyTime now = base.timers().now();
+    SteadyTime before = noted.get(reference);
+    if (record == null || record.state().state() != Hold.State.PINNED) {
+      toNote.remove(reference);
+      return;
     }
+    if (before != null && !now.since(before).isMoreThan(NOTE_EVERY)) {
+      return;
+    }
+    toNote.remove(reference);
+    noted.put(reference, now);
+    Map<JobId, TaskSet> kept = held.keptBack(held.touching(record.state()));
+    long what = Listing.what(kept);
+    if (what != record.state().kept()) {
+      ask(
+          reference,
+          new HoldCommand.Note(
+              record.state().opening(),
+              record.state().notes(),
+              "keeps back",
+              firstPart(kept),
+              what));
+    }
+  }
+
+  private static Map<JobId, TaskSet> together(Gone.Proof proof) {
+    Map<JobId, TaskSet> all = new TreeMap<>();
+    proof
+        .where()
+        .values()
+        .forEach(
+            block ->
+                block.forEach(
+                    (job, tasks) -> all.computeIfAbsent(job, id -> new TaskSet()).addAll(tasks)));
+    return all;
+  }
 
-    private void ask(String reference, HoldCommand command) {
-        asked.add(reference);
-        base.store().ask(held.holds(), reference, Ask.own(command), answer -> {
-            asked.remove(reference);
-            if (!answer.isDurable()) {
+  private static String firstPart(Map<JobId, TaskSet> tasks) {
+    List<String> parts = Listing.parts(tasks);
+    return parts.isEmpty()
+        ? ""
+        : parts.size() == 1
+            ? parts.get(0)
+            : parts.get(0)
+                + " and more, of "
+                + tasks.size()
+                + " jobs, "
+                + tasks.values().stream().mapToInt(TaskSet::size).sum()
+                + " tasks in all";
+  }
+
+  private void ask(String reference, HoldCommand command) {
+    asked.add(reference);
+    base.store()
+        .ask(
+            held.holds(),
+            reference,
+            Ask.own(command),
+            answer -> {
+              asked.remove(reference);
+              if (!answer.isDurable()) {
                 LOG.debug("hold {}: {} {}", reference, answer.status(), answer.why());
-            }
-        });
-    }
+              }
+            });
+  }
 }
--- a/src/main/java/org/quincecross/leader/Keepers.java
+++ b/src/main/java/org/quincecross/leader/Keepers.java
@@ -12,49 +12,55 @@
 import org.quincecross.sched.JobDemand;
 import org.quincecross.sched.Reserve;
 
-/** The parts that have a say in what a leader allocates, where they are switched on; without them a plan is admission's alone. */
+/**
+ * The parts that have a say in what a leader allocates, where they are switched on; without them a
+ * plan is admission's alone.
+ */
 final class Keepers {
-    private final Supplier<Map<String, Team>> teams;
-    private final Supplier<Map<String, Resources>> teamUse;
-    private RequestKeeper requests;
-    private ModelKeeper models;
-
-    Keepers(Supplier<Map<String, Team>> teams, Supplier<Map<String, Resources>> teamUse) {
-        this.teams = teams;
-        this.teamUse = teamUse;
-    }
+  private final Supplier<Map<String, Team>> teams;
+  private final Supplier<Map<String, Resources>> teamUse;
+  private RequestKeeper requests;
+  private ModelKeeper models;
 
-    void add(RequestKeeper keeper) {
-        requests = keeper;
-    }
+  Keepers(Supplier<Map<String, Team>> teams, Supplier<Map<String, Resources>> teamUse) {
+    this.teams = teams;
+    this.teamUse = teamUse;
+  }
 
-    void add(ModelKeeper keeper) {
-        models = keeper;
-    }
+  void add(RequestKeeper keeper) {
+    requests = keeper;
+  }
 
-    /** Before it is planned: what should be reserved for requests. */
-    void look(SteadyTime now) {
-        if (requests != null) {
-            requests.look(teams.get(), now);
-        }
-    }
+  void add(ModelKeeper keeper) {
+    models = keeper;
+  }
 
-    /** Admits what can be admitted; returns what machines are to be rented for. */
-    List<Admission.Unmet> admit(List<Admission.Block> blocks, Map<BlockId, List<Reserve>> reserves, List<JobDemand> waiting) {
-        List<Admission.Unmet> unmet = models == null ? new Admission(blocks, teams.get(), teamUse.get(), reserves).run(waiting)
-                : models.admit(blocks, reserves, waiting);
-        return requests == null ? unmet : requests.with(unmet);
+  /** Before it is planned: what should be reserved for requests. */
+  void look(SteadyTime now) {
+    if (requests != null) {
+      requests.look(teams.get(), now);
     }
+  }
 
-    /** What a machine looks like to who returns machines. */
-    PeerReport.MachineState seenByFleet(PeerReport.MachineState state) {
-        return models == null ? state : models.seenByFleet(state);
-    }
+  /** Admits what can be admitted; returns what machines are to be rented for. */
+  List<Admission.Unmet> admit(
+      List<Admission.Block> blocks, Map<BlockId, List<Reserve>> reserves, List<JobDemand> waiting) {
+    List<Admission.Unmet> unmet =
+        models == null
+            ? new Admission(blocks, teams.get(), teamUse.get(), reserves).run(waiting)
+            : models.admit(blocks, reserves, waiting);
+    return requests == null ? unmet : requests.with(unmet);
+  }
+
+  /** What a machine looks like to who returns machines. */
+  PeerReport.MachineState seenByFleet(PeerReport.MachineState state) {
+    return models == null ? state : models.seenByFleet(state);
+  }
 
-    /** Another controller leads now. */
-    void stop() {
-        if (models != null) {
-            models.stop();
-        }
+  /** Another controller leads now. */
+  void stop() {
+    if (models != null) {
+      models.stop();
     }
+  }
 }
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -53,552 +53,659 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stands for leadership and, while leading, writes block leases, allocations and results: one transaction at a time,
- * each guarded by the version of the leadership and of every key that it changes, and each planned on a ledger that
- * shows the one before.
+ * Stands for leadership and, while leading, writes block leases, allocations and results: one
+ * transaction at a time, each guarded by the version of the leadership and of every key that it
+ * changes, and each planned on a ledger that shows the one before.
  */
 public final class Leader {
-    private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
-    private static final Span TICK = Span.ofMillis(500);
-    /** A refused or unanswered transaction is followed by another after so long. */
-    private static final Span RETRY = Span.ofMillis(100);
-    /** Plans are at least this far apart: what comes together is planned together. */
-    private static final Span PLAN_SPACING = Span.ofMillis(40);
-    /** The same where nothing urgent has come: each plan looks at all that waits, however little is new. */
-    private static final Span CALM_SPACING = Span.ofMillis(120);
-    private static final Span MOST_GATHERING = Span.ofSeconds(2);
-    private static final Span SWEEP_EVERY = Span.ofSeconds(10);
-    private static final Span UNCONFIRMED = Span.ofSeconds(2);
-    private static final int LEAST_CHANGES = 2;
-    /** A block whose record names so many tasks that are done is worth writing anew. */
-    private static final int MOST_STALE = 60;
-
-    /** The states of a controller with regard to leading. */
-    public enum State { FOLLOWING, STANDING, LEADING, MENDING }
-
-    private final Timers timers;
-    private final StateClient client;
-    private final Ledger ledger;
-    private final Follower follower;
-    private final Membership membership;
-    private final Settings settings;
-    private final Fleet fleet;
-    private final Foresight foresight;
-    private final Overload overload;
-    private final Demands demands;
-    private final PeerViews views;
-    private final BooleanSupplier isWaking;
-    private final Books books;
-    private final Map<BlockId, Admission.Block> admissionBlocks = new TreeMap<>();
-    private final SeenRoom seenRoom = new SeenRoom();
-    private final Set<BlockId> toLookAt = new HashSet<>();
-    private final Set<BlockId> stale = new HashSet<>();
-    private final Map<MemberId, Boolean> wasFresh = new HashMap<>();
-    private final Map<BlockId, SteadyTime> writtenAt = new HashMap<>();
-    private final FreshViews fresh;
-    private final Leases leases;
-    private final Allocations allocations;
-    private final LevelSwitch levels;
-    private final TxnBounds bounds;
-    private final Results results;
-    private final PoolWaits poolWaits;
-    private final AgreedTrails trails;
-    private final TypeRecords types;
-    private final Keepers keepers;
-    private State state = State.FOLLOWING;
-    private boolean writing;
-    private Revision awaited = Revision.NONE;
-    private SteadyTime planned;
-    private SteadyTime swept;
-    private SteadyTime stepAt;
-    /** Whether something is known that is to be written, and waits for more of its kind or for room. */
-    private boolean waits;
-    /** Whether the last transaction had no room for all that was to be written. */
-    private boolean full;
-    private boolean retryPlanned;
-    private boolean resultsFirst;
-
-    /**
-     * @param clockMs tells the time of day
-     * @param isWaking whether this process has stood still, and has not been told since how things are
-     * @param overload null where work is ordered by due time alone
-     * @param withheld tasks that are not to be allocated
-     */
-    public Leader(Timers timers, StateClient client, Ledger ledger, Follower follower, Membership membership,
-            Settings settings, Fleet fleet, Foresight foresight, PeerViews views, LongSupplier clockMs, BooleanSupplier isWaking,
-            Overload overload, Withheld withheld) {
-        this.timers = timers;
-        this.client = client;
-        this.ledger = ledger;
-        this.follower = follower;
-        this.membership = membership;
-        this.settings = settings;
-        this.fleet = fleet;
-        this.foresight = foresight;
-        this.views = views;
-        this.isWaking = isWaking;
-        this.books = new Books(ledger, withheld);
-        this.keepers = new Keepers(this::teams, books::teamUse);
-        this.fresh = new FreshViews(timers, ledger, views);
-        this.levels = new LevelSwitch(ledger, settings, membership);
-        this.bounds = new TxnBounds(settings.stateLimits());
-        this.allocations = new Allocations(ledger, levels::isLowering);
-        this.leases = new Leases(timers, ledger, settings, fleet, foresight, books, fresh, allocations);
-        this.results = new Results(timers, ledger, views, books, clockMs);
-        this.overload = overload;
-        this.demands = new Demands(ledger, settings, books, clockMs, overload, this::running);
-        this.poolWaits = new PoolWaits(ledger, books, demands, views, fleet, this::teams);
-        this.trails = new AgreedTrails(ledger);
-        this.types = new TypeRecords(ledger);
-        this.planned = timers.now();
-        this.swept = timers.now();
-    }
-
-    public void start() {
-        views.listen((member, blocks) -> {
-            toLookAt.addAll(blocks);
-            soon(false);
+  private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
+  private static final Span TICK = Span.ofMillis(500);
+
+  /** A refused or unanswered transaction is followed by another after so long. */
+  private static final Span RETRY = Span.ofMillis(100);
+
+  /** Plans are at least this far apart: what comes together is planned together. */
+  private static final Span PLAN_SPACING = Span.ofMillis(40);
+
+  /**
+   * The same where nothing urgent has come: each plan looks at all that waits, however little is
+   * new.
+   */
+  private static final Span CALM_SPACING = Span.ofMillis(120);
+
+  private static final Span MOST_GATHERING = Span.ofSeconds(2);
+  private static final Span SWEEP_EVERY = Span.ofSeconds(10);
+  private static final Span UNCONFIRMED = Span.ofSeconds(2);
+  private static final int LEAST_CHANGES = 2;
+
+  /** A block whose record names so many tasks that are done is worth writing anew. */
+  private static final int MOST_STALE = 60;
+
+  /** The states of a controller with regard to leading. */
+  public enum State {
+    FOLLOWING,
+    STANDING,
+    LEADING,
+    MENDING
+  }
+
+  private final Timers timers;
+  private final StateClient client;
+  private final Ledger ledger;
+  private final Follower follower;
+  private final Membership membership;
+  private final Settings settings;
+  private final Fleet fleet;
+  private final Foresight foresight;
+  private final Overload overload;
+  private final Demands demands;
+  private final PeerViews views;
+  private final BooleanSupplier isWaking;
+  private final Books books;
+  private final Map<BlockId, Admission.Block> admissionBlocks = new TreeMap<>();
+  private final SeenRoom seenRoom = new SeenRoom();
+  private final Set<BlockId> toLookAt = new HashSet<>();
+  private final Set<BlockId> stale = new HashSet<>();
+  private final Map<MemberId, Boolean> wasFresh = new HashMap<>();
+  private final Map<BlockId, SteadyTime> writtenAt = new HashMap<>();
+  private final FreshViews fresh;
+  private final Leases leases;
+  private final Allocations allocations;
+  private final LevelSwitch levels;
+  private final TxnBounds bounds;
+  private final Results results;
+  private final PoolWaits poolWaits;
+  private final AgreedTrails trails;
+  private final TypeRecords types;
+  private final Keepers keepers;
+  private State state = State.FOLLOWING;
+  private boolean writing;
+  private Revision awaited = Revision.NONE;
+  private SteadyTime planned;
+  private SteadyTime swept;
+  private SteadyTime stepAt;
+
+  /**
+   * Whether something is known that is to be written, and waits for more of its kind or for room.
+   */
+  private boolean waits;
+
+  /** Whether the last transaction had no room for all that was to be written. */
+  private boolean full;
+
+  private boolean retryPlanned;
+  private boolean resultsFirst;
+
+  /**
+   * @param clockMs tells the time of day
+   * @param isWaking whether this process has stood still, and has not been told since how things
+   *     are
+   * @param overload null where work is ordered by due time alone
+   * @param withheld tasks that are not to be allocated
+   */
+  public Leader(
+      Timers timers,
+      StateClient client,
+      Ledger ledger,
+      Follower follower,
+      Membership membership,
+      Settings settings,
+      Fleet fleet,
+      Foresight foresight,
+      PeerViews views,
+      LongSupplier clockMs,
+      BooleanSupplier isWaking,
+      Overload overload,
+      Withheld withheld) {
+    this.timers = timers;
+    this.client = client;
+    this.ledger = ledger;
+    this.follower = follower;
+    this.membership = membership;
+    this.settings = settings;
+    this.fleet = fleet;
+    this.foresight = foresight;
+    this.views = views;
+    this.isWaking = isWaking;
+    this.books = new Books(ledger, withheld);
+    this.keepers = new Keepers(this::teams, books::teamUse);
+    this.fresh = new FreshViews(timers, ledger, views);
+    this.levels = new LevelSwitch(ledger, settings, membership);
+    this.bounds = new TxnBounds(settings.stateLimits());
+    this.allocations = new Allocations(ledger, levels::isLowering);
+    this.leases = new Leases(timers, ledger, settings, fleet, foresight, books, fresh, allocations);
+    this.results = new Results(timers, ledger, views, books, clockMs);
+    this.overload = overload;
+    this.demands = new Demands(ledger, settings, books, clockMs, overload, this::running);
+    this.poolWaits = new PoolWaits(ledger, books, demands, views, fleet, this::teams);
+    this.trails = new AgreedTrails(ledger);
+    this.types = new TypeRecords(ledger);
+    this.planned = timers.now();
+    this.swept = timers.now();
+  }
+
+  public void start() {
+    views.listen(
+        (member, blocks) -> {
+          toLookAt.addAll(blocks);
+          soon(false);
         });
-        // What changes with time alone changes slowly; all else has this controller step when it happens.
-        timers.every(TICK, this::step);
-    }
-
-    public State state() {
-        return state;
-    }
-
-    public boolean isLeading() {
-        return state == State.LEADING || state == State.MENDING;
-    }
-
-    /** The one place where leading changes its state. */
-    private void enter(State next) {
-        if (next != state) {
-            LOG.info("{} -> {}", state, next);
-        }
-        state = next;
-    }
-
-    /** Follows the records. */
-    public void ledgerChanged(Ledger.Changes changes) {
-        books.changed(changes);
-        trails.changed(changes);
-        toLookAt.addAll(changes.blocks());
-        soon(isUrgent(changes));
-    }
-
-    /** Whether a service was submitted, or controllers have come or gone. */
-    private boolean isUrgent(Ledger.Changes changes) {
-        if (changes.reloaded() || changes.jobs().isEmpty() && changes.blocks().isEmpty()) {
-            return true;
-        }
-        for (JobId id : changes.jobs()) {
-            JobRecord record = ledger.job(id);
-            if (record != null && record.phase() == JobPhase.OPEN && record.job().rank() == Rank.PRODUCTION) {
-                return true;
-            }
-        }
-        return false;
-    }
-
-    /** Other tasks of some jobs are kept back than before. */
-    public void withheldChanged(Set<JobId> jobs) {
-        books.withheldChanged(jobs);
-        soon(false);
-    }
-
-    /** Has room reserved for requests, while it leads. */
-    public void keep(RequestKeeper keeper) {
-        keepers.add(keeper);
-    }
-
-    /** A machine that is in no block reports; {@code isThere}: it has just answered. False where it has to be asked first. */
-    public boolean newcomer(Machine machine, boolean isThere) {
-        boolean isTaken = isThere || leases.knowsAllGone();
-        if (isTaken && leases.newcomer(machine)) {
-            soon(false);
-        }
-        return isTaken;
-    }
-
-    /** Has {@code listener} told of tasks that are given to blocks, by whichever leader. */
-    public void listen(Given listener) {
-        books.listen(listener);
-    }
-
-    /** Has models kept, each with as many replicas as are wanted. */
-    public void keepModels(AgreedBase base, ModelRecords records) {
-        keepers.add(new ModelKeeper(base, records, views, books, this::teams));
-    }
-
-    /** Steps a moment from now, whatever has happened. */
-    public void lookAgain() {
-        soon(true);
-    }
-
-    /** Takes note of what others have allocated: a leader does so as it plans. */
-    public void lookAtBooks() {
-        books.waiting();
-    }
-
-    /** How many tasks in the pool of each of some jobs could not go to any block, because its team would be over its limit. */
-    public Map<JobId, Integer> heldBack(Collection<JobId> jobs) {
-        Map<String, Resources> use = books.teamUse();
-        Map<JobId, Integer> heldBack = new HashMap<>();
-        Map<String, Team> teams = teams();
-        for (JobId id : jobs) {
-            Books.Account account = books.account(id);
-            Team team = account == null ? null : teams.get(account.job().team());
-            heldBack.put(id, team == null || account.pool().isEmpty() ? 0 : Math.max(0, account.pool().size()
-                    - team.limit().minus(use.getOrDefault(team.name(), Resources.NONE)).count(account.job().each())));
-        }
-        return heldBack;
-    }
-
-    /** How many tasks of a job run, as the holders of their blocks have told lately. */
-    private int running(JobId job) {
-        int running = 0;
-        for (BlockId id : ledger.blocksOf(job)) {
-            BlockLease lease = ledger.block(id);
-            PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
-            running += view == null ? 0 : view.running().getOrDefault(job, 0);
-        }
-        return running;
-    }
-
-    /** The teams with the limits that hold: while controllers have been told different ones, the lowest. */
-    private Map<String, Team> teams() {
-        return Terms.lowest(settings.teams(), ledger.terms().values());
-    }
-
-    /** What is known of an overload; null where work is ordered by due time alone, or nobody leads here. */
-    public Overload overload() {
-        return isLeading() ? overload : null;
-    }
-
-    /** What the tasks of an open job that are in the pool wait for, in words; null where none are, or nobody leads here. */
-    public String poolWait(JobId id) {
-        return isLeading() ? poolWaits.of(id) : null;
-    }
-
-    /** Steps a moment from now, once for all that happens until then; later where nothing urgent does. */
-    private void soon(boolean urgent) {
-        Span spacing = urgent ? PLAN_SPACING : CALM_SPACING;
-        SteadyTime now = timers.now();
-        SteadyTime at = now.plus(new Span(Math.max(Span.ofMillis(10).nanos(), spacing.nanos() - now.since(planned).nanos())));
-        if (stepAt == null || at.isBefore(stepAt)) {
-            stepAt = at;
-            timers.after(at.since(now), () -> {
-                if (at.equals(stepAt)) {
-                    stepAt = null;
-                    step();
-                }
-            });
-        }
-    }
-
-    /** Steps again after a refusal: once, however many there were. */
-    private void again() {
-        if (!retryPlanned) {
-            retryPlanned = true;
-            timers.after(RETRY, () -> {
-                retryPlanned = false;
-                step();
-            });
-        }
-    }
-
-    private void stepIf(boolean current) {
-        if (current) {
-            soon(true);
-        }
-    }
-
-    private boolean leadsByLedger() {
-        MemberRecord leader = ledger.leader();
-        return leader != null && leader.member().equals(settings.member()) && leader.life().equals(membership.life());
-    }
-
-    private void step() {
-        if (!ledger.isLoaded() || writing || isWaking.getAsBoolean()) {
-            return;
-        }
-        if (awaited.isAfter(ledger.revision())) {
-            follower.barrier(this::stepIf);
-            return;
-        }
-        if (!membership.unable().isEmpty() || !leadsByLedger()) {
-            enter(State.FOLLOWING);
-            client.lead(false);
-            leases.forgetNewcomers();
-            fleet.stop();
-            keepers.stop();
-            if (ledger.leader() == null && membership.isLive()) {
-                stand();
+    // What changes with time alone changes slowly; all else has this controller step when it
+    // happens.
+    timers.every(TICK, this::step);
+  }
+
+  public State state() {
+    return state;
+  }
+
+  public boolean isLeading() {
+    return state == State.LEADING || state == State.MENDING;
+  }
+
+  /** The one place where leading changes its state. */
+  private void enter(State next) {
+    if (next != state) {
+      LOG.info("{} -> {}", state, next);
+    }
+    state = next;
+  }
+
+  /** Follows the records. */
+  public void ledgerChanged(Ledger.Changes changes) {
+    books.changed(changes);
+    trails.changed(changes);
+    toLookAt.addAll(changes.blocks());
+    soon(isUrgent(changes));
+  }
+
+  /** Whether a service was submitted, or controllers have come or gone. */
+  private boolean isUrgent(Ledger.Changes changes) {
+    if (changes.reloaded() || changes.jobs().isEmpty() && changes.blocks().isEmpty()) {
+      return true;
+    }
+    for (JobId id : changes.jobs()) {
+      JobRecord record = ledger.job(id);
+      if (record != null
+          && record.phase() == JobPhase.OPEN
+          && record.job().rank() == Rank.PRODUCTION) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Other tasks of some jobs are kept back than before. */
+  public void withheldChanged(Set<JobId> jobs) {
+    books.withheldChanged(jobs);
+    soon(false);
+  }
+
+  /** Has room reserved for requests, while it leads. */
+  public void keep(RequestKeeper keeper) {
+    keepers.add(keeper);
+  }
+
+  /**
+   * A machine that is in no block reports; {@code isThere}: it has just answered. False where it
+   * has to be asked first.
+   */
+  public boolean newcomer(Machine machine, boolean isThere) {
+    boolean isTaken = isThere || leases.knowsAllGone();
+    if (isTaken && leases.newcomer(machine)) {
+      soon(false);
+    }
+    return isTaken;
+  }
+
+  /** Has {@code listener} told of tasks that are given to blocks, by whichever leader. */
+  public void listen(Given listener) {
+    books.listen(listener);
+  }
+
+  /** Has models kept, each with as many replicas as are wanted. */
+  public void keepModels(AgreedBase base, ModelRecords records) {
+    keepers.add(new ModelKeeper(base, records, views, books, this::teams));
+  }
+
+  /** Steps a moment from now, whatever has happened. */
+  public void lookAgain() {
+    soon(true);
+  }
+
+  /** Takes note of what others have allocated: a leader does so as it plans. */
+  public void lookAtBooks() {
+    books.waiting();
+  }
+
+  /**
+   * How many tasks in the pool of each of some jobs could not go to any block, because its team
+   * would be over its limit.
+   */
+  public Map<JobId, Integer> heldBack(Collection<JobId> jobs) {
+    Map<String, Resources> use = books.teamUse();
+    Map<JobId, Integer> heldBack = new HashMap<>();
+    Map<String, Team> teams = teams();
+    for (JobId id : jobs) {
+      Books.Account account = books.account(id);
+      Team team = account == null ? null : teams.get(account.job().team());
+      heldBack.put(
+          id,
+          team == null || account.pool().isEmpty()
+              ? 0
+              : Math.max(
+                  0,
+                  account.pool().size()
+                      - team.limit()
+                          .minus(use.getOrDefault(team.name(), Resources.NONE))
+                          .count(account.job().each())));
+    }
+    return heldBack;
+  }
+
+  /** How many tasks of a job run, as the holders of their blocks have told lately. */
+  private int running(JobId job) {
+    int running = 0;
+    for (BlockId id : ledger.blocksOf(job)) {
+      BlockLease lease = ledger.block(id);
+      PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
+      running += view == null ? 0 : view.running().getOrDefault(job, 0);
+    }
+    return running;
+  }
+
+  /**
+   * The teams with the limits that hold: while controllers have been told different ones, the
+   * lowest.
+   */
+  private Map<String, Team> teams() {
+    return Terms.lowest(settings.teams(), ledger.terms().values());
+  }
+
+  /**
+   * What is known of an overload; null where work is ordered by due time alone, or nobody leads
+   * here.
+   */
+  public Overload overload() {
+    return isLeading() ? overload : null;
+  }
+
+  /**
+   * What the tasks of an open job that are in the pool wait for, in words; null where none are, or
+   * nobody leads here.
+   */
+  public String poolWait(JobId id) {
+    return isLeading() ? poolWaits.of(id) : null;
+  }
+
+  /**
+   * Steps a moment from now, once for all that happens until then; later where nothing urgent does.
+   */
+  private void soon(boolean urgent) {
+    Span spacing = urgent ? PLAN_SPACING : CALM_SPACING;
+    SteadyTime now = timers.now();
+    SteadyTime at =
+        now.plus(
+            new Span(
+                Math.max(Span.ofMillis(10).nanos(), spacing.nanos() - now.since(planned).nanos())));
+    if (stepAt == null || at.isBefore(stepAt)) {
+      stepAt = at;
+      timers.after(
+          at.since(now),
+          () -> {
+            if (at.equals(stepAt)) {
+              stepAt = null;
+              step();
             }
-            return;
-        }
+          });
+    }
+  }
+
+  /** Steps again after a refusal: once, however many there were. */
+  private void again() {
+    if (!retryPlanned) {
+      retryPlanned = true;
+      timers.after(
+          RETRY,
+          () -> {
+            retryPlanned = false;
+            step();
+          });
+    }
+  }
+
+  private void stepIf(boolean current) {
+    if (current) {
+      soon(true);
+    }
+  }
+
+  private boolean leadsByLedger() {
+    MemberRecord leader = ledger.leader();
+    return leader != null
+        && leader.member().equals(settings.member())
+        && leader.life().equals(membership.life());
+  }
+
+  private void step() {
+    if (!ledger.isLoaded() || writing || isWaking.getAsBoolean()) {
+      return;
+    }
+    if (awaited.isAfter(ledger.revision())) {
+      follower.barrier(this::stepIf);
+      return;
+    }
+    if (!membership.unable().isEmpty() || !leadsByLedger()) {
+      enter(State.FOLLOWING);
+      client.lead(false);
+      leases.forgetNewcomers();
+      fleet.stop();
+      keepers.stop();
+      if (ledger.leader() == null && membership.isLive()) {
+        stand();
+      }
+      return;
+    }
+    if (state == State.MENDING) {
+      mend();
+      return;
+    }
+    enter(State.LEADING);
+    // A leader that alone has lost the state service can decide nothing: its plans would be
+    // refused, again and
+    // again, while another one leads already.
+    if (!timers.now().since(follower.confirmed()).isMoreThan(UNCONFIRMED)) {
+      lead();
+    }
+  }
+
+  private void stand() {
+    enter(State.STANDING);
+    write(
+        List.of(
+            new Guard(ledger.leaderKey(), Revision.NONE),
+            new Guard(Keys.LEVEL, ledger.level().version()),
+            membership.alive(ledger)),
+        List.of(new Change(ledger.leaderKey(), membership.record(), membership.life())),
+        true);
+  }
+
+  /**
+   * A transaction was not answered: it may be applied at any later time, and what it wrote may not
+   * go together with what would be decided now. Writing the leadership anew makes its guards fail
+   * from here on.
+   */
+  private void mend() {
+    String key = ledger.leaderKey();
+    write(
+        List.of(new Guard(key, ledger.version(key))),
+        List.of(new Change(key, membership.record(), membership.life())),
+        true);
+  }
+
+  private void write(List<Guard> guards, List<Change> changes, boolean urgent) {
+    writing = true;
+    client.txn(guards, changes, urgent, outcome -> written(outcome, changes));
+  }
+
+  private void written(TxnOutcome outcome, List<Change> changes) {
+    writing = false;
+    switch (outcome.kind()) {
+      case COMMITTED -> {
+        awaited = outcome.revision();
         if (state == State.MENDING) {
-            mend();
-            return;
+          enter(State.LEADING);
         }
-        enter(State.LEADING);
-        // A leader that alone has lost the state service can decide nothing: its plans would be refused, again and
-        // again, while another one leads already.
-        if (!timers.now().since(follower.confirmed()).isMoreThan(UNCONFIRMED)) {
-            lead();
+        soon(full);
+      }
+      case CONFLICT -> {
+        LOG.debug("transaction out of date: {}", outcome.failed());
+        awaited = outcome.revision();
+        follower.barrier(ok -> soon(true));
+      }
+      case UNKNOWN -> {
+        LOG.info("transaction not answered");
+        if (isLeading()) {
+          enter(State.MENDING);
         }
-    }
-
-    private void stand() {
-        enter(State.STANDING);
-        write(List.of(new Guard(ledger.leaderKey(), Revision.NONE), new Guard(Keys.LEVEL, ledger.level().version()), membership.alive(ledger)),
-                List.of(new Change(ledger.leaderKey(), membership.record(), membership.life())), true);
-    }
-
-    /**
-     * A transaction was not answered: it may be applied at any later time, and what it wrote may not go together with
-     * what would be decided now. Writing the leadership anew makes its guards fail from here on.
-     */
-    private void mend() {
-        String key = ledger.leaderKey();
-        write(List.of(new Guard(key, ledger.version(key))), List.of(new Change(key, membership.record(), membership.life())), true);
-    }
-
-    private void write(List<Guard> guards, List<Change> changes, boolean urgent) {
-        writing = true;
-        client.txn(guards, changes, urgent, outcome -> written(outcome, changes));
-    }
-
-    private void written(TxnOutcome outcome, List<Change> changes) {
-        writing = false;
-        switch (outcome.kind()) {
-            case COMMITTED -> {
-                awaited = outcome.revision();
-                if (state == State.MENDING) {
-                    enter(State.LEADING);
-                }
-                soon(full);
-            }
-            case CONFLICT -> {
-                LOG.debug("transaction out of date: {}", outcome.failed());
-                awaited = outcome.revision();
-                follower.barrier(ok -> soon(true));
-            }
-            case UNKNOWN -> {
-                LOG.info("transaction not answered");
-                if (isLeading()) {
-                    enter(State.MENDING);
-                }
-                follower.barrier(this::stepIf);
-            }
-            case TOO_LARGE -> {
-                bounds.refused(changes, timers.now());
-                if (changes.stream().anyMatch(change -> change.lease() != null)) {
-                    membership.beBrief(); // who leads: without this record nothing else is ever planned
-                }
-                again();
-            }
-            case REFUSED, UNAVAILABLE, NO_LEASE -> again();
-            default -> throw new IllegalStateException(outcome.kind().toString());
+        follower.barrier(this::stepIf);
+      }
+      case TOO_LARGE -> {
+        bounds.refused(changes, timers.now());
+        if (changes.stream().anyMatch(change -> change.lease() != null)) {
+          membership.beBrief(); // who leads: without this record nothing else is ever planned
         }
-    }
-
-    // ---- leading ----
-
-    private void lead() {
-        planned = timers.now();
-        client.lead(true);
-        fleet.lead(this::fleetView);
-        // As large as the budget is now: a transaction that waits for its turn is out of date when it goes out.
-        int changes = Math.min(bounds.changes(), client.changesAffordable());
-        waits = changes < LEAST_CHANGES;
-        if (waits) {
-            again();
-            return;
-        }
-        if (levels.look(timers.now())) {
-            write(levels.guards(), levels.changes(), true);
-            return;
-        }
-        TxnPlan plan = bounds.plan(ledger, changes, planned);
-        plan.guardAll();
-        if (trails.isDue(planned)) {
-            trails.plan(plan, planned);
-            if (!plan.isEmpty()) {
-                write(plan.guards(), plan.changes(), false);
-                return;
-            }
-        }
-        if (!types.plan(plan, fleet.catalog(), planned)) {
-            waits = true;
-            again();
-            return;
-        }
-        Set<BlockId> leased = leases.plan(plan);
-        // Neither results nor starts may crowd the other out of a small budget.
-        resultsFirst = !resultsFirst;
-        Map<JobId, TaskSet> completed = results.completions();
-        if (resultsFirst) {
-            results.plan(plan, completed);
-        }
-        planAllocations(plan, leased, completed);
-        if (!resultsFirst) {
-            results.plan(plan, completed);
-        }
-        if (plan.isEmpty()) {
-            planSweep(plan);
-            waits |= planMigration(plan);
-        }
-        full = plan.room() < 1;
-        waits |= full || !completed.isEmpty();
-        if (!plan.isEmpty()) {
-            write(plan.guards(), plan.changes(), false);
-        } else if (waits) {
-            soon(false);
-        }
-    }
-
-    /** Now and then, when there is nothing else to write: bundles that say nothing any more. */
-    private void planSweep(TxnPlan plan) {
-        if (SWEEP_EVERY.isMoreThan(timers.now().since(swept))) {
-            return;
-        }
-        swept = timers.now();
-        ledger.spentBundles().stream().sorted().limit(plan.room()).forEach(plan::delete);
-    }
-
-    /** In the slack: rewrites what a level that is to come could not read; whether more is left. */
-    private boolean planMigration(TxnPlan plan) {
-        for (BlockId id : levels.toRewrite()) {
-            if (plan.room() < 2) {
-                return true;
-            }
-            allocations.putWhole(plan, id, ledger.allocation(id).tasks());
-        }
-        return false;
-    }
-
-    /** What is known of the level and what holds the next one back. */
-    public LevelSwitch levels() {
-        return levels;
-    }
-
-    // ---- allocations ----
-
-    private void planAllocations(TxnPlan plan, Set<BlockId> leased, Map<JobId, TaskSet> completed) {
-        refreshAdmissionBlocks(completed);
-        keepers.look(timers.now());
-        List<Admission.Block> blocks = new ArrayList<>();
-        Map<BlockId, List<Reserve>> reserves = new HashMap<>();
-        admissionBlocks.forEach((id, block) -> {
-            if (!leased.contains(id)) {
-                blocks.add(block);
-                reserves.put(id, foresight.plannedAround(id, timers.now()));
-                block.leaveOver(seenRoom.still(id, timers.now()));
-            }
+        again();
+      }
+      case REFUSED, UNAVAILABLE, NO_LEASE -> again();
+      default -> throw new IllegalStateException(outcome.kind().toString());
+    }
+  }
+
+  // ---- leading ----
+
+  private void lead() {
+    planned = timers.now();
+    client.lead(true);
+    fleet.lead(this::fleetView);
+    // As large as the budget is now: a transaction that waits for its turn is out of date when it
+    // goes out.
+    int changes = Math.min(bounds.changes(), client.changesAffordable());
+    waits = changes < LEAST_CHANGES;
+    if (waits) {
+      again();
+      return;
+    }
+    if (levels.look(timers.now())) {
+      write(levels.guards(), levels.changes(), true);
+      return;
+    }
+    TxnPlan plan = bounds.plan(ledger, changes, planned);
+    plan.guardAll();
+    if (trails.isDue(planned)) {
+      trails.plan(plan, planned);
+      if (!plan.isEmpty()) {
+        write(plan.guards(), plan.changes(), false);
+        return;
+      }
+    }
+    if (!types.plan(plan, fleet.catalog(), planned)) {
+      waits = true;
+      again();
+      return;
+    }
+    Set<BlockId> leased = leases.plan(plan);
+    // Neither results nor starts may crowd the other out of a small budget.
+    resultsFirst = !resultsFirst;
+    Map<JobId, TaskSet> completed = results.completions();
+    if (resultsFirst) {
+      results.plan(plan, completed);
+    }
+    planAllocations(plan, leased, completed);
+    if (!resultsFirst) {
+      results.plan(plan, completed);
+    }
+    if (plan.isEmpty()) {
+      planSweep(plan);
+      waits |= planMigration(plan);
+    }
+    full = plan.room() < 1;
+    waits |= full || !completed.isEmpty();
+    if (!plan.isEmpty()) {
+      write(plan.guards(), plan.changes(), false);
+    } else if (waits) {
+      soon(false);
+    }
+  }
+
+  /** Now and then, when there is nothing else to write: bundles that say nothing any more. */
+  private void planSweep(TxnPlan plan) {
+    if (SWEEP_EVERY.isMoreThan(timers.now().since(swept))) {
+      return;
+    }
+    swept = timers.now();
+    ledger.spentBundles().stream().sorted().limit(plan.room()).forEach(plan::delete);
+  }
+
+  /** In the slack: rewrites what a level that is to come could not read; whether more is left. */
+  private boolean planMigration(TxnPlan plan) {
+    for (BlockId id : levels.toRewrite()) {
+      if (plan.room() < 2) {
+        return true;
+      }
+      allocations.putWhole(plan, id, ledger.allocation(id).tasks());
+    }
+    return false;
+  }
+
+  /** What is known of the level and what holds the next one back. */
+  public LevelSwitch levels() {
+    return levels;
+  }
+
+  // ---- allocations ----
+
+  private void planAllocations(TxnPlan plan, Set<BlockId> leased, Map<JobId, TaskSet> completed) {
+    refreshAdmissionBlocks(completed);
+    keepers.look(timers.now());
+    List<Admission.Block> blocks = new ArrayList<>();
+    Map<BlockId, List<Reserve>> reserves = new HashMap<>();
+    admissionBlocks.forEach(
+        (id, block) -> {
+          if (!leased.contains(id)) {
+            blocks.add(block);
+            reserves.put(id, foresight.plannedAround(id, timers.now()));
+            block.leaveOver(seenRoom.still(id, timers.now()));
+          }
         });
-        fleet.unmet(keepers.admit(blocks, reserves, demands.demands(blocks, timers.now())));
-        List<BlockId> toWrite = new ArrayList<>();
-        Span gathering = Span.ofSeconds(Math.min(MOST_GATHERING.seconds(),
+    fleet.unmet(keepers.admit(blocks, reserves, demands.demands(blocks, timers.now())));
+    List<BlockId> toWrite = new ArrayList<>();
+    Span gathering =
+        Span.ofSeconds(
+            Math.min(
+                MOST_GATHERING.seconds(),
                 ledger.blocks().size() / settings.stateLimits().writesPerS()));
-        SteadyTime now = timers.now();
-        for (Admission.Block block : blocks) {
-            SteadyTime written = writtenAt.get(block.id());
-            boolean gathered = written == null || now.since(written).isMoreThan(gathering);
-            boolean due = block.admittedRank() != null || stale.contains(block.id()) || !released(block.id()).isEmpty();
-            if (due && (block.admittedRank() == Rank.PRODUCTION || gathered)) {
-                toWrite.add(block.id());
-            }
-            waits |= due && !gathered;
-            if (block.admittedRank() != null) {
-                toLookAt.add(block.id()); // what was admitted is in the ledger next time, or it was not written
-            }
-        }
-        // Changes are few: what must start within seconds goes first, then whatever has waited longest to be written.
-        toWrite.sort(Comparator.comparing((BlockId id) -> admissionBlocks.get(id).admittedRank() != Rank.PRODUCTION)
-                .thenComparing(id -> writtenAt.getOrDefault(id, SteadyTime.ZERO)).thenComparing(id -> id));
-        for (BlockId id : toWrite) {
-            if (plan.room() < 1) {
-                break;
-            }
-            Map<JobId, TaskSet> next = new LinkedHashMap<>(books.held(id));
-            for (TaskId task : released(id)) {
-                next.computeIfPresent(task.job(), (job, tasks) -> tasks.without(task.index()));
-            }
-            admissionBlocks.get(id).admitted().forEach((job, tasks) -> {
+    SteadyTime now = timers.now();
+    for (Admission.Block block : blocks) {
+      SteadyTime written = writtenAt.get(block.id());
+      boolean gathered = written == null || now.since(written).isMoreThan(gathering);
+      boolean due =
+          block.admittedRank() != null
+              || stale.contains(block.id())
+              || !released(block.id()).isEmpty();
+      if (due && (block.admittedRank() == Rank.PRODUCTION || gathered)) {
+        toWrite.add(block.id());
+      }
+      waits |= due && !gathered;
+      if (block.admittedRank() != null) {
+        toLookAt.add(
+            block.id()); // what was admitted is in the ledger next time, or it was not written
+      }
+    }
+    // Changes are few: what must start within seconds goes first, then whatever has waited longest
+    // to be written.
+    toWrite.sort(
+        Comparator.comparing(
+                (BlockId id) -> admissionBlocks.get(id).admittedRank() != Rank.PRODUCTION)
+            .thenComparing(id -> writtenAt.getOrDefault(id, SteadyTime.ZERO))
+            .thenComparing(id -> id));
+    for (BlockId id : toWrite) {
+      if (plan.room() < 1) {
+        break;
+      }
+      Map<JobId, TaskSet> next = new LinkedHashMap<>(books.held(id));
+      for (TaskId task : released(id)) {
+        next.computeIfPresent(task.job(), (job, tasks) -> tasks.without(task.index()));
+      }
+      admissionBlocks
+          .get(id)
+          .admitted()
+          .forEach(
+              (job, tasks) -> {
                 TaskSet all = next.containsKey(job) ? next.get(job).copy() : new TaskSet();
                 all.addAll(tasks);
                 next.put(job, all);
-            });
-            if (allocations.put(plan, id, next)) {
-                writtenAt.put(id, now);
-            }
+              });
+      if (allocations.put(plan, id, next)) {
+        writtenAt.put(id, now);
+      }
+    }
+  }
+
+  /** Brings the blocks of which something has changed up to date for admission. */
+  private void refreshAdmissionBlocks(Map<JobId, TaskSet> completed) {
+    toLookAt.addAll(books.takeChangedBlocks());
+    for (MemberId member : ledger.members().keySet()) {
+      boolean isFresh = fresh.of(member) != null;
+      if (!Boolean.valueOf(isFresh).equals(wasFresh.put(member, isFresh))) {
+        toLookAt.addAll(ledger.blocks().keySet());
+      }
+    }
+    for (BlockId id : toLookAt) {
+      BlockLease lease = ledger.block(id);
+      if (lease == null) {
+        admissionBlocks.remove(id);
+        seenRoom.forget(id);
+        stale.remove(id);
+        writtenAt.remove(id);
+        continue;
+      }
+      Admission.Block block =
+          seenRoom.block(
+              lease,
+              ledger.types().get(lease.type()),
+              fresh.of(lease),
+              bounds.value(),
+              timers.now());
+      books.eachHeld(
+          id,
+          (job, tasks, open) -> {
+            TaskSet done = completed.get(job.id());
+            block.count(
+                job, open, open - (done == null ? 0 : tasks.common(done)), settings.isIdle(job));
+          });
+      admissionBlocks.put(id, block);
+      if (books.stale(id) > MOST_STALE) {
+        stale.add(id);
+      } else {
+        stale.remove(id);
+      }
+    }
+    toLookAt.clear();
+  }
+
+  /**
+   * What a holder gives back, of the allocation as it stands: a late report must not take away what
+   * the block has been given again since. It counts until the allocation without it is durable:
+   * only the next plan may give it to another block, for this one's write may not find room in the
+   * transaction.
+   */
+  private List<TaskId> released(BlockId id) {
+    BlockLease lease = ledger.block(id);
+    PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
+    return view != null && view.allocation().equals(ledger.allocation(id).version())
+        ? view.released()
+        : List.of();
+  }
+
+  private Fleet.View fleetView() {
+    Map<MachineId, PeerReport.MachineState> states = new HashMap<>();
+    Set<MachineId> strays = new HashSet<>();
+    for (BlockLease block : ledger.blocks().values()) {
+      PeerViews.BlockView view = fresh.of(block);
+      for (MachineId machine : view == null ? Set.<MachineId>of() : block.machines().keySet()) {
+        PeerReport.MachineState state = view.machines().get(machine);
+        if (state != null) {
+          states.put(machine, keepers.seenByFleet(state));
         }
+      }
     }
-
-    /** Brings the blocks of which something has changed up to date for admission. */
-    private void refreshAdmissionBlocks(Map<JobId, TaskSet> completed) {
-        toLookAt.addAll(books.takeChangedBlocks());
-        for (MemberId member : ledger.members().keySet()) {
-            boolean isFresh = fresh.of(member) != null;
-            if (!Boolean.valueOf(isFresh).equals(wasFresh.put(member, isFresh))) {
-                toLookAt.addAll(ledger.blocks().keySet());
-            }
-        }
-        for (BlockId id : toLookAt) {
-            BlockLease lease = ledger.block(id);
-            if (lease == null) {
-                admissionBlocks.remove(id);
-                seenRoom.forget(id);
-                stale.remove(id);
-                writtenAt.remove(id);
-                continue;
-            }
-            Admission.Block block = seenRoom.block(lease, ledger.types().get(lease.type()), fresh.of(lease), bounds.value(), timers.now());
-            books.eachHeld(id, (job, tasks, open) -> {
-                TaskSet done = completed.get(job.id());
-                block.count(job, open, open - (done == null ? 0 : tasks.common(done)), settings.isIdle(job));
-            });
-            admissionBlocks.put(id, block);
-            if (books.stale(id) > MOST_STALE) {
-                stale.add(id);
-            } else {
-                stale.remove(id);
-            }
-        }
-        toLookAt.clear();
-    }
-
-    /**
-     * What a holder gives back, of the allocation as it stands: a late report must not take away what the block has
-     * been given again since. It counts until the allocation without it is durable: only the next plan may give it to
-     * another block, for this one's write may not find room in the transaction.
-     */
-    private List<TaskId> released(BlockId id) {
-        BlockLease lease = ledger.block(id);
-        PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
-        return view != null && view.allocation().equals(ledger.allocation(id).version()) ? view.released() : List.of();
-    }
-
-    private Fleet.View fleetView() {
-        Map<MachineId, PeerReport.MachineState> states = new HashMap<>();
-        Set<MachineId> strays = new HashSet<>();
-        for (BlockLease block : ledger.blocks().values()) {
-            PeerViews.BlockView view = fresh.of(block);
-            for (MachineId machine : view == null ? Set.<MachineId>of() : block.machines().keySet()) {
-                PeerReport.MachineState state = view.machines().get(machine);
-                if (state != null) {
-                    states.put(machine, keepers.seenByFleet(state));
-                }
-            }
-        }
-        for (MemberId member : ledger.members().keySet()) {
-            PeerViews.View view = fresh.of(member);
-            if (view != null) {
-                strays.addAll(view.strays());
-            }
-        }
-        return new Fleet.View(states, strays);
+    for (MemberId member : ledger.members().keySet()) {
+      PeerViews.View view = fresh.of(member);
+      if (view != null) {
+        strays.addAll(view.strays());
+      }
     }
+    return new Fleet.View(states, strays);
+  }
 }
--- a/src/main/java/org/quincecross/leader/Leases.java
+++ b/src/main/java/org/quincecross/leader/Leases.java
@@ -34,352 +34,464 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Which controller holds which block, and which machines are in it: blocks are made, moved, filled and emptied here. */
+/**
+ * Which controller holds which block, and which machines are in it: blocks are made, moved, filled
+ * and emptied here.
+ */
 final class Leases {
-    private static final Logger LOG = LoggerFactory.getLogger(Leases.class);
-    /** "Neighbours start at six similar machines per block." */
-    private static final int LEAST_BLOCK_SIZE = 6;
-    /** So many blocks for each change a second: with more, each block's allocation could be written too seldom. */
-    private static final double BLOCKS_PER_CHANGE = 0.6;
-    /** Of the record of a block's tasks, what a task takes; alone in its job 14, in an array 4. Admission keeps the limit. */
-    private static final int BYTES_PER_TASK = 8;
-    private static final double LEAST_AWAY = 2.5;
-    private static final double AWAY = 0.4;
-    private static final Span REBALANCE_EVERY = Span.ofSeconds(4);
-    private static final int MOST_MOVED_AT_ONCE = 3;
-    /** Moving a block costs a moment and what its holder has learnt of it: a small gain is not worth that. */
-    private static final int REBALANCE_GAIN = 4;
-    private static final Span UNHEARD = Span.ofSeconds(4);
+  private static final Logger LOG = LoggerFactory.getLogger(Leases.class);
 
-    private final Timers timers;
-    private final Ledger ledger;
-    private final Settings settings;
-    private final Fleet fleet;
-    private final Foresight foresight;
-    private final Books books;
-    private final FreshViews fresh;
-    private final Allocations allocations;
-    private final Hearing hearing = new Hearing();
-    private final Moves moves = new Moves();
-    private final Map<MachineId, Machine> newcomers = new LinkedHashMap<>();
-    private SteadyTime rebalanced;
-    private boolean knowsAllGone;
+  /** "Neighbours start at six similar machines per block." */
+  private static final int LEAST_BLOCK_SIZE = 6;
 
-    Leases(Timers timers, Ledger ledger, Settings settings, Fleet fleet, Foresight foresight, Books books, FreshViews fresh,
-            Allocations allocations) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.settings = settings;
-        this.fleet = fleet;
-        this.foresight = foresight;
-        this.books = books;
-        this.fresh = fresh;
-        this.allocations = allocations;
-        this.rebalanced = timers.now();
-    }
+  /**
+   * So many blocks for each change a second: with more, each block's allocation could be written
+   * too seldom.
+   */
+  private static final double BLOCKS_PER_CHANGE = 0.6;
 
-    /** A machine that is in no block reports; false if that is known already. */
-    boolean newcomer(Machine machine) {
-        return newcomers.put(machine.id(), machine) == null;
-    }
+  /**
+   * Of the record of a block's tasks, what a task takes; alone in its job 14, in an array 4.
+   * Admission keeps the limit.
+   */
+  private static final int BYTES_PER_TASK = 8;
 
-    /** Nobody leads here: others may take machines in, and learn of them that they are gone. */
-    void forgetNewcomers() {
-        newcomers.clear();
-        knowsAllGone = false;
-    }
+  private static final double LEAST_AWAY = 2.5;
+  private static final double AWAY = 0.4;
+  private static final Span REBALANCE_EVERY = Span.ofSeconds(4);
+  private static final int MOST_MOVED_AT_ONCE = 3;
 
-    /** Whether this leader has led since there was no block: then {@link Fleet#isGone} knows every machine of a block that is gone. */
-    boolean knowsAllGone() {
-        knowsAllGone |= ledger.blocks().isEmpty();
-        return knowsAllGone;
-    }
+  /**
+   * Moving a block costs a moment and what its holder has learnt of it: a small gain is not worth
+   * that.
+   */
+  private static final int REBALANCE_GAIN = 4;
 
-    private List<MemberRecord> members() {
-        // A build from before levels may join whatever the level is; it takes no block that it could not read.
-        return ledger.members().values().stream().filter(member -> member.build().can(ledger.level().level())).toList();
-    }
+  private static final Span UNHEARD = Span.ofSeconds(4);
 
-    /** The member to lease a block to: the one with the fewest machines, and of those one in the block's zone. */
-    private MemberRecord chooseHolder(String zone, Map<MemberId, Integer> load) {
-        MemberRecord best = null;
-        for (MemberRecord member : members()) {
-            if (best == null || cost(member, zone, load) < cost(best, zone, load)) {
-                best = member;
-            }
-        }
-        return best;
-    }
+  private final Timers timers;
+  private final Ledger ledger;
+  private final Settings settings;
+  private final Fleet fleet;
+  private final Foresight foresight;
+  private final Books books;
+  private final FreshViews fresh;
+  private final Allocations allocations;
+  private final Hearing hearing = new Hearing();
+  private final Moves moves = new Moves();
+  private final Map<MachineId, Machine> newcomers = new LinkedHashMap<>();
+  private SteadyTime rebalanced;
+  private boolean knowsAllGone;
 
-    /**
-     * What it costs to have a block of a zone with a controller, in machines: those that it has, and where it is in
-     * another zone, a share of the average. When a zone is cut off, only a controller inside can hold its machines.
-     */
-    private double cost(MemberRecord member, String zone, Map<MemberId, Integer> load) {
-        double average = (double) ledger.machineCount() / ledger.members().size();
-        // Where nobody hears the machines, one who does not is as good as another.
-        double deaf = hearing.of(member.member(), zone, timers.now()) == Hearing.State.HEARS ? 0 : ledger.machineCount() + LEAST_AWAY;
-        return deaf + load.getOrDefault(member.member(), 0) + (member.zone().equals(zone) ? 0 : Math.max(LEAST_AWAY, AWAY * average));
+  Leases(
+      Timers timers,
+      Ledger ledger,
+      Settings settings,
+      Fleet fleet,
+      Foresight foresight,
+      Books books,
+      FreshViews fresh,
+      Allocations allocations) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.settings = settings;
+    this.fleet = fleet;
+    this.foresight = foresight;
+    this.books = books;
+    this.fresh = fresh;
+    this.allocations = allocations;
+    this.rebalanced = timers.now();
+  }
+
+  /** A machine that is in no block reports; false if that is known already. */
+  boolean newcomer(Machine machine) {
+    return newcomers.put(machine.id(), machine) == null;
+  }
+
+  /** Nobody leads here: others may take machines in, and learn of them that they are gone. */
+  void forgetNewcomers() {
+    newcomers.clear();
+    knowsAllGone = false;
+  }
+
+  /**
+   * Whether this leader has led since there was no block: then {@link Fleet#isGone} knows every
+   * machine of a block that is gone.
+   */
+  boolean knowsAllGone() {
+    knowsAllGone |= ledger.blocks().isEmpty();
+    return knowsAllGone;
+  }
+
+  private List<MemberRecord> members() {
+    // A build from before levels may join whatever the level is; it takes no block that it could
+    // not read.
+    return ledger.members().values().stream()
+        .filter(member -> member.build().can(ledger.level().level()))
+        .toList();
+  }
+
+  /**
+   * The member to lease a block to: the one with the fewest machines, and of those one in the
+   * block's zone.
+   */
+  private MemberRecord chooseHolder(String zone, Map<MemberId, Integer> load) {
+    MemberRecord best = null;
+    for (MemberRecord member : members()) {
+      if (best == null || cost(member, zone, load) < cost(best, zone, load)) {
+        best = member;
+      }
     }
+    return best;
+  }
 
-    private Map<MemberId, Integer> machinesHeld() {
-        Map<MemberId, Integer> load = new HashMap<>();
-        for (BlockLease block : ledger.blocks().values()) {
-            load.merge(block.holder(), block.machines().size(), Integer::sum);
-        }
-        return load;
+  /**
+   * What it costs to have a block of a zone with a controller, in machines: those that it has, and
+   * where it is in another zone, a share of the average. When a zone is cut off, only a controller
+   * inside can hold its machines.
+   */
+  private double cost(MemberRecord member, String zone, Map<MemberId, Integer> load) {
+    double average = (double) ledger.machineCount() / ledger.members().size();
+    // Where nobody hears the machines, one who does not is as good as another.
+    double deaf =
+        hearing.of(member.member(), zone, timers.now()) == Hearing.State.HEARS
+            ? 0
+            : ledger.machineCount() + LEAST_AWAY;
+    return deaf
+        + load.getOrDefault(member.member(), 0)
+        + (member.zone().equals(zone) ? 0 : Math.max(LEAST_AWAY, AWAY * average));
+  }
+
+  private Map<MemberId, Integer> machinesHeld() {
+    Map<MemberId, Integer> load = new HashMap<>();
+    for (BlockLease block : ledger.blocks().values()) {
+      load.merge(block.holder(), block.machines().size(), Integer::sum);
     }
+    return load;
+  }
 
-    /** Leases blocks of dead holders anew, takes machines in and out; returns the blocks changed. */
-    Set<BlockId> plan(TxnPlan plan) {
-        Map<BlockId, BlockLease> next = new TreeMap<>();
-        Set<BlockId> deleted = new HashSet<>();
-        Map<MemberId, Integer> load = machinesHeld();
-        Map<BlockId, Set<MachineId>> going = new HashMap<>();
-        for (MachineId machine : fleet.leaving()) {
-            BlockLease block = ledger.blockOf(machine);
-            if (block != null) {
-                going.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
-            }
-        }
-        for (BlockLease block : ledger.blocks().values()) {
-            BlockLease changed = without(block, going.getOrDefault(block.id(), Set.of()));
-            if (changed.machines().isEmpty()) {
-                // No machine is left, so no task of it is anywhere: all of them go back to the pool.
-                List<String> records = allocations.keys(block.id());
-                if (plan.room() > records.size()) {
-                    plan.delete(Keys.block(block.id()));
-                    records.forEach(plan::delete);
-                    deleted.add(block.id());
-                }
-                continue;
-            }
-            MemberRecord holder = ledger.members().get(block.holder());
-            if (holder == null || !holder.life().equals(block.life())) {
-                load.merge(block.holder(), -block.machines().size(), Integer::sum);
-                MemberRecord chosen = chooseHolder(block.zone(), load);
-                if (chosen != null) {
-                    LOG.info("block {} goes from {} to {}", block.id(), block.holder(), chosen.member());
-                    load.merge(chosen.member(), block.machines().size(), Integer::sum);
-                    changed = changed.heldBy(chosen);
-                }
-            }
-            if (changed != block) {
-                next.put(block.id(), changed);
-            }
+  /** Leases blocks of dead holders anew, takes machines in and out; returns the blocks changed. */
+  Set<BlockId> plan(TxnPlan plan) {
+    Map<BlockId, BlockLease> next = new TreeMap<>();
+    Set<BlockId> deleted = new HashSet<>();
+    Map<MemberId, Integer> load = machinesHeld();
+    Map<BlockId, Set<MachineId>> going = new HashMap<>();
+    for (MachineId machine : fleet.leaving()) {
+      BlockLease block = ledger.blockOf(machine);
+      if (block != null) {
+        going.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
+      }
+    }
+    for (BlockLease block : ledger.blocks().values()) {
+      BlockLease changed = without(block, going.getOrDefault(block.id(), Set.of()));
+      if (changed.machines().isEmpty()) {
+        // No machine is left, so no task of it is anywhere: all of them go back to the pool.
+        List<String> records = allocations.keys(block.id());
+        if (plan.room() > records.size()) {
+          plan.delete(Keys.block(block.id()));
+          records.forEach(plan::delete);
+          deleted.add(block.id());
         }
-        rescueUnheard(next, deleted);
-        endDoubts(next, deleted);
-        if (next.isEmpty() && deleted.isEmpty()) {
-            rebalance(next, load);
+        continue;
+      }
+      MemberRecord holder = ledger.members().get(block.holder());
+      if (holder == null || !holder.life().equals(block.life())) {
+        load.merge(block.holder(), -block.machines().size(), Integer::sum);
+        MemberRecord chosen = chooseHolder(block.zone(), load);
+        if (chosen != null) {
+          LOG.info("block {} goes from {} to {}", block.id(), block.holder(), chosen.member());
+          load.merge(chosen.member(), block.machines().size(), Integer::sum);
+          changed = changed.heldBy(chosen);
         }
-        takeIn(next, deleted, load, plan.mostValue());
-        next.values().removeIf(block -> !plan.put(Keys.block(block.id()), block.write()));
-        Set<BlockId> touched = new HashSet<>(next.keySet());
-        touched.addAll(deleted);
-        return touched;
+      }
+      if (changed != block) {
+        next.put(block.id(), changed);
+      }
     }
-
-    private BlockLease without(BlockLease block, Set<MachineId> going) {
-        BlockLease changed = block;
-        for (MachineId machine : going) {
-            if (fleet.isGone(machine)) {
-                changed = changed.without(machine);
-            } else if (!block.leaving().contains(machine)) {
-                changed = changed.leaving(machine);
-            }
-        }
-        return changed;
+    rescueUnheard(next, deleted);
+    endDoubts(next, deleted);
+    if (next.isEmpty() && deleted.isEmpty()) {
+      rebalance(next, load);
     }
+    takeIn(next, deleted, load, plan.mostValue());
+    next.values().removeIf(block -> !plan.put(Keys.block(block.id()), block.write()));
+    Set<BlockId> touched = new HashSet<>(next.keySet());
+    touched.addAll(deleted);
+    return touched;
+  }
 
-    /** A holder whose machines report to another controller is cut off from them: that one gets the block. */
-    private void rescueUnheard(Map<BlockId, BlockLease> next, Set<BlockId> deleted) {
-        moves.obeys(moves.marked().stream().filter(this::isObedient).toList());
-        Map<BlockId, Map<MemberId, Integer>> heardBy = new HashMap<>();
-        Map<BlockId, Set<MachineId>> strays = new HashMap<>();
-        for (MemberRecord member : members()) {
-            PeerViews.View view = fresh.of(member.member());
-            for (MachineId machine : view == null ? Set.<MachineId>of() : view.strays()) {
-                BlockLease block = ledger.blockOf(machine);
-                if (block != null && !block.holder().equals(member.member()) && isSilent(block, machine)
-                        && moves.of(machine, timers.now()) == Moves.State.COUNTS) {
-                    strays.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
-                    heardBy.computeIfAbsent(block.id(), id -> new TreeMap<>()).merge(member.member(), 1, Integer::sum);
-                }
-            }
-        }
-        heardBy.forEach((id, members) -> {
-            BlockLease block = ledger.block(id);
-            // The machines may have gone to several controllers: that half of them are heard elsewhere is what counts.
-            // One that hears nothing is heard by each in turn, and counts once.
-            int machines = strays.get(id).size();
-            if (machines * 2 > block.machines().size() && !next.containsKey(id) && !deleted.contains(id)) {
-                MemberId member = Collections.max(members.entrySet(), Map.Entry.comparingByValue()).getKey();
-                LOG.info("block {} goes from {}, which does not hear it, to {}", id, block.holder(), member);
-                hearing.missed(block.holder(), block.zone(), timers.now());
-                moves.moved(strays.get(id), timers.now());
-                next.put(id, block.heldBy(ledger.members().get(member)));
-            }
-        });
+  private BlockLease without(BlockLease block, Set<MachineId> going) {
+    BlockLease changed = block;
+    for (MachineId machine : going) {
+      if (fleet.isGone(machine)) {
+        changed = changed.without(machine);
+      } else if (!block.leaving().contains(machine)) {
+        changed = changed.leaving(machine);
+      }
     }
+    return changed;
+  }
 
-    /**
-     * Gives controllers that did not hear the machines of a zone the smallest block there to try, once their pause is over; and
-     * takes note of what becomes of trials.
-     */
-    private void tryTheDeaf(Map<BlockId, BlockLease> next) {
-        SteadyTime now = timers.now();
-        Map<String, BlockLease> smallest = new TreeMap<>();
-        for (BlockLease block : ledger.blocks().values()) {
-            PeerViews.BlockView view = fresh.of(block);
-            if (view != null && obeysItsHolder(view)) {
-                hearing.heard(block.holder(), block.zone(), now);
-                smallest.merge(block.zone(), block, (one, other) -> other.machines().size() < one.machines().size() ? other : one);
-            }
-        }
-        for (MemberRecord member : members()) {
-            smallest.forEach((zone, block) -> {
-                if (hearing.of(member.member(), zone, now) == Hearing.State.TO_BE_TRIED && !block.holder().equals(member.member())
-                        && !next.containsKey(block.id())) {
-                    LOG.info("block {} goes from {} to {}, to see whether that hears it now", block.id(), block.holder(), member.member());
-                    hearing.given(member.member(), zone, now);
-                    next.put(block.id(), block.heldBy(member));
-                }
-            });
+  /**
+   * A holder whose machines report to another controller is cut off from them: that one gets the
+   * block.
+   */
+  private void rescueUnheard(Map<BlockId, BlockLease> next, Set<BlockId> deleted) {
+    moves.obeys(moves.marked().stream().filter(this::isObedient).toList());
+    Map<BlockId, Map<MemberId, Integer>> heardBy = new HashMap<>();
+    Map<BlockId, Set<MachineId>> strays = new HashMap<>();
+    for (MemberRecord member : members()) {
+      PeerViews.View view = fresh.of(member.member());
+      for (MachineId machine : view == null ? Set.<MachineId>of() : view.strays()) {
+        BlockLease block = ledger.blockOf(machine);
+        if (block != null
+            && !block.holder().equals(member.member())
+            && isSilent(block, machine)
+            && moves.of(machine, timers.now()) == Moves.State.COUNTS) {
+          strays.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
+          heardBy
+              .computeIfAbsent(block.id(), id -> new TreeMap<>())
+              .merge(member.member(), 1, Integer::sum);
         }
+      }
     }
+    heardBy.forEach(
+        (id, members) -> {
+          BlockLease block = ledger.block(id);
+          // The machines may have gone to several controllers: that half of them are heard
+          // elsewhere is what counts.
+          // One that hears nothing is heard by each in turn, and counts once.
+          int machines = strays.get(id).size();
+          if (machines * 2 > block.machines().size()
+              && !next.containsKey(id)
+              && !deleted.contains(id)) {
+            MemberId member =
+                Collections.max(members.entrySet(), Map.Entry.comparingByValue()).getKey();
+            LOG.info(
+                "block {} goes from {}, which does not hear it, to {}", id, block.holder(), member);
+            hearing.missed(block.holder(), block.zone(), timers.now());
+            moves.moved(strays.get(id), timers.now());
+            next.put(id, block.heldBy(ledger.members().get(member)));
+          }
+        });
+  }
 
-    /**
-     * Leases a block anew to the holder that it has, one at a time, where something waits there that only a new token
-     * ends. Only while all of its machines obey that holder: then they are fenced again in a moment.
-     */
-    private void endDoubts(Map<BlockId, BlockLease> next, Set<BlockId> deleted) {
-        if (!next.isEmpty() || !deleted.isEmpty()) {
-            return;
-        }
-        for (BlockLease block : ledger.blocks().values()) {
-            PeerViews.BlockView view = fresh.of(block);
-            if (view != null && view.inDoubt() && ledger.members().containsKey(block.holder()) && obeysItsHolder(view)) {
-                LOG.info("block {} gets a new token under {}: something there waits for one", block.id(), block.holder());
-                next.put(block.id(), block.heldBy(ledger.members().get(block.holder())));
-                return;
+  /**
+   * Gives controllers that did not hear the machines of a zone the smallest block there to try,
+   * once their pause is over; and takes note of what becomes of trials.
+   */
+  private void tryTheDeaf(Map<BlockId, BlockLease> next) {
+    SteadyTime now = timers.now();
+    Map<String, BlockLease> smallest = new TreeMap<>();
+    for (BlockLease block : ledger.blocks().values()) {
+      PeerViews.BlockView view = fresh.of(block);
+      if (view != null && obeysItsHolder(view)) {
+        hearing.heard(block.holder(), block.zone(), now);
+        smallest.merge(
+            block.zone(),
+            block,
+            (one, other) -> other.machines().size() < one.machines().size() ? other : one);
+      }
+    }
+    for (MemberRecord member : members()) {
+      smallest.forEach(
+          (zone, block) -> {
+            if (hearing.of(member.member(), zone, now) == Hearing.State.TO_BE_TRIED
+                && !block.holder().equals(member.member())
+                && !next.containsKey(block.id())) {
+              LOG.info(
+                  "block {} goes from {} to {}, to see whether that hears it now",
+                  block.id(),
+                  block.holder(),
+                  member.member());
+              hearing.given(member.member(), zone, now);
+              next.put(block.id(), block.heldBy(member));
             }
-        }
+          });
     }
+  }
 
-    private static boolean obeysItsHolder(PeerViews.BlockView view) {
-        return view.machines().values().stream()
-                .allMatch(machine -> machine.fenced() && !machine.silent().isMoreThan(UNHEARD));
+  /**
+   * Leases a block anew to the holder that it has, one at a time, where something waits there that
+   * only a new token ends. Only while all of its machines obey that holder: then they are fenced
+   * again in a moment.
+   */
+  private void endDoubts(Map<BlockId, BlockLease> next, Set<BlockId> deleted) {
+    if (!next.isEmpty() || !deleted.isEmpty()) {
+      return;
     }
-
-    /** Whether a machine takes work of its holder, or is in no block any more. */
-    private boolean isObedient(MachineId machine) {
-        BlockLease block = ledger.blockOf(machine);
-        PeerViews.BlockView view = block == null ? null : fresh.of(block);
-        PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
-        return block == null || state != null && state.fenced() && state.open();
+    for (BlockLease block : ledger.blocks().values()) {
+      PeerViews.BlockView view = fresh.of(block);
+      if (view != null
+          && view.inDoubt()
+          && ledger.members().containsKey(block.holder())
+          && obeysItsHolder(view)) {
+        LOG.info(
+            "block {} gets a new token under {}: something there waits for one",
+            block.id(),
+            block.holder());
+        next.put(block.id(), block.heldBy(ledger.members().get(block.holder())));
+        return;
+      }
     }
+  }
 
-    /** Whether a block's holder does not hear a machine; a holder that has not reported yet says nothing of that. */
-    private boolean isSilent(BlockLease block, MachineId machine) {
-        PeerViews.BlockView view = fresh.of(block);
-        PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
-        return state != null && state.silent().isMoreThan(UNHEARD);
-    }
+  private static boolean obeysItsHolder(PeerViews.BlockView view) {
+    return view.machines().values().stream()
+        .allMatch(machine -> machine.fenced() && !machine.silent().isMoreThan(UNHEARD));
+  }
 
-    /** Moves a few blocks to controllers that have much less to do, or are in the blocks' zones, now and then. */
-    private void rebalance(Map<BlockId, BlockLease> next, Map<MemberId, Integer> load) {
-        if (REBALANCE_EVERY.isMoreThan(timers.now().since(rebalanced))) {
-            return;
-        }
-        rebalanced = timers.now();
-        tryTheDeaf(next);
-        for (BlockLease block : ledger.blocks().values()) {
-            MemberRecord holder = ledger.members().get(block.holder());
-            MemberRecord better = chooseHolder(block.zone(), load);
-            int size = block.machines().size();
-            PeerViews.BlockView view = fresh.of(block);
-            // A machine that takes no work and does not say why may be one that hears nothing: it would not show a new token.
-            boolean calm = view != null && obeysItsHolder(view) && view.machines().values().stream().allMatch(machine -> machine.open()
-                    || machine.notice() || machine.sick() || block.leaving().contains(machine.id()));
-            if (holder != null && calm && next.size() < MOST_MOVED_AT_ONCE
-                    && cost(holder, block.zone(), load) - cost(better, block.zone(), load) - size > REBALANCE_GAIN) {
-                LOG.info("block {} goes from {} to {} to share the load", block.id(), block.holder(), better.member());
-                next.put(block.id(), block.heldBy(better));
-                load.merge(holder.member(), -size, Integer::sum);
-                load.merge(better.member(), size, Integer::sum);
-            }
-        }
-    }
+  /** Whether a machine takes work of its holder, or is in no block any more. */
+  private boolean isObedient(MachineId machine) {
+    BlockLease block = ledger.blockOf(machine);
+    PeerViews.BlockView view = block == null ? null : fresh.of(block);
+    PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
+    return block == null || state != null && state.fenced() && state.open();
+  }
 
-    /** How many machines a block may have: the more machines and the fewer changes a second, the more. */
-    private int mostMachines(MachineType type) {
-        int all = fleet.expected();
-        double bySize = Math.ceil(all / (BLOCKS_PER_CHANGE * settings.stateLimits().writesPerS()));
-        Resources small = foresight.urgentTask();
-        int tasks = Math.max(1, small.cpus() > 0 ? type.capacity().count(small) : (int) type.capacity().cpus());
-        int byRecord = Math.max(LEAST_BLOCK_SIZE, settings.stateLimits().valueBytes() / BYTES_PER_TASK / tasks);
-        return (int) Math.max(Math.max(LEAST_BLOCK_SIZE, largestGang(type)), Math.min(bySize, byRecord));
+  /**
+   * Whether a block's holder does not hear a machine; a holder that has not reported yet says
+   * nothing of that.
+   */
+  private boolean isSilent(BlockLease block, MachineId machine) {
+    PeerViews.BlockView view = fresh.of(block);
+    PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
+    return state != null && state.silent().isMoreThan(UNHEARD);
+  }
+
+  /**
+   * Moves a few blocks to controllers that have much less to do, or are in the blocks' zones, now
+   * and then.
+   */
+  private void rebalance(Map<BlockId, BlockLease> next, Map<MemberId, Integer> load) {
+    if (REBALANCE_EVERY.isMoreThan(timers.now().since(rebalanced))) {
+      return;
+    }
+    rebalanced = timers.now();
+    tryTheDeaf(next);
+    for (BlockLease block : ledger.blocks().values()) {
+      MemberRecord holder = ledger.members().get(block.holder());
+      MemberRecord better = chooseHolder(block.zone(), load);
+      int size = block.machines().size();
+      PeerViews.BlockView view = fresh.of(block);
+      // A machine that takes no work and does not say why may be one that hears nothing: it would
+      // not show a new token.
+      boolean calm =
+          view != null
+              && obeysItsHolder(view)
+              && view.machines().values().stream()
+                  .allMatch(
+                      machine ->
+                          machine.open()
+                              || machine.notice()
+                              || machine.sick()
+                              || block.leaving().contains(machine.id()));
+      if (holder != null
+          && calm
+          && next.size() < MOST_MOVED_AT_ONCE
+          && cost(holder, block.zone(), load) - cost(better, block.zone(), load) - size
+              > REBALANCE_GAIN) {
+        LOG.info(
+            "block {} goes from {} to {} to share the load",
+            block.id(),
+            block.holder(),
+            better.member());
+        next.put(block.id(), block.heldBy(better));
+        load.merge(holder.member(), -size, Integer::sum);
+        load.merge(better.member(), size, Integer::sum);
+      }
     }
+  }
 
-    /** How many machines of a type the largest gang needs that waits: the machines rented for it make a block so large. */
-    private int largestGang(MachineType type) {
-        int most = 0;
-        for (JobId id : books.waiting()) {
-            Job job = books.account(id).job();
-            int each = type.capacity().count(job.each());
-            if (job.shape() == Shape.GANG && each > 0 && (job.types() == null || job.types().contains(type.name()))) {
-                most = Math.max(most, (job.tasks() + each - 1) / each);
-            }
-        }
-        return most;
+  /**
+   * How many machines a block may have: the more machines and the fewer changes a second, the more.
+   */
+  private int mostMachines(MachineType type) {
+    int all = fleet.expected();
+    double bySize = Math.ceil(all / (BLOCKS_PER_CHANGE * settings.stateLimits().writesPerS()));
+    Resources small = foresight.urgentTask();
+    int tasks =
+        Math.max(1, small.cpus() > 0 ? type.capacity().count(small) : (int) type.capacity().cpus());
+    int byRecord =
+        Math.max(LEAST_BLOCK_SIZE, settings.stateLimits().valueBytes() / BYTES_PER_TASK / tasks);
+    return (int)
+        Math.max(Math.max(LEAST_BLOCK_SIZE, largestGang(type)), Math.min(bySize, byRecord));
+  }
+
+  /**
+   * How many machines of a type the largest gang needs that waits: the machines rented for it make
+   * a block so large.
+   */
+  private int largestGang(MachineType type) {
+    int most = 0;
+    for (JobId id : books.waiting()) {
+      Job job = books.account(id).job();
+      int each = type.capacity().count(job.each());
+      if (job.shape() == Shape.GANG
+          && each > 0
+          && (job.types() == null || job.types().contains(type.name()))) {
+        most = Math.max(most, (job.tasks() + each - 1) / each);
+      }
     }
+    return most;
+  }
 
-    private record Kind(String type, String zone, boolean spot) {
-        static Kind of(BlockLease block) {
-            return new Kind(block.type(), block.zone(), block.spot());
-        }
+  private record Kind(String type, String zone, boolean spot) {
+    static Kind of(BlockLease block) {
+      return new Kind(block.type(), block.zone(), block.spot());
     }
+  }
 
-    private void takeIn(Map<BlockId, BlockLease> next, Set<BlockId> deleted, Map<MemberId, Integer> load, int mostBytes) {
-        newcomers.keySet().removeIf(machine -> ledger.blockOf(machine) != null || fleet.isGone(machine));
-        if (newcomers.isEmpty() || members().isEmpty()) {
-            return;
-        }
-        Map<Kind, List<BlockId>> withRoom = new HashMap<>();
-        ledger.blocks().values().forEach(block -> {
-            if (!deleted.contains(block.id())) {
+  private void takeIn(
+      Map<BlockId, BlockLease> next,
+      Set<BlockId> deleted,
+      Map<MemberId, Integer> load,
+      int mostBytes) {
+    newcomers
+        .keySet()
+        .removeIf(machine -> ledger.blockOf(machine) != null || fleet.isGone(machine));
+    if (newcomers.isEmpty() || members().isEmpty()) {
+      return;
+    }
+    Map<Kind, List<BlockId>> withRoom = new HashMap<>();
+    ledger
+        .blocks()
+        .values()
+        .forEach(
+            block -> {
+              if (!deleted.contains(block.id())) {
                 withRoom.computeIfAbsent(Kind.of(block), kind -> new ArrayList<>()).add(block.id());
-            }
-        });
-        for (Machine machine : newcomers.values()) {
-            MachineType type = ledger.types().get(machine.type());
-            if (type == null) {
-                continue;
-            }
-            int most = mostMachines(type);
-            BlockLease home = null;
-            List<BlockId> homes = withRoom.computeIfAbsent(new Kind(machine.type(), machine.zone(), machine.spot()),
-                    kind -> new ArrayList<>());
-            while (home == null && !homes.isEmpty()) {
-                BlockLease block = next.getOrDefault(homes.get(0), ledger.block(homes.get(0)));
-                // A block that a value cannot name would be written in vain, and its machines be in none.
-                if (block.machines().size() < most && block.with(machine).mostBytes() <= mostBytes) {
-                    home = block;
-                } else {
-                    homes.remove(0);
-                }
-            }
-            if (home != null) {
-                next.put(home.id(), home.with(machine));
-                load.merge(home.holder(), 1, Integer::sum);
-            } else {
-                MemberRecord holder = chooseHolder(machine.zone(), load);
-                BlockLease made = BlockLease.first(new BlockId("b-" + machine.id()), holder, machine);
-                load.merge(holder.member(), 1, Integer::sum);
-                next.put(made.id(), made);
-                homes.add(made.id());
-            }
+              }
+            });
+    for (Machine machine : newcomers.values()) {
+      MachineType type = ledger.types().get(machine.type());
+      if (type == null) {
+        continue;
+      }
+      int most = mostMachines(type);
+      BlockLease home = null;
+      List<BlockId> homes =
+          withRoom.computeIfAbsent(
+              new Kind(machine.type(), machine.zone(), machine.spot()), kind -> new ArrayList<>());
+      while (home == null && !homes.isEmpty()) {
+        BlockLease block = next.getOrDefault(homes.get(0), ledger.block(homes.get(0)));
+        // A block that a value cannot name would be written in vain, and its machines be in none.
+        if (block.machines().size() < most && block.with(machine).mostBytes() <= mostBytes) {
+          home = block;
+        } else {
+          homes.remove(0);
         }
+      }
+      if (home != null) {
+        next.put(home.id(), home.with(machine));
+        load.merge(home.holder(), 1, Integer::sum);
+      } else {
+        MemberRecord holder = chooseHolder(machine.zone(), load);
+        BlockLease made = BlockLease.first(new BlockId("b-" + machine.id()), holder, machine);
+        load.merge(holder.member(), 1, Integer::sum);
+        next.put(made.id(), made);
+        homes.add(made.id());
+      }
     }
+  }
 }
