--- a/src/main/java/org/quincecross/leader/LevelSwitch.java
+++ b/src/main/java/org/quincecross/leader/LevelSwitch.java
@@ -26,107 +26,120 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts another level in force: one transaction of the leader, guarded by the leadership, by the level as it was, and by the record of
- * every member. So it fails if any of them has come, gone or been restarted since it was looked at, and the leader's transactions from
- * before it, which are guarded by where the leadership was written, fail after it, however late they are applied.
+ * Puts another level in force: one transaction of the leader, guarded by the leadership, by the
+ * level as it was, and by the record of every member. So it fails if any of them has come, gone or
+ * been restarted since it was looked at, and the leader's transactions from before it, which are
+ * guarded by where the leadership was written, fail after it, however late they are applied.
  */
 public final class LevelSwitch {
-    private static final Logger LOG = LoggerFactory.getLogger(LevelSwitch.class);
-    private static final Span LOOK_EVERY = Span.ofSeconds(1);
+  private static final Logger LOG = LoggerFactory.getLogger(LevelSwitch.class);
+  private static final Span LOOK_EVERY = Span.ofSeconds(1);
 
-    private final Ledger ledger;
-    private final Settings settings;
-    private final Membership membership;
-    private final Rollout rollout = new Rollout();
-    private Rollout.Decision decision = new Rollout.Decision(Rollout.State.SETTLED, null, "");
-    private SteadyTime looked;
+  private final Ledger ledger;
+  private final Settings settings;
+  private final Membership membership;
+  private final Rollout rollout = new Rollout();
+  private Rollout.Decision decision = new Rollout.Decision(Rollout.State.SETTLED, null, "");
+  private SteadyTime looked;
 
-    LevelSwitch(Ledger ledger, Settings settings, Membership membership) {
-        this.ledger = ledger;
-        this.settings = settings;
-        this.membership = membership;
-    }
+  LevelSwitch(Ledger ledger, Settings settings, Membership membership) {
+    this.ledger = ledger;
+    this.settings = settings;
+    this.membership = membership;
+  }
 
-    /** What holds the next level back, as of the last look. */
-    public Rollout.Decision decision() {
-        return decision;
-    }
+  /** What holds the next level back, as of the last look. */
+  public Rollout.Decision decision() {
+    return decision;
+  }
 
-    /** Looks, now and then, whether another level should be in force; if so, {@link #guards} and {@link #changes} put it there. */
-    boolean look(SteadyTime now) {
-        if (looked != null && LOOK_EVERY.isMoreThan(now.since(looked))) {
-            return false;
-        }
-        looked = now;
-        Rollout.Decision before = decision;
-        decision = rollout.look(site(), now);
-        if (!decision.why().equals(before.why()) && !decision.why().isEmpty()) {
-            LOG.info("level {}: {}: {}", ledger.level().level(), decision.state(), decision.why());
-        }
-        if (decision.to() != null) {
-            LOG.info("level {} is put in force after {}", decision.to(), ledger.level().level());
-        }
-        return decision.to() != null;
+  /**
+   * Looks, now and then, whether another level should be in force; if so, {@link #guards} and
+   * {@link #changes} put it there.
+   */
+  boolean look(SteadyTime now) {
+    if (looked != null && LOOK_EVERY.isMoreThan(now.since(looked))) {
+      return false;
     }
-
-    private Rollout.Site site() {
-        OperatorSettings operators = ledger.operatorSettingsOrDefaults();
-        Set<MemberId> expected = new HashSet<>();
-        expected.add(settings.member());
-        settings.siblings().forEach(sibling -> expected.add(sibling.member()));
-        expected.removeIf(member -> operators.gone().contains(member.text()));
-        Map<MemberId, Rollout.Alive> alive = new HashMap<>();
-        ledger.members().values().forEach(member -> alive.put(member.member(), new Rollout.Alive(member.build(), member.life())));
-        Level most = operators.mostLevel() == 0 ? new Level(Level.MOST) : new Level(operators.mostLevel());
-        Level inForce = ledger.level().level();
-        int onlyHere = onlyReadableAt(inForce);
-        return new Rollout.Site(inForce, expected, alive, most, 0, onlyHere);
+    looked = now;
+    Rollout.Decision before = decision;
+    decision = rollout.look(site(), now);
+    if (!decision.why().equals(before.why()) && !decision.why().isEmpty()) {
+      LOG.info("level {}: {}: {}", ledger.level().level(), decision.state(), decision.why());
     }
-
-    /** How many records the level before this one could not read. */
-    private int onlyReadableAt(Level level) {
-        if (level.equals(Feature.ALLOCATION_CHANGES.since())) {
-            return ledger.changedAllocations().size();
-        }
-        return level.equals(Feature.AGREED_RECORDS.since()) ? ledger.agreed().count() : 0;
+    if (decision.to() != null) {
+      LOG.info("level {} is put in force after {}", decision.to(), ledger.level().level());
     }
+    return decision.to() != null;
+  }
 
-    /** Whether what only the present level can read is being rewritten. */
-    boolean isLowering() {
-        return decision.state() == Rollout.State.LOWERING;
-    }
+  private Rollout.Site site() {
+    OperatorSettings operators = ledger.operatorSettingsOrDefaults();
+    Set<MemberId> expected = new HashSet<>();
+    expected.add(settings.member());
+    settings.siblings().forEach(sibling -> expected.add(sibling.member()));
+    expected.removeIf(member -> operators.gone().contains(member.text()));
+    Map<MemberId, Rollout.Alive> alive = new HashMap<>();
+    ledger
+        .members()
+        .values()
+        .forEach(
+            member -> alive.put(member.member(), new Rollout.Alive(member.build(), member.life())));
+    Level most =
+        operators.mostLevel() == 0 ? new Level(Level.MOST) : new Level(operators.mostLevel());
+    Level inForce = ledger.level().level();
+    int onlyHere = onlyReadableAt(inForce);
+    return new Rollout.Site(inForce, expected, alive, most, 0, onlyHere);
+  }
 
-    /** The blocks whose records the level that is to come could not read. */
-    List<BlockId> toRewrite() {
-        return isLowering() ? List.copyOf(ledger.changedAllocations()) : List.of();
+  /** How many records the level before this one could not read. */
+  private int onlyReadableAt(Level level) {
+    if (level.equals(Feature.ALLOCATION_CHANGES.since())) {
+      return ledger.changedAllocations().size();
     }
+    return level.equals(Feature.AGREED_RECORDS.since()) ? ledger.agreed().count() : 0;
+  }
+
+  /** Whether what only the present level can read is being rewritten. */
+  boolean isLowering() {
+    return decision.state() == Rollout.State.LOWERING;
+  }
+
+  /** The blocks whose records the level that is to come could not read. */
+  List<BlockId> toRewrite() {
+    return isLowering() ? List.copyOf(ledger.changedAllocations()) : List.of();
+  }
 
-    List<Guard> guards() {
-        List<Guard> guards = new ArrayList<>();
-        guards.add(new Guard(ledger.leaderKey(), ledger.version(ledger.leaderKey())));
-        guards.add(new Guard(Keys.LEVEL, ledger.level().version()));
-        Set<MemberId> members = new HashSet<>(ledger.members().keySet());
-        members.add(settings.member());
-        settings.siblings().forEach(sibling -> members.add(sibling.member()));
-        members.forEach(member -> guards.add(new Guard(Keys.member(member), ledger.version(Keys.member(member)))));
-        String otherPlace = Ledger.leaderKey(decision.to());
-        if (!otherPlace.equals(ledger.leaderKey())) {
-            guards.add(new Guard(otherPlace, ledger.version(otherPlace)));
-        }
-        return guards;
+  List<Guard> guards() {
+    List<Guard> guards = new ArrayList<>();
+    guards.add(new Guard(ledger.leaderKey(), ledger.version(ledger.leaderKey())));
+    guards.add(new Guard(Keys.LEVEL, ledger.level().version()));
+    Set<MemberId> members = new HashSet<>(ledger.members().keySet());
+    members.add(settings.member());
+    settings.siblings().forEach(sibling -> members.add(sibling.member()));
+    members.forEach(
+        member -> guards.add(new Guard(Keys.member(member), ledger.version(Keys.member(member)))));
+    String otherPlace = Ledger.leaderKey(decision.to());
+    if (!otherPlace.equals(ledger.leaderKey())) {
+      guards.add(new Guard(otherPlace, ledger.version(otherPlace)));
     }
+    return guards;
+  }
 
-    List<Change> changes() {
-        List<Change> changes = new ArrayList<>();
-        changes.add(Change.put(Keys.LEVEL, LevelRecord.write(decision.to())));
-        changes.add(new Change(Ledger.leaderKey(decision.to()), membership.record(), membership.life()));
-        boolean moves = Feature.LEADERSHIP_MOVED.isIn(decision.to());
-        if (moves && !Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
-            // Builds from before levels see that somebody leads, and never do so themselves.
-            changes.add(Change.put(Keys.LEADER, Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
-        } else if (!moves && Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
-            changes.add(Change.delete(Keys.LEADS));
-        }
-        return changes;
+  List<Change> changes() {
+    List<Change> changes = new ArrayList<>();
+    changes.add(Change.put(Keys.LEVEL, LevelRecord.write(decision.to())));
+    changes.add(
+        new Change(Ledger.leaderKey(decision.to()), membership.record(), membership.life()));
+    boolean moves = Feature.LEADERSHIP_MOVED.isIn(decision.to());
+    if (moves && !Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
+      // Builds from before levels see that somebody leads, and never do so themselves.
+      changes.add(
+          Change.put(
+              Keys.LEADER, Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
+    } else if (!moves && Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
+      changes.add(Change.delete(Keys.LEADS));
     }
+    return changes;
+  }
 }
--- a/src/main/java/org/quincecross/leader/MachineKind.java
+++ b/src/main/java/org/quincecross/leader/MachineKind.java
@@ -1,5 +1,4 @@
 package org.quincecross.leader;
 
 /** A kind of machine in a place. */
-record MachineKind(String type, String zone, boolean spot) {
-}
+record MachineKind(String type, String zone, boolean spot) {}
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -27,107 +27,147 @@
 import org.quincecross.state.Ledger;
 import org.quincecross.state.ModelRecords;
 
-/** Admission where there are models: their replicas go to the blocks of their places, all else as ever. */
+/**
+ * Admission where there are models: their replicas go to the blocks of their places, all else as
+ * ever.
+ */
 final class ModelAdmission {
-    private final Timers timers;
-    private final Ledger ledger;
-    private final ModelRecords records;
-    private final ModelFleet machines;
-    private final Books books;
-    private final Supplier<Map<String, Team>> teams;
-    private Collection<ModelLook> looks = List.of();
+  private final Timers timers;
+  private final Ledger ledger;
+  private final ModelRecords records;
+  private final ModelFleet machines;
+  private final Books books;
+  private final Supplier<Map<String, Team>> teams;
+  private Collection<ModelLook> looks = List.of();
 
-    ModelAdmission(Timers timers, Ledger ledger, ModelRecords records, ModelFleet machines, Books books, Supplier<Map<String, Team>> teams) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.records = records;
-        this.machines = machines;
-        this.books = books;
-        this.teams = teams;
-    }
+  ModelAdmission(
+      Timers timers,
+      Ledger ledger,
+      ModelRecords records,
+      ModelFleet machines,
+      Books books,
+      Supplier<Map<String, Team>> teams) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.records = records;
+    this.machines = machines;
+    this.books = books;
+    this.teams = teams;
+  }
 
-    /** Takes note of the models as they are. */
-    void look(Collection<ModelLook> now) {
-        looks = now;
-    }
+  /** Takes note of the models as they are. */
+  void look(Collection<ModelLook> now) {
+    looks = now;
+  }
 
-    /**
-     * Admits what waits: replicas of models each to the block of its place, the rest as ever. Limits, zones and preemption hold for both;
-     * what there was no room for is returned.
-     */
-    List<Admission.Unmet> admit(Collection<Admission.Block> blocks, Map<BlockId, List<Reserve>> reserves, List<JobDemand> demands) {
-        Map<String, Team> limits = teams.get();
-        Map<String, Resources> use = new HashMap<>(books.teamUse());
-        List<JobDemand> others = new ArrayList<>();
-        List<JobDemand> placed = new ArrayList<>();
-        demands.forEach(each -> (records.nameOf(each.job().id()) == null ? others : placed).add(each));
-        placed.stream().filter(each -> each.job().rank() == Rank.PRODUCTION).forEach(each -> admit(each, blocks, limits, use, reserves));
-        List<Admission.Unmet> all = new ArrayList<>(new Admission(blocks, limits, use, reserves).run(others));
-        List<JobDemand> last = placed.stream().filter(each -> each.job().rank() != Rank.PRODUCTION).toList();
-        if (!last.isEmpty()) {
-            addAdmitted(blocks, use);
-            last.forEach(each -> admit(each, blocks, limits, use, reserves));
-        }
-        return all;
+  /**
+   * Admits what waits: replicas of models each to the block of its place, the rest as ever. Limits,
+   * zones and preemption hold for both; what there was no room for is returned.
+   */
+  List<Admission.Unmet> admit(
+      Collection<Admission.Block> blocks,
+      Map<BlockId, List<Reserve>> reserves,
+      List<JobDemand> demands) {
+    Map<String, Team> limits = teams.get();
+    Map<String, Resources> use = new HashMap<>(books.teamUse());
+    List<JobDemand> others = new ArrayList<>();
+    List<JobDemand> placed = new ArrayList<>();
+    demands.forEach(each -> (records.nameOf(each.job().id()) == null ? others : placed).add(each));
+    placed.stream()
+        .filter(each -> each.job().rank() == Rank.PRODUCTION)
+        .forEach(each -> admit(each, blocks, limits, use, reserves));
+    List<Admission.Unmet> all =
+        new ArrayList<>(new Admission(blocks, limits, use, reserves).run(others));
+    List<JobDemand> last =
+        placed.stream().filter(each -> each.job().rank() != Rank.PRODUCTION).toList();
+    if (!last.isEmpty()) {
+      addAdmitted(blocks, use);
+      last.forEach(each -> admit(each, blocks, limits, use, reserves));
     }
+    return all;
+  }
 
-    private void addAdmitted(Collection<Admission.Block> blocks, Map<String, Resources> use) {
-        blocks.forEach(block -> block.admitted().forEach((id, tasks) -> {
-            if (records.nameOf(id) == null) {
-                Job job = ledger.job(id).job();
-                use.merge(job.team(), job.each().times(tasks.size()), Resources::plus);
-            }
-        }));
-    }
+  private void addAdmitted(Collection<Admission.Block> blocks, Map<String, Resources> use) {
+    blocks.forEach(
+        block ->
+            block
+                .admitted()
+                .forEach(
+                    (id, tasks) -> {
+                      if (records.nameOf(id) == null) {
+                        Job job = ledger.job(id).job();
+                        use.merge(job.team(), job.each().times(tasks.size()), Resources::plus);
+                      }
+                    }));
+  }
 
-    private void admit(JobDemand demand, Collection<Admission.Block> blocks, Map<String, Team> limits, Map<String, Resources> use,
-            Map<BlockId, List<Reserve>> reserves) {
-        Job job = demand.job();
-        Model model = records.of(job.id());
-        Map<BlockId, TaskSet> pools = new TreeMap<>();
-        for (int index = demand.pool().next(0); index >= 0; index = demand.pool().next(index + 1)) {
-            Model.Place place = model.places().get(index);
-            BlockLease lease = place == null ? null : ledger.blockOf(place.machine());
-            if (lease != null && (job.shape() == Shape.GANG || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
-                pools.computeIfAbsent(lease.id(), id -> new TaskSet()).add(index);
-            }
-        }
-        for (Admission.Block block : blocks) {
-            TaskSet pool = pools.get(block.id());
-            if (pool != null) {
-                int before = count(block, job.id());
-                new Admission(List.of(block), limits, use, reserves).run(List.of(new JobDemand(job, demand.accepted(), demand.dueS(),
-                        demand.guaranteed(), false, pool, demand.perZone(), Admission.Place.TURN, demand.order())));
-                use.merge(job.team(), job.each().times(count(block, job.id()) - before), Resources::plus);
-            }
-        }
+  private void admit(
+      JobDemand demand,
+      Collection<Admission.Block> blocks,
+      Map<String, Team> limits,
+      Map<String, Resources> use,
+      Map<BlockId, List<Reserve>> reserves) {
+    Job job = demand.job();
+    Model model = records.of(job.id());
+    Map<BlockId, TaskSet> pools = new TreeMap<>();
+    for (int index = demand.pool().next(0); index >= 0; index = demand.pool().next(index + 1)) {
+      Model.Place place = model.places().get(index);
+      BlockLease lease = place == null ? null : ledger.blockOf(place.machine());
+      if (lease != null
+          && (job.shape() == Shape.GANG || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
+        pools.computeIfAbsent(lease.id(), id -> new TaskSet()).add(index);
+      }
     }
-
-    private static int count(Admission.Block block, JobId job) {
-        TaskSet tasks = block.admitted().get(job);
-        return tasks == null ? 0 : tasks.size();
+    for (Admission.Block block : blocks) {
+      TaskSet pool = pools.get(block.id());
+      if (pool != null) {
+        int before = count(block, job.id());
+        new Admission(List.of(block), limits, use, reserves)
+            .run(
+                List.of(
+                    new JobDemand(
+                        job,
+                        demand.accepted(),
+                        demand.dueS(),
+                        demand.guaranteed(),
+                        false,
+                        pool,
+                        demand.perZone(),
+                        Admission.Place.TURN,
+                        demand.order())));
+        use.merge(job.team(), job.each().times(count(block, job.id()) - before), Resources::plus);
+      }
     }
+  }
 
-    /**
-     * Whether a replica waits for the fetch of another model on its machine: fetches share the rate, and one after the other the first is
-     * there in half the time, and the last no later.
-     */
-    private boolean waitsItsTurn(JobId id, MachineId machine, String image) {
-        ModelLook mine = null;
-        for (ModelLook look : looks) {
-            mine = look.job().id().equals(id) ? look : mine;
-        }
-        PeerReport.MachineState state = machines.state(machine, timers.now());
-        if (mine == null || state == null || state.images().contains(image)) {
-            return false;
-        }
-        for (ModelLook other : looks) {
-            boolean before = !other.job().image().equals(image) && (other.model().sinceMs() < mine.model().sinceMs()
-                    || other.model().sinceMs() == mine.model().sinceMs() && other.name().compareTo(mine.name()) < 0);
-            if (before && other.startsOn(machine)) {
-                return true;
-            }
-        }
-        return false;
+  private static int count(Admission.Block block, JobId job) {
+    TaskSet tasks = block.admitted().get(job);
+    return tasks == null ? 0 : tasks.size();
+  }
+
+  /**
+   * Whether a replica waits for the fetch of another model on its machine: fetches share the rate,
+   * and one after the other the first is there in half the time, and the last no later.
+   */
+  private boolean waitsItsTurn(JobId id, MachineId machine, String image) {
+    ModelLook mine = null;
+    for (ModelLook look : looks) {
+      mine = look.job().id().equals(id) ? look : mine;
+    }
+    PeerReport.MachineState state = machines.state(machine, timers.now());
+    if (mine == null || state == null || state.images().contains(image)) {
+      return false;
+    }
+    for (ModelLook other : looks) {
+      boolean before =
+          !other.job().image().equals(image)
+              && (other.model().sinceMs() < mine.model().sinceMs()
+                  || other.model().sinceMs() == mine.model().sinceMs()
+                      && other.name().compareTo(mine.name()) < 0);
+      if (before && other.startsOn(machine)) {
+        return true;
+      }
     }
+    return false;
+  }
 }
--- a/src/main/java/org/quincecross/leader/ModelLook.java
+++ b/src/main/java/org/quincecross/leader/ModelLook.java
@@ -13,22 +13,27 @@
  * @param running the replicas of all models that have lately been told to run
  */
 record ModelLook(String name, Model model, Job job, Books.Account account, Set<TaskId> running) {
-    /** Whether a replica is allocated: it may be on a machine. */
-    boolean isOut(int replica) {
-        return account != null && account.out().has(replica);
-    }
+  /** Whether a replica is allocated: it may be on a machine. */
+  boolean isOut(int replica) {
+    return account != null && account.out().has(replica);
+  }
 
-    boolean runs(int replica) {
-        return running.contains(job.id().task(replica));
-    }
+  boolean runs(int replica) {
+    return running.contains(job.id().task(replica));
+  }
 
-    int tasks() {
-        return job.tasks();
-    }
+  int tasks() {
+    return job.tasks();
+  }
 
-    /** Whether a replica is allocated to a machine and does not run yet. */
-    boolean startsOn(MachineId machine) {
-        return model.isUp() && model.places().entrySet().stream()
-                .anyMatch(each -> each.getValue().machine().equals(machine) && isOut(each.getKey()) && !runs(each.getKey()));
-    }
+  /** Whether a replica is allocated to a machine and does not run yet. */
+  boolean startsOn(MachineId machine) {
+    return model.isUp()
+        && model.places().entrySet().stream()
+            .anyMatch(
+                each ->
+                    each.getValue().machine().equals(machine)
+                        && isOut(each.getKey())
+                        && !runs(each.getKey()));
+  }
 }
--- a/src/main/java/org/quincecross/leader/ModelLosses.java
+++ b/src/main/java/org/quincecross/leader/ModelLosses.java
@@ -18,122 +18,148 @@
 import org.quincecross.peer.PeerReport;
 import org.quincecross.state.BlockLease;
 
-/** Which places of models have failed: their machines are gone, going, not heard, or have not started a replica in time. */
+/**
+ * Which places of models have failed: their machines are gone, going, not heard, or have not
+ * started a replica in time.
+ */
 final class ModelLosses {
-    /** A fetch may take so many times as long as its rate says, and so much more, before it is given up. */
-    private static final double FETCH_PATIENCE = 2.5;
-    private static final Span START_PATIENCE = Span.ofSeconds(30);
-    /** A replica whose machine has no room after all gets another place after so long. */
-    private static final Span ROOM_PATIENCE = Span.ofSeconds(8);
-    private static final String NO_ROOM = "has no room";
+  /**
+   * A fetch may take so many times as long as its rate says, and so much more, before it is given
+   * up.
+   */
+  private static final double FETCH_PATIENCE = 2.5;
 
-    /** A replica in a place, since this leader has known of it. */
-    private record Start(String model, int replica, long epoch) {
-    }
+  private static final Span START_PATIENCE = Span.ofSeconds(30);
 
-    private final AgreedBase base;
-    private final ModelFleet machines;
-    private final Map<Start, SteadyTime> begun = new HashMap<>();
-    private final Map<MachineId, SteadyTime> shutSince = new HashMap<>();
-    private Collection<ModelLook> looks = List.of();
+  /** A replica whose machine has no room after all gets another place after so long. */
+  private static final Span ROOM_PATIENCE = Span.ofSeconds(8);
 
-    ModelLosses(AgreedBase base, ModelFleet machines) {
-        this.base = base;
-        this.machines = machines;
-    }
+  private static final String NO_ROOM = "has no room";
+
+  /** A replica in a place, since this leader has known of it. */
+  private record Start(String model, int replica, long epoch) {}
+
+  private final AgreedBase base;
+  private final ModelFleet machines;
+  private final Map<Start, SteadyTime> begun = new HashMap<>();
+  private final Map<MachineId, SteadyTime> shutSince = new HashMap<>();
+  private Collection<ModelLook> looks = List.of();
 
-    /** Takes note of the places that there are now. */
-    void look(Collection<ModelLook> now, SteadyTime at) {
-        looks = now;
-        Set<Start> known = new HashSet<>();
-        for (ModelLook look : looks) {
-            look.model().places().forEach((replica, place) -> {
+  ModelLosses(AgreedBase base, ModelFleet machines) {
+    this.base = base;
+    this.machines = machines;
+  }
+
+  /** Takes note of the places that there are now. */
+  void look(Collection<ModelLook> now, SteadyTime at) {
+    looks = now;
+    Set<Start> known = new HashSet<>();
+    for (ModelLook look : looks) {
+      look.model()
+          .places()
+          .forEach(
+              (replica, place) -> {
                 Start start = new Start(look.name(), replica, place.epoch());
                 known.add(start);
                 begun.putIfAbsent(start, at);
-            });
-        }
-        begun.keySet().retainAll(known);
+              });
     }
+    begun.keySet().retainAll(known);
+  }
 
-    void forget() {
-        begun.clear();
-        shutSince.clear();
-        looks = List.of();
-    }
+  void forget() {
+    begun.clear();
+    shutSince.clear();
+    looks = List.of();
+  }
 
-    /** Since when a place has been known here. */
-    SteadyTime since(ModelLook look, int replica, Model.Place place, SteadyTime now) {
-        return begun.getOrDefault(new Start(look.name(), replica, place.epoch()), now);
-    }
+  /** Since when a place has been known here. */
+  SteadyTime since(ModelLook look, int replica, Model.Place place, SteadyTime now) {
+    return begun.getOrDefault(new Start(look.name(), replica, place.epoch()), now);
+  }
 
-    /** The replicas whose places have failed, or null. */
-    ModelCommand lost(ModelLook look, SteadyTime now) {
-        Set<Integer> replicas = new HashSet<>();
-        Set<MachineId> bad = new HashSet<>();
-        String why = "";
-        for (Map.Entry<Integer, Model.Place> each : look.model().places().entrySet()) {
-            MachineId machine = each.getValue().machine();
-            String wrong = wrongWith(look, each.getKey(), each.getValue(), now);
-            if (wrong != null) {
-                replicas.add(each.getKey());
-                if (!wrong.equals(NO_ROOM)) {
-                    bad.add(machine);
-                }
-                why = machine + " " + wrong;
-            }
-        }
-        if (replicas.isEmpty()) {
-            return null;
+  /** The replicas whose places have failed, or null. */
+  ModelCommand lost(ModelLook look, SteadyTime now) {
+    Set<Integer> replicas = new HashSet<>();
+    Set<MachineId> bad = new HashSet<>();
+    String why = "";
+    for (Map.Entry<Integer, Model.Place> each : look.model().places().entrySet()) {
+      MachineId machine = each.getValue().machine();
+      String wrong = wrongWith(look, each.getKey(), each.getValue(), now);
+      if (wrong != null) {
+        replicas.add(each.getKey());
+        if (!wrong.equals(NO_ROOM)) {
+          bad.add(machine);
         }
-        // Of a gang nothing runs without the rest of it.
-        return new ModelCommand.Lose(look.model().epoch(), look.job().shape() == Shape.GANG ? look.model().places().keySet() : replicas, bad, why);
+        why = machine + " " + wrong;
+      }
     }
+    if (replicas.isEmpty()) {
+      return null;
+    }
+    // Of a gang nothing runs without the rest of it.
+    return new ModelCommand.Lose(
+        look.model().epoch(),
+        look.job().shape() == Shape.GANG ? look.model().places().keySet() : replicas,
+        bad,
+        why);
+  }
 
-    private String wrongWith(ModelLook look, int replica, Model.Place place, SteadyTime now) {
-        MachineId machine = place.machine();
-        BlockLease lease = base.ledger().blockOf(machine);
-        if (lease == null) {
-            return "is gone";
-        }
-        if (lease.leaving().contains(machine)) {
-            return "is leaving";
-        }
-        PeerReport.MachineState state = machines.state(machine, now);
-        if (state == null) {
-            return null; // its holder is being replaced: nothing is known
-        }
-        if (state.notice() || state.sick()) {
-            return state.notice() ? "is taken back" : "fails what it is given";
-        }
-        if (!state.open()) {
-            SteadyTime since = shutSince.computeIfAbsent(machine, id -> now);
-            return now.since(since).isMoreThan(base.settings().workers().lease()) ? "is not heard" : null;
-        }
-        shutSince.remove(machine);
-        SteadyTime since = since(look, replica, place, now);
-        if (look.runs(replica)) {
-            return null;
-        }
-        MachineType type = base.ledger().types().get(lease.type());
-        double perGb = type == null || type.fetchGbPerS() <= 0 ? 0 : FETCH_PATIENCE / type.fetchGbPerS();
-        Span turn = Span.ofSeconds(perGb * others(machine, look.job().image()));
-        if (!look.isOut(replica)) {
-            return now.since(since).isMoreThan(ROOM_PATIENCE.plus(turn)) ? NO_ROOM : null;
-        }
-        return now.since(since).isMoreThan(START_PATIENCE.plus(turn).plus(Span.ofSeconds(perGb * look.job().imageGb()))) ? "did not start it in time" : null;
+  private String wrongWith(ModelLook look, int replica, Model.Place place, SteadyTime now) {
+    MachineId machine = place.machine();
+    BlockLease lease = base.ledger().blockOf(machine);
+    if (lease == null) {
+      return "is gone";
+    }
+    if (lease.leaving().contains(machine)) {
+      return "is leaving";
     }
+    PeerReport.MachineState state = machines.state(machine, now);
+    if (state == null) {
+      return null; // its holder is being replaced: nothing is known
+    }
+    if (state.notice() || state.sick()) {
+      return state.notice() ? "is taken back" : "fails what it is given";
+    }
+    if (!state.open()) {
+      SteadyTime since = shutSince.computeIfAbsent(machine, id -> now);
+      return now.since(since).isMoreThan(base.settings().workers().lease()) ? "is not heard" : null;
+    }
+    shutSince.remove(machine);
+    SteadyTime since = since(look, replica, place, now);
+    if (look.runs(replica)) {
+      return null;
+    }
+    MachineType type = base.ledger().types().get(lease.type());
+    double perGb =
+        type == null || type.fetchGbPerS() <= 0 ? 0 : FETCH_PATIENCE / type.fetchGbPerS();
+    Span turn = Span.ofSeconds(perGb * others(machine, look.job().image()));
+    if (!look.isOut(replica)) {
+      return now.since(since).isMoreThan(ROOM_PATIENCE.plus(turn)) ? NO_ROOM : null;
+    }
+    return now.since(since)
+            .isMoreThan(
+                START_PATIENCE.plus(turn).plus(Span.ofSeconds(perGb * look.job().imageGb())))
+        ? "did not start it in time"
+        : null;
+  }
 
-    /** What else a machine is to fetch for models that start there, in GB. */
-    private double others(MachineId machine, String image) {
-        Map<String, Double> sizes = new HashMap<>();
-        for (ModelLook other : looks) {
-            other.model().places().forEach((replica, place) -> {
-                if (place.machine().equals(machine) && !other.runs(replica) && !other.job().image().equals(image)) {
-                    sizes.put(other.job().image(), other.job().imageGb());
+  /** What else a machine is to fetch for models that start there, in GB. */
+  private double others(MachineId machine, String image) {
+    Map<String, Double> sizes = new HashMap<>();
+    for (ModelLook other : looks) {
+      other
+          .model()
+          .places()
+          .forEach(
+              (replica, place) -> {
+                if (place.machine().equals(machine)
+                    && !other.runs(replica)
+                    && !other.job().image().equals(image)) {
+                  sizes.put(other.job().image(), other.job().imageGb());
                 }
-            });
-        }
-        return sizes.values().stream().mapToDouble(Double::doubleValue).sum();
+              });
     }
+    return sizes.values().stream().mapToDouble(Double::doubleValue).sum();
+  }
 }
--- a/src/main/java/org/quincecross/leader/PoolWaits.java
+++ b/src/main/java/org/quincecross/leader/PoolWaits.java
@@ -14,60 +14,79 @@
 
 /** Says in words what the tasks in the pool wait for. */
 final class PoolWaits {
-    private static final int MOST_NAMED = 10;
+  private static final int MOST_NAMED = 10;
 
-    private final Ledger ledger;
-    private final Books books;
-    private final Demands demands;
-    private final PeerViews views;
-    private final Fleet fleet;
-    private final Supplier<Map<String, Team>> teams;
+  private final Ledger ledger;
+  private final Books books;
+  private final Demands demands;
+  private final PeerViews views;
+  private final Fleet fleet;
+  private final Supplier<Map<String, Team>> teams;
 
-    /** @param teams with the limits that hold */
-    PoolWaits(Ledger ledger, Books books, Demands demands, PeerViews views, Fleet fleet, Supplier<Map<String, Team>> teams) {
-        this.ledger = ledger;
-        this.books = books;
-        this.demands = demands;
-        this.views = views;
-        this.fleet = fleet;
-        this.teams = teams;
-    }
+  /**
+   * @param teams with the limits that hold
+   */
+  PoolWaits(
+      Ledger ledger,
+      Books books,
+      Demands demands,
+      PeerViews views,
+      Fleet fleet,
+      Supplier<Map<String, Team>> teams) {
+    this.ledger = ledger;
+    this.books = books;
+    this.demands = demands;
+    this.views = views;
+    this.fleet = fleet;
+    this.teams = teams;
+  }
 
-    /** What the tasks of an open job that are in the pool wait for; null where none are. */
-    String of(JobId id) {
-        Collection<JobId> unfinished = ledger.pipelines().unfinished(id);
-        if (!unfinished.isEmpty()) {
-            return "waits for " + unfinished.stream().limit(MOST_NAMED).map(JobId::text).collect(Collectors.joining(", "))
-                    + (unfinished.size() > MOST_NAMED ? " and " + (unfinished.size() - MOST_NAMED) + " more" : "");
-        }
-        Books.Account account = books.account(id);
-        if (account == null || account.pool().isEmpty()) {
-            return null;
-        }
-        Job job = account.job();
-        int tasks = job.shape() == Shape.GANG ? job.tasks() : 1;
-        String what = account.pool().size() + " tasks in the pool: ";
-        Team team = teams.get().get(job.team());
-        Resources use = books.teamUse().getOrDefault(job.team(), Resources.NONE);
-        if (team == null) {
-            return what + "the settings name no team " + job.team();
-        }
-        if (team.limit().minus(use).count(job.each()) < tasks) {
-            return what + "team " + job.team() + " uses " + use + " of its limit " + team.limit();
-        }
-        if (job.shape() == Shape.GANG && account.pool().size() < job.tasks()) {
-            return what + "the rest of the gang is still in a block";
-        }
-        String heldBack = demands.heldBack(id);
-        if (heldBack != null) {
-            return what + heldBack;
-        }
-        long declines = views.all().stream().flatMap(view -> view.blocks().values().stream())
-                .filter(block -> block.declined().contains(id)).count();
-        if (declines > 0) {
-            return what + "failed on every machine of " + declines + " blocks, to be tried there again later";
-        }
-        return what + (fleet.isUnmet(id) ? "no block has room, machines are rented as the cloud gives them"
-                : "to be allocated");
+  /** What the tasks of an open job that are in the pool wait for; null where none are. */
+  String of(JobId id) {
+    Collection<JobId> unfinished = ledger.pipelines().unfinished(id);
+    if (!unfinished.isEmpty()) {
+      return "waits for "
+          + unfinished.stream().limit(MOST_NAMED).map(JobId::text).collect(Collectors.joining(", "))
+          + (unfinished.size() > MOST_NAMED
+              ? " and " + (unfinished.size() - MOST_NAMED) + " more"
+              : "");
+    }
+    Books.Account account = books.account(id);
+    if (account == null || account.pool().isEmpty()) {
+      return null;
+    }
+    Job job = account.job();
+    int tasks = job.shape() == Shape.GANG ? job.tasks() : 1;
+    String what = account.pool().size() + " tasks in the pool: ";
+    Team team = teams.get().get(job.team());
+    Resources use = books.teamUse().getOrDefault(job.team(), Resources.NONE);
+    if (team == null) {
+      return what + "the settings name no team " + job.team();
+    }
+    if (team.limit().minus(use).count(job.each()) < tasks) {
+      return what + "team " + job.team() + " uses " + use + " of its limit " + team.limit();
+    }
+    if (job.shape() == Shape.GANG && account.pool().size() < job.tasks()) {
+      return what + "the rest of the gang is still in a block";
+    }
+    String heldBack = demands.heldBack(id);
+    if (heldBack != null) {
+      return what + heldBack;
+    }
+    long declines =
+        views.all().stream()
+            .flatMap(view -> view.blocks().values().stream())
+            .filter(block -> block.declined().contains(id))
+            .count();
+    if (declines > 0) {
+      return what
+          + "failed on every machine of "
+          + declines
+          + " blocks, to be tried there again later";
     }
+    return what
+        + (fleet.isUnmet(id)
+            ? "no block has room, machines are rented as the cloud gives them"
+            : "to be allocated");
+  }
 }
--- a/src/main/java/org/quincecross/leader/RequestKeeper.java
+++ b/src/main/java/org/quincecross/leader/RequestKeeper.java
@@ -25,109 +25,164 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has room reserved for requests while this controller leads. It alone decides where, between two of its plans of allocations: what it has sent
- * off is kept free from then on here, and once it is durable what others have planned without it fails by the fence.
+ * Has room reserved for requests while this controller leads. It alone decides where, between two
+ * of its plans of allocations: what it has sent off is kept free from then on here, and once it is
+ * durable what others have planned without it fails by the fence.
  */
 public final class RequestKeeper {
-    private static final Logger LOG = LoggerFactory.getLogger(RequestKeeper.class);
-    /** What runs changes all the time; whether a reservation still fits there is looked at so often. */
-    private static final Span LOOK_EVERY = Span.ofSeconds(1);
-    /** Where requests have changed, this much apart. */
-    private static final Span SPACING = Span.ofMillis(150);
-    /** Sent off at once: a few transactions, so that what is due first is written first. */
-    private static final int MOST_AT_ONCE = 24;
-    /**
-     * So long what is reserved may not fit before it is given up. As its work starts, in another zone than the one that kept the room, a slot is
-     * missing here and free there until the next plan; given up at once, all of its room would go to whoever waits for it.
-     */
-    private static final Span PATIENCE = Span.ofSeconds(10);
-    /** No job that is accepted has this id: it stands in the place of room that is asked for. */
-    private static final JobId NO_JOB = new JobId("job-0");
-
-    private final AgreedStore store;
-    private final AgreedBook<Request, RequestCommand> book;
-    private final RequestRooms rooms;
-    private final double share;
-    private List<Admission.Unmet> unmet = List.of();
-    private SteadyTime lookedAt;
-    private long seen = -1;
-    /** How many machines there were: what has come is not to be rented once more. */
-    private int machinesSeen;
-    /** Since when what is reserved for a request does not fit. */
-    private final Map<String, SteadyTime> lacksSince = new HashMap<>();
-    private int underWay;
-
-    /** @param share of the machines that may be reserved beyond teams' guarantees */
-    public RequestKeeper(AgreedStore store, AgreedBook<Request, RequestCommand> book, RequestRooms rooms, double share) {
-        this.store = store;
-        this.book = book;
-        this.rooms = rooms;
-        this.share = share;
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(RequestKeeper.class);
+
+  /**
+   * What runs changes all the time; whether a reservation still fits there is looked at so often.
+   */
+  private static final Span LOOK_EVERY = Span.ofSeconds(1);
+
+  /** Where requests have changed, this much apart. */
+  private static final Span SPACING = Span.ofMillis(150);
+
+  /** Sent off at once: a few transactions, so that what is due first is written first. */
+  private static final int MOST_AT_ONCE = 24;
+
+  /**
+   * So long what is reserved may not fit before it is given up. As its work starts, in another zone
+   * than the one that kept the room, a slot is missing here and free there until the next plan;
+   * given up at once, all of its room would go to whoever waits for it.
+   */
+  private static final Span PATIENCE = Span.ofSeconds(10);
+
+  /** No job that is accepted has this id: it stands in the place of room that is asked for. */
+  private static final JobId NO_JOB = new JobId("job-0");
+
+  private final AgreedStore store;
+  private final AgreedBook<Request, RequestCommand> book;
+  private final RequestRooms rooms;
+  private final double share;
+  private List<Admission.Unmet> unmet = List.of();
+  private SteadyTime lookedAt;
+  private long seen = -1;
 
-    /** Looks whether all has room that should; called by the leader before it plans, while nothing that it planned is under way. */
-    void look(Map<String, Team> teams, SteadyTime now) {
-        if (rooms.isEmpty()) {
-            unmet = List.of();
-            return;
-        }
-        Span since = lookedAt == null ? LOOK_EVERY : now.since(lookedAt);
-        boolean machines = !unmet.isEmpty() && machinesSeen != rooms.machines();
-        if (underWay > 0 || SPACING.isMoreThan(since) || seen == rooms.version() && !machines && LOOK_EVERY.isMoreThan(since)) {
-            return;
-        }
-        lookedAt = now;
-        machinesSeen = rooms.machines();
-        Reservation.Plan plan = rooms.plan(teams, share);
-        lacksSince.keySet().retainAll(plan.without().keySet());
-        plan.moves().stream().filter(move -> !move.zones().isEmpty() || !now.isBefore(
-                lacksSince.computeIfAbsent(move.request().reference(), reference -> now).plus(PATIENCE))).limit(MOST_AT_ONCE).forEach(this::send);
-        unmet = unmet(plan.unplaced());
-        seen = rooms.version();
+  /** How many machines there were: what has come is not to be rented once more. */
+  private int machinesSeen;
+
+  /** Since when what is reserved for a request does not fit. */
+  private final Map<String, SteadyTime> lacksSince = new HashMap<>();
+
+  private int underWay;
+
+  /**
+   * @param share of the machines that may be reserved beyond teams' guarantees
+   */
+  public RequestKeeper(
+      AgreedStore store,
+      AgreedBook<Request, RequestCommand> book,
+      RequestRooms rooms,
+      double share) {
+    this.store = store;
+    this.book = book;
+    this.rooms = rooms;
+    this.share = share;
+  }
+
+  /**
+   * Looks whether all has room that should; called by the leader before it plans, while nothing
+   * that it planned is under way.
+   */
+  void look(Map<String, Team> teams, SteadyTime now) {
+    if (rooms.isEmpty()) {
+      unmet = List.of();
+      return;
     }
+    Span since = lookedAt == null ? LOOK_EVERY : now.since(lookedAt);
+    boolean machines = !unmet.isEmpty() && machinesSeen != rooms.machines();
+    if (underWay > 0
+        || SPACING.isMoreThan(since)
+        || seen == rooms.version() && !machines && LOOK_EVERY.isMoreThan(since)) {
+      return;
+    }
+    lookedAt = now;
+    machinesSeen = rooms.machines();
+    Reservation.Plan plan = rooms.plan(teams, share);
+    lacksSince.keySet().retainAll(plan.without().keySet());
+    plan.moves().stream()
+        .filter(
+            move ->
+                !move.zones().isEmpty()
+                    || !now.isBefore(
+                        lacksSince
+                            .computeIfAbsent(move.request().reference(), reference -> now)
+                            .plus(PATIENCE)))
+        .limit(MOST_AT_ONCE)
+        .forEach(this::send);
+    unmet = unmet(plan.unplaced());
+    seen = rooms.version();
+  }
 
-    private void send(Reservation.Move move) {
-        String reference = move.request().reference();
-        boolean loses = move.zones().isEmpty();
-        RequestCommand command = loses ? new RequestCommand.Lose(move.without()) : new RequestCommand.Place(move.zones());
-        rooms.expect(move.request().moved(move));
-        underWay++;
-        store.ask(book, reference, AgreedStore.Ask.own(command), answer -> {
-            underWay--;
-            if (!answer.isDurable() || !answer.why().isEmpty()) {
-                rooms.asRecorded(reference);
-            } else if (loses) {
-                LOG.info("request {} has lost its room: {}", reference, move.without());
-            }
+  private void send(Reservation.Move move) {
+    String reference = move.request().reference();
+    boolean loses = move.zones().isEmpty();
+    RequestCommand command =
+        loses ? new RequestCommand.Lose(move.without()) : new RequestCommand.Place(move.zones());
+    rooms.expect(move.request().moved(move));
+    underWay++;
+    store.ask(
+        book,
+        reference,
+        AgreedStore.Ask.own(command),
+        answer -> {
+          underWay--;
+          if (!answer.isDurable() || !answer.why().isEmpty()) {
+            rooms.asRecorded(reference);
+          } else if (loses) {
+            LOG.info("request {} has lost its room: {}", reference, move.without());
+          }
         });
-    }
+  }
 
-    /** What is rented for: what has no block, and what should be reserved and has no room. */
-    List<Admission.Unmet> with(List<Admission.Unmet> jobs) {
-        if (unmet.isEmpty()) {
-            return jobs;
-        }
-        List<Admission.Unmet> all = new ArrayList<>(jobs);
-        all.addAll(unmet);
-        return all;
+  /** What is rented for: what has no block, and what should be reserved and has no room. */
+  List<Admission.Unmet> with(List<Admission.Unmet> jobs) {
+    if (unmet.isEmpty()) {
+      return jobs;
     }
+    List<Admission.Unmet> all = new ArrayList<>(jobs);
+    all.addAll(unmet);
+    return all;
+  }
 
-    private static List<Admission.Unmet> unmet(List<Reservation.Unplaced> unplaced) {
-        List<Admission.Unmet> unmet = new ArrayList<>();
-        for (Reservation.Unplaced each : unplaced) {
-            if (each.zones().isEmpty()) {
-                unmet.add(unmet(each, null, each.missing()));
-            }
-            Set<String> zones = new TreeSet<>(each.zones());
-            zones.forEach(zone -> unmet.add(unmet(each, zone, (each.missing() + zones.size() - 1) / zones.size())));
-        }
-        return unmet;
+  private static List<Admission.Unmet> unmet(List<Reservation.Unplaced> unplaced) {
+    List<Admission.Unmet> unmet = new ArrayList<>();
+    for (Reservation.Unplaced each : unplaced) {
+      if (each.zones().isEmpty()) {
+        unmet.add(unmet(each, null, each.missing()));
+      }
+      Set<String> zones = new TreeSet<>(each.zones());
+      zones.forEach(
+          zone -> unmet.add(unmet(each, zone, (each.missing() + zones.size() - 1) / zones.size())));
     }
+    return unmet;
+  }
 
-    private static Admission.Unmet unmet(Reservation.Unplaced room, String zone, int missing) {
-        Resources each = room.slot().each();
-        Job job = new Job(NO_JOB, room.slot().lane(), room.slot().team(), Shape.SERVICE, Rank.PRODUCTION, room.tasks(), each, null, zone, false, zone == null,
-                false, "", 0, Span.ZERO, Span.ZERO, Span.ZERO, null);
-        return new Admission.Unmet(job, missing, zone == null ? room.found() : Map.of());
-    }
+  private static Admission.Unmet unmet(Reservation.Unplaced room, String zone, int missing) {
+    Resources each = room.slot().each();
+    Job job =
+        new Job(
+            NO_JOB,
+            room.slot().lane(),
+            room.slot().team(),
+            Shape.SERVICE,
+            Rank.PRODUCTION,
+            room.tasks(),
+            each,
+            null,
+            zone,
+            false,
+            zone == null,
+            false,
+            "",
+            0,
+            Span.ZERO,
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    return new Admission.Unmet(job, missing, zone == null ? room.found() : Map.of());
+  }
 }
--- a/src/main/java/org/quincecross/leader/Results.java
+++ b/src/main/java/org/quincecross/leader/Results.java
@@ -24,138 +24,161 @@
 /**
  * Makes completions durable, gathered so that they cost few changes.
  *
- * <p>What ends each wait: a completion waits at most {@link #GATHER} for more of its job, then for room in a transaction.
- * Only what is new is written, so a transaction that is too small for all leaves less for the next. A completion that a
- * lost controller had reported is reported by the next holder, from its machine, which keeps the result; where the machine
- * is lost too, the task is run again under its allocation.
+ * <p>What ends each wait: a completion waits at most {@link #GATHER} for more of its job, then for
+ * room in a transaction. Only what is new is written, so a transaction that is too small for all
+ * leaves less for the next. A completion that a lost controller had reported is reported by the
+ * next holder, from its machine, which keeps the result; where the machine is lost too, the task is
+ * run again under its allocation.
  */
 final class Results {
-    private static final Span GATHER = Span.ofSeconds(1.5);
+  private static final Span GATHER = Span.ofSeconds(1.5);
 
-    private final Timers timers;
-    private final Ledger ledger;
-    private final PeerViews views;
-    private final Books books;
-    private final LongSupplier clockMs;
-    private final Map<JobId, SteadyTime> since = new HashMap<>();
+  private final Timers timers;
+  private final Ledger ledger;
+  private final PeerViews views;
+  private final Books books;
+  private final LongSupplier clockMs;
+  private final Map<JobId, SteadyTime> since = new HashMap<>();
 
-    /** @param clockMs tells the time of day */
-    Results(Timers timers, Ledger ledger, PeerViews views, Books books, LongSupplier clockMs) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.views = views;
-        this.books = books;
-        this.clockMs = clockMs;
-    }
+  /**
+   * @param clockMs tells the time of day
+   */
+  Results(Timers timers, Ledger ledger, PeerViews views, Books books, LongSupplier clockMs) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.views = views;
+    this.books = books;
+    this.clockMs = clockMs;
+  }
 
-    /** Makes completions durable; a job whose last task is done becomes done in the same stroke. */
-    void plan(TxnPlan plan, Map<JobId, TaskSet> fresh) {
-        SteadyTime now = timers.now();
-        since.keySet().retainAll(fresh.keySet());
-        boolean due = false;
-        Map<JobId, TaskSet> unfinished = new LinkedHashMap<>();
-        for (Map.Entry<JobId, TaskSet> entry : fresh.entrySet()) {
-            JobId id = entry.getKey();
-            Books.Account account = books.account(id);
-            TaskSet all = account.done().copy();
-            all.addAll(entry.getValue());
-            if (all.size() < account.job().tasks()) {
-                // Its machine keeps the result until it is durable, so a part of a job may wait for more of it.
-                due |= now.since(since.computeIfAbsent(id, j -> now)).isMoreThan(GATHER);
-                unfinished.put(id, all);
-            } else {
-                JobRecord record = ledger.job(id);
-                plan.put(Keys.job(id), ledger.pipelines().hasFollowers(id) ? record.done(clockMs.getAsLong()) : record.done());
-            }
-        }
-        if (due) {
-            planParts(plan, unfinished, fresh);
-        }
+  /** Makes completions durable; a job whose last task is done becomes done in the same stroke. */
+  void plan(TxnPlan plan, Map<JobId, TaskSet> fresh) {
+    SteadyTime now = timers.now();
+    since.keySet().retainAll(fresh.keySet());
+    boolean due = false;
+    Map<JobId, TaskSet> unfinished = new LinkedHashMap<>();
+    for (Map.Entry<JobId, TaskSet> entry : fresh.entrySet()) {
+      JobId id = entry.getKey();
+      Books.Account account = books.account(id);
+      TaskSet all = account.done().copy();
+      all.addAll(entry.getValue());
+      if (all.size() < account.job().tasks()) {
+        // Its machine keeps the result until it is durable, so a part of a job may wait for more of
+        // it.
+        due |= now.since(since.computeIfAbsent(id, j -> now)).isMoreThan(GATHER);
+        unfinished.put(id, all);
+      } else {
+        JobRecord record = ledger.job(id);
+        plan.put(
+            Keys.job(id),
+            ledger.pipelines().hasFollowers(id) ? record.done(clockMs.getAsLong()) : record.done());
+      }
+    }
+    if (due) {
+      planParts(plan, unfinished, fresh);
     }
+  }
 
-    /** Writes the done tasks of unfinished jobs: most share pages, so that one change serves many jobs. */
-    private void planParts(TxnPlan plan, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
-        Map<Integer, Page> pages = new TreeMap<>();
-        Map<JobId, Integer> home = new HashMap<>();
-        ledger.pages().forEach((number, sets) -> {
-            Page page = new Page();
-            sets.forEach((job, set) -> {
-                if (books.account(job) != null) {
-                    page.put(job, set);
-                    home.put(job, number);
-                }
+  /**
+   * Writes the done tasks of unfinished jobs: most share pages, so that one change serves many
+   * jobs.
+   */
+  private void planParts(TxnPlan plan, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
+    Map<Integer, Page> pages = new TreeMap<>();
+    Map<JobId, Integer> home = new HashMap<>();
+    ledger
+        .pages()
+        .forEach(
+            (number, sets) -> {
+              Page page = new Page();
+              sets.forEach(
+                  (job, set) -> {
+                    if (books.account(job) != null) {
+                      page.put(job, set);
+                      home.put(job, number);
+                    }
+                  });
+              pages.put(number, page);
             });
-            pages.put(number, page);
-        });
-        int mostBytes = plan.mostValue();
-        Set<Integer> changed = new TreeSet<>();
-        unfinished.forEach((id, all) -> {
-            if (!DoneTasks.fitsPage(all) || ledger.hasChunks(id)) {
-                planChunks(plan, id, all, fresh.get(id));
-                return;
-            }
-            // It stays on its page while there is room: one that moved would have to be written to two.
-            Integer at = home.get(id);
-            int page = at != null && pages.get(at).bytesWith(id, all) <= mostBytes ? at : 0;
-            while (pages.containsKey(page) && pages.get(page).bytesWith(id, all) > mostBytes) {
-                page++;
-            }
-            pages.computeIfAbsent(page, p -> new Page()).put(id, all);
-            changed.add(page);
+    int mostBytes = plan.mostValue();
+    Set<Integer> changed = new TreeSet<>();
+    unfinished.forEach(
+        (id, all) -> {
+          if (!DoneTasks.fitsPage(all) || ledger.hasChunks(id)) {
+            planChunks(plan, id, all, fresh.get(id));
+            return;
+          }
+          // It stays on its page while there is room: one that moved would have to be written to
+          // two.
+          Integer at = home.get(id);
+          int page = at != null && pages.get(at).bytesWith(id, all) <= mostBytes ? at : 0;
+          while (pages.containsKey(page) && pages.get(page).bytesWith(id, all) > mostBytes) {
+            page++;
+          }
+          pages.computeIfAbsent(page, p -> new Page()).put(id, all);
+          changed.add(page);
         });
-        for (int page : changed) {
-            plan.put(Keys.page(page), DoneTasks.writePage(pages.get(page).jobs));
-        }
+    for (int page : changed) {
+      plan.put(Keys.page(page), DoneTasks.writePage(pages.get(page).jobs));
     }
+  }
 
-    /** A page as it is to be written, and how large it is: asked for every job that has news. */
-    private static final class Page {
-        private final Map<JobId, TaskSet> jobs = new LinkedHashMap<>();
-        private int bytes = DoneTasks.EMPTY_PAGE_BYTES;
+  /** A page as it is to be written, and how large it is: asked for every job that has news. */
+  private static final class Page {
+    private final Map<JobId, TaskSet> jobs = new LinkedHashMap<>();
+    private int bytes = DoneTasks.EMPTY_PAGE_BYTES;
 
-        int bytesWith(JobId job, TaskSet set) {
-            TaskSet before = jobs.get(job);
-            return bytes + DoneTasks.pageBytes(job, set) - (before == null ? 0 : DoneTasks.pageBytes(job, before));
-        }
+    int bytesWith(JobId job, TaskSet set) {
+      TaskSet before = jobs.get(job);
+      return bytes
+          + DoneTasks.pageBytes(job, set)
+          - (before == null ? 0 : DoneTasks.pageBytes(job, before));
+    }
 
-        void put(JobId job, TaskSet set) {
-            bytes = bytesWith(job, set);
-            jobs.put(job, set);
-        }
+    void put(JobId job, TaskSet set) {
+      bytes = bytesWith(job, set);
+      jobs.put(job, set);
     }
+  }
 
-    /** The done tasks of a job that is too large for a page. */
-    private static void planChunks(TxnPlan plan, JobId id, TaskSet all, TaskSet fresh) {
-        // Only those with something new: chunks written again would fill the transaction, and those after them never
-        // be written (docs/incidents/unanswered-start.md, "jobs larger than a transaction's chunks").
-        Set<Integer> chunks = new TreeSet<>();
-        for (int i = fresh.next(0); i >= 0; i = fresh.next((i / DoneTasks.CHUNK + 1) * DoneTasks.CHUNK)) {
-            chunks.add(i / DoneTasks.CHUNK);
-        }
-        for (int chunk : chunks) {
-            plan.put(Keys.done(id, chunk), DoneTasks.write(all, chunk));
-        }
+  /** The done tasks of a job that is too large for a page. */
+  private static void planChunks(TxnPlan plan, JobId id, TaskSet all, TaskSet fresh) {
+    // Only those with something new: chunks written again would fill the transaction, and those
+    // after them never
+    // be written (docs/incidents/unanswered-start.md, "jobs larger than a transaction's chunks").
+    Set<Integer> chunks = new TreeSet<>();
+    for (int i = fresh.next(0);
+        i >= 0;
+        i = fresh.next((i / DoneTasks.CHUNK + 1) * DoneTasks.CHUNK)) {
+      chunks.add(i / DoneTasks.CHUNK);
     }
+    for (int chunk : chunks) {
+      plan.put(Keys.done(id, chunk), DoneTasks.write(all, chunk));
+    }
+  }
 
-    /** The completions that holders report and that are not durable yet. */
-    Map<JobId, TaskSet> completions() {
-        Map<JobId, TaskSet> fresh = new LinkedHashMap<>();
-        for (PeerViews.View view : views.all()) {
-            for (PeerViews.BlockView block : view.blocks().values()) {
-                for (TaskId task : block.completed()) {
-                    JobRecord job = ledger.job(task.job());
-                    if (job != null && job.phase() == JobPhase.OPEN && task.index() < job.job().tasks()
-                            && !ledger.isDone(task.job(), task.index())) {
-                        TaskSet done = fresh.computeIfAbsent(task.job(), id -> new TaskSet());
-                        done.add(task.index());
-                        // A gang completes as one, also where the machine of one of its tasks is lost right after.
-                        for (int i = 0; job.job().shape() == Shape.GANG && i < job.job().tasks(); i++) {
-                            done.add(i);
-                        }
-                    }
-                }
+  /** The completions that holders report and that are not durable yet. */
+  Map<JobId, TaskSet> completions() {
+    Map<JobId, TaskSet> fresh = new LinkedHashMap<>();
+    for (PeerViews.View view : views.all()) {
+      for (PeerViews.BlockView block : view.blocks().values()) {
+        for (TaskId task : block.completed()) {
+          JobRecord job = ledger.job(task.job());
+          if (job != null
+              && job.phase() == JobPhase.OPEN
+              && task.index() < job.job().tasks()
+              && !ledger.isDone(task.job(), task.index())) {
+            TaskSet done = fresh.computeIfAbsent(task.job(), id -> new TaskSet());
+            done.add(task.index());
+            // A gang completes as one, also where the machine of one of its tasks is lost right
+            // after.
+            for (int i = 0; job.job().shape() == Shape.GANG && i < job.job().tasks(); i++) {
+              done.add(i);
             }
+          }
         }
-        return fresh;
+      }
     }
+    return fresh;
+  }
 }
--- a/src/main/java/org/quincecross/leader/SeenRoom.java
+++ b/src/main/java/org/quincecross/leader/SeenRoom.java
@@ -19,57 +19,75 @@
 
 /** The room on machines as their holders show it, and what of it nothing has taken for a while. */
 final class SeenRoom {
-    /** What has been given to a block starts within this where it has room: twice a report between controllers and a start. */
-    private static final Span STILL = Span.ofSeconds(4);
+  /**
+   * What has been given to a block starts within this where it has room: twice a report between
+   * controllers and a start.
+   */
+  private static final Span STILL = Span.ofSeconds(4);
 
-    /** The least room that a machine had since {@code since}, and in as long before. */
-    private record Least(Resources now, Resources before, SteadyTime since) {
-    }
+  /** The least room that a machine had since {@code since}, and in as long before. */
+  private record Least(Resources now, Resources before, SteadyTime since) {}
 
-    private final Map<BlockId, Map<MachineId, Least>> least = new HashMap<>();
+  private final Map<BlockId, Map<MachineId, Least>> least = new HashMap<>();
 
-    /** A block as admission sees it; of a holder that is not heard nothing is open. */
-    Admission.Block block(BlockLease lease, MachineType type, PeerViews.BlockView view, int mostBytes, SteadyTime now) {
-        List<Resources> free = new ArrayList<>();
-        List<Resources> soon = new ArrayList<>();
-        Map<String, Admission.ImageRoom> images = new HashMap<>();
-        Map<MachineId, Least> before = least.getOrDefault(lease.id(), Map.of());
-        Map<MachineId, Least> after = new LinkedHashMap<>();
-        for (MachineId machine : lease.machines().keySet()) {
-            PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
-            if (state == null || !state.open() || lease.leaving().contains(machine)) {
-                continue;
-            }
-            free.add(state.free());
-            soon.add(state.free().plus(state.yielding()));
-            Admission.ImageRoom room = new Admission.ImageRoom(state.free(), state.yielding());
-            state.images().forEach(image -> images.merge(image, room, Admission.ImageRoom::plus));
-            after.put(machine, next(before.get(machine), state.free(), now));
-        }
-        least.put(lease.id(), after);
-        Resources capacity = type == null ? Resources.NONE : type.capacity().times(free.size());
-        Admission.Block block = new Admission.Block(lease.id(), lease.type(), lease.zone(), lease.spot(), capacity, free, soon, images, mostBytes);
-        block.decline(view == null ? Set.of() : view.declined());
-        return block;
+  /** A block as admission sees it; of a holder that is not heard nothing is open. */
+  Admission.Block block(
+      BlockLease lease, MachineType type, PeerViews.BlockView view, int mostBytes, SteadyTime now) {
+    List<Resources> free = new ArrayList<>();
+    List<Resources> soon = new ArrayList<>();
+    Map<String, Admission.ImageRoom> images = new HashMap<>();
+    Map<MachineId, Least> before = least.getOrDefault(lease.id(), Map.of());
+    Map<MachineId, Least> after = new LinkedHashMap<>();
+    for (MachineId machine : lease.machines().keySet()) {
+      PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
+      if (state == null || !state.open() || lease.leaving().contains(machine)) {
+        continue;
+      }
+      free.add(state.free());
+      soon.add(state.free().plus(state.yielding()));
+      Admission.ImageRoom room = new Admission.ImageRoom(state.free(), state.yielding());
+      state.images().forEach(image -> images.merge(image, room, Admission.ImageRoom::plus));
+      after.put(machine, next(before.get(machine), state.free(), now));
     }
+    least.put(lease.id(), after);
+    Resources capacity = type == null ? Resources.NONE : type.capacity().times(free.size());
+    Admission.Block block =
+        new Admission.Block(
+            lease.id(),
+            lease.type(),
+            lease.zone(),
+            lease.spot(),
+            capacity,
+            free,
+            soon,
+            images,
+            mostBytes);
+    block.decline(view == null ? Set.of() : view.declined());
+    return block;
+  }
 
-    private static Least next(Least before, Resources free, SteadyTime now) {
-        return before == null ? new Least(free, Resources.NONE, now)
-                : now.since(before.since).isMoreThan(STILL) ? new Least(free, before.now, now)
-                : new Least(before.now.least(free), before.before, before.since);
-    }
+  private static Least next(Least before, Resources free, SteadyTime now) {
+    return before == null
+        ? new Least(free, Resources.NONE, now)
+        : now.since(before.since).isMoreThan(STILL)
+            ? new Least(free, before.now, now)
+            : new Least(before.now.least(free), before.before, before.since);
+  }
 
-    /** Of each machine of a block that takes work, the room that was there all the time for a few seconds at least. */
-    List<Resources> still(BlockId block, SteadyTime now) {
-        List<Resources> still = new ArrayList<>();
-        for (Least seen : least.getOrDefault(block, Map.of()).values()) {
-            still.add(now.since(seen.since).isMoreThan(STILL) ? seen.now : seen.now.least(seen.before));
-        }
-        return still;
+  /**
+   * Of each machine of a block that takes work, the room that was there all the time for a few
+   * seconds at least.
+   */
+  List<Resources> still(BlockId block, SteadyTime now) {
+    List<Resources> still = new ArrayList<>();
+    for (Least seen : least.getOrDefault(block, Map.of()).values()) {
+      still.add(now.since(seen.since).isMoreThan(STILL) ? seen.now : seen.now.least(seen.before));
     }
+    return still;
+  }
 
-    /** A block is no more. */
-    void forget(BlockId block) {
-        least.remove(block);
-    }
+  /** A block is no more. */
+  void forget(BlockId block) {
+    least.remove(block);
+  }
 }
--- a/src/main/java/org/quincecross/leader/TxnBounds.java
+++ b/src/main/java/org/quincecross/leader/TxnBounds.java
@@ -13,78 +13,91 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How large the leader's transactions may be: as the settings say, and after one that was too large all the same, smaller. What was
- * refused is not planned again as it was, so it holds nothing else up. With settings that are right nothing is ever refused; they
- * may say too much where the platform was told too late, and then work goes on in smaller steps.
+ * How large the leader's transactions may be: as the settings say, and after one that was too large
+ * all the same, smaller. What was refused is not planned again as it was, so it holds nothing else
+ * up. With settings that are right nothing is ever refused; they may say too much where the
+ * platform was told too late, and then work goes on in smaller steps.
  *
- * <p>What ends each wait: a record that was refused may be written again after {@link #ASIDE}, at once where it is smaller; the bounds go
- * back to what the settings say by doubling, once for each {@link #ASIDE} without a refusal.
+ * <p>What ends each wait: a record that was refused may be written again after {@link #ASIDE}, at
+ * once where it is smaller; the bounds go back to what the settings say by doubling, once for each
+ * {@link #ASIDE} without a refusal.
  */
 final class TxnBounds {
-    private static final Logger LOG = LoggerFactory.getLogger(TxnBounds.class);
-    private static final Span ASIDE = Span.ofSeconds(10);
-    /** A block and its two records, or the level with the two places of the leadership, go together. */
-    private static final int LEAST_CHANGES = 3;
-    /** A chunk of done tasks and a job are smaller. */
-    private static final int LEAST_VALUE = 1024;
+  private static final Logger LOG = LoggerFactory.getLogger(TxnBounds.class);
+  private static final Span ASIDE = Span.ofSeconds(10);
 
-    private record Refusal(int bytes, SteadyTime until) {
-    }
+  /**
+   * A block and its two records, or the level with the two places of the leadership, go together.
+   */
+  private static final int LEAST_CHANGES = 3;
 
-    private final Settings.StateLimits limits;
-    private final Map<String, Refusal> refusals = new HashMap<>();
-    private int changes;
-    private int value;
-    private SteadyTime refusedAt;
+  /** A chunk of done tasks and a job are smaller. */
+  private static final int LEAST_VALUE = 1024;
 
-    TxnBounds(Settings.StateLimits limits) {
-        this.limits = limits;
-        this.changes = limits.txnChanges();
-        this.value = limits.plannedValue();
-    }
+  private record Refusal(int bytes, SteadyTime until) {}
 
-    /** The most changes of a transaction. */
-    int changes() {
-        return changes;
-    }
+  private final Settings.StateLimits limits;
+  private final Map<String, Refusal> refusals = new HashMap<>();
+  private int changes;
+  private int value;
+  private SteadyTime refusedAt;
 
-    /** The most bytes of a value. */
-    int value() {
-        return value;
-    }
+  TxnBounds(Settings.StateLimits limits) {
+    this.limits = limits;
+    this.changes = limits.txnChanges();
+    this.value = limits.plannedValue();
+  }
 
-    /** A transaction that is to have at most so many changes. */
-    TxnPlan plan(Ledger ledger, int most, SteadyTime now) {
-        refusals.values().removeIf(refusal -> refusal.until().isBefore(now));
-        if (refusedAt != null && now.since(refusedAt).isMoreThan(ASIDE)) {
-            changes = Math.min(limits.txnChanges(), 2 * changes);
-            value = Math.min(limits.plannedValue(), 2 * value);
-            refusedAt = changes == limits.txnChanges() && value == limits.plannedValue() ? null : now;
-        }
-        return new TxnPlan(ledger, most, value, (key, bytes) -> !refusals.containsKey(key) || bytes < refusals.get(key).bytes());
+  /** The most changes of a transaction. */
+  int changes() {
+    return changes;
+  }
+
+  /** The most bytes of a value. */
+  int value() {
+    return value;
+  }
+
+  /** A transaction that is to have at most so many changes. */
+  TxnPlan plan(Ledger ledger, int most, SteadyTime now) {
+    refusals.values().removeIf(refusal -> refusal.until().isBefore(now));
+    if (refusedAt != null && now.since(refusedAt).isMoreThan(ASIDE)) {
+      changes = Math.min(limits.txnChanges(), 2 * changes);
+      value = Math.min(limits.plannedValue(), 2 * value);
+      refusedAt = changes == limits.txnChanges() && value == limits.plannedValue() ? null : now;
     }
+    return new TxnPlan(
+        ledger,
+        most,
+        value,
+        (key, bytes) -> !refusals.containsKey(key) || bytes < refusals.get(key).bytes());
+  }
 
-    /** A transaction with these changes was too large. */
-    void refused(List<Change> refused, SteadyTime now) {
-        refusedAt = now;
-        if (refused.size() > LEAST_CHANGES) {
-            changes = Math.max(LEAST_CHANGES, refused.size() / 2);
-        } else {
-            value = Math.max(Math.min(LEAST_VALUE, limits.plannedValue()), value / 2);
-            String largest = null;
-            int most = 0;
-            for (Change change : refused) {
-                int bytes = change.value() == null ? 0 : Json.write(change.value()).length;
-                if (bytes > most) {
-                    most = bytes;
-                    largest = change.key();
-                }
-            }
-            if (largest != null) {
-                refusals.put(largest, new Refusal(most, now.plus(ASIDE)));
-            }
+  /** A transaction with these changes was too large. */
+  void refused(List<Change> refused, SteadyTime now) {
+    refusedAt = now;
+    if (refused.size() > LEAST_CHANGES) {
+      changes = Math.max(LEAST_CHANGES, refused.size() / 2);
+    } else {
+      value = Math.max(Math.min(LEAST_VALUE, limits.plannedValue()), value / 2);
+      String largest = null;
+      int most = 0;
+      for (Change change : refused) {
+        int bytes = change.value() == null ? 0 : Json.write(change.value()).length;
+        if (bytes > most) {
+          most = bytes;
+          largest = change.key();
         }
-        LOG.warn("the state service takes no transaction of {} changes, one in {}; planned smaller: {} changes, {} bytes a value",
-                refused.size(), refused.stream().map(Change::key).findFirst().orElse("none"), changes, value);
+      }
+      if (largest != null) {
+        refusals.put(largest, new Refusal(most, now.plus(ASIDE)));
+      }
     }
+    LOG.warn(
+        "the state service takes no transaction of {} changes, one in {}; planned smaller: {} changes, {} bytes a value",
+        refused.size(),
+        refused.stream().map(Change::key).findFirst().orElse("none"),
+        changes,
+        value);
+  }
 }
--- a/src/main/java/org/quincecross/leader/TxnPlan.java
+++ b/src/main/java/org/quincecross/leader/TxnPlan.java
@@ -12,99 +12,110 @@
 import org.quincecross.wire.StateCodec.Change;
 import org.quincecross.wire.StateCodec.Guard;
 
-/** A transaction being put together: every changed key is guarded by its version, and the limits are kept. */
+/**
+ * A transaction being put together: every changed key is guarded by its version, and the limits are
+ * kept.
+ */
 final class TxnPlan {
-    /** What a transaction may hold overall, less room for its guards. */
-    private static final int MOST_BYTES = 40 * 1024;
+  /** What a transaction may hold overall, less room for its guards. */
+  private static final int MOST_BYTES = 40 * 1024;
 
-    private final Ledger ledger;
-    private final int mostChanges;
-    private final int mostValue;
-    private final BiPredicate<String, Integer> mayPut;
-    private final List<Guard> guards = new ArrayList<>();
-    private final List<Change> changes = new ArrayList<>();
-    private int bytes;
+  private final Ledger ledger;
+  private final int mostChanges;
+  private final int mostValue;
+  private final BiPredicate<String, Integer> mayPut;
+  private final List<Guard> guards = new ArrayList<>();
+  private final List<Change> changes = new ArrayList<>();
+  private int bytes;
 
-    TxnPlan(Ledger ledger, int mostChanges, int mostValue) {
-        this(ledger, mostChanges, mostValue, (key, bytes) -> true);
-    }
+  TxnPlan(Ledger ledger, int mostChanges, int mostValue) {
+    this(ledger, mostChanges, mostValue, (key, bytes) -> true);
+  }
 
-    /** @param mayPut whether a value of so many bytes may be put there */
-    TxnPlan(Ledger ledger, int mostChanges, int mostValue, BiPredicate<String, Integer> mayPut) {
-        this.mayPut = mayPut;
-        this.ledger = ledger;
-        this.mostChanges = mostChanges;
-        this.mostValue = mostValue;
-    }
+  /**
+   * @param mayPut whether a value of so many bytes may be put there
+   */
+  TxnPlan(Ledger ledger, int mostChanges, int mostValue, BiPredicate<String, Integer> mayPut) {
+    this.mayPut = mayPut;
+    this.ledger = ledger;
+    this.mostChanges = mostChanges;
+    this.mostValue = mostValue;
+  }
 
-    /** By what all is guarded that a leader plans: who leads, the level, and from level 3 on what keeps tasks back. */
-    void guardAll() {
-        guard(ledger.leaderKey());
-        // What is decided by the level's features is of no use under another level.
-        guard(Keys.LEVEL);
-        if (Feature.AGREED_RECORDS.isIn(ledger.level().level())) {
-            guard(Keys.AGREED_FENCE); // what was planned before tasks were kept back may allocate them
-        }
+  /**
+   * By what all is guarded that a leader plans: who leads, the level, and from level 3 on what
+   * keeps tasks back.
+   */
+  void guardAll() {
+    guard(ledger.leaderKey());
+    // What is decided by the level's features is of no use under another level.
+    guard(Keys.LEVEL);
+    if (Feature.AGREED_RECORDS.isIn(ledger.level().level())) {
+      guard(Keys.AGREED_FENCE); // what was planned before tasks were kept back may allocate them
     }
+  }
 
-    void guard(String key) {
-        Revision version = ledger.version(key);
-        guards.add(new Guard(key, version));
-    }
+  void guard(String key) {
+    Revision version = ledger.version(key);
+    guards.add(new Guard(key, version));
+  }
 
-    int room() {
-        return mostChanges - changes.size();
-    }
+  int room() {
+    return mostChanges - changes.size();
+  }
 
-    boolean isEmpty() {
-        return changes.isEmpty();
-    }
+  boolean isEmpty() {
+    return changes.isEmpty();
+  }
 
-    /** The largest value that the state service takes. */
-    int mostValue() {
-        return mostValue;
-    }
+  /** The largest value that the state service takes. */
+  int mostValue() {
+    return mostValue;
+  }
 
-    /** Adds a put that is of use only while another key has the version that it has now; false if there is no room for it. */
-    boolean put(String key, Map<String, Object> value, String other) {
-        boolean isIn = put(key, value);
-        if (isIn) {
-            guard(other);
-        }
-        return isIn;
+  /**
+   * Adds a put that is of use only while another key has the version that it has now; false if
+   * there is no room for it.
+   */
+  boolean put(String key, Map<String, Object> value, String other) {
+    boolean isIn = put(key, value);
+    if (isIn) {
+      guard(other);
     }
+    return isIn;
+  }
 
-    /** Adds a put; false if the transaction is full or the value too large for the state service. */
-    boolean put(String key, Map<String, Object> value) {
-        if (room() < 1) {
-            return false;
-        }
-        int length = Json.write(value).length;
-        int size = length + key.length() + 64;
-        if (length > mostValue || bytes + size > MOST_BYTES || !mayPut.test(key, length)) {
-            return false;
-        }
-        bytes += size;
-        guard(key);
-        changes.add(Change.put(key, value));
-        return true;
+  /** Adds a put; false if the transaction is full or the value too large for the state service. */
+  boolean put(String key, Map<String, Object> value) {
+    if (room() < 1) {
+      return false;
     }
-
-    /** Adds a delete; false if the transaction is full. */
-    boolean delete(String key) {
-        if (room() < 1) {
-            return false;
-        }
-        guard(key);
-        changes.add(Change.delete(key));
-        return true;
+    int length = Json.write(value).length;
+    int size = length + key.length() + 64;
+    if (length > mostValue || bytes + size > MOST_BYTES || !mayPut.test(key, length)) {
+      return false;
     }
+    bytes += size;
+    guard(key);
+    changes.add(Change.put(key, value));
+    return true;
+  }
 
-    List<Guard> guards() {
-        return guards;
+  /** Adds a delete; false if the transaction is full. */
+  boolean delete(String key) {
+    if (room() < 1) {
+      return false;
     }
+    guard(key);
+    changes.add(Change.delete(key));
+    return true;
+  }
 
-    List<Change> changes() {
-        return changes;
-    }
+  List<Guard> guards() {
+    return guards;
+  }
+
+  List<Change> changes() {
+    return changes;
+  }
 }
--- a/src/main/java/org/quincecross/leader/TypeRecords.java
+++ b/src/main/java/org/quincecross/leader/TypeRecords.java
@@ -10,38 +10,45 @@
 import org.quincecross.wire.CloudCodec;
 
 /**
- * Writes the machine types that the cloud offers, those that are new or have changed together: a controller that knows some of them would
- * tell users of a job for another that it can never run (docs/incidents/some-of-the-types.md).
+ * Writes the machine types that the cloud offers, those that are new or have changed together: a
+ * controller that knows some of them would tell users of a job for another that it can never run
+ * (docs/incidents/some-of-the-types.md).
  *
- * <p>What ends the wait for room for all: the budget for changes, which refills, or {@link #PATIENCE}, where a transaction never has so much.
+ * <p>What ends the wait for room for all: the budget for changes, which refills, or {@link
+ * #PATIENCE}, where a transaction never has so much.
  */
 final class TypeRecords {
-    private static final Span PATIENCE = Span.ofSeconds(3);
+  private static final Span PATIENCE = Span.ofSeconds(3);
 
-    private final Ledger ledger;
-    private SteadyTime waitsSince;
+  private final Ledger ledger;
+  private SteadyTime waitsSince;
 
-    TypeRecords(Ledger ledger) {
-        this.ledger = ledger;
-    }
+  TypeRecords(Ledger ledger) {
+    this.ledger = ledger;
+  }
 
-    /** Adds to a transaction what is to be written; false where nothing should be written before there is room for all of it. */
-    boolean plan(TxnPlan plan, Collection<MachineType> catalog, SteadyTime now) {
-        List<MachineType> news = catalog.stream().filter(this::isNews).toList();
-        if (news.size() > plan.room()) {
-            waitsSince = waitsSince == null ? now : waitsSince;
-            if (!now.since(waitsSince).isMoreThan(PATIENCE)) {
-                return false;
-            }
-        } else {
-            waitsSince = null;
-        }
-        news.forEach(type -> plan.put(Keys.type(type.name()), CloudCodec.writeCatalog(List.of(type))));
-        return true;
+  /**
+   * Adds to a transaction what is to be written; false where nothing should be written before there
+   * is room for all of it.
+   */
+  boolean plan(TxnPlan plan, Collection<MachineType> catalog, SteadyTime now) {
+    List<MachineType> news = catalog.stream().filter(this::isNews).toList();
+    if (news.size() > plan.room()) {
+      waitsSince = waitsSince == null ? now : waitsSince;
+      if (!now.since(waitsSince).isMoreThan(PATIENCE)) {
+        return false;
+      }
+    } else {
+      waitsSince = null;
     }
+    news.forEach(type -> plan.put(Keys.type(type.name()), CloudCodec.writeCatalog(List.of(type))));
+    return true;
+  }
 
-    private boolean isNews(MachineType type) {
-        MachineType known = ledger.types().get(type.name());
-        return known == null || !known.capacity().equals(type.capacity()) || !known.zones().equals(type.zones());
-    }
+  private boolean isNews(MachineType type) {
+    MachineType known = ledger.types().get(type.name());
+    return known == null
+        || !known.capacity().equals(type.capacity())
+        || !known.zones().equals(type.zones());
+  }
 }
--- a/src/main/java/org/quincecross/model/Aim.java
+++ b/src/main/java/org/quincecross/model/Aim.java
@@ -8,6 +8,9 @@
  * @param within from the acceptance of the job
  */
 public record Aim(String name, Of of, Span within) {
-    /** What an aim is about. */
-    public enum Of { EACH_START, END }
+  /** What an aim is about. */
+  public enum Of {
+    EACH_START,
+    END
+  }
 }
--- a/src/main/java/org/quincecross/model/MachineId.java
+++ b/src/main/java/org/quincecross/model/MachineId.java
@@ -2,23 +2,23 @@
 
 /** A machine, by the name the cloud gave it. */
 public record MachineId(String text) implements Comparable<MachineId> {
-    @Override
-    public boolean equals(Object other) {
-        return other instanceof MachineId id && id.text.equals(text);
-    }
+  @Override
+  public boolean equals(Object other) {
+    return other instanceof MachineId id && id.text.equals(text);
+  }
 
-    @Override
-    public int hashCode() {
-        return text.hashCode();
-    }
+  @Override
+  public int hashCode() {
+    return text.hashCode();
+  }
 
-    @Override
-    public int compareTo(MachineId other) {
-        return text.compareTo(other.text);
-    }
+  @Override
+  public int compareTo(MachineId other) {
+    return text.compareTo(other.text);
+  }
 
-    @Override
-    public String toString() {
-        return text;
-    }
+  @Override
+  public String toString() {
+    return text;
+  }
 }
--- a/src/main/java/org/quincecross/model/Rank.java
+++ b/src/main/java/org/quincecross/model/Rank.java
@@ -2,9 +2,12 @@
 
 /** The priority of a job, the least urgent first. */
 public enum Rank {
-    LOW, NORMAL, HIGH, PRODUCTION;
+  LOW,
+  NORMAL,
+  HIGH,
+  PRODUCTION;
 
-    public boolean isAbove(Rank other) {
-        return ordinal() > other.ordinal();
-    }
+  public boolean isAbove(Rank other) {
+    return ordinal() > other.ordinal();
+  }
 }
--- a/src/main/java/org/quincecross/model/TaskId.java
+++ b/src/main/java/org/quincecross/model/TaskId.java
@@ -2,46 +2,46 @@
 
 /** One task of a job, numbered from 0. */
 public record TaskId(JobId job, int index) implements Comparable<TaskId> {
-    /** The task in text such as {@code job-000412/3}, or null when the text is something else. */
-    public static TaskId parse(String text) {
-        int slash = text.indexOf('/');
-        if (slash < 0) {
-            return null;
-        }
-        JobId job = JobId.parse(text.substring(0, slash));
-        String digits = text.substring(slash + 1);
-        if (job == null || digits.isEmpty() || digits.length() > 6) {
-            return null;
-        }
-        int index = 0;
-        for (int i = 0; i < digits.length(); i++) {
-            char c = digits.charAt(i);
-            if (c < '0' || c > '9') {
-                return null;
-            }
-            index = index * 10 + (c - '0');
-        }
-        return new TaskId(job, index);
+  /** The task in text such as {@code job-000412/3}, or null when the text is something else. */
+  public static TaskId parse(String text) {
+    int slash = text.indexOf('/');
+    if (slash < 0) {
+      return null;
     }
-
-    @Override
-    public boolean equals(Object other) {
-        return other instanceof TaskId task && task.index == index && task.job.equals(job);
+    JobId job = JobId.parse(text.substring(0, slash));
+    String digits = text.substring(slash + 1);
+    if (job == null || digits.isEmpty() || digits.length() > 6) {
+      return null;
     }
-
-    @Override
-    public int hashCode() {
-        return job.hashCode() * 31 + index;
+    int index = 0;
+    for (int i = 0; i < digits.length(); i++) {
+      char c = digits.charAt(i);
+      if (c < '0' || c > '9') {
+        return null;
+      }
+      index = index * 10 + (c - '0');
     }
+    return new TaskId(job, index);
+  }
 
-    @Override
-    public int compareTo(TaskId other) {
-        int byJob = job.compareTo(other.job);
-        return byJob != 0 ? byJob : Integer.compare(index, other.index);
-    }
+  @Override
+  public boolean equals(Object other) {
+    return other instanceof TaskId task && task.index == index && task.job.equals(job);
+  }
 
-    @Override
-    public String toString() {
-        return job.text() + "/" + index;
-    }
+  @Override
+  public int hashCode() {
+    return job.hashCode() * 31 + index;
+  }
+
+  @Override
+  public int compareTo(TaskId other) {
+    int byJob = job.compareTo(other.job);
+    return byJob != 0 ? byJob : Integer.compare(index, other.index);
+  }
+
+  @Override
+  public String toString() {
+    return job.text() + "/" + index;
+  }
 }
--- a/src/main/java/org/quincecross/model/TaskSet.java
+++ b/src/main/java/org/quincecross/model/TaskSet.java
@@ -3,225 +3,229 @@
 import java.util.Arrays;
 
 /**
- * A set of task numbers, written as ranges ({@code 0-15,17}): short for the runs that jobs are made of. Kept as bits, and
- * asked how many it has in common with another far more often than changed, so that this allocates nothing.
+ * A set of task numbers, written as ranges ({@code 0-15,17}): short for the runs that jobs are made
+ * of. Kept as bits, and asked how many it has in common with another far more often than changed,
+ * so that this allocates nothing.
  */
 public final class TaskSet {
-    private static final int BITS = 64;
-    private static final long[] NONE = new long[0];
-
-    private long[] words;
-    private int size;
-
-    public TaskSet() {
-        this(NONE, 0);
-    }
-
-    private TaskSet(long[] words, int size) {
-        this.words = words;
-        this.size = size;
-    }
-
-    /** The set in {@code text}, or null when it is not one or names a task at or beyond {@code limit}. */
-    public static TaskSet parse(String text, int limit) {
-        TaskSet set = new TaskSet();
-        int at = 0;
-        while (at < text.length()) {
-            int end = text.indexOf(',', at);
-            end = end < 0 ? text.length() : end;
-            int dash = text.indexOf('-', at);
-            int first = number(text, at, dash < 0 || dash > end ? end : dash);
-            int last = dash < 0 || dash > end ? first : number(text, dash + 1, end);
-            if (first < 0 || last < first || last >= limit || end == text.length() - 1) {
-                return null;
-            }
-            set.addRange(first, last + 1);
-            at = end + 1;
-        }
-        return set;
-    }
-
-    private static int number(String text, int from, int to) {
-        if (from >= to || to - from > 9) {
-            return -1;
-        }
-        int number = 0;
-        for (int i = from; i < to; i++) {
-            char c = text.charAt(i);
-            if (c < '0' || c > '9') {
-                return -1;
-            }
-            number = number * 10 + (c - '0');
-        }
-        return number;
-    }
-
-    public TaskSet copy() {
-        return new TaskSet(words.clone(), size);
-    }
-
-    public boolean has(int index) {
-        int word = index / BITS;
-        return word < words.length && (words[word] >>> index & 1) != 0;
-    }
-
-    private void reach(int word) {
-        if (word >= words.length) {
-            words = Arrays.copyOf(words, Math.max(word + 1, Math.min(2 * words.length, word + 16)));
-        }
-    }
-
-    public void add(int index) {
-        reach(index / BITS);
-        long bit = 1L << index;
-        if ((words[index / BITS] & bit) == 0) {
-            words[index / BITS] |= bit;
-            size++;
-        }
-    }
-
-    private void addRange(int from, int to) {
-        if (to > from) {
-            reach((to - 1) / BITS);
-        }
-        for (int word = from / BITS; word * BITS < to; word++) {
-            long bits = -1L;
-            bits = from > word * BITS ? bits << from : bits;
-            bits = to < (word + 1) * BITS ? bits & (1L << to) - 1 : bits;
-            size += Long.bitCount(bits & ~words[word]);
-            words[word] |= bits;
-        }
-    }
-
-    public void addAll(TaskSet other) {
-        if (other.words.length > 0) {
-            reach(other.words.length - 1);
-        }
-        for (int i = 0; i < other.words.length; i++) {
-            size += Long.bitCount(other.words[i] & ~words[i]);
-            words[i] |= other.words[i];
-        }
-    }
-
-    public void remove(int index) {
-        if (has(index)) {
-            words[index / BITS] &= ~(1L << index);
-            size--;
-        }
-    }
-
-    /** A copy that lacks one member. */
-    public TaskSet without(int index) {
-        TaskSet fewer = copy();
-        fewer.remove(index);
-        return fewer;
-    }
-
-    public int size() {
-        return size;
-    }
-
-    public boolean isEmpty() {
-        return size == 0;
-    }
-
-    /** The first member at or after {@code from}, or -1. */
-    public int next(int from) {
-        for (int word = from / BITS; word < words.length; word++) {
-            long bits = word == from / BITS ? words[word] & -1L << from : words[word];
-            if (bits != 0) {
-                return word * BITS + Long.numberOfTrailingZeros(bits);
-            }
-        }
+  private static final int BITS = 64;
+  private static final long[] NONE = new long[0];
+
+  private long[] words;
+  private int size;
+
+  public TaskSet() {
+    this(NONE, 0);
+  }
+
+  private TaskSet(long[] words, int size) {
+    this.words = words;
+    this.size = size;
+  }
+
+  /**
+   * The set in {@code text}, or null when it is not one or names a task at or beyond {@code limit}.
+   */
+  public static TaskSet parse(String text, int limit) {
+    TaskSet set = new TaskSet();
+    int at = 0;
+    while (at < text.length()) {
+      int end = text.indexOf(',', at);
+      end = end < 0 ? text.length() : end;
+      int dash = text.indexOf('-', at);
+      int first = number(text, at, dash < 0 || dash > end ? end : dash);
+      int last = dash < 0 || dash > end ? first : number(text, dash + 1, end);
+      if (first < 0 || last < first || last >= limit || end == text.length() - 1) {
+        return null;
+      }
+      set.addRange(first, last + 1);
+      at = end + 1;
+    }
+    return set;
+  }
+
+  private static int number(String text, int from, int to) {
+    if (from >= to || to - from > 9) {
+      return -1;
+    }
+    int number = 0;
+    for (int i = from; i < to; i++) {
+      char c = text.charAt(i);
+      if (c < '0' || c > '9') {
         return -1;
-    }
-
-    /** The first number after {@code from} that is no member. */
-    private int after(int from) {
-        for (int word = from / BITS; word < words.length; word++) {
-            long bits = word == from / BITS ? ~words[word] & -1L << from : ~words[word];
-            if (bits != 0) {
-                return word * BITS + Long.numberOfTrailingZeros(bits);
-            }
-        }
-        return words.length * BITS;
-    }
-
-    /** The most that the text of so many of a job's tasks can take. */
-    public static int mostBytes(int jobTasks, int tasks) {
-        return tasks * (1 + digits(jobTasks));
-    }
-
-    private static int digits(int number) {
-        int digits = 1;
-        for (int rest = number / 10; rest > 0; rest /= 10) {
-            digits++;
-        }
-        return digits;
-    }
-
-    /** How long the text of this set is. */
-    public int textLength() {
-        int length = 0;
-        for (int first = next(0); first >= 0; ) {
-            int after = after(first);
-            length += (length > 0 ? 1 : 0) + digits(first) + (after - first > 1 ? 1 + digits(after - 1) : 0);
-            first = next(after);
-        }
-        return length;
-    }
-
-    public void removeAll(TaskSet other) {
-        for (int i = 0; i < Math.min(words.length, other.words.length); i++) {
-            size -= Long.bitCount(words[i] & other.words[i]);
-            words[i] &= ~other.words[i];
-        }
-    }
-
-    /** How many members this set has in common with another. */
-    public int common(TaskSet other) {
-        int common = 0;
-        for (int i = 0; i < Math.min(words.length, other.words.length); i++) {
-            common += Long.bitCount(words[i] & other.words[i]);
-        }
-        return common;
-    }
-
-    /** The numbers from 0 to below {@code end}. */
-    public static TaskSet below(int end) {
-        TaskSet all = new TaskSet();
-        all.addRange(0, end);
-        return all;
-    }
-
-    @Override
-    public boolean equals(Object other) {
-        return other instanceof TaskSet set && set.size == size && set.common(this) == size;
-    }
-
-    @Override
-    public int hashCode() {
-        int hash = 0;
-        for (int i = 0; i < words.length; i++) {
-            hash += Long.hashCode(words[i]) * (i + 1);
-        }
-        return hash;
-    }
-
-    @Override
-    public String toString() {
-        StringBuilder out = new StringBuilder();
-        for (int first = next(0); first >= 0; ) {
-            if (out.length() > 0) {
-                out.append(',');
-            }
-            int after = after(first);
-            out.append(first);
-            if (after - first > 1) {
-                out.append('-').append(after - 1);
-            }
-            first = next(after);
-        }
-        return out.toString();
-    }
+      }
+      number = number * 10 + (c - '0');
+    }
+    return number;
+  }
+
+  public TaskSet copy() {
+    return new TaskSet(words.clone(), size);
+  }
+
+  public boolean has(int index) {
+    int word = index / BITS;
+    return word < words.length && (words[word] >>> index & 1) != 0;
+  }
+
+  private void reach(int word) {
+    if (word >= words.length) {
+      words = Arrays.copyOf(words, Math.max(word + 1, Math.min(2 * words.length, word + 16)));
+    }
+  }
+
+  public void add(int index) {
+    reach(index / BITS);
+    long bit = 1L << index;
+    if ((words[index / BITS] & bit) == 0) {
+      words[index / BITS] |= bit;
+      size++;
+    }
+  }
+
+  private void addRange(int from, int to) {
+    if (to > from) {
+      reach((to - 1) / BITS);
+    }
+    for (int word = from / BITS; word * BITS < to; word++) {
+      long bits = -1L;
+      bits = from > word * BITS ? bits << from : bits;
+      bits = to < (word + 1) * BITS ? bits & (1L << to) - 1 : bits;
+      size += Long.bitCount(bits & ~words[word]);
+      words[word] |= bits;
+    }
+  }
+
+  public void addAll(TaskSet other) {
+    if (other.words.length > 0) {
+      reach(other.words.length - 1);
+    }
+    for (int i = 0; i < other.words.length; i++) {
+      size += Long.bitCount(other.words[i] & ~words[i]);
+      words[i] |= other.words[i];
+    }
+  }
+
+  public void remove(int index) {
+    if (has(index)) {
+      words[index / BITS] &= ~(1L << index);
+      size--;
+    }
+  }
+
+  /** A copy that lacks one member. */
+  public TaskSet without(int index) {
+    TaskSet fewer = copy();
+    fewer.remove(index);
+    return fewer;
+  }
+
+  public int size() {
+    return size;
+  }
+
+  public boolean isEmpty() {
+    return size == 0;
+  }
+
+  /** The first member at or after {@code from}, or -1. */
+  public int next(int from) {
+    for (int word = from / BITS; word < words.length; word++) {
+      long bits = word == from / BITS ? words[word] & -1L << from : words[word];
+      if (bits != 0) {
+        return word * BITS + Long.numberOfTrailingZeros(bits);
+      }
+    }
+    return -1;
+  }
+
+  /** The first number after {@code from} that is no member. */
+  private int after(int from) {
+    for (int word = from / BITS; word < words.length; word++) {
+      long bits = word == from / BITS ? ~words[word] & -1L << from : ~words[word];
+      if (bits != 0) {
+        return word * BITS + Long.numberOfTrailingZeros(bits);
+      }
+    }
+    return words.length * BITS;
+  }
+
+  /** The most that the text of so many of a job's tasks can take. */
+  public static int mostBytes(int jobTasks, int tasks) {
+    return tasks * (1 + digits(jobTasks));
+  }
+
+  private static int digits(int number) {
+    int digits = 1;
+    for (int rest = number / 10; rest > 0; rest /= 10) {
+      digits++;
+    }
+    return digits;
+  }
+
+  /** How long the text of this set is. */
+  public int textLength() {
+    int length = 0;
+    for (int first = next(0); first >= 0; ) {
+      int after = after(first);
+      length +=
+          (length > 0 ? 1 : 0) + digits(first) + (after - first > 1 ? 1 + digits(after - 1) : 0);
+      first = next(after);
+    }
+    return length;
+  }
+
+  public void removeAll(TaskSet other) {
+    for (int i = 0; i < Math.min(words.length, other.words.length); i++) {
+      size -= Long.bitCount(words[i] & other.words[i]);
+      words[i] &= ~other.words[i];
+    }
+  }
+
+  /** How many members this set has in common with another. */
+  public int common(TaskSet other) {
+    int common = 0;
+    for (int i = 0; i < Math.min(words.length, other.words.length); i++) {
+      common += Long.bitCount(words[i] & other.words[i]);
+    }
+    return common;
+  }
+
+  /** The numbers from 0 to below {@code end}. */
+  public static TaskSet below(int end) {
+    TaskSet all = new TaskSet();
+    all.addRange(0, end);
+    return all;
+  }
+
+  @Override
+  public boolean equals(Object other) {
+    return other instanceof TaskSet set && set.size == size && set.common(this) == size;
+  }
+
+  @Override
+  public int hashCode() {
+    int hash = 0;
+    for (int i = 0; i < words.length; i++) {
+      hash += Long.hashCode(words[i]) * (i + 1);
+    }
+    return hash;
+  }
+
+  @Override
+  public String toString() {
+    StringBuilder out = new StringBuilder();
+    for (int first = next(0); first >= 0; ) {
+      if (out.length() > 0) {
+        out.append(',');
+      }
+      int after = after(first);
+      out.append(first);
+      if (after - first > 1) {
+        out.append('-').append(after - 1);
+      }
+      first = next(after);
+    }
+    return out.toString();
+  }
 }
--- a/src/main/java/org/quincecross/model/Team.java
+++ b/src/main/java/org/quincecross/model/Team.java
@@ -5,5 +5,4 @@
  *
  * @param limit infinite where the team has no limit
  */
-public record Team(String name, Resources guarantee, Resources limit) {
-}
+public record Team(String name, Resources guarantee, Resources limit) {}
--- a/src/main/java/org/quincecross/models/DemandSum.java
+++ b/src/main/java/org/quincecross/models/DemandSum.java
@@ -10,63 +10,76 @@
 import org.quincecross.model.SteadyTime;
 
 /**
- * The demand that all controllers have seen, as a leader has been told. What one that is away said last counts until its lease is
- * over; of one that is there and has said nothing yet nothing is known, and so no model is idle.
+ * The demand that all controllers have seen, as a leader has been told. What one that is away said
+ * last counts until its lease is over; of one that is there and has said nothing yet nothing is
+ * known, and so no model is idle.
  */
 public final class DemandSum {
-    /** Clocks diverge by a thousandth at most: by no other one's clock is a model quiet for less than is reckoned here. */
-    private static final double BY_ANY_CLOCK = 0.998;
+  /**
+   * Clocks diverge by a thousandth at most: by no other one's clock is a model quiet for less than
+   * is reckoned here.
+   */
+  private static final double BY_ANY_CLOCK = 0.998;
 
-    /** What a controller tells of a model: what is in flight there, and for how long nobody has wanted it. */
-    public record Told(int inFlight, Span quiet) {
-    }
+  /**
+   * What a controller tells of a model: what is in flight there, and for how long nobody has wanted
+   * it.
+   */
+  public record Told(int inFlight, Span quiet) {}
 
-    private record Said(Incarnation life, SteadyTime at, Map<String, Told> models, Span since) {
-    }
+  private record Said(Incarnation life, SteadyTime at, Map<String, Told> models, Span since) {}
 
-    private final Map<MemberId, Said> said = new HashMap<>();
+  private final Map<MemberId, Said> said = new HashMap<>();
 
-    /**
-     * A controller has told all that it knows.
-     *
-     * @param since for how long it has been listening: of a model that it does not name, nobody wanted it for so long
-     */
-    public void told(MemberId member, Incarnation life, Map<String, Told> models, Span since, SteadyTime now) {
-        said.put(member, new Said(life, now, Map.copyOf(models), since));
-    }
+  /**
+   * A controller has told all that it knows.
+   *
+   * @param since for how long it has been listening: of a model that it does not name, nobody
+   *     wanted it for so long
+   */
+  public void told(
+      MemberId member, Incarnation life, Map<String, Told> models, Span since, SteadyTime now) {
+    said.put(member, new Said(life, now, Map.copyOf(models), since));
+  }
 
-    /** Keeps what those said whose leases are not over. */
-    public void keepOnly(Set<MemberId> members) {
-        said.keySet().retainAll(members);
-    }
+  /** Keeps what those said whose leases are not over. */
+  public void keepOnly(Set<MemberId> members) {
+    said.keySet().retainAll(members);
+  }
 
-    public void clear() {
-        said.clear();
-    }
+  public void clear() {
+    said.clear();
+  }
 
-    public int inFlight(String model) {
-        int sum = 0;
-        for (Said each : said.values()) {
-            Told told = each.models.get(model);
-            sum += told == null ? 0 : told.inFlight;
-        }
-        return sum;
+  public int inFlight(String model) {
+    int sum = 0;
+    for (Said each : said.values()) {
+      Told told = each.models.get(model);
+      sum += told == null ? 0 : told.inFlight;
     }
+    return sum;
+  }
 
-    /** For how long nobody has wanted a model, as all members say; null while some of them has not said anything. */
-    public Span quiet(String model, Collection<MemberId> members, SteadyTime now) {
-        Span least = null;
-        for (MemberId member : members) {
-            Said each = said.get(member);
-            if (each == null) {
-                return null;
-            }
-            Told told = each.models.get(model);
-            // What was in flight when it was last heard may be so still.
-            Span since = now.since(each.at).times(BY_ANY_CLOCK);
-            Span quiet = told == null ? each.since.plus(since) : told.inFlight > 0 ? Span.ZERO : told.quiet.plus(since);
-            least = least == null || least.isMoreThan(quiet) ? quiet : least;
-        }
-        return least;
+  /**
+   * For how long nobody has wanted a model, as all members say; null while some of them has not
+   * said anything.
+   */
+  public Span quiet(String model, Collection<MemberId> members, SteadyTime now) {
+    Span least = null;
+    for (MemberId member : members) {
+      Said each = said.get(member);
+      if (each == null) {
+        return null;
+      }
+      Told told = each.models.get(model);
+      // What was in flight when it was last heard may be so still.
+      Span since = now.since(each.at).times(BY_ANY_CLOCK);
+      Span quiet =
+          told == null
+              ? each.since.plus(since)
+              : told.inFlight > 0 ? Span.ZERO : told.quiet.plus(since);
+      least = least == null || least.isMoreThan(quiet) ? quiet : least;
     }
+    return least;
+  }
 }
--- a/src/main/java/org/quincecross/models/Yielding.java
+++ b/src/main/java/org/quincecross/models/Yielding.java
@@ -7,47 +7,54 @@
 import org.quincecross.model.SteadyTime;
 
 /**
- * Which idle model gives way to one that is wanted and finds no room: the one that costs least to come back for the time that it has
- * not been used; and not too many of them, so that two that are both wanted now and then do not throw each other out for ever.
+ * Which idle model gives way to one that is wanted and finds no room: the one that costs least to
+ * come back for the time that it has not been used; and not too many of them, so that two that are
+ * both wanted now and then do not throw each other out for ever.
  */
 public final class Yielding {
-    /** One that was wanted more lately than this does not give way. */
-    static final Span LEAST_QUIET = Span.ofSeconds(20);
-    /** One that came up more lately than this does not. */
-    static final Span LEAST_UP = Span.ofSeconds(60);
-    private static final int MOST_SWAPS = 6;
-    static final Span SWAPS_WITHIN = Span.ofSeconds(60);
+  /** One that was wanted more lately than this does not give way. */
+  static final Span LEAST_QUIET = Span.ofSeconds(20);
 
-    /**
-     * A model that is warm and has nothing in flight.
-     *
-     * @param comeBackS seconds of boot and fetch that its return would cost
-     * @param makesRoom whether the one that is wanted could go where it is
-     */
-    public record Idle(String name, Span quiet, Span up, double comeBackS, boolean makesRoom) {
-        double price() {
-            return comeBackS / Math.max(1, quiet.seconds());
-        }
+  /** One that came up more lately than this does not. */
+  static final Span LEAST_UP = Span.ofSeconds(60);
+
+  private static final int MOST_SWAPS = 6;
+  static final Span SWAPS_WITHIN = Span.ofSeconds(60);
+
+  /**
+   * A model that is warm and has nothing in flight.
+   *
+   * @param comeBackS seconds of boot and fetch that its return would cost
+   * @param makesRoom whether the one that is wanted could go where it is
+   */
+  public record Idle(String name, Span quiet, Span up, double comeBackS, boolean makesRoom) {
+    double price() {
+      return comeBackS / Math.max(1, quiet.seconds());
     }
+  }
 
-    private final Deque<SteadyTime> swaps = new ArrayDeque<>();
+  private final Deque<SteadyTime> swaps = new ArrayDeque<>();
 
-    /** The one to give way, or null. */
-    public Idle choose(Collection<Idle> idle, SteadyTime now) {
-        while (!swaps.isEmpty() && now.since(swaps.peek()).isMoreThan(SWAPS_WITHIN)) {
-            swaps.poll();
-        }
-        Idle best = null;
-        for (Idle each : idle) {
-            boolean may = each.makesRoom && each.quiet.isMoreThan(LEAST_QUIET) && each.up.isMoreThan(LEAST_UP);
-            if (may && (best == null || each.price() < best.price() || each.price() == best.price() && each.name.compareTo(best.name) < 0)) {
-                best = each;
-            }
-        }
-        if (best == null || swaps.size() >= MOST_SWAPS) {
-            return null;
-        }
-        swaps.add(now);
-        return best;
+  /** The one to give way, or null. */
+  public Idle choose(Collection<Idle> idle, SteadyTime now) {
+    while (!swaps.isEmpty() && now.since(swaps.peek()).isMoreThan(SWAPS_WITHIN)) {
+      swaps.poll();
+    }
+    Idle best = null;
+    for (Idle each : idle) {
+      boolean may =
+          each.makesRoom && each.quiet.isMoreThan(LEAST_QUIET) && each.up.isMoreThan(LEAST_UP);
+      if (may
+          && (best == null
+              || each.price() < best.price()
+              || each.price() == best.price() && each.name.compareTo(best.name) < 0)) {
+        best = each;
+      }
+    }
+    if (best == null || swaps.size() >= MOST_SWAPS) {
+      return null;
     }
+    swaps.add(now);
+    return best;
+  }
 }
--- a/src/main/java/org/quincecross/net/Connection.java
+++ b/src/main/java/org/quincecross/net/Connection.java
@@ -9,156 +9,162 @@
 import java.util.ArrayDeque;
 import org.quincecross.model.Endpoint;
 
-/** A TCP connection on the loop: what is read goes to a sink, what cannot be written yet is kept. */
+/**
+ * A TCP connection on the loop: what is read goes to a sink, what cannot be written yet is kept.
+ */
 final class Connection implements Loop.Waker {
-    /** The states of a connection. */
-    enum State { CONNECTING, OPEN, FLUSHING, CLOSED }
-
-    /** What a connection is for. */
-    interface Sink {
-        default void connected() {
-        }
-
-        /** Takes all of the bytes. */
-        void received(ByteBuffer bytes);
-
-        /** The connection is over; called once, unless this side closed it. */
-        void closed();
+  /** The states of a connection. */
+  enum State {
+    CONNECTING,
+    OPEN,
+    FLUSHING,
+    CLOSED
+  }
+
+  /** What a connection is for. */
+  interface Sink {
+    default void connected() {}
+
+    /** Takes all of the bytes. */
+    void received(ByteBuffer bytes);
+
+    /** The connection is over; called once, unless this side closed it. */
+    void closed();
+  }
+
+  private static final ByteBuffer SCRATCH = ByteBuffer.allocateDirect(64 * 1024);
+
+  private final SocketChannel channel;
+  private final Sink sink;
+  private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
+  private SelectionKey key;
+  private State state;
+
+  Connection(Loop loop, SocketChannel channel, Sink sink, boolean connected) throws IOException {
+    this.channel = channel;
+    this.sink = sink;
+    enter(connected ? State.OPEN : State.CONNECTING);
+    key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+  }
+
+  /** Begins to connect; the sink hears when that has worked or failed. */
+  static Connection connect(Loop loop, Endpoint to, Sink sink) throws IOException {
+    SocketChannel socket = SocketChannel.open();
+    try {
+      socket.configureBlocking(false);
+      socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      boolean connected = socket.connect(new InetSocketAddress(to.host(), to.port()));
+      return new Connection(loop, socket, sink, connected);
+    } catch (IOException e) {
+      socket.close();
+      throw e;
     }
+  }
 
-    private static final ByteBuffer SCRATCH = ByteBuffer.allocateDirect(64 * 1024);
+  /** The one place where a connection changes its state. */
+  private void enter(State next) {
+    state = next;
+  }
 
-    private final SocketChannel channel;
-    private final Sink sink;
-    private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
-    private SelectionKey key;
-    private State state;
+  State state() {
+    return state;
+  }
 
-    Connection(Loop loop, SocketChannel channel, Sink sink, boolean connected) throws IOException {
-        this.channel = channel;
-        this.sink = sink;
-        enter(connected ? State.OPEN : State.CONNECTING);
-        key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+  void send(byte[] bytes) {
+    if (state == State.CLOSED || state == State.FLUSHING) {
+      return;
     }
-
-    /** Begins to connect; the sink hears when that has worked or failed. */
-    static Connection connect(Loop loop, Endpoint to, Sink sink) throws IOException {
-        SocketChannel socket = SocketChannel.open();
-        try {
-            socket.configureBlocking(false);
-            socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            boolean connected = socket.connect(new InetSocketAddress(to.host(), to.port()));
-            return new Connection(loop, socket, sink, connected);
-        } catch (IOException e) {
-            socket.close();
-            throw e;
-        }
+    unsent.add(ByteBuffer.wrap(bytes));
+    if (state == State.OPEN) {
+      try {
+        flush();
+      } catch (IOException e) {
+        broken(e);
+      }
     }
+  }
 
-    /** The one place where a connection changes its state. */
-    private void enter(State next) {
-        state = next;
+  int unsentBytes() {
+    int bytes = 0;
+    for (ByteBuffer buffer : unsent) {
+      bytes += buffer.remaining();
     }
-
-    State state() {
-        return state;
+    return bytes;
+  }
+
+  /** Closes once everything is written. */
+  void closeAfterFlush() {
+    if (unsent.isEmpty()) {
+      close();
+    } else if (state == State.OPEN) {
+      enter(State.FLUSHING);
     }
+  }
 
-    void send(byte[] bytes) {
-        if (state == State.CLOSED || state == State.FLUSHING) {
-            return;
-        }
-        unsent.add(ByteBuffer.wrap(bytes));
-        if (state == State.OPEN) {
-            try {
-                flush();
-            } catch (IOException e) {
-                broken(e);
-            }
-        }
+  /** Closes without telling the sink. */
+  void close() {
+    if (state == State.CLOSED) {
+      return;
     }
-
-    int unsentBytes() {
-        int bytes = 0;
-        for (ByteBuffer buffer : unsent) {
-            bytes += buffer.remaining();
-        }
-        return bytes;
+    enter(State.CLOSED);
+    unsent.clear();
+    try {
+      channel.close();
+    } catch (IOException e) {
+      // nothing is left to be done with it
     }
+  }
 
-    /** Closes once everything is written. */
-    void closeAfterFlush() {
-        if (unsent.isEmpty()) {
-            close();
-        } else if (state == State.OPEN) {
-            enter(State.FLUSHING);
-        }
+  @Override
+  public void broken(IOException cause) {
+    if (state != State.CLOSED) {
+      close();
+      sink.closed();
     }
-
-    /** Closes without telling the sink. */
-    void close() {
-        if (state == State.CLOSED) {
-            return;
-        }
-        enter(State.CLOSED);
-        unsent.clear();
-        try {
-            channel.close();
-        } catch (IOException e) {
-            // nothing is left to be done with it
-        }
+  }
+
+  @Override
+  public void ready(SelectionKey ready) throws IOException {
+    if (ready.isConnectable() && channel.finishConnect()) {
+      enter(State.OPEN);
+      key.interestOps(SelectionKey.OP_READ);
+      sink.connected();
+      flush();
     }
-
-    @Override
-    public void broken(IOException cause) {
-        if (state != State.CLOSED) {
-            close();
-            sink.closed();
-        }
+    if (state != State.CLOSED && ready.isValid() && ready.isWritable()) {
+      flush();
     }
-
-    @Override
-    public void ready(SelectionKey ready) throws IOException {
-        if (ready.isConnectable() && channel.finishConnect()) {
-            enter(State.OPEN);
-            key.interestOps(SelectionKey.OP_READ);
-            sink.connected();
-            flush();
-        }
-        if (state != State.CLOSED && ready.isValid() && ready.isWritable()) {
-            flush();
-        }
-        if (state != State.CLOSED && ready.isValid() && ready.isReadable()) {
-            read();
-        }
+    if (state != State.CLOSED && ready.isValid() && ready.isReadable()) {
+      read();
     }
-
-    private void read() throws IOException {
-        SCRATCH.clear();
-        int n = channel.read(SCRATCH);
-        if (n < 0) {
-            broken(new IOException("end of stream"));
-        } else if (n > 0) {
-            SCRATCH.flip();
-            byte[] copy = new byte[n];
-            SCRATCH.get(copy);
-            sink.received(ByteBuffer.wrap(copy));
-        }
+  }
+
+  private void read() throws IOException {
+    SCRATCH.clear();
+    int n = channel.read(SCRATCH);
+    if (n < 0) {
+      broken(new IOException("end of stream"));
+    } else if (n > 0) {
+      SCRATCH.flip();
+      byte[] copy = new byte[n];
+      SCRATCH.get(copy);
+      sink.received(ByteBuffer.wrap(copy));
     }
-
-    private void flush() throws IOException {
-        while (!unsent.isEmpty()) {
-            channel.write(unsent.peek());
-            if (unsent.peek().hasRemaining()) {
-                key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
-                return;
-            }
-            unsent.poll();
-        }
-        if (state == State.FLUSHING) {
-            close();
-        } else if (key.isValid()) {
-            key.interestOps(SelectionKey.OP_READ);
-        }
+  }
+
+  private void flush() throws IOException {
+    while (!unsent.isEmpty()) {
+      channel.write(unsent.peek());
+      if (unsent.peek().hasRemaining()) {
+        key.interestOps(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
+        return;
+      }
+      unsent.poll();
+    }
+    if (state == State.FLUSHING) {
+      close();
+    } else if (key.isValid()) {
+      key.interestOps(SelectionKey.OP_READ);
     }
+  }
 }
--- a/src/main/java/org/quincecross/net/FrameSender.java
+++ b/src/main/java/org/quincecross/net/FrameSender.java
@@ -6,76 +6,83 @@
 import org.quincecross.model.Span;
 
 /**
- * Sends frames, each with its length before it, on a connection that is made anew when it breaks. A frame that cannot
- * go out now is dropped: what is sent this way is sent again.
+ * Sends frames, each with its length before it, on a connection that is made anew when it breaks. A
+ * frame that cannot go out now is dropped: what is sent this way is sent again.
  */
 public final class FrameSender {
-    private static final Span RETRY = Span.ofMillis(400);
-    private static final Span CONNECT_TIMEOUT = Span.ofSeconds(2);
+  private static final Span RETRY = Span.ofMillis(400);
+  private static final Span CONNECT_TIMEOUT = Span.ofSeconds(2);
 
-    private final Loop loop;
-    private final Endpoint to;
-    private Connection connection;
-    private boolean waiting;
+  private final Loop loop;
+  private final Endpoint to;
+  private Connection connection;
+  private boolean waiting;
 
-    public FrameSender(Loop loop, Endpoint to) {
-        this.loop = loop;
-        this.to = to;
-    }
+  public FrameSender(Loop loop, Endpoint to) {
+    this.loop = loop;
+    this.to = to;
+  }
 
-    /** Returns whether the frame went out, as far as can be known. */
-    public boolean send(byte[] frame) {
-        if (connection == null && !waiting) {
-            connect();
-        }
-        if (connection != null && connection.state() == Connection.State.OPEN) {
-            if (connection.unsentBytes() > FrameServer.MOST_FRAME) {
-                dropConnection(); // the other side takes nothing any more
-                return false;
-            }
-            connection.send(ByteBuffer.allocate(4 + frame.length).putInt(frame.length).put(frame).array());
-            return true;
-        }
+  /** Returns whether the frame went out, as far as can be known. */
+  public boolean send(byte[] frame) {
+    if (connection == null && !waiting) {
+      connect();
+    }
+    if (connection != null && connection.state() == Connection.State.OPEN) {
+      if (connection.unsentBytes() > FrameServer.MOST_FRAME) {
+        dropConnection(); // the other side takes nothing any more
         return false;
+      }
+      connection.send(
+          ByteBuffer.allocate(4 + frame.length).putInt(frame.length).put(frame).array());
+      return true;
     }
+    return false;
+  }
 
-    /** Lets go of the connection: the next frame goes out on a new one. */
-    public void renew() {
-        if (connection != null && connection.state() == Connection.State.OPEN) {
-            dropConnection();
-        }
+  /** Lets go of the connection: the next frame goes out on a new one. */
+  public void renew() {
+    if (connection != null && connection.state() == Connection.State.OPEN) {
+      dropConnection();
     }
+  }
 
-    private void connect() {
-        try {
-            Connection made = Connection.connect(loop, to, new Connection.Sink() {
+  private void connect() {
+    try {
+      Connection made =
+          Connection.connect(
+              loop,
+              to,
+              new Connection.Sink() {
                 @Override
                 public void received(ByteBuffer bytes) {
-                    // nothing is said on this side of the link
+                  // nothing is said on this side of the link
                 }
 
                 @Override
                 public void closed() {
-                    dropConnection();
+                  dropConnection();
                 }
-            });
-            connection = made;
-            loop.after(CONNECT_TIMEOUT, () -> {
-                if (connection == made && made.state() == Connection.State.CONNECTING) {
-                    dropConnection();
-                }
-            });
-        } catch (IOException e) {
-            dropConnection();
-        }
+              });
+      connection = made;
+      loop.after(
+          CONNECT_TIMEOUT,
+          () -> {
+            if (connection == made && made.state() == Connection.State.CONNECTING) {
+              dropConnection();
+            }
+          });
+    } catch (IOException e) {
+      dropConnection();
     }
+  }
 
-    private void dropConnection() {
-        if (connection != null) {
-            connection.close();
-            connection = null;
-        }
-        waiting = true;
-        loop.after(RETRY, () -> waiting = false);
+  private void dropConnection() {
+    if (connection != null) {
+      connection.close();
+      connection = null;
     }
+    waiting = true;
+    loop.after(RETRY, () -> waiting = false);
+  }
 }
--- a/src/main/java/org/quincecross/net/FrameServer.java
+++ b/src/main/java/org/quincecross/net/FrameServer.java
@@ -18,103 +18,110 @@
 
 /** Listens for frames, each with its length before it. */
 public final class FrameServer implements Loop.Waker {
-    /** The longest frame that is taken; a longer one ends its connection. */
-    static final int MOST_FRAME = 1024 * 1024;
-    private static final int MOST_CONNECTIONS = 32;
-    /** Whoever is there says something twice a second: a connection that is quiet for longer is one that nobody has any more. */
-    private static final Span IDLE = Span.ofSeconds(20);
-    private static final Span SWEEP_EVERY = Span.ofSeconds(5);
-    private static final Logger LOG = LoggerFactory.getLogger(FrameServer.class);
-
-    /** Takes frames; false ends the connection that the frame came on. */
-    public interface Handler {
-        boolean frame(byte[] frame);
+  /** The longest frame that is taken; a longer one ends its connection. */
+  static final int MOST_FRAME = 1024 * 1024;
+
+  private static final int MOST_CONNECTIONS = 32;
+
+  /**
+   * Whoever is there says something twice a second: a connection that is quiet for longer is one
+   * that nobody has any more.
+   */
+  private static final Span IDLE = Span.ofSeconds(20);
+
+  private static final Span SWEEP_EVERY = Span.ofSeconds(5);
+  private static final Logger LOG = LoggerFactory.getLogger(FrameServer.class);
+
+  /** Takes frames; false ends the connection that the frame came on. */
+  public interface Handler {
+    boolean frame(byte[] frame);
+  }
+
+  private final Loop loop;
+  private final Handler handler;
+  private final ServerSocketChannel channel;
+  private final Set<Receiver> receivers = new LinkedHashSet<>();
+
+  public FrameServer(Loop loop, Endpoint listen, Handler handler) throws IOException {
+    this.loop = loop;
+    this.handler = handler;
+    channel = ServerSocketChannel.open();
+    channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+    channel.bind(new InetSocketAddress(listen.host(), listen.port()));
+    loop.register(channel, SelectionKey.OP_ACCEPT, this);
+    loop.every(SWEEP_EVERY, this::sweep);
+  }
+
+  private void sweep() {
+    SteadyTime now = loop.now();
+    for (Receiver receiver : List.copyOf(receivers)) {
+      if (now.since(receiver.heard).isMoreThan(IDLE)) {
+        receiver.end("quiet");
+      }
     }
+  }
 
-    private final Loop loop;
-    private final Handler handler;
-    private final ServerSocketChannel channel;
-    private final Set<Receiver> receivers = new LinkedHashSet<>();
-
-    public FrameServer(Loop loop, Endpoint listen, Handler handler) throws IOException {
-        this.loop = loop;
-        this.handler = handler;
-        channel = ServerSocketChannel.open();
-        channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        channel.bind(new InetSocketAddress(listen.host(), listen.port()));
-        loop.register(channel, SelectionKey.OP_ACCEPT, this);
-        loop.every(SWEEP_EVERY, this::sweep);
+  @Override
+  public void ready(SelectionKey key) throws IOException {
+    SocketChannel socket = channel.accept();
+    if (socket == null) {
+      return;
+    }
+    if (receivers.size() >= MOST_CONNECTIONS) {
+      socket.close();
+      return;
     }
+    receivers.add(new Receiver(socket));
+  }
 
-    private void sweep() {
-        SteadyTime now = loop.now();
-        for (Receiver receiver : List.copyOf(receivers)) {
-            if (now.since(receiver.heard).isMoreThan(IDLE)) {
-                receiver.end("quiet");
-            }
-        }
+  @Override
+  public void broken(IOException cause) {
+    LOG.error("trouble on the peer socket: {}", cause.getMessage());
+  }
+
+  private final class Receiver implements Connection.Sink {
+    private final Connection connection;
+    private ByteBuffer rest = ByteBuffer.allocate(0);
+    private SteadyTime heard = loop.now();
+
+    Receiver(SocketChannel socket) throws IOException {
+      connection = new Connection(loop, socket, this, true);
     }
 
     @Override
-    public void ready(SelectionKey key) throws IOException {
-        SocketChannel socket = channel.accept();
-        if (socket == null) {
-            return;
+    public void received(ByteBuffer bytes) {
+      heard = loop.now();
+      ByteBuffer joined =
+          ByteBuffer.allocate(rest.remaining() + bytes.remaining()).put(rest).put(bytes).flip();
+      while (joined.remaining() >= 4) {
+        int length = joined.getInt(joined.position());
+        if (length < 0 || length > MOST_FRAME) {
+          end("frame of " + length + " bytes");
+          return;
         }
-        if (receivers.size() >= MOST_CONNECTIONS) {
-            socket.close();
-            return;
+        if (joined.remaining() < 4 + length) {
+          break;
         }
-        receivers.add(new Receiver(socket));
+        byte[] frame = new byte[length];
+        joined.position(joined.position() + 4);
+        joined.get(frame);
+        if (!handler.frame(frame)) {
+          end("unreadable frame");
+          return;
+        }
+      }
+      rest = joined;
     }
 
-    @Override
-    public void broken(IOException cause) {
-        LOG.error("trouble on the peer socket: {}", cause.getMessage());
+    private void end(String why) {
+      LOG.info("peer connection closed: {}", why);
+      connection.close();
+      closed();
     }
 
-    private final class Receiver implements Connection.Sink {
-        private final Connection connection;
-        private ByteBuffer rest = ByteBuffer.allocate(0);
-        private SteadyTime heard = loop.now();
-
-        Receiver(SocketChannel socket) throws IOException {
-            connection = new Connection(loop, socket, this, true);
-        }
-
-        @Override
-        public void received(ByteBuffer bytes) {
-            heard = loop.now();
-            ByteBuffer joined = ByteBuffer.allocate(rest.remaining() + bytes.remaining()).put(rest).put(bytes).flip();
-            while (joined.remaining() >= 4) {
-                int length = joined.getInt(joined.position());
-                if (length < 0 || length > MOST_FRAME) {
-                    end("frame of " + length + " bytes");
-                    return;
-                }
-                if (joined.remaining() < 4 + length) {
-                    break;
-                }
-                byte[] frame = new byte[length];
-                joined.position(joined.position() + 4);
-                joined.get(frame);
-                if (!handler.frame(frame)) {
-                    end("unreadable frame");
-                    return;
-                }
-            }
-            rest = joined;
-        }
-
-        private void end(String why) {
-            LOG.info("peer connection closed: {}", why);
-            connection.close();
-            closed();
-        }
-
-        @Override
-        public void closed() {
-            receivers.remove(this);
-        }
+    @Override
+    public void closed() {
+      receivers.remove(this);
     }
+  }
 }
--- a/src/main/java/org/quincecross/net/HttpCaller.java
+++ b/src/main/java/org/quincecross/net/HttpCaller.java
@@ -7,6 +7,6 @@
 
 /** Sends requests. Tests put a network of their own here. */
 public interface HttpCaller {
-    /** Sends a request; {@code done} is called exactly once, never from inside this call. */
-    void call(Endpoint to, HttpRequest request, Span timeout, Consumer<HttpOutcome> done);
+  /** Sends a request; {@code done} is called exactly once, never from inside this call. */
+  void call(Endpoint to, HttpRequest request, Span timeout, Consumer<HttpOutcome> done);
 }
--- a/src/main/java/org/quincecross/net/HttpClient.java
+++ b/src/main/java/org/quincecross/net/HttpClient.java
@@ -15,205 +15,217 @@
 
 /** Calls other programs, on connections that are kept and used again. */
 public final class HttpClient implements HttpCaller {
-    /** The longest response that is read; a watch may bring thousands of changes at once. */
-    private static final int MOST_BODY = 16 * 1024 * 1024;
-    private static final int MOST_KEPT = 4;
-    private static final Span KEEP = Span.ofSeconds(20);
-    private static final Span SWEEP_EVERY = Span.ofSeconds(5);
-
-    /** The states of a call. */
-    private enum State { IDLE, WAITING, OVER }
-
-    private final Loop loop;
-    private final Map<Endpoint, ArrayDeque<Line>> kept = new HashMap<>();
-    /**
-     * When calls are to be over, for one timer: nearly all of them are answered long before, and a timer each would wake the
-     * process for nothing.
-     */
-    private final PriorityQueue<Deadline> deadlines = new PriorityQueue<>();
-    private SteadyTime armedFor;
-    private boolean closed;
-
-    private record Deadline(SteadyTime at, Line line, long call) implements Comparable<Deadline> {
-        boolean isOpen() {
-            return line.state == State.WAITING && line.call == call;
-        }
-
-        @Override
-        public int compareTo(Deadline other) {
-            return at.compareTo(other.at);
-        }
+  /** The longest response that is read; a watch may bring thousands of changes at once. */
+  private static final int MOST_BODY = 16 * 1024 * 1024;
+
+  private static final int MOST_KEPT = 4;
+  private static final Span KEEP = Span.ofSeconds(20);
+  private static final Span SWEEP_EVERY = Span.ofSeconds(5);
+
+  /** The states of a call. */
+  private enum State {
+    IDLE,
+    WAITING,
+    OVER
+  }
+
+  private final Loop loop;
+  private final Map<Endpoint, ArrayDeque<Line>> kept = new HashMap<>();
+
+  /**
+   * When calls are to be over, for one timer: nearly all of them are answered long before, and a
+   * timer each would wake the process for nothing.
+   */
+  private final PriorityQueue<Deadline> deadlines = new PriorityQueue<>();
+
+  private SteadyTime armedFor;
+  private boolean closed;
+
+  private record Deadline(SteadyTime at, Line line, long call) implements Comparable<Deadline> {
+    boolean isOpen() {
+      return line.state == State.WAITING && line.call == call;
     }
 
-    public HttpClient(Loop loop) {
-        this.loop = loop;
-        loop.after(SWEEP_EVERY, this::sweep);
+    @Override
+    public int compareTo(Deadline other) {
+      return at.compareTo(other.at);
     }
-
-    /** Lets go of the connections that are kept; calls under way end as they would. */
-    public void close() {
-        closed = true;
-        kept.values().forEach(lines -> lines.forEach(line -> line.connection.close()));
-        kept.clear();
+  }
+
+  public HttpClient(Loop loop) {
+    this.loop = loop;
+    loop.after(SWEEP_EVERY, this::sweep);
+  }
+
+  /** Lets go of the connections that are kept; calls under way end as they would. */
+  public void close() {
+    closed = true;
+    kept.values().forEach(lines -> lines.forEach(line -> line.connection.close()));
+    kept.clear();
+  }
+
+  @Override
+  public void call(Endpoint to, HttpRequest request, Span timeout, Consumer<HttpOutcome> done) {
+    Line line = null;
+    ArrayDeque<Line> lines = kept.get(to);
+    if (lines != null) {
+      line = lines.pollLast();
     }
-
-    @Override
-    public void call(Endpoint to, HttpRequest request, Span timeout, Consumer<HttpOutcome> done) {
-        Line line = null;
-        ArrayDeque<Line> lines = kept.get(to);
-        if (lines != null) {
-            line = lines.pollLast();
-        }
-        try {
-            if (line == null) {
-                line = new Line(to);
-            }
-        } catch (IOException | RuntimeException e) {
-            loop.after(Span.ofMillis(1), () -> done.accept(HttpOutcome.failed(false)));
-            return;
-        }
-        line.start(request, timeout, done);
+    try {
+      if (line == null) {
+        line = new Line(to);
+      }
+    } catch (IOException | RuntimeException e) {
+      loop.after(Span.ofMillis(1), () -> done.accept(HttpOutcome.failed(false)));
+      return;
     }
+    line.start(request, timeout, done);
+  }
 
-    private void sweep() {
-        if (closed) {
-            return;
-        }
-        loop.after(SWEEP_EVERY, this::sweep);
-        SteadyTime now = loop.now();
-        kept.values().removeIf(lines -> {
-            while (!lines.isEmpty() && now.since(lines.peekFirst().idleSince).isMoreThan(KEEP)) {
-                lines.pollFirst().connection.close();
-            }
-            return lines.isEmpty();
-        });
+  private void sweep() {
+    if (closed) {
+      return;
     }
+    loop.after(SWEEP_EVERY, this::sweep);
+    SteadyTime now = loop.now();
+    kept.values()
+        .removeIf(
+            lines -> {
+              while (!lines.isEmpty() && now.since(lines.peekFirst().idleSince).isMoreThan(KEEP)) {
+                lines.pollFirst().connection.close();
+              }
+              return lines.isEmpty();
+            });
+  }
 
-    private void forget(Endpoint to) {
-        ArrayDeque<Line> lines = kept.remove(to);
-        if (lines != null) {
-            lines.forEach(line -> line.connection.close());
-        }
+  private void forget(Endpoint to) {
+    ArrayDeque<Line> lines = kept.remove(to);
+    if (lines != null) {
+      lines.forEach(line -> line.connection.close());
     }
+  }
 
-    private void arm() {
-        while (!deadlines.isEmpty() && !deadlines.peek().isOpen()) {
-            deadlines.poll();
-        }
-        if (!deadlines.isEmpty() && (armedFor == null || deadlines.peek().at().isBefore(armedFor))) {
-            SteadyTime at = deadlines.peek().at();
-            armedFor = at;
-            loop.after(at.since(loop.now()), () -> {
-                if (at.equals(armedFor)) {
-                    armedFor = null;
-                    expire();
-                }
-            });
-        }
+  private void arm() {
+    while (!deadlines.isEmpty() && !deadlines.peek().isOpen()) {
+      deadlines.poll();
     }
-
-    private void expire() {
-        SteadyTime now = loop.now();
-        while (!deadlines.isEmpty() && !now.isBefore(deadlines.peek().at())) {
-            Deadline next = deadlines.poll();
-            if (next.isOpen()) {
-                // What is silent now was silent for the connections that are kept to it, too: each would cost another wait.
-                forget(next.line().to);
-                next.line().finish(HttpOutcome.failed(next.line().sent), false);
+    if (!deadlines.isEmpty() && (armedFor == null || deadlines.peek().at().isBefore(armedFor))) {
+      SteadyTime at = deadlines.peek().at();
+      armedFor = at;
+      loop.after(
+          at.since(loop.now()),
+          () -> {
+            if (at.equals(armedFor)) {
+              armedFor = null;
+              expire();
             }
-        }
-        arm();
-    }
-
-    private final class Line implements Connection.Sink {
-        private final Endpoint to;
-        private final Connection connection;
-        private final HttpParser parser = new HttpParser(HttpParser.Role.RESPONSES, MOST_BODY);
-        private State state = State.IDLE;
-        private Consumer<HttpOutcome> done;
-        private boolean sent;
-        private long call;
-        private SteadyTime idleSince;
-
-        Line(Endpoint to) throws IOException {
-            this.to = to;
-            connection = Connection.connect(loop, to, this);
-        }
+          });
+    }
+  }
+
+  private void expire() {
+    SteadyTime now = loop.now();
+    while (!deadlines.isEmpty() && !now.isBefore(deadlines.peek().at())) {
+      Deadline next = deadlines.poll();
+      if (next.isOpen()) {
+        // What is silent now was silent for the connections that are kept to it, too: each would
+        // cost another wait.
+        forget(next.line().to);
+        next.line().finish(HttpOutcome.failed(next.line().sent), false);
+      }
+    }
+    arm();
+  }
+
+  private final class Line implements Connection.Sink {
+    private final Endpoint to;
+    private final Connection connection;
+    private final HttpParser parser = new HttpParser(HttpParser.Role.RESPONSES, MOST_BODY);
+    private State state = State.IDLE;
+    private Consumer<HttpOutcome> done;
+    private boolean sent;
+    private long call;
+    private SteadyTime idleSince;
+
+    Line(Endpoint to) throws IOException {
+      this.to = to;
+      connection = Connection.connect(loop, to, this);
+    }
 
-        /** The one place where a call changes its state. */
-        private void enter(State next) {
-            state = next;
-        }
+    /** The one place where a call changes its state. */
+    private void enter(State next) {
+      state = next;
+    }
 
-        void start(HttpRequest request, Span timeout, Consumer<HttpOutcome> whenDone) {
-            enter(State.WAITING);
-            done = whenDone;
-            sent = connection.state() == Connection.State.OPEN;
-            long mine = ++call;
-            connection.send(request.encode(to.toString()));
-            deadlines.add(new Deadline(loop.now().plus(timeout), this, mine));
-            arm();
-        }
+    void start(HttpRequest request, Span timeout, Consumer<HttpOutcome> whenDone) {
+      enter(State.WAITING);
+      done = whenDone;
+      sent = connection.state() == Connection.State.OPEN;
+      long mine = ++call;
+      connection.send(request.encode(to.toString()));
+      deadlines.add(new Deadline(loop.now().plus(timeout), this, mine));
+      arm();
+    }
 
-        private void finish(HttpOutcome outcome, boolean keep) {
-            Consumer<HttpOutcome> whenDone = done;
-            done = null;
-            if (keep && !closed) {
-                enter(State.IDLE);
-                parser.next();
-                idleSince = loop.now();
-                ArrayDeque<Line> lines = kept.computeIfAbsent(to, e -> new ArrayDeque<>());
-                lines.add(this);
-                if (lines.size() > MOST_KEPT) {
-                    lines.pollFirst().connection.close();
-                }
-            } else {
-                enter(State.OVER);
-                connection.close();
-            }
-            whenDone.accept(outcome);
-        }
+    private void finish(HttpOutcome outcome, boolean keep) {
+      Consumer<HttpOutcome> whenDone = done;
+      done = null;
+      if (keep && !closed) {
+        enter(State.IDLE);
+        parser.next();
+        idleSince = loop.now();
+        ArrayDeque<Line> lines = kept.computeIfAbsent(to, e -> new ArrayDeque<>());
+        lines.add(this);
+        if (lines.size() > MOST_KEPT) {
+          lines.pollFirst().connection.close();
+        }
+      } else {
+        enter(State.OVER);
+        connection.close();
+      }
+      whenDone.accept(outcome);
+    }
 
-        @Override
-        public void connected() {
-            sent = true;
-        }
+    @Override
+    public void connected() {
+      sent = true;
+    }
 
-        @Override
-        public void received(ByteBuffer bytes) {
-            if (state != State.WAITING) {
-                drop();
-                return;
-            }
-            HttpParser.Phase phase = parser.feed(bytes);
-            if (phase == HttpParser.Phase.COMPLETE) {
-                var response = parser.response();
-                finish(HttpOutcome.answered(response), !response.close() && !bytes.hasRemaining());
-            } else if (phase == HttpParser.Phase.FAILED) {
-                finish(HttpOutcome.failed(true), false);
-            }
-        }
+    @Override
+    public void received(ByteBuffer bytes) {
+      if (state != State.WAITING) {
+        drop();
+        return;
+      }
+      HttpParser.Phase phase = parser.feed(bytes);
+      if (phase == HttpParser.Phase.COMPLETE) {
+        var response = parser.response();
+        finish(HttpOutcome.answered(response), !response.close() && !bytes.hasRemaining());
+      } else if (phase == HttpParser.Phase.FAILED) {
+        finish(HttpOutcome.failed(true), false);
+      }
+    }
 
-        @Override
-        public void closed() {
-            if (state != State.WAITING) {
-                drop();
-                return;
-            }
-            if (parser.end() == HttpParser.Phase.COMPLETE) {
-                finish(HttpOutcome.answered(parser.response()), false);
-            } else {
-                finish(HttpOutcome.failed(sent), false);
-            }
-        }
+    @Override
+    public void closed() {
+      if (state != State.WAITING) {
+        drop();
+        return;
+      }
+      if (parser.end() == HttpParser.Phase.COMPLETE) {
+        finish(HttpOutcome.answered(parser.response()), false);
+      } else {
+        finish(HttpOutcome.failed(sent), false);
+      }
+    }
 
-        private void drop() {
-            enter(State.OVER);
-            connection.close();
-            ArrayDeque<Line> lines = kept.get(to);
-            if (lines != null) {
-                lines.remove(this);
-            }
-        }
+    private void drop() {
+      enter(State.OVER);
+      connection.close();
+      ArrayDeque<Line> lines = kept.get(to);
+      if (lines != null) {
+        lines.remove(this);
+      }
     }
+  }
 }
--- a/src/main/java/org/quincecross/net/HttpOutcome.java
+++ b/src/main/java/org/quincecross/net/HttpOutcome.java
@@ -9,21 +9,21 @@
  * @param sent whether any of the request may have reached the other side
  */
 public record HttpOutcome(HttpResponse response, boolean sent) {
-    public static HttpOutcome answered(HttpResponse response) {
-        return new HttpOutcome(response, true);
-    }
+  public static HttpOutcome answered(HttpResponse response) {
+    return new HttpOutcome(response, true);
+  }
 
-    public static HttpOutcome failed(boolean sent) {
-        return new HttpOutcome(null, sent);
-    }
+  public static HttpOutcome failed(boolean sent) {
+    return new HttpOutcome(null, sent);
+  }
 
-    /** The status, or 0 where there was no response. */
-    public int status() {
-        return response == null ? 0 : response.status();
-    }
+  /** The status, or 0 where there was no response. */
+  public int status() {
+    return response == null ? 0 : response.status();
+  }
 
-    /** Whether the request may have been executed without our knowing. */
-    public boolean isUncertain() {
-        return response == null && sent;
-    }
+  /** Whether the request may have been executed without our knowing. */
+  public boolean isUncertain() {
+    return response == null && sent;
+  }
 }
--- a/src/main/java/org/quincecross/net/HttpServer.java
+++ b/src/main/java/org/quincecross/net/HttpServer.java
@@ -20,172 +20,182 @@
 
 /** Listens for HTTP. Slow and silent clients are timed out; too many of them are shed. */
 public final class HttpServer implements Loop.Waker {
-    private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-    private static final int MOST_BODY = 64 * 1024;
-    /** A client that has begun a request gets this long to finish it. */
-    private static final Span REQUEST_TIME = Span.ofSeconds(10);
-    private static final Span IDLE_TIME = Span.ofSeconds(90);
-    private static final Span SWEEP_EVERY = Span.ofSeconds(2);
-
-    private final Loop loop;
-    private final HttpHandler handler;
-    private final int mostConnections;
-    private final ServerSocketChannel channel;
-    private final Set<Client> clients = new LinkedHashSet<>();
-    private boolean closed;
-
-    public HttpServer(Loop loop, Endpoint listen, int mostConnections, HttpHandler handler) throws IOException {
-        this.loop = loop;
-        this.handler = handler;
-        this.mostConnections = mostConnections;
-        channel = ServerSocketChannel.open();
-        channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        channel.bind(new InetSocketAddress(listen.host(), listen.port()), 512);
-        loop.register(channel, SelectionKey.OP_ACCEPT, this);
-        loop.after(SWEEP_EVERY, this::sweep);
+  private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
+  private static final int MOST_BODY = 64 * 1024;
+
+  /** A client that has begun a request gets this long to finish it. */
+  private static final Span REQUEST_TIME = Span.ofSeconds(10);
+
+  private static final Span IDLE_TIME = Span.ofSeconds(90);
+  private static final Span SWEEP_EVERY = Span.ofSeconds(2);
+
+  private final Loop loop;
+  private final HttpHandler handler;
+  private final int mostConnections;
+  private final ServerSocketChannel channel;
+  private final Set<Client> clients = new LinkedHashSet<>();
+  private boolean closed;
+
+  public HttpServer(Loop loop, Endpoint listen, int mostConnections, HttpHandler handler)
+      throws IOException {
+    this.loop = loop;
+    this.handler = handler;
+    this.mostConnections = mostConnections;
+    channel = ServerSocketChannel.open();
+    channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+    channel.bind(new InetSocketAddress(listen.host(), listen.port()), 512);
+    loop.register(channel, SelectionKey.OP_ACCEPT, this);
+    loop.after(SWEEP_EVERY, this::sweep);
+  }
+
+  /** Listens no more and ends all connections. */
+  public void close() {
+    closed = true;
+    List.copyOf(clients).forEach(Client::end);
+    try {
+      channel.close();
+    } catch (IOException e) {
+      LOG.debug("closing a listening socket: {}", e.getMessage());
     }
-
-    /** Listens no more and ends all connections. */
-    public void close() {
-        closed = true;
-        List.copyOf(clients).forEach(Client::end);
-        try {
-            channel.close();
-        } catch (IOException e) {
-            LOG.debug("closing a listening socket: {}", e.getMessage());
-        }
+  }
+
+  @Override
+  public void ready(SelectionKey key) throws IOException {
+    for (int i = 0; i < 64; i++) {
+      SocketChannel socket;
+      try {
+        socket = channel.accept();
+      } catch (IOException e) {
+        // Out of sockets: the listener itself is sound, and must outlive the shortage.
+        LOG.error("cannot accept a connection: {}", e.getMessage());
+        shedIdle();
+        return;
+      }
+      if (socket == null) {
+        return;
+      }
+      if (clients.size() >= mostConnections && !shedIdle()) {
+        // Refused at once: held in the queue of the listening socket it would wait, and so would
+        // those behind it.
+        socket.close();
+        continue;
+      }
+      socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
+      clients.add(new Client(socket));
     }
-
-    @Override
-    public void ready(SelectionKey key) throws IOException {
-        for (int i = 0; i < 64; i++) {
-            SocketChannel socket;
-            try {
-                socket = channel.accept();
-            } catch (IOException e) {
-                // Out of sockets: the listener itself is sound, and must outlive the shortage.
-                LOG.error("cannot accept a connection: {}", e.getMessage());
-                shedIdle();
-                return;
-            }
-            if (socket == null) {
-                return;
-            }
-            if (clients.size() >= mostConnections && !shedIdle()) {
-                // Refused at once: held in the queue of the listening socket it would wait, and so would those behind it.
-                socket.close();
-                continue;
-            }
-            socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            clients.add(new Client(socket));
-        }
+  }
+
+  @Override
+  public void broken(IOException cause) {
+    LOG.error("trouble on the listening socket: {}", cause.getMessage());
+  }
+
+  /**
+   * Ends the connection that has been idle longest, so that health checks and workers still get
+   * one; false if none is.
+   */
+  private boolean shedIdle() {
+    for (Client client : clients) {
+      if (!client.busy) {
+        client.end();
+        return true;
+      }
     }
+    return false;
+  }
 
-    @Override
-    public void broken(IOException cause) {
-        LOG.error("trouble on the listening socket: {}", cause.getMessage());
+  private void sweep() {
+    if (closed) {
+      return;
     }
-
-    /** Ends the connection that has been idle longest, so that health checks and workers still get one; false if none is. */
-    private boolean shedIdle() {
-        for (Client client : clients) {
-            if (!client.busy) {
-                client.end();
-                return true;
-            }
-        }
-        return false;
+    loop.after(SWEEP_EVERY, this::sweep);
+    SteadyTime now = loop.now();
+    for (Client client : List.copyOf(clients)) {
+      Span quiet = now.since(client.since);
+      if (!client.busy
+          && quiet.isMoreThan(client.parser.isMidMessage() ? REQUEST_TIME : IDLE_TIME)) {
+        client.end();
+      }
     }
+  }
 
-    private void sweep() {
-        if (closed) {
-            return;
-        }
-        loop.after(SWEEP_EVERY, this::sweep);
-        SteadyTime now = loop.now();
-        for (Client client : List.copyOf(clients)) {
-            Span quiet = now.since(client.since);
-            if (!client.busy && quiet.isMoreThan(client.parser.isMidMessage() ? REQUEST_TIME : IDLE_TIME)) {
-                client.end();
-            }
-        }
-    }
+  private final class Client implements Connection.Sink {
+    private final Connection connection;
+    private final HttpParser parser = new HttpParser(HttpParser.Role.REQUESTS, MOST_BODY);
+    private ByteBuffer rest = ByteBuffer.allocate(0);
+    private boolean busy;
+    private SteadyTime since = loop.now();
 
-    private final class Client implements Connection.Sink {
-        private final Connection connection;
-        private final HttpParser parser = new HttpParser(HttpParser.Role.REQUESTS, MOST_BODY);
-        private ByteBuffer rest = ByteBuffer.allocate(0);
-        private boolean busy;
-        private SteadyTime since = loop.now();
+    Client(SocketChannel socket) throws IOException {
+      connection = new Connection(loop, socket, this, true);
+    }
 
-        Client(SocketChannel socket) throws IOException {
-            connection = new Connection(loop, socket, this, true);
-        }
+    void end() {
+      connection.close();
+      clients.remove(this);
+    }
 
-        void end() {
-            connection.close();
-            clients.remove(this);
-        }
+    @Override
+    public void received(ByteBuffer bytes) {
+      if (rest.hasRemaining()) {
+        ByteBuffer joined = ByteBuffer.allocate(rest.remaining() + bytes.remaining());
+        joined.put(rest).put(bytes).flip();
+        rest = joined;
+      } else {
+        rest = bytes;
+      }
+      if (busy && rest.remaining() > 2 * MOST_BODY) {
+        end();
+        return;
+      }
+      proceed();
+    }
 
-        @Override
-        public void received(ByteBuffer bytes) {
-            if (rest.hasRemaining()) {
-                ByteBuffer joined = ByteBuffer.allocate(rest.remaining() + bytes.remaining());
-                joined.put(rest).put(bytes).flip();
-                rest = joined;
-            } else {
-                rest = bytes;
-            }
-            if (busy && rest.remaining() > 2 * MOST_BODY) {
-                end();
-                return;
-            }
-            proceed();
+    private void proceed() {
+      while (!busy && connection.state() == Connection.State.OPEN && rest.hasRemaining()) {
+        if (!parser.isMidMessage()) {
+          since = loop.now();
         }
-
-        private void proceed() {
-            while (!busy && connection.state() == Connection.State.OPEN && rest.hasRemaining()) {
-                if (!parser.isMidMessage()) {
-                    since = loop.now();
+        HttpParser.Phase phase = parser.feed(rest);
+        if (phase == HttpParser.Phase.FAILED) {
+          connection.send(HttpResponse.of(parser.failure()).closing().encode());
+          connection.closeAfterFlush();
+          clients.remove(this);
+        } else if (phase == HttpParser.Phase.COMPLETE) {
+          var request = parser.request();
+          parser.next();
+          busy = true;
+          boolean[] answered = new boolean[1];
+          handler.handle(
+              request,
+              response -> {
+                if (!answered[0]) {
+                  answered[0] = true;
+                  answer(request.close() ? response.closing() : response);
                 }
-                HttpParser.Phase phase = parser.feed(rest);
-                if (phase == HttpParser.Phase.FAILED) {
-                    connection.send(HttpResponse.of(parser.failure()).closing().encode());
-                    connection.closeAfterFlush();
-                    clients.remove(this);
-                } else if (phase == HttpParser.Phase.COMPLETE) {
-                    var request = parser.request();
-                    parser.next();
-                    busy = true;
-                    boolean[] answered = new boolean[1];
-                    handler.handle(request, response -> {
-                        if (!answered[0]) {
-                            answered[0] = true;
-                            answer(request.close() ? response.closing() : response);
-                        }
-                    });
-                }
-            }
+              });
         }
+      }
+    }
 
-        private void answer(HttpResponse response) {
-            busy = false;
-            since = loop.now();
-            if (clients.remove(this)) {
-                clients.add(this); // the set stays in the order of last use
-            }
-            connection.send(response.encode());
-            if (response.close()) {
-                connection.closeAfterFlush();
-                clients.remove(this);
-            } else {
-                proceed();
-            }
-        }
+    private void answer(HttpResponse response) {
+      busy = false;
+      since = loop.now();
+      if (clients.remove(this)) {
+        clients.add(this); // the set stays in the order of last use
+      }
+      connection.send(response.encode());
+      if (response.close()) {
+        connection.closeAfterFlush();
+        clients.remove(this);
+      } else {
+        proceed();
+      }
+    }
 
-        @Override
-        public void closed() {
-            clients.remove(this);
-        }
+    @Override
+    public void closed() {
+      clients.remove(this);
     }
+  }
 }
--- a/src/main/java/org/quincecross/net/Loop.java
+++ b/src/main/java/org/quincecross/net/Loop.java
@@ -15,105 +15,105 @@
 
 /** The selector loop that everything in the process runs on. */
 public final class Loop implements Timers {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+  private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
 
-    /** Something on a socket that the loop wakes. */
-    interface Waker {
-        void ready(SelectionKey key) throws IOException;
+  /** Something on a socket that the loop wakes. */
+  interface Waker {
+    void ready(SelectionKey key) throws IOException;
 
-        /** The socket is of no use any more. */
-        void broken(IOException cause);
-    }
+    /** The socket is of no use any more. */
+    void broken(IOException cause);
+  }
 
-    private record Due(SteadyTime at, long order, Runnable action) implements Comparable<Due> {
-        @Override
-        public int compareTo(Due other) {
-            int byTime = at.compareTo(other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
-        }
+  private record Due(SteadyTime at, long order, Runnable action) implements Comparable<Due> {
+    @Override
+    public int compareTo(Due other) {
+      int byTime = at.compareTo(other.at);
+      return byTime != 0 ? byTime : Long.compare(order, other.order);
     }
+  }
 
-    private final Selector selector;
-    private final PriorityQueue<Due> timers = new PriorityQueue<>();
-    private long order;
-    private volatile boolean stopped;
+  private final Selector selector;
+  private final PriorityQueue<Due> timers = new PriorityQueue<>();
+  private long order;
+  private volatile boolean stopped;
 
-    public Loop() {
-        try {
-            selector = Selector.open();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  public Loop() {
+    try {
+      selector = Selector.open();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    @Override
-    public SteadyTime now() {
-        return new SteadyTime(System.nanoTime());
-    }
+  @Override
+  public SteadyTime now() {
+    return new SteadyTime(System.nanoTime());
+  }
 
-    @Override
-    public void after(Span delay, Runnable action) {
-        timers.add(new Due(now().plus(delay), order++, action));
-    }
+  @Override
+  public void after(Span delay, Runnable action) {
+    timers.add(new Due(now().plus(delay), order++, action));
+  }
 
-    public void stop() {
-        stopped = true;
-        selector.wakeup();
-    }
+  public void stop() {
+    stopped = true;
+    selector.wakeup();
+  }
 
-    SelectionKey register(SelectableChannel channel, int interest, Waker waker) throws IOException {
-        channel.configureBlocking(false);
-        return channel.register(selector, interest, waker);
-    }
+  SelectionKey register(SelectableChannel channel, int interest, Waker waker) throws IOException {
+    channel.configureBlocking(false);
+    return channel.register(selector, interest, waker);
+  }
 
-    /** Runs until {@link #stop()}. */
-    public void run() throws IOException {
-        while (!stopped) {
-            runTimers();
-            Due first = timers.peek();
-            if (first == null) {
-                selector.select();
-            } else {
-                long wait = first.at().since(now()).nanos();
-                if (wait <= 0) {
-                    selector.selectNow();
-                } else {
-                    selector.select(Math.max(1, (wait + 999_999) / 1_000_000));
-                }
-            }
-            List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
-            selector.selectedKeys().clear();
-            for (SelectionKey key : ready) {
-                wake(key);
-            }
+  /** Runs until {@link #stop()}. */
+  public void run() throws IOException {
+    while (!stopped) {
+      runTimers();
+      Due first = timers.peek();
+      if (first == null) {
+        selector.select();
+      } else {
+        long wait = first.at().since(now()).nanos();
+        if (wait <= 0) {
+          selector.selectNow();
+        } else {
+          selector.select(Math.max(1, (wait + 999_999) / 1_000_000));
         }
-        selector.close();
+      }
+      List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
+      selector.selectedKeys().clear();
+      for (SelectionKey key : ready) {
+        wake(key);
+      }
     }
+    selector.close();
+  }
 
-    private void wake(SelectionKey key) {
-        Waker waker = (Waker) key.attachment();
-        try {
-            if (key.isValid()) {
-                waker.ready(key);
-            }
-        } catch (IOException e) {
-            waker.broken(e);
-        } catch (RuntimeException e) {
-            // One connection's trouble must not end the process for all others.
-            LOG.error("unexpected failure on a connection", e);
-            waker.broken(new IOException(e));
-        }
+  private void wake(SelectionKey key) {
+    Waker waker = (Waker) key.attachment();
+    try {
+      if (key.isValid()) {
+        waker.ready(key);
+      }
+    } catch (IOException e) {
+      waker.broken(e);
+    } catch (RuntimeException e) {
+      // One connection's trouble must not end the process for all others.
+      LOG.error("unexpected failure on a connection", e);
+      waker.broken(new IOException(e));
     }
+  }
 
-    private void runTimers() {
-        SteadyTime now = now();
-        while (!timers.isEmpty() && !now.isBefore(timers.peek().at())) {
-            Runnable action = timers.poll().action();
-            try {
-                action.run();
-            } catch (RuntimeException e) {
-                LOG.error("unexpected failure in a timer", e);
-            }
-        }
+  private void runTimers() {
+    SteadyTime now = now();
+    while (!timers.isEmpty() && !now.isBefore(timers.peek().at())) {
+      Runnable action = timers.poll().action();
+      try {
+        action.run();
+      } catch (RuntimeException e) {
+        LOG.error("unexpected failure in a timer", e);
+      }
     }
+  }
 }
--- a/src/main/java/org/quincecross/net/Watched.java
+++ b/src/main/java/org/quincecross/net/Watched.java
@@ -5,43 +5,47 @@
 
 /** Clocks and callers that do something first, whatever it is that they call back for. */
 public final class Watched {
-    private Watched() {
-    }
+  private Watched() {}
 
-    /** What is done at a callback. */
-    public record Step(Runnable first, Runnable action) implements Runnable {
-        @Override
-        public void run() {
-            first.run();
-            action.run();
-        }
+  /** What is done at a callback. */
+  public record Step(Runnable first, Runnable action) implements Runnable {
+    @Override
+    public void run() {
+      first.run();
+      action.run();
     }
+  }
 
-    /** The same clock; {@code first} is run before each action that it was asked to run. */
-    public static Timers timers(Timers clock, Runnable first) {
-        return new Timers() {
-            @Override
-            public SteadyTime now() {
-                return clock.now();
-            }
+  /** The same clock; {@code first} is run before each action that it was asked to run. */
+  public static Timers timers(Timers clock, Runnable first) {
+    return new Timers() {
+      @Override
+      public SteadyTime now() {
+        return clock.now();
+      }
 
-            @Override
-            public void after(Span delay, Runnable action) {
-                clock.after(delay, new Step(first, action));
-            }
+      @Override
+      public void after(Span delay, Runnable action) {
+        clock.after(delay, new Step(first, action));
+      }
 
-            @Override
-            public void every(Span period, Runnable action) {
-                clock.every(period, new Step(first, action));
-            }
-        };
-    }
+      @Override
+      public void every(Span period, Runnable action) {
+        clock.every(period, new Step(first, action));
+      }
+    };
+  }
 
-    /** The same caller; {@code first} is run before each answer is taken. */
-    public static HttpCaller caller(HttpCaller caller, Runnable first) {
-        return (to, request, timeout, done) -> caller.call(to, request, timeout, outcome -> {
-            first.run();
-            done.accept(outcome);
-        });
-    }
+  /** The same caller; {@code first} is run before each answer is taken. */
+  public static HttpCaller caller(HttpCaller caller, Runnable first) {
+    return (to, request, timeout, done) ->
+        caller.call(
+            to,
+            request,
+            timeout,
+            outcome -> {
+              first.run();
+              done.accept(outcome);
+            });
+  }
 }
--- a/src/main/java/org/quincecross/peer/AgreedBase.java
+++ b/src/main/java/org/quincecross/peer/AgreedBase.java
@@ -20,19 +20,26 @@
  * @param clockMs tells the time of day
  * @param parts the parts that are switched on, each with its settings
  */
-public record AgreedBase(Timers timers, Ledger ledger, AgreedStore store, KnownRevisions known, WithheldByAny withheld, Settings settings,
-        LongSupplier clockMs, Map<String, Object> parts) {
-    /** Now, for a step of a controller's own or a view. */
-    public At at() {
-        return new At(clockMs.getAsLong(), settings.clockBound().millis(), "");
-    }
+public record AgreedBase(
+    Timers timers,
+    Ledger ledger,
+    AgreedStore store,
+    KnownRevisions known,
+    WithheldByAny withheld,
+    Settings settings,
+    LongSupplier clockMs,
+    Map<String, Object> parts) {
+  /** Now, for a step of a controller's own or a view. */
+  public At at() {
+    return new At(clockMs.getAsLong(), settings.clockBound().millis(), "");
+  }
 
-    public boolean has(String part) {
-        return parts.containsKey(part);
-    }
+  public boolean has(String part) {
+    return parts.containsKey(part);
+  }
 
-    /** The settings of a part that is switched on. */
-    public Body settingsOf(String part) throws Unreadable {
-        return Body.of(parts.get(part), part);
-    }
+  /** The settings of a part that is switched on. */
+  public Body settingsOf(String part) throws Unreadable {
+    return Body.of(parts.get(part), part);
+  }
 }
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -14,70 +14,81 @@
 import org.quincecross.state.MemberRecord;
 import org.quincecross.wire.Settings;
 
-/** Answers, by the records and by what the other controllers report, since when all controllers know of a change of an agreed record. */
+/**
+ * Answers, by the records and by what the other controllers report, since when all controllers know
+ * of a change of an agreed record.
+ */
 public final class KnownRevisions {
-    /** Of changes that were seen later than this many others it is not known any more when; they count as seen when asked for. */
-    private static final int MOST_SEEN = 4096;
+  /**
+   * Of changes that were seen later than this many others it is not known any more when; they count
+   * as seen when asked for.
+   */
+  private static final int MOST_SEEN = 4096;
 
-    private record Seen(Revision revision, SteadyTime at) {
-    }
+  private record Seen(Revision revision, SteadyTime at) {}
 
-    private final Timers timers;
-    private final Ledger ledger;
-    private final PeerViews views;
-    private final Settings settings;
-    private final Span longest;
-    private final ArrayDeque<Seen> seen = new ArrayDeque<>();
+  private final Timers timers;
+  private final Ledger ledger;
+  private final PeerViews views;
+  private final Settings settings;
+  private final Span longest;
+  private final ArrayDeque<Seen> seen = new ArrayDeque<>();
 
-    /** @param longest for how long a controller acts after it last heard from the state service, clocks' drift included */
-    public KnownRevisions(Timers timers, Ledger ledger, PeerViews views, Settings settings, Span longest) {
-        this.timers = timers;
-        this.ledger = ledger;
-        this.views = views;
-        this.settings = settings;
-        this.longest = longest;
-    }
+  /**
+   * @param longest for how long a controller acts after it last heard from the state service,
+   *     clocks' drift included
+   */
+  public KnownRevisions(
+      Timers timers, Ledger ledger, PeerViews views, Settings settings, Span longest) {
+    this.timers = timers;
+    this.ledger = ledger;
+    this.views = views;
+    this.settings = settings;
+    this.longest = longest;
+  }
 
-    /** Follows the records; costs nothing where no agreed record has changed. */
-    public void ledgerChanged(Ledger.Changes changes) {
-        if (!changes.agreed().isEmpty()) {
-            seen.add(new Seen(ledger.revision(), timers.now()));
-            while (seen.size() > MOST_SEEN) {
-                seen.poll();
-            }
-        }
+  /** Follows the records; costs nothing where no agreed record has changed. */
+  public void ledgerChanged(Ledger.Changes changes) {
+    if (!changes.agreed().isEmpty()) {
+      seen.add(new Seen(ledger.revision(), timers.now()));
+      while (seen.size() > MOST_SEEN) {
+        seen.poll();
+      }
     }
+  }
 
-    /** Since when all know of a revision; asked for one that an agreed record was changed with. */
-    public KnownByAll.Answer of(Revision revision) {
-        SteadyTime now = timers.now();
-        SteadyTime at = null;
-        for (Seen each : seen) {
-            if (!revision.isAfter(each.revision())) {
-                at = each.at();
-                break;
-            }
-        }
-        List<KnownByAll.Told> expected = new ArrayList<>();
-        List<KnownByAll.Told> told = new ArrayList<>();
-        expect(settings.member(), expected);
-        settings.siblings().forEach(sibling -> expect(sibling.member(), expected));
-        for (MemberRecord member : ledger.members().values()) {
-            if (expected.stream().noneMatch(each -> each.member().equals(member.member()))) {
-                expect(member.member(), expected);
-            }
-        }
-        for (KnownByAll.Told each : expected) {
-            PeerViews.View view = views.of(each.member());
-            if (view != null) {
-                told.add(new KnownByAll.Told(each.member(), view.life(), view.ledger()));
-            }
-        }
-        return KnownByAll.of(revision, ledger.revision(), at, expected, told, longest, now);
+  /** Since when all know of a revision; asked for one that an agreed record was changed with. */
+  public KnownByAll.Answer of(Revision revision) {
+    SteadyTime now = timers.now();
+    SteadyTime at = null;
+    for (Seen each : seen) {
+      if (!revision.isAfter(each.revision())) {
+        at = each.at();
+        break;
+      }
     }
-
-    private void expect(MemberId member, List<KnownByAll.Told> expected) {
-        MemberRecord record = ledger.members().get(member);
-        expected.add(new KnownByAll.Told(member, record == null ? Incarnation.NONE : record.life(), Revision.NONE));
+    List<KnownByAll.Told> expected = new ArrayList<>();
+    List<KnownByAll.Told> told = new ArrayList<>();
+    expect(settings.member(), expected);
+    settings.siblings().forEach(sibling -> expect(sibling.member(), expected));
+    for (MemberRecord member : ledger.members().values()) {
+      if (expected.stream().noneMatch(each -> each.member().equals(member.member()))) {
+        expect(member.member(), expected);
+      }
     }
+    for (KnownByAll.Told each : expected) {
+      PeerViews.View view = views.of(each.member());
+      if (view != null) {
+        told.add(new KnownByAll.Told(each.member(), view.life(), view.ledger()));
+      }
+    }
+    return KnownByAll.of(revision, ledger.revision(), at, expected, told, longest, now);
+  }
+
+  private void expect(MemberId member, List<KnownByAll.Told> expected) {
+    MemberRecord record = ledger.members().get(member);
+    expected.add(
+        new KnownByAll.Told(
+            member, record == null ? Incarnation.NONE : record.life(), Revision.NONE));
+  }
 }
--- a/src/main/java/org/quincecross/peer/ModelNews.java
+++ b/src/main/java/org/quincecross/peer/ModelNews.java
@@ -22,46 +22,47 @@
  * @param running the replicas that run in its blocks
  */
 public record ModelNews(Span since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
-    public static final String SECTION = "models";
-    private static final int MOST_ITEMS = 100_000;
+  public static final String SECTION = "models";
+  private static final int MOST_ITEMS = 100_000;
 
-    public byte[] write() {
-        try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-            out.packLong(since.nanos());
-            out.packMapHeader(demand.size());
-            for (Map.Entry<String, DemandSum.Told> each : demand.entrySet()) {
-                out.packString(each.getKey());
-                out.packInt(each.getValue().inFlight());
-                out.packLong(each.getValue().quiet().nanos());
-            }
-            out.packArrayHeader(running.size());
-            for (TaskId task : running) {
-                out.packString(task.toString());
-            }
-            return out.toByteArray();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  public byte[] write() {
+    try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
+      out.packLong(since.nanos());
+      out.packMapHeader(demand.size());
+      for (Map.Entry<String, DemandSum.Told> each : demand.entrySet()) {
+        out.packString(each.getKey());
+        out.packInt(each.getValue().inFlight());
+        out.packLong(each.getValue().quiet().nanos());
+      }
+      out.packArrayHeader(running.size());
+      for (TaskId task : running) {
+        out.packString(task.toString());
+      }
+      return out.toByteArray();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    /** What a section says; null where it cannot be read. */
-    public static ModelNews read(byte[] bytes) {
-        try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-            Span since = new Span(in.unpackLong());
-            Map<String, DemandSum.Told> demand = new HashMap<>();
-            for (int i = Math.min(MOST_ITEMS, in.unpackMapHeader()); i > 0; i--) {
-                demand.put(in.unpackString(), new DemandSum.Told(in.unpackInt(), new Span(in.unpackLong())));
-            }
-            Set<TaskId> running = new HashSet<>();
-            for (int i = Math.min(MOST_ITEMS, in.unpackArrayHeader()); i > 0; i--) {
-                TaskId task = TaskId.parse(in.unpackString());
-                if (task != null) {
-                    running.add(task);
-                }
-            }
-            return new ModelNews(since, demand, running);
-        } catch (IOException | MessagePackException e) {
-            return null;
+  /** What a section says; null where it cannot be read. */
+  public static ModelNews read(byte[] bytes) {
+    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
+      Span since = new Span(in.unpackLong());
+      Map<String, DemandSum.Told> demand = new HashMap<>();
+      for (int i = Math.min(MOST_ITEMS, in.unpackMapHeader()); i > 0; i--) {
+        demand.put(
+            in.unpackString(), new DemandSum.Told(in.unpackInt(), new Span(in.unpackLong())));
+      }
+      Set<TaskId> running = new HashSet<>();
+      for (int i = Math.min(MOST_ITEMS, in.unpackArrayHeader()); i > 0; i--) {
+        TaskId task = TaskId.parse(in.unpackString());
+        if (task != null) {
+          running.add(task);
         }
+      }
+      return new ModelNews(since, demand, running);
+    } catch (IOException | MessagePackException e) {
+      return null;
     }
+  }
 }
