--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -26,225 +26,245 @@
 
 /** Peer reports to and from MessagePack. */
 public final class PeerCodec {
-    private static final int FORMAT = 3;
-    private static final int MOST_ITEMS = 200_000;
-    private static final int MOST_SECTION_BYTES = 1 << 22;
+  private static final int FORMAT = 3;
+  private static final int MOST_ITEMS = 200_000;
+  private static final int MOST_SECTION_BYTES = 1 << 22;
 
-    private PeerCodec() {
-    }
+  private PeerCodec() {}
 
-    public static byte[] write(PeerReport report) {
-        try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-            out.packInt(FORMAT);
-            out.packString(report.member().text());
-            out.packLong(report.life().number());
-            out.packLong(report.number());
-            out.packLong(report.base());
-            out.packMapHeader(report.receipts().size());
-            for (Map.Entry<MemberId, PeerReport.Receipt> receipt : report.receipts().entrySet()) {
-                out.packString(receipt.getKey().text());
-                out.packLong(receipt.getValue().life().number());
-                out.packLong(receipt.getValue().number());
-                out.packBoolean(receipt.getValue().gap());
-            }
-            out.packLong(report.ledger().number());
-            out.packLong(report.unconfirmed().nanos());
-            writeTexts(out, report.strays().stream().map(MachineId::text).toList());
-            out.packArrayHeader(report.blocks().size());
-            for (PeerReport.Block block : report.blocks()) {
-                writeBlock(out, block);
-            }
-            writeSections(out, report.sections());
-            return out.toByteArray();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  public static byte[] write(PeerReport report) {
+    try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
+      out.packInt(FORMAT);
+      out.packString(report.member().text());
+      out.packLong(report.life().number());
+      out.packLong(report.number());
+      out.packLong(report.base());
+      out.packMapHeader(report.receipts().size());
+      for (Map.Entry<MemberId, PeerReport.Receipt> receipt : report.receipts().entrySet()) {
+        out.packString(receipt.getKey().text());
+        out.packLong(receipt.getValue().life().number());
+        out.packLong(receipt.getValue().number());
+        out.packBoolean(receipt.getValue().gap());
+      }
+      out.packLong(report.ledger().number());
+      out.packLong(report.unconfirmed().nanos());
+      writeTexts(out, report.strays().stream().map(MachineId::text).toList());
+      out.packArrayHeader(report.blocks().size());
+      for (PeerReport.Block block : report.blocks()) {
+        writeBlock(out, block);
+      }
+      writeSections(out, report.sections());
+      return out.toByteArray();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
 
-    /** What builds from before sections could not read: left out where there are none. */
-    private static void writeSections(MessageBufferPacker out, Map<String, byte[]> sections) throws IOException {
-        if (!sections.isEmpty()) {
-            out.packMapHeader(sections.size());
-            for (Map.Entry<String, byte[]> section : sections.entrySet()) {
-                out.packString(section.getKey());
-                out.packBinaryHeader(section.getValue().length);
-                out.writePayload(section.getValue());
-            }
-        }
+  /** What builds from before sections could not read: left out where there are none. */
+  private static void writeSections(MessageBufferPacker out, Map<String, byte[]> sections)
+      throws IOException {
+    if (!sections.isEmpty()) {
+      out.packMapHeader(sections.size());
+      for (Map.Entry<String, byte[]> section : sections.entrySet()) {
+        out.packString(section.getKey());
+        out.packBinaryHeader(section.getValue().length);
+        out.writePayload(section.getValue());
+      }
     }
+  }
 
-    private static Map<String, byte[]> readSections(MessageUnpacker in) throws IOException, BadMessage {
-        Map<String, byte[]> sections = new HashMap<>();
-        if (in.hasNext()) {
-            for (int i = count(in.unpackMapHeader()); i > 0; i--) {
-                String name = in.unpackString();
-                int length = in.unpackBinaryHeader();
-                if (length < 0 || length > MOST_SECTION_BYTES) {
-                    throw new BadMessage("too long a section of a peer report");
-                }
-                sections.put(name, in.readPayload(length));
-            }
+  private static Map<String, byte[]> readSections(MessageUnpacker in)
+      throws IOException, BadMessage {
+    Map<String, byte[]> sections = new HashMap<>();
+    if (in.hasNext()) {
+      for (int i = count(in.unpackMapHeader()); i > 0; i--) {
+        String name = in.unpackString();
+        int length = in.unpackBinaryHeader();
+        if (length < 0 || length > MOST_SECTION_BYTES) {
+          throw new BadMessage("too long a section of a peer report");
         }
-        return sections;
+        sections.put(name, in.readPayload(length));
+      }
     }
+    return sections;
+  }
 
-    private static void writeBlock(MessageBufferPacker out, PeerReport.Block block) throws IOException {
-        out.packString(block.id().text());
-        out.packLong(block.token().number());
-        out.packLong(block.allocation().number());
-        out.packBoolean(block.inDoubt());
-        writeTexts(out, block.declined().stream().map(JobId::text).sorted().toList());
-        out.packBoolean(block.whole());
-        writeTasks(out, block.completed());
-        writeTasks(out, block.released());
-        out.packMapHeader(block.running().size());
-        for (Map.Entry<JobId, Integer> running : block.running().entrySet()) {
-            out.packString(running.getKey().text());
-            out.packInt(running.getValue());
-        }
-        out.packArrayHeader(block.machines().size());
-        for (PeerReport.MachineState machine : block.machines()) {
-            out.packString(machine.id().text());
-            writeResources(out, machine.free());
-            writeResources(out, machine.yielding());
-            out.packLong(machine.silent().nanos());
-            out.packBoolean(machine.open());
-            out.packBoolean(machine.fenced());
-            out.packBoolean(machine.notice());
-            out.packBoolean(machine.sick());
-            out.packBoolean(machine.movable());
-            out.packInt(machine.tasks());
-            out.packInt(machine.queued());
-            writeTexts(out, machine.images());
-            writeTexts(out, machine.imagesInUse());
-        }
+  private static void writeBlock(MessageBufferPacker out, PeerReport.Block block)
+      throws IOException {
+    out.packString(block.id().text());
+    out.packLong(block.token().number());
+    out.packLong(block.allocation().number());
+    out.packBoolean(block.inDoubt());
+    writeTexts(out, block.declined().stream().map(JobId::text).sorted().toList());
+    out.packBoolean(block.whole());
+    writeTasks(out, block.completed());
+    writeTasks(out, block.released());
+    out.packMapHeader(block.running().size());
+    for (Map.Entry<JobId, Integer> running : block.running().entrySet()) {
+      out.packString(running.getKey().text());
+      out.packInt(running.getValue());
     }
-
-    private static void writeResources(MessageBufferPacker out, Resources resources) throws IOException {
-        out.packDouble(resources.cpus());
-        out.packDouble(resources.gpus());
-        out.packDouble(resources.memoryGb());
+    out.packArrayHeader(block.machines().size());
+    for (PeerReport.MachineState machine : block.machines()) {
+      out.packString(machine.id().text());
+      writeResources(out, machine.free());
+      writeResources(out, machine.yielding());
+      out.packLong(machine.silent().nanos());
+      out.packBoolean(machine.open());
+      out.packBoolean(machine.fenced());
+      out.packBoolean(machine.notice());
+      out.packBoolean(machine.sick());
+      out.packBoolean(machine.movable());
+      out.packInt(machine.tasks());
+      out.packInt(machine.queued());
+      writeTexts(out, machine.images());
+      writeTexts(out, machine.imagesInUse());
     }
+  }
 
-    private static Resources readResources(MessageUnpacker in) throws IOException {
-        return new Resources(in.unpackDouble(), in.unpackDouble(), in.unpackDouble());
-    }
+  private static void writeResources(MessageBufferPacker out, Resources resources)
+      throws IOException {
+    out.packDouble(resources.cpus());
+    out.packDouble(resources.gpus());
+    out.packDouble(resources.memoryGb());
+  }
 
-    private static void writeTexts(MessageBufferPacker out, List<String> texts) throws IOException {
-        out.packArrayHeader(texts.size());
-        for (String text : texts) {
-            out.packString(text);
-        }
+  private static Resources readResources(MessageUnpacker in) throws IOException {
+    return new Resources(in.unpackDouble(), in.unpackDouble(), in.unpackDouble());
+  }
+
+  private static void writeTexts(MessageBufferPacker out, List<String> texts) throws IOException {
+    out.packArrayHeader(texts.size());
+    for (String text : texts) {
+      out.packString(text);
     }
+  }
 
-    private static List<String> readTexts(MessageUnpacker in) throws IOException, BadMessage {
-        List<String> texts = new ArrayList<>();
-        for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
-            texts.add(in.unpackString());
-        }
-        return texts;
+  private static List<String> readTexts(MessageUnpacker in) throws IOException, BadMessage {
+    List<String> texts = new ArrayList<>();
+    for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
+      texts.add(in.unpackString());
     }
+    return texts;
+  }
 
-    private static void writeTasks(MessageBufferPacker out, List<TaskId> tasks) throws IOException {
-        out.packArrayHeader(tasks.size());
-        for (TaskId task : tasks) {
-            out.packString(task.toString());
-        }
+  private static void writeTasks(MessageBufferPacker out, List<TaskId> tasks) throws IOException {
+    out.packArrayHeader(tasks.size());
+    for (TaskId task : tasks) {
+      out.packString(task.toString());
     }
+  }
 
-    public static PeerReport read(byte[] bytes) throws BadMessage {
-        try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-            if (in.unpackInt() != FORMAT) {
-                throw new BadMessage("unknown format of a peer report");
-            }
-            MemberId member = new MemberId(in.unpackString());
-            Incarnation life = new Incarnation(in.unpackLong());
-            long number = in.unpackLong();
-            long base = in.unpackLong();
-            if (base < 0 || number <= base) {
-                throw new BadMessage("a peer report that builds on a later one");
-            }
-            Map<MemberId, PeerReport.Receipt> receipts = new HashMap<>();
-            for (int i = count(in.unpackMapHeader()); i > 0; i--) {
-                receipts.put(new MemberId(in.unpackString()),
-                        new PeerReport.Receipt(new Incarnation(in.unpackLong()), in.unpackLong(), in.unpackBoolean()));
-            }
-            Revision ledger = new Revision(in.unpackLong());
-            Span unconfirmed = new Span(in.unpackLong());
-            List<MachineId> strays = readTexts(in).stream().map(MachineId::new).toList();
-            List<PeerReport.Block> blocks = new ArrayList<>();
-            for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
-                blocks.add(readBlock(in));
-            }
-            Map<String, byte[]> sections = readSections(in);
-            if (in.hasNext()) {
-                throw new BadMessage("bytes left over in a peer report");
-            }
-            return new PeerReport(member, life, number, base, receipts, ledger, unconfirmed, blocks, strays, sections);
-        } catch (IOException | MessagePackException e) {
-            throw new BadMessage("unreadable peer report");
-        }
+  public static PeerReport read(byte[] bytes) throws BadMessage {
+    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
+      if (in.unpackInt() != FORMAT) {
+        throw new BadMessage("unknown format of a peer report");
+      }
+      MemberId member = new MemberId(in.unpackString());
+      Incarnation life = new Incarnation(in.unpackLong());
+      long number = in.unpackLong();
+      long base = in.unpackLong();
+      if (base < 0 || number <= base) {
+        throw new BadMessage("a peer report that builds on a later one");
+      }
+      Map<MemberId, PeerReport.Receipt> receipts = new HashMap<>();
+      for (int i = count(in.unpackMapHeader()); i > 0; i--) {
+        receipts.put(
+            new MemberId(in.unpackString()),
+            new PeerReport.Receipt(
+                new Incarnation(in.unpackLong()), in.unpackLong(), in.unpackBoolean()));
+      }
+      Revision ledger = new Revision(in.unpackLong());
+      Span unconfirmed = new Span(in.unpackLong());
+      List<MachineId> strays = readTexts(in).stream().map(MachineId::new).toList();
+      List<PeerReport.Block> blocks = new ArrayList<>();
+      for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
+        blocks.add(readBlock(in));
+      }
+      Map<String, byte[]> sections = readSections(in);
+      if (in.hasNext()) {
+        throw new BadMessage("bytes left over in a peer report");
+      }
+      return new PeerReport(
+          member, life, number, base, receipts, ledger, unconfirmed, blocks, strays, sections);
+    } catch (IOException | MessagePackException e) {
+      throw new BadMessage("unreadable peer report");
     }
+  }
 
-    private static PeerReport.Block readBlock(MessageUnpacker in) throws IOException, BadMessage {
-        BlockId id = new BlockId(in.unpackString());
-        Token token = new Token(in.unpackLong());
-        Revision allocation = new Revision(in.unpackLong());
-        boolean inDoubt = in.unpackBoolean();
-        Set<JobId> declined = new HashSet<>();
-        for (String name : readTexts(in)) {
-            declined.add(job(name));
-        }
-        boolean whole = in.unpackBoolean();
-        List<TaskId> completed = readTasks(in);
-        List<TaskId> released = readTasks(in);
-        Map<JobId, Integer> running = new HashMap<>();
-        for (int i = count(in.unpackMapHeader()); i > 0; i--) {
-            running.put(job(in.unpackString()), in.unpackInt());
-        }
-        List<PeerReport.MachineState> machines = new ArrayList<>();
-        for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
-            MachineId machine = new MachineId(in.unpackString());
-            Resources free = readResources(in);
-            Resources yielding = readResources(in);
-            Span silent = new Span(in.unpackLong());
-            boolean open = in.unpackBoolean();
-            boolean fenced = in.unpackBoolean();
-            boolean notice = in.unpackBoolean();
-            boolean sick = in.unpackBoolean();
-            boolean movable = in.unpackBoolean();
-            int tasks = in.unpackInt();
-            int queued = in.unpackInt();
-            machines.add(new PeerReport.MachineState(machine, free, yielding, silent, open, fenced, notice, sick,
-                    movable, tasks, queued, readTexts(in), readTexts(in)));
-        }
-        return new PeerReport.Block(id, token, allocation, inDoubt, declined, whole, completed, released, running, machines);
+  private static PeerReport.Block readBlock(MessageUnpacker in) throws IOException, BadMessage {
+    BlockId id = new BlockId(in.unpackString());
+    Token token = new Token(in.unpackLong());
+    Revision allocation = new Revision(in.unpackLong());
+    boolean inDoubt = in.unpackBoolean();
+    Set<JobId> declined = new HashSet<>();
+    for (String name : readTexts(in)) {
+      declined.add(job(name));
     }
+    boolean whole = in.unpackBoolean();
+    List<TaskId> completed = readTasks(in);
+    List<TaskId> released = readTasks(in);
+    Map<JobId, Integer> running = new HashMap<>();
+    for (int i = count(in.unpackMapHeader()); i > 0; i--) {
+      running.put(job(in.unpackString()), in.unpackInt());
+    }
+    List<PeerReport.MachineState> machines = new ArrayList<>();
+    for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
+      MachineId machine = new MachineId(in.unpackString());
+      Resources free = readResources(in);
+      Resources yielding = readResources(in);
+      Span silent = new Span(in.unpackLong());
+      boolean open = in.unpackBoolean();
+      boolean fenced = in.unpackBoolean();
+      boolean notice = in.unpackBoolean();
+      boolean sick = in.unpackBoolean();
+      boolean movable = in.unpackBoolean();
+      int tasks = in.unpackInt();
+      int queued = in.unpackInt();
+      machines.add(
+          new PeerReport.MachineState(
+              machine,
+              free,
+              yielding,
+              silent,
+              open,
+              fenced,
+              notice,
+              sick,
+              movable,
+              tasks,
+              queued,
+              readTexts(in),
+              readTexts(in)));
+    }
+    return new PeerReport.Block(
+        id, token, allocation, inDoubt, declined, whole, completed, released, running, machines);
+  }
 
-    private static JobId job(String name) throws BadMessage {
-        JobId job = JobId.parse(name);
-        if (job == null) {
-            throw new BadMessage("bad job id in a peer report");
-        }
-        return job;
+  private static JobId job(String name) throws BadMessage {
+    JobId job = JobId.parse(name);
+    if (job == null) {
+      throw new BadMessage("bad job id in a peer report");
     }
+    return job;
+  }
 
-    private static List<TaskId> readTasks(MessageUnpacker in) throws IOException, BadMessage {
-        List<TaskId> tasks = new ArrayList<>();
-        for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
-            TaskId task = TaskId.parse(in.unpackString());
-            if (task == null) {
-                throw new BadMessage("bad task id in a peer report");
-            }
-            tasks.add(task);
-        }
-        return tasks;
+  private static List<TaskId> readTasks(MessageUnpacker in) throws IOException, BadMessage {
+    List<TaskId> tasks = new ArrayList<>();
+    for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
+      TaskId task = TaskId.parse(in.unpackString());
+      if (task == null) {
+        throw new BadMessage("bad task id in a peer report");
+      }
+      tasks.add(task);
     }
+    return tasks;
+  }
 
-    private static int count(int items) throws BadMessage {
-        if (items > MOST_ITEMS) {
-            throw new BadMessage("too many items in a peer report");
-        }
-        return items;
+  private static int count(int items) throws BadMessage {
+    if (items > MOST_ITEMS) {
+      throw new BadMessage("too many items in a peer report");
     }
+    return items;
+  }
 }
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -22,162 +22,181 @@
 
 /** What each controller has told of itself and its blocks, put together from its reports. */
 public final class PeerViews {
-    /** A block as its holder last described it. */
-    public record BlockView(BlockId id, Token token, Revision allocation, boolean inDoubt, Set<JobId> declined,
-            List<TaskId> completed, List<TaskId> released, Map<JobId, Integer> running, Map<MachineId, PeerReport.MachineState> machines) {
-    }
-
-    /** Told which blocks a report says something new of. */
-    public interface Listener {
-        void changed(MemberId member, Collection<BlockId> blocks);
-    }
-
-    /** What is known of one controller. */
-    public static final class View {
-        private final Incarnation life;
-        private final Map<BlockId, BlockView> blocks = new LinkedHashMap<>();
-        private long number;
-        private boolean gap;
-        private SteadyTime at;
-        private Revision ledger = Revision.NONE;
-        private Span unconfirmed = Span.ZERO;
-        private Set<MachineId> strays = Set.of();
-        private Map<String, byte[]> sections = Map.of();
-
-        private View(Incarnation life, SteadyTime at) {
-            this.life = life;
-            this.at = at;
-        }
-
-        public Incarnation life() {
-            return life;
-        }
-
-        /** The last report that all before it have come of. */
-        public long number() {
-            return number;
-        }
-
-        /** When its last report came. */
-        public SteadyTime at() {
-            return at;
-        }
-
-        /** The revision that it had taken note of. */
-        public Revision ledger() {
-            return ledger;
-        }
-
-        /** How long it had not heard from the state service. */
-        public Span unconfirmed() {
-            return unconfirmed;
-        }
-
-        public Set<MachineId> strays() {
-            return strays;
-        }
-
-        /** What parts of it tell theirs here, by name. */
-        public Map<String, byte[]> sections() {
-            return sections;
-        }
-
-        public Map<BlockId, BlockView> blocks() {
-            return blocks;
-        }
-    }
-
-    private final Map<MemberId, View> views = new TreeMap<>();
-    private final List<Listener> listeners = new ArrayList<>();
-
-    public void listen(Listener listener) {
-        listeners.add(listener);
-    }
-
-    public Collection<View> all() {
-        return views.values();
-    }
-
-    /** What is known of a controller, or null. */
-    public View of(MemberId member) {
-        return views.get(member);
-    }
-
-    /** Takes a report; false if it builds on one that did not come, and so says nothing. */
-    public boolean take(PeerReport report, SteadyTime now) {
-        View view = views.get(report.member());
-        if (view == null || !view.life.equals(report.life())) {
-            if (view != null && Long.compareUnsigned(report.life().number(), view.life.number()) < 0) {
-                return true; // a late one of a former life
-            }
-            List<BlockId> forgotten = view == null ? List.of() : List.copyOf(view.blocks.keySet());
-            view = new View(report.life(), now);
-            views.put(report.member(), view);
-            tell(report.member(), forgotten);
-        }
-        if (report.number() <= view.number) {
-            return true; // late or repeated
-        }
-        if (report.base() > view.number) {
-            view.gap = true;
-            return false;
-        }
-        view.gap = false;
-        view.number = report.number();
-        view.at = now;
-        view.ledger = report.ledger();
-        view.unconfirmed = report.unconfirmed();
-        view.strays = new HashSet<>(report.strays());
-        view.sections = report.sections();
-        Set<BlockId> changed = new HashSet<>();
-        if (report.base() == 0) {
-            changed.addAll(view.blocks.keySet());
-            view.blocks.clear();
-        }
-        for (PeerReport.Block block : report.blocks()) {
-            changed.add(block.id());
-            merge(view, block);
-        }
-        tell(report.member(), changed);
-        return true;
-    }
-
-    private static void merge(View view, PeerReport.Block block) {
-        BlockView before = view.blocks.get(block.id());
-        Map<MachineId, PeerReport.MachineState> machines = new LinkedHashMap<>();
-        if (before != null && !block.whole()) {
-            machines = before.machines();
-        }
-        for (PeerReport.MachineState machine : block.machines()) {
-            machines.put(machine.id(), machine);
-        }
-        view.blocks.put(block.id(), new BlockView(block.id(), block.token(), block.allocation(), block.inDoubt(),
-                block.declined(), block.completed(), block.released(), block.running(), machines));
-    }
-
-    private void tell(MemberId member, Collection<BlockId> changed) {
-        if (!changed.isEmpty()) {
-            listeners.forEach(listener -> listener.changed(member, changed));
-        }
-    }
-
-    /** Forgets a block that a controller does not hold any more. */
-    public void forget(MemberId member, BlockId block) {
-        View view = views.get(member);
-        if (view != null && view.blocks.remove(block) != null) {
-            tell(member, List.of(block));
-        }
-    }
-
-    /** For so long nobody was listened to here: that nothing came is no sign of who did not speak. */
-    public void excuse(Span gap) {
-        views.values().forEach(view -> view.at = view.at.plus(gap));
-    }
-
-    /** What has been received of each controller, for it to know. */
-    public Map<MemberId, PeerReport.Receipt> receipts() {
-        Map<MemberId, PeerReport.Receipt> receipts = new HashMap<>();
-        views.forEach((member, view) -> receipts.put(member, new PeerReport.Receipt(view.life, view.number, view.gap)));
-        return receipts;
+  /** A block as its holder last described it. */
+  public record BlockView(
+      BlockId id,
+      Token token,
+      Revision allocation,
+      boolean inDoubt,
+      Set<JobId> declined,
+      List<TaskId> completed,
+      List<TaskId> released,
+      Map<JobId, Integer> running,
+      Map<MachineId, PeerReport.MachineState> machines) {}
+
+  /** Told which blocks a report says something new of. */
+  public interface Listener {
+    void changed(MemberId member, Collection<BlockId> blocks);
+  }
+
+  /** What is known of one controller. */
+  public static final class View {
+    private final Incarnation life;
+    private final Map<BlockId, BlockView> blocks = new LinkedHashMap<>();
+    private long number;
+    private boolean gap;
+    private SteadyTime at;
+    private Revision ledger = Revision.NONE;
+    private Span unconfirmed = Span.ZERO;
+    private Set<MachineId> strays = Set.of();
+    private Map<String, byte[]> sections = Map.of();
+
+    private View(Incarnation life, SteadyTime at) {
+      this.life = life;
+      this.at = at;
     }
+
+    public Incarnation life() {
+      return life;
+    }
+
+    /** The last report that all before it have come of. */
+    public long number() {
+      return number;
+    }
+
+    /** When its last report came. */
+    public SteadyTime at() {
+      return at;
+    }
+
+    /** The revision that it had taken note of. */
+    public Revision ledger() {
+      return ledger;
+    }
+
+    /** How long it had not heard from the state service. */
+    public Span unconfirmed() {
+      return unconfirmed;
+    }
+
+    public Set<MachineId> strays() {
+      return strays;
+    }
+
+    /** What parts of it tell theirs here, by name. */
+    public Map<String, byte[]> sections() {
+      return sections;
+    }
+
+    public Map<BlockId, BlockView> blocks() {
+      return blocks;
+    }
+  }
+
+  private final Map<MemberId, View> views = new TreeMap<>();
+  private final List<Listener> listeners = new ArrayList<>();
+
+  public void listen(Listener listener) {
+    listeners.add(listener);
+  }
+
+  public Collection<View> all() {
+    return views.values();
+  }
+
+  /** What is known of a controller, or null. */
+  public View of(MemberId member) {
+    return views.get(member);
+  }
+
+  /** Takes a report; false if it builds on one that did not come, and so says nothing. */
+  public boolean take(PeerReport report, SteadyTime now) {
+    View view = views.get(report.member());
+    if (view == null || !view.life.equals(report.life())) {
+      if (view != null && Long.compareUnsigned(report.life().number(), view.life.number()) < 0) {
+        return true; // a late one of a former life
+      }
+      List<BlockId> forgotten = view == null ? List.of() : List.copyOf(view.blocks.keySet());
+      view = new View(report.life(), now);
+      views.put(report.member(), view);
+      tell(report.member(), forgotten);
+    }
+    if (report.number() <= view.number) {
+      return true; // late or repeated
+    }
+    if (report.base() > view.number) {
+      view.gap = true;
+      return false;
+    }
+    view.gap = false;
+    view.number = report.number();
+    view.at = now;
+    view.ledger = report.ledger();
+    view.unconfirmed = report.unconfirmed();
+    view.strays = new HashSet<>(report.strays());
+    view.sections = report.sections();
+    Set<BlockId> changed = new HashSet<>();
+    if (report.base() == 0) {
+      changed.addAll(view.blocks.keySet());
+      view.blocks.clear();
+    }
+    for (PeerReport.Block block : report.blocks()) {
+      changed.add(block.id());
+      merge(view, block);
+    }
+    tell(report.member(), changed);
+    return true;
+  }
+
+  private static void merge(View view, PeerReport.Block block) {
+    BlockView before = view.blocks.get(block.id());
+    Map<MachineId, PeerReport.MachineState> machines = new LinkedHashMap<>();
+    if (before != null && !block.whole()) {
+      machines = before.machines();
+    }
+    for (PeerReport.MachineState machine : block.machines()) {
+      machines.put(machine.id(), machine);
+    }
+    view.blocks.put(
+        block.id(),
+        new BlockView(
+            block.id(),
+            block.token(),
+            block.allocation(),
+            block.inDoubt(),
+            block.declined(),
+            block.completed(),
+            block.released(),
+            block.running(),
+            machines));
+  }
+
+  private void tell(MemberId member, Collection<BlockId> changed) {
+    if (!changed.isEmpty()) {
+      listeners.forEach(listener -> listener.changed(member, changed));
+    }
+  }
+
+  /** Forgets a block that a controller does not hold any more. */
+  public void forget(MemberId member, BlockId block) {
+    View view = views.get(member);
+    if (view != null && view.blocks.remove(block) != null) {
+      tell(member, List.of(block));
+    }
+  }
+
+  /** For so long nobody was listened to here: that nothing came is no sign of who did not speak. */
+  public void excuse(Span gap) {
+    views.values().forEach(view -> view.at = view.at.plus(gap));
+  }
+
+  /** What has been received of each controller, for it to know. */
+  public Map<MemberId, PeerReport.Receipt> receipts() {
+    Map<MemberId, PeerReport.Receipt> receipts = new HashMap<>();
+    views.forEach(
+        (member, view) ->
+            receipts.put(member, new PeerReport.Receipt(view.life, view.number, view.gap)));
+    return receipts;
+  }
 }
--- a/src/main/java/org/quincecross/program/AgreedCommand.java
+++ b/src/main/java/org/quincecross/program/AgreedCommand.java
@@ -19,241 +19,298 @@
 import picocli.CommandLine.Spec;
 
 /**
- * What the commands for a kind of agreed records share. Each prints JSON or a table, or one line that says what was wrong; the exit status is 0
- * where it did what it was asked, 1 where not, and 2 for what the command line got wrong.
+ * What the commands for a kind of agreed records share. Each prints JSON or a table, or one line
+ * that says what was wrong; the exit status is 0 where it did what it was asked, 1 where not, and 2
+ * for what the command line got wrong.
  */
 abstract class AgreedCommand implements Callable<Integer> {
-    /** How answers are printed. */
-    enum Output { json, table }
-
-    private static final int MOST_TRIES = 4;
-    private static final int LONGEST_WAIT_S = 10;
-
-    @Mixin
-    private ClientCommand.Server server;
-
-    @Option(names = "--output", paramLabel = "FORM", defaultValue = "table", description = "table or json (default: ${DEFAULT-VALUE})")
-    private Output output;
-
-    @Spec
-    private CommandSpec spec;
-
-    /** The kind of the records. */
-    abstract String kind();
-
-    /** What the command line got wrong; nothing has been asked then. */
-    final ParameterException wrong(String what) {
-        return new ParameterException(spec.commandLine(), what);
+  /** How answers are printed. */
+  enum Output {
+    json,
+    table
+  }
+
+  private static final int MOST_TRIES = 4;
+  private static final int LONGEST_WAIT_S = 10;
+
+  @Mixin private ClientCommand.Server server;
+
+  @Option(
+      names = "--output",
+      paramLabel = "FORM",
+      defaultValue = "table",
+      description = "table or json (default: ${DEFAULT-VALUE})")
+  private Output output;
+
+  @Spec private CommandSpec spec;
+
+  /** The kind of the records. */
+  abstract String kind();
+
+  /** What the command line got wrong; nothing has been asked then. */
+  final ParameterException wrong(String what) {
+    return new ParameterException(spec.commandLine(), what);
+  }
+
+  private String path(String rest) {
+    return AgreedApi.ROOT + "/" + kind() + rest;
+  }
+
+  final String checked(String id) {
+    if (!RecordId.isName(id)) {
+      throw wrong(
+          "'"
+              + id
+              + "' is no name of a "
+              + kind()
+              + ": letters, digits, '.', '_' and '-', at most 100");
     }
-
-    private String path(String rest) {
-        return AgreedApi.ROOT + "/" + kind() + rest;
+    return id;
+  }
+
+  final void print(String text) {
+    spec.commandLine().getOut().print(text);
+    spec.commandLine().getOut().flush();
+  }
+
+  /** Prints rows as the command line wants them. */
+  final int print(List<Map<String, Object>> rows) {
+    print(
+        output == Output.json
+            ? new String(Json.write(rows), StandardCharsets.UTF_8) + "\n"
+            : Table.of(rows));
+    return 0;
+  }
+
+  /** Asks a controller for something beside the records themselves. */
+  final ClientCommand.Server.Reply send(String method, String path, Map<String, Object> body) {
+    return server.send(method, path, body == null ? null : Json.write(body));
+  }
+
+  /** Says what went wrong; the exit status. */
+  final int failed(ClientCommand.Server.Reply reply) {
+    String why = reply.text();
+    try {
+      why =
+          reply.status() == 0
+              ? why
+              : Json.parseFields(why.getBytes(StandardCharsets.UTF_8)).textOr("error", why);
+    } catch (BadMessage e) {
+      // as it came
     }
-
-    final String checked(String id) {
-        if (!RecordId.isName(id)) {
-            throw wrong("'" + id + "' is no name of a " + kind() + ": letters, digits, '.', '_' and '-', at most 100");
-        }
-        return id;
+    spec.commandLine()
+        .getErr()
+        .println(
+            spec.qualifiedName() + ": " + (reply.status() == 0 ? "" : reply.status() + " ") + why);
+    return 1;
+  }
+
+  /** Takes what a controller answered; null where it cannot be read. */
+  private static Fields read(ClientCommand.Server.Reply reply) {
+    try {
+      return Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
+    } catch (BadMessage e) {
+      return null;
     }
-
-    final void print(String text) {
-        spec.commandLine().getOut().print(text);
-        spec.commandLine().getOut().flush();
-    }
-
-    /** Prints rows as the command line wants them. */
-    final int print(List<Map<String, Object>> rows) {
-        print(output == Output.json ? new String(Json.write(rows), StandardCharsets.UTF_8) + "\n" : Table.of(rows));
-        return 0;
-    }
-
-    /** Asks a controller for something beside the records themselves. */
-    final ClientCommand.Server.Reply send(String method, String path, Map<String, Object> body) {
-        return server.send(method, path, body == null ? null : Json.write(body));
-    }
-
-    /** Says what went wrong; the exit status. */
-    final int failed(ClientCommand.Server.Reply reply) {
-        String why = reply.text();
-        try {
-            why = reply.status() == 0 ? why : Json.parseFields(why.getBytes(StandardCharsets.UTF_8)).textOr("error", why);
-        } catch (BadMessage e) {
-            // as it came
-        }
-        spec.commandLine().getErr().println(spec.qualifiedName() + ": " + (reply.status() == 0 ? "" : reply.status() + " ") + why);
+  }
+
+  /** Takes what is in one answer of several. */
+  interface Page {
+    /** The path of the next page, or null. */
+    String take(Fields answer) throws BadMessage;
+  }
+
+  private int pages(String first, Page page) {
+    String next = first;
+    while (next != null) {
+      ClientCommand.Server.Reply reply = server.send("GET", path(next), null);
+      Fields answer = reply.isGood() ? read(reply) : null;
+      if (answer == null) {
+        return failed(reply);
+      }
+      try {
+        next = page.take(answer);
+      } catch (BadMessage e) {
+        spec.commandLine().getErr().println("quincecross: " + e.getMessage());
         return 1;
+      }
     }
-
-    /** Takes what a controller answered; null where it cannot be read. */
-    private static Fields read(ClientCommand.Server.Reply reply) {
-        try {
-            return Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
-        } catch (BadMessage e) {
-            return null;
-        }
+    return 0;
+  }
+
+  private static List<Map<String, Object>> rows(Fields answer, String name) throws BadMessage {
+    List<Map<String, Object>> rows = new ArrayList<>();
+    for (Fields row : answer.objects(name)) {
+      Map<String, Object> out = Json.object();
+      row.names().forEach(column -> out.put(column, row.raw(column)));
+      rows.add(out);
     }
-
-    /** Takes what is in one answer of several. */
-    interface Page {
-        /** The path of the next page, or null. */
-        String take(Fields answer) throws BadMessage;
+    return rows;
+  }
+
+  /** All records, as rows; null where that failed and was said. */
+  final List<Map<String, Object>> list() {
+    List<Map<String, Object>> rows = new ArrayList<>();
+    int status =
+        pages(
+            "",
+            answer -> {
+              rows.addAll(rows(answer, "rows"));
+              return answer.has("next_after") ? "?after=" + answer.text("next_after") : null;
+            });
+    return status == 0 ? rows : null;
+  }
+
+  /** Lines of the trail after a revision, as rows; null where that failed and was said. */
+  final List<Map<String, Object>> trail(long since) {
+    List<Map<String, Object>> rows = new ArrayList<>();
+    int status =
+        pages(
+            "/trail?since=" + since,
+            answer -> {
+              rows.addAll(rows(answer, "lines"));
+              return answer.has("next_page")
+                  ? "/trail?since="
+                      + since
+                      + "&page="
+                      + answer.count("next_page", 1, Integer.MAX_VALUE)
+                  : null;
+            });
+    return status == 0 ? rows : null;
+  }
+
+  /** Prints one record. */
+  final int show(String id) {
+    ClientCommand.Server.Reply reply = server.send("GET", path("/" + checked(id)), null);
+    Fields answer = reply.isGood() ? read(reply) : null;
+    if (answer == null) {
+      return failed(reply);
     }
-
-    private int pages(String first, Page page) {
-        String next = first;
-        while (next != null) {
-            ClientCommand.Server.Reply reply = server.send("GET", path(next), null);
-            Fields answer = reply.isGood() ? read(reply) : null;
-            if (answer == null) {
-                return failed(reply);
-            }
-            try {
-                next = page.take(answer);
-            } catch (BadMessage e) {
-                spec.commandLine().getErr().println("quincecross: " + e.getMessage());
-                return 1;
-            }
-        }
-        return 0;
+    if (output == Output.json) {
+      return server.print(reply);
     }
-
-    private static List<Map<String, Object>> rows(Fields answer, String name) throws BadMessage {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        for (Fields row : answer.objects(name)) {
-            Map<String, Object> out = Json.object();
-            row.names().forEach(column -> out.put(column, row.raw(column)));
-            rows.add(out);
-        }
-        return rows;
+    try {
+      return print(rows(answer, "rows"));
+    } catch (BadMessage e) {
+      spec.commandLine().getErr().println("quincecross: " + e.getMessage());
+      return 1;
     }
-
-    /** All records, as rows; null where that failed and was said. */
-    final List<Map<String, Object>> list() {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        int status = pages("", answer -> {
-            rows.addAll(rows(answer, "rows"));
-            return answer.has("next_after") ? "?after=" + answer.text("next_after") : null;
-        });
-        return status == 0 ? rows : null;
+  }
+
+  /**
+   * Has a record changed; asks again by the same name of the request where it is not known what
+   * became of it.
+   */
+  final int change(String id, Request request, Map<String, Object> command) {
+    String name = request.name == null ? UUID.randomUUID().toString() : request.name;
+    Map<String, Object> body = Json.object("request", name, "command", command, "by", request.by);
+    if (request.onChange >= 0) {
+      body.put("on_change", request.onChange);
     }
-
-    /** Lines of the trail after a revision, as rows; null where that failed and was said. */
-    final List<Map<String, Object>> trail(long since) {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        int status = pages("/trail?since=" + since, answer -> {
-            rows.addAll(rows(answer, "lines"));
-            return answer.has("next_page") ? "/trail?since=" + since + "&page=" + answer.count("next_page", 1, Integer.MAX_VALUE) : null;
-        });
-        return status == 0 ? rows : null;
+    ClientCommand.Server.Reply reply = null;
+    for (int tries = 0; tries < MOST_TRIES; tries++) {
+      reply = server.send("POST", path("/" + checked(id)), Json.write(body));
+      if (reply.status() != 503 && reply.status() != 0 || !pause(reply.retryAfterS())) {
+        break;
+      }
     }
-
-    /** Prints one record. */
-    final int show(String id) {
-        ClientCommand.Server.Reply reply = server.send("GET", path("/" + checked(id)), null);
-        Fields answer = reply.isGood() ? read(reply) : null;
-        if (answer == null) {
-            return failed(reply);
-        }
-        if (output == Output.json) {
-            return server.print(reply);
-        }
-        try {
-            return print(rows(answer, "rows"));
-        } catch (BadMessage e) {
-            spec.commandLine().getErr().println("quincecross: " + e.getMessage());
-            return 1;
-        }
+    if (!reply.isGood()) {
+      int status = failed(reply);
+      if (reply.status() == 503 || reply.status() == 0) {
+        spec.commandLine()
+            .getErr()
+            .println("it is not known whether it was done: ask again with --request " + name);
+      }
+      return status;
     }
-
-    /** Has a record changed; asks again by the same name of the request where it is not known what became of it. */
-    final int change(String id, Request request, Map<String, Object> command) {
-        String name = request.name == null ? UUID.randomUUID().toString() : request.name;
-        Map<String, Object> body = Json.object("request", name, "command", command, "by", request.by);
-        if (request.onChange >= 0) {
-            body.put("on_change", request.onChange);
-        }
-        ClientCommand.Server.Reply reply = null;
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
-            reply = server.send("POST", path("/" + checked(id)), Json.write(body));
-            if (reply.status() != 503 && reply.status() != 0 || !pause(reply.retryAfterS())) {
-                break;
-            }
-        }
-        if (!reply.isGood()) {
-            int status = failed(reply);
-            if (reply.status() == 503 || reply.status() == 0) {
-                spec.commandLine().getErr().println("it is not known whether it was done: ask again with --request " + name);
-            }
-            return status;
-        }
-        Fields answer = read(reply);
-        if (output == Output.json || answer == null) {
-            return server.print(reply);
-        }
-        print(kind() + " " + id + ": change " + answer.raw("change") + ", revision " + answer.raw("revision")
-                + (answer.has("note") ? " (" + answer.raw("note") + ")" : "") + "\n");
-        return 0;
+    Fields answer = read(reply);
+    if (output == Output.json || answer == null) {
+      return server.print(reply);
     }
-
-    private static boolean pause(int seconds) {
-        try {
-            Thread.sleep(1000L * Math.min(LONGEST_WAIT_S, Math.max(1, seconds)));
-            return true;
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return false;
-        }
+    print(
+        kind()
+            + " "
+            + id
+            + ": change "
+            + answer.raw("change")
+            + ", revision "
+            + answer.raw("revision")
+            + (answer.has("note") ? " (" + answer.raw("note") + ")" : "")
+            + "\n");
+    return 0;
+  }
+
+  private static boolean pause(int seconds) {
+    try {
+      Thread.sleep(1000L * Math.min(LONGEST_WAIT_S, Math.max(1, seconds)));
+      return true;
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      return false;
     }
-
-    /** What goes with each change. */
-    static final class Request {
-        @Option(names = "--request", paramLabel = "NAME",
-                description = "the request's own name: however often it is asked for, it is one change (default: a new one each time)")
-        private String name;
-
-        @Option(names = "--by", paramLabel = "WHO", description = "who asks, for the trail (default: this user)")
-        private String by = System.getProperty("user.name", "");
-
-        /** Puts these in a request that is not made by {@link AgreedCommand#change}. */
-        void putInto(Map<String, Object> body) {
-            body.put("request", name == null ? UUID.randomUUID().toString() : name);
-            body.put("by", by);
-        }
-
-        @Option(names = "--on-change", paramLabel = "N", description = "only if the record's last change is this one")
-        private long onChange = -1;
+  }
+
+  /** What goes with each change. */
+  static final class Request {
+    @Option(
+        names = "--request",
+        paramLabel = "NAME",
+        description =
+            "the request's own name: however often it is asked for, it is one change (default: a new one each time)")
+    private String name;
+
+    @Option(
+        names = "--by",
+        paramLabel = "WHO",
+        description = "who asks, for the trail (default: this user)")
+    private String by = System.getProperty("user.name", "");
+
+    /** Puts these in a request that is not made by {@link AgreedCommand#change}. */
+    void putInto(Map<String, Object> body) {
+      body.put("request", name == null ? UUID.randomUUID().toString() : name);
+      body.put("by", by);
     }
 
-    /** Lists the records of a kind. */
-    abstract static class Listing extends AgreedCommand {
-        @Override
-        public Integer call() {
-            List<Map<String, Object>> rows = list();
-            return rows == null ? 1 : print(rows);
-        }
+    @Option(
+        names = "--on-change",
+        paramLabel = "N",
+        description = "only if the record's last change is this one")
+    private long onChange = -1;
+  }
+
+  /** Lists the records of a kind. */
+  abstract static class Listing extends AgreedCommand {
+    @Override
+    public Integer call() {
+      List<Map<String, Object>> rows = list();
+      return rows == null ? 1 : print(rows);
     }
+  }
 
-    /** Shows one record. */
-    abstract static class Showing extends AgreedCommand {
-        @Parameters(paramLabel = "ID", description = "the name of the record")
-        private String id;
+  /** Shows one record. */
+  abstract static class Showing extends AgreedCommand {
+    @Parameters(paramLabel = "ID", description = "the name of the record")
+    private String id;
 
-        @Override
-        public Integer call() {
-            return show(id);
-        }
+    @Override
+    public Integer call() {
+      return show(id);
     }
-
-    /** Shows the trail. */
-    abstract static class Trail extends AgreedCommand {
-        @Option(names = "--since", paramLabel = "REVISION", defaultValue = "0", description = "only what came after this revision")
-        private long since;
-
-        @Override
-        public Integer call() {
-            List<Map<String, Object>> rows = trail(since);
-            return rows == null ? 1 : print(rows);
-        }
+  }
+
+  /** Shows the trail. */
+  abstract static class Trail extends AgreedCommand {
+    @Option(
+        names = "--since",
+        paramLabel = "REVISION",
+        defaultValue = "0",
+        description = "only what came after this revision")
+    private long since;
+
+    @Override
+    public Integer call() {
+      List<Map<String, Object>> rows = trail(since);
+      return rows == null ? 1 : print(rows);
     }
+  }
 }
--- a/src/main/java/org/quincecross/program/ClassLoading.java
+++ b/src/main/java/org/quincecross/program/ClassLoading.java
@@ -12,42 +12,45 @@
 import org.quincecross.wire.Json;
 
 /**
- * Loads what a controller needs, so that the class-data archive made of it spares every start the reading and checking
- * of classes: on a share of one core that is much of the time until the first answer.
+ * Loads what a controller needs, so that the class-data archive made of it spares every start the
+ * reading and checking of classes: on a share of one core that is much of the time until the first
+ * answer.
  */
 final class ClassLoading {
-    private static final List<String> PACKAGES =
-            List.of("org/quincecross/", "com/fasterxml/jackson/core/", "org/msgpack/core/", "org/slf4j/");
+  private static final List<String> PACKAGES =
+      List.of("org/quincecross/", "com/fasterxml/jackson/core/", "org/msgpack/core/", "org/slf4j/");
 
-    /** What no serving controller needs: it must not make the archive larger. */
-    private static final List<String> LEFT_OUT = List.of("org/quincecross/emulator/", "org/quincecross/quota/");
+  /** What no serving controller needs: it must not make the archive larger. */
+  private static final List<String> LEFT_OUT =
+      List.of("org/quincecross/emulator/", "org/quincecross/quota/");
 
-    private ClassLoading() {
-    }
+  private ClassLoading() {}
 
-    static void loadAll() throws IOException, BadMessage {
-        File jar = new File(ClassLoading.class.getProtectionDomain().getCodeSource().getLocation().getPath());
-        try (JarFile file = new JarFile(jar)) {
-            for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
-                String name = entry.getName();
-                if (name.endsWith(".class") && PACKAGES.stream().anyMatch(name::startsWith)
-                        && LEFT_OUT.stream().noneMatch(name::startsWith)) {
-                    load(name.substring(0, name.length() - ".class".length()).replace('/', '.'));
-                }
-            }
+  static void loadAll() throws IOException, BadMessage {
+    File jar =
+        new File(ClassLoading.class.getProtectionDomain().getCodeSource().getLocation().getPath());
+    try (JarFile file = new JarFile(jar)) {
+      for (JarEntry entry : (Iterable<JarEntry>) file.stream()::iterator) {
+        String name = entry.getName();
+        if (name.endsWith(".class")
+            && PACKAGES.stream().anyMatch(name::startsWith)
+            && LEFT_OUT.stream().noneMatch(name::startsWith)) {
+          load(name.substring(0, name.length() - ".class".length()).replace('/', '.'));
         }
-        Json.parse(Json.write(Json.object("a", List.of(1L, 2.5, "b", true))));
-        Selector selector = Selector.open();
-        ServerSocketChannel.open().close();
-        SocketChannel.open().close();
-        selector.close();
+      }
     }
+    Json.parse(Json.write(Json.object("a", List.of(1L, 2.5, "b", true))));
+    Selector selector = Selector.open();
+    ServerSocketChannel.open().close();
+    SocketChannel.open().close();
+    selector.close();
+  }
 
-    private static void load(String name) {
-        try {
-            Class.forName(name, false, ClassLoading.class.getClassLoader());
-        } catch (ClassNotFoundException | LinkageError e) {
-            // a class for something that is not there is not needed at run time either
-        }
+  private static void load(String name) {
+    try {
+      Class.forName(name, false, ClassLoading.class.getClassLoader());
+    } catch (ClassNotFoundException | LinkageError e) {
+      // a class for something that is not there is not needed at run time either
     }
+  }
 }
--- a/src/main/java/org/quincecross/program/HoldCalendar.java
+++ b/src/main/java/org/quincecross/program/HoldCalendar.java
@@ -9,91 +9,119 @@
 import java.util.TreeMap;
 import org.quincecross.wire.Json;
 
-/** What the trail of holds comes to by days (UTC): which holds were or will be in force, on which records, and what each kept back. */
+/**
+ * What the trail of holds comes to by days (UTC): which holds were or will be in force, on which
+ * records, and what each kept back.
+ */
 final class HoldCalendar {
-    /** One opening of a hold. */
-    private static final class Opening {
-        private final String reference;
-        private final long number;
-        private String records = "";
-        private long openedMs;
-        private long fromMs;
-        private long reviewMs;
-        private long pinnedMs = Long.MAX_VALUE;
-        private long closedMs = Long.MAX_VALUE;
-        /** What was kept back, by when it was noted. */
-        private final TreeMap<Long, String> kept = new TreeMap<>();
+  /** One opening of a hold. */
+  private static final class Opening {
+    private final String reference;
+    private final long number;
+    private String records = "";
+    private long openedMs;
+    private long fromMs;
+    private long reviewMs;
+    private long pinnedMs = Long.MAX_VALUE;
+    private long closedMs = Long.MAX_VALUE;
 
-        private Opening(String reference, long number) {
-            this.reference = reference;
-            this.number = number;
-        }
+    /** What was kept back, by when it was noted. */
+    private final TreeMap<Long, String> kept = new TreeMap<>();
+
+    private Opening(String reference, long number) {
+      this.reference = reference;
+      this.number = number;
     }
+  }
 
-    private final List<Opening> openings = new ArrayList<>();
+  private final List<Opening> openings = new ArrayList<>();
 
-    /** @param trail lines of the trail, earliest first */
-    HoldCalendar(List<Map<String, Object>> trail) {
-        Map<String, Opening> byName = new TreeMap<>();
-        for (Map<String, Object> line : trail) {
-            if (!(line.get("details") instanceof Map<?, ?> details) || !(details.get("opening") instanceof Number number)) {
-                continue;
-            }
-            String reference = String.valueOf(line.get("id"));
-            long at = ((Number) line.get("at_ms")).longValue();
-            Opening opening = byName.computeIfAbsent(reference + " " + number, name -> {
+  /**
+   * @param trail lines of the trail, earliest first
+   */
+  HoldCalendar(List<Map<String, Object>> trail) {
+    Map<String, Opening> byName = new TreeMap<>();
+    for (Map<String, Object> line : trail) {
+      if (!(line.get("details") instanceof Map<?, ?> details)
+          || !(details.get("opening") instanceof Number number)) {
+        continue;
+      }
+      String reference = String.valueOf(line.get("id"));
+      long at = ((Number) line.get("at_ms")).longValue();
+      Opening opening =
+          byName.computeIfAbsent(
+              reference + " " + number,
+              name -> {
                 Opening next = new Opening(reference, number.longValue());
                 openings.add(next);
                 return next;
-            });
-            switch (String.valueOf(line.get("event"))) {
-                case "opened" -> {
-                    opening.openedMs = at;
-                    opening.fromMs = Math.max(at, ((Number) details.get("from_ms")).longValue());
-                    opening.reviewMs = ((Number) details.get("review_ms")).longValue();
-                    opening.records = details.get("records") instanceof List<?> list ? String.join(" ", list.stream().map(String::valueOf).toList()) : "";
-                }
-                case "review" -> opening.reviewMs = ((Number) details.get("review_ms")).longValue();
-                case "pinned" -> {
-                    opening.pinnedMs = Math.min(opening.pinnedMs, at);
-                    opening.kept.put(at, String.valueOf(details.get("kept_back")));
-                }
-                case "keeps back" -> opening.kept.put(at, String.valueOf(details.get("tasks")));
-                case "closed" -> opening.closedMs = at;
-                default -> { }
-            }
+              });
+      switch (String.valueOf(line.get("event"))) {
+        case "opened" -> {
+          opening.openedMs = at;
+          opening.fromMs = Math.max(at, ((Number) details.get("from_ms")).longValue());
+          opening.reviewMs = ((Number) details.get("review_ms")).longValue();
+          opening.records =
+              details.get("records") instanceof List<?> list
+                  ? String.join(" ", list.stream().map(String::valueOf).toList())
+                  : "";
         }
+        case "review" -> opening.reviewMs = ((Number) details.get("review_ms")).longValue();
+        case "pinned" -> {
+          opening.pinnedMs = Math.min(opening.pinnedMs, at);
+          opening.kept.put(at, String.valueOf(details.get("kept_back")));
+        }
+        case "keeps back" -> opening.kept.put(at, String.valueOf(details.get("tasks")));
+        case "closed" -> opening.closedMs = at;
+        default -> {}
+      }
     }
+  }
 
-    /** One row for each hold on each day from {@code first} to before {@code end} on which it is in force or something becomes of it. */
-    List<Map<String, Object>> rows(LocalDate first, LocalDate end) {
-        List<Map<String, Object>> rows = new ArrayList<>();
-        for (LocalDate day = first; day.isBefore(end); day = day.plusDays(1)) {
-            long from = day.atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli();
-            long to = day.plusDays(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli();
-            for (Opening each : openings) {
-                List<String> what = new ArrayList<>();
-                add(what, each.openedMs, from, to, "opened");
-                add(what, each.fromMs > each.openedMs ? each.fromMs : Long.MAX_VALUE, from, to, "in force");
-                add(what, each.pinnedMs, from, to, "pinned");
-                add(what, each.reviewMs, from, to, "to be reviewed");
-                add(what, each.closedMs, from, to, "closed");
-                boolean inForce = each.fromMs < to && each.closedMs >= from;
-                if (!inForce && what.isEmpty()) {
-                    continue;
-                }
-                Map.Entry<Long, String> kept = each.kept.lowerEntry(to);
-                rows.add(Json.object("day", day.toString(), "reference", each.reference, "opening", each.number,
-                        "what", what.isEmpty() ? "in force" : String.join(", ", what), "records", each.records,
-                        "keeps_back", !inForce || kept == null ? "" : kept.getValue()));
-            }
+  /**
+   * One row for each hold on each day from {@code first} to before {@code end} on which it is in
+   * force or something becomes of it.
+   */
+  List<Map<String, Object>> rows(LocalDate first, LocalDate end) {
+    List<Map<String, Object>> rows = new ArrayList<>();
+    for (LocalDate day = first; day.isBefore(end); day = day.plusDays(1)) {
+      long from = day.atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli();
+      long to = day.plusDays(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli();
+      for (Opening each : openings) {
+        List<String> what = new ArrayList<>();
+        add(what, each.openedMs, from, to, "opened");
+        add(what, each.fromMs > each.openedMs ? each.fromMs : Long.MAX_VALUE, from, to, "in force");
+        add(what, each.pinnedMs, from, to, "pinned");
+        add(what, each.reviewMs, from, to, "to be reviewed");
+        add(what, each.closedMs, from, to, "closed");
+        boolean inForce = each.fromMs < to && each.closedMs >= from;
+        if (!inForce && what.isEmpty()) {
+          continue;
         }
-        return rows;
+        Map.Entry<Long, String> kept = each.kept.lowerEntry(to);
+        rows.add(
+            Json.object(
+                "day",
+                day.toString(),
+                "reference",
+                each.reference,
+                "opening",
+                each.number,
+                "what",
+                what.isEmpty() ? "in force" : String.join(", ", what),
+                "records",
+                each.records,
+                "keeps_back",
+                !inForce || kept == null ? "" : kept.getValue()));
+      }
     }
+    return rows;
+  }
 
-    private static void add(List<String> what, long ms, long from, long to, String word) {
-        if (ms >= from && ms < to) {
-            what.add(word + " " + Instant.ofEpochMilli(ms).atOffset(ZoneOffset.UTC).toLocalTime().withNano(0));
-        }
+  private static void add(List<String> what, long ms, long from, long to, String word) {
+    if (ms >= from && ms < to) {
+      what.add(
+          word + " " + Instant.ofEpochMilli(ms).atOffset(ZoneOffset.UTC).toLocalTime().withNano(0));
     }
+  }
 }
--- a/src/main/java/org/quincecross/program/HoldCommands.java
+++ b/src/main/java/org/quincecross/program/HoldCommands.java
@@ -2,7 +2,6 @@
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.DateTimeException;
 import java.time.LocalDate;
@@ -33,309 +32,434 @@
 import picocli.CommandLine.Spec;
 
 /** The command for legal holds. */
-@Command(name = "hold", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-        subcommands = {HoldCommands.Open.class, HoldCommands.Close.class, HoldCommands.Review.class, HoldCommands.Show.class,
-            HoldCommands.ListAll.class, HoldCommands.Kept.class, HoldCommands.Calendar.class, HoldCommands.TrailOf.class, HoldCommands.Tell.class,
-            HoldCommands.Claims.class, HoldCommands.Sweeps.class},
-        description = "Pins records under a magistrate's request, so that no sweep touches them until the request is closed.")
+@Command(
+    name = "hold",
+    mixinStandardHelpOptions = true,
+    synopsisSubcommandLabel = "COMMAND",
+    subcommands = {
+      HoldCommands.Open.class,
+      HoldCommands.Close.class,
+      HoldCommands.Review.class,
+      HoldCommands.Show.class,
+      HoldCommands.ListAll.class,
+      HoldCommands.Kept.class,
+      HoldCommands.Calendar.class,
+      HoldCommands.TrailOf.class,
+      HoldCommands.Tell.class,
+      HoldCommands.Claims.class,
+      HoldCommands.Sweeps.class
+    },
+    description =
+        "Pins records under a magistrate's request, so that no sweep touches them until the request is closed.")
 final class HoldCommands implements Runnable {
-    @Spec
-    private CommandSpec spec;
+  @Spec private CommandSpec spec;
 
+  @Override
+  public void run() {
+    throw new ParameterException(
+        spec.commandLine(),
+        "say which: open, close, review, show, list, kept, calendar, trail, claim, claims or sweeps");
+  }
+
+  private abstract static class OfHolds extends AgreedCommand {
     @Override
-    public void run() {
-        throw new ParameterException(spec.commandLine(), "say which: open, close, review, show, list, kept, calendar, trail, claim, claims or sweeps");
+    String kind() {
+      return HoldKind.NAME;
     }
 
-    private abstract static class OfHolds extends AgreedCommand {
-        @Override
-        String kind() {
-            return HoldKind.NAME;
-        }
-
-        /** Records, checked before anybody is asked. */
-        final List<Object> records(List<String> texts) {
-            List<Object> records = new ArrayList<>();
-            for (String text : texts) {
-                try {
-                    records.add(Records.parse(text).toString());
-                } catch (IllegalArgumentException e) {
-                    throw wrong(e.getMessage());
-                }
-            }
-            return records;
-        }
-
-        /** A day such as 2026-12-02 (its beginning, UTC) or a time such as 2026-12-02T10:00Z, in ms; 0 for none. */
-        final long time(String option, String text) {
-            if (text == null) {
-                return 0;
-            }
-            try {
-                return text.length() == 10 ? LocalDate.parse(text).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli()
-                        : OffsetDateTime.parse(text).toInstant().toEpochMilli();
-            } catch (DateTimeException e) {
-                throw wrong(option + ": '" + text + "' is no day such as 2026-12-02, and no time such as 2026-12-02T10:00Z");
-            }
+    /** Records, checked before anybody is asked. */
+    final List<Object> records(List<String> texts) {
+      List<Object> records = new ArrayList<>();
+      for (String text : texts) {
+        try {
+          records.add(Records.parse(text).toString());
+        } catch (IllegalArgumentException e) {
+          throw wrong(e.getMessage());
         }
+      }
+      return records;
     }
 
-    @Command(name = "open", mixinStandardHelpOptions = true, description = "Opens a hold.")
-    static final class Open extends OfHolds {
-        @Parameters(index = "0", paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
-        private String reference;
-
-        @Parameters(index = "1..*", arity = "1..*", paramLabel = "RECORDS",
-                description = "SERIES, SERIES/2026-03, SERIES/2026-01..2026-03, SERIES/2026-03-15 or SERIES#KEY")
-        private List<String> records;
-
-        @Option(names = "--from", paramLabel = "TIME", description = "from when on, a day or a time (default: now)")
-        private String from;
-
-        @Option(names = "--review", paramLabel = "TIME", description = "when somebody is to look at it again; nothing ends by it")
-        private String review;
-
-        @Mixin
-        private Request request;
+    /**
+     * A day such as 2026-12-02 (its beginning, UTC) or a time such as 2026-12-02T10:00Z, in ms; 0
+     * for none.
+     */
+    final long time(String option, String text) {
+      if (text == null) {
+        return 0;
+      }
+      try {
+        return text.length() == 10
+            ? LocalDate.parse(text).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli()
+            : OffsetDateTime.parse(text).toInstant().toEpochMilli();
+      } catch (DateTimeException e) {
+        throw wrong(
+            option
+                + ": '"
+                + text
+                + "' is no day such as 2026-12-02, and no time such as 2026-12-02T10:00Z");
+      }
+    }
+  }
+
+  @Command(name = "open", mixinStandardHelpOptions = true, description = "Opens a hold.")
+  static final class Open extends OfHolds {
+    @Parameters(
+        index = "0",
+        paramLabel = "REFERENCE",
+        description = "the reference of the magistrate's request")
+    private String reference;
+
+    @Parameters(
+        index = "1..*",
+        arity = "1..*",
+        paramLabel = "RECORDS",
+        description =
+            "SERIES, SERIES/2026-03, SERIES/2026-01..2026-03, SERIES/2026-03-15 or SERIES#KEY")
+    private List<String> records;
+
+    @Option(
+        names = "--from",
+        paramLabel = "TIME",
+        description = "from when on, a day or a time (default: now)")
+    private String from;
+
+    @Option(
+        names = "--review",
+        paramLabel = "TIME",
+        description = "when somebody is to look at it again; nothing ends by it")
+    private String review;
+
+    @Mixin private Request request;
 
-        @Override
-        public Integer call() {
-            Map<String, Object> command = Json.object("do", "open", "records", records(records), "from_ms", time("--from", from),
-                    "review_ms", time("--review", review));
-            return change(reference, request, command);
-        }
+    @Override
+    public Integer call() {
+      Map<String, Object> command =
+          Json.object(
+              "do",
+              "open",
+              "records",
+              records(records),
+              "from_ms",
+              time("--from", from),
+              "review_ms",
+              time("--review", review));
+      return change(reference, request, command);
     }
+  }
 
-    @Command(name = "close", mixinStandardHelpOptions = true, description = "Closes one opening of a hold: its records are free of it.")
-    static final class Close extends OfHolds {
-        @Parameters(paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
-        private String reference;
+  @Command(
+      name = "close",
+      mixinStandardHelpOptions = true,
+      description = "Closes one opening of a hold: its records are free of it.")
+  static final class Close extends OfHolds {
+    @Parameters(paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
+    private String reference;
 
-        @Option(names = "--opening", required = true, paramLabel = "N", description = "which opening, as 'hold show' tells it: no later one is closed")
-        private int opening;
+    @Option(
+        names = "--opening",
+        required = true,
+        paramLabel = "N",
+        description = "which opening, as 'hold show' tells it: no later one is closed")
+    private int opening;
 
-        @Mixin
-        private Request request;
+    @Mixin private Request request;
 
-        @Override
-        public Integer call() {
-            return change(reference, request, Json.object("do", "close", "opening", opening));
-        }
+    @Override
+    public Integer call() {
+      return change(reference, request, Json.object("do", "close", "opening", opening));
     }
+  }
 
-    @Command(name = "review", mixinStandardHelpOptions = true, description = "Sets the date at which somebody is to look at a hold again.")
-    static final class Review extends OfHolds {
-        @Parameters(paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
-        private String reference;
+  @Command(
+      name = "review",
+      mixinStandardHelpOptions = true,
+      description = "Sets the date at which somebody is to look at a hold again.")
+  static final class Review extends OfHolds {
+    @Parameters(paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
+    private String reference;
 
-        @Option(names = "--opening", required = true, paramLabel = "N", description = "which opening")
-        private int opening;
+    @Option(names = "--opening", required = true, paramLabel = "N", description = "which opening")
+    private int opening;
 
-        @Option(names = "--at", required = true, paramLabel = "TIME", description = "a day or a time")
-        private String at;
+    @Option(names = "--at", required = true, paramLabel = "TIME", description = "a day or a time")
+    private String at;
 
-        @Mixin
-        private Request request;
+    @Mixin private Request request;
 
-        @Override
-        public Integer call() {
-            return change(reference, request, Json.object("do", "review", "opening", opening, "review_ms", time("--at", at)));
-        }
+    @Override
+    public Integer call() {
+      return change(
+          reference,
+          request,
+          Json.object("do", "review", "opening", opening, "review_ms", time("--at", at)));
     }
-
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Shows a hold: PINNED says that nothing which touches its records runs or can start.")
-    static final class Show extends AgreedCommand.Showing {
-        @Override
-        String kind() {
-            return HoldKind.NAME;
-        }
+  }
+
+  @Command(
+      name = "show",
+      mixinStandardHelpOptions = true,
+      description =
+          "Shows a hold: PINNED says that nothing which touches its records runs or can start.")
+  static final class Show extends AgreedCommand.Showing {
+    @Override
+    String kind() {
+      return HoldKind.NAME;
     }
+  }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists all holds.")
-    static final class ListAll extends AgreedCommand.Listing {
-        @Override
-        String kind() {
-            return HoldKind.NAME;
-        }
+  @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists all holds.")
+  static final class ListAll extends AgreedCommand.Listing {
+    @Override
+    String kind() {
+      return HoldKind.NAME;
     }
+  }
 
-    @Command(name = "kept", mixinStandardHelpOptions = true, description = "Lists what each hold in force keeps back now.")
-    static final class Kept extends AgreedCommand.Listing {
-        @Override
-        String kind() {
-            return "kept";
-        }
+  @Command(
+      name = "kept",
+      mixinStandardHelpOptions = true,
+      description = "Lists what each hold in force keeps back now.")
+  static final class Kept extends AgreedCommand.Listing {
+    @Override
+    String kind() {
+      return "kept";
     }
+  }
 
-    @Command(name = "claims", mixinStandardHelpOptions = true, description = "Lists what was told of which tasks touch which records.")
-    static final class Claims extends AgreedCommand.Listing {
-        @Override
-        String kind() {
-            return ClaimKind.NAME;
-        }
+  @Command(
+      name = "claims",
+      mixinStandardHelpOptions = true,
+      description = "Lists what was told of which tasks touch which records.")
+  static final class Claims extends AgreedCommand.Listing {
+    @Override
+    String kind() {
+      return ClaimKind.NAME;
     }
+  }
+
+  @Command(
+      name = "calendar",
+      mixinStandardHelpOptions = true,
+      description = "Shows the holds by days (UTC), with what each keeps back.")
+  static final class Calendar extends OfHolds {
+    @Option(
+        names = "--month",
+        paramLabel = "YYYY-MM",
+        description = "all days of a month (default: this month)")
+    private String month;
+
+    @Option(names = "--day", paramLabel = "YYYY-MM-DD", description = "one day")
+    private String day;
 
-    @Command(name = "calendar", mixinStandardHelpOptions = true, description = "Shows the holds by days (UTC), with what each keeps back.")
-    static final class Calendar extends OfHolds {
-        @Option(names = "--month", paramLabel = "YYYY-MM", description = "all days of a month (default: this month)")
-        private String month;
-
-        @Option(names = "--day", paramLabel = "YYYY-MM-DD", description = "one day")
-        private String day;
-
-        @Override
-        public Integer call() {
-            LocalDate first;
-            LocalDate end;
-            try {
-                if (day != null) {
-                    first = LocalDate.parse(day);
-                    end = first.plusDays(1);
-                } else {
-                    YearMonth all = month == null ? YearMonth.now(ZoneOffset.UTC) : YearMonth.parse(month);
-                    first = all.atDay(1);
-                    end = all.plusMonths(1).atDay(1);
-                }
-            } catch (DateTimeException e) {
-                throw wrong(day != null ? "--day: '" + day + "' is no day such as 2026-12-02" : "--month: '" + month + "' is no month such as 2026-12");
-            }
-            List<Map<String, Object>> trail = trail(0);
-            return trail == null ? 1 : print(new HoldCalendar(trail).rows(first, end));
+    @Override
+    public Integer call() {
+      LocalDate first;
+      LocalDate end;
+      try {
+        if (day != null) {
+          first = LocalDate.parse(day);
+          end = first.plusDays(1);
+        } else {
+          YearMonth all = month == null ? YearMonth.now(ZoneOffset.UTC) : YearMonth.parse(month);
+          first = all.atDay(1);
+          end = all.plusMonths(1).atDay(1);
         }
+      } catch (DateTimeException e) {
+        throw wrong(
+            day != null
+                ? "--day: '" + day + "' is no day such as 2026-12-02"
+                : "--month: '" + month + "' is no month such as 2026-12");
+      }
+      List<Map<String, Object>> trail = trail(0);
+      return trail == null ? 1 : print(new HoldCalendar(trail).rows(first, end));
     }
+  }
+
+  @Command(
+      name = "trail",
+      mixinStandardHelpOptions = true,
+      description = "Shows the trail of all holds, each line with its revision.")
+  static final class TrailOf extends OfHolds {
+    @Option(
+        names = "--since",
+        paramLabel = "REVISION",
+        defaultValue = "0",
+        description = "only what came after this revision")
+    private long since;
+
+    @Option(names = "--csv", description = "as CSV (RFC 4180), for export")
+    private boolean csv;
 
-    @Command(name = "trail", mixinStandardHelpOptions = true, description = "Shows the trail of all holds, each line with its revision.")
-    static final class TrailOf extends OfHolds {
-        @Option(names = "--since", paramLabel = "REVISION", defaultValue = "0", description = "only what came after this revision")
-        private long since;
-
-        @Option(names = "--csv", description = "as CSV (RFC 4180), for export")
-        private boolean csv;
-
-        @Override
-        public Integer call() throws IOException {
-            List<Map<String, Object>> lines = trail(since);
-            if (lines == null || !csv) {
-                return lines == null ? 1 : print(lines);
-            }
-            StringBuilder out = new StringBuilder();
-            try (CSVPrinter printer = new CSVPrinter(out, CSVFormat.RFC4180)) {
-                printer.printRecord("revision", "reference", "change", "at_ms", "by", "event", "details");
-                for (Map<String, Object> line : lines) {
-                    printer.printRecord(line.get("revision"), line.get("id"), line.get("change"), line.get("at_ms"), line.get("by"), line.get("event"),
-                            new String(Json.write(line.get("details")), StandardCharsets.UTF_8));
-                }
-            }
-            print(out.toString());
-            return 0;
+    @Override
+    public Integer call() throws IOException {
+      List<Map<String, Object>> lines = trail(since);
+      if (lines == null || !csv) {
+        return lines == null ? 1 : print(lines);
+      }
+      StringBuilder out = new StringBuilder();
+      try (CSVPrinter printer = new CSVPrinter(out, CSVFormat.RFC4180)) {
+        printer.printRecord("revision", "reference", "change", "at_ms", "by", "event", "details");
+        for (Map<String, Object> line : lines) {
+          printer.printRecord(
+              line.get("revision"),
+              line.get("id"),
+              line.get("change"),
+              line.get("at_ms"),
+              line.get("by"),
+              line.get("event"),
+              new String(Json.write(line.get("details")), StandardCharsets.UTF_8));
         }
+      }
+      print(out.toString());
+      return 0;
     }
+  }
+
+  @Command(
+      name = "claim",
+      mixinStandardHelpOptions = true,
+      description =
+          "Tells which records a job's tasks touch, before or after it is submitted. What was told cannot be told otherwise.")
+  static final class Tell extends OfHolds {
+    @Parameters(index = "0", paramLabel = "JOB", description = "the id of the job")
+    private String job;
+
+    @Parameters(
+        index = "1",
+        paramLabel = "FILE",
+        description =
+            "CSV without a header: tasks such as 0-15, then the records that each of them touches")
+    private Path file;
+
+    @Mixin private Request request;
 
-    @Command(name = "claim", mixinStandardHelpOptions = true,
-            description = "Tells which records a job's tasks touch, before or after it is submitted. What was told cannot be told otherwise.")
-    static final class Tell extends OfHolds {
-        @Parameters(index = "0", paramLabel = "JOB", description = "the id of the job")
-        private String job;
-
-        @Parameters(index = "1", paramLabel = "FILE", description = "CSV without a header: tasks such as 0-15, then the records that each of them touches")
-        private Path file;
-
-        @Mixin
-        private Request request;
-
-        @Override
-        String kind() {
-            return ClaimKind.NAME;
-        }
+    @Override
+    String kind() {
+      return ClaimKind.NAME;
+    }
 
-        @Override
-        public Integer call() throws IOException {
-            if (JobId.parse(job) == null) {
-                throw wrong("'" + job + "' is no id of a job");
-            }
-            List<List<Object>> pages = new ArrayList<>();
-            int length = 0;
-            try (CSVParser lines = CSVParser.parse(file, StandardCharsets.UTF_8, CSVFormat.RFC4180)) {
-                for (CSVRecord line : lines) {
-                    Claim claim = claim(line);
-                    length += ClaimKind.length(claim);
-                    if (pages.isEmpty() || length > ClaimKind.MOST_PAGE) {
-                        pages.add(new ArrayList<>());
-                        length = ClaimKind.length(claim);
-                    }
-                    pages.get(pages.size() - 1).add(Json.object("tasks", claim.tasks().toString(),
-                            "records", claim.records().stream().map(Records::toString).toList()));
-                }
-            } catch (java.nio.file.NoSuchFileException e) {
-                throw wrong("there is no file " + file);
-            }
-            if (pages.isEmpty()) {
-                throw wrong(file + " has no lines");
-            }
-            int status = 0;
-            for (int page = 0; page < pages.size() && status == 0; page++) {
-                status = change(page == 0 ? job : job + "." + page, request, Json.object("claims", pages.get(page)));
-            }
-            return status;
+    @Override
+    public Integer call() throws IOException {
+      if (JobId.parse(job) == null) {
+        throw wrong("'" + job + "' is no id of a job");
+      }
+      List<List<Object>> pages = new ArrayList<>();
+      int length = 0;
+      try (CSVParser lines = CSVParser.parse(file, StandardCharsets.UTF_8, CSVFormat.RFC4180)) {
+        for (CSVRecord line : lines) {
+          Claim claim = claim(line);
+          length += ClaimKind.length(claim);
+          if (pages.isEmpty() || length > ClaimKind.MOST_PAGE) {
+            pages.add(new ArrayList<>());
+            length = ClaimKind.length(claim);
+          }
+          pages
+              .get(pages.size() - 1)
+              .add(
+                  Json.object(
+                      "tasks",
+                      claim.tasks().toString(),
+                      "records",
+                      claim.records().stream().map(Records::toString).toList()));
         }
+      } catch (java.nio.file.NoSuchFileException e) {
+        throw wrong("there is no file " + file);
+      }
+      if (pages.isEmpty()) {
+        throw wrong(file + " has no lines");
+      }
+      int status = 0;
+      for (int page = 0; page < pages.size() && status == 0; page++) {
+        status =
+            change(
+                page == 0 ? job : job + "." + page,
+                request,
+                Json.object("claims", pages.get(page)));
+      }
+      return status;
+    }
 
-        private Claim claim(CSVRecord line) {
-            TaskSet tasks = TaskSet.parse(line.get(0).trim(), ClaimKind.MOST_TASKS);
-            if (tasks == null || tasks.isEmpty()) {
-                throw wrong(file + " line " + line.getRecordNumber() + ": '" + line.get(0) + "' names no tasks such as 0-15,17");
-            }
-            List<Records> records = new ArrayList<>();
-            for (int i = 1; i < line.size(); i++) {
-                try {
-                    records.add(Records.parse(line.get(i).trim()));
-                } catch (IllegalArgumentException e) {
-                    throw wrong(file + " line " + line.getRecordNumber() + ": " + e.getMessage());
-                }
-            }
-            if (records.isEmpty()) {
-                throw wrong(file + " line " + line.getRecordNumber() + " names no records");
-            }
-            Claim claim = new Claim(tasks, records);
-            if (ClaimKind.length(claim) > ClaimKind.MOST_PAGE) {
-                throw wrong(file + " line " + line.getRecordNumber() + " is longer than " + ClaimKind.MOST_PAGE + " characters: split it");
-            }
-            return claim;
+    private Claim claim(CSVRecord line) {
+      TaskSet tasks = TaskSet.parse(line.get(0).trim(), ClaimKind.MOST_TASKS);
+      if (tasks == null || tasks.isEmpty()) {
+        throw wrong(
+            file
+                + " line "
+                + line.getRecordNumber()
+                + ": '"
+                + line.get(0)
+                + "' names no tasks such as 0-15,17");
+      }
+      List<Records> records = new ArrayList<>();
+      for (int i = 1; i < line.size(); i++) {
+        try {
+          records.add(Records.parse(line.get(i).trim()));
+        } catch (IllegalArgumentException e) {
+          throw wrong(file + " line " + line.getRecordNumber() + ": " + e.getMessage());
         }
+      }
+      if (records.isEmpty()) {
+        throw wrong(file + " line " + line.getRecordNumber() + " names no records");
+      }
+      Claim claim = new Claim(tasks, records);
+      if (ClaimKind.length(claim) > ClaimKind.MOST_PAGE) {
+        throw wrong(
+            file
+                + " line "
+                + line.getRecordNumber()
+                + " is longer than "
+                + ClaimKind.MOST_PAGE
+                + " characters: split it");
+      }
+      return claim;
     }
+  }
+
+  @Command(
+      name = "sweeps",
+      mixinStandardHelpOptions = true,
+      description =
+          "Lists which lanes are sweeps, or tells of one which series its jobs may touch.")
+  static final class Sweeps extends OfHolds {
+    @Parameters(
+        index = "0",
+        arity = "0..1",
+        paramLabel = "LANE",
+        description = "the lane; none: all are listed")
+    private String lane;
+
+    @Parameters(
+        index = "1..*",
+        arity = "0..*",
+        paramLabel = "SERIES",
+        description = "what its jobs may touch; '*' for any series")
+    private List<String> series;
+
+    @Option(names = "--none", description = "the lane is none of sweeps any more")
+    private boolean none;
+
+    @Mixin private Request request;
 
-    @Command(name = "sweeps", mixinStandardHelpOptions = true,
-            description = "Lists which lanes are sweeps, or tells of one which series its jobs may touch.")
-    static final class Sweeps extends OfHolds {
-        @Parameters(index = "0", arity = "0..1", paramLabel = "LANE", description = "the lane; none: all are listed")
-        private String lane;
-
-        @Parameters(index = "1..*", arity = "0..*", paramLabel = "SERIES", description = "what its jobs may touch; '*' for any series")
-        private List<String> series;
-
-        @Option(names = "--none", description = "the lane is none of sweeps any more")
-        private boolean none;
-
-        @Mixin
-        private Request request;
-
-        @Override
-        String kind() {
-            return SweepKind.NAME;
-        }
+    @Override
+    String kind() {
+      return SweepKind.NAME;
+    }
 
-        @Override
-        public Integer call() {
-            if (lane == null) {
-                List<Map<String, Object>> rows = list();
-                return rows == null ? 1 : print(rows);
-            }
-            boolean named = series != null && !series.isEmpty();
-            if (named == none) {
-                throw wrong("name the series that jobs of " + lane + " may touch ('*' for any), or say --none");
-            }
-            List<String> all = named ? series : List.of();
-            records(all.stream().filter(each -> !each.equals(Records.ANY.series())).toList());
-            return change(lane, request, Json.object("series", all));
-        }
+    @Override
+    public Integer call() {
+      if (lane == null) {
+        List<Map<String, Object>> rows = list();
+        return rows == null ? 1 : print(rows);
+      }
+      boolean named = series != null && !series.isEmpty();
+      if (named == none) {
+        throw wrong(
+            "name the series that jobs of " + lane + " may touch ('*' for any), or say --none");
+      }
+      List<String> all = named ? series : List.of();
+      records(all.stream().filter(each -> !each.equals(Records.ANY.series())).toList());
+      return change(lane, request, Json.object("series", all));
     }
+  }
 }
--- a/src/main/java/org/quincecross/program/MeasureCommand.java
+++ b/src/main/java/org/quincecross/program/MeasureCommand.java
@@ -18,92 +18,138 @@
 import picocli.CommandLine.Spec;
 
 /** Measures what a fleet's day costs its controllers. */
-@Command(name = "measure", mixinStandardHelpOptions = true, sortOptions = false,
-        description = "Plays a day of a whole fleet in virtual time, all of whose controllers are restarted after 150 s, and tells what it "
-                + "costs them: processor time and bytes allocated, by what they were called for.")
+@Command(
+    name = "measure",
+    mixinStandardHelpOptions = true,
+    sortOptions = false,
+    description =
+        "Plays a day of a whole fleet in virtual time, all of whose controllers are restarted after 150 s, and tells what it "
+            + "costs them: processor time and bytes allocated, by what they were called for.")
 final class MeasureCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+  @Spec private CommandSpec spec;
 
-    @Option(names = "--site", paramLabel = "WHAT", defaultValue = "mixed",
-            description = "fleet: one type of machine, three zones; mixed: three types, two zones, gangs (default: ${DEFAULT-VALUE})")
-    private String site;
+  @Option(
+      names = "--site",
+      paramLabel = "WHAT",
+      defaultValue = "mixed",
+      description =
+          "fleet: one type of machine, three zones; mixed: three types, two zones, gangs (default: ${DEFAULT-VALUE})")
+  private String site;
 
-    @Option(names = "--machines", paramLabel = "N", defaultValue = "690", description = "machines that the cloud has (default: ${DEFAULT-VALUE})")
-    private int machines;
+  @Option(
+      names = "--machines",
+      paramLabel = "N",
+      defaultValue = "690",
+      description = "machines that the cloud has (default: ${DEFAULT-VALUE})")
+  private int machines;
 
-    @Option(names = "--for", paramLabel = "TIME", defaultValue = "250s", converter = TryCommand.Seconds.class,
-            description = "how long the day is, such as 250s (default: ${DEFAULT-VALUE})")
-    private double seconds;
+  @Option(
+      names = "--for",
+      paramLabel = "TIME",
+      defaultValue = "250s",
+      converter = TryCommand.Seconds.class,
+      description = "how long the day is, such as 250s (default: ${DEFAULT-VALUE})")
+  private double seconds;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "which day (default: ${DEFAULT-VALUE})")
-    private long seed;
+  @Option(
+      names = "--seed",
+      paramLabel = "N",
+      defaultValue = "1",
+      description = "which day (default: ${DEFAULT-VALUE})")
+  private long seed;
 
-    @Option(names = "--day", paramLabel = "WHAT", defaultValue = "restart",
-            description = "restart: all controllers are restarted, and what it costs; overload: more work than can be done in time, and who "
-                    + "is served; requests: what room that is kept for requests costs (default: ${DEFAULT-VALUE})")
-    private String day;
+  @Option(
+      names = "--day",
+      paramLabel = "WHAT",
+      defaultValue = "restart",
+      description =
+          "restart: all controllers are restarted, and what it costs; overload: more work than can be done in time, and who "
+              + "is served; requests: what room that is kept for requests costs (default: ${DEFAULT-VALUE})")
+  private String day;
 
-    @Option(names = "--days", paramLabel = "N", defaultValue = "1", description = "overload: so many days, from that seed on (default: ${DEFAULT-VALUE})")
-    private int days;
+  @Option(
+      names = "--days",
+      paramLabel = "N",
+      defaultValue = "1",
+      description = "overload: so many days, from that seed on (default: ${DEFAULT-VALUE})")
+  private int days;
 
-    @Option(names = "--with", paramLabel = "FILE", description = "switches on in all controllers what this file (JSON) names")
-    private Path with;
+  @Option(
+      names = "--with",
+      paramLabel = "FILE",
+      description = "switches on in all controllers what this file (JSON) names")
+  private Path with;
 
-    @Option(names = "--output", paramLabel = "FORM", defaultValue = "text", description = "overload: text or json (default: ${DEFAULT-VALUE})")
-    private String output;
+  @Option(
+      names = "--output",
+      paramLabel = "FORM",
+      defaultValue = "text",
+      description = "overload: text or json (default: ${DEFAULT-VALUE})")
+  private String output;
 
-    @Option(names = "--recording", paramLabel = "FILE", description = "writes a recording of the JDK's flight recorder here")
-    private Path recording;
+  @Option(
+      names = "--recording",
+      paramLabel = "FILE",
+      description = "writes a recording of the JDK's flight recorder here")
+  private Path recording;
 
-    @Override
-    public Integer call() throws IOException, ParseException {
-        if (machines < 30 || machines > 20_000) {
-            throw new ParameterException(spec.commandLine(), "--machines: " + machines + " is not from 30 to 20000");
-        }
-        Measurement.Kind kind = switch (site.toLowerCase(Locale.ROOT)) {
-            case "fleet" -> Measurement.Kind.FLEET;
-            case "mixed" -> Measurement.Kind.MIXED;
-            default -> throw new ParameterException(spec.commandLine(), "--site: '" + site + "' is neither fleet nor mixed");
-        };
-        if (!output.equals("text") && !output.equals("json")) {
-            throw new ParameterException(spec.commandLine(), "--output: '" + output + "' is neither text nor json");
-        }
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
-        Features features = SettingsFile.features(with);
-        return switch (day) {
-            case "restart" -> restart(new Measurement(kind, machines, seed, features));
-            case "overload" -> overload(kind, features);
-            case "requests" -> RequestDay.play(machines, seed, new double[] {0.02, 0.05, 0.1}, System.out) ? 0 : 1;
-            default -> throw new ParameterException(spec.commandLine(), "--day: '" + day + "' is none of restart, overload and requests");
+  @Override
+  public Integer call() throws IOException, ParseException {
+    if (machines < 30 || machines > 20_000) {
+      throw new ParameterException(
+          spec.commandLine(), "--machines: " + machines + " is not from 30 to 20000");
+    }
+    Measurement.Kind kind =
+        switch (site.toLowerCase(Locale.ROOT)) {
+          case "fleet" -> Measurement.Kind.FLEET;
+          case "mixed" -> Measurement.Kind.MIXED;
+          default ->
+              throw new ParameterException(
+                  spec.commandLine(), "--site: '" + site + "' is neither fleet nor mixed");
         };
+    if (!output.equals("text") && !output.equals("json")) {
+      throw new ParameterException(
+          spec.commandLine(), "--output: '" + output + "' is neither text nor json");
     }
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
+    Features features = SettingsFile.features(with);
+    return switch (day) {
+      case "restart" -> restart(new Measurement(kind, machines, seed, features));
+      case "overload" -> overload(kind, features);
+      case "requests" ->
+          RequestDay.play(machines, seed, new double[] {0.02, 0.05, 0.1}, System.out) ? 0 : 1;
+      default ->
+          throw new ParameterException(
+              spec.commandLine(), "--day: '" + day + "' is none of restart, overload and requests");
+    };
+  }
 
-    private int overload(Measurement.Kind kind, Features features) {
-        if (days < 1 || days > 10_000) {
-            throw new ParameterException(spec.commandLine(), "--days: " + days + " is not from 1 to 10000");
-        }
-        OverloadDays played = new OverloadDays(kind, machines, seed, days, features);
-        if (output.equals("json")) {
-            played.writeJson(System.out);
-        } else {
-            played.write(System.out);
-        }
-        return played.isSound() ? 0 : 1;
+  private int overload(Measurement.Kind kind, Features features) {
+    if (days < 1 || days > 10_000) {
+      throw new ParameterException(
+          spec.commandLine(), "--days: " + days + " is not from 1 to 10000");
+    }
+    OverloadDays played = new OverloadDays(kind, machines, seed, days, features);
+    if (output.equals("json")) {
+      played.writeJson(System.out);
+    } else {
+      played.write(System.out);
     }
+    return played.isSound() ? 0 : 1;
+  }
 
-    private int restart(Measurement day) throws IOException, ParseException {
-        if (recording == null) {
-            day.playUntil(seconds);
-        } else {
-            try (Recording flight = new Recording(Configuration.getConfiguration("profile"))) {
-                flight.start();
-                day.playUntil(seconds);
-                flight.stop();
-                flight.dump(recording);
-            }
-        }
-        day.write(System.out);
-        return day.isSound() ? 0 : 1;
+  private int restart(Measurement day) throws IOException, ParseException {
+    if (recording == null) {
+      day.playUntil(seconds);
+    } else {
+      try (Recording flight = new Recording(Configuration.getConfiguration("profile"))) {
+        flight.start();
+        day.playUntil(seconds);
+        flight.stop();
+        flight.dump(recording);
+      }
     }
+    day.write(System.out);
+    return day.isSound() ? 0 : 1;
+  }
 }
--- a/src/main/java/org/quincecross/program/ModelCommands.java
+++ b/src/main/java/org/quincecross/program/ModelCommands.java
@@ -20,172 +20,249 @@
 import picocli.CommandLine.Spec;
 
 /** Models that are kept at zero and come back when they are wanted. */
-@Command(name = "model", mixinStandardHelpOptions = true, description = "Models that scale to zero: define, wake, load, drain, show, list.",
-        subcommands = {ModelCommands.Define.class, ModelCommands.Wake.class, ModelCommands.Load.class, ModelCommands.Drain.class,
-            ModelCommands.Show.class, ModelCommands.ListAll.class, ModelCommands.Trail.class})
+@Command(
+    name = "model",
+    mixinStandardHelpOptions = true,
+    description = "Models that scale to zero: define, wake, load, drain, show, list.",
+    subcommands = {
+      ModelCommands.Define.class,
+      ModelCommands.Wake.class,
+      ModelCommands.Load.class,
+      ModelCommands.Drain.class,
+      ModelCommands.Show.class,
+      ModelCommands.ListAll.class,
+      ModelCommands.Trail.class
+    })
 final class ModelCommands implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+  @Spec private CommandSpec spec;
+
+  @Override
+  public Integer call() {
+    throw new ParameterException(
+        spec.commandLine(), "say what to do: define, wake, load, drain, show, list or trail");
+  }
+
+  /** What the commands share: they print one row of what the answer says. */
+  abstract static class One extends AgreedCommand {
+    private static final List<String> COLUMNS =
+        List.of(
+            "model",
+            "job",
+            "state",
+            "epoch",
+            "wanted",
+            "running",
+            "in_flight_here",
+            "ready_in_s",
+            "ready_by_s",
+            "change",
+            "revision",
+            "note",
+            "why");
+
+    @Parameters(paramLabel = "MODEL", description = "the name of the model")
+    private String name;
 
     @Override
-    public Integer call() {
-        throw new ParameterException(spec.commandLine(), "say what to do: define, wake, load, drain, show, list or trail");
+    final String kind() {
+      return ModelKind.NAME;
     }
 
-    /** What the commands share: they print one row of what the answer says. */
-    abstract static class One extends AgreedCommand {
-        private static final List<String> COLUMNS = List.of("model", "job", "state", "epoch", "wanted", "running", "in_flight_here", "ready_in_s",
-                "ready_by_s", "change", "revision", "note", "why");
+    final int ask(String method, String what, Map<String, Object> body) {
+      ClientCommand.Server.Reply reply =
+          send(method, ModelsApi.ROOT + "/" + checked(name) + what, body);
+      if (!reply.isGood() && reply.status() != 202) {
+        return failed(reply);
+      }
+      try {
+        Fields answer = Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
+        Map<String, Object> row = Json.object();
+        COLUMNS.stream().filter(answer::has).forEach(column -> row.put(column, answer.raw(column)));
+        return print(List.of(row));
+      } catch (BadMessage e) {
+        return failed(reply);
+      }
+    }
+  }
 
-        @Parameters(paramLabel = "MODEL", description = "the name of the model")
-        private String name;
+  @Command(
+      name = "define",
+      mixinStandardHelpOptions = true,
+      description =
+          "Makes a service that was submitted a model, which begins at zero; or changes what was said of one.")
+  static final class Define extends One {
+    @Option(
+        names = "--job",
+        required = true,
+        paramLabel = "JOB",
+        description = "the service whose tasks are the replicas")
+    private String job;
 
-        @Override
-        final String kind() {
-            return ModelKind.NAME;
-        }
+    @Option(
+        names = "--least",
+        paramLabel = "N",
+        defaultValue = "1",
+        description = "replicas while it is up (default: ${DEFAULT-VALUE})")
+    private int least;
 
-        final int ask(String method, String what, Map<String, Object> body) {
-            ClientCommand.Server.Reply reply = send(method, ModelsApi.ROOT + "/" + checked(name) + what, body);
-            if (!reply.isGood() && reply.status() != 202) {
-                return failed(reply);
-            }
-            try {
-                Fields answer = Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
-                Map<String, Object> row = Json.object();
-                COLUMNS.stream().filter(answer::has).forEach(column -> row.put(column, answer.raw(column)));
-                return print(List.of(row));
-            } catch (BadMessage e) {
-                return failed(reply);
-            }
-        }
-    }
+    @Option(
+        names = "--most",
+        paramLabel = "N",
+        description = "replicas at most (default: as --least)")
+    private Integer most;
 
-    @Command(name = "define", mixinStandardHelpOptions = true,
-            description = "Makes a service that was submitted a model, which begins at zero; or changes what was said of one.")
-    static final class Define extends One {
-        @Option(names = "--job", required = true, paramLabel = "JOB", description = "the service whose tasks are the replicas")
-        private String job;
-
-        @Option(names = "--least", paramLabel = "N", defaultValue = "1", description = "replicas while it is up (default: ${DEFAULT-VALUE})")
-        private int least;
-
-        @Option(names = "--most", paramLabel = "N", description = "replicas at most (default: as --least)")
-        private Integer most;
-
-        @Option(names = "--per-replica", paramLabel = "N", defaultValue = "1",
-                description = "requests that a replica serves at a time (default: ${DEFAULT-VALUE})")
-        private int perReplica;
-
-        @Option(names = "--idle-s", paramLabel = "SECONDS", defaultValue = "300",
-                description = "without a request for so long it goes to zero (default: ${DEFAULT-VALUE})")
-        private double idleS;
-
-        @Option(names = "--keep-warm", paramLabel = "N", defaultValue = "0",
-                description = "machines that are kept for its weights while it is at zero (default: ${DEFAULT-VALUE})")
-        private int keepWarm;
-
-        @Mixin
-        private Request request;
-
-        @Override
-        public Integer call() {
-            if (JobId.parse(job) == null) {
-                throw wrong("--job: '" + job + "' is no job id: job- and digits");
-            }
-            int highest = most == null ? least : most;
-            if (least < 1 || highest < least) {
-                throw wrong("--least is at least 1, and --most at least --least");
-            }
-            if (perReplica < 1 || idleS < 1 || keepWarm < 0) {
-                throw wrong("--per-replica and --idle-s are at least 1, --keep-warm at least 0");
-            }
-            Map<String, Object> body = Json.object("job", job, "least", least, "most", highest, "per_replica", perReplica, "idle_s", idleS,
-                    "keep_warm", keepWarm);
-            request.putInto(body);
-            return ask("POST", "", body);
-        }
+    @Option(
+        names = "--per-replica",
+        paramLabel = "N",
+        defaultValue = "1",
+        description = "requests that a replica serves at a time (default: ${DEFAULT-VALUE})")
+    private int perReplica;
+
+    @Option(
+        names = "--idle-s",
+        paramLabel = "SECONDS",
+        defaultValue = "300",
+        description = "without a request for so long it goes to zero (default: ${DEFAULT-VALUE})")
+    private double idleS;
+
+    @Option(
+        names = "--keep-warm",
+        paramLabel = "N",
+        defaultValue = "0",
+        description =
+            "machines that are kept for its weights while it is at zero (default: ${DEFAULT-VALUE})")
+    private int keepWarm;
+
+    @Mixin private Request request;
+
+    @Override
+    public Integer call() {
+      if (JobId.parse(job) == null) {
+        throw wrong("--job: '" + job + "' is no job id: job- and digits");
+      }
+      int highest = most == null ? least : most;
+      if (least < 1 || highest < least) {
+        throw wrong("--least is at least 1, and --most at least --least");
+      }
+      if (perReplica < 1 || idleS < 1 || keepWarm < 0) {
+        throw wrong("--per-replica and --idle-s are at least 1, --keep-warm at least 0");
+      }
+      Map<String, Object> body =
+          Json.object(
+              "job",
+              job,
+              "least",
+              least,
+              "most",
+              highest,
+              "per_replica",
+              perReplica,
+              "idle_s",
+              idleS,
+              "keep_warm",
+              keepWarm);
+      request.putInto(body);
+      return ask("POST", "", body);
     }
+  }
 
-    @Command(name = "wake", mixinStandardHelpOptions = true, description = "Has a model come up, and says when it should be ready.")
-    static final class Wake extends One {
-        @Override
-        public Integer call() {
-            return ask("POST", "/wake", Json.object());
-        }
+  @Command(
+      name = "wake",
+      mixinStandardHelpOptions = true,
+      description = "Has a model come up, and says when it should be ready.")
+  static final class Wake extends One {
+    @Override
+    public Integer call() {
+      return ask("POST", "/wake", Json.object());
     }
+  }
 
-    @Command(name = "load", mixinStandardHelpOptions = true,
-            description = "Tells how many requests a caller has in flight; that counts for 30 s.")
-    static final class Load extends One {
-        @Option(names = "--from", required = true, paramLabel = "CALLER", description = "who has them: what it told before is replaced")
-        private String from;
-
-        @Option(names = "--in-flight", required = true, paramLabel = "N", description = "how many")
-        private int inFlight;
-
-        @Override
-        public Integer call() {
-            if (inFlight < 0) {
-                throw wrong("--in-flight is at least 0");
-            }
-            return ask("POST", "/load", Json.object("from", from, "in_flight", inFlight));
-        }
+  @Command(
+      name = "load",
+      mixinStandardHelpOptions = true,
+      description = "Tells how many requests a caller has in flight; that counts for 30 s.")
+  static final class Load extends One {
+    @Option(
+        names = "--from",
+        required = true,
+        paramLabel = "CALLER",
+        description = "who has them: what it told before is replaced")
+    private String from;
+
+    @Option(names = "--in-flight", required = true, paramLabel = "N", description = "how many")
+    private int inFlight;
+
+    @Override
+    public Integer call() {
+      if (inFlight < 0) {
+        throw wrong("--in-flight is at least 0");
+      }
+      return ask("POST", "/load", Json.object("from", from, "in_flight", inFlight));
     }
+  }
 
-    @Command(name = "drain", mixinStandardHelpOptions = true, description = "Has a model go to zero, whatever is in flight.")
-    static final class Drain extends One {
-        @Mixin
-        private Request request;
+  @Command(
+      name = "drain",
+      mixinStandardHelpOptions = true,
+      description = "Has a model go to zero, whatever is in flight.")
+  static final class Drain extends One {
+    @Mixin private Request request;
 
-        @Override
-        public Integer call() {
-            Map<String, Object> body = Json.object();
-            request.putInto(body);
-            return ask("POST", "/drain", body);
-        }
+    @Override
+    public Integer call() {
+      Map<String, Object> body = Json.object();
+      request.putInto(body);
+      return ask("POST", "/drain", body);
     }
+  }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Shows a model, and when it should be ready.")
-    static final class Show extends One {
-        @Override
-        public Integer call() {
-            return ask("GET", "", null);
-        }
+  @Command(
+      name = "show",
+      mixinStandardHelpOptions = true,
+      description = "Shows a model, and when it should be ready.")
+  static final class Show extends One {
+    @Override
+    public Integer call() {
+      return ask("GET", "", null);
     }
+  }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the models.")
-    static final class ListAll extends AgreedCommand {
-        @Override
-        String kind() {
-            return ModelKind.NAME;
-        }
+  @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the models.")
+  static final class ListAll extends AgreedCommand {
+    @Override
+    String kind() {
+      return ModelKind.NAME;
+    }
 
-        @Override
-        public Integer call() {
-            ClientCommand.Server.Reply reply = send("GET", ModelsApi.ROOT, null);
-            if (!reply.isGood()) {
-                return failed(reply);
-            }
-            try {
-                List<Map<String, Object>> rows = new ArrayList<>();
-                for (Fields row : Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8)).objects("rows")) {
-                    Map<String, Object> out = Json.object();
-                    row.names().forEach(column -> out.put(column, row.raw(column)));
-                    rows.add(out);
-                }
-                return print(rows);
-            } catch (BadMessage e) {
-                return failed(reply);
-            }
+    @Override
+    public Integer call() {
+      ClientCommand.Server.Reply reply = send("GET", ModelsApi.ROOT, null);
+      if (!reply.isGood()) {
+        return failed(reply);
+      }
+      try {
+        List<Map<String, Object>> rows = new ArrayList<>();
+        for (Fields row :
+            Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8)).objects("rows")) {
+          Map<String, Object> out = Json.object();
+          row.names().forEach(column -> out.put(column, row.raw(column)));
+          rows.add(out);
         }
+        return print(rows);
+      } catch (BadMessage e) {
+        return failed(reply);
+      }
     }
+  }
 
-    @Command(name = "trail", mixinStandardHelpOptions = true, description = "Shows what has become of the models, step by step.")
-    static final class Trail extends AgreedCommand.Trail {
-        @Override
-        String kind() {
-            return ModelKind.NAME;
-        }
+  @Command(
+      name = "trail",
+      mixinStandardHelpOptions = true,
+      description = "Shows what has become of the models, step by step.")
+  static final class Trail extends AgreedCommand.Trail {
+    @Override
+    String kind() {
+      return ModelKind.NAME;
     }
+  }
 }
--- a/src/main/java/org/quincecross/program/QuincecrossCommand.java
+++ b/src/main/java/org/quincecross/program/QuincecrossCommand.java
@@ -9,34 +9,51 @@
 import picocli.CommandLine.Spec;
 
 /** The command line: without a subcommand, serves. */
-@Command(name = "quincecross", mixinStandardHelpOptions = true, versionProvider = Version.class,
-        subcommands = {ClientCommand.Submit.class, ClientCommand.Show.class, ClientCommand.Cancel.class,
-            ClientCommand.Inspect.class, ClientCommand.Set.class, HoldCommands.class, RequestCommands.class, ModelCommands.class, TryCommand.class,
-            MeasureCommand.class},
-        description = "A cluster scheduler. Without a command, runs one controller until it is killed.")
+@Command(
+    name = "quincecross",
+    mixinStandardHelpOptions = true,
+    versionProvider = Version.class,
+    subcommands = {
+      ClientCommand.Submit.class,
+      ClientCommand.Show.class,
+      ClientCommand.Cancel.class,
+      ClientCommand.Inspect.class,
+      ClientCommand.Set.class,
+      HoldCommands.class,
+      RequestCommands.class,
+      ModelCommands.class,
+      TryCommand.class,
+      MeasureCommand.class
+    },
+    description = "A cluster scheduler. Without a command, runs one controller until it is killed.")
 final class QuincecrossCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+  @Spec private CommandSpec spec;
 
-    @Option(names = "--config", paramLabel = "FILE", description = "the settings file (JSON) of this controller")
-    private Path config;
+  @Option(
+      names = "--config",
+      paramLabel = "FILE",
+      description = "the settings file (JSON) of this controller")
+  private Path config;
 
-    @Option(names = "--with", paramLabel = "FILE", description = "switches on what this file (JSON) names, such as deploy/features.json")
-    private Path with;
+  @Option(
+      names = "--with",
+      paramLabel = "FILE",
+      description = "switches on what this file (JSON) names, such as deploy/features.json")
+  private Path with;
 
-    /** For the build alone, which makes the class-data archive from what is loaded here. */
-    @Option(names = "--load-classes-and-exit", hidden = true)
-    private boolean loadClasses;
+  /** For the build alone, which makes the class-data archive from what is loaded here. */
+  @Option(names = "--load-classes-and-exit", hidden = true)
+  private boolean loadClasses;
 
-    @Override
-    public Integer call() throws Exception {
-        if (loadClasses) {
-            ClassLoading.loadAll();
-            return 0;
-        }
-        if (config == null) {
-            throw new ParameterException(spec.commandLine(), "--config FILE is needed to serve");
-        }
-        return Main.serve(config, with);
+  @Override
+  public Integer call() throws Exception {
+    if (loadClasses) {
+      ClassLoading.loadAll();
+      return 0;
     }
+    if (config == null) {
+      throw new ParameterException(spec.commandLine(), "--config FILE is needed to serve");
+    }
+    return Main.serve(config, with);
+  }
 }
--- a/src/main/java/org/quincecross/program/RequestCommands.java
+++ b/src/main/java/org/quincecross/program/RequestCommands.java
@@ -22,223 +22,343 @@
 import picocli.CommandLine.Spec;
 
 /** The command for requests with a due time. */
-@Command(name = "request", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-        subcommands = {RequestCommands.Arrive.class, RequestCommands.Answer.class, RequestCommands.Withdraw.class, RequestCommands.Show.class,
-            RequestCommands.ListAll.class, RequestCommands.Report.class, RequestCommands.TrailOf.class},
-        description = "Records requests of police, carriers and others, and keeps room for their answers until they are delivered.")
+@Command(
+    name = "request",
+    mixinStandardHelpOptions = true,
+    synopsisSubcommandLabel = "COMMAND",
+    subcommands = {
+      RequestCommands.Arrive.class,
+      RequestCommands.Answer.class,
+      RequestCommands.Withdraw.class,
+      RequestCommands.Show.class,
+      RequestCommands.ListAll.class,
+      RequestCommands.Report.class,
+      RequestCommands.TrailOf.class
+    },
+    description =
+        "Records requests of police, carriers and others, and keeps room for their answers until they are delivered.")
 final class RequestCommands implements Runnable {
-    @Spec
-    private CommandSpec spec;
+  @Spec private CommandSpec spec;
 
+  @Override
+  public void run() {
+    throw new ParameterException(
+        spec.commandLine(), "say which: arrive, answer, withdraw, show, list, report or trail");
+  }
+
+  /** What the commands for requests share. */
+  private abstract static class OfRequests extends AgreedCommand {
     @Override
-    public void run() {
-        throw new ParameterException(spec.commandLine(), "say which: arrive, answer, withdraw, show, list, report or trail");
+    String kind() {
+      return RequestKind.NAME;
     }
 
-    /** What the commands for requests share. */
-    private abstract static class OfRequests extends AgreedCommand {
-        @Override
-        String kind() {
-            return RequestKind.NAME;
-        }
-
-        /** A time of day such as 2026-12-02T10:00Z, in ms. */
-        final long time(String option, String text) {
-            try {
-                return text.equals("now") ? System.currentTimeMillis() : OffsetDateTime.parse(text).toInstant().toEpochMilli();
-            } catch (DateTimeParseException e) {
-                throw wrong(option + ": '" + text + "' is no time such as 2026-12-02T10:00Z or 2026-12-02T11:00+01:00, nor 'now'");
-            }
-        }
-
-        /** A time of day, or a time span such as 72h or 14d after {@code from}. */
-        final long timeOrSpan(String option, String text, long from) {
-            if (!text.matches("[0-9]{1,5}[mhd]")) {
-                return time(option, text);
-            }
-            long count = Long.parseLong(text.substring(0, text.length() - 1));
-            return from + switch (text.charAt(text.length() - 1)) {
-                case 'm' -> Duration.ofMinutes(count).toMillis();
-                case 'h' -> Duration.ofHours(count).toMillis();
-                default -> Duration.ofDays(count).toMillis();
-            };
-        }
+    /** A time of day such as 2026-12-02T10:00Z, in ms. */
+    final long time(String option, String text) {
+      try {
+        return text.equals("now")
+            ? System.currentTimeMillis()
+            : OffsetDateTime.parse(text).toInstant().toEpochMilli();
+      } catch (DateTimeParseException e) {
+        throw wrong(
+            option
+                + ": '"
+                + text
+                + "' is no time such as 2026-12-02T10:00Z or 2026-12-02T11:00+01:00, nor 'now'");
+      }
     }
 
-    @Command(name = "arrive", mixinStandardHelpOptions = true, sortOptions = false,
-            description = "Records a request that has arrived, and has room reserved for it.")
-    static final class Arrive extends OfRequests {
-        @Parameters(paramLabel = "REFERENCE", description = "by which those who ask know it")
-        private String id;
-
-        @Option(names = "--kind", required = true, paramLabel = "WORD", description = "who asks, such as police or carrier")
-        private String who;
-
-        @Option(names = "--arrived", paramLabel = "TIME", defaultValue = "now", description = "when it arrived, such as 2026-12-02T10:00Z (default: now)")
-        private String arrived;
-
-        @Option(names = "--due", required = true, paramLabel = "TIME", description = "when its answer is due, or after how long: 90m, 72h, 14d")
-        private String due;
-
-        @Option(names = "--lane", required = true, paramLabel = "LANE", description = "the lane whose tasks are to find room")
-        private String lane;
-
-        @Option(names = "--team", required = true, paramLabel = "TEAM", description = "whose limit and guarantee it counts against")
-        private String team;
-
-        @Option(names = "--tasks", required = true, paramLabel = "N", description = "how many tasks, up to " + RequestKind.MOST_TASKS)
-        private int tasks;
-
-        @Option(names = "--cpus", required = true, paramLabel = "X", description = "processors of a task")
-        private double cpus;
-
-        @Option(names = "--gpus", paramLabel = "X", defaultValue = "0", description = "GPUs of a task (default: 0)")
-        private double gpus;
-
-        @Option(names = "--memory-gb", required = true, paramLabel = "X", description = "memory of a task")
-        private double memoryGb;
-
-        @Option(names = "--zones", paramLabel = "ZONE", split = ",", description = "where its tasks may be (default: anywhere)")
-        private List<String> zones = new ArrayList<>();
-
-        @Mixin
-        private Request request;
-
-        @Override
-        public Integer call() {
-            long arrivedMs = time("--arrived", arrived);
-            long dueMs = timeOrSpan("--due", due, arrivedMs);
-            if (dueMs <= arrivedMs) {
-                throw wrong("--due: " + Instant.ofEpochMilli(dueMs) + " is not after " + Instant.ofEpochMilli(arrivedMs) + ", when it arrived");
-            }
-            if (tasks < 1 || tasks > RequestKind.MOST_TASKS) {
-                throw wrong("--tasks: " + tasks + " is not from 1 to " + RequestKind.MOST_TASKS);
-            }
-            if (!(cpus > 0) || !(gpus >= 0) || !(memoryGb >= 0)) {
-                throw wrong("--cpus is to be above 0, --gpus and --memory-gb at least 0");
-            }
-            int status = change(id, request, Json.object("do", "arrive", "kind", who, "arrived_ms", arrivedMs, "due_ms", dueMs, "lane", lane, "team", team,
-                    "tasks", tasks, "cpus", cpus, "gpus", gpus, "memory_gb", memoryGb, "zones", zones));
-            return status == 0 ? show(id) : status; // with it whether there is room
-        }
+    /** A time of day, or a time span such as 72h or 14d after {@code from}. */
+    final long timeOrSpan(String option, String text, long from) {
+      if (!text.matches("[0-9]{1,5}[mhd]")) {
+        return time(option, text);
+      }
+      long count = Long.parseLong(text.substring(0, text.length() - 1));
+      return from
+          + switch (text.charAt(text.length() - 1)) {
+            case 'm' -> Duration.ofMinutes(count).toMillis();
+            case 'h' -> Duration.ofHours(count).toMillis();
+            default -> Duration.ofDays(count).toMillis();
+          };
     }
+  }
+
+  @Command(
+      name = "arrive",
+      mixinStandardHelpOptions = true,
+      sortOptions = false,
+      description = "Records a request that has arrived, and has room reserved for it.")
+  static final class Arrive extends OfRequests {
+    @Parameters(paramLabel = "REFERENCE", description = "by which those who ask know it")
+    private String id;
+
+    @Option(
+        names = "--kind",
+        required = true,
+        paramLabel = "WORD",
+        description = "who asks, such as police or carrier")
+    private String who;
+
+    @Option(
+        names = "--arrived",
+        paramLabel = "TIME",
+        defaultValue = "now",
+        description = "when it arrived, such as 2026-12-02T10:00Z (default: now)")
+    private String arrived;
+
+    @Option(
+        names = "--due",
+        required = true,
+        paramLabel = "TIME",
+        description = "when its answer is due, or after how long: 90m, 72h, 14d")
+    private String due;
+
+    @Option(
+        names = "--lane",
+        required = true,
+        paramLabel = "LANE",
+        description = "the lane whose tasks are to find room")
+    private String lane;
+
+    @Option(
+        names = "--team",
+        required = true,
+        paramLabel = "TEAM",
+        description = "whose limit and guarantee it counts against")
+    private String team;
+
+    @Option(
+        names = "--tasks",
+        required = true,
+        paramLabel = "N",
+        description = "how many tasks, up to " + RequestKind.MOST_TASKS)
+    private int tasks;
+
+    @Option(
+        names = "--cpus",
+        required = true,
+        paramLabel = "X",
+        description = "processors of a task")
+    private double cpus;
+
+    @Option(
+        names = "--gpus",
+        paramLabel = "X",
+        defaultValue = "0",
+        description = "GPUs of a task (default: 0)")
+    private double gpus;
+
+    @Option(
+        names = "--memory-gb",
+        required = true,
+        paramLabel = "X",
+        description = "memory of a task")
+    private double memoryGb;
+
+    @Option(
+        names = "--zones",
+        paramLabel = "ZONE",
+        split = ",",
+        description = "where its tasks may be (default: anywhere)")
+    private List<String> zones = new ArrayList<>();
+
+    @Mixin private Request request;
 
-    @Command(name = "answer", mixinStandardHelpOptions = true, description = "Records that the answer was delivered, and gives its room back.")
-    static final class Answer extends OfRequests {
-        @Parameters(paramLabel = "REFERENCE", description = "the request")
-        private String id;
-
-        @Option(names = "--delivered", paramLabel = "TIME", description = "when it was delivered (default: as this is recorded)")
-        private String delivered;
-
-        @Mixin
-        private Request request;
-
-        @Override
-        public Integer call() {
-            Map<String, Object> command = Json.object("do", "answer");
-            if (delivered != null) {
-                command.put("delivered_ms", time("--delivered", delivered));
-            }
-            return change(id, request, command);
-        }
+    @Override
+    public Integer call() {
+      long arrivedMs = time("--arrived", arrived);
+      long dueMs = timeOrSpan("--due", due, arrivedMs);
+      if (dueMs <= arrivedMs) {
+        throw wrong(
+            "--due: "
+                + Instant.ofEpochMilli(dueMs)
+                + " is not after "
+                + Instant.ofEpochMilli(arrivedMs)
+                + ", when it arrived");
+      }
+      if (tasks < 1 || tasks > RequestKind.MOST_TASKS) {
+        throw wrong("--tasks: " + tasks + " is not from 1 to " + RequestKind.MOST_TASKS);
+      }
+      if (!(cpus > 0) || !(gpus >= 0) || !(memoryGb >= 0)) {
+        throw wrong("--cpus is to be above 0, --gpus and --memory-gb at least 0");
+      }
+      int status =
+          change(
+              id,
+              request,
+              Json.object(
+                  "do",
+                  "arrive",
+                  "kind",
+                  who,
+                  "arrived_ms",
+                  arrivedMs,
+                  "due_ms",
+                  dueMs,
+                  "lane",
+                  lane,
+                  "team",
+                  team,
+                  "tasks",
+                  tasks,
+                  "cpus",
+                  cpus,
+                  "gpus",
+                  gpus,
+                  "memory_gb",
+                  memoryGb,
+                  "zones",
+                  zones));
+      return status == 0 ? show(id) : status; // with it whether there is room
     }
+  }
 
-    @Command(name = "withdraw", mixinStandardHelpOptions = true, description = "Records that no answer is wanted any more, and gives its room back.")
-    static final class Withdraw extends OfRequests {
-        @Parameters(paramLabel = "REFERENCE", description = "the request")
-        private String id;
+  @Command(
+      name = "answer",
+      mixinStandardHelpOptions = true,
+      description = "Records that the answer was delivered, and gives its room back.")
+  static final class Answer extends OfRequests {
+    @Parameters(paramLabel = "REFERENCE", description = "the request")
+    private String id;
 
-        @Option(names = "--why", paramLabel = "TEXT", defaultValue = "", description = "for the trail")
-        private String why;
+    @Option(
+        names = "--delivered",
+        paramLabel = "TIME",
+        description = "when it was delivered (default: as this is recorded)")
+    private String delivered;
 
-        @Mixin
-        private Request request;
+    @Mixin private Request request;
 
-        @Override
-        public Integer call() {
-            return change(id, request, Json.object("do", "withdraw", "why", why));
-        }
+    @Override
+    public Integer call() {
+      Map<String, Object> command = Json.object("do", "answer");
+      if (delivered != null) {
+        command.put("delivered_ms", time("--delivered", delivered));
+      }
+      return change(id, request, command);
     }
+  }
+
+  @Command(
+      name = "withdraw",
+      mixinStandardHelpOptions = true,
+      description = "Records that no answer is wanted any more, and gives its room back.")
+  static final class Withdraw extends OfRequests {
+    @Parameters(paramLabel = "REFERENCE", description = "the request")
+    private String id;
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Shows a request, where it has room, or why it has none.")
-    static final class Show extends OfRequests {
-        @Parameters(paramLabel = "REFERENCE", description = "the request")
-        private String id;
+    @Option(names = "--why", paramLabel = "TEXT", defaultValue = "", description = "for the trail")
+    private String why;
 
-        @Override
-        public Integer call() {
-            return show(id);
-        }
+    @Mixin private Request request;
+
+    @Override
+    public Integer call() {
+      return change(id, request, Json.object("do", "withdraw", "why", why));
     }
+  }
 
-    @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists requests, the first due first.")
-    static final class ListAll extends OfRequests {
-        @Option(names = "--open", description = "only those that wait for an answer")
-        private boolean open;
-
-        @Option(names = "--without-room", description = "only those that wait and have no room")
-        private boolean without;
-
-        @Option(names = "--due", paramLabel = "HOW", description = "only those that are soon, uncertain or late")
-        private String due;
-
-        @Override
-        public Integer call() {
-            if (due != null && !List.of("ahead", "soon", "uncertain", "late").contains(due)) {
-                throw wrong("--due: '" + due + "' is none of ahead, soon, uncertain and late");
-            }
-            List<Map<String, Object>> rows = list();
-            if (rows == null) {
-                return 1;
-            }
-            rows.removeIf(row -> (open || without) && !List.of("arrived", "reserved").contains(row.get("state"))
-                    || without && !"arrived".equals(row.get("state")) || due != null && !due.equals(row.get("due")));
-            rows.sort((one, other) -> Long.compare(((Number) one.get("due_ms")).longValue(), ((Number) other.get("due_ms")).longValue()));
-            return print(rows);
-        }
+  @Command(
+      name = "show",
+      mixinStandardHelpOptions = true,
+      description = "Shows a request, where it has room, or why it has none.")
+  static final class Show extends OfRequests {
+    @Parameters(paramLabel = "REFERENCE", description = "the request")
+    private String id;
+
+    @Override
+    public Integer call() {
+      return show(id);
     }
+  }
 
-    @Command(name = "report", mixinStandardHelpOptions = true, sortOptions = false,
-            description = "What became of requests, by kind and the month (UTC) in which they arrived.")
-    static final class Report extends OfRequests {
-        @Option(names = "--csv", description = "as CSV, whatever --output says")
-        private boolean csv;
-
-        @Override
-        public Integer call() throws IOException {
-            List<Map<String, Object>> requests = list();
-            if (requests == null) {
-                return 1;
-            }
-            List<Map<String, Object>> rows = new RequestReport(requests).rows();
-            if (!csv) {
-                return print(rows);
-            }
-            print(csv(rows));
-            return 0;
-        }
+  @Command(
+      name = "list",
+      mixinStandardHelpOptions = true,
+      description = "Lists requests, the first due first.")
+  static final class ListAll extends OfRequests {
+    @Option(names = "--open", description = "only those that wait for an answer")
+    private boolean open;
+
+    @Option(names = "--without-room", description = "only those that wait and have no room")
+    private boolean without;
+
+    @Option(
+        names = "--due",
+        paramLabel = "HOW",
+        description = "only those that are soon, uncertain or late")
+    private String due;
+
+    @Override
+    public Integer call() {
+      if (due != null && !List.of("ahead", "soon", "uncertain", "late").contains(due)) {
+        throw wrong("--due: '" + due + "' is none of ahead, soon, uncertain and late");
+      }
+      List<Map<String, Object>> rows = list();
+      if (rows == null) {
+        return 1;
+      }
+      rows.removeIf(
+          row ->
+              (open || without) && !List.of("arrived", "reserved").contains(row.get("state"))
+                  || without && !"arrived".equals(row.get("state"))
+                  || due != null && !due.equals(row.get("due")));
+      rows.sort(
+          (one, other) ->
+              Long.compare(
+                  ((Number) one.get("due_ms")).longValue(),
+                  ((Number) other.get("due_ms")).longValue()));
+      return print(rows);
     }
+  }
 
-    @Command(name = "trail", mixinStandardHelpOptions = true, description = "Shows what was changed, when and by whom.")
-    static final class TrailOf extends AgreedCommand.Trail {
-        @Override
-        String kind() {
-            return RequestKind.NAME;
-        }
+  @Command(
+      name = "report",
+      mixinStandardHelpOptions = true,
+      sortOptions = false,
+      description = "What became of requests, by kind and the month (UTC) in which they arrived.")
+  static final class Report extends OfRequests {
+    @Option(names = "--csv", description = "as CSV, whatever --output says")
+    private boolean csv;
+
+    @Override
+    public Integer call() throws IOException {
+      List<Map<String, Object>> requests = list();
+      if (requests == null) {
+        return 1;
+      }
+      List<Map<String, Object>> rows = new RequestReport(requests).rows();
+      if (!csv) {
+        return print(rows);
+      }
+      print(csv(rows));
+      return 0;
     }
+  }
 
-    /** Rows that all have the same columns. */
-    static String csv(List<Map<String, Object>> rows) throws IOException {
-        StringBuilder out = new StringBuilder();
-        try (CSVPrinter printer = new CSVPrinter(out, CSVFormat.RFC4180)) {
-            if (!rows.isEmpty()) {
-                printer.printRecord(rows.get(0).keySet().stream().map(name -> name.toLowerCase(Locale.ROOT)).toList());
-            }
-            for (Map<String, Object> row : rows) {
-                printer.printRecord(row.values());
-            }
-        }
-        return out.toString();
+  @Command(
+      name = "trail",
+      mixinStandardHelpOptions = true,
+      description = "Shows what was changed, when and by whom.")
+  static final class TrailOf extends AgreedCommand.Trail {
+    @Override
+    String kind() {
+      return RequestKind.NAME;
+    }
+  }
+
+  /** Rows that all have the same columns. */
+  static String csv(List<Map<String, Object>> rows) throws IOException {
+    StringBuilder out = new StringBuilder();
+    try (CSVPrinter printer = new CSVPrinter(out, CSVFormat.RFC4180)) {
+      if (!rows.isEmpty()) {
+        printer.printRecord(
+            rows.get(0).keySet().stream().map(name -> name.toLowerCase(Locale.ROOT)).toList());
+      }
+      for (Map<String, Object> row : rows) {
+        printer.printRecord(row.values());
+      }
     }
+    return out.toString();
+  }
 }
--- a/src/main/java/org/quincecross/program/Server.java
+++ b/src/main/java/org/quincecross/program/Server.java
@@ -18,42 +18,56 @@
 
 /** A controller on real sockets and a real clock. */
 final class Server {
-    private static final Logger LOG = LoggerFactory.getLogger(Server.class);
-    /** Sockets kept for what this controller calls and for the other controllers. */
-    private static final int SOCKETS_KEPT = 120;
+  private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
-    private final Settings settings;
-    private final Features features;
+  /** Sockets kept for what this controller calls and for the other controllers. */
+  private static final int SOCKETS_KEPT = 120;
 
-    Server(Settings settings, Features features) {
-        this.settings = settings;
-        this.features = features;
-    }
+  private final Settings settings;
+  private final Features features;
 
-    void run() throws IOException {
-        Loop loop = new Loop();
-        Map<MemberId, FrameSender> peers = new HashMap<>();
-        for (Settings.Sibling sibling : settings.siblings()) {
-            peers.put(sibling.member(), new FrameSender(loop, sibling.endpoint()));
-        }
-        PeerSender sender = new PeerSender() {
-            @Override
-            public boolean send(MemberId to, byte[] frame) {
-                return peers.get(to).send(frame);
-            }
+  Server(Settings settings, Features features) {
+    this.settings = settings;
+    this.features = features;
+  }
 
-            @Override
-            public void renew(MemberId to) {
-                peers.get(to).renew();
-            }
-        };
-        Controller controller = new Controller(loop, new HttpClient(loop), sender, settings, features,
-                System::currentTimeMillis, new HeapWatch());
-        int sockets = settings.quota().sockets();
-        new HttpServer(loop, settings.listen(), Math.max(sockets / 2, sockets - SOCKETS_KEPT), controller);
-        new FrameServer(loop, settings.peerListen(), controller::frame);
-        controller.start();
-        LOG.info("{} serves users and workers on {}, controllers on {}", settings.member(), settings.listen(), settings.peerListen());
-        loop.run();
+  void run() throws IOException {
+    Loop loop = new Loop();
+    Map<MemberId, FrameSender> peers = new HashMap<>();
+    for (Settings.Sibling sibling : settings.siblings()) {
+      peers.put(sibling.member(), new FrameSender(loop, sibling.endpoint()));
     }
+    PeerSender sender =
+        new PeerSender() {
+          @Override
+          public boolean send(MemberId to, byte[] frame) {
+            return peers.get(to).send(frame);
+          }
+
+          @Override
+          public void renew(MemberId to) {
+            peers.get(to).renew();
+          }
+        };
+    Controller controller =
+        new Controller(
+            loop,
+            new HttpClient(loop),
+            sender,
+            settings,
+            features,
+            System::currentTimeMillis,
+            new HeapWatch());
+    int sockets = settings.quota().sockets();
+    new HttpServer(
+        loop, settings.listen(), Math.max(sockets / 2, sockets - SOCKETS_KEPT), controller);
+    new FrameServer(loop, settings.peerListen(), controller::frame);
+    controller.start();
+    LOG.info(
+        "{} serves users and workers on {}, controllers on {}",
+        settings.member(),
+        settings.listen(),
+        settings.peerListen());
+    loop.run();
+  }
 }
--- a/src/main/java/org/quincecross/program/SettingsFile.java
+++ b/src/main/java/org/quincecross/program/SettingsFile.java
@@ -7,36 +7,39 @@
 import org.quincecross.wire.Features;
 import org.quincecross.wire.Settings;
 
-/** Reads the settings file and that of the features, with one clear line for whatever is wrong with them. */
+/**
+ * Reads the settings file and that of the features, with one clear line for whatever is wrong with
+ * them.
+ */
 final class SettingsFile {
-    private SettingsFile() {
-    }
+  private SettingsFile() {}
 
-    /** Reads what a file says. */
-    private interface Reader<T> {
-        T read(byte[] bytes) throws BadMessage;
-    }
+  /** Reads what a file says. */
+  private interface Reader<T> {
+    T read(byte[] bytes) throws BadMessage;
+  }
 
-    static Settings read(Path file) throws IOException {
-        return read(file, "settings file", Settings::read);
-    }
+  static Settings read(Path file) throws IOException {
+    return read(file, "settings file", Settings::read);
+  }
 
-    /** The features that a file switches on; none without a file. */
-    static Features features(Path file) throws IOException {
-        return file == null ? Features.NONE : read(file, "features file", Features::read);
-    }
+  /** The features that a file switches on; none without a file. */
+  static Features features(Path file) throws IOException {
+    return file == null ? Features.NONE : read(file, "features file", Features::read);
+  }
 
-    private static <T> T read(Path file, String what, Reader<T> reader) throws IOException {
-        byte[] bytes;
-        try {
-            bytes = Files.readAllBytes(file);
-        } catch (IOException e) {
-            throw new IOException("cannot read " + what + " " + file + ": " + e.getClass().getSimpleName());
-        }
-        try {
-            return reader.read(bytes);
-        } catch (BadMessage e) {
-            throw new IOException(what + " " + file + ": " + e.getMessage());
-        }
+  private static <T> T read(Path file, String what, Reader<T> reader) throws IOException {
+    byte[] bytes;
+    try {
+      bytes = Files.readAllBytes(file);
+    } catch (IOException e) {
+      throw new IOException(
+          "cannot read " + what + " " + file + ": " + e.getClass().getSimpleName());
+    }
+    try {
+      return reader.read(bytes);
+    } catch (BadMessage e) {
+      throw new IOException(what + " " + file + ": " + e.getMessage());
     }
+  }
 }
--- a/src/main/java/org/quincecross/quota/Entitlement.java
+++ b/src/main/java/org/quincecross/quota/Entitlement.java
@@ -5,172 +5,182 @@
 import org.quincecross.model.Resources;
 
 /**
- * What each node is entitled to when there is not enough for all: hierarchical max-min fairness over dominant shares, after
- * Ghodsi and others, "Dominant Resource Fairness" (NSDI 2011), applied at each node to its children. A child first gets
- * what it asks for of its guarantee; what is left is poured out among those who ask for more, their dominant shares rising
- * in step with their weights, until each has what it asks for or a resource that it needs is gone.
+ * What each node is entitled to when there is not enough for all: hierarchical max-min fairness
+ * over dominant shares, after Ghodsi and others, "Dominant Resource Fairness" (NSDI 2011), applied
+ * at each node to its children. A child first gets what it asks for of its guarantee; what is left
+ * is poured out among those who ask for more, their dominant shares rising in step with their
+ * weights, until each has what it asks for or a resource that it needs is gone.
  */
 public final class Entitlement {
-    private static final double NEXT_TO_NOTHING = 1e-9;
-    private static final int RESOURCES = 3;
-
-    private final QuotaTree tree;
-    private final Resources capacity;
-    private final Resources[] asks;
-    private final Resources[] direct;
-    private final Resources[] entitled;
-
-    private Entitlement(QuotaTree tree, Resources[] demand, Resources capacity) {
-        this.tree = tree;
-        this.capacity = capacity;
-        this.direct = demand;
-        this.asks = demand.clone();
-        this.entitled = new Resources[demand.length];
+  private static final double NEXT_TO_NOTHING = 1e-9;
+  private static final int RESOURCES = 3;
+
+  private final QuotaTree tree;
+  private final Resources capacity;
+  private final Resources[] asks;
+  private final Resources[] direct;
+  private final Resources[] entitled;
+
+  private Entitlement(QuotaTree tree, Resources[] demand, Resources capacity) {
+    this.tree = tree;
+    this.capacity = capacity;
+    this.direct = demand;
+    this.asks = demand.clone();
+    this.entitled = new Resources[demand.length];
+  }
+
+  /**
+   * Divides {@code capacity}.
+   *
+   * @param demand of each node, by its index: what its own tasks take and would take, without those
+   *     of the nodes below
+   */
+  public static Entitlement of(QuotaTree tree, Resources[] demand, Resources capacity) {
+    Entitlement all = new Entitlement(tree, demand, capacity);
+    all.sumUp();
+    all.entitled[0] = all.asks[0].least(capacity);
+    for (QuotaTree.Node node : tree.nodes()) {
+      if (!node.children().isEmpty()) {
+        all.divide(node);
+      }
     }
-
-    /**
-     * Divides {@code capacity}.
-     *
-     * @param demand of each node, by its index: what its own tasks take and would take, without those of the nodes below
-     */
-    public static Entitlement of(QuotaTree tree, Resources[] demand, Resources capacity) {
-        Entitlement all = new Entitlement(tree, demand, capacity);
-        all.sumUp();
-        all.entitled[0] = all.asks[0].least(capacity);
-        for (QuotaTree.Node node : tree.nodes()) {
-            if (!node.children().isEmpty()) {
-                all.divide(node);
-            }
-        }
-        return all;
+    return all;
+  }
+
+  /** What a node, with all below it, is entitled to. */
+  public Resources of(QuotaTree.Node node) {
+    return entitled[node.index()];
+  }
+
+  /**
+   * What each node asks for: what is asked for below it, as far as its limit and what it may borrow
+   * let it.
+   */
+  private void sumUp() {
+    List<QuotaTree.Node> nodes = tree.nodes();
+    for (int i = nodes.size() - 1; i >= 0; i--) {
+      QuotaTree.Node node = nodes.get(i);
+      asks[i] = asks[i].least(node.limit()).least(node.guarantee().plus(node.spec().borrow()));
+      if (node.parent() != null) {
+        asks[node.parent().index()] = asks[node.parent().index()].plus(asks[i]);
+      }
     }
-
-    /** What a node, with all below it, is entitled to. */
-    public Resources of(QuotaTree.Node node) {
-        return entitled[node.index()];
+  }
+
+  /** One that is poured out to: a child, or the node's own tasks. */
+  private static final class Taker {
+    private final int index;
+    private final double weight;
+    private final double[] base;
+    private final double[] more;
+    private final double share;
+    private double part;
+
+    Taker(int index, double weight, Resources base, Resources more, double share) {
+      this.index = index;
+      this.weight = weight;
+      this.base = amounts(base);
+      this.more = amounts(more);
+      this.share = share;
     }
 
-    /** What each node asks for: what is asked for below it, as far as its limit and what it may borrow let it. */
-    private void sumUp() {
-        List<QuotaTree.Node> nodes = tree.nodes();
-        for (int i = nodes.size() - 1; i >= 0; i--) {
-            QuotaTree.Node node = nodes.get(i);
-            asks[i] = asks[i].least(node.limit()).least(node.guarantee().plus(node.spec().borrow()));
-            if (node.parent() != null) {
-                asks[node.parent().index()] = asks[node.parent().index()].plus(asks[i]);
-            }
-        }
+    boolean wants(int resource) {
+      return more[resource] > NEXT_TO_NOTHING;
     }
+  }
 
-    /** One that is poured out to: a child, or the node's own tasks. */
-    private static final class Taker {
-        private final int index;
-        private final double weight;
-        private final double[] base;
-        private final double[] more;
-        private final double share;
-        private double part;
-
-        Taker(int index, double weight, Resources base, Resources more, double share) {
-            this.index = index;
-            this.weight = weight;
-            this.base = amounts(base);
-            this.more = amounts(more);
-            this.share = share;
-        }
-
-        boolean wants(int resource) {
-            return more[resource] > NEXT_TO_NOTHING;
-        }
+  private void divide(QuotaTree.Node node) {
+    List<Taker> takers = new ArrayList<>();
+    for (QuotaTree.Node child : node.children()) {
+      takers.add(
+          taker(child.index(), child.spec().weight(), child.guarantee(), asks[child.index()]));
     }
-
-    private void divide(QuotaTree.Node node) {
-        List<Taker> takers = new ArrayList<>();
-        for (QuotaTree.Node child : node.children()) {
-            takers.add(taker(child.index(), child.spec().weight(), child.guarantee(), asks[child.index()]));
-        }
-        // Tasks of the node itself, which none of its workloads claims, stand beside them without a guarantee.
-        Taker own = taker(-1, 1, Resources.NONE, direct[node.index()]);
-        takers.add(own);
-        double[] left = amounts(entitled[node.index()]);
-        serveGuarantees(takers, left);
-        pour(takers, left);
-        for (Taker taker : takers) {
-            if (taker.index >= 0) {
-                entitled[taker.index] = new Resources(taker.base[0] + taker.part * taker.more[0],
-                        taker.base[1] + taker.part * taker.more[1], taker.base[2] + taker.part * taker.more[2]);
-            }
-        }
+    // Tasks of the node itself, which none of its workloads claims, stand beside them without a
+    // guarantee.
+    Taker own = taker(-1, 1, Resources.NONE, direct[node.index()]);
+    takers.add(own);
+    double[] left = amounts(entitled[node.index()]);
+    serveGuarantees(takers, left);
+    pour(takers, left);
+    for (Taker taker : takers) {
+      if (taker.index >= 0) {
+        entitled[taker.index] =
+            new Resources(
+                taker.base[0] + taker.part * taker.more[0],
+                taker.base[1] + taker.part * taker.more[1],
+                taker.base[2] + taker.part * taker.more[2]);
+      }
     }
-
-    private Taker taker(int index, double weight, Resources guarantee, Resources ask) {
-        Resources base = ask.least(guarantee);
-        Resources more = ask.minus(base);
-        return new Taker(index, weight, base, more, more.shareOf(capacity));
+  }
+
+  private Taker taker(int index, double weight, Resources guarantee, Resources ask) {
+    Resources base = ask.least(guarantee);
+    Resources more = ask.minus(base);
+    return new Taker(index, weight, base, more, more.shareOf(capacity));
+  }
+
+  /** Guarantees first; where there is not even enough for them, all get the same part of theirs. */
+  private static void serveGuarantees(List<Taker> takers, double[] left) {
+    for (int r = 0; r < RESOURCES; r++) {
+      double sum = 0;
+      for (Taker taker : takers) {
+        sum += taker.base[r];
+      }
+      double part = sum > left[r] ? left[r] / sum : 1;
+      for (Taker taker : takers) {
+        taker.base[r] *= part;
+      }
+      left[r] = Math.max(0, left[r] - sum * part);
     }
-
-    /** Guarantees first; where there is not even enough for them, all get the same part of theirs. */
-    private static void serveGuarantees(List<Taker> takers, double[] left) {
-        for (int r = 0; r < RESOURCES; r++) {
-            double sum = 0;
-            for (Taker taker : takers) {
-                sum += taker.base[r];
-            }
-            double part = sum > left[r] ? left[r] / sum : 1;
-            for (Taker taker : takers) {
-                taker.base[r] *= part;
-            }
-            left[r] = Math.max(0, left[r] - sum * part);
-        }
+  }
+
+  private static void pour(List<Taker> takers, double[] left) {
+    List<Taker> open = new ArrayList<>();
+    for (Taker taker : takers) {
+      if (taker.weight > 0 && taker.share > NEXT_TO_NOTHING) {
+        open.add(taker);
+      }
     }
-
-    private static void pour(List<Taker> takers, double[] left) {
-        List<Taker> open = new ArrayList<>();
-        for (Taker taker : takers) {
-            if (taker.weight > 0 && taker.share > NEXT_TO_NOTHING) {
-                open.add(taker);
-            }
+    boolean[] gone = new boolean[RESOURCES];
+    while (!open.isEmpty()) {
+      double rise = Double.MAX_VALUE;
+      double[] rates = new double[RESOURCES];
+      for (Taker taker : open) {
+        rise = Math.min(rise, (1 - taker.part) * taker.share / taker.weight);
+        for (int r = 0; r < RESOURCES; r++) {
+          rates[r] += taker.more[r] * taker.weight / taker.share;
         }
-        boolean[] gone = new boolean[RESOURCES];
-        while (!open.isEmpty()) {
-            double rise = Double.MAX_VALUE;
-            double[] rates = new double[RESOURCES];
-            for (Taker taker : open) {
-                rise = Math.min(rise, (1 - taker.part) * taker.share / taker.weight);
-                for (int r = 0; r < RESOURCES; r++) {
-                    rates[r] += taker.more[r] * taker.weight / taker.share;
-                }
-            }
-            for (int r = 0; r < RESOURCES; r++) {
-                if (rates[r] > 0 && left[r] / rates[r] <= rise) {
-                    rise = left[r] / rates[r];
-                }
-            }
-            for (Taker taker : open) {
-                taker.part = Math.min(1, taker.part + rise * taker.weight / taker.share);
-            }
-            for (int r = 0; r < RESOURCES; r++) {
-                left[r] = Math.max(0, left[r] - rise * rates[r]);
-                gone[r] |= rates[r] > 0 && left[r] <= NEXT_TO_NOTHING * (1 + rates[r]);
-            }
-            int before = open.size();
-            open.removeIf(taker -> taker.part >= 1 - NEXT_TO_NOTHING || isShort(taker, gone));
-            if (open.size() == before) {
-                return; // nothing moves any more but rounding
-            }
+      }
+      for (int r = 0; r < RESOURCES; r++) {
+        if (rates[r] > 0 && left[r] / rates[r] <= rise) {
+          rise = left[r] / rates[r];
         }
+      }
+      for (Taker taker : open) {
+        taker.part = Math.min(1, taker.part + rise * taker.weight / taker.share);
+      }
+      for (int r = 0; r < RESOURCES; r++) {
+        left[r] = Math.max(0, left[r] - rise * rates[r]);
+        gone[r] |= rates[r] > 0 && left[r] <= NEXT_TO_NOTHING * (1 + rates[r]);
+      }
+      int before = open.size();
+      open.removeIf(taker -> taker.part >= 1 - NEXT_TO_NOTHING || isShort(taker, gone));
+      if (open.size() == before) {
+        return; // nothing moves any more but rounding
+      }
     }
+  }
 
-    private static boolean isShort(Taker taker, boolean[] gone) {
-        for (int r = 0; r < RESOURCES; r++) {
-            if (gone[r] && taker.wants(r)) {
-                return true;
-            }
-        }
-        return false;
+  private static boolean isShort(Taker taker, boolean[] gone) {
+    for (int r = 0; r < RESOURCES; r++) {
+      if (gone[r] && taker.wants(r)) {
+        return true;
+      }
     }
+    return false;
+  }
 
-    private static double[] amounts(Resources resources) {
-        return new double[] {resources.cpus(), resources.gpus(), resources.memoryGb()};
-    }
+  private static double[] amounts(Resources resources) {
+    return new double[] {resources.cpus(), resources.gpus(), resources.memoryGb()};
+  }
 }
--- a/src/main/java/org/quincecross/quota/NodePath.java
+++ b/src/main/java/org/quincecross/quota/NodePath.java
@@ -1,23 +1,23 @@
 package org.quincecross.quota;
 
 /**
- * Where a node stands in the tree: the names from the top down, with slashes between them; the root's is empty. Ordered by
- * its text, so that a node comes before what is below it.
+ * Where a node stands in the tree: the names from the top down, with slashes between them; the
+ * root's is empty. Ordered by its text, so that a node comes before what is below it.
  */
 public record NodePath(String text) implements Comparable<NodePath> {
-    public static final NodePath ROOT = new NodePath("");
+  public static final NodePath ROOT = new NodePath("");
 
-    public NodePath child(String name) {
-        return new NodePath(text.isEmpty() ? name : text + "/" + name);
-    }
+  public NodePath child(String name) {
+    return new NodePath(text.isEmpty() ? name : text + "/" + name);
+  }
 
-    @Override
-    public int compareTo(NodePath other) {
-        return text.compareTo(other.text);
-    }
+  @Override
+  public int compareTo(NodePath other) {
+    return text.compareTo(other.text);
+  }
 
-    @Override
-    public String toString() {
-        return text.isEmpty() ? "(root)" : text;
-    }
+  @Override
+  public String toString() {
+    return text.isEmpty() ? "(root)" : text;
+  }
 }
--- a/src/main/java/org/quincecross/quota/QuotaTree.java
+++ b/src/main/java/org/quincecross/quota/QuotaTree.java
@@ -14,289 +14,370 @@
 import org.quincecross.model.Team;
 
 /**
- * A tree of quotas that holds together. Each team of the platform is in it once: one that operators left out stands below
- * the root, as it would without a tree. The platform's own guarantees and limits hold whatever the tree says: a team's node
- * has the lesser limit of the two, and its guarantee is the platform's where the tree says more.
+ * A tree of quotas that holds together. Each team of the platform is in it once: one that operators
+ * left out stands below the root, as it would without a tree. The platform's own guarantees and
+ * limits hold whatever the tree says: a team's node has the lesser limit of the two, and its
+ * guarantee is the platform's where the tree says more.
  */
 public final class QuotaTree {
-    public static final int MOST_NODES = 10_000;
-    /** Organisations within organisations; a team and its workloads may stand below the last. */
-    public static final int MOST_NESTED = 8;
-    private static final int LONGEST_NAME = 100;
-    private static final double MOST = 1e9;
-    private static final double SLACK = 1e-6;
-
-    /** A node; its index is its place in {@link #nodes()}, and larger than its parent's. */
-    public static final class Node {
-        private final int index;
-        private final NodePath path;
-        private final NodeSpec spec;
-        private final Resources guarantee;
-        private final Resources limit;
-        private final Node parent;
-        private final List<Node> children = new ArrayList<>();
-        private final Pattern pattern;
-
-        private Node(int index, NodePath path, NodeSpec spec, Resources guarantee, Resources limit, Node parent) {
-            this.index = index;
-            this.path = path;
-            this.spec = spec;
-            this.guarantee = guarantee;
-            this.limit = limit;
-            this.parent = parent;
-            this.pattern = spec.pattern() == null ? null : glob(spec.pattern());
-        }
-
-        private static Pattern glob(String text) {
-            return Pattern.compile(Pattern.quote(text).replace("*", "\\E.*\\Q"));
-        }
-
-        public int index() {
-            return index;
-        }
-
-        public NodePath path() {
-            return path;
-        }
-
-        public NodeSpec spec() {
-            return spec;
-        }
-
-        /** As it holds: what the platform grants and the parent has are kept. */
-        public Resources guarantee() {
-            return guarantee;
-        }
-
-        public Resources limit() {
-            return limit;
-        }
-
-        /** Null at the root. */
-        public Node parent() {
-            return parent;
-        }
-
-        public List<Node> children() {
-            return children;
-        }
+  public static final int MOST_NODES = 10_000;
+
+  /** Organisations within organisations; a team and its workloads may stand below the last. */
+  public static final int MOST_NESTED = 8;
+
+  private static final int LONGEST_NAME = 100;
+  private static final double MOST = 1e9;
+  private static final double SLACK = 1e-6;
+
+  /** A node; its index is its place in {@link #nodes()}, and larger than its parent's. */
+  public static final class Node {
+    private final int index;
+    private final NodePath path;
+    private final NodeSpec spec;
+    private final Resources guarantee;
+    private final Resources limit;
+    private final Node parent;
+    private final List<Node> children = new ArrayList<>();
+    private final Pattern pattern;
+
+    private Node(
+        int index,
+        NodePath path,
+        NodeSpec spec,
+        Resources guarantee,
+        Resources limit,
+        Node parent) {
+      this.index = index;
+      this.path = path;
+      this.spec = spec;
+      this.guarantee = guarantee;
+      this.limit = limit;
+      this.parent = parent;
+      this.pattern = spec.pattern() == null ? null : glob(spec.pattern());
     }
 
-    private final List<Node> nodes = new ArrayList<>();
-    private final Map<String, Node> teams = new HashMap<>();
-    private final List<String> scaled = new ArrayList<>();
-
-    private QuotaTree() {
+    private static Pattern glob(String text) {
+      return Pattern.compile(Pattern.quote(text).replace("*", "\\E.*\\Q"));
     }
 
-    /** The tree that stands where operators have written none: the platform's teams below the root. */
-    public static QuotaTree flat(Collection<Team> teams) {
-        try {
-            return of(List.of(), teams);
-        } catch (BadTree e) {
-            throw new IllegalStateException(e); // nothing was written that could be bad
-        }
+    public int index() {
+      return index;
     }
 
-    /**
-     * Builds a tree that operators have written for the teams that the platform names now.
-     *
-     * @throws BadTree if it could hold for no platform file: a bad name or amount, twins, too deep, too many, or children
-     *     that are guaranteed more than their parent
-     */
-    public static QuotaTree of(List<NodeSpec> top, Collection<Team> platform) throws BadTree {
-        Map<String, Team> known = new LinkedHashMap<>();
-        platform.forEach(team -> known.put(team.name(), team));
-        List<NodeSpec> all = new ArrayList<>(top);
-        Set<String> named = new HashSet<>();
-        checkBelow(NodePath.ROOT, null, top, 0, known, named, new int[1]);
-        for (Team team : platform) {
-            if (!named.contains(team.name())) {
-                all.add(new NodeSpec(team.name(), NodeSpec.Kind.TEAM, null, team.guarantee(), team.limit(), 1, 1,
-                        NodeSpec.UNLIMITED, List.of()));
-            }
-        }
-        QuotaTree tree = new QuotaTree();
-        NodeSpec root = new NodeSpec("", NodeSpec.Kind.ORGANISATION, null, NodeSpec.UNLIMITED, NodeSpec.UNLIMITED, 1, 1,
-                NodeSpec.UNLIMITED, all);
-        tree.add(NodePath.ROOT, root, null, known);
-        return tree;
+    public NodePath path() {
+      return path;
     }
 
-    // ---- what operators wrote ----
-
-    private static void checkBelow(NodePath path, NodeSpec parent, List<NodeSpec> children, int nested, Map<String, Team> known,
-            Set<String> teams, int[] count) throws BadTree {
-        Set<String> names = new HashSet<>();
-        Resources sum = Resources.NONE;
-        for (NodeSpec child : children) {
-            NodePath at = path.child(child.name() == null ? "?" : child.name());
-            if (++count[0] > MOST_NODES) {
-                throw new BadTree(at, "the tree has more than " + MOST_NODES + " nodes");
-            }
-            checkName(at, child);
-            if (!names.add(child.name())) {
-                throw new BadTree(at, "stands there twice");
-            }
-            checkAmounts(at, child);
-            checkKind(at, parent, child, nested, known, teams);
-            sum = sum.plus(child.guarantee());
-            checkBelow(at, child, child.children(), child.kind() == NodeSpec.Kind.ORGANISATION ? nested + 1 : nested, known, teams,
-                    count);
-        }
-        if (parent != null && !sum.fitsIn(parent.guarantee())) {
-            throw new BadTree(path, "its children are guaranteed " + words(sum) + " together, it has " + words(parent.guarantee()));
-        }
+    public NodeSpec spec() {
+      return spec;
     }
 
-    private static void checkName(NodePath at, NodeSpec node) throws BadTree {
-        if (node.name() == null || node.name().isEmpty() || node.name().length() > LONGEST_NAME || node.name().contains("/")) {
-            throw new BadTree(at, "a name has 1 to " + LONGEST_NAME + " characters and no slash");
-        }
+    /** As it holds: what the platform grants and the parent has are kept. */
+    public Resources guarantee() {
+      return guarantee;
     }
 
-    private static void checkAmounts(NodePath at, NodeSpec node) throws BadTree {
-        checkAmount(at, "guarantee", node.guarantee(), false);
-        checkAmount(at, "limit", node.limit(), true);
-        checkAmount(at, "borrow", node.borrow(), true);
-        if (!(node.weight() >= 0 && node.weight() <= MOST)) {
-            throw new BadTree(at, "weight is not an amount from 0 to 1e9");
-        }
-        if (!(node.lend() >= 0 && node.lend() <= 1)) {
-            throw new BadTree(at, "lend is not a part from 0 to 1");
-        }
-        if (!node.guarantee().fitsIn(node.limit())) {
-            throw new BadTree(at, "guarantee " + words(node.guarantee()) + " is more than its limit " + words(node.limit()));
-        }
+    public Resources limit() {
+      return limit;
     }
 
-    private static void checkAmount(NodePath at, String what, Resources amount, boolean mayBeUnlimited) throws BadTree {
-        for (double value : new double[] {amount.cpus(), amount.gpus(), amount.memoryGb()}) {
-            boolean unlimited = mayBeUnlimited && value == Double.POSITIVE_INFINITY;
-            if (!unlimited && !(value >= 0 && value <= MOST)) {
-                throw new BadTree(at, what + " is not an amount from 0 to 1e9");
-            }
-        }
+    /** Null at the root. */
+    public Node parent() {
+      return parent;
     }
 
-    private static void checkKind(NodePath at, NodeSpec parent, NodeSpec child, int nested, Map<String, Team> known,
-            Set<String> teams) throws BadTree {
-        NodeSpec.Kind above = parent == null ? NodeSpec.Kind.ORGANISATION : parent.kind();
-        switch (child.kind()) {
-            case ORGANISATION -> {
-                if (above != NodeSpec.Kind.ORGANISATION) {
-                    throw new BadTree(at, "an organisation stands below an organisation or the root");
-                }
-                if (nested >= MOST_NESTED) {
-                    throw new BadTree(at, "more than " + MOST_NESTED + " organisations within one another");
-                }
-            }
-            case TEAM -> {
-                if (above != NodeSpec.Kind.ORGANISATION) {
-                    throw new BadTree(at, "a team stands below an organisation or the root");
-                }
-                if (!known.containsKey(child.name())) {
-                    throw new BadTree(at, "the platform has no team of that name");
-                }
-                if (!teams.add(child.name())) {
-                    throw new BadTree(at, "the team stands in the tree twice");
-                }
-            }
-            case WORKLOAD -> {
-                if (above != NodeSpec.Kind.TEAM) {
-                    throw new BadTree(at, "a workload stands below a team");
-                }
-                if (child.pattern() == null || child.pattern().isEmpty() || !child.children().isEmpty()) {
-                    throw new BadTree(at, "a workload has a pattern, and nothing below it");
-                }
-            }
-            default -> throw new IllegalStateException(child.kind().toString());
-        }
+    public List<Node> children() {
+      return children;
     }
-
-    /** An amount in words, without what there is none of. */
-    public static String words(Resources amount) {
-        List<String> parts = new ArrayList<>();
-        add(parts, amount.cpus(), " CPUs");
-        add(parts, amount.gpus(), " GPUs");
-        add(parts, amount.memoryGb(), " GB");
-        return parts.isEmpty() ? "nothing" : String.join(", ", parts);
+  }
+
+  private final List<Node> nodes = new ArrayList<>();
+  private final Map<String, Node> teams = new HashMap<>();
+  private final List<String> scaled = new ArrayList<>();
+
+  private QuotaTree() {}
+
+  /**
+   * The tree that stands where operators have written none: the platform's teams below the root.
+   */
+  public static QuotaTree flat(Collection<Team> teams) {
+    try {
+      return of(List.of(), teams);
+    } catch (BadTree e) {
+      throw new IllegalStateException(e); // nothing was written that could be bad
     }
-
-    private static void add(List<String> parts, double value, String unit) {
-        if (value == Double.POSITIVE_INFINITY) {
-            parts.add("any" + unit);
-        } else if (value > SLACK) {
-            parts.add((value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value)) + unit);
-        }
+  }
+
+  /**
+   * Builds a tree that operators have written for the teams that the platform names now.
+   *
+   * @throws BadTree if it could hold for no platform file: a bad name or amount, twins, too deep,
+   *     too many, or children that are guaranteed more than their parent
+   */
+  public static QuotaTree of(List<NodeSpec> top, Collection<Team> platform) throws BadTree {
+    Map<String, Team> known = new LinkedHashMap<>();
+    platform.forEach(team -> known.put(team.name(), team));
+    List<NodeSpec> all = new ArrayList<>(top);
+    Set<String> named = new HashSet<>();
+    checkBelow(NodePath.ROOT, null, top, 0, known, named, new int[1]);
+    for (Team team : platform) {
+      if (!named.contains(team.name())) {
+        all.add(
+            new NodeSpec(
+                team.name(),
+                NodeSpec.Kind.TEAM,
+                null,
+                team.guarantee(),
+                team.limit(),
+                1,
+                1,
+                NodeSpec.UNLIMITED,
+                List.of()));
+      }
     }
-
-    // ---- what holds ----
-
-    /**
-     * Adds a node with all that is below it. Where the platform's file has shrunk a team since the tree was written, what is
-     * below that team is scaled to what is left, each resource for itself: shown and logged, never a reason to stop.
-     */
-    private void add(NodePath path, NodeSpec spec, Node parent, Map<String, Team> known) {
-        Resources guarantee = spec.guarantee();
-        Resources limit = spec.limit();
-        if (spec.kind() == NodeSpec.Kind.TEAM) {
-            Team team = known.get(spec.name());
-            guarantee = guarantee.least(team.guarantee());
-            limit = limit.least(team.limit());
-        } else if (spec.kind() == NodeSpec.Kind.WORKLOAD) {
-            guarantee = scale(guarantee, parent).least(limit);
+    QuotaTree tree = new QuotaTree();
+    NodeSpec root =
+        new NodeSpec(
+            "",
+            NodeSpec.Kind.ORGANISATION,
+            null,
+            NodeSpec.UNLIMITED,
+            NodeSpec.UNLIMITED,
+            1,
+            1,
+            NodeSpec.UNLIMITED,
+            all);
+    tree.add(NodePath.ROOT, root, null, known);
+    return tree;
+  }
+
+  // ---- what operators wrote ----
+
+  private static void checkBelow(
+      NodePath path,
+      NodeSpec parent,
+      List<NodeSpec> children,
+      int nested,
+      Map<String, Team> known,
+      Set<String> teams,
+      int[] count)
+      throws BadTree {
+    Set<String> names = new HashSet<>();
+    Resources sum = Resources.NONE;
+    for (NodeSpec child : children) {
+      NodePath at = path.child(child.name() == null ? "?" : child.name());
+      if (++count[0] > MOST_NODES) {
+        throw new BadTree(at, "the tree has more than " + MOST_NODES + " nodes");
+      }
+      checkName(at, child);
+      if (!names.add(child.name())) {
+        throw new BadTree(at, "stands there twice");
+      }
+      checkAmounts(at, child);
+      checkKind(at, parent, child, nested, known, teams);
+      sum = sum.plus(child.guarantee());
+      checkBelow(
+          at,
+          child,
+          child.children(),
+          child.kind() == NodeSpec.Kind.ORGANISATION ? nested + 1 : nested,
+          known,
+          teams,
+          count);
+    }
+    if (parent != null && !sum.fitsIn(parent.guarantee())) {
+      throw new BadTree(
+          path,
+          "its children are guaranteed "
+              + words(sum)
+              + " together, it has "
+              + words(parent.guarantee()));
+    }
+  }
+
+  private static void checkName(NodePath at, NodeSpec node) throws BadTree {
+    if (node.name() == null
+        || node.name().isEmpty()
+        || node.name().length() > LONGEST_NAME
+        || node.name().contains("/")) {
+      throw new BadTree(at, "a name has 1 to " + LONGEST_NAME + " characters and no slash");
+    }
+  }
+
+  private static void checkAmounts(NodePath at, NodeSpec node) throws BadTree {
+    checkAmount(at, "guarantee", node.guarantee(), false);
+    checkAmount(at, "limit", node.limit(), true);
+    checkAmount(at, "borrow", node.borrow(), true);
+    if (!(node.weight() >= 0 && node.weight() <= MOST)) {
+      throw new BadTree(at, "weight is not an amount from 0 to 1e9");
+    }
+    if (!(node.lend() >= 0 && node.lend() <= 1)) {
+      throw new BadTree(at, "lend is not a part from 0 to 1");
+    }
+    if (!node.guarantee().fitsIn(node.limit())) {
+      throw new BadTree(
+          at,
+          "guarantee "
+              + words(node.guarantee())
+              + " is more than its limit "
+              + words(node.limit()));
+    }
+  }
+
+  private static void checkAmount(
+      NodePath at, String what, Resources amount, boolean mayBeUnlimited) throws BadTree {
+    for (double value : new double[] {amount.cpus(), amount.gpus(), amount.memoryGb()}) {
+      boolean unlimited = mayBeUnlimited && value == Double.POSITIVE_INFINITY;
+      if (!unlimited && !(value >= 0 && value <= MOST)) {
+        throw new BadTree(at, what + " is not an amount from 0 to 1e9");
+      }
+    }
+  }
+
+  private static void checkKind(
+      NodePath at,
+      NodeSpec parent,
+      NodeSpec child,
+      int nested,
+      Map<String, Team> known,
+      Set<String> teams)
+      throws BadTree {
+    NodeSpec.Kind above = parent == null ? NodeSpec.Kind.ORGANISATION : parent.kind();
+    switch (child.kind()) {
+      case ORGANISATION -> {
+        if (above != NodeSpec.Kind.ORGANISATION) {
+          throw new BadTree(at, "an organisation stands below an organisation or the root");
         }
-        if (!spec.guarantee().fitsIn(guarantee)) {
-            scaled.add(path + ": guaranteed " + words(guarantee) + " of the " + words(spec.guarantee()) + " that the tree says");
+        if (nested >= MOST_NESTED) {
+          throw new BadTree(at, "more than " + MOST_NESTED + " organisations within one another");
         }
-        Node node = new Node(nodes.size(), path, spec, guarantee, limit, parent);
-        nodes.add(node);
-        if (spec.kind() == NodeSpec.Kind.TEAM) {
-            teams.put(spec.name(), node);
+      }
+      case TEAM -> {
+        if (above != NodeSpec.Kind.ORGANISATION) {
+          throw new BadTree(at, "a team stands below an organisation or the root");
         }
-        if (parent != null) {
-            parent.children.add(node);
+        if (!known.containsKey(child.name())) {
+          throw new BadTree(at, "the platform has no team of that name");
         }
-        spec.children().forEach(child -> add(path.child(child.name()), child, node, known));
+        if (!teams.add(child.name())) {
+          throw new BadTree(at, "the team stands in the tree twice");
+        }
+      }
+      case WORKLOAD -> {
+        if (above != NodeSpec.Kind.TEAM) {
+          throw new BadTree(at, "a workload stands below a team");
+        }
+        if (child.pattern() == null || child.pattern().isEmpty() || !child.children().isEmpty()) {
+          throw new BadTree(at, "a workload has a pattern, and nothing below it");
+        }
+      }
+      default -> throw new IllegalStateException(child.kind().toString());
     }
-
-    private static Resources scale(Resources guarantee, Node team) {
-        return new Resources(scale(guarantee, team, Resources::cpus), scale(guarantee, team, Resources::gpus),
-                scale(guarantee, team, Resources::memoryGb));
+  }
+
+  /** An amount in words, without what there is none of. */
+  public static String words(Resources amount) {
+    List<String> parts = new ArrayList<>();
+    add(parts, amount.cpus(), " CPUs");
+    add(parts, amount.gpus(), " GPUs");
+    add(parts, amount.memoryGb(), " GB");
+    return parts.isEmpty() ? "nothing" : String.join(", ", parts);
+  }
+
+  private static void add(List<String> parts, double value, String unit) {
+    if (value == Double.POSITIVE_INFINITY) {
+      parts.add("any" + unit);
+    } else if (value > SLACK) {
+      parts.add(
+          (value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value))
+              + unit);
     }
-
-    private static double scale(Resources guarantee, Node team, ToDoubleFunction<Resources> resource) {
-        double written = resource.applyAsDouble(team.spec.guarantee());
-        double has = resource.applyAsDouble(team.guarantee);
-        return written <= has ? resource.applyAsDouble(guarantee) : resource.applyAsDouble(guarantee) * has / written;
+  }
+
+  // ---- what holds ----
+
+  /**
+   * Adds a node with all that is below it. Where the platform's file has shrunk a team since the
+   * tree was written, what is below that team is scaled to what is left, each resource for itself:
+   * shown and logged, never a reason to stop.
+   */
+  private void add(NodePath path, NodeSpec spec, Node parent, Map<String, Team> known) {
+    Resources guarantee = spec.guarantee();
+    Resources limit = spec.limit();
+    if (spec.kind() == NodeSpec.Kind.TEAM) {
+      Team team = known.get(spec.name());
+      guarantee = guarantee.least(team.guarantee());
+      limit = limit.least(team.limit());
+    } else if (spec.kind() == NodeSpec.Kind.WORKLOAD) {
+      guarantee = scale(guarantee, parent).least(limit);
     }
-
-    /** All nodes, each after its parent; the root is the first. */
-    public List<Node> nodes() {
-        return nodes;
+    if (!spec.guarantee().fitsIn(guarantee)) {
+      scaled.add(
+          path
+              + ": guaranteed "
+              + words(guarantee)
+              + " of the "
+              + words(spec.guarantee())
+              + " that the tree says");
     }
-
-    public Node root() {
-        return nodes.get(0);
+    Node node = new Node(nodes.size(), path, spec, guarantee, limit, parent);
+    nodes.add(node);
+    if (spec.kind() == NodeSpec.Kind.TEAM) {
+      teams.put(spec.name(), node);
     }
-
-    /** The nodes that hold less than the tree says, because the platform's file grants less: a line each. */
-    public List<String> scaled() {
-        return scaled;
+    if (parent != null) {
+      parent.children.add(node);
     }
-
-    /** The node whose quota a job uses: the first workload of its team whose pattern fits, else the team; null: no such team. */
-    public Node of(String team, String jobClass) {
-        Node node = teams.get(team);
-        if (node == null) {
-            return null;
-        }
-        for (Node workload : node.children) {
-            if (workload.pattern.matcher(jobClass).matches()) {
-                return workload;
-            }
-        }
-        return node;
+    spec.children().forEach(child -> add(path.child(child.name()), child, node, known));
+  }
+
+  private static Resources scale(Resources guarantee, Node team) {
+    return new Resources(
+        scale(guarantee, team, Resources::cpus),
+        scale(guarantee, team, Resources::gpus),
+        scale(guarantee, team, Resources::memoryGb));
+  }
+
+  private static double scale(
+      Resources guarantee, Node team, ToDoubleFunction<Resources> resource) {
+    double written = resource.applyAsDouble(team.spec.guarantee());
+    double has = resource.applyAsDouble(team.guarantee);
+    return written <= has
+        ? resource.applyAsDouble(guarantee)
+        : resource.applyAsDouble(guarantee) * has / written;
+  }
+
+  /** All nodes, each after its parent; the root is the first. */
+  public List<Node> nodes() {
+    return nodes;
+  }
+
+  public Node root() {
+    return nodes.get(0);
+  }
+
+  /**
+   * The nodes that hold less than the tree says, because the platform's file grants less: a line
+   * each.
+   */
+  public List<String> scaled() {
+    return scaled;
+  }
+
+  /**
+   * The node whose quota a job uses: the first workload of its team whose pattern fits, else the
+   * team; null: no such team.
+   */
+  public Node of(String team, String jobClass) {
+    Node node = teams.get(team);
+    if (node == null) {
+      return null;
+    }
+    for (Node workload : node.children) {
+      if (workload.pattern.matcher(jobClass).matches()) {
+        return workload;
+      }
     }
+    return node;
+  }
 }
