--- a/src/main/java/org/quincecross/quota/Reclaim.java
+++ b/src/main/java/org/quincecross/quota/Reclaim.java
@@ -13,221 +13,265 @@
 import org.quincecross.model.Span;
 
 /**
- * Chooses what is stopped so that nodes get their guarantees back: one plan for all that claim theirs at a time, so that room
- * made for one is not counted for another. Only what other nodes run beyond their guarantees is stopped, and no node is taken
- * below its own; the lowest priority first, then what loses least; gangs whole; and nothing whose room is not needed.
+ * Chooses what is stopped so that nodes get their guarantees back: one plan for all that claim
+ * theirs at a time, so that room made for one is not counted for another. Only what other nodes run
+ * beyond their guarantees is stopped, and no node is taken below its own; the lowest priority
+ * first, then what loses least; gangs whole; and nothing whose room is not needed.
  */
 public final class Reclaim {
-    private static final double SLACK = 1e-6;
-
-    /**
-     * Work that runs and could be stopped: a task, or a whole gang.
-     *
-     * @param id what it is called, in the plan
-     * @param each what one of its tasks takes
-     * @param places how many of its tasks are on each machine
-     * @param lost the run time that would be lost, of all its tasks
-     */
-    public record Unit(String id, QuotaTree.Node node, Resources each, Map<MachineId, Integer> places, Rank rank, Span lost) {
-        Resources total() {
-            return each.times(places.values().stream().mapToInt(Integer::intValue).sum());
-        }
-    }
+  private static final double SLACK = 1e-6;
 
-    /** So many tasks wait for room, each of which takes {@code each}. */
-    public record Claim(QuotaTree.Node node, Resources each, int tasks) {
+  /**
+   * Work that runs and could be stopped: a task, or a whole gang.
+   *
+   * @param id what it is called, in the plan
+   * @param each what one of its tasks takes
+   * @param places how many of its tasks are on each machine
+   * @param lost the run time that would be lost, of all its tasks
+   */
+  public record Unit(
+      String id,
+      QuotaTree.Node node,
+      Resources each,
+      Map<MachineId, Integer> places,
+      Rank rank,
+      Span lost) {
+    Resources total() {
+      return each.times(places.values().stream().mapToInt(Integer::intValue).sum());
     }
+  }
+
+  /** So many tasks wait for room, each of which takes {@code each}. */
+  public record Claim(QuotaTree.Node node, Resources each, int tasks) {}
 
-    /**
-     * What is to be done.
-     *
-     * @param victims to be stopped
-     * @param placed of each claim, in order: how many of its tasks have room then on which machine, or had it anyway
-     */
-    public record Plan(List<Unit> victims, List<Map<MachineId, Integer>> placed) {
+  /**
+   * What is to be done.
+   *
+   * @param victims to be stopped
+   * @param placed of each claim, in order: how many of its tasks have room then on which machine,
+   *     or had it anyway
+   */
+  public record Plan(List<Unit> victims, List<Map<MachineId, Integer>> placed) {}
+
+  private record Making(List<Unit> victims, Rank highest, double lostS)
+      implements Comparable<Making> {
+    static Making of(List<Unit> victims) {
+      Rank highest =
+          victims.stream().map(Unit::rank).max(Comparator.naturalOrder()).orElse(Rank.values()[0]);
+      return new Making(
+          victims, highest, victims.stream().mapToDouble(unit -> unit.lost().seconds()).sum());
     }
 
-    private record Making(List<Unit> victims, Rank highest, double lostS) implements Comparable<Making> {
-        static Making of(List<Unit> victims) {
-            Rank highest = victims.stream().map(Unit::rank).max(Comparator.naturalOrder()).orElse(Rank.values()[0]);
-            return new Making(victims, highest, victims.stream().mapToDouble(unit -> unit.lost().seconds()).sum());
-        }
-
-        @Override
-        public int compareTo(Making other) {
-            int byRank = highest.compareTo(other.highest);
-            int byLoss = Double.compare(lostS, other.lostS);
-            return byRank != 0 ? byRank : byLoss != 0 ? byLoss : Integer.compare(victims.size(), other.victims.size());
-        }
+    @Override
+    public int compareTo(Making other) {
+      int byRank = highest.compareTo(other.highest);
+      int byLoss = Double.compare(lostS, other.lostS);
+      return byRank != 0
+          ? byRank
+          : byLoss != 0 ? byLoss : Integer.compare(victims.size(), other.victims.size());
     }
+  }
 
-    private static final Comparator<Unit> CHEAPEST = Comparator.comparing(Unit::rank).thenComparing(Unit::lost).thenComparing(Unit::id);
+  private static final Comparator<Unit> CHEAPEST =
+      Comparator.comparing(Unit::rank).thenComparing(Unit::lost).thenComparing(Unit::id);
 
-    private final Resources[] used;
-    private final Map<MachineId, Resources> free;
-    private final Map<MachineId, List<Unit>> running = new HashMap<>();
-    private final Map<String, Unit> victims = new LinkedHashMap<>();
+  private final Resources[] used;
+  private final Map<MachineId, Resources> free;
+  private final Map<MachineId, List<Unit>> running = new HashMap<>();
+  private final Map<String, Unit> victims = new LinkedHashMap<>();
 
-    private Reclaim(QuotaBooks books, Map<MachineId, Resources> free, List<Unit> units) {
-        List<QuotaTree.Node> nodes = books.tree().nodes();
-        this.used = new Resources[nodes.size()];
-        nodes.forEach(node -> used[node.index()] = books.used(node));
-        this.free = new LinkedHashMap<>(free);
-        units.stream().sorted(CHEAPEST).forEach(unit -> unit.places().keySet()
-                .forEach(machine -> running.computeIfAbsent(machine, id -> new ArrayList<>()).add(unit)));
-    }
+  private Reclaim(QuotaBooks books, Map<MachineId, Resources> free, List<Unit> units) {
+    List<QuotaTree.Node> nodes = books.tree().nodes();
+    this.used = new Resources[nodes.size()];
+    nodes.forEach(node -> used[node.index()] = books.used(node));
+    this.free = new LinkedHashMap<>(free);
+    units.stream()
+        .sorted(CHEAPEST)
+        .forEach(
+            unit ->
+                unit.places()
+                    .keySet()
+                    .forEach(
+                        machine ->
+                            running.computeIfAbsent(machine, id -> new ArrayList<>()).add(unit)));
+  }
 
-    /**
-     * Makes a plan.
-     *
-     * @param books what each node uses
-     * @param free the room on the machines that take work, with what is being made there already
-     * @param units what runs there and may be stopped
-     * @param claims what waits, of nodes that use less than their guarantees; beyond these nothing is reclaimed for them
-     */
-    public static Plan plan(QuotaBooks books, Map<MachineId, Resources> free, List<Unit> units, List<Claim> claims) {
-        Reclaim reclaim = new Reclaim(books, free, units);
-        List<Map<MachineId, Integer>> placed = new ArrayList<>();
-        Resources most = Resources.NONE;
-        for (Claim claim : claims) {
-            placed.add(new LinkedHashMap<>());
-            most = most.most(claim.each());
-        }
-        // The largest first: what has been stopped for them leaves room for small ones, and not the reverse.
-        Resources largest = most;
-        IntStream.range(0, claims.size()).boxed()
-                .sorted(Comparator.comparing((Integer i) -> -claims.get(i).each().shareOf(largest)))
-                .forEach(i -> reclaim.place(claims.get(i), placed.get(i)));
-        reclaim.spare();
-        return new Plan(List.copyOf(reclaim.victims.values()), placed);
+  /**
+   * Makes a plan.
+   *
+   * @param books what each node uses
+   * @param free the room on the machines that take work, with what is being made there already
+   * @param units what runs there and may be stopped
+   * @param claims what waits, of nodes that use less than their guarantees; beyond these nothing is
+   *     reclaimed for them
+   */
+  public static Plan plan(
+      QuotaBooks books, Map<MachineId, Resources> free, List<Unit> units, List<Claim> claims) {
+    Reclaim reclaim = new Reclaim(books, free, units);
+    List<Map<MachineId, Integer>> placed = new ArrayList<>();
+    Resources most = Resources.NONE;
+    for (Claim claim : claims) {
+      placed.add(new LinkedHashMap<>());
+      most = most.most(claim.each());
     }
+    // The largest first: what has been stopped for them leaves room for small ones, and not the
+    // reverse.
+    Resources largest = most;
+    IntStream.range(0, claims.size())
+        .boxed()
+        .sorted(Comparator.comparing((Integer i) -> -claims.get(i).each().shareOf(largest)))
+        .forEach(i -> reclaim.place(claims.get(i), placed.get(i)));
+    reclaim.spare();
+    return new Plan(List.copyOf(reclaim.victims.values()), placed);
+  }
 
-    private void place(Claim claim, Map<MachineId, Integer> placed) {
-        for (int task = 0; task < claim.tasks() && isWithinGuarantee(claim); task++) {
-            MachineId machine = placeOne(claim);
-            if (machine == null) {
-                return;
-            }
-            placed.merge(machine, 1, Integer::sum);
-        }
+  private void place(Claim claim, Map<MachineId, Integer> placed) {
+    for (int task = 0; task < claim.tasks() && isWithinGuarantee(claim); task++) {
+      MachineId machine = placeOne(claim);
+      if (machine == null) {
+        return;
+      }
+      placed.merge(machine, 1, Integer::sum);
     }
+  }
 
-    /** Finds or makes room for one more task of a claim; returns the machine, or null. */
-    private MachineId placeOne(Claim claim) {
-        MachineId best = null;
-        Making cheapest = null;
-        for (Map.Entry<MachineId, Resources> machine : free.entrySet()) {
-            Making making = making(claim, machine.getKey(), machine.getValue());
-            if (making != null && (cheapest == null || making.compareTo(cheapest) < 0)) {
-                best = machine.getKey();
-                cheapest = making;
-            }
-        }
-        if (best == null) {
-            return null;
-        }
-        cheapest.victims().forEach(this::stop);
-        free.computeIfPresent(best, (id, room) -> room.minus(claim.each()));
-        count(claim.node(), claim.each());
-        return best;
+  /** Finds or makes room for one more task of a claim; returns the machine, or null. */
+  private MachineId placeOne(Claim claim) {
+    MachineId best = null;
+    Making cheapest = null;
+    for (Map.Entry<MachineId, Resources> machine : free.entrySet()) {
+      Making making = making(claim, machine.getKey(), machine.getValue());
+      if (making != null && (cheapest == null || making.compareTo(cheapest) < 0)) {
+        best = machine.getKey();
+        cheapest = making;
+      }
     }
-
-    private boolean isWithinGuarantee(Claim claim) {
-        return used[claim.node().index()].plus(claim.each()).fitsIn(claim.node().guarantee());
+    if (best == null) {
+      return null;
     }
+    cheapest.victims().forEach(this::stop);
+    free.computeIfPresent(best, (id, room) -> room.minus(claim.each()));
+    count(claim.node(), claim.each());
+    return best;
+  }
 
-    /** What would have to be stopped on a machine for one task, or null if that would not be enough. */
-    private Making making(Claim claim, MachineId machine, Resources room) {
-        List<Unit> chosen = new ArrayList<>();
-        for (Unit unit : running.getOrDefault(machine, List.of())) {
-            if (claim.each().fitsIn(room)) {
-                break;
-            }
-            if (!victims.containsKey(unit.id()) && mayStop(unit, claim, chosen)) {
-                chosen.add(unit);
-                room = room.plus(onMachine(unit, machine));
-            }
-        }
-        if (!claim.each().fitsIn(room)) {
-            return null;
-        }
-        // The last one may make as much room as the smaller ones before it.
-        for (Unit unit : List.copyOf(chosen)) {
-            Resources without = room.minus(onMachine(unit, machine));
-            if (claim.each().fitsIn(without)) {
-                chosen.remove(unit);
-                room = without;
-            }
-        }
-        return Making.of(chosen);
-    }
+  private boolean isWithinGuarantee(Claim claim) {
+    return used[claim.node().index()].plus(claim.each()).fitsIn(claim.node().guarantee());
+  }
 
-    private static Resources onMachine(Unit unit, MachineId machine) {
-        return unit.each().times(unit.places().get(machine));
+  /**
+   * What would have to be stopped on a machine for one task, or null if that would not be enough.
+   */
+  private Making making(Claim claim, MachineId machine, Resources room) {
+    List<Unit> chosen = new ArrayList<>();
+    for (Unit unit : running.getOrDefault(machine, List.of())) {
+      if (claim.each().fitsIn(room)) {
+        break;
+      }
+      if (!victims.containsKey(unit.id()) && mayStop(unit, claim, chosen)) {
+        chosen.add(unit);
+        room = room.plus(onMachine(unit, machine));
+      }
     }
-
-    /**
-     * Whether a unit is beyond the guarantees of its side: from its node up to where its path meets the claim's, each node
-     * still has its guarantee without it. Work of the claim's own node, or below it, makes no room for it.
-     */
-    private boolean mayStop(Unit unit, Claim claim, List<Unit> before) {
-        for (QuotaTree.Node node = unit.node(); node != null && !isOnPath(claim.node(), node); node = node.parent()) {
-            Resources left = used[node.index()].minus(unit.total());
-            for (Unit other : before) {
-                left = isOnPath(other.node(), node) ? left.minus(other.total()) : left;
-            }
-            if (!keeps(node.guarantee(), left, used[node.index()])) {
-                return false;
-            }
-        }
-        return !isOnPath(unit.node(), claim.node());
+    if (!claim.each().fitsIn(room)) {
+      return null;
     }
-
-    /** Of each resource that the work takes: what is left is the guarantee or more, or was less before. */
-    private static boolean keeps(Resources guarantee, Resources left, Resources before) {
-        return keeps(guarantee.cpus(), left.cpus(), before.cpus()) && keeps(guarantee.gpus(), left.gpus(), before.gpus())
-                && keeps(guarantee.memoryGb(), left.memoryGb(), before.memoryGb());
+    // The last one may make as much room as the smaller ones before it.
+    for (Unit unit : List.copyOf(chosen)) {
+      Resources without = room.minus(onMachine(unit, machine));
+      if (claim.each().fitsIn(without)) {
+        chosen.remove(unit);
+        room = without;
+      }
     }
+    return Making.of(chosen);
+  }
 
-    private static boolean keeps(double guarantee, double left, double before) {
-        return left >= guarantee - SLACK || before - left <= SLACK;
-    }
+  private static Resources onMachine(Unit unit, MachineId machine) {
+    return unit.each().times(unit.places().get(machine));
+  }
 
-    private static boolean isOnPath(QuotaTree.Node from, QuotaTree.Node node) {
-        for (QuotaTree.Node each = from; each != null; each = each.parent()) {
-            if (each == node) {
-                return true;
-            }
-        }
+  /**
+   * Whether a unit is beyond the guarantees of its side: from its node up to where its path meets
+   * the claim's, each node still has its guarantee without it. Work of the claim's own node, or
+   * below it, makes no room for it.
+   */
+  private boolean mayStop(Unit unit, Claim claim, List<Unit> before) {
+    for (QuotaTree.Node node = unit.node();
+        node != null && !isOnPath(claim.node(), node);
+        node = node.parent()) {
+      Resources left = used[node.index()].minus(unit.total());
+      for (Unit other : before) {
+        left = isOnPath(other.node(), node) ? left.minus(other.total()) : left;
+      }
+      if (!keeps(node.guarantee(), left, used[node.index()])) {
         return false;
+      }
     }
+    return !isOnPath(unit.node(), claim.node());
+  }
 
-    private void stop(Unit unit) {
-        victims.put(unit.id(), unit);
-        unit.places().forEach((machine, tasks) ->
-                free.computeIfPresent(machine, (id, room) -> room.plus(unit.each().times(tasks))));
-        count(unit.node(), unit.total().times(-1));
+  /**
+   * Of each resource that the work takes: what is left is the guarantee or more, or was less
+   * before.
+   */
+  private static boolean keeps(Resources guarantee, Resources left, Resources before) {
+    return keeps(guarantee.cpus(), left.cpus(), before.cpus())
+        && keeps(guarantee.gpus(), left.gpus(), before.gpus())
+        && keeps(guarantee.memoryGb(), left.memoryGb(), before.memoryGb());
+  }
+
+  private static boolean keeps(double guarantee, double left, double before) {
+    return left >= guarantee - SLACK || before - left <= SLACK;
+  }
+
+  private static boolean isOnPath(QuotaTree.Node from, QuotaTree.Node node) {
+    for (QuotaTree.Node each = from; each != null; each = each.parent()) {
+      if (each == node) {
+        return true;
+      }
     }
+    return false;
+  }
+
+  private void stop(Unit unit) {
+    victims.put(unit.id(), unit);
+    unit.places()
+        .forEach(
+            (machine, tasks) ->
+                free.computeIfPresent(machine, (id, room) -> room.plus(unit.each().times(tasks))));
+    count(unit.node(), unit.total().times(-1));
+  }
 
-    private void count(QuotaTree.Node node, Resources more) {
-        for (QuotaTree.Node each = node; each != null; each = each.parent()) {
-            used[each.index()] = used[each.index()].plus(more);
-        }
+  private void count(QuotaTree.Node node, Resources more) {
+    for (QuotaTree.Node each = node; each != null; each = each.parent()) {
+      used[each.index()] = used[each.index()].plus(more);
     }
+  }
 
-    /** A gang stopped for its room on one machine may have made what a later victim was stopped for: those go on. */
-    private void spare() {
-        List<Unit> order = new ArrayList<>(victims.values());
-        order.sort(CHEAPEST.reversed());
-        for (Unit unit : order) {
-            boolean isNeeded = unit.places().entrySet().stream().anyMatch(place -> free.containsKey(place.getKey())
-                    && !unit.each().times(place.getValue()).fitsIn(free.get(place.getKey())));
-            if (!isNeeded) {
-                victims.remove(unit.id());
-                unit.places().forEach((machine, tasks) ->
-                        free.computeIfPresent(machine, (id, room) -> room.minus(unit.each().times(tasks))));
-                count(unit.node(), unit.total());
-            }
-        }
+  /**
+   * A gang stopped for its room on one machine may have made what a later victim was stopped for:
+   * those go on.
+   */
+  private void spare() {
+    List<Unit> order = new ArrayList<>(victims.values());
+    order.sort(CHEAPEST.reversed());
+    for (Unit unit : order) {
+      boolean isNeeded =
+          unit.places().entrySet().stream()
+              .anyMatch(
+                  place ->
+                      free.containsKey(place.getKey())
+                          && !unit.each().times(place.getValue()).fitsIn(free.get(place.getKey())));
+      if (!isNeeded) {
+        victims.remove(unit.id());
+        unit.places()
+            .forEach(
+                (machine, tasks) ->
+                    free.computeIfPresent(
+                        machine, (id, room) -> room.minus(unit.each().times(tasks))));
+        count(unit.node(), unit.total());
+      }
     }
+  }
 }
--- a/src/main/java/org/quincecross/requests/Need.java
+++ b/src/main/java/org/quincecross/requests/Need.java
@@ -15,40 +15,47 @@
  * @param zones where they may be; none named: anywhere
  */
 public record Need(String lane, String team, int tasks, Resources each, Set<String> zones) {
-    public Need {
-        zones = Set.copyOf(zones);
-    }
+  public Need {
+    zones = Set.copyOf(zones);
+  }
 
-    /** What all of its tasks take. */
-    public Resources total() {
-        return each.times(tasks);
-    }
+  /** What all of its tasks take. */
+  public Resources total() {
+    return each.times(tasks);
+  }
 
-    public boolean allows(String zone) {
-        return zones.isEmpty() || zones.contains(zone);
-    }
+  public boolean allows(String zone) {
+    return zones.isEmpty() || zones.contains(zone);
+  }
 
-    /** The most of its tasks that are reserved in one zone where {@code zones} may take some: so one zone's loss leaves about half. */
-    int mostInOneZone(int zones, int ofTasks) {
-        return zones < 2 ? ofTasks : (ofTasks + 1) / 2;
-    }
+  /**
+   * The most of its tasks that are reserved in one zone where {@code zones} may take some: so one
+   * zone's loss leaves about half.
+   */
+  int mostInOneZone(int zones, int ofTasks) {
+    return zones < 2 ? ofTasks : (ofTasks + 1) / 2;
+  }
 
-    /** In which fields another differs, in words that name both figures. */
-    List<String> differences(Need other) {
-        List<String> differences = new ArrayList<>();
-        differ(differences, "lane", lane, other.lane);
-        differ(differences, "team", team, other.team);
-        differ(differences, "tasks", tasks, other.tasks);
-        differ(differences, "cpus", each.cpus(), other.each.cpus());
-        differ(differences, "gpus", each.gpus(), other.each.gpus());
-        differ(differences, "memory_gb", each.memoryGb(), other.each.memoryGb());
-        differ(differences, "zones", zones.stream().sorted().toList(), other.zones.stream().sorted().toList());
-        return differences;
-    }
+  /** In which fields another differs, in words that name both figures. */
+  List<String> differences(Need other) {
+    List<String> differences = new ArrayList<>();
+    differ(differences, "lane", lane, other.lane);
+    differ(differences, "team", team, other.team);
+    differ(differences, "tasks", tasks, other.tasks);
+    differ(differences, "cpus", each.cpus(), other.each.cpus());
+    differ(differences, "gpus", each.gpus(), other.each.gpus());
+    differ(differences, "memory_gb", each.memoryGb(), other.each.memoryGb());
+    differ(
+        differences,
+        "zones",
+        zones.stream().sorted().toList(),
+        other.zones.stream().sorted().toList());
+    return differences;
+  }
 
-    static void differ(List<String> differences, String field, Object here, Object there) {
-        if (!here.equals(there)) {
-            differences.add(field + " is " + here + ", not " + there);
-        }
+  static void differ(List<String> differences, String field, Object here, Object there) {
+    if (!here.equals(there)) {
+      differences.add(field + " is " + here + ", not " + there);
     }
+  }
 }
--- a/src/main/java/org/quincecross/requests/Place.java
+++ b/src/main/java/org/quincecross/requests/Place.java
@@ -12,9 +12,15 @@
  * @param standing what runs there that does not make way for the front service
  * @param lanes whose tasks it has: their images are there or on the way
  */
-public record Place(BlockId block, String zone, Resources machine, int machines, Resources standing, Set<String> lanes) {
-    /** What it has beside what does not make way. */
-    Resources room() {
-        return machine.times(machines).minus(standing).most(Resources.NONE);
-    }
+public record Place(
+    BlockId block,
+    String zone,
+    Resources machine,
+    int machines,
+    Resources standing,
+    Set<String> lanes) {
+  /** What it has beside what does not make way. */
+  Resources room() {
+    return machine.times(machines).minus(standing).most(Resources.NONE);
+  }
 }
--- a/src/main/java/org/quincecross/requests/Taken.java
+++ b/src/main/java/org/quincecross/requests/Taken.java
@@ -8,5 +8,4 @@
  * @param acceptedMs the time of day when it was accepted, in milliseconds
  * @param zones how many of its tasks are in each zone
  */
-public record Taken(String lane, long acceptedMs, Map<String, Integer> zones) {
-}
+public record Taken(String lane, long acceptedMs, Map<String, Integer> zones) {}
--- a/src/main/java/org/quincecross/rollout/Build.java
+++ b/src/main/java/org/quincecross/rollout/Build.java
@@ -8,21 +8,21 @@
  * @param most the highest
  */
 public record Build(String name, Level least, Level most) {
-    /** One that announces nothing: it was built before levels. */
-    public static final Build BEFORE_LEVELS = new Build("before levels", Level.FIRST, Level.FIRST);
+  /** One that announces nothing: it was built before levels. */
+  public static final Build BEFORE_LEVELS = new Build("before levels", Level.FIRST, Level.FIRST);
 
-    public Build {
-        if (least.isAbove(most) || least.number() < 1 || most.number() > Level.MOST) {
-            throw new IllegalArgumentException("levels from " + least + " to " + most);
-        }
+  public Build {
+    if (least.isAbove(most) || least.number() < 1 || most.number() > Level.MOST) {
+      throw new IllegalArgumentException("levels from " + least + " to " + most);
     }
+  }
 
-    /** This program, which reads and writes every level up to {@code most}. */
-    public static Build present(String name, int most) {
-        return new Build(name, Level.FIRST, new Level(most));
-    }
+  /** This program, which reads and writes every level up to {@code most}. */
+  public static Build present(String name, int most) {
+    return new Build(name, Level.FIRST, new Level(most));
+  }
 
-    public boolean can(Level level) {
-        return !least.isAbove(level) && !level.isAbove(most);
-    }
+  public boolean can(Level level) {
+    return !least.isAbove(level) && !level.isAbove(most);
+  }
 }
--- a/src/main/java/org/quincecross/rollout/Terms.java
+++ b/src/main/java/org/quincecross/rollout/Terms.java
@@ -10,58 +10,74 @@
 import org.quincecross.model.Team;
 
 /**
- * What a controller announces of the platform's file that has to be the same on all: while controllers are replaced one after the
- * other, some have the file of before.
+ * What a controller announces of the platform's file that has to be the same on all: while
+ * controllers are replaced one after the other, some have the file of before.
  *
- * @param marks a short mark of each part of the file that has to be equal; equal parts have equal marks
+ * @param marks a short mark of each part of the file that has to be equal; equal parts have equal
+ *     marks
  * @param limits of the teams, infinite where there is none
  */
 public record Terms(Map<String, String> marks, Map<String, Resources> limits) {
-    /** A build that announces nothing. */
-    public static final Terms NONE = new Terms(Map.of(), Map.of());
+  /** A build that announces nothing. */
+  public static final Terms NONE = new Terms(Map.of(), Map.of());
 
-    /** The same with one more part that has to be equal. */
-    public Terms with(String part, String mark) {
-        Map<String, String> more = new TreeMap<>(marks);
-        more.put(part, mark);
-        return new Terms(more, limits);
-    }
+  /** The same with one more part that has to be equal. */
+  public Terms with(String part, String mark) {
+    Map<String, String> more = new TreeMap<>(marks);
+    more.put(part, mark);
+    return new Terms(more, limits);
+  }
 
-    /**
-     * The teams with the lowest of the limits that are announced: whoever leads, none is surpassed that some controller was told. A team
-     * that another file does not name has the limit of this one.
-     */
-    public static Map<String, Team> lowest(Map<String, Team> own, Iterable<Terms> announced) {
-        Map<String, Team> teams = own;
-        for (Terms terms : announced) {
-            for (Team team : own.values()) {
-                Resources limit = terms.limits().get(team.name());
-                Resources before = teams.get(team.name()).limit();
-                if (limit != null && !before.fitsIn(limit)) {
-                    teams = teams == own ? new LinkedHashMap<>(own) : teams;
-                    teams.put(team.name(), new Team(team.name(), team.guarantee(), new Resources(Math.min(limit.cpus(), before.cpus()),
-                            Math.min(limit.gpus(), before.gpus()), Math.min(limit.memoryGb(), before.memoryGb()))));
-                }
-            }
+  /**
+   * The teams with the lowest of the limits that are announced: whoever leads, none is surpassed
+   * that some controller was told. A team that another file does not name has the limit of this
+   * one.
+   */
+  public static Map<String, Team> lowest(Map<String, Team> own, Iterable<Terms> announced) {
+    Map<String, Team> teams = own;
+    for (Terms terms : announced) {
+      for (Team team : own.values()) {
+        Resources limit = terms.limits().get(team.name());
+        Resources before = teams.get(team.name()).limit();
+        if (limit != null && !before.fitsIn(limit)) {
+          teams = teams == own ? new LinkedHashMap<>(own) : teams;
+          teams.put(
+              team.name(),
+              new Team(
+                  team.name(),
+                  team.guarantee(),
+                  new Resources(
+                      Math.min(limit.cpus(), before.cpus()),
+                      Math.min(limit.gpus(), before.gpus()),
+                      Math.min(limit.memoryGb(), before.memoryGb()))));
         }
-        return teams;
+      }
     }
+    return teams;
+  }
 
-    /** Who differs from a controller in what, in words; empty where nobody does. Who announces nothing says nothing of that. */
-    public static List<String> differences(MemberId self, Map<MemberId, Terms> announced) {
-        Map<String, String> own = announced.getOrDefault(self, NONE).marks();
-        List<String> differences = new ArrayList<>();
-        new TreeMap<>(announced).forEach((member, terms) -> {
-            List<String> parts = new ArrayList<>();
-            new TreeMap<>(terms.marks()).forEach((part, mark) -> {
-                if (own.containsKey(part) && !own.get(part).equals(mark)) {
-                    parts.add(part);
-                }
-            });
-            if (!parts.isEmpty()) {
+  /**
+   * Who differs from a controller in what, in words; empty where nobody does. Who announces nothing
+   * says nothing of that.
+   */
+  public static List<String> differences(MemberId self, Map<MemberId, Terms> announced) {
+    Map<String, String> own = announced.getOrDefault(self, NONE).marks();
+    List<String> differences = new ArrayList<>();
+    new TreeMap<>(announced)
+        .forEach(
+            (member, terms) -> {
+              List<String> parts = new ArrayList<>();
+              new TreeMap<>(terms.marks())
+                  .forEach(
+                      (part, mark) -> {
+                        if (own.containsKey(part) && !own.get(part).equals(mark)) {
+                          parts.add(part);
+                        }
+                      });
+              if (!parts.isEmpty()) {
                 differences.add(member + " has other " + String.join(", ", parts));
-            }
-        });
-        return differences;
-    }
+              }
+            });
+    return differences;
+  }
 }
--- a/src/main/java/org/quincecross/sched/Admission.java
+++ b/src/main/java/org/quincecross/sched/Admission.java
@@ -21,495 +21,622 @@
 import org.quincecross.model.Team;
 
 /**
- * Decides which waiting tasks leave the pool and for which block: team limits, zones and spreading are kept here, and
- * count everything that is not proven gone. Tasks leave late, when their block can start them soon, so that no work is
- * stuck behind one block.
+ * Decides which waiting tasks leave the pool and for which block: team limits, zones and spreading
+ * are kept here, and count everything that is not proven gone. Tasks leave late, when their block
+ * can start them soon, so that no work is stuck behind one block.
  */
 public final class Admission {
+  /**
+   * Beyond its capacity a block may be given so much of what is not used by services in array
+   * tasks, so that a short queue is there to start from. What services use does not drain: behind
+   * them a task would wait for ever.
+   */
+  private static final double QUEUE_AHEAD = 0.15;
+
+  /** A job that has failed in so many blocks is no reason to rent more machines. */
+  private static final int BAD_AFTER = 3;
+
+  /** What a job's item in the record of a block's tasks takes beside its id and its tasks. */
+  private static final int ITEM_BYTES = 6;
+
+  /**
+   * The room on machines that have an image: what is free, and what urgent work could have in a
+   * moment.
+   */
+  public record ImageRoom(Resources free, Resources yielding) {
+    public ImageRoom plus(ImageRoom other) {
+      return new ImageRoom(free.plus(other.free), yielding.plus(other.yielding));
+    }
+  }
+
+  /**
+   * A block as admission sees it. What is counted into it stays; what was admitted spoils it for
+   * another round.
+   */
+  public static final class Block {
+    private final BlockId id;
+    private final String type;
+    final String zone;
+    private final boolean spot;
+    private final Resources capacity;
+    private final Resources machine;
+    private final int machines;
+    private final List<Resources> free;
+    private final List<Resources> soon;
+    private final Map<String, ImageRoom> images;
+    private final int mostBytes;
+    private final Resources[] usedFrom = new Resources[Rank.values().length];
+    private final Map<JobId, TaskSet> admitted = new LinkedHashMap<>();
+
+    /** What those jobs use that nobody expects by any time. */
+    private Resources idle = Resources.NONE;
+
+    /** What services use. */
+    private Resources standing = Resources.NONE;
+
+    private Resources gangs = Resources.NONE;
+
+    /** What is used by work that may borrow room kept for requests. */
+    private Resources lent = Resources.NONE;
+
+    private Set<JobId> declined = Set.of();
+    private Rank admittedRank;
+    private int gangTasks;
+    private int admittedTasks;
+    private List<Resources> leftOver = List.of();
+    private int bytes;
+
     /**
-     * Beyond its capacity a block may be given so much of what is not used by services in array tasks, so that a short queue
-     * is there to start from. What services use does not drain: behind them a task would wait for ever.
+     * What is kept free of it, in this round, for work that goes before all others and does not fit
+     * yet.
      */
-    private static final double QUEUE_AHEAD = 0.15;
-
-    /** A job that has failed in so many blocks is no reason to rent more machines. */
-    private static final int BAD_AFTER = 3;
+    private Resources kept = Resources.NONE;
 
-    /** What a job's item in the record of a block's tasks takes beside its id and its tasks. */
-    private static final int ITEM_BYTES = 6;
+    /**
+     * Whether work that is to begin was admitted in this round, and no queue may form that would
+     * pass it.
+     */
+    private boolean isToStart;
 
-    /** The room on machines that have an image: what is free, and what urgent work could have in a moment. */
-    public record ImageRoom(Resources free, Resources yielding) {
-        public ImageRoom plus(ImageRoom other) {
-            return new ImageRoom(free.plus(other.free), yielding.plus(other.yielding));
-        }
+    /**
+     * @param capacity of the machines that take work
+     * @param free the free room of each of them
+     * @param soon the same, with what arrays take that come to an end by themselves
+     * @param images those that machines of the block have, each with the free room there
+     * @param mostBytes what the record of its tasks may take
+     */
+    public Block(
+        BlockId id,
+        String type,
+        String zone,
+        boolean spot,
+        Resources capacity,
+        List<Resources> free,
+        List<Resources> soon,
+        Map<String, ImageRoom> images,
+        int mostBytes) {
+      this.id = id;
+      this.type = type;
+      this.zone = zone;
+      this.spot = spot;
+      this.capacity = capacity;
+      this.machines = free.size();
+      this.machine = machines == 0 ? Resources.NONE : capacity.times(1.0 / machines);
+      this.free = free;
+      this.soon = soon;
+      this.images = new HashMap<>(images);
+      this.mostBytes = mostBytes;
+      Arrays.fill(usedFrom, Resources.NONE);
     }
 
-    /** A block as admission sees it. What is counted into it stays; what was admitted spoils it for another round. */
-    public static final class Block {
-        private final BlockId id;
-        private final String type;
-        final String zone;
-        private final boolean spot;
-        private final Resources capacity;
-        private final Resources machine;
-        private final int machines;
-        private final List<Resources> free;
-        private final List<Resources> soon;
-        private final Map<String, ImageRoom> images;
-        private final int mostBytes;
-        private final Resources[] usedFrom = new Resources[Rank.values().length];
-        private final Map<JobId, TaskSet> admitted = new LinkedHashMap<>();
-        /** What those jobs use that nobody expects by any time. */
-        private Resources idle = Resources.NONE;
-        /** What services use. */
-        private Resources standing = Resources.NONE;
-        private Resources gangs = Resources.NONE;
-        /** What is used by work that may borrow room kept for requests. */
-        private Resources lent = Resources.NONE;
-        private Set<JobId> declined = Set.of();
-        private Rank admittedRank;
-        private int gangTasks;
-        private int admittedTasks;
-        private List<Resources> leftOver = List.of();
-        private int bytes;
-        /** What is kept free of it, in this round, for work that goes before all others and does not fit yet. */
-        private Resources kept = Resources.NONE;
-        /** Whether work that is to begin was admitted in this round, and no queue may form that would pass it. */
-        private boolean isToStart;
-
-        /**
-         * @param capacity of the machines that take work
-         * @param free the free room of each of them
-         * @param soon the same, with what arrays take that come to an end by themselves
-         * @param images those that machines of the block have, each with the free room there
-         * @param mostBytes what the record of its tasks may take
-         */
-        public Block(BlockId id, String type, String zone, boolean spot, Resources capacity, List<Resources> free,
-                List<Resources> soon, Map<String, ImageRoom> images, int mostBytes) {
-            this.id = id;
-            this.type = type;
-            this.zone = zone;
-            this.spot = spot;
-            this.capacity = capacity;
-            this.machines = free.size();
-            this.machine = machines == 0 ? Resources.NONE : capacity.times(1.0 / machines);
-            this.free = free;
-            this.soon = soon;
-            this.images = new HashMap<>(images);
-            this.mostBytes = mostBytes;
-            Arrays.fill(usedFrom, Resources.NONE);
-        }
-
-        public BlockId id() {
-            return id;
-        }
-
-        Resources capacity() {
-            return capacity;
-        }
-
-        boolean isSpot() {
-            return spot;
-        }
-
-        /**
-         * Counts tasks of a job that the block has already.
-         *
-         * @param recorded how many its record names
-         * @param running how many of them still take room
-         * @param isIdle whether nobody expects it by any time
-         */
-        public void count(Job job, int recorded, int running, boolean isIdle) {
-            bytes += bytesFor(job, recorded);
-            use(job, running);
-            if (isIdle) {
-                idle = idle.plus(job.each().times(running));
-            }
-        }
-
-        /** These jobs have failed on every machine of the block. */
-        public void decline(Set<JobId> jobs) {
-            declined = jobs;
-        }
-
-        /** Of each machine, the room that nothing of what the block has already has taken for a while. */
-        public void leaveOver(List<Resources> rooms) {
-            leftOver = rooms;
-        }
-
-        private void use(Job job, int tasks) {
-            Resources more = job.each().times(tasks);
-            for (int rank = 0; rank <= job.rank().ordinal(); rank++) {
-                usedFrom[rank] = usedFrom[rank].plus(more);
-            }
-            if (job.shape() == Shape.SERVICE) {
-                standing = standing.plus(more);
-            } else if (job.shape() == Shape.GANG) {
-                gangs = gangs.plus(more);
-            } else if (Reserve.mayBorrow(job)) {
-                lent = lent.plus(more);
-            }
-        }
-
-        /** What was admitted to this block. */
-        public Map<JobId, TaskSet> admitted() {
-            return admitted;
-        }
-
-        /** The highest priority of what was admitted, or null if nothing was. */
-        public Rank admittedRank() {
-            return admittedRank;
-        }
-
-        /** 0 where there is room next to a job's image, 1 where it can be made, 2 where the image is, 3 elsewhere. */
-        int imageGrade(Job job) {
-            ImageRoom room = images.get(job.image());
-            return room == null ? 3 : job.each().fitsIn(room.free()) ? 0 : job.each().fitsIn(room.free().plus(room.yielding())) ? 1 : 2;
-        }
-
-        /** How much of it is used, by work of any priority. */
-        double usedShare() {
-            return usedFrom(Rank.LOW).shareOf(capacity);
-        }
-
-        private Resources usedFrom(Rank rank) {
-            return usedFrom[rank.ordinal()];
-        }
-
-        Resources free() {
-            return capacity.minus(usedFrom(Rank.LOW));
-        }
-
-        /** How many tasks of a job find a place right now, beside what was admitted in this round. */
-        int placesNow(Job job) {
-            return places(job, free);
-        }
-
-        int placesSoon(Job job) {
-            return places(job, soon);
-        }
-
-        private int places(Job job, List<Resources> rooms) {
-            int places = 0;
-            for (Resources room : rooms) {
-                places += room.count(job.each());
-            }
-            return places - gangTasks;
-        }
-
-        private int bytesFor(Job job, int tasks) {
-            return job.id().digitCount() + ITEM_BYTES + TaskSet.mostBytes(job.tasks(), tasks);
-        }
+    public BlockId id() {
+      return id;
+    }
 
-        private void admit(Job job, int index) {
-            TaskSet set = admitted.get(job.id());
-            if (set == null) {
-                set = new TaskSet();
-                admitted.put(job.id(), set);
-                bytes += bytesFor(job, 0);
-            }
-            set.add(index);
-            bytes += bytesFor(job, 1) - bytesFor(job, 0);
-            use(job, 1);
-            images.computeIfPresent(job.image(), (image, room) -> new ImageRoom(room.free().minus(job.each()), room.yielding()));
-            if (admittedRank == null || job.rank().isAbove(admittedRank)) {
-                admittedRank = job.rank();
-            }
-        }
+    Resources capacity() {
+      return capacity;
     }
 
-    /** Where a job stands in the order of admission, beside others that are within their guarantee or not as it is. */
-    public enum Place {
-        /** Before those of any priority but the highest, guaranteed or not: it has not begun, and has waited as long as it may. */
-        BEGINNING,
-        /** Before those of any priority but the highest: it has a turn. */
-        TURN,
-        /** By priority and due time. */
-        IN_ORDER,
-        /** After those of its priority. */
-        SET_ASIDE
+    boolean isSpot() {
+      return spot;
     }
 
-    /** Tasks of a job for which there was no block. */
-    public record Unmet(Job job, int tasks, Map<String, Integer> perZone) {
+    /**
+     * Counts tasks of a job that the block has already.
+     *
+     * @param recorded how many its record names
+     * @param running how many of them still take room
+     * @param isIdle whether nobody expects it by any time
+     */
+    public void count(Job job, int recorded, int running, boolean isIdle) {
+      bytes += bytesFor(job, recorded);
+      use(job, running);
+      if (isIdle) {
+        idle = idle.plus(job.each().times(running));
+      }
     }
 
-    private final Collection<Block> blocks;
-    private final Map<String, Team> teams;
-    private final Map<String, Resources> teamUse;
-    private final KeptRoom reserves;
-    private final Map<Alike, List<Resources>> withoutRoom = new HashMap<>();
-    private long looks;
-    /** Whether room is gathered in this round for a gang that has waited long, though it has no earlier place. */
-    private boolean gathers;
-    /** The highest priority below the very highest of what waits. */
-    private Rank highest = Rank.LOW;
+    /** These jobs have failed on every machine of the block. */
+    public void decline(Set<JobId> jobs) {
+      declined = jobs;
+    }
 
     /**
-     * @param teamUse what the tasks of each team take that are not proven gone
-     * @param reserves what blocks keep free
+     * Of each machine, the room that nothing of what the block has already has taken for a while.
      */
-    public Admission(Collection<Block> blocks, Map<String, Team> teams, Map<String, Resources> teamUse,
-            Map<BlockId, List<Reserve>> reserves) {
-        this.blocks = blocks;
-        this.teams = teams;
-        this.teamUse = new HashMap<>(teamUse);
-        this.reserves = new KeptRoom(reserves, blocks);
-    }
-
-    /** What the machines of some blocks have for arrays: what services and gangs do not use. */
-    public static Resources roomForArrays(Collection<Block> blocks) {
-        Resources room = Resources.NONE;
-        for (Block block : blocks) {
-            room = room.plus(block.capacity.minus(block.standing).minus(block.gangs).most(Resources.NONE));
-        }
-        return room;
-    }
-
-    /** How often a block was looked at for a job: the work that was done. */
-    public long looks() {
-        return looks;
-    }
-
-    /** Admits what can be admitted, the most urgent first; returns what there was no block for. */
-    public List<Unmet> run(List<JobDemand> demands) {
-        List<JobDemand> order = new ArrayList<>(demands);
-        order.sort(Comparator
-                .comparing((JobDemand demand) -> demand.job().rank() != Rank.PRODUCTION)
-                .thenComparing(demand -> demand.place() != Place.BEGINNING)
-                .thenComparing(demand -> demand.place() != Place.BEGINNING && !demand.guaranteed())
-                .thenComparing(demand -> demand.place() != Place.TURN)
-                .thenComparing(demand -> demand.place() == Place.BEGINNING ? Rank.PRODUCTION : demand.job().rank(), Comparator.reverseOrder())
-                .thenComparing(JobDemand::place)
-                .thenComparing(JobDemand::order)
-                .thenComparing(JobDemand::accepted)
-                .thenComparing(demand -> demand.job().id()));
-        blocks.forEach(block -> block.kept = Resources.NONE);
-        blocks.forEach(block -> block.isToStart = false);
-        highest = order.stream().map(demand -> demand.job().rank()).filter(rank -> rank != Rank.PRODUCTION).max(Comparator.naturalOrder()).orElse(Rank.LOW);
-        gathers = false;
-        List<Unmet> unmet = new ArrayList<>();
-        for (JobDemand demand : order) {
-            Map<String, Integer> perZone = new TreeMap<>(demand.perZone());
-            int left = demand.job().shape() == Shape.GANG ? admitGang(demand) : admitTasks(demand, perZone);
-            if (left > 0) {
-                unmet.add(new Unmet(demand.job(), left, perZone));
-            }
-        }
-        return unmet;
+    public void leaveOver(List<Resources> rooms) {
+      leftOver = rooms;
     }
 
-    /** How many tasks of a job its team's limit leaves room for. */
-    private int withinLimit(Job job) {
-        Team team = teams.get(job.team());
-        return team == null ? 0
-                : team.limit().minus(teamUse.getOrDefault(job.team(), Resources.NONE)).minus(reserves.ofTeam(job)).count(job.each());
+    private void use(Job job, int tasks) {
+      Resources more = job.each().times(tasks);
+      for (int rank = 0; rank <= job.rank().ordinal(); rank++) {
+        usedFrom[rank] = usedFrom[rank].plus(more);
+      }
+      if (job.shape() == Shape.SERVICE) {
+        standing = standing.plus(more);
+      } else if (job.shape() == Shape.GANG) {
+        gangs = gangs.plus(more);
+      } else if (Reserve.mayBorrow(job)) {
+        lent = lent.plus(more);
+      }
     }
 
-    private void admit(Job job, int index, Block block) {
-        block.admittedTasks++;
-        block.admit(job, index);
-        teamUse.merge(job.team(), job.each(), Resources::plus);
-        reserves.given(job, block.zone);
+    /** What was admitted to this block. */
+    public Map<JobId, TaskSet> admitted() {
+      return admitted;
     }
 
-    /** Jobs that a block has room for or not alike, but for how much their tasks take. */
-    private record Alike(Set<String> types, String zone, boolean spot, boolean array, Rank rank, boolean pressed, String apart) {
+    /** The highest priority of what was admitted, or null if nothing was. */
+    public Rank admittedRank() {
+      return admittedRank;
     }
 
     /**
-     * Returns how many tasks no block has room for; those that wait for their team's limit do not count. Looks at each
-     * block once for a job, and then for each task only at those whose order may have changed; at none where a job
-     * like this one that asks for no more has found no room before.
+     * 0 where there is room next to a job's image, 1 where it can be made, 2 where the image is, 3
+     * elsewhere.
      */
-    private int admitTasks(JobDemand demand, Map<String, Integer> perZone) {
-        Job job = demand.job();
-        int left = Math.min(demand.pool().size(), withinLimit(job));
-        if (left == 0) {
-            if (demand.place() == Place.BEGINNING) {
-                keepRoomFor(demand, 1); // as its team's work ends, no more of it starts before
-            }
-            return 0;
-        }
-        // Where one task may change where the next may go, all blocks are looked at for each.
-        boolean bound = job.spread() || job.oneZone();
-        boolean large = blocks.stream().anyMatch(block -> Reserve.isLarge(job, block.machine));
-        Alike alike = bound || large || demand.place() == Place.BEGINNING ? null
-                : new Alike(job.types(), job.zone(), job.spot(), job.shape() == Shape.ARRAY, job.rank(), demand.isPressed(), reserves.apart(job));
-        if (alike != null && withoutRoom.getOrDefault(alike, List.of()).stream().anyMatch(each -> each.fitsIn(job.each()))) {
-            return left;
-        }
-        PriorityQueue<Choice> choices = bound ? null : choices(demand, perZone);
-        for (int index = demand.pool().next(0); left > 0; index = demand.pool().next(index + 1)) {
-            PriorityQueue<Choice> from = bound ? choices(demand, perZone) : choices;
-            Choice best = from.poll();
-            if (best == null) {
-                if (demand.place() == Place.BEGINNING) {
-                    keepRoomFor(demand, 1);
-                }
-                int declines = declines(job, blocks);
-                if (alike != null && declines == 0) {
-                    withoutRoom.computeIfAbsent(alike, a -> new ArrayList<>()).add(job.each());
-                }
-                return isBad(declines) ? 0 : left;
-            }
-            Block block = best.block();
-            admit(job, index, block);
-            block.isToStart |= goesBehind(demand);
-            perZone.merge(block.zone, 1, Integer::sum);
-            left--;
-            if (!bound && hasRoom(demand, 1, block)) {
-                choices.add(new Choice(block, demand, entersReserve(job, block), 0, reserves.left(job, block.id, block.zone)));
-            }
-        }
-        return 0;
-    }
-
-    private PriorityQueue<Choice> choices(JobDemand demand, Map<String, Integer> perZone) {
-        PriorityQueue<Choice> choices = new PriorityQueue<>();
-        Job job = demand.job();
-        for (Block block : blocks) {
-            looks++;
-            if (mayGo(job, block, perZone) && hasRoom(demand, 1, block)) {
-                choices.add(new Choice(block, demand, entersReserve(job, block),
-                        job.spread() ? perZone.getOrDefault(block.zone, 0) : 0, reserves.left(job, block.id, block.zone)));
-            }
-        }
-        return choices;
+    int imageGrade(Job job) {
+      ImageRoom room = images.get(job.image());
+      return room == null
+          ? 3
+          : job.each().fitsIn(room.free())
+              ? 0
+              : job.each().fitsIn(room.free().plus(room.yielding())) ? 1 : 2;
     }
 
-    /** A gang goes to one block as a whole. */
-    private int admitGang(JobDemand demand) {
-        Job job = demand.job();
-        if (demand.pool().size() < job.tasks()) {
-            return 0; // some of it is still out there
-        }
-        if (withinLimit(job) < job.tasks()) {
-            if (demand.place() == Place.BEGINNING && teams.containsKey(job.team()) && teams.get(job.team()).limit().count(job.each()) >= job.tasks()) {
-                keepRoomFor(demand, job.tasks()); // as its team's work ends, no more of it starts before
-            }
-            return 0;
-        }
-        // Where it can start now, or where most of it could: room that is spread over many machines is of no use to it.
-        Block best = null;
-        for (Block block : blocks) {
-            looks++;
-            if (mayGo(job, block, Map.of()) && hasRoom(demand, job.tasks(), block)
-                    && (!job.spread() || job.tasks() <= job.mostInOneZone())
-                    && (best == null || Choice.gangOrder(demand).compare(block, best) < 0)) {
-                best = block;
-            }
-        }
-        if (best == null) {
-            boolean isNext = reserves.isLent(job) && !gathers; // one at a time: others are to find room meanwhile
-            gathers |= isNext;
-            if (demand.place() == Place.TURN || demand.place() == Place.BEGINNING || isNext) {
-                keepRoomFor(demand, job.tasks());
-            }
-            return isBad(declines(job, blocks)) ? 0 : job.tasks();
-        }
-        for (int index = 0; index < job.tasks(); index++) {
-            admit(job, index, best);
-        }
-        best.gangTasks += job.tasks();
-        best.isToStart |= goesBehind(demand);
-        return 0;
+    /** How much of it is used, by work of any priority. */
+    double usedShare() {
+      return usedFrom(Rank.LOW).shareOf(capacity);
     }
 
-    /**
-     * Work that goes before others and fits nowhere: small work would take for ever whatever becomes free, so one block keeps room for it
-     * from all but the highest priority until it fits. It is the one whose arrays leave the most room when they end, and that is used
-     * least: the next plan chooses it again. What its team's limit allows is kept for it with that.
-     */
-    private void keepRoomFor(JobDemand demand, int tasks) {
-        Job job = demand.job();
-        Block best = null;
-        for (Block block : blocks) {
-            boolean could = mayGo(job, block, demand.perZone()) && block.machine.count(job.each()) * block.machines >= tasks
-                    && block.kept.plus(job.each().times(tasks)).fitsIn(block.capacity.minus(block.standing));
-            if (could && (best == null || keepingOrder(job, tasks).compare(block, best) < 0)) {
-                best = block;
-            }
-        }
-        if (best != null) {
-            best.kept = best.kept.plus(job.each().times(tasks));
-            if (demand.place() == Place.BEGINNING) {
-                teamUse.merge(job.team(), job.each().times(tasks), Resources::plus);
-            }
-        }
+    private Resources usedFrom(Rank rank) {
+      return usedFrom[rank.ordinal()];
     }
 
-    private static Comparator<Block> keepingOrder(Job job, int tasks) {
-        return Comparator.comparing((Block block) -> -Math.min(tasks, block.placesSoon(job)))
-                .thenComparing(block -> block.usedFrom(Rank.LOW).plus(block.kept).shareOf(block.capacity))
-                .thenComparing(Block::id);
+    Resources free() {
+      return capacity.minus(usedFrom(Rank.LOW));
     }
 
-    /** How many blocks a job has failed in. */
-    public static int declines(Job job, Collection<Block> blocks) {
-        int declines = 0;
-        for (Block block : blocks) {
-            declines += block.declined.contains(job.id()) ? 1 : 0;
-        }
-        return declines;
+    /** How many tasks of a job find a place right now, beside what was admitted in this round. */
+    int placesNow(Job job) {
+      return places(job, free);
     }
 
-    /** How many blocks have machines that a job's tasks may go to, whatever else is there. */
-    public static int couldGoTo(Job job, Collection<Block> blocks) {
-        int count = 0;
-        for (Block block : blocks) {
-            count += job.allows(block.type, block.zone, block.spot) && job.each().fitsIn(block.machine) ? 1 : 0;
-        }
-        return count;
+    int placesSoon(Job job) {
+      return places(job, soon);
     }
 
-    /** Whether the fault is the job's: nobody should rent machines for it to fail on. */
-    private static boolean isBad(int declines) {
-        return declines >= BAD_AFTER;
+    private int places(Job job, List<Resources> rooms) {
+      int places = 0;
+      for (Resources room : rooms) {
+        places += room.count(job.each());
+      }
+      return places - gangTasks;
     }
 
-    private static boolean mayGo(Job job, Block block, Map<String, Integer> perZone) {
-        if (!job.allows(block.type, block.zone, block.spot) || block.declined.contains(job.id())) {
-            return false;
-        }
-        if (job.oneZone() && !perZone.isEmpty() && !perZone.containsKey(block.zone)) {
-            return false;
-        }
-        return !job.spread() || perZone.getOrDefault(block.zone, 0) < job.mostInOneZone();
+    private int bytesFor(Job job, int tasks) {
+      return job.id().digitCount() + ITEM_BYTES + TaskSet.mostBytes(job.tasks(), tasks);
     }
 
-    /** Whether a job that need not keep out of what is kept free would use it. */
-    private boolean entersReserve(Job job, Block block) {
-        return !job.each().fitsIn(block.capacity.minus(reserves.better(job, block.id, block.machine)).minus(block.usedFrom(Rank.LOW)));
+    private void admit(Job job, int index) {
+      TaskSet set = admitted.get(job.id());
+      if (set == null) {
+        set = new TaskSet();
+        admitted.put(job.id(), set);
+        bytes += bytesFor(job, 0);
+      }
+      set.add(index);
+      bytes += bytesFor(job, 1) - bytesFor(job, 0);
+      use(job, 1);
+      images.computeIfPresent(
+          job.image(),
+          (image, room) -> new ImageRoom(room.free().minus(job.each()), room.yielding()));
+      if (admittedRank == null || job.rank().isAbove(admittedRank)) {
+        admittedRank = job.rank();
+      }
     }
+  }
 
-    /** Whether in a block's queue work of a higher priority would pass it again and again, though it is to begin. */
-    private boolean goesBehind(JobDemand demand) {
-        return demand.place() == Place.BEGINNING && highest.isAbove(demand.job().rank());
+  /**
+   * Where a job stands in the order of admission, beside others that are within their guarantee or
+   * not as it is.
+   */
+  public enum Place {
+    /**
+     * Before those of any priority but the highest, guaranteed or not: it has not begun, and has
+     * waited as long as it may.
+     */
+    BEGINNING,
+    /** Before those of any priority but the highest: it has a turn. */
+    TURN,
+    /** By priority and due time. */
+    IN_ORDER,
+    /** After those of its priority. */
+    SET_ASIDE
+  }
+
+  /** Tasks of a job for which there was no block. */
+  public record Unmet(Job job, int tasks, Map<String, Integer> perZone) {}
+
+  private final Collection<Block> blocks;
+  private final Map<String, Team> teams;
+  private final Map<String, Resources> teamUse;
+  private final KeptRoom reserves;
+  private final Map<Alike, List<Resources>> withoutRoom = new HashMap<>();
+  private long looks;
+
+  /**
+   * Whether room is gathered in this round for a gang that has waited long, though it has no
+   * earlier place.
+   */
+  private boolean gathers;
+
+  /** The highest priority below the very highest of what waits. */
+  private Rank highest = Rank.LOW;
+
+  /**
+   * @param teamUse what the tasks of each team take that are not proven gone
+   * @param reserves what blocks keep free
+   */
+  public Admission(
+      Collection<Block> blocks,
+      Map<String, Team> teams,
+      Map<String, Resources> teamUse,
+      Map<BlockId, List<Reserve>> reserves) {
+    this.blocks = blocks;
+    this.teams = teams;
+    this.teamUse = new HashMap<>(teamUse);
+    this.reserves = new KeptRoom(reserves, blocks);
+  }
+
+  /** What the machines of some blocks have for arrays: what services and gangs do not use. */
+  public static Resources roomForArrays(Collection<Block> blocks) {
+    Resources room = Resources.NONE;
+    for (Block block : blocks) {
+      room =
+          room.plus(block.capacity.minus(block.standing).minus(block.gangs).most(Resources.NONE));
     }
+    return room;
+  }
+
+  /** How often a block was looked at for a job: the work that was done. */
+  public long looks() {
+    return looks;
+  }
+
+  /** Admits what can be admitted, the most urgent first; returns what there was no block for. */
+  public List<Unmet> run(List<JobDemand> demands) {
+    List<JobDemand> order = new ArrayList<>(demands);
+    order.sort(
+        Comparator.comparing((JobDemand demand) -> demand.job().rank() != Rank.PRODUCTION)
+            .thenComparing(demand -> demand.place() != Place.BEGINNING)
+            .thenComparing(demand -> demand.place() != Place.BEGINNING && !demand.guaranteed())
+            .thenComparing(demand -> demand.place() != Place.TURN)
+            .thenComparing(
+                demand -> demand.place() == Place.BEGINNING ? Rank.PRODUCTION : demand.job().rank(),
+                Comparator.reverseOrder())
+            .thenComparing(JobDemand::place)
+            .thenComparing(JobDemand::order)
+            .thenComparing(JobDemand::accepted)
+            .thenComparing(demand -> demand.job().id()));
+    blocks.forEach(block -> block.kept = Resources.NONE);
+    blocks.forEach(block -> block.isToStart = false);
+    highest =
+        order.stream()
+            .map(demand -> demand.job().rank())
+            .filter(rank -> rank != Rank.PRODUCTION)
+            .max(Comparator.naturalOrder())
+            .orElse(Rank.LOW);
+    gathers = false;
+    List<Unmet> unmet = new ArrayList<>();
+    for (JobDemand demand : order) {
+      Map<String, Integer> perZone = new TreeMap<>(demand.perZone());
+      int left =
+          demand.job().shape() == Shape.GANG ? admitGang(demand) : admitTasks(demand, perZone);
+      if (left > 0) {
+        unmet.add(new Unmet(demand.job(), left, perZone));
+      }
+    }
+    return unmet;
+  }
+
+  /** How many tasks of a job its team's limit leaves room for. */
+  private int withinLimit(Job job) {
+    Team team = teams.get(job.team());
+    return team == null
+        ? 0
+        : team.limit()
+            .minus(teamUse.getOrDefault(job.team(), Resources.NONE))
+            .minus(reserves.ofTeam(job))
+            .count(job.each());
+  }
+
+  private void admit(Job job, int index, Block block) {
+    block.admittedTasks++;
+    block.admit(job, index);
+    teamUse.merge(job.team(), job.each(), Resources::plus);
+    reserves.given(job, block.zone);
+  }
+
+  /** Jobs that a block has room for or not alike, but for how much their tasks take. */
+  private record Alike(
+      Set<String> types,
+      String zone,
+      boolean spot,
+      boolean array,
+      Rank rank,
+      boolean pressed,
+      String apart) {}
+
+  /**
+   * Returns how many tasks no block has room for; those that wait for their team's limit do not
+   * count. Looks at each block once for a job, and then for each task only at those whose order may
+   * have changed; at none where a job like this one that asks for no more has found no room before.
+   */
+  private int admitTasks(JobDemand demand, Map<String, Integer> perZone) {
+    Job job = demand.job();
+    int left = Math.min(demand.pool().size(), withinLimit(job));
+    if (left == 0) {
+      if (demand.place() == Place.BEGINNING) {
+        keepRoomFor(demand, 1); // as its team's work ends, no more of it starts before
+      }
+      return 0;
+    }
+    // Where one task may change where the next may go, all blocks are looked at for each.
+    boolean bound = job.spread() || job.oneZone();
+    boolean large = blocks.stream().anyMatch(block -> Reserve.isLarge(job, block.machine));
+    Alike alike =
+        bound || large || demand.place() == Place.BEGINNING
+            ? null
+            : new Alike(
+                job.types(),
+                job.zone(),
+                job.spot(),
+                job.shape() == Shape.ARRAY,
+                job.rank(),
+                demand.isPressed(),
+                reserves.apart(job));
+    if (alike != null
+        && withoutRoom.getOrDefault(alike, List.of()).stream()
+            .anyMatch(each -> each.fitsIn(job.each()))) {
+      return left;
+    }
+    PriorityQueue<Choice> choices = bound ? null : choices(demand, perZone);
+    for (int index = demand.pool().next(0); left > 0; index = demand.pool().next(index + 1)) {
+      PriorityQueue<Choice> from = bound ? choices(demand, perZone) : choices;
+      Choice best = from.poll();
+      if (best == null) {
+        if (demand.place() == Place.BEGINNING) {
+          keepRoomFor(demand, 1);
+        }
+        int declines = declines(job, blocks);
+        if (alike != null && declines == 0) {
+          withoutRoom.computeIfAbsent(alike, a -> new ArrayList<>()).add(job.each());
+        }
+        return isBad(declines) ? 0 : left;
+      }
+      Block block = best.block();
+      admit(job, index, block);
+      block.isToStart |= goesBehind(demand);
+      perZone.merge(block.zone, 1, Integer::sum);
+      left--;
+      if (!bound && hasRoom(demand, 1, block)) {
+        choices.add(
+            new Choice(
+                block,
+                demand,
+                entersReserve(job, block),
+                0,
+                reserves.left(job, block.id, block.zone)));
+      }
+    }
+    return 0;
+  }
+
+  private PriorityQueue<Choice> choices(JobDemand demand, Map<String, Integer> perZone) {
+    PriorityQueue<Choice> choices = new PriorityQueue<>();
+    Job job = demand.job();
+    for (Block block : blocks) {
+      looks++;
+      if (mayGo(job, block, perZone) && hasRoom(demand, 1, block)) {
+        choices.add(
+            new Choice(
+                block,
+                demand,
+                entersReserve(job, block),
+                job.spread() ? perZone.getOrDefault(block.zone, 0) : 0,
+                reserves.left(job, block.id, block.zone)));
+      }
+    }
+    return choices;
+  }
+
+  /** A gang goes to one block as a whole. */
+  private int admitGang(JobDemand demand) {
+    Job job = demand.job();
+    if (demand.pool().size() < job.tasks()) {
+      return 0; // some of it is still out there
+    }
+    if (withinLimit(job) < job.tasks()) {
+      if (demand.place() == Place.BEGINNING
+          && teams.containsKey(job.team())
+          && teams.get(job.team()).limit().count(job.each()) >= job.tasks()) {
+        keepRoomFor(demand, job.tasks()); // as its team's work ends, no more of it starts before
+      }
+      return 0;
+    }
+    // Where it can start now, or where most of it could: room that is spread over many machines is
+    // of no use to it.
+    Block best = null;
+    for (Block block : blocks) {
+      looks++;
+      if (mayGo(job, block, Map.of())
+          && hasRoom(demand, job.tasks(), block)
+          && (!job.spread() || job.tasks() <= job.mostInOneZone())
+          && (best == null || Choice.gangOrder(demand).compare(block, best) < 0)) {
+        best = block;
+      }
+    }
+    if (best == null) {
+      boolean isNext =
+          reserves.isLent(job) && !gathers; // one at a time: others are to find room meanwhile
+      gathers |= isNext;
+      if (demand.place() == Place.TURN || demand.place() == Place.BEGINNING || isNext) {
+        keepRoomFor(demand, job.tasks());
+      }
+      return isBad(declines(job, blocks)) ? 0 : job.tasks();
+    }
+    for (int index = 0; index < job.tasks(); index++) {
+      admit(job, index, best);
+    }
+    best.gangTasks += job.tasks();
+    best.isToStart |= goesBehind(demand);
+    return 0;
+  }
+
+  /**
+   * Work that goes before others and fits nowhere: small work would take for ever whatever becomes
+   * free, so one block keeps room for it from all but the highest priority until it fits. It is the
+   * one whose arrays leave the most room when they end, and that is used least: the next plan
+   * chooses it again. What its team's limit allows is kept for it with that.
+   */
+  private void keepRoomFor(JobDemand demand, int tasks) {
+    Job job = demand.job();
+    Block best = null;
+    for (Block block : blocks) {
+      boolean could =
+          mayGo(job, block, demand.perZone())
+              && block.machine.count(job.each()) * block.machines >= tasks
+              && block
+                  .kept
+                  .plus(job.each().times(tasks))
+                  .fitsIn(block.capacity.minus(block.standing));
+      if (could && (best == null || keepingOrder(job, tasks).compare(block, best) < 0)) {
+        best = block;
+      }
+    }
+    if (best != null) {
+      best.kept = best.kept.plus(job.each().times(tasks));
+      if (demand.place() == Place.BEGINNING) {
+        teamUse.merge(job.team(), job.each().times(tasks), Resources::plus);
+      }
+    }
+  }
+
+  private static Comparator<Block> keepingOrder(Job job, int tasks) {
+    return Comparator.comparing((Block block) -> -Math.min(tasks, block.placesSoon(job)))
+        .thenComparing(block -> block.usedFrom(Rank.LOW).plus(block.kept).shareOf(block.capacity))
+        .thenComparing(Block::id);
+  }
+
+  /** How many blocks a job has failed in. */
+  public static int declines(Job job, Collection<Block> blocks) {
+    int declines = 0;
+    for (Block block : blocks) {
+      declines += block.declined.contains(job.id()) ? 1 : 0;
+    }
+    return declines;
+  }
+
+  /** How many blocks have machines that a job's tasks may go to, whatever else is there. */
+  public static int couldGoTo(Job job, Collection<Block> blocks) {
+    int count = 0;
+    for (Block block : blocks) {
+      count +=
+          job.allows(block.type, block.zone, block.spot) && job.each().fitsIn(block.machine)
+              ? 1
+              : 0;
+    }
+    return count;
+  }
 
-    private boolean hasRoom(JobDemand demand, int tasks, Block block) {
-        Job job = demand.job();
-        if (block.machines == 0 || block.bytes + block.bytesFor(job, tasks) > block.mostBytes) {
-            return false;
-        }
-        if (reserves.isLent(job) && block.places(job, block.leftOver) - block.admittedTasks >= tasks) {
-            return true; // whatever else waits there already and does not fit yet
-        }
-        boolean keepsOut = job.rank() != Rank.PRODUCTION && (block.isToStart || !block.kept.equals(Resources.NONE));
-        boolean mayPreempt = demand.isPressed() && !keepsOut; // room that is being gathered is not for what is quicker to take it
-        // What room is kept for and runs there already is part of what is used.
-        Resources reserved = reserves.from(job, block.id, block.machine, mayPreempt ? Resources.NONE : block.lent,
-                demand.place() == Place.BEGINNING);
-        Resources capacity = job.shape() == Shape.ARRAY && reserved == null && !keepsOut && !goesBehind(demand)
-                ? block.capacity.plus(block.capacity.minus(block.standing).most(Resources.NONE).times(QUEUE_AHEAD)) : block.capacity;
-        Resources kept = (keepsOut ? block.kept : Resources.NONE).plus(reserved == null ? Resources.NONE : reserved);
-        Resources room = capacity.minus(kept).minus(block.usedFrom(mayPreempt ? job.rank() : Rank.LOW));
-        if (!mayPreempt && job.rank().isAbove(Rank.LOW)) {
-            room = room.plus(block.idle); // gives way to all others, pressed or not
-        }
-        return job.each().times(tasks).fitsIn(room)
-                && block.machine.count(job.each()) * block.machines >= tasks;
+  /** Whether the fault is the job's: nobody should rent machines for it to fail on. */
+  private static boolean isBad(int declines) {
+    return declines >= BAD_AFTER;
+  }
+
+  private static boolean mayGo(Job job, Block block, Map<String, Integer> perZone) {
+    if (!job.allows(block.type, block.zone, block.spot) || block.declined.contains(job.id())) {
+      return false;
+    }
+    if (job.oneZone() && !perZone.isEmpty() && !perZone.containsKey(block.zone)) {
+      return false;
+    }
+    return !job.spread() || perZone.getOrDefault(block.zone, 0) < job.mostInOneZone();
+  }
+
+  /** Whether a job that need not keep out of what is kept free would use it. */
+  private boolean entersReserve(Job job, Block block) {
+    return !job.each()
+        .fitsIn(
+            block
+                .capacity
+                .minus(reserves.better(job, block.id, block.machine))
+                .minus(block.usedFrom(Rank.LOW)));
+  }
+
+  /**
+   * Whether in a block's queue work of a higher priority would pass it again and again, though it
+   * is to begin.
+   */
+  private boolean goesBehind(JobDemand demand) {
+    return demand.place() == Place.BEGINNING && highest.isAbove(demand.job().rank());
+  }
+
+  private boolean hasRoom(JobDemand demand, int tasks, Block block) {
+    Job job = demand.job();
+    if (block.machines == 0 || block.bytes + block.bytesFor(job, tasks) > block.mostBytes) {
+      return false;
+    }
+    if (reserves.isLent(job) && block.places(job, block.leftOver) - block.admittedTasks >= tasks) {
+      return true; // whatever else waits there already and does not fit yet
+    }
+    boolean keepsOut =
+        job.rank() != Rank.PRODUCTION && (block.isToStart || !block.kept.equals(Resources.NONE));
+    boolean mayPreempt =
+        demand.isPressed()
+            && !keepsOut; // room that is being gathered is not for what is quicker to take it
+    // What room is kept for and runs there already is part of what is used.
+    Resources reserved =
+        reserves.from(
+            job,
+            block.id,
+            block.machine,
+            mayPreempt ? Resources.NONE : block.lent,
+            demand.place() == Place.BEGINNING);
+    Resources capacity =
+        job.shape() == Shape.ARRAY && reserved == null && !keepsOut && !goesBehind(demand)
+            ? block.capacity.plus(
+                block.capacity.minus(block.standing).most(Resources.NONE).times(QUEUE_AHEAD))
+            : block.capacity;
+    Resources kept =
+        (keepsOut ? block.kept : Resources.NONE).plus(reserved == null ? Resources.NONE : reserved);
+    Resources room = capacity.minus(kept).minus(block.usedFrom(mayPreempt ? job.rank() : Rank.LOW));
+    if (!mayPreempt && job.rank().isAbove(Rank.LOW)) {
+      room = room.plus(block.idle); // gives way to all others, pressed or not
     }
+    return job.each().times(tasks).fitsIn(room)
+        && block.machine.count(job.each()) * block.machines >= tasks;
+  }
 }
--- a/src/main/java/org/quincecross/sched/BlockScheduler.java
+++ b/src/main/java/org/quincecross/sched/BlockScheduler.java
@@ -19,457 +19,504 @@
 import org.quincecross.model.SteadyTime;
 
 /**
- * The queues of a block's machines, which are one another's neighbours: local backfilling limited by counters,
- * free machines pulling from the longest queues, and balancing of the queues (the paper's sections IV.A to IV.C, in
- * the PULL variant).
+ * The queues of a block's machines, which are one another's neighbours: local backfilling limited
+ * by counters, free machines pulling from the longest queues, and balancing of the queues (the
+ * paper's sections IV.A to IV.C, in the PULL variant).
  */
 public final class BlockScheduler {
-    /** Work that is to start, and on which machine each of its tasks. */
-    public record Start(Entry entry, List<MachineId> machines) {
-    }
-
-    private final Map<MachineId, MachineQueue> machines = new LinkedHashMap<>();
-    private final Map<Entry, MachineQueue> queueOf = new HashMap<>();
-    private List<Reserve> reserves = List.of();
-    private int[] left = new int[0];
-
-    public void addMachine(MachineId machine, Resources capacity, Predicate<String> hasImage) {
-        machines.put(machine, new MachineQueue(machine, capacity, hasImage));
-    }
-
-    /** Takes a machine out; what waited for it goes to the others. */
-    public void removeMachine(MachineId machine) {
-        MachineQueue gone = machines.remove(machine);
-        if (gone != null) {
-            for (Entry entry : List.copyOf(gone.waiting())) {
-                remove(entry);
-                enqueue(entry);
-            }
-            gone.waiting().forEach(queueOf::remove);
-        }
-    }
-
-    /** Says what is to be kept free. */
-    public void reserve(List<Reserve> toKeep) {
-        reserves = toKeep;
-        left = new int[toKeep.size()];
-        recount();
-    }
-
-    /** Whether a task of {@code entry} would take a machine's room for what {@code reserve} is kept for. */
-    private static boolean takes(Reserve reserve, MachineQueue machine, Entry entry) {
-        return reserve.keepsOut(entry.job(), machine.capacity()) && breaksUp(reserve, machine, entry);
-    }
-
-    private static boolean breaksUp(Reserve reserve, MachineQueue machine, Entry entry) {
-        return lost(reserve, machine, entry) > 0;
-    }
-
-    private static int lost(Reserve reserve, MachineQueue machine, Entry entry) {
-        return reserve.in(machine.free()) - reserve.in(machine.free().minus(entry.job().each()));
-    }
-
-    private boolean breaksUp(MachineQueue machine, Entry entry) {
-        return reserves.stream().anyMatch(reserve -> breaksUp(reserve, machine, entry)
-                && (reserve.keepsOut(entry.job(), machine.capacity()) || reserve.isBetterAvoided(entry.job(), machine.capacity())));
-    }
-
-    private boolean mayStartOn(MachineQueue machine, Entry entry) {
-        if (!machine.fitsNow(entry) || machine.fetchesForBetter(entry)) {
-            return false;
-        }
-        for (int i = 0; i < reserves.size(); i++) {
-            if (takes(reserves.get(i), machine, entry)
-                    && left(i) - lost(reserves.get(i), machine, entry) < reserves.get(i).machines()) {
-                return false;
-            }
-        }
-        return true;
-    }
-
-    /** How many machines have the room that a reserve is kept for; counted anew only when something was started. */
-    private int left(int reserve) {
-        if (left[reserve] < 0) {
-            left[reserve] = 0;
-            for (MachineQueue machine : machines.values()) {
-                left[reserve] += machine.isOpen() ? reserves.get(reserve).in(machine.free()) : 0;
-            }
-        }
-        return left[reserve];
-    }
-
-    private void recount() {
-        Arrays.fill(left, -1);
-    }
-
-    public Collection<MachineQueue> machines() {
-        return machines.values();
-    }
-
-    public MachineQueue machine(MachineId machine) {
-        return machines.get(machine);
-    }
-
-    /**
-     * Says what a machine's tasks take now, how much of it can be stopped in a moment for urgent work, and whether the
-     * machine may be given more.
-     */
-    public void update(MachineId machine, Resources used, Resources displaceable, boolean open) {
-        MachineQueue queue = machines.get(machine);
-        queue.use(used, displaceable);
-        queue.open(open);
-        recount();
-    }
-
-    /** Says which images a machine is fetching, and for work of which priority at the most. */
-    public void fetching(MachineId machine, Map<String, Rank> images) {
-        machines.get(machine).fetching(images);
-    }
-
-    /** Puts work into the queue of the machine where it starts soonest; false if no machine could ever run it. */
-    public boolean enqueue(Entry entry) {
-        MachineQueue best = best(entryOrder(entry), machine -> machine.canEver(entry));
-        if (best == null) {
-            return false;
-        }
-        best.add(entry);
-        queueOf.put(entry, best);
-        return true;
-    }
-
-    private MachineQueue best(Comparator<MachineQueue> order, Predicate<MachineQueue> may) {
-        MachineQueue best = null;
-        for (MachineQueue machine : machines.values()) {
-            if (may.test(machine) && (best == null || order.compare(machine, best) < 0)) {
-                best = machine;
-            }
-        }
-        return best;
-    }
-
-    /** Has an entry wait for another machine: the one where room is being made for it. */
-    public void move(Entry entry, MachineId to) {
-        if (queueOf.get(entry) != machines.get(to)) {
-            remove(entry);
-            machines.get(to).add(entry);
-            queueOf.put(entry, machines.get(to));
-        }
-    }
-
-    /** Which machine new work goes to: one that has room now, the image and the better fit, else the shortest queue. */
-    private Comparator<MachineQueue> entryOrder(Entry entry) {
-        return Comparator
-                .comparing((MachineQueue machine) -> !machine.isOpen() || entry.avoids(machine.machine()))
-                .thenComparing(machine -> !(machine.fitsNow(entry) && machine.waiting().isEmpty()))
-                .thenComparing(machine -> breaksUp(machine, entry))
-                .thenComparing(machine -> machine.fitsNow(entry) && !machine.hasImage(entry))
-                .thenComparing(machine -> machine.fitsNow(entry) && !machine.hasImage(entry) ? machine.fetches() : 0)
-                .thenComparing(MachineQueue::load)
-                .thenComparing(machine -> machine.fit(entry))
-                .thenComparing(MachineQueue::machine);
-    }
-
-    public void remove(Entry entry) {
-        MachineQueue queue = queueOf.remove(entry);
-        if (queue != null) {
-            queue.remove(entry);
-        }
-    }
-
-    public boolean isWaiting(Entry entry) {
-        return queueOf.containsKey(entry);
-    }
-
-    /** The work that waits in the block, in no order. */
-    public Collection<Entry> waiting() {
-        return queueOf.keySet();
-    }
-
-    /**
-     * The waiting work that the machines which take work could not start soon, last in line first. What services use does
-     * not drain; of the rest {@code share} may be spoken for beyond what there is, and one task in any case where it will
-     * find room at all. Gangs and urgent work are counted apart.
-     *
-     * @param standing what services use on these machines
-     */
-    public List<Entry> surplus(double share, Resources standing) {
-        Resources capacity = Resources.NONE;
-        Resources used = Resources.NONE;
-        for (MachineQueue machine : machines.values()) {
-            if (machine.isOpen()) {
-                capacity = capacity.plus(machine.capacity());
-                used = used.plus(machine.used());
-            }
-        }
-        List<Entry> waiting = new ArrayList<>();
-        for (Entry entry : queueOf.keySet()) {
-            if (!isGang(entry) && !isHeldBack(entry)) {
-                waiting.add(entry);
-            }
-        }
-        waiting.sort(Entry.ORDER);
-        Resources drains = capacity.minus(standing).most(Resources.NONE);
-        List<Entry> surplus = new ArrayList<>();
-        for (Entry entry : waiting) {
-            Resources each = entry.job().each();
-            Resources most = capacity.plus(each.fitsIn(drains) ? drains.times(share).most(each) : Resources.NONE);
-            if (used.plus(each).fitsIn(most)) {
-                used = used.plus(each);
-            } else {
-                surplus.add(0, entry);
-            }
-        }
-        return surplus;
-    }
-
-    /** Decides what starts now. What is started counts as used and waits no more. */
-    public List<Start> schedule(SteadyTime now) {
-        List<Start> starts = new ArrayList<>();
-        if (queueOf.isEmpty()) {
-            return starts;
-        }
-        startUrgent(now, starts);
-        Set<MachineId> kept = startGangs(now, starts);
-        for (MachineQueue machine : machines.values()) {
-            while (machine.isOpen() && !kept.contains(machine.machine()) && startLocally(machine, now, starts)) {
-                // one more has started
-            }
-        }
-        for (MachineQueue machine : machines.values()) {
-            while (machine.isOpen() && !kept.contains(machine.machine()) && pull(machine, now, starts)) {
-                // one more was pulled and has started
-            }
-        }
-        balance();
-        return starts;
-    }
-
-    /**
-     * Work of the highest priority does not wait for the turn of one machine: it starts wherever it fits best. Where a
-     * fetch of its image would make it late, it waits instead for room next to its image, if that can be made at once.
-     */
-    private void startUrgent(SteadyTime now, List<Start> starts) {
-        List<Entry> urgent = new ArrayList<>();
-        for (Entry entry : queueOf.keySet()) {
-            if (entry.job().rank() == Rank.PRODUCTION && !isGang(entry) && entry.isReady(now)) {
-                urgent.add(entry);
-            }
-        }
-        urgent.sort(Entry.ORDER);
-        for (Entry entry : urgent) {
-            MachineQueue best = best(urgentOrder(entry), machine -> mayStartOn(machine, entry));
-            boolean betterElsewhere = best != null && entry.avoidsFetch() && !best.hasImage(entry)
-                    && machines.values().stream().anyMatch(machine -> machine.hasImage(entry) && machine.couldFit(entry));
-            if (best != null && !betterElsewhere) {
-                start(entry, List.of(best), starts);
-            }
-        }
-    }
-
-    /** Which machine urgent work starts on, whoever else waits there: the image saves the most time. */
-    private Comparator<MachineQueue> urgentOrder(Entry entry) {
-        return Comparator
-                .comparing((MachineQueue machine) -> !machine.hasImage(entry))
-                .thenComparing(machine -> breaksUp(machine, entry))
-                .thenComparing(machine -> machine.hasImage(entry) ? 0 : machine.fetches())
-                .thenComparing(machine -> machine.fit(entry))
-                .thenComparing(MachineQueue::machine);
-    }
-
-    private void start(Entry entry, List<MachineQueue> on, List<Start> starts) {
+  /** Work that is to start, and on which machine each of its tasks. */
+  public record Start(Entry entry, List<MachineId> machines) {}
+
+  private final Map<MachineId, MachineQueue> machines = new LinkedHashMap<>();
+  private final Map<Entry, MachineQueue> queueOf = new HashMap<>();
+  private List<Reserve> reserves = List.of();
+  private int[] left = new int[0];
+
+  public void addMachine(MachineId machine, Resources capacity, Predicate<String> hasImage) {
+    machines.put(machine, new MachineQueue(machine, capacity, hasImage));
+  }
+
+  /** Takes a machine out; what waited for it goes to the others. */
+  public void removeMachine(MachineId machine) {
+    MachineQueue gone = machines.remove(machine);
+    if (gone != null) {
+      for (Entry entry : List.copyOf(gone.waiting())) {
         remove(entry);
-        List<MachineId> ids = new ArrayList<>();
-        for (MachineQueue machine : on) {
-            machine.occupy(entry.job().each());
-            ids.add(machine.machine());
-        }
-        recount();
-        starts.add(new Start(entry, ids));
-    }
-
-    /**
-     * Starts gangs that fit as a whole. A gang that has been passed as often as the head of its queue and still does
-     * not fit keeps the machines that are likeliest to hold it free of further work, so that it is not starved by
-     * small tasks; the rest of the block goes on.
-     *
-     * @return the machines kept
-     */
-    private Set<MachineId> startGangs(SteadyTime now, List<Start> starts) {
-        List<Entry> gangs = new ArrayList<>();
-        for (Entry entry : queueOf.keySet()) {
-            if (isGang(entry) && entry.isReady(now)) {
-                gangs.add(entry);
-            }
-        }
-        gangs.sort(Entry.ORDER);
-        Set<MachineId> kept = new HashSet<>();
-        for (Entry gang : gangs) {
-            MachineQueue home = queueOf.get(gang);
-            Entry head = home.head(now);
-            if (gang.counter() < head.counter() || head.job().rank().isAbove(gang.job().rank())) {
-                continue;
-            }
-            List<MachineQueue> places = places(gang, kept, machine -> machine.free());
-            if (places != null) {
-                home.passedBy(gang, now);
-                start(gang, places, starts);
-                continue;
-            }
-            List<MachineQueue> wanted = places(gang, kept, MachineQueue::capacity);
-            if (wanted != null) {
-                wanted.forEach(machine -> kept.add(machine.machine()));
-            }
-        }
-        return kept;
-    }
-
-    private static boolean isGang(Entry entry) {
-        return entry.job().shape() == Shape.GANG;
-    }
-
-    /** Where the tasks of a gang could go if each machine had {@code room}, or null if they do not all fit. */
-    private List<MachineQueue> places(Entry gang, Set<MachineId> kept,
-            Function<MachineQueue, Resources> room) {
-        List<MachineQueue> order = new ArrayList<>();
-        for (MachineQueue machine : machines.values()) {
-            if (machine.isOpen() && !kept.contains(machine.machine()) && !gang.avoids(machine.machine())) {
-                order.add(machine);
-            }
-        }
-        order.sort(Comparator.comparing((MachineQueue machine) -> !machine.hasImage(gang))
-                .thenComparing(machine -> machine.used().shareOf(machine.capacity()))
-                .thenComparing(MachineQueue::machine));
-        List<MachineQueue> places = new ArrayList<>();
-        for (MachineQueue machine : order) {
-            int fit = Math.min(room.apply(machine).count(gang.job().each()), gang.tasks().size() - places.size());
-            for (int i = 0; i < fit; i++) {
-                places.add(machine);
-            }
-        }
-        return places.size() == gang.tasks().size() ? places : null;
-    }
-
-    /**
-     * Local scheduling: the head starts if it fits; else, of those whose counter is at least the head's, the one with
-     * the least BM times FM, and everything that it passes is counted up.
-     */
-    private boolean startLocally(MachineQueue machine, SteadyTime now, List<Start> starts) {
-        Entry head = machine.head(now);
-        if (head == null || !machine.mayFitAny()) {
-            return false;
-        }
-        if (!isGang(head) && !isHeldBack(head) && mayStartOn(machine, head)) {
-            start(head, List.of(machine), starts);
-            return true;
-        }
-        Entry best = null;
-        for (Entry entry : machine.waiting()) {
-            if (entry != head && !isGang(entry) && !isHeldBack(entry) && entry.isReady(now) && (entry.counter() >= head.counter() || isLent(entry))
-                    && mayStartOn(machine, entry) && (best == null || better(machine, entry, best))) {
-                best = entry;
-            }
-        }
-        if (best == null) {
-            return false;
-        }
-        machine.passedBy(best, now);
-        start(best, List.of(machine), starts);
-        return true;
-    }
-
-    /** Whether an entry's job has waited so long that it is taken for having been passed as often as any other. */
-    private boolean isLent(Entry entry) {
-        return reserves.stream().anyMatch(reserve -> reserve.lentTo().contains(entry.job().id()));
-    }
-
-    /** Urgent work is placed by {@link #startUrgent} alone. */
-    private static boolean isHeldBack(Entry entry) {
-        return entry.job().rank() == Rank.PRODUCTION;
-    }
-
-    /** The higher priority, then the least BM times FM. */
-    private static boolean better(MachineQueue machine, Entry one, Entry other) {
-        int byRank = one.job().rank().compareTo(other.job().rank());
-        if (byRank != 0) {
-            return byRank > 0;
-        }
-        if (machine.hasImage(one) != machine.hasImage(other)) {
-            return machine.hasImage(one);
-        }
-        return machine.fit(one) < machine.fit(other);
-    }
-
-    /**
-     * Internode scheduling: a machine with room pulls from the neighbour with the longest queue that has something for
-     * it. An asker with work of its own takes only entries whose counter is at most its head's; one with an empty
-     * queue takes any that fits.
-     */
-    private boolean pull(MachineQueue asker, SteadyTime now, List<Start> starts) {
-        if (!asker.mayFitAny()) {
-            return false;
-        }
-        Entry head = asker.head(now);
-        List<MachineQueue> neighbours = new ArrayList<>();
-        for (MachineQueue machine : machines.values()) {
-            if (machine != asker && !machine.waiting().isEmpty()) {
-                neighbours.add(machine);
-            }
-        }
-        neighbours.sort(Comparator.comparing((MachineQueue machine) -> -machine.waiting().size())
-                .thenComparing(MachineQueue::machine));
-        for (MachineQueue neighbour : neighbours) {
-            Entry best = null;
-            for (Entry entry : neighbour.waiting()) {
-                if (!isGang(entry) && !isHeldBack(entry) && entry.isReady(now) && mayStartOn(asker, entry)
-                        && (head == null || entry.counter() <= head.counter() || isLent(entry))
-                        && (best == null || better(asker, entry, best))) {
-                    best = entry;
-                }
-            }
-            if (best != null) {
-                start(best, List.of(asker), starts);
-                return true;
-            }
-        }
+        enqueue(entry);
+      }
+      gone.waiting().forEach(queueOf::remove);
+    }
+  }
+
+  /** Says what is to be kept free. */
+  public void reserve(List<Reserve> toKeep) {
+    reserves = toKeep;
+    left = new int[toKeep.size()];
+    recount();
+  }
+
+  /**
+   * Whether a task of {@code entry} would take a machine's room for what {@code reserve} is kept
+   * for.
+   */
+  private static boolean takes(Reserve reserve, MachineQueue machine, Entry entry) {
+    return reserve.keepsOut(entry.job(), machine.capacity()) && breaksUp(reserve, machine, entry);
+  }
+
+  private static boolean breaksUp(Reserve reserve, MachineQueue machine, Entry entry) {
+    return lost(reserve, machine, entry) > 0;
+  }
+
+  private static int lost(Reserve reserve, MachineQueue machine, Entry entry) {
+    return reserve.in(machine.free()) - reserve.in(machine.free().minus(entry.job().each()));
+  }
+
+  private boolean breaksUp(MachineQueue machine, Entry entry) {
+    return reserves.stream()
+        .anyMatch(
+            reserve ->
+                breaksUp(reserve, machine, entry)
+                    && (reserve.keepsOut(entry.job(), machine.capacity())
+                        || reserve.isBetterAvoided(entry.job(), machine.capacity())));
+  }
+
+  private boolean mayStartOn(MachineQueue machine, Entry entry) {
+    if (!machine.fitsNow(entry) || machine.fetchesForBetter(entry)) {
+      return false;
+    }
+    for (int i = 0; i < reserves.size(); i++) {
+      if (takes(reserves.get(i), machine, entry)
+          && left(i) - lost(reserves.get(i), machine, entry) < reserves.get(i).machines()) {
         return false;
-    }
-
-    /**
-     * Queue balancing: the least loaded machine that has some load pulls one entry from the most loaded, if that
-     * lowers the larger of the two. In a block all machines are alike, so each is among its equals.
-     */
-    private void balance() {
-        MachineQueue least = null;
-        MachineQueue most = null;
-        for (MachineQueue machine : machines.values()) {
-            double load = machine.load();
-            if (load > 0 && machine.isOpen() && (least == null || load < least.load())) {
-                least = machine;
-            }
-            if (most == null || load > most.load()) {
-                most = machine;
-            }
-        }
-        if (least == null || most == least) {
-            return;
-        }
-        Entry best = null;
-        double bestObjective = most.load();
-        for (Entry entry : most.waiting()) {
-            if (!least.canEver(entry) || entry.avoids(least.machine())) {
-                continue;
-            }
-            double share = entry.job().each().times(entry.tasks().size()).shareOf(least.capacity());
-            double objective = Math.max(least.load() + share, most.load() - share);
-            if (objective < bestObjective - 1e-9) {
-                best = entry;
-                bestObjective = objective;
-            }
-        }
-        if (best != null) {
-            remove(best);
-            least.add(best);
-            queueOf.put(best, least);
-        }
-    }
+      }
+    }
+    return true;
+  }
+
+  /**
+   * How many machines have the room that a reserve is kept for; counted anew only when something
+   * was started.
+   */
+  private int left(int reserve) {
+    if (left[reserve] < 0) {
+      left[reserve] = 0;
+      for (MachineQueue machine : machines.values()) {
+        left[reserve] += machine.isOpen() ? reserves.get(reserve).in(machine.free()) : 0;
+      }
+    }
+    return left[reserve];
+  }
+
+  private void recount() {
+    Arrays.fill(left, -1);
+  }
+
+  public Collection<MachineQueue> machines() {
+    return machines.values();
+  }
+
+  public MachineQueue machine(MachineId machine) {
+    return machines.get(machine);
+  }
+
+  /**
+   * Says what a machine's tasks take now, how much of it can be stopped in a moment for urgent
+   * work, and whether the machine may be given more.
+   */
+  public void update(MachineId machine, Resources used, Resources displaceable, boolean open) {
+    MachineQueue queue = machines.get(machine);
+    queue.use(used, displaceable);
+    queue.open(open);
+    recount();
+  }
+
+  /** Says which images a machine is fetching, and for work of which priority at the most. */
+  public void fetching(MachineId machine, Map<String, Rank> images) {
+    machines.get(machine).fetching(images);
+  }
+
+  /**
+   * Puts work into the queue of the machine where it starts soonest; false if no machine could ever
+   * run it.
+   */
+  public boolean enqueue(Entry entry) {
+    MachineQueue best = best(entryOrder(entry), machine -> machine.canEver(entry));
+    if (best == null) {
+      return false;
+    }
+    best.add(entry);
+    queueOf.put(entry, best);
+    return true;
+  }
+
+  private MachineQueue best(Comparator<MachineQueue> order, Predicate<MachineQueue> may) {
+    MachineQueue best = null;
+    for (MachineQueue machine : machines.values()) {
+      if (may.test(machine) && (best == null || order.compare(machine, best) < 0)) {
+        best = machine;
+      }
+    }
+    return best;
+  }
+
+  /** Has an entry wait for another machine: the one where room is being made for it. */
+  public void move(Entry entry, MachineId to) {
+    if (queueOf.get(entry) != machines.get(to)) {
+      remove(entry);
+      machines.get(to).add(entry);
+      queueOf.put(entry, machines.get(to));
+    }
+  }
+
+  /**
+   * Which machine new work goes to: one that has room now, the image and the better fit, else the
+   * shortest queue.
+   */
+  private Comparator<MachineQueue> entryOrder(Entry entry) {
+    return Comparator.comparing(
+            (MachineQueue machine) -> !machine.isOpen() || entry.avoids(machine.machine()))
+        .thenComparing(machine -> !(machine.fitsNow(entry) && machine.waiting().isEmpty()))
+        .thenComparing(machine -> breaksUp(machine, entry))
+        .thenComparing(machine -> machine.fitsNow(entry) && !machine.hasImage(entry))
+        .thenComparing(
+            machine -> machine.fitsNow(entry) && !machine.hasImage(entry) ? machine.fetches() : 0)
+        .thenComparing(MachineQueue::load)
+        .thenComparing(machine -> machine.fit(entry))
+        .thenComparing(MachineQueue::machine);
+  }
+
+  public void remove(Entry entry) {
+    MachineQueue queue = queueOf.remove(entry);
+    if (queue != null) {
+      queue.remove(entry);
+    }
+  }
+
+  public boolean isWaiting(Entry entry) {
+    return queueOf.containsKey(entry);
+  }
+
+  /** The work that waits in the block, in no order. */
+  public Collection<Entry> waiting() {
+    return queueOf.keySet();
+  }
+
+  /**
+   * The waiting work that the machines which take work could not start soon, last in line first.
+   * What services use does not drain; of the rest {@code share} may be spoken for beyond what there
+   * is, and one task in any case where it will find room at all. Gangs and urgent work are counted
+   * apart.
+   *
+   * @param standing what services use on these machines
+   */
+  public List<Entry> surplus(double share, Resources standing) {
+    Resources capacity = Resources.NONE;
+    Resources used = Resources.NONE;
+    for (MachineQueue machine : machines.values()) {
+      if (machine.isOpen()) {
+        capacity = capacity.plus(machine.capacity());
+        used = used.plus(machine.used());
+      }
+    }
+    List<Entry> waiting = new ArrayList<>();
+    for (Entry entry : queueOf.keySet()) {
+      if (!isGang(entry) && !isHeldBack(entry)) {
+        waiting.add(entry);
+      }
+    }
+    waiting.sort(Entry.ORDER);
+    Resources drains = capacity.minus(standing).most(Resources.NONE);
+    List<Entry> surplus = new ArrayList<>();
+    for (Entry entry : waiting) {
+      Resources each = entry.job().each();
+      Resources most =
+          capacity.plus(each.fitsIn(drains) ? drains.times(share).most(each) : Resources.NONE);
+      if (used.plus(each).fitsIn(most)) {
+        used = used.plus(each);
+      } else {
+        surplus.add(0, entry);
+      }
+    }
+    return surplus;
+  }
+
+  /** Decides what starts now. What is started counts as used and waits no more. */
+  public List<Start> schedule(SteadyTime now) {
+    List<Start> starts = new ArrayList<>();
+    if (queueOf.isEmpty()) {
+      return starts;
+    }
+    startUrgent(now, starts);
+    Set<MachineId> kept = startGangs(now, starts);
+    for (MachineQueue machine : machines.values()) {
+      while (machine.isOpen()
+          && !kept.contains(machine.machine())
+          && startLocally(machine, now, starts)) {
+        // one more has started
+      }
+    }
+    for (MachineQueue machine : machines.values()) {
+      while (machine.isOpen() && !kept.contains(machine.machine()) && pull(machine, now, starts)) {
+        // one more was pulled and has started
+      }
+    }
+    balance();
+    return starts;
+  }
+
+  /**
+   * Work of the highest priority does not wait for the turn of one machine: it starts wherever it
+   * fits best. Where a fetch of its image would make it late, it waits instead for room next to its
+   * image, if that can be made at once.
+   */
+  private void startUrgent(SteadyTime now, List<Start> starts) {
+    List<Entry> urgent = new ArrayList<>();
+    for (Entry entry : queueOf.keySet()) {
+      if (entry.job().rank() == Rank.PRODUCTION && !isGang(entry) && entry.isReady(now)) {
+        urgent.add(entry);
+      }
+    }
+    urgent.sort(Entry.ORDER);
+    for (Entry entry : urgent) {
+      MachineQueue best = best(urgentOrder(entry), machine -> mayStartOn(machine, entry));
+      boolean betterElsewhere =
+          best != null
+              && entry.avoidsFetch()
+              && !best.hasImage(entry)
+              && machines.values().stream()
+                  .anyMatch(machine -> machine.hasImage(entry) && machine.couldFit(entry));
+      if (best != null && !betterElsewhere) {
+        start(entry, List.of(best), starts);
+      }
+    }
+  }
+
+  /**
+   * Which machine urgent work starts on, whoever else waits there: the image saves the most time.
+   */
+  private Comparator<MachineQueue> urgentOrder(Entry entry) {
+    return Comparator.comparing((MachineQueue machine) -> !machine.hasImage(entry))
+        .thenComparing(machine -> breaksUp(machine, entry))
+        .thenComparing(machine -> machine.hasImage(entry) ? 0 : machine.fetches())
+        .thenComparing(machine -> machine.fit(entry))
+        .thenComparing(MachineQueue::machine);
+  }
+
+  private void start(Entry entry, List<MachineQueue> on, List<Start> starts) {
+    remove(entry);
+    List<MachineId> ids = new ArrayList<>();
+    for (MachineQueue machine : on) {
+      machine.occupy(entry.job().each());
+      ids.add(machine.machine());
+    }
+    recount();
+    starts.add(new Start(entry, ids));
+  }
+
+  /**
+   * Starts gangs that fit as a whole. A gang that has been passed as often as the head of its queue
+   * and still does not fit keeps the machines that are likeliest to hold it free of further work,
+   * so that it is not starved by small tasks; the rest of the block goes on.
+   *
+   * @return the machines kept
+   */
+  private Set<MachineId> startGangs(SteadyTime now, List<Start> starts) {
+    List<Entry> gangs = new ArrayList<>();
+    for (Entry entry : queueOf.keySet()) {
+      if (isGang(entry) && entry.isReady(now)) {
+        gangs.add(entry);
+      }
+    }
+    gangs.sort(Entry.ORDER);
+    Set<MachineId> kept = new HashSet<>();
+    for (Entry gang : gangs) {
+      MachineQueue home = queueOf.get(gang);
+      Entry head = home.head(now);
+      if (gang.counter() < head.counter() || head.job().rank().isAbove(gang.job().rank())) {
+        continue;
+      }
+      List<MachineQueue> places = places(gang, kept, machine -> machine.free());
+      if (places != null) {
+        home.passedBy(gang, now);
+        start(gang, places, starts);
+        continue;
+      }
+      List<MachineQueue> wanted = places(gang, kept, MachineQueue::capacity);
+      if (wanted != null) {
+        wanted.forEach(machine -> kept.add(machine.machine()));
+      }
+    }
+    return kept;
+  }
+
+  private static boolean isGang(Entry entry) {
+    return entry.job().shape() == Shape.GANG;
+  }
+
+  /**
+   * Where the tasks of a gang could go if each machine had {@code room}, or null if they do not all
+   * fit.
+   */
+  private List<MachineQueue> places(
+      Entry gang, Set<MachineId> kept, Function<MachineQueue, Resources> room) {
+    List<MachineQueue> order = new ArrayList<>();
+    for (MachineQueue machine : machines.values()) {
+      if (machine.isOpen()
+          && !kept.contains(machine.machine())
+          && !gang.avoids(machine.machine())) {
+        order.add(machine);
+      }
+    }
+    order.sort(
+        Comparator.comparing((MachineQueue machine) -> !machine.hasImage(gang))
+            .thenComparing(machine -> machine.used().shareOf(machine.capacity()))
+            .thenComparing(MachineQueue::machine));
+    List<MachineQueue> places = new ArrayList<>();
+    for (MachineQueue machine : order) {
+      int fit =
+          Math.min(
+              room.apply(machine).count(gang.job().each()), gang.tasks().size() - places.size());
+      for (int i = 0; i < fit; i++) {
+        places.add(machine);
+      }
+    }
+    return places.size() == gang.tasks().size() ? places : null;
+  }
+
+  /**
+   * Local scheduling: the head starts if it fits; else, of those whose counter is at least the
+   * head's, the one with the least BM times FM, and everything that it passes is counted up.
+   */
+  private boolean startLocally(MachineQueue machine, SteadyTime now, List<Start> starts) {
+    Entry head = machine.head(now);
+    if (head == null || !machine.mayFitAny()) {
+      return false;
+    }
+    if (!isGang(head) && !isHeldBack(head) && mayStartOn(machine, head)) {
+      start(head, List.of(machine), starts);
+      return true;
+    }
+    Entry best = null;
+    for (Entry entry : machine.waiting()) {
+      if (entry != head
+          && !isGang(entry)
+          && !isHeldBack(entry)
+          && entry.isReady(now)
+          && (entry.counter() >= head.counter() || isLent(entry))
+          && mayStartOn(machine, entry)
+          && (best == null || better(machine, entry, best))) {
+        best = entry;
+      }
+    }
+    if (best == null) {
+      return false;
+    }
+    machine.passedBy(best, now);
+    start(best, List.of(machine), starts);
+    return true;
+  }
+
+  /**
+   * Whether an entry's job has waited so long that it is taken for having been passed as often as
+   * any other.
+   */
+  private boolean isLent(Entry entry) {
+    return reserves.stream().anyMatch(reserve -> reserve.lentTo().contains(entry.job().id()));
+  }
+
+  /** Urgent work is placed by {@link #startUrgent} alone. */
+  private static boolean isHeldBack(Entry entry) {
+    return entry.job().rank() == Rank.PRODUCTION;
+  }
+
+  /** The higher priority, then the least BM times FM. */
+  private static boolean better(MachineQueue machine, Entry one, Entry other) {
+    int byRank = one.job().rank().compareTo(other.job().rank());
+    if (byRank != 0) {
+      return byRank > 0;
+    }
+    if (machine.hasImage(one) != machine.hasImage(other)) {
+      return machine.hasImage(one);
+    }
+    return machine.fit(one) < machine.fit(other);
+  }
+
+  /**
+   * Internode scheduling: a machine with room pulls from the neighbour with the longest queue that
+   * has something for it. An asker with work of its own takes only entries whose counter is at most
+   * its head's; one with an empty queue takes any that fits.
+   */
+  private boolean pull(MachineQueue asker, SteadyTime now, List<Start> starts) {
+    if (!asker.mayFitAny()) {
+      return false;
+    }
+    Entry head = asker.head(now);
+    List<MachineQueue> neighbours = new ArrayList<>();
+    for (MachineQueue machine : machines.values()) {
+      if (machine != asker && !machine.waiting().isEmpty()) {
+        neighbours.add(machine);
+      }
+    }
+    neighbours.sort(
+        Comparator.comparing((MachineQueue machine) -> -machine.waiting().size())
+            .thenComparing(MachineQueue::machine));
+    for (MachineQueue neighbour : neighbours) {
+      Entry best = null;
+      for (Entry entry : neighbour.waiting()) {
+        if (!isGang(entry)
+            && !isHeldBack(entry)
+            && entry.isReady(now)
+            && mayStartOn(asker, entry)
+            && (head == null || entry.counter() <= head.counter() || isLent(entry))
+            && (best == null || better(asker, entry, best))) {
+          best = entry;
+        }
+      }
+      if (best != null) {
+        start(best, List.of(asker), starts);
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /**
+   * Queue balancing: the least loaded machine that has some load pulls one entry from the most
+   * loaded, if that lowers the larger of the two. In a block all machines are alike, so each is
+   * among its equals.
+   */
+  private void balance() {
+    MachineQueue least = null;
+    MachineQueue most = null;
+    for (MachineQueue machine : machines.values()) {
+      double load = machine.load();
+      if (load > 0 && machine.isOpen() && (least == null || load < least.load())) {
+        least = machine;
+      }
+      if (most == null || load > most.load()) {
+        most = machine;
+      }
+    }
+    if (least == null || most == least) {
+      return;
+    }
+    Entry best = null;
+    double bestObjective = most.load();
+    for (Entry entry : most.waiting()) {
+      if (!least.canEver(entry) || entry.avoids(least.machine())) {
+        continue;
+      }
+      double share = entry.job().each().times(entry.tasks().size()).shareOf(least.capacity());
+      double objective = Math.max(least.load() + share, most.load() - share);
+      if (objective < bestObjective - 1e-9) {
+        best = entry;
+        bestObjective = objective;
+      }
+    }
+    if (best != null) {
+      remove(best);
+      least.add(best);
+      queueOf.put(best, least);
+    }
+  }
 }
--- a/src/main/java/org/quincecross/sched/Choice.java
+++ b/src/main/java/org/quincecross/sched/Choice.java
@@ -5,60 +5,64 @@
 
 /** A block that a task could go to, as it is now; the better one is less. */
 final class Choice implements Comparable<Choice> {
-    private final Admission.Block block;
-    private final int grade;
-    private final int inZone;
-    private final int kept;
-    private final int second;
-    private final double unused;
+  private final Admission.Block block;
+  private final int grade;
+  private final int inZone;
+  private final int kept;
+  private final int second;
+  private final double unused;
 
-    /** @param kept for how many tasks of its lane the zone keeps room: evenly used, the last job finds it in all of them */
-    Choice(Admission.Block block, JobDemand demand, boolean entersReserve, int inZone, int kept) {
-        this.block = block;
-        this.kept = kept;
-        this.inZone = inZone;
-        Job job = demand.job();
-        boolean wastesGpus = job.each().gpus() == 0 && block.capacity().gpus() > 0;
-        boolean waits = kept == 0 && !job.each().fitsIn(block.free());
-        // Work crowds together where it fits: machines that nobody needs fall idle and can go back.
-        this.unused = -block.usedShare();
-        // What is hurried goes to its image first of all; for the rest a fetch is the lesser evil.
-        int room = (entersReserve ? 4 : 0) + (wastesGpus ? 2 : 0) + (waits ? 1 : 0);
-        int image = 2 * block.imageGrade(job) + (block.isSpot() ? 0 : 1);
-        this.grade = demand.hurried() ? image : room;
-        this.second = demand.hurried() ? room : image;
-    }
+  /**
+   * @param kept for how many tasks of its lane the zone keeps room: evenly used, the last job finds
+   *     it in all of them
+   */
+  Choice(Admission.Block block, JobDemand demand, boolean entersReserve, int inZone, int kept) {
+    this.block = block;
+    this.kept = kept;
+    this.inZone = inZone;
+    Job job = demand.job();
+    boolean wastesGpus = job.each().gpus() == 0 && block.capacity().gpus() > 0;
+    boolean waits = kept == 0 && !job.each().fitsIn(block.free());
+    // Work crowds together where it fits: machines that nobody needs fall idle and can go back.
+    this.unused = -block.usedShare();
+    // What is hurried goes to its image first of all; for the rest a fetch is the lesser evil.
+    int room = (entersReserve ? 4 : 0) + (wastesGpus ? 2 : 0) + (waits ? 1 : 0);
+    int image = 2 * block.imageGrade(job) + (block.isSpot() ? 0 : 1);
+    this.grade = demand.hurried() ? image : room;
+    this.second = demand.hurried() ? room : image;
+  }
 
-    Admission.Block block() {
-        return block;
-    }
+  Admission.Block block() {
+    return block;
+  }
 
-    @Override
-    public int compareTo(Choice other) {
-        if (grade != other.grade) {
-            return Integer.compare(grade, other.grade);
-        }
-        if (kept != other.kept) {
-            return Integer.compare(other.kept, kept);
-        }
-        if (inZone != other.inZone) {
-            return Integer.compare(inZone, other.inZone);
-        }
-        if (second != other.second) {
-            return Integer.compare(second, other.second);
-        }
-        int byUse = Double.compare(unused, other.unused);
-        return byUse != 0 ? byUse : block.id().compareTo(other.block.id());
+  @Override
+  public int compareTo(Choice other) {
+    if (grade != other.grade) {
+      return Integer.compare(grade, other.grade);
     }
-
-    /** Which of the blocks that have room for a gang it goes to. */
-    static Comparator<Admission.Block> gangOrder(JobDemand demand) {
-        Job job = demand.job();
-        return Comparator.comparing((Admission.Block block) -> -Math.min(job.tasks(), block.placesNow(job)))
-                .thenComparing(block -> -Math.min(job.tasks(), block.placesSoon(job)))
-                .thenComparing(block -> new Choice(block, demand, false, 0, 0).grade)
-                .thenComparing(block -> block.imageGrade(job))
-                .thenComparing(Admission.Block::usedShare)
-                .thenComparing(Admission.Block::id);
+    if (kept != other.kept) {
+      return Integer.compare(other.kept, kept);
     }
+    if (inZone != other.inZone) {
+      return Integer.compare(inZone, other.inZone);
+    }
+    if (second != other.second) {
+      return Integer.compare(second, other.second);
+    }
+    int byUse = Double.compare(unused, other.unused);
+    return byUse != 0 ? byUse : block.id().compareTo(other.block.id());
+  }
+
+  /** Which of the blocks that have room for a gang it goes to. */
+  static Comparator<Admission.Block> gangOrder(JobDemand demand) {
+    Job job = demand.job();
+    return Comparator.comparing(
+            (Admission.Block block) -> -Math.min(job.tasks(), block.placesNow(job)))
+        .thenComparing(block -> -Math.min(job.tasks(), block.placesSoon(job)))
+        .thenComparing(block -> new Choice(block, demand, false, 0, 0).grade)
+        .thenComparing(block -> block.imageGrade(job))
+        .thenComparing(Admission.Block::usedShare)
+        .thenComparing(Admission.Block::id);
+  }
 }
--- a/src/main/java/org/quincecross/sched/Entry.java
+++ b/src/main/java/org/quincecross/sched/Entry.java
@@ -12,75 +12,84 @@
 
 /** What waits in a queue: a task, or all tasks of a gang. */
 public final class Entry {
-    /** Priority comes before age: the queues of the paper are first come, first served within a priority. */
-    public static final Comparator<Entry> ORDER = Comparator
-            .comparing((Entry entry) -> entry.job.rank()).reversed()
-            .thenComparing(entry -> entry.accepted)
-            .thenComparing(entry -> entry.tasks.get(0));
-
-    private final Job job;
-    private final List<TaskId> tasks;
-    private final Revision accepted;
-    private final Set<MachineId> avoided = new HashSet<>();
-    /** The machines that it is bound to; null for any. */
-    private Set<MachineId> only;
-    private int counter;
-    private boolean avoidsFetch;
-    private SteadyTime notBefore;
-
-    public Entry(Job job, List<TaskId> tasks, Revision accepted) {
-        this.job = job;
-        this.tasks = List.copyOf(tasks);
-        this.accepted = accepted;
-    }
-
-    public Job job() {
-        return job;
-    }
-
-    public List<TaskId> tasks() {
-        return tasks;
-    }
-
-    /** The backfilling counter: how many have passed this entry in a queue. */
-    public int counter() {
-        return counter;
-    }
-
-    void passed() {
-        counter++;
-    }
-
-    /** Machines on which this work has failed and is not tried again while there are others. */
-    public Set<MachineId> avoided() {
-        return avoided;
-    }
-
-    /** Has it start on none but these machines. */
-    public void onlyOn(Set<MachineId> machines) {
-        only = machines;
-    }
-
-    /** Whether a machine is no place for it. */
-    boolean avoids(MachineId machine) {
-        return only != null && !only.contains(machine) || avoided.contains(machine);
-    }
-
-    /** Says that a fetch of its image would make it late: it rather displaces other work where its image is. */
-    public void avoidFetch() {
-        avoidsFetch = true;
-    }
-
-    boolean avoidsFetch() {
-        return avoidsFetch;
-    }
-
-    /** Keeps the entry from starting before {@code time}. */
-    public void holdBack(SteadyTime time) {
-        notBefore = time;
-    }
-
-    boolean isReady(SteadyTime now) {
-        return notBefore == null || !now.isBefore(notBefore);
-    }
+  /**
+   * Priority comes before age: the queues of the paper are first come, first served within a
+   * priority.
+   */
+  public static final Comparator<Entry> ORDER =
+      Comparator.comparing((Entry entry) -> entry.job.rank())
+          .reversed()
+          .thenComparing(entry -> entry.accepted)
+          .thenComparing(entry -> entry.tasks.get(0));
+
+  private final Job job;
+  private final List<TaskId> tasks;
+  private final Revision accepted;
+  private final Set<MachineId> avoided = new HashSet<>();
+
+  /** The machines that it is bound to; null for any. */
+  private Set<MachineId> only;
+
+  private int counter;
+  private boolean avoidsFetch;
+  private SteadyTime notBefore;
+
+  public Entry(Job job, List<TaskId> tasks, Revision accepted) {
+    this.job = job;
+    this.tasks = List.copyOf(tasks);
+    this.accepted = accepted;
+  }
+
+  public Job job() {
+    return job;
+  }
+
+  public List<TaskId> tasks() {
+    return tasks;
+  }
+
+  /** The backfilling counter: how many have passed this entry in a queue. */
+  public int counter() {
+    return counter;
+  }
+
+  void passed() {
+    counter++;
+  }
+
+  /** Machines on which this work has failed and is not tried again while there are others. */
+  public Set<MachineId> avoided() {
+    return avoided;
+  }
+
+  /** Has it start on none but these machines. */
+  public void onlyOn(Set<MachineId> machines) {
+    only = machines;
+  }
+
+  /** Whether a machine is no place for it. */
+  boolean avoids(MachineId machine) {
+    return only != null && !only.contains(machine) || avoided.contains(machine);
+  }
+
+  /**
+   * Says that a fetch of its image would make it late: it rather displaces other work where its
+   * image is.
+   */
+  public void avoidFetch() {
+    avoidsFetch = true;
+  }
+
+  boolean avoidsFetch() {
+    return avoidsFetch;
+  }
+
+  /** Keeps the entry from starting before {@code time}. */
+  public void holdBack(SteadyTime time) {
+    notBefore = time;
+  }
+
+  boolean isReady(SteadyTime now) {
+    return notBefore == null || !now.isBefore(notBefore);
+  }
 }
--- a/src/main/java/org/quincecross/sched/JobDemand.java
+++ b/src/main/java/org/quincecross/sched/JobDemand.java
@@ -16,34 +16,47 @@
  * @param place where it stands beside others of its priority
  * @param order less is earlier, among those of its place
  */
-public record JobDemand(Job job, Revision accepted, double dueS, boolean guaranteed, boolean hurried, TaskSet pool,
-        Map<String, Integer> perZone, Admission.Place place, double order) {
-    /** A job with less time to spare than this is pressed. */
-    private static final double PRESSED_S = 12;
+public record JobDemand(
+    Job job,
+    Revision accepted,
+    double dueS,
+    boolean guaranteed,
+    boolean hurried,
+    TaskSet pool,
+    Map<String, Integer> perZone,
+    Admission.Place place,
+    double order) {
+  /** A job with less time to spare than this is pressed. */
+  private static final double PRESSED_S = 12;
 
-    /** The same with as many of its tasks in an earlier place: as two, or as it is or whole where none or all of them are. */
-    public List<JobDemand> with(int tasks, Admission.Place earlier) {
-        if (tasks <= 0 || place == Admission.Place.BEGINNING) {
-            return List.of(this);
-        }
-        double first = earlier == Admission.Place.BEGINNING ? 0 : order; // the oldest first
-        // Where the place of one task may change where the next may go, the job stays in one piece.
-        if (tasks >= pool.size() || job.spread() || job.oneZone()) {
-            return List.of(new JobDemand(job, accepted, dueS, guaranteed, hurried, pool, perZone, earlier, first));
-        }
-        TaskSet rest = pool.copy();
-        TaskSet some = new TaskSet();
-        for (int index = pool.next(0); some.size() < tasks; index = pool.next(index + 1)) {
-            some.add(index);
-            rest.remove(index);
-        }
-        return List.of(new JobDemand(job, accepted, dueS, guaranteed, hurried, some, perZone, earlier, first),
-                new JobDemand(job, accepted, dueS, guaranteed, hurried, rest, perZone, place, order));
+  /**
+   * The same with as many of its tasks in an earlier place: as two, or as it is or whole where none
+   * or all of them are.
+   */
+  public List<JobDemand> with(int tasks, Admission.Place earlier) {
+    if (tasks <= 0 || place == Admission.Place.BEGINNING) {
+      return List.of(this);
     }
-
-    /** Whether others are to make room for it: it must start at once, or it will be late. */
-    boolean isPressed() {
-        double run = job.estimate().seconds();
-        return job.rank() == Rank.PRODUCTION || dueS < run + Math.max(PRESSED_S, 0.4 * run);
+    double first = earlier == Admission.Place.BEGINNING ? 0 : order; // the oldest first
+    // Where the place of one task may change where the next may go, the job stays in one piece.
+    if (tasks >= pool.size() || job.spread() || job.oneZone()) {
+      return List.of(
+          new JobDemand(job, accepted, dueS, guaranteed, hurried, pool, perZone, earlier, first));
+    }
+    TaskSet rest = pool.copy();
+    TaskSet some = new TaskSet();
+    for (int index = pool.next(0); some.size() < tasks; index = pool.next(index + 1)) {
+      some.add(index);
+      rest.remove(index);
     }
+    return List.of(
+        new JobDemand(job, accepted, dueS, guaranteed, hurried, some, perZone, earlier, first),
+        new JobDemand(job, accepted, dueS, guaranteed, hurried, rest, perZone, place, order));
+  }
+
+  /** Whether others are to make room for it: it must start at once, or it will be late. */
+  boolean isPressed() {
+    double run = job.estimate().seconds();
+    return job.rank() == Rank.PRODUCTION || dueS < run + Math.max(PRESSED_S, 0.4 * run);
+  }
 }
--- a/src/main/java/org/quincecross/sched/MachineQueue.java
+++ b/src/main/java/org/quincecross/sched/MachineQueue.java
@@ -12,147 +12,156 @@
 
 /** A machine and the queue of work that waits for it. */
 public final class MachineQueue {
-    private final MachineId machine;
-    private final Resources capacity;
-    private final Predicate<String> hasImage;
-    private final List<Entry> queue = new ArrayList<>();
-    private final List<Entry> unmodifiable = Collections.unmodifiableList(queue);
-    private Resources used = Resources.NONE;
-    private Resources queued = Resources.NONE;
-    private Map<String, Rank> fetching = Map.of();
-    private Resources displaceable = Resources.NONE;
-    private boolean open;
-
-    MachineQueue(MachineId machine, Resources capacity, Predicate<String> hasImage) {
-        this.machine = machine;
-        this.capacity = capacity;
-        this.hasImage = hasImage;
-    }
-
-    public MachineId machine() {
-        return machine;
-    }
-
-    public Resources capacity() {
-        return capacity;
-    }
-
-    public Resources used() {
-        return used;
-    }
-
-    public Resources free() {
-        return capacity.minus(used);
-    }
-
-    public boolean isOpen() {
-        return open;
-    }
-
-    void open(boolean nowOpen) {
-        open = nowOpen;
-    }
-
-    void fetching(Map<String, Rank> images) {
-        fetching = images;
-    }
-
-    int fetches() {
-        return fetching.size();
-    }
-
-    /** Whether work of a higher priority waits here for an image, whose fetch another image would slow down. */
-    boolean fetchesForBetter(Entry entry) {
-        if (hasImage(entry)) {
-            return false;
-        }
-        return fetching.entrySet().stream().anyMatch(fetch -> !fetch.getKey().equals(entry.job().image())
-                && fetch.getValue().isAbove(entry.job().rank()));
-    }
-
-    void use(Resources now, Resources displaceableNow) {
-        used = now;
-        displaceable = displaceableNow;
-    }
-
-    /** Whether an urgent entry would fit once work that can be stopped in a moment has been. */
-    boolean couldFit(Entry entry) {
-        return open && !entry.avoids(machine) && entry.job().each().fitsIn(free().plus(displaceable));
-    }
-
-    void occupy(Resources more) {
-        used = used.plus(more);
-    }
-
-    /** The waiting work, first in line first. */
-    public List<Entry> waiting() {
-        return unmodifiable;
-    }
-
-    void add(Entry entry) {
-        int at = Collections.binarySearch(queue, entry, Entry.ORDER);
-        queue.add(at < 0 ? -at - 1 : at, entry);
-        countQueued();
-    }
-
-    void remove(Entry entry) {
-        queue.remove(entry);
-        countQueued();
-    }
-
-    private void countQueued() {
-        queued = Resources.NONE;
-        for (Entry entry : queue) {
-            queued = queued.plus(entry.job().each().times(entry.tasks().size()));
-        }
-    }
-
-    /** The first in line that may start now, or null. */
-    Entry head(SteadyTime now) {
-        for (Entry entry : queue) {
-            if (entry.isReady(now)) {
-                return entry;
-            }
-        }
-        return null;
-    }
-
-    boolean canEver(Entry entry) {
-        return entry.job().each().fitsIn(capacity);
-    }
-
-    boolean fitsNow(Entry entry) {
-        return open && entry.job().each().fitsIn(free()) && !entry.avoids(machine);
-    }
-
-    /** Whether there is room for any work at all. */
-    boolean mayFitAny() {
-        Resources free = free();
-        return free.cpus() > 0 && free.memoryGb() > 0;
-    }
-
-    boolean hasImage(Entry entry) {
-        return hasImage.test(entry.job().image());
-    }
-
-    double fit(Entry entry) {
-        return Fit.product(capacity, used, entry.job().each());
-    }
-
-    /** The paper's normalized load (equations 4 and 5): the largest sum of what the waiting work asks for. */
-    double load() {
-        return queued.shareOf(capacity);
-    }
-
-    /** Work was started past the entries ahead of it: each of them has been passed once more. */
-    void passedBy(Entry started, SteadyTime now) {
-        for (Entry entry : queue) {
-            if (entry == started) {
-                return;
-            }
-            if (entry.isReady(now)) {
-                entry.passed();
-            }
-        }
-    }
+  private final MachineId machine;
+  private final Resources capacity;
+  private final Predicate<String> hasImage;
+  private final List<Entry> queue = new ArrayList<>();
+  private final List<Entry> unmodifiable = Collections.unmodifiableList(queue);
+  private Resources used = Resources.NONE;
+  private Resources queued = Resources.NONE;
+  private Map<String, Rank> fetching = Map.of();
+  private Resources displaceable = Resources.NONE;
+  private boolean open;
+
+  MachineQueue(MachineId machine, Resources capacity, Predicate<String> hasImage) {
+    this.machine = machine;
+    this.capacity = capacity;
+    this.hasImage = hasImage;
+  }
+
+  public MachineId machine() {
+    return machine;
+  }
+
+  public Resources capacity() {
+    return capacity;
+  }
+
+  public Resources used() {
+    return used;
+  }
+
+  public Resources free() {
+    return capacity.minus(used);
+  }
+
+  public boolean isOpen() {
+    return open;
+  }
+
+  void open(boolean nowOpen) {
+    open = nowOpen;
+  }
+
+  void fetching(Map<String, Rank> images) {
+    fetching = images;
+  }
+
+  int fetches() {
+    return fetching.size();
+  }
+
+  /**
+   * Whether work of a higher priority waits here for an image, whose fetch another image would slow
+   * down.
+   */
+  boolean fetchesForBetter(Entry entry) {
+    if (hasImage(entry)) {
+      return false;
+    }
+    return fetching.entrySet().stream()
+        .anyMatch(
+            fetch ->
+                !fetch.getKey().equals(entry.job().image())
+                    && fetch.getValue().isAbove(entry.job().rank()));
+  }
+
+  void use(Resources now, Resources displaceableNow) {
+    used = now;
+    displaceable = displaceableNow;
+  }
+
+  /** Whether an urgent entry would fit once work that can be stopped in a moment has been. */
+  boolean couldFit(Entry entry) {
+    return open && !entry.avoids(machine) && entry.job().each().fitsIn(free().plus(displaceable));
+  }
+
+  void occupy(Resources more) {
+    used = used.plus(more);
+  }
+
+  /** The waiting work, first in line first. */
+  public List<Entry> waiting() {
+    return unmodifiable;
+  }
+
+  void add(Entry entry) {
+    int at = Collections.binarySearch(queue, entry, Entry.ORDER);
+    queue.add(at < 0 ? -at - 1 : at, entry);
+    countQueued();
+  }
+
+  void remove(Entry entry) {
+    queue.remove(entry);
+    countQueued();
+  }
+
+  private void countQueued() {
+    queued = Resources.NONE;
+    for (Entry entry : queue) {
+      queued = queued.plus(entry.job().each().times(entry.tasks().size()));
+    }
+  }
+
+  /** The first in line that may start now, or null. */
+  Entry head(SteadyTime now) {
+    for (Entry entry : queue) {
+      if (entry.isReady(now)) {
+        return entry;
+      }
+    }
+    return null;
+  }
+
+  boolean canEver(Entry entry) {
+    return entry.job().each().fitsIn(capacity);
+  }
+
+  boolean fitsNow(Entry entry) {
+    return open && entry.job().each().fitsIn(free()) && !entry.avoids(machine);
+  }
+
+  /** Whether there is room for any work at all. */
+  boolean mayFitAny() {
+    Resources free = free();
+    return free.cpus() > 0 && free.memoryGb() > 0;
+  }
+
+  boolean hasImage(Entry entry) {
+    return hasImage.test(entry.job().image());
+  }
+
+  double fit(Entry entry) {
+    return Fit.product(capacity, used, entry.job().each());
+  }
+
+  /**
+   * The paper's normalized load (equations 4 and 5): the largest sum of what the waiting work asks
+   * for.
+   */
+  double load() {
+    return queued.shareOf(capacity);
+  }
+
+  /** Work was started past the entries ahead of it: each of them has been passed once more. */
+  void passedBy(Entry started, SteadyTime now) {
+    for (Entry entry : queue) {
+      if (entry == started) {
+        return;
+      }
+      if (entry.isReady(now)) {
+        entry.passed();
+      }
+    }
+  }
 }
--- a/src/main/java/org/quincecross/sched/Preemption.java
+++ b/src/main/java/org/quincecross/sched/Preemption.java
@@ -12,141 +12,153 @@
 import org.quincecross.model.TaskId;
 
 /**
- * Chooses what is stopped so that work of a higher priority gets room: one round, in which room that is being made
- * already, or is promised to an earlier entry of the round, is not counted twice.
+ * Chooses what is stopped so that work of a higher priority gets room: one round, in which room
+ * that is being made already, or is promised to an earlier entry of the round, is not counted
+ * twice.
  */
 public final class Preemption {
-    /**
-     * A task that takes up room and could be stopped.
-     *
-     * @param idle whether nobody expects it by any time: it goes first
-     */
-    public record Running(TaskId task, MachineId machine, Rank rank, boolean idle, Resources each, boolean saves, SteadyTime since) {
-    }
+  /**
+   * A task that takes up room and could be stopped.
+   *
+   * @param idle whether nobody expects it by any time: it goes first
+   */
+  public record Running(
+      TaskId task,
+      MachineId machine,
+      Rank rank,
+      boolean idle,
+      Resources each,
+      boolean saves,
+      SteadyTime since) {}
 
-    private final BlockScheduler block;
-    private final Map<MachineId, List<Running>> running = new HashMap<>();
-    private final Map<MachineId, Resources> room = new HashMap<>();
-    private final Rank lowest;
+  private final BlockScheduler block;
+  private final Map<MachineId, List<Running>> running = new HashMap<>();
+  private final Map<MachineId, Resources> room = new HashMap<>();
+  private final Rank lowest;
 
-    /**
-     * @param tasks what runs and could be stopped
-     * @param stopping what the tasks take that are being stopped on each machine
-     */
-    public Preemption(BlockScheduler block, List<Running> tasks, Map<MachineId, Resources> stopping) {
-        this.block = block;
-        Rank least = Rank.PRODUCTION;
-        for (Running task : tasks) {
-            running.computeIfAbsent(task.machine(), id -> new ArrayList<>()).add(task);
-            least = least.isAbove(task.rank()) ? task.rank() : least;
-        }
-        lowest = least;
-        for (MachineQueue machine : block.machines()) {
-            room.put(machine.machine(), machine.free().plus(stopping.getOrDefault(machine.machine(), Resources.NONE)));
-        }
+  /**
+   * @param tasks what runs and could be stopped
+   * @param stopping what the tasks take that are being stopped on each machine
+   */
+  public Preemption(BlockScheduler block, List<Running> tasks, Map<MachineId, Resources> stopping) {
+    this.block = block;
+    Rank least = Rank.PRODUCTION;
+    for (Running task : tasks) {
+      running.computeIfAbsent(task.machine(), id -> new ArrayList<>()).add(task);
+      least = least.isAbove(task.rank()) ? task.rank() : least;
+    }
+    lowest = least;
+    for (MachineQueue machine : block.machines()) {
+      room.put(
+          machine.machine(),
+          machine.free().plus(stopping.getOrDefault(machine.machine(), Resources.NONE)));
     }
+  }
 
-    /**
-     * The tasks to stop so that {@code entry} fits on a machine; none if room is being made for it already, or if no
-     * machine can be made to fit it. The entry then waits for that machine. A machine with its image is preferred, then the one that loses least; there the
-     * lowest priority goes first, then what saves its progress, then what was started last.
-     *
-     * <p>For a gang room is made on as many machines as it needs, or on none.
-     *
-     * @param ofIdle whether only what nobody expects may be stopped
-     */
-    public List<Running> makeRoom(Entry entry, boolean ofIdle) {
-        if (entry.tasks().size() > 1) {
-            return makeRoomForGang(entry, ofIdle);
-        }
-        List<Running> victims = makeRoomForOne(entry, ofIdle);
-        return victims == null ? List.of() : victims;
+  /**
+   * The tasks to stop so that {@code entry} fits on a machine; none if room is being made for it
+   * already, or if no machine can be made to fit it. The entry then waits for that machine. A
+   * machine with its image is preferred, then the one that loses least; there the lowest priority
+   * goes first, then what saves its progress, then what was started last.
+   *
+   * <p>For a gang room is made on as many machines as it needs, or on none.
+   *
+   * @param ofIdle whether only what nobody expects may be stopped
+   */
+  public List<Running> makeRoom(Entry entry, boolean ofIdle) {
+    if (entry.tasks().size() > 1) {
+      return makeRoomForGang(entry, ofIdle);
     }
+    List<Running> victims = makeRoomForOne(entry, ofIdle);
+    return victims == null ? List.of() : victims;
+  }
 
-    private List<Running> makeRoomForGang(Entry gang, boolean ofIdle) {
-        Map<MachineId, Resources> roomBefore = new HashMap<>(room);
-        Map<MachineId, List<Running>> runningBefore = new HashMap<>();
-        running.forEach((machine, tasks) -> runningBefore.put(machine, new ArrayList<>(tasks)));
-        List<Running> all = new ArrayList<>();
-        for (int i = 0; i < gang.tasks().size(); i++) {
-            List<Running> victims = makeRoomForOne(gang, ofIdle);
-            if (victims == null) {
-                room.putAll(roomBefore);
-                running.putAll(runningBefore);
-                return List.of();
-            }
-            all.addAll(victims);
-        }
-        return all;
+  private List<Running> makeRoomForGang(Entry gang, boolean ofIdle) {
+    Map<MachineId, Resources> roomBefore = new HashMap<>(room);
+    Map<MachineId, List<Running>> runningBefore = new HashMap<>();
+    running.forEach((machine, tasks) -> runningBefore.put(machine, new ArrayList<>(tasks)));
+    List<Running> all = new ArrayList<>();
+    for (int i = 0; i < gang.tasks().size(); i++) {
+      List<Running> victims = makeRoomForOne(gang, ofIdle);
+      if (victims == null) {
+        room.putAll(roomBefore);
+        running.putAll(runningBefore);
+        return List.of();
+      }
+      all.addAll(victims);
     }
+    return all;
+  }
 
-    /** What is stopped for one task of an entry; null where no machine can be made to fit it. */
-    private List<Running> makeRoomForOne(Entry entry, boolean ofIdle) {
-        MachineQueue best = null;
-        List<Running> bestVictims = null;
-        for (MachineQueue machine : block.machines()) {
-            if (!machine.isOpen() || !machine.canEver(entry) || entry.avoids(machine.machine())) {
-                continue;
-            }
-            List<Running> victims = onMachine(machine, entry, ofIdle);
-            if (victims != null && (best == null || cost(machine, entry, victims) < cost(best, entry, bestVictims))) {
-                best = machine;
-                bestVictims = victims;
-            }
-        }
-        if (best == null) {
-            return null;
-        }
-        Resources left = room.get(best.machine()).minus(entry.job().each());
-        for (Running victim : bestVictims) {
-            left = left.plus(victim.each());
-            running.get(best.machine()).remove(victim);
-        }
-        room.put(best.machine(), left);
-        if (entry.tasks().size() == 1) {
-            block.move(entry, best.machine());
-        }
-        return bestVictims;
+  /** What is stopped for one task of an entry; null where no machine can be made to fit it. */
+  private List<Running> makeRoomForOne(Entry entry, boolean ofIdle) {
+    MachineQueue best = null;
+    List<Running> bestVictims = null;
+    for (MachineQueue machine : block.machines()) {
+      if (!machine.isOpen() || !machine.canEver(entry) || entry.avoids(machine.machine())) {
+        continue;
+      }
+      List<Running> victims = onMachine(machine, entry, ofIdle);
+      if (victims != null
+          && (best == null || cost(machine, entry, victims) < cost(best, entry, bestVictims))) {
+        best = machine;
+        bestVictims = victims;
+      }
+    }
+    if (best == null) {
+      return null;
+    }
+    Resources left = room.get(best.machine()).minus(entry.job().each());
+    for (Running victim : bestVictims) {
+      left = left.plus(victim.each());
+      running.get(best.machine()).remove(victim);
     }
+    room.put(best.machine(), left);
+    if (entry.tasks().size() == 1) {
+      block.move(entry, best.machine());
+    }
+    return bestVictims;
+  }
 
-    /** A fetch takes longer than most of what a victim loses. */
-    private static final double FETCH = 1000;
+  /** A fetch takes longer than most of what a victim loses. */
+  private static final double FETCH = 1000;
 
-    private static double cost(MachineQueue machine, Entry entry, List<Running> victims) {
-        double cost = machine.hasImage(entry) ? 0 : FETCH;
-        for (Running victim : victims) {
-            cost += victim.each().cpus() * (victim.saves() ? 1 : 3) * (1 + victim.rank().ordinal());
-        }
-        return cost;
+  private static double cost(MachineQueue machine, Entry entry, List<Running> victims) {
+    double cost = machine.hasImage(entry) ? 0 : FETCH;
+    for (Running victim : victims) {
+      cost += victim.each().cpus() * (victim.saves() ? 1 : 3) * (1 + victim.rank().ordinal());
     }
+    return cost;
+  }
 
-    /** What would have to be stopped on a machine, or null if that would not be enough. */
-    private List<Running> onMachine(MachineQueue machine, Entry entry, boolean ofIdle) {
-        Resources free = room.get(machine.machine());
-        if (entry.job().each().fitsIn(free)) {
-            return List.of();
-        }
-        if (!entry.job().rank().isAbove(lowest)) {
-            return null;
-        }
-        List<Running> stoppable = new ArrayList<>();
-        for (Running task : running.getOrDefault(machine.machine(), List.of())) {
-            if (entry.job().rank().isAbove(task.rank()) && (task.idle() || !ofIdle)) {
-                stoppable.add(task);
-            }
-        }
-        stoppable.sort(Comparator.comparing(Running::rank)
-                .thenComparing(task -> !task.idle())
-                .thenComparing(task -> !task.saves())
-                .thenComparing(Running::since, Comparator.reverseOrder()));
-        List<Running> victims = new ArrayList<>();
-        for (Running task : stoppable) {
-            if (entry.job().each().fitsIn(free)) {
-                break;
-            }
-            victims.add(task);
-            free = free.plus(task.each());
-        }
-        return entry.job().each().fitsIn(free) ? victims : null;
+  /** What would have to be stopped on a machine, or null if that would not be enough. */
+  private List<Running> onMachine(MachineQueue machine, Entry entry, boolean ofIdle) {
+    Resources free = room.get(machine.machine());
+    if (entry.job().each().fitsIn(free)) {
+      return List.of();
+    }
+    if (!entry.job().rank().isAbove(lowest)) {
+      return null;
+    }
+    List<Running> stoppable = new ArrayList<>();
+    for (Running task : running.getOrDefault(machine.machine(), List.of())) {
+      if (entry.job().rank().isAbove(task.rank()) && (task.idle() || !ofIdle)) {
+        stoppable.add(task);
+      }
+    }
+    stoppable.sort(
+        Comparator.comparing(Running::rank)
+            .thenComparing(task -> !task.idle())
+            .thenComparing(task -> !task.saves())
+            .thenComparing(Running::since, Comparator.reverseOrder()));
+    List<Running> victims = new ArrayList<>();
+    for (Running task : stoppable) {
+      if (entry.job().each().fitsIn(free)) {
+        break;
+      }
+      victims.add(task);
+      free = free.plus(task.each());
     }
+    return entry.job().each().fitsIn(free) ? victims : null;
+  }
 }
--- a/src/main/java/org/quincecross/served/ServedBooks.java
+++ b/src/main/java/org/quincecross/served/ServedBooks.java
@@ -16,340 +16,372 @@
 import org.quincecross.model.SteadyTime;
 
 /**
- * Counts what each class of jobs of each team asked for and got. An event costs the same however many jobs there are; what is
- * missed by jobs that are still open is counted when the books are read.
+ * Counts what each class of jobs of each team asked for and got. An event costs the same however
+ * many jobs there are; what is missed by jobs that are still open is counted when the books are
+ * read.
  */
 public final class ServedBooks {
-    /** The jobs of one class of one team. */
-    public record Group(String team, String jobClass) implements Comparable<Group> {
-        @Override
-        public int compareTo(Group other) {
-            int byTeam = team.compareTo(other.team);
-            return byTeam != 0 ? byTeam : jobClass.compareTo(other.jobClass);
-        }
+  /** The jobs of one class of one team. */
+  public record Group(String team, String jobClass) implements Comparable<Group> {
+    @Override
+    public int compareTo(Group other) {
+      int byTeam = team.compareTo(other.team);
+      return byTeam != 0 ? byTeam : jobClass.compareTo(other.jobClass);
     }
+  }
 
-    /** Met and missed, of an aim. */
-    private static final class Tally {
-        private int met;
-        private int missed;
+  /** Met and missed, of an aim. */
+  private static final class Tally {
+    private int met;
+    private int missed;
 
-        void add(Tally other) {
-            met += other.met;
-            missed += other.missed;
-        }
+    void add(Tally other) {
+      met += other.met;
+      missed += other.missed;
     }
-
-    /** What is counted for a group. */
-    private static final class Count {
-        private int jobs;
-        private int ended;
-        private int tasks;
-        private int started;
-        private int heldBack;
-        private int withheld;
-        /** Jobs with tasks that have not been started yet. */
-        private int waiting;
-        private double starvedS;
-        private SteadyTime hungrySince;
-        private final Map<String, Tally> aims = new LinkedHashMap<>();
-
-        /** Aims of one name are counted together: each job's deadline is another length of time. */
-        Tally tally(String aim) {
-            return aims.computeIfAbsent(aim, a -> new Tally());
-        }
-
-        /** Some work waits from now on, or is waited for no longer, or has just been served. */
-        void hungry(SteadyTime now, boolean served) {
-            if (hungrySince != null && (served || waiting == 0)) {
-                starvedS = Math.max(starvedS, now.since(hungrySince).seconds());
-                hungrySince = null;
-            }
-            if (waiting > 0 && hungrySince == null) {
-                hungrySince = now;
-            }
-        }
-
-        void add(Count other, SteadyTime now) {
-            jobs += other.jobs;
-            ended += other.ended;
-            tasks += other.tasks;
-            started += other.started;
-            heldBack += other.heldBack;
-            withheld += other.withheld;
-            starvedS = Math.max(starvedS, other.starvedS);
-            if (other.hungrySince != null) {
-                starvedS = Math.max(starvedS, now.since(other.hungrySince).seconds());
-            }
-            other.aims.forEach((aim, tally) -> tally(aim).add(tally));
-        }
+  }
+
+  /** What is counted for a group. */
+  private static final class Count {
+    private int jobs;
+    private int ended;
+    private int tasks;
+    private int started;
+    private int heldBack;
+    private int withheld;
+
+    /** Jobs with tasks that have not been started yet. */
+    private int waiting;
+
+    private double starvedS;
+    private SteadyTime hungrySince;
+    private final Map<String, Tally> aims = new LinkedHashMap<>();
+
+    /** Aims of one name are counted together: each job's deadline is another length of time. */
+    Tally tally(String aim) {
+      return aims.computeIfAbsent(aim, a -> new Tally());
     }
 
-    /** A job that is not over. */
-    private static final class Open {
-        private final Count count;
-        private final int tasks;
-        private final SteadyTime accepted;
-        private final List<Aim> aims;
-        private final String jobClass;
-        private final int step;
-        private final int toBegin;
-        private final boolean isService;
-        private final boolean wasFound;
-        private int started;
-        private int heldBack;
-        private boolean hasBegun;
-        private boolean waits = true;
-        /** Tasks that may not run by an agreed record, and since when there are such; the time of that counts against no aim. */
-        private int withheld;
-        private SteadyTime withheldSince;
-        private Span excused = Span.ZERO;
-
-        Open(Count count, Job job, SteadyTime accepted, List<Aim> aims, boolean wasFound) {
-            this.wasFound = wasFound;
-            this.count = count;
-            this.tasks = job.tasks();
-            this.jobClass = job.jobClass();
-            this.step = Sizes.step(job.size());
-            this.toBegin = job.tasksToBegin();
-            this.isService = job.shape() == Shape.SERVICE;
-            this.accepted = accepted;
-            this.aims = aims;
-        }
-
-        private Span without(SteadyTime now) {
-            return withheldSince == null ? excused : excused.plus(now.since(withheldSince));
-        }
-
-        boolean isPast(Aim aim, SteadyTime now) {
-            return now.since(accepted).isMoreThan(aim.within().plus(without(now)));
-        }
-
-        /** For how long it has waited while it was let run. */
-        double waitedS(SteadyTime now) {
-            return now.since(accepted).seconds() - without(now).seconds();
-        }
-
-        /** Whether some task may start that has not yet; counted with the others of its group. */
-        void countWaiting() {
-            boolean now = started + withheld < tasks;
-            if (now != waits) {
-                waits = now;
-                count.waiting += now ? 1 : -1;
-            }
-        }
+    /** Some work waits from now on, or is waited for no longer, or has just been served. */
+    void hungry(SteadyTime now, boolean served) {
+      if (hungrySince != null && (served || waiting == 0)) {
+        starvedS = Math.max(starvedS, now.since(hungrySince).seconds());
+        hungrySince = null;
+      }
+      if (waiting > 0 && hungrySince == null) {
+        hungrySince = now;
+      }
     }
 
-    private final Function<Job, List<Aim>> aims;
-    private final Map<Group, Count> counts = new TreeMap<>();
-    private final Map<JobId, Open> open = new HashMap<>();
-    private final Map<String, Sizes> sizes = new TreeMap<>();
-
-    /** @param aims what is expected of a job */
-    public ServedBooks(Function<Job, List<Aim>> aims) {
-        this.aims = aims;
+    void add(Count other, SteadyTime now) {
+      jobs += other.jobs;
+      ended += other.ended;
+      tasks += other.tasks;
+      started += other.started;
+      heldBack += other.heldBack;
+      withheld += other.withheld;
+      starvedS = Math.max(starvedS, other.starvedS);
+      if (other.hungrySince != null) {
+        starvedS = Math.max(starvedS, now.since(other.hungrySince).seconds());
+      }
+      other.aims.forEach((aim, tally) -> tally(aim).add(tally));
     }
-
-    /** A job was accepted: once for each job, later calls change nothing. */
-    public void accepted(Job job, SteadyTime at) {
-        add(job, at, aims.apply(job), false);
+  }
+
+  /** A job that is not over. */
+  private static final class Open {
+    private final Count count;
+    private final int tasks;
+    private final SteadyTime accepted;
+    private final List<Aim> aims;
+    private final String jobClass;
+    private final int step;
+    private final int toBegin;
+    private final boolean isService;
+    private final boolean wasFound;
+    private int started;
+    private int heldBack;
+    private boolean hasBegun;
+    private boolean waits = true;
+
+    /**
+     * Tasks that may not run by an agreed record, and since when there are such; the time of that
+     * counts against no aim.
+     */
+    private int withheld;
+
+    private SteadyTime withheldSince;
+    private Span excused = Span.ZERO;
+
+    Open(Count count, Job job, SteadyTime accepted, List<Aim> aims, boolean wasFound) {
+      this.wasFound = wasFound;
+      this.count = count;
+      this.tasks = job.tasks();
+      this.jobClass = job.jobClass();
+      this.step = Sizes.step(job.size());
+      this.toBegin = job.tasksToBegin();
+      this.isService = job.shape() == Shape.SERVICE;
+      this.accepted = accepted;
+      this.aims = aims;
     }
 
-    /** A job was open when the counting began: when its tasks started that run already, nobody knows, so starts do not count. */
-    public void found(Job job, SteadyTime at) {
-        add(job, at, aims.apply(job).stream().filter(aim -> aim.of() == Aim.Of.END).toList(), true);
+    private Span without(SteadyTime now) {
+      return withheldSince == null ? excused : excused.plus(now.since(withheldSince));
     }
 
-    private void add(Job job, SteadyTime at, List<Aim> ofJob, boolean wasFound) {
-        if (open.containsKey(job.id())) {
-            return;
-        }
-        Count count = counts.computeIfAbsent(new Group(job.team(), job.jobClass()), group -> new Count());
-        Open opened = new Open(count, job, at, ofJob, wasFound);
-        open.put(job.id(), opened);
-        ofSize(opened).jobs++;
-        count.jobs++;
-        count.tasks += job.tasks();
-        count.waiting++;
-        count.hungry(at, false);
+    boolean isPast(Aim aim, SteadyTime now) {
+      return now.since(accepted).isMoreThan(aim.within().plus(without(now)));
     }
 
-    private Sizes.Tally ofSize(Open job) {
-        return sizes.computeIfAbsent(job.jobClass, name -> new Sizes()).of(job.step);
+    /** For how long it has waited while it was let run. */
+    double waitedS(SteadyTime now) {
+      return now.since(accepted).seconds() - without(now).seconds();
     }
 
-    /** So many tasks of a job have been started or have ended so far: what is no news changes nothing. */
-    public void started(JobId id, int tasks, SteadyTime now) {
-        Open job = open.get(id);
-        if (job == null || tasks <= job.started) {
-            return;
-        }
-        int more = Math.min(tasks, job.tasks) - job.started;
-        job.started += more;
-        job.count.started += more;
-        if (!job.hasBegun && job.started >= job.toBegin) {
-            job.hasBegun = true;
-            double afterS = job.waitedS(now);
-            if (!job.wasFound || afterS <= Sizes.BEGIN_S) { // of what was open before, nobody knows when it began
-                ofSize(job).began(afterS);
-            }
-            ofSize(job).served += job.isService ? 1 : 0;
-        }
-        for (Aim aim : job.aims) {
-            if (aim.of() == Aim.Of.EACH_START) {
-                Tally tally = job.count.tally(aim.name());
-                if (job.isPast(aim, now)) {
-                    tally.missed += more;
-                } else {
-                    tally.met += more;
-                }
-            }
-        }
-        withhold(job, job.withheld);
-        job.count.hungry(now, true);
+    /** Whether some task may start that has not yet; counted with the others of its group. */
+    void countWaiting() {
+      boolean now = started + withheld < tasks;
+      if (now != waits) {
+        waits = now;
+        count.waiting += now ? 1 : -1;
+      }
     }
-
-    /** So many tasks of an open job may not run now, by an agreed record; 0 from when they may. */
-    public void withheld(JobId id, int tasks, SteadyTime now) {
-        Open job = open.get(id);
-        if (job == null || tasks == 0 && job.withheldSince == null) {
-            return;
-        }
-        if (tasks > 0 && job.withheldSince == null) {
-            job.withheldSince = now;
-        } else if (tasks == 0) {
-            job.excused = job.excused.plus(now.since(job.withheldSince));
-            job.withheldSince = null;
-        }
-        withhold(job, tasks);
-        job.count.hungry(now, false);
+  }
+
+  private final Function<Job, List<Aim>> aims;
+  private final Map<Group, Count> counts = new TreeMap<>();
+  private final Map<JobId, Open> open = new HashMap<>();
+  private final Map<String, Sizes> sizes = new TreeMap<>();
+
+  /**
+   * @param aims what is expected of a job
+   */
+  public ServedBooks(Function<Job, List<Aim>> aims) {
+    this.aims = aims;
+  }
+
+  /** A job was accepted: once for each job, later calls change nothing. */
+  public void accepted(Job job, SteadyTime at) {
+    add(job, at, aims.apply(job), false);
+  }
+
+  /**
+   * A job was open when the counting began: when its tasks started that run already, nobody knows,
+   * so starts do not count.
+   */
+  public void found(Job job, SteadyTime at) {
+    add(job, at, aims.apply(job).stream().filter(aim -> aim.of() == Aim.Of.END).toList(), true);
+  }
+
+  private void add(Job job, SteadyTime at, List<Aim> ofJob, boolean wasFound) {
+    if (open.containsKey(job.id())) {
+      return;
     }
-
-    private static void withhold(Open job, int tasks) {
-        int notStarted = Math.min(tasks, job.tasks - job.started);
-        job.count.withheld += notStarted - job.withheld;
-        job.withheld = notStarted;
-        job.countWaiting();
+    Count count =
+        counts.computeIfAbsent(new Group(job.team(), job.jobClass()), group -> new Count());
+    Open opened = new Open(count, job, at, ofJob, wasFound);
+    open.put(job.id(), opened);
+    ofSize(opened).jobs++;
+    count.jobs++;
+    count.tasks += job.tasks();
+    count.waiting++;
+    count.hungry(at, false);
+  }
+
+  private Sizes.Tally ofSize(Open job) {
+    return sizes.computeIfAbsent(job.jobClass, name -> new Sizes()).of(job.step);
+  }
+
+  /**
+   * So many tasks of a job have been started or have ended so far: what is no news changes nothing.
+   */
+  public void started(JobId id, int tasks, SteadyTime now) {
+    Open job = open.get(id);
+    if (job == null || tasks <= job.started) {
+      return;
     }
-
-    /** So many tasks of an open job cannot be started now, because its team is at its limit. */
-    public void heldBack(JobId id, int tasks) {
-        Open job = open.get(id);
-        if (job != null) {
-            job.count.heldBack += tasks - job.heldBack;
-            job.heldBack = tasks;
-        }
+    int more = Math.min(tasks, job.tasks) - job.started;
+    job.started += more;
+    job.count.started += more;
+    if (!job.hasBegun && job.started >= job.toBegin) {
+      job.hasBegun = true;
+      double afterS = job.waitedS(now);
+      if (!job.wasFound
+          || afterS <= Sizes.BEGIN_S) { // of what was open before, nobody knows when it began
+        ofSize(job).began(afterS);
+      }
+      ofSize(job).served += job.isService ? 1 : 0;
     }
-
-    /** A job is done. */
-    public void done(JobId id, SteadyTime now) {
-        Open job = open.get(id);
-        if (job == null) {
-            return;
-        }
-        heldBack(id, 0);
-        withhold(job, 0);
-        started(id, job.tasks, now);
-        open.remove(id);
-        job.count.ended++;
-        ofSize(job).served += job.isService ? 0 : 1;
-        for (Aim aim : job.aims) {
-            if (aim.of() == Aim.Of.END) {
-                Tally tally = job.count.tally(aim.name());
-                if (job.isPast(aim, now)) {
-                    tally.missed++;
-                } else {
-                    tally.met++;
-                }
-            }
+    for (Aim aim : job.aims) {
+      if (aim.of() == Aim.Of.EACH_START) {
+        Tally tally = job.count.tally(aim.name());
+        if (job.isPast(aim, now)) {
+          tally.missed += more;
+        } else {
+          tally.met += more;
         }
+      }
     }
-
-    /** A job's user does not want it any more: what it did not get is nobody's fault. */
-    public void cancelled(JobId id, SteadyTime now) {
-        heldBack(id, 0);
-        Open job = open.remove(id);
-        if (job == null) {
-            return;
-        }
-        withhold(job, 0);
-        job.count.jobs--;
-        if (!job.hasBegun) {
-            ofSize(job).jobs--;
-        } else if (!job.isService) {
-            ofSize(job).served++; // it ran until nobody wanted it any more
-        }
-        job.count.tasks -= job.tasks - job.started;
-        if (job.started < job.tasks) {
-            job.count.waiting--;
-        }
-        job.count.hungry(now, false);
+    withhold(job, job.withheld);
+    job.count.hungry(now, true);
+  }
+
+  /** So many tasks of an open job may not run now, by an agreed record; 0 from when they may. */
+  public void withheld(JobId id, int tasks, SteadyTime now) {
+    Open job = open.get(id);
+    if (job == null || tasks == 0 && job.withheldSince == null) {
+      return;
     }
-
-    /** How many jobs are known that are not over: what the books hold in memory. */
-    public int openJobs() {
-        return open.size();
+    if (tasks > 0 && job.withheldSince == null) {
+      job.withheldSince = now;
+    } else if (tasks == 0) {
+      job.excused = job.excused.plus(now.since(job.withheldSince));
+      job.withheldSince = null;
     }
-
-    /** The ids of the jobs that are not over. */
-    public Collection<JobId> openIds() {
-        return open.keySet();
+    withhold(job, tasks);
+    job.count.hungry(now, false);
+  }
+
+  private static void withhold(Open job, int tasks) {
+    int notStarted = Math.min(tasks, job.tasks - job.started);
+    job.count.withheld += notStarted - job.withheld;
+    job.withheld = notStarted;
+    job.countWaiting();
+  }
+
+  /** So many tasks of an open job cannot be started now, because its team is at its limit. */
+  public void heldBack(JobId id, int tasks) {
+    Open job = open.get(id);
+    if (job != null) {
+      job.count.heldBack += tasks - job.heldBack;
+      job.heldBack = tasks;
     }
+  }
 
-    /** How each class of each team has been served so far. */
-    public Map<Group, Served> groups(SteadyTime now) {
-        return by(group -> group, now);
+  /** A job is done. */
+  public void done(JobId id, SteadyTime now) {
+    Open job = open.get(id);
+    if (job == null) {
+      return;
     }
-
-    /** How each team has been served so far. */
-    public Map<String, Served> teams(SteadyTime now) {
-        return by(Group::team, now);
+    heldBack(id, 0);
+    withhold(job, 0);
+    started(id, job.tasks, now);
+    open.remove(id);
+    job.count.ended++;
+    ofSize(job).served += job.isService ? 0 : 1;
+    for (Aim aim : job.aims) {
+      if (aim.of() == Aim.Of.END) {
+        Tally tally = job.count.tally(aim.name());
+        if (job.isPast(aim, now)) {
+          tally.missed++;
+        } else {
+          tally.met++;
+        }
+      }
     }
-
-    /** How each class has been served so far. */
-    public Map<String, Served> classes(SteadyTime now) {
-        return by(Group::jobClass, now);
+  }
+
+  /** A job's user does not want it any more: what it did not get is nobody's fault. */
+  public void cancelled(JobId id, SteadyTime now) {
+    heldBack(id, 0);
+    Open job = open.remove(id);
+    if (job == null) {
+      return;
     }
-
-    /** How the largest jobs of each class have fared so far: its largest tenth and its largest quarter. */
-    public Map<String, List<Largest>> largest(SteadyTime now) {
-        Map<String, Sizes> sums = new TreeMap<>();
-        sizes.forEach((name, each) -> sums.computeIfAbsent(name, n -> new Sizes()).add(each));
-        for (Open job : open.values()) {
-            // What its team's limit holds back is nobody's fault.
-            if (!job.hasBegun && job.started + job.heldBack < job.tasks) {
-                sums.get(job.jobClass).of(job.step).waits(job.waitedS(now));
-            }
-        }
-        Map<String, List<Largest>> largest = new TreeMap<>();
-        sums.forEach((name, sum) -> largest.put(name, sum.largest()));
-        return largest;
+    withhold(job, 0);
+    job.count.jobs--;
+    if (!job.hasBegun) {
+      ofSize(job).jobs--;
+    } else if (!job.isService) {
+      ofSize(job).served++; // it ran until nobody wanted it any more
     }
-
-    private <K> Map<K, Served> by(Function<Group, K> key, SteadyTime now) {
-        Map<Count, Count> late = new HashMap<>();
-        for (Open job : open.values()) {
-            Count count = late.computeIfAbsent(job.count, c -> new Count());
-            for (Aim aim : job.aims) {
-                if (job.isPast(aim, now)) {
-                    count.tally(aim.name()).missed += aim.of() == Aim.Of.END ? 1 : job.tasks - job.started - job.heldBack - job.withheld;
-                }
-            }
+    job.count.tasks -= job.tasks - job.started;
+    if (job.started < job.tasks) {
+      job.count.waiting--;
+    }
+    job.count.hungry(now, false);
+  }
+
+  /** How many jobs are known that are not over: what the books hold in memory. */
+  public int openJobs() {
+    return open.size();
+  }
+
+  /** The ids of the jobs that are not over. */
+  public Collection<JobId> openIds() {
+    return open.keySet();
+  }
+
+  /** How each class of each team has been served so far. */
+  public Map<Group, Served> groups(SteadyTime now) {
+    return by(group -> group, now);
+  }
+
+  /** How each team has been served so far. */
+  public Map<String, Served> teams(SteadyTime now) {
+    return by(Group::team, now);
+  }
+
+  /** How each class has been served so far. */
+  public Map<String, Served> classes(SteadyTime now) {
+    return by(Group::jobClass, now);
+  }
+
+  /**
+   * How the largest jobs of each class have fared so far: its largest tenth and its largest
+   * quarter.
+   */
+  public Map<String, List<Largest>> largest(SteadyTime now) {
+    Map<String, Sizes> sums = new TreeMap<>();
+    sizes.forEach((name, each) -> sums.computeIfAbsent(name, n -> new Sizes()).add(each));
+    for (Open job : open.values()) {
+      // What its team's limit holds back is nobody's fault.
+      if (!job.hasBegun && job.started + job.heldBack < job.tasks) {
+        sums.get(job.jobClass).of(job.step).waits(job.waitedS(now));
+      }
+    }
+    Map<String, List<Largest>> largest = new TreeMap<>();
+    sums.forEach((name, sum) -> largest.put(name, sum.largest()));
+    return largest;
+  }
+
+  private <K> Map<K, Served> by(Function<Group, K> key, SteadyTime now) {
+    Map<Count, Count> late = new HashMap<>();
+    for (Open job : open.values()) {
+      Count count = late.computeIfAbsent(job.count, c -> new Count());
+      for (Aim aim : job.aims) {
+        if (job.isPast(aim, now)) {
+          count.tally(aim.name()).missed +=
+              aim.of() == Aim.Of.END ? 1 : job.tasks - job.started - job.heldBack - job.withheld;
         }
-        Map<K, Count> sums = new TreeMap<>();
-        counts.forEach((group, count) -> {
-            Count sum = sums.computeIfAbsent(key.apply(group), k -> new Count());
-            sum.add(count, now);
-            if (late.containsKey(count)) {
-                sum.add(late.get(count), now);
-            }
+      }
+    }
+    Map<K, Count> sums = new TreeMap<>();
+    counts.forEach(
+        (group, count) -> {
+          Count sum = sums.computeIfAbsent(key.apply(group), k -> new Count());
+          sum.add(count, now);
+          if (late.containsKey(count)) {
+            sum.add(late.get(count), now);
+          }
         });
-        Map<K, Served> served = new TreeMap<>();
-        sums.forEach((each, sum) -> {
-            List<Served.Met> met = new ArrayList<>();
-            sum.aims.forEach((aim, tally) -> met.add(new Served.Met(aim, tally.met, tally.missed)));
-            served.put(each, new Served(sum.jobs, sum.ended, sum.tasks, sum.started, sum.tasks - sum.heldBack - sum.withheld, met, sum.starvedS));
+    Map<K, Served> served = new TreeMap<>();
+    sums.forEach(
+        (each, sum) -> {
+          List<Served.Met> met = new ArrayList<>();
+          sum.aims.forEach((aim, tally) -> met.add(new Served.Met(aim, tally.met, tally.missed)));
+          served.put(
+              each,
+              new Served(
+                  sum.jobs,
+                  sum.ended,
+                  sum.tasks,
+                  sum.started,
+                  sum.tasks - sum.heldBack - sum.withheld,
+                  met,
+                  sum.starvedS));
         });
-        return served;
-    }
+    return served;
+  }
 }
--- a/src/main/java/org/quincecross/silence/Aloneness.java
+++ b/src/main/java/org/quincecross/silence/Aloneness.java
@@ -6,189 +6,223 @@
 import org.quincecross.model.Token;
 
 /**
- * Whether a controller without word from the state service is alone in that, and so had better send its users elsewhere, or
- * whether nobody has any, and users' way back had better stay open.
+ * Whether a controller without word from the state service is alone in that, and so had better send
+ * its users elsewhere, or whether nobody has any, and users' way back had better stay open.
  *
- * <p>The state service cannot tell the two apart for it: a 503 that it alone gets looks as an outage does. Nor can the links to the
- * other controllers where they are lost in the same instant. The machines can. A block is leased anew by a write, and its new holder
- * tells its machines the new token: a machine that shows a token later than all that is known here proves that somebody writes. That
- * a controller's own machines go on reporting for long and show none says that nobody does: its membership ended seconds after the
- * loss, and its blocks would be with others.
+ * <p>The state service cannot tell the two apart for it: a 503 that it alone gets looks as an
+ * outage does. Nor can the links to the other controllers where they are lost in the same instant.
+ * The machines can. A block is leased anew by a write, and its new holder tells its machines the
+ * new token: a machine that shows a token later than all that is known here proves that somebody
+ * writes. That a controller's own machines go on reporting for long and show none says that nobody
+ * does: its membership ended seconds after the loss, and its blocks would be with others.
  */
 public final class Aloneness {
-    /** Without word for so long a controller asks whose silence it is; others' word that is older says nothing. */
-    public static final Span SILENT = Span.ofSeconds(3);
-    /** Who has had word within so long is served: in an outage of all the last word of one may be half a second after another's. */
-    static final Span SERVED = Span.ofSeconds(2);
-    /** Membership ends 3 s after the last renewal, and renewals are 0.9 s apart: no block is taken from the silent earlier. */
-    static final Span NOT_TAKEN_BEFORE = Span.ofSeconds(2);
-    /** Blocks of a member that is out are with others, and their machines told so, well before. */
-    static final Span TAKEN_BY = Span.ofSeconds(12);
-    /** Once back, the state service has to be heard for so long: each removal by the balancer doubles its pause. */
-    static final Span STEADY = Span.ofSeconds(2);
-
-    /** The states of a controller with regard to the state service and the others. */
-    public enum State {
-        /** The state service is heard. */
-        CONNECTED(true),
-        /** It is not, and nothing says yet whose silence it is. Ends with any word, or with {@link #TAKEN_BY}. */
-        UNCONFIRMED(true),
-        /** Nobody hears it, as far as can be known. Ends with word from it, or with a proof that others do hear it. */
-        OUTAGE_OF_ALL(true),
-        /** Others hear it. Ends with word from it, or when all others say that they have none either. */
-        ALONE(false),
-        /** Heard again, not yet for {@link #STEADY}. */
-        RETURNING(false);
-
-        private final boolean takesUsers;
-
-        State(boolean takesUsers) {
-            this.takesUsers = takesUsers;
-        }
-
-        /** Whether users should come here. */
-        public boolean takesUsers() {
-            return takesUsers;
-        }
-    }
-
+  /**
+   * Without word for so long a controller asks whose silence it is; others' word that is older says
+   * nothing.
+   */
+  public static final Span SILENT = Span.ofSeconds(3);
+
+  /**
+   * Who has had word within so long is served: in an outage of all the last word of one may be half
+   * a second after another's.
+   */
+  static final Span SERVED = Span.ofSeconds(2);
+
+  /**
+   * Membership ends 3 s after the last renewal, and renewals are 0.9 s apart: no block is taken
+   * from the silent earlier.
+   */
+  static final Span NOT_TAKEN_BEFORE = Span.ofSeconds(2);
+
+  /** Blocks of a member that is out are with others, and their machines told so, well before. */
+  static final Span TAKEN_BY = Span.ofSeconds(12);
+
+  /**
+   * Once back, the state service has to be heard for so long: each removal by the balancer doubles
+   * its pause.
+   */
+  static final Span STEADY = Span.ofSeconds(2);
+
+  /** The states of a controller with regard to the state service and the others. */
+  public enum State {
+    /** The state service is heard. */
+    CONNECTED(true),
     /**
-     * What another controller said last.
-     *
-     * @param at when that came; null: never
-     * @param unconfirmed how long it had been without word from the state service then
+     * It is not, and nothing says yet whose silence it is. Ends with any word, or with {@link
+     * #TAKEN_BY}.
      */
-    public record Word(SteadyTime at, Span unconfirmed) {
-        private boolean isFresh(SteadyTime now) {
-            return at != null && !now.since(at).isMoreThan(SILENT);
-        }
-
-        private Span unconfirmedBy(SteadyTime now) {
-            return unconfirmed.plus(now.since(at));
-        }
+    UNCONFIRMED(true),
+    /**
+     * Nobody hears it, as far as can be known. Ends with word from it, or with a proof that others
+     * do hear it.
+     */
+    OUTAGE_OF_ALL(true),
+    /**
+     * Others hear it. Ends with word from it, or when all others say that they have none either.
+     */
+    ALONE(false),
+    /** Heard again, not yet for {@link #STEADY}. */
+    RETURNING(false);
 
-        private boolean isServed(SteadyTime now) {
-            return at != null && !unconfirmedBy(now).isMoreThan(SERVED);
-        }
+    private final boolean takesUsers;
 
-        private boolean isOut(SteadyTime now) {
-            return isFresh(now) && unconfirmedBy(now).isMoreThan(SILENT);
-        }
+    State(boolean takesUsers) {
+      this.takesUsers = takesUsers;
     }
 
-    private final boolean first;
-    private State state = State.CONNECTED;
-    private SteadyTime since;
-    private SteadyTime confirmed;
-    /** Tokens up to here may have been written before the loss. */
-    private Token floor = Token.NONE;
-    private boolean othersWrite;
-    private SteadyTime ownMachine;
-    /** Since when others have had word again while this one has none; null where none has. */
-    private SteadyTime othersBack;
-
-    /** @param first whether this controller stays in where nothing at all tells whose silence it is: one of all does */
-    public Aloneness(boolean first, SteadyTime now) {
-        this.first = first;
-        this.since = now;
-        this.confirmed = now;
+    /** Whether users should come here. */
+    public boolean takesUsers() {
+      return takesUsers;
     }
-
-    public State state() {
-        return state;
+  }
+
+  /**
+   * What another controller said last.
+   *
+   * @param at when that came; null: never
+   * @param unconfirmed how long it had been without word from the state service then
+   */
+  public record Word(SteadyTime at, Span unconfirmed) {
+    private boolean isFresh(SteadyTime now) {
+      return at != null && !now.since(at).isMoreThan(SILENT);
     }
 
-    /** The one place where the state changes. */
-    private void enter(State next, SteadyTime now) {
-        if (next != state) {
-            state = next;
-            since = now;
-        }
+    private Span unconfirmedBy(SteadyTime now) {
+      return unconfirmed.plus(now.since(at));
     }
 
-    /**
-     * A machine has reported.
-     *
-     * @param token the highest that it has seen
-     * @param known everything that was written up to here is known to this controller
-     * @param own whether this controller holds its block, as far as it knows
-     */
-    public void machine(Token token, Token known, boolean own, SteadyTime now) {
-        Span silence = now.since(confirmed);
-        if (!silence.isMoreThan(NOT_TAKEN_BEFORE)) {
-            // Written in the very moment of the loss, perhaps: says nothing of what came after.
-            floor = token.isAfter(floor) ? token : floor;
-        } else if (token.isAfter(known) && token.isAfter(floor)) {
-            othersWrite = true;
-        } else if (own && silence.isMoreThan(TAKEN_BY)) {
-            ownMachine = now;
-        }
+    private boolean isServed(SteadyTime now) {
+      return at != null && !unconfirmedBy(now).isMoreThan(SERVED);
     }
 
-    /**
-     * Weighs what there is; to be called twice a second and where it matters.
-     *
-     * @param heard when the state service was asked what it last answered
-     * @param words what each of the others said last
-     */
-    public void look(SteadyTime heard, Collection<Word> words, SteadyTime now) {
-        if (confirmed.isBefore(heard)) {
-            confirmed = heard;
-        }
-        boolean othersServed = words.stream().anyMatch(word -> word.isServed(now));
-        if (!now.since(confirmed).isMoreThan(SILENT)) {
-            back(othersServed, now);
-            return;
-        }
-        boolean allSayOut = !words.isEmpty() && words.stream().allMatch(word -> word.isOut(now));
-        boolean someSayOut = words.stream().anyMatch(word -> word.isOut(now));
-        if (!othersServed) {
-            othersBack = null;
-        } else if (othersBack == null) {
-            othersBack = now;
-        }
-        if (othersServed && (state != State.OUTAGE_OF_ALL || now.since(othersBack).isMoreThan(SILENT))) {
-            enter(State.ALONE, now);
-        } else if (othersServed) {
-            enter(State.OUTAGE_OF_ALL, now); // it is over, and word reaches one a moment before another
-        } else if (allSayOut) {
-            // Whatever was proven before: by now all of them are out, and say so themselves.
-            othersWrite = false;
-            enter(State.OUTAGE_OF_ALL, now);
-        } else if (othersWrite) {
-            enter(State.ALONE, now);
-        } else if (someSayOut) {
-            enter(State.OUTAGE_OF_ALL, now);
-        } else if (state == State.RETURNING) {
-            enter(State.ALONE, now);
-        } else if (state != State.ALONE) {
-            nobodySaysAnything(now);
-        }
+    private boolean isOut(SteadyTime now) {
+      return isFresh(now) && unconfirmedBy(now).isMoreThan(SILENT);
     }
-
-    private void nobodySaysAnything(SteadyTime now) {
-        if (!now.since(confirmed).isMoreThan(TAKEN_BY)) {
-            if (state == State.CONNECTED) {
-                enter(State.UNCONFIRMED, now);
-            }
-        } else if (first || state == State.OUTAGE_OF_ALL || ownMachine != null && confirmed.isBefore(ownMachine)) {
-            enter(State.OUTAGE_OF_ALL, now);
-        } else if (now.since(confirmed).isMoreThan(TAKEN_BY.plus(SILENT))) {
-            enter(State.ALONE, now);
-        }
+  }
+
+  private final boolean first;
+  private State state = State.CONNECTED;
+  private SteadyTime since;
+  private SteadyTime confirmed;
+
+  /** Tokens up to here may have been written before the loss. */
+  private Token floor = Token.NONE;
+
+  private boolean othersWrite;
+  private SteadyTime ownMachine;
+
+  /** Since when others have had word again while this one has none; null where none has. */
+  private SteadyTime othersBack;
+
+  /**
+   * @param first whether this controller stays in where nothing at all tells whose silence it is:
+   *     one of all does
+   */
+  public Aloneness(boolean first, SteadyTime now) {
+    this.first = first;
+    this.since = now;
+    this.confirmed = now;
+  }
+
+  public State state() {
+    return state;
+  }
+
+  /** The one place where the state changes. */
+  private void enter(State next, SteadyTime now) {
+    if (next != state) {
+      state = next;
+      since = now;
     }
-
-    private void back(boolean othersServed, SteadyTime now) {
-        othersWrite = false;
-        othersBack = null;
-        switch (state) {
-            case ALONE -> enter(othersServed ? State.RETURNING : State.CONNECTED, now);
-            case RETURNING -> {
-                if (!othersServed || now.since(since).isMoreThan(STEADY)) {
-                    enter(State.CONNECTED, now);
-                }
-            }
-            default -> enter(State.CONNECTED, now);
+  }
+
+  /**
+   * A machine has reported.
+   *
+   * @param token the highest that it has seen
+   * @param known everything that was written up to here is known to this controller
+   * @param own whether this controller holds its block, as far as it knows
+   */
+  public void machine(Token token, Token known, boolean own, SteadyTime now) {
+    Span silence = now.since(confirmed);
+    if (!silence.isMoreThan(NOT_TAKEN_BEFORE)) {
+      // Written in the very moment of the loss, perhaps: says nothing of what came after.
+      floor = token.isAfter(floor) ? token : floor;
+    } else if (token.isAfter(known) && token.isAfter(floor)) {
+      othersWrite = true;
+    } else if (own && silence.isMoreThan(TAKEN_BY)) {
+      ownMachine = now;
+    }
+  }
+
+  /**
+   * Weighs what there is; to be called twice a second and where it matters.
+   *
+   * @param heard when the state service was asked what it last answered
+   * @param words what each of the others said last
+   */
+  public void look(SteadyTime heard, Collection<Word> words, SteadyTime now) {
+    if (confirmed.isBefore(heard)) {
+      confirmed = heard;
+    }
+    boolean othersServed = words.stream().anyMatch(word -> word.isServed(now));
+    if (!now.since(confirmed).isMoreThan(SILENT)) {
+      back(othersServed, now);
+      return;
+    }
+    boolean allSayOut = !words.isEmpty() && words.stream().allMatch(word -> word.isOut(now));
+    boolean someSayOut = words.stream().anyMatch(word -> word.isOut(now));
+    if (!othersServed) {
+      othersBack = null;
+    } else if (othersBack == null) {
+      othersBack = now;
+    }
+    if (othersServed
+        && (state != State.OUTAGE_OF_ALL || now.since(othersBack).isMoreThan(SILENT))) {
+      enter(State.ALONE, now);
+    } else if (othersServed) {
+      enter(State.OUTAGE_OF_ALL, now); // it is over, and word reaches one a moment before another
+    } else if (allSayOut) {
+      // Whatever was proven before: by now all of them are out, and say so themselves.
+      othersWrite = false;
+      enter(State.OUTAGE_OF_ALL, now);
+    } else if (othersWrite) {
+      enter(State.ALONE, now);
+    } else if (someSayOut) {
+      enter(State.OUTAGE_OF_ALL, now);
+    } else if (state == State.RETURNING) {
+      enter(State.ALONE, now);
+    } else if (state != State.ALONE) {
+      nobodySaysAnything(now);
+    }
+  }
+
+  private void nobodySaysAnything(SteadyTime now) {
+    if (!now.since(confirmed).isMoreThan(TAKEN_BY)) {
+      if (state == State.CONNECTED) {
+        enter(State.UNCONFIRMED, now);
+      }
+    } else if (first
+        || state == State.OUTAGE_OF_ALL
+        || ownMachine != null && confirmed.isBefore(ownMachine)) {
+      enter(State.OUTAGE_OF_ALL, now);
+    } else if (now.since(confirmed).isMoreThan(TAKEN_BY.plus(SILENT))) {
+      enter(State.ALONE, now);
+    }
+  }
+
+  private void back(boolean othersServed, SteadyTime now) {
+    othersWrite = false;
+    othersBack = null;
+    switch (state) {
+      case ALONE -> enter(othersServed ? State.RETURNING : State.CONNECTED, now);
+      case RETURNING -> {
+        if (!othersServed || now.since(since).isMoreThan(STEADY)) {
+          enter(State.CONNECTED, now);
         }
+      }
+      default -> enter(State.CONNECTED, now);
     }
+  }
 }
--- a/src/main/java/org/quincecross/silence/Deafness.java
+++ b/src/main/java/org/quincecross/silence/Deafness.java
@@ -6,163 +6,185 @@
 /**
  * Whether a machine that speaks also hears, as its reports tell the controller that answers them.
  *
- * <p>A worker whose report was answered stays with the controller that answered it and reports there again soon, with the next
- * number. One that has not got the answer gives up after {@link #GIVES_UP}, goes to the next controller a second later, and comes
- * back only when it has been round all of them; once its lease is over it has a new session. So a machine that speaks and does not
- * hear looks alive and empty, the best of all places for work, again at each round
- * (docs/incidents/deaf-machines.md). Nothing here proves that anything is gone: what is bound to the machine is freed by its
- * sessions and leases, as ever. This says only whether to give it more.
+ * <p>A worker whose report was answered stays with the controller that answered it and reports
+ * there again soon, with the next number. One that has not got the answer gives up after {@link
+ * #GIVES_UP}, goes to the next controller a second later, and comes back only when it has been
+ * round all of them; once its lease is over it has a new session. So a machine that speaks and does
+ * not hear looks alive and empty, the best of all places for work, again at each round
+ * (docs/incidents/deaf-machines.md). Nothing here proves that anything is gone: what is bound to
+ * the machine is freed by its sessions and leases, as ever. This says only whether to give it more.
  */
 public final class Deafness {
-    /** A worker waits so long for the answer to a report. */
-    static final Span GIVES_UP = Span.ofSeconds(4);
-    /** Direct commands without an answer, one after the other, that count as a sign. */
-    static final int COMMANDS_UNANSWERED = 2;
-    /** A machine that is deaf again so soon is believed less easily than before. */
-    static final Span RELAPSE = Span.ofSeconds(60);
-    static final int MOST_TRIALS = 16;
-
-    /** The states of a machine that speaks. */
-    public enum State {
-        /** As far as is known: it takes work. */
-        HEARS,
-        /** One sign that an answer or a command did not arrive. Ends with the first sign that one did, or with the second that not. */
-        SUSPECTED,
-        /** Several signs, or a session that ended within a lease of an answer. Each answer to a report tries it, without work. */
-        DEAF,
-        /** It has heard, and has been deaf again and again before: it has to hear for some more reports in a row. */
-        TRIED
-    }
+  /** A worker waits so long for the answer to a report. */
+  static final Span GIVES_UP = Span.ofSeconds(4);
 
-    private State state = State.HEARS;
-    private SteadyTime heardAt;
-    private SteadyTime deafAt;
-    private SteadyTime answeredAt;
-    private long answeredSession;
-    private long known;
-    private int unanswered;
-    private int trials = 1;
-    private int trialsLeft;
-
-    /** @param now until now nothing speaks against the machine */
-    public Deafness(SteadyTime now) {
-        heardAt = now;
-    }
+  /** Direct commands without an answer, one after the other, that count as a sign. */
+  static final int COMMANDS_UNANSWERED = 2;
 
-    /** The one place where the state changes. */
-    private void enter(State next) {
-        state = next;
-    }
+  /** A machine that is deaf again so soon is believed less easily than before. */
+  static final Span RELAPSE = Span.ofSeconds(60);
 
-    public State state() {
-        return state;
-    }
-
-    /** Whether it may be given work. */
-    public boolean hears() {
-        return state == State.HEARS;
-    }
-
-    /** For how long nothing has shown that it hears, while something shows that it does not; else zero. */
-    public Span deafFor(SteadyTime now) {
-        return state == State.HEARS ? Span.ZERO : now.since(heardAt);
-    }
+  static final int MOST_TRIALS = 16;
 
+  /** The states of a machine that speaks. */
+  public enum State {
+    /** As far as is known: it takes work. */
+    HEARS,
+    /**
+     * One sign that an answer or a command did not arrive. Ends with the first sign that one did,
+     * or with the second that not.
+     */
+    SUSPECTED,
     /**
-     * A report came that is newer than all before it.
-     *
-     * @param session the worker's session
-     * @param number the report's number
-     * @param lease how long a lease lasts
+     * Several signs, or a session that ended within a lease of an answer. Each answer to a report
+     * tries it, without work.
      */
-    public void reported(long session, long number, Span lease, SteadyTime now) {
-        if (answeredAt != null) {
-            boolean late = !GIVES_UP.isMoreThan(now.since(answeredAt));
-            if (session != answeredSession) {
-                // Had it taken the answer, its lease would have begun anew with the report that was answered.
-                if (now.since(answeredAt).isMoreThan(lease)) {
-                    unheard(now);
-                } else {
-                    relapse(now);
-                }
-            } else if (number == known + 1) {
-                // However late it is: a worker that has not got an answer has reported to the others before it is here again. Where
-                // reports are due every five seconds, each comes later than an answer is waited for.
-                heard(now);
-            } else if (late) {
-                unheard(now);
-            }
+    DEAF,
+    /**
+     * It has heard, and has been deaf again and again before: it has to hear for some more reports
+     * in a row.
+     */
+    TRIED
+  }
+
+  private State state = State.HEARS;
+  private SteadyTime heardAt;
+  private SteadyTime deafAt;
+  private SteadyTime answeredAt;
+  private long answeredSession;
+  private long known;
+  private int unanswered;
+  private int trials = 1;
+  private int trialsLeft;
+
+  /**
+   * @param now until now nothing speaks against the machine
+   */
+  public Deafness(SteadyTime now) {
+    heardAt = now;
+  }
+
+  /** The one place where the state changes. */
+  private void enter(State next) {
+    state = next;
+  }
+
+  public State state() {
+    return state;
+  }
+
+  /** Whether it may be given work. */
+  public boolean hears() {
+    return state == State.HEARS;
+  }
+
+  /**
+   * For how long nothing has shown that it hears, while something shows that it does not; else
+   * zero.
+   */
+  public Span deafFor(SteadyTime now) {
+    return state == State.HEARS ? Span.ZERO : now.since(heardAt);
+  }
+
+  /**
+   * A report came that is newer than all before it.
+   *
+   * @param session the worker's session
+   * @param number the report's number
+   * @param lease how long a lease lasts
+   */
+  public void reported(long session, long number, Span lease, SteadyTime now) {
+    if (answeredAt != null) {
+      boolean late = !GIVES_UP.isMoreThan(now.since(answeredAt));
+      if (session != answeredSession) {
+        // Had it taken the answer, its lease would have begun anew with the report that was
+        // answered.
+        if (now.since(answeredAt).isMoreThan(lease)) {
+          unheard(now);
+        } else {
+          relapse(now);
         }
-        known = number;
-    }
-
-    /** Its last report was answered. */
-    public void answered(long session, SteadyTime now) {
-        answeredAt = now;
-        answeredSession = session;
-    }
-
-    /** A direct command was answered; {@code number}: that of the answer. */
-    public void commandAnswered(long number, SteadyTime now) {
-        unanswered = 0;
-        known = Math.max(known, number);
+      } else if (number == known + 1) {
+        // However late it is: a worker that has not got an answer has reported to the others before
+        // it is here again. Where
+        // reports are due every five seconds, each comes later than an answer is waited for.
         heard(now);
+      } else if (late) {
+        unheard(now);
+      }
     }
-
-    /** A direct command was sent and not answered in time. */
-    public void commandUnanswered() {
-        if (++unanswered >= COMMANDS_UNANSWERED && state == State.HEARS) {
-            enter(State.SUSPECTED);
-        }
+    known = number;
+  }
+
+  /** Its last report was answered. */
+  public void answered(long session, SteadyTime now) {
+    answeredAt = now;
+    answeredSession = session;
+  }
+
+  /** A direct command was answered; {@code number}: that of the answer. */
+  public void commandAnswered(long number, SteadyTime now) {
+    unanswered = 0;
+    known = Math.max(known, number);
+    heard(now);
+  }
+
+  /** A direct command was sent and not answered in time. */
+  public void commandUnanswered() {
+    if (++unanswered >= COMMANDS_UNANSWERED && state == State.HEARS) {
+      enter(State.SUSPECTED);
     }
-
-    /** It has shown a token that it had not seen before it was told it: it hears, whatever was known. */
-    public void shownToken(SteadyTime now) {
-        heardAt = now;
-        unanswered = 0;
-        enter(State.HEARS);
+  }
+
+  /**
+   * It has shown a token that it had not seen before it was told it: it hears, whatever was known.
+   */
+  public void shownToken(SteadyTime now) {
+    heardAt = now;
+    unanswered = 0;
+    enter(State.HEARS);
+  }
+
+  /** A report proves that an answer was not taken that was sent long enough before to arrive. */
+  public void noneTaken(SteadyTime now) {
+    if (answeredAt != null && !GIVES_UP.isMoreThan(now.since(answeredAt))) {
+      relapse(now);
     }
-
-    /** A report proves that an answer was not taken that was sent long enough before to arrive. */
-    public void noneTaken(SteadyTime now) {
-        if (answeredAt != null && !GIVES_UP.isMoreThan(now.since(answeredAt))) {
-            relapse(now);
+  }
+
+  private void heard(SteadyTime now) {
+    heardAt = now;
+    switch (state) {
+      case HEARS -> {
+        if (trials > 1 && now.since(deafAt).isMoreThan(RELAPSE)) {
+          trials = 1;
         }
-    }
-
-    private void heard(SteadyTime now) {
-        heardAt = now;
-        switch (state) {
-            case HEARS -> {
-                if (trials > 1 && now.since(deafAt).isMoreThan(RELAPSE)) {
-                    trials = 1;
-                }
-            }
-            case SUSPECTED -> enter(State.HEARS);
-            case DEAF -> {
-                trialsLeft = trials - 1;
-                trials = Math.min(MOST_TRIALS, 2 * trials);
-                enter(trialsLeft == 0 ? State.HEARS : State.TRIED);
-            }
-            case TRIED -> {
-                if (--trialsLeft <= 0) {
-                    enter(State.HEARS);
-                }
-            }
-            default -> throw new IllegalStateException(state.toString());
+      }
+      case SUSPECTED -> enter(State.HEARS);
+      case DEAF -> {
+        trialsLeft = trials - 1;
+        trials = Math.min(MOST_TRIALS, 2 * trials);
+        enter(trialsLeft == 0 ? State.HEARS : State.TRIED);
+      }
+      case TRIED -> {
+        if (--trialsLeft <= 0) {
+          enter(State.HEARS);
         }
+      }
+      default -> throw new IllegalStateException(state.toString());
     }
+  }
 
-    private void unheard(SteadyTime now) {
-        if (state == State.HEARS) {
-            enter(State.SUSPECTED);
-        } else {
-            relapse(now);
-        }
+  private void unheard(SteadyTime now) {
+    if (state == State.HEARS) {
+      enter(State.SUSPECTED);
+    } else {
+      relapse(now);
     }
+  }
 
-    private void relapse(SteadyTime now) {
-        deafAt = now;
-        enter(State.DEAF);
-    }
+  private void relapse(SteadyTime now) {
+    deafAt = now;
+    enter(State.DEAF);
+  }
 }
