--- a/src/main/java/org/quincecross/silence/Hearing.java
+++ b/src/main/java/org/quincecross/silence/Hearing.java
@@ -7,93 +7,102 @@
 import org.quincecross.model.SteadyTime;
 
 /**
- * Which controllers hear the machines of which zones, as far as blocks that were taken from them tell.
+ * Which controllers hear the machines of which zones, as far as blocks that were taken from them
+ * tell.
  *
- * <p>A controller that is cut off from the machines alone is as live as any and, once its blocks have gone to others, has the least
- * to do of all. Without this memory it is given blocks again at once, the machines hang on it until their leases are nearly over,
- * and so on every few seconds for as long as the cut lasts (docs/incidents/inc-6ced.md). Kept by the leader alone: the next one
+ * <p>A controller that is cut off from the machines alone is as live as any and, once its blocks
+ * have gone to others, has the least to do of all. Without this memory it is given blocks again at
+ * once, the machines hang on it until their leases are nearly over, and so on every few seconds for
+ * as long as the cut lasts (docs/incidents/inc-6ced.md). Kept by the leader alone: the next one
  * finds out anew.
  */
 public final class Hearing {
-    /** The pause before the first trial; each that fails doubles it. */
-    static final Span FIRST_PAUSE = Span.ofSeconds(12);
-    static final Span LONGEST_PAUSE = Span.ofSeconds(96);
-    /** A trial that says nothing for so long, one way or the other, has failed. */
-    static final Span TRIAL = Span.ofSeconds(12);
+  /** The pause before the first trial; each that fails doubles it. */
+  static final Span FIRST_PAUSE = Span.ofSeconds(12);
 
-    /** The states of a controller with regard to the machines of a zone. */
-    public enum State {
-        /** As far as is known. */
-        HEARS,
-        /** Not to be given any block of the zone before the pause is over. */
-        DEAF,
-        /** The pause is over: it may be given one block, the smallest. */
-        TO_BE_TRIED,
-        /** It has been given that block. Ends with the machines obeying it, with the block taken away again, or with time. */
-        ON_TRIAL
-    }
+  static final Span LONGEST_PAUSE = Span.ofSeconds(96);
 
-    private record Place(MemberId member, String zone) {
-    }
+  /** A trial that says nothing for so long, one way or the other, has failed. */
+  static final Span TRIAL = Span.ofSeconds(12);
 
-    private static final class Ear {
-        private State state = State.HEARS;
-        private SteadyTime until;
-        private Span pause = FIRST_PAUSE;
-    }
+  /** The states of a controller with regard to the machines of a zone. */
+  public enum State {
+    /** As far as is known. */
+    HEARS,
+    /** Not to be given any block of the zone before the pause is over. */
+    DEAF,
+    /** The pause is over: it may be given one block, the smallest. */
+    TO_BE_TRIED,
+    /**
+     * It has been given that block. Ends with the machines obeying it, with the block taken away
+     * again, or with time.
+     */
+    ON_TRIAL
+  }
 
-    private final Map<Place, Ear> ears = new HashMap<>();
+  private record Place(MemberId member, String zone) {}
 
-    /** The one place where an ear changes its state. */
-    private static void enter(Ear ear, State next, SteadyTime until) {
-        ear.state = next;
-        ear.until = until;
-    }
+  private static final class Ear {
+    private State state = State.HEARS;
+    private SteadyTime until;
+    private Span pause = FIRST_PAUSE;
+  }
 
-    private static void pause(Ear ear, SteadyTime now) {
-        enter(ear, State.DEAF, now.plus(ear.pause));
-        ear.pause = ear.pause.times(2).isMoreThan(LONGEST_PAUSE) ? LONGEST_PAUSE : ear.pause.times(2);
-    }
+  private final Map<Place, Ear> ears = new HashMap<>();
 
-    /** A block of a zone was taken from a controller that does not hear its machines, while others do. */
-    public void missed(MemberId member, String zone, SteadyTime now) {
-        Ear ear = ears.computeIfAbsent(new Place(member, zone), place -> new Ear());
-        if (ear.state != State.DEAF) { // several blocks are found at once
-            pause(ear, now);
-        }
+  /** The one place where an ear changes its state. */
+  private static void enter(Ear ear, State next, SteadyTime until) {
+    ear.state = next;
+    ear.until = until;
+  }
+
+  private static void pause(Ear ear, SteadyTime now) {
+    enter(ear, State.DEAF, now.plus(ear.pause));
+    ear.pause = ear.pause.times(2).isMoreThan(LONGEST_PAUSE) ? LONGEST_PAUSE : ear.pause.times(2);
+  }
+
+  /**
+   * A block of a zone was taken from a controller that does not hear its machines, while others do.
+   */
+  public void missed(MemberId member, String zone, SteadyTime now) {
+    Ear ear = ears.computeIfAbsent(new Place(member, zone), place -> new Ear());
+    if (ear.state != State.DEAF) { // several blocks are found at once
+      pause(ear, now);
     }
+  }
 
-    /** A block of a zone went to a controller. */
-    public void given(MemberId member, String zone, SteadyTime now) {
-        if (of(member, zone, now) == State.TO_BE_TRIED) {
-            enter(ears.get(new Place(member, zone)), State.ON_TRIAL, now.plus(TRIAL));
-        }
+  /** A block of a zone went to a controller. */
+  public void given(MemberId member, String zone, SteadyTime now) {
+    if (of(member, zone, now) == State.TO_BE_TRIED) {
+      enter(ears.get(new Place(member, zone)), State.ON_TRIAL, now.plus(TRIAL));
     }
+  }
 
-    /** All machines of a block of the zone obey the controller and report to it. */
-    public void heard(MemberId member, String zone, SteadyTime now) {
-        if (of(member, zone, now) == State.ON_TRIAL) {
-            ears.remove(new Place(member, zone));
-        }
+  /** All machines of a block of the zone obey the controller and report to it. */
+  public void heard(MemberId member, String zone, SteadyTime now) {
+    if (of(member, zone, now) == State.ON_TRIAL) {
+      ears.remove(new Place(member, zone));
     }
+  }
 
-    public State of(MemberId member, String zone, SteadyTime now) {
-        Ear ear = ears.get(new Place(member, zone));
-        if (ear == null) {
-            return State.HEARS;
-        }
-        if (!now.isBefore(ear.until)) {
-            switch (ear.state) {
-                case DEAF -> enter(ear, State.TO_BE_TRIED, ear.until.plus(LONGEST_PAUSE));
-                case ON_TRIAL -> pause(ear, now);
-                case TO_BE_TRIED -> {
-                    // Nobody had a block to spare for it, for so long that what is known says nothing any more.
-                    ears.remove(new Place(member, zone));
-                    return State.HEARS;
-                }
-                default -> throw new IllegalStateException(ear.state.toString());
-            }
+  public State of(MemberId member, String zone, SteadyTime now) {
+    Ear ear = ears.get(new Place(member, zone));
+    if (ear == null) {
+      return State.HEARS;
+    }
+    if (!now.isBefore(ear.until)) {
+      switch (ear.state) {
+        case DEAF -> enter(ear, State.TO_BE_TRIED, ear.until.plus(LONGEST_PAUSE));
+        case ON_TRIAL -> pause(ear, now);
+        case TO_BE_TRIED -> {
+          // Nobody had a block to spare for it, for so long that what is known says nothing any
+          // more.
+          ears.remove(new Place(member, zone));
+          return State.HEARS;
         }
-        return ear.state;
+        default -> throw new IllegalStateException(ear.state.toString());
+      }
     }
+    return ear.state;
+  }
 }
--- a/src/main/java/org/quincecross/silence/LinkWatch.java
+++ b/src/main/java/org/quincecross/silence/LinkWatch.java
@@ -6,58 +6,68 @@
 /**
  * Whether what is sent to another controller arrives there, as its receipts tell.
  *
- * <p>A connection that was open while the other side was silent for a minute is tried again by TCP after a pause that has grown to
- * the length of that silence: whoever waits for it is not heard for another minute after the other side is back, and nothing says
- * so (docs/incidents/blind-after-silence.md). A new connection is heard at once.
+ * <p>A connection that was open while the other side was silent for a minute is tried again by TCP
+ * after a pause that has grown to the length of that silence: whoever waits for it is not heard for
+ * another minute after the other side is back, and nothing says so
+ * (docs/incidents/blind-after-silence.md). A new connection is heard at once.
  */
 public final class LinkWatch {
-    /** Reports go out twice a second, and each is answered by the receipt in the next one that comes back. */
-    static final Span PATIENCE = Span.ofSeconds(3);
-
-    /** The states of a link. */
-    public enum State {
-        /** Nothing that was sent waits for a receipt. */
-        ACKNOWLEDGED,
-        /** Something was sent, and no receipt has come since. Ends with a receipt, or after {@link #PATIENCE}. */
-        WAITING
-    }
+  /**
+   * Reports go out twice a second, and each is answered by the receipt in the next one that comes
+   * back.
+   */
+  static final Span PATIENCE = Span.ofSeconds(3);
 
-    private State state = State.ACKNOWLEDGED;
-    private SteadyTime since;
-    private long received = -1;
+  /** The states of a link. */
+  public enum State {
+    /** Nothing that was sent waits for a receipt. */
+    ACKNOWLEDGED,
+    /**
+     * Something was sent, and no receipt has come since. Ends with a receipt, or after {@link
+     * #PATIENCE}.
+     */
+    WAITING
+  }
 
-    /** The one place where a link changes its state. */
-    private void enter(State next, SteadyTime now) {
-        state = next;
-        since = now;
-    }
+  private State state = State.ACKNOWLEDGED;
+  private SteadyTime since;
+  private long received = -1;
 
-    /** A report went out. */
-    public void sent(SteadyTime now) {
-        if (state == State.ACKNOWLEDGED) {
-            enter(State.WAITING, now);
-        }
+  /** The one place where a link changes its state. */
+  private void enter(State next, SteadyTime now) {
+    state = next;
+    since = now;
+  }
+
+  /** A report went out. */
+  public void sent(SteadyTime now) {
+    if (state == State.ACKNOWLEDGED) {
+      enter(State.WAITING, now);
     }
+  }
 
-    /**
-     * A receipt came.
-     *
-     * @param number the last report that the other side has, with all before it
-     * @param gap whether a report came there that builds on one that did not
-     */
-    public void receipt(long number, boolean gap, SteadyTime now) {
-        if (number != received || gap) {
-            received = number;
-            enter(State.ACKNOWLEDGED, now);
-        }
+  /**
+   * A receipt came.
+   *
+   * @param number the last report that the other side has, with all before it
+   * @param gap whether a report came there that builds on one that did not
+   */
+  public void receipt(long number, boolean gap, SteadyTime now) {
+    if (number != received || gap) {
+      received = number;
+      enter(State.ACKNOWLEDGED, now);
     }
+  }
 
-    /** Whether the connection is to be made anew. If it is said so, it is not said again before {@link #PATIENCE} is over. */
-    public boolean takeStuck(SteadyTime now) {
-        if (state != State.WAITING || !now.since(since).isMoreThan(PATIENCE)) {
-            return false;
-        }
-        enter(State.WAITING, now);
-        return true;
+  /**
+   * Whether the connection is to be made anew. If it is said so, it is not said again before {@link
+   * #PATIENCE} is over.
+   */
+  public boolean takeStuck(SteadyTime now) {
+    if (state != State.WAITING || !now.since(since).isMoreThan(PATIENCE)) {
+      return false;
     }
+    enter(State.WAITING, now);
+    return true;
+  }
 }
--- a/src/main/java/org/quincecross/silence/Moves.java
+++ b/src/main/java/org/quincecross/silence/Moves.java
@@ -10,62 +10,71 @@
 /**
  * Which machines' reports to other controllers speak for moving their block.
  *
- * <p>A machine that reports to others because its holder does not answer it is served by another one: that is one controller's
- * trouble. If the next holder is not heard either, the machine hears nobody, and goes the round of all controllers for as long as
- * that lasts; to move its block each time it arrives at another one would put off, for all the other machines of the block, the
- * moment at which all is settled. Kept by the leader alone.
+ * <p>A machine that reports to others because its holder does not answer it is served by another
+ * one: that is one controller's trouble. If the next holder is not heard either, the machine hears
+ * nobody, and goes the round of all controllers for as long as that lasts; to move its block each
+ * time it arrives at another one would put off, for all the other machines of the block, the moment
+ * at which all is settled. Kept by the leader alone.
  */
 public final class Moves {
-    /** The pause after the first move; each further one doubles it, until the machine has obeyed a holder. */
-    static final Span FIRST_PAUSE = Span.ofSeconds(36);
-    static final Span LONGEST_PAUSE = Span.ofSeconds(288);
+  /**
+   * The pause after the first move; each further one doubles it, until the machine has obeyed a
+   * holder.
+   */
+  static final Span FIRST_PAUSE = Span.ofSeconds(36);
 
-    /** The states of a machine with regard to the controllers. */
-    public enum State {
-        /** Where it reports says who hears it. */
-        COUNTS,
-        /** Its block has been moved for its sake, and it has not obeyed since: ends with its obeying, or with the pause. */
-        MOVED
-    }
+  static final Span LONGEST_PAUSE = Span.ofSeconds(288);
 
-    private static final class Mark {
-        private State state = State.COUNTS;
-        private SteadyTime until;
-        private Span pause = FIRST_PAUSE;
-    }
+  /** The states of a machine with regard to the controllers. */
+  public enum State {
+    /** Where it reports says who hears it. */
+    COUNTS,
+    /**
+     * Its block has been moved for its sake, and it has not obeyed since: ends with its obeying, or
+     * with the pause.
+     */
+    MOVED
+  }
 
-    private final Map<MachineId, Mark> marks = new HashMap<>();
+  private static final class Mark {
+    private State state = State.COUNTS;
+    private SteadyTime until;
+    private Span pause = FIRST_PAUSE;
+  }
 
-    /** The one place where a machine changes its state. */
-    private static void enter(Mark mark, State next, SteadyTime until) {
-        mark.state = next;
-        mark.until = until;
-    }
+  private final Map<MachineId, Mark> marks = new HashMap<>();
 
-    /** A block was moved because these machines of it reported to others. */
-    public void moved(Collection<MachineId> machines, SteadyTime now) {
-        for (MachineId machine : machines) {
-            Mark mark = marks.computeIfAbsent(machine, id -> new Mark());
-            enter(mark, State.MOVED, now.plus(mark.pause));
-            mark.pause = mark.pause.times(2).isMoreThan(LONGEST_PAUSE) ? LONGEST_PAUSE : mark.pause.times(2);
-        }
-    }
+  /** The one place where a machine changes its state. */
+  private static void enter(Mark mark, State next, SteadyTime until) {
+    mark.state = next;
+    mark.until = until;
+  }
 
-    /** The machines that have been moved and not obeyed since. */
-    public Collection<MachineId> marked() {
-        return marks.keySet();
+  /** A block was moved because these machines of it reported to others. */
+  public void moved(Collection<MachineId> machines, SteadyTime now) {
+    for (MachineId machine : machines) {
+      Mark mark = marks.computeIfAbsent(machine, id -> new Mark());
+      enter(mark, State.MOVED, now.plus(mark.pause));
+      mark.pause =
+          mark.pause.times(2).isMoreThan(LONGEST_PAUSE) ? LONGEST_PAUSE : mark.pause.times(2);
     }
+  }
 
-    /** A machine obeys its holder, or is no more. */
-    public void obeys(Collection<MachineId> machines) {
-        marks.keySet().removeAll(machines);
-    }
+  /** The machines that have been moved and not obeyed since. */
+  public Collection<MachineId> marked() {
+    return marks.keySet();
+  }
+
+  /** A machine obeys its holder, or is no more. */
+  public void obeys(Collection<MachineId> machines) {
+    marks.keySet().removeAll(machines);
+  }
 
-    public State of(MachineId machine, SteadyTime now) {
-        Mark mark = marks.get(machine);
-        if (mark != null && mark.state == State.MOVED && !now.isBefore(mark.until)) {
-            enter(mark, State.COUNTS, now);
-        }
-        return mark == null ? State.COUNTS : mark.state;
+  public State of(MachineId machine, SteadyTime now) {
+    Mark mark = marks.get(machine);
+    if (mark != null && mark.state == State.MOVED && !now.isBefore(mark.until)) {
+      enter(mark, State.COUNTS, now);
     }
+    return mark == null ? State.COUNTS : mark.state;
+  }
 }
--- a/src/main/java/org/quincecross/state/AgreedBook.java
+++ b/src/main/java/org/quincecross/state/AgreedBook.java
@@ -15,112 +15,117 @@
 
 /** The records of one kind as the ledger has them. */
 public final class AgreedBook<S, C> {
-    /** A record. */
-    public record Held<S>(Kept<S> kept, Revision version) {
-        public S state() {
-            return kept.state();
-        }
+  /** A record. */
+  public record Held<S>(Kept<S> kept, Revision version) {
+    public S state() {
+      return kept.state();
     }
-
-    private final Kind<S, C> kind;
-    private final Map<String, Held<S>> held = new TreeMap<>();
-    private final Map<String, String> unreadable = new TreeMap<>();
-    /** The pages of the trail, each with the latest revision on it: what is on them is read when it is asked for. */
-    private final TreeMap<Integer, Revision> pages = new TreeMap<>();
-    private TrailPage lastPage = TrailPage.EMPTY;
-
-    AgreedBook(Kind<S, C> kind) {
-        this.kind = kind;
-    }
-
-    public Kind<S, C> kind() {
-        return kind;
-    }
-
-    /** A record, or null where there is none. */
-    public Held<S> get(String id) {
-        return held.get(id);
+  }
+
+  private final Kind<S, C> kind;
+  private final Map<String, Held<S>> held = new TreeMap<>();
+  private final Map<String, String> unreadable = new TreeMap<>();
+
+  /**
+   * The pages of the trail, each with the latest revision on it: what is on them is read when it is
+   * asked for.
+   */
+  private final TreeMap<Integer, Revision> pages = new TreeMap<>();
+
+  private TrailPage lastPage = TrailPage.EMPTY;
+
+  AgreedBook(Kind<S, C> kind) {
+    this.kind = kind;
+  }
+
+  public Kind<S, C> kind() {
+    return kind;
+  }
+
+  /** A record, or null where there is none. */
+  public Held<S> get(String id) {
+    return held.get(id);
+  }
+
+  /** The state of a record; the initial one where there is none. */
+  public S state(String id) {
+    Held<S> record = held.get(id);
+    return record == null ? kind.initial() : record.state();
+  }
+
+  /** All records that can be read, by their names. */
+  public Map<String, Held<S>> all() {
+    return Collections.unmodifiableMap(held);
+  }
+
+  /** The records that cannot be read, each with the reason. */
+  public Map<String, String> unreadable() {
+    return Collections.unmodifiableMap(unreadable);
+  }
+
+  /** The numbers of the trail's pages, each with the latest revision of its lines. */
+  public Map<Integer, Revision> pages() {
+    return Collections.unmodifiableMap(pages);
+  }
+
+  /** The number of the page that is being filled; 0 where there is none yet. */
+  public int lastPageNumber() {
+    return pages.isEmpty() ? 0 : pages.lastKey();
+  }
+
+  /** The page that is being filled. */
+  public TrailPage lastPage() {
+    return lastPage;
+  }
+
+  public String key(String id) {
+    return Keys.agreed(new RecordId(kind.name(), id));
+  }
+
+  public String pageKey(int page) {
+    return Keys.agreedPage(kind.name(), page);
+  }
+
+  void put(String id, Object value, Revision version) throws BadMessage {
+    if (value == null) {
+      held.remove(id);
+      unreadable.remove(id);
+      return;
     }
-
-    /** The state of a record; the initial one where there is none. */
-    public S state(String id) {
-        Held<S> record = held.get(id);
-        return record == null ? kind.initial() : record.state();
-    }
-
-    /** All records that can be read, by their names. */
-    public Map<String, Held<S>> all() {
-        return Collections.unmodifiableMap(held);
+    try {
+      held.put(id, new Held<>(Kept.read(kind, value), version));
+      unreadable.remove(id);
+    } catch (Unreadable e) {
+      // What it was before is not what it is now.
+      held.remove(id);
+      unreadable.put(id, e.getMessage());
+      throw new BadMessage(e.getMessage());
     }
+  }
 
-    /** The records that cannot be read, each with the reason. */
-    public Map<String, String> unreadable() {
-        return Collections.unmodifiableMap(unreadable);
+  void putPage(int page, Object value) throws BadMessage {
+    if (value == null) {
+      pages.remove(page);
+      lastPage = pages.isEmpty() || page > pages.lastKey() ? TrailPage.EMPTY : lastPage;
+      return;
     }
-
-    /** The numbers of the trail's pages, each with the latest revision of its lines. */
-    public Map<Integer, Revision> pages() {
-        return Collections.unmodifiableMap(pages);
-    }
-
-    /** The number of the page that is being filled; 0 where there is none yet. */
-    public int lastPageNumber() {
-        return pages.isEmpty() ? 0 : pages.lastKey();
+    try {
+      TrailPage read = TrailPage.read(value);
+      pages.put(page, read.latest());
+      if (page == pages.lastKey()) {
+        lastPage = read;
+      }
+    } catch (Unreadable e) {
+      throw new BadMessage(e.getMessage());
     }
-
-    /** The page that is being filled. */
-    public TrailPage lastPage() {
-        return lastPage;
-    }
-
-    public String key(String id) {
-        return Keys.agreed(new RecordId(kind.name(), id));
-    }
-
-    public String pageKey(int page) {
-        return Keys.agreedPage(kind.name(), page);
-    }
-
-    void put(String id, Object value, Revision version) throws BadMessage {
-        if (value == null) {
-            held.remove(id);
-            unreadable.remove(id);
-            return;
-        }
-        try {
-            held.put(id, new Held<>(Kept.read(kind, value), version));
-            unreadable.remove(id);
-        } catch (Unreadable e) {
-            // What it was before is not what it is now.
-            held.remove(id);
-            unreadable.put(id, e.getMessage());
-            throw new BadMessage(e.getMessage());
-        }
-    }
-
-    void putPage(int page, Object value) throws BadMessage {
-        if (value == null) {
-            pages.remove(page);
-            lastPage = pages.isEmpty() || page > pages.lastKey() ? TrailPage.EMPTY : lastPage;
-            return;
-        }
-        try {
-            TrailPage read = TrailPage.read(value);
-            pages.put(page, read.latest());
-            if (page == pages.lastKey()) {
-                lastPage = read;
-            }
-        } catch (Unreadable e) {
-            throw new BadMessage(e.getMessage());
-        }
-    }
-
-    /** What a value of a page says. */
-    static List<TrailLine> lines(Object value) throws BadMessage {
-        try {
-            return TrailPage.read(value).lines();
-        } catch (Unreadable e) {
-            throw new BadMessage(e.getMessage());
-        }
+  }
+
+  /** What a value of a page says. */
+  static List<TrailLine> lines(Object value) throws BadMessage {
+    try {
+      return TrailPage.read(value).lines();
+    } catch (Unreadable e) {
+      throw new BadMessage(e.getMessage());
     }
+  }
 }
--- a/src/main/java/org/quincecross/state/AgreedRecords.java
+++ b/src/main/java/org/quincecross/state/AgreedRecords.java
@@ -9,78 +9,80 @@
 import org.quincecross.wire.BadMessage;
 
 /**
- * The agreed records in the ledger. A kind that this controller does not know is left alone, unless its records keep tasks from running: who
- * cannot read such a record cannot know what must not run, and takes no part.
+ * The agreed records in the ledger. A kind that this controller does not know is left alone, unless
+ * its records keep tasks from running: who cannot read such a record cannot know what must not run,
+ * and takes no part.
  */
 public final class AgreedRecords {
-    private final Map<String, AgreedBook<?, ?>> books = new LinkedHashMap<>();
+  private final Map<String, AgreedBook<?, ?>> books = new LinkedHashMap<>();
 
-    /** Has the records of a kind read; before the first of them is. */
-    public <S, C> AgreedBook<S, C> add(Kind<S, C> kind) {
-        AgreedBook<S, C> book = new AgreedBook<>(kind);
-        if (books.put(kind.name(), book) != null) {
-            throw new IllegalArgumentException("two kinds named " + kind.name());
-        }
-        return book;
+  /** Has the records of a kind read; before the first of them is. */
+  public <S, C> AgreedBook<S, C> add(Kind<S, C> kind) {
+    AgreedBook<S, C> book = new AgreedBook<>(kind);
+    if (books.put(kind.name(), book) != null) {
+      throw new IllegalArgumentException("two kinds named " + kind.name());
     }
+    return book;
+  }
 
-    /** The records of a kind, or null where it is not known. */
-    public AgreedBook<?, ?> book(String kind) {
-        return books.get(kind);
-    }
+  /** The records of a kind, or null where it is not known. */
+  public AgreedBook<?, ?> book(String kind) {
+    return books.get(kind);
+  }
 
-    public Collection<AgreedBook<?, ?>> books() {
-        return books.values();
-    }
+  public Collection<AgreedBook<?, ?>> books() {
+    return books.values();
+  }
 
-    /** How many records there are of all known kinds. */
-    public int count() {
-        int sum = 0;
-        for (AgreedBook<?, ?> book : books.values()) {
-            sum += book.all().size();
-        }
-        return sum;
+  /** How many records there are of all known kinds. */
+  public int count() {
+    int sum = 0;
+    for (AgreedBook<?, ?> book : books.values()) {
+      sum += book.all().size();
     }
+    return sum;
+  }
 
-    /** Takes a record; the id of it, or null where it is none but the fence or a page of a trail. */
-    RecordId put(String key, Object value, Revision version) throws BadMessage {
-        String name = key.substring(Keys.AGREED.length());
-        int slash = name.indexOf('/');
-        if (slash < 0) {
-            return null; // the fence: its version says all
-        }
-        AgreedBook<?, ?> book = books.get(name.substring(0, slash));
-        String id = name.substring(slash + 1);
-        if (book == null) {
-            if (value instanceof Map<?, ?> map && Boolean.TRUE.equals(map.get("must"))) {
-                throw new BadMessage("a record of a kind that this build does not know, and that keeps tasks from running");
-            }
-            return null;
-        }
-        if (id.startsWith(Keys.AGREED_PAGE)) {
-            book.putPage(page(id), value);
-            return null;
-        }
-        book.put(id, value, version);
-        return new RecordId(book.kind().name(), id);
+  /** Takes a record; the id of it, or null where it is none but the fence or a page of a trail. */
+  RecordId put(String key, Object value, Revision version) throws BadMessage {
+    String name = key.substring(Keys.AGREED.length());
+    int slash = name.indexOf('/');
+    if (slash < 0) {
+      return null; // the fence: its version says all
+    }
+    AgreedBook<?, ?> book = books.get(name.substring(0, slash));
+    String id = name.substring(slash + 1);
+    if (book == null) {
+      if (value instanceof Map<?, ?> map && Boolean.TRUE.equals(map.get("must"))) {
+        throw new BadMessage(
+            "a record of a kind that this build does not know, and that keeps tasks from running");
+      }
+      return null;
+    }
+    if (id.startsWith(Keys.AGREED_PAGE)) {
+      book.putPage(page(id), value);
+      return null;
     }
+    book.put(id, value, version);
+    return new RecordId(book.kind().name(), id);
+  }
 
-    private static int page(String id) throws BadMessage {
-        try {
-            return Integer.parseInt(id.substring(Keys.AGREED_PAGE.length()));
-        } catch (NumberFormatException e) {
-            throw new BadMessage("bad key of a page");
-        }
+  private static int page(String id) throws BadMessage {
+    try {
+      return Integer.parseInt(id.substring(Keys.AGREED_PAGE.length()));
+    } catch (NumberFormatException e) {
+      throw new BadMessage("bad key of a page");
     }
+  }
 
-    /** Whether who cannot read a record may not act on the others. */
-    boolean isEssential(String key) {
-        String name = key.substring(Keys.AGREED.length());
-        int slash = name.indexOf('/');
-        if (slash < 0 || name.startsWith(Keys.AGREED_PAGE, slash + 1)) {
-            return false;
-        }
-        AgreedBook<?, ?> book = books.get(name.substring(0, slash));
-        return book == null || book.kind().restrains();
+  /** Whether who cannot read a record may not act on the others. */
+  boolean isEssential(String key) {
+    String name = key.substring(Keys.AGREED.length());
+    int slash = name.indexOf('/');
+    if (slash < 0 || name.startsWith(Keys.AGREED_PAGE, slash + 1)) {
+      return false;
     }
+    AgreedBook<?, ?> book = books.get(name.substring(0, slash));
+    return book == null || book.kind().restrains();
+  }
 }
--- a/src/main/java/org/quincecross/state/AgreedStore.java
+++ b/src/main/java/org/quincecross/state/AgreedStore.java
@@ -31,382 +31,488 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes agreed records for whoever asks this controller: several in one transaction, each guarded by the version of its record. Whoever asks
- * is answered once the change is durable. Where a guard fails the steps are made again, on the newer state; where a transaction is not
- * answered, it may be applied at any later time, and the next one for the same record and it cannot both be: so the records are read, and
- * what is not there is asked for again under the same name.
+ * Changes agreed records for whoever asks this controller: several in one transaction, each guarded
+ * by the version of its record. Whoever asks is answered once the change is durable. Where a guard
+ * fails the steps are made again, on the newer state; where a transaction is not answered, it may
+ * be applied at any later time, and the next one for the same record and it cannot both be: so the
+ * records are read, and what is not there is asked for again under the same name.
  *
- * <p>What ends each wait: a reading of the records fails after a second or so, a transaction after what {@link StateClient} gives it, and
- * {@link #ANSWERED} after it was asked whoever asks is told that it is not known, whatever goes on.
+ * <p>What ends each wait: a reading of the records fails after a second or so, a transaction after
+ * what {@link StateClient} gives it, and {@link #ANSWERED} after it was asked whoever asks is told
+ * that it is not known, whatever goes on.
  */
 public final class AgreedStore {
-    private static final Logger LOG = LoggerFactory.getLogger(AgreedStore.class);
-    /** The longest that anybody is left without an answer: users and operators' commands wait for longer. */
-    public static final Span ANSWERED = Span.ofSeconds(4);
-    private static final Span PAGE_TIMEOUT = Span.ofSeconds(2);
-    private static final Span RETRY = Span.ofMillis(120);
-    /** Beyond so many that wait, others are told when to come back. */
-    private static final int MOST_WAITING = 128;
-    /** Of the changes that the state service takes: live work goes first, and all controllers may be asked at once. */
-    private static final double WRITE_SHARE = 0.2;
-    private static final int LONGEST_RETRY_S = 60;
-    /** Where one record was asked for too often. */
-    private static final int BUSY_RECORD_S = 10;
-    private static final int MOST_BYTES = 40 * 1024;
+  private static final Logger LOG = LoggerFactory.getLogger(AgreedStore.class);
 
-    /**
-     * What is asked for.
-     *
-     * @param request the caller's own name of the request: all of the same name are one; null for a step of a controller's own
-     * @param onChange the change of the record that the caller has seen and wants to have been the last; -1 for whatever it is
-     * @param by who asks, as they say
-     */
-    public record Ask<C>(String request, long onChange, C command, String by) {
-        /** A step of a controller's own: to be made again only where its state asks for it. */
-        public static <C> Ask<C> own(C command) {
-            return new Ask<>(null, -1, command, "");
-        }
-    }
+  /**
+   * The longest that anybody is left without an answer: users and operators' commands wait for
+   * longer.
+   */
+  public static final Span ANSWERED = Span.ofSeconds(4);
 
-    /**
-     * What became of it.
-     *
-     * @param status as HTTP has it: 200 durable (or nothing to change), 4xx refused and nothing changed by it, 503 not known
-     * @param why in words, empty where all is said
-     * @param change of the record, at which it was followed
-     * @param revision of the records that has the change; none where nothing was written now
-     * @param retryAfterS when to ask again, in seconds; 0 where that is of no use
-     */
-    public record Answer(int status, String why, long change, Revision revision, int retryAfterS) {
-        public boolean isDurable() {
-            return status == 200;
-        }
-    }
+  private static final Span PAGE_TIMEOUT = Span.ofSeconds(2);
+  private static final Span RETRY = Span.ofMillis(120);
 
-    /** One that waits. */
-    private final class Waiting<S, C> {
-        private final AgreedBook<S, C> book;
-        private final String id;
-        private final Ask<C> ask;
-        private Consumer<Answer> done;
-
-        private Waiting(AgreedBook<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
-            this.book = book;
-            this.id = id;
-            this.ask = ask;
-            this.done = done;
-        }
+  /** Beyond so many that wait, others are told when to come back. */
+  private static final int MOST_WAITING = 128;
 
-        private boolean isOver() {
-            return done == null;
-        }
+  /**
+   * Of the changes that the state service takes: live work goes first, and all controllers may be
+   * asked at once.
+   */
+  private static final double WRITE_SHARE = 0.2;
 
-        private void answer(Answer answer) {
-            Consumer<Answer> asker = done;
-            done = null;
-            if (asker != null) {
-                asker.accept(answer);
-            }
-        }
+  private static final int LONGEST_RETRY_S = 60;
 
-        /** Makes the step on the records as they are, or as a step before it in the same transaction leaves them. */
-        private void plan(Batch batch) {
-            AgreedBook.Held<S> held = book.get(id);
-            Revision version = ledger.version(book.key(id));
-            if (book.unreadable().containsKey(id)) {
-                answer(refused(409, "the record cannot be read: " + book.unreadable().get(id)));
-                return;
-            }
-            RecordId record = new RecordId(book.kind().name(), id);
-            Kept<S> kept = batch.has(record) ? batch.kept(record, book) : held == null ? Kept.none(book.kind()) : held.kept();
-            At at = new At(clockMs.getAsLong(), settings.clockBound().millis(), ask.by());
-            Kept.Result<S> result = kept.apply(book.kind(), id, version, ask.request(), ask.onChange(), ask.command(), at);
-            if (result instanceof Kept.Result.Refused<S> refused) {
-                answer(refused(refused.status(), refused.why()));
-            } else if (result instanceof Kept.Result.Known<S> known) {
-                // Known from a step of this same transaction: as durable as that.
-                Answer answer = new Answer(200, known.made().same(), known.made().change(), version, 0);
-                if (batch.has(record)) {
-                    batch.add(this, answer);
-                } else {
-                    answer(answer);
-                }
-            } else if (result instanceof Kept.Result.Nothing<S> nothing) {
-                answer(new Answer(200, nothing.why(), kept.change(), version, 0));
-            } else if (result instanceof Kept.Result.Write<S> write) {
-                put(batch, record, write, version);
-            }
-        }
+  /** Where one record was asked for too often. */
+  private static final int BUSY_RECORD_S = 10;
 
-        private void put(Batch batch, RecordId record, Kept.Result.Write<S> write, Revision version) {
-            Map<String, Object> value = write.next().write(book.kind());
-            int length = Json.write(value).length;
-            if (length > settings.stateLimits().plannedValue()) {
-                boolean byItself = Json.write(write.next().without(Integer.MAX_VALUE, version).write(book.kind())).length
-                        > settings.stateLimits().plannedValue();
-                answer(byItself ? refused(413, "the record would be larger than the state service takes")
-                        : new Answer(503, "the leader has not moved the record's trail to a page yet", 0, Revision.NONE, 2));
-                return;
-            }
-            if (batch.put(record, write.next(), value, length, version, write.withholds())) {
-                batch.add(this, new Answer(200, write.made().same(), write.made().change(), Revision.NONE, 0));
-            } else {
-                batch.left.add(this);
-            }
-        }
+  private static final int MOST_BYTES = 40 * 1024;
+
+  /**
+   * What is asked for.
+   *
+   * @param request the caller's own name of the request: all of the same name are one; null for a
+   *     step of a controller's own
+   * @param onChange the change of the record that the caller has seen and wants to have been the
+   *     last; -1 for whatever it is
+   * @param by who asks, as they say
+   */
+  public record Ask<C>(String request, long onChange, C command, String by) {
+    /** A step of a controller's own: to be made again only where its state asks for it. */
+    public static <C> Ask<C> own(C command) {
+      return new Ask<>(null, -1, command, "");
     }
+  }
 
-    /** A transaction being put together. */
-    private final class Batch {
-        private final Map<RecordId, Kept<?>> next = new HashMap<>();
-        private final Map<RecordId, Change> changes = new HashMap<>();
-        private final List<Guard> guards = new ArrayList<>();
-        private final Map<Waiting<?, ?>, Answer> answers = new LinkedHashMap<>();
-        private final List<Waiting<?, ?>> left = new ArrayList<>();
-        private final int most;
-        private boolean withholds;
-        private int bytes;
-
-        private Batch(int most) {
-            this.most = most;
-        }
+  /**
+   * What became of it.
+   *
+   * @param status as HTTP has it: 200 durable (or nothing to change), 4xx refused and nothing
+   *     changed by it, 503 not known
+   * @param why in words, empty where all is said
+   * @param change of the record, at which it was followed
+   * @param revision of the records that has the change; none where nothing was written now
+   * @param retryAfterS when to ask again, in seconds; 0 where that is of no use
+   */
+  public record Answer(int status, String why, long change, Revision revision, int retryAfterS) {
+    public boolean isDurable() {
+      return status == 200;
+    }
+  }
 
-        private boolean has(RecordId record) {
-            return next.containsKey(record);
-        }
+  /** One that waits. */
+  private final class Waiting<S, C> {
+    private final AgreedBook<S, C> book;
+    private final String id;
+    private final Ask<C> ask;
+    private Consumer<Answer> done;
 
-        @SuppressWarnings("unchecked")
-        private <S> Kept<S> kept(RecordId record, AgreedBook<S, ?> book) {
-            return (Kept<S>) next.get(record); // by its id of the book's kind
-        }
+    private Waiting(AgreedBook<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
+      this.book = book;
+      this.id = id;
+      this.ask = ask;
+      this.done = done;
+    }
 
-        private boolean put(RecordId record, Kept<?> kept, Map<String, Object> value, int length, Revision version, boolean raises) {
-            boolean isNew = !next.containsKey(record);
-            int after = changes.size() + (isNew ? 1 : 0) + (withholds || raises ? 1 : 0);
-            if (after > most || bytes + length > MOST_BYTES) {
-                return false;
-            }
-            String key = Keys.agreed(record);
-            if (isNew) {
-                guards.add(new Guard(key, version));
-            }
-            next.put(record, kept);
-            changes.put(record, Change.put(key, value));
-            withholds |= raises;
-            bytes += length;
-            return true;
-        }
+    private boolean isOver() {
+      return done == null;
+    }
 
-        private void add(Waiting<?, ?> one, Answer answer) {
-            answers.put(one, answer);
-        }
+    private void answer(Answer answer) {
+      Consumer<Answer> asker = done;
+      done = null;
+      if (asker != null) {
+        asker.accept(answer);
+      }
+    }
 
-        private List<Change> changes() {
-            List<Change> all = new ArrayList<>(changes.values());
-            if (withholds) {
-                // Not guarded: it may rise from whatever it is, and what matters is that it has risen.
-                all.add(Change.put(Keys.AGREED_FENCE, Json.object("at", clockMs.getAsLong())));
-            }
-            return all;
+    /**
+     * Makes the step on the records as they are, or as a step before it in the same transaction
+     * leaves them.
+     */
+    private void plan(Batch batch) {
+      AgreedBook.Held<S> held = book.get(id);
+      Revision version = ledger.version(book.key(id));
+      if (book.unreadable().containsKey(id)) {
+        answer(refused(409, "the record cannot be read: " + book.unreadable().get(id)));
+        return;
+      }
+      RecordId record = new RecordId(book.kind().name(), id);
+      Kept<S> kept =
+          batch.has(record)
+              ? batch.kept(record, book)
+              : held == null ? Kept.none(book.kind()) : held.kept();
+      At at = new At(clockMs.getAsLong(), settings.clockBound().millis(), ask.by());
+      Kept.Result<S> result =
+          kept.apply(book.kind(), id, version, ask.request(), ask.onChange(), ask.command(), at);
+      if (result instanceof Kept.Result.Refused<S> refused) {
+        answer(refused(refused.status(), refused.why()));
+      } else if (result instanceof Kept.Result.Known<S> known) {
+        // Known from a step of this same transaction: as durable as that.
+        Answer answer = new Answer(200, known.made().same(), known.made().change(), version, 0);
+        if (batch.has(record)) {
+          batch.add(this, answer);
+        } else {
+          answer(answer);
         }
+      } else if (result instanceof Kept.Result.Nothing<S> nothing) {
+        answer(new Answer(200, nothing.why(), kept.change(), version, 0));
+      } else if (result instanceof Kept.Result.Write<S> write) {
+        put(batch, record, write, version);
+      }
     }
 
-    private final Timers timers;
-    private final StateClient client;
-    private final Follower follower;
-    private final Ledger ledger;
-    private final Membership membership;
-    private final Settings settings;
-    private final LongSupplier clockMs;
-    private final Limiter writes;
-    private final ArrayDeque<Waiting<?, ?>> waiting = new ArrayDeque<>();
-    private SteadyTime pressingFrom;
-    private boolean busy;
-    private boolean planned;
-    /** So many of those that wait go into transactions of their own: one of them made one too large. */
-    private int alone;
-
-    /** @param clockMs tells the time of day */
-    public AgreedStore(Timers timers, StateClient client, Follower follower, Ledger ledger, Membership membership, Settings settings,
-            LongSupplier clockMs) {
-        this.timers = timers;
-        this.client = client;
-        this.follower = follower;
-        this.ledger = ledger;
-        this.membership = membership;
-        this.settings = settings;
-        this.clockMs = clockMs;
-        double rate = settings.stateLimits().writesPerS() * WRITE_SHARE;
-        this.writes = new Limiter(rate, Math.max(rate, settings.stateLimits().txnChanges()), timers.now());
+    private void put(Batch batch, RecordId record, Kept.Result.Write<S> write, Revision version) {
+      Map<String, Object> value = write.next().write(book.kind());
+      int length = Json.write(value).length;
+      if (length > settings.stateLimits().plannedValue()) {
+        boolean byItself =
+            Json.write(write.next().without(Integer.MAX_VALUE, version).write(book.kind())).length
+                > settings.stateLimits().plannedValue();
+        answer(
+            byItself
+                ? refused(413, "the record would be larger than the state service takes")
+                : new Answer(
+                    503,
+                    "the leader has not moved the record's trail to a page yet",
+                    0,
+                    Revision.NONE,
+                    2));
+        return;
+      }
+      if (batch.put(record, write.next(), value, length, version, write.withholds())) {
+        batch.add(
+            this, new Answer(200, write.made().same(), write.made().change(), Revision.NONE, 0));
+      } else {
+        batch.left.add(this);
+      }
     }
+  }
+
+  /** A transaction being put together. */
+  private final class Batch {
+    private final Map<RecordId, Kept<?>> next = new HashMap<>();
+    private final Map<RecordId, Change> changes = new HashMap<>();
+    private final List<Guard> guards = new ArrayList<>();
+    private final Map<Waiting<?, ?>, Answer> answers = new LinkedHashMap<>();
+    private final List<Waiting<?, ?>> left = new ArrayList<>();
+    private final int most;
+    private boolean withholds;
+    private int bytes;
 
-    private static Answer refused(int status, String why) {
-        return new Answer(status, why, 0, Revision.NONE, status == 429 ? BUSY_RECORD_S : 0);
+    private Batch(int most) {
+      this.most = most;
     }
 
-    private static Answer unknown(String why, int retryAfterS) {
-        return new Answer(503, why, 0, Revision.NONE, retryAfterS);
+    private boolean has(RecordId record) {
+      return next.containsKey(record);
     }
 
-    /** Why no agreed record can be changed now, with the controllers named that lack what it takes; null where it can. */
-    public String lacking() {
-        if (Feature.AGREED_RECORDS.isIn(ledger.level().level())) {
-            return null;
-        }
-        TreeSet<String> lacking = new TreeSet<>();
-        TreeSet<MemberId> all = new TreeSet<>(ledger.members().keySet());
-        settings.siblings().forEach(sibling -> all.add(sibling.member()));
-        all.add(settings.member());
-        for (MemberId member : all) {
-            MemberRecord record = ledger.members().get(member);
-            if (record == null) {
-                lacking.add(member + ", which is away");
-            } else if (!record.build().can(Feature.AGREED_RECORDS.since())) {
-                lacking.add(member + ", whose build (" + record.build().name() + ") ends at level " + record.build().most());
-            }
-        }
-        return "level " + Feature.AGREED_RECORDS.since() + " is not in force yet; it waits for "
-                + (lacking.isEmpty() ? "the leader to raise it" : String.join("; ", lacking));
+    @SuppressWarnings("unchecked")
+    private <S> Kept<S> kept(RecordId record, AgreedBook<S, ?> book) {
+      return (Kept<S>) next.get(record); // by its id of the book's kind
     }
 
-    /** Has a record changed, and answers once that is durable, or {@link #ANSWERED} later that it is not known. */
-    public <S, C> void ask(AgreedBook<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
-        if (!ledger.isLoaded() || !membership.unable().isEmpty()) {
-            done.accept(unknown("this controller cannot take part", 2));
-            return;
-        }
-        String lacking = lacking();
-        if (lacking != null || !RecordId.isName(id)) {
-            done.accept(lacking != null ? refused(409, lacking) : refused(400, "no name of a record: " + id));
-            return;
-        }
-        if (waiting.size() >= MOST_WAITING) {
-            done.accept(unknown("too many changes wait", (int) Math.min(LONGEST_RETRY_S,
-                    Math.ceil(waiting.size() / (settings.stateLimits().writesPerS() * WRITE_SHARE)))));
-            return;
-        }
-        Waiting<S, C> one = new Waiting<>(book, id, ask, done);
-        waiting.add(one);
-        timers.after(ANSWERED, () -> {
-            if (!one.isOver()) {
-                waiting.remove(one);
-                one.answer(unknown("the state service did not confirm it: ask again by the same name of the request", 1));
-            }
-        });
-        soon(Span.ofMillis(1));
+    private boolean put(
+        RecordId record,
+        Kept<?> kept,
+        Map<String, Object> value,
+        int length,
+        Revision version,
+        boolean raises) {
+      boolean isNew = !next.containsKey(record);
+      int after = changes.size() + (isNew ? 1 : 0) + (withholds || raises ? 1 : 0);
+      if (after > most || bytes + length > MOST_BYTES) {
+        return false;
+      }
+      String key = Keys.agreed(record);
+      if (isNew) {
+        guards.add(new Guard(key, version));
+      }
+      next.put(record, kept);
+      changes.put(record, Change.put(key, value));
+      withholds |= raises;
+      bytes += length;
+      return true;
     }
 
-    /** Reads a page of a trail; {@code done} gets null where that does not work. */
-    public void page(AgreedBook<?, ?> book, int page, Consumer<List<TrailLine>> done) {
-        client.read(StateCodec.keyPath(book.pageKey(page)), PAGE_TIMEOUT, outcome -> {
-            try {
-                done.accept(outcome.status() == 200 ? AgreedBook.lines(Json.parseFields(outcome.response().body()).raw("Value")) : null);
-            } catch (BadMessage e) {
-                LOG.info("page {} of {}: {}", page, book.kind().name(), e.getMessage());
-                done.accept(null);
-            }
-        });
+    private void add(Waiting<?, ?> one, Answer answer) {
+      answers.put(one, answer);
     }
 
-    private void soon(Span span) {
-        if (!planned) {
-            planned = true;
-            timers.after(span, () -> {
-                planned = false;
-                flush();
-            });
-        }
+    private List<Change> changes() {
+      List<Change> all = new ArrayList<>(changes.values());
+      if (withholds) {
+        // Not guarded: it may rise from whatever it is, and what matters is that it has risen.
+        all.add(Change.put(Keys.AGREED_FENCE, Json.object("at", clockMs.getAsLong())));
+      }
+      return all;
     }
+  }
 
-    private void flush() {
-        if (busy || waiting.isEmpty()) {
-            return;
-        }
-        busy = true;
-        follower.barrier(current -> {
-            busy = false;
-            if (current) {
-                write();
-            } else {
-                soon(RETRY);
-            }
+  private final Timers timers;
+  private final StateClient client;
+  private final Follower follower;
+  private final Ledger ledger;
+  private final Membership membership;
+  private final Settings settings;
+  private final LongSupplier clockMs;
+  private final Limiter writes;
+  private final ArrayDeque<Waiting<?, ?>> waiting = new ArrayDeque<>();
+  private SteadyTime pressingFrom;
+  private boolean busy;
+  private boolean planned;
+
+  /**
+   * So many of those that wait go into transactions of their own: one of them made one too large.
+   */
+  private int alone;
+
+  /**
+   * @param clockMs tells the time of day
+   */
+  public AgreedStore(
+      Timers timers,
+      StateClient client,
+      Follower follower,
+      Ledger ledger,
+      Membership membership,
+      Settings settings,
+      LongSupplier clockMs) {
+    this.timers = timers;
+    this.client = client;
+    this.follower = follower;
+    this.ledger = ledger;
+    this.membership = membership;
+    this.settings = settings;
+    this.clockMs = clockMs;
+    double rate = settings.stateLimits().writesPerS() * WRITE_SHARE;
+    this.writes =
+        new Limiter(rate, Math.max(rate, settings.stateLimits().txnChanges()), timers.now());
+  }
+
+  private static Answer refused(int status, String why) {
+    return new Answer(status, why, 0, Revision.NONE, status == 429 ? BUSY_RECORD_S : 0);
+  }
+
+  private static Answer unknown(String why, int retryAfterS) {
+    return new Answer(503, why, 0, Revision.NONE, retryAfterS);
+  }
+
+  /**
+   * Why no agreed record can be changed now, with the controllers named that lack what it takes;
+   * null where it can.
+   */
+  public String lacking() {
+    if (Feature.AGREED_RECORDS.isIn(ledger.level().level())) {
+      return null;
+    }
+    TreeSet<String> lacking = new TreeSet<>();
+    TreeSet<MemberId> all = new TreeSet<>(ledger.members().keySet());
+    settings.siblings().forEach(sibling -> all.add(sibling.member()));
+    all.add(settings.member());
+    for (MemberId member : all) {
+      MemberRecord record = ledger.members().get(member);
+      if (record == null) {
+        lacking.add(member + ", which is away");
+      } else if (!record.build().can(Feature.AGREED_RECORDS.since())) {
+        lacking.add(
+            member
+                + ", whose build ("
+                + record.build().name()
+                + ") ends at level "
+                + record.build().most());
+      }
+    }
+    return "level "
+        + Feature.AGREED_RECORDS.since()
+        + " is not in force yet; it waits for "
+        + (lacking.isEmpty() ? "the leader to raise it" : String.join("; ", lacking));
+  }
+
+  /**
+   * Has a record changed, and answers once that is durable, or {@link #ANSWERED} later that it is
+   * not known.
+   */
+  public <S, C> void ask(AgreedBook<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
+    if (!ledger.isLoaded() || !membership.unable().isEmpty()) {
+      done.accept(unknown("this controller cannot take part", 2));
+      return;
+    }
+    String lacking = lacking();
+    if (lacking != null || !RecordId.isName(id)) {
+      done.accept(
+          lacking != null ? refused(409, lacking) : refused(400, "no name of a record: " + id));
+      return;
+    }
+    if (waiting.size() >= MOST_WAITING) {
+      done.accept(
+          unknown(
+              "too many changes wait",
+              (int)
+                  Math.min(
+                      LONGEST_RETRY_S,
+                      Math.ceil(
+                          waiting.size() / (settings.stateLimits().writesPerS() * WRITE_SHARE)))));
+      return;
+    }
+    Waiting<S, C> one = new Waiting<>(book, id, ask, done);
+    waiting.add(one);
+    timers.after(
+        ANSWERED,
+        () -> {
+          if (!one.isOver()) {
+            waiting.remove(one);
+            one.answer(
+                unknown(
+                    "the state service did not confirm it: ask again by the same name of the request",
+                    1));
+          }
         });
+    soon(Span.ofMillis(1));
+  }
+
+  /** Reads a page of a trail; {@code done} gets null where that does not work. */
+  public void page(AgreedBook<?, ?> book, int page, Consumer<List<TrailLine>> done) {
+    client.read(
+        StateCodec.keyPath(book.pageKey(page)),
+        PAGE_TIMEOUT,
+        outcome -> {
+          try {
+            done.accept(
+                outcome.status() == 200
+                    ? AgreedBook.lines(Json.parseFields(outcome.response().body()).raw("Value"))
+                    : null);
+          } catch (BadMessage e) {
+            LOG.info("page {} of {}: {}", page, book.kind().name(), e.getMessage());
+            done.accept(null);
+          }
+        });
+  }
+
+  private void soon(Span span) {
+    if (!planned) {
+      planned = true;
+      timers.after(
+          span,
+          () -> {
+            planned = false;
+            flush();
+          });
     }
+  }
 
-    /** The records are as new as whatever waits here. */
-    private void write() {
-        SteadyTime now = timers.now();
-        int most = (int) Math.min(settings.stateLimits().txnChanges(), writes.level(now));
-        if (most < 2 || client.changesAffordable() < 2 && !isPressing(now)) {
+  private void flush() {
+    if (busy || waiting.isEmpty()) {
+      return;
+    }
+    busy = true;
+    follower.barrier(
+        current -> {
+          busy = false;
+          if (current) {
+            write();
+          } else {
             soon(RETRY);
-            return;
-        }
-        String lacking = lacking();
-        Batch batch = new Batch(most);
-        boolean byItself = alone > 0;
-        while (!waiting.isEmpty() && batch.left.isEmpty() && !(byItself && !batch.changes.isEmpty())) {
-            alone = Math.max(0, alone - 1);
-            Waiting<?, ?> one = waiting.poll();
-            if (lacking != null) {
-                one.answer(refused(409, lacking));
-            } else if (!one.isOver()) {
-                one.plan(batch);
-            }
-        }
-        batch.left.forEach(waiting::addFirst);
-        if (batch.changes.isEmpty()) {
-            pressingFrom = null;
-            if (!waiting.isEmpty()) {
-                soon(RETRY);
-            }
-            return;
-        }
-        // Decided by what this level has: of no use under another.
-        batch.guards.add(new Guard(Keys.LEVEL, ledger.level().version()));
-        List<Change> changes = batch.changes();
-        writes.force(changes.size(), now);
-        busy = true;
-        client.txn(batch.guards, changes, outcome -> {
-            busy = false;
-            written(batch, outcome);
+          }
         });
+  }
+
+  /** The records are as new as whatever waits here. */
+  private void write() {
+    SteadyTime now = timers.now();
+    int most = (int) Math.min(settings.stateLimits().txnChanges(), writes.level(now));
+    if (most < 2 || client.changesAffordable() < 2 && !isPressing(now)) {
+      soon(RETRY);
+      return;
     }
+    String lacking = lacking();
+    Batch batch = new Batch(most);
+    boolean byItself = alone > 0;
+    while (!waiting.isEmpty() && batch.left.isEmpty() && !(byItself && !batch.changes.isEmpty())) {
+      alone = Math.max(0, alone - 1);
+      Waiting<?, ?> one = waiting.poll();
+      if (lacking != null) {
+        one.answer(refused(409, lacking));
+      } else if (!one.isOver()) {
+        one.plan(batch);
+      }
+    }
+    batch.left.forEach(waiting::addFirst);
+    if (batch.changes.isEmpty()) {
+      pressingFrom = null;
+      if (!waiting.isEmpty()) {
+        soon(RETRY);
+      }
+      return;
+    }
+    // Decided by what this level has: of no use under another.
+    batch.guards.add(new Guard(Keys.LEVEL, ledger.level().version()));
+    List<Change> changes = batch.changes();
+    writes.force(changes.size(), now);
+    busy = true;
+    client.txn(
+        batch.guards,
+        changes,
+        outcome -> {
+          busy = false;
+          written(batch, outcome);
+        });
+  }
 
-    /** Live work goes first, but not for ever. */
-    private boolean isPressing(SteadyTime now) {
-        if (pressingFrom == null) {
-            pressingFrom = now;
-        }
-        return now.since(pressingFrom).isMoreThan(Span.ofSeconds(1));
+  /** Live work goes first, but not for ever. */
+  private boolean isPressing(SteadyTime now) {
+    if (pressingFrom == null) {
+      pressingFrom = now;
     }
+    return now.since(pressingFrom).isMoreThan(Span.ofSeconds(1));
+  }
 
-    private void written(Batch batch, TxnOutcome outcome) {
-        pressingFrom = null;
-        switch (outcome.kind()) {
-            case COMMITTED -> batch.answers.forEach((one, answer) -> one.answer(new Answer(answer.status(), answer.why(), answer.change(),
-                    outcome.revision(), 0)));
-            case CONFLICT, REFUSED, NO_LEASE, UNKNOWN -> again(batch, outcome);
-            case TOO_LARGE -> {
-                if (batch.answers.size() == 1) {
-                    batch.answers.keySet().forEach(one -> one.answer(unknown("the state service takes no change so large now", 2)));
-                } else {
-                    alone = batch.answers.size();
-                    again(batch, outcome);
-                }
-            }
-            case UNAVAILABLE -> batch.answers.keySet().forEach(one -> one.answer(unknown("the state service does not serve: ask again by the same name of the request", 2)));
-            default -> throw new IllegalStateException(outcome.kind().toString());
-        }
-        if (!waiting.isEmpty()) {
-            soon(outcome.kind() == TxnOutcome.Kind.COMMITTED ? Span.ofMillis(1) : RETRY);
+  private void written(Batch batch, TxnOutcome outcome) {
+    pressingFrom = null;
+    switch (outcome.kind()) {
+      case COMMITTED ->
+          batch.answers.forEach(
+              (one, answer) ->
+                  one.answer(
+                      new Answer(
+                          answer.status(), answer.why(), answer.change(), outcome.revision(), 0)));
+      case CONFLICT, REFUSED, NO_LEASE, UNKNOWN -> again(batch, outcome);
+      case TOO_LARGE -> {
+        if (batch.answers.size() == 1) {
+          batch
+              .answers
+              .keySet()
+              .forEach(
+                  one -> one.answer(unknown("the state service takes no change so large now", 2)));
+        } else {
+          alone = batch.answers.size();
+          again(batch, outcome);
         }
+      }
+      case UNAVAILABLE ->
+          batch
+              .answers
+              .keySet()
+              .forEach(
+                  one ->
+                      one.answer(
+                          unknown(
+                              "the state service does not serve: ask again by the same name of the request",
+                              2)));
+      default -> throw new IllegalStateException(outcome.kind().toString());
     }
-
-    private void again(Batch batch, TxnOutcome outcome) {
-        LOG.debug("agreed records: {} {}", outcome.kind(), outcome.failed());
-        List<Waiting<?, ?>> all = new ArrayList<>(batch.answers.keySet());
-        all.removeIf(Waiting::isOver);
-        Collections.reverse(all);
-        all.forEach(waiting::addFirst); // in the order in which they came
+    if (!waiting.isEmpty()) {
+      soon(outcome.kind() == TxnOutcome.Kind.COMMITTED ? Span.ofMillis(1) : RETRY);
     }
+  }
+
+  private void again(Batch batch, TxnOutcome outcome) {
+    LOG.debug("agreed records: {} {}", outcome.kind(), outcome.failed());
+    List<Waiting<?, ?>> all = new ArrayList<>(batch.answers.keySet());
+    all.removeIf(Waiting::isOver);
+    Collections.reverse(all);
+    all.forEach(waiting::addFirst); // in the order in which they came
+  }
 }
--- a/src/main/java/org/quincecross/state/Allocation.java
+++ b/src/main/java/org/quincecross/state/Allocation.java
@@ -10,18 +10,19 @@
 
 /** The tasks that a block has: it alone may start them. */
 public record Allocation(Map<JobId, TaskSet> tasks, Revision version) {
-    public static final Allocation EMPTY = new Allocation(Map.of(), Revision.NONE);
+  public static final Allocation EMPTY = new Allocation(Map.of(), Revision.NONE);
 
-    static Allocation read(Object value, Revision version) throws BadMessage {
-        return new Allocation(TaskSets.read(Fields.of(value, "an allocation").fields("tasks")), version);
-    }
+  static Allocation read(Object value, Revision version) throws BadMessage {
+    return new Allocation(
+        TaskSets.read(Fields.of(value, "an allocation").fields("tasks")), version);
+  }
 
-    public static Map<String, Object> write(Map<JobId, TaskSet> tasks) {
-        return Json.object("tasks", TaskSets.write(tasks));
-    }
+  public static Map<String, Object> write(Map<JobId, TaskSet> tasks) {
+    return Json.object("tasks", TaskSets.write(tasks));
+  }
 
-    public boolean has(JobId job, int index) {
-        TaskSet set = tasks.get(job);
-        return set != null && set.has(index);
-    }
+  public boolean has(JobId job, int index) {
+    TaskSet set = tasks.get(job);
+    return set != null && set.has(index);
+  }
 }
--- a/src/main/java/org/quincecross/state/BlockLease.java
+++ b/src/main/java/org/quincecross/state/BlockLease.java
@@ -19,94 +19,169 @@
 import org.quincecross.wire.Json;
 
 /**
- * A block and the controller that it is leased to. The token is the revision of the lease with which the present
- * holder's unbroken holding began: it rises with every change of holder, and only then. A machine that joins has been
- * in no other block, so it has seen no higher token.
+ * A block and the controller that it is leased to. The token is the revision of the lease with
+ * which the present holder's unbroken holding began: it rises with every change of holder, and only
+ * then. A machine that joins has been in no other block, so it has seen no higher token.
  *
  * @param holder the controller that may give commands to the machines
  * @param life the life of the holder that the lease was made for
  * @param leaving machines that are to go back to the cloud, and get no more work
  * @param version of this record
- * @param others fields of the record that this build does not know: they are written as they were read
+ * @param others fields of the record that this build does not know: they are written as they were
+ *     read
  */
 public record BlockLease(
-        BlockId id, MemberId holder, Incarnation life, String type, String zone, boolean spot,
-        Map<MachineId, Machine> machines, Set<MachineId> leaving, Token token, Revision version, Map<String, Object> others) {
-    private static final Set<String> KNOWN = Set.of("holder", "life", "type", "zone", "spot", "machines", "token", "leaving");
+    BlockId id,
+    MemberId holder,
+    Incarnation life,
+    String type,
+    String zone,
+    boolean spot,
+    Map<MachineId, Machine> machines,
+    Set<MachineId> leaving,
+    Token token,
+    Revision version,
+    Map<String, Object> others) {
+  private static final Set<String> KNOWN =
+      Set.of("holder", "life", "type", "zone", "spot", "machines", "token", "leaving");
 
-    static BlockLease read(BlockId id, Object value, Revision version) throws BadMessage {
-        Fields in = Fields.of(value, "a block");
-        String type = in.text("type");
-        String zone = in.text("zone");
-        boolean spot = in.flag("spot");
-        Map<MachineId, Machine> machines = new LinkedHashMap<>();
-        for (Object item : in.list("machines")) {
-            if (!(item instanceof List<?> pair) || pair.size() != 2 || !(pair.get(0) instanceof String name)
-                    || !(pair.get(1) instanceof String address) || Endpoint.parse(address) == null) {
-                throw new BadMessage("bad machine in a block");
-            }
-            MachineId machine = new MachineId(name);
-            machines.put(machine, new Machine(machine, Endpoint.parse(address), type, zone, spot));
-        }
-        Set<MachineId> leaving = new LinkedHashSet<>();
-        if (in.has("leaving")) {
-            in.texts("leaving").forEach(name -> leaving.add(new MachineId(name)));
-        }
-        return new BlockLease(id, new MemberId(in.text("holder")), new Incarnation(in.unsigned("life")), type, zone, spot,
-                machines, leaving, new Token(in.has("token") ? in.unsigned("token") : version.number()), version, in.others(KNOWN));
+  static BlockLease read(BlockId id, Object value, Revision version) throws BadMessage {
+    Fields in = Fields.of(value, "a block");
+    String type = in.text("type");
+    String zone = in.text("zone");
+    boolean spot = in.flag("spot");
+    Map<MachineId, Machine> machines = new LinkedHashMap<>();
+    for (Object item : in.list("machines")) {
+      if (!(item instanceof List<?> pair)
+          || pair.size() != 2
+          || !(pair.get(0) instanceof String name)
+          || !(pair.get(1) instanceof String address)
+          || Endpoint.parse(address) == null) {
+        throw new BadMessage("bad machine in a block");
+      }
+      MachineId machine = new MachineId(name);
+      machines.put(machine, new Machine(machine, Endpoint.parse(address), type, zone, spot));
     }
-
-    public Map<String, Object> write() {
-        List<Object> list = new ArrayList<>();
-        for (Machine machine : machines.values()) {
-            list.add(List.of(machine.id().text(), machine.address().toString()));
-        }
-        Map<String, Object> out = Json.object("holder", holder.text(), "life", life.number(), "type", type, "zone", zone,
-                "spot", spot, "machines", list);
-        out.putAll(others);
-        if (token.number() != 0) {
-            out.put("token", token.number());
-        }
-        if (!leaving.isEmpty()) {
-            out.put("leaving", leaving.stream().map(MachineId::text).toList());
-        }
-        return out;
+    Set<MachineId> leaving = new LinkedHashSet<>();
+    if (in.has("leaving")) {
+      in.texts("leaving").forEach(name -> leaving.add(new MachineId(name)));
     }
+    return new BlockLease(
+        id,
+        new MemberId(in.text("holder")),
+        new Incarnation(in.unsigned("life")),
+        type,
+        zone,
+        spot,
+        machines,
+        leaving,
+        new Token(in.has("token") ? in.unsigned("token") : version.number()),
+        version,
+        in.others(KNOWN));
+  }
 
-    /** The most bytes that the record comes to as long as it has these machines: with the longest token, and all of them leaving. */
-    public int mostBytes() {
-        return Json.write(new BlockLease(id, holder, new Incarnation(Long.MAX_VALUE), type, zone, spot, machines, machines.keySet(),
-                new Token(Long.MAX_VALUE), version, others).write()).length;
+  public Map<String, Object> write() {
+    List<Object> list = new ArrayList<>();
+    for (Machine machine : machines.values()) {
+      list.add(List.of(machine.id().text(), machine.address().toString()));
     }
-
-    /** A block as it is to be leased for the first time. */
-    public static BlockLease first(BlockId id, MemberRecord holder, Machine machine) {
-        return new BlockLease(id, holder.member(), holder.life(), machine.type(), machine.zone(), machine.spot(),
-                Map.of(machine.id(), machine), Set.of(), Token.NONE, Revision.NONE, Map.of());
+    Map<String, Object> out =
+        Json.object(
+            "holder",
+            holder.text(),
+            "life",
+            life.number(),
+            "type",
+            type,
+            "zone",
+            zone,
+            "spot",
+            spot,
+            "machines",
+            list);
+    out.putAll(others);
+    if (token.number() != 0) {
+      out.put("token", token.number());
     }
-
-    /** The block under another holder, whose token is the revision of the lease to be written. */
-    public BlockLease heldBy(MemberRecord member) {
-        return new BlockLease(id, member.member(), member.life(), type, zone, spot, machines, leaving, Token.NONE, version, others);
+    if (!leaving.isEmpty()) {
+      out.put("leaving", leaving.stream().map(MachineId::text).toList());
     }
+    return out;
+  }
 
-    public BlockLease with(Machine machine) {
-        Map<MachineId, Machine> more = new LinkedHashMap<>(machines);
-        more.put(machine.id(), machine);
-        return new BlockLease(id, holder, life, type, zone, spot, more, leaving, token, version, others);
-    }
+  /**
+   * The most bytes that the record comes to as long as it has these machines: with the longest
+   * token, and all of them leaving.
+   */
+  public int mostBytes() {
+    return Json.write(
+            new BlockLease(
+                    id,
+                    holder,
+                    new Incarnation(Long.MAX_VALUE),
+                    type,
+                    zone,
+                    spot,
+                    machines,
+                    machines.keySet(),
+                    new Token(Long.MAX_VALUE),
+                    version,
+                    others)
+                .write())
+        .length;
+  }
 
-    public BlockLease without(MachineId machine) {
-        Map<MachineId, Machine> fewer = new LinkedHashMap<>(machines);
-        fewer.remove(machine);
-        Set<MachineId> left = new LinkedHashSet<>(leaving);
-        left.remove(machine);
-        return new BlockLease(id, holder, life, type, zone, spot, fewer, left, token, version, others);
-    }
+  /** A block as it is to be leased for the first time. */
+  public static BlockLease first(BlockId id, MemberRecord holder, Machine machine) {
+    return new BlockLease(
+        id,
+        holder.member(),
+        holder.life(),
+        machine.type(),
+        machine.zone(),
+        machine.spot(),
+        Map.of(machine.id(), machine),
+        Set.of(),
+        Token.NONE,
+        Revision.NONE,
+        Map.of());
+  }
 
-    public BlockLease leaving(MachineId machine) {
-        Set<MachineId> more = new LinkedHashSet<>(leaving);
-        more.add(machine);
-        return new BlockLease(id, holder, life, type, zone, spot, machines, more, token, version, others);
-    }
+  /** The block under another holder, whose token is the revision of the lease to be written. */
+  public BlockLease heldBy(MemberRecord member) {
+    return new BlockLease(
+        id,
+        member.member(),
+        member.life(),
+        type,
+        zone,
+        spot,
+        machines,
+        leaving,
+        Token.NONE,
+        version,
+        others);
+  }
+
+  public BlockLease with(Machine machine) {
+    Map<MachineId, Machine> more = new LinkedHashMap<>(machines);
+    more.put(machine.id(), machine);
+    return new BlockLease(
+        id, holder, life, type, zone, spot, more, leaving, token, version, others);
+  }
+
+  public BlockLease without(MachineId machine) {
+    Map<MachineId, Machine> fewer = new LinkedHashMap<>(machines);
+    fewer.remove(machine);
+    Set<MachineId> left = new LinkedHashSet<>(leaving);
+    left.remove(machine);
+    return new BlockLease(id, holder, life, type, zone, spot, fewer, left, token, version, others);
+  }
+
+  public BlockLease leaving(MachineId machine) {
+    Set<MachineId> more = new LinkedHashSet<>(leaving);
+    more.add(machine);
+    return new BlockLease(
+        id, holder, life, type, zone, spot, machines, more, token, version, others);
+  }
 }
--- a/src/main/java/org/quincecross/state/DoneTasks.java
+++ b/src/main/java/org/quincecross/state/DoneTasks.java
@@ -10,67 +10,72 @@
 import org.quincecross.wire.Json;
 
 /**
- * The record of done tasks: of a chunk of a job's tasks, as ranges where these are short and as bits where the tasks
- * are scattered, so that a chunk fits a value of the state service whichever tasks are done.
+ * The record of done tasks: of a chunk of a job's tasks, as ranges where these are short and as
+ * bits where the tasks are scattered, so that a chunk fits a value of the state service whichever
+ * tasks are done.
  */
 public final class DoneTasks {
-    /** Tasks of a chunk; as bits in base 64 they take less than 700 bytes. */
-    public static final int CHUNK = 4096;
-    private static final int MOST_RANGES = 640;
+  /** Tasks of a chunk; as bits in base 64 they take less than 700 bytes. */
+  public static final int CHUNK = 4096;
 
-    private DoneTasks() {
-    }
+  private static final int MOST_RANGES = 640;
 
-    /** What a page of several jobs' done tasks says. */
-    public static Map<String, Object> writePage(Map<JobId, TaskSet> jobs) {
-        return Json.object("jobs", TaskSets.write(jobs));
-    }
+  private DoneTasks() {}
 
-    /** What a page without jobs takes, and what a job's item takes beside its digits and its tasks. */
-    public static final int EMPTY_PAGE_BYTES = 11;
-    private static final int ITEM_BYTES = 6;
+  /** What a page of several jobs' done tasks says. */
+  public static Map<String, Object> writePage(Map<JobId, TaskSet> jobs) {
+    return Json.object("jobs", TaskSets.write(jobs));
+  }
 
-    /** What a job's item takes in a page, a byte for the comma included. */
-    public static int pageBytes(JobId job, TaskSet done) {
-        return done.isEmpty() ? 0 : job.digitCount() + done.textLength() + ITEM_BYTES;
-    }
+  /**
+   * What a page without jobs takes, and what a job's item takes beside its digits and its tasks.
+   */
+  public static final int EMPTY_PAGE_BYTES = 11;
 
-    /** Whether a job's done tasks are short enough for a page. */
-    public static boolean fitsPage(TaskSet done) {
-        return done.textLength() <= MOST_RANGES;
-    }
+  private static final int ITEM_BYTES = 6;
 
-    /** The tasks of {@code all} that lie in a chunk, counted from the job's first task. */
-    public static Map<String, Object> write(TaskSet all, int chunk) {
-        TaskSet in = new TaskSet();
-        BitSet bits = new BitSet();
-        int base = chunk * CHUNK;
-        for (int i = all.next(base); i >= 0 && i < base + CHUNK; i = all.next(i + 1)) {
-            in.add(i);
-            bits.set(i - base);
-        }
-        String ranges = in.toString();
-        return ranges.length() <= MOST_RANGES ? Json.object("ranges", ranges)
-                : Json.object("bits", Base64.getEncoder().encodeToString(bits.toByteArray()));
+  /** What a job's item takes in a page, a byte for the comma included. */
+  public static int pageBytes(JobId job, TaskSet done) {
+    return done.isEmpty() ? 0 : job.digitCount() + done.textLength() + ITEM_BYTES;
+  }
+
+  /** Whether a job's done tasks are short enough for a page. */
+  public static boolean fitsPage(TaskSet done) {
+    return done.textLength() <= MOST_RANGES;
+  }
+
+  /** The tasks of {@code all} that lie in a chunk, counted from the job's first task. */
+  public static Map<String, Object> write(TaskSet all, int chunk) {
+    TaskSet in = new TaskSet();
+    BitSet bits = new BitSet();
+    int base = chunk * CHUNK;
+    for (int i = all.next(base); i >= 0 && i < base + CHUNK; i = all.next(i + 1)) {
+      in.add(i);
+      bits.set(i - base);
     }
+    String ranges = in.toString();
+    return ranges.length() <= MOST_RANGES
+        ? Json.object("ranges", ranges)
+        : Json.object("bits", Base64.getEncoder().encodeToString(bits.toByteArray()));
+  }
 
-    static TaskSet read(Object value, int chunk) throws BadMessage {
-        Fields in = Fields.of(value, "a record of done tasks");
-        int base = chunk * CHUNK;
-        if (in.has("ranges")) {
-            TaskSet set = TaskSet.parse(in.text("ranges"), base + CHUNK);
-            if (set == null) {
-                throw new BadMessage("bad ranges in a record of done tasks");
-            }
-            return set;
-        }
-        TaskSet set = new TaskSet();
-        try {
-            BitSet bits = BitSet.valueOf(Base64.getDecoder().decode(in.text("bits")));
-            bits.stream().filter(i -> i < CHUNK).forEach(i -> set.add(base + i));
-        } catch (IllegalArgumentException e) {
-            throw new BadMessage("bad bits in a record of done tasks");
-        }
-        return set;
+  static TaskSet read(Object value, int chunk) throws BadMessage {
+    Fields in = Fields.of(value, "a record of done tasks");
+    int base = chunk * CHUNK;
+    if (in.has("ranges")) {
+      TaskSet set = TaskSet.parse(in.text("ranges"), base + CHUNK);
+      if (set == null) {
+        throw new BadMessage("bad ranges in a record of done tasks");
+      }
+      return set;
+    }
+    TaskSet set = new TaskSet();
+    try {
+      BitSet bits = BitSet.valueOf(Base64.getDecoder().decode(in.text("bits")));
+      bits.stream().filter(i -> i < CHUNK).forEach(i -> set.add(base + i));
+    } catch (IllegalArgumentException e) {
+      throw new BadMessage("bad bits in a record of done tasks");
     }
+    return set;
+  }
 }
--- a/src/main/java/org/quincecross/state/Follower.java
+++ b/src/main/java/org/quincecross/state/Follower.java
@@ -18,278 +18,322 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the {@link Ledger} up to date: reads all records once, then watches for changes. Beside the watch it makes
- * <em>barriers</em>: one short read of the revision and of what is new serves everyone who needs to know that the
- * ledger is current.
+ * Keeps the {@link Ledger} up to date: reads all records once, then watches for changes. Beside the
+ * watch it makes <em>barriers</em>: one short read of the revision and of what is new serves
+ * everyone who needs to know that the ledger is current.
  */
 public final class Follower {
-    private static final Logger LOG = LoggerFactory.getLogger(Follower.class);
-    private static final Span WATCH = Span.ofSeconds(10);
-    private static final Span RETRY = Span.ofMillis(250);
-    /** Changes that come close together are read together: requests are limited, and each reading has its cost. */
-    private static final Span WATCH_SPACING = Span.ofMillis(40);
-    private static final Span BARRIER_TIMEOUT = Span.ofSeconds(1.2);
-    private static final Span BARRIER_SPACING = Span.ofMillis(40);
-    private static final Span BARRIER_GATHERING = Span.ofMillis(120);
-    /** How often the ledger is confirmed even if nobody asks. */
-    private static final Span HEARTBEAT = Span.ofMillis(500);
-    private static final int PAGE = 400;
+  private static final Logger LOG = LoggerFactory.getLogger(Follower.class);
+  private static final Span WATCH = Span.ofSeconds(10);
+  private static final Span RETRY = Span.ofMillis(250);
 
-    /** The states of following. */
-    public enum State {
-        /** The records are being read, page by page. Ends with the last page; a page that does not come is asked for again. */
-        LOADING,
-        /**
-         * What has changed since the first page is being read. Until it is, nothing else may move the ledger on, and no barrier is
-         * made: what it brought would be taken back by records that were read before it.
-         */
-        CATCHING_UP,
-        /** Changes are watched. */
-        FOLLOWING
-    }
+  /**
+   * Changes that come close together are read together: requests are limited, and each reading has
+   * its cost.
+   */
+  private static final Span WATCH_SPACING = Span.ofMillis(40);
 
-    private final Timers timers;
-    private final StateClient client;
-    private final Ledger ledger;
-    private State state = State.LOADING;
-    private int generation;
-    private SteadyTime confirmed;
-    private SteadyTime answering;
-    private List<Consumer<Boolean>> askers = new ArrayList<>();
-    private boolean barrierRunning;
-    private boolean barrierPlanned;
-    private boolean spacingPlanned;
-    private SteadyTime lastBarrier;
+  private static final Span BARRIER_TIMEOUT = Span.ofSeconds(1.2);
+  private static final Span BARRIER_SPACING = Span.ofMillis(40);
+  private static final Span BARRIER_GATHERING = Span.ofMillis(120);
 
-    public Follower(Timers timers, StateClient client, Ledger ledger) {
-        this.timers = timers;
-        this.client = client;
-        this.ledger = ledger;
-    }
+  /** How often the ledger is confirmed even if nobody asks. */
+  private static final Span HEARTBEAT = Span.ofMillis(500);
 
-    public void start() {
-        load();
-        timers.every(HEARTBEAT, () -> barrier(ok -> { }));
-    }
+  private static final int PAGE = 400;
 
-    /** The one place where following changes its state. */
-    private void enter(State next) {
-        state = next;
-        generation++;
-    }
+  /** The states of following. */
+  public enum State {
+    /**
+     * The records are being read, page by page. Ends with the last page; a page that does not come
+     * is asked for again.
+     */
+    LOADING,
+    /**
+     * What has changed since the first page is being read. Until it is, nothing else may move the
+     * ledger on, and no barrier is made: what it brought would be taken back by records that were
+     * read before it.
+     */
+    CATCHING_UP,
+    /** Changes are watched. */
+    FOLLOWING
+  }
 
-    public State state() {
-        return state;
-    }
+  private final Timers timers;
+  private final StateClient client;
+  private final Ledger ledger;
+  private State state = State.LOADING;
+  private int generation;
+  private SteadyTime confirmed;
+  private SteadyTime answering;
+  private List<Consumer<Boolean>> askers = new ArrayList<>();
+  private boolean barrierRunning;
+  private boolean barrierPlanned;
+  private boolean spacingPlanned;
+  private SteadyTime lastBarrier;
 
-    /** The ledger holds all that had happened by this time; null before it was first read. */
-    public SteadyTime confirmed() {
-        return confirmed;
-    }
+  public Follower(Timers timers, StateClient client, Ledger ledger) {
+    this.timers = timers;
+    this.client = client;
+    this.ledger = ledger;
+  }
 
-    /**
-     * When the last barrier began that worked; null before the records were first read. Where the watch alone gets through, the
-     * records go on being confirmed and still no question can be answered.
-     */
-    public SteadyTime answering() {
-        return answering;
-    }
+  public void start() {
+    load();
+    timers.every(HEARTBEAT, () -> barrier(ok -> {}));
+  }
 
-    private void load() {
-        enter(State.LOADING);
-        readPage(generation, null, new HashMap<>(), null, timers.now());
-    }
+  /** The one place where following changes its state. */
+  private void enter(State next) {
+    state = next;
+    generation++;
+  }
 
-    private void readPage(int mine, String after, Map<String, Ledger.StateEntry> entries, Revision first, SteadyTime begun) {
-        client.read(StateCodec.listPath(Keys.ROOT, after, PAGE), Span.ofSeconds(5), outcome -> {
-            if (generation != mine) {
-                return;
+  public State state() {
+    return state;
+  }
+
+  /** The ledger holds all that had happened by this time; null before it was first read. */
+  public SteadyTime confirmed() {
+    return confirmed;
+  }
+
+  /**
+   * When the last barrier began that worked; null before the records were first read. Where the
+   * watch alone gets through, the records go on being confirmed and still no question can be
+   * answered.
+   */
+  public SteadyTime answering() {
+    return answering;
+  }
+
+  private void load() {
+    enter(State.LOADING);
+    readPage(generation, null, new HashMap<>(), null, timers.now());
+  }
+
+  private void readPage(
+      int mine,
+      String after,
+      Map<String, Ledger.StateEntry> entries,
+      Revision first,
+      SteadyTime begun) {
+    client.read(
+        StateCodec.listPath(Keys.ROOT, after, PAGE),
+        Span.ofSeconds(5),
+        outcome -> {
+          if (generation != mine) {
+            return;
+          }
+          try {
+            if (outcome.status() != 200) {
+              throw new BadMessage("status " + outcome.status());
             }
-            try {
-                if (outcome.status() != 200) {
-                    throw new BadMessage("status " + outcome.status());
-                }
-                StateCodec.Page page = StateCodec.readList(Json.parseFields(outcome.response().body()));
-                String last = after;
-                for (Entry entry : page.entries()) {
-                    entries.put(entry.key(), new Ledger.StateEntry(entry.value(), entry.version()));
-                    last = entry.key();
-                }
-                Revision from = first == null ? page.revision() : first;
-                if (page.more()) {
-                    readPage(mine, last, entries, from, begun);
-                } else {
-                    finishLoad(entries, from, begun);
-                }
-            } catch (BadMessage e) {
-                LOG.debug("cannot read the records: {}", e.getMessage());
-                timers.after(RETRY, () -> {
-                    if (generation == mine) {
-                        load();
-                    }
-                });
+            StateCodec.Page page = StateCodec.readList(Json.parseFields(outcome.response().body()));
+            String last = after;
+            for (Entry entry : page.entries()) {
+              entries.put(entry.key(), new Ledger.StateEntry(entry.value(), entry.version()));
+              last = entry.key();
+            }
+            Revision from = first == null ? page.revision() : first;
+            if (page.more()) {
+              readPage(mine, last, entries, from, begun);
+            } else {
+              finishLoad(entries, from, begun);
             }
+          } catch (BadMessage e) {
+            LOG.debug("cannot read the records: {}", e.getMessage());
+            timers.after(
+                RETRY,
+                () -> {
+                  if (generation == mine) {
+                    load();
+                  }
+                });
+          }
         });
-    }
+  }
 
-    private void finishLoad(Map<String, Ledger.StateEntry> entries, Revision from, SteadyTime begun) {
-        // Pages are read one after the other, at revisions that may differ: the changes since the first page are
-        // caught up with before anyone sees the records.
-        enter(State.CATCHING_UP);
-        int mine = generation;
-        client.read(StateCodec.watchPath(Keys.ROOT, from, 0), BARRIER_TIMEOUT, outcome -> {
-            if (generation != mine) {
-                return;
+  private void finishLoad(Map<String, Ledger.StateEntry> entries, Revision from, SteadyTime begun) {
+    // Pages are read one after the other, at revisions that may differ: the changes since the first
+    // page are
+    // caught up with before anyone sees the records.
+    enter(State.CATCHING_UP);
+    int mine = generation;
+    client.read(
+        StateCodec.watchPath(Keys.ROOT, from, 0),
+        BARRIER_TIMEOUT,
+        outcome -> {
+          if (generation != mine) {
+            return;
+          }
+          try {
+            if (outcome.status() != 200) {
+              throw new BadMessage("status " + outcome.status());
             }
-            try {
-                if (outcome.status() != 200) {
-                    throw new BadMessage("status " + outcome.status());
-                }
-                StateCodec.Page page = StateCodec.readWatch(Json.parseFields(outcome.response().body()));
-                for (Entry event : page.entries()) {
-                    Ledger.StateEntry known = entries.get(event.key());
-                    if (known != null && !event.version().isAfter(known.version())) {
-                        continue;
-                    }
-                    if (event.value() == null) {
-                        entries.remove(event.key());
-                    } else {
-                        entries.put(event.key(), new Ledger.StateEntry(event.value(), event.version()));
-                    }
-                }
-                enter(State.FOLLOWING);
-                confirmed = begun;
-                answering = begun;
-                LOG.info("records read: {} keys at revision {}", entries.size(), page.revision());
-                ledger.load(entries, page.revision());
-                watch();
-                barrier(ok -> { });
-            } catch (BadMessage e) {
-                LOG.info("cannot catch up with the records: {}", e.getMessage());
-                timers.after(RETRY, this::load);
+            StateCodec.Page page =
+                StateCodec.readWatch(Json.parseFields(outcome.response().body()));
+            for (Entry event : page.entries()) {
+              Ledger.StateEntry known = entries.get(event.key());
+              if (known != null && !event.version().isAfter(known.version())) {
+                continue;
+              }
+              if (event.value() == null) {
+                entries.remove(event.key());
+              } else {
+                entries.put(event.key(), new Ledger.StateEntry(event.value(), event.version()));
+              }
             }
+            enter(State.FOLLOWING);
+            confirmed = begun;
+            answering = begun;
+            LOG.info("records read: {} keys at revision {}", entries.size(), page.revision());
+            ledger.load(entries, page.revision());
+            watch();
+            barrier(ok -> {});
+          } catch (BadMessage e) {
+            LOG.info("cannot catch up with the records: {}", e.getMessage());
+            timers.after(RETRY, this::load);
+          }
         });
-    }
+  }
 
-    private void watch() {
-        int mine = generation;
-        SteadyTime sent = timers.now();
-        client.read(StateCodec.watchPath(Keys.ROOT, ledger.revision(), WATCH.millis()), WATCH.plus(Span.ofSeconds(5)), outcome -> {
-            if (generation != mine) {
-                return;
-            }
-            if (take(outcome, sent)) {
-                long pause = WATCH_SPACING.nanos() - timers.now().since(sent).nanos();
-                if (pause <= 0) {
-                    watch();
-                } else {
-                    timers.after(new Span(pause), () -> {
-                        if (generation == mine) {
-                            watch();
-                        }
-                    });
-                }
-            } else if (outcome.status() == 410) {
-                LOG.info("too far behind the records: reading them anew");
-                load();
+  private void watch() {
+    int mine = generation;
+    SteadyTime sent = timers.now();
+    client.read(
+        StateCodec.watchPath(Keys.ROOT, ledger.revision(), WATCH.millis()),
+        WATCH.plus(Span.ofSeconds(5)),
+        outcome -> {
+          if (generation != mine) {
+            return;
+          }
+          if (take(outcome, sent)) {
+            long pause = WATCH_SPACING.nanos() - timers.now().since(sent).nanos();
+            if (pause <= 0) {
+              watch();
             } else {
-                timers.after(RETRY, () -> {
+              timers.after(
+                  new Span(pause),
+                  () -> {
                     if (generation == mine) {
-                        watch();
+                      watch();
                     }
-                });
+                  });
             }
+          } else if (outcome.status() == 410) {
+            LOG.info("too far behind the records: reading them anew");
+            load();
+          } else {
+            timers.after(
+                RETRY,
+                () -> {
+                  if (generation == mine) {
+                    watch();
+                  }
+                });
+          }
         });
+  }
+
+  /** Takes the answer of a watch or a barrier; false if it is none. */
+  private boolean take(HttpOutcome outcome, SteadyTime sent) {
+    if (outcome.status() != 200) {
+      return false;
+    }
+    StateCodec.Page page;
+    try {
+      page = StateCodec.readWatch(Json.parseFields(outcome.response().body()));
+    } catch (BadMessage e) {
+      LOG.info("unreadable changes: {}", e.getMessage());
+      return false;
     }
+    // The watch and the barriers see the same changes: each is taken once, in order.
+    Revision known = ledger.revision();
+    for (Entry event : page.entries()) {
+      if (event.version().isAfter(known)) {
+        ledger.apply(event.key(), event.value(), event.version());
+      }
+    }
+    if (confirmed == null || confirmed.isBefore(sent)) {
+      confirmed = sent;
+    }
+    ledger.advance(page.revision());
+    return true;
+  }
 
-    /** Takes the answer of a watch or a barrier; false if it is none. */
-    private boolean take(HttpOutcome outcome, SteadyTime sent) {
-        if (outcome.status() != 200) {
-            return false;
-        }
-        StateCodec.Page page;
-        try {
-            page = StateCodec.readWatch(Json.parseFields(outcome.response().body()));
-        } catch (BadMessage e) {
-            LOG.info("unreadable changes: {}", e.getMessage());
-            return false;
-        }
-        // The watch and the barriers see the same changes: each is taken once, in order.
-        Revision known = ledger.revision();
-        for (Entry event : page.entries()) {
-            if (event.version().isAfter(known)) {
-                ledger.apply(event.key(), event.value(), event.version());
-            }
-        }
-        if (confirmed == null || confirmed.isBefore(sent)) {
-            confirmed = sent;
-        }
-        ledger.advance(page.revision());
-        return true;
+  /** Confirms that the ledger is current as of now or later, then says whether that worked. */
+  public void barrier(Consumer<Boolean> whenCurrent) {
+    if (join(whenCurrent)) {
+      startBarrier();
     }
+  }
 
-    /** Confirms that the ledger is current as of now or later, then says whether that worked. */
-    public void barrier(Consumer<Boolean> whenCurrent) {
-        if (join(whenCurrent)) {
+  /**
+   * The same for whoever can wait a moment: many that come one after the other are served by one
+   * reading.
+   */
+  public void barrierSoon(Consumer<Boolean> whenCurrent) {
+    if (join(whenCurrent) && !barrierRunning && !barrierPlanned) {
+      barrierPlanned = true;
+      timers.after(
+          BARRIER_GATHERING,
+          () -> {
+            barrierPlanned = false;
             startBarrier();
-        }
+          });
     }
+  }
 
-    /** The same for whoever can wait a moment: many that come one after the other are served by one reading. */
-    public void barrierSoon(Consumer<Boolean> whenCurrent) {
-        if (join(whenCurrent) && !barrierRunning && !barrierPlanned) {
-            barrierPlanned = true;
-            timers.after(BARRIER_GATHERING, () -> {
-                barrierPlanned = false;
-                startBarrier();
-            });
-        }
+  private boolean join(Consumer<Boolean> whenCurrent) {
+    if (state != State.FOLLOWING || !ledger.isLoaded()) {
+      timers.after(Span.ofMillis(1), () -> whenCurrent.accept(false));
+      return false;
     }
+    askers.add(whenCurrent);
+    return true;
+  }
 
-    private boolean join(Consumer<Boolean> whenCurrent) {
-        if (state != State.FOLLOWING || !ledger.isLoaded()) {
-            timers.after(Span.ofMillis(1), () -> whenCurrent.accept(false));
-            return false;
-        }
-        askers.add(whenCurrent);
-        return true;
+  private void startBarrier() {
+    if (barrierRunning || askers.isEmpty()) {
+      return;
     }
-
-    private void startBarrier() {
-        if (barrierRunning || askers.isEmpty()) {
-            return;
-        }
-        if (state != State.FOLLOWING) {
-            List<Consumer<Boolean>> refused = askers;
-            askers = new ArrayList<>();
-            refused.forEach(asker -> asker.accept(false));
-            return;
-        }
-        Span pause = lastBarrier == null ? BARRIER_SPACING : timers.now().since(lastBarrier);
-        if (BARRIER_SPACING.isMoreThan(pause)) {
-            if (!spacingPlanned) {
-                spacingPlanned = true;
-                timers.after(new Span(BARRIER_SPACING.nanos() - pause.nanos()), () -> {
-                    spacingPlanned = false;
-                    startBarrier();
-                });
-            }
-            return;
-        }
-        barrierRunning = true;
-        lastBarrier = timers.now();
-        SteadyTime sent = lastBarrier;
-        int mine = generation;
-        List<Consumer<Boolean>> served = askers;
-        askers = new ArrayList<>();
-        client.read(StateCodec.watchPath(Keys.ROOT, ledger.revision(), 0), BARRIER_TIMEOUT, outcome -> {
-            barrierRunning = false;
-            boolean current = generation == mine && take(outcome, sent);
-            if (current) {
-                answering = sent;
-            }
-            served.forEach(asker -> asker.accept(current));
-            startBarrier();
-        });
+    if (state != State.FOLLOWING) {
+      List<Consumer<Boolean>> refused = askers;
+      askers = new ArrayList<>();
+      refused.forEach(asker -> asker.accept(false));
+      return;
     }
+    Span pause = lastBarrier == null ? BARRIER_SPACING : timers.now().since(lastBarrier);
+    if (BARRIER_SPACING.isMoreThan(pause)) {
+      if (!spacingPlanned) {
+        spacingPlanned = true;
+        timers.after(
+            new Span(BARRIER_SPACING.nanos() - pause.nanos()),
+            () -> {
+              spacingPlanned = false;
+              startBarrier();
+            });
+      }
+      return;
+    }
+    barrierRunning = true;
+    lastBarrier = timers.now();
+    SteadyTime sent = lastBarrier;
+    int mine = generation;
+    List<Consumer<Boolean>> served = askers;
+    askers = new ArrayList<>();
+    client.read(
+        StateCodec.watchPath(Keys.ROOT, ledger.revision(), 0),
+        BARRIER_TIMEOUT,
+        outcome -> {
+          barrierRunning = false;
+          boolean current = generation == mine && take(outcome, sent);
+          if (current) {
+            answering = sent;
+          }
+          served.forEach(asker -> asker.accept(current));
+          startBarrier();
+        });
+  }
 }
--- a/src/main/java/org/quincecross/state/Foresight.java
+++ b/src/main/java/org/quincecross/state/Foresight.java
@@ -16,176 +16,209 @@
 import org.quincecross.model.SteadyTime;
 import org.quincecross.sched.Reserve;
 
-/** Watches what work comes and says what each block should keep free for work that has not come yet. */
+/**
+ * Watches what work comes and says what each block should keep free for work that has not come yet.
+ */
 public final class Foresight {
-    /** Work of a kind that came lately comes again. */
-    private static final Span REMEMBERED = Span.ofSeconds(300);
-    /** Whole machines kept beyond those that waiting work needs, as long as such work is about. */
-    private static final int SPARE = 2;
-    /** For so many machines, room for one more task of the highest priority is kept. */
-    private static final int MACHINES_PER_ROOM = 6;
-    private static final Span LOOK_EVERY = Span.ofSeconds(1);
-    /** Of a block that keeps nothing free: what has waited long is to start there too, and not to stand in its queue. */
-    private static final Reserve NOTHING = new Reserve(Reserve.Purpose.LARGE_WORK, Resources.NONE, 0);
-
-    private record Kind(String type, boolean spot) {
-    }
-
-    private record Seen(Resources each, SteadyTime at) {
-    }
-
-    private final Ledger ledger;
-    private final Withheld withheld;
-    private final Map<Kind, Seen> seen = new HashMap<>();
-    private final Map<BlockId, List<Reserve>> reserves = new HashMap<>();
-    private final Map<BlockId, List<Reserve>> plannedAround = new HashMap<>();
-    private final LongWaits waits;
-    private Seen urgent;
-    private SteadyTime computedAt;
-    private RequestRooms requests;
-    private long requestsSeen;
-
-    public Foresight(Ledger ledger) {
-        this(ledger, Withheld.NONE);
-    }
-
-    /** @param withheld tasks that may not run now, and for which nothing is to be kept free */
-    public Foresight(Ledger ledger, Withheld withheld) {
-        this.ledger = ledger;
-        this.withheld = withheld;
-        waits = new LongWaits(ledger);
-    }
-
-    /** Has room kept for requests, too. */
-    public void keep(RequestRooms rooms) {
-        requests = rooms;
-    }
-
-    /** What a block keeps free when it starts work. */
-    public List<Reserve> of(BlockId block, SteadyTime now) {
-        look(now);
-        return reserves.getOrDefault(block, List.of());
-    }
-
-    /** The same for a plan that gives work to blocks: what has just been given something has waited long no more. */
-    public List<Reserve> plannedAround(BlockId block, SteadyTime now) {
-        look(now);
-        return plannedAround.getOrDefault(block, List.of());
-    }
-
-    private void look(SteadyTime now) {
-        // What should be kept free follows what has come in minutes: no need to look at everything at every change.
-        boolean others = requests != null && requests.version() != requestsSeen;
-        if (computedAt == null || others || now.since(computedAt).isMoreThan(LOOK_EVERY)) {
-            compute(now);
-            computedAt = now;
-        }
-    }
-
-    /** What a task of the highest priority takes, of those seen lately; nothing if there were none. */
-    public Resources urgentTask() {
-        return urgent == null ? Resources.NONE : urgent.each();
-    }
-
-    private void compute(SteadyTime now) {
-        reserves.clear();
-        Map<Kind, Integer> waiting = new HashMap<>();
-        for (JobRecord record : ledger.openJobs()) {
-            int mayRun = record.job().tasks() - withheld.of(record.job()).size();
-            if (mayRun <= 0 || ledger.pipelines().waits(record.id())) {
-                continue;
-            }
-            if (record.job().rank() == Rank.PRODUCTION) {
-                urgent = new Seen(record.job().each(), now);
-            } else {
-                waits.look(record.id(), now);
-            }
-            for (MachineType type : ledger.types().values()) {
-                look(record.job(), mayRun, type, waiting, now);
-            }
-        }
-        waits.lookedAtAll();
-        seen.values().removeIf(large -> now.since(large.at()).isMoreThan(REMEMBERED));
-        seen.forEach((kind, large) -> share(kind, large, waiting.getOrDefault(kind, 0) + SPARE));
-        keepForUrgent(now);
-        if (requests != null) {
-            requestsSeen = requests.version();
-            requests.reserves().forEach((block, list) -> reserves.computeIfAbsent(block, id -> new ArrayList<>()).addAll(list));
-        }
-        lend(waits.toPlan(now), waits.toStart(now));
-    }
-
-    /**
-     * Guards against docs/incidents/kept-room-without-an-end.md: what is kept for work that may come, or waits for its team's limit, is lent
-     * to what has waited long. While the cloud has more machines, such work has some rented; at the end of its capacity nothing would
-     * ever start there. Urgent work that comes takes it back at once, as it does from all lower priorities.
-     */
-    private void lend(Set<JobId> toPlan, Set<JobId> toStart) {
-        plannedAround.clear();
-        for (BlockId block : ledger.blocks().keySet()) {
-            List<Reserve> kept = reserves.getOrDefault(block, List.of(NOTHING));
-            plannedAround.put(block, lent(kept, toPlan));
-            reserves.put(block, lent(kept, toStart));
-        }
-    }
-
-    private static List<Reserve> lent(List<Reserve> kept, Set<JobId> jobs) {
-        return kept.stream().map(each -> each.purpose() == Reserve.Purpose.REQUESTS ? each : each.lentTo(jobs)).toList();
-    }
-
-    private void look(Job job, int tasks, MachineType type, Map<Kind, Integer> waiting, SteadyTime now) {
-        if (!Reserve.isLarge(job, type.capacity()) || job.types() != null && !job.types().contains(type.name())) {
-            return;
-        }
-        for (boolean spot : job.spot() ? new boolean[] {true, false} : new boolean[] {false}) {
-            Kind kind = new Kind(type.name(), spot);
-            Resources each = job.each();
-            Seen before = seen.get(kind);
-            if (before != null) {
-                each = new Resources(Math.max(each.cpus(), before.each().cpus()), Math.max(each.gpus(), before.each().gpus()),
-                        Math.max(each.memoryGb(), before.each().memoryGb()));
-            }
-            seen.put(kind, new Seen(each, now));
-            if (ledger.blocksOf(job.id()).isEmpty()) {
-                waiting.merge(kind, tasks, Integer::sum);
-            }
-        }
-    }
-
-    /** Divides so many whole machines among the blocks of a kind, by their size. */
-    private void share(Kind kind, Seen large, int machines) {
-        int all = 0;
-        for (BlockLease block : ledger.blocks().values()) {
-            all += isOf(block, kind) ? block.machines().size() : 0;
-        }
-        for (BlockLease block : ledger.blocks().values()) {
-            if (isOf(block, kind)) {
-                int share = (int) Math.ceil((double) machines * block.machines().size() / all);
-                keep(block, new Reserve(Reserve.Purpose.LARGE_WORK, large.each(), Math.min(share, block.machines().size())));
-            }
-        }
-    }
-
-    private void keep(BlockLease block, Reserve reserve) {
-        reserves.computeIfAbsent(block.id(), id -> new ArrayList<>()).add(reserve);
-    }
-
-    /** Every block of some size on ordinary machines keeps room for more services. */
-    private void keepForUrgent(SteadyTime now) {
-        if (urgent == null || now.since(urgent.at()).isMoreThan(REMEMBERED)) {
-            return;
-        }
-        for (BlockLease block : ledger.blocks().values()) {
-            MachineType type = ledger.types().get(block.type());
-            boolean small = type != null && urgent.each().fitsIn(type.capacity()) && type.capacity().gpus() == 0;
-            if (!block.spot() && small && block.machines().size() >= 3) {
-                int rooms = (block.machines().size() + MACHINES_PER_ROOM - 1) / MACHINES_PER_ROOM;
-                keep(block, new Reserve(Reserve.Purpose.URGENT_WORK, urgent.each(), rooms));
-            }
-        }
-    }
-
-    private static boolean isOf(BlockLease block, Kind kind) {
-        return block.type().equals(kind.type()) && block.spot() == kind.spot();
-    }
+  /** Work of a kind that came lately comes again. */
+  private static final Span REMEMBERED = Span.ofSeconds(300);
+
+  /** Whole machines kept beyond those that waiting work needs, as long as such work is about. */
+  private static final int SPARE = 2;
+
+  /** For so many machines, room for one more task of the highest priority is kept. */
+  private static final int MACHINES_PER_ROOM = 6;
+
+  private static final Span LOOK_EVERY = Span.ofSeconds(1);
+
+  /**
+   * Of a block that keeps nothing free: what has waited long is to start there too, and not to
+   * stand in its queue.
+   */
+  private static final Reserve NOTHING = new Reserve(Reserve.Purpose.LARGE_WORK, Resources.NONE, 0);
+
+  private record Kind(String type, boolean spot) {}
+
+  private record Seen(Resources each, SteadyTime at) {}
+
+  private final Ledger ledger;
+  private final Withheld withheld;
+  private final Map<Kind, Seen> seen = new HashMap<>();
+  private final Map<BlockId, List<Reserve>> reserves = new HashMap<>();
+  private final Map<BlockId, List<Reserve>> plannedAround = new HashMap<>();
+  private final LongWaits waits;
+  private Seen urgent;
+  private SteadyTime computedAt;
+  private RequestRooms requests;
+  private long requestsSeen;
+
+  public Foresight(Ledger ledger) {
+    this(ledger, Withheld.NONE);
+  }
+
+  /**
+   * @param withheld tasks that may not run now, and for which nothing is to be kept free
+   */
+  public Foresight(Ledger ledger, Withheld withheld) {
+    this.ledger = ledger;
+    this.withheld = withheld;
+    waits = new LongWaits(ledger);
+  }
+
+  /** Has room kept for requests, too. */
+  public void keep(RequestRooms rooms) {
+    requests = rooms;
+  }
+
+  /** What a block keeps free when it starts work. */
+  public List<Reserve> of(BlockId block, SteadyTime now) {
+    look(now);
+    return reserves.getOrDefault(block, List.of());
+  }
+
+  /**
+   * The same for a plan that gives work to blocks: what has just been given something has waited
+   * long no more.
+   */
+  public List<Reserve> plannedAround(BlockId block, SteadyTime now) {
+    look(now);
+    return plannedAround.getOrDefault(block, List.of());
+  }
+
+  private void look(SteadyTime now) {
+    // What should be kept free follows what has come in minutes: no need to look at everything at
+    // every change.
+    boolean others = requests != null && requests.version() != requestsSeen;
+    if (computedAt == null || others || now.since(computedAt).isMoreThan(LOOK_EVERY)) {
+      compute(now);
+      computedAt = now;
+    }
+  }
+
+  /**
+   * What a task of the highest priority takes, of those seen lately; nothing if there were none.
+   */
+  public Resources urgentTask() {
+    return urgent == null ? Resources.NONE : urgent.each();
+  }
+
+  private void compute(SteadyTime now) {
+    reserves.clear();
+    Map<Kind, Integer> waiting = new HashMap<>();
+    for (JobRecord record : ledger.openJobs()) {
+      int mayRun = record.job().tasks() - withheld.of(record.job()).size();
+      if (mayRun <= 0 || ledger.pipelines().waits(record.id())) {
+        continue;
+      }
+      if (record.job().rank() == Rank.PRODUCTION) {
+        urgent = new Seen(record.job().each(), now);
+      } else {
+        waits.look(record.id(), now);
+      }
+      for (MachineType type : ledger.types().values()) {
+        look(record.job(), mayRun, type, waiting, now);
+      }
+    }
+    waits.lookedAtAll();
+    seen.values().removeIf(large -> now.since(large.at()).isMoreThan(REMEMBERED));
+    seen.forEach((kind, large) -> share(kind, large, waiting.getOrDefault(kind, 0) + SPARE));
+    keepForUrgent(now);
+    if (requests != null) {
+      requestsSeen = requests.version();
+      requests
+          .reserves()
+          .forEach(
+              (block, list) ->
+                  reserves.computeIfAbsent(block, id -> new ArrayList<>()).addAll(list));
+    }
+    lend(waits.toPlan(now), waits.toStart(now));
+  }
+
+  /**
+   * Guards against docs/incidents/kept-room-without-an-end.md: what is kept for work that may come,
+   * or waits for its team's limit, is lent to what has waited long. While the cloud has more
+   * machines, such work has some rented; at the end of its capacity nothing would ever start there.
+   * Urgent work that comes takes it back at once, as it does from all lower priorities.
+   */
+  private void lend(Set<JobId> toPlan, Set<JobId> toStart) {
+    plannedAround.clear();
+    for (BlockId block : ledger.blocks().keySet()) {
+      List<Reserve> kept = reserves.getOrDefault(block, List.of(NOTHING));
+      plannedAround.put(block, lent(kept, toPlan));
+      reserves.put(block, lent(kept, toStart));
+    }
+  }
+
+  private static List<Reserve> lent(List<Reserve> kept, Set<JobId> jobs) {
+    return kept.stream()
+        .map(each -> each.purpose() == Reserve.Purpose.REQUESTS ? each : each.lentTo(jobs))
+        .toList();
+  }
+
+  private void look(
+      Job job, int tasks, MachineType type, Map<Kind, Integer> waiting, SteadyTime now) {
+    if (!Reserve.isLarge(job, type.capacity())
+        || job.types() != null && !job.types().contains(type.name())) {
+      return;
+    }
+    for (boolean spot : job.spot() ? new boolean[] {true, false} : new boolean[] {false}) {
+      Kind kind = new Kind(type.name(), spot);
+      Resources each = job.each();
+      Seen before = seen.get(kind);
+      if (before != null) {
+        each =
+            new Resources(
+                Math.max(each.cpus(), before.each().cpus()),
+                Math.max(each.gpus(), before.each().gpus()),
+                Math.max(each.memoryGb(), before.each().memoryGb()));
+      }
+      seen.put(kind, new Seen(each, now));
+      if (ledger.blocksOf(job.id()).isEmpty()) {
+        waiting.merge(kind, tasks, Integer::sum);
+      }
+    }
+  }
+
+  /** Divides so many whole machines among the blocks of a kind, by their size. */
+  private void share(Kind kind, Seen large, int machines) {
+    int all = 0;
+    for (BlockLease block : ledger.blocks().values()) {
+      all += isOf(block, kind) ? block.machines().size() : 0;
+    }
+    for (BlockLease block : ledger.blocks().values()) {
+      if (isOf(block, kind)) {
+        int share = (int) Math.ceil((double) machines * block.machines().size() / all);
+        keep(
+            block,
+            new Reserve(
+                Reserve.Purpose.LARGE_WORK,
+                large.each(),
+                Math.min(share, block.machines().size())));
+      }
+    }
+  }
+
+  private void keep(BlockLease block, Reserve reserve) {
+    reserves.computeIfAbsent(block.id(), id -> new ArrayList<>()).add(reserve);
+  }
+
+  /** Every block of some size on ordinary machines keeps room for more services. */
+  private void keepForUrgent(SteadyTime now) {
+    if (urgent == null || now.since(urgent.at()).isMoreThan(REMEMBERED)) {
+      return;
+    }
+    for (BlockLease block : ledger.blocks().values()) {
+      MachineType type = ledger.types().get(block.type());
+      boolean small =
+          type != null && urgent.each().fitsIn(type.capacity()) && type.capacity().gpus() == 0;
+      if (!block.spot() && small && block.machines().size() >= 3) {
+        int rooms = (block.machines().size() + MACHINES_PER_ROOM - 1) / MACHINES_PER_ROOM;
+        keep(block, new Reserve(Reserve.Purpose.URGENT_WORK, urgent.each(), rooms));
+      }
+    }
+  }
+
+  private static boolean isOf(BlockLease block, Kind kind) {
+    return block.type().equals(kind.type()) && block.spot() == kind.spot();
+  }
 }
--- a/src/main/java/org/quincecross/state/Ledger.java
+++ b/src/main/java/org/quincecross/state/Ledger.java
@@ -31,502 +31,553 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This controller's copy of the records, as of {@link #revision()}. Changed by the {@link Follower} alone. */
+/**
+ * This controller's copy of the records, as of {@link #revision()}. Changed by the {@link Follower}
+ * alone.
+ */
 public final class Ledger {
-    private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
-
-    /** What a batch of changes touched; {@code agreed}: the records that all controllers follow. */
-    public record Changes(Set<JobId> jobs, Set<BlockId> blocks, Set<RecordId> agreed, boolean reloaded) {
-    }
-
-    /** Told after every batch. */
-    public interface Listener {
-        void changed(Changes changes);
-    }
-
-    private final Map<String, Revision> versions = new HashMap<>();
-    private final JobBook jobs = new JobBook(id -> versions.containsKey(Keys.job(id)), this::touchJob);
-    private final Map<JobId, Map<Integer, TaskSet>> done = new HashMap<>();
-    private final Map<Integer, Map<JobId, TaskSet>> pages = new TreeMap<>();
-    private final Map<JobId, TaskSet> paged = new HashMap<>();
-    private final Map<BlockId, BlockLease> blocks = new TreeMap<>();
-    /** The same again: what is asked for many times a second is not to be searched for in order. */
-    private final Map<BlockId, BlockLease> blockById = new HashMap<>();
-    /** As they are, with what has changed since their last whole record. */
-    private final Map<BlockId, Allocation> allocations = new HashMap<>();
-    private final Map<BlockId, Allocation> wholeAllocations = new HashMap<>();
-    private final Map<BlockId, AllocationChange> allocationChanges = new HashMap<>();
-    private final Map<JobId, Set<BlockId>> allocatedTo = new HashMap<>();
-    private final Map<MachineId, BlockLease> blockOf = new HashMap<>();
-    private final Map<MemberId, MemberRecord> members = new TreeMap<>();
-    private final Map<String, MachineType> types = new TreeMap<>();
-    private final List<Listener> listeners = new ArrayList<>();
-    private final Map<String, String> unreadable = new TreeMap<>();
-    private final AgreedRecords agreed = new AgreedRecords();
-    private MemberRecord leader;
-    private MemberRecord leads;
-    private LevelRecord level = LevelRecord.NONE;
-    private Object operatorSettings;
-    private Revision revision = Revision.NONE;
-    private boolean loaded;
-
-    private Set<JobId> touchedJobs = new HashSet<>();
-    private Set<BlockId> touchedBlocks = new HashSet<>();
-    private Set<RecordId> touchedAgreed = new HashSet<>();
-    private boolean touchedOther;
-
-    public void listen(Listener listener) {
-        listeners.add(listener);
-    }
-
-    /** Whether the records have been read at all. */
-    public boolean isLoaded() {
-        return loaded;
-    }
-
-    public Revision revision() {
-        return revision;
-    }
-
-    /** The version of a key, {@link Revision#NONE} if there is no such key. */
-    public Revision version(String key) {
-        return versions.getOrDefault(key, Revision.NONE);
-    }
-
-    /**
-     * A job as it stands. One that is cancelled because a job before it is has the version from which on it is, which is not that of
-     * its own key ({@link #version}).
-     */
-    public JobRecord job(JobId id) {
-        return jobs.job(id);
-    }
-
-    /** A job as its own record says, neither cancelled with another nor as urgent as those that need it; null where there is none. */
-    public JobRecord asRecorded(JobId id) {
-        return jobs.asRecorded(id);
-    }
-
-    /** Which jobs wait for which. */
-    public Pipelines pipelines() {
-        return jobs.pipelines();
-    }
-
-    /** The time of day from which on an open job can run: its acceptance, or the end of the last job that it waits on. */
-    public long readyMs(JobRecord record) {
-        return jobs.readyMs(record);
-    }
-
-    /** Whether a part of what jobs wait on is on record. */
-    public boolean hasPart(String key) {
-        return jobs.hasPart(key.substring(Keys.AFTER.length()));
-    }
-
-    /** All jobs, those that are over among them. */
-    public Set<JobId> jobs() {
-        return jobs.ids();
-    }
-
-    public int jobCount() {
-        return jobs.ids().size();
-    }
-
-    /** The bundles of accepted jobs of which every job has a record of its own by now. */
-    public List<String> spentBundles() {
-        return jobs.spentBundles();
-    }
-
-    /** The open jobs, first accepted first. */
-    public Iterable<JobRecord> openJobs() {
-        return jobs.open();
-    }
-
-    public boolean isDone(JobId job, int index) {
-        TaskSet onPage = paged.get(job);
-        if (onPage != null && onPage.has(index)) {
-            return true;
+  private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+
+  /** What a batch of changes touched; {@code agreed}: the records that all controllers follow. */
+  public record Changes(
+      Set<JobId> jobs, Set<BlockId> blocks, Set<RecordId> agreed, boolean reloaded) {}
+
+  /** Told after every batch. */
+  public interface Listener {
+    void changed(Changes changes);
+  }
+
+  private final Map<String, Revision> versions = new HashMap<>();
+  private final JobBook jobs =
+      new JobBook(id -> versions.containsKey(Keys.job(id)), this::touchJob);
+  private final Map<JobId, Map<Integer, TaskSet>> done = new HashMap<>();
+  private final Map<Integer, Map<JobId, TaskSet>> pages = new TreeMap<>();
+  private final Map<JobId, TaskSet> paged = new HashMap<>();
+  private final Map<BlockId, BlockLease> blocks = new TreeMap<>();
+
+  /** The same again: what is asked for many times a second is not to be searched for in order. */
+  private final Map<BlockId, BlockLease> blockById = new HashMap<>();
+
+  /** As they are, with what has changed since their last whole record. */
+  private final Map<BlockId, Allocation> allocations = new HashMap<>();
+
+  private final Map<BlockId, Allocation> wholeAllocations = new HashMap<>();
+  private final Map<BlockId, AllocationChange> allocationChanges = new HashMap<>();
+  private final Map<JobId, Set<BlockId>> allocatedTo = new HashMap<>();
+  private final Map<MachineId, BlockLease> blockOf = new HashMap<>();
+  private final Map<MemberId, MemberRecord> members = new TreeMap<>();
+  private final Map<String, MachineType> types = new TreeMap<>();
+  private final List<Listener> listeners = new ArrayList<>();
+  private final Map<String, String> unreadable = new TreeMap<>();
+  private final AgreedRecords agreed = new AgreedRecords();
+  private MemberRecord leader;
+  private MemberRecord leads;
+  private LevelRecord level = LevelRecord.NONE;
+  private Object operatorSettings;
+  private Revision revision = Revision.NONE;
+  private boolean loaded;
+
+  private Set<JobId> touchedJobs = new HashSet<>();
+  private Set<BlockId> touchedBlocks = new HashSet<>();
+  private Set<RecordId> touchedAgreed = new HashSet<>();
+  private boolean touchedOther;
+
+  public void listen(Listener listener) {
+    listeners.add(listener);
+  }
+
+  /** Whether the records have been read at all. */
+  public boolean isLoaded() {
+    return loaded;
+  }
+
+  public Revision revision() {
+    return revision;
+  }
+
+  /** The version of a key, {@link Revision#NONE} if there is no such key. */
+  public Revision version(String key) {
+    return versions.getOrDefault(key, Revision.NONE);
+  }
+
+  /**
+   * A job as it stands. One that is cancelled because a job before it is has the version from which
+   * on it is, which is not that of its own key ({@link #version}).
+   */
+  public JobRecord job(JobId id) {
+    return jobs.job(id);
+  }
+
+  /**
+   * A job as its own record says, neither cancelled with another nor as urgent as those that need
+   * it; null where there is none.
+   */
+  public JobRecord asRecorded(JobId id) {
+    return jobs.asRecorded(id);
+  }
+
+  /** Which jobs wait for which. */
+  public Pipelines pipelines() {
+    return jobs.pipelines();
+  }
+
+  /**
+   * The time of day from which on an open job can run: its acceptance, or the end of the last job
+   * that it waits on.
+   */
+  public long readyMs(JobRecord record) {
+    return jobs.readyMs(record);
+  }
+
+  /** Whether a part of what jobs wait on is on record. */
+  public boolean hasPart(String key) {
+    return jobs.hasPart(key.substring(Keys.AFTER.length()));
+  }
+
+  /** All jobs, those that are over among them. */
+  public Set<JobId> jobs() {
+    return jobs.ids();
+  }
+
+  public int jobCount() {
+    return jobs.ids().size();
+  }
+
+  /** The bundles of accepted jobs of which every job has a record of its own by now. */
+  public List<String> spentBundles() {
+    return jobs.spentBundles();
+  }
+
+  /** The open jobs, first accepted first. */
+  public Iterable<JobRecord> openJobs() {
+    return jobs.open();
+  }
+
+  public boolean isDone(JobId job, int index) {
+    TaskSet onPage = paged.get(job);
+    if (onPage != null && onPage.has(index)) {
+      return true;
+    }
+    Map<Integer, TaskSet> chunks = done.get(job);
+    TaskSet chunk = chunks == null ? null : chunks.get(index / DoneTasks.CHUNK);
+    return chunk != null && chunk.has(index);
+  }
+
+  /** A copy of the set of a job's done tasks. */
+  public TaskSet doneTasks(JobId job) {
+    TaskSet all = paged.containsKey(job) ? paged.get(job).copy() : new TaskSet();
+    done.getOrDefault(job, Map.of()).values().forEach(all::addAll);
+    return all;
+  }
+
+  public int doneCount(JobId job) {
+    TaskSet onPage = paged.get(job);
+    Map<Integer, TaskSet> chunks = done.get(job);
+    return chunks == null ? onPage == null ? 0 : onPage.size() : doneTasks(job).size();
+  }
+
+  /** The pages of done tasks, each with what its record has now. */
+  public Map<Integer, Map<JobId, TaskSet>> pages() {
+    return pages;
+  }
+
+  /** Whether a job has done tasks in chunks of its own. */
+  public boolean hasChunks(JobId job) {
+    return done.containsKey(job);
+  }
+
+  /** All blocks, in the order of their ids. */
+  public Map<BlockId, BlockLease> blocks() {
+    return blocks;
+  }
+
+  /** A block, or null if there is none of that id. */
+  public BlockLease block(BlockId id) {
+    return blockById.get(id);
+  }
+
+  /** The blocks whose allocations name tasks of a job. */
+  public Set<BlockId> blocksOf(JobId job) {
+    return allocatedTo.getOrDefault(job, Set.of());
+  }
+
+  public Allocation allocation(BlockId block) {
+    return allocations.getOrDefault(block, Allocation.EMPTY);
+  }
+
+  /** Blocks that have an allocation, also where the block itself is gone. */
+  public Set<BlockId> allocatedBlocks() {
+    return allocations.keySet();
+  }
+
+  public BlockLease blockOf(MachineId machine) {
+    return blockOf.get(machine);
+  }
+
+  /** How many machines are in blocks. */
+  public int machineCount() {
+    return blockOf.size();
+  }
+
+  public Map<MemberId, MemberRecord> members() {
+    return members;
+  }
+
+  /** What each member announces that has to be the same on all. */
+  public Map<MemberId, Terms> terms() {
+    Map<MemberId, Terms> terms = new TreeMap<>();
+    members.values().forEach(member -> terms.put(member.member(), member.terms()));
+    return terms;
+  }
+
+  /** The leading controller; its version is that of the leadership. Null where there is none. */
+  public MemberRecord leader() {
+    return Feature.LEADERSHIP_MOVED.isIn(level.level()) ? leads : leader;
+  }
+
+  /** Where it is written who leads, at the level in force. */
+  public String leaderKey() {
+    return leaderKey(level.level());
+  }
+
+  /** Where it is written at a level who leads. */
+  public static String leaderKey(Level level) {
+    return Feature.LEADERSHIP_MOVED.isIn(level) ? Keys.LEADS : Keys.LEADER;
+  }
+
+  /** The records that all controllers follow, of the kinds that have been added. */
+  public AgreedRecords agreed() {
+    return agreed;
+  }
+
+  /** The level in force, and with which revision it took effect. */
+  public LevelRecord level() {
+    return level;
+  }
+
+  /**
+   * The records that could not be read, each with the reason. Whoever has one of them must not act
+   * on the others: what it takes for the state of things is not.
+   */
+  public Map<String, String> unreadable() {
+    return unreadable;
+  }
+
+  /** The last whole record of a block's tasks, without what has changed since. */
+  public Allocation wholeAllocation(BlockId block) {
+    return wholeAllocations.getOrDefault(block, Allocation.EMPTY);
+  }
+
+  /** The blocks of which a change is on record. */
+  public Set<BlockId> changedAllocations() {
+    return allocationChanges.keySet();
+  }
+
+  public Map<String, MachineType> types() {
+    return types;
+  }
+
+  /**
+   * The operators' settings; the defaults where a later version wrote what cannot be read: better
+   * to go on than to guess.
+   */
+  public OperatorSettings operatorSettingsOrDefaults() {
+    try {
+      return operatorSettings == null
+          ? OperatorSettings.DEFAULTS
+          : OperatorSettings.readRecord(operatorSettings, OperatorSettings.DEFAULTS);
+    } catch (BadMessage e) {
+      return OperatorSettings.DEFAULTS;
+    }
+  }
+
+  public Object operatorSettings() {
+    return operatorSettings;
+  }
+
+  /** Takes a whole reading of the records in place of what was known. */
+  void load(Map<String, StateEntry> entries, Revision at) {
+    for (String key : List.copyOf(versions.keySet())) {
+      if (!entries.containsKey(key)) {
+        put(key, null, Revision.NONE);
+      }
+    }
+    entries.forEach((key, entry) -> put(key, entry.value(), entry.version()));
+    revision = at;
+    loaded = true;
+    publish(true);
+  }
+
+  /** A value and its version, in a reading of the records. */
+  record StateEntry(Object value, Revision version) {}
+
+  /** Takes one change; {@code value} is null where the key is gone. */
+  void apply(String key, Object value, Revision version) {
+    put(key, value, version);
+  }
+
+  /** The changes up to here have all been taken. */
+  void advance(Revision to) {
+    if (to.isAfter(revision)) {
+      revision = to;
+    }
+    if (!touchedJobs.isEmpty() || !touchedBlocks.isEmpty() || touchedOther) {
+      publish(false);
+    }
+  }
+
+  private void publish(boolean reloaded) {
+    Changes changes = new Changes(touchedJobs, touchedBlocks, touchedAgreed, reloaded);
+    touchedJobs = new HashSet<>();
+    touchedAgreed = new HashSet<>();
+    touchedBlocks = new HashSet<>();
+    touchedOther = false;
+    for (Listener listener : listeners) {
+      listener.changed(changes);
+    }
+  }
+
+  private void put(String key, Object value, Revision version) {
+    if (value == null) {
+      versions.remove(key);
+      unreadable.remove(key);
+    } else {
+      versions.put(key, version);
+    }
+    try {
+      if (key.startsWith(Keys.JOBS)) {
+        putJob(key.substring(Keys.JOBS.length()), value, version);
+      } else if (key.startsWith(Keys.BUNDLES)) {
+        jobs.putBundle(key, value, version);
+      } else if (key.startsWith(Keys.AFTER)) {
+        jobs.putPart(key.substring(Keys.AFTER.length()), value);
+      } else if (key.startsWith(Keys.DONE)) {
+        putDone(key.substring(Keys.DONE.length()), value);
+      } else if (key.startsWith(Keys.PAGES)) {
+        putPage(key.substring(Keys.PAGES.length()), value);
+      } else if (key.startsWith(Keys.BLOCKS)) {
+        putBlock(new BlockId(key.substring(Keys.BLOCKS.length())), value, version);
+      } else if (key.startsWith(Keys.ALLOCATIONS)) {
+        BlockId block = new BlockId(key.substring(Keys.ALLOCATIONS.length()));
+        set(wholeAllocations, block, value == null ? null : Allocation.read(value, version));
+        putAllocation(block);
+      } else if (key.startsWith(Keys.CHANGED_ALLOCATIONS)) {
+        BlockId block = new BlockId(key.substring(Keys.CHANGED_ALLOCATIONS.length()));
+        set(allocationChanges, block, value == null ? null : AllocationChange.read(value, version));
+        putAllocation(block);
+      } else if (key.startsWith(Keys.AGREED)) {
+        touchedOther = true;
+        RecordId record = agreed.put(key, value, version);
+        if (record != null) {
+          touchedAgreed.add(record);
         }
-        Map<Integer, TaskSet> chunks = done.get(job);
-        TaskSet chunk = chunks == null ? null : chunks.get(index / DoneTasks.CHUNK);
-        return chunk != null && chunk.has(index);
-    }
-
-    /** A copy of the set of a job's done tasks. */
-    public TaskSet doneTasks(JobId job) {
-        TaskSet all = paged.containsKey(job) ? paged.get(job).copy() : new TaskSet();
-        done.getOrDefault(job, Map.of()).values().forEach(all::addAll);
-        return all;
-    }
-
-    public int doneCount(JobId job) {
-        TaskSet onPage = paged.get(job);
-        Map<Integer, TaskSet> chunks = done.get(job);
-        return chunks == null ? onPage == null ? 0 : onPage.size() : doneTasks(job).size();
-    }
-
-    /** The pages of done tasks, each with what its record has now. */
-    public Map<Integer, Map<JobId, TaskSet>> pages() {
-        return pages;
-    }
-
-    /** Whether a job has done tasks in chunks of its own. */
-    public boolean hasChunks(JobId job) {
-        return done.containsKey(job);
-    }
-
-    /** All blocks, in the order of their ids. */
-    public Map<BlockId, BlockLease> blocks() {
-        return blocks;
-    }
-
-    /** A block, or null if there is none of that id. */
-    public BlockLease block(BlockId id) {
-        return blockById.get(id);
-    }
-
-    /** The blocks whose allocations name tasks of a job. */
-    public Set<BlockId> blocksOf(JobId job) {
-        return allocatedTo.getOrDefault(job, Set.of());
-    }
-
-    public Allocation allocation(BlockId block) {
-        return allocations.getOrDefault(block, Allocation.EMPTY);
-    }
-
-    /** Blocks that have an allocation, also where the block itself is gone. */
-    public Set<BlockId> allocatedBlocks() {
-        return allocations.keySet();
-    }
-
-    public BlockLease blockOf(MachineId machine) {
-        return blockOf.get(machine);
-    }
-
-    /** How many machines are in blocks. */
-    public int machineCount() {
-        return blockOf.size();
-    }
-
-    public Map<MemberId, MemberRecord> members() {
-        return members;
-    }
-
-    /** What each member announces that has to be the same on all. */
-    public Map<MemberId, Terms> terms() {
-        Map<MemberId, Terms> terms = new TreeMap<>();
-        members.values().forEach(member -> terms.put(member.member(), member.terms()));
-        return terms;
-    }
-
-    /** The leading controller; its version is that of the leadership. Null where there is none. */
-    public MemberRecord leader() {
-        return Feature.LEADERSHIP_MOVED.isIn(level.level()) ? leads : leader;
-    }
-
-    /** Where it is written who leads, at the level in force. */
-    public String leaderKey() {
-        return leaderKey(level.level());
-    }
-
-    /** Where it is written at a level who leads. */
-    public static String leaderKey(Level level) {
-        return Feature.LEADERSHIP_MOVED.isIn(level) ? Keys.LEADS : Keys.LEADER;
-    }
-
-    /** The records that all controllers follow, of the kinds that have been added. */
-    public AgreedRecords agreed() {
-        return agreed;
-    }
-
-    /** The level in force, and with which revision it took effect. */
-    public LevelRecord level() {
-        return level;
-    }
-
-    /**
-     * The records that could not be read, each with the reason. Whoever has one of them must not act on the others: what it takes
-     * for the state of things is not.
-     */
-    public Map<String, String> unreadable() {
-        return unreadable;
-    }
-
-    /** The last whole record of a block's tasks, without what has changed since. */
-    public Allocation wholeAllocation(BlockId block) {
-        return wholeAllocations.getOrDefault(block, Allocation.EMPTY);
-    }
-
-    /** The blocks of which a change is on record. */
-    public Set<BlockId> changedAllocations() {
-        return allocationChanges.keySet();
-    }
-
-    public Map<String, MachineType> types() {
-        return types;
-    }
-
-    /** The operators' settings; the defaults where a later version wrote what cannot be read: better to go on than to guess. */
-    public OperatorSettings operatorSettingsOrDefaults() {
-        try {
-            return operatorSettings == null ? OperatorSettings.DEFAULTS : OperatorSettings.readRecord(operatorSettings, OperatorSettings.DEFAULTS);
-        } catch (BadMessage e) {
-            return OperatorSettings.DEFAULTS;
-        }
-    }
-
-    public Object operatorSettings() {
-        return operatorSettings;
-    }
-
-    /** Takes a whole reading of the records in place of what was known. */
-    void load(Map<String, StateEntry> entries, Revision at) {
-        for (String key : List.copyOf(versions.keySet())) {
-            if (!entries.containsKey(key)) {
-                put(key, null, Revision.NONE);
-            }
-        }
-        entries.forEach((key, entry) -> put(key, entry.value(), entry.version()));
-        revision = at;
-        loaded = true;
-        publish(true);
-    }
-
-    /** A value and its version, in a reading of the records. */
-    record StateEntry(Object value, Revision version) {
-    }
-
-    /** Takes one change; {@code value} is null where the key is gone. */
-    void apply(String key, Object value, Revision version) {
-        put(key, value, version);
-    }
-
-    /** The changes up to here have all been taken. */
-    void advance(Revision to) {
-        if (to.isAfter(revision)) {
-            revision = to;
-        }
-        if (!touchedJobs.isEmpty() || !touchedBlocks.isEmpty() || touchedOther) {
-            publish(false);
-        }
-    }
-
-    private void publish(boolean reloaded) {
-        Changes changes = new Changes(touchedJobs, touchedBlocks, touchedAgreed, reloaded);
-        touchedJobs = new HashSet<>();
-        touchedAgreed = new HashSet<>();
-        touchedBlocks = new HashSet<>();
-        touchedOther = false;
-        for (Listener listener : listeners) {
-            listener.changed(changes);
-        }
-    }
-
-    private void put(String key, Object value, Revision version) {
-        if (value == null) {
-            versions.remove(key);
-            unreadable.remove(key);
-        } else {
-            versions.put(key, version);
-        }
-        try {
-            if (key.startsWith(Keys.JOBS)) {
-                putJob(key.substring(Keys.JOBS.length()), value, version);
-            } else if (key.startsWith(Keys.BUNDLES)) {
-                jobs.putBundle(key, value, version);
-            } else if (key.startsWith(Keys.AFTER)) {
-                jobs.putPart(key.substring(Keys.AFTER.length()), value);
-            } else if (key.startsWith(Keys.DONE)) {
-                putDone(key.substring(Keys.DONE.length()), value);
-            } else if (key.startsWith(Keys.PAGES)) {
-                putPage(key.substring(Keys.PAGES.length()), value);
-            } else if (key.startsWith(Keys.BLOCKS)) {
-                putBlock(new BlockId(key.substring(Keys.BLOCKS.length())), value, version);
-            } else if (key.startsWith(Keys.ALLOCATIONS)) {
-                BlockId block = new BlockId(key.substring(Keys.ALLOCATIONS.length()));
-                set(wholeAllocations, block, value == null ? null : Allocation.read(value, version));
-                putAllocation(block);
-            } else if (key.startsWith(Keys.CHANGED_ALLOCATIONS)) {
-                BlockId block = new BlockId(key.substring(Keys.CHANGED_ALLOCATIONS.length()));
-                set(allocationChanges, block, value == null ? null : AllocationChange.read(value, version));
-                putAllocation(block);
-            } else if (key.startsWith(Keys.AGREED)) {
-                touchedOther = true;
-                RecordId record = agreed.put(key, value, version);
-                if (record != null) {
-                    touchedAgreed.add(record);
-                }
-            } else {
-                touchedOther = true;
-                putOther(key, value, version);
-            }
-            if (!unreadable.isEmpty()) {
-                unreadable.remove(key);
-            }
-        } catch (BadMessage e) {
-            // A record that cannot be read is left as it was: it must not end the process or pass for another. Whoever skipped one
-            // has a wrong picture, and neither leads nor holds until it can be read (Membership.State.UNABLE).
-            LOG.error("record {} skipped: {}", key, e.getMessage());
-            if (isEssential(key)) {
-                unreadable.put(key, e.getMessage());
-                touchedOther = true;
-            }
-        }
-    }
-
-    /** Whether a record says what runs where, or how the others are to be read. */
-    private boolean isEssential(String key) {
-        return key.startsWith(Keys.AGREED) ? agreed.isEssential(key) : key.equals(Keys.LEVEL) || Stream.of(Keys.JOBS, Keys.BUNDLES, Keys.AFTER, Keys.DONE, Keys.PAGES, Keys.BLOCKS, Keys.ALLOCATIONS,
-                Keys.CHANGED_ALLOCATIONS).anyMatch(key::startsWith);
-    }
-
-    private void putJob(String name, Object value, Revision version) throws BadMessage {
-        JobId id = JobId.parse(name);
-        if (id == null || value == null) {
+      } else {
+        touchedOther = true;
+        putOther(key, value, version);
+      }
+      if (!unreadable.isEmpty()) {
+        unreadable.remove(key);
+      }
+    } catch (BadMessage e) {
+      // A record that cannot be read is left as it was: it must not end the process or pass for
+      // another. Whoever skipped one
+      // has a wrong picture, and neither leads nor holds until it can be read
+      // (Membership.State.UNABLE).
+      LOG.error("record {} skipped: {}", key, e.getMessage());
+      if (isEssential(key)) {
+        unreadable.put(key, e.getMessage());
+        touchedOther = true;
+      }
+    }
+  }
+
+  /** Whether a record says what runs where, or how the others are to be read. */
+  private boolean isEssential(String key) {
+    return key.startsWith(Keys.AGREED)
+        ? agreed.isEssential(key)
+        : key.equals(Keys.LEVEL)
+            || Stream.of(
+                    Keys.JOBS,
+                    Keys.BUNDLES,
+                    Keys.AFTER,
+                    Keys.DONE,
+                    Keys.PAGES,
+                    Keys.BLOCKS,
+                    Keys.ALLOCATIONS,
+                    Keys.CHANGED_ALLOCATIONS)
+                .anyMatch(key::startsWith);
+  }
+
+  private void putJob(String name, Object value, Revision version) throws BadMessage {
+    JobId id = JobId.parse(name);
+    if (id == null || value == null) {
+      return;
+    }
+    jobs.put(id, value, version);
+  }
+
+  private void touchJob(JobId id) {
+    if (jobs.job(id).phase() == JobPhase.DONE) {
+      paged.remove(id); // all of it is done: nobody asks for the parts
+    }
+    touchedJobs.add(id);
+  }
+
+  private void putDone(String name, Object value) throws BadMessage {
+    int slash = name.indexOf('/');
+    JobId id = slash < 0 ? null : JobId.parse(name.substring(0, slash));
+    if (id == null || name.length() - slash > 6 || !name.substring(slash + 1).matches("[0-9]+")) {
+      throw new BadMessage("bad key");
+    }
+    int chunk = Integer.parseInt(name.substring(slash + 1));
+    touchedJobs.add(id);
+    Map<Integer, TaskSet> chunks = done.computeIfAbsent(id, j -> new LinkedHashMap<>());
+    if (value == null) {
+      chunks.remove(chunk);
+      if (chunks.isEmpty()) {
+        done.remove(id);
+      }
+    } else {
+      chunks.put(chunk, DoneTasks.read(value, chunk));
+    }
+  }
+
+  /**
+   * A done task stays done, also where its job has left the page: it does so only once it is over.
+   */
+  private void putPage(String name, Object value) throws BadMessage {
+    if (!name.matches("[0-9]{1,6}") || value == null) {
+      throw new BadMessage("bad key");
+    }
+    Map<JobId, TaskSet> sets = TaskSets.read(Fields.of(value, "a page").fields("jobs"));
+    pages.put(Integer.parseInt(name), sets);
+    sets.forEach(
+        (job, set) -> {
+          if (jobs.job(job) != null && jobs.job(job).phase() == JobPhase.DONE) {
             return;
-        }
-        jobs.put(id, value, version);
-    }
-
-    private void touchJob(JobId id) {
-        if (jobs.job(id).phase() == JobPhase.DONE) {
-            paged.remove(id); // all of it is done: nobody asks for the parts
-        }
-        touchedJobs.add(id);
-    }
-
-    private void putDone(String name, Object value) throws BadMessage {
-        int slash = name.indexOf('/');
-        JobId id = slash < 0 ? null : JobId.parse(name.substring(0, slash));
-        if (id == null || name.length() - slash > 6 || !name.substring(slash + 1).matches("[0-9]+")) {
-            throw new BadMessage("bad key");
-        }
-        int chunk = Integer.parseInt(name.substring(slash + 1));
-        touchedJobs.add(id);
-        Map<Integer, TaskSet> chunks = done.computeIfAbsent(id, j -> new LinkedHashMap<>());
-        if (value == null) {
-            chunks.remove(chunk);
-            if (chunks.isEmpty()) {
-                done.remove(id);
-            }
-        } else {
-            chunks.put(chunk, DoneTasks.read(value, chunk));
-        }
-    }
-
-    /** A done task stays done, also where its job has left the page: it does so only once it is over. */
-    private void putPage(String name, Object value) throws BadMessage {
-        if (!name.matches("[0-9]{1,6}") || value == null) {
-            throw new BadMessage("bad key");
-        }
-        Map<JobId, TaskSet> sets = TaskSets.read(Fields.of(value, "a page").fields("jobs"));
-        pages.put(Integer.parseInt(name), sets);
-        sets.forEach((job, set) -> {
-            if (jobs.job(job) != null && jobs.job(job).phase() == JobPhase.DONE) {
-                return;
-            }
-            TaskSet known = paged.computeIfAbsent(job, id -> new TaskSet());
-            int before = known.size();
-            known.addAll(set);
-            if (known.size() != before) {
-                touchedJobs.add(job);
-            }
+          }
+          TaskSet known = paged.computeIfAbsent(job, id -> new TaskSet());
+          int before = known.size();
+          known.addAll(set);
+          if (known.size() != before) {
+            touchedJobs.add(job);
+          }
         });
-    }
-
-    private static <T> void set(Map<BlockId, T> all, BlockId block, T value) {
-        if (value == null) {
-            all.remove(block);
-        } else {
-            all.put(block, value);
-        }
-    }
-
-    private void putAllocation(BlockId block) {
-        touchedBlocks.add(block);
-        Allocation whole = wholeAllocations.get(block);
-        AllocationChange change = whole == null ? null : allocationChanges.get(block);
-        Allocation next = change == null ? whole : change.over(whole);
-        Allocation before = next == null ? allocations.remove(block) : allocations.put(block, next);
-        if (next != null) {
-            next.tasks().keySet().forEach(job -> allocatedTo.computeIfAbsent(job, id -> new HashSet<>(4)).add(block));
-        }
-        if (before != null) {
-            for (JobId job : before.tasks().keySet()) {
-                if (next == null || !next.tasks().containsKey(job)) {
-                    allocatedTo.computeIfPresent(job, (id, there) -> there.remove(block) && there.isEmpty() ? null : there);
-                }
-            }
-        }
-    }
-
-    private void putBlock(BlockId id, Object value, Revision version) throws BadMessage {
-        BlockLease lease = value == null ? null : BlockLease.read(id, value, version);
-        touchedBlocks.add(id);
-        BlockLease before = lease == null ? blocks.remove(id) : blocks.put(id, lease);
-        if (before != null) {
-            before.machines().keySet().forEach(machine -> blockOf.computeIfPresent(machine, (m, block) -> block == before ? null : block));
-        }
-        if (lease == null) {
-            blockById.remove(id);
-        } else {
-            blockById.put(id, lease);
-            lease.machines().keySet().forEach(machine -> blockOf.put(machine, lease));
-        }
-    }
-
-    private void putOther(String key, Object value, Revision version) throws BadMessage {
-        if (key.startsWith(Keys.MEMBERS)) {
-            if (value == null) {
-                members.values().removeIf(member -> Keys.member(member.member()).equals(key));
-            } else {
-                MemberRecord member = member(value, version);
-                members.put(member.member(), member);
-            }
-        } else if (key.equals(Keys.LEADER)) {
-            leader = value == null ? null : member(value, version);
-        } else if (key.equals(Keys.LEADS)) {
-            leads = value == null ? null : member(value, version);
-        } else if (key.equals(Keys.LEVEL)) {
-            level = value == null ? LevelRecord.NONE : LevelRecord.read(value, version);
-        } else if (key.startsWith(Keys.TYPES) && value != null) {
-            for (MachineType type : CloudCodec.readCatalog(Fields.of(value, "a machine type"))) {
-                types.put(type.name(), type);
-            }
-        } else if (key.equals(Keys.OPERATOR_SETTINGS)) {
-            operatorSettings = value;
-        }
-    }
-
-    /** What a member announces; one that announces nothing was built before levels. */
-    private static Build build(Fields in) throws BadMessage {
-        if (!in.has("build")) {
-            return Build.BEFORE_LEVELS;
+  }
+
+  private static <T> void set(Map<BlockId, T> all, BlockId block, T value) {
+    if (value == null) {
+      all.remove(block);
+    } else {
+      all.put(block, value);
+    }
+  }
+
+  private void putAllocation(BlockId block) {
+    touchedBlocks.add(block);
+    Allocation whole = wholeAllocations.get(block);
+    AllocationChange change = whole == null ? null : allocationChanges.get(block);
+    Allocation next = change == null ? whole : change.over(whole);
+    Allocation before = next == null ? allocations.remove(block) : allocations.put(block, next);
+    if (next != null) {
+      next.tasks()
+          .keySet()
+          .forEach(job -> allocatedTo.computeIfAbsent(job, id -> new HashSet<>(4)).add(block));
+    }
+    if (before != null) {
+      for (JobId job : before.tasks().keySet()) {
+        if (next == null || !next.tasks().containsKey(job)) {
+          allocatedTo.computeIfPresent(
+              job, (id, there) -> there.remove(block) && there.isEmpty() ? null : there);
         }
-        Level least = new Level(in.count("least", 1, Level.MOST));
-        return new Build(in.text("build"), least, new Level(in.count("most", least.number(), Level.MOST)));
-    }
-
-    private static MemberRecord member(Object value, Revision version) throws BadMessage {
-        Fields in = Fields.of(value, "a member");
-        return new MemberRecord(new MemberId(in.text("member")), new Incarnation(in.unsigned("life")), in.text("zone"), build(in), terms(in), version);
-    }
-
-    private static Terms terms(Fields in) throws BadMessage {
-        if (!in.has("marks")) {
-            return Terms.NONE;
-        }
-        Map<String, String> marks = new TreeMap<>();
-        Fields marked = in.fields("marks");
-        for (String part : marked.names()) {
-            marks.put(part, marked.text(part));
-        }
-        Map<String, Resources> limits = new TreeMap<>();
-        Fields limited = in.fields("limits");
-        for (String team : limited.names()) {
-            Fields limit = limited.fields(team);
-            limits.put(team, new Resources(limit.has("cpus") ? limit.amount("cpus") : Double.POSITIVE_INFINITY,
-                    limit.has("gpus") ? limit.amount("gpus") : Double.POSITIVE_INFINITY,
-                    limit.has("memory_gb") ? limit.amount("memory_gb") : Double.POSITIVE_INFINITY));
-        }
-        return new Terms(marks, limits);
-    }
+      }
+    }
+  }
+
+  private void putBlock(BlockId id, Object value, Revision version) throws BadMessage {
+    BlockLease lease = value == null ? null : BlockLease.read(id, value, version);
+    touchedBlocks.add(id);
+    BlockLease before = lease == null ? blocks.remove(id) : blocks.put(id, lease);
+    if (before != null) {
+      before
+          .machines()
+          .keySet()
+          .forEach(
+              machine ->
+                  blockOf.computeIfPresent(machine, (m, block) -> block == before ? null : block));
+    }
+    if (lease == null) {
+      blockById.remove(id);
+    } else {
+      blockById.put(id, lease);
+      lease.machines().keySet().forEach(machine -> blockOf.put(machine, lease));
+    }
+  }
+
+  private void putOther(String key, Object value, Revision version) throws BadMessage {
+    if (key.startsWith(Keys.MEMBERS)) {
+      if (value == null) {
+        members.values().removeIf(member -> Keys.member(member.member()).equals(key));
+      } else {
+        MemberRecord member = member(value, version);
+        members.put(member.member(), member);
+      }
+    } else if (key.equals(Keys.LEADER)) {
+      leader = value == null ? null : member(value, version);
+    } else if (key.equals(Keys.LEADS)) {
+      leads = value == null ? null : member(value, version);
+    } else if (key.equals(Keys.LEVEL)) {
+      level = value == null ? LevelRecord.NONE : LevelRecord.read(value, version);
+    } else if (key.startsWith(Keys.TYPES) && value != null) {
+      for (MachineType type : CloudCodec.readCatalog(Fields.of(value, "a machine type"))) {
+        types.put(type.name(), type);
+      }
+    } else if (key.equals(Keys.OPERATOR_SETTINGS)) {
+      operatorSettings = value;
+    }
+  }
+
+  /** What a member announces; one that announces nothing was built before levels. */
+  private static Build build(Fields in) throws BadMessage {
+    if (!in.has("build")) {
+      return Build.BEFORE_LEVELS;
+    }
+    Level least = new Level(in.count("least", 1, Level.MOST));
+    return new Build(
+        in.text("build"), least, new Level(in.count("most", least.number(), Level.MOST)));
+  }
+
+  private static MemberRecord member(Object value, Revision version) throws BadMessage {
+    Fields in = Fields.of(value, "a member");
+    return new MemberRecord(
+        new MemberId(in.text("member")),
+        new Incarnation(in.unsigned("life")),
+        in.text("zone"),
+        build(in),
+        terms(in),
+        version);
+  }
+
+  private static Terms terms(Fields in) throws BadMessage {
+    if (!in.has("marks")) {
+      return Terms.NONE;
+    }
+    Map<String, String> marks = new TreeMap<>();
+    Fields marked = in.fields("marks");
+    for (String part : marked.names()) {
+      marks.put(part, marked.text(part));
+    }
+    Map<String, Resources> limits = new TreeMap<>();
+    Fields limited = in.fields("limits");
+    for (String team : limited.names()) {
+      Fields limit = limited.fields(team);
+      limits.put(
+          team,
+          new Resources(
+              limit.has("cpus") ? limit.amount("cpus") : Double.POSITIVE_INFINITY,
+              limit.has("gpus") ? limit.amount("gpus") : Double.POSITIVE_INFINITY,
+              limit.has("memory_gb") ? limit.amount("memory_gb") : Double.POSITIVE_INFINITY));
+    }
+    return new Terms(marks, limits);
+  }
 }
--- a/src/main/java/org/quincecross/state/LevelRecord.java
+++ b/src/main/java/org/quincecross/state/LevelRecord.java
@@ -10,16 +10,18 @@
 /**
  * The level in force.
  *
- * @param version with which it took effect, for everybody; none while no record says a level, which is the first then
+ * @param version with which it took effect, for everybody; none while no record says a level, which
+ *     is the first then
  */
 public record LevelRecord(Level level, Revision version) {
-    public static final LevelRecord NONE = new LevelRecord(Level.FIRST, Revision.NONE);
+  public static final LevelRecord NONE = new LevelRecord(Level.FIRST, Revision.NONE);
 
-    static LevelRecord read(Object value, Revision version) throws BadMessage {
-        return new LevelRecord(new Level(Fields.of(value, "the level").count("level", 1, Level.MOST)), version);
-    }
+  static LevelRecord read(Object value, Revision version) throws BadMessage {
+    return new LevelRecord(
+        new Level(Fields.of(value, "the level").count("level", 1, Level.MOST)), version);
+  }
 
-    public static Map<String, Object> write(Level level) {
-        return Json.object("level", level.number());
-    }
+  public static Map<String, Object> write(Level level) {
+    return Json.object("level", level.number());
+  }
 }
--- a/src/main/java/org/quincecross/state/LongWaits.java
+++ b/src/main/java/org/quincecross/state/LongWaits.java
@@ -12,77 +12,98 @@
 import org.quincecross.model.TaskSet;
 
 /**
- * Which jobs have been given nothing for so long that they may have room that is kept for others. Counted from when a job could run, as
- * far as this controller has seen.
+ * Which jobs have been given nothing for so long that they may have room that is kept for others.
+ * Counted from when a job could run, as far as this controller has seen.
  */
 final class LongWaits {
-    /** Leaves half a minute for the way from a plan to a start, of the 90 s that nothing waits beside room. */
-    private static final Span LONG = Span.ofSeconds(60);
+  /**
+   * Leaves half a minute for the way from a plan to a start, of the 90 s that nothing waits beside
+   * room.
+   */
+  private static final Span LONG = Span.ofSeconds(60);
 
-    /** How many of a job's tasks blocks have or are done, when that rose last, when before, and when last after a long wait, or null. */
-    private record Wait(int given, SteadyTime since, SteadyTime before, SteadyTime lent) {
-    }
+  /**
+   * How many of a job's tasks blocks have or are done, when that rose last, when before, and when
+   * last after a long wait, or null.
+   */
+  private record Wait(int given, SteadyTime since, SteadyTime before, SteadyTime lent) {}
 
-    private final Ledger ledger;
-    private final Map<JobId, Wait> waits = new HashMap<>();
-    private final Set<JobId> seen = new HashSet<>();
+  private final Ledger ledger;
+  private final Map<JobId, Wait> waits = new HashMap<>();
+  private final Set<JobId> seen = new HashSet<>();
 
-    LongWaits(Ledger ledger) {
-        this.ledger = ledger;
-    }
+  LongWaits(Ledger ledger) {
+    this.ledger = ledger;
+  }
 
-    /** A job that may run is open. */
-    void look(JobId job, SteadyTime now) {
-        int given = given(job);
-        Wait wait = waits.get(job);
-        if (wait == null) {
-            waits.put(job, new Wait(given, now, now, null));
-        } else if (given > wait.given) {
-            waits.put(job, new Wait(given, now, wait.since, isLong(wait.since, now) ? now : wait.lent));
-        } else if (given < wait.given) {
-            waits.put(job, new Wait(given, wait.before, wait.before, wait.lent)); // what comes back to the pool has waited already
-        }
-        seen.add(job);
+  /** A job that may run is open. */
+  void look(JobId job, SteadyTime now) {
+    int given = given(job);
+    Wait wait = waits.get(job);
+    if (wait == null) {
+      waits.put(job, new Wait(given, now, now, null));
+    } else if (given > wait.given) {
+      waits.put(job, new Wait(given, now, wait.since, isLong(wait.since, now) ? now : wait.lent));
+    } else if (given < wait.given) {
+      waits.put(
+          job,
+          new Wait(
+              given,
+              wait.before,
+              wait.before,
+              wait.lent)); // what comes back to the pool has waited already
     }
+    seen.add(job);
+  }
 
-    /** A task that is done may still be named by a block for a moment: that is nothing more that was given. */
-    private int given(JobId job) {
-        TaskSet done = ledger.doneTasks(job);
-        int given = done.size();
-        for (BlockId block : ledger.blocksOf(job)) {
-            TaskSet there = ledger.allocation(block).tasks().get(job);
-            given += there == null ? 0 : there.size() - there.common(done);
-        }
-        return given;
+  /**
+   * A task that is done may still be named by a block for a moment: that is nothing more that was
+   * given.
+   */
+  private int given(JobId job) {
+    TaskSet done = ledger.doneTasks(job);
+    int given = done.size();
+    for (BlockId block : ledger.blocksOf(job)) {
+      TaskSet there = ledger.allocation(block).tasks().get(job);
+      given += there == null ? 0 : there.size() - there.common(done);
     }
+    return given;
+  }
 
-    /** All open jobs were looked at: others are forgotten. */
-    void lookedAtAll() {
-        waits.keySet().retainAll(seen);
-        seen.clear();
-    }
+  /** All open jobs were looked at: others are forgotten. */
+  void lookedAtAll() {
+    waits.keySet().retainAll(seen);
+    seen.clear();
+  }
 
-    /** Those that were given nothing for long: a plan may give each one task, or a whole gang, into room kept for others. */
-    Set<JobId> toPlan(SteadyTime now) {
-        return those(wait -> isLong(wait.since, now));
-    }
+  /**
+   * Those that were given nothing for long: a plan may give each one task, or a whole gang, into
+   * room kept for others.
+   */
+  Set<JobId> toPlan(SteadyTime now) {
+    return those(wait -> isLong(wait.since, now));
+  }
 
-    /** Those that are to start in that room where they have been given to a block, whatever else of them has been given since. */
-    Set<JobId> toStart(SteadyTime now) {
-        return those(wait -> wait.lent != null && !isLong(wait.lent, now));
-    }
+  /**
+   * Those that are to start in that room where they have been given to a block, whatever else of
+   * them has been given since.
+   */
+  Set<JobId> toStart(SteadyTime now) {
+    return those(wait -> wait.lent != null && !isLong(wait.lent, now));
+  }
 
-    private static boolean isLong(SteadyTime since, SteadyTime now) {
-        return now.since(since).isMoreThan(LONG);
-    }
+  private static boolean isLong(SteadyTime since, SteadyTime now) {
+    return now.since(since).isMoreThan(LONG);
+  }
 
-    private Set<JobId> those(Predicate<Wait> which) {
-        Set<JobId> jobs = new HashSet<>();
-        waits.forEach((job, wait) -> {
-            if (which.test(wait)) {
-                jobs.add(job);
-            }
+  private Set<JobId> those(Predicate<Wait> which) {
+    Set<JobId> jobs = new HashSet<>();
+    waits.forEach(
+        (job, wait) -> {
+          if (which.test(wait)) {
+            jobs.add(job);
+          }
         });
-        return Set.copyOf(jobs);
-    }
+    return Set.copyOf(jobs);
+  }
 }
--- a/src/main/java/org/quincecross/state/ModelRecords.java
+++ b/src/main/java/org/quincecross/state/ModelRecords.java
@@ -16,100 +16,117 @@
 import org.quincecross.models.ModelCommand;
 import org.quincecross.models.ModelKind;
 
-/** The models as the ledger has them, by their jobs: which replicas are kept back, and where the others may start. */
+/**
+ * The models as the ledger has them, by their jobs: which replicas are kept back, and where the
+ * others may start.
+ */
 public final class ModelRecords implements Withheld {
-    private record Kept(Model model, TaskSet tasks) {
-    }
+  private record Kept(Model model, TaskSet tasks) {}
 
-    private final AgreedBook<Model, ModelCommand> book;
-    private final Map<JobId, String> names = new HashMap<>();
-    private final Map<String, JobId> jobs = new HashMap<>();
-    private final Map<JobId, Kept> kept = new HashMap<>();
+  private final AgreedBook<Model, ModelCommand> book;
+  private final Map<JobId, String> names = new HashMap<>();
+  private final Map<String, JobId> jobs = new HashMap<>();
+  private final Map<JobId, Kept> kept = new HashMap<>();
 
-    public ModelRecords(Ledger ledger) {
-        this.book = ledger.agreed().add(new ModelKind());
-    }
+  public ModelRecords(Ledger ledger) {
+    this.book = ledger.agreed().add(new ModelKind());
+  }
 
-    public AgreedBook<Model, ModelCommand> book() {
-        return book;
-    }
+  public AgreedBook<Model, ModelCommand> book() {
+    return book;
+  }
 
-    /** Follows the records; {@code changed} is told of the jobs of which other replicas are kept back than before. */
-    public void ledgerChanged(Ledger.Changes changes, Consumer<Set<JobId>> changed) {
-        Set<JobId> touched = new HashSet<>();
-        if (changes.reloaded()) {
-            Set<String> all = new HashSet<>(book.all().keySet());
-            all.addAll(jobs.keySet());
-            all.forEach(id -> take(id, touched));
-        } else {
-            for (RecordId record : changes.agreed()) {
-                if (record.kind().equals(ModelKind.NAME)) {
-                    take(record.id(), touched);
-                }
-            }
-        }
-        if (!touched.isEmpty()) {
-            changed.accept(touched);
+  /**
+   * Follows the records; {@code changed} is told of the jobs of which other replicas are kept back
+   * than before.
+   */
+  public void ledgerChanged(Ledger.Changes changes, Consumer<Set<JobId>> changed) {
+    Set<JobId> touched = new HashSet<>();
+    if (changes.reloaded()) {
+      Set<String> all = new HashSet<>(book.all().keySet());
+      all.addAll(jobs.keySet());
+      all.forEach(id -> take(id, touched));
+    } else {
+      for (RecordId record : changes.agreed()) {
+        if (record.kind().equals(ModelKind.NAME)) {
+          take(record.id(), touched);
         }
+      }
     }
-
-    private void take(String id, Set<JobId> touched) {
-        Model model = book.state(id);
-        JobId before = model.isDefined() ? jobs.put(id, model.job()) : jobs.remove(id);
-        if (before != null) {
-            touched.add(before);
-            names.remove(before, id);
-        }
-        if (model.isDefined()) {
-            touched.add(model.job());
-            names.put(model.job(), id);
-        }
+    if (!touched.isEmpty()) {
+      changed.accept(touched);
     }
+  }
 
-    /** The model that a job is, or null. */
-    public String nameOf(JobId job) {
-        return names.get(job);
+  private void take(String id, Set<JobId> touched) {
+    Model model = book.state(id);
+    JobId before = model.isDefined() ? jobs.put(id, model.job()) : jobs.remove(id);
+    if (before != null) {
+      touched.add(before);
+      names.remove(before, id);
     }
-
-    /** The record of the model that a job is, or null. */
-    public Model of(JobId job) {
-        String name = names.get(job);
-        return name == null ? null : book.state(name);
+    if (model.isDefined()) {
+      touched.add(model.job());
+      names.put(model.job(), id);
     }
+  }
 
-    @Override
-    public TaskSet of(Job job) {
-        Model model = of(job.id());
-        if (model == null) {
-            return NONE.of(job);
-        }
-        Kept last = kept.get(job.id());
-        if (last == null || last.model != model) {
-            last = new Kept(model, model.withheld(job.tasks()));
-            kept.put(job.id(), last);
-        }
-        return last.tasks;
-    }
+  /** The model that a job is, or null. */
+  public String nameOf(JobId job) {
+    return names.get(job);
+  }
 
-    @Override
-    public String reason(JobId job) {
-        Model model = of(job);
-        return model == null ? null : "model " + names.get(job) + " is " + model.phase() + ", " + model.places().size() + " of " + model.wanted()
-                + " wanted replicas have a machine";
+  /** The record of the model that a job is, or null. */
+  public Model of(JobId job) {
+    String name = names.get(job);
+    return name == null ? null : book.state(name);
+  }
+
+  @Override
+  public TaskSet of(Job job) {
+    Model model = of(job.id());
+    if (model == null) {
+      return NONE.of(job);
+    }
+    Kept last = kept.get(job.id());
+    if (last == null || last.model != model) {
+      last = new Kept(model, model.withheld(job.tasks()));
+      kept.put(job.id(), last);
     }
+    return last.tasks;
+  }
 
-    /** The machines that a task may start on; null where its job is no model. A gang may use those of all its tasks. */
-    public Set<MachineId> places(Job job, int index) {
-        Model model = of(job.id());
-        if (model == null) {
-            return null;
-        }
-        if (job.shape() == Shape.GANG) {
-            Set<MachineId> all = new HashSet<>();
-            model.places().values().forEach(place -> all.add(place.machine()));
-            return all;
-        }
-        Model.Place place = model.places().get(index);
-        return place == null ? Set.of() : Set.of(place.machine());
+  @Override
+  public String reason(JobId job) {
+    Model model = of(job);
+    return model == null
+        ? null
+        : "model "
+            + names.get(job)
+            + " is "
+            + model.phase()
+            + ", "
+            + model.places().size()
+            + " of "
+            + model.wanted()
+            + " wanted replicas have a machine";
+  }
+
+  /**
+   * The machines that a task may start on; null where its job is no model. A gang may use those of
+   * all its tasks.
+   */
+  public Set<MachineId> places(Job job, int index) {
+    Model model = of(job.id());
+    if (model == null) {
+      return null;
+    }
+    if (job.shape() == Shape.GANG) {
+      Set<MachineId> all = new HashSet<>();
+      model.places().values().forEach(place -> all.add(place.machine()));
+      return all;
     }
+    Model.Place place = model.places().get(index);
+    return place == null ? Set.of() : Set.of(place.machine());
+  }
 }
--- a/src/main/java/org/quincecross/state/Oversized.java
+++ b/src/main/java/org/quincecross/state/Oversized.java
@@ -9,37 +9,45 @@
 
 /** Finds what was written when values could be larger, and could not be written anew as it is. */
 public final class Oversized {
-    private Oversized() {
-    }
+  private Oversized() {}
 
-    /**
-     * By key, in bytes, the records of blocks and of their tasks that are larger than a value may be; of the tasks those that are not over.
-     * Pages and bundles are not among them: jobs move on from a page, and a bundle is only ever deleted.
-     *
-     * @param mostBytes of a value
-     */
-    public static Map<String, Integer> of(Ledger ledger, int mostBytes) {
-        Map<String, Integer> large = new TreeMap<>();
-        ledger.blocks().forEach((id, block) -> {
-            note(large, Keys.block(id), block.write(), mostBytes);
-            Map<JobId, TaskSet> open = new TreeMap<>();
-            ledger.allocation(id).tasks().forEach((job, tasks) -> {
-                JobRecord record = ledger.job(job);
-                if (record != null && record.phase() != JobPhase.DONE) {
-                    TaskSet left = tasks.copy();
-                    left.removeAll(ledger.doneTasks(job));
-                    open.put(job, left);
-                }
+  /**
+   * By key, in bytes, the records of blocks and of their tasks that are larger than a value may be;
+   * of the tasks those that are not over. Pages and bundles are not among them: jobs move on from a
+   * page, and a bundle is only ever deleted.
+   *
+   * @param mostBytes of a value
+   */
+  public static Map<String, Integer> of(Ledger ledger, int mostBytes) {
+    Map<String, Integer> large = new TreeMap<>();
+    ledger
+        .blocks()
+        .forEach(
+            (id, block) -> {
+              note(large, Keys.block(id), block.write(), mostBytes);
+              Map<JobId, TaskSet> open = new TreeMap<>();
+              ledger
+                  .allocation(id)
+                  .tasks()
+                  .forEach(
+                      (job, tasks) -> {
+                        JobRecord record = ledger.job(job);
+                        if (record != null && record.phase() != JobPhase.DONE) {
+                          TaskSet left = tasks.copy();
+                          left.removeAll(ledger.doneTasks(job));
+                          open.put(job, left);
+                        }
+                      });
+              note(large, Keys.allocation(id), Allocation.write(open), mostBytes);
             });
-            note(large, Keys.allocation(id), Allocation.write(open), mostBytes);
-        });
-        return large;
-    }
+    return large;
+  }
 
-    private static void note(Map<String, Integer> large, String key, Map<String, Object> value, int mostBytes) {
-        int bytes = Json.write(value).length;
-        if (bytes > mostBytes) {
-            large.put(key, bytes);
-        }
+  private static void note(
+      Map<String, Integer> large, String key, Map<String, Object> value, int mostBytes) {
+    int bytes = Json.write(value).length;
+    if (bytes > mostBytes) {
+      large.put(key, bytes);
     }
+  }
 }
--- a/src/main/java/org/quincecross/state/QuotaRecord.java
+++ b/src/main/java/org/quincecross/state/QuotaRecord.java
@@ -14,127 +14,149 @@
 import org.quincecross.wire.Json;
 
 /**
- * A tree of quotas as the state service keeps it and the administration API takes it: a list of nodes, each by its path and
- * after its parent. A list by paths cannot be cyclic, needs no nesting of JSON, and every error has a path to name.
+ * A tree of quotas as the state service keeps it and the administration API takes it: a list of
+ * nodes, each by its path and after its parent. A list by paths cannot be cyclic, needs no nesting
+ * of JSON, and every error has a path to name.
  *
- * <p>Left out, a guarantee is nothing, a limit and what may be borrowed are without bound, weight and lend are 1. Whether the
- * tree holds together is for {@link org.quincecross.quota.QuotaTree} to say.
+ * <p>Left out, a guarantee is nothing, a limit and what may be borrowed are without bound, weight
+ * and lend are 1. Whether the tree holds together is for {@link org.quincecross.quota.QuotaTree} to
+ * say.
  */
 public final class QuotaRecord {
-    private static final Map<String, NodeSpec.Kind> KINDS = Map.of("organisation", NodeSpec.Kind.ORGANISATION,
-            "team", NodeSpec.Kind.TEAM, "workload", NodeSpec.Kind.WORKLOAD);
-    private static final Set<String> NAMES = Set.of("path", "kind", "pattern", "guarantee", "limit", "weight", "lend", "borrow");
-    private static final Map<String, ToDoubleFunction<Resources>> RESOURCES = new LinkedHashMap<>();
+  private static final Map<String, NodeSpec.Kind> KINDS =
+      Map.of(
+          "organisation",
+          NodeSpec.Kind.ORGANISATION,
+          "team",
+          NodeSpec.Kind.TEAM,
+          "workload",
+          NodeSpec.Kind.WORKLOAD);
+  private static final Set<String> NAMES =
+      Set.of("path", "kind", "pattern", "guarantee", "limit", "weight", "lend", "borrow");
+  private static final Map<String, ToDoubleFunction<Resources>> RESOURCES = new LinkedHashMap<>();
 
-    static {
-        RESOURCES.put("cpus", Resources::cpus);
-        RESOURCES.put("gpus", Resources::gpus);
-        RESOURCES.put("memory_gb", Resources::memoryGb);
-    }
+  static {
+    RESOURCES.put("cpus", Resources::cpus);
+    RESOURCES.put("gpus", Resources::gpus);
+    RESOURCES.put("memory_gb", Resources::memoryGb);
+  }
 
-    private QuotaRecord() {
-    }
+  private QuotaRecord() {}
 
-    public static Map<String, Object> write(List<NodeSpec> top) {
-        List<Object> nodes = new ArrayList<>();
-        write(NodePath.ROOT, top, nodes);
-        return Json.object("nodes", nodes);
-    }
+  public static Map<String, Object> write(List<NodeSpec> top) {
+    List<Object> nodes = new ArrayList<>();
+    write(NodePath.ROOT, top, nodes);
+    return Json.object("nodes", nodes);
+  }
 
-    private static void write(NodePath above, List<NodeSpec> specs, List<Object> nodes) {
-        for (NodeSpec spec : specs) {
-            NodePath path = above.child(spec.name());
-            Map<String, Object> out = Json.object("path", path.text(), "kind", word(spec.kind()));
-            if (spec.pattern() != null) {
-                out.put("pattern", spec.pattern());
-            }
-            put(out, "guarantee", spec.guarantee(), 0);
-            put(out, "limit", spec.limit(), Double.POSITIVE_INFINITY);
-            put(out, "borrow", spec.borrow(), Double.POSITIVE_INFINITY);
-            put(out, "weight", spec.weight());
-            put(out, "lend", spec.lend());
-            nodes.add(out);
-            write(path, spec.children(), nodes);
-        }
+  private static void write(NodePath above, List<NodeSpec> specs, List<Object> nodes) {
+    for (NodeSpec spec : specs) {
+      NodePath path = above.child(spec.name());
+      Map<String, Object> out = Json.object("path", path.text(), "kind", word(spec.kind()));
+      if (spec.pattern() != null) {
+        out.put("pattern", spec.pattern());
+      }
+      put(out, "guarantee", spec.guarantee(), 0);
+      put(out, "limit", spec.limit(), Double.POSITIVE_INFINITY);
+      put(out, "borrow", spec.borrow(), Double.POSITIVE_INFINITY);
+      put(out, "weight", spec.weight());
+      put(out, "lend", spec.lend());
+      nodes.add(out);
+      write(path, spec.children(), nodes);
     }
+  }
 
-    private static String word(NodeSpec.Kind kind) {
-        return KINDS.entrySet().stream().filter(entry -> entry.getValue() == kind).map(Map.Entry::getKey).findFirst().orElseThrow();
-    }
+  private static String word(NodeSpec.Kind kind) {
+    return KINDS.entrySet().stream()
+        .filter(entry -> entry.getValue() == kind)
+        .map(Map.Entry::getKey)
+        .findFirst()
+        .orElseThrow();
+  }
 
-    private static void put(Map<String, Object> out, String name, double value) {
-        if (value != 1) {
-            out.put(name, value);
-        }
+  private static void put(Map<String, Object> out, String name, double value) {
+    if (value != 1) {
+      out.put(name, value);
     }
+  }
 
-    private static void put(Map<String, Object> out, String name, Resources amount, double leftOut) {
-        Map<String, Object> some = new LinkedHashMap<>();
-        RESOURCES.forEach((resource, of) -> {
-            if (of.applyAsDouble(amount) != leftOut) {
-                some.put(resource, of.applyAsDouble(amount));
-            }
+  private static void put(Map<String, Object> out, String name, Resources amount, double leftOut) {
+    Map<String, Object> some = new LinkedHashMap<>();
+    RESOURCES.forEach(
+        (resource, of) -> {
+          if (of.applyAsDouble(amount) != leftOut) {
+            some.put(resource, of.applyAsDouble(amount));
+          }
         });
-        if (!some.isEmpty()) {
-            out.put(name, some);
-        }
+    if (!some.isEmpty()) {
+      out.put(name, some);
     }
+  }
 
-    /**
-     * Reads the nodes at the top, each with what is below it.
-     *
-     * @throws BadMessage one line that names the node and what is wrong with how it is written
-     */
-    public static List<NodeSpec> read(Object value) throws BadMessage {
-        List<NodeSpec> top = new ArrayList<>();
-        Map<String, NodeSpec> known = new LinkedHashMap<>();
-        for (Fields in : Fields.of(value, "a tree of quotas").objects("nodes")) {
-            String path = in.text("path");
-            NodeSpec spec;
-            try {
-                spec = readNode(path, in);
-            } catch (BadMessage e) {
-                throw new BadMessage(path + ": " + e.getMessage());
-            }
-            int slash = path.lastIndexOf('/');
-            NodeSpec parent = slash < 0 ? null : known.get(path.substring(0, slash));
-            if (slash >= 0 && parent == null) {
-                throw new BadMessage(path + ": the node above it does not stand before it");
-            }
-            if (known.put(path, spec) != null) {
-                throw new BadMessage(path + ": stands there twice");
-            }
-            (parent == null ? top : parent.children()).add(spec);
-        }
-        return top;
+  /**
+   * Reads the nodes at the top, each with what is below it.
+   *
+   * @throws BadMessage one line that names the node and what is wrong with how it is written
+   */
+  public static List<NodeSpec> read(Object value) throws BadMessage {
+    List<NodeSpec> top = new ArrayList<>();
+    Map<String, NodeSpec> known = new LinkedHashMap<>();
+    for (Fields in : Fields.of(value, "a tree of quotas").objects("nodes")) {
+      String path = in.text("path");
+      NodeSpec spec;
+      try {
+        spec = readNode(path, in);
+      } catch (BadMessage e) {
+        throw new BadMessage(path + ": " + e.getMessage());
+      }
+      int slash = path.lastIndexOf('/');
+      NodeSpec parent = slash < 0 ? null : known.get(path.substring(0, slash));
+      if (slash >= 0 && parent == null) {
+        throw new BadMessage(path + ": the node above it does not stand before it");
+      }
+      if (known.put(path, spec) != null) {
+        throw new BadMessage(path + ": stands there twice");
+      }
+      (parent == null ? top : parent.children()).add(spec);
     }
+    return top;
+  }
 
-    private static NodeSpec readNode(String path, Fields in) throws BadMessage {
-        for (String name : in.names()) {
-            if (!NAMES.contains(name)) {
-                throw new BadMessage("unknown field " + name);
-            }
-        }
-        return new NodeSpec(path.substring(path.lastIndexOf('/') + 1), in.word("kind", KINDS), in.textOr("pattern", null),
-                resources(in, "guarantee", 0), resources(in, "limit", Double.POSITIVE_INFINITY),
-                in.has("weight") ? in.amount("weight") : 1, in.has("lend") ? in.amount("lend") : 1,
-                resources(in, "borrow", Double.POSITIVE_INFINITY), new ArrayList<>());
+  private static NodeSpec readNode(String path, Fields in) throws BadMessage {
+    for (String name : in.names()) {
+      if (!NAMES.contains(name)) {
+        throw new BadMessage("unknown field " + name);
+      }
     }
+    return new NodeSpec(
+        path.substring(path.lastIndexOf('/') + 1),
+        in.word("kind", KINDS),
+        in.textOr("pattern", null),
+        resources(in, "guarantee", 0),
+        resources(in, "limit", Double.POSITIVE_INFINITY),
+        in.has("weight") ? in.amount("weight") : 1,
+        in.has("lend") ? in.amount("lend") : 1,
+        resources(in, "borrow", Double.POSITIVE_INFINITY),
+        new ArrayList<>());
+  }
 
-    private static Resources resources(Fields in, String name, double leftOut) throws BadMessage {
-        if (!in.has(name)) {
-            return new Resources(leftOut, leftOut, leftOut);
-        }
-        Fields amount = in.fields(name);
-        for (String resource : amount.names()) {
-            if (!RESOURCES.containsKey(resource)) {
-                throw new BadMessage("unknown field " + resource + " of " + name);
-            }
-        }
-        return new Resources(amount(amount, "cpus", leftOut), amount(amount, "gpus", leftOut), amount(amount, "memory_gb", leftOut));
+  private static Resources resources(Fields in, String name, double leftOut) throws BadMessage {
+    if (!in.has(name)) {
+      return new Resources(leftOut, leftOut, leftOut);
     }
-
-    private static double amount(Fields in, String name, double leftOut) throws BadMessage {
-        return in.has(name) ? in.amount(name) : leftOut;
+    Fields amount = in.fields(name);
+    for (String resource : amount.names()) {
+      if (!RESOURCES.containsKey(resource)) {
+        throw new BadMessage("unknown field " + resource + " of " + name);
+      }
     }
+    return new Resources(
+        amount(amount, "cpus", leftOut),
+        amount(amount, "gpus", leftOut),
+        amount(amount, "memory_gb", leftOut));
+  }
+
+  private static double amount(Fields in, String name, double leftOut) throws BadMessage {
+    return in.has(name) ? in.amount(name) : leftOut;
+  }
 }
