--- a/src/main/java/org/quincecross/state/StateClient.java
+++ b/src/main/java/org/quincecross/state/StateClient.java
@@ -22,168 +22,196 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Speaks to the state service and keeps within this controller's share of its limits. What must not wait (lease
- * renewals, taking over) goes at once and is paid for by what follows.
+ * Speaks to the state service and keeps within this controller's share of its limits. What must not
+ * wait (lease renewals, taking over) goes at once and is paid for by what follows.
  */
 public final class StateClient {
-    private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
-    private static final Span TIMEOUT = Span.ofSeconds(2.5);
-    private static final Span WAIT_FOR_BUDGET = Span.ofMillis(20);
-    /** The controllers share the limits; all of them are seldom busy at once, so each may use more than its part. */
-    private static final double REQUEST_SHARE = 0.45;
-    /** Nearly all changes are the leader's; the others only accept and cancel jobs. */
-    private static final double LEADER_WRITE_SHARE = 0.8;
-    private static final double OTHERS_WRITE_SHARE = 0.4;
-
-    private record Waiting(double writes, Runnable send) {
-    }
-
-    private final Timers timers;
-    private final HttpCaller http;
-    private final Endpoint service;
-    private final Limiter requests;
-    private final double writesPerSecond;
-    private Limiter writes;
-    private boolean leading;
-    private final ArrayDeque<Waiting> waitingReads = new ArrayDeque<>();
-    private final ArrayDeque<Waiting> waitingTxns = new ArrayDeque<>();
-    private boolean draining;
-
-    public StateClient(Timers timers, HttpCaller http, Endpoint service, Settings.StateLimits limits) {
-        this.timers = timers;
-        this.http = http;
-        this.service = service;
-        double perSecond = limits.requestsPerS() * REQUEST_SHARE;
-        writesPerSecond = limits.writesPerS();
-        requests = new Limiter(perSecond, perSecond * 0.5, timers.now());
-        writes = new Limiter(writesPerSecond * OTHERS_WRITE_SHARE, writesPerSecond * OTHERS_WRITE_SHARE, timers.now());
-    }
-
-    /** Says whether this controller leads, and so has most of the changes to make. */
-    public void lead(boolean now) {
-        if (leading != now) {
-            leading = now;
-            double share = writesPerSecond * (now ? LEADER_WRITE_SHARE : OTHERS_WRITE_SHARE);
-            writes = new Limiter(share, share, timers.now());
-            writes.drain(timers.now());
-        }
-    }
-
-    /** Sends a read that may wait for its turn. */
-    void read(String path, Span timeout, Consumer<HttpOutcome> done) {
-        enqueue(waitingReads, 0, () -> send(HttpRequest.get(path), timeout, done));
-    }
-
-    void readNow(String path, Consumer<HttpOutcome> done) {
-        requests.force(1, timers.now());
-        send(HttpRequest.get(path), TIMEOUT, done);
-    }
-
-    void grant(Span ttl, Consumer<HttpOutcome> done) {
-        requests.force(1, timers.now());
-        send(HttpRequest.post(StateCodec.LEASES, StateCodec.writeGrant(ttl.millis())), TIMEOUT, done);
-    }
-
-    void renew(Incarnation lease, Span timeout, Consumer<HttpOutcome> done) {
-        requests.force(1, timers.now());
-        send(HttpRequest.post(StateCodec.renewPath(lease), new byte[0]), timeout, done);
-    }
-
-    void end(Incarnation lease, Consumer<HttpOutcome> done) {
-        requests.force(1, timers.now());
-        send(HttpRequest.delete(StateCodec.leasePath(lease)), TIMEOUT, done);
-    }
-
-    /** How many changes a transaction could make that goes out at once. */
-    public int changesAffordable() {
-        boolean busy = !waitingTxns.isEmpty() || requests.level(timers.now()) < 1;
-        return busy ? 0 : (int) Math.max(0, writes.level(timers.now()));
-    }
-
-    /** Sends a transaction when its turn comes. */
-    public void txn(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
-        enqueue(waitingTxns, changes.size(), () -> sendTxn(guards, changes, done));
-    }
-
-    /** Sends a transaction: at once where it is urgent, else when its turn comes. */
-    public void txn(List<Guard> guards, List<Change> changes, boolean urgent, Consumer<TxnOutcome> done) {
-        if (urgent) {
-            txnNow(guards, changes, done);
-        } else {
-            txn(guards, changes, done);
+  private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
+  private static final Span TIMEOUT = Span.ofSeconds(2.5);
+  private static final Span WAIT_FOR_BUDGET = Span.ofMillis(20);
+
+  /**
+   * The controllers share the limits; all of them are seldom busy at once, so each may use more
+   * than its part.
+   */
+  private static final double REQUEST_SHARE = 0.45;
+
+  /** Nearly all changes are the leader's; the others only accept and cancel jobs. */
+  private static final double LEADER_WRITE_SHARE = 0.8;
+
+  private static final double OTHERS_WRITE_SHARE = 0.4;
+
+  private record Waiting(double writes, Runnable send) {}
+
+  private final Timers timers;
+  private final HttpCaller http;
+  private final Endpoint service;
+  private final Limiter requests;
+  private final double writesPerSecond;
+  private Limiter writes;
+  private boolean leading;
+  private final ArrayDeque<Waiting> waitingReads = new ArrayDeque<>();
+  private final ArrayDeque<Waiting> waitingTxns = new ArrayDeque<>();
+  private boolean draining;
+
+  public StateClient(
+      Timers timers, HttpCaller http, Endpoint service, Settings.StateLimits limits) {
+    this.timers = timers;
+    this.http = http;
+    this.service = service;
+    double perSecond = limits.requestsPerS() * REQUEST_SHARE;
+    writesPerSecond = limits.writesPerS();
+    requests = new Limiter(perSecond, perSecond * 0.5, timers.now());
+    writes =
+        new Limiter(
+            writesPerSecond * OTHERS_WRITE_SHARE,
+            writesPerSecond * OTHERS_WRITE_SHARE,
+            timers.now());
+  }
+
+  /** Says whether this controller leads, and so has most of the changes to make. */
+  public void lead(boolean now) {
+    if (leading != now) {
+      leading = now;
+      double share = writesPerSecond * (now ? LEADER_WRITE_SHARE : OTHERS_WRITE_SHARE);
+      writes = new Limiter(share, share, timers.now());
+      writes.drain(timers.now());
+    }
+  }
+
+  /** Sends a read that may wait for its turn. */
+  void read(String path, Span timeout, Consumer<HttpOutcome> done) {
+    enqueue(waitingReads, 0, () -> send(HttpRequest.get(path), timeout, done));
+  }
+
+  void readNow(String path, Consumer<HttpOutcome> done) {
+    requests.force(1, timers.now());
+    send(HttpRequest.get(path), TIMEOUT, done);
+  }
+
+  void grant(Span ttl, Consumer<HttpOutcome> done) {
+    requests.force(1, timers.now());
+    send(HttpRequest.post(StateCodec.LEASES, StateCodec.writeGrant(ttl.millis())), TIMEOUT, done);
+  }
+
+  void renew(Incarnation lease, Span timeout, Consumer<HttpOutcome> done) {
+    requests.force(1, timers.now());
+    send(HttpRequest.post(StateCodec.renewPath(lease), new byte[0]), timeout, done);
+  }
+
+  void end(Incarnation lease, Consumer<HttpOutcome> done) {
+    requests.force(1, timers.now());
+    send(HttpRequest.delete(StateCodec.leasePath(lease)), TIMEOUT, done);
+  }
+
+  /** How many changes a transaction could make that goes out at once. */
+  public int changesAffordable() {
+    boolean busy = !waitingTxns.isEmpty() || requests.level(timers.now()) < 1;
+    return busy ? 0 : (int) Math.max(0, writes.level(timers.now()));
+  }
+
+  /** Sends a transaction when its turn comes. */
+  public void txn(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
+    enqueue(waitingTxns, changes.size(), () -> sendTxn(guards, changes, done));
+  }
+
+  /** Sends a transaction: at once where it is urgent, else when its turn comes. */
+  public void txn(
+      List<Guard> guards, List<Change> changes, boolean urgent, Consumer<TxnOutcome> done) {
+    if (urgent) {
+      txnNow(guards, changes, done);
+    } else {
+      txn(guards, changes, done);
+    }
+  }
+
+  /** Sends a transaction that must not wait. */
+  void txnNow(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
+    requests.force(1, timers.now());
+    writes.force(changes.size(), timers.now());
+    sendTxn(guards, changes, done);
+  }
+
+  private void sendTxn(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
+    HttpRequest request = HttpRequest.post(StateCodec.TXN, StateCodec.writeTxn(guards, changes));
+    send(request, TIMEOUT, outcome -> done.accept(readTxn(outcome)));
+  }
+
+  private static TxnOutcome readTxn(HttpOutcome outcome) {
+    try {
+      return switch (outcome.status()) {
+        case 200 ->
+            new TxnOutcome(
+                TxnOutcome.Kind.COMMITTED,
+                StateCodec.readRevision(Json.parseFields(outcome.response().body())),
+                List.of());
+        case 409 -> {
+          var in = Json.parseFields(outcome.response().body());
+          yield new TxnOutcome(
+              TxnOutcome.Kind.CONFLICT, StateCodec.readRevision(in), StateCodec.readFailed(in));
         }
-    }
-
-    /** Sends a transaction that must not wait. */
-    void txnNow(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
-        requests.force(1, timers.now());
-        writes.force(changes.size(), timers.now());
-        sendTxn(guards, changes, done);
-    }
-
-    private void sendTxn(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
-        HttpRequest request = HttpRequest.post(StateCodec.TXN, StateCodec.writeTxn(guards, changes));
-        send(request, TIMEOUT, outcome -> done.accept(readTxn(outcome)));
-    }
-
-    private static TxnOutcome readTxn(HttpOutcome outcome) {
-        try {
-            return switch (outcome.status()) {
-                case 200 -> new TxnOutcome(TxnOutcome.Kind.COMMITTED,
-                        StateCodec.readRevision(Json.parseFields(outcome.response().body())), List.of());
-                case 409 -> {
-                    var in = Json.parseFields(outcome.response().body());
-                    yield new TxnOutcome(TxnOutcome.Kind.CONFLICT, StateCodec.readRevision(in), StateCodec.readFailed(in));
-                }
-                case 400 -> {
-                    String why = new String(outcome.response().body(), StandardCharsets.UTF_8);
-                    LOG.info("transaction refused: {}", why);
-                    // Taken for an ended lease, one that is too large was sent again, the same, for ever.
-                    yield TxnOutcome.of(why.contains(StateCodec.NO_LEASE) ? TxnOutcome.Kind.NO_LEASE : TxnOutcome.Kind.TOO_LARGE);
-                }
-                case 429 -> TxnOutcome.of(TxnOutcome.Kind.REFUSED);
-                case 503 -> TxnOutcome.of(TxnOutcome.Kind.UNAVAILABLE);
-                default -> TxnOutcome.of(outcome.isUncertain() || outcome.status() != 0
-                        ? TxnOutcome.Kind.UNKNOWN : TxnOutcome.Kind.UNAVAILABLE);
-            };
-        } catch (BadMessage e) {
-            return TxnOutcome.of(TxnOutcome.Kind.UNKNOWN);
+        case 400 -> {
+          String why = new String(outcome.response().body(), StandardCharsets.UTF_8);
+          LOG.info("transaction refused: {}", why);
+          // Taken for an ended lease, one that is too large was sent again, the same, for ever.
+          yield TxnOutcome.of(
+              why.contains(StateCodec.NO_LEASE)
+                  ? TxnOutcome.Kind.NO_LEASE
+                  : TxnOutcome.Kind.TOO_LARGE);
         }
-    }
-
-    private void send(HttpRequest request, Span timeout, Consumer<HttpOutcome> done) {
-        http.call(service, request, timeout, outcome -> {
-            if (outcome.status() == 429) {
-                requests.drain(timers.now());
-                writes.drain(timers.now());
-            }
-            done.accept(outcome);
+        case 429 -> TxnOutcome.of(TxnOutcome.Kind.REFUSED);
+        case 503 -> TxnOutcome.of(TxnOutcome.Kind.UNAVAILABLE);
+        default ->
+            TxnOutcome.of(
+                outcome.isUncertain() || outcome.status() != 0
+                    ? TxnOutcome.Kind.UNKNOWN
+                    : TxnOutcome.Kind.UNAVAILABLE);
+      };
+    } catch (BadMessage e) {
+      return TxnOutcome.of(TxnOutcome.Kind.UNKNOWN);
+    }
+  }
+
+  private void send(HttpRequest request, Span timeout, Consumer<HttpOutcome> done) {
+    http.call(
+        service,
+        request,
+        timeout,
+        outcome -> {
+          if (outcome.status() == 429) {
+            requests.drain(timers.now());
+            writes.drain(timers.now());
+          }
+          done.accept(outcome);
         });
-    }
-
-    private void enqueue(ArrayDeque<Waiting> queue, double changes, Runnable send) {
-        queue.add(new Waiting(changes, send));
-        drain();
-    }
-
-    private void drain() {
-        // Reads do not wait behind a transaction that is short of changes.
-        drain(waitingReads);
-        drain(waitingTxns);
-        if (!draining && !(waitingReads.isEmpty() && waitingTxns.isEmpty())) {
-            draining = true;
-            timers.after(WAIT_FOR_BUDGET, () -> {
-                draining = false;
-                drain();
-            });
-        }
-    }
-
-    private void drain(ArrayDeque<Waiting> queue) {
-        while (!queue.isEmpty() && requests.level(timers.now()) >= 1
-                && (queue.peek().writes() == 0 || writes.take(queue.peek().writes(), timers.now()))) {
-            requests.force(1, timers.now());
-            queue.poll().send().run();
-        }
-    }
+  }
+
+  private void enqueue(ArrayDeque<Waiting> queue, double changes, Runnable send) {
+    queue.add(new Waiting(changes, send));
+    drain();
+  }
+
+  private void drain() {
+    // Reads do not wait behind a transaction that is short of changes.
+    drain(waitingReads);
+    drain(waitingTxns);
+    if (!draining && !(waitingReads.isEmpty() && waitingTxns.isEmpty())) {
+      draining = true;
+      timers.after(
+          WAIT_FOR_BUDGET,
+          () -> {
+            draining = false;
+            drain();
+          });
+    }
+  }
+
+  private void drain(ArrayDeque<Waiting> queue) {
+    while (!queue.isEmpty()
+        && requests.level(timers.now()) >= 1
+        && (queue.peek().writes() == 0 || writes.take(queue.peek().writes(), timers.now()))) {
+      requests.force(1, timers.now());
+      queue.poll().send().run();
+    }
+  }
 }
--- a/src/main/java/org/quincecross/wire/CloudCodec.java
+++ b/src/main/java/org/quincecross/wire/CloudCodec.java
@@ -13,82 +13,119 @@
 
 /** What is said to the cloud and what it says. */
 public final class CloudCodec {
-    public static final String CATALOG = "/catalog";
-    public static final String MACHINES = "/hosts";
-    public static final String RETURN = "/hosts/return";
+  public static final String CATALOG = "/catalog";
+  public static final String MACHINES = "/hosts";
+  public static final String RETURN = "/hosts/return";
 
-    /** Whether a listed machine is up. */
-    public enum Status { BOOTING, RUNNING, FAILED }
+  /** Whether a listed machine is up. */
+  public enum Status {
+    BOOTING,
+    RUNNING,
+    FAILED
+  }
 
-    /** A machine in the cloud's list. */
-    public record Listed(Machine machine, Status status, Span age) {
-    }
+  /** A machine in the cloud's list. */
+  public record Listed(Machine machine, Status status, Span age) {}
 
-    /** A page of the cloud's list. */
-    public record Page(List<Listed> machines, boolean more) {
-    }
+  /** A page of the cloud's list. */
+  public record Page(List<Listed> machines, boolean more) {}
 
-    private static final Map<String, Status> STATUSES =
-            Map.of("starting", Status.BOOTING, "running", Status.RUNNING, "failed", Status.FAILED);
+  private static final Map<String, Status> STATUSES =
+      Map.of("starting", Status.BOOTING, "running", Status.RUNNING, "failed", Status.FAILED);
 
-    private CloudCodec() {
-    }
+  private CloudCodec() {}
 
-    public static List<MachineType> readCatalog(Fields in) throws BadMessage {
-        List<MachineType> types = new ArrayList<>();
-        for (Fields type : in.objects("Hulls")) {
-            types.add(new MachineType(type.text("Sku"),
-                    new Resources(type.amount("Cpus"), type.has("Cards") ? type.amount("Cards") : 0, type.amount("MemGb")),
-                    type.amount("CacheGb"), type.amount("PullGbPerS"), type.amount("Rate"),
-                    type.has("MarketPrice") ? type.amount("MarketPrice") : type.amount("Rate"),
-                    Span.ofSeconds(type.amount("StartupS")), type.texts("Yards")));
-        }
-        return types;
+  public static List<MachineType> readCatalog(Fields in) throws BadMessage {
+    List<MachineType> types = new ArrayList<>();
+    for (Fields type : in.objects("Hulls")) {
+      types.add(
+          new MachineType(
+              type.text("Sku"),
+              new Resources(
+                  type.amount("Cpus"),
+                  type.has("Cards") ? type.amount("Cards") : 0,
+                  type.amount("MemGb")),
+              type.amount("CacheGb"),
+              type.amount("PullGbPerS"),
+              type.amount("Rate"),
+              type.has("MarketPrice") ? type.amount("MarketPrice") : type.amount("Rate"),
+              Span.ofSeconds(type.amount("StartupS")),
+              type.texts("Yards")));
     }
+    return types;
+  }
 
-    public static Map<String, Object> writeCatalog(Collection<MachineType> types) {
-        List<Object> list = new ArrayList<>();
-        for (MachineType type : types) {
-            list.add(Json.object("Sku", type.name(), "Cpus", type.capacity().cpus(), "Cards", type.capacity().gpus(),
-                    "MemGb", type.capacity().memoryGb(), "CacheGb", type.cacheGb(), "PullGbPerS", type.fetchGbPerS(),
-                    "Rate", type.price(), "MarketPrice", type.spotPrice(), "StartupS", type.boot().seconds(),
-                    "Yards", type.zones()));
-        }
-        return Json.object("Hulls", list);
+  public static Map<String, Object> writeCatalog(Collection<MachineType> types) {
+    List<Object> list = new ArrayList<>();
+    for (MachineType type : types) {
+      list.add(
+          Json.object(
+              "Sku",
+              type.name(),
+              "Cpus",
+              type.capacity().cpus(),
+              "Cards",
+              type.capacity().gpus(),
+              "MemGb",
+              type.capacity().memoryGb(),
+              "CacheGb",
+              type.cacheGb(),
+              "PullGbPerS",
+              type.fetchGbPerS(),
+              "Rate",
+              type.price(),
+              "MarketPrice",
+              type.spotPrice(),
+              "StartupS",
+              type.boot().seconds(),
+              "Yards",
+              type.zones()));
     }
+    return Json.object("Hulls", list);
+  }
 
-    public static byte[] writeRent(String request, String type, String zone, boolean spot, int count) {
-        return Json.write(Json.object("Charter", request, "Hull", type, "Yard", zone, "Loaners", spot, "HowMany", count));
-    }
+  public static byte[] writeRent(
+      String request, String type, String zone, boolean spot, int count) {
+    return Json.write(
+        Json.object(
+            "Charter", request, "Hull", type, "Yard", zone, "Loaners", spot, "HowMany", count));
+  }
 
-    public static List<MachineId> readRented(Fields in) throws BadMessage {
-        List<MachineId> machines = new ArrayList<>();
-        for (String name : in.texts("Hosts")) {
-            machines.add(new MachineId(name));
-        }
-        return machines;
+  public static List<MachineId> readRented(Fields in) throws BadMessage {
+    List<MachineId> machines = new ArrayList<>();
+    for (String name : in.texts("Hosts")) {
+      machines.add(new MachineId(name));
     }
+    return machines;
+  }
 
-    public static byte[] writeReturn(Collection<MachineId> machines) {
-        List<String> names = new ArrayList<>();
-        for (MachineId machine : machines) {
-            names.add(machine.text());
-        }
-        return Json.write(Json.object("Hosts", names));
+  public static byte[] writeReturn(Collection<MachineId> machines) {
+    List<String> names = new ArrayList<>();
+    for (MachineId machine : machines) {
+      names.add(machine.text());
     }
+    return Json.write(Json.object("Hosts", names));
+  }
 
-    public static String listPath(MachineId after, int limit) {
-        return MACHINES + "?" + (after == null ? "" : "Since=" + after + "&") + "Page=" + limit;
-    }
+  public static String listPath(MachineId after, int limit) {
+    return MACHINES + "?" + (after == null ? "" : "Since=" + after + "&") + "Page=" + limit;
+  }
 
-    public static Page readPage(Fields in) throws BadMessage {
-        List<Listed> machines = new ArrayList<>();
-        for (Fields item : in.objects("Hosts")) {
-            Endpoint address = item.has("Addr") ? Endpoint.parse(item.text("Addr")) : null;
-            machines.add(new Listed(new Machine(new MachineId(item.text("Uid")), address, item.text("Hull"),
-                    item.text("Yard"), item.flagOr("Loaners", false)),
-                    item.word("Status", STATUSES), Span.ofSeconds(item.amount("AgeS"))));
-        }
-        return new Page(machines, in.flagOr("More", false));
+  public static Page readPage(Fields in) throws BadMessage {
+    List<Listed> machines = new ArrayList<>();
+    for (Fields item : in.objects("Hosts")) {
+      Endpoint address = item.has("Addr") ? Endpoint.parse(item.text("Addr")) : null;
+      machines.add(
+          new Listed(
+              new Machine(
+                  new MachineId(item.text("Uid")),
+                  address,
+                  item.text("Hull"),
+                  item.text("Yard"),
+                  item.flagOr("Loaners", false)),
+              item.word("Status", STATUSES),
+              Span.ofSeconds(item.amount("AgeS"))));
     }
+    return new Page(machines, in.flagOr("More", false));
+  }
 }
--- a/src/main/java/org/quincecross/wire/JobCodec.java
+++ b/src/main/java/org/quincecross/wire/JobCodec.java
@@ -1,7 +1,7 @@
 package org.quincecross.wire;
 
-import java.util.Collections;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -17,147 +17,222 @@
 
 /** Jobs as users write them, and what users are told of them. */
 public final class JobCodec {
-    public static final int MOST_TASKS = 100_000;
-    public static final String JOBS = "/v2/runs";
-    public static final String CANCEL = "/cancel";
-    public static final String HEALTH = "/up";
-    /** The field that names the jobs to be done first. */
-    public static final String WAITS_ON = "WaitsOn";
-
-    /** Of those that a job waits for, so many are named to whoever asks; how many there are is said as well. */
-    private static final int MOST_NAMED = 20;
-
-    private static final Map<String, Shape> SHAPES =
-            Map.of("sweep", Shape.ARRAY, "gang", Shape.GANG, "standing", Shape.SERVICE);
-    private static final Map<String, Rank> RANKS =
-            Map.of("critical", Rank.PRODUCTION, "high", Rank.HIGH, "standard", Rank.NORMAL, "idle", Rank.LOW);
-
-    private JobCodec() {
+  public static final int MOST_TASKS = 100_000;
+  public static final String JOBS = "/v2/runs";
+  public static final String CANCEL = "/cancel";
+  public static final String HEALTH = "/up";
+
+  /** The field that names the jobs to be done first. */
+  public static final String WAITS_ON = "WaitsOn";
+
+  /**
+   * Of those that a job waits for, so many are named to whoever asks; how many there are is said as
+   * well.
+   */
+  private static final int MOST_NAMED = 20;
+
+  private static final Map<String, Shape> SHAPES =
+      Map.of("sweep", Shape.ARRAY, "gang", Shape.GANG, "standing", Shape.SERVICE);
+  private static final Map<String, Rank> RANKS =
+      Map.of(
+          "critical",
+          Rank.PRODUCTION,
+          "high",
+          Rank.HIGH,
+          "standard",
+          Rank.NORMAL,
+          "idle",
+          Rank.LOW);
+
+  private JobCodec() {}
+
+  /** The id alone, so that a known job can be answered whatever else the body holds. */
+  public static JobId id(Fields in) throws BadMessage {
+    JobId id = JobId.parse(in.text("Uid"));
+    if (id == null) {
+      throw new BadMessage("field Uid is not a job id");
     }
-
-    /** The id alone, so that a known job can be answered whatever else the body holds. */
-    public static JobId id(Fields in) throws BadMessage {
-        JobId id = JobId.parse(in.text("Uid"));
-        if (id == null) {
-            throw new BadMessage("field Uid is not a job id");
-        }
-        return id;
+    return id;
+  }
+
+  /** The fields of a job's description. */
+  public static final Set<String> FIELDS =
+      Set.of(
+          "Uid",
+          "Lane",
+          "Crew",
+          "Shape",
+          "Rank",
+          "Pieces",
+          "Cpus",
+          "Cards",
+          "MemGb",
+          "Hulls",
+          "Yard",
+          "OneZone",
+          "Scatter",
+          "Loaners",
+          "Bundle",
+          "ImageGb",
+          "GuessS",
+          "MarkEveryS",
+          "MarkCostS",
+          "DueS",
+          WAITS_ON);
+
+  /** A job as a record has it. */
+  public static Job read(Fields in) throws BadMessage {
+    List<String> types = in.has("Hulls") ? in.texts("Hulls") : null;
+    return new Job(
+        id(in),
+        in.text("Lane"),
+        in.text("Crew"),
+        in.word("Shape", SHAPES),
+        in.word("Rank", RANKS),
+        in.count("Pieces", 1, MOST_TASKS),
+        new Resources(
+            in.positive("Cpus"), in.has("Cards") ? in.amount("Cards") : 0, in.amount("MemGb")),
+        types == null ? null : new LinkedHashSet<>(types),
+        in.textOr("Yard", null),
+        in.flagOr("OneZone", false),
+        in.flagOr("Scatter", false),
+        in.flagOr("Loaners", false),
+        in.text("Bundle"),
+        in.amount("ImageGb"),
+        Span.ofSeconds(in.amount("GuessS")),
+        Span.ofSeconds(in.amount("MarkEveryS")),
+        Span.ofSeconds(in.amount("MarkCostS")),
+        in.has("DueS") ? Span.ofSeconds(in.amount("DueS")) : null,
+        in.has(WAITS_ON) ? ids(in.texts(WAITS_ON)) : Set.of());
+  }
+
+  /** A job that is named twice is waited for once. */
+  private static Set<JobId> ids(List<String> texts) throws BadMessage {
+    Set<JobId> ids = new HashSet<>();
+    for (String text : texts) {
+      JobId id = JobId.parse(text);
+      if (id == null) {
+        throw new BadMessage("field " + WAITS_ON + " has an item that is not a job id");
+      }
+      ids.add(id);
     }
-
-    /** The fields of a job's description. */
-    public static final Set<String> FIELDS = Set.of("Uid", "Lane", "Crew", "Shape", "Rank", "Pieces", "Cpus", "Cards", "MemGb", "Hulls", "Yard",
-            "OneZone", "Scatter", "Loaners", "Bundle", "ImageGb", "GuessS", "MarkEveryS", "MarkCostS", "DueS", WAITS_ON);
-
-    /** A job as a record has it. */
-    public static Job read(Fields in) throws BadMessage {
-        List<String> types = in.has("Hulls") ? in.texts("Hulls") : null;
-        return new Job(
-                id(in), in.text("Lane"), in.text("Crew"), in.word("Shape", SHAPES), in.word("Rank", RANKS),
-                in.count("Pieces", 1, MOST_TASKS),
-                new Resources(in.positive("Cpus"), in.has("Cards") ? in.amount("Cards") : 0, in.amount("MemGb")),
-                types == null ? null : new LinkedHashSet<>(types), in.textOr("Yard", null),
-                in.flagOr("OneZone", false), in.flagOr("Scatter", false), in.flagOr("Loaners", false),
-                in.text("Bundle"), in.amount("ImageGb"),
-                Span.ofSeconds(in.amount("GuessS")), Span.ofSeconds(in.amount("MarkEveryS")),
-                Span.ofSeconds(in.amount("MarkCostS")),
-                in.has("DueS") ? Span.ofSeconds(in.amount("DueS")) : null, in.has(WAITS_ON) ? ids(in.texts(WAITS_ON)) : Set.of());
+    return Collections.unmodifiableSet(ids); // in the same order in every process
+  }
+
+  /**
+   * The fields that a record leaves out where they say nothing, and a submission never may: they
+   * are no ones that may be null.
+   */
+  private static final Map<String, Object> LEFT_OUT =
+      Map.of("Cards", 0.0, "OneZone", false, "Scatter", false, "Loaners", false);
+
+  /**
+   * A job as a user submits it.
+   *
+   * @throws BadMessage where a field is missing, those among them that a record may leave out
+   *     (docs/incidents/accepted-without-a-field.md)
+   */
+  public static Job readSubmission(Fields in) throws BadMessage {
+    in.need(LEFT_OUT.keySet());
+    return read(in);
+  }
+
+  /** A job as users submit it, with all fields but those that may be null. */
+  public static Map<String, Object> submission(Job job) {
+    Map<String, Object> out = write(job);
+    LEFT_OUT.forEach(out::putIfAbsent);
+    return out;
+  }
+
+  /** The same form again, as the state service keeps it. */
+  public static Map<String, Object> write(Job job) {
+    Map<String, Object> out =
+        Json.object(
+            "Uid",
+            job.id().text(),
+            "Lane",
+            job.jobClass(),
+            "Crew",
+            job.team(),
+            "Shape",
+            name(SHAPES, job.shape()),
+            "Rank",
+            name(RANKS, job.rank()),
+            "Pieces",
+            job.tasks(),
+            "Cpus",
+            job.each().cpus(),
+            "Cards",
+            job.each().gpus(),
+            "MemGb",
+            job.each().memoryGb(),
+            "Bundle",
+            job.image(),
+            "ImageGb",
+            job.imageGb(),
+            "GuessS",
+            job.estimate().seconds(),
+            "MarkEveryS",
+            job.checkpointEvery().seconds(),
+            "MarkCostS",
+            job.saveTime().seconds());
+    if (job.types() != null) {
+      out.put("Hulls", job.types());
     }
-
-    /** A job that is named twice is waited for once. */
-    private static Set<JobId> ids(List<String> texts) throws BadMessage {
-        Set<JobId> ids = new HashSet<>();
-        for (String text : texts) {
-            JobId id = JobId.parse(text);
-            if (id == null) {
-                throw new BadMessage("field " + WAITS_ON + " has an item that is not a job id");
-            }
-            ids.add(id);
-        }
-        return Collections.unmodifiableSet(ids); // in the same order in every process
+    if (job.zone() != null) {
+      out.put("Yard", job.zone());
     }
-
-    /** The fields that a record leaves out where they say nothing, and a submission never may: they are no ones that may be null. */
-    private static final Map<String, Object> LEFT_OUT = Map.of("Cards", 0.0, "OneZone", false, "Scatter", false, "Loaners", false);
-
-    /**
-     * A job as a user submits it.
-     *
-     * @throws BadMessage where a field is missing, those among them that a record may leave out (docs/incidents/accepted-without-a-field.md)
-     */
-    public static Job readSubmission(Fields in) throws BadMessage {
-        in.need(LEFT_OUT.keySet());
-        return read(in);
+    if (job.oneZone()) {
+      out.put("OneZone", true);
     }
-
-    /** A job as users submit it, with all fields but those that may be null. */
-    public static Map<String, Object> submission(Job job) {
-        Map<String, Object> out = write(job);
-        LEFT_OUT.forEach(out::putIfAbsent);
-        return out;
+    if (job.spread()) {
+      out.put("Scatter", true);
     }
-
-    /** The same form again, as the state service keeps it. */
-    public static Map<String, Object> write(Job job) {
-        Map<String, Object> out = Json.object(
-                "Uid", job.id().text(), "Lane", job.jobClass(), "Crew", job.team(),
-                "Shape", name(SHAPES, job.shape()), "Rank", name(RANKS, job.rank()), "Pieces", job.tasks(),
-                "Cpus", job.each().cpus(), "Cards", job.each().gpus(), "MemGb", job.each().memoryGb(),
-                "Bundle", job.image(), "ImageGb", job.imageGb(), "GuessS", job.estimate().seconds(),
-                "MarkEveryS", job.checkpointEvery().seconds(), "MarkCostS", job.saveTime().seconds());
-        if (job.types() != null) {
-            out.put("Hulls", job.types());
-        }
-        if (job.zone() != null) {
-            out.put("Yard", job.zone());
-        }
-        if (job.oneZone()) {
-            out.put("OneZone", true);
-        }
-        if (job.spread()) {
-            out.put("Scatter", true);
-        }
-        if (job.spot()) {
-            out.put("Loaners", true);
-        }
-        if (job.deadline() != null) {
-            out.put("DueS", job.deadline().seconds());
-        }
-        if (!job.waitsOn().isEmpty()) {
-            out.put(WAITS_ON, job.waitsOn().stream().sorted().map(JobId::text).toList());
-        }
-        return out;
+    if (job.spot()) {
+      out.put("Loaners", true);
     }
-
-    private static <T> String name(Map<String, T> words, T value) {
-        for (Map.Entry<String, T> entry : words.entrySet()) {
-            if (entry.getValue() == value) {
-                return entry.getKey();
-            }
-        }
-        throw new IllegalArgumentException(String.valueOf(value));
+    if (job.deadline() != null) {
+      out.put("DueS", job.deadline().seconds());
     }
-
-    /** What a user is told of a job. */
-    public static byte[] status(JobId id, JobPhase phase, int done, int running) {
-        return status(id, phase, done, running, List.of());
+    if (!job.waitsOn().isEmpty()) {
+      out.put(WAITS_ON, job.waitsOn().stream().sorted().map(JobId::text).toList());
     }
-
-    /** The same of a job that waits for others. */
-    public static byte[] status(JobId id, JobPhase phase, int done, int running, Collection<JobId> waitsFor) {
-        String word = switch (phase) {
-            case OPEN -> running > 0 ? "running" : "queued";
-            case DONE -> "done";
-            case CANCELLED -> "cancelled";
+    return out;
+  }
+
+  private static <T> String name(Map<String, T> words, T value) {
+    for (Map.Entry<String, T> entry : words.entrySet()) {
+      if (entry.getValue() == value) {
+        return entry.getKey();
+      }
+    }
+    throw new IllegalArgumentException(String.valueOf(value));
+  }
+
+  /** What a user is told of a job. */
+  public static byte[] status(JobId id, JobPhase phase, int done, int running) {
+    return status(id, phase, done, running, List.of());
+  }
+
+  /** The same of a job that waits for others. */
+  public static byte[] status(
+      JobId id, JobPhase phase, int done, int running, Collection<JobId> waitsFor) {
+    String word =
+        switch (phase) {
+          case OPEN -> running > 0 ? "running" : "queued";
+          case DONE -> "done";
+          case CANCELLED -> "cancelled";
         };
-        Map<String, Object> out = Json.object("Uid", id.text(), "Status", word, "done", done, "running", running);
-        if (!waitsFor.isEmpty()) {
-            out.put("waits_for", waitsFor.stream().limit(MOST_NAMED).map(JobId::text).toList());
-            out.put("waits_for_jobs", waitsFor.size());
-        }
-        return Json.write(out);
+    Map<String, Object> out =
+        Json.object("Uid", id.text(), "Status", word, "done", done, "running", running);
+    if (!waitsFor.isEmpty()) {
+      out.put("waits_for", waitsFor.stream().limit(MOST_NAMED).map(JobId::text).toList());
+      out.put("waits_for_jobs", waitsFor.size());
     }
+    return Json.write(out);
+  }
 
-    public static byte[] error(String what) {
-        return Json.write(Json.object("error", what));
-    }
+  public static byte[] error(String what) {
+    return Json.write(Json.object("error", what));
+  }
 }
--- a/src/main/java/org/quincecross/wire/Order.java
+++ b/src/main/java/org/quincecross/wire/Order.java
@@ -10,18 +10,22 @@
  * @param grace how long a stopped task may take to save
  */
 public record Order(Verb verb, TaskId task, Attempt attempt, Span grace) {
-    /** What is to be done. */
-    public enum Verb { START, STOP, FORGET }
+  /** What is to be done. */
+  public enum Verb {
+    START,
+    STOP,
+    FORGET
+  }
 
-    public static Order start(TaskId task, Attempt attempt) {
-        return new Order(Verb.START, task, attempt, Span.ZERO);
-    }
+  public static Order start(TaskId task, Attempt attempt) {
+    return new Order(Verb.START, task, attempt, Span.ZERO);
+  }
 
-    public static Order stop(TaskId task, Attempt attempt, Span grace) {
-        return new Order(Verb.STOP, task, attempt, grace);
-    }
+  public static Order stop(TaskId task, Attempt attempt, Span grace) {
+    return new Order(Verb.STOP, task, attempt, grace);
+  }
 
-    public static Order forget(TaskId task, Attempt attempt) {
-        return new Order(Verb.FORGET, task, attempt, Span.ZERO);
-    }
+  public static Order forget(TaskId task, Attempt attempt) {
+    return new Order(Verb.FORGET, task, attempt, Span.ZERO);
+  }
 }
--- a/src/main/java/org/quincecross/wire/WorkerReport.java
+++ b/src/main/java/org/quincecross/wire/WorkerReport.java
@@ -15,26 +15,41 @@
  * @param token the highest that the worker has seen
  * @param notice until the cloud takes the machine away, or null
  */
-public record WorkerReport(Machine machine, long session, long order, Token token, Span notice, List<Piece> pieces) {
+public record WorkerReport(
+    Machine machine, long session, long order, Token token, Span notice, List<Piece> pieces) {
 
-    /** What a task on a machine is doing. */
-    public enum TaskState { FETCHING, WAITING, RUNNING, SAVING, EXITED }
+  /** What a task on a machine is doing. */
+  public enum TaskState {
+    FETCHING,
+    WAITING,
+    RUNNING,
+    SAVING,
+    EXITED
+  }
 
-    /** Why a task has exited. */
-    public enum Cause { DONE, STOPPED, PEERS, ALONE, ERROR, FULL, IN_USE, NO_SUCH }
+  /** Why a task has exited. */
+  public enum Cause {
+    DONE,
+    STOPPED,
+    PEERS,
+    ALONE,
+    ERROR,
+    FULL,
+    IN_USE,
+    NO_SUCH
+  }
 
-    /**
-     * A task on the machine.
-     *
-     * @param cause null unless it has exited
-     * @param saved whether its progress was saved when it was stopped
-     */
-    public record Piece(TaskId task, Attempt attempt, TaskState state, Cause cause, boolean saved) {
-    }
+  /**
+   * A task on the machine.
+   *
+   * @param cause null unless it has exited
+   * @param saved whether its progress was saved when it was stopped
+   */
+  public record Piece(TaskId task, Attempt attempt, TaskState state, Cause cause, boolean saved) {}
 
-    /** Whether this message was made after {@code other}, a message of the same worker. */
-    public boolean isNewerThan(WorkerReport other) {
-        int bySession = Long.compareUnsigned(session, other.session);
-        return bySession != 0 ? bySession > 0 : Long.compareUnsigned(order, other.order) > 0;
-    }
+  /** Whether this message was made after {@code other}, a message of the same worker. */
+  public boolean isNewerThan(WorkerReport other) {
+    int bySession = Long.compareUnsigned(session, other.session);
+    return bySession != 0 ? bySession > 0 : Long.compareUnsigned(order, other.order) > 0;
+  }
 }
--- a/src/test/java/org/quincecross/FloorsTest.java
+++ b/src/test/java/org/quincecross/FloorsTest.java
@@ -10,44 +10,100 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The packages stand on floors, and each imports from below alone; the packages of decisions have no I/O and no clock. */
+/**
+ * The packages stand on floors, and each imports from below alone; the packages of decisions have
+ * no I/O and no clock.
+ */
 class FloorsTest {
-    /** From the top down. Packages of a floor may know one another. */
-    private static final List<List<String>> FLOORS = List.of(
-            List.of("program"), List.of("emulator"), List.of("api"), List.of("admin"), List.of("leader", "block"), List.of("state", "peer"),
-            List.of("net", "wire", "sched"), List.of("http", "progress", "quota", "overload", "served", "rollout", "holds", "silence", "faults", "agreed", "models", "requests", "pipeline"),
-            List.of("model"));
-    private static final List<String> PURE = List.of("sched", "progress", "quota", "overload", "served", "rollout", "holds", "silence", "faults", "agreed", "models", "requests", "pipeline", "model");
-
-    private static final JavaClasses CLASSES = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("org.quincecross");
-
-    private static String[] packages(List<String> names) {
-        return names.stream().map(name -> "org.quincecross." + name + "..").toArray(String[]::new);
-    }
+  /** From the top down. Packages of a floor may know one another. */
+  private static final List<List<String>> FLOORS =
+      List.of(
+          List.of("program"),
+          List.of("emulator"),
+          List.of("api"),
+          List.of("admin"),
+          List.of("leader", "block"),
+          List.of("state", "peer"),
+          List.of("net", "wire", "sched"),
+          List.of(
+              "http",
+              "progress",
+              "quota",
+              "overload",
+              "served",
+              "rollout",
+              "holds",
+              "silence",
+              "faults",
+              "agreed",
+              "models",
+              "requests",
+              "pipeline"),
+          List.of("model"));
 
-    @Test
-    void eachPackageImportsFromBelow() {
-        List<String> above = new ArrayList<>(FLOORS.get(0));
-        for (List<String> floor : FLOORS.subList(1, FLOORS.size())) {
-            noClasses().that().resideInAnyPackage(packages(floor))
-                    .should().dependOnClassesThat().resideInAnyPackage(packages(above)).check(CLASSES);
-            above.addAll(floor);
-        }
-    }
+  private static final List<String> PURE =
+      List.of(
+          "sched",
+          "progress",
+          "quota",
+          "overload",
+          "served",
+          "rollout",
+          "holds",
+          "silence",
+          "faults",
+          "agreed",
+          "models",
+          "requests",
+          "pipeline",
+          "model");
 
-    @Test
-    void everyPackageHasItsFloor() {
-        List<String> all = FLOORS.stream().flatMap(List::stream).toList();
-        classes().should().resideInAnyPackage(packages(all)).check(CLASSES);
-    }
+  private static final JavaClasses CLASSES =
+      new ClassFileImporter()
+          .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+          .importPackages("org.quincecross");
 
-    @Test
-    void decisionsHaveNoInputOutputAndNoClock() {
-        noClasses().that().resideInAnyPackage(packages(PURE))
-                .should().dependOnClassesThat().resideInAnyPackage("java.io..", "java.net..", "java.nio..", "java.time..", "org.slf4j..")
-                .check(CLASSES);
-        noClasses().that().resideInAnyPackage(packages(PURE)).should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis").check(CLASSES);
+  private static String[] packages(List<String> names) {
+    return names.stream().map(name -> "org.quincecross." + name + "..").toArray(String[]::new);
+  }
+
+  @Test
+  void eachPackageImportsFromBelow() {
+    List<String> above = new ArrayList<>(FLOORS.get(0));
+    for (List<String> floor : FLOORS.subList(1, FLOORS.size())) {
+      noClasses()
+          .that()
+          .resideInAnyPackage(packages(floor))
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(packages(above))
+          .check(CLASSES);
+      above.addAll(floor);
     }
+  }
+
+  @Test
+  void everyPackageHasItsFloor() {
+    List<String> all = FLOORS.stream().flatMap(List::stream).toList();
+    classes().should().resideInAnyPackage(packages(all)).check(CLASSES);
+  }
+
+  @Test
+  void decisionsHaveNoInputOutputAndNoClock() {
+    noClasses()
+        .that()
+        .resideInAnyPackage(packages(PURE))
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("java.io..", "java.net..", "java.nio..", "java.time..", "org.slf4j..")
+        .check(CLASSES);
+    noClasses()
+        .that()
+        .resideInAnyPackage(packages(PURE))
+        .should()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .check(CLASSES);
+  }
 }
--- a/src/test/java/org/quincecross/GoldenFiles.java
+++ b/src/test/java/org/quincecross/GoldenFiles.java
@@ -5,20 +5,28 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Files of bytes as builds before wrote them. They are added to, and never changed: see CONTRIBUTING.md. */
+/**
+ * Files of bytes as builds before wrote them. They are added to, and never changed: see
+ * CONTRIBUTING.md.
+ */
 public final class GoldenFiles {
-    private static final Path FOLDER = Path.of("src/test/resources/golden");
+  private static final Path FOLDER = Path.of("src/test/resources/golden");
 
-    private GoldenFiles() {
-    }
+  private GoldenFiles() {}
 
-    /** The lines of a file. */
-    public static List<String> lines(String name) throws IOException {
-        return Files.readAllLines(FOLDER.resolve(name));
-    }
+  /** The lines of a file. */
+  public static List<String> lines(String name) throws IOException {
+    return Files.readAllLines(FOLDER.resolve(name));
+  }
 
-    /** The messages of the channels whose names begin so, each in its columns: the channel, for records the key, and the message. */
-    public static List<String[]> messages(String channel) throws IOException {
-        return lines("messages.tsv").stream().filter(line -> line.startsWith(channel)).map(line -> line.split("\t", -1)).toList();
-    }
+  /**
+   * The messages of the channels whose names begin so, each in its columns: the channel, for
+   * records the key, and the message.
+   */
+  public static List<String[]> messages(String channel) throws IOException {
+    return lines("messages.tsv").stream()
+        .filter(line -> line.startsWith(channel))
+        .map(line -> line.split("\t", -1))
+        .toList();
+  }
 }
--- a/src/test/java/org/quincecross/KnownRedTest.java
+++ b/src/test/java/org/quincecross/KnownRedTest.java
@@ -12,26 +12,34 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The tests that are passed over because they fail for a known fault are those that KNOWN-RED.txt lists, three at the most. */
+/**
+ * The tests that are passed over because they fail for a known fault are those that KNOWN-RED.txt
+ * lists, three at the most.
+ */
 class KnownRedTest {
-    private static final Path TESTS = Path.of("src/test/java");
-    private static final String TAG = "@Tag(\"known-red\")";
+  private static final Path TESTS = Path.of("src/test/java");
+  private static final String TAG = "@Tag(\"known-red\")";
 
-    @Test
-    void whatIsPassedOverIsListed() throws IOException {
-        Path list = Path.of("KNOWN-RED.txt");
-        List<String> lines = Files.exists(list) ? Files.readAllLines(list) : List.of();
-        assertTrue(lines.size() <= 3, lines.toString());
-        TreeSet<String> tagged = new TreeSet<>();
-        try (Stream<Path> files = Files.walk(TESTS)) {
-            for (Path file : files.filter(each -> each.toString().endsWith(".java")).toList()) {
-                long tags = Files.readAllLines(file).stream().filter(line -> line.strip().equals(TAG)).count();
-                assertTrue(tags <= 1, "a line for each: " + file);
-                if (tags > 0) {
-                    tagged.add(TESTS.relativize(file).toString().replace(".java", "").replace('/', '.'));
-                }
-            }
+  @Test
+  void whatIsPassedOverIsListed() throws IOException {
+    Path list = Path.of("KNOWN-RED.txt");
+    List<String> lines = Files.exists(list) ? Files.readAllLines(list) : List.of();
+    assertTrue(lines.size() <= 3, lines.toString());
+    TreeSet<String> tagged = new TreeSet<>();
+    try (Stream<Path> files = Files.walk(TESTS)) {
+      for (Path file : files.filter(each -> each.toString().endsWith(".java")).toList()) {
+        long tags =
+            Files.readAllLines(file).stream().filter(line -> line.strip().equals(TAG)).count();
+        assertTrue(tags <= 1, "a line for each: " + file);
+        if (tags > 0) {
+          tagged.add(TESTS.relativize(file).toString().replace(".java", "").replace('/', '.'));
         }
-        assertEquals(tagged, lines.stream().map(line -> line.substring(0, line.indexOf(':'))).collect(Collectors.toCollection(TreeSet::new)));
+      }
     }
+    assertEquals(
+        tagged,
+        lines.stream()
+            .map(line -> line.substring(0, line.indexOf(':')))
+            .collect(Collectors.toCollection(TreeSet::new)));
+  }
 }
--- a/src/test/java/org/quincecross/agreed/Gate.java
+++ b/src/test/java/org/quincecross/agreed/Gate.java
@@ -4,67 +4,82 @@
 import java.util.List;
 import java.util.Map;
 
-/** A kind for tests: what is closed keeps all tasks of the job of its name back; and each passing counts. */
+/**
+ * A kind for tests: what is closed keeps all tasks of the job of its name back; and each passing
+ * counts.
+ */
 public final class Gate implements Kind<Gate.State, Gate.Command> {
-    public record State(boolean closed, long passed) {
-    }
+  public record State(boolean closed, long passed) {}
 
-    public enum Command { CLOSE, OPEN, PASS }
+  public enum Command {
+    CLOSE,
+    OPEN,
+    PASS
+  }
 
-    @Override
-    public String name() {
-        return "gate";
-    }
+  @Override
+  public String name() {
+    return "gate";
+  }
 
-    @Override
-    public State initial() {
-        return new State(false, 0);
-    }
+  @Override
+  public State initial() {
+    return new State(false, 0);
+  }
 
-    @Override
-    public State read(Map<String, Object> value) throws Unreadable {
-        Body in = Body.of(value, "a gate");
-        return new State(in.flagOr("closed", false), in.integer("passed", 0, Long.MAX_VALUE));
-    }
+  @Override
+  public State read(Map<String, Object> value) throws Unreadable {
+    Body in = Body.of(value, "a gate");
+    return new State(in.flagOr("closed", false), in.integer("passed", 0, Long.MAX_VALUE));
+  }
 
-    @Override
-    public Map<String, Object> write(State state) {
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("closed", state.closed());
-        out.put("passed", state.passed());
-        return out;
-    }
+  @Override
+  public Map<String, Object> write(State state) {
+    Map<String, Object> out = new LinkedHashMap<>();
+    out.put("closed", state.closed());
+    out.put("passed", state.passed());
+    return out;
+  }
 
-    @Override
-    public Command command(Map<String, Object> body) throws Unreadable {
-        return Body.of(body, "the command").only(List.of("do")).word("do", Command.class);
-    }
+  @Override
+  public Command command(Map<String, Object> body) throws Unreadable {
+    return Body.of(body, "the command").only(List.of("do")).word("do", Command.class);
+  }
 
-    @Override
-    public Step<State> step(State state, Command command, At at) {
-        return switch (command) {
-            case PASS -> state.closed() ? new Step.Refused<>(409, "it is closed") : changed(new State(false, state.passed() + 1), "passed");
-            case CLOSE -> state.closed() ? new Step.Same<>("it is closed already") : changed(new State(true, state.passed()), "closed");
-            case OPEN -> state.closed() ? changed(new State(false, state.passed()), "opened") : new Step.Same<>("it is open already");
-        };
-    }
+  @Override
+  public Step<State> step(State state, Command command, At at) {
+    return switch (command) {
+      case PASS ->
+          state.closed()
+              ? new Step.Refused<>(409, "it is closed")
+              : changed(new State(false, state.passed() + 1), "passed");
+      case CLOSE ->
+          state.closed()
+              ? new Step.Same<>("it is closed already")
+              : changed(new State(true, state.passed()), "closed");
+      case OPEN ->
+          state.closed()
+              ? changed(new State(false, state.passed()), "opened")
+              : new Step.Same<>("it is open already");
+    };
+  }
 
-    private static Step<State> changed(State next, String event) {
-        return new Step.Changed<>(next, List.of(new TrailEntry(event, Map.of())));
-    }
+  private static Step<State> changed(State next, String event) {
+    return new Step.Changed<>(next, List.of(new TrailEntry(event, Map.of())));
+  }
 
-    @Override
-    public List<Map<String, Object>> rows(String id, State state, At at) {
-        return List.of(Map.of("gate", id, "closed", state.closed(), "passed", state.passed()));
-    }
+  @Override
+  public List<Map<String, Object>> rows(String id, State state, At at) {
+    return List.of(Map.of("gate", id, "closed", state.closed(), "passed", state.passed()));
+  }
 
-    @Override
-    public boolean restrains() {
-        return true;
-    }
+  @Override
+  public boolean restrains() {
+    return true;
+  }
 
-    @Override
-    public boolean startsWithholding(State before, State next) {
-        return !before.closed() && next.closed();
-    }
+  @Override
+  public boolean startsWithholding(State before, State next) {
+    return !before.closed() && next.closed();
+  }
 }
--- a/src/test/java/org/quincecross/api/CancelModelTest.java
+++ b/src/test/java/org/quincecross/api/CancelModelTest.java
@@ -13,511 +13,576 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Cancelling as a small model, gone through whole, in steps of time: one task of one job, a block of one machine, the holder that the
- * block has and one to which it is leased at any time, a controller that tells the user, which may crash, and the cancellation, applied any
- * time after it was made. Whether the state service answers is part of no state: a controller that asks it is answered, late, or not at
- * all, at any time. What is sent to the machine arrives or is lost, and a start sent straight to it is executed at any time while
- * token and session match.
+ * Cancelling as a small model, gone through whole, in steps of time: one task of one job, a block
+ * of one machine, the holder that the block has and one to which it is leased at any time, a
+ * controller that tells the user, which may crash, and the cancellation, applied any time after it
+ * was made. Whether the state service answers is part of no state: a controller that asks it is
+ * answered, late, or not at all, at any time. What is sent to the machine arrives or is lost, and a
+ * start sent straight to it is executed at any time while token and session match.
  *
- * <p>Ages stand for times and count no further than anything asks for, so the states are finite though time has no end. The bounds are
- * those of the program without the margin for clocks and messages: nothing in the model takes any of it.
+ * <p>Ages stand for times and count no further than anything asks for, so the states are finite
+ * though time has no end. The bounds are those of the program without the margin for clocks and
+ * messages: nothing in the model takes any of it.
  */
 class CancelModelTest {
-    /** What {@code cancel_s}, {@code lease_s} and the delay of {@link Cancellations} are in steps. */
-    private static final int CANCEL = 2;
-    private static final int LEASE = 1;
-    private static final int DELAY = 1;
-    private static final int LONGEST_UNCONFIRMED = CANCEL + DELAY - LEASE;
-    /** As in {@code block.LastAnswers}. */
-    private static final int LONGEST_UNSURE = LONGEST_UNCONFIRMED - DELAY;
-    private static final int HOLDERS = 2;
-    /** For so long a worker waits for an answer, and a controller for one of the state service. */
-    private static final int WAIT = 1;
-    private static final int NONE = -1;
-
-    /** What can be left out, to see that the model finds what it guards against. */
-    private enum Guard {
-        /** A holder answers for so long after its last word from the state service. */
-        ENTITLED_FOR_A_TIME,
-        /** The records are complete as of when the request was sent that was answered. */
-        CONFIRMED_AS_OF_SENDING,
-        /** Where holders have not said that they know, the user is told after the delay. */
-        TOLD_AFTER_DELAY,
-        /** The delay runs from when the record was first seen to be durable, not from when it was made. */
-        DELAY_FROM_FIRST_SEEN,
-        /** Told at once only where the holder has noted the cancellation. */
-        TOLD_WHEN_NOTED,
-        /** Told at once only where all machines of the block are fenced. */
-        TOLD_WHEN_FENCED,
-        /** A holder that knows of the cancellation starts nothing. */
-        NOTED_STARTS_NOTHING,
-        /** Each answer says again what is to stop. */
-        STOPS_REPEATED,
-        /** Given back only once no start may arrive any more. */
-        GIVEN_BACK_WHEN_GONE,
-        /** A machine that may yet execute the start of a cancelled task is not answered for long. */
-        DOUBTED_LET_GO,
-        /** A machine that does not obey yet and may have a cancelled task is not answered for long. */
-        UNFENCED_LET_GO
-    }
-
-    /** Where the start stands that a holder sent straight to the machine. */
-    private static final int NOT_SENT = 0;
-    private static final int HELD = 1;
-    private static final int OVER = 2;
-
-    /** A state of everything; ages are {@link #NONE} where there is nothing. */
-    private static final class State implements Cloneable {
-        private int formed = NONE;
-        private boolean durable;
-        private boolean leasedAnew;
-        /** Before the present step, and before the one before it. */
-        private boolean[] wasDurable = new boolean[2];
-        private boolean[] wasLeasedAnew = new boolean[2];
-        private boolean allocated = true;
-        // the controller that tells
-        private int seen = NONE;
-        private boolean knowsNewLease;
-        private boolean knowsAllocated = true;
-        private int told = NONE;
-        // the holders
-        private boolean[] holds = {true, false};
-        private int[] confirmed = {0, LONGEST_UNCONFIRMED + 1};
-        private boolean[] noted = new boolean[HOLDERS];
-        private boolean[] fenced = {true, false};
-        /** A start was sent that no report has shown. */
-        private boolean[] doubt = new boolean[HOLDERS];
-        /** The last report had the task, or none has come: it may be there. */
-        private boolean[] mayRun = {false, true};
-        private boolean[] knowsAllocation = {true, true};
-        private boolean[] stopTold = new boolean[HOLDERS];
-        /** Said to the others: noted, all fenced. */
-        private boolean[] said = new boolean[HOLDERS];
-        // the machine
-        private int token;
-        private boolean runs;
-        private int leaseAge;
-        private int[] start = new int[HOLDERS];
-        private int report = NONE;
-        private int reportToken;
-        private boolean reportRuns;
-        /** Made before something that its holder has heard since: it may wait for an answer, and says nothing. */
-        private boolean overtaken;
-        /** Whether the report has each holder's attempt, in whatever state, or is of a later session. */
-        private boolean[] reportEnds = new boolean[HOLDERS];
-
-        private State copy() {
-            try {
-                State copy = (State) clone();
-                copy.wasDurable = wasDurable.clone();
-                copy.wasLeasedAnew = wasLeasedAnew.clone();
-                copy.holds = holds.clone();
-                copy.confirmed = confirmed.clone();
-                copy.noted = noted.clone();
-                copy.fenced = fenced.clone();
-                copy.doubt = doubt.clone();
-                copy.mayRun = mayRun.clone();
-                copy.knowsAllocation = knowsAllocation.clone();
-                copy.stopTold = stopTold.clone();
-                copy.said = said.clone();
-                copy.start = start.clone();
-                copy.reportEnds = reportEnds.clone();
-                return copy;
-            } catch (CloneNotSupportedException e) {
-                throw new IllegalStateException(e);
-            }
-        }
-
-        /** All of it in one number. */
-        private long key() {
-            long key = 1;
-            for (int i = 0; i < HOLDERS; i++) {
-                key = ((key << 3 | confirmed[i]) << 2 | start[i]) << 9 | bits(holds[i], noted[i], fenced[i], doubt[i],
-                        mayRun[i], stopTold[i], said[i], reportEnds[i], knowsAllocation[i]);
-            }
-            for (int each : new int[] {formed, seen, told, leaseAge, report}) {
-                key = key << 3 | each + 1;
-            }
-            return key << 14 | bits(wasDurable[1], wasLeasedAnew[1], overtaken, wasDurable[0], wasLeasedAnew[0], durable, leasedAnew, allocated,
-                    knowsNewLease, knowsAllocated, token == 1, runs, reportToken == 1, reportRuns);
-        }
-
-        private static int bits(boolean... all) {
-            int bits = 0;
-            for (boolean each : all) {
-                bits = bits << 1 | (each ? 1 : 0);
-            }
-            return bits;
-        }
-
-        private static State of(long key) {
-            State state = new State();
-            state.durable = (key & 256) != 0;
-            state.leasedAnew = (key & 128) != 0;
-            state.allocated = (key & 64) != 0;
-            state.knowsNewLease = (key & 32) != 0;
-            state.knowsAllocated = (key & 16) != 0;
-            state.token = (key & 8) != 0 ? 1 : 0;
-            state.runs = (key & 4) != 0;
-            state.reportToken = (key & 2) != 0 ? 1 : 0;
-            state.reportRuns = (key & 1) != 0;
-            state.overtaken = (key & 2048) != 0;
-            state.wasDurable = new boolean[] {(key & 1024) != 0, (key & 8192) != 0};
-            state.wasLeasedAnew = new boolean[] {(key & 512) != 0, (key & 4096) != 0};
-            state.report = (int) (key >> 14 & 7) - 1;
-            state.leaseAge = (int) (key >> 17 & 7) - 1;
-            state.told = (int) (key >> 20 & 7) - 1;
-            state.seen = (int) (key >> 23 & 7) - 1;
-            state.formed = (int) (key >> 26 & 7) - 1;
-            for (int i = 0; i < HOLDERS; i++) {
-                long of = key >> (i == 0 ? 43 : 29);
-                state.knowsAllocation[i] = (of & 1) != 0;
-                state.reportEnds[i] = (of & 2) != 0;
-                state.said[i] = (of & 4) != 0;
-                state.stopTold[i] = (of & 8) != 0;
-                state.mayRun[i] = (of & 16) != 0;
-                state.doubt[i] = (of & 32) != 0;
-                state.fenced[i] = (of & 64) != 0;
-                state.noted[i] = (of & 128) != 0;
-                state.holds[i] = (of & 256) != 0;
-                state.start[i] = (int) (of >> 9 & 3);
-                state.confirmed[i] = (int) (of >> 11 & 7);
-            }
-            return state;
-        }
+  /** What {@code cancel_s}, {@code lease_s} and the delay of {@link Cancellations} are in steps. */
+  private static final int CANCEL = 2;
+
+  private static final int LEASE = 1;
+  private static final int DELAY = 1;
+  private static final int LONGEST_UNCONFIRMED = CANCEL + DELAY - LEASE;
+
+  /** As in {@code block.LastAnswers}. */
+  private static final int LONGEST_UNSURE = LONGEST_UNCONFIRMED - DELAY;
+
+  private static final int HOLDERS = 2;
+
+  /** For so long a worker waits for an answer, and a controller for one of the state service. */
+  private static final int WAIT = 1;
+
+  private static final int NONE = -1;
+
+  /** What can be left out, to see that the model finds what it guards against. */
+  private enum Guard {
+    /** A holder answers for so long after its last word from the state service. */
+    ENTITLED_FOR_A_TIME,
+    /** The records are complete as of when the request was sent that was answered. */
+    CONFIRMED_AS_OF_SENDING,
+    /** Where holders have not said that they know, the user is told after the delay. */
+    TOLD_AFTER_DELAY,
+    /**
+     * The delay runs from when the record was first seen to be durable, not from when it was made.
+     */
+    DELAY_FROM_FIRST_SEEN,
+    /** Told at once only where the holder has noted the cancellation. */
+    TOLD_WHEN_NOTED,
+    /** Told at once only where all machines of the block are fenced. */
+    TOLD_WHEN_FENCED,
+    /** A holder that knows of the cancellation starts nothing. */
+    NOTED_STARTS_NOTHING,
+    /** Each answer says again what is to stop. */
+    STOPS_REPEATED,
+    /** Given back only once no start may arrive any more. */
+    GIVEN_BACK_WHEN_GONE,
+    /** A machine that may yet execute the start of a cancelled task is not answered for long. */
+    DOUBTED_LET_GO,
+    /** A machine that does not obey yet and may have a cancelled task is not answered for long. */
+    UNFENCED_LET_GO
+  }
+
+  /** Where the start stands that a holder sent straight to the machine. */
+  private static final int NOT_SENT = 0;
+
+  private static final int HELD = 1;
+  private static final int OVER = 2;
+
+  /** A state of everything; ages are {@link #NONE} where there is nothing. */
+  private static final class State implements Cloneable {
+    private int formed = NONE;
+    private boolean durable;
+    private boolean leasedAnew;
+
+    /** Before the present step, and before the one before it. */
+    private boolean[] wasDurable = new boolean[2];
+
+    private boolean[] wasLeasedAnew = new boolean[2];
+    private boolean allocated = true;
+    // the controller that tells
+    private int seen = NONE;
+    private boolean knowsNewLease;
+    private boolean knowsAllocated = true;
+    private int told = NONE;
+    // the holders
+    private boolean[] holds = {true, false};
+    private int[] confirmed = {0, LONGEST_UNCONFIRMED + 1};
+    private boolean[] noted = new boolean[HOLDERS];
+    private boolean[] fenced = {true, false};
+
+    /** A start was sent that no report has shown. */
+    private boolean[] doubt = new boolean[HOLDERS];
+
+    /** The last report had the task, or none has come: it may be there. */
+    private boolean[] mayRun = {false, true};
+
+    private boolean[] knowsAllocation = {true, true};
+    private boolean[] stopTold = new boolean[HOLDERS];
+
+    /** Said to the others: noted, all fenced. */
+    private boolean[] said = new boolean[HOLDERS];
+
+    // the machine
+    private int token;
+    private boolean runs;
+    private int leaseAge;
+    private int[] start = new int[HOLDERS];
+    private int report = NONE;
+    private int reportToken;
+    private boolean reportRuns;
+
+    /**
+     * Made before something that its holder has heard since: it may wait for an answer, and says
+     * nothing.
+     */
+    private boolean overtaken;
+
+    /**
+     * Whether the report has each holder's attempt, in whatever state, or is of a later session.
+     */
+    private boolean[] reportEnds = new boolean[HOLDERS];
+
+    private State copy() {
+      try {
+        State copy = (State) clone();
+        copy.wasDurable = wasDurable.clone();
+        copy.wasLeasedAnew = wasLeasedAnew.clone();
+        copy.holds = holds.clone();
+        copy.confirmed = confirmed.clone();
+        copy.noted = noted.clone();
+        copy.fenced = fenced.clone();
+        copy.doubt = doubt.clone();
+        copy.mayRun = mayRun.clone();
+        copy.knowsAllocation = knowsAllocation.clone();
+        copy.stopTold = stopTold.clone();
+        copy.said = said.clone();
+        copy.start = start.clone();
+        copy.reportEnds = reportEnds.clone();
+        return copy;
+      } catch (CloneNotSupportedException e) {
+        throw new IllegalStateException(e);
+      }
     }
 
-    private final Set<Guard> guards = EnumSet.allOf(Guard.class);
-    private final Known seen = new Known();
-    private long[] open = new long[1 << 16];
-    private int opened;
-    private State violation;
-    private boolean toldAtOnce;
-    private boolean toldLate;
-    /** The longest that the task was there after its user was told. */
-    private int longest;
-
-    /** The states that were reached: an open table of numbers. */
-    private static final class Known {
-        private long[] table = new long[1 << 20];
-        private int size;
-
-        private boolean add(long key) {
-            if (size * 2 > table.length) {
-                long[] old = table;
-                table = new long[old.length * 2];
-                Arrays.stream(old).filter(each -> each != 0).forEach(this::put);
-            }
-            if (!put(key)) {
-                return false;
-            }
-            size++;
-            return true;
-        }
-
-        private boolean put(long key) {
-            long mixed = (key ^ key >>> 29) * 0x9E3779B97F4A7C15L;
-            for (int i = (int) (mixed >>> 32) & table.length - 1;; i = i + 1 & table.length - 1) {
-                if (table[i] == key) {
-                    return false;
-                }
-                if (table[i] == 0) {
-                    table[i] = key;
-                    return true;
-                }
-            }
-        }
+    /** All of it in one number. */
+    private long key() {
+      long key = 1;
+      for (int i = 0; i < HOLDERS; i++) {
+        key =
+            ((key << 3 | confirmed[i]) << 2 | start[i]) << 9
+                | bits(
+                    holds[i],
+                    noted[i],
+                    fenced[i],
+                    doubt[i],
+                    mayRun[i],
+                    stopTold[i],
+                    said[i],
+                    reportEnds[i],
+                    knowsAllocation[i]);
+      }
+      for (int each : new int[] {formed, seen, told, leaseAge, report}) {
+        key = key << 3 | each + 1;
+      }
+      return key << 14
+          | bits(
+              wasDurable[1],
+              wasLeasedAnew[1],
+              overtaken,
+              wasDurable[0],
+              wasLeasedAnew[0],
+              durable,
+              leasedAnew,
+              allocated,
+              knowsNewLease,
+              knowsAllocated,
+              token == 1,
+              runs,
+              reportToken == 1,
+              reportRuns);
     }
 
-    private boolean has(Guard guard) {
-        return guards.contains(guard);
+    private static int bits(boolean... all) {
+      int bits = 0;
+      for (boolean each : all) {
+        bits = bits << 1 | (each ? 1 : 0);
+      }
+      return bits;
     }
 
-    /** A state that may follow. */
-    private void next(State state) {
-        longest = state.runs ? Math.max(longest, state.told) : longest;
-        if (longest > CANCEL && violation == null) {
-            violation = state;
-        }
-        for (int i = 0; i < HOLDERS; i++) {
-            plain(state, i);
-        }
-        if (state.told > CANCEL && !mayRunAgain(state)) {
-            return; // nothing that follows has the task anywhere
-        }
-        if (seen.add(state.key())) {
-            if (opened == open.length) {
-                open = Arrays.copyOf(open, opened * 2);
-            }
-            open[opened++] = state.key();
-        }
+    private static State of(long key) {
+      State state = new State();
+      state.durable = (key & 256) != 0;
+      state.leasedAnew = (key & 128) != 0;
+      state.allocated = (key & 64) != 0;
+      state.knowsNewLease = (key & 32) != 0;
+      state.knowsAllocated = (key & 16) != 0;
+      state.token = (key & 8) != 0 ? 1 : 0;
+      state.runs = (key & 4) != 0;
+      state.reportToken = (key & 2) != 0 ? 1 : 0;
+      state.reportRuns = (key & 1) != 0;
+      state.overtaken = (key & 2048) != 0;
+      state.wasDurable = new boolean[] {(key & 1024) != 0, (key & 8192) != 0};
+      state.wasLeasedAnew = new boolean[] {(key & 512) != 0, (key & 4096) != 0};
+      state.report = (int) (key >> 14 & 7) - 1;
+      state.leaseAge = (int) (key >> 17 & 7) - 1;
+      state.told = (int) (key >> 20 & 7) - 1;
+      state.seen = (int) (key >> 23 & 7) - 1;
+      state.formed = (int) (key >> 26 & 7) - 1;
+      for (int i = 0; i < HOLDERS; i++) {
+        long of = key >> (i == 0 ? 43 : 29);
+        state.knowsAllocation[i] = (of & 1) != 0;
+        state.reportEnds[i] = (of & 2) != 0;
+        state.said[i] = (of & 4) != 0;
+        state.stopTold[i] = (of & 8) != 0;
+        state.mayRun[i] = (of & 16) != 0;
+        state.doubt[i] = (of & 32) != 0;
+        state.fenced[i] = (of & 64) != 0;
+        state.noted[i] = (of & 128) != 0;
+        state.holds[i] = (of & 256) != 0;
+        state.start[i] = (int) (of >> 9 & 3);
+        state.confirmed[i] = (int) (of >> 11 & 7);
+      }
+      return state;
     }
-
-    /** What no step asks for is as at first. */
-    private void plain(State state, int i) {
-        state.stopTold[i] &= !has(Guard.STOPS_REPEATED);
-        if (state.noted[i] && state.holds[i] && state.fenced[i]) {
-            state.said[i] = true; // what is said stays true, and being said sooner is the worse
-        }
-        if (!state.holds[i] && i == 0) {
-            state.confirmed[i] = 0;
-            state.doubt[i] = false;
-            state.mayRun[i] = false;
-            state.fenced[i] = false;
-            state.noted[i] = false;
-        }
-        if (state.report == NONE) {
-            state.reportToken = 0;
-            state.reportRuns = false;
-            state.overtaken = false;
-            state.reportEnds[i] = false;
-        }
+  }
+
+  private final Set<Guard> guards = EnumSet.allOf(Guard.class);
+  private final Known seen = new Known();
+  private long[] open = new long[1 << 16];
+  private int opened;
+  private State violation;
+  private boolean toldAtOnce;
+  private boolean toldLate;
+
+  /** The longest that the task was there after its user was told. */
+  private int longest;
+
+  /** The states that were reached: an open table of numbers. */
+  private static final class Known {
+    private long[] table = new long[1 << 20];
+    private int size;
+
+    private boolean add(long key) {
+      if (size * 2 > table.length) {
+        long[] old = table;
+        table = new long[old.length * 2];
+        Arrays.stream(old).filter(each -> each != 0).forEach(this::put);
+      }
+      if (!put(key)) {
+        return false;
+      }
+      size++;
+      return true;
     }
 
-    private static boolean mayRunAgain(State state) {
-        boolean may = state.runs;
-        for (int i = 0; i < HOLDERS; i++) {
-            may |= state.start[i] == HELD || !state.noted[i] && state.start[i] == NOT_SENT;
+    private boolean put(long key) {
+      long mixed = (key ^ key >>> 29) * 0x9E3779B97F4A7C15L;
+      for (int i = (int) (mixed >>> 32) & table.length - 1; ; i = i + 1 & table.length - 1) {
+        if (table[i] == key) {
+          return false;
         }
-        return may;
-    }
-
-    private void steps(State from) {
-        time(from);
-        for (int i = 0; i < HOLDERS; i++) {
-            if (from.holds[i] || i == 1) {
-                follow(from, i);
-            }
-            if (from.holds[i]) {
-                hold(from, i);
-            }
+        if (table[i] == 0) {
+          table[i] = key;
+          return true;
         }
-        machine(from);
-        teller(from);
-        records(from);
+      }
     }
+  }
 
-    private static int older(int age, int most) {
-        return age == NONE ? NONE : Math.min(age + 1, most);
-    }
+  private boolean has(Guard guard) {
+    return guards.contains(guard);
+  }
 
-    private static int waited(int age) {
-        return age == NONE || age == WAIT ? NONE : age + 1;
+  /** A state that may follow. */
+  private void next(State state) {
+    longest = state.runs ? Math.max(longest, state.told) : longest;
+    if (longest > CANCEL && violation == null) {
+      violation = state;
     }
-
-    private void time(State from) {
-        State state = from.copy();
-        state.wasDurable = new boolean[] {state.durable, state.wasDurable[0]};
-        state.wasLeasedAnew = new boolean[] {state.leasedAnew, state.wasLeasedAnew[0]};
-        state.formed = older(state.formed, LONGEST_UNSURE + 1);
-        state.seen = older(state.seen, DELAY);
-        state.told = older(state.told, CANCEL + 1);
-        state.report = waited(state.report);
-        for (int i = 0; i < HOLDERS; i++) {
-            state.confirmed[i] = Math.min(state.confirmed[i] + 1, LONGEST_UNCONFIRMED + 1);
-        }
-        if (++state.leaseAge > LEASE) {
-            // The worker kills and forgets all, and goes on to the next session, which starts of the one before do not match.
-            state.leaseAge = 0;
-            state.runs = false;
-            state.report = NONE;
-            for (int i = 0; i < HOLDERS; i++) {
-                state.start[i] = state.start[i] == HELD ? OVER : state.start[i];
-            }
-        }
-        next(state);
+    for (int i = 0; i < HOLDERS; i++) {
+      plain(state, i);
     }
-
-    private void records(State from) {
-        if (from.formed == NONE) {
-            State state = from.copy();
-            state.formed = 0;
-            next(state);
-        } else if (!from.durable) {
-            State state = from.copy();
-            state.durable = true;
-            next(state);
-        }
-        if (!from.leasedAnew) {
-            State state = from.copy();
-            state.leasedAnew = true;
-            next(state);
-        }
-        // The leader takes out what the present holder has given back.
-        int holder = from.leasedAnew ? 1 : 0;
-        boolean gone = !from.mayRun[holder] && !(from.doubt[holder] && has(Guard.GIVEN_BACK_WHEN_GONE));
-        if (from.allocated && from.holds[holder] && from.noted[holder] && from.fenced[holder] && gone) {
-            State state = from.copy();
-            state.allocated = false;
-            next(state);
-        }
+    if (state.told > CANCEL && !mayRunAgain(state)) {
+      return; // nothing that follows has the task anywhere
     }
-
-    private void teller(State from) {
-        if (from.told != NONE) {
-            return;
-        }
-        if (from.durable) {
-            State state = from.copy(); // it reads the records, all that is new at once, or again after a crash
-            state.seen = Math.max(from.seen, 0);
-            state.knowsNewLease = from.leasedAnew;
-            state.knowsAllocated = from.allocated;
-            next(state);
-        }
-        if (from.seen == NONE) {
-            return;
-        }
-        State crash = from.copy();
-        crash.seen = NONE;
-        next(crash);
-        int holder = from.knowsNewLease ? 1 : 0;
-        boolean says = from.said[holder];
-        if (!has(Guard.TOLD_WHEN_NOTED)) {
-            says |= from.holds[holder] && from.fenced[holder];
-        }
-        if (!has(Guard.TOLD_WHEN_FENCED)) {
-            says |= from.holds[holder] && from.noted[holder];
-        }
-        boolean late = (has(Guard.DELAY_FROM_FIRST_SEEN) ? from.seen : from.formed) >= (has(Guard.TOLD_AFTER_DELAY) ? DELAY : 0);
-        if (says || !from.knowsAllocated || late) {
-            toldAtOnce |= !late;
-            toldLate |= !says;
-            State state = from.copy();
-            state.told = 0;
-            state.seen = NONE; // nobody asks any more
-            state.knowsNewLease = false;
-            state.knowsAllocated = false;
-            next(state);
-        }
+    if (seen.add(state.key())) {
+      if (opened == open.length) {
+        open = Arrays.copyOf(open, opened * 2);
+      }
+      open[opened++] = state.key();
     }
+  }
 
-    /** A holder asks the state service, and is answered at once or a step later. */
-    private void follow(State from, int i) {
-        State now = from.copy();
-        learn(now, i, from.durable, from.leasedAnew, 0);
-        next(now);
-        State late = from.copy();
-        learn(late, i, from.wasDurable[1], from.wasLeasedAnew[1], has(Guard.CONFIRMED_AS_OF_SENDING) ? 1 : 0);
-        next(late);
-    }
-
-    private void learn(State state, int i, boolean noted, boolean newLease, int age) {
-        state.noted[i] |= noted;
-        state.confirmed[i] = Math.min(state.confirmed[i], age);
-        if (i == 0 && newLease) {
-            state.holds[i] = false;
-        } else if (i == 1 && newLease && !state.holds[i]) {
-            state.holds[i] = true;
-            state.knowsAllocation[i] = state.allocated;
-        }
+  /** What no step asks for is as at first. */
+  private void plain(State state, int i) {
+    state.stopTold[i] &= !has(Guard.STOPS_REPEATED);
+    if (state.noted[i] && state.holds[i] && state.fenced[i]) {
+      state.said[i] = true; // what is said stays true, and being said sooner is the worse
     }
-
-    private boolean isEntitled(State state, int i) {
-        return state.confirmed[i] <= LONGEST_UNCONFIRMED || !has(Guard.ENTITLED_FOR_A_TIME);
+    if (!state.holds[i] && i == 0) {
+      state.confirmed[i] = 0;
+      state.doubt[i] = false;
+      state.mayRun[i] = false;
+      state.fenced[i] = false;
+      state.noted[i] = false;
     }
-
-    private void hold(State from, int i) {
-        if (!isEntitled(from, i)) {
-            return;
-        }
-        // The command that shows the token; its answer is a report, and renews no lease.
-        if (from.token <= i) {
-            State state = from.copy();
-            state.token = i;
-            state.overtaken = true;
-            take(state, i, i, from.runs, new boolean[] {from.start[0] == OVER, from.start[1] == OVER});
-            next(state);
-            State unanswered = from.copy();
-            unanswered.token = i;
-            next(unanswered);
-        }
-        boolean open = !from.noted[i] || !has(Guard.NOTED_STARTS_NOTHING);
-        if (open && from.knowsAllocation[i] && from.fenced[i] && !from.mayRun[i] && from.start[i] == NOT_SENT) {
-            State state = from.copy();
-            state.start[i] = HELD;
-            state.doubt[i] = true;
-            next(state);
-        }
-        if (from.report != NONE && from.reportToken <= i) {
-            answer(from, i);
-        }
+    if (state.report == NONE) {
+      state.reportToken = 0;
+      state.reportRuns = false;
+      state.overtaken = false;
+      state.reportEnds[i] = false;
     }
+  }
 
-    /** What a report says; one that shows the present token is complete. */
-    private static void take(State state, int i, int token, boolean runs, boolean[] ends) {
-        if (token == i) {
-            state.fenced[i] = true;
-            state.mayRun[i] = runs;
-            state.doubt[i] &= !ends[i];
-        }
+  private static boolean mayRunAgain(State state) {
+    boolean may = state.runs;
+    for (int i = 0; i < HOLDERS; i++) {
+      may |= state.start[i] == HELD || !state.noted[i] && state.start[i] == NOT_SENT;
     }
-
-    private void answer(State from, int i) {
-        State state = from.copy();
-        if (!from.overtaken || from.token != i) {
-            take(state, i, from.reportToken, from.reportRuns, from.reportEnds);
-        }
-        State unanswered = state.copy();
-        next(unanswered); // or the answer is lost
-        boolean doubtful = state.doubt[i] && has(Guard.DOUBTED_LET_GO);
-        boolean unfenced = !state.fenced[i] && state.knowsAllocation[i] && has(Guard.UNFENCED_LET_GO);
-        if (state.noted[i] && (doubtful || unfenced) && state.formed > LONGEST_UNSURE || state.token > i) {
-            return;
-        }
-        boolean stop = state.fenced[i] && state.noted[i] && state.mayRun[i] && !state.stopTold[i];
-        unanswered = state.copy();
-        unanswered.stopTold[i] |= stop;
-        next(unanswered);
-        state.stopTold[i] |= stop;
-        state.token = i;
-        state.leaseAge = Math.min(state.leaseAge, state.report);
-        state.report = NONE;
-        state.runs &= !stop;
-        next(state);
+    return may;
+  }
+
+  private void steps(State from) {
+    time(from);
+    for (int i = 0; i < HOLDERS; i++) {
+      if (from.holds[i] || i == 1) {
+        follow(from, i);
+      }
+      if (from.holds[i]) {
+        hold(from, i);
+      }
     }
-
-    private void machine(State from) {
-        State report = from.copy();
-        report.report = 0;
-        report.overtaken = false;
-        report.reportToken = from.token;
-        report.reportRuns = from.runs;
-        for (int i = 0; i < HOLDERS; i++) {
-            report.reportEnds[i] = from.start[i] == OVER;
-        }
-        next(report);
-        for (int i = 0; i < HOLDERS; i++) {
-            if (from.start[i] == HELD) {
-                State state = from.copy();
-                state.start[i] = OVER;
-                state.runs |= from.token == i; // else it is refused
-                next(state);
-            }
-        }
+    machine(from);
+    teller(from);
+    records(from);
+  }
+
+  private static int older(int age, int most) {
+    return age == NONE ? NONE : Math.min(age + 1, most);
+  }
+
+  private static int waited(int age) {
+    return age == NONE || age == WAIT ? NONE : age + 1;
+  }
+
+  private void time(State from) {
+    State state = from.copy();
+    state.wasDurable = new boolean[] {state.durable, state.wasDurable[0]};
+    state.wasLeasedAnew = new boolean[] {state.leasedAnew, state.wasLeasedAnew[0]};
+    state.formed = older(state.formed, LONGEST_UNSURE + 1);
+    state.seen = older(state.seen, DELAY);
+    state.told = older(state.told, CANCEL + 1);
+    state.report = waited(state.report);
+    for (int i = 0; i < HOLDERS; i++) {
+      state.confirmed[i] = Math.min(state.confirmed[i] + 1, LONGEST_UNCONFIRMED + 1);
+    }
+    if (++state.leaseAge > LEASE) {
+      // The worker kills and forgets all, and goes on to the next session, which starts of the one
+      // before do not match.
+      state.leaseAge = 0;
+      state.runs = false;
+      state.report = NONE;
+      for (int i = 0; i < HOLDERS; i++) {
+        state.start[i] = state.start[i] == HELD ? OVER : state.start[i];
+      }
+    }
+    next(state);
+  }
+
+  private void records(State from) {
+    if (from.formed == NONE) {
+      State state = from.copy();
+      state.formed = 0;
+      next(state);
+    } else if (!from.durable) {
+      State state = from.copy();
+      state.durable = true;
+      next(state);
+    }
+    if (!from.leasedAnew) {
+      State state = from.copy();
+      state.leasedAnew = true;
+      next(state);
+    }
+    // The leader takes out what the present holder has given back.
+    int holder = from.leasedAnew ? 1 : 0;
+    boolean gone = !from.mayRun[holder] && !(from.doubt[holder] && has(Guard.GIVEN_BACK_WHEN_GONE));
+    if (from.allocated && from.holds[holder] && from.noted[holder] && from.fenced[holder] && gone) {
+      State state = from.copy();
+      state.allocated = false;
+      next(state);
     }
+  }
 
-    private int explore() {
-        next(new State());
-        while (opened > 0 && violation == null) {
-            steps(State.of(open[--opened])); // all are gone through, and what is wrong is found sooner than breadth first
-        }
-        return seen.size;
+  private void teller(State from) {
+    if (from.told != NONE) {
+      return;
+    }
+    if (from.durable) {
+      State state =
+          from.copy(); // it reads the records, all that is new at once, or again after a crash
+      state.seen = Math.max(from.seen, 0);
+      state.knowsNewLease = from.leasedAnew;
+      state.knowsAllocated = from.allocated;
+      next(state);
+    }
+    if (from.seen == NONE) {
+      return;
+    }
+    State crash = from.copy();
+    crash.seen = NONE;
+    next(crash);
+    int holder = from.knowsNewLease ? 1 : 0;
+    boolean says = from.said[holder];
+    if (!has(Guard.TOLD_WHEN_NOTED)) {
+      says |= from.holds[holder] && from.fenced[holder];
+    }
+    if (!has(Guard.TOLD_WHEN_FENCED)) {
+      says |= from.holds[holder] && from.noted[holder];
     }
+    boolean late =
+        (has(Guard.DELAY_FROM_FIRST_SEEN) ? from.seen : from.formed)
+            >= (has(Guard.TOLD_AFTER_DELAY) ? DELAY : 0);
+    if (says || !from.knowsAllocated || late) {
+      toldAtOnce |= !late;
+      toldLate |= !says;
+      State state = from.copy();
+      state.told = 0;
+      state.seen = NONE; // nobody asks any more
+      state.knowsNewLease = false;
+      state.knowsAllocated = false;
+      next(state);
+    }
+  }
+
+  /** A holder asks the state service, and is answered at once or a step later. */
+  private void follow(State from, int i) {
+    State now = from.copy();
+    learn(now, i, from.durable, from.leasedAnew, 0);
+    next(now);
+    State late = from.copy();
+    learn(
+        late,
+        i,
+        from.wasDurable[1],
+        from.wasLeasedAnew[1],
+        has(Guard.CONFIRMED_AS_OF_SENDING) ? 1 : 0);
+    next(late);
+  }
+
+  private void learn(State state, int i, boolean noted, boolean newLease, int age) {
+    state.noted[i] |= noted;
+    state.confirmed[i] = Math.min(state.confirmed[i], age);
+    if (i == 0 && newLease) {
+      state.holds[i] = false;
+    } else if (i == 1 && newLease && !state.holds[i]) {
+      state.holds[i] = true;
+      state.knowsAllocation[i] = state.allocated;
+    }
+  }
 
-    @Test
-    void nothingOfACancelledJobIsOnAMachineForLongAfterItsUserWasTold() {
-        int states = explore();
-        assertNull(violation);
-        assertTrue(toldAtOnce && toldLate);
-        assertEquals(CANCEL, longest, "the bounds are no shorter than they have to be");
-        assertEquals(749_437, states);
+  private boolean isEntitled(State state, int i) {
+    return state.confirmed[i] <= LONGEST_UNCONFIRMED || !has(Guard.ENTITLED_FOR_A_TIME);
+  }
+
+  private void hold(State from, int i) {
+    if (!isEntitled(from, i)) {
+      return;
+    }
+    // The command that shows the token; its answer is a report, and renews no lease.
+    if (from.token <= i) {
+      State state = from.copy();
+      state.token = i;
+      state.overtaken = true;
+      take(state, i, i, from.runs, new boolean[] {from.start[0] == OVER, from.start[1] == OVER});
+      next(state);
+      State unanswered = from.copy();
+      unanswered.token = i;
+      next(unanswered);
     }
+    boolean open = !from.noted[i] || !has(Guard.NOTED_STARTS_NOTHING);
+    if (open
+        && from.knowsAllocation[i]
+        && from.fenced[i]
+        && !from.mayRun[i]
+        && from.start[i] == NOT_SENT) {
+      State state = from.copy();
+      state.start[i] = HELD;
+      state.doubt[i] = true;
+      next(state);
+    }
+    if (from.report != NONE && from.reportToken <= i) {
+      answer(from, i);
+    }
+  }
+
+  /** What a report says; one that shows the present token is complete. */
+  private static void take(State state, int i, int token, boolean runs, boolean[] ends) {
+    if (token == i) {
+      state.fenced[i] = true;
+      state.mayRun[i] = runs;
+      state.doubt[i] &= !ends[i];
+    }
+  }
 
-    @ParameterizedTest
-    @EnumSource(Guard.class)
-    void withoutAGuardTheModelFindsWhatItGuardsAgainst(Guard guard) {
-        guards.remove(guard);
-        explore();
-        assertNotEquals(null, violation, guard.toString());
+  private void answer(State from, int i) {
+    State state = from.copy();
+    if (!from.overtaken || from.token != i) {
+      take(state, i, from.reportToken, from.reportRuns, from.reportEnds);
+    }
+    State unanswered = state.copy();
+    next(unanswered); // or the answer is lost
+    boolean doubtful = state.doubt[i] && has(Guard.DOUBTED_LET_GO);
+    boolean unfenced = !state.fenced[i] && state.knowsAllocation[i] && has(Guard.UNFENCED_LET_GO);
+    if (state.noted[i] && (doubtful || unfenced) && state.formed > LONGEST_UNSURE
+        || state.token > i) {
+      return;
+    }
+    boolean stop = state.fenced[i] && state.noted[i] && state.mayRun[i] && !state.stopTold[i];
+    unanswered = state.copy();
+    unanswered.stopTold[i] |= stop;
+    next(unanswered);
+    state.stopTold[i] |= stop;
+    state.token = i;
+    state.leaseAge = Math.min(state.leaseAge, state.report);
+    state.report = NONE;
+    state.runs &= !stop;
+    next(state);
+  }
+
+  private void machine(State from) {
+    State report = from.copy();
+    report.report = 0;
+    report.overtaken = false;
+    report.reportToken = from.token;
+    report.reportRuns = from.runs;
+    for (int i = 0; i < HOLDERS; i++) {
+      report.reportEnds[i] = from.start[i] == OVER;
+    }
+    next(report);
+    for (int i = 0; i < HOLDERS; i++) {
+      if (from.start[i] == HELD) {
+        State state = from.copy();
+        state.start[i] = OVER;
+        state.runs |= from.token == i; // else it is refused
+        next(state);
+      }
+    }
+  }
+
+  private int explore() {
+    next(new State());
+    while (opened > 0 && violation == null) {
+      steps(
+          State.of(open[--opened])); // all are gone through, and what is wrong is found sooner than
+      // breadth first
     }
+    return seen.size;
+  }
+
+  @Test
+  void nothingOfACancelledJobIsOnAMachineForLongAfterItsUserWasTold() {
+    int states = explore();
+    assertNull(violation);
+    assertTrue(toldAtOnce && toldLate);
+    assertEquals(CANCEL, longest, "the bounds are no shorter than they have to be");
+    assertEquals(749_437, states);
+  }
+
+  @ParameterizedTest
+  @EnumSource(Guard.class)
+  void withoutAGuardTheModelFindsWhatItGuardsAgainst(Guard guard) {
+    guards.remove(guard);
+    explore();
+    assertNotEquals(null, violation, guard.toString());
+  }
 }
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -38,141 +38,225 @@
 import org.quincecross.state.LedgerTool;
 import org.quincecross.state.MemberRecord;
 
-/** When users may be told of a cancellation, by a controller that holds none of the job's blocks. */
+/**
+ * When users may be told of a cancellation, by a controller that holds none of the job's blocks.
+ */
 class CancellationsTest {
-    private static final MemberId HOLDER = new MemberId("n1");
-    private static final BlockId BLOCK = new BlockId("b");
-    private static final Machine MACHINE = new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
-    private static final JobId JOB = new JobId("job-1");
-    /** Minutes before all that happens here, by the time of day. */
-    private static final long LONG_AGO_MS = 1_000;
-
-    private final SteppedClock clock = new SteppedClock();
-    private final Ledger ledger = new Ledger();
-    private final PeerViews views = new PeerViews();
-    private final Map<String, Map<String, Object>> records = new LinkedHashMap<>();
-    private long revision;
-    private long reports;
-    private Cancellations cancellations = controller(24, 54);
-
-    private Cancellations controller(double lease, double cancel) {
-        Cancellations made = new Cancellations(clock, ledger, new Holdings(null, new MemberId("n0"), () -> new Incarnation(7)), views,
-                UnconfirmedBound.of(Span.ofSeconds(lease), Span.ofSeconds(cancel)));
-        ledger.listen(made::ledgerChanged);
-        return made;
-    }
+  private static final MemberId HOLDER = new MemberId("n1");
+  private static final BlockId BLOCK = new BlockId("b");
+  private static final Machine MACHINE =
+      new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
+  private static final JobId JOB = new JobId("job-1");
 
-    private void put(String key, Map<String, Object> value) {
-        records.put(key, value);
-        LedgerTool.put(ledger, key, value, ++revision);
-        LedgerTool.advance(ledger, revision);
-    }
+  /** Minutes before all that happens here, by the time of day. */
+  private static final long LONG_AGO_MS = 1_000;
 
-    @BeforeEach
-    void aJobIsAllocated() {
-        Job job = new Job(JOB, "c", "team", Shape.ARRAY, Rank.NORMAL, 3, new Resources(4, 0, 1), null, null, false, false, false, "i", 1,
-                Span.ofSeconds(10), Span.ZERO, Span.ZERO, null);
-        put(Keys.job(JOB), JobRecord.open(job, 0));
-        put(Keys.block(BLOCK), BlockLease.first(BLOCK, new MemberRecord(HOLDER, new Incarnation(1), "z", Build.BEFORE_LEVELS, Terms.NONE,
-                new Revision(1)), MACHINE).write());
-        allocate(0);
-        report(true);
-    }
+  private final SteppedClock clock = new SteppedClock();
+  private final Ledger ledger = new Ledger();
+  private final PeerViews views = new PeerViews();
+  private final Map<String, Map<String, Object>> records = new LinkedHashMap<>();
+  private long revision;
+  private long reports;
+  private Cancellations cancellations = controller(24, 54);
 
-    private void allocate(int... indices) {
-        TaskSet tasks = new TaskSet();
-        for (int index : indices) {
-            tasks.add(index);
-        }
-        put(Keys.allocation(BLOCK), Allocation.write(Map.of(JOB, tasks)));
-    }
+  private Cancellations controller(double lease, double cancel) {
+    Cancellations made =
+        new Cancellations(
+            clock,
+            ledger,
+            new Holdings(null, new MemberId("n0"), () -> new Incarnation(7)),
+            views,
+            UnconfirmedBound.of(Span.ofSeconds(lease), Span.ofSeconds(cancel)));
+    ledger.listen(made::ledgerChanged);
+    return made;
+  }
 
-    private void cancel() {
-        put(Keys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
-    }
+  private void put(String key, Map<String, Object> value) {
+    records.put(key, value);
+    LedgerTool.put(ledger, key, value, ++revision);
+    LedgerTool.advance(ledger, revision);
+  }
 
-    /** The holder says that it has taken note of all that is known here. */
-    private void report(boolean fenced) {
-        PeerReport.MachineState machine = new PeerReport.MachineState(MACHINE.id(), Resources.NONE, Resources.NONE, Span.ZERO, true, fenced,
-                false, false, false, 1, 0, List.of(), List.of());
-        PeerReport.Block block = new PeerReport.Block(BLOCK, new Token(ledger.block(BLOCK).token().number()), ledger.allocation(BLOCK).version(),
-                false, Set.of(), true, List.of(), List.of(), Map.of(), List.of(machine));
-        views.take(new PeerReport(HOLDER, new Incarnation(1), ++reports, reports - 1, Map.of(), ledger.revision(), Span.ZERO, List.of(block),
-                List.of()), clock.now());
-    }
+  @BeforeEach
+  void aJobIsAllocated() {
+    Job job =
+        new Job(
+            JOB,
+            "c",
+            "team",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            3,
+            new Resources(4, 0, 1),
+            null,
+            null,
+            false,
+            false,
+            false,
+            "i",
+            1,
+            Span.ofSeconds(10),
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    put(Keys.job(JOB), JobRecord.open(job, 0));
+    put(
+        Keys.block(BLOCK),
+        BlockLease.first(
+                BLOCK,
+                new MemberRecord(
+                    HOLDER,
+                    new Incarnation(1),
+                    "z",
+                    Build.BEFORE_LEVELS,
+                    Terms.NONE,
+                    new Revision(1)),
+                MACHINE)
+            .write());
+    allocate(0);
+    report(true);
+  }
 
-    /** Whether a user who asks now is told, within what a user's question may wait. */
-    private boolean isTold() {
-        Boolean[] told = new Boolean[1];
-        cancellations.whenSafe(ledger.job(JOB), safe -> told[0] = safe);
-        clock.advance(1.4);
-        return told[0];
+  private void allocate(int... indices) {
+    TaskSet tasks = new TaskSet();
+    for (int index : indices) {
+      tasks.add(index);
     }
+    put(Keys.allocation(BLOCK), Allocation.write(Map.of(JOB, tasks)));
+  }
 
-    /** A cancellation whose change waited, or was not answered and is carried out late, is told no sooner than any other. */
-    @Test
-    void theWaitRunsFromWhenTheRecordWasSeenNotFromTheTimeInIt() {
-        cancel();
-        assertEquals(false, isTold(), "not noted by its holder");
-        clock.advance(5);
-        assertEquals(false, isTold(), "not noted, and seen for less than 8 s");
-        clock.advance(0.5);
-        assertEquals(true, isTold());
-    }
+  private void cancel() {
+    put(Keys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
+  }
 
-    @Test
-    void itIsToldAsSoonAsItIsNotedWithAllMachinesFenced() {
-        cancel();
-        report(false);
-        assertEquals(false, isTold(), "a machine obeys another holder");
-        report(true);
-        assertEquals(true, isTold());
-    }
+  /** The holder says that it has taken note of all that is known here. */
+  private void report(boolean fenced) {
+    PeerReport.MachineState machine =
+        new PeerReport.MachineState(
+            MACHINE.id(),
+            Resources.NONE,
+            Resources.NONE,
+            Span.ZERO,
+            true,
+            fenced,
+            false,
+            false,
+            false,
+            1,
+            0,
+            List.of(),
+            List.of());
+    PeerReport.Block block =
+        new PeerReport.Block(
+            BLOCK,
+            new Token(ledger.block(BLOCK).token().number()),
+            ledger.allocation(BLOCK).version(),
+            false,
+            Set.of(),
+            true,
+            List.of(),
+            List.of(),
+            Map.of(),
+            List.of(machine));
+    views.take(
+        new PeerReport(
+            HOLDER,
+            new Incarnation(1),
+            ++reports,
+            reports - 1,
+            Map.of(),
+            ledger.revision(),
+            Span.ZERO,
+            List.of(block),
+            List.of()),
+        clock.now());
+  }
 
-    /** A controller that reads the records anew does not know when a cancellation in them became durable. */
-    @Test
-    void afterTheRecordsWereReadAnewTheWaitBeginsAnew() {
-        records.put(Keys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
-        LedgerTool.load(ledger, records, ++revision);
-        assertEquals(false, isTold(), "read just now, still allocated, not noted");
-        clock.advance(8);
-        assertEquals(true, isTold());
-        records.put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
-        LedgerTool.load(ledger, records, ++revision);
-        assertEquals(true, isTold(), "nothing of it is allocated: its tasks were proven gone");
-    }
+  /** Whether a user who asks now is told, within what a user's question may wait. */
+  private boolean isTold() {
+    Boolean[] told = new Boolean[1];
+    cancellations.whenSafe(ledger.job(JOB), safe -> told[0] = safe);
+    clock.advance(1.4);
+    return told[0];
+  }
 
-    /** What else changes of a job that is over says nothing of when it was cancelled. */
-    @Test
-    void aWaitThatIsOverDoesNotBeginAgain() {
-        cancel();
-        clock.advance(9);
-        assertEquals(true, isTold());
-        allocate(0, 1);
-        assertEquals(true, isTold());
-        LedgerTool.put(ledger, Keys.done(JOB, 0), org.quincecross.state.DoneTasks.write(new TaskSet(), 0), ++revision);
-        LedgerTool.advance(ledger, revision);
-        assertEquals(true, isTold());
-    }
+  /**
+   * A cancellation whose change waited, or was not answered and is carried out late, is told no
+   * sooner than any other.
+   */
+  @Test
+  void theWaitRunsFromWhenTheRecordWasSeenNotFromTheTimeInIt() {
+    cancel();
+    assertEquals(false, isTold(), "not noted by its holder");
+    clock.advance(5);
+    assertEquals(false, isTold(), "not noted, and seen for less than 8 s");
+    clock.advance(0.5);
+    assertEquals(true, isTold());
+  }
 
-    @Test
-    void whatIsOverIsForgotten() {
-        cancel();
-        assertEquals(1, cancellations.remembered());
-        clock.advance(20);
-        assertEquals(0, cancellations.remembered());
-    }
+  @Test
+  void itIsToldAsSoonAsItIsNotedWithAllMachinesFenced() {
+    cancel();
+    report(false);
+    assertEquals(false, isTold(), "a machine obeys another holder");
+    report(true);
+    assertEquals(true, isTold());
+  }
 
-    /** A machine that does not hear the stop goes on for a lease, which is longer here than a cancellation has. */
-    @Test
-    void whereALeaseIsLongerThanACancellationHasNotingDoesNotSuffice() {
-        cancellations = controller(60, 36);
-        cancel();
-        report(true);
-        assertEquals(false, isTold());
-        clock.advance(25);
-        assertEquals(false, isTold());
-        clock.advance(4);
-        assertEquals(true, isTold(), "after 30.62 s");
-    }
+  /**
+   * A controller that reads the records anew does not know when a cancellation in them became
+   * durable.
+   */
+  @Test
+  void afterTheRecordsWereReadAnewTheWaitBeginsAnew() {
+    records.put(Keys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
+    LedgerTool.load(ledger, records, ++revision);
+    assertEquals(false, isTold(), "read just now, still allocated, not noted");
+    clock.advance(8);
+    assertEquals(true, isTold());
+    records.put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
+    LedgerTool.load(ledger, records, ++revision);
+    assertEquals(true, isTold(), "nothing of it is allocated: its tasks were proven gone");
+  }
+
+  /** What else changes of a job that is over says nothing of when it was cancelled. */
+  @Test
+  void aWaitThatIsOverDoesNotBeginAgain() {
+    cancel();
+    clock.advance(9);
+    assertEquals(true, isTold());
+    allocate(0, 1);
+    assertEquals(true, isTold());
+    LedgerTool.put(
+        ledger,
+        Keys.done(JOB, 0),
+        org.quincecross.state.DoneTasks.write(new TaskSet(), 0),
+        ++revision);
+    LedgerTool.advance(ledger, revision);
+    assertEquals(true, isTold());
+  }
+
+  @Test
+  void whatIsOverIsForgotten() {
+    cancel();
+    assertEquals(1, cancellations.remembered());
+    clock.advance(20);
+    assertEquals(0, cancellations.remembered());
+  }
+
+  /**
+   * A machine that does not hear the stop goes on for a lease, which is longer here than a
+   * cancellation has.
+   */
+  @Test
+  void whereALeaseIsLongerThanACancellationHasNotingDoesNotSuffice() {
+    cancellations = controller(60, 36);
+    cancel();
+    report(true);
+    assertEquals(false, isTold());
+    clock.advance(25);
+    assertEquals(false, isTold());
+    clock.advance(4);
+    assertEquals(true, isTold(), "after 30.62 s");
+  }
 }
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -44,238 +44,357 @@
 import org.quincecross.wire.Json;
 import org.quincecross.wire.Settings;
 
-/** What users are answered by one controller, with the state service, and what its answers wait for, in the test's hands. */
+/**
+ * What users are answered by one controller, with the state service, and what its answers wait for,
+ * in the test's hands.
+ */
 class UserApiTest {
-    private static final MemberId MEMBER = new MemberId("n0");
-    private static final Endpoint HERE = new Endpoint("10.0.0.1", 80);
-    private static final int MOST_BYTES = 4096;
+  private static final MemberId MEMBER = new MemberId("n0");
+  private static final Endpoint HERE = new Endpoint("10.0.0.1", 80);
+  private static final int MOST_BYTES = 4096;
 
-    private final SteppedClock clock = new SteppedClock();
-    private final Ledger ledger = new Ledger();
-    private final Map<String, Long> stamps = new HashMap<>();
-    private final List<Map<String, Object>> log = new ArrayList<>();
-    private final List<Runnable> held = new ArrayList<>();
-    private Predicate<String> holds = what -> false;
-    private long epoch;
-    private int changesAsked;
-    private int takes = MOST_BYTES;
-    private UserApi users;
+  private final SteppedClock clock = new SteppedClock();
+  private final Ledger ledger = new Ledger();
+  private final Map<String, Long> stamps = new HashMap<>();
+  private final List<Map<String, Object>> log = new ArrayList<>();
+  private final List<Runnable> held = new ArrayList<>();
+  private Predicate<String> holds = what -> false;
+  private long epoch;
+  private int changesAsked;
+  private int takes = MOST_BYTES;
+  private UserApi users;
 
-    @BeforeEach
-    void aControllerHasReadTheRecords() {
-        MachineType type = new MachineType("g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, Span.ofSeconds(45), List.of("a"));
-        write(Keys.type("g8"), CloudCodec.writeCatalog(List.of(type)));
-        Settings.StateLimits limits = new Settings.StateLimits(1000, 50, MOST_BYTES, 8);
-        Settings.Workers workers = new Settings.Workers(Span.ofSeconds(1), Span.ofSeconds(11), Span.ofSeconds(20), Span.ofSeconds(4), Span.ofSeconds(36));
-        Settings settings = new Settings(MEMBER, "a", HERE, HERE, List.of(), HERE, HERE, List.of("a"),
-                Map.of("vision", new Team("vision", Resources.NONE, new Resources(1e6, 1e6, 1e6))), List.of(), workers, limits,
-                new Settings.CloudLimits(4, Span.ofSeconds(2)), Span.ofSeconds(2), new Settings.Quota(1, 300, 1000));
-        StateClient client = new StateClient(clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
-        Follower follower = new Follower(clock, client, ledger);
-        UnconfirmedBound bound = workers.unconfirmedBound();
-        Cancellations cancellations = new Cancellations(clock, ledger, new Holdings(null, MEMBER, () -> new Incarnation(7)), new PeerViews(), bound);
-        ledger.listen(cancellations::ledgerChanged);
-        users = new UserApi(clock, ledger, follower, client, settings, job -> 0, () -> clock.now().nanos() / 1_000_000, cancellations,
-                () -> new Incarnation(7), () -> false, () -> Aloneness.State.CONNECTED);
-        follower.start();
-        clock.advance(1);
-    }
+  @BeforeEach
+  void aControllerHasReadTheRecords() {
+    MachineType type =
+        new MachineType(
+            "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, Span.ofSeconds(45), List.of("a"));
+    write(Keys.type("g8"), CloudCodec.writeCatalog(List.of(type)));
+    Settings.StateLimits limits = new Settings.StateLimits(1000, 50, MOST_BYTES, 8);
+    Settings.Workers workers =
+        new Settings.Workers(
+            Span.ofSeconds(1),
+            Span.ofSeconds(11),
+            Span.ofSeconds(20),
+            Span.ofSeconds(4),
+            Span.ofSeconds(36));
+    Settings settings =
+        new Settings(
+            MEMBER,
+            "a",
+            HERE,
+            HERE,
+            List.of(),
+            HERE,
+            HERE,
+            List.of("a"),
+            Map.of("vision", new Team("vision", Resources.NONE, new Resources(1e6, 1e6, 1e6))),
+            List.of(),
+            workers,
+            limits,
+            new Settings.CloudLimits(4, Span.ofSeconds(2)),
+            Span.ofSeconds(2),
+            new Settings.Quota(1, 300, 1000));
+    StateClient client =
+        new StateClient(clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
+    Follower follower = new Follower(clock, client, ledger);
+    UnconfirmedBound bound = workers.unconfirmedBound();
+    Cancellations cancellations =
+        new Cancellations(
+            clock,
+            ledger,
+            new Holdings(null, MEMBER, () -> new Incarnation(7)),
+            new PeerViews(),
+            bound);
+    ledger.listen(cancellations::ledgerChanged);
+    users =
+        new UserApi(
+            clock,
+            ledger,
+            follower,
+            client,
+            settings,
+            job -> 0,
+            () -> clock.now().nanos() / 1_000_000,
+            cancellations,
+            () -> new Incarnation(7),
+            () -> false,
+            () -> Aloneness.State.CONNECTED);
+    follower.start();
+    clock.advance(1);
+  }
 
-    // ---- a state service whose watches never say anything, so that only barriers bring news ----
+  // ---- a state service whose watches never say anything, so that only barriers bring news ----
 
-    private void write(String key, Object value) {
-        stamps.put(key, ++epoch);
-        log.add(Json.object("Set", key, "Value", value, "Stamp", epoch));
-    }
+  private void write(String key, Object value) {
+    stamps.put(key, ++epoch);
+    log.add(Json.object("Set", key, "Value", value, "Stamp", epoch));
+  }
 
-    private void serve(HttpRequest request, Consumer<HttpOutcome> done) {
-        try {
-            HttpResponse answer = answer(request);
-            Runnable reply = () -> done.accept(HttpOutcome.answered(answer));
-            if (holds.test(request.path())) {
-                held.add(reply);
-            } else if (!"10000".equals(request.query("BlockMs"))) {
-                clock.after(Span.ofMillis(2), reply);
-            }
-        } catch (BadMessage e) {
-            throw new IllegalStateException(e);
-        }
+  private void serve(HttpRequest request, Consumer<HttpOutcome> done) {
+    try {
+      HttpResponse answer = answer(request);
+      Runnable reply = () -> done.accept(HttpOutcome.answered(answer));
+      if (holds.test(request.path())) {
+        held.add(reply);
+      } else if (!"10000".equals(request.query("BlockMs"))) {
+        clock.after(Span.ofMillis(2), reply);
+      }
+    } catch (BadMessage e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    private HttpResponse answer(HttpRequest request) throws BadMessage {
-        if (request.path().equals("/keys")) {
-            List<Object> items = new ArrayList<>();
-            log.forEach(event -> items.add(Json.object("Path", event.get("Set"), "Value", event.get("Value"), "Stamp", event.get("Stamp"))));
-            return HttpResponse.of(200, Json.write(Json.object("Items", items, "More", false, "Epoch", epoch)));
-        }
-        if (request.path().equals("/follow")) {
-            long since = Long.parseLong(request.query("Since"));
-            return HttpResponse.of(200, Json.write(Json.object("Epoch", epoch, "Log", log.stream().filter(each -> (long) each.get("Stamp") > since).toList())));
-        }
-        Fields in = Json.parseFields(request.body());
-        changesAsked += in.objects("Apply").size();
-        for (Fields change : in.objects("Apply")) {
-            if (Json.write(change.raw("Value")).length > takes) {
-                return HttpResponse.of(400);
-            }
-        }
-        List<String> failed = new ArrayList<>();
-        for (Fields guard : in.objects("Guards")) {
-            if (stamps.getOrDefault(guard.text("Path"), 0L) != guard.unsigned("Stamp")) {
-                failed.add(guard.text("Path"));
-            }
-        }
-        if (!failed.isEmpty()) {
-            return HttpResponse.of(409, Json.write(Json.object("failed", failed, "Epoch", epoch)));
-        }
-        in.objects("Apply").forEach(change -> write((String) change.raw("Set"), change.raw("Value")));
-        return HttpResponse.of(200, Json.write(Json.object("Epoch", epoch)));
+  private HttpResponse answer(HttpRequest request) throws BadMessage {
+    if (request.path().equals("/keys")) {
+      List<Object> items = new ArrayList<>();
+      log.forEach(
+          event ->
+              items.add(
+                  Json.object(
+                      "Path",
+                      event.get("Set"),
+                      "Value",
+                      event.get("Value"),
+                      "Stamp",
+                      event.get("Stamp"))));
+      return HttpResponse.of(
+          200, Json.write(Json.object("Items", items, "More", false, "Epoch", epoch)));
+    }
+    if (request.path().equals("/follow")) {
+      long since = Long.parseLong(request.query("Since"));
+      return HttpResponse.of(
+          200,
+          Json.write(
+              Json.object(
+                  "Epoch",
+                  epoch,
+                  "Log",
+                  log.stream().filter(each -> (long) each.get("Stamp") > since).toList())));
+    }
+    Fields in = Json.parseFields(request.body());
+    changesAsked += in.objects("Apply").size();
+    for (Fields change : in.objects("Apply")) {
+      if (Json.write(change.raw("Value")).length > takes) {
+        return HttpResponse.of(400);
+      }
+    }
+    List<String> failed = new ArrayList<>();
+    for (Fields guard : in.objects("Guards")) {
+      if (stamps.getOrDefault(guard.text("Path"), 0L) != guard.unsigned("Stamp")) {
+        failed.add(guard.text("Path"));
+      }
     }
+    if (!failed.isEmpty()) {
+      return HttpResponse.of(409, Json.write(Json.object("failed", failed, "Epoch", epoch)));
+    }
+    in.objects("Apply").forEach(change -> write((String) change.raw("Set"), change.raw("Value")));
+    return HttpResponse.of(200, Json.write(Json.object("Epoch", epoch)));
+  }
 
-    // ---- users ----
+  // ---- users ----
 
-    private static Map<String, Object> job(int number) {
-        return Json.object("Uid", "job-" + number, "Lane", "train", "Crew", "vision", "Shape", "sweep", "Rank", "high", "Pieces", 16, "Cpus", 8.0,
-                "Cards", 1.0, "MemGb", 64.0, "Bundle", "img-07", "ImageGb", 6.2, "Hulls", List.of("g8"), "Yard", null, "OneZone", true,
-                "Scatter", false, "Loaners", true, "GuessS", 240.0, "MarkEveryS", 30.0, "MarkCostS", 4.0, "DueS", 900.0);
-    }
+  private static Map<String, Object> job(int number) {
+    return Json.object(
+        "Uid",
+        "job-" + number,
+        "Lane",
+        "train",
+        "Crew",
+        "vision",
+        "Shape",
+        "sweep",
+        "Rank",
+        "high",
+        "Pieces",
+        16,
+        "Cpus",
+        8.0,
+        "Cards",
+        1.0,
+        "MemGb",
+        64.0,
+        "Bundle",
+        "img-07",
+        "ImageGb",
+        6.2,
+        "Hulls",
+        List.of("g8"),
+        "Yard",
+        null,
+        "OneZone",
+        true,
+        "Scatter",
+        false,
+        "Loaners",
+        true,
+        "GuessS",
+        240.0,
+        "MarkEveryS",
+        30.0,
+        "MarkCostS",
+        4.0,
+        "DueS",
+        900.0);
+  }
 
-    /** What a user is answered: empty until he is. */
-    private List<String> ask(HttpRequest request) {
-        List<String> answers = new ArrayList<>();
-        Consumer<HttpResponse> reply = response -> {
-            try {
-                Fields body = Json.parseFields(response.body());
-                answers.add(response.status() + (body.has("Status") ? " " + body.text("Status") : ""));
-            } catch (BadMessage e) {
-                throw new IllegalStateException(e);
-            }
+  /** What a user is answered: empty until he is. */
+  private List<String> ask(HttpRequest request) {
+    List<String> answers = new ArrayList<>();
+    Consumer<HttpResponse> reply =
+        response -> {
+          try {
+            Fields body = Json.parseFields(response.body());
+            answers.add(response.status() + (body.has("Status") ? " " + body.text("Status") : ""));
+          } catch (BadMessage e) {
+            throw new IllegalStateException(e);
+          }
         };
-        try {
-            users.handle(request, reply);
-        } catch (RuntimeException e) {
-            answers.add("the connection is closed"); // as the loop does
-        }
-        return answers;
+    try {
+      users.handle(request, reply);
+    } catch (RuntimeException e) {
+      answers.add("the connection is closed"); // as the loop does
     }
+    return answers;
+  }
 
-    private List<String> submit(Map<String, Object> job) {
-        return ask(HttpRequest.post(JobCodec.JOBS, Json.write(job)));
-    }
+  private List<String> submit(Map<String, Object> job) {
+    return ask(HttpRequest.post(JobCodec.JOBS, Json.write(job)));
+  }
 
-    private List<String> cancel(int number) {
-        return ask(HttpRequest.post(JobCodec.JOBS + "/job-" + number + JobCodec.CANCEL, new byte[0]));
-    }
+  private List<String> cancel(int number) {
+    return ask(HttpRequest.post(JobCodec.JOBS + "/job-" + number + JobCodec.CANCEL, new byte[0]));
+  }
 
-    private String soon(List<String> answers) {
-        clock.advance(3);
-        assertEquals(1, answers.size(), answers.toString());
-        return answers.get(0);
-    }
+  private String soon(List<String> answers) {
+    clock.advance(3);
+    assertEquals(1, answers.size(), answers.toString());
+    return answers.get(0);
+  }
 
-    // ---- what they are answered ----
+  // ---- what they are answered ----
 
-    /**
-     * A submission is under way, with the answer to its write or to the reading after it held up. Meanwhile another controller has told
-     * that the job is cancelled. Whoever submits it again now put his question after that.
-     */
-    @ParameterizedTest
-    @ValueSource(strings = {"/txn", "/follow"})
-    void whoJoinsASubmissionUnderWayIsToldNothingOlder(String heldUp) {
-        boolean inABundle = heldUp.equals("/follow");
-        List<List<String>> others = new ArrayList<>();
-        for (int number = 2; inABundle && number < 4; number++) {
-            others.add(submit(job(number))); // the second waits for the first, and takes the next one with it
-        }
-        holds = heldUp::equals;
-        List<String> first = submit(job(1));
-        clock.advance(0.1);
-        holds = what -> false;
-        assertEquals(1, held.size());
-        write("q/job/job-1", Json.object("phase", "cancelled", "at", 1, "cancelled", 2, "job", job(1)));
-        List<String> again = submit(job(1));
-        held.get(0).run();
-        assertEquals("200 cancelled", soon(again));
-        assertEquals(1, first.size());
-        others.forEach(each -> assertEquals(1, each.size()));
+  /**
+   * A submission is under way, with the answer to its write or to the reading after it held up.
+   * Meanwhile another controller has told that the job is cancelled. Whoever submits it again now
+   * put his question after that.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"/txn", "/follow"})
+  void whoJoinsASubmissionUnderWayIsToldNothingOlder(String heldUp) {
+    boolean inABundle = heldUp.equals("/follow");
+    List<List<String>> others = new ArrayList<>();
+    for (int number = 2; inABundle && number < 4; number++) {
+      others.add(
+          submit(job(number))); // the second waits for the first, and takes the next one with it
     }
+    holds = heldUp::equals;
+    List<String> first = submit(job(1));
+    clock.advance(0.1);
+    holds = what -> false;
+    assertEquals(1, held.size());
+    write("q/job/job-1", Json.object("phase", "cancelled", "at", 1, "cancelled", 2, "job", job(1)));
+    List<String> again = submit(job(1));
+    held.get(0).run();
+    assertEquals("200 cancelled", soon(again));
+    assertEquals(1, first.size());
+    others.forEach(each -> assertEquals(1, each.size()));
+  }
 
-    /** Jobs around the size of the largest value: none is accepted that could not be cancelled, and none holds up those beside it. */
-    @Test
-    void whatIsTooLargeForARecordIsRefusedAndHindersNobody() {
-        Random random = new Random(5);
-        Set<String> outcomes = new TreeSet<>();
-        for (int number = 1; number < 120; number++) {
-            Map<String, Object> large = job(1000 + number);
-            large.put("Lane", "x".repeat(MOST_BYTES - 520 + random.nextInt(260)));
-            List<String> before = submit(job(2000 + number));
-            List<String> answers = submit(large);
-            List<String> beside = submit(job(3000 + number));
-            clock.advance(0.5);
-            assertEquals(List.of("201 queued"), before);
-            assertTrue(List.of("200 queued", "201 queued").contains(String.join(" and ", beside)), "beside a large one: " + beside);
-            String outcome = soon(answers);
-            outcomes.add(outcome.substring(0, 1));
-            if (!outcome.equals("400")) {
-                assertEquals("200 cancelled", soon(cancel(1000 + number)), "told " + outcome);
-            }
-        }
-        assertEquals(Set.of("2", "4"), outcomes);
+  /**
+   * Jobs around the size of the largest value: none is accepted that could not be cancelled, and
+   * none holds up those beside it.
+   */
+  @Test
+  void whatIsTooLargeForARecordIsRefusedAndHindersNobody() {
+    Random random = new Random(5);
+    Set<String> outcomes = new TreeSet<>();
+    for (int number = 1; number < 120; number++) {
+      Map<String, Object> large = job(1000 + number);
+      large.put("Lane", "x".repeat(MOST_BYTES - 520 + random.nextInt(260)));
+      List<String> before = submit(job(2000 + number));
+      List<String> answers = submit(large);
+      List<String> beside = submit(job(3000 + number));
+      clock.advance(0.5);
+      assertEquals(List.of("201 queued"), before);
+      assertTrue(
+          List.of("200 queued", "201 queued").contains(String.join(" and ", beside)),
+          "beside a large one: " + beside);
+      String outcome = soon(answers);
+      outcomes.add(outcome.substring(0, 1));
+      if (!outcome.equals("400")) {
+        assertEquals("200 cancelled", soon(cancel(1000 + number)), "told " + outcome);
+      }
     }
+    assertEquals(Set.of("2", "4"), outcomes);
+  }
 
-    /** The state service counts more for a value than is known here: what it refuses does not hold up what came with it. */
-    @Test
-    void whatTheStateServiceFindsTooLargeHindersNobody() {
-        takes = MOST_BYTES / 2;
-        List<List<String>> others = new ArrayList<>();
-        for (int number = 1; number < 8; number++) {
-            others.add(submit(job(number)));
-        }
-        Map<String, Object> large = job(9);
-        large.put("Lane", "x".repeat(takes));
-        List<String> refused = submit(large);
-        clock.advance(0.4);
-        others.forEach(each -> assertTrue(each.equals(List.of("201 queued")) || each.equals(List.of("200 queued")), others.toString()));
-        assertEquals("503", soon(refused));
+  /**
+   * The state service counts more for a value than is known here: what it refuses does not hold up
+   * what came with it.
+   */
+  @Test
+  void whatTheStateServiceFindsTooLargeHindersNobody() {
+    takes = MOST_BYTES / 2;
+    List<List<String>> others = new ArrayList<>();
+    for (int number = 1; number < 8; number++) {
+      others.add(submit(job(number)));
     }
+    Map<String, Object> large = job(9);
+    large.put("Lane", "x".repeat(takes));
+    List<String> refused = submit(large);
+    clock.advance(0.4);
+    others.forEach(
+        each ->
+            assertTrue(
+                each.equals(List.of("201 queued")) || each.equals(List.of("200 queued")),
+                others.toString()));
+    assertEquals("503", soon(refused));
+  }
 
-    /** Fields that may not be null may not be left out; and whatever a repetition holds, a known job is known. */
-    @Test
-    void aJobWithoutAFieldIsMalformedAndAKnownOneIsKnown() {
-        Set<String> mayBeNull = Set.of("Hulls", "Yard", "DueS");
-        int number = 0;
-        for (String field : job(0).keySet()) {
-            for (boolean leftOut : List.of(true, false)) {
-                Map<String, Object> lacking = new LinkedHashMap<>(job(++number));
-                lacking.remove(field);
-                if (!leftOut) {
-                    lacking.put(field, null);
-                }
-                assertEquals(mayBeNull.contains(field) ? "201 queued" : "400", soon(submit(lacking)), field);
-                if (!field.equals("Uid")) {
-                    write("q/job/job-" + (500 + number), Json.object("phase", "open", "at", 1, "job", job(500 + number)));
-                    lacking.put("Uid", "job-" + (500 + number));
-                    assertEquals("200 queued", soon(submit(lacking)), field);
-                }
-            }
+  /**
+   * Fields that may not be null may not be left out; and whatever a repetition holds, a known job
+   * is known.
+   */
+  @Test
+  void aJobWithoutAFieldIsMalformedAndAKnownOneIsKnown() {
+    Set<String> mayBeNull = Set.of("Hulls", "Yard", "DueS");
+    int number = 0;
+    for (String field : job(0).keySet()) {
+      for (boolean leftOut : List.of(true, false)) {
+        Map<String, Object> lacking = new LinkedHashMap<>(job(++number));
+        lacking.remove(field);
+        if (!leftOut) {
+          lacking.put(field, null);
+        }
+        assertEquals(
+            mayBeNull.contains(field) ? "201 queued" : "400", soon(submit(lacking)), field);
+        if (!field.equals("Uid")) {
+          write(
+              "q/job/job-" + (500 + number),
+              Json.object("phase", "open", "at", 1, "job", job(500 + number)));
+          lacking.put("Uid", "job-" + (500 + number));
+          assertEquals("200 queued", soon(submit(lacking)), field);
         }
+      }
     }
+  }
 
-    /** A cancellation that waits for its turn and is asked for again and again costs one change. */
-    @Test
-    void aCancellationIsWrittenOnce() {
-        assertEquals("201 queued", soon(submit(job(1))));
-        changesAsked = 0;
-        holds = "/txn"::equals;
-        List<List<String>> answers = new ArrayList<>();
-        for (int i = 0; i < 20; i++) {
-            answers.add(cancel(1));
-            clock.advance(0.05);
-        }
-        holds = what -> false;
-        held.forEach(Runnable::run);
-        clock.advance(1);
-        assertEquals(Collections.nCopies(20, List.of("200 cancelled")), answers);
-        assertEquals(1, changesAsked);
+  /** A cancellation that waits for its turn and is asked for again and again costs one change. */
+  @Test
+  void aCancellationIsWrittenOnce() {
+    assertEquals("201 queued", soon(submit(job(1))));
+    changesAsked = 0;
+    holds = "/txn"::equals;
+    List<List<String>> answers = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      answers.add(cancel(1));
+      clock.advance(0.05);
     }
+    holds = what -> false;
+    held.forEach(Runnable::run);
+    clock.advance(1);
+    assertEquals(Collections.nCopies(20, List.of("200 cancelled")), answers);
+    assertEquals(1, changesAsked);
+  }
 }
--- a/src/test/java/org/quincecross/block/GiveBackTest.java
+++ b/src/test/java/org/quincecross/block/GiveBackTest.java
@@ -19,89 +19,99 @@
 import org.quincecross.wire.WorkerReport.Piece;
 import org.quincecross.wire.WorkerReport.TaskState;
 
-/** Work that a block cannot run goes back to the pool, where others may have it (incident unanswered-start). */
+/**
+ * Work that a block cannot run goes back to the pool, where others may have it (incident
+ * unanswered-start).
+ */
 class GiveBackTest extends HolderHarness {
-    private void nextSecond() {
-        clock.advance(1);
-        holder.tick();
-    }
+  private void nextSecond() {
+    clock.advance(1);
+    holder.tick();
+  }
 
-    @Test
-    void whatFailsOnEveryMachineOfTheBlockGoesBackAndIsDeclinedForLongerEachTime() {
-        for (int time = 1; time <= 5; time++) {
-            assertFalse(holder.machine(MACHINE.id()).sick());
-            Attempt attempt = attempt();
-            directIsNeverAnswered();
-            beat(List.of(piece(attempt, TaskState.EXITED, Cause.ERROR)));
-            assertEquals(List.of(TASK), holder.released());
-            assertEquals(Set.of(TASK.job()), holder.declined());
-            int declinedS = 0;
-            while (!holder.declined().isEmpty()) {
-                beat(List.of());
-                declinedS++;
-            }
-            assertEquals(30 * (1 << time - 1), declinedS, 1.0);
-            allocate(new TaskSet()); // the leader has taken it back
-            allocate(only(0)); // and, as nobody else has room, gives it here again
-            if (time < 5) {
-                assertTrue(sent.get(sent.size() - 1).contains("start"), sent.toString());
-            }
-        }
-        assertTrue(holder.machine(MACHINE.id()).sick(), "five failures and nothing else, though of one job alone");
+  @Test
+  void whatFailsOnEveryMachineOfTheBlockGoesBackAndIsDeclinedForLongerEachTime() {
+    for (int time = 1; time <= 5; time++) {
+      assertFalse(holder.machine(MACHINE.id()).sick());
+      Attempt attempt = attempt();
+      directIsNeverAnswered();
+      beat(List.of(piece(attempt, TaskState.EXITED, Cause.ERROR)));
+      assertEquals(List.of(TASK), holder.released());
+      assertEquals(Set.of(TASK.job()), holder.declined());
+      int declinedS = 0;
+      while (!holder.declined().isEmpty()) {
+        beat(List.of());
+        declinedS++;
+      }
+      assertEquals(30 * (1 << time - 1), declinedS, 1.0);
+      allocate(new TaskSet()); // the leader has taken it back
+      allocate(only(0)); // and, as nobody else has room, gives it here again
+      if (time < 5) {
+        assertTrue(sent.get(sent.size() - 1).contains("start"), sent.toString());
+      }
     }
+    assertTrue(
+        holder.machine(MACHINE.id()).sick(),
+        "five failures and nothing else, though of one job alone");
+  }
 
-    @Test
-    void whatWaitsForMachinesOfWhichNoneTakesWorkGoesBack() {
-        calls.remove(0).accept(HttpOutcome.failed(false));
-        for (int second = 0; second < 40; second++) {
-            nextSecond();
-        }
-        // Silent for longer than its lease: what was to start there is on no machine, and waits, but not for ever.
-        assertEquals(List.of(TASK), holder.released());
+  @Test
+  void whatWaitsForMachinesOfWhichNoneTakesWorkGoesBack() {
+    calls.remove(0).accept(HttpOutcome.failed(false));
+    for (int second = 0; second < 40; second++) {
+      nextSecond();
     }
+    // Silent for longer than its lease: what was to start there is on no machine, and waits, but
+    // not for ever.
+    assertEquals(List.of(TASK), holder.released());
+  }
 
-    /**
-     * A holder that has lost the state service may have been succeeded: the new holder answers the machine, and what runs
-     * there goes on, however long this one has not heard of it (incident lost-by-a-former-holder).
-     */
-    @Test
-    void aMachineIsNotCalledLostOnTheWordOfAHolderThatMayHaveBeenSucceeded() {
-        Attempt attempt = attempt();
-        calls.remove(0).accept(HttpOutcome.failed(false));
-        beat(List.of(piece(attempt, TaskState.RUNNING, null)));
-        lastConfirmed = clock.nanos() + 2_000_000_000L;
-        for (int second = 0; second < 40; second++) {
-            nextSecond();
-        }
-        assertEquals(List.of(), holder.released());
-        assertEquals(1, holder.machine(MACHINE.id()).tasks());
-        lastConfirmed = clock.nanos();
-        nextSecond();
-        assertEquals(0, holder.machine(MACHINE.id()).tasks());
+  /**
+   * A holder that has lost the state service may have been succeeded: the new holder answers the
+   * machine, and what runs there goes on, however long this one has not heard of it (incident
+   * lost-by-a-former-holder).
+   */
+  @Test
+  void aMachineIsNotCalledLostOnTheWordOfAHolderThatMayHaveBeenSucceeded() {
+    Attempt attempt = attempt();
+    calls.remove(0).accept(HttpOutcome.failed(false));
+    beat(List.of(piece(attempt, TaskState.RUNNING, null)));
+    lastConfirmed = clock.nanos() + 2_000_000_000L;
+    for (int second = 0; second < 40; second++) {
+      nextSecond();
     }
+    assertEquals(List.of(), holder.released());
+    assertEquals(1, holder.machine(MACHINE.id()).tasks());
+    lastConfirmed = clock.nanos();
+    nextSecond();
+    assertEquals(0, holder.machine(MACHINE.id()).tasks());
+  }
 
-    @Test
-    void whatWaitsLongForRoomGoesBack() {
-        calls.remove(0).accept(HttpOutcome.failed(false));
-        allocate(TaskSet.below(3));
-        int second = 0;
-        while (holder.released().isEmpty() && second++ < 300) {
-            beat(started());
-        }
-        assertEquals(List.of(TASK.job().task(2)), holder.released());
-        assertEquals(111, second, 2.0); // 90 s and twice the estimate of 10 s
+  @Test
+  void whatWaitsLongForRoomGoesBack() {
+    calls.remove(0).accept(HttpOutcome.failed(false));
+    allocate(TaskSet.below(3));
+    int second = 0;
+    while (holder.released().isEmpty() && second++ < 300) {
+      beat(started());
     }
+    assertEquals(List.of(TASK.job().task(2)), holder.released());
+    assertEquals(111, second, 2.0); // 90 s and twice the estimate of 10 s
+  }
 
-    /** Everything that has been started, as running. */
-    private List<Piece> started() {
-        Map<TaskId, Piece> pieces = new TreeMap<>();
-        Pattern start = Pattern.compile("\"start\",\"Piece\":\"([^\"]+)\",\"Try\":([0-9]+)");
-        for (String command : sent) {
-            for (Matcher found = start.matcher(command); found.find(); ) {
-                TaskId task = TaskId.parse(found.group(1));
-                pieces.put(task, new Piece(task, new Attempt(Long.parseLong(found.group(2))), TaskState.RUNNING, null, false));
-            }
-        }
-        return List.copyOf(pieces.values());
+  /** Everything that has been started, as running. */
+  private List<Piece> started() {
+    Map<TaskId, Piece> pieces = new TreeMap<>();
+    Pattern start = Pattern.compile("\"start\",\"Piece\":\"([^\"]+)\",\"Try\":([0-9]+)");
+    for (String command : sent) {
+      for (Matcher found = start.matcher(command); found.find(); ) {
+        TaskId task = TaskId.parse(found.group(1));
+        pieces.put(
+            task,
+            new Piece(
+                task, new Attempt(Long.parseLong(found.group(2))), TaskState.RUNNING, null, false));
+      }
     }
+    return List.copyOf(pieces.values());
+  }
 }
--- a/src/test/java/org/quincecross/block/HolderHarness.java
+++ b/src/test/java/org/quincecross/block/HolderHarness.java
@@ -31,6 +31,8 @@
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.StillClock;
 import org.quincecross.net.Timers;
+import org.quincecross.rollout.Build;
+import org.quincecross.rollout.Terms;
 import org.quincecross.sched.Reserve;
 import org.quincecross.state.Allocation;
 import org.quincecross.state.BlockLease;
@@ -46,160 +48,233 @@
 import org.quincecross.wire.WorkerReport.Cause;
 import org.quincecross.wire.WorkerReport.Piece;
 import org.quincecross.wire.WorkerReport.TaskState;
-import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
 
-/** A holder of a block of one machine, which has room for two tasks, with the messages of both in the test's hands. */
+/**
+ * A holder of a block of one machine, which has room for two tasks, with the messages of both in
+ * the test's hands.
+ */
 abstract class HolderHarness {
-    static final BlockId BLOCK = new BlockId("b");
-    static final Machine MACHINE = new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
-    static final TaskId TASK = new JobId("job-1").task(0);
-
-    final Ledger ledger = new Ledger();
-    final List<Consumer<HttpOutcome>> calls = new ArrayList<>();
-    final List<String> sent = new ArrayList<>();
-    final StillClock clock = new StillClock();
-    long revision;
-    long lastConfirmed = Long.MAX_VALUE;
-    long order;
-    boolean longCancelled;
-    BlockHolder holder;
-
-    class Context implements HolderContext {
-        @Override
-        public Timers timers() {
-            return clock;
-        }
-
-        @Override
-        public HttpCaller http() {
-            return (to, request, timeout, done) -> {
-                sent.add(new String(request.body(), StandardCharsets.UTF_8));
-                calls.add(done);
-            };
-        }
-
-        @Override
-        public Ledger ledger() {
-            return ledger;
-        }
-
-        @Override
-        public List<Reserve> reserves(BlockId block) {
-            return List.of();
-        }
-
-        @Override
-        public Settings.Workers workers() {
-            return new Settings.Workers(Span.ofSeconds(1), Span.ofSeconds(10), Span.ofSeconds(30), Span.ofSeconds(5),
-                    Span.ofSeconds(30));
-        }
-
-        @Override
-        public boolean isIdle(Job job) {
-            return false;
-        }
-
-        @Override
-        public Span startWithin(String jobClass) {
-            return null;
-        }
-
-        @Override
-        public List<String> imagesOf(MachineId machine) {
-            return List.of();
-        }
-
-        @Override
-        public boolean isEntitled() {
-            return true;
-        }
-
-        @Override
-        public SteadyTime confirmed() {
-            return new SteadyTime(Math.min(clock.nanos(), lastConfirmed));
-        }
-
-        @Override
-        public Span longestUnconfirmed() {
-            return Span.ofSeconds(20);
-        }
-
-        @Override
-        public boolean isLongCancelled(JobId job) {
-            return longCancelled;
-        }
-
-        @Override
-        public void newsForLeader() {
-        }
+  static final BlockId BLOCK = new BlockId("b");
+  static final Machine MACHINE =
+      new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
+  static final TaskId TASK = new JobId("job-1").task(0);
+
+  final Ledger ledger = new Ledger();
+  final List<Consumer<HttpOutcome>> calls = new ArrayList<>();
+  final List<String> sent = new ArrayList<>();
+  final StillClock clock = new StillClock();
+  long revision;
+  long lastConfirmed = Long.MAX_VALUE;
+  long order;
+  boolean longCancelled;
+  BlockHolder holder;
+
+  class Context implements HolderContext {
+    @Override
+    public Timers timers() {
+      return clock;
+    }
+
+    @Override
+    public HttpCaller http() {
+      return (to, request, timeout, done) -> {
+        sent.add(new String(request.body(), StandardCharsets.UTF_8));
+        calls.add(done);
+      };
     }
 
-    void put(String key, Map<String, Object> value) {
-        LedgerTool.put(ledger, key, value, ++revision);
-        LedgerTool.advance(ledger, revision);
+    @Override
+    public Ledger ledger() {
+      return ledger;
     }
 
-    /** A fenced machine to which the start of the one task has just been sent directly. */
-    @BeforeEach
-    void aStartIsSent() {
-        put(Keys.type("t"), CloudCodec.writeCatalog(List.of(new MachineType("t", new Resources(8, 0, 8), 10, 1, 1, 1,
-                Span.ofSeconds(5), List.of("z")))));
-        Job job = new Job(TASK.job(), "c", "team", Shape.ARRAY, Rank.NORMAL, 3, new Resources(4, 0, 1), null, null, false,
-                false, false, "i", 1, Span.ofSeconds(10), Span.ZERO, Span.ZERO, null);
-        put(Keys.job(job.id()), JobRecord.open(job, 0));
-        put(Keys.block(BLOCK), BlockLease.first(BLOCK, new MemberRecord(new MemberId("n"), new Incarnation(1), "z", Build.BEFORE_LEVELS, Terms.NONE,
-                new Revision(1)), MACHINE).write());
-        holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
-        calls.remove(0).accept(HttpOutcome.failed(false)); // the command that shows the token; a report shows it below
-        beat(List.of());
-        allocate(only(0));
+    @Override
+    public List<Reserve> reserves(BlockId block) {
+      return List.of();
     }
 
-    void allocate(TaskSet tasks) {
-        put(Keys.allocation(BLOCK), Allocation.write(Map.of(TASK.job(), tasks)));
-        holder.sync();
+    @Override
+    public Settings.Workers workers() {
+      return new Settings.Workers(
+          Span.ofSeconds(1),
+          Span.ofSeconds(10),
+          Span.ofSeconds(30),
+          Span.ofSeconds(5),
+          Span.ofSeconds(30));
     }
 
-    static TaskSet only(int index) {
-        TaskSet set = new TaskSet();
-        set.add(index);
-        return set;
+    @Override
+    public boolean isIdle(Job job) {
+      return false;
     }
 
-    void beat(List<Piece> pieces) {
-        clock.advance(1);
-        holder.answer(new WorkerReport(MACHINE, 1, ++order, holder.lease().token(), null, pieces));
-        holder.tick();
+    @Override
+    public Span startWithin(String jobClass) {
+      return null;
     }
 
-    Attempt attempt() {
-        String body = sent.get(sent.size() - 1);
-        assertTrue(body.contains("\"start\""), body);
-        return new Attempt(Long.parseLong(body.replaceAll(".*\"Try\":([0-9]+).*", "$1")));
+    @Override
+    public List<String> imagesOf(MachineId machine) {
+      return List.of();
     }
 
-    void directIsNeverAnswered() {
-        Consumer<HttpOutcome> last = calls.remove(calls.size() - 1);
-        last.accept(HttpOutcome.failed(true));
+    @Override
+    public boolean isEntitled() {
+      return true;
     }
 
-    static Piece piece(Attempt attempt, TaskState state, Cause cause) {
-        return new Piece(TASK, attempt, state, cause, false);
+    @Override
+    public SteadyTime confirmed() {
+      return new SteadyTime(Math.min(clock.nanos(), lastConfirmed));
     }
 
-    String answer(List<Piece> pieces) {
-        clock.advance(1);
-        return new String(holder.answer(new WorkerReport(MACHINE, 1, ++order, holder.lease().token(), null, pieces)),
-                StandardCharsets.UTF_8);
+    @Override
+    public Span longestUnconfirmed() {
+      return Span.ofSeconds(20);
     }
 
-    void directIsAnswered(List<Piece> pieces) {
-        List<Object> out = new ArrayList<>();
-        pieces.forEach(piece -> out.add(Json.object("Piece", piece.task().toString(), "Try", piece.attempt().number(),
-                "Status", "exited", "Cause", "stopped")));
-        calls.remove(calls.size() - 1).accept(HttpOutcome.answered(HttpResponse.of(200, Json.write(Json.object("Host",
-                MACHINE.id().text(), "Addr", MACHINE.address().toString(), "Hull", "t", "Yard", "z", "Shift", 1, "Tick",
-                ++order, "Baton", holder.lease().token().number(), "Pieces", out)))));
+    @Override
+    public boolean isLongCancelled(JobId job) {
+      return longCancelled;
     }
+
+    @Override
+    public void newsForLeader() {}
+  }
+
+  void put(String key, Map<String, Object> value) {
+    LedgerTool.put(ledger, key, value, ++revision);
+    LedgerTool.advance(ledger, revision);
+  }
+
+  /** A fenced machine to which the start of the one task has just been sent directly. */
+  @BeforeEach
+  void aStartIsSent() {
+    put(
+        Keys.type("t"),
+        CloudCodec.writeCatalog(
+            List.of(
+                new MachineType(
+                    "t", new Resources(8, 0, 8), 10, 1, 1, 1, Span.ofSeconds(5), List.of("z")))));
+    Job job =
+        new Job(
+            TASK.job(),
+            "c",
+            "team",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            3,
+            new Resources(4, 0, 1),
+            null,
+            null,
+            false,
+            false,
+            false,
+            "i",
+            1,
+            Span.ofSeconds(10),
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    put(Keys.job(job.id()), JobRecord.open(job, 0));
+    put(
+        Keys.block(BLOCK),
+        BlockLease.first(
+                BLOCK,
+                new MemberRecord(
+                    new MemberId("n"),
+                    new Incarnation(1),
+                    "z",
+                    Build.BEFORE_LEVELS,
+                    Terms.NONE,
+                    new Revision(1)),
+                MACHINE)
+            .write());
+    holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
+    calls
+        .remove(0)
+        .accept(
+            HttpOutcome.failed(false)); // the command that shows the token; a report shows it below
+    beat(List.of());
+    allocate(only(0));
+  }
+
+  void allocate(TaskSet tasks) {
+    put(Keys.allocation(BLOCK), Allocation.write(Map.of(TASK.job(), tasks)));
+    holder.sync();
+  }
+
+  static TaskSet only(int index) {
+    TaskSet set = new TaskSet();
+    set.add(index);
+    return set;
+  }
+
+  void beat(List<Piece> pieces) {
+    clock.advance(1);
+    holder.answer(new WorkerReport(MACHINE, 1, ++order, holder.lease().token(), null, pieces));
+    holder.tick();
+  }
+
+  Attempt attempt() {
+    String body = sent.get(sent.size() - 1);
+    assertTrue(body.contains("\"start\""), body);
+    return new Attempt(Long.parseLong(body.replaceAll(".*\"Try\":([0-9]+).*", "$1")));
+  }
+
+  void directIsNeverAnswered() {
+    Consumer<HttpOutcome> last = calls.remove(calls.size() - 1);
+    last.accept(HttpOutcome.failed(true));
+  }
+
+  static Piece piece(Attempt attempt, TaskState state, Cause cause) {
+    return new Piece(TASK, attempt, state, cause, false);
+  }
+
+  String answer(List<Piece> pieces) {
+    clock.advance(1);
+    return new String(
+        holder.answer(new WorkerReport(MACHINE, 1, ++order, holder.lease().token(), null, pieces)),
+        StandardCharsets.UTF_8);
+  }
+
+  void directIsAnswered(List<Piece> pieces) {
+    List<Object> out = new ArrayList<>();
+    pieces.forEach(
+        piece ->
+            out.add(
+                Json.object(
+                    "Piece",
+                    piece.task().toString(),
+                    "Try",
+                    piece.attempt().number(),
+                    "Status",
+                    "exited",
+                    "Cause",
+                    "stopped")));
+    calls
+        .remove(calls.size() - 1)
+        .accept(
+            HttpOutcome.answered(
+                HttpResponse.of(
+                    200,
+                    Json.write(
+                        Json.object(
+                            "Host",
+                            MACHINE.id().text(),
+                            "Addr",
+                            MACHINE.address().toString(),
+                            "Hull",
+                            "t",
+                            "Yard",
+                            "z",
+                            "Shift",
+                            1,
+                            "Tick",
+                            ++order,
+                            "Baton",
+                            holder.lease().token().number(),
+                            "Pieces",
+                            out)))));
+  }
 }
--- a/src/test/java/org/quincecross/block/HolderModelTest.java
+++ b/src/test/java/org/quincecross/block/HolderModelTest.java
@@ -51,519 +51,664 @@
 import org.quincecross.wire.WorkerReport.TaskState;
 
 /**
- * A holder and three workers, with everything between them drawn: commands, reports and the answers to either are held up, lost, come late
- * and come again; machines hang, are cut off in one direction or both, and lose their leases; the holder stands still, is followed by
- * another one while it goes on, and is told to stop tasks and to start them again. No task is ever on two machines,
- * none starts again under an attempt that has been cleared, and all end.
+ * A holder and three workers, with everything between them drawn: commands, reports and the answers
+ * to either are held up, lost, come late and come again; machines hang, are cut off in one
+ * direction or both, and lose their leases; the holder stands still, is followed by another one
+ * while it goes on, and is told to stop tasks and to start them again. No task is ever on two
+ * machines, none starts again under an attempt that has been cleared, and all end.
  */
 class HolderModelTest {
-    private static final double TROUBLE_S = 100;
-    private static final double QUIET_S = 75;
-    private static final int TASKS = 90;
-    private static final int AT_ONCE = 9;
-
-    private static final class Model extends HolderHarness {
-        private record Due(long at, long number, Runnable run) {
-        }
-
-        private final Random random;
-        private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
-        private final List<Worker> workers = new ArrayList<>();
-        private final Job job;
-        private final TaskSet allocated = new TaskSet();
-        private final TaskSet withheld = new TaskSet();
-        private final Set<Integer> done = new HashSet<>();
-        private final Set<Integer> finished = new HashSet<>();
-        private final List<Integer> back = new ArrayList<>();
-        private final List<String> broken = new ArrayList<>();
-        private BlockHolder former;
-        private double formerUntil;
-        private double stillUntil;
-        private boolean entitled = true;
-        private boolean quiet;
-        private double doubtSince = -1;
-        private int given;
-        private long number;
-
-        Model(long seed) {
-            random = new Random(seed);
-            aStartIsSent();
-            calls.clear();
-            Job one = ledger.job(TASK.job()).job();
-            job = new Job(new JobId("job-2"), one.jobClass(), one.team(), one.shape(), one.rank(), TASKS, one.each(), null, null, false,
-                    false, false, one.image(), one.imageGb(), one.estimate(), Span.ZERO, Span.ZERO, null);
-            put(Keys.job(job.id()), JobRecord.open(job, 0));
-            holder.retire();
-            for (int i = 1; i <= 3; i++) {
-                workers.add(new Worker(new Machine(new MachineId("m-" + i), new Endpoint("10.1.0." + i, 9000), "t", "z", false)));
-            }
-            put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
-            put(Keys.block(BLOCK), ledger.blocks().get(BLOCK).with(workers.get(1).machine).with(workers.get(2).machine).write());
-            leaseAnew(0);
-        }
-
-        private double now() {
-            return clock.nanos() / 1e9;
-        }
+  private static final double TROUBLE_S = 100;
+  private static final double QUIET_S = 75;
+  private static final int TASKS = 90;
+  private static final int AT_ONCE = 9;
+
+  private static final class Model extends HolderHarness {
+    private record Due(long at, long number, Runnable run) {}
+
+    private final Random random;
+    private final PriorityQueue<Due> due =
+        new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
+    private final List<Worker> workers = new ArrayList<>();
+    private final Job job;
+    private final TaskSet allocated = new TaskSet();
+    private final TaskSet withheld = new TaskSet();
+    private final Set<Integer> done = new HashSet<>();
+    private final Set<Integer> finished = new HashSet<>();
+    private final List<Integer> back = new ArrayList<>();
+    private final List<String> broken = new ArrayList<>();
+    private BlockHolder former;
+    private double formerUntil;
+    private double stillUntil;
+    private boolean entitled = true;
+    private boolean quiet;
+    private double doubtSince = -1;
+    private int given;
+    private long number;
+
+    Model(long seed) {
+      random = new Random(seed);
+      aStartIsSent();
+      calls.clear();
+      Job one = ledger.job(TASK.job()).job();
+      job =
+          new Job(
+              new JobId("job-2"),
+              one.jobClass(),
+              one.team(),
+              one.shape(),
+              one.rank(),
+              TASKS,
+              one.each(),
+              null,
+              null,
+              false,
+              false,
+              false,
+              one.image(),
+              one.imageGb(),
+              one.estimate(),
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      put(Keys.job(job.id()), JobRecord.open(job, 0));
+      holder.retire();
+      for (int i = 1; i <= 3; i++) {
+        workers.add(
+            new Worker(
+                new Machine(
+                    new MachineId("m-" + i), new Endpoint("10.1.0." + i, 9000), "t", "z", false)));
+      }
+      put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
+      put(
+          Keys.block(BLOCK),
+          ledger
+              .blocks()
+              .get(BLOCK)
+              .with(workers.get(1).machine)
+              .with(workers.get(2).machine)
+              .write());
+      leaseAnew(0);
+    }
 
-        private void later(double seconds, Runnable run) {
-            due.add(new Due(clock.nanos() + Math.max(0, (long) (seconds * 1e9)), number++, run));
-        }
+    private double now() {
+      return clock.nanos() / 1e9;
+    }
 
-        /** What happens in the controller waits while it stands still. */
-        private void awake(Runnable run) {
-            if (now() < stillUntil) {
-                later(stillUntil - now() + 0.001, () -> awake(run));
-            } else {
-                run.run();
-            }
-        }
+    private void later(double seconds, Runnable run) {
+      due.add(new Due(clock.nanos() + Math.max(0, (long) (seconds * 1e9)), number++, run));
+    }
 
-        private boolean chance(double share) {
-            return !quiet && random.nextDouble() < share;
-        }
+    /** What happens in the controller waits while it stands still. */
+    private void awake(Runnable run) {
+      if (now() < stillUntil) {
+        later(stillUntil - now() + 0.001, () -> awake(run));
+      } else {
+        run.run();
+      }
+    }
 
-        private double between(double from, double to) {
-            return from + random.nextDouble() * (to - from);
-        }
+    private boolean chance(double share) {
+      return !quiet && random.nextDouble() < share;
+    }
 
-        // ---- the controller ----
+    private double between(double from, double to) {
+      return from + random.nextDouble() * (to - from);
+    }
 
-        private final class Wild extends Context {
-            private final SteadyTime[] lastWord = new SteadyTime[1];
+    // ---- the controller ----
+
+    private final class Wild extends Context {
+      private final SteadyTime[] lastWord = new SteadyTime[1];
+
+      @Override
+      public HttpCaller http() {
+        return (to, request, timeout, over) -> direct(to, request, timeout.seconds(), over);
+      }
+
+      @Override
+      public boolean isEntitled() {
+        return entitled;
+      }
+
+      @Override
+      public SteadyTime confirmed() {
+        return lastWord[0] == null ? super.confirmed() : lastWord[0];
+      }
+
+      @Override
+      public Withheld withheld() {
+        return new Withheld() {
+          @Override
+          public TaskSet of(Job each) {
+            return each.id().equals(job.id()) ? withheld : new TaskSet();
+          }
+
+          @Override
+          public String reason(JobId id) {
+            return null;
+          }
+        };
+      }
+    }
 
-            @Override
-            public HttpCaller http() {
-                return (to, request, timeout, over) -> direct(to, request, timeout.seconds(), over);
-            }
+    private Wild context;
+
+    /**
+     * The block goes to another holder; the one before goes on for a while, without word of the
+     * records.
+     */
+    private void leaseAnew(double formerGoesOn) {
+      if (former != null) {
+        former.retire();
+      }
+      if (context != null) {
+        context.lastWord[0] = new SteadyTime(Math.min(clock.nanos(), lastConfirmed));
+        former = holder;
+        formerUntil = now() + formerGoesOn;
+      }
+      put(
+          Keys.block(BLOCK),
+          ledger
+              .blocks()
+              .get(BLOCK)
+              .heldBy(
+                  new MemberRecord(
+                      new MemberId("n"),
+                      new Incarnation(1),
+                      "z",
+                      Build.BEFORE_LEVELS,
+                      Terms.NONE,
+                      new Revision(1)))
+              .write());
+      context = new Wild();
+      holder = new BlockHolder(context, ledger.blocks().get(BLOCK));
+      endFormer();
+    }
 
-            @Override
-            public boolean isEntitled() {
-                return entitled;
-            }
+    private void endFormer() {
+      if (former != null && now() >= formerUntil) {
+        former.retire();
+        former = null;
+      }
+    }
 
-            @Override
-            public SteadyTime confirmed() {
-                return lastWord[0] == null ? super.confirmed() : lastWord[0];
-            }
+    private void tick() {
+      endFormer();
+      holder.tick();
+      if (former != null) {
+        former.tick();
+      }
+      later(0.15, () -> awake(this::tick));
+    }
 
-            @Override
-            public Withheld withheld() {
-                return new Withheld() {
-                    @Override
-                    public TaskSet of(Job each) {
-                        return each.id().equals(job.id()) ? withheld : new TaskSet();
-                    }
-
-                    @Override
-                    public String reason(JobId id) {
-                        return null;
-                    }
-                };
-            }
+    /**
+     * Does what a leader does: what is back goes out again, what is done stays out, and a doubt
+     * gets a new token.
+     */
+    private void lead() {
+      List<TaskId> gone = new ArrayList<>(holder.completed());
+      gone.forEach(task -> finished.add(task.index()));
+      for (TaskId task : holder.released()) {
+        gone.add(task);
+        back.add(task.index());
+      }
+      boolean changed = !gone.isEmpty();
+      gone.forEach(task -> allocated.remove(task.index()));
+      if (changed) {
+        allocateAll(); // what is out must have been out once before it may be in again
+      }
+      back.removeIf(index -> finished.contains(index));
+      while (allocated.size() < AT_ONCE && (!back.isEmpty() || given < TASKS)) {
+        int next = back.isEmpty() ? given++ : back.remove(0);
+        if (withheld.has(next)) {
+          back.add(next);
+          break;
         }
+        allocated.add(next);
+        changed = true;
+      }
+      if (changed) {
+        allocateAll();
+      }
+      doubtSince = !holder.isInDoubt() ? -1 : doubtSince < 0 ? now() : doubtSince;
+      if (doubtSince >= 0 && now() - doubtSince > 1) {
+        doubtSince = -1;
+        leaseAnew(0);
+      }
+      later(between(0.2, 0.8), () -> awake(this::lead));
+    }
 
-        private Wild context;
-
-        /** The block goes to another holder; the one before goes on for a while, without word of the records. */
-        private void leaseAnew(double formerGoesOn) {
-            if (former != null) {
-                former.retire();
-            }
-            if (context != null) {
-                context.lastWord[0] = new SteadyTime(Math.min(clock.nanos(), lastConfirmed));
-                former = holder;
-                formerUntil = now() + formerGoesOn;
-            }
-            put(Keys.block(BLOCK), ledger.blocks().get(BLOCK).heldBy(new MemberRecord(new MemberId("n"), new Incarnation(1), "z",
-                    Build.BEFORE_LEVELS, Terms.NONE, new Revision(1))).write());
-            context = new Wild();
-            holder = new BlockHolder(context, ledger.blocks().get(BLOCK));
-            endFormer();
-        }
+    private void allocateAll() {
+      TaskSet copy = new TaskSet();
+      IntStream.range(0, TASKS).filter(allocated::has).forEach(copy::add);
+      put(
+          Keys.allocation(BLOCK),
+          Allocation.write(copy.isEmpty() ? Map.of() : Map.of(job.id(), copy)));
+      holder.sync();
+    }
 
-        private void endFormer() {
-            if (former != null && now() >= formerUntil) {
-                former.retire();
-                former = null;
-            }
-        }
+    private void report(WorkerReport report, Consumer<byte[]> reply) {
+      BlockHolder to = former != null && random.nextBoolean() ? former : holder;
+      reply.accept(to.answer(report));
+    }
 
-        private void tick() {
-            endFormer();
-            holder.tick();
-            if (former != null) {
-                former.tick();
-            }
-            later(0.15, () -> awake(this::tick));
-        }
+    private void direct(
+        Endpoint to, HttpRequest request, double timeoutS, Consumer<HttpOutcome> over) {
+      boolean[] ended = new boolean[1];
+      Consumer<HttpOutcome> once =
+          outcome -> {
+            if (!ended[0]) {
+              ended[0] = true;
+              over.accept(outcome);
+            }
+          };
+      Worker worker =
+          workers.stream()
+              .filter(each -> each.machine.address().equals(to))
+              .findFirst()
+              .orElseThrow();
+      carry(
+          worker.hearsUntilCut(),
+          12,
+          () ->
+              worker.request(
+                  request,
+                  response ->
+                      carry(
+                          worker.speaksUntilCut(),
+                          3,
+                          () -> awake(() -> once.accept(HttpOutcome.answered(response))))));
+      later(timeoutS, () -> awake(() -> once.accept(HttpOutcome.failed(true))));
+    }
 
-        /** Does what a leader does: what is back goes out again, what is done stays out, and a doubt gets a new token. */
-        private void lead() {
-            List<TaskId> gone = new ArrayList<>(holder.completed());
-            gone.forEach(task -> finished.add(task.index()));
-            for (TaskId task : holder.released()) {
-                gone.add(task);
-                back.add(task.index());
-            }
-            boolean changed = !gone.isEmpty();
-            gone.forEach(task -> allocated.remove(task.index()));
-            if (changed) {
-                allocateAll(); // what is out must have been out once before it may be in again
-            }
-            back.removeIf(index -> finished.contains(index));
-            while (allocated.size() < AT_ONCE && (!back.isEmpty() || given < TASKS)) {
-                int next = back.isEmpty() ? given++ : back.remove(0);
-                if (withheld.has(next)) {
-                    back.add(next);
-                    break;
-                }
-                allocated.add(next);
-                changed = true;
-            }
-            if (changed) {
-                allocateAll();
-            }
-            doubtSince = !holder.isInDoubt() ? -1 : doubtSince < 0 ? now() : doubtSince;
-            if (doubtSince >= 0 && now() - doubtSince > 1) {
-                doubtSince = -1;
-                leaseAnew(0);
-            }
-            later(between(0.2, 0.8), () -> awake(this::lead));
-        }
+    /** A message arrives soon, late or never. */
+    private void carry(boolean open, double longestS, Runnable arrival) {
+      if (open && !chance(0.04)) {
+        later(chance(0.12) ? between(0.5, longestS) : between(0.002, 0.02), arrival);
+      }
+    }
 
-        private void allocateAll() {
-            TaskSet copy = new TaskSet();
-            IntStream.range(0, TASKS).filter(allocated::has).forEach(copy::add);
-            put(Keys.allocation(BLOCK), Allocation.write(copy.isEmpty() ? Map.of() : Map.of(job.id(), copy)));
-            holder.sync();
+    // ---- troubles ----
+
+    private void trouble() {
+      if (quiet) {
+        return;
+      }
+      Worker worker = workers.get(random.nextInt(workers.size()));
+      switch (random.nextInt(7)) {
+        case 0 -> worker.hangUntil = now() + between(0.5, 9);
+        case 1 -> worker.cut(random.nextBoolean(), random.nextBoolean(), between(2, 16));
+        case 2 -> worker.unansweredUntil = now() + between(4, 24);
+        case 3 -> awake(() -> leaseAnew(random.nextBoolean() ? 0 : between(0, 6)));
+        case 4 -> {
+          int index = random.nextInt(TASKS);
+          IntStream.range(index, Math.min(TASKS, index + 40)).forEach(withheld::add);
+          awake(() -> holder.jobsChanged(Set.of(job.id())));
+          later(between(0.3, 6), () -> IntStream.range(0, TASKS).forEach(withheld::remove));
         }
-
-        private void report(WorkerReport report, Consumer<byte[]> reply) {
-            BlockHolder to = former != null && random.nextBoolean() ? former : holder;
-            reply.accept(to.answer(report));
+        case 5 -> standStill(between(1, 14));
+        default -> {
+          // Reports go unanswered for so long that leases end, and commands arrive.
+          double still = between(7, 13);
+          standStill(still);
+          workers.forEach(each -> each.unansweredUntil = now() + still + between(2, 12));
         }
+      }
+      later(between(1, 7), this::trouble);
+    }
 
-        private void direct(Endpoint to, HttpRequest request, double timeoutS, Consumer<HttpOutcome> over) {
-            boolean[] ended = new boolean[1];
-            Consumer<HttpOutcome> once = outcome -> {
-                if (!ended[0]) {
-                    ended[0] = true;
-                    over.accept(outcome);
-                }
-            };
-            Worker worker = workers.stream().filter(each -> each.machine.address().equals(to)).findFirst().orElseThrow();
-            carry(worker.hearsUntilCut(), 12, () -> worker.request(request, response ->
-                    carry(worker.speaksUntilCut(), 3, () -> awake(() -> once.accept(HttpOutcome.answered(response))))));
-            later(timeoutS, () -> awake(() -> once.accept(HttpOutcome.failed(true))));
-        }
+    private void standStill(double seconds) {
+      if (now() < stillUntil) {
+        return;
+      }
+      stillUntil = now() + seconds;
+      lastConfirmed = clock.nanos();
+      entitled = false;
+      later(
+          seconds,
+          () -> {
+            holder.excuse(Span.ofSeconds(seconds));
+            if (former != null) {
+              former.excuse(Span.ofSeconds(seconds));
+            }
+          });
+      later(
+          seconds + between(0.01, 0.5),
+          () -> {
+            lastConfirmed = Long.MAX_VALUE;
+            entitled = true;
+          });
+    }
 
-        /** A message arrives soon, late or never. */
-        private void carry(boolean open, double longestS, Runnable arrival) {
-            if (open && !chance(0.04)) {
-                later(chance(0.12) ? between(0.5, longestS) : between(0.002, 0.02), arrival);
-            }
-        }
+    /** What has not ended, and what it waits for. */
+    String left() {
+      return "given "
+          + given
+          + ", back "
+          + back
+          + ", waits for "
+          + holder.waits(job.id())
+          + ", in doubt "
+          + holder.isInDoubt()
+          + ", "
+          + workers.stream()
+              .map(
+                  worker ->
+                      worker.machine.id()
+                          + " in session "
+                          + worker.session
+                          + " has "
+                          + worker.pieces())
+              .toList();
+    }
 
-        // ---- troubles ----
+    void play() {
+      tick();
+      lead();
+      workers.forEach(worker -> later(random.nextDouble(), worker::beat));
+      workers.forEach(Worker::watchLease);
+      later(4, this::trouble);
+      later(
+          TROUBLE_S,
+          () -> {
+            quiet = true;
+            IntStream.range(0, TASKS).forEach(withheld::remove);
+          });
+      while (now() < TROUBLE_S + QUIET_S && broken.isEmpty()) {
+        Due next = due.poll();
+        clock.advance((next.at() - clock.nanos()) / 1e9);
+        next.run().run();
+      }
+    }
 
-        private void trouble() {
-            if (quiet) {
-                return;
-            }
-            Worker worker = workers.get(random.nextInt(workers.size()));
-            switch (random.nextInt(7)) {
-                case 0 -> worker.hangUntil = now() + between(0.5, 9);
-                case 1 -> worker.cut(random.nextBoolean(), random.nextBoolean(), between(2, 16));
-                case 2 -> worker.unansweredUntil = now() + between(4, 24);
-                case 3 -> awake(() -> leaseAnew(random.nextBoolean() ? 0 : between(0, 6)));
-                case 4 -> {
-                    int index = random.nextInt(TASKS);
-                    IntStream.range(index, Math.min(TASKS, index + 40)).forEach(withheld::add);
-                    awake(() -> holder.jobsChanged(Set.of(job.id())));
-                    later(between(0.3, 6), () -> IntStream.range(0, TASKS).forEach(withheld::remove));
-                }
-                case 5 -> standStill(between(1, 14));
-                default -> {
-                    // Reports go unanswered for so long that leases end, and commands arrive.
-                    double still = between(7, 13);
-                    standStill(still);
-                    workers.forEach(each -> each.unansweredUntil = now() + still + between(2, 12));
-                }
-            }
-            later(between(1, 7), this::trouble);
-        }
+    // ---- a worker ----
 
-        private void standStill(double seconds) {
-            if (now() < stillUntil) {
-                return;
-            }
-            stillUntil = now() + seconds;
-            lastConfirmed = clock.nanos();
-            entitled = false;
-            later(seconds, () -> {
-                holder.excuse(Span.ofSeconds(seconds));
-                if (former != null) {
-                    former.excuse(Span.ofSeconds(seconds));
-                }
-            });
-            later(seconds + between(0.01, 0.5), () -> {
-                lastConfirmed = Long.MAX_VALUE;
-                entitled = true;
-            });
-        }
+    private record Key(TaskId task, long attempt) {}
 
-        /** What has not ended, and what it waits for. */
-        String left() {
-            return "given " + given + ", back " + back + ", waits for " + holder.waits(job.id()) + ", in doubt " + holder.isInDoubt() + ", "
-                    + workers.stream().map(worker -> worker.machine.id() + " in session " + worker.session + " has " + worker.pieces()).toList();
-        }
+    private static final class Task {
+      private Cause cause;
+    }
 
-        void play() {
-            tick();
-            lead();
-            workers.forEach(worker -> later(random.nextDouble(), worker::beat));
-            workers.forEach(Worker::watchLease);
-            later(4, this::trouble);
-            later(TROUBLE_S, () -> {
-                quiet = true;
-                IntStream.range(0, TASKS).forEach(withheld::remove);
-            });
-            while (now() < TROUBLE_S + QUIET_S && broken.isEmpty()) {
-                Due next = due.poll();
-                clock.advance((next.at() - clock.nanos()) / 1e9);
-                next.run().run();
-            }
+    private final class Worker {
+      private static final double LEASE_S = 10;
+      private final Machine machine;
+      private final Map<Key, Task> tasks = new LinkedHashMap<>();
+
+      /** What has been started in this session: none of it may start again. */
+      private final Set<Key> ever = new HashSet<>();
+
+      private long session = 1;
+      private long order;
+      private long token;
+      private double leaseFrom = now();
+      private double hangUntil;
+      private double deafUntil;
+      private double muteUntil;
+      private double unansweredUntil;
+      private boolean reporting;
+      private double lastBeat = -1;
+
+      Worker(Machine machine) {
+        this.machine = machine;
+      }
+
+      void cut(boolean hears, boolean speaks, double seconds) {
+        deafUntil = hears ? deafUntil : now() + seconds;
+        muteUntil = speaks ? muteUntil : now() + seconds;
+      }
+
+      boolean hearsUntilCut() {
+        return now() >= deafUntil;
+      }
+
+      boolean speaksUntilCut() {
+        return now() >= muteUntil;
+      }
+
+      void watchLease() {
+        if (now() - leaseFrom > LEASE_S) {
+          tasks.clear();
+          ever.clear();
+          session++;
+          leaseFrom = now();
+          soon(0.1);
         }
-
-        // ---- a worker ----
-
-        private record Key(TaskId task, long attempt) {
+        later(0.05, this::watchLease);
+      }
+
+      private void whenGoing(Runnable run) {
+        if (now() < hangUntil) {
+          later(hangUntil - now() + 0.001, () -> whenGoing(run));
+        } else {
+          run.run();
         }
-
-        private static final class Task {
-            private Cause cause;
+      }
+
+      private void soon(double seconds) {
+        later(seconds, () -> whenGoing(this::beat));
+      }
+
+      private List<Piece> pieces() {
+        List<Piece> pieces = new ArrayList<>();
+        tasks.forEach(
+            (key, task) ->
+                pieces.add(
+                    new Piece(
+                        key.task(),
+                        new Attempt(key.attempt()),
+                        task.cause == null ? TaskState.RUNNING : TaskState.EXITED,
+                        task.cause,
+                        false)));
+        return pieces;
+      }
+
+      void beat() {
+        if (reporting || now() - lastBeat < 0.45) {
+          return;
         }
-
-        private final class Worker {
-            private static final double LEASE_S = 10;
-            private final Machine machine;
-            private final Map<Key, Task> tasks = new LinkedHashMap<>();
-            /** What has been started in this session: none of it may start again. */
-            private final Set<Key> ever = new HashSet<>();
-            private long session = 1;
-            private long order;
-            private long token;
-            private double leaseFrom = now();
-            private double hangUntil;
-            private double deafUntil;
-            private double muteUntil;
-            private double unansweredUntil;
-            private boolean reporting;
-            private double lastBeat = -1;
-
-            Worker(Machine machine) {
-                this.machine = machine;
-            }
-
-            void cut(boolean hears, boolean speaks, double seconds) {
-                deafUntil = hears ? deafUntil : now() + seconds;
-                muteUntil = speaks ? muteUntil : now() + seconds;
-            }
-
-            boolean hearsUntilCut() {
-                return now() >= deafUntil;
-            }
-
-            boolean speaksUntilCut() {
-                return now() >= muteUntil;
-            }
-
-            void watchLease() {
-                if (now() - leaseFrom > LEASE_S) {
-                    tasks.clear();
-                    ever.clear();
-                    session++;
-                    leaseFrom = now();
-                    soon(0.1);
-                }
-                later(0.05, this::watchLease);
-            }
-
-            private void whenGoing(Runnable run) {
-                if (now() < hangUntil) {
-                    later(hangUntil - now() + 0.001, () -> whenGoing(run));
-                } else {
-                    run.run();
-                }
-            }
-
-            private void soon(double seconds) {
-                later(seconds, () -> whenGoing(this::beat));
-            }
-
-            private List<Piece> pieces() {
-                List<Piece> pieces = new ArrayList<>();
-                tasks.forEach((key, task) -> pieces.add(new Piece(key.task(), new Attempt(key.attempt()),
-                        task.cause == null ? TaskState.RUNNING : TaskState.EXITED, task.cause, false)));
-                return pieces;
-            }
-
-            void beat() {
-                if (reporting || now() - lastBeat < 0.45) {
-                    return;
-                }
-                reporting = true;
-                lastBeat = now();
-                double sentAt = now();
-                long sent = session;
-                WorkerReport report = new WorkerReport(machine, session, ++order, new Token(token), null, pieces());
-                boolean[] over = new boolean[1];
-                Consumer<byte[]> end = answer -> whenGoing(() -> {
-                    if (over[0]) {
+        reporting = true;
+        lastBeat = now();
+        double sentAt = now();
+        long sent = session;
+        WorkerReport report =
+            new WorkerReport(machine, session, ++order, new Token(token), null, pieces());
+        boolean[] over = new boolean[1];
+        Consumer<byte[]> end =
+            answer ->
+                whenGoing(
+                    () -> {
+                      if (over[0]) {
                         return;
-                    }
-                    over[0] = true;
-                    reporting = false;
-                    boolean inTime = answer != null && now() - sentAt <= 4;
-                    if (inTime && sent == session) {
+                      }
+                      over[0] = true;
+                      reporting = false;
+                      boolean inTime = answer != null && now() - sentAt <= 4;
+                      if (inTime && sent == session) {
                         take(answer, sentAt);
-                    }
-                    soon(inTime ? between(0.75, 1.25) : 1);
-                });
-                later(4, () -> end.accept(null));
-                if (now() < unansweredUntil) {
-                    return; // it goes to controllers that do not answer
-                }
-                carry(speaksUntilCut(), 8, () -> {
-                    awake(() -> report(report, answer -> carry(hearsUntilCut(), 6, () -> end.accept(answer))));
-                    if (chance(0.3)) {
-                        later(between(1, 26), () -> awake(() -> report(report, answer -> { })));
-                    }
-                });
-            }
-
-            private void take(byte[] answer, double sentAt) {
-                try {
-                    Fields in = Json.parseFields(answer);
-                    if (in.unsigned("Baton") >= token) {
-                        token = in.unsigned("Baton");
-                        leaseFrom = Math.max(leaseFrom, sentAt);
-                        execute(in.objects("Orders"));
-                    }
-                } catch (BadMessage e) {
-                    throw new IllegalStateException(e);
+                      }
+                      soon(inTime ? between(0.75, 1.25) : 1);
+                    });
+        later(4, () -> end.accept(null));
+        if (now() < unansweredUntil) {
+          return; // it goes to controllers that do not answer
+        }
+        carry(
+            speaksUntilCut(),
+            8,
+            () -> {
+              awake(
+                  () ->
+                      report(
+                          report, answer -> carry(hearsUntilCut(), 6, () -> end.accept(answer))));
+              if (chance(0.3)) {
+                later(between(1, 26), () -> awake(() -> report(report, answer -> {})));
+              }
+            });
+      }
+
+      private void take(byte[] answer, double sentAt) {
+        try {
+          Fields in = Json.parseFields(answer);
+          if (in.unsigned("Baton") >= token) {
+            token = in.unsigned("Baton");
+            leaseFrom = Math.max(leaseFrom, sentAt);
+            execute(in.objects("Orders"));
+          }
+        } catch (BadMessage e) {
+          throw new IllegalStateException(e);
+        }
+      }
+
+      void request(HttpRequest request, Consumer<HttpResponse> reply) {
+        whenGoing(
+            () -> {
+              try {
+                int status = 200;
+                if (!request.path().equals("/status")) {
+                  Fields in = Json.parseFields(request.body());
+                  if (in.unsigned("Baton") < token || in.unsigned("Shift") != session) {
+                    status = 409;
+                  } else {
+                    token = in.unsigned("Baton");
+                    execute(in.objects("Orders"));
+                  }
                 }
-            }
-
-            void request(HttpRequest request, Consumer<HttpResponse> reply) {
-                whenGoing(() -> {
-                    try {
-                        int status = 200;
-                        if (!request.path().equals("/status")) {
-                            Fields in = Json.parseFields(request.body());
-                            if (in.unsigned("Baton") < token || in.unsigned("Shift") != session) {
-                                status = 409;
-                            } else {
-                                token = in.unsigned("Baton");
-                                execute(in.objects("Orders"));
-                            }
-                        }
-                        List<Object> out = new ArrayList<>();
-                        pieces().forEach(piece -> {
-                            Map<String, Object> each = Json.object("Piece", piece.task().toString(), "Try", piece.attempt().number(), "Status",
-                                    piece.cause() == null ? "running" : "exited");
-                            if (piece.cause() != null) {
-                                each.put("Cause", piece.cause().name().toLowerCase());
-                            }
-                            out.add(each);
+                List<Object> out = new ArrayList<>();
+                pieces()
+                    .forEach(
+                        piece -> {
+                          Map<String, Object> each =
+                              Json.object(
+                                  "Piece",
+                                  piece.task().toString(),
+                                  "Try",
+                                  piece.attempt().number(),
+                                  "Status",
+                                  piece.cause() == null ? "running" : "exited");
+                          if (piece.cause() != null) {
+                            each.put("Cause", piece.cause().name().toLowerCase());
+                          }
+                          out.add(each);
                         });
-                        reply.accept(HttpResponse.of(status, Json.write(Json.object("Host", machine.id().text(), "Addr",
-                                machine.address().toString(), "Hull", "t", "Yard", "z", "Shift", session, "Tick", ++order, "Baton", token,
-                                "Pieces", out))));
-                    } catch (BadMessage e) {
-                        throw new IllegalStateException(e);
-                    }
-                });
-            }
-
-            private void execute(List<Fields> orders) throws BadMessage {
-                for (Fields command : orders) {
-                    Key key = new Key(TaskId.parse(command.text("Piece")), command.unsigned("Try"));
-                    Task task = tasks.get(key);
-                    switch (command.text("Verb")) {
-                        case "start" -> {
-                            if (task == null) {
-                                start(key);
-                            }
-                        }
-                        case "halt" -> exit(key, task, Cause.STOPPED);
-                        default -> {
-                            if (task != null && task.cause != null) {
-                                tasks.remove(key);
-                            }
-                        }
-                    }
-                }
-            }
+                reply.accept(
+                    HttpResponse.of(
+                        status,
+                        Json.write(
+                            Json.object(
+                                "Host",
+                                machine.id().text(),
+                                "Addr",
+                                machine.address().toString(),
+                                "Hull",
+                                "t",
+                                "Yard",
+                                "z",
+                                "Shift",
+                                session,
+                                "Tick",
+                                ++order,
+                                "Baton",
+                                token,
+                                "Pieces",
+                                out))));
+              } catch (BadMessage e) {
+                throw new IllegalStateException(e);
+              }
+            });
+      }
+
+      private void execute(List<Fields> orders) throws BadMessage {
+        for (Fields command : orders) {
+          Key key = new Key(TaskId.parse(command.text("Piece")), command.unsigned("Try"));
+          Task task = tasks.get(key);
+          switch (command.text("Verb")) {
+            case "start" -> {
+              if (task == null) {
+                start(key);
+              }
+            }
+            case "halt" -> exit(key, task, Cause.STOPPED);
+            default -> {
+              if (task != null && task.cause != null) {
+                tasks.remove(key);
+              }
+            }
+          }
+        }
+      }
 
-            private boolean has(TaskId id) {
-                return tasks.entrySet().stream().anyMatch(each -> each.getKey().task().equals(id) && each.getValue().cause == null);
-            }
+      private boolean has(TaskId id) {
+        return tasks.entrySet().stream()
+            .anyMatch(each -> each.getKey().task().equals(id) && each.getValue().cause == null);
+      }
 
-            private void start(Key key) {
-                if (!ever.add(key)) {
-                    broken.add(key + " starts anew on " + machine.id() + ", which has cleared it, at " + now());
-                }
-                Task task = new Task();
-                boolean inUse = has(key.task());
-                long used = tasks.values().stream().filter(each -> each.cause == null).count();
-                tasks.put(key, task);
-                if (inUse || used >= 2) {
-                    task.cause = inUse ? Cause.IN_USE : Cause.FULL;
-                    return;
-                }
-                for (Worker other : workers) {
-                    if (other != this && other.has(key.task())) {
-                        broken.add(key + " on " + machine.id() + " and " + other.machine.id() + " at " + now());
-                    }
-                }
-                later(done.contains(key.task().index()) ? 0.2 : random.nextBoolean() ? between(0.1, 1) : between(1, 8), () -> whenGoing(() -> {
-                    if (tasks.get(key) == task && task.cause == null) {
+      private void start(Key key) {
+        if (!ever.add(key)) {
+          broken.add(
+              key + " starts anew on " + machine.id() + ", which has cleared it, at " + now());
+        }
+        Task task = new Task();
+        boolean inUse = has(key.task());
+        long used = tasks.values().stream().filter(each -> each.cause == null).count();
+        tasks.put(key, task);
+        if (inUse || used >= 2) {
+          task.cause = inUse ? Cause.IN_USE : Cause.FULL;
+          return;
+        }
+        for (Worker other : workers) {
+          if (other != this && other.has(key.task())) {
+            broken.add(key + " on " + machine.id() + " and " + other.machine.id() + " at " + now());
+          }
+        }
+        later(
+            done.contains(key.task().index())
+                ? 0.2
+                : random.nextBoolean() ? between(0.1, 1) : between(1, 8),
+            () ->
+                whenGoing(
+                    () -> {
+                      if (tasks.get(key) == task && task.cause == null) {
                         done.add(key.task().index());
                         exit(key, task, Cause.DONE);
-                    }
-                }));
-                soon(0.5);
-            }
-
-            private void exit(Key key, Task task, Cause cause) {
-                if (task != null && tasks.get(key) == task && task.cause == null) {
-                    task.cause = cause;
-                    soon(0.5);
-                }
-            }
+                      }
+                    }));
+        soon(0.5);
+      }
+
+      private void exit(Key key, Task task, Cause cause) {
+        if (task != null && tasks.get(key) == task && task.cause == null) {
+          task.cause = cause;
+          soon(0.5);
         }
+      }
     }
-
-    private static void play(long seed) {
-        Model model = new Model(seed);
-        model.play();
-        assertEquals(List.of(), model.broken, "seed " + seed);
-        assertTrue(model.done.containsAll(model.finished), "seed " + seed + ": called done and is not");
-        assertEquals(TASKS, model.finished.size(), "seed " + seed + ": " + model.left());
-    }
-
-    /** Among them, days that show each guard out: late reports (most of them), clears (20, 24), doubts (2), commands in flight (44), leases (59). */
-    @Test
-    void noTaskIsOnTwoMachinesAndAllEnd() {
-        LongStream.concat(LongStream.rangeClosed(1, 24), LongStream.of(31, 38, 44, 56, 59)).forEach(HolderModelTest::play);
-    }
-
-    @Test
-    @Tag("seeds")
-    void theSameForManySeeds() {
-        String[] range = System.getProperty("seeds", "20000-24999").split("-");
-        LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1])).parallel().forEach(HolderModelTest::play);
-    }
+  }
+
+  private static void play(long seed) {
+    Model model = new Model(seed);
+    model.play();
+    assertEquals(List.of(), model.broken, "seed " + seed);
+    assertTrue(model.done.containsAll(model.finished), "seed " + seed + ": called done and is not");
+    assertEquals(TASKS, model.finished.size(), "seed " + seed + ": " + model.left());
+  }
+
+  /**
+   * Among them, days that show each guard out: late reports (most of them), clears (20, 24), doubts
+   * (2), commands in flight (44), leases (59).
+   */
+  @Test
+  void noTaskIsOnTwoMachinesAndAllEnd() {
+    LongStream.concat(LongStream.rangeClosed(1, 24), LongStream.of(31, 38, 44, 56, 59))
+        .forEach(HolderModelTest::play);
+  }
+
+  @Test
+  @Tag("seeds")
+  void theSameForManySeeds() {
+    String[] range = System.getProperty("seeds", "20000-24999").split("-");
+    LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]))
+        .parallel()
+        .forEach(HolderModelTest::play);
+  }
 }
--- a/src/test/java/org/quincecross/block/LastAnswersTest.java
+++ b/src/test/java/org/quincecross/block/LastAnswersTest.java
@@ -15,39 +15,42 @@
 import org.quincecross.wire.WorkerReport.Piece;
 import org.quincecross.wire.WorkerReport.TaskState;
 
-/** Until when a machine is answered that may have a cancelled task which the answer does not stop (incident start-after-cancel). */
+/**
+ * Until when a machine is answered that may have a cancelled task which the answer does not stop
+ * (incident start-after-cancel).
+ */
 class LastAnswersTest extends HolderHarness {
-    private void cancel() {
-        put(Keys.job(TASK.job()), ledger.job(TASK.job()).cancelled(1000));
-        holder.jobsChanged(Set.of(TASK.job()));
-    }
+  private void cancel() {
+    put(Keys.job(TASK.job()), ledger.job(TASK.job()).cancelled(1000));
+    holder.jobsChanged(Set.of(TASK.job()));
+  }
 
-    private byte[] report(Token token, List<Piece> pieces) {
-        clock.advance(1);
-        return holder.answer(new WorkerReport(MACHINE, 1, ++order, token, null, pieces));
-    }
+  private byte[] report(Token token, List<Piece> pieces) {
+    clock.advance(1);
+    return holder.answer(new WorkerReport(MACHINE, 1, ++order, token, null, pieces));
+  }
 
-    @Test
-    void aMachineThatMayYetStartACancelledTaskIsNotAnsweredForLong() {
-        Attempt attempt = attempt();
-        directIsNeverAnswered();
-        cancel();
-        assertNotNull(report(holder.lease().token(), List.of()));
-        longCancelled = true;
-        assertNull(report(holder.lease().token(), List.of()));
-        assertTrue(answer(List.of(piece(attempt, TaskState.RUNNING, null))).contains("halt"));
-    }
+  @Test
+  void aMachineThatMayYetStartACancelledTaskIsNotAnsweredForLong() {
+    Attempt attempt = attempt();
+    directIsNeverAnswered();
+    cancel();
+    assertNotNull(report(holder.lease().token(), List.of()));
+    longCancelled = true;
+    assertNull(report(holder.lease().token(), List.of()));
+    assertTrue(answer(List.of(piece(attempt, TaskState.RUNNING, null))).contains("halt"));
+  }
 
-    @Test
-    void aMachineThatDoesNotObeyYetIsNotAnsweredForLongWhereACancelledTaskMayBeThere() {
-        calls.remove(calls.size() - 1).accept(HttpOutcome.failed(true));
-        cancel();
-        holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
-        Token former = new Token(holder.lease().token().number() - 1);
-        assertNotNull(report(former, List.of()));
-        longCancelled = true;
-        assertNull(report(former, List.of()));
-        // Once it obeys, what it has is known.
-        assertNotNull(report(holder.lease().token(), List.of()));
-    }
+  @Test
+  void aMachineThatDoesNotObeyYetIsNotAnsweredForLongWhereACancelledTaskMayBeThere() {
+    calls.remove(calls.size() - 1).accept(HttpOutcome.failed(true));
+    cancel();
+    holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
+    Token former = new Token(holder.lease().token().number() - 1);
+    assertNotNull(report(former, List.of()));
+    longCancelled = true;
+    assertNull(report(former, List.of()));
+    // Once it obeys, what it has is known.
+    assertNotNull(report(holder.lease().token(), List.of()));
+  }
 }
