--- a/src/test/java/org/quincecross/block/SessionTest.java
+++ b/src/test/java/org/quincecross/block/SessionTest.java
@@ -15,40 +15,42 @@
 import org.quincecross.wire.WorkerReport;
 
 class SessionTest {
-    private static final Token FORMER = new Token(5);
-    private static final Token PRESENT = new Token(9);
-    private static final Span LEASE = Span.ofSeconds(12);
+  private static final Token FORMER = new Token(5);
+  private static final Token PRESENT = new Token(9);
+  private static final Span LEASE = Span.ofSeconds(12);
 
-    private final Machine machine = new Machine(new MachineId("m-1"), new Endpoint("10.0.0.9", 9000), "box", "a", false);
-    private final Session session = new Session(machine, new Resources(8, 0, 32), 10, at(0), at(0));
+  private final Machine machine =
+      new Machine(new MachineId("m-1"), new Endpoint("10.0.0.9", 9000), "box", "a", false);
+  private final Session session = new Session(machine, new Resources(8, 0, 32), 10, at(0), at(0));
 
-    private static SteadyTime at(double seconds) {
-        return SteadyTime.ZERO.plus(Span.ofSeconds(seconds));
-    }
+  private static SteadyTime at(double seconds) {
+    return SteadyTime.ZERO.plus(Span.ofSeconds(seconds));
+  }
 
-    /** Comes, is taken and is answered, and the machine does not hear the answer. */
-    private void report(long number, long order, double atS) {
-        WorkerReport report = new WorkerReport(machine, number, order, FORMER, null, List.of());
-        if (session.report() != null) {
-            session.provesNoneTaken(report, PRESENT);
-        }
-        session.take(report, true, at(atS));
-        session.answered(report, at(atS));
+  /** Comes, is taken and is answered, and the machine does not hear the answer. */
+  private void report(long number, long order, double atS) {
+    WorkerReport report = new WorkerReport(machine, number, order, FORMER, null, List.of());
+    if (session.report() != null) {
+      session.provesNoneTaken(report, PRESENT);
     }
+    session.take(report, true, at(atS));
+    session.answered(report, at(atS));
+  }
 
-    /**
-     * A deaf machine's lease runs out, and its next session, which began after all that bounds the lease of the one before, shows that
-     * no answer was taken: its lease is not over (docs/incidents/lease-of-a-new-session.md).
-     */
-    @Test
-    void thatNoAnswerWasTakenSaysNothingOfTheLeaseOfANewSession() {
-        report(1, 1, 1);
-        report(1, 2, 5);
-        assertFalse(session.leaseIsOver(LEASE, at(12.5)));
-        report(2, 3, 13.5);
-        report(2, 4, 18);
-        session.provesNoneTaken(new WorkerReport(machine, 2, 5, FORMER, null, List.of()), PRESENT);
-        assertFalse(session.leaseIsOver(LEASE, at(25)));
-        assertTrue(session.leaseIsOver(LEASE, at(25.6)));
-    }
+  /**
+   * A deaf machine's lease runs out, and its next session, which began after all that bounds the
+   * lease of the one before, shows that no answer was taken: its lease is not over
+   * (docs/incidents/lease-of-a-new-session.md).
+   */
+  @Test
+  void thatNoAnswerWasTakenSaysNothingOfTheLeaseOfANewSession() {
+    report(1, 1, 1);
+    report(1, 2, 5);
+    assertFalse(session.leaseIsOver(LEASE, at(12.5)));
+    report(2, 3, 13.5);
+    report(2, 4, 18);
+    session.provesNoneTaken(new WorkerReport(machine, 2, 5, FORMER, null, List.of()), PRESENT);
+    assertFalse(session.leaseIsOver(LEASE, at(25)));
+    assertTrue(session.leaseIsOver(LEASE, at(25.6)));
+  }
 }
--- a/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
@@ -10,8 +10,8 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Attempt;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Machine;
 import org.quincecross.model.Incarnation;
+import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MemberId;
 import org.quincecross.model.Revision;
@@ -20,141 +20,217 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Token;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.state.Keys;
-import org.quincecross.wire.WorkerReport;
-import org.quincecross.rollout.Terms;
 import org.quincecross.rollout.Build;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.rollout.Terms;
 import org.quincecross.state.BlockLease;
+import org.quincecross.state.Keys;
+import org.quincecross.state.MemberRecord;
 import org.quincecross.wire.Json;
+import org.quincecross.wire.WorkerReport;
 
 /**
- * A machine whose reports do not arrive while direct commands do, and whose session began after the last answer that it may have had:
- * its lease runs from when that session began, not from that answer (incident session-without-an-answer).
+ * A machine whose reports do not arrive while direct commands do, and whose session began after the
+ * last answer that it may have had: its lease runs from when that session began, not from that
+ * answer (incident session-without-an-answer).
  */
 class SessionsUnansweredTest extends HolderHarness {
-    private static final Machine OTHER = new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
+  private static final Machine OTHER =
+      new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
 
-    /** The command that was sent last is answered by the machine's report. */
-    private void answered(Machine machine, int status, long session, long token, Map<TaskId, Attempt> running) {
-        List<Object> pieces = running.entrySet().stream().<Object>map(each -> Json.object("Piece", each.getKey().toString(), "Try",
-                each.getValue().number(), "Status", "running")).toList();
-        calls.remove(calls.size() - 1).accept(HttpOutcome.answered(HttpResponse.of(status, Json.write(Json.object("Host",
-                machine.id().text(), "Addr", machine.address().toString(), "Hull", "t", "Yard", "z", "Shift", session, "Tick",
-                ++order, "Baton", token, "Pieces", pieces)))));
-    }
+  /** The command that was sent last is answered by the machine's report. */
+  private void answered(
+      Machine machine, int status, long session, long token, Map<TaskId, Attempt> running) {
+    List<Object> pieces =
+        running.entrySet().stream()
+            .<Object>map(
+                each ->
+                    Json.object(
+                        "Piece",
+                        each.getKey().toString(),
+                        "Try",
+                        each.getValue().number(),
+                        "Status",
+                        "running"))
+            .toList();
+    calls
+        .remove(calls.size() - 1)
+        .accept(
+            HttpOutcome.answered(
+                HttpResponse.of(
+                    status,
+                    Json.write(
+                        Json.object(
+                            "Host",
+                            machine.id().text(),
+                            "Addr",
+                            machine.address().toString(),
+                            "Hull",
+                            "t",
+                            "Yard",
+                            "z",
+                            "Shift",
+                            session,
+                            "Tick",
+                            ++order,
+                            "Baton",
+                            token,
+                            "Pieces",
+                            pieces)))));
+  }
 
-    private void pass(double seconds) {
-        for (double at = 0; at < seconds; at += 0.25) {
-            clock.advance(0.25);
-            holder.tick();
-        }
+  private void pass(double seconds) {
+    for (double at = 0; at < seconds; at += 0.25) {
+      clock.advance(0.25);
+      holder.tick();
     }
+  }
 
-    /** It joins, its first session ends soon after, and it is first heard by its answer to a command, in the second. */
-    @Test
-    void aMachineThatJoinsAndIsHeardByCommandsAlone() {
-        allocate(new TaskSet());
-        calls.clear();
-        clock.advance(2);
-        put(Keys.block(BLOCK), ledger.blocks().get(BLOCK).with(OTHER).write());
-        holder.renewed(ledger.blocks().get(BLOCK));
-        calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
-        pass(2.75);
-        answered(OTHER, 200, 2, 0, Map.of()); // its status
-        pass(0.25);
-        long token = holder.lease().token().number();
-        answered(OTHER, 200, 2, token, Map.of()); // it has seen the token
-        TaskId task = TASK.job().task(1);
-        allocate(only(1));
-        Attempt attempt = attempt();
-        assertEquals(1, holder.machine(OTHER.id()).tasks(), "the other is silent by now");
-        answered(OTHER, 200, 2, token, Map.of(task, attempt));
-        pass(9.5);
-        assertEquals(1, holder.machine(OTHER.id()).tasks(), "its session began 3 s after it joined");
-        pass(1.5);
-        assertEquals(0, holder.machine(OTHER.id()).tasks(), "its lease is over");
-    }
+  /**
+   * It joins, its first session ends soon after, and it is first heard by its answer to a command,
+   * in the second.
+   */
+  @Test
+  void aMachineThatJoinsAndIsHeardByCommandsAlone() {
+    allocate(new TaskSet());
+    calls.clear();
+    clock.advance(2);
+    put(Keys.block(BLOCK), ledger.blocks().get(BLOCK).with(OTHER).write());
+    holder.renewed(ledger.blocks().get(BLOCK));
+    calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
+    pass(2.75);
+    answered(OTHER, 200, 2, 0, Map.of()); // its status
+    pass(0.25);
+    long token = holder.lease().token().number();
+    answered(OTHER, 200, 2, token, Map.of()); // it has seen the token
+    TaskId task = TASK.job().task(1);
+    allocate(only(1));
+    Attempt attempt = attempt();
+    assertEquals(1, holder.machine(OTHER.id()).tasks(), "the other is silent by now");
+    answered(OTHER, 200, 2, token, Map.of(task, attempt));
+    pass(9.5);
+    assertEquals(1, holder.machine(OTHER.id()).tasks(), "its session began 3 s after it joined");
+    pass(1.5);
+    assertEquals(0, holder.machine(OTHER.id()).tasks(), "its lease is over");
+  }
 
-    /** A controller that stood still for longer than a lease: the machine is in its next session when it is given work. */
-    @Test
-    void aMachineThatIsGivenWorkByAControllerThatStoodStill() {
-        calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
-        lastConfirmed = clock.nanos();
-        clock.advance(30);
-        holder.excuse(Span.ofSeconds(30));
-        holder.tick();
-        TaskId task = TASK.job().task(1);
-        allocate(only(1));
-        answered(MACHINE, 409, 2, holder.lease().token().number(), Map.of());
-        Attempt attempt = attempt();
-        answered(MACHINE, 200, 2, holder.lease().token().number(), Map.of(task, attempt));
-        lastConfirmed = Long.MAX_VALUE;
-        pass(2);
-        assertTrue(holder.runs(task), "it is there, for as long as the second session may last");
-        pass(9);
-        assertEquals(0, holder.machine(MACHINE.id()).tasks(), "its lease is over");
-    }
+  /**
+   * A controller that stood still for longer than a lease: the machine is in its next session when
+   * it is given work.
+   */
+  @Test
+  void aMachineThatIsGivenWorkByAControllerThatStoodStill() {
+    calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
+    lastConfirmed = clock.nanos();
+    clock.advance(30);
+    holder.excuse(Span.ofSeconds(30));
+    holder.tick();
+    TaskId task = TASK.job().task(1);
+    allocate(only(1));
+    answered(MACHINE, 409, 2, holder.lease().token().number(), Map.of());
+    Attempt attempt = attempt();
+    answered(MACHINE, 200, 2, holder.lease().token().number(), Map.of(task, attempt));
+    lastConfirmed = Long.MAX_VALUE;
+    pass(2);
+    assertTrue(holder.runs(task), "it is there, for as long as the second session may last");
+    pass(9);
+    assertEquals(0, holder.machine(MACHINE.id()).tasks(), "its lease is over");
+  }
 
-    /**
-     * A new holder has a machine that hears nothing and goes from session to session, each with a lease of its own. What the former holder
-     * may have started waits for it only until the session is surely over that it may have commanded in.
-     */
-    @Test
-    void whatWaitsForADeafMachineDoesNotWaitForEver() {
-        BlockLease former = ledger.blocks().get(BLOCK).with(OTHER);
-        put(Keys.block(BLOCK), former.heldBy(new MemberRecord(new MemberId("n"), new Incarnation(2), "z", Build.BEFORE_LEVELS, Terms.NONE,
-                new Revision(1))).write());
-        holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
-        holder.answer(new WorkerReport(OTHER, 1, 1, holder.lease().token(), null, List.of()));
-        double startedAt = Double.NaN;
-        for (double at = 0; at < 120 && Double.isNaN(startedAt); at += 0.25) {
-            if (at % 5 == 1) {
-                holder.answer(new WorkerReport(MACHINE, 1 + (long) (at / 10), ++order, former.token(), null, List.of()));
-            }
-            if (at % 1 == 0) {
-                holder.answer(new WorkerReport(OTHER, 1, 2 + (long) at, holder.lease().token(), null, List.of()));
-            }
-            clock.advance(0.25);
-            holder.tick();
-            startedAt = holder.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
-        }
-        assertTrue(startedAt > 30, "a former holder goes on for 20 s, and what it has answered for a lease of 10 s: " + startedAt);
-        assertTrue(startedAt < 37, "the next report after that says enough: " + startedAt);
+  /**
+   * A new holder has a machine that hears nothing and goes from session to session, each with a
+   * lease of its own. What the former holder may have started waits for it only until the session
+   * is surely over that it may have commanded in.
+   */
+  @Test
+  void whatWaitsForADeafMachineDoesNotWaitForEver() {
+    BlockLease former = ledger.blocks().get(BLOCK).with(OTHER);
+    put(
+        Keys.block(BLOCK),
+        former
+            .heldBy(
+                new MemberRecord(
+                    new MemberId("n"),
+                    new Incarnation(2),
+                    "z",
+                    Build.BEFORE_LEVELS,
+                    Terms.NONE,
+                    new Revision(1)))
+            .write());
+    holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
+    holder.answer(new WorkerReport(OTHER, 1, 1, holder.lease().token(), null, List.of()));
+    double startedAt = Double.NaN;
+    for (double at = 0; at < 120 && Double.isNaN(startedAt); at += 0.25) {
+      if (at % 5 == 1) {
+        holder.answer(
+            new WorkerReport(
+                MACHINE, 1 + (long) (at / 10), ++order, former.token(), null, List.of()));
+      }
+      if (at % 1 == 0) {
+        holder.answer(
+            new WorkerReport(OTHER, 1, 2 + (long) at, holder.lease().token(), null, List.of()));
+      }
+      clock.advance(0.25);
+      holder.tick();
+      startedAt = holder.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
     }
+    assertTrue(
+        startedAt > 30,
+        "a former holder goes on for 20 s, and what it has answered for a lease of 10 s: "
+            + startedAt);
+    assertTrue(startedAt < 37, "the next report after that says enough: " + startedAt);
+  }
 
-    /**
-     * A machine that has begun anew under a former holder has the third one's answer, and is not heard after it; what comes are copies of
-     * what its former life said, with a lower token than it has shown since. They do not show that it has not taken that answer
-     * (docs/incidents/copies-of-a-life-before-the-last.md).
-     */
-    @Test
-    void copiesOfALifeBeforeTheLastProveNothing() {
-        long before = holder.lease().token().number();
-        for (long life = 2; life <= 3; life++) {
-            put(Keys.block(BLOCK), (life == 2 ? ledger.blocks().get(BLOCK).with(OTHER) : ledger.blocks().get(BLOCK)).heldBy(new MemberRecord(
-                    new MemberId("n"), new Incarnation(life), "z", Build.BEFORE_LEVELS, Terms.NONE, new Revision(1))).write());
-        }
-        holder = new BlockHolder(new Context() {
-            @Override
-            public boolean allHaveNoted(Revision revision) {
+  /**
+   * A machine that has begun anew under a former holder has the third one's answer, and is not
+   * heard after it; what comes are copies of what its former life said, with a lower token than it
+   * has shown since. They do not show that it has not taken that answer
+   * (docs/incidents/copies-of-a-life-before-the-last.md).
+   */
+  @Test
+  void copiesOfALifeBeforeTheLastProveNothing() {
+    long before = holder.lease().token().number();
+    for (long life = 2; life <= 3; life++) {
+      put(
+          Keys.block(BLOCK),
+          (life == 2 ? ledger.blocks().get(BLOCK).with(OTHER) : ledger.blocks().get(BLOCK))
+              .heldBy(
+                  new MemberRecord(
+                      new MemberId("n"),
+                      new Incarnation(life),
+                      "z",
+                      Build.BEFORE_LEVELS,
+                      Terms.NONE,
+                      new Revision(1)))
+              .write());
+    }
+    holder =
+        new BlockHolder(
+            new Context() {
+              @Override
+              public boolean allHaveNoted(Revision revision) {
                 return true;
-            }
-        }, ledger.blocks().get(BLOCK));
-        List<WorkerReport.Piece> runs = List.of(piece(new Attempt(77), WorkerReport.TaskState.RUNNING, null));
-        double startedAt = Double.NaN;
-        for (double at = 0; at < 40 && Double.isNaN(startedAt); at += 0.25) {
-            if (at == 5) {
-                assertNotNull(holder.answer(new WorkerReport(MACHINE, 1, 5, new Token(holder.lease().token().number() - 1), null, runs)));
-            } else if (at == 12) {
-                holder.answer(new WorkerReport(MACHINE, 1, 10, new Token(before), null, List.of()));
-            }
-            if (at % 1 == 0) {
-                holder.answer(new WorkerReport(OTHER, 1, 1 + (long) at, holder.lease().token(), null, List.of()));
-            }
-            pass(0.25);
-            startedAt = holder.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
-        }
-        assertTrue(startedAt > 15 && startedAt < 17, "the lease runs from the answer on: " + startedAt);
+              }
+            },
+            ledger.blocks().get(BLOCK));
+    List<WorkerReport.Piece> runs =
+        List.of(piece(new Attempt(77), WorkerReport.TaskState.RUNNING, null));
+    double startedAt = Double.NaN;
+    for (double at = 0; at < 40 && Double.isNaN(startedAt); at += 0.25) {
+      if (at == 5) {
+        assertNotNull(
+            holder.answer(
+                new WorkerReport(
+                    MACHINE, 1, 5, new Token(holder.lease().token().number() - 1), null, runs)));
+      } else if (at == 12) {
+        holder.answer(new WorkerReport(MACHINE, 1, 10, new Token(before), null, List.of()));
+      }
+      if (at % 1 == 0) {
+        holder.answer(
+            new WorkerReport(OTHER, 1, 1 + (long) at, holder.lease().token(), null, List.of()));
+      }
+      pass(0.25);
+      startedAt = holder.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
     }
+    assertTrue(startedAt > 15 && startedAt < 17, "the lease runs from the answer on: " + startedAt);
+  }
 }
--- a/src/test/java/org/quincecross/block/UnansweredStartTest.java
+++ b/src/test/java/org/quincecross/block/UnansweredStartTest.java
@@ -13,73 +13,85 @@
 import org.quincecross.wire.WorkerReport.Piece;
 import org.quincecross.wire.WorkerReport.TaskState;
 
-/** A direct start that was sent and never answered: the task must not wait for that answer (incident unanswered-start). */
+/**
+ * A direct start that was sent and never answered: the task must not wait for that answer (incident
+ * unanswered-start).
+ */
 class UnansweredStartTest extends HolderHarness {
-    @Test
-    void aTaskThatWasStoppedIsGoneOnceItsExitIsReported() {
-        Attempt attempt = attempt();
-        directIsNeverAnswered();
-        beat(List.of(piece(attempt, TaskState.RUNNING, null)));
-        allocate(new TaskSet());
-        String stop = answer(List.of(piece(attempt, TaskState.RUNNING, null)));
-        assertTrue(stop.contains("halt"), stop);
-        String after = answer(List.of(piece(attempt, TaskState.EXITED, Cause.STOPPED)));
-        assertEquals(0, holder.completed().size() + holder.machine(MACHINE.id()).tasks());
-        // The exit is what makes the late start harmless: it must stay.
-        assertFalse(after.contains("clear"), after);
-        assertFalse(holder.isInDoubt());
-    }
+  @Test
+  void aTaskThatWasStoppedIsGoneOnceItsExitIsReported() {
+    Attempt attempt = attempt();
+    directIsNeverAnswered();
+    beat(List.of(piece(attempt, TaskState.RUNNING, null)));
+    allocate(new TaskSet());
+    String stop = answer(List.of(piece(attempt, TaskState.RUNNING, null)));
+    assertTrue(stop.contains("halt"), stop);
+    String after = answer(List.of(piece(attempt, TaskState.EXITED, Cause.STOPPED)));
+    assertEquals(0, holder.completed().size() + holder.machine(MACHINE.id()).tasks());
+    // The exit is what makes the late start harmless: it must stay.
+    assertFalse(after.contains("clear"), after);
+    assertFalse(holder.isInDoubt());
+  }
 
-    @Test
-    void aTaskThatFailedGoesElsewhere() {
-        Attempt attempt = attempt();
-        directIsNeverAnswered();
-        beat(List.of(piece(attempt, TaskState.RUNNING, null)));
-        String after = answer(List.of(piece(attempt, TaskState.EXITED, Cause.ERROR)));
-        assertEquals(List.of(TASK), holder.released());
-        assertFalse(after.contains("clear"), after);
-    }
+  @Test
+  void aTaskThatFailedGoesElsewhere() {
+    Attempt attempt = attempt();
+    directIsNeverAnswered();
+    beat(List.of(piece(attempt, TaskState.RUNNING, null)));
+    String after = answer(List.of(piece(attempt, TaskState.EXITED, Cause.ERROR)));
+    assertEquals(List.of(TASK), holder.released());
+    assertFalse(after.contains("clear"), after);
+  }
 
-    /** The machine may still get the start, so its task counts as there; only a higher token can end that. */
-    @Test
-    void aStartThatNeverShowedBeforeItsStopAsksForANewToken() {
-        directIsNeverAnswered();
-        allocate(new TaskSet());
-        for (int i = 0; i < 30; i++) {
-            assertEquals(i > 8, holder.isInDoubt(), "after " + i + " s");
-            beat(List.of());
-        }
-        assertEquals(1, holder.machine(MACHINE.id()).tasks());
+  /**
+   * The machine may still get the start, so its task counts as there; only a higher token can end
+   * that.
+   */
+  @Test
+  void aStartThatNeverShowedBeforeItsStopAsksForANewToken() {
+    directIsNeverAnswered();
+    allocate(new TaskSet());
+    for (int i = 0; i < 30; i++) {
+      assertEquals(i > 8, holder.isInDoubt(), "after " + i + " s");
+      beat(List.of());
     }
+    assertEquals(1, holder.machine(MACHINE.id()).tasks());
+  }
 
-    /** A machine that keeps an exit reports it beside the next attempt of the same task: the one says nothing of the other. */
-    @Test
-    void theExitOfAnEarlierAttemptDoesNotStandForTheNextOne() {
-        Attempt first = attempt();
-        directIsNeverAnswered();
-        List<Piece> exit = List.of(piece(first, TaskState.EXITED, Cause.STOPPED));
-        String again = answer(exit);
-        assertTrue(again.contains("start") && !again.contains(":" + first.number() + "}"), again); // and it gets lost
-        allocate(new TaskSet());
-        beat(exit);
-        assertEquals(0, holder.machine(MACHINE.id()).tasks());
-    }
+  /**
+   * A machine that keeps an exit reports it beside the next attempt of the same task: the one says
+   * nothing of the other.
+   */
+  @Test
+  void theExitOfAnEarlierAttemptDoesNotStandForTheNextOne() {
+    Attempt first = attempt();
+    directIsNeverAnswered();
+    List<Piece> exit = List.of(piece(first, TaskState.EXITED, Cause.STOPPED));
+    String again = answer(exit);
+    assertTrue(
+        again.contains("start") && !again.contains(":" + first.number() + "}"),
+        again); // and it gets lost
+    allocate(new TaskSet());
+    beat(exit);
+    assertEquals(0, holder.machine(MACHINE.id()).tasks());
+  }
 
-    /**
-     * A start that goes out with the answer to a report may arrive after a direct command that was sent later: what it
-     * started must not be cleared before the worker's next report, or it would start anew.
-     */
-    @Test
-    void nothingIsClearedWhileAnAnswerThatStartsItMayBeUnderWay() {
-        Attempt attempt = attempt();
-        calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
-        assertTrue(answer(List.of()).contains("start"));
-        allocate(only(1));
-        Piece exit = piece(attempt, TaskState.EXITED, Cause.STOPPED);
-        directIsAnswered(List.of(exit));
-        allocate(only(2));
-        String command = sent.get(sent.size() - 1);
-        assertTrue(command.contains("start") && !command.contains("clear"), command);
-        assertTrue(answer(List.of(exit)).contains("clear"));
-    }
+  /**
+   * A start that goes out with the answer to a report may arrive after a direct command that was
+   * sent later: what it started must not be cleared before the worker's next report, or it would
+   * start anew.
+   */
+  @Test
+  void nothingIsClearedWhileAnAnswerThatStartsItMayBeUnderWay() {
+    Attempt attempt = attempt();
+    calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
+    assertTrue(answer(List.of()).contains("start"));
+    allocate(only(1));
+    Piece exit = piece(attempt, TaskState.EXITED, Cause.STOPPED);
+    directIsAnswered(List.of(exit));
+    allocate(only(2));
+    String command = sent.get(sent.size() - 1);
+    assertTrue(command.contains("start") && !command.contains("clear"), command);
+    assertTrue(answer(List.of(exit)).contains("clear"));
+  }
 }
--- a/src/test/java/org/quincecross/block/WaitingJobTest.java
+++ b/src/test/java/org/quincecross/block/WaitingJobTest.java
@@ -27,39 +27,75 @@
 import org.quincecross.state.MemberRecord;
 import org.quincecross.wire.CloudCodec;
 
-/** A holder starts nothing of a job that waits for another, whatever its block has been given: that goes back. */
+/**
+ * A holder starts nothing of a job that waits for another, whatever its block has been given: that
+ * goes back.
+ */
 class WaitingJobTest extends HolderHarness {
-    private static Job job(JobId id, Set<JobId> waitsOn) {
-        return new Job(id, "c", "team", Shape.ARRAY, Rank.HIGH, 1, new Resources(1, 0, 1), null, null, false, false, false, "i", 1,
-                Span.ofSeconds(10), Span.ZERO, Span.ZERO, null, waitsOn);
-    }
+  private static Job job(JobId id, Set<JobId> waitsOn) {
+    return new Job(
+        id,
+        "c",
+        "team",
+        Shape.ARRAY,
+        Rank.HIGH,
+        1,
+        new Resources(1, 0, 1),
+        null,
+        null,
+        false,
+        false,
+        false,
+        "i",
+        1,
+        Span.ofSeconds(10),
+        Span.ZERO,
+        Span.ZERO,
+        null,
+        waitsOn);
+  }
 
-    /** A machine without any task. */
-    @Override
-    void aStartIsSent() {
-    }
+  /** A machine without any task. */
+  @Override
+  void aStartIsSent() {}
 
-    @Test
-    void givesItBackUntilThatIsDone() {
-        put(Keys.type("t"), CloudCodec.writeCatalog(List.of(new MachineType("t", new Resources(8, 0, 8), 10, 1, 1, 1, Span.ofSeconds(5), List.of("z")))));
-        put(Keys.block(BLOCK), BlockLease.first(BLOCK, new MemberRecord(new MemberId("n"), new Incarnation(1), "z", Build.BEFORE_LEVELS, Terms.NONE,
-                new Revision(1)), MACHINE).write());
-        holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
-        calls.remove(0).accept(HttpOutcome.failed(false));
-        beat(List.of());
-        JobId first = new JobId("job-8");
-        JobId next = new JobId("job-9");
-        put(Keys.job(first), JobRecord.open(job(first, Set.of()), 0));
-        put(Keys.job(next), JobRecord.open(job(next, Set.of(first)), 0));
-        put(Keys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
-        holder.sync();
-        beat(List.of());
-        assertEquals(List.of(next.task(0)), holder.released());
-        put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
-        holder.sync();
-        put(Keys.job(first), ledger.job(first).done());
-        put(Keys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
-        holder.sync();
-        assertTrue(sent.get(sent.size() - 1).contains("job-9/0"), sent.toString());
-    }
+  @Test
+  void givesItBackUntilThatIsDone() {
+    put(
+        Keys.type("t"),
+        CloudCodec.writeCatalog(
+            List.of(
+                new MachineType(
+                    "t", new Resources(8, 0, 8), 10, 1, 1, 1, Span.ofSeconds(5), List.of("z")))));
+    put(
+        Keys.block(BLOCK),
+        BlockLease.first(
+                BLOCK,
+                new MemberRecord(
+                    new MemberId("n"),
+                    new Incarnation(1),
+                    "z",
+                    Build.BEFORE_LEVELS,
+                    Terms.NONE,
+                    new Revision(1)),
+                MACHINE)
+            .write());
+    holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
+    calls.remove(0).accept(HttpOutcome.failed(false));
+    beat(List.of());
+    JobId first = new JobId("job-8");
+    JobId next = new JobId("job-9");
+    put(Keys.job(first), JobRecord.open(job(first, Set.of()), 0));
+    put(Keys.job(next), JobRecord.open(job(next, Set.of(first)), 0));
+    put(Keys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
+    holder.sync();
+    beat(List.of());
+    assertEquals(List.of(next.task(0)), holder.released());
+    put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
+    holder.sync();
+    put(Keys.job(first), ledger.job(first).done());
+    put(Keys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
+    holder.sync();
+    assertTrue(sent.get(sent.size() - 1).contains("job-9/0"), sent.toString());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
@@ -20,148 +20,212 @@
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Json;
 
-/** Records that three controllers agree on, and what they keep from running, among troubles, in virtual time. */
+/**
+ * Records that three controllers agree on, and what they keep from running, among troubles, in
+ * virtual time.
+ */
 class AgreedCasesTest {
-    private final AgreedDay day = new AgreedDay(7);
+  private final AgreedDay day = new AgreedDay(7);
 
-    AgreedCasesTest() throws BadMessage {
-    }
+  AgreedCasesTest() throws BadMessage {}
 
-    /** Requests come twice, at two controllers at once, and again later; some transactions are applied seconds after they were given up. */
-    @ParameterizedTest
-    @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
-    void eachRequestIsOneChange(long seed, int trouble) throws BadMessage {
-        AgreedDay drawn = new AgreedDay(seed);
-        drawn.world.state().applyLate(4);
-        for (int i = 0; i < 30; i++) {
-            String name = "pass-" + i;
-            int node = i;
-            double at = AgreedDay.READY_S + 20 + 0.7 * i;
-            drawn.world.time().at(at, () -> drawn.ask(node, "count", name, "pass"));
-            drawn.world.time().at(at + 0.003, () -> drawn.ask(node + 1, "count", name, "pass"));
-            drawn.world.time().at(at + 40, () -> drawn.ask(node + 2, "count", name, "pass"));
-        }
-        drawn.world.time().at(AgreedDay.READY_S + 30, () -> drawn.trouble(trouble));
-        // A request is known for two minutes by its name: later ones wait until there is room for theirs.
-        drawn.world.time().runUntil(AgreedDay.READY_S + 700);
-        assertEquals(List.of(), drawn.wrong);
-        assertEquals(30, drawn.told.size(), () -> drawn.told.keySet().toString());
-        assertEquals(Set.copyOf(drawn.told.values()).size(), 30);
-        for (AgreedDay.Gates each : drawn.gates) {
-            assertEquals(30, each.book.state("count").passed());
-        }
-        assertFalse(drawn.gates[0].book.pages().isEmpty(), "no page of the trail");
-        assertEquals(30, drawn.get(1, "/gate/trail").objects("lines").size());
+  /**
+   * Requests come twice, at two controllers at once, and again later; some transactions are applied
+   * seconds after they were given up.
+   */
+  @ParameterizedTest
+  @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
+  void eachRequestIsOneChange(long seed, int trouble) throws BadMessage {
+    AgreedDay drawn = new AgreedDay(seed);
+    drawn.world.state().applyLate(4);
+    for (int i = 0; i < 30; i++) {
+      String name = "pass-" + i;
+      int node = i;
+      double at = AgreedDay.READY_S + 20 + 0.7 * i;
+      drawn.world.time().at(at, () -> drawn.ask(node, "count", name, "pass"));
+      drawn.world.time().at(at + 0.003, () -> drawn.ask(node + 1, "count", name, "pass"));
+      drawn.world.time().at(at + 40, () -> drawn.ask(node + 2, "count", name, "pass"));
     }
-
-    /** What is kept back is stopped, proven gone and started again, whatever comes in between; what runs is the proof's business alone. */
-    @ParameterizedTest
-    @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
-    void whatIsKeptBackDoesNotRun(long seed, int trouble) throws BadMessage {
-        AgreedDay drawn = new AgreedDay(seed);
-        drawn.world.state().applyLate(20);
-        int i = 0;
-        for (JobId id : drawn.jobs.keySet()) {
-            int n = ++i;
-            drawn.world.time().at(AgreedDay.READY_S + 10 + 0.9 * n, () -> drawn.ask(n, id.text(), "close-" + id, "close"));
-            drawn.world.time().at(AgreedDay.READY_S + 110 + 0.9 * n, () -> drawn.ask(n + 1, id.text(), "open-" + id, "open"));
-        }
-        drawn.world.time().at(AgreedDay.READY_S + 16, () -> drawn.trouble(trouble));
-        drawn.world.time().runUntil(AgreedDay.READY_S + 109);
-        assertEquals(drawn.jobs.keySet(), drawn.proven.keySet());
-        assertEquals(0, drawn.world.rules().onMachines());
-        for (JobId id : drawn.jobs.keySet()) {
-            assertTrue(Set.of("queued", "done").contains(drawn.world.users().told().get(id)), id.text());
-        }
-        drawn.assertAllIsWell(AgreedDay.READY_S + 360);
+    drawn.world.time().at(AgreedDay.READY_S + 30, () -> drawn.trouble(trouble));
+    // A request is known for two minutes by its name: later ones wait until there is room for
+    // theirs.
+    drawn.world.time().runUntil(AgreedDay.READY_S + 700);
+    assertEquals(List.of(), drawn.wrong);
+    assertEquals(30, drawn.told.size(), () -> drawn.told.keySet().toString());
+    assertEquals(Set.copyOf(drawn.told.values()).size(), 30);
+    for (AgreedDay.Gates each : drawn.gates) {
+      assertEquals(30, each.book.state("count").passed());
     }
+    assertFalse(drawn.gates[0].book.pages().isEmpty(), "no page of the trail");
+    assertEquals(30, drawn.get(1, "/gate/trail").objects("lines").size());
+  }
 
-    /** The leader has planned allocations and stands still before it sends them; meanwhile a gate closes and it is proven that nothing runs. */
-    @Test
-    void whatWasPlannedBeforeItWasKeptBackIsNotAllocated() throws BadMessage {
-        day.world.time().runUntil(AgreedDay.READY_S + 10);
-        JobId late = new JobId("job-4711");
-        Job like = day.jobs.values().stream().filter(job -> job.shape() == Shape.ARRAY).findFirst().orElseThrow();
-        Job job = new Job(late, like.jobClass(), like.team(), Shape.ARRAY, Rank.PRODUCTION, 5, like.each(), null, null, false, false, false, like.image(),
-                like.imageGb(), like.estimate(), like.checkpointEvery(), like.saveTime(), null);
-        day.jobs.put(late, job);
-        day.world.mishapAt(request -> request.startsWith("POST /txn") && (request.contains("q/alloc") || request.contains("q/change"))
-                && request.contains("\"4711\""), 2, World.Mishap.STILL_BEFORE);
-        day.world.users().submit(job);
-        double until = AgreedDay.READY_S + 11;
-        while (day.world.mishapHit() < 0 && until < AgreedDay.READY_S + 15) {
-            until += 0.01;
-            day.world.time().runUntil(until);
-        }
-        int leader = day.world.mishapHit();
-        assertTrue(leader >= 0, "never allocated");
-        day.ask(leader + 1, late.text(), "close", "close");
-        day.world.time().runUntil(until + 1.5);
-        assertTrue(day.proven.containsKey(late), "not proven before the transaction is sent");
-        day.world.time().runUntil(AgreedDay.READY_S + 30);
-        assertEquals(List.of(), day.wrong);
-        day.ask(leader, late.text(), "open", "open");
-        day.assertAllIsWell(AgreedDay.READY_S + 200);
+  /**
+   * What is kept back is stopped, proven gone and started again, whatever comes in between; what
+   * runs is the proof's business alone.
+   */
+  @ParameterizedTest
+  @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
+  void whatIsKeptBackDoesNotRun(long seed, int trouble) throws BadMessage {
+    AgreedDay drawn = new AgreedDay(seed);
+    drawn.world.state().applyLate(20);
+    int i = 0;
+    for (JobId id : drawn.jobs.keySet()) {
+      int n = ++i;
+      drawn
+          .world
+          .time()
+          .at(
+              AgreedDay.READY_S + 10 + 0.9 * n,
+              () -> drawn.ask(n, id.text(), "close-" + id, "close"));
+      drawn
+          .world
+          .time()
+          .at(
+              AgreedDay.READY_S + 110 + 0.9 * n,
+              () -> drawn.ask(n + 1, id.text(), "open-" + id, "open"));
+    }
+    drawn.world.time().at(AgreedDay.READY_S + 16, () -> drawn.trouble(trouble));
+    drawn.world.time().runUntil(AgreedDay.READY_S + 109);
+    assertEquals(drawn.jobs.keySet(), drawn.proven.keySet());
+    assertEquals(0, drawn.world.rules().onMachines());
+    for (JobId id : drawn.jobs.keySet()) {
+      assertTrue(Set.of("queued", "done").contains(drawn.world.users().told().get(id)), id.text());
     }
+    drawn.assertAllIsWell(AgreedDay.READY_S + 360);
+  }
 
-    /** While one controller has a build that lacks it, nothing is changed, and the answer names it; then its successor can. */
-    @Test
-    void refusedUntilAllHaveIt() throws BadMessage {
-        day.world.install(2, AgreedDay.OLD);
-        day.world.crash(2);
-        day.world.time().runUntil(AgreedDay.READY_S + 10);
-        List<String> answers = new ArrayList<>();
-        for (int node = 0; node < 3; node++) {
-            day.world.ask(node, AgreedDay.post("count", "early", "pass"), response -> answers.add(response.status() + " " + new String(response.body())));
-        }
-        day.world.time().runUntil(AgreedDay.READY_S + 12);
-        assertEquals(3, answers.size());
-        for (String answer : answers) {
-            assertTrue(answer.startsWith("409") && answer.contains("n2, whose build (old) ends at level 2"), answer);
-        }
-        assertTrue(day.world.state().under("q/agreed/").isEmpty());
-        day.world.roll(2, AgreedDay.NEW);
-        day.world.time().runUntil(AgreedDay.READY_S + 40);
-        day.ask(2, "count", "early", "pass");
-        day.world.time().runUntil(AgreedDay.READY_S + 42);
-        assertEquals(1L, day.told.get("early"));
+  /**
+   * The leader has planned allocations and stands still before it sends them; meanwhile a gate
+   * closes and it is proven that nothing runs.
+   */
+  @Test
+  void whatWasPlannedBeforeItWasKeptBackIsNotAllocated() throws BadMessage {
+    day.world.time().runUntil(AgreedDay.READY_S + 10);
+    JobId late = new JobId("job-4711");
+    Job like =
+        day.jobs.values().stream()
+            .filter(job -> job.shape() == Shape.ARRAY)
+            .findFirst()
+            .orElseThrow();
+    Job job =
+        new Job(
+            late,
+            like.jobClass(),
+            like.team(),
+            Shape.ARRAY,
+            Rank.PRODUCTION,
+            5,
+            like.each(),
+            null,
+            null,
+            false,
+            false,
+            false,
+            like.image(),
+            like.imageGb(),
+            like.estimate(),
+            like.checkpointEvery(),
+            like.saveTime(),
+            null);
+    day.jobs.put(late, job);
+    day.world.mishapAt(
+        request ->
+            request.startsWith("POST /txn")
+                && (request.contains("q/alloc") || request.contains("q/change"))
+                && request.contains("\"4711\""),
+        2,
+        World.Mishap.STILL_BEFORE);
+    day.world.users().submit(job);
+    double until = AgreedDay.READY_S + 11;
+    while (day.world.mishapHit() < 0 && until < AgreedDay.READY_S + 15) {
+      until += 0.01;
+      day.world.time().runUntil(until);
     }
+    int leader = day.world.mishapHit();
+    assertTrue(leader >= 0, "never allocated");
+    day.ask(leader + 1, late.text(), "close", "close");
+    day.world.time().runUntil(until + 1.5);
+    assertTrue(day.proven.containsKey(late), "not proven before the transaction is sent");
+    day.world.time().runUntil(AgreedDay.READY_S + 30);
+    assertEquals(List.of(), day.wrong);
+    day.ask(leader, late.text(), "open", "open");
+    day.assertAllIsWell(AgreedDay.READY_S + 200);
+  }
 
-    /** All know of a change soon; with one cut off it is known by time, and not before. */
-    @Test
-    void sinceWhenAllKnow() {
-        day.world.time().runUntil(AgreedDay.READY_S + 10);
-        day.ask(0, "count", "first", "pass");
-        day.world.time().runUntil(AgreedDay.READY_S + 12);
-        Revision first = day.gates[0].book.get("count").version();
-        assertEquals(KnownByAll.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
-        day.world.silence(2, 120, true);
-        day.world.time().runUntil(AgreedDay.READY_S + 18);
-        day.ask(0, "count", "second", "pass");
-        day.world.time().runUntil(AgreedDay.READY_S + 20);
-        Revision second = day.gates[0].book.get("count").version();
-        KnownByAll.Answer answer = day.gates[0].base.known().of(second);
-        assertEquals(KnownByAll.State.SPREADING, answer.state());
-        assertEquals("[n2]", answer.missing().toString());
-        double left = answer.latest().since(day.gates[0].base.timers().now()).seconds();
-        day.world.time().runUntil(AgreedDay.READY_S + 20 + left - 0.5);
-        assertEquals(KnownByAll.State.SPREADING, day.gates[0].base.known().of(second).state());
-        day.world.time().runUntil(day.world.time().seconds() + 1.5);
-        assertEquals(KnownByAll.State.KNOWN_BY_TIME, day.gates[0].base.known().of(second).state());
+  /**
+   * While one controller has a build that lacks it, nothing is changed, and the answer names it;
+   * then its successor can.
+   */
+  @Test
+  void refusedUntilAllHaveIt() throws BadMessage {
+    day.world.install(2, AgreedDay.OLD);
+    day.world.crash(2);
+    day.world.time().runUntil(AgreedDay.READY_S + 10);
+    List<String> answers = new ArrayList<>();
+    for (int node = 0; node < 3; node++) {
+      day.world.ask(
+          node,
+          AgreedDay.post("count", "early", "pass"),
+          response -> answers.add(response.status() + " " + new String(response.body())));
     }
+    day.world.time().runUntil(AgreedDay.READY_S + 12);
+    assertEquals(3, answers.size());
+    for (String answer : answers) {
+      assertTrue(
+          answer.startsWith("409") && answer.contains("n2, whose build (old) ends at level 2"),
+          answer);
+    }
+    assertTrue(day.world.state().under("q/agreed/").isEmpty());
+    day.world.roll(2, AgreedDay.NEW);
+    day.world.time().runUntil(AgreedDay.READY_S + 40);
+    day.ask(2, "count", "early", "pass");
+    day.world.time().runUntil(AgreedDay.READY_S + 42);
+    assertEquals(1L, day.told.get("early"));
+  }
+
+  /** All know of a change soon; with one cut off it is known by time, and not before. */
+  @Test
+  void sinceWhenAllKnow() {
+    day.world.time().runUntil(AgreedDay.READY_S + 10);
+    day.ask(0, "count", "first", "pass");
+    day.world.time().runUntil(AgreedDay.READY_S + 12);
+    Revision first = day.gates[0].book.get("count").version();
+    assertEquals(KnownByAll.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
+    day.world.silence(2, 120, true);
+    day.world.time().runUntil(AgreedDay.READY_S + 18);
+    day.ask(0, "count", "second", "pass");
+    day.world.time().runUntil(AgreedDay.READY_S + 20);
+    Revision second = day.gates[0].book.get("count").version();
+    KnownByAll.Answer answer = day.gates[0].base.known().of(second);
+    assertEquals(KnownByAll.State.SPREADING, answer.state());
+    assertEquals("[n2]", answer.missing().toString());
+    double left = answer.latest().since(day.gates[0].base.timers().now()).seconds();
+    day.world.time().runUntil(AgreedDay.READY_S + 20 + left - 0.5);
+    assertEquals(KnownByAll.State.SPREADING, day.gates[0].base.known().of(second).state());
+    day.world.time().runUntil(day.world.time().seconds() + 1.5);
+    assertEquals(KnownByAll.State.KNOWN_BY_TIME, day.gates[0].base.known().of(second).state());
+  }
 
-    /** A record that keeps tasks back and cannot be read: whoever reads it takes no part, for it would let them run. */
-    @ParameterizedTest
-    @ValueSource(strings = {"q/agreed/gate/job-1", "q/agreed/unknown/x"})
-    void whatCannotBeReadIsNotIgnored(String key) throws BadMessage {
-        day.world.time().runUntil(AgreedDay.READY_S + 10);
-        day.world.state().write(key, Json.object("must", true, "change", 1, "state", "from the future"));
-        day.world.time().runUntil(AgreedDay.READY_S + 16);
-        for (int node = 0; node < 3; node++) {
-            assertTrue(day.world.status(node).text("unable").contains(key), day.world.status(node).text("unable"));
-        }
-        day.world.state().write(key, null);
-        day.assertAllIsWell(AgreedDay.READY_S + 260);
-        assertFalse(day.world.leader() < 0);
+  /**
+   * A record that keeps tasks back and cannot be read: whoever reads it takes no part, for it would
+   * let them run.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"q/agreed/gate/job-1", "q/agreed/unknown/x"})
+  void whatCannotBeReadIsNotIgnored(String key) throws BadMessage {
+    day.world.time().runUntil(AgreedDay.READY_S + 10);
+    day.world
+        .state()
+        .write(key, Json.object("must", true, "change", 1, "state", "from the future"));
+    day.world.time().runUntil(AgreedDay.READY_S + 16);
+    for (int node = 0; node < 3; node++) {
+      assertTrue(
+          day.world.status(node).text("unable").contains(key),
+          day.world.status(node).text("unable"));
     }
+    day.world.state().write(key, null);
+    day.assertAllIsWell(AgreedDay.READY_S + 260);
+    assertFalse(day.world.leader() < 0);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/AgreedDay.java
@@ -30,13 +30,19 @@
 import org.quincecross.wire.Fields;
 import org.quincecross.wire.Json;
 
-/** A site with records that its three controllers agree on, and a watch over what they keep from running, in virtual time. */
+/**
+ * A site with records that its three controllers agree on, and a watch over what they keep from
+ * running, in virtual time.
+ */
 final class AgreedDay {
-    static final Build NEW = Build.present("new", 3);
-    static final Build OLD = Build.present("old", 2);
-    /** By then the level has risen twice. */
-    static final double READY_S = 40;
-    private static final String JOBS = """
+  static final Build NEW = Build.present("new", 3);
+  static final Build OLD = Build.present("old", 2);
+
+  /** By then the level has risen twice. */
+  static final double READY_S = 40;
+
+  private static final String JOBS =
+      """
             [[jobs]]
             name = "front"
             shape = "service"
@@ -60,166 +66,216 @@
             run_s = 40
             """;
 
-    /** What a controller knows of the gates. */
-    static final class Gates implements Withheld {
-        final AgreedBase base;
-        final AgreedBook<Gate.State, Gate.Command> book;
-        private final Set<JobId> closed = new HashSet<>();
-
-        Gates(AgreedBase base) {
-            this.base = base;
-            this.book = base.ledger().agreed().add(new Gate());
-            base.withheld().add(this);
-            base.ledger().listen(changes -> {
+  /** What a controller knows of the gates. */
+  static final class Gates implements Withheld {
+    final AgreedBase base;
+    final AgreedBook<Gate.State, Gate.Command> book;
+    private final Set<JobId> closed = new HashSet<>();
+
+    Gates(AgreedBase base) {
+      this.base = base;
+      this.book = base.ledger().agreed().add(new Gate());
+      base.withheld().add(this);
+      base.ledger()
+          .listen(
+              changes -> {
                 Set<JobId> changed = new HashSet<>();
-                changes.agreed().forEach(record -> {
-                    JobId job = JobId.parse(record.id());
-                    if (job != null && (book.state(record.id()).closed() ? closed.add(job) : closed.remove(job))) {
-                        changed.add(job);
-                    }
-                });
+                changes
+                    .agreed()
+                    .forEach(
+                        record -> {
+                          JobId job = JobId.parse(record.id());
+                          if (job != null
+                              && (book.state(record.id()).closed()
+                                  ? closed.add(job)
+                                  : closed.remove(job))) {
+                            changed.add(job);
+                          }
+                        });
                 base.withheld().changed(changed);
-            });
-        }
-
-        @Override
-        public TaskSet of(Job job) {
-            return closed.contains(job.id()) ? TaskSet.below(job.tasks()) : new TaskSet();
-        }
+              });
+    }
 
-        @Override
-        public String reason(JobId job) {
-            return closed.contains(job) ? "its gate is closed" : null;
-        }
+    @Override
+    public TaskSet of(Job job) {
+      return closed.contains(job.id()) ? TaskSet.below(job.tasks()) : new TaskSet();
+    }
 
-        /** Whether all tasks of a job whose gate is closed are proven gone here. */
-        boolean isProven(JobId id, int tasks) {
-            AgreedBook.Held<Gate.State> held = book.get(id.text());
-            return base.ledger().isLoaded() && held != null && held.state().closed()
-                    && Gone.of(base.ledger(), Map.of(id, TaskSet.below(tasks)), held.version()).isProven();
-        }
+    @Override
+    public String reason(JobId job) {
+      return closed.contains(job) ? "its gate is closed" : null;
     }
 
-    private final Site site = Site.tryOut(30, true);
-    final Gates[] gates = new Gates[3];
-    final World world;
-    final Map<JobId, Job> jobs = new TreeMap<>();
-    final List<String> wrong = new ArrayList<>();
-    /** Of which closing, and by which records, it was proven that nothing of a job runs. */
-    record Proven(long change, Revision by) {
+    /** Whether all tasks of a job whose gate is closed are proven gone here. */
+    boolean isProven(JobId id, int tasks) {
+      AgreedBook.Held<Gate.State> held = book.get(id.text());
+      return base.ledger().isLoaded()
+          && held != null
+          && held.state().closed()
+          && Gone.of(base.ledger(), Map.of(id, TaskSet.below(tasks)), held.version()).isProven();
     }
+  }
 
-    final Map<JobId, Proven> proven = new HashMap<>();
-    /** Requests by their names, that were told to be durable, with the change that was told. */
-    final Map<String, Long> told = new TreeMap<>();
+  private final Site site = Site.tryOut(30, true);
+  final Gates[] gates = new Gates[3];
+  final World world;
+  final Map<JobId, Job> jobs = new TreeMap<>();
+  final List<String> wrong = new ArrayList<>();
 
-    AgreedDay(long seed) throws BadMessage {
-        world = new World(site, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
-        for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
-            world.time().at(READY_S - 25 + due.atS(), () -> world.users().submit(due.job()));
-            jobs.put(due.job().id(), due.job());
-        }
-        watch();
-    }
+  /** Of which closing, and by which records, it was proven that nothing of a job runs. */
+  record Proven(long change, Revision by) {}
+
+  final Map<JobId, Proven> proven = new HashMap<>();
 
-    private void prepare(int node, Controller controller) {
-        gates[node] = new Gates(controller.agreed());
+  /** Requests by their names, that were told to be durable, with the change that was told. */
+  final Map<String, Long> told = new TreeMap<>();
+
+  AgreedDay(long seed) throws BadMessage {
+    world =
+        new World(site, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
+    for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
+      world.time().at(READY_S - 25 + due.atS(), () -> world.users().submit(due.job()));
+      jobs.put(due.job().id(), due.job());
     }
+    watch();
+  }
+
+  private void prepare(int node, Controller controller) {
+    gates[node] = new Gates(controller.agreed());
+  }
 
-    /** From when any controller has proven it, nothing of the job runs or is allocated, by the records of any, until its gate opens. */
-    private void watch() {
-        world.time().after(0.02, () -> {
-            for (JobId id : jobs.keySet()) {
+  /**
+   * From when any controller has proven it, nothing of the job runs or is allocated, by the records
+   * of any, until its gate opens.
+   */
+  private void watch() {
+    world
+        .time()
+        .after(
+            0.02,
+            () -> {
+              for (JobId id : jobs.keySet()) {
                 Object record = world.state().value("q/agreed/gate/" + id.text());
-                if (!(record instanceof Map<?, ?> map && map.get("state") instanceof Map<?, ?> state && Boolean.TRUE.equals(state.get("closed")))) {
-                    proven.remove(id);
-                    continue;
+                if (!(record instanceof Map<?, ?> map
+                    && map.get("state") instanceof Map<?, ?> state
+                    && Boolean.TRUE.equals(state.get("closed")))) {
+                  proven.remove(id);
+                  continue;
                 }
                 long change = ((Number) map.get("change")).longValue();
                 proven.computeIfPresent(id, (job, by) -> by.change() == change ? by : null);
                 for (Gates each : gates) {
-                    AgreedBook.Held<Gate.State> held = each.book.get(id.text());
-                    if (held == null || held.kept().change() != change) {
-                        continue;
-                    }
-                    Revision revision = each.base.ledger().revision();
-                    if (each.isProven(id, jobs.get(id).tasks())) {
-                        proven.putIfAbsent(id, new Proven(change, revision));
-                    } else if (proven.containsKey(id) && revision.isAfter(proven.get(id).by())) {
-                        wrong.add("at " + world.time().seconds() + " allocated after it was proven gone: " + id);
-                    }
+                  AgreedBook.Held<Gate.State> held = each.book.get(id.text());
+                  if (held == null || held.kept().change() != change) {
+                    continue;
+                  }
+                  Revision revision = each.base.ledger().revision();
+                  if (each.isProven(id, jobs.get(id).tasks())) {
+                    proven.putIfAbsent(id, new Proven(change, revision));
+                  } else if (proven.containsKey(id) && revision.isAfter(proven.get(id).by())) {
+                    wrong.add(
+                        "at "
+                            + world.time().seconds()
+                            + " allocated after it was proven gone: "
+                            + id);
+                  }
                 }
                 if (proven.containsKey(id) && world.rules().onMachines(id) > 0) {
-                    wrong.add("at " + world.time().seconds() + " runs after it was proven gone: " + id);
+                  wrong.add(
+                      "at " + world.time().seconds() + " runs after it was proven gone: " + id);
                 }
-            }
-            watch();
-        });
-    }
+              }
+              watch();
+            });
+  }
 
-    static HttpRequest post(String id, String request, String what) {
-        String body = "{\"request\": \"" + request + "\", \"by\": \"tester\", \"command\": {\"do\": \"" + what + "\"}}";
-        return HttpRequest.post("/admin/agreed/gate/" + id, body.getBytes(StandardCharsets.UTF_8));
-    }
+  static HttpRequest post(String id, String request, String what) {
+    String body =
+        "{\"request\": \""
+            + request
+            + "\", \"by\": \"tester\", \"command\": {\"do\": \""
+            + what
+            + "\"}}";
+    return HttpRequest.post("/admin/agreed/gate/" + id, body.getBytes(StandardCharsets.UTF_8));
+  }
 
-    /** Asks one controller after the other by the same name until it is known what became of it. */
-    void ask(int node, String id, String request, String what) {
-        world.around().network().call(new Life(), "operator", world.around().node(node % 3), post(id, request, what), Span.ofSeconds(6), outcome -> {
-                    if (outcome.status() == 200) {
-                        told.put(request, change(outcome.response().body()));
-                    } else if (outcome.status() == 0 || outcome.status() == 503 || outcome.status() == 429) {
-                        world.time().after(1, () -> ask(node + 1, id, request, what));
-                    } else {
-                        wrong.add(request + " was answered " + outcome.status() + " " + new String(outcome.response().body(), StandardCharsets.UTF_8));
-                    }
-                });
-    }
+  /** Asks one controller after the other by the same name until it is known what became of it. */
+  void ask(int node, String id, String request, String what) {
+    world
+        .around()
+        .network()
+        .call(
+            new Life(),
+            "operator",
+            world.around().node(node % 3),
+            post(id, request, what),
+            Span.ofSeconds(6),
+            outcome -> {
+              if (outcome.status() == 200) {
+                told.put(request, change(outcome.response().body()));
+              } else if (outcome.status() == 0
+                  || outcome.status() == 503
+                  || outcome.status() == 429) {
+                world.time().after(1, () -> ask(node + 1, id, request, what));
+              } else {
+                wrong.add(
+                    request
+                        + " was answered "
+                        + outcome.status()
+                        + " "
+                        + new String(outcome.response().body(), StandardCharsets.UTF_8));
+              }
+            });
+  }
 
-    private static long change(byte[] body) {
-        try {
-            return Json.parseFields(body).unsigned("change");
-        } catch (BadMessage e) {
-            throw new IllegalStateException(e);
-        }
+  private static long change(byte[] body) {
+    try {
+      return Json.parseFields(body).unsigned("change");
+    } catch (BadMessage e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    /** What a controller answers, asked again after 503 as its page says, for ten seconds at the most. */
-    Fields get(int node, String path) throws BadMessage {
-        HttpResponse[] last = new HttpResponse[1];
-        for (int i = 0; i < 10 && (last[0] == null || last[0].status() == 503); i++) {
-            last[0] = null;
-            world.ask(node, HttpRequest.get("/admin/agreed" + path), response -> last[0] = response);
-            world.time().runUntil(world.time().seconds() + 1);
-        }
-        assertEquals(200, last[0].status());
-        return Json.parseFields(last[0].body());
+  /**
+   * What a controller answers, asked again after 503 as its page says, for ten seconds at the most.
+   */
+  Fields get(int node, String path) throws BadMessage {
+    HttpResponse[] last = new HttpResponse[1];
+    for (int i = 0; i < 10 && (last[0] == null || last[0].status() == 503); i++) {
+      last[0] = null;
+      world.ask(node, HttpRequest.get("/admin/agreed" + path), response -> last[0] = response);
+      world.time().runUntil(world.time().seconds() + 1);
     }
+    assertEquals(200, last[0].status());
+    return Json.parseFields(last[0].body());
+  }
 
-    void trouble(int which) {
-        switch (which) {
-            case 0 -> world.state().outage(8);
-            case 1 -> {
-                for (int node = 0; node < 3; node++) {
-                    world.crash(node);
-                }
-            }
-            case 2 -> world.crash(Math.max(0, world.leader()));
-            case 3 -> world.standStill(Math.max(0, world.leader()), 9);
-            case 4 -> world.silence(Math.max(0, world.leader()), 20, true);
-            default -> world.state().refuse(Site.nodeName(Math.max(0, world.leader())), 20);
+  void trouble(int which) {
+    switch (which) {
+      case 0 -> world.state().outage(8);
+      case 1 -> {
+        for (int node = 0; node < 3; node++) {
+          world.crash(node);
         }
+      }
+      case 2 -> world.crash(Math.max(0, world.leader()));
+      case 3 -> world.standStill(Math.max(0, world.leader()), 9);
+      case 4 -> world.silence(Math.max(0, world.leader()), 20, true);
+      default -> world.state().refuse(Site.nodeName(Math.max(0, world.leader())), 20);
     }
+  }
 
-    void assertAllIsWell(double untilS) {
-        world.time().runUntil(untilS);
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(List.of(), wrong);
-        jobs.forEach((id, job) -> {
-            if (job.shape() == Shape.ARRAY) {
-                assertEquals("done", world.users().told().get(id), id.text());
-            } else {
-                assertEquals(job.tasks(), world.rules().onMachines(id), id.text());
-            }
+  void assertAllIsWell(double untilS) {
+    world.time().runUntil(untilS);
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), wrong);
+    jobs.forEach(
+        (id, job) -> {
+          if (job.shape() == Shape.ARRAY) {
+            assertEquals("done", world.users().told().get(id), id.text());
+          } else {
+            assertEquals(job.tasks(), world.rules().onMachines(id), id.text());
+          }
         });
-    }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/AnswersInTimeTest.java
+++ b/src/test/java/org/quincecross/emulator/AnswersInTimeTest.java
@@ -9,63 +9,76 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Whatever the state service does, a user is answered well before he stops waiting: 5 s for a submission or a
- * cancellation, 2 s for a poll.
+ * Whatever the state service does, a user is answered well before he stops waiting: 5 s for a
+ * submission or a cancellation, 2 s for a poll.
  */
 class AnswersInTimeTest {
-    private static final double MOST_CHANGE_S = 3.3;
-    private static final double MOST_POLL_S = 1.7;
+  private static final double MOST_CHANGE_S = 3.3;
+  private static final double MOST_POLL_S = 1.7;
 
-    enum Trouble { OUT, REFUSED_ALONE, SILENT, HELD, SLOW_AND_LATE, OUT_AGAIN_AND_AGAIN, ALL_CRASH_IN_AN_OUTAGE }
+  enum Trouble {
+    OUT,
+    REFUSED_ALONE,
+    SILENT,
+    HELD,
+    SLOW_AND_LATE,
+    OUT_AGAIN_AND_AGAIN,
+    ALL_CRASH_IN_AN_OUTAGE
+  }
 
-    @ParameterizedTest
-    @EnumSource(Trouble.class)
-    void everyRequestIsAnsweredInTime(Trouble trouble) {
-        World world = new World(7);
-        for (int i = 0; i < 150; i++) {
-            int number = 1000 + i;
-            world.time().at(4 + i * 0.35, () -> world.users().submit(number));
-        }
-        world.time().at(15, () -> begin(world, trouble));
-        world.time().runUntil(110);
-        Map<String, Double> longest = world.longestAnswers();
-        longest.forEach((what, seconds) -> {
-            if (what.contains("/vN")) {
-                double most = what.startsWith("GET") ? MOST_POLL_S : MOST_CHANGE_S;
-                assertTrue(seconds <= most, what + " was answered after " + seconds + " s");
-            }
-        });
-        assertEquals(3, longest.keySet().stream().filter(what -> what.contains("/vN")).count(), longest.toString());
-        boolean refusedSome = world.users().answers().keySet().stream().anyMatch(answer -> answer.equals("submit 503"));
-        assertTrue(refusedSome, "the trouble was none: " + world.users().answers());
-        assertEquals(List.of(), world.rules().broken());
+  @ParameterizedTest
+  @EnumSource(Trouble.class)
+  void everyRequestIsAnsweredInTime(Trouble trouble) {
+    World world = new World(7);
+    for (int i = 0; i < 150; i++) {
+      int number = 1000 + i;
+      world.time().at(4 + i * 0.35, () -> world.users().submit(number));
     }
+    world.time().at(15, () -> begin(world, trouble));
+    world.time().runUntil(110);
+    Map<String, Double> longest = world.longestAnswers();
+    longest.forEach(
+        (what, seconds) -> {
+          if (what.contains("/vN")) {
+            double most = what.startsWith("GET") ? MOST_POLL_S : MOST_CHANGE_S;
+            assertTrue(seconds <= most, what + " was answered after " + seconds + " s");
+          }
+        });
+    assertEquals(
+        3,
+        longest.keySet().stream().filter(what -> what.contains("/vN")).count(),
+        longest.toString());
+    boolean refusedSome =
+        world.users().answers().keySet().stream().anyMatch(answer -> answer.equals("submit 503"));
+    assertTrue(refusedSome, "the trouble was none: " + world.users().answers());
+    assertEquals(List.of(), world.rules().broken());
+  }
 
-    private static void begin(World world, Trouble trouble) {
-        switch (trouble) {
-            case OUT -> world.state().outage(25);
-            case REFUSED_ALONE -> world.state().refuse(Site.nodeName(0), 25);
-            case SILENT -> cutAll(world, true);
-            case HELD -> cutAll(world, false);
-            case SLOW_AND_LATE -> world.state().applyLate(2);
-            case OUT_AGAIN_AND_AGAIN -> {
-                for (int i = 0; i < 10; i++) {
-                    world.time().after(4.0 * i, () -> world.state().outage(1.9));
-                }
-            }
-            case ALL_CRASH_IN_AN_OUTAGE -> {
-                world.state().outage(25);
-                for (int node = 0; node < world.nodeCount(); node++) {
-                    world.crash(node);
-                }
-            }
-            default -> throw new IllegalStateException();
+  private static void begin(World world, Trouble trouble) {
+    switch (trouble) {
+      case OUT -> world.state().outage(25);
+      case REFUSED_ALONE -> world.state().refuse(Site.nodeName(0), 25);
+      case SILENT -> cutAll(world, true);
+      case HELD -> cutAll(world, false);
+      case SLOW_AND_LATE -> world.state().applyLate(2);
+      case OUT_AGAIN_AND_AGAIN -> {
+        for (int i = 0; i < 10; i++) {
+          world.time().after(4.0 * i, () -> world.state().outage(1.9));
         }
-    }
-
-    private static void cutAll(World world, boolean lose) {
+      }
+      case ALL_CRASH_IN_AN_OUTAGE -> {
+        world.state().outage(25);
         for (int node = 0; node < world.nodeCount(); node++) {
-            world.cut(Site.nodeName(node), "state", 25, lose);
+          world.crash(node);
         }
+      }
+      default -> throw new IllegalStateException();
+    }
+  }
+
+  private static void cutAll(World world, boolean lose) {
+    for (int node = 0; node < world.nodeCount(); node++) {
+      world.cut(Site.nodeName(node), "state", 25, lose);
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/BadNightsTest.java
+++ b/src/test/java/org/quincecross/emulator/BadNightsTest.java
@@ -22,229 +22,309 @@
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Json;
 
-/** The operators' bad nights, in virtual time: silent and frozen controllers, deaf ones, storms of questions, jobs that only fail. */
+/**
+ * The operators' bad nights, in virtual time: silent and frozen controllers, deaf ones, storms of
+ * questions, jobs that only fail.
+ */
 class BadNightsTest extends BusySite {
-    BadNightsTest() throws BadMessage {
-    }
+  BadNightsTest() throws BadMessage {}
 
-    private static Job array(int number, int tasks) {
-        return array(number, tasks, 6);
-    }
+  private static Job array(int number, int tasks) {
+    return array(number, tasks, 6);
+  }
 
-    private static Job array(int number, int tasks, double seconds) {
-        return new Job(new JobId("job-" + number), "other", "batch", Shape.ARRAY, Rank.NORMAL, tasks, new Resources(1, 0, 2), null, null,
-                false, false, false, "other", 0.5, Span.ofSeconds(seconds), Span.ZERO, Span.ZERO, null);
-    }
+  private static Job array(int number, int tasks, double seconds) {
+    return new Job(
+        new JobId("job-" + number),
+        "other",
+        "batch",
+        Shape.ARRAY,
+        Rank.NORMAL,
+        tasks,
+        new Resources(1, 0, 2),
+        null,
+        null,
+        false,
+        false,
+        false,
+        "other",
+        0.5,
+        Span.ofSeconds(seconds),
+        Span.ZERO,
+        Span.ZERO,
+        null);
+  }
 
-    /** How many replicas a controller believes to run. */
-    private int believed(int node) {
-        int[] sum = new int[1];
-        for (JobId id : services) {
-            world.ask(node, HttpRequest.get("/v2/runs/" + id), response -> {
-                try {
-                    sum[0] += (int) Json.parseFields(response.body()).unsigned("running");
-                } catch (BadMessage e) {
-                    throw new IllegalStateException(e);
-                }
-            });
-        }
-        world.time().runUntil(world.time().seconds() + 2);
-        return sum[0];
+  /** How many replicas a controller believes to run. */
+  private int believed(int node) {
+    int[] sum = new int[1];
+    for (JobId id : services) {
+      world.ask(
+          node,
+          HttpRequest.get("/v2/runs/" + id),
+          response -> {
+            try {
+              sum[0] += (int) Json.parseFields(response.body()).unsigned("running");
+            } catch (BadMessage e) {
+              throw new IllegalStateException(e);
+            }
+          });
     }
+    world.time().runUntil(world.time().seconds() + 2);
+    return sum[0];
+  }
 
-    /**
-     * A controller that was silent for long is back: within seconds it knows what the others hold, though the connections that they
-     * had to it hang for as long again (incident blind-after-silence). Without that, the day that it leads nobody is given work.
-     */
-    @ParameterizedTest
-    @CsvSource({"35, false", "90, false", "35, true", "90, true"})
-    void aControllerThatWasSilentForLongIsToldOfAllSoonAfter(double seconds, boolean keepsMemory) {
-        world.time().runUntil(30);
-        int node = (world.leader() + 1) % site.nodes();
-        world.silence(node, seconds, keepsMemory);
-        world.time().runUntil(30 + seconds + 8);
-        assertEquals(36, believed(node));
-        assertAllIsWell(30 + seconds + 60);
-    }
+  /**
+   * A controller that was silent for long is back: within seconds it knows what the others hold,
+   * though the connections that they had to it hang for as long again (incident
+   * blind-after-silence). Without that, the day that it leads nobody is given work.
+   */
+  @ParameterizedTest
+  @CsvSource({"35, false", "90, false", "35, true", "90, true"})
+  void aControllerThatWasSilentForLongIsToldOfAllSoonAfter(double seconds, boolean keepsMemory) {
+    world.time().runUntil(30);
+    int node = (world.leader() + 1) % site.nodes();
+    world.silence(node, seconds, keepsMemory);
+    world.time().runUntil(30 + seconds + 8);
+    assertEquals(36, believed(node));
+    assertAllIsWell(30 + seconds + 60);
+  }
 
-    private int blocksOf(int node) {
-        return blocksOf(world, node);
-    }
+  private int blocksOf(int node) {
+    return blocksOf(world, node);
+  }
 
-    private static int blocksOf(World world, int node) {
-        int[] count = new int[1];
-        world.ask(node, HttpRequest.get("/admin/blocks"), response -> count[0] = new String(response.body(), StandardCharsets.UTF_8)
-                .split("\"holder\":\"" + Site.nodeName(node) + "\"", -1).length - 1);
-        return count[0];
-    }
+  private static int blocksOf(World world, int node) {
+    int[] count = new int[1];
+    world.ask(
+        node,
+        HttpRequest.get("/admin/blocks"),
+        response ->
+            count[0] =
+                new String(response.body(), StandardCharsets.UTF_8)
+                        .split("\"holder\":\"" + Site.nodeName(node) + "\"", -1)
+                        .length
+                    - 1);
+    return count[0];
+  }
 
-    /**
-     * A controller that is cut off from the machines alone, and from nothing else, for a while: its blocks go to others once, and are
-     * not given back to it again and again while it hears nobody (incident inc-6ced).
-     */
-    @Test
-    void aDeafControllerIsNotGivenBlocksAgainAndAgain() {
-        int given = givenWhileDeaf(this);
-        assertEquals(36, replicas());
-        assertTrue(given <= 8, given + " times given a block");
-        world.time().runUntil(190);
-        assertTrue(blocksOf(0) > 0 && blocksOf(1) > 0 && blocksOf(2) > 0,
-                "it hears again, and has its part: " + blocksOf(0) + " " + blocksOf(1) + " " + blocksOf(2));
-        assertAllIsWell(200);
-    }
+  /**
+   * A controller that is cut off from the machines alone, and from nothing else, for a while: its
+   * blocks go to others once, and are not given back to it again and again while it hears nobody
+   * (incident inc-6ced).
+   */
+  @Test
+  void aDeafControllerIsNotGivenBlocksAgainAndAgain() {
+    int given = givenWhileDeaf(this);
+    assertEquals(36, replicas());
+    assertTrue(given <= 8, given + " times given a block");
+    world.time().runUntil(190);
+    assertTrue(
+        blocksOf(0) > 0 && blocksOf(1) > 0 && blocksOf(2) > 0,
+        "it hears again, and has its part: " + blocksOf(0) + " " + blocksOf(1) + " " + blocksOf(2));
+    assertAllIsWell(200);
+  }
 
-    /** The same in other worlds: how often falls by where the tries fall, so their sum is bounded as well. */
-    @Test
-    void aDeafControllerIsTriedSeldom() throws BadMessage {
-        int given = 0;
-        for (int seed = 1; seed <= 8; seed++) {
-            int now = givenWhileDeaf(new BusySite(seed));
-            assertTrue(now <= 8, now + " times given a block, seed " + seed);
-            given += now;
-        }
-        assertTrue(given <= 60, given + " times given a block in eight worlds");
+  /**
+   * The same in other worlds: how often falls by where the tries fall, so their sum is bounded as
+   * well.
+   */
+  @Test
+  void aDeafControllerIsTriedSeldom() throws BadMessage {
+    int given = 0;
+    for (int seed = 1; seed <= 8; seed++) {
+      int now = givenWhileDeaf(new BusySite(seed));
+      assertTrue(now <= 8, now + " times given a block, seed " + seed);
+      given += now;
     }
+    assertTrue(given <= 60, given + " times given a block in eight worlds");
+  }
 
-    /** How many times a controller is given a block while no machine hears it, for 70 s. */
-    private static int givenWhileDeaf(BusySite on) {
-        World world = on.world;
-        Site site = on.site;
-        world.time().runUntil(30);
-        int deaf = (world.leader() + 1) % site.nodes();
-        world.cloud().machines().forEach(machine -> world.cut(Site.nodeName(deaf), machine.text(), 70, true));
-        int given = 0;
-        int held = blocksOf(world, deaf);
-        int most = 0;
-        for (double at = 30; at < 100; at += 0.1) {
-            world.time().runUntil(at);
-            int now = blocksOf(world, deaf);
-            given += Math.max(0, now - held);
-            held = now;
-            most = at > 45 ? Math.max(most, now) : most;
-        }
-        assertTrue(most <= site.zones().size(), most + " blocks at once, one of each zone to see whether it hears that");
-        return given;
+  /** How many times a controller is given a block while no machine hears it, for 70 s. */
+  private static int givenWhileDeaf(BusySite on) {
+    World world = on.world;
+    Site site = on.site;
+    world.time().runUntil(30);
+    int deaf = (world.leader() + 1) % site.nodes();
+    world
+        .cloud()
+        .machines()
+        .forEach(machine -> world.cut(Site.nodeName(deaf), machine.text(), 70, true));
+    int given = 0;
+    int held = blocksOf(world, deaf);
+    int most = 0;
+    for (double at = 30; at < 100; at += 0.1) {
+      world.time().runUntil(at);
+      int now = blocksOf(world, deaf);
+      given += Math.max(0, now - held);
+      held = now;
+      most = at > 45 ? Math.max(most, now) : most;
     }
+    assertTrue(
+        most <= site.zones().size(),
+        most + " blocks at once, one of each zone to see whether it hears that");
+    return given;
+  }
 
-    /** Two controllers stand still one after the other, each for longer than leases of any kind, and one of them once more as it mends. */
-    @ParameterizedTest
-    @ValueSource(doubles = {1, 2.7, 6, 12, 35, 90})
-    void controllersThatStandStillInTurn(double seconds) {
-        world.time().runUntil(20.07);
-        int first = world.leader();
-        world.standStill(first, seconds);
-        world.time().runUntil(20 + seconds / 2 + 5);
-        world.standStill((first + 1) % site.nodes(), seconds);
-        world.time().runUntil(20 + seconds + 0.3);
-        world.standStill(first, seconds);
-        world.time().runUntil(20 + 3 * seconds + 20);
-        assertEquals(36, replicas());
-        assertAllIsWell(20 + 3 * seconds + 90);
-    }
+  /**
+   * Two controllers stand still one after the other, each for longer than leases of any kind, and
+   * one of them once more as it mends.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {1, 2.7, 6, 12, 35, 90})
+  void controllersThatStandStillInTurn(double seconds) {
+    world.time().runUntil(20.07);
+    int first = world.leader();
+    world.standStill(first, seconds);
+    world.time().runUntil(20 + seconds / 2 + 5);
+    world.standStill((first + 1) % site.nodes(), seconds);
+    world.time().runUntil(20 + seconds + 0.3);
+    world.standStill(first, seconds);
+    world.time().runUntil(20 + 3 * seconds + 20);
+    assertEquals(36, replicas());
+    assertAllIsWell(20 + 3 * seconds + 90);
+  }
 
-    /** Jobs with a mistake beside others: few attempts, no machine is called sick for it or rented, and nothing else waits. */
-    @Test
-    void jobsThatCanOnlyFailAreTriedNowAndThen() {
-        for (int i = 0; i < 20; i++) {
-            Job job = i % 5 < 3 ? array(70_000 + i, 30) : new Job(new JobId("job-" + (70_000 + i)), "mistaken", "batch",
-                    i % 5 == 3 ? Shape.GANG : Shape.SERVICE, i % 5 == 3 ? Rank.NORMAL : Rank.PRODUCTION, 3, new Resources(2, 0, 4), null, null,
-                    i % 5 == 3, false, false, "mistaken", 0.5, Span.ofSeconds(6), Span.ZERO, Span.ZERO, null);
-            world.time().at(15 + 0.3 * i, () -> world.users().submitMistaken(job));
-        }
-        world.time().runUntil(30);
-        int machines = world.cloud().machines().size();
-        int early = attempts();
-        world.time().runUntil(90);
-        int late = attempts() - early;
-        assertEquals(36, replicas());
-        for (JobId id : arrays) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
-        assertTrue(early < 20 * 45, early + " attempts at first");
-        assertTrue(late < 20 * 12, late + " attempts in a minute");
-        assertTrue(world.cloud().machines().size() <= machines, "machines were rented for them");
-        world.users().mistakes().keySet().forEach(id -> world.users().cancel(id));
-        assertAllIsWell(150);
+  /**
+   * Jobs with a mistake beside others: few attempts, no machine is called sick for it or rented,
+   * and nothing else waits.
+   */
+  @Test
+  void jobsThatCanOnlyFailAreTriedNowAndThen() {
+    for (int i = 0; i < 20; i++) {
+      Job job =
+          i % 5 < 3
+              ? array(70_000 + i, 30)
+              : new Job(
+                  new JobId("job-" + (70_000 + i)),
+                  "mistaken",
+                  "batch",
+                  i % 5 == 3 ? Shape.GANG : Shape.SERVICE,
+                  i % 5 == 3 ? Rank.NORMAL : Rank.PRODUCTION,
+                  3,
+                  new Resources(2, 0, 4),
+                  null,
+                  null,
+                  i % 5 == 3,
+                  false,
+                  false,
+                  "mistaken",
+                  0.5,
+                  Span.ofSeconds(6),
+                  Span.ZERO,
+                  Span.ZERO,
+                  null);
+      world.time().at(15 + 0.3 * i, () -> world.users().submitMistaken(job));
     }
-
-    private int attempts() {
-        return world.users().mistakes().values().stream().mapToInt(Integer::intValue).sum();
+    world.time().runUntil(30);
+    int machines = world.cloud().machines().size();
+    int early = attempts();
+    world.time().runUntil(90);
+    int late = attempts() - early;
+    assertEquals(36, replicas());
+    for (JobId id : arrays) {
+      assertEquals("done", world.users().told().get(id), id.text());
     }
+    assertTrue(early < 20 * 45, early + " attempts at first");
+    assertTrue(late < 20 * 12, late + " attempts in a minute");
+    assertTrue(world.cloud().machines().size() <= machines, "machines were rented for them");
+    world.users().mistakes().keySet().forEach(id -> world.users().cancel(id));
+    assertAllIsWell(150);
+  }
 
-    /** Eight and thirty times as many questions while a controller is silent: submissions are accepted as ever, and nobody is forgotten. */
-    @ParameterizedTest
-    @ValueSource(doubles = {8, 30})
-    void aStormOfQuestionsWhileAControllerIsAway(double factor) {
-        world.time().runUntil(20);
-        world.silence((world.leader() + 1) % site.nodes(), 40, false);
-        world.users().storm(factor, 60);
-        List<JobId> late = new ArrayList<>();
-        for (int i = 0; i < 40; i++) {
-            Job job = array(71_000 + i, 2);
-            late.add(job.id());
-            world.time().at(30 + i, () -> world.users().submit(job));
-        }
-        assertAllIsWell(120);
-        for (JobId id : late) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
-        // Whoever asks the silent one waits for 5 s and asks again; that is all that anybody waits for.
-        assertTrue(world.users().longest().get("submit 201") < 3.3, world.users().longest().toString()); // one packet in a hundred takes 3 s
-        assertTrue(world.users().answers().getOrDefault("submit 503", 0) < 5, world.users().answers().toString());
-        assertTrue(world.users().answers().get("poll 503") < world.users().answers().get("poll 200") / 50, world.users().answers().toString());
-        assertTrue(world.state().throttled() < 30, "refused for their number: " + world.state().throttled());
+  private int attempts() {
+    return world.users().mistakes().values().stream().mapToInt(Integer::intValue).sum();
+  }
+
+  /**
+   * Eight and thirty times as many questions while a controller is silent: submissions are accepted
+   * as ever, and nobody is forgotten.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {8, 30})
+  void aStormOfQuestionsWhileAControllerIsAway(double factor) {
+    world.time().runUntil(20);
+    world.silence((world.leader() + 1) % site.nodes(), 40, false);
+    world.users().storm(factor, 60);
+    List<JobId> late = new ArrayList<>();
+    for (int i = 0; i < 40; i++) {
+      Job job = array(71_000 + i, 2);
+      late.add(job.id());
+      world.time().at(30 + i, () -> world.users().submit(job));
     }
+    assertAllIsWell(120);
+    for (JobId id : late) {
+      assertEquals("done", world.users().told().get(id), id.text());
+    }
+    // Whoever asks the silent one waits for 5 s and asks again; that is all that anybody waits for.
+    assertTrue(
+        world.users().longest().get("submit 201") < 3.3,
+        world.users().longest().toString()); // one packet in a hundred takes 3 s
+    assertTrue(
+        world.users().answers().getOrDefault("submit 503", 0) < 5,
+        world.users().answers().toString());
+    assertTrue(
+        world.users().answers().get("poll 503") < world.users().answers().get("poll 200") / 50,
+        world.users().answers().toString());
+    assertTrue(
+        world.state().throttled() < 30, "refused for their number: " + world.state().throttled());
+  }
 
-    /** The steps of a controller's work that a message goes out for, as its request looks. */
-    private enum Step {
-        LEADING("POST /txn .*\"q/leader\".*\"Set\":\"q/leader\".*"),
-        LEASING("POST /txn .*\"Set\":\"q/block/.*"),
-        ALLOCATING("POST /txn .*\"Set\":\"q/alloc/.*"),
-        ACCEPTING("POST /txn .*\"phase\":\"open\".*"),
-        CANCELLING("POST /txn .*\"phase\":\"cancelled\".*"),
-        RENEWING("POST /holds/.*"),
-        RENTING("POST /hosts .*"),
-        RETURNING("POST /hosts/return .*"),
-        COMMANDING("POST /orders .*\"start\".*");
-
-        private final Pattern request;
-
-        Step(String request) {
-            this.request = Pattern.compile(request, Pattern.DOTALL);
-        }
+  /** The steps of a controller's work that a message goes out for, as its request looks. */
+  private enum Step {
+    LEADING("POST /txn .*\"q/leader\".*\"Set\":\"q/leader\".*"),
+    LEASING("POST /txn .*\"Set\":\"q/block/.*"),
+    ALLOCATING("POST /txn .*\"Set\":\"q/alloc/.*"),
+    ACCEPTING("POST /txn .*\"phase\":\"open\".*"),
+    CANCELLING("POST /txn .*\"phase\":\"cancelled\".*"),
+    RENEWING("POST /holds/.*"),
+    RENTING("POST /hosts .*"),
+    RETURNING("POST /hosts/return .*"),
+    COMMANDING("POST /orders .*\"start\".*");
+
+    private final Pattern request;
+
+    Step(String request) {
+      this.request = Pattern.compile(request, Pattern.DOTALL);
     }
+  }
 
-    /**
-     * A controller stands still in each step of its work, between its decision and the message that it sends then, minutes late, or
-     * between the message and its answer; or it falls silent there. It wakes with plans, commands and answers of the time before.
-     */
-    @ParameterizedTest
-    @EnumSource(Step.class)
-    void aMishapInEachStep(Step step) throws BadMessage {
-        for (World.Mishap mishap : World.Mishap.values()) {
-            for (double seconds : new double[] {1, 6, 12, 35, 90}) {
-                Site growing = Site.tryOut(MACHINES, false);
-                World other = new World(growing, (long) (seconds * 10), Meter.OFF);
-                List<JobId> done = new ArrayList<>();
-                submit(other, new ArrayList<>(), done);
-                Job cancelledJob = array(72_000, 40, 400);
-                JobId cancelled = cancelledJob.id();
-                other.time().at(20, () -> other.users().submit(cancelledJob));
-                other.time().at(24, () -> other.users().cancel(cancelled));
-                other.time().at(step == Step.LEADING ? 0 : 14, () -> other.mishapAt(step.request.asMatchPredicate(), seconds, mishap));
-                if (step == Step.LEADING) {
-                    other.time().at(15, () -> other.crash(other.leader()));
-                }
-                other.time().runUntil(140 + 2 * seconds);
-                String what = step + " " + mishap + " " + seconds + " s";
-                assertTrue(other.mishapHit() >= 0, what);
-                assertEquals(List.of(), other.rules().broken(), what);
-                for (JobId id : done) {
-                    assertEquals("done", other.users().told().get(id), what + ": " + id);
-                }
-                assertEquals("cancelled", other.users().told().get(cancelled), what);
-                assertEquals(0, other.rules().onMachines(cancelled), what);
-            }
+  /**
+   * A controller stands still in each step of its work, between its decision and the message that
+   * it sends then, minutes late, or between the message and its answer; or it falls silent there.
+   * It wakes with plans, commands and answers of the time before.
+   */
+  @ParameterizedTest
+  @EnumSource(Step.class)
+  void aMishapInEachStep(Step step) throws BadMessage {
+    for (World.Mishap mishap : World.Mishap.values()) {
+      for (double seconds : new double[] {1, 6, 12, 35, 90}) {
+        Site growing = Site.tryOut(MACHINES, false);
+        World other = new World(growing, (long) (seconds * 10), Meter.OFF);
+        List<JobId> done = new ArrayList<>();
+        submit(other, new ArrayList<>(), done);
+        Job cancelledJob = array(72_000, 40, 400);
+        JobId cancelled = cancelledJob.id();
+        other.time().at(20, () -> other.users().submit(cancelledJob));
+        other.time().at(24, () -> other.users().cancel(cancelled));
+        other
+            .time()
+            .at(
+                step == Step.LEADING ? 0 : 14,
+                () -> other.mishapAt(step.request.asMatchPredicate(), seconds, mishap));
+        if (step == Step.LEADING) {
+          other.time().at(15, () -> other.crash(other.leader()));
+        }
+        other.time().runUntil(140 + 2 * seconds);
+        String what = step + " " + mishap + " " + seconds + " s";
+        assertTrue(other.mishapHit() >= 0, what);
+        assertEquals(List.of(), other.rules().broken(), what);
+        for (JobId id : done) {
+          assertEquals("done", other.users().told().get(id), what + ": " + id);
         }
+        assertEquals("cancelled", other.users().told().get(cancelled), what);
+        assertEquals(0, other.rules().onMachines(cancelled), what);
+      }
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
@@ -20,45 +20,85 @@
 import org.quincecross.served.Sizes;
 import org.quincecross.wire.Features;
 
-/** The largest array, a gang of two whole machines and an idle job in an overload, on three controllers in virtual time. */
+/**
+ * The largest array, a gang of two whole machines and an idle job in an overload, on three
+ * controllers in virtual time.
+ */
 class BeginningsCasesTest {
-    private static final int MACHINES = 12;
-    private static final Features ON = new Features(new Shares(0.85, 0.5, 0.01, 0.01), Span.ofSeconds(20), Build.BEFORE_LEVELS);
-    private static final Resources ONE = new Resources(1, 0, 2);
+  private static final int MACHINES = 12;
+  private static final Features ON =
+      new Features(new Shares(0.85, 0.5, 0.01, 0.01), Span.ofSeconds(20), Build.BEFORE_LEVELS);
+  private static final Resources ONE = new Resources(1, 0, 2);
 
-    private final World world = new World(site(), 11, Meter.OFF, ON);
-    private int number = 100;
+  private final World world = new World(site(), 11, Meter.OFF, ON);
+  private int number = 100;
 
-    private static Site site() {
-        Site base = Site.tryOut(MACHINES, true);
-        Map<String, Team> teams = new LinkedHashMap<>();
-        for (String name : List.of("loud", "quiet")) {
-            teams.put(name, new Team(name, Resources.NONE, new Resources(1e6, 1e6, 1e6)));
-        }
-        return base.with(teams);
+  private static Site site() {
+    Site base = Site.tryOut(MACHINES, true);
+    Map<String, Team> teams = new LinkedHashMap<>();
+    for (String name : List.of("loud", "quiet")) {
+      teams.put(name, new Team(name, Resources.NONE, new Resources(1e6, 1e6, 1e6)));
     }
+    return base.with(teams);
+  }
 
-    private void submit(double atS, String team, String jobClass, Shape shape, Rank rank, int tasks, Resources each, double runS, double saveS) {
-        Job job = new Job(new JobId("job-" + number++), jobClass, team, shape, rank, tasks, each, null, null, shape == Shape.GANG, false, false, "img", 0.5,
-                Span.ofSeconds(runS), Span.ofSeconds(saveS), Span.ofSeconds(saveS > 0 ? 1 : 0), saveS > 0 ? null : Span.ofSeconds(60));
-        world.time().at(atS, () -> world.users().submit(job));
-    }
+  private void submit(
+      double atS,
+      String team,
+      String jobClass,
+      Shape shape,
+      Rank rank,
+      int tasks,
+      Resources each,
+      double runS,
+      double saveS) {
+    Job job =
+        new Job(
+            new JobId("job-" + number++),
+            jobClass,
+            team,
+            shape,
+            rank,
+            tasks,
+            each,
+            null,
+            null,
+            shape == Shape.GANG,
+            false,
+            false,
+            "img",
+            0.5,
+            Span.ofSeconds(runS),
+            Span.ofSeconds(saveS),
+            Span.ofSeconds(saveS > 0 ? 1 : 0),
+            saveS > 0 ? null : Span.ofSeconds(60));
+    world.time().at(atS, () -> world.users().submit(job));
+  }
 
-    @Test
-    void theLargestBeginInTimeThoughTheLeaderDies() {
-        for (int i = 0; i < 280; i++) {
-            submit(20 + i, "loud", "small", Shape.ARRAY, i % 2 == 0 ? Rank.HIGH : Rank.NORMAL, 12, ONE, 10, 0);
-        }
-        submit(30, "quiet", "array", Shape.ARRAY, Rank.NORMAL, 400, ONE, 10, 0);
-        submit(30, "quiet", "gang", Shape.GANG, Rank.NORMAL, 2, new Resources(8, 0, 8), 10, 0);
-        submit(30, "quiet", "idle", Shape.ARRAY, Rank.LOW, 40, ONE, 10, 5);
-        world.time().at(175, () -> world.crash(Math.max(0, world.leader())));
-        world.time().runUntil(300);
-        assertEquals(List.of(), world.rules().broken());
-        Map<String, List<Largest>> largest = world.around().served().largest(world.around().now());
-        for (String each : List.of("array", "gang", "idle")) {
-            Largest of = largest.get(each).get(0);
-            assertTrue(of.inTime() == 1 && of.longestS() <= Sizes.BEGIN_S, each + ": " + of);
-        }
+  @Test
+  void theLargestBeginInTimeThoughTheLeaderDies() {
+    for (int i = 0; i < 280; i++) {
+      submit(
+          20 + i,
+          "loud",
+          "small",
+          Shape.ARRAY,
+          i % 2 == 0 ? Rank.HIGH : Rank.NORMAL,
+          12,
+          ONE,
+          10,
+          0);
+    }
+    submit(30, "quiet", "array", Shape.ARRAY, Rank.NORMAL, 400, ONE, 10, 0);
+    submit(30, "quiet", "gang", Shape.GANG, Rank.NORMAL, 2, new Resources(8, 0, 8), 10, 0);
+    submit(30, "quiet", "idle", Shape.ARRAY, Rank.LOW, 40, ONE, 10, 5);
+    world.time().at(175, () -> world.crash(Math.max(0, world.leader())));
+    world.time().runUntil(300);
+    assertEquals(List.of(), world.rules().broken());
+    Map<String, List<Largest>> largest = world.around().served().largest(world.around().now());
+    for (String each : List.of("array", "gang", "idle")) {
+      Largest of = largest.get(each).get(0);
+      assertTrue(of.inTime() == 1 && of.longestS() <= Sizes.BEGIN_S, each + ": " + of);
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/BoundTest.java
+++ b/src/test/java/org/quincecross/emulator/BoundTest.java
@@ -6,80 +6,97 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import java.util.Random;
 import org.quincecross.model.Resources;
 
 class BoundTest {
-    private static final Resources HUNDRED = new Resources(100, 0, 100);
+  private static final Resources HUNDRED = new Resources(100, 0, 100);
 
-    private static Bound.Wanted wanted(String jobClass, double from, double until, double work) {
-        return new Bound.Wanted(jobClass, from, until, new Resources(work, 0, 0));
-    }
+  private static Bound.Wanted wanted(String jobClass, double from, double until, double work) {
+    return new Bound.Wanted(jobClass, from, until, new Resources(work, 0, 0));
+  }
 
-    /** Two classes share what is there; a job that cannot be begun in its time is lost to everybody. */
-    @Test
-    void theLeastOfTwoClasses() {
-        List<Resources> capacity = Collections.nCopies(4, HUNDRED);
-        // Ten seconds a slice: 1,000 units each. Both classes want 2,000 units in the first two slices, and there are 2,000.
-        List<Bound.Wanted> both = List.of(wanted("a", 0, 15, 1000), wanted("a", 0, 15, 1000), wanted("b", 0, 15, 1000), wanted("b", 0, 15, 1000));
-        assertEquals(0.5, new Bound(10, capacity, both).leastShare(), 1e-6);
-        assertEquals(1, new Bound(10, capacity, both.subList(0, 2)).leastShare(), 1e-6);
-        // What is due after the end of the day is in neither.
-        assertEquals(1, new Bound(10, capacity, List.of(wanted("a", 0, 39, 1e9))).leastShare());
-        // Of a large and two small jobs the small ones can be done.
-        List<Bound.Wanted> sizes = List.of(wanted("a", 0, 5, 500), wanted("a", 0, 5, 500), wanted("a", 0, 5, 1e6));
-        assertEquals(2.0 / 3, new Bound(10, capacity, sizes).leastShare(), 1e-3);
-    }
+  /**
+   * Two classes share what is there; a job that cannot be begun in its time is lost to everybody.
+   */
+  @Test
+  void theLeastOfTwoClasses() {
+    List<Resources> capacity = Collections.nCopies(4, HUNDRED);
+    // Ten seconds a slice: 1,000 units each. Both classes want 2,000 units in the first two slices,
+    // and there are 2,000.
+    List<Bound.Wanted> both =
+        List.of(
+            wanted("a", 0, 15, 1000),
+            wanted("a", 0, 15, 1000),
+            wanted("b", 0, 15, 1000),
+            wanted("b", 0, 15, 1000));
+    assertEquals(0.5, new Bound(10, capacity, both).leastShare(), 1e-6);
+    assertEquals(1, new Bound(10, capacity, both.subList(0, 2)).leastShare(), 1e-6);
+    // What is due after the end of the day is in neither.
+    assertEquals(1, new Bound(10, capacity, List.of(wanted("a", 0, 39, 1e9))).leastShare());
+    // Of a large and two small jobs the small ones can be done.
+    List<Bound.Wanted> sizes =
+        List.of(wanted("a", 0, 5, 500), wanted("a", 0, 5, 500), wanted("a", 0, 5, 1e6));
+    assertEquals(2.0 / 3, new Bound(10, capacity, sizes).leastShare(), 1e-3);
+  }
 
-    /** No order of jobs served one after the other, each by all machines, comes out better than the bound. */
-    @Property(tries = 60, seed = "9")
-    void noOrderSurpassesIt(@ForAll Random random) {
-        int slices = 8;
-        List<Resources> capacity = new ArrayList<>();
-        for (int i = 0; i < slices; i++) {
-            capacity.add(HUNDRED.times(0.5 + random.nextDouble()));
+  /**
+   * No order of jobs served one after the other, each by all machines, comes out better than the
+   * bound.
+   */
+  @Property(tries = 60, seed = "9")
+  void noOrderSurpassesIt(@ForAll Random random) {
+    int slices = 8;
+    List<Resources> capacity = new ArrayList<>();
+    for (int i = 0; i < slices; i++) {
+      capacity.add(HUNDRED.times(0.5 + random.nextDouble()));
+    }
+    List<Bound.Wanted> jobs = new ArrayList<>();
+    for (int i = 0; i < 12; i++) {
+      double from = 50 * random.nextDouble();
+      jobs.add(
+          wanted(
+              random.nextBoolean() ? "a" : "b",
+              from,
+              from + 15 * random.nextDouble() + 1,
+              100 + 900 * random.nextDouble()));
+    }
+    double bound = new Bound(10, capacity, jobs).leastShare();
+    assertTrue(bound >= 0 && bound <= 1 + 1e-9);
+    for (int order = 0; order < 20; order++) {
+      Collections.shuffle(jobs, random);
+      double[] left = new double[slices];
+      for (int i = 0; i < slices; i++) {
+        left[i] = capacity.get(i).cpus() * 10;
+      }
+      int[] all = new int[2];
+      int[] done = new int[2];
+      for (Bound.Wanted job : jobs) {
+        int which = job.jobClass().equals("a") ? 0 : 1;
+        if (Math.floor(job.until() / 10) >= slices - 1) {
+          continue;
         }
-        List<Bound.Wanted> jobs = new ArrayList<>();
-        for (int i = 0; i < 12; i++) {
-            double from = 50 * random.nextDouble();
-            jobs.add(wanted(random.nextBoolean() ? "a" : "b", from, from + 15 * random.nextDouble() + 1, 100 + 900 * random.nextDouble()));
+        all[which]++;
+        double open = job.work().cpus();
+        double[] after = left.clone();
+        for (int slice = (int) (job.from() / 10); slice <= (int) (job.until() / 10); slice++) {
+          double part = Math.min(open, after[slice]);
+          after[slice] -= part;
+          open -= part;
         }
-        double bound = new Bound(10, capacity, jobs).leastShare();
-        assertTrue(bound >= 0 && bound <= 1 + 1e-9);
-        for (int order = 0; order < 20; order++) {
-            Collections.shuffle(jobs, random);
-            double[] left = new double[slices];
-            for (int i = 0; i < slices; i++) {
-                left[i] = capacity.get(i).cpus() * 10;
-            }
-            int[] all = new int[2];
-            int[] done = new int[2];
-            for (Bound.Wanted job : jobs) {
-                int which = job.jobClass().equals("a") ? 0 : 1;
-                if (Math.floor(job.until() / 10) >= slices - 1) {
-                    continue;
-                }
-                all[which]++;
-                double open = job.work().cpus();
-                double[] after = left.clone();
-                for (int slice = (int) (job.from() / 10); slice <= (int) (job.until() / 10); slice++) {
-                    double part = Math.min(open, after[slice]);
-                    after[slice] -= part;
-                    open -= part;
-                }
-                if (open <= 1e-9) {
-                    left = after;
-                    done[which]++;
-                }
-            }
-            double least = 1;
-            for (int i = 0; i < 2; i++) {
-                least = all[i] == 0 ? least : Math.min(least, (double) done[i] / all[i]);
-            }
-            assertTrue(least <= bound + 1e-6, least + " is more than " + bound);
+        if (open <= 1e-9) {
+          left = after;
+          done[which]++;
         }
+      }
+      double least = 1;
+      for (int i = 0; i < 2; i++) {
+        least = all[i] == 0 ? least : Math.min(least, (double) done[i] / all[i]);
+      }
+      assertTrue(least <= bound + 1e-6, least + " is more than " + bound);
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/BusySite.java
+++ b/src/test/java/org/quincecross/emulator/BusySite.java
@@ -7,11 +7,15 @@
 import org.quincecross.model.JobId;
 import org.quincecross.wire.BadMessage;
 
-/** Three controllers, 45 machines, services of 36 replicas, and arrays that come for a while, in virtual time. */
+/**
+ * Three controllers, 45 machines, services of 36 replicas, and arrays that come for a while, in
+ * virtual time.
+ */
 class BusySite {
-    static final int MACHINES = 45;
+  static final int MACHINES = 45;
 
-    static final String JOBS = """
+  static final String JOBS =
+      """
             [[jobs]]
             name = "front"
             shape = "service"
@@ -36,38 +40,38 @@
             run_s = 6
             """;
 
-    final Site site = Site.tryOut(MACHINES, true);
-    final World world;
-    final List<JobId> services = new ArrayList<>();
-    final List<JobId> arrays = new ArrayList<>();
+  final Site site = Site.tryOut(MACHINES, true);
+  final World world;
+  final List<JobId> services = new ArrayList<>();
+  final List<JobId> arrays = new ArrayList<>();
 
-    BusySite() throws BadMessage {
-        this(5);
-    }
+  BusySite() throws BadMessage {
+    this(5);
+  }
 
-    BusySite(long seed) throws BadMessage {
-        world = new World(site, seed, Meter.OFF);
-        submit(world, services, arrays);
-    }
+  BusySite(long seed) throws BadMessage {
+    world = new World(site, seed, Meter.OFF);
+    submit(world, services, arrays);
+  }
 
-    /** Has the jobs submitted in a world from its fourth second on, and notes which they are. */
-    static void submit(World world, List<JobId> services, List<JobId> arrays) throws BadMessage {
-        for (JobsFile.Due due : JobsFile.read(JOBS, world.site())) {
-            world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
-            (due.job().jobClass().equals("rebuild") ? arrays : services).add(due.job().id());
-        }
+  /** Has the jobs submitted in a world from its fourth second on, and notes which they are. */
+  static void submit(World world, List<JobId> services, List<JobId> arrays) throws BadMessage {
+    for (JobsFile.Due due : JobsFile.read(JOBS, world.site())) {
+      world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
+      (due.job().jobClass().equals("rebuild") ? arrays : services).add(due.job().id());
     }
+  }
 
-    int replicas() {
-        return services.stream().mapToInt(world.rules()::onMachines).sum();
-    }
+  int replicas() {
+    return services.stream().mapToInt(world.rules()::onMachines).sum();
+  }
 
-    void assertAllIsWell(double atS) {
-        world.time().runUntil(atS);
-        assertEquals(List.of(), world.rules().broken());
-        for (JobId id : arrays) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
-        assertEquals(36, replicas(), "replicas");
+  void assertAllIsWell(double atS) {
+    world.time().runUntil(atS);
+    assertEquals(List.of(), world.rules().broken());
+    for (JobId id : arrays) {
+      assertEquals("done", world.users().told().get(id), id.text());
     }
+    assertEquals(36, replicas(), "replicas");
+  }
 }
--- a/src/test/java/org/quincecross/emulator/CancelledInChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/CancelledInChangesTest.java
@@ -17,66 +17,112 @@
 import org.quincecross.wire.BadMessage;
 
 /**
- * Many long jobs are called off within a fifth of a second, some of their machines hang, and users ask at all nodes: while one controller's
- * work changes hands, and at the very moment at which the state service refuses the leader alone. Three controllers, 45 machines.
+ * Many long jobs are called off within a fifth of a second, some of their machines hang, and users
+ * ask at all nodes: while one controller's work changes hands, and at the very moment at which the
+ * state service refuses the leader alone. Three controllers, 45 machines.
  */
 class CancelledInChangesTest extends BusySite {
-    private static final double AT_S = 30;
-    private static final int LONG_JOBS = 40;
+  private static final double AT_S = 30;
+  private static final int LONG_JOBS = 40;
 
-    private final Random random = new Random(8);
-    private final List<JobId> longOnes = new ArrayList<>();
-    private List<JobId> called = List.of();
+  private final Random random = new Random(8);
+  private final List<JobId> longOnes = new ArrayList<>();
+  private List<JobId> called = List.of();
 
-    CancelledInChangesTest() throws BadMessage {
-        for (int i = 0; i < LONG_JOBS; i++) {
-            Job job = new Job(new JobId("job-" + (30_000 + i)), "long", "batch", Shape.ARRAY, Rank.NORMAL, i % 8 == 0 ? 20 : 5, new Resources(1, 0, 2), null, null,
-                    false, false, false, "long", 0.5, Span.ofSeconds(300), Span.ZERO, Span.ZERO, null);
-            longOnes.add(job.id());
-            world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
-        }
-        world.time().at(AT_S - 5, () -> CloseLooks.begin(world.around(), 0.5, 0, 120, random));
+  CancelledInChangesTest() throws BadMessage {
+    for (int i = 0; i < LONG_JOBS; i++) {
+      Job job =
+          new Job(
+              new JobId("job-" + (30_000 + i)),
+              "long",
+              "batch",
+              Shape.ARRAY,
+              Rank.NORMAL,
+              i % 8 == 0 ? 20 : 5,
+              new Resources(1, 0, 2),
+              null,
+              null,
+              false,
+              false,
+              false,
+              "long",
+              0.5,
+              Span.ofSeconds(300),
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      longOnes.add(job.id());
+      world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
     }
+    world.time().at(AT_S - 5, () -> CloseLooks.begin(world.around(), 0.5, 0, 120, random));
+  }
 
-    private void callOff(double atS, double hangS) {
-        world.time().at(atS, () -> called = LateCancels.now(world.around(), LONG_JOBS / 2, hangS, random));
-    }
+  private void callOff(double atS, double hangS) {
+    world
+        .time()
+        .at(atS, () -> called = LateCancels.now(world.around(), LONG_JOBS / 2, hangS, random));
+  }
 
-    private void assertAllAreGone(double atS) {
-        world.time().runUntil(atS);
-        assertEquals(List.of(), world.rules().broken());
-        assertTrue(called.size() >= LONG_JOBS / 3, "called off " + called.size());
-        for (JobId id : called) {
-            assertEquals("cancelled", world.users().told().get(id), id.text());
-            assertEquals(0, world.rules().onMachines(id), id.text());
-        }
-        assertEquals(36, replicas());
+  private void assertAllAreGone(double atS) {
+    world.time().runUntil(atS);
+    assertEquals(List.of(), world.rules().broken());
+    assertTrue(called.size() >= LONG_JOBS / 3, "called off " + called.size());
+    for (JobId id : called) {
+      assertEquals("cancelled", world.users().told().get(id), id.text());
+      assertEquals(0, world.rules().onMachines(id), id.text());
     }
+    assertEquals(36, replicas());
+  }
 
-    /** One controller ends, stands still or is alone; when its blocks are leased anew, before, while or after it, the jobs are called off. */
-    @ParameterizedTest
-    @CsvSource({"0, 0.1, 0", "0, 3.2, 6", "0, 4.5, 0", "0, 7, 9", "1, 0.5, 5", "1, 4, 0", "2, 0.1, 4", "2, 3.5, 0", "2, 6, 8"})
-    void oneControllersWorkChangesHands(int how, double afterS, double hangS) {
-        world.time().at(AT_S, () -> {
-            int node = random.nextBoolean() ? Math.max(0, world.leader()) : random.nextInt(world.nodeCount());
-            switch (how) {
+  /**
+   * One controller ends, stands still or is alone; when its blocks are leased anew, before, while
+   * or after it, the jobs are called off.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "0, 0.1, 0",
+    "0, 3.2, 6",
+    "0, 4.5, 0",
+    "0, 7, 9",
+    "1, 0.5, 5",
+    "1, 4, 0",
+    "2, 0.1, 4",
+    "2, 3.5, 0",
+    "2, 6, 8"
+  })
+  void oneControllersWorkChangesHands(int how, double afterS, double hangS) {
+    world
+        .time()
+        .at(
+            AT_S,
+            () -> {
+              int node =
+                  random.nextBoolean()
+                      ? Math.max(0, world.leader())
+                      : random.nextInt(world.nodeCount());
+              switch (how) {
                 case 0 -> world.down(node, 25);
                 case 1 -> world.standStill(node, 15);
                 default -> world.lone(node, 20, true);
-            }
-        });
-        callOff(AT_S + afterS, hangS);
-        assertAllAreGone(AT_S + 120);
-    }
+              }
+            });
+    callOff(AT_S + afterS, hangS);
+    assertAllAreGone(AT_S + 120);
+  }
 
-    /** Called off within 0.1 s of the refusal of the leader alone; a second later the state service is out for all, for longer than a cancellation has. */
-    @ParameterizedTest
-    @CsvSource({"-0.1, 0", "0, 0", "0, 6", "0.05, 0"})
-    void theLeaderIsRefusedAtThatMoment(double afterS, double hangS) {
-        double outage = site.workers().cancel().seconds() + 9;
-        world.time().at(AT_S, () -> world.state().refuse(Site.nodeName(Math.max(0, world.leader())), 1.2));
-        world.time().at(AT_S + 1, () -> world.state().outage(outage));
-        callOff(AT_S + afterS, hangS);
-        assertAllAreGone(AT_S + outage + 70);
-    }
+  /**
+   * Called off within 0.1 s of the refusal of the leader alone; a second later the state service is
+   * out for all, for longer than a cancellation has.
+   */
+  @ParameterizedTest
+  @CsvSource({"-0.1, 0", "0, 0", "0, 6", "0.05, 0"})
+  void theLeaderIsRefusedAtThatMoment(double afterS, double hangS) {
+    double outage = site.workers().cancel().seconds() + 9;
+    world
+        .time()
+        .at(AT_S, () -> world.state().refuse(Site.nodeName(Math.max(0, world.leader())), 1.2));
+    world.time().at(AT_S + 1, () -> world.state().outage(outage));
+    callOff(AT_S + afterS, hangS);
+    assertAllAreGone(AT_S + outage + 70);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/CloseLooksTest.java
+++ b/src/test/java/org/quincecross/emulator/CloseLooksTest.java
@@ -5,56 +5,77 @@
 
 import java.util.List;
 import java.util.Random;
-import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Users ask at all nodes within milliseconds, and repeat the submission, as soon as anything has happened to a job. Three controllers, in virtual time. */
+/**
+ * Users ask at all nodes within milliseconds, and repeat the submission, as soon as anything has
+ * happened to a job. Three controllers, in virtual time.
+ */
 class CloseLooksTest {
-    private static final int JOBS = 72;
-    private static final double SECONDS = 60;
+  private static final int JOBS = 72;
+  private static final double SECONDS = 60;
 
-    private World played(long seed, double cancelShare, double atEndShare) {
-        World world = new World(seed);
-        Random random = new Random(seed);
-        CloseLooks.begin(world.around(), 1, cancelShare, SECONDS, random);
-        if (atEndShare > 0) {
-            LateCancels.atEnd(world.around(), atEndShare, seed % 2 == 0 ? 0 : 1.6, SECONDS, random);
-        }
-        for (int i = 0; i < JOBS; i++) {
-            int number = 100 + i;
-            // Some come together, so that they share a record.
-            world.time().at(5 + 0.6 * (i / 3 * 3), () -> world.users().submit(number));
-        }
-        world.time().runUntil(SECONDS + 50);
-        return world;
+  private World played(long seed, double cancelShare, double atEndShare) {
+    World world = new World(seed);
+    Random random = new Random(seed);
+    CloseLooks.begin(world.around(), 1, cancelShare, SECONDS, random);
+    if (atEndShare > 0) {
+      LateCancels.atEnd(world.around(), atEndShare, seed % 2 == 0 ? 0 : 1.6, SECONDS, random);
     }
-
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void noNodeAnswersAnythingOlder(long seed) {
-        World world = played(seed, 0.3, 0);
-        assertEquals(List.of(), world.rules().broken());
-        assertTrue(world.users().answers().getOrDefault("poll 200", 0) > 10 * JOBS, world.users().answers().toString());
-        assertTrue(world.users().told().values().stream().filter("cancelled"::equals).count() > JOBS / 10);
+    for (int i = 0; i < JOBS; i++) {
+      int number = 100 + i;
+      // Some come together, so that they share a record.
+      world.time().at(5 + 0.6 * (i / 3 * 3), () -> world.users().submit(number));
     }
+    world.time().runUntil(SECONDS + 50);
+    return world;
+  }
 
-    /** A day drawn from a fixed seed, with other troubles; more of them in {@link SeedsTest}. */
-    @ParameterizedTest
-    @ValueSource(longs = 2)
-    void daysOfUsersTroubles(long seed) {
-        assertEquals(List.of(), Day.ofMeetings(seed).with(UserTroubles::on).play());
-    }
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void noNodeAnswersAnythingOlder(long seed) {
+    World world = played(seed, 0.3, 0);
+    assertEquals(List.of(), world.rules().broken());
+    assertTrue(
+        world.users().answers().getOrDefault("poll 200", 0) > 10 * JOBS,
+        world.users().answers().toString());
+    assertTrue(
+        world.users().told().values().stream().filter("cancelled"::equals).count() > JOBS / 10);
+  }
 
-    /** A cancellation, questions and a repeated submission meet the end of the last task: told once, the same at all nodes. */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void aCancellationMeetsTheEndOfTheLastTask(long seed) {
-        World world = played(seed, 0, 0.7);
-        assertEquals(List.of(), world.rules().broken());
-        long done = world.users().told().entrySet().stream().filter(each -> each.getValue().equals("done") && world.users().isCancelAsked(each.getKey())).count();
-        long cancelled = world.users().told().entrySet().stream()
-                .filter(each -> each.getValue().equals("cancelled") && world.rules().completedTasks(each.getKey()) == world.job(each.getKey()).tasks()).count();
-        assertTrue(cancelled > 3 && (seed % 2 == 0 || done > 0), "called off at the end: done " + done + ", cancelled " + cancelled);
-    }
+  /** A day drawn from a fixed seed, with other troubles; more of them in {@link SeedsTest}. */
+  @ParameterizedTest
+  @ValueSource(longs = 2)
+  void daysOfUsersTroubles(long seed) {
+    assertEquals(List.of(), Day.ofMeetings(seed).with(UserTroubles::on).play());
+  }
+
+  /**
+   * A cancellation, questions and a repeated submission meet the end of the last task: told once,
+   * the same at all nodes.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void aCancellationMeetsTheEndOfTheLastTask(long seed) {
+    World world = played(seed, 0, 0.7);
+    assertEquals(List.of(), world.rules().broken());
+    long done =
+        world.users().told().entrySet().stream()
+            .filter(
+                each ->
+                    each.getValue().equals("done") && world.users().isCancelAsked(each.getKey()))
+            .count();
+    long cancelled =
+        world.users().told().entrySet().stream()
+            .filter(
+                each ->
+                    each.getValue().equals("cancelled")
+                        && world.rules().completedTasks(each.getKey())
+                            == world.job(each.getKey()).tasks())
+            .count();
+    assertTrue(
+        cancelled > 3 && (seed % 2 == 0 || done > 0),
+        "called off at the end: done " + done + ", cancelled " + cancelled);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/Day.java
+++ b/src/test/java/org/quincecross/emulator/Day.java
@@ -19,213 +19,298 @@
 
 /** A day drawn from a seed: jobs of all kinds, troubles alone and together, then quiet. */
 final class Day {
-    private static final double FIRST_TROUBLE_S = 12;
-    private static final double LAST_TROUBLE_S = 150;
-    private static final double LONGEST_TROUBLE_S = 33;
-    /** After so much quiet whatever can run runs. */
-    private static final double QUIET_S = 120;
-    /** Machines that have begun anew are to be believed long before their counts are what those of their former selves were. */
-    private static final double QUIET_AFTER_MEETINGS_S = 60;
-    private static final int JOBS = 60;
-    private static final int MISTAKES = 3;
-    /** Of so many days, one has a job of more tasks than a chunk of the records of done tasks. */
-    private static final int DAYS_PER_LARGE_JOB = 40;
-
-    private final long seed;
-    private final World world;
-    private final Random random;
-    private final Liveness liveness;
-    private final Meetings meetings;
-    private boolean rolls;
-
-    private static final Build OLD = Build.present("old", 1);
-    private static final Build NEW = Build.present("new", 2);
-
-    Day(long seed) {
-        this(seed, new World(seed));
-    }
+  private static final double FIRST_TROUBLE_S = 12;
+  private static final double LAST_TROUBLE_S = 150;
+  private static final double LONGEST_TROUBLE_S = 33;
 
-    /** The same with controllers that are replaced by ones of a newer build, back half way or not, in whatever goes on. */
-    static Day ofRolls(long seed) {
-        World world = new World(Site.small(), seed, Meter.OFF, new Features(null, null, OLD));
-        world.state().applyLate(60);
-        Day day = new Day(seed, world);
-        day.rollAll(10 + 40 * day.random.nextDouble(), NEW);
-        if (day.random.nextBoolean()) {
-            day.rollAll(30 + 40 * day.random.nextDouble(), OLD);
-            // Those that the switch has left behind are out until they are replaced again.
-            day.rollAll(70 + 60 * day.random.nextDouble(), NEW);
-        }
-        day.rollAll(LAST_TROUBLE_S + 1, NEW);
-        day.rolls = true;
-        return day;
-    }
+  /** After so much quiet whatever can run runs. */
+  private static final double QUIET_S = 120;
 
-    /** A day, or one of rolls that are over before, or of troubles that meet, with pipelines of dependent jobs. */
-    static Day ofPipelines(long seed) {
-        return (seed % 3 == 2 ? ofMeetings(seed) : new Day(seed)).with(PipelineDays::on);
-    }
+  /**
+   * Machines that have begun anew are to be believed long before their counts are what those of
+   * their former selves were.
+   */
+  private static final double QUIET_AFTER_MEETINGS_S = 60;
 
-    /** Each is replaced by another build, one after the other; some that have it already among them. */
-    private void rollAll(double fromS, Build build) {
-        double at = fromS;
-        for (int node = 0; node < world.nodeCount(); node++) {
-            int each = node;
-            world.time().at(at, () -> world.roll(each, build));
-            at += 1 + random.nextDouble() * 12;
-        }
-    }
+  private static final int JOBS = 60;
+  private static final int MISTAKES = 3;
 
-    private Day(long seed, World world) {
-        this(seed, world, null);
-        for (int i = 0; i < JOBS; i++) {
-            int number = 1000 + i;
-            world.time().at(3 + i * 2.2, () -> world.users().submit(number));
-        }
-        if (seed % DAYS_PER_LARGE_JOB == 0) {
-            world.time().at(5, () -> world.users().submitManyTasks(999));
-        }
-        for (double at = FIRST_TROUBLE_S; at < LAST_TROUBLE_S; at += 4 + random.nextDouble() * 14) {
-            world.time().at(at, this::trouble);
-        }
-    }
+  /** Of so many days, one has a job of more tasks than a chunk of the records of done tasks. */
+  private static final int DAYS_PER_LARGE_JOB = 40;
 
-    private Day(long seed, World world, Meetings meetings) {
-        this.seed = seed;
-        this.world = world;
-        this.meetings = meetings;
-        random = world.random();
-        liveness = new Liveness(world);
-    }
+  private final long seed;
+  private final World world;
+  private final Random random;
+  private final Liveness liveness;
+  private final Meetings meetings;
+  private boolean rolls;
+
+  private static final Build OLD = Build.present("old", 1);
+  private static final Build NEW = Build.present("new", 2);
 
-    /** A day of troubles that meet on purpose, on one of several sites. */
-    static Day ofMeetings(long seed) {
-        return ofMeetings(seed, Set.of(), false);
+  Day(long seed) {
+    this(seed, new World(seed));
+  }
+
+  /**
+   * The same with controllers that are replaced by ones of a newer build, back half way or not, in
+   * whatever goes on.
+   */
+  static Day ofRolls(long seed) {
+    World world = new World(Site.small(), seed, Meter.OFF, new Features(null, null, OLD));
+    world.state().applyLate(60);
+    Day day = new Day(seed, world);
+    day.rollAll(10 + 40 * day.random.nextDouble(), NEW);
+    if (day.random.nextBoolean()) {
+      day.rollAll(30 + 40 * day.random.nextDouble(), OLD);
+      // Those that the switch has left behind are out until they are replaced again.
+      day.rollAll(70 + 60 * day.random.nextDouble(), NEW);
     }
+    day.rollAll(LAST_TROUBLE_S + 1, NEW);
+    day.rolls = true;
+    return day;
+  }
+
+  /**
+   * A day, or one of rolls that are over before, or of troubles that meet, with pipelines of
+   * dependent jobs.
+   */
+  static Day ofPipelines(long seed) {
+    return (seed % 3 == 2 ? ofMeetings(seed) : new Day(seed)).with(PipelineDays::on);
+  }
 
-    /** The same with lost answers, kept reports, mute machines and quick boots, each of them with any other trouble. */
-    static Day ofFurtherMeetings(long seed) {
-        return ofMeetings(seed, Set.of(), true);
+  /**
+   * Each is replaced by another build, one after the other; some that have it already among them.
+   */
+  private void rollAll(double fromS, Build build) {
+    double at = fromS;
+    for (int node = 0; node < world.nodeCount(); node++) {
+      int each = node;
+      world.time().at(at, () -> world.roll(each, build));
+      at += 1 + random.nextDouble() * 12;
     }
+  }
 
-    /** The same with only some of its meetings, by number; none named: all. */
-    static Day ofMeetings(long seed, Set<Integer> only, boolean further) {
-        Site site = Site.small();
-        List<Settings.Workers> workers = List.of(site.workers(), Site.tryOut(9, true).workers(), Site.mixed(690).workers());
-        World world = new World(site.with(workers.get((int) Math.floorMod(seed, (long) workers.size()))), seed, Meter.OFF);
-        Day day = new Day(seed, world, new Meetings(world, seed, only, further));
-        for (int i = 0; i < JOBS; i++) {
-            int number = 1000 + i;
-            world.time().at(3 + i * 2.2, () -> world.users().submit(number));
-        }
-        for (int i = 0; i < MISTAKES; i++) {
-            world.time().at(FIRST_TROUBLE_S + 45 * i, day::mistake);
-        }
-        return day;
+  private Day(long seed, World world) {
+    this(seed, world, null);
+    for (int i = 0; i < JOBS; i++) {
+      int number = 1000 + i;
+      world.time().at(3 + i * 2.2, () -> world.users().submit(number));
     }
+    if (seed % DAYS_PER_LARGE_JOB == 0) {
+      world.time().at(5, () -> world.users().submitManyTasks(999));
+    }
+    for (double at = FIRST_TROUBLE_S; at < LAST_TROUBLE_S; at += 4 + random.nextDouble() * 14) {
+      world.time().at(at, this::trouble);
+    }
+  }
+
+  private Day(long seed, World world, Meetings meetings) {
+    this.seed = seed;
+    this.world = world;
+    this.meetings = meetings;
+    random = world.random();
+    liveness = new Liveness(world);
+  }
+
+  /** A day of troubles that meet on purpose, on one of several sites. */
+  static Day ofMeetings(long seed) {
+    return ofMeetings(seed, Set.of(), false);
+  }
 
-    /** Has more troubles beside those of the day. */
-    Day with(BiConsumer<World, Long> more) {
-        more.accept(world, seed);
-        return this;
+  /**
+   * The same with lost answers, kept reports, mute machines and quick boots, each of them with any
+   * other trouble.
+   */
+  static Day ofFurtherMeetings(long seed) {
+    return ofMeetings(seed, Set.of(), true);
+  }
+
+  /** The same with only some of its meetings, by number; none named: all. */
+  static Day ofMeetings(long seed, Set<Integer> only, boolean further) {
+    Site site = Site.small();
+    List<Settings.Workers> workers =
+        List.of(site.workers(), Site.tryOut(9, true).workers(), Site.mixed(690).workers());
+    World world =
+        new World(
+            site.with(workers.get((int) Math.floorMod(seed, (long) workers.size()))),
+            seed,
+            Meter.OFF);
+    Day day = new Day(seed, world, new Meetings(world, seed, only, further));
+    for (int i = 0; i < JOBS; i++) {
+      int number = 1000 + i;
+      world.time().at(3 + i * 2.2, () -> world.users().submit(number));
+    }
+    for (int i = 0; i < MISTAKES; i++) {
+      world.time().at(FIRST_TROUBLE_S + 45 * i, day::mistake);
     }
+    return day;
+  }
 
-    /** Plays the day until all work must be over; returns what went wrong. */
-    List<String> play() {
-        double over = meetings == null ? LAST_TROUBLE_S + LONGEST_TROUBLE_S : meetings.overS();
-        world.time().runUntil(meetings == null ? over + QUIET_S - 80 : over);
-        world.around().troublesAreOver();
-        world.time().runUntil(over + (meetings == null ? QUIET_S : QUIET_AFTER_MEETINGS_S));
-        liveness.watch();
-        List<String> wrong = new ArrayList<>(liveness.findings());
-        wrong.addAll(world.rules().broken());
-        if (world.rules().starts() <= JOBS) {
-            wrong.add("little was started: " + world.rules().starts());
-        }
-        if (rolls && !(world.state().value("q/level") instanceof Map<?, ?> level && level.get("level").equals(2L))) {
-            wrong.add("all have the new build, and the level is " + world.state().value("q/level"));
-        }
-        if (meetings != null) {
-            wrong.addAll(unserved());
-            if (!wrong.isEmpty()) {
-                wrong.addAll(meetings.story());
-            }
-        }
-        return wrong;
+  /** Has more troubles beside those of the day. */
+  Day with(BiConsumer<World, Long> more) {
+    more.accept(world, seed);
+    return this;
+  }
+
+  /** Plays the day until all work must be over; returns what went wrong. */
+  List<String> play() {
+    double over = meetings == null ? LAST_TROUBLE_S + LONGEST_TROUBLE_S : meetings.overS();
+    world.time().runUntil(meetings == null ? over + QUIET_S - 80 : over);
+    world.around().troublesAreOver();
+    world.time().runUntil(over + (meetings == null ? QUIET_S : QUIET_AFTER_MEETINGS_S));
+    liveness.watch();
+    List<String> wrong = new ArrayList<>(liveness.findings());
+    wrong.addAll(world.rules().broken());
+    if (world.rules().starts() <= JOBS) {
+      wrong.add("little was started: " + world.rules().starts());
+    }
+    if (rolls
+        && !(world.state().value("q/level") instanceof Map<?, ?> level
+            && level.get("level").equals(2L))) {
+      wrong.add("all have the new build, and the level is " + world.state().value("q/level"));
+    }
+    if (meetings != null) {
+      wrong.addAll(unserved());
+      if (!wrong.isEmpty()) {
+        wrong.addAll(meetings.story());
+      }
     }
+    return wrong;
+  }
 
-    /** The classes of which less than half was served, in all or of the largest, or of which the largest began late. */
-    private List<String> unserved() {
-        List<String> unserved = new ArrayList<>();
-        world.around().served().largest(world.around().now()).forEach((name, parts) -> parts.forEach(part -> {
-            if (part.servedShare() < 0.5 || part.inTimeShare() < 0.5) {
-                unserved.add("largest of " + name + ": " + part);
-            }
-        }));
-        world.around().served().classes(world.around().now()).forEach((name, served) -> {
-            if (served.startedShare() < 0.5) {
+  /**
+   * The classes of which less than half was served, in all or of the largest, or of which the
+   * largest began late.
+   */
+  private List<String> unserved() {
+    List<String> unserved = new ArrayList<>();
+    world
+        .around()
+        .served()
+        .largest(world.around().now())
+        .forEach(
+            (name, parts) ->
+                parts.forEach(
+                    part -> {
+                      if (part.servedShare() < 0.5 || part.inTimeShare() < 0.5) {
+                        unserved.add("largest of " + name + ": " + part);
+                      }
+                    }));
+    world
+        .around()
+        .served()
+        .classes(world.around().now())
+        .forEach(
+            (name, served) -> {
+              if (served.startedShare() < 0.5) {
                 unserved.add("class " + name + ": " + served);
-            }
-        });
-        world.around().served().teams(world.around().now()).forEach((name, served) -> {
-            if (served.startedShare() < 0.5) {
+              }
+            });
+    world
+        .around()
+        .served()
+        .teams(world.around().now())
+        .forEach(
+            (name, served) -> {
+              if (served.startedShare() < 0.5) {
                 unserved.add("team " + name + ": " + served);
-            }
-        });
-        return unserved;
-    }
+              }
+            });
+    return unserved;
+  }
 
-    private void trouble() {
-        int node = random.nextInt(world.nodeCount());
-        double length = 3 + random.nextDouble() * (LONGEST_TROUBLE_S - 3);
-        boolean lose = random.nextBoolean();
-        List<MachineId> machines = world.cloud().machines();
-        MachineId machine = machines.isEmpty() ? new MachineId("none") : machines.get(random.nextInt(machines.size()));
-        switch (random.nextInt(20)) {
-            case 0 -> world.crash(node);
-            case 1 -> {
-                for (int i = 0; i < world.nodeCount(); i++) {
-                    world.crash(i);
-                }
-            }
-            case 2 -> world.state().outage(length);
-            case 3 -> world.state().refuse(Site.nodeName(node), length);
-            case 4 -> world.cut(Site.nodeName(node), "state", length, lose);
-            case 5 -> machines.forEach(each -> world.cut(Site.nodeName(node), each.text(), length, random.nextBoolean()));
-            case 6 -> world.cut(Site.nodeName(node), Site.nodeName((node + 1) % world.nodeCount()), length, lose);
-            case 7 -> {
-                for (int i = 0; i < world.nodeCount(); i++) {
-                    world.cut(Site.nodeName(i), machine.text(), length, random.nextBoolean());
-                }
-            }
-            case 8 -> world.cloud().outage(length);
-            case 9 -> machines.stream().filter(each -> random.nextInt(4) == 0)
-                    .forEach(each -> world.cloud().take(each, 3 + random.nextDouble() * 15));
-            case 10 -> new Cuts(world).zone(node % world.site().zones().size(), length, lose);
-            case 11 -> machines.forEach(each -> world.cut(Site.nodeName(random.nextInt(world.nodeCount())), each.text(),
-                    3 + random.nextDouble() * 5, random.nextBoolean()));
-            case 12 -> world.cloud().take(machine, 0);
-            case 13 -> world.silence(node, length, lose);
-            case 14 -> world.standStill(node, length);
-            case 15 -> {
-                world.standStill(node, length / 3);
-                world.time().at(world.time().seconds() + length / 4, () -> world.standStill((node + 1) % world.nodeCount(), length / 2));
-            }
-            case 16 -> world.users().storm(2 + random.nextInt(20), length);
-            case 17 -> world.lone(node, length, lose);
-            case 18 -> machines.stream().filter(each -> random.nextInt(4) == 0).forEach(each -> world.deafen(each, length));
-            default -> mistake();
+  private void trouble() {
+    int node = random.nextInt(world.nodeCount());
+    double length = 3 + random.nextDouble() * (LONGEST_TROUBLE_S - 3);
+    boolean lose = random.nextBoolean();
+    List<MachineId> machines = world.cloud().machines();
+    MachineId machine =
+        machines.isEmpty() ? new MachineId("none") : machines.get(random.nextInt(machines.size()));
+    switch (random.nextInt(20)) {
+      case 0 -> world.crash(node);
+      case 1 -> {
+        for (int i = 0; i < world.nodeCount(); i++) {
+          world.crash(i);
+        }
+      }
+      case 2 -> world.state().outage(length);
+      case 3 -> world.state().refuse(Site.nodeName(node), length);
+      case 4 -> world.cut(Site.nodeName(node), "state", length, lose);
+      case 5 ->
+          machines.forEach(
+              each -> world.cut(Site.nodeName(node), each.text(), length, random.nextBoolean()));
+      case 6 ->
+          world.cut(
+              Site.nodeName(node), Site.nodeName((node + 1) % world.nodeCount()), length, lose);
+      case 7 -> {
+        for (int i = 0; i < world.nodeCount(); i++) {
+          world.cut(Site.nodeName(i), machine.text(), length, random.nextBoolean());
         }
+      }
+      case 8 -> world.cloud().outage(length);
+      case 9 ->
+          machines.stream()
+              .filter(each -> random.nextInt(4) == 0)
+              .forEach(each -> world.cloud().take(each, 3 + random.nextDouble() * 15));
+      case 10 -> new Cuts(world).zone(node % world.site().zones().size(), length, lose);
+      case 11 ->
+          machines.forEach(
+              each ->
+                  world.cut(
+                      Site.nodeName(random.nextInt(world.nodeCount())),
+                      each.text(),
+                      3 + random.nextDouble() * 5,
+                      random.nextBoolean()));
+      case 12 -> world.cloud().take(machine, 0);
+      case 13 -> world.silence(node, length, lose);
+      case 14 -> world.standStill(node, length);
+      case 15 -> {
+        world.standStill(node, length / 3);
+        world
+            .time()
+            .at(
+                world.time().seconds() + length / 4,
+                () -> world.standStill((node + 1) % world.nodeCount(), length / 2));
+      }
+      case 16 -> world.users().storm(2 + random.nextInt(20), length);
+      case 17 -> world.lone(node, length, lose);
+      case 18 ->
+          machines.stream()
+              .filter(each -> random.nextInt(4) == 0)
+              .forEach(each -> world.deafen(each, length));
+      default -> mistake();
     }
+  }
 
-    /** A job that fails wherever it runs, until its user cancels it. */
-    private void mistake() {
-        Shape shape = Shape.values()[random.nextInt(Shape.values().length)];
-        Job job = new Job(new JobId("job-" + (5000 + world.users().mistakes().size())), "mistake", random.nextBoolean() ? "blue" : "red", shape,
-                shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL, 1 + random.nextInt(shape == Shape.ARRAY ? 20 : 2),
-                new Resources(1 + random.nextInt(2), 0, 2), null, null, shape == Shape.GANG, false, false, "img-" + random.nextInt(3), 1,
-                Span.ofSeconds(10), Span.ZERO, Span.ZERO, null);
-        world.users().submitMistaken(job);
-        world.time().at(world.time().seconds() + 20 + random.nextDouble() * 60, () -> world.users().cancel(job.id()));
-    }
+  /** A job that fails wherever it runs, until its user cancels it. */
+  private void mistake() {
+    Shape shape = Shape.values()[random.nextInt(Shape.values().length)];
+    Job job =
+        new Job(
+            new JobId("job-" + (5000 + world.users().mistakes().size())),
+            "mistake",
+            random.nextBoolean() ? "blue" : "red",
+            shape,
+            shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL,
+            1 + random.nextInt(shape == Shape.ARRAY ? 20 : 2),
+            new Resources(1 + random.nextInt(2), 0, 2),
+            null,
+            null,
+            shape == Shape.GANG,
+            false,
+            false,
+            "img-" + random.nextInt(3),
+            1,
+            Span.ofSeconds(10),
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    world.users().submitMistaken(job);
+    world
+        .time()
+        .at(
+            world.time().seconds() + 20 + random.nextDouble() * 60,
+            () -> world.users().cancel(job.id()));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/DeafSite.java
+++ b/src/test/java/org/quincecross/emulator/DeafSite.java
@@ -10,12 +10,16 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.wire.BadMessage;
 
-/** Three controllers, 61 machines, services of 80 replicas on them, in virtual time; some machines stop hearing for a while. */
+/**
+ * Three controllers, 61 machines, services of 80 replicas on them, in virtual time; some machines
+ * stop hearing for a while.
+ */
 final class DeafSite {
-    static final double LEASE_S = 12;
-    static final int REPLICAS = 80;
-    private static final double DEAF_AT_S = 35;
-    private static final String JOBS = """
+  static final double LEASE_S = 12;
+  static final int REPLICAS = 80;
+  private static final double DEAF_AT_S = 35;
+  private static final String JOBS =
+      """
             [[jobs]]
             name = "front"
             shape = "service"
@@ -40,76 +44,91 @@
             run_s = 40
             """;
 
-    final World world;
-    final List<JobId> services = new ArrayList<>();
-    final List<MachineId> deaf = new ArrayList<>();
+  final World world;
+  final List<JobId> services = new ArrayList<>();
+  final List<MachineId> deaf = new ArrayList<>();
 
-    DeafSite(long seed) throws BadMessage {
-        Site site = Site.tryOut(60, true);
-        world = new World(site, seed, Meter.OFF);
-        for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
-            world.time().at(6 + due.atS(), () -> world.users().submit(due.job()));
-            if (due.job().jobClass().equals("front")) {
-                services.add(due.job().id());
-            }
-        }
-        world.time().runUntil(DEAF_AT_S);
+  DeafSite(long seed) throws BadMessage {
+    Site site = Site.tryOut(60, true);
+    world = new World(site, seed, Meter.OFF);
+    for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
+      world.time().at(6 + due.atS(), () -> world.users().submit(due.job()));
+      if (due.job().jobClass().equals("front")) {
+        services.add(due.job().id());
+      }
     }
+    world.time().runUntil(DEAF_AT_S);
+  }
 
-    /** Of every hundred machines so many hear nothing for a while. */
-    void deafen(int percent, double seconds, long seed) {
-        List<MachineId> machines = new ArrayList<>(world.cloud().machines());
-        Collections.shuffle(machines, new Random(seed));
-        deaf.addAll(machines.subList(0, Math.max(1, Math.round(machines.size() * percent / 100f))));
-        deaf.forEach(machine -> world.deafen(machine, seconds));
-    }
+  /** Of every hundred machines so many hear nothing for a while. */
+  void deafen(int percent, double seconds, long seed) {
+    List<MachineId> machines = new ArrayList<>(world.cloud().machines());
+    Collections.shuffle(machines, new Random(seed));
+    deaf.addAll(machines.subList(0, Math.max(1, Math.round(machines.size() * percent / 100f))));
+    deaf.forEach(machine -> world.deafen(machine, seconds));
+  }
 
-    int replicas() {
-        return services.stream().mapToInt(world.rules()::onMachines).sum();
-    }
+  int replicas() {
+    return services.stream().mapToInt(world.rules()::onMachines).sum();
+  }
 
-    /** How many of the machines that were deaf have tasks. */
-    int deafInUse() {
-        return (int) deaf.stream().filter(machine -> world.rules().onMachine(machine) > 0).count();
-    }
+  /** How many of the machines that were deaf have tasks. */
+  int deafInUse() {
+    return (int) deaf.stream().filter(machine -> world.rules().onMachine(machine) > 0).count();
+  }
 
-    /** Those of them that their holders give no work. */
-    List<String> closed() {
-        List<String> closed = new ArrayList<>();
-        for (int node = 0; node < world.nodeCount(); node++) {
-            world.ask(node, HttpRequest.get("/admin/machines"), response -> {
-                for (String machine : new String(response.body(), StandardCharsets.UTF_8).split("\\{")) {
-                    if (machine.contains("\"open\":false") && deaf.stream().anyMatch(id -> machine.contains("\"" + id + "\""))) {
-                        closed.add(machine);
-                    }
-                }
-            });
-        }
-        return closed;
+  /** Those of them that their holders give no work. */
+  List<String> closed() {
+    List<String> closed = new ArrayList<>();
+    for (int node = 0; node < world.nodeCount(); node++) {
+      world.ask(
+          node,
+          HttpRequest.get("/admin/machines"),
+          response -> {
+            for (String machine :
+                new String(response.body(), StandardCharsets.UTF_8).split("\\{")) {
+              if (machine.contains("\"open\":false")
+                  && deaf.stream().anyMatch(id -> machine.contains("\"" + id + "\""))) {
+                closed.add(machine);
+              }
+            }
+          });
     }
+    return closed;
+  }
 
-    /** For how long after the machines went deaf replicas were missing, at the latest, within so many seconds. */
-    double missingUntil(double seconds) {
-        double last = 0;
-        for (double at = 0.5; at <= seconds; at += 0.5) {
-            world.time().runUntil(DEAF_AT_S + at);
-            last = replicas() < REPLICAS ? at : last;
-        }
-        return last;
+  /**
+   * For how long after the machines went deaf replicas were missing, at the latest, within so many
+   * seconds.
+   */
+  double missingUntil(double seconds) {
+    double last = 0;
+    for (double at = 0.5; at <= seconds; at += 0.5) {
+      world.time().runUntil(DEAF_AT_S + at);
+      last = replicas() < REPLICAS ? at : last;
     }
+    return last;
+  }
 
-    /** Plays the table of docs/incidents/deaf-machines.md. */
-    public static void main(String[] args) throws BadMessage {
-        System.out.println("deaf %  for s  seed  all again after s  starts unheard  rules broken");
-        for (int percent : new int[] {33, 20, 5}) {
-            for (double seconds : new double[] {30, 150, 600}) {
-                for (long seed = 1; seed <= 3; seed++) {
-                    DeafSite site = new DeafSite(seed);
-                    site.deafen(percent, seconds, seed);
-                    double missing = site.missingUntil(seconds + 60);
-                    System.out.printf("%6d %6.0f %5d %18.1f %15d  %s%n", percent, seconds, seed, missing, site.world.startsUnheard(), site.world.rules().broken());
-                }
-            }
+  /** Plays the table of docs/incidents/deaf-machines.md. */
+  public static void main(String[] args) throws BadMessage {
+    System.out.println("deaf %  for s  seed  all again after s  starts unheard  rules broken");
+    for (int percent : new int[] {33, 20, 5}) {
+      for (double seconds : new double[] {30, 150, 600}) {
+        for (long seed = 1; seed <= 3; seed++) {
+          DeafSite site = new DeafSite(seed);
+          site.deafen(percent, seconds, seed);
+          double missing = site.missingUntil(seconds + 60);
+          System.out.printf(
+              "%6d %6.0f %5d %18.1f %15d  %s%n",
+              percent,
+              seconds,
+              seed,
+              missing,
+              site.world.startsUnheard(),
+              site.world.rules().broken());
         }
+      }
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
+++ b/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
@@ -28,159 +28,235 @@
 import org.quincecross.wire.Settings;
 
 /**
- * The state service lowers its limits without notice, after records have been written that are larger than it takes from then on. Three
- * controllers, in virtual time.
+ * The state service lowers its limits without notice, after records have been written that are
+ * larger than it takes from then on. Three controllers, in virtual time.
  */
 @Timeout(120)
 class FallingLimitsTest {
-    private static final Settings.StateLimits LOW = new Settings.StateLimits(400, 40, 1024, 4);
-    private static final Build NEW = Build.present("new", 2);
-    private static final int JOBS = 420;
-    private static final int SERVICES = 12;
-
-    private final World world = new World(Site.tryOut(9, true).with(new Settings.StateLimits(400, 60, 4096, 8)), 5, Meter.OFF, Features.NONE);
-    private final List<JobId> batch = new ArrayList<>();
-    private final List<JobId> services = new ArrayList<>();
-
-    FallingLimitsTest() {
-        for (int i = 0; i < JOBS; i++) {
-            Job job = job(1_000_000_000 + i, "batch", Shape.ARRAY, Rank.LOW, 1, 0.1, 35);
-            batch.add(job.id());
-            world.time().at(4 + 0.02 * i, () -> world.users().submit(job));
-        }
-        for (int i = 0; i < SERVICES; i++) {
-            Job job = job(90_000 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 3, 0.5, 0);
-            services.add(job.id());
-            world.time().at(4 + i, () -> world.users().submit(job));
-        }
-    }
+  private static final Settings.StateLimits LOW = new Settings.StateLimits(400, 40, 1024, 4);
+  private static final Build NEW = Build.present("new", 2);
+  private static final int JOBS = 420;
+  private static final int SERVICES = 12;
 
-    private static Job job(int number, String team, Shape shape, Rank rank, int tasks, double cpus, double runS) {
-        return new Job(new JobId("job-" + number), shape == Shape.SERVICE ? "front" : "small", team, shape, rank, tasks,
-                new Resources(cpus, 0, 0.1), null, null, false, false, false, "i", 0.2, Span.ofSeconds(runS), Span.ZERO, Span.ZERO, null);
-    }
+  private final World world =
+      new World(
+          Site.tryOut(9, true).with(new Settings.StateLimits(400, 60, 4096, 8)),
+          5,
+          Meter.OFF,
+          Features.NONE);
+  private final List<JobId> batch = new ArrayList<>();
+  private final List<JobId> services = new ArrayList<>();
 
-    /** Those that may have to be changed: bundles are only ever deleted. */
-    private List<String> recordsLargerThan(int bytes) {
-        return world.state().under("q/").stream().filter(key -> !key.startsWith("q/bundle/") && Json.write(world.state().value(key)).length > bytes).toList();
+  FallingLimitsTest() {
+    for (int i = 0; i < JOBS; i++) {
+      Job job = job(1_000_000_000 + i, "batch", Shape.ARRAY, Rank.LOW, 1, 0.1, 35);
+      batch.add(job.id());
+      world.time().at(4 + 0.02 * i, () -> world.users().submit(job));
     }
-
-    private Set<String> tooLarge() throws BadMessage {
-        return Set.copyOf(world.status(0).fields("too_large").names());
+    for (int i = 0; i < SERVICES; i++) {
+      Job job = job(90_000 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 3, 0.5, 0);
+      services.add(job.id());
+      world.time().at(4 + i, () -> world.users().submit(job));
     }
+  }
 
-    private int level() {
-        return world.state().value("q/level") instanceof Map<?, ?> level ? ((Number) level.get("level")).intValue() : 1;
-    }
+  private static Job job(
+      int number, String team, Shape shape, Rank rank, int tasks, double cpus, double runS) {
+    return new Job(
+        new JobId("job-" + number),
+        shape == Shape.SERVICE ? "front" : "small",
+        team,
+        shape,
+        rank,
+        tasks,
+        new Resources(cpus, 0, 0.1),
+        null,
+        null,
+        false,
+        false,
+        false,
+        "i",
+        0.2,
+        Span.ofSeconds(runS),
+        Span.ZERO,
+        Span.ZERO,
+        null);
+  }
+
+  /** Those that may have to be changed: bundles are only ever deleted. */
+  private List<String> recordsLargerThan(int bytes) {
+    return world.state().under("q/").stream()
+        .filter(
+            key ->
+                !key.startsWith("q/bundle/") && Json.write(world.state().value(key)).length > bytes)
+        .toList();
+  }
 
-    /** All are replaced, one by one, by builds that are told of the limits to come. */
-    private void roll() {
-        for (int node = 0; node < world.nodeCount(); node++) {
-            int each = node;
-            world.time().at(24 + 4 * node, () -> {
+  private Set<String> tooLarge() throws BadMessage {
+    return Set.copyOf(world.status(0).fields("too_large").names());
+  }
+
+  private int level() {
+    return world.state().value("q/level") instanceof Map<?, ?> level
+        ? ((Number) level.get("level")).intValue()
+        : 1;
+  }
+
+  /** All are replaced, one by one, by builds that are told of the limits to come. */
+  private void roll() {
+    for (int node = 0; node < world.nodeCount(); node++) {
+      int each = node;
+      world
+          .time()
+          .at(
+              24 + 4 * node,
+              () -> {
                 world.tellNext(each, LOW);
                 world.roll(each, NEW);
-            });
-        }
-        world.time().runUntil(33);
+              });
     }
+    world.time().runUntil(33);
+  }
 
-    private void loseMachines(double atS) {
-        world.time().at(atS, () -> {
-            List<MachineId> machines = world.cloud().machines();
-            for (int i = 0; i < machines.size(); i += 3) {
+  private void loseMachines(double atS) {
+    world
+        .time()
+        .at(
+            atS,
+            () -> {
+              List<MachineId> machines = world.cloud().machines();
+              for (int i = 0; i < machines.size(); i += 3) {
                 world.cloud().take(machines.get(i), 0);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    private void assertAllEnds(List<JobId> cancelled) {
-        world.time().runUntil(220);
-        assertEquals(List.of(), world.rules().broken());
-        for (JobId id : batch) {
-            String told = world.users().told().get(id);
-            assertTrue("done".equals(told) || cancelled.contains(id) && "cancelled".equals(told), id.text() + " " + told);
-        }
-        for (JobId id : services) {
-            assertEquals(3, world.rules().onMachines(id), id.text());
-        }
-        assertEquals(List.of(), recordsLargerThan(LOW.valueBytes()), "nothing is left that could not be changed");
+  private void assertAllEnds(List<JobId> cancelled) {
+    world.time().runUntil(220);
+    assertEquals(List.of(), world.rules().broken());
+    for (JobId id : batch) {
+      String told = world.users().told().get(id);
+      assertTrue(
+          "done".equals(told) || cancelled.contains(id) && "cancelled".equals(told),
+          id.text() + " " + told);
+    }
+    for (JobId id : services) {
+      assertEquals(3, world.rules().onMachines(id), id.text());
     }
+    assertEquals(
+        List.of(),
+        recordsLargerThan(LOW.valueBytes()),
+        "nothing is left that could not be changed");
+  }
+
+  /** What else happens as the limits fall. */
+  enum Meanwhile {
+    NOTHING,
+    OUTAGE,
+    ALL_RESTART,
+    LEADER_CRASHES,
+    OUTAGE_AND_RESTART
+  }
 
-    /** What else happens as the limits fall. */
-    enum Meanwhile { NOTHING, OUTAGE, ALL_RESTART, LEADER_CRASHES, OUTAGE_AND_RESTART }
-
-    /** Before the level at which a block's oversized record can be changed in part, or after it. */
-    @ParameterizedTest
-    @CsvSource({"38, NOTHING", "38, OUTAGE", "38, ALL_RESTART", "52, NOTHING", "52, LEADER_CRASHES", "52, OUTAGE_AND_RESTART"})
-    void theyFallAfterAllAreNew(double fallAt, Meanwhile meanwhile) throws BadMessage {
-        world.time().runUntil(23.9);
-        assertTrue(recordsLargerThan(LOW.valueBytes()).size() >= 3, recordsLargerThan(LOW.valueBytes()) + " large records");
-        roll();
-        world.time().runUntil(37.9);
-        assertFalse(tooLarge().isEmpty(), "the status names what is too large");
-        loseMachines(fallAt + 3);
-        List<JobId> cancelled = new ArrayList<>();
-        world.time().at(fallAt + 1, () -> {
-            for (int i = 0; i < JOBS; i += 50) {
+  /** Before the level at which a block's oversized record can be changed in part, or after it. */
+  @ParameterizedTest
+  @CsvSource({
+    "38, NOTHING",
+    "38, OUTAGE",
+    "38, ALL_RESTART",
+    "52, NOTHING",
+    "52, LEADER_CRASHES",
+    "52, OUTAGE_AND_RESTART"
+  })
+  void theyFallAfterAllAreNew(double fallAt, Meanwhile meanwhile) throws BadMessage {
+    world.time().runUntil(23.9);
+    assertTrue(
+        recordsLargerThan(LOW.valueBytes()).size() >= 3,
+        recordsLargerThan(LOW.valueBytes()) + " large records");
+    roll();
+    world.time().runUntil(37.9);
+    assertFalse(tooLarge().isEmpty(), "the status names what is too large");
+    loseMachines(fallAt + 3);
+    List<JobId> cancelled = new ArrayList<>();
+    world
+        .time()
+        .at(
+            fallAt + 1,
+            () -> {
+              for (int i = 0; i < JOBS; i += 50) {
                 JobId id = batch.get(i);
                 if (!"done".equals(world.users().told().get(id))) {
-                    world.users().cancel(id);
-                    cancelled.add(id);
+                  world.users().cancel(id);
+                  cancelled.add(id);
                 }
-            }
-        });
-        world.time().at(fallAt, () -> world.state().limit(LOW));
-        if (meanwhile == Meanwhile.OUTAGE || meanwhile == Meanwhile.OUTAGE_AND_RESTART) {
-            world.time().at(fallAt - 2, () -> world.state().outage(9));
-        }
-        if (meanwhile == Meanwhile.ALL_RESTART || meanwhile == Meanwhile.OUTAGE_AND_RESTART) {
-            world.time().at(fallAt - 0.5, () -> {
+              }
+            });
+    world.time().at(fallAt, () -> world.state().limit(LOW));
+    if (meanwhile == Meanwhile.OUTAGE || meanwhile == Meanwhile.OUTAGE_AND_RESTART) {
+      world.time().at(fallAt - 2, () -> world.state().outage(9));
+    }
+    if (meanwhile == Meanwhile.ALL_RESTART || meanwhile == Meanwhile.OUTAGE_AND_RESTART) {
+      world
+          .time()
+          .at(
+              fallAt - 0.5,
+              () -> {
                 for (int node = 0; node < world.nodeCount(); node++) {
-                    world.down(node, 6 + node);
+                  world.down(node, 6 + node);
                 }
-            });
-        }
-        if (meanwhile == Meanwhile.LEADER_CRASHES) {
-            world.time().at(fallAt - 0.1, () -> world.crash(Math.max(0, world.leader())));
-        }
-        world.time().runUntil(fallAt);
-        assertEquals(fallAt > 50 ? 2 : 1, level());
-        assertAllEnds(cancelled);
-        assertEquals(0, world.state().tooLarge(), "transactions that were too large");
-        assertEquals(2, level());
-        assertEquals(Set.of(), tooLarge());
+              });
+    }
+    if (meanwhile == Meanwhile.LEADER_CRASHES) {
+      world.time().at(fallAt - 0.1, () -> world.crash(Math.max(0, world.leader())));
     }
+    world.time().runUntil(fallAt);
+    assertEquals(fallAt > 50 ? 2 : 1, level());
+    assertAllEnds(cancelled);
+    assertEquals(0, world.state().tooLarge(), "transactions that were too large");
+    assertEquals(2, level());
+    assertEquals(Set.of(), tooLarge());
+  }
 
-    /** Nobody was told of the limits to come: work goes on, in smaller steps. */
-    @Test
-    void theyFallWithoutAWord() {
-        world.time().at(24, () -> world.state().limit(LOW));
-        loseMachines(30);
-        // So many at once that a bundle of them is too large.
-        world.time().at(40, () -> {
-            for (int i = 0; i < 30; i++) {
+  /** Nobody was told of the limits to come: work goes on, in smaller steps. */
+  @Test
+  void theyFallWithoutAWord() {
+    world.time().at(24, () -> world.state().limit(LOW));
+    loseMachines(30);
+    // So many at once that a bundle of them is too large.
+    world
+        .time()
+        .at(
+            40,
+            () -> {
+              for (int i = 0; i < 30; i++) {
                 Job job = job(80_000 + i, "batch", Shape.ARRAY, Rank.LOW, 1, 0.1, 35);
                 batch.add(job.id());
                 world.users().submit(job);
-            }
-        });
-        assertAllEnds(List.of());
-        assertTrue(world.state().tooLarge() > 0, "never too large");
-        assertTrue(world.state().tooLarge() < 200, world.state().tooLarge() + " transactions that were too large");
-    }
+              }
+            });
+    assertAllEnds(List.of());
+    assertTrue(world.state().tooLarge() > 0, "never too large");
+    assertTrue(
+        world.state().tooLarge() < 200,
+        world.state().tooLarge() + " transactions that were too large");
+  }
 
-    /** So many teams that a member's record has no room for their limits: it says nothing of them, and takes part. */
-    @Test
-    void aMemberOfManyTeams() {
-        Map<String, Team> teams = new LinkedHashMap<>(world.site().teams());
-        for (int i = 0; i < 40; i++) {
-            teams.put("team-" + i, new Team("team-" + i, new Resources(1, 0, 1), new Resources(10, 0, 10)));
-        }
-        World other = new World(world.site().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
-        other.time().runUntil(20);
-        assertTrue(other.leader() >= 0, "nobody is a member");
-        assertEquals(0, other.state().tooLarge());
-        assertEquals(3, other.state().under("q/member/").size());
+  /**
+   * So many teams that a member's record has no room for their limits: it says nothing of them, and
+   * takes part.
+   */
+  @Test
+  void aMemberOfManyTeams() {
+    Map<String, Team> teams = new LinkedHashMap<>(world.site().teams());
+    for (int i = 0; i < 40; i++) {
+      teams.put(
+          "team-" + i, new Team("team-" + i, new Resources(1, 0, 1), new Resources(10, 0, 10)));
     }
+    World other =
+        new World(world.site().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
+    other.time().runUntil(20);
+    assertTrue(other.leader() >= 0, "nobody is a member");
+    assertEquals(0, other.state().tooLarge());
+    assertEquals(3, other.state().under("q/member/").size());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/FullTeamsTest.java
+++ b/src/test/java/org/quincecross/emulator/FullTeamsTest.java
@@ -23,221 +23,334 @@
 import org.quincecross.model.Team;
 
 /**
- * Every team is at its limit, with as much again waiting, much of it bound to one zone, while jobs are cancelled and troubles meet. What
- * cannot be reached counts until it is proven gone: by its team's limit, and by its zone. Three controllers, 30 machines, virtual time.
+ * Every team is at its limit, with as much again waiting, much of it bound to one zone, while jobs
+ * are cancelled and troubles meet. What cannot be reached counts until it is proven gone: by its
+ * team's limit, and by its zone. Three controllers, 30 machines, virtual time.
  */
 class FullTeamsTest {
-    private static final double AT_S = 28;
-    private static final double OVER_S = 110;
-    private static final int WAVE = 14;
+  private static final double AT_S = 28;
+  private static final double OVER_S = 110;
+  private static final int WAVE = 14;
 
-    private final Site site = Site.tryOut(30, true).with(Map.of("long", team("long", 48), "zonal", team("zonal", 40), "web", team("web", 24)));
-    private final Map<JobId, Job> jobs = new LinkedHashMap<>();
-    private final List<JobId> called = new ArrayList<>();
-    private World world;
-    private Random random;
-    private int changes;
-    private int leader = -1;
-    private int takenOver;
-    private boolean atLimits = true;
+  private final Site site =
+      Site.tryOut(30, true)
+          .with(
+              Map.of("long", team("long", 48), "zonal", team("zonal", 40), "web", team("web", 24)));
+  private final Map<JobId, Job> jobs = new LinkedHashMap<>();
+  private final List<JobId> called = new ArrayList<>();
+  private World world;
+  private Random random;
+  private int changes;
+  private int leader = -1;
+  private int takenOver;
+  private boolean atLimits = true;
 
-    /** The troubles that meet a wave of cancellations. */
-    private enum Trouble { HANG, CUT, HAND_OVER, ZONE, TEN_LEADERS, ALL_AWAY, ZONE_LOSES_MACHINES, OTHER_LIMITS, TAKEN_OVER_AND_REFUSED }
+  /** The troubles that meet a wave of cancellations. */
+  private enum Trouble {
+    HANG,
+    CUT,
+    HAND_OVER,
+    ZONE,
+    TEN_LEADERS,
+    ALL_AWAY,
+    ZONE_LOSES_MACHINES,
+    OTHER_LIMITS,
+    TAKEN_OVER_AND_REFUSED
+  }
 
-    private static Team team(String name, double cpus) {
-        return new Team(name, new Resources(cpus / 4, 0, 1e9), new Resources(cpus, 0, 1e9));
-    }
+  private static Team team(String name, double cpus) {
+    return new Team(name, new Resources(cpus / 4, 0, 1e9), new Resources(cpus, 0, 1e9));
+  }
 
-    private void submit(int number, String team, Shape shape, int tasks, int cpus, boolean oneZone, double runS) {
-        Job job = new Job(new JobId("job-" + number), "any", team, shape, shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL, tasks,
-                new Resources(cpus, 0, 2), null, null, oneZone, false, number % 3 != 0, "img-" + number % 3, 1, Span.ofSeconds(runS), Span.ZERO,
-                Span.ZERO, null);
-        jobs.put(job.id(), job);
-        world.time().at(5 + 12 * random.nextDouble(), () -> world.users().submit(job));
-    }
+  private void submit(
+      int number, String team, Shape shape, int tasks, int cpus, boolean oneZone, double runS) {
+    Job job =
+        new Job(
+            new JobId("job-" + number),
+            "any",
+            team,
+            shape,
+            shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL,
+            tasks,
+            new Resources(cpus, 0, 2),
+            null,
+            null,
+            oneZone,
+            false,
+            number % 3 != 0,
+            "img-" + number % 3,
+            1,
+            Span.ofSeconds(runS),
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    jobs.put(job.id(), job);
+    world.time().at(5 + 12 * random.nextDouble(), () -> world.users().submit(job));
+  }
 
-    private List<JobId> running() {
-        return jobs.keySet().stream().filter(id -> world.rules().onMachines(id) > 0 && !called.contains(id)).toList();
-    }
+  private List<JobId> running() {
+    return jobs.keySet().stream()
+        .filter(id -> world.rules().onMachines(id) > 0 && !called.contains(id))
+        .toList();
+  }
 
-    /** Users call off so many jobs that run, within so many seconds. */
-    private void callOff(int count, double withinS) {
-        List<JobId> running = running();
-        for (JobId id : running.subList(0, Math.min(count, running.size()))) {
-            called.add(id);
-            world.time().after(withinS * random.nextDouble(), () -> world.users().cancel(id));
-        }
+  /** Users call off so many jobs that run, within so many seconds. */
+  private void callOff(int count, double withinS) {
+    List<JobId> running = running();
+    for (JobId id : running.subList(0, Math.min(count, running.size()))) {
+      called.add(id);
+      world.time().after(withinS * random.nextDouble(), () -> world.users().cancel(id));
     }
+  }
 
-    private int leader() {
-        return Math.max(0, world.leader());
-    }
+  private int leader() {
+    return Math.max(0, world.leader());
+  }
 
-    private void strike(Trouble trouble) {
-        double lease = site.workers().lease().seconds();
-        switch (trouble) {
-            case HANG -> {
-                callOff(WAVE, 0.2);
-                world.cloud().workers().forEach(worker -> {
-                    if (random.nextBoolean()) {
-                        worker.hang(2 + (lease - 2.5) * random.nextDouble());
-                    }
+  private void strike(Trouble trouble) {
+    double lease = site.workers().lease().seconds();
+    switch (trouble) {
+      case HANG -> {
+        callOff(WAVE, 0.2);
+        world
+            .cloud()
+            .workers()
+            .forEach(
+                worker -> {
+                  if (random.nextBoolean()) {
+                    worker.hang(2 + (lease - 2.5) * random.nextDouble());
+                  }
                 });
-                world.time().after(random.nextDouble(), () -> world.down(leader(), 0.3 + 9 * random.nextDouble()));
-            }
-            case CUT -> {
-                int former = leader();
-                boolean lose = random.nextBoolean();
-                for (MachineId machine : world.cloud().machines()) {
-                    int kind = random.nextInt(5);
-                    for (int node = 0; kind < 3 && node < world.nodeCount(); node++) {
-                        if (kind != 0 || node != former) {
-                            world.cut(Site.nodeName(node), machine.text(), 6 + 34 * random.nextDouble(), lose);
-                        }
-                    }
-                }
-                world.time().after(1, () -> world.down(former, 1 + 10 * random.nextDouble()));
-                callOff(WAVE, 20);
-            }
-            case HAND_OVER -> {
-                world.holdMessages(0.2, 9, random);
-                boolean[] hit = new boolean[1];
-                world.mishapAt(request -> {
-                    if (!hit[0] && request.startsWith("POST /txn") && request.contains("\"Set\":\"q/block/") && world.time().seconds() > AT_S) {
-                        hit[0] = true;
-                        callOff(WAVE, 0.6);
-                    }
-                    return false;
-                }, 0, World.Mishap.STILL_AFTER);
-                world.down((leader() + 1 + random.nextInt(2)) % 3, 15);
-                world.time().after(20, () -> world.holdMessages(0, 0, random));
-            }
-            case ZONE -> {
-                new Cuts(world).zone(random.nextInt(3), lease + 2 + 24 * random.nextDouble(), random.nextBoolean());
-                callOff(WAVE, 16);
+        world
+            .time()
+            .after(random.nextDouble(), () -> world.down(leader(), 0.3 + 9 * random.nextDouble()));
+      }
+      case CUT -> {
+        int former = leader();
+        boolean lose = random.nextBoolean();
+        for (MachineId machine : world.cloud().machines()) {
+          int kind = random.nextInt(5);
+          for (int node = 0; kind < 3 && node < world.nodeCount(); node++) {
+            if (kind != 0 || node != former) {
+              world.cut(Site.nodeName(node), machine.text(), 6 + 34 * random.nextDouble(), lose);
             }
-            case TEN_LEADERS -> {
-                for (int i = 0; i < 10; i++) {
-                    world.time().after(12 * i, () -> world.down(leader(), 0.2 + 9 * random.nextDouble()));
-                }
-                world.time().after(40 + 10 * random.nextDouble(), () -> world.state().outage(28));
-                callOff(WAVE, 60);
-            }
-            case ALL_AWAY -> {
-                callOff(WAVE, 4);
-                world.cloud().workers().subList(0, 12).forEach(worker -> worker.hang(lease * random.nextDouble()));
-                for (int node = 0; node < world.nodeCount(); node++) {
-                    int each = node;
-                    world.time().after(2 * random.nextDouble(), () -> world.down(each, lease + 1 + 14 * random.nextDouble()));
-                }
-            }
-            case ZONE_LOSES_MACHINES -> {
-                String zone = site.zones().get(random.nextInt(3));
-                List<Worker> there = world.cloud().workers().stream().filter(worker -> worker.machine().zone().equals(zone)).toList();
-                there.subList(0, there.size() / 2).forEach(worker -> world.cloud().take(worker.machine().id(), 0));
-                there.subList(there.size() / 2, there.size()).forEach(worker -> worker.hang(10 * random.nextDouble()));
-                world.time().after(8 * random.nextDouble(), () -> world.down(leader(), 4));
-                callOff(WAVE / 2, 10);
-            }
-            case TAKEN_OVER_AND_REFUSED -> {
-                // Whoever takes blocks over is refused at once, and machines are back as new workers before they show its token.
-                world.holdMessages(0.2, 9, random);
-                boolean[] hit = new boolean[3];
-                world.mishapAt(request -> {
-                    if (request.startsWith("POST /txn") && request.contains("\"Set\":\"q/block/") && world.time().seconds() > AT_S) {
-                        for (int node = 0; node < world.nodeCount(); node++) {
-                            if (!hit[node] && request.contains("\"holder\":\"" + Site.nodeName(node) + "\"") && !hit[(node + 1) % 3] && !hit[(node + 2) % 3]) {
-                                hit[node] = true;
-                                takenOver++;
-                                world.state().refuse(Site.nodeName(node), 45);
-                                world.cloud().workers().forEach(worker -> {
-                                    if (random.nextInt(3) == 0) {
-                                        worker.restart(0.01 + 0.4 * random.nextDouble());
-                                    }
-                                });
-                            }
-                        }
-                    }
-                    return false;
-                }, 0, World.Mishap.STILL_AFTER);
-                world.down((leader() + 1 + random.nextInt(2)) % 3, 15);
-                callOff(WAVE, 12);
-                world.time().after(20, () -> world.holdMessages(0, 0, random));
-            }
-            default -> {
-                // The next leader may be one that has been told lower limits, or the only one that has not.
+          }
+        }
+        world.time().after(1, () -> world.down(former, 1 + 10 * random.nextDouble()));
+        callOff(WAVE, 20);
+      }
+      case HAND_OVER -> {
+        world.holdMessages(0.2, 9, random);
+        boolean[] hit = new boolean[1];
+        world.mishapAt(
+            request -> {
+              if (!hit[0]
+                  && request.startsWith("POST /txn")
+                  && request.contains("\"Set\":\"q/block/")
+                  && world.time().seconds() > AT_S) {
+                hit[0] = true;
+                callOff(WAVE, 0.6);
+              }
+              return false;
+            },
+            0,
+            World.Mishap.STILL_AFTER);
+        world.down((leader() + 1 + random.nextInt(2)) % 3, 15);
+        world.time().after(20, () -> world.holdMessages(0, 0, random));
+      }
+      case ZONE -> {
+        new Cuts(world)
+            .zone(random.nextInt(3), lease + 2 + 24 * random.nextDouble(), random.nextBoolean());
+        callOff(WAVE, 16);
+      }
+      case TEN_LEADERS -> {
+        for (int i = 0; i < 10; i++) {
+          world.time().after(12 * i, () -> world.down(leader(), 0.2 + 9 * random.nextDouble()));
+        }
+        world.time().after(40 + 10 * random.nextDouble(), () -> world.state().outage(28));
+        callOff(WAVE, 60);
+      }
+      case ALL_AWAY -> {
+        callOff(WAVE, 4);
+        world
+            .cloud()
+            .workers()
+            .subList(0, 12)
+            .forEach(worker -> worker.hang(lease * random.nextDouble()));
+        for (int node = 0; node < world.nodeCount(); node++) {
+          int each = node;
+          world
+              .time()
+              .after(
+                  2 * random.nextDouble(),
+                  () -> world.down(each, lease + 1 + 14 * random.nextDouble()));
+        }
+      }
+      case ZONE_LOSES_MACHINES -> {
+        String zone = site.zones().get(random.nextInt(3));
+        List<Worker> there =
+            world.cloud().workers().stream()
+                .filter(worker -> worker.machine().zone().equals(zone))
+                .toList();
+        there
+            .subList(0, there.size() / 2)
+            .forEach(worker -> world.cloud().take(worker.machine().id(), 0));
+        there
+            .subList(there.size() / 2, there.size())
+            .forEach(worker -> worker.hang(10 * random.nextDouble()));
+        world.time().after(8 * random.nextDouble(), () -> world.down(leader(), 4));
+        callOff(WAVE / 2, 10);
+      }
+      case TAKEN_OVER_AND_REFUSED -> {
+        // Whoever takes blocks over is refused at once, and machines are back as new workers before
+        // they show its token.
+        world.holdMessages(0.2, 9, random);
+        boolean[] hit = new boolean[3];
+        world.mishapAt(
+            request -> {
+              if (request.startsWith("POST /txn")
+                  && request.contains("\"Set\":\"q/block/")
+                  && world.time().seconds() > AT_S) {
                 for (int node = 0; node < world.nodeCount(); node++) {
-                    if (node != leader()) {
-                        world.tellTeams(node, Map.of("long", team("long", 30), "zonal", team("zonal", 40), "web", team("web", 24)));
-                        world.down(node, 0.5);
-                    }
+                  if (!hit[node]
+                      && request.contains("\"holder\":\"" + Site.nodeName(node) + "\"")
+                      && !hit[(node + 1) % 3]
+                      && !hit[(node + 2) % 3]) {
+                    hit[node] = true;
+                    takenOver++;
+                    world.state().refuse(Site.nodeName(node), 45);
+                    world
+                        .cloud()
+                        .workers()
+                        .forEach(
+                            worker -> {
+                              if (random.nextInt(3) == 0) {
+                                worker.restart(0.01 + 0.4 * random.nextDouble());
+                              }
+                            });
+                  }
                 }
-                callOff(WAVE, 10);
-                world.time().after(12, () -> world.down(leader(), 5));
-            }
+              }
+              return false;
+            },
+            0,
+            World.Mishap.STILL_AFTER);
+        world.down((leader() + 1 + random.nextInt(2)) % 3, 15);
+        callOff(WAVE, 12);
+        world.time().after(20, () -> world.holdMessages(0, 0, random));
+      }
+      default -> {
+        // The next leader may be one that has been told lower limits, or the only one that has not.
+        for (int node = 0; node < world.nodeCount(); node++) {
+          if (node != leader()) {
+            world.tellTeams(
+                node,
+                Map.of(
+                    "long", team("long", 30), "zonal", team("zonal", 40), "web", team("web", 24)));
+            world.down(node, 0.5);
+          }
         }
+        callOff(WAVE, 10);
+        world.time().after(12, () -> world.down(leader(), 5));
+      }
     }
+  }
 
-    @ParameterizedTest
-    @CsvSource({"HANG, 1", "HANG, 2", "CUT, 1", "CUT, 2", "HAND_OVER, 1", "HAND_OVER, 2", "ZONE, 1", "ZONE, 2", "TEN_LEADERS, 1", "ALL_AWAY, 1",
-        "ALL_AWAY, 2", "ZONE_LOSES_MACHINES, 1", "ZONE_LOSES_MACHINES, 2", "OTHER_LIMITS, 1",
-        "TAKEN_OVER_AND_REFUSED, 1", "TAKEN_OVER_AND_REFUSED, 2", "TAKEN_OVER_AND_REFUSED, 3"})
-    void noTeamGoesBeyondItsLimitAndAllGoesOn(Trouble trouble, long seed) {
-        assertEquals(List.of(), play(trouble, seed));
-        assertEquals(trouble == Trouble.TAKEN_OVER_AND_REFUSED ? 1 : 0, takenOver);
-        assertTrue(atLimits, "all teams were at their limits");
-        assertTrue(called.stream().filter(id -> "cancelled".equals(world.users().told().get(id))).count() >= WAVE / 2 - 1, "cancelled");
-        assertTrue(trouble == Trouble.ZONE || trouble == Trouble.TAKEN_OVER_AND_REFUSED || changes >= (trouble == Trouble.TEN_LEADERS ? 5 : trouble == Trouble.HAND_OVER ? 1 : 2), "leaders " + changes);
-    }
+  @ParameterizedTest
+  @CsvSource({
+    "HANG, 1",
+    "HANG, 2",
+    "CUT, 1",
+    "CUT, 2",
+    "HAND_OVER, 1",
+    "HAND_OVER, 2",
+    "ZONE, 1",
+    "ZONE, 2",
+    "TEN_LEADERS, 1",
+    "ALL_AWAY, 1",
+    "ALL_AWAY, 2",
+    "ZONE_LOSES_MACHINES, 1",
+    "ZONE_LOSES_MACHINES, 2",
+    "OTHER_LIMITS, 1",
+    "TAKEN_OVER_AND_REFUSED, 1",
+    "TAKEN_OVER_AND_REFUSED, 2",
+    "TAKEN_OVER_AND_REFUSED, 3"
+  })
+  void noTeamGoesBeyondItsLimitAndAllGoesOn(Trouble trouble, long seed) {
+    assertEquals(List.of(), play(trouble, seed));
+    assertEquals(trouble == Trouble.TAKEN_OVER_AND_REFUSED ? 1 : 0, takenOver);
+    assertTrue(atLimits, "all teams were at their limits");
+    assertTrue(
+        called.stream().filter(id -> "cancelled".equals(world.users().told().get(id))).count()
+            >= WAVE / 2 - 1,
+        "cancelled");
+    assertTrue(
+        trouble == Trouble.ZONE
+            || trouble == Trouble.TAKEN_OVER_AND_REFUSED
+            || changes
+                >= (trouble == Trouble.TEN_LEADERS ? 5 : trouble == Trouble.HAND_OVER ? 1 : 2),
+        "leaders " + changes);
+  }
 
-    @Test
-    @Tag("seeds")
-    void theSameForManySeeds() {
-        String[] range = System.getProperty("seeds", "20000-20199").split("-");
-        Map<Long, List<String>> wrong = new TreeMap<>();
-        for (long seed = Long.parseLong(range[0]); seed <= Long.parseLong(range[1]); seed++) {
-            List<String> found = new FullTeamsTest().play(Trouble.values()[(int) (seed % Trouble.values().length)], seed);
-            if (!found.isEmpty()) {
-                wrong.put(seed, found);
-            }
-        }
-        assertEquals(Map.of(), wrong);
+  @Test
+  @Tag("seeds")
+  void theSameForManySeeds() {
+    String[] range = System.getProperty("seeds", "20000-20199").split("-");
+    Map<Long, List<String>> wrong = new TreeMap<>();
+    for (long seed = Long.parseLong(range[0]); seed <= Long.parseLong(range[1]); seed++) {
+      List<String> found =
+          new FullTeamsTest().play(Trouble.values()[(int) (seed % Trouble.values().length)], seed);
+      if (!found.isEmpty()) {
+        wrong.put(seed, found);
+      }
     }
+    assertEquals(Map.of(), wrong);
+  }
 
-    private List<String> play(Trouble trouble, long seed) {
-        world = new World(site, seed, Meter.OFF);
-        random = new Random(seed * 31 + trouble.ordinal());
-        for (int i = 0; i < 36; i++) {
-            submit(100 + i, "long", Shape.ARRAY, 2 + i % 2, 1, i % 4 == 0, 55);
-        }
-        for (int i = 0; i < 14; i++) {
-            submit(200 + i, "zonal", i % 4 == 3 ? Shape.GANG : Shape.ARRAY, 3, 2, true, 45);
-        }
-        for (int i = 0; i < 8; i++) {
-            submit(300 + i, "web", Shape.SERVICE, 2, 2, i % 2 == 0, 0);
-        }
-        for (double at = 6; at < OVER_S + 60; at += 0.25) {
-            world.time().at(at, () -> {
+  private List<String> play(Trouble trouble, long seed) {
+    world = new World(site, seed, Meter.OFF);
+    random = new Random(seed * 31 + trouble.ordinal());
+    for (int i = 0; i < 36; i++) {
+      submit(100 + i, "long", Shape.ARRAY, 2 + i % 2, 1, i % 4 == 0, 55);
+    }
+    for (int i = 0; i < 14; i++) {
+      submit(200 + i, "zonal", i % 4 == 3 ? Shape.GANG : Shape.ARRAY, 3, 2, true, 45);
+    }
+    for (int i = 0; i < 8; i++) {
+      submit(300 + i, "web", Shape.SERVICE, 2, 2, i % 2 == 0, 0);
+    }
+    for (double at = 6; at < OVER_S + 60; at += 0.25) {
+      world
+          .time()
+          .at(
+              at,
+              () -> {
                 world.rules().check();
                 int now = world.leader();
                 changes += now >= 0 && now != leader ? 1 : 0;
                 leader = now >= 0 ? now : leader;
-            });
-        }
-        world.time().runUntil(AT_S);
-        site.teams().forEach((name, team) -> atLimits &= world.rules().used(name).cpus() > team.limit().cpus() - 8);
-        strike(trouble);
-        world.time().runUntil(OVER_S + 60);
-        List<String> wrong = new ArrayList<>(world.rules().broken());
-        jobs.keySet().stream().filter(id -> jobs.get(id).shape() == Shape.SERVICE && !called.contains(id)).forEach(id -> world.users().cancel(id));
-        world.time().runUntil(420);
-        jobs.keySet().forEach(id -> {
-            String told = world.users().told().get(id);
-            boolean over = "done".equals(told) || "cancelled".equals(told);
-            if (!over) {
-                wrong.add(id + " is " + told);
-            }
-        });
-        return wrong;
+              });
     }
+    world.time().runUntil(AT_S);
+    site.teams()
+        .forEach(
+            (name, team) -> atLimits &= world.rules().used(name).cpus() > team.limit().cpus() - 8);
+    strike(trouble);
+    world.time().runUntil(OVER_S + 60);
+    List<String> wrong = new ArrayList<>(world.rules().broken());
+    jobs.keySet().stream()
+        .filter(id -> jobs.get(id).shape() == Shape.SERVICE && !called.contains(id))
+        .forEach(id -> world.users().cancel(id));
+    world.time().runUntil(420);
+    jobs.keySet()
+        .forEach(
+            id -> {
+              String told = world.users().told().get(id);
+              boolean over = "done".equals(told) || "cancelled".equals(told);
+              if (!over) {
+                wrong.add(id + " is " + told);
+              }
+            });
+    return wrong;
+  }
 }
