--- a/src/test/java/org/quincecross/emulator/GapDay.java
+++ b/src/test/java/org/quincecross/emulator/GapDay.java
@@ -15,176 +15,239 @@
 import org.quincecross.model.Span;
 
 /**
- * A day drawn from a seed on which the state service refuses one controller, users cancel through the others, and it is then out for all, for
- * about as long as a cancellation has. All times are drawn against one another; late changes, deaf machines, cuts, crashes and a stillness join in.
+ * A day drawn from a seed on which the state service refuses one controller, users cancel through
+ * the others, and it is then out for all, for about as long as a cancellation has. All times are
+ * drawn against one another; late changes, deaf machines, cuts, crashes and a stillness join in.
  */
 final class GapDay {
-    private static final int FIRST = 2000;
-    private static final int JOBS = 26;
-    private static final double GAP_FROM_S = 45;
-    private static final double LONGEST_GAP_S = 110;
-    private static final double QUIET_S = 100;
-
-    private final World world;
-    private final Random random;
-    private final Liveness liveness;
-    private final List<JobId> jobs = new ArrayList<>();
-    private final Map<JobId, Double> cancelAt = new TreeMap<>();
-
-    GapDay(long seed) {
-        world = new World(Site.small(), seed, Meter.OFF);
-        random = new Random(seed * 31 + 7);
-        liveness = new Liveness(world);
-        for (int i = 0; i < JOBS; i++) {
-            Job job = job(FIRST + i);
-            jobs.add(job.id());
-            world.time().at(3 + i * 0.4, () -> world.users().submit(job));
-        }
-        switch (random.nextInt(3)) {
-            case 0 -> heldUp(10 + upTo(4));
-            case 1 -> allLate(6 + upTo(10));
-            default -> { }
-        }
-        world.time().at(GAP_FROM_S, this::gap);
+  private static final int FIRST = 2000;
+  private static final int JOBS = 26;
+  private static final double GAP_FROM_S = 45;
+  private static final double LONGEST_GAP_S = 110;
+  private static final double QUIET_S = 100;
+
+  private final World world;
+  private final Random random;
+  private final Liveness liveness;
+  private final List<JobId> jobs = new ArrayList<>();
+  private final Map<JobId, Double> cancelAt = new TreeMap<>();
+
+  GapDay(long seed) {
+    world = new World(Site.small(), seed, Meter.OFF);
+    random = new Random(seed * 31 + 7);
+    liveness = new Liveness(world);
+    for (int i = 0; i < JOBS; i++) {
+      Job job = job(FIRST + i);
+      jobs.add(job.id());
+      world.time().at(3 + i * 0.4, () -> world.users().submit(job));
     }
-
-    /** The change that cancels the largest job is formed long before the refusal, and becomes durable just after it. */
-    private void heldUp(double seconds) {
-        double from = GAP_FROM_S - seconds + upTo(2);
-        int node = random.nextInt(world.nodeCount());
-        world.time().at(from - 0.1, () -> world.mishapAt(request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""), seconds,
-                World.Mishap.STILL_BEFORE));
-        world.time().at(from, () -> {
-            world.users().noteCancel(jobs.get(0));
-            world.ask(node, HttpRequest.post("/v2/runs/" + jobs.get(0) + "/cancel", new byte[0]), answer -> { });
-        });
-        cancelAt(jobs.get(0), from + seconds + upTo(0.5));
+    switch (random.nextInt(3)) {
+      case 0 -> heldUp(10 + upTo(4));
+      case 1 -> allLate(6 + upTo(10));
+      default -> {}
     }
-
-    /** For a while before the refusal no change is answered, and all are carried out late. */
-    private void allLate(double seconds) {
-        world.time().at(GAP_FROM_S - seconds, () -> world.state().applyLate(1));
-        world.time().at(GAP_FROM_S - upTo(1), () -> world.state().applyLate(0));
-        jobs.stream().filter(id -> oneIn(2)).forEach(id -> cancelAt(id, GAP_FROM_S - seconds + upTo(seconds)));
+    world.time().at(GAP_FROM_S, this::gap);
+  }
+
+  /**
+   * The change that cancels the largest job is formed long before the refusal, and becomes durable
+   * just after it.
+   */
+  private void heldUp(double seconds) {
+    double from = GAP_FROM_S - seconds + upTo(2);
+    int node = random.nextInt(world.nodeCount());
+    world
+        .time()
+        .at(
+            from - 0.1,
+            () ->
+                world.mishapAt(
+                    request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""),
+                    seconds,
+                    World.Mishap.STILL_BEFORE));
+    world
+        .time()
+        .at(
+            from,
+            () -> {
+              world.users().noteCancel(jobs.get(0));
+              world.ask(
+                  node,
+                  HttpRequest.post("/v2/runs/" + jobs.get(0) + "/cancel", new byte[0]),
+                  answer -> {});
+            });
+    cancelAt(jobs.get(0), from + seconds + upTo(0.5));
+  }
+
+  /** For a while before the refusal no change is answered, and all are carried out late. */
+  private void allLate(double seconds) {
+    world.time().at(GAP_FROM_S - seconds, () -> world.state().applyLate(1));
+    world.time().at(GAP_FROM_S - upTo(1), () -> world.state().applyLate(0));
+    jobs.stream()
+        .filter(id -> oneIn(2))
+        .forEach(id -> cancelAt(id, GAP_FROM_S - seconds + upTo(seconds)));
+  }
+
+  private void cancelAt(JobId id, double atS) {
+    if (cancelAt.putIfAbsent(id, atS) == null) {
+      world.time().at(atS, () -> world.users().cancel(id));
     }
-
-    private void cancelAt(JobId id, double atS) {
-        if (cancelAt.putIfAbsent(id, atS) == null) {
-            world.time().at(atS, () -> world.users().cancel(id));
-        }
+  }
+
+  World world() {
+    return world;
+  }
+
+  private Job job(int number) {
+    Shape shape =
+        number == FIRST
+            ? Shape.ARRAY
+            : random.nextInt(5) == 0
+                ? Shape.SERVICE
+                : random.nextInt(8) == 0 ? Shape.GANG : Shape.ARRAY;
+    int tasks =
+        number == FIRST ? 18 : shape == Shape.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
+    return new Job(
+        new JobId("job-" + number),
+        "gap",
+        number != FIRST && oneIn(3) ? "blue" : "red",
+        shape,
+        shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL,
+        tasks,
+        new Resources(1, 0, 2),
+        null,
+        null,
+        false,
+        false,
+        false,
+        "img-" + random.nextInt(3),
+        1,
+        Span.ofSeconds(90 + random.nextInt(200)),
+        Span.ZERO,
+        Span.ZERO,
+        null);
+  }
+
+  private double upTo(double seconds) {
+    return random.nextDouble() * seconds;
+  }
+
+  private boolean oneIn(int n) {
+    return random.nextInt(n) == 0;
+  }
+
+  private void after(double seconds, Runnable action) {
+    world.time().after(seconds, action);
+  }
+
+  private void gap() {
+    int leader = world.leader();
+    int refused = leader >= 0 && !oneIn(4) ? leader : random.nextInt(world.nodeCount());
+    double cancelS = world.site().workers().cancel().seconds();
+    double refusal = 1 + upTo(17);
+    after(0, () -> world.state().refuse(Site.nodeName(refused), refusal));
+    if (oneIn(4)) {
+      after(
+          refusal + upTo(1.5),
+          () ->
+              world
+                  .state()
+                  .refuse(
+                      Site.nodeName(oneIn(3) ? random.nextInt(world.nodeCount()) : refused),
+                      1 + upTo(12)));
     }
-
-    World world() {
-        return world;
+    double out = oneIn(6) ? upTo(20) - 4 : 0.5 + upTo(refusal);
+    double length = oneIn(5) ? 1 + upTo(cancelS) : cancelS + upTo(20);
+    after(out, () -> world.state().outage(length));
+    if (oneIn(6)) {
+      after(
+          out + length + upTo(3), () -> world.state().refuse(Site.nodeName(refused), 1 + upTo(15)));
     }
-
-    private Job job(int number) {
-        Shape shape = number == FIRST ? Shape.ARRAY : random.nextInt(5) == 0 ? Shape.SERVICE : random.nextInt(8) == 0 ? Shape.GANG : Shape.ARRAY;
-        int tasks = number == FIRST ? 18 : shape == Shape.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
-        return new Job(new JobId("job-" + number), "gap", number != FIRST && oneIn(3) ? "blue" : "red", shape,
-                shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL, tasks, new Resources(1, 0, 2), null, null, false, false, false,
-                "img-" + random.nextInt(3), 1, Span.ofSeconds(90 + random.nextInt(200)), Span.ZERO, Span.ZERO, null);
+    for (JobId id : jobs) {
+      if (!oneIn(5)) {
+        double at = oneIn(6) ? upTo(LONGEST_GAP_S) : upTo(out + 2) - 1;
+        cancelAt(id, GAP_FROM_S + Math.max(0, at));
+      }
     }
-
-    private double upTo(double seconds) {
-        return random.nextDouble() * seconds;
+    if (oneIn(2)) {
+      after(upTo(3) - 2, () -> world.state().applyLate(2 + random.nextInt(4)));
+      after(out + upTo(3), () -> world.state().applyLate(0));
     }
-
-    private boolean oneIn(int n) {
-        return random.nextInt(n) == 0;
+    if (oneIn(4)) {
+      after(upTo(out + 10), () -> world.standStill(refused, oneIn(2) ? upTo(8) : upTo(50)));
     }
-
-    private void after(double seconds, Runnable action) {
-        world.time().after(seconds, action);
+    if (oneIn(4)) {
+      after(upTo(out + 30), () -> world.crash(random.nextInt(world.nodeCount())));
     }
-
-    private void gap() {
-        int leader = world.leader();
-        int refused = leader >= 0 && !oneIn(4) ? leader : random.nextInt(world.nodeCount());
-        double cancelS = world.site().workers().cancel().seconds();
-        double refusal = 1 + upTo(17);
-        after(0, () -> world.state().refuse(Site.nodeName(refused), refusal));
-        if (oneIn(4)) {
-            after(refusal + upTo(1.5), () -> world.state().refuse(Site.nodeName(oneIn(3) ? random.nextInt(world.nodeCount()) : refused), 1 + upTo(12)));
-        }
-        double out = oneIn(6) ? upTo(20) - 4 : 0.5 + upTo(refusal);
-        double length = oneIn(5) ? 1 + upTo(cancelS) : cancelS + upTo(20);
-        after(out, () -> world.state().outage(length));
-        if (oneIn(6)) {
-            after(out + length + upTo(3), () -> world.state().refuse(Site.nodeName(refused), 1 + upTo(15)));
-        }
-        for (JobId id : jobs) {
-            if (!oneIn(5)) {
-                double at = oneIn(6) ? upTo(LONGEST_GAP_S) : upTo(out + 2) - 1;
-                cancelAt(id, GAP_FROM_S + Math.max(0, at));
-            }
-        }
-        if (oneIn(2)) {
-            after(upTo(3) - 2, () -> world.state().applyLate(2 + random.nextInt(4)));
-            after(out + upTo(3), () -> world.state().applyLate(0));
-        }
-        if (oneIn(4)) {
-            after(upTo(out + 10), () -> world.standStill(refused, oneIn(2) ? upTo(8) : upTo(50)));
-        }
-        if (oneIn(4)) {
-            after(upTo(out + 30), () -> world.crash(random.nextInt(world.nodeCount())));
-        }
-        if (oneIn(3)) {
-            after(upTo(out + 4), () -> machines(3).forEach(each -> world.deafen(each, 2 + upTo(25))));
-        }
-        if (oneIn(3)) {
-            after(upTo(out + 4), () -> machines(3).forEach(each -> {
-                boolean lose = random.nextBoolean();
-                for (int node = 0; node < world.nodeCount(); node++) {
-                    // The refused one is the only one that reaches them, or none does.
-                    if (node != refused || lose) {
-                        world.cut(Site.nodeName(node), each.text(), 2 + upTo(40), lose);
-                    }
-                }
-            }));
-        }
-        if (oneIn(4)) {
-            after(upTo(out + 4), () -> world.refuseLinks(refused, 1 + upTo(20)));
-        }
-        if (oneIn(5)) {
-            after(upTo(out + 30), () -> world.cloud().workers().forEach(worker -> {
-                if (oneIn(4)) {
-                    worker.restart(0.05 + upTo(0.8));
-                }
-            }));
-        }
+    if (oneIn(3)) {
+      after(upTo(out + 4), () -> machines(3).forEach(each -> world.deafen(each, 2 + upTo(25))));
     }
-
-    private List<MachineId> machines(int share) {
-        return world.cloud().machines().stream().filter(each -> oneIn(share)).toList();
+    if (oneIn(3)) {
+      after(
+          upTo(out + 4),
+          () ->
+              machines(3)
+                  .forEach(
+                      each -> {
+                        boolean lose = random.nextBoolean();
+                        for (int node = 0; node < world.nodeCount(); node++) {
+                          // The refused one is the only one that reaches them, or none does.
+                          if (node != refused || lose) {
+                            world.cut(Site.nodeName(node), each.text(), 2 + upTo(40), lose);
+                          }
+                        }
+                      }));
     }
-
-    /** Plays the day; returns what went wrong. */
-    List<String> play() {
-        double end = GAP_FROM_S + LONGEST_GAP_S;
-        world.time().runUntil(end);
-        world.state().applyLate(0);
-        world.around().troublesAreOver();
-        world.time().runUntil(end + 30);
-        jobs.forEach(id -> world.users().cancel(id));
-        world.time().runUntil(end + QUIET_S);
-        liveness.watch();
-        List<String> wrong = new ArrayList<>(liveness.findings());
-        wrong.addAll(world.rules().broken());
-        if (world.rules().starts() < JOBS / 2) {
-            wrong.add("little was started: " + world.rules().starts());
-        }
-        return wrong;
+    if (oneIn(4)) {
+      after(upTo(out + 4), () -> world.refuseLinks(refused, 1 + upTo(20)));
     }
-
-    /** Seconds from when each cancellation was asked for first until a user was told. */
-    Map<JobId, Double> toldAfter() {
-        Map<JobId, Double> told = new TreeMap<>();
-        cancelAt.forEach((id, at) -> {
-            if (world.rules().cancelledAt(id) != null) {
-                told.put(id, world.rules().cancelledAt(id) - at);
-            }
-        });
-        return told;
+    if (oneIn(5)) {
+      after(
+          upTo(out + 30),
+          () ->
+              world
+                  .cloud()
+                  .workers()
+                  .forEach(
+                      worker -> {
+                        if (oneIn(4)) {
+                          worker.restart(0.05 + upTo(0.8));
+                        }
+                      }));
     }
+  }
+
+  private List<MachineId> machines(int share) {
+    return world.cloud().machines().stream().filter(each -> oneIn(share)).toList();
+  }
+
+  /** Plays the day; returns what went wrong. */
+  List<String> play() {
+    double end = GAP_FROM_S + LONGEST_GAP_S;
+    world.time().runUntil(end);
+    world.state().applyLate(0);
+    world.around().troublesAreOver();
+    world.time().runUntil(end + 30);
+    jobs.forEach(id -> world.users().cancel(id));
+    world.time().runUntil(end + QUIET_S);
+    liveness.watch();
+    List<String> wrong = new ArrayList<>(liveness.findings());
+    wrong.addAll(world.rules().broken());
+    if (world.rules().starts() < JOBS / 2) {
+      wrong.add("little was started: " + world.rules().starts());
+    }
+    return wrong;
+  }
+
+  /** Seconds from when each cancellation was asked for first until a user was told. */
+  Map<JobId, Double> toldAfter() {
+    Map<JobId, Double> told = new TreeMap<>();
+    cancelAt.forEach(
+        (id, at) -> {
+          if (world.rules().cancelledAt(id) != null) {
+            told.put(id, world.rules().cancelledAt(id) - at);
+          }
+        });
+    return told;
+  }
 }
--- a/src/test/java/org/quincecross/emulator/GapTest.java
+++ b/src/test/java/org/quincecross/emulator/GapTest.java
@@ -21,184 +21,264 @@
 import org.quincecross.wire.BadMessage;
 
 /**
- * The state service refuses the leader alone, users cancel through the others, and it is then out for all, for longer than a cancellation
- * has; the machines go on reporting to the old leader all the while. All of a job must be gone in time after its user was told.
+ * The state service refuses the leader alone, users cancel through the others, and it is then out
+ * for all, for longer than a cancellation has; the machines go on reporting to the old leader all
+ * the while. All of a job must be gone in time after its user was told.
  */
 class GapTest extends BusySite {
-    private static final double REFUSED_S = 30;
-    private static final double OUT_S = 32;
-    private static final double REFUSED_FOR_S = 14;
-    private static final int LONG_JOBS = 20;
-    private static final int KEPT = 4;
-
-    private final double cancelS = site.workers().cancel().seconds();
-    private final double outageFor = cancelS + 12;
-    private final List<JobId> longOnes = new ArrayList<>();
-    private double outS = OUT_S;
-    private int leader;
-
-    GapTest() throws BadMessage {
-    }
+  private static final double REFUSED_S = 30;
+  private static final double OUT_S = 32;
+  private static final double REFUSED_FOR_S = 14;
+  private static final int LONG_JOBS = 20;
+  private static final int KEPT = 4;
 
-    @BeforeEach
-    void longArraysRun() {
-        for (int i = 0; i < LONG_JOBS; i++) {
-            Job job = new Job(new JobId("job-" + (30_000 + i)), "long", "batch", Shape.ARRAY, Rank.NORMAL, i == KEPT ? 60 : 6, new Resources(1, 0, 2), null, null,
-                    false, false, false, "long", 0.5, Span.ofSeconds(300), Span.ZERO, Span.ZERO, null);
-            longOnes.add(job.id());
-            world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
-        }
-        world.time().at(REFUSED_S - 1, () -> world.users().storm(6, 100));
-        world.time().runUntil(REFUSED_S);
-        leader = world.leader();
-        assertTrue(longOnes.stream().mapToInt(world.rules()::onMachines).sum() > 100, "long tasks run");
-    }
+  private final double cancelS = site.workers().cancel().seconds();
+  private final double outageFor = cancelS + 12;
+  private final List<JobId> longOnes = new ArrayList<>();
+  private double outS = OUT_S;
+  private int leader;
 
-    private String leaderName() {
-        return Site.nodeName(leader);
-    }
+  GapTest() throws BadMessage {}
 
-    private List<JobId> cancelled() {
-        return longOnes.subList(KEPT, LONG_JOBS);
+  @BeforeEach
+  void longArraysRun() {
+    for (int i = 0; i < LONG_JOBS; i++) {
+      Job job =
+          new Job(
+              new JobId("job-" + (30_000 + i)),
+              "long",
+              "batch",
+              Shape.ARRAY,
+              Rank.NORMAL,
+              i == KEPT ? 60 : 6,
+              new Resources(1, 0, 2),
+              null,
+              null,
+              false,
+              false,
+              false,
+              "long",
+              0.5,
+              Span.ofSeconds(300),
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      longOnes.add(job.id());
+      world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
     }
+    world.time().at(REFUSED_S - 1, () -> world.users().storm(6, 100));
+    world.time().runUntil(REFUSED_S);
+    leader = world.leader();
+    assertTrue(longOnes.stream().mapToInt(world.rules()::onMachines).sum() > 100, "long tasks run");
+  }
 
-    private void gap() {
-        world.time().at(REFUSED_S, () -> world.state().refuse(leaderName(), REFUSED_FOR_S));
-        world.time().at(OUT_S, () -> world.state().outage(outageFor));
-    }
+  private String leaderName() {
+    return Site.nodeName(leader);
+  }
 
-    /** All are cancelled just after the refusal began, so that most are durable before the outage, and told in it. */
-    private void cancelAll(double fromS) {
-        for (int i = 0; i < cancelled().size(); i++) {
-            JobId id = cancelled().get(i);
-            world.time().at(fromS + 0.07 * i, () -> world.users().cancel(id));
-        }
-    }
+  private List<JobId> cancelled() {
+    return longOnes.subList(KEPT, LONG_JOBS);
+  }
 
-    private long toldBy(double atS) {
-        return cancelled().stream().filter(id -> world.rules().cancelledAt(id) != null && world.rules().cancelledAt(id) < atS).count();
-    }
+  private void gap() {
+    world.time().at(REFUSED_S, () -> world.state().refuse(leaderName(), REFUSED_FOR_S));
+    world.time().at(OUT_S, () -> world.state().outage(outageFor));
+  }
 
-    /** Played to the end: no rule is broken, whoever was cancelled is told so and is gone, and whoever was not goes on. */
-    private void assertTheGapWasBridged() {
-        assertAllCancelledAreGone();
-        for (JobId id : longOnes.subList(0, KEPT)) {
-            assertEquals(6, world.rules().onMachines(id), id.text());
-        }
-        assertEquals(36, replicas());
+  /**
+   * All are cancelled just after the refusal began, so that most are durable before the outage, and
+   * told in it.
+   */
+  private void cancelAll(double fromS) {
+    for (int i = 0; i < cancelled().size(); i++) {
+      JobId id = cancelled().get(i);
+      world.time().at(fromS + 0.07 * i, () -> world.users().cancel(id));
     }
+  }
 
-    private void assertAllCancelledAreGone() {
-        world.time().runUntil(outS + outageFor + 100);
-        assertEquals(List.of(), world.rules().broken());
-        for (JobId id : cancelled()) {
-            assertEquals("cancelled", world.users().told().get(id), id.text());
-            assertEquals(0, world.rules().onMachines(id), id.text());
-        }
-    }
+  private long toldBy(double atS) {
+    return cancelled().stream()
+        .filter(id -> world.rules().cancelledAt(id) != null && world.rules().cancelledAt(id) < atS)
+        .count();
+  }
 
-    /** The operators' meeting. */
-    @Test
-    void theLeaderIsRefusedAndThenEverybody() {
-        gap();
-        cancelAll(REFUSED_S + 0.2);
-        world.time().runUntil(OUT_S + 10);
-        assertTrue(toldBy(OUT_S + 10) > 10, "most are told in the outage, after 8 s: " + toldBy(OUT_S + 10));
-        assertTrue(cancelled().stream().mapToInt(world.rules()::onMachines).sum() > 0, "what the refused leader holds goes on meanwhile");
-        assertTheGapWasBridged();
+  /**
+   * Played to the end: no rule is broken, whoever was cancelled is told so and is gone, and whoever
+   * was not goes on.
+   */
+  private void assertTheGapWasBridged() {
+    assertAllCancelledAreGone();
+    for (JobId id : longOnes.subList(0, KEPT)) {
+      assertEquals(6, world.rules().onMachines(id), id.text());
     }
+    assertEquals(36, replicas());
+  }
 
-    /**
-     * The change that cancels is held up for longer than the delay, and becomes durable only when the leader is refused already: the time of
-     * day in it is old, and still nobody may be told at once (docs/incidents/told-by-an-old-time.md).
-     */
-    @Test
-    void aCancellationThatBecomesDurableLate() {
-        JobId large = cancelled().get(0);
-        double heldS = 11;
-        world.time().at(REFUSED_S + 0.1, () -> world.mishapAt(request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""),
-                heldS, World.Mishap.STILL_BEFORE));
-        world.time().at(REFUSED_S + 0.2, () -> world.ask((leader + 1) % 3, HttpRequest.post("/v2/runs/" + large + "/cancel", new byte[0]), answer -> { }));
-        double durableS = REFUSED_S + 0.2 + heldS;
-        world.time().at(durableS - 0.3, () -> {
-            leader = world.leader();
-            world.state().refuse(leaderName(), REFUSED_FOR_S);
-        });
-        world.time().at(durableS + 1, () -> world.state().outage(outageFor));
-        world.time().at(durableS + 0.2, () -> world.users().cancel(large));
-        world.time().at(REFUSED_S + 4, () -> cancelled().subList(1, cancelled().size()).forEach(world.users()::cancel));
-        world.time().runUntil(durableS + 1);
-        assertNotEquals(-1, world.mishapHit());
-        assertNotEquals(leader, world.mishapHit());
-        assertTrue(world.rules().onMachines(large) > 0, "what the refused leader holds of it goes on");
-        outS = durableS + 1;
-        assertTheGapWasBridged();
+  private void assertAllCancelledAreGone() {
+    world.time().runUntil(outS + outageFor + 100);
+    assertEquals(List.of(), world.rules().broken());
+    for (JobId id : cancelled()) {
+      assertEquals("cancelled", world.users().told().get(id), id.text());
+      assertEquals(0, world.rules().onMachines(id), id.text());
     }
+  }
 
-    /** The others are started anew before the outage: what they read says nothing of when it became durable. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0.9, 1.2})
-    void theOthersAreStartedAnewInBetween(double afterS) {
-        gap();
-        cancelAll(REFUSED_S + 0.1);
-        world.time().at(REFUSED_S + afterS, () -> {
-            world.down((leader + 1) % 3, 0.1);
-            world.down((leader + 2) % 3, 0.1);
-        });
-        assertTheGapWasBridged();
-    }
+  /** The operators' meeting. */
+  @Test
+  void theLeaderIsRefusedAndThenEverybody() {
+    gap();
+    cancelAll(REFUSED_S + 0.2);
+    world.time().runUntil(OUT_S + 10);
+    assertTrue(
+        toldBy(OUT_S + 10) > 10, "most are told in the outage, after 8 s: " + toldBy(OUT_S + 10));
+    assertTrue(
+        cancelled().stream().mapToInt(world.rules()::onMachines).sum() > 0,
+        "what the refused leader holds goes on meanwhile");
+    assertTheGapWasBridged();
+  }
 
-    /** Refused, served for an instant, refused again, then the outage; or the outage first, and the leader refused once it is over. */
-    @ParameterizedTest
-    @CsvSource({"4, 0.3, 1", "4, 1.5, 6"})
-    void refusedTwice(double firstS, double servedS, double outAfterS) {
-        world.time().at(REFUSED_S, () -> world.state().refuse(leaderName(), firstS));
-        world.time().at(REFUSED_S + firstS + servedS, () -> world.state().refuse(leaderName(), REFUSED_FOR_S));
-        world.time().at(REFUSED_S + firstS + servedS + outAfterS, () -> world.state().outage(outageFor));
-        cancelAll(REFUSED_S + firstS + servedS - 0.3);
-        assertTheGapWasBridged();
-    }
+  /**
+   * The change that cancels is held up for longer than the delay, and becomes durable only when the
+   * leader is refused already: the time of day in it is old, and still nobody may be told at once
+   * (docs/incidents/told-by-an-old-time.md).
+   */
+  @Test
+  void aCancellationThatBecomesDurableLate() {
+    JobId large = cancelled().get(0);
+    double heldS = 11;
+    world
+        .time()
+        .at(
+            REFUSED_S + 0.1,
+            () ->
+                world.mishapAt(
+                    request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""),
+                    heldS,
+                    World.Mishap.STILL_BEFORE));
+    world
+        .time()
+        .at(
+            REFUSED_S + 0.2,
+            () ->
+                world.ask(
+                    (leader + 1) % 3,
+                    HttpRequest.post("/v2/runs/" + large + "/cancel", new byte[0]),
+                    answer -> {}));
+    double durableS = REFUSED_S + 0.2 + heldS;
+    world
+        .time()
+        .at(
+            durableS - 0.3,
+            () -> {
+              leader = world.leader();
+              world.state().refuse(leaderName(), REFUSED_FOR_S);
+            });
+    world.time().at(durableS + 1, () -> world.state().outage(outageFor));
+    world.time().at(durableS + 0.2, () -> world.users().cancel(large));
+    world
+        .time()
+        .at(
+            REFUSED_S + 4,
+            () -> cancelled().subList(1, cancelled().size()).forEach(world.users()::cancel));
+    world.time().runUntil(durableS + 1);
+    assertNotEquals(-1, world.mishapHit());
+    assertNotEquals(leader, world.mishapHit());
+    assertTrue(world.rules().onMachines(large) > 0, "what the refused leader holds of it goes on");
+    outS = durableS + 1;
+    assertTheGapWasBridged();
+  }
 
-    @Test
-    void refusedAgainAfterTheOutage() {
-        gap();
-        cancelAll(REFUSED_S + 0.5);
-        world.time().at(OUT_S + outageFor + 0.02, () -> world.state().refuse(leaderName(), 12));
-        assertTheGapWasBridged();
-    }
+  /**
+   * The others are started anew before the outage: what they read says nothing of when it became
+   * durable.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0.9, 1.2})
+  void theOthersAreStartedAnewInBetween(double afterS) {
+    gap();
+    cancelAll(REFUSED_S + 0.1);
+    world
+        .time()
+        .at(
+            REFUSED_S + afterS,
+            () -> {
+              world.down((leader + 1) % 3, 0.1);
+              world.down((leader + 2) % 3, 0.1);
+            });
+    assertTheGapWasBridged();
+  }
 
-    /** The leader stands still before its time without word is over, and goes on after it, with machines whose leases still run. */
-    @ParameterizedTest
-    @CsvSource({"55, 7", "40, 25"})
-    void theLeaderStandsStillPastItsTime(double fromS, double seconds) {
-        gap();
-        cancelAll(REFUSED_S + 0.5);
-        world.time().at(fromS, () -> world.standStill(leader, seconds));
-        assertTheGapWasBridged();
-    }
+  /**
+   * Refused, served for an instant, refused again, then the outage; or the outage first, and the
+   * leader refused once it is over.
+   */
+  @ParameterizedTest
+  @CsvSource({"4, 0.3, 1", "4, 1.5, 6"})
+  void refusedTwice(double firstS, double servedS, double outAfterS) {
+    world.time().at(REFUSED_S, () -> world.state().refuse(leaderName(), firstS));
+    world
+        .time()
+        .at(REFUSED_S + firstS + servedS, () -> world.state().refuse(leaderName(), REFUSED_FOR_S));
+    world
+        .time()
+        .at(REFUSED_S + firstS + servedS + outAfterS, () -> world.state().outage(outageFor));
+    cancelAll(REFUSED_S + firstS + servedS - 0.3);
+    assertTheGapWasBridged();
+  }
+
+  @Test
+  void refusedAgainAfterTheOutage() {
+    gap();
+    cancelAll(REFUSED_S + 0.5);
+    world.time().at(OUT_S + outageFor + 0.02, () -> world.state().refuse(leaderName(), 12));
+    assertTheGapWasBridged();
+  }
 
-    /** All holders have noted it and users are told at once; then a holder ends, or stands still, and nobody can succeed it in the outage. */
-    @ParameterizedTest
-    @ValueSource(booleans = {true, false})
-    void aHolderThatHasNotedItEnds(boolean ends) {
-        cancelAll(REFUSED_S);
-        world.time().at(REFUSED_S + 1.9, () -> world.state().outage(outageFor));
-        world.time().at(REFUSED_S + 1.5, () -> {
-            if (ends) {
+  /**
+   * The leader stands still before its time without word is over, and goes on after it, with
+   * machines whose leases still run.
+   */
+  @ParameterizedTest
+  @CsvSource({"55, 7", "40, 25"})
+  void theLeaderStandsStillPastItsTime(double fromS, double seconds) {
+    gap();
+    cancelAll(REFUSED_S + 0.5);
+    world.time().at(fromS, () -> world.standStill(leader, seconds));
+    assertTheGapWasBridged();
+  }
+
+  /**
+   * All holders have noted it and users are told at once; then a holder ends, or stands still, and
+   * nobody can succeed it in the outage.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {true, false})
+  void aHolderThatHasNotedItEnds(boolean ends) {
+    cancelAll(REFUSED_S);
+    world.time().at(REFUSED_S + 1.9, () -> world.state().outage(outageFor));
+    world
+        .time()
+        .at(
+            REFUSED_S + 1.5,
+            () -> {
+              if (ends) {
                 world.down(leader, outageFor);
-            } else {
+              } else {
                 world.standStill(leader, outageFor);
-            }
-        });
-        world.time().runUntil(OUT_S);
-        assertTrue(toldBy(OUT_S) > 10, "told at once: " + toldBy(OUT_S));
-        assertTheGapWasBridged();
-    }
+              }
+            });
+    world.time().runUntil(OUT_S);
+    assertTrue(toldBy(OUT_S) > 10, "told at once: " + toldBy(OUT_S));
+    assertTheGapWasBridged();
+  }
 
-    /** Some of the days that {@link SeedsTest} plays; the first three break the rule where the time in the record counts. */
-    @ParameterizedTest
-    @ValueSource(longs = {7, 38, 115, 280})
-    void drawnDays(long seed) {
-        assertEquals(List.of(), new GapDay(seed).play());
-    }
+  /**
+   * Some of the days that {@link SeedsTest} plays; the first three break the rule where the time in
+   * the record counts.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {7, 38, 115, 280})
+  void drawnDays(long seed) {
+    assertEquals(List.of(), new GapDay(seed).play());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
@@ -9,22 +9,27 @@
 import org.quincecross.GoldenFiles;
 import org.quincecross.wire.BadMessage;
 
-/** All that is said and stored keeps the names, types and words that it had; what is malformed keeps its status and the field named. */
+/**
+ * All that is said and stored keeps the names, types and words that it had; what is malformed keeps
+ * its status and the field named.
+ */
 class GoldenMessagesTest {
-    @Test
-    void theVocabularyStays() throws IOException, BadMessage {
-        TreeSet<String> before = new TreeSet<>(GoldenFiles.lines("vocabulary.txt"));
-        TreeSet<String> now = RecordedDays.play().vocabulary();
-        TreeSet<String> lost = new TreeSet<>(before);
-        lost.removeAll(now);
-        TreeSet<String> added = new TreeSet<>(now);
-        added.removeAll(before);
-        assertEquals(List.of(), List.copyOf(lost), "no longer said or stored");
-        assertEquals(List.of(), List.copyOf(added), "said or stored now, and never before");
-    }
+  @Test
+  void theVocabularyStays() throws IOException, BadMessage {
+    TreeSet<String> before = new TreeSet<>(GoldenFiles.lines("vocabulary.txt"));
+    TreeSet<String> now = RecordedDays.play().vocabulary();
+    TreeSet<String> lost = new TreeSet<>(before);
+    lost.removeAll(now);
+    TreeSet<String> added = new TreeSet<>(now);
+    added.removeAll(before);
+    assertEquals(List.of(), List.copyOf(lost), "no longer said or stored");
+    assertEquals(List.of(), List.copyOf(added), "said or stored now, and never before");
+  }
 
-    @Test
-    void whatIsMalformedIsRefusedAsBefore() throws IOException, BadMessage {
-        assertEquals(String.join("\n", GoldenFiles.lines("malformed.txt")), String.join("\n", RecordedDays.malformed()));
-    }
+  @Test
+  void whatIsMalformedIsRefusedAsBefore() throws IOException, BadMessage {
+    assertEquals(
+        String.join("\n", GoldenFiles.lines("malformed.txt")),
+        String.join("\n", RecordedDays.malformed()));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/GrowthTest.java
+++ b/src/test/java/org/quincecross/emulator/GrowthTest.java
@@ -6,53 +6,61 @@
 
 /** What a fleet of twice the size costs: work is counted, in calls and in bytes, not timed. */
 class GrowthTest {
-    private static final double DAY_S = 100;
-
-    private static Meter play(int machines) {
-        Meter meter = new Meter(true);
-        World world = new World(Site.fleet(machines), 3, meter);
-        Load load = new Load(world.around(), 3);
-        world.time().at(10, () -> load.begin(15));
-        world.time().runUntil(DAY_S);
-        return meter;
-    }
+  private static final double DAY_S = 100;
 
-    /** Events grow with the machines; what is done by the clock does not, and neither does what one event costs. */
-    @Test
-    void twiceTheMachinesCostTwiceTheEventsAndNoMore() {
-        Meter small = play(120);
-        Meter large = play(240);
-        assertTrue(calls(large, "POST /agent/…") > 1.5 * calls(small, "POST /agent/…"));
-        for (String timer : new String[] {"timer Leader", "timer Controller", "timer Holdings", "timer Fleet", "peer report"}) {
-            assertTrue(calls(large, timer) < 1.4 * calls(small, timer),
-                    timer + ": " + calls(small, timer) + " calls, then " + calls(large, timer));
-        }
-        for (String event : new String[] {"POST /agent/…", "GET /vN/…", "answer /orders"}) {
-            double before = bytes(small, event);
-            double after = bytes(large, event);
-            assertTrue(after < 1.6 * before, event + ": " + before + " bytes each, then " + after);
-        }
-    }
+  private static Meter play(int machines) {
+    Meter meter = new Meter(true);
+    World world = new World(Site.fleet(machines), 3, meter);
+    Load load = new Load(world.around(), 3);
+    world.time().at(10, () -> load.begin(15));
+    world.time().runUntil(DAY_S);
+    return meter;
+  }
 
-    /** Three controllers with nothing to do but answer thirty machines. */
-    @Test
-    void aQuietSiteIsNotLookedAtAllTheTime() {
-        Meter meter = new Meter(true);
-        World world = new World(Site.tryOut(30, false), 3, meter);
-        world.time().runUntil(30);
-        long before = meter.costs().values().stream().mapToLong(Meter.Cost::calls).sum();
-        long reports = calls(meter, "POST /agent/…");
-        world.time().runUntil(60);
-        long all = meter.costs().values().stream().mapToLong(Meter.Cost::calls).sum() - before;
-        long perControllerAndSecond = (all - (calls(meter, "POST /agent/…") - reports)) / 3 / 30;
-        assertTrue(perControllerAndSecond < 26, perControllerAndSecond + " calls a second beside reports");
+  /**
+   * Events grow with the machines; what is done by the clock does not, and neither does what one
+   * event costs.
+   */
+  @Test
+  void twiceTheMachinesCostTwiceTheEventsAndNoMore() {
+    Meter small = play(120);
+    Meter large = play(240);
+    assertTrue(calls(large, "POST /agent/…") > 1.5 * calls(small, "POST /agent/…"));
+    for (String timer :
+        new String[] {
+          "timer Leader", "timer Controller", "timer Holdings", "timer Fleet", "peer report"
+        }) {
+      assertTrue(
+          calls(large, timer) < 1.4 * calls(small, timer),
+          timer + ": " + calls(small, timer) + " calls, then " + calls(large, timer));
     }
-
-    private static long calls(Meter meter, String kind) {
-        return meter.costs().get(kind).calls();
+    for (String event : new String[] {"POST /agent/…", "GET /vN/…", "answer /orders"}) {
+      double before = bytes(small, event);
+      double after = bytes(large, event);
+      assertTrue(after < 1.6 * before, event + ": " + before + " bytes each, then " + after);
     }
+  }
 
-    private static double bytes(Meter meter, String kind) {
-        return (double) meter.costs().get(kind).bytes() / meter.costs().get(kind).calls();
-    }
+  /** Three controllers with nothing to do but answer thirty machines. */
+  @Test
+  void aQuietSiteIsNotLookedAtAllTheTime() {
+    Meter meter = new Meter(true);
+    World world = new World(Site.tryOut(30, false), 3, meter);
+    world.time().runUntil(30);
+    long before = meter.costs().values().stream().mapToLong(Meter.Cost::calls).sum();
+    long reports = calls(meter, "POST /agent/…");
+    world.time().runUntil(60);
+    long all = meter.costs().values().stream().mapToLong(Meter.Cost::calls).sum() - before;
+    long perControllerAndSecond = (all - (calls(meter, "POST /agent/…") - reports)) / 3 / 30;
+    assertTrue(
+        perControllerAndSecond < 26, perControllerAndSecond + " calls a second beside reports");
+  }
+
+  private static long calls(Meter meter, String kind) {
+    return meter.costs().get(kind).calls();
+  }
+
+  private static double bytes(Meter meter, String kind) {
+    return (double) meter.costs().get(kind).bytes() / meter.costs().get(kind).calls();
+  }
 }
--- a/src/test/java/org/quincecross/emulator/GuestsTest.java
+++ b/src/test/java/org/quincecross/emulator/GuestsTest.java
@@ -14,91 +14,144 @@
 import org.quincecross.model.Span;
 import org.quincecross.wire.Settings;
 
-/** A team that comes without a guarantee: a swarm of tiny jobs, one huge array, long idle work; beside others, in virtual time. */
+/**
+ * A team that comes without a guarantee: a swarm of tiny jobs, one huge array, long idle work;
+ * beside others, in virtual time.
+ */
 class GuestsTest {
-    private static final Site WIDE = Site.tryOut(45, true);
-    /** Fewer changes a second than jobs come in one. */
-    private static final Site NARROW = new Site(WIDE.nodeZones(), WIDE.zones(), WIDE.types(), WIDE.pools(), WIDE.mostMachines(), WIDE.teams(),
-            WIDE.workers(), new Settings.StateLimits(200, 15, 4096, 8), WIDE.cloudLimits(), WIDE.quota(), WIDE.objectives(), WIDE.restart(),
-            false, List.of());
+  private static final Site WIDE = Site.tryOut(45, true);
 
-    private static Job job(int number, String team, Shape shape, Rank rank, int tasks, double cpus, double seconds, double saveEveryS) {
-        return new Job(new JobId("job-" + number), shape + "-" + rank, team, shape, rank, tasks, new Resources(cpus, 0, 1), null, null, false,
-                false, shape == Shape.ARRAY, "img-" + number % 3, 0.3, Span.ofSeconds(seconds), Span.ofSeconds(saveEveryS),
-                Span.ofSeconds(saveEveryS > 0 ? 1 : 0), null);
-    }
+  /** Fewer changes a second than jobs come in one. */
+  private static final Site NARROW =
+      new Site(
+          WIDE.nodeZones(),
+          WIDE.zones(),
+          WIDE.types(),
+          WIDE.pools(),
+          WIDE.mostMachines(),
+          WIDE.teams(),
+          WIDE.workers(),
+          new Settings.StateLimits(200, 15, 4096, 8),
+          WIDE.cloudLimits(),
+          WIDE.quota(),
+          WIDE.objectives(),
+          WIDE.restart(),
+          false,
+          List.of());
 
-    private static World world(Site site) {
-        return new World(site, 7, Meter.OFF);
-    }
+  private static Job job(
+      int number,
+      String team,
+      Shape shape,
+      Rank rank,
+      int tasks,
+      double cpus,
+      double seconds,
+      double saveEveryS) {
+    return new Job(
+        new JobId("job-" + number),
+        shape + "-" + rank,
+        team,
+        shape,
+        rank,
+        tasks,
+        new Resources(cpus, 0, 1),
+        null,
+        null,
+        false,
+        false,
+        shape == Shape.ARRAY,
+        "img-" + number % 3,
+        0.3,
+        Span.ofSeconds(seconds),
+        Span.ofSeconds(saveEveryS),
+        Span.ofSeconds(saveEveryS > 0 ? 1 : 0),
+        null);
+  }
+
+  private static World world(Site site) {
+    return new World(site, 7, Meter.OFF);
+  }
 
-    /** Hundreds of jobs of one team in two seconds: another team's are accepted as if they were alone, and the swarm is all the same. */
-    @Test
-    void aSwarmOfSubmissionsHasItselfWait() {
-        World world = world(NARROW);
-        List<JobId> swarm = new ArrayList<>();
-        for (int i = 0; i < 1500; i++) {
-            Job job = job(100_000 + i, "batch", Shape.ARRAY, Rank.LOW, 1, 0.5, 2, 0);
-            swarm.add(job.id());
-            world.time().at(15 + i * 0.001, () -> world.users().submit(job));
-        }
-        List<JobId> others = new ArrayList<>();
-        for (int i = 0; i < 20; i++) {
-            Job job = job(200_000 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 1, 1, 0, 0);
-            others.add(job.id());
-            world.time().at(15.2 + i * 0.3, () -> world.users().submit(job));
-        }
-        world.time().runUntil(90);
-        assertEquals(List.of(), world.rules().broken());
-        long quick = others.stream().filter(id -> world.users().acceptedAfter().getOrDefault(id, 99.0) < 2).count();
-        assertTrue(quick >= 18, quick + " of 20 accepted within two seconds, " + world.users().answers());
-        for (JobId id : swarm) {
-            assertTrue(world.users().acceptedAfter().getOrDefault(id, 99.0) < 60, id.text());
-        }
-        assertTrue(world.users().answers().get("submit 503") < world.users().answers().get("submit 429") / 3, world.users().answers().toString());
-        world.time().runUntil(200);
-        for (JobId id : swarm) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
+  /**
+   * Hundreds of jobs of one team in two seconds: another team's are accepted as if they were alone,
+   * and the swarm is all the same.
+   */
+  @Test
+  void aSwarmOfSubmissionsHasItselfWait() {
+    World world = world(NARROW);
+    List<JobId> swarm = new ArrayList<>();
+    for (int i = 0; i < 1500; i++) {
+      Job job = job(100_000 + i, "batch", Shape.ARRAY, Rank.LOW, 1, 0.5, 2, 0);
+      swarm.add(job.id());
+      world.time().at(15 + i * 0.001, () -> world.users().submit(job));
+    }
+    List<JobId> others = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      Job job = job(200_000 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 1, 1, 0, 0);
+      others.add(job.id());
+      world.time().at(15.2 + i * 0.3, () -> world.users().submit(job));
+    }
+    world.time().runUntil(90);
+    assertEquals(List.of(), world.rules().broken());
+    long quick =
+        others.stream()
+            .filter(id -> world.users().acceptedAfter().getOrDefault(id, 99.0) < 2)
+            .count();
+    assertTrue(
+        quick >= 18, quick + " of 20 accepted within two seconds, " + world.users().answers());
+    for (JobId id : swarm) {
+      assertTrue(world.users().acceptedAfter().getOrDefault(id, 99.0) < 60, id.text());
     }
+    assertTrue(
+        world.users().answers().get("submit 503") < world.users().answers().get("submit 429") / 3,
+        world.users().answers().toString());
+    world.time().runUntil(200);
+    for (JobId id : swarm) {
+      assertEquals("done", world.users().told().get(id), id.text());
+    }
+  }
 
-    /**
-     * A huge array and long idle work of one team fill all that is free; what another team submits then starts and ends as if they were
-     * not there, a change of leader among it, and the guests' work is done in the end.
-     */
-    @Test
-    void guestsFillWhatIsFreeAndGiveWay() {
-        World world = world(WIDE);
-        JobId huge = world.users().submit(job(1, "batch", Shape.ARRAY, Rank.LOW, 20_000, 0.5, 2, 0));
-        List<JobId> idle = new ArrayList<>();
-        for (int i = 0; i < 3; i++) {
-            Job job = job(10 + i, "batch", Shape.ARRAY, Rank.LOW, 50, 2, 80, 10);
-            idle.add(job.id());
-            world.time().at(2 + i, () -> world.users().submit(job));
-        }
-        List<JobId> services = new ArrayList<>();
-        List<JobId> arrays = new ArrayList<>();
-        for (int i = 0; i < 15; i++) {
-            Job service = job(100 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 2, 2, 0, 0);
-            Job array = job(200 + i, "web", Shape.ARRAY, Rank.NORMAL, 20, 1, 6, 0);
-            services.add(service.id());
-            arrays.add(array.id());
-            world.time().at(40 + 2 * i, () -> world.users().submit(service));
-            world.time().at(41 + 2 * i, () -> world.users().submit(array));
-        }
-        world.time().at(50, () -> world.crash(world.leader()));
-        world.time().runUntil(85);
-        assertEquals(30, services.stream().mapToInt(world.rules()::onMachines).sum());
-        world.time().runUntil(130);
-        for (JobId id : arrays) {
-            assertEquals("done", world.users().told().get(id), id.text());
-            assertTrue(world.users().overAfter().get(id) < 45, id + " took " + world.users().overAfter().get(id));
-        }
-        world.time().runUntil(400);
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals("done", world.users().told().get(huge));
-        for (JobId id : idle) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
+  /**
+   * A huge array and long idle work of one team fill all that is free; what another team submits
+   * then starts and ends as if they were not there, a change of leader among it, and the guests'
+   * work is done in the end.
+   */
+  @Test
+  void guestsFillWhatIsFreeAndGiveWay() {
+    World world = world(WIDE);
+    JobId huge = world.users().submit(job(1, "batch", Shape.ARRAY, Rank.LOW, 20_000, 0.5, 2, 0));
+    List<JobId> idle = new ArrayList<>();
+    for (int i = 0; i < 3; i++) {
+      Job job = job(10 + i, "batch", Shape.ARRAY, Rank.LOW, 50, 2, 80, 10);
+      idle.add(job.id());
+      world.time().at(2 + i, () -> world.users().submit(job));
+    }
+    List<JobId> services = new ArrayList<>();
+    List<JobId> arrays = new ArrayList<>();
+    for (int i = 0; i < 15; i++) {
+      Job service = job(100 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 2, 2, 0, 0);
+      Job array = job(200 + i, "web", Shape.ARRAY, Rank.NORMAL, 20, 1, 6, 0);
+      services.add(service.id());
+      arrays.add(array.id());
+      world.time().at(40 + 2 * i, () -> world.users().submit(service));
+      world.time().at(41 + 2 * i, () -> world.users().submit(array));
+    }
+    world.time().at(50, () -> world.crash(world.leader()));
+    world.time().runUntil(85);
+    assertEquals(30, services.stream().mapToInt(world.rules()::onMachines).sum());
+    world.time().runUntil(130);
+    for (JobId id : arrays) {
+      assertEquals("done", world.users().told().get(id), id.text());
+      assertTrue(
+          world.users().overAfter().get(id) < 45,
+          id + " took " + world.users().overAfter().get(id));
+    }
+    world.time().runUntil(400);
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals("done", world.users().told().get(huge));
+    for (JobId id : idle) {
+      assertEquals("done", world.users().told().get(id), id.text());
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/HoldCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/HoldCasesTest.java
@@ -14,9 +14,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.wire.BadMessage;
 
-/** Holds against sweeps with three controllers in virtual time, under load and through what fails. */
+/**
+ * Holds against sweeps with three controllers in virtual time, under load and through what fails.
+ */
 class HoldCasesTest {
-    static final String JOBS = """
+  static final String JOBS =
+      """
             [[jobs]]
             name = "front"
             shape = "service"
@@ -41,210 +44,269 @@
             run_s = 15
             """;
 
-    private static final String MARCH = "cdr/2026-03";
-    /** By then the level has risen to that of agreed records. */
-    private static final double READY_S = 42;
+  private static final String MARCH = "cdr/2026-03";
 
-    private HoldSite site = new HoldSite(JOBS, 30, 7);
+  /** By then the level has risen to that of agreed records. */
+  private static final double READY_S = 42;
 
-    HoldCasesTest() throws BadMessage {
-        tell();
-    }
+  private HoldSite site = new HoldSite(JOBS, 30, 7);
 
-    /** Half of each sweep's tasks touch March, the others April. */
-    private void tell() {
-        site.told("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
-    }
+  HoldCasesTest() throws BadMessage {
+    tell();
+  }
 
-    private HoldSite site(long seed) throws BadMessage {
-        site = new HoldSite(JOBS, 30, seed);
-        tell();
-        return site;
-    }
+  /** Half of each sweep's tasks touch March, the others April. */
+  private void tell() {
+    site.told("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
+  }
 
-    /** What is held waits, all else goes on; once it is closed all is done. */
-    private void assertHeldAndThenDone(String reference, int opening, double untilS, double doneByS) {
-        site.run(untilS);
-        assertEquals("PINNED", site.state(reference));
-        assertTrue(site.sweeps().stream().anyMatch(id -> site.world.rules().completedTasks(id) == 12), "something was kept back");
-        assertTrue(site.sweeps().stream().allMatch(id -> site.world.rules().completedTasks(id) >= 12), "the rest runs");
-        site.close(1, reference, "close-" + reference + opening, opening);
-        site.run(doneByS);
-        site.assertAllDone();
-    }
+  private HoldSite site(long seed) throws BadMessage {
+    site = new HoldSite(JOBS, 30, seed);
+    tell();
+    return site;
+  }
 
-    /** Half of each sweep's tasks touch what is held: those wait, and the others run. */
-    @Test
-    void whatTouchesHeldRecordsWaitsAndTheRestRuns() {
-        site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", "cdr/2026-03-10..2026-03-12"));
-        assertHeldAndThenDone("ref-1", 1, 140, 260);
-        site.assertPinnedWithin("ref-1", 5);
-    }
+  /** What is held waits, all else goes on; once it is closed all is done. */
+  private void assertHeldAndThenDone(String reference, int opening, double untilS, double doneByS) {
+    site.run(untilS);
+    assertEquals("PINNED", site.state(reference));
+    assertTrue(
+        site.sweeps().stream().anyMatch(id -> site.world.rules().completedTasks(id) == 12),
+        "something was kept back");
+    assertTrue(
+        site.sweeps().stream().allMatch(id -> site.world.rules().completedTasks(id) >= 12),
+        "the rest runs");
+    site.close(1, reference, "close-" + reference + opening, opening);
+    site.run(doneByS);
+    site.assertAllDone();
+  }
 
-    /** The sweeps come in the same instants as the hold, at another controller, and transactions are applied late. */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void theHoldAndTheAllocationInOneInstant(long seed) throws BadMessage {
-        site(seed).world.state().applyLate(8);
-        for (int i = 0; i < 8; i++) {
-            String reference = "ref-" + i;
-            // The sweeps come at 4, 10, 16 seconds and so on.
-            site.at(46 + 6 * (i % 4) + 0.03 * seed + 0.12 * i, () -> site.open((int) seed % 3, reference, "r-" + reference, MARCH));
-            site.at(90, () -> site.close(1, reference, "c-" + reference, 1));
-        }
-        site.run(260);
-        assertEquals(8, site.pinnedCount());
-        site.assertAllDone();
-    }
+  /** Half of each sweep's tasks touch what is held: those wait, and the others run. */
+  @Test
+  void whatTouchesHeldRecordsWaitsAndTheRestRuns() {
+    site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", "cdr/2026-03-10..2026-03-12"));
+    assertHeldAndThenDone("ref-1", 1, 140, 260);
+    site.assertPinnedWithin("ref-1", 5);
+  }
 
-    /** Whoever pins stands still before its word is sent, or falls silent with it under way; meanwhile the hold is closed and opened again. */
-    @ParameterizedTest
-    @EnumSource(World.Mishap.class)
-    void theLeaderIsGoneBetweenItsGuardAndTheAnswer(World.Mishap mishap) {
-        site.at(READY_S + 1, () -> site.world.mishapAt(request -> request.startsWith("POST /txn") && request.contains("\"PINNED\""), 25, mishap));
-        site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-        site.at(READY_S + 14, () -> site.close(2, "ref-1", "c1", 1));
-        site.at(READY_S + 16, () -> site.open(1, "ref-1", "r2", MARCH));
-        assertHeldAndThenDone("ref-1", 2, 150, 300);
-        assertTrue(site.world.mishapHit() >= 0);
+  /**
+   * The sweeps come in the same instants as the hold, at another controller, and transactions are
+   * applied late.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void theHoldAndTheAllocationInOneInstant(long seed) throws BadMessage {
+    site(seed).world.state().applyLate(8);
+    for (int i = 0; i < 8; i++) {
+      String reference = "ref-" + i;
+      // The sweeps come at 4, 10, 16 seconds and so on.
+      site.at(
+          46 + 6 * (i % 4) + 0.03 * seed + 0.12 * i,
+          () -> site.open((int) seed % 3, reference, "r-" + reference, MARCH));
+      site.at(90, () -> site.close(1, reference, "c-" + reference, 1));
     }
+    site.run(260);
+    assertEquals(8, site.pinnedCount());
+    site.assertAllDone();
+  }
 
-    /** Each controller that is asked goes down before it can answer; the same is asked again, also long after the hold was closed. */
-    @Test
-    void theAnswerIsLostAndTheSameIsAskedAgain() {
-        for (int i = 0; i < 3; i++) {
-            int node = i;
-            site.at(READY_S + 2 + i * 0.02, () -> {
-                site.open(node, "ref-1", "r1", MARCH);
-                site.world.time().after(0.012, () -> site.world.down(node, 4 + node));
-            });
-        }
-        site.at(READY_S + 40, () -> site.close(0, "ref-1", "c1", 1));
-        for (int i = 0; i < 3; i++) {
-            int node = i;
-            site.at(READY_S + 50 + 15 * i, () -> site.open(node, "ref-1", "r1", MARCH));
-        }
-        site.run(READY_S + 110);
-        assertEquals("CLOSED", site.state("ref-1"));
-        assertEquals(1, site.opening("ref-1"));
-        site.run(300);
-        site.assertAllDone();
-    }
+  /**
+   * Whoever pins stands still before its word is sent, or falls silent with it under way; meanwhile
+   * the hold is closed and opened again.
+   */
+  @ParameterizedTest
+  @EnumSource(World.Mishap.class)
+  void theLeaderIsGoneBetweenItsGuardAndTheAnswer(World.Mishap mishap) {
+    site.at(
+        READY_S + 1,
+        () ->
+            site.world.mishapAt(
+                request -> request.startsWith("POST /txn") && request.contains("\"PINNED\""),
+                25,
+                mishap));
+    site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
+    site.at(READY_S + 14, () -> site.close(2, "ref-1", "c1", 1));
+    site.at(READY_S + 16, () -> site.open(1, "ref-1", "r2", MARCH));
+    assertHeldAndThenDone("ref-1", 2, 150, 300);
+    assertTrue(site.world.mishapHit() >= 0);
+  }
 
-    /** Somebody who has seen the first opening asks for its closing when the second is there; and a closing of what was never opened. */
-    @Test
-    void aClosingThatComesLateDoesNothingToALaterOpening() {
-        site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-        site.at(READY_S + 10, () -> site.close(0, "ref-1", "c1", 1));
-        site.at(READY_S + 12, () -> site.open(1, "ref-1", "r2", MARCH));
-        for (int i = 0; i < 5; i++) {
-            String request = "late-" + i;
-            site.at(READY_S + 12.01 + i * i, () -> site.close(2, "ref-1", request, 1));
-        }
-        site.at(READY_S + 20, () -> site.close(2, "ref-1", "ahead", 3));
-        assertHeldAndThenDone("ref-1", 2, 140, 280);
-        assertTrue(site.answers.get("late-4").startsWith("200") && site.answers.get("late-4").contains("later one"), site.answers.toString());
-        assertTrue(site.answers.get("ahead").startsWith("409"), site.answers.toString());
+  /**
+   * Each controller that is asked goes down before it can answer; the same is asked again, also
+   * long after the hold was closed.
+   */
+  @Test
+  void theAnswerIsLostAndTheSameIsAskedAgain() {
+    for (int i = 0; i < 3; i++) {
+      int node = i;
+      site.at(
+          READY_S + 2 + i * 0.02,
+          () -> {
+            site.open(node, "ref-1", "r1", MARCH);
+            site.world.time().after(0.012, () -> site.world.down(node, 4 + node));
+          });
+    }
+    site.at(READY_S + 40, () -> site.close(0, "ref-1", "c1", 1));
+    for (int i = 0; i < 3; i++) {
+      int node = i;
+      site.at(READY_S + 50 + 15 * i, () -> site.open(node, "ref-1", "r1", MARCH));
     }
+    site.run(READY_S + 110);
+    assertEquals("CLOSED", site.state("ref-1"));
+    assertEquals(1, site.opening("ref-1"));
+    site.run(300);
+    site.assertAllDone();
+  }
 
-    @Test
-    void fiveHundredHoldsInAMinute() {
-        for (int i = 0; i < 500; i++) {
-            String reference = "ref-" + i;
-            int node = i % 3;
-            String records = i % 2 == 0 ? MARCH : "cdr/2025-" + String.format("%02d", 1 + i % 12);
-            site.at(READY_S + i * 0.12, () -> site.open(node, reference, "r-" + i(reference), records));
-        }
-        site.run(READY_S + 150);
-        assertEquals(500, site.pinnedCount());
-        for (int i = 0; i < 500; i++) {
-            site.close(i % 3, "ref-" + i, "c-" + i, 1);
-        }
-        site.run(READY_S + 400);
-        site.assertAllDone();
+  /**
+   * Somebody who has seen the first opening asks for its closing when the second is there; and a
+   * closing of what was never opened.
+   */
+  @Test
+  void aClosingThatComesLateDoesNothingToALaterOpening() {
+    site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
+    site.at(READY_S + 10, () -> site.close(0, "ref-1", "c1", 1));
+    site.at(READY_S + 12, () -> site.open(1, "ref-1", "r2", MARCH));
+    for (int i = 0; i < 5; i++) {
+      String request = "late-" + i;
+      site.at(READY_S + 12.01 + i * i, () -> site.close(2, "ref-1", request, 1));
     }
+    site.at(READY_S + 20, () -> site.close(2, "ref-1", "ahead", 3));
+    assertHeldAndThenDone("ref-1", 2, 140, 280);
+    assertTrue(
+        site.answers.get("late-4").startsWith("200")
+            && site.answers.get("late-4").contains("later one"),
+        site.answers.toString());
+    assertTrue(site.answers.get("ahead").startsWith("409"), site.answers.toString());
+  }
 
-    private static String i(String reference) {
-        return reference.substring(4);
+  @Test
+  void fiveHundredHoldsInAMinute() {
+    for (int i = 0; i < 500; i++) {
+      String reference = "ref-" + i;
+      int node = i % 3;
+      String records = i % 2 == 0 ? MARCH : "cdr/2025-" + String.format("%02d", 1 + i % 12);
+      site.at(READY_S + i * 0.12, () -> site.open(node, reference, "r-" + i(reference), records));
+    }
+    site.run(READY_S + 150);
+    assertEquals(500, site.pinnedCount());
+    for (int i = 0; i < 500; i++) {
+      site.close(i % 3, "ref-" + i, "c-" + i, 1);
     }
+    site.run(READY_S + 400);
+    site.assertAllDone();
+  }
 
-    /** The state service is out, controllers are replaced, a zone is cut off, a controller is alone with its workers. */
-    @ParameterizedTest
-    @ValueSource(strings = {"outage", "roll", "zone", "lone", "deaf", "all down"})
-    void aHoldAmongTroubles(String trouble) {
-        site.at(READY_S + 1, () -> {
-            switch (trouble) {
-                case "outage" -> site.world.state().outage(20);
-                case "roll" -> site.rollAll();
-                case "zone" -> site.cutZone(0, 40);
-                case "lone" -> site.leaveAlone((site.world.leader() + 1) % 3, 40);
-                case "deaf" -> site.deafen(5, 40);
-                default -> {
-                    for (int node = 0; node < 3; node++) {
-                        site.world.down(node, 3 + node);
-                    }
-                }
+  private static String i(String reference) {
+    return reference.substring(4);
+  }
+
+  /**
+   * The state service is out, controllers are replaced, a zone is cut off, a controller is alone
+   * with its workers.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"outage", "roll", "zone", "lone", "deaf", "all down"})
+  void aHoldAmongTroubles(String trouble) {
+    site.at(
+        READY_S + 1,
+        () -> {
+          switch (trouble) {
+            case "outage" -> site.world.state().outage(20);
+            case "roll" -> site.rollAll();
+            case "zone" -> site.cutZone(0, 40);
+            case "lone" -> site.leaveAlone((site.world.leader() + 1) % 3, 40);
+            case "deaf" -> site.deafen(5, 40);
+            default -> {
+              for (int node = 0; node < 3; node++) {
+                site.world.down(node, 3 + node);
+              }
             }
+          }
         });
-        site.at(READY_S + 1.2, () -> site.open(0, "ref-1", "r1", MARCH));
-        assertHeldAndThenDone("ref-1", 1, 170, 330);
-        site.assertPinnedWithin("ref-1", 60);
-    }
+    site.at(READY_S + 1.2, () -> site.open(0, "ref-1", "r1", MARCH));
+    assertHeldAndThenDone("ref-1", 1, 170, 330);
+    site.assertPinnedWithin("ref-1", 60);
+  }
 
-    /** Its time comes while the state service is out, controllers are started anew and their clocks are set, within their bound or far back. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0, 0.9, -0.9, -20})
-    void aFutureHoldIsInForceInTimeThroughARestartAndASteppedClock(double step) {
-        double from = READY_S + 20;
-        site.at(READY_S + 2, () -> site.openFrom(0, "ref-1", "r1", from, MARCH));
-        site.at(from - 8, () -> site.world.setClock(step));
-        if (step > -1) {
-            site.at(from - 7, () -> site.world.crash(1));
-            site.at(from - 3.5, () -> site.world.crash(2));
-        }
-        site.at(from - 0.5, () -> site.world.state().outage(8));
-        site.run(from - 3);
-        assertEquals("FUTURE", site.state("ref-1"));
-        site.run(from + 30);
-        assertEquals(List.of(), site.startedAfter(from + 1.5, MARCH));
-        assertHeldAndThenDone("ref-1", 1, 170, 330);
+  /**
+   * Its time comes while the state service is out, controllers are started anew and their clocks
+   * are set, within their bound or far back.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0, 0.9, -0.9, -20})
+  void aFutureHoldIsInForceInTimeThroughARestartAndASteppedClock(double step) {
+    double from = READY_S + 20;
+    site.at(READY_S + 2, () -> site.openFrom(0, "ref-1", "r1", from, MARCH));
+    site.at(from - 8, () -> site.world.setClock(step));
+    if (step > -1) {
+      site.at(from - 7, () -> site.world.crash(1));
+      site.at(from - 3.5, () -> site.world.crash(2));
     }
+    site.at(from - 0.5, () -> site.world.state().outage(8));
+    site.run(from - 3);
+    assertEquals("FUTURE", site.state("ref-1"));
+    site.run(from + 30);
+    assertEquals(List.of(), site.startedAfter(from + 1.5, MARCH));
+    assertHeldAndThenDone("ref-1", 1, 170, 330);
+  }
 
-    /** A task runs as long as any hold on its records is open, whatever the order in which they come and go. */
-    @ParameterizedTest
-    @ValueSource(longs = {11, 12})
-    void overlappingHoldsClosedInAnyOrder(long seed) throws BadMessage {
-        site(seed);
-        Random random = new Random(seed);
-        List<String> records = List.of("cdr", MARCH, "cdr/2026-03-01..2026-04", "cdr/2026-04-30", "cdr#caller-7", "other");
-        List<Integer> order = new ArrayList<>(List.of(0, 1, 2, 3, 4, 5));
-        Collections.shuffle(order, random);
-        for (int i = 0; i < records.size(); i++) {
-            String reference = "ref-" + i;
-            String each = records.get(i);
-            site.at(READY_S + 2 + 10 * random.nextDouble(), () -> site.open(random.nextInt(3), reference, "r" + reference, each));
-            site.at(READY_S + 40 + 10 * order.get(i), () -> site.close(random.nextInt(3), reference, "c" + reference, 1));
-        }
-        site.run(READY_S + 38);
-        assertEquals(6, site.pinnedCount());
-        site.run(330);
-        site.assertAllDone();
+  /**
+   * A task runs as long as any hold on its records is open, whatever the order in which they come
+   * and go.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {11, 12})
+  void overlappingHoldsClosedInAnyOrder(long seed) throws BadMessage {
+    site(seed);
+    Random random = new Random(seed);
+    List<String> records =
+        List.of("cdr", MARCH, "cdr/2026-03-01..2026-04", "cdr/2026-04-30", "cdr#caller-7", "other");
+    List<Integer> order = new ArrayList<>(List.of(0, 1, 2, 3, 4, 5));
+    Collections.shuffle(order, random);
+    for (int i = 0; i < records.size(); i++) {
+      String reference = "ref-" + i;
+      String each = records.get(i);
+      site.at(
+          READY_S + 2 + 10 * random.nextDouble(),
+          () -> site.open(random.nextInt(3), reference, "r" + reference, each));
+      site.at(
+          READY_S + 40 + 10 * order.get(i),
+          () -> site.close(random.nextInt(3), reference, "c" + reference, 1));
     }
+    site.run(READY_S + 38);
+    assertEquals(6, site.pinnedCount());
+    site.run(330);
+    site.assertAllDone();
+  }
 
-    /** A lane is told to be one of sweeps after its jobs have begun: what was pinned is so no more until they are off. */
-    @Test
-    void aLaneToldLateIsPinnedAnew() throws BadMessage {
-        site = new HoldSite(JOBS, 30, 7);
-        site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-        site.run(READY_S + 12);
-        assertEquals("PINNED", site.state("ref-1"));
-        site.world.time().at(READY_S + 13, () -> site.ask(0, "sweeps", "sweep", "late", Map.of("series", List.of("cdr"))));
-        site.run(READY_S + 60);
-        assertEquals("PINNED", site.state("ref-1"));
-        assertEquals(1, site.widened("ref-1"), site.answers + " " + site.world.state().value("q/agreed/holds/ref-1"));
-        assertEquals(0, site.sweeps().stream().mapToInt(site.world.rules()::onMachines).sum(), "sweeps without claims touch all of their series");
-        site.close(0, "ref-1", "c1", 1);
-        site.run(300);
-        site.assertAllDone();
-    }
+  /**
+   * A lane is told to be one of sweeps after its jobs have begun: what was pinned is so no more
+   * until they are off.
+   */
+  @Test
+  void aLaneToldLateIsPinnedAnew() throws BadMessage {
+    site = new HoldSite(JOBS, 30, 7);
+    site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
+    site.run(READY_S + 12);
+    assertEquals("PINNED", site.state("ref-1"));
+    site.world
+        .time()
+        .at(
+            READY_S + 13,
+            () -> site.ask(0, "sweeps", "sweep", "late", Map.of("series", List.of("cdr"))));
+    site.run(READY_S + 60);
+    assertEquals("PINNED", site.state("ref-1"));
+    assertEquals(
+        1,
+        site.widened("ref-1"),
+        site.answers + " " + site.world.state().value("q/agreed/holds/ref-1"));
+    assertEquals(
+        0,
+        site.sweeps().stream().mapToInt(site.world.rules()::onMachines).sum(),
+        "sweeps without claims touch all of their series");
+    site.close(0, "ref-1", "c1", 1);
+    site.run(300);
+    site.assertAllDone();
+  }
 }
--- a/src/test/java/org/quincecross/emulator/HoldSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/HoldSeedsTest.java
@@ -12,58 +12,78 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.wire.BadMessage;
 
-/** Many days drawn from seeds: holds that overlap, come and go among troubles; how long pinning takes is written to the log. */
+/**
+ * Many days drawn from seeds: holds that overlap, come and go among troubles; how long pinning
+ * takes is written to the log.
+ */
 @Tag("seeds")
 class HoldSeedsTest {
-    private static final double READY_S = 42;
-    private static final int SEEDS = Integer.getInteger("seeds", 20);
+  private static final double READY_S = 42;
+  private static final int SEEDS = Integer.getInteger("seeds", 20);
 
-    @ParameterizedTest
-    @ValueSource(strings = {"none", "controller cut off", "zone cut off", "machines deaf", "state service out", "crashes"})
-    void whatIsPinnedIsNotTouched(String trouble) throws BadMessage {
-        List<Double> times = new ArrayList<>();
-        for (long seed = 0; seed < SEEDS; seed++) {
-            Random random = new Random(seed);
-            HoldSite site = new HoldSite(HoldCasesTest.JOBS, 30, seed);
-            site.told("sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
-            site.world.state().applyLate(40);
-            double at = READY_S + 2 + 10 * random.nextDouble();
-            site.at(at - 0.5 + random.nextDouble(), () -> begin(site, trouble, random));
-            List<String> records = List.of("cdr/2026-03", "cdr", "cdr/2026-04-05");
-            for (int i = 0; i < records.size(); i++) {
-                String reference = "ref-" + i;
-                String each = records.get(i);
-                site.at(at + 2 * i * random.nextDouble(), () -> site.open(random.nextInt(3), reference, "o" + reference, each));
-                site.at(at + 70 + 20 * random.nextDouble(), () -> site.close(random.nextInt(3), reference, "c" + reference, 1));
-            }
-            site.run(at + 69);
-            for (int i = 0; i < records.size(); i++) {
-                Double after = site.pinnedAfter("ref-" + i, 1);
-                assertTrue(after != null, "seed " + seed + " ref-" + i + " is " + site.state("ref-" + i));
-                times.add(after);
-            }
-            site.run(380);
-            site.assertAllDone();
-        }
-        Collections.sort(times);
-        System.out.printf("%-20s %4d holds: pinned after %.1f s (median), %.1f s (9 in 10), %.1f s (worst)%n", trouble, times.size(),
-                times.get(times.size() / 2), times.get(times.size() * 9 / 10), times.get(times.size() - 1));
-        assertEquals(3 * SEEDS, times.size());
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "none",
+        "controller cut off",
+        "zone cut off",
+        "machines deaf",
+        "state service out",
+        "crashes"
+      })
+  void whatIsPinnedIsNotTouched(String trouble) throws BadMessage {
+    List<Double> times = new ArrayList<>();
+    for (long seed = 0; seed < SEEDS; seed++) {
+      Random random = new Random(seed);
+      HoldSite site = new HoldSite(HoldCasesTest.JOBS, 30, seed);
+      site.told("sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
+      site.world.state().applyLate(40);
+      double at = READY_S + 2 + 10 * random.nextDouble();
+      site.at(at - 0.5 + random.nextDouble(), () -> begin(site, trouble, random));
+      List<String> records = List.of("cdr/2026-03", "cdr", "cdr/2026-04-05");
+      for (int i = 0; i < records.size(); i++) {
+        String reference = "ref-" + i;
+        String each = records.get(i);
+        site.at(
+            at + 2 * i * random.nextDouble(),
+            () -> site.open(random.nextInt(3), reference, "o" + reference, each));
+        site.at(
+            at + 70 + 20 * random.nextDouble(),
+            () -> site.close(random.nextInt(3), reference, "c" + reference, 1));
+      }
+      site.run(at + 69);
+      for (int i = 0; i < records.size(); i++) {
+        Double after = site.pinnedAfter("ref-" + i, 1);
+        assertTrue(after != null, "seed " + seed + " ref-" + i + " is " + site.state("ref-" + i));
+        times.add(after);
+      }
+      site.run(380);
+      site.assertAllDone();
     }
+    Collections.sort(times);
+    System.out.printf(
+        "%-20s %4d holds: pinned after %.1f s (median), %.1f s (9 in 10), %.1f s (worst)%n",
+        trouble,
+        times.size(),
+        times.get(times.size() / 2),
+        times.get(times.size() * 9 / 10),
+        times.get(times.size() - 1));
+    assertEquals(3 * SEEDS, times.size());
+  }
 
-    private static void begin(HoldSite site, String trouble, Random random) {
-        int node = random.nextInt(3);
-        double length = 20 + 20 * random.nextDouble();
-        switch (trouble) {
-            case "controller cut off" -> site.leaveAlone(node, length);
-            case "zone cut off" -> site.cutZone(node, length);
-            case "machines deaf" -> site.deafen(8, length);
-            case "state service out" -> site.world.state().outage(length / 2);
-            case "crashes" -> {
-                site.world.crash(node);
-                site.world.time().after(random.nextDouble() * 3, () -> site.world.crash((node + 1) % 3));
-            }
-            default -> { }
-        }
+  private static void begin(HoldSite site, String trouble, Random random) {
+    int node = random.nextInt(3);
+    double length = 20 + 20 * random.nextDouble();
+    switch (trouble) {
+      case "controller cut off" -> site.leaveAlone(node, length);
+      case "zone cut off" -> site.cutZone(node, length);
+      case "machines deaf" -> site.deafen(8, length);
+      case "state service out" -> site.world.state().outage(length / 2);
+      case "crashes" -> {
+        site.world.crash(node);
+        site.world.time().after(random.nextDouble() * 3, () -> site.world.crash((node + 1) % 3));
+      }
+      default -> {}
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/HoldSite.java
+++ b/src/test/java/org/quincecross/emulator/HoldSite.java
@@ -23,240 +23,315 @@
 import org.quincecross.wire.Json;
 
 /**
- * Three controllers with holds switched on, sweeps, and a checker of its own: it reads the records as the state service has them, and what
- * runs by the stand-ins of the machines, and knows nothing of what the controllers make of it.
+ * Three controllers with holds switched on, sweeps, and a checker of its own: it reads the records
+ * as the state service has them, and what runs by the stand-ins of the machines, and knows nothing
+ * of what the controllers make of it.
  */
 final class HoldSite {
-    final World world;
-    private final List<JobId> sweeps = new ArrayList<>();
-    private final List<JobId> services = new ArrayList<>();
-    private final Map<JobId, Map<TaskSet, Records>> touches = new HashMap<>();
-    private final Map<String, Double> openedAt = new HashMap<>();
-    private final Map<String, Double> pinnedAt = new TreeMap<>();
-    private final Map<TaskId, Double> startedAt = new HashMap<>();
-    private final Set<TaskId> on = new HashSet<>();
-    private final List<String> wrong = new ArrayList<>();
-    final Map<String, String> answers = new HashMap<>();
+  final World world;
+  private final List<JobId> sweeps = new ArrayList<>();
+  private final List<JobId> services = new ArrayList<>();
+  private final Map<JobId, Map<TaskSet, Records>> touches = new HashMap<>();
+  private final Map<String, Double> openedAt = new HashMap<>();
+  private final Map<String, Double> pinnedAt = new TreeMap<>();
+  private final Map<TaskId, Double> startedAt = new HashMap<>();
+  private final Set<TaskId> on = new HashSet<>();
+  private final List<String> wrong = new ArrayList<>();
+  final Map<String, String> answers = new HashMap<>();
 
-    HoldSite(String jobs, int machines, long seed) throws BadMessage {
-        Site site = Site.tryOut(machines, true);
-        Build build = Build.present("holds", Feature.AGREED_RECORDS.since().number());
-        world = new World(site, seed, Meter.OFF, new Features(null, null, build, Map.of("holds", Map.of())));
-        for (JobsFile.Due due : JobsFile.read(jobs, site)) {
-            world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
-            (due.job().jobClass().equals("front") ? services : sweeps).add(due.job().id());
-        }
-        watch();
+  HoldSite(String jobs, int machines, long seed) throws BadMessage {
+    Site site = Site.tryOut(machines, true);
+    Build build = Build.present("holds", Feature.AGREED_RECORDS.since().number());
+    world =
+        new World(
+            site, seed, Meter.OFF, new Features(null, null, build, Map.of("holds", Map.of())));
+    for (JobsFile.Due due : JobsFile.read(jobs, site)) {
+      world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
+      (due.job().jobClass().equals("front") ? services : sweeps).add(due.job().id());
     }
+    watch();
+  }
 
-    List<JobId> sweeps() {
-        return sweeps;
-    }
+  List<JobId> sweeps() {
+    return sweeps;
+  }
 
-    void at(double seconds, Runnable what) {
-        world.time().at(seconds, what);
-    }
+  void at(double seconds, Runnable what) {
+    world.time().at(seconds, what);
+  }
 
-    void run(double untilS) {
-        world.time().runUntil(untilS);
-        assertEquals(List.of(), wrong);
-        assertEquals(List.of(), world.rules().broken());
-    }
+  void run(double untilS) {
+    world.time().runUntil(untilS);
+    assertEquals(List.of(), wrong);
+    assertEquals(List.of(), world.rules().broken());
+  }
 
-    // ---- operators ----
+  // ---- operators ----
 
-    /** Asks a controller, and then the next, until it is followed or refused for good. */
-    void ask(int node, String kind, String id, String request, Object command) {
-        boolean[] answered = {false};
-        Runnable again = () -> ask((node + 1) % world.nodeCount(), kind, id, request, command);
-        if (world.status(node) == null) {
+  /** Asks a controller, and then the next, until it is followed or refused for good. */
+  void ask(int node, String kind, String id, String request, Object command) {
+    boolean[] answered = {false};
+    Runnable again = () -> ask((node + 1) % world.nodeCount(), kind, id, request, command);
+    if (world.status(node) == null) {
+      world.time().after(1, again);
+      return;
+    }
+    byte[] body = Json.write(Json.object("request", request, "by", "clerk", "command", command));
+    world.ask(
+        node,
+        HttpRequest.post("/admin/agreed/" + kind + "/" + id, body),
+        response -> {
+          String text = new String(response.body(), StandardCharsets.UTF_8);
+          answered[0] = true;
+          if (response.status() >= 500
+              || response.status() == 429
+              || response.status() == 409 && text.contains("is not in force yet")) {
             world.time().after(1, again);
-            return;
-        }
-        byte[] body = Json.write(Json.object("request", request, "by", "clerk", "command", command));
-        world.ask(node, HttpRequest.post("/admin/agreed/" + kind + "/" + id, body), response -> {
-            String text = new String(response.body(), StandardCharsets.UTF_8);
-            answered[0] = true;
-            if (response.status() >= 500 || response.status() == 429 || response.status() == 409 && text.contains("is not in force yet")) {
-                world.time().after(1, again);
-            } else {
-                answers.put(request, response.status() + " " + text);
-            }
+          } else {
+            answers.put(request, response.status() + " " + text);
+          }
         });
-        world.time().after(6, () -> {
-            if (!answered[0]) {
+    world
+        .time()
+        .after(
+            6,
+            () -> {
+              if (!answered[0]) {
                 again.run(); // it went down before it could answer
-            }
-        });
-    }
+              }
+            });
+  }
 
-    void open(int node, String reference, String request, String... records) {
-        openedAt.putIfAbsent(reference, world.time().seconds());
-        ask(node, "holds", reference, request, Json.object("do", "open", "records", List.of(records)));
-    }
+  void open(int node, String reference, String request, String... records) {
+    openedAt.putIfAbsent(reference, world.time().seconds());
+    ask(node, "holds", reference, request, Json.object("do", "open", "records", List.of(records)));
+  }
 
-    /** @param fromS in seconds since the beginning of the world */
-    void openFrom(int node, String reference, String request, double fromS, String... records) {
-        openedAt.putIfAbsent(reference, world.time().seconds());
-        ask(node, "holds", reference, request, Json.object("do", "open", "records", List.of(records), "from_ms", (long) ((World.EPOCH_S + fromS) * 1000)));
-    }
+  /**
+   * @param fromS in seconds since the beginning of the world
+   */
+  void openFrom(int node, String reference, String request, double fromS, String... records) {
+    openedAt.putIfAbsent(reference, world.time().seconds());
+    ask(
+        node,
+        "holds",
+        reference,
+        request,
+        Json.object(
+            "do",
+            "open",
+            "records",
+            List.of(records),
+            "from_ms",
+            (long) ((World.EPOCH_S + fromS) * 1000)));
+  }
 
-    void close(int node, String reference, String request, int opening) {
-        ask(node, "holds", reference, request, Json.object("do", "close", "opening", opening));
-    }
+  void close(int node, String reference, String request, int opening) {
+    ask(node, "holds", reference, request, Json.object("do", "close", "opening", opening));
+  }
 
-    /** From the beginning on a lane is one of sweeps, and all its jobs have these claims: tasks and records in turn. */
-    void told(String lane, String series, String... claims) {
-        at(1, () -> ask(0, "sweeps", lane, "sweep-" + lane, Json.object("series", List.of(series))));
-        for (JobId job : sweeps) {
-            List<Object> all = new ArrayList<>();
-            Map<TaskSet, Records> touched = new HashMap<>();
-            for (int i = 0; i < claims.length; i += 2) {
-                all.add(Json.object("tasks", claims[i], "records", List.of(claims[i + 1])));
-                touched.put(TaskSet.parse(claims[i], 100_000), Records.parse(claims[i + 1]));
-            }
-            touches.put(job, touched);
-            if (!all.isEmpty()) {
-                at(1.5, () -> ask(1, "claims", job.text(), "claim-" + job, Json.object("claims", all)));
-            }
-        }
+  /**
+   * From the beginning on a lane is one of sweeps, and all its jobs have these claims: tasks and
+   * records in turn.
+   */
+  void told(String lane, String series, String... claims) {
+    at(1, () -> ask(0, "sweeps", lane, "sweep-" + lane, Json.object("series", List.of(series))));
+    for (JobId job : sweeps) {
+      List<Object> all = new ArrayList<>();
+      Map<TaskSet, Records> touched = new HashMap<>();
+      for (int i = 0; i < claims.length; i += 2) {
+        all.add(Json.object("tasks", claims[i], "records", List.of(claims[i + 1])));
+        touched.put(TaskSet.parse(claims[i], 100_000), Records.parse(claims[i + 1]));
+      }
+      touches.put(job, touched);
+      if (!all.isEmpty()) {
+        at(1.5, () -> ask(1, "claims", job.text(), "claim-" + job, Json.object("claims", all)));
+      }
     }
+  }
 
-    // ---- troubles ----
+  // ---- troubles ----
 
-    /** The controllers are replaced one after the other by another build of the same level. */
-    void rollAll() {
-        for (int node = 0; node < world.nodeCount(); node++) {
-            int each = node;
-            world.time().after(5 * node, () -> world.roll(each, Build.present("other", Feature.AGREED_RECORDS.since().number())));
-        }
+  /** The controllers are replaced one after the other by another build of the same level. */
+  void rollAll() {
+    for (int node = 0; node < world.nodeCount(); node++) {
+      int each = node;
+      world
+          .time()
+          .after(
+              5 * node,
+              () ->
+                  world.roll(
+                      each, Build.present("other", Feature.AGREED_RECORDS.since().number())));
     }
+  }
 
-    /** A controller has its workers, and neither the state service nor the other controllers. */
-    void leaveAlone(int node, double seconds) {
-        world.state().refuse(Site.nodeName(node), seconds);
-        for (int other = 0; other < world.nodeCount(); other++) {
-            if (other != node) {
-                world.cut(Site.nodeName(node), Site.nodeName(other), seconds, true);
-            }
-        }
+  /** A controller has its workers, and neither the state service nor the other controllers. */
+  void leaveAlone(int node, double seconds) {
+    world.state().refuse(Site.nodeName(node), seconds);
+    for (int other = 0; other < world.nodeCount(); other++) {
+      if (other != node) {
+        world.cut(Site.nodeName(node), Site.nodeName(other), seconds, true);
+      }
     }
+  }
 
-    /** A zone is cut off from all others and from the state service: its controller and machines hear one another. */
-    void cutZone(int zone, double seconds) {
-        leaveAlone(zone, seconds);
-        world.around().cloud().workers().forEach(worker -> {
-            boolean inside = worker.machine().zone().equals(world.site().zones().get(zone));
-            for (int node = 0; node < world.nodeCount(); node++) {
+  /**
+   * A zone is cut off from all others and from the state service: its controller and machines hear
+   * one another.
+   */
+  void cutZone(int zone, double seconds) {
+    leaveAlone(zone, seconds);
+    world
+        .around()
+        .cloud()
+        .workers()
+        .forEach(
+            worker -> {
+              boolean inside = worker.machine().zone().equals(world.site().zones().get(zone));
+              for (int node = 0; node < world.nodeCount(); node++) {
                 if ((node == zone) != inside) {
-                    world.cut(worker.machine().id().text(), Site.nodeName(node), seconds, false);
+                  world.cut(worker.machine().id().text(), Site.nodeName(node), seconds, false);
                 }
-            }
-        });
-    }
+              }
+            });
+  }
 
-    /** Some machines with sweeps are heard, and hear nothing. */
-    void deafen(int machines, double seconds) {
-        world.around().cloud().workers().stream().limit(machines).forEach(worker -> {
-            for (int node = 0; node < world.nodeCount(); node++) {
+  /** Some machines with sweeps are heard, and hear nothing. */
+  void deafen(int machines, double seconds) {
+    world.around().cloud().workers().stream()
+        .limit(machines)
+        .forEach(
+            worker -> {
+              for (int node = 0; node < world.nodeCount(); node++) {
                 world.cut(Site.nodeName(node), worker.machine().id().text(), seconds, true);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    // ---- the checker ----
+  // ---- the checker ----
 
-    /** The tasks that began after a time and touch some records. */
-    List<String> startedAfter(double seconds, String records) {
-        Records held = Records.parse(records);
-        List<String> late = new ArrayList<>();
-        startedAt.forEach((task, at) -> {
-            boolean touched = touches.getOrDefault(task.job(), Map.of()).entrySet().stream()
-                    .anyMatch(claim -> claim.getKey().has(task.index()) && claim.getValue().overlaps(held));
-            if (touched && at > seconds) {
-                late.add(task + " at " + at);
-            }
+  /** The tasks that began after a time and touch some records. */
+  List<String> startedAfter(double seconds, String records) {
+    Records held = Records.parse(records);
+    List<String> late = new ArrayList<>();
+    startedAt.forEach(
+        (task, at) -> {
+          boolean touched =
+              touches.getOrDefault(task.job(), Map.of()).entrySet().stream()
+                  .anyMatch(
+                      claim -> claim.getKey().has(task.index()) && claim.getValue().overlaps(held));
+          if (touched && at > seconds) {
+            late.add(task + " at " + at);
+          }
         });
-        return late;
-    }
+    return late;
+  }
 
-    int pinnedCount() {
-        return pinnedAt.size();
-    }
+  int pinnedCount() {
+    return pinnedAt.size();
+  }
 
-    /** How often it was found that more touches a hold's records than was known when it was pinned. */
-    int widened(String reference) {
-        return ((Number) hold(reference).get("scope")).intValue();
-    }
+  /**
+   * How often it was found that more touches a hold's records than was known when it was pinned.
+   */
+  int widened(String reference) {
+    return ((Number) hold(reference).get("scope")).intValue();
+  }
 
-    int opening(String reference) {
-        return ((Number) hold(reference).get("opening")).intValue();
-    }
+  int opening(String reference) {
+    return ((Number) hold(reference).get("opening")).intValue();
+  }
 
-    private Map<?, ?> hold(String reference) {
-        return world.state().value("q/agreed/holds/" + reference) instanceof Map<?, ?> record ? (Map<?, ?>) record.get("state") : Map.of();
-    }
+  private Map<?, ?> hold(String reference) {
+    return world.state().value("q/agreed/holds/" + reference) instanceof Map<?, ?> record
+        ? (Map<?, ?>) record.get("state")
+        : Map.of();
+  }
 
-    String state(String reference) {
-        return String.valueOf(hold(reference).get("state"));
-    }
+  String state(String reference) {
+    return String.valueOf(hold(reference).get("state"));
+  }
 
-    /** No task that touches a pinned record runs: looked at by the records as they are, several times a second. */
-    private void watch() {
-        world.time().after(0.1, () -> {
-            for (JobId job : sweeps) {
-                for (int index = 0; world.job(job) != null && index < world.job(job).tasks(); index++) {
-                    TaskId task = job.task(index);
-                    if (!world.rules().isOn(task)) {
-                        on.remove(task);
-                    } else if (on.add(task)) {
-                        startedAt.put(task, world.time().seconds());
-                    }
+  /**
+   * No task that touches a pinned record runs: looked at by the records as they are, several times
+   * a second.
+   */
+  private void watch() {
+    world
+        .time()
+        .after(
+            0.1,
+            () -> {
+              for (JobId job : sweeps) {
+                for (int index = 0;
+                    world.job(job) != null && index < world.job(job).tasks();
+                    index++) {
+                  TaskId task = job.task(index);
+                  if (!world.rules().isOn(task)) {
+                    on.remove(task);
+                  } else if (on.add(task)) {
+                    startedAt.put(task, world.time().seconds());
+                  }
                 }
-            }
-            Map<Records, String> pinned = new HashMap<>();
-            for (String key : world.state().under("q/agreed/holds/")) {
+              }
+              Map<Records, String> pinned = new HashMap<>();
+              for (String key : world.state().under("q/agreed/holds/")) {
                 String reference = key.substring("q/agreed/holds/".length());
                 if (!reference.startsWith("~") && state(reference).equals("PINNED")) {
-                    pinnedAt.putIfAbsent(reference + "/" + hold(reference).get("opening"), world.time().seconds());
-                    List<?> records = (List<?>) hold(reference).get("records");
-                    records.forEach(each -> pinned.putIfAbsent(Records.parse((String) each), reference));
+                  pinnedAt.putIfAbsent(
+                      reference + "/" + hold(reference).get("opening"), world.time().seconds());
+                  List<?> records = (List<?>) hold(reference).get("records");
+                  records.forEach(
+                      each -> pinned.putIfAbsent(Records.parse((String) each), reference));
                 }
-            }
-            pinned.forEach((records, reference) -> check(reference, records));
-            watch();
-        });
-    }
+              }
+              pinned.forEach((records, reference) -> check(reference, records));
+              watch();
+            });
+  }
 
-    private void check(String reference, Records held) {
-        for (JobId job : sweeps) {
-            Map<TaskSet, Records> claims = touches.get(job);
-            for (int index = 0; claims != null && world.rules().onMachines(job) > 0 && index < world.job(job).tasks(); index++) {
-                boolean touched = claims.isEmpty();
-                for (Map.Entry<TaskSet, Records> claim : claims.entrySet()) {
-                    touched |= claim.getKey().has(index) && claim.getValue().overlaps(held);
-                }
-                if (touched && world.rules().isOn(job.task(index))) {
-                    wrong.add("at " + world.time().seconds() + " " + job + "/" + index + " runs under " + reference);
-                }
-            }
+  private void check(String reference, Records held) {
+    for (JobId job : sweeps) {
+      Map<TaskSet, Records> claims = touches.get(job);
+      for (int index = 0;
+          claims != null && world.rules().onMachines(job) > 0 && index < world.job(job).tasks();
+          index++) {
+        boolean touched = claims.isEmpty();
+        for (Map.Entry<TaskSet, Records> claim : claims.entrySet()) {
+          touched |= claim.getKey().has(index) && claim.getValue().overlaps(held);
         }
+        if (touched && world.rules().isOn(job.task(index))) {
+          wrong.add(
+              "at "
+                  + world.time().seconds()
+                  + " "
+                  + job
+                  + "/"
+                  + index
+                  + " runs under "
+                  + reference);
+        }
+      }
     }
+  }
 
-    Double pinnedAfter(String reference, int opening) {
-        Double at = pinnedAt.get(reference + "/" + opening);
-        return at == null ? null : at - openedAt.get(reference);
-    }
+  Double pinnedAfter(String reference, int opening) {
+    Double at = pinnedAt.get(reference + "/" + opening);
+    return at == null ? null : at - openedAt.get(reference);
+  }
 
-    void assertPinnedWithin(String reference, double seconds) {
-        Double after = pinnedAfter(reference, 1);
-        assertTrue(after != null && after <= seconds, reference + " is " + state(reference) + ", pinned after " + after);
-    }
+  void assertPinnedWithin(String reference, double seconds) {
+    Double after = pinnedAfter(reference, 1);
+    assertTrue(
+        after != null && after <= seconds,
+        reference + " is " + state(reference) + ", pinned after " + after);
+  }
 
-    void assertAllDone() {
-        for (JobId id : sweeps) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
-        assertEquals(12, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
+  void assertAllDone() {
+    for (JobId id : sweeps) {
+      assertEquals("done", world.users().told().get(id), id.text());
     }
+    assertEquals(12, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
+  }
 }
--- a/src/test/java/org/quincecross/emulator/IdleRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleRoomTest.java
@@ -16,52 +16,91 @@
 import org.quincecross.model.Span;
 import org.quincecross.model.Team;
 
-/** Work that waits in the queue of a block whose machines are busy for long, while those of other blocks have nothing to do. */
+/**
+ * Work that waits in the queue of a block whose machines are busy for long, while those of other
+ * blocks have nothing to do.
+ */
 class IdleRoomTest {
-    private static final int MACHINES = 30;
-    private static final double LONGEST_WAIT_S = 90;
+  private static final int MACHINES = 30;
+  private static final double LONGEST_WAIT_S = 90;
 
-    /** More than there is room for. */
-    private final Site site = Site.tryOut(MACHINES, true).with(Map.of("batch", new Team("batch", new Resources(80, 0, 1e9),
-            new Resources(1000, 0, 1e9))));
-    private final List<JobId> anywhere = new ArrayList<>();
-    private double longest;
+  /** More than there is room for. */
+  private final Site site =
+      Site.tryOut(MACHINES, true)
+          .with(
+              Map.of(
+                  "batch",
+                  new Team("batch", new Resources(80, 0, 1e9), new Resources(1000, 0, 1e9))));
 
-    private void submit(World world, double atS, int number, String zone, double runS) {
-        Job job = new Job(new JobId("job-" + number), "any", "batch", Shape.ARRAY, Rank.NORMAL, 1, new Resources(2, 0, 2), null, zone, false, false,
-                true, "img-1", 1, Span.ofSeconds(runS), Span.ZERO, Span.ZERO, null);
-        world.time().at(atS, () -> world.users().submit(job));
-        if (zone == null) {
-            anywhere.add(job.id());
-        }
+  private final List<JobId> anywhere = new ArrayList<>();
+  private double longest;
+
+  private void submit(World world, double atS, int number, String zone, double runS) {
+    Job job =
+        new Job(
+            new JobId("job-" + number),
+            "any",
+            "batch",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            1,
+            new Resources(2, 0, 2),
+            null,
+            zone,
+            false,
+            false,
+            true,
+            "img-1",
+            1,
+            Span.ofSeconds(runS),
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    world.time().at(atS, () -> world.users().submit(job));
+    if (zone == null) {
+      anywhere.add(job.id());
     }
+  }
 
-    /**
-     * All machines are full: those of one zone with work of five minutes and more, the others with work of half a minute; some more waits in
-     * the blocks' queues. When the short work is over there is room, and nothing may wait for the long work.
-     */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void nothingWaitsBehindLongWorkWhileOthersAreIdle(long seed) {
-        World world = new World(site, seed, Meter.OFF);
-        for (int i = 0; i < 4 * MACHINES; i++) {
-            submit(world, 10, 1000 + i, site.zones().get(i % 3), i % 3 == 0 ? 300 : 30);
-        }
-        for (int i = 0; i < 40; i++) {
-            submit(world, 16, 2000 + i, null, 200);
-        }
-        double[] idleSince = {-1};
-        for (double at = 20; at < 400; at += 0.5) {
-            world.time().at(at, () -> {
-                boolean waits = anywhere.stream().anyMatch(id -> world.rules().onMachines(id) == 0 && world.rules().completedTasks(id) == 0);
-                boolean idle = world.cloud().machines().stream().anyMatch(each -> world.rules().onMachine(each) < 4);
-                idleSince[0] = !waits || !idle ? -1 : idleSince[0] < 0 ? world.time().seconds() : idleSince[0];
+  /**
+   * All machines are full: those of one zone with work of five minutes and more, the others with
+   * work of half a minute; some more waits in the blocks' queues. When the short work is over there
+   * is room, and nothing may wait for the long work.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void nothingWaitsBehindLongWorkWhileOthersAreIdle(long seed) {
+    World world = new World(site, seed, Meter.OFF);
+    for (int i = 0; i < 4 * MACHINES; i++) {
+      submit(world, 10, 1000 + i, site.zones().get(i % 3), i % 3 == 0 ? 300 : 30);
+    }
+    for (int i = 0; i < 40; i++) {
+      submit(world, 16, 2000 + i, null, 200);
+    }
+    double[] idleSince = {-1};
+    for (double at = 20; at < 400; at += 0.5) {
+      world
+          .time()
+          .at(
+              at,
+              () -> {
+                boolean waits =
+                    anywhere.stream()
+                        .anyMatch(
+                            id ->
+                                world.rules().onMachines(id) == 0
+                                    && world.rules().completedTasks(id) == 0);
+                boolean idle =
+                    world.cloud().machines().stream()
+                        .anyMatch(each -> world.rules().onMachine(each) < 4);
+                idleSince[0] =
+                    !waits || !idle ? -1 : idleSince[0] < 0 ? world.time().seconds() : idleSince[0];
                 double waited = idleSince[0] < 0 ? 0 : world.time().seconds() - idleSince[0];
                 longest = Math.max(longest, waited);
-            });
-        }
-        world.time().runUntil(400);
-        assertTrue(longest < LONGEST_WAIT_S, "idle for " + longest + " s while work waits");
-        assertEquals(List.of(), world.rules().broken());
+              });
     }
+    world.time().runUntil(400);
+    assertTrue(longest < LONGEST_WAIT_S, "idle for " + longest + " s while work waits");
+    assertEquals(List.of(), world.rules().broken());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/LateCopiesTest.java
+++ b/src/test/java/org/quincecross/emulator/LateCopiesTest.java
@@ -17,107 +17,158 @@
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Json;
 
-/** Every report comes a second time, 1 s to three leases later, with three controllers in virtual time. */
+/**
+ * Every report comes a second time, 1 s to three leases later, with three controllers in virtual
+ * time.
+ */
 class LateCopiesTest extends BusySite {
-    LateCopiesTest() throws BadMessage {
-        world.time().at(10, () -> world.copyLate(1, new Random(7)));
-    }
+  LateCopiesTest() throws BadMessage {
+    world.time().at(10, () -> world.copyLate(1, new Random(7)));
+  }
 
-    /** Machines that nobody hears any more are lost with their leases, though copies of what they said go on to come. */
-    @Test
-    void copiesKeepNoMachine() {
-        double lease = site.workers().lease().seconds();
-        world.time().runUntil(40);
-        List<MachineId> cut = world.cloud().machines().subList(0, 8);
-        for (MachineId machine : cut) {
-            for (int node = 0; node < site.nodes(); node++) {
-                world.cut(Site.nodeName(node), machine.text(), 300, true);
-            }
-        }
-        world.time().runUntil(40 + lease + 8);
-        assertEquals(36, replicas());
-        assertAllIsWell(170);
+  /**
+   * Machines that nobody hears any more are lost with their leases, though copies of what they said
+   * go on to come.
+   */
+  @Test
+  void copiesKeepNoMachine() {
+    double lease = site.workers().lease().seconds();
+    world.time().runUntil(40);
+    List<MachineId> cut = world.cloud().machines().subList(0, 8);
+    for (MachineId machine : cut) {
+      for (int node = 0; node < site.nodes(); node++) {
+        world.cut(Site.nodeName(node), machine.text(), 300, true);
+      }
     }
+    world.time().runUntil(40 + lease + 8);
+    assertEquals(36, replicas());
+    assertAllIsWell(170);
+  }
 
-    /**
-     * A leader that has just come to lead does not take in a machine that is gone, whatever still reports in its name: a late report, or
-     * its very first one, which shows no token and looks like that of a new machine (docs/incidents/a-gone-machines-first-report.md).
-     */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 0})
-    void copiesBringNoMachineBack(long token) {
-        world.time().runUntil(40);
-        Machine gone = world.cloud().workers().get(3).machine();
-        MachineId machine = gone.id();
-        HttpRequest copy = HttpRequest.post("/agent/beat", Json.write(Json.object("Host", machine.text(), "Addr", gone.address().toString(),
-                "Hull", gone.type(), "Yard", gone.zone(), "Loaners", gone.spot(), "Shift", 1L, "Tick", 9L, "Baton", token, "Pieces", List.of())));
-        world.cloud().take(machine, 0);
-        boolean left = false;
-        for (double at = 40; at < 130; at += 0.25) {
-            world.time().runUntil(at);
-            boolean there = isInABlock(machine);
-            for (int node = 0; left && node < site.nodes(); node++) {
-                if (world.status(node) != null) {
-                    world.ask(node, copy, response -> { });
-                }
-            }
-            assertFalse(left && there, "taken in again at " + at);
-            if (!there && !left) {
-                left = true;
-                world.crash(Math.max(0, world.leader())); // and with it what it knew of machines that are gone
-            }
+  /**
+   * A leader that has just come to lead does not take in a machine that is gone, whatever still
+   * reports in its name: a late report, or its very first one, which shows no token and looks like
+   * that of a new machine (docs/incidents/a-gone-machines-first-report.md).
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 0})
+  void copiesBringNoMachineBack(long token) {
+    world.time().runUntil(40);
+    Machine gone = world.cloud().workers().get(3).machine();
+    MachineId machine = gone.id();
+    HttpRequest copy =
+        HttpRequest.post(
+            "/agent/beat",
+            Json.write(
+                Json.object(
+                    "Host",
+                    machine.text(),
+                    "Addr",
+                    gone.address().toString(),
+                    "Hull",
+                    gone.type(),
+                    "Yard",
+                    gone.zone(),
+                    "Loaners",
+                    gone.spot(),
+                    "Shift",
+                    1L,
+                    "Tick",
+                    9L,
+                    "Baton",
+                    token,
+                    "Pieces",
+                    List.of())));
+    world.cloud().take(machine, 0);
+    boolean left = false;
+    for (double at = 40; at < 130; at += 0.25) {
+      world.time().runUntil(at);
+      boolean there = isInABlock(machine);
+      for (int node = 0; left && node < site.nodes(); node++) {
+        if (world.status(node) != null) {
+          world.ask(node, copy, response -> {});
         }
-        assertTrue(left);
-        assertAllIsWell(170);
+      }
+      assertFalse(left && there, "taken in again at " + at);
+      if (!there && !left) {
+        left = true;
+        world.crash(
+            Math.max(0, world.leader())); // and with it what it knew of machines that are gone
+      }
     }
+    assertTrue(left);
+    assertAllIsWell(170);
+  }
 
-    private boolean isInABlock(MachineId machine) {
-        boolean[] there = new boolean[1];
-        for (int node = 0; node < site.nodes(); node++) {
-            if (world.status(node) != null) {
-                world.ask(node, HttpRequest.get("/admin/machines"),
-                        response -> there[0] |= new String(response.body(), StandardCharsets.UTF_8).contains("\"machine\":\"" + machine.text() + "\""));
-            }
-        }
-        return there[0];
+  private boolean isInABlock(MachineId machine) {
+    boolean[] there = new boolean[1];
+    for (int node = 0; node < site.nodes(); node++) {
+      if (world.status(node) != null) {
+        world.ask(
+            node,
+            HttpRequest.get("/admin/machines"),
+            response ->
+                there[0] |=
+                    new String(response.body(), StandardCharsets.UTF_8)
+                        .contains("\"machine\":\"" + machine.text() + "\""));
+      }
     }
+    return there[0];
+  }
 
-    /** All copies of a machine's former life come while it has begun anew: nothing is revived, and what it gets runs once. */
-    @Test
-    void copiesOfAFormerLife() {
-        for (int i = 0; i < 5; i++) {
-            int from = i * 8;
-            world.time().at(30 + 4 * i, () -> world.cloud().workers().subList(from, from + 8).forEach(worker -> worker.restart(0.3)));
-        }
-        assertAllIsWell(170);
+  /**
+   * All copies of a machine's former life come while it has begun anew: nothing is revived, and
+   * what it gets runs once.
+   */
+  @Test
+  void copiesOfAFormerLife() {
+    for (int i = 0; i < 5; i++) {
+      int from = i * 8;
+      world
+          .time()
+          .at(
+              30 + 4 * i,
+              () ->
+                  world
+                      .cloud()
+                      .workers()
+                      .subList(from, from + 8)
+                      .forEach(worker -> worker.restart(0.3)));
     }
+    assertAllIsWell(170);
+  }
 
-    /**
-     * Copies of all reports of half a minute come to every controller just as the next leader begins, or when it has acted; meanwhile some
-     * machines have gone, some have begun anew, and some are reached by nobody. The next leader ends soon as well.
-     */
-    @ParameterizedTest
-    @CsvSource({"1, 0.2", "1, 6", "0.4, 20"})
-    void copiesThatWereKeptForTheNextLeader(double share, double downS) {
-        world.time().runUntil(20);
-        world.copyLate(0, new Random(7));
-        world.keepForNextLeader(share, new Random(8));
-        world.time().runUntil(48);
-        List<Worker> workers = List.copyOf(world.cloud().workers());
-        List<MachineId> gone = workers.subList(0, 4).stream().map(worker -> worker.machine().id()).toList();
-        gone.forEach(machine -> world.cloud().take(machine, 0));
-        workers.subList(4, 10).forEach(worker -> worker.restart(0.3));
-        workers.subList(10, 14).forEach(worker -> {
-            for (int node = 0; node < site.nodes(); node++) {
+  /**
+   * Copies of all reports of half a minute come to every controller just as the next leader begins,
+   * or when it has acted; meanwhile some machines have gone, some have begun anew, and some are
+   * reached by nobody. The next leader ends soon as well.
+   */
+  @ParameterizedTest
+  @CsvSource({"1, 0.2", "1, 6", "0.4, 20"})
+  void copiesThatWereKeptForTheNextLeader(double share, double downS) {
+    world.time().runUntil(20);
+    world.copyLate(0, new Random(7));
+    world.keepForNextLeader(share, new Random(8));
+    world.time().runUntil(48);
+    List<Worker> workers = List.copyOf(world.cloud().workers());
+    List<MachineId> gone =
+        workers.subList(0, 4).stream().map(worker -> worker.machine().id()).toList();
+    gone.forEach(machine -> world.cloud().take(machine, 0));
+    workers.subList(4, 10).forEach(worker -> worker.restart(0.3));
+    workers
+        .subList(10, 14)
+        .forEach(
+            worker -> {
+              for (int node = 0; node < site.nodes(); node++) {
                 world.cut(Site.nodeName(node), worker.machine().id().text(), 30, true);
-            }
-        });
-        world.time().runUntil(50);
-        world.down(world.leader(), downS);
-        world.time().at(62, () -> world.down(Math.max(0, world.leader()), downS));
-        world.time().runUntil(62 + 3 * site.workers().lease().seconds() + 20);
-        assertEquals(36, replicas());
-        gone.forEach(machine -> assertFalse(isInABlock(machine), "still in a block: " + machine));
-        assertAllIsWell(190);
-    }
+              }
+            });
+    world.time().runUntil(50);
+    world.down(world.leader(), downS);
+    world.time().at(62, () -> world.down(Math.max(0, world.leader()), downS));
+    world.time().runUntil(62 + 3 * site.workers().lease().seconds() + 20);
+    assertEquals(36, replicas());
+    gone.forEach(machine -> assertFalse(isInABlock(machine), "still in a block: " + machine));
+    assertAllIsWell(190);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/LateWriteDays.java
+++ b/src/test/java/org/quincecross/emulator/LateWriteDays.java
@@ -6,71 +6,82 @@
 import org.quincecross.model.JobId;
 
 /**
- * Troubles drawn beside those of a {@link Day}, from a source of their own: a fifth to a third of all transactions are not answered
- * and carried out 2 to 12 s later, some of them minutes later, while jobs come together, are cancelled as soon as they are accepted
- * or at any time, and controllers are back at once.
+ * Troubles drawn beside those of a {@link Day}, from a source of their own: a fifth to a third of
+ * all transactions are not answered and carried out 2 to 12 s later, some of them minutes later,
+ * while jobs come together, are cancelled as soon as they are accepted or at any time, and
+ * controllers are back at once.
  */
 final class LateWriteDays {
-    private static final double FROM_S = 12;
-    private static final double UNTIL_S = 150;
-    private static final double MINUTES_SHARE = 0.15;
+  private static final double FROM_S = 12;
+  private static final double UNTIL_S = 150;
+  private static final double MINUTES_SHARE = 0.15;
 
-    private final World world;
-    private final Random random;
+  private final World world;
+  private final Random random;
 
-    private LateWriteDays(World world, long seed) {
-        this.world = world;
-        this.random = new Random(seed * 31 + 7);
-    }
+  private LateWriteDays(World world, long seed) {
+    this.world = world;
+    this.random = new Random(seed * 31 + 7);
+  }
 
-    /** For {@link Day#with}. */
-    static void on(World world, long seed) {
-        LateWriteDays days = new LateWriteDays(world, seed);
-        days.lateWrites(0.2 + 0.1 * days.random.nextDouble());
-        days.bundles(6, 7);
-        days.cancellations(12);
-        new BackAtOnce(world, seed).controllers(3);
-    }
+  /** For {@link Day#with}. */
+  static void on(World world, long seed) {
+    LateWriteDays days = new LateWriteDays(world, seed);
+    days.lateWrites(0.2 + 0.1 * days.random.nextDouble());
+    days.bundles(6, 7);
+    days.cancellations(12);
+    new BackAtOnce(world, seed).controllers(3);
+  }
 
-    private boolean isTrouble() {
-        return world.time().seconds() >= FROM_S && world.time().seconds() < UNTIL_S;
-    }
+  private boolean isTrouble() {
+    return world.time().seconds() >= FROM_S && world.time().seconds() < UNTIL_S;
+  }
 
-    private void lateWrites(double share) {
-        LateWrites soon = LateWrites.share(share, 2, 12, this::isTrouble, random);
-        LateWrites minutes = LateWrites.share(MINUTES_SHARE * share, 12, 150, this::isTrouble, random);
-        world.state().late(transaction -> {
-            double after = minutes.afterS(transaction);
-            return after == LateWrites.PROMPT ? soon.afterS(transaction) : after;
-        });
-    }
+  private void lateWrites(double share) {
+    LateWrites soon = LateWrites.share(share, 2, 12, this::isTrouble, random);
+    LateWrites minutes = LateWrites.share(MINUTES_SHARE * share, 12, 150, this::isTrouble, random);
+    world
+        .state()
+        .late(
+            transaction -> {
+              double after = minutes.afterS(transaction);
+              return after == LateWrites.PROMPT ? soon.afterS(transaction) : after;
+            });
+  }
 
-    private double moment() {
-        return FROM_S + random.nextDouble() * (UNTIL_S - FROM_S);
-    }
+  private double moment() {
+    return FROM_S + random.nextDouble() * (UNTIL_S - FROM_S);
+  }
 
-    /** Jobs that come in the same moment share a record; some are cancelled at once, when nothing but that record names them. */
-    private void bundles(int times, int jobs) {
-        for (int i = 0; i < times; i++) {
-            double at = moment();
-            for (int each = 0; each < jobs; each++) {
-                int number = 3000 + i * jobs + each;
-                world.time().at(at, () -> world.users().submit(number));
-                if (random.nextInt(4) == 0) {
-                    world.time().at(at + 0.1, () -> world.users().cancel(new JobId("job-" + number)));
-                }
-            }
+  /**
+   * Jobs that come in the same moment share a record; some are cancelled at once, when nothing but
+   * that record names them.
+   */
+  private void bundles(int times, int jobs) {
+    for (int i = 0; i < times; i++) {
+      double at = moment();
+      for (int each = 0; each < jobs; each++) {
+        int number = 3000 + i * jobs + each;
+        world.time().at(at, () -> world.users().submit(number));
+        if (random.nextInt(4) == 0) {
+          world.time().at(at + 0.1, () -> world.users().cancel(new JobId("job-" + number)));
         }
+      }
     }
+  }
 
-    private void cancellations(int times) {
-        for (int i = 0; i < times; i++) {
-            world.time().at(moment(), () -> {
+  private void cancellations(int times) {
+    for (int i = 0; i < times; i++) {
+      world
+          .time()
+          .at(
+              moment(),
+              () -> {
                 List<JobId> told = new ArrayList<>(world.users().told().keySet());
                 if (!told.isEmpty()) {
-                    world.users().cancel(told.get(random.nextInt(told.size())));
+                  world.users().cancel(told.get(random.nextInt(told.size())));
                 }
-            });
-        }
+              });
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -23,250 +23,339 @@
 import org.quincecross.model.Team;
 
 /**
- * A leader ends, or is cut off, while jobs of two and three long tasks run: what its successor takes for running, what is told of
- * jobs whose tasks end far apart, and what the former leader does on its return. Three controllers, 30 machines, in virtual time.
+ * A leader ends, or is cut off, while jobs of two and three long tasks run: what its successor
+ * takes for running, what is told of jobs whose tasks end far apart, and what the former leader
+ * does on its return. Three controllers, 30 machines, in virtual time.
  */
 class LeaderChangesTest {
-    private static final double CPUS = 8;
-    /** Of what the team of long jobs may use, so that more of them wait than run. */
-    private static final double LIMIT_CPUS = 48;
-    /** From the end of a job's last task, or of the trouble, until its user has been told. */
-    private static final double TOLD_WITHIN_S = 7;
+  private static final double CPUS = 8;
 
-    private final Site site = Site.tryOut(30, true).with(Map.of("long", new Team("long", new Resources(CPUS, 0, 1e9), new Resources(LIMIT_CPUS, 0, 1e9)),
-            "web", new Team("web", new Resources(80, 0, 1e9), new Resources(120, 0, 1e9))));
-    private final World world = new World(site, 11, Meter.OFF);
-    private final Random random = new Random(11);
-    private final Map<JobId, Integer> ended = new LinkedHashMap<>();
-    private final Map<JobId, Double> lastEnd = new HashMap<>();
-    private int tasks;
+  /** Of what the team of long jobs may use, so that more of them wait than run. */
+  private static final double LIMIT_CPUS = 48;
 
-    /** Submits jobs of two and three tasks that end 30 to 90 s apart, of all kinds of places. */
-    private void submitLong(int jobs, double each) {
-        for (int i = 0; i < jobs; i++) {
-            int count = 2 + i % 2;
-            Job job = new Job(new JobId("job-" + (100 + i)), "long", "long", Shape.ARRAY, Rank.NORMAL, count, new Resources(each, 0, 2), null, null,
-                    i % 4 == 0, i % 4 == 1, i % 3 == 0, "img-" + i % 3, 0.5, Span.ofSeconds(20), Span.ZERO, Span.ZERO, null);
-            for (int task = 1; task < count; task++) {
-                world.around().tasks().runsLonger(job.id().task(task), task * (30 + 15 * random.nextDouble()));
-            }
-            tasks += count;
-            ended.put(job.id(), 0);
-            world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
-        }
+  /** From the end of a job's last task, or of the trouble, until its user has been told. */
+  private static final double TOLD_WITHIN_S = 7;
+
+  private final Site site =
+      Site.tryOut(30, true)
+          .with(
+              Map.of(
+                  "long",
+                  new Team("long", new Resources(CPUS, 0, 1e9), new Resources(LIMIT_CPUS, 0, 1e9)),
+                  "web",
+                  new Team("web", new Resources(80, 0, 1e9), new Resources(120, 0, 1e9))));
+  private final World world = new World(site, 11, Meter.OFF);
+  private final Random random = new Random(11);
+  private final Map<JobId, Integer> ended = new LinkedHashMap<>();
+  private final Map<JobId, Double> lastEnd = new HashMap<>();
+  private int tasks;
+
+  /** Submits jobs of two and three tasks that end 30 to 90 s apart, of all kinds of places. */
+  private void submitLong(int jobs, double each) {
+    for (int i = 0; i < jobs; i++) {
+      int count = 2 + i % 2;
+      Job job =
+          new Job(
+              new JobId("job-" + (100 + i)),
+              "long",
+              "long",
+              Shape.ARRAY,
+              Rank.NORMAL,
+              count,
+              new Resources(each, 0, 2),
+              null,
+              null,
+              i % 4 == 0,
+              i % 4 == 1,
+              i % 3 == 0,
+              "img-" + i % 3,
+              0.5,
+              Span.ofSeconds(20),
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      for (int task = 1; task < count; task++) {
+        world
+            .around()
+            .tasks()
+            .runsLonger(job.id().task(task), task * (30 + 15 * random.nextDouble()));
+      }
+      tasks += count;
+      ended.put(job.id(), 0);
+      world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
     }
+  }
 
-    /** Has something done each time that tasks end; {@code what} is given how many of the job's have. */
-    private void atEnds(double untilS, IntConsumer what) {
-        for (double at = 8; at < untilS; at += 0.02) {
-            world.time().at(at, () -> {
+  /**
+   * Has something done each time that tasks end; {@code what} is given how many of the job's have.
+   */
+  private void atEnds(double untilS, IntConsumer what) {
+    for (double at = 8; at < untilS; at += 0.02) {
+      world
+          .time()
+          .at(
+              at,
+              () -> {
                 int most = 0;
                 for (Map.Entry<JobId, Integer> job : ended.entrySet()) {
-                    int now = world.rules().completedTasks(job.getKey());
-                    if (now > job.getValue()) {
-                        job.setValue(now);
-                        lastEnd.put(job.getKey(), world.time().seconds());
-                        most = Math.max(most, now);
-                    }
+                  int now = world.rules().completedTasks(job.getKey());
+                  if (now > job.getValue()) {
+                    job.setValue(now);
+                    lastEnd.put(job.getKey(), world.time().seconds());
+                    most = Math.max(most, now);
+                  }
                 }
                 if (most > 0) {
-                    what.accept(most);
+                  what.accept(most);
                 }
-            });
-        }
+              });
     }
+  }
 
-    private int leader() {
-        return Math.max(0, world.leader());
-    }
+  private int leader() {
+    return Math.max(0, world.leader());
+  }
 
-    private void down(boolean leaderToo, boolean othersToo, double seconds) {
-        int leader = leader();
-        for (int node = 0; node < world.nodeCount(); node++) {
-            if (node == leader ? leaderToo : othersToo) {
-                world.down(node, seconds);
-            }
-        }
+  private void down(boolean leaderToo, boolean othersToo, double seconds) {
+    int leader = leader();
+    for (int node = 0; node < world.nodeCount(); node++) {
+      if (node == leader ? leaderToo : othersToo) {
+        world.down(node, seconds);
+      }
     }
+  }
 
-    /** Every job is done, and told in time. */
-    private void assertAllAreDone(double troubleUntilS) {
-        assertEquals(List.of(), world.rules().broken());
-        ended.keySet().forEach(id -> {
-            assertEquals("done", world.users().told().get(id), id.text());
-            double told = world.users().submittedAt().get(id) + world.users().overAfter().get(id);
-            double due = Math.max(troubleUntilS, lastEnd.get(id)) + TOLD_WITHIN_S;
-            assertTrue(told <= due, id + " told at " + told + ", due at " + due);
-        });
-    }
+  /** Every job is done, and told in time. */
+  private void assertAllAreDone(double troubleUntilS) {
+    assertEquals(List.of(), world.rules().broken());
+    ended
+        .keySet()
+        .forEach(
+            id -> {
+              assertEquals("done", world.users().told().get(id), id.text());
+              double told = world.users().submittedAt().get(id) + world.users().overAfter().get(id);
+              double due = Math.max(troubleUntilS, lastEnd.get(id)) + TOLD_WITHIN_S;
+              assertTrue(told <= due, id + " told at " + told + ", due at " + due);
+            });
+  }
 
-    /**
-     * Between the end of a task and the record of it the leader ends, the holders do, or all; the machine keeps the result until it is
-     * on record, and whoever holds its block next reports it.
-     */
-    @ParameterizedTest
-    @CsvSource({"true, false, 0.02", "true, false, 1", "false, true, 0.02", "false, true, 0.6", "true, true, 0.02", "true, true, 1.4"})
-    void endsFarApartAcrossChangesOfLeader(boolean leaderToo, boolean othersToo, double after) {
-        submitLong(8, 1);
-        double[] last = new double[1];
-        atEnds(140, most -> {
-            if (world.time().seconds() > last[0] + 9) {
-                last[0] = world.time().seconds() + after;
-                world.time().after(after, () -> down(leaderToo, othersToo, 0.3 + 2 * random.nextDouble()));
-            }
+  /**
+   * Between the end of a task and the record of it the leader ends, the holders do, or all; the
+   * machine keeps the result until it is on record, and whoever holds its block next reports it.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "true, false, 0.02",
+    "true, false, 1",
+    "false, true, 0.02",
+    "false, true, 0.6",
+    "true, true, 0.02",
+    "true, true, 1.4"
+  })
+  void endsFarApartAcrossChangesOfLeader(boolean leaderToo, boolean othersToo, double after) {
+    submitLong(8, 1);
+    double[] last = new double[1];
+    atEnds(
+        140,
+        most -> {
+          if (world.time().seconds() > last[0] + 9) {
+            last[0] = world.time().seconds() + after;
+            world
+                .time()
+                .after(after, () -> down(leaderToo, othersToo, 0.3 + 2 * random.nextDouble()));
+          }
         });
-        world.time().runUntil(170);
-        assertAllAreDone(last[0] + 6);
-        assertEquals(tasks, world.rules().starts(), "tasks started, and started again");
-    }
+    world.time().runUntil(170);
+    assertAllAreDone(last[0] + 6);
+    assertEquals(tasks, world.rules().starts(), "tasks started, and started again");
+  }
 
-    /**
-     * The state service is out, or applies late what it was sent, from a moment before the last task of a job ends; the leader ends
-     * meanwhile. Nobody is told too early, and all are told soon after.
-     */
-    @ParameterizedTest
-    @CsvSource({"false, 0.3", "false, 9", "true, 0.3", "true, 9"})
-    void theLastTaskEndsWhileNothingCanBeWritten(boolean late, double leaderAfter) {
-        submitLong(8, 1);
-        double[] last = new double[1];
-        for (double at = 45; at < 130; at += 25) {
-            world.time().at(at, () -> {
+  /**
+   * The state service is out, or applies late what it was sent, from a moment before the last task
+   * of a job ends; the leader ends meanwhile. Nobody is told too early, and all are told soon
+   * after.
+   */
+  @ParameterizedTest
+  @CsvSource({"false, 0.3", "false, 9", "true, 0.3", "true, 9"})
+  void theLastTaskEndsWhileNothingCanBeWritten(boolean late, double leaderAfter) {
+    submitLong(8, 1);
+    double[] last = new double[1];
+    for (double at = 45; at < 130; at += 25) {
+      world
+          .time()
+          .at(
+              at,
+              () -> {
                 if (late) {
-                    world.state().applyLate(2);
-                    world.time().after(14, () -> world.state().applyLate(0));
+                  world.state().applyLate(2);
+                  world.time().after(14, () -> world.state().applyLate(0));
                 } else {
-                    world.state().outage(14);
+                  world.state().outage(14);
                 }
                 last[0] = world.time().seconds() + 14;
                 world.time().after(leaderAfter, () -> down(true, false, 0.5));
-            });
-        }
-        atEnds(240, most -> { });
-        world.time().runUntil(260);
-        // What was written last may be applied 23 s later, and until then its sender does not know.
-        assertAllAreDone(last[0] + (late ? 12 : 3));
+              });
     }
+    atEnds(240, most -> {});
+    world.time().runUntil(260);
+    // What was written last may be applied 23 s later, and until then its sender does not know.
+    assertAllAreDone(last[0] + (late ? 12 : 3));
+  }
 
-    /** Which machines only the controller reaches that ends or is cut off, which nobody does, and which hear nobody. */
-    private void unreachable(int former, double seconds) {
-        List<Worker> workers = new ArrayList<>(world.cloud().workers());
-        for (int i = 0; i < workers.size(); i++) {
-            Machine machine = workers.get(i).machine();
-            for (int node = 0; i % 3 != 2 && node < world.nodeCount(); node++) {
-                if (node != former || i % 3 == 1) {
-                    world.cut(Site.nodeName(node), machine.id().text(), seconds, i % 2 == 0);
-                }
-            }
-            if (i % 7 == 2) {
-                world.deafen(machine.id(), seconds / 4);
-            }
+  /**
+   * Which machines only the controller reaches that ends or is cut off, which nobody does, and
+   * which hear nobody.
+   */
+  private void unreachable(int former, double seconds) {
+    List<Worker> workers = new ArrayList<>(world.cloud().workers());
+    for (int i = 0; i < workers.size(); i++) {
+      Machine machine = workers.get(i).machine();
+      for (int node = 0; i % 3 != 2 && node < world.nodeCount(); node++) {
+        if (node != former || i % 3 == 1) {
+          world.cut(Site.nodeName(node), machine.id().text(), seconds, i % 2 == 0);
         }
+      }
+      if (i % 7 == 2) {
+        world.deafen(machine.id(), seconds / 4);
+      }
     }
+  }
 
-    /**
-     * The leader is cut off from the state service and the others, or ends, while a third of the machines hears it alone, a third
-     * nobody, and some of the rest hear nothing. More of the team's work waits than its limit has room for, most of it bound to half
-     * its tasks in a zone or all of them in one: what cannot be reached counts until it is proven gone.
-     */
-    @ParameterizedTest
-    @CsvSource({"0, 36", "1, 36", "2, 36", "0, 55", "1, 55", "3, 30", "4, 30"})
-    void aLeaderEndsWhileMachinesCannotBeReached(int how, double seconds) {
-        submitLong(30, 3);
-        world.time().at(22, () -> {
-            int former = leader();
-            unreachable(former, seconds);
-            cutOff(former, how, seconds);
-        });
-        atEnds(400, most -> { });
-        world.time().runUntil(60);
-        assertTrue(world.rules().used("long").cpus() <= LIMIT_CPUS);
-        world.time().runUntil(500);
-        assertEquals(List.of(), world.rules().broken());
-        ended.keySet().forEach(id -> assertEquals("done", world.users().told().get(id), id.text()));
-    }
+  /**
+   * The leader is cut off from the state service and the others, or ends, while a third of the
+   * machines hears it alone, a third nobody, and some of the rest hear nothing. More of the team's
+   * work waits than its limit has room for, most of it bound to half its tasks in a zone or all of
+   * them in one: what cannot be reached counts until it is proven gone.
+   */
+  @ParameterizedTest
+  @CsvSource({"0, 36", "1, 36", "2, 36", "0, 55", "1, 55", "3, 30", "4, 30"})
+  void aLeaderEndsWhileMachinesCannotBeReached(int how, double seconds) {
+    submitLong(30, 3);
+    world
+        .time()
+        .at(
+            22,
+            () -> {
+              int former = leader();
+              unreachable(former, seconds);
+              cutOff(former, how, seconds);
+            });
+    atEnds(400, most -> {});
+    world.time().runUntil(60);
+    assertTrue(world.rules().used("long").cpus() <= LIMIT_CPUS);
+    world.time().runUntil(500);
+    assertEquals(List.of(), world.rules().broken());
+    ended.keySet().forEach(id -> assertEquals("done", world.users().told().get(id), id.text()));
+  }
 
-    /** 0: what it sends is refused; 1: lost; 2: held until it is over; 3: it ends, and is back in an instant; 4: it stands still. */
-    private void cutOff(int node, int how, double seconds) {
-        switch (how) {
-            case 0, 1 -> world.lone(node, seconds, how == 1);
-            case 2 -> {
-                world.cut(Site.nodeName(node), "state", seconds, false);
-                for (int other = 0; other < world.nodeCount(); other++) {
-                    if (other != node) {
-                        world.cut(Site.nodeName(node), Site.nodeName(other), seconds, false);
-                    }
-                }
-            }
-            case 3 -> world.down(node, 0.3);
-            default -> world.standStill(node, seconds);
+  /**
+   * 0: what it sends is refused; 1: lost; 2: held until it is over; 3: it ends, and is back in an
+   * instant; 4: it stands still.
+   */
+  private void cutOff(int node, int how, double seconds) {
+    switch (how) {
+      case 0, 1 -> world.lone(node, seconds, how == 1);
+      case 2 -> {
+        world.cut(Site.nodeName(node), "state", seconds, false);
+        for (int other = 0; other < world.nodeCount(); other++) {
+          if (other != node) {
+            world.cut(Site.nodeName(node), Site.nodeName(other), seconds, false);
+          }
         }
+      }
+      case 3 -> world.down(node, 0.3);
+      default -> world.standStill(node, seconds);
     }
+  }
 
-    /**
-     * A leader alone, reached by workers and users as ever, while jobs are cancelled through the others: its machines that hear nobody
-     * else run them until it must stop, no user of it hears an older answer, and on its return it starts nothing of them.
-     */
-    @ParameterizedTest
-    @CsvSource({"0, 30", "0, 50", "1, 40", "2, 30", "2, 50"})
-    void jobsAreCancelledWhileALeaderIsAlone(int how, double seconds) {
-        submitLong(24, 3);
-        world.time().at(22, () -> {
-            int former = leader();
-            for (Worker worker : world.cloud().workers()) {
+  /**
+   * A leader alone, reached by workers and users as ever, while jobs are cancelled through the
+   * others: its machines that hear nobody else run them until it must stop, no user of it hears an
+   * older answer, and on its return it starts nothing of them.
+   */
+  @ParameterizedTest
+  @CsvSource({"0, 30", "0, 50", "1, 40", "2, 30", "2, 50"})
+  void jobsAreCancelledWhileALeaderIsAlone(int how, double seconds) {
+    submitLong(24, 3);
+    world
+        .time()
+        .at(
+            22,
+            () -> {
+              int former = leader();
+              for (Worker worker : world.cloud().workers()) {
                 for (int node = 0; node < world.nodeCount(); node++) {
-                    if (node != former && worker.machine().zone().equals(site.nodeZones().get(former))) {
-                        world.cut(Site.nodeName(node), worker.machine().id().text(), seconds + 20, true);
-                    }
+                  if (node != former
+                      && worker.machine().zone().equals(site.nodeZones().get(former))) {
+                    world.cut(
+                        Site.nodeName(node), worker.machine().id().text(), seconds + 20, true);
+                  }
                 }
-            }
-            cutOff(former, how, seconds);
-        });
-        List<JobId> cancelled = new ArrayList<>(ended.keySet()).subList(6, 24);
-        for (int i = 0; i < cancelled.size(); i++) {
-            JobId id = cancelled.get(i);
-            world.time().at(22.1 + i * 1.1, () -> world.users().cancel(id));
-        }
-        world.time().runUntil(22 + seconds);
-        int over = (int) cancelled.stream().filter(id -> "cancelled".equals(world.users().told().get(id))).count();
-        assertTrue(over >= cancelled.size() - 2, "cancelled meanwhile: " + over);
-        world.time().runUntil(230);
-        assertEquals(List.of(), world.rules().broken());
-        ended.keySet().forEach(id -> {
-            String told = world.users().told().get(id);
-            assertTrue("done".equals(told) || "cancelled".equals(told) && cancelled.contains(id), id + " " + told);
-        });
+              }
+              cutOff(former, how, seconds);
+            });
+    List<JobId> cancelled = new ArrayList<>(ended.keySet()).subList(6, 24);
+    for (int i = 0; i < cancelled.size(); i++) {
+      JobId id = cancelled.get(i);
+      world.time().at(22.1 + i * 1.1, () -> world.users().cancel(id));
     }
+    world.time().runUntil(22 + seconds);
+    int over =
+        (int)
+            cancelled.stream()
+                .filter(id -> "cancelled".equals(world.users().told().get(id)))
+                .count();
+    assertTrue(over >= cancelled.size() - 2, "cancelled meanwhile: " + over);
+    world.time().runUntil(230);
+    assertEquals(List.of(), world.rules().broken());
+    ended
+        .keySet()
+        .forEach(
+            id -> {
+              String told = world.users().told().get(id);
+              assertTrue(
+                  "done".equals(told) || "cancelled".equals(told) && cancelled.contains(id),
+                  id + " " + told);
+            });
+  }
 
-    /**
-     * A leader's plan goes out late, or is applied late, after another one has led and ended and, or, the first leads again: two
-     * hand-overs within a few seconds, and all of them at once at the end.
-     */
-    @ParameterizedTest
-    @ValueSource(doubles = {0.2, 0.6, 1, 4.5, 9})
-    void aPlanOfAFormerLeadershipComesAfterTheNextButOne(double again) {
-        submitLong(30, 3);
-        int[] planner = {-1};
-        world.mishapAt(request -> {
-            boolean sprung = planner[0] < 0 && world.time().seconds() > 20 && request.startsWith("POST /txn") && request.contains("\"Set\":\"q/alloc");
-            if (sprung) {
-                planner[0] = leader();
-                world.time().after(again, () -> world.down((planner[0] + 1) % 3, 0.3));
-                world.time().after(again + 0.7, () -> world.down((planner[0] + 2) % 3, 0.3));
-                world.time().after(again + 6, () -> down(true, true, 0.3));
-            }
-            return sprung;
-        }, 5, World.Mishap.STILL_BEFORE);
-        atEnds(400, most -> { });
-        world.time().runUntil(430);
-        assertTrue(planner[0] >= 0);
-        assertEquals(List.of(), world.rules().broken());
-        ended.keySet().forEach(id -> assertEquals("done", world.users().told().get(id), id.text()));
-    }
+  /**
+   * A leader's plan goes out late, or is applied late, after another one has led and ended and, or,
+   * the first leads again: two hand-overs within a few seconds, and all of them at once at the end.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0.2, 0.6, 1, 4.5, 9})
+  void aPlanOfAFormerLeadershipComesAfterTheNextButOne(double again) {
+    submitLong(30, 3);
+    int[] planner = {-1};
+    world.mishapAt(
+        request -> {
+          boolean sprung =
+              planner[0] < 0
+                  && world.time().seconds() > 20
+                  && request.startsWith("POST /txn")
+                  && request.contains("\"Set\":\"q/alloc");
+          if (sprung) {
+            planner[0] = leader();
+            world.time().after(again, () -> world.down((planner[0] + 1) % 3, 0.3));
+            world.time().after(again + 0.7, () -> world.down((planner[0] + 2) % 3, 0.3));
+            world.time().after(again + 6, () -> down(true, true, 0.3));
+          }
+          return sprung;
+        },
+        5,
+        World.Mishap.STILL_BEFORE);
+    atEnds(400, most -> {});
+    world.time().runUntil(430);
+    assertTrue(planner[0] >= 0);
+    assertEquals(List.of(), world.rules().broken());
+    ended.keySet().forEach(id -> assertEquals("done", world.users().told().get(id), id.text()));
+  }
 
-    /** Days drawn from fixed seeds; more of them in {@link SeedsTest}. */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 417, 987})
-    void daysOfLeaderChanges(long seed) {
-        assertEquals(List.of(), new LeaderDay(seed).play());
-    }
+  /** Days drawn from fixed seeds; more of them in {@link SeedsTest}. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 417, 987})
+  void daysOfLeaderChanges(long seed) {
+    assertEquals(List.of(), new LeaderDay(seed).play());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/LeaderDay.java
+++ b/src/test/java/org/quincecross/emulator/LeaderDay.java
@@ -14,190 +14,260 @@
 import org.quincecross.model.Span;
 
 /**
- * A day drawn from a seed: jobs of two and three tasks that end 30 to 100 s apart, and at their ends the leader, a holder or all are
- * lost, cut off or back at once, the state service is out or applies late what it was sent, machines cannot be reached; some jobs
- * are cancelled meanwhile. Then quiet.
+ * A day drawn from a seed: jobs of two and three tasks that end 30 to 100 s apart, and at their
+ * ends the leader, a holder or all are lost, cut off or back at once, the state service is out or
+ * applies late what it was sent, machines cannot be reached; some jobs are cancelled meanwhile.
+ * Then quiet.
  */
 final class LeaderDay {
-    private static final double LAST_TROUBLE_S = 210;
-    private static final double QUIET_S = 60;
-    private static final int LONG_JOBS = 16;
-    private static final int SERVICES = 5;
-    private static final double LOOK_EVERY_S = 0.1;
+  private static final double LAST_TROUBLE_S = 210;
+  private static final double QUIET_S = 60;
+  private static final int LONG_JOBS = 16;
+  private static final int SERVICES = 5;
+  private static final double LOOK_EVERY_S = 0.1;
 
-    private final World world;
-    private final Random random;
-    private final Map<JobId, Integer> ended = new LinkedHashMap<>();
-    private final List<JobId> all = new ArrayList<>();
-    private final List<String> strikes = new ArrayList<>();
-    private double calmUntil;
+  private final World world;
+  private final Random random;
+  private final Map<JobId, Integer> ended = new LinkedHashMap<>();
+  private final List<JobId> all = new ArrayList<>();
+  private final List<String> strikes = new ArrayList<>();
+  private double calmUntil;
 
-    LeaderDay(long seed) {
-        world = new World(Site.small(), seed, Meter.OFF);
-        random = new Random(~seed);
-        for (int i = 0; i < LONG_JOBS; i++) {
-            Job job = longJob(100 + i);
-            ended.put(job.id(), 0);
-            submit(job, 4 + 70 * random.nextDouble());
-        }
-        for (int i = 0; i < SERVICES; i++) {
-            submit(new Job(new JobId("job-" + (200 + i)), "service", "blue", Shape.SERVICE, Rank.PRODUCTION, 1 + random.nextInt(3), new Resources(1, 0, 2),
-                    null, null, false, random.nextBoolean(), false, "img-0", 1, Span.ZERO, Span.ZERO, Span.ZERO, null), 4 + 20 * random.nextDouble());
-            cancelAt(new JobId("job-" + (200 + i)), LAST_TROUBLE_S * random.nextDouble());
-        }
-        for (double at = 10; at < LAST_TROUBLE_S; at += LOOK_EVERY_S) {
-            world.time().at(at, this::look);
-        }
-        for (double at = 20 + 20 * random.nextDouble(); at < LAST_TROUBLE_S; at += 15 + 30 * random.nextDouble()) {
-            world.time().at(at, this::strike);
-        }
+  LeaderDay(long seed) {
+    world = new World(Site.small(), seed, Meter.OFF);
+    random = new Random(~seed);
+    for (int i = 0; i < LONG_JOBS; i++) {
+      Job job = longJob(100 + i);
+      ended.put(job.id(), 0);
+      submit(job, 4 + 70 * random.nextDouble());
     }
-
-    private Job longJob(int number) {
-        int tasks = 2 + random.nextInt(2);
-        boolean gang = random.nextInt(5) == 0;
-        boolean saves = random.nextInt(4) == 0;
-        Job job = new Job(new JobId("job-" + number), "long", random.nextInt(3) == 0 ? "blue" : "red", gang ? Shape.GANG : Shape.ARRAY,
-                random.nextBoolean() ? Rank.NORMAL : Rank.LOW, tasks, new Resources(1 + random.nextInt(3), 0, 2), null, null,
-                gang || random.nextInt(4) == 0, false, random.nextBoolean(), "img-" + random.nextInt(3), 1,
-                Span.ofSeconds(gang ? 40 : 90 + random.nextInt(40)), saves ? Span.ofSeconds(8) : Span.ZERO, saves ? Span.ofSeconds(1) : Span.ZERO, null);
-        Job spread = random.nextInt(3) != 0 || job.oneZone() ? job : new Job(job.id(), job.jobClass(), job.team(), job.shape(), job.rank(), job.tasks(),
-                job.each(), null, null, false, true, job.spot(), job.image(), 1, job.estimate(), job.checkpointEvery(), job.saveTime(), null);
-        for (int i = 1; i < tasks && !gang; i++) {
-            world.around().tasks().runsLonger(job.id().task(i), -i * (30 + 20 * random.nextDouble()));
-        }
-        return spread;
+    for (int i = 0; i < SERVICES; i++) {
+      submit(
+          new Job(
+              new JobId("job-" + (200 + i)),
+              "service",
+              "blue",
+              Shape.SERVICE,
+              Rank.PRODUCTION,
+              1 + random.nextInt(3),
+              new Resources(1, 0, 2),
+              null,
+              null,
+              false,
+              random.nextBoolean(),
+              false,
+              "img-0",
+              1,
+              Span.ZERO,
+              Span.ZERO,
+              Span.ZERO,
+              null),
+          4 + 20 * random.nextDouble());
+      cancelAt(new JobId("job-" + (200 + i)), LAST_TROUBLE_S * random.nextDouble());
+    }
+    for (double at = 10; at < LAST_TROUBLE_S; at += LOOK_EVERY_S) {
+      world.time().at(at, this::look);
+    }
+    for (double at = 20 + 20 * random.nextDouble();
+        at < LAST_TROUBLE_S;
+        at += 15 + 30 * random.nextDouble()) {
+      world.time().at(at, this::strike);
     }
+  }
 
-    private void submit(Job job, double atS) {
-        all.add(job.id());
-        world.time().at(atS, () -> world.users().submit(job));
+  private Job longJob(int number) {
+    int tasks = 2 + random.nextInt(2);
+    boolean gang = random.nextInt(5) == 0;
+    boolean saves = random.nextInt(4) == 0;
+    Job job =
+        new Job(
+            new JobId("job-" + number),
+            "long",
+            random.nextInt(3) == 0 ? "blue" : "red",
+            gang ? Shape.GANG : Shape.ARRAY,
+            random.nextBoolean() ? Rank.NORMAL : Rank.LOW,
+            tasks,
+            new Resources(1 + random.nextInt(3), 0, 2),
+            null,
+            null,
+            gang || random.nextInt(4) == 0,
+            false,
+            random.nextBoolean(),
+            "img-" + random.nextInt(3),
+            1,
+            Span.ofSeconds(gang ? 40 : 90 + random.nextInt(40)),
+            saves ? Span.ofSeconds(8) : Span.ZERO,
+            saves ? Span.ofSeconds(1) : Span.ZERO,
+            null);
+    Job spread =
+        random.nextInt(3) != 0 || job.oneZone()
+            ? job
+            : new Job(
+                job.id(),
+                job.jobClass(),
+                job.team(),
+                job.shape(),
+                job.rank(),
+                job.tasks(),
+                job.each(),
+                null,
+                null,
+                false,
+                true,
+                job.spot(),
+                job.image(),
+                1,
+                job.estimate(),
+                job.checkpointEvery(),
+                job.saveTime(),
+                null);
+    for (int i = 1; i < tasks && !gang; i++) {
+      world.around().tasks().runsLonger(job.id().task(i), -i * (30 + 20 * random.nextDouble()));
     }
+    return spread;
+  }
 
-    private void cancelAt(JobId id, double atS) {
-        world.time().at(atS, () -> {
-            if (world.users().submittedAt().containsKey(id)) {
+  private void submit(Job job, double atS) {
+    all.add(job.id());
+    world.time().at(atS, () -> world.users().submit(job));
+  }
+
+  private void cancelAt(JobId id, double atS) {
+    world
+        .time()
+        .at(
+            atS,
+            () -> {
+              if (world.users().submittedAt().containsKey(id)) {
                 world.users().cancel(id);
-            } else {
+              } else {
                 cancelAt(id, atS + 5);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    /** Looks for tasks that have ended; some ends are met by a trouble. */
-    private void look() {
-        for (Map.Entry<JobId, Integer> job : ended.entrySet()) {
-            int now = world.rules().completedTasks(job.getKey());
-            if (now > job.getValue()) {
-                job.setValue(now);
-                if (world.time().seconds() >= calmUntil && random.nextInt(3) != 0) {
-                    calmUntil = world.time().seconds() + 12 * random.nextDouble();
-                    world.time().after(2.5 * random.nextDouble(), this::strike);
-                }
-            }
+  /** Looks for tasks that have ended; some ends are met by a trouble. */
+  private void look() {
+    for (Map.Entry<JobId, Integer> job : ended.entrySet()) {
+      int now = world.rules().completedTasks(job.getKey());
+      if (now > job.getValue()) {
+        job.setValue(now);
+        if (world.time().seconds() >= calmUntil && random.nextInt(3) != 0) {
+          calmUntil = world.time().seconds() + 12 * random.nextDouble();
+          world.time().after(2.5 * random.nextDouble(), this::strike);
         }
+      }
     }
+  }
 
-    private int leader() {
-        int leader = world.leader();
-        return leader >= 0 ? leader : random.nextInt(world.nodeCount());
-    }
+  private int leader() {
+    int leader = world.leader();
+    return leader >= 0 ? leader : random.nextInt(world.nodeCount());
+  }
 
-    private void strike() {
-        int leader = leader();
-        int other = (leader + 1 + random.nextInt(world.nodeCount() - 1)) % world.nodeCount();
-        double seconds = 3 + 25 * random.nextDouble();
-        double longer = 30 + 20 * random.nextDouble();
-        int kind = random.nextInt(13);
-        strikes.add(String.format("%.1f: %d, leader %d, other %d, %.1f or %.1f s", world.time().seconds(), kind, leader, other, seconds, longer));
-        switch (kind) {
-            case 0 -> world.crash(leader);
-            case 1 -> world.crash(other);
-            case 2 -> world.down(leader, 0.1 + 0.8 * random.nextDouble());
-            case 3 -> {
-                for (int node = 0; node < world.nodeCount(); node++) {
-                    world.down(node, 0.1 + (random.nextBoolean() ? 0.8 : 6) * random.nextDouble());
-                }
-            }
-            case 4 -> world.state().outage(seconds);
-            case 5 -> {
-                world.state().outage(seconds);
-                world.time().after(seconds * random.nextDouble(), () -> world.crash(leader));
-            }
-            case 6, 7 -> lone(leader, longer);
-            case 8 -> {
-                world.state().applyLate(3 + random.nextInt(8));
-                world.time().after(seconds, () -> world.state().applyLate(0));
-            }
-            case 9 -> {
-                world.crash(leader);
-                unreachable(leader, longer);
-            }
-            case 10 -> {
-                deaf(longer);
-                world.time().after(2 * random.nextDouble(), () -> world.down(leader, 0.2 + 10 * random.nextDouble()));
-            }
-            case 11 -> world.standStill(leader, longer * random.nextDouble());
-            default -> {
-                world.state().refuse(Site.nodeName(leader), longer);
-                world.time().after(longer * random.nextDouble(), () -> world.state().outage(seconds));
-            }
+  private void strike() {
+    int leader = leader();
+    int other = (leader + 1 + random.nextInt(world.nodeCount() - 1)) % world.nodeCount();
+    double seconds = 3 + 25 * random.nextDouble();
+    double longer = 30 + 20 * random.nextDouble();
+    int kind = random.nextInt(13);
+    strikes.add(
+        String.format(
+            "%.1f: %d, leader %d, other %d, %.1f or %.1f s",
+            world.time().seconds(), kind, leader, other, seconds, longer));
+    switch (kind) {
+      case 0 -> world.crash(leader);
+      case 1 -> world.crash(other);
+      case 2 -> world.down(leader, 0.1 + 0.8 * random.nextDouble());
+      case 3 -> {
+        for (int node = 0; node < world.nodeCount(); node++) {
+          world.down(node, 0.1 + (random.nextBoolean() ? 0.8 : 6) * random.nextDouble());
         }
-        cancelSome(longer);
+      }
+      case 4 -> world.state().outage(seconds);
+      case 5 -> {
+        world.state().outage(seconds);
+        world.time().after(seconds * random.nextDouble(), () -> world.crash(leader));
+      }
+      case 6, 7 -> lone(leader, longer);
+      case 8 -> {
+        world.state().applyLate(3 + random.nextInt(8));
+        world.time().after(seconds, () -> world.state().applyLate(0));
+      }
+      case 9 -> {
+        world.crash(leader);
+        unreachable(leader, longer);
+      }
+      case 10 -> {
+        deaf(longer);
+        world
+            .time()
+            .after(
+                2 * random.nextDouble(), () -> world.down(leader, 0.2 + 10 * random.nextDouble()));
+      }
+      case 11 -> world.standStill(leader, longer * random.nextDouble());
+      default -> {
+        world.state().refuse(Site.nodeName(leader), longer);
+        world.time().after(longer * random.nextDouble(), () -> world.state().outage(seconds));
+      }
     }
+    cancelSome(longer);
+  }
 
-    /** Without the state service and the others, refused, lost or held back until it is over. */
-    private void lone(int node, double seconds) {
-        if (random.nextInt(3) != 0) {
-            world.lone(node, seconds, random.nextBoolean());
-            return;
-        }
-        world.cut(Site.nodeName(node), "state", seconds, false);
-        for (int other = 0; other < world.nodeCount(); other++) {
-            if (other != node) {
-                world.cut(Site.nodeName(node), Site.nodeName(other), seconds, false);
-            }
-        }
+  /** Without the state service and the others, refused, lost or held back until it is over. */
+  private void lone(int node, double seconds) {
+    if (random.nextInt(3) != 0) {
+      world.lone(node, seconds, random.nextBoolean());
+      return;
     }
+    world.cut(Site.nodeName(node), "state", seconds, false);
+    for (int other = 0; other < world.nodeCount(); other++) {
+      if (other != node) {
+        world.cut(Site.nodeName(node), Site.nodeName(other), seconds, false);
+      }
+    }
+  }
 
-    /** Half of the machines cannot be reached by the other controllers than the one that ends. */
-    private void unreachable(int ending, double seconds) {
-        boolean lose = random.nextBoolean();
-        for (MachineId machine : world.cloud().machines()) {
-            for (int node = 0; random.nextBoolean() && node < world.nodeCount(); node++) {
-                if (node != ending) {
-                    world.cut(Site.nodeName(node), machine.text(), seconds, lose);
-                }
-            }
+  /** Half of the machines cannot be reached by the other controllers than the one that ends. */
+  private void unreachable(int ending, double seconds) {
+    boolean lose = random.nextBoolean();
+    for (MachineId machine : world.cloud().machines()) {
+      for (int node = 0; random.nextBoolean() && node < world.nodeCount(); node++) {
+        if (node != ending) {
+          world.cut(Site.nodeName(node), machine.text(), seconds, lose);
         }
+      }
     }
+  }
 
-    private void deaf(double seconds) {
-        world.cloud().machines().stream().filter(machine -> random.nextInt(3) == 0).forEach(machine -> world.deafen(machine, seconds));
-    }
+  private void deaf(double seconds) {
+    world.cloud().machines().stream()
+        .filter(machine -> random.nextInt(3) == 0)
+        .forEach(machine -> world.deafen(machine, seconds));
+  }
 
-    private void cancelSome(double withinS) {
-        for (JobId id : all) {
-            if (random.nextInt(14) == 0) {
-                cancelAt(id, world.time().seconds() + withinS * random.nextDouble());
-            }
-        }
+  private void cancelSome(double withinS) {
+    for (JobId id : all) {
+      if (random.nextInt(14) == 0) {
+        cancelAt(id, world.time().seconds() + withinS * random.nextDouble());
+      }
     }
+  }
 
-    /** Plays the day until all work must be over; returns what went wrong. */
-    List<String> play() {
-        world.time().runUntil(LAST_TROUBLE_S + QUIET_S);
-        world.around().troublesAreOver();
-        Liveness liveness = new Liveness(world);
-        liveness.watch();
-        List<String> wrong = new ArrayList<>(liveness.findings());
-        wrong.addAll(world.rules().broken());
-        if (world.rules().starts() <= LONG_JOBS) {
-            wrong.add("little was started: " + world.rules().starts());
-        }
-        if (!wrong.isEmpty()) {
-            wrong.add(strikes.toString());
-        }
-        return wrong;
+  /** Plays the day until all work must be over; returns what went wrong. */
+  List<String> play() {
+    world.time().runUntil(LAST_TROUBLE_S + QUIET_S);
+    world.around().troublesAreOver();
+    Liveness liveness = new Liveness(world);
+    liveness.watch();
+    List<String> wrong = new ArrayList<>(liveness.findings());
+    wrong.addAll(world.rules().broken());
+    if (world.rules().starts() <= LONG_JOBS) {
+      wrong.add("little was started: " + world.rules().starts());
+    }
+    if (!wrong.isEmpty()) {
+      wrong.add(strikes.toString());
     }
+    return wrong;
+  }
 }
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -16,53 +16,88 @@
 import org.quincecross.model.Span;
 
 /**
- * A leader gives a task to a block and ends; what it wrote is held up until its successor, which cannot reach that block's machines,
- * has given the task to another block. No key that the late write changes has changed since: its own versions still hold, and the
- * leadership's alone refuses it.
+ * A leader gives a task to a block and ends; what it wrote is held up until its successor, which
+ * cannot reach that block's machines, has given the task to another block. No key that the late
+ * write changes has changed since: its own versions still hold, and the leadership's alone refuses
+ * it.
  */
 class LeadershipGuardTest {
-    private static final double HELD_S = 14;
-    /** Long enough for the successor to choose another block, and over before the late write comes: the block would start the task at once. */
-    private static final double CUT_S = 9;
+  private static final double HELD_S = 14;
 
-    private String block;
+  /**
+   * Long enough for the successor to choose another block, and over before the late write comes:
+   * the block would start the task at once.
+   */
+  private static final double CUT_S = 9;
 
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void aTaskThatTwoLeadersGiveToDifferentBlocksIsInOne(long seed) {
-        World world = new World(Site.tryOut(30, true), seed, Meter.OFF);
-        JobId id = new JobId("job-1");
-        world.mishapAt(request -> {
-            boolean gives = request.startsWith("POST /txn") && request.contains("\"Set\":\"q/alloc/");
-            if (gives) {
-                block = request.replaceFirst("(?s).*\"Set\":\"q/alloc/([^\"]*)\".*", "$1");
-                world.time().after(0.01, () -> strike(world));
-            }
-            return gives;
-        }, HELD_S, World.Mishap.HELD);
-        // Into the leader's zone, where it holds all blocks itself: so the one that it chooses has a new holder, which nobody there obeys.
-        world.time().at(20, () -> world.users().submit(new Job(id, "long", "batch", Shape.ARRAY, Rank.NORMAL, 1, new Resources(2, 0, 2), null,
-                world.site().nodeZones().get(world.leader()), false, false, false, "img-1", 1, Span.ofSeconds(60), Span.ZERO, Span.ZERO, null)));
-        world.time().runUntil(20 + HELD_S - 1);
-        assertNotNull(block);
-        assertEquals(1, world.rules().onMachines(id), "runs elsewhere before the late write comes");
-        world.time().runUntil(20 + HELD_S + 6);
-        assertEquals(List.of(), world.rules().broken());
-        assertNull(world.state().value("q/alloc/" + block), "the late write");
-        world.time().runUntil(130);
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(1, world.rules().starts());
-        assertEquals("done", world.users().told().get(id));
-    }
+  private String block;
+
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void aTaskThatTwoLeadersGiveToDifferentBlocksIsInOne(long seed) {
+    World world = new World(Site.tryOut(30, true), seed, Meter.OFF);
+    JobId id = new JobId("job-1");
+    world.mishapAt(
+        request -> {
+          boolean gives = request.startsWith("POST /txn") && request.contains("\"Set\":\"q/alloc/");
+          if (gives) {
+            block = request.replaceFirst("(?s).*\"Set\":\"q/alloc/([^\"]*)\".*", "$1");
+            world.time().after(0.01, () -> strike(world));
+          }
+          return gives;
+        },
+        HELD_S,
+        World.Mishap.HELD);
+    // Into the leader's zone, where it holds all blocks itself: so the one that it chooses has a
+    // new holder, which nobody there obeys.
+    world
+        .time()
+        .at(
+            20,
+            () ->
+                world
+                    .users()
+                    .submit(
+                        new Job(
+                            id,
+                            "long",
+                            "batch",
+                            Shape.ARRAY,
+                            Rank.NORMAL,
+                            1,
+                            new Resources(2, 0, 2),
+                            null,
+                            world.site().nodeZones().get(world.leader()),
+                            false,
+                            false,
+                            false,
+                            "img-1",
+                            1,
+                            Span.ofSeconds(60),
+                            Span.ZERO,
+                            Span.ZERO,
+                            null)));
+    world.time().runUntil(20 + HELD_S - 1);
+    assertNotNull(block);
+    assertEquals(1, world.rules().onMachines(id), "runs elsewhere before the late write comes");
+    world.time().runUntil(20 + HELD_S + 6);
+    assertEquals(List.of(), world.rules().broken());
+    assertNull(world.state().value("q/alloc/" + block), "the late write");
+    world.time().runUntil(130);
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(1, world.rules().starts());
+    assertEquals("done", world.users().told().get(id));
+  }
 
-    /** The leader ends, and nobody reaches the machines that it has just given the task to. */
-    private void strike(World world) {
-        world.down(world.leader(), 60);
-        List<?> machines = (List<?>) ((Map<?, ?>) world.state().value("q/block/" + block)).get("machines");
-        for (Object machine : machines) {
-            for (int node = 0; node < world.nodeCount(); node++) {
-                world.cut(Site.nodeName(node), (String) ((List<?>) machine).get(0), CUT_S, true);
-            }
-        }
+  /** The leader ends, and nobody reaches the machines that it has just given the task to. */
+  private void strike(World world) {
+    world.down(world.leader(), 60);
+    List<?> machines =
+        (List<?>) ((Map<?, ?>) world.state().value("q/block/" + block)).get("machines");
+    for (Object machine : machines) {
+      for (int node = 0; node < world.nodeCount(); node++) {
+        world.cut(Site.nodeName(node), (String) ((List<?>) machine).get(0), CUT_S, true);
+      }
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/Liveness.java
+++ b/src/test/java/org/quincecross/emulator/Liveness.java
@@ -13,117 +13,137 @@
 import org.quincecross.wire.Fields;
 
 /**
- * Says which accepted jobs hang. Once it is quiet, each open job has a task on a machine, or its team is at its limit,
- * or a controller names it with what it waits for; and all of them are over within what their estimates and their teams'
- * limits leave.
+ * Says which accepted jobs hang. Once it is quiet, each open job has a task on a machine, or its
+ * team is at its limit, or a controller names it with what it waits for; and all of them are over
+ * within what their estimates and their teams' limits leave.
  */
 final class Liveness {
-    /** Between one task and the next of a job there may be a start, a fetch and a result to be written. */
-    private static final int LOOKS = 15;
-    /** Estimates in this world are wrong by up to half, machines as slow as a fifth. */
-    private static final double SLOWEST = 1.5 * 5;
-    private static final double OVERHEAD_S = 4;
-    private static final double LAST_S = 90;
-    private static final double MOST_S = 1500;
+  /**
+   * Between one task and the next of a job there may be a start, a fetch and a result to be
+   * written.
+   */
+  private static final int LOOKS = 15;
 
-    private final World world;
-    private final List<String> findings = new ArrayList<>();
+  /** Estimates in this world are wrong by up to half, machines as slow as a fifth. */
+  private static final double SLOWEST = 1.5 * 5;
 
-    Liveness(World world) {
-        this.world = world;
-    }
+  private static final double OVERHEAD_S = 4;
+  private static final double LAST_S = 90;
+  private static final double MOST_S = 1500;
 
-    List<String> findings() {
-        return findings;
-    }
+  private final World world;
+  private final List<String> findings = new ArrayList<>();
+
+  Liveness(World world) {
+    this.world = world;
+  }
 
-    private Set<JobId> open() {
-        Set<JobId> open = new TreeSet<>();
-        world.users().told().forEach((id, state) -> {
-            if (!state.equals("done") && !state.equals("cancelled")) {
+  List<String> findings() {
+    return findings;
+  }
+
+  private Set<JobId> open() {
+    Set<JobId> open = new TreeSet<>();
+    world
+        .users()
+        .told()
+        .forEach(
+            (id, state) -> {
+              if (!state.equals("done") && !state.equals("cancelled")) {
                 open.add(id);
-            }
-        });
-        return open;
-    }
+              }
+            });
+    return open;
+  }
 
-    /** Lets time go on, from a quiet moment, until all must be over. */
-    void watch() {
-        Map<JobId, Integer> idle = new TreeMap<>();
-        double over = LAST_S;
-        for (JobId id : open()) {
-            over = Math.max(over, secondsLeft(id));
-        }
-        double until = world.time().seconds() + Math.min(MOST_S, over);
-        for (int look = 0; look < LOOKS; look++) {
-            world.time().runUntil(world.time().seconds() + 1);
-            for (JobId id : open()) {
-                if (!world.around().pipelines().isWaiting(id) && world.rules().onMachines(id) == 0 && !isAtLimit(world.job(id)) && world.rules().cancelledAt(id) == null) {
-                    idle.merge(id, 1, Integer::sum);
-                }
-            }
+  /** Lets time go on, from a quiet moment, until all must be over. */
+  void watch() {
+    Map<JobId, Integer> idle = new TreeMap<>();
+    double over = LAST_S;
+    for (JobId id : open()) {
+      over = Math.max(over, secondsLeft(id));
+    }
+    double until = world.time().seconds() + Math.min(MOST_S, over);
+    for (int look = 0; look < LOOKS; look++) {
+      world.time().runUntil(world.time().seconds() + 1);
+      for (JobId id : open()) {
+        if (!world.around().pipelines().isWaiting(id)
+            && world.rules().onMachines(id) == 0
+            && !isAtLimit(world.job(id))
+            && world.rules().cancelledAt(id) == null) {
+          idle.merge(id, 1, Integer::sum);
         }
-        Map<String, String> named = named();
-        idle.forEach((id, looks) -> {
-            if (looks == LOOKS && !named.containsKey(id.text())) {
-                findings.add("idle and not named: " + world.job(id) + ", named are " + named);
-            }
+      }
+    }
+    Map<String, String> named = named();
+    idle.forEach(
+        (id, looks) -> {
+          if (looks == LOOKS && !named.containsKey(id.text())) {
+            findings.add("idle and not named: " + world.job(id) + ", named are " + named);
+          }
         });
-        while (world.time().seconds() < until - 0.001 && !open().isEmpty()) {
-            world.time().runUntil(Math.min(until, world.time().seconds() + 10));
-        }
-        world.users().polls().forgotten(open()).forEach(id -> findings.add("forgotten: " + world.job(id)));
-        for (JobId id : open()) {
-            findings.add("hangs: " + world.job(id) + " " + named().get(id.text()));
-        }
+    while (world.time().seconds() < until - 0.001 && !open().isEmpty()) {
+      world.time().runUntil(Math.min(until, world.time().seconds() + 10));
     }
-
-    /** The same with all that it waits for. */
-    private double secondsLeft(JobId id) {
-        double before = 0;
-        for (JobId each : world.around().pipelines().before(id)) {
-            before += open().contains(each) ? secondsLeft(world.job(each)) : 0;
-        }
-        return before + secondsLeft(world.job(id));
+    world
+        .users()
+        .polls()
+        .forgotten(open())
+        .forEach(id -> findings.add("forgotten: " + world.job(id)));
+    for (JobId id : open()) {
+      findings.add("hangs: " + world.job(id) + " " + named().get(id.text()));
     }
+  }
 
-    /** The longest that what is left of a job takes, with what else its team has to do. */
-    private double secondsLeft(Job job) {
-        if (job.shape() == Shape.SERVICE) {
-            return LAST_S; // its user cancels it
-        }
-        double sum = 0;
-        for (JobId id : open()) {
-            Job other = world.job(id);
-            if (other.team().equals(job.team()) && other.shape() != Shape.SERVICE) {
-                double each = SLOWEST * other.estimate().seconds() + OVERHEAD_S;
-                double atOnce = Math.max(1, Math.floor(world.team(job.team()).limit().cpus() / 2 / other.each().cpus()));
-                sum += each * Math.ceil((other.tasks() - world.rules().completedTasks(id)) / atOnce);
-            }
-        }
-        return LAST_S + sum;
+  /** The same with all that it waits for. */
+  private double secondsLeft(JobId id) {
+    double before = 0;
+    for (JobId each : world.around().pipelines().before(id)) {
+      before += open().contains(each) ? secondsLeft(world.job(each)) : 0;
     }
+    return before + secondsLeft(world.job(id));
+  }
 
-    private boolean isAtLimit(Job job) {
-        int together = job.shape() == Shape.GANG ? job.tasks() : 1;
-        return world.team(job.team()).limit().minus(world.rules().used(job.team())).count(job.each()) < together;
+  /** The longest that what is left of a job takes, with what else its team has to do. */
+  private double secondsLeft(Job job) {
+    if (job.shape() == Shape.SERVICE) {
+      return LAST_S; // its user cancels it
     }
+    double sum = 0;
+    for (JobId id : open()) {
+      Job other = world.job(id);
+      if (other.team().equals(job.team()) && other.shape() != Shape.SERVICE) {
+        double each = SLOWEST * other.estimate().seconds() + OVERHEAD_S;
+        double atOnce =
+            Math.max(
+                1, Math.floor(world.team(job.team()).limit().cpus() / 2 / other.each().cpus()));
+        sum += each * Math.ceil((other.tasks() - world.rules().completedTasks(id)) / atOnce);
+      }
+    }
+    return LAST_S + sum;
+  }
+
+  private boolean isAtLimit(Job job) {
+    int together = job.shape() == Shape.GANG ? job.tasks() : 1;
+    return world.team(job.team()).limit().minus(world.rules().used(job.team())).count(job.each())
+        < together;
+  }
 
-    /** The jobs that controllers name as without progress, with what they wait for. */
-    private Map<String, String> named() {
-        Map<String, String> named = new TreeMap<>();
-        try {
-            for (int node = 0; node < world.nodeCount(); node++) {
-                Fields status = world.status(node);
-                for (Fields stall : status == null ? List.<Fields>of() : status.objects("stalled")) {
-                    if (!stall.texts("waits_for").isEmpty()) {
-                        named.merge(stall.text("job"), stall.texts("waits_for").toString(), String::concat);
-                    }
-                }
-            }
-        } catch (BadMessage e) {
-            throw new IllegalStateException(e);
+  /** The jobs that controllers name as without progress, with what they wait for. */
+  private Map<String, String> named() {
+    Map<String, String> named = new TreeMap<>();
+    try {
+      for (int node = 0; node < world.nodeCount(); node++) {
+        Fields status = world.status(node);
+        for (Fields stall : status == null ? List.<Fields>of() : status.objects("stalled")) {
+          if (!stall.texts("waits_for").isEmpty()) {
+            named.merge(stall.text("job"), stall.texts("waits_for").toString(), String::concat);
+          }
         }
-        return named;
+      }
+    } catch (BadMessage e) {
+      throw new IllegalStateException(e);
     }
+    return named;
+  }
 }
--- a/src/test/java/org/quincecross/emulator/LoneControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/LoneControllerTest.java
@@ -18,93 +18,132 @@
 import org.quincecross.model.Span;
 import org.quincecross.wire.BadMessage;
 
-/** A controller without the state service and without the others, but with its machines and users; and outages of all beside it. */
+/**
+ * A controller without the state service and without the others, but with its machines and users;
+ * and outages of all beside it.
+ */
 class LoneControllerTest {
-    private static final double FROM_S = 40;
-    private static final double PER_SECOND = 4;
-    /** Whoever is accepted within so long was so in time. */
-    private static final double IN_TIME_S = 3;
+  private static final double FROM_S = 40;
+  private static final double PER_SECOND = 4;
 
-    /** What came of a day. */
-    private record Outcome(double inTime, double worst, double longestUnanswered, int fewestReplicas, int refused) {
-    }
+  /** Whoever is accepted within so long was so in time. */
+  private static final double IN_TIME_S = 3;
 
-    private World world;
-    private Balancer balancer;
+  /** What came of a day. */
+  private record Outcome(
+      double inTime, double worst, double longestUnanswered, int fewestReplicas, int refused) {}
 
-    private static Job one(int number) {
-        return new Job(new JobId("job-" + number), "late", "batch", Shape.ARRAY, Rank.NORMAL, 1, new Resources(0.5, 0, 1), null, null,
-                false, false, false, "late", 0.5, Span.ofSeconds(2), Span.ZERO, Span.ZERO, null);
-    }
+  private World world;
+  private Balancer balancer;
 
-    /** Plays a day on which something is wrong from {@link #FROM_S} on for some time. */
-    private Outcome play(long seed, double seconds, IntConsumer trouble) throws BadMessage {
-        world = new World(Site.tryOut(BusySite.MACHINES, true), seed, Meter.OFF);
-        balancer = world.users().balance();
-        List<JobId> services = new ArrayList<>();
-        List<JobId> arrays = new ArrayList<>();
-        BusySite.submit(world, services, arrays);
-        List<JobId> late = new ArrayList<>();
-        for (int i = 0; i < PER_SECOND * (seconds + 20); i++) {
-            Job job = one(60_000 + i);
-            late.add(job.id());
-            world.time().at(FROM_S + i / PER_SECOND, () -> world.users().submit(job));
-        }
-        world.time().runUntil(FROM_S);
-        world.users().polls().trouble();
-        trouble.accept(world.leader());
-        int fewest = Integer.MAX_VALUE;
-        for (double at = FROM_S; at < FROM_S + seconds + 20; at += 0.5) {
-            world.time().runUntil(at);
-            fewest = Math.min(fewest, services.stream().mapToInt(world.rules()::onMachines).sum());
-        }
-        world.time().runUntil(FROM_S + seconds + 100);
-        double longest = 0;
-        for (JobId id : world.users().told().keySet()) {
-            longest = Math.max(longest, world.users().polls().longest(id, true));
-        }
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(36, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
-        for (JobId id : late) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
-        return new Outcome(late.stream().filter(id -> world.users().acceptedAfter().get(id) <= IN_TIME_S).count() / (double) late.size(),
-                late.stream().mapToDouble(world.users().acceptedAfter()::get).max().orElseThrow(), longest, fewest,
-                world.users().answers().getOrDefault("submit 503", 0));
+  private static Job one(int number) {
+    return new Job(
+        new JobId("job-" + number),
+        "late",
+        "batch",
+        Shape.ARRAY,
+        Rank.NORMAL,
+        1,
+        new Resources(0.5, 0, 1),
+        null,
+        null,
+        false,
+        false,
+        false,
+        "late",
+        0.5,
+        Span.ofSeconds(2),
+        Span.ZERO,
+        Span.ZERO,
+        null);
+  }
+
+  /** Plays a day on which something is wrong from {@link #FROM_S} on for some time. */
+  private Outcome play(long seed, double seconds, IntConsumer trouble) throws BadMessage {
+    world = new World(Site.tryOut(BusySite.MACHINES, true), seed, Meter.OFF);
+    balancer = world.users().balance();
+    List<JobId> services = new ArrayList<>();
+    List<JobId> arrays = new ArrayList<>();
+    BusySite.submit(world, services, arrays);
+    List<JobId> late = new ArrayList<>();
+    for (int i = 0; i < PER_SECOND * (seconds + 20); i++) {
+      Job job = one(60_000 + i);
+      late.add(job.id());
+      world.time().at(FROM_S + i / PER_SECOND, () -> world.users().submit(job));
+    }
+    world.time().runUntil(FROM_S);
+    world.users().polls().trouble();
+    trouble.accept(world.leader());
+    int fewest = Integer.MAX_VALUE;
+    for (double at = FROM_S; at < FROM_S + seconds + 20; at += 0.5) {
+      world.time().runUntil(at);
+      fewest = Math.min(fewest, services.stream().mapToInt(world.rules()::onMachines).sum());
     }
+    world.time().runUntil(FROM_S + seconds + 100);
+    double longest = 0;
+    for (JobId id : world.users().told().keySet()) {
+      longest = Math.max(longest, world.users().polls().longest(id, true));
+    }
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(36, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
+    for (JobId id : late) {
+      assertEquals("done", world.users().told().get(id), id.text());
+    }
+    return new Outcome(
+        late.stream().filter(id -> world.users().acceptedAfter().get(id) <= IN_TIME_S).count()
+            / (double) late.size(),
+        late.stream().mapToDouble(world.users().acceptedAfter()::get).max().orElseThrow(),
+        longest,
+        fewest,
+        world.users().answers().getOrDefault("submit 503", 0));
+  }
 
-    /** Alone while it leads, and while another one ends and starts anew: users are with the others before long. */
-    @ParameterizedTest
-    @CsvSource({"0, false", "1, true"})
-    void usersOfALoneControllerAreWithTheOthersSoon(int afterLeader, boolean lose) throws BadMessage {
-        double seconds = 20;
-        Outcome outcome = play(7, seconds, leader -> {
-            int lone = (leader + afterLeader) % world.nodeCount();
-            world.lone(lone, seconds, lose);
-            if (lose) {
+  /**
+   * Alone while it leads, and while another one ends and starts anew: users are with the others
+   * before long.
+   */
+  @ParameterizedTest
+  @CsvSource({"0, false", "1, true"})
+  void usersOfALoneControllerAreWithTheOthersSoon(int afterLeader, boolean lose) throws BadMessage {
+    double seconds = 20;
+    Outcome outcome =
+        play(
+            7,
+            seconds,
+            leader -> {
+              int lone = (leader + afterLeader) % world.nodeCount();
+              world.lone(lone, seconds, lose);
+              if (lose) {
                 world.time().after(4, () -> world.crash(leader));
-            }
-            world.time().after(12, () -> assertFalse(balancer.isHealthy(lone)));
-        });
-        assertTrue(outcome.inTime() > 0.95, outcome.toString());
-        assertTrue(outcome.longestUnanswered() < 16, outcome.toString());
-        assertEquals(36, outcome.fewestReplicas());
-    }
+              }
+              world.time().after(12, () -> assertFalse(balancer.isHealthy(lone)));
+            });
+    assertTrue(outcome.inTime() > 0.95, outcome.toString());
+    assertTrue(outcome.longestUnanswered() < 16, outcome.toString());
+    assertEquals(36, outcome.fewestReplicas());
+  }
 
-    /** All are without the state service and each other: nobody goes out, and the first tries after its end are accepted. */
-    @Test
-    void inAnOutageOfAllNobodyGoesOut() throws BadMessage {
-        double seconds = 20;
-        Outcome outcome = play(7, seconds, leader -> {
-            world.state().outage(seconds);
-            for (int node = 0; node < world.nodeCount(); node++) {
+  /**
+   * All are without the state service and each other: nobody goes out, and the first tries after
+   * its end are accepted.
+   */
+  @Test
+  void inAnOutageOfAllNobodyGoesOut() throws BadMessage {
+    double seconds = 20;
+    Outcome outcome =
+        play(
+            7,
+            seconds,
+            leader -> {
+              world.state().outage(seconds);
+              for (int node = 0; node < world.nodeCount(); node++) {
                 world.refuseLinks(node, seconds);
                 int each = node;
                 for (int at = 1; at < seconds; at++) {
-                    world.time().after(at, () -> assertTrue(balancer.isHealthy(each)));
+                  world.time().after(at, () -> assertTrue(balancer.isHealthy(each)));
                 }
-            }
-        });
-        assertTrue(outcome.inTime() > 0.5, outcome.toString());
-    }
+              }
+            });
+    assertTrue(outcome.inTime() > 0.5, outcome.toString());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/LostAnswersTest.java
+++ b/src/test/java/org/quincecross/emulator/LostAnswersTest.java
@@ -7,102 +7,154 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MachineId;
 
-/** Transactions that are carried out at once and of which only the answer is lost, with three controllers in virtual time. */
+/**
+ * Transactions that are carried out at once and of which only the answer is lost, with three
+ * controllers in virtual time.
+ */
 class LostAnswersTest {
-    private final World world = new World(4);
+  private final World world = new World(4);
 
-    private void loseAnswers(double fromS, double untilS, double share, String what) {
-        LateWrites lost = LateWrites.atOnce(share, () -> world.time().seconds() >= fromS && world.time().seconds() < untilS, new Random(5));
-        world.state().late(transaction -> transaction.contains(what) ? lost.afterS(transaction) : LateWrites.PROMPT);
-    }
+  private void loseAnswers(double fromS, double untilS, double share, String what) {
+    LateWrites lost =
+        LateWrites.atOnce(
+            share,
+            () -> world.time().seconds() >= fromS && world.time().seconds() < untilS,
+            new Random(5));
+    world
+        .state()
+        .late(
+            transaction ->
+                transaction.contains(what) ? lost.afterS(transaction) : LateWrites.PROMPT);
+  }
 
-    /**
-     * Each kind of write, while all nodes read what it wrote: it counts once, nobody is told anything else than what is on record, and
-     * what was submitted or cancelled meanwhile is done or cancelled. Of jobs one at a time, in bundles, and cancelled at once.
-     */
-    @ParameterizedTest
-    @ValueSource(strings = {"q/job/", "q/bundle/", "\"cancelled\"", "q/block/", "q/alloc/", "q/change/", "q/page/", "\"done\"", "q/member/", "q/lead", "q/"})
-    void eachKindOfWrite(String what) {
-        world.state().applyLate(0);
-        loseAnswers(what.equals("q/member/") || what.equals("q/lead") ? 0 : 12, 70, 0.5, what);
-        for (int i = 0; i < 40; i++) {
-            int number = 100 + i;
-            world.time().at(i % 2 == 1 ? 20 : 3 + 1.5 * i, () -> world.users().submit(number));
-            if (i % 4 == 0) {
-                world.time().at(6 + 1.5 * i, () -> world.users().cancel(new JobId("job-" + number)));
-            }
-        }
-        world.time().at(30, () -> world.crash((world.leader() + 1) % world.nodeCount()));
-        world.time().at(45, () -> world.crash(Math.max(0, world.leader())));
-        world.time().runUntil(200);
-        assertTrue(what.equals("q/page/") || what.equals("q/change/") || world.state().lateOutcomes().contains(200), world.state().lateOutcomes().toString());
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(40, world.users().told().size());
-        world.users().told().forEach((id, state) -> assertTrue(state.equals("done") || state.equals("cancelled"), id + " " + state));
+  /**
+   * Each kind of write, while all nodes read what it wrote: it counts once, nobody is told anything
+   * else than what is on record, and what was submitted or cancelled meanwhile is done or
+   * cancelled. Of jobs one at a time, in bundles, and cancelled at once.
+   */
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "q/job/",
+        "q/bundle/",
+        "\"cancelled\"",
+        "q/block/",
+        "q/alloc/",
+        "q/change/",
+        "q/page/",
+        "\"done\"",
+        "q/member/",
+        "q/lead",
+        "q/"
+      })
+  void eachKindOfWrite(String what) {
+    world.state().applyLate(0);
+    loseAnswers(what.equals("q/member/") || what.equals("q/lead") ? 0 : 12, 70, 0.5, what);
+    for (int i = 0; i < 40; i++) {
+      int number = 100 + i;
+      world.time().at(i % 2 == 1 ? 20 : 3 + 1.5 * i, () -> world.users().submit(number));
+      if (i % 4 == 0) {
+        world.time().at(6 + 1.5 * i, () -> world.users().cancel(new JobId("job-" + number)));
+      }
     }
+    world.time().at(30, () -> world.crash((world.leader() + 1) % world.nodeCount()));
+    world.time().at(45, () -> world.crash(Math.max(0, world.leader())));
+    world.time().runUntil(200);
+    assertTrue(
+        what.equals("q/page/")
+            || what.equals("q/change/")
+            || world.state().lateOutcomes().contains(200),
+        world.state().lateOutcomes().toString());
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(40, world.users().told().size());
+    world
+        .users()
+        .told()
+        .forEach(
+            (id, state) ->
+                assertTrue(state.equals("done") || state.equals("cancelled"), id + " " + state));
+  }
 
-    /**
-     * The announcement of a controller that begins is done and its answer lost: it is a member by the record, and its lease is renewed from
-     * then on, rather than running out while it is announced again (docs/incidents/announced-and-not-told.md).
-     */
-    @Test
-    void anAnnouncement() {
-        world.state().applyLate(0);
-        world.time().runUntil(30);
-        int node = (world.leader() + 1) % world.nodeCount();
-        world.crash(node);
-        boolean[] lost = new boolean[1];
-        world.state().late(transaction -> {
-            if (lost[0] || !transaction.contains("\"Set\":\"q/member/" + Site.nodeName(node))) {
+  /**
+   * The announcement of a controller that begins is done and its answer lost: it is a member by the
+   * record, and its lease is renewed from then on, rather than running out while it is announced
+   * again (docs/incidents/announced-and-not-told.md).
+   */
+  @Test
+  void anAnnouncement() {
+    world.state().applyLate(0);
+    world.time().runUntil(30);
+    int node = (world.leader() + 1) % world.nodeCount();
+    world.crash(node);
+    boolean[] lost = new boolean[1];
+    world
+        .state()
+        .late(
+            transaction -> {
+              if (lost[0] || !transaction.contains("\"Set\":\"q/member/" + Site.nodeName(node))) {
                 return LateWrites.PROMPT;
-            }
-            lost[0] = true;
-            return LateWrites.AT_ONCE;
-        });
-        Object life = null;
-        for (double at = 30; at < 60; at += 0.1) {
-            world.time().runUntil(at);
-            Object record = world.state().value("q/member/" + Site.nodeName(node));
-            if (lost[0]) {
-                assertTrue(record != null, "no member any more at " + at);
-                Object now = ((Map<?, ?>) record).get("life");
-                assertTrue(life == null || life.equals(now), "another life at " + at);
-                life = now;
-            }
-        }
-        assertTrue(lost[0]);
+              }
+              lost[0] = true;
+              return LateWrites.AT_ONCE;
+            });
+    Object life = null;
+    for (double at = 30; at < 60; at += 0.1) {
+      world.time().runUntil(at);
+      Object record = world.state().value("q/member/" + Site.nodeName(node));
+      if (lost[0]) {
+        assertTrue(record != null, "no member any more at " + at);
+        Object now = ((Map<?, ?>) record).get("life");
+        assertTrue(life == null || life.equals(now), "another life at " + at);
+        life = now;
+      }
     }
+    assertTrue(lost[0]);
+  }
 
-    /**
-     * Of one in five of the writes that accept jobs the answer is lost, or they are carried out seconds later: whose job is on record is
-     * told so in time, and the others' submissions are not held up (docs/incidents/an-answer-that-holds-up-others.md).
-     */
-    @ParameterizedTest
-    @CsvSource({"0, 0, 0.9, 5", "2, 12, 0.7, 15"})
-    void submissionsAreNotHeldUp(double leastS, double mostS, double inTime, double longestS) {
-        world.state().applyLate(0);
-        Random draws = new Random(6);
-        LateWrites late = leastS == 0 ? LateWrites.atOnce(0.2, () -> true, draws) : LateWrites.share(0.2, leastS, mostS, () -> true, draws);
-        world.state().late(transaction -> world.time().seconds() > 20 && (transaction.contains("\"Set\":\"q/bundle/")
-                || transaction.contains("\"Set\":\"q/job/") && transaction.contains("\"open\"")) ? late.afterS(transaction) : LateWrites.PROMPT);
-        for (int i = 0; i < 240; i++) {
-            int number = 1000 + i;
-            world.time().at(20 + 0.25 * i, () -> world.users().submit(number));
-        }
-        world.time().runUntil(160);
-        assertEquals(List.of(), world.rules().broken());
-        double[] after = world.users().acceptedAfter().values().stream().mapToDouble(each -> each).sorted().toArray();
-        assertEquals(240, after.length);
-        long quick = Arrays.stream(after).filter(each -> each < 0.6).count();
-        assertTrue(quick >= inTime * after.length, quick + " within 0.6 s");
-        assertTrue(after[after.length - 1] <= longestS, "the last after " + after[after.length - 1]);
+  /**
+   * Of one in five of the writes that accept jobs the answer is lost, or they are carried out
+   * seconds later: whose job is on record is told so in time, and the others' submissions are not
+   * held up (docs/incidents/an-answer-that-holds-up-others.md).
+   */
+  @ParameterizedTest
+  @CsvSource({"0, 0, 0.9, 5", "2, 12, 0.7, 15"})
+  void submissionsAreNotHeldUp(double leastS, double mostS, double inTime, double longestS) {
+    world.state().applyLate(0);
+    Random draws = new Random(6);
+    LateWrites late =
+        leastS == 0
+            ? LateWrites.atOnce(0.2, () -> true, draws)
+            : LateWrites.share(0.2, leastS, mostS, () -> true, draws);
+    world
+        .state()
+        .late(
+            transaction ->
+                world.time().seconds() > 20
+                        && (transaction.contains("\"Set\":\"q/bundle/")
+                            || transaction.contains("\"Set\":\"q/job/")
+                                && transaction.contains("\"open\""))
+                    ? late.afterS(transaction)
+                    : LateWrites.PROMPT);
+    for (int i = 0; i < 240; i++) {
+      int number = 1000 + i;
+      world.time().at(20 + 0.25 * i, () -> world.users().submit(number));
     }
+    world.time().runUntil(160);
+    assertEquals(List.of(), world.rules().broken());
+    double[] after =
+        world.users().acceptedAfter().values().stream()
+            .mapToDouble(each -> each)
+            .sorted()
+            .toArray();
+    assertEquals(240, after.length);
+    long quick = Arrays.stream(after).filter(each -> each < 0.6).count();
+    assertTrue(quick >= inTime * after.length, quick + " within 0.6 s");
+    assertTrue(after[after.length - 1] <= longestS, "the last after " + after[after.length - 1]);
+  }
 }
