--- a/src/test/java/org/quincecross/emulator/LostMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/LostMachinesTest.java
@@ -12,14 +12,16 @@
 import org.quincecross.wire.BadMessage;
 
 /**
- * Half of all machines vanish without notice, on a site whose other half is full of arrays: what blocks have lost more than
- * they can start goes back to the pool, so all replicas run again soon after the leases of the lost machines are over.
+ * Half of all machines vanish without notice, on a site whose other half is full of arrays: what
+ * blocks have lost more than they can start goes back to the pool, so all replicas run again soon
+ * after the leases of the lost machines are over.
  */
 class LostMachinesTest {
-    private static final int MACHINES = 60;
-    private static final double LEASE_S = 12;
-    private static final double MOST_AFTER_LEASE_S = 25;
-    private static final String JOBS = """
+  private static final int MACHINES = 60;
+  private static final double LEASE_S = 12;
+  private static final double MOST_AFTER_LEASE_S = 25;
+  private static final String JOBS =
+      """
             [[jobs]]
             name = "front"
             shape = "service"
@@ -43,36 +45,37 @@
             run_s = 40
             """;
 
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void allReplicasRunAgainSoonAfterTheLeasesAreOver(long seed) throws BadMessage {
-        Site site = Site.tryOut(MACHINES, true);
-        World world = new World(site, seed, Meter.OFF);
-        List<JobId> services = new ArrayList<>();
-        for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
-            world.time().at(6 + due.atS(), () -> world.users().submit(due.job()));
-            if (due.job().jobClass().equals("front")) {
-                services.add(due.job().id());
-            }
-        }
-        world.time().runUntil(35);
-        assertEquals(80, replicas(world, services));
-        List<MachineId> machines = world.cloud().machines();
-        for (int i = 0; i < machines.size(); i += 2) {
-            world.cloud().take(machines.get(i), 0);
-        }
-        assertTrue(replicas(world, services) < 80);
-        double at = 35;
-        while (replicas(world, services) < 80 && at < 200) {
-            at += 0.5;
-            world.time().runUntil(at);
-        }
-        assertTrue(at - 35 < LEASE_S + MOST_AFTER_LEASE_S, "all replicas run again after " + (at - 35) + " s");
-        world.time().runUntil(at + 60);
-        assertEquals(List.of(), world.rules().broken());
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void allReplicasRunAgainSoonAfterTheLeasesAreOver(long seed) throws BadMessage {
+    Site site = Site.tryOut(MACHINES, true);
+    World world = new World(site, seed, Meter.OFF);
+    List<JobId> services = new ArrayList<>();
+    for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
+      world.time().at(6 + due.atS(), () -> world.users().submit(due.job()));
+      if (due.job().jobClass().equals("front")) {
+        services.add(due.job().id());
+      }
     }
-
-    private static int replicas(World world, List<JobId> services) {
-        return services.stream().mapToInt(world.rules()::onMachines).sum();
+    world.time().runUntil(35);
+    assertEquals(80, replicas(world, services));
+    List<MachineId> machines = world.cloud().machines();
+    for (int i = 0; i < machines.size(); i += 2) {
+      world.cloud().take(machines.get(i), 0);
+    }
+    assertTrue(replicas(world, services) < 80);
+    double at = 35;
+    while (replicas(world, services) < 80 && at < 200) {
+      at += 0.5;
+      world.time().runUntil(at);
     }
+    assertTrue(
+        at - 35 < LEASE_S + MOST_AFTER_LEASE_S, "all replicas run again after " + (at - 35) + " s");
+    world.time().runUntil(at + 60);
+    assertEquals(List.of(), world.rules().broken());
+  }
+
+  private static int replicas(World world, List<JobId> services) {
+    return services.stream().mapToInt(world.rules()::onMachines).sum();
+  }
 }
--- a/src/test/java/org/quincecross/emulator/Meetings.java
+++ b/src/test/java/org/quincecross/emulator/Meetings.java
@@ -16,289 +16,391 @@
 import org.quincecross.model.Span;
 
 /**
- * Troubles that meet on purpose: they come in pairs, of which the second begins while the first lasts or within seconds of its end.
- * Each meeting is drawn from a source of its own, so a day with some of them left out has the others as they were.
+ * Troubles that meet on purpose: they come in pairs, of which the second begins while the first
+ * lasts or within seconds of its end. Each meeting is drawn from a source of its own, so a day with
+ * some of them left out has the others as they were.
  */
 final class Meetings {
-    private static final double FROM_S = 14;
-    private static final double UNTIL_S = 150;
-    private static final double MOST_APART_S = 5;
-    private static final int SMALL_JOBS = 24;
-    private static final int QUESTIONS = 60;
+  private static final double FROM_S = 14;
+  private static final double UNTIL_S = 150;
+  private static final double MOST_APART_S = 5;
+  private static final int SMALL_JOBS = 24;
+  private static final int QUESTIONS = 60;
 
-    /** What may meet. */
-    private enum Trouble {
-        LATE_WRITES, LATE_REPORTS, DEAF_MACHINES, SLOW_STATE, REFUSED_THEN_OUTAGE, LONE_LEADER, QUICK_CONTROLLERS, QUICK_MACHINES, ELECTION,
-        HELD_MESSAGES, UNREACHED, STANDSTILL, SILENCE, HANGING_MACHINES, ZONE, CANCELLATIONS, LEADER_ENDS, ALL_END,
-        LOST_ANSWERS, KEPT_REPORTS, MUTE_MACHINES, QUICK_BOOTS;
+  /** What may meet. */
+  private enum Trouble {
+    LATE_WRITES,
+    LATE_REPORTS,
+    DEAF_MACHINES,
+    SLOW_STATE,
+    REFUSED_THEN_OUTAGE,
+    LONE_LEADER,
+    QUICK_CONTROLLERS,
+    QUICK_MACHINES,
+    ELECTION,
+    HELD_MESSAGES,
+    UNREACHED,
+    STANDSTILL,
+    SILENCE,
+    HANGING_MACHINES,
+    ZONE,
+    CANCELLATIONS,
+    LEADER_ENDS,
+    ALL_END,
+    LOST_ANSWERS,
+    KEPT_REPORTS,
+    MUTE_MACHINES,
+    QUICK_BOOTS;
 
-        /** The kinds from here on are met on days of further meetings alone. */
-        private static final int FURTHER_FROM = LOST_ANSWERS.ordinal();
-    }
+    /** The kinds from here on are met on days of further meetings alone. */
+    private static final int FURTHER_FROM = LOST_ANSWERS.ordinal();
+  }
 
-    private final World world;
-    private final Set<Integer> only;
-    private final boolean further;
-    private final List<String> story = new ArrayList<>();
-    private double overS = UNTIL_S;
-    private int count;
+  private final World world;
+  private final Set<Integer> only;
+  private final boolean further;
+  private final List<String> story = new ArrayList<>();
+  private double overS = UNTIL_S;
+  private int count;
 
-    /**
-     * @param only the numbers of the meetings that take place; empty: all
-     * @param further whether the first trouble of each is one of those that days of meetings have learnt last
-     */
-    Meetings(World world, long seed, Set<Integer> only, boolean further) {
-        this.world = world;
-        this.only = only;
-        this.further = further;
-        double at = FROM_S + 10 * source(seed, -2).nextDouble();
-        for (; at < UNTIL_S; count++) {
-            Random random = source(seed, count);
-            at = meet(random, at, only.isEmpty() || only.contains(count)) + 2 + 8 * random.nextDouble();
-        }
-        jobs(source(seed, -1));
+  /**
+   * @param only the numbers of the meetings that take place; empty: all
+   * @param further whether the first trouble of each is one of those that days of meetings have
+   *     learnt last
+   */
+  Meetings(World world, long seed, Set<Integer> only, boolean further) {
+    this.world = world;
+    this.only = only;
+    this.further = further;
+    double at = FROM_S + 10 * source(seed, -2).nextDouble();
+    for (; at < UNTIL_S; count++) {
+      Random random = source(seed, count);
+      at = meet(random, at, only.isEmpty() || only.contains(count)) + 2 + 8 * random.nextDouble();
     }
+    jobs(source(seed, -1));
+  }
 
-    /** Mixed, as sources of neighbouring numbers draw alike. */
-    private static Random source(long seed, int number) {
-        return new Random(new SplittableRandom(seed * 1009 + number).nextLong());
-    }
+  /** Mixed, as sources of neighbouring numbers draw alike. */
+  private static Random source(long seed, int number) {
+    return new Random(new SplittableRandom(seed * 1009 + number).nextLong());
+  }
 
-    /** When the last trouble is over, with what it leaves behind: reports, writes and commands that are still to come. */
-    double overS() {
-        return overS;
-    }
+  /**
+   * When the last trouble is over, with what it leaves behind: reports, writes and commands that
+   * are still to come.
+   */
+  double overS() {
+    return overS;
+  }
 
-    /** How many meetings there are; those left out among them. */
-    int count() {
-        return count;
-    }
+  /** How many meetings there are; those left out among them. */
+  int count() {
+    return count;
+  }
 
-    /** What happened when. */
-    List<String> story() {
-        return story;
-    }
+  /** What happened when. */
+  List<String> story() {
+    return story;
+  }
 
-    /** Draws a meeting that begins at a time; returns when both troubles are over. */
-    private double meet(Random random, double atS, boolean takesPlace) {
-        int all = Trouble.values().length;
-        int least = further ? Trouble.FURTHER_FROM : 0;
-        Trouble first = Trouble.values()[least + random.nextInt(further ? all - least : Trouble.FURTHER_FROM)];
-        Trouble second = Trouble.values()[random.nextInt(further ? all : Trouble.FURTHER_FROM)];
-        double length = length(first, random);
-        double then = random.nextInt(10) < 7 ? length * random.nextDouble() : length + MOST_APART_S * random.nextDouble();
-        double secondLength = length(second, random);
-        if (takesPlace) {
-            begin(first, random.nextLong(), atS, length);
-            begin(second, random.nextLong(), atS + then, secondLength);
-        }
-        return Math.max(atS + length, atS + then + secondLength);
+  /** Draws a meeting that begins at a time; returns when both troubles are over. */
+  private double meet(Random random, double atS, boolean takesPlace) {
+    int all = Trouble.values().length;
+    int least = further ? Trouble.FURTHER_FROM : 0;
+    Trouble first =
+        Trouble.values()[least + random.nextInt(further ? all - least : Trouble.FURTHER_FROM)];
+    Trouble second = Trouble.values()[random.nextInt(further ? all : Trouble.FURTHER_FROM)];
+    double length = length(first, random);
+    double then =
+        random.nextInt(10) < 7
+            ? length * random.nextDouble()
+            : length + MOST_APART_S * random.nextDouble();
+    double secondLength = length(second, random);
+    if (takesPlace) {
+      begin(first, random.nextLong(), atS, length);
+      begin(second, random.nextLong(), atS + then, secondLength);
     }
+    return Math.max(atS + length, atS + then + secondLength);
+  }
 
-    private double length(Trouble trouble, Random random) {
-        double cancel = world.site().workers().cancel().seconds();
-        return switch (trouble) {
-            case REFUSED_THEN_OUTAGE -> cancel + 4 + 22 * random.nextDouble();
-            case LONE_LEADER, UNREACHED, SILENCE -> 4 + 30 * random.nextDouble();
-            case QUICK_CONTROLLERS, QUICK_MACHINES, LEADER_ENDS, ALL_END -> 1 + 7 * random.nextDouble();
-            case STANDSTILL, HANGING_MACHINES -> 1 + 14 * random.nextDouble();
-            default -> 5 + 25 * random.nextDouble();
-        };
-    }
+  private double length(Trouble trouble, Random random) {
+    double cancel = world.site().workers().cancel().seconds();
+    return switch (trouble) {
+      case REFUSED_THEN_OUTAGE -> cancel + 4 + 22 * random.nextDouble();
+      case LONE_LEADER, UNREACHED, SILENCE -> 4 + 30 * random.nextDouble();
+      case QUICK_CONTROLLERS, QUICK_MACHINES, LEADER_ENDS, ALL_END -> 1 + 7 * random.nextDouble();
+      case STANDSTILL, HANGING_MACHINES -> 1 + 14 * random.nextDouble();
+      default -> 5 + 25 * random.nextDouble();
+    };
+  }
 
-    private void begin(Trouble trouble, long seed, double atS, double lengthS) {
-        double lease = world.site().workers().lease().seconds();
-        // Copies of the last reports come leases later, the last writes and commands seconds later; what ended is started anew.
-        overS = Math.max(overS, atS + lengthS + (trouble == Trouble.LATE_REPORTS ? 3 * lease : 13));
-        world.time().at(atS, () -> {
-            Random random = new Random(seed);
-            String what = begin(trouble, random, lengthS);
-            story.add(String.format(Locale.ROOT, "%.2f for %.2f s: %s %s", atS, lengthS, trouble, what));
-        });
-    }
+  private void begin(Trouble trouble, long seed, double atS, double lengthS) {
+    double lease = world.site().workers().lease().seconds();
+    // Copies of the last reports come leases later, the last writes and commands seconds later;
+    // what ended is started anew.
+    overS = Math.max(overS, atS + lengthS + (trouble == Trouble.LATE_REPORTS ? 3 * lease : 13));
+    world
+        .time()
+        .at(
+            atS,
+            () -> {
+              Random random = new Random(seed);
+              String what = begin(trouble, random, lengthS);
+              story.add(
+                  String.format(
+                      Locale.ROOT, "%.2f for %.2f s: %s %s", atS, lengthS, trouble, what));
+            });
+  }
 
-    private void after(double seconds, Runnable action) {
-        world.time().after(seconds, action);
-    }
+  private void after(double seconds, Runnable action) {
+    world.time().after(seconds, action);
+  }
 
-    private int leader(Random random) {
-        int leader = world.leader();
-        return leader < 0 ? random.nextInt(world.nodeCount()) : leader;
-    }
+  private int leader(Random random) {
+    int leader = world.leader();
+    return leader < 0 ? random.nextInt(world.nodeCount()) : leader;
+  }
 
-    private List<MachineId> some(Collection<MachineId> machines, double share, Random random) {
-        return machines.stream().filter(each -> random.nextDouble() < share).toList();
-    }
+  private List<MachineId> some(Collection<MachineId> machines, double share, Random random) {
+    return machines.stream().filter(each -> random.nextDouble() < share).toList();
+  }
 
-    private String begin(Trouble trouble, Random random, double length) {
-        int leader = leader(random);
-        int node = random.nextInt(3) > 0 ? leader : random.nextInt(world.nodeCount());
-        boolean lose = random.nextBoolean();
-        double share = random.nextDouble();
-        List<MachineId> machines = world.cloud().machines();
-        switch (trouble) {
-            case LATE_WRITES -> {
-                share = 0.05 + 0.45 * share * share;
-                double until = world.time().seconds() + length;
-                world.state().late(LateWrites.share(share, 2, 12, () -> world.time().seconds() < until, random));
-            }
-            case LATE_REPORTS -> {
-                world.copyLate(0.02 + 0.3 * share, random);
-                after(length, () -> world.copyLate(0, random));
-            }
-            case DEAF_MACHINES -> some(machines, 0.1 + 0.5 * share, random).forEach(each -> world.deafen(each, length));
-            case SLOW_STATE -> {
-                double least = 1.5 * random.nextDouble();
-                world.state().slow(least, least + 3 * share, length, random);
-            }
-            case REFUSED_THEN_OUTAGE -> {
-                double outage = world.site().workers().cancel().seconds() + 2 + 6 * share;
-                double alone = Math.max(0.5, length - outage);
-                world.state().refuse(Site.nodeName(leader), alone + 0.2);
-                after(alone, () -> world.state().outage(outage));
-            }
-            case LONE_LEADER -> {
-                if (random.nextInt(3) == 0) {
-                    hold(node, length);
-                } else {
-                    world.lone(node, length, lose);
-                }
-            }
-            case QUICK_CONTROLLERS -> quick(random.nextInt(4) == 0 ? -1 : node, 1 + random.nextInt(3), random, length);
-            case QUICK_MACHINES -> quickMachines(0.05 + 0.3 * share, random, length);
-            case ELECTION -> {
-                world.crash(leader);
-                for (int i = 0; i < 1 + random.nextInt(3); i++) {
-                    int other = (leader + 1 + i % 2) % world.nodeCount();
-                    after(6 * random.nextDouble(), () -> world.down(other, 0.05 + 0.4 * random.nextDouble()));
-                }
-            }
-            case HELD_MESSAGES -> {
-                world.holdMessages(0.02 + 0.3 * share, 9, random);
-                after(length, () -> world.holdMessages(0, 0, random));
+  private String begin(Trouble trouble, Random random, double length) {
+    int leader = leader(random);
+    int node = random.nextInt(3) > 0 ? leader : random.nextInt(world.nodeCount());
+    boolean lose = random.nextBoolean();
+    double share = random.nextDouble();
+    List<MachineId> machines = world.cloud().machines();
+    switch (trouble) {
+      case LATE_WRITES -> {
+        share = 0.05 + 0.45 * share * share;
+        double until = world.time().seconds() + length;
+        world
+            .state()
+            .late(LateWrites.share(share, 2, 12, () -> world.time().seconds() < until, random));
+      }
+      case LATE_REPORTS -> {
+        world.copyLate(0.02 + 0.3 * share, random);
+        after(length, () -> world.copyLate(0, random));
+      }
+      case DEAF_MACHINES ->
+          some(machines, 0.1 + 0.5 * share, random).forEach(each -> world.deafen(each, length));
+      case SLOW_STATE -> {
+        double least = 1.5 * random.nextDouble();
+        world.state().slow(least, least + 3 * share, length, random);
+      }
+      case REFUSED_THEN_OUTAGE -> {
+        double outage = world.site().workers().cancel().seconds() + 2 + 6 * share;
+        double alone = Math.max(0.5, length - outage);
+        world.state().refuse(Site.nodeName(leader), alone + 0.2);
+        after(alone, () -> world.state().outage(outage));
+      }
+      case LONE_LEADER -> {
+        if (random.nextInt(3) == 0) {
+          hold(node, length);
+        } else {
+          world.lone(node, length, lose);
+        }
+      }
+      case QUICK_CONTROLLERS ->
+          quick(random.nextInt(4) == 0 ? -1 : node, 1 + random.nextInt(3), random, length);
+      case QUICK_MACHINES -> quickMachines(0.05 + 0.3 * share, random, length);
+      case ELECTION -> {
+        world.crash(leader);
+        for (int i = 0; i < 1 + random.nextInt(3); i++) {
+          int other = (leader + 1 + i % 2) % world.nodeCount();
+          after(6 * random.nextDouble(), () -> world.down(other, 0.05 + 0.4 * random.nextDouble()));
+        }
+      }
+      case HELD_MESSAGES -> {
+        world.holdMessages(0.02 + 0.3 * share, 9, random);
+        after(length, () -> world.holdMessages(0, 0, random));
+      }
+      case UNREACHED -> {
+        // The leader ends while some machines are out of reach, of all or of some controllers.
+        for (MachineId each : some(machines, 0.2 + 0.5 * share, random)) {
+          for (int other = 0; other < world.nodeCount(); other++) {
+            if (lose || random.nextBoolean()) {
+              world.cut(
+                  Site.nodeName(other),
+                  each.text(),
+                  length * random.nextDouble(),
+                  random.nextBoolean());
             }
-            case UNREACHED -> {
-                // The leader ends while some machines are out of reach, of all or of some controllers.
-                for (MachineId each : some(machines, 0.2 + 0.5 * share, random)) {
-                    for (int other = 0; other < world.nodeCount(); other++) {
-                        if (lose || random.nextBoolean()) {
-                            world.cut(Site.nodeName(other), each.text(), length * random.nextDouble(), random.nextBoolean());
-                        }
+          }
+        }
+        after(length * random.nextDouble(), () -> world.crash(leader));
+      }
+      case STANDSTILL -> world.standStill(node, length);
+      case SILENCE -> world.silence(node, length, lose);
+      case HANGING_MACHINES ->
+          world
+              .cloud()
+              .workers()
+              .forEach(
+                  worker -> {
+                    if (random.nextDouble() < 0.3) {
+                      worker.hang(length * random.nextDouble());
                     }
-                }
-                after(length * random.nextDouble(), () -> world.crash(leader));
-            }
-            case STANDSTILL -> world.standStill(node, length);
-            case SILENCE -> world.silence(node, length, lose);
-            case HANGING_MACHINES -> world.cloud().workers().forEach(worker -> {
-                if (random.nextDouble() < 0.3) {
-                    worker.hang(length * random.nextDouble());
-                }
-            });
-            case ZONE -> new Cuts(world).zone(random.nextInt(world.site().zones().size()), length, lose);
-            case CANCELLATIONS -> {
-                for (JobId id : open(random, 0.1 + 0.3 * share)) {
-                    after(length * random.nextDouble(), () -> world.users().cancel(id));
-                }
-            }
-            case LEADER_ENDS -> world.down(leader, lose ? length : 0.1 + 0.8 * share);
-            case ALL_END -> {
-                for (int each = 0; each < world.nodeCount(); each++) {
-                    int one = each;
-                    after(0.5 * random.nextDouble(), () -> world.down(one, 0.1 + length * random.nextDouble()));
-                }
-            }
-            case LOST_ANSWERS -> {
-                double until = world.time().seconds() + length;
-                world.state().late(LateWrites.atOnce(0.1 + 0.7 * share, () -> world.time().seconds() < until, random));
-            }
-            case KEPT_REPORTS -> {
-                double down = 0.1 + 3 * share;
-                world.keepForNextLeader(0.05 + 0.5 * share, random);
-                after(length, () -> {
-                    world.keepForNextLeader(0, random);
-                    world.down(leader(random), down);
-                });
-            }
-            case MUTE_MACHINES -> some(machines, 0.1 + 0.6 * share, random).forEach(each -> world.mute(each, length));
-            case QUICK_BOOTS -> {
-                world.cloud().bootWithin(2, length);
-                machines.stream().filter(each -> random.nextInt(4) == 0).forEach(each -> world.cloud().take(each, 0));
-                after(length * random.nextDouble(), () -> world.crash(leader(random)));
-            }
-            default -> throw new IllegalStateException(trouble.toString());
+                  });
+      case ZONE -> new Cuts(world).zone(random.nextInt(world.site().zones().size()), length, lose);
+      case CANCELLATIONS -> {
+        for (JobId id : open(random, 0.1 + 0.3 * share)) {
+          after(length * random.nextDouble(), () -> world.users().cancel(id));
         }
-        return String.format(Locale.ROOT, "leader n%d node n%d %s %.2f", leader, node, lose, share);
-    }
-
-    /** As {@link World#lone}, but what it sends is held until the end. */
-    private void hold(int node, double length) {
-        world.cut(Site.nodeName(node), "state", length, false);
-        for (int other = 0; other < world.nodeCount(); other++) {
-            if (other != node) {
-                world.cut(Site.nodeName(node), Site.nodeName(other), length, false);
-            }
+      }
+      case LEADER_ENDS -> world.down(leader, lose ? length : 0.1 + 0.8 * share);
+      case ALL_END -> {
+        for (int each = 0; each < world.nodeCount(); each++) {
+          int one = each;
+          after(
+              0.5 * random.nextDouble(), () -> world.down(one, 0.1 + length * random.nextDouble()));
         }
+      }
+      case LOST_ANSWERS -> {
+        double until = world.time().seconds() + length;
+        world
+            .state()
+            .late(
+                LateWrites.atOnce(0.1 + 0.7 * share, () -> world.time().seconds() < until, random));
+      }
+      case KEPT_REPORTS -> {
+        double down = 0.1 + 3 * share;
+        world.keepForNextLeader(0.05 + 0.5 * share, random);
+        after(
+            length,
+            () -> {
+              world.keepForNextLeader(0, random);
+              world.down(leader(random), down);
+            });
+      }
+      case MUTE_MACHINES ->
+          some(machines, 0.1 + 0.6 * share, random).forEach(each -> world.mute(each, length));
+      case QUICK_BOOTS -> {
+        world.cloud().bootWithin(2, length);
+        machines.stream()
+            .filter(each -> random.nextInt(4) == 0)
+            .forEach(each -> world.cloud().take(each, 0));
+        after(length * random.nextDouble(), () -> world.crash(leader(random)));
+      }
+      default -> throw new IllegalStateException(trouble.toString());
     }
+    return String.format(Locale.ROOT, "leader n%d node n%d %s %.2f", leader, node, lose, share);
+  }
 
-    private void quick(int node, int times, Random random, double length) {
-        for (int again = 0; again < times; again++) {
-            double down = 0.05 + 0.7 * random.nextDouble();
-            after(again == 0 ? 0 : length * random.nextDouble(), () -> {
-                for (int each = 0; each < world.nodeCount(); each++) {
-                    if (node < 0 || node == each) {
-                        world.down(each, down);
-                    }
-                }
-            });
-        }
+  /** As {@link World#lone}, but what it sends is held until the end. */
+  private void hold(int node, double length) {
+    world.cut(Site.nodeName(node), "state", length, false);
+    for (int other = 0; other < world.nodeCount(); other++) {
+      if (other != node) {
+        world.cut(Site.nodeName(node), Site.nodeName(other), length, false);
+      }
     }
+  }
 
-    private void quickMachines(double share, Random random, double length) {
-        world.cloud().workers().forEach(worker -> {
-            if (random.nextDouble() < share) {
-                after(length * random.nextDouble(), () -> worker.restart(0.05 + 0.8 * random.nextDouble()));
+  private void quick(int node, int times, Random random, double length) {
+    for (int again = 0; again < times; again++) {
+      double down = 0.05 + 0.7 * random.nextDouble();
+      after(
+          again == 0 ? 0 : length * random.nextDouble(),
+          () -> {
+            for (int each = 0; each < world.nodeCount(); each++) {
+              if (node < 0 || node == each) {
+                world.down(each, down);
+              }
             }
-        });
+          });
     }
+  }
 
-    private List<JobId> open(Random random, double share) {
-        return world.users().told().entrySet().stream()
-                .filter(each -> !each.getValue().equals("done") && !each.getValue().equals("cancelled") && !world.users().isMistaken(each.getKey()))
-                .filter(each -> random.nextDouble() < share).map(each -> each.getKey()).toList();
-    }
+  private void quickMachines(double share, Random random, double length) {
+    world
+        .cloud()
+        .workers()
+        .forEach(
+            worker -> {
+              if (random.nextDouble() < share) {
+                after(
+                    length * random.nextDouble(),
+                    () -> worker.restart(0.05 + 0.8 * random.nextDouble()));
+              }
+            });
+  }
 
-    // ---- what users do all day ----
+  private List<JobId> open(Random random, double share) {
+    return world.users().told().entrySet().stream()
+        .filter(
+            each ->
+                !each.getValue().equals("done")
+                    && !each.getValue().equals("cancelled")
+                    && !world.users().isMistaken(each.getKey()))
+        .filter(each -> random.nextDouble() < share)
+        .map(each -> each.getKey())
+        .toList();
+  }
 
-    private void jobs(Random random) {
-        for (int i = 0; i < SMALL_JOBS; i++) {
-            int number = 2000 + i;
-            boolean isCancelled = random.nextInt(5) == 0;
-            double at = 3 + (UNTIL_S - 10) * i / SMALL_JOBS;
-            List<Double> seconds = new ArrayList<>(List.of(1 + 3 * random.nextDouble(), 20 + 35 * random.nextDouble()));
-            if (random.nextBoolean()) {
-                seconds.add(1, 5 + 10 * random.nextDouble());
-            }
-            Job job = new Job(new JobId("job-" + number), "small", random.nextInt(3) == 0 ? "blue" : "red", Shape.ARRAY, Rank.NORMAL, seconds.size(),
-                    new Resources(1, 0, 2), null, null, false, false, random.nextBoolean(), "img-" + random.nextInt(3), 1, Span.ofSeconds(45),
-                    Span.ZERO, Span.ZERO, null);
-            world.time().at(at, () -> {
+  // ---- what users do all day ----
+
+  private void jobs(Random random) {
+    for (int i = 0; i < SMALL_JOBS; i++) {
+      int number = 2000 + i;
+      boolean isCancelled = random.nextInt(5) == 0;
+      double at = 3 + (UNTIL_S - 10) * i / SMALL_JOBS;
+      List<Double> seconds =
+          new ArrayList<>(List.of(1 + 3 * random.nextDouble(), 20 + 35 * random.nextDouble()));
+      if (random.nextBoolean()) {
+        seconds.add(1, 5 + 10 * random.nextDouble());
+      }
+      Job job =
+          new Job(
+              new JobId("job-" + number),
+              "small",
+              random.nextInt(3) == 0 ? "blue" : "red",
+              Shape.ARRAY,
+              Rank.NORMAL,
+              seconds.size(),
+              new Resources(1, 0, 2),
+              null,
+              null,
+              false,
+              false,
+              random.nextBoolean(),
+              "img-" + random.nextInt(3),
+              1,
+              Span.ofSeconds(45),
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      world
+          .time()
+          .at(
+              at,
+              () -> {
                 for (int task = 0; task < seconds.size(); task++) {
-                    world.around().tasks().runsLonger(job.id().task(task), seconds.get(task) - world.around().tasks().secondsOf(job));
+                  world
+                      .around()
+                      .tasks()
+                      .runsLonger(
+                          job.id().task(task),
+                          seconds.get(task) - world.around().tasks().secondsOf(job));
                 }
                 world.users().submit(job);
-            });
-            if (isCancelled) {
-                world.time().at(at + 2 + 45 * random.nextDouble(), () -> world.users().cancel(job.id()));
-            }
-        }
-        for (int i = 0; i < QUESTIONS; i++) {
-            world.time().at(FROM_S + (UNTIL_S + 40) * random.nextDouble(), () -> {
+              });
+      if (isCancelled) {
+        world.time().at(at + 2 + 45 * random.nextDouble(), () -> world.users().cancel(job.id()));
+      }
+    }
+    for (int i = 0; i < QUESTIONS; i++) {
+      world
+          .time()
+          .at(
+              FROM_S + (UNTIL_S + 40) * random.nextDouble(),
+              () -> {
                 List<JobId> known = List.copyOf(world.users().told().keySet());
                 if (!known.isEmpty()) {
-                    world.users().submitAgain(known.get(random.nextInt(known.size())));
+                  world.users().submitAgain(known.get(random.nextInt(known.size())));
                 }
-            });
-        }
+              });
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/ModelCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelCasesTest.java
@@ -20,350 +20,440 @@
 
 /** Models from zero with three controllers and failures, in virtual time. */
 class ModelCasesTest {
-    private static final double T = 40;
+  private static final double T = 40;
 
-    /** 10,000 wakes in a second at each controller, until the model is warm; all are answered. Returns how long that took. */
-    private static double manyWakes(ModelSite site) throws BadMessage {
-        int[] answered = new int[1];
-        for (int node = 0; node < 3; node++) {
-            for (int i = 0; i < 10_000; i++) {
-                int each = node;
-                site.world.time().at(T + i / 10_000.0, () -> site.send(each, "m/wake", Map.of(), response -> answered[0] += response.status() < 300 ? 1 : 0));
-            }
-        }
-        double warmAt = site.until("m", "WARM", 60);
-        assertEquals(30_000, answered[0]);
-        return warmAt - T;
+  /**
+   * 10,000 wakes in a second at each controller, until the model is warm; all are answered. Returns
+   * how long that took.
+   */
+  private static double manyWakes(ModelSite site) throws BadMessage {
+    int[] answered = new int[1];
+    for (int node = 0; node < 3; node++) {
+      for (int i = 0; i < 10_000; i++) {
+        int each = node;
+        site.world
+            .time()
+            .at(
+                T + i / 10_000.0,
+                () ->
+                    site.send(
+                        each,
+                        "m/wake",
+                        Map.of(),
+                        response -> answered[0] += response.status() < 300 ? 1 : 0));
+      }
     }
+    double warmAt = site.until("m", "WARM", 60);
+    assertEquals(30_000, answered[0]);
+    return warmAt - T;
+  }
 
-    /** The model serves soon after its fetch; in one world of four what is drawn makes it seconds later, so the middle of five is bounded. */
-    @Test
-    void theModelServesSoonAfterItsFetch() throws BadMessage {
-        double[] warm = new double[5];
-        for (int i = 0; i < warm.length; i++) {
-            ModelSite site = ModelSite.withOne(4 + i, 2);
-            long before = site.epoch("m");
-            warm[i] = manyWakes(site);
-            assertTrue(site.epoch("m") <= before + 5, "however many wakes, few changes: " + (site.epoch("m") - before));
-            assertTrue(warm[i] > ModelSite.FETCH_S && warm[i] < ModelSite.FETCH_S + 9, "warm after " + warm[i]);
-        }
-        Arrays.sort(warm);
-        assertTrue(warm[2] < ModelSite.FETCH_S + 3, Arrays.toString(warm));
+  /**
+   * The model serves soon after its fetch; in one world of four what is drawn makes it seconds
+   * later, so the middle of five is bounded.
+   */
+  @Test
+  void theModelServesSoonAfterItsFetch() throws BadMessage {
+    double[] warm = new double[5];
+    for (int i = 0; i < warm.length; i++) {
+      ModelSite site = ModelSite.withOne(4 + i, 2);
+      long before = site.epoch("m");
+      warm[i] = manyWakes(site);
+      assertTrue(
+          site.epoch("m") <= before + 5,
+          "however many wakes, few changes: " + (site.epoch("m") - before));
+      assertTrue(
+          warm[i] > ModelSite.FETCH_S && warm[i] < ModelSite.FETCH_S + 9, "warm after " + warm[i]);
     }
+    Arrays.sort(warm);
+    assertTrue(warm[2] < ModelSite.FETCH_S + 3, Arrays.toString(warm));
+  }
 
-    /** 10,000 wakes in a second at each controller: one change, one start, one fetch; in a world in which no answer is late. */
-    @Test
-    void manyWakesAreOneColdStart() throws BadMessage {
-        ModelSite site = ModelSite.withOne(4, 2);
-        long before = site.epoch("m");
-        int started = site.world.around().coldStarts().starts();
-        int fetched = site.world.around().coldStarts().fetches();
-        double warm = manyWakes(site);
-        assertTrue(warm > ModelSite.FETCH_S && warm < ModelSite.FETCH_S + 4, "warm after " + warm);
-        for (int node = 0; node < 3; node++) {
-            assertTrue(site.asked(node) <= 3, "changes asked for by one controller: " + site.asked(node));
-        }
-        assertEquals(0, site.world.around().coldStarts().late());
-        assertEquals(2, site.onMachines(100));
-        assertEquals(before + 3, site.epoch("m"), "woken, chosen, ready");
-        assertEquals(2, site.world.around().coldStarts().starts() - started);
-        assertEquals(2, site.world.around().coldStarts().fetches() - fetched);
-        site.until("m", "ZERO", 60);
-        assertEquals(0, site.onMachines(100));
-        site.assertRight();
+  /**
+   * 10,000 wakes in a second at each controller: one change, one start, one fetch; in a world in
+   * which no answer is late.
+   */
+  @Test
+  void manyWakesAreOneColdStart() throws BadMessage {
+    ModelSite site = ModelSite.withOne(4, 2);
+    long before = site.epoch("m");
+    int started = site.world.around().coldStarts().starts();
+    int fetched = site.world.around().coldStarts().fetches();
+    double warm = manyWakes(site);
+    assertTrue(warm > ModelSite.FETCH_S && warm < ModelSite.FETCH_S + 4, "warm after " + warm);
+    for (int node = 0; node < 3; node++) {
+      assertTrue(site.asked(node) <= 3, "changes asked for by one controller: " + site.asked(node));
     }
+    assertEquals(0, site.world.around().coldStarts().late());
+    assertEquals(2, site.onMachines(100));
+    assertEquals(before + 3, site.epoch("m"), "woken, chosen, ready");
+    assertEquals(2, site.world.around().coldStarts().starts() - started);
+    assertEquals(2, site.world.around().coldStarts().fetches() - fetched);
+    site.until("m", "ZERO", 60);
+    assertEquals(0, site.onMachines(100));
+    site.assertRight();
+  }
 
-    /** All three are restarted at once while the model starts: it goes on, and starts nothing twice. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0.01, 0.05, 0.15, 0.4, 1, 4, 8.5})
-    void allRestartedWhileItStarts(double afterS) throws BadMessage {
-        ModelSite site = ModelSite.withOne(5, 2);
-        site.wakeAt(T, 1, "m");
-        for (int node = 0; node < 3; node++) {
-            int each = node;
-            site.world.time().at(T + afterS, () -> site.world.crash(each));
-        }
-        site.until("m", "WARM", 90);
-        assertEquals(2, site.onMachines(100));
-        assertEquals(0, site.world.around().coldStarts().late());
-        site.assertRight();
+  /**
+   * All three are restarted at once while the model starts: it goes on, and starts nothing twice.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0.01, 0.05, 0.15, 0.4, 1, 4, 8.5})
+  void allRestartedWhileItStarts(double afterS) throws BadMessage {
+    ModelSite site = ModelSite.withOne(5, 2);
+    site.wakeAt(T, 1, "m");
+    for (int node = 0; node < 3; node++) {
+      int each = node;
+      site.world.time().at(T + afterS, () -> site.world.crash(each));
     }
+    site.until("m", "WARM", 90);
+    assertEquals(2, site.onMachines(100));
+    assertEquals(0, site.world.around().coldStarts().late());
+    site.assertRight();
+  }
 
-    /** The leader stands still or is silent around the transaction that writes the choice, for longer than its lease. */
-    @ParameterizedTest
-    @CsvSource({"STILL_BEFORE, 8", "STILL_BEFORE, 25", "STILL_AFTER, 8", "STILL_AFTER, 25", "SILENT, 25"})
-    void theLeaderIsFrozenAfterItsChoice(World.Mishap mishap, double seconds) throws BadMessage {
-        ModelSite site = ModelSite.withOne(6, 2);
-        site.world.mishapAt(request -> request.startsWith("POST /txn") && request.contains("agreed/models/m") && request.contains("\"STARTING\"")
-                && request.contains("\"replica\""), seconds, mishap);
-        site.wakeAt(T, (site.world.leader() + 1) % 3, "m");
-        site.until("m", "WARM", 90);
-        assertTrue(site.world.mishapHit() >= 0);
-        site.world.time().runUntil(site.world.time().seconds() + 5);
-        assertEquals(2, site.onMachines(100));
-        site.assertRight();
-    }
+  /**
+   * The leader stands still or is silent around the transaction that writes the choice, for longer
+   * than its lease.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "STILL_BEFORE, 8",
+    "STILL_BEFORE, 25",
+    "STILL_AFTER, 8",
+    "STILL_AFTER, 25",
+    "SILENT, 25"
+  })
+  void theLeaderIsFrozenAfterItsChoice(World.Mishap mishap, double seconds) throws BadMessage {
+    ModelSite site = ModelSite.withOne(6, 2);
+    site.world.mishapAt(
+        request ->
+            request.startsWith("POST /txn")
+                && request.contains("agreed/models/m")
+                && request.contains("\"STARTING\"")
+                && request.contains("\"replica\""),
+        seconds,
+        mishap);
+    site.wakeAt(T, (site.world.leader() + 1) % 3, "m");
+    site.until("m", "WARM", 90);
+    assertTrue(site.world.mishapHit() >= 0);
+    site.world.time().runUntil(site.world.time().seconds() + 5);
+    assertEquals(2, site.onMachines(100));
+    site.assertRight();
+  }
 
-    /** Two wakes while nobody leads, one at each of the controllers that are left. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0, 0.5, 3, 5.5})
-    void twoWakesInAnElection(double afterS) throws BadMessage {
-        ModelSite site = ModelSite.withOne(7, 2);
-        int leader = site.world.leader();
-        site.world.time().at(T, () -> site.world.down(leader, 30));
-        site.wakeAt(T + afterS, (leader + 1) % 3, "m");
-        site.wakeAt(T + afterS, (leader + 2) % 3, "m");
-        site.until("m", "WARM", 90);
-        assertEquals(2, site.onMachines(100));
-        site.assertRight();
-    }
+  /** Two wakes while nobody leads, one at each of the controllers that are left. */
+  @ParameterizedTest
+  @ValueSource(doubles = {0, 0.5, 3, 5.5})
+  void twoWakesInAnElection(double afterS) throws BadMessage {
+    ModelSite site = ModelSite.withOne(7, 2);
+    int leader = site.world.leader();
+    site.world.time().at(T, () -> site.world.down(leader, 30));
+    site.wakeAt(T + afterS, (leader + 1) % 3, "m");
+    site.wakeAt(T + afterS, (leader + 2) % 3, "m");
+    site.until("m", "WARM", 90);
+    assertEquals(2, site.onMachines(100));
+    site.assertRight();
+  }
 
-    /** The state service is out for a while from some moment of a cold start on, and of a drain. */
-    @ParameterizedTest
-    @CsvSource({"0, 3", "0.03, 10", "0.15, 10", "0.5, 10", "5, 10", "8.6, 10", "32, 10"})
-    void anOutageInEachStep(double afterS, double seconds) throws BadMessage {
-        ModelSite site = ModelSite.withOne(8, 2);
-        site.world.state().applyLate(60);
-        site.wakeAt(T, 2, "m");
-        site.world.time().at(T + afterS, () -> site.world.state().outage(seconds));
-        site.until("m", "WARM", 90);
-        site.until("m", "ZERO", 90);
-        site.world.time().runUntil(site.world.time().seconds() + 2);
-        assertEquals(0, site.onMachines(100));
-        site.wakeAt(site.world.time().seconds() + 0.1, 0, "m");
-        site.until("m", "WARM", 90);
-        site.assertRight();
-    }
+  /** The state service is out for a while from some moment of a cold start on, and of a drain. */
+  @ParameterizedTest
+  @CsvSource({"0, 3", "0.03, 10", "0.15, 10", "0.5, 10", "5, 10", "8.6, 10", "32, 10"})
+  void anOutageInEachStep(double afterS, double seconds) throws BadMessage {
+    ModelSite site = ModelSite.withOne(8, 2);
+    site.world.state().applyLate(60);
+    site.wakeAt(T, 2, "m");
+    site.world.time().at(T + afterS, () -> site.world.state().outage(seconds));
+    site.until("m", "WARM", 90);
+    site.until("m", "ZERO", 90);
+    site.world.time().runUntil(site.world.time().seconds() + 2);
+    assertEquals(0, site.onMachines(100));
+    site.wakeAt(site.world.time().seconds() + 0.1, 0, "m");
+    site.until("m", "WARM", 90);
+    site.assertRight();
+  }
 
-    /** The machine of the only warm replica is taken, with notice or without: a cold start elsewhere, by proof. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0, 6, 30})
-    void theLastWarmMachineIsTaken(double noticeS) throws BadMessage {
-        ModelSite site = ModelSite.withOne(9, 1);
-        site.wakeAt(T, 0, "m");
-        site.until("m", "WARM", 60);
-        String machine = site.machine("m").text();
-        site.world.time().at(T + 16, () -> site.world.cloud().take(new MachineId(machine), noticeS));
-        for (int i = 0; i < 60; i++) {
-            site.world.time().at(T + 16 + i, () -> site.send(1, "m/load", Map.of("from", "gateway", "in_flight", 3), response -> { }));
-        }
-        site.world.time().runUntil(T + 16 + 50);
-        assertEquals("WARM", site.phase("m"));
-        assertEquals(1, site.onMachines(100));
-        assertTrue(!machine.equals(site.machine("m").text()));
-        site.assertRight();
+  /**
+   * The machine of the only warm replica is taken, with notice or without: a cold start elsewhere,
+   * by proof.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0, 6, 30})
+  void theLastWarmMachineIsTaken(double noticeS) throws BadMessage {
+    ModelSite site = ModelSite.withOne(9, 1);
+    site.wakeAt(T, 0, "m");
+    site.until("m", "WARM", 60);
+    String machine = site.machine("m").text();
+    site.world.time().at(T + 16, () -> site.world.cloud().take(new MachineId(machine), noticeS));
+    for (int i = 0; i < 60; i++) {
+      site.world
+          .time()
+          .at(
+              T + 16 + i,
+              () ->
+                  site.send(
+                      1, "m/load", Map.of("from", "gateway", "in_flight", 3), response -> {}));
     }
+    site.world.time().runUntil(T + 16 + 50);
+    assertEquals("WARM", site.phase("m"));
+    assertEquals(1, site.onMachines(100));
+    assertTrue(!machine.equals(site.machine("m").text()));
+    site.assertRight();
+  }
 
-    /** Its user cancels the job of a model in each of its states. */
-    @ParameterizedTest
-    @ValueSource(strings = {"ZERO", "STARTING", "WARM", "DRAINING"})
-    void itsJobIsCancelled(String phase) throws BadMessage {
-        ModelSite site = ModelSite.withOne(10, 2);
-        if (!phase.equals("ZERO")) {
-            site.wakeAt(T, 0, "m");
-            site.until("m", phase, 90);
-        }
-        site.world.users().cancel(new JobId("job-100"));
-        site.world.time().runUntil(site.world.time().seconds() + 30);
-        assertEquals("ZERO", site.phase("m"));
-        assertEquals(0, site.onMachines(100));
-        assertEquals("cancelled", site.world.users().told().get(new JobId("job-100")));
-        assertEquals(409, site.post(1, "m/wake", Map.of()));
-        assertEquals("ZERO", site.phase("m"));
-        site.assertRight();
+  /** Its user cancels the job of a model in each of its states. */
+  @ParameterizedTest
+  @ValueSource(strings = {"ZERO", "STARTING", "WARM", "DRAINING"})
+  void itsJobIsCancelled(String phase) throws BadMessage {
+    ModelSite site = ModelSite.withOne(10, 2);
+    if (!phase.equals("ZERO")) {
+      site.wakeAt(T, 0, "m");
+      site.until("m", phase, 90);
     }
+    site.world.users().cancel(new JobId("job-100"));
+    site.world.time().runUntil(site.world.time().seconds() + 30);
+    assertEquals("ZERO", site.phase("m"));
+    assertEquals(0, site.onMachines(100));
+    assertEquals("cancelled", site.world.users().told().get(new JobId("job-100")));
+    assertEquals(409, site.post(1, "m/wake", Map.of()));
+    assertEquals("ZERO", site.phase("m"));
+    site.assertRight();
+  }
 
-    /** A wake in the moment of a drain, at each controller and at many offsets: it serves again, and nothing is started twice. */
-    @ParameterizedTest
-    @ValueSource(doubles = {-0.2, -0.05, -0.02, -0.01, -0.004, 0, 0.004, 0.01, 0.03, 0.1, 0.5, 1})
-    void aWakeAgainstADrain(double offset) throws BadMessage {
-        ModelSite first = ModelSite.withOne(11, 2);
-        first.wakeAt(T, 0, "m");
-        first.until("m", "WARM", 60);
-        double drainAt = first.until("m", "DRAINING", 60);
-        for (int node = 0; node < 3; node++) {
-            ModelSite site = ModelSite.withOne(11, 2);
-            site.wakeAt(T, 0, "m");
-            site.until("m", "WARM", 60);
-            site.wakeAt(drainAt + offset, node, "m");
-            site.world.time().runUntil(drainAt + 1.2);
-            site.until("m", "WARM", 20);
-            site.world.time().runUntil(Math.max(site.world.time().seconds(), drainAt + offset + 15));
-            assertEquals("WARM", site.phase("m"), "node " + node);
-            assertEquals(2, site.onMachines(100));
-            site.assertRight();
-        }
+  /**
+   * A wake in the moment of a drain, at each controller and at many offsets: it serves again, and
+   * nothing is started twice.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {-0.2, -0.05, -0.02, -0.01, -0.004, 0, 0.004, 0.01, 0.03, 0.1, 0.5, 1})
+  void aWakeAgainstADrain(double offset) throws BadMessage {
+    ModelSite first = ModelSite.withOne(11, 2);
+    first.wakeAt(T, 0, "m");
+    first.until("m", "WARM", 60);
+    double drainAt = first.until("m", "DRAINING", 60);
+    for (int node = 0; node < 3; node++) {
+      ModelSite site = ModelSite.withOne(11, 2);
+      site.wakeAt(T, 0, "m");
+      site.until("m", "WARM", 60);
+      site.wakeAt(drainAt + offset, node, "m");
+      site.world.time().runUntil(drainAt + 1.2);
+      site.until("m", "WARM", 20);
+      site.world.time().runUntil(Math.max(site.world.time().seconds(), drainAt + offset + 15));
+      assertEquals("WARM", site.phase("m"), "node " + node);
+      assertEquals(2, site.onMachines(100));
+      site.assertRight();
     }
+  }
 
-    /** A team's limit allows less than the least of two models: what it allows comes up and serves, and the limit holds. */
-    @Test
-    void aLimitBelowTheLeast() throws BadMessage {
-        Site plain = Site.tryOut(24, true);
-        Map<String, Team> teams = new LinkedHashMap<>(plain.teams());
-        teams.put("web", new Team("web", new Resources(12, 0, 1e9), new Resources(20, 0, 1e9)));
-        ModelSite site = new ModelSite(plain.with(teams), 12);
-        site.submit(ModelSite.job(100, 2, 6, 2, false));
-        site.submit(ModelSite.job(101, 2, 6, 2, false));
-        site.world.time().runUntil(ModelSite.DEFINED_S);
-        site.define("m", 100, 2, 2);
-        site.define("n", 101, 2, 2);
-        site.until("m", "ZERO", 40);
-        site.until("n", "ZERO", 40);
-        double at = site.world.time().seconds();
-        site.wakeAt(at + 1, 0, "m");
-        site.wakeAt(at + 1, 1, "n");
-        site.world.time().runUntil(at + 8);
-        assertEquals(3, site.onMachines(100) + site.onMachines(101), "three replicas of 6 cpus are within a limit of 20");
-        assertEquals("WARM", site.phase("m"));
-        assertEquals("WARM", site.phase("n"));
-        site.send(1, "n/load", Map.of("from", "gateway", "in_flight", 5), response -> { });
-        site.world.users().cancel(new JobId("job-100"));
-        site.world.time().runUntil(at + 30);
-        assertEquals(2, site.onMachines(101), "what the limit held back comes when there is room");
-        site.assertRight();
-    }
+  /**
+   * A team's limit allows less than the least of two models: what it allows comes up and serves,
+   * and the limit holds.
+   */
+  @Test
+  void aLimitBelowTheLeast() throws BadMessage {
+    Site plain = Site.tryOut(24, true);
+    Map<String, Team> teams = new LinkedHashMap<>(plain.teams());
+    teams.put("web", new Team("web", new Resources(12, 0, 1e9), new Resources(20, 0, 1e9)));
+    ModelSite site = new ModelSite(plain.with(teams), 12);
+    site.submit(ModelSite.job(100, 2, 6, 2, false));
+    site.submit(ModelSite.job(101, 2, 6, 2, false));
+    site.world.time().runUntil(ModelSite.DEFINED_S);
+    site.define("m", 100, 2, 2);
+    site.define("n", 101, 2, 2);
+    site.until("m", "ZERO", 40);
+    site.until("n", "ZERO", 40);
+    double at = site.world.time().seconds();
+    site.wakeAt(at + 1, 0, "m");
+    site.wakeAt(at + 1, 1, "n");
+    site.world.time().runUntil(at + 8);
+    assertEquals(
+        3,
+        site.onMachines(100) + site.onMachines(101),
+        "three replicas of 6 cpus are within a limit of 20");
+    assertEquals("WARM", site.phase("m"));
+    assertEquals("WARM", site.phase("n"));
+    site.send(1, "n/load", Map.of("from", "gateway", "in_flight", 5), response -> {});
+    site.world.users().cancel(new JobId("job-100"));
+    site.world.time().runUntil(at + 30);
+    assertEquals(2, site.onMachines(101), "what the limit held back comes when there is room");
+    site.assertRight();
+  }
 
-    /** What is asked wrongly is refused, and changes nothing; a definition that is asked for again is one change. */
-    @Test
-    void mistakesChangeNothing() throws BadMessage {
-        ModelSite site = ModelSite.withOne(17, 2);
-        long epoch = site.epoch("m");
-        assertEquals(404, site.post(0, "other/wake", Map.of()));
-        assertEquals(404, site.post(0, "other", Map.of("job", "job-5", "request", "a")));
-        assertEquals(404, site.post(0, "m/sleep", Map.of()));
-        assertEquals(400, site.post(0, "m/wake", Map.of("now", true)));
-        assertEquals(400, site.post(0, "m/load", Map.of("from", "g", "in_flight", -1)));
-        assertEquals(400, site.post(0, "m/load", Map.of("in_flight", 1)));
-        assertEquals(400, site.post(0, "m", Map.of("job", "job-100", "least", 3, "most", 2, "request", "b")));
-        assertEquals(400, site.post(0, "m", Map.of("job", "job-100", "most", 5, "request", "c")));
-        assertEquals(400, site.post(0, "m", Map.of("job", "job-100", "request", " ")));
-        assertEquals(409, site.post(0, "n", Map.of("job", "job-100", "request", "d")));
-        assertEquals(epoch, site.epoch("m"));
-        assertEquals("ZERO", site.phase("m"));
-        assertEquals(200, site.post(1, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
-        assertEquals(200, site.post(2, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
-        assertEquals(epoch, site.epoch("m"));
-        site.assertRight();
-    }
+  /**
+   * What is asked wrongly is refused, and changes nothing; a definition that is asked for again is
+   * one change.
+   */
+  @Test
+  void mistakesChangeNothing() throws BadMessage {
+    ModelSite site = ModelSite.withOne(17, 2);
+    long epoch = site.epoch("m");
+    assertEquals(404, site.post(0, "other/wake", Map.of()));
+    assertEquals(404, site.post(0, "other", Map.of("job", "job-5", "request", "a")));
+    assertEquals(404, site.post(0, "m/sleep", Map.of()));
+    assertEquals(400, site.post(0, "m/wake", Map.of("now", true)));
+    assertEquals(400, site.post(0, "m/load", Map.of("from", "g", "in_flight", -1)));
+    assertEquals(400, site.post(0, "m/load", Map.of("in_flight", 1)));
+    assertEquals(
+        400, site.post(0, "m", Map.of("job", "job-100", "least", 3, "most", 2, "request", "b")));
+    assertEquals(400, site.post(0, "m", Map.of("job", "job-100", "most", 5, "request", "c")));
+    assertEquals(400, site.post(0, "m", Map.of("job", "job-100", "request", " ")));
+    assertEquals(409, site.post(0, "n", Map.of("job", "job-100", "request", "d")));
+    assertEquals(epoch, site.epoch("m"));
+    assertEquals("ZERO", site.phase("m"));
+    assertEquals(200, site.post(1, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
+    assertEquals(200, site.post(2, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
+    assertEquals(epoch, site.epoch("m"));
+    site.assertRight();
+  }
 
-    /** Four models on two machines: their fetches come one after the other, so that some serve long before all could. */
-    @Test
-    void fetchesOfAMachineTakeTurns() throws BadMessage {
-        ModelSite site = new ModelSite(Site.tryOut(3, true), 18);
-        for (int i = 0; i < 4; i++) {
-            site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100 + i, 1, 2, 6, false));
-        }
-        site.world.time().runUntil(ModelSite.DEFINED_S);
-        for (int i = 0; i < 4; i++) {
-            site.define("m" + i, 100 + i, 1, 1);
-        }
-        double at = ModelSite.DEFINED_S + 4;
-        site.world.time().runUntil(at);
-        for (int i = 0; i < 4; i++) {
-            site.wakeAt(at, i % 3, "m" + i);
-        }
-        site.world.time().runUntil(at + 9);
-        assertTrue(site.world.rules().onMachines() >= 1, "side by side none would serve yet");
-        site.assertRight();
+  /**
+   * Four models on two machines: their fetches come one after the other, so that some serve long
+   * before all could.
+   */
+  @Test
+  void fetchesOfAMachineTakeTurns() throws BadMessage {
+    ModelSite site = new ModelSite(Site.tryOut(3, true), 18);
+    for (int i = 0; i < 4; i++) {
+      site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100 + i, 1, 2, 6, false));
     }
-
-    /** The machines that keep its weights are not returned while it is at zero; it comes back without a fetch. */
-    @Test
-    void keptWarmItComesBackWithoutAFetch() throws BadMessage {
-        ModelSite site = new ModelSite(Site.tryOut(24, true), 15);
-        site.submit(ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
-        site.world.time().runUntil(ModelSite.DEFINED_S);
-        site.define("m", 100, 1, 4, ModelSite.IDLE_S, 1);
-        site.until("m", "ZERO", 40);
-        site.world.time().runUntil(200);
-        int fetches = site.world.around().coldStarts().fetches();
-        site.wakeAt(200.1, 2, "m");
-        double warm = site.until("m", "WARM", 20);
-        assertTrue(warm < 204, "warm at " + warm);
-        assertEquals(fetches, site.world.around().coldStarts().fetches());
-        site.assertRight();
+    site.world.time().runUntil(ModelSite.DEFINED_S);
+    for (int i = 0; i < 4; i++) {
+      site.define("m" + i, 100 + i, 1, 1);
     }
-
-    /** On scarce machines one that nobody uses gives way to one that is wanted, and comes back when it is wanted and there is room. */
-    @Test
-    void anIdleModelGivesWay() throws BadMessage {
-        ModelSite site = new ModelSite(Site.tryOut(6, true), 16);
-        site.submit(ModelSite.job(100, 4, 6, 3, false));
-        site.submit(ModelSite.job(101, 2, 6, 3, false));
-        site.world.time().runUntil(ModelSite.DEFINED_S);
-        site.define("m", 100, 4, 4, 900, 0);
-        site.define("n", 101, 2, 2, 900, 0);
-        site.until("n", "ZERO", 40);
-        site.wakeAt(T, 0, "m");
-        site.until("m", "WARM", 60);
-        site.wakeAt(T + 100, 1, "n");
-        site.world.time().runUntil(T + 115);
-        assertEquals("WARM", site.phase("m"), "machines may still be rented");
-        site.until("n", "WARM", 40);
-        assertEquals("ZERO", site.phase("m"));
-        assertEquals(2, site.onMachines(101));
-        site.world.time().runUntil(site.world.time().seconds() + 60);
-        assertEquals("WARM", site.phase("n"), "the one that gave way does not come back by itself");
-        site.assertRight();
+    double at = ModelSite.DEFINED_S + 4;
+    site.world.time().runUntil(at);
+    for (int i = 0; i < 4; i++) {
+      site.wakeAt(at, i % 3, "m" + i);
     }
+    site.world.time().runUntil(at + 9);
+    assertTrue(site.world.rules().onMachines() >= 1, "side by side none would serve yet");
+    site.assertRight();
+  }
 
-    /** A controller that has requests in flight falls silent: they count until its lease is over, and no longer than that. */
-    @Test
-    void whatOneThatIsAwayHasSeenCounts() throws BadMessage {
-        ModelSite site = ModelSite.withOne(13, 1);
-        int leader = site.world.leader();
-        int other = (leader + 1) % 3;
-        site.world.time().at(T, () -> site.send(other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> { }));
-        site.until("m", "WARM", 60);
-        site.world.time().runUntil(T + 25);
-        assertEquals(2, site.onMachines(100), "15 in flight at 10 a replica");
-        site.world.time().at(T + 26, () -> site.send(other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> { }));
-        site.world.time().runUntil(T + 27);
-        site.world.silence(other, 60, true);
-        site.world.time().runUntil(T + 28);
-        assertEquals("WARM", site.phase("m"));
-        double drained = site.until("m", "DRAINING", 60);
-        assertNull(site.world.state().value("q/member/" + Site.nodeName(other)), "its lease is over");
-        assertTrue(drained < T + 27 + 20, "at " + drained);
-        site.world.time().runUntil(T + 150);
-        assertEquals("ZERO", site.phase("m"));
-        site.assertRight();
-    }
+  /**
+   * The machines that keep its weights are not returned while it is at zero; it comes back without
+   * a fetch.
+   */
+  @Test
+  void keptWarmItComesBackWithoutAFetch() throws BadMessage {
+    ModelSite site = new ModelSite(Site.tryOut(24, true), 15);
+    site.submit(ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
+    site.world.time().runUntil(ModelSite.DEFINED_S);
+    site.define("m", 100, 1, 4, ModelSite.IDLE_S, 1);
+    site.until("m", "ZERO", 40);
+    site.world.time().runUntil(200);
+    int fetches = site.world.around().coldStarts().fetches();
+    site.wakeAt(200.1, 2, "m");
+    double warm = site.until("m", "WARM", 20);
+    assertTrue(warm < 204, "warm at " + warm);
+    assertEquals(fetches, site.world.around().coldStarts().fetches());
+    site.assertRight();
+  }
 
-    @Test
-    @Tag("seeds")
-    void aThousandModels() throws BadMessage {
-        manyModels(1000);
-    }
+  /**
+   * On scarce machines one that nobody uses gives way to one that is wanted, and comes back when it
+   * is wanted and there is room.
+   */
+  @Test
+  void anIdleModelGivesWay() throws BadMessage {
+    ModelSite site = new ModelSite(Site.tryOut(6, true), 16);
+    site.submit(ModelSite.job(100, 4, 6, 3, false));
+    site.submit(ModelSite.job(101, 2, 6, 3, false));
+    site.world.time().runUntil(ModelSite.DEFINED_S);
+    site.define("m", 100, 4, 4, 900, 0);
+    site.define("n", 101, 2, 2, 900, 0);
+    site.until("n", "ZERO", 40);
+    site.wakeAt(T, 0, "m");
+    site.until("m", "WARM", 60);
+    site.wakeAt(T + 100, 1, "n");
+    site.world.time().runUntil(T + 115);
+    assertEquals("WARM", site.phase("m"), "machines may still be rented");
+    site.until("n", "WARM", 40);
+    assertEquals("ZERO", site.phase("m"));
+    assertEquals(2, site.onMachines(101));
+    site.world.time().runUntil(site.world.time().seconds() + 60);
+    assertEquals("WARM", site.phase("n"), "the one that gave way does not come back by itself");
+    site.assertRight();
+  }
 
-    @Test
-    void twoHundredModels() throws BadMessage {
-        manyModels(200);
-    }
+  /**
+   * A controller that has requests in flight falls silent: they count until its lease is over, and
+   * no longer than that.
+   */
+  @Test
+  void whatOneThatIsAwayHasSeenCounts() throws BadMessage {
+    ModelSite site = ModelSite.withOne(13, 1);
+    int leader = site.world.leader();
+    int other = (leader + 1) % 3;
+    site.world
+        .time()
+        .at(
+            T,
+            () ->
+                site.send(
+                    other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
+    site.until("m", "WARM", 60);
+    site.world.time().runUntil(T + 25);
+    assertEquals(2, site.onMachines(100), "15 in flight at 10 a replica");
+    site.world
+        .time()
+        .at(
+            T + 26,
+            () ->
+                site.send(
+                    other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
+    site.world.time().runUntil(T + 27);
+    site.world.silence(other, 60, true);
+    site.world.time().runUntil(T + 28);
+    assertEquals("WARM", site.phase("m"));
+    double drained = site.until("m", "DRAINING", 60);
+    assertNull(site.world.state().value("q/member/" + Site.nodeName(other)), "its lease is over");
+    assertTrue(drained < T + 27 + 20, "at " + drained);
+    site.world.time().runUntil(T + 150);
+    assertEquals("ZERO", site.phase("m"));
+    site.assertRight();
+  }
+
+  @Test
+  @Tag("seeds")
+  void aThousandModels() throws BadMessage {
+    manyModels(1000);
+  }
+
+  @Test
+  void twoHundredModels() throws BadMessage {
+    manyModels(200);
+  }
 
-    /** Many models, of which one in twenty is wanted: these come up, and all the others stay at zero. */
-    private static void manyModels(int count) throws BadMessage {
-        ModelSite site = new ModelSite(Site.tryOut(45, true), 14);
-        for (int i = 0; i < count; i++) {
-            site.submit(ModelSite.job(1000 + i, 1, 0.25, 0.3, false));
-        }
-        site.world.time().runUntil(ModelSite.DEFINED_S);
-        for (int i = 0; i < count; i++) {
-            int each = i;
-            site.world.time().at(ModelSite.DEFINED_S + i / 25.0, () -> site.defineLater(each % 3, "m" + each, 1000 + each));
-        }
-        site.world.time().runUntil(120);
-        for (int i = 0; i < count; i++) {
-            assertEquals("ZERO", site.phase("m" + i), "m" + i);
-        }
-        assertEquals(0, site.world.rules().onMachines());
-        for (int i = 0; i < count / 20; i++) {
-            site.wakeAt(120.1, i % 3, "m" + 20 * i);
-        }
-        site.world.time().runUntil(138);
-        for (int i = 0; i < count; i++) {
-            assertEquals(i % 20 == 0 ? "WARM" : "ZERO", site.phase("m" + i), "m" + i);
-        }
-        site.assertRight();
+  /**
+   * Many models, of which one in twenty is wanted: these come up, and all the others stay at zero.
+   */
+  private static void manyModels(int count) throws BadMessage {
+    ModelSite site = new ModelSite(Site.tryOut(45, true), 14);
+    for (int i = 0; i < count; i++) {
+      site.submit(ModelSite.job(1000 + i, 1, 0.25, 0.3, false));
+    }
+    site.world.time().runUntil(ModelSite.DEFINED_S);
+    for (int i = 0; i < count; i++) {
+      int each = i;
+      site.world
+          .time()
+          .at(
+              ModelSite.DEFINED_S + i / 25.0,
+              () -> site.defineLater(each % 3, "m" + each, 1000 + each));
+    }
+    site.world.time().runUntil(120);
+    for (int i = 0; i < count; i++) {
+      assertEquals("ZERO", site.phase("m" + i), "m" + i);
+    }
+    assertEquals(0, site.world.rules().onMachines());
+    for (int i = 0; i < count / 20; i++) {
+      site.wakeAt(120.1, i % 3, "m" + 20 * i);
+    }
+    site.world.time().runUntil(138);
+    for (int i = 0; i < count; i++) {
+      assertEquals(i % 20 == 0 ? "WARM" : "ZERO", site.phase("m" + i), "m" + i);
     }
+    site.assertRight();
+  }
 }
--- a/src/test/java/org/quincecross/emulator/ModelDay.java
+++ b/src/test/java/org/quincecross/emulator/ModelDay.java
@@ -7,108 +7,138 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.wire.BadMessage;
 
-/** A day drawn from a seed: models that are wanted now and then, troubles alone and together, then quiet. */
+/**
+ * A day drawn from a seed: models that are wanted now and then, troubles alone and together, then
+ * quiet.
+ */
 final class ModelDay {
-    private static final int MODELS = 5;
-    private static final int LEAST = 2;
-    /** The first model is a gang of so many tasks. */
-    private static final int GANG = 2;
-    /** A command may arrive when the record has changed; more of them would not follow the record. */
-    private static final int MOST_LATE = 3;
-    private static final double FIRST_TROUBLE_S = 36;
-    private static final double LAST_TROUBLE_S = 160;
-    private static final double LONGEST_TROUBLE_S = 30;
-    private static final double QUIET_S = 75;
+  private static final int MODELS = 5;
+  private static final int LEAST = 2;
 
-    private final ModelSite site;
-    private final Random random;
-    private final List<String> wrong = new ArrayList<>();
+  /** The first model is a gang of so many tasks. */
+  private static final int GANG = 2;
 
-    ModelDay(long seed) throws BadMessage {
-        random = new Random(seed * 31 + 7);
-        site = new ModelSite(Site.tryOut(24, random.nextBoolean()), seed);
-        for (int i = 0; i < MODELS; i++) {
-            site.submit(ModelSite.job(100 + i, i == 0 ? GANG : 4, 3 + random.nextInt(4), 2 + random.nextInt(9), i == 0));
-        }
-        site.world.time().runUntil(ModelSite.DEFINED_S);
-        for (int i = 0; i < MODELS; i++) {
-            site.define(name(i), 100 + i, i == 0 ? GANG : LEAST, i == 0 ? GANG : 4);
-        }
-        site.world.time().runUntil(FIRST_TROUBLE_S - 2);
-        site.world.state().applyLate(60);
-        for (int i = 0; i < 60; i++) {
-            site.wakeAt(FIRST_TROUBLE_S + 130 * random.nextDouble(), random.nextInt(3), name(random.nextInt(MODELS)));
-        }
-        for (int i = 0; i < 4 + random.nextInt(6); i++) {
-            double atS = FIRST_TROUBLE_S + (LAST_TROUBLE_S - LONGEST_TROUBLE_S - FIRST_TROUBLE_S) * random.nextDouble();
-            double seconds = 0.2 + (LONGEST_TROUBLE_S - 0.2) * random.nextDouble() * random.nextDouble();
-            int node = random.nextInt(3);
-            int kind = random.nextInt(8);
-            site.world.time().at(atS, () -> trouble(kind, node, seconds));
-        }
-    }
+  /** A command may arrive when the record has changed; more of them would not follow the record. */
+  private static final int MOST_LATE = 3;
 
-    private static String name(int model) {
-        return "m" + model;
-    }
+  private static final double FIRST_TROUBLE_S = 36;
+  private static final double LAST_TROUBLE_S = 160;
+  private static final double LONGEST_TROUBLE_S = 30;
+  private static final double QUIET_S = 75;
 
-    private void trouble(int kind, int node, double seconds) {
-        World world = site.world;
-        switch (kind) {
-            case 0 -> world.crash(node);
-            case 1 -> world.silence(node, seconds, random.nextBoolean());
-            case 2 -> world.standStill(node, seconds);
-            case 3 -> world.state().outage(Math.min(seconds, 15));
-            case 4 -> world.state().refuse(Site.nodeName(node), seconds);
-            case 5 -> world.cut(Site.nodeName(node), Site.nodeName((node + 1) % 3), seconds, random.nextBoolean());
-            case 6 -> {
-                List<MachineId> machines = world.cloud().machines();
-                if (machines.size() > 8) {
-                    world.cloud().take(machines.get(random.nextInt(machines.size())), random.nextInt(2) * 8);
-                }
-            }
-            default -> {
-                for (int each = 0; each < 3; each++) {
-                    world.crash(each);
-                }
-            }
-        }
+  private final ModelSite site;
+  private final Random random;
+  private final List<String> wrong = new ArrayList<>();
+
+  ModelDay(long seed) throws BadMessage {
+    random = new Random(seed * 31 + 7);
+    site = new ModelSite(Site.tryOut(24, random.nextBoolean()), seed);
+    for (int i = 0; i < MODELS; i++) {
+      site.submit(
+          ModelSite.job(
+              100 + i, i == 0 ? GANG : 4, 3 + random.nextInt(4), 2 + random.nextInt(9), i == 0));
+    }
+    site.world.time().runUntil(ModelSite.DEFINED_S);
+    for (int i = 0; i < MODELS; i++) {
+      site.define(name(i), 100 + i, i == 0 ? GANG : LEAST, i == 0 ? GANG : 4);
+    }
+    site.world.time().runUntil(FIRST_TROUBLE_S - 2);
+    site.world.state().applyLate(60);
+    for (int i = 0; i < 60; i++) {
+      site.wakeAt(
+          FIRST_TROUBLE_S + 130 * random.nextDouble(),
+          random.nextInt(3),
+          name(random.nextInt(MODELS)));
     }
+    for (int i = 0; i < 4 + random.nextInt(6); i++) {
+      double atS =
+          FIRST_TROUBLE_S
+              + (LAST_TROUBLE_S - LONGEST_TROUBLE_S - FIRST_TROUBLE_S) * random.nextDouble();
+      double seconds = 0.2 + (LONGEST_TROUBLE_S - 0.2) * random.nextDouble() * random.nextDouble();
+      int node = random.nextInt(3);
+      int kind = random.nextInt(8);
+      site.world.time().at(atS, () -> trouble(kind, node, seconds));
+    }
+  }
 
-    /** What went wrong: rules, places started or fetched twice, models that are wanted and do not come up, or that do not go back to zero. */
-    List<String> play() {
-        World world = site.world;
-        world.time().runUntil(LAST_TROUBLE_S + QUIET_S);
-        for (int i = 0; i < MODELS; i++) {
-            expect(i, "ZERO", 0);
-            site.wakeAt(world.time().seconds() + random.nextDouble(), random.nextInt(3), name(i));
-        }
-        world.time().runUntil(world.time().seconds() + 15);
-        for (int i = 0; i < MODELS; i++) {
-            site.send(random.nextInt(3), name(i) + "/load", Map.of("from", "gateway", "in_flight", 1), response -> { });
-        }
-        world.time().runUntil(world.time().seconds() + 25);
-        for (int i = 0; i < MODELS; i++) {
-            expect(i, "WARM", i == 0 ? GANG : LEAST);
+  private static String name(int model) {
+    return "m" + model;
+  }
+
+  private void trouble(int kind, int node, double seconds) {
+    World world = site.world;
+    switch (kind) {
+      case 0 -> world.crash(node);
+      case 1 -> world.silence(node, seconds, random.nextBoolean());
+      case 2 -> world.standStill(node, seconds);
+      case 3 -> world.state().outage(Math.min(seconds, 15));
+      case 4 -> world.state().refuse(Site.nodeName(node), seconds);
+      case 5 ->
+          world.cut(
+              Site.nodeName(node), Site.nodeName((node + 1) % 3), seconds, random.nextBoolean());
+      case 6 -> {
+        List<MachineId> machines = world.cloud().machines();
+        if (machines.size() > 8) {
+          world.cloud().take(machines.get(random.nextInt(machines.size())), random.nextInt(2) * 8);
         }
-        wrong.addAll(world.rules().broken());
-        wrong.addAll(world.around().coldStarts().wrong());
-        if (world.around().coldStarts().late() > MOST_LATE) {
-            wrong.add(world.around().coldStarts().late() + " starts where no record has a place");
+      }
+      default -> {
+        for (int each = 0; each < 3; each++) {
+          world.crash(each);
         }
-        return wrong;
+      }
     }
+  }
 
-    private void expect(int model, String phase, int replicas) {
-        if (!site.phase(name(model)).equals(phase) || site.onMachines(100 + model) != replicas) {
-            wrong.add(name(model) + " is not " + phase + " with " + replicas + " but has " + site.onMachines(100 + model) + ": "
-                    + ColdStarts.state(site.world.state(), name(model)));
-        }
+  /**
+   * What went wrong: rules, places started or fetched twice, models that are wanted and do not come
+   * up, or that do not go back to zero.
+   */
+  List<String> play() {
+    World world = site.world;
+    world.time().runUntil(LAST_TROUBLE_S + QUIET_S);
+    for (int i = 0; i < MODELS; i++) {
+      expect(i, "ZERO", 0);
+      site.wakeAt(world.time().seconds() + random.nextDouble(), random.nextInt(3), name(i));
     }
+    world.time().runUntil(world.time().seconds() + 15);
+    for (int i = 0; i < MODELS; i++) {
+      site.send(
+          random.nextInt(3),
+          name(i) + "/load",
+          Map.of("from", "gateway", "in_flight", 1),
+          response -> {});
+    }
+    world.time().runUntil(world.time().seconds() + 25);
+    for (int i = 0; i < MODELS; i++) {
+      expect(i, "WARM", i == 0 ? GANG : LEAST);
+    }
+    wrong.addAll(world.rules().broken());
+    wrong.addAll(world.around().coldStarts().wrong());
+    if (world.around().coldStarts().late() > MOST_LATE) {
+      wrong.add(world.around().coldStarts().late() + " starts where no record has a place");
+    }
+    return wrong;
+  }
 
-    /** Places started, fetches, and starts that came when the place was given up. */
-    Map<String, Integer> counts() {
-        ColdStarts starts = site.world.around().coldStarts();
-        return Map.of("starts", starts.starts(), "fetches", starts.fetches(), "late", starts.late());
+  private void expect(int model, String phase, int replicas) {
+    if (!site.phase(name(model)).equals(phase) || site.onMachines(100 + model) != replicas) {
+      wrong.add(
+          name(model)
+              + " is not "
+              + phase
+              + " with "
+              + replicas
+              + " but has "
+              + site.onMachines(100 + model)
+              + ": "
+              + ColdStarts.state(site.world.state(), name(model)));
     }
+  }
+
+  /** Places started, fetches, and starts that came when the place was given up. */
+  Map<String, Integer> counts() {
+    ColdStarts starts = site.world.around().coldStarts();
+    return Map.of("starts", starts.starts(), "fetches", starts.fetches(), "late", starts.late());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/ModelSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelSeedsTest.java
@@ -14,29 +14,32 @@
 
 /** Days of models among troubles; many of them with {@code mvn -B -Pseeds test -Dseeds=A-B}. */
 class ModelSeedsTest {
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5})
-    void someDays(long seed) throws BadMessage {
-        assertEquals(List.of(), new ModelDay(seed).play());
-    }
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4, 5})
+  void someDays(long seed) throws BadMessage {
+    assertEquals(List.of(), new ModelDay(seed).play());
+  }
 
-    @Test
-    @Tag("seeds")
-    void manyDays() {
-        String[] range = System.getProperty("seeds", "20000-20999").split("-");
-        Map<Long, Object> wrong = new ConcurrentSkipListMap<>();
-        LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1])).parallel().forEach(seed -> {
-            Object findings;
-            try {
+  @Test
+  @Tag("seeds")
+  void manyDays() {
+    String[] range = System.getProperty("seeds", "20000-20999").split("-");
+    Map<Long, Object> wrong = new ConcurrentSkipListMap<>();
+    LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]))
+        .parallel()
+        .forEach(
+            seed -> {
+              Object findings;
+              try {
                 findings = new ModelDay(seed).play();
-            } catch (BadMessage | RuntimeException | AssertionError e) {
+              } catch (BadMessage | RuntimeException | AssertionError e) {
                 findings = e;
-            }
-            if (!findings.equals(List.of())) {
+              }
+              if (!findings.equals(List.of())) {
                 wrong.put(seed, findings);
                 System.err.println("seed " + seed + ": " + findings);
-            }
-        });
-        assertEquals(Map.of(), wrong);
-    }
+              }
+            });
+    assertEquals(Map.of(), wrong);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/ModelSite.java
+++ b/src/test/java/org/quincecross/emulator/ModelSite.java
@@ -24,153 +24,220 @@
 
 /** Three controllers, some machines, and models among their services, in virtual time. */
 final class ModelSite {
-    static final double DEFINED_S = 18;
-    static final double IDLE_S = 20;
-    /** How long the weights of the models here take to be fetched. */
-    static final double FETCH_S = 8;
-
-    final World world;
-    private int requests;
-    private final List<JobId> jobs = new ArrayList<>();
-
-    ModelSite(Site site, long seed) {
-        world = new World(site, seed, Meter.OFF, new Features(null, null, Build.present("agreed", 3), Map.of("models", Map.of())));
-    }
-
-    /** One of 24 machines with one model of four replicas, {@code least} of which come up with it. */
-    static ModelSite withOne(long seed, int least) throws BadMessage {
-        ModelSite site = new ModelSite(Site.tryOut(24, true), seed);
-        // So late that its weights are on no machine when it becomes a model.
-        site.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
-        site.world.time().runUntil(DEFINED_S);
-        site.define("m", 100, least, 4);
-        site.world.time().runUntil(DEFINED_S + 17);
-        assertEquals("ZERO", site.phase("m"));
-        return site;
-    }
-
-    static Job job(int number, int tasks, double cpus, double imageGb, boolean gang) {
-        return new Job(new JobId("job-" + number), "front", "web", gang ? Shape.GANG : Shape.SERVICE, Rank.PRODUCTION, tasks, new Resources(cpus, 0, 2),
-                null, null, gang, false, false, "weights-" + number, imageGb, gang ? Span.ofSeconds(100_000) : Span.ZERO, Span.ZERO, Span.ZERO, null);
-    }
-
-    void submit(Job job) {
-        submitAt(4, job);
-    }
-
-    void submitAt(double atS, Job job) {
-        jobs.add(job.id());
-        world.time().at(atS, () -> world.users().submit(job));
-    }
-
-    void define(String name, int job, int least, int most) throws BadMessage {
-        define(name, job, least, most, IDLE_S, 0);
-    }
-
-    void define(String name, int job, int least, int most, double idleS, int keepWarm) throws BadMessage {
-        world.around().coldStarts().watch(name, new JobId("job-" + job));
-        Map<String, Object> body = Json.object("job", "job-" + job, "least", least, "most", most, "per_replica", 10, "idle_s", idleS,
-                "keep_warm", keepWarm, "request",
-                "r" + ++requests);
-        int status = post(0, name, body);
-        for (int tries = 0; status != 200 && tries < 20; tries++) {
-            world.time().runUntil(world.time().seconds() + 1);
-            status = post(0, name, body);
-        }
-        assertEquals(200, status);
-    }
-
-    /** Defines a model of one replica; asks again where that is not known to have been done. */
-    void defineLater(int node, String name, int job) {
-        world.around().coldStarts().watch(name, new JobId("job-" + job));
-        send(node, name, Json.object("job", "job-" + job, "idle_s", IDLE_S, "request", "r-" + name), response -> {
-            if (response.status() != 200) {
-                world.time().after(1, () -> defineLater(node, name, job));
-            }
+  static final double DEFINED_S = 18;
+  static final double IDLE_S = 20;
+
+  /** How long the weights of the models here take to be fetched. */
+  static final double FETCH_S = 8;
+
+  final World world;
+  private int requests;
+  private final List<JobId> jobs = new ArrayList<>();
+
+  ModelSite(Site site, long seed) {
+    world =
+        new World(
+            site,
+            seed,
+            Meter.OFF,
+            new Features(null, null, Build.present("agreed", 3), Map.of("models", Map.of())));
+  }
+
+  /** One of 24 machines with one model of four replicas, {@code least} of which come up with it. */
+  static ModelSite withOne(long seed, int least) throws BadMessage {
+    ModelSite site = new ModelSite(Site.tryOut(24, true), seed);
+    // So late that its weights are on no machine when it becomes a model.
+    site.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
+    site.world.time().runUntil(DEFINED_S);
+    site.define("m", 100, least, 4);
+    site.world.time().runUntil(DEFINED_S + 17);
+    assertEquals("ZERO", site.phase("m"));
+    return site;
+  }
+
+  static Job job(int number, int tasks, double cpus, double imageGb, boolean gang) {
+    return new Job(
+        new JobId("job-" + number),
+        "front",
+        "web",
+        gang ? Shape.GANG : Shape.SERVICE,
+        Rank.PRODUCTION,
+        tasks,
+        new Resources(cpus, 0, 2),
+        null,
+        null,
+        gang,
+        false,
+        false,
+        "weights-" + number,
+        imageGb,
+        gang ? Span.ofSeconds(100_000) : Span.ZERO,
+        Span.ZERO,
+        Span.ZERO,
+        null);
+  }
+
+  void submit(Job job) {
+    submitAt(4, job);
+  }
+
+  void submitAt(double atS, Job job) {
+    jobs.add(job.id());
+    world.time().at(atS, () -> world.users().submit(job));
+  }
+
+  void define(String name, int job, int least, int most) throws BadMessage {
+    define(name, job, least, most, IDLE_S, 0);
+  }
+
+  void define(String name, int job, int least, int most, double idleS, int keepWarm)
+      throws BadMessage {
+    world.around().coldStarts().watch(name, new JobId("job-" + job));
+    Map<String, Object> body =
+        Json.object(
+            "job",
+            "job-" + job,
+            "least",
+            least,
+            "most",
+            most,
+            "per_replica",
+            10,
+            "idle_s",
+            idleS,
+            "keep_warm",
+            keepWarm,
+            "request",
+            "r" + ++requests);
+    int status = post(0, name, body);
+    for (int tries = 0; status != 200 && tries < 20; tries++) {
+      world.time().runUntil(world.time().seconds() + 1);
+      status = post(0, name, body);
+    }
+    assertEquals(200, status);
+  }
+
+  /** Defines a model of one replica; asks again where that is not known to have been done. */
+  void defineLater(int node, String name, int job) {
+    world.around().coldStarts().watch(name, new JobId("job-" + job));
+    send(
+        node,
+        name,
+        Json.object("job", "job-" + job, "idle_s", IDLE_S, "request", "r-" + name),
+        response -> {
+          if (response.status() != 200) {
+            world.time().after(1, () -> defineLater(node, name, job));
+          }
         });
-    }
-
-    /** Asks a controller to change something of a model, and waits for the answer; its status. */
-    int post(int node, String path, Map<String, Object> body) {
-        int[] status = new int[1];
-        send(node, path, body, response -> status[0] = response.status());
-        double until = world.time().seconds() + 6;
-        while (status[0] == 0 && world.time().seconds() < until) {
-            world.time().runUntil(world.time().seconds() + 0.01);
-        }
-        return status[0];
-    }
-
-    void send(int node, String path, Map<String, Object> body, Consumer<HttpResponse> reply) {
-        world.ask(node, new HttpRequest("POST", "/admin/models/" + path, Json.write(body), false), reply);
-    }
-
-    /** Wakes a model at a time, at one controller; whoever does so comes again until it is answered. */
-    void wakeAt(double atS, int node, String name) {
-        world.time().at(atS, () -> wake(node, name, 20));
-    }
-
-    private void wake(int node, String name, int tries) {
-        boolean[] heard = new boolean[1];
-        send(node, name + "/wake", Map.of(), response -> heard[0] |= response.status() == 200 || response.status() == 202);
-        world.time().after(2, () -> {
-            if (!heard[0] && tries > 0) {
+  }
+
+  /** Asks a controller to change something of a model, and waits for the answer; its status. */
+  int post(int node, String path, Map<String, Object> body) {
+    int[] status = new int[1];
+    send(node, path, body, response -> status[0] = response.status());
+    double until = world.time().seconds() + 6;
+    while (status[0] == 0 && world.time().seconds() < until) {
+      world.time().runUntil(world.time().seconds() + 0.01);
+    }
+    return status[0];
+  }
+
+  void send(int node, String path, Map<String, Object> body, Consumer<HttpResponse> reply) {
+    world.ask(
+        node, new HttpRequest("POST", "/admin/models/" + path, Json.write(body), false), reply);
+  }
+
+  /**
+   * Wakes a model at a time, at one controller; whoever does so comes again until it is answered.
+   */
+  void wakeAt(double atS, int node, String name) {
+    world.time().at(atS, () -> wake(node, name, 20));
+  }
+
+  private void wake(int node, String name, int tries) {
+    boolean[] heard = new boolean[1];
+    send(
+        node,
+        name + "/wake",
+        Map.of(),
+        response -> heard[0] |= response.status() == 200 || response.status() == 202);
+    world
+        .time()
+        .after(
+            2,
+            () -> {
+              if (!heard[0] && tries > 0) {
                 wake((node + 1) % world.nodeCount(), name, tries - 1);
-            }
-        });
-    }
-
-    private Fields get(int node, String path) throws BadMessage {
-        HttpResponse[] answer = new HttpResponse[1];
-        world.ask(node, HttpRequest.get("/admin/models" + path), response -> answer[0] = response);
-        assertEquals(200, answer[0].status(), new String(answer[0].body(), StandardCharsets.UTF_8));
-        return Json.parseFields(answer[0].body());
-    }
-
-    Fields show(int node, String name) throws BadMessage {
-        return get(node, "/" + name);
-    }
-
-    /** For how many changes of a record a controller has asked because somebody wanted a model. */
-    long asked(int node) throws BadMessage {
-        return get(node, "").unsigned("asked");
-    }
-
-    String phase(String name) {
-        Map<?, ?> state = ColdStarts.state(world.state(), name);
-        return state == null ? "none" : String.valueOf(state.get("state"));
-    }
-
-    long epoch(String name) {
-        return ((Number) ColdStarts.state(world.state(), name).get("epoch")).longValue();
-    }
-
-    MachineId machine(String name) {
-        List<?> places = (List<?>) ColdStarts.state(world.state(), name).get("places");
-        return places.isEmpty() ? null : new MachineId((String) ((Map<?, ?>) places.get(0)).get("machine"));
-    }
-
-    int onMachines(int job) {
-        return world.rules().onMachines(new JobId("job-" + job));
-    }
-
-    /** When a model is next seen in a state, to the hundredth of a second. */
-    double until(String name, String phase, double withinS) {
-        double end = world.time().seconds() + withinS;
-        while (!phase(name).equals(phase)) {
-            if (world.time().seconds() > end) {
-                throw new AssertionError(name + " is " + phase(name) + ", not " + phase + ", at " + world.time().seconds() + ": "
-                        + ColdStarts.state(world.state(), name));
-            }
-            world.time().runUntil(world.time().seconds() + 0.01);
-        }
-        return world.time().seconds();
-    }
-
-    /** No rule was broken, no place started or fetched twice, and no job is forgotten. */
-    void assertRight() {
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(List.of(), world.around().coldStarts().wrong());
-        jobs.forEach(job -> assertEquals(true, List.of("running", "queued", "cancelled").contains(world.users().told().get(job)), job + " " + world.users().told().get(job)));
-    }
+              }
+            });
+  }
+
+  private Fields get(int node, String path) throws BadMessage {
+    HttpResponse[] answer = new HttpResponse[1];
+    world.ask(node, HttpRequest.get("/admin/models" + path), response -> answer[0] = response);
+    assertEquals(200, answer[0].status(), new String(answer[0].body(), StandardCharsets.UTF_8));
+    return Json.parseFields(answer[0].body());
+  }
+
+  Fields show(int node, String name) throws BadMessage {
+    return get(node, "/" + name);
+  }
+
+  /** For how many changes of a record a controller has asked because somebody wanted a model. */
+  long asked(int node) throws BadMessage {
+    return get(node, "").unsigned("asked");
+  }
+
+  String phase(String name) {
+    Map<?, ?> state = ColdStarts.state(world.state(), name);
+    return state == null ? "none" : String.valueOf(state.get("state"));
+  }
+
+  long epoch(String name) {
+    return ((Number) ColdStarts.state(world.state(), name).get("epoch")).longValue();
+  }
+
+  MachineId machine(String name) {
+    List<?> places = (List<?>) ColdStarts.state(world.state(), name).get("places");
+    return places.isEmpty()
+        ? null
+        : new MachineId((String) ((Map<?, ?>) places.get(0)).get("machine"));
+  }
+
+  int onMachines(int job) {
+    return world.rules().onMachines(new JobId("job-" + job));
+  }
+
+  /** When a model is next seen in a state, to the hundredth of a second. */
+  double until(String name, String phase, double withinS) {
+    double end = world.time().seconds() + withinS;
+    while (!phase(name).equals(phase)) {
+      if (world.time().seconds() > end) {
+        throw new AssertionError(
+            name
+                + " is "
+                + phase(name)
+                + ", not "
+                + phase
+                + ", at "
+                + world.time().seconds()
+                + ": "
+                + ColdStarts.state(world.state(), name));
+      }
+      world.time().runUntil(world.time().seconds() + 0.01);
+    }
+    return world.time().seconds();
+  }
+
+  /** No rule was broken, no place started or fetched twice, and no job is forgotten. */
+  void assertRight() {
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.around().coldStarts().wrong());
+    jobs.forEach(
+        job ->
+            assertEquals(
+                true,
+                List.of("running", "queued", "cancelled").contains(world.users().told().get(job)),
+                job + " " + world.users().told().get(job)));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
@@ -22,91 +22,188 @@
 import org.quincecross.wire.Features;
 
 /**
- * There is more work than room, urgent and not, the cloud has no more machines, and all links are slow at first. When they are not any
- * more, nothing waits for 90 s beside room, and the largest begins within 240 s. Three controllers, 18 machines, virtual time.
+ * There is more work than room, urgent and not, the cloud has no more machines, and all links are
+ * slow at first. When they are not any more, nothing waits for 90 s beside room, and the largest
+ * begins within 240 s. Three controllers, 18 machines, virtual time.
  */
 class MoreThanRoomTest {
-    private static final int MACHINES = 18;
-    private static final double OVER_S = 60;
-    private static final double UNTIL_S = 330;
-    private static final double LATE_S = 200;
-    private static final double LATE_RUNS_S = 8;
-    private static final double LARGEST_BEGINS_S = 240;
+  private static final int MACHINES = 18;
+  private static final double OVER_S = 60;
+  private static final double UNTIL_S = 330;
+  private static final double LATE_S = 200;
+  private static final double LATE_RUNS_S = 8;
+  private static final double LARGEST_BEGINS_S = 240;
 
-    /** What waits beside the room that others may have. */
-    private enum Mix { SERVICES, LARGE, LARGE_AT_ITS_LIMIT, GANGS, ALL }
+  /** What waits beside the room that others may have. */
+  private enum Mix {
+    SERVICES,
+    LARGE,
+    LARGE_AT_ITS_LIMIT,
+    GANGS,
+    ALL
+  }
 
-    private World world;
-    private int number = 100;
+  private World world;
+  private int number = 100;
 
-    private static Team team(String name, double most) {
-        return new Team(name, new Resources(most / 4, 0, 1e9), new Resources(most, 0, 1e9));
-    }
+  private static Team team(String name, double most) {
+    return new Team(name, new Resources(most / 4, 0, 1e9), new Resources(most, 0, 1e9));
+  }
 
-    private JobId submit(double atS, String team, Shape shape, Rank rank, int tasks, int cpus, double runS) {
-        Job job = new Job(new JobId("job-" + number++), "any", team, shape, rank, tasks, new Resources(cpus, 0, 2), null, null, false, false,
-                number % 2 == 0, "img-" + number % 3, 1, Span.ofSeconds(runS), Span.ofSeconds(number % 3 == 0 ? 10 : 0),
-                Span.ofSeconds(number % 3 == 0 ? 0.5 : 0), null);
-        world.time().at(atS, () -> world.users().submit(job));
-        return job.id();
-    }
+  private JobId submit(
+      double atS, String team, Shape shape, Rank rank, int tasks, int cpus, double runS) {
+    Job job =
+        new Job(
+            new JobId("job-" + number++),
+            "any",
+            team,
+            shape,
+            rank,
+            tasks,
+            new Resources(cpus, 0, 2),
+            null,
+            null,
+            false,
+            false,
+            number % 2 == 0,
+            "img-" + number % 3,
+            1,
+            Span.ofSeconds(runS),
+            Span.ofSeconds(number % 3 == 0 ? 10 : 0),
+            Span.ofSeconds(number % 3 == 0 ? 0.5 : 0),
+            null);
+    world.time().at(atS, () -> world.users().submit(job));
+    return job.id();
+  }
 
-    @ParameterizedTest
-    @CsvSource({"SERVICES, 1, false", "SERVICES, 2, true", "SERVICES, 3, false", "LARGE, 1, false", "LARGE, 2, true", "LARGE, 3, false",
-        "LARGE_AT_ITS_LIMIT, 1, false", "LARGE_AT_ITS_LIMIT, 2, true", "LARGE_AT_ITS_LIMIT, 3, false", "GANGS, 1, false",
-        "GANGS, 2, true", "GANGS, 3, false", "ALL, 1, false", "ALL, 1, true", "ALL, 2, false", "ALL, 2, true", "ALL, 3, false",
-        "ALL, 3, true", "ALL, 4, false", "ALL, 4, true", "ALL, 5, false", "ALL, 5, true", "ALL, 6, false", "ALL, 6, true",
-        "LARGE_AT_ITS_LIMIT, 5, false", "GANGS, 4, true", "GANGS, 5, true", "SERVICES, 7, false", "ALL, 7, true"})
-    void nothingWaitsBesideRoomForLong(Mix mix, long seed, boolean overload) {
-        Features features = overload ? new Features(Shares.DEFAULTS, null, Build.BEFORE_LEVELS) : Features.NONE;
-        Site site = Site.tryOut(MACHINES, true).with(Map.of("web", team("web", 48), "batch", team("batch", 1000),
-                "big", team("big", mix == Mix.LARGE_AT_ITS_LIMIT ? 18 : 1000)));
-        world = new World(site, seed, Meter.OFF, features);
-        Random random = new Random(seed * 31 + mix.ordinal());
-        world.holdMessages(0.5, 4, random);
-        world.time().at(8, () -> world.state().slow(0.2, 1.2, OVER_S - 8, random));
-        world.time().at(OVER_S, () -> {
-            world.holdMessages(0, 0, random);
-            world.around().troublesAreOver();
-        });
-        Function<Double, Double> from = within -> 10 + within * random.nextDouble();
-        if (mix == Mix.SERVICES || mix == Mix.ALL) {
-            for (int i = 0; i < 8; i++) {
-                submit(from.apply(10.0), "web", Shape.SERVICE, Rank.PRODUCTION, 2, 2, 0);
-            }
-        }
-        if (mix == Mix.LARGE || mix == Mix.ALL || mix == Mix.LARGE_AT_ITS_LIMIT) {
-            for (int i = 0; i < 3; i++) {
-                submit(from.apply(3.0), "big", Shape.ARRAY, Rank.NORMAL, 2 + 4 * i, 6, 40 + 40 * random.nextDouble());
-            }
-        }
-        if (mix == Mix.GANGS || mix == Mix.ALL) {
-            for (int i = 0; i < 3; i++) {
-                submit(from.apply(30.0), "big", Shape.GANG, i == 0 ? Rank.HIGH : Rank.NORMAL, 2 + i % 2, 5 + i, 30);
-            }
-        }
-        for (int i = 0; i < 40; i++) {
-            submit(from.apply(40.0), "batch", Shape.ARRAY, i % 5 == 0 ? Rank.LOW : i % 7 == 0 ? Rank.HIGH : Rank.NORMAL, 1 + i % 6, 1 + i % 3,
-                    30 + 120 * random.nextDouble());
-        }
-        List<JobId> late = new ArrayList<>();
-        for (int i = 0; i < 2 && mix == Mix.SERVICES; i++) {
-            late.add(submit(LATE_S, "web", Shape.SERVICE, Rank.PRODUCTION, 2, 2, 0)); // what has waited long has their room by then
-        }
-        JobId largest = submit(20, "batch", Shape.ARRAY, Rank.NORMAL, 60, 1, 20);
-        double[] begun = {-1};
-        for (double at = 20; at < UNTIL_S; at += 1) {
-            world.time().at(at, () -> {
+  @ParameterizedTest
+  @CsvSource({
+    "SERVICES, 1, false",
+    "SERVICES, 2, true",
+    "SERVICES, 3, false",
+    "LARGE, 1, false",
+    "LARGE, 2, true",
+    "LARGE, 3, false",
+    "LARGE_AT_ITS_LIMIT, 1, false",
+    "LARGE_AT_ITS_LIMIT, 2, true",
+    "LARGE_AT_ITS_LIMIT, 3, false",
+    "GANGS, 1, false",
+    "GANGS, 2, true",
+    "GANGS, 3, false",
+    "ALL, 1, false",
+    "ALL, 1, true",
+    "ALL, 2, false",
+    "ALL, 2, true",
+    "ALL, 3, false",
+    "ALL, 3, true",
+    "ALL, 4, false",
+    "ALL, 4, true",
+    "ALL, 5, false",
+    "ALL, 5, true",
+    "ALL, 6, false",
+    "ALL, 6, true",
+    "LARGE_AT_ITS_LIMIT, 5, false",
+    "GANGS, 4, true",
+    "GANGS, 5, true",
+    "SERVICES, 7, false",
+    "ALL, 7, true"
+  })
+  void nothingWaitsBesideRoomForLong(Mix mix, long seed, boolean overload) {
+    Features features =
+        overload ? new Features(Shares.DEFAULTS, null, Build.BEFORE_LEVELS) : Features.NONE;
+    Site site =
+        Site.tryOut(MACHINES, true)
+            .with(
+                Map.of(
+                    "web",
+                    team("web", 48),
+                    "batch",
+                    team("batch", 1000),
+                    "big",
+                    team("big", mix == Mix.LARGE_AT_ITS_LIMIT ? 18 : 1000)));
+    world = new World(site, seed, Meter.OFF, features);
+    Random random = new Random(seed * 31 + mix.ordinal());
+    world.holdMessages(0.5, 4, random);
+    world.time().at(8, () -> world.state().slow(0.2, 1.2, OVER_S - 8, random));
+    world
+        .time()
+        .at(
+            OVER_S,
+            () -> {
+              world.holdMessages(0, 0, random);
+              world.around().troublesAreOver();
+            });
+    Function<Double, Double> from = within -> 10 + within * random.nextDouble();
+    if (mix == Mix.SERVICES || mix == Mix.ALL) {
+      for (int i = 0; i < 8; i++) {
+        submit(from.apply(10.0), "web", Shape.SERVICE, Rank.PRODUCTION, 2, 2, 0);
+      }
+    }
+    if (mix == Mix.LARGE || mix == Mix.ALL || mix == Mix.LARGE_AT_ITS_LIMIT) {
+      for (int i = 0; i < 3; i++) {
+        submit(
+            from.apply(3.0),
+            "big",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            2 + 4 * i,
+            6,
+            40 + 40 * random.nextDouble());
+      }
+    }
+    if (mix == Mix.GANGS || mix == Mix.ALL) {
+      for (int i = 0; i < 3; i++) {
+        submit(
+            from.apply(30.0),
+            "big",
+            Shape.GANG,
+            i == 0 ? Rank.HIGH : Rank.NORMAL,
+            2 + i % 2,
+            5 + i,
+            30);
+      }
+    }
+    for (int i = 0; i < 40; i++) {
+      submit(
+          from.apply(40.0),
+          "batch",
+          Shape.ARRAY,
+          i % 5 == 0 ? Rank.LOW : i % 7 == 0 ? Rank.HIGH : Rank.NORMAL,
+          1 + i % 6,
+          1 + i % 3,
+          30 + 120 * random.nextDouble());
+    }
+    List<JobId> late = new ArrayList<>();
+    for (int i = 0; i < 2 && mix == Mix.SERVICES; i++) {
+      late.add(
+          submit(
+              LATE_S,
+              "web",
+              Shape.SERVICE,
+              Rank.PRODUCTION,
+              2,
+              2,
+              0)); // what has waited long has their room by then
+    }
+    JobId largest = submit(20, "batch", Shape.ARRAY, Rank.NORMAL, 60, 1, 20);
+    double[] begun = {-1};
+    for (double at = 20; at < UNTIL_S; at += 1) {
+      world
+          .time()
+          .at(
+              at,
+              () -> {
                 world.rules().check();
-                if (begun[0] < 0 && world.rules().started(largest) >= world.job(largest).tasksToBegin()) {
-                    begun[0] = world.time().seconds() - 20;
+                if (begun[0] < 0
+                    && world.rules().started(largest) >= world.job(largest).tasksToBegin()) {
+                  begun[0] = world.time().seconds() - 20;
                 }
-            });
-        }
-        world.time().runUntil(LATE_S + LATE_RUNS_S);
-        late.forEach(id -> assertEquals(2, world.rules().onMachines(id), "replicas that came late"));
-        world.time().runUntil(UNTIL_S);
-        assertEquals(List.of(), world.rules().broken());
-        assertTrue(begun[0] >= 0 && begun[0] <= LARGEST_BEGINS_S, "begun after " + begun[0]);
+              });
     }
+    world.time().runUntil(LATE_S + LATE_RUNS_S);
+    late.forEach(id -> assertEquals(2, world.rules().onMachines(id), "replicas that came late"));
+    world.time().runUntil(UNTIL_S);
+    assertEquals(List.of(), world.rules().broken());
+    assertTrue(begun[0] >= 0 && begun[0] <= LARGEST_BEGINS_S, "begun after " + begun[0]);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/MuteMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/MuteMachinesTest.java
@@ -11,44 +11,57 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.wire.BadMessage;
 
-/** Machines that reach no controller while direct commands reach them and are answered, with three controllers in virtual time. */
+/**
+ * Machines that reach no controller while direct commands reach them and are answered, with three
+ * controllers in virtual time.
+ */
 class MuteMachinesTest extends BusySite {
-    MuteMachinesTest() throws BadMessage {
-    }
+  MuteMachinesTest() throws BadMessage {}
 
-    /**
-     * A sixth, or half, of the machines is mute for so long; in some the leader ends meanwhile. What ran there runs elsewhere once the leases are
-     * over, and not before; those that speak again are given work again.
-     */
-    @ParameterizedTest
-    @CsvSource({"8, 8, -1", "8, 60, -1", "8, 60, 3", "8, 60, 11", "22, 20, 2", "22, 45, 14"})
-    void theirWorkRunsElsewhereOnceTheirLeasesAreOver(int count, double seconds, double leaderEndsAfterS) {
-        double lease = site.workers().lease().seconds();
-        world.time().runUntil(40);
-        List<MachineId> mute = world.cloud().machines().subList(0, count);
-        int before = mute.stream().mapToInt(world.rules()::onMachine).sum();
-        assertTrue(before > 0, "some runs there");
-        mute.forEach(machine -> world.mute(machine, seconds));
-        if (leaderEndsAfterS >= 0) {
-            world.time().at(40 + leaderEndsAfterS, () -> world.crash(Math.max(0, world.leader())));
-        }
-        world.time().runUntil(40 + 2 * lease + 25);
-        assertEquals(36, replicas());
-        List<MachineId> left = world.cloud().machines().stream().filter(mute::contains).toList();
-        world.time().runUntil(40 + seconds + 60);
-        left.forEach(machine -> assertTrue(!world.cloud().machines().contains(machine) || isOpen(machine), "given no work: " + machine));
-        assertAllIsWell(190);
+  /**
+   * A sixth, or half, of the machines is mute for so long; in some the leader ends meanwhile. What
+   * ran there runs elsewhere once the leases are over, and not before; those that speak again are
+   * given work again.
+   */
+  @ParameterizedTest
+  @CsvSource({"8, 8, -1", "8, 60, -1", "8, 60, 3", "8, 60, 11", "22, 20, 2", "22, 45, 14"})
+  void theirWorkRunsElsewhereOnceTheirLeasesAreOver(
+      int count, double seconds, double leaderEndsAfterS) {
+    double lease = site.workers().lease().seconds();
+    world.time().runUntil(40);
+    List<MachineId> mute = world.cloud().machines().subList(0, count);
+    int before = mute.stream().mapToInt(world.rules()::onMachine).sum();
+    assertTrue(before > 0, "some runs there");
+    mute.forEach(machine -> world.mute(machine, seconds));
+    if (leaderEndsAfterS >= 0) {
+      world.time().at(40 + leaderEndsAfterS, () -> world.crash(Math.max(0, world.leader())));
     }
+    world.time().runUntil(40 + 2 * lease + 25);
+    assertEquals(36, replicas());
+    List<MachineId> left = world.cloud().machines().stream().filter(mute::contains).toList();
+    world.time().runUntil(40 + seconds + 60);
+    left.forEach(
+        machine ->
+            assertTrue(
+                !world.cloud().machines().contains(machine) || isOpen(machine),
+                "given no work: " + machine));
+    assertAllIsWell(190);
+  }
 
-    private boolean isOpen(MachineId machine) {
-        boolean[] open = new boolean[1];
-        for (int node = 0; node < site.nodes(); node++) {
-            world.ask(node, HttpRequest.get("/admin/machines"), response -> {
-                for (String each : new String(response.body(), StandardCharsets.UTF_8).split("\\{")) {
-                    open[0] |= each.contains("\"machine\":\"" + machine.text() + "\"") && each.contains("\"open\":true");
-                }
-            });
-        }
-        return open[0];
+  private boolean isOpen(MachineId machine) {
+    boolean[] open = new boolean[1];
+    for (int node = 0; node < site.nodes(); node++) {
+      world.ask(
+          node,
+          HttpRequest.get("/admin/machines"),
+          response -> {
+            for (String each : new String(response.body(), StandardCharsets.UTF_8).split("\\{")) {
+              open[0] |=
+                  each.contains("\"machine\":\"" + machine.text() + "\"")
+                      && each.contains("\"open\":true");
+            }
+          });
     }
+    return open[0];
+  }
 }
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -23,188 +23,270 @@
 import org.quincecross.served.ServedBooks;
 import org.quincecross.wire.Features;
 
-/** More work than can be done in time, on three controllers in virtual time: who is served all the same. */
+/**
+ * More work than can be done in time, on three controllers in virtual time: who is served all the
+ * same.
+ */
 class OverloadCasesTest {
-    private static final Features ON = new Features(new Shares(0.85, 0.5, 0.1, 0.1), Span.ofSeconds(20), Build.BEFORE_LEVELS);
-    private static final int MACHINES = 30;
-    private static final String LOUD = "loud";
-    private static final List<String> QUIET = List.of("quiet-1", "quiet-2", "quiet-3", "quiet-4", "quiet-5");
-
-    private final World world = new World(site(), 7, Meter.OFF, ON);
-    private int number = 100;
-
-    /** Thirty machines of 8 CPUs, all up, and a second type of which there are three; teams without guarantee. */
-    private static Site site() {
-        Site base = Site.tryOut(MACHINES, true);
-        MachineType scarce = new MachineType("rare-8", new Resources(8, 0, 64), 20, 1, 0.5, 0.2, Span.ofSeconds(3), List.of("east"));
-        List<MachineType> types = new ArrayList<>(base.types());
-        types.add(scarce);
-        List<Site.Pool> pools = new ArrayList<>(base.pools());
-        pools.add(new Site.Pool("rare-8", "east", false, 3, 3));
-        Map<String, Team> teams = new LinkedHashMap<>();
-        List<String> names = new ArrayList<>(QUIET);
-        names.add(LOUD);
-        for (String name : names) {
-            teams.put(name, new Team(name, Resources.NONE, new Resources(1e6, 1e6, 1e6)));
-        }
-        return new Site(base.nodeZones(), base.zones(), types, pools, MACHINES + 3, teams, base.workers(), base.stateLimits(), base.cloudLimits(),
-                base.quota(), List.of(), base.restart(), false, List.of());
-    }
+  private static final Features ON =
+      new Features(new Shares(0.85, 0.5, 0.1, 0.1), Span.ofSeconds(20), Build.BEFORE_LEVELS);
+  private static final int MACHINES = 30;
+  private static final String LOUD = "loud";
+  private static final List<String> QUIET =
+      List.of("quiet-1", "quiet-2", "quiet-3", "quiet-4", "quiet-5");
 
-    private JobId submit(double atS, String team, String jobClass, Rank rank, int tasks, Resources each, double runS, double dueS) {
-        return submit(atS, team, jobClass, Shape.ARRAY, rank, tasks, each, null, runS, dueS);
-    }
+  private final World world = new World(site(), 7, Meter.OFF, ON);
+  private int number = 100;
 
-    private JobId submit(double atS, String team, String jobClass, Shape shape, Rank rank, int tasks, Resources each, String type, double runS,
-            double dueS) {
-        JobId id = new JobId("job-" + number++);
-        Job job = new Job(id, jobClass, team, shape, rank, tasks, each, type == null ? null : java.util.Set.of(type), null,
-                shape == Shape.GANG, false, false, jobClass, 0.5, Span.ofSeconds(runS), Span.ZERO, Span.ZERO,
-                dueS > 0 ? Span.ofSeconds(dueS) : null);
-        world.time().at(atS, () -> world.users().submit(job));
-        return id;
+  /**
+   * Thirty machines of 8 CPUs, all up, and a second type of which there are three; teams without
+   * guarantee.
+   */
+  private static Site site() {
+    Site base = Site.tryOut(MACHINES, true);
+    MachineType scarce =
+        new MachineType(
+            "rare-8", new Resources(8, 0, 64), 20, 1, 0.5, 0.2, Span.ofSeconds(3), List.of("east"));
+    List<MachineType> types = new ArrayList<>(base.types());
+    types.add(scarce);
+    List<Site.Pool> pools = new ArrayList<>(base.pools());
+    pools.add(new Site.Pool("rare-8", "east", false, 3, 3));
+    Map<String, Team> teams = new LinkedHashMap<>();
+    List<String> names = new ArrayList<>(QUIET);
+    names.add(LOUD);
+    for (String name : names) {
+      teams.put(name, new Team(name, Resources.NONE, new Resources(1e6, 1e6, 1e6)));
     }
+    return new Site(
+        base.nodeZones(),
+        base.zones(),
+        types,
+        pools,
+        MACHINES + 3,
+        teams,
+        base.workers(),
+        base.stateLimits(),
+        base.cloudLimits(),
+        base.quota(),
+        List.of(),
+        base.restart(),
+        false,
+        List.of());
+  }
 
-    private Served of(String team, String jobClass) {
-        return world.around().served().groups(world.around().now()).get(new ServedBooks.Group(team, jobClass));
-    }
+  private JobId submit(
+      double atS,
+      String team,
+      String jobClass,
+      Rank rank,
+      int tasks,
+      Resources each,
+      double runS,
+      double dueS) {
+    return submit(atS, team, jobClass, Shape.ARRAY, rank, tasks, each, null, runS, dueS);
+  }
 
-    private double inTime(String team, String jobClass) {
-        return of(team, jobClass).aims().get(0).share();
-    }
+  private JobId submit(
+      double atS,
+      String team,
+      String jobClass,
+      Shape shape,
+      Rank rank,
+      int tasks,
+      Resources each,
+      String type,
+      double runS,
+      double dueS) {
+    JobId id = new JobId("job-" + number++);
+    Job job =
+        new Job(
+            id,
+            jobClass,
+            team,
+            shape,
+            rank,
+            tasks,
+            each,
+            type == null ? null : java.util.Set.of(type),
+            null,
+            shape == Shape.GANG,
+            false,
+            false,
+            jobClass,
+            0.5,
+            Span.ofSeconds(runS),
+            Span.ZERO,
+            Span.ZERO,
+            dueS > 0 ? Span.ofSeconds(dueS) : null);
+    world.time().at(atS, () -> world.users().submit(job));
+    return id;
+  }
 
-    private void run(double untilS) {
-        world.time().runUntil(untilS);
-        assertEquals(List.of(), world.rules().broken());
-    }
+  private Served of(String team, String jobClass) {
+    return world
+        .around()
+        .served()
+        .groups(world.around().now())
+        .get(new ServedBooks.Group(team, jobClass));
+  }
 
-    private static final Resources ONE = new Resources(1, 0, 2);
-    private static final Resources HALF = new Resources(4, 0, 4);
+  private double inTime(String team, String jobClass) {
+    return of(team, jobClass).aims().get(0).share();
+  }
 
-    private void assertQuietTeamsAreServed(double share, double mostStarvedS) {
-        for (String team : QUIET) {
-            Served served = of(team, "batch");
-            assertTrue(served.least() >= share && served.starvedS() < mostStarvedS, team + ": " + served);
-        }
-    }
+  private void run(double untilS) {
+    world.time().runUntil(untilS);
+    assertEquals(List.of(), world.rules().broken());
+  }
 
-    /** Five teams send a job of ten tasks every 20 s; the sixth sends four large ones a second for a minute. */
-    private void burst() {
-        for (int i = 0; i < 60; i++) {
-            submit(20 + i, LOUD, "batch", Rank.NORMAL, 60, ONE, 10, 60);
-        }
-        for (String team : QUIET) {
-            for (int i = 0; i < 8; i++) {
-                submit(21 + 20 * i, team, "batch", Rank.NORMAL, 10, ONE, 10, 60);
-            }
-        }
-    }
+  private static final Resources ONE = new Resources(1, 0, 2);
+  private static final Resources HALF = new Resources(4, 0, 4);
 
-    @Test
-    void aBurstOfOneTeamBesideFiveQuietOnes() {
-        burst();
-        run(260);
-        assertQuietTeamsAreServed(1, 20);
-        assertEquals(60, of(LOUD, "batch").ended());
+  private void assertQuietTeamsAreServed(double share, double mostStarvedS) {
+    for (String team : QUIET) {
+      Served served = of(team, "batch");
+      assertTrue(served.least() >= share && served.starvedS() < mostStarvedS, team + ": " + served);
     }
+  }
 
-    /** Services take all machines for a while, then arrays of a higher priority take what is left, without an end. */
-    @Test
-    void theLowestPriorityUnderServicesAndArrays() {
-        List<JobId> services = new ArrayList<>();
-        for (int i = 0; i < 60; i++) {
-            services.add(submit(20 + 0.5 * i, LOUD, "front", Shape.SERVICE, Rank.PRODUCTION, 4, ONE, null, 0, 0));
-        }
-        services.subList(0, 40).forEach(id -> world.time().at(110, () -> world.users().cancel(id)));
-        for (int i = 0; i < 170; i++) {
-            submit(25 + i, LOUD, "batch", Rank.NORMAL, 20, ONE, 10, 60);
-        }
-        submit(60, "quiet-1", "sweep", Rank.LOW, 80, ONE, 10, 0);
-        run(195);
-        assertTrue(of("quiet-1", "sweep").started() >= 50, of("quiet-1", "sweep").toString());
-        assertEquals(240, of(LOUD, "front").started());
+  /**
+   * Five teams send a job of ten tasks every 20 s; the sixth sends four large ones a second for a
+   * minute.
+   */
+  private void burst() {
+    for (int i = 0; i < 60; i++) {
+      submit(20 + i, LOUD, "batch", Rank.NORMAL, 60, ONE, 10, 60);
+    }
+    for (String team : QUIET) {
+      for (int i = 0; i < 8; i++) {
+        submit(21 + 20 * i, team, "batch", Rank.NORMAL, 10, ONE, 10, 60);
+      }
     }
+  }
 
-    @Test
-    void machinesLostInNumberWhileTheCloudRefuses() {
-        burst();
-        world.time().at(40, () -> {
-            world.cloud().outage(100);
-            List<MachineId> machines = world.cloud().machines();
-            machines.subList(0, machines.size() / 2).forEach(machine -> world.cloud().take(machine, 0));
-        });
-        run(300);
-        assertQuietTeamsAreServed(0.9, 20);
+  @Test
+  void aBurstOfOneTeamBesideFiveQuietOnes() {
+    burst();
+    run(260);
+    assertQuietTeamsAreServed(1, 20);
+    assertEquals(60, of(LOUD, "batch").ended());
+  }
+
+  /**
+   * Services take all machines for a while, then arrays of a higher priority take what is left,
+   * without an end.
+   */
+  @Test
+  void theLowestPriorityUnderServicesAndArrays() {
+    List<JobId> services = new ArrayList<>();
+    for (int i = 0; i < 60; i++) {
+      services.add(
+          submit(20 + 0.5 * i, LOUD, "front", Shape.SERVICE, Rank.PRODUCTION, 4, ONE, null, 0, 0));
+    }
+    services.subList(0, 40).forEach(id -> world.time().at(110, () -> world.users().cancel(id)));
+    for (int i = 0; i < 170; i++) {
+      submit(25 + i, LOUD, "batch", Rank.NORMAL, 20, ONE, 10, 60);
     }
+    submit(60, "quiet-1", "sweep", Rank.LOW, 80, ONE, 10, 0);
+    run(195);
+    assertTrue(of("quiet-1", "sweep").started() >= 50, of("quiet-1", "sweep").toString());
+    assertEquals(240, of(LOUD, "front").started());
+  }
 
-    @Test
-    void theOnlyTypeOfAClassRunsOut() {
-        for (int i = 0; i < 60; i++) {
-            submit(20 + i, LOUD, "batch", Rank.NORMAL, 40, ONE, 10, 60);
-        }
-        for (int i = 0; i < 10; i++) {
-            submit(22 + 10 * i, "quiet-1", "rare", Shape.ARRAY, Rank.NORMAL, 4, ONE, "rare-8", 10, 60);
-        }
-        run(200);
-        assertTrue(inTime("quiet-1", "rare") >= 0.9, of("quiet-1", "rare").toString());
+  @Test
+  void machinesLostInNumberWhileTheCloudRefuses() {
+    burst();
+    world
+        .time()
+        .at(
+            40,
+            () -> {
+              world.cloud().outage(100);
+              List<MachineId> machines = world.cloud().machines();
+              machines
+                  .subList(0, machines.size() / 2)
+                  .forEach(machine -> world.cloud().take(machine, 0));
+            });
+    run(300);
+    assertQuietTeamsAreServed(0.9, 20);
+  }
+
+  @Test
+  void theOnlyTypeOfAClassRunsOut() {
+    for (int i = 0; i < 60; i++) {
+      submit(20 + i, LOUD, "batch", Rank.NORMAL, 40, ONE, 10, 60);
+    }
+    for (int i = 0; i < 10; i++) {
+      submit(22 + 10 * i, "quiet-1", "rare", Shape.ARRAY, Rank.NORMAL, 4, ONE, "rare-8", 10, 60);
     }
+    run(200);
+    assertTrue(inTime("quiet-1", "rare") >= 0.9, of("quiet-1", "rare").toString());
+  }
 
-    @Test
-    void aTeamWhoseJobsAreLargerThanWhatIsEverFreeAtOnce() {
-        for (int i = 0; i < 150; i++) {
-            submit(20 + i, LOUD, "batch", Rank.NORMAL, 34, ONE, 10, 60);
-        }
-        submit(70, "quiet-1", "whole", Shape.ARRAY, Rank.NORMAL, 6, new Resources(8, 0, 8), null, 10, 60);
-        submit(70, "quiet-2", "gang", Shape.GANG, Rank.NORMAL, 4, HALF, null, 10, 60);
-        run(170);
-        assertEquals(1, of("quiet-1", "whole").ended());
-        assertEquals(1, of("quiet-2", "gang").ended());
+  @Test
+  void aTeamWhoseJobsAreLargerThanWhatIsEverFreeAtOnce() {
+    for (int i = 0; i < 150; i++) {
+      submit(20 + i, LOUD, "batch", Rank.NORMAL, 34, ONE, 10, 60);
     }
+    submit(
+        70, "quiet-1", "whole", Shape.ARRAY, Rank.NORMAL, 6, new Resources(8, 0, 8), null, 10, 60);
+    submit(70, "quiet-2", "gang", Shape.GANG, Rank.NORMAL, 4, HALF, null, 10, 60);
+    run(170);
+    assertEquals(1, of("quiet-1", "whole").ended());
+    assertEquals(1, of("quiet-2", "gang").ended());
+  }
 
-    @Test
-    void deadlinesThatNobodyCouldMeet() {
-        for (int i = 0; i < 150; i++) {
-            submit(20 + i, LOUD, "batch", Rank.NORMAL, 34, ONE, 10, 60);
-        }
-        for (int i = 0; i < 20; i++) {
-            submit(60 + 2 * i, "quiet-1", "hopeless", Rank.NORMAL, 10, ONE, 20, 5);
-        }
-        run(170);
-        // They are late whatever happens, and come after all that is not; of their team's floor, 12 CPUs, 60 of them can be run.
-        assertTrue(of("quiet-1", "hopeless").started() >= 50, of("quiet-1", "hopeless").toString());
-        assertTrue(inTime(LOUD, "batch") >= 0.4, of(LOUD, "batch").toString());
+  @Test
+  void deadlinesThatNobodyCouldMeet() {
+    for (int i = 0; i < 150; i++) {
+      submit(20 + i, LOUD, "batch", Rank.NORMAL, 34, ONE, 10, 60);
     }
+    for (int i = 0; i < 20; i++) {
+      submit(60 + 2 * i, "quiet-1", "hopeless", Rank.NORMAL, 10, ONE, 20, 5);
+    }
+    run(170);
+    // They are late whatever happens, and come after all that is not; of their team's floor, 12
+    // CPUs, 60 of them can be run.
+    assertTrue(of("quiet-1", "hopeless").started() >= 50, of("quiet-1", "hopeless").toString());
+    assertTrue(inTime(LOUD, "batch") >= 0.4, of(LOUD, "batch").toString());
+  }
 
-    /** A large job that has waited for long, beside many small ones, while controllers come and go. */
-    private JobId largeJobUnderRestarts(Runnable trouble) {
-        for (int i = 0; i < 200; i++) {
-            submit(20 + i, LOUD, "batch", Rank.NORMAL, 22, ONE, 10, 60);
-        }
-        JobId large = submit(30, "quiet-1", "large", Rank.NORMAL, 900, ONE, 10, 30);
-        trouble.run();
-        run(220);
-        return large;
+  /**
+   * A large job that has waited for long, beside many small ones, while controllers come and go.
+   */
+  private JobId largeJobUnderRestarts(Runnable trouble) {
+    for (int i = 0; i < 200; i++) {
+      submit(20 + i, LOUD, "batch", Rank.NORMAL, 22, ONE, 10, 60);
     }
+    JobId large = submit(30, "quiet-1", "large", Rank.NORMAL, 900, ONE, 10, 30);
+    trouble.run();
+    run(220);
+    return large;
+  }
 
-    @Test
-    void aChangeOfLeaderAndARestartOfAll() {
-        JobId large = largeJobUnderRestarts(() -> {
-            world.time().at(100, () -> world.crash(Math.max(0, world.leader())));
-            for (int node = 0; node < world.nodeCount(); node++) {
+  @Test
+  void aChangeOfLeaderAndARestartOfAll() {
+    JobId large =
+        largeJobUnderRestarts(
+            () -> {
+              world.time().at(100, () -> world.crash(Math.max(0, world.leader())));
+              for (int node = 0; node < world.nodeCount(); node++) {
                 int each = node;
                 world.time().at(140, () -> world.crash(each));
-            }
-        });
-        assertTrue(of("quiet-1", "large").starvedS() < 40, of("quiet-1", "large").toString());
-        assertTrue(world.rules().completedTasks(large) >= 300, "of 900: " + world.rules().completedTasks(large));
-    }
+              }
+            });
+    assertTrue(of("quiet-1", "large").starvedS() < 40, of("quiet-1", "large").toString());
+    assertTrue(
+        world.rules().completedTasks(large) >= 300,
+        "of 900: " + world.rules().completedTasks(large));
+  }
 
-    @Test
-    void aClockThatJumps() {
-        burst();
-        world.time().at(45, () -> world.setClock(-3000));
-        world.time().at(70, () -> world.setClock(3000));
-        run(260);
-        assertQuietTeamsAreServed(1, 20);
-    }
+  @Test
+  void aClockThatJumps() {
+    burst();
+    world.time().at(45, () -> world.setClock(-3000));
+    world.time().at(70, () -> world.setClock(3000));
+    run(260);
+    assertQuietTeamsAreServed(1, 20);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
@@ -38,287 +38,417 @@
 /** Jobs that wait for others, with three controllers and failures, in virtual time. */
 @Timeout(120)
 class PipelineCasesTest {
-    private static final double LOOK_EVERY_S = 0.05;
+  private static final double LOOK_EVERY_S = 0.05;
 
-    private final World world = new World(Site.small(), 40, Meter.OFF);
-    private final Map<JobId, Job> jobs = new LinkedHashMap<>();
-    private final Map<JobId, Double> cancelledAt = new HashMap<>();
-    /** The jobs that were cancelled themselves. */
-    private final Set<JobId> asked = new HashSet<>();
-    private final List<String> broken = new ArrayList<>();
+  private final World world = new World(Site.small(), 40, Meter.OFF);
+  private final Map<JobId, Job> jobs = new LinkedHashMap<>();
+  private final Map<JobId, Double> cancelledAt = new HashMap<>();
 
-    private static JobId id(int number) {
-        return new JobId("job-" + number);
-    }
+  /** The jobs that were cancelled themselves. */
+  private final Set<JobId> asked = new HashSet<>();
 
-    private static Job job(int number, Shape shape, int tasks, double cpus, Integer... after) {
-        return new Job(id(number), "stage", number % 2 == 0 ? "red" : "blue", shape, shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.LOW, tasks,
-                new Resources(cpus, 0, 1), null, null, false, false, false, "img", 0.2, Span.ofSeconds(3), Span.ZERO, Span.ZERO, null,
-                Set.copyOf(Arrays.stream(after).map(PipelineCasesTest::id).toList()));
-    }
+  private final List<String> broken = new ArrayList<>();
 
-    private static Job job(int number, Integer... after) {
-        return job(number, Shape.ARRAY, 4, 1, after);
-    }
+  private static JobId id(int number) {
+    return new JobId("job-" + number);
+  }
 
-    /** Submits a job as soon as those that it names were accepted, to whichever controller. */
-    private void submitWhenKnown(Job job) {
-        jobs.put(job.id(), job);
-        if (allBefore(job.id()).stream().anyMatch(asked::contains)) {
-            world.users().noteCancel(job.id());
-        }
-        if (world.users().told().keySet().containsAll(job.waitsOn())) {
-            world.users().submit(job);
-        } else {
-            world.time().after(0.05, () -> submitWhenKnown(job));
-        }
-    }
+  private static Job job(int number, Shape shape, int tasks, double cpus, Integer... after) {
+    return new Job(
+        id(number),
+        "stage",
+        number % 2 == 0 ? "red" : "blue",
+        shape,
+        shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.LOW,
+        tasks,
+        new Resources(cpus, 0, 1),
+        null,
+        null,
+        false,
+        false,
+        false,
+        "img",
+        0.2,
+        Span.ofSeconds(3),
+        Span.ZERO,
+        Span.ZERO,
+        null,
+        Set.copyOf(Arrays.stream(after).map(PipelineCasesTest::id).toList()));
+  }
 
-    private Set<JobId> allBefore(JobId id) {
-        Set<JobId> all = new LinkedHashSet<>();
-        for (JobId before : jobs.get(id).waitsOn()) {
-            all.add(before);
-            all.addAll(jobs.containsKey(before) ? allBefore(before) : Set.of());
-        }
-        return all;
-    }
+  private static Job job(int number, Integer... after) {
+    return job(number, Shape.ARRAY, 4, 1, after);
+  }
 
-    /** Cancels a job; those that need it are cancelled with it. */
-    private void cancel(JobId id) {
-        asked.add(id);
-        jobs.keySet().stream().filter(other -> allBefore(other).contains(id)).forEach(world.users()::noteCancel);
-        world.users().cancel(id);
+  /** Submits a job as soon as those that it names were accepted, to whichever controller. */
+  private void submitWhenKnown(Job job) {
+    jobs.put(job.id(), job);
+    if (allBefore(job.id()).stream().anyMatch(asked::contains)) {
+      world.users().noteCancel(job.id());
     }
-
-    private boolean isDone(JobId id) {
-        return world.rules().completedTasks(id) == jobs.get(id).tasks();
+    if (world.users().told().keySet().containsAll(job.waitsOn())) {
+      world.users().submit(job);
+    } else {
+      world.time().after(0.05, () -> submitWhenKnown(job));
     }
+  }
 
-    private void look() {
-        Map<JobId, String> told = world.users().told();
-        for (JobId id : jobs.keySet()) {
-            Set<JobId> before = allBefore(id);
-            if (world.rules().onMachines(id) > 0 && !before.stream().allMatch(this::isDone)) {
-                broken.add("too early at " + world.time().seconds() + ": " + id);
-            }
-            if ("cancelled".equals(told.get(id))) {
-                cancelledAt.putIfAbsent(id, world.time().seconds());
-            }
-            for (JobId each : before) {
-                Double since = cancelledAt.get(each);
-                if (since != null && told.containsKey(id) && !"cancelled".equals(told.get(id))
-                        && world.time().seconds() > since + world.site().workers().cancel().seconds()) {
-                    broken.add("orphaned at " + world.time().seconds() + ": " + id);
-                }
-            }
-        }
+  private Set<JobId> allBefore(JobId id) {
+    Set<JobId> all = new LinkedHashSet<>();
+    for (JobId before : jobs.get(id).waitsOn()) {
+      all.add(before);
+      all.addAll(jobs.containsKey(before) ? allBefore(before) : Set.of());
     }
+    return all;
+  }
+
+  /** Cancels a job; those that need it are cancelled with it. */
+  private void cancel(JobId id) {
+    asked.add(id);
+    jobs.keySet().stream()
+        .filter(other -> allBefore(other).contains(id))
+        .forEach(world.users()::noteCancel);
+    world.users().cancel(id);
+  }
+
+  private boolean isDone(JobId id) {
+    return world.rules().completedTasks(id) == jobs.get(id).tasks();
+  }
 
-    private void runUntil(double seconds) {
-        while (world.time().seconds() < seconds) {
-            world.time().runUntil(world.time().seconds() + LOOK_EVERY_S);
-            look();
+  private void look() {
+    Map<JobId, String> told = world.users().told();
+    for (JobId id : jobs.keySet()) {
+      Set<JobId> before = allBefore(id);
+      if (world.rules().onMachines(id) > 0 && !before.stream().allMatch(this::isDone)) {
+        broken.add("too early at " + world.time().seconds() + ": " + id);
+      }
+      if ("cancelled".equals(told.get(id))) {
+        cancelledAt.putIfAbsent(id, world.time().seconds());
+      }
+      for (JobId each : before) {
+        Double since = cancelledAt.get(each);
+        if (since != null
+            && told.containsKey(id)
+            && !"cancelled".equals(told.get(id))
+            && world.time().seconds() > since + world.site().workers().cancel().seconds()) {
+          broken.add("orphaned at " + world.time().seconds() + ": " + id);
         }
-        assertEquals(List.of(), broken);
-        assertEquals(List.of(), world.rules().broken());
+      }
     }
+  }
 
-    private void assertTold(String state, Integer... numbers) {
-        for (int number : numbers) {
-            assertEquals(state, world.users().told().get(id(number)), id(number).text());
-        }
+  private void runUntil(double seconds) {
+    while (world.time().seconds() < seconds) {
+      world.time().runUntil(world.time().seconds() + LOOK_EVERY_S);
+      look();
     }
+    assertEquals(List.of(), broken);
+    assertEquals(List.of(), world.rules().broken());
+  }
 
-    private void diamond(int first) {
-        submitWhenKnown(job(first));
-        submitWhenKnown(job(first + 1, first));
-        submitWhenKnown(job(first + 2, Shape.GANG, 2, 1, first));
-        submitWhenKnown(job(first + 3, first + 1, first + 2, first + 2));
-        submitWhenKnown(job(first + 4, first + 3, first));
+  private void assertTold(String state, Integer... numbers) {
+    for (int number : numbers) {
+      assertEquals(state, world.users().told().get(id(number)), id(number).text());
     }
+  }
 
-    /**
-     * A chain and a diamond while the leader ends, or all do, each time that a job becomes done: before that is durable, or between that
-     * and the plan that lets the next one run.
-     */
-    @ParameterizedTest
-    @CsvSource({"NONE, 0", "LEADER, 0.01", "LEADER, 0.06", "LEADER, 0.15", "ALL, 0.02", "ALL, 0.3", "LATE, 5"})
-    void eachRunsOnceThoseBeforeItAreDone(String what, double after) {
-        Set<String> seen = new HashSet<>();
-        if (what.equals("LATE")) {
-            world.state().late(txn -> txn.contains("\"done\"") && txn.contains("q/job/") && world.random().nextInt(3) == 0 ? after : LateWrites.PROMPT);
-        }
-        world.time().at(6, () -> diamond(1));
-        world.time().at(8, () -> diamond(101));
-        for (double at = 6; at < 80; at += LOOK_EVERY_S) {
-            world.time().at(at, () -> {
-                Set<String> done = new HashSet<>(world.state().under("q/job/").stream()
-                        .filter(key -> String.valueOf(world.state().value(key)).contains("phase=done")).toList());
+  private void diamond(int first) {
+    submitWhenKnown(job(first));
+    submitWhenKnown(job(first + 1, first));
+    submitWhenKnown(job(first + 2, Shape.GANG, 2, 1, first));
+    submitWhenKnown(job(first + 3, first + 1, first + 2, first + 2));
+    submitWhenKnown(job(first + 4, first + 3, first));
+  }
+
+  /**
+   * A chain and a diamond while the leader ends, or all do, each time that a job becomes done:
+   * before that is durable, or between that and the plan that lets the next one run.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "NONE, 0",
+    "LEADER, 0.01",
+    "LEADER, 0.06",
+    "LEADER, 0.15",
+    "ALL, 0.02",
+    "ALL, 0.3",
+    "LATE, 5"
+  })
+  void eachRunsOnceThoseBeforeItAreDone(String what, double after) {
+    Set<String> seen = new HashSet<>();
+    if (what.equals("LATE")) {
+      world
+          .state()
+          .late(
+              txn ->
+                  txn.contains("\"done\"")
+                          && txn.contains("q/job/")
+                          && world.random().nextInt(3) == 0
+                      ? after
+                      : LateWrites.PROMPT);
+    }
+    world.time().at(6, () -> diamond(1));
+    world.time().at(8, () -> diamond(101));
+    for (double at = 6; at < 80; at += LOOK_EVERY_S) {
+      world
+          .time()
+          .at(
+              at,
+              () -> {
+                Set<String> done =
+                    new HashSet<>(
+                        world.state().under("q/job/").stream()
+                            .filter(
+                                key ->
+                                    String.valueOf(world.state().value(key)).contains("phase=done"))
+                            .toList());
                 if (seen.addAll(done) && !what.equals("NONE")) {
-                    world.time().after(after, () -> {
-                        for (int node = 0; node < world.nodeCount() && !what.equals("LATE"); node++) {
-                            if (what.equals("ALL") || node == world.leader()) {
+                  world
+                      .time()
+                      .after(
+                          after,
+                          () -> {
+                            for (int node = 0;
+                                node < world.nodeCount() && !what.equals("LATE");
+                                node++) {
+                              if (what.equals("ALL") || node == world.leader()) {
                                 world.crash(node);
+                              }
                             }
-                        }
-                    });
+                          });
                 }
-            });
-        }
-        runUntil(what.equals("NONE") ? 60 : 160);
-        assertTold("done", 1, 2, 3, 4, 5, 101, 102, 103, 104, 105);
+              });
     }
+    runUntil(what.equals("NONE") ? 60 : 160);
+    assertTold("done", 1, 2, 3, 4, 5, 101, 102, 103, 104, 105);
+  }
 
-    /** At each stage one job is cancelled, or the leader ends as it is; what needs it is cancelled, what does not is done. */
-    @ParameterizedTest
-    @CsvSource({"1, 6.5, false", "1, 10, true", "2, 12.5, true", "2, 15, false", "4, 7, false", "4, 18, true"})
-    void whatNeedsACancelledJobIsCancelled(int which, double at, boolean leaderEnds) {
-        world.time().at(6, () -> diamond(1));
-        world.time().at(at, () -> {
-            cancel(id(which));
-            if (leaderEnds) {
+  /**
+   * At each stage one job is cancelled, or the leader ends as it is; what needs it is cancelled,
+   * what does not is done.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "1, 6.5, false",
+    "1, 10, true",
+    "2, 12.5, true",
+    "2, 15, false",
+    "4, 7, false",
+    "4, 18, true"
+  })
+  void whatNeedsACancelledJobIsCancelled(int which, double at, boolean leaderEnds) {
+    world.time().at(6, () -> diamond(1));
+    world
+        .time()
+        .at(
+            at,
+            () -> {
+              cancel(id(which));
+              if (leaderEnds) {
                 world.crash(world.leader());
-            }
-        });
-        world.time().at(25, () -> submitWhenKnown(job(9, which, 1)));
-        runUntil(110);
-        boolean wasDone = "done".equals(world.users().told().get(id(which)));
-        for (JobId id : jobs.keySet()) {
-            boolean needs = id.equals(id(which)) || allBefore(id).contains(id(which));
-            assertEquals(needs && !wasDone ? "cancelled" : "done", world.users().told().get(id), id.text());
-        }
+              }
+            });
+    world.time().at(25, () -> submitWhenKnown(job(9, which, 1)));
+    runUntil(110);
+    boolean wasDone = "done".equals(world.users().told().get(id(which)));
+    for (JobId id : jobs.keySet()) {
+      boolean needs = id.equals(id(which)) || allBefore(id).contains(id(which));
+      assertEquals(
+          needs && !wasDone ? "cancelled" : "done", world.users().told().get(id), id.text());
     }
+  }
 
-    private void post(int node, Job job, Consumer<HttpResponse> reply) {
-        world.ask(node, HttpRequest.post(JobCodec.JOBS, Json.write(JobCodec.submission(job))), reply);
-    }
+  private void post(int node, Job job, Consumer<HttpResponse> reply) {
+    world.ask(node, HttpRequest.post(JobCodec.JOBS, Json.write(JobCodec.submission(job))), reply);
+  }
 
-    /** As a user does: one who is told to come back does. */
-    private void postUntilTaken(int node, Job job, Consumer<HttpResponse> reply) {
-        post(node, job, answer -> {
-            if (answer.status() == 503) {
-                world.time().after(1, () -> postUntilTaken(node, job, reply));
-            } else {
-                reply.accept(answer);
-            }
+  /** As a user does: one who is told to come back does. */
+  private void postUntilTaken(int node, Job job, Consumer<HttpResponse> reply) {
+    post(
+        node,
+        job,
+        answer -> {
+          if (answer.status() == 503) {
+            world.time().after(1, () -> postUntilTaken(node, job, reply));
+          } else {
+            reply.accept(answer);
+          }
         });
-    }
+  }
 
-    /** What was accepted a moment ago at another controller is known; what nobody accepted is said to be unknown, and only if that is sure. */
-    @Test
-    void whatAJobNamesIsLookedForInWhatIsDurableNow() {
-        Map<String, Integer> answers = new TreeMap<>();
-        Map<String, Integer> refusals = new TreeMap<>();
-        // 200 is as good as 201: what was accepted with others is looked up.
-        Consumer<HttpResponse> count = answer -> answers.merge(answer.status() < 300 ? "accepted" : "" + answer.status(), 1, Integer::sum);
-        for (int i = 0; i < 60; i++) {
-            int number = 10 * i;
-            world.time().at(10 + 0.31 * i, () -> post(number % 3, job(number), first -> {
-                assertTrue(first.status() < 300, "" + first.status());
-                postUntilTaken((number + 1) % 3, job(number + 1, number), count);
-                postUntilRefused((number + 2) % 3, job(number + 2, number + 9), refusals);
-            }));
-        }
-        world.time().runUntil(35);
-        assertEquals(Map.of("accepted", 60), answers);
-        assertEquals(60, refusals.get("422"));
-        world.time().at(36, () -> postUntilRefused(0, job(901, 0, 902), refusals));
-        world.time().at(37, () -> postUntilRefused(0, job(903, 903), refusals));
-        world.time().at(37.2, () -> post(0, job(906, Shape.SERVICE, 1, 1), answer -> assertTrue(answer.status() < 300)));
-        world.time().at(37.5, () -> postUntilRefused(0, job(907, 906), refusals));
-        world.time().at(38, () -> post(1, job(1, 999, 1), count)); // accepted before, whatever its repetition says
-        world.time().at(50, () -> world.state().outage(6));
-        world.time().at(51, () -> post(0, job(904, 905), count));
-        world.time().runUntil(60);
-        assertEquals(Map.of("accepted", 61, "503", 1), answers);
-        assertEquals(63, refusals.get("422"));
-        assertTrue(refusals.getOrDefault("503", 0) <= 4, refusals.toString()); // one packet in a hundred takes seconds
-        assertEquals(List.of(), world.rules().broken());
+  /**
+   * What was accepted a moment ago at another controller is known; what nobody accepted is said to
+   * be unknown, and only if that is sure.
+   */
+  @Test
+  void whatAJobNamesIsLookedForInWhatIsDurableNow() {
+    Map<String, Integer> answers = new TreeMap<>();
+    Map<String, Integer> refusals = new TreeMap<>();
+    // 200 is as good as 201: what was accepted with others is looked up.
+    Consumer<HttpResponse> count =
+        answer ->
+            answers.merge(
+                answer.status() < 300 ? "accepted" : "" + answer.status(), 1, Integer::sum);
+    for (int i = 0; i < 60; i++) {
+      int number = 10 * i;
+      world
+          .time()
+          .at(
+              10 + 0.31 * i,
+              () ->
+                  post(
+                      number % 3,
+                      job(number),
+                      first -> {
+                        assertTrue(first.status() < 300, "" + first.status());
+                        postUntilTaken((number + 1) % 3, job(number + 1, number), count);
+                        postUntilRefused((number + 2) % 3, job(number + 2, number + 9), refusals);
+                      }));
     }
+    world.time().runUntil(35);
+    assertEquals(Map.of("accepted", 60), answers);
+    assertEquals(60, refusals.get("422"));
+    world.time().at(36, () -> postUntilRefused(0, job(901, 0, 902), refusals));
+    world.time().at(37, () -> postUntilRefused(0, job(903, 903), refusals));
+    world
+        .time()
+        .at(
+            37.2,
+            () ->
+                post(
+                    0, job(906, Shape.SERVICE, 1, 1), answer -> assertTrue(answer.status() < 300)));
+    world.time().at(37.5, () -> postUntilRefused(0, job(907, 906), refusals));
+    world
+        .time()
+        .at(
+            38,
+            () -> post(1, job(1, 999, 1), count)); // accepted before, whatever its repetition says
+    world.time().at(50, () -> world.state().outage(6));
+    world.time().at(51, () -> post(0, job(904, 905), count));
+    world.time().runUntil(60);
+    assertEquals(Map.of("accepted", 61, "503", 1), answers);
+    assertEquals(63, refusals.get("422"));
+    assertTrue(
+        refusals.getOrDefault("503", 0) <= 4,
+        refusals.toString()); // one packet in a hundred takes seconds
+    assertEquals(List.of(), world.rules().broken());
+  }
 
-    /** Who cannot be sure may say so and is asked again; the verdict is 422, and never an acceptance. */
-    private void postUntilRefused(int node, Job job, Map<String, Integer> refusals) {
-        post(node, job, answer -> {
-            assertTrue(Set.of(422, 503).contains(answer.status()), "" + answer.status());
-            refusals.merge("" + answer.status(), 1, Integer::sum);
-            if (answer.status() == 503) {
-                world.time().after(1, () -> postUntilRefused(node, job, refusals));
-            }
+  /**
+   * Who cannot be sure may say so and is asked again; the verdict is 422, and never an acceptance.
+   */
+  private void postUntilRefused(int node, Job job, Map<String, Integer> refusals) {
+    post(
+        node,
+        job,
+        answer -> {
+          assertTrue(Set.of(422, 503).contains(answer.status()), "" + answer.status());
+          refusals.merge("" + answer.status(), 1, Integer::sum);
+          if (answer.status() == 503) {
+            world.time().after(1, () -> postUntilRefused(node, job, refusals));
+          }
         });
-    }
+  }
 
-    private void askUntilTold(int number, Consumer<String> told) {
-        world.ask(number % world.nodeCount(), HttpRequest.get(JobCodec.JOBS + "/" + id(number)), answer -> {
-            if (answer.status() == 503) {
-                world.time().after(1, () -> askUntilTold(number, told));
-            } else {
-                told.accept(new String(answer.body(), StandardCharsets.UTF_8).replaceAll(".*\"Status\":\"([a-z]*)\".*", "$1"));
-            }
+  private void askUntilTold(int number, Consumer<String> told) {
+    world.ask(
+        number % world.nodeCount(),
+        HttpRequest.get(JobCodec.JOBS + "/" + id(number)),
+        answer -> {
+          if (answer.status() == 503) {
+            world.time().after(1, () -> askUntilTold(number, told));
+          } else {
+            told.accept(
+                new String(answer.body(), StandardCharsets.UTF_8)
+                    .replaceAll(".*\"Status\":\"([a-z]*)\".*", "$1"));
+          }
         });
-    }
+  }
 
-    /** Of a chain of 2,000 the head is cancelled while nobody can write: once it is told, each controller says so of all the others. */
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void aLongChainIsCancelledFromItsHead(boolean allRestart) throws BadMessage {
-        int length = 2000;
-        world.around().tasks().runsLonger(id(0).task(0), 300);
-        submitWhenKnown(job(0, Shape.ARRAY, 2, 1));
-        runUntil(5);
-        for (int i = 1; i < length; i++) {
-            Job job = job(i, i - 1);
-            jobs.put(job.id(), job);
-            world.users().upload(job);
-            world.state().write(Keys.job(job.id()), Json.parse(Json.write(JobRecord.open(job, (long) (World.EPOCH_S * 1000)))));
-        }
-        world.time().at(6, () -> world.state().outage(9));
-        world.time().at(7, () -> world.users().cancel(id(0)));
-        if (allRestart) {
-            world.time().at(8, () -> {
+  /**
+   * Of a chain of 2,000 the head is cancelled while nobody can write: once it is told, each
+   * controller says so of all the others.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void aLongChainIsCancelledFromItsHead(boolean allRestart) throws BadMessage {
+    int length = 2000;
+    world.around().tasks().runsLonger(id(0).task(0), 300);
+    submitWhenKnown(job(0, Shape.ARRAY, 2, 1));
+    runUntil(5);
+    for (int i = 1; i < length; i++) {
+      Job job = job(i, i - 1);
+      jobs.put(job.id(), job);
+      world.users().upload(job);
+      world
+          .state()
+          .write(
+              Keys.job(job.id()),
+              Json.parse(Json.write(JobRecord.open(job, (long) (World.EPOCH_S * 1000)))));
+    }
+    world.time().at(6, () -> world.state().outage(9));
+    world.time().at(7, () -> world.users().cancel(id(0)));
+    if (allRestart) {
+      world
+          .time()
+          .at(
+              8,
+              () -> {
                 for (int node = 0; node < world.nodeCount(); node++) {
-                    world.crash(node);
+                  world.crash(node);
                 }
-            });
-        }
-        while (!"cancelled".equals(world.users().told().get(id(0)))) {
-            world.time().runUntil(world.time().seconds() + 0.1);
-            assertTrue(world.time().seconds() < 90, "never told");
-        }
-        Map<String, Integer> said = new TreeMap<>();
-        double until = world.time().seconds() + world.site().workers().cancel().seconds();
-        for (int i = 0; i < length; i++) {
-            int number = i;
-            world.time().after(1 + 0.01 * i, () -> askUntilTold(number, state -> said.merge(state, 1, Integer::sum)));
-        }
-        world.time().runUntil(until);
-        assertEquals(Map.of("cancelled", length), said);
-        assertEquals(1, world.state().under("q/job/").stream()
-                .filter(key -> String.valueOf(world.state().value(key)).contains("phase=cancelled")).count());
-        assertEquals(List.of(), world.rules().broken());
+              });
+    }
+    while (!"cancelled".equals(world.users().told().get(id(0)))) {
+      world.time().runUntil(world.time().seconds() + 0.1);
+      assertTrue(world.time().seconds() < 90, "never told");
     }
+    Map<String, Integer> said = new TreeMap<>();
+    double until = world.time().seconds() + world.site().workers().cancel().seconds();
+    for (int i = 0; i < length; i++) {
+      int number = i;
+      world
+          .time()
+          .after(
+              1 + 0.01 * i,
+              () -> askUntilTold(number, state -> said.merge(state, 1, Integer::sum)));
+    }
+    world.time().runUntil(until);
+    assertEquals(Map.of("cancelled", length), said);
+    assertEquals(
+        1,
+        world.state().under("q/job/").stream()
+            .filter(key -> String.valueOf(world.state().value(key)).contains("phase=cancelled"))
+            .count());
+    assertEquals(List.of(), world.rules().broken());
+  }
 
-    /** One job waits for 600, and 600 for that one; the first names more than a record has room for. */
-    @Test
-    void oneWaitsForManyAndManyForOne() {
-        int many = 600;
-        Integer[] all = new Integer[many];
-        for (int i = 0; i < many; i++) {
-            all[i] = 10_000 + i;
-            Job first = job(10_000 + i, Shape.ARRAY, 1, 0.1);
-            world.time().at(5 + 0.02 * i, () -> submitWhenKnown(first));
-        }
-        world.time().at(6, () -> submitWhenKnown(job(1, Shape.ARRAY, 1, 0.1, all)));
-        for (int i = 0; i < many; i++) {
-            Job last = job(20_000 + i, Shape.ARRAY, 1, 0.1, 1);
-            world.time().at(20 + 0.02 * i, () -> submitWhenKnown(last));
-        }
-        world.time().at(30, () -> world.crash(world.leader()));
-        world.time().runUntil(150);
-        look();
-        assertEquals(List.of(), broken);
-        assertEquals(List.of(), world.rules().broken());
-        assertTrue(world.state().under("q/after/").size() > 1);
-        assertEquals(Map.of("done", 2L * many + 1), world.users().told().values().stream()
-                .collect(Collectors.groupingBy(state -> state, Collectors.counting())));
+  /**
+   * One job waits for 600, and 600 for that one; the first names more than a record has room for.
+   */
+  @Test
+  void oneWaitsForManyAndManyForOne() {
+    int many = 600;
+    Integer[] all = new Integer[many];
+    for (int i = 0; i < many; i++) {
+      all[i] = 10_000 + i;
+      Job first = job(10_000 + i, Shape.ARRAY, 1, 0.1);
+      world.time().at(5 + 0.02 * i, () -> submitWhenKnown(first));
+    }
+    world.time().at(6, () -> submitWhenKnown(job(1, Shape.ARRAY, 1, 0.1, all)));
+    for (int i = 0; i < many; i++) {
+      Job last = job(20_000 + i, Shape.ARRAY, 1, 0.1, 1);
+      world.time().at(20 + 0.02 * i, () -> submitWhenKnown(last));
     }
+    world.time().at(30, () -> world.crash(world.leader()));
+    world.time().runUntil(150);
+    look();
+    assertEquals(List.of(), broken);
+    assertEquals(List.of(), world.rules().broken());
+    assertTrue(world.state().under("q/after/").size() > 1);
+    assertEquals(
+        Map.of("done", 2L * many + 1),
+        world.users().told().values().stream()
+            .collect(Collectors.groupingBy(state -> state, Collectors.counting())));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/PipelineDayTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineDayTest.java
@@ -6,11 +6,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days with pipelines drawn from fixed seeds, among all troubles: no task too early, no job orphaned, and all work gets done. */
+/**
+ * Days with pipelines drawn from fixed seeds, among all troubles: no task too early, no job
+ * orphaned, and all work gets done.
+ */
 class PipelineDayTest {
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
-    void keepsTheRulesAndFinishesTheWork(long seed) {
-        assertEquals(List.of(), Day.ofPipelines(seed).play());
-    }
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void keepsTheRulesAndFinishesTheWork(long seed) {
+    assertEquals(List.of(), Day.ofPipelines(seed).play());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/PipelineDays.java
+++ b/src/test/java/org/quincecross/emulator/PipelineDays.java
@@ -8,72 +8,87 @@
 import org.quincecross.model.Shape;
 
 /**
- * Pipelines drawn beside the jobs of a {@link Day}, from a source of their own: half of them have one of their jobs cancelled, at any
- * time or at the moment at which its last task ends; and some jobs name one that nobody submitted.
+ * Pipelines drawn beside the jobs of a {@link Day}, from a source of their own: half of them have
+ * one of their jobs cancelled, at any time or at the moment at which its last task ends; and some
+ * jobs name one that nobody submitted.
  */
 final class PipelineDays {
-    private static final int PIPELINES = 9;
-    private static final int STRANGERS = 3;
-    private static final int FIRST_NUMBER = 700_000;
-    private static final double LOOK_S = 0.02;
+  private static final int PIPELINES = 9;
+  private static final int STRANGERS = 3;
+  private static final int FIRST_NUMBER = 700_000;
+  private static final double LOOK_S = 0.02;
 
-    private final World world;
-    private final Random random;
-    private final double fromS;
-    private final double untilS;
-    private final PipelineDraws draws;
-    private final List<JobId> drawn = new ArrayList<>();
+  private final World world;
+  private final Random random;
+  private final double fromS;
+  private final double untilS;
+  private final PipelineDraws draws;
+  private final List<JobId> drawn = new ArrayList<>();
 
-    private PipelineDays(World world, long seed, double fromS, double untilS) {
-        this.world = world;
-        this.random = new Random(seed * 37 + 11);
-        this.fromS = fromS;
-        this.untilS = untilS;
-        this.draws = new PipelineDraws(random, List.copyOf(world.site().teams().keySet()), new Resources(1, 0, 2), FIRST_NUMBER);
-    }
+  private PipelineDays(World world, long seed, double fromS, double untilS) {
+    this.world = world;
+    this.random = new Random(seed * 37 + 11);
+    this.fromS = fromS;
+    this.untilS = untilS;
+    this.draws =
+        new PipelineDraws(
+            random,
+            List.copyOf(world.site().teams().keySet()),
+            new Resources(1, 0, 2),
+            FIRST_NUMBER);
+  }
 
-    /** For {@link Day#with}. */
-    static void on(World world, long seed) {
-        between(world, seed, 5, 140);
-    }
+  /** For {@link Day#with}. */
+  static void on(World world, long seed) {
+    between(world, seed, 5, 140);
+  }
 
-    /** Pipelines are submitted in that time, in seconds. */
-    static void between(World world, long seed, double fromS, double untilS) {
-        PipelineDays days = new PipelineDays(world, seed, fromS, untilS);
-        for (int i = 0; i < PIPELINES; i++) {
-            world.time().at(days.moment(), days::pipeline);
-        }
-        for (int i = 0; i < STRANGERS; i++) {
-            world.time().at(days.moment(), () -> world.users().submit(days.draws.lone(new JobId("job-9" + days.random.nextInt(99)))));
-        }
+  /** Pipelines are submitted in that time, in seconds. */
+  static void between(World world, long seed, double fromS, double untilS) {
+    PipelineDays days = new PipelineDays(world, seed, fromS, untilS);
+    for (int i = 0; i < PIPELINES; i++) {
+      world.time().at(days.moment(), days::pipeline);
     }
-
-    private double moment() {
-        return fromS + random.nextDouble() * (untilS - fromS);
+    for (int i = 0; i < STRANGERS; i++) {
+      world
+          .time()
+          .at(
+              days.moment(),
+              () ->
+                  world
+                      .users()
+                      .submit(days.draws.lone(new JobId("job-9" + days.random.nextInt(99)))));
     }
+  }
 
-    private void pipeline() {
-        List<JobId> earlier = new ArrayList<>(drawn);
-        world.users().told().keySet().stream().filter(id -> world.job(id).shape() != Shape.SERVICE && !world.users().isMistaken(id)).forEach(earlier::add);
-        List<Pipelines.Step> steps = draws.draw(earlier);
-        for (Pipelines.Step step : steps) {
-            drawn.add(step.job().id());
-            world.around().pipelines().submit(step);
-        }
-        JobId cancelled = steps.get(random.nextInt(steps.size())).job().id();
-        double later = 1 + random.nextDouble() * 50;
-        switch (random.nextInt(4)) {
-            case 0 -> world.time().after(later, () -> world.users().cancel(cancelled));
-            case 1 -> cancelAtItsEnd(cancelled);
-            default -> { }
-        }
+  private double moment() {
+    return fromS + random.nextDouble() * (untilS - fromS);
+  }
+
+  private void pipeline() {
+    List<JobId> earlier = new ArrayList<>(drawn);
+    world.users().told().keySet().stream()
+        .filter(id -> world.job(id).shape() != Shape.SERVICE && !world.users().isMistaken(id))
+        .forEach(earlier::add);
+    List<Pipelines.Step> steps = draws.draw(earlier);
+    for (Pipelines.Step step : steps) {
+      drawn.add(step.job().id());
+      world.around().pipelines().submit(step);
+    }
+    JobId cancelled = steps.get(random.nextInt(steps.size())).job().id();
+    double later = 1 + random.nextDouble() * 50;
+    switch (random.nextInt(4)) {
+      case 0 -> world.time().after(later, () -> world.users().cancel(cancelled));
+      case 1 -> cancelAtItsEnd(cancelled);
+      default -> {}
     }
+  }
 
-    private void cancelAtItsEnd(JobId id) {
-        if (world.rules().isComplete(id)) {
-            world.users().cancel(id);
-        } else if (world.rules().cancelledAt(id) == null && world.time().seconds() < untilS + 60) {
-            world.time().after(LOOK_S, () -> cancelAtItsEnd(id));
-        }
+  private void cancelAtItsEnd(JobId id) {
+    if (world.rules().isComplete(id)) {
+      world.users().cancel(id);
+    } else if (world.rules().cancelledAt(id) == null && world.time().seconds() < untilS + 60) {
+      world.time().after(LOOK_S, () -> cancelAtItsEnd(id));
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
@@ -26,312 +26,482 @@
 import org.quincecross.wire.JobCodec;
 import org.quincecross.wire.Json;
 
-/** Jobs that wait for others where troubles meet their ends, with three controllers in virtual time. */
+/**
+ * Jobs that wait for others where troubles meet their ends, with three controllers in virtual time.
+ */
 class PipelineEndsTest {
-    private static final JobId FIRST = new JobId("job-1");
-    private static final JobId MIDDLE = new JobId("job-2");
-    private static final JobId LAST = new JobId("job-3");
-    private static final double LOOK_S = 0.005;
+  private static final JobId FIRST = new JobId("job-1");
+  private static final JobId MIDDLE = new JobId("job-2");
+  private static final JobId LAST = new JobId("job-3");
+  private static final double LOOK_S = 0.005;
 
-    private World world = new World(Site.tryOut(30, true), 3, Meter.OFF);
+  private World world = new World(Site.tryOut(30, true), 3, Meter.OFF);
 
-    // ---- what users do, each at a controller of the test's choice ----
+  // ---- what users do, each at a controller of the test's choice ----
 
-    private static Job job(JobId id, int tasks, double seconds, JobId... waitsOn) {
-        return new Job(id, "pipeline", "batch", Shape.ARRAY, Rank.NORMAL, tasks, new Resources(0.5, 0, 1), null, null, false, false, false, "img", 0.2,
-                Span.ofSeconds(seconds), Span.ZERO, Span.ZERO, null, Set.of(waitsOn));
-    }
+  private static Job job(JobId id, int tasks, double seconds, JobId... waitsOn) {
+    return new Job(
+        id,
+        "pipeline",
+        "batch",
+        Shape.ARRAY,
+        Rank.NORMAL,
+        tasks,
+        new Resources(0.5, 0, 1),
+        null,
+        null,
+        false,
+        false,
+        false,
+        "img",
+        0.2,
+        Span.ofSeconds(seconds),
+        Span.ZERO,
+        Span.ZERO,
+        null,
+        Set.of(waitsOn));
+  }
 
-    private Pipelines pipelines() {
-        return world.around().pipelines();
-    }
+  private Pipelines pipelines() {
+    return world.around().pipelines();
+  }
 
-    /** Three jobs one after the other. */
-    private void chain(double seconds) {
-        world.users().submit(job(FIRST, 4, seconds));
-        submitLater(job(MIDDLE, 3, 2, FIRST));
-        submitLater(job(LAST, 2, 2, MIDDLE));
-    }
+  /** Three jobs one after the other. */
+  private void chain(double seconds) {
+    world.users().submit(job(FIRST, 4, seconds));
+    submitLater(job(MIDDLE, 3, 2, FIRST));
+    submitLater(job(LAST, 2, 2, MIDDLE));
+  }
 
-    private void submitLater(Job job) {
-        pipelines().submit(new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED));
-    }
+  private void submitLater(Job job) {
+    pipelines().submit(new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED));
+  }
 
-    private void at(BooleanSupplier moment, Runnable what) {
-        if (moment.getAsBoolean()) {
-            what.run();
-        } else {
-            world.time().after(LOOK_S, () -> at(moment, what));
-        }
+  private void at(BooleanSupplier moment, Runnable what) {
+    if (moment.getAsBoolean()) {
+      what.run();
+    } else {
+      world.time().after(LOOK_S, () -> at(moment, what));
     }
+  }
 
-    /** A request is put to a controller, and to the next one a second later, until one of them answers 200 or 201; notes all answers. */
-    private void ask(int node, JobId id, HttpRequest request, List<Integer> answers, Runnable then) {
-        String before = world.rules().lastTold(id);
-        boolean[] answered = new boolean[1];
-        world.ask(node, request, response -> {
-            answered[0] = true;
-            answers.add(response.status());
-            if (response.status() == 200 || response.status() == 201) {
-                tell(id, response.body(), before);
-                then.run();
-            }
+  /**
+   * A request is put to a controller, and to the next one a second later, until one of them answers
+   * 200 or 201; notes all answers.
+   */
+  private void ask(int node, JobId id, HttpRequest request, List<Integer> answers, Runnable then) {
+    String before = world.rules().lastTold(id);
+    boolean[] answered = new boolean[1];
+    world.ask(
+        node,
+        request,
+        response -> {
+          answered[0] = true;
+          answers.add(response.status());
+          if (response.status() == 200 || response.status() == 201) {
+            tell(id, response.body(), before);
+            then.run();
+          }
         });
-        world.time().after(1, () -> {
-            if (!answered[0] || answers.get(answers.size() - 1) > 201) {
+    world
+        .time()
+        .after(
+            1,
+            () -> {
+              if (!answered[0] || answers.get(answers.size() - 1) > 201) {
                 ask((node + 1) % world.nodeCount(), id, request, answers, then);
-            }
-        });
-    }
+              }
+            });
+  }
 
-    private void tell(JobId id, byte[] body, String before) {
-        try {
-            String state = Json.parseFields(body).text("Status");
-            boolean isNew = world.users().told().put(id, state) == null;
-            world.rules().told(id, state, before, world.users().isCancelAsked(id));
-            pipelines().told(id, state);
-            if (isNew) {
-                poll(id);
-            }
-        } catch (BadMessage e) {
-            throw new IllegalStateException(e);
-        }
+  private void tell(JobId id, byte[] body, String before) {
+    try {
+      String state = Json.parseFields(body).text("Status");
+      boolean isNew = world.users().told().put(id, state) == null;
+      world.rules().told(id, state, before, world.users().isCancelAsked(id));
+      pipelines().told(id, state);
+      if (isNew) {
+        poll(id);
+      }
+    } catch (BadMessage e) {
+      throw new IllegalStateException(e);
     }
+  }
 
-    /** Its user asks for it every 3 s, at any controller. */
-    private void poll(JobId id) {
-        world.time().after(3, () -> {
-            String before = world.rules().lastTold(id);
-            world.ask(world.random().nextInt(world.nodeCount()), HttpRequest.get(JobCodec.JOBS + "/" + id), response -> {
-                if (response.status() == 200) {
-                    tell(id, response.body(), before);
-                } else if (response.status() == 404) {
-                    world.rules().refused(id, response.status(), before);
-                }
+  /** Its user asks for it every 3 s, at any controller. */
+  private void poll(JobId id) {
+    world
+        .time()
+        .after(
+            3,
+            () -> {
+              String before = world.rules().lastTold(id);
+              world.ask(
+                  world.random().nextInt(world.nodeCount()),
+                  HttpRequest.get(JobCodec.JOBS + "/" + id),
+                  response -> {
+                    if (response.status() == 200) {
+                      tell(id, response.body(), before);
+                    } else if (response.status() == 404) {
+                      world.rules().refused(id, response.status(), before);
+                    }
+                  });
+              poll(id);
             });
-            poll(id);
-        });
-    }
+  }
 
-    private HttpRequest submission(Job job) {
-        return HttpRequest.post(JobCodec.JOBS, Json.write(JobCodec.submission(job)));
-    }
+  private HttpRequest submission(Job job) {
+    return HttpRequest.post(JobCodec.JOBS, Json.write(JobCodec.submission(job)));
+  }
 
-    private void cancelAt(int node, JobId id) {
-        world.users().noteCancel(id);
-        ask(node, id, HttpRequest.post(JobCodec.JOBS + "/" + id + JobCodec.CANCEL, new byte[0]), new ArrayList<>(), () -> { });
-    }
+  private void cancelAt(int node, JobId id) {
+    world.users().noteCancel(id);
+    ask(
+        node,
+        id,
+        HttpRequest.post(JobCodec.JOBS + "/" + id + JobCodec.CANCEL, new byte[0]),
+        new ArrayList<>(),
+        () -> {});
+  }
 
-    private boolean isDurably(String phase, JobId id) {
-        return world.state().value("q/job/" + id) instanceof Map<?, ?> record && phase.equals(record.get("phase"));
-    }
+  private boolean isDurably(String phase, JobId id) {
+    return world.state().value("q/job/" + id) instanceof Map<?, ?> record
+        && phase.equals(record.get("phase"));
+  }
 
-    private String told(JobId id) {
-        return world.users().told().get(id);
-    }
+  private String told(JobId id) {
+    return world.users().told().get(id);
+  }
 
-    private int other(int node) {
-        return (node + 1) % world.nodeCount();
-    }
+  private int other(int node) {
+    return (node + 1) % world.nodeCount();
+  }
 
-    /** All three are over, and the later ones as the first is. */
-    private void assertAllEndAlike(double untilS) {
-        world.time().runUntil(untilS);
-        assertEquals(List.of(), world.rules().broken());
-        String first = told(FIRST);
-        assertTrue(Set.of("done", "cancelled").contains(first), first);
-        assertEquals(List.of(first, first), List.of(told(MIDDLE), told(LAST)));
-        assertEquals(first.equals("done") ? 3 : 0, world.rules().completedTasks(MIDDLE));
-    }
+  /** All three are over, and the later ones as the first is. */
+  private void assertAllEndAlike(double untilS) {
+    world.time().runUntil(untilS);
+    assertEquals(List.of(), world.rules().broken());
+    String first = told(FIRST);
+    assertTrue(Set.of("done", "cancelled").contains(first), first);
+    assertEquals(List.of(first, first), List.of(told(MIDDLE), told(LAST)));
+    assertEquals(first.equals("done") ? 3 : 0, world.rules().completedTasks(MIDDLE));
+  }
 
-    // ---- the ends of jobs ----
+  // ---- the ends of jobs ----
 
-    /** The last task of a job ends as the job is cancelled at a controller that does not lead, and the one that leads ends. */
-    @ParameterizedTest
-    @CsvSource({"-0.02, 0.01", "0, 0", "0, 0.02", "0.05, -0.03", "0.2, 0.1", "0.6, 0.05", "1, 0"})
-    void theLastTaskEndsAsItsJobIsCancelled(double cancelAfterS, double endAfterS) {
-        int[] leader = new int[1];
-        world.time().at(10, () -> chain(6));
-        world.time().at(10, () -> at(() -> world.rules().isComplete(FIRST), () -> {
-            leader[0] = world.leader();
-            world.time().after(Math.max(0, cancelAfterS), () -> cancelAt(other(leader[0]), FIRST));
-            world.time().after(Math.max(0, cancelAfterS + endAfterS), () -> world.crash(leader[0]));
-        }));
-        assertAllEndAlike(140);
-    }
+  /**
+   * The last task of a job ends as the job is cancelled at a controller that does not lead, and the
+   * one that leads ends.
+   */
+  @ParameterizedTest
+  @CsvSource({"-0.02, 0.01", "0, 0", "0, 0.02", "0.05, -0.03", "0.2, 0.1", "0.6, 0.05", "1, 0"})
+  void theLastTaskEndsAsItsJobIsCancelled(double cancelAfterS, double endAfterS) {
+    int[] leader = new int[1];
+    world.time().at(10, () -> chain(6));
+    world
+        .time()
+        .at(
+            10,
+            () ->
+                at(
+                    () -> world.rules().isComplete(FIRST),
+                    () -> {
+                      leader[0] = world.leader();
+                      world
+                          .time()
+                          .after(
+                              Math.max(0, cancelAfterS), () -> cancelAt(other(leader[0]), FIRST));
+                      world
+                          .time()
+                          .after(
+                              Math.max(0, cancelAfterS + endAfterS), () -> world.crash(leader[0]));
+                    }));
+    assertAllEndAlike(140);
+  }
 
-    /** The leader ends once a job is durably done, before it lets the next one run; what the next leader writes first comes late. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0, 0.005, 0.02, 0.1})
-    void theLeaderEndsBetweenDoneAndTheRelease(double laterS) {
-        boolean[] ended = new boolean[1];
-        int[] late = new int[1];
-        double[] doneAt = new double[1];
-        world.state().late(transaction -> ended[0] && transaction.contains("q/alloc") && late[0]++ < 1 ? 6 : LateWrites.PROMPT);
-        world.time().at(10, () -> chain(6));
-        world.time().at(10, () -> at(() -> isDurably("done", FIRST), () -> world.time().after(laterS, () -> {
-            doneAt[0] = world.time().seconds();
-            ended[0] = true;
-            world.crash(world.leader());
-        })));
-        world.time().at(10, () -> at(() -> world.rules().onMachines(MIDDLE) > 0,
-                () -> assertTrue(world.time().seconds() - doneAt[0] < 25, "released after " + (world.time().seconds() - doneAt[0]))));
-        assertAllEndAlike(140);
-        assertEquals("done", told(LAST));
-    }
+  /**
+   * The leader ends once a job is durably done, before it lets the next one run; what the next
+   * leader writes first comes late.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0, 0.005, 0.02, 0.1})
+  void theLeaderEndsBetweenDoneAndTheRelease(double laterS) {
+    boolean[] ended = new boolean[1];
+    int[] late = new int[1];
+    double[] doneAt = new double[1];
+    world
+        .state()
+        .late(
+            transaction ->
+                ended[0] && transaction.contains("q/alloc") && late[0]++ < 1
+                    ? 6
+                    : LateWrites.PROMPT);
+    world.time().at(10, () -> chain(6));
+    world
+        .time()
+        .at(
+            10,
+            () ->
+                at(
+                    () -> isDurably("done", FIRST),
+                    () ->
+                        world
+                            .time()
+                            .after(
+                                laterS,
+                                () -> {
+                                  doneAt[0] = world.time().seconds();
+                                  ended[0] = true;
+                                  world.crash(world.leader());
+                                })));
+    world
+        .time()
+        .at(
+            10,
+            () ->
+                at(
+                    () -> world.rules().onMachines(MIDDLE) > 0,
+                    () ->
+                        assertTrue(
+                            world.time().seconds() - doneAt[0] < 25,
+                            "released after " + (world.time().seconds() - doneAt[0]))));
+    assertAllEndAlike(140);
+    assertEquals("done", told(LAST));
+  }
 
-    /** A job that only fails keeps all that need it waiting, until it is cancelled. */
-    @Test
-    void aJobThatCanOnlyFailIsCancelledInTheEnd() {
-        world.time().at(10, () -> {
-            world.users().submitMistaken(job(FIRST, 4, 5));
-            submitLater(job(MIDDLE, 3, 2, FIRST));
-            submitLater(job(LAST, 2, 2, MIDDLE));
-        });
-        world.time().at(60, () -> world.crash(world.leader()));
-        world.time().at(80, () -> assertEquals(List.of("queued", "queued"), List.of(told(MIDDLE), told(LAST))));
-        world.time().at(80, () -> cancelAt(other(world.leader()), FIRST));
-        assertAllEndAlike(140);
-        assertEquals("cancelled", told(LAST));
-        assertTrue(world.users().mistakes().get(FIRST) > 0);
-    }
+  /** A job that only fails keeps all that need it waiting, until it is cancelled. */
+  @Test
+  void aJobThatCanOnlyFailIsCancelledInTheEnd() {
+    world
+        .time()
+        .at(
+            10,
+            () -> {
+              world.users().submitMistaken(job(FIRST, 4, 5));
+              submitLater(job(MIDDLE, 3, 2, FIRST));
+              submitLater(job(LAST, 2, 2, MIDDLE));
+            });
+    world.time().at(60, () -> world.crash(world.leader()));
+    world
+        .time()
+        .at(80, () -> assertEquals(List.of("queued", "queued"), List.of(told(MIDDLE), told(LAST))));
+    world.time().at(80, () -> cancelAt(other(world.leader()), FIRST));
+    assertAllEndAlike(140);
+    assertEquals("cancelled", told(LAST));
+    assertTrue(world.users().mistakes().get(FIRST) > 0);
+  }
 
-    // ---- submissions ----
+  // ---- submissions ----
 
-    /** The answer to a submission is lost, another controller says that it is known, and a third is at once given one that names it. */
-    @ParameterizedTest
-    @ValueSource(ints = {0, 1, 2})
-    void theAnswerIsLostAndTheNextIsSubmittedElsewhere(int node) {
-        List<Integer> answers = new ArrayList<>();
-        Job first = job(FIRST, 4, 4);
-        Job middle = job(MIDDLE, 3, 2, FIRST);
-        world.time().at(10, () -> {
-            world.users().upload(first);
-            world.ask(node, submission(first), lost -> { });
-            at(() -> world.state().under("q/").stream().anyMatch(key -> key.contains("bundle") || key.equals("q/job/job-1")), () ->
-                    ask(other(node), FIRST, submission(first), new ArrayList<>(), () -> submitTo(other(other(node)), middle, answers)));
-        });
-        world.time().runUntil(60);
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(List.of(201), answers);
-        assertEquals("done", told(MIDDLE));
-    }
+  /**
+   * The answer to a submission is lost, another controller says that it is known, and a third is at
+   * once given one that names it.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1, 2})
+  void theAnswerIsLostAndTheNextIsSubmittedElsewhere(int node) {
+    List<Integer> answers = new ArrayList<>();
+    Job first = job(FIRST, 4, 4);
+    Job middle = job(MIDDLE, 3, 2, FIRST);
+    world
+        .time()
+        .at(
+            10,
+            () -> {
+              world.users().upload(first);
+              world.ask(node, submission(first), lost -> {});
+              at(
+                  () ->
+                      world.state().under("q/").stream()
+                          .anyMatch(key -> key.contains("bundle") || key.equals("q/job/job-1")),
+                  () ->
+                      ask(
+                          other(node),
+                          FIRST,
+                          submission(first),
+                          new ArrayList<>(),
+                          () -> submitTo(other(other(node)), middle, answers)));
+            });
+    world.time().runUntil(60);
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(201), answers);
+    assertEquals("done", told(MIDDLE));
+  }
 
-    /** A controller that cannot read what was accepted elsewhere says neither that it was nor that it was not. */
-    @ParameterizedTest
-    @ValueSource(ints = {0, 1, 2})
-    void whoCannotReadTheRecordsRefusesForNow(int lone) {
-        List<Integer> answers = new ArrayList<>();
-        Job first = job(FIRST, 4, 4);
-        world.time().at(10, () -> world.state().refuse(Site.nodeName(lone), 6));
-        world.time().at(10.5, () -> {
-            world.users().upload(first);
-            ask(other(lone), FIRST, submission(first), new ArrayList<>(), () -> submitTo(lone, job(MIDDLE, 3, 2, FIRST), answers));
-        });
-        world.time().runUntil(60);
-        assertEquals(List.of(), world.rules().broken());
-        assertTrue(!answers.contains(422) && !answers.contains(400) && answers.contains(201), answers.toString());
-        assertEquals("done", told(MIDDLE));
-    }
+  /**
+   * A controller that cannot read what was accepted elsewhere says neither that it was nor that it
+   * was not.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1, 2})
+  void whoCannotReadTheRecordsRefusesForNow(int lone) {
+    List<Integer> answers = new ArrayList<>();
+    Job first = job(FIRST, 4, 4);
+    world.time().at(10, () -> world.state().refuse(Site.nodeName(lone), 6));
+    world
+        .time()
+        .at(
+            10.5,
+            () -> {
+              world.users().upload(first);
+              ask(
+                  other(lone),
+                  FIRST,
+                  submission(first),
+                  new ArrayList<>(),
+                  () -> submitTo(lone, job(MIDDLE, 3, 2, FIRST), answers));
+            });
+    world.time().runUntil(60);
+    assertEquals(List.of(), world.rules().broken());
+    assertTrue(
+        !answers.contains(422) && !answers.contains(400) && answers.contains(201),
+        answers.toString());
+    assertEquals("done", told(MIDDLE));
+  }
 
-    private void submitTo(int node, Job job, List<Integer> answers) {
-        // Known to the rules as any other, and given to this controller alone at first.
-        world.users().upload(job);
-        pipelines().submitted(job);
-        ask(node, job.id(), submission(job), answers, () -> { });
-    }
+  private void submitTo(int node, Job job, List<Integer> answers) {
+    // Known to the rules as any other, and given to this controller alone at first.
+    world.users().upload(job);
+    pipelines().submitted(job);
+    ask(node, job.id(), submission(job), answers, () -> {});
+  }
 
-    /** At the instant at which a job is durably cancelled or done, and before and after it, each controller gets jobs that name it. */
-    @ParameterizedTest
-    @CsvSource({"done, 0", "done, 0.01", "done, 0.3", "cancelled, -0.02", "cancelled, 0", "cancelled, 0.01", "cancelled, 0.3", "cancelled, 45"})
-    void theNextIsSubmittedAtTheInstantOfTheEnd(String end, double laterS) {
-        List<JobId> next = IntStream.range(100, 103).mapToObj(number -> new JobId("job-" + number)).toList();
-        List<Integer> answers = new ArrayList<>();
-        Runnable submit = () -> next.forEach(id -> submitTo(next.indexOf(id), job(id, 2, 2, FIRST), answers));
-        world.time().at(10, () -> world.users().submit(job(FIRST, 4, end.equals("done") ? 6 : 200)));
-        if (end.equals("cancelled")) {
-            world.time().at(20, () -> cancelAt(other(world.leader()), FIRST));
-            if (laterS < 0) {
-                world.time().at(20 + laterS, submit);
-            }
-        }
-        if (laterS >= 0) {
-            world.time().at(10, () -> at(() -> isDurably(end, FIRST), () -> world.time().after(laterS, submit)));
-        }
-        world.time().runUntil(100);
-        assertEquals(List.of(), world.rules().broken());
-        assertTrue(answers.size() >= next.size() && Set.of(200, 201).containsAll(answers), answers.toString());
-        next.forEach(id -> assertEquals(end, told(id), id.text()));
+  /**
+   * At the instant at which a job is durably cancelled or done, and before and after it, each
+   * controller gets jobs that name it.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "done, 0",
+    "done, 0.01",
+    "done, 0.3",
+    "cancelled, -0.02",
+    "cancelled, 0",
+    "cancelled, 0.01",
+    "cancelled, 0.3",
+    "cancelled, 45"
+  })
+  void theNextIsSubmittedAtTheInstantOfTheEnd(String end, double laterS) {
+    List<JobId> next =
+        IntStream.range(100, 103).mapToObj(number -> new JobId("job-" + number)).toList();
+    List<Integer> answers = new ArrayList<>();
+    Runnable submit =
+        () -> next.forEach(id -> submitTo(next.indexOf(id), job(id, 2, 2, FIRST), answers));
+    world.time().at(10, () -> world.users().submit(job(FIRST, 4, end.equals("done") ? 6 : 200)));
+    if (end.equals("cancelled")) {
+      world.time().at(20, () -> cancelAt(other(world.leader()), FIRST));
+      if (laterS < 0) {
+        world.time().at(20 + laterS, submit);
+      }
+    }
+    if (laterS >= 0) {
+      world
+          .time()
+          .at(10, () -> at(() -> isDurably(end, FIRST), () -> world.time().after(laterS, submit)));
     }
+    world.time().runUntil(100);
+    assertEquals(List.of(), world.rules().broken());
+    assertTrue(
+        answers.size() >= next.size() && Set.of(200, 201).containsAll(answers), answers.toString());
+    next.forEach(id -> assertEquals(end, told(id), id.text()));
+  }
 
-    // ---- many ----
+  // ---- many ----
 
-    /** The root of 2,000 jobs, 30 deep, is cancelled and at once the state service is out for longer than a cancellation has. */
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void aCascadeWhileTheStateServiceIsOut(boolean allEnd) {
-        int jobs = 2000;
-        int depth = 30;
-        Random random = new Random(8);
-        List<JobId> all = new ArrayList<>();
-        world.time().at(10, () -> {
-            world.users().submit(job(FIRST, 4, 400));
-            List<JobId> layer = List.of(FIRST);
-            for (int level = 1; level < depth; level++) {
+  /**
+   * The root of 2,000 jobs, 30 deep, is cancelled and at once the state service is out for longer
+   * than a cancellation has.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void aCascadeWhileTheStateServiceIsOut(boolean allEnd) {
+    int jobs = 2000;
+    int depth = 30;
+    Random random = new Random(8);
+    List<JobId> all = new ArrayList<>();
+    world
+        .time()
+        .at(
+            10,
+            () -> {
+              world.users().submit(job(FIRST, 4, 400));
+              List<JobId> layer = List.of(FIRST);
+              for (int level = 1; level < depth; level++) {
                 List<JobId> next = new ArrayList<>();
                 for (int i = 0; i < jobs / (depth - 1); i++) {
-                    JobId id = new JobId("job-" + (10_000 + all.size()));
-                    Set<JobId> names = new TreeSet<>();
-                    for (int n = 0; n < 1 + random.nextInt(2); n++) {
-                        names.add(layer.get(random.nextInt(layer.size())));
-                    }
-                    submitLater(job(id, 1, 2, names.toArray(JobId[]::new)));
-                    next.add(id);
-                    all.add(id);
+                  JobId id = new JobId("job-" + (10_000 + all.size()));
+                  Set<JobId> names = new TreeSet<>();
+                  for (int n = 0; n < 1 + random.nextInt(2); n++) {
+                    names.add(layer.get(random.nextInt(layer.size())));
+                  }
+                  submitLater(job(id, 1, 2, names.toArray(JobId[]::new)));
+                  next.add(id);
+                  all.add(id);
                 }
                 layer = next;
-            }
-        });
-        boolean[] out = new boolean[1];
-        world.time().at(80, () -> {
-            assertTrue(world.users().told().keySet().containsAll(all), world.users().told().size() + " accepted");
-            cancelAt(other(world.leader()), FIRST);
-            at(() -> "cancelled".equals(told(FIRST)), () -> {
-                out[0] = true;
-                world.state().outage(50);
-                if (allEnd) {
-                    world.time().after(55, () -> IntStream.range(0, world.nodeCount()).forEach(world::crash));
-                }
+              }
             });
-        });
-        world.time().runUntil(150);
-        assertTrue(out[0]);
-        world.time().runUntil(175);
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(List.of(), all.stream().filter(id -> !"cancelled".equals(told(id))).toList());
-        assertEquals(0, all.stream().mapToInt(world.rules()::completedTasks).sum());
-    }
+    boolean[] out = new boolean[1];
+    world
+        .time()
+        .at(
+            80,
+            () -> {
+              assertTrue(
+                  world.users().told().keySet().containsAll(all),
+                  world.users().told().size() + " accepted");
+              cancelAt(other(world.leader()), FIRST);
+              at(
+                  () -> "cancelled".equals(told(FIRST)),
+                  () -> {
+                    out[0] = true;
+                    world.state().outage(50);
+                    if (allEnd) {
+                      world
+                          .time()
+                          .after(
+                              55,
+                              () -> IntStream.range(0, world.nodeCount()).forEach(world::crash));
+                    }
+                  });
+            });
+    world.time().runUntil(150);
+    assertTrue(out[0]);
+    world.time().runUntil(175);
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), all.stream().filter(id -> !"cancelled".equals(told(id))).toList());
+    assertEquals(0, all.stream().mapToInt(world.rules()::completedTasks).sum());
+  }
 
-    /** A job that names 1,000, and 1,000 that name one, while the leader ends and a controller begins anew. */
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void aJobThatNamesAThousandAndAThousandThatNameOne(boolean cancels) {
-        List<JobId> many = IntStream.range(0, 1000).mapToObj(i -> new JobId("job-" + (10_000 + i))).toList();
-        List<JobId> after = IntStream.range(0, 1000).mapToObj(i -> new JobId("job-" + (20_000 + i))).toList();
-        world.time().at(10, () -> {
-            many.forEach(id -> world.users().submit(job(id, 1, 1)));
-            submitLater(job(FIRST, 1, 2, many.toArray(JobId[]::new)));
-            after.forEach(id -> submitLater(job(id, 1, 1, FIRST)));
-        });
-        world.time().at(25, () -> world.crash(world.leader()));
-        world.time().at(30, () -> world.crash(other(world.leader())));
-        if (cancels) {
-            at(() -> world.rules().isComplete(many.get(500)), () -> world.users().cancel(many.get(999)));
-        }
-        world.time().runUntil(200);
-        assertEquals(List.of(), world.rules().broken());
-        String last = told(FIRST);
-        assertEquals(Set.of(last), Set.copyOf(after.stream().map(this::told).toList()));
-        assertEquals(told(many.get(999)), last);
+  /**
+   * A job that names 1,000, and 1,000 that name one, while the leader ends and a controller begins
+   * anew.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void aJobThatNamesAThousandAndAThousandThatNameOne(boolean cancels) {
+    List<JobId> many =
+        IntStream.range(0, 1000).mapToObj(i -> new JobId("job-" + (10_000 + i))).toList();
+    List<JobId> after =
+        IntStream.range(0, 1000).mapToObj(i -> new JobId("job-" + (20_000 + i))).toList();
+    world
+        .time()
+        .at(
+            10,
+            () -> {
+              many.forEach(id -> world.users().submit(job(id, 1, 1)));
+              submitLater(job(FIRST, 1, 2, many.toArray(JobId[]::new)));
+              after.forEach(id -> submitLater(job(id, 1, 1, FIRST)));
+            });
+    world.time().at(25, () -> world.crash(world.leader()));
+    world.time().at(30, () -> world.crash(other(world.leader())));
+    if (cancels) {
+      at(() -> world.rules().isComplete(many.get(500)), () -> world.users().cancel(many.get(999)));
     }
+    world.time().runUntil(200);
+    assertEquals(List.of(), world.rules().broken());
+    String last = told(FIRST);
+    assertEquals(Set.of(last), Set.copyOf(after.stream().map(this::told).toList()));
+    assertEquals(told(many.get(999)), last);
+  }
 }
