--- a/src/test/java/org/quincecross/emulator/PipelineRulesTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineRulesTest.java
@@ -15,118 +15,144 @@
 
 /** Each rule of dependent jobs is fed what breaks it, and what just does not. */
 class PipelineRulesTest {
-    private static final JobId FIRST = new JobId("job-1");
-    private static final JobId MIDDLE = new JobId("job-2");
-    private static final JobId LAST = new JobId("job-3");
+  private static final JobId FIRST = new JobId("job-1");
+  private static final JobId MIDDLE = new JobId("job-2");
+  private static final JobId LAST = new JobId("job-3");
 
-    /** Of the controllers of this world nothing is heard: what happens is said by the test alone. */
-    private final World world = new World(1);
-    private final Rules rules = world.rules();
-    private Machine machine;
+  /** Of the controllers of this world nothing is heard: what happens is said by the test alone. */
+  private final World world = new World(1);
 
-    PipelineRulesTest() {
-        world.time().runUntil(4);
-        for (int node = 0; node < world.nodeCount(); node++) {
-            world.down(node, 100_000);
-        }
-        machine = world.cloud().workers().get(0).machine();
-        world.users().submit(job(FIRST, 2));
-        world.users().submit(job(MIDDLE, 1, FIRST));
-        world.users().submit(job(LAST, 1, MIDDLE));
-    }
+  private final Rules rules = world.rules();
+  private Machine machine;
 
-    private static Job job(JobId id, int tasks, JobId... waitsOn) {
-        return new Job(id, "pipeline", "red", Shape.ARRAY, Rank.NORMAL, tasks, new Resources(1, 0, 1), null, null, false, false, true, "img-0", 1,
-                Span.ofSeconds(5), Span.ZERO, Span.ZERO, null, Set.of(waitsOn));
+  PipelineRulesTest() {
+    world.time().runUntil(4);
+    for (int node = 0; node < world.nodeCount(); node++) {
+      world.down(node, 100_000);
     }
+    machine = world.cloud().workers().get(0).machine();
+    world.users().submit(job(FIRST, 2));
+    world.users().submit(job(MIDDLE, 1, FIRST));
+    world.users().submit(job(LAST, 1, MIDDLE));
+  }
 
-    private void tell(JobId id, String state, boolean asked) {
-        world.users().told().put(id, state);
-        rules.told(id, state, null, asked);
-        world.around().pipelines().told(id, state);
-    }
+  private static Job job(JobId id, int tasks, JobId... waitsOn) {
+    return new Job(
+        id,
+        "pipeline",
+        "red",
+        Shape.ARRAY,
+        Rank.NORMAL,
+        tasks,
+        new Resources(1, 0, 1),
+        null,
+        null,
+        false,
+        false,
+        true,
+        "img-0",
+        1,
+        Span.ofSeconds(5),
+        Span.ZERO,
+        Span.ZERO,
+        null,
+        Set.of(waitsOn));
+  }
 
-    private void assertBroken(String... rulesInOrder) {
-        assertEquals(List.of(rulesInOrder), rules.broken().stream().map(each -> each.substring(0, each.indexOf(' '))).toList(), rules.broken().toString());
-    }
+  private void tell(JobId id, String state, boolean asked) {
+    world.users().told().put(id, state);
+    rules.told(id, state, null, asked);
+    world.around().pipelines().told(id, state);
+  }
 
-    private void later(double seconds) {
-        world.time().runUntil(world.time().seconds() + seconds);
-    }
+  private void assertBroken(String... rulesInOrder) {
+    assertEquals(
+        List.of(rulesInOrder),
+        rules.broken().stream().map(each -> each.substring(0, each.indexOf(' '))).toList(),
+        rules.broken().toString());
+  }
 
-    @Test
-    void aTaskStartsBeforeTheLastTaskOfTheJobBefore() {
-        rules.on(FIRST.task(0), machine);
-        rules.completed(FIRST.task(0));
-        assertBroken();
-        rules.on(MIDDLE.task(0), machine);
-        assertBroken("too_early");
-        rules.completed(FIRST.task(1));
-        rules.off(MIDDLE.task(0), machine.id());
-        rules.on(MIDDLE.task(0), machine);
-        assertBroken("too_early");
-        world.users().submit(job(new JobId("job-4"), 1, new JobId("job-77")));
-        rules.on(new JobId("job-4").task(0), machine);
-        assertBroken("too_early", "too_early");
-    }
+  private void later(double seconds) {
+    world.time().runUntil(world.time().seconds() + seconds);
+  }
 
-    @Test
-    void aJobIsCalledQueuedLongAfterOneBeforeItWasCancelled() {
-        world.users().noteCancel(FIRST);
-        tell(FIRST, "cancelled", true);
-        later(35.9);
-        tell(LAST, "queued", false);
-        assertBroken();
-        later(0.2);
-        tell(LAST, "queued", false);
-        tell(LAST, "running", false);
-        assertBroken("orphaned");
-        // One that is submitted only now is told at once.
-        JobId late = new JobId("job-4");
-        world.users().submit(job(late, 1, LAST));
-        tell(late, "cancelled", false);
-        assertBroken("orphaned");
-        tell(late, "queued", false);
-        assertBroken("orphaned", "orphaned");
-    }
+  @Test
+  void aTaskStartsBeforeTheLastTaskOfTheJobBefore() {
+    rules.on(FIRST.task(0), machine);
+    rules.completed(FIRST.task(0));
+    assertBroken();
+    rules.on(MIDDLE.task(0), machine);
+    assertBroken("too_early");
+    rules.completed(FIRST.task(1));
+    rules.off(MIDDLE.task(0), machine.id());
+    rules.on(MIDDLE.task(0), machine);
+    assertBroken("too_early");
+    world.users().submit(job(new JobId("job-4"), 1, new JobId("job-77")));
+    rules.on(new JobId("job-4").task(0), machine);
+    assertBroken("too_early", "too_early");
+  }
 
-    @Test
-    void aTaskIsOnAMachineLongAfterAJobBeforeItWasCancelled() {
-        List.of(0, 1).forEach(i -> rules.completed(FIRST.task(i)));
-        rules.completed(MIDDLE.task(0));
-        rules.on(LAST.task(0), machine);
-        world.users().noteCancel(MIDDLE);
-        tell(MIDDLE, "cancelled", true);
-        later(35);
-        assertBroken();
-        later(3);
-        assertBroken("ran_cancelled");
-    }
+  @Test
+  void aJobIsCalledQueuedLongAfterOneBeforeItWasCancelled() {
+    world.users().noteCancel(FIRST);
+    tell(FIRST, "cancelled", true);
+    later(35.9);
+    tell(LAST, "queued", false);
+    assertBroken();
+    later(0.2);
+    tell(LAST, "queued", false);
+    tell(LAST, "running", false);
+    assertBroken("orphaned");
+    // One that is submitted only now is told at once.
+    JobId late = new JobId("job-4");
+    world.users().submit(job(late, 1, LAST));
+    tell(late, "cancelled", false);
+    assertBroken("orphaned");
+    tell(late, "queued", false);
+    assertBroken("orphaned", "orphaned");
+  }
 
-    @Test
-    void aJobIsCancelledWithTheOneBeforeItAndNotWithoutIt() {
-        tell(LAST, "cancelled", false);
-        assertBroken("went_back");
-        world.users().noteCancel(FIRST);
-        tell(MIDDLE, "cancelled", false); // whoever told it knew of the cancellation before its user did
-        assertBroken("went_back");
-        rules.completed(FIRST.task(0));
-        rules.completed(FIRST.task(1));
-        tell(FIRST, "done", true);
-        assertBroken("went_back", "went_back", "went_back"); // both are called cancelled, and nothing that they need is
-    }
+  @Test
+  void aTaskIsOnAMachineLongAfterAJobBeforeItWasCancelled() {
+    List.of(0, 1).forEach(i -> rules.completed(FIRST.task(i)));
+    rules.completed(MIDDLE.task(0));
+    rules.on(LAST.task(0), machine);
+    world.users().noteCancel(MIDDLE);
+    tell(MIDDLE, "cancelled", true);
+    later(35);
+    assertBroken();
+    later(3);
+    assertBroken("ran_cancelled");
+  }
 
-    @Test
-    void aSubmissionThatNamesAnUnknownJobIsAcceptedOrOneThatNamesAKnownOneIsNot() {
-        PipelineRules pipelines = world.around().pipelineRules();
-        pipelines.answered(MIDDLE, 422);
-        assertBroken();
-        pipelines.answered(MIDDLE, 201);
-        assertBroken("names_unknown");
-        tell(FIRST, "queued", false);
-        pipelines.answered(MIDDLE, 200);
-        assertBroken("names_unknown");
-        pipelines.answered(MIDDLE, 400);
-        assertBroken("names_unknown", "refused");
-    }
+  @Test
+  void aJobIsCancelledWithTheOneBeforeItAndNotWithoutIt() {
+    tell(LAST, "cancelled", false);
+    assertBroken("went_back");
+    world.users().noteCancel(FIRST);
+    tell(
+        MIDDLE, "cancelled", false); // whoever told it knew of the cancellation before its user did
+    assertBroken("went_back");
+    rules.completed(FIRST.task(0));
+    rules.completed(FIRST.task(1));
+    tell(FIRST, "done", true);
+    assertBroken(
+        "went_back",
+        "went_back",
+        "went_back"); // both are called cancelled, and nothing that they need is
+  }
+
+  @Test
+  void aSubmissionThatNamesAnUnknownJobIsAcceptedOrOneThatNamesAKnownOneIsNot() {
+    PipelineRules pipelines = world.around().pipelineRules();
+    pipelines.answered(MIDDLE, 422);
+    assertBroken();
+    pipelines.answered(MIDDLE, 201);
+    assertBroken("names_unknown");
+    tell(FIRST, "queued", false);
+    pipelines.answered(MIDDLE, 200);
+    assertBroken("names_unknown");
+    pipelines.answered(MIDDLE, 400);
+    assertBroken("names_unknown", "refused");
+  }
 }
--- a/src/test/java/org/quincecross/emulator/PipelineUpgradeTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineUpgradeTest.java
@@ -15,68 +15,103 @@
 import org.quincecross.wire.Features;
 import org.quincecross.wire.Settings;
 
-/** Three controllers are replaced under load, pipelines come once all are new, and the state service lowers its limits, in virtual time. */
+/**
+ * Three controllers are replaced under load, pipelines come once all are new, and the state service
+ * lowers its limits, in virtual time.
+ */
 @Timeout(60)
 class PipelineUpgradeTest {
-    private static final Settings.StateLimits LOW = Site.TRY_OUT_NEXT;
-    private static final Build OLD = Build.present("old", 1);
-    private static final Build NEW = Build.present("new", 2);
-    private static final double FIRST_REPLACED_S = 20;
-    private static final double ALL_NEW_S = 31;
-    private static final double PIPELINES_S = 60;
-    private static final double MOST_REFUSED_S = 5;
+  private static final Settings.StateLimits LOW = Site.TRY_OUT_NEXT;
+  private static final Build OLD = Build.present("old", 1);
+  private static final Build NEW = Build.present("new", 2);
+  private static final double FIRST_REPLACED_S = 20;
+  private static final double ALL_NEW_S = 31;
+  private static final double PIPELINES_S = 60;
+  private static final double MOST_REFUSED_S = 5;
 
-    private final World world = new World(Site.tryOut(BusySite.MACHINES, true), 6, Meter.OFF, new Features(null, null, OLD));
-    private final List<JobId> services = new ArrayList<>();
-    private final List<JobId> arrays = new ArrayList<>();
-    private final List<JobId> dependent = new ArrayList<>();
+  private final World world =
+      new World(Site.tryOut(BusySite.MACHINES, true), 6, Meter.OFF, new Features(null, null, OLD));
+  private final List<JobId> services = new ArrayList<>();
+  private final List<JobId> arrays = new ArrayList<>();
+  private final List<JobId> dependent = new ArrayList<>();
 
-    PipelineUpgradeTest() throws BadMessage {
-        BusySite.submit(world, services, arrays);
-    }
+  PipelineUpgradeTest() throws BadMessage {
+    BusySite.submit(world, services, arrays);
+  }
 
-    /** What else happens in that spell. */
-    enum Meanwhile { NOTHING, LEADER_ENDS, ONE_REFUSED, OUTAGE_AS_THE_LIMITS_FALL }
+  /** What else happens in that spell. */
+  enum Meanwhile {
+    NOTHING,
+    LEADER_ENDS,
+    ONE_REFUSED,
+    OUTAGE_AS_THE_LIMITS_FALL
+  }
 
-    private void pipelines() {
-        PipelineDraws draws = new PipelineDraws(world.random(), List.of("web", "batch"), new Resources(0.5, 0, 1), 700_000);
-        for (double at = ALL_NEW_S; at < ALL_NEW_S + PIPELINES_S; at += 3) {
-            world.time().at(at, () -> draws.draw(arrays).forEach(step -> {
-                dependent.add(step.job().id());
-                world.around().pipelines().submit(step);
-            }));
-        }
+  private void pipelines() {
+    PipelineDraws draws =
+        new PipelineDraws(
+            world.random(), List.of("web", "batch"), new Resources(0.5, 0, 1), 700_000);
+    for (double at = ALL_NEW_S; at < ALL_NEW_S + PIPELINES_S; at += 3) {
+      world
+          .time()
+          .at(
+              at,
+              () ->
+                  draws
+                      .draw(arrays)
+                      .forEach(
+                          step -> {
+                            dependent.add(step.job().id());
+                            world.around().pipelines().submit(step);
+                          }));
     }
+  }
 
-    /** Whatever happens, on no quiet day is a job that waits for others refused for 5 s after all are new. */
-    @ParameterizedTest
-    @CsvSource({"36, NOTHING", "50, NOTHING", "33, LEADER_ENDS", "45, ONE_REFUSED", "40, OUTAGE_AS_THE_LIMITS_FALL"})
-    void aRollWithPipelinesAndFallingLimits(double fallAt, Meanwhile meanwhile) {
-        for (int node = 0; node < world.nodeCount(); node++) {
-            int each = node;
-            world.time().at(FIRST_REPLACED_S + 5 * node, () -> {
+  /**
+   * Whatever happens, on no quiet day is a job that waits for others refused for 5 s after all are
+   * new.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "36, NOTHING",
+    "50, NOTHING",
+    "33, LEADER_ENDS",
+    "45, ONE_REFUSED",
+    "40, OUTAGE_AS_THE_LIMITS_FALL"
+  })
+  void aRollWithPipelinesAndFallingLimits(double fallAt, Meanwhile meanwhile) {
+    for (int node = 0; node < world.nodeCount(); node++) {
+      int each = node;
+      world
+          .time()
+          .at(
+              FIRST_REPLACED_S + 5 * node,
+              () -> {
                 world.tellNext(each, LOW);
                 world.roll(each, NEW);
-            });
-        }
-        pipelines();
-        world.time().at(fallAt, () -> world.state().limit(LOW));
-        switch (meanwhile) {
-            case LEADER_ENDS -> world.time().at(ALL_NEW_S + 1, () -> world.crash(Math.max(0, world.leader())));
-            case ONE_REFUSED -> world.time().at(ALL_NEW_S + 1, () -> world.state().refuse(Site.nodeName(1), 20));
-            case OUTAGE_AS_THE_LIMITS_FALL -> world.time().at(fallAt - 2, () -> world.state().outage(9));
-            default -> { }
-        }
-        world.time().runUntil(240);
-        assertEquals(List.of(), world.rules().broken());
-        assertTrue(dependent.size() > 60, dependent.size() + " jobs in pipelines");
-        for (JobId id : dependent) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
-        if (meanwhile == Meanwhile.NOTHING) {
-            double longest = dependent.stream().mapToDouble(world.users().acceptedAfter()::get).max().orElseThrow();
-            assertTrue(longest < MOST_REFUSED_S, "accepted after " + longest);
-        }
-        assertEquals(36, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
+              });
+    }
+    pipelines();
+    world.time().at(fallAt, () -> world.state().limit(LOW));
+    switch (meanwhile) {
+      case LEADER_ENDS ->
+          world.time().at(ALL_NEW_S + 1, () -> world.crash(Math.max(0, world.leader())));
+      case ONE_REFUSED ->
+          world.time().at(ALL_NEW_S + 1, () -> world.state().refuse(Site.nodeName(1), 20));
+      case OUTAGE_AS_THE_LIMITS_FALL -> world.time().at(fallAt - 2, () -> world.state().outage(9));
+      default -> {}
+    }
+    world.time().runUntil(240);
+    assertEquals(List.of(), world.rules().broken());
+    assertTrue(dependent.size() > 60, dependent.size() + " jobs in pipelines");
+    for (JobId id : dependent) {
+      assertEquals("done", world.users().told().get(id), id.text());
+    }
+    if (meanwhile == Meanwhile.NOTHING) {
+      double longest =
+          dependent.stream().mapToDouble(world.users().acceptedAfter()::get).max().orElseThrow();
+      assertTrue(longest < MOST_REFUSED_S, "accepted after " + longest);
     }
+    assertEquals(36, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
+  }
 }
--- a/src/test/java/org/quincecross/emulator/PollsTest.java
+++ b/src/test/java/org/quincecross/emulator/PollsTest.java
@@ -7,28 +7,31 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.JobId;
 
-/** A job whose questions are not answered for 75 s is found, however others fare, and whether or not it is answered later. */
+/**
+ * A job whose questions are not answered for 75 s is found, however others fare, and whether or not
+ * it is answered later.
+ */
 class PollsTest {
-    @Test
-    void aJobThatNobodyAnswersForIsForgotten() {
-        VirtualTime time = new VirtualTime();
-        Polls polls = new Polls(time);
-        JobId answered = new JobId("job-1");
-        JobId late = new JobId("job-2");
-        JobId never = new JobId("job-3");
-        JobId over = new JobId("job-4");
-        Set<JobId> all = Set.of(answered, late, never, over);
-        all.forEach(polls::accepted);
-        time.runUntil(100);
-        polls.trouble();
-        for (int at = 105; at <= 300; at += 5) {
-            time.runUntil(at);
-            polls.answered(answered);
-            if (at >= 180) {
-                polls.answered(late);
-            }
-        }
-        assertEquals(Set.of(late, never), Set.copyOf(polls.forgotten(Set.of(answered, late, never))));
-        assertEquals(List.of(late), polls.forgotten(Set.of(answered)));
+  @Test
+  void aJobThatNobodyAnswersForIsForgotten() {
+    VirtualTime time = new VirtualTime();
+    Polls polls = new Polls(time);
+    JobId answered = new JobId("job-1");
+    JobId late = new JobId("job-2");
+    JobId never = new JobId("job-3");
+    JobId over = new JobId("job-4");
+    Set<JobId> all = Set.of(answered, late, never, over);
+    all.forEach(polls::accepted);
+    time.runUntil(100);
+    polls.trouble();
+    for (int at = 105; at <= 300; at += 5) {
+      time.runUntil(at);
+      polls.answered(answered);
+      if (at >= 180) {
+        polls.answered(late);
+      }
     }
+    assertEquals(Set.of(late, never), Set.copyOf(polls.forgotten(Set.of(answered, late, never))));
+    assertEquals(List.of(late), polls.forgotten(Set.of(answered)));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/QuickBootsTest.java
+++ b/src/test/java/org/quincecross/emulator/QuickBootsTest.java
@@ -13,55 +13,72 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.MachineId;
 
-/** Machines that are up within two seconds and get work at once while writes lag, and the leader ends, in virtual time. */
+/**
+ * Machines that are up within two seconds and get work at once while writes lag, and the leader
+ * ends, in virtual time.
+ */
 class QuickBootsTest {
-    private final World world = new World(3);
+  private final World world = new World(3);
 
-    /** The machines that the cloud has up and no block has. */
-    private Set<MachineId> inNoBlock() {
-        Set<MachineId> outside = new TreeSet<>(world.cloud().machines());
-        for (int node = 0; node < world.nodeCount(); node++) {
-            if (world.status(node) != null) {
-                world.ask(node, HttpRequest.get("/admin/machines"), response -> {
-                    String all = new String(response.body(), StandardCharsets.UTF_8);
-                    outside.removeIf(machine -> all.contains("\"machine\":\"" + machine.text() + "\""));
-                });
-            }
-        }
-        return outside;
+  /** The machines that the cloud has up and no block has. */
+  private Set<MachineId> inNoBlock() {
+    Set<MachineId> outside = new TreeSet<>(world.cloud().machines());
+    for (int node = 0; node < world.nodeCount(); node++) {
+      if (world.status(node) != null) {
+        world.ask(
+            node,
+            HttpRequest.get("/admin/machines"),
+            response -> {
+              String all = new String(response.body(), StandardCharsets.UTF_8);
+              outside.removeIf(machine -> all.contains("\"machine\":\"" + machine.text() + "\""));
+            });
+      }
     }
+    return outside;
+  }
 
-    /** The leader ends so long after the first of them was rented: all get work or go back, and what was submitted ends. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0.3, 1, 2.2, 4.5, 9})
-    void theLeaderEnds(double afterS) {
-        world.state().applyLate(0);
-        world.time().runUntil(15);
-        Set<MachineId> before = Set.copyOf(world.cloud().machines());
-        world.cloud().bootWithin(2, 60);
-        Random draws = new Random(9);
-        LateWrites late = LateWrites.share(0.3, 2, 12, () -> world.time().seconds() < 60, draws);
-        LateWrites lost = LateWrites.atOnce(0.2, () -> world.time().seconds() < 60, draws);
-        world.state().late(transaction -> {
-            double after = late.afterS(transaction);
-            return after == LateWrites.PROMPT ? lost.afterS(transaction) : after;
-        });
-        for (int i = 0; i < 40; i++) {
-            int number = 100 + i;
-            world.time().at(15 + 0.2 * i, () -> world.users().submit(number));
-        }
-        double rentedAt = 15;
-        while (before.containsAll(world.cloud().machines()) && rentedAt < 60) {
-            rentedAt += 0.1;
-            world.time().runUntil(rentedAt);
-        }
-        assertTrue(rentedAt < 60, "none were rented");
-        world.time().at(rentedAt + afterS, () -> world.crash(Math.max(0, world.leader())));
-        world.time().at(rentedAt + afterS + 8, () -> world.crash(Math.max(0, world.leader())));
-        world.time().runUntil(110);
-        assertEquals(Set.of(), inNoBlock(), "neither in a block nor returned");
-        world.time().runUntil(230);
-        assertEquals(List.of(), world.rules().broken());
-        world.users().told().forEach((id, state) -> assertTrue(state.equals("done") || state.equals("cancelled"), id + " " + state));
+  /**
+   * The leader ends so long after the first of them was rented: all get work or go back, and what
+   * was submitted ends.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0.3, 1, 2.2, 4.5, 9})
+  void theLeaderEnds(double afterS) {
+    world.state().applyLate(0);
+    world.time().runUntil(15);
+    Set<MachineId> before = Set.copyOf(world.cloud().machines());
+    world.cloud().bootWithin(2, 60);
+    Random draws = new Random(9);
+    LateWrites late = LateWrites.share(0.3, 2, 12, () -> world.time().seconds() < 60, draws);
+    LateWrites lost = LateWrites.atOnce(0.2, () -> world.time().seconds() < 60, draws);
+    world
+        .state()
+        .late(
+            transaction -> {
+              double after = late.afterS(transaction);
+              return after == LateWrites.PROMPT ? lost.afterS(transaction) : after;
+            });
+    for (int i = 0; i < 40; i++) {
+      int number = 100 + i;
+      world.time().at(15 + 0.2 * i, () -> world.users().submit(number));
     }
+    double rentedAt = 15;
+    while (before.containsAll(world.cloud().machines()) && rentedAt < 60) {
+      rentedAt += 0.1;
+      world.time().runUntil(rentedAt);
+    }
+    assertTrue(rentedAt < 60, "none were rented");
+    world.time().at(rentedAt + afterS, () -> world.crash(Math.max(0, world.leader())));
+    world.time().at(rentedAt + afterS + 8, () -> world.crash(Math.max(0, world.leader())));
+    world.time().runUntil(110);
+    assertEquals(Set.of(), inNoBlock(), "neither in a block nor returned");
+    world.time().runUntil(230);
+    assertEquals(List.of(), world.rules().broken());
+    world
+        .users()
+        .told()
+        .forEach(
+            (id, state) ->
+                assertTrue(state.equals("done") || state.equals("cancelled"), id + " " + state));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
+++ b/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
@@ -16,143 +16,178 @@
 
 /** Machines and controllers that are back within a fraction of a second, in virtual time. */
 class QuickReturnsTest extends BusySite {
-    QuickReturnsTest() throws BadMessage {
-    }
+  QuickReturnsTest() throws BadMessage {}
 
-    /**
-     * A third of the machines is back at once with nothing on it, its counts begun anew: what ran there runs again soon, and none of
-     * them is taken for a copy of its former self (incident counts-begun-anew).
-     */
-    @ParameterizedTest
-    @ValueSource(doubles = {0.05, 0.3, 0.9})
-    void machinesWhoseCountsBeginAnew(double seconds) {
-        world.time().runUntil(30);
-        List<Worker> workers = world.cloud().workers();
-        workers.subList(0, workers.size() / 3).forEach(worker -> worker.restart(seconds));
-        world.time().runUntil(30.02);
-        assertTrue(replicas() < 36, "some ran there");
-        world.time().runUntil(30 + 12);
-        assertEquals(36, replicas());
-        assertAllIsWell(170);
-    }
+  /**
+   * A third of the machines is back at once with nothing on it, its counts begun anew: what ran
+   * there runs again soon, and none of them is taken for a copy of its former self (incident
+   * counts-begun-anew).
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0.05, 0.3, 0.9})
+  void machinesWhoseCountsBeginAnew(double seconds) {
+    world.time().runUntil(30);
+    List<Worker> workers = world.cloud().workers();
+    workers.subList(0, workers.size() / 3).forEach(worker -> worker.restart(seconds));
+    world.time().runUntil(30.02);
+    assertTrue(replicas() < 36, "some ran there");
+    world.time().runUntil(30 + 12);
+    assertEquals(36, replicas());
+    assertAllIsWell(170);
+  }
 
-    /** The same machine again and again, each time before its holder may have noticed. */
-    @Test
-    void aMachineThatBeginsAnewAgainAndAgain() {
-        for (int i = 0; i < 12; i++) {
-            world.time().at(40 + 1.3 * i, () -> world.cloud().workers().subList(0, 6).forEach(worker -> worker.restart(0.2)));
-        }
-        world.time().runUntil(75);
-        assertEquals(36, replicas());
-        assertAllIsWell(170);
+  /** The same machine again and again, each time before its holder may have noticed. */
+  @Test
+  void aMachineThatBeginsAnewAgainAndAgain() {
+    for (int i = 0; i < 12; i++) {
+      world
+          .time()
+          .at(
+              40 + 1.3 * i,
+              () -> world.cloud().workers().subList(0, 6).forEach(worker -> worker.restart(0.2)));
     }
+    world.time().runUntil(75);
+    assertEquals(36, replicas());
+    assertAllIsWell(170);
+  }
 
-    private void backAtOnce(int node, double seconds) {
-        world.down(node, seconds);
-    }
+  private void backAtOnce(int node, double seconds) {
+    world.down(node, seconds);
+  }
 
-    /** A controller is back in half a second or less, in each part of the election that follows the loss of the leader. */
-    @ParameterizedTest
-    @CsvSource({"0.05, 1", "0.4, 1", "1.1, 2", "2.3, 2", "3.1, 2", "3.6, 3", "4.5, 3", "6, 3"})
-    void inAnElection(double after, int times) {
-        world.time().runUntil(30);
-        int leader = world.leader();
-        world.crash(leader);
-        for (int i = 0; i < times; i++) {
-            int node = (leader + 1 + i % 2) % site.nodes();
-            world.time().at(30 + after + 0.6 * i, () -> backAtOnce(node, 0.1 + 0.1 * node));
-        }
-        world.time().runUntil(30 + after + 25);
-        assertTrue(world.leader() >= 0);
-        assertEquals(36, replicas());
-        assertAllIsWell(150);
+  /**
+   * A controller is back in half a second or less, in each part of the election that follows the
+   * loss of the leader.
+   */
+  @ParameterizedTest
+  @CsvSource({"0.05, 1", "0.4, 1", "1.1, 2", "2.3, 2", "3.1, 2", "3.6, 3", "4.5, 3", "6, 3"})
+  void inAnElection(double after, int times) {
+    world.time().runUntil(30);
+    int leader = world.leader();
+    world.crash(leader);
+    for (int i = 0; i < times; i++) {
+      int node = (leader + 1 + i % 2) % site.nodes();
+      world.time().at(30 + after + 0.6 * i, () -> backAtOnce(node, 0.1 + 0.1 * node));
     }
+    world.time().runUntil(30 + after + 25);
+    assertTrue(world.leader() >= 0);
+    assertEquals(36, replicas());
+    assertAllIsWell(150);
+  }
 
-    /** The leader itself, twice in a row, and all three at once, twice. */
-    @ParameterizedTest
-    @CsvSource({"0.1, false", "0.3, false", "0.5, false", "0.1, true", "0.3, true", "0.5, true"})
-    void theLeaderOrAll(double seconds, boolean all) {
-        world.time().runUntil(30);
-        int leader = world.leader();
-        for (int again = 0; again < 2; again++) {
-            for (int node = 0; node < site.nodes(); node++) {
-                int each = node;
-                if (all || each == leader) {
-                    world.time().at(30.1 + again * 0.7, () -> backAtOnce(each, seconds));
-                }
-            }
+  /** The leader itself, twice in a row, and all three at once, twice. */
+  @ParameterizedTest
+  @CsvSource({"0.1, false", "0.3, false", "0.5, false", "0.1, true", "0.3, true", "0.5, true"})
+  void theLeaderOrAll(double seconds, boolean all) {
+    world.time().runUntil(30);
+    int leader = world.leader();
+    for (int again = 0; again < 2; again++) {
+      for (int node = 0; node < site.nodes(); node++) {
+        int each = node;
+        if (all || each == leader) {
+          world.time().at(30.1 + again * 0.7, () -> backAtOnce(each, seconds));
         }
-        world.time().runUntil(50);
-        assertTrue(world.leader() >= 0);
-        assertEquals(36, replicas());
-        assertAllIsWell(150);
+      }
     }
+    world.time().runUntil(50);
+    assertTrue(world.leader() >= 0);
+    assertEquals(36, replicas());
+    assertAllIsWell(150);
+  }
 
-    /** In the middle of a transaction that leases blocks anew: the one that takes them over, and the one that gives them. */
-    @ParameterizedTest
-    @CsvSource({"0.002, true", "0.02, true", "0.3, true", "0.002, false", "0.02, false", "0.3, false"})
-    void inATakeOver(double after, boolean taker) {
-        world.time().runUntil(30);
-        int leader = world.leader();
-        int lost = (leader + 1) % site.nodes();
-        world.down(lost, 20);
-        boolean[] hit = new boolean[1];
-        world.mishapAt(request -> {
-            if (!hit[0] && request.startsWith("POST /txn") && request.contains("\"Set\":\"q/block/") && world.time().seconds() > 30) {
-                hit[0] = true;
-                world.time().after(after, () -> backAtOnce(taker ? (leader + 2) % site.nodes() : leader, 0.2));
-            }
-            return false;
-        }, 0, World.Mishap.STILL_AFTER);
-        assertAllIsWell(150);
-        assertTrue(hit[0]);
-    }
+  /**
+   * In the middle of a transaction that leases blocks anew: the one that takes them over, and the
+   * one that gives them.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "0.002, true",
+    "0.02, true",
+    "0.3, true",
+    "0.002, false",
+    "0.02, false",
+    "0.3, false"
+  })
+  void inATakeOver(double after, boolean taker) {
+    world.time().runUntil(30);
+    int leader = world.leader();
+    int lost = (leader + 1) % site.nodes();
+    world.down(lost, 20);
+    boolean[] hit = new boolean[1];
+    world.mishapAt(
+        request -> {
+          if (!hit[0]
+              && request.startsWith("POST /txn")
+              && request.contains("\"Set\":\"q/block/")
+              && world.time().seconds() > 30) {
+            hit[0] = true;
+            world
+                .time()
+                .after(after, () -> backAtOnce(taker ? (leader + 2) % site.nodes() : leader, 0.2));
+          }
+          return false;
+        },
+        0,
+        World.Mishap.STILL_AFTER);
+    assertAllIsWell(150);
+    assertTrue(hit[0]);
+  }
 
-    /** While controllers are replaced by a newer build and the level is switched. */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
-    void inARoll(long seed) {
-        World rolled = new World(Site.small(), seed, Meter.OFF, new Features(null, null, Build.present("old", 1)));
-        for (int i = 0; i < 30; i++) {
-            int number = i;
-            rolled.time().at(3 + i, () -> rolled.users().submit(number));
-        }
-        for (int node = 0; node < rolled.nodeCount(); node++) {
-            int each = node;
-            rolled.time().at(15 + 4 * node, () -> {
+  /** While controllers are replaced by a newer build and the level is switched. */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void inARoll(long seed) {
+    World rolled =
+        new World(Site.small(), seed, Meter.OFF, new Features(null, null, Build.present("old", 1)));
+    for (int i = 0; i < 30; i++) {
+      int number = i;
+      rolled.time().at(3 + i, () -> rolled.users().submit(number));
+    }
+    for (int node = 0; node < rolled.nodeCount(); node++) {
+      int each = node;
+      rolled
+          .time()
+          .at(
+              15 + 4 * node,
+              () -> {
                 rolled.install(each, Build.present("new", 2));
                 rolled.down(each, 0.1 * (each + 1));
-            });
-            rolled.time().at(15 + 4 * node + seed, () -> rolled.down((each + 1) % rolled.nodeCount(), 0.2));
-        }
-        for (double at = 26; at < 32; at += 1.1) {
-            int node = (int) (at * 10) % rolled.nodeCount();
-            rolled.time().at(at, () -> rolled.down(node, 0.3));
-        }
-        Liveness liveness = new Liveness(rolled);
-        rolled.time().runUntil(120);
-        liveness.watch();
-        assertEquals(List.of(), liveness.findings());
-        assertEquals(List.of(), rolled.rules().broken());
+              });
+      rolled
+          .time()
+          .at(15 + 4 * node + seed, () -> rolled.down((each + 1) % rolled.nodeCount(), 0.2));
     }
-
-    /**
-     * An announcement of a former life comes late, takes the place of the present one's and goes with its lease: the controller is
-     * known again at once, rather than live and a member that nobody knows for the rest of the day.
-     */
-    @ParameterizedTest
-    @ValueSource(booleans = {false, true})
-    void anAnnouncementOfAFormerLifeThatComesLate(boolean leads) {
-        world.time().runUntil(30);
-        int node = (world.leader() + (leads ? 0 : 1)) % site.nodes();
-        String key = "q/member/" + Site.nodeName(node);
-        Object present = world.state().value(key);
-        Map<String, Object> former = new TreeMap<>();
-        ((Map<?, ?>) present).forEach((name, value) -> former.put((String) name, name.equals("life") ? (Object) 1L : value));
-        world.state().write(key, former);
-        world.time().at(31, () -> world.state().write(key, null));
-        world.time().runUntil(33);
-        assertEquals(present, world.state().value(key));
-        assertAllIsWell(120);
+    for (double at = 26; at < 32; at += 1.1) {
+      int node = (int) (at * 10) % rolled.nodeCount();
+      rolled.time().at(at, () -> rolled.down(node, 0.3));
     }
+    Liveness liveness = new Liveness(rolled);
+    rolled.time().runUntil(120);
+    liveness.watch();
+    assertEquals(List.of(), liveness.findings());
+    assertEquals(List.of(), rolled.rules().broken());
+  }
+
+  /**
+   * An announcement of a former life comes late, takes the place of the present one's and goes with
+   * its lease: the controller is known again at once, rather than live and a member that nobody
+   * knows for the rest of the day.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void anAnnouncementOfAFormerLifeThatComesLate(boolean leads) {
+    world.time().runUntil(30);
+    int node = (world.leader() + (leads ? 0 : 1)) % site.nodes();
+    String key = "q/member/" + Site.nodeName(node);
+    Object present = world.state().value(key);
+    Map<String, Object> former = new TreeMap<>();
+    ((Map<?, ?>) present)
+        .forEach(
+            (name, value) -> former.put((String) name, name.equals("life") ? (Object) 1L : value));
+    world.state().write(key, former);
+    world.time().at(31, () -> world.state().write(key, null));
+    world.time().runUntil(33);
+    assertEquals(present, world.state().value(key));
+    assertAllIsWell(120);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -33,9 +33,13 @@
 import org.quincecross.wire.Settings;
 import org.quincecross.wire.SettingsWriter;
 
-/** Days in virtual time, the same at each call, that between them use every message, every kind of record and every level. */
+/**
+ * Days in virtual time, the same at each call, that between them use every message, every kind of
+ * record and every level.
+ */
 final class RecordedDays {
-    private static final String SWEEPS = """
+  private static final String SWEEPS =
+      """
             [[jobs]]
             name = "front"
             shape = "service"
@@ -58,263 +62,434 @@
             memory_gb = 2
             run_s = 40
             """;
-    private static final List<String> ADMIN_PATHS = List.of("/admin/status", "/admin/blocks", "/admin/machines", "/admin/metrics", "/admin/settings",
-            "/admin/unknown", "/admin/agreed", "/admin/agreed/holds", "/admin/agreed/requests", "/admin/agreed/models", "/admin/agreed/sweeps",
-            "/admin/agreed/claims", "/admin/agreed/nothing", "/admin/models", "/admin/models/m", "/up", "/nowhere");
-    private static final List<String> BAD_JOBS = List.of("", "[]", "{", "{}", "3", "{\"Name\": 1}", "\"job\"");
+  private static final List<String> ADMIN_PATHS =
+      List.of(
+          "/admin/status",
+          "/admin/blocks",
+          "/admin/machines",
+          "/admin/metrics",
+          "/admin/settings",
+          "/admin/unknown",
+          "/admin/agreed",
+          "/admin/agreed/holds",
+          "/admin/agreed/requests",
+          "/admin/agreed/models",
+          "/admin/agreed/sweeps",
+          "/admin/agreed/claims",
+          "/admin/agreed/nothing",
+          "/admin/models",
+          "/admin/models/m",
+          "/up",
+          "/nowhere");
+  private static final List<String> BAD_JOBS =
+      List.of("", "[]", "{", "{}", "3", "{\"Name\": 1}", "\"job\"");
 
-    private final MessageRecorder recorder;
+  private final MessageRecorder recorder;
 
-    private RecordedDays(MessageRecorder recorder) {
-        this.recorder = recorder;
-    }
+  private RecordedDays(MessageRecorder recorder) {
+    this.recorder = recorder;
+  }
 
-    /**
-     * Prints the digest of all messages: the same before and after a change that leaves all behaviour as it is, where the JVM gives maps and
-     * sets the same order each time. With a folder: writes what was recorded there, to be compared or added to the golden files.
-     */
-    public static void main(String[] arguments) throws BadMessage, IOException {
-        MessageRecorder recorder = play();
-        System.out.println(recorder.digest());
-        if (arguments.length > 0) {
-            Path folder = Path.of(arguments[0]);
-            Files.write(folder.resolve("vocabulary.txt"), recorder.vocabulary());
-            Files.write(folder.resolve("messages.tsv"), recorder.examples());
-            Files.write(folder.resolve("malformed.txt"), malformed());
-        }
+  /**
+   * Prints the digest of all messages: the same before and after a change that leaves all behaviour
+   * as it is, where the JVM gives maps and sets the same order each time. With a folder: writes
+   * what was recorded there, to be compared or added to the golden files.
+   */
+  public static void main(String[] arguments) throws BadMessage, IOException {
+    MessageRecorder recorder = play();
+    System.out.println(recorder.digest());
+    if (arguments.length > 0) {
+      Path folder = Path.of(arguments[0]);
+      Files.write(folder.resolve("vocabulary.txt"), recorder.vocabulary());
+      Files.write(folder.resolve("messages.tsv"), recorder.examples());
+      Files.write(folder.resolve("malformed.txt"), malformed());
     }
+  }
 
-    /** Plays all of them. */
-    static MessageRecorder play() throws BadMessage {
-        MessageRecorder recorder = new MessageRecorder();
-        RecordedDays days = new RecordedDays(recorder);
-        days.troubles();
-        days.overload();
-        days.mixedFleet();
-        days.holds();
-        days.models();
-        days.requests();
-        days.largeJob();
-        return recorder;
-    }
+  /** Plays all of them. */
+  static MessageRecorder play() throws BadMessage {
+    MessageRecorder recorder = new MessageRecorder();
+    RecordedDays days = new RecordedDays(recorder);
+    days.troubles();
+    days.overload();
+    days.mixedFleet();
+    days.holds();
+    days.models();
+    days.requests();
+    days.largeJob();
+    return recorder;
+  }
 
-    /** Drawn days of a small site: plain, with dependent jobs, over a change of the level, and with troubles that meet. */
-    private void troubles() {
-        new Day(40).with((world, seed) -> watch(world, 300)).play();
-        Day.ofPipelines(42).with((world, seed) -> watch(world, 200)).play();
-        Day.ofRolls(43).with((world, seed) -> watch(world, 200)).play();
-        Day.ofFurtherMeetings(44).with((world, seed) -> watch(world, 200)).play();
-    }
+  /**
+   * Drawn days of a small site: plain, with dependent jobs, over a change of the level, and with
+   * troubles that meet.
+   */
+  private void troubles() {
+    new Day(40).with((world, seed) -> watch(world, 300)).play();
+    Day.ofPipelines(42).with((world, seed) -> watch(world, 200)).play();
+    Day.ofRolls(43).with((world, seed) -> watch(world, 200)).play();
+    Day.ofFurtherMeetings(44).with((world, seed) -> watch(world, 200)).play();
+  }
 
-    private void watch(World world, double untilS) {
-        world.observe(recorder);
-        for (double at = 20; at < untilS; at += 45) {
-            world.time().at(at, () -> askEverything(world));
-        }
+  private void watch(World world, double untilS) {
+    world.observe(recorder);
+    for (double at = 20; at < untilS; at += 45) {
+      world.time().at(at, () -> askEverything(world));
     }
+  }
 
-    /** Asks each controller that is up what operators ask, and submits what cannot be accepted. */
-    private void askEverything(World world) {
-        for (int node = 0; node < world.nodeCount(); node++) {
-            if (world.status(node) == null) {
-                continue;
-            }
-            for (String path : ADMIN_PATHS) {
-                ask(world, node, HttpRequest.get(path));
-            }
-            for (String body : BAD_JOBS) {
-                ask(world, node, HttpRequest.post("/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
-                ask(world, node, new HttpRequest("PUT", "/admin/settings", body.getBytes(StandardCharsets.UTF_8), false));
-                ask(world, node, HttpRequest.post("/agent/beat", body.getBytes(StandardCharsets.UTF_8)));
-            }
-            ask(world, node, HttpRequest.get("/v2/runs/job-999999"));
-            ask(world, node, HttpRequest.delete("/v2/runs/job-999999"));
-        }
+  /** Asks each controller that is up what operators ask, and submits what cannot be accepted. */
+  private void askEverything(World world) {
+    for (int node = 0; node < world.nodeCount(); node++) {
+      if (world.status(node) == null) {
+        continue;
+      }
+      for (String path : ADMIN_PATHS) {
+        ask(world, node, HttpRequest.get(path));
+      }
+      for (String body : BAD_JOBS) {
+        ask(world, node, HttpRequest.post("/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
+        ask(
+            world,
+            node,
+            new HttpRequest(
+                "PUT", "/admin/settings", body.getBytes(StandardCharsets.UTF_8), false));
+        ask(world, node, HttpRequest.post("/agent/beat", body.getBytes(StandardCharsets.UTF_8)));
+      }
+      ask(world, node, HttpRequest.get("/v2/runs/job-999999"));
+      ask(world, node, HttpRequest.delete("/v2/runs/job-999999"));
     }
+  }
 
-    private void ask(World world, int node, HttpRequest request) {
-        world.ask(node, request, response -> recorder.answered("controller", request, response));
-    }
+  private void ask(World world, int node, HttpRequest request) {
+    world.ask(node, request, response -> recorder.answered("controller", request, response));
+  }
 
-    private static void runUntil(World world, double seconds) {
-        world.time().runUntil(seconds);
-    }
+  private static void runUntil(World world, double seconds) {
+    world.time().runUntil(seconds);
+  }
 
-    /** More work than room, with the deployed features: the order in an overload, and the counts of who is served. */
-    private void overload() {
-        Site site = Site.fleet(60);
-        World world = new World(site, 45, Meter.OFF, new Features(Shares.DEFAULTS, Span.ofSeconds(30), Build.present("new", 2)));
-        watch(world, 120);
-        Load load = new Load(world.around(), 45);
-        world.time().at(10, () -> load.begin(10));
-        world.time().at(70, () -> world.crash(Math.max(0, world.leader())));
-        runUntil(world, 130);
-    }
+  /**
+   * More work than room, with the deployed features: the order in an overload, and the counts of
+   * who is served.
+   */
+  private void overload() {
+    Site site = Site.fleet(60);
+    World world =
+        new World(
+            site,
+            45,
+            Meter.OFF,
+            new Features(Shares.DEFAULTS, Span.ofSeconds(30), Build.present("new", 2)));
+    watch(world, 120);
+    Load load = new Load(world.around(), 45);
+    world.time().at(10, () -> load.begin(10));
+    world.time().at(70, () -> world.crash(Math.max(0, world.leader())));
+    runUntil(world, 130);
+  }
 
-    /** Gangs, large arrays and an operator's change of the settings. */
-    private void mixedFleet() {
-        World world = new World(Site.mixed(120), 46, Meter.OFF, new Features(Shares.DEFAULTS, Span.ofSeconds(30), Build.present("new", 2)));
-        watch(world, 120);
-        Load load = new Load(world.around(), 46);
-        world.time().at(10, () -> load.begin(10));
-        // Waits on more jobs than its own record has room for.
-        Set<JobId> predecessors = IntStream.range(0, 130).mapToObj(i -> new JobId("job-" + (900_000 + i))).collect(Collectors.toSet());
-        for (int i = 0; i < predecessors.size(); i++) {
-            int number = 900_000 + i;
-            world.time().at(8 + 0.1 * i, () -> world.users().submit(array(world, number)));
-        }
-        world.time().at(50, () -> world.users().submit(array(world, 998).waitingOn(predecessors)));
-        world.time().at(40, () -> ask(world, 0, new HttpRequest("PUT", "/admin/settings",
-                "{\"version\": 0, \"settings\": {\"spare_tasks\": 3, \"gone\": [\"n9\"]}}".getBytes(StandardCharsets.UTF_8), false)));
-        runUntil(world, 150);
+  /** Gangs, large arrays and an operator's change of the settings. */
+  private void mixedFleet() {
+    World world =
+        new World(
+            Site.mixed(120),
+            46,
+            Meter.OFF,
+            new Features(Shares.DEFAULTS, Span.ofSeconds(30), Build.present("new", 2)));
+    watch(world, 120);
+    Load load = new Load(world.around(), 46);
+    world.time().at(10, () -> load.begin(10));
+    // Waits on more jobs than its own record has room for.
+    Set<JobId> predecessors =
+        IntStream.range(0, 130)
+            .mapToObj(i -> new JobId("job-" + (900_000 + i)))
+            .collect(Collectors.toSet());
+    for (int i = 0; i < predecessors.size(); i++) {
+      int number = 900_000 + i;
+      world.time().at(8 + 0.1 * i, () -> world.users().submit(array(world, number)));
     }
+    world.time().at(50, () -> world.users().submit(array(world, 998).waitingOn(predecessors)));
+    world
+        .time()
+        .at(
+            40,
+            () ->
+                ask(
+                    world,
+                    0,
+                    new HttpRequest(
+                        "PUT",
+                        "/admin/settings",
+                        "{\"version\": 0, \"settings\": {\"spare_tasks\": 3, \"gone\": [\"n9\"]}}"
+                            .getBytes(StandardCharsets.UTF_8),
+                        false)));
+    runUntil(world, 150);
+  }
 
-    /** The records of done tasks of a job of more than a chunk, which days this short do not write. */
-    private void largeJob() {
-        TaskSet done = TaskSet.below(DoneTasks.CHUNK + 17);
-        IntStream.range(1, 2000).forEach(i -> done.add(DoneTasks.CHUNK + 2 * i));
-        for (int chunk = 0; chunk < 2; chunk++) {
-            recorder.stored("q/done/job-5/" + chunk, DoneTasks.write(done, chunk));
-        }
+  /**
+   * The records of done tasks of a job of more than a chunk, which days this short do not write.
+   */
+  private void largeJob() {
+    TaskSet done = TaskSet.below(DoneTasks.CHUNK + 17);
+    IntStream.range(1, 2000).forEach(i -> done.add(DoneTasks.CHUNK + 2 * i));
+    for (int chunk = 0; chunk < 2; chunk++) {
+      recorder.stored("q/done/job-5/" + chunk, DoneTasks.write(done, chunk));
     }
+  }
 
-    private static Job array(World world, int number) {
-        return new Job(new JobId("job-" + number), "sync", world.site().teams().keySet().iterator().next(), Shape.ARRAY, Rank.NORMAL, 5,
-                new Resources(1, 0, 1), Set.of("box-8"), "left", false, false, true, "img-1", 0.5, Span.ofSeconds(20), Span.ofSeconds(5), Span.ofSeconds(1),
-                Span.ofSeconds(90), Set.of());
-    }
+  private static Job array(World world, int number) {
+    return new Job(
+        new JobId("job-" + number),
+        "sync",
+        world.site().teams().keySet().iterator().next(),
+        Shape.ARRAY,
+        Rank.NORMAL,
+        5,
+        new Resources(1, 0, 1),
+        Set.of("box-8"),
+        "left",
+        false,
+        false,
+        true,
+        "img-1",
+        0.5,
+        Span.ofSeconds(20),
+        Span.ofSeconds(5),
+        Span.ofSeconds(1),
+        Span.ofSeconds(90),
+        Set.of());
+  }
 
-    /**
-     * What is answered to a submission of which each field is left out, or is of a wrong kind, and to settings and features of that sort: the
-     * status, and the field that the answer names.
-     */
-    static List<String> malformed() throws BadMessage {
-        World world = new World(Site.mixed(120), 50, Meter.OFF);
-        runUntil(world, 20);
-        List<String> lines = new ArrayList<>();
-        Map<String, Object> job = JobCodec.submission(array(world, 997));
-        job.put(JobCodec.WAITS_ON, List.of("job-1"));
-        for (Map.Entry<String, Object> bad : spoilt(job).entrySet()) {
-            world.ask(0, HttpRequest.post(JobCodec.JOBS, Json.write(bad.getValue())), response -> lines.add("POST " + JobCodec.JOBS + " " + bad.getKey()
-                    + ": " + response.status() + named(new String(response.body(), StandardCharsets.UTF_8))));
-            runUntil(world, world.time().seconds() + 1);
-        }
-        Map<String, Object> operators = Json.object("version", 0L, "settings",
-                Json.object("renting", true, "returning", true, "idle_s", 25.0, "spare_tasks", 2L, "most_level", 0L, "gone", List.of("n9")));
-        for (Map.Entry<String, Object> bad : spoilt(operators).entrySet()) {
-            world.ask(0, new HttpRequest("PUT", "/admin/settings", Json.write(bad.getValue()), false), response ->
-                    lines.add("PUT /admin/settings " + bad.getKey() + ": " + response.status() + named(new String(response.body(), StandardCharsets.UTF_8))));
-            runUntil(world, world.time().seconds() + 1);
-        }
-        List<Endpoint> nodes = IntStream.range(0, 3).mapToObj(i -> new Endpoint("10.0.0." + i, 80)).toList();
-        Settings settings = Site.mixed(120).settings(0, nodes, nodes, nodes.get(1), nodes.get(2));
-        for (Map.Entry<String, Object> bad : spoilt(asMap(Json.parse(SettingsWriter.write(settings)))).entrySet()) {
-            lines.add("settings " + bad.getKey() + ": " + refusal(() -> Settings.read(Json.write(bad.getValue()))));
-        }
-        byte[] features = "{\"overload\": {\"usable\": 0.85, \"coming\": 1, \"floor\": 0.05, \"turns\": 0.05, \"begin_s\": 100}, \"served\": {\"log_every_s\": 60}, \"rollout\": {\"build\": \"b\", \"most_level\": 2}, \"agreed\": {\"holds\": {}}}"
-                .getBytes(StandardCharsets.UTF_8);
-        for (Map.Entry<String, Object> bad : spoilt(asMap(Json.parse(features))).entrySet()) {
-            lines.add("features " + bad.getKey() + ": " + refusal(() -> Features.read(Json.write(bad.getValue()))));
-        }
-        Collections.sort(lines);
-        return lines;
+  /**
+   * What is answered to a submission of which each field is left out, or is of a wrong kind, and to
+   * settings and features of that sort: the status, and the field that the answer names.
+   */
+  static List<String> malformed() throws BadMessage {
+    World world = new World(Site.mixed(120), 50, Meter.OFF);
+    runUntil(world, 20);
+    List<String> lines = new ArrayList<>();
+    Map<String, Object> job = JobCodec.submission(array(world, 997));
+    job.put(JobCodec.WAITS_ON, List.of("job-1"));
+    for (Map.Entry<String, Object> bad : spoilt(job).entrySet()) {
+      world.ask(
+          0,
+          HttpRequest.post(JobCodec.JOBS, Json.write(bad.getValue())),
+          response ->
+              lines.add(
+                  "POST "
+                      + JobCodec.JOBS
+                      + " "
+                      + bad.getKey()
+                      + ": "
+                      + response.status()
+                      + named(new String(response.body(), StandardCharsets.UTF_8))));
+      runUntil(world, world.time().seconds() + 1);
     }
-
-    private interface Reading {
-        void read() throws BadMessage;
+    Map<String, Object> operators =
+        Json.object(
+            "version",
+            0L,
+            "settings",
+            Json.object(
+                "renting",
+                true,
+                "returning",
+                true,
+                "idle_s",
+                25.0,
+                "spare_tasks",
+                2L,
+                "most_level",
+                0L,
+                "gone",
+                List.of("n9")));
+    for (Map.Entry<String, Object> bad : spoilt(operators).entrySet()) {
+      world.ask(
+          0,
+          new HttpRequest("PUT", "/admin/settings", Json.write(bad.getValue()), false),
+          response ->
+              lines.add(
+                  "PUT /admin/settings "
+                      + bad.getKey()
+                      + ": "
+                      + response.status()
+                      + named(new String(response.body(), StandardCharsets.UTF_8))));
+      runUntil(world, world.time().seconds() + 1);
     }
-
-    private static String refusal(Reading reading) {
-        try {
-            reading.read();
-            return "read";
-        } catch (BadMessage e) {
-            return "refused" + named(e.getMessage());
-        }
+    List<Endpoint> nodes =
+        IntStream.range(0, 3).mapToObj(i -> new Endpoint("10.0.0." + i, 80)).toList();
+    Settings settings = Site.mixed(120).settings(0, nodes, nodes, nodes.get(1), nodes.get(2));
+    for (Map.Entry<String, Object> bad :
+        spoilt(asMap(Json.parse(SettingsWriter.write(settings)))).entrySet()) {
+      lines.add(
+          "settings "
+              + bad.getKey()
+              + ": "
+              + refusal(() -> Settings.read(Json.write(bad.getValue()))));
     }
-
-    /** The words of a message that name a field or a setting. */
-    private static String named(String message) {
-        Matcher matcher = Pattern.compile("(?:field|setting|name) ([A-Za-z_]+)").matcher(message);
-        return matcher.find() ? " names " + matcher.group(1) : "";
+    byte[] features =
+        "{\"overload\": {\"usable\": 0.85, \"coming\": 1, \"floor\": 0.05, \"turns\": 0.05, \"begin_s\": 100}, \"served\": {\"log_every_s\": 60}, \"rollout\": {\"build\": \"b\", \"most_level\": 2}, \"agreed\": {\"holds\": {}}}"
+            .getBytes(StandardCharsets.UTF_8);
+    for (Map.Entry<String, Object> bad : spoilt(asMap(Json.parse(features))).entrySet()) {
+      lines.add(
+          "features "
+              + bad.getKey()
+              + ": "
+              + refusal(() -> Features.read(Json.write(bad.getValue()))));
     }
+    Collections.sort(lines);
+    return lines;
+  }
 
-    @SuppressWarnings("unchecked")
-    private static Map<String, Object> asMap(Object value) {
-        return (Map<String, Object>) value;
+  private interface Reading {
+    void read() throws BadMessage;
+  }
+
+  private static String refusal(Reading reading) {
+    try {
+      reading.read();
+      return "read";
+    } catch (BadMessage e) {
+      return "refused" + named(e.getMessage());
     }
+  }
+
+  /** The words of a message that name a field or a setting. */
+  private static String named(String message) {
+    Matcher matcher = Pattern.compile("(?:field|setting|name) ([A-Za-z_]+)").matcher(message);
+    return matcher.find() ? " names " + matcher.group(1) : "";
+  }
 
-    /** The same with each field, also of nested objects, left out, of other kinds, out of range, and with one field too many. */
-    private static Map<String, Object> spoilt(Map<String, Object> whole) {
-        Map<String, Object> spoilt = new LinkedHashMap<>();
-        Map<String, Object> more = new LinkedHashMap<>(whole);
-        more.put("surplus", 1L);
-        spoilt.put("with surplus", more);
-        whole.forEach((name, value) -> {
-            Map<String, Object> without = new LinkedHashMap<>(whole);
-            without.remove(name);
-            spoilt.put("without " + name, without);
-            for (Object other : List.of("", "word", -1L, 1e12, true, List.of(), List.of(1L), Map.of())) {
-                Map<String, Object> changed = new LinkedHashMap<>(whole);
-                changed.put(name, other);
-                spoilt.put(name + " = " + other, changed);
-            }
-            if (value instanceof Map<?, ?> map) {
-                spoilt(asMap(map)).forEach((what, inner) -> {
-                    Map<String, Object> changed = new LinkedHashMap<>(whole);
-                    changed.put(name, inner);
-                    spoilt.put(name + " " + what, changed);
-                });
-            }
+  @SuppressWarnings("unchecked")
+  private static Map<String, Object> asMap(Object value) {
+    return (Map<String, Object>) value;
+  }
+
+  /**
+   * The same with each field, also of nested objects, left out, of other kinds, out of range, and
+   * with one field too many.
+   */
+  private static Map<String, Object> spoilt(Map<String, Object> whole) {
+    Map<String, Object> spoilt = new LinkedHashMap<>();
+    Map<String, Object> more = new LinkedHashMap<>(whole);
+    more.put("surplus", 1L);
+    spoilt.put("with surplus", more);
+    whole.forEach(
+        (name, value) -> {
+          Map<String, Object> without = new LinkedHashMap<>(whole);
+          without.remove(name);
+          spoilt.put("without " + name, without);
+          for (Object other :
+              List.of("", "word", -1L, 1e12, true, List.of(), List.of(1L), Map.of())) {
+            Map<String, Object> changed = new LinkedHashMap<>(whole);
+            changed.put(name, other);
+            spoilt.put(name + " = " + other, changed);
+          }
+          if (value instanceof Map<?, ?> map) {
+            spoilt(asMap(map))
+                .forEach(
+                    (what, inner) -> {
+                      Map<String, Object> changed = new LinkedHashMap<>(whole);
+                      changed.put(name, inner);
+                      spoilt.put(name + " " + what, changed);
+                    });
+          }
         });
-        return spoilt;
-    }
+    return spoilt;
+  }
 
-    private void holds() throws BadMessage {
-        HoldSite site = new HoldSite(SWEEPS, 30, 47);
-        watch(site.world, 160);
-        site.told("sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
-        site.at(44, () -> site.open(0, "ref-1", "r1", "cdr/2025-03"));
-        site.at(46, () -> site.openFrom(1, "ref-2", "r2", 60, "cdr/2025-04"));
-        site.at(48, () -> site.open(1, "ref-3", "r3", "not a record"));
-        site.at(80, () -> site.close(2, "ref-1", "c1", 1));
-        site.at(90, () -> site.world.crash(Math.max(0, site.world.leader())));
-        site.at(100, () -> site.close(0, "ref-2", "c2", 1));
-        runUntil(site.world, 170);
-    }
+  private void holds() throws BadMessage {
+    HoldSite site = new HoldSite(SWEEPS, 30, 47);
+    watch(site.world, 160);
+    site.told("sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
+    site.at(44, () -> site.open(0, "ref-1", "r1", "cdr/2025-03"));
+    site.at(46, () -> site.openFrom(1, "ref-2", "r2", 60, "cdr/2025-04"));
+    site.at(48, () -> site.open(1, "ref-3", "r3", "not a record"));
+    site.at(80, () -> site.close(2, "ref-1", "c1", 1));
+    site.at(90, () -> site.world.crash(Math.max(0, site.world.leader())));
+    site.at(100, () -> site.close(0, "ref-2", "c2", 1));
+    runUntil(site.world, 170);
+  }
 
-    private void models() throws BadMessage {
-        ModelSite site = new ModelSite(Site.tryOut(24, true), 48);
-        watch(site.world, 150);
-        site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
-        runUntil(site.world, ModelSite.DEFINED_S);
-        site.define("m", 100, 2, 4);
-        site.wakeAt(50, 1, "m");
-        for (int i = 0; i < 30; i++) {
-            site.world.time().at(60 + i, () -> site.send(1, "m/load", Map.of("from", "gateway", "in_flight", 30), response -> { }));
-        }
-        site.world.time().at(110, () -> site.send(0, "m/drain", Map.of("request", "d1"), response -> { }));
-        runUntil(site.world, 160);
+  private void models() throws BadMessage {
+    ModelSite site = new ModelSite(Site.tryOut(24, true), 48);
+    watch(site.world, 150);
+    site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
+    runUntil(site.world, ModelSite.DEFINED_S);
+    site.define("m", 100, 2, 4);
+    site.wakeAt(50, 1, "m");
+    for (int i = 0; i < 30; i++) {
+      site.world
+          .time()
+          .at(
+              60 + i,
+              () ->
+                  site.send(
+                      1, "m/load", Map.of("from", "gateway", "in_flight", 30), response -> {}));
     }
+    site.world
+        .time()
+        .at(110, () -> site.send(0, "m/drain", Map.of("request", "d1"), response -> {}));
+    runUntil(site.world, 160);
+  }
 
-    private void requests() {
-        World world = new World(Site.tryOut(30, true), 49, Meter.OFF,
-                new Features(null, null, Build.present("requests", 3), Map.of("requests", Map.of("share", 0.5))));
-        watch(world, 130);
-        List<Map<String, Object>> commands = new ArrayList<>();
-        for (String kind : List.of("police", "carrier")) {
-            commands.add(Json.object("do", "arrive", "kind", kind, "arrived_ms", 1_000_000_000L, "due_ms", 1_086_400_000L, "lane", "front", "team", "web",
-                    "tasks", 8, "cpus", 2, "memory_gb", 4, "zones", List.of()));
-        }
-        commands.add(Json.object("do", "answer"));
-        commands.add(Json.object("do", "withdraw", "why", "not needed"));
-        commands.add(Json.object("do", "nothing"));
-        for (int i = 0; i < commands.size(); i++) {
-            Map<String, Object> command = commands.get(i);
-            int number = i;
-            world.time().at(40 + 15 * i, () -> ask(world, number % 3, HttpRequest.post("/admin/agreed/requests/ref-" + number % 2,
-                    Json.write(Json.object("request", "r-" + number, "by", "clerk", "command", command)))));
-        }
-        runUntil(world, 140);
+  private void requests() {
+    World world =
+        new World(
+            Site.tryOut(30, true),
+            49,
+            Meter.OFF,
+            new Features(
+                null,
+                null,
+                Build.present("requests", 3),
+                Map.of("requests", Map.of("share", 0.5))));
+    watch(world, 130);
+    List<Map<String, Object>> commands = new ArrayList<>();
+    for (String kind : List.of("police", "carrier")) {
+      commands.add(
+          Json.object(
+              "do",
+              "arrive",
+              "kind",
+              kind,
+              "arrived_ms",
+              1_000_000_000L,
+              "due_ms",
+              1_086_400_000L,
+              "lane",
+              "front",
+              "team",
+              "web",
+              "tasks",
+              8,
+              "cpus",
+              2,
+              "memory_gb",
+              4,
+              "zones",
+              List.of()));
+    }
+    commands.add(Json.object("do", "answer"));
+    commands.add(Json.object("do", "withdraw", "why", "not needed"));
+    commands.add(Json.object("do", "nothing"));
+    for (int i = 0; i < commands.size(); i++) {
+      Map<String, Object> command = commands.get(i);
+      int number = i;
+      world
+          .time()
+          .at(
+              40 + 15 * i,
+              () ->
+                  ask(
+                      world,
+                      number % 3,
+                      HttpRequest.post(
+                          "/admin/agreed/requests/ref-" + number % 2,
+                          Json.write(
+                              Json.object(
+                                  "request", "r-" + number, "by", "clerk", "command", command)))));
     }
+    runUntil(world, 140);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/RequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RequestCasesTest.java
@@ -28,307 +28,516 @@
 
 /** Requests with a due time on three controllers, in virtual time. */
 class RequestCasesTest {
-    private static final int MACHINES = 30;
-    /** By then the level that requests come with is in force. */
-    private static final double READY_S = 35;
-    private static final long HOUR_MS = 3_600_000;
+  private static final int MACHINES = 30;
 
-    private final Site site = Site.tryOut(MACHINES, true);
-    private final World world = new World(site, 5, Meter.OFF, new Features(null, null, Build.present("requests", 3), Map.of("requests", Map.of("share", 0.5))));
-    private final RequestWatch watch = new RequestWatch(world);
-    private final Map<String, Integer> answers = new HashMap<>();
-    private final Map<String, String> words = new HashMap<>();
-    private int jobs = 100;
+  /** By then the level that requests come with is in force. */
+  private static final double READY_S = 35;
 
-    private long nowMs() {
-        return (long) ((1_000_000 + world.time().seconds()) * 1000);
-    }
+  private static final long HOUR_MS = 3_600_000;
 
-    private void run(double seconds) {
-        world.time().runUntil(world.time().seconds() + seconds);
-    }
+  private final Site site = Site.tryOut(MACHINES, true);
+  private final World world =
+      new World(
+          site,
+          5,
+          Meter.OFF,
+          new Features(
+              null, null, Build.present("requests", 3), Map.of("requests", Map.of("share", 0.5))));
+  private final RequestWatch watch = new RequestWatch(world);
+  private final Map<String, Integer> answers = new HashMap<>();
+  private final Map<String, String> words = new HashMap<>();
+  private int jobs = 100;
 
-    /** Asks a controller for a change of a request; what it answers is known by {@code name}, the name of the operators' request. */
-    private void ask(int node, String name, String reference, Map<String, Object> command, Runnable durable) {
-        world.ask(node, HttpRequest.post("/admin/agreed/requests/" + reference, Json.write(Json.object("request", name, "command", command))),
-                response -> {
-                    answers.put(name, response.status());
-                    words.put(name, new String(response.body()));
-                    if (response.status() == 200) {
-                        durable.run();
-                    }
-                });
-    }
+  private long nowMs() {
+    return (long) ((1_000_000 + world.time().seconds()) * 1000);
+  }
 
-    private void arrive(int node, String name, String reference, String kind, double dueH, int tasks) {
-        ask(node, name, reference, Json.object("do", "arrive", "kind", kind, "arrived_ms", 1_000_000_000L, "due_ms",
-                1_000_000_000L + (long) (dueH * HOUR_MS), "lane", "front", "team", "web", "tasks", tasks, "cpus", 2, "memory_gb", 4, "zones", List.of()),
-                () -> watch.accepted(reference, kind));
-    }
+  private void run(double seconds) {
+    world.time().runUntil(world.time().seconds() + seconds);
+  }
 
-    private void deliver(int node, String name, String reference) {
-        ask(node, name, reference, Json.object("do", "answer"), () -> watch.ended(reference, Request.State.ANSWERED));
-    }
+  /**
+   * Asks a controller for a change of a request; what it answers is known by {@code name}, the name
+   * of the operators' request.
+   */
+  private void ask(
+      int node, String name, String reference, Map<String, Object> command, Runnable durable) {
+    world.ask(
+        node,
+        HttpRequest.post(
+            "/admin/agreed/requests/" + reference,
+            Json.write(Json.object("request", name, "command", command))),
+        response -> {
+          answers.put(name, response.status());
+          words.put(name, new String(response.body()));
+          if (response.status() == 200) {
+            durable.run();
+          }
+        });
+  }
 
-    private void withdraw(int node, String name, String reference) {
-        ask(node, name, reference, Json.object("do", "withdraw", "why", "not needed"), () -> watch.ended(reference, Request.State.WITHDRAWN));
-    }
+  private void arrive(
+      int node, String name, String reference, String kind, double dueH, int tasks) {
+    ask(
+        node,
+        name,
+        reference,
+        Json.object(
+            "do",
+            "arrive",
+            "kind",
+            kind,
+            "arrived_ms",
+            1_000_000_000L,
+            "due_ms",
+            1_000_000_000L + (long) (dueH * HOUR_MS),
+            "lane",
+            "front",
+            "team",
+            "web",
+            "tasks",
+            tasks,
+            "cpus",
+            2,
+            "memory_gb",
+            4,
+            "zones",
+            List.of()),
+        () -> watch.accepted(reference, kind));
+  }
 
-    private Job job(String lane, String team, Shape shape, Rank rank, int tasks, double cpus, boolean saves, boolean spread) {
-        return new Job(new JobId("job-" + ++jobs), lane, team, shape, rank, tasks, new Resources(cpus, 0, 2 * cpus), null, null, false, spread,
-                shape == Shape.ARRAY, "img-" + lane, 0.5, Span.ofSeconds(shape == Shape.ARRAY ? 40 : 0), saves ? Span.ofSeconds(10) : Span.ZERO,
-                saves ? Span.ofSeconds(0.8) : Span.ZERO, null);
-    }
+  private void deliver(int node, String name, String reference) {
+    ask(
+        node,
+        name,
+        reference,
+        Json.object("do", "answer"),
+        () -> watch.ended(reference, Request.State.ANSWERED));
+  }
 
-    private void set(String settings) throws BadMessage {
-        String[] known = new String[1];
-        world.ask(0, HttpRequest.get("/admin/settings"), response -> known[0] = new String(response.body()));
-        long version = Json.parseFields(known[0].getBytes()).unsigned("version");
-        world.ask(0, new HttpRequest("PUT", "/admin/settings", ("{\"version\": " + version + ", \"settings\": " + settings + "}").getBytes(), false),
-                response -> assertEquals(200, response.status()));
-        run(2);
-    }
+  private void withdraw(int node, String name, String reference) {
+    ask(
+        node,
+        name,
+        reference,
+        Json.object("do", "withdraw", "why", "not needed"),
+        () -> watch.ended(reference, Request.State.WITHDRAWN));
+  }
+
+  private Job job(
+      String lane,
+      String team,
+      Shape shape,
+      Rank rank,
+      int tasks,
+      double cpus,
+      boolean saves,
+      boolean spread) {
+    return new Job(
+        new JobId("job-" + ++jobs),
+        lane,
+        team,
+        shape,
+        rank,
+        tasks,
+        new Resources(cpus, 0, 2 * cpus),
+        null,
+        null,
+        false,
+        spread,
+        shape == Shape.ARRAY,
+        "img-" + lane,
+        0.5,
+        Span.ofSeconds(shape == Shape.ARRAY ? 40 : 0),
+        saves ? Span.ofSeconds(10) : Span.ZERO,
+        saves ? Span.ofSeconds(0.8) : Span.ZERO,
+        null);
+  }
 
-    /** More of everything else than there is room for: another front service, arrays that save and arrays that don't. */
-    private void flood() {
-        for (int i = 0; i < 8; i++) {
-            world.users().submit(job("side", "batch", Shape.SERVICE, Rank.PRODUCTION, 10, 2, false, false));
-            world.users().submit(job("rebuild", "batch", Shape.ARRAY, Rank.HIGH, 60, 1, false, false));
-            world.users().submit(job("sweep", "batch", Shape.ARRAY, Rank.NORMAL, 60, 1, true, false));
-        }
+  private void set(String settings) throws BadMessage {
+    String[] known = new String[1];
+    world.ask(
+        0, HttpRequest.get("/admin/settings"), response -> known[0] = new String(response.body()));
+    long version = Json.parseFields(known[0].getBytes()).unsigned("version");
+    world.ask(
+        0,
+        new HttpRequest(
+            "PUT",
+            "/admin/settings",
+            ("{\"version\": " + version + ", \"settings\": " + settings + "}").getBytes(),
+            false),
+        response -> assertEquals(200, response.status()));
+    run(2);
+  }
+
+  /**
+   * More of everything else than there is room for: another front service, arrays that save and
+   * arrays that don't.
+   */
+  private void flood() {
+    for (int i = 0; i < 8; i++) {
+      world
+          .users()
+          .submit(job("side", "batch", Shape.SERVICE, Rank.PRODUCTION, 10, 2, false, false));
+      world.users().submit(job("rebuild", "batch", Shape.ARRAY, Rank.HIGH, 60, 1, false, false));
+      world.users().submit(job("sweep", "batch", Shape.ARRAY, Rank.NORMAL, 60, 1, true, false));
     }
+  }
 
-    private int on(JobId... ids) {
-        int on = 0;
-        for (JobId id : ids) {
-            on += world.rules().onMachines(id);
-        }
-        return on;
+  private int on(JobId... ids) {
+    int on = 0;
+    for (JobId id : ids) {
+      on += world.rules().onMachines(id);
     }
+    return on;
+  }
 
-    private Fields row(int node, String reference) {
-        Fields[] row = new Fields[1];
-        world.ask(node, HttpRequest.get("/admin/agreed/requests/" + reference), (HttpResponse response) -> {
-            try {
-                row[0] = response.status() == 200 ? Json.parseFields(response.body()).objects("rows").get(0) : null;
-            } catch (BadMessage e) {
-                throw new IllegalStateException(e);
-            }
+  private Fields row(int node, String reference) {
+    Fields[] row = new Fields[1];
+    world.ask(
+        node,
+        HttpRequest.get("/admin/agreed/requests/" + reference),
+        (HttpResponse response) -> {
+          try {
+            row[0] =
+                response.status() == 200
+                    ? Json.parseFields(response.body()).objects("rows").get(0)
+                    : null;
+          } catch (BadMessage e) {
+            throw new IllegalStateException(e);
+          }
         });
-        run(1);
-        return row[0];
-    }
+    run(1);
+    return row[0];
+  }
 
-    private void assertSound() {
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(List.of(), watch.broken());
-    }
+  private void assertSound() {
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), watch.broken());
+  }
 
-    /** Seconds until so many tasks of some jobs are on machines; the most that is waited where they never are. */
-    private double until(int tasks, double most, JobId... ids) {
-        double begun = world.time().seconds();
-        while (on(ids) < tasks && world.time().seconds() - begun < most) {
-            run(0.1);
-        }
-        return world.time().seconds() - begun;
+  /**
+   * Seconds until so many tasks of some jobs are on machines; the most that is waited where they
+   * never are.
+   */
+  private double until(int tasks, double most, JobId... ids) {
+    double begun = world.time().seconds();
+    while (on(ids) < tasks && world.time().seconds() - begun < most) {
+      run(0.1);
     }
+    return world.time().seconds() - begun;
+  }
 
-    /** Everything else floods; the lane's tasks start in seconds, evenly over zones. What could borrow had the room meanwhile. */
-    @Test
-    void theLaneStartsInAFloodOfEverythingElse() {
-        world.time().runUntil(READY_S);
-        arrive(0, "a", "police-1", "police", 24, 24);
-        run(15);
-        assertEquals(Request.State.RESERVED, watch.request("police-1").state(), words.toString());
-        assertTrue(watch.request("police-1").zones().values().stream().allMatch(tasks -> tasks == 8), watch.request("police-1").toString());
-        flood();
-        run(60);
-        double used = world.rules().used("batch").cpus();
-        assertTrue(used > 8 * MACHINES - 24, "room that is not used is lent: " + used + " of " + 8 * MACHINES);
-        JobId front = world.users().submit(job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 24, 2, false, true));
-        double took = until(24, 60, front);
-        System.err.println("24 tasks of the lane run " + took + " s after submission, in a flood that uses " + used + " of " + 8 * MACHINES);
-        assertTrue(took < 8, took + " s");
-        deliver(1, "d", "police-1");
-        world.users().cancel(front);
-        run(60);
-        assertEquals(Request.State.ANSWERED, watch.request("police-1").state());
-        assertTrue(world.rules().used("batch").cpus() > 8 * MACHINES - 10, "given back: " + world.rules().used("batch"));
-        assertSound();
-    }
+  /**
+   * Everything else floods; the lane's tasks start in seconds, evenly over zones. What could borrow
+   * had the room meanwhile.
+   */
+  @Test
+  void theLaneStartsInAFloodOfEverythingElse() {
+    world.time().runUntil(READY_S);
+    arrive(0, "a", "police-1", "police", 24, 24);
+    run(15);
+    assertEquals(Request.State.RESERVED, watch.request("police-1").state(), words.toString());
+    assertTrue(
+        watch.request("police-1").zones().values().stream().allMatch(tasks -> tasks == 8),
+        watch.request("police-1").toString());
+    flood();
+    run(60);
+    double used = world.rules().used("batch").cpus();
+    assertTrue(
+        used > 8 * MACHINES - 24, "room that is not used is lent: " + used + " of " + 8 * MACHINES);
+    JobId front =
+        world
+            .users()
+            .submit(job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 24, 2, false, true));
+    double took = until(24, 60, front);
+    System.err.println(
+        "24 tasks of the lane run "
+            + took
+            + " s after submission, in a flood that uses "
+            + used
+            + " of "
+            + 8 * MACHINES);
+    assertTrue(took < 8, took + " s");
+    deliver(1, "d", "police-1");
+    world.users().cancel(front);
+    run(60);
+    assertEquals(Request.State.ANSWERED, watch.request("police-1").state());
+    assertTrue(
+        world.rules().used("batch").cpus() > 8 * MACHINES - 10,
+        "given back: " + world.rules().used("batch"));
+    assertSound();
+  }
 
-    /** One reference, two controllers, other figures in one instant: one is accepted, the other is told which figures differ. */
-    @Test
-    void theSameReferenceWithOtherFigures() {
-        world.time().runUntil(READY_S);
-        arrive(0, "a", "r-1", "police", 24, 4);
-        arrive(1, "b", "r-1", "carrier", 24, 6);
-        run(5);
-        assertEquals(List.of(200, 409), answers.values().stream().sorted().toList(), words.toString());
-        String refused = words.get(answers.get("a") == 409 ? "a" : "b");
-        assertTrue(refused.contains("kind is") && refused.contains("tasks is"), refused);
-        arrive(2, answers.get("a") == 200 ? "a" : "b", "r-1", watch.request("r-1").kind(), 24, watch.request("r-1").need().tasks());
-        run(5);
-        assertEquals(Request.State.RESERVED, watch.request("r-1").state());
-        assertSound();
-    }
+  /**
+   * One reference, two controllers, other figures in one instant: one is accepted, the other is
+   * told which figures differ.
+   */
+  @Test
+  void theSameReferenceWithOtherFigures() {
+    world.time().runUntil(READY_S);
+    arrive(0, "a", "r-1", "police", 24, 4);
+    arrive(1, "b", "r-1", "carrier", 24, 6);
+    run(5);
+    assertEquals(List.of(200, 409), answers.values().stream().sorted().toList(), words.toString());
+    String refused = words.get(answers.get("a") == 409 ? "a" : "b");
+    assertTrue(refused.contains("kind is") && refused.contains("tasks is"), refused);
+    arrive(
+        2,
+        answers.get("a") == 200 ? "a" : "b",
+        "r-1",
+        watch.request("r-1").kind(),
+        24,
+        watch.request("r-1").need().tasks());
+    run(5);
+    assertEquals(Request.State.RESERVED, watch.request("r-1").state());
+    assertSound();
+  }
 
-    /** Delivered before there was room, delivered twice, and withdrawn as it is delivered: it is over once. */
-    @Test
-    void deliveredInEveryWrongMoment() {
-        world.time().runUntil(READY_S);
-        arrive(0, "a1", "r-1", "police", 24, 4);
-        deliver(0, "d1", "r-1");
-        arrive(1, "a2", "r-2", "police", 24, 4);
-        arrive(2, "a3", "r-3", "carrier", 24, 4);
-        run(5);
-        assertEquals(200, answers.get("d1"));
-        deliver(0, "d2", "r-2");
-        deliver(1, "d3", "r-2");
-        deliver(2, "d2", "r-2");
-        deliver(1, "d4", "r-3");
-        withdraw(2, "w4", "r-3");
-        run(5);
-        assertEquals(List.of(200, 200), List.of(answers.get("d2"), answers.get("d3")));
-        assertEquals(List.of(200, 409), List.of(answers.get("d4"), answers.get("w4")).stream().sorted().toList(), words.toString());
-        arrive(0, "a4", "r-4", "carrier", 24, 4);
-        run(5);
-        withdraw(0, "w5", "r-4");
-        run(2);
-        deliver(1, "d7", "r-4");
-        run(2);
-        assertEquals(List.of(200, 409), List.of(answers.get("w5"), answers.get("d7")), words.toString());
-        ask(0, "d5", "r-2", Json.object("do", "answer", "delivered_ms", 1_000_000_001L), () -> { });
-        ask(0, "d6", "r-9", Json.object("do", "answer"), () -> { });
-        run(10);
-        assertEquals(List.of(409, 404), List.of(answers.get("d5"), answers.get("d6")), words.toString());
-        assertTrue(watch.seen().values().stream().noneMatch(request -> request.state().isOpen()), watch.seen().toString());
-        assertSound();
-    }
+  /**
+   * Delivered before there was room, delivered twice, and withdrawn as it is delivered: it is over
+   * once.
+   */
+  @Test
+  void deliveredInEveryWrongMoment() {
+    world.time().runUntil(READY_S);
+    arrive(0, "a1", "r-1", "police", 24, 4);
+    deliver(0, "d1", "r-1");
+    arrive(1, "a2", "r-2", "police", 24, 4);
+    arrive(2, "a3", "r-3", "carrier", 24, 4);
+    run(5);
+    assertEquals(200, answers.get("d1"));
+    deliver(0, "d2", "r-2");
+    deliver(1, "d3", "r-2");
+    deliver(2, "d2", "r-2");
+    deliver(1, "d4", "r-3");
+    withdraw(2, "w4", "r-3");
+    run(5);
+    assertEquals(List.of(200, 200), List.of(answers.get("d2"), answers.get("d3")));
+    assertEquals(
+        List.of(200, 409),
+        List.of(answers.get("d4"), answers.get("w4")).stream().sorted().toList(),
+        words.toString());
+    arrive(0, "a4", "r-4", "carrier", 24, 4);
+    run(5);
+    withdraw(0, "w5", "r-4");
+    run(2);
+    deliver(1, "d7", "r-4");
+    run(2);
+    assertEquals(
+        List.of(200, 409), List.of(answers.get("w5"), answers.get("d7")), words.toString());
+    ask(0, "d5", "r-2", Json.object("do", "answer", "delivered_ms", 1_000_000_001L), () -> {});
+    ask(0, "d6", "r-9", Json.object("do", "answer"), () -> {});
+    run(10);
+    assertEquals(
+        List.of(409, 404), List.of(answers.get("d5"), answers.get("d6")), words.toString());
+    assertTrue(
+        watch.seen().values().stream().noneMatch(request -> request.state().isOpen()),
+        watch.seen().toString());
+    assertSound();
+  }
 
-    /** The leader is lost, or stands still, around each step, with transactions that are applied late. */
-    @ParameterizedTest
-    @ValueSource(doubles = {0, 0.003, 0.01, 0.05, 0.2, 1})
-    void theLeaderIsLostInEachState(double offset) {
-        world.state().applyLate(10);
-        world.time().runUntil(READY_S);
-        for (int round = 0; round < 6; round++) {
-            int each = round;
-            String reference = "r-" + each;
-            int leader = Math.max(0, world.leader());
-            int other = (leader + 1) % 3;
-            double still = round % 2 == 0 ? 0 : 9;
-            boolean ends = round >= 3;
-            keepAsking(other, "a" + each, () -> arrive(other, "a" + each, reference, "police", 24 + each, 5));
-            run(ends ? 4 : offset);
-            if (ends) {
-                keepAsking(other, "d" + each, () -> deliver(other, "d" + each, reference));
-                run(offset);
-            }
-            if (still == 0) {
-                world.crash(leader);
-            } else {
-                world.standStill(leader, still);
-            }
-            run(16);
-            assertEquals(200, answers.get("a" + round), words.toString());
-            assertEquals(ends ? Request.State.ANSWERED : Request.State.RESERVED, watch.request(reference).state(), reference + " " + words);
-        }
-        run(30);
-        assertSound();
+  /**
+   * The leader is lost, or stands still, around each step, with transactions that are applied late.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {0, 0.003, 0.01, 0.05, 0.2, 1})
+  void theLeaderIsLostInEachState(double offset) {
+    world.state().applyLate(10);
+    world.time().runUntil(READY_S);
+    for (int round = 0; round < 6; round++) {
+      int each = round;
+      String reference = "r-" + each;
+      int leader = Math.max(0, world.leader());
+      int other = (leader + 1) % 3;
+      double still = round % 2 == 0 ? 0 : 9;
+      boolean ends = round >= 3;
+      keepAsking(
+          other, "a" + each, () -> arrive(other, "a" + each, reference, "police", 24 + each, 5));
+      run(ends ? 4 : offset);
+      if (ends) {
+        keepAsking(other, "d" + each, () -> deliver(other, "d" + each, reference));
+        run(offset);
+      }
+      if (still == 0) {
+        world.crash(leader);
+      } else {
+        world.standStill(leader, still);
+      }
+      run(16);
+      assertEquals(200, answers.get("a" + round), words.toString());
+      assertEquals(
+          ends ? Request.State.ANSWERED : Request.State.RESERVED,
+          watch.request(reference).state(),
+          reference + " " + words);
     }
+    run(30);
+    assertSound();
+  }
 
-    /** As an operator does: by the same name until there is an answer that says something. */
-    private void keepAsking(int node, String name, Runnable ask) {
-        if (!answers.containsKey(name) || answers.get(name) == 503) {
-            ask.run();
-            world.time().after(5, () -> keepAsking(node, name, ask));
-        }
+  /** As an operator does: by the same name until there is an answer that says something. */
+  private void keepAsking(int node, String name, Runnable ask) {
+    if (!answers.containsKey(name) || answers.get(name) == 503) {
+      ask.run();
+      world.time().after(5, () -> keepAsking(node, name, ask));
     }
+  }
 
-    /** Machines go until what is reserved has no room: the last due is told that it has none, and has room again when there is some. */
-    @Test
-    void capacityShrinksBelowWhatIsReserved() throws BadMessage {
-        world.time().runUntil(READY_S);
-        for (int i = 0; i < 4; i++) {
-            arrive(i % 3, "a" + i, "r-" + i, "police", 40 - i, 18);
-        }
-        run(15);
-        assertEquals(4, watch.seen().values().stream().filter(request -> request.state() == Request.State.RESERVED).count(), watch.seen().toString());
-        set("{\"renting\": false}");
-        List<MachineId> ordinary = new ArrayList<>();
-        world.cloud().workers().forEach(worker -> {
-            if (!worker.machine().spot()) {
+  /**
+   * Machines go until what is reserved has no room: the last due is told that it has none, and has
+   * room again when there is some.
+   */
+  @Test
+  void capacityShrinksBelowWhatIsReserved() throws BadMessage {
+    world.time().runUntil(READY_S);
+    for (int i = 0; i < 4; i++) {
+      arrive(i % 3, "a" + i, "r-" + i, "police", 40 - i, 18);
+    }
+    run(15);
+    assertEquals(
+        4,
+        watch.seen().values().stream()
+            .filter(request -> request.state() == Request.State.RESERVED)
+            .count(),
+        watch.seen().toString());
+    set("{\"renting\": false}");
+    List<MachineId> ordinary = new ArrayList<>();
+    world
+        .cloud()
+        .workers()
+        .forEach(
+            worker -> {
+              if (!worker.machine().spot()) {
                 ordinary.add(worker.machine().id());
-            }
-        });
-        ordinary.subList(0, 8).forEach(id -> world.cloud().take(id, 0));
-        run(45);
-        assertEquals(Request.State.ARRIVED, watch.request("r-0").state(), watch.seen().toString());
-        assertEquals(Request.State.RESERVED, watch.request("r-3").state(), watch.seen().toString());
-        for (int node = 0; node < 3; node++) {
-            assertTrue(row(node, "r-0").text("without").contains("no room for 18 tasks"), row(node, "r-0").text("without"));
-        }
-        set("{\"renting\": true}");
-        run(40);
-        assertEquals(4, watch.seen().values().stream().filter(request -> request.state() == Request.State.RESERVED).count(), watch.seen().toString());
-        assertSound();
+              }
+            });
+    ordinary.subList(0, 8).forEach(id -> world.cloud().take(id, 0));
+    run(45);
+    assertEquals(Request.State.ARRIVED, watch.request("r-0").state(), watch.seen().toString());
+    assertEquals(Request.State.RESERVED, watch.request("r-3").state(), watch.seen().toString());
+    for (int node = 0; node < 3; node++) {
+      assertTrue(
+          row(node, "r-0").text("without").contains("no room for 18 tasks"),
+          row(node, "r-0").text("without"));
     }
+    set("{\"renting\": true}");
+    run(40);
+    assertEquals(
+        4,
+        watch.seen().values().stream()
+            .filter(request -> request.state() == Request.State.RESERVED)
+            .count(),
+        watch.seen().toString());
+    assertSound();
+  }
 
-    /** Nothing else runs, so machines are idle: those with room that is kept stay, and no more are rented. Then a whole zone goes. */
-    @Test
-    void keptRoomIsNotReturnedAndIsMadeAnewInOtherZones() throws BadMessage {
-        world.time().runUntil(READY_S);
-        arrive(1, "a", "r-1", "carrier", 24, 12);
-        run(30);
-        assertEquals(Map.of("east", 4, "north", 4, "west", 4), watch.request("r-1").zones());
-        int rented = world.cloud().workers().size();
-        long written = changes("r-1");
-        run(150);
-        assertEquals(written, changes("r-1"), "moved though nothing has changed");
-        assertTrue(rented <= 8 && world.cloud().workers().size() <= 8, rented + " machines, later " + world.cloud().workers().size());
-        for (Worker worker : world.cloud().workers()) {
-            if (worker.machine().zone().equals("west")) {
-                world.cloud().take(worker.machine().id(), 0);
-            }
-        }
-        set("{\"renting\": false}");
-        run(60);
-        set("{\"renting\": true}");
-        run(30);
-        assertEquals(Request.State.RESERVED, watch.request("r-1").state());
-        JobId front = world.users().submit(job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 12, 2, false, true));
-        double took = until(12, 30, front);
-        assertTrue(took < 8, on(front) + " tasks run after " + took + " s, " + watch.request("r-1"));
-        assertSound();
+  /**
+   * Nothing else runs, so machines are idle: those with room that is kept stay, and no more are
+   * rented. Then a whole zone goes.
+   */
+  @Test
+  void keptRoomIsNotReturnedAndIsMadeAnewInOtherZones() throws BadMessage {
+    world.time().runUntil(READY_S);
+    arrive(1, "a", "r-1", "carrier", 24, 12);
+    run(30);
+    assertEquals(Map.of("east", 4, "north", 4, "west", 4), watch.request("r-1").zones());
+    int rented = world.cloud().workers().size();
+    long written = changes("r-1");
+    run(150);
+    assertEquals(written, changes("r-1"), "moved though nothing has changed");
+    assertTrue(
+        rented <= 8 && world.cloud().workers().size() <= 8,
+        rented + " machines, later " + world.cloud().workers().size());
+    for (Worker worker : world.cloud().workers()) {
+      if (worker.machine().zone().equals("west")) {
+        world.cloud().take(worker.machine().id(), 0);
+      }
     }
+    set("{\"renting\": false}");
+    run(60);
+    set("{\"renting\": true}");
+    run(30);
+    assertEquals(Request.State.RESERVED, watch.request("r-1").state());
+    JobId front =
+        world
+            .users()
+            .submit(job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 12, 2, false, true));
+    double took = until(12, 30, front);
+    assertTrue(took < 8, on(front) + " tasks run after " + took + " s, " + watch.request("r-1"));
+    assertSound();
+  }
 
-    private long changes(String reference) throws BadMessage {
-        return Fields.of(world.state().value("q/agreed/requests/" + reference), "a record").unsigned("change");
-    }
+  private long changes(String reference) throws BadMessage {
+    return Fields.of(world.state().value("q/agreed/requests/" + reference), "a record")
+        .unsigned("change");
+  }
 
-    /** 10,000 open requests: the first due have the room, the others are told, the leader and all answers keep their time. */
-    @Test
-    void tenThousandOpenRequests() throws BadMessage {
-        world.time().runUntil(READY_S);
-        for (int i = 0; i < 10_000; i++) {
-            world.state().write("q/agreed/requests/r-" + i, Json.object("change", 1, "state", Json.object("state", "arrived", "kind", "police",
-                    "arrived_ms", 1_000_000_000L, "due_ms", 1_100_000_000L + 7919L * i % 10_000, "lane", "front", "team", "web", "tasks", 2, "cpus", 1.0,
-                    "gpus", 0.0, "memory_gb", 2.0, "zones", List.of(), "recorded_ms", 1_000_000_000L), "requests", List.of(), "trail", List.of()));
-        }
-        run(30);
-        List<Request> byDue = new ArrayList<>(watch.seen().values());
-        byDue.sort(java.util.Comparator.comparing(Request::dueMs));
-        int reserved = (int) byDue.stream().filter(request -> request.state() == Request.State.RESERVED).count();
-        assertTrue(reserved > 20, reserved + " reserved");
-        assertTrue(byDue.subList(0, reserved).stream().allMatch(request -> request.state() == Request.State.RESERVED), "first due first");
-        assertTrue(row(1, byDue.get(9_999).reference()).text("without").length() > 10, "told");
-        String why = row(1, byDue.get(reserved).reference()).text("without");
-        System.err.println(reserved + " of 10000 reserved; the next: " + why);
-        deliver(2, "d", byDue.get(0).reference());
-        run(10);
-        assertEquals(200, answers.get("d"));
-        assertEquals(Request.State.RESERVED, watch.request(byDue.get(reserved).reference()).state(), "the next in line has what was given back");
-        assertSound();
+  /**
+   * 10,000 open requests: the first due have the room, the others are told, the leader and all
+   * answers keep their time.
+   */
+  @Test
+  void tenThousandOpenRequests() throws BadMessage {
+    world.time().runUntil(READY_S);
+    for (int i = 0; i < 10_000; i++) {
+      world
+          .state()
+          .write(
+              "q/agreed/requests/r-" + i,
+              Json.object(
+                  "change",
+                  1,
+                  "state",
+                  Json.object(
+                      "state",
+                      "arrived",
+                      "kind",
+                      "police",
+                      "arrived_ms",
+                      1_000_000_000L,
+                      "due_ms",
+                      1_100_000_000L + 7919L * i % 10_000,
+                      "lane",
+                      "front",
+                      "team",
+                      "web",
+                      "tasks",
+                      2,
+                      "cpus",
+                      1.0,
+                      "gpus",
+                      0.0,
+                      "memory_gb",
+                      2.0,
+                      "zones",
+                      List.of(),
+                      "recorded_ms",
+                      1_000_000_000L),
+                  "requests",
+                  List.of(),
+                  "trail",
+                  List.of()));
     }
+    run(30);
+    List<Request> byDue = new ArrayList<>(watch.seen().values());
+    byDue.sort(java.util.Comparator.comparing(Request::dueMs));
+    int reserved =
+        (int) byDue.stream().filter(request -> request.state() == Request.State.RESERVED).count();
+    assertTrue(reserved > 20, reserved + " reserved");
+    assertTrue(
+        byDue.subList(0, reserved).stream()
+            .allMatch(request -> request.state() == Request.State.RESERVED),
+        "first due first");
+    assertTrue(row(1, byDue.get(9_999).reference()).text("without").length() > 10, "told");
+    String why = row(1, byDue.get(reserved).reference()).text("without");
+    System.err.println(reserved + " of 10000 reserved; the next: " + why);
+    deliver(2, "d", byDue.get(0).reference());
+    run(10);
+    assertEquals(200, answers.get("d"));
+    assertEquals(
+        Request.State.RESERVED,
+        watch.request(byDue.get(reserved).reference()).state(),
+        "the next in line has what was given back");
+    assertSound();
+  }
 }
--- a/src/test/java/org/quincecross/emulator/RequestWatch.java
+++ b/src/test/java/org/quincecross/emulator/RequestWatch.java
@@ -10,91 +10,106 @@
 import org.quincecross.requests.Request;
 import org.quincecross.requests.RequestKind;
 
-/** Watches the records of requests as the state service has them: none that was answered for is lost, no reservation is lost or doubled. */
+/**
+ * Watches the records of requests as the state service has them: none that was answered for is
+ * lost, no reservation is lost or doubled.
+ */
 final class RequestWatch {
-    private static final String KEYS = "q/agreed/requests/";
-    private static final double EVERY_S = 0.05;
-    private static final RequestKind KIND = new RequestKind(id -> "", 0);
+  private static final String KEYS = "q/agreed/requests/";
+  private static final double EVERY_S = 0.05;
+  private static final RequestKind KIND = new RequestKind(id -> "", 0);
 
-    private final World world;
-    private final Map<String, Object> values = new HashMap<>();
-    private final Map<String, Request> seen = new TreeMap<>();
-    /** What operators were told is durable, by reference: the kind of the request that was accepted, and the end of those that are over. */
-    private final Map<String, String> accepted = new HashMap<>();
-    private final Map<String, Request.State> ended = new HashMap<>();
-    private final Map<String, Integer> ends = new HashMap<>();
-    private final List<String> broken = new ArrayList<>();
+  private final World world;
+  private final Map<String, Object> values = new HashMap<>();
+  private final Map<String, Request> seen = new TreeMap<>();
 
-    RequestWatch(World world) {
-        this.world = world;
-        look();
-    }
+  /**
+   * What operators were told is durable, by reference: the kind of the request that was accepted,
+   * and the end of those that are over.
+   */
+  private final Map<String, String> accepted = new HashMap<>();
 
-    List<String> broken() {
-        return broken;
-    }
+  private final Map<String, Request.State> ended = new HashMap<>();
+  private final Map<String, Integer> ends = new HashMap<>();
+  private final List<String> broken = new ArrayList<>();
 
-    Map<String, Request> seen() {
-        return seen;
-    }
+  RequestWatch(World world) {
+    this.world = world;
+    look();
+  }
 
-    Request request(String reference) {
-        return seen.getOrDefault(reference, Request.NONE);
-    }
+  List<String> broken() {
+    return broken;
+  }
 
-    void accepted(String reference, String kind) {
-        String before = accepted.put(reference, kind);
-        if (before != null && !before.equals(kind)) {
-            breaks(reference, "was accepted with other figures");
-        }
-    }
+  Map<String, Request> seen() {
+    return seen;
+  }
+
+  Request request(String reference) {
+    return seen.getOrDefault(reference, Request.NONE);
+  }
 
-    void ended(String reference, Request.State end) {
-        if (!ended.merge(reference, end, (one, other) -> one).equals(end)) {
-            breaks(reference, "was ended in two ways");
-        }
+  void accepted(String reference, String kind) {
+    String before = accepted.put(reference, kind);
+    if (before != null && !before.equals(kind)) {
+      breaks(reference, "was accepted with other figures");
     }
+  }
 
-    private void breaks(String reference, String what) {
-        broken.add("at " + world.time().seconds() + " " + reference + " " + what);
+  void ended(String reference, Request.State end) {
+    if (!ended.merge(reference, end, (one, other) -> one).equals(end)) {
+      breaks(reference, "was ended in two ways");
     }
+  }
 
-    private void look() {
-        for (String key : world.state().under(KEYS)) {
-            Object value = world.state().value(key);
-            if (key.startsWith(KEYS + "~") || values.put(key, value) == value) {
-                continue;
-            }
-            try {
-                Request now = KIND.read(Body.of(value, "a record").body("state").all()).named(key.substring(KEYS.length()));
-                check(seen.put(now.reference(), now), now);
-            } catch (Unreadable e) {
-                breaks(key, e.getMessage());
-            }
-        }
-        accepted.forEach((reference, kind) -> {
-            if (!request(reference).kind().equals(kind)) {
-                breaks(reference, "was accepted and is lost");
-            }
+  private void breaks(String reference, String what) {
+    broken.add("at " + world.time().seconds() + " " + reference + " " + what);
+  }
+
+  private void look() {
+    for (String key : world.state().under(KEYS)) {
+      Object value = world.state().value(key);
+      if (key.startsWith(KEYS + "~") || values.put(key, value) == value) {
+        continue;
+      }
+      try {
+        Request now =
+            KIND.read(Body.of(value, "a record").body("state").all())
+                .named(key.substring(KEYS.length()));
+        check(seen.put(now.reference(), now), now);
+      } catch (Unreadable e) {
+        breaks(key, e.getMessage());
+      }
+    }
+    accepted.forEach(
+        (reference, kind) -> {
+          if (!request(reference).kind().equals(kind)) {
+            breaks(reference, "was accepted and is lost");
+          }
         });
-        ended.forEach((reference, end) -> {
-            if (request(reference).state() != end) {
-                breaks(reference, "was told to be " + end + " and is " + request(reference).state());
-            }
+    ended.forEach(
+        (reference, end) -> {
+          if (request(reference).state() != end) {
+            breaks(reference, "was told to be " + end + " and is " + request(reference).state());
+          }
         });
-        world.time().after(seen.size() > 1000 ? 1 : EVERY_S, this::look);
-    }
+    world.time().after(seen.size() > 1000 ? 1 : EVERY_S, this::look);
+  }
 
-    private void check(Request before, Request now) {
-        int room = now.state() == Request.State.RESERVED ? now.need().tasks() : 0;
-        if (now.reserved() != room) {
-            breaks(now.reference(), "has room for " + now.reserved() + " of " + room);
-        }
-        if (before != null && !before.state().isOpen() && !now.equals(before)) {
-            breaks(now.reference(), "was over and has changed");
-        }
-        if (before != null && before.state().isOpen() && !now.state().isOpen() && ends.merge(now.reference(), 1, Integer::sum) > 1) {
-            breaks(now.reference(), "was given back twice");
-        }
+  private void check(Request before, Request now) {
+    int room = now.state() == Request.State.RESERVED ? now.need().tasks() : 0;
+    if (now.reserved() != room) {
+      breaks(now.reference(), "has room for " + now.reserved() + " of " + room);
+    }
+    if (before != null && !before.state().isOpen() && !now.equals(before)) {
+      breaks(now.reference(), "was over and has changed");
+    }
+    if (before != null
+        && before.state().isOpen()
+        && !now.state().isOpen()
+        && ends.merge(now.reference(), 1, Integer::sum) > 1) {
+      breaks(now.reference(), "was given back twice");
     }
+  }
 }
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -28,11 +28,15 @@
 import org.quincecross.wire.Json;
 import org.quincecross.wire.Settings;
 
-/** Controllers that are replaced one after the other by a build with another form of the stored state, under load, in virtual time. */
+/**
+ * Controllers that are replaced one after the other by a build with another form of the stored
+ * state, under load, in virtual time.
+ */
 class RolloutCasesTest {
-    private static final Build OLD = Build.present("old", 1);
-    private static final Build NEW = Build.present("new", 2);
-    private static final String JOBS = """
+  private static final Build OLD = Build.present("old", 1);
+  private static final Build NEW = Build.present("new", 2);
+  private static final String JOBS =
+      """
             [[jobs]]
             name = "front"
             shape = "service"
@@ -57,291 +61,401 @@
             run_s = 6
             """;
 
-    /** Few changes a transaction: the switch has to fit. */
-    private final Site site = Site.tryOut(30, true).with(new Settings.StateLimits(400, 56, 2048, 4));
-    private final World world = new World(site, 5, Meter.OFF, new Features(null, null, OLD));
-    private final List<JobId> arrays = new ArrayList<>();
-    private final List<String> wrong = new ArrayList<>();
+  /** Few changes a transaction: the switch has to fit. */
+  private final Site site = Site.tryOut(30, true).with(new Settings.StateLimits(400, 56, 2048, 4));
 
-    RolloutCasesTest() throws BadMessage {
-        for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
-            world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
-            if (due.job().jobClass().equals("rebuild")) {
-                arrays.add(due.job().id());
-            }
-        }
-        watch();
+  private final World world = new World(site, 5, Meter.OFF, new Features(null, null, OLD));
+  private final List<JobId> arrays = new ArrayList<>();
+  private final List<String> wrong = new ArrayList<>();
+
+  RolloutCasesTest() throws BadMessage {
+    for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
+      world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
+      if (due.job().jobClass().equals("rebuild")) {
+        arrays.add(due.job().id());
+      }
     }
+    watch();
+  }
 
-    /** Nobody who cannot do the level in force is a member for longer than it takes to see it, or leads or holds anything. */
-    private void watch() {
-        world.time().after(0.05, () -> {
-            int level = level();
-            for (int node = 0; node < world.nodeCount(); node++) {
-                if (world.state().value("q/member/" + Site.nodeName(node)) instanceof Map<?, ?> member) {
-                    int most = member.get("most") instanceof Number number ? number.intValue() : 1;
-                    if (most < level && member.containsKey("build")) {
-                        wrong.add("at " + world.time().seconds() + " a member that ends at level " + most + " under level " + level);
-                    }
+  /**
+   * Nobody who cannot do the level in force is a member for longer than it takes to see it, or
+   * leads or holds anything.
+   */
+  private void watch() {
+    world
+        .time()
+        .after(
+            0.05,
+            () -> {
+              int level = level();
+              for (int node = 0; node < world.nodeCount(); node++) {
+                if (world.state().value("q/member/" + Site.nodeName(node))
+                    instanceof Map<?, ?> member) {
+                  int most = member.get("most") instanceof Number number ? number.intValue() : 1;
+                  if (most < level && member.containsKey("build")) {
+                    wrong.add(
+                        "at "
+                            + world.time().seconds()
+                            + " a member that ends at level "
+                            + most
+                            + " under level "
+                            + level);
+                  }
                 }
-            }
-            watch();
-        });
-    }
+              }
+              watch();
+            });
+  }
 
-    private int level() {
-        return world.state().value("q/level") instanceof Map<?, ?> level ? ((Number) level.get("level")).intValue() : 1;
-    }
+  private int level() {
+    return world.state().value("q/level") instanceof Map<?, ?> level
+        ? ((Number) level.get("level")).intValue()
+        : 1;
+  }
 
-    private Fields status(int node) {
-        return world.status(node);
-    }
+  private Fields status(int node) {
+    return world.status(node);
+  }
 
-    private void assertAllIsWell(double untilS, int level) throws BadMessage {
-        world.time().runUntil(untilS);
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(List.of(), wrong);
-        for (JobId id : arrays) {
-            assertEquals("done", world.users().told().get(id), id.text());
-        }
-        assertEquals(24, world.users().told().keySet().stream().filter(id -> !arrays.contains(id))
-                .mapToInt(world.rules()::onMachines).sum(), "replicas");
-        for (int node = 0; node < world.nodeCount(); node++) {
-            assertEquals(level, status(node).count("level", 1, 100), "level on " + node);
-        }
+  private void assertAllIsWell(double untilS, int level) throws BadMessage {
+    world.time().runUntil(untilS);
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), wrong);
+    for (JobId id : arrays) {
+      assertEquals("done", world.users().told().get(id), id.text());
     }
-
-    private void rollAll(double fromS, double everyS, Build to) {
-        for (int node = 0; node < world.nodeCount(); node++) {
-            int each = node;
-            world.time().at(fromS + everyS * node, () -> world.roll(each, to));
-        }
+    assertEquals(
+        24,
+        world.users().told().keySet().stream()
+            .filter(id -> !arrays.contains(id))
+            .mapToInt(world.rules()::onMachines)
+            .sum(),
+        "replicas");
+    for (int node = 0; node < world.nodeCount(); node++) {
+      assertEquals(level, status(node).count("level", 1, 100), "level on " + node);
     }
+  }
 
-    /** All are replaced; the level rises once the last has been there for a while; allocations are then written as what changed. */
-    @Test
-    void aRollUnderLoad() throws BadMessage {
-        rollAll(20, 8, NEW);
-        world.time().runUntil(44);
-        assertEquals(1, level());
-        world.time().runUntil(70);
-        assertEquals(2, level());
-        assertFalse(world.state().under("q/change/").isEmpty());
-        assertAllIsWell(220, 2);
+  private void rollAll(double fromS, double everyS, Build to) {
+    for (int node = 0; node < world.nodeCount(); node++) {
+      int each = node;
+      world.time().at(fromS + everyS * node, () -> world.roll(each, to));
     }
+  }
 
-    /** Back before the switch is a restart; nothing that was written by the new build is lost on the old one. */
-    @Test
-    void backHalfWay() throws BadMessage {
-        world.time().at(20, () -> world.roll(0, NEW));
-        world.time().at(28, () -> world.roll(1, NEW));
-        world.time().at(36, () -> world.roll(0, OLD));
-        world.time().at(44, () -> world.roll(1, OLD));
-        assertAllIsWell(220, 1);
-        assertTrue(world.state().under("q/change/").isEmpty());
-    }
+  /**
+   * All are replaced; the level rises once the last has been there for a while; allocations are
+   * then written as what changed.
+   */
+  @Test
+  void aRollUnderLoad() throws BadMessage {
+    rollAll(20, 8, NEW);
+    world.time().runUntil(44);
+    assertEquals(1, level());
+    world.time().runUntil(70);
+    assertEquals(2, level());
+    assertFalse(world.state().under("q/change/").isEmpty());
+    assertAllIsWell(220, 2);
+  }
 
-    /** One that is away keeps the level where it is, until operators say that it is gone; back with its old build it takes no part. */
-    @Test
-    void oneThatIsAwayComesBackOldAndThenNew() throws BadMessage {
-        world.time().at(15, () -> world.down(2, 75));
-        world.time().at(20, () -> world.roll(0, NEW));
-        world.time().at(24, () -> world.roll(1, NEW));
-        world.time().runUntil(60);
-        assertEquals(1, level());
-        int leader = world.leader();
-        assertTrue(status(leader).text("level_waits_for").contains("n2, which is away"), status(leader).text("level_waits_for"));
-        set("{\"gone\": [\"n2\"]}");
-        world.time().runUntil(80);
-        assertEquals(2, level());
-        world.time().runUntil(100);
-        assertTrue(status(2).text("unable").contains("level 2 is in force"), status(2).text("unable"));
-        assertEquals(503, ask(2, HttpRequest.get("/up")));
-        assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-1")));
-        assertEquals(0, status(2).count("blocks_held", 0, 1000));
-        world.time().at(110, () -> world.roll(2, NEW));
-        assertAllIsWell(220, 2);
-        assertEquals(200, ask(2, HttpRequest.get("/up")));
-    }
+  /**
+   * Back before the switch is a restart; nothing that was written by the new build is lost on the
+   * old one.
+   */
+  @Test
+  void backHalfWay() throws BadMessage {
+    world.time().at(20, () -> world.roll(0, NEW));
+    world.time().at(28, () -> world.roll(1, NEW));
+    world.time().at(36, () -> world.roll(0, OLD));
+    world.time().at(44, () -> world.roll(1, OLD));
+    assertAllIsWell(220, 1);
+    assertTrue(world.state().under("q/change/").isEmpty());
+  }
 
-    /** A controller that has read the records, is no member yet, and cannot read one of them does not call that job unknown. */
-    @Test
-    void whatCannotBeReadIsNotUnknownBeforeAMemberIsAnnounced() {
-        world.time().runUntil(20);
-        world.down(2, 1);
-        world.state().write("q/job/job-77", Json.object("phase", "open", "at", 1));
-        world.state().late(LateWrites.share(1, 30, 40, () -> true, new Random(1)));
-        for (double at = 21.2; at < 25; at += 0.1) {
-            world.time().runUntil(at);
-            assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-77")));
-        }
-    }
+  /**
+   * One that is away keeps the level where it is, until operators say that it is gone; back with
+   * its old build it takes no part.
+   */
+  @Test
+  void oneThatIsAwayComesBackOldAndThenNew() throws BadMessage {
+    world.time().at(15, () -> world.down(2, 75));
+    world.time().at(20, () -> world.roll(0, NEW));
+    world.time().at(24, () -> world.roll(1, NEW));
+    world.time().runUntil(60);
+    assertEquals(1, level());
+    int leader = world.leader();
+    assertTrue(
+        status(leader).text("level_waits_for").contains("n2, which is away"),
+        status(leader).text("level_waits_for"));
+    set("{\"gone\": [\"n2\"]}");
+    world.time().runUntil(80);
+    assertEquals(2, level());
+    world.time().runUntil(100);
+    assertTrue(status(2).text("unable").contains("level 2 is in force"), status(2).text("unable"));
+    assertEquals(503, ask(2, HttpRequest.get("/up")));
+    assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-1")));
+    assertEquals(0, status(2).count("blocks_held", 0, 1000));
+    world.time().at(110, () -> world.roll(2, NEW));
+    assertAllIsWell(220, 2);
+    assertEquals(200, ask(2, HttpRequest.get("/up")));
+  }
 
-    /** In the moment of the switch one is restarted with its old build: either the switch fails, or it does not become a member. */
-    @ParameterizedTest
-    @ValueSource(doubles = {-4.2, -4.05, -4, -3.95, -3.9, -1, 0, 0.01, 0.02})
-    void anOldOneJoinsInTheSameInstant(double offset) throws BadMessage {
-        rollAll(20, 4, NEW);
-        double switchAt = switchedAt();
-        RolloutCasesTest other = new RolloutCasesTest();
-        other.rollAll(20, 4, NEW);
-        other.world.time().at(switchAt + offset, () -> other.world.roll(1, OLD));
-        other.world.time().at(switchAt + 60, () -> other.world.roll(1, NEW));
-        other.assertAllIsWell(240, 2);
+  /**
+   * A controller that has read the records, is no member yet, and cannot read one of them does not
+   * call that job unknown.
+   */
+  @Test
+  void whatCannotBeReadIsNotUnknownBeforeAMemberIsAnnounced() {
+    world.time().runUntil(20);
+    world.down(2, 1);
+    world.state().write("q/job/job-77", Json.object("phase", "open", "at", 1));
+    world.state().late(LateWrites.share(1, 30, 40, () -> true, new Random(1)));
+    for (double at = 21.2; at < 25; at += 0.1) {
+      world.time().runUntil(at);
+      assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-77")));
     }
+  }
+
+  /**
+   * In the moment of the switch one is restarted with its old build: either the switch fails, or it
+   * does not become a member.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {-4.2, -4.05, -4, -3.95, -3.9, -1, 0, 0.01, 0.02})
+  void anOldOneJoinsInTheSameInstant(double offset) throws BadMessage {
+    rollAll(20, 4, NEW);
+    double switchAt = switchedAt();
+    RolloutCasesTest other = new RolloutCasesTest();
+    other.rollAll(20, 4, NEW);
+    other.world.time().at(switchAt + offset, () -> other.world.roll(1, OLD));
+    other.world.time().at(switchAt + 60, () -> other.world.roll(1, NEW));
+    other.assertAllIsWell(240, 2);
+  }
 
-    private double switchedAt() {
-        for (double at = 30; at < 80; at += 0.01) {
-            world.time().runUntil(at);
-            if (level() == 2) {
-                return at;
-            }
-        }
-        throw new AssertionError("never switched");
+  private double switchedAt() {
+    for (double at = 30; at < 80; at += 0.01) {
+      world.time().runUntil(at);
+      if (level() == 2) {
+        return at;
+      }
     }
+    throw new AssertionError("never switched");
+  }
 
-    /** The switching leader is killed or stands still around its transaction, and transactions are applied late. */
-    @ParameterizedTest
-    @ValueSource(doubles = {-0.02, -0.01, -0.005, 0, 0.005, 1})
-    void theLeaderIsLostOverTheSwitch(double offset) throws BadMessage {
-        rollAll(20, 4, NEW);
-        double switchAt = switchedAt();
-        for (double still : new double[] {0, 6, 25}) {
-            RolloutCasesTest other = new RolloutCasesTest();
-            other.rollAll(20, 4, NEW);
-            other.world.state().applyLate(60);
-            other.world.time().runUntil(switchAt + offset);
-            int leader = Math.max(0, other.world.leader());
-            if (still == 0) {
-                other.world.crash(leader);
-            } else {
-                other.world.standStill(leader, still);
-            }
-            other.assertAllIsWell(260, 2);
-        }
+  /**
+   * The switching leader is killed or stands still around its transaction, and transactions are
+   * applied late.
+   */
+  @ParameterizedTest
+  @ValueSource(doubles = {-0.02, -0.01, -0.005, 0, 0.005, 1})
+  void theLeaderIsLostOverTheSwitch(double offset) throws BadMessage {
+    rollAll(20, 4, NEW);
+    double switchAt = switchedAt();
+    for (double still : new double[] {0, 6, 25}) {
+      RolloutCasesTest other = new RolloutCasesTest();
+      other.rollAll(20, 4, NEW);
+      other.world.state().applyLate(60);
+      other.world.time().runUntil(switchAt + offset);
+      int leader = Math.max(0, other.world.leader());
+      if (still == 0) {
+        other.world.crash(leader);
+      } else {
+        other.world.standStill(leader, still);
+      }
+      other.assertAllIsWell(260, 2);
     }
+  }
 
-    /** State outages, watches that are too old and a restart of all, while the level rises. */
-    @ParameterizedTest
-    @ValueSource(ints = {0, 1, 2})
-    void troublesOverTheSwitch(int which) throws BadMessage {
-        rollAll(20, 4, NEW);
-        world.time().at(38.5, () -> {
-            switch (which) {
+  /** State outages, watches that are too old and a restart of all, while the level rises. */
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1, 2})
+  void troublesOverTheSwitch(int which) throws BadMessage {
+    rollAll(20, 4, NEW);
+    world
+        .time()
+        .at(
+            38.5,
+            () -> {
+              switch (which) {
                 case 0 -> world.state().outage(12);
                 case 1 -> world.state().keepChanges(1);
                 default -> {
-                    for (int node = 0; node < world.nodeCount(); node++) {
-                        world.crash(node);
-                    }
+                  for (int node = 0; node < world.nodeCount(); node++) {
+                    world.crash(node);
+                  }
                 }
-            }
-        });
-        world.time().at(50, () -> world.state().keepChanges(10_000));
-        assertAllIsWell(240, 2);
-    }
+              }
+            });
+    world.time().at(50, () -> world.state().keepChanges(10_000));
+    assertAllIsWell(240, 2);
+  }
 
-    /** A build from before levels comes back after the switch: it may serve users, but leads and holds nothing. */
-    @Test
-    void aBuildFromBeforeLevelsNeverLeadsAfterTheSwitch() throws BadMessage {
-        rollAll(20, 4, NEW);
-        world.time().runUntil(60);
-        assertEquals(2, level());
-        assertEquals("level-2", ((Map<?, ?>) world.state().value("q/leader")).get("member"));
-        // Such a build cannot be run here any more; what it does is in its records: it joins, and stands where nobody leads.
-        world.time().at(61, () -> {
-            world.down(2, 60);
-        });
-        world.time().at(65, () -> world.state().write("q/member/n2", Json.object("member", "n2", "life", 999_999, "zone", "west")));
-        world.time().at(66, () -> world.crash(Math.max(0, world.leader())));
-        world.time().runUntil(100);
-        for (String block : world.state().under("q/block/")) {
-            assertFalse("n2".equals(((Map<?, ?>) world.state().value(block)).get("holder")), block);
-        }
-        world.time().at(100.5, () -> world.state().write("q/member/n2", null));
-        assertAllIsWell(240, 2);
+  /**
+   * A build from before levels comes back after the switch: it may serve users, but leads and holds
+   * nothing.
+   */
+  @Test
+  void aBuildFromBeforeLevelsNeverLeadsAfterTheSwitch() throws BadMessage {
+    rollAll(20, 4, NEW);
+    world.time().runUntil(60);
+    assertEquals(2, level());
+    assertEquals("level-2", ((Map<?, ?>) world.state().value("q/leader")).get("member"));
+    // Such a build cannot be run here any more; what it does is in its records: it joins, and
+    // stands where nobody leads.
+    world
+        .time()
+        .at(
+            61,
+            () -> {
+              world.down(2, 60);
+            });
+    world
+        .time()
+        .at(
+            65,
+            () ->
+                world
+                    .state()
+                    .write(
+                        "q/member/n2",
+                        Json.object("member", "n2", "life", 999_999, "zone", "west")));
+    world.time().at(66, () -> world.crash(Math.max(0, world.leader())));
+    world.time().runUntil(100);
+    for (String block : world.state().under("q/block/")) {
+      assertFalse("n2".equals(((Map<?, ?>) world.state().value(block)).get("holder")), block);
     }
+    world.time().at(100.5, () -> world.state().write("q/member/n2", null));
+    assertAllIsWell(240, 2);
+  }
 
-    /** Operators take the level back: what only it can read is rewritten first, and then old builds may come again. */
-    @Test
-    void theLevelIsLowered() throws BadMessage {
-        rollAll(20, 4, NEW);
-        world.time().runUntil(60);
-        assertEquals(2, level());
-        set("{\"most_level\": 1}");
-        world.time().runUntil(75);
-        assertEquals(1, level());
-        assertEquals(List.of(), List.copyOf(world.state().under("q/change/")));
-        rollAll(80, 6, OLD);
-        assertAllIsWell(240, 1);
-    }
+  /**
+   * Operators take the level back: what only it can read is rewritten first, and then old builds
+   * may come again.
+   */
+  @Test
+  void theLevelIsLowered() throws BadMessage {
+    rollAll(20, 4, NEW);
+    world.time().runUntil(60);
+    assertEquals(2, level());
+    set("{\"most_level\": 1}");
+    world.time().runUntil(75);
+    assertEquals(1, level());
+    assertEquals(List.of(), List.copyOf(world.state().under("q/change/")));
+    rollAll(80, 6, OLD);
+    assertAllIsWell(240, 1);
+  }
 
-    /** A record from the future, or a damaged one: whoever reads it takes no part until it can be read, and says which it is. */
-    @Test
-    void aRecordThatCannotBeRead() throws BadMessage {
-        world.time().runUntil(30);
-        String key = world.state().under("q/alloc/").iterator().next();
-        Object good = world.state().value(key);
-        world.state().write(key, Json.object("tasks", Json.object("17", "from the future")));
-        world.time().runUntil(40);
-        for (int node = 0; node < world.nodeCount(); node++) {
-            assertTrue(status(node).text("unable").contains(key), status(node).text("unable"));
-            assertEquals(503, ask(node, HttpRequest.get("/up")));
-        }
-        assertEquals(-1, world.leader());
-        world.state().write(key, good);
-        assertAllIsWell(280, 1);
+  /**
+   * A record from the future, or a damaged one: whoever reads it takes no part until it can be
+   * read, and says which it is.
+   */
+  @Test
+  void aRecordThatCannotBeRead() throws BadMessage {
+    world.time().runUntil(30);
+    String key = world.state().under("q/alloc/").iterator().next();
+    Object good = world.state().value(key);
+    world.state().write(key, Json.object("tasks", Json.object("17", "from the future")));
+    world.time().runUntil(40);
+    for (int node = 0; node < world.nodeCount(); node++) {
+      assertTrue(status(node).text("unable").contains(key), status(node).text("unable"));
+      assertEquals(503, ask(node, HttpRequest.get("/up")));
     }
+    assertEquals(-1, world.leader());
+    world.state().write(key, good);
+    assertAllIsWell(280, 1);
+  }
 
-    private int ask(int node, HttpRequest request) {
-        int[] status = new int[1];
-        world.ask(node, request, (HttpResponse response) -> status[0] = response.status());
-        world.time().runUntil(world.time().seconds() + 2);
-        return status[0];
-    }
+  private int ask(int node, HttpRequest request) {
+    int[] status = new int[1];
+    world.ask(node, request, (HttpResponse response) -> status[0] = response.status());
+    world.time().runUntil(world.time().seconds() + 2);
+    return status[0];
+  }
 
-    private void set(String settings) throws BadMessage {
-        int node = world.leader();
-        int[] status = new int[1];
-        String[] version = new String[1];
-        world.ask(node, HttpRequest.get("/admin/settings"), response -> version[0] = new String(response.body()));
-        long seen = Json.parseFields(version[0].getBytes()).unsigned("version");
-        world.ask(node, new HttpRequest("PUT", "/admin/settings", ("{\"version\": " + seen + ", \"settings\": " + settings + "}").getBytes(), false),
-                response -> status[0] = response.status());
-        world.time().runUntil(world.time().seconds() + 2);
-        assertEquals(200, status[0]);
-    }
+  private void set(String settings) throws BadMessage {
+    int node = world.leader();
+    int[] status = new int[1];
+    String[] version = new String[1];
+    world.ask(
+        node,
+        HttpRequest.get("/admin/settings"),
+        response -> version[0] = new String(response.body()));
+    long seen = Json.parseFields(version[0].getBytes()).unsigned("version");
+    world.ask(
+        node,
+        new HttpRequest(
+            "PUT",
+            "/admin/settings",
+            ("{\"version\": " + seen + ", \"settings\": " + settings + "}").getBytes(),
+            false),
+        response -> status[0] = response.status());
+    world.time().runUntil(world.time().seconds() + 2);
+    assertEquals(200, status[0]);
+  }
 
-    /** The platform's file of one controller has a lower limit, with work above it running: from then on the lowest holds, whoever leads. */
-    @Test
-    void whileALimitDiffersTheLowestHolds() throws BadMessage {
-        JobId wide = new JobId("job-90000");
-        Job job = new Job(wide, "wide", "batch", Shape.ARRAY, Rank.NORMAL, 400, new Resources(1, 0, 1), null, null, false, false, false, "w", 0.5,
-                Span.ofSeconds(10), Span.ZERO, Span.ZERO, null);
-        rollAll(6, 3, NEW);
-        world.time().at(22, () -> world.users().submit(job));
-        world.time().runUntil(30);
-        assertTrue(world.rules().used("batch").cpus() > 60, "above the limit to come: " + world.rules().used("batch"));
-        Team batch = site.teams().get("batch");
-        Map<String, Team> lower = new HashMap<>(site.teams());
-        lower.put("batch", new Team("batch", batch.guarantee(), new Resources(40, batch.limit().gpus(), batch.limit().memoryGb())));
-        int other = (world.leader() + 1) % world.nodeCount();
-        world.tellTeams(other, lower);
-        world.crash(other);
-        world.time().runUntil(45);
-        assertTrue(world.leader() != other, "the leader was told the higher limit");
-        assertTrue(status(world.leader()).texts("settings_differ").toString().contains(Site.nodeName(other) + " has other teams"),
-                status(world.leader()).texts("settings_differ").toString());
-        double most = 0;
-        for (double at = 50; at < 80; at += 0.5) {
-            world.time().runUntil(at);
-            most = Math.max(most, world.rules().used("batch").cpus());
-        }
-        assertTrue(most > 30 && most <= 40.001, most + " processors of 40");
-        world.tellTeams(other, site.teams());
-        world.crash(other);
-        assertAllIsWell(240, 2);
-        assertEquals("done", world.users().told().get(wide));
-        assertEquals(List.of(), status(0).texts("settings_differ"));
+  /**
+   * The platform's file of one controller has a lower limit, with work above it running: from then
+   * on the lowest holds, whoever leads.
+   */
+  @Test
+  void whileALimitDiffersTheLowestHolds() throws BadMessage {
+    JobId wide = new JobId("job-90000");
+    Job job =
+        new Job(
+            wide,
+            "wide",
+            "batch",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            400,
+            new Resources(1, 0, 1),
+            null,
+            null,
+            false,
+            false,
+            false,
+            "w",
+            0.5,
+            Span.ofSeconds(10),
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    rollAll(6, 3, NEW);
+    world.time().at(22, () -> world.users().submit(job));
+    world.time().runUntil(30);
+    assertTrue(
+        world.rules().used("batch").cpus() > 60,
+        "above the limit to come: " + world.rules().used("batch"));
+    Team batch = site.teams().get("batch");
+    Map<String, Team> lower = new HashMap<>(site.teams());
+    lower.put(
+        "batch",
+        new Team(
+            "batch",
+            batch.guarantee(),
+            new Resources(40, batch.limit().gpus(), batch.limit().memoryGb())));
+    int other = (world.leader() + 1) % world.nodeCount();
+    world.tellTeams(other, lower);
+    world.crash(other);
+    world.time().runUntil(45);
+    assertTrue(world.leader() != other, "the leader was told the higher limit");
+    assertTrue(
+        status(world.leader())
+            .texts("settings_differ")
+            .toString()
+            .contains(Site.nodeName(other) + " has other teams"),
+        status(world.leader()).texts("settings_differ").toString());
+    double most = 0;
+    for (double at = 50; at < 80; at += 0.5) {
+      world.time().runUntil(at);
+      most = Math.max(most, world.rules().used("batch").cpus());
     }
+    assertTrue(most > 30 && most <= 40.001, most + " processors of 40");
+    world.tellTeams(other, site.teams());
+    world.crash(other);
+    assertAllIsWell(240, 2);
+    assertEquals("done", world.users().told().get(wide));
+    assertEquals(List.of(), status(0).texts("settings_differ"));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/RulesTest.java
+++ b/src/test/java/org/quincecross/emulator/RulesTest.java
@@ -18,85 +18,142 @@
 
 /** Each rule is fed what breaks it, and what does not. */
 class RulesTest {
-    private static final JobId ID = new JobId("job-1");
+  private static final JobId ID = new JobId("job-1");
 
-    private final World world = new World(Site.tryOut(6, true), 1, Meter.OFF);
-    private final Rules rules = world.rules();
+  private final World world = new World(Site.tryOut(6, true), 1, Meter.OFF);
+  private final Rules rules = world.rules();
 
-    private Job job(JobId id, double cpus, String team) {
-        return new Job(id, "any", team, Shape.ARRAY, Rank.NORMAL, 1, new Resources(cpus, 0, 1), null, null, false, false, false, "img", 0.5,
-                Span.ofSeconds(2), Span.ZERO, Span.ZERO, null);
-    }
+  private Job job(JobId id, double cpus, String team) {
+    return new Job(
+        id,
+        "any",
+        team,
+        Shape.ARRAY,
+        Rank.NORMAL,
+        1,
+        new Resources(cpus, 0, 1),
+        null,
+        null,
+        false,
+        false,
+        false,
+        "img",
+        0.5,
+        Span.ofSeconds(2),
+        Span.ZERO,
+        Span.ZERO,
+        null);
+  }
 
-    private long broken(String rule) {
-        return rules.broken().stream().filter(each -> each.startsWith(rule)).count();
-    }
+  private long broken(String rule) {
+    return rules.broken().stream().filter(each -> each.startsWith(rule)).count();
+  }
 
-    /** What was told of a job when a question was put, what it is answered with, and whether that is older. */
-    @ParameterizedTest
-    @CsvSource({"queued, 404, 1", "done, 400, 1", "queued, 422, 1", "cancelled, 404, 1", ", 404, 0", ", 422, 0", "queued, 503, 0", "done, 429, 0"})
-    void refusalsThatAreOlder(String before, int status, int count) {
-        rules.refused(ID, status, before);
-        assertEquals(count, broken("went_back"), rules.broken().toString());
-    }
+  /**
+   * What was told of a job when a question was put, what it is answered with, and whether that is
+   * older.
+   */
+  @ParameterizedTest
+  @CsvSource({
+    "queued, 404, 1",
+    "done, 400, 1",
+    "queued, 422, 1",
+    "cancelled, 404, 1",
+    ", 404, 0",
+    ", 422, 0",
+    "queued, 503, 0",
+    "done, 429, 0"
+  })
+  void refusalsThatAreOlder(String before, int status, int count) {
+    rules.refused(ID, status, before);
+    assertEquals(count, broken("went_back"), rules.broken().toString());
+  }
 
-    @ParameterizedTest
-    @CsvSource({"done, queued, 1", "cancelled, running, 1", "queued, done, 0", "running, queued, 0", "cancelled, cancelled, 0"})
-    void statesThatAreOlder(String before, String state, int count) {
-        world.users().upload(job(ID, 1, "web"));
-        rules.completed(ID.task(0));
-        rules.told(ID, state, before, true);
-        assertEquals(count, broken("went_back"), rules.broken().toString());
-    }
+  @ParameterizedTest
+  @CsvSource({
+    "done, queued, 1",
+    "cancelled, running, 1",
+    "queued, done, 0",
+    "running, queued, 0",
+    "cancelled, cancelled, 0"
+  })
+  void statesThatAreOlder(String before, String state, int count) {
+    world.users().upload(job(ID, 1, "web"));
+    rules.completed(ID.task(0));
+    rules.told(ID, state, before, true);
+    assertEquals(count, broken("went_back"), rules.broken().toString());
+  }
 
-    /** Asked at the same time, at two nodes: neither answer is older than the other, and one of them will change. */
-    @Test
-    void twoEnds() {
-        world.users().upload(job(ID, 1, "web"));
-        rules.completed(ID.task(0));
-        rules.told(ID, "done", "running", true);
-        rules.told(ID, "done", "running", true);
-        assertEquals(List.of(), rules.broken());
-        rules.told(ID, "cancelled", "running", true);
-        assertEquals(1, broken("told_two_ends"));
-    }
+  /**
+   * Asked at the same time, at two nodes: neither answer is older than the other, and one of them
+   * will change.
+   */
+  @Test
+  void twoEnds() {
+    world.users().upload(job(ID, 1, "web"));
+    rules.completed(ID.task(0));
+    rules.told(ID, "done", "running", true);
+    rules.told(ID, "done", "running", true);
+    assertEquals(List.of(), rules.broken());
+    rules.told(ID, "cancelled", "running", true);
+    assertEquals(1, broken("told_two_ends"));
+  }
 
-    @Test
-    void startsOfWhatIsCancelled() {
-        rules.startSent(ID);
-        assertEquals(List.of(), rules.broken());
-        rules.told(ID, "cancelled", "running", true);
-        rules.startSent(ID);
-        assertEquals(1, broken("started_cancelled"));
-    }
+  @Test
+  void startsOfWhatIsCancelled() {
+    rules.startSent(ID);
+    assertEquals(List.of(), rules.broken());
+    rules.told(ID, "cancelled", "running", true);
+    rules.startSent(ID);
+    assertEquals(1, broken("started_cancelled"));
+  }
 
-    @Test
-    void whatMayNotBeAccepted() {
-        rules.wronglyAnswered("LACKS_A_FIELD", 201);
-        rules.wronglyAnswered("LACKS_A_FIELD", 422);
-        assertEquals(1, broken("accepted_bad"));
-        assertEquals(1, broken("wrong_answer"));
-    }
+  @Test
+  void whatMayNotBeAccepted() {
+    rules.wronglyAnswered("LACKS_A_FIELD", 201);
+    rules.wronglyAnswered("LACKS_A_FIELD", 422);
+    assertEquals(1, broken("accepted_bad"));
+    assertEquals(1, broken("wrong_answer"));
+  }
 
-    /** One waits beside room that fits, one for more than any machine has, one whose team is at its limit. */
-    @Test
-    void idleRoom() {
-        World still = new World(Site.tryOut(6, true).with(Map.of("web", new Team("web", Resources.NONE, new Resources(4, 0, 1e9)), "batch",
-                new Team("batch", Resources.NONE, new Resources(0.5, 0, 1e9)))), 1, Meter.OFF);
-        List<Job> jobs = List.of(job(ID, 3, "web"), job(new JobId("job-2"), 100, "web"), job(new JobId("job-3"), 1, "batch"));
-        still.time().runUntil(10);
-        for (int node = 0; node < still.nodeCount(); node++) {
-            still.standStill(node, 1000); // nobody starts anything
-        }
-        jobs.forEach(each -> {
-            still.users().upload(each);
-            still.users().told().put(each.id(), "queued");
-        });
-        still.around().troublesAreOver();
-        still.time().runUntil(99);
-        assertEquals(List.of(), still.rules().broken());
-        still.time().runUntil(103);
-        assertEquals(1, still.rules().broken().size(), still.rules().broken().toString());
-        assertTrue(still.rules().broken().get(0).startsWith("idle_room") && still.rules().broken().get(0).contains("job-1"));
+  /**
+   * One waits beside room that fits, one for more than any machine has, one whose team is at its
+   * limit.
+   */
+  @Test
+  void idleRoom() {
+    World still =
+        new World(
+            Site.tryOut(6, true)
+                .with(
+                    Map.of(
+                        "web",
+                        new Team("web", Resources.NONE, new Resources(4, 0, 1e9)),
+                        "batch",
+                        new Team("batch", Resources.NONE, new Resources(0.5, 0, 1e9)))),
+            1,
+            Meter.OFF);
+    List<Job> jobs =
+        List.of(
+            job(ID, 3, "web"),
+            job(new JobId("job-2"), 100, "web"),
+            job(new JobId("job-3"), 1, "batch"));
+    still.time().runUntil(10);
+    for (int node = 0; node < still.nodeCount(); node++) {
+      still.standStill(node, 1000); // nobody starts anything
     }
+    jobs.forEach(
+        each -> {
+          still.users().upload(each);
+          still.users().told().put(each.id(), "queued");
+        });
+    still.around().troublesAreOver();
+    still.time().runUntil(99);
+    assertEquals(List.of(), still.rules().broken());
+    still.time().runUntil(103);
+    assertEquals(1, still.rules().broken().size(), still.rules().broken().toString());
+    assertTrue(
+        still.rules().broken().get(0).startsWith("idle_room")
+            && still.rules().broken().get(0).contains("job-1"));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -11,99 +11,123 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many days, for a machine with time: {@code mvn -B -Pseeds test -Dseeds=20000-24999}. No part of the ordinary tests. A
- * seed that fails here goes into {@link WholeServiceTest}.
+ * Many days, for a machine with time: {@code mvn -B -Pseeds test -Dseeds=20000-24999}. No part of
+ * the ordinary tests. A seed that fails here goes into {@link WholeServiceTest}.
  */
 @Tag("seeds")
 class SeedsTest {
-    @Test
-    void everyDayKeepsTheRulesAndNothingHangs() {
-        play(Day::new);
-    }
+  @Test
+  void everyDayKeepsTheRulesAndNothingHangs() {
+    play(Day::new);
+  }
 
-    /** The same while controllers are replaced by ones with another form of the records. */
-    @Test
-    void everyDayOfRollsKeepsTheRulesAndNothingHangs() {
-        play(Day::ofRolls);
-    }
+  /** The same while controllers are replaced by ones with another form of the records. */
+  @Test
+  void everyDayOfRollsKeepsTheRulesAndNothingHangs() {
+    play(Day::ofRolls);
+  }
 
-    /** The same with late copies of reports, a sixth of the machines restarted now and then, and controllers back at once. */
-    @Test
-    void everyDayOfCopiesAndQuickReturnsKeepsTheRulesAndNothingHangs() {
-        double share = Integer.getInteger("copies", 10) / 100.0;
-        int machines = Integer.getInteger("machines", 4);
-        int controllers = Integer.getInteger("controllers", 3);
-        play(seed -> (seed % 2 == 0 ? new Day(seed) : Day.ofRolls(seed)).with((world, each) -> new BackAtOnce(world, each)
-                .copies(share).machines(1.0 / 6, machines).controllers(controllers)));
-    }
+  /**
+   * The same with late copies of reports, a sixth of the machines restarted now and then, and
+   * controllers back at once.
+   */
+  @Test
+  void everyDayOfCopiesAndQuickReturnsKeepsTheRulesAndNothingHangs() {
+    double share = Integer.getInteger("copies", 10) / 100.0;
+    int machines = Integer.getInteger("machines", 4);
+    int controllers = Integer.getInteger("controllers", 3);
+    play(
+        seed ->
+            (seed % 2 == 0 ? new Day(seed) : Day.ofRolls(seed))
+                .with(
+                    (world, each) ->
+                        new BackAtOnce(world, each)
+                            .copies(share)
+                            .machines(1.0 / 6, machines)
+                            .controllers(controllers)));
+  }
 
-    /** The same with a quarter of all transactions carried out late, jobs that come together, and cancellations at any time. */
-    @Test
-    void everyDayOfLateWritesKeepsTheRulesAndNothingHangs() {
-        play(seed -> (seed % 2 == 0 ? new Day(seed) : Day.ofRolls(seed)).with(LateWriteDays::on));
-    }
+  /**
+   * The same with a quarter of all transactions carried out late, jobs that come together, and
+   * cancellations at any time.
+   */
+  @Test
+  void everyDayOfLateWritesKeepsTheRulesAndNothingHangs() {
+    play(seed -> (seed % 2 == 0 ? new Day(seed) : Day.ofRolls(seed)).with(LateWriteDays::on));
+  }
 
-    /** The same with late copies of reports, and commands, reports and answers that are held up for up to 15 s. */
-    @Test
-    void everyDayOfHeldMessagesKeepsTheRulesAndNothingHangs() {
-        play(HeldMessagesTest::day);
-    }
+  /**
+   * The same with late copies of reports, and commands, reports and answers that are held up for up
+   * to 15 s.
+   */
+  @Test
+  void everyDayOfHeldMessagesKeepsTheRulesAndNothingHangs() {
+    play(HeldMessagesTest::day);
+  }
 
-    /** Jobs of two and three tasks that end far apart while controllers end, are cut off and come back. */
-    @Test
-    void everyDayOfLeaderChangesKeepsTheRulesAndNothingHangs() {
-        playAll(seed -> new LeaderDay(seed).play());
-    }
+  /**
+   * Jobs of two and three tasks that end far apart while controllers end, are cut off and come
+   * back.
+   */
+  @Test
+  void everyDayOfLeaderChangesKeepsTheRulesAndNothingHangs() {
+    playAll(seed -> new LeaderDay(seed).play());
+  }
 
-    /** Troubles that meet on purpose. */
-    @Test
-    void everyDayOfMeetingsKeepsTheRulesAndNothingHangs() {
-        play(Day::ofMeetings);
-    }
+  /** Troubles that meet on purpose. */
+  @Test
+  void everyDayOfMeetingsKeepsTheRulesAndNothingHangs() {
+    play(Day::ofMeetings);
+  }
 
-    /** The same with answers lost, reports kept for the next leader, mute machines and quick boots. */
-    @Test
-    void everyDayOfFurtherMeetingsKeepsTheRulesAndNothingHangs() {
-        play(Day::ofFurtherMeetings);
-    }
+  /**
+   * The same with answers lost, reports kept for the next leader, mute machines and quick boots.
+   */
+  @Test
+  void everyDayOfFurtherMeetingsKeepsTheRulesAndNothingHangs() {
+    play(Day::ofFurtherMeetings);
+  }
 
-    /** The same beside the troubles that users make. */
-    @Test
-    void everyDayOfMeetingsAndUsersTroublesKeepsTheRulesAndNothingHangs() {
-        play(seed -> Day.ofMeetings(seed).with(UserTroubles::on));
-    }
+  /** The same beside the troubles that users make. */
+  @Test
+  void everyDayOfMeetingsAndUsersTroublesKeepsTheRulesAndNothingHangs() {
+    play(seed -> Day.ofMeetings(seed).with(UserTroubles::on));
+  }
 
-    /** The state service refuses one controller, then everybody, while users cancel and ask. */
-    @Test
-    void everyGapDayKeepsTheRulesAndNothingHangs() {
-        playAll(seed -> new GapDay(seed).play());
-    }
+  /** The state service refuses one controller, then everybody, while users cancel and ask. */
+  @Test
+  void everyGapDayKeepsTheRulesAndNothingHangs() {
+    playAll(seed -> new GapDay(seed).play());
+  }
 
-    /** Jobs that wait for others, cancelled at every stage, among all troubles. */
-    @Test
-    void everyDayOfPipelinesKeepsTheRulesAndNothingHangs() {
-        play(Day::ofPipelines);
-    }
+  /** Jobs that wait for others, cancelled at every stage, among all troubles. */
+  @Test
+  void everyDayOfPipelinesKeepsTheRulesAndNothingHangs() {
+    play(Day::ofPipelines);
+  }
 
-    private static void play(LongFunction<Day> day) {
-        playAll(seed -> day.apply(seed).play());
-    }
+  private static void play(LongFunction<Day> day) {
+    playAll(seed -> day.apply(seed).play());
+  }
 
-    private static void playAll(LongFunction<List<String>> day) {
-        String[] range = System.getProperty("seeds", "20000-24999").split("-");
-        Map<Long, Object> wrong = new ConcurrentSkipListMap<>();
-        LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1])).parallel().forEach(seed -> {
-            Object findings;
-            try {
+  private static void playAll(LongFunction<List<String>> day) {
+    String[] range = System.getProperty("seeds", "20000-24999").split("-");
+    Map<Long, Object> wrong = new ConcurrentSkipListMap<>();
+    LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]))
+        .parallel()
+        .forEach(
+            seed -> {
+              Object findings;
+              try {
                 findings = day.apply(seed);
-            } catch (RuntimeException | AssertionError e) {
+              } catch (RuntimeException | AssertionError e) {
                 findings = e;
-            }
-            if (!findings.equals(List.of())) {
+              }
+              if (!findings.equals(List.of())) {
                 wrong.put(seed, findings);
                 System.err.println("seed " + seed + ": " + findings);
-            }
-        });
-        assertEquals(Map.of(), wrong);
-    }
+              }
+            });
+    assertEquals(Map.of(), wrong);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -18,34 +18,62 @@
 import org.quincecross.wire.Settings;
 
 /**
- * One-task jobs come four a second for minutes and a quarter of them is called off, while the state service takes 15 changes a second, or
- * 80: what is accepted has its end told, and other work gets through. Three controllers, 60 machines, in virtual time.
+ * One-task jobs come four a second for minutes and a quarter of them is called off, while the state
+ * service takes 15 changes a second, or 80: what is accepted has its end told, and other work gets
+ * through. Three controllers, 60 machines, in virtual time.
  */
 class SmallJobsTest {
-    private static final double A_SECOND = 4;
-    private static final double SECONDS = 125;
+  private static final double A_SECOND = 4;
+  private static final double SECONDS = 125;
 
-    @ParameterizedTest
-    @ValueSource(ints = {15, 80})
-    void eachHasItsEndToldAndOthersGetThrough(int changes) {
-        Site site = Site.tryOut(60, true).with(new Settings.StateLimits(200, changes, 4096, 8));
-        World world = new World(site, changes, Meter.OFF);
-        Random random = new Random(changes);
-        List<JobId> others = new ArrayList<>();
-        SmallJobs.begin(world, A_SECOND, 0.25, 5, SECONDS, random);
-        for (int i = 0; i < 15; i++) {
-            Job other = new Job(new JobId("job-" + (100 + i)), "other", "web", Shape.ARRAY, Rank.NORMAL, 6, new Resources(2, 0, 4), null, null, false, false,
-                    false, "other", 0.5, Span.ofSeconds(5), Span.ZERO, Span.ZERO, null);
-            others.add(other.id());
-            world.time().at(10 + 10 * i, () -> world.users().submit(other));
-        }
-        world.time().runUntil(5 + SECONDS + 45);
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals(0, world.users().told().keySet().stream().filter(world.users()::isOpen).count(), "open");
-        double[] accepted = world.users().acceptedAfter().values().stream().mapToDouble(each -> each).sorted().toArray();
-        double[] over = others.stream().mapToDouble(world.users().overAfter()::get).sorted().toArray();
-        assertTrue(accepted.length >= 0.98 * (A_SECOND * SECONDS + others.size()), "accepted " + accepted.length);
-        assertTrue(accepted[accepted.length * 98 / 100] < 3, "accepted after " + accepted[accepted.length * 98 / 100]);
-        assertTrue(over[over.length - 1] < 30, "others over after " + Arrays.toString(over));
+  @ParameterizedTest
+  @ValueSource(ints = {15, 80})
+  void eachHasItsEndToldAndOthersGetThrough(int changes) {
+    Site site = Site.tryOut(60, true).with(new Settings.StateLimits(200, changes, 4096, 8));
+    World world = new World(site, changes, Meter.OFF);
+    Random random = new Random(changes);
+    List<JobId> others = new ArrayList<>();
+    SmallJobs.begin(world, A_SECOND, 0.25, 5, SECONDS, random);
+    for (int i = 0; i < 15; i++) {
+      Job other =
+          new Job(
+              new JobId("job-" + (100 + i)),
+              "other",
+              "web",
+              Shape.ARRAY,
+              Rank.NORMAL,
+              6,
+              new Resources(2, 0, 4),
+              null,
+              null,
+              false,
+              false,
+              false,
+              "other",
+              0.5,
+              Span.ofSeconds(5),
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      others.add(other.id());
+      world.time().at(10 + 10 * i, () -> world.users().submit(other));
     }
+    world.time().runUntil(5 + SECONDS + 45);
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals(
+        0, world.users().told().keySet().stream().filter(world.users()::isOpen).count(), "open");
+    double[] accepted =
+        world.users().acceptedAfter().values().stream()
+            .mapToDouble(each -> each)
+            .sorted()
+            .toArray();
+    double[] over = others.stream().mapToDouble(world.users().overAfter()::get).sorted().toArray();
+    assertTrue(
+        accepted.length >= 0.98 * (A_SECOND * SECONDS + others.size()),
+        "accepted " + accepted.length);
+    assertTrue(
+        accepted[accepted.length * 98 / 100] < 3,
+        "accepted after " + accepted[accepted.length * 98 / 100]);
+    assertTrue(over[over.length - 1] < 30, "others over after " + Arrays.toString(over));
+  }
 }
--- a/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
+++ b/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
@@ -9,33 +9,43 @@
 import org.quincecross.model.JobId;
 
 /**
- * A start is held up in the network, its job is cancelled meanwhile and the user told; then the state service is out for everybody, so
- * that no new token ends the doubt about that start (incident start-after-cancel).
+ * A start is held up in the network, its job is cancelled meanwhile and the user told; then the
+ * state service is out for everybody, so that no new token ends the doubt about that start
+ * (incident start-after-cancel).
  */
 class StartAfterCancelTest {
-    private static final JobId JOB = new JobId("job-1");
+  private static final JobId JOB = new JobId("job-1");
 
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void aStartThatArrivesAfterAllThatTimeIsNotExecuted(long seed) {
-        World world = new World(seed);
-        boolean[] out = new boolean[1];
-        world.mishapAt(request -> request.startsWith("POST /orders") && request.contains("\"start\"") && request.contains("job-1/0"), 40,
-                World.Mishap.HELD);
-        world.time().at(20, () -> world.users().submitService(1));
-        for (int i = 0; i < 2000; i++) {
-            world.time().at(20 + i * 0.005, () -> {
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void aStartThatArrivesAfterAllThatTimeIsNotExecuted(long seed) {
+    World world = new World(seed);
+    boolean[] out = new boolean[1];
+    world.mishapAt(
+        request ->
+            request.startsWith("POST /orders")
+                && request.contains("\"start\"")
+                && request.contains("job-1/0"),
+        40,
+        World.Mishap.HELD);
+    world.time().at(20, () -> world.users().submitService(1));
+    for (int i = 0; i < 2000; i++) {
+      world
+          .time()
+          .at(
+              20 + i * 0.005,
+              () -> {
                 if (world.mishapHit() >= 0) {
-                    world.users().cancel(JOB);
+                  world.users().cancel(JOB);
                 }
                 if (!out[0] && "cancelled".equals(world.rules().lastTold(JOB))) {
-                    out[0] = true;
-                    world.state().outage(60);
+                  out[0] = true;
+                  world.state().outage(60);
                 }
-            });
-        }
-        world.time().runUntil(120);
-        assertTrue(out[0]);
-        assertEquals(List.of(), world.rules().broken());
+              });
     }
+    world.time().runUntil(120);
+    assertTrue(out[0]);
+    assertEquals(List.of(), world.rules().broken());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
@@ -15,26 +15,51 @@
 import org.quincecross.model.Span;
 import org.quincecross.model.Team;
 
-/** The state service is out for all: what was allocated before still starts, as the others show that they know no more (incident started-without-word). */
+/**
+ * The state service is out for all: what was allocated before still starts, as the others show that
+ * they know no more (incident started-without-word).
+ */
 class StartsInOutageTest {
-    private static final double OUT_S = 60;
-    private static final double OUT_FOR_S = 25;
+  private static final double OUT_S = 60;
+  private static final double OUT_FOR_S = 25;
 
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
-    void whatIsAllocatedStartsAfterTenSeconds(long seed) {
-        Resources all = new Resources(1000, 1000, 10_000);
-        World world = new World(Site.tryOut(15, true).with(Map.of("batch", new Team("batch", all, all))), seed, Meter.OFF);
-        for (int i = 0; i < 10; i++) {
-            Job job = new Job(new JobId("job-" + (30_000 + i)), "long", "batch", Shape.ARRAY, Rank.NORMAL, 60, new Resources(1, 0, 2), null, null,
-                    false, false, false, "long", 0.5, Span.ofSeconds(35 + 2 * i), Span.ZERO, Span.ZERO, null);
-            world.time().at(26 + i * 0.1, () -> world.users().submit(job));
-        }
-        world.time().at(OUT_S, () -> world.state().outage(OUT_FOR_S));
-        world.time().runUntil(OUT_S + 10);
-        int before = world.rules().starts();
-        world.time().runUntil(OUT_S + OUT_FOR_S);
-        assertTrue(world.rules().starts() > before, "starts from the tenth second of the outage on");
-        assertEquals(List.of(), world.rules().broken());
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3})
+  void whatIsAllocatedStartsAfterTenSeconds(long seed) {
+    Resources all = new Resources(1000, 1000, 10_000);
+    World world =
+        new World(
+            Site.tryOut(15, true).with(Map.of("batch", new Team("batch", all, all))),
+            seed,
+            Meter.OFF);
+    for (int i = 0; i < 10; i++) {
+      Job job =
+          new Job(
+              new JobId("job-" + (30_000 + i)),
+              "long",
+              "batch",
+              Shape.ARRAY,
+              Rank.NORMAL,
+              60,
+              new Resources(1, 0, 2),
+              null,
+              null,
+              false,
+              false,
+              false,
+              "long",
+              0.5,
+              Span.ofSeconds(35 + 2 * i),
+              Span.ZERO,
+              Span.ZERO,
+              null);
+      world.time().at(26 + i * 0.1, () -> world.users().submit(job));
     }
+    world.time().at(OUT_S, () -> world.state().outage(OUT_FOR_S));
+    world.time().runUntil(OUT_S + 10);
+    int before = world.rules().starts();
+    world.time().runUntil(OUT_S + OUT_FOR_S);
+    assertTrue(world.rules().starts() > before, "starts from the tenth second of the outage on");
+    assertEquals(List.of(), world.rules().broken());
+  }
 }
--- a/src/test/java/org/quincecross/emulator/TrySiteTest.java
+++ b/src/test/java/org/quincecross/emulator/TrySiteTest.java
@@ -27,10 +27,14 @@
 
 /** A site of real processes and sockets on loopback. */
 class TrySiteTest {
-    private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    private static final String RUN = "java -Xmx80m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xshare:auto -cp "
-            + System.getProperty("java.class.path") + " org.quincecross.program.Main --config";
-    private static final String JOBS = """
+  private static final String JAVA =
+      Path.of(System.getProperty("java.home"), "bin", "java").toString();
+  private static final String RUN =
+      "java -Xmx80m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xshare:auto -cp "
+          + System.getProperty("java.class.path")
+          + " org.quincecross.program.Main --config";
+  private static final String JOBS =
+      """
             [[jobs]]
             name = "front"
             shape = "service"
@@ -53,125 +57,237 @@
             run_s = 1.5
             """;
 
-    private static TrySite.Plan plan(String jobs, int basePort, Drill.Kind drill) {
-        return new TrySite.Plan(9, jobs, 60, new Endpoint("127.0.0.1", basePort), basePort, drill, null, RUN, new File("none.jar"),
-                Path.of("").toAbsolutePath(), true, false);
-    }
+  private static TrySite.Plan plan(String jobs, int basePort, Drill.Kind drill) {
+    return new TrySite.Plan(
+        9,
+        jobs,
+        60,
+        new Endpoint("127.0.0.1", basePort),
+        basePort,
+        drill,
+        null,
+        RUN,
+        new File("none.jar"),
+        Path.of("").toAbsolutePath(),
+        true,
+        false);
+  }
 
-    /** All controllers are killed and started again: every worker is answered, every replica is there, every job ends. */
-    @Test
-    void theRestartOfAllControllers() throws IOException, BadMessage {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        int status = new TrySite(plan(JOBS, 23_400, Drill.Kind.RESTART), new PrintStream(out, true)).run();
-        String summary = out.toString(StandardCharsets.UTF_8);
-        assertEquals(0, status, summary);
-        Fields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
-        assertEquals(List.of(), all.list("rules_broken"));
-        assertEquals("over", all.fields("drill").text("phase"));
-        assertEquals(6, all.fields("drill").count("replicas", 0, 100));
-        for (Fields controller : all.objects("controllers")) {
-            assertEquals(2, controller.count("starts", 0, 100));
-            assertTrue(controller.amount("resident_mb") < 200, summary);
-        }
+  /**
+   * All controllers are killed and started again: every worker is answered, every replica is there,
+   * every job ends.
+   */
+  @Test
+  void theRestartOfAllControllers() throws IOException, BadMessage {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    int status =
+        new TrySite(plan(JOBS, 23_400, Drill.Kind.RESTART), new PrintStream(out, true)).run();
+    String summary = out.toString(StandardCharsets.UTF_8);
+    assertEquals(0, status, summary);
+    Fields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
+    assertEquals(List.of(), all.list("rules_broken"));
+    assertEquals("over", all.fields("drill").text("phase"));
+    assertEquals(6, all.fields("drill").count("replicas", 0, 100));
+    for (Fields controller : all.objects("controllers")) {
+      assertEquals(2, controller.count("starts", 0, 100));
+      assertTrue(controller.amount("resident_mb") < 200, summary);
     }
+  }
 
-    /** Real sweeps are held while the controller that was asked is killed: pinned, none of them on a machine, and done once it is closed. */
-    @Test
-    void aHoldWhileAControllerIsKilled() throws IOException, BadMessage {
-        String sweeps = JOBS.replace("run_s = 1.5", "run_s = 4").replace("tasks = 10", "tasks = 400");
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        TrySite.Plan plan = new TrySite.Plan(9, sweeps, 150, new Endpoint("127.0.0.1", 23_800), 23_800, Drill.Kind.HOLD, null, RUN, new File("none.jar"),
-                Path.of("").toAbsolutePath(), true, false);
-        int status = new TrySite(plan, new PrintStream(out, true)).run();
-        String summary = out.toString(StandardCharsets.UTF_8);
-        assertEquals(0, status, summary);
-        Fields drill = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8)).fields("drill");
-        assertEquals("over", drill.text("phase"));
-        assertTrue(drill.amount("pinned_s") < 40 && drill.count("tasks_running", 1, 1000) > 0, summary);
-    }
+  /**
+   * Real sweeps are held while the controller that was asked is killed: pinned, none of them on a
+   * machine, and done once it is closed.
+   */
+  @Test
+  void aHoldWhileAControllerIsKilled() throws IOException, BadMessage {
+    String sweeps = JOBS.replace("run_s = 1.5", "run_s = 4").replace("tasks = 10", "tasks = 400");
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    TrySite.Plan plan =
+        new TrySite.Plan(
+            9,
+            sweeps,
+            150,
+            new Endpoint("127.0.0.1", 23_800),
+            23_800,
+            Drill.Kind.HOLD,
+            null,
+            RUN,
+            new File("none.jar"),
+            Path.of("").toAbsolutePath(),
+            true,
+            false);
+    int status = new TrySite(plan, new PrintStream(out, true)).run();
+    String summary = out.toString(StandardCharsets.UTF_8);
+    assertEquals(0, status, summary);
+    Fields drill =
+        Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8)).fields("drill");
+    assertEquals("over", drill.text("phase"));
+    assertTrue(drill.amount("pinned_s") < 40 && drill.count("tasks_running", 1, 1000) > 0, summary);
+  }
 
-    /**
-     * Real controllers are replaced one after the other, the first one back once; then jobs that wait for others are submitted and the state
-     * service lowers its limits; the level rises, every job ends, no rule is broken.
-     */
-    @Test
-    void aRollOfRealControllersOverALevel() throws IOException, BadMessage {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        String jobs = JOBS + JOBS.substring(JOBS.indexOf("[[jobs]]", 5)).replace("\"rebuild\"", "\"next\"") + "waits_on = [\"rebuild\"]\n";
-        TrySite.Plan plan = new TrySite.Plan(9, jobs, 120, new Endpoint("127.0.0.1", 26_400), 26_400, Drill.Kind.ROLL, null, RUN,
-                new File("none.jar"), Path.of("").toAbsolutePath(), true, false);
-        int status = new TrySite(plan, new PrintStream(out, true)).run();
-        String summary = out.toString(StandardCharsets.UTF_8);
-        assertEquals(0, status, summary);
-        Fields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
-        assertEquals(List.of(), all.list("rules_broken"));
-        assertEquals("over", all.fields("drill").text("phase"));
-        assertTrue(all.fields("drill").amount("level_risen_s") > 20 && all.fields("drill").amount("limits_lowered_s") > 20, summary);
-        assertEquals(2, all.count("dependent_jobs", 0, 100));
-        assertTrue(all.amount("dependent_accepted_within_s") < 5, summary);
-        assertEquals(List.of(4L, 2L, 2L), all.objects("controllers").stream().map(controller -> controller.raw("starts")).toList());
-    }
+  /**
+   * Real controllers are replaced one after the other, the first one back once; then jobs that wait
+   * for others are submitted and the state service lowers its limits; the level rises, every job
+   * ends, no rule is broken.
+   */
+  @Test
+  void aRollOfRealControllersOverALevel() throws IOException, BadMessage {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    String jobs =
+        JOBS
+            + JOBS.substring(JOBS.indexOf("[[jobs]]", 5)).replace("\"rebuild\"", "\"next\"")
+            + "waits_on = [\"rebuild\"]\n";
+    TrySite.Plan plan =
+        new TrySite.Plan(
+            9,
+            jobs,
+            120,
+            new Endpoint("127.0.0.1", 26_400),
+            26_400,
+            Drill.Kind.ROLL,
+            null,
+            RUN,
+            new File("none.jar"),
+            Path.of("").toAbsolutePath(),
+            true,
+            false);
+    int status = new TrySite(plan, new PrintStream(out, true)).run();
+    String summary = out.toString(StandardCharsets.UTF_8);
+    assertEquals(0, status, summary);
+    Fields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
+    assertEquals(List.of(), all.list("rules_broken"));
+    assertEquals("over", all.fields("drill").text("phase"));
+    assertTrue(
+        all.fields("drill").amount("level_risen_s") > 20
+            && all.fields("drill").amount("limits_lowered_s") > 20,
+        summary);
+    assertEquals(2, all.count("dependent_jobs", 0, 100));
+    assertTrue(all.amount("dependent_accepted_within_s") < 5, summary);
+    assertEquals(
+        List.of(4L, 2L, 2L),
+        all.objects("controllers").stream().map(controller -> controller.raw("starts")).toList());
+  }
 
-    /** The program that made the site is killed, with transactions on their way: its controllers end, and none is left. */
-    @Test
-    void nothingIsLeftOfASiteWhoseMakerIsKilled() throws IOException, InterruptedException {
-        Process maker = new ProcessBuilder(JAVA, "-cp", System.getProperty("java.class.path"), "org.quincecross.program.Main", "try",
-                "--machines", "9", "--listen", "127.0.0.1:24400", "--base-port", "24400").redirectErrorStream(true).start();
-        List<ProcessHandle> controllers;
-        try (BufferedReader said = new BufferedReader(new InputStreamReader(maker.getInputStream(), StandardCharsets.UTF_8))) {
-            String line = said.readLine();
-            while (line != null && line.contains("starting")) {
-                line = said.readLine(); // a slow machine: it says so every two seconds
-            }
-            assertTrue(line != null && line.startsWith("ready"), line);
-            controllers = maker.children().toList();
-            assertEquals(3, controllers.size());
-        } finally {
-            maker.destroyForcibly();
-        }
-        for (ProcessHandle controller : controllers) {
-            controller.onExit().completeOnTimeout(null, 10, TimeUnit.SECONDS).join();
-            assertFalse(controller.isAlive());
-        }
+  /**
+   * The program that made the site is killed, with transactions on their way: its controllers end,
+   * and none is left.
+   */
+  @Test
+  void nothingIsLeftOfASiteWhoseMakerIsKilled() throws IOException, InterruptedException {
+    Process maker =
+        new ProcessBuilder(
+                JAVA,
+                "-cp",
+                System.getProperty("java.class.path"),
+                "org.quincecross.program.Main",
+                "try",
+                "--machines",
+                "9",
+                "--listen",
+                "127.0.0.1:24400",
+                "--base-port",
+                "24400")
+            .redirectErrorStream(true)
+            .start();
+    List<ProcessHandle> controllers;
+    try (BufferedReader said =
+        new BufferedReader(new InputStreamReader(maker.getInputStream(), StandardCharsets.UTF_8))) {
+      String line = said.readLine();
+      while (line != null && line.contains("starting")) {
+        line = said.readLine(); // a slow machine: it says so every two seconds
+      }
+      assertTrue(line != null && line.startsWith("ready"), line);
+      controllers = maker.children().toList();
+      assertEquals(3, controllers.size());
+    } finally {
+      maker.destroyForcibly();
     }
-
-    @Test
-    void aPortThatIsInUseIsNamed() throws IOException {
-        try (ServerSocket taken = new ServerSocket()) {
-            taken.bind(new InetSocketAddress("127.0.0.1", 25_411));
-            IOException e = assertThrows(IOException.class, () -> new TrySite(plan(JOBS, 25_400, null), System.out));
-            assertEquals("port 127.0.0.1:25411 is in use; choose others with --listen and --base-port", e.getMessage());
-        }
+    for (ProcessHandle controller : controllers) {
+      controller.onExit().completeOnTimeout(null, 10, TimeUnit.SECONDS).join();
+      assertFalse(controller.isAlive());
     }
+  }
 
-    /** Each copy of a job waits for a copy of each job that its table names. */
-    @Test
-    void aJobsFileWithAPipeline() throws BadMessage {
-        String next = JOBS.substring(JOBS.indexOf("[[jobs]]", 5)).replace("\"rebuild\"", "\"next\"").replace("copies = 2", "copies = 3")
-                + "waits_on = [\"rebuild\"]\n";
-        List<JobsFile.Due> due = JobsFile.read(JOBS + next, Site.tryOut(9, false));
-        assertEquals(List.of(List.of("job-1003"), List.of("job-1004"), List.of("job-1003")), due.stream()
-                .filter(each -> each.job().jobClass().equals("next")).map(each -> each.job().waitsOn().stream().map(JobId::text).toList()).toList());
+  @Test
+  void aPortThatIsInUseIsNamed() throws IOException {
+    try (ServerSocket taken = new ServerSocket()) {
+      taken.bind(new InetSocketAddress("127.0.0.1", 25_411));
+      IOException e =
+          assertThrows(IOException.class, () -> new TrySite(plan(JOBS, 25_400, null), System.out));
+      assertEquals(
+          "port 127.0.0.1:25411 is in use; choose others with --listen and --base-port",
+          e.getMessage());
     }
+  }
 
-    /** What is wrong with a jobs file is told by line and field. */
-    @Test
-    void aJobsFileWithAHole() {
-        Site site = Site.tryOut(9, false);
-        Stream.of(new String[] {"tasks = 2", "tasks = 0", "line 7: field tasks is not a whole number from 1 to 100000"},
-                new String[] {"cpus = 2", "cpu = 2", "line 8: field cpu is not known"},
-                new String[] {"cpus = 2\n", "\n", "line 1: field cpus is missing"},
-                new String[] {"team = \"web\"", "team = \"wep\"", "line 5: field team is not one of [web, batch]"},
-                new String[] {"shape = \"service\"", "shape = \"servant\"", "line 3: field shape is not one of [array, gang, service]"},
-                new String[] {"cpus = 2", "cpus = 20", "line 8: field cpus and memory_gb of a task fit no machine of this site"},
-                new String[] {"run_s = 1.5", "run_s = \"long\"", "line 20: field run_s is not a number from 0 to 100000.0"},
-                new String[] {"[[jobs]]\nname = \"front\"", "jobs = 3\n[[jobs]]\nname = \"front\"", "line 2: "},
-                new String[] {"copies = 3", "copies = 3 3", "line 6: "},
-                new String[] {"run_s = 1.5", "run_s = 1.5\nwaits_on = [\"front\"]", "line 21: field waits_on names front, which is not the name of one job"},
-                new String[] {"run_s = 1.5", "run_s = 1.5\nwaits_on = \"front\"", "line 21: field waits_on is not a list"})
-                .forEach(each -> {
-                    BadMessage e = assertThrows(BadMessage.class, () -> JobsFile.read(JOBS.replaceFirst(each[0].replace("[", "\\["), each[1]), site));
-                    assertTrue(e.getMessage().startsWith(each[2]), e.getMessage());
-                });
-    }
+  /** Each copy of a job waits for a copy of each job that its table names. */
+  @Test
+  void aJobsFileWithAPipeline() throws BadMessage {
+    String next =
+        JOBS.substring(JOBS.indexOf("[[jobs]]", 5))
+                .replace("\"rebuild\"", "\"next\"")
+                .replace("copies = 2", "copies = 3")
+            + "waits_on = [\"rebuild\"]\n";
+    List<JobsFile.Due> due = JobsFile.read(JOBS + next, Site.tryOut(9, false));
+    assertEquals(
+        List.of(List.of("job-1003"), List.of("job-1004"), List.of("job-1003")),
+        due.stream()
+            .filter(each -> each.job().jobClass().equals("next"))
+            .map(each -> each.job().waitsOn().stream().map(JobId::text).toList())
+            .toList());
+  }
+
+  /** What is wrong with a jobs file is told by line and field. */
+  @Test
+  void aJobsFileWithAHole() {
+    Site site = Site.tryOut(9, false);
+    Stream.of(
+            new String[] {
+              "tasks = 2", "tasks = 0", "line 7: field tasks is not a whole number from 1 to 100000"
+            },
+            new String[] {"cpus = 2", "cpu = 2", "line 8: field cpu is not known"},
+            new String[] {"cpus = 2\n", "\n", "line 1: field cpus is missing"},
+            new String[] {
+              "team = \"web\"", "team = \"wep\"", "line 5: field team is not one of [web, batch]"
+            },
+            new String[] {
+              "shape = \"service\"",
+              "shape = \"servant\"",
+              "line 3: field shape is not one of [array, gang, service]"
+            },
+            new String[] {
+              "cpus = 2",
+              "cpus = 20",
+              "line 8: field cpus and memory_gb of a task fit no machine of this site"
+            },
+            new String[] {
+              "run_s = 1.5",
+              "run_s = \"long\"",
+              "line 20: field run_s is not a number from 0 to 100000.0"
+            },
+            new String[] {
+              "[[jobs]]\nname = \"front\"", "jobs = 3\n[[jobs]]\nname = \"front\"", "line 2: "
+            },
+            new String[] {"copies = 3", "copies = 3 3", "line 6: "},
+            new String[] {
+              "run_s = 1.5",
+              "run_s = 1.5\nwaits_on = [\"front\"]",
+              "line 21: field waits_on names front, which is not the name of one job"
+            },
+            new String[] {
+              "run_s = 1.5",
+              "run_s = 1.5\nwaits_on = \"front\"",
+              "line 21: field waits_on is not a list"
+            })
+        .forEach(
+            each -> {
+              BadMessage e =
+                  assertThrows(
+                      BadMessage.class,
+                      () ->
+                          JobsFile.read(
+                              JOBS.replaceFirst(each[0].replace("[", "\\["), each[1]), site));
+              assertTrue(e.getMessage().startsWith(each[2]), e.getMessage());
+            });
+  }
 }
--- a/src/test/java/org/quincecross/emulator/UserTroubles.java
+++ b/src/test/java/org/quincecross/emulator/UserTroubles.java
@@ -4,32 +4,61 @@
 import java.util.SplittableRandom;
 
 /**
- * Troubles that users make, drawn beside those of a {@link Day} from a source of their own: they look closely, call off at the end and many at
- * once, err, and on some days submit one class of one-task jobs, four a second, a quarter of them called off.
+ * Troubles that users make, drawn beside those of a {@link Day} from a source of their own: they
+ * look closely, call off at the end and many at once, err, and on some days submit one class of
+ * one-task jobs, four a second, a quarter of them called off.
  */
 final class UserTroubles {
-    private static final double FROM_S = 14;
-    private static final double UNTIL_S = 150;
+  private static final double FROM_S = 14;
+  private static final double UNTIL_S = 150;
 
-    private UserTroubles() {
-    }
+  private UserTroubles() {}
 
-    /** For {@link Day#with}. */
-    static void on(World world, long seed) {
-        Random random = new Random(new SplittableRandom(seed * 3011 + 5).nextLong());
-        double seconds = 20 + 60 * random.nextDouble();
-        at(world, random, () -> CloseLooks.begin(world.around(), 0.3 + 0.7 * random.nextDouble(), 0.2 * random.nextDouble(), seconds, random));
-        at(world, random, () -> LateCancels.atEnd(world.around(), 0.5 * random.nextDouble(), random.nextBoolean() ? 0 : 2, seconds, random));
-        at(world, random, () -> OddRequests.begin(world.around(), 0.2 + random.nextDouble(), seconds, random));
-        for (int i = 0; i < 3; i++) {
-            at(world, random, () -> LateCancels.now(world.around(), 2 + random.nextInt(8), random.nextBoolean() ? 0 : 2 + 8 * random.nextDouble(), random));
-        }
-        if (random.nextInt(4) == 0) {
-            SmallJobs.begin(world, 4, 0.25, FROM_S, UNTIL_S - FROM_S, random);
-        }
+  /** For {@link Day#with}. */
+  static void on(World world, long seed) {
+    Random random = new Random(new SplittableRandom(seed * 3011 + 5).nextLong());
+    double seconds = 20 + 60 * random.nextDouble();
+    at(
+        world,
+        random,
+        () ->
+            CloseLooks.begin(
+                world.around(),
+                0.3 + 0.7 * random.nextDouble(),
+                0.2 * random.nextDouble(),
+                seconds,
+                random));
+    at(
+        world,
+        random,
+        () ->
+            LateCancels.atEnd(
+                world.around(),
+                0.5 * random.nextDouble(),
+                random.nextBoolean() ? 0 : 2,
+                seconds,
+                random));
+    at(
+        world,
+        random,
+        () -> OddRequests.begin(world.around(), 0.2 + random.nextDouble(), seconds, random));
+    for (int i = 0; i < 3; i++) {
+      at(
+          world,
+          random,
+          () ->
+              LateCancels.now(
+                  world.around(),
+                  2 + random.nextInt(8),
+                  random.nextBoolean() ? 0 : 2 + 8 * random.nextDouble(),
+                  random));
     }
-
-    private static void at(World world, Random random, Runnable trouble) {
-        world.time().at(FROM_S + (UNTIL_S - FROM_S - 10) * random.nextDouble(), trouble);
+    if (random.nextInt(4) == 0) {
+      SmallJobs.begin(world, 4, 0.25, FROM_S, UNTIL_S - FROM_S, random);
     }
+  }
+
+  private static void at(World world, Random random, Runnable trouble) {
+    world.time().at(FROM_S + (UNTIL_S - FROM_S - 10) * random.nextDouble(), trouble);
+  }
 }
--- a/src/test/java/org/quincecross/emulator/WholeServiceTest.java
+++ b/src/test/java/org/quincecross/emulator/WholeServiceTest.java
@@ -14,115 +14,148 @@
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Fields;
 
-/** Days of a whole deployment with troubles drawn from fixed seeds: every rule is kept, and all work gets done. */
+/**
+ * Days of a whole deployment with troubles drawn from fixed seeds: every rule is kept, and all work
+ * gets done.
+ */
 class WholeServiceTest {
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 515, 528, 10199, 21435, 21580, 23492})
-    void keepsTheRulesAndFinishesTheWork(long seed) {
-        assertEquals(List.of(), new Day(seed).play());
-    }
+  @ParameterizedTest
+  @ValueSource(
+      longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 515, 528, 10199, 21435, 21580, 23492})
+  void keepsTheRulesAndFinishesTheWork(long seed) {
+    assertEquals(List.of(), new Day(seed).play());
+  }
 
-    /** Troubles that meet on purpose: what is begun in one is not over when the next comes. */
-    @ParameterizedTest
-    @ValueSource(longs = {101, 1328, 10237})
-    void keepsTheRulesWhenTroublesMeet(long seed) {
-        assertEquals(List.of(), Day.ofMeetings(seed).play());
-    }
+  /** Troubles that meet on purpose: what is begun in one is not over when the next comes. */
+  @ParameterizedTest
+  @ValueSource(longs = {101, 1328, 10237})
+  void keepsTheRulesWhenTroublesMeet(long seed) {
+    assertEquals(List.of(), Day.ofMeetings(seed).play());
+  }
 
-    /**
-     * A holder that alone has lost the state service, while its machines hear nobody else: it does not learn of
-     * cancellations, so it must stop answering early enough for the machines' leases to end in time.
-     */
-    @ParameterizedTest
-    @ValueSource(ints = {0, 1, 2})
-    void aHolderWithoutWordStopsInTimeForCancellations(int alone) {
-        World world = new World(1);
-        List<JobId> jobs = new ArrayList<>();
-        for (int i = 0; i < 12; i++) {
-            int number = i;
-            world.time().at(5 + i * 0.1, () -> jobs.add(world.users().submitService(number)));
-        }
-        world.time().at(20, () -> {
-            world.state().refuse(Site.nodeName(alone), 90);
-            world.cloud().machines().forEach(machine -> {
-                world.cut(Site.nodeName((alone + 1) % world.nodeCount()), machine.text(), 90, true);
-                world.cut(Site.nodeName((alone + 2) % world.nodeCount()), machine.text(), 90, true);
-            });
-        });
-        world.time().at(24, () -> jobs.forEach(world.users()::cancel));
-        world.time().runUntil(150);
-        assertEquals(12, world.users().told().values().stream().filter("cancelled"::equals).count());
-        assertEquals(List.of(), world.rules().broken());
+  /**
+   * A holder that alone has lost the state service, while its machines hear nobody else: it does
+   * not learn of cancellations, so it must stop answering early enough for the machines' leases to
+   * end in time.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1, 2})
+  void aHolderWithoutWordStopsInTimeForCancellations(int alone) {
+    World world = new World(1);
+    List<JobId> jobs = new ArrayList<>();
+    for (int i = 0; i < 12; i++) {
+      int number = i;
+      world.time().at(5 + i * 0.1, () -> jobs.add(world.users().submitService(number)));
     }
+    world
+        .time()
+        .at(
+            20,
+            () -> {
+              world.state().refuse(Site.nodeName(alone), 90);
+              world
+                  .cloud()
+                  .machines()
+                  .forEach(
+                      machine -> {
+                        world.cut(
+                            Site.nodeName((alone + 1) % world.nodeCount()),
+                            machine.text(),
+                            90,
+                            true);
+                        world.cut(
+                            Site.nodeName((alone + 2) % world.nodeCount()),
+                            machine.text(),
+                            90,
+                            true);
+                      });
+            });
+    world.time().at(24, () -> jobs.forEach(world.users()::cancel));
+    world.time().runUntil(150);
+    assertEquals(12, world.users().told().values().stream().filter("cancelled"::equals).count());
+    assertEquals(List.of(), world.rules().broken());
+  }
 
-    /**
-     * A gang larger than any block: a block grows for it, also where controllers crash meanwhile. With seed 4 each zone gets
-     * seven machines, one of which never boots: the idle ones of the other zone must make way, or nothing ever changes.
-     */
-    @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
-    void aGangLargerThanAnyBlockRuns(long seed) {
-        World world = new World(seed);
-        world.time().at(5, () -> world.users().submitLargeGang(1, 8));
-        for (int i = 0; i < seed; i++) {
-            int node = i % world.nodeCount();
-            world.time().at(8 + 11 * i, () -> world.crash(node));
-        }
-        world.time().runUntil(300);
-        assertEquals(List.of(), world.rules().broken());
-        assertEquals("done", world.users().told().get(new JobId("job-1")));
+  /**
+   * A gang larger than any block: a block grows for it, also where controllers crash meanwhile.
+   * With seed 4 each zone gets seven machines, one of which never boots: the idle ones of the other
+   * zone must make way, or nothing ever changes.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {1, 2, 3, 4})
+  void aGangLargerThanAnyBlockRuns(long seed) {
+    World world = new World(seed);
+    world.time().at(5, () -> world.users().submitLargeGang(1, 8));
+    for (int i = 0; i < seed; i++) {
+      int node = i % world.nodeCount();
+      world.time().at(8 + 11 * i, () -> world.crash(node));
     }
+    world.time().runUntil(300);
+    assertEquals(List.of(), world.rules().broken());
+    assertEquals("done", world.users().told().get(new JobId("job-1")));
+  }
 
-    /** A gang that its team's limit has no room for beside a service: named, once nothing explains its wait, with the reason. */
-    @Test
-    void whatMakesNoProgressIsNamedWithWhatItWaitsFor() throws BadMessage {
-        World world = new World(3);
-        world.time().at(5, () -> world.users().submitService(2));
-        world.time().at(8, () -> world.users().submitLargeGang(1, 8));
-        world.time().runUntil(120);
-        assertEquals(Set.of(), stalled(world));
-        world.time().runUntil(160);
-        assertEquals(Set.of("job-1 [8 tasks in the pool: team red uses Resources[cpus=1.0, gpus=0.0, memoryGb=2.0] of its limit "
-                + "Resources[cpus=40.0, gpus=Infinity, memoryGb=1.0E9]]"), stalled(world));
-        world.time().at(161, () -> world.users().cancel(new JobId("job-2")));
-        world.time().runUntil(400);
-        assertEquals("done", world.users().told().get(new JobId("job-1")));
-        assertEquals(Set.of(), stalled(world));
-    }
+  /**
+   * A gang that its team's limit has no room for beside a service: named, once nothing explains its
+   * wait, with the reason.
+   */
+  @Test
+  void whatMakesNoProgressIsNamedWithWhatItWaitsFor() throws BadMessage {
+    World world = new World(3);
+    world.time().at(5, () -> world.users().submitService(2));
+    world.time().at(8, () -> world.users().submitLargeGang(1, 8));
+    world.time().runUntil(120);
+    assertEquals(Set.of(), stalled(world));
+    world.time().runUntil(160);
+    assertEquals(
+        Set.of(
+            "job-1 [8 tasks in the pool: team red uses Resources[cpus=1.0, gpus=0.0, memoryGb=2.0] of its limit "
+                + "Resources[cpus=40.0, gpus=Infinity, memoryGb=1.0E9]]"),
+        stalled(world));
+    world.time().at(161, () -> world.users().cancel(new JobId("job-2")));
+    world.time().runUntil(400);
+    assertEquals("done", world.users().told().get(new JobId("job-1")));
+    assertEquals(Set.of(), stalled(world));
+  }
 
-    private static Set<String> stalled(World world) throws BadMessage {
-        Set<String> stalled = new TreeSet<>();
-        for (int node = 0; node < world.nodeCount(); node++) {
-            for (Fields stall : world.status(node).objects("stalled")) {
-                stalled.add(stall.text("job") + " " + stall.texts("waits_for"));
-            }
-        }
-        return stalled;
+  private static Set<String> stalled(World world) throws BadMessage {
+    Set<String> stalled = new TreeSet<>();
+    for (int node = 0; node < world.nodeCount(); node++) {
+      for (Fields stall : world.status(node).objects("stalled")) {
+        stalled.add(stall.text("job") + " " + stall.texts("waits_for"));
+      }
     }
+    return stalled;
+  }
 
-    /**
-     * A job is cancelled, and before its tasks can leave the allocation everything goes down for longer than a
-     * cancellation has: the controllers that come back rebuild their queues from an allocation that still has it.
-     */
-    @Test
-    void whatWasCancelledBeforeACrashOfAllDoesNotStartAfterIt() {
-        World world = new World(2);
-        world.time().at(5, () -> world.users().submitArray(1, 16));
-        world.time().at(20, () -> world.users().cancel(new JobId("job-1")));
-        boolean[] down = new boolean[1];
-        for (int i = 0; i < 400; i++) {
-            world.time().at(20 + i * 0.005, () -> {
+  /**
+   * A job is cancelled, and before its tasks can leave the allocation everything goes down for
+   * longer than a cancellation has: the controllers that come back rebuild their queues from an
+   * allocation that still has it.
+   */
+  @Test
+  void whatWasCancelledBeforeACrashOfAllDoesNotStartAfterIt() {
+    World world = new World(2);
+    world.time().at(5, () -> world.users().submitArray(1, 16));
+    world.time().at(20, () -> world.users().cancel(new JobId("job-1")));
+    boolean[] down = new boolean[1];
+    for (int i = 0; i < 400; i++) {
+      world
+          .time()
+          .at(
+              20 + i * 0.005,
+              () -> {
                 if (!down[0] && "cancelled".equals(world.rules().lastTold(new JobId("job-1")))) {
-                    down[0] = true;
-                    world.state().outage(50);
-                    for (int node = 0; node < world.nodeCount(); node++) {
-                        world.crash(node);
-                    }
+                  down[0] = true;
+                  world.state().outage(50);
+                  for (int node = 0; node < world.nodeCount(); node++) {
+                    world.crash(node);
+                  }
                 }
-            });
-        }
-        world.time().runUntil(150);
-        assertTrue(down[0]);
-        assertEquals(List.of(), world.rules().broken());
+              });
     }
+    world.time().runUntil(150);
+    assertTrue(down[0]);
+    assertEquals(List.of(), world.rules().broken());
+  }
 }
