--- a/src/test/java/org/quincecross/state/QuotaRecordTest.java
+++ b/src/test/java/org/quincecross/state/QuotaRecordTest.java
@@ -17,63 +17,83 @@
 import org.quincecross.wire.Json;
 
 class QuotaRecordTest {
-    private static double amount(Random random, double leftOut) {
-        return random.nextInt(3) == 0 ? leftOut : random.nextInt(3) == 0 ? 0 : random.nextInt(100_000) / 8.0;
-    }
+  private static double amount(Random random, double leftOut) {
+    return random.nextInt(3) == 0
+        ? leftOut
+        : random.nextInt(3) == 0 ? 0 : random.nextInt(100_000) / 8.0;
+  }
 
-    private static Resources resources(Random random, double leftOut) {
-        return new Resources(amount(random, leftOut), amount(random, leftOut), amount(random, leftOut));
-    }
+  private static Resources resources(Random random, double leftOut) {
+    return new Resources(amount(random, leftOut), amount(random, leftOut), amount(random, leftOut));
+  }
 
-    private static List<NodeSpec> some(Random random, int depth) {
-        List<NodeSpec> specs = new ArrayList<>();
-        for (int i = 0; i < random.nextInt(4); i++) {
-            Kind kind = Kind.values()[random.nextInt(3)];
-            specs.add(new NodeSpec("n" + i + "\u00e9 \"", kind, kind == Kind.WORKLOAD ? "a*b" : null, resources(random, 0),
-                    resources(random, Double.POSITIVE_INFINITY), random.nextInt(3), random.nextInt(3) / 2.0,
-                    resources(random, Double.POSITIVE_INFINITY), depth > 9 ? new ArrayList<>() : some(random, depth + 1)));
-        }
-        return specs;
+  private static List<NodeSpec> some(Random random, int depth) {
+    List<NodeSpec> specs = new ArrayList<>();
+    for (int i = 0; i < random.nextInt(4); i++) {
+      Kind kind = Kind.values()[random.nextInt(3)];
+      specs.add(
+          new NodeSpec(
+              "n" + i + "\u00e9 \"",
+              kind,
+              kind == Kind.WORKLOAD ? "a*b" : null,
+              resources(random, 0),
+              resources(random, Double.POSITIVE_INFINITY),
+              random.nextInt(3),
+              random.nextInt(3) / 2.0,
+              resources(random, Double.POSITIVE_INFINITY),
+              depth > 9 ? new ArrayList<>() : some(random, depth + 1)));
     }
+    return specs;
+  }
 
-    private static List<NodeSpec> read(byte[] json) throws BadMessage {
-        return QuotaRecord.read(Json.parse(json));
-    }
+  private static List<NodeSpec> read(byte[] json) throws BadMessage {
+    return QuotaRecord.read(Json.parse(json));
+  }
 
-    @Property(tries = 200, seed = "71")
-    void aTreeReadsAsItWasWritten(@ForAll long seed) throws BadMessage {
-        List<NodeSpec> tree = some(new Random(seed), 0);
-        assertEquals(tree, read(Json.write(QuotaRecord.write(tree))));
-    }
+  @Property(tries = 200, seed = "71")
+  void aTreeReadsAsItWasWritten(@ForAll long seed) throws BadMessage {
+    List<NodeSpec> tree = some(new Random(seed), 0);
+    assertEquals(tree, read(Json.write(QuotaRecord.write(tree))));
+  }
 
-    /** Whatever becomes of a record: it reads as some tree, or is a bad message, and nothing else happens. */
-    @Property(tries = 300, seed = "72")
-    void aSpoiltRecordIsATreeOrABadMessage(@ForAll long seed) {
-        Random random = new Random(seed);
-        byte[] json = Json.write(QuotaRecord.write(some(random, 0)));
-        for (int i = 0; i < 3; i++) {
-            json[random.nextInt(json.length)] = (byte) " {}[],:0-9\"truenl/".charAt(random.nextInt(18));
-        }
-        try {
-            read(json);
-        } catch (BadMessage e) {
-            assertEquals(-1, e.getMessage().indexOf('\n'));
-        }
+  /**
+   * Whatever becomes of a record: it reads as some tree, or is a bad message, and nothing else
+   * happens.
+   */
+  @Property(tries = 300, seed = "72")
+  void aSpoiltRecordIsATreeOrABadMessage(@ForAll long seed) {
+    Random random = new Random(seed);
+    byte[] json = Json.write(QuotaRecord.write(some(random, 0)));
+    for (int i = 0; i < 3; i++) {
+      json[random.nextInt(json.length)] = (byte) " {}[],:0-9\"truenl/".charAt(random.nextInt(18));
     }
-
-    private static void assertBad(String message, String nodes) {
-        byte[] json = ("{\"nodes\":[" + nodes + "]}").getBytes(StandardCharsets.UTF_8);
-        assertEquals(message, assertThrows(BadMessage.class, () -> read(json)).getMessage());
+    try {
+      read(json);
+    } catch (BadMessage e) {
+      assertEquals(-1, e.getMessage().indexOf('\n'));
     }
+  }
 
-    @Example
-    void whatIsBadlyWrittenIsNamedWithItsPath() {
-        String a = "{\"path\":\"a\",\"kind\":\"organisation\"}";
-        assertBad("b/c: the node above it does not stand before it", a + ",{\"path\":\"b/c\",\"kind\":\"team\"}");
-        assertBad("a: stands there twice", a + "," + a);
-        assertBad("a/c: unknown field gurantee", a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"gurantee\":{\"cpus\":1}}");
-        assertBad("a/c: unknown field cpu of limit", a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"limit\":{\"cpu\":1}}");
-        assertBad("a/c: field weight of an item of nodes of a tree of quotas is not a number of 0 or more",
-                a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"weight\":-1}");
-    }
+  private static void assertBad(String message, String nodes) {
+    byte[] json = ("{\"nodes\":[" + nodes + "]}").getBytes(StandardCharsets.UTF_8);
+    assertEquals(message, assertThrows(BadMessage.class, () -> read(json)).getMessage());
+  }
+
+  @Example
+  void whatIsBadlyWrittenIsNamedWithItsPath() {
+    String a = "{\"path\":\"a\",\"kind\":\"organisation\"}";
+    assertBad(
+        "b/c: the node above it does not stand before it",
+        a + ",{\"path\":\"b/c\",\"kind\":\"team\"}");
+    assertBad("a: stands there twice", a + "," + a);
+    assertBad(
+        "a/c: unknown field gurantee",
+        a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"gurantee\":{\"cpus\":1}}");
+    assertBad(
+        "a/c: unknown field cpu of limit",
+        a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"limit\":{\"cpu\":1}}");
+    assertBad(
+        "a/c: field weight of an item of nodes of a tree of quotas is not a number of 0 or more",
+        a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"weight\":-1}");
+  }
 }
--- a/src/test/java/org/quincecross/state/RecordsTest.java
+++ b/src/test/java/org/quincecross/state/RecordsTest.java
@@ -6,8 +6,8 @@
 
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.Random;
+import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.AlphaChars;
@@ -35,104 +35,193 @@
 import org.quincecross.wire.Json;
 
 class RecordsTest {
-    private static final int SMALLEST_VALUE = 1024;
+  private static final int SMALLEST_VALUE = 1024;
 
-    private static Object throughJson(Map<String, Object> value) throws BadMessage {
-        return Json.parse(Json.write(value));
-    }
+  private static Object throughJson(Map<String, Object> value) throws BadMessage {
+    return Json.parse(Json.write(value));
+  }
 
-    @Property(tries = 100, seed = "12")
-    void doneTasksReadTheSameAndStaySmall(@ForAll @IntRange(max = 2) int chunk, @ForAll @IntRange(max = 100) int percent,
-            @ForAll int seed) throws BadMessage {
-        Random random = new Random(seed);
-        TaskSet all = new TaskSet();
-        TaskSet inChunk = new TaskSet();
-        for (int i = 0; i < 3 * DoneTasks.CHUNK; i++) {
-            if (random.nextInt(100) < percent) {
-                all.add(i);
-                if (i / DoneTasks.CHUNK == chunk) {
-                    inChunk.add(i);
-                }
-            }
+  @Property(tries = 100, seed = "12")
+  void doneTasksReadTheSameAndStaySmall(
+      @ForAll @IntRange(max = 2) int chunk,
+      @ForAll @IntRange(max = 100) int percent,
+      @ForAll int seed)
+      throws BadMessage {
+    Random random = new Random(seed);
+    TaskSet all = new TaskSet();
+    TaskSet inChunk = new TaskSet();
+    for (int i = 0; i < 3 * DoneTasks.CHUNK; i++) {
+      if (random.nextInt(100) < percent) {
+        all.add(i);
+        if (i / DoneTasks.CHUNK == chunk) {
+          inChunk.add(i);
         }
-        Map<String, Object> value = DoneTasks.write(all, chunk);
-        assertTrue(Json.write(value).length < SMALLEST_VALUE);
-        assertEquals(inChunk, DoneTasks.read(throughJson(value), chunk));
+      }
     }
+    Map<String, Object> value = DoneTasks.write(all, chunk);
+    assertTrue(Json.write(value).length < SMALLEST_VALUE);
+    assertEquals(inChunk, DoneTasks.read(throughJson(value), chunk));
+  }
 
-    @Property(tries = 100, seed = "13")
-    void allocationsReadTheSame(@ForAll int seed) throws BadMessage {
-        Random random = new Random(seed);
-        Map<JobId, TaskSet> tasks = new java.util.LinkedHashMap<>();
-        for (int j = 0; j < random.nextInt(6); j++) {
-            TaskSet set = new TaskSet();
-            for (int i = 0; i <= random.nextInt(30); i++) {
-                set.add(random.nextInt(60));
-            }
-            tasks.put(new JobId("job-" + j), set);
-        }
-        assertEquals(tasks, Allocation.read(throughJson(Allocation.write(tasks)), Revision.NONE).tasks());
+  @Property(tries = 100, seed = "13")
+  void allocationsReadTheSame(@ForAll int seed) throws BadMessage {
+    Random random = new Random(seed);
+    Map<JobId, TaskSet> tasks = new java.util.LinkedHashMap<>();
+    for (int j = 0; j < random.nextInt(6); j++) {
+      TaskSet set = new TaskSet();
+      for (int i = 0; i <= random.nextInt(30); i++) {
+        set.add(random.nextInt(60));
+      }
+      tasks.put(new JobId("job-" + j), set);
     }
+    assertEquals(
+        tasks, Allocation.read(throughJson(Allocation.write(tasks)), Revision.NONE).tasks());
+  }
 
-    /** What a newer build has put into a record is there again after an older one has read it, changed what it knows, and written it. */
-    @Property(tries = 200, seed = "15")
-    void unknownFieldsSurviveARewrite(@ForAll @Size(max = 4) Map<@AlphaChars @StringLength(min = 9, max = 12) String, @IntRange Integer> newer)
-            throws BadMessage {
-        Map<String, Object> extra = new java.util.LinkedHashMap<>();
-        newer.forEach((name, value) -> extra.put(name, Json.object("n", (long) value, "list", List.of((long) value, "x"))));
+  /**
+   * What a newer build has put into a record is there again after an older one has read it, changed
+   * what it knows, and written it.
+   */
+  @Property(tries = 200, seed = "15")
+  void unknownFieldsSurviveARewrite(
+      @ForAll @Size(max = 4)
+          Map<@AlphaChars @StringLength(min = 9, max = 12) String, @IntRange Integer> newer)
+      throws BadMessage {
+    Map<String, Object> extra = new java.util.LinkedHashMap<>();
+    newer.forEach(
+        (name, value) ->
+            extra.put(name, Json.object("n", (long) value, "list", List.of((long) value, "x"))));
 
-        Machine machine = new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
-        MemberRecord member = new MemberRecord(new MemberId("n0"), new Incarnation(7), "z", Build.BEFORE_LEVELS, Terms.NONE, new Revision(3));
-        Map<String, Object> block = BlockLease.first(new BlockId("b"), member, machine).write();
-        block.putAll(extra);
-        BlockLease lease = BlockLease.read(new BlockId("b"), throughJson(block), new Revision(9));
-        Machine more = new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
-        for (BlockLease changed : List.of(lease, lease.with(more), lease.with(more).leaving(machine.id()).without(machine.id()), lease.heldBy(member))) {
-            assertTrue(changed.write().entrySet().containsAll(extra.entrySet()), changed.toString());
-        }
+    Machine machine =
+        new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
+    MemberRecord member =
+        new MemberRecord(
+            new MemberId("n0"),
+            new Incarnation(7),
+            "z",
+            Build.BEFORE_LEVELS,
+            Terms.NONE,
+            new Revision(3));
+    Map<String, Object> block = BlockLease.first(new BlockId("b"), member, machine).write();
+    block.putAll(extra);
+    BlockLease lease = BlockLease.read(new BlockId("b"), throughJson(block), new Revision(9));
+    Machine more =
+        new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
+    for (BlockLease changed :
+        List.of(
+            lease,
+            lease.with(more),
+            lease.with(more).leaving(machine.id()).without(machine.id()),
+            lease.heldBy(member))) {
+      assertTrue(changed.write().entrySet().containsAll(extra.entrySet()), changed.toString());
+    }
 
-        Job job = new Job(new JobId("job-5"), "c", "team", Shape.ARRAY, Rank.NORMAL, 3, new Resources(1, 0, 1), null, null, false, false, false,
-                "i", 1, Span.ofSeconds(5), Span.ZERO, Span.ZERO, null);
-        Map<String, Object> open = JobRecord.open(job, 77);
-        open.putAll(extra);
-        @SuppressWarnings("unchecked")
-        Map<String, Object> description = (Map<String, Object>) open.get("job");
-        description.putAll(extra);
-        Map<String, Object> cancelled = JobRecord.read(job.id(), throughJson(open), new Revision(4)).cancelled(99);
-        assertTrue(JobRecord.read(job.id(), throughJson(open), new Revision(4)).done().entrySet().containsAll(extra.entrySet()));
-        assertTrue(cancelled.entrySet().containsAll(extra.entrySet()));
-        assertTrue(((Map<?, ?>) cancelled.get("job")).entrySet().containsAll(extra.entrySet()));
-        Map<String, Object> fromBundle = JobRecord.readBundle(throughJson(JobRecord.bundle(List.of(open))), new Revision(5)).get(0).cancelled(99);
-        assertEquals(cancelled, fromBundle);
+    Job job =
+        new Job(
+            new JobId("job-5"),
+            "c",
+            "team",
+            Shape.ARRAY,
+            Rank.NORMAL,
+            3,
+            new Resources(1, 0, 1),
+            null,
+            null,
+            false,
+            false,
+            false,
+            "i",
+            1,
+            Span.ofSeconds(5),
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    Map<String, Object> open = JobRecord.open(job, 77);
+    open.putAll(extra);
+    @SuppressWarnings("unchecked")
+    Map<String, Object> description = (Map<String, Object>) open.get("job");
+    description.putAll(extra);
+    Map<String, Object> cancelled =
+        JobRecord.read(job.id(), throughJson(open), new Revision(4)).cancelled(99);
+    assertTrue(
+        JobRecord.read(job.id(), throughJson(open), new Revision(4))
+            .done()
+            .entrySet()
+            .containsAll(extra.entrySet()));
+    assertTrue(cancelled.entrySet().containsAll(extra.entrySet()));
+    assertTrue(((Map<?, ?>) cancelled.get("job")).entrySet().containsAll(extra.entrySet()));
+    Map<String, Object> fromBundle =
+        JobRecord.readBundle(throughJson(JobRecord.bundle(List.of(open))), new Revision(5))
+            .get(0)
+            .cancelled(99);
+    assertEquals(cancelled, fromBundle);
 
-        Map<String, Object> settings = new OperatorSettings(false, true, 60, 3, 0, List.of()).write();
-        settings.putAll(extra);
-        assertEquals(new OperatorSettings(false, true, 60, 3, 0, List.of()), OperatorSettings.readRecord(throughJson(settings), OperatorSettings.DEFAULTS),
-                "an older build rents although operators have said no");
-        assertEquals(extra, OperatorSettings.unknown(throughJson(settings)));
-        if (!extra.isEmpty()) {
-            assertThrows(BadMessage.class, () -> OperatorSettings.read(throughJson(settings), OperatorSettings.DEFAULTS), "of an operator it is a slip");
-        }
+    Map<String, Object> settings = new OperatorSettings(false, true, 60, 3, 0, List.of()).write();
+    settings.putAll(extra);
+    assertEquals(
+        new OperatorSettings(false, true, 60, 3, 0, List.of()),
+        OperatorSettings.readRecord(throughJson(settings), OperatorSettings.DEFAULTS),
+        "an older build rents although operators have said no");
+    assertEquals(extra, OperatorSettings.unknown(throughJson(settings)));
+    if (!extra.isEmpty()) {
+      assertThrows(
+          BadMessage.class,
+          () -> OperatorSettings.read(throughJson(settings), OperatorSettings.DEFAULTS),
+          "of an operator it is a slip");
     }
+  }
 
-    /** A job whose record is larger than a value may be now can be cancelled; what its tasks count by stays. */
-    @Property(tries = 100, seed = "16")
-    void aJobOfTheOldSizeIsCancelledInLess(@ForAll Random random) throws BadMessage {
-        Job job = new Job(new JobId("job-5"), "c".repeat(random.nextInt(1500)) + "c", "team", Shape.GANG, Rank.NORMAL, 3, new Resources(1, 0, 1),
-                Set.of("t".repeat(random.nextInt(1500))), "z", false, true, false, "i".repeat(1 + random.nextInt(1500)), 1, Span.ofSeconds(5), Span.ZERO,
-                Span.ZERO, null);
-        Map<String, Object> open = JobRecord.open(job, 77);
-        open.put("later", "x".repeat(random.nextInt(1500)));
-        JobRecord record = JobRecord.read(job.id(), throughJson(open), new Revision(4));
-        Map<String, Object> cancelled = record.cancelled(99, 1000);
-        assertTrue(Json.write(cancelled).length <= 1000);
-        if (Json.write(record.cancelled(99)).length <= 1000) {
-            assertEquals(record.cancelled(99), cancelled);
-        }
-        JobRecord read = JobRecord.read(job.id(), throughJson(cancelled), new Revision(5));
-        assertEquals(JobPhase.CANCELLED, read.phase());
-        assertEquals(99, read.cancelledMs());
-        assertEquals(job.team() + job.each() + job.tasks() + job.zone() + job.spread() + job.rank() + job.shape(), read.job().team() + read.job().each()
-                + read.job().tasks() + read.job().zone() + read.job().spread() + read.job().rank() + read.job().shape());
+  /**
+   * A job whose record is larger than a value may be now can be cancelled; what its tasks count by
+   * stays.
+   */
+  @Property(tries = 100, seed = "16")
+  void aJobOfTheOldSizeIsCancelledInLess(@ForAll Random random) throws BadMessage {
+    Job job =
+        new Job(
+            new JobId("job-5"),
+            "c".repeat(random.nextInt(1500)) + "c",
+            "team",
+            Shape.GANG,
+            Rank.NORMAL,
+            3,
+            new Resources(1, 0, 1),
+            Set.of("t".repeat(random.nextInt(1500))),
+            "z",
+            false,
+            true,
+            false,
+            "i".repeat(1 + random.nextInt(1500)),
+            1,
+            Span.ofSeconds(5),
+            Span.ZERO,
+            Span.ZERO,
+            null);
+    Map<String, Object> open = JobRecord.open(job, 77);
+    open.put("later", "x".repeat(random.nextInt(1500)));
+    JobRecord record = JobRecord.read(job.id(), throughJson(open), new Revision(4));
+    Map<String, Object> cancelled = record.cancelled(99, 1000);
+    assertTrue(Json.write(cancelled).length <= 1000);
+    if (Json.write(record.cancelled(99)).length <= 1000) {
+      assertEquals(record.cancelled(99), cancelled);
     }
+    JobRecord read = JobRecord.read(job.id(), throughJson(cancelled), new Revision(5));
+    assertEquals(JobPhase.CANCELLED, read.phase());
+    assertEquals(99, read.cancelledMs());
+    assertEquals(
+        job.team()
+            + job.each()
+            + job.tasks()
+            + job.zone()
+            + job.spread()
+            + job.rank()
+            + job.shape(),
+        read.job().team()
+            + read.job().each()
+            + read.job().tasks()
+            + read.job().zone()
+            + read.job().spread()
+            + read.job().rank()
+            + read.job().shape());
+  }
 }
--- a/src/test/java/org/quincecross/wire/FeaturesTest.java
+++ b/src/test/java/org/quincecross/wire/FeaturesTest.java
@@ -15,42 +15,64 @@
 import org.quincecross.overload.Shares;
 
 class FeaturesTest {
-    private static Features read(String json) throws BadMessage {
-        return Features.read(json.getBytes(StandardCharsets.UTF_8));
-    }
+  private static Features read(String json) throws BadMessage {
+    return Features.read(json.getBytes(StandardCharsets.UTF_8));
+  }
 
-    @Test
-    void whatIsNotNamedIsOff() throws BadMessage {
-        assertEquals(Features.NONE, read("{}"));
-        assertEquals(Shares.DEFAULTS, read("{\"overload\": {}}").overload());
-        assertNull(read("{\"overload\": {}}").servedEvery());
-        assertEquals(0.2, read("{\"overload\": {\"floor\": 0.2}}").overload().floor());
-        assertEquals(60, read("{\"served\": {\"log_every_s\": 60}}").servedEvery().seconds());
-    }
+  @Test
+  void whatIsNotNamedIsOff() throws BadMessage {
+    assertEquals(Features.NONE, read("{}"));
+    assertEquals(Shares.DEFAULTS, read("{\"overload\": {}}").overload());
+    assertNull(read("{\"overload\": {}}").servedEvery());
+    assertEquals(0.2, read("{\"overload\": {\"floor\": 0.2}}").overload().floor());
+    assertEquals(60, read("{\"served\": {\"log_every_s\": 60}}").servedEvery().seconds());
+  }
 
-    /** Levels run where the service is deployed, up to the one without agreed records. */
-    @Test
-    void whatIsDeployedTakesPartInLevelTwo() throws BadMessage, IOException {
-        Features deployed = Features.read(Files.readAllBytes(Path.of("deploy/features.json")));
-        assertEquals(2, deployed.build().most().number());
-        assertNull(deployed.agreed());
-    }
+  /** Levels run where the service is deployed, up to the one without agreed records. */
+  @Test
+  void whatIsDeployedTakesPartInLevelTwo() throws BadMessage, IOException {
+    Features deployed = Features.read(Files.readAllBytes(Path.of("deploy/features.json")));
+    assertEquals(2, deployed.build().most().number());
+    assertNull(deployed.agreed());
+  }
 
-    /** A controller announces the level of agreed records only where they are named. */
-    @Test
-    void agreedRecordsComeWithTheirLevel() throws BadMessage {
-        assertEquals(2, read("{\"rollout\": {}}").build().most().number());
-        assertNull(read("{\"rollout\": {}}").agreed());
-        assertEquals(3, read("{\"rollout\": {}, \"agreed\": {\"holds\": {\"review_days\": 3}}}").build().most().number());
-        assertEquals(Set.of("holds"), read("{\"rollout\": {}, \"agreed\": {\"holds\": {}}}").agreed().keySet());
-    }
+  /** A controller announces the level of agreed records only where they are named. */
+  @Test
+  void agreedRecordsComeWithTheirLevel() throws BadMessage {
+    assertEquals(2, read("{\"rollout\": {}}").build().most().number());
+    assertNull(read("{\"rollout\": {}}").agreed());
+    assertEquals(
+        3,
+        read("{\"rollout\": {}, \"agreed\": {\"holds\": {\"review_days\": 3}}}")
+            .build()
+            .most()
+            .number());
+    assertEquals(
+        Set.of("holds"), read("{\"rollout\": {}, \"agreed\": {\"holds\": {}}}").agreed().keySet());
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"{\"agreed\": {}}", "{\"rollout\": {}, \"agreed\": {\"hold\": {}}}", "{\"rollout\": {\"most_level\": 3}}", "", "[]", "3", "{\"overlaod\": {}}", "{\"overload\": 1}", "{\"overload\": {\"flor\": 0.1}}",
-        "{\"overload\": {\"floor\": -0.1}}", "{\"overload\": {\"floor\": 0.4, \"turns\": 0.2}}", "{\"overload\": {\"usable\": 0}}",
-        "{\"overload\": {\"usable\": 2}}", "{\"overload\": {\"coming\": \"a\"}}", "{\"served\": {}}", "{\"served\": {\"log_every_s\": 0.5}}",
-        "{\"served\": {\"log_every_s\": 1e6}}"})
-    void whatIsWrongIsRefused(String json) {
-        assertThrows(BadMessage.class, () -> read(json));
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "{\"agreed\": {}}",
+        "{\"rollout\": {}, \"agreed\": {\"hold\": {}}}",
+        "{\"rollout\": {\"most_level\": 3}}",
+        "",
+        "[]",
+        "3",
+        "{\"overlaod\": {}}",
+        "{\"overload\": 1}",
+        "{\"overload\": {\"flor\": 0.1}}",
+        "{\"overload\": {\"floor\": -0.1}}",
+        "{\"overload\": {\"floor\": 0.4, \"turns\": 0.2}}",
+        "{\"overload\": {\"usable\": 0}}",
+        "{\"overload\": {\"usable\": 2}}",
+        "{\"overload\": {\"coming\": \"a\"}}",
+        "{\"served\": {}}",
+        "{\"served\": {\"log_every_s\": 0.5}}",
+        "{\"served\": {\"log_every_s\": 1e6}}"
+      })
+  void whatIsWrongIsRefused(String json) {
+    assertThrows(BadMessage.class, () -> read(json));
+  }
 }
--- a/src/test/java/org/quincecross/wire/JobCodecTest.java
+++ b/src/test/java/org/quincecross/wire/JobCodecTest.java
@@ -23,90 +23,205 @@
 import org.quincecross.model.Span;
 
 class JobCodecTest {
-    @Provide
-    static Arbitrary<Job> jobs() {
-        var words = Arbitraries.strings().withCharRange('a', 'z').withChars("-_é\"").ofMinLength(1).ofMaxLength(12);
-        var spans = Arbitraries.integers().between(0, 4000).map(s -> Span.ofSeconds(s));
-        var amounts = Arbitraries.integers().between(1, 4000).map(n -> n / 8.0);
-        var head = Combinators.combine(Arbitraries.integers().between(0, 999_999), words, words,
-                Arbitraries.of(Shape.class), Arbitraries.of(Rank.class), Arbitraries.integers().between(1, JobCodec.MOST_TASKS));
-        var place = Combinators.combine(Arbitraries.of(true, false), Arbitraries.of(true, false), Arbitraries.of(true, false),
-                words.injectNull(0.3), words.set().ofMaxSize(3).injectNull(0.3)).as((one, spread, spot, zone, types) ->
-                    new Object[] {one, spread, spot, zone, types});
-        return Combinators.combine(head.as((n, lane, team, shape, rank, tasks) -> new Object[] {n, lane, team, shape, rank, tasks}),
-                place, amounts, amounts, spans, spans, spans.injectNull(0.3)).as((h, p, cpus, mem, estimate, save, due) -> {
-                    @SuppressWarnings("unchecked")
-                    Set<String> types = (Set<String>) p[4];
-                    return new Job(new JobId("job-" + h[0]), (String) h[1], (String) h[2], (Shape) h[3], (Rank) h[4], (int) h[5],
-                            new Resources(cpus, 0, mem), types, (String) p[3], (boolean) p[0], (boolean) p[1], (boolean) p[2],
-                            "img", mem, estimate, save, save, due, IntStream.range(0, (int) h[5] % 4).mapToObj(i -> new JobId("job-00" + i)).collect(Collectors.toSet()));
-                });
-    }
+  @Provide
+  static Arbitrary<Job> jobs() {
+    var words =
+        Arbitraries.strings()
+            .withCharRange('a', 'z')
+            .withChars("-_é\"")
+            .ofMinLength(1)
+            .ofMaxLength(12);
+    var spans = Arbitraries.integers().between(0, 4000).map(s -> Span.ofSeconds(s));
+    var amounts = Arbitraries.integers().between(1, 4000).map(n -> n / 8.0);
+    var head =
+        Combinators.combine(
+            Arbitraries.integers().between(0, 999_999),
+            words,
+            words,
+            Arbitraries.of(Shape.class),
+            Arbitraries.of(Rank.class),
+            Arbitraries.integers().between(1, JobCodec.MOST_TASKS));
+    var place =
+        Combinators.combine(
+                Arbitraries.of(true, false),
+                Arbitraries.of(true, false),
+                Arbitraries.of(true, false),
+                words.injectNull(0.3),
+                words.set().ofMaxSize(3).injectNull(0.3))
+            .as((one, spread, spot, zone, types) -> new Object[] {one, spread, spot, zone, types});
+    return Combinators.combine(
+            head.as(
+                (n, lane, team, shape, rank, tasks) ->
+                    new Object[] {n, lane, team, shape, rank, tasks}),
+            place,
+            amounts,
+            amounts,
+            spans,
+            spans,
+            spans.injectNull(0.3))
+        .as(
+            (h, p, cpus, mem, estimate, save, due) -> {
+              @SuppressWarnings("unchecked")
+              Set<String> types = (Set<String>) p[4];
+              return new Job(
+                  new JobId("job-" + h[0]),
+                  (String) h[1],
+                  (String) h[2],
+                  (Shape) h[3],
+                  (Rank) h[4],
+                  (int) h[5],
+                  new Resources(cpus, 0, mem),
+                  types,
+                  (String) p[3],
+                  (boolean) p[0],
+                  (boolean) p[1],
+                  (boolean) p[2],
+                  "img",
+                  mem,
+                  estimate,
+                  save,
+                  save,
+                  due,
+                  IntStream.range(0, (int) h[5] % 4)
+                      .mapToObj(i -> new JobId("job-00" + i))
+                      .collect(Collectors.toSet()));
+            });
+  }
 
-    @Property(tries = 300, seed = "4")
-    void whatIsWrittenReadsTheSame(@ForAll("jobs") Job job) throws BadMessage {
-        assertEquals(job, JobCodec.read(Json.parseFields(Json.write(JobCodec.write(job)))));
-    }
+  @Property(tries = 300, seed = "4")
+  void whatIsWrittenReadsTheSame(@ForAll("jobs") Job job) throws BadMessage {
+    assertEquals(job, JobCodec.read(Json.parseFields(Json.write(JobCodec.write(job)))));
+  }
 
-    /** Of a submission no field may be missing but those that may be null; a record may leave out what says nothing. */
-    @Property(tries = 100, seed = "6")
-    void aSubmissionHasAllItsFields(@ForAll("jobs") Job job) throws BadMessage {
-        assertEquals(job, JobCodec.readSubmission(Json.parseFields(Json.write(JobCodec.submission(job)))));
-        for (String name : JobCodec.submission(job).keySet()) {
-            Map<String, Object> lacking = JobCodec.submission(job);
-            lacking.remove(name);
-            if (!Set.of("Hulls", "Yard", "DueS", "WaitsOn").contains(name)) {
-                assertThrows(BadMessage.class, () -> JobCodec.readSubmission(Json.parseFields(Json.write(lacking))), name);
-            }
-        }
+  /**
+   * Of a submission no field may be missing but those that may be null; a record may leave out what
+   * says nothing.
+   */
+  @Property(tries = 100, seed = "6")
+  void aSubmissionHasAllItsFields(@ForAll("jobs") Job job) throws BadMessage {
+    assertEquals(
+        job, JobCodec.readSubmission(Json.parseFields(Json.write(JobCodec.submission(job)))));
+    for (String name : JobCodec.submission(job).keySet()) {
+      Map<String, Object> lacking = JobCodec.submission(job);
+      lacking.remove(name);
+      if (!Set.of("Hulls", "Yard", "DueS", "WaitsOn").contains(name)) {
+        assertThrows(
+            BadMessage.class,
+            () -> JobCodec.readSubmission(Json.parseFields(Json.write(lacking))),
+            name);
+      }
     }
+  }
 
-    private static Map<String, Object> plain() {
-        return Json.object("Uid", "job-1", "Lane", "a", "Crew", "t", "Shape", "sweep", "Rank", "idle", "Pieces", 3,
-                "Cpus", 1.0, "Cards", 0.0, "MemGb", 1.0, "Bundle", "i", "ImageGb", 1.0, "GuessS", 1.0, "MarkEveryS", 0.0,
-                "MarkCostS", 0.0);
-    }
+  private static Map<String, Object> plain() {
+    return Json.object(
+        "Uid",
+        "job-1",
+        "Lane",
+        "a",
+        "Crew",
+        "t",
+        "Shape",
+        "sweep",
+        "Rank",
+        "idle",
+        "Pieces",
+        3,
+        "Cpus",
+        1.0,
+        "Cards",
+        0.0,
+        "MemGb",
+        1.0,
+        "Bundle",
+        "i",
+        "ImageGb",
+        1.0,
+        "GuessS",
+        1.0,
+        "MarkEveryS",
+        0.0,
+        "MarkCostS",
+        0.0);
+  }
 
-    private static void readText(String json) throws BadMessage {
-        JobCodec.read(Json.parseFields(json.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
-    }
+  private static void readText(String json) throws BadMessage {
+    JobCodec.read(Json.parseFields(json.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+  }
 
-    @Example
-    void namesWhatIsWrong() throws BadMessage {
-        String good = new String(Json.write(plain()), java.nio.charset.StandardCharsets.UTF_8);
-        readText(good);
-        List<String> bad = List.of(
-                good.replace("\"Pieces\":3", "\"Pieces\":0"), good.replace("\"Pieces\":3", "\"Pieces\":100001"),
-                good.replace("\"Pieces\":3", "\"Pieces\":3.5"), good.replace("\"Pieces\":3", "\"Pieces\":99999999999999999999"),
-                good.replace("\"Cpus\":1.0", "\"Cpus\":-1.0"), good.replace("\"Cpus\":1.0", "\"Cpus\":NaN"),
-                good.replace("\"Cpus\":1.0", "\"Cpus\":1e400"), good.replace("\"Cpus\":1.0", "\"Cpus\":\"1\""),
-                good.replace("job-1", "task-1"), good.replace("job-1", "job-"), good.replace("job-1", "job-1x"),
-                good.replace("sweep", "swoop"), good.replace("\"idle\"", "null"), good + "x", "[" + good + "]", "", "null");
-        for (String text : bad) {
-            assertThrows(BadMessage.class, () -> readText(text), text);
-        }
+  @Example
+  void namesWhatIsWrong() throws BadMessage {
+    String good = new String(Json.write(plain()), java.nio.charset.StandardCharsets.UTF_8);
+    readText(good);
+    List<String> bad =
+        List.of(
+            good.replace("\"Pieces\":3", "\"Pieces\":0"),
+            good.replace("\"Pieces\":3", "\"Pieces\":100001"),
+            good.replace("\"Pieces\":3", "\"Pieces\":3.5"),
+            good.replace("\"Pieces\":3", "\"Pieces\":99999999999999999999"),
+            good.replace("\"Cpus\":1.0", "\"Cpus\":-1.0"),
+            good.replace("\"Cpus\":1.0", "\"Cpus\":NaN"),
+            good.replace("\"Cpus\":1.0", "\"Cpus\":1e400"),
+            good.replace("\"Cpus\":1.0", "\"Cpus\":\"1\""),
+            good.replace("job-1", "task-1"),
+            good.replace("job-1", "job-"),
+            good.replace("job-1", "job-1x"),
+            good.replace("sweep", "swoop"),
+            good.replace("\"idle\"", "null"),
+            good + "x",
+            "[" + good + "]",
+            "",
+            "null");
+    for (String text : bad) {
+      assertThrows(BadMessage.class, () -> readText(text), text);
     }
+  }
 
-    /** Nothing and an empty list wait on no job, one that is named twice is waited for once; all that is no list of ids is malformed. */
-    @Example
-    void namesJobsToWaitOn() throws BadMessage {
-        String good = new String(Json.write(plain()), java.nio.charset.StandardCharsets.UTF_8).replace("}", ",\"WaitsOn\":?}");
-        for (String none : List.of("null", "[]")) {
-            assertEquals(Set.of(), JobCodec.read(Json.parseFields(good.replace("?", none).getBytes(java.nio.charset.StandardCharsets.UTF_8))).waitsOn());
-        }
-        assertEquals(Set.of(new JobId("job-7"), new JobId("job-07")), JobCodec.read(Json.parseFields(
-                good.replace("?", "[\"job-7\",\"job-07\",\"job-7\"]").getBytes(java.nio.charset.StandardCharsets.UTF_8))).waitsOn());
-        for (String bad : List.of("\"job-7\"", "{}", "7", "[7]", "[null]", "[\"job-\"]", "[\"task-7\"]", "[[\"job-7\"]]", "true")) {
-            assertThrows(BadMessage.class, () -> readText(good.replace("?", bad)), bad);
-        }
+  /**
+   * Nothing and an empty list wait on no job, one that is named twice is waited for once; all that
+   * is no list of ids is malformed.
+   */
+  @Example
+  void namesJobsToWaitOn() throws BadMessage {
+    String good =
+        new String(Json.write(plain()), java.nio.charset.StandardCharsets.UTF_8)
+            .replace("}", ",\"WaitsOn\":?}");
+    for (String none : List.of("null", "[]")) {
+      assertEquals(
+          Set.of(),
+          JobCodec.read(
+                  Json.parseFields(
+                      good.replace("?", none).getBytes(java.nio.charset.StandardCharsets.UTF_8)))
+              .waitsOn());
+    }
+    assertEquals(
+        Set.of(new JobId("job-7"), new JobId("job-07")),
+        JobCodec.read(
+                Json.parseFields(
+                    good.replace("?", "[\"job-7\",\"job-07\",\"job-7\"]")
+                        .getBytes(java.nio.charset.StandardCharsets.UTF_8)))
+            .waitsOn());
+    for (String bad :
+        List.of(
+            "\"job-7\"",
+            "{}",
+            "7",
+            "[7]",
+            "[null]",
+            "[\"job-\"]",
+            "[\"task-7\"]",
+            "[[\"job-7\"]]",
+            "true")) {
+      assertThrows(BadMessage.class, () -> readText(good.replace("?", bad)), bad);
     }
+  }
 
-    @Property(tries = 500, seed = "5")
-    void garbageIsABadMessageAndNothingElse(@ForAll byte[] garbage) {
-        try {
-            JobCodec.read(Json.parseFields(garbage));
-        } catch (BadMessage e) {
-            assertEquals(false, e.getMessage().isEmpty());
-        }
+  @Property(tries = 500, seed = "5")
+  void garbageIsABadMessageAndNothingElse(@ForAll byte[] garbage) {
+    try {
+      JobCodec.read(Json.parseFields(garbage));
+    } catch (BadMessage e) {
+      assertEquals(false, e.getMessage().isEmpty());
     }
+  }
 }
--- a/src/test/java/org/quincecross/wire/SettingsTest.java
+++ b/src/test/java/org/quincecross/wire/SettingsTest.java
@@ -15,37 +15,76 @@
 import org.quincecross.model.Span;
 
 class SettingsTest {
-    private static final Settings.StateLimits PRESENT = new Settings.StateLimits(100, 10, 4096, 8);
+  private static final Settings.StateLimits PRESENT = new Settings.StateLimits(100, 10, 4096, 8);
 
-    private static Settings with(double lease, double cancel) throws BadMessage {
-        return Settings.read(SettingsWriter.write(settings(lease, cancel)));
-    }
+  private static Settings with(double lease, double cancel) throws BadMessage {
+    return Settings.read(SettingsWriter.write(settings(lease, cancel)));
+  }
 
-    private static Settings settings(double lease, double cancel) {
-        Endpoint somewhere = new Endpoint("10.0.0.1", 80);
-        return new Settings(new MemberId("n0"), "a", somewhere, somewhere, List.of(), somewhere, somewhere, List.of("a"),
-                Map.of(), List.of(), new Settings.Workers(Span.ofSeconds(1), Span.ofSeconds(lease), Span.ofSeconds(30), Span.ofSeconds(5), Span.ofSeconds(cancel)),
-                PRESENT, new Settings.CloudLimits(4, Span.ofSeconds(2)), Span.ofSeconds(1), new Settings.Quota(1, 200, 1000));
-    }
+  private static Settings settings(double lease, double cancel) {
+    Endpoint somewhere = new Endpoint("10.0.0.1", 80);
+    return new Settings(
+        new MemberId("n0"),
+        "a",
+        somewhere,
+        somewhere,
+        List.of(),
+        somewhere,
+        somewhere,
+        List.of("a"),
+        Map.of(),
+        List.of(),
+        new Settings.Workers(
+            Span.ofSeconds(1),
+            Span.ofSeconds(lease),
+            Span.ofSeconds(30),
+            Span.ofSeconds(5),
+            Span.ofSeconds(cancel)),
+        PRESENT,
+        new Settings.CloudLimits(4, Span.ofSeconds(2)),
+        Span.ofSeconds(1),
+        new Settings.Quota(1, 200, 1000));
+  }
 
-    /** Nobody could be told of a cancellation in time: the program is to say so, by the field, rather than run and break it. */
-    @Test
-    void leasesTooLongForCancellationsAreNamed() throws BadMessage {
-        assertEquals(Span.ofSeconds(60), with(60, 36).workers().lease());
-        String why = assertThrows(BadMessage.class, () -> with(80, 36)).getMessage();
-        assertEquals("field lease_s is too long for what cancel_s says: tasks that nobody reaches go on for a lease", why);
-    }
+  /**
+   * Nobody could be told of a cancellation in time: the program is to say so, by the field, rather
+   * than run and break it.
+   */
+  @Test
+  void leasesTooLongForCancellationsAreNamed() throws BadMessage {
+    assertEquals(Span.ofSeconds(60), with(60, 36).workers().lease());
+    String why = assertThrows(BadMessage.class, () -> with(80, 36)).getMessage();
+    assertEquals(
+        "field lease_s is too long for what cancel_s says: tasks that nobody reaches go on for a lease",
+        why);
+  }
 
-    /** Of the limits that hold and those to come, a controller has the smaller of each from its start on; what is not named stays. */
-    @Property(tries = 100, seed = "4")
-    void theSmallerLimitsHold(@ForAll @IntRange(min = 1, max = 200) int perS, @ForAll @IntRange(min = 1, max = 64) int quarterKb,
-            @ForAll @IntRange(min = 1, max = 40) int changes) throws BadMessage {
-        Settings.StateLimits next = new Settings.StateLimits(perS, perS / 2.0, quarterKb * 256, changes);
-        byte[] file = SettingsWriter.write(settings(60, 36), next);
-        assertEquals(new Settings.StateLimits(Math.min(100, perS), Math.min(10, perS / 2.0), Math.min(4096, quarterKb * 256),
-                Math.min(8, changes)), Settings.read(file).stateLimits());
-        assertEquals(PRESENT, Settings.read(SettingsWriter.write(settings(60, 36))).stateLimits());
-        String some = new String(file, StandardCharsets.UTF_8).replaceFirst("(\"next\":\\{).*?(\"txn_ops\":[0-9]+\\})", "$1$2");
-        assertEquals(new Settings.StateLimits(100, 10, 4096, Math.min(8, changes)), Settings.read(some.getBytes(StandardCharsets.UTF_8)).stateLimits());
-    }
+  /**
+   * Of the limits that hold and those to come, a controller has the smaller of each from its start
+   * on; what is not named stays.
+   */
+  @Property(tries = 100, seed = "4")
+  void theSmallerLimitsHold(
+      @ForAll @IntRange(min = 1, max = 200) int perS,
+      @ForAll @IntRange(min = 1, max = 64) int quarterKb,
+      @ForAll @IntRange(min = 1, max = 40) int changes)
+      throws BadMessage {
+    Settings.StateLimits next =
+        new Settings.StateLimits(perS, perS / 2.0, quarterKb * 256, changes);
+    byte[] file = SettingsWriter.write(settings(60, 36), next);
+    assertEquals(
+        new Settings.StateLimits(
+            Math.min(100, perS),
+            Math.min(10, perS / 2.0),
+            Math.min(4096, quarterKb * 256),
+            Math.min(8, changes)),
+        Settings.read(file).stateLimits());
+    assertEquals(PRESENT, Settings.read(SettingsWriter.write(settings(60, 36))).stateLimits());
+    String some =
+        new String(file, StandardCharsets.UTF_8)
+            .replaceFirst("(\"next\":\\{).*?(\"txn_ops\":[0-9]+\\})", "$1$2");
+    assertEquals(
+        new Settings.StateLimits(100, 10, 4096, Math.min(8, changes)),
+        Settings.read(some.getBytes(StandardCharsets.UTF_8)).stateLimits());
+  }
 }
