--- a/src/main/java/org/quincecross/admin/ModelDesk.java
+++ b/src/main/java/org/quincecross/admin/ModelDesk.java
@@ -44,7 +44,6 @@
   private static final double FORGOTTEN_AFTER = 2;
 
   private final AgreedBase base;
-  private final Ledger ledger;
   private final ModelRecords records;
   private final BiFunction<JobId, Integer, Boolean> runsHere;
   private final SteadyTime begun;
@@ -60,7 +59,6 @@
   public ModelDesk(
       AgreedBase base, ModelRecords records, BiFunction<JobId, Integer, Boolean> runsHere) {
     this.base = base;
-    this.ledger = base.ledger();
     this.records = records;
     this.runsHere = runsHere;
     this.begun = base.timers().now();
@@ -178,11 +176,11 @@
             each -> {
               Model model = records.book().state(each.getKey());
               return !model.isDefined()
-                  || each.getValue().state() == Demand.State.SATISFIED
+                  || (each.getValue().state() == Demand.State.SATISFIED
                       && !model.isUp()
                       && each.getValue()
                           .quiet(now)
-                          .isMoreThan(model.terms().idle().times(FORGOTTEN_AFTER));
+                          .isMoreThan(model.terms().idle().times(FORGOTTEN_AFTER)));
             });
     demands.forEach(
         (name, demand) ->
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -71,9 +71,9 @@
     String[] parts =
         path.isEmpty() || path.equals("/") ? new String[0] : path.substring(1).split("/", -1);
     boolean get = request.method().equals("GET");
-    if (!get && !request.method().equals("POST")
-        || get && parts.length > 1
-        || !get && parts.length == 0) {
+    if ((!get && !request.method().equals("POST"))
+        || (get && parts.length > 1)
+        || (!get && parts.length == 0)) {
       reply.accept(HttpResponse.of(405));
     } else if (parts.length == 0) {
       reply.accept(list());
--- a/src/main/java/org/quincecross/agreed/Body.java
+++ b/src/main/java/org/quincecross/agreed/Body.java
@@ -22,6 +22,8 @@
   }
 
   /**
+   * Wraps a value that has to be an object.
+   *
    * @param where what it is, for the messages
    */
   public static Body of(Object value, String where) throws Unreadable {
--- a/src/main/java/org/quincecross/agreed/KnownByAll.java
+++ b/src/main/java/org/quincecross/agreed/KnownByAll.java
@@ -40,6 +40,8 @@
   public record Told(MemberId member, Incarnation life, Revision revision) {}
 
   /**
+   * Whether all controllers know a revision.
+   *
    * @param missing the controllers that have not told of it
    * @param latest when it is known by all at the latest; null where this controller has not seen it
    *     itself
@@ -53,6 +55,8 @@
   private KnownByAll() {}
 
   /**
+   * Decides whether all controllers know a revision.
+   *
    * @param revision that is asked for
    * @param own the revision of this controller's records
    * @param seenAt when this controller first saw the revision, or any time after; null where it has
--- a/src/main/java/org/quincecross/agreed/RecordId.java
+++ b/src/main/java/org/quincecross/agreed/RecordId.java
@@ -22,7 +22,7 @@
   }
 
   private static boolean isLetterOrDigit(char c) {
-    return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9';
+    return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9');
   }
 
   @Override
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -125,7 +125,7 @@
     }
     if (isOver(since)
         || ledger.blocksOf(record.id()).isEmpty()
-        || bound.notingSuffices() && allHoldersHaveSeen(record)) {
+        || (bound.notingSuffices() && allHoldersHaveSeen(record))) {
       untold.remove(record.id());
       return true;
     }
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -367,7 +367,7 @@
     // A report may be ahead of the ledger here: what it says of a later lease is kept.
     if (block != null
         && (lease == null
-            || !lease.holder().equals(member) && !block.token().isAfter(lease.token()))) {
+            || (!lease.holder().equals(member) && !block.token().isAfter(lease.token())))) {
       views.forget(member, id);
     }
   }
--- a/src/main/java/org/quincecross/block/BlockHolder.java
+++ b/src/main/java/org/quincecross/block/BlockHolder.java
@@ -450,7 +450,7 @@
     }
     WorkerReport before = session.report();
     boolean newSession =
-        before != null && before.session() != report.session() || verdict == Verdict.BEGUN_ANEW;
+        (before != null && before.session() != report.session()) || verdict == Verdict.BEGUN_ANEW;
     if (verdict == Verdict.BEGUN_ANEW) {
       LOG.info("block {}: machine {} has begun anew", id(), session.machine().id());
       session.enter(Session.State.UNFENCED); // it has forgotten the token
@@ -517,7 +517,7 @@
     SteadyTime now = context.now();
     if (entitled != context.isEntitled()
         || mayStart != context.mayStart()
-        || wakeAt != null && !now.isBefore(wakeAt)) {
+        || (wakeAt != null && !now.isBefore(wakeAt))) {
       stirred = true;
     }
     act();
--- a/src/main/java/org/quincecross/block/Commands.java
+++ b/src/main/java/org/quincecross/block/Commands.java
@@ -71,10 +71,10 @@
       if (piece.state() == TaskState.EXITED) {
         boolean keep =
             ours
-                || placement != null
+                || (placement != null
                     && placement.state() == Placement.State.COMPLETED
                     && placement.machine().equals(machine)
-                    && placement.attempt().equals(piece.attempt());
+                    && placement.attempt().equals(piece.attempt()));
         if (!keep && !session.mayStillStart(piece.attempt())) {
           orders.add(Order.forget(piece.task(), piece.attempt()));
         }
--- a/src/main/java/org/quincecross/block/GivingBack.java
+++ b/src/main/java/org/quincecross/block/GivingBack.java
@@ -104,7 +104,7 @@
    * waited for 90 s.
    */
   private void giveBackSurplus(SteadyTime now) {
-    if (entries.isEmpty() || surplusAt != null && now.isBefore(surplusAt) || !leaderCanAct(now)) {
+    if (entries.isEmpty() || (surplusAt != null && now.isBefore(surplusAt)) || !leaderCanAct(now)) {
       return;
     }
     surplusAt = now.plus(SURPLUS_EVERY);
@@ -135,7 +135,7 @@
    */
   private void giveBackToIdle(SteadyTime now) {
     if (entries.isEmpty()
-        || elsewhereAt != null && now.isBefore(elsewhereAt)
+        || (elsewhereAt != null && now.isBefore(elsewhereAt))
         || !leaderCanAct(now)) {
       return;
     }
--- a/src/main/java/org/quincecross/block/MachineViews.java
+++ b/src/main/java/org/quincecross/block/MachineViews.java
@@ -82,10 +82,10 @@
     for (Placement placement : placements.seenOn(machine)) {
       Job job = placement.job();
       if (placement.state() == Placement.State.STOPPING
-          || placement.isBound()
+          || (placement.isBound()
               && job.rank() != Rank.PRODUCTION
               && job.shape() != Shape.GANG
-              && !job.saves()) {
+              && !job.saves())) {
         sum = sum.plus(job.each());
       }
     }
@@ -180,8 +180,8 @@
     return session != null
         && (!silence(session, now).equals(told.silent())
             || holder.isOpen(session) != told.open()
-            || !told.sick() && watch.isToBeReplaced(session, now)
-            || !told.movable() && told.tasks() > 0 && isMovable(told.id(), now));
+            || (!told.sick() && watch.isToBeReplaced(session, now))
+            || (!told.movable() && told.tasks() > 0 && isMovable(told.id(), now)));
   }
 
   /** Whether all that is there are replicas that have run for a while. */
--- a/src/main/java/org/quincecross/block/RoomElsewhere.java
+++ b/src/main/java/org/quincecross/block/RoomElsewhere.java
@@ -45,7 +45,7 @@
               && job.allows(block.type(), block.zone(), block.spot())
               && (!job.oneZone()
                   || job.tasks() == 1
-                  || own != null && block.zone().equals(own.zone()));
+                  || (own != null && block.zone().equals(own.zone())));
       if (mayGo && hasRoom(job, block)) {
         return true;
       }
--- a/src/main/java/org/quincecross/block/Session.java
+++ b/src/main/java/org/quincecross/block/Session.java
@@ -190,6 +190,8 @@
   }
 
   /** A report was answered with the block's token: the machine's lease may run from now. */
+  // Equal reports of two moments prove different things: the instance is meant.
+  @SuppressWarnings("ReferenceEquality")
   void answered(WorkerReport answered, SteadyTime now) {
     if (leaseFrom.isBefore(now)) {
       leaseFrom = now;
--- a/src/main/java/org/quincecross/block/Withholding.java
+++ b/src/main/java/org/quincecross/block/Withholding.java
@@ -26,7 +26,7 @@
     // here either.
     Withheld withheld = context.withheld();
     return context.ledger().pipelines().waits(placement.task().job())
-        || withheld != Withheld.NONE && withheld.has(placement.job(), placement.task().index());
+        || (withheld != Withheld.NONE && withheld.has(placement.job(), placement.task().index()));
   }
 
   /**
--- a/src/main/java/org/quincecross/emulator/HeldMessages.java
+++ b/src/main/java/org/quincecross/emulator/HeldMessages.java
@@ -29,7 +29,7 @@
   /** For how many seconds a request, or the answer to it, is held up. */
   double seconds(HttpRequest request) {
     if (share == 0
-        || !request.path().equals("/orders") && !request.path().equals("/agent/beat")
+        || (!request.path().equals("/orders") && !request.path().equals("/agent/beat"))
         || random.nextDouble() >= share) {
       return 0;
     }
--- a/src/main/java/org/quincecross/emulator/Load.java
+++ b/src/main/java/org/quincecross/emulator/Load.java
@@ -152,7 +152,8 @@
             ? (int)
                 Math.max(
                     1,
-                    Math.min(4 * each.meanTasks(), Math.round(each.meanTasks() * nearOne.sample())))
+                    Math.min(
+                        4L * each.meanTasks(), Math.round(each.meanTasks() * nearOne.sample())))
             : each.meanTasks();
     int image = images.sample();
     return new Job(
--- a/src/main/java/org/quincecross/emulator/Meter.java
+++ b/src/main/java/org/quincecross/emulator/Meter.java
@@ -55,7 +55,7 @@
       action.run();
       return;
     }
-    Runnable named = action instanceof Watched.Step ? ((Watched.Step) action).action() : action;
+    Runnable named = action instanceof Watched.Step step ? step.action() : action;
     String name = named.getClass().getName();
     int lambda = name.indexOf("$$");
     String owner = lambda < 0 ? name : name.substring(0, lambda);
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -123,7 +123,7 @@
             FLOOD_AT_S,
             () ->
                 site.classes().stream()
-                    .filter(each -> each != front)
+                    .filter(each -> !each.equals(front))
                     .forEach(each -> load.burst(each.name(), FLOOD_FACTOR, FLOOD_LASTS_S)));
     if (share > 0) {
       world.time().at(REQUESTS_AT_S, () -> send(0, (int) Math.round(requests * share / mostShare)));
--- a/src/main/java/org/quincecross/emulator/Rules.java
+++ b/src/main/java/org/quincecross/emulator/Rules.java
@@ -89,8 +89,8 @@
     Map<String, Integer> inZones = zones.get(job.id());
     boolean misplaced =
         !job.allows(machine.type(), machine.zone(), machine.spot())
-            || job.oneZone() && inZones.size() > 1
-            || job.spread() && inZones.get(machine.zone()) > job.mostInOneZone();
+            || (job.oneZone() && inZones.size() > 1)
+            || (job.spread() && inZones.get(machine.zone()) > job.mostInOneZone());
     if (misplaced) {
       breaks("wrong_place", task + " on " + machine);
     }
--- a/src/main/java/org/quincecross/emulator/Surroundings.java
+++ b/src/main/java/org/quincecross/emulator/Surroundings.java
@@ -32,7 +32,7 @@
 
   /**
    * @param nodes where each controller listens for users and workers
-   * @param state where each controller reaches the state service
+   * @param stateAt where each controller reaches the state service
    */
   Surroundings(
       Site site,
--- a/src/main/java/org/quincecross/emulator/TrySite.java
+++ b/src/main/java/org/quincecross/emulator/TrySite.java
@@ -335,13 +335,13 @@
       case READY -> {
         boolean timeIsUp = now - readyAt > plan.forS();
         if (timeIsUp
-            || allSubmitted() && openWork().isEmpty() && (drill == null || drill.isOver())) {
+            || (allSubmitted() && openWork().isEmpty() && (drill == null || drill.isOver()))) {
           services().forEach(id -> around.users().cancel(id));
           enter(State.FINISHING);
         }
       }
       case FINISHING -> {
-        if (services().isEmpty() && around.rules().onMachines() == 0
+        if ((services().isEmpty() && around.rules().onMachines() == 0)
             || now - since > STOP_SERVICES_WITHIN_S) {
           enter(State.OVER);
         }
@@ -429,7 +429,7 @@
   }
 
   private void progress(double now) {
-    if (plan.json() || state == State.OVER || !plan.live() && now - saidAt < SAY_EVERY_S) {
+    if (plan.json() || state == State.OVER || (!plan.live() && now - saidAt < SAY_EVERY_S)) {
       return;
     }
     saidAt = now;
--- a/src/main/java/org/quincecross/emulator/VirtualNet.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNet.java
@@ -211,7 +211,7 @@
         };
     String name = names.getOrDefault(to, "nowhere");
     Host host = hosts.get(to);
-    if (host == null || !host.isUp() && !isCut(from, name)) {
+    if (host == null || (!host.isUp() && !isCut(from, name))) {
       time.after(0.001, () -> once.accept(HttpOutcome.failed(false)));
       return;
     }
@@ -227,7 +227,7 @@
     if (isMute(from)) {
       connected.remove(link);
     }
-    if (isMute(from) || isCut(from, name) && connected.get(link) != process) {
+    if (isMute(from) || (isCut(from, name) && connected.get(link) != process)) {
       // A connection that is attempted in a cut never completes.
       time.after(timeout.seconds(), () -> once.accept(HttpOutcome.failed(false)));
       return;
--- a/src/main/java/org/quincecross/faults/Suspects.java
+++ b/src/main/java/org/quincecross/faults/Suspects.java
@@ -67,7 +67,7 @@
 
   private static void pause(Suspect suspect, JobId job, SteadyTime now) {
     // Suspects that were found together are not tried together.
-    double spread = 0.75 + 0.5 * Math.floorMod(job.hashCode() * 0x9E3779B1L >> 16, 100) / 100.0;
+    double spread = 0.75 + 0.5 * Math.floorMod((job.hashCode() * 0x9E3779B1L) >> 16, 100) / 100.0;
     suspect.until = now.plus(suspect.pause.times(spread));
     suspect.pause =
         suspect.pause.times(2).isMoreThan(LONGEST_PAUSE) ? LONGEST_PAUSE : suspect.pause.times(2);
@@ -95,7 +95,7 @@
     if (suspect == null) {
       boolean declined =
           look.declinedBy() >= SUSPECT_AT
-              || look.declinedBy() > 0 && look.declinedBy() >= look.couldGoTo();
+              || (look.declinedBy() > 0 && look.declinedBy() >= look.couldGoTo());
       if (!declined || look.running() > 0) {
         return Integer.MAX_VALUE;
       }
@@ -143,8 +143,8 @@
       suspect.runningSince = now;
     }
     return look.done() > suspect.doneBefore
-        || suspect.runningSince != null
-            && now.since(suspect.runningSince).isMoreThan(CLEARED_AFTER);
+        || (suspect.runningSince != null
+            && now.since(suspect.runningSince).isMoreThan(CLEARED_AFTER));
   }
 
   /** Forgets jobs that are over. */
--- a/src/main/java/org/quincecross/holds/HoldCommand.java
+++ b/src/main/java/org/quincecross/holds/HoldCommand.java
@@ -8,6 +8,8 @@
  */
 public sealed interface HoldCommand {
   /**
+   * Opens a hold.
+   *
    * @param fromMs 0: from now on; {@code reviewMs} 0: never
    */
   record Open(List<Records> records, long fromMs, long reviewMs) implements HoldCommand {}
@@ -21,6 +23,8 @@
   record Due(int opening) implements HoldCommand {}
 
   /**
+   * Records that no task touches the held records any more.
+   *
    * @param revision of the records in which no task that touches the hold's records was out
    * @param kept the tasks that are kept back, as far as they fit
    * @param what stands for all that are kept back
--- a/src/main/java/org/quincecross/holds/HoldKind.java
+++ b/src/main/java/org/quincecross/holds/HoldKind.java
@@ -116,7 +116,7 @@
       boolean same =
           hold.records().equals(open.records())
               && hold.reviewMs() == open.reviewMs()
-              && (hold.fromMs() == open.fromMs() || hold.isInForce() && open.fromMs() == 0);
+              && (hold.fromMs() == open.fromMs() || (hold.isInForce() && open.fromMs() == 0));
       return same
           ? new Step.Same<>("open already, opening " + hold.opening())
           : new Step.Refused<>(
--- a/src/main/java/org/quincecross/holds/Records.java
+++ b/src/main/java/org/quincecross/holds/Records.java
@@ -60,8 +60,8 @@
     int month = part(form, at + 1);
     int day = part(form, at + 2);
     boolean good =
-        (form.group(at + 1) == null || month >= 1 && month <= 12)
-            && (form.group(at + 2) == null || day >= 1 && day <= DAYS[month - 1]);
+        (form.group(at + 1) == null || (month >= 1 && month <= 12))
+            && (form.group(at + 2) == null || (day >= 1 && day <= DAYS[month - 1]));
     if (!good) {
       throw new IllegalArgumentException("'" + text + "' has a month or a day that there is not");
     }
--- a/src/main/java/org/quincecross/http/HttpParser.java
+++ b/src/main/java/org/quincecross/http/HttpParser.java
@@ -277,7 +277,7 @@
         if (value.isEmpty()
             || value.length() > 12
             || !isDigits(value)
-            || length >= 0 && length != Long.parseLong(value)) {
+            || (length >= 0 && length != Long.parseLong(value))) {
           fail(400);
         } else {
           length = Long.parseLong(value);
--- a/src/main/java/org/quincecross/http/HttpRequest.java
+++ b/src/main/java/org/quincecross/http/HttpRequest.java
@@ -9,6 +9,8 @@
  * @param target the path and query as they stood in the request line
  * @param close whether the sender wants the connection closed after the response
  */
+// Nobody compares requests, and a copy of each body would cost every message.
+@SuppressWarnings("ArrayRecordComponent")
 public record HttpRequest(String method, String target, byte[] body, boolean close) {
   private static final byte[] EMPTY = new byte[0];
 
--- a/src/main/java/org/quincecross/http/HttpResponse.java
+++ b/src/main/java/org/quincecross/http/HttpResponse.java
@@ -6,6 +6,8 @@
  * @param retryAfterS seconds for a {@code Retry-After} header, or 0 for none
  * @param close whether the connection ends with it
  */
+// Nobody compares responses, and a copy of each body would cost every message.
+@SuppressWarnings("ArrayRecordComponent")
 public record HttpResponse(int status, byte[] body, int retryAfterS, boolean close) {
   private static final byte[] EMPTY = new byte[0];
 
--- a/src/main/java/org/quincecross/leader/AgreedTrails.java
+++ b/src/main/java/org/quincecross/leader/AgreedTrails.java
@@ -59,6 +59,8 @@
     }
   }
 
+  // Whether the page was replaced by a longer one or by the next: the instance tells.
+  @SuppressWarnings("ReferenceEquality")
   private <S> void move(TxnPlan plan, AgreedBook<S, ?> book) {
     TrailPage page = book.lastPage();
     int number = Math.max(1, book.lastPageNumber());
@@ -112,7 +114,7 @@
 
   private static <S> boolean isLong(AgreedBook<S, ?> book, Kept<S> kept, TxnPlan plan) {
     return kept.trail().size() >= MOST_LINES
-        || !kept.trail().isEmpty()
-            && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue();
+        || (!kept.trail().isEmpty()
+            && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue());
   }
 }
--- a/src/main/java/org/quincecross/leader/Demands.java
+++ b/src/main/java/org/quincecross/leader/Demands.java
@@ -131,7 +131,7 @@
                 account.out().size(),
                 running.applyAsInt(job.id())),
             now);
-    if (most >= account.pool().size() || most > 0 && job.shape() == Shape.GANG) {
+    if (most >= account.pool().size() || (most > 0 && job.shape() == Shape.GANG)) {
       return account.pool();
     }
     TaskSet first = new TaskSet();
@@ -359,6 +359,8 @@
    * here, and by the steady clock from then on. A time of day that jumps makes nothing late that is
    * known, and nothing younger than new.
    */
+  // A record that was read anew is another instance, and cheaper to tell apart than by its fields.
+  @SuppressWarnings("ReferenceEquality")
   private double steadyAge(JobRecord record, SteadyTime now) {
     Age age =
         ages.computeIfAbsent(
--- a/src/main/java/org/quincecross/leader/HoldSteps.java
+++ b/src/main/java/org/quincecross/leader/HoldSteps.java
@@ -68,7 +68,7 @@
     }
     wasLeading = leads;
     open.addAll(held.takeStirred());
-    if (!leads || open.isEmpty() && toNote.isEmpty()) {
+    if (!leads || (open.isEmpty() && toNote.isEmpty())) {
       return;
     }
     for (String reference : List.copyOf(open)) {
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -221,7 +221,7 @@
 
   /** Whether a service was submitted, or controllers have come or gone. */
   private boolean isUrgent(Ledger.Changes changes) {
-    if (changes.reloaded() || changes.jobs().isEmpty() && changes.blocks().isEmpty()) {
+    if (changes.reloaded() || (changes.jobs().isEmpty() && changes.blocks().isEmpty())) {
       return true;
     }
     for (JobId id : changes.jobs()) {
--- a/src/main/java/org/quincecross/leader/Leases.java
+++ b/src/main/java/org/quincecross/leader/Leases.java
@@ -171,6 +171,8 @@
   }
 
   /** Leases blocks of dead holders anew, takes machines in and out; returns the blocks changed. */
+  // A changed lease is another instance.
+  @SuppressWarnings("ReferenceEquality")
   Set<BlockId> plan(TxnPlan plan) {
     Map<BlockId, BlockLease> next = new TreeMap<>();
     Set<BlockId> deleted = new HashSet<>();
@@ -346,7 +348,7 @@
     BlockLease block = ledger.blockOf(machine);
     PeerViews.BlockView view = block == null ? null : fresh.of(block);
     PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
-    return block == null || state != null && state.fenced() && state.open();
+    return block == null || (state != null && state.fenced() && state.open());
   }
 
   /**
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -162,8 +162,8 @@
       boolean before =
           !other.job().image().equals(image)
               && (other.model().sinceMs() < mine.model().sinceMs()
-                  || other.model().sinceMs() == mine.model().sinceMs()
-                      && other.name().compareTo(mine.name()) < 0);
+                  || (other.model().sinceMs() == mine.model().sinceMs()
+                      && other.name().compareTo(mine.name()) < 0));
       if (before && other.startsOn(machine)) {
         return true;
       }
--- a/src/main/java/org/quincecross/leader/ModelKeeper.java
+++ b/src/main/java/org/quincecross/leader/ModelKeeper.java
@@ -11,7 +11,6 @@
 import java.util.function.Supplier;
 import org.quincecross.model.BlockId;
 import org.quincecross.model.Job;
-import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
@@ -123,7 +122,7 @@
   /** Looks at the models, now and then. */
   private void look() {
     SteadyTime now = base.timers().now();
-    if (looked != null && LOOK_EVERY.isMoreThan(now.since(looked))
+    if ((looked != null && LOOK_EVERY.isMoreThan(now.since(looked)))
         || records.book().all().isEmpty()) {
       return;
     }
@@ -153,7 +152,7 @@
     List<ModelLook> all = new ArrayList<>();
     for (Map.Entry<String, AgreedBook.Held<Model>> each : records.book().all().entrySet()) {
       Model model = each.getValue().state();
-      if (!model.isDefined() || model.phase() == Phase.ZERO && model.terms().keepWarm() == 0) {
+      if (!model.isDefined() || (model.phase() == Phase.ZERO && model.terms().keepWarm() == 0)) {
         continue;
       }
       JobRecord record = ledger.job(model.job());
@@ -336,39 +335,6 @@
       spokenFor.merge(job.team(), job.each(), Resources::plus);
     }
 
-    /**
-     * Whether a replica waits for the fetch of another model on its machine: fetches share the
-     * rate, and one after the other the first is there in half the time, and the last no later.
-     */
-    private boolean waitsItsTurn(JobId id, MachineId machine, String image) {
-      ModelLook mine = null;
-      for (ModelLook look : looks) {
-        mine = look.job().id().equals(id) ? look : mine;
-      }
-      PeerReport.MachineState state = machines.state(machine, base.timers().now());
-      if (mine == null || state == null || state.imagesInUse().contains(image)) {
-        return false;
-      }
-      for (ModelLook other : looks) {
-        boolean before =
-            other.model().isUp()
-                && !other.job().image().equals(image)
-                && (other.model().sinceMs() < mine.model().sinceMs()
-                    || other.model().sinceMs() == mine.model().sinceMs()
-                        && other.name().compareTo(mine.name()) < 0);
-        if (before
-            && other.model().places().entrySet().stream()
-                .anyMatch(
-                    each ->
-                        each.getValue().machine().equals(machine)
-                            && other.isOut(each.getKey())
-                            && !other.runs(each.getKey()))) {
-          return true;
-        }
-      }
-      return false;
-    }
-
     /** How many more replicas the limit of its team leaves room for. */
     private int withinLimit(ModelLook look) {
       Team team = teams.get().get(look.job().team());
--- a/src/main/java/org/quincecross/leader/Renting.java
+++ b/src/main/java/org/quincecross/leader/Renting.java
@@ -164,9 +164,9 @@
     MachineKind best = null;
     for (MachineKind kind : missing.keySet()) {
       if (best == null
-          || isRefused(best, now) && !isRefused(kind, now)
-          || isRefused(best, now) == isRefused(kind, now)
-              && missing.get(kind) < missing.get(best)) {
+          || (isRefused(best, now) && !isRefused(kind, now))
+          || (isRefused(best, now) == isRefused(kind, now)
+              && missing.get(kind) < missing.get(best))) {
         best = kind;
       }
     }
@@ -228,8 +228,10 @@
           MachineKind kind = new MachineKind(type.name(), zone, spot);
           if (!job.allows(type.name(), zone, spot)
               || isRefused(kind, now)
-              || job.spread() && need.perZone().getOrDefault(zone, 0) >= job.mostInOneZone()
-              || job.oneZone() && !need.perZone().isEmpty() && !need.perZone().containsKey(zone)) {
+              || (job.spread() && need.perZone().getOrDefault(zone, 0) >= job.mostInOneZone())
+              || (job.oneZone()
+                  && !need.perZone().isEmpty()
+                  && !need.perZone().containsKey(zone))) {
             continue;
           }
           double cost =
--- a/src/main/java/org/quincecross/leader/RequestKeeper.java
+++ b/src/main/java/org/quincecross/leader/RequestKeeper.java
@@ -96,7 +96,7 @@
     boolean machines = !unmet.isEmpty() && machinesSeen != rooms.machines();
     if (underWay > 0
         || SPACING.isMoreThan(since)
-        || seen == rooms.version() && !machines && LOOK_EVERY.isMoreThan(since)) {
+        || (seen == rooms.version() && !machines && LOOK_EVERY.isMoreThan(since))) {
       return;
     }
     lookedAt = now;
--- a/src/main/java/org/quincecross/model/JobId.java
+++ b/src/main/java/org/quincecross/model/JobId.java
@@ -73,10 +73,10 @@
   @Override
   public boolean equals(Object other) {
     return this == other
-        || other instanceof JobId id
+        || (other instanceof JobId id
             && id.number == number
             && id.text.length() == text.length()
-            && (digitCount() <= DIGITS_IN_NUMBER || id.text.equals(text));
+            && (digitCount() <= DIGITS_IN_NUMBER || id.text.equals(text)));
   }
 
   @Override
--- a/src/main/java/org/quincecross/model/Rank.java
+++ b/src/main/java/org/quincecross/model/Rank.java
@@ -8,6 +8,6 @@
   PRODUCTION;
 
   public boolean isAbove(Rank other) {
-    return ordinal() > other.ordinal();
+    return compareTo(other) > 0;
   }
 }
--- a/src/main/java/org/quincecross/models/Weights.java
+++ b/src/main/java/org/quincecross/models/Weights.java
@@ -47,6 +47,8 @@
       Map<String, Double> weights) {}
 
   /**
+   * The machine that a replica is to start on.
+   *
    * @param readyS seconds until the weights should be there
    */
   public record Choice(MachineId machine, String zone, double readyS) {}
--- a/src/main/java/org/quincecross/models/Yielding.java
+++ b/src/main/java/org/quincecross/models/Yielding.java
@@ -47,7 +47,7 @@
       if (may
           && (best == null
               || each.price() < best.price()
-              || each.price() == best.price() && each.name.compareTo(best.name) < 0)) {
+              || (each.price() == best.price() && each.name.compareTo(best.name) < 0))) {
         best = each;
       }
     }
--- a/src/main/java/org/quincecross/peer/ModelFleet.java
+++ b/src/main/java/org/quincecross/peer/ModelFleet.java
@@ -48,8 +48,10 @@
   }
 
   /**
-   * @param bestS seconds until a replica should serve, @param worstS and at the latest, if nothing
-   *     fails
+   * The time until a replica serves.
+   *
+   * @param bestS seconds until a replica should serve
+   * @param worstS seconds until it does at the latest, if nothing fails
    */
   public record Estimate(double bestS, double worstS) {}
 
--- a/src/main/java/org/quincecross/program/AgreedCommand.java
+++ b/src/main/java/org/quincecross/program/AgreedCommand.java
@@ -210,7 +210,7 @@
     ClientCommand.Server.Reply reply = null;
     for (int tries = 0; tries < MOST_TRIES; tries++) {
       reply = server.send("POST", path("/" + checked(id)), Json.write(body));
-      if (reply.status() != 503 && reply.status() != 0 || !pause(reply.retryAfterS())) {
+      if ((reply.status() != 503 && reply.status() != 0) || !pause(reply.retryAfterS())) {
         break;
       }
     }
--- a/src/main/java/org/quincecross/program/RequestCommands.java
+++ b/src/main/java/org/quincecross/program/RequestCommands.java
@@ -300,9 +300,9 @@
       }
       rows.removeIf(
           row ->
-              (open || without) && !List.of("arrived", "reserved").contains(row.get("state"))
-                  || without && !"arrived".equals(row.get("state"))
-                  || due != null && !due.equals(row.get("due")));
+              ((open || without) && !List.of("arrived", "reserved").contains(row.get("state")))
+                  || (without && !"arrived".equals(row.get("state")))
+                  || (due != null && !due.equals(row.get("due"))));
       rows.sort(
           (one, other) ->
               Long.compare(
--- a/src/main/java/org/quincecross/program/TryCommand.java
+++ b/src/main/java/org/quincecross/program/TryCommand.java
@@ -106,6 +106,8 @@
   private String output;
 
   @Override
+  // Java 17 is built for, where there is no console without a terminal.
+  @SuppressWarnings("SystemConsoleNull")
   public Integer call() {
     Endpoint front = Endpoint.parse(listen);
     if (front == null) {
--- a/src/main/java/org/quincecross/rollout/Feature.java
+++ b/src/main/java/org/quincecross/rollout/Feature.java
@@ -14,6 +14,8 @@
    */
   AGREED_RECORDS(3);
 
+  // A record of one int is immutable.
+  @SuppressWarnings("ImmutableEnumChecker")
   private final Level since;
 
   Feature(int since) {
--- a/src/main/java/org/quincecross/sched/Entry.java
+++ b/src/main/java/org/quincecross/sched/Entry.java
@@ -69,7 +69,7 @@
 
   /** Whether a machine is no place for it. */
   boolean avoids(MachineId machine) {
-    return only != null && !only.contains(machine) || avoided.contains(machine);
+    return (only != null && !only.contains(machine)) || avoided.contains(machine);
   }
 
   /**
--- a/src/main/java/org/quincecross/served/ServedBooks.java
+++ b/src/main/java/org/quincecross/served/ServedBooks.java
@@ -229,7 +229,7 @@
   /** So many tasks of an open job may not run now, by an agreed record; 0 from when they may. */
   public void withheld(JobId id, int tasks, SteadyTime now) {
     Open job = open.get(id);
-    if (job == null || tasks == 0 && job.withheldSince == null) {
+    if (job == null || (tasks == 0 && job.withheldSince == null)) {
       return;
     }
     if (tasks > 0 && job.withheldSince == null) {
--- a/src/main/java/org/quincecross/silence/Aloneness.java
+++ b/src/main/java/org/quincecross/silence/Aloneness.java
@@ -205,7 +205,7 @@
       }
     } else if (first
         || state == State.OUTAGE_OF_ALL
-        || ownMachine != null && confirmed.isBefore(ownMachine)) {
+        || (ownMachine != null && confirmed.isBefore(ownMachine))) {
       enter(State.OUTAGE_OF_ALL, now);
     } else if (now.since(confirmed).isMoreThan(TAKEN_BY.plus(SILENT))) {
       enter(State.ALONE, now);
--- a/src/main/java/org/quincecross/silence/Stillness.java
+++ b/src/main/java/org/quincecross/silence/Stillness.java
@@ -57,12 +57,14 @@
   }
 
   /**
+   * Whether this process has stood still and not confirmed the records since.
+   *
    * @param confirmed the records hold all that had happened by this time; null before they were
    *     read
    */
   public boolean isWaking(SteadyTime confirmed, SteadyTime now) {
     if (state == State.WAKING
-        && (confirmed != null && !confirmed.isBefore(wokeAt)
+        && ((confirmed != null && !confirmed.isBefore(wokeAt))
             || now.since(wokeAt).isMoreThan(LONGEST_WAKING))) {
       enter(State.AWAKE);
     }
--- a/src/main/java/org/quincecross/silence/UnconfirmedBound.java
+++ b/src/main/java/org/quincecross/silence/UnconfirmedBound.java
@@ -75,6 +75,8 @@
   }
 
   /**
+   * The bound for these leases and cancellations.
+   *
    * @throws IllegalArgumentException where {@link #isPossible} says no
    */
   public static UnconfirmedBound of(Span lease, Span cancel) {
--- a/src/main/java/org/quincecross/state/AgreedStore.java
+++ b/src/main/java/org/quincecross/state/AgreedStore.java
@@ -141,7 +141,7 @@
       RecordId record = new RecordId(book.kind().name(), id);
       Kept<S> kept =
           batch.has(record)
-              ? batch.kept(record, book)
+              ? batch.kept(record)
               : held == null ? Kept.none(book.kind()) : held.kept();
       At at = new At(clockMs.getAsLong(), settings.clockBound().millis(), ask.by());
       Kept.Result<S> result =
@@ -210,7 +210,7 @@
     }
 
     @SuppressWarnings("unchecked")
-    private <S> Kept<S> kept(RecordId record, AgreedBook<S, ?> book) {
+    private <S> Kept<S> kept(RecordId record) {
       return (Kept<S>) next.get(record); // by its id of the book's kind
     }
 
@@ -423,7 +423,7 @@
   private void write() {
     SteadyTime now = timers.now();
     int most = (int) Math.min(settings.stateLimits().txnChanges(), writes.level(now));
-    if (most < 2 || client.changesAffordable() < 2 && !isPressing(now)) {
+    if (most < 2 || (client.changesAffordable() < 2 && !isPressing(now))) {
       soon(RETRY);
       return;
     }
--- a/src/main/java/org/quincecross/state/Foresight.java
+++ b/src/main/java/org/quincecross/state/Foresight.java
@@ -158,7 +158,7 @@
   private void look(
       Job job, int tasks, MachineType type, Map<Kind, Integer> waiting, SteadyTime now) {
     if (!Reserve.isLarge(job, type.capacity())
-        || job.types() != null && !job.types().contains(type.name())) {
+        || (job.types() != null && !job.types().contains(type.name()))) {
       return;
     }
     for (boolean spot : job.spot() ? new boolean[] {true, false} : new boolean[] {false}) {
--- a/src/main/java/org/quincecross/state/Gone.java
+++ b/src/main/java/org/quincecross/state/Gone.java
@@ -30,6 +30,8 @@
   }
 
   /**
+   * What the records say of tasks that are to be gone.
+   *
    * @param where the blocks that still have tasks, with which
    * @param revision of the records by which this was found
    */
--- a/src/main/java/org/quincecross/state/JobBook.java
+++ b/src/main/java/org/quincecross/state/JobBook.java
@@ -145,7 +145,7 @@
     bundles.put(key, records.stream().map(JobRecord::id).toList());
     for (JobRecord record : records) {
       JobRecord known = jobs.get(record.id());
-      if (known == null || !hasOwnRecord.test(record.id()) && known.version().isAfter(version)) {
+      if (known == null || (!hasOwnRecord.test(record.id()) && known.version().isAfter(version))) {
         put(record);
       }
     }
--- a/src/main/java/org/quincecross/state/Ledger.java
+++ b/src/main/java/org/quincecross/state/Ledger.java
@@ -494,6 +494,8 @@
     }
   }
 
+  // A machine may be in a newer lease by now: the instance tells.
+  @SuppressWarnings("ReferenceEquality")
   private void putBlock(BlockId id, Object value, Revision version) throws BadMessage {
     BlockLease lease = value == null ? null : BlockLease.read(id, value, version);
     touchedBlocks.add(id);
--- a/src/main/java/org/quincecross/state/ModelRecords.java
+++ b/src/main/java/org/quincecross/state/ModelRecords.java
@@ -83,6 +83,8 @@
   }
 
   @Override
+  // A model that was read anew is another instance, and cheaper to tell apart than by its fields.
+  @SuppressWarnings("ReferenceEquality")
   public TaskSet of(Job job) {
     Model model = of(job.id());
     if (model == null) {
--- a/src/main/java/org/quincecross/wire/Json.java
+++ b/src/main/java/org/quincecross/wire/Json.java
@@ -75,10 +75,10 @@
         return in.getDoubleValue();
       }
       case VALUE_TRUE -> {
-        return Boolean.TRUE;
+        return true;
       }
       case VALUE_FALSE -> {
-        return Boolean.FALSE;
+        return false;
       }
       case VALUE_NULL -> {
         return null;
--- a/src/main/java/org/quincecross/wire/SettingsWriter.java
+++ b/src/main/java/org/quincecross/wire/SettingsWriter.java
@@ -17,6 +17,8 @@
   }
 
   /**
+   * Writes a settings file with limits to come.
+   *
    * @param next what the state service will allow from some moment on; null where nothing is said
    *     of that
    */
--- a/src/test/java/org/quincecross/agreed/AgreedModelTest.java
+++ b/src/test/java/org/quincecross/agreed/AgreedModelTest.java
@@ -275,7 +275,7 @@
       state.txn[LEADER] = new Txn(Write.ALLOCATE, 0, null, false, ALLOCATION | fence);
       next.accept(state);
     } else if (from.knownAllocated[LEADER]
-        && (from.released || !guards.contains(Guard.FREED_WHEN_GONE) && closed)) {
+        && (from.released || (!guards.contains(Guard.FREED_WHEN_GONE) && closed))) {
       state.txn[LEADER] = new Txn(Write.FREE, 0, null, false, ALLOCATION | fence);
       next.accept(state);
     }
--- a/src/test/java/org/quincecross/api/CancelModelTest.java
+++ b/src/test/java/org/quincecross/api/CancelModelTest.java
@@ -326,7 +326,7 @@
   private static boolean mayRunAgain(State state) {
     boolean may = state.runs;
     for (int i = 0; i < HOLDERS; i++) {
-      may |= state.start[i] == HELD || !state.noted[i] && state.start[i] == NOT_SENT;
+      may |= state.start[i] == HELD || (!state.noted[i] && state.start[i] == NOT_SENT);
     }
     return may;
   }
@@ -523,7 +523,7 @@
     next(unanswered); // or the answer is lost
     boolean doubtful = state.doubt[i] && has(Guard.DOUBTED_LET_GO);
     boolean unfenced = !state.fenced[i] && state.knowsAllocation[i] && has(Guard.UNFENCED_LET_GO);
-    if (state.noted[i] && (doubtful || unfenced) && state.formed > LONGEST_UNSURE
+    if ((state.noted[i] && (doubtful || unfenced) && state.formed > LONGEST_UNSURE)
         || state.token > i) {
       return;
     }
--- a/src/test/java/org/quincecross/block/GiveBackTest.java
+++ b/src/test/java/org/quincecross/block/GiveBackTest.java
@@ -43,7 +43,7 @@
         beat(List.of());
         declinedS++;
       }
-      assertEquals(30 * (1 << time - 1), declinedS, 1.0);
+      assertEquals(30 * (1 << (time - 1)), declinedS, 1.0);
       allocate(new TaskSet()); // the leader has taken it back
       allocate(only(0)); // and, as nobody else has room, gives it here again
       if (time < 5) {
--- a/src/test/java/org/quincecross/block/HolderModelTest.java
+++ b/src/test/java/org/quincecross/block/HolderModelTest.java
@@ -8,6 +8,7 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
@@ -587,7 +588,7 @@
                                   "Status",
                                   piece.cause() == null ? "running" : "exited");
                           if (piece.cause() != null) {
-                            each.put("Cause", piece.cause().name().toLowerCase());
+                            each.put("Cause", piece.cause().name().toLowerCase(Locale.ROOT));
                           }
                           out.add(each);
                         });
--- a/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
@@ -1,5 +1,6 @@
 package org.quincecross.emulator;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -167,7 +168,7 @@
       day.world.ask(
           node,
           AgreedDay.post("count", "early", "pass"),
-          response -> answers.add(response.status() + " " + new String(response.body())));
+          response -> answers.add(response.status() + " " + new String(response.body(), UTF_8)));
     }
     day.world.time().runUntil(AgreedDay.READY_S + 12);
     assertEquals(3, answers.size());
--- a/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
+++ b/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
@@ -137,7 +137,7 @@
     for (JobId id : batch) {
       String told = world.users().told().get(id);
       assertTrue(
-          "done".equals(told) || cancelled.contains(id) && "cancelled".equals(told),
+          "done".equals(told) || (cancelled.contains(id) && "cancelled".equals(told)),
           id.text() + " " + told);
     }
     for (JobId id : services) {
--- a/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
@@ -4,6 +4,7 @@
 
 import java.io.IOException;
 import java.util.List;
+import java.util.SortedSet;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.quincecross.GoldenFiles;
@@ -17,7 +18,7 @@
   @Test
   void theVocabularyStays() throws IOException, BadMessage {
     TreeSet<String> before = new TreeSet<>(GoldenFiles.lines("vocabulary.txt"));
-    TreeSet<String> now = RecordedDays.play().vocabulary();
+    SortedSet<String> now = RecordedDays.play().vocabulary();
     TreeSet<String> lost = new TreeSet<>(before);
     lost.removeAll(now);
     TreeSet<String> added = new TreeSet<>(now);
--- a/src/test/java/org/quincecross/emulator/HoldSite.java
+++ b/src/test/java/org/quincecross/emulator/HoldSite.java
@@ -85,7 +85,7 @@
           answered[0] = true;
           if (response.status() >= 500
               || response.status() == 429
-              || response.status() == 409 && text.contains("is not in force yet")) {
+              || (response.status() == 409 && text.contains("is not in force yet"))) {
             world.time().after(1, again);
           } else {
             answers.put(request, response.status() + " " + text);
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -314,7 +314,7 @@
             id -> {
               String told = world.users().told().get(id);
               assertTrue(
-                  "done".equals(told) || "cancelled".equals(told) && cancelled.contains(id),
+                  "done".equals(told) || ("cancelled".equals(told) && cancelled.contains(id)),
                   id + " " + told);
             });
   }
--- a/src/test/java/org/quincecross/emulator/LostAnswersTest.java
+++ b/src/test/java/org/quincecross/emulator/LostAnswersTest.java
@@ -137,8 +137,8 @@
             transaction ->
                 world.time().seconds() > 20
                         && (transaction.contains("\"Set\":\"q/bundle/")
-                            || transaction.contains("\"Set\":\"q/job/")
-                                && transaction.contains("\"open\""))
+                            || (transaction.contains("\"Set\":\"q/job/")
+                                && transaction.contains("\"open\"")))
                     ? late.afterS(transaction)
                     : LateWrites.PROMPT);
     for (int i = 0; i < 240; i++) {
--- a/src/test/java/org/quincecross/emulator/Meetings.java
+++ b/src/test/java/org/quincecross/emulator/Meetings.java
@@ -57,7 +57,6 @@
   }
 
   private final World world;
-  private final Set<Integer> only;
   private final boolean further;
   private final List<String> story = new ArrayList<>();
   private double overS = UNTIL_S;
@@ -70,7 +69,6 @@
    */
   Meetings(World world, long seed, Set<Integer> only, boolean further) {
     this.world = world;
-    this.only = only;
     this.further = further;
     double at = FROM_S + 10 * source(seed, -2).nextDouble();
     for (; at < UNTIL_S; count++) {
--- a/src/test/java/org/quincecross/emulator/MessageRecorder.java
+++ b/src/test/java/org/quincecross/emulator/MessageRecorder.java
@@ -10,6 +10,8 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
+import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.msgpack.core.MessagePack;
@@ -44,7 +46,7 @@
   }
 
   /** One line for each channel, path and type or word. */
-  TreeSet<String> vocabulary() {
+  SortedSet<String> vocabulary() {
     return vocabulary;
   }
 
@@ -142,7 +144,7 @@
     }
   }
 
-  private void example(String channel, TreeSet<String> shape, String message) {
+  private void example(String channel, Set<String> shape, String message) {
     Map<String, String> shapes = examples.computeIfAbsent(channel, each -> new TreeMap<>());
     if (message.length() <= MAX_EXAMPLE_BYTES && shapes.size() < EXAMPLES_PER_CHANNEL) {
       shapes.putIfAbsent(String.join("\n", shape), message);
@@ -187,7 +189,7 @@
     return text.replaceAll("[0-9]+", "N");
   }
 
-  private void jsonShape(String channel, String path, Object value, TreeSet<String> shape) {
+  private void jsonShape(String channel, String path, Object value, Set<String> shape) {
     if (value instanceof Map<?, ?> map) {
       shape.add(channel + " " + path + " object");
       map.forEach(
@@ -213,7 +215,7 @@
     }
   }
 
-  private void frameShape(String path, Value value, TreeSet<String> shape) {
+  private void frameShape(String path, Value value, Set<String> shape) {
     if (value.isArrayValue()) {
       shape.add(path + " array");
       value.asArrayValue().forEach(each -> frameShape(path + "[]", each, shape));
--- a/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
+++ b/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
@@ -155,7 +155,7 @@
               });
       rolled
           .time()
-          .at(15 + 4 * node + seed, () -> rolled.down((each + 1) % rolled.nodeCount(), 0.2));
+          .at(15.0 + 4 * node + seed, () -> rolled.down((each + 1) % rolled.nodeCount(), 0.2));
     }
     for (double at = 26; at < 32; at += 1.1) {
       int node = (int) (at * 10) % rolled.nodeCount();
--- a/src/test/java/org/quincecross/emulator/RequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RequestCasesTest.java
@@ -1,5 +1,6 @@
 package org.quincecross.emulator;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -48,10 +49,6 @@
   private final Map<String, String> words = new HashMap<>();
   private int jobs = 100;
 
-  private long nowMs() {
-    return (long) ((1_000_000 + world.time().seconds()) * 1000);
-  }
-
   private void run(double seconds) {
     world.time().runUntil(world.time().seconds() + seconds);
   }
@@ -69,7 +66,7 @@
             Json.write(Json.object("request", name, "command", command))),
         response -> {
           answers.put(name, response.status());
-          words.put(name, new String(response.body()));
+          words.put(name, new String(response.body(), UTF_8));
           if (response.status() == 200) {
             durable.run();
           }
@@ -157,14 +154,16 @@
   private void set(String settings) throws BadMessage {
     String[] known = new String[1];
     world.ask(
-        0, HttpRequest.get("/admin/settings"), response -> known[0] = new String(response.body()));
-    long version = Json.parseFields(known[0].getBytes()).unsigned("version");
+        0,
+        HttpRequest.get("/admin/settings"),
+        response -> known[0] = new String(response.body(), UTF_8));
+    long version = Json.parseFields(known[0].getBytes(UTF_8)).unsigned("version");
     world.ask(
         0,
         new HttpRequest(
             "PUT",
             "/admin/settings",
-            ("{\"version\": " + version + ", \"settings\": " + settings + "}").getBytes(),
+            ("{\"version\": " + version + ", \"settings\": " + settings + "}").getBytes(UTF_8),
             false),
         response -> assertEquals(200, response.status()));
     run(2);
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -1,5 +1,6 @@
 package org.quincecross.emulator;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -380,14 +381,14 @@
     world.ask(
         node,
         HttpRequest.get("/admin/settings"),
-        response -> version[0] = new String(response.body()));
-    long seen = Json.parseFields(version[0].getBytes()).unsigned("version");
+        response -> version[0] = new String(response.body(), UTF_8));
+    long seen = Json.parseFields(version[0].getBytes(UTF_8)).unsigned("version");
     world.ask(
         node,
         new HttpRequest(
             "PUT",
             "/admin/settings",
-            ("{\"version\": " + seen + ", \"settings\": " + settings + "}").getBytes(),
+            ("{\"version\": " + seen + ", \"settings\": " + settings + "}").getBytes(UTF_8),
             false),
         response -> status[0] = response.status());
     world.time().runUntil(world.time().seconds() + 2);
--- a/src/test/java/org/quincecross/emulator/TrySiteTest.java
+++ b/src/test/java/org/quincecross/emulator/TrySiteTest.java
@@ -11,6 +11,7 @@
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.io.PrintStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
@@ -211,7 +212,7 @@
   @Test
   void aPortThatIsInUseIsNamed() throws IOException {
     try (ServerSocket taken = new ServerSocket()) {
-      taken.bind(new InetSocketAddress("127.0.0.1", 25_411));
+      taken.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 25_411));
       IOException e =
           assertThrows(IOException.class, () -> new TrySite(plan(JOBS, 25_400, null), System.out));
       assertEquals(
--- a/src/test/java/org/quincecross/holds/HoldModelTest.java
+++ b/src/test/java/org/quincecross/holds/HoldModelTest.java
@@ -284,7 +284,7 @@
       wrong = "pinned, and a task that touches the records runs";
     } else if (hold.state() == State.PINNED && world.store().allocated()) {
       wrong = "pinned, and a task that touches the records is allocated";
-    } else if (hold.opening() > 2 || hold.opening() == 2 && !world.sent().contains("open-2")) {
+    } else if (hold.opening() > 2 || (hold.opening() == 2 && !world.sent().contains("open-2"))) {
       wrong = "opened more often than asked for";
     } else if (hold.opening() == 2 && hold.state() == State.CLOSED) {
       wrong = "the second opening was closed by the closing of the first";
--- a/src/test/java/org/quincecross/models/ModelMachineTest.java
+++ b/src/test/java/org/quincecross/models/ModelMachineTest.java
@@ -194,6 +194,8 @@
     }
   }
 
+  // What a node saw is the very record that was written.
+  @SuppressWarnings("ReferenceEquality")
   private void goOn(State state, int node) {
     if (state.view[node] != state.record) {
       go(state, true, next -> read(next, node));
@@ -328,6 +330,8 @@
     }
   }
 
+  // What a node saw is the very record that was written.
+  @SuppressWarnings("ReferenceEquality")
   private void ask(State state, int node, ModelCommand command) {
     // What would change nothing any more is not asked for by who knows.
     boolean useful =
--- a/src/test/java/org/quincecross/net/HttpServerTest.java
+++ b/src/test/java/org/quincecross/net/HttpServerTest.java
@@ -6,6 +6,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -45,7 +46,7 @@
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    address = new InetSocketAddress("127.0.0.1", port);
+    address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     new HttpServer(
         loop,
         new Endpoint("127.0.0.1", port),
--- a/src/test/java/org/quincecross/overload/BeginningsTest.java
+++ b/src/test/java/org/quincecross/overload/BeginningsTest.java
@@ -92,17 +92,6 @@
             runS));
   }
 
-  private Resources used(String block) {
-    double cpus = 0;
-    for (Play each : queued.get(block)) {
-      cpus += each.job.each().cpus();
-    }
-    for (Map.Entry<Play, Double> each : running.get(block)) {
-      cpus += each.getKey().job.each().cpus();
-    }
-    return new Resources(cpus, 0, 0);
-  }
-
   /**
    * A second: what has ended goes, what waits is admitted in the order, and blocks start what fits,
    * by priority and age.
--- a/src/test/java/org/quincecross/pipeline/PipelinesTest.java
+++ b/src/test/java/org/quincecross/pipeline/PipelinesTest.java
@@ -105,7 +105,7 @@
       }
       int number = random.nextInt(jobs);
       Pipelines.Own own = records.get(job(number));
-      if (own == null || own.phase() == JobPhase.OPEN && random.nextInt(8) == 0) {
+      if (own == null || (own.phase() == JobPhase.OPEN && random.nextInt(8) == 0)) {
         Set<JobId> after = new HashSet<>();
         for (int i = 0; i < number; i++) {
           if (random.nextInt(3) == 0) {
@@ -128,7 +128,7 @@
         assertEquals(now, stands(job(i)));
         Standing was = before.get(job(i));
         assertTrue(
-            now.waits() == was.waits() && Objects.equals(now.cancelled(), was.cancelled())
+            (now.waits() == was.waits() && Objects.equals(now.cancelled(), was.cancelled()))
                 || changed.contains(job(i)),
             "not told of " + job(i));
       }
--- a/src/test/java/org/quincecross/quota/QuotaTest.java
+++ b/src/test/java/org/quincecross/quota/QuotaTest.java
@@ -203,7 +203,7 @@
       Kind below =
           kind == Kind.TEAM
               ? Kind.WORKLOAD
-              : depth < 4 && random.nextBoolean() || teams.isEmpty()
+              : (depth < 4 && random.nextBoolean()) || teams.isEmpty()
                   ? Kind.ORGANISATION
                   : Kind.TEAM;
       if (below == Kind.ORGANISATION && depth >= 4) {
--- a/src/test/java/org/quincecross/requests/RequestModelTest.java
+++ b/src/test/java/org/quincecross/requests/RequestModelTest.java
@@ -283,8 +283,8 @@
     if (police && carrier) {
       violation = "one reference was accepted with two sets of figures";
     }
-    if (police && !state.record.kind().equals("police")
-        || carrier && !state.record.kind().equals("carrier")) {
+    if ((police && !state.record.kind().equals("police"))
+        || (carrier && !state.record.kind().equals("carrier"))) {
       violation = "an accepted request is lost: " + state;
     }
     if ((state.acked & 4) != 0 && state.record.state() != Request.State.ANSWERED) {
--- a/src/test/java/org/quincecross/rollout/RolloutTest.java
+++ b/src/test/java/org/quincecross/rollout/RolloutTest.java
@@ -89,7 +89,7 @@
         if (random.nextInt(8) == 0) {
           alive.remove(member);
           since.remove(member);
-        } else if (random.nextInt(6) == 0 || random.nextBoolean() && !alive.containsKey(member)) {
+        } else if (random.nextInt(6) == 0 || (random.nextBoolean() && !alive.containsKey(member))) {
           alive.put(
               member,
               new Rollout.Alive(
--- a/src/test/java/org/quincecross/sched/KeptRoomTest.java
+++ b/src/test/java/org/quincecross/sched/KeptRoomTest.java
@@ -147,7 +147,7 @@
     assertEquals(
         1,
         scheduler.schedule(SteadyTime.ZERO).stream()
-            .filter(start -> start.entry().job() == front)
+            .filter(start -> start.entry().job().equals(front))
             .count());
   }
 
--- a/src/test/java/org/quincecross/silence/AlonenessTest.java
+++ b/src/test/java/org/quincecross/silence/AlonenessTest.java
@@ -95,7 +95,7 @@
           trio.nodes
               .get(node)
               .machine(
-                  new Token(random.nextInt(3) == 0 || i > 0 && i < 3 ? 50 : 20),
+                  new Token(random.nextInt(3) == 0 || (i > 0 && i < 3) ? 50 : 20),
                   new Token(40),
                   true,
                   at(trio.now));
--- a/src/test/java/org/quincecross/silence/FreshnessTest.java
+++ b/src/test/java/org/quincecross/silence/FreshnessTest.java
@@ -50,7 +50,7 @@
     Machine(long seed, boolean restarts) {
       this.random = new Random(seed);
       this.restarts = restarts;
-      session = 1 + random.nextInt(3);
+      session = 1L + random.nextInt(3);
       order = random.nextInt(20);
     }
 
--- a/src/test/java/org/quincecross/silence/StartPermissionTest.java
+++ b/src/test/java/org/quincecross/silence/StartPermissionTest.java
@@ -71,7 +71,7 @@
     }
 
     void hear(long life, long number) {
-      if (life > heardLife || life == heardLife && number > heardNumber) {
+      if (life > heardLife || (life == heardLife && number > heardNumber)) {
         heardLife = life;
         heardNumber = number;
       }
@@ -143,7 +143,8 @@
         permission.sent(receipt, ofNumber, now());
       }
       boolean taken =
-          flaw == Flaw.REVISION && revision > 0 || flaw == Flaw.RECORDS_NOT_READ && revision == 0;
+          (flaw == Flaw.REVISION && revision > 0)
+              || (flaw == Flaw.RECORDS_NOT_READ && revision == 0);
       permission.received(from, receipt, ofNumber, new Revision(taken ? 1 : revision));
     }
 
