--- a/src/main/java/org/quincecross/wire/Settings.java
+++ b/src/main/java/org/quincecross/wire/Settings.java
@@ -1,12 +1,10 @@
 package org.quincecross.wire;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.zip.CRC32;
 import org.quincecross.model.Aim;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
@@ -130,25 +128,7 @@
   public Terms terms() {
     Map<String, Resources> limits = new LinkedHashMap<>();
     teams.forEach((name, team) -> limits.put(name, team.limit()));
-    return new Terms(
-        Map.of(
-            "teams",
-            mark(teams),
-            "workers",
-            mark(workers),
-            "objectives",
-            mark(objectives),
-            "zones",
-            mark(zones),
-            "state limits",
-            mark(stateLimits)),
-        limits);
-  }
-
-  private static String mark(Object part) {
-    CRC32 sum = new CRC32();
-    sum.update(part.toString().getBytes(StandardCharsets.UTF_8));
-    return Long.toHexString(sum.getValue());
+    return new Terms(SettingsFingerprint.of(this), limits);
   }
 
   /**
