--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -9,7 +9,7 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Leader;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerReport;
@@ -47,7 +47,7 @@
   private final Metrics metrics;
   private final Stalls stalls;
   private final ServedLog served;
-  private final MemberId self;
+  private final ControllerId self;
   private final Settings.StateLimits limits;
 
   /**
@@ -64,7 +64,7 @@
       Metrics metrics,
       Stalls stalls,
       ServedLog served,
-      MemberId self,
+      ControllerId self,
       Settings.StateLimits limits) {
     this.timers = timers;
     this.ledger = ledger;
--- a/src/main/java/org/quincecross/admin/Metrics.java
+++ b/src/main/java/org/quincecross/admin/Metrics.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.Json;
 
 /** How long requests took, by what was asked and how it was answered. */
@@ -13,7 +13,7 @@
 
   private final Map<String, Histogram> latencies = new TreeMap<>();
 
-  public void record(String what, int status, Span took) {
+  public void record(String what, int status, TimeSpan took) {
     latencies
         .computeIfAbsent(what + " " + status, name -> new Histogram(MOST_MS, 2))
         .recordValue(Math.min(MOST_MS, Math.max(0, took.millis())));
--- a/src/main/java/org/quincecross/admin/ModelDesk.java
+++ b/src/main/java/org/quincecross/admin/ModelDesk.java
@@ -13,8 +13,8 @@
 import org.quincecross.agreed.RecordId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.models.Demand;
 import org.quincecross.models.DemandSum;
@@ -35,7 +35,7 @@
  */
 public final class ModelDesk {
   /** A wake that could not be made durable is tried again after so long. */
-  private static final Span AGAIN = Span.ofMillis(500);
+  private static final TimeSpan AGAIN = TimeSpan.ofMillis(500);
 
   /** So many wait for one answer; the others are told at once that it is on its way. */
   private static final int MOST_WAITING = 256;
@@ -46,7 +46,7 @@
   private final AgreedBase base;
   private final ModelRecords records;
   private final BiFunction<JobId, Integer, Boolean> runsHere;
-  private final SteadyTime begun;
+  private final MonotonicTime begun;
   private final Map<String, Demand> demands = new TreeMap<>();
   private final Map<String, List<Consumer<AgreedStore.Answer>>> waiting = new HashMap<>();
   private final Set<String> asking = new HashSet<>();
@@ -82,7 +82,7 @@
 
   /** Follows the records. */
   public void ledgerChanged(Ledger.Changes changes) {
-    SteadyTime now = base.timers().now();
+    MonotonicTime now = base.timers().now();
     if (changes.reloaded()) {
       demands.forEach((name, demand) -> demand.seen(records.book().state(name), now));
     } else {
@@ -168,7 +168,7 @@
     if (records.book().all().isEmpty()) {
       return null;
     }
-    SteadyTime now = base.timers().now();
+    MonotonicTime now = base.timers().now();
     Map<String, DemandSum.Told> told = new LinkedHashMap<>();
     demands
         .entrySet()
@@ -180,7 +180,7 @@
                       && !model.isUp()
                       && each.getValue()
                           .quiet(now)
-                          .isMoreThan(model.terms().idle().times(FORGOTTEN_AFTER)));
+                          .isLongerThan(model.terms().idle().times(FORGOTTEN_AFTER)));
             });
     demands.forEach(
         (name, demand) ->
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -13,7 +13,7 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.models.Model;
 import org.quincecross.models.ModelCommand;
 import org.quincecross.models.ModelKind;
@@ -186,12 +186,12 @@
           error(
               409,
               "job " + define.job() + " is " + job.phase().toString().toLowerCase(Locale.ROOT)));
-    } else if (job.job().shape() == Shape.ARRAY) {
+    } else if (job.job().kind() == JobKind.ARRAY) {
       reply.accept(
           error(
               400,
               "job " + define.job() + " is an array: a model is a service, or a gang that serves"));
-    } else if (define.terms().most() > job.job().tasks()) {
+    } else if (define.terms().most() > job.job().taskCount()) {
       reply.accept(
           error(
               400,
@@ -200,16 +200,16 @@
                   + ", and job "
                   + define.job()
                   + " has "
-                  + job.job().tasks()
+                  + job.job().taskCount()
                   + " tasks"));
-    } else if (job.job().shape() == Shape.GANG && define.terms().least() != job.job().tasks()) {
+    } else if (job.job().kind() == JobKind.GANG && define.terms().least() != job.job().taskCount()) {
       reply.accept(
           error(
               400,
               "job "
                   + define.job()
                   + " is a gang: least is all of its "
-                  + job.job().tasks()
+                  + job.job().taskCount()
                   + " tasks"));
     } else if (other != null && !other.equals(name)) {
       reply.accept(error(409, "job " + define.job() + " is model " + other + " already"));
--- a/src/main/java/org/quincecross/admin/ServedLog.java
+++ b/src/main/java/org/quincecross/admin/ServedLog.java
@@ -11,8 +11,8 @@
 import org.quincecross.leader.Leader;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.served.Served;
 import org.quincecross.served.ServedBooks;
@@ -36,7 +36,7 @@
    * What others allocate is looked at so often: a start is not counted later than this after it was
    * recorded.
    */
-  private static final Span LOOK_EVERY = Span.ofSeconds(2);
+  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(2);
 
   /** Of more teams than this, those that were served least are named. */
   private static final int MOST_TEAMS = 50;
@@ -45,7 +45,7 @@
   private final Ledger ledger;
   private final Leader leader;
   private final LongSupplier clockMs;
-  private final Span every;
+  private final TimeSpan every;
   private final Withheld withheld;
   private final ServedBooks books;
 
@@ -60,7 +60,7 @@
       Leader leader,
       Settings settings,
       LongSupplier clockMs,
-      Span every,
+      TimeSpan every,
       Withheld withheld) {
     this.timers = timers;
     this.ledger = ledger;
@@ -73,7 +73,7 @@
             job -> {
               JobRecord record = ledger.asRecorded(job.id());
               return settings.aims(
-                  job, Span.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+                  job, TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
             });
   }
 
@@ -91,7 +91,7 @@
   }
 
   private void ledgerChanged(Ledger.Changes changes) {
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     for (JobId id : changes.jobs()) {
       JobRecord record = ledger.job(id);
       if (record == null) {
@@ -102,8 +102,8 @@
           if (ledger.pipelines().waits(id)) {
             continue; // nothing is expected of it before it can run
           }
-          Span age = Span.ofMillis(Math.max(0, clockMs.getAsLong() - ledger.readyMs(record)));
-          SteadyTime accepted = new SteadyTime(now.nanos() - age.nanos());
+          TimeSpan age = TimeSpan.ofMillis(Math.max(0, clockMs.getAsLong() - ledger.readyMs(record)));
+          MonotonicTime accepted = new MonotonicTime(now.nanos() - age.nanos());
           if (changes.reloaded()) {
             books.found(ledger.asRecorded(id).job(), accepted);
           } else {
@@ -129,7 +129,7 @@
   }
 
   /** The teams, those that were served least first. */
-  private List<Map.Entry<String, Served>> teams(SteadyTime now) {
+  private List<Map.Entry<String, Served>> teams(MonotonicTime now) {
     leader.heldBack(books.openIds()).forEach(books::heldBack);
     List<Map.Entry<String, Served>> teams = new ArrayList<>(books.teams(now).entrySet());
     teams.sort(
@@ -142,7 +142,7 @@
     if (!leader.isLeading() || !ledger.isLoaded()) {
       return;
     }
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     List<Map.Entry<String, Served>> teams = teams(now);
     Map<ServedBooks.Group, Served> groups = books.groups(now);
     for (Map.Entry<String, Served> team : teams) {
@@ -211,7 +211,7 @@
 
   /** For the status: each team and class, least served first. */
   List<Object> write() {
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     List<Map.Entry<String, Served>> teams = ledger.isLoaded() ? teams(now) : List.of();
     Map<ServedBooks.Group, Served> groups = books.groups(now);
     List<Object> list = new ArrayList<>();
@@ -288,7 +288,7 @@
    * For the status: whether there is more work than can be done in time; null where nobody looks at
    * that here.
    */
-  Map<String, Object> overload(SteadyTime now) {
+  Map<String, Object> overload(MonotonicTime now) {
     if (leader.overload() == null || leader.overload().since() == null) {
       return null;
     }
--- a/src/main/java/org/quincecross/admin/Stalls.java
+++ b/src/main/java/org/quincecross/admin/Stalls.java
@@ -11,12 +11,12 @@
 import org.quincecross.block.BlockHolder;
 import org.quincecross.block.Holdings;
 import org.quincecross.leader.Leader;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.progress.ProgressWatch;
 import org.quincecross.state.BlockLease;
@@ -33,8 +33,8 @@
  */
 public final class Stalls {
   private static final Logger LOG = LoggerFactory.getLogger(Stalls.class);
-  private static final Span LOOK_EVERY = Span.ofSeconds(5);
-  private static final Span SAY_AGAIN = Span.ofSeconds(300);
+  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(5);
+  private static final TimeSpan SAY_AGAIN = TimeSpan.ofSeconds(300);
   private static final int MOST_SHOWN = 50;
 
   private final Timers timers;
@@ -44,7 +44,7 @@
   private final ToIntFunction<JobId> running;
   private final Withheld withheld;
   private final ProgressWatch watch = new ProgressWatch();
-  private final Map<JobId, SteadyTime> said = new HashMap<>();
+  private final Map<JobId, MonotonicTime> said = new HashMap<>();
   private List<ProgressWatch.Stall> stalls = List.of();
 
   /**
@@ -71,12 +71,12 @@
   }
 
   private void look() {
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     stalls = watch.look(watched(), now);
     said.keySet().retainAll(stalls.stream().map(ProgressWatch.Stall::job).toList());
     for (ProgressWatch.Stall stall : stalls) {
-      SteadyTime before = said.get(stall.job());
-      if (before == null || now.since(before).isMoreThan(SAY_AGAIN)) {
+      MonotonicTime before = said.get(stall.job());
+      if (before == null || now.since(before).isLongerThan(SAY_AGAIN)) {
         said.put(stall.job(), now);
         LOG.info(
             "{} has made no progress for {}: {}",
@@ -109,8 +109,8 @@
     if (ledger.pipelines().waits(record.id())) {
       return; // those that it waits for are watched
     }
-    boolean service = record.job().shape() == Shape.SERVICE;
-    int mayRun = record.job().tasks() - withheld.of(record.job()).size();
+    boolean service = record.job().kind() == JobKind.SERVICE;
+    int mayRun = record.job().taskCount() - withheld.of(record.job()).size();
     int done = service ? 0 : ledger.doneCount(record.id());
     if (mayRun > done) {
       standings.put(
@@ -136,7 +136,7 @@
     if (pool != null) {
       waits.add(pool);
     }
-    for (BlockId block : ledger.allocatedBlocks()) {
+    for (ShardId block : ledger.allocatedBlocks()) {
       if (!ledger.allocation(block).tasks().containsKey(job)) {
         continue;
       }
@@ -160,7 +160,7 @@
 
   /** For the status. */
   Object write() {
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     List<Object> list = new ArrayList<>();
     for (ProgressWatch.Stall stall : stalls.subList(0, Math.min(MOST_SHOWN, stalls.size()))) {
       list.add(
--- a/src/main/java/org/quincecross/agreed/KnownByAll.java
+++ b/src/main/java/org/quincecross/agreed/KnownByAll.java
@@ -4,10 +4,10 @@
 import java.util.Collection;
 import java.util.List;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Since when all controllers know of a revision: each one that could act by an older view of the
@@ -37,7 +37,7 @@
    * @param life in which it told it
    * @param revision of its records
    */
-  public record Told(MemberId member, Incarnation life, Revision revision) {}
+  public record Told(ControllerId member, Incarnation life, Revision revision) {}
 
   /**
    * Whether all controllers know a revision.
@@ -46,7 +46,7 @@
    * @param latest when it is known by all at the latest; null where this controller has not seen it
    *     itself
    */
-  public record Answer(State state, List<MemberId> missing, SteadyTime latest) {
+  public record Answer(State state, List<ControllerId> missing, MonotonicTime latest) {
     public boolean isKnown() {
       return state == State.KNOWN_BY_REPORTS || state == State.KNOWN_BY_TIME;
     }
@@ -72,15 +72,15 @@
   public static Answer of(
       Revision revision,
       Revision own,
-      SteadyTime seenAt,
+      MonotonicTime seenAt,
       Collection<Told> expected,
       Collection<Told> told,
-      Span longest,
-      SteadyTime now) {
+      TimeSpan longest,
+      MonotonicTime now) {
     if (revision.isAfter(own) || seenAt == null) {
       return new Answer(State.UNKNOWN, List.of(), null);
     }
-    List<MemberId> missing = new ArrayList<>();
+    List<ControllerId> missing = new ArrayList<>();
     for (Told member : expected) {
       boolean has =
           !member.life().equals(Incarnation.NONE)
@@ -94,7 +94,7 @@
         missing.add(member.member());
       }
     }
-    SteadyTime latest = seenAt.plus(longest);
+    MonotonicTime latest = seenAt.plus(longest);
     if (missing.isEmpty()) {
       return new Answer(State.KNOWN_BY_REPORTS, List.of(), latest);
     }
--- a/src/main/java/org/quincecross/agreed/Withheld.java
+++ b/src/main/java/org/quincecross/agreed/Withheld.java
@@ -2,7 +2,7 @@
 
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskSet;
 
 /**
@@ -40,6 +40,6 @@
    */
   default boolean has(Job job, int index) {
     TaskSet withheld = of(job);
-    return !withheld.isEmpty() && (withheld.has(index) || job.shape() == Shape.GANG);
+    return !withheld.isEmpty() && (withheld.contains(index) || job.kind() == JobKind.GANG);
   }
 }
--- a/src/main/java/org/quincecross/agreed/WithheldByAny.java
+++ b/src/main/java/org/quincecross/agreed/WithheldByAny.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskSet;
 
 /**
@@ -55,7 +55,7 @@
       return NONE.of(job);
     }
     // A gang runs whole or not at all.
-    return job.shape() == Shape.GANG ? TaskSet.below(job.tasks()) : all;
+    return job.kind() == JobKind.GANG ? TaskSet.range(job.taskCount()) : all;
   }
 
   @Override
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -8,10 +8,10 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Leader;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
-import org.quincecross.model.Token;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerReport;
@@ -35,24 +35,24 @@
    * A report whose block is just being leased waits this long for its answer; workers give up after
    * 4 s.
    */
-  private static final Span WAIT_FOR_LEASE = Span.ofSeconds(2.5);
+  private static final TimeSpan WAIT_FOR_LEASE = TimeSpan.ofSeconds(2.5);
 
-  private static final Span LOOK_AGAIN = Span.ofMillis(250);
+  private static final TimeSpan LOOK_AGAIN = TimeSpan.ofMillis(250);
 
   /** A holder's word that is older says nothing of whom it hears. */
-  private static final Span WORD_FRESH = Span.ofSeconds(2.5);
+  private static final TimeSpan WORD_FRESH = TimeSpan.ofSeconds(2.5);
 
   /** A machine that its holder has not heard of for so long is not sent there. */
-  private static final Span UNHEARD = Span.ofSeconds(3);
+  private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(3);
 
-  private record Waiting(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {}
+  private record Waiting(WorkerReport report, MonotonicTime until, Consumer<HttpResponse> reply) {}
 
   private final Timers timers;
   private final Ledger ledger;
   private final Holdings holdings;
   private final Leader leader;
   private final PeerViews views;
-  private final MemberId self;
+  private final ControllerId self;
   private final Strays strays = new Strays();
   private final Arrivals arrivals;
   private final Aloneness aloneness;
@@ -66,7 +66,7 @@
       Leader leader,
       PeerViews views,
       HttpCaller http,
-      MemberId self,
+      ControllerId self,
       Aloneness aloneness) {
     this.timers = timers;
     this.ledger = ledger;
@@ -99,13 +99,13 @@
     BlockLease lease = ledger.blockOf(report.machine().id());
     aloneness.machine(
         report.token(),
-        new Token(ledger.revision().number()),
+        new FencingToken(ledger.revision().number()),
         lease != null && lease.holder().equals(self),
         timers.now());
     route(report, timers.now().plus(WAIT_FOR_LEASE), reply);
   }
 
-  private void route(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {
+  private void route(WorkerReport report, MonotonicTime until, Consumer<HttpResponse> reply) {
     MachineId machine = report.machine().id();
     BlockLease lease = ledger.blockOf(machine);
     if (lease == null) {
@@ -152,7 +152,7 @@
   /** Whether the holder of a block itself says that it has not heard of a machine for a while. */
   private boolean isUnheard(BlockLease lease, MachineId machine) {
     PeerViews.View view = views.of(lease.holder());
-    if (view == null || timers.now().since(view.at()).isMoreThan(WORD_FRESH)) {
+    if (view == null || timers.now().since(view.at()).isLongerThan(WORD_FRESH)) {
       return false;
     }
     PeerViews.BlockView block = view.blocks().get(lease.id());
@@ -160,10 +160,10 @@
         block == null || !block.token().equals(lease.token())
             ? null
             : block.machines().get(machine);
-    return state != null && state.silent().isMoreThan(UNHEARD);
+    return state != null && state.silent().isLongerThan(UNHEARD);
   }
 
-  private void redirect(MemberId member, Consumer<HttpResponse> reply) {
+  private void redirect(ControllerId member, Consumer<HttpResponse> reply) {
     reply.accept(
         member.equals(self)
             ? HttpResponse.of(503)
@@ -173,7 +173,7 @@
   /**
    * The block is about to get a holder: better a late answer than a round of the other controllers.
    */
-  private void waitForLease(WorkerReport report, SteadyTime until, Consumer<HttpResponse> reply) {
+  private void waitForLease(WorkerReport report, MonotonicTime until, Consumer<HttpResponse> reply) {
     if (until.isBefore(timers.now())) {
       reply.accept(HttpResponse.of(503));
       return;
--- a/src/main/java/org/quincecross/api/AgreedParts.java
+++ b/src/main/java/org/quincecross/api/AgreedParts.java
@@ -22,7 +22,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.peer.KnownRevisions;
@@ -66,7 +66,7 @@
       Settings settings,
       Map<String, Object> parts,
       LongSupplier clockMs,
-      Span longest) {
+      TimeSpan longest) {
     if (parts == null) {
       base = null;
       api = null;
--- a/src/main/java/org/quincecross/api/Arrivals.java
+++ b/src/main/java/org/quincecross/api/Arrivals.java
@@ -6,9 +6,9 @@
 import org.quincecross.leader.Leader;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
-import org.quincecross.model.Token;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
@@ -27,17 +27,17 @@
  * block knows all that are gone and asks nobody without a token.
  */
 final class Arrivals {
-  private static final Span ASK_TIMEOUT = Span.ofSeconds(1.5);
-  private static final Span ASK_AGAIN = Span.ofSeconds(1);
+  private static final TimeSpan ASK_TIMEOUT = TimeSpan.ofSeconds(1.5);
+  private static final TimeSpan ASK_AGAIN = TimeSpan.ofSeconds(1);
 
   /** So long after its answer a machine counts as there. */
-  private static final Span THERE_FOR = Span.ofSeconds(4);
+  private static final TimeSpan THERE_FOR = TimeSpan.ofSeconds(4);
 
   private final Timers timers;
   private final HttpCaller http;
   private final Leader leader;
-  private final Map<MachineId, SteadyTime> askAfter = new HashMap<>();
-  private final Map<MachineId, SteadyTime> there = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> askAfter = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> there = new HashMap<>();
 
   Arrivals(Timers timers, HttpCaller http, Leader leader) {
     this.timers = timers;
@@ -48,12 +48,12 @@
   /** A machine that is in no block has reported, or a copy of its report came. */
   void reported(WorkerReport report) {
     Machine machine = report.machine();
-    if (report.token().equals(Token.NONE) && leader.newcomer(machine, false)) {
+    if (report.token().equals(FencingToken.NONE) && leader.newcomer(machine, false)) {
       return;
     }
-    SteadyTime now = timers.now();
-    SteadyTime answered = there.get(machine.id());
-    if (answered != null && !now.since(answered).isMoreThan(THERE_FOR)) {
+    MonotonicTime now = timers.now();
+    MonotonicTime answered = there.get(machine.id());
+    if (answered != null && !now.since(answered).isLongerThan(THERE_FOR)) {
       leader.newcomer(machine, true);
     } else if (!now.isBefore(askAfter.getOrDefault(machine.id(), now))) {
       forgetOld(now);
@@ -66,9 +66,9 @@
     }
   }
 
-  private void forgetOld(SteadyTime now) {
+  private void forgetOld(MonotonicTime now) {
     askAfter.values().removeIf(after -> after.isBefore(now));
-    there.values().removeIf(at -> now.since(at).isMoreThan(THERE_FOR));
+    there.values().removeIf(at -> now.since(at).isLongerThan(THERE_FOR));
   }
 
   private void answered(Machine machine, HttpOutcome outcome) {
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -6,13 +6,13 @@
 import java.util.function.Consumer;
 import org.quincecross.block.BlockHolder;
 import org.quincecross.block.Holdings;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
@@ -31,8 +31,8 @@
  * the records were read waits as well, while they allocate any of it.
  */
 final class Cancellations {
-  private static final Span LOOK_AGAIN = Span.ofMillis(100);
-  private static final Span PATIENCE = Span.ofSeconds(1.2);
+  private static final TimeSpan LOOK_AGAIN = TimeSpan.ofMillis(100);
+  private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(1.2);
 
   private final Timers timers;
   private final Ledger ledger;
@@ -44,7 +44,7 @@
    * When cancellations were first seen that may not be told without a look, oldest first; those
    * over the delay go.
    */
-  private final Map<JobId, SteadyTime> untold = new LinkedHashMap<>();
+  private final Map<JobId, MonotonicTime> untold = new LinkedHashMap<>();
 
   private Revision known = Revision.NONE;
   private boolean sweepPlanned;
@@ -60,7 +60,7 @@
 
   void ledgerChanged(Ledger.Changes changes) {
     if (changes.reloaded()) {
-      for (BlockId block : ledger.allocatedBlocks()) {
+      for (ShardId block : ledger.allocatedBlocks()) {
         ledger.allocation(block).tasks().keySet().forEach(this::seen);
       }
     } else {
@@ -89,7 +89,7 @@
           bound.toldAfter(),
           () -> {
             sweepPlanned = false;
-            for (Iterator<SteadyTime> oldest = untold.values().iterator();
+            for (Iterator<MonotonicTime> oldest = untold.values().iterator();
                 oldest.hasNext() && isOver(oldest.next()); ) {
               oldest.remove();
             }
@@ -108,7 +108,7 @@
     whenSafe(record, timers.now().plus(PATIENCE), safe);
   }
 
-  private void whenSafe(JobRecord record, SteadyTime until, Consumer<Boolean> safe) {
+  private void whenSafe(JobRecord record, MonotonicTime until, Consumer<Boolean> safe) {
     if (record.phase() != JobPhase.CANCELLED || mayTell(record)) {
       safe.accept(true);
     } else if (until.isBefore(timers.now())) {
@@ -119,7 +119,7 @@
   }
 
   private boolean mayTell(JobRecord record) {
-    SteadyTime since = untold.get(record.id());
+    MonotonicTime since = untold.get(record.id());
     if (since == null) {
       return true;
     }
@@ -132,12 +132,12 @@
     return false;
   }
 
-  private boolean isOver(SteadyTime since) {
-    return timers.now().since(since).isMoreThan(bound.toldAfter());
+  private boolean isOver(MonotonicTime since) {
+    return timers.now().since(since).isLongerThan(bound.toldAfter());
   }
 
   private boolean allHoldersHaveSeen(JobRecord record) {
-    for (BlockId id : ledger.blocksOf(record.id())) {
+    for (ShardId id : ledger.blocksOf(record.id())) {
       BlockLease lease = ledger.block(id);
       if (lease == null || !hasSeen(lease, record)) {
         return false;
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -20,15 +20,15 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Fleet;
 import org.quincecross.leader.Leader;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpHandler;
 import org.quincecross.net.Timers;
@@ -62,8 +62,8 @@
 /** A whole controller, but for its sockets and its clock. */
 public final class Controller implements HttpHandler, HolderContext {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-  private static final Span TELL_EVERY = Span.ofMillis(500);
-  private static final Span NEWS_AFTER = Span.ofMillis(100);
+  private static final TimeSpan TELL_EVERY = TimeSpan.ofMillis(500);
+  private static final TimeSpan NEWS_AFTER = TimeSpan.ofMillis(100);
 
   /** What changes with time alone is looked at in every second of the regular reports. */
   private static final int LOOK_AT_ALL_EVERY = 2;
@@ -89,8 +89,8 @@
   private final Metrics metrics = new Metrics();
   private final PeerViews views = new PeerViews();
   private final RoomElsewhere roomElsewhere;
-  private final Map<MemberId, Long> sent = new HashMap<>();
-  private final Map<MemberId, LinkWatch> links = new HashMap<>();
+  private final Map<ControllerId, Long> sent = new HashMap<>();
+  private final Map<ControllerId, LinkWatch> links = new HashMap<>();
   private final Stillness stillness;
   private final Aloneness aloneness;
   private final UnconfirmedBound unconfirmedBound;
@@ -262,8 +262,8 @@
    * what it knew. It is its own stillness that nobody was heard meanwhile.
    */
   private void lookAtClock() {
-    Span gap = stillness.turn(timers.now());
-    if (gap.equals(Span.ZERO) || follower.confirmed() == null) {
+    TimeSpan gap = stillness.turn(timers.now());
+    if (gap.equals(TimeSpan.ZERO) || follower.confirmed() == null) {
       return;
     }
     LOG.info("stood still for {}: nothing is decided before the records are confirmed", gap);
@@ -279,8 +279,8 @@
   // ---- the other controllers ----
 
   private PeerReport report(long base) {
-    SteadyTime answering = follower.answering();
-    Span unconfirmed = answering == null ? Span.ofSeconds(1e6) : timers.now().since(answering);
+    MonotonicTime answering = follower.answering();
+    TimeSpan unconfirmed = answering == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(answering);
     return new PeerReport(
         settings.member(),
         membership.life(),
@@ -304,7 +304,7 @@
         report(own == null || !own.life().equals(membership.life()) ? 0 : own.number()),
         timers.now());
     for (Settings.Sibling sibling : settings.siblings()) {
-      MemberId member = sibling.member();
+      ControllerId member = sibling.member();
       LinkWatch link = links.computeIfAbsent(member, m -> new LinkWatch());
       if (link.takeStuck(timers.now())) {
         LOG.debug("nothing arrives at {}: a new connection is made", member);
@@ -352,7 +352,7 @@
 
   /** What a controller said of a block that another one holds now is of no use any more. */
   private void forgetFormerHolders(Ledger.Changes changes) {
-    for (BlockId id : changes.blocks()) {
+    for (ShardId id : changes.blocks()) {
       BlockLease lease = ledger.block(id);
       for (Settings.Sibling sibling : settings.siblings()) {
         forgetIfFormer(sibling.member(), id, lease);
@@ -361,7 +361,7 @@
     }
   }
 
-  private void forgetIfFormer(MemberId member, BlockId id, BlockLease lease) {
+  private void forgetIfFormer(ControllerId member, ShardId id, BlockLease lease) {
     PeerViews.View view = views.of(member);
     PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
     // A report may be ahead of the ledger here: what it says of a later lease is kept.
@@ -374,7 +374,7 @@
 
   private int running(JobId job) {
     int count = holdings.running(job);
-    for (BlockId id : ledger.blocksOf(job)) {
+    for (ShardId id : ledger.blocksOf(job)) {
       BlockLease lease = holdings.get(id) == null ? ledger.block(id) : null;
       PeerViews.View view = lease == null ? null : views.of(lease.holder());
       PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
@@ -388,7 +388,7 @@
   @Override
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     lookAtClock();
-    SteadyTime begun = timers.now();
+    MonotonicTime begun = timers.now();
     String path = request.path();
     String what =
         path.startsWith(JobCodec.JOBS)
@@ -462,7 +462,7 @@
                   PeerViews.View view = views.of(sibling.member());
                   return new Aloneness.Word(
                       view == null ? null : view.at(),
-                      view == null ? Span.ZERO : view.unconfirmed());
+                      view == null ? TimeSpan.ZERO : view.unconfirmed());
                 })
             .toList(),
         timers.now());
@@ -489,7 +489,7 @@
   }
 
   @Override
-  public List<Reserve> reserves(BlockId block) {
+  public List<Reserve> reserves(ShardId block) {
     return foresight.of(block, timers.now());
   }
 
@@ -514,12 +514,12 @@
   }
 
   @Override
-  public Span startWithin(String jobClass) {
+  public TimeSpan startWithin(String jobClass) {
     return settings.startWithin(jobClass);
   }
 
   @Override
-  public boolean hasRoomElsewhere(Job job, BlockId here) {
+  public boolean hasRoomElsewhere(Job job, ShardId here) {
     return roomElsewhere.isFor(job, here);
   }
 
@@ -539,17 +539,17 @@
   }
 
   @Override
-  public SteadyTime confirmed() {
+  public MonotonicTime confirmed() {
     return follower.confirmed();
   }
 
   @Override
   public boolean isEntitled() {
-    SteadyTime confirmed = confirmed();
+    MonotonicTime confirmed = confirmed();
     return confirmed != null
         && !isWaking()
         && !isUnable()
-        && !timers.now().since(confirmed).isMoreThan(unconfirmedBound.unconfirmed());
+        && !timers.now().since(confirmed).isLongerThan(unconfirmedBound.unconfirmed());
   }
 
   @Override
@@ -558,7 +558,7 @@
   }
 
   @Override
-  public Span longestUnconfirmed() {
+  public TimeSpan longestUnconfirmed() {
     return unconfirmedBound.unconfirmed();
   }
 
@@ -570,10 +570,10 @@
     }
     // It was made at this time or later, whatever the clocks here and there are off; and told no
     // earlier.
-    Span atMost =
-        Span.ofMillis(clockMs.getAsLong() - record.cancelledMs())
+    TimeSpan atMost =
+        TimeSpan.ofMillis(clockMs.getAsLong() - record.cancelledMs())
             .plus(settings.clockBound().times(2));
-    return atMost.plus(unconfirmedBound.toldAfter()).isMoreThan(unconfirmedBound.unconfirmed());
+    return atMost.plus(unconfirmedBound.toldAfter()).isLongerThan(unconfirmedBound.unconfirmed());
   }
 
   @Override
--- a/src/main/java/org/quincecross/api/InTime.java
+++ b/src/main/java/org/quincecross/api/InTime.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 
 /**
@@ -14,10 +14,10 @@
  */
 final class InTime {
   private static final class Open implements Consumer<HttpResponse> {
-    private final SteadyTime until;
+    private final MonotonicTime until;
     private Consumer<HttpResponse> reply;
 
-    Open(SteadyTime until, Consumer<HttpResponse> reply) {
+    Open(MonotonicTime until, Consumer<HttpResponse> reply) {
       this.until = until;
       this.reply = reply;
     }
@@ -33,13 +33,13 @@
   }
 
   private final Timers timers;
-  private final Span within;
+  private final TimeSpan within;
   private final HttpResponse otherwise;
   private final ArrayDeque<Open> open = new ArrayDeque<>();
   private boolean armed;
 
   /** What is not answered {@code within} this long is answered with {@code otherwise}. */
-  InTime(Timers timers, Span within, HttpResponse otherwise) {
+  InTime(Timers timers, TimeSpan within, HttpResponse otherwise) {
     this.timers = timers;
     this.within = within;
     this.otherwise = otherwise;
@@ -63,7 +63,7 @@
           open.peek().until.since(timers.now()),
           () -> {
             armed = false;
-            SteadyTime now = timers.now();
+            MonotonicTime now = timers.now();
             while (!open.isEmpty()
                 && (open.peek().reply == null || !now.isBefore(open.peek().until))) {
               open.poll().accept(otherwise);
--- a/src/main/java/org/quincecross/api/Refusals.java
+++ b/src/main/java/org/quincecross/api/Refusals.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.silence.Aloneness;
 import org.quincecross.wire.JobCodec;
@@ -18,7 +18,7 @@
  */
 final class Refusals {
   /** Of a poll's 2 s; several times what another controller takes for an answer. */
-  private static final Span HELD = Span.ofSeconds(1);
+  private static final TimeSpan HELD = TimeSpan.ofSeconds(1);
 
   /** Each takes a socket. */
   private static final int MOST_HELD = 100;
--- a/src/main/java/org/quincecross/api/Strays.java
+++ b/src/main/java/org/quincecross/api/Strays.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.wire.WorkerReport;
 
 /**
@@ -15,18 +15,18 @@
  * that goes on shows larger counts at each.
  */
 final class Strays {
-  private static final Span STRAY_FOR = Span.ofSeconds(6);
+  private static final TimeSpan STRAY_FOR = TimeSpan.ofSeconds(6);
 
   /**
    * Counts are remembered for so long after the last report that counted: copies come later than
    * most of leases.
    */
-  private static final Span REMEMBERED = Span.ofSeconds(300);
+  private static final TimeSpan REMEMBERED = TimeSpan.ofSeconds(300);
 
   /**
    * @param stray false where the machine's block was held here at that time
    */
-  private record Heard(long session, long order, SteadyTime at, boolean stray) {
+  private record Heard(long session, long order, MonotonicTime at, boolean stray) {
     boolean isBefore(WorkerReport report) {
       int bySession = Long.compareUnsigned(report.session(), session);
       return bySession != 0 ? bySession > 0 : Long.compareUnsigned(report.order(), order) > 0;
@@ -34,37 +34,37 @@
   }
 
   private final Map<MachineId, Heard> heard = new HashMap<>();
-  private SteadyTime tidied = new SteadyTime(0);
+  private MonotonicTime tidied = new MonotonicTime(0);
 
   /** A machine of another's block has reported here, or a copy of a report came. */
-  void heard(WorkerReport report, SteadyTime now) {
+  void heard(WorkerReport report, MonotonicTime now) {
     note(report, now, true);
   }
 
   /** Its block is held here now, and that holder has answered it. */
-  void answered(WorkerReport report, SteadyTime now) {
+  void answered(WorkerReport report, MonotonicTime now) {
     note(report, now, false);
   }
 
-  private void note(WorkerReport report, SteadyTime now, boolean stray) {
+  private void note(WorkerReport report, MonotonicTime now, boolean stray) {
     MachineId machine = report.machine().id();
     Heard before = heard.get(machine);
     if (before == null
         || before.isBefore(report)
-        || now.since(before.at()).isMoreThan(REMEMBERED)) {
+        || now.since(before.at()).isLongerThan(REMEMBERED)) {
       heard.put(machine, new Heard(report.session(), report.order(), now, stray));
     }
   }
 
-  List<MachineId> lately(SteadyTime now) {
-    if (now.since(tidied).isMoreThan(STRAY_FOR)) {
+  List<MachineId> lately(MonotonicTime now) {
+    if (now.since(tidied).isLongerThan(STRAY_FOR)) {
       tidied = now;
-      heard.values().removeIf(each -> now.since(each.at()).isMoreThan(REMEMBERED));
+      heard.values().removeIf(each -> now.since(each.at()).isLongerThan(REMEMBERED));
     }
     return heard.entrySet().stream()
         .filter(
             each ->
-                each.getValue().stray() && !now.since(each.getValue().at()).isMoreThan(STRAY_FOR))
+                each.getValue().stray() && !now.since(each.getValue().at()).isLongerThan(STRAY_FOR))
         .map(Map.Entry::getKey)
         .toList();
   }
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -10,10 +10,10 @@
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.sched.Turns;
 import org.quincecross.state.Follower;
@@ -40,18 +40,18 @@
  * any more.
  */
 final class Submissions {
-  private static final Span PATIENCE = Span.ofSeconds(2);
+  private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(2);
 
   /** The longest that a user is left without an answer, who waits 5 s for it. */
-  static final Span ANSWERED = Span.ofSeconds(3.2);
+  static final TimeSpan ANSWERED = TimeSpan.ofSeconds(3.2);
 
-  private static final Span RETRY = Span.ofMillis(120);
+  private static final TimeSpan RETRY = TimeSpan.ofMillis(120);
 
   /**
    * What would be written later than this is not taken: its user is told when to come back instead
    * of waiting in vain.
    */
-  private static final Span LONGEST_QUEUE = Span.ofSeconds(1.2);
+  private static final TimeSpan LONGEST_QUEUE = TimeSpan.ofSeconds(1.2);
 
   /** Users come back for a minute in all, so they had better be let come several times. */
   private static final int LONGEST_RETRY_S = 8;
@@ -74,7 +74,7 @@
    * The state service answers within a tenth of this, as a rule: from then on others are written
    * beside what waits for its answer.
    */
-  private static final Span HELD_UP = Span.ofMillis(100);
+  private static final TimeSpan HELD_UP = TimeSpan.ofMillis(100);
 
   private static final int MOST_AT_ONCE = 4;
 
@@ -95,7 +95,7 @@
    *     service
    */
   private record Pending(
-      Job job, long acceptedMs, SteadyTime since, Consumer<Outcome> done, boolean alone) {}
+      Job job, long acceptedMs, MonotonicTime since, Consumer<Outcome> done, boolean alone) {}
 
   /** Those whose submission of the same job waits for the same outcome. */
   private final Map<JobId, List<Consumer<Outcome>>> pending = new HashMap<>();
@@ -103,7 +103,7 @@
   private final Timers timers;
   private final StateClient client;
   private final Follower follower;
-  private final MemberId member;
+  private final ControllerId member;
   private final Supplier<Incarnation> life;
   private final int mostChanges;
   private final int mostValue;
@@ -120,7 +120,7 @@
   private boolean flushPlanned;
   private int underWay;
   private double secondsPerJob;
-  private final Map<String, SteadyTime> spokenForUntil = new HashMap<>();
+  private final Map<String, MonotonicTime> spokenForUntil = new HashMap<>();
   private long bundles;
 
   /**
@@ -130,7 +130,7 @@
       Timers timers,
       StateClient client,
       Follower follower,
-      MemberId member,
+      ControllerId member,
       Supplier<Incarnation> life,
       Settings.StateLimits limits,
       Predicate<JobId> isKnown) {
@@ -154,15 +154,15 @@
     if (waiting.size(team) < ALWAYS_TAKEN) {
       return 0;
     }
-    SteadyTime now = timers.now();
-    Span wait = Span.ofSeconds((underWay + waiting.ahead(team)) * secondsPerJob);
-    if (!wait.isMoreThan(LONGEST_QUEUE)) {
+    MonotonicTime now = timers.now();
+    TimeSpan wait = TimeSpan.ofSeconds((underWay + waiting.ahead(team)) * secondsPerJob);
+    if (!wait.isLongerThan(LONGEST_QUEUE)) {
       return 0;
     }
-    SteadyTime free = now.plus(wait);
-    SteadyTime spokenFor = spokenForUntil.getOrDefault(team, free);
-    SteadyTime at = spokenFor.isBefore(free) ? free : spokenFor;
-    spokenForUntil.put(team, at.plus(Span.ofSeconds(secondsPerJob)));
+    MonotonicTime free = now.plus(wait);
+    MonotonicTime spokenFor = spokenForUntil.getOrDefault(team, free);
+    MonotonicTime at = spokenFor.isBefore(free) ? free : spokenFor;
+    spokenForUntil.put(team, at.plus(TimeSpan.ofSeconds(secondsPerJob)));
     return (int) Math.max(1, Math.min(LONGEST_RETRY_S, Math.ceil(at.since(now).seconds())));
   }
 
@@ -222,7 +222,7 @@
     }
     // Whoever asked has been answered: the repetition will be written.
     List<Pending> late = new ArrayList<>();
-    waiting.takeIf(each -> timers.now().since(each.since()).isMoreThan(ANSWERED), late::add);
+    waiting.takeIf(each -> timers.now().since(each.since()).isLongerThan(ANSWERED), late::add);
     late.forEach(each -> each.done().accept(Outcome.REFUSED));
     if (waiting.isEmpty()) {
       return;
@@ -326,7 +326,7 @@
       List<Guard> guards, List<Change> changes, List<Pending> group, Consumer<TxnOutcome> done) {
     writing++;
     underWay += group.size();
-    SteadyTime begun = timers.now();
+    MonotonicTime begun = timers.now();
     boolean[] answered = new boolean[1];
     boolean[] isHeldUp = new boolean[1];
     timers.after(
@@ -361,7 +361,7 @@
    * The answer to a write may be lost, or late: whoever's job is on record by now need not wait for
    * it. Looks again after ever longer pauses.
    */
-  private void lookFor(List<Pending> group, boolean[] answered, Span pause) {
+  private void lookFor(List<Pending> group, boolean[] answered, TimeSpan pause) {
     follower.barrier(
         current -> {
           if (current) {
@@ -384,7 +384,7 @@
     if (!pending.containsKey(one.job().id())) {
       return; // it is on record already
     }
-    if (timers.now().since(one.since()).isMoreThan(PATIENCE)) {
+    if (timers.now().since(one.since()).isLongerThan(PATIENCE)) {
       one.done().accept(Outcome.REFUSED);
       return;
     }
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -17,9 +17,9 @@
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Team;
 import org.quincecross.net.Timers;
 import org.quincecross.silence.Aloneness;
@@ -46,17 +46,17 @@
  */
 final class UserApi {
   /** Without word from the state service for so long, what needs it is refused at once. */
-  private static final Span UNCONFIRMED = Span.ofSeconds(2);
+  private static final TimeSpan UNCONFIRMED = TimeSpan.ofSeconds(2);
 
   /** Of a poll's 2 s: what is left is for the way there and back. */
-  private static final Span POLL_ANSWERED = Span.ofSeconds(1.6);
+  private static final TimeSpan POLL_ANSWERED = TimeSpan.ofSeconds(1.6);
 
   private static final int CANCEL_TRIES = 6;
 
   /** What fills the memory stays for long, so there is no hurry to come back. */
   private static final int WITHOUT_MEMORY_S = 20;
 
-  private static final Span SAY_EVERY = Span.ofSeconds(60);
+  private static final TimeSpan SAY_EVERY = TimeSpan.ofSeconds(60);
   private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
 
   private final Timers timers;
@@ -81,7 +81,7 @@
    */
   private final Map<JobId, List<Consumer<TxnOutcome>>> cancelling = new HashMap<>();
 
-  private SteadyTime saidShort;
+  private MonotonicTime saidShort;
 
   UserApi(
       Timers timers,
@@ -156,8 +156,8 @@
   }
 
   private boolean isCutOff() {
-    SteadyTime confirmed = follower.confirmed();
-    return confirmed == null || timers.now().since(confirmed).isMoreThan(UNCONFIRMED);
+    MonotonicTime confirmed = follower.confirmed();
+    return confirmed == null || timers.now().since(confirmed).isLongerThan(UNCONFIRMED);
   }
 
   /**
@@ -169,7 +169,7 @@
   }
 
   private HttpResponse state(JobRecord record) {
-    int tasks = record.job() == null ? 0 : record.job().tasks();
+    int tasks = record.job() == null ? 0 : record.job().taskCount();
     int done = record.phase() == JobPhase.DONE ? tasks : ledger.doneCount(record.id());
     return HttpResponse.of(
         200,
@@ -269,15 +269,15 @@
   }
 
   private void sayShort() {
-    SteadyTime now = timers.now();
-    if (saidShort == null || now.since(saidShort).isMoreThan(SAY_EVERY)) {
+    MonotonicTime now = timers.now();
+    if (saidShort == null || now.since(saidShort).isLongerThan(SAY_EVERY)) {
       saidShort = now;
       LOG.error("memory is short with {} jobs on record: new ones are refused", ledger.jobCount());
     }
   }
 
   private boolean namesUnknown(Job job) {
-    return job.waitsOn().stream().anyMatch(id -> ledger.job(id) == null);
+    return job.dependencies().stream().anyMatch(id -> ledger.job(id) == null);
   }
 
   /**
@@ -308,7 +308,7 @@
       return;
     }
     afterParts.write(
-        job.waitsOn(),
+        job.dependencies(),
         durable -> {
           if (durable) {
             accept(job, reply);
@@ -329,7 +329,7 @@
               // What needs a cancelled job is cancelled from its acceptance on, and may long have
               // to be called so: only a reading that
               // begins now tells whether it does.
-              if (!job.waitsOn().isEmpty()) {
+              if (!job.dependencies().isEmpty()) {
                 look(
                     job.id(),
                     told ->
@@ -366,22 +366,22 @@
     for (MachineType type : ledger.types().values()) {
       // A type that the cloud has only in other zones than the job's is none that the job may use.
       boolean allowed =
-          (job.types() == null || job.types().contains(type.name()))
+          (job.machineTypes() == null || job.machineTypes().contains(type.name()))
               && (job.zone() == null || type.zones().contains(job.zone()));
-      fits |= allowed && job.each().fitsIn(type.capacity());
+      fits |= allowed && job.taskResources().fitsIn(type.capacity());
     }
     if (!fits) {
       return bad(422, "no allowed machine type fits a task");
     }
-    for (JobId id : job.waitsOn()) {
+    for (JobId id : job.dependencies()) {
       JobRecord before = ledger.job(id);
       if (before != null
           && before.phase() == JobPhase.OPEN
-          && before.job().shape() == Shape.SERVICE) {
+          && before.job().kind() == JobKind.SERVICE) {
         return bad(422, "waits on a service, which is never done");
       }
     }
-    Resources need = job.shape() == Shape.ARRAY ? job.each() : job.each().times(job.tasks());
+    Resources need = job.kind() == JobKind.ARRAY ? job.taskResources() : job.taskResources().times(job.taskCount());
     if (!need.fitsIn(team.limit())) {
       return bad(422, "more than the team's limit");
     }
@@ -427,7 +427,7 @@
             reply.accept(later("the state service takes no record so large"));
           } else {
             follower.barrier(
-                current -> timers.after(Span.ofMillis(60), () -> cancel(id, tries - 1, reply)));
+                current -> timers.after(TimeSpan.ofMillis(60), () -> cancel(id, tries - 1, reply)));
           }
         };
     List<Consumer<TxnOutcome>> others = cancelling.get(id);
--- a/src/main/java/org/quincecross/block/BlockHolder.java
+++ b/src/main/java/org/quincecross/block/BlockHolder.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.quincecross.faults.Evidence;
 import org.quincecross.model.Attempt;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
@@ -19,12 +19,12 @@
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.sched.BlockScheduler;
 import org.quincecross.sched.Entry;
@@ -75,7 +75,7 @@
   private boolean superseded;
   private boolean stirred = true;
   private boolean entitled, mayStart;
-  private SteadyTime wakeAt;
+  private MonotonicTime wakeAt;
   private Revision synced = Revision.NONE;
   private long attempts;
 
@@ -95,7 +95,7 @@
     this.givingBack =
         new GivingBack(context, this, placements, entries, sessions, evidence, scheduler);
     this.withholding = new Withholding(context, this);
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     for (Machine machine : lease.machines().values()) {
       addMachine(machine, now.plus(context.longestUnconfirmed()));
     }
@@ -110,7 +110,7 @@
     return lease;
   }
 
-  public BlockId id() {
+  public ShardId id() {
     return lease.id();
   }
 
@@ -135,7 +135,7 @@
     return superseded;
   }
 
-  private Token token() {
+  private FencingToken token() {
     return lease.token();
   }
 
@@ -146,7 +146,7 @@
 
   // ---- the lease and the allocation, as the ledger has them ----
 
-  private void addMachine(Machine machine, SteadyTime leaseFrom) {
+  private void addMachine(Machine machine, MonotonicTime leaseFrom) {
     MachineType type = context.ledger().types().get(machine.type());
     Resources capacity = type == null ? Resources.NONE : type.capacity();
     Session session =
@@ -171,7 +171,7 @@
    */
   public void renewed(BlockLease next) {
     lease = next;
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     for (MachineId machine : List.copyOf(sessions.keySet())) {
       if (!next.machines().containsKey(machine)) {
         // The leader takes a machine out only once it is gone, and all that was on it.
@@ -208,7 +208,7 @@
 
   /** Brings the placements of jobs whose records have changed in line with them. */
   public void jobsChanged(Set<JobId> jobs) {
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     boolean ours = false;
     for (JobId job : jobs) {
       JobRecord record = context.ledger().job(job);
@@ -229,14 +229,14 @@
   }
 
   private void take(Allocation allocation) {
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     for (Map.Entry<JobId, TaskSet> allocated : allocation.tasks().entrySet()) {
       JobRecord job = context.ledger().job(allocated.getKey());
       if (job == null || job.job() == null) {
         continue; // a done job: nothing of it is left to do
       }
       TaskSet tasks = allocated.getValue();
-      for (int i = tasks.next(0); i >= 0; i = tasks.next(i + 1)) {
+      for (int i = tasks.nextMember(0); i >= 0; i = tasks.nextMember(i + 1)) {
         TaskId task = job.id().task(i);
         if (!placements.has(task) && !context.ledger().isDone(job.id(), i)) {
           placements.add(
@@ -247,7 +247,7 @@
     placements.all().forEach(placement -> syncPlacement(placement, now));
   }
 
-  private void syncPlacement(Placement placement, SteadyTime now) {
+  private void syncPlacement(Placement placement, MonotonicTime now) {
     TaskId task = placement.task();
     if (placements.get(task) != placement) {
       return; // dropped since
@@ -258,13 +258,13 @@
         || job == null
         || job.phase() == JobPhase.DONE) {
       if (placement.isBound()) {
-        placement.stop(Span.ZERO, true, now); // done once already: a second run serves nobody
+        placement.stop(TimeSpan.ZERO, true, now); // done once already: a second run serves nobody
       } else {
         drop(placement);
       }
     } else if (job.phase() == JobPhase.CANCELLED || !allocated) {
       switch (placement.state()) {
-        case STARTING, ACTIVE, STOPPING -> placement.stop(Span.ZERO, true, now);
+        case STARTING, ACTIVE, STOPPING -> placement.stop(TimeSpan.ZERO, true, now);
         case WAITING, COMPLETED -> {
           dequeue(task);
           placement.release(now);
@@ -306,7 +306,7 @@
       if (givingBack.keepsBack(placement)) {
         continue;
       }
-      List<TaskId> unit = job.shape() == Shape.GANG ? gatherGang(job) : List.of(placement.task());
+      List<TaskId> unit = job.kind() == JobKind.GANG ? gatherGang(job) : List.of(placement.task());
       if (unit.isEmpty()) {
         continue;
       }
@@ -319,7 +319,7 @@
       if (placement.failures() > 0) {
         entry.avoided().addAll(evidence.failedOn(job.id()));
         double wait = Math.min(30, 0.5 * Math.pow(2, Math.min(placement.failures(), 6)));
-        SteadyTime ready = context.now().plus(Span.ofSeconds(wait));
+        MonotonicTime ready = context.now().plus(TimeSpan.ofSeconds(wait));
         entry.holdBack(ready);
         wakeBy(ready);
       }
@@ -336,11 +336,11 @@
 
   private boolean wouldBeLateByFetch(Job job) {
     MachineType type = context.ledger().types().get(lease.type());
-    Span within = context.startWithin(job.jobClass());
+    TimeSpan within = context.startWithin(job.jobClass());
     return type != null
         && within != null
-        && type.fetchGbPerS() > 0
-        && Span.ofSeconds(job.imageGb() / type.fetchGbPerS()).isMoreThan(within);
+        && type.pullGbPerSecond() > 0
+        && TimeSpan.ofSeconds(job.imageGb() / type.pullGbPerSecond()).isLongerThan(within);
   }
 
   /** Some machines have been found to fail what they are given. */
@@ -363,7 +363,7 @@
   }
 
   /** Has the queues looked at again at a time, though nothing may have happened by then. */
-  void wakeBy(SteadyTime time) {
+  void wakeBy(MonotonicTime time) {
     if (wakeAt == null || time.isBefore(wakeAt)) {
       wakeAt = time;
     }
@@ -375,10 +375,10 @@
    * the block does not have whole goes back to the pool whole.
    */
   private List<TaskId> gatherGang(Job job) {
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     List<Placement> waiting = new ArrayList<>();
     boolean unclear = false;
-    for (int i = 0; i < job.tasks(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       Placement member = placements.get(job.id().task(i));
       if (member == null || member.state() == Placement.State.RELEASED) {
         continue;
@@ -386,13 +386,13 @@
       switch (member.state()) {
         case WAITING -> waiting.add(member);
         case STARTING, ACTIVE -> {
-          member.stop(Span.ZERO, false, now);
+          member.stop(TimeSpan.ZERO, false, now);
           unclear = true;
         }
         default -> unclear = true;
       }
     }
-    if (waiting.size() == job.tasks()) {
+    if (waiting.size() == job.taskCount()) {
       return waiting.stream().map(Placement::task).toList();
     }
     if (!unclear) {
@@ -407,7 +407,7 @@
   /** Answers a worker's report; null where this controller is not entitled to. */
   public byte[] answer(WorkerReport report) {
     Session session = sessions.get(report.machine().id());
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     if (session == null || superseded || !context.isEntitled()) {
       return null;
     }
@@ -440,7 +440,7 @@
       superseded = true;
       return false;
     }
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     Verdict verdict = session.judge(report, beat, now);
     if (verdict == Verdict.LATE || verdict == Verdict.OVERTAKEN) {
       return verdict == Verdict.OVERTAKEN;
@@ -503,7 +503,7 @@
     }
     settled = true;
     LOG.info("block {}: all {} machines fenced or lost, token {}", id(), sessions.size(), token());
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     placements.in(Placement.State.UNSETTLED).forEach(placement -> placement.gone(now));
   }
 
@@ -514,7 +514,7 @@
     if (watch.tick()) {
       settle();
     }
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     if (entitled != context.isEntitled()
         || mayStart != context.mayStart()
         || (wakeAt != null && !now.isBefore(wakeAt))) {
@@ -527,7 +527,7 @@
   }
 
   /** For so long no machine was listened to. Their leases ran on all the same. */
-  void excuse(Span gap) {
+  void excuse(TimeSpan gap) {
     watch.excuse(gap);
   }
 
@@ -552,7 +552,7 @@
    * where nothing changed.
    */
   private void settleChanges() {
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     while (placements.hasChanged()) {
       placements.takeChanged().forEach(placement -> syncPlacement(placement, now));
     }
@@ -576,7 +576,7 @@
     }
     wakeAt = null;
     enqueueWaiting();
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     toUpdate.addAll(placements.takeChangedMachines());
     for (MachineId machine : toUpdate) {
       Session session = sessions.get(machine);
--- a/src/main/java/org/quincecross/block/Commands.java
+++ b/src/main/java/org/quincecross/block/Commands.java
@@ -10,10 +10,10 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Attempt;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Json;
@@ -37,8 +37,8 @@
  */
 final class Commands {
   private static final Logger LOG = LoggerFactory.getLogger(Commands.class);
-  private static final Span DIRECT_TIMEOUT = Span.ofSeconds(1.5);
-  private static final Span DIRECT_RETRY = Span.ofSeconds(1);
+  private static final TimeSpan DIRECT_TIMEOUT = TimeSpan.ofSeconds(1.5);
+  private static final TimeSpan DIRECT_RETRY = TimeSpan.ofSeconds(1);
   private static final int MOST_ORDERS = 300;
 
   private final HolderContext context;
@@ -79,7 +79,7 @@
           orders.add(Order.forget(piece.task(), piece.attempt()));
         }
       } else if (!ours) {
-        orders.add(Order.stop(piece.task(), piece.attempt(), Span.ZERO));
+        orders.add(Order.stop(piece.task(), piece.attempt(), TimeSpan.ZERO));
       } else if (placement.state() == Placement.State.STOPPING
           && (piece.state() != TaskState.SAVING || placement.grace().nanos() == 0)) {
         orders.add(Order.stop(piece.task(), piece.attempt(), placement.grace()));
@@ -139,7 +139,7 @@
         }
       }
     }
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     for (MachineId machine : untold) {
       Session session = sessions.get(machine);
       if (session != null
@@ -155,7 +155,7 @@
   }
 
   private void sendDirect(Session session, List<Order> orders) {
-    Token sentWith = holder.lease().token();
+    FencingToken sentWith = holder.lease().token();
     Map<Attempt, TaskId> starts = starts(orders);
     session.directSent(starts);
     LOG.debug("block {}: {} commands to {}", holder.id(), orders.size(), session.machine().id());
@@ -173,7 +173,7 @@
   }
 
   private void directEnded(
-      Session session, Map<Attempt, TaskId> starts, Token sentWith, HttpOutcome outcome) {
+      Session session, Map<Attempt, TaskId> starts, FencingToken sentWith, HttpOutcome outcome) {
     WorkerReport report = readReport(outcome);
     // Another machine may have the address of one that is gone: what that one says is nothing of
     // this one.
@@ -215,7 +215,7 @@
    * org.quincecross.silence.Freshness}): its answer is made after the doubt.
    */
   void fence() {
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     for (Session session : sessions.values()) {
       if (session.isToBeAsked(context.workers().report(), now)
           && session.canSendDirect(now)
--- a/src/main/java/org/quincecross/block/Doubts.java
+++ b/src/main/java/org/quincecross/block/Doubts.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * What of a block no message under its present token will end: the leader is asked to lease it
@@ -13,7 +13,7 @@
   /**
    * Where a stop has waited so long for a start that was never answered, a new token is asked for.
    */
-  private static final Span DOUBT_PATIENCE = Span.ofSeconds(8);
+  private static final TimeSpan DOUBT_PATIENCE = TimeSpan.ofSeconds(8);
 
   /**
    * So many exits that cannot be cleared make a machine's reports long enough to ask for a new
@@ -29,14 +29,14 @@
    * token), or a machine that has begun anew, whose reports are told from late ones of before only
    * by a higher token.
    */
-  static boolean any(Placements placements, Map<MachineId, Session> sessions, SteadyTime now) {
+  static boolean any(Placements placements, Map<MachineId, Session> sessions, MonotonicTime now) {
     for (Placement placement : placements.in(Placement.State.STOPPING)) {
       Session session = sessions.get(placement.machine());
       // A machine that hears nothing does not show a new token either; the end of its session ends
       // the doubt.
       if (session.hearing().hears()
           && session.isInDoubt(placement.attempt())
-          && now.since(placement.since()).isMoreThan(DOUBT_PATIENCE)
+          && now.since(placement.since()).isLongerThan(DOUBT_PATIENCE)
           && !session.reportedAttempts().contains(placement.attempt())) {
         return true;
       }
--- a/src/main/java/org/quincecross/block/GivingBack.java
+++ b/src/main/java/org/quincecross/block/GivingBack.java
@@ -9,11 +9,11 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.sched.BlockScheduler;
 import org.quincecross.sched.Entry;
@@ -23,13 +23,13 @@
 /** Gives work that the block cannot run back to the pool, where others may have it. */
 final class GivingBack {
   private static final Logger LOG = LoggerFactory.getLogger(GivingBack.class);
-  private static final Span GANG_PATIENCE = Span.ofSeconds(30);
+  private static final TimeSpan GANG_PATIENCE = TimeSpan.ofSeconds(30);
 
   /** Beyond twice its estimate: what runs before it should have ended by then. */
-  private static final Span LONG_WAIT = Span.ofSeconds(90);
+  private static final TimeSpan LONG_WAIT = TimeSpan.ofSeconds(90);
 
   /** Urgent work: longer than lower work takes to save and make room for it. */
-  private static final Span URGENT_WAIT = Span.ofSeconds(6);
+  private static final TimeSpan URGENT_WAIT = TimeSpan.ofSeconds(6);
 
   /**
    * Of what services do not use, so much may be spoken for beyond what there is: what the leader
@@ -37,26 +37,26 @@
    */
   private static final double QUEUE_AHEAD = 0.15;
 
-  private static final Span SURPLUS_PATIENCE = Span.ofSeconds(3);
-  private static final Span SURPLUS_EVERY = Span.ofSeconds(1);
+  private static final TimeSpan SURPLUS_PATIENCE = TimeSpan.ofSeconds(3);
+  private static final TimeSpan SURPLUS_EVERY = TimeSpan.ofSeconds(1);
 
   /**
    * Where another block has room and this one none, work does not wait for longer than this and the
    * time between two looks.
    */
-  private static final Span ELSEWHERE_PATIENCE = Span.ofSeconds(20);
+  private static final TimeSpan ELSEWHERE_PATIENCE = TimeSpan.ofSeconds(20);
 
-  private static final Span ELSEWHERE_EVERY = Span.ofSeconds(5);
-  private static final Span CONFIRMED_LATELY = Span.ofSeconds(2);
+  private static final TimeSpan ELSEWHERE_EVERY = TimeSpan.ofSeconds(5);
+  private static final TimeSpan CONFIRMED_LATELY = TimeSpan.ofSeconds(2);
 
   /**
    * A job in doubt is looked at again so often: one task of it is under way, and others wait to
    * know what becomes of that.
    */
-  private static final Span TRY_AGAIN = Span.ofSeconds(1);
+  private static final TimeSpan TRY_AGAIN = TimeSpan.ofSeconds(1);
 
   /** How long work waits for any machine of the block to take work again. */
-  private static final Span NONE_OPEN_PATIENCE = Span.ofSeconds(10);
+  private static final TimeSpan NONE_OPEN_PATIENCE = TimeSpan.ofSeconds(10);
 
   private final HolderContext context;
   private final BlockHolder holder;
@@ -65,12 +65,12 @@
   private final Map<MachineId, Session> sessions;
   private final Evidence evidence;
   private final BlockScheduler scheduler;
-  private SteadyTime noneOpenSince;
-  private SteadyTime surplusAt;
-  private SteadyTime elsewhereAt;
+  private MonotonicTime noneOpenSince;
+  private MonotonicTime surplusAt;
+  private MonotonicTime elsewhereAt;
 
   /** Before this nothing here has waited for long, as long as some machine takes work. */
-  private SteadyTime lookAt;
+  private MonotonicTime lookAt;
 
   GivingBack(
       HolderContext context,
@@ -90,7 +90,7 @@
   }
 
   /** Gives back all that should not wait here any longer. */
-  void giveBack(SteadyTime now) {
+  void giveBack(MonotonicTime now) {
     giveBackGangs(now);
     giveBackLongWaiting(now);
     giveBackSurplus(now);
@@ -103,7 +103,7 @@
    * others may have room: without this a replica whose machine had vanished with half of its block
    * waited for 90 s.
    */
-  private void giveBackSurplus(SteadyTime now) {
+  private void giveBackSurplus(MonotonicTime now) {
     if (entries.isEmpty() || (surplusAt != null && now.isBefore(surplusAt)) || !leaderCanAct(now)) {
       return;
     }
@@ -113,13 +113,13 @@
     for (Session session : sessions.values()) {
       for (Placement placement :
           session.wasOpen() ? placements.seenOn(session.machine().id()) : List.<Placement>of()) {
-        boolean stays = placement.job().shape() == Shape.SERVICE && placement.isBound();
-        standing = stays ? standing.plus(placement.job().each()) : standing;
+        boolean stays = placement.job().kind() == JobKind.SERVICE && placement.isBound();
+        standing = stays ? standing.plus(placement.job().taskResources()) : standing;
       }
     }
     for (Entry entry : scheduler.surplus(QUEUE_AHEAD, standing)) {
       Placement placement = placements.get(entry.tasks().get(0));
-      if (now.since(placement.since()).isMoreThan(SURPLUS_PATIENCE)) {
+      if (now.since(placement.since()).isLongerThan(SURPLUS_PATIENCE)) {
         holder.dequeue(placement.task());
         placement.release(now);
         context.newsForLeader();
@@ -133,7 +133,7 @@
    * work. Guards against docs/incidents/idle-room.md: nothing waits for {@link #LONG_WAIT} and
    * twice its estimate while machines that could run it are idle, or are even returned.
    */
-  private void giveBackToIdle(SteadyTime now) {
+  private void giveBackToIdle(MonotonicTime now) {
     if (entries.isEmpty()
         || (elsewhereAt != null && now.isBefore(elsewhereAt))
         || !leaderCanAct(now)) {
@@ -144,8 +144,8 @@
     Map<JobId, Boolean> asked = new HashMap<>();
     for (Entry entry : List.copyOf(entries.values())) {
       Placement placement = placements.get(entry.tasks().get(0));
-      if (entry.job().shape() != Shape.GANG
-          && now.since(placement.since()).isMoreThan(ELSEWHERE_PATIENCE)
+      if (entry.job().kind() != JobKind.GANG
+          && now.since(placement.since()).isLongerThan(ELSEWHERE_PATIENCE)
           && asked.computeIfAbsent(
               entry.job().id(), id -> context.hasRoomElsewhere(entry.job(), holder.id()))) {
         holder.dequeue(placement.task());
@@ -159,25 +159,25 @@
    * Cut off from the records, a block had better keep what it has: nobody else will start it
    * either.
    */
-  private boolean leaderCanAct(SteadyTime now) {
+  private boolean leaderCanAct(MonotonicTime now) {
     return context.confirmed() != null
-        && !now.since(context.confirmed()).isMoreThan(CONFIRMED_LATELY);
+        && !now.since(context.confirmed()).isLongerThan(CONFIRMED_LATELY);
   }
 
   /**
    * A gang that has waited long may wait for ever: services that stay for hours can be all over the
    * machines that it needs. The leader may know a better block by now.
    */
-  private void giveBackGangs(SteadyTime now) {
+  private void giveBackGangs(MonotonicTime now) {
     Set<Entry> gangs = new LinkedHashSet<>();
     for (Entry entry : entries.values()) {
-      if (entry.job().shape() == Shape.GANG) {
+      if (entry.job().kind() == JobKind.GANG) {
         gangs.add(entry);
       }
     }
     for (Entry entry : gangs) {
       Placement first = placements.get(entry.tasks().get(0));
-      SteadyTime patient = first.since().plus(GANG_PATIENCE);
+      MonotonicTime patient = first.since().plus(GANG_PATIENCE);
       if (now.isBefore(patient)) {
         holder.wakeBy(patient);
         continue;
@@ -192,7 +192,7 @@
    * What has waited here for long may wait for ever as well: behind services that stay for hours,
    * or for machines of which none takes work any more. In the pool it may go where there is room.
    */
-  private void giveBackLongWaiting(SteadyTime now) {
+  private void giveBackLongWaiting(MonotonicTime now) {
     if (sessions.values().stream().anyMatch(holder::isOpen)) {
       noneOpenSince = null;
     } else if (noneOpenSince == null) {
@@ -205,17 +205,17 @@
     lookAt = now.plus(URGENT_WAIT);
     for (Placement placement : placements.in(Placement.State.WAITING)) {
       Job job = placement.job();
-      SteadyTime patient =
+      MonotonicTime patient =
           placement
               .since()
               .plus(
-                  job.rank() == Rank.PRODUCTION && leaderCanAct(now)
+                  job.priority() == Priority.PRODUCTION && leaderCanAct(now)
                       ? URGENT_WAIT
                       : LONG_WAIT.plus(job.estimate().times(2)));
       if (noneOpenSince != null && noneOpenSince.plus(NONE_OPEN_PATIENCE).isBefore(patient)) {
         patient = noneOpenSince.plus(NONE_OPEN_PATIENCE);
       }
-      if (job.shape() == Shape.GANG && noneOpenSince == null) {
+      if (job.kind() == JobKind.GANG && noneOpenSince == null) {
         continue; // goes back as one, and sooner
       }
       if (now.isBefore(patient)) {
@@ -248,7 +248,7 @@
    */
   boolean keepsBack(Placement placement) {
     Job job = placement.job();
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     if (!evidence.isDoubtful(job.id())) {
       return false;
     }
@@ -269,7 +269,7 @@
       context.newsForLeader();
       return true;
     }
-    if (job.shape() != Shape.GANG && holder.hasAnotherUnderWay(placement)) {
+    if (job.kind() != JobKind.GANG && holder.hasAnotherUnderWay(placement)) {
       holder.wakeBy(now.plus(TRY_AGAIN));
       return true;
     }
--- a/src/main/java/org/quincecross/block/HolderContext.java
+++ b/src/main/java/org/quincecross/block/HolderContext.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Set;
 import org.quincecross.agreed.Withheld;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
 import org.quincecross.sched.Reserve;
@@ -25,12 +25,12 @@
   Ledger ledger();
 
   /** What a block should keep free. */
-  List<Reserve> reserves(BlockId block);
+  List<Reserve> reserves(ShardId block);
 
   Settings.Workers workers();
 
   /** The time within which tasks of a class should start, or null if nothing is said of that. */
-  Span startWithin(String jobClass);
+  TimeSpan startWithin(String jobClass);
 
   /** Whether nobody expects a job by any time: it gives way to all others. */
   boolean isIdle(Job job);
@@ -50,13 +50,13 @@
   }
 
   /** The ledger has all that had happened by this time; null before it was first read. */
-  SteadyTime confirmed();
+  MonotonicTime confirmed();
 
   /**
    * The longest that a former holder, cut off from the state service, goes on answering its
    * machines.
    */
-  Span longestUnconfirmed();
+  TimeSpan longestUnconfirmed();
 
   /**
    * Whether each other controller has said that it has taken note of all up to a revision: then
@@ -79,7 +79,7 @@
    * Whether a task of a job, which waits in a block, would most likely start at once in another
    * block.
    */
-  default boolean hasRoomElsewhere(Job job, BlockId here) {
+  default boolean hasRoomElsewhere(Job job, ShardId here) {
     return false;
   }
 
@@ -96,7 +96,7 @@
     return Withheld.NONE;
   }
 
-  default SteadyTime now() {
+  default MonotonicTime now() {
     return timers().now();
   }
 }
--- a/src/main/java/org/quincecross/block/Holdings.java
+++ b/src/main/java/org/quincecross/block/Holdings.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.state.BlockLease;
 import org.quincecross.state.Ledger;
@@ -21,14 +21,14 @@
 /** The blocks that this controller holds. */
 public final class Holdings {
   private static final Logger LOG = LoggerFactory.getLogger(Holdings.class);
-  private static final Span TICK = Span.ofMillis(150);
+  private static final TimeSpan TICK = TimeSpan.ofMillis(150);
 
   private final HolderContext context;
-  private final MemberId self;
+  private final ControllerId self;
   private final Supplier<Incarnation> life;
-  private final Map<BlockId, BlockHolder> holders = new LinkedHashMap<>();
+  private final Map<ShardId, BlockHolder> holders = new LinkedHashMap<>();
 
-  public Holdings(HolderContext context, MemberId self, Supplier<Incarnation> life) {
+  public Holdings(HolderContext context, ControllerId self, Supplier<Incarnation> life) {
     this.context = context;
     this.self = self;
     this.life = life;
@@ -42,21 +42,21 @@
     return holders.values();
   }
 
-  public BlockHolder get(BlockId block) {
+  public BlockHolder get(ShardId block) {
     return holders.get(block);
   }
 
   /** Follows the leases, allocations and jobs that have changed. */
   public void ledgerChanged(Ledger.Changes changes) {
     Ledger ledger = context.ledger();
-    for (BlockId id : changes.reloaded() ? List.copyOf(holders.keySet()) : changes.blocks()) {
+    for (ShardId id : changes.reloaded() ? List.copyOf(holders.keySet()) : changes.blocks()) {
       BlockLease lease = ledger.block(id);
       if (holders.containsKey(id) && (lease == null || !lease.holder().equals(self))) {
         LOG.info("block {} is no longer held here", id);
         holders.remove(id).retire();
       }
     }
-    for (BlockId id :
+    for (ShardId id :
         changes.reloaded() ? List.copyOf(ledger.blocks().keySet()) : changes.blocks()) {
       BlockLease lease = ledger.block(id);
       if (lease != null && lease.holder().equals(self)) {
@@ -102,14 +102,14 @@
   }
 
   /** For so long no machine was listened to here: that nothing came is no sign of its silence. */
-  public void excuse(Span gap) {
+  public void excuse(TimeSpan gap) {
     holders.values().forEach(holder -> holder.excuse(gap));
   }
 
   /** How many tasks of a job run in the blocks held here that it is allocated to. */
   public int running(JobId job) {
     int running = 0;
-    for (BlockId block : context.ledger().blocksOf(job)) {
+    for (ShardId block : context.ledger().blocksOf(job)) {
       BlockHolder holder = holders.get(block);
       running += holder == null ? 0 : holder.running(job);
     }
--- a/src/main/java/org/quincecross/block/Intake.java
+++ b/src/main/java/org/quincecross/block/Intake.java
@@ -5,9 +5,9 @@
 import org.quincecross.model.Attempt;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.wire.WorkerReport.Cause;
 import org.quincecross.wire.WorkerReport.Piece;
 import org.quincecross.wire.WorkerReport.TaskState;
@@ -30,7 +30,7 @@
     this.evidence = evidence;
   }
 
-  void takePiece(Session session, Piece piece, SteadyTime now) {
+  void takePiece(Session session, Piece piece, MonotonicTime now) {
     Placement placement = placements.get(piece.task());
     MachineId machine = session.machine().id();
     if (placement == null) {
@@ -51,14 +51,14 @@
           LOG.debug("block {}: {} runs on {}", holder.id(), placement.task(), machine);
         }
         if (placement.isRunning()
-            && now.since(placement.runningSince()).isMoreThan(Evidence.STARTED_WELL)) {
+            && now.since(placement.runningSince()).isLongerThan(Evidence.STARTED_WELL)) {
           holder.callSick(
               evidence.startedWell(machine, placement.task().job(), placement.runningSince(), now));
         }
       }
       return;
     }
-    if (piece.cause() == Cause.DONE && placement.job().shape() != Shape.SERVICE) {
+    if (piece.cause() == Cause.DONE && placement.job().kind() != JobKind.SERVICE) {
       boolean open =
           placement.state() != Placement.State.COMPLETED
               && placement.state() != Placement.State.RELEASED;
@@ -84,12 +84,12 @@
     }
   }
 
-  private void exited(Session session, Placement placement, Piece piece, SteadyTime now) {
+  private void exited(Session session, Placement placement, Piece piece, MonotonicTime now) {
     MachineId machine = session.machine().id();
     JobId job = placement.task().job();
     if (piece.cause() == Cause.ERROR) {
       placement.failed();
-      Span ranFor = placement.isRunning() ? now.since(placement.runningSince()) : Span.ZERO;
+      TimeSpan ranFor = placement.isRunning() ? now.since(placement.runningSince()) : TimeSpan.ZERO;
       holder.callSick(evidence.failed(machine, job, ranFor, now));
       if (evidence.isDoubtful(job)) {
         // What else of it waits is tried one task at a time: it leaves the queues, and enters them
@@ -114,7 +114,7 @@
   }
 
   /** Tasks bound to the machine that its complete report does not have. */
-  void freeMissing(Session session, boolean beat, SteadyTime now) {
+  void freeMissing(Session session, boolean beat, MonotonicTime now) {
     // By attempt: a machine may still report the exit of an earlier attempt of a task that it is to
     // start again.
     Set<Attempt> reported = session.reportedAttempts();
@@ -136,7 +136,7 @@
    * that may still reach one that has begun anew, which end with the new token that the holder asks
    * for.
    */
-  void freeUnreported(Session session, SteadyTime now) {
+  void freeUnreported(Session session, MonotonicTime now) {
     Set<Attempt> reported = session.reportedAttempts();
     for (Placement placement : placements.on(session.machine().id())) {
       if (placement.isBound()
@@ -148,7 +148,7 @@
     context.newsForLeader();
   }
 
-  void freeAll(MachineId machine, SteadyTime now) {
+  void freeAll(MachineId machine, MonotonicTime now) {
     for (Placement placement : placements.on(machine)) {
       if (placement.isBound()) {
         placement.gone(now);
--- a/src/main/java/org/quincecross/block/MachineViews.java
+++ b/src/main/java/org/quincecross/block/MachineViews.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.sched.BlockScheduler;
 import org.quincecross.sched.Reserve;
@@ -24,10 +24,10 @@
 /** What machines have room for and are doing, put together from placements and reports. */
 final class MachineViews {
   /** A replica that has just been started should not be stopped again for tidiness. */
-  private static final Span MOVABLE_AFTER = Span.ofSeconds(40);
+  private static final TimeSpan MOVABLE_AFTER = TimeSpan.ofSeconds(40);
 
   /** A machine that hears nothing goes the round of the controllers in this time. */
-  private static final Span ROUND = Span.ofSeconds(20);
+  private static final TimeSpan ROUND = TimeSpan.ofSeconds(20);
 
   private final HolderContext context;
   private final BlockHolder holder;
@@ -57,7 +57,7 @@
     MachineId machine = session.machine().id();
     for (Placement placement : placements.seenOn(machine)) {
       if (placement.isBound()) {
-        used = used.plus(placement.job().each());
+        used = used.plus(placement.job().taskResources());
       }
     }
     if (session.report() != null) {
@@ -66,7 +66,7 @@
         boolean counted = placement != null && placement.isBoundTo(machine, piece.attempt());
         JobRecord job = context.ledger().job(piece.task().job());
         if (piece.state() != TaskState.EXITED && !counted && job != null && job.job() != null) {
-          used = used.plus(job.job().each());
+          used = used.plus(job.job().taskResources());
         }
       }
     }
@@ -83,10 +83,10 @@
       Job job = placement.job();
       if (placement.state() == Placement.State.STOPPING
           || (placement.isBound()
-              && job.rank() != Rank.PRODUCTION
-              && job.shape() != Shape.GANG
-              && !job.saves())) {
-        sum = sum.plus(job.each());
+              && job.priority() != Priority.PRODUCTION
+              && job.kind() != JobKind.GANG
+              && !job.hasCheckpoints())) {
+        sum = sum.plus(job.taskResources());
       }
     }
     return sum;
@@ -112,26 +112,26 @@
         Resources borrowed = Resources.NONE;
         for (Placement placement : placements.seenOn(session.machine().id())) {
           borrowed =
-              Reserve.mayBorrow(placement.job()) ? borrowed.plus(placement.job().each()) : borrowed;
+              Reserve.mayBorrow(placement.job()) ? borrowed.plus(placement.job().taskResources()) : borrowed;
         }
         Resources free = session.capacity().minus(used(session));
-        tasks += free.plus(borrowed).count(reserve.each()) - free.count(reserve.each());
+        tasks += free.plus(borrowed).capacityFor(reserve.each()) - free.capacityFor(reserve.each());
       }
     }
     return tasks;
   }
 
   /** The images that tasks on the machine wait for, and the highest priority among those tasks. */
-  Map<String, Rank> fetching(Session session) {
-    Map<String, Rank> images = new HashMap<>();
+  Map<String, Priority> fetching(Session session) {
+    Map<String, Priority> images = new HashMap<>();
     for (Placement placement : placements.seenOn(session.machine().id())) {
       if (placement.isBound()
           && !placement.isRunning()
           && session.isFetching(placement.job().image())) {
         images.merge(
             placement.job().image(),
-            placement.job().rank(),
-            (one, other) -> one.isAbove(other) ? one : other);
+            placement.job().priority(),
+            (one, other) -> one.isHigherThan(other) ? one : other);
       }
     }
     return images;
@@ -145,7 +145,7 @@
     if (session == null) {
       return null;
     }
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     int tasks = 0;
     Set<String> inUse = new TreeSet<>();
     for (Placement placement : placements.seenOn(id)) {
@@ -176,7 +176,7 @@
    */
   boolean hasAged(PeerReport.MachineState told) {
     Session session = sessions.get(told.id());
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     return session != null
         && (!silence(session, now).equals(told.silent())
             || holder.isOpen(session) != told.open()
@@ -185,32 +185,32 @@
   }
 
   /** Whether all that is there are replicas that have run for a while. */
-  private boolean isMovable(MachineId machine, SteadyTime now) {
+  private boolean isMovable(MachineId machine, MonotonicTime now) {
     for (Placement placement : placements.seenOn(machine)) {
-      if (placement.job().shape() != Shape.SERVICE
+      if (placement.job().kind() != JobKind.SERVICE
           || placement.state() != Placement.State.ACTIVE
           || !placement.isRunning()
-          || !now.since(placement.runningSince()).isMoreThan(MOVABLE_AFTER)) {
+          || !now.since(placement.runningSince()).isLongerThan(MOVABLE_AFTER)) {
         return false;
       }
     }
     return true;
   }
 
-  private Span silence(Session session, SteadyTime now) {
-    Span silent = now.since(session.heard());
-    if (!session.hearing().hears() && !silent.isMoreThan(ROUND)) {
-      return Span
+  private TimeSpan silence(Session session, MonotonicTime now) {
+    TimeSpan silent = now.since(session.heard());
+    if (!session.hearing().hears() && !silent.isLongerThan(ROUND)) {
+      return TimeSpan
           .ZERO; // it goes the round of the controllers and speaks to each; another would not be
       // heard either
     }
-    return silent.isMoreThan(quiet(context.workers()))
-        ? Span.ofSeconds(Math.floor(silent.seconds()))
-        : Span.ZERO;
+    return silent.isLongerThan(quiet(context.workers()))
+        ? TimeSpan.ofSeconds(Math.floor(silent.seconds()))
+        : TimeSpan.ZERO;
   }
 
   /** A machine that has reported this lately is not called silent. */
-  private static Span quiet(Settings.Workers workers) {
-    return workers.report().times(1.25).plus(Span.ofSeconds(2));
+  private static TimeSpan quiet(Settings.Workers workers) {
+    return workers.report().times(1.25).plus(TimeSpan.ofSeconds(2));
   }
 }
--- a/src/main/java/org/quincecross/block/MachineWatch.java
+++ b/src/main/java/org/quincecross/block/MachineWatch.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.silence.Deafness;
 import org.quincecross.wire.WorkerReport;
 import org.slf4j.Logger;
@@ -16,13 +16,13 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineWatch.class);
 
   /** Beyond the clocks' drift: what a worker and this process may take to notice. */
-  private static final Span LEASE_MARGIN = Span.ofSeconds(0.7);
+  private static final TimeSpan LEASE_MARGIN = TimeSpan.ofSeconds(0.7);
 
   private static final double CLOCK_DRIFT = 1.001;
-  private static final Span LONGEST_UNLOOKED = Span.ofSeconds(1);
+  private static final TimeSpan LONGEST_UNLOOKED = TimeSpan.ofSeconds(1);
 
   /** A machine that has not heard anything for so much longer than a lease is to be replaced. */
-  private static final Span LASTING = Span.ofSeconds(75);
+  private static final TimeSpan LASTING = TimeSpan.ofSeconds(75);
 
   /**
    * Of so many machines of a block one may be replaced for being deaf; where more are, it is the
@@ -38,7 +38,7 @@
   /**
    * Before this no machine loses anything by its silence; what is heard meanwhile only puts it off.
    */
-  private SteadyTime silentAt;
+  private MonotonicTime silentAt;
 
   private boolean formerHaveEnded;
 
@@ -50,13 +50,13 @@
     this.sessions = sessions;
   }
 
-  private Span lease() {
+  private TimeSpan lease() {
     return context.workers().lease().times(CLOCK_DRIFT).plus(LEASE_MARGIN);
   }
 
   /** Looks for machines whose silence has ended their leases. Returns whether one was found. */
   boolean tick() {
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     if (!formerHaveEnded && context.allHaveNoted(new Revision(holder.lease().token().number()))) {
       // Whoever held the block before this lease knows by now that it does not, and answers no
       // machine of it any more.
@@ -76,22 +76,22 @@
   }
 
   /** For so long no machine was listened to. Their leases ran on all the same. */
-  void excuse(Span gap) {
-    SteadyTime now = context.now();
+  void excuse(TimeSpan gap) {
+    MonotonicTime now = context.now();
     for (Session session : sessions.values()) {
-      SteadyTime heard = session.heard().plus(gap);
+      MonotonicTime heard = session.heard().plus(gap);
       session.hear(now.isBefore(heard) ? now : heard);
     }
   }
 
   /** What a machine that is not heard loses with time, and when that is to be looked at again. */
-  private boolean lookAtSilence(Session session, SteadyTime now) {
+  private boolean lookAtSilence(Session session, MonotonicTime now) {
     boolean lost = loseIfOver(session, now);
     boolean open = holder.isOpen(session);
     if (session.wasOpen() != open) {
       holder.stir(session); // by falling silent
     }
-    SteadyTime next = open ? session.heard().plus(openFor()) : session.leaseEnds(lease());
+    MonotonicTime next = open ? session.heard().plus(openFor()) : session.leaseEnds(lease());
     if (session.state() != Session.State.LOST && next.isBefore(silentAt)) {
       silentAt = next;
     }
@@ -104,8 +104,8 @@
    * have, and what runs there goes on, while the other machines may still obey this holder
    * (docs/incidents/lost-by-a-former-holder.md).
    */
-  private boolean loseIfOver(Session session, SteadyTime now) {
-    SteadyTime confirmed = context.confirmed();
+  private boolean loseIfOver(Session session, MonotonicTime now) {
+    MonotonicTime confirmed = context.confirmed();
     if (session.state() == Session.State.LOST
         || confirmed == null
         || !session.leaseIsOver(lease(), confirmed)) {
@@ -121,13 +121,13 @@
     return true;
   }
 
-  private Span openFor() {
-    return context.workers().report().times(2).plus(Span.ofSeconds(2));
+  private TimeSpan openFor() {
+    return context.workers().report().times(2).plus(TimeSpan.ofSeconds(2));
   }
 
   /** Whether it is heard and hears. */
   boolean isInTouch(Session session) {
-    return session.hearing().hears() && !context.now().since(session.heard()).isMoreThan(openFor());
+    return session.hearing().hears() && !context.now().since(session.heard()).isLongerThan(openFor());
   }
 
   /**
@@ -136,7 +136,7 @@
    * have commanded.
    */
   boolean reported(Session session, WorkerReport report, boolean beat) {
-    SteadyTime now = context.now();
+    MonotonicTime now = context.now();
     if (!beat) {
       session.hearing().commandAnswered(report.order(), now);
       return false;
@@ -163,7 +163,7 @@
    * Whether a machine has been deaf for so long that another should take its place, and the others
    * are not deaf as well.
    */
-  boolean isToBeReplaced(Session session, SteadyTime now) {
+  boolean isToBeReplaced(Session session, MonotonicTime now) {
     if (!isLastingDeaf(session, now)) {
       return false;
     }
@@ -171,7 +171,7 @@
     return deaf <= Math.max(1, sessions.size() / MACHINES_PER_DEAF);
   }
 
-  private boolean isLastingDeaf(Session session, SteadyTime now) {
-    return session.hearing().deafFor(now).isMoreThan(context.workers().lease().plus(LASTING));
+  private boolean isLastingDeaf(Session session, MonotonicTime now) {
+    return session.hearing().deafFor(now).isLongerThan(context.workers().lease().plus(LASTING));
   }
 }
--- a/src/main/java/org/quincecross/block/Placement.java
+++ b/src/main/java/org/quincecross/block/Placement.java
@@ -3,8 +3,8 @@
 import org.quincecross.model.Attempt;
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 
 /**
@@ -71,18 +71,18 @@
   private final TaskId task;
   private final Job job;
   private State state;
-  private SteadyTime since;
+  private MonotonicTime since;
   private MachineId machine;
   private Attempt attempt = Attempt.NONE;
-  private Span grace = Span.ZERO;
+  private TimeSpan grace = TimeSpan.ZERO;
   private boolean giveBack;
   private boolean told;
   private boolean running;
   private boolean countedAsRunning;
-  private SteadyTime runningSince;
+  private MonotonicTime runningSince;
   private int failures;
 
-  Placement(Observer observer, TaskId task, Job job, State state, SteadyTime now) {
+  Placement(Observer observer, TaskId task, Job job, State state, MonotonicTime now) {
     this.observer = observer;
     this.task = task;
     this.job = job;
@@ -90,7 +90,7 @@
   }
 
   /** The one place where a placement changes its state. */
-  private void enter(State next, MachineId where, SteadyTime now) {
+  private void enter(State next, MachineId where, MonotonicTime now) {
     State before = state;
     MachineId from = machine;
     state = next;
@@ -112,7 +112,7 @@
     return state;
   }
 
-  SteadyTime since() {
+  MonotonicTime since() {
     return since;
   }
 
@@ -124,7 +124,7 @@
     return attempt;
   }
 
-  Span grace() {
+  TimeSpan grace() {
     return grace;
   }
 
@@ -152,11 +152,11 @@
     return isNew;
   }
 
-  SteadyTime runningSince() {
+  MonotonicTime runningSince() {
     return runningSince;
   }
 
-  void start(MachineId where, Attempt which, SteadyTime now) {
+  void start(MachineId where, Attempt which, MonotonicTime now) {
     attempt = which;
     running = false;
     enter(State.STARTING, where, now);
@@ -165,7 +165,7 @@
   /**
    * A machine reports the task: one that this holder started, or one that the former holder did.
    */
-  void reported(MachineId where, Attempt which, boolean runs, SteadyTime now) {
+  void reported(MachineId where, Attempt which, boolean runs, MonotonicTime now) {
     attempt = which;
     boolean changed = runs != running;
     if (runs && changed) {
@@ -183,7 +183,7 @@
    * Has the task stopped; {@code back}: it then returns to the pool rather than to a queue of the
    * block.
    */
-  void stop(Span saveTime, boolean back, SteadyTime now) {
+  void stop(TimeSpan saveTime, boolean back, MonotonicTime now) {
     giveBack |= back;
     if (state == State.STOPPING) {
       if (saveTime.nanos() < grace.nanos()) {
@@ -196,18 +196,18 @@
     enter(State.STOPPING, machine, now);
   }
 
-  void completed(MachineId where, Attempt which, SteadyTime now) {
+  void completed(MachineId where, Attempt which, MonotonicTime now) {
     attempt = which;
     enter(State.COMPLETED, where, now);
   }
 
   /** The task is surely on no machine. */
-  void gone(SteadyTime now) {
+  void gone(MonotonicTime now) {
     running = false;
     enter(giveBack ? State.RELEASED : State.WAITING, null, now);
   }
 
-  void release(SteadyTime now) {
+  void release(MonotonicTime now) {
     enter(State.RELEASED, null, now);
   }
 
--- a/src/main/java/org/quincecross/block/Placements.java
+++ b/src/main/java/org/quincecross/block/Placements.java
@@ -13,7 +13,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 
 /**
@@ -74,7 +74,7 @@
     }
   }
 
-  Placement add(TaskId task, Job job, Placement.State state, SteadyTime now) {
+  Placement add(TaskId task, Job job, Placement.State state, MonotonicTime now) {
     Placement placement = new Placement(this, task, job, state, now);
     byTask.put(task, placement);
     byJob.computeIfAbsent(task.job(), id -> new LinkedHashSet<>()).add(placement);
--- a/src/main/java/org/quincecross/block/RoomElsewhere.java
+++ b/src/main/java/org/quincecross/block/RoomElsewhere.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Function;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
@@ -21,12 +21,12 @@
 public final class RoomElsewhere {
   private final Ledger ledger;
   private final PeerViews views;
-  private final Function<BlockId, List<Reserve>> reserves;
+  private final Function<ShardId, List<Reserve>> reserves;
 
   /**
    * @param reserves what a block keeps free
    */
-  public RoomElsewhere(Ledger ledger, PeerViews views, Function<BlockId, List<Reserve>> reserves) {
+  public RoomElsewhere(Ledger ledger, PeerViews views, Function<ShardId, List<Reserve>> reserves) {
     this.ledger = ledger;
     this.views = views;
     this.reserves = reserves;
@@ -36,15 +36,15 @@
    * Whether another block than {@code here} has room for a task of a job, and nothing in its queues
    * that would take it first.
    */
-  public boolean isFor(Job job, BlockId here) {
+  public boolean isFor(Job job, ShardId here) {
     BlockLease own = ledger.block(here);
     for (BlockLease block : ledger.blocks().values()) {
       // The other tasks of a job bound to one zone are most likely here.
       boolean mayGo =
           !block.id().equals(here)
               && job.allows(block.type(), block.zone(), block.spot())
-              && (!job.oneZone()
-                  || job.tasks() == 1
+              && (!job.singleZone()
+                  || job.taskCount() == 1
                   || (own != null && block.zone().equals(own.zone())));
       if (mayGo && hasRoom(job, block)) {
         return true;
@@ -74,11 +74,11 @@
         return false;
       }
       free = free.plus(machine.free());
-      fits |= job.each().fitsIn(machine.free());
+      fits |= job.taskResources().fitsIn(machine.free());
     }
     for (Reserve reserve : reserves.apply(block.id())) {
       free = reserve.keepsOut(job, type.capacity()) ? free.minus(reserve.total()) : free;
     }
-    return fits && job.each().fitsIn(free);
+    return fits && job.taskResources().fitsIn(free);
   }
 }
--- a/src/main/java/org/quincecross/block/RoomMaker.java
+++ b/src/main/java/org/quincecross/block/RoomMaker.java
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.sched.BlockScheduler;
 import org.quincecross.sched.Entry;
@@ -26,16 +26,16 @@
  */
 final class RoomMaker {
   private static final Logger LOG = LoggerFactory.getLogger(RoomMaker.class);
-  private static final Span ROOM_PATIENCE = Span.ofMillis(20);
+  private static final TimeSpan ROOM_PATIENCE = TimeSpan.ofMillis(20);
 
   /** What nobody expects by any time is stopped as soon as other work finds no room. */
-  private static final Span IDLE_PATIENCE = Span.ofSeconds(1);
+  private static final TimeSpan IDLE_PATIENCE = TimeSpan.ofSeconds(1);
 
   /**
    * Before that it is not: its floors and turns would come to nothing, and machines would do little
    * but start and save.
    */
-  private static final Span IDLE_TURN = Span.ofSeconds(20);
+  private static final TimeSpan IDLE_TURN = TimeSpan.ofSeconds(20);
 
   private final HolderContext context;
   private final BlockHolder holder;
@@ -63,13 +63,13 @@
    * Stops a task and, of a gang, all others with it: progress is saved only if all are told in
    * time.
    */
-  private void stopAll(Placement placement, boolean back, SteadyTime now) {
+  private void stopAll(Placement placement, boolean back, MonotonicTime now) {
     Job job = placement.job();
-    if (job.shape() != Shape.GANG) {
+    if (job.kind() != JobKind.GANG) {
       placement.stop(graceOf(job), back, now);
       return;
     }
-    for (int i = 0; i < job.tasks(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       Placement member = placements.get(job.id().task(i));
       if (member != null && member.isBound()) {
         member.stop(graceOf(job), back, now);
@@ -78,7 +78,7 @@
   }
 
   /** Stops work of lower priority for work that has waited a moment and fits nowhere. */
-  void makeRoom(SteadyTime now) {
+  void makeRoom(MonotonicTime now) {
     if (entries.isEmpty()) {
       return;
     }
@@ -88,12 +88,12 @@
     Map<Entry, Boolean> impatient = new TreeMap<>(Entry.ORDER);
     for (Entry entry : entries.values()) {
       Placement first = placements.get(entry.tasks().get(0));
-      SteadyTime patient = first.since().plus(patience(first.job()));
+      MonotonicTime patient = first.since().plus(patience(first.job()));
       boolean gang = entry.tasks().size() > 1;
       if (!gang && !now.isBefore(patient)) {
         impatient.put(entry, false);
-      } else if (idleWork && first.job().rank().isAbove(Rank.LOW)) {
-        SteadyTime soon = first.since().plus(IDLE_PATIENCE);
+      } else if (idleWork && first.job().priority().isHigherThan(Priority.LOW)) {
+        MonotonicTime soon = first.since().plus(IDLE_PATIENCE);
         if (now.isBefore(soon)) {
           holder.wakeBy(soon);
         } else {
@@ -121,25 +121,25 @@
   private Map<MachineId, Resources> stopping() {
     Map<MachineId, Resources> stopping = new HashMap<>();
     for (Placement placement : placements.in(Placement.State.STOPPING)) {
-      stopping.merge(placement.machine(), placement.job().each(), Resources::plus);
+      stopping.merge(placement.machine(), placement.job().taskResources(), Resources::plus);
     }
     return stopping;
   }
 
-  private List<Preemption.Running> stoppable(SteadyTime now) {
+  private List<Preemption.Running> stoppable(MonotonicTime now) {
     List<Preemption.Running> running = new ArrayList<>();
     for (Placement.State state : List.of(Placement.State.STARTING, Placement.State.ACTIVE)) {
       for (Placement placement : placements.in(state)) {
-        if (placement.job().shape() != Shape.GANG) {
+        if (placement.job().kind() != JobKind.GANG) {
           running.add(
               new Preemption.Running(
                   placement.task(),
                   placement.machine(),
-                  placement.job().rank(),
+                  placement.job().priority(),
                   context.isIdle(placement.job())
-                      && now.since(placement.since()).isMoreThan(IDLE_TURN),
-                  placement.job().each(),
-                  placement.job().saves(),
+                      && now.since(placement.since()).isLongerThan(IDLE_TURN),
+                  placement.job().taskResources(),
+                  placement.job().hasCheckpoints(),
                   placement.since()));
         }
       }
@@ -151,17 +151,17 @@
    * How long work waits before other work is stopped for it: what is queued ahead of its time may
    * well start soon.
    */
-  private static Span patience(Job job) {
-    return job.rank() == Rank.PRODUCTION
+  private static TimeSpan patience(Job job) {
+    return job.priority() == Priority.PRODUCTION
         ? ROOM_PATIENCE
-        : Span.ofSeconds(Math.max(5, 0.25 * job.estimate().seconds()));
+        : TimeSpan.ofSeconds(Math.max(5, 0.25 * job.estimate().seconds()));
   }
 
   /**
    * A machine that is about to be taken: what can save does so, and what cannot finish goes
    * elsewhere at once.
    */
-  void clearNoticed(SteadyTime now) {
+  void clearNoticed(MonotonicTime now) {
     for (Session session : sessions.values()) {
       if (!session.hasNotice()) {
         continue;
@@ -175,7 +175,7 @@
                 - (placement.isRunning() ? now.since(placement.runningSince()).seconds() : 0);
         if (left < 0
             || left > 0.6 * session.report().notice().seconds()
-            || placement.job().shape() == Shape.SERVICE) {
+            || placement.job().kind() == JobKind.SERVICE) {
           stopAll(placement, true, now);
         }
       }
@@ -187,7 +187,7 @@
    * What has room and its image on another machine of the block starts there at once, the rest goes
    * back to the pool.
    */
-  void clearLeaving(SteadyTime now) {
+  void clearLeaving(MonotonicTime now) {
     Map<MachineId, Resources> room = new LinkedHashMap<>();
     List<Placement> toMove = new ArrayList<>();
     for (Session session : sessions.values()) {
@@ -210,9 +210,9 @@
       boolean back = true;
       for (Map.Entry<MachineId, Resources> other : room.entrySet()) {
         if (back
-            && placement.job().each().fitsIn(other.getValue())
+            && placement.job().taskResources().fitsIn(other.getValue())
             && sessions.get(other.getKey()).hasImage(placement.job().image())) {
-          other.setValue(other.getValue().minus(placement.job().each()));
+          other.setValue(other.getValue().minus(placement.job().taskResources()));
           back = false;
         }
       }
@@ -221,7 +221,7 @@
   }
 
   /** How long a task that is stopped has for saving its progress. */
-  static Span graceOf(Job job) {
-    return job.saves() ? job.saveTime().plus(Span.ofSeconds(1)) : Span.ZERO;
+  static TimeSpan graceOf(Job job) {
+    return job.hasCheckpoints() ? job.checkpointCost().plus(TimeSpan.ofSeconds(1)) : TimeSpan.ZERO;
   }
 }
--- a/src/main/java/org/quincecross/block/Session.java
+++ b/src/main/java/org/quincecross/block/Session.java
@@ -11,10 +11,10 @@
 import org.quincecross.model.Attempt;
 import org.quincecross.model.Machine;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.silence.Deafness;
 import org.quincecross.silence.Freshness;
 import org.quincecross.wire.WorkerReport;
@@ -50,18 +50,18 @@
   private final Freshness freshness = new Freshness();
   private State state = State.UNFENCED;
   private WorkerReport report;
-  private SteadyTime heard;
-  private SteadyTime leaseFrom;
+  private MonotonicTime heard;
+  private MonotonicTime leaseFrom;
 
   /** The same as far as the answers to reports go of which nothing will be proven. */
-  private SteadyTime provenFrom;
+  private MonotonicTime provenFrom;
 
   /** When its present session was first shown: that has a lease of its own from before then on. */
-  private SteadyTime shownFrom;
+  private MonotonicTime shownFrom;
 
   private final Deafness hearing;
   private boolean cleared;
-  private SteadyTime directAfter;
+  private MonotonicTime directAfter;
   private boolean directRunning;
   private boolean sick;
   private boolean open;
@@ -72,7 +72,7 @@
    * known now.
    */
   Session(
-      Machine machine, Resources capacity, double cacheGb, SteadyTime now, SteadyTime leaseFrom) {
+      Machine machine, Resources capacity, double cacheGb, MonotonicTime now, MonotonicTime leaseFrom) {
     this.machine = machine;
     this.capacity = capacity;
     this.cacheGb = cacheGb;
@@ -134,7 +134,7 @@
    * itself. It has one such report under way at a time, so the answer to the one before has been
    * executed or will be dropped.
    */
-  void take(WorkerReport next, boolean beat, SteadyTime now) {
+  void take(WorkerReport next, boolean beat, MonotonicTime now) {
     if (report == null || report.session() != next.session() || state == State.LOST) {
       // A session's lease runs from when it began, which nobody has to answer: bounds from before
       // it say nothing of it, though no
@@ -158,7 +158,7 @@
    * What a message of the machine is; {@code beat}: it sent it by itself, or it is a copy of such a
    * one.
    */
-  Freshness.Verdict judge(WorkerReport next, boolean beat, SteadyTime now) {
+  Freshness.Verdict judge(WorkerReport next, boolean beat, MonotonicTime now) {
     Freshness.Shown shown = new Freshness.Shown(next.token(), next.session(), next.order());
     return beat
         ? freshness.ofReport(shown, state == State.LOST, now)
@@ -177,22 +177,22 @@
    * Whether the machine is to be asked what it has: it does not obey yet, or what came last from it
    * is doubtful.
    */
-  boolean isToBeAsked(Span reportEvery, SteadyTime now) {
+  boolean isToBeAsked(TimeSpan reportEvery, MonotonicTime now) {
     return state == State.UNFENCED || freshness.isToBeAsked(reportEvery, now);
   }
 
-  void hear(SteadyTime now) {
+  void hear(MonotonicTime now) {
     heard = now;
   }
 
-  SteadyTime heard() {
+  MonotonicTime heard() {
     return heard;
   }
 
   /** A report was answered with the block's token: the machine's lease may run from now. */
   // Equal reports of two moments prove different things: the instance is meant.
   @SuppressWarnings("ReferenceEquality")
-  void answered(WorkerReport answered, SteadyTime now) {
+  void answered(WorkerReport answered, MonotonicTime now) {
     if (leaseFrom.isBefore(now)) {
       leaseFrom = now;
     }
@@ -227,7 +227,7 @@
    * needs no other proof: the session ends by itself when the lease does, and the first report of
    * the next one frees all that the one before had.
    */
-  boolean provesNoneTaken(WorkerReport next, Token token) {
+  boolean provesNoneTaken(WorkerReport next, FencingToken token) {
     if (state == State.FENCED
         || hasBegunAnew()
         || report == null
@@ -243,17 +243,17 @@
   }
 
   /** No former holder can have answered the machine after this. */
-  void answeredByOthersUntil(SteadyTime now) {
+  void answeredByOthersUntil(MonotonicTime now) {
     leaseFrom = now.isBefore(leaseFrom) ? now : leaseFrom;
     provenFrom = now.isBefore(provenFrom) ? now : provenFrom;
   }
 
   /** When its lease is over at the latest, if it is not answered again. */
-  SteadyTime leaseEnds(Span leaseAtMost) {
+  MonotonicTime leaseEnds(TimeSpan leaseAtMost) {
     return (leaseFrom.isBefore(shownFrom) ? shownFrom : leaseFrom).plus(leaseAtMost);
   }
 
-  boolean leaseIsOver(Span leaseAtMost, SteadyTime now) {
+  boolean leaseIsOver(TimeSpan leaseAtMost, MonotonicTime now) {
     return leaseEnds(leaseAtMost).isBefore(now);
   }
 
@@ -268,7 +268,7 @@
    * #provesNoneTaken}). So the session of that time was over a lease later, and no former holder
    * knows the number of any that began since.
    */
-  boolean clearByTime(Span leaseAtMost, SteadyTime now) {
+  boolean clearByTime(TimeSpan leaseAtMost, MonotonicTime now) {
     if (cleared || !leaseFrom.plus(leaseAtMost).isBefore(now)) {
       return false;
     }
@@ -405,7 +405,7 @@
     startsInAnswer.addAll(starts);
   }
 
-  boolean canSendDirect(SteadyTime now) {
+  boolean canSendDirect(MonotonicTime now) {
     return !directRunning && !now.isBefore(directAfter);
   }
 
@@ -420,7 +420,7 @@
     startsInFlight.keySet().removeAll(starts.keySet());
   }
 
-  void directFailed(Map<Attempt, TaskId> starts, boolean mayHaveArrived, SteadyTime retryAt) {
+  void directFailed(Map<Attempt, TaskId> starts, boolean mayHaveArrived, MonotonicTime retryAt) {
     directAnswered(starts);
     freshness.unanswered();
     if (mayHaveArrived) {
--- a/src/main/java/org/quincecross/block/Withholding.java
+++ b/src/main/java/org/quincecross/block/Withholding.java
@@ -3,7 +3,7 @@
 import org.quincecross.agreed.Withheld;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.state.JobRecord;
 
@@ -45,7 +45,7 @@
   }
 
   /** Has what is kept back stopped, or given back where it is on no machine. */
-  void sync(Placement placement, SteadyTime now) {
+  void sync(Placement placement, MonotonicTime now) {
     if (!isWithheld(placement)) {
       return;
     }
--- a/src/main/java/org/quincecross/emulator/Balancer.java
+++ b/src/main/java/org/quincecross/emulator/Balancer.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.quincecross.http.HttpRequest;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.wire.JobCodec;
 
@@ -81,7 +81,7 @@
             "users",
             around.node(number),
             HttpRequest.get(JobCodec.HEALTH),
-            Span.ofSeconds(1),
+            TimeSpan.ofSeconds(1),
             outcome -> probed(number, outcome.status() == 200));
     around.clock().after(PROBE_S * (0.9 + 0.2 * around.random().nextDouble()), () -> probe(number));
   }
@@ -172,7 +172,7 @@
         };
     around
         .network()
-        .call(over.life, "users", around.node(over.node), request, Span.ofSeconds(timeoutS), once);
+        .call(over.life, "users", around.node(over.node), request, TimeSpan.ofSeconds(timeoutS), once);
     around
         .clock()
         .after(
--- a/src/main/java/org/quincecross/emulator/Bound.java
+++ b/src/main/java/org/quincecross/emulator/Bound.java
@@ -89,7 +89,7 @@
       }
       Cohort cohort = cohorts.get(cohorts.size() - 1);
       cohort.jobs++;
-      cohort.least = cohort.least.least(wanted.work());
+      cohort.least = cohort.least.min(wanted.work());
       cohort.last = Math.max(cohort.last, slice(wanted.until()));
     }
   }
@@ -140,7 +140,7 @@
       constraints.add(new LinearConstraint(all, Relationship.LEQ, cohort.jobs));
     }
     for (int s = 0; s < capacity.size(); s++) {
-      Resources has = capacity.get(s).most(Resources.NONE);
+      Resources has = capacity.get(s).max(Resources.NONE);
       double[] amounts = {has.cpus(), has.gpus(), has.memoryGb()};
       for (int r = 0; r < RESOURCES; r++) {
         if (slices[s * RESOURCES + r] != null) {
--- a/src/main/java/org/quincecross/emulator/Cloud.java
+++ b/src/main/java/org/quincecross/emulator/Cloud.java
@@ -12,8 +12,8 @@
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Limiter;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Fields;
@@ -74,8 +74,8 @@
     refreshList();
   }
 
-  private SteadyTime now() {
-    return new SteadyTime((long) (around.clock().seconds() * 1e9));
+  private MonotonicTime now() {
+    return new MonotonicTime((long) (around.clock().seconds() * 1e9));
   }
 
   /** What the list will say once its delay is over. */
@@ -251,13 +251,13 @@
         "CacheGb",
         type.cacheGb(),
         "PullGbPerS",
-        type.fetchGbPerS(),
+        type.pullGbPerSecond(),
         "Rate",
-        type.price(),
+        type.hourlyPrice(),
         "MarketPrice",
-        type.spotPrice(),
+        type.hourlySpotPrice(),
         "StartupS",
-        type.boot().seconds(),
+        type.bootTime().seconds(),
         "Yards",
         type.zones());
   }
@@ -278,7 +278,7 @@
     List<Object> names = new ArrayList<>();
     for (Site.Pool pool : around.site().pools()) {
       if (pool.type().equals(type) && pool.zone().equals(zone) && pool.spot() == spot) {
-        Span boot = around.site().type(type).boot();
+        TimeSpan boot = around.site().type(type).bootTime();
         while (names.size() < more
             && taken.getOrDefault(pool, 0) < pool.most()
             && rented.size() < around.site().mostMachines()) {
--- a/src/main/java/org/quincecross/emulator/ColdStarts.java
+++ b/src/main/java/org/quincecross/emulator/ColdStarts.java
@@ -9,7 +9,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskId;
 import org.quincecross.models.ModelKind;
 
@@ -74,7 +74,7 @@
         // The tasks of a gang go to the machines of all of them as it comes.
         boolean its =
             ((Number) place.get("replica")).intValue() == task.index()
-                || around.job(task.job()).shape() == Shape.GANG;
+                || around.job(task.job()).kind() == JobKind.GANG;
         if (its && machine.text().equals(place.get("machine"))) {
           return new Place(task, machine, ((Number) place.get("epoch")).longValue());
         }
@@ -105,7 +105,7 @@
     started.forEach(
         place -> {
           Job job = around.job(place.task().job());
-          if (place.machine().equals(machine) && job.shape() == Shape.GANG) {
+          if (place.machine().equals(machine) && job.kind() == JobKind.GANG) {
             gangs.add(job.id()); // the rest of it cannot go on, and starts again where it is
           }
         });
--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -10,7 +10,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.wire.Json;
 
 /** Something that fails on a site that is tried, and how long it takes until all is as it was. */
@@ -386,7 +386,7 @@
     Set<Job> services = new HashSet<>();
     for (JobId id : around.users().told().keySet()) {
       Job job = around.job(id);
-      if (job.shape() == Shape.SERVICE && around.rules().cancelledAt(id) == null) {
+      if (job.kind() == JobKind.SERVICE && around.rules().cancelledAt(id) == null) {
         services.add(job);
       }
     }
@@ -394,12 +394,12 @@
   }
 
   private int replicas() {
-    return services().stream().mapToInt(Job::tasks).sum();
+    return services().stream().mapToInt(Job::taskCount).sum();
   }
 
   private int replicasMissing() {
     return services().stream()
-        .mapToInt(job -> job.tasks() - around.rules().onMachines(job.id()))
+        .mapToInt(job -> job.taskCount() - around.rules().onMachines(job.id()))
         .sum();
   }
 }
--- a/src/main/java/org/quincecross/emulator/Front.java
+++ b/src/main/java/org/quincecross/emulator/Front.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.JobCodec;
 import org.quincecross.wire.Json;
@@ -15,8 +15,8 @@
  */
 final class Front implements Network.Host {
   private static final double PROBE_S = 0.5;
-  private static final Span PROBE_TIMEOUT = Span.ofSeconds(1);
-  private static final Span TIMEOUT = Span.ofSeconds(5);
+  private static final TimeSpan PROBE_TIMEOUT = TimeSpan.ofSeconds(1);
+  private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(5);
 
   private final Surroundings around;
   private final Life life = new Life();
--- a/src/main/java/org/quincecross/emulator/HoldDrill.java
+++ b/src/main/java/org/quincecross/emulator/HoldDrill.java
@@ -10,8 +10,8 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.wire.Json;
 
@@ -35,7 +35,7 @@
 
   private static final String REFERENCE = "drill";
   private static final String SERIES = "records";
-  private static final Span TIMEOUT = Span.ofSeconds(5);
+  private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(5);
   private static final double AGAIN_S = 1;
   private static final double KILL_AFTER_S = 0.03;
   private static final double BACK_AFTER_S = 3;
@@ -167,7 +167,7 @@
   private String sweeps() {
     for (JobId id : around.users().told().keySet()) {
       Job job = around.job(id);
-      if (job.shape() == Shape.ARRAY && !"done".equals(around.users().told().get(id))) {
+      if (job.kind() == JobKind.ARRAY && !"done".equals(around.users().told().get(id))) {
         return job.jobClass();
       }
     }
--- a/src/main/java/org/quincecross/emulator/IdleRoom.java
+++ b/src/main/java/org/quincecross/emulator/IdleRoom.java
@@ -10,7 +10,7 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Machine;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 
 /**
  * Once all troubles are over, no job is left waiting for 90 s while a machine that fits has room
@@ -64,16 +64,16 @@
   /** Whether what is to start next of a job could: one task, or all of a gang. */
   private boolean hasRoom(Job job, List<Worker> open) {
     int next = 0;
-    while (next < job.tasks()
+    while (next < job.taskCount()
         && (around.rules().isCompleted(job.id().task(next))
             || around.rules().isOn(job.id().task(next)))) {
       next++;
     }
-    int together = job.shape() == Shape.GANG ? job.tasks() : 1;
+    int together = job.kind() == JobKind.GANG ? job.taskCount() : 1;
     Resources left =
         around.site().teams().get(job.team()).limit().minus(around.rules().used(job.team()));
-    boolean isBegunGang = job.shape() == Shape.GANG && around.rules().onMachines(job.id()) > 0;
-    if (next == job.tasks() || isBegunGang || left.count(job.each()) < together) {
+    boolean isBegunGang = job.kind() == JobKind.GANG && around.rules().onMachines(job.id()) > 0;
+    if (next == job.taskCount() || isBegunGang || left.capacityFor(job.taskResources()) < together) {
       return false;
     }
     Map<String, Integer> places = new HashMap<>();
@@ -81,8 +81,8 @@
       Machine machine = worker.machine();
       if (job.allows(machine.type(), machine.zone(), machine.spot())) {
         places.merge(
-            job.oneZone() ? machine.zone() : "any",
-            inZone(job, machine.zone(), worker.capacity().minus(worker.used()).count(job.each())),
+            job.singleZone() ? machine.zone() : "any",
+            inZone(job, machine.zone(), worker.capacity().minus(worker.used()).capacityFor(job.taskResources())),
             Integer::sum);
       }
     }
@@ -93,12 +93,12 @@
   private int inZone(Job job, String zone, int room) {
     List<String> zones = new ArrayList<>(around.site().zones());
     zones.removeIf(each -> around.rules().onMachines(job.id(), each) == 0);
-    if (job.oneZone() && !zones.isEmpty() && !zones.contains(zone)) {
+    if (job.singleZone() && !zones.isEmpty() && !zones.contains(zone)) {
       return 0;
     }
-    return job.spread()
+    return job.spreadOverZones()
         ? Math.min(
-            room, Math.max(0, job.mostInOneZone() - around.rules().onMachines(job.id(), zone)))
+            room, Math.max(0, job.maxTasksPerZone() - around.rules().onMachines(job.id(), zone)))
         : room;
   }
 }
--- a/src/main/java/org/quincecross/emulator/JobsFile.java
+++ b/src/main/java/org/quincecross/emulator/JobsFile.java
@@ -8,10 +8,10 @@
 import java.util.stream.Collectors;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.BadMessage;
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
@@ -24,18 +24,18 @@
  * and field.
  */
 final class JobsFile {
-  private static final Map<String, Shape> SHAPES =
-      Map.of("array", Shape.ARRAY, "gang", Shape.GANG, "service", Shape.SERVICE);
-  private static final Map<String, Rank> RANKS =
+  private static final Map<String, JobKind> SHAPES =
+      Map.of("array", JobKind.ARRAY, "gang", JobKind.GANG, "service", JobKind.SERVICE);
+  private static final Map<String, Priority> RANKS =
       Map.of(
           "critical",
-          Rank.PRODUCTION,
+          Priority.PRODUCTION,
           "high",
-          Rank.HIGH,
+          Priority.HIGH,
           "standard",
-          Rank.NORMAL,
+          Priority.NORMAL,
           "idle",
-          Rank.LOW);
+          Priority.LOW);
   private static final Set<String> FIELDS =
       Set.of(
           "name",
@@ -205,7 +205,7 @@
       }
     }
     String name = in.text("name", null);
-    Shape shape = in.word("shape", SHAPES);
+    JobKind shape = in.word("shape", SHAPES);
     String team = in.text("team", null);
     if (!site.teams().containsKey(team)) {
       throw in.wrong("team", "is not one of " + site.teams().keySet());
@@ -222,7 +222,7 @@
     if (site.types().stream().noneMatch(type -> each.fitsIn(type.capacity()))) {
       throw in.wrong("cpus", "and memory_gb of a task fit no machine of this site");
     }
-    boolean runs = shape != Shape.SERVICE;
+    boolean runs = shape != JobKind.SERVICE;
     double run = runs ? in.amount("run_s", -1, 100_000) : 0;
     double every = in.amount("every_s", 0, 100_000);
     double due = in.amount("due_s", 0, 1_000_000);
@@ -253,15 +253,15 @@
                   in.flag("spot"),
                   in.text("image", name),
                   in.amount("image_gb", 0, 1000),
-                  Span.ofSeconds(run),
-                  Span.ofSeconds(in.amount("save_every_s", 0, 100_000)),
-                  Span.ofSeconds(in.amount("save_s", 0, 1000)),
-                  due == 0 ? null : Span.ofSeconds(due),
+                  TimeSpan.ofSeconds(run),
+                  TimeSpan.ofSeconds(in.amount("save_every_s", 0, 100_000)),
+                  TimeSpan.ofSeconds(in.amount("save_s", 0, 1000)),
+                  due == 0 ? null : TimeSpan.ofSeconds(due),
                   before.stream()
                       .map(those -> those.get(number % those.size()))
                       .collect(Collectors.toSet()))));
     }
-    named.put(name, named.containsKey(name) || shape == Shape.SERVICE ? List.of() : ids);
+    named.put(name, named.containsKey(name) || shape == JobKind.SERVICE ? List.of() : ids);
   }
 
   /**
--- a/src/main/java/org/quincecross/emulator/Load.java
+++ b/src/main/java/org/quincecross/emulator/Load.java
@@ -13,8 +13,8 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /**
  * The jobs that a site's classes name, submitted as they come: Poisson arrivals, log-normal sizes
@@ -123,7 +123,7 @@
   private void submit(Site.JobClass each, DiscreteSampler images) {
     Job job = draw(each, images);
     around.users().submit(job);
-    if (job.shape() == Shape.SERVICE) {
+    if (job.kind() == JobKind.SERVICE) {
       around.clock().after(each.runS() * nearOne.sample(), () -> around.users().cancel(job.id()));
     }
   }
@@ -146,7 +146,7 @@
         around.site().teams().containsKey(each.name())
             ? each.name()
             : teams[random.nextInt(teams.length)];
-    boolean varies = each.shape() != Shape.GANG;
+    boolean varies = each.shape() != JobKind.GANG;
     int tasks =
         varies
             ? (int)
@@ -166,16 +166,16 @@
         each.each(),
         null,
         null,
-        each.shape() == Shape.GANG,
+        each.shape() == JobKind.GANG,
         each.spread(),
         each.spot(),
         each.name() + "-" + image,
         each.imageGb() * (0.6 + 0.8 * image / each.images()),
-        each.shape() == Shape.SERVICE
-            ? Span.ZERO
-            : Span.ofSeconds(each.runS() * Math.min(4, nearOne.sample())),
-        Span.ofSeconds(each.saveEveryS()),
-        Span.ofSeconds(each.saveEveryS() > 0 ? 3 : 0),
-        each.dueS() > 0 ? Span.ofSeconds(each.dueS()) : null);
+        each.shape() == JobKind.SERVICE
+            ? TimeSpan.ZERO
+            : TimeSpan.ofSeconds(each.runS() * Math.min(4, nearOne.sample())),
+        TimeSpan.ofSeconds(each.saveEveryS()),
+        TimeSpan.ofSeconds(each.saveEveryS() > 0 ? 3 : 0),
+        each.dueS() > 0 ? TimeSpan.ofSeconds(each.dueS()) : null);
   }
 }
--- a/src/main/java/org/quincecross/emulator/LoopClock.java
+++ b/src/main/java/org/quincecross/emulator/LoopClock.java
@@ -1,13 +1,13 @@
 package org.quincecross.emulator;
 
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Loop;
 
 /** The time of a selector loop: stand-ins that live in it run beside its sockets, on its thread. */
 final class LoopClock implements Clock {
   private final Loop loop;
-  private final SteadyTime began;
+  private final MonotonicTime began;
 
   LoopClock(Loop loop) {
     this.loop = loop;
@@ -21,6 +21,6 @@
 
   @Override
   public void after(double seconds, Runnable action) {
-    loop.after(Span.ofSeconds(Math.max(0, seconds)), action);
+    loop.after(TimeSpan.ofSeconds(Math.max(0, seconds)), action);
   }
 }
--- a/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
+++ b/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpClient;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.HttpServer;
@@ -85,7 +85,7 @@
       String from,
       Endpoint to,
       HttpRequest request,
-      Span timeout,
+      TimeSpan timeout,
       Consumer<HttpOutcome> done) {
     clients
         .computeIfAbsent(from, name -> new HttpClient(loop))
--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -8,10 +8,10 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.rollout.Feature;
 import org.quincecross.wire.Json;
@@ -110,8 +110,8 @@
                       JOB,
                       "front",
                       "web",
-                      Shape.SERVICE,
-                      Rank.PRODUCTION,
+                      JobKind.SERVICE,
+                      Priority.PRODUCTION,
                       REPLICAS,
                       new Resources(2, 0, 4),
                       null,
@@ -121,9 +121,9 @@
                       false,
                       "weights",
                       WEIGHTS_GB,
-                      Span.ZERO,
-                      Span.ZERO,
-                      Span.ZERO,
+                      TimeSpan.ZERO,
+                      TimeSpan.ZERO,
+                      TimeSpan.ZERO,
                       null));
           enter(Phase.DEFINING);
         }
@@ -222,7 +222,7 @@
             "operators",
             around.node(node),
             HttpRequest.post("/admin/models/" + NAME + what, Json.write(body)),
-            Span.ofSeconds(2),
+            TimeSpan.ofSeconds(2),
             done);
   }
 
--- a/src/main/java/org/quincecross/emulator/Network.java
+++ b/src/main/java/org/quincecross/emulator/Network.java
@@ -4,7 +4,7 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 
 /** What carries requests between the hosts of a site: virtual, or sockets on loopback. */
@@ -46,6 +46,6 @@
       String from,
       Endpoint to,
       HttpRequest request,
-      Span timeout,
+      TimeSpan timeout,
       Consumer<HttpOutcome> done);
 }
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -8,7 +8,7 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.served.Largest;
 import org.quincecross.served.Served;
 import org.quincecross.served.ServedBooks;
@@ -186,7 +186,7 @@
     List<Bound.Wanted> wanted = new ArrayList<>();
     for (Map.Entry<JobId, Double> submitted : world.users().submittedAt().entrySet()) {
       Job job = world.job(submitted.getKey());
-      if (job.shape() == Shape.SERVICE || job.deadline() == null) {
+      if (job.kind() == JobKind.SERVICE || job.deadline() == null) {
         continue;
       }
       double runs = world.around().tasks().secondsOf(job);
@@ -195,7 +195,7 @@
               job.jobClass(),
               submitted.getValue(),
               submitted.getValue() + job.deadline().seconds(),
-              job.each().times(job.tasks() * runs)));
+              job.taskResources().times(job.taskCount() * runs)));
     }
     return new Bound(SLICE_S, capacity, wanted).leastShare();
   }
--- a/src/main/java/org/quincecross/emulator/PipelineDraws.java
+++ b/src/main/java/org/quincecross/emulator/PipelineDraws.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Draws pipelines as users have them: two to four stages of one to three jobs, each of which names
@@ -58,7 +58,7 @@
     for (int i = 0; i < stages - 1; i++) {
       List<JobId> next = new ArrayList<>();
       for (int jobs = 1 + random.nextInt(MOST_JOBS_OF_A_STAGE); jobs > 0; jobs--) {
-        Job job = job(team, i % 2 == 0 ? Rank.LOW : Rank.NORMAL, null, some(stage, before));
+        Job job = job(team, i % 2 == 0 ? Priority.LOW : Priority.NORMAL, null, some(stage, before));
         next.add(job.id());
         steps.add(new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED));
       }
@@ -67,7 +67,7 @@
     }
     steps.add(
         new Pipelines.Step(
-            job(team, Rank.HIGH, Span.ofSeconds(DUE_S), stage),
+            job(team, Priority.HIGH, TimeSpan.ofSeconds(DUE_S), stage),
             random.nextInt(LATE_ONE_IN) == 0
                 ? Pipelines.Submitted.ONCE_OVER
                 : Pipelines.Submitted.ONCE_ACCEPTED));
@@ -76,7 +76,7 @@
 
   /** A job that names another, without any pipeline. */
   Job lone(JobId named) {
-    return job(teams.get(random.nextInt(teams.size())), Rank.NORMAL, null, List.of(named));
+    return job(teams.get(random.nextInt(teams.size())), Priority.NORMAL, null, List.of(named));
   }
 
   private List<JobId> some(List<JobId> stage, List<JobId> before) {
@@ -93,8 +93,8 @@
     return some;
   }
 
-  private Job job(String team, Rank rank, Span due, List<JobId> waitsOn) {
-    Shape shape = random.nextInt(4) == 0 ? Shape.GANG : Shape.ARRAY;
+  private Job job(String team, Priority rank, TimeSpan due, List<JobId> waitsOn) {
+    JobKind shape = random.nextInt(4) == 0 ? JobKind.GANG : JobKind.ARRAY;
     boolean saves = random.nextInt(3) == 0;
     return new Job(
         new JobId("job-" + number++),
@@ -102,18 +102,18 @@
         team,
         shape,
         rank,
-        1 + random.nextInt(shape == Shape.GANG ? 2 : MOST_TASKS),
+        1 + random.nextInt(shape == JobKind.GANG ? 2 : MOST_TASKS),
         each,
         null,
         null,
         false,
         false,
-        shape == Shape.ARRAY && random.nextBoolean(),
+        shape == JobKind.ARRAY && random.nextBoolean(),
         "img-" + random.nextInt(3),
         1,
-        Span.ofSeconds(2 + random.nextInt(10)),
-        saves ? Span.ofSeconds(3) : Span.ZERO,
-        saves ? Span.ofSeconds(1) : Span.ZERO,
+        TimeSpan.ofSeconds(2 + random.nextInt(10)),
+        saves ? TimeSpan.ofSeconds(3) : TimeSpan.ZERO,
+        saves ? TimeSpan.ofSeconds(1) : TimeSpan.ZERO,
         due,
         Set.copyOf(waitsOn));
   }
--- a/src/main/java/org/quincecross/emulator/Pipelines.java
+++ b/src/main/java/org/quincecross/emulator/Pipelines.java
@@ -40,7 +40,7 @@
   /** The jobs that a job named; none where it is in no pipeline. */
   Set<JobId> waitsOn(JobId id) {
     Job job = around.job(id);
-    return job == null ? Set.of() : job.waitsOn();
+    return job == null ? Set.of() : job.dependencies();
   }
 
   /** The jobs that a job needs, directly or through others. */
@@ -98,7 +98,7 @@
 
   /** A job is submitted now, whatever has become of those that it names. */
   void submitted(Job job) {
-    job.waitsOn()
+    job.dependencies()
         .forEach(
             each -> followers.computeIfAbsent(each, named -> new LinkedHashSet<>()).add(job.id()));
     around.pipelineRules().submitted(job.id());
@@ -110,7 +110,7 @@
   private void submitHeld() {
     for (Step step : List.copyOf(held)) {
       boolean due =
-          step.job().waitsOn().stream()
+          step.job().dependencies().stream()
               .allMatch(
                   step.when() == Submitted.ONCE_OVER
                       ? this::isOver
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -16,8 +16,8 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Level;
 import org.quincecross.wire.Features;
@@ -105,7 +105,7 @@
                 Map.of("requests", Map.of("share", SHARE))));
     front =
         site.classes().stream()
-            .filter(each -> each.shape() == Shape.SERVICE)
+            .filter(each -> each.shape() == JobKind.SERVICE)
             .findFirst()
             .orElseThrow();
     MachineType type = site.types().get(0);
@@ -114,7 +114,7 @@
             Math.max(
                 1,
                 Math.round(
-                    mostShare * machines * type.capacity().count(front.each()) / TASKS_EACH));
+                    mostShare * machines * type.capacity().capacityFor(front.each()) / TASKS_EACH));
     Load load = new Load(world.around(), seed);
     world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
     world
@@ -191,7 +191,7 @@
             .max(Comparator.comparing(each -> each.limit().cpus()))
             .orElseThrow()
             .name();
-    int tasks = site.mostMachines() * site.types().get(0).capacity().count(front.each()) / GROWS_IN;
+    int tasks = site.mostMachines() * site.types().get(0).capacity().capacityFor(front.each()) / GROWS_IN;
     world
         .users()
         .submit(
@@ -199,7 +199,7 @@
                 new JobId("job-" + (FIRST_NUMBER / 2 + grown++)),
                 OTHER_FRONT,
                 team,
-                Shape.SERVICE,
+                JobKind.SERVICE,
                 front.rank(),
                 tasks,
                 front.each(),
@@ -210,9 +210,9 @@
                 false,
                 OTHER_FRONT,
                 front.imageGb(),
-                Span.ZERO,
-                Span.ZERO,
-                Span.ZERO,
+                TimeSpan.ZERO,
+                TimeSpan.ZERO,
+                TimeSpan.ZERO,
                 null));
   }
 
@@ -232,7 +232,7 @@
               new JobId("job-" + (FIRST_NUMBER + i)),
               ANSWERS,
               front.name(),
-              Shape.SERVICE,
+              JobKind.SERVICE,
               front.rank(),
               TASKS_EACH,
               front.each(),
@@ -243,9 +243,9 @@
               false,
               front.name() + "-1",
               front.imageGb(),
-              Span.ZERO,
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null);
       ofRequests.add(job.id());
       world.time().after(0.05 * i, () -> world.users().submit(job));
@@ -273,7 +273,7 @@
               Job job = world.job(entry.getKey());
               boolean started =
                   world.rules().onMachines(entry.getKey())
-                      >= (job.shape() == Shape.SERVICE ? job.tasks() : 1);
+                      >= (job.kind() == JobKind.SERVICE ? job.taskCount() : 1);
               if (started) {
                 note(entry.getValue(), entry.getKey());
               }
@@ -281,7 +281,7 @@
             });
     for (Worker worker : world.cloud().workers()) {
       MachineType type = world.site().type(worker.machine().type());
-      price += (worker.machine().spot() ? type.spotPrice() : type.price()) * LOOK_EVERY_S / 3600;
+      price += (worker.machine().spot() ? type.hourlySpotPrice() : type.hourlyPrice()) * LOOK_EVERY_S / 3600;
     }
     world.time().after(LOOK_EVERY_S, this::look);
   }
--- a/src/main/java/org/quincecross/emulator/Rules.java
+++ b/src/main/java/org/quincecross/emulator/Rules.java
@@ -11,7 +11,7 @@
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 
@@ -57,9 +57,9 @@
   /** The one place where it is counted what is where. */
   private void count(TaskId task, Machine machine, int more) {
     Job job = around.job(task.job());
-    used.merge(job.team(), job.each().times(more), Resources::plus);
-    if (job.shape() == Shape.SERVICE) {
-      standing = standing.plus(job.each().times(more));
+    used.merge(job.team(), job.taskResources().times(more), Resources::plus);
+    if (job.kind() == JobKind.SERVICE) {
+      standing = standing.plus(job.taskResources().times(more));
     }
     Map<String, Integer> ofJob = zones.computeIfAbsent(task.job(), id -> new HashMap<>());
     ofJob.merge(machine.zone(), more, Integer::sum);
@@ -89,8 +89,8 @@
     Map<String, Integer> inZones = zones.get(job.id());
     boolean misplaced =
         !job.allows(machine.type(), machine.zone(), machine.spot())
-            || (job.oneZone() && inZones.size() > 1)
-            || (job.spread() && inZones.get(machine.zone()) > job.mostInOneZone());
+            || (job.singleZone() && inZones.size() > 1)
+            || (job.spreadOverZones() && inZones.get(machine.zone()) > job.maxTasksPerZone());
     if (misplaced) {
       breaks("wrong_place", task + " on " + machine);
     }
@@ -129,7 +129,7 @@
 
   /** Whether all tasks of a job are done. */
   boolean isComplete(JobId job) {
-    return around.job(job) != null && completedTasks(job) == around.job(job).tasks();
+    return around.job(job) != null && completedTasks(job) == around.job(job).taskCount();
   }
 
   int completedTasks(JobId job) {
@@ -227,7 +227,7 @@
         breaks("went_back", id + " was not cancelled by its user");
       }
     }
-    if (state.equals("done") && done.getOrDefault(id, Set.of()).size() < around.job(id).tasks()) {
+    if (state.equals("done") && done.getOrDefault(id, Set.of()).size() < around.job(id).taskCount()) {
       breaks("not_done", id);
     }
   }
--- a/src/main/java/org/quincecross/emulator/Site.java
+++ b/src/main/java/org/quincecross/emulator/Site.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.wire.Settings;
 
@@ -34,7 +34,7 @@
     Settings.CloudLimits cloudLimits,
     Settings.Quota quota,
     List<Settings.Objective> objectives,
-    Span restart,
+    TimeSpan restart,
     boolean odd,
     List<JobClass> classes) {
 
@@ -52,8 +52,8 @@
    */
   record JobClass(
       String name,
-      Shape shape,
-      Rank rank,
+      JobKind shape,
+      Priority rank,
       int initial,
       double perMinute,
       int meanTasks,
@@ -100,18 +100,18 @@
   private static Settings.Workers workers(
       double report, double lease, double gangWait, double gangPeer, double cancel) {
     return new Settings.Workers(
-        Span.ofSeconds(report),
-        Span.ofSeconds(lease),
-        Span.ofSeconds(gangWait),
-        Span.ofSeconds(gangPeer),
-        Span.ofSeconds(cancel));
+        TimeSpan.ofSeconds(report),
+        TimeSpan.ofSeconds(lease),
+        TimeSpan.ofSeconds(gangWait),
+        TimeSpan.ofSeconds(gangPeer),
+        TimeSpan.ofSeconds(cancel));
   }
 
   /** Three controllers, two zones, one small type of machine: for days with many troubles. */
   static Site small() {
     MachineType type =
         new MachineType(
-            "m8", new Resources(8, 0, 32), 50, 1.25, 1, 0.4, Span.ofSeconds(5), List.of("a", "b"));
+            "m8", new Resources(8, 0, 32), 50, 1.25, 1, 0.4, TimeSpan.ofSeconds(5), List.of("a", "b"));
     List<Pool> pools = new ArrayList<>();
     for (String zone : type.zones()) {
       pools.add(new Pool("m8", zone, false, 4, 14));
@@ -126,10 +126,10 @@
         teams(team("red", 16, 40), team("blue", 8, 24)),
         workers(0.8, 11, 35, 8, 36),
         new Settings.StateLimits(200, 40, 4096, 8),
-        new Settings.CloudLimits(4, Span.ofSeconds(2)),
+        new Settings.CloudLimits(4, TimeSpan.ofSeconds(2)),
         new Settings.Quota(0.5, 200, 1000),
         List.of(),
-        Span.ofSeconds(4),
+        TimeSpan.ofSeconds(4),
         true,
         List.of());
   }
@@ -150,7 +150,7 @@
             0.5,
             0.7,
             0.2,
-            Span.ofSeconds(30),
+            TimeSpan.ofSeconds(30),
             List.of("east", "north", "west"));
     List<Pool> pools = new ArrayList<>();
     for (String zone : type.zones()) {
@@ -163,8 +163,8 @@
         List.of(
             new JobClass(
                 "front",
-                Shape.SERVICE,
-                Rank.PRODUCTION,
+                JobKind.SERVICE,
+                Priority.PRODUCTION,
                 (int) (200 * of),
                 24 * of,
                 4,
@@ -178,8 +178,8 @@
                 0),
             new JobClass(
                 "rebuild",
-                Shape.ARRAY,
-                Rank.NORMAL,
+                JobKind.ARRAY,
+                Priority.NORMAL,
                 (int) (40 * of),
                 36 * of,
                 50,
@@ -193,8 +193,8 @@
                 240),
             new JobClass(
                 "sweep",
-                Shape.ARRAY,
-                Rank.LOW,
+                JobKind.ARRAY,
+                Priority.LOW,
                 (int) (60 * of),
                 32 * of,
                 45,
@@ -218,12 +218,12 @@
             team("sweep", 0.3 * cpus, cpus)),
         workers(5, 24, 35, 4, 54),
         new Settings.StateLimits(250, 90, 8192, 24),
-        new Settings.CloudLimits(5, Span.ofSeconds(8)),
+        new Settings.CloudLimits(5, TimeSpan.ofSeconds(8)),
         new Settings.Quota(0.25, 360, 3000),
         List.of(
-            new Settings.Objective("wait", "front", Span.ofSeconds(5), 1, 0.85),
-            new Settings.Objective("finished", "sweep", Span.ofSeconds(180), 1, 0.93)),
-        Span.ofSeconds(8),
+            new Settings.Objective("wait", "front", TimeSpan.ofSeconds(5), 1, 0.85),
+            new Settings.Objective("finished", "sweep", TimeSpan.ofSeconds(180), 1, 0.93)),
+        TimeSpan.ofSeconds(8),
         false,
         classes);
   }
@@ -243,7 +243,7 @@
             0.5,
             0.5,
             0.2,
-            Span.ofSeconds(15),
+            TimeSpan.ofSeconds(15),
             List.of("left", "right"));
     MachineType wide =
         new MachineType(
@@ -253,7 +253,7 @@
             0.4,
             4,
             1.4,
-            Span.ofSeconds(30),
+            TimeSpan.ofSeconds(30),
             List.of("left"));
     MachineType cards =
         new MachineType(
@@ -263,7 +263,7 @@
             0.3,
             24,
             9,
-            Span.ofSeconds(50),
+            TimeSpan.ofSeconds(50),
             List.of("left", "right"));
     List<Pool> pools =
         List.of(
@@ -286,8 +286,8 @@
         List.of(
             new JobClass(
                 "intake",
-                Shape.SERVICE,
-                Rank.PRODUCTION,
+                JobKind.SERVICE,
+                Priority.PRODUCTION,
                 (int) (442 * of),
                 32 * of,
                 6,
@@ -301,8 +301,8 @@
                 0),
             new JobClass(
                 "sync",
-                Shape.ARRAY,
-                Rank.NORMAL,
+                JobKind.ARRAY,
+                Priority.NORMAL,
                 (int) (44 * of),
                 41 * of,
                 100,
@@ -316,8 +316,8 @@
                 115),
             new JobClass(
                 "train",
-                Shape.GANG,
-                Rank.NORMAL,
+                JobKind.GANG,
+                Priority.NORMAL,
                 (int) (17 * of),
                 7.7 * of,
                 1,
@@ -338,12 +338,12 @@
         teams(teams),
         workers(3, 17.5, 35, 8, 42.5),
         new Settings.StateLimits(700, 60, 4096, 8),
-        new Settings.CloudLimits(4, Span.ofSeconds(8)),
+        new Settings.CloudLimits(4, TimeSpan.ofSeconds(8)),
         new Settings.Quota(1.1, 414, 2700),
         List.of(
-            new Settings.Objective("wait", "intake", Span.ofSeconds(1), 1, 0.94),
-            new Settings.Objective("wait", "train", Span.ofSeconds(150), 1, 0.96)),
-        Span.ofSeconds(4),
+            new Settings.Objective("wait", "intake", TimeSpan.ofSeconds(1), 1, 0.94),
+            new Settings.Objective("wait", "train", TimeSpan.ofSeconds(150), 1, 0.96)),
+        TimeSpan.ofSeconds(4),
         false,
         classes);
   }
@@ -366,7 +366,7 @@
             1,
             0.5,
             0.2,
-            Span.ofSeconds(3),
+            TimeSpan.ofSeconds(3),
             List.of("east", "north", "west"));
     List<Pool> pools = new ArrayList<>();
     for (int i = 0; i < type.zones().size(); i++) {
@@ -391,10 +391,10 @@
         teams(team("web", 0.4 * cpus, 0.8 * cpus), team("batch", 0.4 * cpus, cpus)),
         workers(2, 12, 20, 4, 36),
         new Settings.StateLimits(400, 120, 8192, 24),
-        new Settings.CloudLimits(5, Span.ofSeconds(2)),
+        new Settings.CloudLimits(5, TimeSpan.ofSeconds(2)),
         new Settings.Quota(1, 360, 3000),
-        List.of(new Settings.Objective("wait", "front", Span.ofSeconds(5), 1, 0.9)),
-        Span.ofSeconds(0),
+        List.of(new Settings.Objective("wait", "front", TimeSpan.ofSeconds(5), 1, 0.9)),
+        TimeSpan.ofSeconds(0),
         false,
         List.of());
   }
@@ -464,11 +464,11 @@
       if (other != node) {
         siblings.add(
             new Settings.Sibling(
-                new MemberId(nodeName(other)), nodeZones.get(other), peers.get(other)));
+                new ControllerId(nodeName(other)), nodeZones.get(other), peers.get(other)));
       }
     }
     return new Settings(
-        new MemberId(nodeName(node)),
+        new ControllerId(nodeName(node)),
         nodeZones.get(node),
         listen.get(node),
         peers.get(node),
@@ -481,7 +481,7 @@
         workers,
         stateLimits,
         cloudLimits,
-        Span.ofSeconds(1),
+        TimeSpan.ofSeconds(1),
         quota);
   }
 }
--- a/src/main/java/org/quincecross/emulator/SmallJobs.java
+++ b/src/main/java/org/quincecross/emulator/SmallJobs.java
@@ -3,10 +3,10 @@
 import java.util.Random;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A swarm of jobs of one class, each of one short task; some are called off, at any time of their
@@ -38,8 +38,8 @@
               new JobId("job-" + (FIRST_NUMBER + i)),
               "small",
               team,
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              Priority.NORMAL,
               1,
               new Resources(1, 0, 1),
               null,
@@ -49,9 +49,9 @@
               true,
               "img-" + random.nextInt(3),
               0.5,
-              Span.ofSeconds(1 + random.nextDouble() * LONGEST_S / 2),
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ofSeconds(1 + random.nextDouble() * LONGEST_S / 2),
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null);
       double at = fromS + (i + random.nextDouble()) / aSecond;
       world.time().at(at, () -> world.users().submit(job));
--- a/src/main/java/org/quincecross/emulator/StateService.java
+++ b/src/main/java/org/quincecross/emulator/StateService.java
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Limiter;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Fields;
@@ -108,8 +108,8 @@
     return answer(400, "error", what);
   }
 
-  private SteadyTime now() {
-    return new SteadyTime((long) (clock.seconds() * 1e9));
+  private MonotonicTime now() {
+    return new MonotonicTime((long) (clock.seconds() * 1e9));
   }
 
   /** One in so many transactions is not answered and is applied seconds later; 0: none. */
--- a/src/main/java/org/quincecross/emulator/Surroundings.java
+++ b/src/main/java/org/quincecross/emulator/Surroundings.java
@@ -5,7 +5,7 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.served.ServedBooks;
 import org.quincecross.wire.Settings;
 
@@ -126,8 +126,8 @@
     return coldStarts;
   }
 
-  SteadyTime now() {
-    return new SteadyTime((long) (clock.seconds() * 1e9));
+  MonotonicTime now() {
+    return new MonotonicTime((long) (clock.seconds() * 1e9));
   }
 
   Tasks tasks() {
--- a/src/main/java/org/quincecross/emulator/Tasks.java
+++ b/src/main/java/org/quincecross/emulator/Tasks.java
@@ -65,7 +65,7 @@
     List<Worker> places = new ArrayList<>();
     double seconds = 0;
     double speed = Double.MAX_VALUE;
-    for (int i = 0; i < job.tasks(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       TaskId each = job.id().task(i);
       Worker worker = gangs.get(new Start(each, attempt));
       if (worker == null || !worker.gathers(each, attempt)) {
@@ -75,14 +75,14 @@
       seconds = Math.max(seconds, secondsLeft(each));
       speed = Math.min(speed, worker.speed());
     }
-    for (int i = 0; i < job.tasks(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       places.get(i).gangStarts(job, job.id().task(i), attempt, seconds / speed);
     }
   }
 
   /** A gang completes together: if one task is done, every one is. */
   void completeGang(Job job, long attempt) {
-    for (int i = 0; i < job.tasks(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       TaskId task = job.id().task(i);
       rules.completed(task);
       Worker worker = gangs.get(new Start(task, attempt));
@@ -93,7 +93,7 @@
   }
 
   void gangLost(Job job, long attempt) {
-    for (int i = 0; i < job.tasks(); i++) {
+    for (int i = 0; i < job.taskCount(); i++) {
       Worker worker = gangs.get(new Start(job.id().task(i), attempt));
       if (worker != null) {
         worker.gangLost(job.id().task(i), attempt);
--- a/src/main/java/org/quincecross/emulator/TrySite.java
+++ b/src/main/java/org/quincecross/emulator/TrySite.java
@@ -21,7 +21,7 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.net.Loop;
 import org.quincecross.rollout.Feature;
 import org.quincecross.rollout.Level;
@@ -360,7 +360,7 @@
   private void submit() {
     List<JobsFile.Due> later =
         jobs.stream()
-            .filter(due -> plan.drill() == Drill.Kind.ROLL && !due.job().waitsOn().isEmpty())
+            .filter(due -> plan.drill() == Drill.Kind.ROLL && !due.job().dependencies().isEmpty())
             .toList();
     if (!later.isEmpty()) {
       drill.whenAllNew(() -> later.forEach(due -> around.pipelines().submit(due.step())));
@@ -404,7 +404,7 @@
   private List<Job> openWork() {
     return jobs.stream()
         .map(JobsFile.Due::job)
-        .filter(job -> job.shape() != Shape.SERVICE && !isOver(job.id()))
+        .filter(job -> job.kind() != JobKind.SERVICE && !isOver(job.id()))
         .toList();
   }
 
@@ -413,7 +413,7 @@
         .map(JobsFile.Due::job)
         .filter(
             job ->
-                job.shape() == Shape.SERVICE
+                job.kind() == JobKind.SERVICE
                     && around.users().told().containsKey(job.id())
                     && !isOver(job.id()))
         .map(Job::id)
@@ -460,7 +460,7 @@
     List<String> unfinished = new ArrayList<>();
     for (JobsFile.Due due : jobs) {
       String told = around.users().told().get(due.job().id());
-      String wanted = due.job().shape() == Shape.SERVICE ? "cancelled" : "done";
+      String wanted = due.job().kind() == JobKind.SERVICE ? "cancelled" : "done";
       if (!wanted.equals(told)) {
         unfinished.add(
             due.job().id()
@@ -508,7 +508,7 @@
     List<JobId> dependent =
         jobs.stream()
             .map(JobsFile.Due::job)
-            .filter(job -> !job.waitsOn().isEmpty())
+            .filter(job -> !job.dependencies().isEmpty())
             .map(Job::id)
             .toList();
     all.put("dependent_jobs", dependent.size());
--- a/src/main/java/org/quincecross/emulator/Users.java
+++ b/src/main/java/org/quincecross/emulator/Users.java
@@ -12,10 +12,10 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.JobCodec;
@@ -212,8 +212,8 @@
             new JobId("job-" + number),
             "service",
             "red",
-            Shape.SERVICE,
-            Rank.PRODUCTION,
+            JobKind.SERVICE,
+            Priority.PRODUCTION,
             1,
             new Resources(1, 0, 2),
             null,
@@ -223,9 +223,9 @@
             false,
             "img-0",
             1,
-            Span.ZERO,
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null));
   }
 
@@ -236,8 +236,8 @@
             new JobId("job-" + number),
             "gang",
             "red",
-            Shape.GANG,
-            Rank.NORMAL,
+            JobKind.GANG,
+            Priority.NORMAL,
             tasks,
             new Resources(5, 0, 2),
             null,
@@ -247,9 +247,9 @@
             false,
             "img-0",
             1,
-            Span.ofSeconds(20),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(20),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null));
   }
 
@@ -260,8 +260,8 @@
             new JobId("job-" + number),
             "array",
             "red",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            Priority.NORMAL,
             tasks,
             new Resources(4, 0, 2),
             null,
@@ -271,9 +271,9 @@
             true,
             "img-0",
             1,
-            Span.ofSeconds(300),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(300),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null));
   }
 
@@ -284,8 +284,8 @@
             new JobId("job-" + number),
             "many",
             "red",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            Priority.NORMAL,
             MANY_TASKS,
             new Resources(0.25, 0, 0.5),
             null,
@@ -295,9 +295,9 @@
             true,
             "img-0",
             1,
-            Span.ofSeconds(1),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(1),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null));
   }
 
@@ -311,39 +311,39 @@
 
   /** Submits a job of any kind; some are cancelled later, services all. */
   void submit(int number) {
-    Shape shape =
-        random.nextInt(4) == 0 ? Shape.SERVICE : random.nextInt(5) == 0 ? Shape.GANG : Shape.ARRAY;
-    boolean wide = shape == Shape.GANG && random.nextInt(3) == 0;
+    JobKind shape =
+        random.nextInt(4) == 0 ? JobKind.SERVICE : random.nextInt(5) == 0 ? JobKind.GANG : JobKind.ARRAY;
+    boolean wide = shape == JobKind.GANG && random.nextInt(3) == 0;
     int tasks =
-        shape == Shape.ARRAY
+        shape == JobKind.ARRAY
             ? 1 + random.nextInt(8)
             : wide ? 2 + random.nextInt(2) : 1 + random.nextInt(2);
-    boolean spread = shape == Shape.SERVICE && random.nextBoolean();
-    boolean saves = shape != Shape.SERVICE && random.nextInt(3) == 0;
+    boolean spread = shape == JobKind.SERVICE && random.nextBoolean();
+    boolean saves = shape != JobKind.SERVICE && random.nextInt(3) == 0;
     Job job =
         new Job(
             new JobId("job-" + number),
             shape.name(),
             random.nextInt(3) == 0 && !wide ? "blue" : "red",
             shape,
-            shape == Shape.SERVICE
-                ? Rank.PRODUCTION
-                : random.nextBoolean() ? Rank.NORMAL : Rank.LOW,
+            shape == JobKind.SERVICE
+                ? Priority.PRODUCTION
+                : random.nextBoolean() ? Priority.NORMAL : Priority.LOW,
             tasks,
             new Resources(wide ? 5 : 1 + random.nextInt(3), 0, 2),
             null,
             null,
-            shape == Shape.GANG && tasks > 1,
+            shape == JobKind.GANG && tasks > 1,
             spread,
-            shape != Shape.SERVICE && random.nextBoolean(),
+            shape != JobKind.SERVICE && random.nextBoolean(),
             "img-" + random.nextInt(3),
             1,
-            Span.ofSeconds(2 + random.nextInt(15)),
-            saves ? Span.ofSeconds(3) : Span.ZERO,
-            saves ? Span.ofSeconds(0.5 + random.nextDouble()) : Span.ZERO,
+            TimeSpan.ofSeconds(2 + random.nextInt(15)),
+            saves ? TimeSpan.ofSeconds(3) : TimeSpan.ZERO,
+            saves ? TimeSpan.ofSeconds(0.5 + random.nextDouble()) : TimeSpan.ZERO,
             null);
     submit(job);
-    if (shape == Shape.SERVICE || random.nextInt(4) == 0) {
+    if (shape == JobKind.SERVICE || random.nextInt(4) == 0) {
       around.clock().after(1 + random.nextDouble() * 60, () -> cancel(job.id()));
     }
   }
@@ -464,7 +464,7 @@
               "users",
               around.node(node == ANY ? random.nextInt(around.site().nodes()) : node),
               request,
-              Span.ofSeconds(timeout),
+              TimeSpan.ofSeconds(timeout),
               answered);
     }
   }
--- a/src/main/java/org/quincecross/emulator/VirtualNet.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNet.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 
 /** A network that delays, and that holds or loses what goes over a cut. */
@@ -199,7 +199,7 @@
       String from,
       Endpoint to,
       HttpRequest request,
-      Span timeout,
+      TimeSpan timeout,
       Consumer<HttpOutcome> done) {
     boolean[] over = new boolean[1];
     Consumer<HttpOutcome> once =
--- a/src/main/java/org/quincecross/emulator/VirtualTime.java
+++ b/src/main/java/org/quincecross/emulator/VirtualTime.java
@@ -1,8 +1,8 @@
 package org.quincecross.emulator;
 
 import java.util.PriorityQueue;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 
 /** Time that passes only when something is to happen. */
@@ -55,18 +55,18 @@
   Timers timersOf(Life life, long offset, double rate, Meter meter) {
     return new Timers() {
       @Override
-      public SteadyTime now() {
-        return new SteadyTime((long) (now * rate) + offset);
+      public MonotonicTime now() {
+        return new MonotonicTime((long) (now * rate) + offset);
       }
 
       @Override
-      public void after(Span delay, Runnable action) {
+      public void after(TimeSpan delay, Runnable action) {
         VirtualTime.this.after(
             delay.seconds() / rate + STEP_S, () -> whenAwake(life, () -> meter.run(action)));
       }
 
       @Override
-      public void every(Span period, Runnable action) {
+      public void every(TimeSpan period, Runnable action) {
         VirtualTime.this.after(
             period.seconds() / rate + STEP_S,
             () ->
--- a/src/main/java/org/quincecross/emulator/Worker.java
+++ b/src/main/java/org/quincecross/emulator/Worker.java
@@ -12,8 +12,8 @@
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.wire.BadMessage;
@@ -82,7 +82,7 @@
     this.machine = machine;
     this.capacity = type.capacity();
     this.traits = traits;
-    this.images = new ImageStore(clock, type.cacheGb(), type.fetchGbPerS());
+    this.images = new ImageStore(clock, type.cacheGb(), type.pullGbPerSecond());
     this.node = firstNode;
     this.leaseFrom = clock.seconds();
     beatLater(0.1);
@@ -160,7 +160,7 @@
     lost.forEach(
         (key, task) -> {
           Job job = around.job(key.task().job());
-          if (job != null && job.shape() == Shape.GANG && task.ran && !task.isOver()) {
+          if (job != null && job.kind() == JobKind.GANG && task.ran && !task.isOver()) {
             around.tasks().gangLost(job, key.attempt());
           }
         });
@@ -270,7 +270,7 @@
             machine.id().text(),
             around.node(node),
             request,
-            Span.ofSeconds(NO_ANSWER_S),
+            TimeSpan.ofSeconds(NO_ANSWER_S),
             outcome -> {
               // An answer that does not arrive is missed only when its time is up.
               boolean lost = isDeaf() && outcome.response() != null;
@@ -416,7 +416,7 @@
 
   private void start(Key key) {
     Job job = around.job(key.task().job());
-    if (job == null || key.task().index() >= job.tasks()) {
+    if (job == null || key.task().index() >= job.taskCount()) {
       Task unknown = new Task();
       unknown.state = "exited";
       unknown.cause = "no_such";
@@ -439,7 +439,7 @@
           if (life.isAlive() && tasks.get(key) == task && task.state.equals("pulling")) {
             around.rules().on(key.task(), machine);
             beatLater(0.5);
-            if (job.shape() == Shape.GANG) {
+            if (job.kind() == JobKind.GANG) {
               gather(key, task, job);
             } else {
               run(key, task, job, around.tasks().secondsLeft(key.task()) / traits.speed());
@@ -480,12 +480,12 @@
               exit(key, task, "error");
             }
           });
-    } else if (job.shape() != Shape.SERVICE) {
+    } else if (job.kind() != JobKind.SERVICE) {
       after(
           seconds,
           () -> {
             if (tasks.get(key) == task && task.state.equals("running")) {
-              if (job.shape() == Shape.GANG) {
+              if (job.kind() == JobKind.GANG) {
                 around.tasks().completeGang(job, key.attempt());
               } else {
                 complete(key.task(), key.attempt());
@@ -510,7 +510,7 @@
   Resources used() {
     return tasks.entrySet().stream()
         .filter(each -> !each.getValue().isOver())
-        .map(each -> around.job(each.getKey().task().job()).each())
+        .map(each -> around.job(each.getKey().task().job()).taskResources())
         .reduce(Resources.NONE, Resources::plus);
   }
 
@@ -546,10 +546,10 @@
 
   private void halt(Key key, Task task, double windDown) {
     Job job = around.job(key.task().job());
-    if (task.state.equals("running") && job.saves() && windDown >= job.saveTime().seconds()) {
+    if (task.state.equals("running") && job.hasCheckpoints() && windDown >= job.checkpointCost().seconds()) {
       task.state = "saving";
       after(
-          job.saveTime().seconds(),
+          job.checkpointCost().seconds(),
           () -> {
             if (tasks.get(key) == task && task.state.equals("saving")) {
               task.saved = true;
@@ -568,7 +568,7 @@
 
   private void keepCheckpoint(TaskId id, Task task) {
     Job job = around.job(id.job());
-    double every = job == null ? 0 : job.checkpointEvery().seconds();
+    double every = job == null ? 0 : job.checkpointInterval().seconds();
     if (every > 0 && !task.isOver()) {
       around.tasks().save(id, Math.floor(progress(task) / every) * every);
     }
@@ -598,7 +598,7 @@
     around.tasks().gangTaskGone(key.task(), key.attempt());
     beatLater(0.5);
     Job job = around.job(key.task().job());
-    if (job.shape() == Shape.GANG && ran && !cause.equals("done") && !cause.equals("peers")) {
+    if (job.kind() == JobKind.GANG && ran && !cause.equals("done") && !cause.equals("peers")) {
       around.tasks().gangLost(job, key.attempt());
     }
   }
--- a/src/main/java/org/quincecross/emulator/World.java
+++ b/src/main/java/org/quincecross/emulator/World.java
@@ -22,7 +22,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.Team;
 import org.quincecross.rollout.Build;
@@ -296,7 +296,7 @@
   private PeerSender peerLinks(String name) {
     return new PeerSender() {
       @Override
-      public boolean send(MemberId peer, byte[] frame) {
+      public boolean send(ControllerId peer, byte[] frame) {
         int other = Integer.parseInt(peer.text().substring(1));
         if (refusedUntil.getOrDefault(Set.of(name, peer.text()), 0.0) > time.seconds()) {
           return false;
@@ -323,7 +323,7 @@
       }
 
       @Override
-      public void renew(MemberId peer) {
+      public void renew(ControllerId peer) {
         hanging.remove(name + " " + peer);
       }
     };
--- a/src/main/java/org/quincecross/faults/Evidence.java
+++ b/src/main/java/org/quincecross/faults/Evidence.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Tells sick machines from jobs with a mistake, by what has failed and what has run where in a
@@ -25,7 +25,7 @@
    * A task that has run for so long has started well: jobs with a mistake and sick machines fail as
    * soon as the image is there.
    */
-  public static final Span STARTED_WELL = Span.ofSeconds(5);
+  public static final TimeSpan STARTED_WELL = TimeSpan.ofSeconds(5);
 
   /** A job that has failed on so many machines and run on none is bad. */
   static final int BAD_AFTER = 3;
@@ -40,7 +40,7 @@
    * Nothing else is known of a job only when there was time to try it elsewhere, and for what else
    * began on the machine to start well: several jobs with a mistake may come to one machine first.
    */
-  static final Span KNOWN_AFTER = STARTED_WELL.plus(Span.ofSeconds(2));
+  static final TimeSpan KNOWN_AFTER = STARTED_WELL.plus(TimeSpan.ofSeconds(2));
 
   /**
    * A machine that has failed one job in so many rounds, and run nothing since: where nothing else
@@ -52,24 +52,24 @@
    * Failures of a job on a machine closer together are one round: the tasks of an array come
    * together.
    */
-  static final Span ROUND = Span.ofSeconds(1);
+  static final TimeSpan ROUND = TimeSpan.ofSeconds(1);
 
-  static final Span DECLINED = Span.ofSeconds(30);
-  static final Span LONGEST_DECLINED = Span.ofSeconds(600);
+  static final TimeSpan DECLINED = TimeSpan.ofSeconds(30);
+  static final TimeSpan LONGEST_DECLINED = TimeSpan.ofSeconds(600);
 
   /** How often a job has failed on a machine since anything ran there. */
   private static final class Failures {
     private int times;
     private int rounds;
-    private SteadyTime firstAt;
-    private SteadyTime roundAt;
-    private SteadyTime lastAt;
+    private MonotonicTime firstAt;
+    private MonotonicTime roundAt;
+    private MonotonicTime lastAt;
 
-    void add(SteadyTime now) {
+    void add(MonotonicTime now) {
       times++;
       lastAt = now;
       firstAt = firstAt == null ? now : firstAt;
-      if (roundAt == null || now.since(roundAt).isMoreThan(ROUND)) {
+      if (roundAt == null || now.since(roundAt).isLongerThan(ROUND)) {
         rounds++;
         roundAt = now;
       }
@@ -77,7 +77,7 @@
   }
 
   /** A job that is not wanted before {@code until}; {@code times}: how often that has been said. */
-  private record Declined(SteadyTime until, int times) {}
+  private record Declined(MonotonicTime until, int times) {}
 
   private final Map<MachineId, Map<JobId, Failures>> byMachine = new HashMap<>();
   private final Map<JobId, Set<MachineId>> failedOn = new HashMap<>();
@@ -92,8 +92,8 @@
    * @param ranFor how long it had run; zero where it failed as it started
    * @return the machines that are to be called sick now, and were not before
    */
-  public Set<MachineId> failed(MachineId machine, JobId job, Span ranFor, SteadyTime now) {
-    if (ranFor.isMoreThan(STARTED_WELL)) {
+  public Set<MachineId> failed(MachineId machine, JobId job, TimeSpan ranFor, MonotonicTime now) {
+    if (ranFor.isLongerThan(STARTED_WELL)) {
       started.remove(job); // to have started well says nothing of a job that fails later
     }
     failedOn.computeIfAbsent(job, id -> new HashSet<>()).add(machine);
@@ -108,7 +108,7 @@
    * A task of a job has completed on a machine: nothing that failed there before speaks against it
    * any more.
    */
-  public Set<MachineId> completed(MachineId machine, JobId job, SteadyTime now) {
+  public Set<MachineId> completed(MachineId machine, JobId job, MonotonicTime now) {
     byMachine.remove(machine);
     return completed.add(job) ? newlySick(failedOn.getOrDefault(job, Set.of()), now) : Set.of();
   }
@@ -119,7 +119,7 @@
    * a machine that has become sick lets go on what runs there.
    */
   public Set<MachineId> startedWell(
-      MachineId machine, JobId job, SteadyTime since, SteadyTime now) {
+      MachineId machine, JobId job, MonotonicTime since, MonotonicTime now) {
     Map<JobId, Failures> there = byMachine.get(machine);
     if (there != null) {
       there.values().removeIf(failures -> failures.lastAt.isBefore(since));
@@ -127,7 +127,7 @@
     return started.add(job) ? newlySick(failedOn.getOrDefault(job, Set.of()), now) : Set.of();
   }
 
-  private Set<MachineId> newlySick(Set<MachineId> machines, SteadyTime now) {
+  private Set<MachineId> newlySick(Set<MachineId> machines, MonotonicTime now) {
     Set<MachineId> found = new TreeSet<>();
     for (MachineId machine : machines) {
       if (!sick.contains(machine) && speaksAgainst(machine, now)) {
@@ -138,7 +138,7 @@
     return found;
   }
 
-  private boolean speaksAgainst(MachineId machine, SteadyTime now) {
+  private boolean speaksAgainst(MachineId machine, MonotonicTime now) {
     int proven = 0;
     int unknown = 0;
     boolean always = false;
@@ -147,7 +147,7 @@
       if (runs(failures.getKey())) {
         proven += failures.getValue().times;
       } else if (failedOn.get(failures.getKey()).size() == 1) {
-        unknown += now.since(failures.getValue().firstAt).isMoreThan(KNOWN_AFTER) ? 1 : 0;
+        unknown += now.since(failures.getValue().firstAt).isLongerThan(KNOWN_AFTER) ? 1 : 0;
         always |= failures.getValue().rounds >= ALWAYS_AT;
       }
     }
@@ -174,22 +174,22 @@
   }
 
   /** A job is not wanted here for a while: longer each time that it is said. */
-  public void decline(JobId job, SteadyTime now) {
+  public void decline(JobId job, MonotonicTime now) {
     int times = declined.containsKey(job) ? declined.get(job).times() + 1 : 1;
-    Span pause = DECLINED.times(Math.pow(2, Math.min(times, 10) - 1));
+    TimeSpan pause = DECLINED.times(Math.pow(2, Math.min(times, 10) - 1));
     declined.put(
         job,
         new Declined(
-            now.plus(pause.isMoreThan(LONGEST_DECLINED) ? LONGEST_DECLINED : pause), times));
+            now.plus(pause.isLongerThan(LONGEST_DECLINED) ? LONGEST_DECLINED : pause), times));
   }
 
-  public boolean isDeclined(JobId job, SteadyTime now) {
+  public boolean isDeclined(JobId job, MonotonicTime now) {
     Declined since = declined.get(job);
     return since != null && now.isBefore(since.until());
   }
 
   /** The jobs that are not wanted now. */
-  public Set<JobId> declined(SteadyTime now) {
+  public Set<JobId> declined(MonotonicTime now) {
     if (declined.isEmpty()) {
       return Set.of();
     }
--- a/src/main/java/org/quincecross/faults/Suspects.java
+++ b/src/main/java/org/quincecross/faults/Suspects.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * The jobs that blocks have declined one after the other: they are tried now and then, one at a
@@ -19,14 +19,14 @@
   /** Declined by so many blocks, or by all that may have it, and run nowhere. */
   static final int SUSPECT_AT = 3;
 
-  static final Span FIRST_PAUSE = Span.ofSeconds(15);
-  static final Span LONGEST_PAUSE = Span.ofSeconds(120);
+  static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(15);
+  static final TimeSpan LONGEST_PAUSE = TimeSpan.ofSeconds(120);
 
   /** What has run for so long on trial is cleared. */
-  static final Span CLEARED_AFTER = Span.ofSeconds(5);
+  static final TimeSpan CLEARED_AFTER = TimeSpan.ofSeconds(5);
 
   /** However many suspects there are, one trial begins in this time. */
-  static final Span BETWEEN_TRIALS = Span.ofSeconds(1);
+  static final TimeSpan BETWEEN_TRIALS = TimeSpan.ofSeconds(1);
 
   /** The states of a job that has been declined; a job that is not known here is none. */
   public enum State {
@@ -51,26 +51,26 @@
 
   private static final class Suspect {
     private State state = State.PAUSED;
-    private Span pause = FIRST_PAUSE;
-    private SteadyTime until;
-    private SteadyTime runningSince;
+    private TimeSpan pause = FIRST_PAUSE;
+    private MonotonicTime until;
+    private MonotonicTime runningSince;
     private int doneBefore;
   }
 
   private final Map<JobId, Suspect> suspects = new HashMap<>();
-  private SteadyTime trialAt;
+  private MonotonicTime trialAt;
 
   /** The one place where a suspect changes its state. */
   private static void enter(Suspect suspect, State next) {
     suspect.state = next;
   }
 
-  private static void pause(Suspect suspect, JobId job, SteadyTime now) {
+  private static void pause(Suspect suspect, JobId job, MonotonicTime now) {
     // Suspects that were found together are not tried together.
     double spread = 0.75 + 0.5 * Math.floorMod((job.hashCode() * 0x9E3779B1L) >> 16, 100) / 100.0;
     suspect.until = now.plus(suspect.pause.times(spread));
     suspect.pause =
-        suspect.pause.times(2).isMoreThan(LONGEST_PAUSE) ? LONGEST_PAUSE : suspect.pause.times(2);
+        suspect.pause.times(2).isLongerThan(LONGEST_PAUSE) ? LONGEST_PAUSE : suspect.pause.times(2);
     suspect.runningSince = null;
     enter(suspect, State.PAUSED);
   }
@@ -90,7 +90,7 @@
    * Takes note of a job as it is now; returns whether tasks of it may be admitted: {@link
    * Integer#MAX_VALUE} where any may.
    */
-  public int mayGo(Look look, SteadyTime now) {
+  public int mayGo(Look look, MonotonicTime now) {
     Suspect suspect = suspects.get(look.job());
     if (suspect == null) {
       boolean declined =
@@ -111,7 +111,7 @@
     }
     switch (suspect.state) {
       case PAUSED -> {
-        boolean mayBegin = trialAt == null || now.since(trialAt).isMoreThan(BETWEEN_TRIALS);
+        boolean mayBegin = trialAt == null || now.since(trialAt).isLongerThan(BETWEEN_TRIALS);
         if (!now.isBefore(suspect.until) && look.out() == 0 && mayBegin) {
           trialAt = now;
           enter(suspect, State.TO_BE_TRIED);
@@ -136,7 +136,7 @@
     }
   }
 
-  private static boolean isCleared(Suspect suspect, Look look, SteadyTime now) {
+  private static boolean isCleared(Suspect suspect, Look look, MonotonicTime now) {
     if (look.running() == 0) {
       suspect.runningSince = null;
     } else if (suspect.runningSince == null) {
@@ -144,7 +144,7 @@
     }
     return look.done() > suspect.doneBefore
         || (suspect.runningSince != null
-            && now.since(suspect.runningSince).isMoreThan(CLEARED_AFTER));
+            && now.since(suspect.runningSince).isLongerThan(CLEARED_AFTER));
   }
 
   /** Forgets jobs that are over. */
--- a/src/main/java/org/quincecross/holds/HoldBooks.java
+++ b/src/main/java/org/quincecross/holds/HoldBooks.java
@@ -200,7 +200,7 @@
 
   private void take(Tracked job, List<Claim> page) {
     for (Claim claim : page) {
-      job.mixed |= claim.tasks().common(job.claimed) > 0;
+      job.mixed |= claim.tasks().intersectionSize(job.claimed) > 0;
       job.claimed.addAll(claim.tasks());
       add(job, claim);
     }
@@ -232,7 +232,7 @@
     if (job.job != null) {
       // What is unknown is not touched: tasks of a sweep without claims may touch all of its
       // series.
-      TaskSet rest = TaskSet.below(job.job.tasks());
+      TaskSet rest = TaskSet.range(job.job.taskCount());
       rest.removeAll(job.claimed);
       List<Records> series = lanes.getOrDefault(job.job.jobClass(), List.of());
       if (!rest.isEmpty() && !series.isEmpty()) {
@@ -288,14 +288,14 @@
 
   private static int[] runs(TaskSet tasks) {
     List<Integer> runs = new ArrayList<>();
-    for (int first = tasks.next(0); first >= 0; ) {
+    for (int first = tasks.nextMember(0); first >= 0; ) {
       int last = first;
-      while (tasks.has(last + 1)) {
+      while (tasks.contains(last + 1)) {
         last++;
       }
       runs.add(first);
       runs.add(last);
-      first = tasks.next(last + 1);
+      first = tasks.nextMember(last + 1);
     }
     return runs.stream().mapToInt(Integer::intValue).toArray();
   }
--- a/src/main/java/org/quincecross/holds/Listing.java
+++ b/src/main/java/org/quincecross/holds/Listing.java
@@ -38,7 +38,7 @@
                 }
                 TaskSet first = new TaskSet();
                 while (first.textLength() < MOST - 60) {
-                  int next = rest.next(0);
+                  int next = rest.nextMember(0);
                   first.add(next);
                   rest.remove(next);
                 }
--- a/src/main/java/org/quincecross/leader/AgreedTrails.java
+++ b/src/main/java/org/quincecross/leader/AgreedTrails.java
@@ -7,8 +7,8 @@
 import org.quincecross.agreed.RecordId;
 import org.quincecross.agreed.TrailLine;
 import org.quincecross.agreed.TrailPage;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.AgreedBook;
 import org.quincecross.state.Ledger;
 import org.quincecross.wire.Json;
@@ -26,11 +26,11 @@
 
   private static final double LARGEST_SHARE = 0.5;
 
-  private static final Span MOVE_EVERY = Span.ofSeconds(5);
+  private static final TimeSpan MOVE_EVERY = TimeSpan.ofSeconds(5);
 
   private final Ledger ledger;
   private final Set<RecordId> toLookAt = new LinkedHashSet<>();
-  private SteadyTime movedAt;
+  private MonotonicTime movedAt;
 
   AgreedTrails(Ledger ledger) {
     this.ledger = ledger;
@@ -45,12 +45,12 @@
    * Whether some record may have a trail to be moved, and none has been moved for a while: however
    * much else there is to write.
    */
-  boolean isDue(SteadyTime now) {
-    return !toLookAt.isEmpty() && (movedAt == null || now.since(movedAt).isMoreThan(MOVE_EVERY));
+  boolean isDue(MonotonicTime now) {
+    return !toLookAt.isEmpty() && (movedAt == null || now.since(movedAt).isLongerThan(MOVE_EVERY));
   }
 
   /** Adds what is to be moved to a transaction that has nothing else. */
-  void plan(TxnPlan plan, SteadyTime now) {
+  void plan(TxnPlan plan, MonotonicTime now) {
     movedAt = now;
     for (AgreedBook<?, ?> book : ledger.agreed().books()) {
       if (plan.room() >= 2) {
--- a/src/main/java/org/quincecross/leader/Allocations.java
+++ b/src/main/java/org/quincecross/leader/Allocations.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.TaskSet;
@@ -43,7 +43,7 @@
   }
 
   /** Adds the write to a transaction; false if there is no room for it. */
-  boolean put(TxnPlan plan, BlockId id, Map<JobId, TaskSet> next) {
+  boolean put(TxnPlan plan, ShardId id, Map<JobId, TaskSet> next) {
     int bytes = Json.write(Allocation.write(next)).length;
     boolean isTooLarge = bytes > plan.mostValue();
     Allocation whole = ledger.wholeAllocation(id);
@@ -75,7 +75,7 @@
             (job, tasks) -> {
               JobRecord record = ledger.job(job);
               TaskSet all = with.containsKey(job) ? with.get(job).copy() : new TaskSet();
-              for (int i = tasks.next(0); i >= 0; i = tasks.next(i + 1)) {
+              for (int i = tasks.nextMember(0); i >= 0; i = tasks.nextMember(i + 1)) {
                 if (record == null || record.phase() == JobPhase.DONE || ledger.isDone(job, i)) {
                   all.add(i);
                 }
@@ -88,7 +88,7 @@
   }
 
   /** Writes it whole: at any level it can be read so. */
-  boolean putWhole(TxnPlan plan, BlockId id, Map<JobId, TaskSet> next) {
+  boolean putWhole(TxnPlan plan, ShardId id, Map<JobId, TaskSet> next) {
     String changeKey = Keys.changedAllocation(id);
     Map<String, Object> whole = Allocation.write(next);
     boolean hasChange = ledger.version(changeKey).number() != 0;
@@ -101,7 +101,7 @@
   /**
    * The records that there are of a block's tasks: whoever deletes the block deletes them with it.
    */
-  List<String> keys(BlockId id) {
+  List<String> keys(ShardId id) {
     return Stream.of(Keys.allocation(id), Keys.changedAllocation(id))
         .filter(key -> ledger.version(key).number() != 0)
         .toList();
