--- a/src/main/java/org/quincecross/leader/Books.java
+++ b/src/main/java/org/quincecross/leader/Books.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.quincecross.agreed.Withheld;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
@@ -43,18 +43,18 @@
 
   private final Ledger ledger;
   private final Withheld withheld;
-  private final Map<BlockId, Map<JobId, TaskSet>> allocated = new HashMap<>();
-  private final Map<JobId, Map<BlockId, TaskSet>> where = new HashMap<>();
+  private final Map<ShardId, Map<JobId, TaskSet>> allocated = new HashMap<>();
+  private final Map<JobId, Map<ShardId, TaskSet>> where = new HashMap<>();
   private final Map<JobId, Account> accounts = new HashMap<>();
   private final Map<JobId, JobRecord> openRecords = new HashMap<>();
   private final Map<JobRecord, Account> open =
       new TreeMap<>(Comparator.comparing(JobRecord::version).thenComparing(JobRecord::id));
-  private final Set<BlockId> leased = new HashSet<>();
+  private final Set<ShardId> leased = new HashSet<>();
   private final Set<JobId> waiting = new LinkedHashSet<>();
   private final Map<String, Use> use = new HashMap<>();
-  private final Set<BlockId> toRead = new LinkedHashSet<>();
+  private final Set<ShardId> toRead = new LinkedHashSet<>();
   private final Set<JobId> toCount = new LinkedHashSet<>();
-  private final Set<BlockId> changedBlocks = new HashSet<>();
+  private final Set<ShardId> changedBlocks = new HashSet<>();
   private long counted;
   private final List<Given> listeners = new ArrayList<>();
 
@@ -101,7 +101,7 @@
 
   /** The one place where the books change. */
   private void refresh() {
-    for (BlockId block : toRead) {
+    for (ShardId block : toRead) {
       read(block);
     }
     toRead.clear();
@@ -111,7 +111,7 @@
     toCount.clear();
   }
 
-  private void read(BlockId block) {
+  private void read(ShardId block) {
     Map<JobId, TaskSet> next = ledger.allocation(block).tasks();
     Map<JobId, TaskSet> before =
         next.isEmpty() ? allocated.remove(block) : allocated.put(block, next);
@@ -123,7 +123,7 @@
     if (before != null) {
       for (JobId job : before.keySet()) {
         if (!next.containsKey(job)) {
-          Map<BlockId, TaskSet> there = where.get(job);
+          Map<ShardId, TaskSet> there = where.get(job);
           there.remove(block);
           if (there.isEmpty()) {
             where.remove(job);
@@ -142,7 +142,7 @@
   }
 
   private void count(JobId id) {
-    Map<BlockId, TaskSet> there = where.getOrDefault(id, Map.of());
+    Map<ShardId, TaskSet> there = where.getOrDefault(id, Map.of());
     changedBlocks.addAll(there.keySet());
     JobRecord record = ledger.job(id);
     waiting.remove(id);
@@ -160,7 +160,7 @@
     Map<String, Integer> perZone = new TreeMap<>();
     there.forEach(
         (block, tasks) -> {
-          int open = tasks.size() - tasks.common(done);
+          int open = tasks.size() - tasks.intersectionSize(done);
           BlockLease lease = ledger.block(block);
           if (open > 0 && lease != null) {
             perZone.merge(lease.zone(), open, Integer::sum);
@@ -171,7 +171,7 @@
     allOut.removeAll(done);
     TaskSet pool = new TaskSet();
     if (record.phase() == JobPhase.OPEN && !ledger.pipelines().waits(id)) {
-      pool = TaskSet.below(job.tasks());
+      pool = TaskSet.range(job.taskCount());
       pool.removeAll(done);
       pool.removeAll(allOut);
       pool.removeAll(withheld.of(job));
@@ -207,7 +207,7 @@
     String team = account.job().team();
     Use sum = use.computeIfAbsent(team, name -> new Use());
     sum.jobs += sign;
-    sum.sum = sum.sum.plus(account.job().each().times(sign * account.out().size()));
+    sum.sum = sum.sum.plus(account.job().taskResources().times(sign * account.out().size()));
     if (sum.jobs == 0) {
       use.remove(team);
     } else {
@@ -224,7 +224,7 @@
     sum.sum = Resources.NONE;
     for (Account account : accounts.values()) {
       if (account.job().team().equals(team)) {
-        sum.sum = sum.sum.plus(account.job().each().times(account.out().size()));
+        sum.sum = sum.sum.plus(account.job().taskResources().times(account.out().size()));
       }
     }
   }
@@ -265,14 +265,14 @@
   }
 
   /** Goes through the jobs of a block of which some task is not done. */
-  void eachHeld(BlockId block, HeldTasks action) {
+  void eachHeld(ShardId block, HeldTasks action) {
     refresh();
     allocated
         .getOrDefault(block, Map.of())
         .forEach(
             (id, tasks) -> {
               Account account = accounts.get(id);
-              int open = account == null ? 0 : tasks.size() - tasks.common(account.done());
+              int open = account == null ? 0 : tasks.size() - tasks.intersectionSize(account.done());
               if (open > 0) {
                 action.of(account.job(), tasks, open);
               }
@@ -280,7 +280,7 @@
   }
 
   /** The tasks of a block that are not done. */
-  Map<JobId, TaskSet> held(BlockId block) {
+  Map<JobId, TaskSet> held(ShardId block) {
     refresh();
     Map<JobId, TaskSet> held = new LinkedHashMap<>();
     allocated
@@ -300,12 +300,12 @@
   }
 
   /** How many tasks a block's record names that are done. */
-  int stale(BlockId block) {
+  int stale(ShardId block) {
     refresh();
     int stale = 0;
     for (Map.Entry<JobId, TaskSet> entry : allocated.getOrDefault(block, Map.of()).entrySet()) {
       Account account = accounts.get(entry.getKey());
-      stale += account == null ? entry.getValue().size() : entry.getValue().common(account.done());
+      stale += account == null ? entry.getValue().size() : entry.getValue().intersectionSize(account.done());
     }
     return stale;
   }
@@ -328,9 +328,9 @@
   }
 
   /** The blocks of which something has changed since this was last asked. */
-  List<BlockId> takeChangedBlocks() {
+  List<ShardId> takeChangedBlocks() {
     refresh();
-    List<BlockId> taken = new ArrayList<>(changedBlocks);
+    List<ShardId> taken = new ArrayList<>(changedBlocks);
     changedBlocks.clear();
     return taken;
   }
--- a/src/main/java/org/quincecross/leader/CloudClient.java
+++ b/src/main/java/org/quincecross/leader/CloudClient.java
@@ -8,7 +8,7 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Limiter;
@@ -22,8 +22,8 @@
 /** Speaks to the cloud, within its limit of requests. */
 final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
-  private static final Span TIMEOUT = Span.ofSeconds(5);
-  private static final Span BACK_OFF = Span.ofSeconds(1.5);
+  private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(5);
+  private static final TimeSpan BACK_OFF = TimeSpan.ofSeconds(1.5);
 
   private final Timers timers;
   private final HttpCaller http;
@@ -42,7 +42,7 @@
     return limiter.take(1, timers.now());
   }
 
-  Span backOff() {
+  TimeSpan backOff() {
     return BACK_OFF;
   }
 
--- a/src/main/java/org/quincecross/leader/Demands.java
+++ b/src/main/java/org/quincecross/leader/Demands.java
@@ -8,15 +8,15 @@
 import java.util.function.LongSupplier;
 import java.util.function.ToIntFunction;
 import org.quincecross.faults.Suspects;
-import org.quincecross.model.Aim;
+import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
 import org.quincecross.overload.Beginnings;
 import org.quincecross.overload.Claim;
@@ -66,7 +66,7 @@
    * How old a job was, since it could run, when it was first looked at here, when that was, and
    * what is expected of it.
    */
-  private record Age(double seconds, SteadyTime at, Job job, List<Aim> aims) {}
+  private record Age(double seconds, MonotonicTime at, Job job, List<ServiceLevelObjective> aims) {}
 
   /**
    * @param clockMs tells the time of day
@@ -115,7 +115,7 @@
    * What may be admitted of a job that waits: all, or where blocks have declined it, what tries it
    * anew.
    */
-  private TaskSet mayGo(Books.Account account, Collection<Admission.Block> blocks, SteadyTime now) {
+  private TaskSet mayGo(Books.Account account, Collection<Admission.Block> blocks, MonotonicTime now) {
     Job job = account.job();
     int declinedBy = Admission.declines(job, blocks);
     if (declinedBy == 0 && !suspects.isSuspect(job.id())) {
@@ -131,18 +131,18 @@
                 account.out().size(),
                 running.applyAsInt(job.id())),
             now);
-    if (most >= account.pool().size() || (most > 0 && job.shape() == Shape.GANG)) {
+    if (most >= account.pool().size() || (most > 0 && job.kind() == JobKind.GANG)) {
       return account.pool();
     }
     TaskSet first = new TaskSet();
     if (most > 0) {
-      first.add(account.pool().next(0));
+      first.add(account.pool().nextMember(0));
     }
     return first;
   }
 
   /** All that waits; of a job that has its turn for some of its tasks, these first. */
-  List<JobDemand> demands(Collection<Admission.Block> blocks, SteadyTime now) {
+  List<JobDemand> demands(Collection<Admission.Block> blocks, MonotonicTime now) {
     List<JobDemand> demands = new ArrayList<>();
     List<Waiting> waiting = waiting(blocks, now);
     if (overload == null) {
@@ -155,7 +155,7 @@
     List<Claim> claims = new ArrayList<>();
     Resources room = Admission.roomForArrays(blocks);
     for (Waiting each : waiting) {
-      if (each.account.job().rank() != Rank.PRODUCTION) {
+      if (each.account.job().priority() != Priority.PRODUCTION) {
         claims.add(claim(each, room, now));
       }
     }
@@ -194,7 +194,7 @@
    * How many tasks of which jobs go before all others, because the jobs have waited too long to
    * begin.
    */
-  private Map<JobId, Integer> toBegin(List<Waiting> waiting, Resources room, SteadyTime now) {
+  private Map<JobId, Integer> toBegin(List<Waiting> waiting, Resources room, MonotonicTime now) {
     Beginnings beginnings = overload.beginnings();
     List<Beginnings.Waiting> old = new ArrayList<>();
     for (Waiting each : waiting) {
@@ -207,7 +207,7 @@
       int done = each.account.done().size();
       int given = done + each.account.out().size();
       int ran =
-          beginnings.of(job.id()) == Beginnings.State.BEGUN || given < job.tasksToBegin()
+          beginnings.of(job.id()) == Beginnings.State.BEGUN || given < job.startQuorum()
               ? given
               : done + running.applyAsInt(job.id());
       old.add(
@@ -215,11 +215,11 @@
               job.id(),
               each.record.version(),
               age,
-              job.tasksToBegin(),
+              job.startQuorum(),
               ran,
               given,
-              job.each().shareOf(room.most(job.each())),
-              job.shape() == Shape.GANG));
+              job.taskResources().dominantShareOf(room.max(job.taskResources())),
+              job.kind() == JobKind.GANG));
     }
     return beginnings.look(old, old.isEmpty() ? 0 : emptyS());
   }
@@ -233,7 +233,7 @@
     double squares = 0;
     for (Books.Account account : books.open().values()) {
       double run =
-          account.job().shape() == Shape.ARRAY && !account.out().isEmpty()
+          account.job().kind() == JobKind.ARRAY && !account.out().isEmpty()
               ? account.job().estimate().seconds()
               : 0;
       sum += account.out().size() * run;
@@ -242,7 +242,7 @@
     return sum == 0 ? 0 : EMPTIED * squares / sum;
   }
 
-  private List<Waiting> waiting(Collection<Admission.Block> blocks, SteadyTime now) {
+  private List<Waiting> waiting(Collection<Admission.Block> blocks, MonotonicTime now) {
     List<Waiting> waiting = new ArrayList<>();
     suspects.keepOnly(books.openIds());
     if (books.waiting().isEmpty()) {
@@ -260,7 +260,7 @@
               }
               boolean within =
                   guarantee.covers(
-                      account.job().each(), account.job().tasks() - account.done().size());
+                      account.job().taskResources(), account.job().taskCount() - account.done().size());
               TaskSet pool =
                   account.pool().isEmpty() ? account.pool() : mayGo(account, blocks, now);
               if (!pool.isEmpty()) {
@@ -288,20 +288,20 @@
         order);
   }
 
-  private Claim claim(Waiting each, Resources room, SteadyTime now) {
+  private Claim claim(Waiting each, Resources room, MonotonicTime now) {
     Job job = each.account.job();
     double age = steadyAge(each.record, now);
     // Where there is next to no room, a task takes at least all of it.
-    double share = job.each().shareOf(room.most(job.each()));
+    double share = job.taskResources().dominantShareOf(room.max(job.taskResources()));
     double run = Math.max(1, job.estimate().seconds());
     return new Claim(
         job.id(),
         new Claim.Group(job.team(), job.jobClass()),
-        job.rank(),
+        job.priority(),
         each.guaranteed,
         each.record.version(),
         each.pool.size(),
-        job.shape() != Shape.GANG,
+        job.kind() != JobKind.GANG,
         share * run,
         TAIL * run,
         age,
@@ -336,13 +336,13 @@
    * take to start.
    */
   private boolean isHurried(Job job) {
-    Span within = settings.startWithin(job.jobClass());
+    TimeSpan within = settings.startWithin(job.jobClass());
     double rate = 0;
     for (MachineType type : ledger.types().values()) {
-      rate = Math.max(rate, type.fetchGbPerS());
+      rate = Math.max(rate, type.pullGbPerSecond());
     }
     return within != null
-        && job.rank() == Rank.PRODUCTION
+        && job.priority() == Priority.PRODUCTION
         && job.imageGb() > rate * within.seconds();
   }
 
@@ -361,7 +361,7 @@
    */
   // A record that was read anew is another instance, and cheaper to tell apart than by its fields.
   @SuppressWarnings("ReferenceEquality")
-  private double steadyAge(JobRecord record, SteadyTime now) {
+  private double steadyAge(JobRecord record, MonotonicTime now) {
     Age age =
         ages.computeIfAbsent(
             record.id(), id -> new Age(Math.max(0, age(record)), now, record.job(), aims(record)));
@@ -372,14 +372,14 @@
     return age.seconds + now.since(age.at).seconds();
   }
 
-  private List<Aim> aims(JobRecord record) {
-    return settings.aims(record.job(), Span.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+  private List<ServiceLevelObjective> aims(JobRecord record) {
+    return settings.aims(record.job(), TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
   }
 
   private List<Goal> goals(Job job, double age) {
     List<Goal> goals = new ArrayList<>();
-    for (Aim aim : ages.get(job.id()).aims()) {
-      goals.add(new Goal(aim.within().seconds() - age, aim.of() == Aim.Of.EACH_START));
+    for (ServiceLevelObjective aim : ages.get(job.id()).aims()) {
+      goals.add(new Goal(aim.within().seconds() - age, aim.milestone() == ServiceLevelObjective.Milestone.EACH_START));
     }
     return goals;
   }
@@ -388,10 +388,10 @@
    * Seconds until a job should be over: by its deadline, a multiple of it, or what is expected of
    * its class, whichever comes first of those that it can still meet. What can meet none is late.
    */
-  private static double dueS(Job job, double age, List<Aim> aims) {
+  private static double dueS(Job job, double age, List<ServiceLevelObjective> aims) {
     double soonest = FEASIBLE * job.estimate().seconds();
     double last = NO_DEADLINE_S;
-    for (Aim aim : aims) {
+    for (ServiceLevelObjective aim : aims) {
       double left = aim.within().seconds() - age;
       if (left > soonest) {
         return left;
--- a/src/main/java/org/quincecross/leader/Fleet.java
+++ b/src/main/java/org/quincecross/leader/Fleet.java
@@ -16,8 +16,8 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerReport;
@@ -38,14 +38,14 @@
  */
 public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-  private static final Span TICK = Span.ofMillis(500);
-  private static final Span LED_LATELY = Span.ofSeconds(1);
-  private static final Span CATALOG_EVERY = Span.ofSeconds(60);
-  private static final Span LIST_EVERY = Span.ofSeconds(4);
-  private static final Span LIST_MARGIN = Span.ofSeconds(4);
-  private static final Span CONSOLIDATE_FIRST = Span.ofSeconds(60);
-  private static final Span CONSOLIDATE_EVERY = Span.ofSeconds(5);
-  private static final Span LOOK_FOR_THIN_EVERY = Span.ofSeconds(3);
+  private static final TimeSpan TICK = TimeSpan.ofMillis(500);
+  private static final TimeSpan LED_LATELY = TimeSpan.ofSeconds(1);
+  private static final TimeSpan CATALOG_EVERY = TimeSpan.ofSeconds(60);
+  private static final TimeSpan LIST_EVERY = TimeSpan.ofSeconds(4);
+  private static final TimeSpan LIST_MARGIN = TimeSpan.ofSeconds(4);
+  private static final TimeSpan CONSOLIDATE_FIRST = TimeSpan.ofSeconds(60);
+  private static final TimeSpan CONSOLIDATE_EVERY = TimeSpan.ofSeconds(5);
+  private static final TimeSpan LOOK_FOR_THIN_EVERY = TimeSpan.ofSeconds(3);
   private static final int MOST_MOVED_AT_ONCE = 3;
 
   /** Of so many machines one is emptied at a time. */
@@ -55,7 +55,7 @@
   private static final int MACHINES_PER_UNFENCED = 50;
 
   private static final double MOST_USED_TO_EMPTY = 0.55;
-  private static final Span CUT_OFF_FOR = Span.ofSeconds(60);
+  private static final TimeSpan CUT_OFF_FOR = TimeSpan.ofSeconds(60);
 
   /** Spot machines silent so many times as often as ordinary ones, or more, have been taken. */
   private static final int ORDINARY_TO_SPOT = 3;
@@ -68,7 +68,7 @@
   /** What the holders say of their machines, and which machines report to the wrong controller. */
   public record View(Map<MachineId, PeerReport.MachineState> machines, Set<MachineId> strays) {}
 
-  private record Booting(MachineKind kind, SteadyTime since) {}
+  private record Booting(MachineKind kind, MonotonicTime since) {}
 
   private final Timers timers;
   private final CloudClient cloud;
@@ -79,9 +79,9 @@
   private final Supplier<Incarnation> life;
   private final Map<String, MachineType> catalog = new TreeMap<>();
   private final Map<MachineId, CloudCodec.Listed> listed = new TreeMap<>();
-  private final Map<MachineId, SteadyTime> unlistedSince = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> unlistedSince = new HashMap<>();
   private final Map<MachineId, Booting> booting = new LinkedHashMap<>();
-  private final Map<MachineId, SteadyTime> idleSince = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> idleSince = new HashMap<>();
   private final Renting plans;
 
   /** Machines of blocks that the cloud does not have any more. */
@@ -96,12 +96,12 @@
   private List<Admission.Unmet> unmet = List.of();
   private Supplier<View> view;
   private Room room;
-  private SteadyTime catalogAfter;
-  private SteadyTime listAfter;
-  private SteadyTime rentAfter;
-  private SteadyTime ledAt;
-  private SteadyTime returnAfter;
-  private SteadyTime consolidateAfter;
+  private MonotonicTime catalogAfter;
+  private MonotonicTime listAfter;
+  private MonotonicTime rentAfter;
+  private MonotonicTime ledAt;
+  private MonotonicTime returnAfter;
+  private MonotonicTime consolidateAfter;
   private boolean leading;
   private boolean looksBack;
   private int renting;
@@ -126,7 +126,7 @@
     this.plans = new Renting(ledger, catalog);
     this.operators = operators;
     this.life = life;
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     catalogAfter = now;
     listAfter = now;
     rentAfter = now;
@@ -150,7 +150,7 @@
       wanted.clear();
       leaving.clear();
       leaving.addAll(gone);
-      rentAfter = timers.now().plus(Span.ofSeconds(1.5)); // first hear what there is
+      rentAfter = timers.now().plus(TimeSpan.ofSeconds(1.5)); // first hear what there is
       consolidateAfter = timers.now().plus(CONSOLIDATE_FIRST);
     }
     view = views;
@@ -201,11 +201,11 @@
   }
 
   private void tick() {
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     // A leader that has lost the state service may not lead any more: machines that report to it no
     // longer have new
     // holders, and returning them as silent would end all that runs on them.
-    if (!leading || view == null || now.since(ledAt).isMoreThan(LED_LATELY)) {
+    if (!leading || view == null || now.since(ledAt).isLongerThan(LED_LATELY)) {
       return;
     }
     refreshCatalog(now);
@@ -223,7 +223,7 @@
     rent(now);
   }
 
-  private void refreshCatalog(SteadyTime now) {
+  private void refreshCatalog(MonotonicTime now) {
     if (now.isBefore(catalogAfter) || !cloud.take()) {
       return;
     }
@@ -237,7 +237,7 @@
         });
   }
 
-  private void refreshList(SteadyTime now) {
+  private void refreshList(MonotonicTime now) {
     if (listing || now.isBefore(listAfter) || !cloud.take()) {
       return;
     }
@@ -245,7 +245,7 @@
     readPage(null, new TreeMap<>(), now);
   }
 
-  private void readPage(MachineId after, Map<MachineId, CloudCodec.Listed> all, SteadyTime begun) {
+  private void readPage(MachineId after, Map<MachineId, CloudCodec.Listed> all, MonotonicTime begun) {
     cloud.list(
         after,
         page -> {
@@ -267,7 +267,7 @@
           listed.clear();
           listed.putAll(all);
           noteUnlisted(begun);
-          SteadyTime now = timers.now();
+          MonotonicTime now = timers.now();
           for (CloudCodec.Listed machine : all.values()) {
             if (machine.status() == CloudCodec.Status.BOOTING
                 && ledger.blockOf(machine.machine().id()) == null
@@ -277,7 +277,7 @@
                       machine.machine().type(), machine.machine().zone(), machine.machine().spot());
               booting.computeIfAbsent(
                   machine.machine().id(),
-                  id -> new Booting(kind, new SteadyTime(now.nanos() - machine.age().nanos())));
+                  id -> new Booting(kind, new MonotonicTime(now.nanos() - machine.age().nanos())));
             }
           }
         });
@@ -288,7 +288,7 @@
    * listed until it is gone, and a list is at most twice the lag old: one that was known to be
    * there before, and is in no list asked for that much later, is gone.
    */
-  private void noteUnlisted(SteadyTime begun) {
+  private void noteUnlisted(MonotonicTime begun) {
     unlisted.clear();
     unlistedSince
         .keySet()
@@ -298,20 +298,20 @@
         if (!listed.containsKey(machine)
             && begun
                 .since(unlistedSince.computeIfAbsent(machine, id -> begun))
-                .isMoreThan(listedWithin())) {
+                .isLongerThan(listedWithin())) {
           unlisted.add(machine);
         }
       }
     }
   }
 
-  private Span listedWithin() {
+  private TimeSpan listedWithin() {
     return settings.cloudLimits().listLag().times(2).plus(LIST_MARGIN);
   }
 
   // ---- returning ----
 
-  private Set<MachineId> returnable(View current, SteadyTime now) {
+  private Set<MachineId> returnable(View current, MonotonicTime now) {
     Set<MachineId> back = new HashSet<>();
     boolean calm = isCalm(current);
     markIdle(current, calm, now);
@@ -328,7 +328,7 @@
       if (goes && (state.fenced() || state.sick()) && !state.open() && state.tasks() == 0) {
         back.add(entry.getKey());
       }
-      if (state.silent().isMoreThan(patience(entry.getKey(), cutOff))
+      if (state.silent().isLongerThan(patience(entry.getKey(), cutOff))
           && !current.strays().contains(entry.getKey())) {
         silent.add(entry.getKey());
       }
@@ -353,7 +353,7 @@
     for (MachineId machine : unlisted) {
       PeerReport.MachineState state = current.machines().get(machine);
       if (state != null
-          && state.silent().isMoreThan(spotPatience())
+          && state.silent().isLongerThan(spotPatience())
           && !current.strays().contains(machine)) {
         back.add(machine);
       }
@@ -361,7 +361,7 @@
     for (CloudCodec.Listed machine : listed.values()) {
       MachineId id = machine.machine().id();
       MachineType type = ledger.types().get(machine.machine().type());
-      double boot = type == null ? 60 : type.boot().seconds();
+      double boot = type == null ? 60 : type.bootTime().seconds();
       boolean placed = ledger.blockOf(id) != null;
       boolean stuck = !placed && machine.age().seconds() > 5 * boot + 60;
       boolean unneeded = !placed && calm && machine.age().seconds() > 2 * boot;
@@ -385,13 +385,13 @@
    * silent as well. Those are cut off: their tasks are over with their leases, and they may well
    * come back with their images. One that has died is listed as failed after a while.
    */
-  private Span patience(MachineId machine, boolean cutOff) {
+  private TimeSpan patience(MachineId machine, boolean cutOff) {
     boolean spot = ledger.blockOf(machine) != null && ledger.blockOf(machine).spot();
     return spot && !cutOff ? spotPatience() : settings.workers().lease().plus(CUT_OFF_FOR);
   }
 
-  private Span spotPatience() {
-    return settings.workers().report().times(2.5).plus(Span.ofSeconds(3));
+  private TimeSpan spotPatience() {
+    return settings.workers().report().times(2.5).plus(TimeSpan.ofSeconds(3));
   }
 
   /**
@@ -407,13 +407,13 @@
             (machine, state) -> {
               int kind = ledger.blockOf(machine) != null && ledger.blockOf(machine).spot() ? 1 : 0;
               all[kind]++;
-              unheard[kind] += state.silent().isMoreThan(spotPatience()) ? 1 : 0;
+              unheard[kind] += state.silent().isLongerThan(spotPatience()) ? 1 : 0;
             });
     return unheard[0] > 1 && ORDINARY_TO_SPOT * unheard[0] * all[1] > unheard[1] * all[0];
   }
 
   /** Marks machines that have had nothing to do for a while, as long as nothing waits for room. */
-  private void markIdle(View current, boolean calm, SteadyTime now) {
+  private void markIdle(View current, boolean calm, MonotonicTime now) {
     idleSince.keySet().retainAll(current.machines().keySet());
     for (Map.Entry<MachineId, PeerReport.MachineState> entry : current.machines().entrySet()) {
       if (!entry.getValue().fenced()
@@ -422,8 +422,8 @@
         idleSince.remove(entry.getKey());
         continue;
       }
-      SteadyTime since = idleSince.computeIfAbsent(entry.getKey(), id -> now);
-      if (now.since(since).isMoreThan(keepIdle(entry.getKey()))
+      MonotonicTime since = idleSince.computeIfAbsent(entry.getKey(), id -> now);
+      if (now.since(since).isLongerThan(keepIdle(entry.getKey()))
           && (calm || makesWay(entry.getKey(), now))
           && hasRoomElsewhere(entry.getKey(), Resources.NONE, current)) {
         want(entry.getKey());
@@ -436,7 +436,7 @@
    * Whether all that is unmet wants machines of other kinds, which the cloud refuses while it has
    * given so many of this one.
    */
-  private boolean makesWay(MachineId machine, SteadyTime now) {
+  private boolean makesWay(MachineId machine, MonotonicTime now) {
     BlockLease block = ledger.blockOf(machine);
     return block != null
         && operators.get().returning()
@@ -445,11 +445,11 @@
   }
 
   /** How long an idle machine is kept: the longer, the longer another one would take to come up. */
-  private Span keepIdle(MachineId machine) {
+  private TimeSpan keepIdle(MachineId machine) {
     BlockLease block = ledger.blockOf(machine);
     MachineType type = block == null ? null : ledger.types().get(block.type());
-    Span idle = Span.ofSeconds(operators.get().idleSeconds());
-    return type == null ? idle : idle.plus(type.boot().times(0.5));
+    TimeSpan idle = TimeSpan.ofSeconds(operators.get().idleSeconds());
+    return type == null ? idle : idle.plus(type.bootTime().times(0.5));
   }
 
   /** A kind of machine wherever it is. */
@@ -502,7 +502,7 @@
 
     private int slotsOf(PeerReport.MachineState state) {
       Resources each = foresight.urgentTask();
-      return each.cpus() > 0 ? state.free().count(each) : operators.get().spareTasks();
+      return each.cpus() > 0 ? state.free().capacityFor(each) : operators.get().spareTasks();
     }
 
     /** A machine that has just been marked counts no more. */
@@ -516,7 +516,7 @@
     void promise(String type, Resources used) {
       Resources each = foresight.urgentTask();
       free.merge(type, used.times(-1), Resources::plus);
-      slots.merge(type, each.cpus() > 0 ? -(int) Math.ceil(used.shareOf(each)) : 0, Integer::sum);
+      slots.merge(type, each.cpus() > 0 ? -(int) Math.ceil(used.dominantShareOf(each)) : 0, Integer::sum);
     }
 
     /** Whether as many whole machines stay without this one as are kept for large work. */
@@ -545,7 +545,7 @@
   /** Whether a machine takes so much longer to boot than others that nobody counts on it. */
   private boolean isLate(Booting machine) {
     MachineType type = ledger.types().get(machine.kind().type());
-    return type != null && timers.now().since(machine.since()).isMoreThan(type.boot().times(2));
+    return type != null && timers.now().since(machine.since()).isLongerThan(type.bootTime().times(2));
   }
 
   /**
@@ -564,7 +564,7 @@
       slots -= room.slotsOf(own);
       free = free.minus(own.free());
     }
-    int needed = each.cpus() > 0 ? (int) Math.ceil(tasks.shareOf(each)) : 0;
+    int needed = each.cpus() > 0 ? (int) Math.ceil(tasks.dominantShareOf(each)) : 0;
     return slots >= needed + operators.get().spareTasks() && tasks.fitsIn(free);
   }
 
@@ -573,7 +573,7 @@
    * them: a replica moves in a moment to a machine that has its image, and a machine that nobody
    * needs costs money until the day ends.
    */
-  private void consolidate(View current, SteadyTime now) {
+  private void consolidate(View current, MonotonicTime now) {
     if (now.isBefore(consolidateAfter) || !isCalm(current)) {
       return;
     }
@@ -589,7 +589,7 @@
           && state.queued() == 0
           && !wanted.contains(entry.getKey())) {
         Resources capacity = ledger.types().get(block.type()).capacity();
-        double share = capacity.minus(state.free()).shareOf(capacity);
+        double share = capacity.minus(state.free()).dominantShareOf(capacity);
         if (share <= MOST_USED_TO_EMPTY) {
           thin.put(entry.getKey(), share);
         }
@@ -644,7 +644,7 @@
     return false;
   }
 
-  private void giveBack(Set<MachineId> back, SteadyTime now) {
+  private void giveBack(Set<MachineId> back, MonotonicTime now) {
     if (back.isEmpty() || returning || now.isBefore(returnAfter) || !cloud.take()) {
       return;
     }
@@ -666,7 +666,7 @@
 
   // ---- renting ----
 
-  private void rent(SteadyTime now) {
+  private void rent(MonotonicTime now) {
     if (!operators.get().renting()
         || renting > 0
         || now.isBefore(rentAfter)
--- a/src/main/java/org/quincecross/leader/FreshViews.java
+++ b/src/main/java/org/quincecross/leader/FreshViews.java
@@ -1,7 +1,7 @@
 package org.quincecross.leader;
 
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.state.BlockLease;
@@ -9,7 +9,7 @@
 
 /** What the controllers have told lately: older word of a block is no ground for a decision. */
 final class FreshViews {
-  private static final Span REPORT_FRESH = Span.ofSeconds(2.5);
+  private static final TimeSpan REPORT_FRESH = TimeSpan.ofSeconds(2.5);
 
   private final Timers timers;
   private final Ledger ledger;
@@ -22,11 +22,11 @@
   }
 
   /** What a controller has told lately, or null. */
-  PeerViews.View of(MemberId member) {
+  PeerViews.View of(ControllerId member) {
     PeerViews.View view = views.of(member);
     return view == null
             || !ledger.members().containsKey(member)
-            || timers.now().since(view.at()).isMoreThan(REPORT_FRESH)
+            || timers.now().since(view.at()).isLongerThan(REPORT_FRESH)
         ? null
         : view;
   }
--- a/src/main/java/org/quincecross/leader/HeldRecords.java
+++ b/src/main/java/org/quincecross/leader/HeldRecords.java
@@ -27,8 +27,8 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.state.AgreedBook;
@@ -42,7 +42,7 @@
  * state service may be out then.
  */
 public final class HeldRecords implements Withheld {
-  private static final Span LOOK_EVERY = Span.ofMillis(250);
+  private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(250);
 
   /**
    * So many sweeps that are over are remembered, to be listed where they may have touched what is
@@ -50,7 +50,7 @@
    */
   private static final int MOST_LATE = 500;
 
-  private static final Span LATELY = Span.ofSeconds(600);
+  private static final TimeSpan LATELY = TimeSpan.ofSeconds(600);
   private static final int MOST_NAMED = 5;
   private static final int MOST_ROWS = 200;
 
@@ -64,7 +64,7 @@
   record Touched(
       int opening, int scope, Revision at, Map<JobId, TaskSet> out, Map<JobId, TaskSet> done) {}
 
-  private record Over(JobId job, List<Records> series, TaskSet tasks, SteadyTime at) {}
+  private record Over(JobId job, List<Records> series, TaskSet tasks, MonotonicTime at) {}
 
   private final AgreedBase base;
   private final Ledger ledger;
@@ -79,7 +79,7 @@
   private final ArrayDeque<Over> late = new ArrayDeque<>();
   private final Map<JobId, Job> sweeping = new HashMap<>();
   private long latestMs;
-  private SteadyTime latestAt;
+  private MonotonicTime latestAt;
 
   /**
    * Follows the records from now on: to be made before the first of them is read, and before
@@ -98,7 +98,7 @@
 
   /** Now; a clock that is set back while this process runs does not set free what it kept back. */
   At at() {
-    SteadyTime now = base.timers().now();
+    MonotonicTime now = base.timers().now();
     long ran = latestAt == null ? 0 : latestMs + now.since(latestAt).millis();
     latestMs = Math.max(ran, base.clockMs().getAsLong());
     latestAt = now;
@@ -217,7 +217,7 @@
     Job over = sweeping.remove(id);
     if (over != null) {
       List<Records> series = sweeps.state(over.jobClass());
-      late.add(new Over(id, series, TaskSet.below(over.tasks()), base.timers().now()));
+      late.add(new Over(id, series, TaskSet.range(over.taskCount()), base.timers().now()));
       while (late.size() > MOST_LATE) {
         late.poll();
       }
@@ -300,9 +300,9 @@
                 out.put(job, running);
               }
             });
-    SteadyTime now = base.timers().now();
+    MonotonicTime now = base.timers().now();
     for (Over each : late) {
-      if (!now.since(each.at()).isMoreThan(LATELY)
+      if (!now.since(each.at()).isLongerThan(LATELY)
           && !done.containsKey(each.job())
           && !books.isTracked(each.job())
           && each.series().stream()
@@ -315,8 +315,8 @@
 
   static TaskSet common(TaskSet one, TaskSet other) {
     TaskSet common = new TaskSet();
-    for (int i = one.next(0); i >= 0; i = one.next(i + 1)) {
-      if (other.has(i)) {
+    for (int i = one.nextMember(0); i >= 0; i = one.nextMember(i + 1)) {
+      if (other.contains(i)) {
         common.add(i);
       }
     }
--- a/src/main/java/org/quincecross/leader/HoldSteps.java
+++ b/src/main/java/org/quincecross/leader/HoldSteps.java
@@ -13,8 +13,8 @@
 import org.quincecross.holds.HoldCommand;
 import org.quincecross.holds.Listing;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.state.AgreedBook;
@@ -31,7 +31,7 @@
  */
 public final class HoldSteps {
   private static final Logger LOG = LoggerFactory.getLogger(HoldSteps.class);
-  private static final Span LOOK_EVERY = Span.ofMillis(250);
+  private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(250);
 
   /**
    * Steps that wait to be written at the same time: whoever asks from outside is to have room
@@ -40,7 +40,7 @@
   private static final int MOST_ASKED = 24;
 
   /** What is kept back is noted again no more often than this for one hold. */
-  private static final Span NOTE_EVERY = Span.ofSeconds(60);
+  private static final TimeSpan NOTE_EVERY = TimeSpan.ofSeconds(60);
 
   private final AgreedBase base;
   private final HeldRecords held;
@@ -48,7 +48,7 @@
   private final Set<String> open = new LinkedHashSet<>();
   private final Set<String> toNote = new LinkedHashSet<>();
   private final Set<String> asked = new HashSet<>();
-  private final Map<String, SteadyTime> noted = new HashMap<>();
+  private final Map<String, MonotonicTime> noted = new HashMap<>();
   private boolean wasLeading;
 
   /**
@@ -167,13 +167,13 @@
 
   private void note(String reference) {
     AgreedBook.Held<Hold> record = held.holds().get(reference);
-    SteadyTime now = base.timers().now();
-    SteadyTime before = noted.get(reference);
+    MonotonicTime now = base.timers().now();
+    MonotonicTime before = noted.get(reference);
     if (record == null || record.state().state() != Hold.State.PINNED) {
       toNote.remove(reference);
       return;
     }
-    if (before != null && !now.since(before).isMoreThan(NOTE_EVERY)) {
+    if (before != null && !now.since(before).isLongerThan(NOTE_EVERY)) {
       return;
     }
     toNote.remove(reference);
--- a/src/main/java/org/quincecross/leader/Keepers.java
+++ b/src/main/java/org/quincecross/leader/Keepers.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Team;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.sched.Admission;
@@ -36,7 +36,7 @@
   }
 
   /** Before it is planned: what should be reserved for requests. */
-  void look(SteadyTime now) {
+  void look(MonotonicTime now) {
     if (requests != null) {
       requests.look(teams.get(), now);
     }
@@ -44,7 +44,7 @@
 
   /** Admits what can be admitted; returns what machines are to be rented for. */
   List<Admission.Unmet> admit(
-      List<Admission.Block> blocks, Map<BlockId, List<Reserve>> reserves, List<JobDemand> waiting) {
+      List<Admission.Block> blocks, Map<ShardId, List<Reserve>> reserves, List<JobDemand> waiting) {
     List<Admission.Unmet> unmet =
         models == null
             ? new Admission(blocks, teams.get(), teamUse.get(), reserves).run(waiting)
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -13,17 +13,17 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
 import org.quincecross.agreed.Withheld;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
@@ -59,23 +59,23 @@
  */
 public final class Leader {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
-  private static final Span TICK = Span.ofMillis(500);
+  private static final TimeSpan TICK = TimeSpan.ofMillis(500);
 
   /** A refused or unanswered transaction is followed by another after so long. */
-  private static final Span RETRY = Span.ofMillis(100);
+  private static final TimeSpan RETRY = TimeSpan.ofMillis(100);
 
   /** Plans are at least this far apart: what comes together is planned together. */
-  private static final Span PLAN_SPACING = Span.ofMillis(40);
+  private static final TimeSpan PLAN_SPACING = TimeSpan.ofMillis(40);
 
   /**
    * The same where nothing urgent has come: each plan looks at all that waits, however little is
    * new.
    */
-  private static final Span CALM_SPACING = Span.ofMillis(120);
+  private static final TimeSpan CALM_SPACING = TimeSpan.ofMillis(120);
 
-  private static final Span MOST_GATHERING = Span.ofSeconds(2);
-  private static final Span SWEEP_EVERY = Span.ofSeconds(10);
-  private static final Span UNCONFIRMED = Span.ofSeconds(2);
+  private static final TimeSpan MOST_GATHERING = TimeSpan.ofSeconds(2);
+  private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(10);
+  private static final TimeSpan UNCONFIRMED = TimeSpan.ofSeconds(2);
   private static final int LEAST_CHANGES = 2;
 
   /** A block whose record names so many tasks that are done is worth writing anew. */
@@ -102,12 +102,12 @@
   private final PeerViews views;
   private final BooleanSupplier isWaking;
   private final Books books;
-  private final Map<BlockId, Admission.Block> admissionBlocks = new TreeMap<>();
+  private final Map<ShardId, Admission.Block> admissionBlocks = new TreeMap<>();
   private final SeenRoom seenRoom = new SeenRoom();
-  private final Set<BlockId> toLookAt = new HashSet<>();
-  private final Set<BlockId> stale = new HashSet<>();
-  private final Map<MemberId, Boolean> wasFresh = new HashMap<>();
-  private final Map<BlockId, SteadyTime> writtenAt = new HashMap<>();
+  private final Set<ShardId> toLookAt = new HashSet<>();
+  private final Set<ShardId> stale = new HashSet<>();
+  private final Map<ControllerId, Boolean> wasFresh = new HashMap<>();
+  private final Map<ShardId, MonotonicTime> writtenAt = new HashMap<>();
   private final FreshViews fresh;
   private final Leases leases;
   private final Allocations allocations;
@@ -121,9 +121,9 @@
   private State state = State.FOLLOWING;
   private boolean writing;
   private Revision awaited = Revision.NONE;
-  private SteadyTime planned;
-  private SteadyTime swept;
-  private SteadyTime stepAt;
+  private MonotonicTime planned;
+  private MonotonicTime swept;
+  private MonotonicTime stepAt;
 
   /**
    * Whether something is known that is to be written, and waits for more of its kind or for room.
@@ -228,7 +228,7 @@
       JobRecord record = ledger.job(id);
       if (record != null
           && record.phase() == JobPhase.OPEN
-          && record.job().rank() == Rank.PRODUCTION) {
+          && record.job().priority() == Priority.PRODUCTION) {
         return true;
       }
     }
@@ -298,7 +298,7 @@
                   account.pool().size()
                       - team.limit()
                           .minus(use.getOrDefault(team.name(), Resources.NONE))
-                          .count(account.job().each())));
+                          .capacityFor(account.job().taskResources())));
     }
     return heldBack;
   }
@@ -306,7 +306,7 @@
   /** How many tasks of a job run, as the holders of their blocks have told lately. */
   private int running(JobId job) {
     int running = 0;
-    for (BlockId id : ledger.blocksOf(job)) {
+    for (ShardId id : ledger.blocksOf(job)) {
       BlockLease lease = ledger.block(id);
       PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
       running += view == null ? 0 : view.running().getOrDefault(job, 0);
@@ -342,12 +342,12 @@
    * Steps a moment from now, once for all that happens until then; later where nothing urgent does.
    */
   private void soon(boolean urgent) {
-    Span spacing = urgent ? PLAN_SPACING : CALM_SPACING;
-    SteadyTime now = timers.now();
-    SteadyTime at =
+    TimeSpan spacing = urgent ? PLAN_SPACING : CALM_SPACING;
+    MonotonicTime now = timers.now();
+    MonotonicTime at =
         now.plus(
-            new Span(
-                Math.max(Span.ofMillis(10).nanos(), spacing.nanos() - now.since(planned).nanos())));
+            new TimeSpan(
+                Math.max(TimeSpan.ofMillis(10).nanos(), spacing.nanos() - now.since(planned).nanos())));
     if (stepAt == null || at.isBefore(stepAt)) {
       stepAt = at;
       timers.after(
@@ -414,7 +414,7 @@
     // A leader that alone has lost the state service can decide nothing: its plans would be
     // refused, again and
     // again, while another one leads already.
-    if (!timers.now().since(follower.confirmed()).isMoreThan(UNCONFIRMED)) {
+    if (!timers.now().since(follower.confirmed()).isLongerThan(UNCONFIRMED)) {
       lead();
     }
   }
@@ -514,7 +514,7 @@
       again();
       return;
     }
-    Set<BlockId> leased = leases.plan(plan);
+    Set<ShardId> leased = leases.plan(plan);
     // Neither results nor starts may crowd the other out of a small budget.
     resultsFirst = !resultsFirst;
     Map<JobId, TaskSet> completed = results.completions();
@@ -540,7 +540,7 @@
 
   /** Now and then, when there is nothing else to write: bundles that say nothing any more. */
   private void planSweep(TxnPlan plan) {
-    if (SWEEP_EVERY.isMoreThan(timers.now().since(swept))) {
+    if (SWEEP_EVERY.isLongerThan(timers.now().since(swept))) {
       return;
     }
     swept = timers.now();
@@ -549,7 +549,7 @@
 
   /** In the slack: rewrites what a level that is to come could not read; whether more is left. */
   private boolean planMigration(TxnPlan plan) {
-    for (BlockId id : levels.toRewrite()) {
+    for (ShardId id : levels.toRewrite()) {
       if (plan.room() < 2) {
         return true;
       }
@@ -565,11 +565,11 @@
 
   // ---- allocations ----
 
-  private void planAllocations(TxnPlan plan, Set<BlockId> leased, Map<JobId, TaskSet> completed) {
+  private void planAllocations(TxnPlan plan, Set<ShardId> leased, Map<JobId, TaskSet> completed) {
     refreshAdmissionBlocks(completed);
     keepers.look(timers.now());
     List<Admission.Block> blocks = new ArrayList<>();
-    Map<BlockId, List<Reserve>> reserves = new HashMap<>();
+    Map<ShardId, List<Reserve>> reserves = new HashMap<>();
     admissionBlocks.forEach(
         (id, block) -> {
           if (!leased.contains(id)) {
@@ -579,21 +579,21 @@
           }
         });
     fleet.unmet(keepers.admit(blocks, reserves, demands.demands(blocks, timers.now())));
-    List<BlockId> toWrite = new ArrayList<>();
-    Span gathering =
-        Span.ofSeconds(
+    List<ShardId> toWrite = new ArrayList<>();
+    TimeSpan gathering =
+        TimeSpan.ofSeconds(
             Math.min(
                 MOST_GATHERING.seconds(),
                 ledger.blocks().size() / settings.stateLimits().writesPerS()));
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     for (Admission.Block block : blocks) {
-      SteadyTime written = writtenAt.get(block.id());
-      boolean gathered = written == null || now.since(written).isMoreThan(gathering);
+      MonotonicTime written = writtenAt.get(block.id());
+      boolean gathered = written == null || now.since(written).isLongerThan(gathering);
       boolean due =
           block.admittedRank() != null
               || stale.contains(block.id())
               || !released(block.id()).isEmpty();
-      if (due && (block.admittedRank() == Rank.PRODUCTION || gathered)) {
+      if (due && (block.admittedRank() == Priority.PRODUCTION || gathered)) {
         toWrite.add(block.id());
       }
       waits |= due && !gathered;
@@ -606,10 +606,10 @@
     // to be written.
     toWrite.sort(
         Comparator.comparing(
-                (BlockId id) -> admissionBlocks.get(id).admittedRank() != Rank.PRODUCTION)
-            .thenComparing(id -> writtenAt.getOrDefault(id, SteadyTime.ZERO))
+                (ShardId id) -> admissionBlocks.get(id).admittedRank() != Priority.PRODUCTION)
+            .thenComparing(id -> writtenAt.getOrDefault(id, MonotonicTime.ZERO))
             .thenComparing(id -> id));
-    for (BlockId id : toWrite) {
+    for (ShardId id : toWrite) {
       if (plan.room() < 1) {
         break;
       }
@@ -635,13 +635,13 @@
   /** Brings the blocks of which something has changed up to date for admission. */
   private void refreshAdmissionBlocks(Map<JobId, TaskSet> completed) {
     toLookAt.addAll(books.takeChangedBlocks());
-    for (MemberId member : ledger.members().keySet()) {
+    for (ControllerId member : ledger.members().keySet()) {
       boolean isFresh = fresh.of(member) != null;
       if (!Boolean.valueOf(isFresh).equals(wasFresh.put(member, isFresh))) {
         toLookAt.addAll(ledger.blocks().keySet());
       }
     }
-    for (BlockId id : toLookAt) {
+    for (ShardId id : toLookAt) {
       BlockLease lease = ledger.block(id);
       if (lease == null) {
         admissionBlocks.remove(id);
@@ -662,7 +662,7 @@
           (job, tasks, open) -> {
             TaskSet done = completed.get(job.id());
             block.count(
-                job, open, open - (done == null ? 0 : tasks.common(done)), settings.isIdle(job));
+                job, open, open - (done == null ? 0 : tasks.intersectionSize(done)), settings.isIdle(job));
           });
       admissionBlocks.put(id, block);
       if (books.stale(id) > MOST_STALE) {
@@ -680,7 +680,7 @@
    * only the next plan may give it to another block, for this one's write may not find room in the
    * transaction.
    */
-  private List<TaskId> released(BlockId id) {
+  private List<TaskId> released(ShardId id) {
     BlockLease lease = ledger.block(id);
     PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
     return view != null && view.allocation().equals(ledger.allocation(id).version())
@@ -700,7 +700,7 @@
         }
       }
     }
-    for (MemberId member : ledger.members().keySet()) {
+    for (ControllerId member : ledger.members().keySet()) {
       PeerViews.View view = fresh.of(member);
       if (view != null) {
         strays.addAll(view.strays());
--- a/src/main/java/org/quincecross/leader/Leases.java
+++ b/src/main/java/org/quincecross/leader/Leases.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
@@ -58,7 +58,7 @@
 
   private static final double LEAST_AWAY = 2.5;
   private static final double AWAY = 0.4;
-  private static final Span REBALANCE_EVERY = Span.ofSeconds(4);
+  private static final TimeSpan REBALANCE_EVERY = TimeSpan.ofSeconds(4);
   private static final int MOST_MOVED_AT_ONCE = 3;
 
   /**
@@ -67,7 +67,7 @@
    */
   private static final int REBALANCE_GAIN = 4;
 
-  private static final Span UNHEARD = Span.ofSeconds(4);
+  private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(4);
 
   private final Timers timers;
   private final Ledger ledger;
@@ -80,7 +80,7 @@
   private final Hearing hearing = new Hearing();
   private final Moves moves = new Moves();
   private final Map<MachineId, Machine> newcomers = new LinkedHashMap<>();
-  private SteadyTime rebalanced;
+  private MonotonicTime rebalanced;
   private boolean knowsAllGone;
 
   Leases(
@@ -135,7 +135,7 @@
    * The member to lease a block to: the one with the fewest machines, and of those one in the
    * block's zone.
    */
-  private MemberRecord chooseHolder(String zone, Map<MemberId, Integer> load) {
+  private MemberRecord chooseHolder(String zone, Map<ControllerId, Integer> load) {
     MemberRecord best = null;
     for (MemberRecord member : members()) {
       if (best == null || cost(member, zone, load) < cost(best, zone, load)) {
@@ -150,7 +150,7 @@
    * where it is in another zone, a share of the average. When a zone is cut off, only a controller
    * inside can hold its machines.
    */
-  private double cost(MemberRecord member, String zone, Map<MemberId, Integer> load) {
+  private double cost(MemberRecord member, String zone, Map<ControllerId, Integer> load) {
     double average = (double) ledger.machineCount() / ledger.members().size();
     // Where nobody hears the machines, one who does not is as good as another.
     double deaf =
@@ -162,8 +162,8 @@
         + (member.zone().equals(zone) ? 0 : Math.max(LEAST_AWAY, AWAY * average));
   }
 
-  private Map<MemberId, Integer> machinesHeld() {
-    Map<MemberId, Integer> load = new HashMap<>();
+  private Map<ControllerId, Integer> machinesHeld() {
+    Map<ControllerId, Integer> load = new HashMap<>();
     for (BlockLease block : ledger.blocks().values()) {
       load.merge(block.holder(), block.machines().size(), Integer::sum);
     }
@@ -173,11 +173,11 @@
   /** Leases blocks of dead holders anew, takes machines in and out; returns the blocks changed. */
   // A changed lease is another instance.
   @SuppressWarnings("ReferenceEquality")
-  Set<BlockId> plan(TxnPlan plan) {
-    Map<BlockId, BlockLease> next = new TreeMap<>();
-    Set<BlockId> deleted = new HashSet<>();
-    Map<MemberId, Integer> load = machinesHeld();
-    Map<BlockId, Set<MachineId>> going = new HashMap<>();
+  Set<ShardId> plan(TxnPlan plan) {
+    Map<ShardId, BlockLease> next = new TreeMap<>();
+    Set<ShardId> deleted = new HashSet<>();
+    Map<ControllerId, Integer> load = machinesHeld();
+    Map<ShardId, Set<MachineId>> going = new HashMap<>();
     for (MachineId machine : fleet.leaving()) {
       BlockLease block = ledger.blockOf(machine);
       if (block != null) {
@@ -217,7 +217,7 @@
     }
     takeIn(next, deleted, load, plan.mostValue());
     next.values().removeIf(block -> !plan.put(Keys.block(block.id()), block.write()));
-    Set<BlockId> touched = new HashSet<>(next.keySet());
+    Set<ShardId> touched = new HashSet<>(next.keySet());
     touched.addAll(deleted);
     return touched;
   }
@@ -238,10 +238,10 @@
    * A holder whose machines report to another controller is cut off from them: that one gets the
    * block.
    */
-  private void rescueUnheard(Map<BlockId, BlockLease> next, Set<BlockId> deleted) {
+  private void rescueUnheard(Map<ShardId, BlockLease> next, Set<ShardId> deleted) {
     moves.obeys(moves.marked().stream().filter(this::isObedient).toList());
-    Map<BlockId, Map<MemberId, Integer>> heardBy = new HashMap<>();
-    Map<BlockId, Set<MachineId>> strays = new HashMap<>();
+    Map<ShardId, Map<ControllerId, Integer>> heardBy = new HashMap<>();
+    Map<ShardId, Set<MachineId>> strays = new HashMap<>();
     for (MemberRecord member : members()) {
       PeerViews.View view = fresh.of(member.member());
       for (MachineId machine : view == null ? Set.<MachineId>of() : view.strays()) {
@@ -267,7 +267,7 @@
           if (machines * 2 > block.machines().size()
               && !next.containsKey(id)
               && !deleted.contains(id)) {
-            MemberId member =
+            ControllerId member =
                 Collections.max(members.entrySet(), Map.Entry.comparingByValue()).getKey();
             LOG.info(
                 "block {} goes from {}, which does not hear it, to {}", id, block.holder(), member);
@@ -282,8 +282,8 @@
    * Gives controllers that did not hear the machines of a zone the smallest block there to try,
    * once their pause is over; and takes note of what becomes of trials.
    */
-  private void tryTheDeaf(Map<BlockId, BlockLease> next) {
-    SteadyTime now = timers.now();
+  private void tryTheDeaf(Map<ShardId, BlockLease> next) {
+    MonotonicTime now = timers.now();
     Map<String, BlockLease> smallest = new TreeMap<>();
     for (BlockLease block : ledger.blocks().values()) {
       PeerViews.BlockView view = fresh.of(block);
@@ -318,7 +318,7 @@
    * only a new token ends. Only while all of its machines obey that holder: then they are fenced
    * again in a moment.
    */
-  private void endDoubts(Map<BlockId, BlockLease> next, Set<BlockId> deleted) {
+  private void endDoubts(Map<ShardId, BlockLease> next, Set<ShardId> deleted) {
     if (!next.isEmpty() || !deleted.isEmpty()) {
       return;
     }
@@ -340,7 +340,7 @@
 
   private static boolean obeysItsHolder(PeerViews.BlockView view) {
     return view.machines().values().stream()
-        .allMatch(machine -> machine.fenced() && !machine.silent().isMoreThan(UNHEARD));
+        .allMatch(machine -> machine.fenced() && !machine.silent().isLongerThan(UNHEARD));
   }
 
   /** Whether a machine takes work of its holder, or is in no block any more. */
@@ -358,15 +358,15 @@
   private boolean isSilent(BlockLease block, MachineId machine) {
     PeerViews.BlockView view = fresh.of(block);
     PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
-    return state != null && state.silent().isMoreThan(UNHEARD);
+    return state != null && state.silent().isLongerThan(UNHEARD);
   }
 
   /**
    * Moves a few blocks to controllers that have much less to do, or are in the blocks' zones, now
    * and then.
    */
-  private void rebalance(Map<BlockId, BlockLease> next, Map<MemberId, Integer> load) {
-    if (REBALANCE_EVERY.isMoreThan(timers.now().since(rebalanced))) {
+  private void rebalance(Map<ShardId, BlockLease> next, Map<ControllerId, Integer> load) {
+    if (REBALANCE_EVERY.isLongerThan(timers.now().since(rebalanced))) {
       return;
     }
     rebalanced = timers.now();
@@ -413,7 +413,7 @@
     double bySize = Math.ceil(all / (BLOCKS_PER_CHANGE * settings.stateLimits().writesPerS()));
     Resources small = foresight.urgentTask();
     int tasks =
-        Math.max(1, small.cpus() > 0 ? type.capacity().count(small) : (int) type.capacity().cpus());
+        Math.max(1, small.cpus() > 0 ? type.capacity().capacityFor(small) : (int) type.capacity().cpus());
     int byRecord =
         Math.max(LEAST_BLOCK_SIZE, settings.stateLimits().valueBytes() / BYTES_PER_TASK / tasks);
     return (int)
@@ -428,11 +428,11 @@
     int most = 0;
     for (JobId id : books.waiting()) {
       Job job = books.account(id).job();
-      int each = type.capacity().count(job.each());
-      if (job.shape() == Shape.GANG
+      int each = type.capacity().capacityFor(job.taskResources());
+      if (job.kind() == JobKind.GANG
           && each > 0
-          && (job.types() == null || job.types().contains(type.name()))) {
-        most = Math.max(most, (job.tasks() + each - 1) / each);
+          && (job.machineTypes() == null || job.machineTypes().contains(type.name()))) {
+        most = Math.max(most, (job.taskCount() + each - 1) / each);
       }
     }
     return most;
@@ -445,9 +445,9 @@
   }
 
   private void takeIn(
-      Map<BlockId, BlockLease> next,
-      Set<BlockId> deleted,
-      Map<MemberId, Integer> load,
+      Map<ShardId, BlockLease> next,
+      Set<ShardId> deleted,
+      Map<ControllerId, Integer> load,
       int mostBytes) {
     newcomers
         .keySet()
@@ -455,7 +455,7 @@
     if (newcomers.isEmpty() || members().isEmpty()) {
       return;
     }
-    Map<Kind, List<BlockId>> withRoom = new HashMap<>();
+    Map<Kind, List<ShardId>> withRoom = new HashMap<>();
     ledger
         .blocks()
         .values()
@@ -472,7 +472,7 @@
       }
       int most = mostMachines(type);
       BlockLease home = null;
-      List<BlockId> homes =
+      List<ShardId> homes =
           withRoom.computeIfAbsent(
               new Kind(machine.type(), machine.zone(), machine.spot()), kind -> new ArrayList<>());
       while (home == null && !homes.isEmpty()) {
@@ -489,7 +489,7 @@
         load.merge(home.holder(), 1, Integer::sum);
       } else {
         MemberRecord holder = chooseHolder(machine.zone(), load);
-        BlockLease made = BlockLease.first(new BlockId("b-" + machine.id()), holder, machine);
+        BlockLease made = BlockLease.first(new ShardId("b-" + machine.id()), holder, machine);
         load.merge(holder.member(), 1, Integer::sum);
         next.put(made.id(), made);
         homes.add(made.id());
--- a/src/main/java/org/quincecross/leader/LevelSwitch.java
+++ b/src/main/java/org/quincecross/leader/LevelSwitch.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.BlockId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.rollout.Feature;
 import org.quincecross.rollout.Level;
 import org.quincecross.rollout.Rollout;
@@ -33,14 +33,14 @@
  */
 public final class LevelSwitch {
   private static final Logger LOG = LoggerFactory.getLogger(LevelSwitch.class);
-  private static final Span LOOK_EVERY = Span.ofSeconds(1);
+  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
 
   private final Ledger ledger;
   private final Settings settings;
   private final Membership membership;
   private final Rollout rollout = new Rollout();
   private Rollout.Decision decision = new Rollout.Decision(Rollout.State.SETTLED, null, "");
-  private SteadyTime looked;
+  private MonotonicTime looked;
 
   LevelSwitch(Ledger ledger, Settings settings, Membership membership) {
     this.ledger = ledger;
@@ -57,8 +57,8 @@
    * Looks, now and then, whether another level should be in force; if so, {@link #guards} and
    * {@link #changes} put it there.
    */
-  boolean look(SteadyTime now) {
-    if (looked != null && LOOK_EVERY.isMoreThan(now.since(looked))) {
+  boolean look(MonotonicTime now) {
+    if (looked != null && LOOK_EVERY.isLongerThan(now.since(looked))) {
       return false;
     }
     looked = now;
@@ -75,11 +75,11 @@
 
   private Rollout.Site site() {
     OperatorSettings operators = ledger.operatorSettingsOrDefaults();
-    Set<MemberId> expected = new HashSet<>();
+    Set<ControllerId> expected = new HashSet<>();
     expected.add(settings.member());
     settings.siblings().forEach(sibling -> expected.add(sibling.member()));
     expected.removeIf(member -> operators.gone().contains(member.text()));
-    Map<MemberId, Rollout.Alive> alive = new HashMap<>();
+    Map<ControllerId, Rollout.Alive> alive = new HashMap<>();
     ledger
         .members()
         .values()
@@ -106,7 +106,7 @@
   }
 
   /** The blocks whose records the level that is to come could not read. */
-  List<BlockId> toRewrite() {
+  List<ShardId> toRewrite() {
     return isLowering() ? List.copyOf(ledger.changedAllocations()) : List.of();
   }
 
@@ -114,7 +114,7 @@
     List<Guard> guards = new ArrayList<>();
     guards.add(new Guard(ledger.leaderKey(), ledger.version(ledger.leaderKey())));
     guards.add(new Guard(Keys.LEVEL, ledger.level().version()));
-    Set<MemberId> members = new HashSet<>(ledger.members().keySet());
+    Set<ControllerId> members = new HashSet<>(ledger.members().keySet());
     members.add(settings.member());
     settings.siblings().forEach(sibling -> members.add(sibling.member()));
     members.forEach(
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
 import org.quincecross.models.Model;
@@ -66,7 +66,7 @@
    */
   List<Admission.Unmet> admit(
       Collection<Admission.Block> blocks,
-      Map<BlockId, List<Reserve>> reserves,
+      Map<ShardId, List<Reserve>> reserves,
       List<JobDemand> demands) {
     Map<String, Team> limits = teams.get();
     Map<String, Resources> use = new HashMap<>(books.teamUse());
@@ -74,12 +74,12 @@
     List<JobDemand> placed = new ArrayList<>();
     demands.forEach(each -> (records.nameOf(each.job().id()) == null ? others : placed).add(each));
     placed.stream()
-        .filter(each -> each.job().rank() == Rank.PRODUCTION)
+        .filter(each -> each.job().priority() == Priority.PRODUCTION)
         .forEach(each -> admit(each, blocks, limits, use, reserves));
     List<Admission.Unmet> all =
         new ArrayList<>(new Admission(blocks, limits, use, reserves).run(others));
     List<JobDemand> last =
-        placed.stream().filter(each -> each.job().rank() != Rank.PRODUCTION).toList();
+        placed.stream().filter(each -> each.job().priority() != Priority.PRODUCTION).toList();
     if (!last.isEmpty()) {
       addAdmitted(blocks, use);
       last.forEach(each -> admit(each, blocks, limits, use, reserves));
@@ -96,7 +96,7 @@
                     (id, tasks) -> {
                       if (records.nameOf(id) == null) {
                         Job job = ledger.job(id).job();
-                        use.merge(job.team(), job.each().times(tasks.size()), Resources::plus);
+                        use.merge(job.team(), job.taskResources().times(tasks.size()), Resources::plus);
                       }
                     }));
   }
@@ -106,15 +106,15 @@
       Collection<Admission.Block> blocks,
       Map<String, Team> limits,
       Map<String, Resources> use,
-      Map<BlockId, List<Reserve>> reserves) {
+      Map<ShardId, List<Reserve>> reserves) {
     Job job = demand.job();
     Model model = records.of(job.id());
-    Map<BlockId, TaskSet> pools = new TreeMap<>();
-    for (int index = demand.pool().next(0); index >= 0; index = demand.pool().next(index + 1)) {
+    Map<ShardId, TaskSet> pools = new TreeMap<>();
+    for (int index = demand.pool().nextMember(0); index >= 0; index = demand.pool().nextMember(index + 1)) {
       Model.Place place = model.places().get(index);
       BlockLease lease = place == null ? null : ledger.blockOf(place.machine());
       if (lease != null
-          && (job.shape() == Shape.GANG || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
+          && (job.kind() == JobKind.GANG || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
         pools.computeIfAbsent(lease.id(), id -> new TaskSet()).add(index);
       }
     }
@@ -135,7 +135,7 @@
                         demand.perZone(),
                         Admission.Place.TURN,
                         demand.order())));
-        use.merge(job.team(), job.each().times(count(block, job.id()) - before), Resources::plus);
+        use.merge(job.team(), job.taskResources().times(count(block, job.id()) - before), Resources::plus);
       }
     }
   }
--- a/src/main/java/org/quincecross/leader/ModelKeeper.java
+++ b/src/main/java/org/quincecross/leader/ModelKeeper.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.Team;
 import org.quincecross.models.DemandSum;
@@ -52,15 +52,15 @@
  */
 final class ModelKeeper {
   private static final Logger LOG = LoggerFactory.getLogger(ModelKeeper.class);
-  private static final Span LOOK_EVERY = Span.ofMillis(200);
-  private static final Span FRESH = Span.ofSeconds(2.5);
+  private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(200);
+  private static final TimeSpan FRESH = TimeSpan.ofSeconds(2.5);
   private static final int MOST_ASKED = 8;
 
   /** Models that find no room wait for so long for machines to be rented before others give way. */
-  private static final Span YIELD_AFTER = Span.ofSeconds(20);
+  private static final TimeSpan YIELD_AFTER = TimeSpan.ofSeconds(20);
 
   /** By then what a machine is given is in what its holder says of it. */
-  private static final Span SEEN_AFTER = Span.ofSeconds(3);
+  private static final TimeSpan SEEN_AFTER = TimeSpan.ofSeconds(3);
 
   private final AgreedBase base;
   private final Ledger ledger;
@@ -74,9 +74,9 @@
   private final Map<String, Scaling> scalings = new HashMap<>();
   private final ModelLosses losses;
   private final ModelAdmission admission;
-  private final Map<String, SteadyTime> upSince = new HashMap<>();
-  private final Map<String, SteadyTime> withoutRoom = new HashMap<>();
-  private final Map<MemberId, Long> heard = new HashMap<>();
+  private final Map<String, MonotonicTime> upSince = new HashMap<>();
+  private final Map<String, MonotonicTime> withoutRoom = new HashMap<>();
+  private final Map<ControllerId, Long> heard = new HashMap<>();
 
   /** The models of whose records a change is asked for, each with the machines that it chooses. */
   private final Map<String, Collection<MachineId>> asked = new HashMap<>();
@@ -85,7 +85,7 @@
   private List<ModelLook> looks = List.of();
   private Set<TaskId> running = Set.of();
   private List<Admission.Unmet> unmet = List.of();
-  private SteadyTime looked;
+  private MonotonicTime looked;
 
   ModelKeeper(
       AgreedBase base,
@@ -121,8 +121,8 @@
 
   /** Looks at the models, now and then. */
   private void look() {
-    SteadyTime now = base.timers().now();
-    if ((looked != null && LOOK_EVERY.isMoreThan(now.since(looked)))
+    MonotonicTime now = base.timers().now();
+    if ((looked != null && LOOK_EVERY.isLongerThan(now.since(looked)))
         || records.book().all().isEmpty()) {
       return;
     }
@@ -173,10 +173,10 @@
     return all;
   }
 
-  private void hear(SteadyTime now) {
+  private void hear(MonotonicTime now) {
     demand.keepOnly(ledger.members().keySet());
     running = new HashSet<>();
-    for (MemberId member : ledger.members().keySet()) {
+    for (ControllerId member : ledger.members().keySet()) {
       PeerViews.View view = views.of(member);
       byte[] section = view == null ? null : view.sections().get(ModelNews.SECTION);
       ModelNews news = section == null ? null : ModelNews.read(section);
@@ -184,7 +184,7 @@
         if (!Long.valueOf(view.number()).equals(heard.put(member, view.number()))) {
           demand.told(member, view.life(), news.demand(), news.since(), view.at());
         }
-        if (!now.since(view.at()).isMoreThan(FRESH)) {
+        if (!now.since(view.at()).isLongerThan(FRESH)) {
           running.addAll(news.running());
         }
       }
@@ -215,7 +215,7 @@
 
   /** What is to be changed of a model's record now, or null. */
   private ModelCommand decide(
-      ModelLook look, Choosing choosing, List<Admission.Unmet> missing, SteadyTime now) {
+      ModelLook look, Choosing choosing, List<Admission.Unmet> missing, MonotonicTime now) {
     Model model = look.model();
     if (model.phase() == Phase.ZERO || asked.containsKey(look.name())) {
       return null;
@@ -258,22 +258,22 @@
    * That it came up counts as well: one that is no member any more may still be asked, and its
    * wakes are in the records alone.
    */
-  private Span quiet(String name, SteadyTime now) {
-    Span quiet = demand.quiet(name, ledger.members().keySet(), now);
-    SteadyTime up = upSince.get(name);
-    return quiet == null || up == null || now.since(up).isMoreThan(quiet) ? quiet : now.since(up);
+  private TimeSpan quiet(String name, MonotonicTime now) {
+    TimeSpan quiet = demand.quiet(name, ledger.members().keySet(), now);
+    MonotonicTime up = upSince.get(name);
+    return quiet == null || up == null || now.since(up).isLongerThan(quiet) ? quiet : now.since(up);
   }
 
-  private ModelCommand shrink(ModelLook look, SteadyTime now) {
+  private ModelCommand shrink(ModelLook look, MonotonicTime now) {
     int inFlight = demand.inFlight(look.name());
-    Span quiet = quiet(look.name(), now);
-    if (inFlight == 0 && quiet != null && quiet.isMoreThan(look.model().terms().idle())) {
+    TimeSpan quiet = quiet(look.name(), now);
+    if (inFlight == 0 && quiet != null && quiet.isLongerThan(look.model().terms().idle())) {
       return new ModelCommand.Drain(
           look.model().epoch(),
           quiet.millis(),
           "nobody wanted it for " + Math.round(quiet.seconds()) + " s");
     }
-    if (look.job().shape() == Shape.GANG) {
+    if (look.job().kind() == JobKind.GANG) {
       return null;
     }
     int wanted =
@@ -303,10 +303,10 @@
     /** What the replicas of each team come to that have a place and are not allocated yet. */
     private final Map<String, Resources> spokenFor = new HashMap<>();
 
-    private final SteadyTime now;
+    private final MonotonicTime now;
     private List<Weights.Candidate> candidates;
 
-    private Choosing(SteadyTime now) {
+    private Choosing(MonotonicTime now) {
       this.now = now;
       for (ModelLook look : looks) {
         asked.getOrDefault(look.name(), List.of()).forEach(machine -> add(machine, look.job()));
@@ -317,13 +317,13 @@
                   boolean seen =
                       look.isOut(replica)
                           && now.since(losses.since(look, replica, place, now))
-                              .isMoreThan(SEEN_AFTER);
+                              .isLongerThan(SEEN_AFTER);
                   if (look.model().isUp() && !look.runs(replica) && !seen) {
                     notYet
                         .computeIfAbsent(place.machine(), id -> new ArrayList<>())
                         .add(look.job());
                     if (!look.isOut(replica)) {
-                      spokenFor.merge(look.job().team(), look.job().each(), Resources::plus);
+                      spokenFor.merge(look.job().team(), look.job().taskResources(), Resources::plus);
                     }
                   }
                 });
@@ -332,7 +332,7 @@
 
     private void add(MachineId machine, Job job) {
       notYet.computeIfAbsent(machine, id -> new ArrayList<>()).add(job);
-      spokenFor.merge(job.team(), job.each(), Resources::plus);
+      spokenFor.merge(job.team(), job.taskResources(), Resources::plus);
     }
 
     /** How many more replicas the limit of its team leaves room for. */
@@ -343,7 +343,7 @@
           : team.limit()
               .minus(books.teamUse().getOrDefault(team.name(), Resources.NONE))
               .minus(spokenFor.getOrDefault(team.name(), Resources.NONE))
-              .count(look.job().each());
+              .capacityFor(look.job().taskResources());
     }
 
     private List<Weights.Candidate> candidates() {
@@ -359,7 +359,7 @@
           free.add(replica);
         }
       }
-      boolean whole = look.job().shape() == Shape.GANG;
+      boolean whole = look.job().kind() == JobKind.GANG;
       if (whole && (free.size() < look.tasks() || most < look.tasks())) {
         return Map.of();
       }
@@ -388,15 +388,15 @@
   }
 
   /** One that finds no room though machines are being rented has an idle one give way. */
-  private void yieldTo(ModelLook look, Choosing choosing, SteadyTime now) {
-    SteadyTime since = withoutRoom.computeIfAbsent(look.name(), name -> now);
-    if (!now.since(since).isMoreThan(YIELD_AFTER)) {
+  private void yieldTo(ModelLook look, Choosing choosing, MonotonicTime now) {
+    MonotonicTime since = withoutRoom.computeIfAbsent(look.name(), name -> now);
+    if (!now.since(since).isLongerThan(YIELD_AFTER)) {
       return;
     }
     List<Yielding.Idle> idle = new ArrayList<>();
     for (ModelLook other : looks) {
-      Span quiet = quiet(other.name(), now);
-      SteadyTime up = upSince.get(other.name());
+      TimeSpan quiet = quiet(other.name(), now);
+      MonotonicTime up = upSince.get(other.name());
       if (quiet != null
           && up != null
           && other.model().phase() == Phase.WARM
@@ -426,7 +426,7 @@
   private double comeBackS(Job job) {
     double rate = 0;
     for (MachineType type : ledger.types().values()) {
-      rate = Math.max(rate, type.fetchGbPerS());
+      rate = Math.max(rate, type.pullGbPerSecond());
     }
     return rate == 0 ? 0 : job.imageGb() / rate;
   }
@@ -438,7 +438,7 @@
                 wanted.allows(at.type(), at.zone(), at.spot())
                     && idle.model().places().values().stream()
                         .anyMatch(place -> place.machine().equals(at.machine()))
-                    && wanted.each().fitsIn(at.soon().plus(idle.job().each())));
+                    && wanted.taskResources().fitsIn(at.soon().plus(idle.job().taskResources())));
   }
 
   // ---- machines that stay ----
@@ -491,7 +491,7 @@
    */
   List<Admission.Unmet> admit(
       Collection<Admission.Block> blocks,
-      Map<BlockId, List<Reserve>> reserves,
+      Map<ShardId, List<Reserve>> reserves,
       List<JobDemand> demands) {
     look();
     List<Admission.Unmet> all = admission.admit(blocks, reserves, demands);
--- a/src/main/java/org/quincecross/leader/ModelLook.java
+++ b/src/main/java/org/quincecross/leader/ModelLook.java
@@ -15,7 +15,7 @@
 record ModelLook(String name, Model model, Job job, Books.Account account, Set<TaskId> running) {
   /** Whether a replica is allocated: it may be on a machine. */
   boolean isOut(int replica) {
-    return account != null && account.out().has(replica);
+    return account != null && account.out().contains(replica);
   }
 
   boolean runs(int replica) {
@@ -23,7 +23,7 @@
   }
 
   int tasks() {
-    return job.tasks();
+    return job.taskCount();
   }
 
   /** Whether a replica is allocated to a machine and does not run yet. */
--- a/src/main/java/org/quincecross/leader/ModelLosses.java
+++ b/src/main/java/org/quincecross/leader/ModelLosses.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.models.Model;
 import org.quincecross.models.ModelCommand;
 import org.quincecross.peer.AgreedBase;
@@ -29,10 +29,10 @@
    */
   private static final double FETCH_PATIENCE = 2.5;
 
-  private static final Span START_PATIENCE = Span.ofSeconds(30);
+  private static final TimeSpan START_PATIENCE = TimeSpan.ofSeconds(30);
 
   /** A replica whose machine has no room after all gets another place after so long. */
-  private static final Span ROOM_PATIENCE = Span.ofSeconds(8);
+  private static final TimeSpan ROOM_PATIENCE = TimeSpan.ofSeconds(8);
 
   private static final String NO_ROOM = "has no room";
 
@@ -41,8 +41,8 @@
 
   private final AgreedBase base;
   private final ModelFleet machines;
-  private final Map<Start, SteadyTime> begun = new HashMap<>();
-  private final Map<MachineId, SteadyTime> shutSince = new HashMap<>();
+  private final Map<Start, MonotonicTime> begun = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> shutSince = new HashMap<>();
   private Collection<ModelLook> looks = List.of();
 
   ModelLosses(AgreedBase base, ModelFleet machines) {
@@ -51,7 +51,7 @@
   }
 
   /** Takes note of the places that there are now. */
-  void look(Collection<ModelLook> now, SteadyTime at) {
+  void look(Collection<ModelLook> now, MonotonicTime at) {
     looks = now;
     Set<Start> known = new HashSet<>();
     for (ModelLook look : looks) {
@@ -74,12 +74,12 @@
   }
 
   /** Since when a place has been known here. */
-  SteadyTime since(ModelLook look, int replica, Model.Place place, SteadyTime now) {
+  MonotonicTime since(ModelLook look, int replica, Model.Place place, MonotonicTime now) {
     return begun.getOrDefault(new Start(look.name(), replica, place.epoch()), now);
   }
 
   /** The replicas whose places have failed, or null. */
-  ModelCommand lost(ModelLook look, SteadyTime now) {
+  ModelCommand lost(ModelLook look, MonotonicTime now) {
     Set<Integer> replicas = new HashSet<>();
     Set<MachineId> bad = new HashSet<>();
     String why = "";
@@ -100,12 +100,12 @@
     // Of a gang nothing runs without the rest of it.
     return new ModelCommand.Lose(
         look.model().epoch(),
-        look.job().shape() == Shape.GANG ? look.model().places().keySet() : replicas,
+        look.job().kind() == JobKind.GANG ? look.model().places().keySet() : replicas,
         bad,
         why);
   }
 
-  private String wrongWith(ModelLook look, int replica, Model.Place place, SteadyTime now) {
+  private String wrongWith(ModelLook look, int replica, Model.Place place, MonotonicTime now) {
     MachineId machine = place.machine();
     BlockLease lease = base.ledger().blockOf(machine);
     if (lease == null) {
@@ -122,24 +122,24 @@
       return state.notice() ? "is taken back" : "fails what it is given";
     }
     if (!state.open()) {
-      SteadyTime since = shutSince.computeIfAbsent(machine, id -> now);
-      return now.since(since).isMoreThan(base.settings().workers().lease()) ? "is not heard" : null;
+      MonotonicTime since = shutSince.computeIfAbsent(machine, id -> now);
+      return now.since(since).isLongerThan(base.settings().workers().lease()) ? "is not heard" : null;
     }
     shutSince.remove(machine);
-    SteadyTime since = since(look, replica, place, now);
+    MonotonicTime since = since(look, replica, place, now);
     if (look.runs(replica)) {
       return null;
     }
     MachineType type = base.ledger().types().get(lease.type());
     double perGb =
-        type == null || type.fetchGbPerS() <= 0 ? 0 : FETCH_PATIENCE / type.fetchGbPerS();
-    Span turn = Span.ofSeconds(perGb * others(machine, look.job().image()));
+        type == null || type.pullGbPerSecond() <= 0 ? 0 : FETCH_PATIENCE / type.pullGbPerSecond();
+    TimeSpan turn = TimeSpan.ofSeconds(perGb * others(machine, look.job().image()));
     if (!look.isOut(replica)) {
-      return now.since(since).isMoreThan(ROOM_PATIENCE.plus(turn)) ? NO_ROOM : null;
+      return now.since(since).isLongerThan(ROOM_PATIENCE.plus(turn)) ? NO_ROOM : null;
     }
     return now.since(since)
-            .isMoreThan(
-                START_PATIENCE.plus(turn).plus(Span.ofSeconds(perGb * look.job().imageGb())))
+            .isLongerThan(
+                START_PATIENCE.plus(turn).plus(TimeSpan.ofSeconds(perGb * look.job().imageGb())))
         ? "did not start it in time"
         : null;
   }
--- a/src/main/java/org/quincecross/leader/PoolWaits.java
+++ b/src/main/java/org/quincecross/leader/PoolWaits.java
@@ -7,7 +7,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Team;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.state.Ledger;
@@ -56,17 +56,17 @@
       return null;
     }
     Job job = account.job();
-    int tasks = job.shape() == Shape.GANG ? job.tasks() : 1;
+    int tasks = job.kind() == JobKind.GANG ? job.taskCount() : 1;
     String what = account.pool().size() + " tasks in the pool: ";
     Team team = teams.get().get(job.team());
     Resources use = books.teamUse().getOrDefault(job.team(), Resources.NONE);
     if (team == null) {
       return what + "the settings name no team " + job.team();
     }
-    if (team.limit().minus(use).count(job.each()) < tasks) {
+    if (team.limit().minus(use).capacityFor(job.taskResources()) < tasks) {
       return what + "team " + job.team() + " uses " + use + " of its limit " + team.limit();
     }
-    if (job.shape() == Shape.GANG && account.pool().size() < job.tasks()) {
+    if (job.kind() == JobKind.GANG && account.pool().size() < job.taskCount()) {
       return what + "the rest of the gang is still in a block";
     }
     String heldBack = demands.heldBack(id);
--- a/src/main/java/org/quincecross/leader/Renting.java
+++ b/src/main/java/org/quincecross/leader/Renting.java
@@ -10,9 +10,9 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.sched.Admission;
 import org.quincecross.state.BlockLease;
 import org.quincecross.state.Ledger;
@@ -22,24 +22,24 @@
  * lately.
  */
 final class Renting {
-  private static final Span REFUSED_FOR = Span.ofSeconds(15);
+  private static final TimeSpan REFUSED_FOR = TimeSpan.ofSeconds(15);
 
   /**
    * So long a large gang waits for the kind it lacks least of, though the cloud refuses more of it.
    * Others would be of no use to it, and take what the cloud may still give: with a gang of eight,
    * seven machines in each of two zones and the cloud at its end, nothing would ever change.
    */
-  private static final Span KEEP_GOAL = Span.ofSeconds(120);
+  private static final TimeSpan KEEP_GOAL = TimeSpan.ofSeconds(120);
 
   private static final int MOST_KINDS = 8;
   private static final int MOST_OF_KIND = 50;
 
   /** The kind of machine that a large gang's block is to grow by. */
-  private record Goal(MachineKind kind, SteadyTime since) {}
+  private record Goal(MachineKind kind, MonotonicTime since) {}
 
   private final Ledger ledger;
   private final Map<String, MachineType> catalog;
-  private final Map<MachineKind, SteadyTime> refusedUntil = new HashMap<>();
+  private final Map<MachineKind, MonotonicTime> refusedUntil = new HashMap<>();
   private final Map<JobId, Goal> goals = new HashMap<>();
 
   Renting(Ledger ledger, Map<String, MachineType> catalog) {
@@ -48,12 +48,12 @@
   }
 
   /** The cloud did not give as many of a kind as it was asked for. */
-  void refused(MachineKind kind, SteadyTime now) {
+  void refused(MachineKind kind, MonotonicTime now) {
     refusedUntil.put(kind, now.plus(REFUSED_FOR));
   }
 
-  private boolean isRefused(MachineKind kind, SteadyTime now) {
-    SteadyTime until = refusedUntil.get(kind);
+  private boolean isRefused(MachineKind kind, MonotonicTime now) {
+    MonotonicTime until = refusedUntil.get(kind);
     return until != null && now.isBefore(until);
   }
 
@@ -61,7 +61,7 @@
    * Whether all that is unmet are large gangs that wait for machines of other kinds, and are
    * refused them.
    */
-  boolean othersMakeWay(MachineKind kind, List<Admission.Unmet> unmet, SteadyTime now) {
+  boolean othersMakeWay(MachineKind kind, List<Admission.Unmet> unmet, MonotonicTime now) {
     for (Admission.Unmet need : unmet) {
       Goal goal = goals.get(need.job().id());
       if (goal == null || goal.kind().equals(kind) || !isRefused(goal.kind(), now)) {
@@ -76,7 +76,7 @@
    * booting.
    */
   Map<MachineKind, Integer> wishes(
-      List<Admission.Unmet> unmet, Collection<MachineKind> booting, SteadyTime now) {
+      List<Admission.Unmet> unmet, Collection<MachineKind> booting, MonotonicTime now) {
     List<Bin> bins = new ArrayList<>();
     for (MachineKind kind : booting) {
       MachineType type = ledger.types().get(kind.type());
@@ -88,7 +88,7 @@
     Map<MachineKind, Integer> wishes = new LinkedHashMap<>();
     Map<MachineKind, Integer> owned = machinesOfKinds(booting);
     for (Admission.Unmet need : unmet) {
-      if (need.job().shape() == Shape.GANG && wishForLargeGang(need, booting, wishes, now)) {
+      if (need.job().kind() == JobKind.GANG && wishForLargeGang(need, booting, wishes, now)) {
         continue;
       }
       int left = need.tasks();
@@ -124,11 +124,11 @@
       Admission.Unmet need,
       Collection<MachineKind> booting,
       Map<MachineKind, Integer> wishes,
-      SteadyTime now) {
+      MonotonicTime now) {
     Map<MachineKind, Integer> missing = new LinkedHashMap<>();
     for (MachineType type : catalog.values()) {
-      int each = type.capacity().count(need.job().each());
-      int needed = each == 0 ? 0 : (need.job().tasks() + each - 1) / each;
+      int each = type.capacity().capacityFor(need.job().taskResources());
+      int needed = each == 0 ? 0 : (need.job().taskCount() + each - 1) / each;
       for (String zone : needed > 1 ? type.zones() : List.<String>of()) {
         for (boolean spot : new boolean[] {true, false}) {
           MachineKind kind = new MachineKind(type.name(), zone, spot);
@@ -154,11 +154,11 @@
    * The kind that lacks least; once chosen it stays, unless the cloud has refused more of it for
    * long.
    */
-  private MachineKind goal(JobId gang, Map<MachineKind, Integer> missing, SteadyTime now) {
+  private MachineKind goal(JobId gang, Map<MachineKind, Integer> missing, MonotonicTime now) {
     Goal before = goals.get(gang);
     if (before != null
         && missing.containsKey(before.kind())
-        && !(isRefused(before.kind(), now) && now.since(before.since()).isMoreThan(KEEP_GOAL))) {
+        && !(isRefused(before.kind(), now) && now.since(before.since()).isLongerThan(KEEP_GOAL))) {
       return before.kind();
     }
     MachineKind best = null;
@@ -200,8 +200,8 @@
       if (!job.allows(kind.type(), kind.zone(), kind.spot())) {
         return 0;
       }
-      int n = Math.min(most, free.count(job.each()));
-      free = free.minus(job.each().times(n));
+      int n = Math.min(most, free.capacityFor(job.taskResources()));
+      free = free.minus(job.taskResources().times(n));
       return n;
     }
   }
@@ -214,12 +214,12 @@
       Admission.Unmet need,
       Map<MachineKind, Integer> wishes,
       Map<MachineKind, Integer> owned,
-      SteadyTime now) {
+      MonotonicTime now) {
     Job job = need.job();
     MachineKind best = null;
     double bestCost = Double.MAX_VALUE;
     for (MachineType type : catalog.values()) {
-      int slots = type.capacity().count(job.each());
+      int slots = type.capacity().capacityFor(job.taskResources());
       if (slots == 0) {
         continue;
       }
@@ -228,14 +228,14 @@
           MachineKind kind = new MachineKind(type.name(), zone, spot);
           if (!job.allows(type.name(), zone, spot)
               || isRefused(kind, now)
-              || (job.spread() && need.perZone().getOrDefault(zone, 0) >= job.mostInOneZone())
-              || (job.oneZone()
+              || (job.spreadOverZones() && need.perZone().getOrDefault(zone, 0) >= job.maxTasksPerZone())
+              || (job.singleZone()
                   && !need.perZone().isEmpty()
                   && !need.perZone().containsKey(zone))) {
             continue;
           }
           double cost =
-              (spot ? type.spotPrice() : type.price())
+              (spot ? type.hourlySpotPrice() : type.hourlyPrice())
                   / Math.min(slots, need.tasks())
                   * (1 + 0.02 * owned.getOrDefault(kind, 0) + 0.02 * wishes.getOrDefault(kind, 0));
           if (cost < bestCost) {
--- a/src/main/java/org/quincecross/leader/RequestKeeper.java
+++ b/src/main/java/org/quincecross/leader/RequestKeeper.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Team;
 import org.quincecross.requests.Request;
 import org.quincecross.requests.RequestCommand;
@@ -35,10 +35,10 @@
   /**
    * What runs changes all the time; whether a reservation still fits there is looked at so often.
    */
-  private static final Span LOOK_EVERY = Span.ofSeconds(1);
+  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
 
   /** Where requests have changed, this much apart. */
-  private static final Span SPACING = Span.ofMillis(150);
+  private static final TimeSpan SPACING = TimeSpan.ofMillis(150);
 
   /** Sent off at once: a few transactions, so that what is due first is written first. */
   private static final int MOST_AT_ONCE = 24;
@@ -48,7 +48,7 @@
    * than the one that kept the room, a slot is missing here and free there until the next plan;
    * given up at once, all of its room would go to whoever waits for it.
    */
-  private static final Span PATIENCE = Span.ofSeconds(10);
+  private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(10);
 
   /** No job that is accepted has this id: it stands in the place of room that is asked for. */
   private static final JobId NO_JOB = new JobId("job-0");
@@ -58,14 +58,14 @@
   private final RequestRooms rooms;
   private final double share;
   private List<Admission.Unmet> unmet = List.of();
-  private SteadyTime lookedAt;
+  private MonotonicTime lookedAt;
   private long seen = -1;
 
   /** How many machines there were: what has come is not to be rented once more. */
   private int machinesSeen;
 
   /** Since when what is reserved for a request does not fit. */
-  private final Map<String, SteadyTime> lacksSince = new HashMap<>();
+  private final Map<String, MonotonicTime> lacksSince = new HashMap<>();
 
   private int underWay;
 
@@ -87,16 +87,16 @@
    * Looks whether all has room that should; called by the leader before it plans, while nothing
    * that it planned is under way.
    */
-  void look(Map<String, Team> teams, SteadyTime now) {
+  void look(Map<String, Team> teams, MonotonicTime now) {
     if (rooms.isEmpty()) {
       unmet = List.of();
       return;
     }
-    Span since = lookedAt == null ? LOOK_EVERY : now.since(lookedAt);
+    TimeSpan since = lookedAt == null ? LOOK_EVERY : now.since(lookedAt);
     boolean machines = !unmet.isEmpty() && machinesSeen != rooms.machines();
     if (underWay > 0
-        || SPACING.isMoreThan(since)
-        || (seen == rooms.version() && !machines && LOOK_EVERY.isMoreThan(since))) {
+        || SPACING.isLongerThan(since)
+        || (seen == rooms.version() && !machines && LOOK_EVERY.isLongerThan(since))) {
       return;
     }
     lookedAt = now;
@@ -168,8 +168,8 @@
             NO_JOB,
             room.slot().lane(),
             room.slot().team(),
-            Shape.SERVICE,
-            Rank.PRODUCTION,
+            JobKind.SERVICE,
+            Priority.PRODUCTION,
             room.tasks(),
             each,
             null,
@@ -179,9 +179,9 @@
             false,
             "",
             0,
-            Span.ZERO,
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     return new Admission.Unmet(job, missing, zone == null ? room.found() : Map.of());
   }
--- a/src/main/java/org/quincecross/leader/Results.java
+++ b/src/main/java/org/quincecross/leader/Results.java
@@ -9,9 +9,9 @@
 import java.util.function.LongSupplier;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.net.Timers;
@@ -31,14 +31,14 @@
  * run again under its allocation.
  */
 final class Results {
-  private static final Span GATHER = Span.ofSeconds(1.5);
+  private static final TimeSpan GATHER = TimeSpan.ofSeconds(1.5);
 
   private final Timers timers;
   private final Ledger ledger;
   private final PeerViews views;
   private final Books books;
   private final LongSupplier clockMs;
-  private final Map<JobId, SteadyTime> since = new HashMap<>();
+  private final Map<JobId, MonotonicTime> since = new HashMap<>();
 
   /**
    * @param clockMs tells the time of day
@@ -53,7 +53,7 @@
 
   /** Makes completions durable; a job whose last task is done becomes done in the same stroke. */
   void plan(TxnPlan plan, Map<JobId, TaskSet> fresh) {
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     since.keySet().retainAll(fresh.keySet());
     boolean due = false;
     Map<JobId, TaskSet> unfinished = new LinkedHashMap<>();
@@ -62,10 +62,10 @@
       Books.Account account = books.account(id);
       TaskSet all = account.done().copy();
       all.addAll(entry.getValue());
-      if (all.size() < account.job().tasks()) {
+      if (all.size() < account.job().taskCount()) {
         // Its machine keeps the result until it is durable, so a part of a job may wait for more of
         // it.
-        due |= now.since(since.computeIfAbsent(id, j -> now)).isMoreThan(GATHER);
+        due |= now.since(since.computeIfAbsent(id, j -> now)).isLongerThan(GATHER);
         unfinished.put(id, all);
       } else {
         JobRecord record = ledger.job(id);
@@ -147,9 +147,9 @@
     // after them never
     // be written (docs/incidents/unanswered-start.md, "jobs larger than a transaction's chunks").
     Set<Integer> chunks = new TreeSet<>();
-    for (int i = fresh.next(0);
+    for (int i = fresh.nextMember(0);
         i >= 0;
-        i = fresh.next((i / DoneTasks.CHUNK + 1) * DoneTasks.CHUNK)) {
+        i = fresh.nextMember((i / DoneTasks.CHUNK + 1) * DoneTasks.CHUNK)) {
       chunks.add(i / DoneTasks.CHUNK);
     }
     for (int chunk : chunks) {
@@ -166,13 +166,13 @@
           JobRecord job = ledger.job(task.job());
           if (job != null
               && job.phase() == JobPhase.OPEN
-              && task.index() < job.job().tasks()
+              && task.index() < job.job().taskCount()
               && !ledger.isDone(task.job(), task.index())) {
             TaskSet done = fresh.computeIfAbsent(task.job(), id -> new TaskSet());
             done.add(task.index());
             // A gang completes as one, also where the machine of one of its tasks is lost right
             // after.
-            for (int i = 0; job.job().shape() == Shape.GANG && i < job.job().tasks(); i++) {
+            for (int i = 0; job.job().kind() == JobKind.GANG && i < job.job().taskCount(); i++) {
               done.add(i);
             }
           }
--- a/src/main/java/org/quincecross/leader/SeenRoom.java
+++ b/src/main/java/org/quincecross/leader/SeenRoom.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.sched.Admission;
@@ -23,16 +23,16 @@
    * What has been given to a block starts within this where it has room: twice a report between
    * controllers and a start.
    */
-  private static final Span STILL = Span.ofSeconds(4);
+  private static final TimeSpan STILL = TimeSpan.ofSeconds(4);
 
   /** The least room that a machine had since {@code since}, and in as long before. */
-  private record Least(Resources now, Resources before, SteadyTime since) {}
+  private record Least(Resources now, Resources before, MonotonicTime since) {}
 
-  private final Map<BlockId, Map<MachineId, Least>> least = new HashMap<>();
+  private final Map<ShardId, Map<MachineId, Least>> least = new HashMap<>();
 
   /** A block as admission sees it; of a holder that is not heard nothing is open. */
   Admission.Block block(
-      BlockLease lease, MachineType type, PeerViews.BlockView view, int mostBytes, SteadyTime now) {
+      BlockLease lease, MachineType type, PeerViews.BlockView view, int mostBytes, MonotonicTime now) {
     List<Resources> free = new ArrayList<>();
     List<Resources> soon = new ArrayList<>();
     Map<String, Admission.ImageRoom> images = new HashMap<>();
@@ -66,28 +66,28 @@
     return block;
   }
 
-  private static Least next(Least before, Resources free, SteadyTime now) {
+  private static Least next(Least before, Resources free, MonotonicTime now) {
     return before == null
         ? new Least(free, Resources.NONE, now)
-        : now.since(before.since).isMoreThan(STILL)
+        : now.since(before.since).isLongerThan(STILL)
             ? new Least(free, before.now, now)
-            : new Least(before.now.least(free), before.before, before.since);
+            : new Least(before.now.min(free), before.before, before.since);
   }
 
   /**
    * Of each machine of a block that takes work, the room that was there all the time for a few
    * seconds at least.
    */
-  List<Resources> still(BlockId block, SteadyTime now) {
+  List<Resources> still(ShardId block, MonotonicTime now) {
     List<Resources> still = new ArrayList<>();
     for (Least seen : least.getOrDefault(block, Map.of()).values()) {
-      still.add(now.since(seen.since).isMoreThan(STILL) ? seen.now : seen.now.least(seen.before));
+      still.add(now.since(seen.since).isLongerThan(STILL) ? seen.now : seen.now.min(seen.before));
     }
     return still;
   }
 
   /** A block is no more. */
-  void forget(BlockId block) {
+  void forget(ShardId block) {
     least.remove(block);
   }
 }
--- a/src/main/java/org/quincecross/leader/TxnBounds.java
+++ b/src/main/java/org/quincecross/leader/TxnBounds.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.Ledger;
 import org.quincecross.wire.Json;
 import org.quincecross.wire.Settings;
@@ -24,7 +24,7 @@
  */
 final class TxnBounds {
   private static final Logger LOG = LoggerFactory.getLogger(TxnBounds.class);
-  private static final Span ASIDE = Span.ofSeconds(10);
+  private static final TimeSpan ASIDE = TimeSpan.ofSeconds(10);
 
   /**
    * A block and its two records, or the level with the two places of the leadership, go together.
@@ -34,13 +34,13 @@
   /** A chunk of done tasks and a job are smaller. */
   private static final int LEAST_VALUE = 1024;
 
-  private record Refusal(int bytes, SteadyTime until) {}
+  private record Refusal(int bytes, MonotonicTime until) {}
 
   private final Settings.StateLimits limits;
   private final Map<String, Refusal> refusals = new HashMap<>();
   private int changes;
   private int value;
-  private SteadyTime refusedAt;
+  private MonotonicTime refusedAt;
 
   TxnBounds(Settings.StateLimits limits) {
     this.limits = limits;
@@ -59,9 +59,9 @@
   }
 
   /** A transaction that is to have at most so many changes. */
-  TxnPlan plan(Ledger ledger, int most, SteadyTime now) {
+  TxnPlan plan(Ledger ledger, int most, MonotonicTime now) {
     refusals.values().removeIf(refusal -> refusal.until().isBefore(now));
-    if (refusedAt != null && now.since(refusedAt).isMoreThan(ASIDE)) {
+    if (refusedAt != null && now.since(refusedAt).isLongerThan(ASIDE)) {
       changes = Math.min(limits.txnChanges(), 2 * changes);
       value = Math.min(limits.plannedValue(), 2 * value);
       refusedAt = changes == limits.txnChanges() && value == limits.plannedValue() ? null : now;
@@ -74,7 +74,7 @@
   }
 
   /** A transaction with these changes was too large. */
-  void refused(List<Change> refused, SteadyTime now) {
+  void refused(List<Change> refused, MonotonicTime now) {
     refusedAt = now;
     if (refused.size() > LEAST_CHANGES) {
       changes = Math.max(LEAST_CHANGES, refused.size() / 2);
--- a/src/main/java/org/quincecross/leader/TypeRecords.java
+++ b/src/main/java/org/quincecross/leader/TypeRecords.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 import java.util.List;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.Keys;
 import org.quincecross.state.Ledger;
 import org.quincecross.wire.CloudCodec;
@@ -18,10 +18,10 @@
  * #PATIENCE}, where a transaction never has so much.
  */
 final class TypeRecords {
-  private static final Span PATIENCE = Span.ofSeconds(3);
+  private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(3);
 
   private final Ledger ledger;
-  private SteadyTime waitsSince;
+  private MonotonicTime waitsSince;
 
   TypeRecords(Ledger ledger) {
     this.ledger = ledger;
@@ -31,11 +31,11 @@
    * Adds to a transaction what is to be written; false where nothing should be written before there
    * is room for all of it.
    */
-  boolean plan(TxnPlan plan, Collection<MachineType> catalog, SteadyTime now) {
+  boolean plan(TxnPlan plan, Collection<MachineType> catalog, MonotonicTime now) {
     List<MachineType> news = catalog.stream().filter(this::isNews).toList();
     if (news.size() > plan.room()) {
       waitsSince = waitsSince == null ? now : waitsSince;
-      if (!now.since(waitsSince).isMoreThan(PATIENCE)) {
+      if (!now.since(waitsSince).isLongerThan(PATIENCE)) {
         return false;
       }
     } else {
--- a/src/main/java/org/quincecross/model/MemberId.java
+++ b/src/main/java/org/quincecross/model/ControllerId.java
@@ -1,10 +1,10 @@
 package org.quincecross.model;
 
 /** A controller, by the name its settings give it. */
-public record MemberId(String text) implements Comparable<MemberId> {
+public record ControllerId(String text) implements Comparable<ControllerId> {
   @Override
   public boolean equals(Object other) {
-    return other instanceof MemberId id && id.text.equals(text);
+    return other instanceof ControllerId id && id.text.equals(text);
   }
 
   @Override
@@ -13,7 +13,7 @@
   }
 
   @Override
-  public int compareTo(MemberId other) {
+  public int compareTo(ControllerId other) {
     return text.compareTo(other.text);
   }
 
--- a/src/main/java/org/quincecross/model/Token.java
+++ b/src/main/java/org/quincecross/model/FencingToken.java
@@ -1,15 +1,15 @@
 package org.quincecross.model;
 
 /** The right to give commands to the machines of a block: the revision that leased the block. */
-public record Token(long number) implements Comparable<Token> {
-  public static final Token NONE = new Token(0);
+public record FencingToken(long number) implements Comparable<FencingToken> {
+  public static final FencingToken NONE = new FencingToken(0);
 
-  public boolean isAfter(Token other) {
+  public boolean isAfter(FencingToken other) {
     return Long.compareUnsigned(number, other.number) > 0;
   }
 
   @Override
-  public int compareTo(Token other) {
+  public int compareTo(FencingToken other) {
     return Long.compareUnsigned(number, other.number);
   }
 
--- a/src/main/java/org/quincecross/model/Job.java
+++ b/src/main/java/org/quincecross/model/Job.java
@@ -14,30 +14,30 @@
     JobId id,
     String jobClass,
     String team,
-    Shape shape,
-    Rank rank,
-    int tasks,
-    Resources each,
-    Set<String> types,
+    JobKind kind,
+    Priority priority,
+    int taskCount,
+    Resources taskResources,
+    Set<String> machineTypes,
     String zone,
-    boolean oneZone,
-    boolean spread,
-    boolean spot,
+    boolean singleZone,
+    boolean spreadOverZones,
+    boolean allowsSpot,
     String image,
     double imageGb,
-    Span estimate,
-    Span checkpointEvery,
-    Span saveTime,
-    Span deadline,
-    Set<JobId> waitsOn) {
+    TimeSpan estimate,
+    TimeSpan checkpointInterval,
+    TimeSpan checkpointCost,
+    TimeSpan deadline,
+    Set<JobId> dependencies) {
 
   /** A job that waits on no other. */
   public Job(
       JobId id,
       String jobClass,
       String team,
-      Shape shape,
-      Rank rank,
+      JobKind shape,
+      Priority rank,
       int tasks,
       Resources each,
       Set<String> types,
@@ -47,10 +47,10 @@
       boolean spot,
       String image,
       double imageGb,
-      Span estimate,
-      Span checkpointEvery,
-      Span saveTime,
-      Span deadline) {
+      TimeSpan estimate,
+      TimeSpan checkpointEvery,
+      TimeSpan saveTime,
+      TimeSpan deadline) {
     this(
         id,
         jobClass,
@@ -82,84 +82,84 @@
   private static final double GB_PER_CPU = 4;
 
   /** The same job, known to wait on these. */
-  public Job waitingOn(Set<JobId> jobs) {
+  public Job withDependencies(Set<JobId> jobs) {
     return new Job(
         id,
         jobClass,
         team,
-        shape,
-        rank,
-        tasks,
-        each,
-        types,
+        kind,
+        priority,
+        taskCount,
+        taskResources,
+        machineTypes,
         zone,
-        oneZone,
-        spread,
-        spot,
+        singleZone,
+        spreadOverZones,
+        allowsSpot,
         image,
         imageGb,
         estimate,
-        checkpointEvery,
-        saveTime,
+        checkpointInterval,
+        checkpointCost,
         deadline,
         jobs);
   }
 
   /** The same job, treated as if it had this priority and this deadline. */
-  public Job treatedAs(Rank otherRank, Span otherDeadline) {
+  public Job withUrgency(Priority otherRank, TimeSpan otherDeadline) {
     return new Job(
         id,
         jobClass,
         team,
-        shape,
+        kind,
         otherRank,
-        tasks,
-        each,
-        types,
+        taskCount,
+        taskResources,
+        machineTypes,
         zone,
-        oneZone,
-        spread,
-        spot,
+        singleZone,
+        spreadOverZones,
+        allowsSpot,
         image,
         imageGb,
         estimate,
-        checkpointEvery,
-        saveTime,
+        checkpointInterval,
+        checkpointCost,
         otherDeadline,
-        waitsOn);
+        dependencies);
   }
 
-  public boolean saves() {
-    return checkpointEvery.nanos() > 0;
+  public boolean hasCheckpoints() {
+    return checkpointInterval.nanos() > 0;
   }
 
   /** Whether a machine of this type, zone and kind may run the job, its other tasks aside. */
   public boolean allows(String type, String machineZone, boolean machineSpot) {
-    return (types == null || types.contains(type))
+    return (machineTypes == null || machineTypes.contains(type))
         && (zone == null || zone.equals(machineZone))
-        && (spot || !machineSpot);
+        && (allowsSpot || !machineSpot);
   }
 
   /** The most tasks that may be in one zone. */
-  public int mostInOneZone() {
-    return spread ? (tasks + 1) / 2 : tasks;
+  public int maxTasksPerZone() {
+    return spreadOverZones ? (taskCount + 1) / 2 : taskCount;
   }
 
   /**
    * How many of its tasks have to have started for it to have begun: of an array a tenth, of what
    * belongs together all.
    */
-  public int tasksToBegin() {
-    return shape == Shape.ARRAY ? (tasks + 9) / 10 : tasks;
+  public int startQuorum() {
+    return kind == JobKind.ARRAY ? (taskCount + 9) / 10 : taskCount;
   }
 
   /**
    * What it asks for in all: processors, cards and memory at the price of machines, times its
    * tasks, times the seconds that it guesses.
    */
-  public double size() {
-    return tasks
-        * (each.cpus() + GPU_IN_CPUS * each.gpus() + each.memoryGb() / GB_PER_CPU)
+  public double estimatedDemand() {
+    return taskCount
+        * (taskResources.cpus() + GPU_IN_CPUS * taskResources.gpus() + taskResources.memoryGb() / GB_PER_CPU)
         * Math.max(1, estimate.seconds());
   }
 }
--- a/src/main/java/org/quincecross/model/JobId.java
+++ b/src/main/java/org/quincecross/model/JobId.java
@@ -52,7 +52,7 @@
   }
 
   /** The id whose digits these are, or null when they are not. */
-  public static JobId ofDigits(String digits) {
+  public static JobId parseDigits(String digits) {
     return parse(PREFIX + digits);
   }
 
--- a/src/main/java/org/quincecross/model/Shape.java
+++ b/src/main/java/org/quincecross/model/JobKind.java
@@ -1,7 +1,7 @@
 package org.quincecross.model;
 
 /** How the tasks of a job belong together. */
-public enum Shape {
+public enum JobKind {
   /** Independent tasks, each running to completion. */
   ARRAY,
   /** All tasks run at the same time or none does. */
--- a/src/main/java/org/quincecross/model/MachineType.java
+++ b/src/main/java/org/quincecross/model/MachineType.java
@@ -7,8 +7,8 @@
     String name,
     Resources capacity,
     double cacheGb,
-    double fetchGbPerS,
-    double price,
-    double spotPrice,
-    Span boot,
+    double pullGbPerSecond,
+    double hourlyPrice,
+    double hourlySpotPrice,
+    TimeSpan bootTime,
     List<String> zones) {}
--- a/src/main/java/org/quincecross/model/Rank.java
+++ b/src/main/java/org/quincecross/model/Priority.java
@@ -1,13 +1,13 @@
 package org.quincecross.model;
 
 /** The priority of a job, the least urgent first. */
-public enum Rank {
+public enum Priority {
   LOW,
   NORMAL,
   HIGH,
   PRODUCTION;
 
-  public boolean isAbove(Rank other) {
+  public boolean isHigherThan(Priority other) {
     return compareTo(other) > 0;
   }
 }
--- a/src/main/java/org/quincecross/model/Resources.java
+++ b/src/main/java/org/quincecross/model/Resources.java
@@ -18,13 +18,13 @@
   }
 
   /** Of each resource the lesser amount. */
-  public Resources least(Resources other) {
+  public Resources min(Resources other) {
     return new Resources(
         Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memoryGb, other.memoryGb));
   }
 
   /** Of each resource the greater amount. */
-  public Resources most(Resources other) {
+  public Resources max(Resources other) {
     return new Resources(
         Math.max(cpus, other.cpus), Math.max(gpus, other.gpus), Math.max(memoryGb, other.memoryGb));
   }
@@ -37,7 +37,7 @@
   }
 
   /** How many of {@code each} fit in here, side by side. */
-  public int count(Resources each) {
+  public int capacityFor(Resources each) {
     double n = Integer.MAX_VALUE;
     n = each.cpus > 0 ? Math.min(n, (cpus + SLACK) / each.cpus) : n;
     n = each.gpus > 0 ? Math.min(n, (gpus + SLACK) / each.gpus) : n;
@@ -46,7 +46,7 @@
   }
 
   /** The largest share that this takes of any resource {@code capacity} has. */
-  public double shareOf(Resources capacity) {
+  public double dominantShareOf(Resources capacity) {
     double share = 0;
     share = capacity.cpus > 0 ? Math.max(share, cpus / capacity.cpus) : share;
     share = capacity.gpus > 0 ? Math.max(share, gpus / capacity.gpus) : share;
--- a/src/main/java/org/quincecross/model/BlockId.java
+++ b/src/main/java/org/quincecross/model/ShardId.java
@@ -1,10 +1,10 @@
 package org.quincecross.model;
 
 /** A block of machines: leased to one controller at a time. */
-public record BlockId(String text) implements Comparable<BlockId> {
+public record ShardId(String text) implements Comparable<ShardId> {
   @Override
   public boolean equals(Object other) {
-    return other instanceof BlockId id && id.text.equals(text);
+    return other instanceof ShardId id && id.text.equals(text);
   }
 
   @Override
@@ -13,7 +13,7 @@
   }
 
   @Override
-  public int compareTo(BlockId other) {
+  public int compareTo(ShardId other) {
     return text.compareTo(other.text);
   }
 
--- a/src/main/java/org/quincecross/model/TaskSet.java
+++ b/src/main/java/org/quincecross/model/TaskSet.java
@@ -63,19 +63,19 @@
     return new TaskSet(words.clone(), size);
   }
 
-  public boolean has(int index) {
+  public boolean contains(int index) {
     int word = index / BITS;
     return word < words.length && (words[word] >>> index & 1) != 0;
   }
 
-  private void reach(int word) {
+  private void ensureCapacity(int word) {
     if (word >= words.length) {
       words = Arrays.copyOf(words, Math.max(word + 1, Math.min(2 * words.length, word + 16)));
     }
   }
 
   public void add(int index) {
-    reach(index / BITS);
+    ensureCapacity(index / BITS);
     long bit = 1L << index;
     if ((words[index / BITS] & bit) == 0) {
       words[index / BITS] |= bit;
@@ -85,7 +85,7 @@
 
   private void addRange(int from, int to) {
     if (to > from) {
-      reach((to - 1) / BITS);
+      ensureCapacity((to - 1) / BITS);
     }
     for (int word = from / BITS; word * BITS < to; word++) {
       long bits = -1L;
@@ -98,7 +98,7 @@
 
   public void addAll(TaskSet other) {
     if (other.words.length > 0) {
-      reach(other.words.length - 1);
+      ensureCapacity(other.words.length - 1);
     }
     for (int i = 0; i < other.words.length; i++) {
       size += Long.bitCount(other.words[i] & ~words[i]);
@@ -107,7 +107,7 @@
   }
 
   public void remove(int index) {
-    if (has(index)) {
+    if (contains(index)) {
       words[index / BITS] &= ~(1L << index);
       size--;
     }
@@ -129,7 +129,7 @@
   }
 
   /** The first member at or after {@code from}, or -1. */
-  public int next(int from) {
+  public int nextMember(int from) {
     for (int word = from / BITS; word < words.length; word++) {
       long bits = word == from / BITS ? words[word] & -1L << from : words[word];
       if (bits != 0) {
@@ -151,7 +151,7 @@
   }
 
   /** The most that the text of so many of a job's tasks can take. */
-  public static int mostBytes(int jobTasks, int tasks) {
+  public static int maxTextLength(int jobTasks, int tasks) {
     return tasks * (1 + digits(jobTasks));
   }
 
@@ -166,11 +166,11 @@
   /** How long the text of this set is. */
   public int textLength() {
     int length = 0;
-    for (int first = next(0); first >= 0; ) {
+    for (int first = nextMember(0); first >= 0; ) {
       int after = after(first);
       length +=
           (length > 0 ? 1 : 0) + digits(first) + (after - first > 1 ? 1 + digits(after - 1) : 0);
-      first = next(after);
+      first = nextMember(after);
     }
     return length;
   }
@@ -183,7 +183,7 @@
   }
 
   /** How many members this set has in common with another. */
-  public int common(TaskSet other) {
+  public int intersectionSize(TaskSet other) {
     int common = 0;
     for (int i = 0; i < Math.min(words.length, other.words.length); i++) {
       common += Long.bitCount(words[i] & other.words[i]);
@@ -192,7 +192,7 @@
   }
 
   /** The numbers from 0 to below {@code end}. */
-  public static TaskSet below(int end) {
+  public static TaskSet range(int end) {
     TaskSet all = new TaskSet();
     all.addRange(0, end);
     return all;
@@ -200,7 +200,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof TaskSet set && set.size == size && set.common(this) == size;
+    return other instanceof TaskSet set && set.size == size && set.intersectionSize(this) == size;
   }
 
   @Override
@@ -215,7 +215,7 @@
   @Override
   public String toString() {
     StringBuilder out = new StringBuilder();
-    for (int first = next(0); first >= 0; ) {
+    for (int first = nextMember(0); first >= 0; ) {
       if (out.length() > 0) {
         out.append(',');
       }
@@ -224,7 +224,7 @@
       if (after - first > 1) {
         out.append('-').append(after - 1);
       }
-      first = next(after);
+      first = nextMember(after);
     }
     return out.toString();
   }
--- a/src/main/java/org/quincecross/models/Demand.java
+++ b/src/main/java/org/quincecross/models/Demand.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * What one controller has seen of the demand for a model: wakes, and the sum of what its callers
@@ -12,7 +12,7 @@
  */
 public final class Demand {
   /** What a caller says is in flight counts for so long: one that has gone says nothing more. */
-  public static final Span TOLD_HOLDS = Span.ofSeconds(30);
+  public static final TimeSpan TOLD_HOLDS = TimeSpan.ofSeconds(30);
 
   /** Callers of whom a number is kept; the rest add to the one that was first in order. */
   private static final int MOST_CALLERS = 64;
@@ -28,21 +28,21 @@
     WANTED
   }
 
-  private record Told(int inFlight, SteadyTime at) {}
+  private record Told(int inFlight, MonotonicTime at) {}
 
-  private final SteadyTime begun;
+  private final MonotonicTime begun;
   private final Map<String, Told> callers = new TreeMap<>();
   private State state = State.SATISFIED;
 
   /** When it was last wanted here. */
-  private SteadyTime touched;
+  private MonotonicTime touched;
 
   private boolean up;
 
   /**
    * @param begun from when on this controller would know of any demand
    */
-  public Demand(SteadyTime begun) {
+  public Demand(MonotonicTime begun) {
     this.begun = begun;
   }
 
@@ -56,7 +56,7 @@
   }
 
   /** Somebody wants it. */
-  public void wake(SteadyTime now) {
+  public void wake(MonotonicTime now) {
     touched = now;
     if (!up) {
       enter(State.WANTED);
@@ -64,8 +64,8 @@
   }
 
   /** A caller tells how many requests it has in flight. */
-  public void told(String caller, int inFlight, SteadyTime now) {
-    callers.values().removeIf(told -> now.since(told.at).isMoreThan(TOLD_HOLDS));
+  public void told(String caller, int inFlight, MonotonicTime now) {
+    callers.values().removeIf(told -> now.since(told.at).isLongerThan(TOLD_HOLDS));
     String name =
         callers.containsKey(caller) || callers.size() < MOST_CALLERS
             ? caller
@@ -77,24 +77,24 @@
   }
 
   /** The sum of what is in flight. */
-  public int inFlight(SteadyTime now) {
+  public int inFlight(MonotonicTime now) {
     int sum = 0;
     for (Told told : callers.values()) {
-      sum += now.since(told.at).isMoreThan(TOLD_HOLDS) ? 0 : told.inFlight;
+      sum += now.since(told.at).isLongerThan(TOLD_HOLDS) ? 0 : told.inFlight;
     }
     return sum;
   }
 
   /** For how long nobody has wanted it here, as far as this controller knows. */
-  public Span quiet(SteadyTime now) {
-    return inFlight(now) > 0 ? Span.ZERO : now.since(touched == null ? begun : touched);
+  public TimeSpan quiet(MonotonicTime now) {
+    return inFlight(now) > 0 ? TimeSpan.ZERO : now.since(touched == null ? begun : touched);
   }
 
   /**
    * Follows the record. Where it goes down though it was wanted here more lately than was known to
    * who drained it, the wake stands.
    */
-  public void seen(Model model, SteadyTime now) {
+  public void seen(Model model, MonotonicTime now) {
     boolean wasUp = up;
     up = model.isUp();
     if (up) {
--- a/src/main/java/org/quincecross/models/DemandSum.java
+++ b/src/main/java/org/quincecross/models/DemandSum.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * The demand that all controllers have seen, as a leader has been told. What one that is away said
@@ -25,11 +25,11 @@
    * What a controller tells of a model: what is in flight there, and for how long nobody has wanted
    * it.
    */
-  public record Told(int inFlight, Span quiet) {}
+  public record Told(int inFlight, TimeSpan quiet) {}
 
-  private record Said(Incarnation life, SteadyTime at, Map<String, Told> models, Span since) {}
+  private record Said(Incarnation life, MonotonicTime at, Map<String, Told> models, TimeSpan since) {}
 
-  private final Map<MemberId, Said> said = new HashMap<>();
+  private final Map<ControllerId, Said> said = new HashMap<>();
 
   /**
    * A controller has told all that it knows.
@@ -38,12 +38,12 @@
    *     wanted it for so long
    */
   public void told(
-      MemberId member, Incarnation life, Map<String, Told> models, Span since, SteadyTime now) {
+      ControllerId member, Incarnation life, Map<String, Told> models, TimeSpan since, MonotonicTime now) {
     said.put(member, new Said(life, now, Map.copyOf(models), since));
   }
 
   /** Keeps what those said whose leases are not over. */
-  public void keepOnly(Set<MemberId> members) {
+  public void keepOnly(Set<ControllerId> members) {
     said.keySet().retainAll(members);
   }
 
@@ -64,21 +64,21 @@
    * For how long nobody has wanted a model, as all members say; null while some of them has not
    * said anything.
    */
-  public Span quiet(String model, Collection<MemberId> members, SteadyTime now) {
-    Span least = null;
-    for (MemberId member : members) {
+  public TimeSpan quiet(String model, Collection<ControllerId> members, MonotonicTime now) {
+    TimeSpan least = null;
+    for (ControllerId member : members) {
       Said each = said.get(member);
       if (each == null) {
         return null;
       }
       Told told = each.models.get(model);
       // What was in flight when it was last heard may be so still.
-      Span since = now.since(each.at).times(BY_ANY_CLOCK);
-      Span quiet =
+      TimeSpan since = now.since(each.at).times(BY_ANY_CLOCK);
+      TimeSpan quiet =
           told == null
               ? each.since.plus(since)
-              : told.inFlight > 0 ? Span.ZERO : told.quiet.plus(since);
-      least = least == null || least.isMoreThan(quiet) ? quiet : least;
+              : told.inFlight > 0 ? TimeSpan.ZERO : told.quiet.plus(since);
+      least = least == null || least.isLongerThan(quiet) ? quiet : least;
     }
     return least;
   }
--- a/src/main/java/org/quincecross/models/Model.java
+++ b/src/main/java/org/quincecross/models/Model.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 
 /**
@@ -73,7 +73,7 @@
    * @param idle without a request for so long it goes to zero
    * @param keepWarm on how many machines its weights are kept while it is at zero
    */
-  public record Terms(int least, int most, int perReplica, Span idle, int keepWarm) {}
+  public record Terms(int least, int most, int perReplica, TimeSpan idle, int keepWarm) {}
 
   public Model {
     places = Collections.unmodifiableMap(new TreeMap<>(places));
@@ -91,7 +91,7 @@
 
   /** Of so many replicas those that may not start, and are stopped where they run. */
   public TaskSet withheld(int tasks) {
-    TaskSet withheld = TaskSet.below(tasks);
+    TaskSet withheld = TaskSet.range(tasks);
     if (isUp()) {
       places.keySet().forEach(withheld::remove);
     }
--- a/src/main/java/org/quincecross/models/ModelKind.java
+++ b/src/main/java/org/quincecross/models/ModelKind.java
@@ -15,7 +15,7 @@
 import org.quincecross.agreed.Unreadable;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.models.Model.Phase;
 import org.quincecross.models.Model.Place;
 
@@ -104,7 +104,7 @@
         least,
         most,
         (int) body.integerOr("per_replica", 1, MOST_PER_REPLICA, 1),
-        Span.ofSeconds(body.has("idle_s") ? body.amount("idle_s", 1, MOST_IDLE_S) : 300),
+        TimeSpan.ofSeconds(body.has("idle_s") ? body.amount("idle_s", 1, MOST_IDLE_S) : 300),
         (int) body.integerOr("keep_warm", 0, MOST_REPLICAS, 0));
   }
 
--- a/src/main/java/org/quincecross/models/Scaling.java
+++ b/src/main/java/org/quincecross/models/Scaling.java
@@ -1,7 +1,7 @@
 package org.quincecross.models;
 
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * How many replicas a model that is up should have: more at once, fewer only after it has been so
@@ -14,12 +14,12 @@
   /** Fewer replicas have to do with so much of what they can serve. */
   static final double SPARE = 0.6;
 
-  static final Span FEWER_AFTER = Span.ofSeconds(60);
+  static final TimeSpan FEWER_AFTER = TimeSpan.ofSeconds(60);
 
-  private SteadyTime lowSince;
+  private MonotonicTime lowSince;
 
   /** What there should be now; {@code tasks}: how many the job has. */
-  public int wanted(Model model, int tasks, int inFlight, SteadyTime now) {
+  public int wanted(Model model, int tasks, int inFlight, MonotonicTime now) {
     Model.Terms terms = model.terms();
     int most = Math.min(terms.most(), tasks);
     int least = Math.min(most, Math.max(1, terms.least()));
@@ -34,7 +34,7 @@
       return model.wanted();
     }
     lowSince = lowSince == null ? now : lowSince;
-    if (!now.since(lowSince).isMoreThan(FEWER_AFTER)) {
+    if (!now.since(lowSince).isLongerThan(FEWER_AFTER)) {
       return model.wanted();
     }
     lowSince = null;
--- a/src/main/java/org/quincecross/models/Weights.java
+++ b/src/main/java/org/quincecross/models/Weights.java
@@ -120,7 +120,7 @@
         Comparator.comparing((Graded each) -> avoided.contains(each.machine.machine()))
             .thenComparing(Graded::waits)
             .thenComparing(each -> there.getOrDefault(each.machine.machine(), 0))
-            .thenComparing(each -> job.spread() ? zones.getOrDefault(each.machine.zone(), 0) : 0)
+            .thenComparing(each -> job.spreadOverZones() ? zones.getOrDefault(each.machine.zone(), 0) : 0)
             .thenComparing(Graded::cost)
             .thenComparing(each -> each.machine.spot())
             .thenComparing(each -> each.machine.machine());
@@ -128,10 +128,10 @@
       Graded best = null;
       for (Graded each : graded) {
         Candidate at = each.machine;
-        Resources used = taken.getOrDefault(at.machine(), Resources.NONE).plus(job.each());
+        Resources used = taken.getOrDefault(at.machine(), Resources.NONE).plus(job.taskResources());
         boolean zoneAllows =
-            (!job.oneZone() || zones.isEmpty() || zones.containsKey(at.zone()))
-                && zones.getOrDefault(at.zone(), 0) < job.mostInOneZone();
+            (!job.singleZone() || zones.isEmpty() || zones.containsKey(at.zone()))
+                && zones.getOrDefault(at.zone(), 0) < job.maxTasksPerZone();
         if (zoneAllows
             && used.fitsIn(each.waits ? at.soon() : at.free())
             && (best == null || order.compare(each, best) < 0)) {
@@ -143,7 +143,7 @@
       }
       MachineId machine = best.machine.machine();
       choices.add(new Choice(machine, best.machine.zone(), best.readyS));
-      taken.merge(machine, job.each(), Resources::plus);
+      taken.merge(machine, job.taskResources(), Resources::plus);
       there.merge(machine, 1, Integer::sum);
       zones.merge(best.machine.zone(), 1, Integer::sum);
     }
@@ -161,8 +161,8 @@
         each -> blocks.computeIfAbsent(each.block(), block -> new ArrayList<>()).add(each));
     List<Choice> best = List.of();
     for (List<Candidate> block : blocks.values()) {
-      List<Choice> all = choose(job, job.tasks(), Map.of(), Set.of(), block, avoided);
-      if (all.size() == job.tasks() && (best.isEmpty() || lastS(all) < lastS(best))) {
+      List<Choice> all = choose(job, job.taskCount(), Map.of(), Set.of(), block, avoided);
+      if (all.size() == job.taskCount() && (best.isEmpty() || lastS(all) < lastS(best))) {
         best = all;
       }
     }
@@ -180,12 +180,12 @@
       if (job.allows(at.type(), at.zone(), at.spot())
           && at.fetchGbPerS() > 0
           && job.imageGb() <= at.cacheGb()
-          && job.each().fitsIn(at.soon())) {
+          && job.taskResources().fitsIn(at.soon())) {
         double readyS = readyS(job.image(), job.imageGb(), at);
         graded.add(
             new Graded(
                 at,
-                !job.each().fitsIn(at.free()),
+                !job.taskResources().fitsIn(at.free()),
                 readyS + displacedS(job.image(), job.imageGb(), at),
                 readyS));
       }
--- a/src/main/java/org/quincecross/models/Yielding.java
+++ b/src/main/java/org/quincecross/models/Yielding.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.Deque;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Which idle model gives way to one that is wanted and finds no room: the one that costs least to
@@ -13,13 +13,13 @@
  */
 public final class Yielding {
   /** One that was wanted more lately than this does not give way. */
-  static final Span LEAST_QUIET = Span.ofSeconds(20);
+  static final TimeSpan LEAST_QUIET = TimeSpan.ofSeconds(20);
 
   /** One that came up more lately than this does not. */
-  static final Span LEAST_UP = Span.ofSeconds(60);
+  static final TimeSpan LEAST_UP = TimeSpan.ofSeconds(60);
 
   private static final int MOST_SWAPS = 6;
-  static final Span SWAPS_WITHIN = Span.ofSeconds(60);
+  static final TimeSpan SWAPS_WITHIN = TimeSpan.ofSeconds(60);
 
   /**
    * A model that is warm and has nothing in flight.
@@ -27,23 +27,23 @@
    * @param comeBackS seconds of boot and fetch that its return would cost
    * @param makesRoom whether the one that is wanted could go where it is
    */
-  public record Idle(String name, Span quiet, Span up, double comeBackS, boolean makesRoom) {
+  public record Idle(String name, TimeSpan quiet, TimeSpan up, double comeBackS, boolean makesRoom) {
     double price() {
       return comeBackS / Math.max(1, quiet.seconds());
     }
   }
 
-  private final Deque<SteadyTime> swaps = new ArrayDeque<>();
+  private final Deque<MonotonicTime> swaps = new ArrayDeque<>();
 
   /** The one to give way, or null. */
-  public Idle choose(Collection<Idle> idle, SteadyTime now) {
-    while (!swaps.isEmpty() && now.since(swaps.peek()).isMoreThan(SWAPS_WITHIN)) {
+  public Idle choose(Collection<Idle> idle, MonotonicTime now) {
+    while (!swaps.isEmpty() && now.since(swaps.peek()).isLongerThan(SWAPS_WITHIN)) {
       swaps.poll();
     }
     Idle best = null;
     for (Idle each : idle) {
       boolean may =
-          each.makesRoom && each.quiet.isMoreThan(LEAST_QUIET) && each.up.isMoreThan(LEAST_UP);
+          each.makesRoom && each.quiet.isLongerThan(LEAST_QUIET) && each.up.isLongerThan(LEAST_UP);
       if (may
           && (best == null
               || each.price() < best.price()
--- a/src/main/java/org/quincecross/net/FrameSender.java
+++ b/src/main/java/org/quincecross/net/FrameSender.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Sends frames, each with its length before it, on a connection that is made anew when it breaks. A
  * frame that cannot go out now is dropped: what is sent this way is sent again.
  */
 public final class FrameSender {
-  private static final Span RETRY = Span.ofMillis(400);
-  private static final Span CONNECT_TIMEOUT = Span.ofSeconds(2);
+  private static final TimeSpan RETRY = TimeSpan.ofMillis(400);
+  private static final TimeSpan CONNECT_TIMEOUT = TimeSpan.ofSeconds(2);
 
   private final Loop loop;
   private final Endpoint to;
--- a/src/main/java/org/quincecross/net/FrameServer.java
+++ b/src/main/java/org/quincecross/net/FrameServer.java
@@ -11,8 +11,8 @@
 import java.util.List;
 import java.util.Set;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -27,9 +27,9 @@
    * Whoever is there says something twice a second: a connection that is quiet for longer is one
    * that nobody has any more.
    */
-  private static final Span IDLE = Span.ofSeconds(20);
+  private static final TimeSpan IDLE = TimeSpan.ofSeconds(20);
 
-  private static final Span SWEEP_EVERY = Span.ofSeconds(5);
+  private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(5);
   private static final Logger LOG = LoggerFactory.getLogger(FrameServer.class);
 
   /** Takes frames; false ends the connection that the frame came on. */
@@ -53,9 +53,9 @@
   }
 
   private void sweep() {
-    SteadyTime now = loop.now();
+    MonotonicTime now = loop.now();
     for (Receiver receiver : List.copyOf(receivers)) {
-      if (now.since(receiver.heard).isMoreThan(IDLE)) {
+      if (now.since(receiver.heard).isLongerThan(IDLE)) {
         receiver.end("quiet");
       }
     }
@@ -82,7 +82,7 @@
   private final class Receiver implements Connection.Sink {
     private final Connection connection;
     private ByteBuffer rest = ByteBuffer.allocate(0);
-    private SteadyTime heard = loop.now();
+    private MonotonicTime heard = loop.now();
 
     Receiver(SocketChannel socket) throws IOException {
       connection = new Connection(loop, socket, this, true);
--- a/src/main/java/org/quincecross/net/HttpClient.java
+++ b/src/main/java/org/quincecross/net/HttpClient.java
@@ -10,8 +10,8 @@
 import org.quincecross.http.HttpParser;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /** Calls other programs, on connections that are kept and used again. */
 public final class HttpClient implements HttpCaller {
@@ -19,8 +19,8 @@
   private static final int MOST_BODY = 16 * 1024 * 1024;
 
   private static final int MOST_KEPT = 4;
-  private static final Span KEEP = Span.ofSeconds(20);
-  private static final Span SWEEP_EVERY = Span.ofSeconds(5);
+  private static final TimeSpan KEEP = TimeSpan.ofSeconds(20);
+  private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(5);
 
   /** The states of a call. */
   private enum State {
@@ -38,10 +38,10 @@
    */
   private final PriorityQueue<Deadline> deadlines = new PriorityQueue<>();
 
-  private SteadyTime armedFor;
+  private MonotonicTime armedFor;
   private boolean closed;
 
-  private record Deadline(SteadyTime at, Line line, long call) implements Comparable<Deadline> {
+  private record Deadline(MonotonicTime at, Line line, long call) implements Comparable<Deadline> {
     boolean isOpen() {
       return line.state == State.WAITING && line.call == call;
     }
@@ -65,7 +65,7 @@
   }
 
   @Override
-  public void call(Endpoint to, HttpRequest request, Span timeout, Consumer<HttpOutcome> done) {
+  public void call(Endpoint to, HttpRequest request, TimeSpan timeout, Consumer<HttpOutcome> done) {
     Line line = null;
     ArrayDeque<Line> lines = kept.get(to);
     if (lines != null) {
@@ -76,7 +76,7 @@
         line = new Line(to);
       }
     } catch (IOException | RuntimeException e) {
-      loop.after(Span.ofMillis(1), () -> done.accept(HttpOutcome.failed(false)));
+      loop.after(TimeSpan.ofMillis(1), () -> done.accept(HttpOutcome.failed(false)));
       return;
     }
     line.start(request, timeout, done);
@@ -87,11 +87,11 @@
       return;
     }
     loop.after(SWEEP_EVERY, this::sweep);
-    SteadyTime now = loop.now();
+    MonotonicTime now = loop.now();
     kept.values()
         .removeIf(
             lines -> {
-              while (!lines.isEmpty() && now.since(lines.peekFirst().idleSince).isMoreThan(KEEP)) {
+              while (!lines.isEmpty() && now.since(lines.peekFirst().idleSince).isLongerThan(KEEP)) {
                 lines.pollFirst().connection.close();
               }
               return lines.isEmpty();
@@ -110,7 +110,7 @@
       deadlines.poll();
     }
     if (!deadlines.isEmpty() && (armedFor == null || deadlines.peek().at().isBefore(armedFor))) {
-      SteadyTime at = deadlines.peek().at();
+      MonotonicTime at = deadlines.peek().at();
       armedFor = at;
       loop.after(
           at.since(loop.now()),
@@ -124,7 +124,7 @@
   }
 
   private void expire() {
-    SteadyTime now = loop.now();
+    MonotonicTime now = loop.now();
     while (!deadlines.isEmpty() && !now.isBefore(deadlines.peek().at())) {
       Deadline next = deadlines.poll();
       if (next.isOpen()) {
@@ -145,7 +145,7 @@
     private Consumer<HttpOutcome> done;
     private boolean sent;
     private long call;
-    private SteadyTime idleSince;
+    private MonotonicTime idleSince;
 
     Line(Endpoint to) throws IOException {
       this.to = to;
@@ -157,7 +157,7 @@
       state = next;
     }
 
-    void start(HttpRequest request, Span timeout, Consumer<HttpOutcome> whenDone) {
+    void start(HttpRequest request, TimeSpan timeout, Consumer<HttpOutcome> whenDone) {
       enter(State.WAITING);
       done = whenDone;
       sent = connection.state() == Connection.State.OPEN;
--- a/src/main/java/org/quincecross/net/HttpServer.java
+++ b/src/main/java/org/quincecross/net/HttpServer.java
@@ -13,8 +13,8 @@
 import org.quincecross.http.HttpParser;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,10 +24,10 @@
   private static final int MOST_BODY = 64 * 1024;
 
   /** A client that has begun a request gets this long to finish it. */
-  private static final Span REQUEST_TIME = Span.ofSeconds(10);
+  private static final TimeSpan REQUEST_TIME = TimeSpan.ofSeconds(10);
 
-  private static final Span IDLE_TIME = Span.ofSeconds(90);
-  private static final Span SWEEP_EVERY = Span.ofSeconds(2);
+  private static final TimeSpan IDLE_TIME = TimeSpan.ofSeconds(90);
+  private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(2);
 
   private final Loop loop;
   private final HttpHandler handler;
@@ -109,11 +109,11 @@
       return;
     }
     loop.after(SWEEP_EVERY, this::sweep);
-    SteadyTime now = loop.now();
+    MonotonicTime now = loop.now();
     for (Client client : List.copyOf(clients)) {
-      Span quiet = now.since(client.since);
+      TimeSpan quiet = now.since(client.since);
       if (!client.busy
-          && quiet.isMoreThan(client.parser.isMidMessage() ? REQUEST_TIME : IDLE_TIME)) {
+          && quiet.isLongerThan(client.parser.isMidMessage() ? REQUEST_TIME : IDLE_TIME)) {
         client.end();
       }
     }
@@ -124,7 +124,7 @@
     private final HttpParser parser = new HttpParser(HttpParser.Role.REQUESTS, MOST_BODY);
     private ByteBuffer rest = ByteBuffer.allocate(0);
     private boolean busy;
-    private SteadyTime since = loop.now();
+    private MonotonicTime since = loop.now();
 
     Client(SocketChannel socket) throws IOException {
       connection = new Connection(loop, socket, this, true);
--- a/src/main/java/org/quincecross/net/Limiter.java
+++ b/src/main/java/org/quincecross/net/Limiter.java
@@ -1,22 +1,22 @@
 package org.quincecross.net;
 
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 
 /** A token bucket: so many units a second, with bursts worth some seconds. */
 public final class Limiter {
   private final double perSecond;
   private final double most;
   private double level;
-  private SteadyTime at;
+  private MonotonicTime at;
 
-  public Limiter(double perSecond, double burst, SteadyTime now) {
+  public Limiter(double perSecond, double burst, MonotonicTime now) {
     this.perSecond = perSecond;
     this.most = Math.max(1, burst);
     this.level = most;
     this.at = now;
   }
 
-  private void refill(SteadyTime now) {
+  private void refill(MonotonicTime now) {
     level = Math.min(most, level + now.since(at).seconds() * perSecond);
     at = now;
   }
@@ -25,7 +25,7 @@
    * Takes {@code units} if there are so many; a larger bite than the bucket holds waits for a full
    * bucket.
    */
-  public boolean take(double units, SteadyTime now) {
+  public boolean take(double units, MonotonicTime now) {
     refill(now);
     if (level < Math.min(units, most)) {
       return false;
@@ -37,18 +37,18 @@
   /**
    * Takes {@code units} whatever is there: for what must not wait, and is paid for by what follows.
    */
-  public void force(double units, SteadyTime now) {
+  public void force(double units, MonotonicTime now) {
     refill(now);
     level -= units;
   }
 
-  public double level(SteadyTime now) {
+  public double level(MonotonicTime now) {
     refill(now);
     return level;
   }
 
   /** After a refusal by the other side: others have used the budget, so stand back for a while. */
-  public void drain(SteadyTime now) {
+  public void drain(MonotonicTime now) {
     refill(now);
     level = Math.min(level, -0.2 * perSecond);
   }
--- a/src/main/java/org/quincecross/net/Loop.java
+++ b/src/main/java/org/quincecross/net/Loop.java
@@ -8,8 +8,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -25,7 +25,7 @@
     void broken(IOException cause);
   }
 
-  private record Due(SteadyTime at, long order, Runnable action) implements Comparable<Due> {
+  private record Due(MonotonicTime at, long order, Runnable action) implements Comparable<Due> {
     @Override
     public int compareTo(Due other) {
       int byTime = at.compareTo(other.at);
@@ -47,12 +47,12 @@
   }
 
   @Override
-  public SteadyTime now() {
-    return new SteadyTime(System.nanoTime());
+  public MonotonicTime now() {
+    return new MonotonicTime(System.nanoTime());
   }
 
   @Override
-  public void after(Span delay, Runnable action) {
+  public void after(TimeSpan delay, Runnable action) {
     timers.add(new Due(now().plus(delay), order++, action));
   }
 
@@ -106,7 +106,7 @@
   }
 
   private void runTimers() {
-    SteadyTime now = now();
+    MonotonicTime now = now();
     while (!timers.isEmpty() && !now.isBefore(timers.peek().at())) {
       Runnable action = timers.poll().action();
       try {
--- a/src/main/java/org/quincecross/net/Watched.java
+++ b/src/main/java/org/quincecross/net/Watched.java
@@ -1,7 +1,7 @@
 package org.quincecross.net;
 
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /** Clocks and callers that do something first, whatever it is that they call back for. */
 public final class Watched {
@@ -20,17 +20,17 @@
   public static Timers timers(Timers clock, Runnable first) {
     return new Timers() {
       @Override
-      public SteadyTime now() {
+      public MonotonicTime now() {
         return clock.now();
       }
 
       @Override
-      public void after(Span delay, Runnable action) {
+      public void after(TimeSpan delay, Runnable action) {
         clock.after(delay, new Step(first, action));
       }
 
       @Override
-      public void every(Span period, Runnable action) {
+      public void every(TimeSpan period, Runnable action) {
         clock.every(period, new Step(first, action));
       }
     };
--- a/src/main/java/org/quincecross/overload/Claim.java
+++ b/src/main/java/org/quincecross/overload/Claim.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
 
 /**
@@ -23,7 +23,7 @@
 public record Claim(
     JobId id,
     Group group,
-    Rank rank,
+    Priority rank,
     boolean first,
     Revision accepted,
     int tasks,
--- a/src/main/java/org/quincecross/overload/Overload.java
+++ b/src/main/java/org/quincecross/overload/Overload.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Notices that more work is to be done than can be done in time, and orders it then: as many jobs
@@ -34,8 +34,8 @@
     EASING
   }
 
-  private static final Span STRAIN = Span.ofSeconds(3);
-  private static final Span EASE = Span.ofSeconds(15);
+  private static final TimeSpan STRAIN = TimeSpan.ofSeconds(3);
+  private static final TimeSpan EASE = TimeSpan.ofSeconds(15);
 
   /** For so long a group may save up its part. */
   private static final double SAVED_S = 30;
@@ -72,8 +72,8 @@
   private final Map<JobId, Claim> known = new HashMap<>();
   private final Set<JobId> aside = new HashSet<>();
   private State state = State.CALM;
-  private SteadyTime since;
-  private SteadyTime looked;
+  private MonotonicTime since;
+  private MonotonicTime looked;
   private double behindS;
 
   public Overload(Shares shares) {
@@ -93,7 +93,7 @@
   }
 
   /** Since when it is in this state; null before the first look. */
-  public SteadyTime since() {
+  public MonotonicTime since() {
     return since;
   }
 
@@ -145,25 +145,25 @@
   }
 
   /** The one place where the state changes. */
-  private void enter(State next, SteadyTime now) {
+  private void enter(State next, MonotonicTime now) {
     if (next != state || since == null) {
       since = now;
     }
     state = next;
   }
 
-  private void notice(boolean fits, SteadyTime now) {
-    Span stayed = since == null ? Span.ZERO : now.since(since);
+  private void notice(boolean fits, MonotonicTime now) {
+    TimeSpan stayed = since == null ? TimeSpan.ZERO : now.since(since);
     switch (state) {
       case CALM -> enter(fits ? State.CALM : State.STRAINED, now);
       case STRAINED ->
           enter(
-              fits ? State.CALM : stayed.isMoreThan(STRAIN) ? State.OVERLOADED : State.STRAINED,
+              fits ? State.CALM : stayed.isLongerThan(STRAIN) ? State.OVERLOADED : State.STRAINED,
               now);
       case OVERLOADED -> enter(fits ? State.EASING : State.OVERLOADED, now);
       case EASING ->
           enter(
-              !fits ? State.OVERLOADED : stayed.isMoreThan(EASE) ? State.CALM : State.EASING, now);
+              !fits ? State.OVERLOADED : stayed.isLongerThan(EASE) ? State.CALM : State.EASING, now);
       default -> throw new IllegalStateException(state.toString());
     }
   }
@@ -176,7 +176,7 @@
    * Looks at all work that waits, other than what must start at once, and says of each job where it
    * stands.
    */
-  public Map<JobId, Verdict> look(Collection<Claim> claims, SteadyTime now) {
+  public Map<JobId, Verdict> look(Collection<Claim> claims, MonotonicTime now) {
     double step = looked == null ? 0 : Math.min(LONGEST_STEP_S, now.since(looked).seconds());
     looked = now;
     meet(claims, step);
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import org.quincecross.agreed.KnownByAll;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.state.Ledger;
 import org.quincecross.state.MemberRecord;
@@ -25,13 +25,13 @@
    */
   private static final int MOST_SEEN = 4096;
 
-  private record Seen(Revision revision, SteadyTime at) {}
+  private record Seen(Revision revision, MonotonicTime at) {}
 
   private final Timers timers;
   private final Ledger ledger;
   private final PeerViews views;
   private final Settings settings;
-  private final Span longest;
+  private final TimeSpan longest;
   private final ArrayDeque<Seen> seen = new ArrayDeque<>();
 
   /**
@@ -39,7 +39,7 @@
    *     clocks' drift included
    */
   public KnownRevisions(
-      Timers timers, Ledger ledger, PeerViews views, Settings settings, Span longest) {
+      Timers timers, Ledger ledger, PeerViews views, Settings settings, TimeSpan longest) {
     this.timers = timers;
     this.ledger = ledger;
     this.views = views;
@@ -59,8 +59,8 @@
 
   /** Since when all know of a revision; asked for one that an agreed record was changed with. */
   public KnownByAll.Answer of(Revision revision) {
-    SteadyTime now = timers.now();
-    SteadyTime at = null;
+    MonotonicTime now = timers.now();
+    MonotonicTime at = null;
     for (Seen each : seen) {
       if (!revision.isAfter(each.revision())) {
         at = each.at();
@@ -85,7 +85,7 @@
     return KnownByAll.of(revision, ledger.revision(), at, expected, told, longest, now);
   }
 
-  private void expect(MemberId member, List<KnownByAll.Told> expected) {
+  private void expect(ControllerId member, List<KnownByAll.Told> expected) {
     MemberRecord record = ledger.members().get(member);
     expected.add(
         new KnownByAll.Told(
--- a/src/main/java/org/quincecross/peer/ModelFleet.java
+++ b/src/main/java/org/quincecross/peer/ModelFleet.java
@@ -10,8 +10,8 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.models.Model;
 import org.quincecross.models.Weights;
 import org.quincecross.state.BlockLease;
@@ -24,7 +24,7 @@
  * holders have told lately.
  */
 public final class ModelFleet {
-  private static final Span FRESH = Span.ofSeconds(2.5);
+  private static final TimeSpan FRESH = TimeSpan.ofSeconds(2.5);
 
   /** From the start command to the first request beyond the fetch, at the least. */
   private static final double START_S = 1;
@@ -56,15 +56,15 @@
   public record Estimate(double bestS, double worstS) {}
 
   /** What the holder of a machine's block last said of it, if that is recent; else null. */
-  public PeerReport.MachineState state(MachineId machine, SteadyTime now) {
+  public PeerReport.MachineState state(MachineId machine, MonotonicTime now) {
     BlockLease lease = ledger.blockOf(machine);
     PeerViews.BlockView block = lease == null ? null : block(lease, now);
     return block == null ? null : block.machines().get(machine);
   }
 
-  private PeerViews.BlockView block(BlockLease lease, SteadyTime now) {
+  private PeerViews.BlockView block(BlockLease lease, MonotonicTime now) {
     PeerViews.View view = views.of(lease.holder());
-    if (view == null || now.since(view.at()).isMoreThan(FRESH)) {
+    if (view == null || now.since(view.at()).isLongerThan(FRESH)) {
       return null;
     }
     PeerViews.BlockView block = view.blocks().get(lease.id());
@@ -77,7 +77,7 @@
    * @param notYet what is chosen for machines and not yet seen there: takes room, and where its
    *     weights are not there, a turn to fetch
    */
-  public List<Weights.Candidate> candidates(Map<MachineId, List<Job>> notYet, SteadyTime now) {
+  public List<Weights.Candidate> candidates(Map<MachineId, List<Job>> notYet, MonotonicTime now) {
     Map<String, Double> sizes = sizes();
     List<Weights.Candidate> candidates = new ArrayList<>();
     for (BlockLease lease : ledger.blocks().values()) {
@@ -126,7 +126,7 @@
     Resources taken = Resources.NONE;
     Map<String, Double> coming = new LinkedHashMap<>();
     for (Job job : notYet) {
-      taken = taken.plus(job.each());
+      taken = taken.plus(job.taskResources());
       if (!state.images().contains(job.image())) {
         coming.put(job.image(), job.imageGb());
       }
@@ -144,7 +144,7 @@
         lease.spot(),
         free,
         free.plus(state.yielding()),
-        type.fetchGbPerS(),
+        type.pullGbPerSecond(),
         type.cacheGb(),
         Set.copyOf(state.images()),
         coming,
@@ -152,7 +152,7 @@
   }
 
   /** When a model that is not up, or has no place yet, could serve. */
-  public Estimate estimate(Job job, SteadyTime now) {
+  public Estimate estimate(Job job, MonotonicTime now) {
     List<Weights.Choice> choices =
         Weights.choose(job, 1, Map.of(), Set.of(), candidates(Map.of(), now), Set.of());
     if (!choices.isEmpty()) {
@@ -164,11 +164,11 @@
     for (MachineType type : ledger.types().values()) {
       boolean allowed =
           type.zones().stream().anyMatch(zone -> job.allows(type.name(), zone, false));
-      if (allowed && job.each().fitsIn(type.capacity()) && type.fetchGbPerS() > 0) {
-        double fetchS = job.imageGb() / type.fetchGbPerS();
-        best = Math.min(best, type.boot().seconds() + fetchS + START_S);
+      if (allowed && job.taskResources().fitsIn(type.capacity()) && type.pullGbPerSecond() > 0) {
+        double fetchS = job.imageGb() / type.pullGbPerSecond();
+        best = Math.min(best, type.bootTime().seconds() + fetchS + START_S);
         worst =
-            Math.min(worst, SLOW_BOOT * type.boot().seconds() + SLOW_FETCH * fetchS + 10 * START_S);
+            Math.min(worst, SLOW_BOOT * type.bootTime().seconds() + SLOW_FETCH * fetchS + 10 * START_S);
       }
     }
     return new Estimate(best, worst);
@@ -178,7 +178,7 @@
    * When a model that starts on machines that are chosen should serve; {@code elapsedS}: since it
    * began to start.
    */
-  public Estimate estimate(Job job, Model model, double elapsedS, SteadyTime now) {
+  public Estimate estimate(Job job, Model model, double elapsedS, MonotonicTime now) {
     if (model.places().isEmpty()) {
       return estimate(job, now);
     }
@@ -186,7 +186,7 @@
     for (Model.Place place : model.places().values()) {
       BlockLease lease = ledger.blockOf(place.machine());
       MachineType type = lease == null ? null : ledger.types().get(lease.type());
-      rate = type == null ? rate : Math.max(rate, type.fetchGbPerS());
+      rate = type == null ? rate : Math.max(rate, type.pullGbPerSecond());
     }
     double fetchS = rate > 0 ? job.imageGb() / rate : 0;
     return new Estimate(
--- a/src/main/java/org/quincecross/peer/ModelNews.java
+++ b/src/main/java/org/quincecross/peer/ModelNews.java
@@ -10,7 +10,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.models.DemandSum;
 
@@ -21,7 +21,7 @@
  * @param demand what it has seen of that, of the models that anybody has wanted here
  * @param running the replicas that run in its blocks
  */
-public record ModelNews(Span since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
+public record ModelNews(TimeSpan since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
   public static final String SECTION = "models";
   private static final int MOST_ITEMS = 100_000;
 
@@ -47,11 +47,11 @@
   /** What a section says; null where it cannot be read. */
   public static ModelNews read(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-      Span since = new Span(in.unpackLong());
+      TimeSpan since = new TimeSpan(in.unpackLong());
       Map<String, DemandSum.Told> demand = new HashMap<>();
       for (int i = Math.min(MOST_ITEMS, in.unpackMapHeader()); i > 0; i--) {
         demand.put(
-            in.unpackString(), new DemandSum.Told(in.unpackInt(), new Span(in.unpackLong())));
+            in.unpackString(), new DemandSum.Told(in.unpackInt(), new TimeSpan(in.unpackLong())));
       }
       Set<TaskId> running = new HashSet<>();
       for (int i = Math.min(MOST_ITEMS, in.unpackArrayHeader()); i > 0; i--) {
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -12,16 +12,16 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.wire.BadMessage;
 
 /** Peer reports to and from MessagePack. */
@@ -40,7 +40,7 @@
       out.packLong(report.number());
       out.packLong(report.base());
       out.packMapHeader(report.receipts().size());
-      for (Map.Entry<MemberId, PeerReport.Receipt> receipt : report.receipts().entrySet()) {
+      for (Map.Entry<ControllerId, PeerReport.Receipt> receipt : report.receipts().entrySet()) {
         out.packString(receipt.getKey().text());
         out.packLong(receipt.getValue().life().number());
         out.packLong(receipt.getValue().number());
@@ -160,22 +160,22 @@
       if (in.unpackInt() != FORMAT) {
         throw new BadMessage("unknown format of a peer report");
       }
-      MemberId member = new MemberId(in.unpackString());
+      ControllerId member = new ControllerId(in.unpackString());
       Incarnation life = new Incarnation(in.unpackLong());
       long number = in.unpackLong();
       long base = in.unpackLong();
       if (base < 0 || number <= base) {
         throw new BadMessage("a peer report that builds on a later one");
       }
-      Map<MemberId, PeerReport.Receipt> receipts = new HashMap<>();
+      Map<ControllerId, PeerReport.Receipt> receipts = new HashMap<>();
       for (int i = count(in.unpackMapHeader()); i > 0; i--) {
         receipts.put(
-            new MemberId(in.unpackString()),
+            new ControllerId(in.unpackString()),
             new PeerReport.Receipt(
                 new Incarnation(in.unpackLong()), in.unpackLong(), in.unpackBoolean()));
       }
       Revision ledger = new Revision(in.unpackLong());
-      Span unconfirmed = new Span(in.unpackLong());
+      TimeSpan unconfirmed = new TimeSpan(in.unpackLong());
       List<MachineId> strays = readTexts(in).stream().map(MachineId::new).toList();
       List<PeerReport.Block> blocks = new ArrayList<>();
       for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
@@ -193,8 +193,8 @@
   }
 
   private static PeerReport.Block readBlock(MessageUnpacker in) throws IOException, BadMessage {
-    BlockId id = new BlockId(in.unpackString());
-    Token token = new Token(in.unpackLong());
+    ShardId id = new ShardId(in.unpackString());
+    FencingToken token = new FencingToken(in.unpackLong());
     Revision allocation = new Revision(in.unpackLong());
     boolean inDoubt = in.unpackBoolean();
     Set<JobId> declined = new HashSet<>();
@@ -213,7 +213,7 @@
       MachineId machine = new MachineId(in.unpackString());
       Resources free = readResources(in);
       Resources yielding = readResources(in);
-      Span silent = new Span(in.unpackLong());
+      TimeSpan silent = new TimeSpan(in.unpackLong());
       boolean open = in.unpackBoolean();
       boolean fenced = in.unpackBoolean();
       boolean notice = in.unpackBoolean();
--- a/src/main/java/org/quincecross/peer/PeerReport.java
+++ b/src/main/java/org/quincecross/peer/PeerReport.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 
 /**
  * What a controller tells another again and again: everything that has changed since report {@code
@@ -29,24 +29,24 @@
  *     receiver leaves alone what it does not know
  */
 public record PeerReport(
-    MemberId member,
+    ControllerId member,
     Incarnation life,
     long number,
     long base,
-    Map<MemberId, Receipt> receipts,
+    Map<ControllerId, Receipt> receipts,
     Revision ledger,
-    Span unconfirmed,
+    TimeSpan unconfirmed,
     List<Block> blocks,
     List<MachineId> strays,
     Map<String, byte[]> sections) {
   public PeerReport(
-      MemberId member,
+      ControllerId member,
       Incarnation life,
       long number,
       long base,
-      Map<MemberId, Receipt> receipts,
+      Map<ControllerId, Receipt> receipts,
       Revision ledger,
-      Span unconfirmed,
+      TimeSpan unconfirmed,
       List<Block> blocks,
       List<MachineId> strays) {
     this(member, life, number, base, receipts, ledger, unconfirmed, blocks, strays, Map.of());
@@ -72,8 +72,8 @@
    * @param released tasks that are on no machine and will not be started
    */
   public record Block(
-      BlockId id,
-      Token token,
+      ShardId id,
+      FencingToken token,
       Revision allocation,
       boolean inDoubt,
       Set<JobId> declined,
@@ -117,7 +117,7 @@
       MachineId id,
       Resources free,
       Resources yielding,
-      Span silent,
+      TimeSpan silent,
       boolean open,
       boolean fenced,
       boolean notice,
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 
 /** What each controller has told of itself and its blocks, put together from its reports. */
 public final class PeerViews {
   /** A block as its holder last described it. */
   public record BlockView(
-      BlockId id,
-      Token token,
+      ShardId id,
+      FencingToken token,
       Revision allocation,
       boolean inDoubt,
       Set<JobId> declined,
@@ -36,22 +36,22 @@
 
   /** Told which blocks a report says something new of. */
   public interface Listener {
-    void changed(MemberId member, Collection<BlockId> blocks);
+    void changed(ControllerId member, Collection<ShardId> blocks);
   }
 
   /** What is known of one controller. */
   public static final class View {
     private final Incarnation life;
-    private final Map<BlockId, BlockView> blocks = new LinkedHashMap<>();
+    private final Map<ShardId, BlockView> blocks = new LinkedHashMap<>();
     private long number;
     private boolean gap;
-    private SteadyTime at;
+    private MonotonicTime at;
     private Revision ledger = Revision.NONE;
-    private Span unconfirmed = Span.ZERO;
+    private TimeSpan unconfirmed = TimeSpan.ZERO;
     private Set<MachineId> strays = Set.of();
     private Map<String, byte[]> sections = Map.of();
 
-    private View(Incarnation life, SteadyTime at) {
+    private View(Incarnation life, MonotonicTime at) {
       this.life = life;
       this.at = at;
     }
@@ -66,7 +66,7 @@
     }
 
     /** When its last report came. */
-    public SteadyTime at() {
+    public MonotonicTime at() {
       return at;
     }
 
@@ -76,7 +76,7 @@
     }
 
     /** How long it had not heard from the state service. */
-    public Span unconfirmed() {
+    public TimeSpan unconfirmed() {
       return unconfirmed;
     }
 
@@ -89,12 +89,12 @@
       return sections;
     }
 
-    public Map<BlockId, BlockView> blocks() {
+    public Map<ShardId, BlockView> blocks() {
       return blocks;
     }
   }
 
-  private final Map<MemberId, View> views = new TreeMap<>();
+  private final Map<ControllerId, View> views = new TreeMap<>();
   private final List<Listener> listeners = new ArrayList<>();
 
   public void listen(Listener listener) {
@@ -106,18 +106,18 @@
   }
 
   /** What is known of a controller, or null. */
-  public View of(MemberId member) {
+  public View of(ControllerId member) {
     return views.get(member);
   }
 
   /** Takes a report; false if it builds on one that did not come, and so says nothing. */
-  public boolean take(PeerReport report, SteadyTime now) {
+  public boolean take(PeerReport report, MonotonicTime now) {
     View view = views.get(report.member());
     if (view == null || !view.life.equals(report.life())) {
       if (view != null && Long.compareUnsigned(report.life().number(), view.life.number()) < 0) {
         return true; // a late one of a former life
       }
-      List<BlockId> forgotten = view == null ? List.of() : List.copyOf(view.blocks.keySet());
+      List<ShardId> forgotten = view == null ? List.of() : List.copyOf(view.blocks.keySet());
       view = new View(report.life(), now);
       views.put(report.member(), view);
       tell(report.member(), forgotten);
@@ -136,7 +136,7 @@
     view.unconfirmed = report.unconfirmed();
     view.strays = new HashSet<>(report.strays());
     view.sections = report.sections();
-    Set<BlockId> changed = new HashSet<>();
+    Set<ShardId> changed = new HashSet<>();
     if (report.base() == 0) {
       changed.addAll(view.blocks.keySet());
       view.blocks.clear();
@@ -172,14 +172,14 @@
             machines));
   }
 
-  private void tell(MemberId member, Collection<BlockId> changed) {
+  private void tell(ControllerId member, Collection<ShardId> changed) {
     if (!changed.isEmpty()) {
       listeners.forEach(listener -> listener.changed(member, changed));
     }
   }
 
   /** Forgets a block that a controller does not hold any more. */
-  public void forget(MemberId member, BlockId block) {
+  public void forget(ControllerId member, ShardId block) {
     View view = views.get(member);
     if (view != null && view.blocks.remove(block) != null) {
       tell(member, List.of(block));
@@ -187,13 +187,13 @@
   }
 
   /** For so long nobody was listened to here: that nothing came is no sign of who did not speak. */
-  public void excuse(Span gap) {
+  public void excuse(TimeSpan gap) {
     views.values().forEach(view -> view.at = view.at.plus(gap));
   }
 
   /** What has been received of each controller, for it to know. */
-  public Map<MemberId, PeerReport.Receipt> receipts() {
-    Map<MemberId, PeerReport.Receipt> receipts = new HashMap<>();
+  public Map<ControllerId, PeerReport.Receipt> receipts() {
+    Map<ControllerId, PeerReport.Receipt> receipts = new HashMap<>();
     views.forEach(
         (member, view) ->
             receipts.put(member, new PeerReport.Receipt(view.life, view.number, view.gap)));
--- a/src/main/java/org/quincecross/pipeline/Urgencies.java
+++ b/src/main/java/org/quincecross/pipeline/Urgencies.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 
 /**
  * How urgent each job is for the sake of those that need it: users set priority and deadline on the
@@ -28,10 +28,10 @@
    * @param runMs how long it takes from the end of those before it, at best: hand-over, image and
    *     run
    */
-  public record Own(Rank rank, long endByMs, long runMs) {}
+  public record Own(Priority rank, long endByMs, long runMs) {}
 
   /** What a job is to be treated as. */
-  public record Urgency(Rank rank, long endByMs) {}
+  public record Urgency(Priority rank, long endByMs) {}
 
   private final Function<JobId, Own> jobs;
   private final Pipelines pipelines;
@@ -72,7 +72,7 @@
   }
 
   private Urgency of(JobId id, Own own) {
-    Rank rank = own.rank();
+    Priority rank = own.rank();
     long endBy = own.endByMs();
     for (JobId follower : pipelines.followersOf(id)) {
       Own its = jobs.apply(follower);
@@ -80,12 +80,12 @@
         continue;
       }
       Urgency inheritedToo = inherited.get(follower);
-      Rank itsRank = inheritedToo == null ? its.rank() : inheritedToo.rank();
+      Priority itsRank = inheritedToo == null ? its.rank() : inheritedToo.rank();
       // The highest priority has ways of its own, for what has to start within seconds: only who
       // asks for it has them.
-      itsRank = itsRank == Rank.PRODUCTION ? Rank.HIGH : itsRank;
+      itsRank = itsRank == Priority.PRODUCTION ? Priority.HIGH : itsRank;
       long itsEndBy = inheritedToo == null ? its.endByMs() : inheritedToo.endByMs();
-      rank = itsRank.isAbove(rank) ? itsRank : rank;
+      rank = itsRank.isHigherThan(rank) ? itsRank : rank;
       endBy = itsEndBy == NEVER ? endBy : Math.min(endBy, itsEndBy - its.runMs());
     }
     return new Urgency(rank, endBy);
--- a/src/main/java/org/quincecross/program/Server.java
+++ b/src/main/java/org/quincecross/program/Server.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.quincecross.api.Controller;
 import org.quincecross.api.PeerSender;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.net.FrameSender;
 import org.quincecross.net.FrameServer;
 import org.quincecross.net.HttpClient;
@@ -33,19 +33,19 @@
 
   void run() throws IOException {
     Loop loop = new Loop();
-    Map<MemberId, FrameSender> peers = new HashMap<>();
+    Map<ControllerId, FrameSender> peers = new HashMap<>();
     for (Settings.Sibling sibling : settings.siblings()) {
       peers.put(sibling.member(), new FrameSender(loop, sibling.endpoint()));
     }
     PeerSender sender =
         new PeerSender() {
           @Override
-          public boolean send(MemberId to, byte[] frame) {
+          public boolean send(ControllerId to, byte[] frame) {
             return peers.get(to).send(frame);
           }
 
           @Override
-          public void renew(MemberId to) {
+          public void renew(ControllerId to) {
             peers.get(to).renew();
           }
         };
--- a/src/main/java/org/quincecross/progress/ProgressWatch.java
+++ b/src/main/java/org/quincecross/progress/ProgressWatch.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Remembers when each open job last made progress. Progress is a completed task; of a service, that
@@ -24,7 +24,7 @@
   private static final double EXPLAINED = 3;
 
   /** What fetches, renting and a change of holder take on top. */
-  private static final Span SLACK = Span.ofSeconds(60);
+  private static final TimeSpan SLACK = TimeSpan.ofSeconds(60);
 
   /**
    * An open job as it is now.
@@ -34,16 +34,16 @@
    * @param tasks how many it has; {@code done}, {@code running}: how many of them are done and run
    */
   public record Standing(
-      JobId job, boolean service, Span estimate, int tasks, int done, int running) {
+      JobId job, boolean service, TimeSpan estimate, int tasks, int done, int running) {
     boolean isWhole() {
       return service && running >= tasks;
     }
   }
 
   /** A job without progress since {@code since}, which its estimate does not explain. */
-  public record Stall(JobId job, SteadyTime since) {}
+  public record Stall(JobId job, MonotonicTime since) {}
 
-  private record Mark(int done, SteadyTime at) {}
+  private record Mark(int done, MonotonicTime at) {}
 
   private final Map<JobId, Mark> marks = new HashMap<>();
 
@@ -51,7 +51,7 @@
    * Takes note of all open jobs that are to be watched; returns those that have stalled, the
    * longest first.
    */
-  public List<Stall> look(Collection<Standing> jobs, SteadyTime now) {
+  public List<Stall> look(Collection<Standing> jobs, MonotonicTime now) {
     Set<JobId> seen = new HashSet<>();
     List<Stall> stalls = new ArrayList<>();
     for (Standing job : jobs) {
@@ -59,7 +59,7 @@
       Mark before = marks.get(job.job());
       if (before == null || job.done() > before.done() || job.isWhole()) {
         marks.put(job.job(), new Mark(job.done(), now));
-      } else if (now.since(before.at()).isMoreThan(job.estimate().times(EXPLAINED).plus(SLACK))) {
+      } else if (now.since(before.at()).isLongerThan(job.estimate().times(EXPLAINED).plus(SLACK))) {
         stalls.add(new Stall(job.job(), before.at()));
       }
     }
--- a/src/main/java/org/quincecross/quota/Entitlement.java
+++ b/src/main/java/org/quincecross/quota/Entitlement.java
@@ -38,7 +38,7 @@
   public static Entitlement of(QuotaTree tree, Resources[] demand, Resources capacity) {
     Entitlement all = new Entitlement(tree, demand, capacity);
     all.sumUp();
-    all.entitled[0] = all.asks[0].least(capacity);
+    all.entitled[0] = all.asks[0].min(capacity);
     for (QuotaTree.Node node : tree.nodes()) {
       if (!node.children().isEmpty()) {
         all.divide(node);
@@ -60,7 +60,7 @@
     List<QuotaTree.Node> nodes = tree.nodes();
     for (int i = nodes.size() - 1; i >= 0; i--) {
       QuotaTree.Node node = nodes.get(i);
-      asks[i] = asks[i].least(node.limit()).least(node.guarantee().plus(node.spec().borrow()));
+      asks[i] = asks[i].min(node.limit()).min(node.guarantee().plus(node.spec().borrow()));
       if (node.parent() != null) {
         asks[node.parent().index()] = asks[node.parent().index()].plus(asks[i]);
       }
@@ -114,9 +114,9 @@
   }
 
   private Taker taker(int index, double weight, Resources guarantee, Resources ask) {
-    Resources base = ask.least(guarantee);
+    Resources base = ask.min(guarantee);
     Resources more = ask.minus(base);
-    return new Taker(index, weight, base, more, more.shareOf(capacity));
+    return new Taker(index, weight, base, more, more.dominantShareOf(capacity));
   }
 
   /** Guarantees first; where there is not even enough for them, all get the same part of theirs. */
--- a/src/main/java/org/quincecross/quota/Explanation.java
+++ b/src/main/java/org/quincecross/quota/Explanation.java
@@ -19,10 +19,10 @@
     List<String> lines = new ArrayList<>();
     Resources needed = each.times(together);
     for (QuotaBooks.Level level : books.levels(node)) {
-      if (level.room().count(each) >= together) {
+      if (level.room().capacityFor(each) >= together) {
         continue;
       }
-      Resources missing = needed.minus(level.room()).most(Resources.NONE);
+      Resources missing = needed.minus(level.room()).max(Resources.NONE);
       String kept =
           level.kept().fitsIn(Resources.NONE)
               ? ""
--- a/src/main/java/org/quincecross/quota/QuotaBooks.java
+++ b/src/main/java/org/quincecross/quota/QuotaBooks.java
@@ -69,7 +69,7 @@
       return Resources.NONE;
     }
     Resources own = node.guarantee().times(1 - node.spec().lend()).minus(used[node.index()]);
-    return own.most(kept[node.index()]).most(Resources.NONE);
+    return own.max(kept[node.index()]).max(Resources.NONE);
   }
 
   /**
@@ -82,7 +82,7 @@
   public record Level(QuotaTree.Node node, Resources bound, Resources used, Resources kept) {
     /** How much more it has room for. */
     public Resources room() {
-      return bound.minus(used).minus(kept).most(Resources.NONE);
+      return bound.minus(used).minus(kept).max(Resources.NONE);
     }
   }
 
@@ -96,7 +96,7 @@
       if (below != null) {
         others = others.plus(kept[each.index()]).minus(keptBy(below));
       }
-      Resources bound = each.limit().least(each.guarantee().plus(each.spec().borrow()));
+      Resources bound = each.limit().min(each.guarantee().plus(each.spec().borrow()));
       levels.add(new Level(each, bound, used[each.index()], others));
       below = each;
     }
@@ -107,7 +107,7 @@
   public Resources room(QuotaTree.Node node) {
     Resources room = NodeSpec.UNLIMITED;
     for (Level level : levels(node)) {
-      room = room.least(level.room());
+      room = room.min(level.room());
     }
     return room;
   }
--- a/src/main/java/org/quincecross/quota/QuotaTree.java
+++ b/src/main/java/org/quincecross/quota/QuotaTree.java
@@ -306,10 +306,10 @@
     Resources limit = spec.limit();
     if (spec.kind() == NodeSpec.Kind.TEAM) {
       Team team = known.get(spec.name());
-      guarantee = guarantee.least(team.guarantee());
-      limit = limit.least(team.limit());
+      guarantee = guarantee.min(team.guarantee());
+      limit = limit.min(team.limit());
     } else if (spec.kind() == NodeSpec.Kind.WORKLOAD) {
-      guarantee = scale(guarantee, parent).least(limit);
+      guarantee = scale(guarantee, parent).min(limit);
     }
     if (!spec.guarantee().fitsIn(guarantee)) {
       scaled.add(
--- a/src/main/java/org/quincecross/quota/Reclaim.java
+++ b/src/main/java/org/quincecross/quota/Reclaim.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Chooses what is stopped so that nodes get their guarantees back: one plan for all that claim
@@ -34,8 +34,8 @@
       QuotaTree.Node node,
       Resources each,
       Map<MachineId, Integer> places,
-      Rank rank,
-      Span lost) {
+      Priority rank,
+      TimeSpan lost) {
     Resources total() {
       return each.times(places.values().stream().mapToInt(Integer::intValue).sum());
     }
@@ -53,11 +53,11 @@
    */
   public record Plan(List<Unit> victims, List<Map<MachineId, Integer>> placed) {}
 
-  private record Making(List<Unit> victims, Rank highest, double lostS)
+  private record Making(List<Unit> victims, Priority highest, double lostS)
       implements Comparable<Making> {
     static Making of(List<Unit> victims) {
-      Rank highest =
-          victims.stream().map(Unit::rank).max(Comparator.naturalOrder()).orElse(Rank.values()[0]);
+      Priority highest =
+          victims.stream().map(Unit::rank).max(Comparator.naturalOrder()).orElse(Priority.values()[0]);
       return new Making(
           victims, highest, victims.stream().mapToDouble(unit -> unit.lost().seconds()).sum());
     }
@@ -112,14 +112,14 @@
     Resources most = Resources.NONE;
     for (Claim claim : claims) {
       placed.add(new LinkedHashMap<>());
-      most = most.most(claim.each());
+      most = most.max(claim.each());
     }
     // The largest first: what has been stopped for them leaves room for small ones, and not the
     // reverse.
     Resources largest = most;
     IntStream.range(0, claims.size())
         .boxed()
-        .sorted(Comparator.comparing((Integer i) -> -claims.get(i).each().shareOf(largest)))
+        .sorted(Comparator.comparing((Integer i) -> -claims.get(i).each().dominantShareOf(largest)))
         .forEach(i -> reclaim.place(claims.get(i), placed.get(i)));
     reclaim.spare();
     return new Plan(List.copyOf(reclaim.victims.values()), placed);
--- a/src/main/java/org/quincecross/requests/Place.java
+++ b/src/main/java/org/quincecross/requests/Place.java
@@ -1,7 +1,7 @@
 package org.quincecross.requests;
 
 import java.util.Set;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Resources;
 
 /**
@@ -13,7 +13,7 @@
  * @param lanes whose tasks it has: their images are there or on the way
  */
 public record Place(
-    BlockId block,
+    ShardId block,
     String zone,
     Resources machine,
     int machines,
@@ -21,6 +21,6 @@
     Set<String> lanes) {
   /** What it has beside what does not make way. */
   Resources room() {
-    return machine.times(machines).minus(standing).most(Resources.NONE);
+    return machine.times(machines).minus(standing).max(Resources.NONE);
   }
 }
--- a/src/main/java/org/quincecross/requests/Reservation.java
+++ b/src/main/java/org/quincecross/requests/Reservation.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Team;
 
@@ -111,14 +111,14 @@
    * What each block keeps free: of each zone's reservations that are not used yet, what finds room
    * there.
    */
-  public Map<BlockId, List<Kept>> kept(Collection<Place> places, Collection<Taken> taken) {
-    Map<BlockId, List<Kept>> kept = new HashMap<>();
+  public Map<ShardId, List<Kept>> kept(Collection<Place> places, Collection<Taken> taken) {
+    Map<ShardId, List<Kept>> kept = new HashMap<>();
     if (byReference.isEmpty()) {
       return kept;
     }
     Uses uses = new Uses(byLane, taken);
     Rooms rooms = new Rooms(places);
-    Map<BlockId, Map<Slot, Integer>> sums = new HashMap<>();
+    Map<ShardId, Map<Slot, Integer>> sums = new HashMap<>();
     // In the order of the plan: packed otherwise, what fits there might not fit here.
     for (Request request : byDue) {
       if (request.state() == Request.State.RESERVED) {
@@ -234,8 +234,8 @@
       return ofTeam
           .plus(limits.standing().getOrDefault(team.name(), Resources.NONE))
           .minus(team.guarantee())
-          .most(Resources.NONE)
-          .least(ofTeam);
+          .max(Resources.NONE)
+          .min(ofTeam);
     }
 
     /** Why so many tasks may not be reserved; null if they may. */
@@ -273,13 +273,13 @@
 
   /** Told of some tasks that found room in a block. */
   private interface Found {
-    void in(BlockId block, int tasks);
+    void in(ShardId block, int tasks);
   }
 
   /** What is left of the blocks' room. */
   private final class Rooms {
     private final Map<String, List<Place>> zones = new TreeMap<>();
-    private final Map<BlockId, Resources> left = new HashMap<>();
+    private final Map<ShardId, Resources> left = new HashMap<>();
     private Resources capacity = Resources.NONE;
 
     Rooms(Collection<Place> places) {
@@ -300,8 +300,8 @@
     private int count(Place place, Slot slot) {
       looks++;
       return Math.min(
-          place.machines() * place.machine().count(slot.each()),
-          left.get(place.block()).count(slot.each()));
+          place.machines() * place.machine().capacityFor(slot.each()),
+          left.get(place.block()).capacityFor(slot.each()));
     }
 
     /** How many tasks find room in a zone, not counting beyond {@code most}. */
--- a/src/main/java/org/quincecross/rollout/Rollout.java
+++ b/src/main/java/org/quincecross/rollout/Rollout.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * When the level may change. It rises by one once every controller of the site has announced, in
@@ -22,7 +22,7 @@
    * For so long all have to have been there: one that fails at once with the new build is to be
    * seen first.
    */
-  public static final Span STEADY = Span.ofSeconds(10);
+  public static final TimeSpan STEADY = TimeSpan.ofSeconds(10);
 
   /** The states of a site with regard to its level. */
   public enum State {
@@ -56,8 +56,8 @@
    */
   public record Site(
       Level inForce,
-      Set<MemberId> expected,
-      Map<MemberId, Alive> alive,
+      Set<ControllerId> expected,
+      Map<ControllerId, Alive> alive,
       Level most,
       int toMigrate,
       int onlyHere) {}
@@ -70,9 +70,9 @@
    */
   public record Decision(State state, Level to, String why) {}
 
-  private record Seen(Alive alive, SteadyTime since) {}
+  private record Seen(Alive alive, MonotonicTime since) {}
 
-  private final Map<MemberId, Seen> seen = new HashMap<>();
+  private final Map<ControllerId, Seen> seen = new HashMap<>();
   private State state = State.SETTLED;
 
   public State state() {
@@ -86,7 +86,7 @@
   }
 
   /** Looks at the site; a leader does so now and then. */
-  public Decision look(Site site, SteadyTime now) {
+  public Decision look(Site site, MonotonicTime now) {
     seen.keySet().retainAll(site.alive().keySet());
     site.alive()
         .forEach(
@@ -115,7 +115,7 @@
         : enter(State.READY, to, "");
   }
 
-  private Decision raise(Site site, SteadyTime now) {
+  private Decision raise(Site site, MonotonicTime now) {
     Level to = site.inForce().next();
     String unable = unable(site, to);
     boolean someCan = site.alive().values().stream().anyMatch(alive -> alive.build().can(to));
@@ -134,8 +134,8 @@
           null,
           site.toMigrate() + " records are still in the form before level " + site.inForce());
     }
-    for (MemberId member : site.expected()) {
-      if (!now.since(seen.get(member).since()).isMoreThan(STEADY)) {
+    for (ControllerId member : site.expected()) {
+      if (!now.since(seen.get(member).since()).isLongerThan(STEADY)) {
         return enter(State.STEADYING, null, member + " has not been there for " + STEADY + " yet");
       }
     }
@@ -172,8 +172,8 @@
     return String.join("; ", unable);
   }
 
-  private static Map<String, MemberId> name(Set<MemberId> members) {
-    Map<String, MemberId> named = new HashMap<>();
+  private static Map<String, ControllerId> name(Set<ControllerId> members) {
+    Map<String, ControllerId> named = new HashMap<>();
     members.forEach(member -> named.put(member.text(), member));
     return named;
   }
--- a/src/main/java/org/quincecross/rollout/Terms.java
+++ b/src/main/java/org/quincecross/rollout/Terms.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Team;
 
@@ -60,7 +60,7 @@
    * Who differs from a controller in what, in words; empty where nobody does. Who announces nothing
    * says nothing of that.
    */
-  public static List<String> differences(MemberId self, Map<MemberId, Terms> announced) {
+  public static List<String> differences(ControllerId self, Map<ControllerId, Terms> announced) {
     Map<String, String> own = announced.getOrDefault(self, NONE).marks();
     List<String> differences = new ArrayList<>();
     new TreeMap<>(announced)
