--- a/src/main/java/org/quincecross/sched/Admission.java
+++ b/src/main/java/org/quincecross/sched/Admission.java
@@ -11,12 +11,12 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
 
@@ -54,7 +54,7 @@
    * another round.
    */
   public static final class Block {
-    private final BlockId id;
+    private final ShardId id;
     private final String type;
     final String zone;
     private final boolean spot;
@@ -65,7 +65,7 @@
     private final List<Resources> soon;
     private final Map<String, ImageRoom> images;
     private final int mostBytes;
-    private final Resources[] usedFrom = new Resources[Rank.values().length];
+    private final Resources[] usedFrom = new Resources[Priority.values().length];
     private final Map<JobId, TaskSet> admitted = new LinkedHashMap<>();
 
     /** What those jobs use that nobody expects by any time. */
@@ -80,7 +80,7 @@
     private Resources lent = Resources.NONE;
 
     private Set<JobId> declined = Set.of();
-    private Rank admittedRank;
+    private Priority admittedRank;
     private int gangTasks;
     private int admittedTasks;
     private List<Resources> leftOver = List.of();
@@ -106,7 +106,7 @@
      * @param mostBytes what the record of its tasks may take
      */
     public Block(
-        BlockId id,
+        ShardId id,
         String type,
         String zone,
         boolean spot,
@@ -129,7 +129,7 @@
       Arrays.fill(usedFrom, Resources.NONE);
     }
 
-    public BlockId id() {
+    public ShardId id() {
       return id;
     }
 
@@ -152,7 +152,7 @@
       bytes += bytesFor(job, recorded);
       use(job, running);
       if (isIdle) {
-        idle = idle.plus(job.each().times(running));
+        idle = idle.plus(job.taskResources().times(running));
       }
     }
 
@@ -169,13 +169,13 @@
     }
 
     private void use(Job job, int tasks) {
-      Resources more = job.each().times(tasks);
-      for (int rank = 0; rank <= job.rank().ordinal(); rank++) {
+      Resources more = job.taskResources().times(tasks);
+      for (int rank = 0; rank <= job.priority().ordinal(); rank++) {
         usedFrom[rank] = usedFrom[rank].plus(more);
       }
-      if (job.shape() == Shape.SERVICE) {
+      if (job.kind() == JobKind.SERVICE) {
         standing = standing.plus(more);
-      } else if (job.shape() == Shape.GANG) {
+      } else if (job.kind() == JobKind.GANG) {
         gangs = gangs.plus(more);
       } else if (Reserve.mayBorrow(job)) {
         lent = lent.plus(more);
@@ -188,7 +188,7 @@
     }
 
     /** The highest priority of what was admitted, or null if nothing was. */
-    public Rank admittedRank() {
+    public Priority admittedRank() {
       return admittedRank;
     }
 
@@ -200,22 +200,22 @@
       ImageRoom room = images.get(job.image());
       return room == null
           ? 3
-          : job.each().fitsIn(room.free())
+          : job.taskResources().fitsIn(room.free())
               ? 0
-              : job.each().fitsIn(room.free().plus(room.yielding())) ? 1 : 2;
+              : job.taskResources().fitsIn(room.free().plus(room.yielding())) ? 1 : 2;
     }
 
     /** How much of it is used, by work of any priority. */
     double usedShare() {
-      return usedFrom(Rank.LOW).shareOf(capacity);
+      return usedFrom(Priority.LOW).dominantShareOf(capacity);
     }
 
-    private Resources usedFrom(Rank rank) {
+    private Resources usedFrom(Priority rank) {
       return usedFrom[rank.ordinal()];
     }
 
     Resources free() {
-      return capacity.minus(usedFrom(Rank.LOW));
+      return capacity.minus(usedFrom(Priority.LOW));
     }
 
     /** How many tasks of a job find a place right now, beside what was admitted in this round. */
@@ -230,13 +230,13 @@
     private int places(Job job, List<Resources> rooms) {
       int places = 0;
       for (Resources room : rooms) {
-        places += room.count(job.each());
+        places += room.capacityFor(job.taskResources());
       }
       return places - gangTasks;
     }
 
     private int bytesFor(Job job, int tasks) {
-      return job.id().digitCount() + ITEM_BYTES + TaskSet.mostBytes(job.tasks(), tasks);
+      return job.id().digitCount() + ITEM_BYTES + TaskSet.maxTextLength(job.taskCount(), tasks);
     }
 
     private void admit(Job job, int index) {
@@ -251,9 +251,9 @@
       use(job, 1);
       images.computeIfPresent(
           job.image(),
-          (image, room) -> new ImageRoom(room.free().minus(job.each()), room.yielding()));
-      if (admittedRank == null || job.rank().isAbove(admittedRank)) {
-        admittedRank = job.rank();
+          (image, room) -> new ImageRoom(room.free().minus(job.taskResources()), room.yielding()));
+      if (admittedRank == null || job.priority().isHigherThan(admittedRank)) {
+        admittedRank = job.priority();
       }
     }
   }
@@ -293,7 +293,7 @@
   private boolean gathers;
 
   /** The highest priority below the very highest of what waits. */
-  private Rank highest = Rank.LOW;
+  private Priority highest = Priority.LOW;
 
   /**
    * @param teamUse what the tasks of each team take that are not proven gone
@@ -303,7 +303,7 @@
       Collection<Block> blocks,
       Map<String, Team> teams,
       Map<String, Resources> teamUse,
-      Map<BlockId, List<Reserve>> reserves) {
+      Map<ShardId, List<Reserve>> reserves) {
     this.blocks = blocks;
     this.teams = teams;
     this.teamUse = new HashMap<>(teamUse);
@@ -315,7 +315,7 @@
     Resources room = Resources.NONE;
     for (Block block : blocks) {
       room =
-          room.plus(block.capacity.minus(block.standing).minus(block.gangs).most(Resources.NONE));
+          room.plus(block.capacity.minus(block.standing).minus(block.gangs).max(Resources.NONE));
     }
     return room;
   }
@@ -329,12 +329,12 @@
   public List<Unmet> run(List<JobDemand> demands) {
     List<JobDemand> order = new ArrayList<>(demands);
     order.sort(
-        Comparator.comparing((JobDemand demand) -> demand.job().rank() != Rank.PRODUCTION)
+        Comparator.comparing((JobDemand demand) -> demand.job().priority() != Priority.PRODUCTION)
             .thenComparing(demand -> demand.place() != Place.BEGINNING)
             .thenComparing(demand -> demand.place() != Place.BEGINNING && !demand.guaranteed())
             .thenComparing(demand -> demand.place() != Place.TURN)
             .thenComparing(
-                demand -> demand.place() == Place.BEGINNING ? Rank.PRODUCTION : demand.job().rank(),
+                demand -> demand.place() == Place.BEGINNING ? Priority.PRODUCTION : demand.job().priority(),
                 Comparator.reverseOrder())
             .thenComparing(JobDemand::place)
             .thenComparing(JobDemand::order)
@@ -344,16 +344,16 @@
     blocks.forEach(block -> block.isToStart = false);
     highest =
         order.stream()
-            .map(demand -> demand.job().rank())
-            .filter(rank -> rank != Rank.PRODUCTION)
+            .map(demand -> demand.job().priority())
+            .filter(rank -> rank != Priority.PRODUCTION)
             .max(Comparator.naturalOrder())
-            .orElse(Rank.LOW);
+            .orElse(Priority.LOW);
     gathers = false;
     List<Unmet> unmet = new ArrayList<>();
     for (JobDemand demand : order) {
       Map<String, Integer> perZone = new TreeMap<>(demand.perZone());
       int left =
-          demand.job().shape() == Shape.GANG ? admitGang(demand) : admitTasks(demand, perZone);
+          demand.job().kind() == JobKind.GANG ? admitGang(demand) : admitTasks(demand, perZone);
       if (left > 0) {
         unmet.add(new Unmet(demand.job(), left, perZone));
       }
@@ -369,13 +369,13 @@
         : team.limit()
             .minus(teamUse.getOrDefault(job.team(), Resources.NONE))
             .minus(reserves.ofTeam(job))
-            .count(job.each());
+            .capacityFor(job.taskResources());
   }
 
   private void admit(Job job, int index, Block block) {
     block.admittedTasks++;
     block.admit(job, index);
-    teamUse.merge(job.team(), job.each(), Resources::plus);
+    teamUse.merge(job.team(), job.taskResources(), Resources::plus);
     reserves.given(job, block.zone);
   }
 
@@ -385,7 +385,7 @@
       String zone,
       boolean spot,
       boolean array,
-      Rank rank,
+      Priority rank,
       boolean pressed,
       String apart) {}
 
@@ -404,26 +404,26 @@
       return 0;
     }
     // Where one task may change where the next may go, all blocks are looked at for each.
-    boolean bound = job.spread() || job.oneZone();
+    boolean bound = job.spreadOverZones() || job.singleZone();
     boolean large = blocks.stream().anyMatch(block -> Reserve.isLarge(job, block.machine));
     Alike alike =
         bound || large || demand.place() == Place.BEGINNING
             ? null
             : new Alike(
-                job.types(),
+                job.machineTypes(),
                 job.zone(),
-                job.spot(),
-                job.shape() == Shape.ARRAY,
-                job.rank(),
+                job.allowsSpot(),
+                job.kind() == JobKind.ARRAY,
+                job.priority(),
                 demand.isPressed(),
                 reserves.apart(job));
     if (alike != null
         && withoutRoom.getOrDefault(alike, List.of()).stream()
-            .anyMatch(each -> each.fitsIn(job.each()))) {
+            .anyMatch(each -> each.fitsIn(job.taskResources()))) {
       return left;
     }
     PriorityQueue<Choice> choices = bound ? null : choices(demand, perZone);
-    for (int index = demand.pool().next(0); left > 0; index = demand.pool().next(index + 1)) {
+    for (int index = demand.pool().nextMember(0); left > 0; index = demand.pool().nextMember(index + 1)) {
       PriorityQueue<Choice> from = bound ? choices(demand, perZone) : choices;
       Choice best = from.poll();
       if (best == null) {
@@ -432,7 +432,7 @@
         }
         int declines = declines(job, blocks);
         if (alike != null && declines == 0) {
-          withoutRoom.computeIfAbsent(alike, a -> new ArrayList<>()).add(job.each());
+          withoutRoom.computeIfAbsent(alike, a -> new ArrayList<>()).add(job.taskResources());
         }
         return isBad(declines) ? 0 : left;
       }
@@ -465,7 +465,7 @@
                 block,
                 demand,
                 entersReserve(job, block),
-                job.spread() ? perZone.getOrDefault(block.zone, 0) : 0,
+                job.spreadOverZones() ? perZone.getOrDefault(block.zone, 0) : 0,
                 reserves.left(job, block.id, block.zone)));
       }
     }
@@ -475,14 +475,14 @@
   /** A gang goes to one block as a whole. */
   private int admitGang(JobDemand demand) {
     Job job = demand.job();
-    if (demand.pool().size() < job.tasks()) {
+    if (demand.pool().size() < job.taskCount()) {
       return 0; // some of it is still out there
     }
-    if (withinLimit(job) < job.tasks()) {
+    if (withinLimit(job) < job.taskCount()) {
       if (demand.place() == Place.BEGINNING
           && teams.containsKey(job.team())
-          && teams.get(job.team()).limit().count(job.each()) >= job.tasks()) {
-        keepRoomFor(demand, job.tasks()); // as its team's work ends, no more of it starts before
+          && teams.get(job.team()).limit().capacityFor(job.taskResources()) >= job.taskCount()) {
+        keepRoomFor(demand, job.taskCount()); // as its team's work ends, no more of it starts before
       }
       return 0;
     }
@@ -492,8 +492,8 @@
     for (Block block : blocks) {
       looks++;
       if (mayGo(job, block, Map.of())
-          && hasRoom(demand, job.tasks(), block)
-          && (!job.spread() || job.tasks() <= job.mostInOneZone())
+          && hasRoom(demand, job.taskCount(), block)
+          && (!job.spreadOverZones() || job.taskCount() <= job.maxTasksPerZone())
           && (best == null || Choice.gangOrder(demand).compare(block, best) < 0)) {
         best = block;
       }
@@ -503,14 +503,14 @@
           reserves.isLent(job) && !gathers; // one at a time: others are to find room meanwhile
       gathers |= isNext;
       if (demand.place() == Place.TURN || demand.place() == Place.BEGINNING || isNext) {
-        keepRoomFor(demand, job.tasks());
+        keepRoomFor(demand, job.taskCount());
       }
-      return isBad(declines(job, blocks)) ? 0 : job.tasks();
+      return isBad(declines(job, blocks)) ? 0 : job.taskCount();
     }
-    for (int index = 0; index < job.tasks(); index++) {
+    for (int index = 0; index < job.taskCount(); index++) {
       admit(job, index, best);
     }
-    best.gangTasks += job.tasks();
+    best.gangTasks += job.taskCount();
     best.isToStart |= goesBehind(demand);
     return 0;
   }
@@ -527,26 +527,26 @@
     for (Block block : blocks) {
       boolean could =
           mayGo(job, block, demand.perZone())
-              && block.machine.count(job.each()) * block.machines >= tasks
+              && block.machine.capacityFor(job.taskResources()) * block.machines >= tasks
               && block
                   .kept
-                  .plus(job.each().times(tasks))
+                  .plus(job.taskResources().times(tasks))
                   .fitsIn(block.capacity.minus(block.standing));
       if (could && (best == null || keepingOrder(job, tasks).compare(block, best) < 0)) {
         best = block;
       }
     }
     if (best != null) {
-      best.kept = best.kept.plus(job.each().times(tasks));
+      best.kept = best.kept.plus(job.taskResources().times(tasks));
       if (demand.place() == Place.BEGINNING) {
-        teamUse.merge(job.team(), job.each().times(tasks), Resources::plus);
+        teamUse.merge(job.team(), job.taskResources().times(tasks), Resources::plus);
       }
     }
   }
 
   private static Comparator<Block> keepingOrder(Job job, int tasks) {
     return Comparator.comparing((Block block) -> -Math.min(tasks, block.placesSoon(job)))
-        .thenComparing(block -> block.usedFrom(Rank.LOW).plus(block.kept).shareOf(block.capacity))
+        .thenComparing(block -> block.usedFrom(Priority.LOW).plus(block.kept).dominantShareOf(block.capacity))
         .thenComparing(Block::id);
   }
 
@@ -564,7 +564,7 @@
     int count = 0;
     for (Block block : blocks) {
       count +=
-          job.allows(block.type, block.zone, block.spot) && job.each().fitsIn(block.machine)
+          job.allows(block.type, block.zone, block.spot) && job.taskResources().fitsIn(block.machine)
               ? 1
               : 0;
     }
@@ -580,20 +580,20 @@
     if (!job.allows(block.type, block.zone, block.spot) || block.declined.contains(job.id())) {
       return false;
     }
-    if (job.oneZone() && !perZone.isEmpty() && !perZone.containsKey(block.zone)) {
+    if (job.singleZone() && !perZone.isEmpty() && !perZone.containsKey(block.zone)) {
       return false;
     }
-    return !job.spread() || perZone.getOrDefault(block.zone, 0) < job.mostInOneZone();
+    return !job.spreadOverZones() || perZone.getOrDefault(block.zone, 0) < job.maxTasksPerZone();
   }
 
   /** Whether a job that need not keep out of what is kept free would use it. */
   private boolean entersReserve(Job job, Block block) {
-    return !job.each()
+    return !job.taskResources()
         .fitsIn(
             block
                 .capacity
                 .minus(reserves.better(job, block.id, block.machine))
-                .minus(block.usedFrom(Rank.LOW)));
+                .minus(block.usedFrom(Priority.LOW)));
   }
 
   /**
@@ -601,7 +601,7 @@
    * is to begin.
    */
   private boolean goesBehind(JobDemand demand) {
-    return demand.place() == Place.BEGINNING && highest.isAbove(demand.job().rank());
+    return demand.place() == Place.BEGINNING && highest.isHigherThan(demand.job().priority());
   }
 
   private boolean hasRoom(JobDemand demand, int tasks, Block block) {
@@ -613,7 +613,7 @@
       return true; // whatever else waits there already and does not fit yet
     }
     boolean keepsOut =
-        job.rank() != Rank.PRODUCTION && (block.isToStart || !block.kept.equals(Resources.NONE));
+        job.priority() != Priority.PRODUCTION && (block.isToStart || !block.kept.equals(Resources.NONE));
     boolean mayPreempt =
         demand.isPressed()
             && !keepsOut; // room that is being gathered is not for what is quicker to take it
@@ -626,17 +626,17 @@
             mayPreempt ? Resources.NONE : block.lent,
             demand.place() == Place.BEGINNING);
     Resources capacity =
-        job.shape() == Shape.ARRAY && reserved == null && !keepsOut && !goesBehind(demand)
+        job.kind() == JobKind.ARRAY && reserved == null && !keepsOut && !goesBehind(demand)
             ? block.capacity.plus(
-                block.capacity.minus(block.standing).most(Resources.NONE).times(QUEUE_AHEAD))
+                block.capacity.minus(block.standing).max(Resources.NONE).times(QUEUE_AHEAD))
             : block.capacity;
     Resources kept =
         (keepsOut ? block.kept : Resources.NONE).plus(reserved == null ? Resources.NONE : reserved);
-    Resources room = capacity.minus(kept).minus(block.usedFrom(mayPreempt ? job.rank() : Rank.LOW));
-    if (!mayPreempt && job.rank().isAbove(Rank.LOW)) {
+    Resources room = capacity.minus(kept).minus(block.usedFrom(mayPreempt ? job.priority() : Priority.LOW));
+    if (!mayPreempt && job.priority().isHigherThan(Priority.LOW)) {
       room = room.plus(block.idle); // gives way to all others, pressed or not
     }
-    return job.each().times(tasks).fitsIn(room)
-        && block.machine.count(job.each()) * block.machines >= tasks;
+    return job.taskResources().times(tasks).fitsIn(room)
+        && block.machine.capacityFor(job.taskResources()) * block.machines >= tasks;
   }
 }
--- a/src/main/java/org/quincecross/sched/BlockScheduler.java
+++ b/src/main/java/org/quincecross/sched/BlockScheduler.java
@@ -13,10 +13,10 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * The queues of a block's machines, which are one another's neighbours: local backfilling limited
@@ -68,7 +68,7 @@
   }
 
   private static int lost(Reserve reserve, MachineQueue machine, Entry entry) {
-    return reserve.in(machine.free()) - reserve.in(machine.free().minus(entry.job().each()));
+    return reserve.in(machine.free()) - reserve.in(machine.free().minus(entry.job().taskResources()));
   }
 
   private boolean breaksUp(MachineQueue machine, Entry entry) {
@@ -131,7 +131,7 @@
   }
 
   /** Says which images a machine is fetching, and for work of which priority at the most. */
-  public void fetching(MachineId machine, Map<String, Rank> images) {
+  public void fetching(MachineId machine, Map<String, Priority> images) {
     machines.get(machine).fetching(images);
   }
 
@@ -225,12 +225,12 @@
       }
     }
     waiting.sort(Entry.ORDER);
-    Resources drains = capacity.minus(standing).most(Resources.NONE);
+    Resources drains = capacity.minus(standing).max(Resources.NONE);
     List<Entry> surplus = new ArrayList<>();
     for (Entry entry : waiting) {
-      Resources each = entry.job().each();
+      Resources each = entry.job().taskResources();
       Resources most =
-          capacity.plus(each.fitsIn(drains) ? drains.times(share).most(each) : Resources.NONE);
+          capacity.plus(each.fitsIn(drains) ? drains.times(share).max(each) : Resources.NONE);
       if (used.plus(each).fitsIn(most)) {
         used = used.plus(each);
       } else {
@@ -241,7 +241,7 @@
   }
 
   /** Decides what starts now. What is started counts as used and waits no more. */
-  public List<Start> schedule(SteadyTime now) {
+  public List<Start> schedule(MonotonicTime now) {
     List<Start> starts = new ArrayList<>();
     if (queueOf.isEmpty()) {
       return starts;
@@ -269,10 +269,10 @@
    * fits best. Where a fetch of its image would make it late, it waits instead for room next to its
    * image, if that can be made at once.
    */
-  private void startUrgent(SteadyTime now, List<Start> starts) {
+  private void startUrgent(MonotonicTime now, List<Start> starts) {
     List<Entry> urgent = new ArrayList<>();
     for (Entry entry : queueOf.keySet()) {
-      if (entry.job().rank() == Rank.PRODUCTION && !isGang(entry) && entry.isReady(now)) {
+      if (entry.job().priority() == Priority.PRODUCTION && !isGang(entry) && entry.isReady(now)) {
         urgent.add(entry);
       }
     }
@@ -306,7 +306,7 @@
     remove(entry);
     List<MachineId> ids = new ArrayList<>();
     for (MachineQueue machine : on) {
-      machine.occupy(entry.job().each());
+      machine.occupy(entry.job().taskResources());
       ids.add(machine.machine());
     }
     recount();
@@ -320,7 +320,7 @@
    *
    * @return the machines kept
    */
-  private Set<MachineId> startGangs(SteadyTime now, List<Start> starts) {
+  private Set<MachineId> startGangs(MonotonicTime now, List<Start> starts) {
     List<Entry> gangs = new ArrayList<>();
     for (Entry entry : queueOf.keySet()) {
       if (isGang(entry) && entry.isReady(now)) {
@@ -332,7 +332,7 @@
     for (Entry gang : gangs) {
       MachineQueue home = queueOf.get(gang);
       Entry head = home.head(now);
-      if (gang.counter() < head.counter() || head.job().rank().isAbove(gang.job().rank())) {
+      if (gang.counter() < head.counter() || head.job().priority().isHigherThan(gang.job().priority())) {
         continue;
       }
       List<MachineQueue> places = places(gang, kept, machine -> machine.free());
@@ -350,7 +350,7 @@
   }
 
   private static boolean isGang(Entry entry) {
-    return entry.job().shape() == Shape.GANG;
+    return entry.job().kind() == JobKind.GANG;
   }
 
   /**
@@ -369,13 +369,13 @@
     }
     order.sort(
         Comparator.comparing((MachineQueue machine) -> !machine.hasImage(gang))
-            .thenComparing(machine -> machine.used().shareOf(machine.capacity()))
+            .thenComparing(machine -> machine.used().dominantShareOf(machine.capacity()))
             .thenComparing(MachineQueue::machine));
     List<MachineQueue> places = new ArrayList<>();
     for (MachineQueue machine : order) {
       int fit =
           Math.min(
-              room.apply(machine).count(gang.job().each()), gang.tasks().size() - places.size());
+              room.apply(machine).capacityFor(gang.job().taskResources()), gang.tasks().size() - places.size());
       for (int i = 0; i < fit; i++) {
         places.add(machine);
       }
@@ -387,7 +387,7 @@
    * Local scheduling: the head starts if it fits; else, of those whose counter is at least the
    * head's, the one with the least BM times FM, and everything that it passes is counted up.
    */
-  private boolean startLocally(MachineQueue machine, SteadyTime now, List<Start> starts) {
+  private boolean startLocally(MachineQueue machine, MonotonicTime now, List<Start> starts) {
     Entry head = machine.head(now);
     if (head == null || !machine.mayFitAny()) {
       return false;
@@ -426,12 +426,12 @@
 
   /** Urgent work is placed by {@link #startUrgent} alone. */
   private static boolean isHeldBack(Entry entry) {
-    return entry.job().rank() == Rank.PRODUCTION;
+    return entry.job().priority() == Priority.PRODUCTION;
   }
 
   /** The higher priority, then the least BM times FM. */
   private static boolean better(MachineQueue machine, Entry one, Entry other) {
-    int byRank = one.job().rank().compareTo(other.job().rank());
+    int byRank = one.job().priority().compareTo(other.job().priority());
     if (byRank != 0) {
       return byRank > 0;
     }
@@ -446,7 +446,7 @@
    * has something for it. An asker with work of its own takes only entries whose counter is at most
    * its head's; one with an empty queue takes any that fits.
    */
-  private boolean pull(MachineQueue asker, SteadyTime now, List<Start> starts) {
+  private boolean pull(MachineQueue asker, MonotonicTime now, List<Start> starts) {
     if (!asker.mayFitAny()) {
       return false;
     }
@@ -506,7 +506,7 @@
       if (!least.canEver(entry) || entry.avoids(least.machine())) {
         continue;
       }
-      double share = entry.job().each().times(entry.tasks().size()).shareOf(least.capacity());
+      double share = entry.job().taskResources().times(entry.tasks().size()).dominantShareOf(least.capacity());
       double objective = Math.max(least.load() + share, most.load() - share);
       if (objective < bestObjective - 1e-9) {
         best = entry;
--- a/src/main/java/org/quincecross/sched/Choice.java
+++ b/src/main/java/org/quincecross/sched/Choice.java
@@ -21,8 +21,8 @@
     this.kept = kept;
     this.inZone = inZone;
     Job job = demand.job();
-    boolean wastesGpus = job.each().gpus() == 0 && block.capacity().gpus() > 0;
-    boolean waits = kept == 0 && !job.each().fitsIn(block.free());
+    boolean wastesGpus = job.taskResources().gpus() == 0 && block.capacity().gpus() > 0;
+    boolean waits = kept == 0 && !job.taskResources().fitsIn(block.free());
     // Work crowds together where it fits: machines that nobody needs fall idle and can go back.
     this.unused = -block.usedShare();
     // What is hurried goes to its image first of all; for the rest a fetch is the lesser evil.
@@ -58,8 +58,8 @@
   static Comparator<Admission.Block> gangOrder(JobDemand demand) {
     Job job = demand.job();
     return Comparator.comparing(
-            (Admission.Block block) -> -Math.min(job.tasks(), block.placesNow(job)))
-        .thenComparing(block -> -Math.min(job.tasks(), block.placesSoon(job)))
+            (Admission.Block block) -> -Math.min(job.taskCount(), block.placesNow(job)))
+        .thenComparing(block -> -Math.min(job.taskCount(), block.placesSoon(job)))
         .thenComparing(block -> new Choice(block, demand, false, 0, 0).grade)
         .thenComparing(block -> block.imageGrade(job))
         .thenComparing(Admission.Block::usedShare)
--- a/src/main/java/org/quincecross/sched/Entry.java
+++ b/src/main/java/org/quincecross/sched/Entry.java
@@ -7,7 +7,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 
 /** What waits in a queue: a task, or all tasks of a gang. */
@@ -17,7 +17,7 @@
    * priority.
    */
   public static final Comparator<Entry> ORDER =
-      Comparator.comparing((Entry entry) -> entry.job.rank())
+      Comparator.comparing((Entry entry) -> entry.job.priority())
           .reversed()
           .thenComparing(entry -> entry.accepted)
           .thenComparing(entry -> entry.tasks.get(0));
@@ -32,7 +32,7 @@
 
   private int counter;
   private boolean avoidsFetch;
-  private SteadyTime notBefore;
+  private MonotonicTime notBefore;
 
   public Entry(Job job, List<TaskId> tasks, Revision accepted) {
     this.job = job;
@@ -85,11 +85,11 @@
   }
 
   /** Keeps the entry from starting before {@code time}. */
-  public void holdBack(SteadyTime time) {
+  public void holdBack(MonotonicTime time) {
     notBefore = time;
   }
 
-  boolean isReady(SteadyTime now) {
+  boolean isReady(MonotonicTime now) {
     return notBefore == null || !now.isBefore(notBefore);
   }
 }
--- a/src/main/java/org/quincecross/sched/JobDemand.java
+++ b/src/main/java/org/quincecross/sched/JobDemand.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import org.quincecross.model.Job;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
 
@@ -39,13 +39,13 @@
     }
     double first = earlier == Admission.Place.BEGINNING ? 0 : order; // the oldest first
     // Where the place of one task may change where the next may go, the job stays in one piece.
-    if (tasks >= pool.size() || job.spread() || job.oneZone()) {
+    if (tasks >= pool.size() || job.spreadOverZones() || job.singleZone()) {
       return List.of(
           new JobDemand(job, accepted, dueS, guaranteed, hurried, pool, perZone, earlier, first));
     }
     TaskSet rest = pool.copy();
     TaskSet some = new TaskSet();
-    for (int index = pool.next(0); some.size() < tasks; index = pool.next(index + 1)) {
+    for (int index = pool.nextMember(0); some.size() < tasks; index = pool.nextMember(index + 1)) {
       some.add(index);
       rest.remove(index);
     }
@@ -57,6 +57,6 @@
   /** Whether others are to make room for it: it must start at once, or it will be late. */
   boolean isPressed() {
     double run = job.estimate().seconds();
-    return job.rank() == Rank.PRODUCTION || dueS < run + Math.max(PRESSED_S, 0.4 * run);
+    return job.priority() == Priority.PRODUCTION || dueS < run + Math.max(PRESSED_S, 0.4 * run);
   }
 }
--- a/src/main/java/org/quincecross/sched/KeptRoom.java
+++ b/src/main/java/org/quincecross/sched/KeptRoom.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Resources;
 
 /** What blocks keep free, as admission asks for it. */
 final class KeptRoom {
-  private final Map<BlockId, List<Reserve>> reserves;
+  private final Map<ShardId, List<Reserve>> reserves;
 
   /** What is kept of each team's limit for lanes. */
   private final Map<String, Map<String, Resources>> ofTeams = new HashMap<>();
@@ -29,11 +29,11 @@
 
   private final Set<JobId> lentTo = new HashSet<>();
 
-  KeptRoom(Map<BlockId, List<Reserve>> reserves, Collection<Admission.Block> blocks) {
+  KeptRoom(Map<ShardId, List<Reserve>> reserves, Collection<Admission.Block> blocks) {
     this.reserves = reserves;
-    Map<BlockId, String> zones = new HashMap<>();
+    Map<ShardId, String> zones = new HashMap<>();
     blocks.forEach(block -> zones.put(block.id(), block.zone));
-    for (Map.Entry<BlockId, List<Reserve>> ofBlock : reserves.entrySet()) {
+    for (Map.Entry<ShardId, List<Reserve>> ofBlock : reserves.entrySet()) {
       for (Reserve reserve : ofBlock.getValue()) {
         lentTo.addAll(reserve.lentTo());
         if (reserve.asked() != null) {
@@ -62,7 +62,7 @@
    * For how many tasks of a job's lane its zone still keeps room, if the block itself keeps some;
    * else 0.
    */
-  int left(Job job, BlockId block, String zone) {
+  int left(Job job, ShardId block, String zone) {
     Map<String, Integer> ofLane = ofLanes.get(job.jobClass());
     if (ofLane == null) {
       return 0;
@@ -112,7 +112,7 @@
    *     not keep out, for what is lent to others counts as used, and beside it and the kept room
    *     there would be none left for it
    */
-  Resources from(Job job, BlockId block, Resources machine, Resources lent, boolean begins) {
+  Resources from(Job job, ShardId block, Resources machine, Resources lent, boolean begins) {
     Resources kept = null;
     Resources requests = null;
     for (Reserve reserve : reserves.getOrDefault(block, List.of())) {
@@ -132,12 +132,12 @@
     if (requests == null) {
       return kept;
     }
-    Resources free = requests.minus(lent).most(Resources.NONE);
+    Resources free = requests.minus(lent).max(Resources.NONE);
     return kept == null ? free : kept.plus(free);
   }
 
   /** What of a block a job, though it may use it, should leave to others. */
-  Resources better(Job job, BlockId block, Resources machine) {
+  Resources better(Job job, ShardId block, Resources machine) {
     Resources kept = Resources.NONE;
     for (Reserve reserve : reserves.getOrDefault(block, List.of())) {
       kept = reserve.isBetterAvoided(job, machine) ? kept.plus(reserve.total()) : kept;
--- a/src/main/java/org/quincecross/sched/MachineQueue.java
+++ b/src/main/java/org/quincecross/sched/MachineQueue.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 
 /** A machine and the queue of work that waits for it. */
 public final class MachineQueue {
@@ -19,7 +19,7 @@
   private final List<Entry> unmodifiable = Collections.unmodifiableList(queue);
   private Resources used = Resources.NONE;
   private Resources queued = Resources.NONE;
-  private Map<String, Rank> fetching = Map.of();
+  private Map<String, Priority> fetching = Map.of();
   private Resources displaceable = Resources.NONE;
   private boolean open;
 
@@ -53,7 +53,7 @@
     open = nowOpen;
   }
 
-  void fetching(Map<String, Rank> images) {
+  void fetching(Map<String, Priority> images) {
     fetching = images;
   }
 
@@ -73,7 +73,7 @@
         .anyMatch(
             fetch ->
                 !fetch.getKey().equals(entry.job().image())
-                    && fetch.getValue().isAbove(entry.job().rank()));
+                    && fetch.getValue().isHigherThan(entry.job().priority()));
   }
 
   void use(Resources now, Resources displaceableNow) {
@@ -83,7 +83,7 @@
 
   /** Whether an urgent entry would fit once work that can be stopped in a moment has been. */
   boolean couldFit(Entry entry) {
-    return open && !entry.avoids(machine) && entry.job().each().fitsIn(free().plus(displaceable));
+    return open && !entry.avoids(machine) && entry.job().taskResources().fitsIn(free().plus(displaceable));
   }
 
   void occupy(Resources more) {
@@ -109,12 +109,12 @@
   private void countQueued() {
     queued = Resources.NONE;
     for (Entry entry : queue) {
-      queued = queued.plus(entry.job().each().times(entry.tasks().size()));
+      queued = queued.plus(entry.job().taskResources().times(entry.tasks().size()));
     }
   }
 
   /** The first in line that may start now, or null. */
-  Entry head(SteadyTime now) {
+  Entry head(MonotonicTime now) {
     for (Entry entry : queue) {
       if (entry.isReady(now)) {
         return entry;
@@ -124,11 +124,11 @@
   }
 
   boolean canEver(Entry entry) {
-    return entry.job().each().fitsIn(capacity);
+    return entry.job().taskResources().fitsIn(capacity);
   }
 
   boolean fitsNow(Entry entry) {
-    return open && entry.job().each().fitsIn(free()) && !entry.avoids(machine);
+    return open && entry.job().taskResources().fitsIn(free()) && !entry.avoids(machine);
   }
 
   /** Whether there is room for any work at all. */
@@ -142,7 +142,7 @@
   }
 
   double fit(Entry entry) {
-    return Fit.product(capacity, used, entry.job().each());
+    return Fit.product(capacity, used, entry.job().taskResources());
   }
 
   /**
@@ -150,11 +150,11 @@
    * for.
    */
   double load() {
-    return queued.shareOf(capacity);
+    return queued.dominantShareOf(capacity);
   }
 
   /** Work was started past the entries ahead of it: each of them has been passed once more. */
-  void passedBy(Entry started, SteadyTime now) {
+  void passedBy(Entry started, MonotonicTime now) {
     for (Entry entry : queue) {
       if (entry == started) {
         return;
--- a/src/main/java/org/quincecross/sched/Preemption.java
+++ b/src/main/java/org/quincecross/sched/Preemption.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 
 /**
@@ -25,16 +25,16 @@
   public record Running(
       TaskId task,
       MachineId machine,
-      Rank rank,
+      Priority rank,
       boolean idle,
       Resources each,
       boolean saves,
-      SteadyTime since) {}
+      MonotonicTime since) {}
 
   private final BlockScheduler block;
   private final Map<MachineId, List<Running>> running = new HashMap<>();
   private final Map<MachineId, Resources> room = new HashMap<>();
-  private final Rank lowest;
+  private final Priority lowest;
 
   /**
    * @param tasks what runs and could be stopped
@@ -42,10 +42,10 @@
    */
   public Preemption(BlockScheduler block, List<Running> tasks, Map<MachineId, Resources> stopping) {
     this.block = block;
-    Rank least = Rank.PRODUCTION;
+    Priority least = Priority.PRODUCTION;
     for (Running task : tasks) {
       running.computeIfAbsent(task.machine(), id -> new ArrayList<>()).add(task);
-      least = least.isAbove(task.rank()) ? task.rank() : least;
+      least = least.isHigherThan(task.rank()) ? task.rank() : least;
     }
     lowest = least;
     for (MachineQueue machine : block.machines()) {
@@ -108,7 +108,7 @@
     if (best == null) {
       return null;
     }
-    Resources left = room.get(best.machine()).minus(entry.job().each());
+    Resources left = room.get(best.machine()).minus(entry.job().taskResources());
     for (Running victim : bestVictims) {
       left = left.plus(victim.each());
       running.get(best.machine()).remove(victim);
@@ -134,15 +134,15 @@
   /** What would have to be stopped on a machine, or null if that would not be enough. */
   private List<Running> onMachine(MachineQueue machine, Entry entry, boolean ofIdle) {
     Resources free = room.get(machine.machine());
-    if (entry.job().each().fitsIn(free)) {
+    if (entry.job().taskResources().fitsIn(free)) {
       return List.of();
     }
-    if (!entry.job().rank().isAbove(lowest)) {
+    if (!entry.job().priority().isHigherThan(lowest)) {
       return null;
     }
     List<Running> stoppable = new ArrayList<>();
     for (Running task : running.getOrDefault(machine.machine(), List.of())) {
-      if (entry.job().rank().isAbove(task.rank()) && (task.idle() || !ofIdle)) {
+      if (entry.job().priority().isHigherThan(task.rank()) && (task.idle() || !ofIdle)) {
         stoppable.add(task);
       }
     }
@@ -153,12 +153,12 @@
             .thenComparing(Running::since, Comparator.reverseOrder()));
     List<Running> victims = new ArrayList<>();
     for (Running task : stoppable) {
-      if (entry.job().each().fitsIn(free)) {
+      if (entry.job().taskResources().fitsIn(free)) {
         break;
       }
       victims.add(task);
       free = free.plus(task.each());
     }
-    return entry.job().each().fitsIn(free) ? victims : null;
+    return entry.job().taskResources().fitsIn(free) ? victims : null;
   }
 }
--- a/src/main/java/org/quincecross/sched/Reserve.java
+++ b/src/main/java/org/quincecross/sched/Reserve.java
@@ -3,10 +3,10 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /**
  * What a block keeps free: so many machines that still have room for so much, or room for so many
@@ -39,7 +39,7 @@
   private static final double LARGE = 0.5;
 
   /** What is lent saves within this, and is gone within a second more. */
-  private static final Span LENT_SAVES_WITHIN = Span.ofSeconds(1);
+  private static final TimeSpan LENT_SAVES_WITHIN = TimeSpan.ofSeconds(1);
 
   public Reserve(Purpose purpose, Resources each, int machines, For asked) {
     this(purpose, each, machines, asked, Set.of());
@@ -51,7 +51,7 @@
 
   /** Whether a task takes most of a machine. */
   public static boolean isLarge(Job job, Resources capacity) {
-    return job.each().fitsIn(capacity) && job.each().shareOf(capacity) > LARGE;
+    return job.taskResources().fitsIn(capacity) && job.taskResources().dominantShareOf(capacity) > LARGE;
   }
 
   /**
@@ -59,10 +59,10 @@
    * two seconds, and loses nothing.
    */
   public static boolean mayBorrow(Job job) {
-    return job.shape() == Shape.ARRAY
-        && job.rank() != Rank.PRODUCTION
-        && job.saves()
-        && !job.saveTime().isMoreThan(LENT_SAVES_WITHIN);
+    return job.kind() == JobKind.ARRAY
+        && job.priority() != Priority.PRODUCTION
+        && job.hasCheckpoints()
+        && !job.checkpointCost().isLongerThan(LENT_SAVES_WITHIN);
   }
 
   /**
@@ -77,7 +77,7 @@
   boolean isKeptFrom(Job job, Resources capacity) {
     return switch (purpose) {
       // Urgent work prefers other room, but does not wait for the sake of work that is less urgent.
-      case LARGE_WORK, URGENT_WORK -> !isLarge(job, capacity) && job.rank() != Rank.PRODUCTION;
+      case LARGE_WORK, URGENT_WORK -> !isLarge(job, capacity) && job.priority() != Priority.PRODUCTION;
       case REQUESTS -> !job.jobClass().equals(asked.lane()) && !mayBorrow(job);
     };
   }
@@ -98,7 +98,7 @@
 
   /** How much of what is kept a machine has that has so much free: machines, or tasks. */
   int in(Resources free) {
-    return purpose == Purpose.REQUESTS ? free.count(each) : each.fitsIn(free) ? 1 : 0;
+    return purpose == Purpose.REQUESTS ? free.capacityFor(each) : each.fitsIn(free) ? 1 : 0;
   }
 
   /** The same with less to be kept free, for so much of it is lent. */
--- a/src/main/java/org/quincecross/served/ServedBooks.java
+++ b/src/main/java/org/quincecross/served/ServedBooks.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Function;
-import org.quincecross.model.Aim;
+import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Counts what each class of jobs of each team asked for and got. An event costs the same however
@@ -54,7 +54,7 @@
     private int waiting;
 
     private double starvedS;
-    private SteadyTime hungrySince;
+    private MonotonicTime hungrySince;
     private final Map<String, Tally> aims = new LinkedHashMap<>();
 
     /** Aims of one name are counted together: each job's deadline is another length of time. */
@@ -63,7 +63,7 @@
     }
 
     /** Some work waits from now on, or is waited for no longer, or has just been served. */
-    void hungry(SteadyTime now, boolean served) {
+    void hungry(MonotonicTime now, boolean served) {
       if (hungrySince != null && (served || waiting == 0)) {
         starvedS = Math.max(starvedS, now.since(hungrySince).seconds());
         hungrySince = null;
@@ -73,7 +73,7 @@
       }
     }
 
-    void add(Count other, SteadyTime now) {
+    void add(Count other, MonotonicTime now) {
       jobs += other.jobs;
       ended += other.ended;
       tasks += other.tasks;
@@ -92,8 +92,8 @@
   private static final class Open {
     private final Count count;
     private final int tasks;
-    private final SteadyTime accepted;
-    private final List<Aim> aims;
+    private final MonotonicTime accepted;
+    private final List<ServiceLevelObjective> aims;
     private final String jobClass;
     private final int step;
     private final int toBegin;
@@ -110,31 +110,31 @@
      */
     private int withheld;
 
-    private SteadyTime withheldSince;
-    private Span excused = Span.ZERO;
+    private MonotonicTime withheldSince;
+    private TimeSpan excused = TimeSpan.ZERO;
 
-    Open(Count count, Job job, SteadyTime accepted, List<Aim> aims, boolean wasFound) {
+    Open(Count count, Job job, MonotonicTime accepted, List<ServiceLevelObjective> aims, boolean wasFound) {
       this.wasFound = wasFound;
       this.count = count;
-      this.tasks = job.tasks();
+      this.tasks = job.taskCount();
       this.jobClass = job.jobClass();
-      this.step = Sizes.step(job.size());
-      this.toBegin = job.tasksToBegin();
-      this.isService = job.shape() == Shape.SERVICE;
+      this.step = Sizes.step(job.estimatedDemand());
+      this.toBegin = job.startQuorum();
+      this.isService = job.kind() == JobKind.SERVICE;
       this.accepted = accepted;
       this.aims = aims;
     }
 
-    private Span without(SteadyTime now) {
+    private TimeSpan without(MonotonicTime now) {
       return withheldSince == null ? excused : excused.plus(now.since(withheldSince));
     }
 
-    boolean isPast(Aim aim, SteadyTime now) {
-      return now.since(accepted).isMoreThan(aim.within().plus(without(now)));
+    boolean isPast(ServiceLevelObjective aim, MonotonicTime now) {
+      return now.since(accepted).isLongerThan(aim.within().plus(without(now)));
     }
 
     /** For how long it has waited while it was let run. */
-    double waitedS(SteadyTime now) {
+    double waitedS(MonotonicTime now) {
       return now.since(accepted).seconds() - without(now).seconds();
     }
 
@@ -148,7 +148,7 @@
     }
   }
 
-  private final Function<Job, List<Aim>> aims;
+  private final Function<Job, List<ServiceLevelObjective>> aims;
   private final Map<Group, Count> counts = new TreeMap<>();
   private final Map<JobId, Open> open = new HashMap<>();
   private final Map<String, Sizes> sizes = new TreeMap<>();
@@ -156,12 +156,12 @@
   /**
    * @param aims what is expected of a job
    */
-  public ServedBooks(Function<Job, List<Aim>> aims) {
+  public ServedBooks(Function<Job, List<ServiceLevelObjective>> aims) {
     this.aims = aims;
   }
 
   /** A job was accepted: once for each job, later calls change nothing. */
-  public void accepted(Job job, SteadyTime at) {
+  public void accepted(Job job, MonotonicTime at) {
     add(job, at, aims.apply(job), false);
   }
 
@@ -169,11 +169,11 @@
    * A job was open when the counting began: when its tasks started that run already, nobody knows,
    * so starts do not count.
    */
-  public void found(Job job, SteadyTime at) {
-    add(job, at, aims.apply(job).stream().filter(aim -> aim.of() == Aim.Of.END).toList(), true);
+  public void found(Job job, MonotonicTime at) {
+    add(job, at, aims.apply(job).stream().filter(aim -> aim.milestone() == ServiceLevelObjective.Milestone.END).toList(), true);
   }
 
-  private void add(Job job, SteadyTime at, List<Aim> ofJob, boolean wasFound) {
+  private void add(Job job, MonotonicTime at, List<ServiceLevelObjective> ofJob, boolean wasFound) {
     if (open.containsKey(job.id())) {
       return;
     }
@@ -183,7 +183,7 @@
     open.put(job.id(), opened);
     ofSize(opened).jobs++;
     count.jobs++;
-    count.tasks += job.tasks();
+    count.tasks += job.taskCount();
     count.waiting++;
     count.hungry(at, false);
   }
@@ -195,7 +195,7 @@
   /**
    * So many tasks of a job have been started or have ended so far: what is no news changes nothing.
    */
-  public void started(JobId id, int tasks, SteadyTime now) {
+  public void started(JobId id, int tasks, MonotonicTime now) {
     Open job = open.get(id);
     if (job == null || tasks <= job.started) {
       return;
@@ -212,8 +212,8 @@
       }
       ofSize(job).served += job.isService ? 1 : 0;
     }
-    for (Aim aim : job.aims) {
-      if (aim.of() == Aim.Of.EACH_START) {
+    for (ServiceLevelObjective aim : job.aims) {
+      if (aim.milestone() == ServiceLevelObjective.Milestone.EACH_START) {
         Tally tally = job.count.tally(aim.name());
         if (job.isPast(aim, now)) {
           tally.missed += more;
@@ -227,7 +227,7 @@
   }
 
   /** So many tasks of an open job may not run now, by an agreed record; 0 from when they may. */
-  public void withheld(JobId id, int tasks, SteadyTime now) {
+  public void withheld(JobId id, int tasks, MonotonicTime now) {
     Open job = open.get(id);
     if (job == null || (tasks == 0 && job.withheldSince == null)) {
       return;
@@ -259,7 +259,7 @@
   }
 
   /** A job is done. */
-  public void done(JobId id, SteadyTime now) {
+  public void done(JobId id, MonotonicTime now) {
     Open job = open.get(id);
     if (job == null) {
       return;
@@ -270,8 +270,8 @@
     open.remove(id);
     job.count.ended++;
     ofSize(job).served += job.isService ? 0 : 1;
-    for (Aim aim : job.aims) {
-      if (aim.of() == Aim.Of.END) {
+    for (ServiceLevelObjective aim : job.aims) {
+      if (aim.milestone() == ServiceLevelObjective.Milestone.END) {
         Tally tally = job.count.tally(aim.name());
         if (job.isPast(aim, now)) {
           tally.missed++;
@@ -283,7 +283,7 @@
   }
 
   /** A job's user does not want it any more: what it did not get is nobody's fault. */
-  public void cancelled(JobId id, SteadyTime now) {
+  public void cancelled(JobId id, MonotonicTime now) {
     heldBack(id, 0);
     Open job = open.remove(id);
     if (job == null) {
@@ -314,17 +314,17 @@
   }
 
   /** How each class of each team has been served so far. */
-  public Map<Group, Served> groups(SteadyTime now) {
+  public Map<Group, Served> groups(MonotonicTime now) {
     return by(group -> group, now);
   }
 
   /** How each team has been served so far. */
-  public Map<String, Served> teams(SteadyTime now) {
+  public Map<String, Served> teams(MonotonicTime now) {
     return by(Group::team, now);
   }
 
   /** How each class has been served so far. */
-  public Map<String, Served> classes(SteadyTime now) {
+  public Map<String, Served> classes(MonotonicTime now) {
     return by(Group::jobClass, now);
   }
 
@@ -332,7 +332,7 @@
    * How the largest jobs of each class have fared so far: its largest tenth and its largest
    * quarter.
    */
-  public Map<String, List<Largest>> largest(SteadyTime now) {
+  public Map<String, List<Largest>> largest(MonotonicTime now) {
     Map<String, Sizes> sums = new TreeMap<>();
     sizes.forEach((name, each) -> sums.computeIfAbsent(name, n -> new Sizes()).add(each));
     for (Open job : open.values()) {
@@ -346,14 +346,14 @@
     return largest;
   }
 
-  private <K> Map<K, Served> by(Function<Group, K> key, SteadyTime now) {
+  private <K> Map<K, Served> by(Function<Group, K> key, MonotonicTime now) {
     Map<Count, Count> late = new HashMap<>();
     for (Open job : open.values()) {
       Count count = late.computeIfAbsent(job.count, c -> new Count());
-      for (Aim aim : job.aims) {
+      for (ServiceLevelObjective aim : job.aims) {
         if (job.isPast(aim, now)) {
           count.tally(aim.name()).missed +=
-              aim.of() == Aim.Of.END ? 1 : job.tasks - job.started - job.heldBack - job.withheld;
+              aim.milestone() == ServiceLevelObjective.Milestone.END ? 1 : job.tasks - job.started - job.heldBack - job.withheld;
         }
       }
     }
--- a/src/main/java/org/quincecross/silence/Aloneness.java
+++ b/src/main/java/org/quincecross/silence/Aloneness.java
@@ -1,9 +1,9 @@
 package org.quincecross.silence;
 
 import java.util.Collection;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
-import org.quincecross.model.Token;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.FencingToken;
 
 /**
  * Whether a controller without word from the state service is alone in that, and so had better send
@@ -21,28 +21,28 @@
    * Without word for so long a controller asks whose silence it is; others' word that is older says
    * nothing.
    */
-  public static final Span SILENT = Span.ofSeconds(3);
+  public static final TimeSpan SILENT = TimeSpan.ofSeconds(3);
 
   /**
    * Who has had word within so long is served: in an outage of all the last word of one may be half
    * a second after another's.
    */
-  static final Span SERVED = Span.ofSeconds(2);
+  static final TimeSpan SERVED = TimeSpan.ofSeconds(2);
 
   /**
    * Membership ends 3 s after the last renewal, and renewals are 0.9 s apart: no block is taken
    * from the silent earlier.
    */
-  static final Span NOT_TAKEN_BEFORE = Span.ofSeconds(2);
+  static final TimeSpan NOT_TAKEN_BEFORE = TimeSpan.ofSeconds(2);
 
   /** Blocks of a member that is out are with others, and their machines told so, well before. */
-  static final Span TAKEN_BY = Span.ofSeconds(12);
+  static final TimeSpan TAKEN_BY = TimeSpan.ofSeconds(12);
 
   /**
    * Once back, the state service has to be heard for so long: each removal by the balancer doubles
    * its pause.
    */
-  static final Span STEADY = Span.ofSeconds(2);
+  static final TimeSpan STEADY = TimeSpan.ofSeconds(2);
 
   /** The states of a controller with regard to the state service and the others. */
   public enum State {
@@ -83,43 +83,43 @@
    * @param at when that came; null: never
    * @param unconfirmed how long it had been without word from the state service then
    */
-  public record Word(SteadyTime at, Span unconfirmed) {
-    private boolean isFresh(SteadyTime now) {
-      return at != null && !now.since(at).isMoreThan(SILENT);
+  public record Word(MonotonicTime at, TimeSpan unconfirmed) {
+    private boolean isFresh(MonotonicTime now) {
+      return at != null && !now.since(at).isLongerThan(SILENT);
     }
 
-    private Span unconfirmedBy(SteadyTime now) {
+    private TimeSpan unconfirmedBy(MonotonicTime now) {
       return unconfirmed.plus(now.since(at));
     }
 
-    private boolean isServed(SteadyTime now) {
-      return at != null && !unconfirmedBy(now).isMoreThan(SERVED);
+    private boolean isServed(MonotonicTime now) {
+      return at != null && !unconfirmedBy(now).isLongerThan(SERVED);
     }
 
-    private boolean isOut(SteadyTime now) {
-      return isFresh(now) && unconfirmedBy(now).isMoreThan(SILENT);
+    private boolean isOut(MonotonicTime now) {
+      return isFresh(now) && unconfirmedBy(now).isLongerThan(SILENT);
     }
   }
 
   private final boolean first;
   private State state = State.CONNECTED;
-  private SteadyTime since;
-  private SteadyTime confirmed;
+  private MonotonicTime since;
+  private MonotonicTime confirmed;
 
   /** Tokens up to here may have been written before the loss. */
-  private Token floor = Token.NONE;
+  private FencingToken floor = FencingToken.NONE;
 
   private boolean othersWrite;
-  private SteadyTime ownMachine;
+  private MonotonicTime ownMachine;
 
   /** Since when others have had word again while this one has none; null where none has. */
-  private SteadyTime othersBack;
+  private MonotonicTime othersBack;
 
   /**
    * @param first whether this controller stays in where nothing at all tells whose silence it is:
    *     one of all does
    */
-  public Aloneness(boolean first, SteadyTime now) {
+  public Aloneness(boolean first, MonotonicTime now) {
     this.first = first;
     this.since = now;
     this.confirmed = now;
@@ -130,7 +130,7 @@
   }
 
   /** The one place where the state changes. */
-  private void enter(State next, SteadyTime now) {
+  private void enter(State next, MonotonicTime now) {
     if (next != state) {
       state = next;
       since = now;
@@ -144,14 +144,14 @@
    * @param known everything that was written up to here is known to this controller
    * @param own whether this controller holds its block, as far as it knows
    */
-  public void machine(Token token, Token known, boolean own, SteadyTime now) {
-    Span silence = now.since(confirmed);
-    if (!silence.isMoreThan(NOT_TAKEN_BEFORE)) {
+  public void machine(FencingToken token, FencingToken known, boolean own, MonotonicTime now) {
+    TimeSpan silence = now.since(confirmed);
+    if (!silence.isLongerThan(NOT_TAKEN_BEFORE)) {
       // Written in the very moment of the loss, perhaps: says nothing of what came after.
       floor = token.isAfter(floor) ? token : floor;
     } else if (token.isAfter(known) && token.isAfter(floor)) {
       othersWrite = true;
-    } else if (own && silence.isMoreThan(TAKEN_BY)) {
+    } else if (own && silence.isLongerThan(TAKEN_BY)) {
       ownMachine = now;
     }
   }
@@ -162,12 +162,12 @@
    * @param heard when the state service was asked what it last answered
    * @param words what each of the others said last
    */
-  public void look(SteadyTime heard, Collection<Word> words, SteadyTime now) {
+  public void look(MonotonicTime heard, Collection<Word> words, MonotonicTime now) {
     if (confirmed.isBefore(heard)) {
       confirmed = heard;
     }
     boolean othersServed = words.stream().anyMatch(word -> word.isServed(now));
-    if (!now.since(confirmed).isMoreThan(SILENT)) {
+    if (!now.since(confirmed).isLongerThan(SILENT)) {
       back(othersServed, now);
       return;
     }
@@ -179,7 +179,7 @@
       othersBack = now;
     }
     if (othersServed
-        && (state != State.OUTAGE_OF_ALL || now.since(othersBack).isMoreThan(SILENT))) {
+        && (state != State.OUTAGE_OF_ALL || now.since(othersBack).isLongerThan(SILENT))) {
       enter(State.ALONE, now);
     } else if (othersServed) {
       enter(State.OUTAGE_OF_ALL, now); // it is over, and word reaches one a moment before another
@@ -198,8 +198,8 @@
     }
   }
 
-  private void nobodySaysAnything(SteadyTime now) {
-    if (!now.since(confirmed).isMoreThan(TAKEN_BY)) {
+  private void nobodySaysAnything(MonotonicTime now) {
+    if (!now.since(confirmed).isLongerThan(TAKEN_BY)) {
       if (state == State.CONNECTED) {
         enter(State.UNCONFIRMED, now);
       }
@@ -207,18 +207,18 @@
         || state == State.OUTAGE_OF_ALL
         || (ownMachine != null && confirmed.isBefore(ownMachine))) {
       enter(State.OUTAGE_OF_ALL, now);
-    } else if (now.since(confirmed).isMoreThan(TAKEN_BY.plus(SILENT))) {
+    } else if (now.since(confirmed).isLongerThan(TAKEN_BY.plus(SILENT))) {
       enter(State.ALONE, now);
     }
   }
 
-  private void back(boolean othersServed, SteadyTime now) {
+  private void back(boolean othersServed, MonotonicTime now) {
     othersWrite = false;
     othersBack = null;
     switch (state) {
       case ALONE -> enter(othersServed ? State.RETURNING : State.CONNECTED, now);
       case RETURNING -> {
-        if (!othersServed || now.since(since).isMoreThan(STEADY)) {
+        if (!othersServed || now.since(since).isLongerThan(STEADY)) {
           enter(State.CONNECTED, now);
         }
       }
--- a/src/main/java/org/quincecross/silence/Deafness.java
+++ b/src/main/java/org/quincecross/silence/Deafness.java
@@ -1,7 +1,7 @@
 package org.quincecross.silence;
 
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Whether a machine that speaks also hears, as its reports tell the controller that answers them.
@@ -16,13 +16,13 @@
  */
 public final class Deafness {
   /** A worker waits so long for the answer to a report. */
-  static final Span GIVES_UP = Span.ofSeconds(4);
+  static final TimeSpan GIVES_UP = TimeSpan.ofSeconds(4);
 
   /** Direct commands without an answer, one after the other, that count as a sign. */
   static final int COMMANDS_UNANSWERED = 2;
 
   /** A machine that is deaf again so soon is believed less easily than before. */
-  static final Span RELAPSE = Span.ofSeconds(60);
+  static final TimeSpan RELAPSE = TimeSpan.ofSeconds(60);
 
   static final int MOST_TRIALS = 16;
 
@@ -48,9 +48,9 @@
   }
 
   private State state = State.HEARS;
-  private SteadyTime heardAt;
-  private SteadyTime deafAt;
-  private SteadyTime answeredAt;
+  private MonotonicTime heardAt;
+  private MonotonicTime deafAt;
+  private MonotonicTime answeredAt;
   private long answeredSession;
   private long known;
   private int unanswered;
@@ -60,7 +60,7 @@
   /**
    * @param now until now nothing speaks against the machine
    */
-  public Deafness(SteadyTime now) {
+  public Deafness(MonotonicTime now) {
     heardAt = now;
   }
 
@@ -82,8 +82,8 @@
    * For how long nothing has shown that it hears, while something shows that it does not; else
    * zero.
    */
-  public Span deafFor(SteadyTime now) {
-    return state == State.HEARS ? Span.ZERO : now.since(heardAt);
+  public TimeSpan deafFor(MonotonicTime now) {
+    return state == State.HEARS ? TimeSpan.ZERO : now.since(heardAt);
   }
 
   /**
@@ -93,13 +93,13 @@
    * @param number the report's number
    * @param lease how long a lease lasts
    */
-  public void reported(long session, long number, Span lease, SteadyTime now) {
+  public void reported(long session, long number, TimeSpan lease, MonotonicTime now) {
     if (answeredAt != null) {
-      boolean late = !GIVES_UP.isMoreThan(now.since(answeredAt));
+      boolean late = !GIVES_UP.isLongerThan(now.since(answeredAt));
       if (session != answeredSession) {
         // Had it taken the answer, its lease would have begun anew with the report that was
         // answered.
-        if (now.since(answeredAt).isMoreThan(lease)) {
+        if (now.since(answeredAt).isLongerThan(lease)) {
           unheard(now);
         } else {
           relapse(now);
@@ -117,13 +117,13 @@
   }
 
   /** Its last report was answered. */
-  public void answered(long session, SteadyTime now) {
+  public void answered(long session, MonotonicTime now) {
     answeredAt = now;
     answeredSession = session;
   }
 
   /** A direct command was answered; {@code number}: that of the answer. */
-  public void commandAnswered(long number, SteadyTime now) {
+  public void commandAnswered(long number, MonotonicTime now) {
     unanswered = 0;
     known = Math.max(known, number);
     heard(now);
@@ -139,24 +139,24 @@
   /**
    * It has shown a token that it had not seen before it was told it: it hears, whatever was known.
    */
-  public void shownToken(SteadyTime now) {
+  public void shownToken(MonotonicTime now) {
     heardAt = now;
     unanswered = 0;
     enter(State.HEARS);
   }
 
   /** A report proves that an answer was not taken that was sent long enough before to arrive. */
-  public void noneTaken(SteadyTime now) {
-    if (answeredAt != null && !GIVES_UP.isMoreThan(now.since(answeredAt))) {
+  public void noneTaken(MonotonicTime now) {
+    if (answeredAt != null && !GIVES_UP.isLongerThan(now.since(answeredAt))) {
       relapse(now);
     }
   }
 
-  private void heard(SteadyTime now) {
+  private void heard(MonotonicTime now) {
     heardAt = now;
     switch (state) {
       case HEARS -> {
-        if (trials > 1 && now.since(deafAt).isMoreThan(RELAPSE)) {
+        if (trials > 1 && now.since(deafAt).isLongerThan(RELAPSE)) {
           trials = 1;
         }
       }
@@ -175,7 +175,7 @@
     }
   }
 
-  private void unheard(SteadyTime now) {
+  private void unheard(MonotonicTime now) {
     if (state == State.HEARS) {
       enter(State.SUSPECTED);
     } else {
@@ -183,7 +183,7 @@
     }
   }
 
-  private void relapse(SteadyTime now) {
+  private void relapse(MonotonicTime now) {
     deafAt = now;
     enter(State.DEAF);
   }
--- a/src/main/java/org/quincecross/silence/Freshness.java
+++ b/src/main/java/org/quincecross/silence/Freshness.java
@@ -1,8 +1,8 @@
 package org.quincecross.silence;
 
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
-import org.quincecross.model.Token;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.FencingToken;
 
 /**
  * Tells news of one machine from late copies of what it said before, for the holder of its block.
@@ -34,10 +34,10 @@
  */
 public final class Freshness {
   /** Workers drop an answer after this time. */
-  static final Span ANSWER_DROPPED = Span.ofSeconds(4);
+  static final TimeSpan ANSWER_DROPPED = TimeSpan.ofSeconds(4);
 
   /** Beyond the report that was due. */
-  static final Span DUE_MARGIN = Span.ofSeconds(0.5);
+  static final TimeSpan DUE_MARGIN = TimeSpan.ofSeconds(0.5);
 
   /** The states of what is known of a machine. */
   public enum State {
@@ -78,7 +78,7 @@
    * @param session unsigned
    * @param order unsigned
    */
-  public record Shown(Token token, long session, long order) {
+  public record Shown(FencingToken token, long session, long order) {
     public boolean isAfter(Shown other) {
       int byToken = token.compareTo(other.token);
       if (byToken != 0) {
@@ -93,7 +93,7 @@
   private Shown latest;
   private Shown latestReport;
   private Shown asked;
-  private SteadyTime latestAt;
+  private MonotonicTime latestAt;
 
   /** The one place where the state changes. */
   private void enter(State next) {
@@ -106,7 +106,7 @@
     return state;
   }
 
-  private void taken(Shown shown, SteadyTime now) {
+  private void taken(Shown shown, MonotonicTime now) {
     latest = shown;
     latestAt = now;
   }
@@ -116,7 +116,7 @@
    *
    * @param leaseOver whether the lease of the worker that was last heard is surely over
    */
-  public Verdict ofReport(Shown shown, boolean leaseOver, SteadyTime now) {
+  public Verdict ofReport(Shown shown, boolean leaseOver, MonotonicTime now) {
     boolean after = latest == null || shown.isAfter(latest);
     if (state != State.BEGUN_ANEW
         && after
@@ -132,7 +132,7 @@
         && !leaseOver
         && (latestReport == null || shown.isAfter(latestReport))
         && latest.session == shown.session
-        && !now.since(latestAt).isMoreThan(ANSWER_DROPPED)) {
+        && !now.since(latestAt).isLongerThan(ANSWER_DROPPED)) {
       latestReport = shown;
       return Verdict.OVERTAKEN;
     }
@@ -146,7 +146,7 @@
   }
 
   /** The machine has answered the request that was sent last. */
-  public Verdict ofAnswer(Shown shown, SteadyTime now) {
+  public Verdict ofAnswer(Shown shown, MonotonicTime now) {
     if (asked != null && !shown.isAfter(asked)) {
       taken(shown, now);
       latestReport = null;
@@ -167,9 +167,9 @@
    *
    * @param report how often machines report; they do so up to a quarter later
    */
-  public boolean isToBeAsked(Span report, SteadyTime now) {
+  public boolean isToBeAsked(TimeSpan report, MonotonicTime now) {
     return state != State.TRUSTED
-        && now.since(latestAt).isMoreThan(report.times(1.25).plus(DUE_MARGIN));
+        && now.since(latestAt).isLongerThan(report.times(1.25).plus(DUE_MARGIN));
   }
 
   /** The request that was sent last had no answer: what comes next may raise the doubt again. */
--- a/src/main/java/org/quincecross/silence/Hearing.java
+++ b/src/main/java/org/quincecross/silence/Hearing.java
@@ -2,9 +2,9 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Which controllers hear the machines of which zones, as far as blocks that were taken from them
@@ -18,12 +18,12 @@
  */
 public final class Hearing {
   /** The pause before the first trial; each that fails doubles it. */
-  static final Span FIRST_PAUSE = Span.ofSeconds(12);
+  static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(12);
 
-  static final Span LONGEST_PAUSE = Span.ofSeconds(96);
+  static final TimeSpan LONGEST_PAUSE = TimeSpan.ofSeconds(96);
 
   /** A trial that says nothing for so long, one way or the other, has failed. */
-  static final Span TRIAL = Span.ofSeconds(12);
+  static final TimeSpan TRIAL = TimeSpan.ofSeconds(12);
 
   /** The states of a controller with regard to the machines of a zone. */
   public enum State {
@@ -40,31 +40,31 @@
     ON_TRIAL
   }
 
-  private record Place(MemberId member, String zone) {}
+  private record Place(ControllerId member, String zone) {}
 
   private static final class Ear {
     private State state = State.HEARS;
-    private SteadyTime until;
-    private Span pause = FIRST_PAUSE;
+    private MonotonicTime until;
+    private TimeSpan pause = FIRST_PAUSE;
   }
 
   private final Map<Place, Ear> ears = new HashMap<>();
 
   /** The one place where an ear changes its state. */
-  private static void enter(Ear ear, State next, SteadyTime until) {
+  private static void enter(Ear ear, State next, MonotonicTime until) {
     ear.state = next;
     ear.until = until;
   }
 
-  private static void pause(Ear ear, SteadyTime now) {
+  private static void pause(Ear ear, MonotonicTime now) {
     enter(ear, State.DEAF, now.plus(ear.pause));
-    ear.pause = ear.pause.times(2).isMoreThan(LONGEST_PAUSE) ? LONGEST_PAUSE : ear.pause.times(2);
+    ear.pause = ear.pause.times(2).isLongerThan(LONGEST_PAUSE) ? LONGEST_PAUSE : ear.pause.times(2);
   }
 
   /**
    * A block of a zone was taken from a controller that does not hear its machines, while others do.
    */
-  public void missed(MemberId member, String zone, SteadyTime now) {
+  public void missed(ControllerId member, String zone, MonotonicTime now) {
     Ear ear = ears.computeIfAbsent(new Place(member, zone), place -> new Ear());
     if (ear.state != State.DEAF) { // several blocks are found at once
       pause(ear, now);
@@ -72,20 +72,20 @@
   }
 
   /** A block of a zone went to a controller. */
-  public void given(MemberId member, String zone, SteadyTime now) {
+  public void given(ControllerId member, String zone, MonotonicTime now) {
     if (of(member, zone, now) == State.TO_BE_TRIED) {
       enter(ears.get(new Place(member, zone)), State.ON_TRIAL, now.plus(TRIAL));
     }
   }
 
   /** All machines of a block of the zone obey the controller and report to it. */
-  public void heard(MemberId member, String zone, SteadyTime now) {
+  public void heard(ControllerId member, String zone, MonotonicTime now) {
     if (of(member, zone, now) == State.ON_TRIAL) {
       ears.remove(new Place(member, zone));
     }
   }
 
-  public State of(MemberId member, String zone, SteadyTime now) {
+  public State of(ControllerId member, String zone, MonotonicTime now) {
     Ear ear = ears.get(new Place(member, zone));
     if (ear == null) {
       return State.HEARS;
--- a/src/main/java/org/quincecross/silence/LinkWatch.java
+++ b/src/main/java/org/quincecross/silence/LinkWatch.java
@@ -1,7 +1,7 @@
 package org.quincecross.silence;
 
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Whether what is sent to another controller arrives there, as its receipts tell.
@@ -16,7 +16,7 @@
    * Reports go out twice a second, and each is answered by the receipt in the next one that comes
    * back.
    */
-  static final Span PATIENCE = Span.ofSeconds(3);
+  static final TimeSpan PATIENCE = TimeSpan.ofSeconds(3);
 
   /** The states of a link. */
   public enum State {
@@ -30,17 +30,17 @@
   }
 
   private State state = State.ACKNOWLEDGED;
-  private SteadyTime since;
+  private MonotonicTime since;
   private long received = -1;
 
   /** The one place where a link changes its state. */
-  private void enter(State next, SteadyTime now) {
+  private void enter(State next, MonotonicTime now) {
     state = next;
     since = now;
   }
 
   /** A report went out. */
-  public void sent(SteadyTime now) {
+  public void sent(MonotonicTime now) {
     if (state == State.ACKNOWLEDGED) {
       enter(State.WAITING, now);
     }
@@ -52,7 +52,7 @@
    * @param number the last report that the other side has, with all before it
    * @param gap whether a report came there that builds on one that did not
    */
-  public void receipt(long number, boolean gap, SteadyTime now) {
+  public void receipt(long number, boolean gap, MonotonicTime now) {
     if (number != received || gap) {
       received = number;
       enter(State.ACKNOWLEDGED, now);
@@ -63,8 +63,8 @@
    * Whether the connection is to be made anew. If it is said so, it is not said again before {@link
    * #PATIENCE} is over.
    */
-  public boolean takeStuck(SteadyTime now) {
-    if (state != State.WAITING || !now.since(since).isMoreThan(PATIENCE)) {
+  public boolean takeStuck(MonotonicTime now) {
+    if (state != State.WAITING || !now.since(since).isLongerThan(PATIENCE)) {
       return false;
     }
     enter(State.WAITING, now);
--- a/src/main/java/org/quincecross/silence/Moves.java
+++ b/src/main/java/org/quincecross/silence/Moves.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Which machines' reports to other controllers speak for moving their block.
@@ -21,9 +21,9 @@
    * The pause after the first move; each further one doubles it, until the machine has obeyed a
    * holder.
    */
-  static final Span FIRST_PAUSE = Span.ofSeconds(36);
+  static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(36);
 
-  static final Span LONGEST_PAUSE = Span.ofSeconds(288);
+  static final TimeSpan LONGEST_PAUSE = TimeSpan.ofSeconds(288);
 
   /** The states of a machine with regard to the controllers. */
   public enum State {
@@ -38,25 +38,25 @@
 
   private static final class Mark {
     private State state = State.COUNTS;
-    private SteadyTime until;
-    private Span pause = FIRST_PAUSE;
+    private MonotonicTime until;
+    private TimeSpan pause = FIRST_PAUSE;
   }
 
   private final Map<MachineId, Mark> marks = new HashMap<>();
 
   /** The one place where a machine changes its state. */
-  private static void enter(Mark mark, State next, SteadyTime until) {
+  private static void enter(Mark mark, State next, MonotonicTime until) {
     mark.state = next;
     mark.until = until;
   }
 
   /** A block was moved because these machines of it reported to others. */
-  public void moved(Collection<MachineId> machines, SteadyTime now) {
+  public void moved(Collection<MachineId> machines, MonotonicTime now) {
     for (MachineId machine : machines) {
       Mark mark = marks.computeIfAbsent(machine, id -> new Mark());
       enter(mark, State.MOVED, now.plus(mark.pause));
       mark.pause =
-          mark.pause.times(2).isMoreThan(LONGEST_PAUSE) ? LONGEST_PAUSE : mark.pause.times(2);
+          mark.pause.times(2).isLongerThan(LONGEST_PAUSE) ? LONGEST_PAUSE : mark.pause.times(2);
     }
   }
 
@@ -70,7 +70,7 @@
     marks.keySet().removeAll(machines);
   }
 
-  public State of(MachineId machine, SteadyTime now) {
+  public State of(MachineId machine, MonotonicTime now) {
     Mark mark = marks.get(machine);
     if (mark != null && mark.state == State.MOVED && !now.isBefore(mark.until)) {
       enter(mark, State.COUNTS, now);
--- a/src/main/java/org/quincecross/silence/StartPermission.java
+++ b/src/main/java/org/quincecross/silence/StartPermission.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Whether a holder may start what is allocated to it: whether nobody can have been told yet of a
@@ -47,18 +47,18 @@
   private record Numbered(Incarnation life, long number) {}
 
   /** A report of another controller was made after {@code after}, and showed this revision. */
-  private record Shown(SteadyTime after, Revision revision) {}
+  private record Shown(MonotonicTime after, Revision revision) {}
 
-  private final Set<MemberId> others;
-  private final Span limit;
-  private final Map<Numbered, SteadyTime> sent = new LinkedHashMap<>();
-  private final Map<MemberId, Shown> shown = new HashMap<>();
+  private final Set<ControllerId> others;
+  private final TimeSpan limit;
+  private final Map<Numbered, MonotonicTime> sent = new LinkedHashMap<>();
+  private final Map<ControllerId, Shown> shown = new HashMap<>();
 
   /**
    * @param others all other controllers
    * @param limit D - M
    */
-  public StartPermission(Set<MemberId> others, Span limit) {
+  public StartPermission(Set<ControllerId> others, TimeSpan limit) {
     this.others = Set.copyOf(others);
     this.limit = limit;
   }
@@ -67,8 +67,8 @@
    * A report is about to be made here. Of each the time is kept for as long as a receipt of it can
    * prove something.
    */
-  public void sent(Incarnation life, long number, SteadyTime now) {
-    sent.values().removeIf(at -> now.since(at).isMoreThan(limit));
+  public void sent(Incarnation life, long number, MonotonicTime now) {
+    sent.values().removeIf(at -> now.since(at).isLongerThan(limit));
     // Every process has that name until it has its lease: a receipt could be one of a report of the
     // process before.
     if (!life.equals(Incarnation.NONE)) {
@@ -83,8 +83,8 @@
    * @param number the last report of it that it has received
    * @param revision that of the records that it shows
    */
-  public void received(MemberId from, Incarnation life, long number, Revision revision) {
-    SteadyTime after = sent.get(new Numbered(life, number));
+  public void received(ControllerId from, Incarnation life, long number, Revision revision) {
+    MonotonicTime after = sent.get(new Numbered(life, number));
     if (after == null || revision.equals(Revision.NONE)) {
       return;
     }
@@ -100,7 +100,7 @@
    * @param confirmed the holder has noted all that had happened by then
    * @param noted the revision up to which it has noted all
    */
-  public boolean isGiven(SteadyTime confirmed, Revision noted, SteadyTime now) {
+  public boolean isGiven(MonotonicTime confirmed, Revision noted, MonotonicTime now) {
     return isRecent(confirmed, now)
         || others.stream()
             .allMatch(
@@ -110,7 +110,7 @@
                 });
   }
 
-  private boolean isRecent(SteadyTime at, SteadyTime now) {
-    return !now.since(at).isMoreThan(limit);
+  private boolean isRecent(MonotonicTime at, MonotonicTime now) {
+    return !now.since(at).isLongerThan(limit);
   }
 }
--- a/src/main/java/org/quincecross/silence/Stillness.java
+++ b/src/main/java/org/quincecross/silence/Stillness.java
@@ -1,7 +1,7 @@
 package org.quincecross.silence;
 
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Whether this process has stood still while its clocks ran on, and has not yet looked about since.
@@ -18,9 +18,9 @@
    * Something happens in a controller several times a second; a turn that comes so late was not
    * merely busy.
    */
-  static final Span NOTICED = Span.ofSeconds(1.5);
+  static final TimeSpan NOTICED = TimeSpan.ofSeconds(1.5);
 
-  static final Span LONGEST_WAKING = Span.ofSeconds(2);
+  static final TimeSpan LONGEST_WAKING = TimeSpan.ofSeconds(2);
 
   /** The states of a process with regard to its clocks. */
   public enum State {
@@ -29,10 +29,10 @@
   }
 
   private State state = State.AWAKE;
-  private SteadyTime last;
-  private SteadyTime wokeAt;
+  private MonotonicTime last;
+  private MonotonicTime wokeAt;
 
-  public Stillness(SteadyTime now) {
+  public Stillness(MonotonicTime now) {
     last = now;
   }
 
@@ -45,11 +45,11 @@
    * Something is about to be done. Returns for how long nothing was, where that is longer than
    * being busy explains; else zero.
    */
-  public Span turn(SteadyTime now) {
-    Span gap = now.since(last);
+  public TimeSpan turn(MonotonicTime now) {
+    TimeSpan gap = now.since(last);
     last = now;
-    if (!gap.isMoreThan(NOTICED)) {
-      return Span.ZERO;
+    if (!gap.isLongerThan(NOTICED)) {
+      return TimeSpan.ZERO;
     }
     wokeAt = now;
     enter(State.WAKING);
@@ -62,10 +62,10 @@
    * @param confirmed the records hold all that had happened by this time; null before they were
    *     read
    */
-  public boolean isWaking(SteadyTime confirmed, SteadyTime now) {
+  public boolean isWaking(MonotonicTime confirmed, MonotonicTime now) {
     if (state == State.WAKING
         && ((confirmed != null && !confirmed.isBefore(wokeAt))
-            || now.since(wokeAt).isMoreThan(LONGEST_WAKING))) {
+            || now.since(wokeAt).isLongerThan(LONGEST_WAKING))) {
       enter(State.AWAKE);
     }
     return state == State.WAKING;
--- a/src/main/java/org/quincecross/silence/UnconfirmedBound.java
+++ b/src/main/java/org/quincecross/silence/UnconfirmedBound.java
@@ -1,6 +1,6 @@
 package org.quincecross.silence;
 
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 
 /**
  * For how long a holder goes on without word from the state service, and what users who cancel pay
@@ -53,7 +53,7 @@
  * @param toldAfter D: how long after it was seen first a cancellation may be told in any case
  * @param notingSuffices whether it may be told sooner, once all holders have noted it
  */
-public record UnconfirmedBound(Span unconfirmed, Span toldAfter, boolean notingSuffices) {
+public record UnconfirmedBound(TimeSpan unconfirmed, TimeSpan toldAfter, boolean notingSuffices) {
   private static final double LEAST_TOLD_AFTER_S = 8;
   private static final double LONGEST_TOLD_AFTER_S = 45;
   private static final double LEAST_UNCONFIRMED_S = 5;
@@ -70,7 +70,7 @@
    * Whether a bound can be made; where not, leases are too long for the time that a cancellation
    * has.
    */
-  public static boolean isPossible(Span lease, Span cancel) {
+  public static boolean isPossible(TimeSpan lease, TimeSpan cancel) {
     return toldAfterS(lease.seconds(), cancel.seconds()) <= LONGEST_TOLD_AFTER_S;
   }
 
@@ -79,7 +79,7 @@
    *
    * @throws IllegalArgumentException where {@link #isPossible} says no
    */
-  public static UnconfirmedBound of(Span lease, Span cancel) {
+  public static UnconfirmedBound of(TimeSpan lease, TimeSpan cancel) {
     if (!isPossible(lease, cancel)) {
       throw new IllegalArgumentException(
           "no bound for a lease of " + lease + " and a cancellation within " + cancel);
@@ -88,8 +88,8 @@
     double margin = marginS(cancel.seconds(), toldAfter);
     double unconfirmed = cancel.seconds() + toldAfter - lease.seconds() * LEASE_FACTOR - margin;
     return new UnconfirmedBound(
-        Span.ofSeconds(unconfirmed),
-        Span.ofSeconds(toldAfter),
+        TimeSpan.ofSeconds(unconfirmed),
+        TimeSpan.ofSeconds(toldAfter),
         HELD_UP_S + lease.seconds() * LEASE_FACTOR + margin <= cancel.seconds());
   }
 
@@ -100,10 +100,10 @@
    * D - M left before anybody was told. By 1 and 2 a holder that has not noted it has none of its
    * tasks, or nobody is told (docs/incidents/started-without-word.md).
    */
-  public Span starts() {
-    return new Span(
+  public TimeSpan starts() {
+    return new TimeSpan(
         toldAfter.nanos()
-            - Span.ofSeconds(LEAST_MARGIN_S)
+            - TimeSpan.ofSeconds(LEAST_MARGIN_S)
                 .nanos()); // over 45 s two clocks differ by less than 0.1 s
   }
 
--- a/src/main/java/org/quincecross/state/AgreedStore.java
+++ b/src/main/java/org/quincecross/state/AgreedStore.java
@@ -14,10 +14,10 @@
 import org.quincecross.agreed.Kept;
 import org.quincecross.agreed.RecordId;
 import org.quincecross.agreed.TrailLine;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Limiter;
 import org.quincecross.net.Timers;
 import org.quincecross.rollout.Feature;
@@ -48,10 +48,10 @@
    * The longest that anybody is left without an answer: users and operators' commands wait for
    * longer.
    */
-  public static final Span ANSWERED = Span.ofSeconds(4);
+  public static final TimeSpan ANSWERED = TimeSpan.ofSeconds(4);
 
-  private static final Span PAGE_TIMEOUT = Span.ofSeconds(2);
-  private static final Span RETRY = Span.ofMillis(120);
+  private static final TimeSpan PAGE_TIMEOUT = TimeSpan.ofSeconds(2);
+  private static final TimeSpan RETRY = TimeSpan.ofMillis(120);
 
   /** Beyond so many that wait, others are told when to come back. */
   private static final int MOST_WAITING = 128;
@@ -260,7 +260,7 @@
   private final LongSupplier clockMs;
   private final Limiter writes;
   private final ArrayDeque<Waiting<?, ?>> waiting = new ArrayDeque<>();
-  private SteadyTime pressingFrom;
+  private MonotonicTime pressingFrom;
   private boolean busy;
   private boolean planned;
 
@@ -309,10 +309,10 @@
       return null;
     }
     TreeSet<String> lacking = new TreeSet<>();
-    TreeSet<MemberId> all = new TreeSet<>(ledger.members().keySet());
+    TreeSet<ControllerId> all = new TreeSet<>(ledger.members().keySet());
     settings.siblings().forEach(sibling -> all.add(sibling.member()));
     all.add(settings.member());
-    for (MemberId member : all) {
+    for (ControllerId member : all) {
       MemberRecord record = ledger.members().get(member);
       if (record == null) {
         lacking.add(member + ", which is away");
@@ -370,7 +370,7 @@
                     1));
           }
         });
-    soon(Span.ofMillis(1));
+    soon(TimeSpan.ofMillis(1));
   }
 
   /** Reads a page of a trail; {@code done} gets null where that does not work. */
@@ -391,7 +391,7 @@
         });
   }
 
-  private void soon(Span span) {
+  private void soon(TimeSpan span) {
     if (!planned) {
       planned = true;
       timers.after(
@@ -421,7 +421,7 @@
 
   /** The records are as new as whatever waits here. */
   private void write() {
-    SteadyTime now = timers.now();
+    MonotonicTime now = timers.now();
     int most = (int) Math.min(settings.stateLimits().txnChanges(), writes.level(now));
     if (most < 2 || (client.changesAffordable() < 2 && !isPressing(now))) {
       soon(RETRY);
@@ -462,11 +462,11 @@
   }
 
   /** Live work goes first, but not for ever. */
-  private boolean isPressing(SteadyTime now) {
+  private boolean isPressing(MonotonicTime now) {
     if (pressingFrom == null) {
       pressingFrom = now;
     }
-    return now.since(pressingFrom).isMoreThan(Span.ofSeconds(1));
+    return now.since(pressingFrom).isLongerThan(TimeSpan.ofSeconds(1));
   }
 
   private void written(Batch batch, TxnOutcome outcome) {
@@ -504,7 +504,7 @@
       default -> throw new IllegalStateException(outcome.kind().toString());
     }
     if (!waiting.isEmpty()) {
-      soon(outcome.kind() == TxnOutcome.Kind.COMMITTED ? Span.ofMillis(1) : RETRY);
+      soon(outcome.kind() == TxnOutcome.Kind.COMMITTED ? TimeSpan.ofMillis(1) : RETRY);
     }
   }
 
--- a/src/main/java/org/quincecross/state/Allocation.java
+++ b/src/main/java/org/quincecross/state/Allocation.java
@@ -23,6 +23,6 @@
 
   public boolean has(JobId job, int index) {
     TaskSet set = tasks.get(job);
-    return set != null && set.has(index);
+    return set != null && set.contains(index);
   }
 }
--- a/src/main/java/org/quincecross/state/BlockLease.java
+++ b/src/main/java/org/quincecross/state/BlockLease.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Fields;
 import org.quincecross.wire.Json;
@@ -31,21 +31,21 @@
  *     read
  */
 public record BlockLease(
-    BlockId id,
-    MemberId holder,
+    ShardId id,
+    ControllerId holder,
     Incarnation life,
     String type,
     String zone,
     boolean spot,
     Map<MachineId, Machine> machines,
     Set<MachineId> leaving,
-    Token token,
+    FencingToken token,
     Revision version,
     Map<String, Object> others) {
   private static final Set<String> KNOWN =
       Set.of("holder", "life", "type", "zone", "spot", "machines", "token", "leaving");
 
-  static BlockLease read(BlockId id, Object value, Revision version) throws BadMessage {
+  static BlockLease read(ShardId id, Object value, Revision version) throws BadMessage {
     Fields in = Fields.of(value, "a block");
     String type = in.text("type");
     String zone = in.text("zone");
@@ -68,14 +68,14 @@
     }
     return new BlockLease(
         id,
-        new MemberId(in.text("holder")),
+        new ControllerId(in.text("holder")),
         new Incarnation(in.unsigned("life")),
         type,
         zone,
         spot,
         machines,
         leaving,
-        new Token(in.has("token") ? in.unsigned("token") : version.number()),
+        new FencingToken(in.has("token") ? in.unsigned("token") : version.number()),
         version,
         in.others(KNOWN));
   }
@@ -124,7 +124,7 @@
                     spot,
                     machines,
                     machines.keySet(),
-                    new Token(Long.MAX_VALUE),
+                    new FencingToken(Long.MAX_VALUE),
                     version,
                     others)
                 .write())
@@ -132,7 +132,7 @@
   }
 
   /** A block as it is to be leased for the first time. */
-  public static BlockLease first(BlockId id, MemberRecord holder, Machine machine) {
+  public static BlockLease first(ShardId id, MemberRecord holder, Machine machine) {
     return new BlockLease(
         id,
         holder.member(),
@@ -142,7 +142,7 @@
         machine.spot(),
         Map.of(machine.id(), machine),
         Set.of(),
-        Token.NONE,
+        FencingToken.NONE,
         Revision.NONE,
         Map.of());
   }
@@ -158,7 +158,7 @@
         spot,
         machines,
         leaving,
-        Token.NONE,
+        FencingToken.NONE,
         version,
         others);
   }
--- a/src/main/java/org/quincecross/state/DoneTasks.java
+++ b/src/main/java/org/quincecross/state/DoneTasks.java
@@ -49,7 +49,7 @@
     TaskSet in = new TaskSet();
     BitSet bits = new BitSet();
     int base = chunk * CHUNK;
-    for (int i = all.next(base); i >= 0 && i < base + CHUNK; i = all.next(i + 1)) {
+    for (int i = all.nextMember(base); i >= 0 && i < base + CHUNK; i = all.nextMember(i + 1)) {
       in.add(i);
       bits.set(i - base);
     }
--- a/src/main/java/org/quincecross/state/Follower.java
+++ b/src/main/java/org/quincecross/state/Follower.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
 import org.quincecross.wire.BadMessage;
@@ -24,21 +24,21 @@
  */
 public final class Follower {
   private static final Logger LOG = LoggerFactory.getLogger(Follower.class);
-  private static final Span WATCH = Span.ofSeconds(10);
-  private static final Span RETRY = Span.ofMillis(250);
+  private static final TimeSpan WATCH = TimeSpan.ofSeconds(10);
+  private static final TimeSpan RETRY = TimeSpan.ofMillis(250);
 
   /**
    * Changes that come close together are read together: requests are limited, and each reading has
    * its cost.
    */
-  private static final Span WATCH_SPACING = Span.ofMillis(40);
+  private static final TimeSpan WATCH_SPACING = TimeSpan.ofMillis(40);
 
-  private static final Span BARRIER_TIMEOUT = Span.ofSeconds(1.2);
-  private static final Span BARRIER_SPACING = Span.ofMillis(40);
-  private static final Span BARRIER_GATHERING = Span.ofMillis(120);
+  private static final TimeSpan BARRIER_TIMEOUT = TimeSpan.ofSeconds(1.2);
+  private static final TimeSpan BARRIER_SPACING = TimeSpan.ofMillis(40);
+  private static final TimeSpan BARRIER_GATHERING = TimeSpan.ofMillis(120);
 
   /** How often the ledger is confirmed even if nobody asks. */
-  private static final Span HEARTBEAT = Span.ofMillis(500);
+  private static final TimeSpan HEARTBEAT = TimeSpan.ofMillis(500);
 
   private static final int PAGE = 400;
 
@@ -64,13 +64,13 @@
   private final Ledger ledger;
   private State state = State.LOADING;
   private int generation;
-  private SteadyTime confirmed;
-  private SteadyTime answering;
+  private MonotonicTime confirmed;
+  private MonotonicTime answering;
   private List<Consumer<Boolean>> askers = new ArrayList<>();
   private boolean barrierRunning;
   private boolean barrierPlanned;
   private boolean spacingPlanned;
-  private SteadyTime lastBarrier;
+  private MonotonicTime lastBarrier;
 
   public Follower(Timers timers, StateClient client, Ledger ledger) {
     this.timers = timers;
@@ -94,7 +94,7 @@
   }
 
   /** The ledger holds all that had happened by this time; null before it was first read. */
-  public SteadyTime confirmed() {
+  public MonotonicTime confirmed() {
     return confirmed;
   }
 
@@ -103,7 +103,7 @@
    * watch alone gets through, the records go on being confirmed and still no question can be
    * answered.
    */
-  public SteadyTime answering() {
+  public MonotonicTime answering() {
     return answering;
   }
 
@@ -117,10 +117,10 @@
       String after,
       Map<String, Ledger.StateEntry> entries,
       Revision first,
-      SteadyTime begun) {
+      MonotonicTime begun) {
     client.read(
         StateCodec.listPath(Keys.ROOT, after, PAGE),
-        Span.ofSeconds(5),
+        TimeSpan.ofSeconds(5),
         outcome -> {
           if (generation != mine) {
             return;
@@ -154,7 +154,7 @@
         });
   }
 
-  private void finishLoad(Map<String, Ledger.StateEntry> entries, Revision from, SteadyTime begun) {
+  private void finishLoad(Map<String, Ledger.StateEntry> entries, Revision from, MonotonicTime begun) {
     // Pages are read one after the other, at revisions that may differ: the changes since the first
     // page are
     // caught up with before anyone sees the records.
@@ -200,10 +200,10 @@
 
   private void watch() {
     int mine = generation;
-    SteadyTime sent = timers.now();
+    MonotonicTime sent = timers.now();
     client.read(
         StateCodec.watchPath(Keys.ROOT, ledger.revision(), WATCH.millis()),
-        WATCH.plus(Span.ofSeconds(5)),
+        WATCH.plus(TimeSpan.ofSeconds(5)),
         outcome -> {
           if (generation != mine) {
             return;
@@ -214,7 +214,7 @@
               watch();
             } else {
               timers.after(
-                  new Span(pause),
+                  new TimeSpan(pause),
                   () -> {
                     if (generation == mine) {
                       watch();
@@ -237,7 +237,7 @@
   }
 
   /** Takes the answer of a watch or a barrier; false if it is none. */
-  private boolean take(HttpOutcome outcome, SteadyTime sent) {
+  private boolean take(HttpOutcome outcome, MonotonicTime sent) {
     if (outcome.status() != 200) {
       return false;
     }
@@ -287,7 +287,7 @@
 
   private boolean join(Consumer<Boolean> whenCurrent) {
     if (state != State.FOLLOWING || !ledger.isLoaded()) {
-      timers.after(Span.ofMillis(1), () -> whenCurrent.accept(false));
+      timers.after(TimeSpan.ofMillis(1), () -> whenCurrent.accept(false));
       return false;
     }
     askers.add(whenCurrent);
@@ -304,12 +304,12 @@
       refused.forEach(asker -> asker.accept(false));
       return;
     }
-    Span pause = lastBarrier == null ? BARRIER_SPACING : timers.now().since(lastBarrier);
-    if (BARRIER_SPACING.isMoreThan(pause)) {
+    TimeSpan pause = lastBarrier == null ? BARRIER_SPACING : timers.now().since(lastBarrier);
+    if (BARRIER_SPACING.isLongerThan(pause)) {
       if (!spacingPlanned) {
         spacingPlanned = true;
         timers.after(
-            new Span(BARRIER_SPACING.nanos() - pause.nanos()),
+            new TimeSpan(BARRIER_SPACING.nanos() - pause.nanos()),
             () -> {
               spacingPlanned = false;
               startBarrier();
@@ -319,7 +319,7 @@
     }
     barrierRunning = true;
     lastBarrier = timers.now();
-    SteadyTime sent = lastBarrier;
+    MonotonicTime sent = lastBarrier;
     int mine = generation;
     List<Consumer<Boolean>> served = askers;
     askers = new ArrayList<>();
--- a/src/main/java/org/quincecross/state/Foresight.java
+++ b/src/main/java/org/quincecross/state/Foresight.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.agreed.Withheld;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.sched.Reserve;
 
 /**
@@ -21,7 +21,7 @@
  */
 public final class Foresight {
   /** Work of a kind that came lately comes again. */
-  private static final Span REMEMBERED = Span.ofSeconds(300);
+  private static final TimeSpan REMEMBERED = TimeSpan.ofSeconds(300);
 
   /** Whole machines kept beyond those that waiting work needs, as long as such work is about. */
   private static final int SPARE = 2;
@@ -29,7 +29,7 @@
   /** For so many machines, room for one more task of the highest priority is kept. */
   private static final int MACHINES_PER_ROOM = 6;
 
-  private static final Span LOOK_EVERY = Span.ofSeconds(1);
+  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
 
   /**
    * Of a block that keeps nothing free: what has waited long is to start there too, and not to
@@ -39,16 +39,16 @@
 
   private record Kind(String type, boolean spot) {}
 
-  private record Seen(Resources each, SteadyTime at) {}
+  private record Seen(Resources each, MonotonicTime at) {}
 
   private final Ledger ledger;
   private final Withheld withheld;
   private final Map<Kind, Seen> seen = new HashMap<>();
-  private final Map<BlockId, List<Reserve>> reserves = new HashMap<>();
-  private final Map<BlockId, List<Reserve>> plannedAround = new HashMap<>();
+  private final Map<ShardId, List<Reserve>> reserves = new HashMap<>();
+  private final Map<ShardId, List<Reserve>> plannedAround = new HashMap<>();
   private final LongWaits waits;
   private Seen urgent;
-  private SteadyTime computedAt;
+  private MonotonicTime computedAt;
   private RequestRooms requests;
   private long requestsSeen;
 
@@ -71,7 +71,7 @@
   }
 
   /** What a block keeps free when it starts work. */
-  public List<Reserve> of(BlockId block, SteadyTime now) {
+  public List<Reserve> of(ShardId block, MonotonicTime now) {
     look(now);
     return reserves.getOrDefault(block, List.of());
   }
@@ -80,16 +80,16 @@
    * The same for a plan that gives work to blocks: what has just been given something has waited
    * long no more.
    */
-  public List<Reserve> plannedAround(BlockId block, SteadyTime now) {
+  public List<Reserve> plannedAround(ShardId block, MonotonicTime now) {
     look(now);
     return plannedAround.getOrDefault(block, List.of());
   }
 
-  private void look(SteadyTime now) {
+  private void look(MonotonicTime now) {
     // What should be kept free follows what has come in minutes: no need to look at everything at
     // every change.
     boolean others = requests != null && requests.version() != requestsSeen;
-    if (computedAt == null || others || now.since(computedAt).isMoreThan(LOOK_EVERY)) {
+    if (computedAt == null || others || now.since(computedAt).isLongerThan(LOOK_EVERY)) {
       compute(now);
       computedAt = now;
     }
@@ -102,16 +102,16 @@
     return urgent == null ? Resources.NONE : urgent.each();
   }
 
-  private void compute(SteadyTime now) {
+  private void compute(MonotonicTime now) {
     reserves.clear();
     Map<Kind, Integer> waiting = new HashMap<>();
     for (JobRecord record : ledger.openJobs()) {
-      int mayRun = record.job().tasks() - withheld.of(record.job()).size();
+      int mayRun = record.job().taskCount() - withheld.of(record.job()).size();
       if (mayRun <= 0 || ledger.pipelines().waits(record.id())) {
         continue;
       }
-      if (record.job().rank() == Rank.PRODUCTION) {
-        urgent = new Seen(record.job().each(), now);
+      if (record.job().priority() == Priority.PRODUCTION) {
+        urgent = new Seen(record.job().taskResources(), now);
       } else {
         waits.look(record.id(), now);
       }
@@ -120,7 +120,7 @@
       }
     }
     waits.lookedAtAll();
-    seen.values().removeIf(large -> now.since(large.at()).isMoreThan(REMEMBERED));
+    seen.values().removeIf(large -> now.since(large.at()).isLongerThan(REMEMBERED));
     seen.forEach((kind, large) -> share(kind, large, waiting.getOrDefault(kind, 0) + SPARE));
     keepForUrgent(now);
     if (requests != null) {
@@ -142,7 +142,7 @@
    */
   private void lend(Set<JobId> toPlan, Set<JobId> toStart) {
     plannedAround.clear();
-    for (BlockId block : ledger.blocks().keySet()) {
+    for (ShardId block : ledger.blocks().keySet()) {
       List<Reserve> kept = reserves.getOrDefault(block, List.of(NOTHING));
       plannedAround.put(block, lent(kept, toPlan));
       reserves.put(block, lent(kept, toStart));
@@ -156,14 +156,14 @@
   }
 
   private void look(
-      Job job, int tasks, MachineType type, Map<Kind, Integer> waiting, SteadyTime now) {
+      Job job, int tasks, MachineType type, Map<Kind, Integer> waiting, MonotonicTime now) {
     if (!Reserve.isLarge(job, type.capacity())
-        || (job.types() != null && !job.types().contains(type.name()))) {
+        || (job.machineTypes() != null && !job.machineTypes().contains(type.name()))) {
       return;
     }
-    for (boolean spot : job.spot() ? new boolean[] {true, false} : new boolean[] {false}) {
+    for (boolean spot : job.allowsSpot() ? new boolean[] {true, false} : new boolean[] {false}) {
       Kind kind = new Kind(type.name(), spot);
-      Resources each = job.each();
+      Resources each = job.taskResources();
       Seen before = seen.get(kind);
       if (before != null) {
         each =
@@ -203,8 +203,8 @@
   }
 
   /** Every block of some size on ordinary machines keeps room for more services. */
-  private void keepForUrgent(SteadyTime now) {
-    if (urgent == null || now.since(urgent.at()).isMoreThan(REMEMBERED)) {
+  private void keepForUrgent(MonotonicTime now) {
+    if (urgent == null || now.since(urgent.at()).isLongerThan(REMEMBERED)) {
       return;
     }
     for (BlockLease block : ledger.blocks().values()) {
--- a/src/main/java/org/quincecross/state/Gone.java
+++ b/src/main/java/org/quincecross/state/Gone.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
@@ -35,7 +35,7 @@
    * @param where the blocks that still have tasks, with which
    * @param revision of the records by which this was found
    */
-  public record Proof(State state, Map<BlockId, Map<JobId, TaskSet>> where, Revision revision) {
+  public record Proof(State state, Map<ShardId, Map<JobId, TaskSet>> where, Revision revision) {
     public boolean isProven() {
       return state == State.PROVEN;
     }
@@ -55,14 +55,14 @@
     if (!ledger.isLoaded() || since.isAfter(at)) {
       return new Proof(State.TOO_EARLY, Map.of(), at);
     }
-    Map<BlockId, Map<JobId, TaskSet>> where = new HashMap<>();
+    Map<ShardId, Map<JobId, TaskSet>> where = new HashMap<>();
     tasks.forEach(
         (job, set) -> {
-          for (BlockId block : ledger.blocksOf(job)) {
+          for (ShardId block : ledger.blocksOf(job)) {
             TaskSet there = ledger.allocation(block).tasks().getOrDefault(job, new TaskSet());
             TaskSet still = new TaskSet();
-            for (int i = there.next(0); i >= 0; i = there.next(i + 1)) {
-              if (set.has(i) && !ledger.isDone(job, i)) {
+            for (int i = there.nextMember(0); i >= 0; i = there.nextMember(i + 1)) {
+              if (set.contains(i) && !ledger.isDone(job, i)) {
                 still.add(i);
               }
             }
--- a/src/main/java/org/quincecross/state/JobBook.java
+++ b/src/main/java/org/quincecross/state/JobBook.java
@@ -96,7 +96,7 @@
     }
     Job job = record.job();
     return new Urgencies.Own(
-        job.rank(),
+        job.priority(),
         job.deadline() == null ? Urgencies.NEVER : record.acceptedMs() + job.deadline().millis(),
         HAND_OVER_MS + job.estimate().millis() + (long) (job.imageGb() * FETCH_MS_PER_GB));
   }
@@ -120,7 +120,7 @@
    */
   long readyMs(JobRecord record) {
     long ready = record.acceptedMs();
-    for (JobId before : record.job().waitsOn()) {
+    for (JobId before : record.job().dependencies()) {
       JobRecord its = jobs.get(before);
       ready = its == null ? ready : Math.max(ready, its.endedMs());
     }
@@ -200,7 +200,7 @@
     }
     Set<JobId> toLookAt = new HashSet<>(pipelines.unfinished(id));
     pipelines.put(
-        id, record.job() == null ? Set.of() : record.job().waitsOn(), complete, this::stand);
+        id, record.job() == null ? Set.of() : record.job().dependencies(), complete, this::stand);
     stand(id);
     toLookAt.addAll(pipelines.unfinished(id));
     if (!toLookAt.isEmpty() || pipelines.hasFollowers(id) || urgent.containsKey(id)) {
--- a/src/main/java/org/quincecross/state/JobRecord.java
+++ b/src/main/java/org/quincecross/state/JobRecord.java
@@ -8,7 +8,7 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.pipeline.Urgencies;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Fields;
@@ -79,7 +79,7 @@
       return JobCodec.read(in.fields("job"));
     }
     return in.has(DEPENDENT)
-        ? JobCodec.read(in.fields(DEPENDENT)).waitingOn(Predecessors.readInRecord(in))
+        ? JobCodec.read(in.fields(DEPENDENT)).withDependencies(Predecessors.readInRecord(in))
         : null;
   }
 
@@ -124,13 +124,13 @@
    * durable before.
    */
   public static Map<String, Object> open(Job job, long acceptedMs) {
-    if (job.waitsOn().isEmpty()) {
+    if (job.dependencies().isEmpty()) {
       return Json.object("phase", "open", "at", acceptedMs, "job", JobCodec.write(job));
     }
     Map<String, Object> out =
         Json.object(
-            "phase", "open", "at", acceptedMs, DEPENDENT, JobCodec.write(job.waitingOn(Set.of())));
-    out.putAll(Predecessors.inRecord(job.waitsOn()));
+            "phase", "open", "at", acceptedMs, DEPENDENT, JobCodec.write(job.withDependencies(Set.of())));
+    out.putAll(Predecessors.inRecord(job.dependencies()));
     return out;
   }
 
@@ -138,7 +138,7 @@
   JobRecord waitingOn(Set<JobId> jobs) {
     return new JobRecord(
         id,
-        job.waitingOn(jobs),
+        job.withDependencies(jobs),
         phase,
         acceptedMs,
         cancelledMs,
@@ -151,11 +151,11 @@
 
   /** This open job, as urgent as those that need it. */
   JobRecord treatedAs(Urgencies.Urgency urgency) {
-    Span deadline =
-        urgency.endByMs() == Urgencies.NEVER ? null : Span.ofMillis(urgency.endByMs() - acceptedMs);
+    TimeSpan deadline =
+        urgency.endByMs() == Urgencies.NEVER ? null : TimeSpan.ofMillis(urgency.endByMs() - acceptedMs);
     return new JobRecord(
         id,
-        job.treatedAs(urgency.rank(), deadline),
+        job.withUrgency(urgency.rank(), deadline),
         phase,
         acceptedMs,
         cancelledMs,
@@ -211,20 +211,20 @@
             id,
             SHORTENED,
             job.team(),
-            job.shape(),
-            job.rank(),
-            job.tasks(),
-            job.each(),
+            job.kind(),
+            job.priority(),
+            job.taskCount(),
+            job.taskResources(),
             null,
             job.zone(),
-            job.oneZone(),
-            job.spread(),
-            job.spot(),
+            job.singleZone(),
+            job.spreadOverZones(),
+            job.allowsSpot(),
             SHORTENED,
             job.imageGb(),
             job.estimate(),
-            job.checkpointEvery(),
-            job.saveTime(),
+            job.checkpointInterval(),
+            job.checkpointCost(),
             job.deadline(),
             Set.of());
     return new JobRecord(
@@ -244,7 +244,7 @@
   /** A cancelled job's tasks count until they are gone, so its description stays. */
   public Map<String, Object> cancelled(long nowMs) {
     // What it waited on is of no use any more, and might not fit.
-    Map<String, Object> description = JobCodec.write(job.waitingOn(Set.of()));
+    Map<String, Object> description = JobCodec.write(job.withDependencies(Set.of()));
     description.putAll(jobOthers);
     Map<String, Object> out =
         Json.object("phase", "cancelled", "at", acceptedMs, "cancelled", nowMs, "job", description);
--- a/src/main/java/org/quincecross/state/Keys.java
+++ b/src/main/java/org/quincecross/state/Keys.java
@@ -3,10 +3,10 @@
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import org.quincecross.agreed.RecordId;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 
 /** Where the records lie in the state service. */
 public final class Keys {
@@ -50,7 +50,7 @@
 
   private Keys() {}
 
-  public static String member(MemberId member) {
+  public static String member(ControllerId member) {
     return MEMBERS + safe(member.text());
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** A record of several accepted jobs; no two have the same name. */
-  public static String bundle(MemberId member, Incarnation life, long number) {
+  public static String bundle(ControllerId member, Incarnation life, long number) {
     return BUNDLES + safe(member.text()) + "-" + life + "-" + number;
   }
 
@@ -73,16 +73,16 @@
     return PAGES + page;
   }
 
-  public static String block(BlockId block) {
+  public static String block(ShardId block) {
     return BLOCKS + block.text();
   }
 
-  public static String allocation(BlockId block) {
+  public static String allocation(ShardId block) {
     return ALLOCATIONS + block.text();
   }
 
   /** The record of how a block's tasks differ from those of {@link #allocation}. */
-  public static String changedAllocation(BlockId block) {
+  public static String changedAllocation(ShardId block) {
     return CHANGED_ALLOCATIONS + block.text();
   }
 
--- a/src/main/java/org/quincecross/state/Ledger.java
+++ b/src/main/java/org/quincecross/state/Ledger.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import org.quincecross.agreed.RecordId;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
@@ -40,7 +40,7 @@
 
   /** What a batch of changes touched; {@code agreed}: the records that all controllers follow. */
   public record Changes(
-      Set<JobId> jobs, Set<BlockId> blocks, Set<RecordId> agreed, boolean reloaded) {}
+      Set<JobId> jobs, Set<ShardId> blocks, Set<RecordId> agreed, boolean reloaded) {}
 
   /** Told after every batch. */
   public interface Listener {
@@ -53,19 +53,19 @@
   private final Map<JobId, Map<Integer, TaskSet>> done = new HashMap<>();
   private final Map<Integer, Map<JobId, TaskSet>> pages = new TreeMap<>();
   private final Map<JobId, TaskSet> paged = new HashMap<>();
-  private final Map<BlockId, BlockLease> blocks = new TreeMap<>();
+  private final Map<ShardId, BlockLease> blocks = new TreeMap<>();
 
   /** The same again: what is asked for many times a second is not to be searched for in order. */
-  private final Map<BlockId, BlockLease> blockById = new HashMap<>();
+  private final Map<ShardId, BlockLease> blockById = new HashMap<>();
 
   /** As they are, with what has changed since their last whole record. */
-  private final Map<BlockId, Allocation> allocations = new HashMap<>();
+  private final Map<ShardId, Allocation> allocations = new HashMap<>();
 
-  private final Map<BlockId, Allocation> wholeAllocations = new HashMap<>();
-  private final Map<BlockId, AllocationChange> allocationChanges = new HashMap<>();
-  private final Map<JobId, Set<BlockId>> allocatedTo = new HashMap<>();
+  private final Map<ShardId, Allocation> wholeAllocations = new HashMap<>();
+  private final Map<ShardId, AllocationChange> allocationChanges = new HashMap<>();
+  private final Map<JobId, Set<ShardId>> allocatedTo = new HashMap<>();
   private final Map<MachineId, BlockLease> blockOf = new HashMap<>();
-  private final Map<MemberId, MemberRecord> members = new TreeMap<>();
+  private final Map<ControllerId, MemberRecord> members = new TreeMap<>();
   private final Map<String, MachineType> types = new TreeMap<>();
   private final List<Listener> listeners = new ArrayList<>();
   private final Map<String, String> unreadable = new TreeMap<>();
@@ -78,7 +78,7 @@
   private boolean loaded;
 
   private Set<JobId> touchedJobs = new HashSet<>();
-  private Set<BlockId> touchedBlocks = new HashSet<>();
+  private Set<ShardId> touchedBlocks = new HashSet<>();
   private Set<RecordId> touchedAgreed = new HashSet<>();
   private boolean touchedOther;
 
@@ -155,12 +155,12 @@
 
   public boolean isDone(JobId job, int index) {
     TaskSet onPage = paged.get(job);
-    if (onPage != null && onPage.has(index)) {
+    if (onPage != null && onPage.contains(index)) {
       return true;
     }
     Map<Integer, TaskSet> chunks = done.get(job);
     TaskSet chunk = chunks == null ? null : chunks.get(index / DoneTasks.CHUNK);
-    return chunk != null && chunk.has(index);
+    return chunk != null && chunk.contains(index);
   }
 
   /** A copy of the set of a job's done tasks. */
@@ -187,26 +187,26 @@
   }
 
   /** All blocks, in the order of their ids. */
-  public Map<BlockId, BlockLease> blocks() {
+  public Map<ShardId, BlockLease> blocks() {
     return blocks;
   }
 
   /** A block, or null if there is none of that id. */
-  public BlockLease block(BlockId id) {
+  public BlockLease block(ShardId id) {
     return blockById.get(id);
   }
 
   /** The blocks whose allocations name tasks of a job. */
-  public Set<BlockId> blocksOf(JobId job) {
+  public Set<ShardId> blocksOf(JobId job) {
     return allocatedTo.getOrDefault(job, Set.of());
   }
 
-  public Allocation allocation(BlockId block) {
+  public Allocation allocation(ShardId block) {
     return allocations.getOrDefault(block, Allocation.EMPTY);
   }
 
   /** Blocks that have an allocation, also where the block itself is gone. */
-  public Set<BlockId> allocatedBlocks() {
+  public Set<ShardId> allocatedBlocks() {
     return allocations.keySet();
   }
 
@@ -219,13 +219,13 @@
     return blockOf.size();
   }
 
-  public Map<MemberId, MemberRecord> members() {
+  public Map<ControllerId, MemberRecord> members() {
     return members;
   }
 
   /** What each member announces that has to be the same on all. */
-  public Map<MemberId, Terms> terms() {
-    Map<MemberId, Terms> terms = new TreeMap<>();
+  public Map<ControllerId, Terms> terms() {
+    Map<ControllerId, Terms> terms = new TreeMap<>();
     members.values().forEach(member -> terms.put(member.member(), member.terms()));
     return terms;
   }
@@ -264,12 +264,12 @@
   }
 
   /** The last whole record of a block's tasks, without what has changed since. */
-  public Allocation wholeAllocation(BlockId block) {
+  public Allocation wholeAllocation(ShardId block) {
     return wholeAllocations.getOrDefault(block, Allocation.EMPTY);
   }
 
   /** The blocks of which a change is on record. */
-  public Set<BlockId> changedAllocations() {
+  public Set<ShardId> changedAllocations() {
     return allocationChanges.keySet();
   }
 
@@ -356,13 +356,13 @@
       } else if (key.startsWith(Keys.PAGES)) {
         putPage(key.substring(Keys.PAGES.length()), value);
       } else if (key.startsWith(Keys.BLOCKS)) {
-        putBlock(new BlockId(key.substring(Keys.BLOCKS.length())), value, version);
+        putBlock(new ShardId(key.substring(Keys.BLOCKS.length())), value, version);
       } else if (key.startsWith(Keys.ALLOCATIONS)) {
-        BlockId block = new BlockId(key.substring(Keys.ALLOCATIONS.length()));
+        ShardId block = new ShardId(key.substring(Keys.ALLOCATIONS.length()));
         set(wholeAllocations, block, value == null ? null : Allocation.read(value, version));
         putAllocation(block);
       } else if (key.startsWith(Keys.CHANGED_ALLOCATIONS)) {
-        BlockId block = new BlockId(key.substring(Keys.CHANGED_ALLOCATIONS.length()));
+        ShardId block = new ShardId(key.substring(Keys.CHANGED_ALLOCATIONS.length()));
         set(allocationChanges, block, value == null ? null : AllocationChange.read(value, version));
         putAllocation(block);
       } else if (key.startsWith(Keys.AGREED)) {
@@ -465,7 +465,7 @@
         });
   }
 
-  private static <T> void set(Map<BlockId, T> all, BlockId block, T value) {
+  private static <T> void set(Map<ShardId, T> all, ShardId block, T value) {
     if (value == null) {
       all.remove(block);
     } else {
@@ -473,7 +473,7 @@
     }
   }
 
-  private void putAllocation(BlockId block) {
+  private void putAllocation(ShardId block) {
     touchedBlocks.add(block);
     Allocation whole = wholeAllocations.get(block);
     AllocationChange change = whole == null ? null : allocationChanges.get(block);
@@ -496,7 +496,7 @@
 
   // A machine may be in a newer lease by now: the instance tells.
   @SuppressWarnings("ReferenceEquality")
-  private void putBlock(BlockId id, Object value, Revision version) throws BadMessage {
+  private void putBlock(ShardId id, Object value, Revision version) throws BadMessage {
     BlockLease lease = value == null ? null : BlockLease.read(id, value, version);
     touchedBlocks.add(id);
     BlockLease before = lease == null ? blocks.remove(id) : blocks.put(id, lease);
@@ -552,7 +552,7 @@
   private static MemberRecord member(Object value, Revision version) throws BadMessage {
     Fields in = Fields.of(value, "a member");
     return new MemberRecord(
-        new MemberId(in.text("member")),
+        new ControllerId(in.text("member")),
         new Incarnation(in.unsigned("life")),
         in.text("zone"),
         build(in),
--- a/src/main/java/org/quincecross/state/LongWaits.java
+++ b/src/main/java/org/quincecross/state/LongWaits.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
 
 /**
@@ -20,13 +20,13 @@
    * Leaves half a minute for the way from a plan to a start, of the 90 s that nothing waits beside
    * room.
    */
-  private static final Span LONG = Span.ofSeconds(60);
+  private static final TimeSpan LONG = TimeSpan.ofSeconds(60);
 
   /**
    * How many of a job's tasks blocks have or are done, when that rose last, when before, and when
    * last after a long wait, or null.
    */
-  private record Wait(int given, SteadyTime since, SteadyTime before, SteadyTime lent) {}
+  private record Wait(int given, MonotonicTime since, MonotonicTime before, MonotonicTime lent) {}
 
   private final Ledger ledger;
   private final Map<JobId, Wait> waits = new HashMap<>();
@@ -37,7 +37,7 @@
   }
 
   /** A job that may run is open. */
-  void look(JobId job, SteadyTime now) {
+  void look(JobId job, MonotonicTime now) {
     int given = given(job);
     Wait wait = waits.get(job);
     if (wait == null) {
@@ -63,9 +63,9 @@
   private int given(JobId job) {
     TaskSet done = ledger.doneTasks(job);
     int given = done.size();
-    for (BlockId block : ledger.blocksOf(job)) {
+    for (ShardId block : ledger.blocksOf(job)) {
       TaskSet there = ledger.allocation(block).tasks().get(job);
-      given += there == null ? 0 : there.size() - there.common(done);
+      given += there == null ? 0 : there.size() - there.intersectionSize(done);
     }
     return given;
   }
@@ -80,7 +80,7 @@
    * Those that were given nothing for long: a plan may give each one task, or a whole gang, into
    * room kept for others.
    */
-  Set<JobId> toPlan(SteadyTime now) {
+  Set<JobId> toPlan(MonotonicTime now) {
     return those(wait -> isLong(wait.since, now));
   }
 
@@ -88,12 +88,12 @@
    * Those that are to start in that room where they have been given to a block, whatever else of
    * them has been given since.
    */
-  Set<JobId> toStart(SteadyTime now) {
+  Set<JobId> toStart(MonotonicTime now) {
     return those(wait -> wait.lent != null && !isLong(wait.lent, now));
   }
 
-  private static boolean isLong(SteadyTime since, SteadyTime now) {
-    return now.since(since).isMoreThan(LONG);
+  private static boolean isLong(MonotonicTime since, MonotonicTime now) {
+    return now.since(since).isLongerThan(LONG);
   }
 
   private Set<JobId> those(Predicate<Wait> which) {
--- a/src/main/java/org/quincecross/state/MemberRecord.java
+++ b/src/main/java/org/quincecross/state/MemberRecord.java
@@ -1,7 +1,7 @@
 package org.quincecross.state;
 
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
@@ -13,4 +13,4 @@
  * @param terms what it has been told that has to be the same on all
  */
 public record MemberRecord(
-    MemberId member, Incarnation life, String zone, Build build, Terms terms, Revision version) {}
+    ControllerId member, Incarnation life, String zone, Build build, Terms terms, Revision version) {}
--- a/src/main/java/org/quincecross/state/Membership.java
+++ b/src/main/java/org/quincecross/state/Membership.java
@@ -5,11 +5,11 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
 import org.quincecross.rollout.Build;
@@ -28,13 +28,13 @@
  */
 public final class Membership {
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-  private static final Span TTL = Span.ofSeconds(3);
-  private static final Span RENEW_EVERY = Span.ofMillis(900);
-  private static final Span RENEW_TIMEOUT = Span.ofSeconds(1);
-  private static final Span RETRY = Span.ofMillis(300);
+  private static final TimeSpan TTL = TimeSpan.ofSeconds(3);
+  private static final TimeSpan RENEW_EVERY = TimeSpan.ofMillis(900);
+  private static final TimeSpan RENEW_TIMEOUT = TimeSpan.ofSeconds(1);
+  private static final TimeSpan RETRY = TimeSpan.ofMillis(300);
 
   /** One that cannot read the records looks again so often: they or the level may have changed. */
-  private static final Span LOOK_AGAIN = Span.ofSeconds(5);
+  private static final TimeSpan LOOK_AGAIN = TimeSpan.ofSeconds(5);
 
   /** The states of membership. */
   public enum State {
@@ -57,7 +57,7 @@
 
   private final Timers timers;
   private final StateClient client;
-  private final MemberId member;
+  private final ControllerId member;
   private final String zone;
   private final Build build;
   private final Terms terms;
@@ -69,7 +69,7 @@
   private Incarnation life = Incarnation.NONE;
 
   /** When the present life's lease was granted here; it runs from a moment before. */
-  private SteadyTime granted;
+  private MonotonicTime granted;
 
   private Revision announced = Revision.NONE;
 
@@ -84,7 +84,7 @@
   public Membership(
       Timers timers,
       StateClient client,
-      MemberId member,
+      ControllerId member,
       String zone,
       Build build,
       Terms terms,
@@ -181,7 +181,7 @@
   }
 
   /** The next step; one that was planned before is not made. */
-  private void stepAfter(Span span) {
+  private void stepAfter(TimeSpan span) {
     int mine = ++planned;
     timers.after(
         span,
@@ -360,7 +360,7 @@
       // while the answer is waited for (docs/incidents/announced-and-not-told.md).
       planned++;
       live(ledger.version(Keys.member(member)));
-      stepAfter(timers.now().since(granted).isMoreThan(RENEW_EVERY) ? Span.ZERO : RENEW_EVERY);
+      stepAfter(timers.now().since(granted).isLongerThan(RENEW_EVERY) ? TimeSpan.ZERO : RENEW_EVERY);
     }
     if (state != State.LIVE) {
       return;
--- a/src/main/java/org/quincecross/state/ModelRecords.java
+++ b/src/main/java/org/quincecross/state/ModelRecords.java
@@ -10,7 +10,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskSet;
 import org.quincecross.models.Model;
 import org.quincecross.models.ModelCommand;
@@ -92,7 +92,7 @@
     }
     Kept last = kept.get(job.id());
     if (last == null || last.model != model) {
-      last = new Kept(model, model.withheld(job.tasks()));
+      last = new Kept(model, model.withheld(job.taskCount()));
       kept.put(job.id(), last);
     }
     return last.tasks;
@@ -123,7 +123,7 @@
     if (model == null) {
       return null;
     }
-    if (job.shape() == Shape.GANG) {
+    if (job.kind() == JobKind.GANG) {
       Set<MachineId> all = new HashSet<>();
       model.places().values().forEach(place -> all.add(place.machine()));
       return all;
--- a/src/main/java/org/quincecross/state/Predecessors.java
+++ b/src/main/java/org/quincecross/state/Predecessors.java
@@ -114,7 +114,7 @@
   private static Set<JobId> read(String line) throws BadMessage {
     Set<JobId> ids = new HashSet<>();
     for (String digits : line.split(" ")) {
-      JobId id = JobId.ofDigits(digits);
+      JobId id = JobId.parseDigits(digits);
       if (id == null) {
         throw new BadMessage("jobs to wait on that are no ids");
       }
--- a/src/main/java/org/quincecross/state/RequestRooms.java
+++ b/src/main/java/org/quincecross/state/RequestRooms.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.agreed.RecordId;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
 import org.quincecross.requests.Place;
@@ -88,8 +88,8 @@
   }
 
   /** What each block keeps free for requests. */
-  Map<BlockId, List<Reserve>> reserves() {
-    Map<BlockId, List<Reserve>> reserves = new HashMap<>();
+  Map<ShardId, List<Reserve>> reserves() {
+    Map<ShardId, List<Reserve>> reserves = new HashMap<>();
     if (reservation.isEmpty()) {
       return reserves;
     }
@@ -142,8 +142,8 @@
             continue;
           }
           lanes.add(job.jobClass());
-          if (job.rank() == Rank.PRODUCTION || job.shape() == Shape.GANG) {
-            Resources use = job.each().times(notDone(job.id(), held.getValue()));
+          if (job.priority() == Priority.PRODUCTION || job.kind() == JobKind.GANG) {
+            Resources use = job.taskResources().times(notDone(job.id(), held.getValue()));
             inBlock = inBlock.plus(use);
             ofTeams.merge(job.team(), use, Resources::plus);
           }
@@ -164,7 +164,7 @@
 
   private int notDone(JobId job, TaskSet tasks) {
     int count = 0;
-    for (int index = tasks.next(0); index >= 0; index = tasks.next(index + 1)) {
+    for (int index = tasks.nextMember(0); index >= 0; index = tasks.nextMember(index + 1)) {
       count += ledger.isDone(job, index) ? 0 : 1;
     }
     return count;
@@ -177,7 +177,7 @@
     for (JobRecord record : ledger.openJobs()) {
       if (lanes.contains(record.job().jobClass()) && !ledger.blocksOf(record.id()).isEmpty()) {
         Map<String, Integer> zones = new HashMap<>();
-        for (BlockId id : ledger.blocksOf(record.id())) {
+        for (ShardId id : ledger.blocksOf(record.id())) {
           BlockLease block = ledger.block(id);
           int tasks =
               block == null
--- a/src/main/java/org/quincecross/state/StateClient.java
+++ b/src/main/java/org/quincecross/state/StateClient.java
@@ -7,7 +7,7 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Limiter;
@@ -27,8 +27,8 @@
  */
 public final class StateClient {
   private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
-  private static final Span TIMEOUT = Span.ofSeconds(2.5);
-  private static final Span WAIT_FOR_BUDGET = Span.ofMillis(20);
+  private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(2.5);
+  private static final TimeSpan WAIT_FOR_BUDGET = TimeSpan.ofMillis(20);
 
   /**
    * The controllers share the limits; all of them are seldom busy at once, so each may use more
@@ -80,7 +80,7 @@
   }
 
   /** Sends a read that may wait for its turn. */
-  void read(String path, Span timeout, Consumer<HttpOutcome> done) {
+  void read(String path, TimeSpan timeout, Consumer<HttpOutcome> done) {
     enqueue(waitingReads, 0, () -> send(HttpRequest.get(path), timeout, done));
   }
 
@@ -89,12 +89,12 @@
     send(HttpRequest.get(path), TIMEOUT, done);
   }
 
-  void grant(Span ttl, Consumer<HttpOutcome> done) {
+  void grant(TimeSpan ttl, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
     send(HttpRequest.post(StateCodec.LEASES, StateCodec.writeGrant(ttl.millis())), TIMEOUT, done);
   }
 
-  void renew(Incarnation lease, Span timeout, Consumer<HttpOutcome> done) {
+  void renew(Incarnation lease, TimeSpan timeout, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
     send(HttpRequest.post(StateCodec.renewPath(lease), new byte[0]), timeout, done);
   }
@@ -172,7 +172,7 @@
     }
   }
 
-  private void send(HttpRequest request, Span timeout, Consumer<HttpOutcome> done) {
+  private void send(HttpRequest request, TimeSpan timeout, Consumer<HttpOutcome> done) {
     http.call(
         service,
         request,
--- a/src/main/java/org/quincecross/state/TaskSets.java
+++ b/src/main/java/org/quincecross/state/TaskSets.java
@@ -15,7 +15,7 @@
   static Map<JobId, TaskSet> read(Fields in) throws BadMessage {
     Map<JobId, TaskSet> sets = new LinkedHashMap<>();
     for (String digits : in.names()) {
-      JobId job = JobId.ofDigits(digits);
+      JobId job = JobId.parseDigits(digits);
       TaskSet set = TaskSet.parse(in.text(digits), JobCodec.MOST_TASKS);
       if (job == null || set == null) {
         throw new BadMessage("bad tasks in a record");
--- a/src/main/java/org/quincecross/wire/CloudCodec.java
+++ b/src/main/java/org/quincecross/wire/CloudCodec.java
@@ -9,7 +9,7 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 
 /** What is said to the cloud and what it says. */
 public final class CloudCodec {
@@ -25,7 +25,7 @@
   }
 
   /** A machine in the cloud's list. */
-  public record Listed(Machine machine, Status status, Span age) {}
+  public record Listed(Machine machine, Status status, TimeSpan age) {}
 
   /** A page of the cloud's list. */
   public record Page(List<Listed> machines, boolean more) {}
@@ -49,7 +49,7 @@
               type.amount("PullGbPerS"),
               type.amount("Rate"),
               type.has("MarketPrice") ? type.amount("MarketPrice") : type.amount("Rate"),
-              Span.ofSeconds(type.amount("StartupS")),
+              TimeSpan.ofSeconds(type.amount("StartupS")),
               type.texts("Yards")));
     }
     return types;
@@ -71,13 +71,13 @@
               "CacheGb",
               type.cacheGb(),
               "PullGbPerS",
-              type.fetchGbPerS(),
+              type.pullGbPerSecond(),
               "Rate",
-              type.price(),
+              type.hourlyPrice(),
               "MarketPrice",
-              type.spotPrice(),
+              type.hourlySpotPrice(),
               "StartupS",
-              type.boot().seconds(),
+              type.bootTime().seconds(),
               "Yards",
               type.zones()));
     }
@@ -124,7 +124,7 @@
                   item.text("Yard"),
                   item.flagOr("Loaners", false)),
               item.word("Status", STATUSES),
-              Span.ofSeconds(item.amount("AgeS"))));
+              TimeSpan.ofSeconds(item.amount("AgeS"))));
     }
     return new Page(machines, in.flagOr("More", false));
   }
--- a/src/main/java/org/quincecross/wire/Features.java
+++ b/src/main/java/org/quincecross/wire/Features.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Feature;
@@ -18,7 +18,7 @@
  * @param agreed the parts that rest on records that all controllers follow, each with its settings;
  *     null: there are no such records
  */
-public record Features(Shares overload, Span servedEvery, Build build, Map<String, Object> agreed) {
+public record Features(Shares overload, TimeSpan servedEvery, Build build, Map<String, Object> agreed) {
   public static final Features NONE = new Features(null, null, Build.BEFORE_LEVELS, null);
 
   /** The parts that {@code agreed} may name; each reads its settings itself. */
@@ -27,7 +27,7 @@
   private static final double LEAST_LOG_S = 1;
   private static final double MOST_LOG_S = 86_400;
 
-  public Features(Shares overload, Span servedEvery, Build build) {
+  public Features(Shares overload, TimeSpan servedEvery, Build build) {
     this(overload, servedEvery, build, null);
   }
 
@@ -59,14 +59,14 @@
             "overload: usable is to be above 0, and floor and turns together at most 0.5");
       }
     }
-    Span served = null;
+    TimeSpan served = null;
     if (in.has("served")) {
       known(in.raw("served"), "served", List.of("log_every_s"));
       double every = in.fields("served").positive("log_every_s");
       if (every < LEAST_LOG_S || every > MOST_LOG_S) {
         throw new BadMessage("field log_every_s of served is not from 1 to 86400");
       }
-      served = Span.ofSeconds(every);
+      served = TimeSpan.ofSeconds(every);
     }
     Map<String, Object> agreed = null;
     if (in.has("agreed")) {
--- a/src/main/java/org/quincecross/wire/JobCodec.java
+++ b/src/main/java/org/quincecross/wire/JobCodec.java
@@ -10,10 +10,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /** Jobs as users write them, and what users are told of them. */
 public final class JobCodec {
@@ -31,18 +31,18 @@
    */
   private static final int MOST_NAMED = 20;
 
-  private static final Map<String, Shape> SHAPES =
-      Map.of("sweep", Shape.ARRAY, "gang", Shape.GANG, "standing", Shape.SERVICE);
-  private static final Map<String, Rank> RANKS =
+  private static final Map<String, JobKind> SHAPES =
+      Map.of("sweep", JobKind.ARRAY, "gang", JobKind.GANG, "standing", JobKind.SERVICE);
+  private static final Map<String, Priority> RANKS =
       Map.of(
           "critical",
-          Rank.PRODUCTION,
+          Priority.PRODUCTION,
           "high",
-          Rank.HIGH,
+          Priority.HIGH,
           "standard",
-          Rank.NORMAL,
+          Priority.NORMAL,
           "idle",
-          Rank.LOW);
+          Priority.LOW);
 
   private JobCodec() {}
 
@@ -99,10 +99,10 @@
         in.flagOr("Loaners", false),
         in.text("Bundle"),
         in.amount("ImageGb"),
-        Span.ofSeconds(in.amount("GuessS")),
-        Span.ofSeconds(in.amount("MarkEveryS")),
-        Span.ofSeconds(in.amount("MarkCostS")),
-        in.has("DueS") ? Span.ofSeconds(in.amount("DueS")) : null,
+        TimeSpan.ofSeconds(in.amount("GuessS")),
+        TimeSpan.ofSeconds(in.amount("MarkEveryS")),
+        TimeSpan.ofSeconds(in.amount("MarkCostS")),
+        in.has("DueS") ? TimeSpan.ofSeconds(in.amount("DueS")) : null,
         in.has(WAITS_ON) ? ids(in.texts(WAITS_ON)) : Set.of());
   }
 
@@ -155,17 +155,17 @@
             "Crew",
             job.team(),
             "Shape",
-            name(SHAPES, job.shape()),
+            name(SHAPES, job.kind()),
             "Rank",
-            name(RANKS, job.rank()),
+            name(RANKS, job.priority()),
             "Pieces",
-            job.tasks(),
+            job.taskCount(),
             "Cpus",
-            job.each().cpus(),
+            job.taskResources().cpus(),
             "Cards",
-            job.each().gpus(),
+            job.taskResources().gpus(),
             "MemGb",
-            job.each().memoryGb(),
+            job.taskResources().memoryGb(),
             "Bundle",
             job.image(),
             "ImageGb",
@@ -173,29 +173,29 @@
             "GuessS",
             job.estimate().seconds(),
             "MarkEveryS",
-            job.checkpointEvery().seconds(),
+            job.checkpointInterval().seconds(),
             "MarkCostS",
-            job.saveTime().seconds());
-    if (job.types() != null) {
-      out.put("Hulls", job.types());
+            job.checkpointCost().seconds());
+    if (job.machineTypes() != null) {
+      out.put("Hulls", job.machineTypes());
     }
     if (job.zone() != null) {
       out.put("Yard", job.zone());
     }
-    if (job.oneZone()) {
+    if (job.singleZone()) {
       out.put("OneZone", true);
     }
-    if (job.spread()) {
+    if (job.spreadOverZones()) {
       out.put("Scatter", true);
     }
-    if (job.spot()) {
+    if (job.allowsSpot()) {
       out.put("Loaners", true);
     }
     if (job.deadline() != null) {
       out.put("DueS", job.deadline().seconds());
     }
-    if (!job.waitsOn().isEmpty()) {
-      out.put(WAITS_ON, job.waitsOn().stream().sorted().map(JobId::text).toList());
+    if (!job.dependencies().isEmpty()) {
+      out.put(WAITS_ON, job.dependencies().stream().sorted().map(JobId::text).toList());
     }
     return out;
   }
--- a/src/main/java/org/quincecross/wire/Order.java
+++ b/src/main/java/org/quincecross/wire/Order.java
@@ -1,7 +1,7 @@
 package org.quincecross.wire;
 
 import org.quincecross.model.Attempt;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 
 /**
@@ -9,7 +9,7 @@
  *
  * @param grace how long a stopped task may take to save
  */
-public record Order(Verb verb, TaskId task, Attempt attempt, Span grace) {
+public record Order(Verb verb, TaskId task, Attempt attempt, TimeSpan grace) {
   /** What is to be done. */
   public enum Verb {
     START,
@@ -18,14 +18,14 @@
   }
 
   public static Order start(TaskId task, Attempt attempt) {
-    return new Order(Verb.START, task, attempt, Span.ZERO);
+    return new Order(Verb.START, task, attempt, TimeSpan.ZERO);
   }
 
-  public static Order stop(TaskId task, Attempt attempt, Span grace) {
+  public static Order stop(TaskId task, Attempt attempt, TimeSpan grace) {
     return new Order(Verb.STOP, task, attempt, grace);
   }
 
   public static Order forget(TaskId task, Attempt attempt) {
-    return new Order(Verb.FORGET, task, attempt, Span.ZERO);
+    return new Order(Verb.FORGET, task, attempt, TimeSpan.ZERO);
   }
 }
--- a/src/main/java/org/quincecross/wire/Settings.java
+++ b/src/main/java/org/quincecross/wire/Settings.java
@@ -5,13 +5,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.quincecross.model.Aim;
+import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.rollout.Terms;
 import org.quincecross.silence.UnconfirmedBound;
@@ -22,7 +22,7 @@
  * @param clockBound how far the time of day may be from true time
  */
 public record Settings(
-    MemberId member,
+    ControllerId member,
     String zone,
     Endpoint listen,
     Endpoint peerListen,
@@ -35,22 +35,22 @@
     Workers workers,
     StateLimits stateLimits,
     CloudLimits cloudLimits,
-    Span clockBound,
+    TimeSpan clockBound,
     Quota quota) {
   private static final double DEFAULT_TIME_BOUND_MS = 2000;
 
   /** Another controller. */
-  public record Sibling(MemberId member, String zone, Endpoint endpoint) {}
+  public record Sibling(ControllerId member, String zone, Endpoint endpoint) {}
 
   /**
    * What is expected of a class of jobs; {@code within} and {@code jobClass} may be null.
    *
    * @param times of a deadline: by how many times the deadline; 1 where nothing is said
    */
-  public record Objective(String kind, String jobClass, Span within, double times, double share) {}
+  public record Objective(String kind, String jobClass, TimeSpan within, double times, double share) {}
 
   /** How workers behave. */
-  public record Workers(Span report, Span lease, Span gangWait, Span gangPeer, Span cancel) {
+  public record Workers(TimeSpan report, TimeSpan lease, TimeSpan gangWait, TimeSpan gangPeer, TimeSpan cancel) {
     /** How long a holder goes on without the state service, and when cancellations are told. */
     public UnconfirmedBound unconfirmedBound() {
       return UnconfirmedBound.of(lease, cancel);
@@ -89,19 +89,19 @@
   }
 
   /** What the cloud allows, and how late its list is. */
-  public record CloudLimits(double requestsPerS, Span listLag) {}
+  public record CloudLimits(double requestsPerS, TimeSpan listLag) {}
 
   /** What this process may use. */
   public record Quota(double cpuShare, double memoryMb, int sockets) {}
 
   /** The time within which tasks of a class should start, or null if nothing is said of that. */
-  public Span startWithin(String jobClass) {
-    Span least = null;
+  public TimeSpan startWithin(String jobClass) {
+    TimeSpan least = null;
     for (Objective objective : objectives) {
       if (objective.kind().equals("wait")
           && jobClass.equals(objective.jobClass())
           && objective.within() != null
-          && (least == null || least.isMoreThan(objective.within()))) {
+          && (least == null || least.isLongerThan(objective.within()))) {
         least = objective.within();
       }
     }
@@ -112,7 +112,7 @@
    * What is expected of a job: its deadline, and what the objectives say of its class; the soonest
    * first.
    */
-  public List<Aim> aims(Job job) {
+  public List<ServiceLevelObjective> aims(Job job) {
     return aims(objectives, job);
   }
 
@@ -120,7 +120,7 @@
    * What is expected from when a job could run, {@code waited} after it was submitted: its deadline
    * counts from there.
    */
-  public List<Aim> aims(Job job, Span waited) {
+  public List<ServiceLevelObjective> aims(Job job, TimeSpan waited) {
     return aims(objectives, job, waited);
   }
 
@@ -138,7 +138,7 @@
    */
   public boolean isIdle(Job job) {
     // Asked for every task that runs: without the names of aims, which aims(job) formats.
-    if (job.rank() != Rank.LOW || job.deadline() != null || !job.saves()) {
+    if (job.priority() != Priority.LOW || job.deadline() != null || !job.hasCheckpoints()) {
       return false;
     }
     for (Objective objective : objectives) {
@@ -150,12 +150,12 @@
   }
 
   /** What {@code objectives} and its own deadline expect of a job, the soonest first. */
-  public static List<Aim> aims(List<Objective> objectives, Job job) {
-    return aims(objectives, job, Span.ZERO);
+  public static List<ServiceLevelObjective> aims(List<Objective> objectives, Job job) {
+    return aims(objectives, job, TimeSpan.ZERO);
   }
 
-  private static List<Aim> aims(List<Objective> objectives, Job job, Span waited) {
-    List<Aim> aims = new ArrayList<>();
+  private static List<ServiceLevelObjective> aims(List<Objective> objectives, Job job, TimeSpan waited) {
+    List<ServiceLevelObjective> aims = new ArrayList<>();
     boolean ownDeadline = job.deadline() != null;
     for (Objective objective : objectives) {
       if (!job.jobClass().equals(objective.jobClass())) {
@@ -164,9 +164,9 @@
       if (objective.within() != null) {
         boolean start = objective.kind().equals("wait");
         aims.add(
-            new Aim(
+            new ServiceLevelObjective(
                 objective.kind() + " " + Math.round(objective.within().seconds()) + " s",
-                start ? Aim.Of.EACH_START : Aim.Of.END,
+                start ? ServiceLevelObjective.Milestone.EACH_START : ServiceLevelObjective.Milestone.END,
                 objective.within()));
       } else if (job.deadline() != null) {
         ownDeadline &= objective.times() != 1;
@@ -176,22 +176,22 @@
     if (ownDeadline) {
       aims.add(deadline(job, 1, waited));
     }
-    aims.sort(Comparator.comparing(Aim::within));
+    aims.sort(Comparator.comparing(ServiceLevelObjective::within));
     return aims;
   }
 
-  private static Aim deadline(Job job, double times, Span waited) {
+  private static ServiceLevelObjective deadline(Job job, double times, TimeSpan waited) {
     // Asked for every job that waits: formatting cost a leader that had just started seconds of
     // replica time.
     long hundredths = Math.round(times * 100);
-    return new Aim(
+    return new ServiceLevelObjective(
         "deadline "
             + hundredths / 100
             + (hundredths % 100 < 10 ? ".0" : ".")
             + hundredths % 100
             + "x",
-        Aim.Of.END,
-        new Span(job.deadline().times(times).nanos() - waited.nanos()));
+        ServiceLevelObjective.Milestone.END,
+        new TimeSpan(job.deadline().times(times).nanos() - waited.nanos()));
   }
 
   public static Settings read(byte[] bytes) throws BadMessage {
@@ -202,7 +202,7 @@
     for (Fields sibling : in.objects("siblings")) {
       siblings.add(
           new Sibling(
-              new MemberId(sibling.text("member")),
+              new ControllerId(sibling.text("member")),
               sibling.text("site"),
               endpoint(sibling, "endpoint")));
     }
@@ -226,7 +226,7 @@
           new Objective(
               objective.text("kind"),
               objective.textOr("class", null),
-              objective.has("within_s") ? Span.ofSeconds(objective.amount("within_s")) : null,
+              objective.has("within_s") ? TimeSpan.ofSeconds(objective.amount("within_s")) : null,
               objective.has("times") ? objective.positive("times") : 1,
               objective.has("share") ? objective.amount("share") : 1));
     }
@@ -235,7 +235,7 @@
     Fields cloud = params.fields("cloud");
     Fields quota = params.fields("quota");
     return new Settings(
-        new MemberId(in.text("member")),
+        new ControllerId(in.text("member")),
         in.text("site"),
         endpoint(in, "listen"),
         endpoint(in, "peer_bind"),
@@ -249,8 +249,8 @@
         state.has("next")
             ? stateLimits(state, state).smaller(stateLimits(state.fields("next"), state))
             : stateLimits(state, state),
-        new CloudLimits(cloud.positive("rps"), Span.ofSeconds(cloud.amount("list_lag_s"))),
-        Span.ofSeconds(
+        new CloudLimits(cloud.positive("rps"), TimeSpan.ofSeconds(cloud.amount("list_lag_s"))),
+        TimeSpan.ofSeconds(
             (params.has("time_bound_ms") ? params.amount("time_bound_ms") : DEFAULT_TIME_BOUND_MS)
                 / 1000),
         new Quota(
@@ -302,11 +302,11 @@
     return endpoint;
   }
 
-  private static Span span(Fields in, String name) throws BadMessage {
+  private static TimeSpan span(Fields in, String name) throws BadMessage {
     double seconds = in.positive(name);
     if (seconds > 86_400) {
       throw new BadMessage("field " + name + " is longer than a day");
     }
-    return Span.ofSeconds(seconds);
+    return TimeSpan.ofSeconds(seconds);
   }
 }
--- a/src/main/java/org/quincecross/wire/WorkerCodec.java
+++ b/src/main/java/org/quincecross/wire/WorkerCodec.java
@@ -7,10 +7,10 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.wire.WorkerReport.Cause;
 import org.quincecross.wire.WorkerReport.Piece;
 import org.quincecross.wire.WorkerReport.TaskState;
@@ -91,8 +91,8 @@
         machine,
         in.unsigned("Shift"),
         in.unsigned("Tick"),
-        new Token(in.unsigned("Baton")),
-        in.has("RecallS") ? Span.ofSeconds(in.amount("RecallS")) : null,
+        new FencingToken(in.unsigned("Baton")),
+        in.has("RecallS") ? TimeSpan.ofSeconds(in.amount("RecallS")) : null,
         pieces);
   }
 
@@ -120,13 +120,13 @@
   }
 
   /** The answer to a report. */
-  public static byte[] writeAnswer(Token token, List<Order> orders) {
+  public static byte[] writeAnswer(FencingToken token, List<Order> orders) {
     return Json.write(
         Json.object("Baton", Json.unsigned(token.number()), "Orders", orders(orders)));
   }
 
   /** The body of a direct command. */
-  public static byte[] writeDirect(Token token, long session, List<Order> orders) {
+  public static byte[] writeDirect(FencingToken token, long session, List<Order> orders) {
     return Json.write(
         Json.object(
             "Baton",
@@ -138,7 +138,7 @@
   }
 
   /** Tells a worker which controller to report to. */
-  public static byte[] writeRedirect(MemberId member) {
+  public static byte[] writeRedirect(ControllerId member) {
     return Json.write(Json.object("AnswerTo", member.text()));
   }
 }
--- a/src/main/java/org/quincecross/wire/WorkerReport.java
+++ b/src/main/java/org/quincecross/wire/WorkerReport.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import org.quincecross.model.Attempt;
 import org.quincecross.model.Machine;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 
 /**
  * A worker's report.
@@ -16,7 +16,7 @@
  * @param notice until the cloud takes the machine away, or null
  */
 public record WorkerReport(
-    Machine machine, long session, long order, Token token, Span notice, List<Piece> pieces) {
+    Machine machine, long session, long order, FencingToken token, TimeSpan notice, List<Piece> pieces) {
 
   /** What a task on a machine is doing. */
   public enum TaskState {
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -9,21 +9,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.quincecross.block.Holdings;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.SteppedClock;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
@@ -42,8 +42,8 @@
  * When users may be told of a cancellation, by a controller that holds none of the job's blocks.
  */
 class CancellationsTest {
-  private static final MemberId HOLDER = new MemberId("n1");
-  private static final BlockId BLOCK = new BlockId("b");
+  private static final ControllerId HOLDER = new ControllerId("n1");
+  private static final ShardId BLOCK = new ShardId("b");
   private static final Machine MACHINE =
       new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
   private static final JobId JOB = new JobId("job-1");
@@ -64,9 +64,9 @@
         new Cancellations(
             clock,
             ledger,
-            new Holdings(null, new MemberId("n0"), () -> new Incarnation(7)),
+            new Holdings(null, new ControllerId("n0"), () -> new Incarnation(7)),
             views,
-            UnconfirmedBound.of(Span.ofSeconds(lease), Span.ofSeconds(cancel)));
+            UnconfirmedBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel)));
     ledger.listen(made::ledgerChanged);
     return made;
   }
@@ -84,8 +84,8 @@
             JOB,
             "c",
             "team",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            Priority.NORMAL,
             3,
             new Resources(4, 0, 1),
             null,
@@ -95,9 +95,9 @@
             false,
             "i",
             1,
-            Span.ofSeconds(10),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(10),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     put(Keys.job(JOB), JobRecord.open(job, 0));
     put(
@@ -136,7 +136,7 @@
             MACHINE.id(),
             Resources.NONE,
             Resources.NONE,
-            Span.ZERO,
+            TimeSpan.ZERO,
             true,
             fenced,
             false,
@@ -149,7 +149,7 @@
     PeerReport.Block block =
         new PeerReport.Block(
             BLOCK,
-            new Token(ledger.block(BLOCK).token().number()),
+            new FencingToken(ledger.block(BLOCK).token().number()),
             ledger.allocation(BLOCK).version(),
             false,
             Set.of(),
@@ -166,7 +166,7 @@
             reports - 1,
             Map.of(),
             ledger.revision(),
-            Span.ZERO,
+            TimeSpan.ZERO,
             List.of(block),
             List.of()),
         clock.now());
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -24,9 +24,9 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.SteppedClock;
@@ -49,7 +49,7 @@
  * in the test's hands.
  */
 class UserApiTest {
-  private static final MemberId MEMBER = new MemberId("n0");
+  private static final ControllerId MEMBER = new ControllerId("n0");
   private static final Endpoint HERE = new Endpoint("10.0.0.1", 80);
   private static final int MOST_BYTES = 4096;
 
@@ -68,16 +68,16 @@
   void aControllerHasReadTheRecords() {
     MachineType type =
         new MachineType(
-            "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, Span.ofSeconds(45), List.of("a"));
+            "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, TimeSpan.ofSeconds(45), List.of("a"));
     write(Keys.type("g8"), CloudCodec.writeCatalog(List.of(type)));
     Settings.StateLimits limits = new Settings.StateLimits(1000, 50, MOST_BYTES, 8);
     Settings.Workers workers =
         new Settings.Workers(
-            Span.ofSeconds(1),
-            Span.ofSeconds(11),
-            Span.ofSeconds(20),
-            Span.ofSeconds(4),
-            Span.ofSeconds(36));
+            TimeSpan.ofSeconds(1),
+            TimeSpan.ofSeconds(11),
+            TimeSpan.ofSeconds(20),
+            TimeSpan.ofSeconds(4),
+            TimeSpan.ofSeconds(36));
     Settings settings =
         new Settings(
             MEMBER,
@@ -92,8 +92,8 @@
             List.of(),
             workers,
             limits,
-            new Settings.CloudLimits(4, Span.ofSeconds(2)),
-            Span.ofSeconds(2),
+            new Settings.CloudLimits(4, TimeSpan.ofSeconds(2)),
+            TimeSpan.ofSeconds(2),
             new Settings.Quota(1, 300, 1000));
     StateClient client =
         new StateClient(clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
@@ -138,7 +138,7 @@
       if (holds.test(request.path())) {
         held.add(reply);
       } else if (!"10000".equals(request.query("BlockMs"))) {
-        clock.after(Span.ofMillis(2), reply);
+        clock.after(TimeSpan.ofMillis(2), reply);
       }
     } catch (BadMessage e) {
       throw new IllegalStateException(e);
--- a/src/test/java/org/quincecross/block/GiveBackTest.java
+++ b/src/test/java/org/quincecross/block/GiveBackTest.java
@@ -90,7 +90,7 @@
   @Test
   void whatWaitsLongForRoomGoesBack() {
     calls.remove(0).accept(HttpOutcome.failed(false));
-    allocate(TaskSet.below(3));
+    allocate(TaskSet.range(3));
     int second = 0;
     while (holder.released().isEmpty() && second++ < 300) {
       beat(started());
--- a/src/test/java/org/quincecross/block/HolderHarness.java
+++ b/src/test/java/org/quincecross/block/HolderHarness.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Attempt;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
@@ -18,13 +18,13 @@
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.net.HttpCaller;
@@ -54,7 +54,7 @@
  * the test's hands.
  */
 abstract class HolderHarness {
-  static final BlockId BLOCK = new BlockId("b");
+  static final ShardId BLOCK = new ShardId("b");
   static final Machine MACHINE =
       new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
   static final TaskId TASK = new JobId("job-1").task(0);
@@ -89,18 +89,18 @@
     }
 
     @Override
-    public List<Reserve> reserves(BlockId block) {
+    public List<Reserve> reserves(ShardId block) {
       return List.of();
     }
 
     @Override
     public Settings.Workers workers() {
       return new Settings.Workers(
-          Span.ofSeconds(1),
-          Span.ofSeconds(10),
-          Span.ofSeconds(30),
-          Span.ofSeconds(5),
-          Span.ofSeconds(30));
+          TimeSpan.ofSeconds(1),
+          TimeSpan.ofSeconds(10),
+          TimeSpan.ofSeconds(30),
+          TimeSpan.ofSeconds(5),
+          TimeSpan.ofSeconds(30));
     }
 
     @Override
@@ -109,7 +109,7 @@
     }
 
     @Override
-    public Span startWithin(String jobClass) {
+    public TimeSpan startWithin(String jobClass) {
       return null;
     }
 
@@ -124,13 +124,13 @@
     }
 
     @Override
-    public SteadyTime confirmed() {
-      return new SteadyTime(Math.min(clock.nanos(), lastConfirmed));
+    public MonotonicTime confirmed() {
+      return new MonotonicTime(Math.min(clock.nanos(), lastConfirmed));
     }
 
     @Override
-    public Span longestUnconfirmed() {
-      return Span.ofSeconds(20);
+    public TimeSpan longestUnconfirmed() {
+      return TimeSpan.ofSeconds(20);
     }
 
     @Override
@@ -155,14 +155,14 @@
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
-                    "t", new Resources(8, 0, 8), 10, 1, 1, 1, Span.ofSeconds(5), List.of("z")))));
+                    "t", new Resources(8, 0, 8), 10, 1, 1, 1, TimeSpan.ofSeconds(5), List.of("z")))));
     Job job =
         new Job(
             TASK.job(),
             "c",
             "team",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            Priority.NORMAL,
             3,
             new Resources(4, 0, 1),
             null,
@@ -172,9 +172,9 @@
             false,
             "i",
             1,
-            Span.ofSeconds(10),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(10),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     put(Keys.job(job.id()), JobRecord.open(job, 0));
     put(
@@ -182,7 +182,7 @@
         BlockLease.first(
                 BLOCK,
                 new MemberRecord(
-                    new MemberId("n"),
+                    new ControllerId("n"),
                     new Incarnation(1),
                     "z",
                     Build.BEFORE_LEVELS,
--- a/src/test/java/org/quincecross/block/HolderModelTest.java
+++ b/src/test/java/org/quincecross/block/HolderModelTest.java
@@ -28,13 +28,13 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.rollout.Build;
@@ -97,10 +97,10 @@
               new JobId("job-2"),
               one.jobClass(),
               one.team(),
-              one.shape(),
-              one.rank(),
+              one.kind(),
+              one.priority(),
               TASKS,
-              one.each(),
+              one.taskResources(),
               null,
               null,
               false,
@@ -109,8 +109,8 @@
               one.image(),
               one.imageGb(),
               one.estimate(),
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null);
       put(Keys.job(job.id()), JobRecord.open(job, 0));
       holder.retire();
@@ -160,7 +160,7 @@
     // ---- the controller ----
 
     private final class Wild extends Context {
-      private final SteadyTime[] lastWord = new SteadyTime[1];
+      private final MonotonicTime[] lastWord = new MonotonicTime[1];
 
       @Override
       public HttpCaller http() {
@@ -173,7 +173,7 @@
       }
 
       @Override
-      public SteadyTime confirmed() {
+      public MonotonicTime confirmed() {
         return lastWord[0] == null ? super.confirmed() : lastWord[0];
       }
 
@@ -204,7 +204,7 @@
         former.retire();
       }
       if (context != null) {
-        context.lastWord[0] = new SteadyTime(Math.min(clock.nanos(), lastConfirmed));
+        context.lastWord[0] = new MonotonicTime(Math.min(clock.nanos(), lastConfirmed));
         former = holder;
         formerUntil = now() + formerGoesOn;
       }
@@ -215,7 +215,7 @@
               .get(BLOCK)
               .heldBy(
                   new MemberRecord(
-                      new MemberId("n"),
+                      new ControllerId("n"),
                       new Incarnation(1),
                       "z",
                       Build.BEFORE_LEVELS,
@@ -262,7 +262,7 @@
       back.removeIf(index -> finished.contains(index));
       while (allocated.size() < AT_ONCE && (!back.isEmpty() || given < TASKS)) {
         int next = back.isEmpty() ? given++ : back.remove(0);
-        if (withheld.has(next)) {
+        if (withheld.contains(next)) {
           back.add(next);
           break;
         }
@@ -282,7 +282,7 @@
 
     private void allocateAll() {
       TaskSet copy = new TaskSet();
-      IntStream.range(0, TASKS).filter(allocated::has).forEach(copy::add);
+      IntStream.range(0, TASKS).filter(allocated::contains).forEach(copy::add);
       put(
           Keys.allocation(BLOCK),
           Allocation.write(copy.isEmpty() ? Map.of() : Map.of(job.id(), copy)));
@@ -369,9 +369,9 @@
       later(
           seconds,
           () -> {
-            holder.excuse(Span.ofSeconds(seconds));
+            holder.excuse(TimeSpan.ofSeconds(seconds));
             if (former != null) {
-              former.excuse(Span.ofSeconds(seconds));
+              former.excuse(TimeSpan.ofSeconds(seconds));
             }
           });
       later(
@@ -513,7 +513,7 @@
         double sentAt = now();
         long sent = session;
         WorkerReport report =
-            new WorkerReport(machine, session, ++order, new Token(token), null, pieces());
+            new WorkerReport(machine, session, ++order, new FencingToken(token), null, pieces());
         boolean[] over = new boolean[1];
         Consumer<byte[]> end =
             answer ->
--- a/src/test/java/org/quincecross/block/LastAnswersTest.java
+++ b/src/test/java/org/quincecross/block/LastAnswersTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Attempt;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.state.Keys;
 import org.quincecross.wire.WorkerReport;
@@ -25,7 +25,7 @@
     holder.jobsChanged(Set.of(TASK.job()));
   }
 
-  private byte[] report(Token token, List<Piece> pieces) {
+  private byte[] report(FencingToken token, List<Piece> pieces) {
     clock.advance(1);
     return holder.answer(new WorkerReport(MACHINE, 1, ++order, token, null, pieces));
   }
@@ -46,7 +46,7 @@
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(true));
     cancel();
     holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
-    Token former = new Token(holder.lease().token().number() - 1);
+    FencingToken former = new FencingToken(holder.lease().token().number() - 1);
     assertNotNull(report(former, List.of()));
     longCancelled = true;
     assertNull(report(former, List.of()));
--- a/src/test/java/org/quincecross/block/SessionTest.java
+++ b/src/test/java/org/quincecross/block/SessionTest.java
@@ -9,22 +9,22 @@
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
-import org.quincecross.model.Token;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.FencingToken;
 import org.quincecross.wire.WorkerReport;
 
 class SessionTest {
-  private static final Token FORMER = new Token(5);
-  private static final Token PRESENT = new Token(9);
-  private static final Span LEASE = Span.ofSeconds(12);
+  private static final FencingToken FORMER = new FencingToken(5);
+  private static final FencingToken PRESENT = new FencingToken(9);
+  private static final TimeSpan LEASE = TimeSpan.ofSeconds(12);
 
   private final Machine machine =
       new Machine(new MachineId("m-1"), new Endpoint("10.0.0.9", 9000), "box", "a", false);
   private final Session session = new Session(machine, new Resources(8, 0, 32), 10, at(0), at(0));
 
-  private static SteadyTime at(double seconds) {
-    return SteadyTime.ZERO.plus(Span.ofSeconds(seconds));
+  private static MonotonicTime at(double seconds) {
+    return MonotonicTime.ZERO.plus(TimeSpan.ofSeconds(seconds));
   }
 
   /** Comes, is taken and is answered, and the machine does not hear the answer. */
--- a/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
@@ -13,12 +13,12 @@
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
@@ -122,7 +122,7 @@
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
     lastConfirmed = clock.nanos();
     clock.advance(30);
-    holder.excuse(Span.ofSeconds(30));
+    holder.excuse(TimeSpan.ofSeconds(30));
     holder.tick();
     TaskId task = TASK.job().task(1);
     allocate(only(1));
@@ -149,7 +149,7 @@
         former
             .heldBy(
                 new MemberRecord(
-                    new MemberId("n"),
+                    new ControllerId("n"),
                     new Incarnation(2),
                     "z",
                     Build.BEFORE_LEVELS,
@@ -195,7 +195,7 @@
           (life == 2 ? ledger.blocks().get(BLOCK).with(OTHER) : ledger.blocks().get(BLOCK))
               .heldBy(
                   new MemberRecord(
-                      new MemberId("n"),
+                      new ControllerId("n"),
                       new Incarnation(life),
                       "z",
                       Build.BEFORE_LEVELS,
@@ -220,9 +220,9 @@
         assertNotNull(
             holder.answer(
                 new WorkerReport(
-                    MACHINE, 1, 5, new Token(holder.lease().token().number() - 1), null, runs)));
+                    MACHINE, 1, 5, new FencingToken(holder.lease().token().number() - 1), null, runs)));
       } else if (at == 12) {
-        holder.answer(new WorkerReport(MACHINE, 1, 10, new Token(before), null, List.of()));
+        holder.answer(new WorkerReport(MACHINE, 1, 10, new FencingToken(before), null, List.of()));
       }
       if (at % 1 == 0) {
         holder.answer(
--- a/src/test/java/org/quincecross/block/WaitingJobTest.java
+++ b/src/test/java/org/quincecross/block/WaitingJobTest.java
@@ -11,12 +11,12 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
@@ -37,8 +37,8 @@
         id,
         "c",
         "team",
-        Shape.ARRAY,
-        Rank.HIGH,
+        JobKind.ARRAY,
+        Priority.HIGH,
         1,
         new Resources(1, 0, 1),
         null,
@@ -48,9 +48,9 @@
         false,
         "i",
         1,
-        Span.ofSeconds(10),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(10),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null,
         waitsOn);
   }
@@ -66,13 +66,13 @@
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
-                    "t", new Resources(8, 0, 8), 10, 1, 1, 1, Span.ofSeconds(5), List.of("z")))));
+                    "t", new Resources(8, 0, 8), 10, 1, 1, 1, TimeSpan.ofSeconds(5), List.of("z")))));
     put(
         Keys.block(BLOCK),
         BlockLease.first(
                 BLOCK,
                 new MemberRecord(
-                    new MemberId("n"),
+                    new ControllerId("n"),
                     new Incarnation(1),
                     "z",
                     Build.BEFORE_LEVELS,
--- a/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
@@ -15,9 +15,9 @@
 import org.quincecross.agreed.KnownByAll;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Json;
 
@@ -106,7 +106,7 @@
     JobId late = new JobId("job-4711");
     Job like =
         day.jobs.values().stream()
-            .filter(job -> job.shape() == Shape.ARRAY)
+            .filter(job -> job.kind() == JobKind.ARRAY)
             .findFirst()
             .orElseThrow();
     Job job =
@@ -114,10 +114,10 @@
             late,
             like.jobClass(),
             like.team(),
-            Shape.ARRAY,
-            Rank.PRODUCTION,
+            JobKind.ARRAY,
+            Priority.PRODUCTION,
             5,
-            like.each(),
+            like.taskResources(),
             null,
             null,
             false,
@@ -126,8 +126,8 @@
             like.image(),
             like.imageGb(),
             like.estimate(),
-            like.checkpointEvery(),
-            like.saveTime(),
+            like.checkpointInterval(),
+            like.checkpointCost(),
             null);
     day.jobs.put(late, job);
     day.world.mishapAt(
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/AgreedDay.java
@@ -18,8 +18,8 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.rollout.Build;
@@ -98,7 +98,7 @@
 
     @Override
     public TaskSet of(Job job) {
-      return closed.contains(job.id()) ? TaskSet.below(job.tasks()) : new TaskSet();
+      return closed.contains(job.id()) ? TaskSet.range(job.taskCount()) : new TaskSet();
     }
 
     @Override
@@ -112,7 +112,7 @@
       return base.ledger().isLoaded()
           && held != null
           && held.state().closed()
-          && Gone.of(base.ledger(), Map.of(id, TaskSet.below(tasks)), held.version()).isProven();
+          && Gone.of(base.ledger(), Map.of(id, TaskSet.range(tasks)), held.version()).isProven();
     }
   }
 
@@ -170,7 +170,7 @@
                     continue;
                   }
                   Revision revision = each.base.ledger().revision();
-                  if (each.isProven(id, jobs.get(id).tasks())) {
+                  if (each.isProven(id, jobs.get(id).taskCount())) {
                     proven.putIfAbsent(id, new Proven(change, revision));
                   } else if (proven.containsKey(id) && revision.isAfter(proven.get(id).by())) {
                     wrong.add(
@@ -209,7 +209,7 @@
             "operator",
             world.around().node(node % 3),
             post(id, request, what),
-            Span.ofSeconds(6),
+            TimeSpan.ofSeconds(6),
             outcome -> {
               if (outcome.status() == 200) {
                 told.put(request, change(outcome.response().body()));
@@ -271,10 +271,10 @@
     assertEquals(List.of(), wrong);
     jobs.forEach(
         (id, job) -> {
-          if (job.shape() == Shape.ARRAY) {
+          if (job.kind() == JobKind.ARRAY) {
             assertEquals("done", world.users().told().get(id), id.text());
           } else {
-            assertEquals(job.tasks(), world.rules().onMachines(id), id.text());
+            assertEquals(job.taskCount(), world.rules().onMachines(id), id.text());
           }
         });
   }
--- a/src/test/java/org/quincecross/emulator/BadNightsTest.java
+++ b/src/test/java/org/quincecross/emulator/BadNightsTest.java
@@ -15,10 +15,10 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Json;
 
@@ -38,8 +38,8 @@
         new JobId("job-" + number),
         "other",
         "batch",
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         tasks,
         new Resources(1, 0, 2),
         null,
@@ -49,9 +49,9 @@
         false,
         "other",
         0.5,
-        Span.ofSeconds(seconds),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(seconds),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
@@ -199,8 +199,8 @@
                   new JobId("job-" + (70_000 + i)),
                   "mistaken",
                   "batch",
-                  i % 5 == 3 ? Shape.GANG : Shape.SERVICE,
-                  i % 5 == 3 ? Rank.NORMAL : Rank.PRODUCTION,
+                  i % 5 == 3 ? JobKind.GANG : JobKind.SERVICE,
+                  i % 5 == 3 ? Priority.NORMAL : Priority.PRODUCTION,
                   3,
                   new Resources(2, 0, 4),
                   null,
@@ -210,9 +210,9 @@
                   false,
                   "mistaken",
                   0.5,
-                  Span.ofSeconds(6),
-                  Span.ZERO,
-                  Span.ZERO,
+                  TimeSpan.ofSeconds(6),
+                  TimeSpan.ZERO,
+                  TimeSpan.ZERO,
                   null);
       world.time().at(15 + 0.3 * i, () -> world.users().submitMistaken(job));
     }
--- a/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
@@ -27,7 +27,7 @@
 class BeginningsCasesTest {
   private static final int MACHINES = 12;
   private static final Features ON =
-      new Features(new Shares(0.85, 0.5, 0.01, 0.01), Span.ofSeconds(20), Build.BEFORE_LEVELS);
+      new Features(new Shares(0.85, 0.5, 0.01, 0.01), TimeSpan.ofSeconds(20), Build.BEFORE_LEVELS);
   private static final Resources ONE = new Resources(1, 0, 2);
 
   private final World world = new World(site(), 11, Meter.OFF, ON);
@@ -46,8 +46,8 @@
       double atS,
       String team,
       String jobClass,
-      Shape shape,
-      Rank rank,
+      JobKind shape,
+      Priority rank,
       int tasks,
       Resources each,
       double runS,
@@ -63,15 +63,15 @@
             each,
             null,
             null,
-            shape == Shape.GANG,
+            shape == JobKind.GANG,
             false,
             false,
             "img",
             0.5,
-            Span.ofSeconds(runS),
-            Span.ofSeconds(saveS),
-            Span.ofSeconds(saveS > 0 ? 1 : 0),
-            saveS > 0 ? null : Span.ofSeconds(60));
+            TimeSpan.ofSeconds(runS),
+            TimeSpan.ofSeconds(saveS),
+            TimeSpan.ofSeconds(saveS > 0 ? 1 : 0),
+            saveS > 0 ? null : TimeSpan.ofSeconds(60));
     world.time().at(atS, () -> world.users().submit(job));
   }
 
@@ -82,16 +82,16 @@
           20 + i,
           "loud",
           "small",
-          Shape.ARRAY,
-          i % 2 == 0 ? Rank.HIGH : Rank.NORMAL,
+          JobKind.ARRAY,
+          i % 2 == 0 ? Priority.HIGH : Priority.NORMAL,
           12,
           ONE,
           10,
           0);
     }
-    submit(30, "quiet", "array", Shape.ARRAY, Rank.NORMAL, 400, ONE, 10, 0);
-    submit(30, "quiet", "gang", Shape.GANG, Rank.NORMAL, 2, new Resources(8, 0, 8), 10, 0);
-    submit(30, "quiet", "idle", Shape.ARRAY, Rank.LOW, 40, ONE, 10, 5);
+    submit(30, "quiet", "array", JobKind.ARRAY, Priority.NORMAL, 400, ONE, 10, 0);
+    submit(30, "quiet", "gang", JobKind.GANG, Priority.NORMAL, 2, new Resources(8, 0, 8), 10, 0);
+    submit(30, "quiet", "idle", JobKind.ARRAY, Priority.LOW, 40, ONE, 10, 5);
     world.time().at(175, () -> world.crash(Math.max(0, world.leader())));
     world.time().runUntil(300);
     assertEquals(List.of(), world.rules().broken());
--- a/src/test/java/org/quincecross/emulator/CloseLooksTest.java
+++ b/src/test/java/org/quincecross/emulator/CloseLooksTest.java
@@ -72,7 +72,7 @@
                 each ->
                     each.getValue().equals("cancelled")
                         && world.rules().completedTasks(each.getKey())
-                            == world.job(each.getKey()).tasks())
+                            == world.job(each.getKey()).taskCount())
             .count();
     assertTrue(
         cancelled > 3 && (seed % 2 == 0 || done > 0),
--- a/src/test/java/org/quincecross/emulator/Day.java
+++ b/src/test/java/org/quincecross/emulator/Day.java
@@ -9,10 +9,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.rollout.Build;
 import org.quincecross.wire.Features;
 import org.quincecross.wire.Settings;
@@ -285,26 +285,26 @@
 
   /** A job that fails wherever it runs, until its user cancels it. */
   private void mistake() {
-    Shape shape = Shape.values()[random.nextInt(Shape.values().length)];
+    JobKind shape = JobKind.values()[random.nextInt(JobKind.values().length)];
     Job job =
         new Job(
             new JobId("job-" + (5000 + world.users().mistakes().size())),
             "mistake",
             random.nextBoolean() ? "blue" : "red",
             shape,
-            shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL,
-            1 + random.nextInt(shape == Shape.ARRAY ? 20 : 2),
+            shape == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
+            1 + random.nextInt(shape == JobKind.ARRAY ? 20 : 2),
             new Resources(1 + random.nextInt(2), 0, 2),
             null,
             null,
-            shape == Shape.GANG,
+            shape == JobKind.GANG,
             false,
             false,
             "img-" + random.nextInt(3),
             1,
-            Span.ofSeconds(10),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(10),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     world.users().submitMistaken(job);
     world
--- a/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
+++ b/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
@@ -16,10 +16,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.rollout.Build;
 import org.quincecross.wire.BadMessage;
@@ -49,22 +49,22 @@
 
   FallingLimitsTest() {
     for (int i = 0; i < JOBS; i++) {
-      Job job = job(1_000_000_000 + i, "batch", Shape.ARRAY, Rank.LOW, 1, 0.1, 35);
+      Job job = job(1_000_000_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.1, 35);
       batch.add(job.id());
       world.time().at(4 + 0.02 * i, () -> world.users().submit(job));
     }
     for (int i = 0; i < SERVICES; i++) {
-      Job job = job(90_000 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 3, 0.5, 0);
+      Job job = job(90_000 + i, "web", JobKind.SERVICE, Priority.PRODUCTION, 3, 0.5, 0);
       services.add(job.id());
       world.time().at(4 + i, () -> world.users().submit(job));
     }
   }
 
   private static Job job(
-      int number, String team, Shape shape, Rank rank, int tasks, double cpus, double runS) {
+      int number, String team, JobKind shape, Priority rank, int tasks, double cpus, double runS) {
     return new Job(
         new JobId("job-" + number),
-        shape == Shape.SERVICE ? "front" : "small",
+        shape == JobKind.SERVICE ? "front" : "small",
         team,
         shape,
         rank,
@@ -77,9 +77,9 @@
         false,
         "i",
         0.2,
-        Span.ofSeconds(runS),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(runS),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
@@ -229,7 +229,7 @@
             40,
             () -> {
               for (int i = 0; i < 30; i++) {
-                Job job = job(80_000 + i, "batch", Shape.ARRAY, Rank.LOW, 1, 0.1, 35);
+                Job job = job(80_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.1, 35);
                 batch.add(job.id());
                 world.users().submit(job);
               }
--- a/src/test/java/org/quincecross/emulator/FullTeamsTest.java
+++ b/src/test/java/org/quincecross/emulator/FullTeamsTest.java
@@ -16,10 +16,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 
 /**
@@ -63,14 +63,14 @@
   }
 
   private void submit(
-      int number, String team, Shape shape, int tasks, int cpus, boolean oneZone, double runS) {
+      int number, String team, JobKind shape, int tasks, int cpus, boolean oneZone, double runS) {
     Job job =
         new Job(
             new JobId("job-" + number),
             "any",
             team,
             shape,
-            shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL,
+            shape == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
             tasks,
             new Resources(cpus, 0, 2),
             null,
@@ -80,9 +80,9 @@
             number % 3 != 0,
             "img-" + number % 3,
             1,
-            Span.ofSeconds(runS),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(runS),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     jobs.put(job.id(), job);
     world.time().at(5 + 12 * random.nextDouble(), () -> world.users().submit(job));
@@ -311,13 +311,13 @@
     world = new World(site, seed, Meter.OFF);
     random = new Random(seed * 31 + trouble.ordinal());
     for (int i = 0; i < 36; i++) {
-      submit(100 + i, "long", Shape.ARRAY, 2 + i % 2, 1, i % 4 == 0, 55);
+      submit(100 + i, "long", JobKind.ARRAY, 2 + i % 2, 1, i % 4 == 0, 55);
     }
     for (int i = 0; i < 14; i++) {
-      submit(200 + i, "zonal", i % 4 == 3 ? Shape.GANG : Shape.ARRAY, 3, 2, true, 45);
+      submit(200 + i, "zonal", i % 4 == 3 ? JobKind.GANG : JobKind.ARRAY, 3, 2, true, 45);
     }
     for (int i = 0; i < 8; i++) {
-      submit(300 + i, "web", Shape.SERVICE, 2, 2, i % 2 == 0, 0);
+      submit(300 + i, "web", JobKind.SERVICE, 2, 2, i % 2 == 0, 0);
     }
     for (double at = 6; at < OVER_S + 60; at += 0.25) {
       world
@@ -339,7 +339,7 @@
     world.time().runUntil(OVER_S + 60);
     List<String> wrong = new ArrayList<>(world.rules().broken());
     jobs.keySet().stream()
-        .filter(id -> jobs.get(id).shape() == Shape.SERVICE && !called.contains(id))
+        .filter(id -> jobs.get(id).kind() == JobKind.SERVICE && !called.contains(id))
         .forEach(id -> world.users().cancel(id));
     world.time().runUntil(420);
     jobs.keySet()
--- a/src/test/java/org/quincecross/emulator/GapDay.java
+++ b/src/test/java/org/quincecross/emulator/GapDay.java
@@ -9,10 +9,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A day drawn from a seed on which the state service refuses one controller, users cancel through
@@ -99,20 +99,20 @@
   }
 
   private Job job(int number) {
-    Shape shape =
+    JobKind shape =
         number == FIRST
-            ? Shape.ARRAY
+            ? JobKind.ARRAY
             : random.nextInt(5) == 0
-                ? Shape.SERVICE
-                : random.nextInt(8) == 0 ? Shape.GANG : Shape.ARRAY;
+                ? JobKind.SERVICE
+                : random.nextInt(8) == 0 ? JobKind.GANG : JobKind.ARRAY;
     int tasks =
-        number == FIRST ? 18 : shape == Shape.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
+        number == FIRST ? 18 : shape == JobKind.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
     return new Job(
         new JobId("job-" + number),
         "gap",
         number != FIRST && oneIn(3) ? "blue" : "red",
         shape,
-        shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.NORMAL,
+        shape == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
         tasks,
         new Resources(1, 0, 2),
         null,
@@ -122,9 +122,9 @@
         false,
         "img-" + random.nextInt(3),
         1,
-        Span.ofSeconds(90 + random.nextInt(200)),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(90 + random.nextInt(200)),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
--- a/src/test/java/org/quincecross/emulator/GapTest.java
+++ b/src/test/java/org/quincecross/emulator/GapTest.java
@@ -14,10 +14,10 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.BadMessage;
 
 /**
@@ -48,8 +48,8 @@
               new JobId("job-" + (30_000 + i)),
               "long",
               "batch",
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              Priority.NORMAL,
               i == KEPT ? 60 : 6,
               new Resources(1, 0, 2),
               null,
@@ -59,9 +59,9 @@
               false,
               "long",
               0.5,
-              Span.ofSeconds(300),
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ofSeconds(300),
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null);
       longOnes.add(job.id());
       world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
--- a/src/test/java/org/quincecross/emulator/GuestsTest.java
+++ b/src/test/java/org/quincecross/emulator/GuestsTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.Settings;
 
 /**
@@ -42,8 +42,8 @@
   private static Job job(
       int number,
       String team,
-      Shape shape,
-      Rank rank,
+      JobKind shape,
+      Priority rank,
       int tasks,
       double cpus,
       double seconds,
@@ -60,12 +60,12 @@
         null,
         false,
         false,
-        shape == Shape.ARRAY,
+        shape == JobKind.ARRAY,
         "img-" + number % 3,
         0.3,
-        Span.ofSeconds(seconds),
-        Span.ofSeconds(saveEveryS),
-        Span.ofSeconds(saveEveryS > 0 ? 1 : 0),
+        TimeSpan.ofSeconds(seconds),
+        TimeSpan.ofSeconds(saveEveryS),
+        TimeSpan.ofSeconds(saveEveryS > 0 ? 1 : 0),
         null);
   }
 
@@ -82,13 +82,13 @@
     World world = world(NARROW);
     List<JobId> swarm = new ArrayList<>();
     for (int i = 0; i < 1500; i++) {
-      Job job = job(100_000 + i, "batch", Shape.ARRAY, Rank.LOW, 1, 0.5, 2, 0);
+      Job job = job(100_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.5, 2, 0);
       swarm.add(job.id());
       world.time().at(15 + i * 0.001, () -> world.users().submit(job));
     }
     List<JobId> others = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      Job job = job(200_000 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 1, 1, 0, 0);
+      Job job = job(200_000 + i, "web", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, 0, 0);
       others.add(job.id());
       world.time().at(15.2 + i * 0.3, () -> world.users().submit(job));
     }
@@ -120,18 +120,18 @@
   @Test
   void guestsFillWhatIsFreeAndGiveWay() {
     World world = world(WIDE);
-    JobId huge = world.users().submit(job(1, "batch", Shape.ARRAY, Rank.LOW, 20_000, 0.5, 2, 0));
+    JobId huge = world.users().submit(job(1, "batch", JobKind.ARRAY, Priority.LOW, 20_000, 0.5, 2, 0));
     List<JobId> idle = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      Job job = job(10 + i, "batch", Shape.ARRAY, Rank.LOW, 50, 2, 80, 10);
+      Job job = job(10 + i, "batch", JobKind.ARRAY, Priority.LOW, 50, 2, 80, 10);
       idle.add(job.id());
       world.time().at(2 + i, () -> world.users().submit(job));
     }
     List<JobId> services = new ArrayList<>();
     List<JobId> arrays = new ArrayList<>();
     for (int i = 0; i < 15; i++) {
-      Job service = job(100 + i, "web", Shape.SERVICE, Rank.PRODUCTION, 2, 2, 0, 0);
-      Job array = job(200 + i, "web", Shape.ARRAY, Rank.NORMAL, 20, 1, 6, 0);
+      Job service = job(100 + i, "web", JobKind.SERVICE, Priority.PRODUCTION, 2, 2, 0, 0);
+      Job array = job(200 + i, "web", JobKind.ARRAY, Priority.NORMAL, 20, 1, 6, 0);
       services.add(service.id());
       arrays.add(array.id());
       world.time().at(40 + 2 * i, () -> world.users().submit(service));
