--- a/src/test/java/org/quincecross/emulator/HardCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/HardCasesTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.BadMessage;
 
 /** What happens to a fleet all at once, in virtual time. */
@@ -26,8 +26,8 @@
         id,
         "late",
         "batch",
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         1,
         new Resources(1, 0, 2),
         null,
@@ -37,9 +37,9 @@
         false,
         "late",
         0.5,
-        Span.ofSeconds(6),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(6),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
--- a/src/test/java/org/quincecross/emulator/HoldSite.java
+++ b/src/test/java/org/quincecross/emulator/HoldSite.java
@@ -220,7 +220,7 @@
           boolean touched =
               touches.getOrDefault(task.job(), Map.of()).entrySet().stream()
                   .anyMatch(
-                      claim -> claim.getKey().has(task.index()) && claim.getValue().overlaps(held));
+                      claim -> claim.getKey().contains(task.index()) && claim.getValue().overlaps(held));
           if (touched && at > seconds) {
             late.add(task + " at " + at);
           }
@@ -265,7 +265,7 @@
             () -> {
               for (JobId job : sweeps) {
                 for (int index = 0;
-                    world.job(job) != null && index < world.job(job).tasks();
+                    world.job(job) != null && index < world.job(job).taskCount();
                     index++) {
                   TaskId task = job.task(index);
                   if (!world.rules().isOn(task)) {
@@ -295,11 +295,11 @@
     for (JobId job : sweeps) {
       Map<TaskSet, Records> claims = touches.get(job);
       for (int index = 0;
-          claims != null && world.rules().onMachines(job) > 0 && index < world.job(job).tasks();
+          claims != null && world.rules().onMachines(job) > 0 && index < world.job(job).taskCount();
           index++) {
         boolean touched = claims.isEmpty();
         for (Map.Entry<TaskSet, Records> claim : claims.entrySet()) {
-          touched |= claim.getKey().has(index) && claim.getValue().overlaps(held);
+          touched |= claim.getKey().contains(index) && claim.getValue().overlaps(held);
         }
         if (touched && world.rules().isOn(job.task(index))) {
           wrong.add(
--- a/src/test/java/org/quincecross/emulator/IdleRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleRoomTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 
 /**
@@ -41,8 +41,8 @@
             new JobId("job-" + number),
             "any",
             "batch",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            Priority.NORMAL,
             1,
             new Resources(2, 0, 2),
             null,
@@ -52,9 +52,9 @@
             true,
             "img-1",
             1,
-            Span.ofSeconds(runS),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(runS),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     world.time().at(atS, () -> world.users().submit(job));
     if (zone == null) {
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -16,10 +16,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Machine;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 
 /**
@@ -59,8 +59,8 @@
               new JobId("job-" + (100 + i)),
               "long",
               "long",
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              Priority.NORMAL,
               count,
               new Resources(each, 0, 2),
               null,
@@ -70,9 +70,9 @@
               i % 3 == 0,
               "img-" + i % 3,
               0.5,
-              Span.ofSeconds(20),
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ofSeconds(20),
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null);
       for (int task = 1; task < count; task++) {
         world
--- a/src/test/java/org/quincecross/emulator/LeaderDay.java
+++ b/src/test/java/org/quincecross/emulator/LeaderDay.java
@@ -8,10 +8,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A day drawn from a seed: jobs of two and three tasks that end 30 to 100 s apart, and at their
@@ -47,8 +47,8 @@
               new JobId("job-" + (200 + i)),
               "service",
               "blue",
-              Shape.SERVICE,
-              Rank.PRODUCTION,
+              JobKind.SERVICE,
+              Priority.PRODUCTION,
               1 + random.nextInt(3),
               new Resources(1, 0, 2),
               null,
@@ -58,9 +58,9 @@
               false,
               "img-0",
               1,
-              Span.ZERO,
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null),
           4 + 20 * random.nextDouble());
       cancelAt(new JobId("job-" + (200 + i)), LAST_TROUBLE_S * random.nextDouble());
@@ -84,8 +84,8 @@
             new JobId("job-" + number),
             "long",
             random.nextInt(3) == 0 ? "blue" : "red",
-            gang ? Shape.GANG : Shape.ARRAY,
-            random.nextBoolean() ? Rank.NORMAL : Rank.LOW,
+            gang ? JobKind.GANG : JobKind.ARRAY,
+            random.nextBoolean() ? Priority.NORMAL : Priority.LOW,
             tasks,
             new Resources(1 + random.nextInt(3), 0, 2),
             null,
@@ -95,31 +95,31 @@
             random.nextBoolean(),
             "img-" + random.nextInt(3),
             1,
-            Span.ofSeconds(gang ? 40 : 90 + random.nextInt(40)),
-            saves ? Span.ofSeconds(8) : Span.ZERO,
-            saves ? Span.ofSeconds(1) : Span.ZERO,
+            TimeSpan.ofSeconds(gang ? 40 : 90 + random.nextInt(40)),
+            saves ? TimeSpan.ofSeconds(8) : TimeSpan.ZERO,
+            saves ? TimeSpan.ofSeconds(1) : TimeSpan.ZERO,
             null);
     Job spread =
-        random.nextInt(3) != 0 || job.oneZone()
+        random.nextInt(3) != 0 || job.singleZone()
             ? job
             : new Job(
                 job.id(),
                 job.jobClass(),
                 job.team(),
-                job.shape(),
-                job.rank(),
-                job.tasks(),
-                job.each(),
+                job.kind(),
+                job.priority(),
+                job.taskCount(),
+                job.taskResources(),
                 null,
                 null,
                 false,
                 true,
-                job.spot(),
+                job.allowsSpot(),
                 job.image(),
                 1,
                 job.estimate(),
-                job.checkpointEvery(),
-                job.saveTime(),
+                job.checkpointInterval(),
+                job.checkpointCost(),
                 null);
     for (int i = 1; i < tasks && !gang; i++) {
       world.around().tasks().runsLonger(job.id().task(i), -i * (30 + 20 * random.nextDouble()));
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A leader gives a task to a block and ends; what it wrote is held up until its successor, which
@@ -62,8 +62,8 @@
                             id,
                             "long",
                             "batch",
-                            Shape.ARRAY,
-                            Rank.NORMAL,
+                            JobKind.ARRAY,
+                            Priority.NORMAL,
                             1,
                             new Resources(2, 0, 2),
                             null,
@@ -73,9 +73,9 @@
                             false,
                             "img-1",
                             1,
-                            Span.ofSeconds(60),
-                            Span.ZERO,
-                            Span.ZERO,
+                            TimeSpan.ofSeconds(60),
+                            TimeSpan.ZERO,
+                            TimeSpan.ZERO,
                             null)));
     world.time().runUntil(20 + HELD_S - 1);
     assertNotNull(block);
--- a/src/test/java/org/quincecross/emulator/Liveness.java
+++ b/src/test/java/org/quincecross/emulator/Liveness.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Fields;
 
@@ -106,26 +106,26 @@
 
   /** The longest that what is left of a job takes, with what else its team has to do. */
   private double secondsLeft(Job job) {
-    if (job.shape() == Shape.SERVICE) {
+    if (job.kind() == JobKind.SERVICE) {
       return LAST_S; // its user cancels it
     }
     double sum = 0;
     for (JobId id : open()) {
       Job other = world.job(id);
-      if (other.team().equals(job.team()) && other.shape() != Shape.SERVICE) {
+      if (other.team().equals(job.team()) && other.kind() != JobKind.SERVICE) {
         double each = SLOWEST * other.estimate().seconds() + OVERHEAD_S;
         double atOnce =
             Math.max(
-                1, Math.floor(world.team(job.team()).limit().cpus() / 2 / other.each().cpus()));
-        sum += each * Math.ceil((other.tasks() - world.rules().completedTasks(id)) / atOnce);
+                1, Math.floor(world.team(job.team()).limit().cpus() / 2 / other.taskResources().cpus()));
+        sum += each * Math.ceil((other.taskCount() - world.rules().completedTasks(id)) / atOnce);
       }
     }
     return LAST_S + sum;
   }
 
   private boolean isAtLimit(Job job) {
-    int together = job.shape() == Shape.GANG ? job.tasks() : 1;
-    return world.team(job.team()).limit().minus(world.rules().used(job.team())).count(job.each())
+    int together = job.kind() == JobKind.GANG ? job.taskCount() : 1;
+    return world.team(job.team()).limit().minus(world.rules().used(job.team())).capacityFor(job.taskResources())
         < together;
   }
 
--- a/src/test/java/org/quincecross/emulator/LoneControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/LoneControllerTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.BadMessage;
 
 /**
@@ -41,8 +41,8 @@
         new JobId("job-" + number),
         "late",
         "batch",
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         1,
         new Resources(0.5, 0, 1),
         null,
@@ -52,9 +52,9 @@
         false,
         "late",
         0.5,
-        Span.ofSeconds(2),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(2),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
--- a/src/test/java/org/quincecross/emulator/Meetings.java
+++ b/src/test/java/org/quincecross/emulator/Meetings.java
@@ -10,10 +10,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Troubles that meet on purpose: they come in pairs, of which the second begins while the first
@@ -354,8 +354,8 @@
               new JobId("job-" + number),
               "small",
               random.nextInt(3) == 0 ? "blue" : "red",
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              Priority.NORMAL,
               seconds.size(),
               new Resources(1, 0, 2),
               null,
@@ -365,9 +365,9 @@
               random.nextBoolean(),
               "img-" + random.nextInt(3),
               1,
-              Span.ofSeconds(45),
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ofSeconds(45),
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null);
       world
           .time()
--- a/src/test/java/org/quincecross/emulator/ModelSite.java
+++ b/src/test/java/org/quincecross/emulator/ModelSite.java
@@ -12,10 +12,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.rollout.Build;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Features;
@@ -60,8 +60,8 @@
         new JobId("job-" + number),
         "front",
         "web",
-        gang ? Shape.GANG : Shape.SERVICE,
-        Rank.PRODUCTION,
+        gang ? JobKind.GANG : JobKind.SERVICE,
+        Priority.PRODUCTION,
         tasks,
         new Resources(cpus, 0, 2),
         null,
@@ -71,9 +71,9 @@
         false,
         "weights-" + number,
         imageGb,
-        gang ? Span.ofSeconds(100_000) : Span.ZERO,
-        Span.ZERO,
-        Span.ZERO,
+        gang ? TimeSpan.ofSeconds(100_000) : TimeSpan.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
--- a/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
@@ -51,7 +51,7 @@
   }
 
   private JobId submit(
-      double atS, String team, Shape shape, Rank rank, int tasks, int cpus, double runS) {
+      double atS, String team, JobKind shape, Priority rank, int tasks, int cpus, double runS) {
     Job job =
         new Job(
             new JobId("job-" + number++),
@@ -68,9 +68,9 @@
             number % 2 == 0,
             "img-" + number % 3,
             1,
-            Span.ofSeconds(runS),
-            Span.ofSeconds(number % 3 == 0 ? 10 : 0),
-            Span.ofSeconds(number % 3 == 0 ? 0.5 : 0),
+            TimeSpan.ofSeconds(runS),
+            TimeSpan.ofSeconds(number % 3 == 0 ? 10 : 0),
+            TimeSpan.ofSeconds(number % 3 == 0 ? 0.5 : 0),
             null);
     world.time().at(atS, () -> world.users().submit(job));
     return job.id();
@@ -136,7 +136,7 @@
     Function<Double, Double> from = within -> 10 + within * random.nextDouble();
     if (mix == Mix.SERVICES || mix == Mix.ALL) {
       for (int i = 0; i < 8; i++) {
-        submit(from.apply(10.0), "web", Shape.SERVICE, Rank.PRODUCTION, 2, 2, 0);
+        submit(from.apply(10.0), "web", JobKind.SERVICE, Priority.PRODUCTION, 2, 2, 0);
       }
     }
     if (mix == Mix.LARGE || mix == Mix.ALL || mix == Mix.LARGE_AT_ITS_LIMIT) {
@@ -144,8 +144,8 @@
         submit(
             from.apply(3.0),
             "big",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            Priority.NORMAL,
             2 + 4 * i,
             6,
             40 + 40 * random.nextDouble());
@@ -156,8 +156,8 @@
         submit(
             from.apply(30.0),
             "big",
-            Shape.GANG,
-            i == 0 ? Rank.HIGH : Rank.NORMAL,
+            JobKind.GANG,
+            i == 0 ? Priority.HIGH : Priority.NORMAL,
             2 + i % 2,
             5 + i,
             30);
@@ -167,8 +167,8 @@
       submit(
           from.apply(40.0),
           "batch",
-          Shape.ARRAY,
-          i % 5 == 0 ? Rank.LOW : i % 7 == 0 ? Rank.HIGH : Rank.NORMAL,
+          JobKind.ARRAY,
+          i % 5 == 0 ? Priority.LOW : i % 7 == 0 ? Priority.HIGH : Priority.NORMAL,
           1 + i % 6,
           1 + i % 3,
           30 + 120 * random.nextDouble());
@@ -179,13 +179,13 @@
           submit(
               LATE_S,
               "web",
-              Shape.SERVICE,
-              Rank.PRODUCTION,
+              JobKind.SERVICE,
+              Priority.PRODUCTION,
               2,
               2,
               0)); // what has waited long has their room by then
     }
-    JobId largest = submit(20, "batch", Shape.ARRAY, Rank.NORMAL, 60, 1, 20);
+    JobId largest = submit(20, "batch", JobKind.ARRAY, Priority.NORMAL, 60, 1, 20);
     double[] begun = {-1};
     for (double at = 20; at < UNTIL_S; at += 1) {
       world
@@ -195,7 +195,7 @@
               () -> {
                 world.rules().check();
                 if (begun[0] < 0
-                    && world.rules().started(largest) >= world.job(largest).tasksToBegin()) {
+                    && world.rules().started(largest) >= world.job(largest).startQuorum()) {
                   begun[0] = world.time().seconds() - 20;
                 }
               });
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -12,10 +12,10 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
@@ -29,7 +29,7 @@
  */
 class OverloadCasesTest {
   private static final Features ON =
-      new Features(new Shares(0.85, 0.5, 0.1, 0.1), Span.ofSeconds(20), Build.BEFORE_LEVELS);
+      new Features(new Shares(0.85, 0.5, 0.1, 0.1), TimeSpan.ofSeconds(20), Build.BEFORE_LEVELS);
   private static final int MACHINES = 30;
   private static final String LOUD = "loud";
   private static final List<String> QUIET =
@@ -46,7 +46,7 @@
     Site base = Site.tryOut(MACHINES, true);
     MachineType scarce =
         new MachineType(
-            "rare-8", new Resources(8, 0, 64), 20, 1, 0.5, 0.2, Span.ofSeconds(3), List.of("east"));
+            "rare-8", new Resources(8, 0, 64), 20, 1, 0.5, 0.2, TimeSpan.ofSeconds(3), List.of("east"));
     List<MachineType> types = new ArrayList<>(base.types());
     types.add(scarce);
     List<Site.Pool> pools = new ArrayList<>(base.pools());
@@ -78,20 +78,20 @@
       double atS,
       String team,
       String jobClass,
-      Rank rank,
+      Priority rank,
       int tasks,
       Resources each,
       double runS,
       double dueS) {
-    return submit(atS, team, jobClass, Shape.ARRAY, rank, tasks, each, null, runS, dueS);
+    return submit(atS, team, jobClass, JobKind.ARRAY, rank, tasks, each, null, runS, dueS);
   }
 
   private JobId submit(
       double atS,
       String team,
       String jobClass,
-      Shape shape,
-      Rank rank,
+      JobKind shape,
+      Priority rank,
       int tasks,
       Resources each,
       String type,
@@ -109,15 +109,15 @@
             each,
             type == null ? null : java.util.Set.of(type),
             null,
-            shape == Shape.GANG,
+            shape == JobKind.GANG,
             false,
             false,
             jobClass,
             0.5,
-            Span.ofSeconds(runS),
-            Span.ZERO,
-            Span.ZERO,
-            dueS > 0 ? Span.ofSeconds(dueS) : null);
+            TimeSpan.ofSeconds(runS),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
+            dueS > 0 ? TimeSpan.ofSeconds(dueS) : null);
     world.time().at(atS, () -> world.users().submit(job));
     return id;
   }
@@ -155,11 +155,11 @@
    */
   private void burst() {
     for (int i = 0; i < 60; i++) {
-      submit(20 + i, LOUD, "batch", Rank.NORMAL, 60, ONE, 10, 60);
+      submit(20 + i, LOUD, "batch", Priority.NORMAL, 60, ONE, 10, 60);
     }
     for (String team : QUIET) {
       for (int i = 0; i < 8; i++) {
-        submit(21 + 20 * i, team, "batch", Rank.NORMAL, 10, ONE, 10, 60);
+        submit(21 + 20 * i, team, "batch", Priority.NORMAL, 10, ONE, 10, 60);
       }
     }
   }
@@ -181,13 +181,13 @@
     List<JobId> services = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       services.add(
-          submit(20 + 0.5 * i, LOUD, "front", Shape.SERVICE, Rank.PRODUCTION, 4, ONE, null, 0, 0));
+          submit(20 + 0.5 * i, LOUD, "front", JobKind.SERVICE, Priority.PRODUCTION, 4, ONE, null, 0, 0));
     }
     services.subList(0, 40).forEach(id -> world.time().at(110, () -> world.users().cancel(id)));
     for (int i = 0; i < 170; i++) {
-      submit(25 + i, LOUD, "batch", Rank.NORMAL, 20, ONE, 10, 60);
+      submit(25 + i, LOUD, "batch", Priority.NORMAL, 20, ONE, 10, 60);
     }
-    submit(60, "quiet-1", "sweep", Rank.LOW, 80, ONE, 10, 0);
+    submit(60, "quiet-1", "sweep", Priority.LOW, 80, ONE, 10, 0);
     run(195);
     assertTrue(of("quiet-1", "sweep").started() >= 50, of("quiet-1", "sweep").toString());
     assertEquals(240, of(LOUD, "front").started());
@@ -214,10 +214,10 @@
   @Test
   void theOnlyTypeOfAClassRunsOut() {
     for (int i = 0; i < 60; i++) {
-      submit(20 + i, LOUD, "batch", Rank.NORMAL, 40, ONE, 10, 60);
+      submit(20 + i, LOUD, "batch", Priority.NORMAL, 40, ONE, 10, 60);
     }
     for (int i = 0; i < 10; i++) {
-      submit(22 + 10 * i, "quiet-1", "rare", Shape.ARRAY, Rank.NORMAL, 4, ONE, "rare-8", 10, 60);
+      submit(22 + 10 * i, "quiet-1", "rare", JobKind.ARRAY, Priority.NORMAL, 4, ONE, "rare-8", 10, 60);
     }
     run(200);
     assertTrue(inTime("quiet-1", "rare") >= 0.9, of("quiet-1", "rare").toString());
@@ -226,11 +226,11 @@
   @Test
   void aTeamWhoseJobsAreLargerThanWhatIsEverFreeAtOnce() {
     for (int i = 0; i < 150; i++) {
-      submit(20 + i, LOUD, "batch", Rank.NORMAL, 34, ONE, 10, 60);
+      submit(20 + i, LOUD, "batch", Priority.NORMAL, 34, ONE, 10, 60);
     }
     submit(
-        70, "quiet-1", "whole", Shape.ARRAY, Rank.NORMAL, 6, new Resources(8, 0, 8), null, 10, 60);
-    submit(70, "quiet-2", "gang", Shape.GANG, Rank.NORMAL, 4, HALF, null, 10, 60);
+        70, "quiet-1", "whole", JobKind.ARRAY, Priority.NORMAL, 6, new Resources(8, 0, 8), null, 10, 60);
+    submit(70, "quiet-2", "gang", JobKind.GANG, Priority.NORMAL, 4, HALF, null, 10, 60);
     run(170);
     assertEquals(1, of("quiet-1", "whole").ended());
     assertEquals(1, of("quiet-2", "gang").ended());
@@ -239,10 +239,10 @@
   @Test
   void deadlinesThatNobodyCouldMeet() {
     for (int i = 0; i < 150; i++) {
-      submit(20 + i, LOUD, "batch", Rank.NORMAL, 34, ONE, 10, 60);
+      submit(20 + i, LOUD, "batch", Priority.NORMAL, 34, ONE, 10, 60);
     }
     for (int i = 0; i < 20; i++) {
-      submit(60 + 2 * i, "quiet-1", "hopeless", Rank.NORMAL, 10, ONE, 20, 5);
+      submit(60 + 2 * i, "quiet-1", "hopeless", Priority.NORMAL, 10, ONE, 20, 5);
     }
     run(170);
     // They are late whatever happens, and come after all that is not; of their team's floor, 12
@@ -256,9 +256,9 @@
    */
   private JobId largeJobUnderRestarts(Runnable trouble) {
     for (int i = 0; i < 200; i++) {
-      submit(20 + i, LOUD, "batch", Rank.NORMAL, 22, ONE, 10, 60);
+      submit(20 + i, LOUD, "batch", Priority.NORMAL, 22, ONE, 10, 60);
     }
-    JobId large = submit(30, "quiet-1", "large", Rank.NORMAL, 900, ONE, 10, 30);
+    JobId large = submit(30, "quiet-1", "large", Priority.NORMAL, 900, ONE, 10, 30);
     trouble.run();
     run(220);
     return large;
--- a/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
@@ -25,10 +25,10 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Keys;
 import org.quincecross.wire.BadMessage;
@@ -53,13 +53,13 @@
     return new JobId("job-" + number);
   }
 
-  private static Job job(int number, Shape shape, int tasks, double cpus, Integer... after) {
+  private static Job job(int number, JobKind shape, int tasks, double cpus, Integer... after) {
     return new Job(
         id(number),
         "stage",
         number % 2 == 0 ? "red" : "blue",
         shape,
-        shape == Shape.SERVICE ? Rank.PRODUCTION : Rank.LOW,
+        shape == JobKind.SERVICE ? Priority.PRODUCTION : Priority.LOW,
         tasks,
         new Resources(cpus, 0, 1),
         null,
@@ -69,15 +69,15 @@
         false,
         "img",
         0.2,
-        Span.ofSeconds(3),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(3),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null,
         Set.copyOf(Arrays.stream(after).map(PipelineCasesTest::id).toList()));
   }
 
   private static Job job(int number, Integer... after) {
-    return job(number, Shape.ARRAY, 4, 1, after);
+    return job(number, JobKind.ARRAY, 4, 1, after);
   }
 
   /** Submits a job as soon as those that it names were accepted, to whichever controller. */
@@ -86,7 +86,7 @@
     if (allBefore(job.id()).stream().anyMatch(asked::contains)) {
       world.users().noteCancel(job.id());
     }
-    if (world.users().told().keySet().containsAll(job.waitsOn())) {
+    if (world.users().told().keySet().containsAll(job.dependencies())) {
       world.users().submit(job);
     } else {
       world.time().after(0.05, () -> submitWhenKnown(job));
@@ -95,7 +95,7 @@
 
   private Set<JobId> allBefore(JobId id) {
     Set<JobId> all = new LinkedHashSet<>();
-    for (JobId before : jobs.get(id).waitsOn()) {
+    for (JobId before : jobs.get(id).dependencies()) {
       all.add(before);
       all.addAll(jobs.containsKey(before) ? allBefore(before) : Set.of());
     }
@@ -112,7 +112,7 @@
   }
 
   private boolean isDone(JobId id) {
-    return world.rules().completedTasks(id) == jobs.get(id).tasks();
+    return world.rules().completedTasks(id) == jobs.get(id).taskCount();
   }
 
   private void look() {
@@ -155,7 +155,7 @@
   private void diamond(int first) {
     submitWhenKnown(job(first));
     submitWhenKnown(job(first + 1, first));
-    submitWhenKnown(job(first + 2, Shape.GANG, 2, 1, first));
+    submitWhenKnown(job(first + 2, JobKind.GANG, 2, 1, first));
     submitWhenKnown(job(first + 3, first + 1, first + 2, first + 2));
     submitWhenKnown(job(first + 4, first + 3, first));
   }
@@ -316,7 +316,7 @@
             37.2,
             () ->
                 post(
-                    0, job(906, Shape.SERVICE, 1, 1), answer -> assertTrue(answer.status() < 300)));
+                    0, job(906, JobKind.SERVICE, 1, 1), answer -> assertTrue(answer.status() < 300)));
     world.time().at(37.5, () -> postUntilRefused(0, job(907, 906), refusals));
     world
         .time()
@@ -374,7 +374,7 @@
   void aLongChainIsCancelledFromItsHead(boolean allRestart) throws BadMessage {
     int length = 2000;
     world.around().tasks().runsLonger(id(0).task(0), 300);
-    submitWhenKnown(job(0, Shape.ARRAY, 2, 1));
+    submitWhenKnown(job(0, JobKind.ARRAY, 2, 1));
     runUntil(5);
     for (int i = 1; i < length; i++) {
       Job job = job(i, i - 1);
@@ -432,12 +432,12 @@
     Integer[] all = new Integer[many];
     for (int i = 0; i < many; i++) {
       all[i] = 10_000 + i;
-      Job first = job(10_000 + i, Shape.ARRAY, 1, 0.1);
+      Job first = job(10_000 + i, JobKind.ARRAY, 1, 0.1);
       world.time().at(5 + 0.02 * i, () -> submitWhenKnown(first));
     }
-    world.time().at(6, () -> submitWhenKnown(job(1, Shape.ARRAY, 1, 0.1, all)));
+    world.time().at(6, () -> submitWhenKnown(job(1, JobKind.ARRAY, 1, 0.1, all)));
     for (int i = 0; i < many; i++) {
-      Job last = job(20_000 + i, Shape.ARRAY, 1, 0.1, 1);
+      Job last = job(20_000 + i, JobKind.ARRAY, 1, 0.1, 1);
       world.time().at(20 + 0.02 * i, () -> submitWhenKnown(last));
     }
     world.time().at(30, () -> world.crash(world.leader()));
--- a/src/test/java/org/quincecross/emulator/PipelineDays.java
+++ b/src/test/java/org/quincecross/emulator/PipelineDays.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
+import org.quincecross.model.JobKind;
 
 /**
  * Pipelines drawn beside the jobs of a {@link Day}, from a source of their own: half of them have
@@ -68,7 +68,7 @@
   private void pipeline() {
     List<JobId> earlier = new ArrayList<>(drawn);
     world.users().told().keySet().stream()
-        .filter(id -> world.job(id).shape() != Shape.SERVICE && !world.users().isMistaken(id))
+        .filter(id -> world.job(id).kind() != JobKind.SERVICE && !world.users().isMistaken(id))
         .forEach(earlier::add);
     List<Pipelines.Step> steps = draws.draw(earlier);
     for (Pipelines.Step step : steps) {
--- a/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
@@ -18,10 +18,10 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.JobCodec;
 import org.quincecross.wire.Json;
@@ -44,8 +44,8 @@
         id,
         "pipeline",
         "batch",
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         tasks,
         new Resources(0.5, 0, 1),
         null,
@@ -55,9 +55,9 @@
         false,
         "img",
         0.2,
-        Span.ofSeconds(seconds),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(seconds),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null,
         Set.of(waitsOn));
   }
--- a/src/test/java/org/quincecross/emulator/PipelineRulesTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineRulesTest.java
@@ -8,10 +8,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Machine;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 /** Each rule of dependent jobs is fed what breaks it, and what just does not. */
 class PipelineRulesTest {
@@ -41,8 +41,8 @@
         id,
         "pipeline",
         "red",
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         tasks,
         new Resources(1, 0, 1),
         null,
@@ -52,9 +52,9 @@
         true,
         "img-0",
         1,
-        Span.ofSeconds(5),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(5),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null,
         Set.of(waitsOn));
   }
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -18,10 +18,10 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
@@ -180,7 +180,7 @@
             site,
             45,
             Meter.OFF,
-            new Features(Shares.DEFAULTS, Span.ofSeconds(30), Build.present("new", 2)));
+            new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
     watch(world, 120);
     Load load = new Load(world.around(), 45);
     world.time().at(10, () -> load.begin(10));
@@ -195,7 +195,7 @@
             Site.mixed(120),
             46,
             Meter.OFF,
-            new Features(Shares.DEFAULTS, Span.ofSeconds(30), Build.present("new", 2)));
+            new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
     watch(world, 120);
     Load load = new Load(world.around(), 46);
     world.time().at(10, () -> load.begin(10));
@@ -208,7 +208,7 @@
       int number = 900_000 + i;
       world.time().at(8 + 0.1 * i, () -> world.users().submit(array(world, number)));
     }
-    world.time().at(50, () -> world.users().submit(array(world, 998).waitingOn(predecessors)));
+    world.time().at(50, () -> world.users().submit(array(world, 998).withDependencies(predecessors)));
     world
         .time()
         .at(
@@ -230,7 +230,7 @@
    * The records of done tasks of a job of more than a chunk, which days this short do not write.
    */
   private void largeJob() {
-    TaskSet done = TaskSet.below(DoneTasks.CHUNK + 17);
+    TaskSet done = TaskSet.range(DoneTasks.CHUNK + 17);
     IntStream.range(1, 2000).forEach(i -> done.add(DoneTasks.CHUNK + 2 * i));
     for (int chunk = 0; chunk < 2; chunk++) {
       recorder.stored("q/done/job-5/" + chunk, DoneTasks.write(done, chunk));
@@ -242,8 +242,8 @@
         new JobId("job-" + number),
         "sync",
         world.site().teams().keySet().iterator().next(),
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         5,
         new Resources(1, 0, 1),
         Set.of("box-8"),
@@ -253,10 +253,10 @@
         true,
         "img-1",
         0.5,
-        Span.ofSeconds(20),
-        Span.ofSeconds(5),
-        Span.ofSeconds(1),
-        Span.ofSeconds(90),
+        TimeSpan.ofSeconds(20),
+        TimeSpan.ofSeconds(5),
+        TimeSpan.ofSeconds(1),
+        TimeSpan.ofSeconds(90),
         Set.of());
   }
 
--- a/src/test/java/org/quincecross/emulator/RequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RequestCasesTest.java
@@ -16,10 +16,10 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.requests.Request;
 import org.quincecross.rollout.Build;
 import org.quincecross.wire.BadMessage;
@@ -124,8 +124,8 @@
   private Job job(
       String lane,
       String team,
-      Shape shape,
-      Rank rank,
+      JobKind shape,
+      Priority rank,
       int tasks,
       double cpus,
       boolean saves,
@@ -142,12 +142,12 @@
         null,
         false,
         spread,
-        shape == Shape.ARRAY,
+        shape == JobKind.ARRAY,
         "img-" + lane,
         0.5,
-        Span.ofSeconds(shape == Shape.ARRAY ? 40 : 0),
-        saves ? Span.ofSeconds(10) : Span.ZERO,
-        saves ? Span.ofSeconds(0.8) : Span.ZERO,
+        TimeSpan.ofSeconds(shape == JobKind.ARRAY ? 40 : 0),
+        saves ? TimeSpan.ofSeconds(10) : TimeSpan.ZERO,
+        saves ? TimeSpan.ofSeconds(0.8) : TimeSpan.ZERO,
         null);
   }
 
@@ -177,9 +177,9 @@
     for (int i = 0; i < 8; i++) {
       world
           .users()
-          .submit(job("side", "batch", Shape.SERVICE, Rank.PRODUCTION, 10, 2, false, false));
-      world.users().submit(job("rebuild", "batch", Shape.ARRAY, Rank.HIGH, 60, 1, false, false));
-      world.users().submit(job("sweep", "batch", Shape.ARRAY, Rank.NORMAL, 60, 1, true, false));
+          .submit(job("side", "batch", JobKind.SERVICE, Priority.PRODUCTION, 10, 2, false, false));
+      world.users().submit(job("rebuild", "batch", JobKind.ARRAY, Priority.HIGH, 60, 1, false, false));
+      world.users().submit(job("sweep", "batch", JobKind.ARRAY, Priority.NORMAL, 60, 1, true, false));
     }
   }
 
@@ -248,7 +248,7 @@
     JobId front =
         world
             .users()
-            .submit(job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 24, 2, false, true));
+            .submit(job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 24, 2, false, true));
     double took = until(24, 60, front);
     System.err.println(
         "24 tasks of the lane run "
@@ -460,7 +460,7 @@
     JobId front =
         world
             .users()
-            .submit(job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 12, 2, false, true));
+            .submit(job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 12, 2, false, true));
     double took = until(12, 30, front);
     assertTrue(took < 8, on(front) + " tasks run after " + took + " s, " + watch.request("r-1"));
     assertSound();
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -17,10 +17,10 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.rollout.Build;
 import org.quincecross.wire.BadMessage;
@@ -407,8 +407,8 @@
             wide,
             "wide",
             "batch",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            Priority.NORMAL,
             400,
             new Resources(1, 0, 1),
             null,
@@ -418,9 +418,9 @@
             false,
             "w",
             0.5,
-            Span.ofSeconds(10),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(10),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     rollAll(6, 3, NEW);
     world.time().at(22, () -> world.users().submit(job));
--- a/src/test/java/org/quincecross/emulator/RulesTest.java
+++ b/src/test/java/org/quincecross/emulator/RulesTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 
 /** Each rule is fed what breaks it, and what does not. */
@@ -28,8 +28,8 @@
         id,
         "any",
         team,
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         1,
         new Resources(cpus, 0, 1),
         null,
@@ -39,9 +39,9 @@
         false,
         "img",
         0.5,
-        Span.ofSeconds(2),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(2),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.Settings;
 
 /**
@@ -40,8 +40,8 @@
               new JobId("job-" + (100 + i)),
               "other",
               "web",
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              Priority.NORMAL,
               6,
               new Resources(2, 0, 4),
               null,
@@ -51,9 +51,9 @@
               false,
               "other",
               0.5,
-              Span.ofSeconds(5),
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ofSeconds(5),
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null);
       others.add(other.id());
       world.time().at(10 + 10 * i, () -> world.users().submit(other));
--- a/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 
 /**
@@ -38,8 +38,8 @@
               new JobId("job-" + (30_000 + i)),
               "long",
               "batch",
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              Priority.NORMAL,
               60,
               new Resources(1, 0, 2),
               null,
@@ -49,9 +49,9 @@
               false,
               "long",
               0.5,
-              Span.ofSeconds(35 + 2 * i),
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ofSeconds(35 + 2 * i),
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null);
       world.time().at(26 + i * 0.1, () -> world.users().submit(job));
     }
--- a/src/test/java/org/quincecross/emulator/TrySiteTest.java
+++ b/src/test/java/org/quincecross/emulator/TrySiteTest.java
@@ -234,7 +234,7 @@
         List.of(List.of("job-1003"), List.of("job-1004"), List.of("job-1003")),
         due.stream()
             .filter(each -> each.job().jobClass().equals("next"))
-            .map(each -> each.job().waitsOn().stream().map(JobId::text).toList())
+            .map(each -> each.job().dependencies().stream().map(JobId::text).toList())
             .toList());
   }
 
--- a/src/test/java/org/quincecross/faults/FaultsTest.java
+++ b/src/test/java/org/quincecross/faults/FaultsTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /** Sick machines and jobs with a mistake, told from one another. */
 class FaultsTest {
   private static final int MACHINES = 11;
   private static final int JOBS = 30;
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime(Span.ofSeconds(seconds).nanos());
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime(TimeSpan.ofSeconds(seconds).nanos());
   }
 
   private static MachineId machine(int number) {
@@ -54,7 +54,7 @@
     Set<MachineId> found = new HashSet<>();
     Map<MachineId, Map<JobId, Double>> running = new HashMap<>();
     for (double now = 0; now < 120; now += 0.1) {
-      SteadyTime time = at(now);
+      MonotonicTime time = at(now);
       MachineId machine = machine(random.nextInt(MACHINES));
       JobId job = job(random.nextInt(JOBS));
       if (!found.contains(machine)
@@ -62,7 +62,7 @@
           && !evidence.isDeclined(job, time)
           && !(evidence.isDoubtful(job) && evidence.failedOn(job).contains(machine))) {
         if (sick.contains(machine) || mistaken.contains(job)) {
-          found.addAll(evidence.failed(machine, job, Span.ZERO, time));
+          found.addAll(evidence.failed(machine, job, TimeSpan.ZERO, time));
         } else {
           running.computeIfAbsent(machine, m -> new HashMap<>()).putIfAbsent(job, now);
         }
@@ -101,15 +101,15 @@
   void aMachineThatGoesOnRunningOthersIsNotSickForLong() {
     Evidence evidence = new Evidence();
     evidence.startedWell(machine(1), job(99), at(0), at(5));
-    assertEquals(Set.of(), evidence.failed(machine(1), job(1), Span.ZERO, at(10)));
-    assertEquals(Set.of(), evidence.failed(machine(1), job(2), Span.ZERO, at(10)));
-    assertEquals(Set.of(), evidence.failed(machine(2), job(1), Span.ZERO, at(11)));
-    assertEquals(Set.of(), evidence.failed(machine(2), job(2), Span.ZERO, at(11)));
-    assertEquals(Set.of(), evidence.failed(machine(1), job(3), Span.ZERO, at(12)));
+    assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(10)));
+    assertEquals(Set.of(), evidence.failed(machine(1), job(2), TimeSpan.ZERO, at(10)));
+    assertEquals(Set.of(), evidence.failed(machine(2), job(1), TimeSpan.ZERO, at(11)));
+    assertEquals(Set.of(), evidence.failed(machine(2), job(2), TimeSpan.ZERO, at(11)));
+    assertEquals(Set.of(), evidence.failed(machine(1), job(3), TimeSpan.ZERO, at(12)));
     evidence.startedWell(machine(1), job(5), at(13), at(18));
-    assertEquals(Set.of(), evidence.failed(machine(1), job(4), Span.ZERO, at(24)));
+    assertEquals(Set.of(), evidence.failed(machine(1), job(4), TimeSpan.ZERO, at(24)));
     assertFalse(evidence.isBad(job(1)));
-    evidence.failed(machine(3), job(1), Span.ZERO, at(25));
+    evidence.failed(machine(3), job(1), TimeSpan.ZERO, at(25));
     assertTrue(evidence.isBad(job(1)));
   }
 
@@ -120,8 +120,8 @@
   @Test
   void aJobThatRunsElsewhereSpeaksAgainstTheMachinesWhereItFailedBefore() {
     Evidence evidence = new Evidence();
-    assertEquals(Set.of(), evidence.failed(machine(1), job(1), Span.ZERO, at(0)));
-    assertEquals(Set.of(), evidence.failed(machine(1), job(1), Span.ZERO, at(1)));
+    assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(0)));
+    assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(1)));
     assertEquals(Set.of(machine(1)), evidence.startedWell(machine(2), job(1), at(2), at(7)));
   }
 
@@ -135,7 +135,7 @@
     for (int i = 0; i < 3; i++) {
       evidence.startedWell(machine(i), job(1), at(20 * i), at(20 * i + 6));
       assertEquals(
-          Set.of(), evidence.failed(machine(i), job(1), Span.ofSeconds(9), at(20 * i + 9)));
+          Set.of(), evidence.failed(machine(i), job(1), TimeSpan.ofSeconds(9), at(20 * i + 9)));
     }
     assertTrue(evidence.isBad(job(1)));
   }
--- a/src/test/java/org/quincecross/holds/HoldBooksTest.java
+++ b/src/test/java/org/quincecross/holds/HoldBooksTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 
 class HoldBooksTest {
@@ -29,8 +29,8 @@
         new JobId("job-" + number),
         lane,
         "team",
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         tasks,
         Resources.NONE,
         null,
@@ -40,9 +40,9 @@
         true,
         "image",
         0,
-        Span.ZERO,
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
@@ -68,12 +68,12 @@
       Map<String, List<Records>> lanes,
       Map<String, List<Records>> holds) {
     TaskSet withheld = new TaskSet();
-    for (int task = 0; task < job.tasks(); task++) {
+    for (int task = 0; task < job.taskCount(); task++) {
       List<Records> touched = new ArrayList<>();
       boolean known = false;
       for (List<Claim> page : claims.getOrDefault(job.id(), Map.of()).values()) {
         for (Claim claim : page) {
-          if (claim.tasks().has(task)) {
+          if (claim.tasks().contains(task)) {
             known = true;
             touched.addAll(claim.records());
           }
@@ -120,7 +120,7 @@
         }
         case 3 -> {
           TaskSet tasks = new TaskSet();
-          for (int task = 0; task < job.tasks(); task++) {
+          for (int task = 0; task < job.taskCount(); task++) {
             if (random.nextInt(3) == 0) {
               tasks.add(task);
             }
--- a/src/test/java/org/quincecross/leader/AllocationsTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationsTest.java
@@ -10,13 +10,13 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 import org.quincecross.rollout.Level;
 import org.quincecross.state.Allocation;
@@ -34,7 +34,7 @@
  * what is given back is taken out.
  */
 class AllocationsTest {
-  private static final BlockId BLOCK = new BlockId("b");
+  private static final ShardId BLOCK = new ShardId("b");
   private static final int LIMIT = 1000;
 
   private final Ledger ledger = new Ledger();
@@ -64,8 +64,8 @@
             id,
             "c",
             "t",
-            Shape.ARRAY,
-            Rank.LOW,
+            JobKind.ARRAY,
+            Priority.LOW,
             tasks,
             new Resources(1, 0, 1),
             null,
@@ -75,9 +75,9 @@
             false,
             "i",
             1,
-            Span.ZERO,
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null),
         0);
   }
@@ -93,7 +93,7 @@
       int count = 1 + random.nextInt(3);
       jobs.add(id);
       put(Keys.job(id), open(id, count));
-      tasks.put(id, TaskSet.below(count));
+      tasks.put(id, TaskSet.range(count));
     }
     put(Keys.allocation(BLOCK), Allocation.write(tasks));
     return jobs;
@@ -138,9 +138,9 @@
   private void end(JobId id, Random random) {
     if (random.nextBoolean()) {
       put(Keys.job(id), ledger.job(id).done());
-    } else if (ledger.job(id).job() != null && ledger.job(id).job().tasks() > 1) {
+    } else if (ledger.job(id).job() != null && ledger.job(id).job().taskCount() > 1) {
       TaskSet done = ledger.doneTasks(id);
-      done.add(random.nextInt(ledger.job(id).job().tasks() - 1));
+      done.add(random.nextInt(ledger.job(id).job().taskCount() - 1));
       put(Keys.page(Integer.parseInt(id.digits())), DoneTasks.writePage(Map.of(id, done)));
     }
   }
--- a/src/test/java/org/quincecross/leader/BooksTest.java
+++ b/src/test/java/org/quincecross/leader/BooksTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
@@ -23,12 +23,12 @@
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
@@ -59,8 +59,8 @@
         new JobId("job-" + number),
         "c",
         number % 2 == 0 ? "even" : "odd",
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         TASKS,
         new Resources(1 + number, 0, 1),
         null,
@@ -70,9 +70,9 @@
         true,
         "i",
         1,
-        Span.ZERO,
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null,
         number % 4 == 3
             ? Set.of(new JobId("job-" + (number - 1)), new JobId("job-" + (number - 3)))
@@ -87,14 +87,14 @@
   private static BlockLease lease(int block) {
     MemberRecord holder =
         new MemberRecord(
-            new MemberId("m"),
+            new ControllerId("m"),
             new Incarnation(1),
             "z",
             Build.BEFORE_LEVELS,
             Terms.NONE,
             new Revision(1));
     return BlockLease.first(
-        new BlockId("b" + block),
+        new ShardId("b" + block),
         holder,
         new Machine(
             new MachineId("m" + block), new Endpoint("10.0.0.1", 1), "t", "z" + block % 2, false));
@@ -130,7 +130,7 @@
         }
         case 1 ->
             put(
-                Keys.block(new BlockId("b" + block)),
+                Keys.block(new ShardId("b" + block)),
                 random.nextInt(4) == 0 ? null : lease(block).write());
         case 2, 3 -> {
           Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
@@ -138,7 +138,7 @@
             tasks.put(job(random.nextInt(JOBS)).id(), some(random));
           }
           put(
-              Keys.allocation(new BlockId("b" + block)),
+              Keys.allocation(new ShardId("b" + block)),
               random.nextInt(6) == 0 ? null : Allocation.write(tasks));
         }
         case 4 -> put(Keys.page(random.nextInt(2)), DoneTasks.writePage(Map.of(id, some(random))));
@@ -164,10 +164,10 @@
       TaskSet out = new TaskSet();
       Map<String, Integer> perZone = new TreeMap<>();
       for (int block = 0; block < BLOCKS; block++) {
-        BlockId at = new BlockId("b" + block);
+        ShardId at = new ShardId("b" + block);
         TaskSet there = ledger.allocation(at).tasks().getOrDefault(id, new TaskSet());
         for (int i = 0; i < TASKS; i++) {
-          if (there.has(i) && !ledger.isDone(id, i)) {
+          if (there.contains(i) && !ledger.isDone(id, i)) {
             out.add(i);
             if (ledger.blocks().containsKey(at)) {
               perZone.merge("z" + block % 2, 1, Integer::sum);
@@ -177,12 +177,12 @@
       }
       TaskSet pool = new TaskSet();
       boolean waits =
-          record.job().waitsOn().stream()
+          record.job().dependencies().stream()
               .anyMatch(
                   before ->
                       ledger.job(before) == null || ledger.job(before).phase() != JobPhase.DONE);
       for (int i = 0; record.phase() == JobPhase.OPEN && !waits && i < TASKS; i++) {
-        if (!out.has(i) && !ledger.isDone(id, i)) {
+        if (!out.contains(i) && !ledger.isDone(id, i)) {
           pool.add(i);
         }
       }
@@ -193,7 +193,7 @@
         waiting.add(id);
       }
       if (!out.isEmpty()) {
-        use.merge(record.job().team(), record.job().each().times(out.size()), Resources::plus);
+        use.merge(record.job().team(), record.job().taskResources().times(out.size()), Resources::plus);
       }
     }
     assertEquals(waiting, new HashSet<>(books.waiting()));
@@ -215,12 +215,12 @@
     for (int number = 0; number < 100; number++) {
       jobs.add(job(number));
       put(Keys.job(job(number).id()), JobRecord.open(job(number), 0));
-      tasks.put(job(number).id(), TaskSet.below(TASKS));
+      tasks.put(job(number).id(), TaskSet.range(TASKS));
     }
-    put(Keys.allocation(new BlockId("b0")), Allocation.write(tasks));
+    put(Keys.allocation(new ShardId("b0")), Allocation.write(tasks));
     books.teamUse();
     long before = books.counted();
-    put(Keys.page(0), DoneTasks.writePage(Map.of(jobs.get(5).id(), TaskSet.below(1))));
+    put(Keys.page(0), DoneTasks.writePage(Map.of(jobs.get(5).id(), TaskSet.range(1))));
     books.teamUse();
     assertEquals(1, books.counted() - before);
   }
--- a/src/test/java/org/quincecross/leader/FleetTest.java
+++ b/src/test/java/org/quincecross/leader/FleetTest.java
@@ -13,17 +13,17 @@
 import net.jqwik.api.Example;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerReport;
@@ -65,17 +65,17 @@
     private long order;
 
     @Override
-    public SteadyTime now() {
-      return new SteadyTime(now);
+    public MonotonicTime now() {
+      return new MonotonicTime(now);
     }
 
     @Override
-    public void after(Span delay, Runnable action) {
+    public void after(TimeSpan delay, Runnable action) {
       queue.add(new Due(now + delay.nanos(), order++, action));
     }
 
     void run(double seconds) {
-      long until = now + Span.ofSeconds(seconds).nanos();
+      long until = now + TimeSpan.ofSeconds(seconds).nanos();
       while (!queue.isEmpty() && queue.peek().at() <= until) {
         now = queue.peek().at();
         queue.poll().action().run();
@@ -88,7 +88,7 @@
     Endpoint here = new Endpoint("10.0.0.1", 1);
     Settings settings =
         new Settings(
-            new MemberId("n"),
+            new ControllerId("n"),
             "a",
             here,
             here,
@@ -99,14 +99,14 @@
             Map.of(),
             List.of(),
             new Settings.Workers(
-                Span.ofSeconds(1),
-                Span.ofSeconds(10),
-                Span.ofSeconds(30),
-                Span.ofSeconds(5),
-                Span.ofSeconds(40)),
+                TimeSpan.ofSeconds(1),
+                TimeSpan.ofSeconds(10),
+                TimeSpan.ofSeconds(30),
+                TimeSpan.ofSeconds(5),
+                TimeSpan.ofSeconds(40)),
             new Settings.StateLimits(100, 50, 4096, 8),
-            new Settings.CloudLimits(10, Span.ofSeconds(2)),
-            Span.ofSeconds(1),
+            new Settings.CloudLimits(10, TimeSpan.ofSeconds(2)),
+            TimeSpan.ofSeconds(1),
             new Settings.Quota(1, 100, 1000));
     fleet =
         new Fleet(
@@ -118,11 +118,11 @@
             () -> new Incarnation(1),
             () -> OperatorSettings.DEFAULTS);
     MachineType type =
-        new MachineType("t", SIZE, 50, 1, 1, 0.3, Span.ofSeconds(10), List.of("a", "b"));
+        new MachineType("t", SIZE, 50, 1, 1, 0.3, TimeSpan.ofSeconds(10), List.of("a", "b"));
     LedgerTool.put(ledger, Keys.type("t"), CloudCodec.writeCatalog(List.of(type)), 1);
     MemberRecord holder =
         new MemberRecord(
-            new MemberId("n"),
+            new ControllerId("n"),
             new Incarnation(1),
             "a",
             Build.BEFORE_LEVELS,
@@ -134,7 +134,7 @@
         Machine machine = new Machine(new MachineId("m-" + zone + i), here, "t", zone, true);
         block =
             block == null
-                ? BlockLease.first(new BlockId(zone), holder, machine)
+                ? BlockLease.first(new ShardId(zone), holder, machine)
                 : block.with(machine);
         hear(machine.id(), 0);
       }
@@ -145,7 +145,7 @@
       Machine machine = new Machine(new MachineId("o-" + i), here, "t", "b", false);
       ordinary =
           ordinary == null
-              ? BlockLease.first(new BlockId("o"), holder, machine)
+              ? BlockLease.first(new ShardId("o"), holder, machine)
               : ordinary.with(machine);
       hear(machine.id(), 0);
     }
@@ -157,7 +157,7 @@
   private void cloud(
       Endpoint to,
       HttpRequest request,
-      Span timeout,
+      TimeSpan timeout,
       java.util.function.Consumer<HttpOutcome> done) {
     List<Object> hosts = new ArrayList<>();
     states.keySet().stream()
@@ -183,7 +183,7 @@
       returned.add(new String(request.body(), StandardCharsets.UTF_8));
     }
     clock.after(
-        Span.ofMillis(1), () -> done.accept(HttpOutcome.answered(HttpResponse.of(200, body))));
+        TimeSpan.ofMillis(1), () -> done.accept(HttpOutcome.answered(HttpResponse.of(200, body))));
   }
 
   private void hear(MachineId machine, double silent) {
@@ -193,7 +193,7 @@
             machine,
             Resources.NONE,
             Resources.NONE,
-            Span.ofSeconds(silent),
+            TimeSpan.ofSeconds(silent),
             true,
             true,
             false,
--- a/src/test/java/org/quincecross/leader/LeasesTest.java
+++ b/src/test/java/org/quincecross/leader/LeasesTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
@@ -15,13 +15,13 @@
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.Token;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.StillClock;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
@@ -45,8 +45,8 @@
  * unanswered-start).
  */
 class LeasesTest {
-  private static final MemberId HOLDER = new MemberId("n");
-  private static final BlockId BLOCK = new BlockId("b");
+  private static final ControllerId HOLDER = new ControllerId("n");
+  private static final ShardId BLOCK = new ShardId("b");
   private static final Endpoint HERE = new Endpoint("10.0.0.1", 1);
 
   private final StillClock clock = new StillClock();
@@ -69,14 +69,14 @@
             Map.of(),
             List.of(),
             new Settings.Workers(
-                Span.ofSeconds(1),
-                Span.ofSeconds(10),
-                Span.ofSeconds(30),
-                Span.ofSeconds(5),
-                Span.ofSeconds(40)),
+                TimeSpan.ofSeconds(1),
+                TimeSpan.ofSeconds(10),
+                TimeSpan.ofSeconds(30),
+                TimeSpan.ofSeconds(5),
+                TimeSpan.ofSeconds(40)),
             new Settings.StateLimits(100, 50, 4096, 8),
-            new Settings.CloudLimits(10, Span.ofSeconds(2)),
-            Span.ofSeconds(1),
+            new Settings.CloudLimits(10, TimeSpan.ofSeconds(2)),
+            TimeSpan.ofSeconds(1),
             new Settings.Quota(1, 100, 1000));
     Foresight foresight = new Foresight(ledger);
     Fleet fleet =
@@ -118,7 +118,7 @@
     PeerReport.Block block =
         new PeerReport.Block(
             BLOCK,
-            new Token(2),
+            new FencingToken(2),
             Revision.NONE,
             inDoubt,
             Set.of(),
@@ -135,7 +135,7 @@
             0,
             Map.of(),
             Revision.NONE,
-            Span.ZERO,
+            TimeSpan.ZERO,
             List.of(block),
             List.of()),
         clock.now());
@@ -149,7 +149,7 @@
         new MachineId(id),
         Resources.NONE,
         Resources.NONE,
-        Span.ZERO,
+        TimeSpan.ZERO,
         true,
         fenced,
         false,
@@ -174,7 +174,7 @@
     LedgerTool.advance(ledger, 7);
     BlockLease lease = ledger.blocks().get(BLOCK);
     assertEquals(HOLDER, lease.holder());
-    assertTrue(lease.token().isAfter(new Token(2)), lease.toString());
+    assertTrue(lease.token().isAfter(new FencingToken(2)), lease.toString());
     assertEquals(
         List.of(),
         leases.plan(new TxnPlan(ledger, 8, 4000)).stream().toList(),
@@ -193,7 +193,7 @@
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
-                    "t", new Resources(8, 0, 32), 50, 1, 1, 1, Span.ofSeconds(5), List.of("a")))),
+                    "t", new Resources(8, 0, 32), 50, 1, 1, 1, TimeSpan.ofSeconds(5), List.of("a")))),
         3);
     JobId gang = new JobId("job-1");
     LedgerTool.put(
@@ -204,8 +204,8 @@
                 gang,
                 "c",
                 "t",
-                Shape.GANG,
-                Rank.NORMAL,
+                JobKind.GANG,
+                Priority.NORMAL,
                 100,
                 new Resources(8, 0, 1),
                 null,
@@ -215,9 +215,9 @@
                 false,
                 "i",
                 1,
-                Span.ZERO,
-                Span.ZERO,
-                Span.ZERO,
+                TimeSpan.ZERO,
+                TimeSpan.ZERO,
+                TimeSpan.ZERO,
                 null),
             0),
         4);
--- a/src/test/java/org/quincecross/leader/ResultsTest.java
+++ b/src/test/java/org/quincecross/leader/ResultsTest.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.net.StillClock;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
@@ -70,8 +70,8 @@
                 id,
                 "c",
                 "t",
-                Shape.ARRAY,
-                Rank.LOW,
+                JobKind.ARRAY,
+                Priority.LOW,
                 chunks * DoneTasks.CHUNK,
                 new Resources(1, 0, 1),
                 null,
@@ -81,9 +81,9 @@
                 false,
                 "i",
                 1,
-                Span.ZERO,
-                Span.ZERO,
-                Span.ZERO,
+                TimeSpan.ZERO,
+                TimeSpan.ZERO,
+                TimeSpan.ZERO,
                 null),
             0));
     for (int chunk = 0; chunk < chunks; chunk++) {
@@ -99,17 +99,17 @@
     }
     views.take(
         new PeerReport(
-            new MemberId("n"),
+            new ControllerId("n"),
             new Incarnation(1),
             1,
             0,
             Map.of(),
             Revision.NONE,
-            Span.ZERO,
+            TimeSpan.ZERO,
             List.of(
                 new PeerReport.Block(
-                    new BlockId("b"),
-                    new Token(1),
+                    new ShardId("b"),
+                    new FencingToken(1),
                     Revision.NONE,
                     false,
                     Set.of(),
@@ -155,8 +155,8 @@
                   id,
                   "c",
                   "t",
-                  Shape.ARRAY,
-                  Rank.LOW,
+                  JobKind.ARRAY,
+                  Priority.LOW,
                   9,
                   new Resources(1, 0, 1),
                   null,
@@ -166,28 +166,28 @@
                   false,
                   "i",
                   1,
-                  Span.ZERO,
-                  Span.ZERO,
-                  Span.ZERO,
+                  TimeSpan.ZERO,
+                  TimeSpan.ZERO,
+                  TimeSpan.ZERO,
                   null),
               0));
-      page.put(id, TaskSet.below(1 + i % 3));
+      page.put(id, TaskSet.range(1 + i % 3));
       completed.add(id.task(5));
     }
     put(Keys.page(0), DoneTasks.writePage(page));
     views.take(
         new PeerReport(
-            new MemberId("n"),
+            new ControllerId("n"),
             new Incarnation(1),
             1,
             0,
             Map.of(),
             Revision.NONE,
-            Span.ZERO,
+            TimeSpan.ZERO,
             List.of(
                 new PeerReport.Block(
-                    new BlockId("b"),
-                    new Token(1),
+                    new ShardId("b"),
+                    new FencingToken(1),
                     Revision.NONE,
                     false,
                     Set.of(),
--- a/src/test/java/org/quincecross/leader/TxnBoundsTest.java
+++ b/src/test/java/org/quincecross/leader/TxnBoundsTest.java
@@ -8,8 +8,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.Ledger;
 import org.quincecross.wire.Json;
 import org.quincecross.wire.Settings;
@@ -34,10 +34,10 @@
       waiting.put(
           (char) ('a' + i) + "", Json.object("v", "x".repeat(i < tooLarge ? takesValue + 1 : 500)));
     }
-    SteadyTime now = SteadyTime.ZERO;
+    MonotonicTime now = MonotonicTime.ZERO;
     int refusals = 0;
     for (int step = 0; step < 100 && waiting.size() > tooLarge; step++) {
-      now = now.plus(Span.ofMillis(100));
+      now = now.plus(TimeSpan.ofMillis(100));
       TxnPlan plan = bounds.plan(ledger, bounds.changes(), now);
       waiting.forEach(plan::put);
       boolean taken =
--- a/src/test/java/org/quincecross/leader/TypeRecordsTest.java
+++ b/src/test/java/org/quincecross/leader/TypeRecordsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.Ledger;
 
 /**
@@ -19,8 +19,8 @@
  * written.
  */
 class TypeRecordsTest {
-  private static SteadyTime at(double seconds) {
-    return SteadyTime.ZERO.plus(Span.ofSeconds(seconds));
+  private static MonotonicTime at(double seconds) {
+    return MonotonicTime.ZERO.plus(TimeSpan.ofSeconds(seconds));
   }
 
   @Test
@@ -39,7 +39,7 @@
                           1,
                           1,
                           0.5,
-                          Span.ofSeconds(30),
+                          TimeSpan.ofSeconds(30),
                           List.of("a")))
               .toList();
       TypeRecords types = new TypeRecords(new Ledger());
@@ -68,7 +68,7 @@
                         1,
                         1,
                         0.5,
-                        Span.ofSeconds(30),
+                        TimeSpan.ofSeconds(30),
                         List.of("a")))
             .toList();
     TypeRecords types = new TypeRecords(new Ledger());
--- a/src/test/java/org/quincecross/model/TaskSetTest.java
+++ b/src/test/java/org/quincecross/model/TaskSetTest.java
@@ -28,9 +28,9 @@
     TreeSet<Integer> plain = new TreeSet<>();
     for (int step = 0; step < 40; step++) {
       int index = random.nextInt(300);
-      TaskSet other = TaskSet.below(random.nextInt(200));
+      TaskSet other = TaskSet.range(random.nextInt(200));
       TreeSet<Integer> otherPlain = new TreeSet<>();
-      for (int i = other.next(0); i >= 0; i = other.next(i + 1)) {
+      for (int i = other.nextMember(0); i >= 0; i = other.nextMember(i + 1)) {
         otherPlain.add(i);
       }
       switch (random.nextInt(4)) {
@@ -52,10 +52,10 @@
           }
         }
       }
-      assertEquals(plain.contains(index), set.has(index));
+      assertEquals(plain.contains(index), set.contains(index));
       assertEquals(plain.size(), set.size());
-      assertEquals(plain.ceiling(index) == null ? -1 : plain.ceiling(index), set.next(index));
-      assertEquals(plain.stream().filter(otherPlain::contains).count(), set.common(other));
+      assertEquals(plain.ceiling(index) == null ? -1 : plain.ceiling(index), set.nextMember(index));
+      assertEquals(plain.stream().filter(otherPlain::contains).count(), set.intersectionSize(other));
       assertEquals(set.toString().length(), set.textLength());
       assertEquals(set, TaskSet.parse(set.toString(), 300));
       assertEquals(set.hashCode(), TaskSet.parse(set.toString(), 300).hashCode());
--- a/src/test/java/org/quincecross/models/DecisionsTest.java
+++ b/src/test/java/org/quincecross/models/DecisionsTest.java
@@ -21,22 +21,22 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * What is decided of models: places, numbers of replicas, who gives way, what demand says; and that
  * records are read as written.
  */
 class DecisionsTest {
-  private static final Model.Terms TERMS = new Model.Terms(1, 6, 10, Span.ofSeconds(100), 0);
+  private static final Model.Terms TERMS = new Model.Terms(1, 6, 10, TimeSpan.ofSeconds(100), 0);
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime((long) (seconds * 1e9));
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime((long) (seconds * 1e9));
   }
 
   private static Job job(double cpus, double gb, boolean oneZone, boolean spread) {
@@ -44,8 +44,8 @@
         new JobId("job-7"),
         "c",
         "t",
-        Shape.SERVICE,
-        Rank.PRODUCTION,
+        JobKind.SERVICE,
+        Priority.PRODUCTION,
         6,
         new Resources(cpus, 0, 1),
         null,
@@ -55,9 +55,9 @@
         true,
         "w",
         gb,
-        Span.ZERO,
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
@@ -112,17 +112,17 @@
         });
     for (Weights.Candidate machine : machines) {
       assertTrue(
-          job.each().times(on.getOrDefault(machine.machine(), 0)).fitsIn(machine.soon()),
+          job.taskResources().times(on.getOrDefault(machine.machine(), 0)).fitsIn(machine.soon()),
           machine.toString());
     }
     assertTrue(!oneZone || zones.size() <= 1);
-    zones.values().forEach(count -> assertTrue(count <= job.mostInOneZone()));
-    boolean anyFree = machines.stream().anyMatch(machine -> job.each().fitsIn(machine.free()));
+    zones.values().forEach(count -> assertTrue(count <= job.maxTasksPerZone()));
+    boolean anyFree = machines.stream().anyMatch(machine -> job.taskResources().fitsIn(machine.free()));
     assertTrue(!anyFree || !choices.isEmpty());
     if (!choices.isEmpty() && anyFree) {
       double best =
           machines.stream()
-              .filter(machine -> job.each().fitsIn(machine.free()))
+              .filter(machine -> job.taskResources().fitsIn(machine.free()))
               .mapToDouble(
                   machine ->
                       Weights.readyS(job.image(), job.imageGb(), machine)
@@ -229,15 +229,15 @@
   void whoGivesWay() {
     Yielding yielding = new Yielding();
     Yielding.Idle dear =
-        new Yielding.Idle("dear", Span.ofSeconds(300), Span.ofSeconds(900), 200, true);
+        new Yielding.Idle("dear", TimeSpan.ofSeconds(300), TimeSpan.ofSeconds(900), 200, true);
     Yielding.Idle cheap =
-        new Yielding.Idle("cheap", Span.ofSeconds(300), Span.ofSeconds(900), 20, true);
+        new Yielding.Idle("cheap", TimeSpan.ofSeconds(300), TimeSpan.ofSeconds(900), 20, true);
     Yielding.Idle fresh =
-        new Yielding.Idle("fresh", Span.ofSeconds(5), Span.ofSeconds(900), 1, true);
+        new Yielding.Idle("fresh", TimeSpan.ofSeconds(5), TimeSpan.ofSeconds(900), 1, true);
     Yielding.Idle young =
-        new Yielding.Idle("young", Span.ofSeconds(30), Span.ofSeconds(30), 1, true);
+        new Yielding.Idle("young", TimeSpan.ofSeconds(30), TimeSpan.ofSeconds(30), 1, true);
     Yielding.Idle elsewhere =
-        new Yielding.Idle("elsewhere", Span.ofSeconds(900), Span.ofSeconds(900), 1, false);
+        new Yielding.Idle("elsewhere", TimeSpan.ofSeconds(900), TimeSpan.ofSeconds(900), 1, false);
     List<Yielding.Idle> all = List.of(dear, cheap, fresh, young, elsewhere);
     assertEquals(cheap, yielding.choose(all, at(0)));
     assertNull(yielding.choose(List.of(fresh, young, elsewhere), at(0)));
@@ -254,20 +254,20 @@
    */
   @Test
   void demandOfAll() {
-    MemberId a = new MemberId("a");
-    MemberId b = new MemberId("b");
+    ControllerId a = new ControllerId("a");
+    ControllerId b = new ControllerId("b");
     DemandSum sum = new DemandSum();
     sum.told(
         a,
         new Incarnation(1),
-        Map.of("m", new DemandSum.Told(3, Span.ZERO)),
-        Span.ofSeconds(500),
+        Map.of("m", new DemandSum.Told(3, TimeSpan.ZERO)),
+        TimeSpan.ofSeconds(500),
         at(0));
     assertNull(sum.quiet("m", Set.of(a, b), at(1)));
-    sum.told(b, new Incarnation(2), Map.of(), Span.ofSeconds(400), at(0));
+    sum.told(b, new Incarnation(2), Map.of(), TimeSpan.ofSeconds(400), at(0));
     assertEquals(3, sum.inFlight("m"));
     assertEquals(
-        Span.ZERO, sum.quiet("m", Set.of(a, b), at(100)), "what was in flight may be so still");
+        TimeSpan.ZERO, sum.quiet("m", Set.of(a, b), at(100)), "what was in flight may be so still");
     assertEquals(
         409.98,
         sum.quiet("other", Set.of(a, b), at(10)).seconds(),
--- a/src/test/java/org/quincecross/models/ModelMachineTest.java
+++ b/src/test/java/org/quincecross/models/ModelMachineTest.java
@@ -18,7 +18,7 @@
 import org.quincecross.agreed.Step;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.models.Model.Phase;
 
 /**
@@ -53,7 +53,7 @@
     private Model record =
         new Model(
             new JobId("job-1"),
-            new Model.Terms(1, 1, 1, Span.ofSeconds(60), 0),
+            new Model.Terms(1, 1, 1, TimeSpan.ofSeconds(60), 0),
             Phase.ZERO,
             1,
             0,
@@ -259,7 +259,7 @@
     if (state.allocated != machine || state.released) {
       return;
     }
-    if (view.withheld(1).has(0)) {
+    if (view.withheld(1).contains(0)) {
       go(
           state,
           true,
--- a/src/test/java/org/quincecross/net/HttpClientTest.java
+++ b/src/test/java/org/quincecross/net/HttpClientTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A host that falls silent on the connections that stand, and answers on new ones: real sockets.
@@ -93,20 +93,20 @@
       client.call(
           host,
           HttpRequest.get("/x"),
-          Span.ofSeconds(5),
+          TimeSpan.ofSeconds(5),
           first -> {
             seen.append(first.status()).append(' ');
             if (seen.length() == 12) {
               client.call(
                   host,
                   HttpRequest.get("/x"),
-                  Span.ofSeconds(0.2),
+                  TimeSpan.ofSeconds(0.2),
                   silent -> {
                     seen.append(silent.status()).append(' ');
                     client.call(
                         host,
                         HttpRequest.get("/x"),
-                        Span.ofSeconds(0.2),
+                        TimeSpan.ofSeconds(0.2),
                         next -> outcomes.complete(seen.toString() + next.status()));
                   });
             }
--- a/src/test/java/org/quincecross/net/HttpServerTest.java
+++ b/src/test/java/org/quincecross/net/HttpServerTest.java
@@ -196,7 +196,7 @@
         System.nanoTime() - begun < 2_000_000_000L,
         "refused after " + (System.nanoTime() - begun) / 1e9 + " s");
     loop.after(
-        org.quincecross.model.Span.ZERO,
+        org.quincecross.model.TimeSpan.ZERO,
         () -> held.forEach(reply -> reply.accept(HttpResponse.of(200))));
     ask(connect(), UP); // wakes the loop; refused or not
     for (Socket socket : waiting) {
--- a/src/test/java/org/quincecross/net/SteppedClock.java
+++ b/src/test/java/org/quincecross/net/SteppedClock.java
@@ -2,8 +2,8 @@
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /** A clock that a test moves by hand, with timers that go off as it passes them. */
 public final class SteppedClock implements Timers {
@@ -15,7 +15,7 @@
   private long order;
 
   public void advance(double seconds) {
-    long until = nanos + Span.ofSeconds(seconds).nanos();
+    long until = nanos + TimeSpan.ofSeconds(seconds).nanos();
     while (!due.isEmpty() && due.peek().at() <= until) {
       Due next = due.poll();
       nanos = Math.max(nanos, next.at());
@@ -25,12 +25,12 @@
   }
 
   @Override
-  public SteadyTime now() {
-    return new SteadyTime(nanos);
+  public MonotonicTime now() {
+    return new MonotonicTime(nanos);
   }
 
   @Override
-  public void after(Span delay, Runnable action) {
+  public void after(TimeSpan delay, Runnable action) {
     due.add(new Due(nanos + delay.nanos(), order++, action));
   }
 }
--- a/src/test/java/org/quincecross/net/StillClock.java
+++ b/src/test/java/org/quincecross/net/StillClock.java
@@ -1,7 +1,7 @@
 package org.quincecross.net;
 
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /** A clock that a test moves by hand, for what asks for the time alone. */
 public final class StillClock implements Timers {
@@ -12,16 +12,16 @@
   }
 
   public void advance(double seconds) {
-    nanos += Span.ofSeconds(seconds).nanos();
+    nanos += TimeSpan.ofSeconds(seconds).nanos();
   }
 
   @Override
-  public SteadyTime now() {
-    return new SteadyTime(nanos);
+  public MonotonicTime now() {
+    return new MonotonicTime(nanos);
   }
 
   @Override
-  public void after(Span delay, Runnable action) {
+  public void after(TimeSpan delay, Runnable action) {
     throw new UnsupportedOperationException();
   }
 }
--- a/src/test/java/org/quincecross/overload/BeginningsTest.java
+++ b/src/test/java/org/quincecross/overload/BeginningsTest.java
@@ -13,14 +13,14 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
 import org.quincecross.sched.Admission;
@@ -51,7 +51,7 @@
       this.job = job;
       this.submitted = submitted;
       this.runS = runS;
-      this.pool = TaskSet.below(job.tasks());
+      this.pool = TaskSet.range(job.taskCount());
     }
   }
 
@@ -64,7 +64,7 @@
   private int number = 1000;
 
   private void submit(
-      String team, Shape shape, Rank rank, int tasks, double cpus, double runS, int now) {
+      String team, JobKind shape, Priority rank, int tasks, double cpus, double runS, int now) {
     JobId id = new JobId("job-" + number++);
     jobs.put(
         id,
@@ -84,9 +84,9 @@
                 false,
                 "i",
                 1,
-                Span.ofSeconds(runS),
-                Span.ZERO,
-                Span.ZERO,
+                TimeSpan.ofSeconds(runS),
+                TimeSpan.ZERO,
+                TimeSpan.ZERO,
                 null),
             now,
             runS));
@@ -113,7 +113,7 @@
       }
       Admission.Block block =
           new Admission.Block(
-              new BlockId(name), "m", "z", false, BLOCK, machines, machines, Map.of(), 100_000);
+              new ShardId(name), "m", "z", false, BLOCK, machines, machines, Map.of(), 100_000);
       queued.get(name).forEach(each -> block.count(each.job, 1, 1, false));
       running.get(name).forEach(each -> block.count(each.getKey().job, 1, 1, false));
       blocks.add(block);
@@ -121,18 +121,18 @@
     Map<String, Resources> use = new HashMap<>();
     List<Beginnings.Waiting> waiting = new ArrayList<>();
     for (Play each : jobs.values()) {
-      use.merge(each.job.team(), each.job.each().times(each.out), Resources::plus);
+      use.merge(each.job.team(), each.job.taskResources().times(each.out), Resources::plus);
       if (!each.pool.isEmpty()) {
         waiting.add(
             new Beginnings.Waiting(
                 each.job.id(),
                 new Revision(each.submitted),
                 now - each.submitted,
-                each.job.tasksToBegin(),
+                each.job.startQuorum(),
                 each.ran,
                 each.given,
-                each.job.each().cpus() / (3 * BLOCK.cpus()),
-                each.job.shape() == Shape.GANG));
+                each.job.taskResources().cpus() / (3 * BLOCK.cpus()),
+                each.job.kind() == JobKind.GANG));
       }
     }
     Map<JobId, Integer> begin = beginnings.look(waiting, 30);
@@ -149,7 +149,7 @@
                   play.pool.copy(),
                   Map.of(),
                   Admission.Place.IN_ORDER,
-                  play.job.size())
+                  play.job.estimatedDemand())
               .with(begin.getOrDefault(each.id(), 0), Admission.Place.BEGINNING));
     }
     new Admission(blocks, teams, use, Map.of()).run(demands);
@@ -170,27 +170,27 @@
     for (String name : queued.keySet()) {
       List<Play> queue = queued.get(name);
       queue.sort(
-          Comparator.comparing((Play each) -> each.job.rank())
+          Comparator.comparing((Play each) -> each.job.priority())
               .reversed()
               .thenComparing(each -> each.submitted));
       double free = BLOCK.cpus();
       for (Map.Entry<Play, Double> each : running.get(name)) {
-        free -= each.getKey().job.each().cpus();
+        free -= each.getKey().job.taskResources().cpus();
       }
       for (Play each : List.copyOf(queue)) {
-        if (each.job.each().cpus() <= free) {
+        if (each.job.taskResources().cpus() <= free) {
           queue.remove(each);
-          free -= each.job.each().cpus();
+          free -= each.job.taskResources().cpus();
           running.get(name).add(Map.entry(each, now + each.runS));
           each.ran++;
-          each.begun = each.begun < 0 && each.ran >= each.job.tasksToBegin() ? now : each.begun;
+          each.begun = each.begun < 0 && each.ran >= each.job.startQuorum() ? now : each.begun;
         }
       }
     }
     jobs.values()
         .removeIf(
             each ->
-                each.pool.isEmpty() && each.out == 0 && each.begun >= 0 && each.job.tasks() < 3);
+                each.pool.isEmpty() && each.out == 0 && each.begun >= 0 && each.job.taskCount() < 3);
   }
 
   @Property(tries = 8, seed = "5")
@@ -214,8 +214,8 @@
       for (int i = 0; i < 12 && jobs.size() < 120; i++) {
         submit(
             "loud",
-            Shape.ARRAY,
-            random.nextBoolean() ? Rank.NORMAL : Rank.HIGH,
+            JobKind.ARRAY,
+            random.nextBoolean() ? Priority.NORMAL : Priority.HIGH,
             1,
             1 + random.nextInt(2),
             8 + random.nextInt(15),
@@ -223,8 +223,8 @@
       }
       submit(
           "tight",
-          Shape.ARRAY,
-          Rank.NORMAL,
+          JobKind.ARRAY,
+          Priority.NORMAL,
           jobs.size() < 140 ? 2 : 1,
           1 + random.nextInt(2),
           10 + random.nextInt(20),
@@ -236,8 +236,8 @@
         boolean tight = random.nextInt(3) == 0;
         submit(
             tight ? "tight" : "loud",
-            gang ? Shape.GANG : Shape.ARRAY,
-            random.nextBoolean() ? Rank.LOW : Rank.NORMAL,
+            gang ? JobKind.GANG : JobKind.ARRAY,
+            random.nextBoolean() ? Priority.LOW : Priority.NORMAL,
             gang ? 3 : 10 + random.nextInt(90),
             gang ? 8 : 1 + random.nextInt(tight ? 2 : 8),
             10 + random.nextInt(30),
@@ -246,7 +246,7 @@
       second(now, beginnings, teams);
       for (Play each : jobs.values()) {
         assertTrue(
-            each.begun >= 0 || now - each.submitted <= BOUND_S || each.job.tasks() < 3,
+            each.begun >= 0 || now - each.submitted <= BOUND_S || each.job.taskCount() < 3,
             each.job + " after " + (now - each.submitted));
       }
     }
--- a/src/test/java/org/quincecross/overload/InTimeTest.java
+++ b/src/test/java/org/quincecross/overload/InTimeTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
 
 class InTimeTest {
@@ -23,7 +23,7 @@
     return new Claim(
         new JobId("job-" + number),
         new Claim.Group("t", "c"),
-        Rank.NORMAL,
+        Priority.NORMAL,
         false,
         new Revision(number),
         1,
--- a/src/test/java/org/quincecross/overload/OverloadTest.java
+++ b/src/test/java/org/quincecross/overload/OverloadTest.java
@@ -12,21 +12,21 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.MonotonicTime;
 
 class OverloadTest {
   private static final Shares SHARES = new Shares(1, 0, 0.1, 0.1);
   private final Overload overload = new Overload(SHARES);
   private double now = 100;
 
-  private SteadyTime time() {
-    return new SteadyTime((long) (now * 1e9));
+  private MonotonicTime time() {
+    return new MonotonicTime((long) (now * 1e9));
   }
 
   private static Claim claim(
-      int number, String team, Rank rank, int tasks, double ageS, double leftS) {
+      int number, String team, Priority rank, int tasks, double ageS, double leftS) {
     return new Claim(
         new JobId("job-" + number),
         new Claim.Group(team, "c"),
@@ -52,8 +52,8 @@
    */
   @Example
   void statesWithHysteresis() {
-    List<Claim> much = List.of(claim(1, "t", Rank.NORMAL, 200, 0, 50));
-    List<Claim> little = List.of(claim(1, "t", Rank.NORMAL, 10, 0, 50));
+    List<Claim> much = List.of(claim(1, "t", Priority.NORMAL, 200, 0, 50));
+    List<Claim> little = List.of(claim(1, "t", Priority.NORMAL, 10, 0, 50));
     look(little, 1);
     assertEquals(Overload.State.CALM, overload.state());
     look(much, 1);
@@ -87,12 +87,12 @@
     Map<Integer, Claim> waiting = new HashMap<>();
     Map<String, Double> done = new HashMap<>();
     int number = 10;
-    waiting.put(1, claim(1, "low", Rank.LOW, 10_000, offset, 50));
-    waiting.put(2, claim(2, "busy", Rank.NORMAL, 10_000, offset, 50));
+    waiting.put(1, claim(1, "low", Priority.LOW, 10_000, offset, 50));
+    waiting.put(2, claim(2, "busy", Priority.NORMAL, 10_000, offset, 50));
     double seconds = 600;
     for (int second = 0; second < seconds; second++) {
       for (int i = 0; i < 2; i++) {
-        waiting.put(++number, claim(number, "busy", Rank.NORMAL, 1, 0, 40));
+        waiting.put(++number, claim(number, "busy", Priority.NORMAL, 1, 0, 40));
       }
       List<Claim> claims = new ArrayList<>();
       for (Map.Entry<Integer, Claim> each : waiting.entrySet()) {
@@ -167,15 +167,15 @@
   void whatWaitedUnderAnotherLeaderIsNotYoungAgain() {
     List<Claim> claims = new ArrayList<>();
     for (int i = 10; i < 200; i++) {
-      claims.add(claim(i, "busy", Rank.NORMAL, 1, 1, 60));
+      claims.add(claim(i, "busy", Priority.NORMAL, 1, 1, 60));
     }
-    claims.add(claim(1, "low", Rank.LOW, 50, 300, -200));
+    claims.add(claim(1, "low", Priority.LOW, 50, 300, -200));
     look(claims, 0);
     look(claims, 4);
     Verdict old = look(claims, 0.1).get(new JobId("job-1"));
     assertTrue(old.turn() > 0);
     Overload other = new Overload(SHARES);
-    claims.set(claims.size() - 1, claim(1, "low", Rank.LOW, 50, 0, 60));
+    claims.set(claims.size() - 1, claim(1, "low", Priority.LOW, 50, 0, 60));
     other.look(claims, time());
     now += 4;
     other.look(claims, time());
--- a/src/test/java/org/quincecross/peer/PeerCodecTest.java
+++ b/src/test/java/org/quincecross/peer/PeerCodecTest.java
@@ -13,16 +13,16 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.Token;
+import org.quincecross.model.FencingToken;
 import org.quincecross.wire.BadMessage;
 
 class PeerCodecTest {
@@ -49,7 +49,7 @@
                         new MachineId(name),
                         new Resources(free, 0, free),
                         new Resources(0, free, 1),
-                        new Span(silent),
+                        new TimeSpan(silent),
                         !flag,
                         flag,
                         !flag,
@@ -65,8 +65,8 @@
             .as(
                 (name, token, completed, released, job, states) ->
                     new PeerReport.Block(
-                        new BlockId(name),
-                        new Token(token),
+                        new ShardId(name),
+                        new FencingToken(token),
                         new Revision(token),
                         token % 3 == 0,
                         token % 5 == 0 ? Set.of(job) : Set.of(),
@@ -83,15 +83,15 @@
         .as(
             (name, number, list, strays) ->
                 new PeerReport(
-                    new MemberId(name),
+                    new ControllerId(name),
                     new Incarnation(number),
                     number,
                     number / 2,
                     Map.of(
-                        new MemberId(name),
+                        new ControllerId(name),
                         new PeerReport.Receipt(new Incarnation(number), number, true)),
                     new Revision(number),
-                    new Span(number),
+                    new TimeSpan(number),
                     list,
                     strays));
   }
--- a/src/test/java/org/quincecross/peer/PeerViewsTest.java
+++ b/src/test/java/org/quincecross/peer/PeerViewsTest.java
@@ -14,19 +14,19 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
-import org.quincecross.model.Token;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.FencingToken;
 
 class PeerViewsTest {
-  private static final MemberId SENDER = new MemberId("a");
-  private static final SteadyTime NOW = new SteadyTime(1);
+  private static final ControllerId SENDER = new ControllerId("a");
+  private static final MonotonicTime NOW = new MonotonicTime(1);
 
   /**
    * A sender whose blocks change at random, and that tells what has changed since the report it
@@ -67,8 +67,8 @@
             if (!states.isEmpty()) {
               changed.add(
                   new PeerReport.Block(
-                      new BlockId("b" + id),
-                      new Token(1),
+                      new ShardId("b" + id),
+                      new FencingToken(1),
                       new Revision(1),
                       false,
                       Set.of(),
@@ -87,7 +87,7 @@
               base,
               Map.of(),
               new Revision(number),
-              Span.ZERO,
+              TimeSpan.ZERO,
               changed,
               List.of());
       base = number;
@@ -107,7 +107,7 @@
         new MachineId("m" + name),
         Resources.NONE,
         Resources.NONE,
-        Span.ZERO,
+        TimeSpan.ZERO,
         true,
         true,
         false,
@@ -123,7 +123,7 @@
     Map<Integer, Map<Integer, Integer>> seen = new TreeMap<>();
     for (int block = 0; block < 3; block++) {
       Map<Integer, Integer> machines = new TreeMap<>();
-      PeerViews.BlockView view = views.of(SENDER).blocks().get(new BlockId("b" + block));
+      PeerViews.BlockView view = views.of(SENDER).blocks().get(new ShardId("b" + block));
       if (view != null) {
         view.machines()
             .forEach(
@@ -177,8 +177,8 @@
     PeerViews views = new PeerViews();
     PeerReport.Block block =
         new PeerReport.Block(
-            new BlockId("b0"),
-            new Token(1),
+            new ShardId("b0"),
+            new FencingToken(1),
             new Revision(1),
             false,
             Set.of(),
@@ -196,7 +196,7 @@
                 6,
                 Map.of(),
                 Revision.NONE,
-                Span.ZERO,
+                TimeSpan.ZERO,
                 List.of(block),
                 List.of()),
             NOW));
@@ -218,11 +218,11 @@
               i - 1,
               Map.of(),
               Revision.NONE,
-              Span.ZERO,
+              TimeSpan.ZERO,
               List.of(
                   new PeerReport.Block(
-                      new BlockId("b0"),
-                      new Token(1),
+                      new ShardId("b0"),
+                      new FencingToken(1),
                       new Revision(1),
                       false,
                       Set.of(),
@@ -233,7 +233,7 @@
                       List.of(machine(i, i)))),
               List.of()),
           NOW);
-      assertEquals(expected, views.of(SENDER).blocks().get(new BlockId("b0")).machines());
+      assertEquals(expected, views.of(SENDER).blocks().get(new ShardId("b0")).machines());
     }
   }
 }
--- a/src/test/java/org/quincecross/pipeline/UrgenciesTest.java
+++ b/src/test/java/org/quincecross/pipeline/UrgenciesTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
 
 class UrgenciesTest {
@@ -54,13 +54,13 @@
   }
 
   private Urgencies.Urgency recount(JobId id) {
-    Rank rank = asked.get(id).rank();
+    Priority rank = asked.get(id).rank();
     long endBy = asked.get(id).endByMs();
     for (JobId other : asked.keySet()) {
       if (open(other) != null && waitsOn.get(other).contains(id)) {
         Urgencies.Urgency its = recount(other);
-        Rank inherits = its.rank() == Rank.PRODUCTION ? Rank.HIGH : its.rank();
-        rank = inherits.isAbove(rank) ? inherits : rank;
+        Priority inherits = its.rank() == Priority.PRODUCTION ? Priority.HIGH : its.rank();
+        rank = inherits.isHigherThan(rank) ? inherits : rank;
         endBy =
             its.endByMs() == Urgencies.NEVER
                 ? endBy
@@ -96,7 +96,7 @@
         asked.put(
             id,
             new Urgencies.Own(
-                Rank.values()[random.nextInt(4)],
+                Priority.values()[random.nextInt(4)],
                 random.nextBoolean() ? Urgencies.NEVER : 1000 + random.nextInt(1000),
                 random.nextInt(300)));
         changed = put(id, JobPhase.OPEN, after);
@@ -131,14 +131,14 @@
       asked.put(
           job(i),
           new Urgencies.Own(
-              i == length - 1 ? Rank.HIGH : Rank.LOW,
+              i == length - 1 ? Priority.HIGH : Priority.LOW,
               i == length - 1 ? 1_000_000 : Urgencies.NEVER,
               10));
       Set<JobId> changed = put(job(i), JobPhase.OPEN, waitsOn.get(job(i)));
       assertEquals(i == length - 1 ? length - 1 : 0, changed.size());
     }
     assertEquals(
-        new Urgencies.Urgency(Rank.HIGH, 1_000_000 - 10L * (length - 1)),
+        new Urgencies.Urgency(Priority.HIGH, 1_000_000 - 10L * (length - 1)),
         urgencies.inherited(job(0)));
   }
 }
--- a/src/test/java/org/quincecross/progress/ProgressWatchTest.java
+++ b/src/test/java/org/quincecross/progress/ProgressWatchTest.java
@@ -8,8 +8,8 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 class ProgressWatchTest {
   private static final JobId JOB = new JobId("job-1");
@@ -56,10 +56,10 @@
 
   private static ProgressWatch.Standing standing(boolean service, int done, int running) {
     return new ProgressWatch.Standing(
-        JOB, service, Span.ofSeconds(ESTIMATE_S), service ? 3 : 100, done, running);
+        JOB, service, TimeSpan.ofSeconds(ESTIMATE_S), service ? 3 : 100, done, running);
   }
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime(Span.ofSeconds(seconds).nanos());
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime(TimeSpan.ofSeconds(seconds).nanos());
   }
 }
--- a/src/test/java/org/quincecross/quota/QuotaTest.java
+++ b/src/test/java/org/quincecross/quota/QuotaTest.java
@@ -154,8 +154,8 @@
       Team team = TEAMS.get(random.nextInt(TEAMS.size()));
       QuotaTree.Node node = tree.of(team.name(), "c" + step);
       Resources each = new Resources(random.nextInt(5) / 2.0, 0, random.nextInt(4));
-      int flat = team.limit().minus(books.used(node)).count(each);
-      assertEquals(flat, books.room(node).count(each));
+      int flat = team.limit().minus(books.used(node)).capacityFor(each);
+      assertEquals(flat, books.room(node).capacityFor(each));
       if (flat > 0 && random.nextInt(3) > 0) {
         books.add(node, each);
       }
--- a/src/test/java/org/quincecross/quota/ReclaimTest.java
+++ b/src/test/java/org/quincecross/quota/ReclaimTest.java
@@ -12,9 +12,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.quota.NodeSpec.Kind;
 
@@ -71,14 +71,14 @@
     }
   }
 
-  private void run(String id, String team, double each, Rank rank, double lostS, int... on) {
+  private void run(String id, String team, double each, Priority rank, double lostS, int... on) {
     Map<MachineId, Integer> places = new LinkedHashMap<>();
     for (int machine : on) {
       places.merge(machine(machine), 1, Integer::sum);
       free.computeIfPresent(machine(machine), (m, room) -> room.minus(cpus(each)));
     }
     Reclaim.Unit unit =
-        new Reclaim.Unit(id, tree.of(team, "c"), cpus(each), places, rank, Span.ofSeconds(lostS));
+        new Reclaim.Unit(id, tree.of(team, "c"), cpus(each), places, rank, TimeSpan.ofSeconds(lostS));
     units.add(unit);
     books.add(unit.node(), unit.total());
   }
@@ -108,12 +108,12 @@
   @Example
   void theLowestPriorityGoesFirstThenWhatLosesLeast() {
     machines(6);
-    run("west2-a", "west2", 8, Rank.LOW, 0, 4);
-    run("west2-b", "west2", 8, Rank.LOW, 0, 5);
-    run("normal", "west1", 8, Rank.NORMAL, 1, 0);
-    run("low-long", "west1", 8, Rank.LOW, 500, 1);
-    run("low-short", "west1", 8, Rank.LOW, 5, 2);
-    run("high", "west1", 8, Rank.HIGH, 0, 3);
+    run("west2-a", "west2", 8, Priority.LOW, 0, 4);
+    run("west2-b", "west2", 8, Priority.LOW, 0, 5);
+    run("normal", "west1", 8, Priority.NORMAL, 1, 0);
+    run("low-long", "west1", 8, Priority.LOW, 500, 1);
+    run("low-short", "west1", 8, Priority.LOW, 5, 2);
+    run("high", "west1", 8, Priority.HIGH, 0, 3);
     assertEquals(List.of("low-short"), ids(claim("east1", 4.0, 1)));
     assertEquals(List.of("low-long", "low-short"), ids(claim("east1", 8.0, 2)));
     // west has 48 of its guaranteed 32: what is within that stays, whoever claims.
@@ -125,10 +125,10 @@
   @Example
   void siblingsThatLentToOneAnotherAreNotMadeToPayForOthers() {
     machines(4);
-    run("west1-a", "west1", 8, Rank.LOW, 0, 0);
-    run("west1-b", "west1", 8, Rank.LOW, 0, 1);
-    run("west1-c", "west1", 8, Rank.LOW, 0, 2);
-    run("west1-d", "west1", 8, Rank.LOW, 0, 3);
+    run("west1-a", "west1", 8, Priority.LOW, 0, 0);
+    run("west1-b", "west1", 8, Priority.LOW, 0, 1);
+    run("west1-c", "west1", 8, Priority.LOW, 0, 2);
+    run("west1-d", "west1", 8, Priority.LOW, 0, 3);
     // west1 uses 32, the whole of west's guarantee, half of it lent by west2: nothing of it is
     // east's.
     assertEquals(List.of(), ids(claim("east1", 8.0, 2)));
@@ -138,12 +138,12 @@
   @Example
   void aGangIsStoppedWholeAndWhatItMakesNeedlessGoesOn() {
     machines(3);
-    run("gang", "west1", 6, Rank.NORMAL, 100, 0, 1, 2);
-    run("small-0", "west1", 2, Rank.LOW, 1, 0);
-    run("small-1", "west1", 2, Rank.LOW, 1, 1);
-    run("more", "west2", 2, Rank.LOW, 1, 2);
-    run("elsewhere", "west2", 30, Rank.NORMAL, 1, 9);
-    run("base", "west1", 16, Rank.NORMAL, 1, 8);
+    run("gang", "west1", 6, Priority.NORMAL, 100, 0, 1, 2);
+    run("small-0", "west1", 2, Priority.LOW, 1, 0);
+    run("small-1", "west1", 2, Priority.LOW, 1, 1);
+    run("more", "west2", 2, Priority.LOW, 1, 2);
+    run("elsewhere", "west2", 30, Priority.NORMAL, 1, 9);
+    run("base", "west1", 16, Priority.NORMAL, 1, 8);
     Reclaim.Plan plan = claim("east1", 2.0, 1, "east2", 6.0, 2);
     assertEquals(
         List.of("gang"), ids(plan), "its room on the third machine serves the small claim");
@@ -153,11 +153,11 @@
   @Example
   void whatALaterVictimMakesNeedlessGoesOn() {
     machines(2);
-    run("gang", "west1", 5, Rank.NORMAL, 100, 0, 1);
-    run("kept", "east1", 3, Rank.LOW, 1, 0);
-    run("small", "west1", 3, Rank.LOW, 1, 1);
-    run("base", "west1", 16, Rank.NORMAL, 1, 8);
-    run("elsewhere", "west2", 20, Rank.NORMAL, 1, 9);
+    run("gang", "west1", 5, Priority.NORMAL, 100, 0, 1);
+    run("kept", "east1", 3, Priority.LOW, 1, 0);
+    run("small", "west1", 3, Priority.LOW, 1, 1);
+    run("base", "west1", 16, Priority.NORMAL, 1, 8);
+    run("elsewhere", "west2", 20, Priority.NORMAL, 1, 9);
     Reclaim.Plan plan = claim("east2", 3.0, 2);
     assertEquals(List.of(2), placed(plan));
     assertEquals(List.of("gang"), ids(plan));
@@ -166,10 +166,10 @@
   @Example
   void twoThatAreEachBeyondAGuaranteeMayTogetherBeWithin() {
     machines(1);
-    run("a", "west1", 3, Rank.LOW, 1, 0);
-    run("b", "west1", 3, Rank.LOW, 1, 0);
-    run("base", "west1", 14, Rank.LOW, 1, 8);
-    run("elsewhere", "west2", 20, Rank.NORMAL, 1, 9);
+    run("a", "west1", 3, Priority.LOW, 1, 0);
+    run("b", "west1", 3, Priority.LOW, 1, 0);
+    run("base", "west1", 14, Priority.LOW, 1, 8);
+    run("elsewhere", "west2", 20, Priority.NORMAL, 1, 9);
     assertEquals(1, ids(claim("east1", 3.0, 1)).size());
     assertEquals(List.of(), ids(claim("east1", 6.0, 1)));
   }
@@ -177,13 +177,13 @@
   @Example
   void nothingIsStoppedWhereThereIsRoomOrMoreThanTheGuaranteeIsClaimed() {
     machines(3);
-    run("a", "west1", 8, Rank.LOW, 0, 0);
-    run("b", "west1", 8, Rank.LOW, 0, 1);
-    run("c", "west1", 8, Rank.LOW, 0, 8);
-    run("d", "west1", 8, Rank.LOW, 0, 9);
-    run("e", "west2", 8, Rank.LOW, 0, 9);
+    run("a", "west1", 8, Priority.LOW, 0, 0);
+    run("b", "west1", 8, Priority.LOW, 0, 1);
+    run("c", "west1", 8, Priority.LOW, 0, 8);
+    run("d", "west1", 8, Priority.LOW, 0, 9);
+    run("e", "west2", 8, Priority.LOW, 0, 9);
     assertEquals(List.of(), ids(claim("east1", 8.0, 1)));
-    run("own", "east1", 12, Rank.LOW, 0, 7);
+    run("own", "east1", 12, Priority.LOW, 0, 7);
     assertEquals(List.of(), ids(claim("east1", 5.0, 3)), "12 and 5 are more than 16");
   }
 
@@ -208,7 +208,7 @@
             "u" + i,
             teams.get(random.nextInt(random.nextBoolean() ? 4 : 2)),
             each,
-            Rank.values()[random.nextInt(3)],
+            Priority.values()[random.nextInt(3)],
             random.nextInt(100),
             on);
       }
--- a/src/test/java/org/quincecross/requests/ReservationTest.java
+++ b/src/test/java/org/quincecross/requests/ReservationTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Team;
 
@@ -81,7 +81,7 @@
     for (int block = 0; block < 9; block++) {
       places.add(
           new Place(
-              new BlockId("b" + block),
+              new ShardId("b" + block),
               ZONES.get(block % 3),
               MACHINE,
               random.nextInt(4),
@@ -138,7 +138,7 @@
   }
 
   private void check(Reservation.Plan plan, List<Taken> taken) {
-    Map<BlockId, List<Reservation.Kept>> kept = reservation.kept(places, taken);
+    Map<ShardId, List<Reservation.Kept>> kept = reservation.kept(places, taken);
     Resources all = Resources.NONE;
     for (Place place : places) {
       Resources here = Resources.NONE;
@@ -219,21 +219,21 @@
    */
   @Test
   void whatRunsForARequestUsesItsRoom() {
-    places.add(new Place(new BlockId("b0"), "a", MACHINE, 4, Resources.NONE, Set.of()));
-    places.add(new Place(new BlockId("b1"), "a", MACHINE, 4, Resources.NONE, Set.of("front")));
+    places.add(new Place(new ShardId("b0"), "a", MACHINE, 4, Resources.NONE, Set.of()));
+    places.add(new Place(new ShardId("b1"), "a", MACHINE, 4, Resources.NONE, Set.of("front")));
     put(arrived(0, 1000, new Need("front", "red", 6, new Resources(2, 0, 4), Set.of())));
     follow(List.of());
     assertEquals(Map.of("a", 6), records.get("r0").zones());
     Slot slot = new Slot("front", "red", new Resources(2, 0, 4));
     assertEquals(
-        Map.of(new BlockId("b1"), List.of(new Reservation.Kept(slot, 6))),
+        Map.of(new ShardId("b1"), List.of(new Reservation.Kept(slot, 6))),
         reservation.kept(places, List.of()));
     Taken before = new Taken("front", 99, Map.of("a", 4));
     Taken after = new Taken("front", 100, Map.of("a", 4));
     assertEquals(
-        6, reservation.kept(places, List.of(before)).get(new BlockId("b1")).get(0).tasks());
+        6, reservation.kept(places, List.of(before)).get(new ShardId("b1")).get(0).tasks());
     assertEquals(
-        2, reservation.kept(places, List.of(after, before)).get(new BlockId("b1")).get(0).tasks());
+        2, reservation.kept(places, List.of(after, before)).get(new ShardId("b1")).get(0).tasks());
     put(records.get("r0").over(Request.State.ANSWERED, 200, 0));
     assertEquals(Map.of(), reservation.kept(places, List.of()));
   }
@@ -244,7 +244,7 @@
    */
   @Test
   void limitsGuaranteesAndTheShare() {
-    places.add(new Place(new BlockId("b0"), "a", MACHINE, 40, Resources.NONE, Set.of()));
+    places.add(new Place(new ShardId("b0"), "a", MACHINE, 40, Resources.NONE, Set.of()));
     Resources one = new Resources(1, 0, 4);
     put(arrived(0, 1000, new Need("side", "blue", 8 + 96, one, Set.of())));
     put(arrived(1, 1001, new Need("side", "blue", 1, one, Set.of())));
@@ -264,7 +264,7 @@
     for (int block = 0; block < 60; block++) {
       places.add(
           new Place(
-              new BlockId("b" + block),
+              new ShardId("b" + block),
               ZONES.get(block % 3),
               MACHINE,
               12,
--- a/src/test/java/org/quincecross/rollout/RolloutTest.java
+++ b/src/test/java/org/quincecross/rollout/RolloutTest.java
@@ -13,27 +13,27 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 
 class RolloutTest {
-  private static final Set<MemberId> ALL =
-      Set.of(new MemberId("a"), new MemberId("b"), new MemberId("c"));
+  private static final Set<ControllerId> ALL =
+      Set.of(new ControllerId("a"), new ControllerId("b"), new ControllerId("c"));
   private static final Level ANY = new Level(Level.MOST);
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime((long) (seconds * 1e9));
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime((long) (seconds * 1e9));
   }
 
-  private static Map<MemberId, Rollout.Alive> all(int most, long life) {
-    Map<MemberId, Rollout.Alive> alive = new HashMap<>();
+  private static Map<ControllerId, Rollout.Alive> all(int most, long life) {
+    Map<ControllerId, Rollout.Alive> alive = new HashMap<>();
     ALL.forEach(
         member ->
             alive.put(member, new Rollout.Alive(Build.present("b", most), new Incarnation(life))));
     return alive;
   }
 
-  private static Rollout.Site site(int level, Map<MemberId, Rollout.Alive> alive) {
+  private static Rollout.Site site(int level, Map<ControllerId, Rollout.Alive> alive) {
     return new Rollout.Site(new Level(level), ALL, alive, ANY, 0, 0);
   }
 
@@ -42,8 +42,8 @@
   void theStatesOfARoll() {
     Rollout rollout = new Rollout();
     assertEquals(Rollout.State.SETTLED, rollout.look(site(1, all(1, 1)), at(0)).state());
-    Map<MemberId, Rollout.Alive> two = all(2, 2);
-    two.put(new MemberId("c"), new Rollout.Alive(Build.BEFORE_LEVELS, new Incarnation(1)));
+    Map<ControllerId, Rollout.Alive> two = all(2, 2);
+    two.put(new ControllerId("c"), new Rollout.Alive(Build.BEFORE_LEVELS, new Incarnation(1)));
     Rollout.Decision waiting = rollout.look(site(1, two), at(1));
     assertEquals(Rollout.State.WAITING, waiting.state());
     assertTrue(
@@ -79,13 +79,13 @@
   @Property(tries = 300, seed = "4")
   void neverRisesWithoutAll(@ForAll Random random) {
     Rollout rollout = new Rollout();
-    Map<MemberId, Rollout.Alive> alive = new HashMap<>();
-    Map<MemberId, Double> since = new HashMap<>();
+    Map<ControllerId, Rollout.Alive> alive = new HashMap<>();
+    Map<ControllerId, Double> since = new HashMap<>();
     double now = 0;
     for (int step = 0; step < 60; step++) {
       now += random.nextDouble() * 6;
       double changed = now;
-      for (MemberId member : ALL) {
+      for (ControllerId member : ALL) {
         if (random.nextInt(8) == 0) {
           alive.remove(member);
           since.remove(member);
@@ -100,7 +100,7 @@
       Rollout.Decision decision = rollout.look(site(1, Map.copyOf(alive)), at(now));
       if (decision.to() != null) {
         assertEquals(2, decision.to().number());
-        for (MemberId member : ALL) {
+        for (ControllerId member : ALL) {
           assertTrue(alive.get(member).build().most().number() >= 2);
           assertTrue(now - since.get(member) > Rollout.STEADY.seconds());
         }
@@ -115,16 +115,16 @@
   @Example
   void whoCounts() {
     Rollout rollout = new Rollout();
-    Map<MemberId, Rollout.Alive> alive = all(2, 2);
-    alive.put(new MemberId("stranger"), new Rollout.Alive(Build.BEFORE_LEVELS, new Incarnation(7)));
+    Map<ControllerId, Rollout.Alive> alive = all(2, 2);
+    alive.put(new ControllerId("stranger"), new Rollout.Alive(Build.BEFORE_LEVELS, new Incarnation(7)));
     rollout.look(site(1, alive), at(0));
     assertNull(rollout.look(site(1, alive), at(30)).to());
     alive = all(2, 2);
-    alive.remove(new MemberId("c"));
+    alive.remove(new ControllerId("c"));
     assertNull(rollout.look(site(1, alive), at(60)).to());
     Rollout.Site without =
         new Rollout.Site(
-            Level.FIRST, Set.of(new MemberId("a"), new MemberId("b")), alive, ANY, 0, 0);
+            Level.FIRST, Set.of(new ControllerId("a"), new ControllerId("b")), alive, ANY, 0, 0);
     assertEquals(new Level(2), rollout.look(without, at(80)).to());
     assertThrows(IllegalArgumentException.class, () -> new Build("b", new Level(3), new Level(2)));
     assertThrows(IllegalArgumentException.class, () -> Build.present("b", 0));
--- a/src/test/java/org/quincecross/sched/AdmissionTest.java
+++ b/src/test/java/org/quincecross/sched/AdmissionTest.java
@@ -17,14 +17,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.Size;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
 
@@ -36,8 +36,8 @@
   static Arbitrary<Job> jobs() {
     return Combinators.combine(
             Arbitraries.integers().between(1, 99_999),
-            Arbitraries.of(Shape.class),
-            Arbitraries.of(Rank.class),
+            Arbitraries.of(JobKind.class),
+            Arbitraries.of(Priority.class),
             Arbitraries.integers().between(1, 9),
             Arbitraries.integers().between(1, 6),
             Arbitraries.of("", "one", "spread"),
@@ -60,19 +60,19 @@
                     spot,
                     "i",
                     1,
-                    Span.ZERO,
-                    Span.ZERO,
-                    Span.ZERO,
+                    TimeSpan.ZERO,
+                    TimeSpan.ZERO,
+                    TimeSpan.ZERO,
                     null));
   }
 
   @Property(tries = 400, seed = "11")
   void keepsLimitsZonesAndKinds(@ForAll @Size(max = 12) List<@From("jobs") Job> jobs) {
     List<Admission.Block> blocks = new ArrayList<>();
-    Map<BlockId, String> zoneOf = new HashMap<>();
+    Map<ShardId, String> zoneOf = new HashMap<>();
     for (String zone : List.of("a", "b", "c")) {
       for (boolean spot : new boolean[] {true, false}) {
-        BlockId id = new BlockId(zone + spot);
+        ShardId id = new ShardId(zone + spot);
         zoneOf.put(id, zone);
         blocks.add(
             new Admission.Block(
@@ -92,7 +92,7 @@
     for (Job job : jobs) {
       if (byId.put(job.id(), job) == null) {
         TaskSet all = new TaskSet();
-        for (int i = 0; i < job.tasks(); i++) {
+        for (int i = 0; i < job.taskCount(); i++) {
           all.add(i);
         }
         demands.add(
@@ -101,7 +101,7 @@
                 new Revision(1),
                 100,
                 false,
-                job.tasks() % 2 == 0,
+                job.taskCount() % 2 == 0,
                 all,
                 Map.of(),
                 Admission.Place.IN_ORDER,
@@ -120,7 +120,7 @@
       for (Map.Entry<JobId, TaskSet> admitted : block.admitted().entrySet()) {
         Job job = byId.get(admitted.getKey());
         int count = admitted.getValue().size();
-        use = use.plus(job.each().times(count));
+        use = use.plus(job.taskResources().times(count));
         perZone
             .computeIfAbsent(job.id(), id -> new HashMap<>())
             .merge(zoneOf.get(block.id()), count, Integer::sum);
@@ -134,12 +134,12 @@
     perZone.forEach(
         (id, zones) -> {
           Job job = byId.get(id);
-          assertTrue(!job.oneZone() || zones.size() == 1, "one zone");
+          assertTrue(!job.singleZone() || zones.size() == 1, "one zone");
           zones
               .values()
-              .forEach(count -> assertTrue(count <= job.mostInOneZone(), "spread over zones"));
+              .forEach(count -> assertTrue(count <= job.maxTasksPerZone(), "spread over zones"));
           assertTrue(
-              job.shape() != Shape.GANG || out.get(id).size() == job.tasks(), "a gang goes whole");
+              job.kind() != JobKind.GANG || out.get(id).size() == job.taskCount(), "a gang goes whole");
         });
   }
 
@@ -155,10 +155,10 @@
             drawn.id(),
             "c",
             "t",
-            drawn.shape(),
-            drawn.rank(),
+            drawn.kind(),
+            drawn.priority(),
             1,
-            drawn.each(),
+            drawn.taskResources(),
             null,
             null,
             false,
@@ -166,9 +166,9 @@
             true,
             "i",
             1,
-            Span.ZERO,
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     List<Admission.Block> blocks = blocks(job, declines);
     List<Admission.Unmet> unmet = admit(job, blocks);
@@ -192,7 +192,7 @@
     for (int i = 0; i < declines.size(); i++) {
       Admission.Block block =
           new Admission.Block(
-              new BlockId("b" + i),
+              new ShardId("b" + i),
               "m",
               "a",
               false,
@@ -217,7 +217,7 @@
                     100,
                     false,
                     false,
-                    TaskSet.below(1),
+                    TaskSet.range(1),
                     Map.of(),
                     Admission.Place.IN_ORDER,
                     100)));
@@ -230,10 +230,10 @@
   @Example
   void whatNobodyExpectsIsInNobodysWay() {
     for (boolean idle : new boolean[] {true, false}) {
-      for (Rank rank : List.of(Rank.NORMAL, Rank.LOW)) {
+      for (Priority rank : List.of(Priority.NORMAL, Priority.LOW)) {
         Admission.Block block =
             new Admission.Block(
-                new BlockId("b"),
+                new ShardId("b"),
                 "m",
                 "a",
                 true,
@@ -242,7 +242,7 @@
                 List.of(),
                 Map.of(),
                 4000);
-        block.count(array(1, Rank.LOW, 8), 8, 8, idle);
+        block.count(array(1, Priority.LOW, 8), 8, 8, idle);
         Job job = array(2, rank, 4);
         new Admission(List.of(block), Map.of("t", TEAM), Map.of(), Map.of())
             .run(
@@ -253,24 +253,24 @@
                         500,
                         false,
                         false,
-                        TaskSet.below(4),
+                        TaskSet.range(4),
                         Map.of(),
                         Admission.Place.IN_ORDER,
                         500)));
         int admitted =
             block.admitted().containsKey(job.id()) ? block.admitted().get(job.id()).size() : 0;
         assertEquals(
-            idle && rank == Rank.NORMAL ? 4 : 1, admitted, rank + " beside idle work: " + idle);
+            idle && rank == Priority.NORMAL ? 4 : 1, admitted, rank + " beside idle work: " + idle);
       }
     }
   }
 
-  private static Job array(int number, Rank rank, int tasks) {
+  private static Job array(int number, Priority rank, int tasks) {
     return new Job(
         new JobId("job-" + number),
         "c",
         "t",
-        Shape.ARRAY,
+        JobKind.ARRAY,
         rank,
         tasks,
         new Resources(2, 0, 1),
@@ -281,9 +281,9 @@
         true,
         "i",
         1,
-        Span.ofSeconds(60),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(60),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 }
--- a/src/test/java/org/quincecross/sched/BlockSchedulerTest.java
+++ b/src/test/java/org/quincecross/sched/BlockSchedulerTest.java
@@ -21,19 +21,19 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 class BlockSchedulerTest {
   private static final Resources MACHINE = new Resources(8, 0, 32);
-  private static final SteadyTime NOW = new SteadyTime(0);
+  private static final MonotonicTime NOW = new MonotonicTime(0);
 
   private static Job job(
-      int number, Shape shape, Rank rank, int tasks, double cpus, double memory) {
+      int number, JobKind shape, Priority rank, int tasks, double cpus, double memory) {
     return new Job(
         new JobId("job-" + number),
         "c",
@@ -49,14 +49,14 @@
         true,
         "img",
         1,
-        Span.ofSeconds(10),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(10),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
   private static Entry entry(int number, double cpus, double memory) {
-    Job job = job(number, Shape.ARRAY, Rank.NORMAL, 1, cpus, memory);
+    Job job = job(number, JobKind.ARRAY, Priority.NORMAL, 1, cpus, memory);
     return new Entry(job, List.of(job.id().task(0)), new Revision(number));
   }
 
@@ -124,7 +124,7 @@
   @Example
   void aGangStartsWholeOrNotAtAll() {
     BlockScheduler block = block(3);
-    Job job = job(1, Shape.GANG, Rank.NORMAL, 3, 6, 1);
+    Job job = job(1, JobKind.GANG, Priority.NORMAL, 3, 6, 1);
     Entry gang =
         new Entry(job, IntStream.range(0, 3).mapToObj(job.id()::task).toList(), new Revision(1));
     block.enqueue(gang);
@@ -139,7 +139,7 @@
   void smallTasksDoNotStarveAGang() {
     BlockScheduler block = block(1);
     block.update(new MachineId("m0"), new Resources(4, 0, 0), Resources.NONE, true);
-    Job job = job(1, Shape.GANG, Rank.NORMAL, 1, 8, 1);
+    Job job = job(1, JobKind.GANG, Priority.NORMAL, 1, 8, 1);
     block.enqueue(new Entry(job, List.of(job.id().task(0)), new Revision(1)));
     block.enqueue(entry(2, 2, 1));
     assertTrue(block.schedule(NOW).isEmpty(), "the machine that the gang waits for is kept for it");
@@ -171,14 +171,14 @@
     Resources two = new Resources(2, 0, 1);
     block.update(idle, Resources.NONE, Resources.NONE, true);
     block.update(withImage, MACHINE, two, true);
-    Job job = job(1, Shape.SERVICE, Rank.PRODUCTION, 1, 2, 1);
+    Job job = job(1, JobKind.SERVICE, Priority.PRODUCTION, 1, 2, 1);
     Entry urgent = new Entry(job, List.of(job.id().task(0)), new Revision(1));
     urgent.avoidFetch();
     block.enqueue(urgent);
     assertTrue(block.schedule(NOW).isEmpty(), "room can be made at once next to the image");
-    Job other = job(2, Shape.ARRAY, Rank.NORMAL, 1, 2, 1);
+    Job other = job(2, JobKind.ARRAY, Priority.NORMAL, 1, 2, 1);
     Preemption.Running victim =
-        new Preemption.Running(other.id().task(0), withImage, Rank.NORMAL, false, two, false, NOW);
+        new Preemption.Running(other.id().task(0), withImage, Priority.NORMAL, false, two, false, NOW);
     assertEquals(
         List.of(victim), new Preemption(block, List.of(victim), Map.of()).makeRoom(urgent, false));
     assertEquals(
@@ -202,19 +202,19 @@
     for (int i = 0; i < 3; i++) {
       block.update(machines.get(i), MACHINE, Resources.NONE, true);
       for (int half = 0; half < 2; half++) {
-        Job job = job(100 + 2 * i + half, Shape.ARRAY, i < 2 ? Rank.LOW : Rank.NORMAL, 1, 4, 16);
+        Job job = job(100 + 2 * i + half, JobKind.ARRAY, i < 2 ? Priority.LOW : Priority.NORMAL, 1, 4, 16);
         running.add(
             new Preemption.Running(
-                job.id().task(0), machines.get(i), job.rank(), half == 1, job.each(), true, NOW));
+                job.id().task(0), machines.get(i), job.priority(), half == 1, job.taskResources(), true, NOW));
       }
     }
-    Job wide = job(1, Shape.GANG, Rank.NORMAL, 2, 8, 32);
+    Job wide = job(1, JobKind.GANG, Priority.NORMAL, 2, 8, 32);
     Entry gang = new Entry(wide, List.of(wide.id().task(0), wide.id().task(1)), new Revision(1));
     block.enqueue(gang);
     assertEquals(
         new HashSet<>(running.subList(0, 4)),
         new HashSet<>(new Preemption(block, running, Map.of()).makeRoom(gang, false)));
-    Job wider = job(2, Shape.GANG, Rank.NORMAL, 3, 8, 32);
+    Job wider = job(2, JobKind.GANG, Priority.NORMAL, 3, 8, 32);
     Entry tooWide =
         new Entry(
             wider,
@@ -227,7 +227,7 @@
         4,
         preemption.makeRoom(gang, false).size(),
         "what was not stopped for one can be for another");
-    Job small = job(3, Shape.ARRAY, Rank.NORMAL, 1, 4, 16);
+    Job small = job(3, JobKind.ARRAY, Priority.NORMAL, 1, 4, 16);
     Entry one = new Entry(small, List.of(small.id().task(0)), new Revision(3));
     assertTrue(new Preemption(block, running, Map.of()).makeRoom(one, true).get(0).idle());
     assertEquals(
@@ -266,7 +266,7 @@
           if (!running.isEmpty()) {
             BlockScheduler.Start over = running.remove(step.number() % running.size());
             used.merge(
-                over.machines().get(0), over.entry().job().each().times(-1), Resources::plus);
+                over.machines().get(0), over.entry().job().taskResources().times(-1), Resources::plus);
           }
         }
         default -> {
@@ -284,7 +284,7 @@
             assertFalse(
                 machine.equals(new MachineId("m" + step.number())),
                 "nothing starts on a closed machine");
-            used.merge(machine, start.entry().job().each(), Resources::plus);
+            used.merge(machine, start.entry().job().taskResources(), Resources::plus);
             assertTrue(used.get(machine).fitsIn(MACHINE));
             running.add(start);
           }
--- a/src/test/java/org/quincecross/sched/KeptRoomTest.java
+++ b/src/test/java/org/quincecross/sched/KeptRoomTest.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
 
@@ -25,7 +25,7 @@
  * processors; the team may have twenty.
  */
 class KeptRoomTest {
-  private static final BlockId BLOCK = new BlockId("b");
+  private static final ShardId BLOCK = new ShardId("b");
   private final Team web = new Team("web", Resources.NONE, new Resources(20, 0, 99));
   private final Team other = new Team("other", Resources.NONE, new Resources(99, 0, 99));
   private final Map<String, Resources> use = new HashMap<>();
@@ -48,7 +48,7 @@
             4000);
   }
 
-  private Job job(String lane, String team, Shape shape, Rank rank, int tasks, double savesInS) {
+  private Job job(String lane, String team, JobKind shape, Priority rank, int tasks, double savesInS) {
     return new Job(
         new JobId("job-" + ++number),
         lane,
@@ -64,9 +64,9 @@
         false,
         "i",
         0,
-        Span.ofSeconds(30),
-        savesInS > 0 ? Span.ofSeconds(5) : Span.ZERO,
-        Span.ofSeconds(savesInS),
+        TimeSpan.ofSeconds(30),
+        savesInS > 0 ? TimeSpan.ofSeconds(5) : TimeSpan.ZERO,
+        TimeSpan.ofSeconds(savesInS),
         null);
   }
 
@@ -84,7 +84,7 @@
               99,
               false,
               false,
-              TaskSet.below(job.tasks()),
+              TaskSet.range(job.taskCount()),
               Map.of(),
               Admission.Place.IN_ORDER,
               demands.size()));
@@ -102,20 +102,20 @@
     assertEquals(
         List.of(4, 12),
         admitted(
-            job("side", "other", Shape.SERVICE, Rank.PRODUCTION, 20, 0),
-            job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 12, 0)));
+            job("side", "other", JobKind.SERVICE, Priority.PRODUCTION, 20, 0),
+            job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 12, 0)));
   }
 
   @Test
   void whatSavesWithinASecondMayBorrowAndLeavesOthersTheirRoom() {
-    Job quick = job("quick", "other", Shape.ARRAY, Rank.NORMAL, 12, 1);
+    Job quick = job("quick", "other", JobKind.ARRAY, Priority.NORMAL, 12, 1);
     block.count(quick, 12, 12, false);
-    assertEquals(List.of(4), admitted(job("plain", "other", Shape.ARRAY, Rank.NORMAL, 20, 0)));
+    assertEquals(List.of(4), admitted(job("plain", "other", JobKind.ARRAY, Priority.NORMAL, 20, 0)));
   }
 
   @Test
   void whatSavesSlowlyKeepsOut() {
-    assertEquals(List.of(4), admitted(job("slow", "other", Shape.ARRAY, Rank.NORMAL, 20, 1.5)));
+    assertEquals(List.of(4), admitted(job("slow", "other", JobKind.ARRAY, Priority.NORMAL, 20, 1.5)));
   }
 
   /**
@@ -137,16 +137,16 @@
                 4,
                 new Reserve.For("front", "web"))));
     for (int i = 0; i < 16; i++) {
-      Job job = job("plain", "other", Shape.ARRAY, Rank.NORMAL, 1, 0);
+      Job job = job("plain", "other", JobKind.ARRAY, Priority.NORMAL, 1, 0);
       scheduler.enqueue(new Entry(job, List.of(job.id().task(0)), new Revision(i)));
     }
-    assertEquals(8, scheduler.schedule(SteadyTime.ZERO).size());
-    Job front = job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 1, 0);
+    assertEquals(8, scheduler.schedule(MonotonicTime.ZERO).size());
+    Job front = job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 1, 0);
     scheduler.enqueue(new Entry(front, List.of(front.id().task(0)), new Revision(99)));
     // What is left of the slot that it broke up is anybody's.
     assertEquals(
         1,
-        scheduler.schedule(SteadyTime.ZERO).stream()
+        scheduler.schedule(MonotonicTime.ZERO).stream()
             .filter(start -> start.entry().job().equals(front))
             .count());
   }
@@ -157,7 +157,7 @@
     assertEquals(
         List.of(3, 12),
         admitted(
-            job("side", "web", Shape.SERVICE, Rank.PRODUCTION, 20, 0),
-            job("front", "web", Shape.SERVICE, Rank.PRODUCTION, 20, 0)));
+            job("side", "web", JobKind.SERVICE, Priority.PRODUCTION, 20, 0),
+            job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 20, 0)));
   }
 }
--- a/src/test/java/org/quincecross/served/ServedBooksTest.java
+++ b/src/test/java/org/quincecross/served/ServedBooksTest.java
@@ -11,21 +11,21 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.Aim;
+import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 class ServedBooksTest {
-  private static final Aim START = new Aim("wait 10 s", Aim.Of.EACH_START, Span.ofSeconds(10));
-  private static final Aim END = new Aim("deadline 1.00x", Aim.Of.END, Span.ofSeconds(40));
+  private static final ServiceLevelObjective START = new ServiceLevelObjective("wait 10 s", ServiceLevelObjective.Milestone.EACH_START, TimeSpan.ofSeconds(10));
+  private static final ServiceLevelObjective END = new ServiceLevelObjective("deadline 1.00x", ServiceLevelObjective.Milestone.END, TimeSpan.ofSeconds(40));
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime((long) (seconds * 1e9));
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime((long) (seconds * 1e9));
   }
 
   private static Job job(int number, String team, String jobClass, int tasks) {
@@ -33,8 +33,8 @@
         new JobId("job-" + number),
         jobClass,
         team,
-        Shape.ARRAY,
-        Rank.NORMAL,
+        JobKind.ARRAY,
+        Priority.NORMAL,
         tasks,
         new Resources(1, 0, 1),
         null,
@@ -44,9 +44,9 @@
         false,
         "i",
         1,
-        Span.ZERO,
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null);
   }
 
@@ -110,12 +110,12 @@
           story.cancelled = true;
         } else if (what == 1) {
           books.done(story.job.id(), at(now));
-          while (story.starts.size() < story.job.tasks()) {
+          while (story.starts.size() < story.job.taskCount()) {
             story.starts.add(now);
           }
           story.done = now;
         } else {
-          int reached = random.nextInt(story.job.tasks() + 1);
+          int reached = random.nextInt(story.job.taskCount() + 1);
           books.started(story.job.id(), reached, at(now));
           while (story.starts.size() < reached) {
             story.starts.add(now);
@@ -153,14 +153,14 @@
         continue;
       }
       started += story.starts.size();
-      tasks += story.cancelled ? story.starts.size() : story.job.tasks();
+      tasks += story.cancelled ? story.starts.size() : story.job.taskCount();
       jobs += story.cancelled ? 0 : 1;
       for (double each : story.starts) {
         start[each - story.accepted > 10 ? 1 : 0]++;
       }
       boolean open = story.done < 0 && !story.cancelled;
       if (open && now - story.accepted > 10) {
-        start[1] += story.job.tasks() - story.starts.size();
+        start[1] += story.job.taskCount() - story.starts.size();
       }
       if (story.done >= 0) {
         ended++;
@@ -225,8 +225,8 @@
               id,
               "c",
               "t",
-              Shape.ARRAY,
-              Rank.NORMAL,
+              JobKind.ARRAY,
+              Priority.NORMAL,
               10 * i * i,
               new Resources(1, 0, 2),
               null,
@@ -236,9 +236,9 @@
               false,
               "i",
               1,
-              Span.ofSeconds(10),
-              Span.ZERO,
-              Span.ZERO,
+              TimeSpan.ofSeconds(10),
+              TimeSpan.ZERO,
+              TimeSpan.ZERO,
               null),
           at(0));
       books.started(id, i * i, at(i > 38 ? 250 : 10));
--- a/src/test/java/org/quincecross/silence/AlonenessTest.java
+++ b/src/test/java/org/quincecross/silence/AlonenessTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
-import org.quincecross.model.Token;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.FencingToken;
 
 /**
  * Three controllers with drawn evidence: what each hears of the state service, of the others, and
@@ -22,8 +22,8 @@
   private static final int NODES = 3;
   private static final double STEP_S = 0.5;
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime(Span.ofSeconds(seconds).nanos());
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime(TimeSpan.ofSeconds(seconds).nanos());
   }
 
   /**
@@ -40,7 +40,7 @@
       for (int i = 0; i < NODES; i++) {
         nodes.add(new Aloneness(i == 0, at(0)));
         for (int j = 0; j < NODES; j++) {
-          words[i][j] = new Aloneness.Word(null, Span.ZERO);
+          words[i][j] = new Aloneness.Word(null, TimeSpan.ZERO);
         }
       }
     }
@@ -95,8 +95,8 @@
           trio.nodes
               .get(node)
               .machine(
-                  new Token(random.nextInt(3) == 0 || (i > 0 && i < 3) ? 50 : 20),
-                  new Token(40),
+                  new FencingToken(random.nextInt(3) == 0 || (i > 0 && i < 3) ? 50 : 20),
+                  new FencingToken(40),
                   true,
                   at(trio.now));
         }
@@ -129,7 +129,7 @@
     trio.step(7, 7);
     for (int i = 1; i < length; i++) {
       if (i >= shownAt) {
-        trio.nodes.get(lone).machine(new Token(90), new Token(40), true, at(trio.now));
+        trio.nodes.get(lone).machine(new FencingToken(90), new FencingToken(40), true, at(trio.now));
       }
       trio.step(others, others);
       for (int node = 0; node < NODES; node++) {
--- a/src/test/java/org/quincecross/silence/DeafnessTest.java
+++ b/src/test/java/org/quincecross/silence/DeafnessTest.java
@@ -11,16 +11,16 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /** A machine that speaks: from its reports alone, whether it hears. */
 class DeafnessTest {
-  private static final Span LEASE = Span.ofSeconds(12);
+  private static final TimeSpan LEASE = TimeSpan.ofSeconds(12);
   private static final double ROUND = 15;
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime(Span.ofSeconds(seconds).nanos());
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime(TimeSpan.ofSeconds(seconds).nanos());
   }
 
   /**
@@ -56,7 +56,7 @@
         assertFalse(deafness.hears());
         assertTrue(round < 1 || deafness.state() == Deafness.State.DEAF);
       }
-      assertTrue(deafness.deafFor(at(now)).isMoreThan(Span.ofSeconds(ROUND)));
+      assertTrue(deafness.deafFor(at(now)).isLongerThan(TimeSpan.ofSeconds(ROUND)));
     }
   }
 
--- a/src/test/java/org/quincecross/silence/FreshnessTest.java
+++ b/src/test/java/org/quincecross/silence/FreshnessTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
-import org.quincecross.model.Token;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.FencingToken;
 import org.quincecross.silence.Freshness.Shown;
 import org.quincecross.silence.Freshness.State;
 import org.quincecross.silence.Freshness.Verdict;
@@ -22,12 +22,12 @@
  * anew.
  */
 class FreshnessTest {
-  private static final Span REPORT = Span.ofSeconds(2);
-  private static final Token FORMER = new Token(5);
-  private static final Token PRESENT = new Token(9);
+  private static final TimeSpan REPORT = TimeSpan.ofSeconds(2);
+  private static final FencingToken FORMER = new FencingToken(5);
+  private static final FencingToken PRESENT = new FencingToken(9);
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime((long) (seconds * 1e9));
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime((long) (seconds * 1e9));
   }
 
   /** A message and in which life and as the how many-th it was made. */
@@ -55,7 +55,7 @@
     }
 
     Made says() {
-      return new Made(life, ++number, new Shown(new Token(shows), session, ++order));
+      return new Made(life, ++number, new Shown(new FencingToken(shows), session, ++order));
     }
 
     private void begins() {
--- a/src/test/java/org/quincecross/silence/SilenceTest.java
+++ b/src/test/java/org/quincecross/silence/SilenceTest.java
@@ -9,16 +9,16 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /** Whose silence it is: of a link, of machines, or one's own. */
 class SilenceTest {
-  private static final MemberId DEAF = new MemberId("n1");
+  private static final ControllerId DEAF = new ControllerId("n1");
 
-  private static SteadyTime at(double seconds) {
-    return new SteadyTime(Span.ofSeconds(seconds).nanos());
+  private static MonotonicTime at(double seconds) {
+    return new MonotonicTime(TimeSpan.ofSeconds(seconds).nanos());
   }
 
   /**
@@ -109,16 +109,16 @@
       @ForAll @DoubleRange(min = 0, max = 120) double gap,
       @ForAll @DoubleRange(min = 0, max = 3) double confirmedAfter) {
     Stillness stillness = new Stillness(at(0));
-    assertEquals(Span.ZERO, stillness.turn(at(0.2)));
+    assertEquals(TimeSpan.ZERO, stillness.turn(at(0.2)));
     double woke = 0.2 + gap;
-    Span noticed = stillness.turn(at(woke));
+    TimeSpan noticed = stillness.turn(at(woke));
     boolean stoodStill = gap > 1.5;
-    assertEquals(stoodStill, !noticed.equals(Span.ZERO));
+    assertEquals(stoodStill, !noticed.equals(TimeSpan.ZERO));
     assertEquals(
         stoodStill,
         stillness.isWaking(at(0.1), at(woke)),
         "what was confirmed before says nothing");
-    assertEquals(Span.ZERO, stillness.turn(at(woke + 0.1)));
+    assertEquals(TimeSpan.ZERO, stillness.turn(at(woke + 0.1)));
     assertFalse(
         stillness.isWaking(at(0.1), at(woke + 2.1)), "in an outage nobody can confirm anything");
     if (stoodStill) {
--- a/src/test/java/org/quincecross/silence/StartPermissionTest.java
+++ b/src/test/java/org/quincecross/silence/StartPermissionTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.quincecross.model.Incarnation;
-import org.quincecross.model.MemberId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Span;
-import org.quincecross.model.SteadyTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MonotonicTime;
 
 /**
  * Three controllers, cancellations, reports that are held up for forty seconds, a state service
@@ -30,7 +30,7 @@
   private static final int DAYS_WITH_FLAW = 3000;
   private static final int STEP_MS = 100;
   private static final long TOLD_AFTER_MS = 8000;
-  private static final Span LIMIT = Span.ofMillis(6500);
+  private static final TimeSpan LIMIT = TimeSpan.ofMillis(6500);
 
   /** What the holder leaves out. */
   private enum Flaw {
@@ -53,7 +53,7 @@
 
   /** One that takes cancellations and tells them; what it knows goes with its life. */
   private static final class Teller {
-    final MemberId member;
+    final ControllerId member;
     final Map<Long, Long> seenMs = new HashMap<>();
     long revision;
     long heardLife = -1;
@@ -61,7 +61,7 @@
     boolean isCut;
 
     Teller(String name) {
-      member = new MemberId(name);
+      member = new ControllerId(name);
     }
 
     void restart() {
@@ -93,7 +93,7 @@
     private long life;
     private long number;
     private long noted;
-    private SteadyTime confirmed;
+    private MonotonicTime confirmed;
     private int beyondLimit;
 
     Day(long seed, Flaw flaw) {
@@ -102,8 +102,8 @@
       begin();
     }
 
-    private SteadyTime now() {
-      return new SteadyTime(Span.ofMillis(nowMs).nanos());
+    private MonotonicTime now() {
+      return new MonotonicTime(TimeSpan.ofMillis(nowMs).nanos());
     }
 
     private boolean drawn(double probability) {
@@ -111,13 +111,13 @@
     }
 
     private void begin() {
-      Set<MemberId> others =
+      Set<ControllerId> others =
           flaw == Flaw.ONE_CONTROLLER
               ? Set.of(tellers.get(0).member)
               : Set.of(tellers.get(0).member, tellers.get(1).member);
       permission =
           new StartPermission(
-              others, flaw == Flaw.LIMIT ? Span.ofMillis(TOLD_AFTER_MS + 1500) : LIMIT);
+              others, flaw == Flaw.LIMIT ? TimeSpan.ofMillis(TOLD_AFTER_MS + 1500) : LIMIT);
       life = 0;
       number = 0;
       noted = 0;
@@ -137,7 +137,7 @@
       return of == 0 && flaw == Flaw.NO_LIFE_YET ? new Incarnation(-1) : new Incarnation(of);
     }
 
-    private void receive(MemberId from, long ofLife, long ofNumber, long revision) {
+    private void receive(ControllerId from, long ofLife, long ofNumber, long revision) {
       Incarnation receipt = name(flaw == Flaw.LIFE ? life : ofLife);
       if (flaw == Flaw.RECEIPTS) {
         permission.sent(receipt, ofNumber, now());
@@ -209,7 +209,7 @@
         teller(tellers.get(0), served[0]);
         teller(tellers.get(1), served[1]);
         if (confirmed != null && permission.isGiven(confirmed, new Revision(noted), now())) {
-          beyondLimit += now().since(confirmed).isMoreThan(LIMIT) ? 1 : 0;
+          beyondLimit += now().since(confirmed).isLongerThan(LIMIT) ? 1 : 0;
           if (!toldMs.tailMap(noted, false).isEmpty()) {
             return "at " + nowMs + ", noted up to " + noted + ", told " + toldMs;
           }
--- a/src/test/java/org/quincecross/silence/UnconfirmedBoundTest.java
+++ b/src/test/java/org/quincecross/silence/UnconfirmedBoundTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
-import org.quincecross.model.Span;
+import org.quincecross.model.TimeSpan;
 
 class UnconfirmedBoundTest {
   private static final double DRIFT = 0.0005;
@@ -34,13 +34,13 @@
   }
 
   private static void check(double lease, double cancel) {
-    if (!UnconfirmedBound.isPossible(Span.ofSeconds(lease), Span.ofSeconds(cancel))) {
+    if (!UnconfirmedBound.isPossible(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel))) {
       assertTrue(
           lease * 1.002 - cancel * 0.998 > 38,
           "no bound for a lease of " + lease + " and a cancellation within " + cancel);
       return;
     }
-    UnconfirmedBound bound = UnconfirmedBound.of(Span.ofSeconds(lease), Span.ofSeconds(cancel));
+    UnconfirmedBound bound = UnconfirmedBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
     double t = bound.unconfirmed().seconds();
     double toldAfter = bound.toldAfter().seconds();
     assertTrue(t > 4.9, "a hiccup is lived through: " + bound);
@@ -59,14 +59,14 @@
   @Example
   void forTheSettingsOfTodayItIsWhatItWas() {
     assertEquals(
-        new UnconfirmedBound(Span.ofSeconds(36.0 + 8 - 11 * 1.002 - 1.5), Span.ofSeconds(8), true),
+        new UnconfirmedBound(TimeSpan.ofSeconds(36.0 + 8 - 11 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(11, 36));
     assertEquals(
         new UnconfirmedBound(
-            Span.ofSeconds(42.5 + 8 - 17.5 * 1.002 - 1.5), Span.ofSeconds(8), true),
+            TimeSpan.ofSeconds(42.5 + 8 - 17.5 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(17.5, 42.5));
     assertEquals(
-        new UnconfirmedBound(Span.ofSeconds(54.0 + 8 - 24 * 1.002 - 1.5), Span.ofSeconds(8), true),
+        new UnconfirmedBound(TimeSpan.ofSeconds(54.0 + 8 - 24 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(24, 54));
   }
 
@@ -85,6 +85,6 @@
   }
 
   private static UnconfirmedBound of(double lease, double cancel) {
-    return UnconfirmedBound.of(Span.ofSeconds(lease), Span.ofSeconds(cancel));
+    return UnconfirmedBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
   }
 }
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -18,7 +18,7 @@
 import org.quincecross.holds.ClaimKind;
 import org.quincecross.holds.HoldKind;
 import org.quincecross.holds.SweepKind;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.models.ModelKind;
@@ -95,7 +95,7 @@
         }
         yield JobRecord.bundle(open);
       }
-      case "block" -> BlockLease.read(new BlockId(parts[2]), value, Revision.NONE).write();
+      case "block" -> BlockLease.read(new ShardId(parts[2]), value, Revision.NONE).write();
       case "alloc" -> Allocation.write(Allocation.read(value, VERSION).tasks());
       case "change" -> {
         AllocationChange change = AllocationChange.read(value, VERSION);
--- a/src/test/java/org/quincecross/state/JobBookTest.java
+++ b/src/test/java/org/quincecross/state/JobBookTest.java
@@ -21,12 +21,12 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.wire.BadMessage;
 import org.quincecross.wire.Fields;
 import org.quincecross.wire.JobCodec;
@@ -50,8 +50,8 @@
         id,
         "c",
         "t",
-        Shape.ARRAY,
-        Rank.LOW,
+        JobKind.ARRAY,
+        Priority.LOW,
         3,
         new Resources(1, 0, 1),
         null,
@@ -61,9 +61,9 @@
         false,
         "i",
         1,
-        Span.ofSeconds(4),
-        Span.ZERO,
-        Span.ZERO,
+        TimeSpan.ofSeconds(4),
+        TimeSpan.ZERO,
+        TimeSpan.ZERO,
         null,
         waitsOn);
   }
@@ -165,20 +165,20 @@
   @Example
   void isAsUrgentAsTheLastJobThatNeedsIt() {
     put(Keys.job(id(1)), JobRecord.open(job(id(1), Set.of()), 1000));
-    Job last = job(id(2), Set.of(id(1))).treatedAs(Rank.HIGH, Span.ofSeconds(60));
+    Job last = job(id(2), Set.of(id(1))).withUrgency(Priority.HIGH, TimeSpan.ofSeconds(60));
     put(Keys.job(id(2)), JobRecord.open(last, 2000));
     assertTrue(changed.contains(id(1)));
-    assertEquals(Rank.HIGH, ledger.job(id(1)).job().rank());
+    assertEquals(Priority.HIGH, ledger.job(id(1)).job().priority());
     assertEquals(
-        Span.ofSeconds(61 - 4 - 3 - 1),
+        TimeSpan.ofSeconds(61 - 4 - 3 - 1),
         ledger.job(id(1)).job().deadline()); // its run, the hand-over, and its image
     assertEquals(job(id(1), Set.of()), ledger.asRecorded(id(1)).job());
     put(Keys.job(id(2)), ledger.asRecorded(id(2)).cancelled(5));
     assertEquals(job(id(1), Set.of()), ledger.job(id(1)).job());
     put(
         Keys.job(id(3)),
-        JobRecord.open(job(id(3), Set.of(id(1))).treatedAs(Rank.HIGH, null), 3000));
-    assertEquals(Rank.HIGH, ledger.job(id(1)).job().rank());
+        JobRecord.open(job(id(3), Set.of(id(1))).withUrgency(Priority.HIGH, null), 3000));
+    assertEquals(Priority.HIGH, ledger.job(id(1)).job().priority());
     put(Keys.job(id(1)), ledger.asRecorded(id(1)).done(5));
     assertEquals(JobPhase.DONE, ledger.job(id(1)).phase());
   }
@@ -191,7 +191,7 @@
   void standsByTheRecordsOfOthers() {
     put(Keys.job(id(1)), JobRecord.open(job(id(1), Set.of()), 100));
     put(
-        Keys.bundle(new MemberId("m"), new Incarnation(1), 1),
+        Keys.bundle(new ControllerId("m"), new Incarnation(1), 1),
         JobRecord.bundle(
             List.of(
                 JobRecord.open(job(id(2), Set.of(id(1))), 200),
--- a/src/test/java/org/quincecross/state/RecordsTest.java
+++ b/src/test/java/org/quincecross/state/RecordsTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
-import org.quincecross.model.BlockId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
@@ -22,12 +22,12 @@
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
@@ -96,15 +96,15 @@
         new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
     MemberRecord member =
         new MemberRecord(
-            new MemberId("n0"),
+            new ControllerId("n0"),
             new Incarnation(7),
             "z",
             Build.BEFORE_LEVELS,
             Terms.NONE,
             new Revision(3));
-    Map<String, Object> block = BlockLease.first(new BlockId("b"), member, machine).write();
+    Map<String, Object> block = BlockLease.first(new ShardId("b"), member, machine).write();
     block.putAll(extra);
-    BlockLease lease = BlockLease.read(new BlockId("b"), throughJson(block), new Revision(9));
+    BlockLease lease = BlockLease.read(new ShardId("b"), throughJson(block), new Revision(9));
     Machine more =
         new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
     for (BlockLease changed :
@@ -121,8 +121,8 @@
             new JobId("job-5"),
             "c",
             "team",
-            Shape.ARRAY,
-            Rank.NORMAL,
+            JobKind.ARRAY,
+            Priority.NORMAL,
             3,
             new Resources(1, 0, 1),
             null,
@@ -132,9 +132,9 @@
             false,
             "i",
             1,
-            Span.ofSeconds(5),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(5),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     Map<String, Object> open = JobRecord.open(job, 77);
     open.putAll(extra);
@@ -182,8 +182,8 @@
             new JobId("job-5"),
             "c".repeat(random.nextInt(1500)) + "c",
             "team",
-            Shape.GANG,
-            Rank.NORMAL,
+            JobKind.GANG,
+            Priority.NORMAL,
             3,
             new Resources(1, 0, 1),
             Set.of("t".repeat(random.nextInt(1500))),
@@ -193,9 +193,9 @@
             false,
             "i".repeat(1 + random.nextInt(1500)),
             1,
-            Span.ofSeconds(5),
-            Span.ZERO,
-            Span.ZERO,
+            TimeSpan.ofSeconds(5),
+            TimeSpan.ZERO,
+            TimeSpan.ZERO,
             null);
     Map<String, Object> open = JobRecord.open(job, 77);
     open.put("later", "x".repeat(random.nextInt(1500)));
@@ -210,18 +210,18 @@
     assertEquals(99, read.cancelledMs());
     assertEquals(
         job.team()
-            + job.each()
-            + job.tasks()
+            + job.taskResources()
+            + job.taskCount()
             + job.zone()
-            + job.spread()
-            + job.rank()
-            + job.shape(),
+            + job.spreadOverZones()
+            + job.priority()
+            + job.kind(),
         read.job().team()
-            + read.job().each()
-            + read.job().tasks()
+            + read.job().taskResources()
+            + read.job().taskCount()
             + read.job().zone()
-            + read.job().spread()
-            + read.job().rank()
-            + read.job().shape());
+            + read.job().spreadOverZones()
+            + read.job().priority()
+            + read.job().kind());
   }
 }
--- a/src/test/java/org/quincecross/wire/JobCodecTest.java
+++ b/src/test/java/org/quincecross/wire/JobCodecTest.java
@@ -17,10 +17,10 @@
 import net.jqwik.api.Provide;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Rank;
+import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Shape;
-import org.quincecross.model.Span;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.TimeSpan;
 
 class JobCodecTest {
   @Provide
@@ -31,15 +31,15 @@
             .withChars("-_é\"")
             .ofMinLength(1)
             .ofMaxLength(12);
-    var spans = Arbitraries.integers().between(0, 4000).map(s -> Span.ofSeconds(s));
+    var spans = Arbitraries.integers().between(0, 4000).map(s -> TimeSpan.ofSeconds(s));
     var amounts = Arbitraries.integers().between(1, 4000).map(n -> n / 8.0);
     var head =
         Combinators.combine(
             Arbitraries.integers().between(0, 999_999),
             words,
             words,
-            Arbitraries.of(Shape.class),
-            Arbitraries.of(Rank.class),
+            Arbitraries.of(JobKind.class),
+            Arbitraries.of(Priority.class),
             Arbitraries.integers().between(1, JobCodec.MOST_TASKS));
     var place =
         Combinators.combine(
@@ -67,8 +67,8 @@
                   new JobId("job-" + h[0]),
                   (String) h[1],
                   (String) h[2],
-                  (Shape) h[3],
-                  (Rank) h[4],
+                  (JobKind) h[3],
+                  (Priority) h[4],
                   (int) h[5],
                   new Resources(cpus, 0, mem),
                   types,
@@ -192,7 +192,7 @@
           JobCodec.read(
                   Json.parseFields(
                       good.replace("?", none).getBytes(java.nio.charset.StandardCharsets.UTF_8)))
-              .waitsOn());
+              .dependencies());
     }
     assertEquals(
         Set.of(new JobId("job-7"), new JobId("job-07")),
@@ -200,7 +200,7 @@
                 Json.parseFields(
                     good.replace("?", "[\"job-7\",\"job-07\",\"job-7\"]")
                         .getBytes(java.nio.charset.StandardCharsets.UTF_8)))
-            .waitsOn());
+            .dependencies());
     for (String bad :
         List.of(
             "\"job-7\"",
--- a/src/test/java/org/quincecross/wire/SettingsTest.java
+++ b/src/test/java/org/quincecross/wire/SettingsTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.MemberId;
-import org.quincecross.model.Span;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.TimeSpan;
 
 class SettingsTest {
   private static final Settings.StateLimits PRESENT = new Settings.StateLimits(100, 10, 4096, 8);
@@ -24,7 +24,7 @@
   private static Settings settings(double lease, double cancel) {
     Endpoint somewhere = new Endpoint("10.0.0.1", 80);
     return new Settings(
-        new MemberId("n0"),
+        new ControllerId("n0"),
         "a",
         somewhere,
         somewhere,
@@ -35,14 +35,14 @@
         Map.of(),
         List.of(),
         new Settings.Workers(
-            Span.ofSeconds(1),
-            Span.ofSeconds(lease),
-            Span.ofSeconds(30),
-            Span.ofSeconds(5),
-            Span.ofSeconds(cancel)),
+            TimeSpan.ofSeconds(1),
+            TimeSpan.ofSeconds(lease),
+            TimeSpan.ofSeconds(30),
+            TimeSpan.ofSeconds(5),
+            TimeSpan.ofSeconds(cancel)),
         PRESENT,
-        new Settings.CloudLimits(4, Span.ofSeconds(2)),
-        Span.ofSeconds(1),
+        new Settings.CloudLimits(4, TimeSpan.ofSeconds(2)),
+        TimeSpan.ofSeconds(1),
         new Settings.Quota(1, 200, 1000));
   }
 
@@ -52,7 +52,7 @@
    */
   @Test
   void leasesTooLongForCancellationsAreNamed() throws BadMessage {
-    assertEquals(Span.ofSeconds(60), with(60, 36).workers().lease());
+    assertEquals(TimeSpan.ofSeconds(60), with(60, 36).workers().lease());
     String why = assertThrows(BadMessage.class, () -> with(80, 36)).getMessage();
     assertEquals(
         "field lease_s is too long for what cancel_s says: tasks that nobody reaches go on for a lease",
