--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -22,13 +22,13 @@
 import org.quincecross.state.OperatorSettings;
 import org.quincecross.state.Oversized;
 import org.quincecross.state.StateClient;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -48,7 +48,7 @@
   private final Stalls stalls;
   private final ServedLog served;
   private final ControllerId self;
-  private final Settings.StateLimits limits;
+  private final Settings.StoreLimits limits;
 
   /**
    * @param served null where it is not counted who is served
@@ -65,7 +65,7 @@
       Stalls stalls,
       ServedLog served,
       ControllerId self,
-      Settings.StateLimits limits) {
+      Settings.StoreLimits limits) {
     this.timers = timers;
     this.ledger = ledger;
     this.follower = follower;
@@ -170,7 +170,7 @@
         "blocks_held",
         holdings.all().size(),
         "too_large",
-        Oversized.of(ledger, limits.plannedValue()),
+        Oversized.of(ledger, limits.plannedValueBytes()),
         "stalled",
         stalls.write(),
         "served",
@@ -277,18 +277,18 @@
     Map<String, Object> record;
     Revision version;
     try {
-      Fields in = Json.parseFields(body);
+      JsonFields in = Json.parseFields(body);
       version = new Revision(in.unsigned("version"));
       next = OperatorSettings.read(in.raw("settings"), present());
       record = next.write();
       record.putAll(OperatorSettings.unknown(ledger.operatorSettings()));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       reply.accept(error(400, e.getMessage()));
       return;
     }
     client.txn(
-        List.of(new Guard(Keys.OPERATOR_SETTINGS, version)),
-        List.of(Change.put(Keys.OPERATOR_SETTINGS, record)),
+        List.of(new Precondition(Keys.OPERATOR_SETTINGS, version)),
+        List.of(Mutation.put(Keys.OPERATOR_SETTINGS, record)),
         outcome -> {
           switch (outcome.kind()) {
             case COMMITTED -> {
--- a/src/main/java/org/quincecross/admin/AgreedApi.java
+++ b/src/main/java/org/quincecross/admin/AgreedApi.java
@@ -18,10 +18,10 @@
 import org.quincecross.state.AgreedBook;
 import org.quincecross.state.AgreedStore;
 import org.quincecross.state.Follower;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /**
  * Requests below {@code /admin/agreed}: what records there are, one record, a change of it, the
@@ -201,26 +201,26 @@
       AgreedBook<S, C> book, String id, byte[] body, Consumer<HttpResponse> reply) {
     AgreedStore.Ask<C> ask;
     try {
-      Fields in = Json.parseFields(body);
-      for (String name : in.names()) {
+      JsonFields in = Json.parseFields(body);
+      for (String name : in.fieldNames()) {
         if (!List.of("request", "command", "by", "on_change").contains(name)) {
-          throw new BadMessage(
+          throw new MalformedMessageException(
               "unknown field " + name + "; there are request, command, by and on_change");
         }
       }
-      String request = in.text("request");
+      String request = in.string("request");
       if (request.isBlank() || request.length() > Kept.LONGEST_NAME) {
-        throw new BadMessage("field request is not 1 to " + Kept.LONGEST_NAME + " characters");
+        throw new MalformedMessageException("field request is not 1 to " + Kept.LONGEST_NAME + " characters");
       }
-      String by = in.textOr("by", "");
+      String by = in.stringOr("by", "");
       if (by.length() > Kept.LONGEST_NAME) {
-        throw new BadMessage("field by is longer than " + Kept.LONGEST_NAME + " characters");
+        throw new MalformedMessageException("field by is longer than " + Kept.LONGEST_NAME + " characters");
       }
-      long onChange = in.has("on_change") ? in.count("on_change", 0, Integer.MAX_VALUE) : -1;
+      long onChange = in.has("on_change") ? in.integer("on_change", 0, Integer.MAX_VALUE) : -1;
       ask =
           new AgreedStore.Ask<>(
-              request, onChange, book.kind().command(in.fields("command").others(List.of())), by);
-    } catch (BadMessage | Unreadable e) {
+              request, onChange, book.kind().command(in.fields("command").unknownFields(List.of())), by);
+    } catch (MalformedMessageException | Unreadable e) {
       reply.accept(error(400, e.getMessage()));
       return;
     }
--- a/src/main/java/org/quincecross/admin/Metrics.java
+++ b/src/main/java/org/quincecross/admin/Metrics.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /** How long requests took, by what was asked and how it was answered. */
 public final class Metrics {
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -23,10 +23,10 @@
 import org.quincecross.state.AgreedStore;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.ModelRecords;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /**
  * Requests below {@code /admin/models}: what models there are, one of them, defining it, waking it,
@@ -86,7 +86,7 @@
     } else {
       try {
         post(parts[0], parts.length == 1 ? "define" : parts[1], request.body(), reply);
-      } catch (BadMessage | Unreadable e) {
+      } catch (MalformedMessageException | Unreadable e) {
         reply.accept(error(400, e.getMessage()));
       }
     }
@@ -101,8 +101,8 @@
   }
 
   private void post(String name, String what, byte[] body, Consumer<HttpResponse> reply)
-      throws BadMessage, Unreadable {
-    Fields in = Json.parseFields(body);
+      throws MalformedMessageException, Unreadable {
+    JsonFields in = Json.parseFields(body);
     if (!what.equals("define") && !known(name)) {
       reply.accept(unknown(name));
       return;
@@ -117,10 +117,10 @@
       }
       case "load" -> {
         only(in, List.of("from", "in_flight"));
-        String from = in.text("from");
-        int inFlight = in.count("in_flight", 0, MOST_IN_FLIGHT);
+        String from = in.string("from");
+        int inFlight = in.integer("in_flight", 0, MOST_IN_FLIGHT);
         if (from.isBlank() || from.length() > Kept.LONGEST_NAME) {
-          throw new BadMessage("field from is not 1 to " + Kept.LONGEST_NAME + " characters");
+          throw new MalformedMessageException("field from is not 1 to " + Kept.LONGEST_NAME + " characters");
         }
         if (inFlight == 0 || mayWake(name, reply)) {
           desk.told(name, from, inFlight, answer -> reply.accept(answered(name, answer)));
@@ -135,10 +135,10 @@
     }
   }
 
-  private static void only(Fields in, List<String> names) throws BadMessage {
-    for (String name : in.names()) {
+  private static void only(JsonFields in, List<String> names) throws MalformedMessageException {
+    for (String name : in.fieldNames()) {
       if (!names.contains(name)) {
-        throw new BadMessage(
+        throw new MalformedMessageException(
             "unknown field "
                 + name
                 + (names.isEmpty() ? "" : "; there are " + String.join(", ", names)));
@@ -164,8 +164,8 @@
     return false;
   }
 
-  private void define(String name, Fields in, Consumer<HttpResponse> reply)
-      throws BadMessage, Unreadable {
+  private void define(String name, JsonFields in, Consumer<HttpResponse> reply)
+      throws MalformedMessageException, Unreadable {
     List<String> names = new ArrayList<>(TERMS);
     names.addAll(List.of("request", "by"));
     only(in, names);
@@ -218,17 +218,17 @@
     }
   }
 
-  private void change(String name, Fields in, ModelCommand command, Consumer<HttpResponse> reply)
-      throws BadMessage {
-    String request = in.text("request");
+  private void change(String name, JsonFields in, ModelCommand command, Consumer<HttpResponse> reply)
+      throws MalformedMessageException {
+    String request = in.string("request");
     if (request.isBlank() || request.length() > Kept.LONGEST_NAME) {
-      throw new BadMessage("field request is not 1 to " + Kept.LONGEST_NAME + " characters");
+      throw new MalformedMessageException("field request is not 1 to " + Kept.LONGEST_NAME + " characters");
     }
     base.store()
         .ask(
             records.book(),
             name,
-            new AgreedStore.Ask<>(request, -1, command, in.textOr("by", "")),
+            new AgreedStore.Ask<>(request, -1, command, in.stringOr("by", "")),
             answer -> {
               if (answer.isDurable()) {
                 reply.accept(
--- a/src/main/java/org/quincecross/admin/ServedLog.java
+++ b/src/main/java/org/quincecross/admin/ServedLog.java
@@ -18,8 +18,8 @@
 import org.quincecross.served.ServedBooks;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -72,7 +72,7 @@
         new ServedBooks(
             job -> {
               JobRecord record = ledger.asRecorded(job.id());
-              return settings.aims(
+              return settings.objectivesOf(
                   job, TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
             });
   }
--- a/src/main/java/org/quincecross/admin/Stalls.java
+++ b/src/main/java/org/quincecross/admin/Stalls.java
@@ -22,7 +22,7 @@
 import org.quincecross.state.BlockLease;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/quincecross/api/AfterParts.java
+++ b/src/main/java/org/quincecross/api/AfterParts.java
@@ -10,7 +10,7 @@
 import org.quincecross.state.Predecessors;
 import org.quincecross.state.StateClient;
 import org.quincecross.state.TxnOutcome;
-import org.quincecross.wire.StateCodec.Change;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 /**
  * Makes durable what a new job waits on where its own record has no room for it, before that record
@@ -42,16 +42,16 @@
    * transaction's time for each few parts.
    */
   void write(Set<JobId> waitsOn, Consumer<Boolean> durable) {
-    List<Change> changes = new ArrayList<>();
+    List<Mutation> changes = new ArrayList<>();
     for (Map.Entry<String, Map<String, Object>> part : Predecessors.parts(waitsOn).entrySet()) {
       if (!ledger.hasPart(part.getKey())) {
-        changes.add(Change.put(part.getKey(), part.getValue()));
+        changes.add(Mutation.put(part.getKey(), part.getValue()));
       }
     }
     write(changes, durable);
   }
 
-  private void write(List<Change> changes, Consumer<Boolean> durable) {
+  private void write(List<Mutation> changes, Consumer<Boolean> durable) {
     if (changes.isEmpty()) {
       durable.accept(true);
       return;
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -19,11 +19,11 @@
 import org.quincecross.silence.Aloneness;
 import org.quincecross.state.BlockLease;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.WorkerCodec;
-import org.quincecross.wire.WorkerReport;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.AgentCodec;
+import org.quincecross.protocol.Heartbeat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,7 +45,7 @@
   /** A machine that its holder has not heard of for so long is not sent there. */
   private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(3);
 
-  private record Waiting(WorkerReport report, MonotonicTime until, Consumer<HttpResponse> reply) {}
+  private record Waiting(Heartbeat report, MonotonicTime until, Consumer<HttpResponse> reply) {}
 
   private final Timers timers;
   private final Ledger ledger;
@@ -84,10 +84,10 @@
   }
 
   void beat(byte[] body, Consumer<HttpResponse> reply) {
-    WorkerReport report;
+    Heartbeat report;
     try {
-      report = WorkerCodec.readReport(Json.parseFields(body));
-    } catch (BadMessage e) {
+      report = AgentCodec.readReport(Json.parseFields(body));
+    } catch (MalformedMessageException e) {
       LOG.info("unreadable report: {}", e.getMessage());
       reply.accept(HttpResponse.of(400, JobCodec.error(e.getMessage())));
       return;
@@ -105,7 +105,7 @@
     route(report, timers.now().plus(WAIT_FOR_LEASE), reply);
   }
 
-  private void route(WorkerReport report, MonotonicTime until, Consumer<HttpResponse> reply) {
+  private void route(Heartbeat report, MonotonicTime until, Consumer<HttpResponse> reply) {
     MachineId machine = report.machine().id();
     BlockLease lease = ledger.blockOf(machine);
     if (lease == null) {
@@ -167,13 +167,13 @@
     reply.accept(
         member.equals(self)
             ? HttpResponse.of(503)
-            : HttpResponse.of(421, WorkerCodec.writeRedirect(member)));
+            : HttpResponse.of(421, AgentCodec.writeRedirect(member)));
   }
 
   /**
    * The block is about to get a holder: better a late answer than a round of the other controllers.
    */
-  private void waitForLease(WorkerReport report, MonotonicTime until, Consumer<HttpResponse> reply) {
+  private void waitForLease(Heartbeat report, MonotonicTime until, Consumer<HttpResponse> reply) {
     if (until.isBefore(timers.now())) {
       reply.accept(HttpResponse.of(503));
       return;
--- a/src/main/java/org/quincecross/api/AgreedParts.java
+++ b/src/main/java/org/quincecross/api/AgreedParts.java
@@ -34,9 +34,9 @@
 import org.quincecross.state.Ledger;
 import org.quincecross.state.Membership;
 import org.quincecross.state.StateClient;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 
 /**
  * The records that all controllers follow, and the parts that rest on them, where they are switched
--- a/src/main/java/org/quincecross/api/Arrivals.java
+++ b/src/main/java/org/quincecross/api/Arrivals.java
@@ -12,10 +12,10 @@
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.WorkerCodec;
-import org.quincecross.wire.WorkerReport;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.AgentCodec;
+import org.quincecross.protocol.Heartbeat;
 
 /**
  * Machines that report and are in no block. A late copy of the report of one that was returned or
@@ -46,7 +46,7 @@
   }
 
   /** A machine that is in no block has reported, or a copy of its report came. */
-  void reported(WorkerReport report) {
+  void reported(Heartbeat report) {
     Machine machine = report.machine();
     if (report.token().equals(FencingToken.NONE) && leader.newcomer(machine, false)) {
       return;
@@ -60,7 +60,7 @@
       askAfter.put(machine.id(), now.plus(ASK_TIMEOUT).plus(ASK_AGAIN));
       http.call(
           machine.address(),
-          HttpRequest.get(WorkerCodec.STATUS),
+          HttpRequest.get(AgentCodec.STATUS),
           ASK_TIMEOUT,
           outcome -> answered(machine, outcome));
     }
@@ -75,7 +75,7 @@
     try {
       // Another machine may have the address of one that is gone.
       if (outcome.status() == 200
-          && WorkerCodec.readReport(Json.parseFields(outcome.response().body()))
+          && AgentCodec.readReport(Json.parseFields(outcome.response().body()))
               .machine()
               .equals(machine)) {
         askAfter.remove(machine.id());
@@ -84,7 +84,7 @@
           leader.newcomer(machine, true);
         }
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       // It is asked again when it reports again.
       there.remove(machine.id());
     }
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -51,11 +51,11 @@
 import org.quincecross.state.Ledger;
 import org.quincecross.state.Membership;
 import org.quincecross.state.StateClient;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.WorkerCodec;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.AgentCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -122,30 +122,30 @@
     this.peers = peers;
     this.settings = settings;
     this.clockMs = clockMs;
-    StateClient client = new StateClient(timers, http, settings.state(), settings.stateLimits());
+    StateClient client = new StateClient(timers, http, settings.storeAddress(), settings.storeLimits());
     follower = new Follower(timers, client, ledger);
     aloneness =
         new Aloneness(
-            settings.siblings().stream()
-                .allMatch(other -> settings.member().compareTo(other.member()) < 0),
+            settings.peers().stream()
+                .allMatch(other -> settings.self().compareTo(other.member()) < 0),
             clock.now());
     membership =
         new Membership(
             timers,
             client,
-            settings.member(),
+            settings.self(),
             settings.zone(),
             features.build(),
-            features.agreed() == null
-                ? settings.terms()
-                : settings.terms().with("agreed parts", AgreedParts.mark(features.agreed())),
-            settings.stateLimits().plannedValue());
-    unconfirmedBound = settings.workers().unconfirmedBound();
+            features.replicatedFeatures() == null
+                ? settings.announcedLimits()
+                : settings.announcedLimits().with("agreed parts", AgreedParts.mark(features.replicatedFeatures())),
+            settings.storeLimits().plannedValueBytes());
+    unconfirmedBound = settings.agentTimeouts().unconfirmedBound();
     startPermission =
         new StartPermission(
-            settings.siblings().stream()
-                .map(Settings.Sibling::member)
-                .filter(other -> !other.equals(settings.member()))
+            settings.peers().stream()
+                .map(Settings.Peer::member)
+                .filter(other -> !other.equals(settings.self()))
                 .collect(Collectors.toSet()),
             unconfirmedBound.starts());
     agreed =
@@ -157,12 +157,12 @@
             membership,
             views,
             settings,
-            features.agreed(),
+            features.replicatedFeatures(),
             clockMs,
             unconfirmedBound.unconfirmed());
     foresight = new Foresight(ledger, agreed.withheld());
     roomElsewhere = new RoomElsewhere(ledger, views, this::reserves);
-    holdings = new Holdings(this, settings.member(), membership::life);
+    holdings = new Holdings(this, settings.self(), membership::life);
     fleet =
         new Fleet(
             timers,
@@ -202,10 +202,10 @@
             memoryIsShort,
             aloneness::state);
     agents =
-        new AgentApi(timers, ledger, holdings, leader, views, http, settings.member(), aloneness);
+        new AgentApi(timers, ledger, holdings, leader, views, http, settings.self(), aloneness);
     stalls = new Stalls(timers, ledger, holdings, leader, this::running, agreed.withheld());
     served =
-        features.servedEvery() == null
+        features.accountingInterval() == null
             ? null
             : new ServedLog(
                 timers,
@@ -213,7 +213,7 @@
                 leader,
                 settings,
                 clockMs,
-                features.servedEvery(),
+                features.accountingInterval(),
                 agreed.withheld());
     admin =
         new AdminApi(
@@ -227,8 +227,8 @@
             metrics,
             stalls,
             served,
-            settings.member(),
-            settings.stateLimits());
+            settings.self(),
+            settings.storeLimits());
   }
 
   /** What the parts that rest on agreed records are given; null where there are none. */
@@ -282,7 +282,7 @@
     MonotonicTime answering = follower.answering();
     TimeSpan unconfirmed = answering == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(answering);
     return new PeerReport(
-        settings.member(),
+        settings.self(),
         membership.life(),
         reports,
         base,
@@ -299,11 +299,11 @@
     startPermission.sent(membership.life(), reports, timers.now());
     lookAround();
     holdings.refresh(reports, lookAtAll);
-    PeerViews.View own = views.of(settings.member());
+    PeerViews.View own = views.of(settings.self());
     views.take(
         report(own == null || !own.life().equals(membership.life()) ? 0 : own.number()),
         timers.now());
-    for (Settings.Sibling sibling : settings.siblings()) {
+    for (Settings.Peer sibling : settings.peers()) {
       ControllerId member = sibling.member();
       LinkWatch link = links.computeIfAbsent(member, m -> new LinkWatch());
       if (link.takeStuck(timers.now())) {
@@ -326,7 +326,7 @@
     lookAtClock();
     try {
       PeerReport report = PeerCodec.read(frame);
-      PeerReport.Receipt receipt = report.receipts().get(settings.member());
+      PeerReport.Receipt receipt = report.receipts().get(settings.self());
       if (receipt != null) {
         startPermission.received(
             report.member(), receipt.life(), receipt.number(), report.ledger());
@@ -344,7 +344,7 @@
         newsForLeader();
       }
       return true;
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.info("{}", e.getMessage());
       return false;
     }
@@ -354,10 +354,10 @@
   private void forgetFormerHolders(Ledger.Changes changes) {
     for (ShardId id : changes.blocks()) {
       BlockLease lease = ledger.block(id);
-      for (Settings.Sibling sibling : settings.siblings()) {
+      for (Settings.Peer sibling : settings.peers()) {
         forgetIfFormer(sibling.member(), id, lease);
       }
-      forgetIfFormer(settings.member(), id, lease);
+      forgetIfFormer(settings.self(), id, lease);
     }
   }
 
@@ -393,7 +393,7 @@
     String what =
         path.startsWith(JobCodec.JOBS)
             ? request.method() + (path.endsWith(JobCodec.CANCEL) ? " cancel" : " job")
-            : path.equals(WorkerCodec.BEAT) ? "report" : "other";
+            : path.equals(AgentCodec.BEAT) ? "report" : "other";
     route(
         request,
         path,
@@ -404,9 +404,9 @@
   }
 
   private void route(HttpRequest request, String path, Consumer<HttpResponse> reply) {
-    if (isUnable() && (path.equals(WorkerCodec.BEAT) || path.startsWith(JobCodec.JOBS))) {
+    if (isUnable() && (path.equals(AgentCodec.BEAT) || path.startsWith(JobCodec.JOBS))) {
       reply.accept(HttpResponse.of(503, JobCodec.error("this controller cannot take part")));
-    } else if (path.equals(WorkerCodec.BEAT)) {
+    } else if (path.equals(AgentCodec.BEAT)) {
       if (request.method().equals("POST")) {
         agents.beat(request.body(), reply);
       } else {
@@ -456,7 +456,7 @@
     Aloneness.State before = aloneness.state();
     aloneness.look(
         follower.answering(),
-        settings.siblings().stream()
+        settings.peers().stream()
             .map(
                 sibling -> {
                   PeerViews.View view = views.of(sibling.member());
@@ -494,8 +494,8 @@
   }
 
   @Override
-  public Settings.Workers workers() {
-    return settings.workers();
+  public Settings.AgentTimeouts workers() {
+    return settings.agentTimeouts();
   }
 
   @Override
@@ -510,12 +510,12 @@
 
   @Override
   public boolean isIdle(Job job) {
-    return settings.isIdle(job);
+    return settings.isBestEffort(job);
   }
 
   @Override
   public TimeSpan startWithin(String jobClass) {
-    return settings.startWithin(jobClass);
+    return settings.startTimeLimit(jobClass);
   }
 
   @Override
@@ -578,9 +578,9 @@
 
   @Override
   public boolean allHaveNoted(Revision revision) {
-    for (Settings.Sibling sibling : settings.siblings()) {
+    for (Settings.Peer sibling : settings.peers()) {
       PeerViews.View view = views.of(sibling.member());
-      if (!sibling.member().equals(settings.member())
+      if (!sibling.member().equals(settings.self())
           && (view == null || revision.isAfter(view.ledger()))) {
         return false;
       }
--- a/src/main/java/org/quincecross/api/Refusals.java
+++ b/src/main/java/org/quincecross/api/Refusals.java
@@ -7,7 +7,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.silence.Aloneness;
-import org.quincecross.wire.JobCodec;
+import org.quincecross.protocol.JobCodec;
 
 /**
  * How requests are refused that need the state service while it is not heard. The users' balancer
--- a/src/main/java/org/quincecross/api/Strays.java
+++ b/src/main/java/org/quincecross/api/Strays.java
@@ -6,7 +6,7 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.wire.WorkerReport;
+import org.quincecross.protocol.Heartbeat;
 
 /**
  * Machines of others' blocks that have reported here lately: the leader moves a block that its
@@ -27,7 +27,7 @@
    * @param stray false where the machine's block was held here at that time
    */
   private record Heard(long session, long order, MonotonicTime at, boolean stray) {
-    boolean isBefore(WorkerReport report) {
+    boolean isBefore(Heartbeat report) {
       int bySession = Long.compareUnsigned(report.session(), session);
       return bySession != 0 ? bySession > 0 : Long.compareUnsigned(report.order(), order) > 0;
     }
@@ -37,16 +37,16 @@
   private MonotonicTime tidied = new MonotonicTime(0);
 
   /** A machine of another's block has reported here, or a copy of a report came. */
-  void heard(WorkerReport report, MonotonicTime now) {
+  void heard(Heartbeat report, MonotonicTime now) {
     note(report, now, true);
   }
 
   /** Its block is held here now, and that holder has answered it. */
-  void answered(WorkerReport report, MonotonicTime now) {
+  void answered(Heartbeat report, MonotonicTime now) {
     note(report, now, false);
   }
 
-  private void note(WorkerReport report, MonotonicTime now, boolean stray) {
+  private void note(Heartbeat report, MonotonicTime now, boolean stray) {
     MachineId machine = report.machine().id();
     Heard before = heard.get(machine);
     if (before == null
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -21,10 +21,10 @@
 import org.quincecross.state.Keys;
 import org.quincecross.state.StateClient;
 import org.quincecross.state.TxnOutcome;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 
 /**
  * Makes submissions durable, several in one change where several have come.
@@ -132,7 +132,7 @@
       Follower follower,
       ControllerId member,
       Supplier<Incarnation> life,
-      Settings.StateLimits limits,
+      Settings.StoreLimits limits,
       Predicate<JobId> isKnown) {
     this.isKnown = isKnown;
     this.timers = timers;
@@ -140,9 +140,9 @@
     this.follower = follower;
     this.member = member;
     this.life = life;
-    this.mostChanges = limits.txnChanges();
-    this.mostValue = limits.plannedValue();
-    this.secondsPerJob = 1 / (limits.writesPerS() * JOBS_PER_CHANGE);
+    this.mostChanges = limits.maxMutationsPerTransaction();
+    this.mostValue = limits.plannedValueBytes();
+    this.secondsPerJob = 1 / (limits.writesPerSecond() * JOBS_PER_CHANGE);
   }
 
   /**
@@ -250,8 +250,8 @@
   private void writeOne(Pending one) {
     String key = Keys.job(one.job().id());
     write(
-        List.of(new Guard(key, Revision.NONE)),
-        List.of(Change.put(key, JobRecord.open(one.job(), one.acceptedMs()))),
+        List.of(new Precondition(key, Revision.NONE)),
+        List.of(Mutation.put(key, JobRecord.open(one.job(), one.acceptedMs()))),
         List.of(one),
         outcome -> {
           switch (outcome.kind()) {
@@ -270,8 +270,8 @@
    */
   private void writeMany() {
     List<Pending> group = new ArrayList<>();
-    List<Guard> guards = new ArrayList<>();
-    List<Change> changes = new ArrayList<>();
+    List<Precondition> guards = new ArrayList<>();
+    List<Mutation> changes = new ArrayList<>();
     int bytes = 0;
     // No more than can go out now: a change that waits for its budget has all behind it wait, other
     // teams' jobs among them.
@@ -294,8 +294,8 @@
         group.add(waiting.poll());
       }
       String key = Keys.bundle(member, life.get(), ++bundles);
-      guards.add(new Guard(key, Revision.NONE));
-      changes.add(Change.put(key, JobRecord.bundle(jobs)));
+      guards.add(new Precondition(key, Revision.NONE));
+      changes.add(Mutation.put(key, JobRecord.bundle(jobs)));
       bytes += size;
     }
     write(
@@ -323,7 +323,7 @@
   }
 
   private void write(
-      List<Guard> guards, List<Change> changes, List<Pending> group, Consumer<TxnOutcome> done) {
+      List<Precondition> guards, List<Mutation> changes, List<Pending> group, Consumer<TxnOutcome> done) {
     writing++;
     underWay += group.size();
     MonotonicTime begun = timers.now();
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -29,13 +29,13 @@
 import org.quincecross.state.Ledger;
 import org.quincecross.state.StateClient;
 import org.quincecross.state.TxnOutcome;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -113,11 +113,11 @@
             timers,
             client,
             follower,
-            settings.member(),
+            settings.self(),
             life,
-            settings.stateLimits(),
+            settings.storeLimits(),
             id -> ledger.job(id) != null);
-    this.afterParts = new AfterParts(client, ledger, settings.stateLimits().txnChanges());
+    this.afterParts = new AfterParts(client, ledger, settings.storeLimits().maxMutationsPerTransaction());
   }
 
   /** Answers a request below {@link JobCodec#JOBS}. */
@@ -222,12 +222,12 @@
   }
 
   private void submit(byte[] body, Consumer<HttpResponse> reply) {
-    Fields in;
+    JsonFields in;
     JobId id;
     try {
       in = Json.parseFields(body);
       id = JobCodec.id(in);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       reply.accept(bad(400, e.getMessage()));
       return;
     }
@@ -249,7 +249,7 @@
     try {
       job = JobCodec.readSubmission(in);
       refusal = refusal(job);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       refusal = bad(400, e.getMessage());
     }
     if (refusal == null) {
@@ -438,13 +438,13 @@
     List<Consumer<TxnOutcome>> all = new ArrayList<>(List.of(then));
     cancelling.put(id, all);
     client.txn(
-        List.of(new Guard(Keys.job(id), ledger.version(Keys.job(id)))),
+        List.of(new Precondition(Keys.job(id), ledger.version(Keys.job(id)))),
         List.of(
-            Change.put(
+            Mutation.put(
                 Keys.job(id),
                 ledger
                     .asRecorded(id)
-                    .cancelled(clockMs.getAsLong(), settings.stateLimits().valueBytes()))),
+                    .cancelled(clockMs.getAsLong(), settings.storeLimits().maxValueBytes()))),
         outcome -> {
           cancelling.remove(id);
           all.forEach(each -> each.accept(outcome));
--- a/src/main/java/org/quincecross/block/BlockHolder.java
+++ b/src/main/java/org/quincecross/block/BlockHolder.java
@@ -32,8 +32,8 @@
 import org.quincecross.state.Allocation;
 import org.quincecross.state.BlockLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.wire.WorkerReport;
-import org.quincecross.wire.WorkerReport.Piece;
+import org.quincecross.protocol.Heartbeat;
+import org.quincecross.protocol.Heartbeat.Piece;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -405,7 +405,7 @@
   // ---- reports ----
 
   /** Answers a worker's report; null where this controller is not entitled to. */
-  public byte[] answer(WorkerReport report) {
+  public byte[] answer(Heartbeat report) {
     Session session = sessions.get(report.machine().id());
     MonotonicTime now = context.now();
     if (session == null || superseded || !context.isEntitled()) {
@@ -432,7 +432,7 @@
    * Takes what is news; false where the sender has no right to an answer, or most likely does not
    * wait for one.
    */
-  private boolean take(Session session, WorkerReport report, boolean beat) {
+  private boolean take(Session session, Heartbeat report, boolean beat) {
     if (report.token().isAfter(token())) {
       // Someone else has leased the block: the ledger will say so soon.
       LOG.info(
@@ -448,7 +448,7 @@
     if (verdict == Verdict.NEWS && watch.reported(session, report, beat)) {
       settle();
     }
-    WorkerReport before = session.report();
+    Heartbeat before = session.report();
     boolean newSession =
         (before != null && before.session() != report.session()) || verdict == Verdict.BEGUN_ANEW;
     if (verdict == Verdict.BEGUN_ANEW) {
@@ -532,7 +532,7 @@
   }
 
   /** A machine has answered a direct command. */
-  void answered(Session session, WorkerReport report) {
+  void answered(Session session, Heartbeat report) {
     take(session, report, false);
     if (session.hasBegunAnew()) {
       session.hear(context.now()); // its own reports are told from late ones only under a new token
--- a/src/main/java/org/quincecross/block/Commands.java
+++ b/src/main/java/org/quincecross/block/Commands.java
@@ -15,13 +15,13 @@
 import org.quincecross.model.TaskId;
 import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Order;
-import org.quincecross.wire.WorkerCodec;
-import org.quincecross.wire.WorkerReport;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.AgentCommand;
+import org.quincecross.protocol.AgentCodec;
+import org.quincecross.protocol.Heartbeat;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -60,8 +60,8 @@
   }
 
   /** All that the machine should be told now; everything in it may be told again. */
-  List<Order> orders(Session session) {
-    List<Order> orders = new ArrayList<>();
+  List<AgentCommand> orders(Session session) {
+    List<AgentCommand> orders = new ArrayList<>();
     MachineId machine = session.machine().id();
     Set<Attempt> present = new HashSet<>();
     for (Piece piece : session.report().pieces()) {
@@ -76,20 +76,20 @@
                     && placement.machine().equals(machine)
                     && placement.attempt().equals(piece.attempt()));
         if (!keep && !session.mayStillStart(piece.attempt())) {
-          orders.add(Order.forget(piece.task(), piece.attempt()));
+          orders.add(AgentCommand.forget(piece.task(), piece.attempt()));
         }
       } else if (!ours) {
-        orders.add(Order.stop(piece.task(), piece.attempt(), TimeSpan.ZERO));
+        orders.add(AgentCommand.stop(piece.task(), piece.attempt(), TimeSpan.ZERO));
       } else if (placement.state() == Placement.State.STOPPING
           && (piece.state() != TaskState.SAVING || placement.grace().nanos() == 0)) {
-        orders.add(Order.stop(piece.task(), piece.attempt(), placement.grace()));
+        orders.add(AgentCommand.stop(piece.task(), piece.attempt(), placement.grace()));
       }
     }
     // Said again, a start is a start: one that is held back here is said once the records are
     // confirmed (docs/incidents/started-without-word.md).
     for (Placement placement : context.mayStart() ? placements.on(machine) : List.<Placement>of()) {
       if (placement.state() == Placement.State.STARTING && !present.contains(placement.attempt())) {
-        orders.add(Order.start(placement.task(), placement.attempt()));
+        orders.add(AgentCommand.start(placement.task(), placement.attempt()));
       }
     }
     return orders.size() > MOST_ORDERS ? orders.subList(0, MOST_ORDERS) : orders;
@@ -104,14 +104,14 @@
    * The answer to the machine's report; one that does not obey yet is told nothing but the token.
    */
   byte[] answer(Session session) {
-    List<Order> orders = session.state() == Session.State.FENCED ? orders(session) : List.of();
+    List<AgentCommand> orders = session.state() == Session.State.FENCED ? orders(session) : List.of();
     tell(orders);
     session.startsInAnswer(starts(orders).keySet());
-    return WorkerCodec.writeAnswer(holder.lease().token(), orders);
+    return AgentCodec.writeAnswer(holder.lease().token(), orders);
   }
 
-  private void tell(List<Order> orders) {
-    for (Order order : orders) {
+  private void tell(List<AgentCommand> orders) {
+    for (AgentCommand order : orders) {
       Placement placement = placements.get(order.task());
       if (placement != null && placement.attempt().equals(order.attempt())) {
         placement.tell();
@@ -119,10 +119,10 @@
     }
   }
 
-  private static Map<Attempt, TaskId> starts(List<Order> orders) {
+  private static Map<Attempt, TaskId> starts(List<AgentCommand> orders) {
     Map<Attempt, TaskId> starts = new HashMap<>();
-    for (Order order : orders) {
-      if (order.verb() == Order.Verb.START) {
+    for (AgentCommand order : orders) {
+      if (order.verb() == AgentCommand.Verb.START) {
         starts.put(order.attempt(), order.task());
       }
     }
@@ -145,7 +145,7 @@
       if (session != null
           && session.state() == Session.State.FENCED
           && session.canSendDirect(now)) {
-        List<Order> orders = orders(session);
+        List<AgentCommand> orders = orders(session);
         if (!orders.isEmpty()) {
           tell(orders);
           sendDirect(session, orders);
@@ -154,15 +154,15 @@
     }
   }
 
-  private void sendDirect(Session session, List<Order> orders) {
+  private void sendDirect(Session session, List<AgentCommand> orders) {
     FencingToken sentWith = holder.lease().token();
     Map<Attempt, TaskId> starts = starts(orders);
     session.directSent(starts);
     LOG.debug("block {}: {} commands to {}", holder.id(), orders.size(), session.machine().id());
     HttpRequest request =
         HttpRequest.post(
-            WorkerCodec.ORDERS,
-            WorkerCodec.writeDirect(sentWith, session.report().session(), orders));
+            AgentCodec.ORDERS,
+            AgentCodec.writeDirect(sentWith, session.report().session(), orders));
     context
         .http()
         .call(
@@ -174,7 +174,7 @@
 
   private void directEnded(
       Session session, Map<Attempt, TaskId> starts, FencingToken sentWith, HttpOutcome outcome) {
-    WorkerReport report = readReport(outcome);
+    Heartbeat report = readReport(outcome);
     // Another machine may have the address of one that is gone: what that one says is nothing of
     // this one.
     if (report == null || !report.machine().id().equals(session.machine().id())) {
@@ -197,13 +197,13 @@
     }
   }
 
-  private static WorkerReport readReport(HttpOutcome outcome) {
+  private static Heartbeat readReport(HttpOutcome outcome) {
     if (outcome.status() != 200 && outcome.status() != 409) {
       return null;
     }
     try {
-      return WorkerCodec.readReport(Json.parseFields(outcome.response().body()));
-    } catch (BadMessage e) {
+      return AgentCodec.readReport(Json.parseFields(outcome.response().body()));
+    } catch (MalformedMessageException e) {
       LOG.info("unreadable answer of a worker: {}", e.getMessage());
       return null;
     }
@@ -217,7 +217,7 @@
   void fence() {
     MonotonicTime now = context.now();
     for (Session session : sessions.values()) {
-      if (session.isToBeAsked(context.workers().report(), now)
+      if (session.isToBeAsked(context.workers().heartbeatInterval(), now)
           && session.canSendDirect(now)
           && context.isEntitled()) {
         if (session.report() != null) {
@@ -229,7 +229,7 @@
             .http()
             .call(
                 session.machine().address(),
-                HttpRequest.get(WorkerCodec.STATUS),
+                HttpRequest.get(AgentCodec.STATUS),
                 DIRECT_TIMEOUT,
                 outcome -> directEnded(session, Map.of(), holder.lease().token(), outcome));
       }
--- a/src/main/java/org/quincecross/block/HolderContext.java
+++ b/src/main/java/org/quincecross/block/HolderContext.java
@@ -14,7 +14,7 @@
 import org.quincecross.net.Timers;
 import org.quincecross.sched.Reserve;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 
 /** What every holder of this controller shares. */
 public interface HolderContext {
@@ -27,7 +27,7 @@
   /** What a block should keep free. */
   List<Reserve> reserves(ShardId block);
 
-  Settings.Workers workers();
+  Settings.AgentTimeouts workers();
 
   /** The time within which tasks of a class should start, or null if nothing is said of that. */
   TimeSpan startWithin(String jobClass);
--- a/src/main/java/org/quincecross/block/Intake.java
+++ b/src/main/java/org/quincecross/block/Intake.java
@@ -8,9 +8,9 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.wire.WorkerReport.Cause;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.Heartbeat.Cause;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/quincecross/block/MachineViews.java
+++ b/src/main/java/org/quincecross/block/MachineViews.java
@@ -17,9 +17,9 @@
 import org.quincecross.sched.BlockScheduler;
 import org.quincecross.sched.Reserve;
 import org.quincecross.state.JobRecord;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 
 /** What machines have room for and are doing, put together from placements and reports. */
 final class MachineViews {
@@ -210,7 +210,7 @@
   }
 
   /** A machine that has reported this lately is not called silent. */
-  private static TimeSpan quiet(Settings.Workers workers) {
-    return workers.report().times(1.25).plus(TimeSpan.ofSeconds(2));
+  private static TimeSpan quiet(Settings.AgentTimeouts workers) {
+    return workers.heartbeatInterval().times(1.25).plus(TimeSpan.ofSeconds(2));
   }
 }
--- a/src/main/java/org/quincecross/block/MachineWatch.java
+++ b/src/main/java/org/quincecross/block/MachineWatch.java
@@ -7,7 +7,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.silence.Deafness;
-import org.quincecross.wire.WorkerReport;
+import org.quincecross.protocol.Heartbeat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -122,7 +122,7 @@
   }
 
   private TimeSpan openFor() {
-    return context.workers().report().times(2).plus(TimeSpan.ofSeconds(2));
+    return context.workers().heartbeatInterval().times(2).plus(TimeSpan.ofSeconds(2));
   }
 
   /** Whether it is heard and hears. */
@@ -135,7 +135,7 @@
    * proves that the machine's lease is over, or that the session is in which a former holder may
    * have commanded.
    */
-  boolean reported(Session session, WorkerReport report, boolean beat) {
+  boolean reported(Session session, Heartbeat report, boolean beat) {
     MonotonicTime now = context.now();
     if (!beat) {
       session.hearing().commandAnswered(report.order(), now);
--- a/src/main/java/org/quincecross/block/Session.java
+++ b/src/main/java/org/quincecross/block/Session.java
@@ -17,7 +17,7 @@
 import org.quincecross.model.FencingToken;
 import org.quincecross.silence.Deafness;
 import org.quincecross.silence.Freshness;
-import org.quincecross.wire.WorkerReport;
+import org.quincecross.protocol.Heartbeat;
 
 /** What the holder knows of one machine of its block. */
 final class Session {
@@ -49,7 +49,7 @@
   private final Set<Attempt> startsInAnswer = new HashSet<>();
   private final Freshness freshness = new Freshness();
   private State state = State.UNFENCED;
-  private WorkerReport report;
+  private Heartbeat report;
   private MonotonicTime heard;
   private MonotonicTime leaseFrom;
 
@@ -118,7 +118,7 @@
     return state;
   }
 
-  WorkerReport report() {
+  Heartbeat report() {
     return report;
   }
 
@@ -134,7 +134,7 @@
    * itself. It has one such report under way at a time, so the answer to the one before has been
    * executed or will be dropped.
    */
-  void take(WorkerReport next, boolean beat, MonotonicTime now) {
+  void take(Heartbeat next, boolean beat, MonotonicTime now) {
     if (report == null || report.session() != next.session() || state == State.LOST) {
       // A session's lease runs from when it began, which nobody has to answer: bounds from before
       // it say nothing of it, though no
@@ -158,7 +158,7 @@
    * What a message of the machine is; {@code beat}: it sent it by itself, or it is a copy of such a
    * one.
    */
-  Freshness.Verdict judge(WorkerReport next, boolean beat, MonotonicTime now) {
+  Freshness.Verdict judge(Heartbeat next, boolean beat, MonotonicTime now) {
     Freshness.Shown shown = new Freshness.Shown(next.token(), next.session(), next.order());
     return beat
         ? freshness.ofReport(shown, state == State.LOST, now)
@@ -192,7 +192,7 @@
   /** A report was answered with the block's token: the machine's lease may run from now. */
   // Equal reports of two moments prove different things: the instance is meant.
   @SuppressWarnings("ReferenceEquality")
-  void answered(WorkerReport answered, MonotonicTime now) {
+  void answered(Heartbeat answered, MonotonicTime now) {
     if (leaseFrom.isBefore(now)) {
       leaseFrom = now;
     }
@@ -227,7 +227,7 @@
    * needs no other proof: the session ends by itself when the lease does, and the first report of
    * the next one frees all that the one before had.
    */
-  boolean provesNoneTaken(WorkerReport next, FencingToken token) {
+  boolean provesNoneTaken(Heartbeat next, FencingToken token) {
     if (state == State.FENCED
         || hasBegunAnew()
         || report == null
@@ -392,9 +392,9 @@
   int keptExits() {
     int kept = 0;
     if (!startsUnanswered.isEmpty() && report != null) {
-      for (WorkerReport.Piece piece : report.pieces()) {
+      for (Heartbeat.Piece piece : report.pieces()) {
         kept +=
-            piece.state() == WorkerReport.TaskState.EXITED && isInDoubt(piece.attempt()) ? 1 : 0;
+            piece.state() == Heartbeat.TaskState.EXITED && isInDoubt(piece.attempt()) ? 1 : 0;
       }
     }
     return kept;
--- a/src/main/java/org/quincecross/program/AgreedCommand.java
+++ b/src/main/java/org/quincecross/cli/AgreedCommand.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -8,9 +8,9 @@
 import java.util.concurrent.Callable;
 import org.quincecross.admin.AgreedApi;
 import org.quincecross.agreed.RecordId;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -94,8 +94,8 @@
       why =
           reply.status() == 0
               ? why
-              : Json.parseFields(why.getBytes(StandardCharsets.UTF_8)).textOr("error", why);
-    } catch (BadMessage e) {
+              : Json.parseFields(why.getBytes(StandardCharsets.UTF_8)).stringOr("error", why);
+    } catch (MalformedMessageException e) {
       // as it came
     }
     spec.commandLine()
@@ -106,10 +106,10 @@
   }
 
   /** Takes what a controller answered; null where it cannot be read. */
-  private static Fields read(ClientCommand.Server.Reply reply) {
+  private static JsonFields read(ClientCommand.Server.Reply reply) {
     try {
       return Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return null;
     }
   }
@@ -117,20 +117,20 @@
   /** Takes what is in one answer of several. */
   interface Page {
     /** The path of the next page, or null. */
-    String take(Fields answer) throws BadMessage;
+    String take(JsonFields answer) throws MalformedMessageException;
   }
 
   private int pages(String first, Page page) {
     String next = first;
     while (next != null) {
       ClientCommand.Server.Reply reply = server.send("GET", path(next), null);
-      Fields answer = reply.isGood() ? read(reply) : null;
+      JsonFields answer = reply.isGood() ? read(reply) : null;
       if (answer == null) {
         return failed(reply);
       }
       try {
         next = page.take(answer);
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         spec.commandLine().getErr().println("quincecross: " + e.getMessage());
         return 1;
       }
@@ -138,11 +138,11 @@
     return 0;
   }
 
-  private static List<Map<String, Object>> rows(Fields answer, String name) throws BadMessage {
+  private static List<Map<String, Object>> rows(JsonFields answer, String name) throws MalformedMessageException {
     List<Map<String, Object>> rows = new ArrayList<>();
-    for (Fields row : answer.objects(name)) {
+    for (JsonFields row : answer.objects(name)) {
       Map<String, Object> out = Json.object();
-      row.names().forEach(column -> out.put(column, row.raw(column)));
+      row.fieldNames().forEach(column -> out.put(column, row.raw(column)));
       rows.add(out);
     }
     return rows;
@@ -156,7 +156,7 @@
             "",
             answer -> {
               rows.addAll(rows(answer, "rows"));
-              return answer.has("next_after") ? "?after=" + answer.text("next_after") : null;
+              return answer.has("next_after") ? "?after=" + answer.string("next_after") : null;
             });
     return status == 0 ? rows : null;
   }
@@ -173,7 +173,7 @@
                   ? "/trail?since="
                       + since
                       + "&page="
-                      + answer.count("next_page", 1, Integer.MAX_VALUE)
+                      + answer.integer("next_page", 1, Integer.MAX_VALUE)
                   : null;
             });
     return status == 0 ? rows : null;
@@ -182,7 +182,7 @@
   /** Prints one record. */
   final int show(String id) {
     ClientCommand.Server.Reply reply = server.send("GET", path("/" + checked(id)), null);
-    Fields answer = reply.isGood() ? read(reply) : null;
+    JsonFields answer = reply.isGood() ? read(reply) : null;
     if (answer == null) {
       return failed(reply);
     }
@@ -191,7 +191,7 @@
     }
     try {
       return print(rows(answer, "rows"));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       spec.commandLine().getErr().println("quincecross: " + e.getMessage());
       return 1;
     }
@@ -223,7 +223,7 @@
       }
       return status;
     }
-    Fields answer = read(reply);
+    JsonFields answer = read(reply);
     if (output == Output.json || answer == null) {
       return server.print(reply);
     }
--- a/src/main/java/org/quincecross/program/ClassLoading.java
+++ b/src/main/java/org/quincecross/cli/ClassLoading.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.io.File;
 import java.io.IOException;
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 /**
  * Loads what a controller needs, so that the class-data archive made of it spares every start the
@@ -26,7 +26,7 @@
 
   private ClassLoading() {}
 
-  static void loadAll() throws IOException, BadMessage {
+  static void loadAll() throws IOException, MalformedMessageException {
     File jar =
         new File(ClassLoading.class.getProtectionDomain().getCodeSource().getLocation().getPath());
     try (JarFile file = new JarFile(jar)) {
--- a/src/main/java/org/quincecross/program/ClientCommand.java
+++ b/src/main/java/org/quincecross/cli/ClientCommand.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import org.quincecross.admin.AdminApi;
-import org.quincecross.wire.JobCodec;
+import org.quincecross.protocol.JobCodec;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
--- a/src/main/java/org/quincecross/program/HeapWatch.java
+++ b/src/main/java/org/quincecross/cli/HeapWatch.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
--- a/src/main/java/org/quincecross/program/HoldCalendar.java
+++ b/src/main/java/org/quincecross/cli/HoldCalendar.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.time.Instant;
 import java.time.LocalDate;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /**
  * What the trail of holds comes to by days (UTC): which holds were or will be in force, on which
--- a/src/main/java/org/quincecross/program/HoldCommands.java
+++ b/src/main/java/org/quincecross/cli/HoldCommands.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -22,7 +22,7 @@
 import org.quincecross.holds.SweepKind;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
--- a/src/main/java/org/quincecross/program/MeasureCommand.java
+++ b/src/main/java/org/quincecross/cli/MeasureCommand.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -10,7 +10,7 @@
 import org.quincecross.emulator.Measurement;
 import org.quincecross.emulator.OverloadDays;
 import org.quincecross.emulator.RequestDay;
-import org.quincecross.wire.Features;
+import org.quincecross.protocol.Features;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
--- a/src/main/java/org/quincecross/program/ModelCommands.java
+++ b/src/main/java/org/quincecross/cli/ModelCommands.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -8,9 +8,9 @@
 import org.quincecross.admin.ModelsApi;
 import org.quincecross.model.JobId;
 import org.quincecross.models.ModelKind;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
@@ -75,11 +75,11 @@
         return failed(reply);
       }
       try {
-        Fields answer = Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
+        JsonFields answer = Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
         Map<String, Object> row = Json.object();
         COLUMNS.stream().filter(answer::has).forEach(column -> row.put(column, answer.raw(column)));
         return print(List.of(row));
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         return failed(reply);
       }
     }
@@ -242,14 +242,14 @@
       }
       try {
         List<Map<String, Object>> rows = new ArrayList<>();
-        for (Fields row :
+        for (JsonFields row :
             Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8)).objects("rows")) {
           Map<String, Object> out = Json.object();
-          row.names().forEach(column -> out.put(column, row.raw(column)));
+          row.fieldNames().forEach(column -> out.put(column, row.raw(column)));
           rows.add(out);
         }
         return print(rows);
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         return failed(reply);
       }
     }
--- a/src/main/java/org/quincecross/program/QuincecrossCommand.java
+++ b/src/main/java/org/quincecross/cli/QuincecrossCommand.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
--- a/src/main/java/org/quincecross/program/RequestCommands.java
+++ b/src/main/java/org/quincecross/cli/RequestCommands.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.io.IOException;
 import java.time.Duration;
@@ -12,7 +12,7 @@
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
 import org.quincecross.requests.RequestKind;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
--- a/src/main/java/org/quincecross/program/RequestReport.java
+++ b/src/main/java/org/quincecross/cli/RequestReport.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.time.Instant;
 import java.time.YearMonth;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /**
  * What became of requests, by kind and by the month (UTC) in which they arrived. It is made where
--- a/src/main/java/org/quincecross/program/Server.java
+++ b/src/main/java/org/quincecross/cli/Server.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.io.IOException;
 import java.util.HashMap;
@@ -11,8 +11,8 @@
 import org.quincecross.net.HttpClient;
 import org.quincecross.net.HttpServer;
 import org.quincecross.net.Loop;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Settings;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,7 +34,7 @@
   void run() throws IOException {
     Loop loop = new Loop();
     Map<ControllerId, FrameSender> peers = new HashMap<>();
-    for (Settings.Sibling sibling : settings.siblings()) {
+    for (Settings.Peer sibling : settings.peers()) {
       peers.put(sibling.member(), new FrameSender(loop, sibling.endpoint()));
     }
     PeerSender sender =
@@ -58,16 +58,16 @@
             features,
             System::currentTimeMillis,
             new HeapWatch());
-    int sockets = settings.quota().sockets();
+    int sockets = settings.processLimits().maxSockets();
     new HttpServer(
-        loop, settings.listen(), Math.max(sockets / 2, sockets - SOCKETS_KEPT), controller);
-    new FrameServer(loop, settings.peerListen(), controller::frame);
+        loop, settings.listenAddress(), Math.max(sockets / 2, sockets - SOCKETS_KEPT), controller);
+    new FrameServer(loop, settings.peerAddress(), controller::frame);
     controller.start();
     LOG.info(
         "{} serves users and workers on {}, controllers on {}",
-        settings.member(),
-        settings.listen(),
-        settings.peerListen());
+        settings.self(),
+        settings.listenAddress(),
+        settings.peerAddress());
     loop.run();
   }
 }
--- a/src/main/java/org/quincecross/program/SettingsFile.java
+++ b/src/main/java/org/quincecross/cli/SettingsFile.java
@@ -1,11 +1,11 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Settings;
 
 /**
  * Reads the settings file and that of the features, with one clear line for whatever is wrong with
@@ -16,7 +16,7 @@
 
   /** Reads what a file says. */
   private interface Reader<T> {
-    T read(byte[] bytes) throws BadMessage;
+    T read(byte[] bytes) throws MalformedMessageException;
   }
 
   static Settings read(Path file) throws IOException {
@@ -38,7 +38,7 @@
     }
     try {
       return reader.read(bytes);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IOException(what + " " + file + ": " + e.getMessage());
     }
   }
--- a/src/main/java/org/quincecross/program/TryCommand.java
+++ b/src/main/java/org/quincecross/cli/TryCommand.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import java.io.File;
 import java.io.IOException;
--- a/src/main/java/org/quincecross/program/package-info.java
+++ b/src/main/java/org/quincecross/cli/package-info.java
@@ -1,2 +1,2 @@
 /** The program: a thin command line over the library. */
-package org.quincecross.program;
+package org.quincecross.cli;
--- a/src/main/java/org/quincecross/emulator/Balancer.java
+++ b/src/main/java/org/quincecross/emulator/Balancer.java
@@ -8,7 +8,7 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.wire.JobCodec;
+import org.quincecross.protocol.JobCodec;
 
 /**
  * The users' load balancer as the protocol has it: a new connection goes to the healthy controller
--- a/src/main/java/org/quincecross/emulator/Cloud.java
+++ b/src/main/java/org/quincecross/emulator/Cloud.java
@@ -15,10 +15,10 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Limiter;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /**
  * A stand-in for the cloud, as its protocol describes it; on odd sites some machines are slow,
@@ -60,7 +60,7 @@
   Cloud(Surroundings around) {
     this.around = around;
     this.random = around.random();
-    double perSecond = around.site().cloudLimits().requestsPerS();
+    double perSecond = around.site().cloudLimits().requestsPerSecond();
     this.requests = new Limiter(perSecond, 2 * perSecond, now());
     for (int more = 1, i = 0; more > 0; i++) {
       more = 0;
@@ -212,17 +212,17 @@
       } else {
         reply.accept(answer(request));
       }
-    } catch (BadMessage | NumberFormatException e) {
+    } catch (MalformedMessageException | NumberFormatException e) {
       reply.accept(HttpResponse.of(400));
     }
   }
 
-  private HttpResponse answer(HttpRequest request) throws BadMessage {
+  private HttpResponse answer(HttpRequest request) throws MalformedMessageException {
     Object body;
     if (request.path().equals("/catalog")) {
       body = Json.object("Hulls", around.site().types().stream().map(Cloud::hull).toList());
     } else if (request.path().equals("/hosts/return")) {
-      for (String name : Json.parseFields(request.body()).texts("Hosts")) {
+      for (String name : Json.parseFields(request.body()).strings("Hosts")) {
         take(new MachineId(name), 0);
       }
       body = Json.object();
@@ -266,12 +266,12 @@
    * The machines rented, those of the same request if it is a repeated one; null where there is
    * none to be had.
    */
-  private List<Object> rent(Fields in) throws BadMessage {
-    String type = in.text("Hull");
-    String zone = in.text("Yard");
-    boolean spot = in.flag("Loaners");
-    List<Object> known = charters.get(in.text("Charter"));
-    int more = in.count("HowMany", 1, MOST_AT_ONCE);
+  private List<Object> rent(JsonFields in) throws MalformedMessageException {
+    String type = in.string("Hull");
+    String zone = in.string("Yard");
+    boolean spot = in.bool("Loaners");
+    List<Object> known = charters.get(in.string("Charter"));
+    int more = in.integer("HowMany", 1, MOST_AT_ONCE);
     if (known != null) {
       return known;
     }
@@ -294,7 +294,7 @@
     if (names.isEmpty()) {
       return null;
     }
-    charters.put(in.text("Charter"), names);
+    charters.put(in.string("Charter"), names);
     return names;
   }
 
--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -11,7 +11,7 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.JobKind;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /** Something that fails on a site that is tried, and how long it takes until all is as it was. */
 public final class Drill {
--- a/src/main/java/org/quincecross/emulator/Front.java
+++ b/src/main/java/org/quincecross/emulator/Front.java
@@ -4,9 +4,9 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /**
  * A stand-in for the users' load balancer, for people and scripts that try a site: each request
@@ -64,7 +64,7 @@
     if (request.path().equals(JobCodec.JOBS) && request.method().equals("POST")) {
       try {
         around.users().upload(JobCodec.read(Json.parseFields(request.body())));
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         // the controller says what is wrong with it
       }
     }
--- a/src/main/java/org/quincecross/emulator/HoldDrill.java
+++ b/src/main/java/org/quincecross/emulator/HoldDrill.java
@@ -13,7 +13,7 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /**
  * A hold against sweeps that run: one lane is told to be of sweeps, all of its records are held,
--- a/src/main/java/org/quincecross/emulator/JobsFile.java
+++ b/src/main/java/org/quincecross/emulator/JobsFile.java
@@ -12,7 +12,7 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
@@ -85,12 +85,12 @@
   /**
    * The jobs in a file, first due first; their sizes and copies are checked against the site.
    *
-   * @throws BadMessage with the line and the field that are wrong
+   * @throws MalformedMessageException with the line and the field that are wrong
    */
-  static List<Due> read(String text, Site site) throws BadMessage {
+  static List<Due> read(String text, Site site) throws MalformedMessageException {
     TomlParseResult toml = Toml.parse(text);
     if (toml.hasErrors()) {
-      throw new BadMessage(
+      throw new MalformedMessageException(
           "line "
               + toml.errors().get(0).position().line()
               + ": "
@@ -105,7 +105,7 @@
     if (jobs == null
         || jobs.isEmpty()
         || !jobs.toList().stream().allMatch(TomlTable.class::isInstance)) {
-      throw new BadMessage("line 1: no [[jobs]]");
+      throw new MalformedMessageException("line 1: no [[jobs]]");
     }
     JobsFile file = new JobsFile(site);
     for (int i = 0; i < jobs.size(); i++) {
@@ -119,19 +119,19 @@
     return text == null ? "not TOML" : text.lines().findFirst().orElse("not TOML");
   }
 
-  private static BadMessage wrong(TomlPosition at, String field, String what) {
-    return new BadMessage(
+  private static MalformedMessageException wrong(TomlPosition at, String field, String what) {
+    return new MalformedMessageException(
         "line " + (at == null ? "?" : at.line()) + ": field " + field + " " + what);
   }
 
   /** One table of the file, and where it begins. */
   private record Item(TomlTable table, TomlPosition begins) {
-    BadMessage wrong(String field, String what) {
+    MalformedMessageException wrong(String field, String what) {
       TomlPosition at = table.inputPositionOf(List.of(field));
       return JobsFile.wrong(at == null ? begins : at, field, what);
     }
 
-    String text(String field, String otherwise) throws BadMessage {
+    String text(String field, String otherwise) throws MalformedMessageException {
       Object value = table.get(List.of(field));
       if (value == null && otherwise == null) {
         throw wrong(field, "is missing");
@@ -145,7 +145,7 @@
       throw wrong(field, "is not a short text");
     }
 
-    double amount(String field, double otherwise, double most) throws BadMessage {
+    double amount(String field, double otherwise, double most) throws MalformedMessageException {
       Object value = table.get(List.of(field));
       if (value == null && otherwise < 0) {
         throw wrong(field, "is missing");
@@ -160,7 +160,7 @@
       return amount;
     }
 
-    int count(String field, int otherwise, int most) throws BadMessage {
+    int count(String field, int otherwise, int most) throws MalformedMessageException {
       Object value = table.get(List.of(field));
       if (value == null && otherwise < 0) {
         throw wrong(field, "is missing");
@@ -172,7 +172,7 @@
       return (int) count;
     }
 
-    boolean flag(String field) throws BadMessage {
+    boolean flag(String field) throws MalformedMessageException {
       Object value = table.get(List.of(field));
       if (value == null || value instanceof Boolean) {
         return Boolean.TRUE.equals(value);
@@ -180,7 +180,7 @@
       throw wrong(field, "is not true or false");
     }
 
-    List<?> list(String field) throws BadMessage {
+    List<?> list(String field) throws MalformedMessageException {
       Object value = table.get(List.of(field));
       if (value == null || value instanceof TomlArray) {
         return value == null ? List.of() : ((TomlArray) value).toList();
@@ -188,7 +188,7 @@
       throw wrong(field, "is not a list");
     }
 
-    <T> T word(String field, Map<String, T> words) throws BadMessage {
+    <T> T word(String field, Map<String, T> words) throws MalformedMessageException {
       T value = words.get(text(field, null));
       if (value == null) {
         throw wrong(field, "is not one of " + words.keySet().stream().sorted().toList());
@@ -197,7 +197,7 @@
     }
   }
 
-  private void take(TomlTable table, TomlPosition begins) throws BadMessage {
+  private void take(TomlTable table, TomlPosition begins) throws MalformedMessageException {
     Item in = new Item(table, begins);
     for (String key : table.keySet()) {
       if (!FIELDS.contains(key)) {
@@ -268,7 +268,7 @@
    * The copies of each job that this one waits for; each of its own copies waits for one of them,
    * in turn.
    */
-  private List<List<JobId>> before(Item in) throws BadMessage {
+  private List<List<JobId>> before(Item in) throws MalformedMessageException {
     List<List<JobId>> before = new ArrayList<>();
     for (Object name : in.list("waits_on")) {
       List<JobId> those = named.getOrDefault(String.valueOf(name), List.of());
--- a/src/main/java/org/quincecross/emulator/Measurement.java
+++ b/src/main/java/org/quincecross/emulator/Measurement.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.quincecross.wire.Features;
+import org.quincecross.protocol.Features;
 
 /**
  * A day of a whole fleet in virtual time, all of whose controllers are restarted in the middle, and
--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -14,7 +14,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.rollout.Feature;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /**
  * A model that comes from zero twice, once cold and once with its weights in the caches, wanted at
--- a/src/main/java/org/quincecross/emulator/OddRequests.java
+++ b/src/main/java/org/quincecross/emulator/OddRequests.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.JobId;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /**
  * Users who err: they submit jobs again that are not over, call off jobs that are, ask for and call
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -12,7 +12,7 @@
 import org.quincecross.served.Largest;
 import org.quincecross.served.Served;
 import org.quincecross.served.ServedBooks;
-import org.quincecross.wire.Features;
+import org.quincecross.protocol.Features;
 
 /**
  * A day on which a fleet has more work than it can do in time, in virtual time: one class or two
--- a/src/main/java/org/quincecross/emulator/OverloadDays.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDays.java
@@ -11,8 +11,8 @@
 import org.quincecross.served.Largest;
 import org.quincecross.served.Served;
 import org.quincecross.served.Sizes;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Json;
 
 /** Many overloaded days, on all processors at once, and how they come out beside each other. */
 public final class OverloadDays {
--- a/src/main/java/org/quincecross/emulator/PipelineRules.java
+++ b/src/main/java/org/quincecross/emulator/PipelineRules.java
@@ -85,7 +85,7 @@
 
   private boolean isTime(JobId id) {
     Double at = cancelledBefore.get(id);
-    return at != null && around.clock().seconds() > at + around.site().workers().cancel().seconds();
+    return at != null && around.clock().seconds() > at + around.site().workers().cancelTimeout().seconds();
   }
 
   private void checkGone(JobId id) {
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -20,8 +20,8 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Level;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Json;
 
 /**
  * What room kept for requests costs, in virtual time: a fleet's day on which every class but the
--- a/src/main/java/org/quincecross/emulator/Rules.java
+++ b/src/main/java/org/quincecross/emulator/Rules.java
@@ -193,7 +193,7 @@
     if (at != null
         && !late.contains(job)
         && zones.containsKey(job)
-        && around.clock().seconds() > at + around.site().workers().cancel().seconds()) {
+        && around.clock().seconds() > at + around.site().workers().cancelTimeout().seconds()) {
       late.add(job);
       breaks("ran_cancelled", job + " in " + zones.get(job));
     }
--- a/src/main/java/org/quincecross/emulator/Site.java
+++ b/src/main/java/org/quincecross/emulator/Site.java
@@ -12,7 +12,7 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 
 /**
  * A deployment: what surrounds the controllers, and what they are told of it.
@@ -29,10 +29,10 @@
     List<Pool> pools,
     int mostMachines,
     Map<String, Team> teams,
-    Settings.Workers workers,
-    Settings.StateLimits stateLimits,
+    Settings.AgentTimeouts workers,
+    Settings.StoreLimits stateLimits,
     Settings.CloudLimits cloudLimits,
-    Settings.Quota quota,
+    Settings.ProcessLimits quota,
     List<Settings.Objective> objectives,
     TimeSpan restart,
     boolean odd,
@@ -97,9 +97,9 @@
     return named;
   }
 
-  private static Settings.Workers workers(
+  private static Settings.AgentTimeouts workers(
       double report, double lease, double gangWait, double gangPeer, double cancel) {
-    return new Settings.Workers(
+    return new Settings.AgentTimeouts(
         TimeSpan.ofSeconds(report),
         TimeSpan.ofSeconds(lease),
         TimeSpan.ofSeconds(gangWait),
@@ -125,9 +125,9 @@
         14,
         teams(team("red", 16, 40), team("blue", 8, 24)),
         workers(0.8, 11, 35, 8, 36),
-        new Settings.StateLimits(200, 40, 4096, 8),
+        new Settings.StoreLimits(200, 40, 4096, 8),
         new Settings.CloudLimits(4, TimeSpan.ofSeconds(2)),
-        new Settings.Quota(0.5, 200, 1000),
+        new Settings.ProcessLimits(0.5, 200, 1000),
         List.of(),
         TimeSpan.ofSeconds(4),
         true,
@@ -217,9 +217,9 @@
             team("rebuild", 0.3 * cpus, cpus),
             team("sweep", 0.3 * cpus, cpus)),
         workers(5, 24, 35, 4, 54),
-        new Settings.StateLimits(250, 90, 8192, 24),
+        new Settings.StoreLimits(250, 90, 8192, 24),
         new Settings.CloudLimits(5, TimeSpan.ofSeconds(8)),
-        new Settings.Quota(0.25, 360, 3000),
+        new Settings.ProcessLimits(0.25, 360, 3000),
         List.of(
             new Settings.Objective("wait", "front", TimeSpan.ofSeconds(5), 1, 0.85),
             new Settings.Objective("finished", "sweep", TimeSpan.ofSeconds(180), 1, 0.93)),
@@ -337,9 +337,9 @@
         machines,
         teams(teams),
         workers(3, 17.5, 35, 8, 42.5),
-        new Settings.StateLimits(700, 60, 4096, 8),
+        new Settings.StoreLimits(700, 60, 4096, 8),
         new Settings.CloudLimits(4, TimeSpan.ofSeconds(8)),
-        new Settings.Quota(1.1, 414, 2700),
+        new Settings.ProcessLimits(1.1, 414, 2700),
         List.of(
             new Settings.Objective("wait", "intake", TimeSpan.ofSeconds(1), 1, 0.94),
             new Settings.Objective("wait", "train", TimeSpan.ofSeconds(150), 1, 0.96)),
@@ -349,7 +349,7 @@
   }
 
   /** What the state service of a site that is tried allows once it has lowered its limits. */
-  static final Settings.StateLimits TRY_OUT_NEXT = new Settings.StateLimits(400, 80, 2048, 8);
+  static final Settings.StoreLimits TRY_OUT_NEXT = new Settings.StoreLimits(400, 80, 2048, 8);
 
   /**
    * A site to be tried on one machine in real time: small leases, quick boots.
@@ -390,9 +390,9 @@
         machines,
         teams(team("web", 0.4 * cpus, 0.8 * cpus), team("batch", 0.4 * cpus, cpus)),
         workers(2, 12, 20, 4, 36),
-        new Settings.StateLimits(400, 120, 8192, 24),
+        new Settings.StoreLimits(400, 120, 8192, 24),
         new Settings.CloudLimits(5, TimeSpan.ofSeconds(2)),
-        new Settings.Quota(1, 360, 3000),
+        new Settings.ProcessLimits(1, 360, 3000),
         List.of(new Settings.Objective("wait", "front", TimeSpan.ofSeconds(5), 1, 0.9)),
         TimeSpan.ofSeconds(0),
         false,
@@ -419,7 +419,7 @@
   }
 
   /** The same with machines that report, and whose leases end, at other times. */
-  Site with(Settings.Workers other) {
+  Site with(Settings.AgentTimeouts other) {
     return new Site(
         nodeZones,
         zones,
@@ -438,7 +438,7 @@
   }
 
   /** The same with a state service of other limits. */
-  Site with(Settings.StateLimits other) {
+  Site with(Settings.StoreLimits other) {
     return new Site(
         nodeZones,
         zones,
@@ -459,11 +459,11 @@
   /** What controller {@code node} is told; {@code state} is where it reaches the state service. */
   Settings settings(
       int node, List<Endpoint> listen, List<Endpoint> peers, Endpoint cloud, Endpoint state) {
-    List<Settings.Sibling> siblings = new ArrayList<>();
+    List<Settings.Peer> siblings = new ArrayList<>();
     for (int other = 0; other < nodes(); other++) {
       if (other != node) {
         siblings.add(
-            new Settings.Sibling(
+            new Settings.Peer(
                 new ControllerId(nodeName(other)), nodeZones.get(other), peers.get(other)));
       }
     }
--- a/src/main/java/org/quincecross/emulator/StateService.java
+++ b/src/main/java/org/quincecross/emulator/StateService.java
@@ -19,10 +19,10 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Limiter;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 
 /**
  * A stand-in for the state service, as its protocol describes it: limits, leases, transactions,
@@ -57,7 +57,7 @@
 
   private final Clock clock;
   private final Random random;
-  private Settings.StateLimits limits;
+  private Settings.StoreLimits limits;
   private Limiter requests;
   private Limiter writes;
   private final TreeMap<String, Value> keys = new TreeMap<>();
@@ -82,7 +82,7 @@
   private Random slowDraws;
   private int keptChanges = KEPT_CHANGES;
 
-  StateService(Clock clock, Random random, Settings.StateLimits limits) {
+  StateService(Clock clock, Random random, Settings.StoreLimits limits) {
     this.clock = clock;
     this.random = random;
     limit(limits);
@@ -92,10 +92,10 @@
    * From now on these limits hold, without notice; what is stored stays readable, however large it
    * is.
    */
-  void limit(Settings.StateLimits other) {
+  void limit(Settings.StoreLimits other) {
     limits = other;
-    requests = new Limiter(limits.requestsPerS(), limits.requestsPerS(), now());
-    writes = new Limiter(limits.writesPerS(), limits.writesPerS(), now());
+    requests = new Limiter(limits.requestsPerSecond(), limits.requestsPerSecond(), now());
+    writes = new Limiter(limits.writesPerSecond(), limits.writesPerSecond(), now());
   }
 
   /** How many transactions were refused for a value or their own size (400). */
@@ -235,7 +235,7 @@
     expire();
     try {
       route(from, request, reply);
-    } catch (BadMessage | NumberFormatException e) {
+    } catch (MalformedMessageException | NumberFormatException e) {
       reply.accept(
           HttpResponse.of(400, String.valueOf(e.getMessage()).getBytes(StandardCharsets.UTF_8)));
     }
@@ -247,7 +247,7 @@
   }
 
   private void route(String from, HttpRequest request, Consumer<HttpResponse> reply)
-      throws BadMessage {
+      throws MalformedMessageException {
     String path = request.path();
     if (path.equals("/txn")) {
       takeTxn(request, reply);
@@ -270,7 +270,7 @@
       reply.accept(list(request));
     } else if (path.equals("/holds")) {
       long id = ++lastHold;
-      double life = Json.parseFields(request.body()).count("LifeMs", 100, 600_000) / 1000.0;
+      double life = Json.parseFields(request.body()).integer("LifeMs", 100, 600_000) / 1000.0;
       holds.put(id, new Hold(life, clock.seconds() + life));
       reply.accept(answer(200, "Hold", id));
     } else if (path.startsWith("/holds/")) {
@@ -329,13 +329,13 @@
 
   // ---- transactions ----
 
-  private void takeTxn(HttpRequest request, Consumer<HttpResponse> reply) throws BadMessage {
+  private void takeTxn(HttpRequest request, Consumer<HttpResponse> reply) throws MalformedMessageException {
     if (request.body().length > MOST_TXN_BYTES) {
       reply.accept(tooLarge("too much in a transaction"));
       return;
     }
-    Fields in = Json.parseFields(request.body());
-    List<Fields> changes = in.listOrEmpty("Apply").isEmpty() ? List.of() : in.objects("Apply");
+    JsonFields in = Json.parseFields(request.body());
+    List<JsonFields> changes = in.listOrEmpty("Apply").isEmpty() ? List.of() : in.objects("Apply");
     if (!changes.isEmpty() && !writes.take(changes.size(), now())) {
       throttle(reply);
       return;
@@ -357,36 +357,36 @@
   }
 
   /** Carried out when the sender may have given up long ago. */
-  private void carryOut(Fields in, List<Fields> changes) {
+  private void carryOut(JsonFields in, List<JsonFields> changes) {
     try {
       expire();
       lateOutcomes.add(txn(in, changes).status());
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private HttpResponse txn(Fields in, List<Fields> changes) throws BadMessage {
+  private HttpResponse txn(JsonFields in, List<JsonFields> changes) throws MalformedMessageException {
     List<Object> failed = new ArrayList<>();
-    List<Fields> guards = in.listOrEmpty("Guards").isEmpty() ? List.of() : in.objects("Guards");
-    if (changes.size() > limits.txnChanges()
-        || guards.size() > Settings.StateLimits.GUARDS_PER_CHANGE * limits.txnChanges()) {
+    List<JsonFields> guards = in.listOrEmpty("Guards").isEmpty() ? List.of() : in.objects("Guards");
+    if (changes.size() > limits.maxMutationsPerTransaction()
+        || guards.size() > Settings.StoreLimits.PRECONDITIONS_PER_MUTATION * limits.maxMutationsPerTransaction()) {
       return tooLarge("too much in a transaction");
     }
-    for (Fields guard : guards) {
-      Value value = keys.get(guard.text("Path"));
+    for (JsonFields guard : guards) {
+      Value value = keys.get(guard.string("Path"));
       if ((value == null ? 0 : value.stamp()) != guard.unsigned("Stamp")) {
-        failed.add(guard.text("Path"));
+        failed.add(guard.string("Path"));
       }
     }
     int[] bytes = new int[changes.size()];
     for (int i = 0; i < bytes.length; i++) {
-      Fields change = changes.get(i);
+      JsonFields change = changes.get(i);
       if (change.has("Hold") && !holds.containsKey(change.unsigned("Hold"))) {
         return answer(400, "error", "no such lease");
       }
       bytes[i] = change.has("Set") ? Json.write(change.raw("Value")).length : 0;
-      if (bytes[i] > limits.valueBytes()) {
+      if (bytes[i] > limits.maxValueBytes()) {
         return tooLarge("value too large");
       }
     }
@@ -396,15 +396,15 @@
     if (bytes.length > 0) {
       epoch++;
       for (int i = 0; i < bytes.length; i++) {
-        Fields change = changes.get(i);
+        JsonFields change = changes.get(i);
         if (change.has("Set")) {
           change(
-              change.text("Set"),
+              change.string("Set"),
               change.raw("Value"),
               bytes[i],
               change.has("Hold") ? change.unsigned("Hold") : 0);
         } else {
-          change(change.text("Drop"), null, 0, 0);
+          change(change.string("Drop"), null, 0, 0);
         }
       }
       wakeWatches();
--- a/src/main/java/org/quincecross/emulator/Surroundings.java
+++ b/src/main/java/org/quincecross/emulator/Surroundings.java
@@ -7,7 +7,7 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.served.ServedBooks;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 
 /**
  * Everything around the controllers of a site: state service, cloud with its workers, users, and
@@ -49,7 +49,7 @@
     this.nodes = nodes;
     this.state = new StateService(clock, random, site.stateLimits());
     this.coldStarts = new ColdStarts(this);
-    this.served = new ServedBooks(job -> Settings.aims(site.objectives(), job));
+    this.served = new ServedBooks(job -> Settings.objectivesOf(site.objectives(), job));
     this.users = new Users(this);
     this.rules = new Rules(this);
     this.idleRoom = new IdleRoom(this);
--- a/src/main/java/org/quincecross/emulator/TrySite.java
+++ b/src/main/java/org/quincecross/emulator/TrySite.java
@@ -25,10 +25,10 @@
 import org.quincecross.net.Loop;
 import org.quincecross.rollout.Feature;
 import org.quincecross.rollout.Level;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.SettingsWriter;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.SettingsWriter;
 
 /**
  * A whole site on this machine: controllers as processes of their own with the deployed options,
@@ -115,7 +115,7 @@
     this.site = Site.tryOut(plan.machines(), plan.drill() != null);
     try {
       this.jobs = JobsFile.read(plan.jobs() == null ? shipped() : plan.jobs(), site);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IOException("jobs file, " + e.getMessage(), e);
     }
     List<Endpoint> nodes = ports(NODE_PORT);
@@ -187,11 +187,11 @@
     int with = command.indexOf("--with");
     try {
       if (with >= 0) {
-        Fields known =
+        JsonFields known =
             Json.parseFields(Files.readAllBytes(plan.home().resolve(command.get(with + 1))));
-        known.names().forEach(name -> features.put(name, known.raw(name)));
+        known.fieldNames().forEach(name -> features.put(name, known.raw(name)));
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IOException(command.get(with + 1) + ": " + e.getMessage(), e);
     }
     features.put("rollout", Json.object("build", build, "most_level", most));
@@ -205,12 +205,12 @@
   private Path agreed(List<String> command) throws IOException {
     Path file = features(command, "holds", Feature.AGREED_RECORDS.since().number());
     try {
-      Fields known = Json.parseFields(Files.readAllBytes(file));
+      JsonFields known = Json.parseFields(Files.readAllBytes(file));
       Map<String, Object> features = new LinkedHashMap<>();
-      known.names().forEach(name -> features.put(name, known.raw(name)));
+      known.fieldNames().forEach(name -> features.put(name, known.raw(name)));
       features.put("agreed", Json.object(HoldKind.NAME, Json.object()));
       return Files.write(file, Json.write(features));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IOException(file + ": " + e.getMessage(), e);
     }
   }
--- a/src/main/java/org/quincecross/emulator/Users.java
+++ b/src/main/java/org/quincecross/emulator/Users.java
@@ -17,9 +17,9 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /**
  * Those who submit jobs, ask for them and cancel some, each over a connection to one of the
@@ -476,7 +476,7 @@
       return false;
     }
     try {
-      String status = Json.parseFields(outcome.response().body()).text("Status");
+      String status = Json.parseFields(outcome.response().body()).string("Status");
       String last = told.put(id, status);
       around.rules().told(id, status, before, cancelAsked.containsKey(id));
       around.pipelines().told(id, status);
@@ -488,7 +488,7 @@
         happens(Moment.TOLD_CANCELLED, id);
       }
       return true;
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/main/java/org/quincecross/emulator/Worker.java
+++ b/src/main/java/org/quincecross/emulator/Worker.java
@@ -16,9 +16,9 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * A stand-in for a worker, as its protocol describes it: sessions, tokens, leases, commands, what
@@ -178,7 +178,7 @@
 
   /** When the next report is due: they come a quarter earlier or later. */
   private double reportS() {
-    return around.site().workers().report().seconds() * (0.75 + 0.5 * around.random().nextDouble());
+    return around.site().workers().heartbeatInterval().seconds() * (0.75 + 0.5 * around.random().nextDouble());
   }
 
   // ---- reports ----
@@ -286,7 +286,7 @@
   private void answered(HttpOutcome outcome, long sentSession, double sentAt) {
     if (outcome.status() == 200 && sentSession == session) {
       try {
-        Fields in = Json.parseFields(outcome.response().body());
+        JsonFields in = Json.parseFields(outcome.response().body());
         long answerToken = in.has("Baton") ? in.unsigned("Baton") : 0;
         if (answerToken >= token) {
           answeredFrom = sentAt;
@@ -294,7 +294,7 @@
           raise(answerToken);
           execute(in.objects("Orders"));
         }
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         throw new IllegalStateException(e);
       }
       beatLater(reportS());
@@ -376,7 +376,7 @@
       return;
     }
     try {
-      Fields in = Json.parseFields(request.body());
+      JsonFields in = Json.parseFields(request.body());
       if (in.unsigned("Baton") < token || in.unsigned("Shift") != session) {
         reply.accept(HttpResponse.of(409, report()));
         return;
@@ -384,16 +384,16 @@
       raise(in.unsigned("Baton"));
       execute(in.objects("Orders"));
       reply.accept(HttpResponse.of(200, report()));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       reply.accept(HttpResponse.of(400));
     }
   }
 
-  private void execute(List<Fields> orders) throws BadMessage {
-    for (Fields command : orders) {
-      Key key = new Key(TaskId.parse(command.text("Piece")), command.unsigned("Try"));
+  private void execute(List<JsonFields> orders) throws MalformedMessageException {
+    for (JsonFields command : orders) {
+      Key key = new Key(TaskId.parse(command.string("Piece")), command.unsigned("Try"));
       Task task = tasks.get(key);
-      switch (command.text("Verb")) {
+      switch (command.string("Verb")) {
         case "start" -> {
           if (task == null) {
             start(key);
@@ -401,7 +401,7 @@
         }
         case "halt" -> {
           if (task != null && !task.isOver()) {
-            halt(key, task, command.amount("WindDownS"));
+            halt(key, task, command.nonNegativeNumber("WindDownS"));
           }
         }
         case "clear" -> {
@@ -454,7 +454,7 @@
   private void gather(Key key, Task task, Job job) {
     task.state = "gathering";
     after(
-        around.site().workers().gangWait().seconds(),
+        around.site().workers().gangStartTimeout().seconds(),
         () -> {
           if (tasks.get(key) == task && task.state.equals("gathering")) {
             exit(key, task, "alone");
@@ -533,7 +533,7 @@
     Task task = tasks.get(key);
     if (task != null && task.state.equals("running")) {
       after(
-          around.site().workers().gangPeer().seconds(),
+          around.site().workers().gangPeerTimeout().seconds(),
           () -> {
             if (tasks.get(key) == task && !task.isOver()) {
               exit(key, task, "peers");
--- a/src/main/java/org/quincecross/emulator/World.java
+++ b/src/main/java/org/quincecross/emulator/World.java
@@ -26,11 +26,11 @@
 import org.quincecross.model.TaskId;
 import org.quincecross.model.Team;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 
 /**
  * A whole deployment in virtual time, on one thread: controllers as they are, everything around
@@ -58,7 +58,7 @@
    * What a controller is told of the state service's limits, by its number; those of the site where
    * nothing is said.
    */
-  private final Map<Integer, Settings.StateLimits> toldLimits = new HashMap<>();
+  private final Map<Integer, Settings.StoreLimits> toldLimits = new HashMap<>();
 
   private boolean memoryIsShort;
   private Trap trap;
@@ -134,13 +134,13 @@
       return;
     }
     try {
-      Fields in = Json.parseFields(message);
-      for (Fields order : in.has("Orders") ? in.objects("Orders") : List.<Fields>of()) {
-        if (order.text("Verb").equals("start")) {
-          rules().startSent(TaskId.parse(order.text("Piece")).job());
+      JsonFields in = Json.parseFields(message);
+      for (JsonFields order : in.has("Orders") ? in.objects("Orders") : List.<JsonFields>of()) {
+        if (order.string("Verb").equals("start")) {
+          rules().startSent(TaskId.parse(order.string("Piece")).job());
         }
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -414,9 +414,9 @@
     features[node] =
         new Features(
             features[node].overload(),
-            features[node].servedEvery(),
+            features[node].accountingInterval(),
             build,
-            features[node].agreed());
+            features[node].replicatedFeatures());
   }
 
   /**
@@ -431,7 +431,7 @@
    * From its next start on the platform's file of a controller says what the state service will
    * allow from some moment on.
    */
-  void tellNext(int node, Settings.StateLimits next) {
+  void tellNext(int node, Settings.StoreLimits next) {
     toldLimits.put(node, site.stateLimits().smaller(next));
   }
 
@@ -456,11 +456,11 @@
   int leader() {
     for (int node = 0; node < nodeCount(); node++) {
       try {
-        Fields status = status(node);
-        if (status != null && status.text("role").equals("LEADING")) {
+        JsonFields status = status(node);
+        if (status != null && status.string("role").equals("LEADING")) {
           return node;
         }
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         throw new IllegalStateException(e);
       }
     }
@@ -568,15 +568,15 @@
   }
 
   /** What a controller's status says; null where it is down. */
-  Fields status(int node) {
-    Fields[] status = new Fields[1];
+  JsonFields status(int node) {
+    JsonFields[] status = new JsonFields[1];
     if (lives[node].isAlive()) {
       controllers[node].handle(
           HttpRequest.get("/admin/status"),
           response -> {
             try {
               status[0] = Json.parseFields(response.body());
-            } catch (BadMessage e) {
+            } catch (MalformedMessageException e) {
               throw new IllegalStateException(e);
             }
           });
--- a/src/main/java/org/quincecross/leader/AgreedTrails.java
+++ b/src/main/java/org/quincecross/leader/AgreedTrails.java
@@ -11,7 +11,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.AgreedBook;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /**
  * Moves what the trails of agreed records have grown to onto pages, now and then: the leader alone
--- a/src/main/java/org/quincecross/leader/Allocations.java
+++ b/src/main/java/org/quincecross/leader/Allocations.java
@@ -15,7 +15,7 @@
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Keys;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /**
  * Writes which tasks a block has: whole, or from level 2 on what has changed since it was last
--- a/src/main/java/org/quincecross/leader/CloudClient.java
+++ b/src/main/java/org/quincecross/leader/CloudClient.java
@@ -13,9 +13,9 @@
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Limiter;
 import org.quincecross.net.Timers;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.CloudCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -100,7 +100,7 @@
 
   /** Reads what an answer says. */
   private interface Reader<T> {
-    T read() throws BadMessage;
+    T read() throws MalformedMessageException;
   }
 
   private static <T> T read(HttpOutcome outcome, Reader<T> reader) {
@@ -109,7 +109,7 @@
     }
     try {
       return reader.read();
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.info("unreadable answer of the cloud: {}", e.getMessage());
       return null;
     }
--- a/src/main/java/org/quincecross/leader/Demands.java
+++ b/src/main/java/org/quincecross/leader/Demands.java
@@ -27,7 +27,7 @@
 import org.quincecross.sched.JobDemand;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 
 /**
  * What waits to be admitted, and when it should be over; where there is more than can be done in
@@ -336,7 +336,7 @@
    * take to start.
    */
   private boolean isHurried(Job job) {
-    TimeSpan within = settings.startWithin(job.jobClass());
+    TimeSpan within = settings.startTimeLimit(job.jobClass());
     double rate = 0;
     for (MachineType type : ledger.types().values()) {
       rate = Math.max(rate, type.pullGbPerSecond());
@@ -373,13 +373,13 @@
   }
 
   private List<ServiceLevelObjective> aims(JobRecord record) {
-    return settings.aims(record.job(), TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+    return settings.objectivesOf(record.job(), TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
   }
 
   private List<Goal> goals(Job job, double age) {
     List<Goal> goals = new ArrayList<>();
     for (ServiceLevelObjective aim : ages.get(job.id()).aims()) {
-      goals.add(new Goal(aim.within().seconds() - age, aim.milestone() == ServiceLevelObjective.Milestone.EACH_START));
+      goals.add(new Goal(aim.within().seconds() - age, aim.event() == ServiceLevelObjective.Event.EACH_START));
     }
     return goals;
   }
--- a/src/main/java/org/quincecross/leader/Fleet.java
+++ b/src/main/java/org/quincecross/leader/Fleet.java
@@ -27,8 +27,8 @@
 import org.quincecross.state.Foresight;
 import org.quincecross.state.Ledger;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.wire.CloudCodec;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.Settings;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -119,7 +119,7 @@
       Supplier<OperatorSettings> operators) {
     this.timers = timers;
     this.cloud =
-        new CloudClient(timers, http, settings.cloud(), settings.cloudLimits().requestsPerS());
+        new CloudClient(timers, http, settings.cloudAddress(), settings.cloudLimits().requestsPerSecond());
     this.ledger = ledger;
     this.settings = settings;
     this.foresight = foresight;
@@ -387,11 +387,11 @@
    */
   private TimeSpan patience(MachineId machine, boolean cutOff) {
     boolean spot = ledger.blockOf(machine) != null && ledger.blockOf(machine).spot();
-    return spot && !cutOff ? spotPatience() : settings.workers().lease().plus(CUT_OFF_FOR);
+    return spot && !cutOff ? spotPatience() : settings.agentTimeouts().lease().plus(CUT_OFF_FOR);
   }
 
   private TimeSpan spotPatience() {
-    return settings.workers().report().times(2.5).plus(TimeSpan.ofSeconds(3));
+    return settings.agentTimeouts().heartbeatInterval().times(2.5).plus(TimeSpan.ofSeconds(3));
   }
 
   /**
@@ -685,7 +685,7 @@
   }
 
   private void rent(MachineKind kind, int count) {
-    String request = settings.member() + "-" + life.get() + "-" + ++requests;
+    String request = settings.self() + "-" + life.get() + "-" + ++requests;
     renting++;
     cloud.rent(
         request,
--- a/src/main/java/org/quincecross/leader/HeldRecords.java
+++ b/src/main/java/org/quincecross/leader/HeldRecords.java
@@ -34,7 +34,7 @@
 import org.quincecross.state.AgreedBook;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /**
  * What the holds, claims and sweeps in the ledger keep back, on every controller. A hold whose time
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -46,9 +46,9 @@
 import org.quincecross.state.ModelRecords;
 import org.quincecross.state.StateClient;
 import org.quincecross.state.TxnOutcome;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -171,7 +171,7 @@
     this.keepers = new Keepers(this::teams, books::teamUse);
     this.fresh = new FreshViews(timers, ledger, views);
     this.levels = new LevelSwitch(ledger, settings, membership);
-    this.bounds = new TxnBounds(settings.stateLimits());
+    this.bounds = new TxnBounds(settings.storeLimits());
     this.allocations = new Allocations(ledger, levels::isLowering);
     this.leases = new Leases(timers, ledger, settings, fleet, foresight, books, fresh, allocations);
     this.results = new Results(timers, ledger, views, books, clockMs);
@@ -383,7 +383,7 @@
   private boolean leadsByLedger() {
     MemberRecord leader = ledger.leader();
     return leader != null
-        && leader.member().equals(settings.member())
+        && leader.member().equals(settings.self())
         && leader.life().equals(membership.life());
   }
 
@@ -423,10 +423,10 @@
     enter(State.STANDING);
     write(
         List.of(
-            new Guard(ledger.leaderKey(), Revision.NONE),
-            new Guard(Keys.LEVEL, ledger.level().version()),
+            new Precondition(ledger.leaderKey(), Revision.NONE),
+            new Precondition(Keys.LEVEL, ledger.level().version()),
             membership.alive(ledger)),
-        List.of(new Change(ledger.leaderKey(), membership.record(), membership.life())),
+        List.of(new Mutation(ledger.leaderKey(), membership.record(), membership.life())),
         true);
   }
 
@@ -438,17 +438,17 @@
   private void mend() {
     String key = ledger.leaderKey();
     write(
-        List.of(new Guard(key, ledger.version(key))),
-        List.of(new Change(key, membership.record(), membership.life())),
+        List.of(new Precondition(key, ledger.version(key))),
+        List.of(new Mutation(key, membership.record(), membership.life())),
         true);
   }
 
-  private void write(List<Guard> guards, List<Change> changes, boolean urgent) {
+  private void write(List<Precondition> guards, List<Mutation> changes, boolean urgent) {
     writing = true;
     client.txn(guards, changes, urgent, outcome -> written(outcome, changes));
   }
 
-  private void written(TxnOutcome outcome, List<Change> changes) {
+  private void written(TxnOutcome outcome, List<Mutation> changes) {
     writing = false;
     switch (outcome.kind()) {
       case COMMITTED -> {
@@ -584,7 +584,7 @@
         TimeSpan.ofSeconds(
             Math.min(
                 MOST_GATHERING.seconds(),
-                ledger.blocks().size() / settings.stateLimits().writesPerS()));
+                ledger.blocks().size() / settings.storeLimits().writesPerSecond()));
     MonotonicTime now = timers.now();
     for (Admission.Block block : blocks) {
       MonotonicTime written = writtenAt.get(block.id());
@@ -662,7 +662,7 @@
           (job, tasks, open) -> {
             TaskSet done = completed.get(job.id());
             block.count(
-                job, open, open - (done == null ? 0 : tasks.intersectionSize(done)), settings.isIdle(job));
+                job, open, open - (done == null ? 0 : tasks.intersectionSize(done)), settings.isBestEffort(job));
           });
       admissionBlocks.put(id, block);
       if (books.stale(id) > MOST_STALE) {
--- a/src/main/java/org/quincecross/leader/Leases.java
+++ b/src/main/java/org/quincecross/leader/Leases.java
@@ -30,7 +30,7 @@
 import org.quincecross.state.Keys;
 import org.quincecross.state.Ledger;
 import org.quincecross.state.MemberRecord;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -410,12 +410,12 @@
    */
   private int mostMachines(MachineType type) {
     int all = fleet.expected();
-    double bySize = Math.ceil(all / (BLOCKS_PER_CHANGE * settings.stateLimits().writesPerS()));
+    double bySize = Math.ceil(all / (BLOCKS_PER_CHANGE * settings.storeLimits().writesPerSecond()));
     Resources small = foresight.urgentTask();
     int tasks =
         Math.max(1, small.cpus() > 0 ? type.capacity().capacityFor(small) : (int) type.capacity().cpus());
     int byRecord =
-        Math.max(LEAST_BLOCK_SIZE, settings.stateLimits().valueBytes() / BYTES_PER_TASK / tasks);
+        Math.max(LEAST_BLOCK_SIZE, settings.storeLimits().maxValueBytes() / BYTES_PER_TASK / tasks);
     return (int)
         Math.max(Math.max(LEAST_BLOCK_SIZE, largestGang(type)), Math.min(bySize, byRecord));
   }
--- a/src/main/java/org/quincecross/leader/LevelSwitch.java
+++ b/src/main/java/org/quincecross/leader/LevelSwitch.java
@@ -18,10 +18,10 @@
 import org.quincecross.state.LevelRecord;
 import org.quincecross.state.Membership;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -76,8 +76,8 @@
   private Rollout.Site site() {
     OperatorSettings operators = ledger.operatorSettingsOrDefaults();
     Set<ControllerId> expected = new HashSet<>();
-    expected.add(settings.member());
-    settings.siblings().forEach(sibling -> expected.add(sibling.member()));
+    expected.add(settings.self());
+    settings.peers().forEach(sibling -> expected.add(sibling.member()));
     expected.removeIf(member -> operators.gone().contains(member.text()));
     Map<ControllerId, Rollout.Alive> alive = new HashMap<>();
     ledger
@@ -110,35 +110,35 @@
     return isLowering() ? List.copyOf(ledger.changedAllocations()) : List.of();
   }
 
-  List<Guard> guards() {
-    List<Guard> guards = new ArrayList<>();
-    guards.add(new Guard(ledger.leaderKey(), ledger.version(ledger.leaderKey())));
-    guards.add(new Guard(Keys.LEVEL, ledger.level().version()));
+  List<Precondition> guards() {
+    List<Precondition> guards = new ArrayList<>();
+    guards.add(new Precondition(ledger.leaderKey(), ledger.version(ledger.leaderKey())));
+    guards.add(new Precondition(Keys.LEVEL, ledger.level().version()));
     Set<ControllerId> members = new HashSet<>(ledger.members().keySet());
-    members.add(settings.member());
-    settings.siblings().forEach(sibling -> members.add(sibling.member()));
+    members.add(settings.self());
+    settings.peers().forEach(sibling -> members.add(sibling.member()));
     members.forEach(
-        member -> guards.add(new Guard(Keys.member(member), ledger.version(Keys.member(member)))));
+        member -> guards.add(new Precondition(Keys.member(member), ledger.version(Keys.member(member)))));
     String otherPlace = Ledger.leaderKey(decision.to());
     if (!otherPlace.equals(ledger.leaderKey())) {
-      guards.add(new Guard(otherPlace, ledger.version(otherPlace)));
+      guards.add(new Precondition(otherPlace, ledger.version(otherPlace)));
     }
     return guards;
   }
 
-  List<Change> changes() {
-    List<Change> changes = new ArrayList<>();
-    changes.add(Change.put(Keys.LEVEL, LevelRecord.write(decision.to())));
+  List<Mutation> changes() {
+    List<Mutation> changes = new ArrayList<>();
+    changes.add(Mutation.put(Keys.LEVEL, LevelRecord.write(decision.to())));
     changes.add(
-        new Change(Ledger.leaderKey(decision.to()), membership.record(), membership.life()));
+        new Mutation(Ledger.leaderKey(decision.to()), membership.record(), membership.life()));
     boolean moves = Feature.LEADERSHIP_MOVED.isIn(decision.to());
     if (moves && !Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
       // Builds from before levels see that somebody leads, and never do so themselves.
       changes.add(
-          Change.put(
+          Mutation.put(
               Keys.LEADER, Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
     } else if (!moves && Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
-      changes.add(Change.delete(Keys.LEADS));
+      changes.add(Mutation.delete(Keys.LEADS));
     }
     return changes;
   }
--- a/src/main/java/org/quincecross/leader/ModelLosses.java
+++ b/src/main/java/org/quincecross/leader/ModelLosses.java
@@ -123,7 +123,7 @@
     }
     if (!state.open()) {
       MonotonicTime since = shutSince.computeIfAbsent(machine, id -> now);
-      return now.since(since).isLongerThan(base.settings().workers().lease()) ? "is not heard" : null;
+      return now.since(since).isLongerThan(base.settings().agentTimeouts().lease()) ? "is not heard" : null;
     }
     shutSince.remove(machine);
     MonotonicTime since = since(look, replica, place, now);
--- a/src/main/java/org/quincecross/leader/TxnBounds.java
+++ b/src/main/java/org/quincecross/leader/TxnBounds.java
@@ -6,9 +6,9 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec.Change;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -36,16 +36,16 @@
 
   private record Refusal(int bytes, MonotonicTime until) {}
 
-  private final Settings.StateLimits limits;
+  private final Settings.StoreLimits limits;
   private final Map<String, Refusal> refusals = new HashMap<>();
   private int changes;
   private int value;
   private MonotonicTime refusedAt;
 
-  TxnBounds(Settings.StateLimits limits) {
+  TxnBounds(Settings.StoreLimits limits) {
     this.limits = limits;
-    this.changes = limits.txnChanges();
-    this.value = limits.plannedValue();
+    this.changes = limits.maxMutationsPerTransaction();
+    this.value = limits.plannedValueBytes();
   }
 
   /** The most changes of a transaction. */
@@ -62,9 +62,9 @@
   TxnPlan plan(Ledger ledger, int most, MonotonicTime now) {
     refusals.values().removeIf(refusal -> refusal.until().isBefore(now));
     if (refusedAt != null && now.since(refusedAt).isLongerThan(ASIDE)) {
-      changes = Math.min(limits.txnChanges(), 2 * changes);
-      value = Math.min(limits.plannedValue(), 2 * value);
-      refusedAt = changes == limits.txnChanges() && value == limits.plannedValue() ? null : now;
+      changes = Math.min(limits.maxMutationsPerTransaction(), 2 * changes);
+      value = Math.min(limits.plannedValueBytes(), 2 * value);
+      refusedAt = changes == limits.maxMutationsPerTransaction() && value == limits.plannedValueBytes() ? null : now;
     }
     return new TxnPlan(
         ledger,
@@ -74,15 +74,15 @@
   }
 
   /** A transaction with these changes was too large. */
-  void refused(List<Change> refused, MonotonicTime now) {
+  void refused(List<Mutation> refused, MonotonicTime now) {
     refusedAt = now;
     if (refused.size() > LEAST_CHANGES) {
       changes = Math.max(LEAST_CHANGES, refused.size() / 2);
     } else {
-      value = Math.max(Math.min(LEAST_VALUE, limits.plannedValue()), value / 2);
+      value = Math.max(Math.min(LEAST_VALUE, limits.plannedValueBytes()), value / 2);
       String largest = null;
       int most = 0;
-      for (Change change : refused) {
+      for (Mutation change : refused) {
         int bytes = change.value() == null ? 0 : Json.write(change.value()).length;
         if (bytes > most) {
           most = bytes;
@@ -96,7 +96,7 @@
     LOG.warn(
         "the state service takes no transaction of {} changes, one in {}; planned smaller: {} changes, {} bytes a value",
         refused.size(),
-        refused.stream().map(Change::key).findFirst().orElse("none"),
+        refused.stream().map(Mutation::key).findFirst().orElse("none"),
         changes,
         value);
   }
--- a/src/main/java/org/quincecross/leader/TxnPlan.java
+++ b/src/main/java/org/quincecross/leader/TxnPlan.java
@@ -8,9 +8,9 @@
 import org.quincecross.rollout.Feature;
 import org.quincecross.state.Keys;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 
 /**
  * A transaction being put together: every changed key is guarded by its version, and the limits are
@@ -24,8 +24,8 @@
   private final int mostChanges;
   private final int mostValue;
   private final BiPredicate<String, Integer> mayPut;
-  private final List<Guard> guards = new ArrayList<>();
-  private final List<Change> changes = new ArrayList<>();
+  private final List<Precondition> guards = new ArrayList<>();
+  private final List<Mutation> changes = new ArrayList<>();
   private int bytes;
 
   TxnPlan(Ledger ledger, int mostChanges, int mostValue) {
@@ -57,7 +57,7 @@
 
   void guard(String key) {
     Revision version = ledger.version(key);
-    guards.add(new Guard(key, version));
+    guards.add(new Precondition(key, version));
   }
 
   int room() {
@@ -97,7 +97,7 @@
     }
     bytes += size;
     guard(key);
-    changes.add(Change.put(key, value));
+    changes.add(Mutation.put(key, value));
     return true;
   }
 
@@ -107,15 +107,15 @@
       return false;
     }
     guard(key);
-    changes.add(Change.delete(key));
+    changes.add(Mutation.delete(key));
     return true;
   }
 
-  List<Guard> guards() {
+  List<Precondition> guards() {
     return guards;
   }
 
-  List<Change> changes() {
+  List<Mutation> changes() {
     return changes;
   }
 }
--- a/src/main/java/org/quincecross/leader/TypeRecords.java
+++ b/src/main/java/org/quincecross/leader/TypeRecords.java
@@ -7,7 +7,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.Keys;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.CloudCodec;
+import org.quincecross.protocol.CloudCodec;
 
 /**
  * Writes the machine types that the cloud offers, those that are new or have changed together: a
--- a/src/main/java/org/quincecross/model/ServiceLevelObjective.java
+++ b/src/main/java/org/quincecross/model/ServiceLevelObjective.java
@@ -7,9 +7,9 @@
  * @param of whether it says when each task should start, or when the whole job should end
  * @param within from the acceptance of the job
  */
-public record ServiceLevelObjective(String name, Milestone milestone, TimeSpan within) {
+public record ServiceLevelObjective(String name, Event event, TimeSpan within) {
   /** What an aim is about. */
-  public enum Milestone {
+  public enum Event {
     EACH_START,
     END
   }
--- a/src/main/java/org/quincecross/peer/AgreedBase.java
+++ b/src/main/java/org/quincecross/peer/AgreedBase.java
@@ -9,7 +9,7 @@
 import org.quincecross.net.Timers;
 import org.quincecross.state.AgreedStore;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 
 /**
  * What a part that rests on agreed records is given.
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -12,7 +12,7 @@
 import org.quincecross.net.Timers;
 import org.quincecross.state.Ledger;
 import org.quincecross.state.MemberRecord;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 
 /**
  * Answers, by the records and by what the other controllers report, since when all controllers know
@@ -69,8 +69,8 @@
     }
     List<KnownByAll.Told> expected = new ArrayList<>();
     List<KnownByAll.Told> told = new ArrayList<>();
-    expect(settings.member(), expected);
-    settings.siblings().forEach(sibling -> expect(sibling.member(), expected));
+    expect(settings.self(), expected);
+    settings.peers().forEach(sibling -> expect(sibling.member(), expected));
     for (MemberRecord member : ledger.members().values()) {
       if (expected.stream().noneMatch(each -> each.member().equals(member.member()))) {
         expect(member.member(), expected);
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -22,7 +22,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.FencingToken;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** Peer reports to and from MessagePack. */
 public final class PeerCodec {
@@ -74,14 +74,14 @@
   }
 
   private static Map<String, byte[]> readSections(MessageUnpacker in)
-      throws IOException, BadMessage {
+      throws IOException, MalformedMessageException {
     Map<String, byte[]> sections = new HashMap<>();
     if (in.hasNext()) {
       for (int i = count(in.unpackMapHeader()); i > 0; i--) {
         String name = in.unpackString();
         int length = in.unpackBinaryHeader();
         if (length < 0 || length > MOST_SECTION_BYTES) {
-          throw new BadMessage("too long a section of a peer report");
+          throw new MalformedMessageException("too long a section of a peer report");
         }
         sections.put(name, in.readPayload(length));
       }
@@ -140,7 +140,7 @@
     }
   }
 
-  private static List<String> readTexts(MessageUnpacker in) throws IOException, BadMessage {
+  private static List<String> readTexts(MessageUnpacker in) throws IOException, MalformedMessageException {
     List<String> texts = new ArrayList<>();
     for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
       texts.add(in.unpackString());
@@ -155,17 +155,17 @@
     }
   }
 
-  public static PeerReport read(byte[] bytes) throws BadMessage {
+  public static PeerReport read(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       if (in.unpackInt() != FORMAT) {
-        throw new BadMessage("unknown format of a peer report");
+        throw new MalformedMessageException("unknown format of a peer report");
       }
       ControllerId member = new ControllerId(in.unpackString());
       Incarnation life = new Incarnation(in.unpackLong());
       long number = in.unpackLong();
       long base = in.unpackLong();
       if (base < 0 || number <= base) {
-        throw new BadMessage("a peer report that builds on a later one");
+        throw new MalformedMessageException("a peer report that builds on a later one");
       }
       Map<ControllerId, PeerReport.Receipt> receipts = new HashMap<>();
       for (int i = count(in.unpackMapHeader()); i > 0; i--) {
@@ -183,16 +183,16 @@
       }
       Map<String, byte[]> sections = readSections(in);
       if (in.hasNext()) {
-        throw new BadMessage("bytes left over in a peer report");
+        throw new MalformedMessageException("bytes left over in a peer report");
       }
       return new PeerReport(
           member, life, number, base, receipts, ledger, unconfirmed, blocks, strays, sections);
     } catch (IOException | MessagePackException e) {
-      throw new BadMessage("unreadable peer report");
+      throw new MalformedMessageException("unreadable peer report");
     }
   }
 
-  private static PeerReport.Block readBlock(MessageUnpacker in) throws IOException, BadMessage {
+  private static PeerReport.Block readBlock(MessageUnpacker in) throws IOException, MalformedMessageException {
     ShardId id = new ShardId(in.unpackString());
     FencingToken token = new FencingToken(in.unpackLong());
     Revision allocation = new Revision(in.unpackLong());
@@ -241,29 +241,29 @@
         id, token, allocation, inDoubt, declined, whole, completed, released, running, machines);
   }
 
-  private static JobId job(String name) throws BadMessage {
+  private static JobId job(String name) throws MalformedMessageException {
     JobId job = JobId.parse(name);
     if (job == null) {
-      throw new BadMessage("bad job id in a peer report");
+      throw new MalformedMessageException("bad job id in a peer report");
     }
     return job;
   }
 
-  private static List<TaskId> readTasks(MessageUnpacker in) throws IOException, BadMessage {
+  private static List<TaskId> readTasks(MessageUnpacker in) throws IOException, MalformedMessageException {
     List<TaskId> tasks = new ArrayList<>();
     for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
       TaskId task = TaskId.parse(in.unpackString());
       if (task == null) {
-        throw new BadMessage("bad task id in a peer report");
+        throw new MalformedMessageException("bad task id in a peer report");
       }
       tasks.add(task);
     }
     return tasks;
   }
 
-  private static int count(int items) throws BadMessage {
+  private static int count(int items) throws MalformedMessageException {
     if (items > MOST_ITEMS) {
-      throw new BadMessage("too many items in a peer report");
+      throw new MalformedMessageException("too many items in a peer report");
     }
     return items;
   }
--- a/src/main/java/org/quincecross/wire/WorkerCodec.java
+++ b/src/main/java/org/quincecross/protocol/AgentCodec.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,12 +11,12 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.FencingToken;
-import org.quincecross.wire.WorkerReport.Cause;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.Heartbeat.Cause;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 
 /** What workers report and what they are told. */
-public final class WorkerCodec {
+public final class AgentCodec {
   public static final String BEAT = "/agent/beat";
   public static final String ORDERS = "/orders";
   public static final String STATUS = "/status";
@@ -52,32 +52,32 @@
           "no_such",
           Cause.NO_SUCH);
 
-  private WorkerCodec() {}
+  private AgentCodec() {}
 
-  public static WorkerReport readReport(Fields in) throws BadMessage {
-    Endpoint address = Endpoint.parse(in.text("Addr"));
+  public static Heartbeat readReport(JsonFields in) throws MalformedMessageException {
+    Endpoint address = Endpoint.parse(in.string("Addr"));
     if (address == null) {
-      throw new BadMessage("field Addr is not an address");
+      throw new MalformedMessageException("field Addr is not an address");
     }
     Machine machine =
         new Machine(
-            new MachineId(in.text("Host")),
+            new MachineId(in.string("Host")),
             address,
-            in.text("Hull"),
-            in.text("Yard"),
-            in.flagOr("Loaners", false));
+            in.string("Hull"),
+            in.string("Yard"),
+            in.boolOr("Loaners", false));
     List<Piece> pieces = new ArrayList<>();
     for (Object item : in.listOrEmpty("Pieces")) {
-      Fields piece = Fields.of(item, "an item of Pieces");
-      TaskId task = TaskId.parse(piece.text("Piece"));
+      JsonFields piece = JsonFields.of(item, "an item of Pieces");
+      TaskId task = TaskId.parse(piece.string("Piece"));
       if (task == null) {
-        throw new BadMessage("field Piece is not a task id");
+        throw new MalformedMessageException("field Piece is not a task id");
       }
-      TaskState state = piece.word("Status", STATES);
+      TaskState state = piece.enumValue("Status", STATES);
       // An exit for a reason not known here is an exit all the same.
       Cause cause =
           state == TaskState.EXITED
-              ? CAUSES.getOrDefault(piece.textOr("Cause", ""), Cause.STOPPED)
+              ? CAUSES.getOrDefault(piece.stringOr("Cause", ""), Cause.STOPPED)
               : null;
       pieces.add(
           new Piece(
@@ -85,20 +85,20 @@
               new Attempt(piece.unsigned("Try")),
               state,
               cause,
-              piece.flagOr("Stored", false)));
+              piece.boolOr("Stored", false)));
     }
-    return new WorkerReport(
+    return new Heartbeat(
         machine,
         in.unsigned("Shift"),
         in.unsigned("Tick"),
         new FencingToken(in.unsigned("Baton")),
-        in.has("RecallS") ? TimeSpan.ofSeconds(in.amount("RecallS")) : null,
+        in.has("RecallS") ? TimeSpan.ofSeconds(in.nonNegativeNumber("RecallS")) : null,
         pieces);
   }
 
-  private static List<Object> orders(List<Order> orders) {
+  private static List<Object> orders(List<AgentCommand> orders) {
     List<Object> list = new ArrayList<>();
-    for (Order order : orders) {
+    for (AgentCommand order : orders) {
       Map<String, Object> out =
           Json.object(
               "Verb",
@@ -111,7 +111,7 @@
               order.task().toString(),
               "Try",
               Json.unsigned(order.attempt().number()));
-      if (order.verb() == Order.Verb.STOP) {
+      if (order.verb() == AgentCommand.Verb.STOP) {
         out.put("WindDownS", order.grace().seconds());
       }
       list.add(out);
@@ -120,13 +120,13 @@
   }
 
   /** The answer to a report. */
-  public static byte[] writeAnswer(FencingToken token, List<Order> orders) {
+  public static byte[] writeAnswer(FencingToken token, List<AgentCommand> orders) {
     return Json.write(
         Json.object("Baton", Json.unsigned(token.number()), "Orders", orders(orders)));
   }
 
   /** The body of a direct command. */
-  public static byte[] writeDirect(FencingToken token, long session, List<Order> orders) {
+  public static byte[] writeDirect(FencingToken token, long session, List<AgentCommand> orders) {
     return Json.write(
         Json.object(
             "Baton",
--- a/src/main/java/org/quincecross/wire/CloudCodec.java
+++ b/src/main/java/org/quincecross/protocol/CloudCodec.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -35,22 +35,22 @@
 
   private CloudCodec() {}
 
-  public static List<MachineType> readCatalog(Fields in) throws BadMessage {
+  public static List<MachineType> readCatalog(JsonFields in) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
-    for (Fields type : in.objects("Hulls")) {
+    for (JsonFields type : in.objects("Hulls")) {
       types.add(
           new MachineType(
-              type.text("Sku"),
+              type.string("Sku"),
               new Resources(
-                  type.amount("Cpus"),
-                  type.has("Cards") ? type.amount("Cards") : 0,
-                  type.amount("MemGb")),
-              type.amount("CacheGb"),
-              type.amount("PullGbPerS"),
-              type.amount("Rate"),
-              type.has("MarketPrice") ? type.amount("MarketPrice") : type.amount("Rate"),
-              TimeSpan.ofSeconds(type.amount("StartupS")),
-              type.texts("Yards")));
+                  type.nonNegativeNumber("Cpus"),
+                  type.has("Cards") ? type.nonNegativeNumber("Cards") : 0,
+                  type.nonNegativeNumber("MemGb")),
+              type.nonNegativeNumber("CacheGb"),
+              type.nonNegativeNumber("PullGbPerS"),
+              type.nonNegativeNumber("Rate"),
+              type.has("MarketPrice") ? type.nonNegativeNumber("MarketPrice") : type.nonNegativeNumber("Rate"),
+              TimeSpan.ofSeconds(type.nonNegativeNumber("StartupS")),
+              type.strings("Yards")));
     }
     return types;
   }
@@ -91,9 +91,9 @@
             "Charter", request, "Hull", type, "Yard", zone, "Loaners", spot, "HowMany", count));
   }
 
-  public static List<MachineId> readRented(Fields in) throws BadMessage {
+  public static List<MachineId> readRented(JsonFields in) throws MalformedMessageException {
     List<MachineId> machines = new ArrayList<>();
-    for (String name : in.texts("Hosts")) {
+    for (String name : in.strings("Hosts")) {
       machines.add(new MachineId(name));
     }
     return machines;
@@ -111,21 +111,21 @@
     return MACHINES + "?" + (after == null ? "" : "Since=" + after + "&") + "Page=" + limit;
   }
 
-  public static Page readPage(Fields in) throws BadMessage {
+  public static Page readPage(JsonFields in) throws MalformedMessageException {
     List<Listed> machines = new ArrayList<>();
-    for (Fields item : in.objects("Hosts")) {
-      Endpoint address = item.has("Addr") ? Endpoint.parse(item.text("Addr")) : null;
+    for (JsonFields item : in.objects("Hosts")) {
+      Endpoint address = item.has("Addr") ? Endpoint.parse(item.string("Addr")) : null;
       machines.add(
           new Listed(
               new Machine(
-                  new MachineId(item.text("Uid")),
+                  new MachineId(item.string("Uid")),
                   address,
-                  item.text("Hull"),
-                  item.text("Yard"),
-                  item.flagOr("Loaners", false)),
-              item.word("Status", STATUSES),
-              TimeSpan.ofSeconds(item.amount("AgeS"))));
+                  item.string("Hull"),
+                  item.string("Yard"),
+                  item.boolOr("Loaners", false)),
+              item.enumValue("Status", STATUSES),
+              TimeSpan.ofSeconds(item.nonNegativeNumber("AgeS"))));
     }
-    return new Page(machines, in.flagOr("More", false));
+    return new Page(machines, in.boolOr("More", false));
   }
 }
--- a/src/main/java/org/quincecross/wire/Features.java
+++ b/src/main/java/org/quincecross/protocol/Features.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.util.List;
 import java.util.Map;
@@ -18,7 +18,7 @@
  * @param agreed the parts that rest on records that all controllers follow, each with its settings;
  *     null: there are no such records
  */
-public record Features(Shares overload, TimeSpan servedEvery, Build build, Map<String, Object> agreed) {
+public record Features(Shares overload, TimeSpan accountingInterval, Build build, Map<String, Object> replicatedFeatures) {
   public static final Features NONE = new Features(null, null, Build.BEFORE_LEVELS, null);
 
   /** The parts that {@code agreed} may name; each reads its settings itself. */
@@ -35,45 +35,45 @@
    * Reads the file; unknown names are refused, for a misspelt one would be off without anybody
    * noticing.
    */
-  public static Features read(byte[] bytes) throws BadMessage {
+  public static Features read(byte[] bytes) throws MalformedMessageException {
     Object value = Json.parse(bytes);
-    Fields in = Fields.of(value, "the features");
+    JsonFields in = JsonFields.of(value, "the features");
     known(value, "the features", List.of("overload", "served", "rollout", "agreed"));
     Shares overload = null;
     if (in.has("overload")) {
       known(
           in.raw("overload"), "overload", List.of("usable", "coming", "floor", "turns", "begin_s"));
-      Fields each = in.fields("overload");
+      JsonFields each = in.fields("overload");
       overload =
           new Shares(
               share(each, "usable", Shares.DEFAULTS.usable()),
               share(each, "coming", Shares.DEFAULTS.coming()),
               share(each, "floor", Shares.DEFAULTS.floor()),
               share(each, "turns", Shares.DEFAULTS.turns()),
-              each.has("begin_s") ? each.amount("begin_s") : Shares.DEFAULTS.beginS());
+              each.has("begin_s") ? each.nonNegativeNumber("begin_s") : Shares.DEFAULTS.beginS());
       if (overload.beginS() > Shares.MOST_BEGIN_S) {
-        throw new BadMessage("field begin_s of overload is more than " + (int) Shares.MOST_BEGIN_S);
+        throw new MalformedMessageException("field begin_s of overload is more than " + (int) Shares.MOST_BEGIN_S);
       }
       if (overload.usable() == 0 || overload.floor() + overload.turns() > 0.5) {
-        throw new BadMessage(
+        throw new MalformedMessageException(
             "overload: usable is to be above 0, and floor and turns together at most 0.5");
       }
     }
     TimeSpan served = null;
     if (in.has("served")) {
       known(in.raw("served"), "served", List.of("log_every_s"));
-      double every = in.fields("served").positive("log_every_s");
+      double every = in.fields("served").positiveNumber("log_every_s");
       if (every < LEAST_LOG_S || every > MOST_LOG_S) {
-        throw new BadMessage("field log_every_s of served is not from 1 to 86400");
+        throw new MalformedMessageException("field log_every_s of served is not from 1 to 86400");
       }
       served = TimeSpan.ofSeconds(every);
     }
     Map<String, Object> agreed = null;
     if (in.has("agreed")) {
       known(in.raw("agreed"), "agreed", AGREED_PARTS);
-      agreed = Map.copyOf(in.fields("agreed").others(List.of()));
+      agreed = Map.copyOf(in.fields("agreed").unknownFields(List.of()));
       if (!in.has("rollout")) {
-        throw new BadMessage("agreed comes with a level: name rollout as well");
+        throw new MalformedMessageException("agreed comes with a level: name rollout as well");
       }
     }
     // A build announces what it does: the level that agreed records come with only where they are
@@ -82,27 +82,27 @@
     Build build = Build.BEFORE_LEVELS;
     if (in.has("rollout")) {
       known(in.raw("rollout"), "rollout", List.of("build", "most_level"));
-      Fields each = in.fields("rollout");
+      JsonFields each = in.fields("rollout");
       int most =
-          each.has("most_level") ? each.count("most_level", 1, newest.number()) : newest.number();
-      build = Build.present(each.textOr("build", "unnamed"), most);
+          each.has("most_level") ? each.integer("most_level", 1, newest.number()) : newest.number();
+      build = Build.present(each.stringOr("build", "unnamed"), most);
     }
     return new Features(overload, served, build, agreed);
   }
 
-  private static double share(Fields in, String name, double otherwise) throws BadMessage {
-    double share = in.has(name) ? in.amount(name) : otherwise;
+  private static double share(JsonFields in, String name, double otherwise) throws MalformedMessageException {
+    double share = in.has(name) ? in.nonNegativeNumber(name) : otherwise;
     if (share > 1) {
-      throw new BadMessage("field " + name + " of overload is more than 1");
+      throw new MalformedMessageException("field " + name + " of overload is more than 1");
     }
     return share;
   }
 
-  private static void known(Object value, String where, List<String> names) throws BadMessage {
+  private static void known(Object value, String where, List<String> names) throws MalformedMessageException {
     if (value instanceof Map<?, ?> map) {
       for (Object name : map.keySet()) {
         if (!names.contains(name)) {
-          throw new BadMessage("unknown name " + name + " in " + where);
+          throw new MalformedMessageException("unknown name " + name + " in " + where);
         }
       }
     }
--- a/src/main/java/org/quincecross/wire/WorkerReport.java
+++ b/src/main/java/org/quincecross/protocol/Heartbeat.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.util.List;
 import org.quincecross.model.Attempt;
@@ -15,7 +15,7 @@
  * @param token the highest that the worker has seen
  * @param notice until the cloud takes the machine away, or null
  */
-public record WorkerReport(
+public record Heartbeat(
     Machine machine, long session, long order, FencingToken token, TimeSpan notice, List<Piece> pieces) {
 
   /** What a task on a machine is doing. */
@@ -48,7 +48,7 @@
   public record Piece(TaskId task, Attempt attempt, TaskState state, Cause cause, boolean saved) {}
 
   /** Whether this message was made after {@code other}, a message of the same worker. */
-  public boolean isNewerThan(WorkerReport other) {
+  public boolean isNewerThan(Heartbeat other) {
     int bySession = Long.compareUnsigned(session, other.session);
     return bySession != 0 ? bySession > 0 : Long.compareUnsigned(order, other.order) > 0;
   }
--- a/src/main/java/org/quincecross/wire/JobCodec.java
+++ b/src/main/java/org/quincecross/protocol/JobCodec.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.util.Collection;
 import java.util.Collections;
@@ -17,19 +17,19 @@
 
 /** Jobs as users write them, and what users are told of them. */
 public final class JobCodec {
-  public static final int MOST_TASKS = 100_000;
+  public static final int MAX_TASKS = 100_000;
   public static final String JOBS = "/v2/runs";
   public static final String CANCEL = "/cancel";
   public static final String HEALTH = "/up";
 
   /** The field that names the jobs to be done first. */
-  public static final String WAITS_ON = "WaitsOn";
+  public static final String DEPENDENCIES = "WaitsOn";
 
   /**
    * Of those that a job waits for, so many are named to whoever asks; how many there are is said as
    * well.
    */
-  private static final int MOST_NAMED = 20;
+  private static final int MAX_NAMED_DEPENDENCIES = 20;
 
   private static final Map<String, JobKind> SHAPES =
       Map.of("sweep", JobKind.ARRAY, "gang", JobKind.GANG, "standing", JobKind.SERVICE);
@@ -47,10 +47,10 @@
   private JobCodec() {}
 
   /** The id alone, so that a known job can be answered whatever else the body holds. */
-  public static JobId id(Fields in) throws BadMessage {
-    JobId id = JobId.parse(in.text("Uid"));
+  public static JobId id(JsonFields in) throws MalformedMessageException {
+    JobId id = JobId.parse(in.string("Uid"));
     if (id == null) {
-      throw new BadMessage("field Uid is not a job id");
+      throw new MalformedMessageException("field Uid is not a job id");
     }
     return id;
   }
@@ -78,41 +78,41 @@
           "MarkEveryS",
           "MarkCostS",
           "DueS",
-          WAITS_ON);
+          DEPENDENCIES);
 
   /** A job as a record has it. */
-  public static Job read(Fields in) throws BadMessage {
-    List<String> types = in.has("Hulls") ? in.texts("Hulls") : null;
+  public static Job read(JsonFields in) throws MalformedMessageException {
+    List<String> types = in.has("Hulls") ? in.strings("Hulls") : null;
     return new Job(
         id(in),
-        in.text("Lane"),
-        in.text("Crew"),
-        in.word("Shape", SHAPES),
-        in.word("Rank", RANKS),
-        in.count("Pieces", 1, MOST_TASKS),
+        in.string("Lane"),
+        in.string("Crew"),
+        in.enumValue("Shape", SHAPES),
+        in.enumValue("Rank", RANKS),
+        in.integer("Pieces", 1, MAX_TASKS),
         new Resources(
-            in.positive("Cpus"), in.has("Cards") ? in.amount("Cards") : 0, in.amount("MemGb")),
+            in.positiveNumber("Cpus"), in.has("Cards") ? in.nonNegativeNumber("Cards") : 0, in.nonNegativeNumber("MemGb")),
         types == null ? null : new LinkedHashSet<>(types),
-        in.textOr("Yard", null),
-        in.flagOr("OneZone", false),
-        in.flagOr("Scatter", false),
-        in.flagOr("Loaners", false),
-        in.text("Bundle"),
-        in.amount("ImageGb"),
-        TimeSpan.ofSeconds(in.amount("GuessS")),
-        TimeSpan.ofSeconds(in.amount("MarkEveryS")),
-        TimeSpan.ofSeconds(in.amount("MarkCostS")),
-        in.has("DueS") ? TimeSpan.ofSeconds(in.amount("DueS")) : null,
-        in.has(WAITS_ON) ? ids(in.texts(WAITS_ON)) : Set.of());
+        in.stringOr("Yard", null),
+        in.boolOr("OneZone", false),
+        in.boolOr("Scatter", false),
+        in.boolOr("Loaners", false),
+        in.string("Bundle"),
+        in.nonNegativeNumber("ImageGb"),
+        TimeSpan.ofSeconds(in.nonNegativeNumber("GuessS")),
+        TimeSpan.ofSeconds(in.nonNegativeNumber("MarkEveryS")),
+        TimeSpan.ofSeconds(in.nonNegativeNumber("MarkCostS")),
+        in.has("DueS") ? TimeSpan.ofSeconds(in.nonNegativeNumber("DueS")) : null,
+        in.has(DEPENDENCIES) ? ids(in.strings(DEPENDENCIES)) : Set.of());
   }
 
   /** A job that is named twice is waited for once. */
-  private static Set<JobId> ids(List<String> texts) throws BadMessage {
+  private static Set<JobId> ids(List<String> texts) throws MalformedMessageException {
     Set<JobId> ids = new HashSet<>();
     for (String text : texts) {
       JobId id = JobId.parse(text);
       if (id == null) {
-        throw new BadMessage("field " + WAITS_ON + " has an item that is not a job id");
+        throw new MalformedMessageException("field " + DEPENDENCIES + " has an item that is not a job id");
       }
       ids.add(id);
     }
@@ -123,24 +123,24 @@
    * The fields that a record leaves out where they say nothing, and a submission never may: they
    * are no ones that may be null.
    */
-  private static final Map<String, Object> LEFT_OUT =
+  private static final Map<String, Object> OPTIONAL_IN_RECORDS =
       Map.of("Cards", 0.0, "OneZone", false, "Scatter", false, "Loaners", false);
 
   /**
    * A job as a user submits it.
    *
-   * @throws BadMessage where a field is missing, those among them that a record may leave out
+   * @throws MalformedMessageException where a field is missing, those among them that a record may leave out
    *     (docs/incidents/accepted-without-a-field.md)
    */
-  public static Job readSubmission(Fields in) throws BadMessage {
-    in.need(LEFT_OUT.keySet());
+  public static Job readSubmission(JsonFields in) throws MalformedMessageException {
+    in.requireAll(OPTIONAL_IN_RECORDS.keySet());
     return read(in);
   }
 
   /** A job as users submit it, with all fields but those that may be null. */
   public static Map<String, Object> submission(Job job) {
     Map<String, Object> out = write(job);
-    LEFT_OUT.forEach(out::putIfAbsent);
+    OPTIONAL_IN_RECORDS.forEach(out::putIfAbsent);
     return out;
   }
 
@@ -195,7 +195,7 @@
       out.put("DueS", job.deadline().seconds());
     }
     if (!job.dependencies().isEmpty()) {
-      out.put(WAITS_ON, job.dependencies().stream().sorted().map(JobId::text).toList());
+      out.put(DEPENDENCIES, job.dependencies().stream().sorted().map(JobId::text).toList());
     }
     return out;
   }
@@ -226,7 +226,7 @@
     Map<String, Object> out =
         Json.object("Uid", id.text(), "Status", word, "done", done, "running", running);
     if (!waitsFor.isEmpty()) {
-      out.put("waits_for", waitsFor.stream().limit(MOST_NAMED).map(JobId::text).toList());
+      out.put("waits_for", waitsFor.stream().limit(MAX_NAMED_DEPENDENCIES).map(JobId::text).toList());
       out.put("waits_for_jobs", waitsFor.size());
     }
     return Json.write(out);
--- a/src/main/java/org/quincecross/wire/Json.java
+++ b/src/main/java/org/quincecross/protocol/Json.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -21,29 +21,29 @@
   private Json() {}
 
   /** Reads one value that fills all of {@code bytes}. */
-  public static Object parse(byte[] bytes) throws BadMessage {
+  public static Object parse(byte[] bytes) throws MalformedMessageException {
     try (JsonParser in = FACTORY.createParser(bytes)) {
       if (in.nextToken() == null) {
-        throw new BadMessage("no JSON");
+        throw new MalformedMessageException("no JSON");
       }
       Object value = value(in, 0);
       if (in.nextToken() != null) {
-        throw new BadMessage("more than one JSON value");
+        throw new MalformedMessageException("more than one JSON value");
       }
       return value;
     } catch (IOException e) {
-      throw new BadMessage("not JSON");
+      throw new MalformedMessageException("not JSON");
     }
   }
 
   /** Reads one object that fills all of {@code bytes}. */
-  public static Fields parseFields(byte[] bytes) throws BadMessage {
-    return Fields.of(parse(bytes), "the message");
+  public static JsonFields parseFields(byte[] bytes) throws MalformedMessageException {
+    return JsonFields.of(parse(bytes), "the message");
   }
 
-  private static Object value(JsonParser in, int depth) throws IOException, BadMessage {
+  private static Object value(JsonParser in, int depth) throws IOException, MalformedMessageException {
     if (depth > MOST_DEPTH) {
-      throw new BadMessage("JSON nested too deeply");
+      throw new MalformedMessageException("JSON nested too deeply");
     }
     JsonToken token = in.currentToken();
     switch (token) {
@@ -83,7 +83,7 @@
       case VALUE_NULL -> {
         return null;
       }
-      default -> throw new BadMessage("not JSON");
+      default -> throw new MalformedMessageException("not JSON");
     }
   }
 
--- a/src/main/java/org/quincecross/wire/Fields.java
+++ b/src/main/java/org/quincecross/protocol/JsonFields.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.math.BigInteger;
 import java.util.ArrayList;
@@ -10,26 +10,26 @@
 /**
  * The fields of a JSON object, taken with checks: what is missing or of the wrong kind is named.
  */
-public final class Fields {
+public final class JsonFields {
   private static final int MOST_STRING = 4096;
 
   private final Map<?, ?> map;
   private final String where;
 
-  private Fields(Map<?, ?> map, String where) {
+  private JsonFields(Map<?, ?> map, String where) {
     this.map = map;
     this.where = where;
   }
 
-  public static Fields of(Object value, String where) throws BadMessage {
+  public static JsonFields of(Object value, String where) throws MalformedMessageException {
     if (value instanceof Map<?, ?> map) {
-      return new Fields(map, where);
+      return new JsonFields(map, where);
     }
-    throw new BadMessage(where + " is not an object");
+    throw new MalformedMessageException(where + " is not an object");
   }
 
   /** The names of the fields. */
-  public List<String> names() {
+  public List<String> fieldNames() {
     return map.keySet().stream().map(String::valueOf).toList();
   }
 
@@ -37,7 +37,7 @@
    * The fields that are not among {@code known}, as they are: whoever writes a record anew keeps
    * what a newer build has put there. Null values count as left out.
    */
-  public Map<String, Object> others(Collection<String> known) {
+  public Map<String, Object> unknownFields(Collection<String> known) {
     Map<String, Object> others = null;
     for (Map.Entry<?, ?> field : map.entrySet()) {
       String name = String.valueOf(field.getKey());
@@ -57,18 +57,18 @@
     return map.get(name);
   }
 
-  private BadMessage bad(String name, String what) {
-    return new BadMessage("field " + name + " of " + where + " " + what);
+  private MalformedMessageException bad(String name, String what) {
+    return new MalformedMessageException("field " + name + " of " + where + " " + what);
   }
 
   /** Checks that some fields are there and not null. */
-  public void need(Collection<String> names) throws BadMessage {
+  public void requireAll(Collection<String> names) throws MalformedMessageException {
     for (String name : names) {
-      need(name);
+      requireAll(name);
     }
   }
 
-  private Object need(String name) throws BadMessage {
+  private Object requireAll(String name) throws MalformedMessageException {
     Object value = map.get(name);
     if (value == null) {
       throw bad(name, "is missing");
@@ -76,31 +76,31 @@
     return value;
   }
 
-  public String text(String name) throws BadMessage {
-    if (need(name) instanceof String text && text.length() <= MOST_STRING) {
+  public String string(String name) throws MalformedMessageException {
+    if (requireAll(name) instanceof String text && text.length() <= MOST_STRING) {
       return text;
     }
     throw bad(name, "is not a string of fair length");
   }
 
-  public String textOr(String name, String otherwise) throws BadMessage {
-    return has(name) ? text(name) : otherwise;
+  public String stringOr(String name, String otherwise) throws MalformedMessageException {
+    return has(name) ? string(name) : otherwise;
   }
 
-  public boolean flag(String name) throws BadMessage {
-    if (need(name) instanceof Boolean flag) {
+  public boolean bool(String name) throws MalformedMessageException {
+    if (requireAll(name) instanceof Boolean flag) {
       return flag;
     }
     throw bad(name, "is not true or false");
   }
 
-  public boolean flagOr(String name, boolean otherwise) throws BadMessage {
-    return has(name) ? flag(name) : otherwise;
+  public boolean boolOr(String name, boolean otherwise) throws MalformedMessageException {
+    return has(name) ? bool(name) : otherwise;
   }
 
   /** A finite number that is not negative. */
-  public double amount(String name) throws BadMessage {
-    if (need(name) instanceof Number number) {
+  public double nonNegativeNumber(String name) throws MalformedMessageException {
+    if (requireAll(name) instanceof Number number) {
       double value = number.doubleValue();
       if (value >= 0 && value < 1e12) {
         return value;
@@ -109,8 +109,8 @@
     throw bad(name, "is not a number of 0 or more");
   }
 
-  public double positive(String name) throws BadMessage {
-    double value = amount(name);
+  public double positiveNumber(String name) throws MalformedMessageException {
+    double value = nonNegativeNumber(name);
     if (value <= 0) {
       throw bad(name, "is not above 0");
     }
@@ -118,8 +118,8 @@
   }
 
   /** An integer below 2^64, as the bits of a long. */
-  public long unsigned(String name) throws BadMessage {
-    Object value = need(name);
+  public long unsigned(String name) throws MalformedMessageException {
+    Object value = requireAll(name);
     if (value instanceof Long number && number >= 0) {
       return number;
     }
@@ -129,25 +129,25 @@
     throw bad(name, "is not an integer from 0 to 2^64 - 1");
   }
 
-  public int count(String name, int least, int most) throws BadMessage {
-    if (need(name) instanceof Long number && number >= least && number <= most) {
+  public int integer(String name, int least, int most) throws MalformedMessageException {
+    if (requireAll(name) instanceof Long number && number >= least && number <= most) {
       return number.intValue();
     }
     throw bad(name, "is not an integer from " + least + " to " + most);
   }
 
-  public List<?> list(String name) throws BadMessage {
-    if (need(name) instanceof List<?> list) {
+  public List<?> list(String name) throws MalformedMessageException {
+    if (requireAll(name) instanceof List<?> list) {
       return list;
     }
     throw bad(name, "is not a list");
   }
 
-  public List<?> listOrEmpty(String name) throws BadMessage {
+  public List<?> listOrEmpty(String name) throws MalformedMessageException {
     return has(name) ? list(name) : List.of();
   }
 
-  public List<String> texts(String name) throws BadMessage {
+  public List<String> strings(String name) throws MalformedMessageException {
     List<String> texts = new ArrayList<>();
     for (Object item : list(name)) {
       if (!(item instanceof String text) || text.length() > MOST_STRING) {
@@ -158,12 +158,12 @@
     return texts;
   }
 
-  public Fields fields(String name) throws BadMessage {
-    return of(need(name), name + " of " + where);
+  public JsonFields fields(String name) throws MalformedMessageException {
+    return of(requireAll(name), name + " of " + where);
   }
 
-  public List<Fields> objects(String name) throws BadMessage {
-    List<Fields> objects = new ArrayList<>();
+  public List<JsonFields> objects(String name) throws MalformedMessageException {
+    List<JsonFields> objects = new ArrayList<>();
     for (Object item : list(name)) {
       objects.add(of(item, "an item of " + name + " of " + where));
     }
@@ -171,8 +171,8 @@
   }
 
   /** One of a set of words. */
-  public <T> T word(String name, Map<String, T> words) throws BadMessage {
-    T value = words.get(text(name));
+  public <T> T enumValue(String name, Map<String, T> words) throws MalformedMessageException {
+    T value = words.get(string(name));
     if (value == null) {
       throw bad(name, "is not one of " + words.keySet());
     }
--- a/src/main/java/org/quincecross/wire/StateCodec.java
+++ b/src/main/java/org/quincecross/protocol/KeyValueStoreCodec.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,7 +7,7 @@
 import org.quincecross.model.Revision;
 
 /** What is said to the state service and what it says. */
-public final class StateCodec {
+public final class KeyValueStoreCodec {
   public static final String TXN = "/txn";
   public static final String LEASES = "/holds";
 
@@ -26,20 +26,20 @@
   /**
    * A condition of a transaction: the key has this version, {@link Revision#NONE} for no such key.
    */
-  public record Guard(String key, Revision version) {}
+  public record Precondition(String key, Revision version) {}
 
   /** A change of a transaction: a put, or a delete where the value is null. */
-  public record Change(String key, Object value, Incarnation lease) {
-    public static Change put(String key, Object value) {
-      return new Change(key, value, null);
+  public record Mutation(String key, Object value, Incarnation lease) {
+    public static Mutation put(String key, Object value) {
+      return new Mutation(key, value, null);
     }
 
-    public static Change delete(String key) {
-      return new Change(key, null, null);
+    public static Mutation delete(String key) {
+      return new Mutation(key, null, null);
     }
   }
 
-  private StateCodec() {}
+  private KeyValueStoreCodec() {}
 
   public static String keyPath(String key) {
     return "/keys/" + key;
@@ -65,17 +65,17 @@
     return Json.write(Json.object("LifeMs", ttlMs));
   }
 
-  public static Incarnation readGrant(Fields in) throws BadMessage {
+  public static Incarnation readGrant(JsonFields in) throws MalformedMessageException {
     return new Incarnation(in.unsigned("Hold"));
   }
 
-  public static byte[] writeTxn(List<Guard> guards, List<Change> changes) {
+  public static byte[] writeTxn(List<Precondition> guards, List<Mutation> changes) {
     List<Object> ifs = new ArrayList<>();
-    for (Guard guard : guards) {
+    for (Precondition guard : guards) {
       ifs.add(Json.object("Path", guard.key(), "Stamp", Json.unsigned(guard.version().number())));
     }
     List<Object> thens = new ArrayList<>();
-    for (Change change : changes) {
+    for (Mutation change : changes) {
       if (change.value() == null) {
         thens.add(Json.object("Drop", change.key()));
       } else {
@@ -89,33 +89,33 @@
     return Json.write(Json.object("Guards", ifs, "Apply", thens));
   }
 
-  public static Revision readRevision(Fields in) throws BadMessage {
+  public static Revision readRevision(JsonFields in) throws MalformedMessageException {
     return new Revision(in.unsigned("Epoch"));
   }
 
   /** The keys whose conditions failed. */
-  public static List<String> readFailed(Fields in) throws BadMessage {
-    return in.texts("failed");
+  public static List<String> readFailed(JsonFields in) throws MalformedMessageException {
+    return in.strings("failed");
   }
 
-  public static Page readList(Fields in) throws BadMessage {
+  public static Page readList(JsonFields in) throws MalformedMessageException {
     List<Entry> entries = new ArrayList<>();
-    for (Fields item : in.objects("Items")) {
+    for (JsonFields item : in.objects("Items")) {
       entries.add(
-          new Entry(item.text("Path"), item.raw("Value"), new Revision(item.unsigned("Stamp"))));
+          new Entry(item.string("Path"), item.raw("Value"), new Revision(item.unsigned("Stamp"))));
     }
-    return new Page(entries, in.flagOr("More", false), readRevision(in));
+    return new Page(entries, in.boolOr("More", false), readRevision(in));
   }
 
-  public static Page readWatch(Fields in) throws BadMessage {
+  public static Page readWatch(JsonFields in) throws MalformedMessageException {
     List<Entry> entries = new ArrayList<>();
     for (Object item : in.listOrEmpty("Log")) {
-      Fields event = Fields.of(item, "an item of Log");
+      JsonFields event = JsonFields.of(item, "an item of Log");
       Revision version = new Revision(event.unsigned("Stamp"));
       entries.add(
           event.has("Set")
-              ? new Entry(event.text("Set"), event.raw("Value"), version)
-              : new Entry(event.text("Drop"), null, version));
+              ? new Entry(event.string("Set"), event.raw("Value"), version)
+              : new Entry(event.string("Drop"), null, version));
     }
     return new Page(entries, false, readRevision(in));
   }
--- a/src/main/java/org/quincecross/wire/BadMessage.java
+++ b/src/main/java/org/quincecross/protocol/MalformedMessageException.java
@@ -1,10 +1,10 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 /** Something that came in does not have the form it should have; the message names the field. */
-public final class BadMessage extends Exception {
+public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public BadMessage(String what) {
+  public MalformedMessageException(String what) {
     super(what, null, false, false);
   }
 }
--- a/src/main/java/org/quincecross/wire/SettingsFingerprint.java
+++ b/src/main/java/org/quincecross/protocol/SettingsFingerprint.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
@@ -23,13 +23,13 @@
         "teams",
         checksum(teams(settings.teams())),
         "workers",
-        checksum(workers(settings.workers())),
+        checksum(workers(settings.agentTimeouts())),
         "objectives",
         checksum(objectives(settings.objectives())),
         "zones",
         checksum(settings.zones().toString()),
         "state limits",
-        checksum(limits(settings.stateLimits())));
+        checksum(limits(settings.storeLimits())));
   }
 
   private static String checksum(String text) {
@@ -64,17 +64,17 @@
         + "]";
   }
 
-  private static String workers(Settings.Workers workers) {
+  private static String workers(Settings.AgentTimeouts workers) {
     return "Workers[report="
-        + workers.report()
+        + workers.heartbeatInterval()
         + ", lease="
         + workers.lease()
         + ", gangWait="
-        + workers.gangWait()
+        + workers.gangStartTimeout()
         + ", gangPeer="
-        + workers.gangPeer()
+        + workers.gangPeerTimeout()
         + ", cancel="
-        + workers.cancel()
+        + workers.cancelTimeout()
         + "]";
   }
 
@@ -88,23 +88,23 @@
         + ", jobClass="
         + objective.jobClass()
         + ", within="
-        + objective.within()
+        + objective.timeLimit()
         + ", times="
-        + objective.times()
+        + objective.deadlineFactor()
         + ", share="
-        + objective.share()
+        + objective.targetShare()
         + "]";
   }
 
-  private static String limits(Settings.StateLimits limits) {
+  private static String limits(Settings.StoreLimits limits) {
     return "StateLimits[requestsPerS="
-        + limits.requestsPerS()
+        + limits.requestsPerSecond()
         + ", writesPerS="
-        + limits.writesPerS()
+        + limits.writesPerSecond()
         + ", valueBytes="
-        + limits.valueBytes()
+        + limits.maxValueBytes()
         + ", txnChanges="
-        + limits.txnChanges()
+        + limits.maxMutationsPerTransaction()
         + "]";
   }
 
--- a/src/main/java/org/quincecross/wire/SettingsWriter.java
+++ b/src/main/java/org/quincecross/protocol/SettingsWriter.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -22,9 +22,9 @@
    * @param next what the state service will allow from some moment on; null where nothing is said
    *     of that
    */
-  public static byte[] write(Settings settings, Settings.StateLimits next) {
+  public static byte[] write(Settings settings, Settings.StoreLimits next) {
     List<Object> siblings = new ArrayList<>();
-    for (Settings.Sibling sibling : settings.siblings()) {
+    for (Settings.Peer sibling : settings.peers()) {
       siblings.add(
           Json.object(
               "member",
@@ -53,24 +53,24 @@
     for (Settings.Objective objective : settings.objectives()) {
       Map<String, Object> out =
           Json.object(
-              "kind", objective.kind(), "times", objective.times(), "share", objective.share());
+              "kind", objective.kind(), "times", objective.deadlineFactor(), "share", objective.targetShare());
       if (objective.jobClass() != null) {
         out.put("class", objective.jobClass());
       }
-      if (objective.within() != null) {
-        out.put("within_s", objective.within().seconds());
+      if (objective.timeLimit() != null) {
+        out.put("within_s", objective.timeLimit().seconds());
       }
       objectives.add(out);
     }
-    Settings.Workers workers = settings.workers();
-    Map<String, Object> state = limits(settings.stateLimits());
+    Settings.AgentTimeouts workers = settings.agentTimeouts();
+    Map<String, Object> state = limits(settings.storeLimits());
     if (next != null) {
       state.put("next", limits(next));
     }
     Map<String, Object> params =
         Json.object(
             "nodes",
-            settings.siblings().size() + 1,
+            settings.peers().size() + 1,
             "zones",
             settings.zones(),
             "teams",
@@ -80,61 +80,61 @@
             "workers",
             Json.object(
                 "report_s",
-                workers.report().seconds(),
+                workers.heartbeatInterval().seconds(),
                 "lease_s",
                 workers.lease().seconds(),
                 "gang_wait_s",
-                workers.gangWait().seconds(),
+                workers.gangStartTimeout().seconds(),
                 "gang_peer_s",
-                workers.gangPeer().seconds(),
+                workers.gangPeerTimeout().seconds(),
                 "cancel_s",
-                workers.cancel().seconds()),
+                workers.cancelTimeout().seconds()),
             "state",
             state,
             "cloud",
             Json.object(
                 "rps",
-                settings.cloudLimits().requestsPerS(),
+                settings.cloudLimits().requestsPerSecond(),
                 "list_lag_s",
                 settings.cloudLimits().listLag().seconds()),
             "quota",
             Json.object(
                 "cpu",
-                settings.quota().cpuShare(),
+                settings.processLimits().cpuShare(),
                 "ram_mb",
-                settings.quota().memoryMb(),
+                settings.processLimits().memoryMb(),
                 "fd_limit",
-                settings.quota().sockets()),
+                settings.processLimits().maxSockets()),
             "time_bound_ms",
             settings.clockBound().seconds() * 1000);
     return Json.write(
         Json.object(
             "member",
-            settings.member().text(),
+            settings.self().text(),
             "site",
             settings.zone(),
             "listen",
-            settings.listen().toString(),
+            settings.listenAddress().toString(),
             "peer_bind",
-            settings.peerListen().toString(),
+            settings.peerAddress().toString(),
             "siblings",
             siblings,
             "external",
-            Json.object("cloud", settings.cloud().toString(), "state", settings.state().toString()),
+            Json.object("cloud", settings.cloudAddress().toString(), "state", settings.storeAddress().toString()),
             "params",
             params));
   }
 
-  private static Map<String, Object> limits(Settings.StateLimits limits) {
+  private static Map<String, Object> limits(Settings.StoreLimits limits) {
     return Json.object(
         "rps",
-        limits.requestsPerS(),
+        limits.requestsPerSecond(),
         "write_rps",
-        limits.writesPerS(),
+        limits.writesPerSecond(),
         "value_kb",
-        limits.valueBytes() / 1024.0,
+        limits.maxValueBytes() / 1024.0,
         "txn_ops",
-        limits.txnChanges());
+        limits.maxMutationsPerTransaction());
   }
 
   private static double orNone(double limit) {
--- a/src/main/java/org/quincecross/wire/package-info.java
+++ b/src/main/java/org/quincecross/protocol/package-info.java
@@ -1,2 +1,2 @@
 /** The only place that knows the protocol's names: codecs and the checking of what comes in. */
-package org.quincecross.wire;
+package org.quincecross.protocol;
--- a/src/main/java/org/quincecross/served/ServedBooks.java
+++ b/src/main/java/org/quincecross/served/ServedBooks.java
@@ -170,7 +170,7 @@
    * so starts do not count.
    */
   public void found(Job job, MonotonicTime at) {
-    add(job, at, aims.apply(job).stream().filter(aim -> aim.milestone() == ServiceLevelObjective.Milestone.END).toList(), true);
+    add(job, at, aims.apply(job).stream().filter(aim -> aim.event() == ServiceLevelObjective.Event.END).toList(), true);
   }
 
   private void add(Job job, MonotonicTime at, List<ServiceLevelObjective> ofJob, boolean wasFound) {
@@ -213,7 +213,7 @@
       ofSize(job).served += job.isService ? 1 : 0;
     }
     for (ServiceLevelObjective aim : job.aims) {
-      if (aim.milestone() == ServiceLevelObjective.Milestone.EACH_START) {
+      if (aim.event() == ServiceLevelObjective.Event.EACH_START) {
         Tally tally = job.count.tally(aim.name());
         if (job.isPast(aim, now)) {
           tally.missed += more;
@@ -271,7 +271,7 @@
     job.count.ended++;
     ofSize(job).served += job.isService ? 0 : 1;
     for (ServiceLevelObjective aim : job.aims) {
-      if (aim.milestone() == ServiceLevelObjective.Milestone.END) {
+      if (aim.event() == ServiceLevelObjective.Event.END) {
         Tally tally = job.count.tally(aim.name());
         if (job.isPast(aim, now)) {
           tally.missed++;
@@ -353,7 +353,7 @@
       for (ServiceLevelObjective aim : job.aims) {
         if (job.isPast(aim, now)) {
           count.tally(aim.name()).missed +=
-              aim.milestone() == ServiceLevelObjective.Milestone.END ? 1 : job.tasks - job.started - job.heldBack - job.withheld;
+              aim.event() == ServiceLevelObjective.Event.END ? 1 : job.tasks - job.started - job.heldBack - job.withheld;
         }
       }
     }
--- a/src/main/java/org/quincecross/state/AgreedBook.java
+++ b/src/main/java/org/quincecross/state/AgreedBook.java
@@ -11,7 +11,7 @@
 import org.quincecross.agreed.TrailPage;
 import org.quincecross.agreed.Unreadable;
 import org.quincecross.model.Revision;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** The records of one kind as the ledger has them. */
 public final class AgreedBook<S, C> {
@@ -86,7 +86,7 @@
     return Keys.agreedPage(kind.name(), page);
   }
 
-  void put(String id, Object value, Revision version) throws BadMessage {
+  void put(String id, Object value, Revision version) throws MalformedMessageException {
     if (value == null) {
       held.remove(id);
       unreadable.remove(id);
@@ -99,11 +99,11 @@
       // What it was before is not what it is now.
       held.remove(id);
       unreadable.put(id, e.getMessage());
-      throw new BadMessage(e.getMessage());
+      throw new MalformedMessageException(e.getMessage());
     }
   }
 
-  void putPage(int page, Object value) throws BadMessage {
+  void putPage(int page, Object value) throws MalformedMessageException {
     if (value == null) {
       pages.remove(page);
       lastPage = pages.isEmpty() || page > pages.lastKey() ? TrailPage.EMPTY : lastPage;
@@ -116,16 +116,16 @@
         lastPage = read;
       }
     } catch (Unreadable e) {
-      throw new BadMessage(e.getMessage());
+      throw new MalformedMessageException(e.getMessage());
     }
   }
 
   /** What a value of a page says. */
-  static List<TrailLine> lines(Object value) throws BadMessage {
+  static List<TrailLine> lines(Object value) throws MalformedMessageException {
     try {
       return TrailPage.read(value).lines();
     } catch (Unreadable e) {
-      throw new BadMessage(e.getMessage());
+      throw new MalformedMessageException(e.getMessage());
     }
   }
 }
--- a/src/main/java/org/quincecross/state/AgreedRecords.java
+++ b/src/main/java/org/quincecross/state/AgreedRecords.java
@@ -6,7 +6,7 @@
 import org.quincecross.agreed.Kind;
 import org.quincecross.agreed.RecordId;
 import org.quincecross.model.Revision;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * The agreed records in the ledger. A kind that this controller does not know is left alone, unless
@@ -44,7 +44,7 @@
   }
 
   /** Takes a record; the id of it, or null where it is none but the fence or a page of a trail. */
-  RecordId put(String key, Object value, Revision version) throws BadMessage {
+  RecordId put(String key, Object value, Revision version) throws MalformedMessageException {
     String name = key.substring(Keys.AGREED.length());
     int slash = name.indexOf('/');
     if (slash < 0) {
@@ -54,7 +54,7 @@
     String id = name.substring(slash + 1);
     if (book == null) {
       if (value instanceof Map<?, ?> map && Boolean.TRUE.equals(map.get("must"))) {
-        throw new BadMessage(
+        throw new MalformedMessageException(
             "a record of a kind that this build does not know, and that keeps tasks from running");
       }
       return null;
@@ -67,11 +67,11 @@
     return new RecordId(book.kind().name(), id);
   }
 
-  private static int page(String id) throws BadMessage {
+  private static int page(String id) throws MalformedMessageException {
     try {
       return Integer.parseInt(id.substring(Keys.AGREED_PAGE.length()));
     } catch (NumberFormatException e) {
-      throw new BadMessage("bad key of a page");
+      throw new MalformedMessageException("bad key of a page");
     }
   }
 
--- a/src/main/java/org/quincecross/state/AgreedStore.java
+++ b/src/main/java/org/quincecross/state/AgreedStore.java
@@ -21,12 +21,12 @@
 import org.quincecross.net.Limiter;
 import org.quincecross.net.Timers;
 import org.quincecross.rollout.Feature;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -166,10 +166,10 @@
     private void put(Batch batch, RecordId record, Kept.Result.Write<S> write, Revision version) {
       Map<String, Object> value = write.next().write(book.kind());
       int length = Json.write(value).length;
-      if (length > settings.stateLimits().plannedValue()) {
+      if (length > settings.storeLimits().plannedValueBytes()) {
         boolean byItself =
             Json.write(write.next().without(Integer.MAX_VALUE, version).write(book.kind())).length
-                > settings.stateLimits().plannedValue();
+                > settings.storeLimits().plannedValueBytes();
         answer(
             byItself
                 ? refused(413, "the record would be larger than the state service takes")
@@ -193,8 +193,8 @@
   /** A transaction being put together. */
   private final class Batch {
     private final Map<RecordId, Kept<?>> next = new HashMap<>();
-    private final Map<RecordId, Change> changes = new HashMap<>();
-    private final List<Guard> guards = new ArrayList<>();
+    private final Map<RecordId, Mutation> changes = new HashMap<>();
+    private final List<Precondition> guards = new ArrayList<>();
     private final Map<Waiting<?, ?>, Answer> answers = new LinkedHashMap<>();
     private final List<Waiting<?, ?>> left = new ArrayList<>();
     private final int most;
@@ -228,10 +228,10 @@
       }
       String key = Keys.agreed(record);
       if (isNew) {
-        guards.add(new Guard(key, version));
+        guards.add(new Precondition(key, version));
       }
       next.put(record, kept);
-      changes.put(record, Change.put(key, value));
+      changes.put(record, Mutation.put(key, value));
       withholds |= raises;
       bytes += length;
       return true;
@@ -241,11 +241,11 @@
       answers.put(one, answer);
     }
 
-    private List<Change> changes() {
-      List<Change> all = new ArrayList<>(changes.values());
+    private List<Mutation> changes() {
+      List<Mutation> all = new ArrayList<>(changes.values());
       if (withholds) {
         // Not guarded: it may rise from whatever it is, and what matters is that it has risen.
-        all.add(Change.put(Keys.AGREED_FENCE, Json.object("at", clockMs.getAsLong())));
+        all.add(Mutation.put(Keys.AGREED_FENCE, Json.object("at", clockMs.getAsLong())));
       }
       return all;
     }
@@ -287,9 +287,9 @@
     this.membership = membership;
     this.settings = settings;
     this.clockMs = clockMs;
-    double rate = settings.stateLimits().writesPerS() * WRITE_SHARE;
+    double rate = settings.storeLimits().writesPerSecond() * WRITE_SHARE;
     this.writes =
-        new Limiter(rate, Math.max(rate, settings.stateLimits().txnChanges()), timers.now());
+        new Limiter(rate, Math.max(rate, settings.storeLimits().maxMutationsPerTransaction()), timers.now());
   }
 
   private static Answer refused(int status, String why) {
@@ -310,8 +310,8 @@
     }
     TreeSet<String> lacking = new TreeSet<>();
     TreeSet<ControllerId> all = new TreeSet<>(ledger.members().keySet());
-    settings.siblings().forEach(sibling -> all.add(sibling.member()));
-    all.add(settings.member());
+    settings.peers().forEach(sibling -> all.add(sibling.member()));
+    all.add(settings.self());
     for (ControllerId member : all) {
       MemberRecord record = ledger.members().get(member);
       if (record == null) {
@@ -354,7 +354,7 @@
                   Math.min(
                       LONGEST_RETRY_S,
                       Math.ceil(
-                          waiting.size() / (settings.stateLimits().writesPerS() * WRITE_SHARE)))));
+                          waiting.size() / (settings.storeLimits().writesPerSecond() * WRITE_SHARE)))));
       return;
     }
     Waiting<S, C> one = new Waiting<>(book, id, ask, done);
@@ -376,7 +376,7 @@
   /** Reads a page of a trail; {@code done} gets null where that does not work. */
   public void page(AgreedBook<?, ?> book, int page, Consumer<List<TrailLine>> done) {
     client.read(
-        StateCodec.keyPath(book.pageKey(page)),
+        KeyValueStoreCodec.keyPath(book.pageKey(page)),
         PAGE_TIMEOUT,
         outcome -> {
           try {
@@ -384,7 +384,7 @@
                 outcome.status() == 200
                     ? AgreedBook.lines(Json.parseFields(outcome.response().body()).raw("Value"))
                     : null);
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.info("page {} of {}: {}", page, book.kind().name(), e.getMessage());
             done.accept(null);
           }
@@ -422,7 +422,7 @@
   /** The records are as new as whatever waits here. */
   private void write() {
     MonotonicTime now = timers.now();
-    int most = (int) Math.min(settings.stateLimits().txnChanges(), writes.level(now));
+    int most = (int) Math.min(settings.storeLimits().maxMutationsPerTransaction(), writes.level(now));
     if (most < 2 || (client.changesAffordable() < 2 && !isPressing(now))) {
       soon(RETRY);
       return;
@@ -448,8 +448,8 @@
       return;
     }
     // Decided by what this level has: of no use under another.
-    batch.guards.add(new Guard(Keys.LEVEL, ledger.level().version()));
-    List<Change> changes = batch.changes();
+    batch.guards.add(new Precondition(Keys.LEVEL, ledger.level().version()));
+    List<Mutation> changes = batch.changes();
     writes.force(changes.size(), now);
     busy = true;
     client.txn(
--- a/src/main/java/org/quincecross/state/Allocation.java
+++ b/src/main/java/org/quincecross/state/Allocation.java
@@ -4,17 +4,17 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /** The tasks that a block has: it alone may start them. */
 public record Allocation(Map<JobId, TaskSet> tasks, Revision version) {
   public static final Allocation EMPTY = new Allocation(Map.of(), Revision.NONE);
 
-  static Allocation read(Object value, Revision version) throws BadMessage {
+  static Allocation read(Object value, Revision version) throws MalformedMessageException {
     return new Allocation(
-        TaskSets.read(Fields.of(value, "an allocation").fields("tasks")), version);
+        TaskSets.read(JsonFields.of(value, "an allocation").fields("tasks")), version);
   }
 
   public static Map<String, Object> write(Map<JobId, TaskSet> tasks) {
--- a/src/main/java/org/quincecross/state/AllocationChange.java
+++ b/src/main/java/org/quincecross/state/AllocationChange.java
@@ -5,9 +5,9 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * How a block's tasks differ from its last whole record: from level 2 on this is what is written
@@ -20,8 +20,8 @@
 public record AllocationChange(
     Revision base, Map<JobId, TaskSet> more, Map<JobId, TaskSet> fewer, Revision version) {
 
-  static AllocationChange read(Object value, Revision version) throws BadMessage {
-    Fields in = Fields.of(value, "a changed allocation");
+  static AllocationChange read(Object value, Revision version) throws MalformedMessageException {
+    JsonFields in = JsonFields.of(value, "a changed allocation");
     return new AllocationChange(
         new Revision(in.unsigned("base")),
         TaskSets.read(in.fields("more")),
--- a/src/main/java/org/quincecross/state/BlockLease.java
+++ b/src/main/java/org/quincecross/state/BlockLease.java
@@ -14,9 +14,9 @@
 import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.FencingToken;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * A block and the controller that it is leased to. The token is the revision of the lease with
@@ -45,11 +45,11 @@
   private static final Set<String> KNOWN =
       Set.of("holder", "life", "type", "zone", "spot", "machines", "token", "leaving");
 
-  static BlockLease read(ShardId id, Object value, Revision version) throws BadMessage {
-    Fields in = Fields.of(value, "a block");
-    String type = in.text("type");
-    String zone = in.text("zone");
-    boolean spot = in.flag("spot");
+  static BlockLease read(ShardId id, Object value, Revision version) throws MalformedMessageException {
+    JsonFields in = JsonFields.of(value, "a block");
+    String type = in.string("type");
+    String zone = in.string("zone");
+    boolean spot = in.bool("spot");
     Map<MachineId, Machine> machines = new LinkedHashMap<>();
     for (Object item : in.list("machines")) {
       if (!(item instanceof List<?> pair)
@@ -57,18 +57,18 @@
           || !(pair.get(0) instanceof String name)
           || !(pair.get(1) instanceof String address)
           || Endpoint.parse(address) == null) {
-        throw new BadMessage("bad machine in a block");
+        throw new MalformedMessageException("bad machine in a block");
       }
       MachineId machine = new MachineId(name);
       machines.put(machine, new Machine(machine, Endpoint.parse(address), type, zone, spot));
     }
     Set<MachineId> leaving = new LinkedHashSet<>();
     if (in.has("leaving")) {
-      in.texts("leaving").forEach(name -> leaving.add(new MachineId(name)));
+      in.strings("leaving").forEach(name -> leaving.add(new MachineId(name)));
     }
     return new BlockLease(
         id,
-        new ControllerId(in.text("holder")),
+        new ControllerId(in.string("holder")),
         new Incarnation(in.unsigned("life")),
         type,
         zone,
@@ -77,7 +77,7 @@
         leaving,
         new FencingToken(in.has("token") ? in.unsigned("token") : version.number()),
         version,
-        in.others(KNOWN));
+        in.unknownFields(KNOWN));
   }
 
   public Map<String, Object> write() {
--- a/src/main/java/org/quincecross/state/DoneTasks.java
+++ b/src/main/java/org/quincecross/state/DoneTasks.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * The record of done tasks: of a chunk of a job's tasks, as ranges where these are short and as
@@ -59,22 +59,22 @@
         : Json.object("bits", Base64.getEncoder().encodeToString(bits.toByteArray()));
   }
 
-  static TaskSet read(Object value, int chunk) throws BadMessage {
-    Fields in = Fields.of(value, "a record of done tasks");
+  static TaskSet read(Object value, int chunk) throws MalformedMessageException {
+    JsonFields in = JsonFields.of(value, "a record of done tasks");
     int base = chunk * CHUNK;
     if (in.has("ranges")) {
-      TaskSet set = TaskSet.parse(in.text("ranges"), base + CHUNK);
+      TaskSet set = TaskSet.parse(in.string("ranges"), base + CHUNK);
       if (set == null) {
-        throw new BadMessage("bad ranges in a record of done tasks");
+        throw new MalformedMessageException("bad ranges in a record of done tasks");
       }
       return set;
     }
     TaskSet set = new TaskSet();
     try {
-      BitSet bits = BitSet.valueOf(Base64.getDecoder().decode(in.text("bits")));
+      BitSet bits = BitSet.valueOf(Base64.getDecoder().decode(in.string("bits")));
       bits.stream().filter(i -> i < CHUNK).forEach(i -> set.add(base + i));
     } catch (IllegalArgumentException e) {
-      throw new BadMessage("bad bits in a record of done tasks");
+      throw new MalformedMessageException("bad bits in a record of done tasks");
     }
     return set;
   }
--- a/src/main/java/org/quincecross/state/Follower.java
+++ b/src/main/java/org/quincecross/state/Follower.java
@@ -10,10 +10,10 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.StateCodec;
-import org.quincecross.wire.StateCodec.Entry;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec;
+import org.quincecross.protocol.KeyValueStoreCodec.Entry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -119,7 +119,7 @@
       Revision first,
       MonotonicTime begun) {
     client.read(
-        StateCodec.listPath(Keys.ROOT, after, PAGE),
+        KeyValueStoreCodec.listPath(Keys.ROOT, after, PAGE),
         TimeSpan.ofSeconds(5),
         outcome -> {
           if (generation != mine) {
@@ -127,9 +127,9 @@
           }
           try {
             if (outcome.status() != 200) {
-              throw new BadMessage("status " + outcome.status());
+              throw new MalformedMessageException("status " + outcome.status());
             }
-            StateCodec.Page page = StateCodec.readList(Json.parseFields(outcome.response().body()));
+            KeyValueStoreCodec.Page page = KeyValueStoreCodec.readList(Json.parseFields(outcome.response().body()));
             String last = after;
             for (Entry entry : page.entries()) {
               entries.put(entry.key(), new Ledger.StateEntry(entry.value(), entry.version()));
@@ -141,7 +141,7 @@
             } else {
               finishLoad(entries, from, begun);
             }
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.debug("cannot read the records: {}", e.getMessage());
             timers.after(
                 RETRY,
@@ -161,7 +161,7 @@
     enter(State.CATCHING_UP);
     int mine = generation;
     client.read(
-        StateCodec.watchPath(Keys.ROOT, from, 0),
+        KeyValueStoreCodec.watchPath(Keys.ROOT, from, 0),
         BARRIER_TIMEOUT,
         outcome -> {
           if (generation != mine) {
@@ -169,10 +169,10 @@
           }
           try {
             if (outcome.status() != 200) {
-              throw new BadMessage("status " + outcome.status());
+              throw new MalformedMessageException("status " + outcome.status());
             }
-            StateCodec.Page page =
-                StateCodec.readWatch(Json.parseFields(outcome.response().body()));
+            KeyValueStoreCodec.Page page =
+                KeyValueStoreCodec.readWatch(Json.parseFields(outcome.response().body()));
             for (Entry event : page.entries()) {
               Ledger.StateEntry known = entries.get(event.key());
               if (known != null && !event.version().isAfter(known.version())) {
@@ -191,7 +191,7 @@
             ledger.load(entries, page.revision());
             watch();
             barrier(ok -> {});
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             LOG.info("cannot catch up with the records: {}", e.getMessage());
             timers.after(RETRY, this::load);
           }
@@ -202,7 +202,7 @@
     int mine = generation;
     MonotonicTime sent = timers.now();
     client.read(
-        StateCodec.watchPath(Keys.ROOT, ledger.revision(), WATCH.millis()),
+        KeyValueStoreCodec.watchPath(Keys.ROOT, ledger.revision(), WATCH.millis()),
         WATCH.plus(TimeSpan.ofSeconds(5)),
         outcome -> {
           if (generation != mine) {
@@ -241,10 +241,10 @@
     if (outcome.status() != 200) {
       return false;
     }
-    StateCodec.Page page;
+    KeyValueStoreCodec.Page page;
     try {
-      page = StateCodec.readWatch(Json.parseFields(outcome.response().body()));
-    } catch (BadMessage e) {
+      page = KeyValueStoreCodec.readWatch(Json.parseFields(outcome.response().body()));
+    } catch (MalformedMessageException e) {
       LOG.info("unreadable changes: {}", e.getMessage());
       return false;
     }
@@ -324,7 +324,7 @@
     List<Consumer<Boolean>> served = askers;
     askers = new ArrayList<>();
     client.read(
-        StateCodec.watchPath(Keys.ROOT, ledger.revision(), 0),
+        KeyValueStoreCodec.watchPath(Keys.ROOT, ledger.revision(), 0),
         BARRIER_TIMEOUT,
         outcome -> {
           barrierRunning = false;
