--- a/src/main/java/org/quincecross/state/JobBook.java
+++ b/src/main/java/org/quincecross/state/JobBook.java
@@ -18,7 +18,7 @@
 import org.quincecross.model.Revision;
 import org.quincecross.pipeline.Pipelines;
 import org.quincecross.pipeline.Urgencies;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * The jobs of the {@link Ledger}: what their records say, and what follows for each from the
@@ -127,7 +127,7 @@
     return ready;
   }
 
-  void put(JobId id, Object value, Revision version) throws BadMessage {
+  void put(JobId id, Object value, Revision version) throws MalformedMessageException {
     put(JobRecord.read(id, value, version));
   }
 
@@ -135,7 +135,7 @@
    * Jobs accepted together. A job may have been accepted twice, by two controllers that did not
    * know of each other: then the first counts, and a record of its own before any bundle.
    */
-  void putBundle(String key, Object value, Revision version) throws BadMessage {
+  void putBundle(String key, Object value, Revision version) throws MalformedMessageException {
     if (value == null) {
       bundles.remove(
           key); // the leader deletes a bundle once each of its jobs has a record of its own
@@ -152,7 +152,7 @@
   }
 
   /** A part of what jobs wait on; such records are never deleted and never change. */
-  void putPart(String name, Object value) throws BadMessage {
+  void putPart(String name, Object value) throws MalformedMessageException {
     if (value == null) {
       return;
     }
--- a/src/main/java/org/quincecross/state/JobRecord.java
+++ b/src/main/java/org/quincecross/state/JobRecord.java
@@ -10,10 +10,10 @@
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.pipeline.Urgencies;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /**
  * A job as the state service has it.
@@ -61,20 +61,20 @@
           Predecessors.IN_RECORD,
           Predecessors.IN_PARTS);
 
-  static JobRecord read(JobId id, Object value, Revision version) throws BadMessage {
-    Fields in = Fields.of(value, "a job record");
+  static JobRecord read(JobId id, Object value, Revision version) throws MalformedMessageException {
+    JsonFields in = JsonFields.of(value, "a job record");
     JobPhase phase =
-        in.word(
+        in.enumValue(
             "phase",
             Map.of("open", JobPhase.OPEN, "done", JobPhase.DONE, "cancelled", JobPhase.CANCELLED));
     Job job = job(in);
     if (phase == JobPhase.OPEN && job == null) {
-      throw new BadMessage("an open job without its description");
+      throw new MalformedMessageException("an open job without its description");
     }
     return record(id, in, job, phase, version);
   }
 
-  private static Job job(Fields in) throws BadMessage {
+  private static Job job(JsonFields in) throws MalformedMessageException {
     if (in.has("job")) {
       return JobCodec.read(in.fields("job"));
     }
@@ -83,8 +83,8 @@
         : null;
   }
 
-  private static JobRecord record(JobId id, Fields in, Job job, JobPhase phase, Revision version)
-      throws BadMessage {
+  private static JobRecord record(JobId id, JsonFields in, Job job, JobPhase phase, Revision version)
+      throws MalformedMessageException {
     return new JobRecord(
         id,
         job,
@@ -93,11 +93,11 @@
         in.has("cancelled") ? in.unsigned("cancelled") : 0,
         in.has("ended") ? in.unsigned("ended") : 0,
         version,
-        in.has(Predecessors.IN_PARTS) ? List.copyOf(in.texts(Predecessors.IN_PARTS)) : List.of(),
-        in.others(KNOWN),
+        in.has(Predecessors.IN_PARTS) ? List.copyOf(in.strings(Predecessors.IN_PARTS)) : List.of(),
+        in.unknownFields(KNOWN),
         job == null
             ? Map.of()
-            : in.fields(in.has("job") ? "job" : DEPENDENT).others(JobCodec.FIELDS));
+            : in.fields(in.has("job") ? "job" : DEPENDENT).unknownFields(JobCodec.FIELDS));
   }
 
   /** Several jobs accepted in one change. */
@@ -106,12 +106,12 @@
   }
 
   /** The jobs of a bundle, as they were when they were accepted. */
-  static List<JobRecord> readBundle(Object value, Revision version) throws BadMessage {
+  static List<JobRecord> readBundle(Object value, Revision version) throws MalformedMessageException {
     List<JobRecord> records = new ArrayList<>();
-    for (Fields in : Fields.of(value, "a bundle").objects("jobs")) {
+    for (JsonFields in : JsonFields.of(value, "a bundle").objects("jobs")) {
       Job job = job(in);
       if (job == null) {
-        throw new BadMessage("a job in a bundle without its description");
+        throw new MalformedMessageException("a job in a bundle without its description");
       }
       in.unsigned("at");
       records.add(record(job.id(), in, job, JobPhase.OPEN, version));
--- a/src/main/java/org/quincecross/state/Ledger.java
+++ b/src/main/java/org/quincecross/state/Ledger.java
@@ -25,9 +25,9 @@
 import org.quincecross.rollout.Feature;
 import org.quincecross.rollout.Level;
 import org.quincecross.rollout.Terms;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.CloudCodec;
-import org.quincecross.wire.Fields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.JsonFields;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -286,7 +286,7 @@
       return operatorSettings == null
           ? OperatorSettings.DEFAULTS
           : OperatorSettings.readRecord(operatorSettings, OperatorSettings.DEFAULTS);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return OperatorSettings.DEFAULTS;
     }
   }
@@ -378,7 +378,7 @@
       if (!unreadable.isEmpty()) {
         unreadable.remove(key);
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       // A record that cannot be read is left as it was: it must not end the process or pass for
       // another. Whoever skipped one
       // has a wrong picture, and neither leads nor holds until it can be read
@@ -408,7 +408,7 @@
                 .anyMatch(key::startsWith);
   }
 
-  private void putJob(String name, Object value, Revision version) throws BadMessage {
+  private void putJob(String name, Object value, Revision version) throws MalformedMessageException {
     JobId id = JobId.parse(name);
     if (id == null || value == null) {
       return;
@@ -423,11 +423,11 @@
     touchedJobs.add(id);
   }
 
-  private void putDone(String name, Object value) throws BadMessage {
+  private void putDone(String name, Object value) throws MalformedMessageException {
     int slash = name.indexOf('/');
     JobId id = slash < 0 ? null : JobId.parse(name.substring(0, slash));
     if (id == null || name.length() - slash > 6 || !name.substring(slash + 1).matches("[0-9]+")) {
-      throw new BadMessage("bad key");
+      throw new MalformedMessageException("bad key");
     }
     int chunk = Integer.parseInt(name.substring(slash + 1));
     touchedJobs.add(id);
@@ -445,11 +445,11 @@
   /**
    * A done task stays done, also where its job has left the page: it does so only once it is over.
    */
-  private void putPage(String name, Object value) throws BadMessage {
+  private void putPage(String name, Object value) throws MalformedMessageException {
     if (!name.matches("[0-9]{1,6}") || value == null) {
-      throw new BadMessage("bad key");
+      throw new MalformedMessageException("bad key");
     }
-    Map<JobId, TaskSet> sets = TaskSets.read(Fields.of(value, "a page").fields("jobs"));
+    Map<JobId, TaskSet> sets = TaskSets.read(JsonFields.of(value, "a page").fields("jobs"));
     pages.put(Integer.parseInt(name), sets);
     sets.forEach(
         (job, set) -> {
@@ -496,7 +496,7 @@
 
   // A machine may be in a newer lease by now: the instance tells.
   @SuppressWarnings("ReferenceEquality")
-  private void putBlock(ShardId id, Object value, Revision version) throws BadMessage {
+  private void putBlock(ShardId id, Object value, Revision version) throws MalformedMessageException {
     BlockLease lease = value == null ? null : BlockLease.read(id, value, version);
     touchedBlocks.add(id);
     BlockLease before = lease == null ? blocks.remove(id) : blocks.put(id, lease);
@@ -516,7 +516,7 @@
     }
   }
 
-  private void putOther(String key, Object value, Revision version) throws BadMessage {
+  private void putOther(String key, Object value, Revision version) throws MalformedMessageException {
     if (key.startsWith(Keys.MEMBERS)) {
       if (value == null) {
         members.values().removeIf(member -> Keys.member(member.member()).equals(key));
@@ -531,7 +531,7 @@
     } else if (key.equals(Keys.LEVEL)) {
       level = value == null ? LevelRecord.NONE : LevelRecord.read(value, version);
     } else if (key.startsWith(Keys.TYPES) && value != null) {
-      for (MachineType type : CloudCodec.readCatalog(Fields.of(value, "a machine type"))) {
+      for (MachineType type : CloudCodec.readCatalog(JsonFields.of(value, "a machine type"))) {
         types.put(type.name(), type);
       }
     } else if (key.equals(Keys.OPERATOR_SETTINGS)) {
@@ -540,45 +540,45 @@
   }
 
   /** What a member announces; one that announces nothing was built before levels. */
-  private static Build build(Fields in) throws BadMessage {
+  private static Build build(JsonFields in) throws MalformedMessageException {
     if (!in.has("build")) {
       return Build.BEFORE_LEVELS;
     }
-    Level least = new Level(in.count("least", 1, Level.MOST));
+    Level least = new Level(in.integer("least", 1, Level.MOST));
     return new Build(
-        in.text("build"), least, new Level(in.count("most", least.number(), Level.MOST)));
+        in.string("build"), least, new Level(in.integer("most", least.number(), Level.MOST)));
   }
 
-  private static MemberRecord member(Object value, Revision version) throws BadMessage {
-    Fields in = Fields.of(value, "a member");
+  private static MemberRecord member(Object value, Revision version) throws MalformedMessageException {
+    JsonFields in = JsonFields.of(value, "a member");
     return new MemberRecord(
-        new ControllerId(in.text("member")),
+        new ControllerId(in.string("member")),
         new Incarnation(in.unsigned("life")),
-        in.text("zone"),
+        in.string("zone"),
         build(in),
         terms(in),
         version);
   }
 
-  private static Terms terms(Fields in) throws BadMessage {
+  private static Terms terms(JsonFields in) throws MalformedMessageException {
     if (!in.has("marks")) {
       return Terms.NONE;
     }
     Map<String, String> marks = new TreeMap<>();
-    Fields marked = in.fields("marks");
-    for (String part : marked.names()) {
-      marks.put(part, marked.text(part));
+    JsonFields marked = in.fields("marks");
+    for (String part : marked.fieldNames()) {
+      marks.put(part, marked.string(part));
     }
     Map<String, Resources> limits = new TreeMap<>();
-    Fields limited = in.fields("limits");
-    for (String team : limited.names()) {
-      Fields limit = limited.fields(team);
+    JsonFields limited = in.fields("limits");
+    for (String team : limited.fieldNames()) {
+      JsonFields limit = limited.fields(team);
       limits.put(
           team,
           new Resources(
-              limit.has("cpus") ? limit.amount("cpus") : Double.POSITIVE_INFINITY,
-              limit.has("gpus") ? limit.amount("gpus") : Double.POSITIVE_INFINITY,
-              limit.has("memory_gb") ? limit.amount("memory_gb") : Double.POSITIVE_INFINITY));
+              limit.has("cpus") ? limit.nonNegativeNumber("cpus") : Double.POSITIVE_INFINITY,
+              limit.has("gpus") ? limit.nonNegativeNumber("gpus") : Double.POSITIVE_INFINITY,
+              limit.has("memory_gb") ? limit.nonNegativeNumber("memory_gb") : Double.POSITIVE_INFINITY));
     }
     return new Terms(marks, limits);
   }
--- a/src/main/java/org/quincecross/state/LevelRecord.java
+++ b/src/main/java/org/quincecross/state/LevelRecord.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 import org.quincecross.model.Revision;
 import org.quincecross.rollout.Level;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * The level in force.
@@ -16,9 +16,9 @@
 public record LevelRecord(Level level, Revision version) {
   public static final LevelRecord NONE = new LevelRecord(Level.FIRST, Revision.NONE);
 
-  static LevelRecord read(Object value, Revision version) throws BadMessage {
+  static LevelRecord read(Object value, Revision version) throws MalformedMessageException {
     return new LevelRecord(
-        new Level(Fields.of(value, "the level").count("level", 1, Level.MOST)), version);
+        new Level(JsonFields.of(value, "the level").integer("level", 1, Level.MOST)), version);
   }
 
   public static Map<String, Object> write(Level level) {
--- a/src/main/java/org/quincecross/state/Membership.java
+++ b/src/main/java/org/quincecross/state/Membership.java
@@ -14,11 +14,11 @@
 import org.quincecross.net.Timers;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.StateCodec;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -199,16 +199,16 @@
   private void step() {
     switch (state) {
       case ENDING_FORMER_LIFE ->
-          client.readNow(StateCodec.keyPath(Keys.member(member)), this::endFormer);
+          client.readNow(KeyValueStoreCodec.keyPath(Keys.member(member)), this::endFormer);
       case ASKING_FOR_LEASE -> client.grant(TTL, this::granted);
       // An older build that joins while the level rises either makes the switch fail, by this
       // record, or fails itself.
       case ANNOUNCING ->
           client.txnNow(
-              List.of(new Guard(Keys.LEVEL, level.version())),
-              List.of(new Change(Keys.member(member), record(), life)),
+              List.of(new Precondition(Keys.LEVEL, level.version())),
+              List.of(new Mutation(Keys.member(member), record(), life)),
               this::announced);
-      case READING_LEVEL, UNABLE -> client.readNow(StateCodec.keyPath(Keys.LEVEL), this::levelRead);
+      case READING_LEVEL, UNABLE -> client.readNow(KeyValueStoreCodec.keyPath(Keys.LEVEL), this::levelRead);
       case LIVE -> client.renew(life, RENEW_TIMEOUT, this::renewed);
       default -> throw new IllegalStateException(state.toString());
     }
@@ -230,7 +230,7 @@
         return;
       }
       client.end(
-          StateCodec.readGrant(in),
+          KeyValueStoreCodec.readGrant(in),
           ended -> {
             if (ended.status() == 200 || ended.status() == 204 || ended.status() == 404) {
               stepTo(State.ASKING_FOR_LEASE);
@@ -238,7 +238,7 @@
               again();
             }
           });
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       again();
     }
   }
@@ -246,12 +246,12 @@
   private void granted(HttpOutcome outcome) {
     try {
       if (outcome.status() == 200 || outcome.status() == 201) {
-        life = StateCodec.readGrant(Json.parseFields(outcome.response().body()));
+        life = KeyValueStoreCodec.readGrant(Json.parseFields(outcome.response().body()));
         granted = timers.now();
         stepTo(State.ANNOUNCING);
         return;
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       LOG.info("unreadable lease: {}", e.getMessage());
     }
     again();
@@ -306,7 +306,7 @@
         again();
         return;
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       becomeUnable("the level on record cannot be read: " + e.getMessage());
       return;
     }
@@ -388,8 +388,8 @@
   }
 
   /** A condition that this life is not over. */
-  public Guard alive(Ledger ledger) {
+  public Precondition alive(Ledger ledger) {
     Revision version = ledger.version(Keys.member(member));
-    return new Guard(Keys.member(member), version);
+    return new Precondition(Keys.member(member), version);
   }
 }
--- a/src/main/java/org/quincecross/state/OperatorSettings.java
+++ b/src/main/java/org/quincecross/state/OperatorSettings.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import org.quincecross.rollout.Level;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * The operators' own settings, the same on all controllers.
@@ -33,9 +33,9 @@
    * Reads what an operator says; what is left out keeps its value of {@code before}. Unknown names
    * are refused.
    */
-  public static OperatorSettings read(Object value, OperatorSettings before) throws BadMessage {
+  public static OperatorSettings read(Object value, OperatorSettings before) throws MalformedMessageException {
     for (String name : unknown(value).keySet()) {
-      throw new BadMessage("unknown setting " + name);
+      throw new MalformedMessageException("unknown setting " + name);
     }
     return readRecord(value, before);
   }
@@ -45,26 +45,26 @@
    * refused for them, an older controller would rent although operators have said that nothing is
    * to be rented.
    */
-  static OperatorSettings readRecord(Object value, OperatorSettings before) throws BadMessage {
-    Fields in = Fields.of(value, "the settings");
-    double idle = in.has("idle_s") ? in.amount("idle_s") : before.idleSeconds();
+  static OperatorSettings readRecord(Object value, OperatorSettings before) throws MalformedMessageException {
+    JsonFields in = JsonFields.of(value, "the settings");
+    double idle = in.has("idle_s") ? in.nonNegativeNumber("idle_s") : before.idleSeconds();
     if (idle > LONGEST_IDLE_S) {
-      throw new BadMessage("field idle_s of the settings is longer than a day");
+      throw new MalformedMessageException("field idle_s of the settings is longer than a day");
     }
     return new OperatorSettings(
-        in.flagOr("renting", before.renting()),
-        in.flagOr("returning", before.returning()),
+        in.boolOr("renting", before.renting()),
+        in.boolOr("returning", before.returning()),
         idle,
-        in.has("spare_tasks") ? in.count("spare_tasks", 0, MOST_SPARE) : before.spareTasks(),
-        in.has("most_level") ? in.count("most_level", 0, Level.MOST) : before.mostLevel(),
-        in.has("gone") ? List.copyOf(in.texts("gone")) : before.gone());
+        in.has("spare_tasks") ? in.integer("spare_tasks", 0, MOST_SPARE) : before.spareTasks(),
+        in.has("most_level") ? in.integer("most_level", 0, Level.MOST) : before.mostLevel(),
+        in.has("gone") ? List.copyOf(in.strings("gone")) : before.gone());
   }
 
   /** The settings of a record that this build does not know. */
-  public static Map<String, Object> unknown(Object value) throws BadMessage {
+  public static Map<String, Object> unknown(Object value) throws MalformedMessageException {
     return value == null
         ? Map.of()
-        : Fields.of(value, "the settings").others(DEFAULTS.write().keySet());
+        : JsonFields.of(value, "the settings").unknownFields(DEFAULTS.write().keySet());
   }
 
   public Map<String, Object> write() {
--- a/src/main/java/org/quincecross/state/Oversized.java
+++ b/src/main/java/org/quincecross/state/Oversized.java
@@ -5,7 +5,7 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.TaskSet;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /** Finds what was written when values could be larger, and could not be written anew as it is. */
 public final class Oversized {
--- a/src/main/java/org/quincecross/state/Predecessors.java
+++ b/src/main/java/org/quincecross/state/Predecessors.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.JobId;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * The jobs that a job waits on, as the state service has them: a few in its own record, many in
@@ -103,20 +103,20 @@
     }
   }
 
-  static Set<JobId> readInRecord(Fields record) throws BadMessage {
-    return record.has(IN_RECORD) ? read(record.text(IN_RECORD)) : Set.of();
+  static Set<JobId> readInRecord(JsonFields record) throws MalformedMessageException {
+    return record.has(IN_RECORD) ? read(record.string(IN_RECORD)) : Set.of();
   }
 
-  static Set<JobId> readPart(Object value) throws BadMessage {
-    return read(Fields.of(value, "a part of what a job waits on").text(IDS));
+  static Set<JobId> readPart(Object value) throws MalformedMessageException {
+    return read(JsonFields.of(value, "a part of what a job waits on").string(IDS));
   }
 
-  private static Set<JobId> read(String line) throws BadMessage {
+  private static Set<JobId> read(String line) throws MalformedMessageException {
     Set<JobId> ids = new HashSet<>();
     for (String digits : line.split(" ")) {
       JobId id = JobId.parseDigits(digits);
       if (id == null) {
-        throw new BadMessage("jobs to wait on that are no ids");
+        throw new MalformedMessageException("jobs to wait on that are no ids");
       }
       ids.add(id);
     }
--- a/src/main/java/org/quincecross/state/QuotaRecord.java
+++ b/src/main/java/org/quincecross/state/QuotaRecord.java
@@ -9,9 +9,9 @@
 import org.quincecross.model.Resources;
 import org.quincecross.quota.NodePath;
 import org.quincecross.quota.NodeSpec;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * A tree of quotas as the state service keeps it and the administration API takes it: a list of
@@ -96,58 +96,58 @@
   /**
    * Reads the nodes at the top, each with what is below it.
    *
-   * @throws BadMessage one line that names the node and what is wrong with how it is written
+   * @throws MalformedMessageException one line that names the node and what is wrong with how it is written
    */
-  public static List<NodeSpec> read(Object value) throws BadMessage {
+  public static List<NodeSpec> read(Object value) throws MalformedMessageException {
     List<NodeSpec> top = new ArrayList<>();
     Map<String, NodeSpec> known = new LinkedHashMap<>();
-    for (Fields in : Fields.of(value, "a tree of quotas").objects("nodes")) {
-      String path = in.text("path");
+    for (JsonFields in : JsonFields.of(value, "a tree of quotas").objects("nodes")) {
+      String path = in.string("path");
       NodeSpec spec;
       try {
         spec = readNode(path, in);
-      } catch (BadMessage e) {
-        throw new BadMessage(path + ": " + e.getMessage());
+      } catch (MalformedMessageException e) {
+        throw new MalformedMessageException(path + ": " + e.getMessage());
       }
       int slash = path.lastIndexOf('/');
       NodeSpec parent = slash < 0 ? null : known.get(path.substring(0, slash));
       if (slash >= 0 && parent == null) {
-        throw new BadMessage(path + ": the node above it does not stand before it");
+        throw new MalformedMessageException(path + ": the node above it does not stand before it");
       }
       if (known.put(path, spec) != null) {
-        throw new BadMessage(path + ": stands there twice");
+        throw new MalformedMessageException(path + ": stands there twice");
       }
       (parent == null ? top : parent.children()).add(spec);
     }
     return top;
   }
 
-  private static NodeSpec readNode(String path, Fields in) throws BadMessage {
-    for (String name : in.names()) {
+  private static NodeSpec readNode(String path, JsonFields in) throws MalformedMessageException {
+    for (String name : in.fieldNames()) {
       if (!NAMES.contains(name)) {
-        throw new BadMessage("unknown field " + name);
+        throw new MalformedMessageException("unknown field " + name);
       }
     }
     return new NodeSpec(
         path.substring(path.lastIndexOf('/') + 1),
-        in.word("kind", KINDS),
-        in.textOr("pattern", null),
+        in.enumValue("kind", KINDS),
+        in.stringOr("pattern", null),
         resources(in, "guarantee", 0),
         resources(in, "limit", Double.POSITIVE_INFINITY),
-        in.has("weight") ? in.amount("weight") : 1,
-        in.has("lend") ? in.amount("lend") : 1,
+        in.has("weight") ? in.nonNegativeNumber("weight") : 1,
+        in.has("lend") ? in.nonNegativeNumber("lend") : 1,
         resources(in, "borrow", Double.POSITIVE_INFINITY),
         new ArrayList<>());
   }
 
-  private static Resources resources(Fields in, String name, double leftOut) throws BadMessage {
+  private static Resources resources(JsonFields in, String name, double leftOut) throws MalformedMessageException {
     if (!in.has(name)) {
       return new Resources(leftOut, leftOut, leftOut);
     }
-    Fields amount = in.fields(name);
-    for (String resource : amount.names()) {
+    JsonFields amount = in.fields(name);
+    for (String resource : amount.fieldNames()) {
       if (!RESOURCES.containsKey(resource)) {
-        throw new BadMessage("unknown field " + resource + " of " + name);
+        throw new MalformedMessageException("unknown field " + resource + " of " + name);
       }
     }
     return new Resources(
@@ -156,7 +156,7 @@
         amount(amount, "memory_gb", leftOut));
   }
 
-  private static double amount(Fields in, String name, double leftOut) throws BadMessage {
-    return in.has(name) ? in.amount(name) : leftOut;
+  private static double amount(JsonFields in, String name, double leftOut) throws MalformedMessageException {
+    return in.has(name) ? in.nonNegativeNumber(name) : leftOut;
   }
 }
--- a/src/main/java/org/quincecross/state/StateClient.java
+++ b/src/main/java/org/quincecross/state/StateClient.java
@@ -12,12 +12,12 @@
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Limiter;
 import org.quincecross.net.Timers;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec;
-import org.quincecross.wire.StateCodec.Change;
-import org.quincecross.wire.StateCodec.Guard;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -55,12 +55,12 @@
   private boolean draining;
 
   public StateClient(
-      Timers timers, HttpCaller http, Endpoint service, Settings.StateLimits limits) {
+      Timers timers, HttpCaller http, Endpoint service, Settings.StoreLimits limits) {
     this.timers = timers;
     this.http = http;
     this.service = service;
-    double perSecond = limits.requestsPerS() * REQUEST_SHARE;
-    writesPerSecond = limits.writesPerS();
+    double perSecond = limits.requestsPerSecond() * REQUEST_SHARE;
+    writesPerSecond = limits.writesPerSecond();
     requests = new Limiter(perSecond, perSecond * 0.5, timers.now());
     writes =
         new Limiter(
@@ -91,17 +91,17 @@
 
   void grant(TimeSpan ttl, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
-    send(HttpRequest.post(StateCodec.LEASES, StateCodec.writeGrant(ttl.millis())), TIMEOUT, done);
+    send(HttpRequest.post(KeyValueStoreCodec.LEASES, KeyValueStoreCodec.writeGrant(ttl.millis())), TIMEOUT, done);
   }
 
   void renew(Incarnation lease, TimeSpan timeout, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
-    send(HttpRequest.post(StateCodec.renewPath(lease), new byte[0]), timeout, done);
+    send(HttpRequest.post(KeyValueStoreCodec.renewPath(lease), new byte[0]), timeout, done);
   }
 
   void end(Incarnation lease, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
-    send(HttpRequest.delete(StateCodec.leasePath(lease)), TIMEOUT, done);
+    send(HttpRequest.delete(KeyValueStoreCodec.leasePath(lease)), TIMEOUT, done);
   }
 
   /** How many changes a transaction could make that goes out at once. */
@@ -111,13 +111,13 @@
   }
 
   /** Sends a transaction when its turn comes. */
-  public void txn(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
+  public void txn(List<Precondition> guards, List<Mutation> changes, Consumer<TxnOutcome> done) {
     enqueue(waitingTxns, changes.size(), () -> sendTxn(guards, changes, done));
   }
 
   /** Sends a transaction: at once where it is urgent, else when its turn comes. */
   public void txn(
-      List<Guard> guards, List<Change> changes, boolean urgent, Consumer<TxnOutcome> done) {
+      List<Precondition> guards, List<Mutation> changes, boolean urgent, Consumer<TxnOutcome> done) {
     if (urgent) {
       txnNow(guards, changes, done);
     } else {
@@ -126,14 +126,14 @@
   }
 
   /** Sends a transaction that must not wait. */
-  void txnNow(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
+  void txnNow(List<Precondition> guards, List<Mutation> changes, Consumer<TxnOutcome> done) {
     requests.force(1, timers.now());
     writes.force(changes.size(), timers.now());
     sendTxn(guards, changes, done);
   }
 
-  private void sendTxn(List<Guard> guards, List<Change> changes, Consumer<TxnOutcome> done) {
-    HttpRequest request = HttpRequest.post(StateCodec.TXN, StateCodec.writeTxn(guards, changes));
+  private void sendTxn(List<Precondition> guards, List<Mutation> changes, Consumer<TxnOutcome> done) {
+    HttpRequest request = HttpRequest.post(KeyValueStoreCodec.TXN, KeyValueStoreCodec.writeTxn(guards, changes));
     send(request, TIMEOUT, outcome -> done.accept(readTxn(outcome)));
   }
 
@@ -143,19 +143,19 @@
         case 200 ->
             new TxnOutcome(
                 TxnOutcome.Kind.COMMITTED,
-                StateCodec.readRevision(Json.parseFields(outcome.response().body())),
+                KeyValueStoreCodec.readRevision(Json.parseFields(outcome.response().body())),
                 List.of());
         case 409 -> {
           var in = Json.parseFields(outcome.response().body());
           yield new TxnOutcome(
-              TxnOutcome.Kind.CONFLICT, StateCodec.readRevision(in), StateCodec.readFailed(in));
+              TxnOutcome.Kind.CONFLICT, KeyValueStoreCodec.readRevision(in), KeyValueStoreCodec.readFailed(in));
         }
         case 400 -> {
           String why = new String(outcome.response().body(), StandardCharsets.UTF_8);
           LOG.info("transaction refused: {}", why);
           // Taken for an ended lease, one that is too large was sent again, the same, for ever.
           yield TxnOutcome.of(
-              why.contains(StateCodec.NO_LEASE)
+              why.contains(KeyValueStoreCodec.NO_LEASE)
                   ? TxnOutcome.Kind.NO_LEASE
                   : TxnOutcome.Kind.TOO_LARGE);
         }
@@ -167,7 +167,7 @@
                     ? TxnOutcome.Kind.UNKNOWN
                     : TxnOutcome.Kind.UNAVAILABLE);
       };
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return TxnOutcome.of(TxnOutcome.Kind.UNKNOWN);
     }
   }
--- a/src/main/java/org/quincecross/state/TaskSets.java
+++ b/src/main/java/org/quincecross/state/TaskSets.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
 
 /** Tasks of several jobs in a record: short, for what fits one value is written in one change. */
 public final class TaskSets {
   private TaskSets() {}
 
-  static Map<JobId, TaskSet> read(Fields in) throws BadMessage {
+  static Map<JobId, TaskSet> read(JsonFields in) throws MalformedMessageException {
     Map<JobId, TaskSet> sets = new LinkedHashMap<>();
-    for (String digits : in.names()) {
+    for (String digits : in.fieldNames()) {
       JobId job = JobId.parseDigits(digits);
-      TaskSet set = TaskSet.parse(in.text(digits), JobCodec.MOST_TASKS);
+      TaskSet set = TaskSet.parse(in.string(digits), JobCodec.MAX_TASKS);
       if (job == null || set == null) {
-        throw new BadMessage("bad tasks in a record");
+        throw new MalformedMessageException("bad tasks in a record");
       }
       sets.put(job, set);
     }
--- a/src/test/java/org/quincecross/FloorsTest.java
+++ b/src/test/java/org/quincecross/FloorsTest.java
@@ -18,13 +18,13 @@
   /** From the top down. Packages of a floor may know one another. */
   private static final List<List<String>> FLOORS =
       List.of(
-          List.of("program"),
+          List.of("cli"),
           List.of("emulator"),
           List.of("api"),
           List.of("admin"),
           List.of("leader", "block"),
           List.of("state", "peer"),
-          List.of("net", "wire", "sched"),
+          List.of("net", "protocol", "sched"),
           List.of(
               "http",
               "progress",
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -37,12 +37,12 @@
 import org.quincecross.state.Keys;
 import org.quincecross.state.Ledger;
 import org.quincecross.state.StateClient;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.CloudCodec;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 
 /**
  * What users are answered by one controller, with the state service, and what its answers wait for,
@@ -70,9 +70,9 @@
         new MachineType(
             "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, TimeSpan.ofSeconds(45), List.of("a"));
     write(Keys.type("g8"), CloudCodec.writeCatalog(List.of(type)));
-    Settings.StateLimits limits = new Settings.StateLimits(1000, 50, MOST_BYTES, 8);
-    Settings.Workers workers =
-        new Settings.Workers(
+    Settings.StoreLimits limits = new Settings.StoreLimits(1000, 50, MOST_BYTES, 8);
+    Settings.AgentTimeouts workers =
+        new Settings.AgentTimeouts(
             TimeSpan.ofSeconds(1),
             TimeSpan.ofSeconds(11),
             TimeSpan.ofSeconds(20),
@@ -94,7 +94,7 @@
             limits,
             new Settings.CloudLimits(4, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(2),
-            new Settings.Quota(1, 300, 1000));
+            new Settings.ProcessLimits(1, 300, 1000));
     StateClient client =
         new StateClient(clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
     Follower follower = new Follower(clock, client, ledger);
@@ -140,12 +140,12 @@
       } else if (!"10000".equals(request.query("BlockMs"))) {
         clock.after(TimeSpan.ofMillis(2), reply);
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private HttpResponse answer(HttpRequest request) throws BadMessage {
+  private HttpResponse answer(HttpRequest request) throws MalformedMessageException {
     if (request.path().equals("/keys")) {
       List<Object> items = new ArrayList<>();
       log.forEach(
@@ -172,17 +172,17 @@
                   "Log",
                   log.stream().filter(each -> (long) each.get("Stamp") > since).toList())));
     }
-    Fields in = Json.parseFields(request.body());
+    JsonFields in = Json.parseFields(request.body());
     changesAsked += in.objects("Apply").size();
-    for (Fields change : in.objects("Apply")) {
+    for (JsonFields change : in.objects("Apply")) {
       if (Json.write(change.raw("Value")).length > takes) {
         return HttpResponse.of(400);
       }
     }
     List<String> failed = new ArrayList<>();
-    for (Fields guard : in.objects("Guards")) {
-      if (stamps.getOrDefault(guard.text("Path"), 0L) != guard.unsigned("Stamp")) {
-        failed.add(guard.text("Path"));
+    for (JsonFields guard : in.objects("Guards")) {
+      if (stamps.getOrDefault(guard.string("Path"), 0L) != guard.unsigned("Stamp")) {
+        failed.add(guard.string("Path"));
       }
     }
     if (!failed.isEmpty()) {
@@ -244,9 +244,9 @@
     Consumer<HttpResponse> reply =
         response -> {
           try {
-            Fields body = Json.parseFields(response.body());
-            answers.add(response.status() + (body.has("Status") ? " " + body.text("Status") : ""));
-          } catch (BadMessage e) {
+            JsonFields body = Json.parseFields(response.body());
+            answers.add(response.status() + (body.has("Status") ? " " + body.string("Status") : ""));
+          } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
           }
         };
--- a/src/test/java/org/quincecross/block/GiveBackTest.java
+++ b/src/test/java/org/quincecross/block/GiveBackTest.java
@@ -15,9 +15,9 @@
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.wire.WorkerReport.Cause;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.Heartbeat.Cause;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 
 /**
  * Work that a block cannot run goes back to the pool, where others may have it (incident
--- a/src/test/java/org/quincecross/block/HolderHarness.java
+++ b/src/test/java/org/quincecross/block/HolderHarness.java
@@ -41,13 +41,13 @@
 import org.quincecross.state.Ledger;
 import org.quincecross.state.LedgerTool;
 import org.quincecross.state.MemberRecord;
-import org.quincecross.wire.CloudCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.WorkerReport;
-import org.quincecross.wire.WorkerReport.Cause;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.Heartbeat;
+import org.quincecross.protocol.Heartbeat.Cause;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 
 /**
  * A holder of a block of one machine, which has room for two tasks, with the messages of both in
@@ -94,8 +94,8 @@
     }
 
     @Override
-    public Settings.Workers workers() {
-      return new Settings.Workers(
+    public Settings.AgentTimeouts workers() {
+      return new Settings.AgentTimeouts(
           TimeSpan.ofSeconds(1),
           TimeSpan.ofSeconds(10),
           TimeSpan.ofSeconds(30),
@@ -212,7 +212,7 @@
 
   void beat(List<Piece> pieces) {
     clock.advance(1);
-    holder.answer(new WorkerReport(MACHINE, 1, ++order, holder.lease().token(), null, pieces));
+    holder.answer(new Heartbeat(MACHINE, 1, ++order, holder.lease().token(), null, pieces));
     holder.tick();
   }
 
@@ -234,7 +234,7 @@
   String answer(List<Piece> pieces) {
     clock.advance(1);
     return new String(
-        holder.answer(new WorkerReport(MACHINE, 1, ++order, holder.lease().token(), null, pieces)),
+        holder.answer(new Heartbeat(MACHINE, 1, ++order, holder.lease().token(), null, pieces)),
         StandardCharsets.UTF_8);
   }
 
--- a/src/test/java/org/quincecross/block/HolderModelTest.java
+++ b/src/test/java/org/quincecross/block/HolderModelTest.java
@@ -43,13 +43,13 @@
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Keys;
 import org.quincecross.state.MemberRecord;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.WorkerReport;
-import org.quincecross.wire.WorkerReport.Cause;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Heartbeat;
+import org.quincecross.protocol.Heartbeat.Cause;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 
 /**
  * A holder and three workers, with everything between them drawn: commands, reports and the answers
@@ -289,7 +289,7 @@
       holder.sync();
     }
 
-    private void report(WorkerReport report, Consumer<byte[]> reply) {
+    private void report(Heartbeat report, Consumer<byte[]> reply) {
       BlockHolder to = former != null && random.nextBoolean() ? former : holder;
       reply.accept(to.answer(report));
     }
@@ -512,8 +512,8 @@
         lastBeat = now();
         double sentAt = now();
         long sent = session;
-        WorkerReport report =
-            new WorkerReport(machine, session, ++order, new FencingToken(token), null, pieces());
+        Heartbeat report =
+            new Heartbeat(machine, session, ++order, new FencingToken(token), null, pieces());
         boolean[] over = new boolean[1];
         Consumer<byte[]> end =
             answer ->
@@ -550,13 +550,13 @@
 
       private void take(byte[] answer, double sentAt) {
         try {
-          Fields in = Json.parseFields(answer);
+          JsonFields in = Json.parseFields(answer);
           if (in.unsigned("Baton") >= token) {
             token = in.unsigned("Baton");
             leaseFrom = Math.max(leaseFrom, sentAt);
             execute(in.objects("Orders"));
           }
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
           throw new IllegalStateException(e);
         }
       }
@@ -567,7 +567,7 @@
               try {
                 int status = 200;
                 if (!request.path().equals("/status")) {
-                  Fields in = Json.parseFields(request.body());
+                  JsonFields in = Json.parseFields(request.body());
                   if (in.unsigned("Baton") < token || in.unsigned("Shift") != session) {
                     status = 409;
                   } else {
@@ -613,17 +613,17 @@
                                 token,
                                 "Pieces",
                                 out))));
-              } catch (BadMessage e) {
+              } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
               }
             });
       }
 
-      private void execute(List<Fields> orders) throws BadMessage {
-        for (Fields command : orders) {
-          Key key = new Key(TaskId.parse(command.text("Piece")), command.unsigned("Try"));
+      private void execute(List<JsonFields> orders) throws MalformedMessageException {
+        for (JsonFields command : orders) {
+          Key key = new Key(TaskId.parse(command.string("Piece")), command.unsigned("Try"));
           Task task = tasks.get(key);
-          switch (command.text("Verb")) {
+          switch (command.string("Verb")) {
             case "start" -> {
               if (task == null) {
                 start(key);
--- a/src/test/java/org/quincecross/block/LastAnswersTest.java
+++ b/src/test/java/org/quincecross/block/LastAnswersTest.java
@@ -11,9 +11,9 @@
 import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.state.Keys;
-import org.quincecross.wire.WorkerReport;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.Heartbeat;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 
 /**
  * Until when a machine is answered that may have a cancelled task which the answer does not stop
@@ -27,7 +27,7 @@
 
   private byte[] report(FencingToken token, List<Piece> pieces) {
     clock.advance(1);
-    return holder.answer(new WorkerReport(MACHINE, 1, ++order, token, null, pieces));
+    return holder.answer(new Heartbeat(MACHINE, 1, ++order, token, null, pieces));
   }
 
   @Test
--- a/src/test/java/org/quincecross/block/SessionTest.java
+++ b/src/test/java/org/quincecross/block/SessionTest.java
@@ -12,7 +12,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.FencingToken;
-import org.quincecross.wire.WorkerReport;
+import org.quincecross.protocol.Heartbeat;
 
 class SessionTest {
   private static final FencingToken FORMER = new FencingToken(5);
@@ -29,7 +29,7 @@
 
   /** Comes, is taken and is answered, and the machine does not hear the answer. */
   private void report(long number, long order, double atS) {
-    WorkerReport report = new WorkerReport(machine, number, order, FORMER, null, List.of());
+    Heartbeat report = new Heartbeat(machine, number, order, FORMER, null, List.of());
     if (session.report() != null) {
       session.provesNoneTaken(report, PRESENT);
     }
@@ -49,7 +49,7 @@
     assertFalse(session.leaseIsOver(LEASE, at(12.5)));
     report(2, 3, 13.5);
     report(2, 4, 18);
-    session.provesNoneTaken(new WorkerReport(machine, 2, 5, FORMER, null, List.of()), PRESENT);
+    session.provesNoneTaken(new Heartbeat(machine, 2, 5, FORMER, null, List.of()), PRESENT);
     assertFalse(session.leaseIsOver(LEASE, at(25)));
     assertTrue(session.leaseIsOver(LEASE, at(25.6)));
   }
--- a/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
@@ -25,8 +25,8 @@
 import org.quincecross.state.BlockLease;
 import org.quincecross.state.Keys;
 import org.quincecross.state.MemberRecord;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.WorkerReport;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Heartbeat;
 
 /**
  * A machine whose reports do not arrive while direct commands do, and whose session began after the
@@ -157,17 +157,17 @@
                     new Revision(1)))
             .write());
     holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
-    holder.answer(new WorkerReport(OTHER, 1, 1, holder.lease().token(), null, List.of()));
+    holder.answer(new Heartbeat(OTHER, 1, 1, holder.lease().token(), null, List.of()));
     double startedAt = Double.NaN;
     for (double at = 0; at < 120 && Double.isNaN(startedAt); at += 0.25) {
       if (at % 5 == 1) {
         holder.answer(
-            new WorkerReport(
+            new Heartbeat(
                 MACHINE, 1 + (long) (at / 10), ++order, former.token(), null, List.of()));
       }
       if (at % 1 == 0) {
         holder.answer(
-            new WorkerReport(OTHER, 1, 2 + (long) at, holder.lease().token(), null, List.of()));
+            new Heartbeat(OTHER, 1, 2 + (long) at, holder.lease().token(), null, List.of()));
       }
       clock.advance(0.25);
       holder.tick();
@@ -212,21 +212,21 @@
               }
             },
             ledger.blocks().get(BLOCK));
-    List<WorkerReport.Piece> runs =
-        List.of(piece(new Attempt(77), WorkerReport.TaskState.RUNNING, null));
+    List<Heartbeat.Piece> runs =
+        List.of(piece(new Attempt(77), Heartbeat.TaskState.RUNNING, null));
     double startedAt = Double.NaN;
     for (double at = 0; at < 40 && Double.isNaN(startedAt); at += 0.25) {
       if (at == 5) {
         assertNotNull(
             holder.answer(
-                new WorkerReport(
+                new Heartbeat(
                     MACHINE, 1, 5, new FencingToken(holder.lease().token().number() - 1), null, runs)));
       } else if (at == 12) {
-        holder.answer(new WorkerReport(MACHINE, 1, 10, new FencingToken(before), null, List.of()));
+        holder.answer(new Heartbeat(MACHINE, 1, 10, new FencingToken(before), null, List.of()));
       }
       if (at % 1 == 0) {
         holder.answer(
-            new WorkerReport(OTHER, 1, 1 + (long) at, holder.lease().token(), null, List.of()));
+            new Heartbeat(OTHER, 1, 1 + (long) at, holder.lease().token(), null, List.of()));
       }
       pass(0.25);
       startedAt = holder.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
--- a/src/test/java/org/quincecross/block/UnansweredStartTest.java
+++ b/src/test/java/org/quincecross/block/UnansweredStartTest.java
@@ -9,9 +9,9 @@
 import org.quincecross.model.Attempt;
 import org.quincecross.model.TaskSet;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.wire.WorkerReport.Cause;
-import org.quincecross.wire.WorkerReport.Piece;
-import org.quincecross.wire.WorkerReport.TaskState;
+import org.quincecross.protocol.Heartbeat.Cause;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.protocol.Heartbeat.TaskState;
 
 /**
  * A direct start that was sent and never answered: the task must not wait for that answer (incident
--- a/src/test/java/org/quincecross/block/WaitingJobTest.java
+++ b/src/test/java/org/quincecross/block/WaitingJobTest.java
@@ -25,7 +25,7 @@
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Keys;
 import org.quincecross.state.MemberRecord;
-import org.quincecross.wire.CloudCodec;
+import org.quincecross.protocol.CloudCodec;
 
 /**
  * A holder starts nothing of a job that waits for another, whatever its block has been given: that
--- a/src/test/java/org/quincecross/program/HoldCommandsTest.java
+++ b/src/test/java/org/quincecross/cli/HoldCommandsTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 import picocli.CommandLine;
 
 class HoldCommandsTest {
--- a/src/test/java/org/quincecross/program/ModelCommandsTest.java
+++ b/src/test/java/org/quincecross/cli/ModelCommandsTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/org/quincecross/program/RequestReportTest.java
+++ b/src/test/java/org/quincecross/cli/RequestReportTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.program;
+package org.quincecross.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.Json;
 
 /** Requests at the turn of a month, in time, late, open and withdrawn, as a report and as CSV. */
 class RequestReportTest {
--- a/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
@@ -18,8 +18,8 @@
 import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
 import org.quincecross.model.JobKind;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 /**
  * Records that three controllers agree on, and what they keep from running, among troubles, in
@@ -28,7 +28,7 @@
 class AgreedCasesTest {
   private final AgreedDay day = new AgreedDay(7);
 
-  AgreedCasesTest() throws BadMessage {}
+  AgreedCasesTest() throws MalformedMessageException {}
 
   /**
    * Requests come twice, at two controllers at once, and again later; some transactions are applied
@@ -36,7 +36,7 @@
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
-  void eachRequestIsOneChange(long seed, int trouble) throws BadMessage {
+  void eachRequestIsOneChange(long seed, int trouble) throws MalformedMessageException {
     AgreedDay drawn = new AgreedDay(seed);
     drawn.world.state().applyLate(4);
     for (int i = 0; i < 30; i++) {
@@ -67,7 +67,7 @@
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
-  void whatIsKeptBackDoesNotRun(long seed, int trouble) throws BadMessage {
+  void whatIsKeptBackDoesNotRun(long seed, int trouble) throws MalformedMessageException {
     AgreedDay drawn = new AgreedDay(seed);
     drawn.world.state().applyLate(20);
     int i = 0;
@@ -101,7 +101,7 @@
    * closes and it is proven that nothing runs.
    */
   @Test
-  void whatWasPlannedBeforeItWasKeptBackIsNotAllocated() throws BadMessage {
+  void whatWasPlannedBeforeItWasKeptBackIsNotAllocated() throws MalformedMessageException {
     day.world.time().runUntil(AgreedDay.READY_S + 10);
     JobId late = new JobId("job-4711");
     Job like =
@@ -159,7 +159,7 @@
    * then its successor can.
    */
   @Test
-  void refusedUntilAllHaveIt() throws BadMessage {
+  void refusedUntilAllHaveIt() throws MalformedMessageException {
     day.world.install(2, AgreedDay.OLD);
     day.world.crash(2);
     day.world.time().runUntil(AgreedDay.READY_S + 10);
@@ -214,7 +214,7 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"q/agreed/gate/job-1", "q/agreed/unknown/x"})
-  void whatCannotBeReadIsNotIgnored(String key) throws BadMessage {
+  void whatCannotBeReadIsNotIgnored(String key) throws MalformedMessageException {
     day.world.time().runUntil(AgreedDay.READY_S + 10);
     day.world
         .state()
@@ -222,8 +222,8 @@
     day.world.time().runUntil(AgreedDay.READY_S + 16);
     for (int node = 0; node < 3; node++) {
       assertTrue(
-          day.world.status(node).text("unable").contains(key),
-          day.world.status(node).text("unable"));
+          day.world.status(node).string("unable").contains(key),
+          day.world.status(node).string("unable"));
     }
     day.world.state().write(key, null);
     day.assertAllIsWell(AgreedDay.READY_S + 260);
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/AgreedDay.java
@@ -25,10 +25,10 @@
 import org.quincecross.rollout.Build;
 import org.quincecross.state.AgreedBook;
 import org.quincecross.state.Gone;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * A site with records that its three controllers agree on, and a watch over what they keep from
@@ -130,7 +130,7 @@
   /** Requests by their names, that were told to be durable, with the change that was told. */
   final Map<String, Long> told = new TreeMap<>();
 
-  AgreedDay(long seed) throws BadMessage {
+  AgreedDay(long seed) throws MalformedMessageException {
     world =
         new World(site, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
     for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
@@ -231,7 +231,7 @@
   private static long change(byte[] body) {
     try {
       return Json.parseFields(body).unsigned("change");
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -239,7 +239,7 @@
   /**
    * What a controller answers, asked again after 503 as its page says, for ten seconds at the most.
    */
-  Fields get(int node, String path) throws BadMessage {
+  JsonFields get(int node, String path) throws MalformedMessageException {
     HttpResponse[] last = new HttpResponse[1];
     for (int i = 0; i < 10 && (last[0] == null || last[0].status() == 503); i++) {
       last[0] = null;
--- a/src/test/java/org/quincecross/emulator/BadNightsTest.java
+++ b/src/test/java/org/quincecross/emulator/BadNightsTest.java
@@ -19,15 +19,15 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 /**
  * The operators' bad nights, in virtual time: silent and frozen controllers, deaf ones, storms of
  * questions, jobs that only fail.
  */
 class BadNightsTest extends BusySite {
-  BadNightsTest() throws BadMessage {}
+  BadNightsTest() throws MalformedMessageException {}
 
   private static Job array(int number, int tasks) {
     return array(number, tasks, 6);
@@ -65,7 +65,7 @@
           response -> {
             try {
               sum[0] += (int) Json.parseFields(response.body()).unsigned("running");
-            } catch (BadMessage e) {
+            } catch (MalformedMessageException e) {
               throw new IllegalStateException(e);
             }
           });
@@ -130,7 +130,7 @@
    * well.
    */
   @Test
-  void aDeafControllerIsTriedSeldom() throws BadMessage {
+  void aDeafControllerIsTriedSeldom() throws MalformedMessageException {
     int given = 0;
     for (int seed = 1; seed <= 8; seed++) {
       int now = givenWhileDeaf(new BusySite(seed));
@@ -296,7 +296,7 @@
    */
   @ParameterizedTest
   @EnumSource(Step.class)
-  void aMishapInEachStep(Step step) throws BadMessage {
+  void aMishapInEachStep(Step step) throws MalformedMessageException {
     for (World.Mishap mishap : World.Mishap.values()) {
       for (double seconds : new double[] {1, 6, 12, 35, 90}) {
         Site growing = Site.tryOut(MACHINES, false);
--- a/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
@@ -18,7 +18,7 @@
 import org.quincecross.rollout.Build;
 import org.quincecross.served.Largest;
 import org.quincecross.served.Sizes;
-import org.quincecross.wire.Features;
+import org.quincecross.protocol.Features;
 
 /**
  * The largest array, a gang of two whole machines and an idle job in an overload, on three
--- a/src/test/java/org/quincecross/emulator/BusySite.java
+++ b/src/test/java/org/quincecross/emulator/BusySite.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.quincecross.model.JobId;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Three controllers, 45 machines, services of 36 replicas, and arrays that come for a while, in
@@ -45,17 +45,17 @@
   final List<JobId> services = new ArrayList<>();
   final List<JobId> arrays = new ArrayList<>();
 
-  BusySite() throws BadMessage {
+  BusySite() throws MalformedMessageException {
     this(5);
   }
 
-  BusySite(long seed) throws BadMessage {
+  BusySite(long seed) throws MalformedMessageException {
     world = new World(site, seed, Meter.OFF);
     submit(world, services, arrays);
   }
 
   /** Has the jobs submitted in a world from its fourth second on, and notes which they are. */
-  static void submit(World world, List<JobId> services, List<JobId> arrays) throws BadMessage {
+  static void submit(World world, List<JobId> services, List<JobId> arrays) throws MalformedMessageException {
     for (JobsFile.Due due : JobsFile.read(JOBS, world.site())) {
       world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
       (due.job().jobClass().equals("rebuild") ? arrays : services).add(due.job().id());
--- a/src/test/java/org/quincecross/emulator/CancelledInChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/CancelledInChangesTest.java
@@ -14,7 +14,7 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Many long jobs are called off within a fifth of a second, some of their machines hang, and users
@@ -29,7 +29,7 @@
   private final List<JobId> longOnes = new ArrayList<>();
   private List<JobId> called = List.of();
 
-  CancelledInChangesTest() throws BadMessage {
+  CancelledInChangesTest() throws MalformedMessageException {
     for (int i = 0; i < LONG_JOBS; i++) {
       Job job =
           new Job(
@@ -117,7 +117,7 @@
   @ParameterizedTest
   @CsvSource({"-0.1, 0", "0, 0", "0, 6", "0.05, 0"})
   void theLeaderIsRefusedAtThatMoment(double afterS, double hangS) {
-    double outage = site.workers().cancel().seconds() + 9;
+    double outage = site.workers().cancelTimeout().seconds() + 9;
     world
         .time()
         .at(AT_S, () -> world.state().refuse(Site.nodeName(Math.max(0, world.leader())), 1.2));
--- a/src/test/java/org/quincecross/emulator/Day.java
+++ b/src/test/java/org/quincecross/emulator/Day.java
@@ -14,8 +14,8 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Settings;
 
 /** A day drawn from a seed: jobs of all kinds, troubles alone and together, then quiet. */
 final class Day {
@@ -129,7 +129,7 @@
   /** The same with only some of its meetings, by number; none named: all. */
   static Day ofMeetings(long seed, Set<Integer> only, boolean further) {
     Site site = Site.small();
-    List<Settings.Workers> workers =
+    List<Settings.AgentTimeouts> workers =
         List.of(site.workers(), Site.tryOut(9, true).workers(), Site.mixed(690).workers());
     World world =
         new World(
--- a/src/test/java/org/quincecross/emulator/DeafMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeafMachinesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Some machines speak and hear nothing for a while, also while their blocks go to other
@@ -23,7 +23,7 @@
   @ParameterizedTest
   @CsvSource({"20, 150, 1", "33, 150, 1"})
   void whatDeafMachinesHadRunsElsewhereAfterTheirLeases(int percent, double seconds, long seed)
-      throws BadMessage {
+      throws MalformedMessageException {
     DeafSite site = new DeafSite(seed);
     site.deafen(percent, seconds, seed);
     double missing = site.missingUntil(seconds);
--- a/src/test/java/org/quincecross/emulator/DeafSite.java
+++ b/src/test/java/org/quincecross/emulator/DeafSite.java
@@ -8,7 +8,7 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Three controllers, 61 machines, services of 80 replicas on them, in virtual time; some machines
@@ -48,7 +48,7 @@
   final List<JobId> services = new ArrayList<>();
   final List<MachineId> deaf = new ArrayList<>();
 
-  DeafSite(long seed) throws BadMessage {
+  DeafSite(long seed) throws MalformedMessageException {
     Site site = Site.tryOut(60, true);
     world = new World(site, seed, Meter.OFF);
     for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
@@ -111,7 +111,7 @@
   }
 
   /** Plays the table of docs/incidents/deaf-machines.md. */
-  public static void main(String[] args) throws BadMessage {
+  public static void main(String[] args) throws MalformedMessageException {
     System.out.println("deaf %  for s  seed  all again after s  starts unheard  rules broken");
     for (int percent : new int[] {33, 20, 5}) {
       for (double seconds : new double[] {30, 150, 600}) {
--- a/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
+++ b/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
@@ -22,10 +22,10 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 
 /**
  * The state service lowers its limits without notice, after records have been written that are
@@ -33,14 +33,14 @@
  */
 @Timeout(120)
 class FallingLimitsTest {
-  private static final Settings.StateLimits LOW = new Settings.StateLimits(400, 40, 1024, 4);
+  private static final Settings.StoreLimits LOW = new Settings.StoreLimits(400, 40, 1024, 4);
   private static final Build NEW = Build.present("new", 2);
   private static final int JOBS = 420;
   private static final int SERVICES = 12;
 
   private final World world =
       new World(
-          Site.tryOut(9, true).with(new Settings.StateLimits(400, 60, 4096, 8)),
+          Site.tryOut(9, true).with(new Settings.StoreLimits(400, 60, 4096, 8)),
           5,
           Meter.OFF,
           Features.NONE);
@@ -92,8 +92,8 @@
         .toList();
   }
 
-  private Set<String> tooLarge() throws BadMessage {
-    return Set.copyOf(world.status(0).fields("too_large").names());
+  private Set<String> tooLarge() throws MalformedMessageException {
+    return Set.copyOf(world.status(0).fields("too_large").fieldNames());
   }
 
   private int level() {
@@ -145,7 +145,7 @@
     }
     assertEquals(
         List.of(),
-        recordsLargerThan(LOW.valueBytes()),
+        recordsLargerThan(LOW.maxValueBytes()),
         "nothing is left that could not be changed");
   }
 
@@ -168,11 +168,11 @@
     "52, LEADER_CRASHES",
     "52, OUTAGE_AND_RESTART"
   })
-  void theyFallAfterAllAreNew(double fallAt, Meanwhile meanwhile) throws BadMessage {
+  void theyFallAfterAllAreNew(double fallAt, Meanwhile meanwhile) throws MalformedMessageException {
     world.time().runUntil(23.9);
     assertTrue(
-        recordsLargerThan(LOW.valueBytes()).size() >= 3,
-        recordsLargerThan(LOW.valueBytes()) + " large records");
+        recordsLargerThan(LOW.maxValueBytes()).size() >= 3,
+        recordsLargerThan(LOW.maxValueBytes()) + " large records");
     roll();
     world.time().runUntil(37.9);
     assertFalse(tooLarge().isEmpty(), "the status names what is too large");
--- a/src/test/java/org/quincecross/emulator/GapDay.java
+++ b/src/test/java/org/quincecross/emulator/GapDay.java
@@ -143,7 +143,7 @@
   private void gap() {
     int leader = world.leader();
     int refused = leader >= 0 && !oneIn(4) ? leader : random.nextInt(world.nodeCount());
-    double cancelS = world.site().workers().cancel().seconds();
+    double cancelS = world.site().workers().cancelTimeout().seconds();
     double refusal = 1 + upTo(17);
     after(0, () -> world.state().refuse(Site.nodeName(refused), refusal));
     if (oneIn(4)) {
--- a/src/test/java/org/quincecross/emulator/GapTest.java
+++ b/src/test/java/org/quincecross/emulator/GapTest.java
@@ -18,7 +18,7 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * The state service refuses the leader alone, users cancel through the others, and it is then out
@@ -32,13 +32,13 @@
   private static final int LONG_JOBS = 20;
   private static final int KEPT = 4;
 
-  private final double cancelS = site.workers().cancel().seconds();
+  private final double cancelS = site.workers().cancelTimeout().seconds();
   private final double outageFor = cancelS + 12;
   private final List<JobId> longOnes = new ArrayList<>();
   private double outS = OUT_S;
   private int leader;
 
-  GapTest() throws BadMessage {}
+  GapTest() throws MalformedMessageException {}
 
   @BeforeEach
   void longArraysRun() {
--- a/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.quincecross.GoldenFiles;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * All that is said and stored keeps the names, types and words that it had; what is malformed keeps
@@ -16,7 +16,7 @@
  */
 class GoldenMessagesTest {
   @Test
-  void theVocabularyStays() throws IOException, BadMessage {
+  void theVocabularyStays() throws IOException, MalformedMessageException {
     TreeSet<String> before = new TreeSet<>(GoldenFiles.lines("vocabulary.txt"));
     SortedSet<String> now = RecordedDays.play().vocabulary();
     TreeSet<String> lost = new TreeSet<>(before);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void whatIsMalformedIsRefusedAsBefore() throws IOException, BadMessage {
+  void whatIsMalformedIsRefusedAsBefore() throws IOException, MalformedMessageException {
     assertEquals(
         String.join("\n", GoldenFiles.lines("malformed.txt")),
         String.join("\n", RecordedDays.malformed()));
--- a/src/test/java/org/quincecross/emulator/GuestsTest.java
+++ b/src/test/java/org/quincecross/emulator/GuestsTest.java
@@ -12,7 +12,7 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 
 /**
  * A team that comes without a guarantee: a swarm of tiny jobs, one huge array, long idle work;
@@ -31,7 +31,7 @@
           WIDE.mostMachines(),
           WIDE.teams(),
           WIDE.workers(),
-          new Settings.StateLimits(200, 15, 4096, 8),
+          new Settings.StoreLimits(200, 15, 4096, 8),
           WIDE.cloudLimits(),
           WIDE.quota(),
           WIDE.objectives(),
--- a/src/test/java/org/quincecross/emulator/HardCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/HardCasesTest.java
@@ -15,11 +15,11 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** What happens to a fleet all at once, in virtual time. */
 class HardCasesTest extends BusySite {
-  HardCasesTest() throws BadMessage {}
+  HardCasesTest() throws MalformedMessageException {}
 
   private static Job oneTask(JobId id) {
     return new Job(
--- a/src/test/java/org/quincecross/emulator/HoldCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/HoldCasesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Holds against sweeps with three controllers in virtual time, under load and through what fails.
@@ -51,7 +51,7 @@
 
   private HoldSite site = new HoldSite(JOBS, 30, 7);
 
-  HoldCasesTest() throws BadMessage {
+  HoldCasesTest() throws MalformedMessageException {
     tell();
   }
 
@@ -60,7 +60,7 @@
     site.told("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
   }
 
-  private HoldSite site(long seed) throws BadMessage {
+  private HoldSite site(long seed) throws MalformedMessageException {
     site = new HoldSite(JOBS, 30, seed);
     tell();
     return site;
@@ -95,7 +95,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void theHoldAndTheAllocationInOneInstant(long seed) throws BadMessage {
+  void theHoldAndTheAllocationInOneInstant(long seed) throws MalformedMessageException {
     site(seed).world.state().applyLate(8);
     for (int i = 0; i < 8; i++) {
       String reference = "ref-" + i;
@@ -257,7 +257,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {11, 12})
-  void overlappingHoldsClosedInAnyOrder(long seed) throws BadMessage {
+  void overlappingHoldsClosedInAnyOrder(long seed) throws MalformedMessageException {
     site(seed);
     Random random = new Random(seed);
     List<String> records =
@@ -285,7 +285,7 @@
    * until they are off.
    */
   @Test
-  void aLaneToldLateIsPinnedAnew() throws BadMessage {
+  void aLaneToldLateIsPinnedAnew() throws MalformedMessageException {
     site = new HoldSite(JOBS, 30, 7);
     site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
     site.run(READY_S + 12);
--- a/src/test/java/org/quincecross/emulator/HoldSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/HoldSeedsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Many days drawn from seeds: holds that overlap, come and go among troubles; how long pinning
@@ -31,7 +31,7 @@
         "state service out",
         "crashes"
       })
-  void whatIsPinnedIsNotTouched(String trouble) throws BadMessage {
+  void whatIsPinnedIsNotTouched(String trouble) throws MalformedMessageException {
     List<Double> times = new ArrayList<>();
     for (long seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
--- a/src/test/java/org/quincecross/emulator/HoldSite.java
+++ b/src/test/java/org/quincecross/emulator/HoldSite.java
@@ -18,9 +18,9 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Feature;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Json;
 
 /**
  * Three controllers with holds switched on, sweeps, and a checker of its own: it reads the records
@@ -39,7 +39,7 @@
   private final List<String> wrong = new ArrayList<>();
   final Map<String, String> answers = new HashMap<>();
 
-  HoldSite(String jobs, int machines, long seed) throws BadMessage {
+  HoldSite(String jobs, int machines, long seed) throws MalformedMessageException {
     Site site = Site.tryOut(machines, true);
     Build build = Build.present("holds", Feature.AGREED_RECORDS.since().number());
     world =
--- a/src/test/java/org/quincecross/emulator/LateCopiesTest.java
+++ b/src/test/java/org/quincecross/emulator/LateCopiesTest.java
@@ -14,15 +14,15 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 /**
  * Every report comes a second time, 1 s to three leases later, with three controllers in virtual
  * time.
  */
 class LateCopiesTest extends BusySite {
-  LateCopiesTest() throws BadMessage {
+  LateCopiesTest() throws MalformedMessageException {
     world.time().at(10, () -> world.copyLate(1, new Random(7)));
   }
 
--- a/src/test/java/org/quincecross/emulator/Liveness.java
+++ b/src/test/java/org/quincecross/emulator/Liveness.java
@@ -9,8 +9,8 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobKind;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
 
 /**
  * Says which accepted jobs hang. Once it is quiet, each open job has a task on a machine, or its
@@ -134,14 +134,14 @@
     Map<String, String> named = new TreeMap<>();
     try {
       for (int node = 0; node < world.nodeCount(); node++) {
-        Fields status = world.status(node);
-        for (Fields stall : status == null ? List.<Fields>of() : status.objects("stalled")) {
-          if (!stall.texts("waits_for").isEmpty()) {
-            named.merge(stall.text("job"), stall.texts("waits_for").toString(), String::concat);
+        JsonFields status = world.status(node);
+        for (JsonFields stall : status == null ? List.<JsonFields>of() : status.objects("stalled")) {
+          if (!stall.strings("waits_for").isEmpty()) {
+            named.merge(stall.string("job"), stall.strings("waits_for").toString(), String::concat);
           }
         }
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
     return named;
--- a/src/test/java/org/quincecross/emulator/LoneControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/LoneControllerTest.java
@@ -16,7 +16,7 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * A controller without the state service and without the others, but with its machines and users;
@@ -59,7 +59,7 @@
   }
 
   /** Plays a day on which something is wrong from {@link #FROM_S} on for some time. */
-  private Outcome play(long seed, double seconds, IntConsumer trouble) throws BadMessage {
+  private Outcome play(long seed, double seconds, IntConsumer trouble) throws MalformedMessageException {
     world = new World(Site.tryOut(BusySite.MACHINES, true), seed, Meter.OFF);
     balancer = world.users().balance();
     List<JobId> services = new ArrayList<>();
@@ -104,7 +104,7 @@
    */
   @ParameterizedTest
   @CsvSource({"0, false", "1, true"})
-  void usersOfALoneControllerAreWithTheOthersSoon(int afterLeader, boolean lose) throws BadMessage {
+  void usersOfALoneControllerAreWithTheOthersSoon(int afterLeader, boolean lose) throws MalformedMessageException {
     double seconds = 20;
     Outcome outcome =
         play(
@@ -128,7 +128,7 @@
    * its end are accepted.
    */
   @Test
-  void inAnOutageOfAllNobodyGoesOut() throws BadMessage {
+  void inAnOutageOfAllNobodyGoesOut() throws MalformedMessageException {
     double seconds = 20;
     Outcome outcome =
         play(
--- a/src/test/java/org/quincecross/emulator/LostMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/LostMachinesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Half of all machines vanish without notice, on a site whose other half is full of arrays: what
@@ -47,7 +47,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void allReplicasRunAgainSoonAfterTheLeasesAreOver(long seed) throws BadMessage {
+  void allReplicasRunAgainSoonAfterTheLeasesAreOver(long seed) throws MalformedMessageException {
     Site site = Site.tryOut(MACHINES, true);
     World world = new World(site, seed, Meter.OFF);
     List<JobId> services = new ArrayList<>();
--- a/src/test/java/org/quincecross/emulator/Meetings.java
+++ b/src/test/java/org/quincecross/emulator/Meetings.java
@@ -122,7 +122,7 @@
   }
 
   private double length(Trouble trouble, Random random) {
-    double cancel = world.site().workers().cancel().seconds();
+    double cancel = world.site().workers().cancelTimeout().seconds();
     return switch (trouble) {
       case REFUSED_THEN_OUTAGE -> cancel + 4 + 22 * random.nextDouble();
       case LONE_LEADER, UNREACHED, SILENCE -> 4 + 30 * random.nextDouble();
@@ -188,7 +188,7 @@
         world.state().slow(least, least + 3 * share, length, random);
       }
       case REFUSED_THEN_OUTAGE -> {
-        double outage = world.site().workers().cancel().seconds() + 2 + 6 * share;
+        double outage = world.site().workers().cancelTimeout().seconds() + 2 + 6 * share;
         double alone = Math.max(0.5, length - outage);
         world.state().refuse(Site.nodeName(leader), alone + 0.2);
         after(alone, () -> world.state().outage(outage));
--- a/src/test/java/org/quincecross/emulator/MessageRecorder.java
+++ b/src/test/java/org/quincecross/emulator/MessageRecorder.java
@@ -19,8 +19,8 @@
 import org.msgpack.value.Value;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 /**
  * Records what is said on a virtual network: the names of all fields with the types and the
@@ -139,7 +139,7 @@
   private static Object parse(byte[] body) {
     try {
       return Json.parse(body);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return new String(body, StandardCharsets.UTF_8);
     }
   }
--- a/src/test/java/org/quincecross/emulator/ModelCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelCasesTest.java
@@ -16,7 +16,7 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Team;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** Models from zero with three controllers and failures, in virtual time. */
 class ModelCasesTest {
@@ -26,7 +26,7 @@
    * 10,000 wakes in a second at each controller, until the model is warm; all are answered. Returns
    * how long that took.
    */
-  private static double manyWakes(ModelSite site) throws BadMessage {
+  private static double manyWakes(ModelSite site) throws MalformedMessageException {
     int[] answered = new int[1];
     for (int node = 0; node < 3; node++) {
       for (int i = 0; i < 10_000; i++) {
@@ -53,7 +53,7 @@
    * later, so the middle of five is bounded.
    */
   @Test
-  void theModelServesSoonAfterItsFetch() throws BadMessage {
+  void theModelServesSoonAfterItsFetch() throws MalformedMessageException {
     double[] warm = new double[5];
     for (int i = 0; i < warm.length; i++) {
       ModelSite site = ModelSite.withOne(4 + i, 2);
@@ -74,7 +74,7 @@
    * which no answer is late.
    */
   @Test
-  void manyWakesAreOneColdStart() throws BadMessage {
+  void manyWakesAreOneColdStart() throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(4, 2);
     long before = site.epoch("m");
     int started = site.world.around().coldStarts().starts();
@@ -99,7 +99,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.01, 0.05, 0.15, 0.4, 1, 4, 8.5})
-  void allRestartedWhileItStarts(double afterS) throws BadMessage {
+  void allRestartedWhileItStarts(double afterS) throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(5, 2);
     site.wakeAt(T, 1, "m");
     for (int node = 0; node < 3; node++) {
@@ -124,7 +124,7 @@
     "STILL_AFTER, 25",
     "SILENT, 25"
   })
-  void theLeaderIsFrozenAfterItsChoice(World.Mishap mishap, double seconds) throws BadMessage {
+  void theLeaderIsFrozenAfterItsChoice(World.Mishap mishap, double seconds) throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(6, 2);
     site.world.mishapAt(
         request ->
@@ -145,7 +145,7 @@
   /** Two wakes while nobody leads, one at each of the controllers that are left. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.5, 3, 5.5})
-  void twoWakesInAnElection(double afterS) throws BadMessage {
+  void twoWakesInAnElection(double afterS) throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(7, 2);
     int leader = site.world.leader();
     site.world.time().at(T, () -> site.world.down(leader, 30));
@@ -159,7 +159,7 @@
   /** The state service is out for a while from some moment of a cold start on, and of a drain. */
   @ParameterizedTest
   @CsvSource({"0, 3", "0.03, 10", "0.15, 10", "0.5, 10", "5, 10", "8.6, 10", "32, 10"})
-  void anOutageInEachStep(double afterS, double seconds) throws BadMessage {
+  void anOutageInEachStep(double afterS, double seconds) throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(8, 2);
     site.world.state().applyLate(60);
     site.wakeAt(T, 2, "m");
@@ -179,7 +179,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 6, 30})
-  void theLastWarmMachineIsTaken(double noticeS) throws BadMessage {
+  void theLastWarmMachineIsTaken(double noticeS) throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(9, 1);
     site.wakeAt(T, 0, "m");
     site.until("m", "WARM", 60);
@@ -204,7 +204,7 @@
   /** Its user cancels the job of a model in each of its states. */
   @ParameterizedTest
   @ValueSource(strings = {"ZERO", "STARTING", "WARM", "DRAINING"})
-  void itsJobIsCancelled(String phase) throws BadMessage {
+  void itsJobIsCancelled(String phase) throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(10, 2);
     if (!phase.equals("ZERO")) {
       site.wakeAt(T, 0, "m");
@@ -226,7 +226,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {-0.2, -0.05, -0.02, -0.01, -0.004, 0, 0.004, 0.01, 0.03, 0.1, 0.5, 1})
-  void aWakeAgainstADrain(double offset) throws BadMessage {
+  void aWakeAgainstADrain(double offset) throws MalformedMessageException {
     ModelSite first = ModelSite.withOne(11, 2);
     first.wakeAt(T, 0, "m");
     first.until("m", "WARM", 60);
@@ -250,7 +250,7 @@
    * and the limit holds.
    */
   @Test
-  void aLimitBelowTheLeast() throws BadMessage {
+  void aLimitBelowTheLeast() throws MalformedMessageException {
     Site plain = Site.tryOut(24, true);
     Map<String, Team> teams = new LinkedHashMap<>(plain.teams());
     teams.put("web", new Team("web", new Resources(12, 0, 1e9), new Resources(20, 0, 1e9)));
@@ -284,7 +284,7 @@
    * one change.
    */
   @Test
-  void mistakesChangeNothing() throws BadMessage {
+  void mistakesChangeNothing() throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(17, 2);
     long epoch = site.epoch("m");
     assertEquals(404, site.post(0, "other/wake", Map.of()));
@@ -311,7 +311,7 @@
    * before all could.
    */
   @Test
-  void fetchesOfAMachineTakeTurns() throws BadMessage {
+  void fetchesOfAMachineTakeTurns() throws MalformedMessageException {
     ModelSite site = new ModelSite(Site.tryOut(3, true), 18);
     for (int i = 0; i < 4; i++) {
       site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100 + i, 1, 2, 6, false));
@@ -335,7 +335,7 @@
    * a fetch.
    */
   @Test
-  void keptWarmItComesBackWithoutAFetch() throws BadMessage {
+  void keptWarmItComesBackWithoutAFetch() throws MalformedMessageException {
     ModelSite site = new ModelSite(Site.tryOut(24, true), 15);
     site.submit(ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
     site.world.time().runUntil(ModelSite.DEFINED_S);
@@ -355,7 +355,7 @@
    * is wanted and there is room.
    */
   @Test
-  void anIdleModelGivesWay() throws BadMessage {
+  void anIdleModelGivesWay() throws MalformedMessageException {
     ModelSite site = new ModelSite(Site.tryOut(6, true), 16);
     site.submit(ModelSite.job(100, 4, 6, 3, false));
     site.submit(ModelSite.job(101, 2, 6, 3, false));
@@ -381,7 +381,7 @@
    * no longer than that.
    */
   @Test
-  void whatOneThatIsAwayHasSeenCounts() throws BadMessage {
+  void whatOneThatIsAwayHasSeenCounts() throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(13, 1);
     int leader = site.world.leader();
     int other = (leader + 1) % 3;
@@ -416,19 +416,19 @@
 
   @Test
   @Tag("seeds")
-  void aThousandModels() throws BadMessage {
+  void aThousandModels() throws MalformedMessageException {
     manyModels(1000);
   }
 
   @Test
-  void twoHundredModels() throws BadMessage {
+  void twoHundredModels() throws MalformedMessageException {
     manyModels(200);
   }
 
   /**
    * Many models, of which one in twenty is wanted: these come up, and all the others stay at zero.
    */
-  private static void manyModels(int count) throws BadMessage {
+  private static void manyModels(int count) throws MalformedMessageException {
     ModelSite site = new ModelSite(Site.tryOut(45, true), 14);
     for (int i = 0; i < count; i++) {
       site.submit(ModelSite.job(1000 + i, 1, 0.25, 0.3, false));
--- a/src/test/java/org/quincecross/emulator/ModelDay.java
+++ b/src/test/java/org/quincecross/emulator/ModelDay.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Random;
 import org.quincecross.model.MachineId;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * A day drawn from a seed: models that are wanted now and then, troubles alone and together, then
@@ -30,7 +30,7 @@
   private final Random random;
   private final List<String> wrong = new ArrayList<>();
 
-  ModelDay(long seed) throws BadMessage {
+  ModelDay(long seed) throws MalformedMessageException {
     random = new Random(seed * 31 + 7);
     site = new ModelSite(Site.tryOut(24, random.nextBoolean()), seed);
     for (int i = 0; i < MODELS; i++) {
--- a/src/test/java/org/quincecross/emulator/ModelSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelSeedsTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** Days of models among troubles; many of them with {@code mvn -B -Pseeds test -Dseeds=A-B}. */
 class ModelSeedsTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void someDays(long seed) throws BadMessage {
+  void someDays(long seed) throws MalformedMessageException {
     assertEquals(List.of(), new ModelDay(seed).play());
   }
 
@@ -32,7 +32,7 @@
               Object findings;
               try {
                 findings = new ModelDay(seed).play();
-              } catch (BadMessage | RuntimeException | AssertionError e) {
+              } catch (MalformedMessageException | RuntimeException | AssertionError e) {
                 findings = e;
               }
               if (!findings.equals(List.of())) {
--- a/src/test/java/org/quincecross/emulator/ModelSite.java
+++ b/src/test/java/org/quincecross/emulator/ModelSite.java
@@ -17,10 +17,10 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /** Three controllers, some machines, and models among their services, in virtual time. */
 final class ModelSite {
@@ -44,7 +44,7 @@
   }
 
   /** One of 24 machines with one model of four replicas, {@code least} of which come up with it. */
-  static ModelSite withOne(long seed, int least) throws BadMessage {
+  static ModelSite withOne(long seed, int least) throws MalformedMessageException {
     ModelSite site = new ModelSite(Site.tryOut(24, true), seed);
     // So late that its weights are on no machine when it becomes a model.
     site.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
@@ -86,12 +86,12 @@
     world.time().at(atS, () -> world.users().submit(job));
   }
 
-  void define(String name, int job, int least, int most) throws BadMessage {
+  void define(String name, int job, int least, int most) throws MalformedMessageException {
     define(name, job, least, most, IDLE_S, 0);
   }
 
   void define(String name, int job, int least, int most, double idleS, int keepWarm)
-      throws BadMessage {
+      throws MalformedMessageException {
     world.around().coldStarts().watch(name, new JobId("job-" + job));
     Map<String, Object> body =
         Json.object(
@@ -172,19 +172,19 @@
             });
   }
 
-  private Fields get(int node, String path) throws BadMessage {
+  private JsonFields get(int node, String path) throws MalformedMessageException {
     HttpResponse[] answer = new HttpResponse[1];
     world.ask(node, HttpRequest.get("/admin/models" + path), response -> answer[0] = response);
     assertEquals(200, answer[0].status(), new String(answer[0].body(), StandardCharsets.UTF_8));
     return Json.parseFields(answer[0].body());
   }
 
-  Fields show(int node, String name) throws BadMessage {
+  JsonFields show(int node, String name) throws MalformedMessageException {
     return get(node, "/" + name);
   }
 
   /** For how many changes of a record a controller has asked because somebody wanted a model. */
-  long asked(int node) throws BadMessage {
+  long asked(int node) throws MalformedMessageException {
     return get(node, "").unsigned("asked");
   }
 
--- a/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
@@ -19,7 +19,7 @@
 import org.quincecross.model.Team;
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.Features;
+import org.quincecross.protocol.Features;
 
 /**
  * There is more work than room, urgent and not, the cloud has no more machines, and all links are
--- a/src/test/java/org/quincecross/emulator/MuteMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/MuteMachinesTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.MachineId;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Machines that reach no controller while direct commands reach them and are answered, with three
  * controllers in virtual time.
  */
 class MuteMachinesTest extends BusySite {
-  MuteMachinesTest() throws BadMessage {}
+  MuteMachinesTest() throws MalformedMessageException {}
 
   /**
    * A sixth, or half, of the machines is mute for so long; in some the leader ends meanwhile. What
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -21,7 +21,7 @@
 import org.quincecross.rollout.Build;
 import org.quincecross.served.Served;
 import org.quincecross.served.ServedBooks;
-import org.quincecross.wire.Features;
+import org.quincecross.protocol.Features;
 
 /**
  * More work than can be done in time, on three controllers in virtual time: who is served all the
--- a/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
@@ -31,9 +31,9 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.Keys;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /** Jobs that wait for others, with three controllers and failures, in virtual time. */
 @Timeout(120)
@@ -130,7 +130,7 @@
         if (since != null
             && told.containsKey(id)
             && !"cancelled".equals(told.get(id))
-            && world.time().seconds() > since + world.site().workers().cancel().seconds()) {
+            && world.time().seconds() > since + world.site().workers().cancelTimeout().seconds()) {
           broken.add("orphaned at " + world.time().seconds() + ": " + id);
         }
       }
@@ -371,7 +371,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aLongChainIsCancelledFromItsHead(boolean allRestart) throws BadMessage {
+  void aLongChainIsCancelledFromItsHead(boolean allRestart) throws MalformedMessageException {
     int length = 2000;
     world.around().tasks().runsLonger(id(0).task(0), 300);
     submitWhenKnown(job(0, JobKind.ARRAY, 2, 1));
@@ -404,7 +404,7 @@
       assertTrue(world.time().seconds() < 90, "never told");
     }
     Map<String, Integer> said = new TreeMap<>();
-    double until = world.time().seconds() + world.site().workers().cancel().seconds();
+    double until = world.time().seconds() + world.site().workers().cancelTimeout().seconds();
     for (int i = 0; i < length; i++) {
       int number = i;
       world
--- a/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
@@ -22,9 +22,9 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 /**
  * Jobs that wait for others where troubles meet their ends, with three controllers in virtual time.
@@ -116,14 +116,14 @@
 
   private void tell(JobId id, byte[] body, String before) {
     try {
-      String state = Json.parseFields(body).text("Status");
+      String state = Json.parseFields(body).string("Status");
       boolean isNew = world.users().told().put(id, state) == null;
       world.rules().told(id, state, before, world.users().isCancelAsked(id));
       pipelines().told(id, state);
       if (isNew) {
         poll(id);
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/src/test/java/org/quincecross/emulator/PipelineUpgradeTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineUpgradeTest.java
@@ -11,9 +11,9 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Resources;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Settings;
 
 /**
  * Three controllers are replaced under load, pipelines come once all are new, and the state service
@@ -21,7 +21,7 @@
  */
 @Timeout(60)
 class PipelineUpgradeTest {
-  private static final Settings.StateLimits LOW = Site.TRY_OUT_NEXT;
+  private static final Settings.StoreLimits LOW = Site.TRY_OUT_NEXT;
   private static final Build OLD = Build.present("old", 1);
   private static final Build NEW = Build.present("new", 2);
   private static final double FIRST_REPLACED_S = 20;
@@ -35,7 +35,7 @@
   private final List<JobId> arrays = new ArrayList<>();
   private final List<JobId> dependent = new ArrayList<>();
 
-  PipelineUpgradeTest() throws BadMessage {
+  PipelineUpgradeTest() throws MalformedMessageException {
     BusySite.submit(world, services, arrays);
   }
 
--- a/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
+++ b/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
 
 /** Machines and controllers that are back within a fraction of a second, in virtual time. */
 class QuickReturnsTest extends BusySite {
-  QuickReturnsTest() throws BadMessage {}
+  QuickReturnsTest() throws MalformedMessageException {}
 
   /**
    * A third of the machines is back at once with nothing on it, its counts begun anew: what ran
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -26,12 +26,12 @@
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
 import org.quincecross.state.DoneTasks;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.SettingsWriter;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.SettingsWriter;
 
 /**
  * Days in virtual time, the same at each call, that between them use every message, every kind of
@@ -95,7 +95,7 @@
    * as it is, where the JVM gives maps and sets the same order each time. With a folder: writes
    * what was recorded there, to be compared or added to the golden files.
    */
-  public static void main(String[] arguments) throws BadMessage, IOException {
+  public static void main(String[] arguments) throws MalformedMessageException, IOException {
     MessageRecorder recorder = play();
     System.out.println(recorder.digest());
     if (arguments.length > 0) {
@@ -107,7 +107,7 @@
   }
 
   /** Plays all of them. */
-  static MessageRecorder play() throws BadMessage {
+  static MessageRecorder play() throws MalformedMessageException {
     MessageRecorder recorder = new MessageRecorder();
     RecordedDays days = new RecordedDays(recorder);
     days.troubles();
@@ -264,12 +264,12 @@
    * What is answered to a submission of which each field is left out, or is of a wrong kind, and to
    * settings and features of that sort: the status, and the field that the answer names.
    */
-  static List<String> malformed() throws BadMessage {
+  static List<String> malformed() throws MalformedMessageException {
     World world = new World(Site.mixed(120), 50, Meter.OFF);
     runUntil(world, 20);
     List<String> lines = new ArrayList<>();
     Map<String, Object> job = JobCodec.submission(array(world, 997));
-    job.put(JobCodec.WAITS_ON, List.of("job-1"));
+    job.put(JobCodec.DEPENDENCIES, List.of("job-1"));
     for (Map.Entry<String, Object> bad : spoilt(job).entrySet()) {
       world.ask(
           0,
@@ -342,14 +342,14 @@
   }
 
   private interface Reading {
-    void read() throws BadMessage;
+    void read() throws MalformedMessageException;
   }
 
   private static String refusal(Reading reading) {
     try {
       reading.read();
       return "read";
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return "refused" + named(e.getMessage());
     }
   }
@@ -398,7 +398,7 @@
     return spoilt;
   }
 
-  private void holds() throws BadMessage {
+  private void holds() throws MalformedMessageException {
     HoldSite site = new HoldSite(SWEEPS, 30, 47);
     watch(site.world, 160);
     site.told("sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
@@ -411,7 +411,7 @@
     runUntil(site.world, 170);
   }
 
-  private void models() throws BadMessage {
+  private void models() throws MalformedMessageException {
     ModelSite site = new ModelSite(Site.tryOut(24, true), 48);
     watch(site.world, 150);
     site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
--- a/src/test/java/org/quincecross/emulator/RequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RequestCasesTest.java
@@ -22,10 +22,10 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.requests.Request;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /** Requests with a due time on three controllers, in virtual time. */
 class RequestCasesTest {
@@ -151,7 +151,7 @@
         null);
   }
 
-  private void set(String settings) throws BadMessage {
+  private void set(String settings) throws MalformedMessageException {
     String[] known = new String[1];
     world.ask(
         0,
@@ -191,8 +191,8 @@
     return on;
   }
 
-  private Fields row(int node, String reference) {
-    Fields[] row = new Fields[1];
+  private JsonFields row(int node, String reference) {
+    JsonFields[] row = new JsonFields[1];
     world.ask(
         node,
         HttpRequest.get("/admin/agreed/requests/" + reference),
@@ -202,7 +202,7 @@
                 response.status() == 200
                     ? Json.parseFields(response.body()).objects("rows").get(0)
                     : null;
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
           }
         });
@@ -387,7 +387,7 @@
    * room again when there is some.
    */
   @Test
-  void capacityShrinksBelowWhatIsReserved() throws BadMessage {
+  void capacityShrinksBelowWhatIsReserved() throws MalformedMessageException {
     world.time().runUntil(READY_S);
     for (int i = 0; i < 4; i++) {
       arrive(i % 3, "a" + i, "r-" + i, "police", 40 - i, 18);
@@ -416,8 +416,8 @@
     assertEquals(Request.State.RESERVED, watch.request("r-3").state(), watch.seen().toString());
     for (int node = 0; node < 3; node++) {
       assertTrue(
-          row(node, "r-0").text("without").contains("no room for 18 tasks"),
-          row(node, "r-0").text("without"));
+          row(node, "r-0").string("without").contains("no room for 18 tasks"),
+          row(node, "r-0").string("without"));
     }
     set("{\"renting\": true}");
     run(40);
@@ -435,7 +435,7 @@
    * rented. Then a whole zone goes.
    */
   @Test
-  void keptRoomIsNotReturnedAndIsMadeAnewInOtherZones() throws BadMessage {
+  void keptRoomIsNotReturnedAndIsMadeAnewInOtherZones() throws MalformedMessageException {
     world.time().runUntil(READY_S);
     arrive(1, "a", "r-1", "carrier", 24, 12);
     run(30);
@@ -466,8 +466,8 @@
     assertSound();
   }
 
-  private long changes(String reference) throws BadMessage {
-    return Fields.of(world.state().value("q/agreed/requests/" + reference), "a record")
+  private long changes(String reference) throws MalformedMessageException {
+    return JsonFields.of(world.state().value("q/agreed/requests/" + reference), "a record")
         .unsigned("change");
   }
 
@@ -476,7 +476,7 @@
    * answers keep their time.
    */
   @Test
-  void tenThousandOpenRequests() throws BadMessage {
+  void tenThousandOpenRequests() throws MalformedMessageException {
     world.time().runUntil(READY_S);
     for (int i = 0; i < 10_000; i++) {
       world
@@ -527,8 +527,8 @@
         byDue.subList(0, reserved).stream()
             .allMatch(request -> request.state() == Request.State.RESERVED),
         "first due first");
-    assertTrue(row(1, byDue.get(9_999).reference()).text("without").length() > 10, "told");
-    String why = row(1, byDue.get(reserved).reference()).text("without");
+    assertTrue(row(1, byDue.get(9_999).reference()).string("without").length() > 10, "told");
+    String why = row(1, byDue.get(reserved).reference()).string("without");
     System.err.println(reserved + " of 10000 reserved; the next: " + why);
     deliver(2, "d", byDue.get(0).reference());
     run(10);
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -23,11 +23,11 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.rollout.Build;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Features;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 
 /**
  * Controllers that are replaced one after the other by a build with another form of the stored
@@ -63,13 +63,13 @@
             """;
 
   /** Few changes a transaction: the switch has to fit. */
-  private final Site site = Site.tryOut(30, true).with(new Settings.StateLimits(400, 56, 2048, 4));
+  private final Site site = Site.tryOut(30, true).with(new Settings.StoreLimits(400, 56, 2048, 4));
 
   private final World world = new World(site, 5, Meter.OFF, new Features(null, null, OLD));
   private final List<JobId> arrays = new ArrayList<>();
   private final List<String> wrong = new ArrayList<>();
 
-  RolloutCasesTest() throws BadMessage {
+  RolloutCasesTest() throws MalformedMessageException {
     for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
       world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
       if (due.job().jobClass().equals("rebuild")) {
@@ -115,11 +115,11 @@
         : 1;
   }
 
-  private Fields status(int node) {
+  private JsonFields status(int node) {
     return world.status(node);
   }
 
-  private void assertAllIsWell(double untilS, int level) throws BadMessage {
+  private void assertAllIsWell(double untilS, int level) throws MalformedMessageException {
     world.time().runUntil(untilS);
     assertEquals(List.of(), world.rules().broken());
     assertEquals(List.of(), wrong);
@@ -134,7 +134,7 @@
             .sum(),
         "replicas");
     for (int node = 0; node < world.nodeCount(); node++) {
-      assertEquals(level, status(node).count("level", 1, 100), "level on " + node);
+      assertEquals(level, status(node).integer("level", 1, 100), "level on " + node);
     }
   }
 
@@ -150,7 +150,7 @@
    * then written as what changed.
    */
   @Test
-  void aRollUnderLoad() throws BadMessage {
+  void aRollUnderLoad() throws MalformedMessageException {
     rollAll(20, 8, NEW);
     world.time().runUntil(44);
     assertEquals(1, level());
@@ -165,7 +165,7 @@
    * old one.
    */
   @Test
-  void backHalfWay() throws BadMessage {
+  void backHalfWay() throws MalformedMessageException {
     world.time().at(20, () -> world.roll(0, NEW));
     world.time().at(28, () -> world.roll(1, NEW));
     world.time().at(36, () -> world.roll(0, OLD));
@@ -179,7 +179,7 @@
    * its old build it takes no part.
    */
   @Test
-  void oneThatIsAwayComesBackOldAndThenNew() throws BadMessage {
+  void oneThatIsAwayComesBackOldAndThenNew() throws MalformedMessageException {
     world.time().at(15, () -> world.down(2, 75));
     world.time().at(20, () -> world.roll(0, NEW));
     world.time().at(24, () -> world.roll(1, NEW));
@@ -187,16 +187,16 @@
     assertEquals(1, level());
     int leader = world.leader();
     assertTrue(
-        status(leader).text("level_waits_for").contains("n2, which is away"),
-        status(leader).text("level_waits_for"));
+        status(leader).string("level_waits_for").contains("n2, which is away"),
+        status(leader).string("level_waits_for"));
     set("{\"gone\": [\"n2\"]}");
     world.time().runUntil(80);
     assertEquals(2, level());
     world.time().runUntil(100);
-    assertTrue(status(2).text("unable").contains("level 2 is in force"), status(2).text("unable"));
+    assertTrue(status(2).string("unable").contains("level 2 is in force"), status(2).string("unable"));
     assertEquals(503, ask(2, HttpRequest.get("/up")));
     assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-1")));
-    assertEquals(0, status(2).count("blocks_held", 0, 1000));
+    assertEquals(0, status(2).integer("blocks_held", 0, 1000));
     world.time().at(110, () -> world.roll(2, NEW));
     assertAllIsWell(220, 2);
     assertEquals(200, ask(2, HttpRequest.get("/up")));
@@ -224,7 +224,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {-4.2, -4.05, -4, -3.95, -3.9, -1, 0, 0.01, 0.02})
-  void anOldOneJoinsInTheSameInstant(double offset) throws BadMessage {
+  void anOldOneJoinsInTheSameInstant(double offset) throws MalformedMessageException {
     rollAll(20, 4, NEW);
     double switchAt = switchedAt();
     RolloutCasesTest other = new RolloutCasesTest();
@@ -250,7 +250,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {-0.02, -0.01, -0.005, 0, 0.005, 1})
-  void theLeaderIsLostOverTheSwitch(double offset) throws BadMessage {
+  void theLeaderIsLostOverTheSwitch(double offset) throws MalformedMessageException {
     rollAll(20, 4, NEW);
     double switchAt = switchedAt();
     for (double still : new double[] {0, 6, 25}) {
@@ -271,7 +271,7 @@
   /** State outages, watches that are too old and a restart of all, while the level rises. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void troublesOverTheSwitch(int which) throws BadMessage {
+  void troublesOverTheSwitch(int which) throws MalformedMessageException {
     rollAll(20, 4, NEW);
     world
         .time()
@@ -297,7 +297,7 @@
    * nothing.
    */
   @Test
-  void aBuildFromBeforeLevelsNeverLeadsAfterTheSwitch() throws BadMessage {
+  void aBuildFromBeforeLevelsNeverLeadsAfterTheSwitch() throws MalformedMessageException {
     rollAll(20, 4, NEW);
     world.time().runUntil(60);
     assertEquals(2, level());
@@ -335,7 +335,7 @@
    * may come again.
    */
   @Test
-  void theLevelIsLowered() throws BadMessage {
+  void theLevelIsLowered() throws MalformedMessageException {
     rollAll(20, 4, NEW);
     world.time().runUntil(60);
     assertEquals(2, level());
@@ -352,14 +352,14 @@
    * read, and says which it is.
    */
   @Test
-  void aRecordThatCannotBeRead() throws BadMessage {
+  void aRecordThatCannotBeRead() throws MalformedMessageException {
     world.time().runUntil(30);
     String key = world.state().under("q/alloc/").iterator().next();
     Object good = world.state().value(key);
     world.state().write(key, Json.object("tasks", Json.object("17", "from the future")));
     world.time().runUntil(40);
     for (int node = 0; node < world.nodeCount(); node++) {
-      assertTrue(status(node).text("unable").contains(key), status(node).text("unable"));
+      assertTrue(status(node).string("unable").contains(key), status(node).string("unable"));
       assertEquals(503, ask(node, HttpRequest.get("/up")));
     }
     assertEquals(-1, world.leader());
@@ -374,7 +374,7 @@
     return status[0];
   }
 
-  private void set(String settings) throws BadMessage {
+  private void set(String settings) throws MalformedMessageException {
     int node = world.leader();
     int[] status = new int[1];
     String[] version = new String[1];
@@ -400,7 +400,7 @@
    * on the lowest holds, whoever leads.
    */
   @Test
-  void whileALimitDiffersTheLowestHolds() throws BadMessage {
+  void whileALimitDiffersTheLowestHolds() throws MalformedMessageException {
     JobId wide = new JobId("job-90000");
     Job job =
         new Job(
@@ -443,10 +443,10 @@
     assertTrue(world.leader() != other, "the leader was told the higher limit");
     assertTrue(
         status(world.leader())
-            .texts("settings_differ")
+            .strings("settings_differ")
             .toString()
             .contains(Site.nodeName(other) + " has other teams"),
-        status(world.leader()).texts("settings_differ").toString());
+        status(world.leader()).strings("settings_differ").toString());
     double most = 0;
     for (double at = 50; at < 80; at += 0.5) {
       world.time().runUntil(at);
@@ -457,6 +457,6 @@
     world.crash(other);
     assertAllIsWell(240, 2);
     assertEquals("done", world.users().told().get(wide));
-    assertEquals(List.of(), status(0).texts("settings_differ"));
+    assertEquals(List.of(), status(0).strings("settings_differ"));
   }
 }
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -15,7 +15,7 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Settings;
 
 /**
  * One-task jobs come four a second for minutes and a quarter of them is called off, while the state
@@ -29,7 +29,7 @@
   @ParameterizedTest
   @ValueSource(ints = {15, 80})
   void eachHasItsEndToldAndOthersGetThrough(int changes) {
-    Site site = Site.tryOut(60, true).with(new Settings.StateLimits(200, changes, 4096, 8));
+    Site site = Site.tryOut(60, true).with(new Settings.StoreLimits(200, changes, 4096, 8));
     World world = new World(site, changes, Meter.OFF);
     Random random = new Random(changes);
     List<JobId> others = new ArrayList<>();
--- a/src/test/java/org/quincecross/emulator/TrySiteTest.java
+++ b/src/test/java/org/quincecross/emulator/TrySiteTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.JobId;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /** A site of real processes and sockets on loopback. */
 class TrySiteTest {
@@ -33,7 +33,7 @@
   private static final String RUN =
       "java -Xmx80m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xshare:auto -cp "
           + System.getProperty("java.class.path")
-          + " org.quincecross.program.Main --config";
+          + " org.quincecross.cli.Main --config";
   private static final String JOBS =
       """
             [[jobs]]
@@ -79,19 +79,19 @@
    * every job ends.
    */
   @Test
-  void theRestartOfAllControllers() throws IOException, BadMessage {
+  void theRestartOfAllControllers() throws IOException, MalformedMessageException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     int status =
         new TrySite(plan(JOBS, 23_400, Drill.Kind.RESTART), new PrintStream(out, true)).run();
     String summary = out.toString(StandardCharsets.UTF_8);
     assertEquals(0, status, summary);
-    Fields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
+    JsonFields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
     assertEquals(List.of(), all.list("rules_broken"));
-    assertEquals("over", all.fields("drill").text("phase"));
-    assertEquals(6, all.fields("drill").count("replicas", 0, 100));
-    for (Fields controller : all.objects("controllers")) {
-      assertEquals(2, controller.count("starts", 0, 100));
-      assertTrue(controller.amount("resident_mb") < 200, summary);
+    assertEquals("over", all.fields("drill").string("phase"));
+    assertEquals(6, all.fields("drill").integer("replicas", 0, 100));
+    for (JsonFields controller : all.objects("controllers")) {
+      assertEquals(2, controller.integer("starts", 0, 100));
+      assertTrue(controller.nonNegativeNumber("resident_mb") < 200, summary);
     }
   }
 
@@ -100,7 +100,7 @@
    * machine, and done once it is closed.
    */
   @Test
-  void aHoldWhileAControllerIsKilled() throws IOException, BadMessage {
+  void aHoldWhileAControllerIsKilled() throws IOException, MalformedMessageException {
     String sweeps = JOBS.replace("run_s = 1.5", "run_s = 4").replace("tasks = 10", "tasks = 400");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     TrySite.Plan plan =
@@ -120,10 +120,10 @@
     int status = new TrySite(plan, new PrintStream(out, true)).run();
     String summary = out.toString(StandardCharsets.UTF_8);
     assertEquals(0, status, summary);
-    Fields drill =
+    JsonFields drill =
         Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8)).fields("drill");
-    assertEquals("over", drill.text("phase"));
-    assertTrue(drill.amount("pinned_s") < 40 && drill.count("tasks_running", 1, 1000) > 0, summary);
+    assertEquals("over", drill.string("phase"));
+    assertTrue(drill.nonNegativeNumber("pinned_s") < 40 && drill.integer("tasks_running", 1, 1000) > 0, summary);
   }
 
   /**
@@ -132,7 +132,7 @@
    * ends, no rule is broken.
    */
   @Test
-  void aRollOfRealControllersOverALevel() throws IOException, BadMessage {
+  void aRollOfRealControllersOverALevel() throws IOException, MalformedMessageException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String jobs =
         JOBS
@@ -155,15 +155,15 @@
     int status = new TrySite(plan, new PrintStream(out, true)).run();
     String summary = out.toString(StandardCharsets.UTF_8);
     assertEquals(0, status, summary);
-    Fields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
+    JsonFields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
     assertEquals(List.of(), all.list("rules_broken"));
-    assertEquals("over", all.fields("drill").text("phase"));
+    assertEquals("over", all.fields("drill").string("phase"));
     assertTrue(
-        all.fields("drill").amount("level_risen_s") > 20
-            && all.fields("drill").amount("limits_lowered_s") > 20,
+        all.fields("drill").nonNegativeNumber("level_risen_s") > 20
+            && all.fields("drill").nonNegativeNumber("limits_lowered_s") > 20,
         summary);
-    assertEquals(2, all.count("dependent_jobs", 0, 100));
-    assertTrue(all.amount("dependent_accepted_within_s") < 5, summary);
+    assertEquals(2, all.integer("dependent_jobs", 0, 100));
+    assertTrue(all.nonNegativeNumber("dependent_accepted_within_s") < 5, summary);
     assertEquals(
         List.of(4L, 2L, 2L),
         all.objects("controllers").stream().map(controller -> controller.raw("starts")).toList());
@@ -180,7 +180,7 @@
                 JAVA,
                 "-cp",
                 System.getProperty("java.class.path"),
-                "org.quincecross.program.Main",
+                "org.quincecross.cli.Main",
                 "try",
                 "--machines",
                 "9",
@@ -223,7 +223,7 @@
 
   /** Each copy of a job waits for a copy of each job that its table names. */
   @Test
-  void aJobsFileWithAPipeline() throws BadMessage {
+  void aJobsFileWithAPipeline() throws MalformedMessageException {
     String next =
         JOBS.substring(JOBS.indexOf("[[jobs]]", 5))
                 .replace("\"rebuild\"", "\"next\"")
@@ -282,9 +282,9 @@
             })
         .forEach(
             each -> {
-              BadMessage e =
+              MalformedMessageException e =
                   assertThrows(
-                      BadMessage.class,
+                      MalformedMessageException.class,
                       () ->
                           JobsFile.read(
                               JOBS.replaceFirst(each[0].replace("[", "\\["), each[1]), site));
--- a/src/test/java/org/quincecross/emulator/WholeServiceTest.java
+++ b/src/test/java/org/quincecross/emulator/WholeServiceTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.JobId;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
 
 /**
  * Days of a whole deployment with troubles drawn from fixed seeds: every rule is kept, and all work
@@ -100,7 +100,7 @@
    * wait, with the reason.
    */
   @Test
-  void whatMakesNoProgressIsNamedWithWhatItWaitsFor() throws BadMessage {
+  void whatMakesNoProgressIsNamedWithWhatItWaitsFor() throws MalformedMessageException {
     World world = new World(3);
     world.time().at(5, () -> world.users().submitService(2));
     world.time().at(8, () -> world.users().submitLargeGang(1, 8));
@@ -118,11 +118,11 @@
     assertEquals(Set.of(), stalled(world));
   }
 
-  private static Set<String> stalled(World world) throws BadMessage {
+  private static Set<String> stalled(World world) throws MalformedMessageException {
     Set<String> stalled = new TreeSet<>();
     for (int node = 0; node < world.nodeCount(); node++) {
-      for (Fields stall : world.status(node).objects("stalled")) {
-        stalled.add(stall.text("job") + " " + stall.texts("waits_for"));
+      for (JsonFields stall : world.status(node).objects("stalled")) {
+        stalled.add(stall.string("job") + " " + stall.strings("waits_for"));
       }
     }
     return stalled;
--- a/src/test/java/org/quincecross/leader/AllocationsTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationsTest.java
@@ -26,8 +26,8 @@
 import org.quincecross.state.Ledger;
 import org.quincecross.state.LedgerTool;
 import org.quincecross.state.LevelRecord;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.StateCodec.Change;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 /**
  * A block whose whole record is up to four times as large as a value may be now: it shrinks, and
@@ -50,7 +50,7 @@
   @SuppressWarnings("unchecked")
   private void apply(TxnPlan plan) {
     revision++;
-    for (Change change : plan.changes()) {
+    for (Mutation change : plan.changes()) {
       assertTrue(
           change.value() == null || Json.write(change.value()).length <= LIMIT, change.key());
       LedgerTool.put(ledger, change.key(), (Map<String, Object>) change.value(), revision);
--- a/src/test/java/org/quincecross/leader/FleetTest.java
+++ b/src/test/java/org/quincecross/leader/FleetTest.java
@@ -36,9 +36,9 @@
 import org.quincecross.state.LedgerTool;
 import org.quincecross.state.MemberRecord;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.wire.CloudCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 
 /** What the fleet returns and what it leaves alone when machines fall silent. */
 class FleetTest {
@@ -98,16 +98,16 @@
             List.of("a", "b"),
             Map.of(),
             List.of(),
-            new Settings.Workers(
+            new Settings.AgentTimeouts(
                 TimeSpan.ofSeconds(1),
                 TimeSpan.ofSeconds(10),
                 TimeSpan.ofSeconds(30),
                 TimeSpan.ofSeconds(5),
                 TimeSpan.ofSeconds(40)),
-            new Settings.StateLimits(100, 50, 4096, 8),
+            new Settings.StoreLimits(100, 50, 4096, 8),
             new Settings.CloudLimits(10, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(1),
-            new Settings.Quota(1, 100, 1000));
+            new Settings.ProcessLimits(1, 100, 1000));
     fleet =
         new Fleet(
             clock,
--- a/src/test/java/org/quincecross/leader/LeasesTest.java
+++ b/src/test/java/org/quincecross/leader/LeasesTest.java
@@ -35,10 +35,10 @@
 import org.quincecross.state.LedgerTool;
 import org.quincecross.state.MemberRecord;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.wire.CloudCodec;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec.Change;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 /**
  * A start that was never answered and never showed is refused only under a higher token (incident
@@ -68,16 +68,16 @@
             List.of("a"),
             Map.of(),
             List.of(),
-            new Settings.Workers(
+            new Settings.AgentTimeouts(
                 TimeSpan.ofSeconds(1),
                 TimeSpan.ofSeconds(10),
                 TimeSpan.ofSeconds(30),
                 TimeSpan.ofSeconds(5),
                 TimeSpan.ofSeconds(40)),
-            new Settings.StateLimits(100, 50, 4096, 8),
+            new Settings.StoreLimits(100, 50, 4096, 8),
             new Settings.CloudLimits(10, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(1),
-            new Settings.Quota(1, 100, 1000));
+            new Settings.ProcessLimits(1, 100, 1000));
     Foresight foresight = new Foresight(ledger);
     Fleet fleet =
         new Fleet(
@@ -112,7 +112,7 @@
     LedgerTool.advance(ledger, 2);
   }
 
-  private List<Change> planned(boolean inDoubt, boolean secondIsFenced) {
+  private List<Mutation> planned(boolean inDoubt, boolean secondIsFenced) {
     List<PeerReport.MachineState> machines =
         List.of(machine("m-0", true), machine("m-1", secondIsFenced));
     PeerReport.Block block =
@@ -168,7 +168,7 @@
         List.of(),
         planned(true, false),
         "a machine that is not fenced would keep the block unsettled");
-    List<Change> changes = planned(true, true);
+    List<Mutation> changes = planned(true, true);
     assertEquals(1, changes.size());
     LedgerTool.put(ledger, Keys.block(BLOCK), cast(changes.get(0).value()), 7);
     LedgerTool.advance(ledger, 7);
@@ -228,7 +228,7 @@
     for (int plans = 0; plans < 5; plans++) {
       TxnPlan plan = new TxnPlan(ledger, 4, 1000);
       leases.plan(plan);
-      for (Change change : plan.changes()) {
+      for (Mutation change : plan.changes()) {
         LedgerTool.put(ledger, change.key(), cast(change.value()), 10 + plans);
       }
       LedgerTool.advance(ledger, 10 + plans);
--- a/src/test/java/org/quincecross/leader/ResultsTest.java
+++ b/src/test/java/org/quincecross/leader/ResultsTest.java
@@ -30,8 +30,8 @@
 import org.quincecross.state.Keys;
 import org.quincecross.state.Ledger;
 import org.quincecross.state.LedgerTool;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.StateCodec.Change;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 class ResultsTest {
   private static final int MOST_CHANGES = 8;
@@ -124,7 +124,7 @@
     for (int plans = 0; plans < 5; plans++) {
       TxnPlan plan = new TxnPlan(ledger, MOST_CHANGES, 4000);
       results.plan(plan, results.completions());
-      for (Change change : plan.changes()) {
+      for (Mutation change : plan.changes()) {
         put(change.key(), change.value());
         written++;
       }
@@ -201,7 +201,7 @@
     for (int plans = 0; plans < 8; plans++) {
       TxnPlan plan = new TxnPlan(ledger, 4, 1000);
       results.plan(plan, results.completions());
-      for (Change change : plan.changes()) {
+      for (Mutation change : plan.changes()) {
         assertTrue(Json.write(change.value()).length <= 1000, change.key());
         put(change.key(), change.value());
       }
--- a/src/test/java/org/quincecross/leader/TxnBoundsTest.java
+++ b/src/test/java/org/quincecross/leader/TxnBoundsTest.java
@@ -11,9 +11,9 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.Ledger;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
-import org.quincecross.wire.StateCodec.Change;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 /**
  * A service that takes less than the settings say: what fits there is written all the same,
@@ -26,7 +26,7 @@
       @ForAll @IntRange(min = 600, max = 8192) int takesValue,
       @ForAll @IntRange(min = 3, max = 24) int toldChanges,
       @ForAll @IntRange(min = 0, max = 10) int tooLarge) {
-    TxnBounds bounds = new TxnBounds(new Settings.StateLimits(100, 100, 8192, toldChanges));
+    TxnBounds bounds = new TxnBounds(new Settings.StoreLimits(100, 100, 8192, toldChanges));
     Ledger ledger = new Ledger();
     Map<String, Map<String, Object>> waiting = new TreeMap<>();
     for (int i = 0; i < 20; i++) {
@@ -45,7 +45,7 @@
               && plan.changes().stream()
                   .allMatch(change -> Json.write(change.value()).length <= takesValue);
       if (taken) {
-        plan.changes().stream().map(Change::key).forEach(waiting::remove);
+        plan.changes().stream().map(Mutation::key).forEach(waiting::remove);
       } else {
         refusals++;
         bounds.refused(plan.changes(), now);
--- a/src/test/java/org/quincecross/peer/GoldenFramesTest.java
+++ b/src/test/java/org/quincecross/peer/GoldenFramesTest.java
@@ -12,7 +12,7 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.Value;
 import org.quincecross.GoldenFiles;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Frames as builds before sent them are read, and are the same when they are written again; the
@@ -20,7 +20,7 @@
  */
 class GoldenFramesTest {
   @Test
-  void framesAreReadAndWrittenTheSame() throws IOException, BadMessage {
+  void framesAreReadAndWrittenTheSame() throws IOException, MalformedMessageException {
     List<String[]> frames = GoldenFiles.messages("frame");
     assertTrue(frames.size() > 10);
     for (String[] line : frames) {
--- a/src/test/java/org/quincecross/peer/PeerCodecTest.java
+++ b/src/test/java/org/quincecross/peer/PeerCodecTest.java
@@ -23,7 +23,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.FencingToken;
-import org.quincecross.wire.BadMessage;
+import org.quincecross.protocol.MalformedMessageException;
 
 class PeerCodecTest {
   @Provide
@@ -97,7 +97,7 @@
   }
 
   @Property(tries = 200, seed = "6")
-  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerReport report) throws BadMessage {
+  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerReport report) throws MalformedMessageException {
     assertEquals(report, PeerCodec.read(PeerCodec.write(report)));
   }
 
@@ -107,12 +107,12 @@
     byte[] part = Arrays.copyOf(whole, whole.length - 1);
     byte[] more = Arrays.copyOf(whole, whole.length + 1);
     for (byte[] bad : List.of(part, more)) {
-      assertThrows(BadMessage.class, () -> PeerCodec.read(bad));
+      assertThrows(MalformedMessageException.class, () -> PeerCodec.read(bad));
     }
   }
 
   @Property(tries = 500, seed = "8")
   void garbageIsABadMessageAndNothingElse(@ForAll byte[] garbage) {
-    assertThrows(BadMessage.class, () -> PeerCodec.read(garbage));
+    assertThrows(MalformedMessageException.class, () -> PeerCodec.read(garbage));
   }
 }
--- a/src/test/java/org/quincecross/wire/FeaturesTest.java
+++ b/src/test/java/org/quincecross/protocol/FeaturesTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,32 +15,32 @@
 import org.quincecross.overload.Shares;
 
 class FeaturesTest {
-  private static Features read(String json) throws BadMessage {
+  private static Features read(String json) throws MalformedMessageException {
     return Features.read(json.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
-  void whatIsNotNamedIsOff() throws BadMessage {
+  void whatIsNotNamedIsOff() throws MalformedMessageException {
     assertEquals(Features.NONE, read("{}"));
     assertEquals(Shares.DEFAULTS, read("{\"overload\": {}}").overload());
-    assertNull(read("{\"overload\": {}}").servedEvery());
+    assertNull(read("{\"overload\": {}}").accountingInterval());
     assertEquals(0.2, read("{\"overload\": {\"floor\": 0.2}}").overload().floor());
-    assertEquals(60, read("{\"served\": {\"log_every_s\": 60}}").servedEvery().seconds());
+    assertEquals(60, read("{\"served\": {\"log_every_s\": 60}}").accountingInterval().seconds());
   }
 
   /** Levels run where the service is deployed, up to the one without agreed records. */
   @Test
-  void whatIsDeployedTakesPartInLevelTwo() throws BadMessage, IOException {
+  void whatIsDeployedTakesPartInLevelTwo() throws MalformedMessageException, IOException {
     Features deployed = Features.read(Files.readAllBytes(Path.of("deploy/features.json")));
     assertEquals(2, deployed.build().most().number());
-    assertNull(deployed.agreed());
+    assertNull(deployed.replicatedFeatures());
   }
 
   /** A controller announces the level of agreed records only where they are named. */
   @Test
-  void agreedRecordsComeWithTheirLevel() throws BadMessage {
+  void agreedRecordsComeWithTheirLevel() throws MalformedMessageException {
     assertEquals(2, read("{\"rollout\": {}}").build().most().number());
-    assertNull(read("{\"rollout\": {}}").agreed());
+    assertNull(read("{\"rollout\": {}}").replicatedFeatures());
     assertEquals(
         3,
         read("{\"rollout\": {}, \"agreed\": {\"holds\": {\"review_days\": 3}}}")
@@ -48,7 +48,7 @@
             .most()
             .number());
     assertEquals(
-        Set.of("holds"), read("{\"rollout\": {}, \"agreed\": {\"holds\": {}}}").agreed().keySet());
+        Set.of("holds"), read("{\"rollout\": {}, \"agreed\": {\"holds\": {}}}").replicatedFeatures().keySet());
   }
 
   @ParameterizedTest
@@ -73,6 +73,6 @@
         "{\"served\": {\"log_every_s\": 1e6}}"
       })
   void whatIsWrongIsRefused(String json) {
-    assertThrows(BadMessage.class, () -> read(json));
+    assertThrows(MalformedMessageException.class, () -> read(json));
   }
 }
--- a/src/test/java/org/quincecross/wire/JobCodecTest.java
+++ b/src/test/java/org/quincecross/protocol/JobCodecTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -40,7 +40,7 @@
             words,
             Arbitraries.of(JobKind.class),
             Arbitraries.of(Priority.class),
-            Arbitraries.integers().between(1, JobCodec.MOST_TASKS));
+            Arbitraries.integers().between(1, JobCodec.MAX_TASKS));
     var place =
         Combinators.combine(
                 Arbitraries.of(true, false),
@@ -89,7 +89,7 @@
   }
 
   @Property(tries = 300, seed = "4")
-  void whatIsWrittenReadsTheSame(@ForAll("jobs") Job job) throws BadMessage {
+  void whatIsWrittenReadsTheSame(@ForAll("jobs") Job job) throws MalformedMessageException {
     assertEquals(job, JobCodec.read(Json.parseFields(Json.write(JobCodec.write(job)))));
   }
 
@@ -98,7 +98,7 @@
    * says nothing.
    */
   @Property(tries = 100, seed = "6")
-  void aSubmissionHasAllItsFields(@ForAll("jobs") Job job) throws BadMessage {
+  void aSubmissionHasAllItsFields(@ForAll("jobs") Job job) throws MalformedMessageException {
     assertEquals(
         job, JobCodec.readSubmission(Json.parseFields(Json.write(JobCodec.submission(job)))));
     for (String name : JobCodec.submission(job).keySet()) {
@@ -106,7 +106,7 @@
       lacking.remove(name);
       if (!Set.of("Hulls", "Yard", "DueS", "WaitsOn").contains(name)) {
         assertThrows(
-            BadMessage.class,
+            MalformedMessageException.class,
             () -> JobCodec.readSubmission(Json.parseFields(Json.write(lacking))),
             name);
       }
@@ -145,12 +145,12 @@
         0.0);
   }
 
-  private static void readText(String json) throws BadMessage {
+  private static void readText(String json) throws MalformedMessageException {
     JobCodec.read(Json.parseFields(json.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
   }
 
   @Example
-  void namesWhatIsWrong() throws BadMessage {
+  void namesWhatIsWrong() throws MalformedMessageException {
     String good = new String(Json.write(plain()), java.nio.charset.StandardCharsets.UTF_8);
     readText(good);
     List<String> bad =
@@ -173,7 +173,7 @@
             "",
             "null");
     for (String text : bad) {
-      assertThrows(BadMessage.class, () -> readText(text), text);
+      assertThrows(MalformedMessageException.class, () -> readText(text), text);
     }
   }
 
@@ -182,7 +182,7 @@
    * is no list of ids is malformed.
    */
   @Example
-  void namesJobsToWaitOn() throws BadMessage {
+  void namesJobsToWaitOn() throws MalformedMessageException {
     String good =
         new String(Json.write(plain()), java.nio.charset.StandardCharsets.UTF_8)
             .replace("}", ",\"WaitsOn\":?}");
@@ -212,7 +212,7 @@
             "[\"task-7\"]",
             "[[\"job-7\"]]",
             "true")) {
-      assertThrows(BadMessage.class, () -> readText(good.replace("?", bad)), bad);
+      assertThrows(MalformedMessageException.class, () -> readText(good.replace("?", bad)), bad);
     }
   }
 
@@ -220,7 +220,7 @@
   void garbageIsABadMessageAndNothingElse(@ForAll byte[] garbage) {
     try {
       JobCodec.read(Json.parseFields(garbage));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       assertEquals(false, e.getMessage().isEmpty());
     }
   }
--- a/src/test/java/org/quincecross/wire/SettingsTest.java
+++ b/src/test/java/org/quincecross/protocol/SettingsTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.wire;
+package org.quincecross.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -15,9 +15,9 @@
 import org.quincecross.model.TimeSpan;
 
 class SettingsTest {
-  private static final Settings.StateLimits PRESENT = new Settings.StateLimits(100, 10, 4096, 8);
+  private static final Settings.StoreLimits PRESENT = new Settings.StoreLimits(100, 10, 4096, 8);
 
-  private static Settings with(double lease, double cancel) throws BadMessage {
+  private static Settings with(double lease, double cancel) throws MalformedMessageException {
     return Settings.read(SettingsWriter.write(settings(lease, cancel)));
   }
 
@@ -34,7 +34,7 @@
         List.of("a"),
         Map.of(),
         List.of(),
-        new Settings.Workers(
+        new Settings.AgentTimeouts(
             TimeSpan.ofSeconds(1),
             TimeSpan.ofSeconds(lease),
             TimeSpan.ofSeconds(30),
@@ -43,7 +43,7 @@
         PRESENT,
         new Settings.CloudLimits(4, TimeSpan.ofSeconds(2)),
         TimeSpan.ofSeconds(1),
-        new Settings.Quota(1, 200, 1000));
+        new Settings.ProcessLimits(1, 200, 1000));
   }
 
   /**
@@ -51,9 +51,9 @@
    * than run and break it.
    */
   @Test
-  void leasesTooLongForCancellationsAreNamed() throws BadMessage {
-    assertEquals(TimeSpan.ofSeconds(60), with(60, 36).workers().lease());
-    String why = assertThrows(BadMessage.class, () -> with(80, 36)).getMessage();
+  void leasesTooLongForCancellationsAreNamed() throws MalformedMessageException {
+    assertEquals(TimeSpan.ofSeconds(60), with(60, 36).agentTimeouts().lease());
+    String why = assertThrows(MalformedMessageException.class, () -> with(80, 36)).getMessage();
     assertEquals(
         "field lease_s is too long for what cancel_s says: tasks that nobody reaches go on for a lease",
         why);
@@ -68,23 +68,23 @@
       @ForAll @IntRange(min = 1, max = 200) int perS,
       @ForAll @IntRange(min = 1, max = 64) int quarterKb,
       @ForAll @IntRange(min = 1, max = 40) int changes)
-      throws BadMessage {
-    Settings.StateLimits next =
-        new Settings.StateLimits(perS, perS / 2.0, quarterKb * 256, changes);
+      throws MalformedMessageException {
+    Settings.StoreLimits next =
+        new Settings.StoreLimits(perS, perS / 2.0, quarterKb * 256, changes);
     byte[] file = SettingsWriter.write(settings(60, 36), next);
     assertEquals(
-        new Settings.StateLimits(
+        new Settings.StoreLimits(
             Math.min(100, perS),
             Math.min(10, perS / 2.0),
             Math.min(4096, quarterKb * 256),
             Math.min(8, changes)),
-        Settings.read(file).stateLimits());
-    assertEquals(PRESENT, Settings.read(SettingsWriter.write(settings(60, 36))).stateLimits());
+        Settings.read(file).storeLimits());
+    assertEquals(PRESENT, Settings.read(SettingsWriter.write(settings(60, 36))).storeLimits());
     String some =
         new String(file, StandardCharsets.UTF_8)
             .replaceFirst("(\"next\":\\{).*?(\"txn_ops\":[0-9]+\\})", "$1$2");
     assertEquals(
-        new Settings.StateLimits(100, 10, 4096, Math.min(8, changes)),
-        Settings.read(some.getBytes(StandardCharsets.UTF_8)).stateLimits());
+        new Settings.StoreLimits(100, 10, 4096, Math.min(8, changes)),
+        Settings.read(some.getBytes(StandardCharsets.UTF_8)).storeLimits());
   }
 }
--- a/src/test/java/org/quincecross/served/ServedBooksTest.java
+++ b/src/test/java/org/quincecross/served/ServedBooksTest.java
@@ -21,8 +21,8 @@
 import org.quincecross.model.MonotonicTime;
 
 class ServedBooksTest {
-  private static final ServiceLevelObjective START = new ServiceLevelObjective("wait 10 s", ServiceLevelObjective.Milestone.EACH_START, TimeSpan.ofSeconds(10));
-  private static final ServiceLevelObjective END = new ServiceLevelObjective("deadline 1.00x", ServiceLevelObjective.Milestone.END, TimeSpan.ofSeconds(40));
+  private static final ServiceLevelObjective START = new ServiceLevelObjective("wait 10 s", ServiceLevelObjective.Event.EACH_START, TimeSpan.ofSeconds(10));
+  private static final ServiceLevelObjective END = new ServiceLevelObjective("deadline 1.00x", ServiceLevelObjective.Event.END, TimeSpan.ofSeconds(40));
 
   private static MonotonicTime at(double seconds) {
     return new MonotonicTime((long) (seconds * 1e9));
--- a/src/test/java/org/quincecross/state/AllocationChangeTest.java
+++ b/src/test/java/org/quincecross/state/AllocationChangeTest.java
@@ -11,8 +11,8 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 class AllocationChangeTest {
   private static Map<JobId, TaskSet> tasks(Random random) {
@@ -36,7 +36,7 @@
    * record says nothing.
    */
   @Property(tries = 200, seed = "6")
-  void whatChangedIsReadAsTheWhole(@ForAll Random random) throws BadMessage {
+  void whatChangedIsReadAsTheWhole(@ForAll Random random) throws MalformedMessageException {
     Allocation whole = new Allocation(tasks(random), new Revision(7));
     Map<JobId, TaskSet> next = tasks(random);
     AllocationChange change =
--- a/src/test/java/org/quincecross/state/FollowerTest.java
+++ b/src/test/java/org/quincecross/state/FollowerTest.java
@@ -14,8 +14,8 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.SteppedClock;
-import org.quincecross.wire.Json;
-import org.quincecross.wire.Settings;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
 
 /**
  * Whether the ledger is complete up to what is said to be confirmed, with every answer of the state
@@ -50,7 +50,7 @@
             clock,
             (to, request, timeout, done) -> calls.add(new Call(request, done)),
             state,
-            new Settings.StateLimits(10_000, 1000, 4096, 8));
+            new Settings.StoreLimits(10_000, 1000, 4096, 8));
     follower = new Follower(clock, client, ledger);
     follower.start();
     answerPages(10);
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -23,10 +23,10 @@
 import org.quincecross.model.Revision;
 import org.quincecross.models.ModelKind;
 import org.quincecross.requests.RequestKind;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.CloudCodec;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.Json;
 
 /**
  * Records as builds before wrote them are read, and are the same bytes when they are written again.
@@ -36,7 +36,7 @@
   private static final RequestKind REQUESTS = new RequestKind(request -> null, 86_400_000);
 
   @Test
-  void recordsAreReadAndWrittenByteForByte() throws IOException, BadMessage, Unreadable {
+  void recordsAreReadAndWrittenByteForByte() throws IOException, MalformedMessageException, Unreadable {
     TreeSet<String> kinds = new TreeSet<>();
     for (String[] line : GoldenFiles.messages("record ")) {
       Object value = Json.parse(line[2].getBytes(StandardCharsets.UTF_8));
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void allRecordsCanBeRead() throws IOException, BadMessage {
+  void allRecordsCanBeRead() throws IOException, MalformedMessageException {
     Ledger ledger = new Ledger();
     for (Kind<?, ?> kind :
         List.of(new HoldKind(), new ClaimKind(), new SweepKind(), REQUESTS, new ModelKind())) {
@@ -84,7 +84,7 @@
         ledger.members().size() >= 3 && ledger.leader() != null && !ledger.types().isEmpty());
   }
 
-  private static Object again(String key, Object value) throws BadMessage, Unreadable {
+  private static Object again(String key, Object value) throws MalformedMessageException, Unreadable {
     String[] parts = key.split("/");
     return switch (parts[1]) {
       case "job" -> job(JobRecord.read(new JobId(parts[2]), value, VERSION));
@@ -110,8 +110,8 @@
       case "done" ->
           DoneTasks.write(
               DoneTasks.read(value, Integer.parseInt(parts[3])), Integer.parseInt(parts[3]));
-      case "page" -> DoneTasks.writePage(TaskSets.read(Fields.of(value, "a page").fields("jobs")));
-      case "type" -> CloudCodec.writeCatalog(CloudCodec.readCatalog(Fields.of(value, "a type")));
+      case "page" -> DoneTasks.writePage(TaskSets.read(JsonFields.of(value, "a page").fields("jobs")));
+      case "type" -> CloudCodec.writeCatalog(CloudCodec.readCatalog(JsonFields.of(value, "a type")));
       case "level" -> LevelRecord.write(LevelRecord.read(value, VERSION).level());
       case "settings" -> OperatorSettings.readRecord(value, OperatorSettings.DEFAULTS).write();
       case "agreed" ->
--- a/src/test/java/org/quincecross/state/JobBookTest.java
+++ b/src/test/java/org/quincecross/state/JobBookTest.java
@@ -27,10 +27,10 @@
 import org.quincecross.model.Revision;
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Fields;
-import org.quincecross.wire.JobCodec;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
 
 class JobBookTest {
   private final Ledger ledger = new Ledger();
@@ -91,14 +91,14 @@
    * What builds before pipelines ask of a record and of a bundle: of an open job the field {@code
    * job}. Without it the record cannot be read, and who has such a one is no member any more.
    */
-  private static void readAsBefore(Map<String, Object> value) throws BadMessage {
-    Fields in = Json.parseFields(Json.write(value));
+  private static void readAsBefore(Map<String, Object> value) throws MalformedMessageException {
+    JsonFields in = Json.parseFields(Json.write(value));
     if (in.has("jobs")) {
-      for (Fields one : in.objects("jobs")) {
+      for (JsonFields one : in.objects("jobs")) {
         one.fields("job");
       }
-    } else if (in.text("phase").equals("open") && !in.has("job")) {
-      throw new BadMessage("an open job without its description");
+    } else if (in.string("phase").equals("open") && !in.has("job")) {
+      throw new MalformedMessageException("an open job without its description");
     } else if (in.has("job")) {
       JobCodec.read(in.fields("job"));
     }
@@ -109,14 +109,14 @@
    * it is over it can.
    */
   @Example
-  void aBuildThatKnowsNoPipelinesCannotReadWhatWaits() throws BadMessage {
+  void aBuildThatKnowsNoPipelinesCannotReadWhatWaits() throws MalformedMessageException {
     Map<String, Object> plain = JobRecord.open(job(id(1), Set.of()), 7);
     Map<String, Object> waits = JobRecord.open(job(id(2), Set.of(id(1))), 7);
     readAsBefore(plain);
     readAsBefore(JobRecord.bundle(List.of(plain)));
-    Assertions.assertThrows(BadMessage.class, () -> readAsBefore(waits));
+    Assertions.assertThrows(MalformedMessageException.class, () -> readAsBefore(waits));
     Assertions.assertThrows(
-        BadMessage.class, () -> readAsBefore(JobRecord.bundle(List.of(plain, waits))));
+        MalformedMessageException.class, () -> readAsBefore(JobRecord.bundle(List.of(plain, waits))));
     JobRecord read = JobRecord.read(id(2), Json.parse(Json.write(waits)), new Revision(3));
     readAsBefore(read.cancelled(9));
     readAsBefore(read.done());
--- a/src/test/java/org/quincecross/state/LedgerTool.java
+++ b/src/test/java/org/quincecross/state/LedgerTool.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.quincecross.model.Revision;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 /** Lets tests of other packages change a ledger as the follower does. */
 public final class LedgerTool {
@@ -15,7 +15,7 @@
     try {
       ledger.apply(
           key, value == null ? null : Json.parse(Json.write(value)), new Revision(revision));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       throw new IllegalArgumentException(e);
     }
   }
@@ -32,7 +32,7 @@
           try {
             entries.put(
                 key, new Ledger.StateEntry(Json.parse(Json.write(value)), new Revision(revision)));
-          } catch (BadMessage e) {
+          } catch (MalformedMessageException e) {
             throw new IllegalArgumentException(e);
           }
         });
--- a/src/test/java/org/quincecross/state/OperatorSettingsTest.java
+++ b/src/test/java/org/quincecross/state/OperatorSettingsTest.java
@@ -9,11 +9,11 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 class OperatorSettingsTest {
-  private static OperatorSettings read(String json) throws BadMessage {
+  private static OperatorSettings read(String json) throws MalformedMessageException {
     return OperatorSettings.read(
         Json.parse(json.getBytes(StandardCharsets.UTF_8)), OperatorSettings.DEFAULTS);
   }
@@ -24,7 +24,7 @@
       @ForAll boolean returning,
       @ForAll @IntRange(max = 86_400) int idle,
       @ForAll @IntRange(max = 1000) int spare)
-      throws BadMessage {
+      throws MalformedMessageException {
     OperatorSettings settings = new OperatorSettings(renting, returning, idle, spare, 0, List.of());
     assertEquals(
         settings,
@@ -32,7 +32,7 @@
   }
 
   @Example
-  void whatIsLeftOutStays() throws BadMessage {
+  void whatIsLeftOutStays() throws MalformedMessageException {
     assertEquals(new OperatorSettings(true, true, 60, 2, 0, List.of()), read("{\"idle_s\":60}"));
   }
 
@@ -47,7 +47,7 @@
           "{\"renting\":1}",
           "{\"rentin\":true}"
         }) {
-      assertThrows(BadMessage.class, () -> read(bad), bad);
+      assertThrows(MalformedMessageException.class, () -> read(bad), bad);
     }
   }
 }
--- a/src/test/java/org/quincecross/state/QuotaRecordTest.java
+++ b/src/test/java/org/quincecross/state/QuotaRecordTest.java
@@ -13,8 +13,8 @@
 import org.quincecross.model.Resources;
 import org.quincecross.quota.NodeSpec;
 import org.quincecross.quota.NodeSpec.Kind;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 class QuotaRecordTest {
   private static double amount(Random random, double leftOut) {
@@ -46,12 +46,12 @@
     return specs;
   }
 
-  private static List<NodeSpec> read(byte[] json) throws BadMessage {
+  private static List<NodeSpec> read(byte[] json) throws MalformedMessageException {
     return QuotaRecord.read(Json.parse(json));
   }
 
   @Property(tries = 200, seed = "71")
-  void aTreeReadsAsItWasWritten(@ForAll long seed) throws BadMessage {
+  void aTreeReadsAsItWasWritten(@ForAll long seed) throws MalformedMessageException {
     List<NodeSpec> tree = some(new Random(seed), 0);
     assertEquals(tree, read(Json.write(QuotaRecord.write(tree))));
   }
@@ -69,14 +69,14 @@
     }
     try {
       read(json);
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       assertEquals(-1, e.getMessage().indexOf('\n'));
     }
   }
 
   private static void assertBad(String message, String nodes) {
     byte[] json = ("{\"nodes\":[" + nodes + "]}").getBytes(StandardCharsets.UTF_8);
-    assertEquals(message, assertThrows(BadMessage.class, () -> read(json)).getMessage());
+    assertEquals(message, assertThrows(MalformedMessageException.class, () -> read(json)).getMessage());
   }
 
   @Example
--- a/src/test/java/org/quincecross/state/RecordsTest.java
+++ b/src/test/java/org/quincecross/state/RecordsTest.java
@@ -31,13 +31,13 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
-import org.quincecross.wire.BadMessage;
-import org.quincecross.wire.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Json;
 
 class RecordsTest {
   private static final int SMALLEST_VALUE = 1024;
 
-  private static Object throughJson(Map<String, Object> value) throws BadMessage {
+  private static Object throughJson(Map<String, Object> value) throws MalformedMessageException {
     return Json.parse(Json.write(value));
   }
 
@@ -46,7 +46,7 @@
       @ForAll @IntRange(max = 2) int chunk,
       @ForAll @IntRange(max = 100) int percent,
       @ForAll int seed)
-      throws BadMessage {
+      throws MalformedMessageException {
     Random random = new Random(seed);
     TaskSet all = new TaskSet();
     TaskSet inChunk = new TaskSet();
@@ -64,7 +64,7 @@
   }
 
   @Property(tries = 100, seed = "13")
-  void allocationsReadTheSame(@ForAll int seed) throws BadMessage {
+  void allocationsReadTheSame(@ForAll int seed) throws MalformedMessageException {
     Random random = new Random(seed);
     Map<JobId, TaskSet> tasks = new java.util.LinkedHashMap<>();
     for (int j = 0; j < random.nextInt(6); j++) {
@@ -86,7 +86,7 @@
   void unknownFieldsSurviveARewrite(
       @ForAll @Size(max = 4)
           Map<@AlphaChars @StringLength(min = 9, max = 12) String, @IntRange Integer> newer)
-      throws BadMessage {
+      throws MalformedMessageException {
     Map<String, Object> extra = new java.util.LinkedHashMap<>();
     newer.forEach(
         (name, value) ->
@@ -165,7 +165,7 @@
     assertEquals(extra, OperatorSettings.unknown(throughJson(settings)));
     if (!extra.isEmpty()) {
       assertThrows(
-          BadMessage.class,
+          MalformedMessageException.class,
           () -> OperatorSettings.read(throughJson(settings), OperatorSettings.DEFAULTS),
           "of an operator it is a slip");
     }
@@ -176,7 +176,7 @@
    * stays.
    */
   @Property(tries = 100, seed = "16")
-  void aJobOfTheOldSizeIsCancelledInLess(@ForAll Random random) throws BadMessage {
+  void aJobOfTheOldSizeIsCancelledInLess(@ForAll Random random) throws MalformedMessageException {
     Job job =
         new Job(
             new JobId("job-5"),
