--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -14,14 +14,14 @@
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.rollout.Terms;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Follower;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.Membership;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.state.Oversized;
-import org.quincecross.state.StateClient;
+import org.quincecross.state.OversizedRecords;
+import org.quincecross.state.KeyValueStoreClient;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
@@ -38,10 +38,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(AdminApi.class);
 
   private final Timers timers;
-  private final Ledger ledger;
-  private final Follower follower;
+  private final ClusterStateCache ledger;
+  private final StateWatcher follower;
   private final Membership membership;
-  private final StateClient client;
+  private final KeyValueStoreClient client;
   private final Holdings holdings;
   private final Leader leader;
   private final Metrics metrics;
@@ -55,10 +55,10 @@
    */
   public AdminApi(
       Timers timers,
-      Ledger ledger,
-      Follower follower,
+      ClusterStateCache ledger,
+      StateWatcher follower,
       Membership membership,
-      StateClient client,
+      KeyValueStoreClient client,
       Holdings holdings,
       Leader leader,
       Metrics metrics,
@@ -170,7 +170,7 @@
         "blocks_held",
         holdings.all().size(),
         "too_large",
-        Oversized.of(ledger, limits.plannedValueBytes()),
+        OversizedRecords.of(ledger, limits.plannedValueBytes()),
         "stalled",
         stalls.write(),
         "served",
@@ -183,7 +183,7 @@
 
   private Object blocks() {
     List<Object> list = new ArrayList<>();
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       int tasks =
           ledger.allocation(block.id()).tasks().values().stream().mapToInt(set -> set.size()).sum();
       BlockHolder holder = holdings.get(block.id());
@@ -259,13 +259,13 @@
   }
 
   /** The operators' settings as the ledger has them. */
-  public static OperatorSettings settings(Ledger ledger) {
+  public static OperatorSettings settings(ClusterStateCache ledger) {
     return ledger.operatorSettingsOrDefaults();
   }
 
   private Object settings() {
     return Json.object(
-        "version", ledger.version(Keys.OPERATOR_SETTINGS).number(), "settings", present().write());
+        "version", ledger.version(StoreKeys.OPERATOR_SETTINGS).number(), "settings", present().write());
   }
 
   /**
@@ -287,8 +287,8 @@
       return;
     }
     client.txn(
-        List.of(new Precondition(Keys.OPERATOR_SETTINGS, version)),
-        List.of(Mutation.put(Keys.OPERATOR_SETTINGS, record)),
+        List.of(new Precondition(StoreKeys.OPERATOR_SETTINGS, version)),
+        List.of(Mutation.put(StoreKeys.OPERATOR_SETTINGS, record)),
         outcome -> {
           switch (outcome.kind()) {
             case COMMITTED -> {
--- a/src/main/java/org/quincecross/admin/AgreedApi.java
+++ b/src/main/java/org/quincecross/admin/AgreedApi.java
@@ -15,9 +15,9 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Revision;
 import org.quincecross.peer.AgreedBase;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.AgreedStore;
-import org.quincecross.state.Follower;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.state.StateWatcher;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
@@ -39,9 +39,9 @@
   private static final int MOST_PAGES = 8;
 
   private final AgreedBase base;
-  private final Follower follower;
+  private final StateWatcher follower;
 
-  public AgreedApi(AgreedBase base, Follower follower) {
+  public AgreedApi(AgreedBase base, StateWatcher follower) {
     this.base = base;
     this.follower = follower;
   }
@@ -64,7 +64,7 @@
       reply.accept(get ? good(kinds()) : HttpResponse.of(405));
       return;
     }
-    AgreedBook<?, ?> book = base.ledger().agreed().book(parts[0]);
+    ReplicatedRecordIndex<?, ?> book = base.ledger().agreed().book(parts[0]);
     if (book == null) {
       reply.accept(
           error(
@@ -106,7 +106,7 @@
 
   private Object kinds() {
     List<Object> kinds = new ArrayList<>();
-    for (AgreedBook<?, ?> book : base.ledger().agreed().books()) {
+    for (ReplicatedRecordIndex<?, ?> book : base.ledger().agreed().books()) {
       kinds.add(
           Json.object(
               "kind",
@@ -122,13 +122,13 @@
   }
 
   /** The records in the order of their names, from after {@code after} on. */
-  private <S> void list(AgreedBook<S, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
+  private <S> void list(ReplicatedRecordIndex<S, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
     String after = request.query("after");
     At at = base.at();
     List<Object> rows = new ArrayList<>();
     String next = null;
     String last = null;
-    for (Map.Entry<String, AgreedBook.Held<S>> record : book.all().entrySet()) {
+    for (Map.Entry<String, ReplicatedRecordIndex.Held<S>> record : book.all().entrySet()) {
       if (after != null && record.getKey().compareTo(after) <= 0) {
         continue;
       }
@@ -154,8 +154,8 @@
                 next)));
   }
 
-  private <S> void show(AgreedBook<S, ?> book, String id, Consumer<HttpResponse> reply) {
-    AgreedBook.Held<S> held = book.get(id);
+  private <S> void show(ReplicatedRecordIndex<S, ?> book, String id, Consumer<HttpResponse> reply) {
+    ReplicatedRecordIndex.Held<S> held = book.get(id);
     if (held == null) {
       String unreadable = book.unreadable().get(id);
       reply.accept(
@@ -198,8 +198,8 @@
 
   /** Takes {@code {"request": "...", "command": {...}, "by": "...", "on_change": N}}. */
   private <S, C> void change(
-      AgreedBook<S, C> book, String id, byte[] body, Consumer<HttpResponse> reply) {
-    AgreedStore.Ask<C> ask;
+      ReplicatedRecordIndex<S, C> book, String id, byte[] body, Consumer<HttpResponse> reply) {
+    ReplicatedRecordStore.Ask<C> ask;
     try {
       JsonFields in = Json.parseFields(body);
       for (String name : in.fieldNames()) {
@@ -218,7 +218,7 @@
       }
       long onChange = in.has("on_change") ? in.integer("on_change", 0, Integer.MAX_VALUE) : -1;
       ask =
-          new AgreedStore.Ask<>(
+          new ReplicatedRecordStore.Ask<>(
               request, onChange, book.kind().command(in.fields("command").unknownFields(List.of())), by);
     } catch (MalformedMessageException | Unreadable e) {
       reply.accept(error(400, e.getMessage()));
@@ -254,7 +254,7 @@
   // ---- the trail ----
 
   /** Lines after a revision, from a page on; what no page has yet comes with the last page. */
-  private void trail(AgreedBook<?, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
+  private void trail(ReplicatedRecordIndex<?, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
     long since;
     int page;
     try {
@@ -268,7 +268,7 @@
   }
 
   private void pages(
-      AgreedBook<?, ?> book,
+      ReplicatedRecordIndex<?, ?> book,
       Revision since,
       int from,
       int read,
@@ -301,12 +301,12 @@
     }
   }
 
-  private static <S> void addLatest(AgreedBook<S, ?> book, List<TrailLine> lines) {
+  private static <S> void addLatest(ReplicatedRecordIndex<S, ?> book, List<TrailLine> lines) {
     book.all().values().forEach(held -> lines.addAll(held.kept().lines(held.version())));
   }
 
   private void answer(
-      AgreedBook<?, ?> book,
+      ReplicatedRecordIndex<?, ?> book,
       Revision since,
       List<TrailLine> lines,
       Integer nextPage,
--- a/src/main/java/org/quincecross/admin/ModelDesk.java
+++ b/src/main/java/org/quincecross/admin/ModelDesk.java
@@ -23,10 +23,10 @@
 import org.quincecross.models.ModelKind;
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.peer.ModelNews;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.AgreedStore;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.ModelRecords;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ModelIndex;
 
 /**
  * Where one controller hears who wants a model. Wakes are joined: however many come, one change is
@@ -44,11 +44,11 @@
   private static final double FORGOTTEN_AFTER = 2;
 
   private final AgreedBase base;
-  private final ModelRecords records;
+  private final ModelIndex records;
   private final BiFunction<JobId, Integer, Boolean> runsHere;
   private final MonotonicTime begun;
   private final Map<String, Demand> demands = new TreeMap<>();
-  private final Map<String, List<Consumer<AgreedStore.Answer>>> waiting = new HashMap<>();
+  private final Map<String, List<Consumer<ReplicatedRecordStore.Answer>>> waiting = new HashMap<>();
   private final Set<String> asking = new HashSet<>();
   private long wakes;
   private long asked;
@@ -57,7 +57,7 @@
    * @param runsHere whether a replica runs in a block of this controller
    */
   public ModelDesk(
-      AgreedBase base, ModelRecords records, BiFunction<JobId, Integer, Boolean> runsHere) {
+      AgreedBase base, ModelIndex records, BiFunction<JobId, Integer, Boolean> runsHere) {
     this.base = base;
     this.records = records;
     this.runsHere = runsHere;
@@ -81,7 +81,7 @@
   }
 
   /** Follows the records. */
-  public void ledgerChanged(Ledger.Changes changes) {
+  public void ledgerChanged(ClusterStateCache.Changes changes) {
     MonotonicTime now = base.timers().now();
     if (changes.reloaded()) {
       demands.forEach((name, demand) -> demand.seen(records.book().state(name), now));
@@ -112,7 +112,7 @@
    * Somebody wants a model that is defined; {@code done} hears when that is durable, at once where
    * the record shows it up.
    */
-  public void wake(String name, Consumer<AgreedStore.Answer> done) {
+  public void wake(String name, Consumer<ReplicatedRecordStore.Answer> done) {
     wakes++;
     Demand demand = demand(name);
     demand.wake(base.timers().now());
@@ -120,20 +120,20 @@
   }
 
   /** A caller has so many requests in flight. */
-  public void told(String name, String caller, int inFlight, Consumer<AgreedStore.Answer> done) {
+  public void told(String name, String caller, int inFlight, Consumer<ReplicatedRecordStore.Answer> done) {
     Demand demand = demand(name);
     demand.told(caller, inFlight, base.timers().now());
     wait(name, demand, done);
   }
 
-  private void wait(String name, Demand demand, Consumer<AgreedStore.Answer> done) {
+  private void wait(String name, Demand demand, Consumer<ReplicatedRecordStore.Answer> done) {
     if (demand.state() == Demand.State.SATISFIED) {
-      done.accept(new AgreedStore.Answer(200, "", 0, Revision.NONE, 0));
+      done.accept(new ReplicatedRecordStore.Answer(200, "", 0, Revision.NONE, 0));
       return;
     }
-    List<Consumer<AgreedStore.Answer>> all = waiting.computeIfAbsent(name, id -> new ArrayList<>());
+    List<Consumer<ReplicatedRecordStore.Answer>> all = waiting.computeIfAbsent(name, id -> new ArrayList<>());
     if (all.size() >= MOST_WAITING) {
-      done.accept(new AgreedStore.Answer(202, "it has been asked for", 0, Revision.NONE, 1));
+      done.accept(new ReplicatedRecordStore.Answer(202, "it has been asked for", 0, Revision.NONE, 1));
     } else {
       all.add(done);
       askIfWanted(name);
@@ -150,13 +150,13 @@
         .ask(
             records.book(),
             name,
-            AgreedStore.Ask.own(new ModelCommand.Wake()),
+            ReplicatedRecordStore.Ask.own(new ModelCommand.Wake()),
             answer -> {
               asking.remove(name);
               if (answer.status() >= 400 && answer.status() < 500) {
                 demand.refused();
               }
-              List<Consumer<AgreedStore.Answer>> all = waiting.remove(name);
+              List<Consumer<ReplicatedRecordStore.Answer>> all = waiting.remove(name);
               if (all != null) {
                 all.forEach(done -> done.accept(answer));
               }
@@ -186,7 +186,7 @@
         (name, demand) ->
             told.put(name, new DemandSum.Told(demand.inFlight(now), demand.quiet(now))));
     Set<TaskId> running = new HashSet<>();
-    for (AgreedBook.Held<Model> held : records.book().all().values()) {
+    for (ReplicatedRecordIndex.Held<Model> held : records.book().all().values()) {
       held.state()
           .places()
           .keySet()
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -19,10 +19,10 @@
 import org.quincecross.models.ModelKind;
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.peer.ModelFleet;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.AgreedStore;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.ModelRecords;
+import org.quincecross.state.ModelIndex;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
@@ -40,7 +40,7 @@
       List.of("job", "least", "most", "per_replica", "idle_s", "keep_warm");
 
   private final AgreedBase base;
-  private final ModelRecords records;
+  private final ModelIndex records;
   private final ModelDesk desk;
   private final ModelFleet fleet;
   private final ToIntFunction<JobId> running;
@@ -50,7 +50,7 @@
    */
   public ModelsApi(
       AgreedBase base,
-      ModelRecords records,
+      ModelIndex records,
       ModelDesk desk,
       ModelFleet fleet,
       ToIntFunction<JobId> running) {
@@ -228,7 +228,7 @@
         .ask(
             records.book(),
             name,
-            new AgreedStore.Ask<>(request, -1, command, in.stringOr("by", "")),
+            new ReplicatedRecordStore.Ask<>(request, -1, command, in.stringOr("by", "")),
             answer -> {
               if (answer.isDurable()) {
                 reply.accept(
@@ -251,7 +251,7 @@
             });
   }
 
-  private HttpResponse answered(String name, AgreedStore.Answer answer) {
+  private HttpResponse answered(String name, ReplicatedRecordStore.Answer answer) {
     if (answer.status() != 200 && answer.status() != 202) {
       return error(answer.status(), answer.why()).withRetryAfter(answer.retryAfterS());
     }
@@ -260,7 +260,7 @@
 
   private HttpResponse list() {
     List<Object> rows = new ArrayList<>();
-    for (Map.Entry<String, AgreedBook.Held<Model>> each : records.book().all().entrySet()) {
+    for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each : records.book().all().entrySet()) {
       records
           .book()
           .kind()
--- a/src/main/java/org/quincecross/admin/ServedLog.java
+++ b/src/main/java/org/quincecross/admin/ServedLog.java
@@ -17,7 +17,7 @@
 import org.quincecross.served.Served;
 import org.quincecross.served.ServedBooks;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
 import org.slf4j.Logger;
@@ -42,7 +42,7 @@
   private static final int MOST_TEAMS = 50;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Leader leader;
   private final LongSupplier clockMs;
   private final TimeSpan every;
@@ -56,7 +56,7 @@
    */
   public ServedLog(
       Timers timers,
-      Ledger ledger,
+      ClusterStateCache ledger,
       Leader leader,
       Settings settings,
       LongSupplier clockMs,
@@ -90,7 +90,7 @@
     timers.every(every, this::log);
   }
 
-  private void ledgerChanged(Ledger.Changes changes) {
+  private void ledgerChanged(ClusterStateCache.Changes changes) {
     MonotonicTime now = timers.now();
     for (JobId id : changes.jobs()) {
       JobRecord record = ledger.job(id);
--- a/src/main/java/org/quincecross/admin/Stalls.java
+++ b/src/main/java/org/quincecross/admin/Stalls.java
@@ -19,9 +19,9 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.progress.ProgressWatch;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,7 +38,7 @@
   private static final int MOST_SHOWN = 50;
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Holdings holdings;
   private final Leader leader;
   private final ToIntFunction<JobId> running;
@@ -53,7 +53,7 @@
    */
   public Stalls(
       Timers timers,
-      Ledger ledger,
+      ClusterStateCache ledger,
       Holdings holdings,
       Leader leader,
       ToIntFunction<JobId> running,
@@ -141,7 +141,7 @@
         continue;
       }
       BlockHolder holder = holdings.get(block);
-      BlockLease lease = ledger.block(block);
+      ShardLease lease = ledger.block(block);
       if (holder != null) {
         waits.addAll(holder.waits(job));
       } else {
--- a/src/main/java/org/quincecross/api/AfterParts.java
+++ b/src/main/java/org/quincecross/api/AfterParts.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.quincecross.model.JobId;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.Predecessors;
-import org.quincecross.state.StateClient;
-import org.quincecross.state.TxnOutcome;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobDependencies;
+import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.TransactionResult;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 /**
@@ -27,11 +27,11 @@
    */
   private static final int MOST_AT_ONCE = 4;
 
-  private final StateClient client;
-  private final Ledger ledger;
+  private final KeyValueStoreClient client;
+  private final ClusterStateCache ledger;
   private final int mostChanges;
 
-  AfterParts(StateClient client, Ledger ledger, int mostChanges) {
+  AfterParts(KeyValueStoreClient client, ClusterStateCache ledger, int mostChanges) {
     this.client = client;
     this.ledger = ledger;
     this.mostChanges = Math.min(MOST_AT_ONCE, mostChanges);
@@ -43,7 +43,7 @@
    */
   void write(Set<JobId> waitsOn, Consumer<Boolean> durable) {
     List<Mutation> changes = new ArrayList<>();
-    for (Map.Entry<String, Map<String, Object>> part : Predecessors.parts(waitsOn).entrySet()) {
+    for (Map.Entry<String, Map<String, Object>> part : JobDependencies.parts(waitsOn).entrySet()) {
       if (!ledger.hasPart(part.getKey())) {
         changes.add(Mutation.put(part.getKey(), part.getValue()));
       }
@@ -61,7 +61,7 @@
         List.of(),
         changes.subList(0, now),
         outcome -> {
-          if (outcome.kind() == TxnOutcome.Kind.COMMITTED) {
+          if (outcome.kind() == TransactionResult.Kind.COMMITTED) {
             write(changes.subList(now, changes.size()), durable);
           } else {
             durable.accept(false);
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -17,8 +17,8 @@
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.silence.Aloneness;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
@@ -48,7 +48,7 @@
   private record Waiting(Heartbeat report, MonotonicTime until, Consumer<HttpResponse> reply) {}
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Holdings holdings;
   private final Leader leader;
   private final PeerViews views;
@@ -61,7 +61,7 @@
 
   AgentApi(
       Timers timers,
-      Ledger ledger,
+      ClusterStateCache ledger,
       Holdings holdings,
       Leader leader,
       PeerViews views,
@@ -96,7 +96,7 @@
       reply.accept(HttpResponse.of(503));
       return;
     }
-    BlockLease lease = ledger.blockOf(report.machine().id());
+    ShardLease lease = ledger.blockOf(report.machine().id());
     aloneness.machine(
         report.token(),
         new FencingToken(ledger.revision().number()),
@@ -107,7 +107,7 @@
 
   private void route(Heartbeat report, MonotonicTime until, Consumer<HttpResponse> reply) {
     MachineId machine = report.machine().id();
-    BlockLease lease = ledger.blockOf(machine);
+    ShardLease lease = ledger.blockOf(machine);
     if (lease == null) {
       if (leader.isLeading()) {
         arrivals.reported(report);
@@ -150,7 +150,7 @@
   }
 
   /** Whether the holder of a block itself says that it has not heard of a machine for a while. */
-  private boolean isUnheard(BlockLease lease, MachineId machine) {
+  private boolean isUnheard(ShardLease lease, MachineId machine) {
     PeerViews.View view = views.of(lease.holder());
     if (view == null || timers.now().since(view.at()).isLongerThan(WORD_FRESH)) {
       return false;
@@ -191,7 +191,7 @@
   }
 
   /** New leases may be what reports wait for. */
-  void ledgerChanged(Ledger.Changes changes) {
+  void ledgerChanged(ClusterStateCache.Changes changes) {
     if (changes.reloaded() || !changes.blocks().isEmpty()) {
       lookAgain();
     }
--- a/src/main/java/org/quincecross/api/AgreedParts.java
+++ b/src/main/java/org/quincecross/api/AgreedParts.java
@@ -28,12 +28,12 @@
 import org.quincecross.peer.KnownRevisions;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.requests.RequestKind;
-import org.quincecross.state.AgreedStore;
-import org.quincecross.state.Follower;
-import org.quincecross.state.Foresight;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.Membership;
-import org.quincecross.state.StateClient;
+import org.quincecross.state.KeyValueStoreClient;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
@@ -58,9 +58,9 @@
    */
   AgreedParts(
       Timers timers,
-      StateClient client,
-      Follower follower,
-      Ledger ledger,
+      KeyValueStoreClient client,
+      StateWatcher follower,
+      ClusterStateCache ledger,
       Membership membership,
       PeerViews views,
       Settings settings,
@@ -78,7 +78,7 @@
         new AgreedBase(
             timers,
             ledger,
-            new AgreedStore(timers, client, follower, ledger, membership, settings, clockMs),
+            new ReplicatedRecordStore(timers, client, follower, ledger, membership, settings, clockMs),
             new KnownRevisions(timers, ledger, views, settings, longest),
             new WithheldByAny(),
             settings,
@@ -104,7 +104,7 @@
   }
 
   /** Has room kept for requests, where that is switched on. */
-  void keepRoom(Foresight foresight, Leader leader) {
+  void keepRoom(DemandForecast foresight, Leader leader) {
     if (requests != null) {
       requests.start(foresight, leader);
     }
@@ -117,7 +117,7 @@
    * @param served null where it is not counted who is served
    */
   void listen(
-      Ledger ledger,
+      ClusterStateCache ledger,
       Holdings holdings,
       Leader leader,
       ServedLog served,
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -17,9 +17,9 @@
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.silence.UnconfirmedBound;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 
 /**
  * Decides when users may be told that a job is cancelled: by the rule of {@link UnconfirmedBound},
@@ -35,7 +35,7 @@
   private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(1.2);
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Holdings holdings;
   private final PeerViews views;
   private final UnconfirmedBound bound;
@@ -50,7 +50,7 @@
   private boolean sweepPlanned;
 
   Cancellations(
-      Timers timers, Ledger ledger, Holdings holdings, PeerViews views, UnconfirmedBound bound) {
+      Timers timers, ClusterStateCache ledger, Holdings holdings, PeerViews views, UnconfirmedBound bound) {
     this.timers = timers;
     this.ledger = ledger;
     this.holdings = holdings;
@@ -58,7 +58,7 @@
     this.bound = bound;
   }
 
-  void ledgerChanged(Ledger.Changes changes) {
+  void ledgerChanged(ClusterStateCache.Changes changes) {
     if (changes.reloaded()) {
       for (ShardId block : ledger.allocatedBlocks()) {
         ledger.allocation(block).tasks().keySet().forEach(this::seen);
@@ -138,7 +138,7 @@
 
   private boolean allHoldersHaveSeen(JobRecord record) {
     for (ShardId id : ledger.blocksOf(record.id())) {
-      BlockLease lease = ledger.block(id);
+      ShardLease lease = ledger.block(id);
       if (lease == null || !hasSeen(lease, record)) {
         return false;
       }
@@ -146,7 +146,7 @@
     return true;
   }
 
-  private boolean hasSeen(BlockLease lease, JobRecord record) {
+  private boolean hasSeen(ShardLease lease, JobRecord record) {
     BlockHolder own = holdings.get(lease.id());
     if (own != null) {
       return own.hasAllFenced();
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -44,13 +44,13 @@
 import org.quincecross.silence.StartPermission;
 import org.quincecross.silence.Stillness;
 import org.quincecross.silence.UnconfirmedBound;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Follower;
-import org.quincecross.state.Foresight;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.DemandForecast;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.Membership;
-import org.quincecross.state.StateClient;
+import org.quincecross.state.KeyValueStoreClient;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.JobCodec;
@@ -72,9 +72,9 @@
   private final HttpCaller http;
   private final Settings settings;
   private final PeerSender peers;
-  private final Ledger ledger = new Ledger();
-  private final Foresight foresight;
-  private final Follower follower;
+  private final ClusterStateCache ledger = new ClusterStateCache();
+  private final DemandForecast foresight;
+  private final StateWatcher follower;
   private final Membership membership;
   private final Holdings holdings;
   private final AgreedParts agreed;
@@ -122,8 +122,8 @@
     this.peers = peers;
     this.settings = settings;
     this.clockMs = clockMs;
-    StateClient client = new StateClient(timers, http, settings.storeAddress(), settings.storeLimits());
-    follower = new Follower(timers, client, ledger);
+    KeyValueStoreClient client = new KeyValueStoreClient(timers, http, settings.storeAddress(), settings.storeLimits());
+    follower = new StateWatcher(timers, client, ledger);
     aloneness =
         new Aloneness(
             settings.peers().stream()
@@ -160,7 +160,7 @@
             features.replicatedFeatures(),
             clockMs,
             unconfirmedBound.unconfirmed());
-    foresight = new Foresight(ledger, agreed.withheld());
+    foresight = new DemandForecast(ledger, agreed.withheld());
     roomElsewhere = new RoomElsewhere(ledger, views, this::reserves);
     holdings = new Holdings(this, settings.self(), membership::life);
     fleet =
@@ -351,9 +351,9 @@
   }
 
   /** What a controller said of a block that another one holds now is of no use any more. */
-  private void forgetFormerHolders(Ledger.Changes changes) {
+  private void forgetFormerHolders(ClusterStateCache.Changes changes) {
     for (ShardId id : changes.blocks()) {
-      BlockLease lease = ledger.block(id);
+      ShardLease lease = ledger.block(id);
       for (Settings.Peer sibling : settings.peers()) {
         forgetIfFormer(sibling.member(), id, lease);
       }
@@ -361,7 +361,7 @@
     }
   }
 
-  private void forgetIfFormer(ControllerId member, ShardId id, BlockLease lease) {
+  private void forgetIfFormer(ControllerId member, ShardId id, ShardLease lease) {
     PeerViews.View view = views.of(member);
     PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
     // A report may be ahead of the ledger here: what it says of a later lease is kept.
@@ -375,7 +375,7 @@
   private int running(JobId job) {
     int count = holdings.running(job);
     for (ShardId id : ledger.blocksOf(job)) {
-      BlockLease lease = holdings.get(id) == null ? ledger.block(id) : null;
+      ShardLease lease = holdings.get(id) == null ? ledger.block(id) : null;
       PeerViews.View view = lease == null ? null : views.of(lease.holder());
       PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
       count += block == null ? 0 : block.running().getOrDefault(job, 0);
@@ -484,7 +484,7 @@
   }
 
   @Override
-  public Ledger ledger() {
+  public ClusterStateCache ledger() {
     return ledger;
   }
 
@@ -525,7 +525,7 @@
 
   @Override
   public List<String> imagesOf(MachineId machine) {
-    BlockLease block = ledger.blockOf(machine);
+    ShardLease block = ledger.blockOf(machine);
     if (block != null) {
       for (PeerViews.View view : views.all()) {
         PeerViews.BlockView known = view.blocks().get(block.id());
--- a/src/main/java/org/quincecross/api/ModelsPart.java
+++ b/src/main/java/org/quincecross/api/ModelsPart.java
@@ -19,13 +19,13 @@
 import org.quincecross.peer.ModelFleet;
 import org.quincecross.peer.ModelNews;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.ModelRecords;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ModelIndex;
 
 /** Models from zero, put together for one controller. */
 final class ModelsPart {
   private final AgreedBase base;
-  private final ModelRecords records;
+  private final ModelIndex records;
   private final PeerViews views;
   private ModelDesk desk;
   private ModelsApi api;
@@ -33,12 +33,12 @@
   ModelsPart(AgreedBase base, PeerViews views) {
     this.base = base;
     this.views = views;
-    this.records = new ModelRecords(base.ledger());
+    this.records = new ModelIndex(base.ledger());
     base.withheld().add(records);
   }
 
   /** Follows the records, and has the leader keep the models. */
-  void listen(Ledger ledger, Holdings holdings, Leader leader, ToIntFunction<JobId> running) {
+  void listen(ClusterStateCache ledger, Holdings holdings, Leader leader, ToIntFunction<JobId> running) {
     desk = new ModelDesk(base, records, (job, replica) -> runs(holdings, job.task(replica)));
     api = new ModelsApi(base, records, desk, new ModelFleet(ledger, views, records), running);
     ledger.listen(
--- a/src/main/java/org/quincecross/api/RequestPart.java
+++ b/src/main/java/org/quincecross/api/RequestPart.java
@@ -10,9 +10,9 @@
 import org.quincecross.requests.RequestCommand;
 import org.quincecross.requests.RequestKind;
 import org.quincecross.requests.Reservation;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.Foresight;
-import org.quincecross.state.RequestRooms;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.ReservedCapacity;
 
 /** Requests with a due time, where they are switched on. */
 final class RequestPart {
@@ -21,7 +21,7 @@
   private static final double MOST_WARN_S = 366 * 24 * 3600;
 
   private final AgreedBase base;
-  private final RequestRooms rooms;
+  private final ReservedCapacity rooms;
   private final RequestKeeper keeper;
   private final double share;
   private Reservation.Plan plan;
@@ -40,13 +40,13 @@
     } catch (Unreadable e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
-    AgreedBook<Request, RequestCommand> book =
+    ReplicatedRecordIndex<Request, RequestCommand> book =
         base.ledger().agreed().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
-    rooms = new RequestRooms(base.ledger(), book);
+    rooms = new ReservedCapacity(base.ledger(), book);
     keeper = new RequestKeeper(base.store(), book, rooms, share);
   }
 
-  void start(Foresight foresight, Leader leader) {
+  void start(DemandForecast foresight, Leader leader) {
     foresight.keep(rooms);
     leader.keep(keeper);
   }
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -16,11 +16,11 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.sched.Turns;
-import org.quincecross.state.Follower;
+import org.quincecross.state.StateWatcher;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.StateClient;
-import org.quincecross.state.TxnOutcome;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.TransactionResult;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
@@ -30,7 +30,7 @@
  * Makes submissions durable, several in one change where several have come.
  *
  * <p>What ends each wait: a transaction waits for the budget, which refills, and then for its
- * answer, for as long as {@link StateClient} gives it; one without an answer, or in conflict, waits
+ * answer, for as long as {@link KeyValueStoreClient} gives it; one without an answer, or in conflict, waits
  * for a reading of the records, which fails after a second; one that was refused for its number is
  * tried again until {@link #PATIENCE} is over, and one that the state service does not serve ends
  * at once. An answer that is long in coming holds up nobody but those that it is about, and they
@@ -101,8 +101,8 @@
   private final Map<JobId, List<Consumer<Outcome>>> pending = new HashMap<>();
 
   private final Timers timers;
-  private final StateClient client;
-  private final Follower follower;
+  private final KeyValueStoreClient client;
+  private final StateWatcher follower;
   private final ControllerId member;
   private final Supplier<Incarnation> life;
   private final int mostChanges;
@@ -128,8 +128,8 @@
    */
   Submissions(
       Timers timers,
-      StateClient client,
-      Follower follower,
+      KeyValueStoreClient client,
+      StateWatcher follower,
       ControllerId member,
       Supplier<Incarnation> life,
       Settings.StoreLimits limits,
@@ -248,7 +248,7 @@
   }
 
   private void writeOne(Pending one) {
-    String key = Keys.job(one.job().id());
+    String key = StoreKeys.job(one.job().id());
     write(
         List.of(new Precondition(key, Revision.NONE)),
         List.of(Mutation.put(key, JobRecord.open(one.job(), one.acceptedMs()))),
@@ -293,7 +293,7 @@
         jobs.add(open);
         group.add(waiting.poll());
       }
-      String key = Keys.bundle(member, life.get(), ++bundles);
+      String key = StoreKeys.bundle(member, life.get(), ++bundles);
       guards.add(new Precondition(key, Revision.NONE));
       changes.add(Mutation.put(key, JobRecord.bundle(jobs)));
       bytes += size;
@@ -323,7 +323,7 @@
   }
 
   private void write(
-      List<Precondition> guards, List<Mutation> changes, List<Pending> group, Consumer<TxnOutcome> done) {
+      List<Precondition> guards, List<Mutation> changes, List<Pending> group, Consumer<TransactionResult> done) {
     writing++;
     underWay += group.size();
     MonotonicTime begun = timers.now();
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -23,12 +23,12 @@
 import org.quincecross.model.Team;
 import org.quincecross.net.Timers;
 import org.quincecross.silence.Aloneness;
-import org.quincecross.state.Follower;
+import org.quincecross.state.StateWatcher;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.StateClient;
-import org.quincecross.state.TxnOutcome;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.TransactionResult;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
@@ -60,9 +60,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
 
   private final Timers timers;
-  private final Ledger ledger;
-  private final Follower follower;
-  private final StateClient client;
+  private final ClusterStateCache ledger;
+  private final StateWatcher follower;
+  private final KeyValueStoreClient client;
   private final Settings settings;
   private final ToIntFunction<JobId> running;
   private final LongSupplier clockMs;
@@ -79,15 +79,15 @@
    * changes each waits for its turn, and its user asks again every few seconds: each time one more
    * write, and the wave would feed itself (docs/incidents/wave-that-feeds-itself.md).
    */
-  private final Map<JobId, List<Consumer<TxnOutcome>>> cancelling = new HashMap<>();
+  private final Map<JobId, List<Consumer<TransactionResult>>> cancelling = new HashMap<>();
 
   private MonotonicTime saidShort;
 
   UserApi(
       Timers timers,
-      Ledger ledger,
-      Follower follower,
-      StateClient client,
+      ClusterStateCache ledger,
+      StateWatcher follower,
+      KeyValueStoreClient client,
       Settings settings,
       ToIntFunction<JobId> running,
       LongSupplier clockMs,
@@ -417,31 +417,31 @@
       refusals.refuse(reply, () -> cancel(id, tries - 1, reply));
       return;
     }
-    Consumer<TxnOutcome> then =
+    Consumer<TransactionResult> then =
         outcome -> {
           if (outcome.committed()) {
             follower.barrier(current -> cancel(id, current ? tries - 1 : 0, reply));
-          } else if (outcome.kind() == TxnOutcome.Kind.UNAVAILABLE) {
+          } else if (outcome.kind() == TransactionResult.Kind.UNAVAILABLE) {
             reply.accept(later("the state service cannot be reached"));
-          } else if (outcome.kind() == TxnOutcome.Kind.TOO_LARGE) {
+          } else if (outcome.kind() == TransactionResult.Kind.TOO_LARGE) {
             reply.accept(later("the state service takes no record so large"));
           } else {
             follower.barrier(
                 current -> timers.after(TimeSpan.ofMillis(60), () -> cancel(id, tries - 1, reply)));
           }
         };
-    List<Consumer<TxnOutcome>> others = cancelling.get(id);
+    List<Consumer<TransactionResult>> others = cancelling.get(id);
     if (others != null) {
       others.add(then); // each is answered after a reading that begins when the outcome is known
       return;
     }
-    List<Consumer<TxnOutcome>> all = new ArrayList<>(List.of(then));
+    List<Consumer<TransactionResult>> all = new ArrayList<>(List.of(then));
     cancelling.put(id, all);
     client.txn(
-        List.of(new Precondition(Keys.job(id), ledger.version(Keys.job(id)))),
+        List.of(new Precondition(StoreKeys.job(id), ledger.version(StoreKeys.job(id)))),
         List.of(
             Mutation.put(
-                Keys.job(id),
+                StoreKeys.job(id),
                 ledger
                     .asRecorded(id)
                     .cancelled(clockMs.getAsLong(), settings.storeLimits().maxValueBytes()))),
--- a/src/main/java/org/quincecross/block/BlockHolder.java
+++ b/src/main/java/org/quincecross/block/BlockHolder.java
@@ -30,7 +30,7 @@
 import org.quincecross.sched.Entry;
 import org.quincecross.silence.Freshness.Verdict;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
 import org.quincecross.protocol.Heartbeat;
 import org.quincecross.protocol.Heartbeat.Piece;
@@ -70,7 +70,7 @@
   private final RoomMaker rooms;
   private final GivingBack givingBack;
   private final Withholding withholding;
-  private BlockLease lease;
+  private ShardLease lease;
   private boolean settled;
   private boolean superseded;
   private boolean stirred = true;
@@ -83,7 +83,7 @@
    * Takes over a block whose former holder, if cut off, may go on answering its machines for a
    * while.
    */
-  public BlockHolder(HolderContext context, BlockLease lease) {
+  public BlockHolder(HolderContext context, ShardLease lease) {
     this.context = context;
     this.lease = lease;
     this.reporter = new BlockReporter(this);
@@ -106,7 +106,7 @@
     }
   }
 
-  public BlockLease lease() {
+  public ShardLease lease() {
     return lease;
   }
 
@@ -169,7 +169,7 @@
    * The lease was written anew under the same token: machines came or went, and nobody else has
    * held the block.
    */
-  public void renewed(BlockLease next) {
+  public void renewed(ShardLease next) {
     lease = next;
     MonotonicTime now = context.now();
     for (MachineId machine : List.copyOf(sessions.keySet())) {
--- a/src/main/java/org/quincecross/block/HolderContext.java
+++ b/src/main/java/org/quincecross/block/HolderContext.java
@@ -13,7 +13,7 @@
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
 import org.quincecross.sched.Reserve;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Settings;
 
 /** What every holder of this controller shares. */
@@ -22,7 +22,7 @@
 
   HttpCaller http();
 
-  Ledger ledger();
+  ClusterStateCache ledger();
 
   /** What a block should keep free. */
   List<Reserve> reserves(ShardId block);
--- a/src/main/java/org/quincecross/block/Holdings.java
+++ b/src/main/java/org/quincecross/block/Holdings.java
@@ -13,8 +13,8 @@
 import org.quincecross.model.ControllerId;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.peer.PeerReport;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.ClusterStateCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -47,10 +47,10 @@
   }
 
   /** Follows the leases, allocations and jobs that have changed. */
-  public void ledgerChanged(Ledger.Changes changes) {
-    Ledger ledger = context.ledger();
+  public void ledgerChanged(ClusterStateCache.Changes changes) {
+    ClusterStateCache ledger = context.ledger();
     for (ShardId id : changes.reloaded() ? List.copyOf(holders.keySet()) : changes.blocks()) {
-      BlockLease lease = ledger.block(id);
+      ShardLease lease = ledger.block(id);
       if (holders.containsKey(id) && (lease == null || !lease.holder().equals(self))) {
         LOG.info("block {} is no longer held here", id);
         holders.remove(id).retire();
@@ -58,7 +58,7 @@
     }
     for (ShardId id :
         changes.reloaded() ? List.copyOf(ledger.blocks().keySet()) : changes.blocks()) {
-      BlockLease lease = ledger.block(id);
+      ShardLease lease = ledger.block(id);
       if (lease != null && lease.holder().equals(self)) {
         follow(lease);
       }
@@ -80,7 +80,7 @@
     holders.values().forEach(holder -> holder.jobsChanged(jobs));
   }
 
-  private void follow(BlockLease lease) {
+  private void follow(ShardLease lease) {
     BlockHolder holder = holders.get(lease.id());
     if (holder != null && holder.lease().token().equals(lease.token())) {
       if (!holder.lease().version().equals(lease.version())) {
--- a/src/main/java/org/quincecross/block/RoomElsewhere.java
+++ b/src/main/java/org/quincecross/block/RoomElsewhere.java
@@ -10,8 +10,8 @@
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.sched.Reserve;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.ClusterStateCache;
 
 /**
  * Whether work that waits in one block would most likely start at once in another, as far as the
@@ -19,14 +19,14 @@
  * start is decided by the leader.
  */
 public final class RoomElsewhere {
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final PeerViews views;
   private final Function<ShardId, List<Reserve>> reserves;
 
   /**
    * @param reserves what a block keeps free
    */
-  public RoomElsewhere(Ledger ledger, PeerViews views, Function<ShardId, List<Reserve>> reserves) {
+  public RoomElsewhere(ClusterStateCache ledger, PeerViews views, Function<ShardId, List<Reserve>> reserves) {
     this.ledger = ledger;
     this.views = views;
     this.reserves = reserves;
@@ -37,8 +37,8 @@
    * that would take it first.
    */
   public boolean isFor(Job job, ShardId here) {
-    BlockLease own = ledger.block(here);
-    for (BlockLease block : ledger.blocks().values()) {
+    ShardLease own = ledger.block(here);
+    for (ShardLease block : ledger.blocks().values()) {
       // The other tasks of a job bound to one zone are most likely here.
       boolean mayGo =
           !block.id().equals(here)
@@ -53,7 +53,7 @@
     return false;
   }
 
-  private boolean hasRoom(Job job, BlockLease block) {
+  private boolean hasRoom(Job job, ShardLease block) {
     PeerViews.View holder = views.of(block.holder());
     PeerViews.BlockView view = holder == null ? null : holder.blocks().get(block.id());
     MachineType type = ledger.types().get(block.type());
--- a/src/main/java/org/quincecross/leader/AgreedTrails.java
+++ b/src/main/java/org/quincecross/leader/AgreedTrails.java
@@ -9,8 +9,8 @@
 import org.quincecross.agreed.TrailPage;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 
 /**
@@ -28,16 +28,16 @@
 
   private static final TimeSpan MOVE_EVERY = TimeSpan.ofSeconds(5);
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Set<RecordId> toLookAt = new LinkedHashSet<>();
   private MonotonicTime movedAt;
 
-  AgreedTrails(Ledger ledger) {
+  AgreedTrails(ClusterStateCache ledger) {
     this.ledger = ledger;
   }
 
   /** Follows the records. */
-  void changed(Ledger.Changes changes) {
+  void changed(ClusterStateCache.Changes changes) {
     toLookAt.addAll(changes.agreed());
   }
 
@@ -52,7 +52,7 @@
   /** Adds what is to be moved to a transaction that has nothing else. */
   void plan(TxnPlan plan, MonotonicTime now) {
     movedAt = now;
-    for (AgreedBook<?, ?> book : ledger.agreed().books()) {
+    for (ReplicatedRecordIndex<?, ?> book : ledger.agreed().books()) {
       if (plan.room() >= 2) {
         move(plan, book);
       }
@@ -61,7 +61,7 @@
 
   // Whether the page was replaced by a longer one or by the next: the instance tells.
   @SuppressWarnings("ReferenceEquality")
-  private <S> void move(TxnPlan plan, AgreedBook<S, ?> book) {
+  private <S> void move(TxnPlan plan, ReplicatedRecordIndex<S, ?> book) {
     TrailPage page = book.lastPage();
     int number = Math.max(1, book.lastPageNumber());
     TrailPage next = page;
@@ -69,7 +69,7 @@
       if (!id.kind().equals(book.kind().name())) {
         continue;
       }
-      AgreedBook.Held<S> held = book.get(id.id());
+      ReplicatedRecordIndex.Held<S> held = book.get(id.id());
       if (held == null || !isLong(book, held.kept(), plan)) {
         toLookAt.remove(id);
         continue;
@@ -112,7 +112,7 @@
     return fit;
   }
 
-  private static <S> boolean isLong(AgreedBook<S, ?> book, Kept<S> kept, TxnPlan plan) {
+  private static <S> boolean isLong(ReplicatedRecordIndex<S, ?> book, Kept<S> kept, TxnPlan plan) {
     return kept.trail().size() >= MOST_LINES
         || (!kept.trail().isEmpty()
             && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue());
--- a/src/main/java/org/quincecross/leader/Allocations.java
+++ b/src/main/java/org/quincecross/leader/Allocations.java
@@ -11,10 +11,10 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.rollout.Feature;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.AllocationChange;
+import org.quincecross.state.AllocationDelta;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 
 /**
@@ -30,14 +30,14 @@
   /** A change larger than this part of the whole record is not worth having beside it. */
   private static final double LARGEST_CHANGE = 0.5;
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final BooleanSupplier wholeOnly;
 
   /**
    * @param wholeOnly whether no changes are to be written, for a level is to come that does not
    *     have them
    */
-  Allocations(Ledger ledger, BooleanSupplier wholeOnly) {
+  Allocations(ClusterStateCache ledger, BooleanSupplier wholeOnly) {
     this.ledger = ledger;
     this.wholeOnly = wholeOnly;
   }
@@ -51,12 +51,12 @@
         && Feature.ALLOCATION_CHANGES.isIn(ledger.level().level())
         && whole.version().number() != 0) {
       Map<String, Object> change =
-          AllocationChange.write(whole, isTooLarge ? withOver(whole, next) : next);
+          AllocationDelta.write(whole, isTooLarge ? withOver(whole, next) : next);
       if (isTooLarge || Json.write(change).length < LARGEST_CHANGE * bytes) {
         return plan.put(
-            Keys.changedAllocation(id),
+            StoreKeys.changedAllocation(id),
             change,
-            Keys.allocation(id)); // a change of another whole record says nothing
+            StoreKeys.allocation(id)); // a change of another whole record says nothing
       }
     }
     return putWhole(plan, id, next);
@@ -89,20 +89,20 @@
 
   /** Writes it whole: at any level it can be read so. */
   boolean putWhole(TxnPlan plan, ShardId id, Map<JobId, TaskSet> next) {
-    String changeKey = Keys.changedAllocation(id);
+    String changeKey = StoreKeys.changedAllocation(id);
     Map<String, Object> whole = Allocation.write(next);
     boolean hasChange = ledger.version(changeKey).number() != 0;
     if (hasChange && plan.room() < 2) {
       return false;
     }
-    return plan.put(Keys.allocation(id), whole) && (!hasChange || plan.delete(changeKey));
+    return plan.put(StoreKeys.allocation(id), whole) && (!hasChange || plan.delete(changeKey));
   }
 
   /**
    * The records that there are of a block's tasks: whoever deletes the block deletes them with it.
    */
   List<String> keys(ShardId id) {
-    return Stream.of(Keys.allocation(id), Keys.changedAllocation(id))
+    return Stream.of(StoreKeys.allocation(id), StoreKeys.changedAllocation(id))
         .filter(key -> ledger.version(key).number() != 0)
         .toList();
   }
--- a/src/main/java/org/quincecross/leader/Books.java
+++ b/src/main/java/org/quincecross/leader/Books.java
@@ -18,9 +18,9 @@
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Resources;
 import org.quincecross.model.TaskSet;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 
 /**
  * What the ledger comes to for admission: which tasks each block holds, what each job has out and
@@ -41,7 +41,7 @@
    */
   record Account(Job job, TaskSet done, TaskSet out, TaskSet pool, Map<String, Integer> perZone) {}
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Withheld withheld;
   private final Map<ShardId, Map<JobId, TaskSet>> allocated = new HashMap<>();
   private final Map<JobId, Map<ShardId, TaskSet>> where = new HashMap<>();
@@ -63,14 +63,14 @@
     listeners.add(listener);
   }
 
-  Books(Ledger ledger) {
+  Books(ClusterStateCache ledger) {
     this(ledger, Withheld.NONE);
   }
 
   /**
    * @param withheld tasks that are in no pool, for they may not run now
    */
-  Books(Ledger ledger, Withheld withheld) {
+  Books(ClusterStateCache ledger, Withheld withheld) {
     this.ledger = ledger;
     this.withheld = withheld;
   }
@@ -88,7 +88,7 @@
   }
 
   /** Notes what has changed; it is looked at when the books are next asked. */
-  void changed(Ledger.Changes changes) {
+  void changed(ClusterStateCache.Changes changes) {
     toRead.addAll(changes.blocks());
     toCount.addAll(changes.jobs());
     if (changes.reloaded()) {
@@ -161,7 +161,7 @@
     there.forEach(
         (block, tasks) -> {
           int open = tasks.size() - tasks.intersectionSize(done);
-          BlockLease lease = ledger.block(block);
+          ShardLease lease = ledger.block(block);
           if (open > 0 && lease != null) {
             perZone.merge(lease.zone(), open, Integer::sum);
           }
--- a/src/main/java/org/quincecross/leader/Demands.java
+++ b/src/main/java/org/quincecross/leader/Demands.java
@@ -26,7 +26,7 @@
 import org.quincecross.sched.Admission;
 import org.quincecross.sched.JobDemand;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Settings;
 
 /**
@@ -53,7 +53,7 @@
   /** Most of what runs has ended after so many mean times. */
   private static final double EMPTIED = 1.5;
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Settings settings;
   private final Books books;
   private final LongSupplier clockMs;
@@ -74,7 +74,7 @@
    * @param running how many tasks of a job run, as their holders say
    */
   Demands(
-      Ledger ledger,
+      ClusterStateCache ledger,
       Settings settings,
       Books books,
       LongSupplier clockMs,
--- a/src/main/java/org/quincecross/leader/Fleet.java
+++ b/src/main/java/org/quincecross/leader/Fleet.java
@@ -23,9 +23,9 @@
 import org.quincecross.peer.PeerReport;
 import org.quincecross.sched.Admission;
 import org.quincecross.sched.Reserve;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Foresight;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.OperatorSettings;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.Settings;
@@ -72,9 +72,9 @@
 
   private final Timers timers;
   private final CloudClient cloud;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Settings settings;
-  private final Foresight foresight;
+  private final DemandForecast foresight;
   private final Supplier<OperatorSettings> operators;
   private final Supplier<Incarnation> life;
   private final Map<String, MachineType> catalog = new TreeMap<>();
@@ -112,9 +112,9 @@
   public Fleet(
       Timers timers,
       HttpCaller http,
-      Ledger ledger,
+      ClusterStateCache ledger,
       Settings settings,
-      Foresight foresight,
+      DemandForecast foresight,
       Supplier<Incarnation> life,
       Supplier<OperatorSettings> operators) {
     this.timers = timers;
@@ -293,7 +293,7 @@
     unlistedSince
         .keySet()
         .removeIf(machine -> listed.containsKey(machine) || ledger.blockOf(machine) == null);
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       for (MachineId machine : block.machines().keySet()) {
         if (!listed.containsKey(machine)
             && begun
@@ -437,7 +437,7 @@
    * given so many of this one.
    */
   private boolean makesWay(MachineId machine, MonotonicTime now) {
-    BlockLease block = ledger.blockOf(machine);
+    ShardLease block = ledger.blockOf(machine);
     return block != null
         && operators.get().returning()
         && plans.othersMakeWay(
@@ -446,7 +446,7 @@
 
   /** How long an idle machine is kept: the longer, the longer another one would take to come up. */
   private TimeSpan keepIdle(MachineId machine) {
-    BlockLease block = ledger.blockOf(machine);
+    ShardLease block = ledger.blockOf(machine);
     MachineType type = block == null ? null : ledger.types().get(block.type());
     TimeSpan idle = TimeSpan.ofSeconds(operators.get().idleSeconds());
     return type == null ? idle : idle.plus(type.bootTime().times(0.5));
@@ -464,7 +464,7 @@
     private final Map<Sort, List<Reserve>> large = new HashMap<>();
 
     Room(View view) {
-      for (BlockLease block : ledger.blocks().values()) {
+      for (ShardLease block : ledger.blocks().values()) {
         Sort sort = new Sort(block.type(), block.spot());
         for (Reserve reserve : foresight.of(block.id(), timers.now())) {
           if (reserve.purpose() == Reserve.Purpose.LARGE_WORK) {
@@ -480,12 +480,12 @@
       }
     }
 
-    private boolean counts(MachineId machine, BlockLease block) {
+    private boolean counts(MachineId machine, ShardLease block) {
       return block != null && !wanted.contains(machine) && !block.leaving().contains(machine);
     }
 
     private void add(MachineId machine, View view, int sign) {
-      BlockLease block = ledger.blockOf(machine);
+      ShardLease block = ledger.blockOf(machine);
       if (!counts(machine, block)) {
         return;
       }
@@ -520,7 +520,7 @@
     }
 
     /** Whether as many whole machines stay without this one as are kept for large work. */
-    boolean leavesReserve(MachineId machine, BlockLease block, View view) {
+    boolean leavesReserve(MachineId machine, ShardLease block, View view) {
       Sort sort = new Sort(block.type(), block.spot());
       int own = 0;
       for (Reserve reserve : large.getOrDefault(sort, List.of())) {
@@ -552,7 +552,7 @@
    * Whether the other machines of the type have room for the tasks, and for some more urgent ones.
    */
   private boolean hasRoomElsewhere(MachineId machine, Resources tasks, View current) {
-    BlockLease block = ledger.blockOf(machine);
+    ShardLease block = ledger.blockOf(machine);
     if (block == null || !room.leavesReserve(machine, block, current)) {
       return false;
     }
@@ -580,7 +580,7 @@
     consolidateAfter = now.plus(LOOK_FOR_THIN_EVERY);
     Map<MachineId, Double> thin = new HashMap<>();
     for (Map.Entry<MachineId, PeerReport.MachineState> entry : current.machines().entrySet()) {
-      BlockLease block = ledger.blockOf(entry.getKey());
+      ShardLease block = ledger.blockOf(entry.getKey());
       PeerReport.MachineState state = entry.getValue();
       if (block != null
           && state.movable()
--- a/src/main/java/org/quincecross/leader/FreshViews.java
+++ b/src/main/java/org/quincecross/leader/FreshViews.java
@@ -4,18 +4,18 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.ClusterStateCache;
 
 /** What the controllers have told lately: older word of a block is no ground for a decision. */
 final class FreshViews {
   private static final TimeSpan REPORT_FRESH = TimeSpan.ofSeconds(2.5);
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final PeerViews views;
 
-  FreshViews(Timers timers, Ledger ledger, PeerViews views) {
+  FreshViews(Timers timers, ClusterStateCache ledger, PeerViews views) {
     this.timers = timers;
     this.ledger = ledger;
     this.views = views;
@@ -32,7 +32,7 @@
   }
 
   /** What the holder of a block last said of it, if that is recent and of the present lease. */
-  PeerViews.BlockView of(BlockLease block) {
+  PeerViews.BlockView of(ShardLease block) {
     PeerViews.View view = of(block.holder());
     PeerViews.BlockView known = view == null ? null : view.blocks().get(block.id());
     return known != null && known.token().equals(block.token()) ? known : null;
--- a/src/main/java/org/quincecross/leader/HeldRecords.java
+++ b/src/main/java/org/quincecross/leader/HeldRecords.java
@@ -31,9 +31,9 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
 import org.quincecross.peer.AgreedBase;
-import org.quincecross.state.AgreedBook;
+import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 
 /**
@@ -67,10 +67,10 @@
   private record Over(JobId job, List<Records> series, TaskSet tasks, MonotonicTime at) {}
 
   private final AgreedBase base;
-  private final Ledger ledger;
-  private final AgreedBook<Hold, HoldCommand> holds;
-  private final AgreedBook<List<Claim>, List<Claim>> claims;
-  private final AgreedBook<List<Records>, List<Records>> sweeps;
+  private final ClusterStateCache ledger;
+  private final ReplicatedRecordIndex<Hold, HoldCommand> holds;
+  private final ReplicatedRecordIndex<List<Claim>, List<Claim>> claims;
+  private final ReplicatedRecordIndex<List<Records>, List<Records>> sweeps;
   private final HoldBooks books = new HoldBooks();
   private final Map<String, Integer> future = new TreeMap<>();
   private final Map<String, Touched> touched = new HashMap<>();
@@ -105,7 +105,7 @@
     return new At(latestMs, base.settings().clockBound().millis(), "");
   }
 
-  AgreedBook<Hold, HoldCommand> holds() {
+  ReplicatedRecordIndex<Hold, HoldCommand> holds() {
     return holds;
   }
 
@@ -115,7 +115,7 @@
 
   // ---- following the ledger ----
 
-  private void changed(Ledger.Changes changes) {
+  private void changed(ClusterStateCache.Changes changes) {
     if (changes.agreed().isEmpty()
         && sweeps.all().isEmpty()
         && claims.all().isEmpty()
--- a/src/main/java/org/quincecross/leader/HoldSteps.java
+++ b/src/main/java/org/quincecross/leader/HoldSteps.java
@@ -17,9 +17,9 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
 import org.quincecross.peer.AgreedBase;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.AgreedStore.Ask;
-import org.quincecross.state.Gone;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ReplicatedRecordStore.Ask;
+import org.quincecross.state.TerminationProof;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -88,7 +88,7 @@
 
   /** Makes the next step of a hold, if there is one now. */
   private void step(String reference) {
-    AgreedBook.Held<Hold> record = held.holds().get(reference);
+    ReplicatedRecordIndex.Held<Hold> record = held.holds().get(reference);
     Hold hold = record == null ? null : record.state();
     if (hold == null || !hold.isOpen()) {
       open.remove(reference);
@@ -105,9 +105,9 @@
       case PINNING -> pin(reference, record);
       case PINNED -> {
         Map<JobId, TaskSet> touching = held.touching(hold);
-        Gone.Proof proof = Gone.of(base.ledger(), touching, record.version());
+        TerminationProof.Proof proof = TerminationProof.of(base.ledger(), touching, record.version());
         Map<JobId, TaskSet> out =
-            proof.state() == Gone.State.HELD ? together(proof) : held.disturbed(reference);
+            proof.state() == TerminationProof.State.HELD ? together(proof) : held.disturbed(reference);
         if (!out.isEmpty()) {
           // A claim or a lane was told after these had begun.
           ask(reference, new HoldCommand.Widened(hold.opening(), hold.scope(), firstPart(out)));
@@ -122,7 +122,7 @@
     }
   }
 
-  private void pin(String reference, AgreedBook.Held<Hold> record) {
+  private void pin(String reference, ReplicatedRecordIndex.Held<Hold> record) {
     Hold hold = record.state();
     List<HoldCommand.Note> notes = touchedNotes(reference, hold);
     if (hold.notes() < notes.size()) {
@@ -130,7 +130,7 @@
       return;
     }
     Map<JobId, TaskSet> touching = held.touching(hold);
-    Gone.Proof proof = Gone.of(base.ledger(), touching, record.version());
+    TerminationProof.Proof proof = TerminationProof.of(base.ledger(), touching, record.version());
     if (proof.isProven()) {
       Map<JobId, TaskSet> kept = held.keptBack(touching);
       ask(
@@ -166,7 +166,7 @@
   }
 
   private void note(String reference) {
-    AgreedBook.Held<Hold> record = held.holds().get(reference);
+    ReplicatedRecordIndex.Held<Hold> record = held.holds().get(reference);
     MonotonicTime now = base.timers().now();
     MonotonicTime before = noted.get(reference);
     if (record == null || record.state().state() != Hold.State.PINNED) {
@@ -192,7 +192,7 @@
     }
   }
 
-  private static Map<JobId, TaskSet> together(Gone.Proof proof) {
+  private static Map<JobId, TaskSet> together(TerminationProof.Proof proof) {
     Map<JobId, TaskSet> all = new TreeMap<>();
     proof
         .where()
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -35,17 +35,17 @@
 import org.quincecross.rollout.Terms;
 import org.quincecross.sched.Admission;
 import org.quincecross.sched.Reserve;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Follower;
-import org.quincecross.state.Foresight;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.DemandForecast;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.state.Membership;
-import org.quincecross.state.ModelRecords;
-import org.quincecross.state.StateClient;
-import org.quincecross.state.TxnOutcome;
+import org.quincecross.state.ModelIndex;
+import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.TransactionResult;
 import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
@@ -90,13 +90,13 @@
   }
 
   private final Timers timers;
-  private final StateClient client;
-  private final Ledger ledger;
-  private final Follower follower;
+  private final KeyValueStoreClient client;
+  private final ClusterStateCache ledger;
+  private final StateWatcher follower;
   private final Membership membership;
   private final Settings settings;
   private final Fleet fleet;
-  private final Foresight foresight;
+  private final DemandForecast foresight;
   private final Overload overload;
   private final Demands demands;
   private final PeerViews views;
@@ -145,13 +145,13 @@
    */
   public Leader(
       Timers timers,
-      StateClient client,
-      Ledger ledger,
-      Follower follower,
+      KeyValueStoreClient client,
+      ClusterStateCache ledger,
+      StateWatcher follower,
       Membership membership,
       Settings settings,
       Fleet fleet,
-      Foresight foresight,
+      DemandForecast foresight,
       PeerViews views,
       LongSupplier clockMs,
       BooleanSupplier isWaking,
@@ -212,7 +212,7 @@
   }
 
   /** Follows the records. */
-  public void ledgerChanged(Ledger.Changes changes) {
+  public void ledgerChanged(ClusterStateCache.Changes changes) {
     books.changed(changes);
     trails.changed(changes);
     toLookAt.addAll(changes.blocks());
@@ -220,7 +220,7 @@
   }
 
   /** Whether a service was submitted, or controllers have come or gone. */
-  private boolean isUrgent(Ledger.Changes changes) {
+  private boolean isUrgent(ClusterStateCache.Changes changes) {
     if (changes.reloaded() || (changes.jobs().isEmpty() && changes.blocks().isEmpty())) {
       return true;
     }
@@ -264,7 +264,7 @@
   }
 
   /** Has models kept, each with as many replicas as are wanted. */
-  public void keepModels(AgreedBase base, ModelRecords records) {
+  public void keepModels(AgreedBase base, ModelIndex records) {
     keepers.add(new ModelKeeper(base, records, views, books, this::teams));
   }
 
@@ -307,7 +307,7 @@
   private int running(JobId job) {
     int running = 0;
     for (ShardId id : ledger.blocksOf(job)) {
-      BlockLease lease = ledger.block(id);
+      ShardLease lease = ledger.block(id);
       PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
       running += view == null ? 0 : view.running().getOrDefault(job, 0);
     }
@@ -381,7 +381,7 @@
   }
 
   private boolean leadsByLedger() {
-    MemberRecord leader = ledger.leader();
+    ControllerRecord leader = ledger.leader();
     return leader != null
         && leader.member().equals(settings.self())
         && leader.life().equals(membership.life());
@@ -424,7 +424,7 @@
     write(
         List.of(
             new Precondition(ledger.leaderKey(), Revision.NONE),
-            new Precondition(Keys.LEVEL, ledger.level().version()),
+            new Precondition(StoreKeys.LEVEL, ledger.level().version()),
             membership.alive(ledger)),
         List.of(new Mutation(ledger.leaderKey(), membership.record(), membership.life())),
         true);
@@ -448,7 +448,7 @@
     client.txn(guards, changes, urgent, outcome -> written(outcome, changes));
   }
 
-  private void written(TxnOutcome outcome, List<Mutation> changes) {
+  private void written(TransactionResult outcome, List<Mutation> changes) {
     writing = false;
     switch (outcome.kind()) {
       case COMMITTED -> {
@@ -642,7 +642,7 @@
       }
     }
     for (ShardId id : toLookAt) {
-      BlockLease lease = ledger.block(id);
+      ShardLease lease = ledger.block(id);
       if (lease == null) {
         admissionBlocks.remove(id);
         seenRoom.forget(id);
@@ -681,7 +681,7 @@
    * transaction.
    */
   private List<TaskId> released(ShardId id) {
-    BlockLease lease = ledger.block(id);
+    ShardLease lease = ledger.block(id);
     PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
     return view != null && view.allocation().equals(ledger.allocation(id).version())
         ? view.released()
@@ -691,7 +691,7 @@
   private Fleet.View fleetView() {
     Map<MachineId, PeerReport.MachineState> states = new HashMap<>();
     Set<MachineId> strays = new HashSet<>();
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       PeerViews.BlockView view = fresh.of(block);
       for (MachineId machine : view == null ? Set.<MachineId>of() : block.machines().keySet()) {
         PeerReport.MachineState state = view.machines().get(machine);
--- a/src/main/java/org/quincecross/leader/Leases.java
+++ b/src/main/java/org/quincecross/leader/Leases.java
@@ -25,11 +25,11 @@
 import org.quincecross.peer.PeerViews;
 import org.quincecross.silence.Hearing;
 import org.quincecross.silence.Moves;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Foresight;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.protocol.Settings;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -70,10 +70,10 @@
   private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(4);
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Settings settings;
   private final Fleet fleet;
-  private final Foresight foresight;
+  private final DemandForecast foresight;
   private final Books books;
   private final FreshViews fresh;
   private final Allocations allocations;
@@ -85,10 +85,10 @@
 
   Leases(
       Timers timers,
-      Ledger ledger,
+      ClusterStateCache ledger,
       Settings settings,
       Fleet fleet,
-      Foresight foresight,
+      DemandForecast foresight,
       Books books,
       FreshViews fresh,
       Allocations allocations) {
@@ -123,7 +123,7 @@
     return knowsAllGone;
   }
 
-  private List<MemberRecord> members() {
+  private List<ControllerRecord> members() {
     // A build from before levels may join whatever the level is; it takes no block that it could
     // not read.
     return ledger.members().values().stream()
@@ -135,9 +135,9 @@
    * The member to lease a block to: the one with the fewest machines, and of those one in the
    * block's zone.
    */
-  private MemberRecord chooseHolder(String zone, Map<ControllerId, Integer> load) {
-    MemberRecord best = null;
-    for (MemberRecord member : members()) {
+  private ControllerRecord chooseHolder(String zone, Map<ControllerId, Integer> load) {
+    ControllerRecord best = null;
+    for (ControllerRecord member : members()) {
       if (best == null || cost(member, zone, load) < cost(best, zone, load)) {
         best = member;
       }
@@ -150,7 +150,7 @@
    * where it is in another zone, a share of the average. When a zone is cut off, only a controller
    * inside can hold its machines.
    */
-  private double cost(MemberRecord member, String zone, Map<ControllerId, Integer> load) {
+  private double cost(ControllerRecord member, String zone, Map<ControllerId, Integer> load) {
     double average = (double) ledger.machineCount() / ledger.members().size();
     // Where nobody hears the machines, one who does not is as good as another.
     double deaf =
@@ -164,7 +164,7 @@
 
   private Map<ControllerId, Integer> machinesHeld() {
     Map<ControllerId, Integer> load = new HashMap<>();
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       load.merge(block.holder(), block.machines().size(), Integer::sum);
     }
     return load;
@@ -174,32 +174,32 @@
   // A changed lease is another instance.
   @SuppressWarnings("ReferenceEquality")
   Set<ShardId> plan(TxnPlan plan) {
-    Map<ShardId, BlockLease> next = new TreeMap<>();
+    Map<ShardId, ShardLease> next = new TreeMap<>();
     Set<ShardId> deleted = new HashSet<>();
     Map<ControllerId, Integer> load = machinesHeld();
     Map<ShardId, Set<MachineId>> going = new HashMap<>();
     for (MachineId machine : fleet.leaving()) {
-      BlockLease block = ledger.blockOf(machine);
+      ShardLease block = ledger.blockOf(machine);
       if (block != null) {
         going.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
       }
     }
-    for (BlockLease block : ledger.blocks().values()) {
-      BlockLease changed = without(block, going.getOrDefault(block.id(), Set.of()));
+    for (ShardLease block : ledger.blocks().values()) {
+      ShardLease changed = without(block, going.getOrDefault(block.id(), Set.of()));
       if (changed.machines().isEmpty()) {
         // No machine is left, so no task of it is anywhere: all of them go back to the pool.
         List<String> records = allocations.keys(block.id());
         if (plan.room() > records.size()) {
-          plan.delete(Keys.block(block.id()));
+          plan.delete(StoreKeys.block(block.id()));
           records.forEach(plan::delete);
           deleted.add(block.id());
         }
         continue;
       }
-      MemberRecord holder = ledger.members().get(block.holder());
+      ControllerRecord holder = ledger.members().get(block.holder());
       if (holder == null || !holder.life().equals(block.life())) {
         load.merge(block.holder(), -block.machines().size(), Integer::sum);
-        MemberRecord chosen = chooseHolder(block.zone(), load);
+        ControllerRecord chosen = chooseHolder(block.zone(), load);
         if (chosen != null) {
           LOG.info("block {} goes from {} to {}", block.id(), block.holder(), chosen.member());
           load.merge(chosen.member(), block.machines().size(), Integer::sum);
@@ -216,14 +216,14 @@
       rebalance(next, load);
     }
     takeIn(next, deleted, load, plan.mostValue());
-    next.values().removeIf(block -> !plan.put(Keys.block(block.id()), block.write()));
+    next.values().removeIf(block -> !plan.put(StoreKeys.block(block.id()), block.write()));
     Set<ShardId> touched = new HashSet<>(next.keySet());
     touched.addAll(deleted);
     return touched;
   }
 
-  private BlockLease without(BlockLease block, Set<MachineId> going) {
-    BlockLease changed = block;
+  private ShardLease without(ShardLease block, Set<MachineId> going) {
+    ShardLease changed = block;
     for (MachineId machine : going) {
       if (fleet.isGone(machine)) {
         changed = changed.without(machine);
@@ -238,14 +238,14 @@
    * A holder whose machines report to another controller is cut off from them: that one gets the
    * block.
    */
-  private void rescueUnheard(Map<ShardId, BlockLease> next, Set<ShardId> deleted) {
+  private void rescueUnheard(Map<ShardId, ShardLease> next, Set<ShardId> deleted) {
     moves.obeys(moves.marked().stream().filter(this::isObedient).toList());
     Map<ShardId, Map<ControllerId, Integer>> heardBy = new HashMap<>();
     Map<ShardId, Set<MachineId>> strays = new HashMap<>();
-    for (MemberRecord member : members()) {
+    for (ControllerRecord member : members()) {
       PeerViews.View view = fresh.of(member.member());
       for (MachineId machine : view == null ? Set.<MachineId>of() : view.strays()) {
-        BlockLease block = ledger.blockOf(machine);
+        ShardLease block = ledger.blockOf(machine);
         if (block != null
             && !block.holder().equals(member.member())
             && isSilent(block, machine)
@@ -259,7 +259,7 @@
     }
     heardBy.forEach(
         (id, members) -> {
-          BlockLease block = ledger.block(id);
+          ShardLease block = ledger.block(id);
           // The machines may have gone to several controllers: that half of them are heard
           // elsewhere is what counts.
           // One that hears nothing is heard by each in turn, and counts once.
@@ -282,10 +282,10 @@
    * Gives controllers that did not hear the machines of a zone the smallest block there to try,
    * once their pause is over; and takes note of what becomes of trials.
    */
-  private void tryTheDeaf(Map<ShardId, BlockLease> next) {
+  private void tryTheDeaf(Map<ShardId, ShardLease> next) {
     MonotonicTime now = timers.now();
-    Map<String, BlockLease> smallest = new TreeMap<>();
-    for (BlockLease block : ledger.blocks().values()) {
+    Map<String, ShardLease> smallest = new TreeMap<>();
+    for (ShardLease block : ledger.blocks().values()) {
       PeerViews.BlockView view = fresh.of(block);
       if (view != null && obeysItsHolder(view)) {
         hearing.heard(block.holder(), block.zone(), now);
@@ -295,7 +295,7 @@
             (one, other) -> other.machines().size() < one.machines().size() ? other : one);
       }
     }
-    for (MemberRecord member : members()) {
+    for (ControllerRecord member : members()) {
       smallest.forEach(
           (zone, block) -> {
             if (hearing.of(member.member(), zone, now) == Hearing.State.TO_BE_TRIED
@@ -318,11 +318,11 @@
    * only a new token ends. Only while all of its machines obey that holder: then they are fenced
    * again in a moment.
    */
-  private void endDoubts(Map<ShardId, BlockLease> next, Set<ShardId> deleted) {
+  private void endDoubts(Map<ShardId, ShardLease> next, Set<ShardId> deleted) {
     if (!next.isEmpty() || !deleted.isEmpty()) {
       return;
     }
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       PeerViews.BlockView view = fresh.of(block);
       if (view != null
           && view.inDoubt()
@@ -345,7 +345,7 @@
 
   /** Whether a machine takes work of its holder, or is in no block any more. */
   private boolean isObedient(MachineId machine) {
-    BlockLease block = ledger.blockOf(machine);
+    ShardLease block = ledger.blockOf(machine);
     PeerViews.BlockView view = block == null ? null : fresh.of(block);
     PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
     return block == null || (state != null && state.fenced() && state.open());
@@ -355,7 +355,7 @@
    * Whether a block's holder does not hear a machine; a holder that has not reported yet says
    * nothing of that.
    */
-  private boolean isSilent(BlockLease block, MachineId machine) {
+  private boolean isSilent(ShardLease block, MachineId machine) {
     PeerViews.BlockView view = fresh.of(block);
     PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
     return state != null && state.silent().isLongerThan(UNHEARD);
@@ -365,15 +365,15 @@
    * Moves a few blocks to controllers that have much less to do, or are in the blocks' zones, now
    * and then.
    */
-  private void rebalance(Map<ShardId, BlockLease> next, Map<ControllerId, Integer> load) {
+  private void rebalance(Map<ShardId, ShardLease> next, Map<ControllerId, Integer> load) {
     if (REBALANCE_EVERY.isLongerThan(timers.now().since(rebalanced))) {
       return;
     }
     rebalanced = timers.now();
     tryTheDeaf(next);
-    for (BlockLease block : ledger.blocks().values()) {
-      MemberRecord holder = ledger.members().get(block.holder());
-      MemberRecord better = chooseHolder(block.zone(), load);
+    for (ShardLease block : ledger.blocks().values()) {
+      ControllerRecord holder = ledger.members().get(block.holder());
+      ControllerRecord better = chooseHolder(block.zone(), load);
       int size = block.machines().size();
       PeerViews.BlockView view = fresh.of(block);
       // A machine that takes no work and does not say why may be one that hears nothing: it would
@@ -439,13 +439,13 @@
   }
 
   private record Kind(String type, String zone, boolean spot) {
-    static Kind of(BlockLease block) {
+    static Kind of(ShardLease block) {
       return new Kind(block.type(), block.zone(), block.spot());
     }
   }
 
   private void takeIn(
-      Map<ShardId, BlockLease> next,
+      Map<ShardId, ShardLease> next,
       Set<ShardId> deleted,
       Map<ControllerId, Integer> load,
       int mostBytes) {
@@ -471,12 +471,12 @@
         continue;
       }
       int most = mostMachines(type);
-      BlockLease home = null;
+      ShardLease home = null;
       List<ShardId> homes =
           withRoom.computeIfAbsent(
               new Kind(machine.type(), machine.zone(), machine.spot()), kind -> new ArrayList<>());
       while (home == null && !homes.isEmpty()) {
-        BlockLease block = next.getOrDefault(homes.get(0), ledger.block(homes.get(0)));
+        ShardLease block = next.getOrDefault(homes.get(0), ledger.block(homes.get(0)));
         // A block that a value cannot name would be written in vain, and its machines be in none.
         if (block.machines().size() < most && block.with(machine).mostBytes() <= mostBytes) {
           home = block;
@@ -488,8 +488,8 @@
         next.put(home.id(), home.with(machine));
         load.merge(home.holder(), 1, Integer::sum);
       } else {
-        MemberRecord holder = chooseHolder(machine.zone(), load);
-        BlockLease made = BlockLease.first(new ShardId("b-" + machine.id()), holder, machine);
+        ControllerRecord holder = chooseHolder(machine.zone(), load);
+        ShardLease made = ShardLease.first(new ShardId("b-" + machine.id()), holder, machine);
         load.merge(holder.member(), 1, Integer::sum);
         next.put(made.id(), made);
         homes.add(made.id());
--- a/src/main/java/org/quincecross/leader/LevelSwitch.java
+++ b/src/main/java/org/quincecross/leader/LevelSwitch.java
@@ -13,9 +13,9 @@
 import org.quincecross.rollout.Feature;
 import org.quincecross.rollout.Level;
 import org.quincecross.rollout.Rollout;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.LevelRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.FeatureLevelRecord;
 import org.quincecross.state.Membership;
 import org.quincecross.state.OperatorSettings;
 import org.quincecross.protocol.Json;
@@ -35,14 +35,14 @@
   private static final Logger LOG = LoggerFactory.getLogger(LevelSwitch.class);
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Settings settings;
   private final Membership membership;
   private final Rollout rollout = new Rollout();
   private Rollout.Decision decision = new Rollout.Decision(Rollout.State.SETTLED, null, "");
   private MonotonicTime looked;
 
-  LevelSwitch(Ledger ledger, Settings settings, Membership membership) {
+  LevelSwitch(ClusterStateCache ledger, Settings settings, Membership membership) {
     this.ledger = ledger;
     this.settings = settings;
     this.membership = membership;
@@ -113,13 +113,13 @@
   List<Precondition> guards() {
     List<Precondition> guards = new ArrayList<>();
     guards.add(new Precondition(ledger.leaderKey(), ledger.version(ledger.leaderKey())));
-    guards.add(new Precondition(Keys.LEVEL, ledger.level().version()));
+    guards.add(new Precondition(StoreKeys.LEVEL, ledger.level().version()));
     Set<ControllerId> members = new HashSet<>(ledger.members().keySet());
     members.add(settings.self());
     settings.peers().forEach(sibling -> members.add(sibling.member()));
     members.forEach(
-        member -> guards.add(new Precondition(Keys.member(member), ledger.version(Keys.member(member)))));
-    String otherPlace = Ledger.leaderKey(decision.to());
+        member -> guards.add(new Precondition(StoreKeys.member(member), ledger.version(StoreKeys.member(member)))));
+    String otherPlace = ClusterStateCache.leaderKey(decision.to());
     if (!otherPlace.equals(ledger.leaderKey())) {
       guards.add(new Precondition(otherPlace, ledger.version(otherPlace)));
     }
@@ -128,17 +128,17 @@
 
   List<Mutation> changes() {
     List<Mutation> changes = new ArrayList<>();
-    changes.add(Mutation.put(Keys.LEVEL, LevelRecord.write(decision.to())));
+    changes.add(Mutation.put(StoreKeys.LEVEL, FeatureLevelRecord.write(decision.to())));
     changes.add(
-        new Mutation(Ledger.leaderKey(decision.to()), membership.record(), membership.life()));
+        new Mutation(ClusterStateCache.leaderKey(decision.to()), membership.record(), membership.life()));
     boolean moves = Feature.LEADERSHIP_MOVED.isIn(decision.to());
     if (moves && !Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
       // Builds from before levels see that somebody leads, and never do so themselves.
       changes.add(
           Mutation.put(
-              Keys.LEADER, Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
+              StoreKeys.LEADER, Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
     } else if (!moves && Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
-      changes.add(Mutation.delete(Keys.LEADS));
+      changes.add(Mutation.delete(StoreKeys.LEADS));
     }
     return changes;
   }
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -23,9 +23,9 @@
 import org.quincecross.sched.Admission;
 import org.quincecross.sched.JobDemand;
 import org.quincecross.sched.Reserve;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.ModelRecords;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ModelIndex;
 
 /**
  * Admission where there are models: their replicas go to the blocks of their places, all else as
@@ -33,8 +33,8 @@
  */
 final class ModelAdmission {
   private final Timers timers;
-  private final Ledger ledger;
-  private final ModelRecords records;
+  private final ClusterStateCache ledger;
+  private final ModelIndex records;
   private final ModelFleet machines;
   private final Books books;
   private final Supplier<Map<String, Team>> teams;
@@ -42,8 +42,8 @@
 
   ModelAdmission(
       Timers timers,
-      Ledger ledger,
-      ModelRecords records,
+      ClusterStateCache ledger,
+      ModelIndex records,
       ModelFleet machines,
       Books books,
       Supplier<Map<String, Team>> teams) {
@@ -112,7 +112,7 @@
     Map<ShardId, TaskSet> pools = new TreeMap<>();
     for (int index = demand.pool().nextMember(0); index >= 0; index = demand.pool().nextMember(index + 1)) {
       Model.Place place = model.places().get(index);
-      BlockLease lease = place == null ? null : ledger.blockOf(place.machine());
+      ShardLease lease = place == null ? null : ledger.blockOf(place.machine());
       if (lease != null
           && (job.kind() == JobKind.GANG || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
         pools.computeIfAbsent(lease.id(), id -> new TaskSet()).add(index);
--- a/src/main/java/org/quincecross/leader/ModelKeeper.java
+++ b/src/main/java/org/quincecross/leader/ModelKeeper.java
@@ -36,12 +36,12 @@
 import org.quincecross.sched.Admission;
 import org.quincecross.sched.JobDemand;
 import org.quincecross.sched.Reserve;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.AgreedStore;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.ModelRecords;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ModelIndex;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -63,8 +63,8 @@
   private static final TimeSpan SEEN_AFTER = TimeSpan.ofSeconds(3);
 
   private final AgreedBase base;
-  private final Ledger ledger;
-  private final ModelRecords records;
+  private final ClusterStateCache ledger;
+  private final ModelIndex records;
   private final ModelFleet machines;
   private final PeerViews views;
   private final Books books;
@@ -89,7 +89,7 @@
 
   ModelKeeper(
       AgreedBase base,
-      ModelRecords records,
+      ModelIndex records,
       PeerViews views,
       Books books,
       Supplier<Map<String, Team>> teams) {
@@ -150,7 +150,7 @@
 
   private List<ModelLook> gather() {
     List<ModelLook> all = new ArrayList<>();
-    for (Map.Entry<String, AgreedBook.Held<Model>> each : records.book().all().entrySet()) {
+    for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each : records.book().all().entrySet()) {
       Model model = each.getValue().state();
       if (!model.isDefined() || (model.phase() == Phase.ZERO && model.terms().keepWarm() == 0)) {
         continue;
@@ -202,7 +202,7 @@
         .ask(
             records.book(),
             name,
-            AgreedStore.Ask.own(command),
+            ReplicatedRecordStore.Ask.own(command),
             answer -> {
               asked.remove(name);
               if (!answer.isDurable()) {
@@ -288,7 +288,7 @@
   private Map<String, Integer> perZone(ModelLook look) {
     Map<String, Integer> zones = new TreeMap<>();
     for (Model.Place place : look.model().places().values()) {
-      BlockLease lease = ledger.blockOf(place.machine());
+      ShardLease lease = ledger.blockOf(place.machine());
       if (lease != null) {
         zones.merge(lease.zone(), 1, Integer::sum);
       }
--- a/src/main/java/org/quincecross/leader/ModelLosses.java
+++ b/src/main/java/org/quincecross/leader/ModelLosses.java
@@ -16,7 +16,7 @@
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.peer.ModelFleet;
 import org.quincecross.peer.PeerReport;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 
 /**
  * Which places of models have failed: their machines are gone, going, not heard, or have not
@@ -107,7 +107,7 @@
 
   private String wrongWith(ModelLook look, int replica, Model.Place place, MonotonicTime now) {
     MachineId machine = place.machine();
-    BlockLease lease = base.ledger().blockOf(machine);
+    ShardLease lease = base.ledger().blockOf(machine);
     if (lease == null) {
       return "is gone";
     }
--- a/src/main/java/org/quincecross/leader/PoolWaits.java
+++ b/src/main/java/org/quincecross/leader/PoolWaits.java
@@ -10,13 +10,13 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.Team;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 
 /** Says in words what the tasks in the pool wait for. */
 final class PoolWaits {
   private static final int MOST_NAMED = 10;
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Books books;
   private final Demands demands;
   private final PeerViews views;
@@ -27,7 +27,7 @@
    * @param teams with the limits that hold
    */
   PoolWaits(
-      Ledger ledger,
+      ClusterStateCache ledger,
       Books books,
       Demands demands,
       PeerViews views,
--- a/src/main/java/org/quincecross/leader/Renting.java
+++ b/src/main/java/org/quincecross/leader/Renting.java
@@ -14,8 +14,8 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.sched.Admission;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.ClusterStateCache;
 
 /**
  * Which machines to rent for work that has no room, by price, zone and what the cloud has refused
@@ -37,12 +37,12 @@
   /** The kind of machine that a large gang's block is to grow by. */
   private record Goal(MachineKind kind, MonotonicTime since) {}
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Map<String, MachineType> catalog;
   private final Map<MachineKind, MonotonicTime> refusedUntil = new HashMap<>();
   private final Map<JobId, Goal> goals = new HashMap<>();
 
-  Renting(Ledger ledger, Map<String, MachineType> catalog) {
+  Renting(ClusterStateCache ledger, Map<String, MachineType> catalog) {
     this.ledger = ledger;
     this.catalog = catalog;
   }
@@ -176,7 +176,7 @@
 
   private int largestBlock(MachineKind kind) {
     int most = 0;
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       if (block.type().equals(kind.type())
           && block.zone().equals(kind.zone())
           && block.spot() == kind.spot()) {
@@ -250,7 +250,7 @@
 
   private Map<MachineKind, Integer> machinesOfKinds(Collection<MachineKind> booting) {
     Map<MachineKind, Integer> counts = new HashMap<>();
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       counts.merge(
           new MachineKind(block.type(), block.zone(), block.spot()),
           block.machines().size(),
--- a/src/main/java/org/quincecross/leader/RequestKeeper.java
+++ b/src/main/java/org/quincecross/leader/RequestKeeper.java
@@ -18,9 +18,9 @@
 import org.quincecross.requests.RequestCommand;
 import org.quincecross.requests.Reservation;
 import org.quincecross.sched.Admission;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.AgreedStore;
-import org.quincecross.state.RequestRooms;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.state.ReservedCapacity;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -53,9 +53,9 @@
   /** No job that is accepted has this id: it stands in the place of room that is asked for. */
   private static final JobId NO_JOB = new JobId("job-0");
 
-  private final AgreedStore store;
-  private final AgreedBook<Request, RequestCommand> book;
-  private final RequestRooms rooms;
+  private final ReplicatedRecordStore store;
+  private final ReplicatedRecordIndex<Request, RequestCommand> book;
+  private final ReservedCapacity rooms;
   private final double share;
   private List<Admission.Unmet> unmet = List.of();
   private MonotonicTime lookedAt;
@@ -73,9 +73,9 @@
    * @param share of the machines that may be reserved beyond teams' guarantees
    */
   public RequestKeeper(
-      AgreedStore store,
-      AgreedBook<Request, RequestCommand> book,
-      RequestRooms rooms,
+      ReplicatedRecordStore store,
+      ReplicatedRecordIndex<Request, RequestCommand> book,
+      ReservedCapacity rooms,
       double share) {
     this.store = store;
     this.book = book;
@@ -127,7 +127,7 @@
     store.ask(
         book,
         reference,
-        AgreedStore.Ask.own(command),
+        ReplicatedRecordStore.Ask.own(command),
         answer -> {
           underWay--;
           if (!answer.isDurable() || !answer.why().isEmpty()) {
--- a/src/main/java/org/quincecross/leader/Results.java
+++ b/src/main/java/org/quincecross/leader/Results.java
@@ -16,10 +16,10 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.state.DoneTasks;
+import org.quincecross.state.CompletedTasks;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
 
 /**
  * Makes completions durable, gathered so that they cost few changes.
@@ -34,7 +34,7 @@
   private static final TimeSpan GATHER = TimeSpan.ofSeconds(1.5);
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final PeerViews views;
   private final Books books;
   private final LongSupplier clockMs;
@@ -43,7 +43,7 @@
   /**
    * @param clockMs tells the time of day
    */
-  Results(Timers timers, Ledger ledger, PeerViews views, Books books, LongSupplier clockMs) {
+  Results(Timers timers, ClusterStateCache ledger, PeerViews views, Books books, LongSupplier clockMs) {
     this.timers = timers;
     this.ledger = ledger;
     this.views = views;
@@ -70,7 +70,7 @@
       } else {
         JobRecord record = ledger.job(id);
         plan.put(
-            Keys.job(id),
+            StoreKeys.job(id),
             ledger.pipelines().hasFollowers(id) ? record.done(clockMs.getAsLong()) : record.done());
       }
     }
@@ -104,7 +104,7 @@
     Set<Integer> changed = new TreeSet<>();
     unfinished.forEach(
         (id, all) -> {
-          if (!DoneTasks.fitsPage(all) || ledger.hasChunks(id)) {
+          if (!CompletedTasks.fitsPage(all) || ledger.hasChunks(id)) {
             planChunks(plan, id, all, fresh.get(id));
             return;
           }
@@ -119,20 +119,20 @@
           changed.add(page);
         });
     for (int page : changed) {
-      plan.put(Keys.page(page), DoneTasks.writePage(pages.get(page).jobs));
+      plan.put(StoreKeys.page(page), CompletedTasks.writePage(pages.get(page).jobs));
     }
   }
 
   /** A page as it is to be written, and how large it is: asked for every job that has news. */
   private static final class Page {
     private final Map<JobId, TaskSet> jobs = new LinkedHashMap<>();
-    private int bytes = DoneTasks.EMPTY_PAGE_BYTES;
+    private int bytes = CompletedTasks.EMPTY_PAGE_BYTES;
 
     int bytesWith(JobId job, TaskSet set) {
       TaskSet before = jobs.get(job);
       return bytes
-          + DoneTasks.pageBytes(job, set)
-          - (before == null ? 0 : DoneTasks.pageBytes(job, before));
+          + CompletedTasks.pageBytes(job, set)
+          - (before == null ? 0 : CompletedTasks.pageBytes(job, before));
     }
 
     void put(JobId job, TaskSet set) {
@@ -149,11 +149,11 @@
     Set<Integer> chunks = new TreeSet<>();
     for (int i = fresh.nextMember(0);
         i >= 0;
-        i = fresh.nextMember((i / DoneTasks.CHUNK + 1) * DoneTasks.CHUNK)) {
-      chunks.add(i / DoneTasks.CHUNK);
+        i = fresh.nextMember((i / CompletedTasks.CHUNK + 1) * CompletedTasks.CHUNK)) {
+      chunks.add(i / CompletedTasks.CHUNK);
     }
     for (int chunk : chunks) {
-      plan.put(Keys.done(id, chunk), DoneTasks.write(all, chunk));
+      plan.put(StoreKeys.done(id, chunk), CompletedTasks.write(all, chunk));
     }
   }
 
--- a/src/main/java/org/quincecross/leader/SeenRoom.java
+++ b/src/main/java/org/quincecross/leader/SeenRoom.java
@@ -15,7 +15,7 @@
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.sched.Admission;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 
 /** The room on machines as their holders show it, and what of it nothing has taken for a while. */
 final class SeenRoom {
@@ -32,7 +32,7 @@
 
   /** A block as admission sees it; of a holder that is not heard nothing is open. */
   Admission.Block block(
-      BlockLease lease, MachineType type, PeerViews.BlockView view, int mostBytes, MonotonicTime now) {
+      ShardLease lease, MachineType type, PeerViews.BlockView view, int mostBytes, MonotonicTime now) {
     List<Resources> free = new ArrayList<>();
     List<Resources> soon = new ArrayList<>();
     Map<String, Admission.ImageRoom> images = new HashMap<>();
--- a/src/main/java/org/quincecross/leader/TxnBounds.java
+++ b/src/main/java/org/quincecross/leader/TxnBounds.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
@@ -59,7 +59,7 @@
   }
 
   /** A transaction that is to have at most so many changes. */
-  TxnPlan plan(Ledger ledger, int most, MonotonicTime now) {
+  TxnPlan plan(ClusterStateCache ledger, int most, MonotonicTime now) {
     refusals.values().removeIf(refusal -> refusal.until().isBefore(now));
     if (refusedAt != null && now.since(refusedAt).isLongerThan(ASIDE)) {
       changes = Math.min(limits.maxMutationsPerTransaction(), 2 * changes);
--- a/src/main/java/org/quincecross/leader/TxnPlan.java
+++ b/src/main/java/org/quincecross/leader/TxnPlan.java
@@ -6,8 +6,8 @@
 import java.util.function.BiPredicate;
 import org.quincecross.model.Revision;
 import org.quincecross.rollout.Feature;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
@@ -20,7 +20,7 @@
   /** What a transaction may hold overall, less room for its guards. */
   private static final int MOST_BYTES = 40 * 1024;
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final int mostChanges;
   private final int mostValue;
   private final BiPredicate<String, Integer> mayPut;
@@ -28,14 +28,14 @@
   private final List<Mutation> changes = new ArrayList<>();
   private int bytes;
 
-  TxnPlan(Ledger ledger, int mostChanges, int mostValue) {
+  TxnPlan(ClusterStateCache ledger, int mostChanges, int mostValue) {
     this(ledger, mostChanges, mostValue, (key, bytes) -> true);
   }
 
   /**
    * @param mayPut whether a value of so many bytes may be put there
    */
-  TxnPlan(Ledger ledger, int mostChanges, int mostValue, BiPredicate<String, Integer> mayPut) {
+  TxnPlan(ClusterStateCache ledger, int mostChanges, int mostValue, BiPredicate<String, Integer> mayPut) {
     this.mayPut = mayPut;
     this.ledger = ledger;
     this.mostChanges = mostChanges;
@@ -49,9 +49,9 @@
   void guardAll() {
     guard(ledger.leaderKey());
     // What is decided by the level's features is of no use under another level.
-    guard(Keys.LEVEL);
+    guard(StoreKeys.LEVEL);
     if (Feature.AGREED_RECORDS.isIn(ledger.level().level())) {
-      guard(Keys.AGREED_FENCE); // what was planned before tasks were kept back may allocate them
+      guard(StoreKeys.AGREED_FENCE); // what was planned before tasks were kept back may allocate them
     }
   }
 
--- a/src/main/java/org/quincecross/leader/TypeRecords.java
+++ b/src/main/java/org/quincecross/leader/TypeRecords.java
@@ -5,8 +5,8 @@
 import org.quincecross.model.MachineType;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.CloudCodec;
 
 /**
@@ -20,10 +20,10 @@
 final class TypeRecords {
   private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(3);
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private MonotonicTime waitsSince;
 
-  TypeRecords(Ledger ledger) {
+  TypeRecords(ClusterStateCache ledger) {
     this.ledger = ledger;
   }
 
@@ -41,7 +41,7 @@
     } else {
       waitsSince = null;
     }
-    news.forEach(type -> plan.put(Keys.type(type.name()), CloudCodec.writeCatalog(List.of(type))));
+    news.forEach(type -> plan.put(StoreKeys.type(type.name()), CloudCodec.writeCatalog(List.of(type))));
     return true;
   }
 
--- a/src/main/java/org/quincecross/peer/AgreedBase.java
+++ b/src/main/java/org/quincecross/peer/AgreedBase.java
@@ -7,8 +7,8 @@
 import org.quincecross.agreed.Unreadable;
 import org.quincecross.agreed.WithheldByAny;
 import org.quincecross.net.Timers;
-import org.quincecross.state.AgreedStore;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Settings;
 
 /**
@@ -22,8 +22,8 @@
  */
 public record AgreedBase(
     Timers timers,
-    Ledger ledger,
-    AgreedStore store,
+    ClusterStateCache ledger,
+    ReplicatedRecordStore store,
     KnownRevisions known,
     WithheldByAny withheld,
     Settings settings,
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -10,8 +10,8 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.protocol.Settings;
 
 /**
@@ -28,7 +28,7 @@
   private record Seen(Revision revision, MonotonicTime at) {}
 
   private final Timers timers;
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final PeerViews views;
   private final Settings settings;
   private final TimeSpan longest;
@@ -39,7 +39,7 @@
    *     clocks' drift included
    */
   public KnownRevisions(
-      Timers timers, Ledger ledger, PeerViews views, Settings settings, TimeSpan longest) {
+      Timers timers, ClusterStateCache ledger, PeerViews views, Settings settings, TimeSpan longest) {
     this.timers = timers;
     this.ledger = ledger;
     this.views = views;
@@ -48,7 +48,7 @@
   }
 
   /** Follows the records; costs nothing where no agreed record has changed. */
-  public void ledgerChanged(Ledger.Changes changes) {
+  public void ledgerChanged(ClusterStateCache.Changes changes) {
     if (!changes.agreed().isEmpty()) {
       seen.add(new Seen(ledger.revision(), timers.now()));
       while (seen.size() > MOST_SEEN) {
@@ -71,7 +71,7 @@
     List<KnownByAll.Told> told = new ArrayList<>();
     expect(settings.self(), expected);
     settings.peers().forEach(sibling -> expect(sibling.member(), expected));
-    for (MemberRecord member : ledger.members().values()) {
+    for (ControllerRecord member : ledger.members().values()) {
       if (expected.stream().noneMatch(each -> each.member().equals(member.member()))) {
         expect(member.member(), expected);
       }
@@ -86,7 +86,7 @@
   }
 
   private void expect(ControllerId member, List<KnownByAll.Told> expected) {
-    MemberRecord record = ledger.members().get(member);
+    ControllerRecord record = ledger.members().get(member);
     expected.add(
         new KnownByAll.Told(
             member, record == null ? Incarnation.NONE : record.life(), Revision.NONE));
--- a/src/main/java/org/quincecross/peer/ModelFleet.java
+++ b/src/main/java/org/quincecross/peer/ModelFleet.java
@@ -14,10 +14,10 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.models.Model;
 import org.quincecross.models.Weights;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.ModelRecords;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ModelIndex;
 
 /**
  * The machines as they matter for models: room, weights that are there or coming, by what the
@@ -37,11 +37,11 @@
 
   private static final double SLOW_BOOT = 1.6;
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final PeerViews views;
-  private final ModelRecords records;
+  private final ModelIndex records;
 
-  public ModelFleet(Ledger ledger, PeerViews views, ModelRecords records) {
+  public ModelFleet(ClusterStateCache ledger, PeerViews views, ModelIndex records) {
     this.ledger = ledger;
     this.views = views;
     this.records = records;
@@ -57,12 +57,12 @@
 
   /** What the holder of a machine's block last said of it, if that is recent; else null. */
   public PeerReport.MachineState state(MachineId machine, MonotonicTime now) {
-    BlockLease lease = ledger.blockOf(machine);
+    ShardLease lease = ledger.blockOf(machine);
     PeerViews.BlockView block = lease == null ? null : block(lease, now);
     return block == null ? null : block.machines().get(machine);
   }
 
-  private PeerViews.BlockView block(BlockLease lease, MonotonicTime now) {
+  private PeerViews.BlockView block(ShardLease lease, MonotonicTime now) {
     PeerViews.View view = views.of(lease.holder());
     if (view == null || now.since(view.at()).isLongerThan(FRESH)) {
       return null;
@@ -80,7 +80,7 @@
   public List<Weights.Candidate> candidates(Map<MachineId, List<Job>> notYet, MonotonicTime now) {
     Map<String, Double> sizes = sizes();
     List<Weights.Candidate> candidates = new ArrayList<>();
-    for (BlockLease lease : ledger.blocks().values()) {
+    for (ShardLease lease : ledger.blocks().values()) {
       MachineType type = ledger.types().get(lease.type());
       PeerViews.BlockView block = type == null ? null : block(lease, now);
       if (block == null) {
@@ -118,7 +118,7 @@
   }
 
   private static Weights.Candidate candidate(
-      BlockLease lease,
+      ShardLease lease,
       MachineType type,
       PeerReport.MachineState state,
       List<Job> notYet,
@@ -184,7 +184,7 @@
     }
     double rate = 0;
     for (Model.Place place : model.places().values()) {
-      BlockLease lease = ledger.blockOf(place.machine());
+      ShardLease lease = ledger.blockOf(place.machine());
       MachineType type = lease == null ? null : ledger.types().get(lease.type());
       rate = type == null ? rate : Math.max(rate, type.pullGbPerSecond());
     }
--- a/src/main/java/org/quincecross/state/Allocation.java
+++ b/src/main/java/org/quincecross/state/Allocation.java
@@ -14,11 +14,11 @@
 
   static Allocation read(Object value, Revision version) throws MalformedMessageException {
     return new Allocation(
-        TaskSets.read(JsonFields.of(value, "an allocation").fields("tasks")), version);
+        TaskSetCodec.read(JsonFields.of(value, "an allocation").fields("tasks")), version);
   }
 
   public static Map<String, Object> write(Map<JobId, TaskSet> tasks) {
-    return Json.object("tasks", TaskSets.write(tasks));
+    return Json.object("tasks", TaskSetCodec.write(tasks));
   }
 
   public boolean has(JobId job, int index) {
--- a/src/main/java/org/quincecross/state/AllocationChange.java
+++ b/src/main/java/org/quincecross/state/AllocationDelta.java
@@ -17,15 +17,15 @@
  * @param more tasks that are not in the whole record
  * @param fewer tasks of the whole record that the block has no more
  */
-public record AllocationChange(
+public record AllocationDelta(
     Revision base, Map<JobId, TaskSet> more, Map<JobId, TaskSet> fewer, Revision version) {
 
-  static AllocationChange read(Object value, Revision version) throws MalformedMessageException {
+  static AllocationDelta read(Object value, Revision version) throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a changed allocation");
-    return new AllocationChange(
+    return new AllocationDelta(
         new Revision(in.unsigned("base")),
-        TaskSets.read(in.fields("more")),
-        TaskSets.read(in.fields("fewer")),
+        TaskSetCodec.read(in.fields("more")),
+        TaskSetCodec.read(in.fields("fewer")),
         version);
   }
 
@@ -42,9 +42,9 @@
         "base",
         whole.version().number(),
         "more",
-        TaskSets.write(more),
+        TaskSetCodec.write(more),
         "fewer",
-        TaskSets.write(fewer));
+        TaskSetCodec.write(fewer));
   }
 
   private static void put(Map<JobId, TaskSet> into, JobId job, TaskSet tasks, TaskSet without) {
--- a/src/main/java/org/quincecross/state/Ledger.java
+++ b/src/main/java/org/quincecross/state/ClusterStateCache.java
@@ -32,11 +32,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's copy of the records, as of {@link #revision()}. Changed by the {@link Follower}
+ * This controller's copy of the records, as of {@link #revision()}. Changed by the {@link StateWatcher}
  * alone.
  */
-public final class Ledger {
-  private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+public final class ClusterStateCache {
+  private static final Logger LOG = LoggerFactory.getLogger(ClusterStateCache.class);
 
   /** What a batch of changes touched; {@code agreed}: the records that all controllers follow. */
   public record Changes(
@@ -48,31 +48,31 @@
   }
 
   private final Map<String, Revision> versions = new HashMap<>();
-  private final JobBook jobs =
-      new JobBook(id -> versions.containsKey(Keys.job(id)), this::touchJob);
+  private final JobIndex jobs =
+      new JobIndex(id -> versions.containsKey(StoreKeys.job(id)), this::touchJob);
   private final Map<JobId, Map<Integer, TaskSet>> done = new HashMap<>();
   private final Map<Integer, Map<JobId, TaskSet>> pages = new TreeMap<>();
   private final Map<JobId, TaskSet> paged = new HashMap<>();
-  private final Map<ShardId, BlockLease> blocks = new TreeMap<>();
+  private final Map<ShardId, ShardLease> blocks = new TreeMap<>();
 
   /** The same again: what is asked for many times a second is not to be searched for in order. */
-  private final Map<ShardId, BlockLease> blockById = new HashMap<>();
+  private final Map<ShardId, ShardLease> blockById = new HashMap<>();
 
   /** As they are, with what has changed since their last whole record. */
   private final Map<ShardId, Allocation> allocations = new HashMap<>();
 
   private final Map<ShardId, Allocation> wholeAllocations = new HashMap<>();
-  private final Map<ShardId, AllocationChange> allocationChanges = new HashMap<>();
+  private final Map<ShardId, AllocationDelta> allocationChanges = new HashMap<>();
   private final Map<JobId, Set<ShardId>> allocatedTo = new HashMap<>();
-  private final Map<MachineId, BlockLease> blockOf = new HashMap<>();
-  private final Map<ControllerId, MemberRecord> members = new TreeMap<>();
+  private final Map<MachineId, ShardLease> blockOf = new HashMap<>();
+  private final Map<ControllerId, ControllerRecord> members = new TreeMap<>();
   private final Map<String, MachineType> types = new TreeMap<>();
   private final List<Listener> listeners = new ArrayList<>();
   private final Map<String, String> unreadable = new TreeMap<>();
-  private final AgreedRecords agreed = new AgreedRecords();
-  private MemberRecord leader;
-  private MemberRecord leads;
-  private LevelRecord level = LevelRecord.NONE;
+  private final ReplicatedRecordIndexes agreed = new ReplicatedRecordIndexes();
+  private ControllerRecord leader;
+  private ControllerRecord leads;
+  private FeatureLevelRecord level = FeatureLevelRecord.NONE;
   private Object operatorSettings;
   private Revision revision = Revision.NONE;
   private boolean loaded;
@@ -131,7 +131,7 @@
 
   /** Whether a part of what jobs wait on is on record. */
   public boolean hasPart(String key) {
-    return jobs.hasPart(key.substring(Keys.AFTER.length()));
+    return jobs.hasPart(key.substring(StoreKeys.AFTER.length()));
   }
 
   /** All jobs, those that are over among them. */
@@ -159,7 +159,7 @@
       return true;
     }
     Map<Integer, TaskSet> chunks = done.get(job);
-    TaskSet chunk = chunks == null ? null : chunks.get(index / DoneTasks.CHUNK);
+    TaskSet chunk = chunks == null ? null : chunks.get(index / CompletedTasks.CHUNK);
     return chunk != null && chunk.contains(index);
   }
 
@@ -187,12 +187,12 @@
   }
 
   /** All blocks, in the order of their ids. */
-  public Map<ShardId, BlockLease> blocks() {
+  public Map<ShardId, ShardLease> blocks() {
     return blocks;
   }
 
   /** A block, or null if there is none of that id. */
-  public BlockLease block(ShardId id) {
+  public ShardLease block(ShardId id) {
     return blockById.get(id);
   }
 
@@ -210,7 +210,7 @@
     return allocations.keySet();
   }
 
-  public BlockLease blockOf(MachineId machine) {
+  public ShardLease blockOf(MachineId machine) {
     return blockOf.get(machine);
   }
 
@@ -219,7 +219,7 @@
     return blockOf.size();
   }
 
-  public Map<ControllerId, MemberRecord> members() {
+  public Map<ControllerId, ControllerRecord> members() {
     return members;
   }
 
@@ -231,7 +231,7 @@
   }
 
   /** The leading controller; its version is that of the leadership. Null where there is none. */
-  public MemberRecord leader() {
+  public ControllerRecord leader() {
     return Feature.LEADERSHIP_MOVED.isIn(level.level()) ? leads : leader;
   }
 
@@ -242,16 +242,16 @@
 
   /** Where it is written at a level who leads. */
   public static String leaderKey(Level level) {
-    return Feature.LEADERSHIP_MOVED.isIn(level) ? Keys.LEADS : Keys.LEADER;
+    return Feature.LEADERSHIP_MOVED.isIn(level) ? StoreKeys.LEADS : StoreKeys.LEADER;
   }
 
   /** The records that all controllers follow, of the kinds that have been added. */
-  public AgreedRecords agreed() {
+  public ReplicatedRecordIndexes agreed() {
     return agreed;
   }
 
   /** The level in force, and with which revision it took effect. */
-  public LevelRecord level() {
+  public FeatureLevelRecord level() {
     return level;
   }
 
@@ -345,27 +345,27 @@
       versions.put(key, version);
     }
     try {
-      if (key.startsWith(Keys.JOBS)) {
-        putJob(key.substring(Keys.JOBS.length()), value, version);
-      } else if (key.startsWith(Keys.BUNDLES)) {
+      if (key.startsWith(StoreKeys.JOBS)) {
+        putJob(key.substring(StoreKeys.JOBS.length()), value, version);
+      } else if (key.startsWith(StoreKeys.BUNDLES)) {
         jobs.putBundle(key, value, version);
-      } else if (key.startsWith(Keys.AFTER)) {
-        jobs.putPart(key.substring(Keys.AFTER.length()), value);
-      } else if (key.startsWith(Keys.DONE)) {
-        putDone(key.substring(Keys.DONE.length()), value);
-      } else if (key.startsWith(Keys.PAGES)) {
-        putPage(key.substring(Keys.PAGES.length()), value);
-      } else if (key.startsWith(Keys.BLOCKS)) {
-        putBlock(new ShardId(key.substring(Keys.BLOCKS.length())), value, version);
-      } else if (key.startsWith(Keys.ALLOCATIONS)) {
-        ShardId block = new ShardId(key.substring(Keys.ALLOCATIONS.length()));
+      } else if (key.startsWith(StoreKeys.AFTER)) {
+        jobs.putPart(key.substring(StoreKeys.AFTER.length()), value);
+      } else if (key.startsWith(StoreKeys.DONE)) {
+        putDone(key.substring(StoreKeys.DONE.length()), value);
+      } else if (key.startsWith(StoreKeys.PAGES)) {
+        putPage(key.substring(StoreKeys.PAGES.length()), value);
+      } else if (key.startsWith(StoreKeys.BLOCKS)) {
+        putBlock(new ShardId(key.substring(StoreKeys.BLOCKS.length())), value, version);
+      } else if (key.startsWith(StoreKeys.ALLOCATIONS)) {
+        ShardId block = new ShardId(key.substring(StoreKeys.ALLOCATIONS.length()));
         set(wholeAllocations, block, value == null ? null : Allocation.read(value, version));
         putAllocation(block);
-      } else if (key.startsWith(Keys.CHANGED_ALLOCATIONS)) {
-        ShardId block = new ShardId(key.substring(Keys.CHANGED_ALLOCATIONS.length()));
-        set(allocationChanges, block, value == null ? null : AllocationChange.read(value, version));
+      } else if (key.startsWith(StoreKeys.CHANGED_ALLOCATIONS)) {
+        ShardId block = new ShardId(key.substring(StoreKeys.CHANGED_ALLOCATIONS.length()));
+        set(allocationChanges, block, value == null ? null : AllocationDelta.read(value, version));
         putAllocation(block);
-      } else if (key.startsWith(Keys.AGREED)) {
+      } else if (key.startsWith(StoreKeys.AGREED)) {
         touchedOther = true;
         RecordId record = agreed.put(key, value, version);
         if (record != null) {
@@ -393,18 +393,18 @@
 
   /** Whether a record says what runs where, or how the others are to be read. */
   private boolean isEssential(String key) {
-    return key.startsWith(Keys.AGREED)
+    return key.startsWith(StoreKeys.AGREED)
         ? agreed.isEssential(key)
-        : key.equals(Keys.LEVEL)
+        : key.equals(StoreKeys.LEVEL)
             || Stream.of(
-                    Keys.JOBS,
-                    Keys.BUNDLES,
-                    Keys.AFTER,
-                    Keys.DONE,
-                    Keys.PAGES,
-                    Keys.BLOCKS,
-                    Keys.ALLOCATIONS,
-                    Keys.CHANGED_ALLOCATIONS)
+                    StoreKeys.JOBS,
+                    StoreKeys.BUNDLES,
+                    StoreKeys.AFTER,
+                    StoreKeys.DONE,
+                    StoreKeys.PAGES,
+                    StoreKeys.BLOCKS,
+                    StoreKeys.ALLOCATIONS,
+                    StoreKeys.CHANGED_ALLOCATIONS)
                 .anyMatch(key::startsWith);
   }
 
@@ -438,7 +438,7 @@
         done.remove(id);
       }
     } else {
-      chunks.put(chunk, DoneTasks.read(value, chunk));
+      chunks.put(chunk, CompletedTasks.read(value, chunk));
     }
   }
 
@@ -449,7 +449,7 @@
     if (!name.matches("[0-9]{1,6}") || value == null) {
       throw new MalformedMessageException("bad key");
     }
-    Map<JobId, TaskSet> sets = TaskSets.read(JsonFields.of(value, "a page").fields("jobs"));
+    Map<JobId, TaskSet> sets = TaskSetCodec.read(JsonFields.of(value, "a page").fields("jobs"));
     pages.put(Integer.parseInt(name), sets);
     sets.forEach(
         (job, set) -> {
@@ -476,7 +476,7 @@
   private void putAllocation(ShardId block) {
     touchedBlocks.add(block);
     Allocation whole = wholeAllocations.get(block);
-    AllocationChange change = whole == null ? null : allocationChanges.get(block);
+    AllocationDelta change = whole == null ? null : allocationChanges.get(block);
     Allocation next = change == null ? whole : change.over(whole);
     Allocation before = next == null ? allocations.remove(block) : allocations.put(block, next);
     if (next != null) {
@@ -497,9 +497,9 @@
   // A machine may be in a newer lease by now: the instance tells.
   @SuppressWarnings("ReferenceEquality")
   private void putBlock(ShardId id, Object value, Revision version) throws MalformedMessageException {
-    BlockLease lease = value == null ? null : BlockLease.read(id, value, version);
+    ShardLease lease = value == null ? null : ShardLease.read(id, value, version);
     touchedBlocks.add(id);
-    BlockLease before = lease == null ? blocks.remove(id) : blocks.put(id, lease);
+    ShardLease before = lease == null ? blocks.remove(id) : blocks.put(id, lease);
     if (before != null) {
       before
           .machines()
@@ -517,24 +517,24 @@
   }
 
   private void putOther(String key, Object value, Revision version) throws MalformedMessageException {
-    if (key.startsWith(Keys.MEMBERS)) {
+    if (key.startsWith(StoreKeys.MEMBERS)) {
       if (value == null) {
-        members.values().removeIf(member -> Keys.member(member.member()).equals(key));
+        members.values().removeIf(member -> StoreKeys.member(member.member()).equals(key));
       } else {
-        MemberRecord member = member(value, version);
+        ControllerRecord member = member(value, version);
         members.put(member.member(), member);
       }
-    } else if (key.equals(Keys.LEADER)) {
+    } else if (key.equals(StoreKeys.LEADER)) {
       leader = value == null ? null : member(value, version);
-    } else if (key.equals(Keys.LEADS)) {
+    } else if (key.equals(StoreKeys.LEADS)) {
       leads = value == null ? null : member(value, version);
-    } else if (key.equals(Keys.LEVEL)) {
-      level = value == null ? LevelRecord.NONE : LevelRecord.read(value, version);
-    } else if (key.startsWith(Keys.TYPES) && value != null) {
+    } else if (key.equals(StoreKeys.LEVEL)) {
+      level = value == null ? FeatureLevelRecord.NONE : FeatureLevelRecord.read(value, version);
+    } else if (key.startsWith(StoreKeys.TYPES) && value != null) {
       for (MachineType type : CloudCodec.readCatalog(JsonFields.of(value, "a machine type"))) {
         types.put(type.name(), type);
       }
-    } else if (key.equals(Keys.OPERATOR_SETTINGS)) {
+    } else if (key.equals(StoreKeys.OPERATOR_SETTINGS)) {
       operatorSettings = value;
     }
   }
@@ -549,9 +549,9 @@
         in.string("build"), least, new Level(in.integer("most", least.number(), Level.MOST)));
   }
 
-  private static MemberRecord member(Object value, Revision version) throws MalformedMessageException {
+  private static ControllerRecord member(Object value, Revision version) throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a member");
-    return new MemberRecord(
+    return new ControllerRecord(
         new ControllerId(in.string("member")),
         new Incarnation(in.unsigned("life")),
         in.string("zone"),
--- a/src/main/java/org/quincecross/state/DoneTasks.java
+++ b/src/main/java/org/quincecross/state/CompletedTasks.java
@@ -14,17 +14,17 @@
  * bits where the tasks are scattered, so that a chunk fits a value of the state service whichever
  * tasks are done.
  */
-public final class DoneTasks {
+public final class CompletedTasks {
   /** Tasks of a chunk; as bits in base 64 they take less than 700 bytes. */
   public static final int CHUNK = 4096;
 
   private static final int MOST_RANGES = 640;
 
-  private DoneTasks() {}
+  private CompletedTasks() {}
 
   /** What a page of several jobs' done tasks says. */
   public static Map<String, Object> writePage(Map<JobId, TaskSet> jobs) {
-    return Json.object("jobs", TaskSets.write(jobs));
+    return Json.object("jobs", TaskSetCodec.write(jobs));
   }
 
   /**
--- a/src/main/java/org/quincecross/state/MemberRecord.java
+++ b/src/main/java/org/quincecross/state/ControllerRecord.java
@@ -12,5 +12,5 @@
  * @param build what it can read and write
  * @param terms what it has been told that has to be the same on all
  */
-public record MemberRecord(
+public record ControllerRecord(
     ControllerId member, Incarnation life, String zone, Build build, Terms terms, Revision version) {}
--- a/src/main/java/org/quincecross/state/Foresight.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -19,7 +19,7 @@
 /**
  * Watches what work comes and says what each block should keep free for work that has not come yet.
  */
-public final class Foresight {
+public final class DemandForecast {
   /** Work of a kind that came lately comes again. */
   private static final TimeSpan REMEMBERED = TimeSpan.ofSeconds(300);
 
@@ -41,32 +41,32 @@
 
   private record Seen(Resources each, MonotonicTime at) {}
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Withheld withheld;
   private final Map<Kind, Seen> seen = new HashMap<>();
   private final Map<ShardId, List<Reserve>> reserves = new HashMap<>();
   private final Map<ShardId, List<Reserve>> plannedAround = new HashMap<>();
-  private final LongWaits waits;
+  private final StarvationTracker waits;
   private Seen urgent;
   private MonotonicTime computedAt;
-  private RequestRooms requests;
+  private ReservedCapacity requests;
   private long requestsSeen;
 
-  public Foresight(Ledger ledger) {
+  public DemandForecast(ClusterStateCache ledger) {
     this(ledger, Withheld.NONE);
   }
 
   /**
    * @param withheld tasks that may not run now, and for which nothing is to be kept free
    */
-  public Foresight(Ledger ledger, Withheld withheld) {
+  public DemandForecast(ClusterStateCache ledger, Withheld withheld) {
     this.ledger = ledger;
     this.withheld = withheld;
-    waits = new LongWaits(ledger);
+    waits = new StarvationTracker(ledger);
   }
 
   /** Has room kept for requests, too. */
-  public void keep(RequestRooms rooms) {
+  public void keep(ReservedCapacity rooms) {
     requests = rooms;
   }
 
@@ -182,10 +182,10 @@
   /** Divides so many whole machines among the blocks of a kind, by their size. */
   private void share(Kind kind, Seen large, int machines) {
     int all = 0;
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       all += isOf(block, kind) ? block.machines().size() : 0;
     }
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       if (isOf(block, kind)) {
         int share = (int) Math.ceil((double) machines * block.machines().size() / all);
         keep(
@@ -198,7 +198,7 @@
     }
   }
 
-  private void keep(BlockLease block, Reserve reserve) {
+  private void keep(ShardLease block, Reserve reserve) {
     reserves.computeIfAbsent(block.id(), id -> new ArrayList<>()).add(reserve);
   }
 
@@ -207,7 +207,7 @@
     if (urgent == null || now.since(urgent.at()).isLongerThan(REMEMBERED)) {
       return;
     }
-    for (BlockLease block : ledger.blocks().values()) {
+    for (ShardLease block : ledger.blocks().values()) {
       MachineType type = ledger.types().get(block.type());
       boolean small =
           type != null && urgent.each().fitsIn(type.capacity()) && type.capacity().gpus() == 0;
@@ -218,7 +218,7 @@
     }
   }
 
-  private static boolean isOf(BlockLease block, Kind kind) {
+  private static boolean isOf(ShardLease block, Kind kind) {
     return block.type().equals(kind.type()) && block.spot() == kind.spot();
   }
 }
--- a/src/main/java/org/quincecross/state/LevelRecord.java
+++ b/src/main/java/org/quincecross/state/FeatureLevelRecord.java
@@ -13,11 +13,11 @@
  * @param version with which it took effect, for everybody; none while no record says a level, which
  *     is the first then
  */
-public record LevelRecord(Level level, Revision version) {
-  public static final LevelRecord NONE = new LevelRecord(Level.FIRST, Revision.NONE);
+public record FeatureLevelRecord(Level level, Revision version) {
+  public static final FeatureLevelRecord NONE = new FeatureLevelRecord(Level.FIRST, Revision.NONE);
 
-  static LevelRecord read(Object value, Revision version) throws MalformedMessageException {
-    return new LevelRecord(
+  static FeatureLevelRecord read(Object value, Revision version) throws MalformedMessageException {
+    return new FeatureLevelRecord(
         new Level(JsonFields.of(value, "the level").integer("level", 1, Level.MOST)), version);
   }
 
--- a/src/main/java/org/quincecross/state/Predecessors.java
+++ b/src/main/java/org/quincecross/state/JobDependencies.java
@@ -23,7 +23,7 @@
  * be written twice or late, and jobs that wait on the same share it. Parts are written before the
  * record, and stay.
  */
-public final class Predecessors {
+public final class JobDependencies {
   /** In a record, beside the description: the digits of ids. */
   static final String IN_RECORD = "after";
 
@@ -47,7 +47,7 @@
 
   private static final int NAME_BYTES = 15;
 
-  private Predecessors() {}
+  private JobDependencies() {}
 
   /**
    * The records that have to be durable before that of a job that waits on these; none where its
@@ -57,7 +57,7 @@
     Map<String, Map<String, Object>> parts = new LinkedHashMap<>();
     List<String> lines = lines(waitsOn, MOST_IN_PART);
     if (!fitsRecord(waitsOn)) {
-      lines.forEach(line -> parts.put(Keys.AFTER + name(line), Json.object(IDS, line)));
+      lines.forEach(line -> parts.put(StoreKeys.AFTER + name(line), Json.object(IDS, line)));
     }
     return parts;
   }
@@ -73,7 +73,7 @@
         : Json.object(
             IN_PARTS,
             parts(waitsOn).keySet().stream()
-                .map(key -> key.substring(Keys.AFTER.length()))
+                .map(key -> key.substring(StoreKeys.AFTER.length()))
                 .toList());
   }
 
--- a/src/main/java/org/quincecross/state/JobBook.java
+++ b/src/main/java/org/quincecross/state/JobIndex.java
@@ -21,10 +21,10 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * The jobs of the {@link Ledger}: what their records say, and what follows for each from the
+ * The jobs of the {@link ClusterStateCache}: what their records say, and what follows for each from the
  * records of those that it waits on.
  */
-final class JobBook {
+final class JobIndex {
   /**
    * From the end of a job until the tasks of the next have been told to start: two changes and a
    * report.
@@ -62,7 +62,7 @@
    * @param hasOwnRecord whether there is a record of a job alone
    * @param touched told of each job of which something has changed
    */
-  JobBook(Predicate<JobId> hasOwnRecord, Consumer<JobId> touched) {
+  JobIndex(Predicate<JobId> hasOwnRecord, Consumer<JobId> touched) {
     this.hasOwnRecord = hasOwnRecord;
     this.touched = touched;
   }
@@ -156,7 +156,7 @@
     if (value == null) {
       return;
     }
-    parts.put(name, Predecessors.readPart(value));
+    parts.put(name, JobDependencies.readPart(value));
     Set<JobId> complete = lacking.remove(name);
     if (complete != null) {
       complete.stream().sorted().forEach(id -> put(jobs.get(id)));
--- a/src/main/java/org/quincecross/state/JobRecord.java
+++ b/src/main/java/org/quincecross/state/JobRecord.java
@@ -58,8 +58,8 @@
           "ended",
           "job",
           DEPENDENT,
-          Predecessors.IN_RECORD,
-          Predecessors.IN_PARTS);
+          JobDependencies.IN_RECORD,
+          JobDependencies.IN_PARTS);
 
   static JobRecord read(JobId id, Object value, Revision version) throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a job record");
@@ -79,7 +79,7 @@
       return JobCodec.read(in.fields("job"));
     }
     return in.has(DEPENDENT)
-        ? JobCodec.read(in.fields(DEPENDENT)).withDependencies(Predecessors.readInRecord(in))
+        ? JobCodec.read(in.fields(DEPENDENT)).withDependencies(JobDependencies.readInRecord(in))
         : null;
   }
 
@@ -93,7 +93,7 @@
         in.has("cancelled") ? in.unsigned("cancelled") : 0,
         in.has("ended") ? in.unsigned("ended") : 0,
         version,
-        in.has(Predecessors.IN_PARTS) ? List.copyOf(in.strings(Predecessors.IN_PARTS)) : List.of(),
+        in.has(JobDependencies.IN_PARTS) ? List.copyOf(in.strings(JobDependencies.IN_PARTS)) : List.of(),
         in.unknownFields(KNOWN),
         job == null
             ? Map.of()
@@ -120,7 +120,7 @@
   }
 
   /**
-   * An accepted job. Of one that waits on many others, {@link Predecessors#parts} have to be
+   * An accepted job. Of one that waits on many others, {@link JobDependencies#parts} have to be
    * durable before.
    */
   public static Map<String, Object> open(Job job, long acceptedMs) {
@@ -130,7 +130,7 @@
     Map<String, Object> out =
         Json.object(
             "phase", "open", "at", acceptedMs, DEPENDENT, JobCodec.write(job.withDependencies(Set.of())));
-    out.putAll(Predecessors.inRecord(job.dependencies()));
+    out.putAll(JobDependencies.inRecord(job.dependencies()));
     return out;
   }
 
--- a/src/main/java/org/quincecross/state/StateClient.java
+++ b/src/main/java/org/quincecross/state/KeyValueStoreClient.java
@@ -25,8 +25,8 @@
  * Speaks to the state service and keeps within this controller's share of its limits. What must not
  * wait (lease renewals, taking over) goes at once and is paid for by what follows.
  */
-public final class StateClient {
-  private static final Logger LOG = LoggerFactory.getLogger(StateClient.class);
+public final class KeyValueStoreClient {
+  private static final Logger LOG = LoggerFactory.getLogger(KeyValueStoreClient.class);
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(2.5);
   private static final TimeSpan WAIT_FOR_BUDGET = TimeSpan.ofMillis(20);
 
@@ -54,7 +54,7 @@
   private final ArrayDeque<Waiting> waitingTxns = new ArrayDeque<>();
   private boolean draining;
 
-  public StateClient(
+  public KeyValueStoreClient(
       Timers timers, HttpCaller http, Endpoint service, Settings.StoreLimits limits) {
     this.timers = timers;
     this.http = http;
@@ -111,13 +111,13 @@
   }
 
   /** Sends a transaction when its turn comes. */
-  public void txn(List<Precondition> guards, List<Mutation> changes, Consumer<TxnOutcome> done) {
+  public void txn(List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
     enqueue(waitingTxns, changes.size(), () -> sendTxn(guards, changes, done));
   }
 
   /** Sends a transaction: at once where it is urgent, else when its turn comes. */
   public void txn(
-      List<Precondition> guards, List<Mutation> changes, boolean urgent, Consumer<TxnOutcome> done) {
+      List<Precondition> guards, List<Mutation> changes, boolean urgent, Consumer<TransactionResult> done) {
     if (urgent) {
       txnNow(guards, changes, done);
     } else {
@@ -126,49 +126,49 @@
   }
 
   /** Sends a transaction that must not wait. */
-  void txnNow(List<Precondition> guards, List<Mutation> changes, Consumer<TxnOutcome> done) {
+  void txnNow(List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
     requests.force(1, timers.now());
     writes.force(changes.size(), timers.now());
     sendTxn(guards, changes, done);
   }
 
-  private void sendTxn(List<Precondition> guards, List<Mutation> changes, Consumer<TxnOutcome> done) {
+  private void sendTxn(List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
     HttpRequest request = HttpRequest.post(KeyValueStoreCodec.TXN, KeyValueStoreCodec.writeTxn(guards, changes));
     send(request, TIMEOUT, outcome -> done.accept(readTxn(outcome)));
   }
 
-  private static TxnOutcome readTxn(HttpOutcome outcome) {
+  private static TransactionResult readTxn(HttpOutcome outcome) {
     try {
       return switch (outcome.status()) {
         case 200 ->
-            new TxnOutcome(
-                TxnOutcome.Kind.COMMITTED,
+            new TransactionResult(
+                TransactionResult.Kind.COMMITTED,
                 KeyValueStoreCodec.readRevision(Json.parseFields(outcome.response().body())),
                 List.of());
         case 409 -> {
           var in = Json.parseFields(outcome.response().body());
-          yield new TxnOutcome(
-              TxnOutcome.Kind.CONFLICT, KeyValueStoreCodec.readRevision(in), KeyValueStoreCodec.readFailed(in));
+          yield new TransactionResult(
+              TransactionResult.Kind.CONFLICT, KeyValueStoreCodec.readRevision(in), KeyValueStoreCodec.readFailed(in));
         }
         case 400 -> {
           String why = new String(outcome.response().body(), StandardCharsets.UTF_8);
           LOG.info("transaction refused: {}", why);
           // Taken for an ended lease, one that is too large was sent again, the same, for ever.
-          yield TxnOutcome.of(
+          yield TransactionResult.of(
               why.contains(KeyValueStoreCodec.NO_LEASE)
-                  ? TxnOutcome.Kind.NO_LEASE
-                  : TxnOutcome.Kind.TOO_LARGE);
+                  ? TransactionResult.Kind.NO_LEASE
+                  : TransactionResult.Kind.TOO_LARGE);
         }
-        case 429 -> TxnOutcome.of(TxnOutcome.Kind.REFUSED);
-        case 503 -> TxnOutcome.of(TxnOutcome.Kind.UNAVAILABLE);
+        case 429 -> TransactionResult.of(TransactionResult.Kind.REFUSED);
+        case 503 -> TransactionResult.of(TransactionResult.Kind.UNAVAILABLE);
         default ->
-            TxnOutcome.of(
+            TransactionResult.of(
                 outcome.isUncertain() || outcome.status() != 0
-                    ? TxnOutcome.Kind.UNKNOWN
-                    : TxnOutcome.Kind.UNAVAILABLE);
+                    ? TransactionResult.Kind.UNKNOWN
+                    : TransactionResult.Kind.UNAVAILABLE);
       };
     } catch (MalformedMessageException e) {
-      return TxnOutcome.of(TxnOutcome.Kind.UNKNOWN);
+      return TransactionResult.of(TransactionResult.Kind.UNKNOWN);
     }
   }
 
--- a/src/main/java/org/quincecross/state/Membership.java
+++ b/src/main/java/org/quincecross/state/Membership.java
@@ -56,12 +56,12 @@
   }
 
   private final Timers timers;
-  private final StateClient client;
+  private final KeyValueStoreClient client;
   private final ControllerId member;
   private final String zone;
   private final Build build;
   private final Terms terms;
-  private LevelRecord level = LevelRecord.NONE;
+  private FeatureLevelRecord level = FeatureLevelRecord.NONE;
   private String unable = "";
   private int planned;
   private BooleanSupplier unreadable = () -> false;
@@ -83,7 +83,7 @@
    */
   public Membership(
       Timers timers,
-      StateClient client,
+      KeyValueStoreClient client,
       ControllerId member,
       String zone,
       Build build,
@@ -199,16 +199,16 @@
   private void step() {
     switch (state) {
       case ENDING_FORMER_LIFE ->
-          client.readNow(KeyValueStoreCodec.keyPath(Keys.member(member)), this::endFormer);
+          client.readNow(KeyValueStoreCodec.keyPath(StoreKeys.member(member)), this::endFormer);
       case ASKING_FOR_LEASE -> client.grant(TTL, this::granted);
       // An older build that joins while the level rises either makes the switch fail, by this
       // record, or fails itself.
       case ANNOUNCING ->
           client.txnNow(
-              List.of(new Precondition(Keys.LEVEL, level.version())),
-              List.of(new Mutation(Keys.member(member), record(), life)),
+              List.of(new Precondition(StoreKeys.LEVEL, level.version())),
+              List.of(new Mutation(StoreKeys.member(member), record(), life)),
               this::announced);
-      case READING_LEVEL, UNABLE -> client.readNow(KeyValueStoreCodec.keyPath(Keys.LEVEL), this::levelRead);
+      case READING_LEVEL, UNABLE -> client.readNow(KeyValueStoreCodec.keyPath(StoreKeys.LEVEL), this::levelRead);
       case LIVE -> client.renew(life, RENEW_TIMEOUT, this::renewed);
       default -> throw new IllegalStateException(state.toString());
     }
@@ -257,7 +257,7 @@
     again();
   }
 
-  private void announced(TxnOutcome outcome) {
+  private void announced(TransactionResult outcome) {
     if (state != State.ANNOUNCING) {
       return; // the record itself has told meanwhile
     }
@@ -299,9 +299,9 @@
     try {
       if (outcome.status() == 200) {
         var in = Json.parseFields(outcome.response().body());
-        level = LevelRecord.read(in.raw("Value"), new Revision(in.unsigned("Stamp")));
+        level = FeatureLevelRecord.read(in.raw("Value"), new Revision(in.unsigned("Stamp")));
       } else if (outcome.status() == 404) {
-        level = LevelRecord.NONE;
+        level = FeatureLevelRecord.NONE;
       } else {
         again();
         return;
@@ -352,14 +352,14 @@
    * Follows the records: a live member that cannot read them, or not do the level in force, is none
    * any more.
    */
-  public void ledgerChanged(Ledger ledger) {
+  public void ledgerChanged(ClusterStateCache ledger) {
     unreadable = () -> !ledger.unreadable().isEmpty();
     if (state == State.ANNOUNCING && isOnRecord(ledger)) {
       // Announced, and the answer lost or still to come: others lease blocks to this life already,
       // and its lease would run out
       // while the answer is waited for (docs/incidents/announced-and-not-told.md).
       planned++;
-      live(ledger.version(Keys.member(member)));
+      live(ledger.version(StoreKeys.member(member)));
       stepAfter(timers.now().since(granted).isLongerThan(RENEW_EVERY) ? TimeSpan.ZERO : RENEW_EVERY);
     }
     if (state != State.LIVE) {
@@ -382,14 +382,14 @@
     }
   }
 
-  private boolean isOnRecord(Ledger ledger) {
-    MemberRecord record = ledger.members().get(member);
+  private boolean isOnRecord(ClusterStateCache ledger) {
+    ControllerRecord record = ledger.members().get(member);
     return record != null && record.life().equals(life);
   }
 
   /** A condition that this life is not over. */
-  public Precondition alive(Ledger ledger) {
-    Revision version = ledger.version(Keys.member(member));
-    return new Precondition(Keys.member(member), version);
+  public Precondition alive(ClusterStateCache ledger) {
+    Revision version = ledger.version(StoreKeys.member(member));
+    return new Precondition(StoreKeys.member(member), version);
   }
 }
--- a/src/main/java/org/quincecross/state/ModelRecords.java
+++ b/src/main/java/org/quincecross/state/ModelIndex.java
@@ -20,19 +20,19 @@
  * The models as the ledger has them, by their jobs: which replicas are kept back, and where the
  * others may start.
  */
-public final class ModelRecords implements Withheld {
+public final class ModelIndex implements Withheld {
   private record Kept(Model model, TaskSet tasks) {}
 
-  private final AgreedBook<Model, ModelCommand> book;
+  private final ReplicatedRecordIndex<Model, ModelCommand> book;
   private final Map<JobId, String> names = new HashMap<>();
   private final Map<String, JobId> jobs = new HashMap<>();
   private final Map<JobId, Kept> kept = new HashMap<>();
 
-  public ModelRecords(Ledger ledger) {
+  public ModelIndex(ClusterStateCache ledger) {
     this.book = ledger.agreed().add(new ModelKind());
   }
 
-  public AgreedBook<Model, ModelCommand> book() {
+  public ReplicatedRecordIndex<Model, ModelCommand> book() {
     return book;
   }
 
@@ -40,7 +40,7 @@
    * Follows the records; {@code changed} is told of the jobs of which other replicas are kept back
    * than before.
    */
-  public void ledgerChanged(Ledger.Changes changes, Consumer<Set<JobId>> changed) {
+  public void ledgerChanged(ClusterStateCache.Changes changes, Consumer<Set<JobId>> changed) {
     Set<JobId> touched = new HashSet<>();
     if (changes.reloaded()) {
       Set<String> all = new HashSet<>(book.all().keySet());
--- a/src/main/java/org/quincecross/state/Oversized.java
+++ b/src/main/java/org/quincecross/state/OversizedRecords.java
@@ -8,8 +8,8 @@
 import org.quincecross.protocol.Json;
 
 /** Finds what was written when values could be larger, and could not be written anew as it is. */
-public final class Oversized {
-  private Oversized() {}
+public final class OversizedRecords {
+  private OversizedRecords() {}
 
   /**
    * By key, in bytes, the records of blocks and of their tasks that are larger than a value may be;
@@ -18,13 +18,13 @@
    *
    * @param mostBytes of a value
    */
-  public static Map<String, Integer> of(Ledger ledger, int mostBytes) {
+  public static Map<String, Integer> of(ClusterStateCache ledger, int mostBytes) {
     Map<String, Integer> large = new TreeMap<>();
     ledger
         .blocks()
         .forEach(
             (id, block) -> {
-              note(large, Keys.block(id), block.write(), mostBytes);
+              note(large, StoreKeys.block(id), block.write(), mostBytes);
               Map<JobId, TaskSet> open = new TreeMap<>();
               ledger
                   .allocation(id)
@@ -38,7 +38,7 @@
                           open.put(job, left);
                         }
                       });
-              note(large, Keys.allocation(id), Allocation.write(open), mostBytes);
+              note(large, StoreKeys.allocation(id), Allocation.write(open), mostBytes);
             });
     return large;
   }
--- a/src/main/java/org/quincecross/state/AgreedBook.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndex.java
@@ -14,7 +14,7 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /** The records of one kind as the ledger has them. */
-public final class AgreedBook<S, C> {
+public final class ReplicatedRecordIndex<S, C> {
   /** A record. */
   public record Held<S>(Kept<S> kept, Revision version) {
     public S state() {
@@ -34,7 +34,7 @@
 
   private TrailPage lastPage = TrailPage.EMPTY;
 
-  AgreedBook(Kind<S, C> kind) {
+  ReplicatedRecordIndex(Kind<S, C> kind) {
     this.kind = kind;
   }
 
@@ -79,11 +79,11 @@
   }
 
   public String key(String id) {
-    return Keys.agreed(new RecordId(kind.name(), id));
+    return StoreKeys.agreed(new RecordId(kind.name(), id));
   }
 
   public String pageKey(int page) {
-    return Keys.agreedPage(kind.name(), page);
+    return StoreKeys.agreedPage(kind.name(), page);
   }
 
   void put(String id, Object value, Revision version) throws MalformedMessageException {
--- a/src/main/java/org/quincecross/state/AgreedRecords.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
@@ -13,12 +13,12 @@
  * its records keep tasks from running: who cannot read such a record cannot know what must not run,
  * and takes no part.
  */
-public final class AgreedRecords {
-  private final Map<String, AgreedBook<?, ?>> books = new LinkedHashMap<>();
+public final class ReplicatedRecordIndexes {
+  private final Map<String, ReplicatedRecordIndex<?, ?>> books = new LinkedHashMap<>();
 
   /** Has the records of a kind read; before the first of them is. */
-  public <S, C> AgreedBook<S, C> add(Kind<S, C> kind) {
-    AgreedBook<S, C> book = new AgreedBook<>(kind);
+  public <S, C> ReplicatedRecordIndex<S, C> add(Kind<S, C> kind) {
+    ReplicatedRecordIndex<S, C> book = new ReplicatedRecordIndex<>(kind);
     if (books.put(kind.name(), book) != null) {
       throw new IllegalArgumentException("two kinds named " + kind.name());
     }
@@ -26,18 +26,18 @@
   }
 
   /** The records of a kind, or null where it is not known. */
-  public AgreedBook<?, ?> book(String kind) {
+  public ReplicatedRecordIndex<?, ?> book(String kind) {
     return books.get(kind);
   }
 
-  public Collection<AgreedBook<?, ?>> books() {
+  public Collection<ReplicatedRecordIndex<?, ?>> books() {
     return books.values();
   }
 
   /** How many records there are of all known kinds. */
   public int count() {
     int sum = 0;
-    for (AgreedBook<?, ?> book : books.values()) {
+    for (ReplicatedRecordIndex<?, ?> book : books.values()) {
       sum += book.all().size();
     }
     return sum;
@@ -45,12 +45,12 @@
 
   /** Takes a record; the id of it, or null where it is none but the fence or a page of a trail. */
   RecordId put(String key, Object value, Revision version) throws MalformedMessageException {
-    String name = key.substring(Keys.AGREED.length());
+    String name = key.substring(StoreKeys.AGREED.length());
     int slash = name.indexOf('/');
     if (slash < 0) {
       return null; // the fence: its version says all
     }
-    AgreedBook<?, ?> book = books.get(name.substring(0, slash));
+    ReplicatedRecordIndex<?, ?> book = books.get(name.substring(0, slash));
     String id = name.substring(slash + 1);
     if (book == null) {
       if (value instanceof Map<?, ?> map && Boolean.TRUE.equals(map.get("must"))) {
@@ -59,7 +59,7 @@
       }
       return null;
     }
-    if (id.startsWith(Keys.AGREED_PAGE)) {
+    if (id.startsWith(StoreKeys.AGREED_PAGE)) {
       book.putPage(page(id), value);
       return null;
     }
@@ -69,7 +69,7 @@
 
   private static int page(String id) throws MalformedMessageException {
     try {
-      return Integer.parseInt(id.substring(Keys.AGREED_PAGE.length()));
+      return Integer.parseInt(id.substring(StoreKeys.AGREED_PAGE.length()));
     } catch (NumberFormatException e) {
       throw new MalformedMessageException("bad key of a page");
     }
@@ -77,12 +77,12 @@
 
   /** Whether who cannot read a record may not act on the others. */
   boolean isEssential(String key) {
-    String name = key.substring(Keys.AGREED.length());
+    String name = key.substring(StoreKeys.AGREED.length());
     int slash = name.indexOf('/');
-    if (slash < 0 || name.startsWith(Keys.AGREED_PAGE, slash + 1)) {
+    if (slash < 0 || name.startsWith(StoreKeys.AGREED_PAGE, slash + 1)) {
       return false;
     }
-    AgreedBook<?, ?> book = books.get(name.substring(0, slash));
+    ReplicatedRecordIndex<?, ?> book = books.get(name.substring(0, slash));
     return book == null || book.kind().restrains();
   }
 }
--- a/src/main/java/org/quincecross/state/AgreedStore.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
@@ -38,11 +38,11 @@
  * records are read, and what is not there is asked for again under the same name.
  *
  * <p>What ends each wait: a reading of the records fails after a second or so, a transaction after
- * what {@link StateClient} gives it, and {@link #ANSWERED} after it was asked whoever asks is told
+ * what {@link KeyValueStoreClient} gives it, and {@link #ANSWERED} after it was asked whoever asks is told
  * that it is not known, whatever goes on.
  */
-public final class AgreedStore {
-  private static final Logger LOG = LoggerFactory.getLogger(AgreedStore.class);
+public final class ReplicatedRecordStore {
+  private static final Logger LOG = LoggerFactory.getLogger(ReplicatedRecordStore.class);
 
   /**
    * The longest that anybody is left without an answer: users and operators' commands wait for
@@ -103,12 +103,12 @@
 
   /** One that waits. */
   private final class Waiting<S, C> {
-    private final AgreedBook<S, C> book;
+    private final ReplicatedRecordIndex<S, C> book;
     private final String id;
     private final Ask<C> ask;
     private Consumer<Answer> done;
 
-    private Waiting(AgreedBook<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
+    private Waiting(ReplicatedRecordIndex<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
       this.book = book;
       this.id = id;
       this.ask = ask;
@@ -132,7 +132,7 @@
      * leaves them.
      */
     private void plan(Batch batch) {
-      AgreedBook.Held<S> held = book.get(id);
+      ReplicatedRecordIndex.Held<S> held = book.get(id);
       Revision version = ledger.version(book.key(id));
       if (book.unreadable().containsKey(id)) {
         answer(refused(409, "the record cannot be read: " + book.unreadable().get(id)));
@@ -226,7 +226,7 @@
       if (after > most || bytes + length > MOST_BYTES) {
         return false;
       }
-      String key = Keys.agreed(record);
+      String key = StoreKeys.agreed(record);
       if (isNew) {
         guards.add(new Precondition(key, version));
       }
@@ -245,16 +245,16 @@
       List<Mutation> all = new ArrayList<>(changes.values());
       if (withholds) {
         // Not guarded: it may rise from whatever it is, and what matters is that it has risen.
-        all.add(Mutation.put(Keys.AGREED_FENCE, Json.object("at", clockMs.getAsLong())));
+        all.add(Mutation.put(StoreKeys.AGREED_FENCE, Json.object("at", clockMs.getAsLong())));
       }
       return all;
     }
   }
 
   private final Timers timers;
-  private final StateClient client;
-  private final Follower follower;
-  private final Ledger ledger;
+  private final KeyValueStoreClient client;
+  private final StateWatcher follower;
+  private final ClusterStateCache ledger;
   private final Membership membership;
   private final Settings settings;
   private final LongSupplier clockMs;
@@ -272,11 +272,11 @@
   /**
    * @param clockMs tells the time of day
    */
-  public AgreedStore(
+  public ReplicatedRecordStore(
       Timers timers,
-      StateClient client,
-      Follower follower,
-      Ledger ledger,
+      KeyValueStoreClient client,
+      StateWatcher follower,
+      ClusterStateCache ledger,
       Membership membership,
       Settings settings,
       LongSupplier clockMs) {
@@ -313,7 +313,7 @@
     settings.peers().forEach(sibling -> all.add(sibling.member()));
     all.add(settings.self());
     for (ControllerId member : all) {
-      MemberRecord record = ledger.members().get(member);
+      ControllerRecord record = ledger.members().get(member);
       if (record == null) {
         lacking.add(member + ", which is away");
       } else if (!record.build().can(Feature.AGREED_RECORDS.since())) {
@@ -335,7 +335,7 @@
    * Has a record changed, and answers once that is durable, or {@link #ANSWERED} later that it is
    * not known.
    */
-  public <S, C> void ask(AgreedBook<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
+  public <S, C> void ask(ReplicatedRecordIndex<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
     if (!ledger.isLoaded() || !membership.unable().isEmpty()) {
       done.accept(unknown("this controller cannot take part", 2));
       return;
@@ -374,7 +374,7 @@
   }
 
   /** Reads a page of a trail; {@code done} gets null where that does not work. */
-  public void page(AgreedBook<?, ?> book, int page, Consumer<List<TrailLine>> done) {
+  public void page(ReplicatedRecordIndex<?, ?> book, int page, Consumer<List<TrailLine>> done) {
     client.read(
         KeyValueStoreCodec.keyPath(book.pageKey(page)),
         PAGE_TIMEOUT,
@@ -382,7 +382,7 @@
           try {
             done.accept(
                 outcome.status() == 200
-                    ? AgreedBook.lines(Json.parseFields(outcome.response().body()).raw("Value"))
+                    ? ReplicatedRecordIndex.lines(Json.parseFields(outcome.response().body()).raw("Value"))
                     : null);
           } catch (MalformedMessageException e) {
             LOG.info("page {} of {}: {}", page, book.kind().name(), e.getMessage());
@@ -448,7 +448,7 @@
       return;
     }
     // Decided by what this level has: of no use under another.
-    batch.guards.add(new Precondition(Keys.LEVEL, ledger.level().version()));
+    batch.guards.add(new Precondition(StoreKeys.LEVEL, ledger.level().version()));
     List<Mutation> changes = batch.changes();
     writes.force(changes.size(), now);
     busy = true;
@@ -469,7 +469,7 @@
     return now.since(pressingFrom).isLongerThan(TimeSpan.ofSeconds(1));
   }
 
-  private void written(Batch batch, TxnOutcome outcome) {
+  private void written(Batch batch, TransactionResult outcome) {
     pressingFrom = null;
     switch (outcome.kind()) {
       case COMMITTED ->
@@ -504,11 +504,11 @@
       default -> throw new IllegalStateException(outcome.kind().toString());
     }
     if (!waiting.isEmpty()) {
-      soon(outcome.kind() == TxnOutcome.Kind.COMMITTED ? TimeSpan.ofMillis(1) : RETRY);
+      soon(outcome.kind() == TransactionResult.Kind.COMMITTED ? TimeSpan.ofMillis(1) : RETRY);
     }
   }
 
-  private void again(Batch batch, TxnOutcome outcome) {
+  private void again(Batch batch, TransactionResult outcome) {
     LOG.debug("agreed records: {} {}", outcome.kind(), outcome.failed());
     List<Waiting<?, ?>> all = new ArrayList<>(batch.answers.keySet());
     all.removeIf(Waiting::isOver);
--- a/src/main/java/org/quincecross/state/RequestRooms.java
+++ b/src/main/java/org/quincecross/state/ReservedCapacity.java
@@ -28,22 +28,22 @@
  * The room that is kept for requests, as the ledger has it: each controller that has read the same
  * records says the same. It costs nothing while there is no open request.
  */
-public final class RequestRooms {
-  private final Ledger ledger;
-  private final AgreedBook<Request, RequestCommand> book;
+public final class ReservedCapacity {
+  private final ClusterStateCache ledger;
+  private final ReplicatedRecordIndex<Request, RequestCommand> book;
   private final Reservation reservation = new Reservation();
   private long version;
 
   /**
    * @param book of the requests, which has read none yet
    */
-  public RequestRooms(Ledger ledger, AgreedBook<Request, RequestCommand> book) {
+  public ReservedCapacity(ClusterStateCache ledger, ReplicatedRecordIndex<Request, RequestCommand> book) {
     this.ledger = ledger;
     this.book = book;
     ledger.listen(this::changed);
   }
 
-  private void changed(Ledger.Changes changes) {
+  private void changed(ClusterStateCache.Changes changes) {
     if (changes.reloaded()) {
       for (Request known : List.copyOf(reservation.open())) {
         reservation.remove(known.reference());
@@ -131,7 +131,7 @@
     private final Map<String, Resources> ofTeams = new HashMap<>();
 
     Standing() {
-      for (BlockLease block : ledger.blocks().values()) {
+      for (ShardLease block : ledger.blocks().values()) {
         MachineType type = ledger.types().get(block.type());
         Resources inBlock = Resources.NONE;
         Set<String> lanes = new HashSet<>();
@@ -178,7 +178,7 @@
       if (lanes.contains(record.job().jobClass()) && !ledger.blocksOf(record.id()).isEmpty()) {
         Map<String, Integer> zones = new HashMap<>();
         for (ShardId id : ledger.blocksOf(record.id())) {
-          BlockLease block = ledger.block(id);
+          ShardLease block = ledger.block(id);
           int tasks =
               block == null
                   ? 0
--- a/src/main/java/org/quincecross/state/BlockLease.java
+++ b/src/main/java/org/quincecross/state/ShardLease.java
@@ -30,7 +30,7 @@
  * @param others fields of the record that this build does not know: they are written as they were
  *     read
  */
-public record BlockLease(
+public record ShardLease(
     ShardId id,
     ControllerId holder,
     Incarnation life,
@@ -45,7 +45,7 @@
   private static final Set<String> KNOWN =
       Set.of("holder", "life", "type", "zone", "spot", "machines", "token", "leaving");
 
-  static BlockLease read(ShardId id, Object value, Revision version) throws MalformedMessageException {
+  static ShardLease read(ShardId id, Object value, Revision version) throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a block");
     String type = in.string("type");
     String zone = in.string("zone");
@@ -66,7 +66,7 @@
     if (in.has("leaving")) {
       in.strings("leaving").forEach(name -> leaving.add(new MachineId(name)));
     }
-    return new BlockLease(
+    return new ShardLease(
         id,
         new ControllerId(in.string("holder")),
         new Incarnation(in.unsigned("life")),
@@ -115,7 +115,7 @@
    */
   public int mostBytes() {
     return Json.write(
-            new BlockLease(
+            new ShardLease(
                     id,
                     holder,
                     new Incarnation(Long.MAX_VALUE),
@@ -132,8 +132,8 @@
   }
 
   /** A block as it is to be leased for the first time. */
-  public static BlockLease first(ShardId id, MemberRecord holder, Machine machine) {
-    return new BlockLease(
+  public static ShardLease first(ShardId id, ControllerRecord holder, Machine machine) {
+    return new ShardLease(
         id,
         holder.member(),
         holder.life(),
@@ -148,8 +148,8 @@
   }
 
   /** The block under another holder, whose token is the revision of the lease to be written. */
-  public BlockLease heldBy(MemberRecord member) {
-    return new BlockLease(
+  public ShardLease heldBy(ControllerRecord member) {
+    return new ShardLease(
         id,
         member.member(),
         member.life(),
@@ -163,25 +163,25 @@
         others);
   }
 
-  public BlockLease with(Machine machine) {
+  public ShardLease with(Machine machine) {
     Map<MachineId, Machine> more = new LinkedHashMap<>(machines);
     more.put(machine.id(), machine);
-    return new BlockLease(
+    return new ShardLease(
         id, holder, life, type, zone, spot, more, leaving, token, version, others);
   }
 
-  public BlockLease without(MachineId machine) {
+  public ShardLease without(MachineId machine) {
     Map<MachineId, Machine> fewer = new LinkedHashMap<>(machines);
     fewer.remove(machine);
     Set<MachineId> left = new LinkedHashSet<>(leaving);
     left.remove(machine);
-    return new BlockLease(id, holder, life, type, zone, spot, fewer, left, token, version, others);
+    return new ShardLease(id, holder, life, type, zone, spot, fewer, left, token, version, others);
   }
 
-  public BlockLease leaving(MachineId machine) {
+  public ShardLease leaving(MachineId machine) {
     Set<MachineId> more = new LinkedHashSet<>(leaving);
     more.add(machine);
-    return new BlockLease(
+    return new ShardLease(
         id, holder, life, type, zone, spot, machines, more, token, version, others);
   }
 }
--- a/src/main/java/org/quincecross/state/LongWaits.java
+++ b/src/main/java/org/quincecross/state/StarvationTracker.java
@@ -15,7 +15,7 @@
  * Which jobs have been given nothing for so long that they may have room that is kept for others.
  * Counted from when a job could run, as far as this controller has seen.
  */
-final class LongWaits {
+final class StarvationTracker {
   /**
    * Leaves half a minute for the way from a plan to a start, of the 90 s that nothing waits beside
    * room.
@@ -28,11 +28,11 @@
    */
   private record Wait(int given, MonotonicTime since, MonotonicTime before, MonotonicTime lent) {}
 
-  private final Ledger ledger;
+  private final ClusterStateCache ledger;
   private final Map<JobId, Wait> waits = new HashMap<>();
   private final Set<JobId> seen = new HashSet<>();
 
-  LongWaits(Ledger ledger) {
+  StarvationTracker(ClusterStateCache ledger) {
     this.ledger = ledger;
   }
 
--- a/src/main/java/org/quincecross/state/Follower.java
+++ b/src/main/java/org/quincecross/state/StateWatcher.java
@@ -18,12 +18,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the {@link Ledger} up to date: reads all records once, then watches for changes. Beside the
+ * Keeps the {@link ClusterStateCache} up to date: reads all records once, then watches for changes. Beside the
  * watch it makes <em>barriers</em>: one short read of the revision and of what is new serves
  * everyone who needs to know that the ledger is current.
  */
-public final class Follower {
-  private static final Logger LOG = LoggerFactory.getLogger(Follower.class);
+public final class StateWatcher {
+  private static final Logger LOG = LoggerFactory.getLogger(StateWatcher.class);
   private static final TimeSpan WATCH = TimeSpan.ofSeconds(10);
   private static final TimeSpan RETRY = TimeSpan.ofMillis(250);
 
@@ -60,8 +60,8 @@
   }
 
   private final Timers timers;
-  private final StateClient client;
-  private final Ledger ledger;
+  private final KeyValueStoreClient client;
+  private final ClusterStateCache ledger;
   private State state = State.LOADING;
   private int generation;
   private MonotonicTime confirmed;
@@ -72,7 +72,7 @@
   private boolean spacingPlanned;
   private MonotonicTime lastBarrier;
 
-  public Follower(Timers timers, StateClient client, Ledger ledger) {
+  public StateWatcher(Timers timers, KeyValueStoreClient client, ClusterStateCache ledger) {
     this.timers = timers;
     this.client = client;
     this.ledger = ledger;
@@ -115,11 +115,11 @@
   private void readPage(
       int mine,
       String after,
-      Map<String, Ledger.StateEntry> entries,
+      Map<String, ClusterStateCache.StateEntry> entries,
       Revision first,
       MonotonicTime begun) {
     client.read(
-        KeyValueStoreCodec.listPath(Keys.ROOT, after, PAGE),
+        KeyValueStoreCodec.listPath(StoreKeys.ROOT, after, PAGE),
         TimeSpan.ofSeconds(5),
         outcome -> {
           if (generation != mine) {
@@ -132,7 +132,7 @@
             KeyValueStoreCodec.Page page = KeyValueStoreCodec.readList(Json.parseFields(outcome.response().body()));
             String last = after;
             for (Entry entry : page.entries()) {
-              entries.put(entry.key(), new Ledger.StateEntry(entry.value(), entry.version()));
+              entries.put(entry.key(), new ClusterStateCache.StateEntry(entry.value(), entry.version()));
               last = entry.key();
             }
             Revision from = first == null ? page.revision() : first;
@@ -154,14 +154,14 @@
         });
   }
 
-  private void finishLoad(Map<String, Ledger.StateEntry> entries, Revision from, MonotonicTime begun) {
+  private void finishLoad(Map<String, ClusterStateCache.StateEntry> entries, Revision from, MonotonicTime begun) {
     // Pages are read one after the other, at revisions that may differ: the changes since the first
     // page are
     // caught up with before anyone sees the records.
     enter(State.CATCHING_UP);
     int mine = generation;
     client.read(
-        KeyValueStoreCodec.watchPath(Keys.ROOT, from, 0),
+        KeyValueStoreCodec.watchPath(StoreKeys.ROOT, from, 0),
         BARRIER_TIMEOUT,
         outcome -> {
           if (generation != mine) {
@@ -174,14 +174,14 @@
             KeyValueStoreCodec.Page page =
                 KeyValueStoreCodec.readWatch(Json.parseFields(outcome.response().body()));
             for (Entry event : page.entries()) {
-              Ledger.StateEntry known = entries.get(event.key());
+              ClusterStateCache.StateEntry known = entries.get(event.key());
               if (known != null && !event.version().isAfter(known.version())) {
                 continue;
               }
               if (event.value() == null) {
                 entries.remove(event.key());
               } else {
-                entries.put(event.key(), new Ledger.StateEntry(event.value(), event.version()));
+                entries.put(event.key(), new ClusterStateCache.StateEntry(event.value(), event.version()));
               }
             }
             enter(State.FOLLOWING);
@@ -202,7 +202,7 @@
     int mine = generation;
     MonotonicTime sent = timers.now();
     client.read(
-        KeyValueStoreCodec.watchPath(Keys.ROOT, ledger.revision(), WATCH.millis()),
+        KeyValueStoreCodec.watchPath(StoreKeys.ROOT, ledger.revision(), WATCH.millis()),
         WATCH.plus(TimeSpan.ofSeconds(5)),
         outcome -> {
           if (generation != mine) {
@@ -324,7 +324,7 @@
     List<Consumer<Boolean>> served = askers;
     askers = new ArrayList<>();
     client.read(
-        KeyValueStoreCodec.watchPath(Keys.ROOT, ledger.revision(), 0),
+        KeyValueStoreCodec.watchPath(StoreKeys.ROOT, ledger.revision(), 0),
         BARRIER_TIMEOUT,
         outcome -> {
           barrierRunning = false;
--- a/src/main/java/org/quincecross/state/Keys.java
+++ b/src/main/java/org/quincecross/state/StoreKeys.java
@@ -9,7 +9,7 @@
 import org.quincecross.model.ControllerId;
 
 /** Where the records lie in the state service. */
-public final class Keys {
+public final class StoreKeys {
   /** Everything lies under this, so that one watch sees every change. */
   public static final String ROOT = "q/";
 
@@ -48,7 +48,7 @@
   /** No record has a name that begins so. */
   static final String AGREED_PAGE = "~";
 
-  private Keys() {}
+  private StoreKeys() {}
 
   public static String member(ControllerId member) {
     return MEMBERS + safe(member.text());
--- a/src/main/java/org/quincecross/state/TaskSets.java
+++ b/src/main/java/org/quincecross/state/TaskSetCodec.java
@@ -9,8 +9,8 @@
 import org.quincecross.protocol.JobCodec;
 
 /** Tasks of several jobs in a record: short, for what fits one value is written in one change. */
-public final class TaskSets {
-  private TaskSets() {}
+public final class TaskSetCodec {
+  private TaskSetCodec() {}
 
   static Map<JobId, TaskSet> read(JsonFields in) throws MalformedMessageException {
     Map<JobId, TaskSet> sets = new LinkedHashMap<>();
--- a/src/main/java/org/quincecross/state/Gone.java
+++ b/src/main/java/org/quincecross/state/TerminationProof.java
@@ -18,7 +18,7 @@
  * tasks, none runs, none was given back unproven, and none is given out again as long as the record
  * keeps it back.
  */
-public final class Gone {
+public final class TerminationProof {
   /** How far the proof has come. */
   public enum State {
     /** These records are older than the change that keeps the tasks back. */
@@ -41,7 +41,7 @@
     }
   }
 
-  private Gone() {}
+  private TerminationProof() {}
 
   /**
    * Looks for tasks in the allocations, at a cost in proportion to the blocks that have some of
@@ -50,7 +50,7 @@
    * @param tasks that are to run nowhere
    * @param since with which it was written that they are kept back, the fence with it
    */
-  public static Proof of(Ledger ledger, Map<JobId, TaskSet> tasks, Revision since) {
+  public static Proof of(ClusterStateCache ledger, Map<JobId, TaskSet> tasks, Revision since) {
     Revision at = ledger.revision();
     if (!ledger.isLoaded() || since.isAfter(at)) {
       return new Proof(State.TOO_EARLY, Map.of(), at);
--- a/src/main/java/org/quincecross/state/TxnOutcome.java
+++ b/src/main/java/org/quincecross/state/TransactionResult.java
@@ -9,7 +9,7 @@
  * @param revision the revision it made, or at which its conditions failed
  * @param failed the keys whose conditions failed
  */
-public record TxnOutcome(Kind kind, Revision revision, List<String> failed) {
+public record TransactionResult(Kind kind, Revision revision, List<String> failed) {
   /** The ways in which a transaction can end. */
   public enum Kind {
     COMMITTED,
@@ -33,8 +33,8 @@
     UNKNOWN
   }
 
-  static TxnOutcome of(Kind kind) {
-    return new TxnOutcome(kind, Revision.NONE, List.of());
+  static TransactionResult of(Kind kind) {
+    return new TransactionResult(kind, Revision.NONE, List.of());
   }
 
   public boolean committed() {
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -31,12 +31,12 @@
 import org.quincecross.rollout.Terms;
 import org.quincecross.silence.UnconfirmedBound;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.LedgerTool;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ControllerRecord;
 
 /**
  * When users may be told of a cancellation, by a controller that holds none of the job's blocks.
@@ -52,7 +52,7 @@
   private static final long LONG_AGO_MS = 1_000;
 
   private final SteppedClock clock = new SteppedClock();
-  private final Ledger ledger = new Ledger();
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final PeerViews views = new PeerViews();
   private final Map<String, Map<String, Object>> records = new LinkedHashMap<>();
   private long revision;
@@ -73,8 +73,8 @@
 
   private void put(String key, Map<String, Object> value) {
     records.put(key, value);
-    LedgerTool.put(ledger, key, value, ++revision);
-    LedgerTool.advance(ledger, revision);
+    CacheTestSupport.put(ledger, key, value, ++revision);
+    CacheTestSupport.advance(ledger, revision);
   }
 
   @BeforeEach
@@ -99,12 +99,12 @@
             TimeSpan.ZERO,
             TimeSpan.ZERO,
             null);
-    put(Keys.job(JOB), JobRecord.open(job, 0));
+    put(StoreKeys.job(JOB), JobRecord.open(job, 0));
     put(
-        Keys.block(BLOCK),
-        BlockLease.first(
+        StoreKeys.block(BLOCK),
+        ShardLease.first(
                 BLOCK,
-                new MemberRecord(
+                new ControllerRecord(
                     HOLDER,
                     new Incarnation(1),
                     "z",
@@ -122,11 +122,11 @@
     for (int index : indices) {
       tasks.add(index);
     }
-    put(Keys.allocation(BLOCK), Allocation.write(Map.of(JOB, tasks)));
+    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(JOB, tasks)));
   }
 
   private void cancel() {
-    put(Keys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
+    put(StoreKeys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
   }
 
   /** The holder says that it has taken note of all that is known here. */
@@ -209,13 +209,13 @@
    */
   @Test
   void afterTheRecordsWereReadAnewTheWaitBeginsAnew() {
-    records.put(Keys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
-    LedgerTool.load(ledger, records, ++revision);
+    records.put(StoreKeys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
+    CacheTestSupport.load(ledger, records, ++revision);
     assertEquals(false, isTold(), "read just now, still allocated, not noted");
     clock.advance(8);
     assertEquals(true, isTold());
-    records.put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
-    LedgerTool.load(ledger, records, ++revision);
+    records.put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
+    CacheTestSupport.load(ledger, records, ++revision);
     assertEquals(true, isTold(), "nothing of it is allocated: its tasks were proven gone");
   }
 
@@ -227,12 +227,12 @@
     assertEquals(true, isTold());
     allocate(0, 1);
     assertEquals(true, isTold());
-    LedgerTool.put(
+    CacheTestSupport.put(
         ledger,
-        Keys.done(JOB, 0),
-        org.quincecross.state.DoneTasks.write(new TaskSet(), 0),
+        StoreKeys.done(JOB, 0),
+        org.quincecross.state.CompletedTasks.write(new TaskSet(), 0),
         ++revision);
-    LedgerTool.advance(ledger, revision);
+    CacheTestSupport.advance(ledger, revision);
     assertEquals(true, isTold());
   }
 
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -33,10 +33,10 @@
 import org.quincecross.peer.PeerViews;
 import org.quincecross.silence.Aloneness;
 import org.quincecross.silence.UnconfirmedBound;
-import org.quincecross.state.Follower;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.StateClient;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.KeyValueStoreClient;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.JsonFields;
@@ -54,7 +54,7 @@
   private static final int MOST_BYTES = 4096;
 
   private final SteppedClock clock = new SteppedClock();
-  private final Ledger ledger = new Ledger();
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final Map<String, Long> stamps = new HashMap<>();
   private final List<Map<String, Object>> log = new ArrayList<>();
   private final List<Runnable> held = new ArrayList<>();
@@ -69,7 +69,7 @@
     MachineType type =
         new MachineType(
             "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, TimeSpan.ofSeconds(45), List.of("a"));
-    write(Keys.type("g8"), CloudCodec.writeCatalog(List.of(type)));
+    write(StoreKeys.type("g8"), CloudCodec.writeCatalog(List.of(type)));
     Settings.StoreLimits limits = new Settings.StoreLimits(1000, 50, MOST_BYTES, 8);
     Settings.AgentTimeouts workers =
         new Settings.AgentTimeouts(
@@ -95,9 +95,9 @@
             new Settings.CloudLimits(4, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(2),
             new Settings.ProcessLimits(1, 300, 1000));
-    StateClient client =
-        new StateClient(clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
-    Follower follower = new Follower(clock, client, ledger);
+    KeyValueStoreClient client =
+        new KeyValueStoreClient(clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
+    StateWatcher follower = new StateWatcher(clock, client, ledger);
     UnconfirmedBound bound = workers.unconfirmedBound();
     Cancellations cancellations =
         new Cancellations(
--- a/src/test/java/org/quincecross/block/HolderHarness.java
+++ b/src/test/java/org/quincecross/block/HolderHarness.java
@@ -35,12 +35,12 @@
 import org.quincecross.rollout.Terms;
 import org.quincecross.sched.Reserve;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.LedgerTool;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
@@ -59,7 +59,7 @@
       new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
   static final TaskId TASK = new JobId("job-1").task(0);
 
-  final Ledger ledger = new Ledger();
+  final ClusterStateCache ledger = new ClusterStateCache();
   final List<Consumer<HttpOutcome>> calls = new ArrayList<>();
   final List<String> sent = new ArrayList<>();
   final StillClock clock = new StillClock();
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public Ledger ledger() {
+    public ClusterStateCache ledger() {
       return ledger;
     }
 
@@ -143,15 +143,15 @@
   }
 
   void put(String key, Map<String, Object> value) {
-    LedgerTool.put(ledger, key, value, ++revision);
-    LedgerTool.advance(ledger, revision);
+    CacheTestSupport.put(ledger, key, value, ++revision);
+    CacheTestSupport.advance(ledger, revision);
   }
 
   /** A fenced machine to which the start of the one task has just been sent directly. */
   @BeforeEach
   void aStartIsSent() {
     put(
-        Keys.type("t"),
+        StoreKeys.type("t"),
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
@@ -176,12 +176,12 @@
             TimeSpan.ZERO,
             TimeSpan.ZERO,
             null);
-    put(Keys.job(job.id()), JobRecord.open(job, 0));
+    put(StoreKeys.job(job.id()), JobRecord.open(job, 0));
     put(
-        Keys.block(BLOCK),
-        BlockLease.first(
+        StoreKeys.block(BLOCK),
+        ShardLease.first(
                 BLOCK,
-                new MemberRecord(
+                new ControllerRecord(
                     new ControllerId("n"),
                     new Incarnation(1),
                     "z",
@@ -200,7 +200,7 @@
   }
 
   void allocate(TaskSet tasks) {
-    put(Keys.allocation(BLOCK), Allocation.write(Map.of(TASK.job(), tasks)));
+    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(TASK.job(), tasks)));
     holder.sync();
   }
 
--- a/src/test/java/org/quincecross/block/HolderModelTest.java
+++ b/src/test/java/org/quincecross/block/HolderModelTest.java
@@ -41,8 +41,8 @@
 import org.quincecross.rollout.Terms;
 import org.quincecross.state.Allocation;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
@@ -112,7 +112,7 @@
               TimeSpan.ZERO,
               TimeSpan.ZERO,
               null);
-      put(Keys.job(job.id()), JobRecord.open(job, 0));
+      put(StoreKeys.job(job.id()), JobRecord.open(job, 0));
       holder.retire();
       for (int i = 1; i <= 3; i++) {
         workers.add(
@@ -120,9 +120,9 @@
                 new Machine(
                     new MachineId("m-" + i), new Endpoint("10.1.0." + i, 9000), "t", "z", false)));
       }
-      put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
+      put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
       put(
-          Keys.block(BLOCK),
+          StoreKeys.block(BLOCK),
           ledger
               .blocks()
               .get(BLOCK)
@@ -209,12 +209,12 @@
         formerUntil = now() + formerGoesOn;
       }
       put(
-          Keys.block(BLOCK),
+          StoreKeys.block(BLOCK),
           ledger
               .blocks()
               .get(BLOCK)
               .heldBy(
-                  new MemberRecord(
+                  new ControllerRecord(
                       new ControllerId("n"),
                       new Incarnation(1),
                       "z",
@@ -284,7 +284,7 @@
       TaskSet copy = new TaskSet();
       IntStream.range(0, TASKS).filter(allocated::contains).forEach(copy::add);
       put(
-          Keys.allocation(BLOCK),
+          StoreKeys.allocation(BLOCK),
           Allocation.write(copy.isEmpty() ? Map.of() : Map.of(job.id(), copy)));
       holder.sync();
     }
--- a/src/test/java/org/quincecross/block/LastAnswersTest.java
+++ b/src/test/java/org/quincecross/block/LastAnswersTest.java
@@ -10,7 +10,7 @@
 import org.quincecross.model.Attempt;
 import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.state.Keys;
+import org.quincecross.state.StoreKeys;
 import org.quincecross.protocol.Heartbeat;
 import org.quincecross.protocol.Heartbeat.Piece;
 import org.quincecross.protocol.Heartbeat.TaskState;
@@ -21,7 +21,7 @@
  */
 class LastAnswersTest extends HolderHarness {
   private void cancel() {
-    put(Keys.job(TASK.job()), ledger.job(TASK.job()).cancelled(1000));
+    put(StoreKeys.job(TASK.job()), ledger.job(TASK.job()).cancelled(1000));
     holder.jobsChanged(Set.of(TASK.job()));
   }
 
--- a/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
@@ -22,9 +22,9 @@
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Keys;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Heartbeat;
 
@@ -94,7 +94,7 @@
     allocate(new TaskSet());
     calls.clear();
     clock.advance(2);
-    put(Keys.block(BLOCK), ledger.blocks().get(BLOCK).with(OTHER).write());
+    put(StoreKeys.block(BLOCK), ledger.blocks().get(BLOCK).with(OTHER).write());
     holder.renewed(ledger.blocks().get(BLOCK));
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
     pass(2.75);
@@ -143,12 +143,12 @@
    */
   @Test
   void whatWaitsForADeafMachineDoesNotWaitForEver() {
-    BlockLease former = ledger.blocks().get(BLOCK).with(OTHER);
+    ShardLease former = ledger.blocks().get(BLOCK).with(OTHER);
     put(
-        Keys.block(BLOCK),
+        StoreKeys.block(BLOCK),
         former
             .heldBy(
-                new MemberRecord(
+                new ControllerRecord(
                     new ControllerId("n"),
                     new Incarnation(2),
                     "z",
@@ -191,10 +191,10 @@
     long before = holder.lease().token().number();
     for (long life = 2; life <= 3; life++) {
       put(
-          Keys.block(BLOCK),
+          StoreKeys.block(BLOCK),
           (life == 2 ? ledger.blocks().get(BLOCK).with(OTHER) : ledger.blocks().get(BLOCK))
               .heldBy(
-                  new MemberRecord(
+                  new ControllerRecord(
                       new ControllerId("n"),
                       new Incarnation(life),
                       "z",
--- a/src/test/java/org/quincecross/block/WaitingJobTest.java
+++ b/src/test/java/org/quincecross/block/WaitingJobTest.java
@@ -21,10 +21,10 @@
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.BlockLease;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.protocol.CloudCodec;
 
 /**
@@ -62,16 +62,16 @@
   @Test
   void givesItBackUntilThatIsDone() {
     put(
-        Keys.type("t"),
+        StoreKeys.type("t"),
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
                     "t", new Resources(8, 0, 8), 10, 1, 1, 1, TimeSpan.ofSeconds(5), List.of("z")))));
     put(
-        Keys.block(BLOCK),
-        BlockLease.first(
+        StoreKeys.block(BLOCK),
+        ShardLease.first(
                 BLOCK,
-                new MemberRecord(
+                new ControllerRecord(
                     new ControllerId("n"),
                     new Incarnation(1),
                     "z",
@@ -85,16 +85,16 @@
     beat(List.of());
     JobId first = new JobId("job-8");
     JobId next = new JobId("job-9");
-    put(Keys.job(first), JobRecord.open(job(first, Set.of()), 0));
-    put(Keys.job(next), JobRecord.open(job(next, Set.of(first)), 0));
-    put(Keys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
+    put(StoreKeys.job(first), JobRecord.open(job(first, Set.of()), 0));
+    put(StoreKeys.job(next), JobRecord.open(job(next, Set.of(first)), 0));
+    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
     holder.sync();
     beat(List.of());
     assertEquals(List.of(next.task(0)), holder.released());
-    put(Keys.allocation(BLOCK), Allocation.write(Map.of()));
+    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
     holder.sync();
-    put(Keys.job(first), ledger.job(first).done());
-    put(Keys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
+    put(StoreKeys.job(first), ledger.job(first).done());
+    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
     holder.sync();
     assertTrue(sent.get(sent.size() - 1).contains("job-9/0"), sent.toString());
   }
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/AgreedDay.java
@@ -23,8 +23,8 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.rollout.Build;
-import org.quincecross.state.AgreedBook;
-import org.quincecross.state.Gone;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.TerminationProof;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.JsonFields;
@@ -69,7 +69,7 @@
   /** What a controller knows of the gates. */
   static final class Gates implements Withheld {
     final AgreedBase base;
-    final AgreedBook<Gate.State, Gate.Command> book;
+    final ReplicatedRecordIndex<Gate.State, Gate.Command> book;
     private final Set<JobId> closed = new HashSet<>();
 
     Gates(AgreedBase base) {
@@ -108,11 +108,11 @@
 
     /** Whether all tasks of a job whose gate is closed are proven gone here. */
     boolean isProven(JobId id, int tasks) {
-      AgreedBook.Held<Gate.State> held = book.get(id.text());
+      ReplicatedRecordIndex.Held<Gate.State> held = book.get(id.text());
       return base.ledger().isLoaded()
           && held != null
           && held.state().closed()
-          && Gone.of(base.ledger(), Map.of(id, TaskSet.range(tasks)), held.version()).isProven();
+          && TerminationProof.of(base.ledger(), Map.of(id, TaskSet.range(tasks)), held.version()).isProven();
     }
   }
 
@@ -165,7 +165,7 @@
                 long change = ((Number) map.get("change")).longValue();
                 proven.computeIfPresent(id, (job, by) -> by.change() == change ? by : null);
                 for (Gates each : gates) {
-                  AgreedBook.Held<Gate.State> held = each.book.get(id.text());
+                  ReplicatedRecordIndex.Held<Gate.State> held = each.book.get(id.text());
                   if (held == null || held.kept().change() != change) {
                     continue;
                   }
--- a/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
@@ -30,7 +30,7 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
+import org.quincecross.state.StoreKeys;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
@@ -383,7 +383,7 @@
       world
           .state()
           .write(
-              Keys.job(job.id()),
+              StoreKeys.job(job.id()),
               Json.parse(Json.write(JobRecord.open(job, (long) (World.EPOCH_S * 1000)))));
     }
     world.time().at(6, () -> world.state().outage(9));
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -25,7 +25,7 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
-import org.quincecross.state.DoneTasks;
+import org.quincecross.state.CompletedTasks;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.JobCodec;
@@ -230,10 +230,10 @@
    * The records of done tasks of a job of more than a chunk, which days this short do not write.
    */
   private void largeJob() {
-    TaskSet done = TaskSet.range(DoneTasks.CHUNK + 17);
-    IntStream.range(1, 2000).forEach(i -> done.add(DoneTasks.CHUNK + 2 * i));
+    TaskSet done = TaskSet.range(CompletedTasks.CHUNK + 17);
+    IntStream.range(1, 2000).forEach(i -> done.add(CompletedTasks.CHUNK + 2 * i));
     for (int chunk = 0; chunk < 2; chunk++) {
-      recorder.stored("q/done/job-5/" + chunk, DoneTasks.write(done, chunk));
+      recorder.stored("q/done/job-5/" + chunk, CompletedTasks.write(done, chunk));
     }
   }
 
