--- a/src/test/java/org/quincecross/leader/AllocationsTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationsTest.java
@@ -20,12 +20,12 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.rollout.Level;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.DoneTasks;
+import org.quincecross.state.CompletedTasks;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.LedgerTool;
-import org.quincecross.state.LevelRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.FeatureLevelRecord;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
@@ -37,14 +37,14 @@
   private static final ShardId BLOCK = new ShardId("b");
   private static final int LIMIT = 1000;
 
-  private final Ledger ledger = new Ledger();
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final Books books = new Books(ledger);
   private final Allocations allocations = new Allocations(ledger, () -> false);
   private long revision;
 
   private void put(String key, Map<String, Object> value) {
-    LedgerTool.put(ledger, key, value, ++revision);
-    LedgerTool.advance(ledger, revision);
+    CacheTestSupport.put(ledger, key, value, ++revision);
+    CacheTestSupport.advance(ledger, revision);
   }
 
   @SuppressWarnings("unchecked")
@@ -53,9 +53,9 @@
     for (Mutation change : plan.changes()) {
       assertTrue(
           change.value() == null || Json.write(change.value()).length <= LIMIT, change.key());
-      LedgerTool.put(ledger, change.key(), (Map<String, Object>) change.value(), revision);
+      CacheTestSupport.put(ledger, change.key(), (Map<String, Object>) change.value(), revision);
     }
-    LedgerTool.advance(ledger, revision);
+    CacheTestSupport.advance(ledger, revision);
   }
 
   private static Map<String, Object> open(JobId id, int tasks) {
@@ -85,17 +85,17 @@
   /** Fills a block with a record as it was written when values could be larger. */
   private List<JobId> fill(Random random, int level) {
     ledger.listen(books::changed);
-    put(Keys.LEVEL, LevelRecord.write(new Level(level)));
+    put(StoreKeys.LEVEL, FeatureLevelRecord.write(new Level(level)));
     Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
     List<JobId> jobs = new ArrayList<>();
     while (Json.write(Allocation.write(tasks)).length < 4 * LIMIT - 40) {
       JobId id = new JobId("job-" + (10_000 + jobs.size()));
       int count = 1 + random.nextInt(3);
       jobs.add(id);
-      put(Keys.job(id), open(id, count));
+      put(StoreKeys.job(id), open(id, count));
       tasks.put(id, TaskSet.range(count));
     }
-    put(Keys.allocation(BLOCK), Allocation.write(tasks));
+    put(StoreKeys.allocation(BLOCK), Allocation.write(tasks));
     return jobs;
   }
 
@@ -137,11 +137,11 @@
   /** A task becomes durable as done on a page, or its job as a whole. */
   private void end(JobId id, Random random) {
     if (random.nextBoolean()) {
-      put(Keys.job(id), ledger.job(id).done());
+      put(StoreKeys.job(id), ledger.job(id).done());
     } else if (ledger.job(id).job() != null && ledger.job(id).job().taskCount() > 1) {
       TaskSet done = ledger.doneTasks(id);
       done.add(random.nextInt(ledger.job(id).job().taskCount() - 1));
-      put(Keys.page(Integer.parseInt(id.digits())), DoneTasks.writePage(Map.of(id, done)));
+      put(StoreKeys.page(Integer.parseInt(id.digits())), CompletedTasks.writePage(Map.of(id, done)));
     }
   }
 
@@ -151,7 +151,7 @@
     List<JobId> jobs = fill(random, 1);
     boolean fitted = false;
     for (JobId id : jobs) {
-      put(Keys.job(id), ledger.job(id).done());
+      put(StoreKeys.job(id), ledger.job(id).done());
       TxnPlan plan = new TxnPlan(ledger, 4, LIMIT);
       boolean fits = Json.write(Allocation.write(books.held(BLOCK))).length <= LIMIT;
       assertEquals(fits, allocations.put(plan, BLOCK, books.held(BLOCK)));
--- a/src/test/java/org/quincecross/leader/BooksTest.java
+++ b/src/test/java/org/quincecross/leader/BooksTest.java
@@ -33,20 +33,20 @@
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.DoneTasks;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.CompletedTasks;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.LedgerTool;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ControllerRecord;
 
 class BooksTest {
   private static final int JOBS = 8;
   private static final int TASKS = 12;
   private static final int BLOCKS = 4;
 
-  private final Ledger ledger = new Ledger();
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final Books books = new Books(ledger);
   private long revision;
 
@@ -80,20 +80,20 @@
   }
 
   private void put(String key, Map<String, Object> value) {
-    LedgerTool.put(ledger, key, value, ++revision);
-    LedgerTool.advance(ledger, revision);
+    CacheTestSupport.put(ledger, key, value, ++revision);
+    CacheTestSupport.advance(ledger, revision);
   }
 
-  private static BlockLease lease(int block) {
-    MemberRecord holder =
-        new MemberRecord(
+  private static ShardLease lease(int block) {
+    ControllerRecord holder =
+        new ControllerRecord(
             new ControllerId("m"),
             new Incarnation(1),
             "z",
             Build.BEFORE_LEVELS,
             Terms.NONE,
             new Revision(1));
-    return BlockLease.first(
+    return ShardLease.first(
         new ShardId("b" + block),
         holder,
         new Machine(
@@ -121,16 +121,16 @@
       switch (random.nextInt(6)) {
         case 0 -> {
           if (ledger.job(id) == null) {
-            put(Keys.job(id), JobRecord.open(job(number), 0));
+            put(StoreKeys.job(id), JobRecord.open(job(number), 0));
           } else if (random.nextInt(3) == 0 && ledger.job(id).phase() == JobPhase.OPEN) {
             put(
-                Keys.job(id),
+                StoreKeys.job(id),
                 random.nextBoolean() ? ledger.job(id).done() : ledger.job(id).cancelled(1));
           }
         }
         case 1 ->
             put(
-                Keys.block(new ShardId("b" + block)),
+                StoreKeys.block(new ShardId("b" + block)),
                 random.nextInt(4) == 0 ? null : lease(block).write());
         case 2, 3 -> {
           Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
@@ -138,11 +138,11 @@
             tasks.put(job(random.nextInt(JOBS)).id(), some(random));
           }
           put(
-              Keys.allocation(new ShardId("b" + block)),
+              StoreKeys.allocation(new ShardId("b" + block)),
               random.nextInt(6) == 0 ? null : Allocation.write(tasks));
         }
-        case 4 -> put(Keys.page(random.nextInt(2)), DoneTasks.writePage(Map.of(id, some(random))));
-        default -> put(Keys.done(id, 0), DoneTasks.write(some(random), 0));
+        case 4 -> put(StoreKeys.page(random.nextInt(2)), CompletedTasks.writePage(Map.of(id, some(random))));
+        default -> put(StoreKeys.done(id, 0), CompletedTasks.write(some(random), 0));
       }
       if (random.nextBoolean()) {
         assertCounted();
@@ -214,13 +214,13 @@
     List<Job> jobs = new ArrayList<>();
     for (int number = 0; number < 100; number++) {
       jobs.add(job(number));
-      put(Keys.job(job(number).id()), JobRecord.open(job(number), 0));
+      put(StoreKeys.job(job(number).id()), JobRecord.open(job(number), 0));
       tasks.put(job(number).id(), TaskSet.range(TASKS));
     }
-    put(Keys.allocation(new ShardId("b0")), Allocation.write(tasks));
+    put(StoreKeys.allocation(new ShardId("b0")), Allocation.write(tasks));
     books.teamUse();
     long before = books.counted();
-    put(Keys.page(0), DoneTasks.writePage(Map.of(jobs.get(5).id(), TaskSet.range(1))));
+    put(StoreKeys.page(0), CompletedTasks.writePage(Map.of(jobs.get(5).id(), TaskSet.range(1))));
     books.teamUse();
     assertEquals(1, books.counted() - before);
   }
--- a/src/test/java/org/quincecross/leader/FleetTest.java
+++ b/src/test/java/org/quincecross/leader/FleetTest.java
@@ -29,12 +29,12 @@
 import org.quincecross.peer.PeerReport;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Foresight;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.LedgerTool;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.state.OperatorSettings;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.Json;
@@ -46,7 +46,7 @@
   private static final int PER_ZONE = 12;
 
   private final Clock clock = new Clock();
-  private final Ledger ledger = new Ledger();
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final List<String> returned = new ArrayList<>();
   private final Set<MachineId> vanished = new HashSet<>();
   private final Map<MachineId, PeerReport.MachineState> states = new HashMap<>();
@@ -114,14 +114,14 @@
             this::cloud,
             ledger,
             settings,
-            new Foresight(ledger),
+            new DemandForecast(ledger),
             () -> new Incarnation(1),
             () -> OperatorSettings.DEFAULTS);
     MachineType type =
         new MachineType("t", SIZE, 50, 1, 1, 0.3, TimeSpan.ofSeconds(10), List.of("a", "b"));
-    LedgerTool.put(ledger, Keys.type("t"), CloudCodec.writeCatalog(List.of(type)), 1);
-    MemberRecord holder =
-        new MemberRecord(
+    CacheTestSupport.put(ledger, StoreKeys.type("t"), CloudCodec.writeCatalog(List.of(type)), 1);
+    ControllerRecord holder =
+        new ControllerRecord(
             new ControllerId("n"),
             new Incarnation(1),
             "a",
@@ -129,28 +129,28 @@
             Terms.NONE,
             new Revision(1));
     for (String zone : List.of("a", "b")) {
-      BlockLease block = null;
+      ShardLease block = null;
       for (int i = 0; i < PER_ZONE; i++) {
         Machine machine = new Machine(new MachineId("m-" + zone + i), here, "t", zone, true);
         block =
             block == null
-                ? BlockLease.first(new ShardId(zone), holder, machine)
+                ? ShardLease.first(new ShardId(zone), holder, machine)
                 : block.with(machine);
         hear(machine.id(), 0);
       }
-      LedgerTool.put(ledger, Keys.block(block.id()), block.write(), 2);
+      CacheTestSupport.put(ledger, StoreKeys.block(block.id()), block.write(), 2);
     }
-    BlockLease ordinary = null;
+    ShardLease ordinary = null;
     for (int i = 0; i < PER_ZONE; i++) {
       Machine machine = new Machine(new MachineId("o-" + i), here, "t", "b", false);
       ordinary =
           ordinary == null
-              ? BlockLease.first(new ShardId("o"), holder, machine)
+              ? ShardLease.first(new ShardId("o"), holder, machine)
               : ordinary.with(machine);
       hear(machine.id(), 0);
     }
-    LedgerTool.put(ledger, Keys.block(ordinary.id()), ordinary.write(), 2);
-    LedgerTool.advance(ledger, 2);
+    CacheTestSupport.put(ledger, StoreKeys.block(ordinary.id()), ordinary.write(), 2);
+    CacheTestSupport.advance(ledger, 2);
     fleet.start();
   }
 
--- a/src/test/java/org/quincecross/leader/LeasesTest.java
+++ b/src/test/java/org/quincecross/leader/LeasesTest.java
@@ -27,13 +27,13 @@
 import org.quincecross.peer.PeerViews;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
-import org.quincecross.state.BlockLease;
-import org.quincecross.state.Foresight;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.DemandForecast;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.LedgerTool;
-import org.quincecross.state.MemberRecord;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.state.OperatorSettings;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.Json;
@@ -50,7 +50,7 @@
   private static final Endpoint HERE = new Endpoint("10.0.0.1", 1);
 
   private final StillClock clock = new StillClock();
-  private final Ledger ledger = new Ledger();
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final PeerViews views = new PeerViews();
   private final Leases leases;
   private long reports;
@@ -78,7 +78,7 @@
             new Settings.CloudLimits(10, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(1),
             new Settings.ProcessLimits(1, 100, 1000));
-    Foresight foresight = new Foresight(ledger);
+    DemandForecast foresight = new DemandForecast(ledger);
     Fleet fleet =
         new Fleet(
             clock,
@@ -100,16 +100,16 @@
             books,
             new FreshViews(clock, ledger, views),
             new Allocations(ledger, () -> false));
-    LedgerTool.put(
-        ledger, Keys.member(HOLDER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
-    MemberRecord member =
-        new MemberRecord(
+    CacheTestSupport.put(
+        ledger, StoreKeys.member(HOLDER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
+    ControllerRecord member =
+        new ControllerRecord(
             HOLDER, new Incarnation(1), "a", Build.BEFORE_LEVELS, Terms.NONE, new Revision(1));
     Machine first = new Machine(new MachineId("m-0"), HERE, "t", "a", false);
     Machine second = new Machine(new MachineId("m-1"), HERE, "t", "a", false);
-    LedgerTool.put(
-        ledger, Keys.block(BLOCK), BlockLease.first(BLOCK, member, first).with(second).write(), 2);
-    LedgerTool.advance(ledger, 2);
+    CacheTestSupport.put(
+        ledger, StoreKeys.block(BLOCK), ShardLease.first(BLOCK, member, first).with(second).write(), 2);
+    CacheTestSupport.advance(ledger, 2);
   }
 
   private List<Mutation> planned(boolean inDoubt, boolean secondIsFenced) {
@@ -170,9 +170,9 @@
         "a machine that is not fenced would keep the block unsettled");
     List<Mutation> changes = planned(true, true);
     assertEquals(1, changes.size());
-    LedgerTool.put(ledger, Keys.block(BLOCK), cast(changes.get(0).value()), 7);
-    LedgerTool.advance(ledger, 7);
-    BlockLease lease = ledger.blocks().get(BLOCK);
+    CacheTestSupport.put(ledger, StoreKeys.block(BLOCK), cast(changes.get(0).value()), 7);
+    CacheTestSupport.advance(ledger, 7);
+    ShardLease lease = ledger.blocks().get(BLOCK);
     assertEquals(HOLDER, lease.holder());
     assertTrue(lease.token().isAfter(new FencingToken(2)), lease.toString());
     assertEquals(
@@ -187,18 +187,18 @@
    */
   @Test
   void aBlockTakesNoMoreMachinesThanItsRecordCanName() {
-    LedgerTool.put(
+    CacheTestSupport.put(
         ledger,
-        Keys.type("t"),
+        StoreKeys.type("t"),
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
                     "t", new Resources(8, 0, 32), 50, 1, 1, 1, TimeSpan.ofSeconds(5), List.of("a")))),
         3);
     JobId gang = new JobId("job-1");
-    LedgerTool.put(
+    CacheTestSupport.put(
         ledger,
-        Keys.job(gang),
+        StoreKeys.job(gang),
         JobRecord.open(
             new Job(
                 gang,
@@ -221,7 +221,7 @@
                 null),
             0),
         4);
-    LedgerTool.advance(ledger, 4);
+    CacheTestSupport.advance(ledger, 4);
     for (int i = 2; i < 100; i++) {
       leases.newcomer(new Machine(new MachineId("m-" + i), HERE, "t", "a", false));
     }
@@ -229,9 +229,9 @@
       TxnPlan plan = new TxnPlan(ledger, 4, 1000);
       leases.plan(plan);
       for (Mutation change : plan.changes()) {
-        LedgerTool.put(ledger, change.key(), cast(change.value()), 10 + plans);
+        CacheTestSupport.put(ledger, change.key(), cast(change.value()), 10 + plans);
       }
-      LedgerTool.advance(ledger, 10 + plans);
+      CacheTestSupport.advance(ledger, 10 + plans);
     }
     assertEquals(100, ledger.machineCount());
     ledger
@@ -239,7 +239,7 @@
         .values()
         .forEach(
             block -> {
-              BlockLease all = block;
+              ShardLease all = block;
               for (MachineId machine : block.machines().keySet()) {
                 all = all.leaving(machine);
               }
--- a/src/test/java/org/quincecross/leader/ResultsTest.java
+++ b/src/test/java/org/quincecross/leader/ResultsTest.java
@@ -25,26 +25,26 @@
 import org.quincecross.net.StillClock;
 import org.quincecross.peer.PeerReport;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.state.DoneTasks;
+import org.quincecross.state.CompletedTasks;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.Keys;
-import org.quincecross.state.Ledger;
-import org.quincecross.state.LedgerTool;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.CacheTestSupport;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 class ResultsTest {
   private static final int MOST_CHANGES = 8;
 
-  private final Ledger ledger = new Ledger();
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final Books books = new Books(ledger);
   private final PeerViews views = new PeerViews();
   private final StillClock timers = new StillClock();
   private long revision;
 
   private void put(String key, Object value) {
-    LedgerTool.put(ledger, key, castMap(value), ++revision);
-    LedgerTool.advance(ledger, revision);
+    CacheTestSupport.put(ledger, key, castMap(value), ++revision);
+    CacheTestSupport.advance(ledger, revision);
   }
 
   @SuppressWarnings("unchecked")
@@ -64,7 +64,7 @@
     int chunks = 24;
     JobId id = new JobId("job-1");
     put(
-        Keys.job(id),
+        StoreKeys.job(id),
         JobRecord.open(
             new Job(
                 id,
@@ -72,7 +72,7 @@
                 "t",
                 JobKind.ARRAY,
                 Priority.LOW,
-                chunks * DoneTasks.CHUNK,
+                chunks * CompletedTasks.CHUNK,
                 new Resources(1, 0, 1),
                 null,
                 null,
@@ -89,13 +89,13 @@
     for (int chunk = 0; chunk < chunks; chunk++) {
       TaskSet done = new TaskSet();
       for (int i = 0; i < 2000; i += 2) {
-        done.add(chunk * DoneTasks.CHUNK + i);
+        done.add(chunk * CompletedTasks.CHUNK + i);
       }
-      put(Keys.done(id, chunk), DoneTasks.write(done, chunk));
+      put(StoreKeys.done(id, chunk), CompletedTasks.write(done, chunk));
     }
     List<TaskId> completed = new ArrayList<>();
     for (int chunk = 0; chunk < chunks; chunk++) {
-      completed.add(id.task(chunk * DoneTasks.CHUNK + 2001));
+      completed.add(id.task(chunk * CompletedTasks.CHUNK + 2001));
     }
     views.take(
         new PeerReport(
@@ -149,7 +149,7 @@
     for (int i = 0; i < 200; i++) {
       JobId id = new JobId("job-" + (10_000 + i));
       put(
-          Keys.job(id),
+          StoreKeys.job(id),
           JobRecord.open(
               new Job(
                   id,
@@ -174,7 +174,7 @@
       page.put(id, TaskSet.range(1 + i % 3));
       completed.add(id.task(5));
     }
-    put(Keys.page(0), DoneTasks.writePage(page));
+    put(StoreKeys.page(0), CompletedTasks.writePage(page));
     views.take(
         new PeerReport(
             new ControllerId("n"),
--- a/src/test/java/org/quincecross/leader/TxnBoundsTest.java
+++ b/src/test/java/org/quincecross/leader/TxnBoundsTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.state.Ledger;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
@@ -27,7 +27,7 @@
       @ForAll @IntRange(min = 3, max = 24) int toldChanges,
       @ForAll @IntRange(min = 0, max = 10) int tooLarge) {
     TxnBounds bounds = new TxnBounds(new Settings.StoreLimits(100, 100, 8192, toldChanges));
-    Ledger ledger = new Ledger();
+    ClusterStateCache ledger = new ClusterStateCache();
     Map<String, Map<String, Object>> waiting = new TreeMap<>();
     for (int i = 0; i < 20; i++) {
       // The oversized come first in every plan.
--- a/src/test/java/org/quincecross/state/AllocationChangeTest.java
+++ b/src/test/java/org/quincecross/state/AllocationDeltaTest.java
@@ -14,7 +14,7 @@
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
 
-class AllocationChangeTest {
+class AllocationDeltaTest {
   private static Map<JobId, TaskSet> tasks(Random random) {
     Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
     for (int job = 1; job < 8; job++) {
@@ -39,9 +39,9 @@
   void whatChangedIsReadAsTheWhole(@ForAll Random random) throws MalformedMessageException {
     Allocation whole = new Allocation(tasks(random), new Revision(7));
     Map<JobId, TaskSet> next = tasks(random);
-    AllocationChange change =
-        AllocationChange.read(
-            Json.parse(Json.write(AllocationChange.write(whole, next))), new Revision(9));
+    AllocationDelta change =
+        AllocationDelta.read(
+            Json.parse(Json.write(AllocationDelta.write(whole, next))), new Revision(9));
     assertEquals(next, new LinkedHashMap<>(change.over(whole).tasks()));
     assertEquals(new Revision(9), change.over(whole).version());
     Allocation other = new Allocation(whole.tasks(), new Revision(8));
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -70,7 +70,7 @@
 
   @Test
   void allRecordsCanBeRead() throws IOException, MalformedMessageException {
-    Ledger ledger = new Ledger();
+    ClusterStateCache ledger = new ClusterStateCache();
     for (Kind<?, ?> kind :
         List.of(new HoldKind(), new ClaimKind(), new SweepKind(), REQUESTS, new ModelKind())) {
       ledger.agreed().add(kind);
@@ -95,24 +95,24 @@
         }
         yield JobRecord.bundle(open);
       }
-      case "block" -> BlockLease.read(new ShardId(parts[2]), value, Revision.NONE).write();
+      case "block" -> ShardLease.read(new ShardId(parts[2]), value, Revision.NONE).write();
       case "alloc" -> Allocation.write(Allocation.read(value, VERSION).tasks());
       case "change" -> {
-        AllocationChange change = AllocationChange.read(value, VERSION);
+        AllocationDelta change = AllocationDelta.read(value, VERSION);
         yield Json.object(
             "base",
             change.base().number(),
             "more",
-            TaskSets.write(change.more()),
+            TaskSetCodec.write(change.more()),
             "fewer",
-            TaskSets.write(change.fewer()));
+            TaskSetCodec.write(change.fewer()));
       }
       case "done" ->
-          DoneTasks.write(
-              DoneTasks.read(value, Integer.parseInt(parts[3])), Integer.parseInt(parts[3]));
-      case "page" -> DoneTasks.writePage(TaskSets.read(JsonFields.of(value, "a page").fields("jobs")));
+          CompletedTasks.write(
+              CompletedTasks.read(value, Integer.parseInt(parts[3])), Integer.parseInt(parts[3]));
+      case "page" -> CompletedTasks.writePage(TaskSetCodec.read(JsonFields.of(value, "a page").fields("jobs")));
       case "type" -> CloudCodec.writeCatalog(CloudCodec.readCatalog(JsonFields.of(value, "a type")));
-      case "level" -> LevelRecord.write(LevelRecord.read(value, VERSION).level());
+      case "level" -> FeatureLevelRecord.write(FeatureLevelRecord.read(value, VERSION).level());
       case "settings" -> OperatorSettings.readRecord(value, OperatorSettings.DEFAULTS).write();
       case "agreed" ->
           parts.length < 4
--- a/src/test/java/org/quincecross/state/JobBookTest.java
+++ b/src/test/java/org/quincecross/state/JobIndexTest.java
@@ -32,12 +32,12 @@
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
 
-class JobBookTest {
-  private final Ledger ledger = new Ledger();
+class JobIndexTest {
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final Set<JobId> changed = new HashSet<>();
   private long revision;
 
-  JobBookTest() {
+  JobIndexTest() {
     ledger.listen(changes -> changed.addAll(changes.jobs()));
   }
 
@@ -70,8 +70,8 @@
 
   private void put(String key, Map<String, Object> value) {
     changed.clear();
-    LedgerTool.put(ledger, key, value, ++revision);
-    LedgerTool.advance(ledger, revision);
+    CacheTestSupport.put(ledger, key, value, ++revision);
+    CacheTestSupport.advance(ledger, revision);
   }
 
   private static Set<JobId> drawn(Random random, int most) {
@@ -129,15 +129,15 @@
    */
   @Property(tries = 60, seed = "41")
   void whatAJobWaitsOnIsReadInAnyOrder(@ForAll long seed) {
-    new JobBookTest().readInAnyOrder(seed, new Random(seed));
+    new JobIndexTest().readInAnyOrder(seed, new Random(seed));
   }
 
   private void readInAnyOrder(long seed, Random random) {
     Set<JobId> waitsOn = drawn(random, seed % 2 == 0 ? 40 : 60_000 / 27);
     Job job = job(id(1), waitsOn);
-    Map<String, Map<String, Object>> records = new LinkedHashMap<>(Predecessors.parts(waitsOn));
+    Map<String, Map<String, Object>> records = new LinkedHashMap<>(JobDependencies.parts(waitsOn));
     int parts = records.size();
-    records.put(Keys.job(job.id()), JobRecord.open(job, 5));
+    records.put(StoreKeys.job(job.id()), JobRecord.open(job, 5));
     records
         .values()
         .forEach(
@@ -164,22 +164,22 @@
    */
   @Example
   void isAsUrgentAsTheLastJobThatNeedsIt() {
-    put(Keys.job(id(1)), JobRecord.open(job(id(1), Set.of()), 1000));
+    put(StoreKeys.job(id(1)), JobRecord.open(job(id(1), Set.of()), 1000));
     Job last = job(id(2), Set.of(id(1))).withUrgency(Priority.HIGH, TimeSpan.ofSeconds(60));
-    put(Keys.job(id(2)), JobRecord.open(last, 2000));
+    put(StoreKeys.job(id(2)), JobRecord.open(last, 2000));
     assertTrue(changed.contains(id(1)));
     assertEquals(Priority.HIGH, ledger.job(id(1)).job().priority());
     assertEquals(
         TimeSpan.ofSeconds(61 - 4 - 3 - 1),
         ledger.job(id(1)).job().deadline()); // its run, the hand-over, and its image
     assertEquals(job(id(1), Set.of()), ledger.asRecorded(id(1)).job());
-    put(Keys.job(id(2)), ledger.asRecorded(id(2)).cancelled(5));
+    put(StoreKeys.job(id(2)), ledger.asRecorded(id(2)).cancelled(5));
     assertEquals(job(id(1), Set.of()), ledger.job(id(1)).job());
     put(
-        Keys.job(id(3)),
+        StoreKeys.job(id(3)),
         JobRecord.open(job(id(3), Set.of(id(1))).withUrgency(Priority.HIGH, null), 3000));
     assertEquals(Priority.HIGH, ledger.job(id(1)).job().priority());
-    put(Keys.job(id(1)), ledger.asRecorded(id(1)).done(5));
+    put(StoreKeys.job(id(1)), ledger.asRecorded(id(1)).done(5));
     assertEquals(JobPhase.DONE, ledger.job(id(1)).phase());
   }
 
@@ -189,27 +189,27 @@
    */
   @Example
   void standsByTheRecordsOfOthers() {
-    put(Keys.job(id(1)), JobRecord.open(job(id(1), Set.of()), 100));
+    put(StoreKeys.job(id(1)), JobRecord.open(job(id(1), Set.of()), 100));
     put(
-        Keys.bundle(new ControllerId("m"), new Incarnation(1), 1),
+        StoreKeys.bundle(new ControllerId("m"), new Incarnation(1), 1),
         JobRecord.bundle(
             List.of(
                 JobRecord.open(job(id(2), Set.of(id(1))), 200),
                 JobRecord.open(job(id(3), Set.of(id(2))), 300))));
     assertTrue(ledger.pipelines().waits(id(2)) && ledger.pipelines().waits(id(3)));
-    put(Keys.job(id(1)), ledger.job(id(1)).done(900));
+    put(StoreKeys.job(id(1)), ledger.job(id(1)).done(900));
     assertEquals(Set.of(id(1), id(2)), changed);
     assertFalse(ledger.pipelines().waits(id(2)));
     assertEquals(900, ledger.readyMs(ledger.job(id(2))));
-    put(Keys.job(id(2)), ledger.job(id(2)).cancelled(950));
+    put(StoreKeys.job(id(2)), ledger.job(id(2)).cancelled(950));
     assertEquals(Set.of(id(2), id(3)), changed);
     JobRecord with = ledger.job(id(3));
     assertEquals(JobPhase.CANCELLED, with.phase());
     assertEquals(new Revision(revision), with.version());
     assertEquals(950, with.cancelledMs());
-    assertEquals(Revision.NONE, ledger.version(Keys.job(id(3))));
+    assertEquals(Revision.NONE, ledger.version(StoreKeys.job(id(3))));
     assertFalse(ledger.openJobs().iterator().hasNext());
-    put(Keys.job(id(4)), JobRecord.open(job(id(4), Set.of(id(3))), 990));
+    put(StoreKeys.job(id(4)), JobRecord.open(job(id(4), Set.of(id(3))), 990));
     assertEquals(JobPhase.CANCELLED, ledger.job(id(4)).phase());
     assertEquals(new Revision(revision), ledger.job(id(4)).version());
     assertNull(ledger.job(id(5)));
--- a/src/test/java/org/quincecross/state/RecordsTest.java
+++ b/src/test/java/org/quincecross/state/RecordsTest.java
@@ -50,17 +50,17 @@
     Random random = new Random(seed);
     TaskSet all = new TaskSet();
     TaskSet inChunk = new TaskSet();
-    for (int i = 0; i < 3 * DoneTasks.CHUNK; i++) {
+    for (int i = 0; i < 3 * CompletedTasks.CHUNK; i++) {
       if (random.nextInt(100) < percent) {
         all.add(i);
-        if (i / DoneTasks.CHUNK == chunk) {
+        if (i / CompletedTasks.CHUNK == chunk) {
           inChunk.add(i);
         }
       }
     }
-    Map<String, Object> value = DoneTasks.write(all, chunk);
+    Map<String, Object> value = CompletedTasks.write(all, chunk);
     assertTrue(Json.write(value).length < SMALLEST_VALUE);
-    assertEquals(inChunk, DoneTasks.read(throughJson(value), chunk));
+    assertEquals(inChunk, CompletedTasks.read(throughJson(value), chunk));
   }
 
   @Property(tries = 100, seed = "13")
@@ -94,20 +94,20 @@
 
     Machine machine =
         new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
-    MemberRecord member =
-        new MemberRecord(
+    ControllerRecord member =
+        new ControllerRecord(
             new ControllerId("n0"),
             new Incarnation(7),
             "z",
             Build.BEFORE_LEVELS,
             Terms.NONE,
             new Revision(3));
-    Map<String, Object> block = BlockLease.first(new ShardId("b"), member, machine).write();
+    Map<String, Object> block = ShardLease.first(new ShardId("b"), member, machine).write();
     block.putAll(extra);
-    BlockLease lease = BlockLease.read(new ShardId("b"), throughJson(block), new Revision(9));
+    ShardLease lease = ShardLease.read(new ShardId("b"), throughJson(block), new Revision(9));
     Machine more =
         new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
-    for (BlockLease changed :
+    for (ShardLease changed :
         List.of(
             lease,
             lease.with(more),
--- a/src/test/java/org/quincecross/state/FollowerTest.java
+++ b/src/test/java/org/quincecross/state/StateWatcherTest.java
@@ -21,7 +21,7 @@
  * Whether the ledger is complete up to what is said to be confirmed, with every answer of the state
  * service in the test's hands.
  */
-class FollowerTest {
+class StateWatcherTest {
   private record Call(HttpRequest request, Consumer<HttpOutcome> done) {
     boolean isPage() {
       return request.path().equals("/keys");
@@ -37,21 +37,21 @@
   }
 
   private final SteppedClock clock = new SteppedClock();
-  private final Ledger ledger = new Ledger();
+  private final ClusterStateCache ledger = new ClusterStateCache();
   private final List<Call> calls = new ArrayList<>();
-  private Follower follower;
+  private StateWatcher follower;
   private long asked;
 
   @BeforeEach
   void recordsAreRead() {
     Endpoint state = new Endpoint("10.0.0.1", 80);
-    StateClient client =
-        new StateClient(
+    KeyValueStoreClient client =
+        new KeyValueStoreClient(
             clock,
             (to, request, timeout, done) -> calls.add(new Call(request, done)),
             state,
             new Settings.StoreLimits(10_000, 1000, 4096, 8));
-    follower = new Follower(clock, client, ledger);
+    follower = new StateWatcher(clock, client, ledger);
     follower.start();
     answerPages(10);
     answer(barrier(), 10); // what has changed since the first page
