--- a/src/main/java/org/quincecross/api/AgreedParts.java
+++ b/src/main/java/org/quincecross/api/AgreedParts.java
@@ -16,8 +16,8 @@
 import org.quincecross.holds.HoldKind;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.leader.HeldRecords;
-import org.quincecross.leader.HoldSteps;
+import org.quincecross.leader.LegalHoldStartBlock;
+import org.quincecross.leader.LegalHoldReconciler;
 import org.quincecross.leader.Leader;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
@@ -48,7 +48,7 @@
 
   private final AgreedBase base;
   private final AgreedApi api;
-  private HeldRecords held;
+  private LegalHoldStartBlock held;
   private final ModelsPart models;
   private final RequestPart requests;
 
@@ -136,8 +136,8 @@
               }
             });
     if (base.has(HoldKind.NAME)) {
-      held = new HeldRecords(base);
-      new HoldSteps(base, held, leader::isLeading);
+      held = new LegalHoldStartBlock(base);
+      new LegalHoldReconciler(base, held, leader::isLeading);
     }
     if (models != null) {
       models.listen(ledger, holdings, leader, running);
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -18,7 +18,7 @@
 import org.quincecross.block.RoomElsewhere;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.leader.Fleet;
+import org.quincecross.leader.Autoscaler;
 import org.quincecross.leader.Leader;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
@@ -79,7 +79,7 @@
   private final Holdings holdings;
   private final AgreedParts agreed;
   private final Leader leader;
-  private final Fleet fleet;
+  private final Autoscaler fleet;
   private final UserApi users;
   private final AgentApi agents;
   private final AdminApi admin;
@@ -164,7 +164,7 @@
     roomElsewhere = new RoomElsewhere(ledger, views, this::reserves);
     holdings = new Holdings(this, settings.self(), membership::life);
     fleet =
-        new Fleet(
+        new Autoscaler(
             timers,
             http,
             ledger,
--- a/src/main/java/org/quincecross/api/RequestPart.java
+++ b/src/main/java/org/quincecross/api/RequestPart.java
@@ -3,7 +3,7 @@
 import org.quincecross.agreed.Body;
 import org.quincecross.agreed.Unreadable;
 import org.quincecross.leader.Leader;
-import org.quincecross.leader.RequestKeeper;
+import org.quincecross.leader.ReservationManager;
 import org.quincecross.model.Revision;
 import org.quincecross.peer.AgreedBase;
 import org.quincecross.requests.Request;
@@ -22,7 +22,7 @@
 
   private final AgreedBase base;
   private final ReservedCapacity rooms;
-  private final RequestKeeper keeper;
+  private final ReservationManager keeper;
   private final double share;
   private Reservation.Plan plan;
   private Revision planned;
@@ -43,7 +43,7 @@
     ReplicatedRecordIndex<Request, RequestCommand> book =
         base.ledger().agreed().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
     rooms = new ReservedCapacity(base.ledger(), book);
-    keeper = new RequestKeeper(base.store(), book, rooms, share);
+    keeper = new ReservationManager(base.store(), book, rooms, share);
   }
 
   void start(DemandForecast foresight, Leader leader) {
--- a/src/main/java/org/quincecross/leader/Keepers.java
+++ b/src/main/java/org/quincecross/leader/AdmissionExtensions.java
@@ -16,22 +16,22 @@
  * The parts that have a say in what a leader allocates, where they are switched on; without them a
  * plan is admission's alone.
  */
-final class Keepers {
+final class AdmissionExtensions {
   private final Supplier<Map<String, Team>> teams;
   private final Supplier<Map<String, Resources>> teamUse;
-  private RequestKeeper requests;
-  private ModelKeeper models;
+  private ReservationManager requests;
+  private ModelAutoscaler models;
 
-  Keepers(Supplier<Map<String, Team>> teams, Supplier<Map<String, Resources>> teamUse) {
+  AdmissionExtensions(Supplier<Map<String, Team>> teams, Supplier<Map<String, Resources>> teamUse) {
     this.teams = teams;
     this.teamUse = teamUse;
   }
 
-  void add(RequestKeeper keeper) {
+  void add(ReservationManager keeper) {
     requests = keeper;
   }
 
-  void add(ModelKeeper keeper) {
+  void add(ModelAutoscaler keeper) {
     models = keeper;
   }
 
--- a/src/main/java/org/quincecross/leader/Books.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -27,7 +27,7 @@
  * in the pool, what each team uses. Kept current as the ledger changes, at a cost in proportion to
  * what changed: the tasks of the jobs and blocks concerned.
  */
-final class Books {
+final class AllocationIndex {
   private static final int SUM_ANEW_AFTER = 10_000;
 
   /**
@@ -56,21 +56,21 @@
   private final Set<JobId> toCount = new LinkedHashSet<>();
   private final Set<ShardId> changedBlocks = new HashSet<>();
   private long counted;
-  private final List<Given> listeners = new ArrayList<>();
+  private final List<AllocationListener> listeners = new ArrayList<>();
 
   /** Has {@code listener} told of tasks that leave the pool from now on. */
-  void listen(Given listener) {
+  void listen(AllocationListener listener) {
     listeners.add(listener);
   }
 
-  Books(ClusterStateCache ledger) {
+  AllocationIndex(ClusterStateCache ledger) {
     this(ledger, Withheld.NONE);
   }
 
   /**
    * @param withheld tasks that are in no pool, for they may not run now
    */
-  Books(ClusterStateCache ledger, Withheld withheld) {
+  AllocationIndex(ClusterStateCache ledger, Withheld withheld) {
     this.ledger = ledger;
     this.withheld = withheld;
   }
--- a/src/main/java/org/quincecross/leader/Given.java
+++ b/src/main/java/org/quincecross/leader/AllocationListener.java
@@ -3,7 +3,7 @@
 import org.quincecross.model.JobId;
 
 /** Told of tasks that left the pool. */
-public interface Given {
+public interface AllocationListener {
   /**
    * So many more of a job's tasks have been given to blocks; with those that are done, so many are
    * out of the pool now.
--- a/src/main/java/org/quincecross/leader/Allocations.java
+++ b/src/main/java/org/quincecross/leader/AllocationWriter.java
@@ -26,7 +26,7 @@
  * change, which names only tasks that are not over. So it shrinks, and is written whole again once
  * it fits. Before level 2 what is given back waits for that.
  */
-final class Allocations {
+final class AllocationWriter {
   /** A change larger than this part of the whole record is not worth having beside it. */
   private static final double LARGEST_CHANGE = 0.5;
 
@@ -37,13 +37,13 @@
    * @param wholeOnly whether no changes are to be written, for a level is to come that does not
    *     have them
    */
-  Allocations(ClusterStateCache ledger, BooleanSupplier wholeOnly) {
+  AllocationWriter(ClusterStateCache ledger, BooleanSupplier wholeOnly) {
     this.ledger = ledger;
     this.wholeOnly = wholeOnly;
   }
 
   /** Adds the write to a transaction; false if there is no room for it. */
-  boolean put(TxnPlan plan, ShardId id, Map<JobId, TaskSet> next) {
+  boolean put(TransactionBuilder plan, ShardId id, Map<JobId, TaskSet> next) {
     int bytes = Json.write(Allocation.write(next)).length;
     boolean isTooLarge = bytes > plan.mostValue();
     Allocation whole = ledger.wholeAllocation(id);
@@ -88,7 +88,7 @@
   }
 
   /** Writes it whole: at any level it can be read so. */
-  boolean putWhole(TxnPlan plan, ShardId id, Map<JobId, TaskSet> next) {
+  boolean putWhole(TransactionBuilder plan, ShardId id, Map<JobId, TaskSet> next) {
     String changeKey = StoreKeys.changedAllocation(id);
     Map<String, Object> whole = Allocation.write(next);
     boolean hasChange = ledger.version(changeKey).number() != 0;
--- a/src/main/java/org/quincecross/leader/AgreedTrails.java
+++ b/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
@@ -17,7 +17,7 @@
  * Moves what the trails of agreed records have grown to onto pages, now and then: the leader alone
  * does, so a page has one writer.
  */
-final class AgreedTrails {
+final class AuditTrailArchiver {
   /**
    * A record with so many lines is worth writing for their sake; and one that takes so much of a
    * value.
@@ -32,7 +32,7 @@
   private final Set<RecordId> toLookAt = new LinkedHashSet<>();
   private MonotonicTime movedAt;
 
-  AgreedTrails(ClusterStateCache ledger) {
+  AuditTrailArchiver(ClusterStateCache ledger) {
     this.ledger = ledger;
   }
 
@@ -50,7 +50,7 @@
   }
 
   /** Adds what is to be moved to a transaction that has nothing else. */
-  void plan(TxnPlan plan, MonotonicTime now) {
+  void plan(TransactionBuilder plan, MonotonicTime now) {
     movedAt = now;
     for (ReplicatedRecordIndex<?, ?> book : ledger.agreed().books()) {
       if (plan.room() >= 2) {
@@ -61,7 +61,7 @@
 
   // Whether the page was replaced by a longer one or by the next: the instance tells.
   @SuppressWarnings("ReferenceEquality")
-  private <S> void move(TxnPlan plan, ReplicatedRecordIndex<S, ?> book) {
+  private <S> void move(TransactionBuilder plan, ReplicatedRecordIndex<S, ?> book) {
     TrailPage page = book.lastPage();
     int number = Math.max(1, book.lastPageNumber());
     TrailPage next = page;
@@ -103,7 +103,7 @@
   }
 
   /** How many of the first lines fit a page beside what it has. */
-  private static int fitting(TrailPage page, List<TrailLine> lines, TxnPlan plan) {
+  private static int fitting(TrailPage page, List<TrailLine> lines, TransactionBuilder plan) {
     int fit = lines.size();
     while (fit > 0
         && Json.write(page.with(lines.subList(0, fit)).write()).length > plan.mostValue()) {
@@ -112,7 +112,7 @@
     return fit;
   }
 
-  private static <S> boolean isLong(ReplicatedRecordIndex<S, ?> book, Kept<S> kept, TxnPlan plan) {
+  private static <S> boolean isLong(ReplicatedRecordIndex<S, ?> book, Kept<S> kept, TransactionBuilder plan) {
     return kept.trail().size() >= MOST_LINES
         || (!kept.trail().isEmpty()
             && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue());
--- a/src/main/java/org/quincecross/leader/Fleet.java
+++ b/src/main/java/org/quincecross/leader/Autoscaler.java
@@ -36,8 +36,8 @@
  * Rents machines for work that has no room and returns those that are idle, silent or sick. For the
  * leader alone.
  */
-public final class Fleet {
-  private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class Autoscaler {
+  private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
   private static final TimeSpan TICK = TimeSpan.ofMillis(500);
   private static final TimeSpan LED_LATELY = TimeSpan.ofSeconds(1);
   private static final TimeSpan CATALOG_EVERY = TimeSpan.ofSeconds(60);
@@ -82,7 +82,7 @@
   private final Map<MachineId, MonotonicTime> unlistedSince = new HashMap<>();
   private final Map<MachineId, Booting> booting = new LinkedHashMap<>();
   private final Map<MachineId, MonotonicTime> idleSince = new HashMap<>();
-  private final Renting plans;
+  private final ScaleOutPolicy plans;
 
   /** Machines of blocks that the cloud does not have any more. */
   private final Set<MachineId> unlisted = new HashSet<>();
@@ -109,7 +109,7 @@
   private boolean listing;
   private long requests;
 
-  public Fleet(
+  public Autoscaler(
       Timers timers,
       HttpCaller http,
       ClusterStateCache ledger,
@@ -123,7 +123,7 @@
     this.ledger = ledger;
     this.settings = settings;
     this.foresight = foresight;
-    this.plans = new Renting(ledger, catalog);
+    this.plans = new ScaleOutPolicy(ledger, catalog);
     this.operators = operators;
     this.life = life;
     MonotonicTime now = timers.now();
--- a/src/main/java/org/quincecross/leader/Results.java
+++ b/src/main/java/org/quincecross/leader/CompletionWriter.java
@@ -30,20 +30,20 @@
  * next holder, from its machine, which keeps the result; where the machine is lost too, the task is
  * run again under its allocation.
  */
-final class Results {
+final class CompletionWriter {
   private static final TimeSpan GATHER = TimeSpan.ofSeconds(1.5);
 
   private final Timers timers;
   private final ClusterStateCache ledger;
   private final PeerViews views;
-  private final Books books;
+  private final AllocationIndex books;
   private final LongSupplier clockMs;
   private final Map<JobId, MonotonicTime> since = new HashMap<>();
 
   /**
    * @param clockMs tells the time of day
    */
-  Results(Timers timers, ClusterStateCache ledger, PeerViews views, Books books, LongSupplier clockMs) {
+  CompletionWriter(Timers timers, ClusterStateCache ledger, PeerViews views, AllocationIndex books, LongSupplier clockMs) {
     this.timers = timers;
     this.ledger = ledger;
     this.views = views;
@@ -52,14 +52,14 @@
   }
 
   /** Makes completions durable; a job whose last task is done becomes done in the same stroke. */
-  void plan(TxnPlan plan, Map<JobId, TaskSet> fresh) {
+  void plan(TransactionBuilder plan, Map<JobId, TaskSet> fresh) {
     MonotonicTime now = timers.now();
     since.keySet().retainAll(fresh.keySet());
     boolean due = false;
     Map<JobId, TaskSet> unfinished = new LinkedHashMap<>();
     for (Map.Entry<JobId, TaskSet> entry : fresh.entrySet()) {
       JobId id = entry.getKey();
-      Books.Account account = books.account(id);
+      AllocationIndex.Account account = books.account(id);
       TaskSet all = account.done().copy();
       all.addAll(entry.getValue());
       if (all.size() < account.job().taskCount()) {
@@ -83,7 +83,7 @@
    * Writes the done tasks of unfinished jobs: most share pages, so that one change serves many
    * jobs.
    */
-  private void planParts(TxnPlan plan, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
+  private void planParts(TransactionBuilder plan, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
     Map<Integer, Page> pages = new TreeMap<>();
     Map<JobId, Integer> home = new HashMap<>();
     ledger
@@ -142,7 +142,7 @@
   }
 
   /** The done tasks of a job that is too large for a page. */
-  private static void planChunks(TxnPlan plan, JobId id, TaskSet all, TaskSet fresh) {
+  private static void planChunks(TransactionBuilder plan, JobId id, TaskSet all, TaskSet fresh) {
     // Only those with something new: chunks written again would fill the transaction, and those
     // after them never
     // be written (docs/incidents/unanswered-start.md, "jobs larger than a transaction's chunks").
--- a/src/main/java/org/quincecross/leader/FreshViews.java
+++ b/src/main/java/org/quincecross/leader/CurrentPeerViews.java
@@ -8,14 +8,14 @@
 import org.quincecross.state.ClusterStateCache;
 
 /** What the controllers have told lately: older word of a block is no ground for a decision. */
-final class FreshViews {
+final class CurrentPeerViews {
   private static final TimeSpan REPORT_FRESH = TimeSpan.ofSeconds(2.5);
 
   private final Timers timers;
   private final ClusterStateCache ledger;
   private final PeerViews views;
 
-  FreshViews(Timers timers, ClusterStateCache ledger, PeerViews views) {
+  CurrentPeerViews(Timers timers, ClusterStateCache ledger, PeerViews views) {
     this.timers = timers;
     this.ledger = ledger;
     this.views = views;
--- a/src/main/java/org/quincecross/leader/LevelSwitch.java
+++ b/src/main/java/org/quincecross/leader/FeatureLevelController.java
@@ -31,8 +31,8 @@
  * been restarted since it was looked at, and the leader's transactions from before it, which are
  * guarded by where the leadership was written, fail after it, however late they are applied.
  */
-public final class LevelSwitch {
-  private static final Logger LOG = LoggerFactory.getLogger(LevelSwitch.class);
+public final class FeatureLevelController {
+  private static final Logger LOG = LoggerFactory.getLogger(FeatureLevelController.class);
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
 
   private final ClusterStateCache ledger;
@@ -42,7 +42,7 @@
   private Rollout.Decision decision = new Rollout.Decision(Rollout.State.SETTLED, null, "");
   private MonotonicTime looked;
 
-  LevelSwitch(ClusterStateCache ledger, Settings settings, Membership membership) {
+  FeatureLevelController(ClusterStateCache ledger, Settings settings, Membership membership) {
     this.ledger = ledger;
     this.settings = settings;
     this.membership = membership;
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -95,29 +95,29 @@
   private final StateWatcher follower;
   private final Membership membership;
   private final Settings settings;
-  private final Fleet fleet;
+  private final Autoscaler fleet;
   private final DemandForecast foresight;
   private final Overload overload;
-  private final Demands demands;
+  private final PendingDemand demands;
   private final PeerViews views;
   private final BooleanSupplier isWaking;
-  private final Books books;
+  private final AllocationIndex books;
   private final Map<ShardId, Admission.Block> admissionBlocks = new TreeMap<>();
-  private final SeenRoom seenRoom = new SeenRoom();
+  private final ObservedCapacity seenRoom = new ObservedCapacity();
   private final Set<ShardId> toLookAt = new HashSet<>();
   private final Set<ShardId> stale = new HashSet<>();
   private final Map<ControllerId, Boolean> wasFresh = new HashMap<>();
   private final Map<ShardId, MonotonicTime> writtenAt = new HashMap<>();
-  private final FreshViews fresh;
-  private final Leases leases;
-  private final Allocations allocations;
-  private final LevelSwitch levels;
-  private final TxnBounds bounds;
-  private final Results results;
-  private final PoolWaits poolWaits;
-  private final AgreedTrails trails;
-  private final TypeRecords types;
-  private final Keepers keepers;
+  private final CurrentPeerViews fresh;
+  private final ShardLeaseManager leases;
+  private final AllocationWriter allocations;
+  private final FeatureLevelController levels;
+  private final TransactionLimits bounds;
+  private final CompletionWriter results;
+  private final PendingReasons poolWaits;
+  private final AuditTrailArchiver trails;
+  private final MachineTypeWriter types;
+  private final AdmissionExtensions keepers;
   private State state = State.FOLLOWING;
   private boolean writing;
   private Revision awaited = Revision.NONE;
@@ -150,7 +150,7 @@
       StateWatcher follower,
       Membership membership,
       Settings settings,
-      Fleet fleet,
+      Autoscaler fleet,
       DemandForecast foresight,
       PeerViews views,
       LongSupplier clockMs,
@@ -167,19 +167,19 @@
     this.foresight = foresight;
     this.views = views;
     this.isWaking = isWaking;
-    this.books = new Books(ledger, withheld);
-    this.keepers = new Keepers(this::teams, books::teamUse);
-    this.fresh = new FreshViews(timers, ledger, views);
-    this.levels = new LevelSwitch(ledger, settings, membership);
-    this.bounds = new TxnBounds(settings.storeLimits());
-    this.allocations = new Allocations(ledger, levels::isLowering);
-    this.leases = new Leases(timers, ledger, settings, fleet, foresight, books, fresh, allocations);
-    this.results = new Results(timers, ledger, views, books, clockMs);
+    this.books = new AllocationIndex(ledger, withheld);
+    this.keepers = new AdmissionExtensions(this::teams, books::teamUse);
+    this.fresh = new CurrentPeerViews(timers, ledger, views);
+    this.levels = new FeatureLevelController(ledger, settings, membership);
+    this.bounds = new TransactionLimits(settings.storeLimits());
+    this.allocations = new AllocationWriter(ledger, levels::isLowering);
+    this.leases = new ShardLeaseManager(timers, ledger, settings, fleet, foresight, books, fresh, allocations);
+    this.results = new CompletionWriter(timers, ledger, views, books, clockMs);
     this.overload = overload;
-    this.demands = new Demands(ledger, settings, books, clockMs, overload, this::running);
-    this.poolWaits = new PoolWaits(ledger, books, demands, views, fleet, this::teams);
-    this.trails = new AgreedTrails(ledger);
-    this.types = new TypeRecords(ledger);
+    this.demands = new PendingDemand(ledger, settings, books, clockMs, overload, this::running);
+    this.poolWaits = new PendingReasons(ledger, books, demands, views, fleet, this::teams);
+    this.trails = new AuditTrailArchiver(ledger);
+    this.types = new MachineTypeWriter(ledger);
     this.planned = timers.now();
     this.swept = timers.now();
   }
@@ -242,7 +242,7 @@
   }
 
   /** Has room reserved for requests, while it leads. */
-  public void keep(RequestKeeper keeper) {
+  public void keep(ReservationManager keeper) {
     keepers.add(keeper);
   }
 
@@ -259,13 +259,13 @@
   }
 
   /** Has {@code listener} told of tasks that are given to blocks, by whichever leader. */
-  public void listen(Given listener) {
+  public void listen(AllocationListener listener) {
     books.listen(listener);
   }
 
   /** Has models kept, each with as many replicas as are wanted. */
   public void keepModels(AgreedBase base, ModelIndex records) {
-    keepers.add(new ModelKeeper(base, records, views, books, this::teams));
+    keepers.add(new ModelAutoscaler(base, records, views, books, this::teams));
   }
 
   /** Steps a moment from now, whatever has happened. */
@@ -287,7 +287,7 @@
     Map<JobId, Integer> heldBack = new HashMap<>();
     Map<String, Team> teams = teams();
     for (JobId id : jobs) {
-      Books.Account account = books.account(id);
+      AllocationIndex.Account account = books.account(id);
       Team team = account == null ? null : teams.get(account.job().team());
       heldBack.put(
           id,
@@ -500,7 +500,7 @@
       write(levels.guards(), levels.changes(), true);
       return;
     }
-    TxnPlan plan = bounds.plan(ledger, changes, planned);
+    TransactionBuilder plan = bounds.plan(ledger, changes, planned);
     plan.guardAll();
     if (trails.isDue(planned)) {
       trails.plan(plan, planned);
@@ -539,7 +539,7 @@
   }
 
   /** Now and then, when there is nothing else to write: bundles that say nothing any more. */
-  private void planSweep(TxnPlan plan) {
+  private void planSweep(TransactionBuilder plan) {
     if (SWEEP_EVERY.isLongerThan(timers.now().since(swept))) {
       return;
     }
@@ -548,7 +548,7 @@
   }
 
   /** In the slack: rewrites what a level that is to come could not read; whether more is left. */
-  private boolean planMigration(TxnPlan plan) {
+  private boolean planMigration(TransactionBuilder plan) {
     for (ShardId id : levels.toRewrite()) {
       if (plan.room() < 2) {
         return true;
@@ -559,13 +559,13 @@
   }
 
   /** What is known of the level and what holds the next one back. */
-  public LevelSwitch levels() {
+  public FeatureLevelController levels() {
     return levels;
   }
 
   // ---- allocations ----
 
-  private void planAllocations(TxnPlan plan, Set<ShardId> leased, Map<JobId, TaskSet> completed) {
+  private void planAllocations(TransactionBuilder plan, Set<ShardId> leased, Map<JobId, TaskSet> completed) {
     refreshAdmissionBlocks(completed);
     keepers.look(timers.now());
     List<Admission.Block> blocks = new ArrayList<>();
@@ -688,7 +688,7 @@
         : List.of();
   }
 
-  private Fleet.View fleetView() {
+  private Autoscaler.View fleetView() {
     Map<MachineId, PeerReport.MachineState> states = new HashMap<>();
     Set<MachineId> strays = new HashSet<>();
     for (ShardLease block : ledger.blocks().values()) {
@@ -706,6 +706,6 @@
         strays.addAll(view.strays());
       }
     }
-    return new Fleet.View(states, strays);
+    return new Autoscaler.View(states, strays);
   }
 }
--- a/src/main/java/org/quincecross/leader/HoldSteps.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -29,8 +29,8 @@
  * which touches these runs or can start. Each step is written by itself and guarded by the record,
  * so it does not matter who leads, or who believes to.
  */
-public final class HoldSteps {
-  private static final Logger LOG = LoggerFactory.getLogger(HoldSteps.class);
+public final class LegalHoldReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(LegalHoldReconciler.class);
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(250);
 
   /**
@@ -43,7 +43,7 @@
   private static final TimeSpan NOTE_EVERY = TimeSpan.ofSeconds(60);
 
   private final AgreedBase base;
-  private final HeldRecords held;
+  private final LegalHoldStartBlock held;
   private final BooleanSupplier leading;
   private final Set<String> open = new LinkedHashSet<>();
   private final Set<String> toNote = new LinkedHashSet<>();
@@ -54,7 +54,7 @@
   /**
    * @param leading whether this controller leads
    */
-  public HoldSteps(AgreedBase base, HeldRecords held, BooleanSupplier leading) {
+  public LegalHoldReconciler(AgreedBase base, LegalHoldStartBlock held, BooleanSupplier leading) {
     this.base = base;
     this.held = held;
     this.leading = leading;
@@ -149,7 +149,7 @@
    * the hold came into force.
    */
   private List<HoldCommand.Note> touchedNotes(String reference, Hold hold) {
-    HeldRecords.Touched touched = held.touched(reference);
+    LegalHoldStartBlock.Touched touched = held.touched(reference);
     List<HoldCommand.Note> notes = new ArrayList<>();
     if (touched == null || hold.scope() > 0) {
       return notes;
--- a/src/main/java/org/quincecross/leader/HeldRecords.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -41,7 +41,7 @@
  * is to come is in force here as soon as it may be that time by the clocks, written or not: the
  * state service may be out then.
  */
-public final class HeldRecords implements Withheld {
+public final class LegalHoldStartBlock implements Withheld {
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(250);
 
   /**
@@ -85,7 +85,7 @@
    * Follows the records from now on: to be made before the first of them is read, and before
    * whoever asks it follows them.
    */
-  public HeldRecords(AgreedBase base) {
+  public LegalHoldStartBlock(AgreedBase base) {
     this.base = base;
     this.ledger = base.ledger();
     holds = ledger.agreed().add(new HoldKind());
--- a/src/main/java/org/quincecross/leader/TypeRecords.java
+++ b/src/main/java/org/quincecross/leader/MachineTypeWriter.java
@@ -17,13 +17,13 @@
  * <p>What ends the wait for room for all: the budget for changes, which refills, or {@link
  * #PATIENCE}, where a transaction never has so much.
  */
-final class TypeRecords {
+final class MachineTypeWriter {
   private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(3);
 
   private final ClusterStateCache ledger;
   private MonotonicTime waitsSince;
 
-  TypeRecords(ClusterStateCache ledger) {
+  MachineTypeWriter(ClusterStateCache ledger) {
     this.ledger = ledger;
   }
 
@@ -31,7 +31,7 @@
    * Adds to a transaction what is to be written; false where nothing should be written before there
    * is room for all of it.
    */
-  boolean plan(TxnPlan plan, Collection<MachineType> catalog, MonotonicTime now) {
+  boolean plan(TransactionBuilder plan, Collection<MachineType> catalog, MonotonicTime now) {
     List<MachineType> news = catalog.stream().filter(this::isNews).toList();
     if (news.size() > plan.room()) {
       waitsSince = waitsSince == null ? now : waitsSince;
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -36,16 +36,16 @@
   private final ClusterStateCache ledger;
   private final ModelIndex records;
   private final ModelFleet machines;
-  private final Books books;
+  private final AllocationIndex books;
   private final Supplier<Map<String, Team>> teams;
-  private Collection<ModelLook> looks = List.of();
+  private Collection<ModelSnapshot> looks = List.of();
 
   ModelAdmission(
       Timers timers,
       ClusterStateCache ledger,
       ModelIndex records,
       ModelFleet machines,
-      Books books,
+      AllocationIndex books,
       Supplier<Map<String, Team>> teams) {
     this.timers = timers;
     this.ledger = ledger;
@@ -56,7 +56,7 @@
   }
 
   /** Takes note of the models as they are. */
-  void look(Collection<ModelLook> now) {
+  void look(Collection<ModelSnapshot> now) {
     looks = now;
   }
 
@@ -150,15 +150,15 @@
    * and one after the other the first is there in half the time, and the last no later.
    */
   private boolean waitsItsTurn(JobId id, MachineId machine, String image) {
-    ModelLook mine = null;
-    for (ModelLook look : looks) {
+    ModelSnapshot mine = null;
+    for (ModelSnapshot look : looks) {
       mine = look.job().id().equals(id) ? look : mine;
     }
     PeerReport.MachineState state = machines.state(machine, timers.now());
     if (mine == null || state == null || state.images().contains(image)) {
       return false;
     }
-    for (ModelLook other : looks) {
+    for (ModelSnapshot other : looks) {
       boolean before =
           !other.job().image().equals(image)
               && (other.model().sinceMs() < mine.model().sinceMs()
--- a/src/main/java/org/quincecross/leader/ModelKeeper.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -50,8 +50,8 @@
  * when a model goes to zero. It asks for one change of a record at a time, and decides again from
  * the record as it then is; so whoever leads next goes on from there.
  */
-final class ModelKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(ModelKeeper.class);
+final class ModelAutoscaler {
+  private static final Logger LOG = LoggerFactory.getLogger(ModelAutoscaler.class);
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(200);
   private static final TimeSpan FRESH = TimeSpan.ofSeconds(2.5);
   private static final int MOST_ASKED = 8;
@@ -67,12 +67,12 @@
   private final ModelIndex records;
   private final ModelFleet machines;
   private final PeerViews views;
-  private final Books books;
+  private final AllocationIndex books;
   private final Supplier<Map<String, Team>> teams;
   private final DemandSum demand = new DemandSum();
   private final Yielding yielding = new Yielding();
   private final Map<String, Scaling> scalings = new HashMap<>();
-  private final ModelLosses losses;
+  private final ReplicaFailureDetector losses;
   private final ModelAdmission admission;
   private final Map<String, MonotonicTime> upSince = new HashMap<>();
   private final Map<String, MonotonicTime> withoutRoom = new HashMap<>();
@@ -82,22 +82,22 @@
   private final Map<String, Collection<MachineId>> asked = new HashMap<>();
 
   private final Set<MachineId> keptWarm = new HashSet<>();
-  private List<ModelLook> looks = List.of();
+  private List<ModelSnapshot> looks = List.of();
   private Set<TaskId> running = Set.of();
   private List<Admission.Unmet> unmet = List.of();
   private MonotonicTime looked;
 
-  ModelKeeper(
+  ModelAutoscaler(
       AgreedBase base,
       ModelIndex records,
       PeerViews views,
-      Books books,
+      AllocationIndex books,
       Supplier<Map<String, Team>> teams) {
     this.base = base;
     this.ledger = base.ledger();
     this.records = records;
     this.machines = new ModelFleet(ledger, views, records);
-    this.losses = new ModelLosses(base, machines);
+    this.losses = new ReplicaFailureDetector(base, machines);
     this.admission = new ModelAdmission(base.timers(), ledger, records, machines, books, teams);
     this.views = views;
     this.books = books;
@@ -133,7 +133,7 @@
     Choosing choosing = new Choosing(now);
     losses.look(looks, now);
     admission.look(looks);
-    for (ModelLook look : looks) {
+    for (ModelSnapshot look : looks) {
       if (look.model().isUp()) {
         upSince.putIfAbsent(look.name(), now);
       } else {
@@ -148,8 +148,8 @@
     keepWarm(choosing);
   }
 
-  private List<ModelLook> gather() {
-    List<ModelLook> all = new ArrayList<>();
+  private List<ModelSnapshot> gather() {
+    List<ModelSnapshot> all = new ArrayList<>();
     for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each : records.book().all().entrySet()) {
       Model model = each.getValue().state();
       if (!model.isDefined() || (model.phase() == Phase.ZERO && model.terms().keepWarm() == 0)) {
@@ -158,7 +158,7 @@
       JobRecord record = ledger.job(model.job());
       if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
         all.add(
-            new ModelLook(each.getKey(), model, record.job(), books.account(record.id()), running));
+            new ModelSnapshot(each.getKey(), model, record.job(), books.account(record.id()), running));
       } else if (model.isUp() && record != null) {
         ask(
             each.getKey(),
@@ -215,7 +215,7 @@
 
   /** What is to be changed of a model's record now, or null. */
   private ModelCommand decide(
-      ModelLook look, Choosing choosing, List<Admission.Unmet> missing, MonotonicTime now) {
+      ModelSnapshot look, Choosing choosing, List<Admission.Unmet> missing, MonotonicTime now) {
     Model model = look.model();
     if (model.phase() == Phase.ZERO || asked.containsKey(look.name())) {
       return null;
@@ -264,7 +264,7 @@
     return quiet == null || up == null || now.since(up).isLongerThan(quiet) ? quiet : now.since(up);
   }
 
-  private ModelCommand shrink(ModelLook look, MonotonicTime now) {
+  private ModelCommand shrink(ModelSnapshot look, MonotonicTime now) {
     int inFlight = demand.inFlight(look.name());
     TimeSpan quiet = quiet(look.name(), now);
     if (inFlight == 0 && quiet != null && quiet.isLongerThan(look.model().terms().idle())) {
@@ -285,7 +285,7 @@
         : null;
   }
 
-  private Map<String, Integer> perZone(ModelLook look) {
+  private Map<String, Integer> perZone(ModelSnapshot look) {
     Map<String, Integer> zones = new TreeMap<>();
     for (Model.Place place : look.model().places().values()) {
       ShardLease lease = ledger.blockOf(place.machine());
@@ -308,7 +308,7 @@
 
     private Choosing(MonotonicTime now) {
       this.now = now;
-      for (ModelLook look : looks) {
+      for (ModelSnapshot look : looks) {
         asked.getOrDefault(look.name(), List.of()).forEach(machine -> add(machine, look.job()));
         look.model()
             .places()
@@ -336,7 +336,7 @@
     }
 
     /** How many more replicas the limit of its team leaves room for. */
-    private int withinLimit(ModelLook look) {
+    private int withinLimit(ModelSnapshot look) {
       Team team = teams.get().get(look.job().team());
       return team == null
           ? 0
@@ -351,7 +351,7 @@
       return candidates;
     }
 
-    private Map<Integer, MachineId> choose(ModelLook look, int most) {
+    private Map<Integer, MachineId> choose(ModelSnapshot look, int most) {
       List<Integer> free = new ArrayList<>();
       for (int replica = 0; replica < look.tasks(); replica++) {
         // One that may still be somewhere gets no other place: it is proven gone first.
@@ -388,13 +388,13 @@
   }
 
   /** One that finds no room though machines are being rented has an idle one give way. */
-  private void yieldTo(ModelLook look, Choosing choosing, MonotonicTime now) {
+  private void yieldTo(ModelSnapshot look, Choosing choosing, MonotonicTime now) {
     MonotonicTime since = withoutRoom.computeIfAbsent(look.name(), name -> now);
     if (!now.since(since).isLongerThan(YIELD_AFTER)) {
       return;
     }
     List<Yielding.Idle> idle = new ArrayList<>();
-    for (ModelLook other : looks) {
+    for (ModelSnapshot other : looks) {
       TimeSpan quiet = quiet(other.name(), now);
       MonotonicTime up = upSince.get(other.name());
       if (quiet != null
@@ -431,7 +431,7 @@
     return rate == 0 ? 0 : job.imageGb() / rate;
   }
 
-  private boolean makesRoom(ModelLook idle, Job wanted, Choosing choosing) {
+  private boolean makesRoom(ModelSnapshot idle, Job wanted, Choosing choosing) {
     return choosing.candidates().stream()
         .anyMatch(
             at ->
@@ -449,7 +449,7 @@
    */
   private void keepWarm(Choosing choosing) {
     keptWarm.clear();
-    for (ModelLook look : looks) {
+    for (ModelSnapshot look : looks) {
       look.model().places().values().forEach(place -> keptWarm.add(place.machine()));
       int more =
           look.model().terms().keepWarm()
--- a/src/main/java/org/quincecross/leader/ModelLook.java
+++ b/src/main/java/org/quincecross/leader/ModelSnapshot.java
@@ -12,7 +12,7 @@
  * @param account what is known of its job, or null
  * @param running the replicas of all models that have lately been told to run
  */
-record ModelLook(String name, Model model, Job job, Books.Account account, Set<TaskId> running) {
+record ModelSnapshot(String name, Model model, Job job, AllocationIndex.Account account, Set<TaskId> running) {
   /** Whether a replica is allocated: it may be on a machine. */
   boolean isOut(int replica) {
     return account != null && account.out().contains(replica);
--- a/src/main/java/org/quincecross/leader/SeenRoom.java
+++ b/src/main/java/org/quincecross/leader/ObservedCapacity.java
@@ -18,7 +18,7 @@
 import org.quincecross.state.ShardLease;
 
 /** The room on machines as their holders show it, and what of it nothing has taken for a while. */
-final class SeenRoom {
+final class ObservedCapacity {
   /**
    * What has been given to a block starts within this where it has room: twice a report between
    * controllers and a start.
--- a/src/main/java/org/quincecross/leader/Demands.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -33,7 +33,7 @@
  * What waits to be admitted, and when it should be over; where there is more than can be done in
  * time, in what order.
  */
-final class Demands {
+final class PendingDemand {
   /**
    * A job that nobody waits for by a certain time comes after those of about an hour's patience.
    */
@@ -55,7 +55,7 @@
 
   private final ClusterStateCache ledger;
   private final Settings settings;
-  private final Books books;
+  private final AllocationIndex books;
   private final LongSupplier clockMs;
   private final Overload overload;
   private final ToIntFunction<JobId> running;
@@ -73,10 +73,10 @@
    * @param overload null where work is ordered by due time alone
    * @param running how many tasks of a job run, as their holders say
    */
-  Demands(
+  PendingDemand(
       ClusterStateCache ledger,
       Settings settings,
-      Books books,
+      AllocationIndex books,
       LongSupplier clockMs,
       Overload overload,
       ToIntFunction<JobId> running) {
@@ -94,7 +94,7 @@
 
   /** A job with tasks in the pool, {@code pool} of which may be admitted now. */
   private record Waiting(
-      JobRecord record, Books.Account account, TaskSet pool, boolean guaranteed) {}
+      JobRecord record, AllocationIndex.Account account, TaskSet pool, boolean guaranteed) {}
 
   /**
    * Why nothing of a job is admitted though it waits, in words; null where it is none that fails
@@ -115,7 +115,7 @@
    * What may be admitted of a job that waits: all, or where blocks have declined it, what tries it
    * anew.
    */
-  private TaskSet mayGo(Books.Account account, Collection<Admission.Block> blocks, MonotonicTime now) {
+  private TaskSet mayGo(AllocationIndex.Account account, Collection<Admission.Block> blocks, MonotonicTime now) {
     Job job = account.job();
     int declinedBy = Admission.declines(job, blocks);
     if (declinedBy == 0 && !suspects.isSuspect(job.id())) {
@@ -231,7 +231,7 @@
   private double emptyS() {
     double sum = 0;
     double squares = 0;
-    for (Books.Account account : books.open().values()) {
+    for (AllocationIndex.Account account : books.open().values()) {
       double run =
           account.job().kind() == JobKind.ARRAY && !account.out().isEmpty()
               ? account.job().estimate().seconds()
--- a/src/main/java/org/quincecross/leader/PoolWaits.java
+++ b/src/main/java/org/quincecross/leader/PendingReasons.java
@@ -13,25 +13,25 @@
 import org.quincecross.state.ClusterStateCache;
 
 /** Says in words what the tasks in the pool wait for. */
-final class PoolWaits {
+final class PendingReasons {
   private static final int MOST_NAMED = 10;
 
   private final ClusterStateCache ledger;
-  private final Books books;
-  private final Demands demands;
+  private final AllocationIndex books;
+  private final PendingDemand demands;
   private final PeerViews views;
-  private final Fleet fleet;
+  private final Autoscaler fleet;
   private final Supplier<Map<String, Team>> teams;
 
   /**
    * @param teams with the limits that hold
    */
-  PoolWaits(
+  PendingReasons(
       ClusterStateCache ledger,
-      Books books,
-      Demands demands,
+      AllocationIndex books,
+      PendingDemand demands,
       PeerViews views,
-      Fleet fleet,
+      Autoscaler fleet,
       Supplier<Map<String, Team>> teams) {
     this.ledger = ledger;
     this.books = books;
@@ -51,7 +51,7 @@
               ? " and " + (unfinished.size() - MOST_NAMED) + " more"
               : "");
     }
-    Books.Account account = books.account(id);
+    AllocationIndex.Account account = books.account(id);
     if (account == null || account.pool().isEmpty()) {
       return null;
     }
--- a/src/main/java/org/quincecross/leader/ModelLosses.java
+++ b/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
@@ -22,7 +22,7 @@
  * Which places of models have failed: their machines are gone, going, not heard, or have not
  * started a replica in time.
  */
-final class ModelLosses {
+final class ReplicaFailureDetector {
   /**
    * A fetch may take so many times as long as its rate says, and so much more, before it is given
    * up.
@@ -43,18 +43,18 @@
   private final ModelFleet machines;
   private final Map<Start, MonotonicTime> begun = new HashMap<>();
   private final Map<MachineId, MonotonicTime> shutSince = new HashMap<>();
-  private Collection<ModelLook> looks = List.of();
+  private Collection<ModelSnapshot> looks = List.of();
 
-  ModelLosses(AgreedBase base, ModelFleet machines) {
+  ReplicaFailureDetector(AgreedBase base, ModelFleet machines) {
     this.base = base;
     this.machines = machines;
   }
 
   /** Takes note of the places that there are now. */
-  void look(Collection<ModelLook> now, MonotonicTime at) {
+  void look(Collection<ModelSnapshot> now, MonotonicTime at) {
     looks = now;
     Set<Start> known = new HashSet<>();
-    for (ModelLook look : looks) {
+    for (ModelSnapshot look : looks) {
       look.model()
           .places()
           .forEach(
@@ -74,12 +74,12 @@
   }
 
   /** Since when a place has been known here. */
-  MonotonicTime since(ModelLook look, int replica, Model.Place place, MonotonicTime now) {
+  MonotonicTime since(ModelSnapshot look, int replica, Model.Place place, MonotonicTime now) {
     return begun.getOrDefault(new Start(look.name(), replica, place.epoch()), now);
   }
 
   /** The replicas whose places have failed, or null. */
-  ModelCommand lost(ModelLook look, MonotonicTime now) {
+  ModelCommand lost(ModelSnapshot look, MonotonicTime now) {
     Set<Integer> replicas = new HashSet<>();
     Set<MachineId> bad = new HashSet<>();
     String why = "";
@@ -105,7 +105,7 @@
         why);
   }
 
-  private String wrongWith(ModelLook look, int replica, Model.Place place, MonotonicTime now) {
+  private String wrongWith(ModelSnapshot look, int replica, Model.Place place, MonotonicTime now) {
     MachineId machine = place.machine();
     ShardLease lease = base.ledger().blockOf(machine);
     if (lease == null) {
@@ -147,7 +147,7 @@
   /** What else a machine is to fetch for models that start there, in GB. */
   private double others(MachineId machine, String image) {
     Map<String, Double> sizes = new HashMap<>();
-    for (ModelLook other : looks) {
+    for (ModelSnapshot other : looks) {
       other
           .model()
           .places()
--- a/src/main/java/org/quincecross/leader/RequestKeeper.java
+++ b/src/main/java/org/quincecross/leader/ReservationManager.java
@@ -29,8 +29,8 @@
  * of its plans of allocations: what it has sent off is kept free from then on here, and once it is
  * durable what others have planned without it fails by the fence.
  */
-public final class RequestKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(RequestKeeper.class);
+public final class ReservationManager {
+  private static final Logger LOG = LoggerFactory.getLogger(ReservationManager.class);
 
   /**
    * What runs changes all the time; whether a reservation still fits there is looked at so often.
@@ -72,7 +72,7 @@
   /**
    * @param share of the machines that may be reserved beyond teams' guarantees
    */
-  public RequestKeeper(
+  public ReservationManager(
       ReplicatedRecordStore store,
       ReplicatedRecordIndex<Request, RequestCommand> book,
       ReservedCapacity rooms,
--- a/src/main/java/org/quincecross/leader/Renting.java
+++ b/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
@@ -21,7 +21,7 @@
  * Which machines to rent for work that has no room, by price, zone and what the cloud has refused
  * lately.
  */
-final class Renting {
+final class ScaleOutPolicy {
   private static final TimeSpan REFUSED_FOR = TimeSpan.ofSeconds(15);
 
   /**
@@ -42,7 +42,7 @@
   private final Map<MachineKind, MonotonicTime> refusedUntil = new HashMap<>();
   private final Map<JobId, Goal> goals = new HashMap<>();
 
-  Renting(ClusterStateCache ledger, Map<String, MachineType> catalog) {
+  ScaleOutPolicy(ClusterStateCache ledger, Map<String, MachineType> catalog) {
     this.ledger = ledger;
     this.catalog = catalog;
   }
--- a/src/main/java/org/quincecross/leader/Leases.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -38,8 +38,8 @@
  * Which controller holds which block, and which machines are in it: blocks are made, moved, filled
  * and emptied here.
  */
-final class Leases {
-  private static final Logger LOG = LoggerFactory.getLogger(Leases.class);
+final class ShardLeaseManager {
+  private static final Logger LOG = LoggerFactory.getLogger(ShardLeaseManager.class);
 
   /** "Neighbours start at six similar machines per block." */
   private static final int LEAST_BLOCK_SIZE = 6;
@@ -72,26 +72,26 @@
   private final Timers timers;
   private final ClusterStateCache ledger;
   private final Settings settings;
-  private final Fleet fleet;
+  private final Autoscaler fleet;
   private final DemandForecast foresight;
-  private final Books books;
-  private final FreshViews fresh;
-  private final Allocations allocations;
+  private final AllocationIndex books;
+  private final CurrentPeerViews fresh;
+  private final AllocationWriter allocations;
   private final Hearing hearing = new Hearing();
   private final Moves moves = new Moves();
   private final Map<MachineId, Machine> newcomers = new LinkedHashMap<>();
   private MonotonicTime rebalanced;
   private boolean knowsAllGone;
 
-  Leases(
+  ShardLeaseManager(
       Timers timers,
       ClusterStateCache ledger,
       Settings settings,
-      Fleet fleet,
+      Autoscaler fleet,
       DemandForecast foresight,
-      Books books,
-      FreshViews fresh,
-      Allocations allocations) {
+      AllocationIndex books,
+      CurrentPeerViews fresh,
+      AllocationWriter allocations) {
     this.timers = timers;
     this.ledger = ledger;
     this.settings = settings;
@@ -115,7 +115,7 @@
   }
 
   /**
-   * Whether this leader has led since there was no block: then {@link Fleet#isGone} knows every
+   * Whether this leader has led since there was no block: then {@link Autoscaler#isGone} knows every
    * machine of a block that is gone.
    */
   boolean knowsAllGone() {
@@ -173,7 +173,7 @@
   /** Leases blocks of dead holders anew, takes machines in and out; returns the blocks changed. */
   // A changed lease is another instance.
   @SuppressWarnings("ReferenceEquality")
-  Set<ShardId> plan(TxnPlan plan) {
+  Set<ShardId> plan(TransactionBuilder plan) {
     Map<ShardId, ShardLease> next = new TreeMap<>();
     Set<ShardId> deleted = new HashSet<>();
     Map<ControllerId, Integer> load = machinesHeld();
--- a/src/main/java/org/quincecross/leader/TxnPlan.java
+++ b/src/main/java/org/quincecross/leader/TransactionBuilder.java
@@ -16,7 +16,7 @@
  * A transaction being put together: every changed key is guarded by its version, and the limits are
  * kept.
  */
-final class TxnPlan {
+final class TransactionBuilder {
   /** What a transaction may hold overall, less room for its guards. */
   private static final int MOST_BYTES = 40 * 1024;
 
@@ -28,14 +28,14 @@
   private final List<Mutation> changes = new ArrayList<>();
   private int bytes;
 
-  TxnPlan(ClusterStateCache ledger, int mostChanges, int mostValue) {
+  TransactionBuilder(ClusterStateCache ledger, int mostChanges, int mostValue) {
     this(ledger, mostChanges, mostValue, (key, bytes) -> true);
   }
 
   /**
    * @param mayPut whether a value of so many bytes may be put there
    */
-  TxnPlan(ClusterStateCache ledger, int mostChanges, int mostValue, BiPredicate<String, Integer> mayPut) {
+  TransactionBuilder(ClusterStateCache ledger, int mostChanges, int mostValue, BiPredicate<String, Integer> mayPut) {
     this.mayPut = mayPut;
     this.ledger = ledger;
     this.mostChanges = mostChanges;
--- a/src/main/java/org/quincecross/leader/TxnBounds.java
+++ b/src/main/java/org/quincecross/leader/TransactionLimits.java
@@ -22,8 +22,8 @@
  * once where it is smaller; the bounds go back to what the settings say by doubling, once for each
  * {@link #ASIDE} without a refusal.
  */
-final class TxnBounds {
-  private static final Logger LOG = LoggerFactory.getLogger(TxnBounds.class);
+final class TransactionLimits {
+  private static final Logger LOG = LoggerFactory.getLogger(TransactionLimits.class);
   private static final TimeSpan ASIDE = TimeSpan.ofSeconds(10);
 
   /**
@@ -42,7 +42,7 @@
   private int value;
   private MonotonicTime refusedAt;
 
-  TxnBounds(Settings.StoreLimits limits) {
+  TransactionLimits(Settings.StoreLimits limits) {
     this.limits = limits;
     this.changes = limits.maxMutationsPerTransaction();
     this.value = limits.plannedValueBytes();
@@ -59,14 +59,14 @@
   }
 
   /** A transaction that is to have at most so many changes. */
-  TxnPlan plan(ClusterStateCache ledger, int most, MonotonicTime now) {
+  TransactionBuilder plan(ClusterStateCache ledger, int most, MonotonicTime now) {
     refusals.values().removeIf(refusal -> refusal.until().isBefore(now));
     if (refusedAt != null && now.since(refusedAt).isLongerThan(ASIDE)) {
       changes = Math.min(limits.maxMutationsPerTransaction(), 2 * changes);
       value = Math.min(limits.plannedValueBytes(), 2 * value);
       refusedAt = changes == limits.maxMutationsPerTransaction() && value == limits.plannedValueBytes() ? null : now;
     }
-    return new TxnPlan(
+    return new TransactionBuilder(
         ledger,
         most,
         value,
--- a/src/test/java/org/quincecross/leader/BooksTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationIndexTest.java
@@ -41,16 +41,16 @@
 import org.quincecross.state.CacheTestSupport;
 import org.quincecross.state.ControllerRecord;
 
-class BooksTest {
+class AllocationIndexTest {
   private static final int JOBS = 8;
   private static final int TASKS = 12;
   private static final int BLOCKS = 4;
 
   private final ClusterStateCache ledger = new ClusterStateCache();
-  private final Books books = new Books(ledger);
+  private final AllocationIndex books = new AllocationIndex(ledger);
   private long revision;
 
-  BooksTest() {
+  AllocationIndexTest() {
     ledger.listen(books::changed);
   }
 
@@ -187,7 +187,7 @@
         }
       }
       assertEquals(
-          new Books.Account(record.job(), ledger.doneTasks(id), out, pool, perZone),
+          new AllocationIndex.Account(record.job(), ledger.doneTasks(id), out, pool, perZone),
           books.account(id));
       if (!pool.isEmpty()) {
         waiting.add(id);
--- a/src/test/java/org/quincecross/leader/AllocationsTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationWriterTest.java
@@ -33,13 +33,13 @@
  * A block whose whole record is up to four times as large as a value may be now: it shrinks, and
  * what is given back is taken out.
  */
-class AllocationsTest {
+class AllocationWriterTest {
   private static final ShardId BLOCK = new ShardId("b");
   private static final int LIMIT = 1000;
 
   private final ClusterStateCache ledger = new ClusterStateCache();
-  private final Books books = new Books(ledger);
-  private final Allocations allocations = new Allocations(ledger, () -> false);
+  private final AllocationIndex books = new AllocationIndex(ledger);
+  private final AllocationWriter allocations = new AllocationWriter(ledger, () -> false);
   private long revision;
 
   private void put(String key, Map<String, Object> value) {
@@ -48,7 +48,7 @@
   }
 
   @SuppressWarnings("unchecked")
-  private void apply(TxnPlan plan) {
+  private void apply(TransactionBuilder plan) {
     revision++;
     for (Mutation change : plan.changes()) {
       assertTrue(
@@ -121,7 +121,7 @@
               : null;
       if (back != null) {
         next.remove(back);
-        TxnPlan plan = new TxnPlan(ledger, 4, LIMIT);
+        TransactionBuilder plan = new TransactionBuilder(ledger, 4, LIMIT);
         refused += allocations.put(plan, BLOCK, next) ? 0 : 1;
         apply(plan);
         assertEquals(next, books.held(BLOCK));
@@ -152,7 +152,7 @@
     boolean fitted = false;
     for (JobId id : jobs) {
       put(StoreKeys.job(id), ledger.job(id).done());
-      TxnPlan plan = new TxnPlan(ledger, 4, LIMIT);
+      TransactionBuilder plan = new TransactionBuilder(ledger, 4, LIMIT);
       boolean fits = Json.write(Allocation.write(books.held(BLOCK))).length <= LIMIT;
       assertEquals(fits, allocations.put(plan, BLOCK, books.held(BLOCK)));
       assertTrue(!fitted || fits);
--- a/src/test/java/org/quincecross/leader/FleetTest.java
+++ b/src/test/java/org/quincecross/leader/AutoscalerTest.java
@@ -41,7 +41,7 @@
 import org.quincecross.protocol.Settings;
 
 /** What the fleet returns and what it leaves alone when machines fall silent. */
-class FleetTest {
+class AutoscalerTest {
   private static final Resources SIZE = new Resources(8, 0, 32);
   private static final int PER_ZONE = 12;
 
@@ -50,7 +50,7 @@
   private final List<String> returned = new ArrayList<>();
   private final Set<MachineId> vanished = new HashSet<>();
   private final Map<MachineId, PeerReport.MachineState> states = new HashMap<>();
-  private final Fleet fleet;
+  private final Autoscaler fleet;
 
   private static final class Clock implements Timers {
     private record Due(long at, long order, Runnable action) {}
@@ -84,7 +84,7 @@
     }
   }
 
-  FleetTest() {
+  AutoscalerTest() {
     Endpoint here = new Endpoint("10.0.0.1", 1);
     Settings settings =
         new Settings(
@@ -109,7 +109,7 @@
             TimeSpan.ofSeconds(1),
             new Settings.ProcessLimits(1, 100, 1000));
     fleet =
-        new Fleet(
+        new Autoscaler(
             clock,
             this::cloud,
             ledger,
@@ -207,7 +207,7 @@
 
   private void lead(double seconds) {
     for (double at = 0; at < seconds; at += 0.1) {
-      fleet.lead(() -> new Fleet.View(states, Set.of()));
+      fleet.lead(() -> new Autoscaler.View(states, Set.of()));
       clock.run(0.1);
     }
   }
--- a/src/test/java/org/quincecross/leader/ResultsTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -33,11 +33,11 @@
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
-class ResultsTest {
+class CompletionWriterTest {
   private static final int MOST_CHANGES = 8;
 
   private final ClusterStateCache ledger = new ClusterStateCache();
-  private final Books books = new Books(ledger);
+  private final AllocationIndex books = new AllocationIndex(ledger);
   private final PeerViews views = new PeerViews();
   private final StillClock timers = new StillClock();
   private long revision;
@@ -60,7 +60,7 @@
   @Test
   void aJobOfMoreChunksThanATransactionHoldsBecomesDurable() {
     ledger.listen(books::changed);
-    Results results = new Results(timers, ledger, views, books, () -> 0);
+    CompletionWriter results = new CompletionWriter(timers, ledger, views, books, () -> 0);
     int chunks = 24;
     JobId id = new JobId("job-1");
     put(
@@ -122,7 +122,7 @@
         timers.now());
     int written = 0;
     for (int plans = 0; plans < 5; plans++) {
-      TxnPlan plan = new TxnPlan(ledger, MOST_CHANGES, 4000);
+      TransactionBuilder plan = new TransactionBuilder(ledger, MOST_CHANGES, 4000);
       results.plan(plan, results.completions());
       for (Mutation change : plan.changes()) {
         put(change.key(), change.value());
@@ -143,7 +143,7 @@
   @Test
   void jobsMoveOnFromAPageThatIsLargerThanAValueMayBeNow() {
     ledger.listen(books::changed);
-    Results results = new Results(timers, ledger, views, books, () -> 0);
+    CompletionWriter results = new CompletionWriter(timers, ledger, views, books, () -> 0);
     Map<JobId, TaskSet> page = new LinkedHashMap<>();
     List<TaskId> completed = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
@@ -199,7 +199,7 @@
             List.of()),
         timers.now());
     for (int plans = 0; plans < 8; plans++) {
-      TxnPlan plan = new TxnPlan(ledger, 4, 1000);
+      TransactionBuilder plan = new TransactionBuilder(ledger, 4, 1000);
       results.plan(plan, results.completions());
       for (Mutation change : plan.changes()) {
         assertTrue(Json.write(change.value()).length <= 1000, change.key());
--- a/src/test/java/org/quincecross/leader/TypeRecordsTest.java
+++ b/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
@@ -18,7 +18,7 @@
  * Of the machine types users see all or none, however small the budget for changes is as they are
  * written.
  */
-class TypeRecordsTest {
+class MachineTypeWriterTest {
   private static MonotonicTime at(double seconds) {
     return MonotonicTime.ZERO.plus(TimeSpan.ofSeconds(seconds));
   }
@@ -42,9 +42,9 @@
                           TimeSpan.ofSeconds(30),
                           List.of("a")))
               .toList();
-      TypeRecords types = new TypeRecords(new ClusterStateCache());
+      MachineTypeWriter types = new MachineTypeWriter(new ClusterStateCache());
       for (double now = 0; now < 2.9; now += 0.1) {
-        TxnPlan plan = new TxnPlan(new ClusterStateCache(), random.nextInt(7), 4000);
+        TransactionBuilder plan = new TransactionBuilder(new ClusterStateCache(), random.nextInt(7), 4000);
         boolean room = plan.room() >= count;
         assertEquals(room, types.plan(plan, catalog, at(now)));
         assertEquals(room ? count : 0, plan.changes().size());
@@ -71,9 +71,9 @@
                         TimeSpan.ofSeconds(30),
                         List.of("a")))
             .toList();
-    TypeRecords types = new TypeRecords(new ClusterStateCache());
-    assertFalse(types.plan(new TxnPlan(new ClusterStateCache(), 2, 4000), catalog, at(1)));
-    TxnPlan later = new TxnPlan(new ClusterStateCache(), 2, 4000);
+    MachineTypeWriter types = new MachineTypeWriter(new ClusterStateCache());
+    assertFalse(types.plan(new TransactionBuilder(new ClusterStateCache(), 2, 4000), catalog, at(1)));
+    TransactionBuilder later = new TransactionBuilder(new ClusterStateCache(), 2, 4000);
     assertTrue(types.plan(later, catalog, at(4.1)));
     assertEquals(2, later.changes().size());
   }
--- a/src/test/java/org/quincecross/leader/LeasesTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -44,7 +44,7 @@
  * A start that was never answered and never showed is refused only under a higher token (incident
  * unanswered-start).
  */
-class LeasesTest {
+class ShardLeaseManagerTest {
   private static final ControllerId HOLDER = new ControllerId("n");
   private static final ShardId BLOCK = new ShardId("b");
   private static final Endpoint HERE = new Endpoint("10.0.0.1", 1);
@@ -52,10 +52,10 @@
   private final StillClock clock = new StillClock();
   private final ClusterStateCache ledger = new ClusterStateCache();
   private final PeerViews views = new PeerViews();
-  private final Leases leases;
+  private final ShardLeaseManager leases;
   private long reports;
 
-  LeasesTest() {
+  ShardLeaseManagerTest() {
     Settings settings =
         new Settings(
             HOLDER,
@@ -79,8 +79,8 @@
             TimeSpan.ofSeconds(1),
             new Settings.ProcessLimits(1, 100, 1000));
     DemandForecast foresight = new DemandForecast(ledger);
-    Fleet fleet =
-        new Fleet(
+    Autoscaler fleet =
+        new Autoscaler(
             clock,
             (to, request, timeout, done) -> {},
             ledger,
@@ -88,18 +88,18 @@
             foresight,
             () -> new Incarnation(1),
             () -> OperatorSettings.DEFAULTS);
-    Books books = new Books(ledger);
+    AllocationIndex books = new AllocationIndex(ledger);
     ledger.listen(books::changed);
     leases =
-        new Leases(
+        new ShardLeaseManager(
             clock,
             ledger,
             settings,
             fleet,
             foresight,
             books,
-            new FreshViews(clock, ledger, views),
-            new Allocations(ledger, () -> false));
+            new CurrentPeerViews(clock, ledger, views),
+            new AllocationWriter(ledger, () -> false));
     CacheTestSupport.put(
         ledger, StoreKeys.member(HOLDER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
     ControllerRecord member =
@@ -139,7 +139,7 @@
             List.of(block),
             List.of()),
         clock.now());
-    TxnPlan plan = new TxnPlan(ledger, 8, 4000);
+    TransactionBuilder plan = new TransactionBuilder(ledger, 8, 4000);
     leases.plan(plan);
     return plan.changes();
   }
@@ -177,7 +177,7 @@
     assertTrue(lease.token().isAfter(new FencingToken(2)), lease.toString());
     assertEquals(
         List.of(),
-        leases.plan(new TxnPlan(ledger, 8, 4000)).stream().toList(),
+        leases.plan(new TransactionBuilder(ledger, 8, 4000)).stream().toList(),
         "the doubt was of the former token");
   }
 
@@ -226,7 +226,7 @@
       leases.newcomer(new Machine(new MachineId("m-" + i), HERE, "t", "a", false));
     }
     for (int plans = 0; plans < 5; plans++) {
-      TxnPlan plan = new TxnPlan(ledger, 4, 1000);
+      TransactionBuilder plan = new TransactionBuilder(ledger, 4, 1000);
       leases.plan(plan);
       for (Mutation change : plan.changes()) {
         CacheTestSupport.put(ledger, change.key(), cast(change.value()), 10 + plans);
--- a/src/test/java/org/quincecross/leader/TxnBoundsTest.java
+++ b/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
@@ -19,14 +19,14 @@
  * A service that takes less than the settings say: what fits there is written all the same,
  * whatever is planned before it.
  */
-class TxnBoundsTest {
+class TransactionLimitsTest {
   @Property(tries = 200, seed = "3")
   void whatFitsIsWritten(
       @ForAll @IntRange(min = 3, max = 24) int takesChanges,
       @ForAll @IntRange(min = 600, max = 8192) int takesValue,
       @ForAll @IntRange(min = 3, max = 24) int toldChanges,
       @ForAll @IntRange(min = 0, max = 10) int tooLarge) {
-    TxnBounds bounds = new TxnBounds(new Settings.StoreLimits(100, 100, 8192, toldChanges));
+    TransactionLimits bounds = new TransactionLimits(new Settings.StoreLimits(100, 100, 8192, toldChanges));
     ClusterStateCache ledger = new ClusterStateCache();
     Map<String, Map<String, Object>> waiting = new TreeMap<>();
     for (int i = 0; i < 20; i++) {
@@ -38,7 +38,7 @@
     int refusals = 0;
     for (int step = 0; step < 100 && waiting.size() > tooLarge; step++) {
       now = now.plus(TimeSpan.ofMillis(100));
-      TxnPlan plan = bounds.plan(ledger, bounds.changes(), now);
+      TransactionBuilder plan = bounds.plan(ledger, bounds.changes(), now);
       waiting.forEach(plan::put);
       boolean taken =
           plan.changes().size() <= takesChanges
