--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.quincecross.block.BlockHolder;
-import org.quincecross.block.Holdings;
+import org.quincecross.shard.ShardOwner;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Leader;
@@ -42,7 +42,7 @@
   private final StateWatcher follower;
   private final Membership membership;
   private final KeyValueStoreClient client;
-  private final Holdings holdings;
+  private final OwnedShards holdings;
   private final Leader leader;
   private final Metrics metrics;
   private final Stalls stalls;
@@ -59,7 +59,7 @@
       StateWatcher follower,
       Membership membership,
       KeyValueStoreClient client,
-      Holdings holdings,
+      OwnedShards holdings,
       Leader leader,
       Metrics metrics,
       Stalls stalls,
@@ -186,7 +186,7 @@
     for (ShardLease block : ledger.blocks().values()) {
       int tasks =
           ledger.allocation(block.id()).tasks().values().stream().mapToInt(set -> set.size()).sum();
-      BlockHolder holder = holdings.get(block.id());
+      ShardOwner holder = holdings.get(block.id());
       Map<String, Object> out =
           Json.object(
               "block",
@@ -217,7 +217,7 @@
   /** The machines that this controller holds. */
   private Object machines() {
     List<Object> list = new ArrayList<>();
-    for (BlockHolder holder : holdings.all()) {
+    for (ShardOwner holder : holdings.all()) {
       for (PeerReport.MachineState machine : holder.machines()) {
         list.add(
             Json.object(
--- a/src/main/java/org/quincecross/admin/Stalls.java
+++ b/src/main/java/org/quincecross/admin/Stalls.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 import java.util.function.ToIntFunction;
 import org.quincecross.agreed.Withheld;
-import org.quincecross.block.BlockHolder;
-import org.quincecross.block.Holdings;
+import org.quincecross.shard.ShardOwner;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.leader.Leader;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
@@ -39,7 +39,7 @@
 
   private final Timers timers;
   private final ClusterStateCache ledger;
-  private final Holdings holdings;
+  private final OwnedShards holdings;
   private final Leader leader;
   private final ToIntFunction<JobId> running;
   private final Withheld withheld;
@@ -54,7 +54,7 @@
   public Stalls(
       Timers timers,
       ClusterStateCache ledger,
-      Holdings holdings,
+      OwnedShards holdings,
       Leader leader,
       ToIntFunction<JobId> running,
       Withheld withheld) {
@@ -92,7 +92,7 @@
     if (leader.isLeading()) {
       ledger.openJobs().forEach(record -> watch(record, standings));
     } else {
-      for (BlockHolder holder : holdings.all()) {
+      for (ShardOwner holder : holdings.all()) {
         for (JobId job : holder.jobs()) {
           JobRecord record = ledger.job(job);
           if (record != null && record.phase() == JobPhase.OPEN && !standings.containsKey(job)) {
@@ -140,7 +140,7 @@
       if (!ledger.allocation(block).tasks().containsKey(job)) {
         continue;
       }
-      BlockHolder holder = holdings.get(block);
+      ShardOwner holder = holdings.get(block);
       ShardLease lease = ledger.block(block);
       if (holder != null) {
         waits.addAll(holder.waits(job));
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.quincecross.block.BlockHolder;
-import org.quincecross.block.Holdings;
+import org.quincecross.shard.ShardOwner;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Leader;
 import org.quincecross.model.MachineId;
@@ -49,7 +49,7 @@
 
   private final Timers timers;
   private final ClusterStateCache ledger;
-  private final Holdings holdings;
+  private final OwnedShards holdings;
   private final Leader leader;
   private final PeerViews views;
   private final ControllerId self;
@@ -62,7 +62,7 @@
   AgentApi(
       Timers timers,
       ClusterStateCache ledger,
-      Holdings holdings,
+      OwnedShards holdings,
       Leader leader,
       PeerViews views,
       HttpCaller http,
@@ -120,7 +120,7 @@
       return;
     }
     if (lease.holder().equals(self)) {
-      BlockHolder holder = holdings.get(lease.id());
+      ShardOwner holder = holdings.get(lease.id());
       byte[] answer = holder == null ? null : holder.answer(report);
       if (answer != null) {
         strays.answered(report, timers.now());
--- a/src/main/java/org/quincecross/api/AgreedParts.java
+++ b/src/main/java/org/quincecross/api/AgreedParts.java
@@ -12,7 +12,7 @@
 import org.quincecross.admin.ServedLog;
 import org.quincecross.agreed.Withheld;
 import org.quincecross.agreed.WithheldByAny;
-import org.quincecross.block.Holdings;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.holds.HoldKind;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
@@ -118,7 +118,7 @@
    */
   void listen(
       ClusterStateCache ledger,
-      Holdings holdings,
+      OwnedShards holdings,
       Leader leader,
       ServedLog served,
       ToIntFunction<JobId> running) {
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.quincecross.block.BlockHolder;
-import org.quincecross.block.Holdings;
+import org.quincecross.shard.ShardOwner;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
@@ -36,7 +36,7 @@
 
   private final Timers timers;
   private final ClusterStateCache ledger;
-  private final Holdings holdings;
+  private final OwnedShards holdings;
   private final PeerViews views;
   private final UnconfirmedBound bound;
 
@@ -50,7 +50,7 @@
   private boolean sweepPlanned;
 
   Cancellations(
-      Timers timers, ClusterStateCache ledger, Holdings holdings, PeerViews views, UnconfirmedBound bound) {
+      Timers timers, ClusterStateCache ledger, OwnedShards holdings, PeerViews views, UnconfirmedBound bound) {
     this.timers = timers;
     this.ledger = ledger;
     this.holdings = holdings;
@@ -147,7 +147,7 @@
   }
 
   private boolean hasSeen(ShardLease lease, JobRecord record) {
-    BlockHolder own = holdings.get(lease.id());
+    ShardOwner own = holdings.get(lease.id());
     if (own != null) {
       return own.hasAllFenced();
     }
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -13,9 +13,9 @@
 import org.quincecross.admin.ServedLog;
 import org.quincecross.admin.Stalls;
 import org.quincecross.agreed.Withheld;
-import org.quincecross.block.HolderContext;
-import org.quincecross.block.Holdings;
-import org.quincecross.block.RoomElsewhere;
+import org.quincecross.shard.ShardContext;
+import org.quincecross.shard.OwnedShards;
+import org.quincecross.shard.RemoteCapacityHint;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Autoscaler;
@@ -60,7 +60,7 @@
 import org.slf4j.LoggerFactory;
 
 /** A whole controller, but for its sockets and its clock. */
-public final class Controller implements HttpHandler, HolderContext {
+public final class Controller implements HttpHandler, ShardContext {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
   private static final TimeSpan TELL_EVERY = TimeSpan.ofMillis(500);
   private static final TimeSpan NEWS_AFTER = TimeSpan.ofMillis(100);
@@ -76,7 +76,7 @@
   private final DemandForecast foresight;
   private final StateWatcher follower;
   private final Membership membership;
-  private final Holdings holdings;
+  private final OwnedShards holdings;
   private final AgreedParts agreed;
   private final Leader leader;
   private final Autoscaler fleet;
@@ -88,7 +88,7 @@
   private final Cancellations cancellations;
   private final Metrics metrics = new Metrics();
   private final PeerViews views = new PeerViews();
-  private final RoomElsewhere roomElsewhere;
+  private final RemoteCapacityHint roomElsewhere;
   private final Map<ControllerId, Long> sent = new HashMap<>();
   private final Map<ControllerId, LinkWatch> links = new HashMap<>();
   private final Stillness stillness;
@@ -161,8 +161,8 @@
             clockMs,
             unconfirmedBound.unconfirmed());
     foresight = new DemandForecast(ledger, agreed.withheld());
-    roomElsewhere = new RoomElsewhere(ledger, views, this::reserves);
-    holdings = new Holdings(this, settings.self(), membership::life);
+    roomElsewhere = new RemoteCapacityHint(ledger, views, this::reserves);
+    holdings = new OwnedShards(this, settings.self(), membership::life);
     fleet =
         new Autoscaler(
             timers,
--- a/src/main/java/org/quincecross/api/ModelsPart.java
+++ b/src/main/java/org/quincecross/api/ModelsPart.java
@@ -6,8 +6,8 @@
 import java.util.function.ToIntFunction;
 import org.quincecross.admin.ModelDesk;
 import org.quincecross.admin.ModelsApi;
-import org.quincecross.block.BlockHolder;
-import org.quincecross.block.Holdings;
+import org.quincecross.shard.ShardOwner;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Leader;
@@ -38,7 +38,7 @@
   }
 
   /** Follows the records, and has the leader keep the models. */
-  void listen(ClusterStateCache ledger, Holdings holdings, Leader leader, ToIntFunction<JobId> running) {
+  void listen(ClusterStateCache ledger, OwnedShards holdings, Leader leader, ToIntFunction<JobId> running) {
     desk = new ModelDesk(base, records, (job, replica) -> runs(holdings, job.task(replica)));
     api = new ModelsApi(base, records, desk, new ModelFleet(ledger, views, records), running);
     ledger.listen(
@@ -50,8 +50,8 @@
     desk.start();
   }
 
-  private static boolean runs(Holdings holdings, TaskId task) {
-    for (BlockHolder holder : holdings.all()) {
+  private static boolean runs(OwnedShards holdings, TaskId task) {
+    for (ShardOwner holder : holdings.all()) {
       if (holder.running(task.job()) > 0 && holder.runs(task)) {
         return true;
       }
--- a/src/main/java/org/quincecross/block/Commands.java
+++ b/src/main/java/org/quincecross/shard/AgentCommandSender.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -32,35 +32,35 @@
  * <p>Each direct command waits for its answer, {@link #DIRECT_TIMEOUT} at most. A command that was
  * not answered is not sent again by itself: what it said is said again by the answer to the
  * machine's next report, or after {@link #DIRECT_RETRY}. That it may still be executed is
- * remembered per attempt by {@link Session} until the machine has shown a higher token or a new
+ * remembered per attempt by {@link AgentSession} until the machine has shown a higher token or a new
  * session.
  */
-final class Commands {
-  private static final Logger LOG = LoggerFactory.getLogger(Commands.class);
+final class AgentCommandSender {
+  private static final Logger LOG = LoggerFactory.getLogger(AgentCommandSender.class);
   private static final TimeSpan DIRECT_TIMEOUT = TimeSpan.ofSeconds(1.5);
   private static final TimeSpan DIRECT_RETRY = TimeSpan.ofSeconds(1);
   private static final int MOST_ORDERS = 300;
 
-  private final HolderContext context;
-  private final BlockHolder holder;
+  private final ShardContext context;
+  private final ShardOwner holder;
   private final Placements placements;
-  private final Map<MachineId, Session> sessions;
-  private final LastAnswers lastAnswers;
+  private final Map<MachineId, AgentSession> sessions;
+  private final UnacknowledgedResponses lastAnswers;
 
-  Commands(
-      HolderContext context,
-      BlockHolder holder,
+  AgentCommandSender(
+      ShardContext context,
+      ShardOwner holder,
       Placements placements,
-      Map<MachineId, Session> sessions) {
+      Map<MachineId, AgentSession> sessions) {
     this.context = context;
     this.holder = holder;
     this.placements = placements;
     this.sessions = sessions;
-    this.lastAnswers = new LastAnswers(context, placements);
+    this.lastAnswers = new UnacknowledgedResponses(context, placements);
   }
 
   /** All that the machine should be told now; everything in it may be told again. */
-  List<AgentCommand> orders(Session session) {
+  List<AgentCommand> orders(AgentSession session) {
     List<AgentCommand> orders = new ArrayList<>();
     MachineId machine = session.machine().id();
     Set<Attempt> present = new HashSet<>();
@@ -96,15 +96,15 @@
   }
 
   /** Whether the machine may be answered, which renews its lease. */
-  boolean mayAnswer(Session session) {
+  boolean mayAnswer(AgentSession session) {
     return lastAnswers.mayAnswer(session);
   }
 
   /**
    * The answer to the machine's report; one that does not obey yet is told nothing but the token.
    */
-  byte[] answer(Session session) {
-    List<AgentCommand> orders = session.state() == Session.State.FENCED ? orders(session) : List.of();
+  byte[] answer(AgentSession session) {
+    List<AgentCommand> orders = session.state() == AgentSession.State.FENCED ? orders(session) : List.of();
     tell(orders);
     session.startsInAnswer(starts(orders).keySet());
     return AgentCodec.writeAnswer(holder.lease().token(), orders);
@@ -141,9 +141,9 @@
     }
     MonotonicTime now = context.now();
     for (MachineId machine : untold) {
-      Session session = sessions.get(machine);
+      AgentSession session = sessions.get(machine);
       if (session != null
-          && session.state() == Session.State.FENCED
+          && session.state() == AgentSession.State.FENCED
           && session.canSendDirect(now)) {
         List<AgentCommand> orders = orders(session);
         if (!orders.isEmpty()) {
@@ -154,7 +154,7 @@
     }
   }
 
-  private void sendDirect(Session session, List<AgentCommand> orders) {
+  private void sendDirect(AgentSession session, List<AgentCommand> orders) {
     FencingToken sentWith = holder.lease().token();
     Map<Attempt, TaskId> starts = starts(orders);
     session.directSent(starts);
@@ -173,7 +173,7 @@
   }
 
   private void directEnded(
-      Session session, Map<Attempt, TaskId> starts, FencingToken sentWith, HttpOutcome outcome) {
+      AgentSession session, Map<Attempt, TaskId> starts, FencingToken sentWith, HttpOutcome outcome) {
     Heartbeat report = readReport(outcome);
     // Another machine may have the address of one that is gone: what that one says is nothing of
     // this one.
@@ -216,7 +216,7 @@
    */
   void fence() {
     MonotonicTime now = context.now();
-    for (Session session : sessions.values()) {
+    for (AgentSession session : sessions.values()) {
       if (session.isToBeAsked(context.workers().heartbeatInterval(), now)
           && session.canSendDirect(now)
           && context.isEntitled()) {
--- a/src/main/java/org/quincecross/block/Session.java
+++ b/src/main/java/org/quincecross/shard/AgentSession.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,7 +20,7 @@
 import org.quincecross.protocol.Heartbeat;
 
 /** What the holder knows of one machine of its block. */
-final class Session {
+final class AgentSession {
   /** The states of a session. */
   enum State {
     /** It may still obey the former holder. */
@@ -71,7 +71,7 @@
    * {@code leaseFrom}: nobody can have renewed the machine's lease later than this, as far as is
    * known now.
    */
-  Session(
+  AgentSession(
       Machine machine, Resources capacity, double cacheGb, MonotonicTime now, MonotonicTime leaseFrom) {
     this.machine = machine;
     this.capacity = capacity;
--- a/src/main/java/org/quincecross/block/Intake.java
+++ b/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.Set;
 import org.quincecross.faults.Evidence;
@@ -15,22 +15,22 @@
 import org.slf4j.LoggerFactory;
 
 /** What the machines' reports say of the tasks, and what they say by not naming them. */
-final class Intake {
-  private static final Logger LOG = LoggerFactory.getLogger(Intake.class);
+final class HeartbeatProcessor {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
-  private final HolderContext context;
-  private final BlockHolder holder;
+  private final ShardContext context;
+  private final ShardOwner holder;
   private final Placements placements;
   private final Evidence evidence;
 
-  Intake(HolderContext context, BlockHolder holder, Placements placements, Evidence evidence) {
+  HeartbeatProcessor(ShardContext context, ShardOwner holder, Placements placements, Evidence evidence) {
     this.context = context;
     this.holder = holder;
     this.placements = placements;
     this.evidence = evidence;
   }
 
-  void takePiece(Session session, Piece piece, MonotonicTime now) {
+  void takePiece(AgentSession session, Piece piece, MonotonicTime now) {
     Placement placement = placements.get(piece.task());
     MachineId machine = session.machine().id();
     if (placement == null) {
@@ -84,7 +84,7 @@
     }
   }
 
-  private void exited(Session session, Placement placement, Piece piece, MonotonicTime now) {
+  private void exited(AgentSession session, Placement placement, Piece piece, MonotonicTime now) {
     MachineId machine = session.machine().id();
     JobId job = placement.task().job();
     if (piece.cause() == Cause.ERROR) {
@@ -114,7 +114,7 @@
   }
 
   /** Tasks bound to the machine that its complete report does not have. */
-  void freeMissing(Session session, boolean beat, MonotonicTime now) {
+  void freeMissing(AgentSession session, boolean beat, MonotonicTime now) {
     // By attempt: a machine may still report the exit of an earlier attempt of a task that it is to
     // start again.
     Set<Attempt> reported = session.reportedAttempts();
@@ -136,7 +136,7 @@
    * that may still reach one that has begun anew, which end with the new token that the holder asks
    * for.
    */
-  void freeUnreported(Session session, MonotonicTime now) {
+  void freeUnreported(AgentSession session, MonotonicTime now) {
     Set<Attempt> reported = session.reportedAttempts();
     for (Placement placement : placements.on(session.machine().id())) {
       if (placement.isBound()
--- a/src/main/java/org/quincecross/block/MachineWatch.java
+++ b/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.List;
 import java.util.Map;
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Which machines of a block are heard and hear, and which have surely lost their leases. */
-final class MachineWatch {
-  private static final Logger LOG = LoggerFactory.getLogger(MachineWatch.class);
+final class MachineLivenessMonitor {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineLivenessMonitor.class);
 
   /** Beyond the clocks' drift: what a worker and this process may take to notice. */
   private static final TimeSpan LEASE_MARGIN = TimeSpan.ofSeconds(0.7);
@@ -30,10 +30,10 @@
    */
   private static final int MACHINES_PER_DEAF = 5;
 
-  private final HolderContext context;
-  private final BlockHolder holder;
-  private final Intake intake;
-  private final Map<MachineId, Session> sessions;
+  private final ShardContext context;
+  private final ShardOwner holder;
+  private final HeartbeatProcessor intake;
+  private final Map<MachineId, AgentSession> sessions;
 
   /**
    * Before this no machine loses anything by its silence; what is heard meanwhile only puts it off.
@@ -42,8 +42,8 @@
 
   private boolean formerHaveEnded;
 
-  MachineWatch(
-      HolderContext context, BlockHolder holder, Intake intake, Map<MachineId, Session> sessions) {
+  MachineLivenessMonitor(
+      ShardContext context, ShardOwner holder, HeartbeatProcessor intake, Map<MachineId, AgentSession> sessions) {
     this.context = context;
     this.holder = holder;
     this.intake = intake;
@@ -69,7 +69,7 @@
     }
     silentAt = now.plus(LONGEST_UNLOOKED);
     boolean found = false;
-    for (Session session : List.copyOf(sessions.values())) {
+    for (AgentSession session : List.copyOf(sessions.values())) {
       found |= lookAtSilence(session, now);
     }
     return found;
@@ -78,21 +78,21 @@
   /** For so long no machine was listened to. Their leases ran on all the same. */
   void excuse(TimeSpan gap) {
     MonotonicTime now = context.now();
-    for (Session session : sessions.values()) {
+    for (AgentSession session : sessions.values()) {
       MonotonicTime heard = session.heard().plus(gap);
       session.hear(now.isBefore(heard) ? now : heard);
     }
   }
 
   /** What a machine that is not heard loses with time, and when that is to be looked at again. */
-  private boolean lookAtSilence(Session session, MonotonicTime now) {
+  private boolean lookAtSilence(AgentSession session, MonotonicTime now) {
     boolean lost = loseIfOver(session, now);
     boolean open = holder.isOpen(session);
     if (session.wasOpen() != open) {
       holder.stir(session); // by falling silent
     }
     MonotonicTime next = open ? session.heard().plus(openFor()) : session.leaseEnds(lease());
-    if (session.state() != Session.State.LOST && next.isBefore(silentAt)) {
+    if (session.state() != AgentSession.State.LOST && next.isBefore(silentAt)) {
       silentAt = next;
     }
     return lost;
@@ -104,9 +104,9 @@
    * have, and what runs there goes on, while the other machines may still obey this holder
    * (docs/incidents/lost-by-a-former-holder.md).
    */
-  private boolean loseIfOver(Session session, MonotonicTime now) {
+  private boolean loseIfOver(AgentSession session, MonotonicTime now) {
     MonotonicTime confirmed = context.confirmed();
-    if (session.state() == Session.State.LOST
+    if (session.state() == AgentSession.State.LOST
         || confirmed == null
         || !session.leaseIsOver(lease(), confirmed)) {
       return false;
@@ -115,7 +115,7 @@
         "block {}: machine {} has not taken an answer for a lease, which is over",
         holder.id(),
         session.machine().id());
-    session.enter(Session.State.LOST);
+    session.enter(AgentSession.State.LOST);
     intake.freeAll(session.machine().id(), now);
     holder.stir(session);
     return true;
@@ -126,7 +126,7 @@
   }
 
   /** Whether it is heard and hears. */
-  boolean isInTouch(Session session) {
+  boolean isInTouch(AgentSession session) {
     return session.hearing().hears() && !context.now().since(session.heard()).isLongerThan(openFor());
   }
 
@@ -135,7 +135,7 @@
    * proves that the machine's lease is over, or that the session is in which a former holder may
    * have commanded.
    */
-  boolean reported(Session session, Heartbeat report, boolean beat) {
+  boolean reported(AgentSession session, Heartbeat report, boolean beat) {
     MonotonicTime now = context.now();
     if (!beat) {
       session.hearing().commandAnswered(report.order(), now);
@@ -163,7 +163,7 @@
    * Whether a machine has been deaf for so long that another should take its place, and the others
    * are not deaf as well.
    */
-  boolean isToBeReplaced(Session session, MonotonicTime now) {
+  boolean isToBeReplaced(AgentSession session, MonotonicTime now) {
     if (!isLastingDeaf(session, now)) {
       return false;
     }
@@ -171,7 +171,7 @@
     return deaf <= Math.max(1, sessions.size() / MACHINES_PER_DEAF);
   }
 
-  private boolean isLastingDeaf(Session session, MonotonicTime now) {
+  private boolean isLastingDeaf(AgentSession session, MonotonicTime now) {
     return session.hearing().deafFor(now).isLongerThan(context.workers().lease().plus(LASTING));
   }
 }
--- a/src/main/java/org/quincecross/block/MachineViews.java
+++ b/src/main/java/org/quincecross/shard/MachineSnapshots.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,27 +22,27 @@
 import org.quincecross.protocol.Heartbeat.TaskState;
 
 /** What machines have room for and are doing, put together from placements and reports. */
-final class MachineViews {
+final class MachineSnapshots {
   /** A replica that has just been started should not be stopped again for tidiness. */
   private static final TimeSpan MOVABLE_AFTER = TimeSpan.ofSeconds(40);
 
   /** A machine that hears nothing goes the round of the controllers in this time. */
   private static final TimeSpan ROUND = TimeSpan.ofSeconds(20);
 
-  private final HolderContext context;
-  private final BlockHolder holder;
+  private final ShardContext context;
+  private final ShardOwner holder;
   private final Placements placements;
-  private final Map<MachineId, Session> sessions;
+  private final Map<MachineId, AgentSession> sessions;
   private final BlockScheduler scheduler;
-  private final MachineWatch watch;
+  private final MachineLivenessMonitor watch;
 
-  MachineViews(
-      HolderContext context,
-      BlockHolder holder,
+  MachineSnapshots(
+      ShardContext context,
+      ShardOwner holder,
       Placements placements,
-      Map<MachineId, Session> sessions,
+      Map<MachineId, AgentSession> sessions,
       BlockScheduler scheduler,
-      MachineWatch watch) {
+      MachineLivenessMonitor watch) {
     this.context = context;
     this.holder = holder;
     this.placements = placements;
@@ -52,7 +52,7 @@
   }
 
   /** What the machine's tasks take: those placed there, and what else it reports. */
-  Resources used(Session session) {
+  Resources used(AgentSession session) {
     Resources used = Resources.NONE;
     MachineId machine = session.machine().id();
     for (Placement placement : placements.seenOn(machine)) {
@@ -107,7 +107,7 @@
 
   private int lent(Reserve reserve) {
     int tasks = 0;
-    for (Session session : sessions.values()) {
+    for (AgentSession session : sessions.values()) {
       if (holder.isOpen(session)) {
         Resources borrowed = Resources.NONE;
         for (Placement placement : placements.seenOn(session.machine().id())) {
@@ -122,7 +122,7 @@
   }
 
   /** The images that tasks on the machine wait for, and the highest priority among those tasks. */
-  Map<String, Priority> fetching(Session session) {
+  Map<String, Priority> fetching(AgentSession session) {
     Map<String, Priority> images = new HashMap<>();
     for (Placement placement : placements.seenOn(session.machine().id())) {
       if (placement.isBound()
@@ -141,7 +141,7 @@
    * What is known of a machine, for the leader and for operators; null if it is not in the block.
    */
   PeerReport.MachineState machine(MachineId id) {
-    Session session = sessions.get(id);
+    AgentSession session = sessions.get(id);
     if (session == null) {
       return null;
     }
@@ -160,7 +160,7 @@
         hears ? displaceable(id) : Resources.NONE,
         silence(session, now),
         holder.isOpen(session),
-        session.state() == Session.State.FENCED,
+        session.state() == AgentSession.State.FENCED,
         session.hasNotice(),
         session.isSick() || watch.isToBeReplaced(session, now),
         isMovable(id, now),
@@ -175,7 +175,7 @@
    * replicas have stayed.
    */
   boolean hasAged(PeerReport.MachineState told) {
-    Session session = sessions.get(told.id());
+    AgentSession session = sessions.get(told.id());
     MonotonicTime now = context.now();
     return session != null
         && (!silence(session, now).equals(told.silent())
@@ -197,7 +197,7 @@
     return true;
   }
 
-  private TimeSpan silence(Session session, MonotonicTime now) {
+  private TimeSpan silence(AgentSession session, MonotonicTime now) {
     TimeSpan silent = now.since(session.heard());
     if (!session.hearing().hears() && !silent.isLongerThan(ROUND)) {
       return TimeSpan
--- a/src/main/java/org/quincecross/block/Holdings.java
+++ b/src/main/java/org/quincecross/shard/OwnedShards.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -19,30 +19,30 @@
 import org.slf4j.LoggerFactory;
 
 /** The blocks that this controller holds. */
-public final class Holdings {
-  private static final Logger LOG = LoggerFactory.getLogger(Holdings.class);
+public final class OwnedShards {
+  private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
   private static final TimeSpan TICK = TimeSpan.ofMillis(150);
 
-  private final HolderContext context;
+  private final ShardContext context;
   private final ControllerId self;
   private final Supplier<Incarnation> life;
-  private final Map<ShardId, BlockHolder> holders = new LinkedHashMap<>();
+  private final Map<ShardId, ShardOwner> holders = new LinkedHashMap<>();
 
-  public Holdings(HolderContext context, ControllerId self, Supplier<Incarnation> life) {
+  public OwnedShards(ShardContext context, ControllerId self, Supplier<Incarnation> life) {
     this.context = context;
     this.self = self;
     this.life = life;
   }
 
   public void start() {
-    context.timers().every(TICK, () -> List.copyOf(holders.values()).forEach(BlockHolder::tick));
+    context.timers().every(TICK, () -> List.copyOf(holders.values()).forEach(ShardOwner::tick));
   }
 
-  public Collection<BlockHolder> all() {
+  public Collection<ShardOwner> all() {
     return holders.values();
   }
 
-  public BlockHolder get(ShardId block) {
+  public ShardOwner get(ShardId block) {
     return holders.get(block);
   }
 
@@ -63,7 +63,7 @@
         follow(lease);
       }
     }
-    for (BlockHolder holder : holders.values()) {
+    for (ShardOwner holder : holders.values()) {
       if (changes.reloaded()) {
         holder.jobsChanged(ledger.jobs());
       } else if (!changes.jobs().isEmpty()) {
@@ -81,7 +81,7 @@
   }
 
   private void follow(ShardLease lease) {
-    BlockHolder holder = holders.get(lease.id());
+    ShardOwner holder = holders.get(lease.id());
     if (holder != null && holder.lease().token().equals(lease.token())) {
       if (!holder.lease().version().equals(lease.version())) {
         holder.renewed(lease);
@@ -96,7 +96,7 @@
       if (holder != null) {
         holder.retire(); // what it has under way ends with it
       }
-      holders.put(lease.id(), new BlockHolder(context, lease));
+      holders.put(lease.id(), new ShardOwner(context, lease));
       context.newsForLeader();
     }
   }
@@ -110,7 +110,7 @@
   public int running(JobId job) {
     int running = 0;
     for (ShardId block : context.ledger().blocksOf(job)) {
-      BlockHolder holder = holders.get(block);
+      ShardOwner holder = holders.get(block);
       running += holder == null ? 0 : holder.running(job);
     }
     return running;
@@ -130,7 +130,7 @@
    */
   public List<PeerReport.Block> since(long base) {
     List<PeerReport.Block> changed = new ArrayList<>();
-    for (BlockHolder holder : holders.values()) {
+    for (ShardOwner holder : holders.values()) {
       PeerReport.Block block = holder.reporter().since(base);
       if (block != null) {
         changed.add(block);
--- a/src/main/java/org/quincecross/block/Placement.java
+++ b/src/main/java/org/quincecross/shard/Placement.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import org.quincecross.model.Attempt;
 import org.quincecross.model.Job;
@@ -42,7 +42,7 @@
     /**
      * To be stopped, and not yet known to be gone. Waits for its exit, or a report without it:
      * every answer repeats the stop. Where its start was never answered and never shows, no report
-     * is proof; then the block is leased anew ({@link BlockHolder#isInDoubt}).
+     * is proof; then the block is leased anew ({@link ShardOwner#isInDoubt}).
      */
     STOPPING,
     /**
--- a/src/main/java/org/quincecross/block/Placements.java
+++ b/src/main/java/org/quincecross/shard/Placements.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/org/quincecross/block/RoomMaker.java
+++ b/src/main/java/org/quincecross/shard/Preemptor.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -24,8 +24,8 @@
  * Stops what runs: for work of higher priority, and on machines that go, or fail what they are
  * given.
  */
-final class RoomMaker {
-  private static final Logger LOG = LoggerFactory.getLogger(RoomMaker.class);
+final class Preemptor {
+  private static final Logger LOG = LoggerFactory.getLogger(Preemptor.class);
   private static final TimeSpan ROOM_PATIENCE = TimeSpan.ofMillis(20);
 
   /** What nobody expects by any time is stopped as soon as other work finds no room. */
@@ -37,19 +37,19 @@
    */
   private static final TimeSpan IDLE_TURN = TimeSpan.ofSeconds(20);
 
-  private final HolderContext context;
-  private final BlockHolder holder;
+  private final ShardContext context;
+  private final ShardOwner holder;
   private final Placements placements;
   private final Map<TaskId, Entry> entries;
-  private final Map<MachineId, Session> sessions;
+  private final Map<MachineId, AgentSession> sessions;
   private final BlockScheduler scheduler;
 
-  RoomMaker(
-      HolderContext context,
-      BlockHolder holder,
+  Preemptor(
+      ShardContext context,
+      ShardOwner holder,
       Placements placements,
       Map<TaskId, Entry> entries,
-      Map<MachineId, Session> sessions,
+      Map<MachineId, AgentSession> sessions,
       BlockScheduler scheduler) {
     this.context = context;
     this.holder = holder;
@@ -162,7 +162,7 @@
    * elsewhere at once.
    */
   void clearNoticed(MonotonicTime now) {
-    for (Session session : sessions.values()) {
+    for (AgentSession session : sessions.values()) {
       if (!session.hasNotice()) {
         continue;
       }
@@ -190,7 +190,7 @@
   void clearLeaving(MonotonicTime now) {
     Map<MachineId, Resources> room = new LinkedHashMap<>();
     List<Placement> toMove = new ArrayList<>();
-    for (Session session : sessions.values()) {
+    for (AgentSession session : sessions.values()) {
       if (session.isSick() || holder.lease().leaving().contains(session.machine().id())) {
         toMove.addAll(placements.on(session.machine().id()));
       }
--- a/src/main/java/org/quincecross/block/RoomElsewhere.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.List;
 import java.util.function.Function;
@@ -18,7 +18,7 @@
  * controllers have told. A hint alone, by which work goes back to the pool: where it may go and
  * start is decided by the leader.
  */
-public final class RoomElsewhere {
+public final class RemoteCapacityHint {
   private final ClusterStateCache ledger;
   private final PeerViews views;
   private final Function<ShardId, List<Reserve>> reserves;
@@ -26,7 +26,7 @@
   /**
    * @param reserves what a block keeps free
    */
-  public RoomElsewhere(ClusterStateCache ledger, PeerViews views, Function<ShardId, List<Reserve>> reserves) {
+  public RemoteCapacityHint(ClusterStateCache ledger, PeerViews views, Function<ShardId, List<Reserve>> reserves) {
     this.ledger = ledger;
     this.views = views;
     this.reserves = reserves;
--- a/src/main/java/org/quincecross/block/GivingBack.java
+++ b/src/main/java/org/quincecross/shard/Requeuer.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Gives work that the block cannot run back to the pool, where others may have it. */
-final class GivingBack {
-  private static final Logger LOG = LoggerFactory.getLogger(GivingBack.class);
+final class Requeuer {
+  private static final Logger LOG = LoggerFactory.getLogger(Requeuer.class);
   private static final TimeSpan GANG_PATIENCE = TimeSpan.ofSeconds(30);
 
   /** Beyond twice its estimate: what runs before it should have ended by then. */
@@ -58,11 +58,11 @@
   /** How long work waits for any machine of the block to take work again. */
   private static final TimeSpan NONE_OPEN_PATIENCE = TimeSpan.ofSeconds(10);
 
-  private final HolderContext context;
-  private final BlockHolder holder;
+  private final ShardContext context;
+  private final ShardOwner holder;
   private final Placements placements;
   private final Map<TaskId, Entry> entries;
-  private final Map<MachineId, Session> sessions;
+  private final Map<MachineId, AgentSession> sessions;
   private final Evidence evidence;
   private final BlockScheduler scheduler;
   private MonotonicTime noneOpenSince;
@@ -72,12 +72,12 @@
   /** Before this nothing here has waited for long, as long as some machine takes work. */
   private MonotonicTime lookAt;
 
-  GivingBack(
-      HolderContext context,
-      BlockHolder holder,
+  Requeuer(
+      ShardContext context,
+      ShardOwner holder,
       Placements placements,
       Map<TaskId, Entry> entries,
-      Map<MachineId, Session> sessions,
+      Map<MachineId, AgentSession> sessions,
       Evidence evidence,
       BlockScheduler scheduler) {
     this.context = context;
@@ -110,7 +110,7 @@
     surplusAt = now.plus(SURPLUS_EVERY);
     holder.wakeBy(surplusAt);
     Resources standing = Resources.NONE;
-    for (Session session : sessions.values()) {
+    for (AgentSession session : sessions.values()) {
       for (Placement placement :
           session.wasOpen() ? placements.seenOn(session.machine().id()) : List.<Placement>of()) {
         boolean stays = placement.job().kind() == JobKind.SERVICE && placement.isBound();
--- a/src/main/java/org/quincecross/block/HolderContext.java
+++ b/src/main/java/org/quincecross/shard/ShardContext.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.List;
 import java.util.Set;
@@ -17,7 +17,7 @@
 import org.quincecross.protocol.Settings;
 
 /** What every holder of this controller shares. */
-public interface HolderContext {
+public interface ShardContext {
   Timers timers();
 
   HttpCaller http();
--- a/src/main/java/org/quincecross/block/BlockHolder.java
+++ b/src/main/java/org/quincecross/shard/ShardOwner.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -46,8 +46,8 @@
  * token (its report is then complete, and no older command can follow) or has surely lost its
  * lease.
  */
-public final class BlockHolder {
-  private static final Logger LOG = LoggerFactory.getLogger(BlockHolder.class);
+public final class ShardOwner {
+  private static final Logger LOG = LoggerFactory.getLogger(ShardOwner.class);
 
   /**
    * An attempt is the block's token, then this many bits of a count: larger under every later
@@ -55,21 +55,21 @@
    */
   private static final int ATTEMPT_BITS = 20;
 
-  private final HolderContext context;
-  private final Map<MachineId, Session> sessions = new LinkedHashMap<>();
+  private final ShardContext context;
+  private final Map<MachineId, AgentSession> sessions = new LinkedHashMap<>();
   private final Placements placements = new Placements();
   private final Map<TaskId, Entry> entries = new HashMap<>();
   private final BlockScheduler scheduler = new BlockScheduler();
   private final Evidence evidence = new Evidence();
   private final Set<MachineId> toUpdate = new LinkedHashSet<>();
-  private final BlockReporter reporter;
-  private final Commands commands;
-  private final Intake intake;
-  private final MachineWatch watch;
-  private final MachineViews views;
-  private final RoomMaker rooms;
-  private final GivingBack givingBack;
-  private final Withholding withholding;
+  private final ShardReporter reporter;
+  private final AgentCommandSender commands;
+  private final HeartbeatProcessor intake;
+  private final MachineLivenessMonitor watch;
+  private final MachineSnapshots views;
+  private final Preemptor rooms;
+  private final Requeuer givingBack;
+  private final StartGate withholding;
   private ShardLease lease;
   private boolean settled;
   private boolean superseded;
@@ -83,18 +83,18 @@
    * Takes over a block whose former holder, if cut off, may go on answering its machines for a
    * while.
    */
-  public BlockHolder(HolderContext context, ShardLease lease) {
+  public ShardOwner(ShardContext context, ShardLease lease) {
     this.context = context;
     this.lease = lease;
-    this.reporter = new BlockReporter(this);
-    this.commands = new Commands(context, this, placements, sessions);
-    this.intake = new Intake(context, this, placements, evidence);
-    this.watch = new MachineWatch(context, this, intake, sessions);
-    this.views = new MachineViews(context, this, placements, sessions, scheduler, watch);
-    this.rooms = new RoomMaker(context, this, placements, entries, sessions, scheduler);
+    this.reporter = new ShardReporter(this);
+    this.commands = new AgentCommandSender(context, this, placements, sessions);
+    this.intake = new HeartbeatProcessor(context, this, placements, evidence);
+    this.watch = new MachineLivenessMonitor(context, this, intake, sessions);
+    this.views = new MachineSnapshots(context, this, placements, sessions, scheduler, watch);
+    this.rooms = new Preemptor(context, this, placements, entries, sessions, scheduler);
     this.givingBack =
-        new GivingBack(context, this, placements, entries, sessions, evidence, scheduler);
-    this.withholding = new Withholding(context, this);
+        new Requeuer(context, this, placements, entries, sessions, evidence, scheduler);
+    this.withholding = new StartGate(context, this);
     MonotonicTime now = context.now();
     for (Machine machine : lease.machines().values()) {
       addMachine(machine, now.plus(context.longestUnconfirmed()));
@@ -117,7 +117,7 @@
   /** Whether every machine obeys this holder alone. */
   public boolean hasAllFenced() {
     return !superseded
-        && sessions.values().stream().allMatch(session -> session.state() == Session.State.FENCED);
+        && sessions.values().stream().allMatch(session -> session.state() == AgentSession.State.FENCED);
   }
 
   /**
@@ -149,8 +149,8 @@
   private void addMachine(Machine machine, MonotonicTime leaseFrom) {
     MachineType type = context.ledger().types().get(machine.type());
     Resources capacity = type == null ? Resources.NONE : type.capacity();
-    Session session =
-        new Session(machine, capacity, type == null ? 0 : type.cacheGb(), context.now(), leaseFrom);
+    AgentSession session =
+        new AgentSession(machine, capacity, type == null ? 0 : type.cacheGb(), context.now(), leaseFrom);
     context.imagesOf(machine.id()).forEach(session::inheritImage);
     sessions.put(machine.id(), session);
     scheduler.addMachine(machine.id(), capacity, session::hasImage);
@@ -160,7 +160,7 @@
   /**
    * What a machine has or may be given has changed: to be looked at before the next work starts.
    */
-  void stir(Session session) {
+  void stir(AgentSession session) {
     toUpdate.add(session.machine().id());
     stirred = true;
   }
@@ -346,7 +346,7 @@
   /** Some machines have been found to fail what they are given. */
   void callSick(Set<MachineId> machines) {
     for (MachineId machine : machines) {
-      Session session = sessions.get(machine);
+      AgentSession session = sessions.get(machine);
       if (session != null && !session.isSick()) {
         LOG.info("block {}: machine {} fails what it is given: no more work there", id(), machine);
         session.markSick();
@@ -406,7 +406,7 @@
 
   /** Answers a worker's report; null where this controller is not entitled to. */
   public byte[] answer(Heartbeat report) {
-    Session session = sessions.get(report.machine().id());
+    AgentSession session = sessions.get(report.machine().id());
     MonotonicTime now = context.now();
     if (session == null || superseded || !context.isEntitled()) {
       return null;
@@ -432,7 +432,7 @@
    * Takes what is news; false where the sender has no right to an answer, or most likely does not
    * wait for one.
    */
-  private boolean take(Session session, Heartbeat report, boolean beat) {
+  private boolean take(AgentSession session, Heartbeat report, boolean beat) {
     if (report.token().isAfter(token())) {
       // Someone else has leased the block: the ledger will say so soon.
       LOG.info(
@@ -453,7 +453,7 @@
         (before != null && before.session() != report.session()) || verdict == Verdict.BEGUN_ANEW;
     if (verdict == Verdict.BEGUN_ANEW) {
       LOG.info("block {}: machine {} has begun anew", id(), session.machine().id());
-      session.enter(Session.State.UNFENCED); // it has forgotten the token
+      session.enter(AgentSession.State.UNFENCED); // it has forgotten the token
       session.answered(report, now); // its lease runs from when it began
     }
     session.take(report, beat, now);
@@ -463,19 +463,19 @@
         || !before.pieces().equals(report.pieces())) {
       stir(session);
     }
-    if (newSession || session.state() == Session.State.LOST) {
+    if (newSession || session.state() == AgentSession.State.LOST) {
       // The worker has killed and forgotten all that it had, and what it has now is in this report.
       intake.freeUnreported(session, now);
-      if (session.state() == Session.State.LOST) {
-        session.enter(Session.State.UNFENCED);
+      if (session.state() == AgentSession.State.LOST) {
+        session.enter(AgentSession.State.UNFENCED);
         stir(session);
       }
     }
     if (!report.token().equals(token())) {
       return true; // what an unfenced machine reports may yet change
     }
-    if (session.state() != Session.State.FENCED) {
-      session.enter(Session.State.FENCED);
+    if (session.state() != AgentSession.State.FENCED) {
+      session.enter(AgentSession.State.FENCED);
       if (before != null && token().isAfter(before.token())) {
         session
             .hearing()
@@ -498,7 +498,7 @@
    * gives none for what is not settled.
    */
   private void settle() {
-    if (settled || !sessions.values().stream().allMatch(Session::wasCleared)) {
+    if (settled || !sessions.values().stream().allMatch(AgentSession::wasCleared)) {
       return;
     }
     settled = true;
@@ -532,7 +532,7 @@
   }
 
   /** A machine has answered a direct command. */
-  void answered(Session session, Heartbeat report) {
+  void answered(AgentSession session, Heartbeat report) {
     take(session, report, false);
     if (session.hasBegunAnew()) {
       session.hear(context.now()); // its own reports are told from late ones only under a new token
@@ -561,7 +561,7 @@
     }
   }
 
-  boolean isOpen(Session session) {
+  boolean isOpen(AgentSession session) {
     return session.takesWork()
         && !lease.leaving().contains(session.machine().id())
         && watch.isInTouch(session);
@@ -579,7 +579,7 @@
     MonotonicTime now = context.now();
     toUpdate.addAll(placements.takeChangedMachines());
     for (MachineId machine : toUpdate) {
-      Session session = sessions.get(machine);
+      AgentSession session = sessions.get(machine);
       if (session != null) {
         session.found(isOpen(session));
         scheduler.update(
@@ -652,12 +652,12 @@
 
   /** Whether something waits here that no message of this lease will end. */
   boolean isInDoubt() {
-    return Doubts.any(placements, sessions, context.now());
+    return TokenRenewal.any(placements, sessions, context.now());
   }
 
   /** What the tasks of a job wait for here, in words; none where all of them run. */
   public List<String> waits(JobId job) {
-    return Waits.of(job, this, placements, sessions);
+    return UnplacedReasons.of(job, this, placements, sessions);
   }
 
   /** The jobs that have tasks here. */
@@ -674,11 +674,11 @@
     return views.hasAged(told);
   }
 
-  Resources used(Session session) {
+  Resources used(AgentSession session) {
     return views.used(session);
   }
 
-  public BlockReporter reporter() {
+  public ShardReporter reporter() {
     return reporter;
   }
 
--- a/src/main/java/org/quincecross/block/BlockReporter.java
+++ b/src/main/java/org/quincecross/shard/ShardReporter.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,10 +14,10 @@
  * What the other controllers should know of a block, and in which report each part of it last
  * changed: what a receiver has already is not told again, so a report costs what has changed.
  */
-public final class BlockReporter {
+public final class ShardReporter {
   private record Part<T>(T content, long changedIn) {}
 
-  private final BlockHolder holder;
+  private final ShardOwner holder;
   private final Map<MachineId, Part<PeerReport.MachineState>> machines = new LinkedHashMap<>();
   private final Set<MachineId> dirty = new LinkedHashSet<>();
   private Part<PeerReport.Block> header;
@@ -26,7 +26,7 @@
   private boolean beginning = true;
   private long begunIn;
 
-  BlockReporter(BlockHolder holder) {
+  ShardReporter(ShardOwner holder) {
     this.holder = holder;
   }
 
--- a/src/main/java/org/quincecross/block/Withholding.java
+++ b/src/main/java/org/quincecross/shard/StartGate.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import org.quincecross.agreed.Withheld;
 import org.quincecross.model.Job;
@@ -12,11 +12,11 @@
  * by nothing. What is kept back and runs is stopped in order, saved where it saves, and goes back;
  * the allocation without it is the proof that it is gone.
  */
-final class Withholding {
-  private final HolderContext context;
-  private final BlockHolder holder;
+final class StartGate {
+  private final ShardContext context;
+  private final ShardOwner holder;
 
-  Withholding(HolderContext context, BlockHolder holder) {
+  StartGate(ShardContext context, ShardOwner holder) {
     this.context = context;
     this.holder = holder;
   }
@@ -51,7 +51,7 @@
     }
     Job job = placement.job();
     switch (placement.state()) {
-      case STARTING, ACTIVE, STOPPING -> placement.stop(RoomMaker.graceOf(job), true, now);
+      case STARTING, ACTIVE, STOPPING -> placement.stop(Preemptor.graceOf(job), true, now);
       case WAITING -> {
         holder.dequeue(placement.task());
         placement.release(now);
--- a/src/main/java/org/quincecross/block/Doubts.java
+++ b/src/main/java/org/quincecross/shard/TokenRenewal.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.Map;
 import org.quincecross.model.MachineId;
@@ -9,7 +9,7 @@
  * What of a block no message under its present token will end: the leader is asked to lease it
  * anew.
  */
-final class Doubts {
+final class TokenRenewal {
   /**
    * Where a stop has waited so long for a start that was never answered, a new token is asked for.
    */
@@ -21,7 +21,7 @@
    */
   private static final int MOST_KEPT_EXITS = 100;
 
-  private Doubts() {}
+  private TokenRenewal() {}
 
   /**
    * Whether there is a task that is to be stopped whose start was sent, never answered and never
@@ -29,9 +29,9 @@
    * token), or a machine that has begun anew, whose reports are told from late ones of before only
    * by a higher token.
    */
-  static boolean any(Placements placements, Map<MachineId, Session> sessions, MonotonicTime now) {
+  static boolean any(Placements placements, Map<MachineId, AgentSession> sessions, MonotonicTime now) {
     for (Placement placement : placements.in(Placement.State.STOPPING)) {
-      Session session = sessions.get(placement.machine());
+      AgentSession session = sessions.get(placement.machine());
       // A machine that hears nothing does not show a new token either; the end of its session ends
       // the doubt.
       if (session.hearing().hears()
--- a/src/main/java/org/quincecross/block/LastAnswers.java
+++ b/src/main/java/org/quincecross/shard/UnacknowledgedResponses.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import org.quincecross.model.TaskId;
 
@@ -15,18 +15,18 @@
  * tasks are there, or a start of that one gets there before the answer. Such a machine is answered
  * for so long after the cancellation that a lease from then on ends in time, also where the user
  * was told as soon as it was made. A holder that has not noted the cancellation is bounded by
- * {@link HolderContext#longestUnconfirmed}.
+ * {@link ShardContext#longestUnconfirmed}.
  */
-final class LastAnswers {
-  private final HolderContext context;
+final class UnacknowledgedResponses {
+  private final ShardContext context;
   private final Placements placements;
 
-  LastAnswers(HolderContext context, Placements placements) {
+  UnacknowledgedResponses(ShardContext context, Placements placements) {
     this.context = context;
     this.placements = placements;
   }
 
-  boolean mayAnswer(Session session) {
+  boolean mayAnswer(AgentSession session) {
     if (session.mayYetStart(this::isLongCancelled)) {
       return false;
     }
--- a/src/main/java/org/quincecross/block/Waits.java
+++ b/src/main/java/org/quincecross/shard/UnplacedReasons.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,12 +8,12 @@
 import org.quincecross.model.MachineId;
 
 /** Says in words what the tasks of a job wait for in a block. */
-final class Waits {
-  private Waits() {}
+final class UnplacedReasons {
+  private UnplacedReasons() {}
 
   /** One line for each thing that tasks of the job wait for; none where all that is here runs. */
   static List<String> of(
-      JobId job, BlockHolder holder, Placements placements, Map<MachineId, Session> sessions) {
+      JobId job, ShardOwner holder, Placements placements, Map<MachineId, AgentSession> sessions) {
     Map<String, Integer> counts = new TreeMap<>();
     for (Placement placement : placements.ofJob(job)) {
       String what =
@@ -34,7 +34,7 @@
     return waits;
   }
 
-  private static String what(Placement placement, Session session) {
+  private static String what(Placement placement, AgentSession session) {
     return switch (placement.state()) {
       case UNSETTLED ->
           "not to be started before every machine there has shown the present token or is proven gone";
@@ -53,7 +53,7 @@
     };
   }
 
-  private static String on(Placement placement, Session session) {
+  private static String on(Placement placement, AgentSession session) {
     String doubt =
         session != null && session.isInDoubt(placement.attempt())
             ? ", whose answer to the start never came"
--- a/src/main/java/org/quincecross/block/package-info.java
+++ b/src/main/java/org/quincecross/shard/package-info.java
@@ -2,4 +2,4 @@
  * Holding a block: the sessions of its machines, fencing, reconciliation, and what its tasks are
  * doing.
  */
-package org.quincecross.block;
+package org.quincecross.shard;
--- a/src/main/java/org/quincecross/silence/UnconfirmedBound.java
+++ b/src/main/java/org/quincecross/silence/UnconfirmedBound.java
@@ -35,7 +35,7 @@
  *       So a task goes on without an answer being taken, for L at most; or its start was held up
  *       beyond an answer that was taken after t. Of one held up for {@code HELD_UP} at most all is
  *       over by t + {@code HELD_UP} + L; for one that is held up longer the machine is answered no
- *       more in time ({@code block.LastAnswers}, with the proof). Whoever succeeds that holder,
+ *       more in time ({@code block.UnacknowledgedResponses}, with the proof). Whoever succeeds that holder,
  *       also after a crash, knows of the cancellation before it begins.
  *   <li>By 1, a task leaves the records once it is proven to be on no machine, and what is
  *       allocated later is allocated to a holder that has seen the cancellation first.
--- a/src/test/java/org/quincecross/FloorsTest.java
+++ b/src/test/java/org/quincecross/FloorsTest.java
@@ -22,7 +22,7 @@
           List.of("emulator"),
           List.of("api"),
           List.of("admin"),
-          List.of("leader", "block"),
+          List.of("leader", "shard"),
           List.of("state", "peer"),
           List.of("net", "protocol", "sched"),
           List.of(
--- a/src/test/java/org/quincecross/api/CancelModelTest.java
+++ b/src/test/java/org/quincecross/api/CancelModelTest.java
@@ -32,7 +32,7 @@
   private static final int DELAY = 1;
   private static final int LONGEST_UNCONFIRMED = CANCEL + DELAY - LEASE;
 
-  /** As in {@code block.LastAnswers}. */
+  /** As in {@code block.UnacknowledgedResponses}. */
   private static final int LONGEST_UNSURE = LONGEST_UNCONFIRMED - DELAY;
 
   private static final int HOLDERS = 2;
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.quincecross.block.Holdings;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
@@ -64,7 +64,7 @@
         new Cancellations(
             clock,
             ledger,
-            new Holdings(null, new ControllerId("n0"), () -> new Incarnation(7)),
+            new OwnedShards(null, new ControllerId("n0"), () -> new Incarnation(7)),
             views,
             UnconfirmedBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel)));
     ledger.listen(made::ledgerChanged);
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.quincecross.block.Holdings;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Endpoint;
@@ -103,7 +103,7 @@
         new Cancellations(
             clock,
             ledger,
-            new Holdings(null, MEMBER, () -> new Incarnation(7)),
+            new OwnedShards(null, MEMBER, () -> new Incarnation(7)),
             new PeerViews(),
             bound);
     ledger.listen(cancellations::ledgerChanged);
--- a/src/test/java/org/quincecross/block/SessionTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,14 +14,14 @@
 import org.quincecross.model.FencingToken;
 import org.quincecross.protocol.Heartbeat;
 
-class SessionTest {
+class AgentSessionTest {
   private static final FencingToken FORMER = new FencingToken(5);
   private static final FencingToken PRESENT = new FencingToken(9);
   private static final TimeSpan LEASE = TimeSpan.ofSeconds(12);
 
   private final Machine machine =
       new Machine(new MachineId("m-1"), new Endpoint("10.0.0.9", 9000), "box", "a", false);
-  private final Session session = new Session(machine, new Resources(8, 0, 32), 10, at(0), at(0));
+  private final AgentSession session = new AgentSession(machine, new Resources(8, 0, 32), 10, at(0), at(0));
 
   private static MonotonicTime at(double seconds) {
     return MonotonicTime.ZERO.plus(TimeSpan.ofSeconds(seconds));
--- a/src/test/java/org/quincecross/block/SessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -33,7 +33,7 @@
  * last answer that it may have had: its lease runs from when that session began, not from that
  * answer (incident session-without-an-answer).
  */
-class SessionsUnansweredTest extends HolderHarness {
+class AgentSessionsUnansweredTest extends ShardOwnerHarness {
   private static final Machine OTHER =
       new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
 
@@ -156,7 +156,7 @@
                     Terms.NONE,
                     new Revision(1)))
             .write());
-    holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
+    holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
     holder.answer(new Heartbeat(OTHER, 1, 1, holder.lease().token(), null, List.of()));
     double startedAt = Double.NaN;
     for (double at = 0; at < 120 && Double.isNaN(startedAt); at += 0.25) {
@@ -204,7 +204,7 @@
               .write());
     }
     holder =
-        new BlockHolder(
+        new ShardOwner(
             new Context() {
               @Override
               public boolean allHaveNoted(Revision revision) {
--- a/src/test/java/org/quincecross/block/GiveBackTest.java
+++ b/src/test/java/org/quincecross/shard/RequeuerTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -23,7 +23,7 @@
  * Work that a block cannot run goes back to the pool, where others may have it (incident
  * unanswered-start).
  */
-class GiveBackTest extends HolderHarness {
+class RequeuerTest extends ShardOwnerHarness {
   private void nextSecond() {
     clock.advance(1);
     holder.tick();
--- a/src/test/java/org/quincecross/block/HolderHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -53,7 +53,7 @@
  * A holder of a block of one machine, which has room for two tasks, with the messages of both in
  * the test's hands.
  */
-abstract class HolderHarness {
+abstract class ShardOwnerHarness {
   static final ShardId BLOCK = new ShardId("b");
   static final Machine MACHINE =
       new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
@@ -67,9 +67,9 @@
   long lastConfirmed = Long.MAX_VALUE;
   long order;
   boolean longCancelled;
-  BlockHolder holder;
+  ShardOwner holder;
 
-  class Context implements HolderContext {
+  class Context implements ShardContext {
     @Override
     public Timers timers() {
       return clock;
@@ -190,7 +190,7 @@
                     new Revision(1)),
                 MACHINE)
             .write());
-    holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
+    holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
     calls
         .remove(0)
         .accept(
--- a/src/test/java/org/quincecross/block/HolderModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -58,13 +58,13 @@
  * while it goes on, and is told to stop tasks and to start them again. No task is ever on two
  * machines, none starts again under an attempt that has been cleared, and all end.
  */
-class HolderModelTest {
+class ShardOwnerModelTest {
   private static final double TROUBLE_S = 100;
   private static final double QUIET_S = 75;
   private static final int TASKS = 90;
   private static final int AT_ONCE = 9;
 
-  private static final class Model extends HolderHarness {
+  private static final class Model extends ShardOwnerHarness {
     private record Due(long at, long number, Runnable run) {}
 
     private final Random random;
@@ -78,7 +78,7 @@
     private final Set<Integer> finished = new HashSet<>();
     private final List<Integer> back = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
-    private BlockHolder former;
+    private ShardOwner former;
     private double formerUntil;
     private double stillUntil;
     private boolean entitled = true;
@@ -223,7 +223,7 @@
                       new Revision(1)))
               .write());
       context = new Wild();
-      holder = new BlockHolder(context, ledger.blocks().get(BLOCK));
+      holder = new ShardOwner(context, ledger.blocks().get(BLOCK));
       endFormer();
     }
 
@@ -290,7 +290,7 @@
     }
 
     private void report(Heartbeat report, Consumer<byte[]> reply) {
-      BlockHolder to = former != null && random.nextBoolean() ? former : holder;
+      ShardOwner to = former != null && random.nextBoolean() ? former : holder;
       reply.accept(to.answer(report));
     }
 
@@ -701,7 +701,7 @@
   @Test
   void noTaskIsOnTwoMachinesAndAllEnd() {
     LongStream.concat(LongStream.rangeClosed(1, 24), LongStream.of(31, 38, 44, 56, 59))
-        .forEach(HolderModelTest::play);
+        .forEach(ShardOwnerModelTest::play);
   }
 
   @Test
@@ -710,6 +710,6 @@
     String[] range = System.getProperty("seeds", "20000-24999").split("-");
     LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]))
         .parallel()
-        .forEach(HolderModelTest::play);
+        .forEach(ShardOwnerModelTest::play);
   }
 }
--- a/src/test/java/org/quincecross/block/LastAnswersTest.java
+++ b/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -19,7 +19,7 @@
  * Until when a machine is answered that may have a cancelled task which the answer does not stop
  * (incident start-after-cancel).
  */
-class LastAnswersTest extends HolderHarness {
+class UnacknowledgedResponsesTest extends ShardOwnerHarness {
   private void cancel() {
     put(StoreKeys.job(TASK.job()), ledger.job(TASK.job()).cancelled(1000));
     holder.jobsChanged(Set.of(TASK.job()));
@@ -45,7 +45,7 @@
   void aMachineThatDoesNotObeyYetIsNotAnsweredForLongWhereACancelledTaskMayBeThere() {
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(true));
     cancel();
-    holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
+    holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
     FencingToken former = new FencingToken(holder.lease().token().number() - 1);
     assertNotNull(report(former, List.of()));
     longCancelled = true;
--- a/src/test/java/org/quincecross/block/UnansweredStartTest.java
+++ b/src/test/java/org/quincecross/shard/UnansweredStartTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,7 +17,7 @@
  * A direct start that was sent and never answered: the task must not wait for that answer (incident
  * unanswered-start).
  */
-class UnansweredStartTest extends HolderHarness {
+class UnansweredStartTest extends ShardOwnerHarness {
   @Test
   void aTaskThatWasStoppedIsGoneOnceItsExitIsReported() {
     Attempt attempt = attempt();
--- a/src/test/java/org/quincecross/block/WaitingJobTest.java
+++ b/src/test/java/org/quincecross/shard/WaitingJobTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.block;
+package org.quincecross.shard;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -31,7 +31,7 @@
  * A holder starts nothing of a job that waits for another, whatever its block has been given: that
  * goes back.
  */
-class WaitingJobTest extends HolderHarness {
+class WaitingJobTest extends ShardOwnerHarness {
   private static Job job(JobId id, Set<JobId> waitsOn) {
     return new Job(
         id,
@@ -80,7 +80,7 @@
                     new Revision(1)),
                 MACHINE)
             .write());
-    holder = new BlockHolder(new Context(), ledger.blocks().get(BLOCK));
+    holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
     calls.remove(0).accept(HttpOutcome.failed(false));
     beat(List.of());
     JobId first = new JobId("job-8");
