--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -12,7 +12,7 @@
 import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.rollout.Terms;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.StateWatcher;
@@ -218,7 +218,7 @@
   private Object machines() {
     List<Object> list = new ArrayList<>();
     for (ShardOwner holder : holdings.all()) {
-      for (PeerReport.MachineState machine : holder.machines()) {
+      for (PeerHeartbeat.MachineState machine : holder.machines()) {
         list.add(
             Json.object(
                 "machine",
--- a/src/main/java/org/quincecross/admin/AgreedApi.java
+++ b/src/main/java/org/quincecross/admin/AgreedApi.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Kept;
-import org.quincecross.agreed.KnownByAll;
-import org.quincecross.agreed.RecordId;
-import org.quincecross.agreed.TrailLine;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.replicated.ReplicationBarrier;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.AuditEntry;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Revision;
-import org.quincecross.peer.AgreedBase;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.StateWatcher;
@@ -38,10 +38,10 @@
 
   private static final int MOST_PAGES = 8;
 
-  private final AgreedBase base;
+  private final ReplicatedFeatureContext base;
   private final StateWatcher follower;
 
-  public AgreedApi(AgreedBase base, StateWatcher follower) {
+  public AgreedApi(ReplicatedFeatureContext base, StateWatcher follower) {
     this.base = base;
     this.follower = follower;
   }
@@ -124,7 +124,7 @@
   /** The records in the order of their names, from after {@code after} on. */
   private <S> void list(ReplicatedRecordIndex<S, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
     String after = request.query("after");
-    At at = base.at();
+    CommandOrigin at = base.at();
     List<Object> rows = new ArrayList<>();
     String next = null;
     String last = null;
@@ -164,7 +164,7 @@
               : error(500, "the record cannot be read: " + unreadable));
       return;
     }
-    KnownByAll.Answer known = base.known().of(held.version());
+    ReplicationBarrier.Answer known = base.known().of(held.version());
     List<Object> trail = new ArrayList<>();
     held.kept().lines(held.version()).forEach(line -> trail.add(line.show()));
     reply.accept(
@@ -209,18 +209,18 @@
         }
       }
       String request = in.string("request");
-      if (request.isBlank() || request.length() > Kept.LONGEST_NAME) {
-        throw new MalformedMessageException("field request is not 1 to " + Kept.LONGEST_NAME + " characters");
+      if (request.isBlank() || request.length() > ReplicatedRecord.LONGEST_NAME) {
+        throw new MalformedMessageException("field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
       }
       String by = in.stringOr("by", "");
-      if (by.length() > Kept.LONGEST_NAME) {
-        throw new MalformedMessageException("field by is longer than " + Kept.LONGEST_NAME + " characters");
+      if (by.length() > ReplicatedRecord.LONGEST_NAME) {
+        throw new MalformedMessageException("field by is longer than " + ReplicatedRecord.LONGEST_NAME + " characters");
       }
       long onChange = in.has("on_change") ? in.integer("on_change", 0, Integer.MAX_VALUE) : -1;
       ask =
           new ReplicatedRecordStore.Ask<>(
               request, onChange, book.kind().command(in.fields("command").unknownFields(List.of())), by);
-    } catch (MalformedMessageException | Unreadable e) {
+    } catch (MalformedMessageException | MalformedRecordException e) {
       reply.accept(error(400, e.getMessage()));
       return;
     }
@@ -272,7 +272,7 @@
       Revision since,
       int from,
       int read,
-      List<TrailLine> lines,
+      List<AuditEntry> lines,
       Consumer<HttpResponse> reply) {
     int page = from;
     while (page <= book.lastPageNumber()
@@ -301,14 +301,14 @@
     }
   }
 
-  private static <S> void addLatest(ReplicatedRecordIndex<S, ?> book, List<TrailLine> lines) {
+  private static <S> void addLatest(ReplicatedRecordIndex<S, ?> book, List<AuditEntry> lines) {
     book.all().values().forEach(held -> lines.addAll(held.kept().lines(held.version())));
   }
 
   private void answer(
       ReplicatedRecordIndex<?, ?> book,
       Revision since,
-      List<TrailLine> lines,
+      List<AuditEntry> lines,
       Integer nextPage,
       Consumer<HttpResponse> reply) {
     List<Object> out = new ArrayList<>();
@@ -316,9 +316,9 @@
         .filter(line -> line.revision().isAfter(since))
         .distinct()
         .sorted(
-            Comparator.comparing(TrailLine::revision)
-                .thenComparing(TrailLine::id)
-                .thenComparing(TrailLine::change))
+            Comparator.comparing(AuditEntry::revision)
+                .thenComparing(AuditEntry::id)
+                .thenComparing(AuditEntry::change))
         .forEach(line -> out.add(line.show()));
     reply.accept(
         good(
--- a/src/main/java/org/quincecross/admin/ModelDesk.java
+++ b/src/main/java/org/quincecross/admin/ModelDesk.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.quincecross.agreed.RecordId;
+import org.quincecross.replicated.RecordId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
@@ -21,8 +21,8 @@
 import org.quincecross.models.Model;
 import org.quincecross.models.ModelCommand;
 import org.quincecross.models.ModelKind;
-import org.quincecross.peer.AgreedBase;
-import org.quincecross.peer.ModelNews;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.peer.ModelStatusReport;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.ClusterStateCache;
@@ -43,7 +43,7 @@
   /** Models that nobody has wanted for so much longer than their idle time are forgotten here. */
   private static final double FORGOTTEN_AFTER = 2;
 
-  private final AgreedBase base;
+  private final ReplicatedFeatureContext base;
   private final ModelIndex records;
   private final BiFunction<JobId, Integer, Boolean> runsHere;
   private final MonotonicTime begun;
@@ -57,7 +57,7 @@
    * @param runsHere whether a replica runs in a block of this controller
    */
   public ModelDesk(
-      AgreedBase base, ModelIndex records, BiFunction<JobId, Integer, Boolean> runsHere) {
+      ReplicatedFeatureContext base, ModelIndex records, BiFunction<JobId, Integer, Boolean> runsHere) {
     this.base = base;
     this.records = records;
     this.runsHere = runsHere;
@@ -197,6 +197,6 @@
                 }
               });
     }
-    return new ModelNews(now.since(begun), told, running).write();
+    return new ModelStatusReport(now.since(begun), told, running).write();
   }
 }
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
-import org.quincecross.agreed.Kept;
-import org.quincecross.agreed.RecordId;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.JobId;
@@ -17,8 +17,8 @@
 import org.quincecross.models.Model;
 import org.quincecross.models.ModelCommand;
 import org.quincecross.models.ModelKind;
-import org.quincecross.peer.AgreedBase;
-import org.quincecross.peer.ModelFleet;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.peer.ModelPlacementView;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.JobRecord;
@@ -39,20 +39,20 @@
   private static final List<String> TERMS =
       List.of("job", "least", "most", "per_replica", "idle_s", "keep_warm");
 
-  private final AgreedBase base;
+  private final ReplicatedFeatureContext base;
   private final ModelIndex records;
   private final ModelDesk desk;
-  private final ModelFleet fleet;
+  private final ModelPlacementView fleet;
   private final ToIntFunction<JobId> running;
 
   /**
    * @param running how many tasks of a job run, as their holders say
    */
   public ModelsApi(
-      AgreedBase base,
+      ReplicatedFeatureContext base,
       ModelIndex records,
       ModelDesk desk,
-      ModelFleet fleet,
+      ModelPlacementView fleet,
       ToIntFunction<JobId> running) {
     this.base = base;
     this.records = records;
@@ -86,7 +86,7 @@
     } else {
       try {
         post(parts[0], parts.length == 1 ? "define" : parts[1], request.body(), reply);
-      } catch (MalformedMessageException | Unreadable e) {
+      } catch (MalformedMessageException | MalformedRecordException e) {
         reply.accept(error(400, e.getMessage()));
       }
     }
@@ -101,7 +101,7 @@
   }
 
   private void post(String name, String what, byte[] body, Consumer<HttpResponse> reply)
-      throws MalformedMessageException, Unreadable {
+      throws MalformedMessageException, MalformedRecordException {
     JsonFields in = Json.parseFields(body);
     if (!what.equals("define") && !known(name)) {
       reply.accept(unknown(name));
@@ -119,8 +119,8 @@
         only(in, List.of("from", "in_flight"));
         String from = in.string("from");
         int inFlight = in.integer("in_flight", 0, MOST_IN_FLIGHT);
-        if (from.isBlank() || from.length() > Kept.LONGEST_NAME) {
-          throw new MalformedMessageException("field from is not 1 to " + Kept.LONGEST_NAME + " characters");
+        if (from.isBlank() || from.length() > ReplicatedRecord.LONGEST_NAME) {
+          throw new MalformedMessageException("field from is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
         }
         if (inFlight == 0 || mayWake(name, reply)) {
           desk.told(name, from, inFlight, answer -> reply.accept(answered(name, answer)));
@@ -165,7 +165,7 @@
   }
 
   private void define(String name, JsonFields in, Consumer<HttpResponse> reply)
-      throws MalformedMessageException, Unreadable {
+      throws MalformedMessageException, MalformedRecordException {
     List<String> names = new ArrayList<>(TERMS);
     names.addAll(List.of("request", "by"));
     only(in, names);
@@ -221,8 +221,8 @@
   private void change(String name, JsonFields in, ModelCommand command, Consumer<HttpResponse> reply)
       throws MalformedMessageException {
     String request = in.string("request");
-    if (request.isBlank() || request.length() > Kept.LONGEST_NAME) {
-      throw new MalformedMessageException("field request is not 1 to " + Kept.LONGEST_NAME + " characters");
+    if (request.isBlank() || request.length() > ReplicatedRecord.LONGEST_NAME) {
+      throw new MalformedMessageException("field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
     }
     base.store()
         .ask(
@@ -307,9 +307,9 @@
             desk.inFlight(name));
     if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
       double elapsedS = Math.max(0, (base.at().timeOfDayMs() - model.sinceMs()) / 1000.0);
-      ModelFleet.Estimate estimate =
+      ModelPlacementView.Estimate estimate =
           model.phase() == Model.Phase.WARM && runs > 0
-              ? new ModelFleet.Estimate(0, 0)
+              ? new ModelPlacementView.Estimate(0, 0)
               : model.isUp()
                   ? fleet.estimate(record.job(), model, elapsedS, base.timers().now())
                   : fleet.estimate(record.job(), base.timers().now());
--- a/src/main/java/org/quincecross/admin/ServedLog.java
+++ b/src/main/java/org/quincecross/admin/ServedLog.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.leader.Leader;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
@@ -46,7 +46,7 @@
   private final Leader leader;
   private final LongSupplier clockMs;
   private final TimeSpan every;
-  private final Withheld withheld;
+  private final StartBlock withheld;
   private final ServedBooks books;
 
   /**
@@ -61,7 +61,7 @@
       Settings settings,
       LongSupplier clockMs,
       TimeSpan every,
-      Withheld withheld) {
+      StartBlock withheld) {
     this.timers = timers;
     this.ledger = ledger;
     this.leader = leader;
--- a/src/main/java/org/quincecross/admin/Stalls.java
+++ b/src/main/java/org/quincecross/admin/Stalls.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.ToIntFunction;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.shard.ShardOwner;
 import org.quincecross.shard.OwnedShards;
 import org.quincecross.leader.Leader;
@@ -42,7 +42,7 @@
   private final OwnedShards holdings;
   private final Leader leader;
   private final ToIntFunction<JobId> running;
-  private final Withheld withheld;
+  private final StartBlock withheld;
   private final ProgressWatch watch = new ProgressWatch();
   private final Map<JobId, MonotonicTime> said = new HashMap<>();
   private List<ProgressWatch.Stall> stalls = List.of();
@@ -57,7 +57,7 @@
       OwnedShards holdings,
       Leader leader,
       ToIntFunction<JobId> running,
-      Withheld withheld) {
+      StartBlock withheld) {
     this.timers = timers;
     this.ledger = ledger;
     this.holdings = holdings;
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -14,9 +14,9 @@
 import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.silence.Aloneness;
+import org.quincecross.failuredetection.IsolationDetector;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.MalformedMessageException;
@@ -53,9 +53,9 @@
   private final Leader leader;
   private final PeerViews views;
   private final ControllerId self;
-  private final Strays strays = new Strays();
-  private final Arrivals arrivals;
-  private final Aloneness aloneness;
+  private final ForeignHeartbeats strays = new ForeignHeartbeats();
+  private final UnassignedMachines arrivals;
+  private final IsolationDetector aloneness;
   private List<Waiting> waiting = new ArrayList<>();
   private boolean lookPlanned;
 
@@ -67,14 +67,14 @@
       PeerViews views,
       HttpCaller http,
       ControllerId self,
-      Aloneness aloneness) {
+      IsolationDetector aloneness) {
     this.timers = timers;
     this.ledger = ledger;
     this.holdings = holdings;
     this.leader = leader;
     this.views = views;
     this.self = self;
-    this.arrivals = new Arrivals(timers, http, leader);
+    this.arrivals = new UnassignedMachines(timers, http, leader);
     this.aloneness = aloneness;
   }
 
@@ -156,7 +156,7 @@
       return false;
     }
     PeerViews.BlockView block = view.blocks().get(lease.id());
-    PeerReport.MachineState state =
+    PeerHeartbeat.MachineState state =
         block == null || !block.token().equals(lease.token())
             ? null
             : block.machines().get(machine);
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -14,15 +14,15 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.silence.UnconfirmedBound;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.ClusterStateCache;
 
 /**
- * Decides when users may be told that a job is cancelled: by the rule of {@link UnconfirmedBound},
+ * Decides when users may be told that a job is cancelled: by the rule of {@link UnconfirmedOwnershipBound},
  * which has the proof.
  *
  * <p>The wait runs from when the record was first seen here, never by the time of day in it: that
@@ -38,7 +38,7 @@
   private final ClusterStateCache ledger;
   private final OwnedShards holdings;
   private final PeerViews views;
-  private final UnconfirmedBound bound;
+  private final UnconfirmedOwnershipBound bound;
 
   /**
    * When cancellations were first seen that may not be told without a look, oldest first; those
@@ -50,7 +50,7 @@
   private boolean sweepPlanned;
 
   Cancellations(
-      Timers timers, ClusterStateCache ledger, OwnedShards holdings, PeerViews views, UnconfirmedBound bound) {
+      Timers timers, ClusterStateCache ledger, OwnedShards holdings, PeerViews views, UnconfirmedOwnershipBound bound) {
     this.timers = timers;
     this.ledger = ledger;
     this.holdings = holdings;
@@ -159,7 +159,7 @@
       return false;
     }
     for (MachineId machine : lease.machines().keySet()) {
-      PeerReport.MachineState state = block.machines().get(machine);
+      PeerHeartbeat.MachineState state = block.machines().get(machine);
       if (state == null || !state.fenced()) {
         return false;
       }
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -12,7 +12,7 @@
 import org.quincecross.admin.Metrics;
 import org.quincecross.admin.ServedLog;
 import org.quincecross.admin.Stalls;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.shard.ShardContext;
 import org.quincecross.shard.OwnedShards;
 import org.quincecross.shard.RemoteCapacityHint;
@@ -34,16 +34,16 @@
 import org.quincecross.net.Timers;
 import org.quincecross.net.Watched;
 import org.quincecross.overload.Overload;
-import org.quincecross.peer.AgreedBase;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.peer.PeerCodec;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.sched.Reserve;
-import org.quincecross.silence.Aloneness;
-import org.quincecross.silence.LinkWatch;
-import org.quincecross.silence.StartPermission;
-import org.quincecross.silence.Stillness;
-import org.quincecross.silence.UnconfirmedBound;
+import org.quincecross.scheduling.Headroom;
+import org.quincecross.failuredetection.IsolationDetector;
+import org.quincecross.failuredetection.LinkMonitor;
+import org.quincecross.failuredetection.StartPermission;
+import org.quincecross.failuredetection.PauseDetector;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.StateWatcher;
 import org.quincecross.state.DemandForecast;
@@ -77,7 +77,7 @@
   private final StateWatcher follower;
   private final Membership membership;
   private final OwnedShards holdings;
-  private final AgreedParts agreed;
+  private final ReplicatedFeatures agreed;
   private final Leader leader;
   private final Autoscaler fleet;
   private final UserApi users;
@@ -90,10 +90,10 @@
   private final PeerViews views = new PeerViews();
   private final RemoteCapacityHint roomElsewhere;
   private final Map<ControllerId, Long> sent = new HashMap<>();
-  private final Map<ControllerId, LinkWatch> links = new HashMap<>();
-  private final Stillness stillness;
-  private final Aloneness aloneness;
-  private final UnconfirmedBound unconfirmedBound;
+  private final Map<ControllerId, LinkMonitor> links = new HashMap<>();
+  private final PauseDetector stillness;
+  private final IsolationDetector aloneness;
+  private final UnconfirmedOwnershipBound unconfirmedBound;
   private final StartPermission startPermission;
   private final LongSupplier clockMs;
   private long reports;
@@ -116,7 +116,7 @@
       BooleanSupplier memoryIsShort) {
     // Whatever comes to pass here comes by a timer, an answer, a request or a frame, and each
     // begins with a look at the clock.
-    stillness = new Stillness(clock.now());
+    stillness = new PauseDetector(clock.now());
     timers = Watched.timers(clock, this::lookAtClock);
     http = Watched.caller(caller, this::lookAtClock);
     this.peers = peers;
@@ -125,7 +125,7 @@
     KeyValueStoreClient client = new KeyValueStoreClient(timers, http, settings.storeAddress(), settings.storeLimits());
     follower = new StateWatcher(timers, client, ledger);
     aloneness =
-        new Aloneness(
+        new IsolationDetector(
             settings.peers().stream()
                 .allMatch(other -> settings.self().compareTo(other.member()) < 0),
             clock.now());
@@ -138,7 +138,7 @@
             features.build(),
             features.replicatedFeatures() == null
                 ? settings.announcedLimits()
-                : settings.announcedLimits().with("agreed parts", AgreedParts.mark(features.replicatedFeatures())),
+                : settings.announcedLimits().with("agreed parts", ReplicatedFeatures.mark(features.replicatedFeatures())),
             settings.storeLimits().plannedValueBytes());
     unconfirmedBound = settings.agentTimeouts().unconfirmedBound();
     startPermission =
@@ -149,7 +149,7 @@
                 .collect(Collectors.toSet()),
             unconfirmedBound.starts());
     agreed =
-        new AgreedParts(
+        new ReplicatedFeatures(
             timers,
             client,
             follower,
@@ -232,7 +232,7 @@
   }
 
   /** What the parts that rest on agreed records are given; null where there are none. */
-  public AgreedBase agreed() {
+  public ReplicatedFeatureContext agreed() {
     return agreed.base();
   }
 
@@ -278,10 +278,10 @@
 
   // ---- the other controllers ----
 
-  private PeerReport report(long base) {
+  private PeerHeartbeat report(long base) {
     MonotonicTime answering = follower.answering();
     TimeSpan unconfirmed = answering == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(answering);
-    return new PeerReport(
+    return new PeerHeartbeat(
         settings.self(),
         membership.life(),
         reports,
@@ -305,7 +305,7 @@
         timers.now());
     for (Settings.Peer sibling : settings.peers()) {
       ControllerId member = sibling.member();
-      LinkWatch link = links.computeIfAbsent(member, m -> new LinkWatch());
+      LinkMonitor link = links.computeIfAbsent(member, m -> new LinkMonitor());
       if (link.takeStuck(timers.now())) {
         LOG.debug("nothing arrives at {}: a new connection is made", member);
         peers.renew(member);
@@ -325,15 +325,15 @@
   public boolean frame(byte[] frame) {
     lookAtClock();
     try {
-      PeerReport report = PeerCodec.read(frame);
-      PeerReport.Receipt receipt = report.receipts().get(settings.self());
+      PeerHeartbeat report = PeerCodec.read(frame);
+      PeerHeartbeat.Receipt receipt = report.receipts().get(settings.self());
       if (receipt != null) {
         startPermission.received(
             report.member(), receipt.life(), receipt.number(), report.ledger());
       }
       if (receipt != null && receipt.life().equals(membership.life())) {
         links
-            .computeIfAbsent(report.member(), member -> new LinkWatch())
+            .computeIfAbsent(report.member(), member -> new LinkMonitor())
             .receipt(receipt.number(), receipt.gap(), timers.now());
       }
       if (receipt != null && receipt.gap() && receipt.life().equals(membership.life())) {
@@ -419,7 +419,7 @@
           request.method().equals("GET")
               ? HttpResponse.of(isHealthy() ? 200 : 503)
               : HttpResponse.of(405));
-    } else if (AgreedParts.isAsked(path)) {
+    } else if (ReplicatedFeatures.isAsked(path)) {
       agreed.handle(request, reply);
     } else if (path.startsWith(AdminApi.ROOT + "/")) {
       admin.handle(request, reply);
@@ -453,14 +453,14 @@
     if (follower.answering() == null) {
       return; // nothing was read yet
     }
-    Aloneness.State before = aloneness.state();
+    IsolationDetector.State before = aloneness.state();
     aloneness.look(
         follower.answering(),
         settings.peers().stream()
             .map(
                 sibling -> {
                   PeerViews.View view = views.of(sibling.member());
-                  return new Aloneness.Word(
+                  return new IsolationDetector.Word(
                       view == null ? null : view.at(),
                       view == null ? TimeSpan.ZERO : view.unconfirmed());
                 })
@@ -489,7 +489,7 @@
   }
 
   @Override
-  public List<Reserve> reserves(ShardId block) {
+  public List<Headroom> reserves(ShardId block) {
     return foresight.of(block, timers.now());
   }
 
@@ -499,7 +499,7 @@
   }
 
   @Override
-  public Withheld withheld() {
+  public StartBlock withheld() {
     return agreed.withheld();
   }
 
@@ -529,7 +529,7 @@
     if (block != null) {
       for (PeerViews.View view : views.all()) {
         PeerViews.BlockView known = view.blocks().get(block.id());
-        PeerReport.MachineState state = known == null ? null : known.machines().get(machine);
+        PeerHeartbeat.MachineState state = known == null ? null : known.machines().get(machine);
         if (state != null) {
           return state.images();
         }
--- a/src/main/java/org/quincecross/api/AfterParts.java
+++ b/src/main/java/org/quincecross/api/DependencyWriter.java
@@ -20,7 +20,7 @@
  * user has given up does no harm, and a repetition at the same controller writes only what is not
  * on record yet.
  */
-final class AfterParts {
+final class DependencyWriter {
   /**
    * In one transaction: with less than 2 KiB each, far below its 64 KiB; also fewer where the limit
    * is lower.
@@ -31,7 +31,7 @@
   private final ClusterStateCache ledger;
   private final int mostChanges;
 
-  AfterParts(KeyValueStoreClient client, ClusterStateCache ledger, int mostChanges) {
+  DependencyWriter(KeyValueStoreClient client, ClusterStateCache ledger, int mostChanges) {
     this.client = client;
     this.ledger = ledger;
     this.mostChanges = Math.min(MOST_AT_ONCE, mostChanges);
--- a/src/main/java/org/quincecross/api/Strays.java
+++ b/src/main/java/org/quincecross/api/ForeignHeartbeats.java
@@ -14,7 +14,7 @@
  * that a report counts only if it was made after all that came here from that machine before: one
  * that goes on shows larger counts at each.
  */
-final class Strays {
+final class ForeignHeartbeats {
   private static final TimeSpan STRAY_FOR = TimeSpan.ofSeconds(6);
 
   /**
--- a/src/main/java/org/quincecross/api/Refusals.java
+++ b/src/main/java/org/quincecross/api/LoadShedder.java
@@ -6,7 +6,7 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
-import org.quincecross.silence.Aloneness;
+import org.quincecross.failuredetection.IsolationDetector;
 import org.quincecross.protocol.JobCodec;
 
 /**
@@ -16,7 +16,7 @@
  * come and the request be answered after all; then it ends the connection, for the next one to be
  * made to another controller.
  */
-final class Refusals {
+final class LoadShedder {
   /** Of a poll's 2 s; several times what another controller takes for an answer. */
   private static final TimeSpan HELD = TimeSpan.ofSeconds(1);
 
@@ -24,11 +24,11 @@
   private static final int MOST_HELD = 100;
 
   private final Timers timers;
-  private final Supplier<Aloneness.State> aloneness;
+  private final Supplier<IsolationDetector.State> aloneness;
   private final BooleanSupplier cutOff;
   private int held;
 
-  Refusals(Timers timers, Supplier<Aloneness.State> aloneness, BooleanSupplier cutOff) {
+  LoadShedder(Timers timers, Supplier<IsolationDetector.State> aloneness, BooleanSupplier cutOff) {
     this.timers = timers;
     this.aloneness = aloneness;
     this.cutOff = cutOff;
--- a/src/main/java/org/quincecross/api/ModelsPart.java
+++ b/src/main/java/org/quincecross/api/ModelServingFeature.java
@@ -15,22 +15,22 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TaskId;
-import org.quincecross.peer.AgreedBase;
-import org.quincecross.peer.ModelFleet;
-import org.quincecross.peer.ModelNews;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.peer.ModelPlacementView;
+import org.quincecross.peer.ModelStatusReport;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ModelIndex;
 
 /** Models from zero, put together for one controller. */
-final class ModelsPart {
-  private final AgreedBase base;
+final class ModelServingFeature {
+  private final ReplicatedFeatureContext base;
   private final ModelIndex records;
   private final PeerViews views;
   private ModelDesk desk;
   private ModelsApi api;
 
-  ModelsPart(AgreedBase base, PeerViews views) {
+  ModelServingFeature(ReplicatedFeatureContext base, PeerViews views) {
     this.base = base;
     this.views = views;
     this.records = new ModelIndex(base.ledger());
@@ -40,7 +40,7 @@
   /** Follows the records, and has the leader keep the models. */
   void listen(ClusterStateCache ledger, OwnedShards holdings, Leader leader, ToIntFunction<JobId> running) {
     desk = new ModelDesk(base, records, (job, replica) -> runs(holdings, job.task(replica)));
-    api = new ModelsApi(base, records, desk, new ModelFleet(ledger, views, records), running);
+    api = new ModelsApi(base, records, desk, new ModelPlacementView(ledger, views, records), running);
     ledger.listen(
         changes -> {
           records.ledgerChanged(changes, base.withheld()::changed);
@@ -67,7 +67,7 @@
   /** What the reports to the other controllers say of models. */
   Map<String, byte[]> sections() {
     byte[] section = desk == null ? null : desk.section();
-    return section == null ? Map.of() : Map.of(ModelNews.SECTION, section);
+    return section == null ? Map.of() : Map.of(ModelStatusReport.SECTION, section);
   }
 
   void handle(HttpRequest request, Consumer<HttpResponse> reply) {
--- a/src/main/java/org/quincecross/api/AgreedParts.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -10,8 +10,8 @@
 import org.quincecross.admin.AgreedApi;
 import org.quincecross.admin.ModelsApi;
 import org.quincecross.admin.ServedLog;
-import org.quincecross.agreed.Withheld;
-import org.quincecross.agreed.WithheldByAny;
+import org.quincecross.replicated.StartBlock;
+import org.quincecross.replicated.CombinedStartBlock;
 import org.quincecross.shard.OwnedShards;
 import org.quincecross.holds.HoldKind;
 import org.quincecross.http.HttpRequest;
@@ -24,7 +24,7 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.AgreedBase;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.peer.KnownRevisions;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.requests.RequestKind;
@@ -42,21 +42,21 @@
  * The records that all controllers follow, and the parts that rest on them, where they are switched
  * on.
  */
-final class AgreedParts {
+final class ReplicatedFeatures {
   /** What the holds keep back, as the controller that is asked sees it. */
   private static final String KEPT = AgreedApi.ROOT + "/kept";
 
-  private final AgreedBase base;
+  private final ReplicatedFeatureContext base;
   private final AgreedApi api;
   private LegalHoldStartBlock held;
-  private final ModelsPart models;
-  private final RequestPart requests;
+  private final ModelServingFeature models;
+  private final ReservationFeature requests;
 
   /**
    * @param parts those that are switched on, with their settings; null: there are no such records
    * @param longest for how long a controller acts after it last heard from the state service
    */
-  AgreedParts(
+  ReplicatedFeatures(
       Timers timers,
       KeyValueStoreClient client,
       StateWatcher follower,
@@ -75,18 +75,18 @@
       return;
     }
     base =
-        new AgreedBase(
+        new ReplicatedFeatureContext(
             timers,
             ledger,
             new ReplicatedRecordStore(timers, client, follower, ledger, membership, settings, clockMs),
             new KnownRevisions(timers, ledger, views, settings, longest),
-            new WithheldByAny(),
+            new CombinedStartBlock(),
             settings,
             clockMs,
             parts);
     api = new AgreedApi(base, follower);
-    models = base.has("models") ? new ModelsPart(base, views) : null;
-    requests = base.has(RequestKind.NAME) ? new RequestPart(base) : null;
+    models = base.has("models") ? new ModelServingFeature(base, views) : null;
+    requests = base.has(RequestKind.NAME) ? new ReservationFeature(base) : null;
   }
 
   /** What is the same on all controllers that have the same parts with the same settings. */
@@ -94,13 +94,13 @@
     return Integer.toHexString(new TreeMap<>(parts).toString().hashCode());
   }
 
-  AgreedBase base() {
+  ReplicatedFeatureContext base() {
     return base;
   }
 
   /** What is not to run now. */
-  Withheld withheld() {
-    return base == null ? Withheld.NONE : base.withheld();
+  StartBlock withheld() {
+    return base == null ? StartBlock.NONE : base.withheld();
   }
 
   /** Has room kept for requests, where that is switched on. */
--- a/src/main/java/org/quincecross/api/RequestPart.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -1,11 +1,11 @@
 package org.quincecross.api;
 
-import org.quincecross.agreed.Body;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.leader.Leader;
 import org.quincecross.leader.ReservationManager;
 import org.quincecross.model.Revision;
-import org.quincecross.peer.AgreedBase;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.requests.Request;
 import org.quincecross.requests.RequestCommand;
 import org.quincecross.requests.RequestKind;
@@ -15,12 +15,12 @@
 import org.quincecross.state.ReservedCapacity;
 
 /** Requests with a due time, where they are switched on. */
-final class RequestPart {
+final class ReservationFeature {
   private static final double SHARE = 0.2;
   private static final double WARN_S = 24 * 3600;
   private static final double MOST_WARN_S = 366 * 24 * 3600;
 
-  private final AgreedBase base;
+  private final ReplicatedFeatureContext base;
   private final ReservedCapacity rooms;
   private final ReservationManager keeper;
   private final double share;
@@ -30,14 +30,14 @@
   /**
    * @throws IllegalArgumentException where its settings cannot be read
    */
-  RequestPart(AgreedBase base) {
+  ReservationFeature(ReplicatedFeatureContext base) {
     this.base = base;
     double warnS;
     try {
-      Body settings = base.settingsOf(RequestKind.NAME).only(java.util.List.of("share", "warn_s"));
+      RecordFields settings = base.settingsOf(RequestKind.NAME).only(java.util.List.of("share", "warn_s"));
       share = settings.has("share") ? settings.amount("share", 0, 1) : SHARE;
       warnS = settings.has("warn_s") ? settings.amount("warn_s", 0, MOST_WARN_S) : WARN_S;
-    } catch (Unreadable e) {
+    } catch (MalformedRecordException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
     ReplicatedRecordIndex<Request, RequestCommand> book =
--- a/src/main/java/org/quincecross/api/InTime.java
+++ b/src/main/java/org/quincecross/api/ResponseDeadline.java
@@ -12,7 +12,7 @@
  * request that is held back costs its user the whole wait, and one that is refused in time is soon
  * tried again. What the request had set going may still happen; its repetition finds it done.
  */
-final class InTime {
+final class ResponseDeadline {
   private static final class Open implements Consumer<HttpResponse> {
     private final MonotonicTime until;
     private Consumer<HttpResponse> reply;
@@ -39,7 +39,7 @@
   private boolean armed;
 
   /** What is not answered {@code within} this long is answered with {@code otherwise}. */
-  InTime(Timers timers, TimeSpan within, HttpResponse otherwise) {
+  ResponseDeadline(Timers timers, TimeSpan within, HttpResponse otherwise) {
     this.timers = timers;
     this.within = within;
     this.otherwise = otherwise;
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -15,7 +15,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
-import org.quincecross.sched.Turns;
+import org.quincecross.scheduling.RoundRobinQueue;
 import org.quincecross.state.StateWatcher;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.StoreKeys;
@@ -36,7 +36,7 @@
  * at once. An answer that is long in coming holds up nobody but those that it is about, and they
  * are answered as soon as the records have their jobs
  * (docs/incidents/an-answer-that-holds-up-others.md). Whatever this comes to together, {@link
- * InTime} answers before the user stops waiting; what has not been written by then is not written
+ * ResponseDeadline} answers before the user stops waiting; what has not been written by then is not written
  * any more.
  */
 final class Submissions {
@@ -109,7 +109,7 @@
   private final int mostValue;
 
   /** By team: a swarm of jobs of one has its own jobs wait. */
-  private final Turns<String, Pending> waiting = new Turns<>();
+  private final RoundRobinQueue<String, Pending> waiting = new RoundRobinQueue<>();
 
   private final Predicate<JobId> isKnown;
 
--- a/src/main/java/org/quincecross/api/Arrivals.java
+++ b/src/main/java/org/quincecross/api/UnassignedMachines.java
@@ -26,7 +26,7 @@
  * (docs/incidents/a-gone-machines-first-report.md). Only a leader that has led since there was no
  * block knows all that are gone and asks nobody without a token.
  */
-final class Arrivals {
+final class UnassignedMachines {
   private static final TimeSpan ASK_TIMEOUT = TimeSpan.ofSeconds(1.5);
   private static final TimeSpan ASK_AGAIN = TimeSpan.ofSeconds(1);
 
@@ -39,7 +39,7 @@
   private final Map<MachineId, MonotonicTime> askAfter = new HashMap<>();
   private final Map<MachineId, MonotonicTime> there = new HashMap<>();
 
-  Arrivals(Timers timers, HttpCaller http, Leader leader) {
+  UnassignedMachines(Timers timers, HttpCaller http, Leader leader) {
     this.timers = timers;
     this.http = http;
     this.leader = leader;
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -22,7 +22,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Team;
 import org.quincecross.net.Timers;
-import org.quincecross.silence.Aloneness;
+import org.quincecross.failuredetection.IsolationDetector;
 import org.quincecross.state.StateWatcher;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.StoreKeys;
@@ -66,13 +66,13 @@
   private final Settings settings;
   private final ToIntFunction<JobId> running;
   private final LongSupplier clockMs;
-  private final InTime polls;
-  private final InTime changes;
+  private final ResponseDeadline polls;
+  private final ResponseDeadline changes;
   private final Submissions submissions;
-  private final AfterParts afterParts;
+  private final DependencyWriter afterParts;
   private final Cancellations cancellations;
   private final BooleanSupplier memoryIsShort;
-  private final Refusals refusals;
+  private final LoadShedder refusals;
 
   /**
    * Who waits for the same cancellation to be written. In a wave that is larger than the budget for
@@ -94,7 +94,7 @@
       Cancellations cancellations,
       Supplier<Incarnation> life,
       BooleanSupplier memoryIsShort,
-      Supplier<Aloneness.State> aloneness) {
+      Supplier<IsolationDetector.State> aloneness) {
     this.timers = timers;
     this.ledger = ledger;
     this.follower = follower;
@@ -104,10 +104,10 @@
     this.clockMs = clockMs;
     this.cancellations = cancellations;
     this.memoryIsShort = memoryIsShort;
-    this.refusals = new Refusals(timers, aloneness, this::isCutOff);
-    this.polls = new InTime(timers, POLL_ANSWERED, later("the state service cannot be reached"));
+    this.refusals = new LoadShedder(timers, aloneness, this::isCutOff);
+    this.polls = new ResponseDeadline(timers, POLL_ANSWERED, later("the state service cannot be reached"));
     this.changes =
-        new InTime(timers, Submissions.ANSWERED, later("not confirmed in time, ask again"));
+        new ResponseDeadline(timers, Submissions.ANSWERED, later("not confirmed in time, ask again"));
     this.submissions =
         new Submissions(
             timers,
@@ -117,7 +117,7 @@
             life,
             settings.storeLimits(),
             id -> ledger.job(id) != null);
-    this.afterParts = new AfterParts(client, ledger, settings.storeLimits().maxMutationsPerTransaction());
+    this.afterParts = new DependencyWriter(client, ledger, settings.storeLimits().maxMutationsPerTransaction());
   }
 
   /** Answers a request below {@link JobCodec#JOBS}. */
--- a/src/main/java/org/quincecross/cli/AgreedCommand.java
+++ b/src/main/java/org/quincecross/cli/AgreedCommand.java
@@ -7,7 +7,7 @@
 import java.util.UUID;
 import java.util.concurrent.Callable;
 import org.quincecross.admin.AgreedApi;
-import org.quincecross.agreed.RecordId;
+import org.quincecross.replicated.RecordId;
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
--- a/src/main/java/org/quincecross/silence/Aloneness.java
+++ b/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import java.util.Collection;
 import org.quincecross.model.TimeSpan;
@@ -16,7 +16,7 @@
  * writes. That a controller's own machines go on reporting for long and show none says that nobody
  * does: its membership ended seconds after the loss, and its blocks would be with others.
  */
-public final class Aloneness {
+public final class IsolationDetector {
   /**
    * Without word for so long a controller asks whose silence it is; others' word that is older says
    * nothing.
@@ -119,7 +119,7 @@
    * @param first whether this controller stays in where nothing at all tells whose silence it is:
    *     one of all does
    */
-  public Aloneness(boolean first, MonotonicTime now) {
+  public IsolationDetector(boolean first, MonotonicTime now) {
     this.first = first;
     this.since = now;
     this.confirmed = now;
--- a/src/main/java/org/quincecross/silence/LinkWatch.java
+++ b/src/main/java/org/quincecross/failuredetection/LinkMonitor.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
@@ -11,7 +11,7 @@
  * another minute after the other side is back, and nothing says so
  * (docs/incidents/blind-after-silence.md). A new connection is heard at once.
  */
-public final class LinkWatch {
+public final class LinkMonitor {
   /**
    * Reports go out twice a second, and each is answered by the receipt in the next one that comes
    * back.
--- a/src/main/java/org/quincecross/silence/Deafness.java
+++ b/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
@@ -14,7 +14,7 @@
  * (docs/incidents/deaf-machines.md). Nothing here proves that anything is gone: what is bound to
  * the machine is freed by its sessions and leases, as ever. This says only whether to give it more.
  */
-public final class Deafness {
+public final class OneWayPartitionDetector {
   /** A worker waits so long for the answer to a report. */
   static final TimeSpan GIVES_UP = TimeSpan.ofSeconds(4);
 
@@ -60,7 +60,7 @@
   /**
    * @param now until now nothing speaks against the machine
    */
-  public Deafness(MonotonicTime now) {
+  public OneWayPartitionDetector(MonotonicTime now) {
     heardAt = now;
   }
 
--- a/src/main/java/org/quincecross/silence/Stillness.java
+++ b/src/main/java/org/quincecross/failuredetection/PauseDetector.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
@@ -13,7 +13,7 @@
  * service has confirmed the records once. It is not waited for that for ever: in an outage of the
  * state service the rules by what was last confirmed hold, as for any controller.
  */
-public final class Stillness {
+public final class PauseDetector {
   /**
    * Something happens in a controller several times a second; a turn that comes so late was not
    * merely busy.
@@ -32,7 +32,7 @@
   private MonotonicTime last;
   private MonotonicTime wokeAt;
 
-  public Stillness(MonotonicTime now) {
+  public PauseDetector(MonotonicTime now) {
     last = now;
   }
 
--- a/src/main/java/org/quincecross/silence/Hearing.java
+++ b/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -16,7 +16,7 @@
  * as long as the cut lasts (docs/incidents/inc-6ced.md). Kept by the leader alone: the next one
  * finds out anew.
  */
-public final class Hearing {
+public final class ReachabilityMap {
   /** The pause before the first trial; each that fails doubles it. */
   static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(12);
 
--- a/src/main/java/org/quincecross/silence/Moves.java
+++ b/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
  * time it arrives at another one would put off, for all the other machines of the block, the moment
  * at which all is settled. Kept by the leader alone.
  */
-public final class Moves {
+public final class ShardMovePolicy {
   /**
    * The pause after the first move; each further one doubles it, until the machine has obeyed a
    * holder.
--- a/src/main/java/org/quincecross/silence/Freshness.java
+++ b/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
@@ -32,7 +32,7 @@
  * has a new token, only answers are believed of a machine that has begun anew: what its former life
  * said may still come, with larger counts.
  */
-public final class Freshness {
+public final class StaleHeartbeatFilter {
   /** Workers drop an answer after this time. */
   static final TimeSpan ANSWER_DROPPED = TimeSpan.ofSeconds(4);
 
--- a/src/main/java/org/quincecross/silence/StartPermission.java
+++ b/src/main/java/org/quincecross/failuredetection/StartPermission.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -14,7 +14,7 @@
  * Whether a holder may start what is allocated to it: whether nobody can have been told yet of a
  * cancellation that it has not noted.
  *
- * <p><b>Rule.</b> It may within D - M ({@link UnconfirmedBound#starts}) of its last word from the
+ * <p><b>Rule.</b> It may within D - M ({@link UnconfirmedOwnershipBound#starts}) of its last word from the
  * state service, and as well while each other controller that the settings name has shown, in a
  * report that was made within the last D - M, a revision of the records no later than the holder's
  * own. When a report came proves nothing, packets may be held back for minutes. But one with a
@@ -27,7 +27,7 @@
  *
  * <ul>
  *   <li>The life that made the report had not seen x when it made it, for revisions never fall in a
- *       life. So it saw x first after s, and tells it by rule 3 of {@link UnconfirmedBound} after s
+ *       life. So it saw x first after s, and tells it by rule 3 of {@link UnconfirmedOwnershipBound} after s
  *       + D &ge; now + M: the start has left before.
  *   <li>A later life reads the records when it begins, after s, and waits for D from then.
  *   <li>A former life cannot have told it: what is told is durable, and the life that made the
--- a/src/main/java/org/quincecross/silence/UnconfirmedBound.java
+++ b/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import org.quincecross.model.TimeSpan;
 
@@ -53,7 +53,7 @@
  * @param toldAfter D: how long after it was seen first a cancellation may be told in any case
  * @param notingSuffices whether it may be told sooner, once all holders have noted it
  */
-public record UnconfirmedBound(TimeSpan unconfirmed, TimeSpan toldAfter, boolean notingSuffices) {
+public record UnconfirmedOwnershipBound(TimeSpan unconfirmed, TimeSpan toldAfter, boolean notingSuffices) {
   private static final double LEAST_TOLD_AFTER_S = 8;
   private static final double LONGEST_TOLD_AFTER_S = 45;
   private static final double LEAST_UNCONFIRMED_S = 5;
@@ -79,7 +79,7 @@
    *
    * @throws IllegalArgumentException where {@link #isPossible} says no
    */
-  public static UnconfirmedBound of(TimeSpan lease, TimeSpan cancel) {
+  public static UnconfirmedOwnershipBound of(TimeSpan lease, TimeSpan cancel) {
     if (!isPossible(lease, cancel)) {
       throw new IllegalArgumentException(
           "no bound for a lease of " + lease + " and a cancellation within " + cancel);
@@ -87,7 +87,7 @@
     double toldAfter = toldAfterS(lease.seconds(), cancel.seconds());
     double margin = marginS(cancel.seconds(), toldAfter);
     double unconfirmed = cancel.seconds() + toldAfter - lease.seconds() * LEASE_FACTOR - margin;
-    return new UnconfirmedBound(
+    return new UnconfirmedOwnershipBound(
         TimeSpan.ofSeconds(unconfirmed),
         TimeSpan.ofSeconds(toldAfter),
         HELD_UP_S + lease.seconds() * LEASE_FACTOR + margin <= cancel.seconds());
--- a/src/main/java/org/quincecross/silence/package-info.java
+++ b/src/main/java/org/quincecross/failuredetection/package-info.java
@@ -1,2 +1,2 @@
 /** Failure detection: whose silence it is, and what may be decided meanwhile. Pure. */
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
--- a/src/main/java/org/quincecross/holds/ClaimKind.java
+++ b/src/main/java/org/quincecross/holds/ClaimKind.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Body;
-import org.quincecross.agreed.Kind;
-import org.quincecross.agreed.Step;
-import org.quincecross.agreed.TrailEntry;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.Transition;
+import org.quincecross.replicated.AuditEvent;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
 
@@ -18,7 +18,7 @@
  * otherwise later: the job is cancelled and submitted anew in its place, for a task may have gone
  * by what was told.
  */
-public final class ClaimKind implements Kind<List<Claim>, List<Claim>> {
+public final class ClaimKind implements RecordKind<List<Claim>, List<Claim>> {
   public static final String NAME = "claims";
 
   /** The most tasks that a job can have. */
@@ -49,19 +49,19 @@
   }
 
   @Override
-  public Step<List<Claim>> step(List<Claim> claims, List<Claim> told, At at) {
+  public Transition<List<Claim>> step(List<Claim> claims, List<Claim> told, CommandOrigin at) {
     if (claims.equals(told)) {
-      return new Step.Same<>("told already");
+      return new Transition.Same<>("told already");
     }
     if (!claims.isEmpty()) {
-      return new Step.Refused<>(
+      return new Transition.Refused<>(
           409,
           "told otherwise already: tasks may have run by it; cancel the job and submit it under a new id");
     }
     Map<String, Object> details = new LinkedHashMap<>();
     details.put("claims", told.size());
     details.put("tasks", told.stream().mapToInt(each -> each.tasks().size()).sum());
-    return new Step.Changed<>(told, List.of(new TrailEntry("told", details)));
+    return new Transition.Changed<>(told, List.of(new AuditEvent("told", details)));
   }
 
   /** The job whose page this is, or null. */
@@ -70,13 +70,13 @@
     return JobId.parse(dot < 0 ? id : id.substring(0, dot));
   }
 
-  private static List<Claim> claims(Body in) throws Unreadable {
+  private static List<Claim> claims(RecordFields in) throws MalformedRecordException {
     List<Claim> claims = new ArrayList<>();
-    for (Body each : in.bodies("claims")) {
+    for (RecordFields each : in.bodies("claims")) {
       each.only(List.of("tasks", "records"));
       TaskSet tasks = TaskSet.parse(each.text("tasks"), MOST_TASKS);
       if (tasks == null || tasks.isEmpty()) {
-        throw new Unreadable(
+        throw new MalformedRecordException(
             "field tasks of a claim: '"
                 + each.text("tasks")
                 + "' is not like 0-15,17, all below "
@@ -88,19 +88,19 @@
   }
 
   @Override
-  public List<Claim> read(Map<String, Object> value) throws Unreadable {
-    return claims(Body.of(value, "a page of claims"));
+  public List<Claim> read(Map<String, Object> value) throws MalformedRecordException {
+    return claims(RecordFields.of(value, "a page of claims"));
   }
 
   @Override
-  public List<Claim> command(Map<String, Object> body) throws Unreadable {
-    Body in = Body.of(body, "the command").only(List.of("claims"));
+  public List<Claim> command(Map<String, Object> body) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(body, "the command").only(List.of("claims"));
     List<Claim> claims = claims(in);
     if (claims.isEmpty()) {
-      throw new Unreadable("field claims is empty");
+      throw new MalformedRecordException("field claims is empty");
     }
     if (claims.stream().mapToInt(ClaimKind::length).sum() > MOST_PAGE) {
-      throw new Unreadable(
+      throw new MalformedRecordException(
           "field claims is longer than "
               + MOST_PAGE
               + " characters: tell the rest as another page");
@@ -130,7 +130,7 @@
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, List<Claim> claims, At at) {
+  public List<Map<String, Object>> rows(String id, List<Claim> claims, CommandOrigin at) {
     List<Map<String, Object>> rows = new ArrayList<>();
     for (Claim claim : claims) {
       Map<String, Object> row = new LinkedHashMap<>();
--- a/src/main/java/org/quincecross/holds/Hold.java
+++ b/src/main/java/org/quincecross/holds/Hold.java
@@ -1,7 +1,7 @@
 package org.quincecross.holds;
 
 import java.util.List;
-import org.quincecross.agreed.At;
+import org.quincecross.replicated.CommandOrigin;
 
 /**
  * A hold under the reference of a magistrate's request.
@@ -56,12 +56,12 @@
   }
 
   /** Whether it may be in force by a clock: the bound of the clocks counts against the sweep. */
-  public boolean isDue(At at) {
+  public boolean isDue(CommandOrigin at) {
     return state == State.FUTURE && at.latestMs() >= fromMs;
   }
 
   /** Whether its review date may have passed. */
-  public boolean isToBeReviewed(At at) {
+  public boolean isToBeReviewed(CommandOrigin at) {
     return isOpen() && reviewMs > 0 && at.latestMs() >= reviewMs;
   }
 
--- a/src/main/java/org/quincecross/holds/HoldKind.java
+++ b/src/main/java/org/quincecross/holds/HoldKind.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Body;
-import org.quincecross.agreed.Kind;
-import org.quincecross.agreed.Step;
-import org.quincecross.agreed.TrailEntry;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.Transition;
+import org.quincecross.replicated.AuditEvent;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.holds.Hold.State;
 
 /** Holds as agreed records; a hold's name is its reference. */
-public final class HoldKind implements Kind<Hold, HoldCommand> {
+public final class HoldKind implements RecordKind<Hold, HoldCommand> {
   public static final String NAME = "holds";
 
   /** So many characters of records fit beside the trail. */
@@ -45,7 +45,7 @@
   // ---- the step ----
 
   @Override
-  public Step<Hold> step(Hold hold, HoldCommand command, At at) {
+  public Transition<Hold> step(Hold hold, HoldCommand command, CommandOrigin at) {
     if (command instanceof HoldCommand.Open open) {
       return open(hold, open, at);
     }
@@ -57,14 +57,14 @@
     }
     if (command instanceof HoldCommand.Due due) {
       return due.opening() != hold.opening() || !hold.isDue(at)
-          ? new Step.Same<>("not due")
+          ? new Transition.Same<>("not due")
           : changed(hold.enter(State.PINNING, hold.by()), "due", "opening", due.opening());
     }
     if (command instanceof HoldCommand.Pinned pinned) {
       return pinned.opening() != hold.opening()
               || pinned.scope() != hold.scope()
               || hold.state() != State.PINNING
-          ? new Step.Same<>("nothing to be pinned")
+          ? new Transition.Same<>("nothing to be pinned")
           : changed(
               hold.enter(State.PINNED, hold.by()).proven(pinned.revision(), pinned.what()),
               "pinned",
@@ -79,7 +79,7 @@
       return widened.opening() != hold.opening()
               || widened.scope() != hold.scope()
               || hold.state() != State.PINNED
-          ? new Step.Same<>("not pinned")
+          ? new Transition.Same<>("not pinned")
           : changed(
               hold.enter(State.PINNING, hold.by()).widened(),
               "widened",
@@ -90,7 +90,7 @@
     }
     HoldCommand.Note note = (HoldCommand.Note) command;
     return note.opening() != hold.opening() || note.number() != hold.notes() || !hold.isInForce()
-        ? new Step.Same<>("noted before")
+        ? new Transition.Same<>("noted before")
         : changed(
             hold.noted(note.what()),
             note.event(),
@@ -100,17 +100,17 @@
             note.tasks());
   }
 
-  private static Step<Hold> changed(Hold next, String event, Object... details) {
+  private static Transition<Hold> changed(Hold next, String event, Object... details) {
     Map<String, Object> map = new LinkedHashMap<>();
     for (int i = 0; i < details.length; i += 2) {
       map.put((String) details[i], details[i + 1]);
     }
-    return new Step.Changed<>(next, List.of(new TrailEntry(event, map)));
+    return new Transition.Changed<>(next, List.of(new AuditEvent(event, map)));
   }
 
-  private static Step<Hold> open(Hold hold, HoldCommand.Open open, At at) {
+  private static Transition<Hold> open(Hold hold, HoldCommand.Open open, CommandOrigin at) {
     if (at.by().isBlank()) {
-      return new Step.Refused<>(400, "who asks for the hold is to be named (by)");
+      return new Transition.Refused<>(400, "who asks for the hold is to be named (by)");
     }
     if (hold.isOpen()) {
       boolean same =
@@ -118,8 +118,8 @@
               && hold.reviewMs() == open.reviewMs()
               && (hold.fromMs() == open.fromMs() || (hold.isInForce() && open.fromMs() == 0));
       return same
-          ? new Step.Same<>("open already, opening " + hold.opening())
-          : new Step.Refused<>(
+          ? new Transition.Same<>("open already, opening " + hold.opening())
+          : new Transition.Refused<>(
               409,
               "open already, opening "
                   + hold.opening()
@@ -151,19 +151,19 @@
         open.reviewMs());
   }
 
-  private static Step<Hold> close(Hold hold, HoldCommand.Close close, At at) {
+  private static Transition<Hold> close(Hold hold, HoldCommand.Close close, CommandOrigin at) {
     if (hold.state() == State.NONE) {
-      return new Step.Refused<>(404, "there is no such hold");
+      return new Transition.Refused<>(404, "there is no such hold");
     }
     if (at.by().isBlank()) {
-      return new Step.Refused<>(400, "who asks for the closing is to be named (by)");
+      return new Transition.Refused<>(400, "who asks for the closing is to be named (by)");
     }
     if (close.opening() > hold.opening()) {
-      return new Step.Refused<>(
+      return new Transition.Refused<>(
           409, "there is no opening " + close.opening() + " yet; the last is " + hold.opening());
     }
     if (close.opening() < hold.opening() || hold.state() == State.CLOSED) {
-      return new Step.Same<>(
+      return new Transition.Same<>(
           "opening "
               + close.opening()
               + " is closed already"
@@ -180,15 +180,15 @@
         hold.state().name());
   }
 
-  private static Step<Hold> review(Hold hold, HoldCommand.Review review, At at) {
+  private static Transition<Hold> review(Hold hold, HoldCommand.Review review, CommandOrigin at) {
     if (!hold.isOpen() || review.opening() != hold.opening()) {
-      return new Step.Refused<>(409, "opening " + review.opening() + " is not open");
+      return new Transition.Refused<>(409, "opening " + review.opening() + " is not open");
     }
     if (at.by().isBlank()) {
-      return new Step.Refused<>(400, "who sets the review date is to be named (by)");
+      return new Transition.Refused<>(400, "who sets the review date is to be named (by)");
     }
     return review.reviewMs() == hold.reviewMs()
-        ? new Step.Same<>("so already")
+        ? new Transition.Same<>("so already")
         : changed(
             hold.reviewedAt(review.reviewMs()),
             "review",
@@ -206,17 +206,17 @@
     return texts;
   }
 
-  static List<Records> records(Body in, String name) throws Unreadable {
+  static List<Records> records(RecordFields in, String name) throws MalformedRecordException {
     List<Records> records = new ArrayList<>();
     for (String text : in.texts(name)) {
       try {
         records.add(Records.parse(text));
       } catch (IllegalArgumentException e) {
-        throw new Unreadable("field " + name + ": " + e.getMessage());
+        throw new MalformedRecordException("field " + name + ": " + e.getMessage());
       }
     }
     if (records.isEmpty()) {
-      throw new Unreadable("field " + name + " names no records");
+      throw new MalformedRecordException("field " + name + " names no records");
     }
     return List.copyOf(records);
   }
@@ -238,8 +238,8 @@
   }
 
   @Override
-  public Hold read(Map<String, Object> value) throws Unreadable {
-    Body in = Body.of(value, "a hold");
+  public Hold read(Map<String, Object> value) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(value, "a hold");
     State state = in.word("state", State.class);
     return new Hold(
         state,
@@ -256,15 +256,15 @@
 
   /** Operators open, close and set review dates; what controllers find is nobody else's to say. */
   @Override
-  public HoldCommand command(Map<String, Object> body) throws Unreadable {
-    Body in = Body.of(body, "the command");
+  public HoldCommand command(Map<String, Object> body) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(body, "the command");
     String what = in.text("do").toLowerCase(Locale.ROOT);
     switch (what) {
       case "open" -> {
         in.only(List.of("do", "records", "from_ms", "review_ms"));
         List<Records> records = records(in, "records");
         if (records.stream().mapToInt(each -> each.toString().length() + 3).sum() > MOST_RECORDS) {
-          throw new Unreadable(
+          throw new MalformedRecordException(
               "field records is longer than "
                   + MOST_RECORDS
                   + " characters: open a second hold for the rest");
@@ -283,12 +283,12 @@
         return new HoldCommand.Review(
             (int) in.integer("opening", 1, Integer.MAX_VALUE), in.integer("review_ms", 0, LAST_MS));
       }
-      default -> throw new Unreadable("field do of the command is not one of open, close, review");
+      default -> throw new MalformedRecordException("field do of the command is not one of open, close, review");
     }
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, Hold hold, At at) {
+  public List<Map<String, Object>> rows(String id, Hold hold, CommandOrigin at) {
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("reference", id);
     row.put("state", hold.state().name());
--- a/src/main/java/org/quincecross/holds/SweepKind.java
+++ b/src/main/java/org/quincecross/holds/SweepKind.java
@@ -4,18 +4,18 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Body;
-import org.quincecross.agreed.Kind;
-import org.quincecross.agreed.Step;
-import org.quincecross.agreed.TrailEntry;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.Transition;
+import org.quincecross.replicated.AuditEvent;
+import org.quincecross.replicated.MalformedRecordException;
 
 /**
  * Which lanes are sweeps, as agreed records named by the lane: the series that their jobs may
  * touch, {@code *} for any; none: no sweeps.
  */
-public final class SweepKind implements Kind<List<Records>, List<Records>> {
+public final class SweepKind implements RecordKind<List<Records>, List<Records>> {
   public static final String NAME = "sweeps";
 
   @Override
@@ -39,17 +39,17 @@
   }
 
   @Override
-  public Step<List<Records>> step(List<Records> series, List<Records> next, At at) {
+  public Transition<List<Records>> step(List<Records> series, List<Records> next, CommandOrigin at) {
     if (at.by().isBlank()) {
-      return new Step.Refused<>(400, "who says so is to be named (by)");
+      return new Transition.Refused<>(400, "who says so is to be named (by)");
     }
     if (series.equals(next)) {
-      return new Step.Same<>("so already");
+      return new Transition.Same<>("so already");
     }
     Map<String, Object> details = new LinkedHashMap<>();
     details.put("series", texts(next));
-    return new Step.Changed<>(
-        next, List.of(new TrailEntry(next.isEmpty() ? "no sweeps" : "sweeps", details)));
+    return new Transition.Changed<>(
+        next, List.of(new AuditEvent(next.isEmpty() ? "no sweeps" : "sweeps", details)));
   }
 
   private static List<Object> texts(List<Records> series) {
@@ -58,17 +58,17 @@
     return texts;
   }
 
-  private static List<Records> series(Body in) throws Unreadable {
+  private static List<Records> series(RecordFields in) throws MalformedRecordException {
     List<Records> series = new ArrayList<>();
     for (String text : in.texts("series")) {
       Records one;
       try {
         one = text.equals(Records.ANY.series()) ? Records.ANY : Records.parse(text);
       } catch (IllegalArgumentException e) {
-        throw new Unreadable("field series: " + e.getMessage());
+        throw new MalformedRecordException("field series: " + e.getMessage());
       }
       if (one.isPeriod() || one.isKey()) {
-        throw new Unreadable("field series: " + text + " is not a whole series");
+        throw new MalformedRecordException("field series: " + text + " is not a whole series");
       }
       series.add(one);
     }
@@ -76,15 +76,15 @@
   }
 
   @Override
-  public List<Records> read(Map<String, Object> value) throws Unreadable {
-    return series(Body.of(value, "a lane of sweeps"));
+  public List<Records> read(Map<String, Object> value) throws MalformedRecordException {
+    return series(RecordFields.of(value, "a lane of sweeps"));
   }
 
   @Override
-  public List<Records> command(Map<String, Object> body) throws Unreadable {
-    Body in = Body.of(body, "the command").only(List.of("series"));
+  public List<Records> command(Map<String, Object> body) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(body, "the command").only(List.of("series"));
     if (!in.has("series")) {
-      throw new Unreadable(
+      throw new MalformedRecordException(
           "field series of the command is missing; [] says that the lane has no sweeps");
     }
     return series(in);
@@ -98,7 +98,7 @@
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, List<Records> series, At at) {
+  public List<Map<String, Object>> rows(String id, List<Records> series, CommandOrigin at) {
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("lane", id);
     row.put("series", String.join(" ", series.stream().map(Records::series).toList()));
--- a/src/main/java/org/quincecross/leader/AdmissionExtensions.java
+++ b/src/main/java/org/quincecross/leader/AdmissionExtensions.java
@@ -7,10 +7,10 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Team;
-import org.quincecross.peer.PeerReport;
-import org.quincecross.sched.Admission;
-import org.quincecross.sched.JobDemand;
-import org.quincecross.sched.Reserve;
+import org.quincecross.peer.PeerHeartbeat;
+import org.quincecross.scheduling.Admission;
+import org.quincecross.scheduling.JobDemand;
+import org.quincecross.scheduling.Headroom;
 
 /**
  * The parts that have a say in what a leader allocates, where they are switched on; without them a
@@ -44,7 +44,7 @@
 
   /** Admits what can be admitted; returns what machines are to be rented for. */
   List<Admission.Unmet> admit(
-      List<Admission.Block> blocks, Map<ShardId, List<Reserve>> reserves, List<JobDemand> waiting) {
+      List<Admission.Block> blocks, Map<ShardId, List<Headroom>> reserves, List<JobDemand> waiting) {
     List<Admission.Unmet> unmet =
         models == null
             ? new Admission(blocks, teams.get(), teamUse.get(), reserves).run(waiting)
@@ -53,7 +53,7 @@
   }
 
   /** What a machine looks like to who returns machines. */
-  PeerReport.MachineState seenByFleet(PeerReport.MachineState state) {
+  PeerHeartbeat.MachineState seenByFleet(PeerHeartbeat.MachineState state) {
     return models == null ? state : models.seenByFleet(state);
   }
 
--- a/src/main/java/org/quincecross/leader/AllocationIndex.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
@@ -42,7 +42,7 @@
   record Account(Job job, TaskSet done, TaskSet out, TaskSet pool, Map<String, Integer> perZone) {}
 
   private final ClusterStateCache ledger;
-  private final Withheld withheld;
+  private final StartBlock withheld;
   private final Map<ShardId, Map<JobId, TaskSet>> allocated = new HashMap<>();
   private final Map<JobId, Map<ShardId, TaskSet>> where = new HashMap<>();
   private final Map<JobId, Account> accounts = new HashMap<>();
@@ -64,13 +64,13 @@
   }
 
   AllocationIndex(ClusterStateCache ledger) {
-    this(ledger, Withheld.NONE);
+    this(ledger, StartBlock.NONE);
   }
 
   /**
    * @param withheld tasks that are in no pool, for they may not run now
    */
-  AllocationIndex(ClusterStateCache ledger, Withheld withheld) {
+  AllocationIndex(ClusterStateCache ledger, StartBlock withheld) {
     this.ledger = ledger;
     this.withheld = withheld;
   }
--- a/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
+++ b/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
@@ -3,10 +3,10 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.quincecross.agreed.Kept;
-import org.quincecross.agreed.RecordId;
-import org.quincecross.agreed.TrailLine;
-import org.quincecross.agreed.TrailPage;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.AuditEntry;
+import org.quincecross.replicated.AuditPage;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.ReplicatedRecordIndex;
@@ -62,9 +62,9 @@
   // Whether the page was replaced by a longer one or by the next: the instance tells.
   @SuppressWarnings("ReferenceEquality")
   private <S> void move(TransactionBuilder plan, ReplicatedRecordIndex<S, ?> book) {
-    TrailPage page = book.lastPage();
+    AuditPage page = book.lastPage();
     int number = Math.max(1, book.lastPageNumber());
-    TrailPage next = page;
+    AuditPage next = page;
     for (RecordId id : List.copyOf(toLookAt)) {
       if (!id.kind().equals(book.kind().name())) {
         continue;
@@ -78,11 +78,11 @@
         break; // what is moved changes, and is looked at again then; what has no room now stays
         // here
       }
-      List<TrailLine> lines = held.kept().lines(held.version());
+      List<AuditEntry> lines = held.kept().lines(held.version());
       int fit = fitting(next, lines, plan);
       if (fit == 0 && next == page) {
         number++; // the page is full: the next one begins
-        next = TrailPage.EMPTY;
+        next = AuditPage.EMPTY;
         fit = fitting(next, lines, plan);
       }
       if (fit == 0) {
@@ -103,7 +103,7 @@
   }
 
   /** How many of the first lines fit a page beside what it has. */
-  private static int fitting(TrailPage page, List<TrailLine> lines, TransactionBuilder plan) {
+  private static int fitting(AuditPage page, List<AuditEntry> lines, TransactionBuilder plan) {
     int fit = lines.size();
     while (fit > 0
         && Json.write(page.with(lines.subList(0, fit)).write()).length > plan.mostValue()) {
@@ -112,7 +112,7 @@
     return fit;
   }
 
-  private static <S> boolean isLong(ReplicatedRecordIndex<S, ?> book, Kept<S> kept, TransactionBuilder plan) {
+  private static <S> boolean isLong(ReplicatedRecordIndex<S, ?> book, ReplicatedRecord<S> kept, TransactionBuilder plan) {
     return kept.trail().size() >= MOST_LINES
         || (!kept.trail().isEmpty()
             && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue());
--- a/src/main/java/org/quincecross/leader/Autoscaler.java
+++ b/src/main/java/org/quincecross/leader/Autoscaler.java
@@ -20,9 +20,9 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.PeerReport;
-import org.quincecross.sched.Admission;
-import org.quincecross.sched.Reserve;
+import org.quincecross.peer.PeerHeartbeat;
+import org.quincecross.scheduling.Admission;
+import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.DemandForecast;
 import org.quincecross.state.ClusterStateCache;
@@ -66,7 +66,7 @@
   private static final int MOST_RETURNED_AT_ONCE = 50;
 
   /** What the holders say of their machines, and which machines report to the wrong controller. */
-  public record View(Map<MachineId, PeerReport.MachineState> machines, Set<MachineId> strays) {}
+  public record View(Map<MachineId, PeerHeartbeat.MachineState> machines, Set<MachineId> strays) {}
 
   private record Booting(MachineKind kind, MonotonicTime since) {}
 
@@ -317,8 +317,8 @@
     markIdle(current, calm, now);
     List<MachineId> silent = new ArrayList<>();
     boolean cutOff = isCutOff(current);
-    for (Map.Entry<MachineId, PeerReport.MachineState> entry : current.machines().entrySet()) {
-      PeerReport.MachineState state = entry.getValue();
+    for (Map.Entry<MachineId, PeerHeartbeat.MachineState> entry : current.machines().entrySet()) {
+      PeerHeartbeat.MachineState state = entry.getValue();
       if (state.sick()) {
         want(entry.getKey());
       }
@@ -351,7 +351,7 @@
     // back. Returning them
     // is the proof, and without it the work of their blocks would wait for them for ever.
     for (MachineId machine : unlisted) {
-      PeerReport.MachineState state = current.machines().get(machine);
+      PeerHeartbeat.MachineState state = current.machines().get(machine);
       if (state != null
           && state.silent().isLongerThan(spotPatience())
           && !current.strays().contains(machine)) {
@@ -415,7 +415,7 @@
   /** Marks machines that have had nothing to do for a while, as long as nothing waits for room. */
   private void markIdle(View current, boolean calm, MonotonicTime now) {
     idleSince.keySet().retainAll(current.machines().keySet());
-    for (Map.Entry<MachineId, PeerReport.MachineState> entry : current.machines().entrySet()) {
+    for (Map.Entry<MachineId, PeerHeartbeat.MachineState> entry : current.machines().entrySet()) {
       if (!entry.getValue().fenced()
           || entry.getValue().tasks() > 0
           || entry.getValue().queued() > 0) {
@@ -461,16 +461,16 @@
     private final Map<Sort, Integer> whole = new HashMap<>();
     private final Map<String, Integer> slots = new HashMap<>();
     private final Map<String, Resources> free = new HashMap<>();
-    private final Map<Sort, List<Reserve>> large = new HashMap<>();
+    private final Map<Sort, List<Headroom>> large = new HashMap<>();
 
     Room(View view) {
       for (ShardLease block : ledger.blocks().values()) {
         Sort sort = new Sort(block.type(), block.spot());
-        for (Reserve reserve : foresight.of(block.id(), timers.now())) {
-          if (reserve.purpose() == Reserve.Purpose.LARGE_WORK) {
+        for (Headroom reserve : foresight.of(block.id(), timers.now())) {
+          if (reserve.purpose() == Headroom.Purpose.LARGE_WORK) {
             kept.merge(sort, reserve.machines(), Integer::sum);
             large.computeIfAbsent(sort, s -> List.of(reserve));
-          } else if (reserve.purpose() == Reserve.Purpose.REQUESTS) {
+          } else if (reserve.purpose() == Headroom.Purpose.REQUESTS) {
             promise(block.type(), reserve.total());
           }
         }
@@ -489,9 +489,9 @@
       if (!counts(machine, block)) {
         return;
       }
-      PeerReport.MachineState state = view.machines().get(machine);
+      PeerHeartbeat.MachineState state = view.machines().get(machine);
       Sort sort = new Sort(block.type(), block.spot());
-      for (Reserve reserve : large.getOrDefault(sort, List.of())) {
+      for (Headroom reserve : large.getOrDefault(sort, List.of())) {
         whole.merge(sort, reserve.each().fitsIn(state.free()) ? sign : 0, Integer::sum);
       }
       if (!block.spot()) {
@@ -500,7 +500,7 @@
       }
     }
 
-    private int slotsOf(PeerReport.MachineState state) {
+    private int slotsOf(PeerHeartbeat.MachineState state) {
       Resources each = foresight.urgentTask();
       return each.cpus() > 0 ? state.free().capacityFor(each) : operators.get().spareTasks();
     }
@@ -523,8 +523,8 @@
     boolean leavesReserve(MachineId machine, ShardLease block, View view) {
       Sort sort = new Sort(block.type(), block.spot());
       int own = 0;
-      for (Reserve reserve : large.getOrDefault(sort, List.of())) {
-        PeerReport.MachineState state = view.machines().get(machine);
+      for (Headroom reserve : large.getOrDefault(sort, List.of())) {
+        PeerHeartbeat.MachineState state = view.machines().get(machine);
         own =
             state != null && counts(machine, block) && reserve.each().fitsIn(state.free()) ? 1 : 0;
       }
@@ -559,7 +559,7 @@
     Resources each = foresight.urgentTask();
     int slots = room.slots.getOrDefault(block.type(), 0);
     Resources free = room.free.getOrDefault(block.type(), Resources.NONE);
-    PeerReport.MachineState own = current.machines().get(machine);
+    PeerHeartbeat.MachineState own = current.machines().get(machine);
     if (!block.spot() && room.counts(machine, block)) {
       slots -= room.slotsOf(own);
       free = free.minus(own.free());
@@ -579,9 +579,9 @@
     }
     consolidateAfter = now.plus(LOOK_FOR_THIN_EVERY);
     Map<MachineId, Double> thin = new HashMap<>();
-    for (Map.Entry<MachineId, PeerReport.MachineState> entry : current.machines().entrySet()) {
+    for (Map.Entry<MachineId, PeerHeartbeat.MachineState> entry : current.machines().entrySet()) {
       ShardLease block = ledger.blockOf(entry.getKey());
-      PeerReport.MachineState state = entry.getValue();
+      PeerHeartbeat.MachineState state = entry.getValue();
       if (block != null
           && state.movable()
           && state.tasks() > 0
@@ -602,7 +602,7 @@
     int most = 1 + current.machines().size() / MACHINES_PER_EMPTIED;
     Map<MachineId, Resources> taken = new HashMap<>();
     for (MachineId machine : order) {
-      PeerReport.MachineState state = current.machines().get(machine);
+      PeerHeartbeat.MachineState state = current.machines().get(machine);
       Resources used =
           ledger.types().get(ledger.blockOf(machine).type()).capacity().minus(state.free());
       if (most > 0
@@ -630,7 +630,7 @@
       Map<MachineId, Resources> taken,
       View current) {
     for (MachineId other : ledger.blockOf(machine).machines().keySet()) {
-      PeerReport.MachineState state = current.machines().get(other);
+      PeerHeartbeat.MachineState state = current.machines().get(other);
       if (!other.equals(machine)
           && state != null
           && state.open()
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
@@ -29,12 +29,12 @@
 import org.quincecross.model.Team;
 import org.quincecross.net.Timers;
 import org.quincecross.overload.Overload;
-import org.quincecross.peer.AgreedBase;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.rollout.Terms;
-import org.quincecross.sched.Admission;
-import org.quincecross.sched.Reserve;
+import org.quincecross.scheduling.Admission;
+import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.StateWatcher;
 import org.quincecross.state.DemandForecast;
@@ -156,7 +156,7 @@
       LongSupplier clockMs,
       BooleanSupplier isWaking,
       Overload overload,
-      Withheld withheld) {
+      StartBlock withheld) {
     this.timers = timers;
     this.client = client;
     this.ledger = ledger;
@@ -264,7 +264,7 @@
   }
 
   /** Has models kept, each with as many replicas as are wanted. */
-  public void keepModels(AgreedBase base, ModelIndex records) {
+  public void keepModels(ReplicatedFeatureContext base, ModelIndex records) {
     keepers.add(new ModelAutoscaler(base, records, views, books, this::teams));
   }
 
@@ -569,7 +569,7 @@
     refreshAdmissionBlocks(completed);
     keepers.look(timers.now());
     List<Admission.Block> blocks = new ArrayList<>();
-    Map<ShardId, List<Reserve>> reserves = new HashMap<>();
+    Map<ShardId, List<Headroom>> reserves = new HashMap<>();
     admissionBlocks.forEach(
         (id, block) -> {
           if (!leased.contains(id)) {
@@ -689,12 +689,12 @@
   }
 
   private Autoscaler.View fleetView() {
-    Map<MachineId, PeerReport.MachineState> states = new HashMap<>();
+    Map<MachineId, PeerHeartbeat.MachineState> states = new HashMap<>();
     Set<MachineId> strays = new HashSet<>();
     for (ShardLease block : ledger.blocks().values()) {
       PeerViews.BlockView view = fresh.of(block);
       for (MachineId machine : view == null ? Set.<MachineId>of() : block.machines().keySet()) {
-        PeerReport.MachineState state = view.machines().get(machine);
+        PeerHeartbeat.MachineState state = view.machines().get(machine);
         if (state != null) {
           states.put(machine, keepers.seenByFleet(state));
         }
--- a/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -16,7 +16,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
-import org.quincecross.peer.AgreedBase;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore.Ask;
 import org.quincecross.state.TerminationProof;
@@ -42,7 +42,7 @@
   /** What is kept back is noted again no more often than this for one hold. */
   private static final TimeSpan NOTE_EVERY = TimeSpan.ofSeconds(60);
 
-  private final AgreedBase base;
+  private final ReplicatedFeatureContext base;
   private final LegalHoldStartBlock held;
   private final BooleanSupplier leading;
   private final Set<String> open = new LinkedHashSet<>();
@@ -54,7 +54,7 @@
   /**
    * @param leading whether this controller leads
    */
-  public LegalHoldReconciler(AgreedBase base, LegalHoldStartBlock held, BooleanSupplier leading) {
+  public LegalHoldReconciler(ReplicatedFeatureContext base, LegalHoldStartBlock held, BooleanSupplier leading) {
     this.base = base;
     this.held = held;
     this.leading = leading;
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.RecordId;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.holds.Claim;
 import org.quincecross.holds.ClaimKind;
 import org.quincecross.holds.Hold;
@@ -30,7 +30,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
-import org.quincecross.peer.AgreedBase;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.ClusterStateCache;
@@ -41,7 +41,7 @@
  * is to come is in force here as soon as it may be that time by the clocks, written or not: the
  * state service may be out then.
  */
-public final class LegalHoldStartBlock implements Withheld {
+public final class LegalHoldStartBlock implements StartBlock {
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(250);
 
   /**
@@ -66,7 +66,7 @@
 
   private record Over(JobId job, List<Records> series, TaskSet tasks, MonotonicTime at) {}
 
-  private final AgreedBase base;
+  private final ReplicatedFeatureContext base;
   private final ClusterStateCache ledger;
   private final ReplicatedRecordIndex<Hold, HoldCommand> holds;
   private final ReplicatedRecordIndex<List<Claim>, List<Claim>> claims;
@@ -85,7 +85,7 @@
    * Follows the records from now on: to be made before the first of them is read, and before
    * whoever asks it follows them.
    */
-  public LegalHoldStartBlock(AgreedBase base) {
+  public LegalHoldStartBlock(ReplicatedFeatureContext base) {
     this.base = base;
     this.ledger = base.ledger();
     holds = ledger.agreed().add(new HoldKind());
@@ -97,12 +97,12 @@
   }
 
   /** Now; a clock that is set back while this process runs does not set free what it kept back. */
-  At at() {
+  CommandOrigin at() {
     MonotonicTime now = base.timers().now();
     long ran = latestAt == null ? 0 : latestMs + now.since(latestAt).millis();
     latestMs = Math.max(ran, base.clockMs().getAsLong());
     latestAt = now;
-    return new At(latestMs, base.settings().clockBound().millis(), "");
+    return new CommandOrigin(latestMs, base.settings().clockBound().millis(), "");
   }
 
   ReplicatedRecordIndex<Hold, HoldCommand> holds() {
@@ -326,7 +326,7 @@
   /** A time may have come. */
   private void look() {
     if (!future.isEmpty()) {
-      At at = at();
+      CommandOrigin at = at();
       Set<JobId> concerned = new LinkedHashSet<>();
       List.copyOf(future.keySet())
           .forEach(
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -18,11 +18,11 @@
 import org.quincecross.model.Team;
 import org.quincecross.models.Model;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.ModelFleet;
-import org.quincecross.peer.PeerReport;
-import org.quincecross.sched.Admission;
-import org.quincecross.sched.JobDemand;
-import org.quincecross.sched.Reserve;
+import org.quincecross.peer.ModelPlacementView;
+import org.quincecross.peer.PeerHeartbeat;
+import org.quincecross.scheduling.Admission;
+import org.quincecross.scheduling.JobDemand;
+import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ModelIndex;
@@ -35,7 +35,7 @@
   private final Timers timers;
   private final ClusterStateCache ledger;
   private final ModelIndex records;
-  private final ModelFleet machines;
+  private final ModelPlacementView machines;
   private final AllocationIndex books;
   private final Supplier<Map<String, Team>> teams;
   private Collection<ModelSnapshot> looks = List.of();
@@ -44,7 +44,7 @@
       Timers timers,
       ClusterStateCache ledger,
       ModelIndex records,
-      ModelFleet machines,
+      ModelPlacementView machines,
       AllocationIndex books,
       Supplier<Map<String, Team>> teams) {
     this.timers = timers;
@@ -66,7 +66,7 @@
    */
   List<Admission.Unmet> admit(
       Collection<Admission.Block> blocks,
-      Map<ShardId, List<Reserve>> reserves,
+      Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> demands) {
     Map<String, Team> limits = teams.get();
     Map<String, Resources> use = new HashMap<>(books.teamUse());
@@ -106,7 +106,7 @@
       Collection<Admission.Block> blocks,
       Map<String, Team> limits,
       Map<String, Resources> use,
-      Map<ShardId, List<Reserve>> reserves) {
+      Map<ShardId, List<Headroom>> reserves) {
     Job job = demand.job();
     Model model = records.of(job.id());
     Map<ShardId, TaskSet> pools = new TreeMap<>();
@@ -154,7 +154,7 @@
     for (ModelSnapshot look : looks) {
       mine = look.job().id().equals(id) ? look : mine;
     }
-    PeerReport.MachineState state = machines.state(machine, timers.now());
+    PeerHeartbeat.MachineState state = machines.state(machine, timers.now());
     if (mine == null || state == null || state.images().contains(image)) {
       return false;
     }
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -28,14 +28,14 @@
 import org.quincecross.models.Scaling;
 import org.quincecross.models.Weights;
 import org.quincecross.models.Yielding;
-import org.quincecross.peer.AgreedBase;
-import org.quincecross.peer.ModelFleet;
-import org.quincecross.peer.ModelNews;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.peer.ModelPlacementView;
+import org.quincecross.peer.ModelStatusReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.sched.Admission;
-import org.quincecross.sched.JobDemand;
-import org.quincecross.sched.Reserve;
+import org.quincecross.scheduling.Admission;
+import org.quincecross.scheduling.JobDemand;
+import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.ShardLease;
@@ -62,10 +62,10 @@
   /** By then what a machine is given is in what its holder says of it. */
   private static final TimeSpan SEEN_AFTER = TimeSpan.ofSeconds(3);
 
-  private final AgreedBase base;
+  private final ReplicatedFeatureContext base;
   private final ClusterStateCache ledger;
   private final ModelIndex records;
-  private final ModelFleet machines;
+  private final ModelPlacementView machines;
   private final PeerViews views;
   private final AllocationIndex books;
   private final Supplier<Map<String, Team>> teams;
@@ -88,7 +88,7 @@
   private MonotonicTime looked;
 
   ModelAutoscaler(
-      AgreedBase base,
+      ReplicatedFeatureContext base,
       ModelIndex records,
       PeerViews views,
       AllocationIndex books,
@@ -96,7 +96,7 @@
     this.base = base;
     this.ledger = base.ledger();
     this.records = records;
-    this.machines = new ModelFleet(ledger, views, records);
+    this.machines = new ModelPlacementView(ledger, views, records);
     this.losses = new ReplicaFailureDetector(base, machines);
     this.admission = new ModelAdmission(base.timers(), ledger, records, machines, books, teams);
     this.views = views;
@@ -178,8 +178,8 @@
     running = new HashSet<>();
     for (ControllerId member : ledger.members().keySet()) {
       PeerViews.View view = views.of(member);
-      byte[] section = view == null ? null : view.sections().get(ModelNews.SECTION);
-      ModelNews news = section == null ? null : ModelNews.read(section);
+      byte[] section = view == null ? null : view.sections().get(ModelStatusReport.SECTION);
+      ModelStatusReport news = section == null ? null : ModelStatusReport.read(section);
       if (news != null) {
         if (!Long.valueOf(view.number()).equals(heard.put(member, view.number()))) {
           demand.told(member, view.life(), news.demand(), news.since(), view.at());
@@ -466,10 +466,10 @@
   }
 
   /** A machine as renting sees it: one that is kept for a model is not idle. */
-  PeerReport.MachineState seenByFleet(PeerReport.MachineState state) {
+  PeerHeartbeat.MachineState seenByFleet(PeerHeartbeat.MachineState state) {
     return !keptWarm.contains(state.id()) || state.queued() > 0
         ? state
-        : new PeerReport.MachineState(
+        : new PeerHeartbeat.MachineState(
             state.id(),
             state.free(),
             state.yielding(),
@@ -491,7 +491,7 @@
    */
   List<Admission.Unmet> admit(
       Collection<Admission.Block> blocks,
-      Map<ShardId, List<Reserve>> reserves,
+      Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> demands) {
     look();
     List<Admission.Unmet> all = admission.admit(blocks, reserves, demands);
--- a/src/main/java/org/quincecross/leader/ObservedCapacity.java
+++ b/src/main/java/org/quincecross/leader/ObservedCapacity.java
@@ -12,9 +12,9 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.sched.Admission;
+import org.quincecross.scheduling.Admission;
 import org.quincecross.state.ShardLease;
 
 /** The room on machines as their holders show it, and what of it nothing has taken for a while. */
@@ -39,7 +39,7 @@
     Map<MachineId, Least> before = least.getOrDefault(lease.id(), Map.of());
     Map<MachineId, Least> after = new LinkedHashMap<>();
     for (MachineId machine : lease.machines().keySet()) {
-      PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
+      PeerHeartbeat.MachineState state = view == null ? null : view.machines().get(machine);
       if (state == null || !state.open() || lease.leaving().contains(machine)) {
         continue;
       }
--- a/src/main/java/org/quincecross/leader/PendingDemand.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 import java.util.function.ToIntFunction;
-import org.quincecross.faults.Suspects;
+import org.quincecross.quarantine.SuspectJobs;
 import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
@@ -23,8 +23,8 @@
 import org.quincecross.overload.Goal;
 import org.quincecross.overload.Overload;
 import org.quincecross.overload.Verdict;
-import org.quincecross.sched.Admission;
-import org.quincecross.sched.JobDemand;
+import org.quincecross.scheduling.Admission;
+import org.quincecross.scheduling.JobDemand;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Settings;
@@ -59,7 +59,7 @@
   private final LongSupplier clockMs;
   private final Overload overload;
   private final ToIntFunction<JobId> running;
-  private final Suspects suspects = new Suspects();
+  private final SuspectJobs suspects = new SuspectJobs();
   private final Map<JobId, Age> ages = new HashMap<>();
 
   /**
@@ -101,7 +101,7 @@
    * wherever it is tried.
    */
   String heldBack(JobId job) {
-    Suspects.State state = suspects.of(job);
+    SuspectJobs.State state = suspects.of(job);
     return state == null
         ? null
         : switch (state) {
@@ -123,7 +123,7 @@
     }
     int most =
         suspects.mayGo(
-            new Suspects.Look(
+            new SuspectJobs.Look(
                 job.id(),
                 declinedBy,
                 Admission.couldGoTo(job, blocks),
--- a/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
+++ b/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
@@ -13,9 +13,9 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.models.Model;
 import org.quincecross.models.ModelCommand;
-import org.quincecross.peer.AgreedBase;
-import org.quincecross.peer.ModelFleet;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.peer.ModelPlacementView;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.state.ShardLease;
 
 /**
@@ -39,13 +39,13 @@
   /** A replica in a place, since this leader has known of it. */
   private record Start(String model, int replica, long epoch) {}
 
-  private final AgreedBase base;
-  private final ModelFleet machines;
+  private final ReplicatedFeatureContext base;
+  private final ModelPlacementView machines;
   private final Map<Start, MonotonicTime> begun = new HashMap<>();
   private final Map<MachineId, MonotonicTime> shutSince = new HashMap<>();
   private Collection<ModelSnapshot> looks = List.of();
 
-  ReplicaFailureDetector(AgreedBase base, ModelFleet machines) {
+  ReplicaFailureDetector(ReplicatedFeatureContext base, ModelPlacementView machines) {
     this.base = base;
     this.machines = machines;
   }
@@ -114,7 +114,7 @@
     if (lease.leaving().contains(machine)) {
       return "is leaving";
     }
-    PeerReport.MachineState state = machines.state(machine, now);
+    PeerHeartbeat.MachineState state = machines.state(machine, now);
     if (state == null) {
       return null; // its holder is being replaced: nothing is known
     }
--- a/src/main/java/org/quincecross/leader/ReservationManager.java
+++ b/src/main/java/org/quincecross/leader/ReservationManager.java
@@ -17,7 +17,7 @@
 import org.quincecross.requests.Request;
 import org.quincecross.requests.RequestCommand;
 import org.quincecross.requests.Reservation;
-import org.quincecross.sched.Admission;
+import org.quincecross.scheduling.Admission;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.ReservedCapacity;
--- a/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
@@ -13,7 +13,7 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.sched.Admission;
+import org.quincecross.scheduling.Admission;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
 
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -21,10 +21,10 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.silence.Hearing;
-import org.quincecross.silence.Moves;
+import org.quincecross.failuredetection.ReachabilityMap;
+import org.quincecross.failuredetection.ShardMovePolicy;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.DemandForecast;
 import org.quincecross.state.StoreKeys;
@@ -77,8 +77,8 @@
   private final AllocationIndex books;
   private final CurrentPeerViews fresh;
   private final AllocationWriter allocations;
-  private final Hearing hearing = new Hearing();
-  private final Moves moves = new Moves();
+  private final ReachabilityMap hearing = new ReachabilityMap();
+  private final ShardMovePolicy moves = new ShardMovePolicy();
   private final Map<MachineId, Machine> newcomers = new LinkedHashMap<>();
   private MonotonicTime rebalanced;
   private boolean knowsAllGone;
@@ -154,7 +154,7 @@
     double average = (double) ledger.machineCount() / ledger.members().size();
     // Where nobody hears the machines, one who does not is as good as another.
     double deaf =
-        hearing.of(member.member(), zone, timers.now()) == Hearing.State.HEARS
+        hearing.of(member.member(), zone, timers.now()) == ReachabilityMap.State.HEARS
             ? 0
             : ledger.machineCount() + LEAST_AWAY;
     return deaf
@@ -249,7 +249,7 @@
         if (block != null
             && !block.holder().equals(member.member())
             && isSilent(block, machine)
-            && moves.of(machine, timers.now()) == Moves.State.COUNTS) {
+            && moves.of(machine, timers.now()) == ShardMovePolicy.State.COUNTS) {
           strays.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
           heardBy
               .computeIfAbsent(block.id(), id -> new TreeMap<>())
@@ -298,7 +298,7 @@
     for (ControllerRecord member : members()) {
       smallest.forEach(
           (zone, block) -> {
-            if (hearing.of(member.member(), zone, now) == Hearing.State.TO_BE_TRIED
+            if (hearing.of(member.member(), zone, now) == ReachabilityMap.State.TO_BE_TRIED
                 && !block.holder().equals(member.member())
                 && !next.containsKey(block.id())) {
               LOG.info(
@@ -347,7 +347,7 @@
   private boolean isObedient(MachineId machine) {
     ShardLease block = ledger.blockOf(machine);
     PeerViews.BlockView view = block == null ? null : fresh.of(block);
-    PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
+    PeerHeartbeat.MachineState state = view == null ? null : view.machines().get(machine);
     return block == null || (state != null && state.fenced() && state.open());
   }
 
@@ -357,7 +357,7 @@
    */
   private boolean isSilent(ShardLease block, MachineId machine) {
     PeerViews.BlockView view = fresh.of(block);
-    PeerReport.MachineState state = view == null ? null : view.machines().get(machine);
+    PeerHeartbeat.MachineState state = view == null ? null : view.machines().get(machine);
     return state != null && state.silent().isLongerThan(UNHEARD);
   }
 
--- a/src/main/java/org/quincecross/models/ModelKind.java
+++ b/src/main/java/org/quincecross/models/ModelKind.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Body;
-import org.quincecross.agreed.Kind;
-import org.quincecross.agreed.Step;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.Transition;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TimeSpan;
@@ -20,7 +20,7 @@
 import org.quincecross.models.Model.Place;
 
 /** Models as a kind of agreed record. */
-public final class ModelKind implements Kind<Model, ModelCommand> {
+public final class ModelKind implements RecordKind<Model, ModelCommand> {
   public static final String NAME = "models";
 
   /** With their places the record has to fit one value. */
@@ -60,15 +60,15 @@
   }
 
   @Override
-  public Step<Model> step(Model state, ModelCommand command, At at) {
+  public Transition<Model> step(Model state, ModelCommand command, CommandOrigin at) {
     return ModelRules.step(state, command, at.timeOfDayMs());
   }
 
   // ---- what operators send ----
 
   @Override
-  public ModelCommand command(Map<String, Object> value) throws Unreadable {
-    Body body = Body.of(value, "the command");
+  public ModelCommand command(Map<String, Object> value) throws MalformedRecordException {
+    RecordFields body = RecordFields.of(value, "the command");
     switch (body.text("do")) {
       case "wake" -> {
         body.only(List.of("do"));
@@ -82,23 +82,23 @@
         body.only(List.of("do", "job", "least", "most", "per_replica", "idle_s", "keep_warm"));
         return new ModelCommand.Define(job(body), terms(body));
       }
-      default -> throw new Unreadable("field do of the command is not one of define, wake, drain");
+      default -> throw new MalformedRecordException("field do of the command is not one of define, wake, drain");
     }
   }
 
-  private static JobId job(Body body) throws Unreadable {
+  private static JobId job(RecordFields body) throws MalformedRecordException {
     JobId job = JobId.parse(body.text("job"));
     if (job == null) {
-      throw new Unreadable("field job is no job id: job- and digits");
+      throw new MalformedRecordException("field job is no job id: job- and digits");
     }
     return job;
   }
 
-  private static Model.Terms terms(Body body) throws Unreadable {
+  private static Model.Terms terms(RecordFields body) throws MalformedRecordException {
     int least = (int) body.integerOr("least", 1, MOST_REPLICAS, 1);
     int most = (int) body.integerOr("most", 1, MOST_REPLICAS, least);
     if (most < least) {
-      throw new Unreadable("field most is below field least");
+      throw new MalformedRecordException("field most is below field least");
     }
     return new Model.Terms(
         least,
@@ -111,13 +111,13 @@
   // ---- the record ----
 
   @Override
-  public Model read(Map<String, Object> value) throws Unreadable {
-    Body in = Body.of(value, "a model");
+  public Model read(Map<String, Object> value) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(value, "a model");
     if (!in.has("job")) {
       return Model.NONE;
     }
     Map<Integer, Place> places = new TreeMap<>();
-    for (Body place : in.bodies("places")) {
+    for (RecordFields place : in.bodies("places")) {
       places.put(
           (int) place.integer("replica", 0, Integer.MAX_VALUE),
           new Place(
@@ -175,7 +175,7 @@
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, Model model, At at) {
+  public List<Map<String, Object>> rows(String id, Model model, CommandOrigin at) {
     if (!model.isDefined()) {
       return List.of();
     }
--- a/src/main/java/org/quincecross/models/ModelRules.java
+++ b/src/main/java/org/quincecross/models/ModelRules.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.quincecross.agreed.Step;
-import org.quincecross.agreed.TrailEntry;
+import org.quincecross.replicated.Transition;
+import org.quincecross.replicated.AuditEvent;
 import org.quincecross.model.MachineId;
 import org.quincecross.models.Model.Phase;
 import org.quincecross.models.Model.Place;
@@ -27,12 +27,12 @@
    * The one place where a model changes its state; {@code atMs} is a time of day, for the record
    * alone.
    */
-  public static Step<Model> step(Model model, ModelCommand command, long atMs) {
+  public static Transition<Model> step(Model model, ModelCommand command, long atMs) {
     if (command instanceof ModelCommand.Define define) {
       return define(model, define, atMs);
     }
     if (!model.isDefined()) {
-      return new Step.Refused<>(UNKNOWN, "no such model is defined");
+      return new Transition.Refused<>(UNKNOWN, "no such model is defined");
     }
     if (command instanceof ModelCommand.Wake) {
       return wake(model, atMs);
@@ -75,28 +75,28 @@
     return model.epoch() != epoch;
   }
 
-  private static Step<Model> late(Model model, long epoch) {
-    return new Step.Refused<>(
+  private static Transition<Model> late(Model model, long epoch) {
+    return new Transition.Refused<>(
         CONFLICT, "decided in epoch " + epoch + ", and this is epoch " + model.epoch());
   }
 
-  private static Step<Model> same(Model model) {
-    return new Step.Same<>("it is " + model.phase() + " in epoch " + model.epoch());
+  private static Transition<Model> same(Model model) {
+    return new Transition.Same<>("it is " + model.phase() + " in epoch " + model.epoch());
   }
 
-  private static Step<Model> changed(Model next) {
+  private static Transition<Model> changed(Model next) {
     Map<String, Object> details = new LinkedHashMap<>();
     details.put("epoch", next.epoch());
     details.put("wanted", (long) next.wanted());
     details.put("placed", (long) next.places().size());
     details.put("why", next.why());
-    return new Step.Changed<>(
-        next, List.of(new TrailEntry(next.phase().toString().toLowerCase(Locale.ROOT), details)));
+    return new Transition.Changed<>(
+        next, List.of(new AuditEvent(next.phase().toString().toLowerCase(Locale.ROOT), details)));
   }
 
-  private static Step<Model> define(Model model, ModelCommand.Define define, long atMs) {
+  private static Transition<Model> define(Model model, ModelCommand.Define define, long atMs) {
     if (model.isDefined() && !model.job().equals(define.job())) {
-      return new Step.Refused<>(CONFLICT, "the model is " + model.job() + " already");
+      return new Transition.Refused<>(CONFLICT, "the model is " + model.job() + " already");
     }
     if (model.isDefined()) {
       return define.terms().equals(model.terms())
@@ -119,7 +119,7 @@
             "defined"));
   }
 
-  private static Step<Model> wake(Model model, long atMs) {
+  private static Transition<Model> wake(Model model, long atMs) {
     if (model.isUp()) {
       return same(model);
     }
@@ -145,7 +145,7 @@
                 model.phase() == Phase.DRAINING ? "woken while it drained" : "woken"));
   }
 
-  private static Step<Model> drain(Model model, ModelCommand.Drain drain, long atMs) {
+  private static Transition<Model> drain(Model model, ModelCommand.Drain drain, long atMs) {
     boolean any = drain.epoch() == ModelCommand.ANY;
     if (!any && stale(model, drain.epoch())) {
       return late(model, drain.epoch());
@@ -157,7 +157,7 @@
         : same(model);
   }
 
-  private static Step<Model> choose(Model model, ModelCommand.Choose choose) {
+  private static Transition<Model> choose(Model model, ModelCommand.Choose choose) {
     Map<Integer, Place> places = new TreeMap<>(model.places());
     choose
         .places()
@@ -179,7 +179,7 @@
     return model.in(model.phase(), model.sinceMs(), model.why());
   }
 
-  private static Step<Model> lose(Model model, ModelCommand.Lose lose, long atMs) {
+  private static Transition<Model> lose(Model model, ModelCommand.Lose lose, long atMs) {
     Map<Integer, Place> places = new TreeMap<>(model.places());
     if (!model.isUp() || !places.keySet().removeAll(lose.replicas())) {
       return same(model);
@@ -202,7 +202,7 @@
             .in(next, next == model.phase() ? model.sinceMs() : atMs, lose.why()));
   }
 
-  private static Step<Model> scale(Model model, ModelCommand.Scale scale) {
+  private static Transition<Model> scale(Model model, ModelCommand.Scale scale) {
     int wanted =
         Math.max(
             Math.max(1, model.terms().least()), Math.min(scale.wanted(), model.terms().most()));
--- a/src/main/java/org/quincecross/overload/Overload.java
+++ b/src/main/java/org/quincecross/overload/Overload.java
@@ -15,7 +15,7 @@
 
 /**
  * Notices that more work is to be done than can be done in time, and orders it then: as many jobs
- * as can be are served in time ({@link InTime}), the rest is set aside but has its turns, and every
+ * as can be are served in time ({@link ResponseDeadline}), the rest is set aside but has its turns, and every
  * group of jobs gets a minimum part.
  */
 public final class Overload {
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import org.quincecross.agreed.KnownByAll;
+import org.quincecross.replicated.ReplicationBarrier;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
@@ -58,7 +58,7 @@
   }
 
   /** Since when all know of a revision; asked for one that an agreed record was changed with. */
-  public KnownByAll.Answer of(Revision revision) {
+  public ReplicationBarrier.Answer of(Revision revision) {
     MonotonicTime now = timers.now();
     MonotonicTime at = null;
     for (Seen each : seen) {
@@ -67,8 +67,8 @@
         break;
       }
     }
-    List<KnownByAll.Told> expected = new ArrayList<>();
-    List<KnownByAll.Told> told = new ArrayList<>();
+    List<ReplicationBarrier.Told> expected = new ArrayList<>();
+    List<ReplicationBarrier.Told> told = new ArrayList<>();
     expect(settings.self(), expected);
     settings.peers().forEach(sibling -> expect(sibling.member(), expected));
     for (ControllerRecord member : ledger.members().values()) {
@@ -76,19 +76,19 @@
         expect(member.member(), expected);
       }
     }
-    for (KnownByAll.Told each : expected) {
+    for (ReplicationBarrier.Told each : expected) {
       PeerViews.View view = views.of(each.member());
       if (view != null) {
-        told.add(new KnownByAll.Told(each.member(), view.life(), view.ledger()));
+        told.add(new ReplicationBarrier.Told(each.member(), view.life(), view.ledger()));
       }
     }
-    return KnownByAll.of(revision, ledger.revision(), at, expected, told, longest, now);
+    return ReplicationBarrier.of(revision, ledger.revision(), at, expected, told, longest, now);
   }
 
-  private void expect(ControllerId member, List<KnownByAll.Told> expected) {
+  private void expect(ControllerId member, List<ReplicationBarrier.Told> expected) {
     ControllerRecord record = ledger.members().get(member);
     expected.add(
-        new KnownByAll.Told(
+        new ReplicationBarrier.Told(
             member, record == null ? Incarnation.NONE : record.life(), Revision.NONE));
   }
 }
--- a/src/main/java/org/quincecross/peer/ModelFleet.java
+++ b/src/main/java/org/quincecross/peer/ModelPlacementView.java
@@ -23,7 +23,7 @@
  * The machines as they matter for models: room, weights that are there or coming, by what the
  * holders have told lately.
  */
-public final class ModelFleet {
+public final class ModelPlacementView {
   private static final TimeSpan FRESH = TimeSpan.ofSeconds(2.5);
 
   /** From the start command to the first request beyond the fetch, at the least. */
@@ -41,7 +41,7 @@
   private final PeerViews views;
   private final ModelIndex records;
 
-  public ModelFleet(ClusterStateCache ledger, PeerViews views, ModelIndex records) {
+  public ModelPlacementView(ClusterStateCache ledger, PeerViews views, ModelIndex records) {
     this.ledger = ledger;
     this.views = views;
     this.records = records;
@@ -56,7 +56,7 @@
   public record Estimate(double bestS, double worstS) {}
 
   /** What the holder of a machine's block last said of it, if that is recent; else null. */
-  public PeerReport.MachineState state(MachineId machine, MonotonicTime now) {
+  public PeerHeartbeat.MachineState state(MachineId machine, MonotonicTime now) {
     ShardLease lease = ledger.blockOf(machine);
     PeerViews.BlockView block = lease == null ? null : block(lease, now);
     return block == null ? null : block.machines().get(machine);
@@ -87,7 +87,7 @@
         continue;
       }
       for (MachineId machine : lease.machines().keySet()) {
-        PeerReport.MachineState state = block.machines().get(machine);
+        PeerHeartbeat.MachineState state = block.machines().get(machine);
         if (state != null
             && state.open()
             && !state.notice()
@@ -120,7 +120,7 @@
   private static Weights.Candidate candidate(
       ShardLease lease,
       MachineType type,
-      PeerReport.MachineState state,
+      PeerHeartbeat.MachineState state,
       List<Job> notYet,
       Map<String, Double> sizes) {
     Resources taken = Resources.NONE;
--- a/src/main/java/org/quincecross/peer/ModelNews.java
+++ b/src/main/java/org/quincecross/peer/ModelStatusReport.java
@@ -21,7 +21,7 @@
  * @param demand what it has seen of that, of the models that anybody has wanted here
  * @param running the replicas that run in its blocks
  */
-public record ModelNews(TimeSpan since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
+public record ModelStatusReport(TimeSpan since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
   public static final String SECTION = "models";
   private static final int MOST_ITEMS = 100_000;
 
@@ -45,7 +45,7 @@
   }
 
   /** What a section says; null where it cannot be read. */
-  public static ModelNews read(byte[] bytes) {
+  public static ModelStatusReport read(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       TimeSpan since = new TimeSpan(in.unpackLong());
       Map<String, DemandSum.Told> demand = new HashMap<>();
@@ -60,7 +60,7 @@
           running.add(task);
         }
       }
-      return new ModelNews(since, demand, running);
+      return new ModelStatusReport(since, demand, running);
     } catch (IOException | MessagePackException e) {
       return null;
     }
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -32,7 +32,7 @@
 
   private PeerCodec() {}
 
-  public static byte[] write(PeerReport report) {
+  public static byte[] write(PeerHeartbeat report) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(FORMAT);
       out.packString(report.member().text());
@@ -40,7 +40,7 @@
       out.packLong(report.number());
       out.packLong(report.base());
       out.packMapHeader(report.receipts().size());
-      for (Map.Entry<ControllerId, PeerReport.Receipt> receipt : report.receipts().entrySet()) {
+      for (Map.Entry<ControllerId, PeerHeartbeat.Receipt> receipt : report.receipts().entrySet()) {
         out.packString(receipt.getKey().text());
         out.packLong(receipt.getValue().life().number());
         out.packLong(receipt.getValue().number());
@@ -50,7 +50,7 @@
       out.packLong(report.unconfirmed().nanos());
       writeTexts(out, report.strays().stream().map(MachineId::text).toList());
       out.packArrayHeader(report.blocks().size());
-      for (PeerReport.Block block : report.blocks()) {
+      for (PeerHeartbeat.Block block : report.blocks()) {
         writeBlock(out, block);
       }
       writeSections(out, report.sections());
@@ -89,7 +89,7 @@
     return sections;
   }
 
-  private static void writeBlock(MessageBufferPacker out, PeerReport.Block block)
+  private static void writeBlock(MessageBufferPacker out, PeerHeartbeat.Block block)
       throws IOException {
     out.packString(block.id().text());
     out.packLong(block.token().number());
@@ -105,7 +105,7 @@
       out.packInt(running.getValue());
     }
     out.packArrayHeader(block.machines().size());
-    for (PeerReport.MachineState machine : block.machines()) {
+    for (PeerHeartbeat.MachineState machine : block.machines()) {
       out.packString(machine.id().text());
       writeResources(out, machine.free());
       writeResources(out, machine.yielding());
@@ -155,7 +155,7 @@
     }
   }
 
-  public static PeerReport read(byte[] bytes) throws MalformedMessageException {
+  public static PeerHeartbeat read(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       if (in.unpackInt() != FORMAT) {
         throw new MalformedMessageException("unknown format of a peer report");
@@ -167,17 +167,17 @@
       if (base < 0 || number <= base) {
         throw new MalformedMessageException("a peer report that builds on a later one");
       }
-      Map<ControllerId, PeerReport.Receipt> receipts = new HashMap<>();
+      Map<ControllerId, PeerHeartbeat.Receipt> receipts = new HashMap<>();
       for (int i = count(in.unpackMapHeader()); i > 0; i--) {
         receipts.put(
             new ControllerId(in.unpackString()),
-            new PeerReport.Receipt(
+            new PeerHeartbeat.Receipt(
                 new Incarnation(in.unpackLong()), in.unpackLong(), in.unpackBoolean()));
       }
       Revision ledger = new Revision(in.unpackLong());
       TimeSpan unconfirmed = new TimeSpan(in.unpackLong());
       List<MachineId> strays = readTexts(in).stream().map(MachineId::new).toList();
-      List<PeerReport.Block> blocks = new ArrayList<>();
+      List<PeerHeartbeat.Block> blocks = new ArrayList<>();
       for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
         blocks.add(readBlock(in));
       }
@@ -185,14 +185,14 @@
       if (in.hasNext()) {
         throw new MalformedMessageException("bytes left over in a peer report");
       }
-      return new PeerReport(
+      return new PeerHeartbeat(
           member, life, number, base, receipts, ledger, unconfirmed, blocks, strays, sections);
     } catch (IOException | MessagePackException e) {
       throw new MalformedMessageException("unreadable peer report");
     }
   }
 
-  private static PeerReport.Block readBlock(MessageUnpacker in) throws IOException, MalformedMessageException {
+  private static PeerHeartbeat.Block readBlock(MessageUnpacker in) throws IOException, MalformedMessageException {
     ShardId id = new ShardId(in.unpackString());
     FencingToken token = new FencingToken(in.unpackLong());
     Revision allocation = new Revision(in.unpackLong());
@@ -208,7 +208,7 @@
     for (int i = count(in.unpackMapHeader()); i > 0; i--) {
       running.put(job(in.unpackString()), in.unpackInt());
     }
-    List<PeerReport.MachineState> machines = new ArrayList<>();
+    List<PeerHeartbeat.MachineState> machines = new ArrayList<>();
     for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
       MachineId machine = new MachineId(in.unpackString());
       Resources free = readResources(in);
@@ -222,7 +222,7 @@
       int tasks = in.unpackInt();
       int queued = in.unpackInt();
       machines.add(
-          new PeerReport.MachineState(
+          new PeerHeartbeat.MachineState(
               machine,
               free,
               yielding,
@@ -237,7 +237,7 @@
               readTexts(in),
               readTexts(in)));
     }
-    return new PeerReport.Block(
+    return new PeerHeartbeat.Block(
         id, token, allocation, inDoubt, declined, whole, completed, released, running, machines);
   }
 
--- a/src/main/java/org/quincecross/peer/PeerReport.java
+++ b/src/main/java/org/quincecross/peer/PeerHeartbeat.java
@@ -28,7 +28,7 @@
  * @param sections what parts of the sender tell theirs elsewhere, by name, whole each time; a
  *     receiver leaves alone what it does not know
  */
-public record PeerReport(
+public record PeerHeartbeat(
     ControllerId member,
     Incarnation life,
     long number,
@@ -39,7 +39,7 @@
     List<Block> blocks,
     List<MachineId> strays,
     Map<String, byte[]> sections) {
-  public PeerReport(
+  public PeerHeartbeat(
       ControllerId member,
       Incarnation life,
       long number,
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -32,7 +32,7 @@
       List<TaskId> completed,
       List<TaskId> released,
       Map<JobId, Integer> running,
-      Map<MachineId, PeerReport.MachineState> machines) {}
+      Map<MachineId, PeerHeartbeat.MachineState> machines) {}
 
   /** Told which blocks a report says something new of. */
   public interface Listener {
@@ -111,7 +111,7 @@
   }
 
   /** Takes a report; false if it builds on one that did not come, and so says nothing. */
-  public boolean take(PeerReport report, MonotonicTime now) {
+  public boolean take(PeerHeartbeat report, MonotonicTime now) {
     View view = views.get(report.member());
     if (view == null || !view.life.equals(report.life())) {
       if (view != null && Long.compareUnsigned(report.life().number(), view.life.number()) < 0) {
@@ -141,7 +141,7 @@
       changed.addAll(view.blocks.keySet());
       view.blocks.clear();
     }
-    for (PeerReport.Block block : report.blocks()) {
+    for (PeerHeartbeat.Block block : report.blocks()) {
       changed.add(block.id());
       merge(view, block);
     }
@@ -149,13 +149,13 @@
     return true;
   }
 
-  private static void merge(View view, PeerReport.Block block) {
+  private static void merge(View view, PeerHeartbeat.Block block) {
     BlockView before = view.blocks.get(block.id());
-    Map<MachineId, PeerReport.MachineState> machines = new LinkedHashMap<>();
+    Map<MachineId, PeerHeartbeat.MachineState> machines = new LinkedHashMap<>();
     if (before != null && !block.whole()) {
       machines = before.machines();
     }
-    for (PeerReport.MachineState machine : block.machines()) {
+    for (PeerHeartbeat.MachineState machine : block.machines()) {
       machines.put(machine.id(), machine);
     }
     view.blocks.put(
@@ -192,11 +192,11 @@
   }
 
   /** What has been received of each controller, for it to know. */
-  public Map<ControllerId, PeerReport.Receipt> receipts() {
-    Map<ControllerId, PeerReport.Receipt> receipts = new HashMap<>();
+  public Map<ControllerId, PeerHeartbeat.Receipt> receipts() {
+    Map<ControllerId, PeerHeartbeat.Receipt> receipts = new HashMap<>();
     views.forEach(
         (member, view) ->
-            receipts.put(member, new PeerReport.Receipt(view.life, view.number, view.gap)));
+            receipts.put(member, new PeerHeartbeat.Receipt(view.life, view.number, view.gap)));
     return receipts;
   }
 }
--- a/src/main/java/org/quincecross/peer/AgreedBase.java
+++ b/src/main/java/org/quincecross/peer/ReplicatedFeatureContext.java
@@ -2,10 +2,10 @@
 
 import java.util.Map;
 import java.util.function.LongSupplier;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Body;
-import org.quincecross.agreed.Unreadable;
-import org.quincecross.agreed.WithheldByAny;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.replicated.MalformedRecordException;
+import org.quincecross.replicated.CombinedStartBlock;
 import org.quincecross.net.Timers;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.ClusterStateCache;
@@ -20,18 +20,18 @@
  * @param clockMs tells the time of day
  * @param parts the parts that are switched on, each with its settings
  */
-public record AgreedBase(
+public record ReplicatedFeatureContext(
     Timers timers,
     ClusterStateCache ledger,
     ReplicatedRecordStore store,
     KnownRevisions known,
-    WithheldByAny withheld,
+    CombinedStartBlock withheld,
     Settings settings,
     LongSupplier clockMs,
     Map<String, Object> parts) {
   /** Now, for a step of a controller's own or a view. */
-  public At at() {
-    return new At(clockMs.getAsLong(), settings.clockBound().millis(), "");
+  public CommandOrigin at() {
+    return new CommandOrigin(clockMs.getAsLong(), settings.clockBound().millis(), "");
   }
 
   public boolean has(String part) {
@@ -39,7 +39,7 @@
   }
 
   /** The settings of a part that is switched on. */
-  public Body settingsOf(String part) throws Unreadable {
-    return Body.of(parts.get(part), part);
+  public RecordFields settingsOf(String part) throws MalformedRecordException {
+    return RecordFields.of(parts.get(part), part);
   }
 }
--- a/src/main/java/org/quincecross/protocol/Settings.java
+++ b/src/main/java/org/quincecross/protocol/Settings.java
@@ -14,7 +14,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
 import org.quincecross.rollout.Terms;
-import org.quincecross.silence.UnconfirmedBound;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
 
 /**
  * The settings file that the platform hands to every controller.
@@ -52,8 +52,8 @@
   /** How workers behave. */
   public record AgentTimeouts(TimeSpan heartbeatInterval, TimeSpan lease, TimeSpan gangStartTimeout, TimeSpan gangPeerTimeout, TimeSpan cancelTimeout) {
     /** How long a holder goes on without the state service, and when cancellations are told. */
-    public UnconfirmedBound unconfirmedBound() {
-      return UnconfirmedBound.of(lease, cancelTimeout);
+    public UnconfirmedOwnershipBound unconfirmedBound() {
+      return UnconfirmedOwnershipBound.of(lease, cancelTimeout);
     }
   }
 
@@ -283,7 +283,7 @@
             span(in, "gang_wait_s"),
             span(in, "gang_peer_s"),
             span(in, "cancel_s"));
-    if (!UnconfirmedBound.isPossible(workers.lease(), workers.cancelTimeout())) {
+    if (!UnconfirmedOwnershipBound.isPossible(workers.lease(), workers.cancelTimeout())) {
       throw new MalformedMessageException(
           "field lease_s is too long for what cancel_s says: tasks that nobody reaches go on for a lease");
     }
--- a/src/main/java/org/quincecross/faults/Evidence.java
+++ b/src/main/java/org/quincecross/quarantine/FaultEvidence.java
@@ -1,4 +1,4 @@
-package org.quincecross.faults;
+package org.quincecross.quarantine;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -20,7 +20,7 @@
  * (docs/incidents/inc-6ced.md). When a job is cleared later, its earlier failures count from then
  * on.
  */
-public final class Evidence {
+public final class FaultEvidence {
   /**
    * A task that has run for so long has started well: jobs with a mistake and sick machines fail as
    * soon as the image is there.
--- a/src/main/java/org/quincecross/faults/Suspects.java
+++ b/src/main/java/org/quincecross/quarantine/SuspectJobs.java
@@ -1,4 +1,4 @@
-package org.quincecross.faults;
+package org.quincecross.quarantine;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -15,7 +15,7 @@
  *
  * <p>Kept by the leader alone; a new one finds out anew, from what the holders decline.
  */
-public final class Suspects {
+public final class SuspectJobs {
   /** Declined by so many blocks, or by all that may have it, and run nowhere. */
   static final int SUSPECT_AT = 3;
 
--- a/src/main/java/org/quincecross/agreed/TrailLine.java
+++ b/src/main/java/org/quincecross/replicated/AuditEntry.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -16,14 +16,14 @@
  * @param atMs the time of day where it was made, in ms since 1970
  * @param by who asked; empty where a controller made the step itself
  */
-public record TrailLine(
-    Revision revision, String id, long change, long atMs, String by, TrailEntry entry) {
+public record AuditEntry(
+    Revision revision, String id, long change, long atMs, String by, AuditEvent entry) {
   private static final int FIELDS = 7;
 
   /** With the revision, where that is not known yet. */
-  TrailLine stamped(Revision version) {
+  AuditEntry stamped(Revision version) {
     return revision.equals(Revision.NONE)
-        ? new TrailLine(version, id, change, atMs, by, entry)
+        ? new AuditEntry(version, id, change, atMs, by, entry)
         : this;
   }
 
@@ -40,7 +40,7 @@
     return out;
   }
 
-  static TrailLine read(Object value) throws Unreadable {
+  static AuditEntry read(Object value) throws MalformedRecordException {
     if (value instanceof List<?> in
         && in.size() == FIELDS
         && in.get(0) instanceof Number revision
@@ -52,26 +52,26 @@
         && in.get(6) instanceof Map<?, ?> raw) {
       Map<String, Object> details = new LinkedHashMap<>();
       raw.forEach((name, detail) -> details.put(String.valueOf(name), detail));
-      return new TrailLine(
+      return new AuditEntry(
           new Revision(revision.longValue()),
           id,
           change.longValue(),
           atMs.longValue(),
           by,
-          new TrailEntry(event, details));
+          new AuditEvent(event, details));
     }
-    throw new Unreadable("a line of a trail is none");
+    throw new MalformedRecordException("a line of a trail is none");
   }
 
-  static List<TrailLine> readAll(List<?> in) throws Unreadable {
-    List<TrailLine> lines = new ArrayList<>();
+  static List<AuditEntry> readAll(List<?> in) throws MalformedRecordException {
+    List<AuditEntry> lines = new ArrayList<>();
     for (Object each : in) {
       lines.add(read(each));
     }
     return lines;
   }
 
-  static List<Object> writeAll(List<TrailLine> lines) {
+  static List<Object> writeAll(List<AuditEntry> lines) {
     List<Object> out = new ArrayList<>();
     lines.forEach(line -> out.add(line.write()));
     return out;
--- a/src/main/java/org/quincecross/agreed/TrailEntry.java
+++ b/src/main/java/org/quincecross/replicated/AuditEvent.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import java.util.Map;
 
@@ -8,4 +8,4 @@
  * @param event what happened, as one word
  * @param details strings, numbers, booleans, and lists and maps of them
  */
-public record TrailEntry(String event, Map<String, Object> details) {}
+public record AuditEvent(String event, Map<String, Object> details) {}
--- a/src/main/java/org/quincecross/agreed/WithheldByAny.java
+++ b/src/main/java/org/quincecross/replicated/CombinedStartBlock.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,12 +13,12 @@
  * The tasks that any one part keeps back. Each part says of which jobs its answer has changed;
  * whoever goes by it is told.
  */
-public final class WithheldByAny implements Withheld {
-  private final List<Withheld> parts = new ArrayList<>();
+public final class CombinedStartBlock implements StartBlock {
+  private final List<StartBlock> parts = new ArrayList<>();
   private final List<Consumer<Set<JobId>>> listeners = new ArrayList<>();
 
   /** Has a part asked from now on. */
-  public void add(Withheld part) {
+  public void add(StartBlock part) {
     parts.add(part);
   }
 
@@ -38,7 +38,7 @@
   public TaskSet of(Job job) {
     TaskSet all = null;
     boolean mine = false;
-    for (Withheld part : parts) {
+    for (StartBlock part : parts) {
       TaskSet one = part.of(job);
       if (one.isEmpty()) {
         continue;
@@ -61,7 +61,7 @@
   @Override
   public String reason(JobId job) {
     String reasons = null;
-    for (Withheld part : parts) {
+    for (StartBlock part : parts) {
       String reason = part.reason(job);
       if (reason != null) {
         reasons = reasons == null ? reason : reasons + "; " + reason;
--- a/src/main/java/org/quincecross/agreed/At.java
+++ b/src/main/java/org/quincecross/replicated/CommandOrigin.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 /**
  * When and by whom a step is made.
@@ -7,7 +7,7 @@
  * @param clockBoundMs how far that may be from the true time, in ms
  * @param by who asked, as they say; empty where a controller makes the step itself
  */
-public record At(long timeOfDayMs, long clockBoundMs, String by) {
+public record CommandOrigin(long timeOfDayMs, long clockBoundMs, String by) {
   /** The earliest that it may be, in ms since 1970. */
   public long earliestMs() {
     return timeOfDayMs - clockBoundMs;
--- a/src/main/java/org/quincecross/agreed/Unreadable.java
+++ b/src/main/java/org/quincecross/replicated/MalformedRecordException.java
@@ -1,13 +1,13 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 /**
  * A record or a command that cannot be read; the message names the field and says what is wrong
  * with it.
  */
-public final class Unreadable extends Exception {
+public final class MalformedRecordException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public Unreadable(String message) {
+  public MalformedRecordException(String message) {
     super(message);
   }
 }
--- a/src/main/java/org/quincecross/agreed/Body.java
+++ b/src/main/java/org/quincecross/replicated/RecordFields.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,13 +10,13 @@
  * The fields of a record or a command, taken with checks: what is missing or of the wrong kind is
  * named.
  */
-public final class Body {
+public final class RecordFields {
   private static final int MOST_STRING = 2048;
 
   private final Map<?, ?> map;
   private final String where;
 
-  private Body(Map<?, ?> map, String where) {
+  private RecordFields(Map<?, ?> map, String where) {
     this.map = map;
     this.where = where;
   }
@@ -26,21 +26,21 @@
    *
    * @param where what it is, for the messages
    */
-  public static Body of(Object value, String where) throws Unreadable {
+  public static RecordFields of(Object value, String where) throws MalformedRecordException {
     if (value instanceof Map<?, ?> map) {
-      return new Body(map, where);
+      return new RecordFields(map, where);
     }
-    throw new Unreadable(where + " is not an object");
+    throw new MalformedRecordException(where + " is not an object");
   }
 
   /**
    * Refuses names that are not among {@code known}: a misspelt one would be left out without
    * anybody noticing.
    */
-  public Body only(Collection<String> known) throws Unreadable {
+  public RecordFields only(Collection<String> known) throws MalformedRecordException {
     for (Object name : map.keySet()) {
       if (!known.contains(String.valueOf(name))) {
-        throw new Unreadable("unknown field " + name + " of " + where);
+        throw new MalformedRecordException("unknown field " + name + " of " + where);
       }
     }
     return this;
@@ -55,11 +55,11 @@
     return map.get(name);
   }
 
-  private Unreadable bad(String name, String what) {
-    return new Unreadable("field " + name + " of " + where + " " + what);
+  private MalformedRecordException bad(String name, String what) {
+    return new MalformedRecordException("field " + name + " of " + where + " " + what);
   }
 
-  private Object need(String name) throws Unreadable {
+  private Object need(String name) throws MalformedRecordException {
     Object value = map.get(name);
     if (value == null) {
       throw bad(name, "is missing");
@@ -67,18 +67,18 @@
     return value;
   }
 
-  public String text(String name) throws Unreadable {
+  public String text(String name) throws MalformedRecordException {
     if (need(name) instanceof String text && text.length() <= MOST_STRING) {
       return text;
     }
     throw bad(name, "is not a string of at most " + MOST_STRING + " characters");
   }
 
-  public String textOr(String name, String otherwise) throws Unreadable {
+  public String textOr(String name, String otherwise) throws MalformedRecordException {
     return has(name) ? text(name) : otherwise;
   }
 
-  public boolean flagOr(String name, boolean otherwise) throws Unreadable {
+  public boolean flagOr(String name, boolean otherwise) throws MalformedRecordException {
     if (!has(name)) {
       return otherwise;
     }
@@ -89,7 +89,7 @@
   }
 
   /** An integer from {@code least} to {@code most}. */
-  public long integer(String name, long least, long most) throws Unreadable {
+  public long integer(String name, long least, long most) throws MalformedRecordException {
     Object value = need(name);
     if ((value instanceof Long || value instanceof Integer)
         && ((Number) value).longValue() >= least
@@ -99,12 +99,12 @@
     throw bad(name, "is not an integer from " + least + " to " + most);
   }
 
-  public long integerOr(String name, long least, long most, long otherwise) throws Unreadable {
+  public long integerOr(String name, long least, long most, long otherwise) throws MalformedRecordException {
     return has(name) ? integer(name, least, most) : otherwise;
   }
 
   /** A finite number from {@code least} to {@code most}. */
-  public double amount(String name, double least, double most) throws Unreadable {
+  public double amount(String name, double least, double most) throws MalformedRecordException {
     if (need(name) instanceof Number number
         && number.doubleValue() >= least
         && number.doubleValue() <= most) {
@@ -114,7 +114,7 @@
   }
 
   /** One of the constants of {@code words}, in lower or upper case. */
-  public <E extends Enum<E>> E word(String name, Class<E> words) throws Unreadable {
+  public <E extends Enum<E>> E word(String name, Class<E> words) throws MalformedRecordException {
     String text = text(name);
     List<String> known = new ArrayList<>();
     for (E word : words.getEnumConstants()) {
@@ -126,7 +126,7 @@
     throw bad(name, "is not one of " + known);
   }
 
-  public List<String> texts(String name) throws Unreadable {
+  public List<String> texts(String name) throws MalformedRecordException {
     List<String> texts = new ArrayList<>();
     for (Object item : list(name)) {
       if (!(item instanceof String text) || text.length() > MOST_STRING) {
@@ -138,7 +138,7 @@
   }
 
   /** Empty where there is none. */
-  public List<?> list(String name) throws Unreadable {
+  public List<?> list(String name) throws MalformedRecordException {
     if (!has(name)) {
       return List.of();
     }
@@ -149,15 +149,15 @@
   }
 
   /** Empty where there is none. */
-  public List<Body> bodies(String name) throws Unreadable {
-    List<Body> bodies = new ArrayList<>();
+  public List<RecordFields> bodies(String name) throws MalformedRecordException {
+    List<RecordFields> bodies = new ArrayList<>();
     for (Object item : list(name)) {
       bodies.add(of(item, "an item of " + name + " of " + where));
     }
     return bodies;
   }
 
-  public Body body(String name) throws Unreadable {
+  public RecordFields body(String name) throws MalformedRecordException {
     return of(need(name), name + " of " + where);
   }
 
--- a/src/main/java/org/quincecross/agreed/RecordId.java
+++ b/src/main/java/org/quincecross/replicated/RecordId.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 /**
  * A record: its kind and its own name, 1 to 100 of the letters a-z and A-Z, digits, '.', '_' and
--- a/src/main/java/org/quincecross/agreed/Kind.java
+++ b/src/main/java/org/quincecross/replicated/RecordKind.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import java.util.List;
 import java.util.Map;
@@ -10,7 +10,7 @@
  * @param <S> an immutable state
  * @param <C> a command
  */
-public interface Kind<S, C> {
+public interface RecordKind<S, C> {
   /**
    * Lower-case letters; where its records lie ({@code q/agreed/<name>/<id>}) and are asked for
    * ({@code /admin/agreed/<name>/<id>}).
@@ -23,9 +23,9 @@
   /**
    * Reads a state from its record.
    *
-   * @throws Unreadable where the record is not one of this kind
+   * @throws MalformedRecordException where the record is not one of this kind
    */
-  S read(Map<String, Object> value) throws Unreadable;
+  S read(Map<String, Object> value) throws MalformedRecordException;
 
   /**
    * What {@link #read} reads: maps, lists, strings, longs, doubles and booleans. With its trail it
@@ -36,21 +36,21 @@
   /**
    * Reads what an operator sends.
    *
-   * @throws Unreadable where it is no command; the message names the field
+   * @throws MalformedRecordException where it is no command; the message names the field
    */
-  C command(Map<String, Object> body) throws Unreadable;
+  C command(Map<String, Object> body) throws MalformedRecordException;
 
   /**
    * The one function that changes a state of this kind; pure: it may be made again, on a newer
    * state, until a change is durable.
    */
-  Step<S> step(S state, C command, At at);
+  Transition<S> step(S state, C command, CommandOrigin at);
 
   /**
    * What is shown of a record, as rows of one table: the names of the columns are the same in each
    * row.
    */
-  List<Map<String, Object>> rows(String id, S state, At at);
+  List<Map<String, Object>> rows(String id, S state, CommandOrigin at);
 
   /**
    * Whether records of this kind keep tasks from running. Then a controller that cannot read one of
--- a/src/main/java/org/quincecross/agreed/Kept.java
+++ b/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,7 +13,7 @@
  * @param requests the latest requests, oldest first
  * @param trail lines that are on no page yet, oldest first
  */
-public record Kept<S>(S state, long change, List<Request> requests, List<TrailLine> trail) {
+public record ReplicatedRecord<S>(S state, long change, List<Request> requests, List<AuditEntry> trail) {
   /** So many requests of one record are known by their names; the values of records are small. */
   public static final int MOST_REQUESTS = 12;
 
@@ -37,7 +37,7 @@
   /** What becomes of a request. */
   public sealed interface Result<S> {
     /** To be written in place of what there was; {@code withholds}: with it the fence rises. */
-    record Write<S>(Kept<S> next, Request made, boolean withholds) implements Result<S> {}
+    record Write<S>(ReplicatedRecord<S> next, Request made, boolean withholds) implements Result<S> {}
 
     /** It was followed before. */
     record Known<S>(Request made) implements Result<S> {}
@@ -49,8 +49,8 @@
     record Nothing<S>(String why) implements Result<S> {}
   }
 
-  public static <S> Kept<S> none(Kind<S, ?> kind) {
-    return new Kept<>(kind.initial(), 0, List.of(), List.of());
+  public static <S> ReplicatedRecord<S> none(RecordKind<S, ?> kind) {
+    return new ReplicatedRecord<>(kind.initial(), 0, List.of(), List.of());
   }
 
   /**
@@ -63,13 +63,13 @@
    *     whatever it is
    */
   public <C> Result<S> apply(
-      Kind<S, C> kind,
+      RecordKind<S, C> kind,
       String id,
       Revision version,
       String request,
       long onChange,
       C command,
-      At at) {
+      CommandOrigin at) {
     if (request != null) {
       for (Request before : requests) {
         if (before.name().equals(request)) {
@@ -90,27 +90,27 @@
       return new Result.Refused<>(
           409, "the record has changed: " + change + " changes, not " + onChange);
     }
-    Step<S> step = kind.step(state, command, at);
-    if (step instanceof Step.Refused<S> refused) {
+    Transition<S> step = kind.step(state, command, at);
+    if (step instanceof Transition.Refused<S> refused) {
       return new Result.Refused<>(refused.status(), refused.why());
     }
-    if (step instanceof Step.Changed<S> changed) {
+    if (step instanceof Transition.Changed<S> changed) {
       Request made = new Request(request, change + 1, at.timeOfDayMs(), "");
-      List<TrailLine> lines = new ArrayList<>();
+      List<AuditEntry> lines = new ArrayList<>();
       trail.forEach(line -> lines.add(line.stamped(version)));
       changed
           .trail()
           .forEach(
               entry ->
                   lines.add(
-                      new TrailLine(
+                      new AuditEntry(
                           Revision.NONE, id, change + 1, at.timeOfDayMs(), at.by(), entry)));
       return new Result.Write<>(
-          new Kept<>(changed.next(), change + 1, with(made, at), List.copyOf(lines)),
+          new ReplicatedRecord<>(changed.next(), change + 1, with(made, at), List.copyOf(lines)),
           made,
           kind.startsWithholding(state, changed.next()));
     }
-    String why = ((Step.Same<S>) step).why();
+    String why = ((Transition.Same<S>) step).why();
     if (request == null) {
       return new Result.Nothing<>(why);
     }
@@ -119,14 +119,14 @@
     Request made =
         new Request(request, change, at.timeOfDayMs(), why.isEmpty() ? "nothing to change" : why);
     return new Result.Write<>(
-        new Kept<>(state, change, with(made, at), stamped(version)), made, false);
+        new ReplicatedRecord<>(state, change, with(made, at), stamped(version)), made, false);
   }
 
-  private static boolean isOld(Request request, At at) {
+  private static boolean isOld(Request request, CommandOrigin at) {
     return at.timeOfDayMs() - request.atMs() > REQUESTS_KNOWN_MS + 2 * at.clockBoundMs();
   }
 
-  private List<Request> with(Request made, At at) {
+  private List<Request> with(Request made, CommandOrigin at) {
     if (made.name() == null) {
       return requests;
     }
@@ -138,26 +138,26 @@
     return List.copyOf(all);
   }
 
-  private List<TrailLine> stamped(Revision version) {
+  private List<AuditEntry> stamped(Revision version) {
     return trail.stream().map(line -> line.stamped(version)).toList();
   }
 
   /**
    * The lines of the trail that stand here, with the revision of the latest from the record itself.
    */
-  public List<TrailLine> lines(Revision version) {
+  public List<AuditEntry> lines(Revision version) {
     return stamped(version);
   }
 
   /** The same without its first {@code lines} lines of the trail, which are on a page now. */
-  public Kept<S> without(int lines, Revision version) {
-    List<TrailLine> all = stamped(version);
-    return new Kept<>(
+  public ReplicatedRecord<S> without(int lines, Revision version) {
+    List<AuditEntry> all = stamped(version);
+    return new ReplicatedRecord<>(
         state, change, requests, all.subList(Math.min(lines, all.size()), all.size()));
   }
 
   /** The record. */
-  public Map<String, Object> write(Kind<S, ?> kind) {
+  public Map<String, Object> write(RecordKind<S, ?> kind) {
     Map<String, Object> out = new LinkedHashMap<>();
     if (kind.restrains()) {
       out.put("must", true); // who does not know the kind must not go on without it
@@ -169,12 +169,12 @@
       names.add(List.of(request.name(), request.change(), request.atMs(), request.same()));
     }
     out.put("requests", names);
-    out.put("trail", TrailLine.writeAll(trail));
+    out.put("trail", AuditEntry.writeAll(trail));
     return out;
   }
 
-  public static <S> Kept<S> read(Kind<S, ?> kind, Object value) throws Unreadable {
-    Body in = Body.of(value, "a record of " + kind.name());
+  public static <S> ReplicatedRecord<S> read(RecordKind<S, ?> kind, Object value) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(value, "a record of " + kind.name());
     List<Request> requests = new ArrayList<>();
     for (Object each : in.list("requests")) {
       if (!(each instanceof List<?> fields
@@ -183,14 +183,14 @@
           && fields.get(1) instanceof Number change
           && fields.get(2) instanceof Number atMs
           && fields.get(3) instanceof String same)) {
-        throw new Unreadable("a request of a record of " + kind.name() + " is none");
+        throw new MalformedRecordException("a request of a record of " + kind.name() + " is none");
       }
       requests.add(new Request(name, change.longValue(), atMs.longValue(), same));
     }
-    return new Kept<>(
+    return new ReplicatedRecord<>(
         kind.read(in.body("state").all()),
         in.integer("change", 0, Long.MAX_VALUE),
         List.copyOf(requests),
-        List.copyOf(TrailLine.readAll(in.list("trail"))));
+        List.copyOf(AuditEntry.readAll(in.list("trail"))));
   }
 }
--- a/src/main/java/org/quincecross/agreed/KnownByAll.java
+++ b/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -15,7 +15,7 @@
  * bounded time after it last heard from the state service; one that has heard from it since the
  * revision was durable has seen it.
  */
-public final class KnownByAll {
+public final class ReplicationBarrier {
   /** How far a revision has come. */
   public enum State {
     /** This controller has not seen it. */
@@ -52,7 +52,7 @@
     }
   }
 
-  private KnownByAll() {}
+  private ReplicationBarrier() {}
 
   /**
    * Decides whether all controllers know a revision.
--- a/src/main/java/org/quincecross/agreed/Withheld.java
+++ b/src/main/java/org/quincecross/replicated/StartBlock.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
@@ -9,10 +9,10 @@
  * Tasks of accepted jobs that may not run now, by an agreed record (a hold, a model at zero). They
  * are not allocated, not started and cause no renting; what runs of them is stopped in order.
  */
-public interface Withheld {
+public interface StartBlock {
   /** Nothing is kept back. */
-  Withheld NONE =
-      new Withheld() {
+  StartBlock NONE =
+      new StartBlock() {
         private final TaskSet none = new TaskSet();
 
         @Override
--- a/src/main/java/org/quincecross/agreed/package-info.java
+++ b/src/main/java/org/quincecross/replicated/package-info.java
@@ -3,4 +3,4 @@
  * change of it is made once however often it is asked for, its trail, what it keeps from running,
  * and since when all controllers know of it. Pure: no I/O, no clock. See docs/design/agreed.md.
  */
-package org.quincecross.agreed;
+package org.quincecross.replicated;
--- a/src/main/java/org/quincecross/requests/RequestKind.java
+++ b/src/main/java/org/quincecross/requests/RequestKind.java
@@ -9,16 +9,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Body;
-import org.quincecross.agreed.Kind;
-import org.quincecross.agreed.Step;
-import org.quincecross.agreed.TrailEntry;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.Transition;
+import org.quincecross.replicated.AuditEvent;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.model.Resources;
 
 /** Requests as records that all controllers follow. */
-public final class RequestKind implements Kind<Request, RequestCommand> {
+public final class RequestKind implements RecordKind<Request, RequestCommand> {
   public static final String NAME = "requests";
 
   /** The most tasks that one request may ask room for. */
@@ -72,21 +72,21 @@
   // ---- the one function that changes a request ----
 
   @Override
-  public Step<Request> step(Request state, RequestCommand command, At at) {
+  public Transition<Request> step(Request state, RequestCommand command, CommandOrigin at) {
     if (command instanceof RequestCommand.Arrive arrive) {
       return arrive(state, arrive.figures(), at);
     }
     if (state.state() == Request.State.NONE) {
-      return new Step.Refused<>(404, "no such request has arrived");
+      return new Transition.Refused<>(404, "no such request has arrived");
     }
     if (command instanceof RequestCommand.Answer answer) {
       return answer(state, answer.deliveredMs(), at);
     }
     if (command instanceof RequestCommand.Withdraw withdraw) {
       return switch (state.state()) {
-        case WITHDRAWN -> new Step.Same<>("withdrawn already");
+        case WITHDRAWN -> new Transition.Same<>("withdrawn already");
         case ANSWERED ->
-            new Step.Refused<>(
+            new Transition.Refused<>(
                 409, "its answer was delivered already, at " + state.overMs() + " ms");
         default ->
             changed(
@@ -99,35 +99,35 @@
       };
     }
     if (!state.state().isOpen()) {
-      return new Step.Same<>("it is over"); // what the leader decided before it knew
+      return new Transition.Same<>("it is over"); // what the leader decided before it knew
     }
     if (command instanceof RequestCommand.Place place) {
       int tasks = place.zones().values().stream().mapToInt(Integer::intValue).sum();
       if (tasks != state.need().tasks()
           || !place.zones().keySet().stream().allMatch(state.need()::allows)) {
-        return new Step.Refused<>(409, "that is not the room that it needs");
+        return new Transition.Refused<>(409, "that is not the room that it needs");
       }
       return state.state() == Request.State.RESERVED && state.zones().equals(place.zones())
-          ? new Step.Same<>("reserved there already")
+          ? new Transition.Same<>("reserved there already")
           : changed(
               state.reserved(place.zones()), "reserved", "zones", new TreeMap<>(place.zones()));
     }
     String why = ((RequestCommand.Lose) command).why();
     return state.state() == Request.State.ARRIVED
-        ? new Step.Same<>("it has no room")
+        ? new Transition.Same<>("it has no room")
         : changed(state.withoutRoom(why), "without_room", "why", why, "had", state.zones());
   }
 
-  private static Step<Request> arrive(Request state, Request figures, At at) {
+  private static Transition<Request> arrive(Request state, Request figures, CommandOrigin at) {
     if (state.state() != Request.State.NONE) {
       List<String> differences = state.differences(figures);
       return differences.isEmpty()
-          ? new Step.Same<>("known already")
-          : new Step.Refused<>(
+          ? new Transition.Same<>("known already")
+          : new Transition.Refused<>(
               409, "the request is known with other figures: " + String.join("; ", differences));
     }
     if (figures.arrivedMs() > at.latestMs()) {
-      return new Step.Refused<>(
+      return new Transition.Refused<>(
           422, "arrived_ms is in the future: it is " + at.timeOfDayMs() + " ms here");
     }
     Request known =
@@ -146,24 +146,24 @@
     return changed(known, "arrived", "kind", figures.kind(), "due_ms", figures.dueMs());
   }
 
-  private static Step<Request> answer(Request state, long deliveredMs, At at) {
+  private static Transition<Request> answer(Request state, long deliveredMs, CommandOrigin at) {
     switch (state.state()) {
       case ANSWERED -> {
         return deliveredMs < 0 || deliveredMs == state.overMs()
-            ? new Step.Same<>("delivered already")
-            : new Step.Refused<>(
+            ? new Transition.Same<>("delivered already")
+            : new Transition.Refused<>(
                 409, "its answer was delivered at " + state.overMs() + " ms, not " + deliveredMs);
       }
       case WITHDRAWN -> {
-        return new Step.Refused<>(409, "it was withdrawn at " + state.overMs() + " ms");
+        return new Transition.Refused<>(409, "it was withdrawn at " + state.overMs() + " ms");
       }
       default -> {
         if (deliveredMs > at.latestMs()) {
-          return new Step.Refused<>(
+          return new Transition.Refused<>(
               422, "delivered_ms is in the future: it is " + at.timeOfDayMs() + " ms here");
         }
         if (deliveredMs >= 0 && deliveredMs < state.arrivedMs()) {
-          return new Step.Refused<>(
+          return new Transition.Refused<>(
               422, "delivered_ms is before the request arrived, at " + state.arrivedMs() + " ms");
         }
         Request next =
@@ -175,12 +175,12 @@
     }
   }
 
-  private static Step<Request> changed(Request next, String event, Object... details) {
+  private static Transition<Request> changed(Request next, String event, Object... details) {
     Map<String, Object> map = new LinkedHashMap<>();
     for (int i = 0; i < details.length; i += 2) {
       map.put((String) details[i], details[i + 1]);
     }
-    return new Step.Changed<>(next, List.of(new TrailEntry(event, map)));
+    return new Transition.Changed<>(next, List.of(new AuditEvent(event, map)));
   }
 
   /** What was planned while the room was anybody's would give it away: from here on it fails. */
@@ -220,11 +220,11 @@
   }
 
   @Override
-  public Request read(Map<String, Object> value) throws Unreadable {
-    Body in = Body.of(value, "a request");
+  public Request read(Map<String, Object> value) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(value, "a request");
     Map<String, Integer> zones = new TreeMap<>();
     if (in.has("reserved")) {
-      Body reserved = in.body("reserved");
+      RecordFields reserved = in.body("reserved");
       for (String zone : reserved.all().keySet()) {
         zones.put(zone, (int) reserved.integer(zone, 1, MOST_TASKS));
       }
@@ -243,7 +243,7 @@
         in.integerOr("over_bound_ms", 0, MOST_MS, 0));
   }
 
-  private static Need need(Body in) throws Unreadable {
+  private static Need need(RecordFields in) throws MalformedRecordException {
     return new Need(
         in.text("lane"),
         in.text("team"),
@@ -256,28 +256,28 @@
   }
 
   @Override
-  public RequestCommand command(Map<String, Object> body) throws Unreadable {
-    Body in = Body.of(body, "the command");
+  public RequestCommand command(Map<String, Object> body) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(body, "the command");
     switch (in.text("do")) {
       case "arrive" -> {
         in.only(ARRIVE);
         Need need = need(in);
         if (need.tasks() < 1 || need.each().cpus() <= 0) {
-          throw new Unreadable("tasks and cpus of the command are to be above 0");
+          throw new MalformedRecordException("tasks and cpus of the command are to be above 0");
         }
         if (need.zones().size() > MOST_ZONES) {
-          throw new Unreadable("field zones of the command names more than " + MOST_ZONES);
+          throw new MalformedRecordException("field zones of the command names more than " + MOST_ZONES);
         }
         for (String word : List.of(in.text("kind"), need.lane(), need.team())) {
           if (word.isBlank() || word.length() > MOST_WORD) {
-            throw new Unreadable(
+            throw new MalformedRecordException(
                 "kind, lane and team of the command are to have 1 to " + MOST_WORD + " characters");
           }
         }
         long arrived = in.integer("arrived_ms", 0, MOST_MS);
         long due = in.integer("due_ms", 0, MOST_MS);
         if (due <= arrived) {
-          throw new Unreadable("field due_ms of the command is not after arrived_ms");
+          throw new MalformedRecordException("field due_ms of the command is not after arrived_ms");
         }
         return new RequestCommand.Arrive(
             new Request(
@@ -301,18 +301,18 @@
         in.only(Set.of("do", "why"));
         String why = in.textOr("why", "");
         if (why.length() > MOST_WHY) {
-          throw new Unreadable(
+          throw new MalformedRecordException(
               "field why of the command has more than " + MOST_WHY + " characters");
         }
         return new RequestCommand.Withdraw(why);
       }
       default ->
-          throw new Unreadable("field do of the command is not one of [arrive, answer, withdraw]");
+          throw new MalformedRecordException("field do of the command is not one of [arrive, answer, withdraw]");
     }
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, Request state, At at) {
+  public List<Map<String, Object>> rows(String id, Request state, CommandOrigin at) {
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("reference", id);
     row.put("kind", state.kind());
--- a/src/main/java/org/quincecross/sched/Admission.java
+++ b/src/main/java/org/quincecross/scheduling/Admission.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -177,7 +177,7 @@
         standing = standing.plus(more);
       } else if (job.kind() == JobKind.GANG) {
         gangs = gangs.plus(more);
-      } else if (Reserve.mayBorrow(job)) {
+      } else if (Headroom.mayBorrow(job)) {
         lent = lent.plus(more);
       }
     }
@@ -282,7 +282,7 @@
   private final Collection<Block> blocks;
   private final Map<String, Team> teams;
   private final Map<String, Resources> teamUse;
-  private final KeptRoom reserves;
+  private final HeadroomPlan reserves;
   private final Map<Alike, List<Resources>> withoutRoom = new HashMap<>();
   private long looks;
 
@@ -303,11 +303,11 @@
       Collection<Block> blocks,
       Map<String, Team> teams,
       Map<String, Resources> teamUse,
-      Map<ShardId, List<Reserve>> reserves) {
+      Map<ShardId, List<Headroom>> reserves) {
     this.blocks = blocks;
     this.teams = teams;
     this.teamUse = new HashMap<>(teamUse);
-    this.reserves = new KeptRoom(reserves, blocks);
+    this.reserves = new HeadroomPlan(reserves, blocks);
   }
 
   /** What the machines of some blocks have for arrays: what services and gangs do not use. */
@@ -405,7 +405,7 @@
     }
     // Where one task may change where the next may go, all blocks are looked at for each.
     boolean bound = job.spreadOverZones() || job.singleZone();
-    boolean large = blocks.stream().anyMatch(block -> Reserve.isLarge(job, block.machine));
+    boolean large = blocks.stream().anyMatch(block -> Headroom.isLarge(job, block.machine));
     Alike alike =
         bound || large || demand.place() == Place.BEGINNING
             ? null
@@ -422,10 +422,10 @@
             .anyMatch(each -> each.fitsIn(job.taskResources()))) {
       return left;
     }
-    PriorityQueue<Choice> choices = bound ? null : choices(demand, perZone);
+    PriorityQueue<PlacementCandidate> choices = bound ? null : choices(demand, perZone);
     for (int index = demand.pool().nextMember(0); left > 0; index = demand.pool().nextMember(index + 1)) {
-      PriorityQueue<Choice> from = bound ? choices(demand, perZone) : choices;
-      Choice best = from.poll();
+      PriorityQueue<PlacementCandidate> from = bound ? choices(demand, perZone) : choices;
+      PlacementCandidate best = from.poll();
       if (best == null) {
         if (demand.place() == Place.BEGINNING) {
           keepRoomFor(demand, 1);
@@ -443,7 +443,7 @@
       left--;
       if (!bound && hasRoom(demand, 1, block)) {
         choices.add(
-            new Choice(
+            new PlacementCandidate(
                 block,
                 demand,
                 entersReserve(job, block),
@@ -454,14 +454,14 @@
     return 0;
   }
 
-  private PriorityQueue<Choice> choices(JobDemand demand, Map<String, Integer> perZone) {
-    PriorityQueue<Choice> choices = new PriorityQueue<>();
+  private PriorityQueue<PlacementCandidate> choices(JobDemand demand, Map<String, Integer> perZone) {
+    PriorityQueue<PlacementCandidate> choices = new PriorityQueue<>();
     Job job = demand.job();
     for (Block block : blocks) {
       looks++;
       if (mayGo(job, block, perZone) && hasRoom(demand, 1, block)) {
         choices.add(
-            new Choice(
+            new PlacementCandidate(
                 block,
                 demand,
                 entersReserve(job, block),
@@ -494,7 +494,7 @@
       if (mayGo(job, block, Map.of())
           && hasRoom(demand, job.taskCount(), block)
           && (!job.spreadOverZones() || job.taskCount() <= job.maxTasksPerZone())
-          && (best == null || Choice.gangOrder(demand).compare(block, best) < 0)) {
+          && (best == null || PlacementCandidate.gangOrder(demand).compare(block, best) < 0)) {
         best = block;
       }
     }
--- a/src/main/java/org/quincecross/sched/Fit.java
+++ b/src/main/java/org/quincecross/scheduling/FitScore.java
@@ -1,10 +1,10 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import org.quincecross.model.Resources;
 
 /** The paper's measures of how well a task fits a machine. */
-public final class Fit {
-  private Fit() {}
+public final class FitScore {
+  private FitScore() {}
 
   /**
    * BM times FM (the paper's equations 1 and 2) of a machine that uses {@code used} and were to
--- a/src/main/java/org/quincecross/sched/Reserve.java
+++ b/src/main/java/org/quincecross/scheduling/Headroom.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.Set;
 import org.quincecross.model.Job;
@@ -19,7 +19,7 @@
  * @param lentTo jobs that need not keep out, because they have waited too long; of room for
  *     requests none
  */
-public record Reserve(Purpose purpose, Resources each, int machines, For asked, Set<JobId> lentTo) {
+public record Headroom(Purpose purpose, Resources each, int machines, For asked, Set<JobId> lentTo) {
   /** What the room is kept for. */
   public enum Purpose {
     /** Work that needs most of a machine; all smaller work keeps out. */
@@ -41,11 +41,11 @@
   /** What is lent saves within this, and is gone within a second more. */
   private static final TimeSpan LENT_SAVES_WITHIN = TimeSpan.ofSeconds(1);
 
-  public Reserve(Purpose purpose, Resources each, int machines, For asked) {
+  public Headroom(Purpose purpose, Resources each, int machines, For asked) {
     this(purpose, each, machines, asked, Set.of());
   }
 
-  public Reserve(Purpose purpose, Resources each, int machines) {
+  public Headroom(Purpose purpose, Resources each, int machines) {
     this(purpose, each, machines, null, Set.of());
   }
 
@@ -102,13 +102,13 @@
   }
 
   /** The same with less to be kept free, for so much of it is lent. */
-  public Reserve lent(int tasks) {
-    return new Reserve(purpose, each, Math.max(0, machines - tasks), asked, lentTo);
+  public Headroom lent(int tasks) {
+    return new Headroom(purpose, each, Math.max(0, machines - tasks), asked, lentTo);
   }
 
   /** The same, but some jobs need not keep out. */
-  public Reserve lentTo(Set<JobId> jobs) {
-    return new Reserve(purpose, each, machines, asked, jobs);
+  public Headroom lentTo(Set<JobId> jobs) {
+    return new Headroom(purpose, each, machines, asked, jobs);
   }
 
   /** What all that is kept comes to. */
--- a/src/main/java/org/quincecross/sched/KeptRoom.java
+++ b/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -12,8 +12,8 @@
 import org.quincecross.model.Resources;
 
 /** What blocks keep free, as admission asks for it. */
-final class KeptRoom {
-  private final Map<ShardId, List<Reserve>> reserves;
+final class HeadroomPlan {
+  private final Map<ShardId, List<Headroom>> reserves;
 
   /** What is kept of each team's limit for lanes. */
   private final Map<String, Map<String, Resources>> ofTeams = new HashMap<>();
@@ -29,12 +29,12 @@
 
   private final Set<JobId> lentTo = new HashSet<>();
 
-  KeptRoom(Map<ShardId, List<Reserve>> reserves, Collection<Admission.Block> blocks) {
+  HeadroomPlan(Map<ShardId, List<Headroom>> reserves, Collection<Admission.Block> blocks) {
     this.reserves = reserves;
     Map<ShardId, String> zones = new HashMap<>();
     blocks.forEach(block -> zones.put(block.id(), block.zone));
-    for (Map.Entry<ShardId, List<Reserve>> ofBlock : reserves.entrySet()) {
-      for (Reserve reserve : ofBlock.getValue()) {
+    for (Map.Entry<ShardId, List<Headroom>> ofBlock : reserves.entrySet()) {
+      for (Headroom reserve : ofBlock.getValue()) {
         lentTo.addAll(reserve.lentTo());
         if (reserve.asked() != null) {
           ofLanes
@@ -100,7 +100,7 @@
     boolean lent = isLent(job);
     return ofTeams.isEmpty()
         ? lent ? "lent" : null
-        : Reserve.mayBorrow(job) + job.jobClass() + lent;
+        : Headroom.mayBorrow(job) + job.jobClass() + lent;
   }
 
   /**
@@ -115,15 +115,15 @@
   Resources from(Job job, ShardId block, Resources machine, Resources lent, boolean begins) {
     Resources kept = null;
     Resources requests = null;
-    for (Reserve reserve : reserves.getOrDefault(block, List.of())) {
+    for (Headroom reserve : reserves.getOrDefault(block, List.of())) {
       if (!reserve.isKeptFrom(job, machine) || reserve.keepsNothing()) {
         continue;
       }
-      if (begins && reserve.purpose() != Reserve.Purpose.REQUESTS) {
+      if (begins && reserve.purpose() != Headroom.Purpose.REQUESTS) {
         kept = kept == null ? Resources.NONE : kept; // it is to start, and not to wait in a queue
         continue;
       }
-      if (reserve.purpose() == Reserve.Purpose.REQUESTS) {
+      if (reserve.purpose() == Headroom.Purpose.REQUESTS) {
         requests = requests == null ? reserve.total() : requests.plus(reserve.total());
       } else {
         kept = kept == null ? reserve.total() : kept.plus(reserve.total());
@@ -139,7 +139,7 @@
   /** What of a block a job, though it may use it, should leave to others. */
   Resources better(Job job, ShardId block, Resources machine) {
     Resources kept = Resources.NONE;
-    for (Reserve reserve : reserves.getOrDefault(block, List.of())) {
+    for (Headroom reserve : reserves.getOrDefault(block, List.of())) {
       kept = reserve.isBetterAvoided(job, machine) ? kept.plus(reserve.total()) : kept;
     }
     return kept;
--- a/src/main/java/org/quincecross/sched/JobDemand.java
+++ b/src/main/java/org/quincecross/scheduling/JobDemand.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/org/quincecross/sched/MachineQueue.java
+++ b/src/main/java/org/quincecross/scheduling/MachineQueue.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -15,8 +15,8 @@
   private final MachineId machine;
   private final Resources capacity;
   private final Predicate<String> hasImage;
-  private final List<Entry> queue = new ArrayList<>();
-  private final List<Entry> unmodifiable = Collections.unmodifiableList(queue);
+  private final List<QueueEntry> queue = new ArrayList<>();
+  private final List<QueueEntry> unmodifiable = Collections.unmodifiableList(queue);
   private Resources used = Resources.NONE;
   private Resources queued = Resources.NONE;
   private Map<String, Priority> fetching = Map.of();
@@ -65,7 +65,7 @@
    * Whether work of a higher priority waits here for an image, whose fetch another image would slow
    * down.
    */
-  boolean fetchesForBetter(Entry entry) {
+  boolean fetchesForBetter(QueueEntry entry) {
     if (hasImage(entry)) {
       return false;
     }
@@ -82,7 +82,7 @@
   }
 
   /** Whether an urgent entry would fit once work that can be stopped in a moment has been. */
-  boolean couldFit(Entry entry) {
+  boolean couldFit(QueueEntry entry) {
     return open && !entry.avoids(machine) && entry.job().taskResources().fitsIn(free().plus(displaceable));
   }
 
@@ -91,31 +91,31 @@
   }
 
   /** The waiting work, first in line first. */
-  public List<Entry> waiting() {
+  public List<QueueEntry> waiting() {
     return unmodifiable;
   }
 
-  void add(Entry entry) {
-    int at = Collections.binarySearch(queue, entry, Entry.ORDER);
+  void add(QueueEntry entry) {
+    int at = Collections.binarySearch(queue, entry, QueueEntry.ORDER);
     queue.add(at < 0 ? -at - 1 : at, entry);
     countQueued();
   }
 
-  void remove(Entry entry) {
+  void remove(QueueEntry entry) {
     queue.remove(entry);
     countQueued();
   }
 
   private void countQueued() {
     queued = Resources.NONE;
-    for (Entry entry : queue) {
+    for (QueueEntry entry : queue) {
       queued = queued.plus(entry.job().taskResources().times(entry.tasks().size()));
     }
   }
 
   /** The first in line that may start now, or null. */
-  Entry head(MonotonicTime now) {
-    for (Entry entry : queue) {
+  QueueEntry head(MonotonicTime now) {
+    for (QueueEntry entry : queue) {
       if (entry.isReady(now)) {
         return entry;
       }
@@ -123,11 +123,11 @@
     return null;
   }
 
-  boolean canEver(Entry entry) {
+  boolean canEver(QueueEntry entry) {
     return entry.job().taskResources().fitsIn(capacity);
   }
 
-  boolean fitsNow(Entry entry) {
+  boolean fitsNow(QueueEntry entry) {
     return open && entry.job().taskResources().fitsIn(free()) && !entry.avoids(machine);
   }
 
@@ -137,12 +137,12 @@
     return free.cpus() > 0 && free.memoryGb() > 0;
   }
 
-  boolean hasImage(Entry entry) {
+  boolean hasImage(QueueEntry entry) {
     return hasImage.test(entry.job().image());
   }
 
-  double fit(Entry entry) {
-    return Fit.product(capacity, used, entry.job().taskResources());
+  double fit(QueueEntry entry) {
+    return FitScore.product(capacity, used, entry.job().taskResources());
   }
 
   /**
@@ -154,8 +154,8 @@
   }
 
   /** Work was started past the entries ahead of it: each of them has been passed once more. */
-  void passedBy(Entry started, MonotonicTime now) {
-    for (Entry entry : queue) {
+  void passedBy(QueueEntry started, MonotonicTime now) {
+    for (QueueEntry entry : queue) {
       if (entry == started) {
         return;
       }
--- a/src/main/java/org/quincecross/sched/Choice.java
+++ b/src/main/java/org/quincecross/scheduling/PlacementCandidate.java
@@ -1,10 +1,10 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.Comparator;
 import org.quincecross.model.Job;
 
 /** A block that a task could go to, as it is now; the better one is less. */
-final class Choice implements Comparable<Choice> {
+final class PlacementCandidate implements Comparable<PlacementCandidate> {
   private final Admission.Block block;
   private final int grade;
   private final int inZone;
@@ -16,7 +16,7 @@
    * @param kept for how many tasks of its lane the zone keeps room: evenly used, the last job finds
    *     it in all of them
    */
-  Choice(Admission.Block block, JobDemand demand, boolean entersReserve, int inZone, int kept) {
+  PlacementCandidate(Admission.Block block, JobDemand demand, boolean entersReserve, int inZone, int kept) {
     this.block = block;
     this.kept = kept;
     this.inZone = inZone;
@@ -37,7 +37,7 @@
   }
 
   @Override
-  public int compareTo(Choice other) {
+  public int compareTo(PlacementCandidate other) {
     if (grade != other.grade) {
       return Integer.compare(grade, other.grade);
     }
@@ -60,7 +60,7 @@
     return Comparator.comparing(
             (Admission.Block block) -> -Math.min(job.taskCount(), block.placesNow(job)))
         .thenComparing(block -> -Math.min(job.taskCount(), block.placesSoon(job)))
-        .thenComparing(block -> new Choice(block, demand, false, 0, 0).grade)
+        .thenComparing(block -> new PlacementCandidate(block, demand, false, 0, 0).grade)
         .thenComparing(block -> block.imageGrade(job))
         .thenComparing(Admission.Block::usedShare)
         .thenComparing(Admission.Block::id);
--- a/src/main/java/org/quincecross/sched/Preemption.java
+++ b/src/main/java/org/quincecross/scheduling/Preemption.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -31,7 +31,7 @@
       boolean saves,
       MonotonicTime since) {}
 
-  private final BlockScheduler block;
+  private final ShardScheduler block;
   private final Map<MachineId, List<Running>> running = new HashMap<>();
   private final Map<MachineId, Resources> room = new HashMap<>();
   private final Priority lowest;
@@ -40,7 +40,7 @@
    * @param tasks what runs and could be stopped
    * @param stopping what the tasks take that are being stopped on each machine
    */
-  public Preemption(BlockScheduler block, List<Running> tasks, Map<MachineId, Resources> stopping) {
+  public Preemption(ShardScheduler block, List<Running> tasks, Map<MachineId, Resources> stopping) {
     this.block = block;
     Priority least = Priority.PRODUCTION;
     for (Running task : tasks) {
@@ -65,7 +65,7 @@
    *
    * @param ofIdle whether only what nobody expects may be stopped
    */
-  public List<Running> makeRoom(Entry entry, boolean ofIdle) {
+  public List<Running> makeRoom(QueueEntry entry, boolean ofIdle) {
     if (entry.tasks().size() > 1) {
       return makeRoomForGang(entry, ofIdle);
     }
@@ -73,7 +73,7 @@
     return victims == null ? List.of() : victims;
   }
 
-  private List<Running> makeRoomForGang(Entry gang, boolean ofIdle) {
+  private List<Running> makeRoomForGang(QueueEntry gang, boolean ofIdle) {
     Map<MachineId, Resources> roomBefore = new HashMap<>(room);
     Map<MachineId, List<Running>> runningBefore = new HashMap<>();
     running.forEach((machine, tasks) -> runningBefore.put(machine, new ArrayList<>(tasks)));
@@ -91,7 +91,7 @@
   }
 
   /** What is stopped for one task of an entry; null where no machine can be made to fit it. */
-  private List<Running> makeRoomForOne(Entry entry, boolean ofIdle) {
+  private List<Running> makeRoomForOne(QueueEntry entry, boolean ofIdle) {
     MachineQueue best = null;
     List<Running> bestVictims = null;
     for (MachineQueue machine : block.machines()) {
@@ -123,7 +123,7 @@
   /** A fetch takes longer than most of what a victim loses. */
   private static final double FETCH = 1000;
 
-  private static double cost(MachineQueue machine, Entry entry, List<Running> victims) {
+  private static double cost(MachineQueue machine, QueueEntry entry, List<Running> victims) {
     double cost = machine.hasImage(entry) ? 0 : FETCH;
     for (Running victim : victims) {
       cost += victim.each().cpus() * (victim.saves() ? 1 : 3) * (1 + victim.rank().ordinal());
@@ -132,7 +132,7 @@
   }
 
   /** What would have to be stopped on a machine, or null if that would not be enough. */
-  private List<Running> onMachine(MachineQueue machine, Entry entry, boolean ofIdle) {
+  private List<Running> onMachine(MachineQueue machine, QueueEntry entry, boolean ofIdle) {
     Resources free = room.get(machine.machine());
     if (entry.job().taskResources().fitsIn(free)) {
       return List.of();
--- a/src/main/java/org/quincecross/sched/Entry.java
+++ b/src/main/java/org/quincecross/scheduling/QueueEntry.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.Comparator;
 import java.util.HashSet;
@@ -11,13 +11,13 @@
 import org.quincecross.model.TaskId;
 
 /** What waits in a queue: a task, or all tasks of a gang. */
-public final class Entry {
+public final class QueueEntry {
   /**
    * Priority comes before age: the queues of the paper are first come, first served within a
    * priority.
    */
-  public static final Comparator<Entry> ORDER =
-      Comparator.comparing((Entry entry) -> entry.job.priority())
+  public static final Comparator<QueueEntry> ORDER =
+      Comparator.comparing((QueueEntry entry) -> entry.job.priority())
           .reversed()
           .thenComparing(entry -> entry.accepted)
           .thenComparing(entry -> entry.tasks.get(0));
@@ -34,7 +34,7 @@
   private boolean avoidsFetch;
   private MonotonicTime notBefore;
 
-  public Entry(Job job, List<TaskId> tasks, Revision accepted) {
+  public QueueEntry(Job job, List<TaskId> tasks, Revision accepted) {
     this.job = job;
     this.tasks = List.copyOf(tasks);
     this.accepted = accepted;
--- a/src/main/java/org/quincecross/sched/Turns.java
+++ b/src/main/java/org/quincecross/scheduling/RoundRobinQueue.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
@@ -10,7 +10,7 @@
  * A queue in which owners take turns, each with its own items first come, first served: whoever
  * brings hundreds at once waits for them itself, and does not have others wait.
  */
-public final class Turns<K, T> {
+public final class RoundRobinQueue<K, T> {
   /** In the order of turns: the owner of the next item first. */
   private final Map<K, ArrayDeque<T>> queues = new LinkedHashMap<>();
 
