--- a/src/main/java/org/quincecross/sched/BlockScheduler.java
+++ b/src/main/java/org/quincecross/scheduling/ShardScheduler.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -23,13 +23,13 @@
  * by counters, free machines pulling from the longest queues, and balancing of the queues (the
  * paper's sections IV.A to IV.C, in the PULL variant).
  */
-public final class BlockScheduler {
+public final class ShardScheduler {
   /** Work that is to start, and on which machine each of its tasks. */
-  public record Start(Entry entry, List<MachineId> machines) {}
+  public record Start(QueueEntry entry, List<MachineId> machines) {}
 
   private final Map<MachineId, MachineQueue> machines = new LinkedHashMap<>();
-  private final Map<Entry, MachineQueue> queueOf = new HashMap<>();
-  private List<Reserve> reserves = List.of();
+  private final Map<QueueEntry, MachineQueue> queueOf = new HashMap<>();
+  private List<Headroom> reserves = List.of();
   private int[] left = new int[0];
 
   public void addMachine(MachineId machine, Resources capacity, Predicate<String> hasImage) {
@@ -40,7 +40,7 @@
   public void removeMachine(MachineId machine) {
     MachineQueue gone = machines.remove(machine);
     if (gone != null) {
-      for (Entry entry : List.copyOf(gone.waiting())) {
+      for (QueueEntry entry : List.copyOf(gone.waiting())) {
         remove(entry);
         enqueue(entry);
       }
@@ -49,7 +49,7 @@
   }
 
   /** Says what is to be kept free. */
-  public void reserve(List<Reserve> toKeep) {
+  public void reserve(List<Headroom> toKeep) {
     reserves = toKeep;
     left = new int[toKeep.size()];
     recount();
@@ -59,19 +59,19 @@
    * Whether a task of {@code entry} would take a machine's room for what {@code reserve} is kept
    * for.
    */
-  private static boolean takes(Reserve reserve, MachineQueue machine, Entry entry) {
+  private static boolean takes(Headroom reserve, MachineQueue machine, QueueEntry entry) {
     return reserve.keepsOut(entry.job(), machine.capacity()) && breaksUp(reserve, machine, entry);
   }
 
-  private static boolean breaksUp(Reserve reserve, MachineQueue machine, Entry entry) {
+  private static boolean breaksUp(Headroom reserve, MachineQueue machine, QueueEntry entry) {
     return lost(reserve, machine, entry) > 0;
   }
 
-  private static int lost(Reserve reserve, MachineQueue machine, Entry entry) {
+  private static int lost(Headroom reserve, MachineQueue machine, QueueEntry entry) {
     return reserve.in(machine.free()) - reserve.in(machine.free().minus(entry.job().taskResources()));
   }
 
-  private boolean breaksUp(MachineQueue machine, Entry entry) {
+  private boolean breaksUp(MachineQueue machine, QueueEntry entry) {
     return reserves.stream()
         .anyMatch(
             reserve ->
@@ -80,7 +80,7 @@
                         || reserve.isBetterAvoided(entry.job(), machine.capacity())));
   }
 
-  private boolean mayStartOn(MachineQueue machine, Entry entry) {
+  private boolean mayStartOn(MachineQueue machine, QueueEntry entry) {
     if (!machine.fitsNow(entry) || machine.fetchesForBetter(entry)) {
       return false;
     }
@@ -139,7 +139,7 @@
    * Puts work into the queue of the machine where it starts soonest; false if no machine could ever
    * run it.
    */
-  public boolean enqueue(Entry entry) {
+  public boolean enqueue(QueueEntry entry) {
     MachineQueue best = best(entryOrder(entry), machine -> machine.canEver(entry));
     if (best == null) {
       return false;
@@ -160,7 +160,7 @@
   }
 
   /** Has an entry wait for another machine: the one where room is being made for it. */
-  public void move(Entry entry, MachineId to) {
+  public void move(QueueEntry entry, MachineId to) {
     if (queueOf.get(entry) != machines.get(to)) {
       remove(entry);
       machines.get(to).add(entry);
@@ -172,7 +172,7 @@
    * Which machine new work goes to: one that has room now, the image and the better fit, else the
    * shortest queue.
    */
-  private Comparator<MachineQueue> entryOrder(Entry entry) {
+  private Comparator<MachineQueue> entryOrder(QueueEntry entry) {
     return Comparator.comparing(
             (MachineQueue machine) -> !machine.isOpen() || entry.avoids(machine.machine()))
         .thenComparing(machine -> !(machine.fitsNow(entry) && machine.waiting().isEmpty()))
@@ -185,19 +185,19 @@
         .thenComparing(MachineQueue::machine);
   }
 
-  public void remove(Entry entry) {
+  public void remove(QueueEntry entry) {
     MachineQueue queue = queueOf.remove(entry);
     if (queue != null) {
       queue.remove(entry);
     }
   }
 
-  public boolean isWaiting(Entry entry) {
+  public boolean isWaiting(QueueEntry entry) {
     return queueOf.containsKey(entry);
   }
 
   /** The work that waits in the block, in no order. */
-  public Collection<Entry> waiting() {
+  public Collection<QueueEntry> waiting() {
     return queueOf.keySet();
   }
 
@@ -209,7 +209,7 @@
    *
    * @param standing what services use on these machines
    */
-  public List<Entry> surplus(double share, Resources standing) {
+  public List<QueueEntry> surplus(double share, Resources standing) {
     Resources capacity = Resources.NONE;
     Resources used = Resources.NONE;
     for (MachineQueue machine : machines.values()) {
@@ -218,16 +218,16 @@
         used = used.plus(machine.used());
       }
     }
-    List<Entry> waiting = new ArrayList<>();
-    for (Entry entry : queueOf.keySet()) {
+    List<QueueEntry> waiting = new ArrayList<>();
+    for (QueueEntry entry : queueOf.keySet()) {
       if (!isGang(entry) && !isHeldBack(entry)) {
         waiting.add(entry);
       }
     }
-    waiting.sort(Entry.ORDER);
+    waiting.sort(QueueEntry.ORDER);
     Resources drains = capacity.minus(standing).max(Resources.NONE);
-    List<Entry> surplus = new ArrayList<>();
-    for (Entry entry : waiting) {
+    List<QueueEntry> surplus = new ArrayList<>();
+    for (QueueEntry entry : waiting) {
       Resources each = entry.job().taskResources();
       Resources most =
           capacity.plus(each.fitsIn(drains) ? drains.times(share).max(each) : Resources.NONE);
@@ -270,14 +270,14 @@
    * image, if that can be made at once.
    */
   private void startUrgent(MonotonicTime now, List<Start> starts) {
-    List<Entry> urgent = new ArrayList<>();
-    for (Entry entry : queueOf.keySet()) {
+    List<QueueEntry> urgent = new ArrayList<>();
+    for (QueueEntry entry : queueOf.keySet()) {
       if (entry.job().priority() == Priority.PRODUCTION && !isGang(entry) && entry.isReady(now)) {
         urgent.add(entry);
       }
     }
-    urgent.sort(Entry.ORDER);
-    for (Entry entry : urgent) {
+    urgent.sort(QueueEntry.ORDER);
+    for (QueueEntry entry : urgent) {
       MachineQueue best = best(urgentOrder(entry), machine -> mayStartOn(machine, entry));
       boolean betterElsewhere =
           best != null
@@ -294,7 +294,7 @@
   /**
    * Which machine urgent work starts on, whoever else waits there: the image saves the most time.
    */
-  private Comparator<MachineQueue> urgentOrder(Entry entry) {
+  private Comparator<MachineQueue> urgentOrder(QueueEntry entry) {
     return Comparator.comparing((MachineQueue machine) -> !machine.hasImage(entry))
         .thenComparing(machine -> breaksUp(machine, entry))
         .thenComparing(machine -> machine.hasImage(entry) ? 0 : machine.fetches())
@@ -302,7 +302,7 @@
         .thenComparing(MachineQueue::machine);
   }
 
-  private void start(Entry entry, List<MachineQueue> on, List<Start> starts) {
+  private void start(QueueEntry entry, List<MachineQueue> on, List<Start> starts) {
     remove(entry);
     List<MachineId> ids = new ArrayList<>();
     for (MachineQueue machine : on) {
@@ -321,17 +321,17 @@
    * @return the machines kept
    */
   private Set<MachineId> startGangs(MonotonicTime now, List<Start> starts) {
-    List<Entry> gangs = new ArrayList<>();
-    for (Entry entry : queueOf.keySet()) {
+    List<QueueEntry> gangs = new ArrayList<>();
+    for (QueueEntry entry : queueOf.keySet()) {
       if (isGang(entry) && entry.isReady(now)) {
         gangs.add(entry);
       }
     }
-    gangs.sort(Entry.ORDER);
+    gangs.sort(QueueEntry.ORDER);
     Set<MachineId> kept = new HashSet<>();
-    for (Entry gang : gangs) {
+    for (QueueEntry gang : gangs) {
       MachineQueue home = queueOf.get(gang);
-      Entry head = home.head(now);
+      QueueEntry head = home.head(now);
       if (gang.counter() < head.counter() || head.job().priority().isHigherThan(gang.job().priority())) {
         continue;
       }
@@ -349,7 +349,7 @@
     return kept;
   }
 
-  private static boolean isGang(Entry entry) {
+  private static boolean isGang(QueueEntry entry) {
     return entry.job().kind() == JobKind.GANG;
   }
 
@@ -358,7 +358,7 @@
    * fit.
    */
   private List<MachineQueue> places(
-      Entry gang, Set<MachineId> kept, Function<MachineQueue, Resources> room) {
+      QueueEntry gang, Set<MachineId> kept, Function<MachineQueue, Resources> room) {
     List<MachineQueue> order = new ArrayList<>();
     for (MachineQueue machine : machines.values()) {
       if (machine.isOpen()
@@ -388,7 +388,7 @@
    * head's, the one with the least BM times FM, and everything that it passes is counted up.
    */
   private boolean startLocally(MachineQueue machine, MonotonicTime now, List<Start> starts) {
-    Entry head = machine.head(now);
+    QueueEntry head = machine.head(now);
     if (head == null || !machine.mayFitAny()) {
       return false;
     }
@@ -396,8 +396,8 @@
       start(head, List.of(machine), starts);
       return true;
     }
-    Entry best = null;
-    for (Entry entry : machine.waiting()) {
+    QueueEntry best = null;
+    for (QueueEntry entry : machine.waiting()) {
       if (entry != head
           && !isGang(entry)
           && !isHeldBack(entry)
@@ -420,17 +420,17 @@
    * Whether an entry's job has waited so long that it is taken for having been passed as often as
    * any other.
    */
-  private boolean isLent(Entry entry) {
+  private boolean isLent(QueueEntry entry) {
     return reserves.stream().anyMatch(reserve -> reserve.lentTo().contains(entry.job().id()));
   }
 
   /** Urgent work is placed by {@link #startUrgent} alone. */
-  private static boolean isHeldBack(Entry entry) {
+  private static boolean isHeldBack(QueueEntry entry) {
     return entry.job().priority() == Priority.PRODUCTION;
   }
 
   /** The higher priority, then the least BM times FM. */
-  private static boolean better(MachineQueue machine, Entry one, Entry other) {
+  private static boolean better(MachineQueue machine, QueueEntry one, QueueEntry other) {
     int byRank = one.job().priority().compareTo(other.job().priority());
     if (byRank != 0) {
       return byRank > 0;
@@ -450,7 +450,7 @@
     if (!asker.mayFitAny()) {
       return false;
     }
-    Entry head = asker.head(now);
+    QueueEntry head = asker.head(now);
     List<MachineQueue> neighbours = new ArrayList<>();
     for (MachineQueue machine : machines.values()) {
       if (machine != asker && !machine.waiting().isEmpty()) {
@@ -461,8 +461,8 @@
         Comparator.comparing((MachineQueue machine) -> -machine.waiting().size())
             .thenComparing(MachineQueue::machine));
     for (MachineQueue neighbour : neighbours) {
-      Entry best = null;
-      for (Entry entry : neighbour.waiting()) {
+      QueueEntry best = null;
+      for (QueueEntry entry : neighbour.waiting()) {
         if (!isGang(entry)
             && !isHeldBack(entry)
             && entry.isReady(now)
@@ -500,9 +500,9 @@
     if (least == null || most == least) {
       return;
     }
-    Entry best = null;
+    QueueEntry best = null;
     double bestObjective = most.load();
-    for (Entry entry : most.waiting()) {
+    for (QueueEntry entry : most.waiting()) {
       if (!least.canEver(entry) || entry.avoids(least.machine())) {
         continue;
       }
--- a/src/main/java/org/quincecross/shard/AgentCommandSender.java
+++ b/src/main/java/org/quincecross/shard/AgentCommandSender.java
@@ -212,7 +212,7 @@
   /**
    * Shows unfenced machines the present token: asks for the session, then sends a command that
    * commands nothing. Such a command also asks a doubted machine what it has ({@link
-   * org.quincecross.silence.Freshness}): its answer is made after the doubt.
+   * org.quincecross.failuredetection.StaleHeartbeatFilter}): its answer is made after the doubt.
    */
   void fence() {
     MonotonicTime now = context.now();
--- a/src/main/java/org/quincecross/shard/AgentSession.java
+++ b/src/main/java/org/quincecross/shard/AgentSession.java
@@ -15,8 +15,8 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.FencingToken;
-import org.quincecross.silence.Deafness;
-import org.quincecross.silence.Freshness;
+import org.quincecross.failuredetection.OneWayPartitionDetector;
+import org.quincecross.failuredetection.StaleHeartbeatFilter;
 import org.quincecross.protocol.Heartbeat;
 
 /** What the holder knows of one machine of its block. */
@@ -47,7 +47,7 @@
   private final Map<Attempt, TaskId> startsInFlight = new HashMap<>();
   private final Map<Attempt, TaskId> startsUnanswered = new HashMap<>();
   private final Set<Attempt> startsInAnswer = new HashSet<>();
-  private final Freshness freshness = new Freshness();
+  private final StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
   private State state = State.UNFENCED;
   private Heartbeat report;
   private MonotonicTime heard;
@@ -59,7 +59,7 @@
   /** When its present session was first shown: that has a lease of its own from before then on. */
   private MonotonicTime shownFrom;
 
-  private final Deafness hearing;
+  private final OneWayPartitionDetector hearing;
   private boolean cleared;
   private MonotonicTime directAfter;
   private boolean directRunning;
@@ -79,7 +79,7 @@
     this.leaseFrom = leaseFrom;
     this.provenFrom = leaseFrom;
     this.shownFrom = now;
-    this.hearing = new Deafness(now);
+    this.hearing = new OneWayPartitionDetector(now);
     this.heard = now;
     this.directAfter = now;
   }
@@ -102,7 +102,7 @@
     return cleared;
   }
 
-  Deafness hearing() {
+  OneWayPartitionDetector hearing() {
     return hearing;
   }
 
@@ -158,8 +158,8 @@
    * What a message of the machine is; {@code beat}: it sent it by itself, or it is a copy of such a
    * one.
    */
-  Freshness.Verdict judge(Heartbeat next, boolean beat, MonotonicTime now) {
-    Freshness.Shown shown = new Freshness.Shown(next.token(), next.session(), next.order());
+  StaleHeartbeatFilter.Verdict judge(Heartbeat next, boolean beat, MonotonicTime now) {
+    StaleHeartbeatFilter.Shown shown = new StaleHeartbeatFilter.Shown(next.token(), next.session(), next.order());
     return beat
         ? freshness.ofReport(shown, state == State.LOST, now)
         : freshness.ofAnswer(shown, now);
@@ -170,7 +170,7 @@
    * token.
    */
   boolean hasBegunAnew() {
-    return freshness.state() == Freshness.State.BEGUN_ANEW;
+    return freshness.state() == StaleHeartbeatFilter.State.BEGUN_ANEW;
   }
 
   /**
--- a/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
+++ b/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
@@ -1,7 +1,7 @@
 package org.quincecross.shard;
 
 import java.util.Set;
-import org.quincecross.faults.Evidence;
+import org.quincecross.quarantine.FaultEvidence;
 import org.quincecross.model.Attempt;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
@@ -21,9 +21,9 @@
   private final ShardContext context;
   private final ShardOwner holder;
   private final Placements placements;
-  private final Evidence evidence;
+  private final FaultEvidence evidence;
 
-  HeartbeatProcessor(ShardContext context, ShardOwner holder, Placements placements, Evidence evidence) {
+  HeartbeatProcessor(ShardContext context, ShardOwner holder, Placements placements, FaultEvidence evidence) {
     this.context = context;
     this.holder = holder;
     this.placements = placements;
@@ -51,7 +51,7 @@
           LOG.debug("block {}: {} runs on {}", holder.id(), placement.task(), machine);
         }
         if (placement.isRunning()
-            && now.since(placement.runningSince()).isLongerThan(Evidence.STARTED_WELL)) {
+            && now.since(placement.runningSince()).isLongerThan(FaultEvidence.STARTED_WELL)) {
           holder.callSick(
               evidence.startedWell(machine, placement.task().job(), placement.runningSince(), now));
         }
--- a/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
+++ b/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
@@ -6,7 +6,7 @@
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.silence.Deafness;
+import org.quincecross.failuredetection.OneWayPartitionDetector;
 import org.quincecross.protocol.Heartbeat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -144,7 +144,7 @@
     boolean hadHeard = session.hearing().hears();
     session.hearing().reported(report.session(), report.order(), context.workers().lease(), now);
     if (hadHeard != session.hearing().hears()) {
-      if (session.hearing().state() == Deafness.State.DEAF) {
+      if (session.hearing().state() == OneWayPartitionDetector.State.DEAF) {
         LOG.info(
             "block {}: machine {} speaks and does not hear", holder.id(), session.machine().id());
       }
--- a/src/main/java/org/quincecross/shard/MachineSnapshots.java
+++ b/src/main/java/org/quincecross/shard/MachineSnapshots.java
@@ -13,9 +13,9 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.peer.PeerReport;
-import org.quincecross.sched.BlockScheduler;
-import org.quincecross.sched.Reserve;
+import org.quincecross.peer.PeerHeartbeat;
+import org.quincecross.scheduling.ShardScheduler;
+import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.JobRecord;
 import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.Heartbeat.Piece;
@@ -33,7 +33,7 @@
   private final ShardOwner holder;
   private final Placements placements;
   private final Map<MachineId, AgentSession> sessions;
-  private final BlockScheduler scheduler;
+  private final ShardScheduler scheduler;
   private final MachineLivenessMonitor watch;
 
   MachineSnapshots(
@@ -41,7 +41,7 @@
       ShardOwner holder,
       Placements placements,
       Map<MachineId, AgentSession> sessions,
-      BlockScheduler scheduler,
+      ShardScheduler scheduler,
       MachineLivenessMonitor watch) {
     this.context = context;
     this.holder = holder;
@@ -93,26 +93,26 @@
   }
 
   /** What is to be kept free, but for room for requests that is lent to what makes way for them. */
-  List<Reserve> lessLent(List<Reserve> reserves) {
-    if (reserves.stream().noneMatch(reserve -> reserve.purpose() == Reserve.Purpose.REQUESTS)) {
+  List<Headroom> lessLent(List<Headroom> reserves) {
+    if (reserves.stream().noneMatch(reserve -> reserve.purpose() == Headroom.Purpose.REQUESTS)) {
       return reserves;
     }
-    List<Reserve> less = new ArrayList<>();
-    for (Reserve reserve : reserves) {
+    List<Headroom> less = new ArrayList<>();
+    for (Headroom reserve : reserves) {
       less.add(
-          reserve.purpose() == Reserve.Purpose.REQUESTS ? reserve.lent(lent(reserve)) : reserve);
+          reserve.purpose() == Headroom.Purpose.REQUESTS ? reserve.lent(lent(reserve)) : reserve);
     }
     return less;
   }
 
-  private int lent(Reserve reserve) {
+  private int lent(Headroom reserve) {
     int tasks = 0;
     for (AgentSession session : sessions.values()) {
       if (holder.isOpen(session)) {
         Resources borrowed = Resources.NONE;
         for (Placement placement : placements.seenOn(session.machine().id())) {
           borrowed =
-              Reserve.mayBorrow(placement.job()) ? borrowed.plus(placement.job().taskResources()) : borrowed;
+              Headroom.mayBorrow(placement.job()) ? borrowed.plus(placement.job().taskResources()) : borrowed;
         }
         Resources free = session.capacity().minus(used(session));
         tasks += free.plus(borrowed).capacityFor(reserve.each()) - free.capacityFor(reserve.each());
@@ -140,7 +140,7 @@
   /**
    * What is known of a machine, for the leader and for operators; null if it is not in the block.
    */
-  PeerReport.MachineState machine(MachineId id) {
+  PeerHeartbeat.MachineState machine(MachineId id) {
     AgentSession session = sessions.get(id);
     if (session == null) {
       return null;
@@ -154,7 +154,7 @@
     }
     // Where nothing that is sent arrives there is no room for anybody, however empty it looks.
     boolean hears = session.hearing().hears();
-    return new PeerReport.MachineState(
+    return new PeerHeartbeat.MachineState(
         id,
         hears ? session.capacity().minus(used(session)) : Resources.NONE,
         hears ? displaceable(id) : Resources.NONE,
@@ -174,7 +174,7 @@
    * Whether time alone has made what was last told of a machine out of date: it fell silent, or its
    * replicas have stayed.
    */
-  boolean hasAged(PeerReport.MachineState told) {
+  boolean hasAged(PeerHeartbeat.MachineState told) {
     AgentSession session = sessions.get(told.id());
     MonotonicTime now = context.now();
     return session != null
--- a/src/main/java/org/quincecross/shard/OwnedShards.java
+++ b/src/main/java/org/quincecross/shard/OwnedShards.java
@@ -12,7 +12,7 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.ControllerId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
 import org.slf4j.Logger;
@@ -128,10 +128,10 @@
    * What has changed after report {@code base} in the blocks held here, as of the last {@link
    * #refresh}.
    */
-  public List<PeerReport.Block> since(long base) {
-    List<PeerReport.Block> changed = new ArrayList<>();
+  public List<PeerHeartbeat.Block> since(long base) {
+    List<PeerHeartbeat.Block> changed = new ArrayList<>();
     for (ShardOwner holder : holders.values()) {
-      PeerReport.Block block = holder.reporter().since(base);
+      PeerHeartbeat.Block block = holder.reporter().since(base);
       if (block != null) {
         changed.add(block);
       }
--- a/src/main/java/org/quincecross/shard/Preemptor.java
+++ b/src/main/java/org/quincecross/shard/Preemptor.java
@@ -14,9 +14,9 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
-import org.quincecross.sched.BlockScheduler;
-import org.quincecross.sched.Entry;
-import org.quincecross.sched.Preemption;
+import org.quincecross.scheduling.ShardScheduler;
+import org.quincecross.scheduling.QueueEntry;
+import org.quincecross.scheduling.Preemption;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -40,17 +40,17 @@
   private final ShardContext context;
   private final ShardOwner holder;
   private final Placements placements;
-  private final Map<TaskId, Entry> entries;
+  private final Map<TaskId, QueueEntry> entries;
   private final Map<MachineId, AgentSession> sessions;
-  private final BlockScheduler scheduler;
+  private final ShardScheduler scheduler;
 
   Preemptor(
       ShardContext context,
       ShardOwner holder,
       Placements placements,
-      Map<TaskId, Entry> entries,
+      Map<TaskId, QueueEntry> entries,
       Map<MachineId, AgentSession> sessions,
-      BlockScheduler scheduler) {
+      ShardScheduler scheduler) {
     this.context = context;
     this.holder = holder;
     this.placements = placements;
@@ -85,8 +85,8 @@
     boolean idleWork =
         placements.seenIn(Placement.State.ACTIVE).stream()
             .anyMatch(placement -> context.isIdle(placement.job()));
-    Map<Entry, Boolean> impatient = new TreeMap<>(Entry.ORDER);
-    for (Entry entry : entries.values()) {
+    Map<QueueEntry, Boolean> impatient = new TreeMap<>(QueueEntry.ORDER);
+    for (QueueEntry entry : entries.values()) {
       Placement first = placements.get(entry.tasks().get(0));
       MonotonicTime patient = first.since().plus(patience(first.job()));
       boolean gang = entry.tasks().size() > 1;
@@ -105,8 +105,8 @@
       }
     }
     Preemption preemption = null;
-    for (Map.Entry<Entry, Boolean> waits : impatient.entrySet()) {
-      Entry entry = waits.getKey();
+    for (Map.Entry<QueueEntry, Boolean> waits : impatient.entrySet()) {
+      QueueEntry entry = waits.getKey();
       preemption =
           preemption == null ? new Preemption(scheduler, stoppable(now), stopping()) : preemption;
       for (Preemption.Running victim : preemption.makeRoom(entry, waits.getValue())) {
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -7,9 +7,9 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.sched.Reserve;
+import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
 
@@ -21,12 +21,12 @@
 public final class RemoteCapacityHint {
   private final ClusterStateCache ledger;
   private final PeerViews views;
-  private final Function<ShardId, List<Reserve>> reserves;
+  private final Function<ShardId, List<Headroom>> reserves;
 
   /**
    * @param reserves what a block keeps free
    */
-  public RemoteCapacityHint(ClusterStateCache ledger, PeerViews views, Function<ShardId, List<Reserve>> reserves) {
+  public RemoteCapacityHint(ClusterStateCache ledger, PeerViews views, Function<ShardId, List<Headroom>> reserves) {
     this.ledger = ledger;
     this.views = views;
     this.reserves = reserves;
@@ -66,7 +66,7 @@
     Resources free = Resources.NONE;
     boolean fits = false;
     for (MachineId id : block.machines().keySet()) {
-      PeerReport.MachineState machine = view.machines().get(id);
+      PeerHeartbeat.MachineState machine = view.machines().get(id);
       if (machine == null || !machine.open() || block.leaving().contains(id)) {
         continue;
       }
@@ -76,7 +76,7 @@
       free = free.plus(machine.free());
       fits |= job.taskResources().fitsIn(machine.free());
     }
-    for (Reserve reserve : reserves.apply(block.id())) {
+    for (Headroom reserve : reserves.apply(block.id())) {
       free = reserve.keepsOut(job, type.capacity()) ? free.minus(reserve.total()) : free;
     }
     return fits && job.taskResources().fitsIn(free);
--- a/src/main/java/org/quincecross/shard/Requeuer.java
+++ b/src/main/java/org/quincecross/shard/Requeuer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.faults.Evidence;
+import org.quincecross.quarantine.FaultEvidence;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
@@ -15,8 +15,8 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
-import org.quincecross.sched.BlockScheduler;
-import org.quincecross.sched.Entry;
+import org.quincecross.scheduling.ShardScheduler;
+import org.quincecross.scheduling.QueueEntry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -61,10 +61,10 @@
   private final ShardContext context;
   private final ShardOwner holder;
   private final Placements placements;
-  private final Map<TaskId, Entry> entries;
+  private final Map<TaskId, QueueEntry> entries;
   private final Map<MachineId, AgentSession> sessions;
-  private final Evidence evidence;
-  private final BlockScheduler scheduler;
+  private final FaultEvidence evidence;
+  private final ShardScheduler scheduler;
   private MonotonicTime noneOpenSince;
   private MonotonicTime surplusAt;
   private MonotonicTime elsewhereAt;
@@ -76,10 +76,10 @@
       ShardContext context,
       ShardOwner holder,
       Placements placements,
-      Map<TaskId, Entry> entries,
+      Map<TaskId, QueueEntry> entries,
       Map<MachineId, AgentSession> sessions,
-      Evidence evidence,
-      BlockScheduler scheduler) {
+      FaultEvidence evidence,
+      ShardScheduler scheduler) {
     this.context = context;
     this.holder = holder;
     this.placements = placements;
@@ -117,7 +117,7 @@
         standing = stays ? standing.plus(placement.job().taskResources()) : standing;
       }
     }
-    for (Entry entry : scheduler.surplus(QUEUE_AHEAD, standing)) {
+    for (QueueEntry entry : scheduler.surplus(QUEUE_AHEAD, standing)) {
       Placement placement = placements.get(entry.tasks().get(0));
       if (now.since(placement.since()).isLongerThan(SURPLUS_PATIENCE)) {
         holder.dequeue(placement.task());
@@ -142,7 +142,7 @@
     elsewhereAt = now.plus(ELSEWHERE_EVERY);
     holder.wakeBy(elsewhereAt);
     Map<JobId, Boolean> asked = new HashMap<>();
-    for (Entry entry : List.copyOf(entries.values())) {
+    for (QueueEntry entry : List.copyOf(entries.values())) {
       Placement placement = placements.get(entry.tasks().get(0));
       if (entry.job().kind() != JobKind.GANG
           && now.since(placement.since()).isLongerThan(ELSEWHERE_PATIENCE)
@@ -169,13 +169,13 @@
    * machines that it needs. The leader may know a better block by now.
    */
   private void giveBackGangs(MonotonicTime now) {
-    Set<Entry> gangs = new LinkedHashSet<>();
-    for (Entry entry : entries.values()) {
+    Set<QueueEntry> gangs = new LinkedHashSet<>();
+    for (QueueEntry entry : entries.values()) {
       if (entry.job().kind() == JobKind.GANG) {
         gangs.add(entry);
       }
     }
-    for (Entry entry : gangs) {
+    for (QueueEntry entry : gangs) {
       Placement first = placements.get(entry.tasks().get(0));
       MonotonicTime patient = first.since().plus(GANG_PATIENCE);
       if (now.isBefore(patient)) {
--- a/src/main/java/org/quincecross/shard/ShardContext.java
+++ b/src/main/java/org/quincecross/shard/ShardContext.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Set;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
@@ -12,7 +12,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
-import org.quincecross.sched.Reserve;
+import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Settings;
 
@@ -25,7 +25,7 @@
   ClusterStateCache ledger();
 
   /** What a block should keep free. */
-  List<Reserve> reserves(ShardId block);
+  List<Headroom> reserves(ShardId block);
 
   Settings.AgentTimeouts workers();
 
@@ -43,7 +43,7 @@
 
   /**
    * Whether the ledger is recent enough to start tasks: a job that is not cancelled in it may have
-   * been called off elsewhere, and its user told ({@link org.quincecross.silence.StartPermission}).
+   * been called off elsewhere, and its user told ({@link org.quincecross.failuredetection.StartPermission}).
    */
   default boolean mayStart() {
     return isEntitled();
@@ -92,8 +92,8 @@
   }
 
   /** Tasks that are not to run now. */
-  default Withheld withheld() {
-    return Withheld.NONE;
+  default StartBlock withheld() {
+    return StartBlock.NONE;
   }
 
   default MonotonicTime now() {
--- a/src/main/java/org/quincecross/shard/ShardOwner.java
+++ b/src/main/java/org/quincecross/shard/ShardOwner.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.faults.Evidence;
+import org.quincecross.quarantine.FaultEvidence;
 import org.quincecross.model.Attempt;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
@@ -25,10 +25,10 @@
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.FencingToken;
-import org.quincecross.peer.PeerReport;
-import org.quincecross.sched.BlockScheduler;
-import org.quincecross.sched.Entry;
-import org.quincecross.silence.Freshness.Verdict;
+import org.quincecross.peer.PeerHeartbeat;
+import org.quincecross.scheduling.ShardScheduler;
+import org.quincecross.scheduling.QueueEntry;
+import org.quincecross.failuredetection.StaleHeartbeatFilter.Verdict;
 import org.quincecross.state.Allocation;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
@@ -58,9 +58,9 @@
   private final ShardContext context;
   private final Map<MachineId, AgentSession> sessions = new LinkedHashMap<>();
   private final Placements placements = new Placements();
-  private final Map<TaskId, Entry> entries = new HashMap<>();
-  private final BlockScheduler scheduler = new BlockScheduler();
-  private final Evidence evidence = new Evidence();
+  private final Map<TaskId, QueueEntry> entries = new HashMap<>();
+  private final ShardScheduler scheduler = new ShardScheduler();
+  private final FaultEvidence evidence = new FaultEvidence();
   private final Set<MachineId> toUpdate = new LinkedHashSet<>();
   private final ShardReporter reporter;
   private final AgentCommandSender commands;
@@ -287,7 +287,7 @@
   }
 
   void dequeue(TaskId task) {
-    Entry entry = entries.remove(task);
+    QueueEntry entry = entries.remove(task);
     if (entry != null) {
       scheduler.remove(entry);
       entry.tasks().forEach(entries::remove);
@@ -311,7 +311,7 @@
         continue;
       }
       JobRecord record = context.ledger().job(job.id());
-      Entry entry = new Entry(job, unit, record.version());
+      QueueEntry entry = new QueueEntry(job, unit, record.version());
       entry.onlyOn(context.places(job, placement.task().index()));
       if (wouldBeLateByFetch(job)) {
         entry.avoidFetch();
@@ -590,8 +590,8 @@
     reporter.machinesChanged(toUpdate);
     toUpdate.clear();
     scheduler.reserve(views.lessLent(context.reserves(id())));
-    for (BlockScheduler.Start start :
-        mayStart ? scheduler.schedule(now) : List.<BlockScheduler.Start>of()) {
+    for (ShardScheduler.Start start :
+        mayStart ? scheduler.schedule(now) : List.<ShardScheduler.Start>of()) {
       start.entry().tasks().forEach(entries::remove);
       if (!start.entry().tasks().stream()
           .allMatch(task -> withholding.mayStart(placements.get(task)))) {
@@ -666,11 +666,11 @@
   }
 
   /** What is known of a machine, or null if it is not in the block. */
-  PeerReport.MachineState machine(MachineId id) {
+  PeerHeartbeat.MachineState machine(MachineId id) {
     return views.machine(id);
   }
 
-  boolean hasAged(PeerReport.MachineState told) {
+  boolean hasAged(PeerHeartbeat.MachineState told) {
     return views.hasAged(told);
   }
 
@@ -682,7 +682,7 @@
     return reporter;
   }
 
-  public List<PeerReport.MachineState> machines() {
+  public List<PeerHeartbeat.MachineState> machines() {
     return sessions.keySet().stream().map(views::machine).toList();
   }
 
--- a/src/main/java/org/quincecross/shard/ShardReporter.java
+++ b/src/main/java/org/quincecross/shard/ShardReporter.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.MachineId;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 
 /**
  * What the other controllers should know of a block, and in which report each part of it last
@@ -18,9 +18,9 @@
   private record Part<T>(T content, long changedIn) {}
 
   private final ShardOwner holder;
-  private final Map<MachineId, Part<PeerReport.MachineState>> machines = new LinkedHashMap<>();
+  private final Map<MachineId, Part<PeerHeartbeat.MachineState>> machines = new LinkedHashMap<>();
   private final Set<MachineId> dirty = new LinkedHashSet<>();
-  private Part<PeerReport.Block> header;
+  private Part<PeerHeartbeat.Block> header;
   private boolean inDoubt;
   private boolean dirtyHeader = true;
   private boolean beginning = true;
@@ -64,8 +64,8 @@
     }
     if (dirtyHeader || all) {
       dirtyHeader = false;
-      PeerReport.Block next =
-          new PeerReport.Block(
+      PeerHeartbeat.Block next =
+          new PeerHeartbeat.Block(
               holder.id(),
               holder.lease().token(),
               holder.allocated(),
@@ -82,15 +82,15 @@
     }
     if (all) {
       for (MachineId machine : holder.lease().machines().keySet()) {
-        Part<PeerReport.MachineState> told = machines.get(machine);
+        Part<PeerHeartbeat.MachineState> told = machines.get(machine);
         if (told == null || holder.hasAged(told.content())) {
           dirty.add(machine);
         }
       }
     }
     for (MachineId machine : dirty) {
-      PeerReport.MachineState next = holder.machine(machine);
-      Part<PeerReport.MachineState> before = machines.get(machine);
+      PeerHeartbeat.MachineState next = holder.machine(machine);
+      Part<PeerHeartbeat.MachineState> before = machines.get(machine);
       if (next != null && (before == null || !before.content().equals(next))) {
         machines.put(machine, new Part<>(next, number));
       }
@@ -99,9 +99,9 @@
   }
 
   /** What has changed after report {@code base}, or null if nothing has. */
-  PeerReport.Block since(long base) {
-    List<PeerReport.MachineState> changed = new ArrayList<>();
-    for (Part<PeerReport.MachineState> part : machines.values()) {
+  PeerHeartbeat.Block since(long base) {
+    List<PeerHeartbeat.MachineState> changed = new ArrayList<>();
+    for (Part<PeerHeartbeat.MachineState> part : machines.values()) {
       if (part.changedIn() > base) {
         changed.add(part.content());
       }
--- a/src/main/java/org/quincecross/shard/StartGate.java
+++ b/src/main/java/org/quincecross/shard/StartGate.java
@@ -1,6 +1,6 @@
 package org.quincecross.shard;
 
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MonotonicTime;
@@ -24,9 +24,9 @@
   private boolean isWithheld(Placement placement) {
     // A leader allocates nothing of a job that waits for others; should it, nothing of it starts
     // here either.
-    Withheld withheld = context.withheld();
+    StartBlock withheld = context.withheld();
     return context.ledger().pipelines().waits(placement.task().job())
-        || (withheld != Withheld.NONE && withheld.has(placement.job(), placement.task().index()));
+        || (withheld != StartBlock.NONE && withheld.has(placement.job(), placement.task().index()));
   }
 
   /**
--- a/src/main/java/org/quincecross/state/ClusterStateCache.java
+++ b/src/main/java/org/quincecross/state/ClusterStateCache.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import org.quincecross.agreed.RecordId;
+import org.quincecross.replicated.RecordId;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
--- a/src/main/java/org/quincecross/state/DemandForecast.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
@@ -14,7 +14,7 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.sched.Reserve;
+import org.quincecross.scheduling.Headroom;
 
 /**
  * Watches what work comes and says what each block should keep free for work that has not come yet.
@@ -35,17 +35,17 @@
    * Of a block that keeps nothing free: what has waited long is to start there too, and not to
    * stand in its queue.
    */
-  private static final Reserve NOTHING = new Reserve(Reserve.Purpose.LARGE_WORK, Resources.NONE, 0);
+  private static final Headroom NOTHING = new Headroom(Headroom.Purpose.LARGE_WORK, Resources.NONE, 0);
 
   private record Kind(String type, boolean spot) {}
 
   private record Seen(Resources each, MonotonicTime at) {}
 
   private final ClusterStateCache ledger;
-  private final Withheld withheld;
+  private final StartBlock withheld;
   private final Map<Kind, Seen> seen = new HashMap<>();
-  private final Map<ShardId, List<Reserve>> reserves = new HashMap<>();
-  private final Map<ShardId, List<Reserve>> plannedAround = new HashMap<>();
+  private final Map<ShardId, List<Headroom>> reserves = new HashMap<>();
+  private final Map<ShardId, List<Headroom>> plannedAround = new HashMap<>();
   private final StarvationTracker waits;
   private Seen urgent;
   private MonotonicTime computedAt;
@@ -53,13 +53,13 @@
   private long requestsSeen;
 
   public DemandForecast(ClusterStateCache ledger) {
-    this(ledger, Withheld.NONE);
+    this(ledger, StartBlock.NONE);
   }
 
   /**
    * @param withheld tasks that may not run now, and for which nothing is to be kept free
    */
-  public DemandForecast(ClusterStateCache ledger, Withheld withheld) {
+  public DemandForecast(ClusterStateCache ledger, StartBlock withheld) {
     this.ledger = ledger;
     this.withheld = withheld;
     waits = new StarvationTracker(ledger);
@@ -71,7 +71,7 @@
   }
 
   /** What a block keeps free when it starts work. */
-  public List<Reserve> of(ShardId block, MonotonicTime now) {
+  public List<Headroom> of(ShardId block, MonotonicTime now) {
     look(now);
     return reserves.getOrDefault(block, List.of());
   }
@@ -80,7 +80,7 @@
    * The same for a plan that gives work to blocks: what has just been given something has waited
    * long no more.
    */
-  public List<Reserve> plannedAround(ShardId block, MonotonicTime now) {
+  public List<Headroom> plannedAround(ShardId block, MonotonicTime now) {
     look(now);
     return plannedAround.getOrDefault(block, List.of());
   }
@@ -143,21 +143,21 @@
   private void lend(Set<JobId> toPlan, Set<JobId> toStart) {
     plannedAround.clear();
     for (ShardId block : ledger.blocks().keySet()) {
-      List<Reserve> kept = reserves.getOrDefault(block, List.of(NOTHING));
+      List<Headroom> kept = reserves.getOrDefault(block, List.of(NOTHING));
       plannedAround.put(block, lent(kept, toPlan));
       reserves.put(block, lent(kept, toStart));
     }
   }
 
-  private static List<Reserve> lent(List<Reserve> kept, Set<JobId> jobs) {
+  private static List<Headroom> lent(List<Headroom> kept, Set<JobId> jobs) {
     return kept.stream()
-        .map(each -> each.purpose() == Reserve.Purpose.REQUESTS ? each : each.lentTo(jobs))
+        .map(each -> each.purpose() == Headroom.Purpose.REQUESTS ? each : each.lentTo(jobs))
         .toList();
   }
 
   private void look(
       Job job, int tasks, MachineType type, Map<Kind, Integer> waiting, MonotonicTime now) {
-    if (!Reserve.isLarge(job, type.capacity())
+    if (!Headroom.isLarge(job, type.capacity())
         || (job.machineTypes() != null && !job.machineTypes().contains(type.name()))) {
       return;
     }
@@ -190,15 +190,15 @@
         int share = (int) Math.ceil((double) machines * block.machines().size() / all);
         keep(
             block,
-            new Reserve(
-                Reserve.Purpose.LARGE_WORK,
+            new Headroom(
+                Headroom.Purpose.LARGE_WORK,
                 large.each(),
                 Math.min(share, block.machines().size())));
       }
     }
   }
 
-  private void keep(ShardLease block, Reserve reserve) {
+  private void keep(ShardLease block, Headroom reserve) {
     reserves.computeIfAbsent(block.id(), id -> new ArrayList<>()).add(reserve);
   }
 
@@ -213,7 +213,7 @@
           type != null && urgent.each().fitsIn(type.capacity()) && type.capacity().gpus() == 0;
       if (!block.spot() && small && block.machines().size() >= 3) {
         int rooms = (block.machines().size() + MACHINES_PER_ROOM - 1) / MACHINES_PER_ROOM;
-        keep(block, new Reserve(Reserve.Purpose.URGENT_WORK, urgent.each(), rooms));
+        keep(block, new Headroom(Headroom.Purpose.URGENT_WORK, urgent.each(), rooms));
       }
     }
   }
--- a/src/main/java/org/quincecross/state/ModelIndex.java
+++ b/src/main/java/org/quincecross/state/ModelIndex.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.quincecross.agreed.RecordId;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
@@ -20,7 +20,7 @@
  * The models as the ledger has them, by their jobs: which replicas are kept back, and where the
  * others may start.
  */
-public final class ModelIndex implements Withheld {
+public final class ModelIndex implements StartBlock {
   private record Kept(Model model, TaskSet tasks) {}
 
   private final ReplicatedRecordIndex<Model, ModelCommand> book;
--- a/src/main/java/org/quincecross/state/ReplicatedRecordIndex.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndex.java
@@ -4,25 +4,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.agreed.Kept;
-import org.quincecross.agreed.Kind;
-import org.quincecross.agreed.RecordId;
-import org.quincecross.agreed.TrailLine;
-import org.quincecross.agreed.TrailPage;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.AuditEntry;
+import org.quincecross.replicated.AuditPage;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.model.Revision;
 import org.quincecross.protocol.MalformedMessageException;
 
 /** The records of one kind as the ledger has them. */
 public final class ReplicatedRecordIndex<S, C> {
   /** A record. */
-  public record Held<S>(Kept<S> kept, Revision version) {
+  public record Held<S>(ReplicatedRecord<S> kept, Revision version) {
     public S state() {
       return kept.state();
     }
   }
 
-  private final Kind<S, C> kind;
+  private final RecordKind<S, C> kind;
   private final Map<String, Held<S>> held = new TreeMap<>();
   private final Map<String, String> unreadable = new TreeMap<>();
 
@@ -32,13 +32,13 @@
    */
   private final TreeMap<Integer, Revision> pages = new TreeMap<>();
 
-  private TrailPage lastPage = TrailPage.EMPTY;
+  private AuditPage lastPage = AuditPage.EMPTY;
 
-  ReplicatedRecordIndex(Kind<S, C> kind) {
+  ReplicatedRecordIndex(RecordKind<S, C> kind) {
     this.kind = kind;
   }
 
-  public Kind<S, C> kind() {
+  public RecordKind<S, C> kind() {
     return kind;
   }
 
@@ -74,7 +74,7 @@
   }
 
   /** The page that is being filled. */
-  public TrailPage lastPage() {
+  public AuditPage lastPage() {
     return lastPage;
   }
 
@@ -93,9 +93,9 @@
       return;
     }
     try {
-      held.put(id, new Held<>(Kept.read(kind, value), version));
+      held.put(id, new Held<>(ReplicatedRecord.read(kind, value), version));
       unreadable.remove(id);
-    } catch (Unreadable e) {
+    } catch (MalformedRecordException e) {
       // What it was before is not what it is now.
       held.remove(id);
       unreadable.put(id, e.getMessage());
@@ -106,25 +106,25 @@
   void putPage(int page, Object value) throws MalformedMessageException {
     if (value == null) {
       pages.remove(page);
-      lastPage = pages.isEmpty() || page > pages.lastKey() ? TrailPage.EMPTY : lastPage;
+      lastPage = pages.isEmpty() || page > pages.lastKey() ? AuditPage.EMPTY : lastPage;
       return;
     }
     try {
-      TrailPage read = TrailPage.read(value);
+      AuditPage read = AuditPage.read(value);
       pages.put(page, read.latest());
       if (page == pages.lastKey()) {
         lastPage = read;
       }
-    } catch (Unreadable e) {
+    } catch (MalformedRecordException e) {
       throw new MalformedMessageException(e.getMessage());
     }
   }
 
   /** What a value of a page says. */
-  static List<TrailLine> lines(Object value) throws MalformedMessageException {
+  static List<AuditEntry> lines(Object value) throws MalformedMessageException {
     try {
-      return TrailPage.read(value).lines();
-    } catch (Unreadable e) {
+      return AuditPage.read(value).lines();
+    } catch (MalformedRecordException e) {
       throw new MalformedMessageException(e.getMessage());
     }
   }
--- a/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.quincecross.agreed.Kind;
-import org.quincecross.agreed.RecordId;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.RecordId;
 import org.quincecross.model.Revision;
 import org.quincecross.protocol.MalformedMessageException;
 
@@ -17,7 +17,7 @@
   private final Map<String, ReplicatedRecordIndex<?, ?>> books = new LinkedHashMap<>();
 
   /** Has the records of a kind read; before the first of them is. */
-  public <S, C> ReplicatedRecordIndex<S, C> add(Kind<S, C> kind) {
+  public <S, C> ReplicatedRecordIndex<S, C> add(RecordKind<S, C> kind) {
     ReplicatedRecordIndex<S, C> book = new ReplicatedRecordIndex<>(kind);
     if (books.put(kind.name(), book) != null) {
       throw new IllegalArgumentException("two kinds named " + kind.name());
--- a/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
@@ -10,10 +10,10 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Kept;
-import org.quincecross.agreed.RecordId;
-import org.quincecross.agreed.TrailLine;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.AuditEntry;
 import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
@@ -139,16 +139,16 @@
         return;
       }
       RecordId record = new RecordId(book.kind().name(), id);
-      Kept<S> kept =
+      ReplicatedRecord<S> kept =
           batch.has(record)
               ? batch.kept(record)
-              : held == null ? Kept.none(book.kind()) : held.kept();
-      At at = new At(clockMs.getAsLong(), settings.clockBound().millis(), ask.by());
-      Kept.Result<S> result =
+              : held == null ? ReplicatedRecord.none(book.kind()) : held.kept();
+      CommandOrigin at = new CommandOrigin(clockMs.getAsLong(), settings.clockBound().millis(), ask.by());
+      ReplicatedRecord.Result<S> result =
           kept.apply(book.kind(), id, version, ask.request(), ask.onChange(), ask.command(), at);
-      if (result instanceof Kept.Result.Refused<S> refused) {
+      if (result instanceof ReplicatedRecord.Result.Refused<S> refused) {
         answer(refused(refused.status(), refused.why()));
-      } else if (result instanceof Kept.Result.Known<S> known) {
+      } else if (result instanceof ReplicatedRecord.Result.Known<S> known) {
         // Known from a step of this same transaction: as durable as that.
         Answer answer = new Answer(200, known.made().same(), known.made().change(), version, 0);
         if (batch.has(record)) {
@@ -156,14 +156,14 @@
         } else {
           answer(answer);
         }
-      } else if (result instanceof Kept.Result.Nothing<S> nothing) {
+      } else if (result instanceof ReplicatedRecord.Result.Nothing<S> nothing) {
         answer(new Answer(200, nothing.why(), kept.change(), version, 0));
-      } else if (result instanceof Kept.Result.Write<S> write) {
+      } else if (result instanceof ReplicatedRecord.Result.Write<S> write) {
         put(batch, record, write, version);
       }
     }
 
-    private void put(Batch batch, RecordId record, Kept.Result.Write<S> write, Revision version) {
+    private void put(Batch batch, RecordId record, ReplicatedRecord.Result.Write<S> write, Revision version) {
       Map<String, Object> value = write.next().write(book.kind());
       int length = Json.write(value).length;
       if (length > settings.storeLimits().plannedValueBytes()) {
@@ -192,7 +192,7 @@
 
   /** A transaction being put together. */
   private final class Batch {
-    private final Map<RecordId, Kept<?>> next = new HashMap<>();
+    private final Map<RecordId, ReplicatedRecord<?>> next = new HashMap<>();
     private final Map<RecordId, Mutation> changes = new HashMap<>();
     private final List<Precondition> guards = new ArrayList<>();
     private final Map<Waiting<?, ?>, Answer> answers = new LinkedHashMap<>();
@@ -210,13 +210,13 @@
     }
 
     @SuppressWarnings("unchecked")
-    private <S> Kept<S> kept(RecordId record) {
-      return (Kept<S>) next.get(record); // by its id of the book's kind
+    private <S> ReplicatedRecord<S> kept(RecordId record) {
+      return (ReplicatedRecord<S>) next.get(record); // by its id of the book's kind
     }
 
     private boolean put(
         RecordId record,
-        Kept<?> kept,
+        ReplicatedRecord<?> kept,
         Map<String, Object> value,
         int length,
         Revision version,
@@ -374,7 +374,7 @@
   }
 
   /** Reads a page of a trail; {@code done} gets null where that does not work. */
-  public void page(ReplicatedRecordIndex<?, ?> book, int page, Consumer<List<TrailLine>> done) {
+  public void page(ReplicatedRecordIndex<?, ?> book, int page, Consumer<List<AuditEntry>> done) {
     client.read(
         KeyValueStoreCodec.keyPath(book.pageKey(page)),
         PAGE_TIMEOUT,
--- a/src/main/java/org/quincecross/state/ReservedCapacity.java
+++ b/src/main/java/org/quincecross/state/ReservedCapacity.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.agreed.RecordId;
+import org.quincecross.replicated.RecordId;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
@@ -22,7 +22,7 @@
 import org.quincecross.requests.RequestKind;
 import org.quincecross.requests.Reservation;
 import org.quincecross.requests.Taken;
-import org.quincecross.sched.Reserve;
+import org.quincecross.scheduling.Headroom;
 
 /**
  * The room that is kept for requests, as the ledger has it: each controller that has read the same
@@ -88,8 +88,8 @@
   }
 
   /** What each block keeps free for requests. */
-  Map<ShardId, List<Reserve>> reserves() {
-    Map<ShardId, List<Reserve>> reserves = new HashMap<>();
+  Map<ShardId, List<Headroom>> reserves() {
+    Map<ShardId, List<Headroom>> reserves = new HashMap<>();
     if (reservation.isEmpty()) {
       return reserves;
     }
@@ -97,15 +97,15 @@
         .kept(new Standing().places, taken())
         .forEach(
             (block, kept) -> {
-              List<Reserve> list = new ArrayList<>();
+              List<Headroom> list = new ArrayList<>();
               kept.forEach(
                   each ->
                       list.add(
-                          new Reserve(
-                              Reserve.Purpose.REQUESTS,
+                          new Headroom(
+                              Headroom.Purpose.REQUESTS,
                               each.slot().each(),
                               each.tasks(),
-                              new Reserve.For(each.slot().lane(), each.slot().team()))));
+                              new Headroom.For(each.slot().lane(), each.slot().team()))));
               reserves.put(block, list);
             });
     return reserves;
--- a/src/main/java/org/quincecross/state/StoreKeys.java
+++ b/src/main/java/org/quincecross/state/StoreKeys.java
@@ -2,7 +2,7 @@
 
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
-import org.quincecross.agreed.RecordId;
+import org.quincecross.replicated.RecordId;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -25,11 +25,11 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.FencingToken;
 import org.quincecross.net.SteppedClock;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
-import org.quincecross.silence.UnconfirmedBound;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
 import org.quincecross.state.Allocation;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
@@ -66,7 +66,7 @@
             ledger,
             new OwnedShards(null, new ControllerId("n0"), () -> new Incarnation(7)),
             views,
-            UnconfirmedBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel)));
+            UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel)));
     ledger.listen(made::ledgerChanged);
     return made;
   }
@@ -131,8 +131,8 @@
 
   /** The holder says that it has taken note of all that is known here. */
   private void report(boolean fenced) {
-    PeerReport.MachineState machine =
-        new PeerReport.MachineState(
+    PeerHeartbeat.MachineState machine =
+        new PeerHeartbeat.MachineState(
             MACHINE.id(),
             Resources.NONE,
             Resources.NONE,
@@ -146,8 +146,8 @@
             0,
             List.of(),
             List.of());
-    PeerReport.Block block =
-        new PeerReport.Block(
+    PeerHeartbeat.Block block =
+        new PeerHeartbeat.Block(
             BLOCK,
             new FencingToken(ledger.block(BLOCK).token().number()),
             ledger.allocation(BLOCK).version(),
@@ -159,7 +159,7 @@
             Map.of(),
             List.of(machine));
     views.take(
-        new PeerReport(
+        new PeerHeartbeat(
             HOLDER,
             new Incarnation(1),
             ++reports,
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -31,8 +31,8 @@
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.SteppedClock;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.silence.Aloneness;
-import org.quincecross.silence.UnconfirmedBound;
+import org.quincecross.failuredetection.IsolationDetector;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
 import org.quincecross.state.StateWatcher;
 import org.quincecross.state.StoreKeys;
 import org.quincecross.state.ClusterStateCache;
@@ -98,7 +98,7 @@
     KeyValueStoreClient client =
         new KeyValueStoreClient(clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
     StateWatcher follower = new StateWatcher(clock, client, ledger);
-    UnconfirmedBound bound = workers.unconfirmedBound();
+    UnconfirmedOwnershipBound bound = workers.unconfirmedBound();
     Cancellations cancellations =
         new Cancellations(
             clock,
@@ -119,7 +119,7 @@
             cancellations,
             () -> new Incarnation(7),
             () -> false,
-            () -> Aloneness.State.CONNECTED);
+            () -> IsolationDetector.State.CONNECTED);
     follower.start();
     clock.advance(1);
   }
--- a/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.quincecross.agreed.KnownByAll;
+import org.quincecross.replicated.ReplicationBarrier;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Priority;
@@ -192,20 +192,20 @@
     day.ask(0, "count", "first", "pass");
     day.world.time().runUntil(AgreedDay.READY_S + 12);
     Revision first = day.gates[0].book.get("count").version();
-    assertEquals(KnownByAll.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
+    assertEquals(ReplicationBarrier.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
     day.world.silence(2, 120, true);
     day.world.time().runUntil(AgreedDay.READY_S + 18);
     day.ask(0, "count", "second", "pass");
     day.world.time().runUntil(AgreedDay.READY_S + 20);
     Revision second = day.gates[0].book.get("count").version();
-    KnownByAll.Answer answer = day.gates[0].base.known().of(second);
-    assertEquals(KnownByAll.State.SPREADING, answer.state());
+    ReplicationBarrier.Answer answer = day.gates[0].base.known().of(second);
+    assertEquals(ReplicationBarrier.State.SPREADING, answer.state());
     assertEquals("[n2]", answer.missing().toString());
     double left = answer.latest().since(day.gates[0].base.timers().now()).seconds();
     day.world.time().runUntil(AgreedDay.READY_S + 20 + left - 0.5);
-    assertEquals(KnownByAll.State.SPREADING, day.gates[0].base.known().of(second).state());
+    assertEquals(ReplicationBarrier.State.SPREADING, day.gates[0].base.known().of(second).state());
     day.world.time().runUntil(day.world.time().seconds() + 1.5);
-    assertEquals(KnownByAll.State.KNOWN_BY_TIME, day.gates[0].base.known().of(second).state());
+    assertEquals(ReplicationBarrier.State.KNOWN_BY_TIME, day.gates[0].base.known().of(second).state());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/AgreedDay.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.agreed.Gate;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.Gate;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.api.Controller;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
@@ -21,7 +21,7 @@
 import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
-import org.quincecross.peer.AgreedBase;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.rollout.Build;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.TerminationProof;
@@ -67,12 +67,12 @@
             """;
 
   /** What a controller knows of the gates. */
-  static final class Gates implements Withheld {
-    final AgreedBase base;
+  static final class Gates implements StartBlock {
+    final ReplicatedFeatureContext base;
     final ReplicatedRecordIndex<Gate.State, Gate.Command> book;
     private final Set<JobId> closed = new HashSet<>();
 
-    Gates(AgreedBase base) {
+    Gates(ReplicatedFeatureContext base) {
       this.base = base;
       this.book = base.ledger().agreed().add(new Gate());
       base.withheld().add(this);
--- a/src/test/java/org/quincecross/emulator/RequestWatch.java
+++ b/src/test/java/org/quincecross/emulator/RequestWatch.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.agreed.Body;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.requests.Request;
 import org.quincecross.requests.RequestKind;
 
@@ -75,10 +75,10 @@
       }
       try {
         Request now =
-            KIND.read(Body.of(value, "a record").body("state").all())
+            KIND.read(RecordFields.of(value, "a record").body("state").all())
                 .named(key.substring(KEYS.length()));
         check(seen.put(now.reference(), now), now);
-      } catch (Unreadable e) {
+      } catch (MalformedRecordException e) {
         breaks(key, e.getMessage());
       }
     }
--- a/src/test/java/org/quincecross/silence/SilenceTest.java
+++ b/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import org.quincecross.model.MonotonicTime;
 
 /** Whose silence it is: of a link, of machines, or one's own. */
-class SilenceTest {
+class FailureDetectionTest {
   private static final ControllerId DEAF = new ControllerId("n1");
 
   private static MonotonicTime at(double seconds) {
@@ -29,7 +29,7 @@
   void aLinkThatSaysNothingIsMadeAnewInGoodTimeAndNotTooOften(
       @ForAll @DoubleRange(min = 0.1, max = 0.9) double every,
       @ForAll @IntRange(min = 0, max = 40) int acknowledged) {
-    LinkWatch link = new LinkWatch();
+    LinkMonitor link = new LinkMonitor();
     double lastRenewed = Double.NEGATIVE_INFINITY;
     double quietFrom = acknowledged * every;
     for (int i = 0; i < 200; i++) {
@@ -49,7 +49,7 @@
 
   @Test
   void aReceiptThatAsksForMoreIsASignOfLifeToo() {
-    LinkWatch link = new LinkWatch();
+    LinkMonitor link = new LinkMonitor();
     for (double now = 0; now < 20; now += 0.5) {
       link.sent(at(now));
       link.receipt(7, true, at(now));
@@ -63,19 +63,19 @@
    */
   @Test
   void aDeafControllerIsTriedEverMoreSeldom() {
-    Hearing hearing = new Hearing();
+    ReachabilityMap hearing = new ReachabilityMap();
     int trials = 0;
     double hearsFrom = 600;
     hearing.missed(DEAF, "a", at(0));
-    assertEquals(Hearing.State.HEARS, hearing.of(DEAF, "b", at(1)), "another zone");
+    assertEquals(ReachabilityMap.State.HEARS, hearing.of(DEAF, "b", at(1)), "another zone");
     double given = 0;
     for (double now = 0; now < 900; now += 0.5) {
-      Hearing.State state = hearing.of(DEAF, "a", at(now));
-      if (state == Hearing.State.TO_BE_TRIED) {
+      ReachabilityMap.State state = hearing.of(DEAF, "a", at(now));
+      if (state == ReachabilityMap.State.TO_BE_TRIED) {
         hearing.given(DEAF, "a", at(now));
         given = now;
         trials++;
-      } else if (state == Hearing.State.ON_TRIAL && now - given >= 4) {
+      } else if (state == ReachabilityMap.State.ON_TRIAL && now - given >= 4) {
         if (now < hearsFrom) {
           hearing.missed(DEAF, "a", at(now));
         } else {
@@ -86,18 +86,18 @@
         assertTrue(trials <= 5, trials + " trials in 300 s");
       }
     }
-    assertEquals(Hearing.State.HEARS, hearing.of(DEAF, "a", at(900)));
+    assertEquals(ReachabilityMap.State.HEARS, hearing.of(DEAF, "a", at(900)));
     assertTrue(trials <= 9, trials + " trials");
   }
 
   @Test
   void aTrialThatSaysNothingHasFailed() {
-    Hearing hearing = new Hearing();
+    ReachabilityMap hearing = new ReachabilityMap();
     hearing.missed(DEAF, "a", at(0));
     hearing.given(DEAF, "a", at(13));
-    assertEquals(Hearing.State.ON_TRIAL, hearing.of(DEAF, "a", at(14)));
+    assertEquals(ReachabilityMap.State.ON_TRIAL, hearing.of(DEAF, "a", at(14)));
     hearing.heard(DEAF, "b", at(14));
-    assertEquals(Hearing.State.DEAF, hearing.of(DEAF, "a", at(26)));
+    assertEquals(ReachabilityMap.State.DEAF, hearing.of(DEAF, "a", at(26)));
   }
 
   /**
@@ -108,7 +108,7 @@
   void aGapOfTheClockIsNoticedAtOnceAndLookedAboutAfter(
       @ForAll @DoubleRange(min = 0, max = 120) double gap,
       @ForAll @DoubleRange(min = 0, max = 3) double confirmedAfter) {
-    Stillness stillness = new Stillness(at(0));
+    PauseDetector stillness = new PauseDetector(at(0));
     assertEquals(TimeSpan.ZERO, stillness.turn(at(0.2)));
     double woke = 0.2 + gap;
     TimeSpan noticed = stillness.turn(at(woke));
@@ -122,7 +122,7 @@
     assertFalse(
         stillness.isWaking(at(0.1), at(woke + 2.1)), "in an outage nobody can confirm anything");
     if (stoodStill) {
-      Stillness other = new Stillness(at(0));
+      PauseDetector other = new PauseDetector(at(0));
       other.turn(at(woke));
       double now = woke + confirmedAfter;
       assertEquals(confirmedAfter <= 2, other.isWaking(at(woke - 0.01), at(now)));
--- a/src/test/java/org/quincecross/silence/AlonenessTest.java
+++ b/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,7 +18,7 @@
  * Three controllers with drawn evidence: what each hears of the state service, of the others, and
  * of its machines.
  */
-class AlonenessTest {
+class IsolationDetectorTest {
   private static final int NODES = 3;
   private static final double STEP_S = 0.5;
 
@@ -31,16 +31,16 @@
    * the machines' tokens.
    */
   private static final class Trio {
-    private final List<Aloneness> nodes = new ArrayList<>();
+    private final List<IsolationDetector> nodes = new ArrayList<>();
     private final double[] heard = new double[NODES];
-    private final Aloneness.Word[][] words = new Aloneness.Word[NODES][NODES];
+    private final IsolationDetector.Word[][] words = new IsolationDetector.Word[NODES][NODES];
     private double now;
 
     Trio() {
       for (int i = 0; i < NODES; i++) {
-        nodes.add(new Aloneness(i == 0, at(0)));
+        nodes.add(new IsolationDetector(i == 0, at(0)));
         for (int j = 0; j < NODES; j++) {
-          words[i][j] = new Aloneness.Word(null, TimeSpan.ZERO);
+          words[i][j] = new IsolationDetector.Word(null, TimeSpan.ZERO);
         }
       }
     }
@@ -57,12 +57,12 @@
       for (int i = 0; i < NODES; i++) {
         for (int j = 0; j < NODES; j++) {
           if (i != j && (linked >> i & linked >> j & 1) == 1) {
-            words[i][j] = new Aloneness.Word(at(now), at(now).since(at(heard[j])));
+            words[i][j] = new IsolationDetector.Word(at(now), at(now).since(at(heard[j])));
           }
         }
       }
       for (int i = 0; i < NODES; i++) {
-        List<Aloneness.Word> others = new ArrayList<>(List.of(words[i]));
+        List<IsolationDetector.Word> others = new ArrayList<>(List.of(words[i]));
         others.remove(i);
         nodes.get(i).look(at(heard[i]), others, at(now));
       }
@@ -112,7 +112,7 @@
     for (int i = 0; i < 3; i++) {
       trio.step(7, 7);
     }
-    assertEquals(Aloneness.State.CONNECTED, trio.nodes.get(0).state());
+    assertEquals(IsolationDetector.State.CONNECTED, trio.nodes.get(0).state());
   }
 
   /**
--- a/src/test/java/org/quincecross/silence/DeafnessTest.java
+++ b/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,7 +15,7 @@
 import org.quincecross.model.MonotonicTime;
 
 /** A machine that speaks: from its reports alone, whether it hears. */
-class DeafnessTest {
+class OneWayPartitionDetectorTest {
   private static final TimeSpan LEASE = TimeSpan.ofSeconds(12);
   private static final double ROUND = 15;
 
@@ -32,7 +32,7 @@
       @ForAll @DoubleRange(min = 0.4, max = 8) double every,
       @ForAll @IntRange(min = 1, max = 8) int times,
       @ForAll @IntRange(min = 2, max = 5) int rounds) {
-    Deafness deafness = new Deafness(at(0));
+    OneWayPartitionDetector deafness = new OneWayPartitionDetector(at(0));
     double now = 0;
     long number = 0;
     long session = 1;
@@ -44,7 +44,7 @@
         // The first time at its second report; each time it proves fickle for longer, and never for
         // ever.
         assertTrue(
-            deafness.hears() || i <= (time == 0 ? 1 : 1 + Deafness.MOST_TRIALS),
+            deafness.hears() || i <= (time == 0 ? 1 : 1 + OneWayPartitionDetector.MOST_TRIALS),
             "not used at report " + i);
       }
       for (int round = 0; round < rounds; round++) {
@@ -54,7 +54,7 @@
         deafness.reported(session, number, LEASE, at(now));
         deafness.answered(session, at(now));
         assertFalse(deafness.hears());
-        assertTrue(round < 1 || deafness.state() == Deafness.State.DEAF);
+        assertTrue(round < 1 || deafness.state() == OneWayPartitionDetector.State.DEAF);
       }
       assertTrue(deafness.deafFor(at(now)).isLongerThan(TimeSpan.ofSeconds(ROUND)));
     }
@@ -63,24 +63,24 @@
   /** A session that ends within a lease of an answer is sign enough: the answer was not taken. */
   @Test
   void aNewSessionThoughAnsweredIsDeaf() {
-    Deafness deafness = new Deafness(at(0));
+    OneWayPartitionDetector deafness = new OneWayPartitionDetector(at(0));
     deafness.answered(1, at(5));
     deafness.reported(2, 9, LEASE, at(12));
-    assertEquals(Deafness.State.DEAF, deafness.state());
+    assertEquals(OneWayPartitionDetector.State.DEAF, deafness.state());
     deafness.shownToken(at(13));
     assertTrue(deafness.hears());
   }
 
   @Test
   void aMachineMovesItsBlockOnceUntilItObeysOrAfterAPauseThatDoubles() {
-    Moves moves = new Moves();
+    ShardMovePolicy moves = new ShardMovePolicy();
     MachineId machine = new MachineId("m");
     moves.moved(List.of(machine), at(0));
-    assertEquals(Moves.State.MOVED, moves.of(machine, at(35)));
-    assertEquals(Moves.State.COUNTS, moves.of(machine, at(36)));
+    assertEquals(ShardMovePolicy.State.MOVED, moves.of(machine, at(35)));
+    assertEquals(ShardMovePolicy.State.COUNTS, moves.of(machine, at(36)));
     moves.moved(List.of(machine), at(36));
-    assertEquals(Moves.State.MOVED, moves.of(machine, at(100)));
+    assertEquals(ShardMovePolicy.State.MOVED, moves.of(machine, at(100)));
     moves.obeys(List.of(machine));
-    assertEquals(Moves.State.COUNTS, moves.of(machine, at(101)));
+    assertEquals(ShardMovePolicy.State.COUNTS, moves.of(machine, at(101)));
   }
 }
--- a/src/test/java/org/quincecross/silence/FreshnessTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -13,15 +13,15 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.FencingToken;
-import org.quincecross.silence.Freshness.Shown;
-import org.quincecross.silence.Freshness.State;
-import org.quincecross.silence.Freshness.Verdict;
+import org.quincecross.failuredetection.StaleHeartbeatFilter.Shown;
+import org.quincecross.failuredetection.StaleHeartbeatFilter.State;
+import org.quincecross.failuredetection.StaleHeartbeatFilter.Verdict;
 
 /**
  * What is news of a machine, with copies of all that it ever said, and with workers that begin
  * anew.
  */
-class FreshnessTest {
+class StaleHeartbeatFilterTest {
   private static final TimeSpan REPORT = TimeSpan.ofSeconds(2);
   private static final FencingToken FORMER = new FencingToken(5);
   private static final FencingToken PRESENT = new FencingToken(9);
@@ -37,7 +37,7 @@
   private static final class Machine {
     private final Random random;
     private final boolean restarts;
-    private final Freshness freshness = new Freshness();
+    private final StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
     private final List<Made> reports = new ArrayList<>();
     private int life;
     private int number;
@@ -137,7 +137,7 @@
   @Property(tries = 200)
   void aMachineThatHasBegunAnewIsFoundOut(@ForAll long seed) {
     Random random = new Random(seed);
-    Freshness freshness = new Freshness();
+    StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
     freshness.ofReport(
         new Shown(PRESENT, 1 + random.nextInt(3), 40 + random.nextInt(1000)), false, at(0));
     double now = 0;
@@ -159,7 +159,7 @@
    */
   @Test
   void theTokenRanksBeforeTheCounts() {
-    Freshness freshness = new Freshness();
+    StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
     assertEquals(Verdict.NEWS, freshness.ofReport(new Shown(FORMER, 3, 88), false, at(0)));
     freshness.asking();
     assertEquals(Verdict.NEWS, freshness.ofAnswer(new Shown(PRESENT, 1, 2), at(1)));
@@ -173,7 +173,7 @@
    */
   @Test
   void aSessionDoesNotOutliveItsLease() {
-    Freshness freshness = new Freshness();
+    StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
     freshness.ofReport(new Shown(PRESENT, 2, 10), false, at(0));
     assertEquals(Verdict.LATE, freshness.ofReport(new Shown(PRESENT, 2, 11), true, at(30)));
     assertTrue(freshness.isToBeAsked(REPORT, at(30)));
@@ -183,7 +183,7 @@
   /** A report that an answer has overtaken is answered for as long as its sender waits, once. */
   @Test
   void whatIsOvertakenIsAnsweredOnce() {
-    Freshness freshness = new Freshness();
+    StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
     freshness.ofReport(new Shown(PRESENT, 1, 10), false, at(0));
     freshness.asking();
     freshness.ofAnswer(new Shown(PRESENT, 1, 13), at(1));
--- a/src/test/java/org/quincecross/silence/StartPermissionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/org/quincecross/silence/UnconfirmedBoundTest.java
+++ b/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.silence;
+package org.quincecross.failuredetection;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.quincecross.model.TimeSpan;
 
-class UnconfirmedBoundTest {
+class UnconfirmedOwnershipBoundTest {
   private static final double DRIFT = 0.0005;
   private static final double MESSAGES_S = 0.9;
 
@@ -34,13 +34,13 @@
   }
 
   private static void check(double lease, double cancel) {
-    if (!UnconfirmedBound.isPossible(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel))) {
+    if (!UnconfirmedOwnershipBound.isPossible(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel))) {
       assertTrue(
           lease * 1.002 - cancel * 0.998 > 38,
           "no bound for a lease of " + lease + " and a cancellation within " + cancel);
       return;
     }
-    UnconfirmedBound bound = UnconfirmedBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
+    UnconfirmedOwnershipBound bound = UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
     double t = bound.unconfirmed().seconds();
     double toldAfter = bound.toldAfter().seconds();
     assertTrue(t > 4.9, "a hiccup is lived through: " + bound);
@@ -59,14 +59,14 @@
   @Example
   void forTheSettingsOfTodayItIsWhatItWas() {
     assertEquals(
-        new UnconfirmedBound(TimeSpan.ofSeconds(36.0 + 8 - 11 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
+        new UnconfirmedOwnershipBound(TimeSpan.ofSeconds(36.0 + 8 - 11 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(11, 36));
     assertEquals(
-        new UnconfirmedBound(
+        new UnconfirmedOwnershipBound(
             TimeSpan.ofSeconds(42.5 + 8 - 17.5 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(17.5, 42.5));
     assertEquals(
-        new UnconfirmedBound(TimeSpan.ofSeconds(54.0 + 8 - 24 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
+        new UnconfirmedOwnershipBound(TimeSpan.ofSeconds(54.0 + 8 - 24 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(24, 54));
   }
 
@@ -76,7 +76,7 @@
    */
   @Example
   void whereLeasesAreLongUsersWaitLonger() {
-    UnconfirmedBound bound = of(60, 36);
+    UnconfirmedOwnershipBound bound = of(60, 36);
     assertEquals(5, bound.unconfirmed().seconds(), 1e-6);
     assertEquals(5 + 60.12 + 1.5 - 36, bound.toldAfter().seconds(), 1e-6);
     assertTrue(
@@ -84,7 +84,7 @@
     assertThrows(IllegalArgumentException.class, () -> of(80, 36));
   }
 
-  private static UnconfirmedBound of(double lease, double cancel) {
-    return UnconfirmedBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
+  private static UnconfirmedOwnershipBound of(double lease, double cancel) {
+    return UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
   }
 }
--- a/src/test/java/org/quincecross/holds/HoldModelTest.java
+++ b/src/test/java/org/quincecross/holds/HoldModelTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Kept;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.ReplicatedRecord;
 import org.quincecross.holds.Hold.State;
 import org.quincecross.model.Revision;
 
@@ -39,7 +39,7 @@
   }
 
   private static final HoldKind KIND = new HoldKind();
-  private static final At AT = new At(1000, 0, "magistrate");
+  private static final CommandOrigin AT = new CommandOrigin(1000, 0, "magistrate");
   private static final HoldCommand OPEN =
       new HoldCommand.Open(List.of(Records.parse("cdr/2026-03")), 0, 0);
 
@@ -48,14 +48,14 @@
    * since when.
    */
   private record Store(
-      Kept<Hold> hold, int version, int fence, boolean allocated, int allocation) {}
+      ReplicatedRecord<Hold> hold, int version, int fence, boolean allocated, int allocation) {}
 
   /** A transaction under way: null guards are not compared. */
   private record Txn(
       Integer version,
       Integer fence,
       Integer allocation,
-      Kept<Hold> hold,
+      ReplicatedRecord<Hold> hold,
       boolean fences,
       Boolean allocate) {}
 
@@ -104,15 +104,15 @@
   }
 
   private Txn change(Store view, String request, HoldCommand command) {
-    Kept<Hold> kept =
+    ReplicatedRecord<Hold> kept =
         out == Guard.REQUEST_NAMES
-            ? new Kept<>(view.hold().state(), view.hold().change(), List.of(), List.of())
+            ? new ReplicatedRecord<>(view.hold().state(), view.hold().change(), List.of(), List.of())
             : view.hold();
-    Kept.Result<Hold> result = kept.apply(KIND, "ref", new Revision(1), request, -1, command, AT);
-    if (result instanceof Kept.Result.Write<Hold> write) {
-      Kept<Hold> next = write.next();
+    ReplicatedRecord.Result<Hold> result = kept.apply(KIND, "ref", new Revision(1), request, -1, command, AT);
+    if (result instanceof ReplicatedRecord.Result.Write<Hold> write) {
+      ReplicatedRecord<Hold> next = write.next();
       // The trail grows with each change and says nothing that the model asks for.
-      next = new Kept<>(next.state(), next.change(), next.requests(), List.of());
+      next = new ReplicatedRecord<>(next.state(), next.change(), next.requests(), List.of());
       return new Txn(
           out == Guard.RECORD_VERSION && request == null ? null : (Integer) view.version(),
           null,
@@ -292,7 +292,7 @@
   }
 
   private int play() {
-    Store first = new Store(Kept.none(KIND), 0, 0, false, 0);
+    Store first = new Store(ReplicatedRecord.none(KIND), 0, 0, false, 0);
     World start = new World(first, first, first, List.of(), false, 0, -1, Set.of());
     todo.add(start);
     seen.add(start);
--- a/src/test/java/org/quincecross/leader/AutoscalerTest.java
+++ b/src/test/java/org/quincecross/leader/AutoscalerTest.java
@@ -26,7 +26,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
 import org.quincecross.state.ShardLease;
@@ -49,7 +49,7 @@
   private final ClusterStateCache ledger = new ClusterStateCache();
   private final List<String> returned = new ArrayList<>();
   private final Set<MachineId> vanished = new HashSet<>();
-  private final Map<MachineId, PeerReport.MachineState> states = new HashMap<>();
+  private final Map<MachineId, PeerHeartbeat.MachineState> states = new HashMap<>();
   private final Autoscaler fleet;
 
   private static final class Clock implements Timers {
@@ -189,7 +189,7 @@
   private void hear(MachineId machine, double silent) {
     states.put(
         machine,
-        new PeerReport.MachineState(
+        new PeerHeartbeat.MachineState(
             machine,
             Resources.NONE,
             Resources.NONE,
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -23,7 +23,7 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.FencingToken;
 import org.quincecross.net.StillClock;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.state.CompletedTasks;
 import org.quincecross.state.JobRecord;
@@ -98,7 +98,7 @@
       completed.add(id.task(chunk * CompletedTasks.CHUNK + 2001));
     }
     views.take(
-        new PeerReport(
+        new PeerHeartbeat(
             new ControllerId("n"),
             new Incarnation(1),
             1,
@@ -107,7 +107,7 @@
             Revision.NONE,
             TimeSpan.ZERO,
             List.of(
-                new PeerReport.Block(
+                new PeerHeartbeat.Block(
                     new ShardId("b"),
                     new FencingToken(1),
                     Revision.NONE,
@@ -176,7 +176,7 @@
     }
     put(StoreKeys.page(0), CompletedTasks.writePage(page));
     views.take(
-        new PeerReport(
+        new PeerHeartbeat(
             new ControllerId("n"),
             new Incarnation(1),
             1,
@@ -185,7 +185,7 @@
             Revision.NONE,
             TimeSpan.ZERO,
             List.of(
-                new PeerReport.Block(
+                new PeerHeartbeat.Block(
                     new ShardId("b"),
                     new FencingToken(1),
                     Revision.NONE,
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -23,7 +23,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.FencingToken;
 import org.quincecross.net.StillClock;
-import org.quincecross.peer.PeerReport;
+import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
@@ -113,10 +113,10 @@
   }
 
   private List<Mutation> planned(boolean inDoubt, boolean secondIsFenced) {
-    List<PeerReport.MachineState> machines =
+    List<PeerHeartbeat.MachineState> machines =
         List.of(machine("m-0", true), machine("m-1", secondIsFenced));
-    PeerReport.Block block =
-        new PeerReport.Block(
+    PeerHeartbeat.Block block =
+        new PeerHeartbeat.Block(
             BLOCK,
             new FencingToken(2),
             Revision.NONE,
@@ -128,7 +128,7 @@
             Map.of(),
             machines);
     views.take(
-        new PeerReport(
+        new PeerHeartbeat(
             HOLDER,
             new Incarnation(1),
             ++reports,
@@ -144,8 +144,8 @@
     return plan.changes();
   }
 
-  private static PeerReport.MachineState machine(String id, boolean fenced) {
-    return new PeerReport.MachineState(
+  private static PeerHeartbeat.MachineState machine(String id, boolean fenced) {
+    return new PeerHeartbeat.MachineState(
         new MachineId(id),
         Resources.NONE,
         Resources.NONE,
--- a/src/test/java/org/quincecross/models/DecisionsTest.java
+++ b/src/test/java/org/quincecross/models/DecisionsTest.java
@@ -15,8 +15,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import org.quincecross.agreed.Step;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.Transition;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
@@ -288,7 +288,7 @@
     demand.wake(at(10));
     assertEquals(Demand.State.SATISFIED, demand.state());
     Model drained =
-        ((Step.Changed<Model>) ModelRules.step(up, new ModelCommand.Drain(4, 120_000, "idle"), 0))
+        ((Transition.Changed<Model>) ModelRules.step(up, new ModelCommand.Drain(4, 120_000, "idle"), 0))
             .next();
     demand.seen(drained, at(11));
     assertEquals(Demand.State.WANTED, demand.state());
@@ -303,7 +303,7 @@
    * written.
    */
   @Test
-  void recordsAreReadAsWritten() throws Unreadable {
+  void recordsAreReadAsWritten() throws MalformedRecordException {
     ModelKind kind = new ModelKind();
     Map<Integer, Model.Place> places = new HashMap<>();
     for (int i = 0; i < ModelKind.MOST_REPLICAS; i++) {
--- a/src/test/java/org/quincecross/models/ModelMachineTest.java
+++ b/src/test/java/org/quincecross/models/ModelMachineTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.quincecross.agreed.Step;
+import org.quincecross.replicated.Transition;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TimeSpan;
@@ -225,7 +225,7 @@
       command = renewed(command, state.record.epoch());
     }
     Model before = state.record;
-    if (ModelRules.step(before, command, 0) instanceof Step.Changed<Model> changed) {
+    if (ModelRules.step(before, command, 0) instanceof Transition.Changed<Model> changed) {
       state.record = changed.next();
       state.fence =
           KIND.startsWithholding(before, state.record) ? state.record.epoch() : state.fence;
@@ -336,7 +336,7 @@
     // What would change nothing any more is not asked for by who knows.
     boolean useful =
         state.view[node] != state.record
-            || ModelRules.step(state.record, command, 0) instanceof Step.Changed<Model>;
+            || ModelRules.step(state.record, command, 0) instanceof Transition.Changed<Model>;
     if (useful) {
       go(state, true, next -> next.pending[node] = command);
     }
--- a/src/test/java/org/quincecross/overload/BeginningsTest.java
+++ b/src/test/java/org/quincecross/overload/BeginningsTest.java
@@ -23,8 +23,8 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
-import org.quincecross.sched.Admission;
-import org.quincecross.sched.JobDemand;
+import org.quincecross.scheduling.Admission;
+import org.quincecross.scheduling.JobDemand;
 
 /**
  * The order of admission over minutes, with far more work than room: nobody whose limit allows it
--- a/src/test/java/org/quincecross/peer/PeerCodecTest.java
+++ b/src/test/java/org/quincecross/peer/PeerCodecTest.java
@@ -27,7 +27,7 @@
 
 class PeerCodecTest {
   @Provide
-  static Arbitrary<PeerReport> reports() {
+  static Arbitrary<PeerHeartbeat> reports() {
     var jobs = Arbitraries.integers().between(0, 99_999).map(n -> new JobId("job-" + n));
     var tasks =
         Combinators.combine(jobs, Arbitraries.integers().between(0, 99_999))
@@ -45,7 +45,7 @@
                 names.list().ofMaxSize(4))
             .as(
                 (name, free, silent, flag, n, images) ->
-                    new PeerReport.MachineState(
+                    new PeerHeartbeat.MachineState(
                         new MachineId(name),
                         new Resources(free, 0, free),
                         new Resources(0, free, 1),
@@ -64,7 +64,7 @@
                 names, Arbitraries.longs(), tasks, tasks, jobs, machines.list().ofMaxSize(6))
             .as(
                 (name, token, completed, released, job, states) ->
-                    new PeerReport.Block(
+                    new PeerHeartbeat.Block(
                         new ShardId(name),
                         new FencingToken(token),
                         new Revision(token),
@@ -82,14 +82,14 @@
             names.map(MachineId::new).list().ofMaxSize(3))
         .as(
             (name, number, list, strays) ->
-                new PeerReport(
+                new PeerHeartbeat(
                     new ControllerId(name),
                     new Incarnation(number),
                     number,
                     number / 2,
                     Map.of(
                         new ControllerId(name),
-                        new PeerReport.Receipt(new Incarnation(number), number, true)),
+                        new PeerHeartbeat.Receipt(new Incarnation(number), number, true)),
                     new Revision(number),
                     new TimeSpan(number),
                     list,
@@ -97,12 +97,12 @@
   }
 
   @Property(tries = 200, seed = "6")
-  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerReport report) throws MalformedMessageException {
+  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerHeartbeat report) throws MalformedMessageException {
     assertEquals(report, PeerCodec.read(PeerCodec.write(report)));
   }
 
   @Property(tries = 200, seed = "7")
-  void aPartOfAReportIsABadMessage(@ForAll("reports") PeerReport report) {
+  void aPartOfAReportIsABadMessage(@ForAll("reports") PeerHeartbeat report) {
     byte[] whole = PeerCodec.write(report);
     byte[] part = Arrays.copyOf(whole, whole.length - 1);
     byte[] more = Arrays.copyOf(whole, whole.length + 1);
--- a/src/test/java/org/quincecross/peer/PeerViewsTest.java
+++ b/src/test/java/org/quincecross/peer/PeerViewsTest.java
@@ -48,16 +48,16 @@
       }
     }
 
-    PeerReport report() {
+    PeerHeartbeat report() {
       number++;
       int block = random.nextInt(3);
       int machine = random.nextInt(4);
       blocks.get(block).put(machine, random.nextInt(100));
       changedIn.get(block).put(machine, number);
-      List<PeerReport.Block> changed = new ArrayList<>();
+      List<PeerHeartbeat.Block> changed = new ArrayList<>();
       blocks.forEach(
           (id, machines) -> {
-            List<PeerReport.MachineState> states = new ArrayList<>();
+            List<PeerHeartbeat.MachineState> states = new ArrayList<>();
             machines.forEach(
                 (name, tasks) -> {
                   if (changedIn.get(id).get(name) > base) {
@@ -66,7 +66,7 @@
                 });
             if (!states.isEmpty()) {
               changed.add(
-                  new PeerReport.Block(
+                  new PeerHeartbeat.Block(
                       new ShardId("b" + id),
                       new FencingToken(1),
                       new Revision(1),
@@ -79,8 +79,8 @@
                       states));
             }
           });
-      PeerReport report =
-          new PeerReport(
+      PeerHeartbeat report =
+          new PeerHeartbeat(
               SENDER,
               life,
               number,
@@ -102,8 +102,8 @@
     }
   }
 
-  private static PeerReport.MachineState machine(int name, int tasks) {
-    return new PeerReport.MachineState(
+  private static PeerHeartbeat.MachineState machine(int name, int tasks) {
+    return new PeerHeartbeat.MachineState(
         new MachineId("m" + name),
         Resources.NONE,
         Resources.NONE,
@@ -144,12 +144,12 @@
     Random random = new Random(seed);
     Sender sender = new Sender(random);
     PeerViews views = new PeerViews();
-    List<PeerReport> sent = new ArrayList<>();
+    List<PeerHeartbeat> sent = new ArrayList<>();
     for (int step = 0; step < 60; step++) {
       if (random.nextInt(25) == 0) {
         sender.restart();
       }
-      PeerReport report = sender.report();
+      PeerHeartbeat report = sender.report();
       sent.add(report);
       if (random.nextInt(4) == 0) {
         continue; // lost
@@ -158,7 +158,7 @@
         views.take(sent.get(random.nextInt(sent.size())), NOW); // a late or repeated one
       }
       boolean taken = views.take(report, NOW);
-      PeerReport.Receipt receipt = views.receipts().get(SENDER);
+      PeerHeartbeat.Receipt receipt = views.receipts().get(SENDER);
       if (taken) {
         assertEquals(sender.blocks, seen(views), "what was taken is all there is");
       } else {
@@ -175,8 +175,8 @@
   @Example
   void aReportWithNoKnownBaseSaysNothing() {
     PeerViews views = new PeerViews();
-    PeerReport.Block block =
-        new PeerReport.Block(
+    PeerHeartbeat.Block block =
+        new PeerHeartbeat.Block(
             new ShardId("b0"),
             new FencingToken(1),
             new Revision(1),
@@ -189,7 +189,7 @@
             List.of(machine(1, 1)));
     assertFalse(
         views.take(
-            new PeerReport(
+            new PeerHeartbeat(
                 SENDER,
                 new Incarnation(1),
                 7,
@@ -201,17 +201,17 @@
                 List.of()),
             NOW));
     assertEquals(Map.of(), views.of(SENDER).blocks());
-    assertEquals(new PeerReport.Receipt(new Incarnation(1), 0, true), views.receipts().get(SENDER));
+    assertEquals(new PeerHeartbeat.Receipt(new Incarnation(1), 0, true), views.receipts().get(SENDER));
   }
 
   @Example
   void aWholeBlockTakesThePlaceOfWhatWasKnown() {
     PeerViews views = new PeerViews();
     for (int i = 1; i <= 2; i++) {
-      Map<MachineId, PeerReport.MachineState> expected = new LinkedHashMap<>();
+      Map<MachineId, PeerHeartbeat.MachineState> expected = new LinkedHashMap<>();
       expected.put(new MachineId("m" + i), machine(i, i));
       views.take(
-          new PeerReport(
+          new PeerHeartbeat(
               SENDER,
               new Incarnation(1),
               i,
@@ -220,7 +220,7 @@
               Revision.NONE,
               TimeSpan.ZERO,
               List.of(
-                  new PeerReport.Block(
+                  new PeerHeartbeat.Block(
                       new ShardId("b0"),
                       new FencingToken(1),
                       new Revision(1),
--- a/src/test/java/org/quincecross/faults/FaultsTest.java
+++ b/src/test/java/org/quincecross/quarantine/QuarantineTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.faults;
+package org.quincecross.quarantine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,7 +18,7 @@
 import org.quincecross.model.MonotonicTime;
 
 /** Sick machines and jobs with a mistake, told from one another. */
-class FaultsTest {
+class QuarantineTest {
   private static final int MACHINES = 11;
   private static final int JOBS = 30;
 
@@ -50,7 +50,7 @@
     for (int i = random.nextInt(8); i > 0; i--) {
       mistaken.add(job(random.nextInt(JOBS)));
     }
-    Evidence evidence = new Evidence();
+    FaultEvidence evidence = new FaultEvidence();
     Set<MachineId> found = new HashSet<>();
     Map<MachineId, Map<JobId, Double>> running = new HashMap<>();
     for (double now = 0; now < 120; now += 0.1) {
@@ -99,7 +99,7 @@
    */
   @Test
   void aMachineThatGoesOnRunningOthersIsNotSickForLong() {
-    Evidence evidence = new Evidence();
+    FaultEvidence evidence = new FaultEvidence();
     evidence.startedWell(machine(1), job(99), at(0), at(5));
     assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(10)));
     assertEquals(Set.of(), evidence.failed(machine(1), job(2), TimeSpan.ZERO, at(10)));
@@ -119,7 +119,7 @@
    */
   @Test
   void aJobThatRunsElsewhereSpeaksAgainstTheMachinesWhereItFailedBefore() {
-    Evidence evidence = new Evidence();
+    FaultEvidence evidence = new FaultEvidence();
     assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(0)));
     assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(1)));
     assertEquals(Set.of(machine(1)), evidence.startedWell(machine(2), job(1), at(2), at(7)));
@@ -131,7 +131,7 @@
    */
   @Test
   void aJobThatFailsLateIsNotTakenForOneThatRuns() {
-    Evidence evidence = new Evidence();
+    FaultEvidence evidence = new FaultEvidence();
     for (int i = 0; i < 3; i++) {
       evidence.startedWell(machine(i), job(1), at(20 * i), at(20 * i + 6));
       assertEquals(
@@ -146,14 +146,14 @@
    */
   @Test
   void aSuspectIsTriedEverMoreSeldomUntilItRuns() {
-    Suspects suspects = new Suspects();
+    SuspectJobs suspects = new SuspectJobs();
     JobId job = job(1);
-    assertEquals(Integer.MAX_VALUE, suspects.mayGo(new Suspects.Look(job, 2, 9, 0, 5, 0), at(0)));
+    assertEquals(Integer.MAX_VALUE, suspects.mayGo(new SuspectJobs.Look(job, 2, 9, 0, 5, 0), at(0)));
     int trials = 0;
     boolean out = false;
     double outSince = 0;
     for (double now = 0; now < 600; now += 0.5) {
-      int may = suspects.mayGo(new Suspects.Look(job, 3, 9, 0, out ? 1 : 0, 0), at(now));
+      int may = suspects.mayGo(new SuspectJobs.Look(job, 3, 9, 0, out ? 1 : 0, 0), at(now));
       assertTrue(may <= 1);
       if (may == 1 && !out) {
         suspects.given(job);
@@ -165,18 +165,18 @@
       }
     }
     assertTrue(trials >= 4 && trials <= 9, trials + " trials in ten minutes");
-    assertEquals(Integer.MAX_VALUE, suspects.mayGo(new Suspects.Look(job, 0, 9, 1, 0, 0), at(600)));
+    assertEquals(Integer.MAX_VALUE, suspects.mayGo(new SuspectJobs.Look(job, 0, 9, 1, 0, 0), at(600)));
     assertEquals(null, suspects.of(job));
   }
 
   /** However many suspects there are, no more than one trial begins in a second. */
   @Test
   void trialsOfManySuspectsAreSpread() {
-    Suspects suspects = new Suspects();
+    SuspectJobs suspects = new SuspectJobs();
     int begun = 0;
     for (double now = 0; now < 60; now += 0.25) {
       for (int i = 0; i < 50; i++) {
-        if (suspects.mayGo(new Suspects.Look(job(i), 3, 3, 0, 0, 0), at(now)) == 1) {
+        if (suspects.mayGo(new SuspectJobs.Look(job(i), 3, 3, 0, 0, 0), at(now)) == 1) {
           suspects.given(job(i));
           begun++;
         }
--- a/src/test/java/org/quincecross/agreed/Gate.java
+++ b/src/test/java/org/quincecross/replicated/Gate.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,7 +8,7 @@
  * A kind for tests: what is closed keeps all tasks of the job of its name back; and each passing
  * counts.
  */
-public final class Gate implements Kind<Gate.State, Gate.Command> {
+public final class Gate implements RecordKind<Gate.State, Gate.Command> {
   public record State(boolean closed, long passed) {}
 
   public enum Command {
@@ -28,8 +28,8 @@
   }
 
   @Override
-  public State read(Map<String, Object> value) throws Unreadable {
-    Body in = Body.of(value, "a gate");
+  public State read(Map<String, Object> value) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(value, "a gate");
     return new State(in.flagOr("closed", false), in.integer("passed", 0, Long.MAX_VALUE));
   }
 
@@ -42,34 +42,34 @@
   }
 
   @Override
-  public Command command(Map<String, Object> body) throws Unreadable {
-    return Body.of(body, "the command").only(List.of("do")).word("do", Command.class);
+  public Command command(Map<String, Object> body) throws MalformedRecordException {
+    return RecordFields.of(body, "the command").only(List.of("do")).word("do", Command.class);
   }
 
   @Override
-  public Step<State> step(State state, Command command, At at) {
+  public Transition<State> step(State state, Command command, CommandOrigin at) {
     return switch (command) {
       case PASS ->
           state.closed()
-              ? new Step.Refused<>(409, "it is closed")
+              ? new Transition.Refused<>(409, "it is closed")
               : changed(new State(false, state.passed() + 1), "passed");
       case CLOSE ->
           state.closed()
-              ? new Step.Same<>("it is closed already")
+              ? new Transition.Same<>("it is closed already")
               : changed(new State(true, state.passed()), "closed");
       case OPEN ->
           state.closed()
               ? changed(new State(false, state.passed()), "opened")
-              : new Step.Same<>("it is open already");
+              : new Transition.Same<>("it is open already");
     };
   }
 
-  private static Step<State> changed(State next, String event) {
-    return new Step.Changed<>(next, List.of(new TrailEntry(event, Map.of())));
+  private static Transition<State> changed(State next, String event) {
+    return new Transition.Changed<>(next, List.of(new AuditEvent(event, Map.of())));
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, State state, At at) {
+  public List<Map<String, Object>> rows(String id, State state, CommandOrigin at) {
     return List.of(Map.of("gate", id, "closed", state.closed(), "passed", state.passed()));
   }
 
--- a/src/test/java/org/quincecross/agreed/AgreedModelTest.java
+++ b/src/test/java/org/quincecross/replicated/ReplicatedRecordModelTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.agreed;
+package org.quincecross.replicated;
 
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -20,10 +20,10 @@
  * Agreed records as a small model, gone through whole: two controllers, three requests asked for
  * anywhere at any time and again, a leader that allocates one task, a holder that starts it,
  * crashes, and transactions that are applied whenever they like. The steps are those of {@link
- * Kept}. A guard holds as long as nothing has been written at its key since its controller last
+ * ReplicatedRecord}. A guard holds as long as nothing has been written at its key since its controller last
  * read; so the states are finite.
  */
-class AgreedModelTest {
+class ReplicatedRecordModelTest {
   private static final int NODES = 2;
   private static final int LEADER = 0;
   private static final int HOLDER = 1;
@@ -34,7 +34,7 @@
   private static final int FENCE = 2;
   private static final int ALLOCATION = 4;
   private static final Gate GATE = new Gate();
-  private static final At NOW = new At(1_000_000, 10, "");
+  private static final CommandOrigin NOW = new CommandOrigin(1_000_000, 10, "");
   private static final Gate.Command[] REQUESTS = {
     Gate.Command.CLOSE, Gate.Command.OPEN, Gate.Command.CLOSE
   };
@@ -69,11 +69,11 @@
    * A transaction under way, or not answered: it is applied at any time, or never; a guard that has
    * failed makes it nothing.
    */
-  private record Txn(Write write, int request, Kept<Gate.State> next, boolean raises, int guards) {}
+  private record Txn(Write write, int request, ReplicatedRecord<Gate.State> next, boolean raises, int guards) {}
 
   /** A state of everything. */
   private static final class State implements Cloneable {
-    private Kept<Gate.State> record = Kept.none(GATE);
+    private ReplicatedRecord<Gate.State> record = ReplicatedRecord.none(GATE);
     private boolean allocated;
     private boolean runs;
 
@@ -84,7 +84,7 @@
     private int changes;
     private int changed;
     private int told;
-    private Kept<?>[] known = {Kept.none(GATE), Kept.none(GATE)};
+    private ReplicatedRecord<?>[] known = {ReplicatedRecord.none(GATE), ReplicatedRecord.none(GATE)};
     private boolean[] knownAllocated = new boolean[NODES];
     private int[] stale = new int[NODES];
     private Txn[] txn = new Txn[NODES];
@@ -130,8 +130,8 @@
     }
 
     @SuppressWarnings("unchecked")
-    private Kept<Gate.State> known(int node) {
-      return (Kept<Gate.State>) known[node];
+    private ReplicatedRecord<Gate.State> known(int node) {
+      return (ReplicatedRecord<Gate.State>) known[node];
     }
   }
 
@@ -184,22 +184,22 @@
   /** A request comes, for the first time or again: the steps are those of the program. */
   private void ask(State from, int node, Consumer<State> next) {
     for (int request = 0; request < REQUESTS.length; request++) {
-      Kept<Gate.State> known = from.known(node);
+      ReplicatedRecord<Gate.State> known = from.known(node);
       if (!guards.contains(Guard.ONCE_BY_NAME)) {
-        known = new Kept<>(known.state(), known.change(), List.of(), known.trail());
+        known = new ReplicatedRecord<>(known.state(), known.change(), List.of(), known.trail());
       }
-      Kept.Result<Gate.State> result =
+      ReplicatedRecord.Result<Gate.State> result =
           known.apply(GATE, "g", Revision.NONE, "r" + request, -1, REQUESTS[request], NOW);
       State state = from.copy();
-      if (result instanceof Kept.Result.Known) {
+      if (result instanceof ReplicatedRecord.Result.Known) {
         state.told |= 1 << request;
-      } else if (result instanceof Kept.Result.Write<Gate.State> write) {
+      } else if (result instanceof ReplicatedRecord.Result.Write<Gate.State> write) {
         if ((from.stale[node] & RECORD) != 0 && guards.contains(Guard.CHANGE_BY_VERSION)) {
           continue; // would fail
         }
         // The trail grows with each change and is of no concern here.
-        Kept<Gate.State> kept =
-            new Kept<>(
+        ReplicatedRecord<Gate.State> kept =
+            new ReplicatedRecord<>(
                 write.next().state(), write.next().change(), write.next().requests(), List.of());
         state.txn[node] =
             new Txn(
--- a/src/test/java/org/quincecross/requests/RequestModelTest.java
+++ b/src/test/java/org/quincecross/requests/RequestModelTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.quincecross.agreed.At;
-import org.quincecross.agreed.Step;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.Transition;
 import org.quincecross.model.Resources;
 
 /**
@@ -30,7 +30,7 @@
   private static final int FENCE = 2;
   private static final int LEADER = 4;
   private static final int ROOM = 8;
-  private static final At NOW = new At(1000, 10, "");
+  private static final CommandOrigin NOW = new CommandOrigin(1000, 10, "");
   private static final RequestKind KIND = new RequestKind(id -> "", 0);
   private static final RequestCommand POLICE = arrive("police");
   private static final RequestCommand CARRIER = arrive("carrier");
@@ -218,12 +218,12 @@
   private final ArrayDeque<State> toDo = new ArrayDeque<>();
   private String violation;
 
-  private Step<Request> step(Request state, RequestCommand command) {
+  private Transition<Request> step(Request state, RequestCommand command) {
     if (!guards.contains(Guard.SAME_FIGURES) && command instanceof RequestCommand.Arrive) {
       return KIND.step(Request.NONE, command, NOW);
     }
     if (!guards.contains(Guard.OVER_STAYS_OVER) && command instanceof RequestCommand.Place place) {
-      return new Step.Changed<>(state.reserved(place.zones()), List.of());
+      return new Transition.Changed<>(state.reserved(place.zones()), List.of());
     }
     return KIND.step(state, command, NOW);
   }
@@ -248,10 +248,10 @@
     if (from.pending.get(node) != null) {
       return;
     }
-    Step<Request> step = step(from.views.get(node), command);
-    if (step instanceof Step.Changed<Request> changed) {
+    Transition<Request> step = step(from.views.get(node), command);
+    if (step instanceof Transition.Changed<Request> changed) {
       plan(from, node, changed.next(), RECORD, number);
-    } else if (step instanceof Step.Same<Request> && number >= 0) {
+    } else if (step instanceof Transition.Same<Request> && number >= 0) {
       go(from.acked(number));
     }
   }
--- a/src/test/java/org/quincecross/sched/AdmissionTest.java
+++ b/src/test/java/org/quincecross/scheduling/AdmissionTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/org/quincecross/sched/KeptRoomTest.java
+++ b/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -24,7 +24,7 @@
  * Room for six tasks of two processors kept for the lane "front", in one block of sixteen
  * processors; the team may have twenty.
  */
-class KeptRoomTest {
+class HeadroomPlanTest {
   private static final ShardId BLOCK = new ShardId("b");
   private final Team web = new Team("web", Resources.NONE, new Resources(20, 0, 99));
   private final Team other = new Team("other", Resources.NONE, new Resources(99, 0, 99));
@@ -72,9 +72,9 @@
 
   /** How many tasks of each of some jobs are admitted, the first ones first. */
   private List<Integer> admitted(Job... jobs) {
-    Reserve kept =
-        new Reserve(
-            Reserve.Purpose.REQUESTS, new Resources(2, 0, 2), 6, new Reserve.For("front", "web"));
+    Headroom kept =
+        new Headroom(
+            Headroom.Purpose.REQUESTS, new Resources(2, 0, 2), 6, new Headroom.For("front", "web"));
     List<JobDemand> demands = new java.util.ArrayList<>();
     for (Job job : jobs) {
       demands.add(
@@ -124,25 +124,25 @@
    */
   @Test
   void aBlockKeepsSlotsWhole() {
-    BlockScheduler scheduler = new BlockScheduler();
+    ShardScheduler scheduler = new ShardScheduler();
     for (String name : List.of("m1", "m2")) {
       scheduler.addMachine(new MachineId(name), new Resources(8, 0, 64), image -> true);
       scheduler.update(new MachineId(name), Resources.NONE, Resources.NONE, true);
     }
     scheduler.reserve(
         List.of(
-            new Reserve(
-                Reserve.Purpose.REQUESTS,
+            new Headroom(
+                Headroom.Purpose.REQUESTS,
                 new Resources(2, 0, 2),
                 4,
-                new Reserve.For("front", "web"))));
+                new Headroom.For("front", "web"))));
     for (int i = 0; i < 16; i++) {
       Job job = job("plain", "other", JobKind.ARRAY, Priority.NORMAL, 1, 0);
-      scheduler.enqueue(new Entry(job, List.of(job.id().task(0)), new Revision(i)));
+      scheduler.enqueue(new QueueEntry(job, List.of(job.id().task(0)), new Revision(i)));
     }
     assertEquals(8, scheduler.schedule(MonotonicTime.ZERO).size());
     Job front = job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 1, 0);
-    scheduler.enqueue(new Entry(front, List.of(front.id().task(0)), new Revision(99)));
+    scheduler.enqueue(new QueueEntry(front, List.of(front.id().task(0)), new Revision(99)));
     // What is left of the slot that it broke up is anybody's.
     assertEquals(
         1,
--- a/src/test/java/org/quincecross/sched/BlockSchedulerTest.java
+++ b/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.sched;
+package org.quincecross.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -28,7 +28,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 
-class BlockSchedulerTest {
+class ShardSchedulerTest {
   private static final Resources MACHINE = new Resources(8, 0, 32);
   private static final MonotonicTime NOW = new MonotonicTime(0);
 
@@ -55,13 +55,13 @@
         null);
   }
 
-  private static Entry entry(int number, double cpus, double memory) {
+  private static QueueEntry entry(int number, double cpus, double memory) {
     Job job = job(number, JobKind.ARRAY, Priority.NORMAL, 1, cpus, memory);
-    return new Entry(job, List.of(job.id().task(0)), new Revision(number));
+    return new QueueEntry(job, List.of(job.id().task(0)), new Revision(number));
   }
 
-  private static BlockScheduler block(int machines) {
-    BlockScheduler block = new BlockScheduler();
+  private static ShardScheduler block(int machines) {
+    ShardScheduler block = new ShardScheduler();
     for (int i = 0; i < machines; i++) {
       block.addMachine(new MachineId("m" + i), MACHINE, image -> false);
       block.update(new MachineId("m" + i), Resources.NONE, Resources.NONE, true);
@@ -71,23 +71,23 @@
 
   @Example
   void aTaskThatPassesOthersCountsThemUp() {
-    BlockScheduler block = block(1);
+    ShardScheduler block = block(1);
     block.update(new MachineId("m0"), new Resources(6, 0, 0), Resources.NONE, true);
-    Entry wide = entry(1, 8, 1);
-    Entry alsoWide = entry(2, 4, 1);
-    Entry narrow = entry(3, 2, 1);
+    QueueEntry wide = entry(1, 8, 1);
+    QueueEntry alsoWide = entry(2, 4, 1);
+    QueueEntry narrow = entry(3, 2, 1);
     List.of(wide, alsoWide, narrow).forEach(block::enqueue);
     assertEquals(
-        List.of(narrow), block.schedule(NOW).stream().map(BlockScheduler.Start::entry).toList());
+        List.of(narrow), block.schedule(NOW).stream().map(ShardScheduler.Start::entry).toList());
     assertEquals(1, wide.counter());
     assertEquals(1, alsoWide.counter());
   }
 
   @Example
   void nothingPassesAHeadWithAHigherCounter() {
-    BlockScheduler block = block(1);
+    ShardScheduler block = block(1);
     block.update(new MachineId("m0"), new Resources(6, 0, 0), Resources.NONE, true);
-    Entry wide = entry(1, 8, 1);
+    QueueEntry wide = entry(1, 8, 1);
     block.enqueue(wide);
     block.enqueue(entry(2, 2, 1));
     block.schedule(NOW);
@@ -99,56 +99,56 @@
 
   @Example
   void theBetterBalanceStartsFirst() {
-    BlockScheduler block = block(1);
+    ShardScheduler block = block(1);
     block.update(new MachineId("m0"), new Resources(4, 0, 0), Resources.NONE, true);
-    Entry head = entry(1, 8, 1);
-    Entry lopsided = entry(2, 3, 1);
-    Entry balanced = entry(3, 3, 28);
+    QueueEntry head = entry(1, 8, 1);
+    QueueEntry lopsided = entry(2, 3, 1);
+    QueueEntry balanced = entry(3, 3, 28);
     List.of(head, lopsided, balanced).forEach(block::enqueue);
     assertEquals(balanced, block.schedule(NOW).get(0).entry());
   }
 
   @Example
   void aFreeMachinePullsFromTheLongestQueue() {
-    BlockScheduler block = block(2);
+    ShardScheduler block = block(2);
     block.update(new MachineId("m1"), MACHINE, Resources.NONE, false);
     for (int i = 0; i < 6; i++) {
       block.enqueue(entry(i, 8, 1));
     }
     block.update(new MachineId("m0"), MACHINE, Resources.NONE, true);
     block.update(new MachineId("m1"), Resources.NONE, Resources.NONE, true);
-    List<BlockScheduler.Start> starts = block.schedule(NOW);
+    List<ShardScheduler.Start> starts = block.schedule(NOW);
     assertEquals(List.of(new MachineId("m1")), starts.get(0).machines());
   }
 
   @Example
   void aGangStartsWholeOrNotAtAll() {
-    BlockScheduler block = block(3);
+    ShardScheduler block = block(3);
     Job job = job(1, JobKind.GANG, Priority.NORMAL, 3, 6, 1);
-    Entry gang =
-        new Entry(job, IntStream.range(0, 3).mapToObj(job.id()::task).toList(), new Revision(1));
+    QueueEntry gang =
+        new QueueEntry(job, IntStream.range(0, 3).mapToObj(job.id()::task).toList(), new Revision(1));
     block.enqueue(gang);
     block.update(new MachineId("m2"), new Resources(4, 0, 0), Resources.NONE, true);
     assertTrue(block.schedule(NOW).isEmpty());
     block.update(new MachineId("m2"), Resources.NONE, Resources.NONE, true);
-    List<BlockScheduler.Start> starts = block.schedule(NOW);
+    List<ShardScheduler.Start> starts = block.schedule(NOW);
     assertEquals(3, starts.get(0).machines().size());
   }
 
   @Example
   void smallTasksDoNotStarveAGang() {
-    BlockScheduler block = block(1);
+    ShardScheduler block = block(1);
     block.update(new MachineId("m0"), new Resources(4, 0, 0), Resources.NONE, true);
     Job job = job(1, JobKind.GANG, Priority.NORMAL, 1, 8, 1);
-    block.enqueue(new Entry(job, List.of(job.id().task(0)), new Revision(1)));
+    block.enqueue(new QueueEntry(job, List.of(job.id().task(0)), new Revision(1)));
     block.enqueue(entry(2, 2, 1));
     assertTrue(block.schedule(NOW).isEmpty(), "the machine that the gang waits for is kept for it");
   }
 
   @Example
   void smallWorkLeavesRoomForLargeWork() {
-    BlockScheduler block = block(2);
-    block.reserve(List.of(new Reserve(Reserve.Purpose.LARGE_WORK, new Resources(7, 0, 1), 1)));
+    ShardScheduler block = block(2);
+    block.reserve(List.of(new Headroom(Headroom.Purpose.LARGE_WORK, new Resources(7, 0, 1), 1)));
     for (int i = 0; i < 8; i++) {
       block.enqueue(entry(i, 2, 1));
     }
@@ -163,7 +163,7 @@
    */
   @Example
   void urgentWorkDisplacesOthersWhereItsImageIs() {
-    BlockScheduler block = new BlockScheduler();
+    ShardScheduler block = new ShardScheduler();
     MachineId idle = new MachineId("m0");
     MachineId withImage = new MachineId("m1");
     block.addMachine(idle, MACHINE, image -> false);
@@ -172,7 +172,7 @@
     block.update(idle, Resources.NONE, Resources.NONE, true);
     block.update(withImage, MACHINE, two, true);
     Job job = job(1, JobKind.SERVICE, Priority.PRODUCTION, 1, 2, 1);
-    Entry urgent = new Entry(job, List.of(job.id().task(0)), new Revision(1));
+    QueueEntry urgent = new QueueEntry(job, List.of(job.id().task(0)), new Revision(1));
     urgent.avoidFetch();
     block.enqueue(urgent);
     assertTrue(block.schedule(NOW).isEmpty(), "room can be made at once next to the image");
@@ -186,7 +186,7 @@
         new Preemption(block, List.of(), Map.of(withImage, two)).makeRoom(urgent, false),
         "it is being made");
     block.update(withImage, MACHINE.minus(two), Resources.NONE, true);
-    List<BlockScheduler.Start> starts = block.schedule(NOW);
+    List<ShardScheduler.Start> starts = block.schedule(NOW);
     assertEquals(List.of(withImage), starts.get(0).machines());
   }
 
@@ -196,7 +196,7 @@
    */
   @Example
   void roomForAGangIsMadeOnAsManyMachinesAsItNeedsOrOnNone() {
-    BlockScheduler block = block(3);
+    ShardScheduler block = block(3);
     List<Preemption.Running> running = new ArrayList<>();
     List<MachineId> machines = block.machines().stream().map(MachineQueue::machine).toList();
     for (int i = 0; i < 3; i++) {
@@ -209,14 +209,14 @@
       }
     }
     Job wide = job(1, JobKind.GANG, Priority.NORMAL, 2, 8, 32);
-    Entry gang = new Entry(wide, List.of(wide.id().task(0), wide.id().task(1)), new Revision(1));
+    QueueEntry gang = new QueueEntry(wide, List.of(wide.id().task(0), wide.id().task(1)), new Revision(1));
     block.enqueue(gang);
     assertEquals(
         new HashSet<>(running.subList(0, 4)),
         new HashSet<>(new Preemption(block, running, Map.of()).makeRoom(gang, false)));
     Job wider = job(2, JobKind.GANG, Priority.NORMAL, 3, 8, 32);
-    Entry tooWide =
-        new Entry(
+    QueueEntry tooWide =
+        new QueueEntry(
             wider,
             List.of(wider.id().task(0), wider.id().task(1), wider.id().task(2)),
             new Revision(2));
@@ -228,7 +228,7 @@
         preemption.makeRoom(gang, false).size(),
         "what was not stopped for one can be for another");
     Job small = job(3, JobKind.ARRAY, Priority.NORMAL, 1, 4, 16);
-    Entry one = new Entry(small, List.of(small.id().task(0)), new Revision(3));
+    QueueEntry one = new QueueEntry(small, List.of(small.id().task(0)), new Revision(3));
     assertTrue(new Preemption(block, running, Map.of()).makeRoom(one, true).get(0).idle());
     assertEquals(
         List.of(), new Preemption(block, running.subList(4, 6), Map.of()).makeRoom(one, true));
@@ -250,21 +250,21 @@
   @Property(tries = 300, seed = "10")
   void neverOverfillsAMachineAndLosesNoWork(
       @ForAll @Size(max = 60) List<@net.jqwik.api.From("steps") Step> steps) {
-    BlockScheduler block = block(4);
+    ShardScheduler block = block(4);
     Map<MachineId, Resources> used = new HashMap<>();
-    List<Entry> waiting = new ArrayList<>();
-    List<BlockScheduler.Start> running = new ArrayList<>();
+    List<QueueEntry> waiting = new ArrayList<>();
+    List<ShardScheduler.Start> running = new ArrayList<>();
     int number = 0;
     for (Step step : steps) {
       switch (step.kind()) {
         case 0, 1 -> {
-          Entry entry = entry(++number, step.cpus(), step.memory());
+          QueueEntry entry = entry(++number, step.cpus(), step.memory());
           assertTrue(block.enqueue(entry));
           waiting.add(entry);
         }
         case 2 -> {
           if (!running.isEmpty()) {
-            BlockScheduler.Start over = running.remove(step.number() % running.size());
+            ShardScheduler.Start over = running.remove(step.number() % running.size());
             used.merge(
                 over.machines().get(0), over.entry().job().taskResources().times(-1), Resources::plus);
           }
@@ -278,7 +278,7 @@
                 Resources.NONE,
                 i != step.number());
           }
-          for (BlockScheduler.Start start : block.schedule(NOW)) {
+          for (ShardScheduler.Start start : block.schedule(NOW)) {
             assertTrue(waiting.remove(start.entry()), "started once");
             MachineId machine = start.machines().get(0);
             assertFalse(
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -33,7 +33,7 @@
 import org.quincecross.net.Timers;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Terms;
-import org.quincecross.sched.Reserve;
+import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.Allocation;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public List<Reserve> reserves(ShardId block) {
+    public List<Headroom> reserves(ShardId block) {
       return List.of();
     }
 
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -18,7 +18,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import org.quincecross.agreed.Withheld;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Attempt;
@@ -178,8 +178,8 @@
       }
 
       @Override
-      public Withheld withheld() {
-        return new Withheld() {
+      public StartBlock withheld() {
+        return new StartBlock() {
           @Override
           public TaskSet of(Job each) {
             return each.id().equals(job.id()) ? withheld : new TaskSet();
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -11,10 +11,10 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.quincecross.GoldenFiles;
-import org.quincecross.agreed.Kept;
-import org.quincecross.agreed.Kind;
-import org.quincecross.agreed.TrailPage;
-import org.quincecross.agreed.Unreadable;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.AuditPage;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.holds.ClaimKind;
 import org.quincecross.holds.HoldKind;
 import org.quincecross.holds.SweepKind;
@@ -36,7 +36,7 @@
   private static final RequestKind REQUESTS = new RequestKind(request -> null, 86_400_000);
 
   @Test
-  void recordsAreReadAndWrittenByteForByte() throws IOException, MalformedMessageException, Unreadable {
+  void recordsAreReadAndWrittenByteForByte() throws IOException, MalformedMessageException, MalformedRecordException {
     TreeSet<String> kinds = new TreeSet<>();
     for (String[] line : GoldenFiles.messages("record ")) {
       Object value = Json.parse(line[2].getBytes(StandardCharsets.UTF_8));
@@ -71,7 +71,7 @@
   @Test
   void allRecordsCanBeRead() throws IOException, MalformedMessageException {
     ClusterStateCache ledger = new ClusterStateCache();
-    for (Kind<?, ?> kind :
+    for (RecordKind<?, ?> kind :
         List.of(new HoldKind(), new ClaimKind(), new SweepKind(), REQUESTS, new ModelKind())) {
       ledger.agreed().add(kind);
     }
@@ -84,7 +84,7 @@
         ledger.members().size() >= 3 && ledger.leader() != null && !ledger.types().isEmpty());
   }
 
-  private static Object again(String key, Object value) throws MalformedMessageException, Unreadable {
+  private static Object again(String key, Object value) throws MalformedMessageException, MalformedRecordException {
     String[] parts = key.split("/");
     return switch (parts[1]) {
       case "job" -> job(JobRecord.read(new JobId(parts[2]), value, VERSION));
@@ -118,7 +118,7 @@
           parts.length < 4
               ? null
               : parts[3].startsWith("~")
-                  ? TrailPage.read(value).write()
+                  ? AuditPage.read(value).write()
                   : agreed(kind(parts[2]), value);
       default -> null;
     };
@@ -135,7 +135,7 @@
     };
   }
 
-  private static Kind<?, ?> kind(String name) {
+  private static RecordKind<?, ?> kind(String name) {
     return switch (name) {
       case "holds" -> new HoldKind();
       case "claims" -> new ClaimKind();
@@ -146,7 +146,7 @@
     };
   }
 
-  private static <S> Object agreed(Kind<S, ?> kind, Object value) throws Unreadable {
-    return Kept.read(kind, value).write(kind);
+  private static <S> Object agreed(RecordKind<S, ?> kind, Object value) throws MalformedRecordException {
+    return ReplicatedRecord.read(kind, value).write(kind);
   }
 }
