--- a/src/main/java/org/quincecross/served/ServedBooks.java
+++ b/src/main/java/org/quincecross/accounting/JobAccounting.java
@@ -1,4 +1,4 @@
-package org.quincecross.served;
+package org.quincecross.accounting;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,19 +8,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Function;
-import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ServiceLevelObjective;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Counts what each class of jobs of each team asked for and got. An event costs the same however
  * many jobs there are; what is missed by jobs that are still open is counted when the books are
  * read.
  */
-public final class ServedBooks {
+public final class JobAccounting {
   /** The jobs of one class of one team. */
   public record Group(String team, String jobClass) implements Comparable<Group> {
     @Override
@@ -113,12 +113,17 @@
     private MonotonicTime withheldSince;
     private TimeSpan excused = TimeSpan.ZERO;
 
-    Open(Count count, Job job, MonotonicTime accepted, List<ServiceLevelObjective> aims, boolean wasFound) {
+    Open(
+        Count count,
+        Job job,
+        MonotonicTime accepted,
+        List<ServiceLevelObjective> aims,
+        boolean wasFound) {
       this.wasFound = wasFound;
       this.count = count;
       this.tasks = job.taskCount();
       this.jobClass = job.jobClass();
-      this.step = Sizes.step(job.estimatedDemand());
+      this.step = JobSizeHistogram.step(job.estimatedDemand());
       this.toBegin = job.startQuorum();
       this.isService = job.kind() == JobKind.SERVICE;
       this.accepted = accepted;
@@ -151,12 +156,12 @@
   private final Function<Job, List<ServiceLevelObjective>> aims;
   private final Map<Group, Count> counts = new TreeMap<>();
   private final Map<JobId, Open> open = new HashMap<>();
-  private final Map<String, Sizes> sizes = new TreeMap<>();
+  private final Map<String, JobSizeHistogram> sizes = new TreeMap<>();
 
   /**
    * @param aims what is expected of a job
    */
-  public ServedBooks(Function<Job, List<ServiceLevelObjective>> aims) {
+  public JobAccounting(Function<Job, List<ServiceLevelObjective>> aims) {
     this.aims = aims;
   }
 
@@ -170,7 +175,13 @@
    * so starts do not count.
    */
   public void found(Job job, MonotonicTime at) {
-    add(job, at, aims.apply(job).stream().filter(aim -> aim.event() == ServiceLevelObjective.Event.END).toList(), true);
+    add(
+        job,
+        at,
+        aims.apply(job).stream()
+            .filter(aim -> aim.event() == ServiceLevelObjective.Event.END)
+            .toList(),
+        true);
   }
 
   private void add(Job job, MonotonicTime at, List<ServiceLevelObjective> ofJob, boolean wasFound) {
@@ -188,8 +199,8 @@
     count.hungry(at, false);
   }
 
-  private Sizes.Tally ofSize(Open job) {
-    return sizes.computeIfAbsent(job.jobClass, name -> new Sizes()).of(job.step);
+  private JobSizeHistogram.Tally ofSize(Open job) {
+    return sizes.computeIfAbsent(job.jobClass, name -> new JobSizeHistogram()).of(job.step);
   }
 
   /**
@@ -207,7 +218,8 @@
       job.hasBegun = true;
       double afterS = job.waitedS(now);
       if (!job.wasFound
-          || afterS <= Sizes.BEGIN_S) { // of what was open before, nobody knows when it began
+          || afterS
+              <= JobSizeHistogram.BEGIN_S) { // of what was open before, nobody knows when it began
         ofSize(job).began(afterS);
       }
       ofSize(job).served += job.isService ? 1 : 0;
@@ -314,17 +326,17 @@
   }
 
   /** How each class of each team has been served so far. */
-  public Map<Group, Served> groups(MonotonicTime now) {
+  public Map<Group, ServiceLevels> groups(MonotonicTime now) {
     return by(group -> group, now);
   }
 
   /** How each team has been served so far. */
-  public Map<String, Served> teams(MonotonicTime now) {
+  public Map<String, ServiceLevels> teams(MonotonicTime now) {
     return by(Group::team, now);
   }
 
   /** How each class has been served so far. */
-  public Map<String, Served> classes(MonotonicTime now) {
+  public Map<String, ServiceLevels> classes(MonotonicTime now) {
     return by(Group::jobClass, now);
   }
 
@@ -332,28 +344,31 @@
    * How the largest jobs of each class have fared so far: its largest tenth and its largest
    * quarter.
    */
-  public Map<String, List<Largest>> largest(MonotonicTime now) {
-    Map<String, Sizes> sums = new TreeMap<>();
-    sizes.forEach((name, each) -> sums.computeIfAbsent(name, n -> new Sizes()).add(each));
+  public Map<String, List<LargestJobs>> largest(MonotonicTime now) {
+    Map<String, JobSizeHistogram> sums = new TreeMap<>();
+    sizes.forEach(
+        (name, each) -> sums.computeIfAbsent(name, n -> new JobSizeHistogram()).add(each));
     for (Open job : open.values()) {
       // What its team's limit holds back is nobody's fault.
       if (!job.hasBegun && job.started + job.heldBack < job.tasks) {
         sums.get(job.jobClass).of(job.step).waits(job.waitedS(now));
       }
     }
-    Map<String, List<Largest>> largest = new TreeMap<>();
+    Map<String, List<LargestJobs>> largest = new TreeMap<>();
     sums.forEach((name, sum) -> largest.put(name, sum.largest()));
     return largest;
   }
 
-  private <K> Map<K, Served> by(Function<Group, K> key, MonotonicTime now) {
+  private <K> Map<K, ServiceLevels> by(Function<Group, K> key, MonotonicTime now) {
     Map<Count, Count> late = new HashMap<>();
     for (Open job : open.values()) {
       Count count = late.computeIfAbsent(job.count, c -> new Count());
       for (ServiceLevelObjective aim : job.aims) {
         if (job.isPast(aim, now)) {
           count.tally(aim.name()).missed +=
-              aim.event() == ServiceLevelObjective.Event.END ? 1 : job.tasks - job.started - job.heldBack - job.withheld;
+              aim.event() == ServiceLevelObjective.Event.END
+                  ? 1
+                  : job.tasks - job.started - job.heldBack - job.withheld;
         }
       }
     }
@@ -366,14 +381,15 @@
             sum.add(late.get(count), now);
           }
         });
-    Map<K, Served> served = new TreeMap<>();
+    Map<K, ServiceLevels> served = new TreeMap<>();
     sums.forEach(
         (each, sum) -> {
-          List<Served.Met> met = new ArrayList<>();
-          sum.aims.forEach((aim, tally) -> met.add(new Served.Met(aim, tally.met, tally.missed)));
+          List<ServiceLevels.Met> met = new ArrayList<>();
+          sum.aims.forEach(
+              (aim, tally) -> met.add(new ServiceLevels.Met(aim, tally.met, tally.missed)));
           served.put(
               each,
-              new Served(
+              new ServiceLevels(
                   sum.jobs,
                   sum.ended,
                   sum.tasks,
--- a/src/main/java/org/quincecross/served/Sizes.java
+++ b/src/main/java/org/quincecross/accounting/JobSizeHistogram.java
@@ -1,4 +1,4 @@
-package org.quincecross.served;
+package org.quincecross.accounting;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  * which those are is known only as others come. Sizes are counted in steps of a twelfth or so, so
  * the books are as large for a million jobs as for a hundred.
  */
-public final class Sizes {
+public final class JobSizeHistogram {
   /** A job has to begin so soon, in seconds from its first submission. */
   public static final double BEGIN_S = 240;
 
@@ -70,14 +70,14 @@
     return tallies;
   }
 
-  void add(Sizes other) {
+  void add(JobSizeHistogram other) {
     other.tallies.forEach((step, tally) -> of(step).add(tally));
   }
 
   /** How the largest tenth and the largest quarter fared. */
-  List<Largest> largest() {
+  List<LargestJobs> largest() {
     int all = tallies.values().stream().mapToInt(tally -> tally.jobs).sum();
-    List<Largest> parts = new ArrayList<>();
+    List<LargestJobs> parts = new ArrayList<>();
     for (double part : PARTS) {
       Tally sum = new Tally();
       for (Tally tally : tallies.descendingMap().values()) {
@@ -87,7 +87,8 @@
         sum.add(tally);
       }
       parts.add(
-          new Largest(part, sum.jobs, sum.served, sum.inTime + sum.late, sum.inTime, sum.longestS));
+          new LargestJobs(
+              part, sum.jobs, sum.served, sum.inTime + sum.late, sum.inTime, sum.longestS));
     }
     return parts;
   }
--- a/src/main/java/org/quincecross/served/Largest.java
+++ b/src/main/java/org/quincecross/accounting/LargestJobs.java
@@ -1,4 +1,4 @@
-package org.quincecross.served;
+package org.quincecross.accounting;
 
 /**
  * How the largest jobs of a class were served, by the work that they asked for.
@@ -8,10 +8,10 @@
  * @param jobs accepted, without those that were cancelled before they began
  * @param served of them: done, or of services those that began
  * @param due those whose time to begin has come or that have begun; {@code inTime} of them did so
- *     within {@link Sizes#BEGIN_S}
+ *     within {@link JobSizeHistogram#BEGIN_S}
  * @param longestS the longest that one of them took to begin, or has waited so far, in seconds
  */
-public record Largest(double part, int jobs, int served, int due, int inTime, double longestS) {
+public record LargestJobs(double part, int jobs, int served, int due, int inTime, double longestS) {
   /** The part that was served, from 0 to 1; 1 where there are none. */
   public double servedShare() {
     return jobs == 0 ? 1 : (double) served / jobs;
--- a/src/main/java/org/quincecross/served/Served.java
+++ b/src/main/java/org/quincecross/accounting/ServiceLevels.java
@@ -1,4 +1,4 @@
-package org.quincecross.served;
+package org.quincecross.accounting;
 
 import java.util.List;
 
@@ -13,7 +13,7 @@
  * @param starvedS the longest time, in seconds, for which some work waited and nothing was started
  *     or ended; with what goes on now
  */
-public record Served(
+public record ServiceLevels(
     int jobs, int ended, int tasks, int started, int startable, List<Met> aims, double starvedS) {
   /**
    * How many met an aim, and how many missed it or have missed it by now; those whose time is not
--- a/src/main/java/org/quincecross/admin/ServedLog.java
+++ b/src/main/java/org/quincecross/admin/AccountingLog.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongSupplier;
-import org.quincecross.replicated.StartBlock;
+import org.quincecross.accounting.JobAccounting;
+import org.quincecross.accounting.ServiceLevels;
 import org.quincecross.leader.Leader;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
-import org.quincecross.served.Served;
-import org.quincecross.served.ServedBooks;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
+import org.quincecross.replicated.StartBlock;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,8 +29,8 @@
  * it in their status. Counted from the start of the process; of jobs that are open then, what they
  * got before counts as got by then.
  */
-public final class ServedLog {
-  private static final Logger LOG = LoggerFactory.getLogger(ServedLog.class);
+public final class AccountingLog {
+  private static final Logger LOG = LoggerFactory.getLogger(AccountingLog.class);
 
   /**
    * What others allocate is looked at so often: a start is not counted later than this after it was
@@ -47,14 +47,14 @@
   private final LongSupplier clockMs;
   private final TimeSpan every;
   private final StartBlock withheld;
-  private final ServedBooks books;
+  private final JobAccounting books;
 
   /**
    * @param clockMs tells the time of day
    * @param every how often the leader logs it
    * @param withheld tasks that may not run now: that they do not is nobody's fault
    */
-  public ServedLog(
+  public AccountingLog(
       Timers timers,
       ClusterStateCache ledger,
       Leader leader,
@@ -69,7 +69,7 @@
     this.every = every;
     this.withheld = withheld;
     this.books =
-        new ServedBooks(
+        new JobAccounting(
             job -> {
               JobRecord record = ledger.asRecorded(job.id());
               return settings.objectivesOf(
@@ -102,7 +102,8 @@
           if (ledger.pipelines().waits(id)) {
             continue; // nothing is expected of it before it can run
           }
-          TimeSpan age = TimeSpan.ofMillis(Math.max(0, clockMs.getAsLong() - ledger.readyMs(record)));
+          TimeSpan age =
+              TimeSpan.ofMillis(Math.max(0, clockMs.getAsLong() - ledger.readyMs(record)));
           MonotonicTime accepted = new MonotonicTime(now.nanos() - age.nanos());
           if (changes.reloaded()) {
             books.found(ledger.asRecorded(id).job(), accepted);
@@ -129,11 +130,12 @@
   }
 
   /** The teams, those that were served least first. */
-  private List<Map.Entry<String, Served>> teams(MonotonicTime now) {
+  private List<Map.Entry<String, ServiceLevels>> teams(MonotonicTime now) {
     leader.heldBack(books.openIds()).forEach(books::heldBack);
-    List<Map.Entry<String, Served>> teams = new ArrayList<>(books.teams(now).entrySet());
+    List<Map.Entry<String, ServiceLevels>> teams = new ArrayList<>(books.teams(now).entrySet());
     teams.sort(
-        Comparator.comparingDouble((Map.Entry<String, Served> team) -> team.getValue().least())
+        Comparator.comparingDouble(
+                (Map.Entry<String, ServiceLevels> team) -> team.getValue().least())
             .thenComparing(Map.Entry::getKey));
     return teams.subList(0, Math.min(MOST_TEAMS, teams.size()));
   }
@@ -143,9 +145,9 @@
       return;
     }
     MonotonicTime now = timers.now();
-    List<Map.Entry<String, Served>> teams = teams(now);
-    Map<ServedBooks.Group, Served> groups = books.groups(now);
-    for (Map.Entry<String, Served> team : teams) {
+    List<Map.Entry<String, ServiceLevels>> teams = teams(now);
+    Map<JobAccounting.Group, ServiceLevels> groups = books.groups(now);
+    for (Map.Entry<String, ServiceLevels> team : teams) {
       StringBuilder line = new StringBuilder();
       groups.forEach(
           (group, served) -> {
@@ -182,7 +184,7 @@
    * For people and for counting: jobs ended of accepted, tasks started of what could be, each aim
    * as met of due.
    */
-  private static String words(Served served) {
+  private static String words(ServiceLevels served) {
     StringBuilder words =
         new StringBuilder(
             String.format(
@@ -212,10 +214,10 @@
   /** For the status: each team and class, least served first. */
   List<Object> write() {
     MonotonicTime now = timers.now();
-    List<Map.Entry<String, Served>> teams = ledger.isLoaded() ? teams(now) : List.of();
-    Map<ServedBooks.Group, Served> groups = books.groups(now);
+    List<Map.Entry<String, ServiceLevels>> teams = ledger.isLoaded() ? teams(now) : List.of();
+    Map<JobAccounting.Group, ServiceLevels> groups = books.groups(now);
     List<Object> list = new ArrayList<>();
-    for (Map.Entry<String, Served> team : teams) {
+    for (Map.Entry<String, ServiceLevels> team : teams) {
       Map<String, Object> item = served(team.getValue());
       Map<String, Object> classes = Json.object();
       groups.forEach(
@@ -260,7 +262,7 @@
     return classes;
   }
 
-  private static Map<String, Object> served(Served served) {
+  private static Map<String, Object> served(ServiceLevels served) {
     Map<String, Object> aims = Json.object();
     served
         .aims()
--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -4,8 +4,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.quincecross.shard.ShardOwner;
-import org.quincecross.shard.OwnedShards;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Leader;
@@ -13,22 +11,24 @@
 import org.quincecross.model.Revision;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerHeartbeat;
-import org.quincecross.rollout.Terms;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.StateWatcher;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.Membership;
-import org.quincecross.state.OperatorSettings;
-import org.quincecross.state.OversizedRecords;
-import org.quincecross.state.KeyValueStoreClient;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.AnnouncedLimits;
+import org.quincecross.shard.OwnedShards;
+import org.quincecross.shard.ShardOwner;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.Membership;
+import org.quincecross.state.OperatorSettings;
+import org.quincecross.state.OversizedRecords;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.StoreKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,8 +45,8 @@
   private final OwnedShards holdings;
   private final Leader leader;
   private final Metrics metrics;
-  private final Stalls stalls;
-  private final ServedLog served;
+  private final StallDetector stalls;
+  private final AccountingLog served;
   private final ControllerId self;
   private final Settings.StoreLimits limits;
 
@@ -62,8 +62,8 @@
       OwnedShards holdings,
       Leader leader,
       Metrics metrics,
-      Stalls stalls,
-      ServedLog served,
+      StallDetector stalls,
+      AccountingLog served,
       ControllerId self,
       Settings.StoreLimits limits) {
     this.timers = timers;
@@ -150,7 +150,7 @@
         "unable",
         membership.unable(),
         "settings_differ",
-        Terms.differences(self, ledger.terms()),
+        AnnouncedLimits.differences(self, ledger.terms()),
         "level",
         ledger.level().level().number(),
         "level_since",
@@ -265,7 +265,10 @@
 
   private Object settings() {
     return Json.object(
-        "version", ledger.version(StoreKeys.OPERATOR_SETTINGS).number(), "settings", present().write());
+        "version",
+        ledger.version(StoreKeys.OPERATOR_SETTINGS).number(),
+        "settings",
+        present().write());
   }
 
   /**
--- a/src/main/java/org/quincecross/admin/AgreedApi.java
+++ b/src/main/java/org/quincecross/admin/AgreedApi.java
@@ -5,23 +5,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.quincecross.replicated.CommandOrigin;
-import org.quincecross.replicated.ReplicatedRecord;
-import org.quincecross.replicated.ReplicationBarrier;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.replicated.AuditEntry;
-import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Revision;
 import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.AuditEntry;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.MalformedRecordException;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.replicated.ReplicationBarrier;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.StateWatcher;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
-import org.quincecross.protocol.JobCodec;
-import org.quincecross.protocol.Json;
 
 /**
  * Requests below {@code /admin/agreed}: what records there are, one record, a change of it, the
@@ -122,7 +122,8 @@
   }
 
   /** The records in the order of their names, from after {@code after} on. */
-  private <S> void list(ReplicatedRecordIndex<S, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
+  private <S> void list(
+      ReplicatedRecordIndex<S, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
     String after = request.query("after");
     CommandOrigin at = base.at();
     List<Object> rows = new ArrayList<>();
@@ -210,16 +211,21 @@
       }
       String request = in.string("request");
       if (request.isBlank() || request.length() > ReplicatedRecord.LONGEST_NAME) {
-        throw new MalformedMessageException("field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
+        throw new MalformedMessageException(
+            "field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
       }
       String by = in.stringOr("by", "");
       if (by.length() > ReplicatedRecord.LONGEST_NAME) {
-        throw new MalformedMessageException("field by is longer than " + ReplicatedRecord.LONGEST_NAME + " characters");
+        throw new MalformedMessageException(
+            "field by is longer than " + ReplicatedRecord.LONGEST_NAME + " characters");
       }
       long onChange = in.has("on_change") ? in.integer("on_change", 0, Integer.MAX_VALUE) : -1;
       ask =
           new ReplicatedRecordStore.Ask<>(
-              request, onChange, book.kind().command(in.fields("command").unknownFields(List.of())), by);
+              request,
+              onChange,
+              book.kind().command(in.fields("command").unknownFields(List.of())),
+              by);
     } catch (MalformedMessageException | MalformedRecordException e) {
       reply.accept(error(400, e.getMessage()));
       return;
@@ -254,7 +260,8 @@
   // ---- the trail ----
 
   /** Lines after a revision, from a page on; what no page has yet comes with the last page. */
-  private void trail(ReplicatedRecordIndex<?, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
+  private void trail(
+      ReplicatedRecordIndex<?, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
     long since;
     int page;
     try {
--- a/src/main/java/org/quincecross/admin/ModelDesk.java
+++ b/src/main/java/org/quincecross/admin/ModelDemandCollector.java
@@ -10,30 +10,30 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.quincecross.replicated.RecordId;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Revision;
 import org.quincecross.model.TaskId;
-import org.quincecross.models.Demand;
-import org.quincecross.models.DemandSum;
-import org.quincecross.models.Model;
-import org.quincecross.models.ModelCommand;
-import org.quincecross.models.ModelKind;
-import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.modelserving.Demand;
+import org.quincecross.modelserving.DemandSum;
+import org.quincecross.modelserving.Model;
+import org.quincecross.modelserving.ModelCommand;
+import org.quincecross.modelserving.ModelKind;
 import org.quincecross.peer.ModelStatusReport;
-import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.replicated.RecordId;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ModelIndex;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ReplicatedRecordStore;
 
 /**
  * Where one controller hears who wants a model. Wakes are joined: however many come, one change is
  * asked for until the record shows the model up, and all who wait are answered together. What is
  * seen of demand goes to the leader with the reports.
  */
-public final class ModelDesk {
+public final class ModelDemandCollector {
   /** A wake that could not be made durable is tried again after so long. */
   private static final TimeSpan AGAIN = TimeSpan.ofMillis(500);
 
@@ -56,8 +56,10 @@
   /**
    * @param runsHere whether a replica runs in a block of this controller
    */
-  public ModelDesk(
-      ReplicatedFeatureContext base, ModelIndex records, BiFunction<JobId, Integer, Boolean> runsHere) {
+  public ModelDemandCollector(
+      ReplicatedFeatureContext base,
+      ModelIndex records,
+      BiFunction<JobId, Integer, Boolean> runsHere) {
     this.base = base;
     this.records = records;
     this.runsHere = runsHere;
@@ -120,7 +122,8 @@
   }
 
   /** A caller has so many requests in flight. */
-  public void told(String name, String caller, int inFlight, Consumer<ReplicatedRecordStore.Answer> done) {
+  public void told(
+      String name, String caller, int inFlight, Consumer<ReplicatedRecordStore.Answer> done) {
     Demand demand = demand(name);
     demand.told(caller, inFlight, base.timers().now());
     wait(name, demand, done);
@@ -131,9 +134,11 @@
       done.accept(new ReplicatedRecordStore.Answer(200, "", 0, Revision.NONE, 0));
       return;
     }
-    List<Consumer<ReplicatedRecordStore.Answer>> all = waiting.computeIfAbsent(name, id -> new ArrayList<>());
+    List<Consumer<ReplicatedRecordStore.Answer>> all =
+        waiting.computeIfAbsent(name, id -> new ArrayList<>());
     if (all.size() >= MOST_WAITING) {
-      done.accept(new ReplicatedRecordStore.Answer(202, "it has been asked for", 0, Revision.NONE, 1));
+      done.accept(
+          new ReplicatedRecordStore.Answer(202, "it has been asked for", 0, Revision.NONE, 1));
     } else {
       all.add(done);
       askIfWanted(name);
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
-import org.quincecross.replicated.ReplicatedRecord;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.JobId;
-import org.quincecross.model.JobPhase;
 import org.quincecross.model.JobKind;
-import org.quincecross.models.Model;
-import org.quincecross.models.ModelCommand;
-import org.quincecross.models.ModelKind;
-import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.model.JobPhase;
+import org.quincecross.modelserving.Model;
+import org.quincecross.modelserving.ModelCommand;
+import org.quincecross.modelserving.ModelKind;
 import org.quincecross.peer.ModelPlacementView;
-import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.ReplicatedRecordStore;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.ModelIndex;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.MalformedRecordException;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.ModelIndex;
+import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.state.ReplicatedRecordStore;
 
 /**
  * Requests below {@code /admin/models}: what models there are, one of them, defining it, waking it,
@@ -41,7 +41,7 @@
 
   private final ReplicatedFeatureContext base;
   private final ModelIndex records;
-  private final ModelDesk desk;
+  private final ModelDemandCollector desk;
   private final ModelPlacementView fleet;
   private final ToIntFunction<JobId> running;
 
@@ -51,7 +51,7 @@
   public ModelsApi(
       ReplicatedFeatureContext base,
       ModelIndex records,
-      ModelDesk desk,
+      ModelDemandCollector desk,
       ModelPlacementView fleet,
       ToIntFunction<JobId> running) {
     this.base = base;
@@ -120,7 +120,8 @@
         String from = in.string("from");
         int inFlight = in.integer("in_flight", 0, MOST_IN_FLIGHT);
         if (from.isBlank() || from.length() > ReplicatedRecord.LONGEST_NAME) {
-          throw new MalformedMessageException("field from is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
+          throw new MalformedMessageException(
+              "field from is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
         }
         if (inFlight == 0 || mayWake(name, reply)) {
           desk.told(name, from, inFlight, answer -> reply.accept(answered(name, answer)));
@@ -202,7 +203,8 @@
                   + " has "
                   + job.job().taskCount()
                   + " tasks"));
-    } else if (job.job().kind() == JobKind.GANG && define.terms().least() != job.job().taskCount()) {
+    } else if (job.job().kind() == JobKind.GANG
+        && define.terms().least() != job.job().taskCount()) {
       reply.accept(
           error(
               400,
@@ -218,11 +220,13 @@
     }
   }
 
-  private void change(String name, JsonFields in, ModelCommand command, Consumer<HttpResponse> reply)
+  private void change(
+      String name, JsonFields in, ModelCommand command, Consumer<HttpResponse> reply)
       throws MalformedMessageException {
     String request = in.string("request");
     if (request.isBlank() || request.length() > ReplicatedRecord.LONGEST_NAME) {
-      throw new MalformedMessageException("field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
+      throw new MalformedMessageException(
+          "field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
     }
     base.store()
         .ask(
@@ -260,7 +264,8 @@
 
   private HttpResponse list() {
     List<Object> rows = new ArrayList<>();
-    for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each : records.book().all().entrySet()) {
+    for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each :
+        records.book().all().entrySet()) {
       records
           .book()
           .kind()
--- a/src/main/java/org/quincecross/admin/Stalls.java
+++ b/src/main/java/org/quincecross/admin/StallDetector.java
@@ -7,22 +7,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.ToIntFunction;
-import org.quincecross.replicated.StartBlock;
-import org.quincecross.shard.ShardOwner;
-import org.quincecross.shard.OwnedShards;
 import org.quincecross.leader.Leader;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
-import org.quincecross.model.JobPhase;
 import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.JobPhase;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ShardId;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.progress.ProgressWatch;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
+import org.quincecross.replicated.StartBlock;
+import org.quincecross.shard.OwnedShards;
+import org.quincecross.shard.ShardOwner;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.ShardLease;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -31,8 +31,8 @@
  * the status. The leader watches all open jobs, every other controller those that have tasks in its
  * blocks.
  */
-public final class Stalls {
-  private static final Logger LOG = LoggerFactory.getLogger(Stalls.class);
+public final class StallDetector {
+  private static final Logger LOG = LoggerFactory.getLogger(StallDetector.class);
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(5);
   private static final TimeSpan SAY_AGAIN = TimeSpan.ofSeconds(300);
   private static final int MOST_SHOWN = 50;
@@ -51,7 +51,7 @@
    * @param running how many tasks of a job run, as far as is known here
    * @param withheld tasks that may not run now: that they do not is no stall
    */
-  public Stalls(
+  public StallDetector(
       Timers timers,
       ClusterStateCache ledger,
       OwnedShards holdings,
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -4,26 +4,26 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.quincecross.shard.ShardOwner;
-import org.quincecross.shard.OwnedShards;
-import org.quincecross.model.ShardId;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.JobRecord;
+import org.quincecross.shard.OwnedShards;
+import org.quincecross.shard.ShardOwner;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.ShardLease;
 
 /**
- * Decides when users may be told that a job is cancelled: by the rule of {@link UnconfirmedOwnershipBound},
- * which has the proof.
+ * Decides when users may be told that a job is cancelled: by the rule of {@link
+ * UnconfirmedOwnershipBound}, which has the proof.
  *
  * <p>The wait runs from when the record was first seen here, never by the time of day in it: that
  * is from when the change was formed, and one that waited, or was not answered and is carried out
@@ -50,7 +50,11 @@
   private boolean sweepPlanned;
 
   Cancellations(
-      Timers timers, ClusterStateCache ledger, OwnedShards holdings, PeerViews views, UnconfirmedOwnershipBound bound) {
+      Timers timers,
+      ClusterStateCache ledger,
+      OwnedShards holdings,
+      PeerViews views,
+      UnconfirmedOwnershipBound bound) {
     this.timers = timers;
     this.ledger = ledger;
     this.holdings = holdings;
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -8,54 +8,54 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
+import org.quincecross.admin.AccountingLog;
 import org.quincecross.admin.AdminApi;
 import org.quincecross.admin.Metrics;
-import org.quincecross.admin.ServedLog;
-import org.quincecross.admin.Stalls;
-import org.quincecross.replicated.StartBlock;
-import org.quincecross.shard.ShardContext;
-import org.quincecross.shard.OwnedShards;
-import org.quincecross.shard.RemoteCapacityHint;
+import org.quincecross.admin.StallDetector;
+import org.quincecross.failuredetection.IsolationDetector;
+import org.quincecross.failuredetection.LinkMonitor;
+import org.quincecross.failuredetection.PauseDetector;
+import org.quincecross.failuredetection.StartPermission;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Autoscaler;
 import org.quincecross.leader.Leader;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpHandler;
+import org.quincecross.net.InstrumentedTimers;
 import org.quincecross.net.Timers;
-import org.quincecross.net.Watched;
 import org.quincecross.overload.Overload;
-import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.peer.PeerCodec;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.protocol.AgentCodec;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Settings;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.scheduling.Headroom;
-import org.quincecross.failuredetection.IsolationDetector;
-import org.quincecross.failuredetection.LinkMonitor;
-import org.quincecross.failuredetection.StartPermission;
-import org.quincecross.failuredetection.PauseDetector;
-import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.StateWatcher;
+import org.quincecross.shard.OwnedShards;
+import org.quincecross.shard.RemoteCapacityHint;
+import org.quincecross.shard.ShardContext;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.DemandForecast;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.Membership;
 import org.quincecross.state.KeyValueStoreClient;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.Features;
-import org.quincecross.protocol.JobCodec;
-import org.quincecross.protocol.Settings;
-import org.quincecross.protocol.AgentCodec;
+import org.quincecross.state.Membership;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StateWatcher;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -83,8 +83,8 @@
   private final UserApi users;
   private final AgentApi agents;
   private final AdminApi admin;
-  private final Stalls stalls;
-  private final ServedLog served;
+  private final StallDetector stalls;
+  private final AccountingLog served;
   private final Cancellations cancellations;
   private final Metrics metrics = new Metrics();
   private final PeerViews views = new PeerViews();
@@ -117,12 +117,13 @@
     // Whatever comes to pass here comes by a timer, an answer, a request or a frame, and each
     // begins with a look at the clock.
     stillness = new PauseDetector(clock.now());
-    timers = Watched.timers(clock, this::lookAtClock);
-    http = Watched.caller(caller, this::lookAtClock);
+    timers = InstrumentedTimers.timers(clock, this::lookAtClock);
+    http = InstrumentedTimers.caller(caller, this::lookAtClock);
     this.peers = peers;
     this.settings = settings;
     this.clockMs = clockMs;
-    KeyValueStoreClient client = new KeyValueStoreClient(timers, http, settings.storeAddress(), settings.storeLimits());
+    KeyValueStoreClient client =
+        new KeyValueStoreClient(timers, http, settings.storeAddress(), settings.storeLimits());
     follower = new StateWatcher(timers, client, ledger);
     aloneness =
         new IsolationDetector(
@@ -138,7 +139,9 @@
             features.build(),
             features.replicatedFeatures() == null
                 ? settings.announcedLimits()
-                : settings.announcedLimits().with("agreed parts", ReplicatedFeatures.mark(features.replicatedFeatures())),
+                : settings
+                    .announcedLimits()
+                    .with("agreed parts", ReplicatedFeatures.mark(features.replicatedFeatures())),
             settings.storeLimits().plannedValueBytes());
     unconfirmedBound = settings.agentTimeouts().unconfirmedBound();
     startPermission =
@@ -203,11 +206,11 @@
             aloneness::state);
     agents =
         new AgentApi(timers, ledger, holdings, leader, views, http, settings.self(), aloneness);
-    stalls = new Stalls(timers, ledger, holdings, leader, this::running, agreed.withheld());
+    stalls = new StallDetector(timers, ledger, holdings, leader, this::running, agreed.withheld());
     served =
         features.accountingInterval() == null
             ? null
-            : new ServedLog(
+            : new AccountingLog(
                 timers,
                 ledger,
                 leader,
@@ -280,7 +283,8 @@
 
   private PeerHeartbeat report(long base) {
     MonotonicTime answering = follower.answering();
-    TimeSpan unconfirmed = answering == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(answering);
+    TimeSpan unconfirmed =
+        answering == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(answering);
     return new PeerHeartbeat(
         settings.self(),
         membership.life(),
--- a/src/main/java/org/quincecross/api/DependencyWriter.java
+++ b/src/main/java/org/quincecross/api/DependencyWriter.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.quincecross.model.JobId;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.JobDependencies;
 import org.quincecross.state.KeyValueStoreClient;
 import org.quincecross.state.TransactionResult;
-import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 /**
  * Makes durable what a new job waits on where its own record has no room for it, before that record
--- a/src/main/java/org/quincecross/api/ForeignHeartbeats.java
+++ b/src/main/java/org/quincecross/api/ForeignHeartbeats.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Heartbeat;
 
 /**
--- a/src/main/java/org/quincecross/api/LoadShedder.java
+++ b/src/main/java/org/quincecross/api/LoadShedder.java
@@ -3,10 +3,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.quincecross.failuredetection.IsolationDetector;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
-import org.quincecross.failuredetection.IsolationDetector;
 import org.quincecross.protocol.JobCodec;
 
 /**
--- a/src/main/java/org/quincecross/api/ModelServingFeature.java
+++ b/src/main/java/org/quincecross/api/ModelServingFeature.java
@@ -4,10 +4,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.ToIntFunction;
-import org.quincecross.admin.ModelDesk;
+import org.quincecross.admin.ModelDemandCollector;
 import org.quincecross.admin.ModelsApi;
-import org.quincecross.shard.ShardOwner;
-import org.quincecross.shard.OwnedShards;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Leader;
@@ -15,10 +13,12 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TaskId;
-import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.peer.ModelPlacementView;
 import org.quincecross.peer.ModelStatusReport;
 import org.quincecross.peer.PeerViews;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.shard.OwnedShards;
+import org.quincecross.shard.ShardOwner;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ModelIndex;
 
@@ -27,7 +27,7 @@
   private final ReplicatedFeatureContext base;
   private final ModelIndex records;
   private final PeerViews views;
-  private ModelDesk desk;
+  private ModelDemandCollector desk;
   private ModelsApi api;
 
   ModelServingFeature(ReplicatedFeatureContext base, PeerViews views) {
@@ -38,9 +38,13 @@
   }
 
   /** Follows the records, and has the leader keep the models. */
-  void listen(ClusterStateCache ledger, OwnedShards holdings, Leader leader, ToIntFunction<JobId> running) {
-    desk = new ModelDesk(base, records, (job, replica) -> runs(holdings, job.task(replica)));
-    api = new ModelsApi(base, records, desk, new ModelPlacementView(ledger, views, records), running);
+  void listen(
+      ClusterStateCache ledger, OwnedShards holdings, Leader leader, ToIntFunction<JobId> running) {
+    desk =
+        new ModelDemandCollector(
+            base, records, (job, replica) -> runs(holdings, job.task(replica)));
+    api =
+        new ModelsApi(base, records, desk, new ModelPlacementView(ledger, views, records), running);
     ledger.listen(
         changes -> {
           records.ledgerChanged(changes, base.withheld()::changed);
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -7,36 +7,36 @@
 import java.util.function.LongSupplier;
 import java.util.function.ToIntFunction;
 import java.util.stream.Stream;
+import org.quincecross.admin.AccountingLog;
 import org.quincecross.admin.AgreedApi;
 import org.quincecross.admin.ModelsApi;
-import org.quincecross.admin.ServedLog;
-import org.quincecross.replicated.StartBlock;
-import org.quincecross.replicated.CombinedStartBlock;
-import org.quincecross.shard.OwnedShards;
-import org.quincecross.holds.HoldKind;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.leader.LegalHoldStartBlock;
-import org.quincecross.leader.LegalHoldReconciler;
 import org.quincecross.leader.Leader;
+import org.quincecross.leader.LegalHoldReconciler;
+import org.quincecross.leader.LegalHoldStartBlock;
+import org.quincecross.legalhold.LegalHoldKind;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
-import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.peer.KnownRevisions;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.requests.RequestKind;
-import org.quincecross.state.ReplicatedRecordStore;
-import org.quincecross.state.StateWatcher;
-import org.quincecross.state.DemandForecast;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.Membership;
-import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
+import org.quincecross.replicated.CombinedStartBlock;
+import org.quincecross.replicated.StartBlock;
+import org.quincecross.reservation.RequestKind;
+import org.quincecross.shard.OwnedShards;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.Membership;
+import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.state.StateWatcher;
 
 /**
  * The records that all controllers follow, and the parts that rest on them, where they are switched
@@ -78,7 +78,8 @@
         new ReplicatedFeatureContext(
             timers,
             ledger,
-            new ReplicatedRecordStore(timers, client, follower, ledger, membership, settings, clockMs),
+            new ReplicatedRecordStore(
+                timers, client, follower, ledger, membership, settings, clockMs),
             new KnownRevisions(timers, ledger, views, settings, longest),
             new CombinedStartBlock(),
             settings,
@@ -120,7 +121,7 @@
       ClusterStateCache ledger,
       OwnedShards holdings,
       Leader leader,
-      ServedLog served,
+      AccountingLog served,
       ToIntFunction<JobId> running) {
     if (base == null) {
       return;
@@ -135,7 +136,7 @@
                 served.withheldChanged(jobs);
               }
             });
-    if (base.has(HoldKind.NAME)) {
+    if (base.has(LegalHoldKind.NAME)) {
       held = new LegalHoldStartBlock(base);
       new LegalHoldReconciler(base, held, leader::isLeading);
     }
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -1,17 +1,17 @@
 package org.quincecross.api;
 
-import org.quincecross.replicated.RecordFields;
-import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.leader.Leader;
 import org.quincecross.leader.ReservationManager;
 import org.quincecross.model.Revision;
 import org.quincecross.peer.ReplicatedFeatureContext;
-import org.quincecross.requests.Request;
-import org.quincecross.requests.RequestCommand;
-import org.quincecross.requests.RequestKind;
-import org.quincecross.requests.Reservation;
-import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.replicated.MalformedRecordException;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.reservation.Request;
+import org.quincecross.reservation.RequestCommand;
+import org.quincecross.reservation.RequestKind;
+import org.quincecross.reservation.Reservation;
 import org.quincecross.state.DemandForecast;
+import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReservedCapacity;
 
 /** Requests with a due time, where they are switched on. */
@@ -34,7 +34,8 @@
     this.base = base;
     double warnS;
     try {
-      RecordFields settings = base.settingsOf(RequestKind.NAME).only(java.util.List.of("share", "warn_s"));
+      RecordFields settings =
+          base.settingsOf(RequestKind.NAME).only(java.util.List.of("share", "warn_s"));
       share = settings.has("share") ? settings.amount("share", 0, 1) : SHARE;
       warnS = settings.has("warn_s") ? settings.amount("warn_s", 0, MOST_WARN_S) : WARN_S;
     } catch (MalformedRecordException e) {
--- a/src/main/java/org/quincecross/api/ResponseDeadline.java
+++ b/src/main/java/org/quincecross/api/ResponseDeadline.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 
 /**
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -7,37 +7,37 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.protocol.Settings;
 import org.quincecross.scheduling.RoundRobinQueue;
-import org.quincecross.state.StateWatcher;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.StoreKeys;
 import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.StoreKeys;
 import org.quincecross.state.TransactionResult;
-import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
-import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
-import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 
 /**
  * Makes submissions durable, several in one change where several have come.
  *
  * <p>What ends each wait: a transaction waits for the budget, which refills, and then for its
- * answer, for as long as {@link KeyValueStoreClient} gives it; one without an answer, or in conflict, waits
- * for a reading of the records, which fails after a second; one that was refused for its number is
- * tried again until {@link #PATIENCE} is over, and one that the state service does not serve ends
- * at once. An answer that is long in coming holds up nobody but those that it is about, and they
- * are answered as soon as the records have their jobs
+ * answer, for as long as {@link KeyValueStoreClient} gives it; one without an answer, or in
+ * conflict, waits for a reading of the records, which fails after a second; one that was refused
+ * for its number is tried again until {@link #PATIENCE} is over, and one that the state service
+ * does not serve ends at once. An answer that is long in coming holds up nobody but those that it
+ * is about, and they are answered as soon as the records have their jobs
  * (docs/incidents/an-answer-that-holds-up-others.md). Whatever this comes to together, {@link
- * ResponseDeadline} answers before the user stops waiting; what has not been written by then is not written
- * any more.
+ * ResponseDeadline} answers before the user stops waiting; what has not been written by then is not
+ * written any more.
  */
 final class Submissions {
   private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(2);
@@ -323,7 +323,10 @@
   }
 
   private void write(
-      List<Precondition> guards, List<Mutation> changes, List<Pending> group, Consumer<TransactionResult> done) {
+      List<Precondition> guards,
+      List<Mutation> changes,
+      List<Pending> group,
+      Consumer<TransactionResult> done) {
     writing++;
     underWay += group.size();
     MonotonicTime begun = timers.now();
--- a/src/main/java/org/quincecross/api/UnassignedMachines.java
+++ b/src/main/java/org/quincecross/api/UnassignedMachines.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.leader.Leader;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.Json;
 import org.quincecross.protocol.AgentCodec;
 import org.quincecross.protocol.Heartbeat;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Machines that report and are in no block. A late copy of the report of one that was returned or
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -9,33 +9,33 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.function.ToIntFunction;
+import org.quincecross.failuredetection.IsolationDetector;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Resources;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
-import org.quincecross.failuredetection.IsolationDetector;
-import org.quincecross.state.StateWatcher;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.KeyValueStoreClient;
-import org.quincecross.state.TransactionResult;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
+import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Settings;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.StoreKeys;
+import org.quincecross.state.TransactionResult;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -105,9 +105,11 @@
     this.cancellations = cancellations;
     this.memoryIsShort = memoryIsShort;
     this.refusals = new LoadShedder(timers, aloneness, this::isCutOff);
-    this.polls = new ResponseDeadline(timers, POLL_ANSWERED, later("the state service cannot be reached"));
+    this.polls =
+        new ResponseDeadline(timers, POLL_ANSWERED, later("the state service cannot be reached"));
     this.changes =
-        new ResponseDeadline(timers, Submissions.ANSWERED, later("not confirmed in time, ask again"));
+        new ResponseDeadline(
+            timers, Submissions.ANSWERED, later("not confirmed in time, ask again"));
     this.submissions =
         new Submissions(
             timers,
@@ -117,7 +119,8 @@
             life,
             settings.storeLimits(),
             id -> ledger.job(id) != null);
-    this.afterParts = new DependencyWriter(client, ledger, settings.storeLimits().maxMutationsPerTransaction());
+    this.afterParts =
+        new DependencyWriter(client, ledger, settings.storeLimits().maxMutationsPerTransaction());
   }
 
   /** Answers a request below {@link JobCodec#JOBS}. */
@@ -381,7 +384,10 @@
         return bad(422, "waits on a service, which is never done");
       }
     }
-    Resources need = job.kind() == JobKind.ARRAY ? job.taskResources() : job.taskResources().times(job.taskCount());
+    Resources need =
+        job.kind() == JobKind.ARRAY
+            ? job.taskResources()
+            : job.taskResources().times(job.taskCount());
     if (!need.fitsIn(team.limit())) {
       return bad(422, "more than the team's limit");
     }
--- a/src/main/java/org/quincecross/cli/AgreedCommand.java
+++ b/src/main/java/org/quincecross/cli/AgreedCommand.java
@@ -7,10 +7,10 @@
 import java.util.UUID;
 import java.util.concurrent.Callable;
 import org.quincecross.admin.AgreedApi;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.RecordId;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -138,7 +138,8 @@
     return 0;
   }
 
-  private static List<Map<String, Object>> rows(JsonFields answer, String name) throws MalformedMessageException {
+  private static List<Map<String, Object>> rows(JsonFields answer, String name)
+      throws MalformedMessageException {
     List<Map<String, Object>> rows = new ArrayList<>();
     for (JsonFields row : answer.objects(name)) {
       Map<String, Object> out = Json.object();
--- a/src/main/java/org/quincecross/cli/ClassLoading.java
+++ b/src/main/java/org/quincecross/cli/ClassLoading.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Loads what a controller needs, so that the class-data archive made of it spares every start the
--- a/src/main/java/org/quincecross/cli/HoldCommands.java
+++ b/src/main/java/org/quincecross/cli/HoldCommands.java
@@ -15,11 +15,11 @@
 import org.apache.commons.csv.CSVParser;
 import org.apache.commons.csv.CSVPrinter;
 import org.apache.commons.csv.CSVRecord;
-import org.quincecross.holds.Claim;
-import org.quincecross.holds.ClaimKind;
-import org.quincecross.holds.HoldKind;
-import org.quincecross.holds.Records;
-import org.quincecross.holds.SweepKind;
+import org.quincecross.legalhold.Claim;
+import org.quincecross.legalhold.ClaimKind;
+import org.quincecross.legalhold.LegalHoldKind;
+import org.quincecross.legalhold.Records;
+import org.quincecross.legalhold.SweepKind;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.protocol.Json;
@@ -64,7 +64,7 @@
   private abstract static class OfHolds extends AgreedCommand {
     @Override
     String kind() {
-      return HoldKind.NAME;
+      return LegalHoldKind.NAME;
     }
 
     /** Records, checked before anybody is asked. */
@@ -204,7 +204,7 @@
   static final class Show extends AgreedCommand.Showing {
     @Override
     String kind() {
-      return HoldKind.NAME;
+      return LegalHoldKind.NAME;
     }
   }
 
@@ -212,7 +212,7 @@
   static final class ListAll extends AgreedCommand.Listing {
     @Override
     String kind() {
-      return HoldKind.NAME;
+      return LegalHoldKind.NAME;
     }
   }
 
--- a/src/main/java/org/quincecross/cli/Server.java
+++ b/src/main/java/org/quincecross/cli/Server.java
@@ -6,11 +6,11 @@
 import org.quincecross.api.Controller;
 import org.quincecross.api.PeerSender;
 import org.quincecross.model.ControllerId;
+import org.quincecross.net.EventLoop;
 import org.quincecross.net.FrameSender;
 import org.quincecross.net.FrameServer;
 import org.quincecross.net.HttpClient;
 import org.quincecross.net.HttpServer;
-import org.quincecross.net.Loop;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.Settings;
 import org.slf4j.Logger;
@@ -32,7 +32,7 @@
   }
 
   void run() throws IOException {
-    Loop loop = new Loop();
+    EventLoop loop = new EventLoop();
     Map<ControllerId, FrameSender> peers = new HashMap<>();
     for (Settings.Peer sibling : settings.peers()) {
       peers.put(sibling.member(), new FrameSender(loop, sibling.endpoint()));
--- a/src/main/java/org/quincecross/cli/SettingsFile.java
+++ b/src/main/java/org/quincecross/cli/SettingsFile.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
 
 /**
--- a/src/main/java/org/quincecross/cli/TryCommand.java
+++ b/src/main/java/org/quincecross/cli/TryCommand.java
@@ -10,7 +10,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.quincecross.emulator.Drill;
-import org.quincecross.emulator.TrySite;
+import org.quincecross.emulator.LocalCluster;
 import org.quincecross.model.Endpoint;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
@@ -145,8 +145,8 @@
       Path home = jar.getAbsoluteFile().toPath().getParent().getParent();
       String run =
           jar.isDirectory() ? classesRun() : deployedRun(home.resolve("deploy/service.toml"));
-      TrySite.Plan plan =
-          new TrySite.Plan(
+      LocalCluster.Plan plan =
+          new LocalCluster.Plan(
               machines,
               jobs == null ? null : Files.readString(jobs, StandardCharsets.UTF_8),
               forS,
@@ -159,7 +159,7 @@
               home,
               output.equals("json"),
               output.equals("text") && System.console() != null);
-      return new TrySite(plan, System.out).run();
+      return new LocalCluster(plan, System.out).run();
     } catch (IOException e) {
       spec.commandLine()
           .getErr()
--- a/src/main/java/org/quincecross/pipeline/Pipelines.java
+++ b/src/main/java/org/quincecross/dependency/DependencyGraph.java
@@ -1,4 +1,4 @@
-package org.quincecross.pipeline;
+package org.quincecross.dependency;
 
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -27,7 +27,7 @@
  * <p>A change costs the jobs whose standing it changes, and the links between them. Only jobs with
  * a link take memory here.
  */
-public final class Pipelines {
+public final class DependencyGraph {
   /**
    * What a job's own record says; {@code cancelledMs}: the time of day at which it was cancelled,
    * or 0.
@@ -64,7 +64,7 @@
   /**
    * @param records what is on record of a job, null where nothing is
    */
-  public Pipelines(Function<JobId, Own> records) {
+  public DependencyGraph(Function<JobId, Own> records) {
     this.records = records;
   }
 
--- a/src/main/java/org/quincecross/pipeline/Urgencies.java
+++ b/src/main/java/org/quincecross/dependency/UrgencyPropagation.java
@@ -1,4 +1,4 @@
-package org.quincecross.pipeline;
+package org.quincecross.dependency;
 
 import java.util.ArrayDeque;
 import java.util.Collection;
@@ -17,7 +17,7 @@
  * <p>Recomputed where a job is submitted or is over, for the jobs before it and as far as something
  * changes.
  */
-public final class Urgencies {
+public final class UrgencyPropagation {
   /** There is no time by which it has to end. */
   public static final long NEVER = Long.MAX_VALUE;
 
@@ -34,7 +34,7 @@
   public record Urgency(Priority rank, long endByMs) {}
 
   private final Function<JobId, Own> jobs;
-  private final Pipelines pipelines;
+  private final DependencyGraph pipelines;
 
   /** Of jobs that are more urgent than they say. */
   private final Map<JobId, Urgency> inherited = new HashMap<>();
@@ -42,7 +42,7 @@
   /**
    * @param jobs what an open job asks for, null for a job that is over or not known
    */
-  public Urgencies(Function<JobId, Own> jobs, Pipelines pipelines) {
+  public UrgencyPropagation(Function<JobId, Own> jobs, DependencyGraph pipelines) {
     this.jobs = jobs;
     this.pipelines = pipelines;
   }
--- a/src/main/java/org/quincecross/emulator/Worker.java
+++ b/src/main/java/org/quincecross/emulator/AgentSimulator.java
@@ -9,22 +9,22 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Job;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * A stand-in for a worker, as its protocol describes it: sessions, tokens, leases, commands, what
  * becomes of tasks.
  */
-final class Worker implements Network.Host {
+final class AgentSimulator implements Network.Host {
   private static final double NO_ANSWER_S = 4;
   private static final double FAILS_AFTER_S = 0.3;
   private static final double MISTAKE_AFTER_S =
@@ -53,13 +53,13 @@
     }
   }
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Clock clock;
   private final Machine machine;
   private final Resources capacity;
   private final MachineTraits traits;
   private ImageStore images;
-  private Life life = new Life();
+  private ProcessScope life = new ProcessScope();
   private final Map<Key, Task> tasks = new LinkedHashMap<>();
   private long session = 1;
   private long order;
@@ -75,8 +75,12 @@
   private double answeredFrom = -1;
   private boolean destroyed;
 
-  Worker(
-      Surroundings around, Machine machine, MachineType type, MachineTraits traits, int firstNode) {
+  AgentSimulator(
+      ClusterEnvironment around,
+      Machine machine,
+      MachineType type,
+      MachineTraits traits,
+      int firstNode) {
     this.around = around;
     this.clock = around.clock();
     this.machine = machine;
@@ -118,7 +122,7 @@
     }
     life.end();
     dropAll();
-    Life next = new Life();
+    ProcessScope next = new ProcessScope();
     clock.after(
         seconds,
         () -> {
@@ -178,13 +182,14 @@
 
   /** When the next report is due: they come a quarter earlier or later. */
   private double reportS() {
-    return around.site().workers().heartbeatInterval().seconds() * (0.75 + 0.5 * around.random().nextDouble());
+    return around.site().workers().heartbeatInterval().seconds()
+        * (0.75 + 0.5 * around.random().nextDouble());
   }
 
   // ---- reports ----
 
   private void after(double seconds, Runnable action) {
-    Life begun = life;
+    ProcessScope begun = life;
     clock.after(
         seconds,
         () -> {
@@ -237,7 +242,7 @@
       held = 0;
     }
     // Also of a machine that hangs: it may go on within its lease, not after it.
-    Life begun = life;
+    ProcessScope begun = life;
     clock.after(
         Math.max(LEASE_LOOK_S, (lease - held) / traits.clock()),
         () -> {
@@ -546,7 +551,9 @@
 
   private void halt(Key key, Task task, double windDown) {
     Job job = around.job(key.task().job());
-    if (task.state.equals("running") && job.hasCheckpoints() && windDown >= job.checkpointCost().seconds()) {
+    if (task.state.equals("running")
+        && job.hasCheckpoints()
+        && windDown >= job.checkpointCost().seconds()) {
       task.state = "saving";
       after(
           job.checkpointCost().seconds(),
--- a/src/main/java/org/quincecross/emulator/Balancer.java
+++ b/src/main/java/org/quincecross/emulator/Balancer.java
@@ -44,18 +44,18 @@
 
   private static final class Connection {
     private final int node;
-    private Life life = new Life();
+    private ProcessScope life = new ProcessScope();
 
     Connection(int node) {
       this.node = node;
     }
   }
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Node[] nodes;
   private final Map<Object, Connection> connections = new HashMap<>();
 
-  Balancer(Surroundings around) {
+  Balancer(ClusterEnvironment around) {
     this.around = around;
     nodes = new Node[around.site().nodes()];
     for (int i = 0; i < nodes.length; i++) {
@@ -77,7 +77,7 @@
     around
         .network()
         .call(
-            new Life(),
+            new ProcessScope(),
             "users",
             around.node(number),
             HttpRequest.get(JobCodec.HEALTH),
@@ -172,7 +172,13 @@
         };
     around
         .network()
-        .call(over.life, "users", around.node(over.node), request, TimeSpan.ofSeconds(timeoutS), once);
+        .call(
+            over.life,
+            "users",
+            around.node(over.node),
+            request,
+            TimeSpan.ofSeconds(timeoutS),
+            once);
     around
         .clock()
         .after(
--- a/src/main/java/org/quincecross/emulator/Cloud.java
+++ b/src/main/java/org/quincecross/emulator/CloudSimulator.java
@@ -12,19 +12,19 @@
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.net.Limiter;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.net.TokenBucket;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * A stand-in for the cloud, as its protocol describes it; on odd sites some machines are slow,
  * sick, late or never up.
  */
-final class Cloud implements Network.Host {
+final class CloudSimulator implements Network.Host {
   private static final int MOST_AT_ONCE = 50;
   private static final int MOST_LISTED = 500;
   private static final double LIST_EVERY_S = 1;
@@ -32,11 +32,11 @@
   /** A machine that is rented: {@code worker} is null until it is up. */
   private static final class Rented {
     private final Machine machine;
-    private final Site.Pool pool;
+    private final ClusterSpec.Pool pool;
     private final double since;
-    private Worker worker;
+    private AgentSimulator worker;
 
-    Rented(Machine machine, Site.Pool pool, double since) {
+    Rented(Machine machine, ClusterSpec.Pool pool, double since) {
       this.machine = machine;
       this.pool = pool;
       this.since = since;
@@ -45,11 +45,11 @@
 
   private record Listed(MachineId id, Map<String, Object> item) {}
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Random random;
-  private final Limiter requests;
+  private final TokenBucket requests;
   private final Map<MachineId, Rented> rented = new TreeMap<>();
-  private final Map<Site.Pool, Integer> taken = new HashMap<>();
+  private final Map<ClusterSpec.Pool, Integer> taken = new HashMap<>();
   private final Map<String, List<Object>> charters = new HashMap<>();
   private List<Listed> listed = List.of();
   private boolean out;
@@ -57,14 +57,14 @@
   private double longestBootS;
   private double bootsQuicklyUntil;
 
-  Cloud(Surroundings around) {
+  CloudSimulator(ClusterEnvironment around) {
     this.around = around;
     this.random = around.random();
     double perSecond = around.site().cloudLimits().requestsPerSecond();
-    this.requests = new Limiter(perSecond, 2 * perSecond, now());
+    this.requests = new TokenBucket(perSecond, 2 * perSecond, now());
     for (int more = 1, i = 0; more > 0; i++) {
       more = 0;
-      for (Site.Pool pool : around.site().pools()) {
+      for (ClusterSpec.Pool pool : around.site().pools()) {
         if (i < pool.initial()) {
           boot(pool, 0, true);
           more++;
@@ -117,14 +117,14 @@
         .toList();
   }
 
-  List<Worker> workers() {
+  List<AgentSimulator> workers() {
     return rented.values().stream()
         .filter(each -> each.worker != null)
         .map(each -> each.worker)
         .toList();
   }
 
-  private MachineId boot(Site.Pool pool, double bootS, boolean ordinary) {
+  private MachineId boot(ClusterSpec.Pool pool, double bootS, boolean ordinary) {
     MachineId id = new MachineId(String.format("m-%06d", machines++));
     Machine machine =
         new Machine(
@@ -143,7 +143,7 @@
                 if (rented.get(id) == place) {
                   MachineType type = around.site().type(pool.type());
                   place.worker =
-                      new Worker(
+                      new AgentSimulator(
                           around, machine, type, traits, random.nextInt(around.site().nodes()));
                   around.network().host(machine.address(), id.text(), place.worker);
                 }
@@ -220,7 +220,8 @@
   private HttpResponse answer(HttpRequest request) throws MalformedMessageException {
     Object body;
     if (request.path().equals("/catalog")) {
-      body = Json.object("Hulls", around.site().types().stream().map(Cloud::hull).toList());
+      body =
+          Json.object("Hulls", around.site().types().stream().map(CloudSimulator::hull).toList());
     } else if (request.path().equals("/hosts/return")) {
       for (String name : Json.parseFields(request.body()).strings("Hosts")) {
         take(new MachineId(name), 0);
@@ -276,7 +277,7 @@
       return known;
     }
     List<Object> names = new ArrayList<>();
-    for (Site.Pool pool : around.site().pools()) {
+    for (ClusterSpec.Pool pool : around.site().pools()) {
       if (pool.type().equals(type) && pool.zone().equals(zone) && pool.spot() == spot) {
         TimeSpan boot = around.site().type(type).bootTime();
         while (names.size() < more
--- a/src/main/java/org/quincecross/emulator/Surroundings.java
+++ b/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
@@ -2,40 +2,40 @@
 
 import java.util.List;
 import java.util.Random;
+import org.quincecross.accounting.JobAccounting;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.served.ServedBooks;
 import org.quincecross.protocol.Settings;
 
 /**
  * Everything around the controllers of a site: state service, cloud with its workers, users, and
  * who watches the rules.
  */
-final class Surroundings {
-  private final Site site;
+final class ClusterEnvironment {
+  private final ClusterSpec site;
   private final Clock clock;
   private final Network network;
   private final Random random;
   private final List<Endpoint> nodes;
-  private final StateService state;
-  private final Users users;
-  private final Rules rules;
-  private final IdleRoom idleRoom;
-  private final Pipelines pipelines;
-  private final PipelineRules pipelineRules;
-  private final Tasks tasks;
-  private final Cloud cloud;
-  private final ServedBooks served;
+  private final KeyValueStoreSimulator state;
+  private final UserSimulator users;
+  private final ProtocolInvariants rules;
+  private final IdleCapacityInvariant idleRoom;
+  private final DependentJobs pipelines;
+  private final DependencyInvariants pipelineRules;
+  private final TaskSimulator tasks;
+  private final CloudSimulator cloud;
+  private final JobAccounting served;
   private final ColdStarts coldStarts;
 
   /**
    * @param nodes where each controller listens for users and workers
    * @param stateAt where each controller reaches the state service
    */
-  Surroundings(
-      Site site,
+  ClusterEnvironment(
+      ClusterSpec site,
       Clock clock,
       Network network,
       Random random,
@@ -47,21 +47,21 @@
     this.network = network;
     this.random = random;
     this.nodes = nodes;
-    this.state = new StateService(clock, random, site.stateLimits());
+    this.state = new KeyValueStoreSimulator(clock, random, site.stateLimits());
     this.coldStarts = new ColdStarts(this);
-    this.served = new ServedBooks(job -> Settings.objectivesOf(site.objectives(), job));
-    this.users = new Users(this);
-    this.rules = new Rules(this);
-    this.idleRoom = new IdleRoom(this);
-    this.pipelines = new Pipelines(this);
-    this.pipelineRules = new PipelineRules(this, rules::breaks);
-    this.tasks = new Tasks(users, rules);
+    this.served = new JobAccounting(job -> Settings.objectivesOf(site.objectives(), job));
+    this.users = new UserSimulator(this);
+    this.rules = new ProtocolInvariants(this);
+    this.idleRoom = new IdleCapacityInvariant(this);
+    this.pipelines = new DependentJobs(this);
+    this.pipelineRules = new DependencyInvariants(this, rules::breaks);
+    this.tasks = new TaskSimulator(users, rules);
     for (int node = 0; node < stateAt.size(); node++) {
       if (node == 0 || !stateAt.get(node).equals(stateAt.get(node - 1))) {
         network.host(stateAt.get(node), "state", state);
       }
     }
-    this.cloud = new Cloud(this);
+    this.cloud = new CloudSimulator(this);
     network.host(cloudAt, "cloud", cloud);
     clock.after(1, this::checkRules);
   }
@@ -71,7 +71,7 @@
     clock.after(1, this::checkRules);
   }
 
-  Site site() {
+  ClusterSpec site() {
     return site;
   }
 
@@ -87,11 +87,11 @@
     return random;
   }
 
-  StateService state() {
+  KeyValueStoreSimulator state() {
     return state;
   }
 
-  Users users() {
+  UserSimulator users() {
     return users;
   }
 
@@ -103,21 +103,21 @@
     idleRoom.watch();
   }
 
-  Rules rules() {
+  ProtocolInvariants rules() {
     return rules;
   }
 
   /** Jobs that wait for others. */
-  Pipelines pipelines() {
+  DependentJobs pipelines() {
     return pipelines;
   }
 
-  PipelineRules pipelineRules() {
+  DependencyInvariants pipelineRules() {
     return pipelineRules;
   }
 
   /** Who was served, as users and machines see it. */
-  ServedBooks served() {
+  JobAccounting served() {
     return served;
   }
 
@@ -130,11 +130,11 @@
     return new MonotonicTime((long) (clock.seconds() * 1e9));
   }
 
-  Tasks tasks() {
+  TaskSimulator tasks() {
     return tasks;
   }
 
-  Cloud cloud() {
+  CloudSimulator cloud() {
     return cloud;
   }
 
@@ -145,7 +145,7 @@
   /** The controller that a redirect names; -1 where it names none. */
   int nodeNamed(String redirect) {
     for (int node = 0; node < site.nodes(); node++) {
-      if (redirect.contains("\"" + Site.nodeName(node) + "\"")) {
+      if (redirect.contains("\"" + ClusterSpec.nodeName(node) + "\"")) {
         return node;
       }
     }
--- a/src/main/java/org/quincecross/emulator/Site.java
+++ b/src/main/java/org/quincecross/emulator/ClusterSpec.java
@@ -4,14 +4,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Settings;
 
 /**
@@ -22,7 +22,7 @@
  * @param restart after which a crashed controller is started again
  * @param odd whether some rented machines are slow, sick, late or never up
  */
-record Site(
+record ClusterSpec(
     List<String> nodeZones,
     List<String> zones,
     List<MachineType> types,
@@ -108,16 +108,23 @@
   }
 
   /** Three controllers, two zones, one small type of machine: for days with many troubles. */
-  static Site small() {
+  static ClusterSpec small() {
     MachineType type =
         new MachineType(
-            "m8", new Resources(8, 0, 32), 50, 1.25, 1, 0.4, TimeSpan.ofSeconds(5), List.of("a", "b"));
+            "m8",
+            new Resources(8, 0, 32),
+            50,
+            1.25,
+            1,
+            0.4,
+            TimeSpan.ofSeconds(5),
+            List.of("a", "b"));
     List<Pool> pools = new ArrayList<>();
     for (String zone : type.zones()) {
       pools.add(new Pool("m8", zone, false, 4, 14));
       pools.add(new Pool("m8", zone, true, 0, 14));
     }
-    return new Site(
+    return new ClusterSpec(
         List.of("a", "b", "a"),
         type.zones(),
         List.of(type),
@@ -141,7 +148,7 @@
    *
    * @param machines that the cloud has; a quarter of them are up at the start
    */
-  static Site fleet(int machines) {
+  static ClusterSpec fleet(int machines) {
     MachineType type =
         new MachineType(
             "rack-16",
@@ -206,7 +213,7 @@
                 true,
                 15,
                 0));
-    return new Site(
+    return new ClusterSpec(
         type.zones(),
         type.zones(),
         List.of(type),
@@ -234,7 +241,7 @@
    *
    * @param machines that the cloud has; half of them are up at the start
    */
-  static Site mixed(int machines) {
+  static ClusterSpec mixed(int machines) {
     MachineType small =
         new MachineType(
             "box-8",
@@ -329,7 +336,7 @@
                 false,
                 15,
                 0));
-    return new Site(
+    return new ClusterSpec(
         List.of("left", "right", "left"),
         List.of("left", "right"),
         List.of(small, wide, cards),
@@ -357,7 +364,7 @@
    * @param machines that the cloud has
    * @param allUp whether all of them are up at the start, rather than a third
    */
-  static Site tryOut(int machines, boolean allUp) {
+  static ClusterSpec tryOut(int machines, boolean allUp) {
     MachineType type =
         new MachineType(
             "box-8",
@@ -382,7 +389,7 @@
       pools.add(new Pool("box-8", type.zones().get(i), true, allUp ? spot : 0, spot));
     }
     double cpus = 8.0 * machines;
-    return new Site(
+    return new ClusterSpec(
         type.zones(),
         type.zones(),
         List.of(type),
@@ -400,8 +407,8 @@
   }
 
   /** The same with other teams. */
-  Site with(Map<String, Team> other) {
-    return new Site(
+  ClusterSpec with(Map<String, Team> other) {
+    return new ClusterSpec(
         nodeZones,
         zones,
         types,
@@ -419,8 +426,8 @@
   }
 
   /** The same with machines that report, and whose leases end, at other times. */
-  Site with(Settings.AgentTimeouts other) {
-    return new Site(
+  ClusterSpec with(Settings.AgentTimeouts other) {
+    return new ClusterSpec(
         nodeZones,
         zones,
         types,
@@ -438,8 +445,8 @@
   }
 
   /** The same with a state service of other limits. */
-  Site with(Settings.StoreLimits other) {
-    return new Site(
+  ClusterSpec with(Settings.StoreLimits other) {
+    return new ClusterSpec(
         nodeZones,
         zones,
         types,
--- a/src/main/java/org/quincecross/emulator/ColdStarts.java
+++ b/src/main/java/org/quincecross/emulator/ColdStarts.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MachineId;
 import org.quincecross.model.JobKind;
+import org.quincecross.model.MachineId;
 import org.quincecross.model.TaskId;
-import org.quincecross.models.ModelKind;
+import org.quincecross.modelserving.ModelKind;
 
 /**
  * Watches that each place of a model's record is started once, and has the weights fetched once, as
@@ -21,7 +21,7 @@
 final class ColdStarts {
   private record Place(TaskId task, MachineId machine, long epoch) {}
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Map<JobId, String> names = new HashMap<>();
   private final Set<Place> started = new HashSet<>();
   private final Set<Place> fetched = new HashSet<>();
@@ -29,7 +29,7 @@
   private int fetches;
   private int late;
 
-  ColdStarts(Surroundings around) {
+  ColdStarts(ClusterEnvironment around) {
     this.around = around;
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** What the state service has of a model's state; null before it is defined. */
-  static Map<?, ?> state(StateService state, String name) {
+  static Map<?, ?> state(KeyValueStoreSimulator state, String name) {
     return state.value("q/agreed/" + ModelKind.NAME + "/" + name) instanceof Map<?, ?> record
             && record.get("state") instanceof Map<?, ?> of
         ? of
--- a/src/main/java/org/quincecross/emulator/CloseLooks.java
+++ b/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
@@ -8,18 +8,18 @@
  * was told that it is done or cancelled, they put five questions to the nodes in turn within 10 ms,
  * and submit it once more; some call it off at once.
  */
-final class CloseLooks {
+final class ConcurrentReaders {
   private static final int QUESTIONS = 5;
   private static final double WITHIN_S = 0.01;
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Random random;
   private final double share;
   private final double cancelShare;
   private final double untilS;
 
-  private CloseLooks(
-      Surroundings around, Random random, double share, double cancelShare, double seconds) {
+  private ConcurrentReaders(
+      ClusterEnvironment around, Random random, double share, double cancelShare, double seconds) {
     this.around = around;
     this.random = random;
     this.share = share;
@@ -34,27 +34,27 @@
    * @param cancelShare of the jobs that are called off as soon as they are accepted
    */
   static void begin(
-      Surroundings around, double share, double cancelShare, double seconds, Random random) {
-    CloseLooks looks = new CloseLooks(around, random, share, cancelShare, seconds);
+      ClusterEnvironment around, double share, double cancelShare, double seconds, Random random) {
+    ConcurrentReaders looks = new ConcurrentReaders(around, random, share, cancelShare, seconds);
     around.users().watch(looks::look);
   }
 
-  private void look(Users.Moment moment, JobId id) {
+  private void look(UserSimulator.Moment moment, JobId id) {
     if (around.clock().seconds() >= untilS || random.nextDouble() >= share) {
       return;
     }
     int first = random.nextInt(around.site().nodes());
     for (int i = 0; i < QUESTIONS; i++) {
-      at(first + i, Users.Asks.STATE, id);
+      at(first + i, UserSimulator.Asks.STATE, id);
     }
-    at(random.nextInt(around.site().nodes()), Users.Asks.AGAIN, id);
-    if (moment == Users.Moment.ACCEPTED && random.nextDouble() < cancelShare) {
-      at(random.nextInt(around.site().nodes()), Users.Asks.CANCEL, id);
+    at(random.nextInt(around.site().nodes()), UserSimulator.Asks.AGAIN, id);
+    if (moment == UserSimulator.Moment.ACCEPTED && random.nextDouble() < cancelShare) {
+      at(random.nextInt(around.site().nodes()), UserSimulator.Asks.CANCEL, id);
       around.clock().after(WITHIN_S, () -> around.users().cancel(id));
     }
   }
 
-  private void at(int node, Users.Asks what, JobId id) {
+  private void at(int node, UserSimulator.Asks what, JobId id) {
     around
         .clock()
         .after(
--- a/src/main/java/org/quincecross/emulator/HeldMessages.java
+++ b/src/main/java/org/quincecross/emulator/DelayedMessages.java
@@ -8,8 +8,8 @@
  * commands and their answers, reports and theirs. Whoever waits gives up meanwhile; what was held
  * then arrives all the same, after messages that were sent later.
  */
-final class HeldMessages {
-  static final HeldMessages NONE = new HeldMessages(0, 0, new Random(0));
+final class DelayedMessages {
+  static final DelayedMessages NONE = new DelayedMessages(0, 0, new Random(0));
   private static final double LEAST_S = 0.5;
 
   private final double share;
@@ -20,7 +20,7 @@
    * @param share of the messages, 0 to 1
    * @param longestS each is held for 0.5 s to this
    */
-  HeldMessages(double share, double longestS, Random random) {
+  DelayedMessages(double share, double longestS, Random random) {
     this.share = share;
     this.longestS = longestS;
     this.random = random;
--- a/src/main/java/org/quincecross/emulator/LateWrites.java
+++ b/src/main/java/org/quincecross/emulator/DelayedTransactions.java
@@ -4,14 +4,14 @@
 import java.util.function.BooleanSupplier;
 
 /** Which transactions the state service does not answer, and how much later it carries them out. */
-interface LateWrites {
+interface DelayedTransactions {
   /** Carried out and answered as it comes. */
   double PROMPT = -1;
 
   /** Carried out as it comes, and only the answer is lost: whoever else reads sees it at once. */
   double AT_ONCE = 0;
 
-  LateWrites NONE = transaction -> PROMPT;
+  DelayedTransactions NONE = transaction -> PROMPT;
 
   /**
    * Says what becomes of a transaction.
@@ -26,7 +26,7 @@
    * A share of all, for as long as it is so, carried out from {@code leastS} to {@code mostS}
    * seconds later.
    */
-  static LateWrites share(
+  static DelayedTransactions share(
       double share, double leastS, double mostS, BooleanSupplier isSo, Random draws) {
     return transaction ->
         isSo.getAsBoolean() && draws.nextDouble() < share
@@ -35,7 +35,7 @@
   }
 
   /** Of a share of all, for as long as it is so, only the answer is lost. */
-  static LateWrites atOnce(double share, BooleanSupplier isSo, Random draws) {
+  static DelayedTransactions atOnce(double share, BooleanSupplier isSo, Random draws) {
     return transaction -> isSo.getAsBoolean() && draws.nextDouble() < share ? AT_ONCE : PROMPT;
   }
 }
--- a/src/main/java/org/quincecross/emulator/PipelineRules.java
+++ b/src/main/java/org/quincecross/emulator/DependencyInvariants.java
@@ -12,8 +12,8 @@
 /**
  * Watches over the rules of jobs that wait for others, by what machines do and what users are told.
  */
-final class PipelineRules {
-  private final Surroundings around;
+final class DependencyInvariants {
+  private final ClusterEnvironment around;
   private final BiConsumer<String, Object> breaks;
 
   /** Since when a job's users know that one before it is cancelled. */
@@ -31,7 +31,7 @@
   /**
    * @param breaks to be told of a broken rule and of what broke it
    */
-  PipelineRules(Surroundings around, BiConsumer<String, Object> breaks) {
+  DependencyInvariants(ClusterEnvironment around, BiConsumer<String, Object> breaks) {
     this.around = around;
     this.breaks = breaks;
   }
@@ -85,7 +85,8 @@
 
   private boolean isTime(JobId id) {
     Double at = cancelledBefore.get(id);
-    return at != null && around.clock().seconds() > at + around.site().workers().cancelTimeout().seconds();
+    return at != null
+        && around.clock().seconds() > at + around.site().workers().cancelTimeout().seconds();
   }
 
   private void checkGone(JobId id) {
--- a/src/main/java/org/quincecross/emulator/Pipelines.java
+++ b/src/main/java/org/quincecross/emulator/DependentJobs.java
@@ -17,7 +17,7 @@
  * Jobs that wait for others: whom each names in its submission, and their users, who submit them
  * one after the other.
  */
-final class Pipelines {
+final class DependentJobs {
   /** When a user submits a job that needs others. */
   enum Submitted {
     /** As soon as those that it needs are accepted. */
@@ -29,11 +29,11 @@
   /** A job of a pipeline, and when it is submitted. */
   record Step(Job job, Submitted when) {}
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Map<JobId, Set<JobId>> followers = new HashMap<>();
   private final List<Step> held = new ArrayList<>();
 
-  Pipelines(Surroundings around) {
+  DependentJobs(ClusterEnvironment around) {
     this.around = around;
   }
 
--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MachineId;
 import org.quincecross.model.JobKind;
+import org.quincecross.model.MachineId;
 import org.quincecross.protocol.Json;
 
 /** Something that fails on a site that is tried, and how long it takes until all is as it was. */
@@ -73,7 +73,7 @@
   private static final double RECOVERED_WITHIN_S = 150;
 
   private final Kind kind;
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final List<ControllerProcess> controllers;
 
   /** The commands of the controllers before and after a roll; empty where there is none. */
@@ -93,7 +93,7 @@
 
   Drill(
       Kind kind,
-      Surroundings around,
+      ClusterEnvironment around,
       List<ControllerProcess> controllers,
       List<List<String>> before,
       List<List<String>> after) {
@@ -222,7 +222,7 @@
         }
         case DEAF -> {
           double length = DEAF_LEASES * around.site().workers().lease().seconds();
-          List<Worker> workers = around.cloud().workers();
+          List<AgentSimulator> workers = around.cloud().workers();
           for (int i = 0; i < workers.size(); i += DEAF_ONE_IN) {
             workers.get(i).deafen(length);
           }
@@ -252,9 +252,12 @@
               .after(
                   allNewAfterS + ROLL_EVERY_S,
                   () -> {
-                    around.state().limit(around.site().stateLimits().smaller(Site.TRY_OUT_NEXT));
+                    around
+                        .state()
+                        .limit(around.site().stateLimits().smaller(ClusterSpec.TRY_OUT_NEXT));
                     result.put(
-                        "limits_lowered_s", TrySite.round(around.clock().seconds() - failedAt));
+                        "limits_lowered_s",
+                        LocalCluster.round(around.clock().seconds() - failedAt));
                   });
         }
         case MODEL -> {
@@ -304,23 +307,23 @@
       missingS += LOOK_S;
       result.remove("replicas_elsewhere_s");
     } else if (missingS > 0) {
-      result.putIfAbsent("replicas_elsewhere_s", TrySite.round(now - failedAt));
+      result.putIfAbsent("replicas_elsewhere_s", LocalCluster.round(now - failedAt));
     }
-    result.put("replicas_missing_s", TrySite.round(missingS));
+    result.put("replicas_missing_s", LocalCluster.round(missingS));
   }
 
   private void lookAtRoll(double now) {
     missingS += replicasMissing() > 0 ? LOOK_S : 0;
-    result.put("replicas_missing_s", TrySite.round(missingS));
+    result.put("replicas_missing_s", LocalCluster.round(missingS));
     boolean risen =
         around.state().value("q/level") instanceof Map<?, ?> level
             && level.get("level") instanceof Number number
             && number.intValue() > 1;
     if (risen && result.containsKey("limits_lowered_s")) {
-      result.put("level_risen_s", TrySite.round(now - failedAt));
+      result.put("level_risen_s", LocalCluster.round(now - failedAt));
       result.put(
           "longest_answer_s",
-          TrySite.round(
+          LocalCluster.round(
               around.users().longest().values().stream()
                   .mapToDouble(each -> each)
                   .max()
@@ -355,18 +358,18 @@
 
   private void measure(double now) {
     double began = kind == Kind.RESTART ? failedAt : since;
-    List<Worker> workers = around.cloud().workers();
+    List<AgentSimulator> workers = around.cloud().workers();
     if (workers.stream().anyMatch(worker -> worker.answeredFrom() > began)) {
-      result.putIfAbsent("first_report_answered_s", TrySite.round(now - failedAt));
+      result.putIfAbsent("first_report_answered_s", LocalCluster.round(now - failedAt));
     }
     if (workersUnanswered() == 0) {
-      result.putIfAbsent("all_workers_s", TrySite.round(now - failedAt));
+      result.putIfAbsent("all_workers_s", LocalCluster.round(now - failedAt));
     }
     if (replicasMissing() == 0 && result.containsKey("all_workers_s")) {
-      result.putIfAbsent("all_replicas_s", TrySite.round(now - failedAt));
+      result.putIfAbsent("all_replicas_s", LocalCluster.round(now - failedAt));
     }
     if (around.users().acceptedAfter().size() > acceptedBefore) {
-      result.putIfAbsent("first_job_accepted_s", TrySite.round(now - failedAt));
+      result.putIfAbsent("first_job_accepted_s", LocalCluster.round(now - failedAt));
     }
   }
 
--- a/src/main/java/org/quincecross/emulator/LateCopies.java
+++ b/src/main/java/org/quincecross/emulator/DuplicatedMessages.java
@@ -11,8 +11,9 @@
  * Some of the machines' reports come a second time: seconds to leases later, or just as the next
  * leader begins.
  */
-final class LateCopies {
-  static final LateCopies NONE = new LateCopies(0, 0, List.of(), new Random(0), null);
+final class DuplicatedMessages {
+  static final DuplicatedMessages NONE =
+      new DuplicatedMessages(0, 0, List.of(), new Random(0), null);
   private static final double LEAST_LATE_S = 1;
   private static final double LOOK_EVERY_S = 0.05;
 
@@ -44,7 +45,7 @@
   private boolean looking;
   private Object before;
 
-  private LateCopies(
+  private DuplicatedMessages(
       double share,
       double latestS,
       List<Endpoint> nodes,
@@ -62,8 +63,9 @@
    * @param latestS copies come 1 s to this much later
    * @param nodes where a copy may come; most come where the report went
    */
-  static LateCopies inTime(double share, double latestS, List<Endpoint> nodes, Random random) {
-    return new LateCopies(share, latestS, nodes, random, null);
+  static DuplicatedMessages inTime(
+      double share, double latestS, List<Endpoint> nodes, Random random) {
+    return new DuplicatedMessages(share, latestS, nodes, random, null);
   }
 
   /**
@@ -72,9 +74,9 @@
    * @param share of the reports, 0 to 1
    * @param leadership says who leads, in which life; null where nobody does
    */
-  static LateCopies forNext(
+  static DuplicatedMessages forNext(
       double share, List<Endpoint> nodes, Random random, Supplier<Object> leadership) {
-    return new LateCopies(share, 0, nodes, random, leadership);
+    return new DuplicatedMessages(share, 0, nodes, random, leadership);
   }
 
   /** Has copies of a request put off, if it is to have any. */
--- a/src/main/java/org/quincecross/emulator/HoldDrill.java
+++ b/src/main/java/org/quincecross/emulator/HoldDrill.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.quincecross.holds.HoldKind;
-import org.quincecross.holds.SweepKind;
 import org.quincecross.http.HttpRequest;
+import org.quincecross.legalhold.LegalHoldKind;
+import org.quincecross.legalhold.SweepKind;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobKind;
@@ -43,7 +43,7 @@
   private static final double PINNED_WITHIN_S = 60;
   private static final double LEVEL_WITHIN_S = 90;
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final List<ControllerProcess> controllers;
   private final Map<String, Object> result;
   private State state = State.WAITS_FOR_LEVEL;
@@ -51,7 +51,8 @@
   private double openedAt;
   private String lane;
 
-  HoldDrill(Surroundings around, List<ControllerProcess> controllers, Map<String, Object> result) {
+  HoldDrill(
+      ClusterEnvironment around, List<ControllerProcess> controllers, Map<String, Object> result) {
     this.around = around;
     this.controllers = controllers;
     this.result = result;
@@ -101,7 +102,7 @@
         enter(State.PINNING);
         ask(
             1,
-            HoldKind.NAME,
+            LegalHoldKind.NAME,
             REFERENCE,
             Json.object("do", "open", "records", List.of(SERIES)),
             () -> {});
@@ -109,7 +110,7 @@
       }
       case PINNING -> {
         if ("PINNED".equals(held())) {
-          result.put("pinned_s", TrySite.round(now - openedAt));
+          result.put("pinned_s", LocalCluster.round(now - openedAt));
           enter(State.PINNED);
         } else if (now - since > PINNED_WITHIN_S) {
           fail(
@@ -129,7 +130,7 @@
           enter(State.CLOSES);
           ask(
               2,
-              HoldKind.NAME,
+              LegalHoldKind.NAME,
               REFERENCE,
               Json.object("do", "close", "opening", 1),
               () -> enter(State.OVER));
@@ -156,7 +157,7 @@
   }
 
   private Object held() {
-    return around.state().value("q/agreed/" + HoldKind.NAME + "/" + REFERENCE)
+    return around.state().value("q/agreed/" + LegalHoldKind.NAME + "/" + REFERENCE)
                 instanceof Map<?, ?> record
             && record.get("state") instanceof Map<?, ?> hold
         ? hold.get("state")
@@ -212,7 +213,7 @@
     around
         .network()
         .call(
-            new Life(),
+            new ProcessScope(),
             "users",
             around.node(node),
             HttpRequest.post("/admin/agreed/" + kind + "/" + id, body),
--- a/src/main/java/org/quincecross/emulator/IdleRoom.java
+++ b/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
@@ -8,26 +8,26 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 
 /**
  * Once all troubles are over, no job is left waiting for 90 s while a machine that fits has room
  * and its team is under its limit. A job waits while some of it is to be done and on no machine,
  * and none of its tasks has started. Looked at each second, as machines are.
  */
-final class IdleRoom {
+final class IdleCapacityInvariant {
   static final double LONGEST_S = 90;
 
   private record Waiting(double since, int started) {}
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Map<JobId, Waiting> waiting = new HashMap<>();
   private final Set<JobId> found = new HashSet<>();
   private boolean isWatching;
 
-  IdleRoom(Surroundings around) {
+  IdleCapacityInvariant(ClusterEnvironment around) {
     this.around = around;
   }
 
@@ -40,7 +40,8 @@
   }
 
   private void look() {
-    List<Worker> open = around.cloud().workers().stream().filter(Worker::takesWork).toList();
+    List<AgentSimulator> open =
+        around.cloud().workers().stream().filter(AgentSimulator::takesWork).toList();
     for (JobId id : List.copyOf(around.users().told().keySet())) {
       if (!around.users().isOpen(id)
           || around.users().isCancelAsked(id)
@@ -62,7 +63,7 @@
   }
 
   /** Whether what is to start next of a job could: one task, or all of a gang. */
-  private boolean hasRoom(Job job, List<Worker> open) {
+  private boolean hasRoom(Job job, List<AgentSimulator> open) {
     int next = 0;
     while (next < job.taskCount()
         && (around.rules().isCompleted(job.id().task(next))
@@ -73,16 +74,21 @@
     Resources left =
         around.site().teams().get(job.team()).limit().minus(around.rules().used(job.team()));
     boolean isBegunGang = job.kind() == JobKind.GANG && around.rules().onMachines(job.id()) > 0;
-    if (next == job.taskCount() || isBegunGang || left.capacityFor(job.taskResources()) < together) {
+    if (next == job.taskCount()
+        || isBegunGang
+        || left.capacityFor(job.taskResources()) < together) {
       return false;
     }
     Map<String, Integer> places = new HashMap<>();
-    for (Worker worker : open) {
+    for (AgentSimulator worker : open) {
       Machine machine = worker.machine();
       if (job.allows(machine.type(), machine.zone(), machine.spot())) {
         places.merge(
             job.singleZone() ? machine.zone() : "any",
-            inZone(job, machine.zone(), worker.capacity().minus(worker.used()).capacityFor(job.taskResources())),
+            inZone(
+                job,
+                machine.zone(),
+                worker.capacity().minus(worker.used()).capacityFor(job.taskResources())),
             Integer::sum);
       }
     }
--- a/src/main/java/org/quincecross/emulator/StateService.java
+++ b/src/main/java/org/quincecross/emulator/KeyValueStoreSimulator.java
@@ -18,17 +18,17 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.net.Limiter;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
+import org.quincecross.net.TokenBucket;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
 
 /**
  * A stand-in for the state service, as its protocol describes it: limits, leases, transactions,
  * watches.
  */
-final class StateService implements Network.Host {
+final class KeyValueStoreSimulator implements Network.Host {
   /** So many changes a watch may lie behind. */
   private static final int KEPT_CHANGES = 10_000;
 
@@ -58,8 +58,8 @@
   private final Clock clock;
   private final Random random;
   private Settings.StoreLimits limits;
-  private Limiter requests;
-  private Limiter writes;
+  private TokenBucket requests;
+  private TokenBucket writes;
   private final TreeMap<String, Value> keys = new TreeMap<>();
   private final ArrayDeque<Event> events = new ArrayDeque<>();
   private final Map<Long, Hold> holds = new HashMap<>();
@@ -72,7 +72,7 @@
   private int tooLarge;
   private boolean out;
   private int lateOneIn;
-  private LateWrites lateWrites = LateWrites.NONE;
+  private DelayedTransactions lateWrites = DelayedTransactions.NONE;
   private final List<Integer> lateOutcomes = new ArrayList<>();
   private double slowLeastS;
   private double slowMostS;
@@ -82,7 +82,7 @@
   private Random slowDraws;
   private int keptChanges = KEPT_CHANGES;
 
-  StateService(Clock clock, Random random, Settings.StoreLimits limits) {
+  KeyValueStoreSimulator(Clock clock, Random random, Settings.StoreLimits limits) {
     this.clock = clock;
     this.random = random;
     limit(limits);
@@ -94,8 +94,8 @@
    */
   void limit(Settings.StoreLimits other) {
     limits = other;
-    requests = new Limiter(limits.requestsPerSecond(), limits.requestsPerSecond(), now());
-    writes = new Limiter(limits.writesPerSecond(), limits.writesPerSecond(), now());
+    requests = new TokenBucket(limits.requestsPerSecond(), limits.requestsPerSecond(), now());
+    writes = new TokenBucket(limits.writesPerSecond(), limits.writesPerSecond(), now());
   }
 
   /** How many transactions were refused for a value or their own size (400). */
@@ -118,7 +118,7 @@
   }
 
   /** Has some transactions carried out late and not answered. */
-  void late(LateWrites late) {
+  void late(DelayedTransactions late) {
     lateWrites = late;
   }
 
@@ -329,7 +329,8 @@
 
   // ---- transactions ----
 
-  private void takeTxn(HttpRequest request, Consumer<HttpResponse> reply) throws MalformedMessageException {
+  private void takeTxn(HttpRequest request, Consumer<HttpResponse> reply)
+      throws MalformedMessageException {
     if (request.body().length > MOST_TXN_BYTES) {
       reply.accept(tooLarge("too much in a transaction"));
       return;
@@ -342,14 +343,14 @@
     }
     double after =
         changes.isEmpty()
-            ? LateWrites.PROMPT
+            ? DelayedTransactions.PROMPT
             : lateWrites.afterS(new String(request.body(), StandardCharsets.UTF_8));
-    if (after == LateWrites.PROMPT && lateOneIn > 0 && random.nextInt(lateOneIn) == 0) {
+    if (after == DelayedTransactions.PROMPT && lateOneIn > 0 && random.nextInt(lateOneIn) == 0) {
       after = 3 + random.nextDouble() * 20;
     }
-    if (after == LateWrites.PROMPT) {
+    if (after == DelayedTransactions.PROMPT) {
       reply.accept(txn(in, changes));
-    } else if (after == LateWrites.AT_ONCE) {
+    } else if (after == DelayedTransactions.AT_ONCE) {
       carryOut(in, changes);
     } else {
       clock.after(after, () -> carryOut(in, changes));
@@ -366,11 +367,14 @@
     }
   }
 
-  private HttpResponse txn(JsonFields in, List<JsonFields> changes) throws MalformedMessageException {
+  private HttpResponse txn(JsonFields in, List<JsonFields> changes)
+      throws MalformedMessageException {
     List<Object> failed = new ArrayList<>();
     List<JsonFields> guards = in.listOrEmpty("Guards").isEmpty() ? List.of() : in.objects("Guards");
     if (changes.size() > limits.maxMutationsPerTransaction()
-        || guards.size() > Settings.StoreLimits.PRECONDITIONS_PER_MUTATION * limits.maxMutationsPerTransaction()) {
+        || guards.size()
+            > Settings.StoreLimits.PRECONDITIONS_PER_MUTATION
+                * limits.maxMutationsPerTransaction()) {
       return tooLarge("too much in a transaction");
     }
     for (JsonFields guard : guards) {
--- a/src/main/java/org/quincecross/emulator/LateCancels.java
+++ b/src/main/java/org/quincecross/emulator/LateCancellations.java
@@ -12,11 +12,11 @@
  * Users who call jobs off when it matters most: at the very end of the last task, or many long ones
  * all at once.
  */
-final class LateCancels {
+final class LateCancellations {
   private static final double WITHIN_S = 0.2;
   private static final int MOST_HANGING = 8;
 
-  private LateCancels() {}
+  private LateCancellations() {}
 
   /**
    * For some seconds that share of the jobs that end is called off when the last task ends.
@@ -24,13 +24,13 @@
    * @param withinS how long after that at the most; 0: at that very moment
    */
   static void atEnd(
-      Surroundings around, double share, double withinS, double seconds, Random random) {
+      ClusterEnvironment around, double share, double withinS, double seconds, Random random) {
     double untilS = around.clock().seconds() + seconds;
     around
         .users()
         .watch(
             (moment, id) -> {
-              if (moment == Users.Moment.LAST_TASK_ENDED
+              if (moment == UserSimulator.Moment.LAST_TASK_ENDED
                   && around.clock().seconds() < untilS
                   && random.nextDouble() < share) {
                 around
@@ -46,7 +46,7 @@
    * @param hangS for how long up to eight of their machines hang; 0: none does
    * @return the jobs
    */
-  static List<JobId> now(Surroundings around, int count, double hangS, Random random) {
+  static List<JobId> now(ClusterEnvironment around, int count, double hangS, Random random) {
     List<JobId> running = new ArrayList<>();
     for (JobId id : around.users().told().keySet()) {
       if (around.users().isOpen(id)
--- a/src/main/java/org/quincecross/emulator/Front.java
+++ b/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
@@ -4,26 +4,26 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * A stand-in for the users' load balancer, for people and scripts that try a site: each request
  * goes to the next controller that says it is well. Jobs that are submitted here are made known to
  * the machines, as their users upload them.
  */
-final class Front implements Network.Host {
+final class LoadBalancerProxy implements Network.Host {
   private static final double PROBE_S = 0.5;
   private static final TimeSpan PROBE_TIMEOUT = TimeSpan.ofSeconds(1);
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(5);
 
-  private final Surroundings around;
-  private final Life life = new Life();
+  private final ClusterEnvironment around;
+  private final ProcessScope life = new ProcessScope();
   private final boolean[] well;
   private int next;
 
-  Front(Surroundings around) {
+  LoadBalancerProxy(ClusterEnvironment around) {
     this.around = around;
     this.well = new boolean[around.site().nodes()];
     probe();
--- a/src/main/java/org/quincecross/emulator/TrySite.java
+++ b/src/main/java/org/quincecross/emulator/LocalCluster.java
@@ -17,18 +17,18 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.stream.Stream;
-import org.quincecross.holds.HoldKind;
+import org.quincecross.legalhold.LegalHoldKind;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobKind;
-import org.quincecross.net.Loop;
-import org.quincecross.rollout.Feature;
-import org.quincecross.rollout.Level;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
+import org.quincecross.net.EventLoop;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.SettingsWriter;
+import org.quincecross.rollout.Feature;
+import org.quincecross.rollout.FeatureLevel;
 
 /**
  * A whole site on this machine: controllers as processes of their own with the deployed options,
@@ -36,9 +36,9 @@
  * users and their load balancer, over real sockets on loopback. Jobs are submitted from a file;
  * with a {@link Drill} something fails. Ends when every job has, or its time is up.
  */
-public final class TrySite {
+public final class LocalCluster {
   /** A roll is shown by what this level changes. */
-  private static final Level ROLL_TO = Feature.ALLOCATION_CHANGES.since();
+  private static final FeatureLevel ROLL_TO = Feature.ALLOCATION_CHANGES.since();
 
   private static final double TICK_S = 0.25;
   private static final double SAY_EVERY_S = 2;
@@ -89,16 +89,16 @@
       boolean live) {}
 
   private final Plan plan;
-  private final Site site;
+  private final ClusterSpec site;
   private final PrintStream out;
-  private final Loop loop = new Loop();
+  private final EventLoop loop = new EventLoop();
   private final Clock clock = new LoopClock(loop);
   private final LoopbackNetwork network;
   private final List<ControllerProcess> controllers = new ArrayList<>();
-  private final List<JobsFile.Due> jobs;
+  private final List<WorkloadFile.Due> jobs;
   private final Path directory;
-  private final Surroundings around;
-  private final Front front;
+  private final ClusterEnvironment around;
+  private final LoadBalancerProxy front;
   private final Drill drill;
   private State state = State.STARTING;
   private double since;
@@ -109,12 +109,12 @@
   /**
    * @throws IOException with one line that says what stands in the way
    */
-  public TrySite(Plan plan, PrintStream out) throws IOException {
+  public LocalCluster(Plan plan, PrintStream out) throws IOException {
     this.plan = plan;
     this.out = out;
-    this.site = Site.tryOut(plan.machines(), plan.drill() != null);
+    this.site = ClusterSpec.tryOut(plan.machines(), plan.drill() != null);
     try {
-      this.jobs = JobsFile.read(plan.jobs() == null ? shipped() : plan.jobs(), site);
+      this.jobs = WorkloadFile.read(plan.jobs() == null ? shipped() : plan.jobs(), site);
     } catch (MalformedMessageException e) {
       throw new IOException("jobs file, " + e.getMessage(), e);
     }
@@ -131,13 +131,14 @@
     }
     network = new LoopbackNetwork(loop, plan.basePort() + MACHINE_PORT);
     for (int node = 0; node < site.nodes(); node++) {
-      network.callerAt(states.get(node), Site.nodeName(node));
+      network.callerAt(states.get(node), ClusterSpec.nodeName(node));
     }
     directory = Files.createTempDirectory("quincecross-try-");
     try {
       around =
-          new Surroundings(site, clock, network, new Random(plan.machines()), nodes, cloud, states);
-      front = new Front(around);
+          new ClusterEnvironment(
+              site, clock, network, new Random(plan.machines()), nodes, cloud, states);
+      front = new LoadBalancerProxy(around);
       network.host(plan.front(), "front", front);
     } catch (UncheckedIOException e) {
       deleteDirectory();
@@ -146,12 +147,12 @@
     List<List<String>> before = new ArrayList<>();
     List<List<String>> after = new ArrayList<>();
     for (int node = 0; node < site.nodes(); node++) {
-      Path settings = directory.resolve(Site.nodeName(node) + ".json");
+      Path settings = directory.resolve(ClusterSpec.nodeName(node) + ".json");
       Files.write(
           settings,
           SettingsWriter.write(
               site.settings(node, nodes, peers, cloud, states.get(node)),
-              plan.drill() == Drill.Kind.ROLL ? Site.TRY_OUT_NEXT : null));
+              plan.drill() == Drill.Kind.ROLL ? ClusterSpec.TRY_OUT_NEXT : null));
       String run = plan.run() == null ? ControllerProcess.plainRun(plan.jar()) : plan.run();
       List<String> command = ControllerProcess.command(run, settings);
       if (plan.drill() == Drill.Kind.ROLL) {
@@ -168,11 +169,11 @@
       } else if (plan.drill() == Drill.Kind.MODEL) {
         command =
             ControllerProcess.withFeatures(
-                command, features(command, "models", Level.NEWEST.number()));
+                command, features(command, "models", FeatureLevel.NEWEST.number()));
       }
       controllers.add(
           new ControllerProcess(
-              command, plan.home(), directory.resolve(Site.nodeName(node) + ".log")));
+              command, plan.home(), directory.resolve(ClusterSpec.nodeName(node) + ".log")));
     }
     drill =
         plan.drill() == null ? null : new Drill(plan.drill(), around, controllers, before, after);
@@ -208,7 +209,7 @@
       JsonFields known = Json.parseFields(Files.readAllBytes(file));
       Map<String, Object> features = new LinkedHashMap<>();
       known.fieldNames().forEach(name -> features.put(name, known.raw(name)));
-      features.put("agreed", Json.object(HoldKind.NAME, Json.object()));
+      features.put("agreed", Json.object(LegalHoldKind.NAME, Json.object()));
       return Files.write(file, Json.write(features));
     } catch (MalformedMessageException e) {
       throw new IOException(file + ": " + e.getMessage(), e);
@@ -224,7 +225,7 @@
   }
 
   private static String shipped() throws IOException {
-    try (var in = TrySite.class.getResourceAsStream("sample-jobs.toml")) {
+    try (var in = LocalCluster.class.getResourceAsStream("sample-jobs.toml")) {
       return new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
     }
   }
@@ -358,7 +359,7 @@
 
   /** Jobs that wait for others are asked for only once all controllers of a roll are new. */
   private void submit() {
-    List<JobsFile.Due> later =
+    List<WorkloadFile.Due> later =
         jobs.stream()
             .filter(due -> plan.drill() == Drill.Kind.ROLL && !due.job().dependencies().isEmpty())
             .toList();
@@ -374,7 +375,10 @@
     StringBuilder why = new StringBuilder();
     for (int node = 0; node < controllers.size(); node++) {
       if (controllers.get(node).state() == ControllerProcess.State.DOWN) {
-        why.append(Site.nodeName(node)).append(" has ended: ").append(lastLine(node)).append(' ');
+        why.append(ClusterSpec.nodeName(node))
+            .append(" has ended: ")
+            .append(lastLine(node))
+            .append(' ');
       }
     }
     return why.length() == 0
@@ -384,7 +388,8 @@
 
   private String lastLine(int node) {
     try {
-      List<String> lines = Files.readAllLines(directory.resolve(Site.nodeName(node) + ".log"));
+      List<String> lines =
+          Files.readAllLines(directory.resolve(ClusterSpec.nodeName(node) + ".log"));
       return lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1);
     } catch (IOException e) {
       return "its log cannot be read";
@@ -403,14 +408,14 @@
   /** The arrays and gangs that have not ended. */
   private List<Job> openWork() {
     return jobs.stream()
-        .map(JobsFile.Due::job)
+        .map(WorkloadFile.Due::job)
         .filter(job -> job.kind() != JobKind.SERVICE && !isOver(job.id()))
         .toList();
   }
 
   private List<JobId> services() {
     return jobs.stream()
-        .map(JobsFile.Due::job)
+        .map(WorkloadFile.Due::job)
         .filter(
             job ->
                 job.kind() == JobKind.SERVICE
@@ -458,7 +463,7 @@
 
   private int summary() {
     List<String> unfinished = new ArrayList<>();
-    for (JobsFile.Due due : jobs) {
+    for (WorkloadFile.Due due : jobs) {
       String told = around.users().told().get(due.job().id());
       String wanted = due.job().kind() == JobKind.SERVICE ? "cancelled" : "done";
       if (!wanted.equals(told)) {
@@ -507,7 +512,7 @@
             OverloadDays.served(around.served().classes(around.now())));
     List<JobId> dependent =
         jobs.stream()
-            .map(JobsFile.Due::job)
+            .map(WorkloadFile.Due::job)
             .filter(job -> !job.dependencies().isEmpty())
             .map(Job::id)
             .toList();
@@ -526,7 +531,7 @@
       nodes.add(
           Json.object(
               "controller",
-              Site.nodeName(node),
+              ClusterSpec.nodeName(node),
               "starts",
               controllers.get(node).starts(),
               "resident_mb",
--- a/src/main/java/org/quincecross/emulator/LoopClock.java
+++ b/src/main/java/org/quincecross/emulator/LoopClock.java
@@ -1,15 +1,15 @@
 package org.quincecross.emulator;
 
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.net.Loop;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.net.EventLoop;
 
 /** The time of a selector loop: stand-ins that live in it run beside its sockets, on its thread. */
 final class LoopClock implements Clock {
-  private final Loop loop;
+  private final EventLoop loop;
   private final MonotonicTime began;
 
-  LoopClock(Loop loop) {
+  LoopClock(EventLoop loop) {
     this.loop = loop;
     this.began = loop.now();
   }
--- a/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
+++ b/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
@@ -8,10 +8,10 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.TimeSpan;
+import org.quincecross.net.EventLoop;
 import org.quincecross.net.HttpClient;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.HttpServer;
-import org.quincecross.net.Loop;
 
 /**
  * Real sockets on loopback. Each host listens at a port of its own and each caller has connections
@@ -21,13 +21,13 @@
   private static final String LOOPBACK = "127.0.0.1";
   private static final int MOST_CONNECTIONS = 4000;
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final int firstMachinePort;
   private final Map<Endpoint, String> callers = new HashMap<>();
   private final Map<Endpoint, HttpServer> servers = new HashMap<>();
   private final Map<String, HttpClient> clients = new HashMap<>();
 
-  LoopbackNetwork(Loop loop, int firstMachinePort) {
+  LoopbackNetwork(EventLoop loop, int firstMachinePort) {
     this.loop = loop;
     this.firstMachinePort = firstMachinePort;
   }
@@ -81,7 +81,7 @@
 
   @Override
   public void call(
-      Life caller,
+      ProcessScope caller,
       String from,
       Endpoint to,
       HttpRequest request,
--- a/src/main/java/org/quincecross/emulator/OddRequests.java
+++ b/src/main/java/org/quincecross/emulator/MalformedRequests.java
@@ -17,7 +17,7 @@
  * Whatever goes on, each gets the answer that the protocol has, or is to come again; and nothing
  * comes of it.
  */
-final class OddRequests {
+final class MalformedRequests {
   /** Refused for now, or not answered. */
   private static final Set<Integer> LATER = Set.of(0, 429, 503, 504);
 
@@ -43,13 +43,14 @@
     }
   }
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Random random;
   private final double everyS;
   private final double untilS;
   private int number = FIRST_NUMBER;
 
-  private OddRequests(Surroundings around, Random random, double everyS, double seconds) {
+  private MalformedRequests(
+      ClusterEnvironment around, Random random, double everyS, double seconds) {
     this.around = around;
     this.random = random;
     this.everyS = everyS;
@@ -57,8 +58,8 @@
   }
 
   /** From now on one such request in so many seconds, for some time. */
-  static void begin(Surroundings around, double everyS, double seconds, Random random) {
-    new OddRequests(around, random, everyS, seconds).next();
+  static void begin(ClusterEnvironment around, double everyS, double seconds, Random random) {
+    new MalformedRequests(around, random, everyS, seconds).next();
   }
 
   private void next() {
@@ -80,15 +81,15 @@
             });
     int node = random.nextInt(around.site().nodes());
     switch (random.nextInt(4)) {
-      case 0 -> some(open, node, Users.Asks.AGAIN);
-      case 1 -> some(done, node, Users.Asks.CANCEL);
+      case 0 -> some(open, node, UserSimulator.Asks.AGAIN);
+      case 1 -> some(done, node, UserSimulator.Asks.CANCEL);
       case 2 -> unknown(new JobId("job-" + (FIRST_NUMBER + random.nextInt(1000))));
       default -> bad(Bad.values()[random.nextInt(Bad.values().length)]);
     }
     around.clock().after(everyS * (0.5 + random.nextDouble()), this::next);
   }
 
-  private void some(List<JobId> jobs, int node, Users.Asks what) {
+  private void some(List<JobId> jobs, int node, UserSimulator.Asks what) {
     if (!jobs.isEmpty()) {
       around.users().once(node, what, jobs.get(random.nextInt(jobs.size())));
     }
--- a/src/main/java/org/quincecross/emulator/Measurement.java
+++ b/src/main/java/org/quincecross/emulator/Measurement.java
@@ -28,7 +28,7 @@
 
   private final Kind kind;
   private final int machines;
-  private final World world;
+  private final SimulatedCluster world;
   private final Meter meter = new Meter(true);
   private double lasted;
 
@@ -39,12 +39,12 @@
     this.kind = kind;
     this.machines = machines;
     this.world =
-        new World(
-            kind == Kind.FLEET ? Site.fleet(machines) : Site.mixed(machines),
+        new SimulatedCluster(
+            kind == Kind.FLEET ? ClusterSpec.fleet(machines) : ClusterSpec.mixed(machines),
             seed,
             meter,
             features);
-    Load load = new Load(world.around(), seed);
+    WorkloadGenerator load = new WorkloadGenerator(world.around(), seed);
     world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
     world
         .time()
@@ -82,13 +82,13 @@
       {"POST /vN/…", "a submission"},
       {"answer /follow", "records followed"},
       {"timer Leader", "a plan of the leader"},
-      {"timer Fleet", "a look at the fleet"},
-      {"timer Holdings", "a look at the blocks held"},
+      {"timer Autoscaler", "a look at the fleet"},
+      {"timer OwnedShards", "a look at the blocks held"},
       {"peer report", "a peer's report"},
       {"timer Controller", "telling the peers"},
       {"answer /orders", "a worker's answer to a command"},
       {"answer /hosts", "the cloud's list"},
-      {"timer Stalls", "a look for stalled jobs"},
+      {"timer StallDetector", "a look for stalled jobs"},
       {"answer /txn", "a transaction's answer"},
       {"answer /keys", "a page of records"},
       {"start", "a start"}
--- a/src/main/java/org/quincecross/emulator/Meter.java
+++ b/src/main/java/org/quincecross/emulator/Meter.java
@@ -3,7 +3,7 @@
 import java.lang.management.ManagementFactory;
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.net.Watched;
+import org.quincecross.net.InstrumentedTimers;
 
 /**
  * What controllers cost, by what they were called for: how often, processor time, bytes allocated.
@@ -55,7 +55,7 @@
       action.run();
       return;
     }
-    Runnable named = action instanceof Watched.Step step ? step.action() : action;
+    Runnable named = action instanceof InstrumentedTimers.Step step ? step.action() : action;
     String name = named.getClass().getName();
     int lambda = name.indexOf("$$");
     String owner = lambda < 0 ? name : name.substring(0, lambda);
--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -8,13 +8,13 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.rollout.Feature;
 import org.quincecross.protocol.Json;
+import org.quincecross.rollout.Feature;
 
 /**
  * A model that comes from zero twice, once cold and once with its weights in the caches, wanted at
@@ -49,7 +49,7 @@
   private static final double EACH_WITHIN_S = 60;
   private static final double KILLED_AFTER_S = 0.3;
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final List<ControllerProcess> controllers;
   private final Map<String, Object> result;
   private final Runnable over;
@@ -62,7 +62,7 @@
    * @param result where what is measured is written; {@code over}: told at the end
    */
   ModelDrill(
-      Surroundings around,
+      ClusterEnvironment around,
       List<ControllerProcess> controllers,
       Map<String, Object> result,
       Runnable over) {
@@ -160,7 +160,7 @@
       case COLD -> {
         wakeEverywhere();
         if (serves()) {
-          result.put("cold_ready_s", TrySite.round(now - since));
+          result.put("cold_ready_s", LocalCluster.round(now - since));
           result.put("cold_starts", around.coldStarts().starts());
           result.put("cold_fetches", around.coldStarts().fetches());
           enter(Phase.IDLE);
@@ -168,7 +168,7 @@
       }
       case IDLE -> {
         if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
-          result.put("back_at_zero_s", TrySite.round(now - since));
+          result.put("back_at_zero_s", LocalCluster.round(now - since));
           enter(Phase.CACHED);
           around.clock().after(KILLED_AFTER_S, this::killLeader);
         }
@@ -176,7 +176,7 @@
       case CACHED -> {
         wakeEverywhere();
         if (serves()) {
-          result.put("cached_ready_s", TrySite.round(now - since));
+          result.put("cached_ready_s", LocalCluster.round(now - since));
           end(Phase.OVER);
         }
       }
@@ -218,7 +218,7 @@
     around
         .network()
         .call(
-            new Life(),
+            new ProcessScope(),
             "operators",
             around.node(node),
             HttpRequest.post("/admin/models/" + NAME + what, Json.write(body)),
@@ -229,7 +229,9 @@
   private void killLeader() {
     Object leads = around.state().value("q/leads");
     String leader =
-        leads instanceof Map<?, ?> record ? String.valueOf(record.get("member")) : Site.nodeName(0);
+        leads instanceof Map<?, ?> record
+            ? String.valueOf(record.get("member"))
+            : ClusterSpec.nodeName(0);
     int node = around.nodeNamed("\"" + leader + "\"");
     try {
       controllers.get(Math.max(0, node)).kill();
--- a/src/main/java/org/quincecross/emulator/Network.java
+++ b/src/main/java/org/quincecross/emulator/Network.java
@@ -42,7 +42,7 @@
    * caller is dead.
    */
   void call(
-      Life caller,
+      ProcessScope caller,
       String from,
       Endpoint to,
       HttpRequest request,
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import org.quincecross.accounting.JobAccounting;
+import org.quincecross.accounting.LargestJobs;
+import org.quincecross.accounting.ServiceLevels;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.served.Largest;
-import org.quincecross.served.Served;
-import org.quincecross.served.ServedBooks;
 import org.quincecross.protocol.Features;
 
 /**
@@ -34,10 +34,10 @@
    */
   public record Result(
       long seed,
-      Map<ServedBooks.Group, Served> groups,
-      Map<String, Served> teams,
-      Map<String, Served> classes,
-      Map<String, List<Largest>> largest,
+      Map<JobAccounting.Group, ServiceLevels> groups,
+      Map<String, ServiceLevels> teams,
+      Map<String, ServiceLevels> classes,
+      Map<String, List<LargestJobs>> largest,
       double bound,
       double usedShare,
       int rulesBroken,
@@ -47,7 +47,7 @@
     public double leastOfLargest() {
       return largest.values().stream()
           .flatMap(List::stream)
-          .mapToDouble(Largest::servedShare)
+          .mapToDouble(LargestJobs::servedShare)
           .min()
           .orElse(1);
     }
@@ -56,7 +56,7 @@
     public double largestInTime() {
       return largest.values().stream()
           .flatMap(List::stream)
-          .mapToDouble(Largest::inTimeShare)
+          .mapToDouble(LargestJobs::inTimeShare)
           .min()
           .orElse(1);
     }
@@ -65,19 +65,19 @@
     public double longestS() {
       return largest.values().stream()
           .flatMap(List::stream)
-          .mapToDouble(Largest::longestS)
+          .mapToDouble(LargestJobs::longestS)
           .max()
           .orElse(0);
     }
 
     /** The least share of what was due that any class got, by each aim and by starts. */
     public double leastOfClasses() {
-      return classes.values().stream().mapToDouble(Served::least).min().orElse(1);
+      return classes.values().stream().mapToDouble(ServiceLevels::least).min().orElse(1);
     }
 
     /** The same of teams. */
     public double leastOfTeams() {
-      return teams.values().stream().mapToDouble(Served::least).min().orElse(1);
+      return teams.values().stream().mapToDouble(ServiceLevels::least).min().orElse(1);
     }
 
     /**
@@ -86,8 +86,8 @@
      */
     public double leastInTime() {
       double least = 1;
-      for (Served served : classes.values()) {
-        for (Served.Met met : served.aims()) {
+      for (ServiceLevels served : classes.values()) {
+        for (ServiceLevels.Met met : served.aims()) {
           if (met.aim().startsWith("deadline")) {
             least = Math.min(least, met.share());
             break;
@@ -98,24 +98,25 @@
     }
   }
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Random random;
-  private final Load load;
+  private final WorkloadGenerator load;
   private final List<Resources> capacity = new ArrayList<>();
   private final List<Resources> used = new ArrayList<>();
   private final long seed;
 
   public OverloadDay(Measurement.Kind kind, int machines, long seed, Features features) {
-    Site site = kind == Measurement.Kind.FLEET ? Site.fleet(machines) : Site.mixed(machines);
+    ClusterSpec site =
+        kind == Measurement.Kind.FLEET ? ClusterSpec.fleet(machines) : ClusterSpec.mixed(machines);
     this.seed = seed;
     this.random = new Random(seed);
-    this.world = new World(site, seed, Meter.OFF, features);
-    this.load = new Load(world.around(), seed);
+    this.world = new SimulatedCluster(site, seed, Meter.OFF, features);
+    this.load = new WorkloadGenerator(world.around(), seed);
     world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
     sample();
     int troubles = 1 + random.nextInt(3);
     for (int i = 0; i < troubles; i++) {
-      Site.JobClass burst = site.classes().get(random.nextInt(site.classes().size()));
+      ClusterSpec.JobClass burst = site.classes().get(random.nextInt(site.classes().size()));
       double factor = 2 + 3 * random.nextDouble();
       double lasts = 40 + 60 * random.nextDouble();
       world.time().at(70 + 90 * random.nextDouble(), () -> load.burst(burst.name(), factor, lasts));
@@ -148,7 +149,7 @@
             capacity.isEmpty() ? SLICE_S / 2 : SLICE_S,
             () -> {
               Resources up = Resources.NONE;
-              for (Worker worker : world.cloud().workers()) {
+              for (AgentSimulator worker : world.cloud().workers()) {
                 up = up.plus(worker.capacity());
               }
               capacity.add(up.minus(world.rules().standing()));
@@ -164,7 +165,7 @@
   /** Plays the day to its end. */
   public Result play() {
     world.time().runUntil(LASTS_S);
-    ServedBooks served = world.around().served();
+    JobAccounting served = world.around().served();
     return new Result(
         seed,
         served.groups(world.around().now()),
@@ -183,7 +184,7 @@
 
   /** Of every job that should end in time, what it takes, and from when until when. */
   private double bound() {
-    List<Bound.Wanted> wanted = new ArrayList<>();
+    List<UpperBound.Wanted> wanted = new ArrayList<>();
     for (Map.Entry<JobId, Double> submitted : world.users().submittedAt().entrySet()) {
       Job job = world.job(submitted.getKey());
       if (job.kind() == JobKind.SERVICE || job.deadline() == null) {
@@ -191,12 +192,12 @@
       }
       double runs = world.around().tasks().secondsOf(job);
       wanted.add(
-          new Bound.Wanted(
+          new UpperBound.Wanted(
               job.jobClass(),
               submitted.getValue(),
               submitted.getValue() + job.deadline().seconds(),
               job.taskResources().times(job.taskCount() * runs)));
     }
-    return new Bound(SLICE_S, capacity, wanted).leastShare();
+    return new UpperBound(SLICE_S, capacity, wanted).leastShare();
   }
 }
--- a/src/main/java/org/quincecross/emulator/OverloadDays.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDays.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.LongStream;
-import org.quincecross.served.Largest;
-import org.quincecross.served.Served;
-import org.quincecross.served.Sizes;
+import org.quincecross.accounting.JobSizeHistogram;
+import org.quincecross.accounting.LargestJobs;
+import org.quincecross.accounting.ServiceLevels;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.Json;
 
@@ -66,8 +66,8 @@
         Locale.ROOT,
         "longest until one of a class's largest quarter began: %.0f s; on %d days within %.0f s%n%n",
         results.stream().mapToDouble(OverloadDay.Result::longestS).max().orElse(0),
-        results.stream().filter(result -> result.longestS() <= Sizes.BEGIN_S).count(),
-        Sizes.BEGIN_S);
+        results.stream().filter(result -> result.longestS() <= JobSizeHistogram.BEGIN_S).count(),
+        JobSizeHistogram.BEGIN_S);
     if (results.size() == 1) {
       table(out, results.get(0));
     } else {
@@ -167,7 +167,7 @@
                             part.longestS())));
   }
 
-  private static void line(PrintStream out, String name, Served served) {
+  private static void line(PrintStream out, String name, ServiceLevels served) {
     List<String> aims = new ArrayList<>();
     served
         .aims()
@@ -211,7 +211,7 @@
   }
 
   /** How the largest jobs of each class fared, as JSON has it. */
-  static Map<String, Object> largest(Map<String, List<Largest>> all) {
+  static Map<String, Object> largest(Map<String, List<LargestJobs>> all) {
     Map<String, Object> written = Json.object();
     all.forEach(
         (name, parts) ->
@@ -238,7 +238,7 @@
   }
 
   /** What each class or team got, as JSON has it. */
-  static Map<String, Object> served(Map<String, Served> all) {
+  static Map<String, Object> served(Map<String, ServiceLevels> all) {
     Map<String, Object> written = Json.object();
     all.forEach(
         (name, served) -> {
--- a/src/main/java/org/quincecross/emulator/Polls.java
+++ b/src/main/java/org/quincecross/emulator/PollLiveness.java
@@ -11,7 +11,7 @@
  * When each accepted job's questions were answered: a job about which none is for 75 s, once all
  * troubles are over, is forgotten.
  */
-final class Polls {
+final class PollLiveness {
   static final double FORGOTTEN_AFTER_S = 75;
 
   /** The last answer, and the longest time without any that has ended. */
@@ -24,7 +24,7 @@
   private final Clock clock;
   private final Map<JobId, Asked> jobs = new HashMap<>();
 
-  Polls(Clock clock) {
+  PollLiveness(Clock clock) {
     this.clock = clock;
   }
 
--- a/src/main/java/org/quincecross/emulator/Life.java
+++ b/src/main/java/org/quincecross/emulator/ProcessScope.java
@@ -1,7 +1,7 @@
 package org.quincecross.emulator;
 
 /** Something that lives and dies: what it has put off dies with it. */
-final class Life {
+final class ProcessScope {
   private boolean alive = true;
   private double standsStillUntil;
 
--- a/src/main/java/org/quincecross/emulator/Rules.java
+++ b/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
@@ -8,16 +8,16 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 
 /** Watches over the rules of the protocol, at a cost in proportion to what happens. */
-final class Rules {
-  private final Surroundings around;
+final class ProtocolInvariants {
+  private final ClusterEnvironment around;
   private final Map<TaskId, Map<MachineId, Machine>> on = new HashMap<>();
   private final Map<JobId, Map<String, Integer>> zones = new HashMap<>();
   private final Map<String, Resources> used = new HashMap<>();
@@ -32,7 +32,7 @@
   private Resources standing = Resources.NONE;
   private int starts;
 
-  Rules(Surroundings around) {
+  ProtocolInvariants(ClusterEnvironment around) {
     this.around = around;
   }
 
@@ -118,7 +118,7 @@
       around.served().done(task.job(), around.now());
       around.pipelines().completed(task.job());
       if (isNew) {
-        around.users().happens(Users.Moment.LAST_TASK_ENDED, task.job());
+        around.users().happens(UserSimulator.Moment.LAST_TASK_ENDED, task.job());
       }
     }
   }
@@ -227,7 +227,8 @@
         breaks("went_back", id + " was not cancelled by its user");
       }
     }
-    if (state.equals("done") && done.getOrDefault(id, Set.of()).size() < around.job(id).taskCount()) {
+    if (state.equals("done")
+        && done.getOrDefault(id, Set.of()).size() < around.job(id).taskCount()) {
       breaks("not_done", id);
     }
   }
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -15,13 +15,13 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MachineType;
 import org.quincecross.model.JobKind;
+import org.quincecross.model.MachineType;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Level;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.Json;
+import org.quincecross.rollout.Build;
+import org.quincecross.rollout.FeatureLevel;
 
 /**
  * What room kept for requests costs, in virtual time: a fleet's day on which every class but the
@@ -78,13 +78,13 @@
       Map<String, Histogram> waitsMs) {}
 
   private final double share;
-  private final World world;
+  private final SimulatedCluster world;
   private final Map<JobId, String> waiting = new HashMap<>();
   private final Set<JobId> known = new HashSet<>();
   private final Set<JobId> ofRequests = new HashSet<>();
   private final Map<String, Histogram> waits = new TreeMap<>();
   private final int requests;
-  private final Site.JobClass front;
+  private final ClusterSpec.JobClass front;
   private double price;
   private int reserved;
   private int answeredAmiss;
@@ -92,16 +92,16 @@
 
   private RequestDay(int machines, long seed, double share, double mostShare) {
     this.share = share;
-    Site site = Site.fleet(machines);
+    ClusterSpec site = ClusterSpec.fleet(machines);
     world =
-        new World(
+        new SimulatedCluster(
             site,
             seed,
             Meter.OFF,
             new Features(
                 null,
                 null,
-                Build.present("requests", Level.NEWEST.number()),
+                Build.present("requests", FeatureLevel.NEWEST.number()),
                 Map.of("requests", Map.of("share", SHARE))));
     front =
         site.classes().stream()
@@ -115,7 +115,7 @@
                 1,
                 Math.round(
                     mostShare * machines * type.capacity().capacityFor(front.each()) / TASKS_EACH));
-    Load load = new Load(world.around(), seed);
+    WorkloadGenerator load = new WorkloadGenerator(world.around(), seed);
     world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
     world
         .time()
@@ -184,14 +184,15 @@
    * the cloud have.
    */
   private void grow() {
-    Site site = world.site();
+    ClusterSpec site = world.site();
     String team =
         site.teams().values().stream()
             .filter(each -> !each.name().equals(front.name()))
             .max(Comparator.comparing(each -> each.limit().cpus()))
             .orElseThrow()
             .name();
-    int tasks = site.mostMachines() * site.types().get(0).capacity().capacityFor(front.each()) / GROWS_IN;
+    int tasks =
+        site.mostMachines() * site.types().get(0).capacity().capacityFor(front.each()) / GROWS_IN;
     world
         .users()
         .submit(
@@ -279,9 +280,12 @@
               }
               return started;
             });
-    for (Worker worker : world.cloud().workers()) {
+    for (AgentSimulator worker : world.cloud().workers()) {
       MachineType type = world.site().type(worker.machine().type());
-      price += (worker.machine().spot() ? type.hourlySpotPrice() : type.hourlyPrice()) * LOOK_EVERY_S / 3600;
+      price +=
+          (worker.machine().spot() ? type.hourlySpotPrice() : type.hourlyPrice())
+              * LOOK_EVERY_S
+              / 3600;
     }
     world.time().after(LOOK_EVERY_S, this::look);
   }
--- a/src/main/java/org/quincecross/emulator/World.java
+++ b/src/main/java/org/quincecross/emulator/SimulatedCluster.java
@@ -18,25 +18,25 @@
 import org.quincecross.api.PeerSender;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.Team;
-import org.quincecross.rollout.Build;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.Build;
 
 /**
  * A whole deployment in virtual time, on one thread: controllers as they are, everything around
  * them a stand-in.
  */
-final class World {
+final class SimulatedCluster {
   private static final Endpoint STATE = new Endpoint("10.2.0.1", 2379);
   private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 8443);
 
@@ -44,12 +44,12 @@
   static final double EPOCH_S = 1_000_000;
 
   private final VirtualTime time = new VirtualTime();
-  private final Site site;
+  private final ClusterSpec site;
   private final BiConsumer<Integer, Controller> prepare;
   private final Features[] features;
   private final Random random;
-  private final VirtualNet net;
-  private final Surroundings around;
+  private final VirtualNetwork net;
+  private final ClusterEnvironment around;
   private final Meter meter;
   private final List<Endpoint> nodes;
   private final Map<Integer, Map<String, Team>> toldTeams = new HashMap<>();
@@ -64,7 +64,7 @@
   private Trap trap;
   private double clockAheadS = EPOCH_S;
   private final Map<String, Double> longestAnswers = new TreeMap<>();
-  private final Life[] lives;
+  private final ProcessScope[] lives;
   private final Controller[] controllers;
 
   /** Connections between controllers that something was sent on while the other side was silent. */
@@ -77,27 +77,27 @@
    * A small site with odd machines and a state service that now and then applies a transaction
    * late.
    */
-  World(long seed) {
-    this(Site.small(), seed, Meter.OFF);
+  SimulatedCluster(long seed) {
+    this(ClusterSpec.small(), seed, Meter.OFF);
     state().applyLate(60);
   }
 
-  World(Site site, long seed, Meter meter) {
+  SimulatedCluster(ClusterSpec site, long seed, Meter meter) {
     this(site, seed, meter, Features.NONE);
   }
 
   /**
    * @param features what is switched on in all controllers
    */
-  World(Site site, long seed, Meter meter, Features features) {
+  SimulatedCluster(ClusterSpec site, long seed, Meter meter, Features features) {
     this(site, seed, meter, features, (node, controller) -> {});
   }
 
   /**
    * @param prepare done with each controller, by its number, before it is started
    */
-  World(
-      Site site,
+  SimulatedCluster(
+      ClusterSpec site,
       long seed,
       Meter meter,
       Features features,
@@ -108,15 +108,15 @@
     Arrays.fill(this.features, features);
     this.meter = meter;
     random = new Random(seed);
-    net = new VirtualNet(time, random);
+    net = new VirtualNetwork(time, random);
     nodes =
         IntStream.range(0, site.nodes())
             .mapToObj(node -> new Endpoint("10.0.0." + (node + 1), 8080))
             .toList();
-    lives = new Life[site.nodes()];
+    lives = new ProcessScope[site.nodes()];
     controllers = new Controller[site.nodes()];
     around =
-        new Surroundings(
+        new ClusterEnvironment(
             site, time, net, random, nodes, CLOUD, Collections.nCopies(site.nodes(), STATE));
     net.watchStarts(this::checkStarts);
     for (int node = 0; node < site.nodes(); node++) {
@@ -150,7 +150,7 @@
     net.observe(observer);
   }
 
-  Site site() {
+  ClusterSpec site() {
     return site;
   }
 
@@ -158,11 +158,11 @@
     return time;
   }
 
-  Surroundings around() {
+  ClusterEnvironment around() {
     return around;
   }
 
-  Rules rules() {
+  ProtocolInvariants rules() {
     return around.rules();
   }
 
@@ -170,15 +170,15 @@
     return random;
   }
 
-  StateService state() {
+  KeyValueStoreSimulator state() {
     return around.state();
   }
 
-  Cloud cloud() {
+  CloudSimulator cloud() {
     return around.cloud();
   }
 
-  Users users() {
+  UserSimulator users() {
     return around.users();
   }
 
@@ -199,7 +199,7 @@
   private void hostNode(int node) {
     net.host(
         nodes.get(node),
-        Site.nodeName(node),
+        ClusterSpec.nodeName(node),
         new Network.Host() {
           @Override
           public boolean isUp() {
@@ -208,7 +208,7 @@
 
           @Override
           public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
-            Life life = lives[node];
+            ProcessScope life = lives[node];
             String kind = request.method() + " " + kind(request.path());
             double begun = time.seconds();
             time.whenAwake(
@@ -252,9 +252,9 @@
           .end(); // where two troubles had it started anew, the second start takes the first one's
       // place
     }
-    Life life = new Life();
+    ProcessScope life = new ProcessScope();
     lives[node] = life;
-    String name = Site.nodeName(node);
+    String name = ClusterSpec.nodeName(node);
     controllers[node] =
         new Controller(
             time.timersOf(
@@ -334,8 +334,8 @@
    * started anew without.
    */
   void silence(int node, double seconds, boolean keepsMemory) {
-    net.silence(Site.nodeName(node), time.seconds() + seconds);
-    hangsUntil.put(Site.nodeName(node), time.seconds() + 2 * seconds);
+    net.silence(ClusterSpec.nodeName(node), time.seconds() + seconds);
+    hangsUntil.put(ClusterSpec.nodeName(node), time.seconds() + 2 * seconds);
     if (!keepsMemory) {
       down(node, seconds);
     }
@@ -481,8 +481,8 @@
   void copyLate(double share, Random draws) {
     net.copyLate(
         share == 0
-            ? LateCopies.NONE
-            : LateCopies.inTime(share, 3 * site.workers().lease().seconds(), nodes, draws));
+            ? DuplicatedMessages.NONE
+            : DuplicatedMessages.inTime(share, 3 * site.workers().lease().seconds(), nodes, draws));
   }
 
   /**
@@ -491,7 +491,9 @@
    */
   void keepForNextLeader(double share, Random draws) {
     net.copyLate(
-        share == 0 ? LateCopies.NONE : LateCopies.forNext(share, nodes, draws, this::leadership));
+        share == 0
+            ? DuplicatedMessages.NONE
+            : DuplicatedMessages.forNext(share, nodes, draws, this::leadership));
   }
 
   /** Who leads by the records, in which life; null where nobody does. */
@@ -508,7 +510,7 @@
    * held up for 0.5 s to so long.
    */
   void holdMessages(double share, double longestS, Random draws) {
-    net.hold(new HeldMessages(share, longestS, draws));
+    net.hold(new DelayedMessages(share, longestS, draws));
   }
 
   /** Connections between a controller and the others are refused for a while. */
@@ -516,7 +518,9 @@
     for (int other = 0; other < nodeCount(); other++) {
       if (other != node) {
         refusedUntil.merge(
-            Set.of(Site.nodeName(node), Site.nodeName(other)), time.seconds() + seconds, Math::max);
+            Set.of(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other)),
+            time.seconds() + seconds,
+            Math::max);
       }
     }
   }
@@ -529,14 +533,14 @@
    */
   void lone(int node, double seconds, boolean lose) {
     if (lose) {
-      cut(Site.nodeName(node), "state", seconds, true);
+      cut(ClusterSpec.nodeName(node), "state", seconds, true);
       for (int other = 0; other < nodeCount(); other++) {
         if (other != node) {
-          cut(Site.nodeName(node), Site.nodeName(other), seconds, true);
+          cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, true);
         }
       }
     } else {
-      state().refuse(Site.nodeName(node), seconds);
+      state().refuse(ClusterSpec.nodeName(node), seconds);
       refuseLinks(node, seconds);
     }
   }
--- a/src/main/java/org/quincecross/emulator/SmallJobs.java
+++ b/src/main/java/org/quincecross/emulator/SmallJobs.java
@@ -3,9 +3,9 @@
 import java.util.Random;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 /**
@@ -25,7 +25,7 @@
    * @param cancelShare of them that is called off within some seconds, 0 to 1
    */
   static void begin(
-      World world,
+      SimulatedCluster world,
       double aSecond,
       double cancelShare,
       double fromS,
--- a/src/main/java/org/quincecross/emulator/Tasks.java
+++ b/src/main/java/org/quincecross/emulator/TaskSimulator.java
@@ -10,16 +10,16 @@
 /**
  * What tasks do, wherever they are: how far they are, and how the tasks of a gang find one another.
  */
-final class Tasks {
+final class TaskSimulator {
   private record Start(TaskId task, long attempt) {}
 
-  private final Users users;
-  private final Rules rules;
+  private final UserSimulator users;
+  private final ProtocolInvariants rules;
   private final Map<TaskId, Double> saved = new HashMap<>();
   private final Map<TaskId, Double> more = new HashMap<>();
-  private final Map<Start, Worker> gangs = new HashMap<>();
+  private final Map<Start, AgentSimulator> gangs = new HashMap<>();
 
-  Tasks(Users users, Rules rules) {
+  TaskSimulator(UserSimulator users, ProtocolInvariants rules) {
     this.users = users;
     this.rules = rules;
   }
@@ -60,14 +60,14 @@
    * A task of a gang waits for the others: if all do, they start together, at the pace of the
    * slowest machine.
    */
-  void gangGathers(Job job, TaskId task, long attempt, Worker place) {
+  void gangGathers(Job job, TaskId task, long attempt, AgentSimulator place) {
     gangs.put(new Start(task, attempt), place);
-    List<Worker> places = new ArrayList<>();
+    List<AgentSimulator> places = new ArrayList<>();
     double seconds = 0;
     double speed = Double.MAX_VALUE;
     for (int i = 0; i < job.taskCount(); i++) {
       TaskId each = job.id().task(i);
-      Worker worker = gangs.get(new Start(each, attempt));
+      AgentSimulator worker = gangs.get(new Start(each, attempt));
       if (worker == null || !worker.gathers(each, attempt)) {
         return;
       }
@@ -85,7 +85,7 @@
     for (int i = 0; i < job.taskCount(); i++) {
       TaskId task = job.id().task(i);
       rules.completed(task);
-      Worker worker = gangs.get(new Start(task, attempt));
+      AgentSimulator worker = gangs.get(new Start(task, attempt));
       if (worker != null) {
         worker.complete(task, attempt);
       }
@@ -94,7 +94,7 @@
 
   void gangLost(Job job, long attempt) {
     for (int i = 0; i < job.taskCount(); i++) {
-      Worker worker = gangs.get(new Start(job.id().task(i), attempt));
+      AgentSimulator worker = gangs.get(new Start(job.id().task(i), attempt));
       if (worker != null) {
         worker.gangLost(job.id().task(i), attempt);
       }
--- a/src/main/java/org/quincecross/emulator/Bound.java
+++ b/src/main/java/org/quincecross/emulator/UpperBound.java
@@ -24,7 +24,7 @@
  * and none may be as good: work is a fluid, known in advance, that flows into any machine without
  * images, and a job that is half done counts half.
  */
-final class Bound {
+final class UpperBound {
   private static final int RESOURCES = 3;
   private static final int MOST_ITERATIONS = 200_000;
 
@@ -57,7 +57,7 @@
    * @param sliceS how long a slice is, in seconds
    * @param capacity what machines had beside services, in each slice
    */
-  Bound(double sliceS, List<Resources> capacity, Collection<Wanted> wanted) {
+  UpperBound(double sliceS, List<Resources> capacity, Collection<Wanted> wanted) {
     this.sliceS = sliceS;
     this.capacity = capacity;
     Map<String, List<Wanted>> alike = new LinkedHashMap<>();
--- a/src/main/java/org/quincecross/emulator/Users.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -12,20 +12,20 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Those who submit jobs, ask for them and cancel some, each over a connection to one of the
  * controllers.
  */
-final class Users {
+final class UserSimulator {
   /** Beyond one chunk of the records of done tasks. */
   private static final int MANY_TASKS = 4500;
 
@@ -54,7 +54,7 @@
   /** Of the nodes, whichever is drawn, or the load balancer's. */
   private static final int ANY = -1;
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final Random random;
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final Map<JobId, String> told = new TreeMap<>();
@@ -65,15 +65,15 @@
   private final Map<String, Integer> answers = new TreeMap<>();
   private final Map<String, Double> longest = new TreeMap<>();
   private final Map<JobId, Integer> mistakes = new TreeMap<>();
-  private final Polls polls;
+  private final PollLiveness polls;
   private final List<BiConsumer<Moment, JobId>> watchers = new ArrayList<>();
   private double pollsFaster = 1;
   private Balancer balancer;
 
-  Users(Surroundings around) {
+  UserSimulator(ClusterEnvironment around) {
     this.around = around;
     this.random = around.random();
-    this.polls = new Polls(around.clock());
+    this.polls = new PollLiveness(around.clock());
   }
 
   /**
@@ -86,7 +86,7 @@
   }
 
   /** When questions were put and answered, job by job. */
-  Polls polls() {
+  PollLiveness polls() {
     return polls;
   }
 
@@ -312,7 +312,9 @@
   /** Submits a job of any kind; some are cancelled later, services all. */
   void submit(int number) {
     JobKind shape =
-        random.nextInt(4) == 0 ? JobKind.SERVICE : random.nextInt(5) == 0 ? JobKind.GANG : JobKind.ARRAY;
+        random.nextInt(4) == 0
+            ? JobKind.SERVICE
+            : random.nextInt(5) == 0 ? JobKind.GANG : JobKind.ARRAY;
     boolean wide = shape == JobKind.GANG && random.nextInt(3) == 0;
     int tasks =
         shape == JobKind.ARRAY
@@ -460,7 +462,7 @@
       around
           .network()
           .call(
-              new Life(),
+              new ProcessScope(),
               "users",
               around.node(node == ANY ? random.nextInt(around.site().nodes()) : node),
               request,
--- a/src/main/java/org/quincecross/emulator/VirtualNet.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNetwork.java
@@ -13,7 +13,7 @@
 import org.quincecross.net.HttpOutcome;
 
 /** A network that delays, and that holds or loses what goes over a cut. */
-final class VirtualNet implements Network {
+final class VirtualNetwork implements Network {
   private final VirtualTime time;
   private final Random random;
   private final Map<Endpoint, Host> hosts = new HashMap<>();
@@ -32,10 +32,10 @@
   private Consumer<byte[]> startWatcher = body -> {};
 
   private MessageObserver observer = MessageObserver.NONE;
-  private LateCopies copies = LateCopies.NONE;
-  private HeldMessages held = HeldMessages.NONE;
+  private DuplicatedMessages copies = DuplicatedMessages.NONE;
+  private DelayedMessages held = DelayedMessages.NONE;
 
-  VirtualNet(VirtualTime time, Random random) {
+  VirtualNetwork(VirtualTime time, Random random) {
     this.time = time;
     this.random = random;
   }
@@ -79,12 +79,12 @@
   }
 
   /** From now on some reports come a second time, later. */
-  void copyLate(LateCopies late) {
+  void copyLate(DuplicatedMessages late) {
     copies = late;
   }
 
   /** From now on some messages between controllers and machines are held up. */
-  void hold(HeldMessages messages) {
+  void hold(DelayedMessages messages) {
     held = messages;
   }
 
@@ -195,7 +195,7 @@
    */
   @Override
   public void call(
-      Life caller,
+      ProcessScope caller,
       String from,
       Endpoint to,
       HttpRequest request,
--- a/src/main/java/org/quincecross/emulator/VirtualTime.java
+++ b/src/main/java/org/quincecross/emulator/VirtualTime.java
@@ -1,8 +1,8 @@
 package org.quincecross.emulator;
 
 import java.util.PriorityQueue;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 
 /** Time that passes only when something is to happen. */
@@ -41,7 +41,7 @@
   }
 
   /** Runs something in a process: not once it is dead, and later while it stands still. */
-  void whenAwake(Life life, Runnable action) {
+  void whenAwake(ProcessScope life, Runnable action) {
     double still = life.standsStillFor(seconds());
     if (still > 0) {
       // A rest of less than the clock's step would be waited for without the time moving on.
@@ -52,7 +52,7 @@
   }
 
   /** The timers of a process; its clock starts somewhere of its own and runs at {@code rate}. */
-  Timers timersOf(Life life, long offset, double rate, Meter meter) {
+  Timers timersOf(ProcessScope life, long offset, double rate, Meter meter) {
     return new Timers() {
       @Override
       public MonotonicTime now() {
--- a/src/main/java/org/quincecross/emulator/JobsFile.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadFile.java
@@ -8,9 +8,9 @@
 import java.util.stream.Collectors;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 import org.tomlj.Toml;
@@ -23,7 +23,7 @@
  * The jobs that a site is to be tried with, as a TOML file has them. What is wrong is told by line
  * and field.
  */
-final class JobsFile {
+final class WorkloadFile {
   private static final Map<String, JobKind> SHAPES =
       Map.of("array", JobKind.ARRAY, "gang", JobKind.GANG, "service", JobKind.SERVICE);
   private static final Map<String, Priority> RANKS =
@@ -65,12 +65,12 @@
 
   /** A job and when it is submitted, at the earliest: those that it names are accepted before. */
   record Due(double atS, Job job) {
-    Pipelines.Step step() {
-      return new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED);
+    DependentJobs.Step step() {
+      return new DependentJobs.Step(job, DependentJobs.Submitted.ONCE_ACCEPTED);
     }
   }
 
-  private final Site site;
+  private final ClusterSpec site;
   private final List<Due> due = new ArrayList<>();
 
   /**
@@ -78,7 +78,7 @@
    */
   private final Map<String, List<JobId>> named = new HashMap<>();
 
-  private JobsFile(Site site) {
+  private WorkloadFile(ClusterSpec site) {
     this.site = site;
   }
 
@@ -87,7 +87,7 @@
    *
    * @throws MalformedMessageException with the line and the field that are wrong
    */
-  static List<Due> read(String text, Site site) throws MalformedMessageException {
+  static List<Due> read(String text, ClusterSpec site) throws MalformedMessageException {
     TomlParseResult toml = Toml.parse(text);
     if (toml.hasErrors()) {
       throw new MalformedMessageException(
@@ -107,7 +107,7 @@
         || !jobs.toList().stream().allMatch(TomlTable.class::isInstance)) {
       throw new MalformedMessageException("line 1: no [[jobs]]");
     }
-    JobsFile file = new JobsFile(site);
+    WorkloadFile file = new WorkloadFile(site);
     for (int i = 0; i < jobs.size(); i++) {
       file.take(jobs.getTable(i), jobs.inputPositionOf(i));
     }
@@ -128,7 +128,7 @@
   private record Item(TomlTable table, TomlPosition begins) {
     MalformedMessageException wrong(String field, String what) {
       TomlPosition at = table.inputPositionOf(List.of(field));
-      return JobsFile.wrong(at == null ? begins : at, field, what);
+      return WorkloadFile.wrong(at == null ? begins : at, field, what);
     }
 
     String text(String field, String otherwise) throws MalformedMessageException {
--- a/src/main/java/org/quincecross/emulator/Load.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
@@ -12,15 +12,15 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
+import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
 
 /**
  * The jobs that a site's classes name, submitted as they come: Poisson arrivals, log-normal sizes
  * and run times, images by Zipf's law. Open loop: users do not wait for one another.
  */
-final class Load {
+final class WorkloadGenerator {
   private static final int FIRST_NUMBER = 100_000;
   private static final int FIRST_OF_PIPELINES = 10_000_000;
 
@@ -32,12 +32,12 @@
 
   private static final double ZIPF = 0.9;
 
-  private final Surroundings around;
+  private final ClusterEnvironment around;
   private final UniformRandomProvider random;
   private final ContinuousSampler nearOne;
   private int number = FIRST_NUMBER;
 
-  Load(Surroundings around, long seed) {
+  WorkloadGenerator(ClusterEnvironment around, long seed) {
     this.around = around;
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     this.nearOne = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), 0, SIGMA);
@@ -45,7 +45,7 @@
 
   /** Submits what is there at the start, spread over some seconds, and what comes after that. */
   void begin(double overSeconds) {
-    for (Site.JobClass each : around.site().classes()) {
+    for (ClusterSpec.JobClass each : around.site().classes()) {
       DiscreteSampler images = RejectionInversionZipfSampler.of(random, each.images(), ZIPF);
       for (int i = 0; i < each.initial(); i++) {
         around
@@ -83,7 +83,7 @@
         .after(
             gaps.sample(),
             () -> {
-              for (Pipelines.Step step : draws.draw(earlier)) {
+              for (DependentJobs.Step step : draws.draw(earlier)) {
                 earlier.add(step.job().id());
                 around.pipelines().submit(step);
               }
@@ -94,7 +94,7 @@
   /** From now on for some time jobs of a class come several times as often. */
   void burst(String jobClass, double factor, double seconds) {
     double until = around.clock().seconds() + seconds;
-    for (Site.JobClass each : around.site().classes()) {
+    for (ClusterSpec.JobClass each : around.site().classes()) {
       if (each.name().equals(jobClass) && each.perMinute() > 0 && factor > 1) {
         more(
             each,
@@ -106,7 +106,7 @@
   }
 
   private void more(
-      Site.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double until) {
+      ClusterSpec.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double until) {
     double gap = gaps.sample();
     if (around.clock().seconds() + gap < until) {
       around
@@ -120,7 +120,7 @@
     }
   }
 
-  private void submit(Site.JobClass each, DiscreteSampler images) {
+  private void submit(ClusterSpec.JobClass each, DiscreteSampler images) {
     Job job = draw(each, images);
     around.users().submit(job);
     if (job.kind() == JobKind.SERVICE) {
@@ -129,7 +129,7 @@
   }
 
   private void arrive(
-      Site.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double inSeconds) {
+      ClusterSpec.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double inSeconds) {
     around
         .clock()
         .after(
@@ -140,7 +140,7 @@
             });
   }
 
-  private Job draw(Site.JobClass each, DiscreteSampler images) {
+  private Job draw(ClusterSpec.JobClass each, DiscreteSampler images) {
     String[] teams = around.site().teams().keySet().toArray(String[]::new);
     String team =
         around.site().teams().containsKey(each.name())
--- a/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
@@ -1,9 +1,9 @@
 package org.quincecross.failuredetection;
 
 import java.util.Collection;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.FencingToken;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Whether a controller without word from the state service is alone in that, and so had better send
--- a/src/main/java/org/quincecross/failuredetection/LinkMonitor.java
+++ b/src/main/java/org/quincecross/failuredetection/LinkMonitor.java
@@ -1,7 +1,7 @@
 package org.quincecross.failuredetection;
 
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Whether what is sent to another controller arrives there, as its receipts tell.
--- a/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
@@ -1,7 +1,7 @@
 package org.quincecross.failuredetection;
 
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Whether a machine that speaks also hears, as its reports tell the controller that answers them.
--- a/src/main/java/org/quincecross/failuredetection/PauseDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/PauseDetector.java
@@ -1,7 +1,7 @@
 package org.quincecross.failuredetection;
 
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Whether this process has stood still while its clocks ran on, and has not yet looked about since.
--- a/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
+++ b/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.quincecross.model.ControllerId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Which controllers hear the machines of which zones, as far as blocks that were taken from them
--- a/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
+++ b/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
@@ -1,8 +1,8 @@
 package org.quincecross.failuredetection;
 
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.FencingToken;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Tells news of one machine from late copies of what it said before, for the holder of its block.
--- a/src/main/java/org/quincecross/failuredetection/StartPermission.java
+++ b/src/main/java/org/quincecross/failuredetection/StartPermission.java
@@ -4,22 +4,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.Incarnation;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 
 /**
  * Whether a holder may start what is allocated to it: whether nobody can have been told yet of a
  * cancellation that it has not noted.
  *
- * <p><b>Rule.</b> It may within D - M ({@link UnconfirmedOwnershipBound#starts}) of its last word from the
- * state service, and as well while each other controller that the settings name has shown, in a
- * report that was made within the last D - M, a revision of the records no later than the holder's
- * own. When a report came proves nothing, packets may be held back for minutes. But one with a
- * receipt for a report that left here at s was made after s, by any clock, and s is a time of the
- * clock here (docs/incidents/started-without-word.md).
+ * <p><b>Rule.</b> It may within D - M ({@link UnconfirmedOwnershipBound#starts}) of its last word
+ * from the state service, and as well while each other controller that the settings name has shown,
+ * in a report that was made within the last D - M, a revision of the records no later than the
+ * holder's own. When a report came proves nothing, packets may be held back for minutes. But one
+ * with a receipt for a report that left here at s was made after s, by any clock, and s is a time
+ * of the clock here (docs/incidents/started-without-word.md).
  *
  * <p><b>Proof</b> of the second part. A cancellation that the holder has not noted is of a revision
  * x later than its own. Let the controller that tells it have shown revision r, not later than the
@@ -27,8 +27,8 @@
  *
  * <ul>
  *   <li>The life that made the report had not seen x when it made it, for revisions never fall in a
- *       life. So it saw x first after s, and tells it by rule 3 of {@link UnconfirmedOwnershipBound} after s
- *       + D &ge; now + M: the start has left before.
+ *       life. So it saw x first after s, and tells it by rule 3 of {@link
+ *       UnconfirmedOwnershipBound} after s + D &ge; now + M: the start has left before.
  *   <li>A later life reads the records when it begins, after s, and waits for D from then.
  *   <li>A former life cannot have told it: what is told is durable, and the life that made the
  *       report read the records after that, so its r is x or later. A life that has not read them
--- a/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
+++ b/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
@@ -35,8 +35,8 @@
  *       So a task goes on without an answer being taken, for L at most; or its start was held up
  *       beyond an answer that was taken after t. Of one held up for {@code HELD_UP} at most all is
  *       over by t + {@code HELD_UP} + L; for one that is held up longer the machine is answered no
- *       more in time ({@code block.UnacknowledgedResponses}, with the proof). Whoever succeeds that holder,
- *       also after a crash, knows of the cancellation before it begins.
+ *       more in time ({@code block.UnacknowledgedResponses}, with the proof). Whoever succeeds that
+ *       holder, also after a crash, knows of the cancellation before it begins.
  *   <li>By 1, a task leaves the records once it is proven to be on no machine, and what is
  *       allocated later is allocated to a holder that has seen the cancellation first.
  * </ul>
@@ -53,7 +53,8 @@
  * @param toldAfter D: how long after it was seen first a cancellation may be told in any case
  * @param notingSuffices whether it may be told sooner, once all holders have noted it
  */
-public record UnconfirmedOwnershipBound(TimeSpan unconfirmed, TimeSpan toldAfter, boolean notingSuffices) {
+public record UnconfirmedOwnershipBound(
+    TimeSpan unconfirmed, TimeSpan toldAfter, boolean notingSuffices) {
   private static final double LEAST_TOLD_AFTER_S = 8;
   private static final double LONGEST_TOLD_AFTER_S = 45;
   private static final double LEAST_UNCONFIRMED_S = 5;
--- a/src/main/java/org/quincecross/leader/AdmissionExtensions.java
+++ b/src/main/java/org/quincecross/leader/AdmissionExtensions.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import org.quincecross.model.ShardId;
-import org.quincecross.model.Resources;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Team;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.scheduling.Admission;
-import org.quincecross.scheduling.JobDemand;
 import org.quincecross.scheduling.Headroom;
+import org.quincecross.scheduling.JobDemand;
 
 /**
  * The parts that have a say in what a leader allocates, where they are switched on; without them a
@@ -44,7 +44,9 @@
 
   /** Admits what can be admitted; returns what machines are to be rented for. */
   List<Admission.Unmet> admit(
-      List<Admission.Block> blocks, Map<ShardId, List<Headroom>> reserves, List<JobDemand> waiting) {
+      List<Admission.Block> blocks,
+      Map<ShardId, List<Headroom>> reserves,
+      List<JobDemand> waiting) {
     List<Admission.Unmet> unmet =
         models == null
             ? new Admission(blocks, teams.get(), teamUse.get(), reserves).run(waiting)
--- a/src/main/java/org/quincecross/leader/AllocationIndex.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -11,16 +11,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.replicated.StartBlock;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.JobRecord;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.ShardLease;
 
 /**
  * What the ledger comes to for admission: which tasks each block holds, what each job has out and
@@ -272,7 +272,8 @@
         .forEach(
             (id, tasks) -> {
               Account account = accounts.get(id);
-              int open = account == null ? 0 : tasks.size() - tasks.intersectionSize(account.done());
+              int open =
+                  account == null ? 0 : tasks.size() - tasks.intersectionSize(account.done());
               if (open > 0) {
                 action.of(account.job(), tasks, open);
               }
@@ -305,7 +306,10 @@
     int stale = 0;
     for (Map.Entry<JobId, TaskSet> entry : allocated.getOrDefault(block, Map.of()).entrySet()) {
       Account account = accounts.get(entry.getKey());
-      stale += account == null ? entry.getValue().size() : entry.getValue().intersectionSize(account.done());
+      stale +=
+          account == null
+              ? entry.getValue().size()
+              : entry.getValue().intersectionSize(account.done());
     }
     return stale;
   }
--- a/src/main/java/org/quincecross/leader/AllocationWriter.java
+++ b/src/main/java/org/quincecross/leader/AllocationWriter.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
+import org.quincecross.protocol.Json;
 import org.quincecross.rollout.Feature;
 import org.quincecross.state.Allocation;
 import org.quincecross.state.AllocationDelta;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.protocol.Json;
 
 /**
  * Writes which tasks a block has: whole, or from level 2 on what has changed since it was last
--- a/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
+++ b/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
@@ -3,15 +3,15 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.quincecross.replicated.ReplicatedRecord;
-import org.quincecross.replicated.RecordId;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.protocol.Json;
 import org.quincecross.replicated.AuditEntry;
 import org.quincecross.replicated.AuditPage;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
-import org.quincecross.state.ReplicatedRecordIndex;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.ReplicatedRecord;
 import org.quincecross.state.ClusterStateCache;
-import org.quincecross.protocol.Json;
+import org.quincecross.state.ReplicatedRecordIndex;
 
 /**
  * Moves what the trails of agreed records have grown to onto pages, now and then: the leader alone
@@ -112,7 +112,8 @@
     return fit;
   }
 
-  private static <S> boolean isLong(ReplicatedRecordIndex<S, ?> book, ReplicatedRecord<S> kept, TransactionBuilder plan) {
+  private static <S> boolean isLong(
+      ReplicatedRecordIndex<S, ?> book, ReplicatedRecord<S> kept, TransactionBuilder plan) {
     return kept.trail().size() >= MOST_LINES
         || (!kept.trail().isEmpty()
             && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue());
--- a/src/main/java/org/quincecross/leader/Autoscaler.java
+++ b/src/main/java/org/quincecross/leader/Autoscaler.java
@@ -15,20 +15,20 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerHeartbeat;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.Settings;
 import org.quincecross.scheduling.Admission;
 import org.quincecross.scheduling.Headroom;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.DemandForecast;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.DemandForecast;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.protocol.CloudCodec;
-import org.quincecross.protocol.Settings;
+import org.quincecross.state.ShardLease;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -119,7 +119,8 @@
       Supplier<OperatorSettings> operators) {
     this.timers = timers;
     this.cloud =
-        new CloudClient(timers, http, settings.cloudAddress(), settings.cloudLimits().requestsPerSecond());
+        new CloudClient(
+            timers, http, settings.cloudAddress(), settings.cloudLimits().requestsPerSecond());
     this.ledger = ledger;
     this.settings = settings;
     this.foresight = foresight;
@@ -245,7 +246,8 @@
     readPage(null, new TreeMap<>(), now);
   }
 
-  private void readPage(MachineId after, Map<MachineId, CloudCodec.Listed> all, MonotonicTime begun) {
+  private void readPage(
+      MachineId after, Map<MachineId, CloudCodec.Listed> all, MonotonicTime begun) {
     cloud.list(
         after,
         page -> {
@@ -516,7 +518,8 @@
     void promise(String type, Resources used) {
       Resources each = foresight.urgentTask();
       free.merge(type, used.times(-1), Resources::plus);
-      slots.merge(type, each.cpus() > 0 ? -(int) Math.ceil(used.dominantShareOf(each)) : 0, Integer::sum);
+      slots.merge(
+          type, each.cpus() > 0 ? -(int) Math.ceil(used.dominantShareOf(each)) : 0, Integer::sum);
     }
 
     /** Whether as many whole machines stay without this one as are kept for large work. */
@@ -545,7 +548,8 @@
   /** Whether a machine takes so much longer to boot than others that nobody counts on it. */
   private boolean isLate(Booting machine) {
     MachineType type = ledger.types().get(machine.kind().type());
-    return type != null && timers.now().since(machine.since()).isLongerThan(type.bootTime().times(2));
+    return type != null
+        && timers.now().since(machine.since()).isLongerThan(type.bootTime().times(2));
   }
 
   /**
--- a/src/main/java/org/quincecross/leader/CloudClient.java
+++ b/src/main/java/org/quincecross/leader/CloudClient.java
@@ -11,11 +11,11 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.net.Limiter;
 import org.quincecross.net.Timers;
-import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.net.TokenBucket;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,13 +28,13 @@
   private final Timers timers;
   private final HttpCaller http;
   private final Endpoint cloud;
-  private final Limiter limiter;
+  private final TokenBucket limiter;
 
   CloudClient(Timers timers, HttpCaller http, Endpoint cloud, double requestsPerS) {
     this.timers = timers;
     this.http = http;
     this.cloud = cloud;
-    this.limiter = new Limiter(requestsPerS * 0.8, requestsPerS, timers.now());
+    this.limiter = new TokenBucket(requestsPerS * 0.8, requestsPerS, timers.now());
   }
 
   /** Whether a request may go out now; if so, it counts as sent. */
--- a/src/main/java/org/quincecross/leader/CompletionWriter.java
+++ b/src/main/java/org/quincecross/leader/CompletionWriter.java
@@ -8,18 +8,18 @@
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
 import org.quincecross.model.JobId;
-import org.quincecross.model.JobPhase;
 import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.JobPhase;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerViews;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.CompletedTasks;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
 
 /**
  * Makes completions durable, gathered so that they cost few changes.
@@ -43,7 +43,12 @@
   /**
    * @param clockMs tells the time of day
    */
-  CompletionWriter(Timers timers, ClusterStateCache ledger, PeerViews views, AllocationIndex books, LongSupplier clockMs) {
+  CompletionWriter(
+      Timers timers,
+      ClusterStateCache ledger,
+      PeerViews views,
+      AllocationIndex books,
+      LongSupplier clockMs) {
     this.timers = timers;
     this.ledger = ledger;
     this.views = views;
@@ -83,7 +88,8 @@
    * Writes the done tasks of unfinished jobs: most share pages, so that one change serves many
    * jobs.
    */
-  private void planParts(TransactionBuilder plan, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
+  private void planParts(
+      TransactionBuilder plan, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
     Map<Integer, Page> pages = new TreeMap<>();
     Map<JobId, Integer> home = new HashMap<>();
     ledger
--- a/src/main/java/org/quincecross/leader/CurrentPeerViews.java
+++ b/src/main/java/org/quincecross/leader/CurrentPeerViews.java
@@ -4,8 +4,8 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ShardLease;
 
 /** What the controllers have told lately: older word of a block is no ground for a decision. */
 final class CurrentPeerViews {
--- a/src/main/java/org/quincecross/leader/FeatureLevelController.java
+++ b/src/main/java/org/quincecross/leader/FeatureLevelController.java
@@ -6,22 +6,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.ControllerId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ShardId;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.protocol.Settings;
 import org.quincecross.rollout.Feature;
-import org.quincecross.rollout.Level;
+import org.quincecross.rollout.FeatureLevel;
 import org.quincecross.rollout.Rollout;
-import org.quincecross.state.StoreKeys;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.FeatureLevelRecord;
 import org.quincecross.state.Membership;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
-import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
-import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.state.StoreKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -85,15 +85,17 @@
         .values()
         .forEach(
             member -> alive.put(member.member(), new Rollout.Alive(member.build(), member.life())));
-    Level most =
-        operators.mostLevel() == 0 ? new Level(Level.MOST) : new Level(operators.mostLevel());
-    Level inForce = ledger.level().level();
+    FeatureLevel most =
+        operators.mostLevel() == 0
+            ? new FeatureLevel(FeatureLevel.MOST)
+            : new FeatureLevel(operators.mostLevel());
+    FeatureLevel inForce = ledger.level().level();
     int onlyHere = onlyReadableAt(inForce);
     return new Rollout.Site(inForce, expected, alive, most, 0, onlyHere);
   }
 
   /** How many records the level before this one could not read. */
-  private int onlyReadableAt(Level level) {
+  private int onlyReadableAt(FeatureLevel level) {
     if (level.equals(Feature.ALLOCATION_CHANGES.since())) {
       return ledger.changedAllocations().size();
     }
@@ -118,7 +120,10 @@
     members.add(settings.self());
     settings.peers().forEach(sibling -> members.add(sibling.member()));
     members.forEach(
-        member -> guards.add(new Precondition(StoreKeys.member(member), ledger.version(StoreKeys.member(member)))));
+        member ->
+            guards.add(
+                new Precondition(
+                    StoreKeys.member(member), ledger.version(StoreKeys.member(member)))));
     String otherPlace = ClusterStateCache.leaderKey(decision.to());
     if (!otherPlace.equals(ledger.leaderKey())) {
       guards.add(new Precondition(otherPlace, ledger.version(otherPlace)));
@@ -130,13 +135,15 @@
     List<Mutation> changes = new ArrayList<>();
     changes.add(Mutation.put(StoreKeys.LEVEL, FeatureLevelRecord.write(decision.to())));
     changes.add(
-        new Mutation(ClusterStateCache.leaderKey(decision.to()), membership.record(), membership.life()));
+        new Mutation(
+            ClusterStateCache.leaderKey(decision.to()), membership.record(), membership.life()));
     boolean moves = Feature.LEADERSHIP_MOVED.isIn(decision.to());
     if (moves && !Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
       // Builds from before levels see that somebody leads, and never do so themselves.
       changes.add(
           Mutation.put(
-              StoreKeys.LEADER, Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
+              StoreKeys.LEADER,
+              Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
     } else if (!moves && Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
       changes.add(Mutation.delete(StoreKeys.LEADS));
     }
