--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -12,43 +12,43 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
-import org.quincecross.replicated.StartBlock;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.overload.Overload;
-import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.rollout.Terms;
+import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.protocol.Settings;
+import org.quincecross.replicated.StartBlock;
+import org.quincecross.rollout.AnnouncedLimits;
 import org.quincecross.scheduling.Admission;
 import org.quincecross.scheduling.Headroom;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.StateWatcher;
-import org.quincecross.state.DemandForecast;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.StoreKeys;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ControllerRecord;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.KeyValueStoreClient;
 import org.quincecross.state.Membership;
 import org.quincecross.state.ModelIndex;
-import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.StoreKeys;
 import org.quincecross.state.TransactionResult;
-import org.quincecross.protocol.Settings;
-import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
-import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -173,7 +173,9 @@
     this.levels = new FeatureLevelController(ledger, settings, membership);
     this.bounds = new TransactionLimits(settings.storeLimits());
     this.allocations = new AllocationWriter(ledger, levels::isLowering);
-    this.leases = new ShardLeaseManager(timers, ledger, settings, fleet, foresight, books, fresh, allocations);
+    this.leases =
+        new ShardLeaseManager(
+            timers, ledger, settings, fleet, foresight, books, fresh, allocations);
     this.results = new CompletionWriter(timers, ledger, views, books, clockMs);
     this.overload = overload;
     this.demands = new PendingDemand(ledger, settings, books, clockMs, overload, this::running);
@@ -319,7 +321,7 @@
    * lowest.
    */
   private Map<String, Team> teams() {
-    return Terms.lowest(settings.teams(), ledger.terms().values());
+    return AnnouncedLimits.lowest(settings.teams(), ledger.terms().values());
   }
 
   /**
@@ -347,7 +349,8 @@
     MonotonicTime at =
         now.plus(
             new TimeSpan(
-                Math.max(TimeSpan.ofMillis(10).nanos(), spacing.nanos() - now.since(planned).nanos())));
+                Math.max(
+                    TimeSpan.ofMillis(10).nanos(), spacing.nanos() - now.since(planned).nanos())));
     if (stepAt == null || at.isBefore(stepAt)) {
       stepAt = at;
       timers.after(
@@ -565,7 +568,8 @@
 
   // ---- allocations ----
 
-  private void planAllocations(TransactionBuilder plan, Set<ShardId> leased, Map<JobId, TaskSet> completed) {
+  private void planAllocations(
+      TransactionBuilder plan, Set<ShardId> leased, Map<JobId, TaskSet> completed) {
     refreshAdmissionBlocks(completed);
     keepers.look(timers.now());
     List<Admission.Block> blocks = new ArrayList<>();
@@ -662,7 +666,10 @@
           (job, tasks, open) -> {
             TaskSet done = completed.get(job.id());
             block.count(
-                job, open, open - (done == null ? 0 : tasks.intersectionSize(done)), settings.isBestEffort(job));
+                job,
+                open,
+                open - (done == null ? 0 : tasks.intersectionSize(done)),
+                settings.isBestEffort(job));
           });
       admissionBlocks.put(id, block);
       if (books.stale(id) > MOST_STALE) {
--- a/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
-import org.quincecross.holds.Hold;
-import org.quincecross.holds.HoldCommand;
-import org.quincecross.holds.Listing;
+import org.quincecross.legalhold.LegalHold;
+import org.quincecross.legalhold.LegalHoldCommand;
+import org.quincecross.legalhold.Listing;
 import org.quincecross.model.JobId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore.Ask;
@@ -54,7 +54,8 @@
   /**
    * @param leading whether this controller leads
    */
-  public LegalHoldReconciler(ReplicatedFeatureContext base, LegalHoldStartBlock held, BooleanSupplier leading) {
+  public LegalHoldReconciler(
+      ReplicatedFeatureContext base, LegalHoldStartBlock held, BooleanSupplier leading) {
     this.base = base;
     this.held = held;
     this.leading = leading;
@@ -88,8 +89,8 @@
 
   /** Makes the next step of a hold, if there is one now. */
   private void step(String reference) {
-    ReplicatedRecordIndex.Held<Hold> record = held.holds().get(reference);
-    Hold hold = record == null ? null : record.state();
+    ReplicatedRecordIndex.Held<LegalHold> record = held.holds().get(reference);
+    LegalHold hold = record == null ? null : record.state();
     if (hold == null || !hold.isOpen()) {
       open.remove(reference);
       toNote.remove(reference);
@@ -99,18 +100,23 @@
     switch (hold.state()) {
       case FUTURE -> {
         if (hold.isDue(held.at())) {
-          ask(reference, new HoldCommand.Due(hold.opening()));
+          ask(reference, new LegalHoldCommand.Due(hold.opening()));
         }
       }
       case PINNING -> pin(reference, record);
       case PINNED -> {
         Map<JobId, TaskSet> touching = held.touching(hold);
-        TerminationProof.Proof proof = TerminationProof.of(base.ledger(), touching, record.version());
+        TerminationProof.Proof proof =
+            TerminationProof.of(base.ledger(), touching, record.version());
         Map<JobId, TaskSet> out =
-            proof.state() == TerminationProof.State.HELD ? together(proof) : held.disturbed(reference);
+            proof.state() == TerminationProof.State.HELD
+                ? together(proof)
+                : held.disturbed(reference);
         if (!out.isEmpty()) {
           // A claim or a lane was told after these had begun.
-          ask(reference, new HoldCommand.Widened(hold.opening(), hold.scope(), firstPart(out)));
+          ask(
+              reference,
+              new LegalHoldCommand.Widened(hold.opening(), hold.scope(), firstPart(out)));
         } else if (proof.isProven()) {
           open.remove(reference);
           if (Listing.what(held.keptBack(touching)) != hold.kept()) {
@@ -122,9 +128,9 @@
     }
   }
 
-  private void pin(String reference, ReplicatedRecordIndex.Held<Hold> record) {
-    Hold hold = record.state();
-    List<HoldCommand.Note> notes = touchedNotes(reference, hold);
+  private void pin(String reference, ReplicatedRecordIndex.Held<LegalHold> record) {
+    LegalHold hold = record.state();
+    List<LegalHoldCommand.Note> notes = touchedNotes(reference, hold);
     if (hold.notes() < notes.size()) {
       ask(reference, notes.get(hold.notes()));
       return;
@@ -135,7 +141,7 @@
       Map<JobId, TaskSet> kept = held.keptBack(touching);
       ask(
           reference,
-          new HoldCommand.Pinned(
+          new LegalHoldCommand.Pinned(
               hold.opening(),
               hold.scope(),
               proof.revision().number(),
@@ -148,28 +154,30 @@
    * What touched the records just before. Numbered alike by whoever leads, from what each saw when
    * the hold came into force.
    */
-  private List<HoldCommand.Note> touchedNotes(String reference, Hold hold) {
+  private List<LegalHoldCommand.Note> touchedNotes(String reference, LegalHold hold) {
     LegalHoldStartBlock.Touched touched = held.touched(reference);
-    List<HoldCommand.Note> notes = new ArrayList<>();
+    List<LegalHoldCommand.Note> notes = new ArrayList<>();
     if (touched == null || hold.scope() > 0) {
       return notes;
     }
     Listing.parts(touched.out())
         .forEach(
             part ->
-                notes.add(new HoldCommand.Note(hold.opening(), notes.size(), "was out", part, 0)));
+                notes.add(
+                    new LegalHoldCommand.Note(hold.opening(), notes.size(), "was out", part, 0)));
     Listing.parts(touched.done())
         .forEach(
             part ->
-                notes.add(new HoldCommand.Note(hold.opening(), notes.size(), "was done", part, 0)));
+                notes.add(
+                    new LegalHoldCommand.Note(hold.opening(), notes.size(), "was done", part, 0)));
     return notes;
   }
 
   private void note(String reference) {
-    ReplicatedRecordIndex.Held<Hold> record = held.holds().get(reference);
+    ReplicatedRecordIndex.Held<LegalHold> record = held.holds().get(reference);
     MonotonicTime now = base.timers().now();
     MonotonicTime before = noted.get(reference);
-    if (record == null || record.state().state() != Hold.State.PINNED) {
+    if (record == null || record.state().state() != LegalHold.State.PINNED) {
       toNote.remove(reference);
       return;
     }
@@ -183,7 +191,7 @@
     if (what != record.state().kept()) {
       ask(
           reference,
-          new HoldCommand.Note(
+          new LegalHoldCommand.Note(
               record.state().opening(),
               record.state().notes(),
               "keeps back",
@@ -218,7 +226,7 @@
                 + " tasks in all";
   }
 
-  private void ask(String reference, HoldCommand command) {
+  private void ask(String reference, LegalHoldCommand command) {
     asked.add(reference);
     base.store()
         .ask(
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -11,30 +11,30 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.quincecross.replicated.CommandOrigin;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.replicated.StartBlock;
-import org.quincecross.holds.Claim;
-import org.quincecross.holds.ClaimKind;
-import org.quincecross.holds.Hold;
-import org.quincecross.holds.HoldBooks;
-import org.quincecross.holds.HoldCommand;
-import org.quincecross.holds.HoldKind;
-import org.quincecross.holds.Listing;
-import org.quincecross.holds.Records;
-import org.quincecross.holds.SweepKind;
+import org.quincecross.legalhold.Claim;
+import org.quincecross.legalhold.ClaimKind;
+import org.quincecross.legalhold.LegalHold;
+import org.quincecross.legalhold.LegalHoldCommand;
+import org.quincecross.legalhold.LegalHoldIndex;
+import org.quincecross.legalhold.LegalHoldKind;
+import org.quincecross.legalhold.Listing;
+import org.quincecross.legalhold.Records;
+import org.quincecross.legalhold.SweepKind;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.peer.ReplicatedFeatureContext;
-import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.StartBlock;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.ReplicatedRecordIndex;
 
 /**
  * What the holds, claims and sweeps in the ledger keep back, on every controller. A hold whose time
@@ -68,10 +68,10 @@
 
   private final ReplicatedFeatureContext base;
   private final ClusterStateCache ledger;
-  private final ReplicatedRecordIndex<Hold, HoldCommand> holds;
+  private final ReplicatedRecordIndex<LegalHold, LegalHoldCommand> holds;
   private final ReplicatedRecordIndex<List<Claim>, List<Claim>> claims;
   private final ReplicatedRecordIndex<List<Records>, List<Records>> sweeps;
-  private final HoldBooks books = new HoldBooks();
+  private final LegalHoldIndex books = new LegalHoldIndex();
   private final Map<String, Integer> future = new TreeMap<>();
   private final Map<String, Touched> touched = new HashMap<>();
   private final Map<String, Touched> disturbed = new HashMap<>();
@@ -88,7 +88,7 @@
   public LegalHoldStartBlock(ReplicatedFeatureContext base) {
     this.base = base;
     this.ledger = base.ledger();
-    holds = ledger.agreed().add(new HoldKind());
+    holds = ledger.agreed().add(new LegalHoldKind());
     claims = ledger.agreed().add(new ClaimKind());
     sweeps = ledger.agreed().add(new SweepKind());
     base.withheld().add(this);
@@ -105,11 +105,11 @@
     return new CommandOrigin(latestMs, base.settings().clockBound().millis(), "");
   }
 
-  ReplicatedRecordIndex<Hold, HoldCommand> holds() {
+  ReplicatedRecordIndex<LegalHold, LegalHoldCommand> holds() {
     return holds;
   }
 
-  HoldBooks books() {
+  LegalHoldIndex books() {
     return books;
   }
 
@@ -130,7 +130,7 @@
     Set<String> lanes = new HashSet<>();
     for (RecordId record : changes.agreed()) {
       switch (record.kind()) {
-        case HoldKind.NAME -> {}
+        case LegalHoldKind.NAME -> {}
         case ClaimKind.NAME -> claim(record.id(), concerned);
         case SweepKind.NAME -> {
           concerned.addAll(books.lane(record.id(), sweeps.state(record.id())));
@@ -145,11 +145,11 @@
     }
     (changes.reloaded() ? ledger.jobs() : changes.jobs()).forEach(id -> job(id, concerned));
     for (RecordId record : changes.agreed()) {
-      if (record.kind().equals(HoldKind.NAME)) {
+      if (record.kind().equals(LegalHoldKind.NAME)) {
         hold(record.id(), concerned);
       }
     }
-    if (changes.agreed().stream().anyMatch(record -> !record.kind().equals(HoldKind.NAME))) {
+    if (changes.agreed().stream().anyMatch(record -> !record.kind().equals(LegalHoldKind.NAME))) {
       disturb(concerned);
     }
     tell(concerned);
@@ -163,8 +163,9 @@
     Set<String> references = new TreeSet<>();
     concerned.forEach(id -> references.addAll(books.holding(id)));
     for (String reference : references) {
-      Hold hold = holds.state(reference);
-      Map<JobId, TaskSet> out = hold.state() == Hold.State.PINNED ? look(hold).out() : Map.of();
+      LegalHold hold = holds.state(reference);
+      Map<JobId, TaskSet> out =
+          hold.state() == LegalHold.State.PINNED ? look(hold).out() : Map.of();
       if (!out.isEmpty()) {
         disturbed.put(
             reference, new Touched(hold.opening(), hold.scope(), ledger.revision(), out, Map.of()));
@@ -227,12 +228,12 @@
   }
 
   private void hold(String reference, Set<JobId> concerned) {
-    Hold hold = holds.state(reference);
+    LegalHold hold = holds.state(reference);
     boolean due = hold.isDue(at());
     disturbed.computeIfPresent(
         reference,
         (name, found) ->
-            hold.state() == Hold.State.PINNED
+            hold.state() == LegalHold.State.PINNED
                     && hold.opening() == found.opening()
                     && hold.scope() == found.scope()
                 ? found
@@ -244,7 +245,7 @@
     }
     if (hold.isInForce() || due) {
       Touched before = touched.get(reference);
-      if (hold.state() == Hold.State.PINNED) {
+      if (hold.state() == LegalHold.State.PINNED) {
         touched.remove(reference); // it is in the trail
       } else if (before == null
           || before.opening() != hold.opening()
@@ -265,7 +266,7 @@
    * What runs or has run of what touches the records of a hold: found before anything of it is
    * stopped.
    */
-  private Touched look(Hold hold) {
+  private Touched look(LegalHold hold) {
     Map<JobId, TaskSet> out = new TreeMap<>();
     Map<JobId, TaskSet> done = new TreeMap<>();
     books
@@ -363,7 +364,7 @@
   }
 
   /** The tasks that touch the records of a hold, of jobs that are not over. */
-  Map<JobId, TaskSet> touching(Hold hold) {
+  Map<JobId, TaskSet> touching(LegalHold hold) {
     Map<JobId, TaskSet> all = books.touching(hold.records());
     all.keySet().removeIf(id -> ledger.job(id) == null || ledger.job(id).job() == null);
     return all;
--- a/src/main/java/org/quincecross/leader/MachineTypeWriter.java
+++ b/src/main/java/org/quincecross/leader/MachineTypeWriter.java
@@ -3,11 +3,11 @@
 import java.util.Collection;
 import java.util.List;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.CloudCodec;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.StoreKeys;
 
 /**
  * Writes the machine types that the cloud offers, those that are new or have changed together: a
@@ -41,7 +41,8 @@
     } else {
       waitsSince = null;
     }
-    news.forEach(type -> plan.put(StoreKeys.type(type.name()), CloudCodec.writeCatalog(List.of(type))));
+    news.forEach(
+        type -> plan.put(StoreKeys.type(type.name()), CloudCodec.writeCatalog(List.of(type))));
     return true;
   }
 
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -7,25 +7,25 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
-import org.quincecross.models.Model;
+import org.quincecross.modelserving.Model;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.ModelPlacementView;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.scheduling.Admission;
-import org.quincecross.scheduling.JobDemand;
 import org.quincecross.scheduling.Headroom;
-import org.quincecross.state.ShardLease;
+import org.quincecross.scheduling.JobDemand;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ModelIndex;
+import org.quincecross.state.ShardLease;
 
 /**
  * Admission where there are models: their replicas go to the blocks of their places, all else as
@@ -96,7 +96,8 @@
                     (id, tasks) -> {
                       if (records.nameOf(id) == null) {
                         Job job = ledger.job(id).job();
-                        use.merge(job.team(), job.taskResources().times(tasks.size()), Resources::plus);
+                        use.merge(
+                            job.team(), job.taskResources().times(tasks.size()), Resources::plus);
                       }
                     }));
   }
@@ -110,11 +111,14 @@
     Job job = demand.job();
     Model model = records.of(job.id());
     Map<ShardId, TaskSet> pools = new TreeMap<>();
-    for (int index = demand.pool().nextMember(0); index >= 0; index = demand.pool().nextMember(index + 1)) {
+    for (int index = demand.pool().nextMember(0);
+        index >= 0;
+        index = demand.pool().nextMember(index + 1)) {
       Model.Place place = model.places().get(index);
       ShardLease lease = place == null ? null : ledger.blockOf(place.machine());
       if (lease != null
-          && (job.kind() == JobKind.GANG || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
+          && (job.kind() == JobKind.GANG
+              || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
         pools.computeIfAbsent(lease.id(), id -> new TaskSet()).add(index);
       }
     }
@@ -135,7 +139,10 @@
                         demand.perZone(),
                         Admission.Place.TURN,
                         demand.order())));
-        use.merge(job.team(), job.taskResources().times(count(block, job.id()) - before), Resources::plus);
+        use.merge(
+            job.team(),
+            job.taskResources().times(count(block, job.id()) - before),
+            Resources::plus);
       }
     }
   }
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -9,39 +9,39 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Job;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
-import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.Team;
-import org.quincecross.models.DemandSum;
-import org.quincecross.models.Model;
-import org.quincecross.models.Model.Phase;
-import org.quincecross.models.ModelCommand;
-import org.quincecross.models.Scaling;
-import org.quincecross.models.Weights;
-import org.quincecross.models.Yielding;
-import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.modelserving.DemandSum;
+import org.quincecross.modelserving.Model;
+import org.quincecross.modelserving.Model.Phase;
+import org.quincecross.modelserving.ModelCommand;
+import org.quincecross.modelserving.Scaling;
+import org.quincecross.modelserving.Weights;
+import org.quincecross.modelserving.Yielding;
 import org.quincecross.peer.ModelPlacementView;
 import org.quincecross.peer.ModelStatusReport;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.scheduling.Admission;
-import org.quincecross.scheduling.JobDemand;
 import org.quincecross.scheduling.Headroom;
+import org.quincecross.scheduling.JobDemand;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.ModelIndex;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.ShardLease;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.ModelIndex;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -150,7 +150,8 @@
 
   private List<ModelSnapshot> gather() {
     List<ModelSnapshot> all = new ArrayList<>();
-    for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each : records.book().all().entrySet()) {
+    for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each :
+        records.book().all().entrySet()) {
       Model model = each.getValue().state();
       if (!model.isDefined() || (model.phase() == Phase.ZERO && model.terms().keepWarm() == 0)) {
         continue;
@@ -158,7 +159,8 @@
       JobRecord record = ledger.job(model.job());
       if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
         all.add(
-            new ModelSnapshot(each.getKey(), model, record.job(), books.account(record.id()), running));
+            new ModelSnapshot(
+                each.getKey(), model, record.job(), books.account(record.id()), running));
       } else if (model.isUp() && record != null) {
         ask(
             each.getKey(),
@@ -323,7 +325,8 @@
                         .computeIfAbsent(place.machine(), id -> new ArrayList<>())
                         .add(look.job());
                     if (!look.isOut(replica)) {
-                      spokenFor.merge(look.job().team(), look.job().taskResources(), Resources::plus);
+                      spokenFor.merge(
+                          look.job().team(), look.job().taskResources(), Resources::plus);
                     }
                   }
                 });
--- a/src/main/java/org/quincecross/leader/ModelSnapshot.java
+++ b/src/main/java/org/quincecross/leader/ModelSnapshot.java
@@ -4,7 +4,7 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TaskId;
-import org.quincecross.models.Model;
+import org.quincecross.modelserving.Model;
 
 /**
  * A model as the leader looks at it once.
@@ -12,7 +12,8 @@
  * @param account what is known of its job, or null
  * @param running the replicas of all models that have lately been told to run
  */
-record ModelSnapshot(String name, Model model, Job job, AllocationIndex.Account account, Set<TaskId> running) {
+record ModelSnapshot(
+    String name, Model model, Job job, AllocationIndex.Account account, Set<TaskId> running) {
   /** Whether a replica is allocated: it may be on a machine. */
   boolean isOut(int replica) {
     return account != null && account.out().contains(replica);
--- a/src/main/java/org/quincecross/leader/ObservedCapacity.java
+++ b/src/main/java/org/quincecross/leader/ObservedCapacity.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.scheduling.Admission;
@@ -32,7 +32,11 @@
 
   /** A block as admission sees it; of a holder that is not heard nothing is open. */
   Admission.Block block(
-      ShardLease lease, MachineType type, PeerViews.BlockView view, int mostBytes, MonotonicTime now) {
+      ShardLease lease,
+      MachineType type,
+      PeerViews.BlockView view,
+      int mostBytes,
+      MonotonicTime now) {
     List<Resources> free = new ArrayList<>();
     List<Resources> soon = new ArrayList<>();
     Map<String, Admission.ImageRoom> images = new HashMap<>();
--- a/src/main/java/org/quincecross/leader/PendingDemand.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -7,27 +7,27 @@
 import java.util.Map;
 import java.util.function.LongSupplier;
 import java.util.function.ToIntFunction;
-import org.quincecross.quarantine.SuspectJobs;
-import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineType;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.TaskSet;
-import org.quincecross.overload.Beginnings;
-import org.quincecross.overload.Claim;
-import org.quincecross.overload.Goal;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.overload.DemandClaim;
+import org.quincecross.overload.JobRanking;
+import org.quincecross.overload.Milestone;
 import org.quincecross.overload.Overload;
-import org.quincecross.overload.Verdict;
+import org.quincecross.overload.StartGuarantee;
+import org.quincecross.protocol.Settings;
+import org.quincecross.quarantine.SuspectJobs;
 import org.quincecross.scheduling.Admission;
 import org.quincecross.scheduling.JobDemand;
-import org.quincecross.state.JobRecord;
 import org.quincecross.state.ClusterStateCache;
-import org.quincecross.protocol.Settings;
+import org.quincecross.state.JobRecord;
 
 /**
  * What waits to be admitted, and when it should be over; where there is more than can be done in
@@ -115,7 +115,8 @@
    * What may be admitted of a job that waits: all, or where blocks have declined it, what tries it
    * anew.
    */
-  private TaskSet mayGo(AllocationIndex.Account account, Collection<Admission.Block> blocks, MonotonicTime now) {
+  private TaskSet mayGo(
+      AllocationIndex.Account account, Collection<Admission.Block> blocks, MonotonicTime now) {
     Job job = account.job();
     int declinedBy = Admission.declines(job, blocks);
     if (declinedBy == 0 && !suspects.isSuspect(job.id())) {
@@ -152,17 +153,17 @@
       return demands;
     }
     ages.keySet().retainAll(books.openIds());
-    List<Claim> claims = new ArrayList<>();
+    List<DemandClaim> claims = new ArrayList<>();
     Resources room = Admission.roomForArrays(blocks);
     for (Waiting each : waiting) {
       if (each.account.job().priority() != Priority.PRODUCTION) {
         claims.add(claim(each, room, now));
       }
     }
-    Map<JobId, Verdict> verdicts = overload.look(claims, now);
+    Map<JobId, JobRanking> verdicts = overload.look(claims, now);
     Map<JobId, Integer> begin = toBegin(waiting, room, now);
     for (Waiting each : waiting) {
-      Verdict verdict = verdicts.get(each.record.id());
+      JobRanking verdict = verdicts.get(each.record.id());
       if (verdict == null) {
         inOrder(
                 each,
@@ -178,7 +179,7 @@
           demand(
               each,
               verdict.dueS(),
-              verdict.standing() == Verdict.Standing.SET_ASIDE
+              verdict.standing() == JobRanking.Standing.SET_ASIDE
                   ? Admission.Place.SET_ASIDE
                   : Admission.Place.IN_ORDER,
               verdict.order());
@@ -195,8 +196,8 @@
    * begin.
    */
   private Map<JobId, Integer> toBegin(List<Waiting> waiting, Resources room, MonotonicTime now) {
-    Beginnings beginnings = overload.beginnings();
-    List<Beginnings.Waiting> old = new ArrayList<>();
+    StartGuarantee beginnings = overload.beginnings();
+    List<StartGuarantee.Waiting> old = new ArrayList<>();
     for (Waiting each : waiting) {
       Job job = each.account.job();
       // It was submitted before it was accepted, by a clock that may have been ahead.
@@ -207,11 +208,11 @@
       int done = each.account.done().size();
       int given = done + each.account.out().size();
       int ran =
-          beginnings.of(job.id()) == Beginnings.State.BEGUN || given < job.startQuorum()
+          beginnings.of(job.id()) == StartGuarantee.State.BEGUN || given < job.startQuorum()
               ? given
               : done + running.applyAsInt(job.id());
       old.add(
-          new Beginnings.Waiting(
+          new StartGuarantee.Waiting(
               job.id(),
               each.record.version(),
               age,
@@ -260,7 +261,8 @@
               }
               boolean within =
                   guarantee.covers(
-                      account.job().taskResources(), account.job().taskCount() - account.done().size());
+                      account.job().taskResources(),
+                      account.job().taskCount() - account.done().size());
               TaskSet pool =
                   account.pool().isEmpty() ? account.pool() : mayGo(account, blocks, now);
               if (!pool.isEmpty()) {
@@ -271,7 +273,7 @@
   }
 
   private JobDemand inOrder(Waiting each, double dueS) {
-    return demand(each, dueS, Admission.Place.IN_ORDER, Verdict.byDue(dueS));
+    return demand(each, dueS, Admission.Place.IN_ORDER, JobRanking.byDue(dueS));
   }
 
   private JobDemand demand(Waiting each, double dueS, Admission.Place place, double order) {
@@ -288,15 +290,15 @@
         order);
   }
 
-  private Claim claim(Waiting each, Resources room, MonotonicTime now) {
+  private DemandClaim claim(Waiting each, Resources room, MonotonicTime now) {
     Job job = each.account.job();
     double age = steadyAge(each.record, now);
     // Where there is next to no room, a task takes at least all of it.
     double share = job.taskResources().dominantShareOf(room.max(job.taskResources()));
     double run = Math.max(1, job.estimate().seconds());
-    return new Claim(
+    return new DemandClaim(
         job.id(),
-        new Claim.Group(job.team(), job.jobClass()),
+        new DemandClaim.Group(job.team(), job.jobClass()),
         job.priority(),
         each.guaranteed,
         each.record.version(),
@@ -373,13 +375,16 @@
   }
 
   private List<ServiceLevelObjective> aims(JobRecord record) {
-    return settings.objectivesOf(record.job(), TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+    return settings.objectivesOf(
+        record.job(), TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
   }
 
-  private List<Goal> goals(Job job, double age) {
-    List<Goal> goals = new ArrayList<>();
+  private List<Milestone> goals(Job job, double age) {
+    List<Milestone> goals = new ArrayList<>();
     for (ServiceLevelObjective aim : ages.get(job.id()).aims()) {
-      goals.add(new Goal(aim.within().seconds() - age, aim.event() == ServiceLevelObjective.Event.EACH_START));
+      goals.add(
+          new Milestone(
+              aim.within().seconds() - age, aim.event() == ServiceLevelObjective.Event.EACH_START));
     }
     return goals;
   }
--- a/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
+++ b/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.models.Model;
-import org.quincecross.models.ModelCommand;
-import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.modelserving.Model;
+import org.quincecross.modelserving.ModelCommand;
 import org.quincecross.peer.ModelPlacementView;
 import org.quincecross.peer.PeerHeartbeat;
+import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.state.ShardLease;
 
 /**
@@ -123,7 +123,9 @@
     }
     if (!state.open()) {
       MonotonicTime since = shutSince.computeIfAbsent(machine, id -> now);
-      return now.since(since).isLongerThan(base.settings().agentTimeouts().lease()) ? "is not heard" : null;
+      return now.since(since).isLongerThan(base.settings().agentTimeouts().lease())
+          ? "is not heard"
+          : null;
     }
     shutSince.remove(machine);
     MonotonicTime since = since(look, replica, place, now);
--- a/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineType;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.scheduling.Admission;
-import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ShardLease;
 
 /**
  * Which machines to rent for work that has no room, by price, zone and what the cloud has refused
@@ -228,7 +228,8 @@
           MachineKind kind = new MachineKind(type.name(), zone, spot);
           if (!job.allows(type.name(), zone, spot)
               || isRefused(kind, now)
-              || (job.spreadOverZones() && need.perZone().getOrDefault(zone, 0) >= job.maxTasksPerZone())
+              || (job.spreadOverZones()
+                  && need.perZone().getOrDefault(zone, 0) >= job.maxTasksPerZone())
               || (job.singleZone()
                   && !need.perZone().isEmpty()
                   && !need.perZone().containsKey(zone))) {
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -9,28 +9,28 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.model.ShardId;
+import org.quincecross.failuredetection.ReachabilityMap;
+import org.quincecross.failuredetection.ShardMovePolicy;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.failuredetection.ReachabilityMap;
-import org.quincecross.failuredetection.ShardMovePolicy;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.DemandForecast;
-import org.quincecross.state.StoreKeys;
+import org.quincecross.protocol.Settings;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ControllerRecord;
-import org.quincecross.protocol.Settings;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StoreKeys;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Whether this leader has led since there was no block: then {@link Autoscaler#isGone} knows every
-   * machine of a block that is gone.
+   * Whether this leader has led since there was no block: then {@link Autoscaler#isGone} knows
+   * every machine of a block that is gone.
    */
   boolean knowsAllGone() {
     knowsAllGone |= ledger.blocks().isEmpty();
@@ -413,7 +413,9 @@
     double bySize = Math.ceil(all / (BLOCKS_PER_CHANGE * settings.storeLimits().writesPerSecond()));
     Resources small = foresight.urgentTask();
     int tasks =
-        Math.max(1, small.cpus() > 0 ? type.capacity().capacityFor(small) : (int) type.capacity().cpus());
+        Math.max(
+            1,
+            small.cpus() > 0 ? type.capacity().capacityFor(small) : (int) type.capacity().cpus());
     int byRecord =
         Math.max(LEAST_BLOCK_SIZE, settings.storeLimits().maxValueBytes() / BYTES_PER_TASK / tasks);
     return (int)
--- a/src/main/java/org/quincecross/leader/TransactionBuilder.java
+++ b/src/main/java/org/quincecross/leader/TransactionBuilder.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 import java.util.function.BiPredicate;
 import org.quincecross.model.Revision;
-import org.quincecross.rollout.Feature;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.rollout.Feature;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.StoreKeys;
 
 /**
  * A transaction being put together: every changed key is guarded by its version, and the limits are
@@ -35,7 +35,11 @@
   /**
    * @param mayPut whether a value of so many bytes may be put there
    */
-  TransactionBuilder(ClusterStateCache ledger, int mostChanges, int mostValue, BiPredicate<String, Integer> mayPut) {
+  TransactionBuilder(
+      ClusterStateCache ledger,
+      int mostChanges,
+      int mostValue,
+      BiPredicate<String, Integer> mayPut) {
     this.mayPut = mayPut;
     this.ledger = ledger;
     this.mostChanges = mostChanges;
@@ -51,7 +55,8 @@
     // What is decided by the level's features is of no use under another level.
     guard(StoreKeys.LEVEL);
     if (Feature.AGREED_RECORDS.isIn(ledger.level().level())) {
-      guard(StoreKeys.AGREED_FENCE); // what was planned before tasks were kept back may allocate them
+      guard(
+          StoreKeys.AGREED_FENCE); // what was planned before tasks were kept back may allocate them
     }
   }
 
--- a/src/main/java/org/quincecross/leader/TransactionLimits.java
+++ b/src/main/java/org/quincecross/leader/TransactionLimits.java
@@ -3,12 +3,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.state.ClusterStateCache;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.Settings;
+import org.quincecross.state.ClusterStateCache;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -64,7 +64,10 @@
     if (refusedAt != null && now.since(refusedAt).isLongerThan(ASIDE)) {
       changes = Math.min(limits.maxMutationsPerTransaction(), 2 * changes);
       value = Math.min(limits.plannedValueBytes(), 2 * value);
-      refusedAt = changes == limits.maxMutationsPerTransaction() && value == limits.plannedValueBytes() ? null : now;
+      refusedAt =
+          changes == limits.maxMutationsPerTransaction() && value == limits.plannedValueBytes()
+              ? null
+              : now;
     }
     return new TransactionBuilder(
         ledger,
--- a/src/main/java/org/quincecross/holds/Claim.java
+++ b/src/main/java/org/quincecross/legalhold/Claim.java
@@ -1,4 +1,4 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.List;
 import org.quincecross.model.TaskSet;
--- a/src/main/java/org/quincecross/holds/ClaimKind.java
+++ b/src/main/java/org/quincecross/legalhold/ClaimKind.java
@@ -1,17 +1,17 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.quincecross.model.JobId;
+import org.quincecross.model.TaskSet;
+import org.quincecross.replicated.AuditEvent;
 import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordFields;
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.Transition;
-import org.quincecross.replicated.AuditEvent;
-import org.quincecross.replicated.MalformedRecordException;
-import org.quincecross.model.JobId;
-import org.quincecross.model.TaskSet;
 
 /**
  * Claims as agreed records, by pages named {@code <job>.<page>}. What was told is not told
@@ -82,7 +82,7 @@
                 + "' is not like 0-15,17, all below "
                 + MOST_TASKS);
       }
-      claims.add(new Claim(tasks, HoldKind.records(each, "records")));
+      claims.add(new Claim(tasks, LegalHoldKind.records(each, "records")));
     }
     return List.copyOf(claims);
   }
--- a/src/main/java/org/quincecross/holds/Hold.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHold.java
@@ -1,4 +1,4 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.List;
 import org.quincecross.replicated.CommandOrigin;
@@ -19,7 +19,7 @@
  * @param kept stands for what the last note of tasks kept back said: another one is made only of
  *     something else
  */
-public record Hold(
+public record LegalHold(
     State state,
     int opening,
     List<Records> records,
@@ -44,7 +44,7 @@
     CLOSED
   }
 
-  static final Hold NONE = new Hold(State.NONE, 0, List.of(), 0, 0, "", 0, 0, 0, 0);
+  static final LegalHold NONE = new LegalHold(State.NONE, 0, List.of(), 0, 0, "", 0, 0, 0, 0);
 
   /** Whether it keeps tasks back whatever the time of day. */
   public boolean isInForce() {
@@ -66,25 +66,27 @@
   }
 
   /** The one function that changes the state; all else of a hold changes with it or stays. */
-  Hold enter(State next, String who) {
-    return new Hold(next, opening, records, fromMs, reviewMs, who, scope, provenAt, notes, kept);
+  LegalHold enter(State next, String who) {
+    return new LegalHold(
+        next, opening, records, fromMs, reviewMs, who, scope, provenAt, notes, kept);
   }
 
-  Hold proven(long revision, long what) {
-    return new Hold(state, opening, records, fromMs, reviewMs, by, scope, revision, notes, what);
+  LegalHold proven(long revision, long what) {
+    return new LegalHold(
+        state, opening, records, fromMs, reviewMs, by, scope, revision, notes, what);
   }
 
-  Hold widened() {
-    return new Hold(
+  LegalHold widened() {
+    return new LegalHold(
         state, opening, records, fromMs, reviewMs, by, scope + 1, provenAt, notes, kept);
   }
 
-  Hold noted(long what) {
-    return new Hold(
+  LegalHold noted(long what) {
+    return new LegalHold(
         state, opening, records, fromMs, reviewMs, by, scope, provenAt, notes + 1, what);
   }
 
-  Hold reviewedAt(long ms) {
-    return new Hold(state, opening, records, fromMs, ms, by, scope, provenAt, notes, kept);
+  LegalHold reviewedAt(long ms) {
+    return new LegalHold(state, opening, records, fromMs, ms, by, scope, provenAt, notes, kept);
   }
 }
--- a/src/main/java/org/quincecross/holds/HoldCommand.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldCommand.java
@@ -1,4 +1,4 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.List;
 
@@ -6,21 +6,21 @@
  * What becomes of a hold. The first three are asked for by operators; the others a controller makes
  * itself, on what it has found.
  */
-public sealed interface HoldCommand {
+public sealed interface LegalHoldCommand {
   /**
    * Opens a hold.
    *
    * @param fromMs 0: from now on; {@code reviewMs} 0: never
    */
-  record Open(List<Records> records, long fromMs, long reviewMs) implements HoldCommand {}
+  record Open(List<Records> records, long fromMs, long reviewMs) implements LegalHoldCommand {}
 
   /** Ends one opening, and no other: a closing that is applied late does nothing to a later one. */
-  record Close(int opening) implements HoldCommand {}
+  record Close(int opening) implements LegalHoldCommand {}
 
-  record Review(int opening, long reviewMs) implements HoldCommand {}
+  record Review(int opening, long reviewMs) implements LegalHoldCommand {}
 
   /** Its time may have come. */
-  record Due(int opening) implements HoldCommand {}
+  record Due(int opening) implements LegalHoldCommand {}
 
   /**
    * Records that no task touches the held records any more.
@@ -30,13 +30,13 @@
    * @param what stands for all that are kept back
    */
   record Pinned(int opening, int scope, long revision, String kept, long what)
-      implements HoldCommand {}
+      implements LegalHoldCommand {}
 
   /**
    * A task that touches the records is out though this was pinned: a claim or a lane was told after
    * it began.
    */
-  record Widened(int opening, int scope, String tasks) implements HoldCommand {}
+  record Widened(int opening, int scope, String tasks) implements LegalHoldCommand {}
 
   /**
    * A note for the trail.
@@ -45,5 +45,5 @@
    * @param what stands for all that is noted, of which this may be a part
    */
   record Note(int opening, int number, String event, String tasks, long what)
-      implements HoldCommand {}
+      implements LegalHoldCommand {}
 }
--- a/src/main/java/org/quincecross/holds/HoldBooks.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldIndex.java
@@ -1,4 +1,4 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -20,7 +20,7 @@
  * cost in proportion to what changes with it: the claims on the records concerned and the tasks
  * that are kept back or set free. Memory is in proportion to what was told.
  */
-public final class HoldBooks {
+public final class LegalHoldIndex {
   private static final TaskSet NONE = new TaskSet();
 
   /**
--- a/src/main/java/org/quincecross/holds/HoldKind.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldKind.java
@@ -1,20 +1,20 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import org.quincecross.legalhold.LegalHold.State;
+import org.quincecross.replicated.AuditEvent;
 import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordFields;
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.Transition;
-import org.quincecross.replicated.AuditEvent;
-import org.quincecross.replicated.MalformedRecordException;
-import org.quincecross.holds.Hold.State;
 
 /** Holds as agreed records; a hold's name is its reference. */
-public final class HoldKind implements RecordKind<Hold, HoldCommand> {
+public final class LegalHoldKind implements RecordKind<LegalHold, LegalHoldCommand> {
   public static final String NAME = "holds";
 
   /** So many characters of records fit beside the trail. */
@@ -28,8 +28,8 @@
   }
 
   @Override
-  public Hold initial() {
-    return Hold.NONE;
+  public LegalHold initial() {
+    return LegalHold.NONE;
   }
 
   @Override
@@ -38,29 +38,29 @@
   }
 
   @Override
-  public boolean startsWithholding(Hold before, Hold next) {
+  public boolean startsWithholding(LegalHold before, LegalHold next) {
     return next.isInForce() && !before.isInForce();
   }
 
   // ---- the step ----
 
   @Override
-  public Transition<Hold> step(Hold hold, HoldCommand command, CommandOrigin at) {
-    if (command instanceof HoldCommand.Open open) {
+  public Transition<LegalHold> step(LegalHold hold, LegalHoldCommand command, CommandOrigin at) {
+    if (command instanceof LegalHoldCommand.Open open) {
       return open(hold, open, at);
     }
-    if (command instanceof HoldCommand.Close close) {
+    if (command instanceof LegalHoldCommand.Close close) {
       return close(hold, close, at);
     }
-    if (command instanceof HoldCommand.Review review) {
+    if (command instanceof LegalHoldCommand.Review review) {
       return review(hold, review, at);
     }
-    if (command instanceof HoldCommand.Due due) {
+    if (command instanceof LegalHoldCommand.Due due) {
       return due.opening() != hold.opening() || !hold.isDue(at)
           ? new Transition.Same<>("not due")
           : changed(hold.enter(State.PINNING, hold.by()), "due", "opening", due.opening());
     }
-    if (command instanceof HoldCommand.Pinned pinned) {
+    if (command instanceof LegalHoldCommand.Pinned pinned) {
       return pinned.opening() != hold.opening()
               || pinned.scope() != hold.scope()
               || hold.state() != State.PINNING
@@ -75,7 +75,7 @@
               "kept_back",
               pinned.kept());
     }
-    if (command instanceof HoldCommand.Widened widened) {
+    if (command instanceof LegalHoldCommand.Widened widened) {
       return widened.opening() != hold.opening()
               || widened.scope() != hold.scope()
               || hold.state() != State.PINNED
@@ -88,7 +88,7 @@
               "tasks",
               widened.tasks());
     }
-    HoldCommand.Note note = (HoldCommand.Note) command;
+    LegalHoldCommand.Note note = (LegalHoldCommand.Note) command;
     return note.opening() != hold.opening() || note.number() != hold.notes() || !hold.isInForce()
         ? new Transition.Same<>("noted before")
         : changed(
@@ -100,7 +100,7 @@
             note.tasks());
   }
 
-  private static Transition<Hold> changed(Hold next, String event, Object... details) {
+  private static Transition<LegalHold> changed(LegalHold next, String event, Object... details) {
     Map<String, Object> map = new LinkedHashMap<>();
     for (int i = 0; i < details.length; i += 2) {
       map.put((String) details[i], details[i + 1]);
@@ -108,7 +108,8 @@
     return new Transition.Changed<>(next, List.of(new AuditEvent(event, map)));
   }
 
-  private static Transition<Hold> open(Hold hold, HoldCommand.Open open, CommandOrigin at) {
+  private static Transition<LegalHold> open(
+      LegalHold hold, LegalHoldCommand.Open open, CommandOrigin at) {
     if (at.by().isBlank()) {
       return new Transition.Refused<>(400, "who asks for the hold is to be named (by)");
     }
@@ -125,8 +126,8 @@
                   + hold.opening()
                   + ", with other records or dates: see it, or close it first");
     }
-    Hold next =
-        new Hold(
+    LegalHold next =
+        new LegalHold(
             State.FUTURE,
             hold.opening() + 1,
             open.records(),
@@ -137,7 +138,7 @@
             0,
             0,
             0);
-    Hold opened = next.isDue(at) ? next.enter(State.PINNING, at.by()) : next;
+    LegalHold opened = next.isDue(at) ? next.enter(State.PINNING, at.by()) : next;
     return changed(
         opened,
         "opened",
@@ -151,7 +152,8 @@
         open.reviewMs());
   }
 
-  private static Transition<Hold> close(Hold hold, HoldCommand.Close close, CommandOrigin at) {
+  private static Transition<LegalHold> close(
+      LegalHold hold, LegalHoldCommand.Close close, CommandOrigin at) {
     if (hold.state() == State.NONE) {
       return new Transition.Refused<>(404, "there is no such hold");
     }
@@ -180,7 +182,8 @@
         hold.state().name());
   }
 
-  private static Transition<Hold> review(Hold hold, HoldCommand.Review review, CommandOrigin at) {
+  private static Transition<LegalHold> review(
+      LegalHold hold, LegalHoldCommand.Review review, CommandOrigin at) {
     if (!hold.isOpen() || review.opening() != hold.opening()) {
       return new Transition.Refused<>(409, "opening " + review.opening() + " is not open");
     }
@@ -222,7 +225,7 @@
   }
 
   @Override
-  public Map<String, Object> write(Hold hold) {
+  public Map<String, Object> write(LegalHold hold) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("state", hold.state().name());
     out.put("opening", hold.opening());
@@ -238,10 +241,10 @@
   }
 
   @Override
-  public Hold read(Map<String, Object> value) throws MalformedRecordException {
+  public LegalHold read(Map<String, Object> value) throws MalformedRecordException {
     RecordFields in = RecordFields.of(value, "a hold");
     State state = in.word("state", State.class);
-    return new Hold(
+    return new LegalHold(
         state,
         (int) in.integer("opening", 0, Integer.MAX_VALUE),
         state == State.NONE ? List.of() : records(in, "records"),
@@ -256,7 +259,7 @@
 
   /** Operators open, close and set review dates; what controllers find is nobody else's to say. */
   @Override
-  public HoldCommand command(Map<String, Object> body) throws MalformedRecordException {
+  public LegalHoldCommand command(Map<String, Object> body) throws MalformedRecordException {
     RecordFields in = RecordFields.of(body, "the command");
     String what = in.text("do").toLowerCase(Locale.ROOT);
     switch (what) {
@@ -269,26 +272,28 @@
                   + MOST_RECORDS
                   + " characters: open a second hold for the rest");
         }
-        return new HoldCommand.Open(
+        return new LegalHoldCommand.Open(
             records,
             in.integerOr("from_ms", 0, LAST_MS, 0),
             in.integerOr("review_ms", 0, LAST_MS, 0));
       }
       case "close" -> {
         in.only(List.of("do", "opening"));
-        return new HoldCommand.Close((int) in.integer("opening", 1, Integer.MAX_VALUE));
+        return new LegalHoldCommand.Close((int) in.integer("opening", 1, Integer.MAX_VALUE));
       }
       case "review" -> {
         in.only(List.of("do", "opening", "review_ms"));
-        return new HoldCommand.Review(
+        return new LegalHoldCommand.Review(
             (int) in.integer("opening", 1, Integer.MAX_VALUE), in.integer("review_ms", 0, LAST_MS));
       }
-      default -> throw new MalformedRecordException("field do of the command is not one of open, close, review");
+      default ->
+          throw new MalformedRecordException(
+              "field do of the command is not one of open, close, review");
     }
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, Hold hold, CommandOrigin at) {
+  public List<Map<String, Object>> rows(String id, LegalHold hold, CommandOrigin at) {
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("reference", id);
     row.put("state", hold.state().name());
--- a/src/main/java/org/quincecross/holds/Listing.java
+++ b/src/main/java/org/quincecross/legalhold/Listing.java
@@ -1,4 +1,4 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/org/quincecross/holds/Records.java
+++ b/src/main/java/org/quincecross/legalhold/Records.java
@@ -1,4 +1,4 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
--- a/src/main/java/org/quincecross/holds/SweepKind.java
+++ b/src/main/java/org/quincecross/legalhold/SweepKind.java
@@ -1,15 +1,15 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.quincecross.replicated.AuditEvent;
 import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordFields;
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.Transition;
-import org.quincecross.replicated.AuditEvent;
-import org.quincecross.replicated.MalformedRecordException;
 
 /**
  * Which lanes are sweeps, as agreed records named by the lane: the series that their jobs may
@@ -39,7 +39,8 @@
   }
 
   @Override
-  public Transition<List<Records>> step(List<Records> series, List<Records> next, CommandOrigin at) {
+  public Transition<List<Records>> step(
+      List<Records> series, List<Records> next, CommandOrigin at) {
     if (at.by().isBlank()) {
       return new Transition.Refused<>(400, "who says so is to be named (by)");
     }
--- a/src/main/java/org/quincecross/holds/package-info.java
+++ b/src/main/java/org/quincecross/legalhold/package-info.java
@@ -3,4 +3,4 @@
  * sweeps touch them, and through which states a hold goes. Decisions alone: no input or output, and
  * no clock.
  */
-package org.quincecross.holds;
+package org.quincecross.legalhold;
--- a/src/main/java/org/quincecross/model/Job.java
+++ b/src/main/java/org/quincecross/model/Job.java
@@ -159,7 +159,9 @@
    */
   public double estimatedDemand() {
     return taskCount
-        * (taskResources.cpus() + GPU_IN_CPUS * taskResources.gpus() + taskResources.memoryGb() / GB_PER_CPU)
+        * (taskResources.cpus()
+            + GPU_IN_CPUS * taskResources.gpus()
+            + taskResources.memoryGb() / GB_PER_CPU)
         * Math.max(1, estimate.seconds());
   }
 }
--- a/src/main/java/org/quincecross/models/Demand.java
+++ b/src/main/java/org/quincecross/modelserving/Demand.java
@@ -1,9 +1,9 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * What one controller has seen of the demand for a model: wakes, and the sum of what its callers
--- a/src/main/java/org/quincecross/models/DemandSum.java
+++ b/src/main/java/org/quincecross/modelserving/DemandSum.java
@@ -1,13 +1,13 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.Incarnation;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * The demand that all controllers have seen, as a leader has been told. What one that is away said
@@ -27,7 +27,8 @@
    */
   public record Told(int inFlight, TimeSpan quiet) {}
 
-  private record Said(Incarnation life, MonotonicTime at, Map<String, Told> models, TimeSpan since) {}
+  private record Said(
+      Incarnation life, MonotonicTime at, Map<String, Told> models, TimeSpan since) {}
 
   private final Map<ControllerId, Said> said = new HashMap<>();
 
@@ -38,7 +39,11 @@
    *     wanted it for so long
    */
   public void told(
-      ControllerId member, Incarnation life, Map<String, Told> models, TimeSpan since, MonotonicTime now) {
+      ControllerId member,
+      Incarnation life,
+      Map<String, Told> models,
+      TimeSpan since,
+      MonotonicTime now) {
     said.put(member, new Said(life, now, Map.copyOf(models), since));
   }
 
--- a/src/main/java/org/quincecross/models/Model.java
+++ b/src/main/java/org/quincecross/modelserving/Model.java
@@ -1,4 +1,4 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import java.util.Collections;
 import java.util.Map;
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A model as its record says. Whatever changes {@code places} raises {@code epoch}: what was
--- a/src/main/java/org/quincecross/models/ModelCommand.java
+++ b/src/main/java/org/quincecross/modelserving/ModelCommand.java
@@ -1,4 +1,4 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import java.util.Map;
 import java.util.Set;
--- a/src/main/java/org/quincecross/models/ModelKind.java
+++ b/src/main/java/org/quincecross/modelserving/ModelKind.java
@@ -1,4 +1,4 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,16 +8,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import org.quincecross.model.JobId;
+import org.quincecross.model.MachineId;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.modelserving.Model.Phase;
+import org.quincecross.modelserving.Model.Place;
 import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordFields;
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.Transition;
-import org.quincecross.replicated.MalformedRecordException;
-import org.quincecross.model.JobId;
-import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.models.Model.Phase;
-import org.quincecross.models.Model.Place;
 
 /** Models as a kind of agreed record. */
 public final class ModelKind implements RecordKind<Model, ModelCommand> {
@@ -82,7 +82,9 @@
         body.only(List.of("do", "job", "least", "most", "per_replica", "idle_s", "keep_warm"));
         return new ModelCommand.Define(job(body), terms(body));
       }
-      default -> throw new MalformedRecordException("field do of the command is not one of define, wake, drain");
+      default ->
+          throw new MalformedRecordException(
+              "field do of the command is not one of define, wake, drain");
     }
   }
 
--- a/src/main/java/org/quincecross/models/ModelRules.java
+++ b/src/main/java/org/quincecross/modelserving/ModelRules.java
@@ -1,4 +1,4 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -7,11 +7,11 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.quincecross.replicated.Transition;
-import org.quincecross.replicated.AuditEvent;
 import org.quincecross.model.MachineId;
-import org.quincecross.models.Model.Phase;
-import org.quincecross.models.Model.Place;
+import org.quincecross.modelserving.Model.Phase;
+import org.quincecross.modelserving.Model.Place;
+import org.quincecross.replicated.AuditEvent;
+import org.quincecross.replicated.Transition;
 
 /** The one function by which a model's record changes. */
 public final class ModelRules {
--- a/src/main/java/org/quincecross/models/Scaling.java
+++ b/src/main/java/org/quincecross/modelserving/Scaling.java
@@ -1,7 +1,7 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * How many replicas a model that is up should have: more at once, fewer only after it has been so
--- a/src/main/java/org/quincecross/models/Weights.java
+++ b/src/main/java/org/quincecross/modelserving/Weights.java
@@ -1,4 +1,4 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -120,7 +120,8 @@
         Comparator.comparing((Graded each) -> avoided.contains(each.machine.machine()))
             .thenComparing(Graded::waits)
             .thenComparing(each -> there.getOrDefault(each.machine.machine(), 0))
-            .thenComparing(each -> job.spreadOverZones() ? zones.getOrDefault(each.machine.zone(), 0) : 0)
+            .thenComparing(
+                each -> job.spreadOverZones() ? zones.getOrDefault(each.machine.zone(), 0) : 0)
             .thenComparing(Graded::cost)
             .thenComparing(each -> each.machine.spot())
             .thenComparing(each -> each.machine.machine());
--- a/src/main/java/org/quincecross/models/Yielding.java
+++ b/src/main/java/org/quincecross/modelserving/Yielding.java
@@ -1,10 +1,10 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.Deque;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Which idle model gives way to one that is wanted and finds no room: the one that costs least to
@@ -27,7 +27,8 @@
    * @param comeBackS seconds of boot and fetch that its return would cost
    * @param makesRoom whether the one that is wanted could go where it is
    */
-  public record Idle(String name, TimeSpan quiet, TimeSpan up, double comeBackS, boolean makesRoom) {
+  public record Idle(
+      String name, TimeSpan quiet, TimeSpan up, double comeBackS, boolean makesRoom) {
     double price() {
       return comeBackS / Math.max(1, quiet.seconds());
     }
--- a/src/main/java/org/quincecross/models/package-info.java
+++ b/src/main/java/org/quincecross/modelserving/package-info.java
@@ -3,4 +3,4 @@
  * that a cold start happens once, how many replicas there are to be, and on which machines. Pure:
  * no I/O, no clock. See docs/design/models.md.
  */
-package org.quincecross.models;
+package org.quincecross.modelserving;
--- a/src/main/java/org/quincecross/net/Connection.java
+++ b/src/main/java/org/quincecross/net/Connection.java
@@ -12,7 +12,7 @@
 /**
  * A TCP connection on the loop: what is read goes to a sink, what cannot be written yet is kept.
  */
-final class Connection implements Loop.Waker {
+final class Connection implements EventLoop.Waker {
   /** The states of a connection. */
   enum State {
     CONNECTING,
@@ -40,7 +40,8 @@
   private SelectionKey key;
   private State state;
 
-  Connection(Loop loop, SocketChannel channel, Sink sink, boolean connected) throws IOException {
+  Connection(EventLoop loop, SocketChannel channel, Sink sink, boolean connected)
+      throws IOException {
     this.channel = channel;
     this.sink = sink;
     enter(connected ? State.OPEN : State.CONNECTING);
@@ -48,7 +49,7 @@
   }
 
   /** Begins to connect; the sink hears when that has worked or failed. */
-  static Connection connect(Loop loop, Endpoint to, Sink sink) throws IOException {
+  static Connection connect(EventLoop loop, Endpoint to, Sink sink) throws IOException {
     SocketChannel socket = SocketChannel.open();
     try {
       socket.configureBlocking(false);
--- a/src/main/java/org/quincecross/net/Loop.java
+++ b/src/main/java/org/quincecross/net/EventLoop.java
@@ -8,14 +8,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The selector loop that everything in the process runs on. */
-public final class Loop implements Timers {
-  private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class EventLoop implements Timers {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
   /** Something on a socket that the loop wakes. */
   interface Waker {
@@ -38,7 +38,7 @@
   private long order;
   private volatile boolean stopped;
 
-  public Loop() {
+  public EventLoop() {
     try {
       selector = Selector.open();
     } catch (IOException e) {
--- a/src/main/java/org/quincecross/net/FrameSender.java
+++ b/src/main/java/org/quincecross/net/FrameSender.java
@@ -13,12 +13,12 @@
   private static final TimeSpan RETRY = TimeSpan.ofMillis(400);
   private static final TimeSpan CONNECT_TIMEOUT = TimeSpan.ofSeconds(2);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Endpoint to;
   private Connection connection;
   private boolean waiting;
 
-  public FrameSender(Loop loop, Endpoint to) {
+  public FrameSender(EventLoop loop, Endpoint to) {
     this.loop = loop;
     this.to = to;
   }
--- a/src/main/java/org/quincecross/net/FrameServer.java
+++ b/src/main/java/org/quincecross/net/FrameServer.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.Set;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Listens for frames, each with its length before it. */
-public final class FrameServer implements Loop.Waker {
+public final class FrameServer implements EventLoop.Waker {
   /** The longest frame that is taken; a longer one ends its connection. */
   static final int MOST_FRAME = 1024 * 1024;
 
@@ -37,12 +37,12 @@
     boolean frame(byte[] frame);
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Handler handler;
   private final ServerSocketChannel channel;
   private final Set<Receiver> receivers = new LinkedHashSet<>();
 
-  public FrameServer(Loop loop, Endpoint listen, Handler handler) throws IOException {
+  public FrameServer(EventLoop loop, Endpoint listen, Handler handler) throws IOException {
     this.loop = loop;
     this.handler = handler;
     channel = ServerSocketChannel.open();
--- a/src/main/java/org/quincecross/net/HttpClient.java
+++ b/src/main/java/org/quincecross/net/HttpClient.java
@@ -10,8 +10,8 @@
 import org.quincecross.http.HttpParser;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /** Calls other programs, on connections that are kept and used again. */
 public final class HttpClient implements HttpCaller {
@@ -29,7 +29,7 @@
     OVER
   }
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final Map<Endpoint, ArrayDeque<Line>> kept = new HashMap<>();
 
   /**
@@ -52,7 +52,7 @@
     }
   }
 
-  public HttpClient(Loop loop) {
+  public HttpClient(EventLoop loop) {
     this.loop = loop;
     loop.after(SWEEP_EVERY, this::sweep);
   }
@@ -91,7 +91,8 @@
     kept.values()
         .removeIf(
             lines -> {
-              while (!lines.isEmpty() && now.since(lines.peekFirst().idleSince).isLongerThan(KEEP)) {
+              while (!lines.isEmpty()
+                  && now.since(lines.peekFirst().idleSince).isLongerThan(KEEP)) {
                 lines.pollFirst().connection.close();
               }
               return lines.isEmpty();
--- a/src/main/java/org/quincecross/net/HttpServer.java
+++ b/src/main/java/org/quincecross/net/HttpServer.java
@@ -13,13 +13,13 @@
 import org.quincecross.http.HttpParser;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Endpoint;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Listens for HTTP. Slow and silent clients are timed out; too many of them are shed. */
-public final class HttpServer implements Loop.Waker {
+public final class HttpServer implements EventLoop.Waker {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
   private static final int MOST_BODY = 64 * 1024;
 
@@ -29,14 +29,14 @@
   private static final TimeSpan IDLE_TIME = TimeSpan.ofSeconds(90);
   private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(2);
 
-  private final Loop loop;
+  private final EventLoop loop;
   private final HttpHandler handler;
   private final int mostConnections;
   private final ServerSocketChannel channel;
   private final Set<Client> clients = new LinkedHashSet<>();
   private boolean closed;
 
-  public HttpServer(Loop loop, Endpoint listen, int mostConnections, HttpHandler handler)
+  public HttpServer(EventLoop loop, Endpoint listen, int mostConnections, HttpHandler handler)
       throws IOException {
     this.loop = loop;
     this.handler = handler;
--- a/src/main/java/org/quincecross/net/Watched.java
+++ b/src/main/java/org/quincecross/net/InstrumentedTimers.java
@@ -1,11 +1,11 @@
 package org.quincecross.net;
 
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /** Clocks and callers that do something first, whatever it is that they call back for. */
-public final class Watched {
-  private Watched() {}
+public final class InstrumentedTimers {
+  private InstrumentedTimers() {}
 
   /** What is done at a callback. */
   public record Step(Runnable first, Runnable action) implements Runnable {
--- a/src/main/java/org/quincecross/net/Timers.java
+++ b/src/main/java/org/quincecross/net/Timers.java
@@ -1,7 +1,7 @@
 package org.quincecross.net;
 
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /** The steady clock and what can be put off by it. Tests put a clock of their own here. */
 public interface Timers {
--- a/src/main/java/org/quincecross/net/Limiter.java
+++ b/src/main/java/org/quincecross/net/TokenBucket.java
@@ -3,13 +3,13 @@
 import org.quincecross.model.MonotonicTime;
 
 /** A token bucket: so many units a second, with bursts worth some seconds. */
-public final class Limiter {
+public final class TokenBucket {
   private final double perSecond;
   private final double most;
   private double level;
   private MonotonicTime at;
 
-  public Limiter(double perSecond, double burst, MonotonicTime now) {
+  public TokenBucket(double perSecond, double burst, MonotonicTime now) {
     this.perSecond = perSecond;
     this.most = Math.max(1, burst);
     this.level = most;
--- a/src/main/java/org/quincecross/overload/Flow.java
+++ b/src/main/java/org/quincecross/overload/ArrivalRate.java
@@ -1,7 +1,7 @@
 package org.quincecross.overload;
 
 /** How much work comes or goes in a second, of late: a mean that forgets. */
-final class Flow {
+final class ArrivalRate {
   /** What happened so long ago counts a third of what happens now, in seconds. */
   private static final double MEMORY_S = 20;
 
--- a/src/main/java/org/quincecross/overload/Claim.java
+++ b/src/main/java/org/quincecross/overload/DemandClaim.java
@@ -20,7 +20,7 @@
  * @param goals when it should be over or started, the earliest first; none for work that nobody
  *     waits for
  */
-public record Claim(
+public record DemandClaim(
     JobId id,
     Group group,
     Priority rank,
@@ -31,7 +31,7 @@
     double taskWork,
     double tailS,
     double ageS,
-    List<Goal> goals) {
+    List<Milestone> goals) {
 
   /** The jobs of one class of one team. */
   public record Group(String team, String jobClass) {}
@@ -43,7 +43,7 @@
    * longer it has waited. What nobody waits for comes after those of about an hour's patience.
    */
   public double dueS() {
-    for (Goal goal : goals) {
+    for (Milestone goal : goals) {
       if (startsIn(goal) > 0) {
         return goal.leftS();
       }
@@ -56,7 +56,7 @@
   }
 
   /** Seconds until its last task has to start for a goal. */
-  double startsIn(Goal goal) {
+  double startsIn(Milestone goal) {
     return goal.start() ? goal.leftS() : goal.leftS() - tailS;
   }
 }
--- a/src/main/java/org/quincecross/overload/Credits.java
+++ b/src/main/java/org/quincecross/overload/FairShareCredits.java
@@ -9,7 +9,7 @@
  * what it is given, however it is given. Deficit round robin (Shreedhar and Varghese, SIGCOMM
  * 1995), with time for its rounds.
  */
-final class Credits<K> {
+final class FairShareCredits<K> {
   private final double share;
   private final double mostS;
   private final Map<K, Double> credits = new HashMap<>();
@@ -19,7 +19,7 @@
    * @param share of all room that is divided among those that wait, in equal parts
    * @param mostS for how many seconds of its part a group may save up, and be in debt
    */
-  Credits(double share, double mostS) {
+  FairShareCredits(double share, double mostS) {
     this.share = share;
     this.mostS = mostS;
   }
--- a/src/main/java/org/quincecross/overload/Verdict.java
+++ b/src/main/java/org/quincecross/overload/JobRanking.java
@@ -9,7 +9,7 @@
  * @param order less is earlier, among those of the same priority and standing
  * @param turn how many of its tasks have their turn now
  */
-public record Verdict(Standing standing, double dueS, double order, int turn) {
+public record JobRanking(Standing standing, double dueS, double order, int turn) {
   /** What becomes of a job in the order of admission. */
   public enum Standing {
     IN_TIME,
--- a/src/main/java/org/quincecross/overload/Goal.java
+++ b/src/main/java/org/quincecross/overload/Milestone.java
@@ -6,4 +6,4 @@
  * @param leftS seconds until then; below 0 once it is past
  * @param start whether all of its tasks should have started by then, rather than ended
  */
-public record Goal(double leftS, boolean start) {}
+public record Milestone(double leftS, boolean start) {}
--- a/src/main/java/org/quincecross/overload/Overload.java
+++ b/src/main/java/org/quincecross/overload/Overload.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.JobId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Notices that more work is to be done than can be done in time, and orders it then: as many jobs
- * as can be are served in time ({@link ResponseDeadline}), the rest is set aside but has its turns, and every
- * group of jobs gets a minimum part.
+ * as can be are served in time ({@link ResponseDeadline}), the rest is set aside but has its turns,
+ * and every group of jobs gets a minimum part.
  */
 public final class Overload {
   /** The states, in the order in which they are gone through. */
@@ -60,16 +60,16 @@
 
   private static final double WHOLE_FIRST = 1e9;
   private static final String ASIDE = "set aside";
-  private static final Comparator<Claim> OLDEST_FIRST =
-      Comparator.comparing(Claim::accepted).thenComparing(Claim::id);
+  private static final Comparator<DemandClaim> OLDEST_FIRST =
+      Comparator.comparing(DemandClaim::accepted).thenComparing(DemandClaim::id);
 
   private final Shares shares;
-  private final Beginnings beginnings;
-  private final Credits<Claim.Group> floors;
-  private final Credits<String> turns;
-  private final Flow given = new Flow();
-  private final Flow arriving = new Flow();
-  private final Map<JobId, Claim> known = new HashMap<>();
+  private final StartGuarantee beginnings;
+  private final FairShareCredits<DemandClaim.Group> floors;
+  private final FairShareCredits<String> turns;
+  private final ArrivalRate given = new ArrivalRate();
+  private final ArrivalRate arriving = new ArrivalRate();
+  private final Map<JobId, DemandClaim> known = new HashMap<>();
   private final Set<JobId> aside = new HashSet<>();
   private State state = State.CALM;
   private MonotonicTime since;
@@ -78,13 +78,13 @@
 
   public Overload(Shares shares) {
     this.shares = shares;
-    this.beginnings = new Beginnings(shares.beginS());
-    this.floors = new Credits<>(shares.floor(), SAVED_S);
-    this.turns = new Credits<>(shares.turns(), SAVED_S);
+    this.beginnings = new StartGuarantee(shares.beginS());
+    this.floors = new FairShareCredits<>(shares.floor(), SAVED_S);
+    this.turns = new FairShareCredits<>(shares.turns(), SAVED_S);
   }
 
   /** Who goes before all others because it has waited too long to begin, in whatever state. */
-  public Beginnings beginnings() {
+  public StartGuarantee beginnings() {
     return beginnings;
   }
 
@@ -120,10 +120,10 @@
   }
 
   /** Takes note of the jobs that are new. */
-  private void meet(Collection<Claim> claims, double step) {
+  private void meet(Collection<DemandClaim> claims, double step) {
     given.pass(step);
     arriving.pass(step);
-    for (Claim claim : claims) {
+    for (DemandClaim claim : claims) {
       if (claim.divisible() && claim.ageS() < NEW_S && !known.containsKey(claim.id())) {
         arriving.add(claim.work());
       }
@@ -163,7 +163,8 @@
       case OVERLOADED -> enter(fits ? State.EASING : State.OVERLOADED, now);
       case EASING ->
           enter(
-              !fits ? State.OVERLOADED : stayed.isLongerThan(EASE) ? State.CALM : State.EASING, now);
+              !fits ? State.OVERLOADED : stayed.isLongerThan(EASE) ? State.CALM : State.EASING,
+              now);
       default -> throw new IllegalStateException(state.toString());
     }
   }
@@ -176,11 +177,11 @@
    * Looks at all work that waits, other than what must start at once, and says of each job where it
    * stands.
    */
-  public Map<JobId, Verdict> look(Collection<Claim> claims, MonotonicTime now) {
+  public Map<JobId, JobRanking> look(Collection<DemandClaim> claims, MonotonicTime now) {
     double step = looked == null ? 0 : Math.min(LONGEST_STEP_S, now.since(looked).seconds());
     looked = now;
     meet(claims, step);
-    InTime inTime = new InTime(rateForWaiting());
+    TardinessMinimizer inTime = new TardinessMinimizer(rateForWaiting());
     equals(claims).forEach(inTime::take);
     behindS = inTime.busyS();
     notice(inTime.fits(), now);
@@ -190,15 +191,15 @@
     aside.clear();
     inTime.dropped().forEach(claim -> aside.add(claim.id()));
     Map<JobId, Integer> turn = turns(claims, step);
-    Map<JobId, Verdict> verdicts = new HashMap<>();
-    for (Claim claim : claims) {
+    Map<JobId, JobRanking> verdicts = new HashMap<>();
+    for (DemandClaim claim : claims) {
       Double due = inTime.dueS(claim.id());
       boolean isAside = isActive() && aside.contains(claim.id());
       double dueS = due == null ? claim.dueS() : due;
       verdicts.put(
           claim.id(),
-          new Verdict(
-              isAside ? Verdict.Standing.SET_ASIDE : Verdict.Standing.IN_TIME,
+          new JobRanking(
+              isAside ? JobRanking.Standing.SET_ASIDE : JobRanking.Standing.IN_TIME,
               dueS,
               order(claim, dueS),
               turn.getOrDefault(claim.id(), 0)));
@@ -212,23 +213,23 @@
    * that is late by a little has all after it late. What starts whole goes before what can be
    * divided: it needs room that is seldom there.
    */
-  private double order(Claim claim, double dueS) {
+  private double order(DemandClaim claim, double dueS) {
     return !isActive()
-        ? Verdict.byDue(dueS)
-        : claim.divisible() ? claim.work() : Verdict.byDue(dueS) - WHOLE_FIRST;
+        ? JobRanking.byDue(dueS)
+        : claim.divisible() ? claim.work() : JobRanking.byDue(dueS) - WHOLE_FIRST;
   }
 
   /**
    * The divisible claims by priority, the highest first: what stands in a higher one is served
    * before all of a lower.
    */
-  private static Collection<List<Claim>> equals(Collection<Claim> claims) {
-    List<Claim> order = new ArrayList<>(claims);
+  private static Collection<List<DemandClaim>> equals(Collection<DemandClaim> claims) {
+    List<DemandClaim> order = new ArrayList<>(claims);
     order.removeIf(claim -> !claim.divisible());
     order.sort(
-        Comparator.comparing((Claim claim) -> !claim.first())
-            .thenComparing(Claim::rank, Comparator.reverseOrder()));
-    Map<String, List<Claim>> equals = new LinkedHashMap<>();
+        Comparator.comparing((DemandClaim claim) -> !claim.first())
+            .thenComparing(DemandClaim::rank, Comparator.reverseOrder()));
+    Map<String, List<DemandClaim>> equals = new LinkedHashMap<>();
     order.forEach(
         claim ->
             equals
@@ -243,13 +244,13 @@
    * Says how many tasks of which jobs go before others for once: those of groups below their floor,
    * and what was set aside.
    */
-  private Map<JobId, Integer> turns(Collection<Claim> claims, double step) {
-    List<Claim> waiting = new ArrayList<>(claims);
-    waiting.removeIf(Claim::first);
+  private Map<JobId, Integer> turns(Collection<DemandClaim> claims, double step) {
+    List<DemandClaim> waiting = new ArrayList<>(claims);
+    waiting.removeIf(DemandClaim::first);
     waiting.sort(OLDEST_FIRST);
-    Map<Claim.Group, Double> groups = new HashMap<>();
+    Map<DemandClaim.Group, Double> groups = new HashMap<>();
     Map<String, Double> asides = new HashMap<>();
-    for (Claim claim : isActive() ? waiting : List.<Claim>of()) {
+    for (DemandClaim claim : isActive() ? waiting : List.<DemandClaim>of()) {
       groups.merge(claim.group(), claim.ageS(), Math::max);
       if (aside.contains(claim.id())) {
         asides.merge(ASIDE, claim.ageS(), Math::max);
@@ -258,10 +259,10 @@
     floors.earn(groups, step);
     turns.earn(asides, step);
     Map<JobId, Integer> turn = new HashMap<>();
-    Map<Claim.Group, Double> owed = new HashMap<>();
+    Map<DemandClaim.Group, Double> owed = new HashMap<>();
     groups.keySet().forEach(group -> owed.put(group, floors.of(group)));
     double owedAside = turns.of(ASIDE);
-    for (Claim claim : isActive() ? waiting : List.<Claim>of()) {
+    for (DemandClaim claim : isActive() ? waiting : List.<DemandClaim>of()) {
       double ofGroup = owed.get(claim.group());
       double ofAside = aside.contains(claim.id()) ? owedAside : 0;
       int tasks = tasksFor(claim, Math.max(ofGroup, ofAside));
@@ -278,7 +279,7 @@
    * Whoever is owed anything has at least one task's turn: what that is too much is paid back with
    * time.
    */
-  private static int tasksFor(Claim claim, double owed) {
+  private static int tasksFor(DemandClaim claim, double owed) {
     if (owed <= 0) {
       return 0;
     }
@@ -289,7 +290,7 @@
 
   /** Tasks of a job have left the pool: its group, and what was set aside, have had so much. */
   public void given(JobId job, int tasks) {
-    Claim claim = known.get(job);
+    DemandClaim claim = known.get(job);
     if (claim != null && claim.divisible()) {
       given.add(tasks * claim.taskWork());
     }
--- a/src/main/java/org/quincecross/overload/Beginnings.java
+++ b/src/main/java/org/quincecross/overload/StartGuarantee.java
@@ -14,7 +14,7 @@
  * priority and its size: what has not begun has the next room that becomes free, the oldest first.
  * It is a claim on free room, not a right to stop what runs.
  */
-public final class Beginnings {
+public final class StartGuarantee {
   /** How a job stands with regard to its beginning. */
   public enum State {
     /** It may wait for its place in the order. */
@@ -66,7 +66,7 @@
    * @param guaranteedS the age in seconds from which a job goes before all others until it has
    *     begun; 0: none ever does
    */
-  Beginnings(double guaranteedS) {
+  StartGuarantee(double guaranteedS) {
     this.guaranteedS = guaranteedS;
   }
 
--- a/src/main/java/org/quincecross/overload/InTime.java
+++ b/src/main/java/org/quincecross/overload/TardinessMinimizer.java
@@ -16,9 +16,9 @@
  * are the rule's one machine. A job that is left out tries again with its next goal, if it has one;
  * if not, it is set aside.
  */
-final class InTime {
+final class TardinessMinimizer {
   /** A job with one of its goals. */
-  private record Attempt(Claim claim, int goal, double startsInS) {}
+  private record Attempt(DemandClaim claim, int goal, double startsInS) {}
 
   private static final Comparator<Attempt> BY_DUE =
       Comparator.comparingDouble(Attempt::startsInS)
@@ -30,21 +30,21 @@
 
   private final double rate;
   private final Map<JobId, Double> dueS = new HashMap<>();
-  private final List<Claim> dropped = new ArrayList<>();
+  private final List<DemandClaim> dropped = new ArrayList<>();
   private double busyS;
   private boolean fits = true;
 
   /**
    * @param rate how much work is done in a second, as a part of all room
    */
-  InTime(double rate) {
+  TardinessMinimizer(double rate) {
     this.rate = rate;
   }
 
   /** Takes the jobs of one priority, after those of the priorities above it have been taken. */
-  void take(List<Claim> claims) {
+  void take(List<DemandClaim> claims) {
     PriorityQueue<Attempt> toTry = new PriorityQueue<>(BY_DUE);
-    for (Claim claim : claims) {
+    for (DemandClaim claim : claims) {
       next(claim, -1, Double.NEGATIVE_INFINITY, toTry);
     }
     PriorityQueue<Attempt> taken = new PriorityQueue<>(LARGEST_FIRST);
@@ -80,7 +80,7 @@
    * Has a job try its next goal that lies beyond what was tried last; one without any is set aside,
    * unless nobody waits for it.
    */
-  private void next(Claim claim, int goal, double beyondS, PriorityQueue<Attempt> toTry) {
+  private void next(DemandClaim claim, int goal, double beyondS, PriorityQueue<Attempt> toTry) {
     for (int i = goal + 1; i < claim.goals().size(); i++) {
       double startsIn = claim.startsIn(claim.goals().get(i));
       if (startsIn > Math.max(0, beyondS)) {
@@ -99,7 +99,7 @@
   }
 
   /** The jobs that have goals and can meet none of them. */
-  List<Claim> dropped() {
+  List<DemandClaim> dropped() {
     return dropped;
   }
 }
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -3,16 +3,16 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import org.quincecross.replicated.ReplicationBarrier;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.Incarnation;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.Timers;
+import org.quincecross.protocol.Settings;
+import org.quincecross.replicated.ReplicationBarrier;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ControllerRecord;
-import org.quincecross.protocol.Settings;
 
 /**
  * Answers, by the records and by what the other controllers report, since when all controllers know
@@ -39,7 +39,11 @@
    *     clocks' drift included
    */
   public KnownRevisions(
-      Timers timers, ClusterStateCache ledger, PeerViews views, Settings settings, TimeSpan longest) {
+      Timers timers,
+      ClusterStateCache ledger,
+      PeerViews views,
+      Settings settings,
+      TimeSpan longest) {
     this.timers = timers;
     this.ledger = ledger;
     this.views = views;
--- a/src/main/java/org/quincecross/peer/ModelPlacementView.java
+++ b/src/main/java/org/quincecross/peer/ModelPlacementView.java
@@ -9,15 +9,15 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
-import org.quincecross.models.Model;
-import org.quincecross.models.Weights;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.JobRecord;
+import org.quincecross.modelserving.Model;
+import org.quincecross.modelserving.Weights;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.JobRecord;
 import org.quincecross.state.ModelIndex;
+import org.quincecross.state.ShardLease;
 
 /**
  * The machines as they matter for models: room, weights that are there or coming, by what the
@@ -168,7 +168,8 @@
         double fetchS = job.imageGb() / type.pullGbPerSecond();
         best = Math.min(best, type.bootTime().seconds() + fetchS + START_S);
         worst =
-            Math.min(worst, SLOW_BOOT * type.bootTime().seconds() + SLOW_FETCH * fetchS + 10 * START_S);
+            Math.min(
+                worst, SLOW_BOOT * type.bootTime().seconds() + SLOW_FETCH * fetchS + 10 * START_S);
       }
     }
     return new Estimate(best, worst);
--- a/src/main/java/org/quincecross/peer/ModelStatusReport.java
+++ b/src/main/java/org/quincecross/peer/ModelStatusReport.java
@@ -10,9 +10,9 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
-import org.quincecross.models.DemandSum;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.modelserving.DemandSum;
 
 /**
  * What a controller tells of models, as a section of its reports: all of it each time.
@@ -21,7 +21,8 @@
  * @param demand what it has seen of that, of the models that anybody has wanted here
  * @param running the replicas that run in its blocks
  */
-public record ModelStatusReport(TimeSpan since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
+public record ModelStatusReport(
+    TimeSpan since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
   public static final String SECTION = "models";
   private static final int MOST_ITEMS = 100_000;
 
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -12,16 +12,16 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 
 /** Peer reports to and from MessagePack. */
@@ -140,7 +140,8 @@
     }
   }
 
-  private static List<String> readTexts(MessageUnpacker in) throws IOException, MalformedMessageException {
+  private static List<String> readTexts(MessageUnpacker in)
+      throws IOException, MalformedMessageException {
     List<String> texts = new ArrayList<>();
     for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
       texts.add(in.unpackString());
@@ -192,7 +193,8 @@
     }
   }
 
-  private static PeerHeartbeat.Block readBlock(MessageUnpacker in) throws IOException, MalformedMessageException {
+  private static PeerHeartbeat.Block readBlock(MessageUnpacker in)
+      throws IOException, MalformedMessageException {
     ShardId id = new ShardId(in.unpackString());
     FencingToken token = new FencingToken(in.unpackLong());
     Revision allocation = new Revision(in.unpackLong());
@@ -249,7 +251,8 @@
     return job;
   }
 
-  private static List<TaskId> readTasks(MessageUnpacker in) throws IOException, MalformedMessageException {
+  private static List<TaskId> readTasks(MessageUnpacker in)
+      throws IOException, MalformedMessageException {
     List<TaskId> tasks = new ArrayList<>();
     for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
       TaskId task = TaskId.parse(in.unpackString());
--- a/src/main/java/org/quincecross/peer/PeerHeartbeat.java
+++ b/src/main/java/org/quincecross/peer/PeerHeartbeat.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 
 /**
  * What a controller tells another again and again: everything that has changed since report {@code
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
-import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Revision;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 
 /** What each controller has told of itself and its blocks, put together from its reports. */
 public final class PeerViews {
--- a/src/main/java/org/quincecross/peer/ReplicatedFeatureContext.java
+++ b/src/main/java/org/quincecross/peer/ReplicatedFeatureContext.java
@@ -2,14 +2,14 @@
 
 import java.util.Map;
 import java.util.function.LongSupplier;
+import org.quincecross.net.Timers;
+import org.quincecross.protocol.Settings;
+import org.quincecross.replicated.CombinedStartBlock;
 import org.quincecross.replicated.CommandOrigin;
-import org.quincecross.replicated.RecordFields;
 import org.quincecross.replicated.MalformedRecordException;
-import org.quincecross.replicated.CombinedStartBlock;
-import org.quincecross.net.Timers;
-import org.quincecross.state.ReplicatedRecordStore;
+import org.quincecross.replicated.RecordFields;
 import org.quincecross.state.ClusterStateCache;
-import org.quincecross.protocol.Settings;
+import org.quincecross.state.ReplicatedRecordStore;
 
 /**
  * What a part that rests on agreed records is given.
--- a/src/main/java/org/quincecross/progress/ProgressWatch.java
+++ b/src/main/java/org/quincecross/progress/ProgressWatch.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.JobId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Remembers when each open job last made progress. Progress is a completed task; of a service, that
--- a/src/main/java/org/quincecross/protocol/AgentCommand.java
+++ b/src/main/java/org/quincecross/protocol/AgentCommand.java
@@ -1,8 +1,8 @@
 package org.quincecross.protocol;
 
 import org.quincecross.model.Attempt;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A command to a worker.
--- a/src/main/java/org/quincecross/protocol/CloudCodec.java
+++ b/src/main/java/org/quincecross/protocol/CloudCodec.java
@@ -48,7 +48,9 @@
               type.nonNegativeNumber("CacheGb"),
               type.nonNegativeNumber("PullGbPerS"),
               type.nonNegativeNumber("Rate"),
-              type.has("MarketPrice") ? type.nonNegativeNumber("MarketPrice") : type.nonNegativeNumber("Rate"),
+              type.has("MarketPrice")
+                  ? type.nonNegativeNumber("MarketPrice")
+                  : type.nonNegativeNumber("Rate"),
               TimeSpan.ofSeconds(type.nonNegativeNumber("StartupS")),
               type.strings("Yards")));
     }
--- a/src/main/java/org/quincecross/protocol/Features.java
+++ b/src/main/java/org/quincecross/protocol/Features.java
@@ -6,7 +6,7 @@
 import org.quincecross.overload.Shares;
 import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Feature;
-import org.quincecross.rollout.Level;
+import org.quincecross.rollout.FeatureLevel;
 
 /**
  * What is switched on beyond the core, by a file under {@code deploy/}; the same file for all
@@ -18,7 +18,11 @@
  * @param agreed the parts that rest on records that all controllers follow, each with its settings;
  *     null: there are no such records
  */
-public record Features(Shares overload, TimeSpan accountingInterval, Build build, Map<String, Object> replicatedFeatures) {
+public record Features(
+    Shares overload,
+    TimeSpan accountingInterval,
+    Build build,
+    Map<String, Object> replicatedFeatures) {
   public static final Features NONE = new Features(null, null, Build.BEFORE_LEVELS, null);
 
   /** The parts that {@code agreed} may name; each reads its settings itself. */
@@ -52,7 +56,8 @@
               share(each, "turns", Shares.DEFAULTS.turns()),
               each.has("begin_s") ? each.nonNegativeNumber("begin_s") : Shares.DEFAULTS.beginS());
       if (overload.beginS() > Shares.MOST_BEGIN_S) {
-        throw new MalformedMessageException("field begin_s of overload is more than " + (int) Shares.MOST_BEGIN_S);
+        throw new MalformedMessageException(
+            "field begin_s of overload is more than " + (int) Shares.MOST_BEGIN_S);
       }
       if (overload.usable() == 0 || overload.floor() + overload.turns() > 0.5) {
         throw new MalformedMessageException(
@@ -78,7 +83,8 @@
     }
     // A build announces what it does: the level that agreed records come with only where they are
     // switched on.
-    Level newest = agreed == null ? Feature.AGREED_RECORDS.since().previous() : Level.NEWEST;
+    FeatureLevel newest =
+        agreed == null ? Feature.AGREED_RECORDS.since().previous() : FeatureLevel.NEWEST;
     Build build = Build.BEFORE_LEVELS;
     if (in.has("rollout")) {
       known(in.raw("rollout"), "rollout", List.of("build", "most_level"));
@@ -90,7 +96,8 @@
     return new Features(overload, served, build, agreed);
   }
 
-  private static double share(JsonFields in, String name, double otherwise) throws MalformedMessageException {
+  private static double share(JsonFields in, String name, double otherwise)
+      throws MalformedMessageException {
     double share = in.has(name) ? in.nonNegativeNumber(name) : otherwise;
     if (share > 1) {
       throw new MalformedMessageException("field " + name + " of overload is more than 1");
@@ -98,7 +105,8 @@
     return share;
   }
 
-  private static void known(Object value, String where, List<String> names) throws MalformedMessageException {
+  private static void known(Object value, String where, List<String> names)
+      throws MalformedMessageException {
     if (value instanceof Map<?, ?> map) {
       for (Object name : map.keySet()) {
         if (!names.contains(name)) {
--- a/src/main/java/org/quincecross/protocol/Heartbeat.java
+++ b/src/main/java/org/quincecross/protocol/Heartbeat.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import org.quincecross.model.Attempt;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Machine;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A worker's report.
@@ -16,7 +16,12 @@
  * @param notice until the cloud takes the machine away, or null
  */
 public record Heartbeat(
-    Machine machine, long session, long order, FencingToken token, TimeSpan notice, List<Piece> pieces) {
+    Machine machine,
+    long session,
+    long order,
+    FencingToken token,
+    TimeSpan notice,
+    List<Piece> pieces) {
 
   /** What a task on a machine is doing. */
   public enum TaskState {
--- a/src/main/java/org/quincecross/protocol/JobCodec.java
+++ b/src/main/java/org/quincecross/protocol/JobCodec.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 /** Jobs as users write them, and what users are told of them. */
@@ -91,7 +91,9 @@
         in.enumValue("Rank", RANKS),
         in.integer("Pieces", 1, MAX_TASKS),
         new Resources(
-            in.positiveNumber("Cpus"), in.has("Cards") ? in.nonNegativeNumber("Cards") : 0, in.nonNegativeNumber("MemGb")),
+            in.positiveNumber("Cpus"),
+            in.has("Cards") ? in.nonNegativeNumber("Cards") : 0,
+            in.nonNegativeNumber("MemGb")),
         types == null ? null : new LinkedHashSet<>(types),
         in.stringOr("Yard", null),
         in.boolOr("OneZone", false),
@@ -112,7 +114,8 @@
     for (String text : texts) {
       JobId id = JobId.parse(text);
       if (id == null) {
-        throw new MalformedMessageException("field " + DEPENDENCIES + " has an item that is not a job id");
+        throw new MalformedMessageException(
+            "field " + DEPENDENCIES + " has an item that is not a job id");
       }
       ids.add(id);
     }
@@ -129,8 +132,8 @@
   /**
    * A job as a user submits it.
    *
-   * @throws MalformedMessageException where a field is missing, those among them that a record may leave out
-   *     (docs/incidents/accepted-without-a-field.md)
+   * @throws MalformedMessageException where a field is missing, those among them that a record may
+   *     leave out (docs/incidents/accepted-without-a-field.md)
    */
   public static Job readSubmission(JsonFields in) throws MalformedMessageException {
     in.requireAll(OPTIONAL_IN_RECORDS.keySet());
@@ -226,7 +229,8 @@
     Map<String, Object> out =
         Json.object("Uid", id.text(), "Status", word, "done", done, "running", running);
     if (!waitsFor.isEmpty()) {
-      out.put("waits_for", waitsFor.stream().limit(MAX_NAMED_DEPENDENCIES).map(JobId::text).toList());
+      out.put(
+          "waits_for", waitsFor.stream().limit(MAX_NAMED_DEPENDENCIES).map(JobId::text).toList());
       out.put("waits_for_jobs", waitsFor.size());
     }
     return Json.write(out);
--- a/src/main/java/org/quincecross/protocol/Json.java
+++ b/src/main/java/org/quincecross/protocol/Json.java
@@ -41,7 +41,8 @@
     return JsonFields.of(parse(bytes), "the message");
   }
 
-  private static Object value(JsonParser in, int depth) throws IOException, MalformedMessageException {
+  private static Object value(JsonParser in, int depth)
+      throws IOException, MalformedMessageException {
     if (depth > MOST_DEPTH) {
       throw new MalformedMessageException("JSON nested too deeply");
     }
--- a/src/main/java/org/quincecross/protocol/Settings.java
+++ b/src/main/java/org/quincecross/protocol/Settings.java
@@ -5,16 +5,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.quincecross.model.ServiceLevelObjective;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Team;
-import org.quincecross.rollout.Terms;
-import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.rollout.AnnouncedLimits;
 
 /**
  * The settings file that the platform hands to every controller.
@@ -47,10 +47,20 @@
    *
    * @param times of a deadline: by how many times the deadline; 1 where nothing is said
    */
-  public record Objective(String kind, String jobClass, TimeSpan timeLimit, double deadlineFactor, double targetShare) {}
+  public record Objective(
+      String kind,
+      String jobClass,
+      TimeSpan timeLimit,
+      double deadlineFactor,
+      double targetShare) {}
 
   /** How workers behave. */
-  public record AgentTimeouts(TimeSpan heartbeatInterval, TimeSpan lease, TimeSpan gangStartTimeout, TimeSpan gangPeerTimeout, TimeSpan cancelTimeout) {
+  public record AgentTimeouts(
+      TimeSpan heartbeatInterval,
+      TimeSpan lease,
+      TimeSpan gangStartTimeout,
+      TimeSpan gangPeerTimeout,
+      TimeSpan cancelTimeout) {
     /** How long a holder goes on without the state service, and when cancellations are told. */
     public UnconfirmedOwnershipBound unconfirmedBound() {
       return UnconfirmedOwnershipBound.of(lease, cancelTimeout);
@@ -63,11 +73,14 @@
    * not told, and what is written then may be changed after it (docs/design/limits-that-fall.md).
    *
    * @param valueBytes of one value
-   * @param txnChanges puts and deletes of one transaction; it may have {@link #PRECONDITIONS_PER_MUTATION}
-   *     times as many conditions
+   * @param txnChanges puts and deletes of one transaction; it may have {@link
+   *     #PRECONDITIONS_PER_MUTATION} times as many conditions
    */
   public record StoreLimits(
-      double requestsPerSecond, double writesPerSecond, int maxValueBytes, int maxMutationsPerTransaction) {
+      double requestsPerSecond,
+      double writesPerSecond,
+      int maxValueBytes,
+      int maxMutationsPerTransaction) {
     public static final int PRECONDITIONS_PER_MUTATION = 4;
 
     /** What is left free of a value: what is put in beside what was counted. */
@@ -125,10 +138,10 @@
   }
 
   /** What has to be the same on all controllers, to be announced. */
-  public Terms announcedLimits() {
+  public AnnouncedLimits announcedLimits() {
     Map<String, Resources> limits = new LinkedHashMap<>();
     teams.forEach((name, team) -> limits.put(name, team.limit()));
-    return new Terms(SettingsFingerprint.of(this), limits);
+    return new AnnouncedLimits(SettingsFingerprint.of(this), limits);
   }
 
   /**
@@ -154,7 +167,8 @@
     return objectivesOf(objectives, job, TimeSpan.ZERO);
   }
 
-  private static List<ServiceLevelObjective> objectivesOf(List<Objective> objectives, Job job, TimeSpan waited) {
+  private static List<ServiceLevelObjective> objectivesOf(
+      List<Objective> objectives, Job job, TimeSpan waited) {
     List<ServiceLevelObjective> aims = new ArrayList<>();
     boolean ownDeadline = job.deadline() != null;
     for (Objective objective : objectives) {
@@ -212,7 +226,8 @@
       Team read =
           new Team(
               team.string("name"),
-              new Resources(team.nonNegativeNumber("cpus"), team.nonNegativeNumber("gpus"), unlimited),
+              new Resources(
+                  team.nonNegativeNumber("cpus"), team.nonNegativeNumber("gpus"), unlimited),
               new Resources(
                   orUnlimited(team.nonNegativeNumber("cpus_max")),
                   orUnlimited(team.nonNegativeNumber("gpus_max")),
@@ -226,7 +241,9 @@
           new Objective(
               objective.string("kind"),
               objective.stringOr("class", null),
-              objective.has("within_s") ? TimeSpan.ofSeconds(objective.nonNegativeNumber("within_s")) : null,
+              objective.has("within_s")
+                  ? TimeSpan.ofSeconds(objective.nonNegativeNumber("within_s"))
+                  : null,
               objective.has("times") ? objective.positiveNumber("times") : 1,
               objective.has("share") ? objective.nonNegativeNumber("share") : 1));
     }
@@ -249,9 +266,12 @@
         state.has("next")
             ? storeLimits(state, state).smaller(storeLimits(state.fields("next"), state))
             : storeLimits(state, state),
-        new CloudLimits(cloud.positiveNumber("rps"), TimeSpan.ofSeconds(cloud.nonNegativeNumber("list_lag_s"))),
+        new CloudLimits(
+            cloud.positiveNumber("rps"), TimeSpan.ofSeconds(cloud.nonNegativeNumber("list_lag_s"))),
         TimeSpan.ofSeconds(
-            (params.has("time_bound_ms") ? params.nonNegativeNumber("time_bound_ms") : DEFAULT_TIME_BOUND_MS)
+            (params.has("time_bound_ms")
+                    ? params.nonNegativeNumber("time_bound_ms")
+                    : DEFAULT_TIME_BOUND_MS)
                 / 1000),
         new ProcessLimits(
             quota.positiveNumber("cpu"),
@@ -263,7 +283,8 @@
    * Limits of which {@code in} may name any; those that it does not name are as in {@code
    * otherwise}.
    */
-  private static StoreLimits storeLimits(JsonFields in, JsonFields otherwise) throws MalformedMessageException {
+  private static StoreLimits storeLimits(JsonFields in, JsonFields otherwise)
+      throws MalformedMessageException {
     return new StoreLimits(
         each(in, otherwise, "rps").positiveNumber("rps"),
         each(in, otherwise, "write_rps").positiveNumber("write_rps"),
--- a/src/main/java/org/quincecross/protocol/SettingsWriter.java
+++ b/src/main/java/org/quincecross/protocol/SettingsWriter.java
@@ -53,7 +53,12 @@
     for (Settings.Objective objective : settings.objectives()) {
       Map<String, Object> out =
           Json.object(
-              "kind", objective.kind(), "times", objective.deadlineFactor(), "share", objective.targetShare());
+              "kind",
+              objective.kind(),
+              "times",
+              objective.deadlineFactor(),
+              "share",
+              objective.targetShare());
       if (objective.jobClass() != null) {
         out.put("class", objective.jobClass());
       }
@@ -120,7 +125,11 @@
             "siblings",
             siblings,
             "external",
-            Json.object("cloud", settings.cloudAddress().toString(), "state", settings.storeAddress().toString()),
+            Json.object(
+                "cloud",
+                settings.cloudAddress().toString(),
+                "state",
+                settings.storeAddress().toString()),
             "params",
             params));
   }
--- a/src/main/java/org/quincecross/quarantine/FaultEvidence.java
+++ b/src/main/java/org/quincecross/quarantine/FaultEvidence.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Tells sick machines from jobs with a mistake, by what has failed and what has run where in a
--- a/src/main/java/org/quincecross/quarantine/SuspectJobs.java
+++ b/src/main/java/org/quincecross/quarantine/SuspectJobs.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.quincecross.model.JobId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * The jobs that blocks have declined one after the other: they are tried now and then, one at a
--- a/src/main/java/org/quincecross/quota/Explanation.java
+++ b/src/main/java/org/quincecross/quota/Explanation.java
@@ -15,10 +15,10 @@
    * @param together how many of them must have room at the same time: 1, or all tasks of a gang
    */
   public static List<String> of(
-      QuotaBooks books, QuotaTree.Node node, Resources each, int together) {
+      QuotaUsage books, QuotaTree.Node node, Resources each, int together) {
     List<String> lines = new ArrayList<>();
     Resources needed = each.times(together);
-    for (QuotaBooks.Level level : books.levels(node)) {
+    for (QuotaUsage.Level level : books.levels(node)) {
       if (level.room().capacityFor(each) >= together) {
         continue;
       }
@@ -50,7 +50,7 @@
   }
 
   /** What holds a node back: its limit, or that it may not borrow more. */
-  private static String bound(QuotaBooks.Level level) {
+  private static String bound(QuotaUsage.Level level) {
     QuotaTree.Node node = level.node();
     return node.limit().fitsIn(level.bound())
         ? "its limit " + QuotaTree.words(level.bound())
--- a/src/main/java/org/quincecross/quota/QuotaTree.java
+++ b/src/main/java/org/quincecross/quota/QuotaTree.java
@@ -103,7 +103,7 @@
   public static QuotaTree flat(Collection<Team> teams) {
     try {
       return of(List.of(), teams);
-    } catch (BadTree e) {
+    } catch (InvalidQuotaTreeException e) {
       throw new IllegalStateException(e); // nothing was written that could be bad
     }
   }
@@ -111,10 +111,11 @@
   /**
    * Builds a tree that operators have written for the teams that the platform names now.
    *
-   * @throws BadTree if it could hold for no platform file: a bad name or amount, twins, too deep,
-   *     too many, or children that are guaranteed more than their parent
+   * @throws InvalidQuotaTreeException if it could hold for no platform file: a bad name or amount,
+   *     twins, too deep, too many, or children that are guaranteed more than their parent
    */
-  public static QuotaTree of(List<NodeSpec> top, Collection<Team> platform) throws BadTree {
+  public static QuotaTree of(List<NodeSpec> top, Collection<Team> platform)
+      throws InvalidQuotaTreeException {
     Map<String, Team> known = new LinkedHashMap<>();
     platform.forEach(team -> known.put(team.name(), team));
     List<NodeSpec> all = new ArrayList<>(top);
@@ -161,17 +162,17 @@
       Map<String, Team> known,
       Set<String> teams,
       int[] count)
-      throws BadTree {
+      throws InvalidQuotaTreeException {
     Set<String> names = new HashSet<>();
     Resources sum = Resources.NONE;
     for (NodeSpec child : children) {
       NodePath at = path.child(child.name() == null ? "?" : child.name());
       if (++count[0] > MOST_NODES) {
-        throw new BadTree(at, "the tree has more than " + MOST_NODES + " nodes");
+        throw new InvalidQuotaTreeException(at, "the tree has more than " + MOST_NODES + " nodes");
       }
       checkName(at, child);
       if (!names.add(child.name())) {
-        throw new BadTree(at, "stands there twice");
+        throw new InvalidQuotaTreeException(at, "stands there twice");
       }
       checkAmounts(at, child);
       checkKind(at, parent, child, nested, known, teams);
@@ -186,7 +187,7 @@
           count);
     }
     if (parent != null && !sum.fitsIn(parent.guarantee())) {
-      throw new BadTree(
+      throw new InvalidQuotaTreeException(
           path,
           "its children are guaranteed "
               + words(sum)
@@ -195,27 +196,28 @@
     }
   }
 
-  private static void checkName(NodePath at, NodeSpec node) throws BadTree {
+  private static void checkName(NodePath at, NodeSpec node) throws InvalidQuotaTreeException {
     if (node.name() == null
         || node.name().isEmpty()
         || node.name().length() > LONGEST_NAME
         || node.name().contains("/")) {
-      throw new BadTree(at, "a name has 1 to " + LONGEST_NAME + " characters and no slash");
+      throw new InvalidQuotaTreeException(
+          at, "a name has 1 to " + LONGEST_NAME + " characters and no slash");
     }
   }
 
-  private static void checkAmounts(NodePath at, NodeSpec node) throws BadTree {
+  private static void checkAmounts(NodePath at, NodeSpec node) throws InvalidQuotaTreeException {
     checkAmount(at, "guarantee", node.guarantee(), false);
     checkAmount(at, "limit", node.limit(), true);
     checkAmount(at, "borrow", node.borrow(), true);
     if (!(node.weight() >= 0 && node.weight() <= MOST)) {
-      throw new BadTree(at, "weight is not an amount from 0 to 1e9");
+      throw new InvalidQuotaTreeException(at, "weight is not an amount from 0 to 1e9");
     }
     if (!(node.lend() >= 0 && node.lend() <= 1)) {
-      throw new BadTree(at, "lend is not a part from 0 to 1");
+      throw new InvalidQuotaTreeException(at, "lend is not a part from 0 to 1");
     }
     if (!node.guarantee().fitsIn(node.limit())) {
-      throw new BadTree(
+      throw new InvalidQuotaTreeException(
           at,
           "guarantee "
               + words(node.guarantee())
@@ -225,11 +227,12 @@
   }
 
   private static void checkAmount(
-      NodePath at, String what, Resources amount, boolean mayBeUnlimited) throws BadTree {
+      NodePath at, String what, Resources amount, boolean mayBeUnlimited)
+      throws InvalidQuotaTreeException {
     for (double value : new double[] {amount.cpus(), amount.gpus(), amount.memoryGb()}) {
       boolean unlimited = mayBeUnlimited && value == Double.POSITIVE_INFINITY;
       if (!unlimited && !(value >= 0 && value <= MOST)) {
-        throw new BadTree(at, what + " is not an amount from 0 to 1e9");
+        throw new InvalidQuotaTreeException(at, what + " is not an amount from 0 to 1e9");
       }
     }
   }
@@ -241,34 +244,37 @@
       int nested,
       Map<String, Team> known,
       Set<String> teams)
-      throws BadTree {
+      throws InvalidQuotaTreeException {
     NodeSpec.Kind above = parent == null ? NodeSpec.Kind.ORGANISATION : parent.kind();
     switch (child.kind()) {
       case ORGANISATION -> {
         if (above != NodeSpec.Kind.ORGANISATION) {
-          throw new BadTree(at, "an organisation stands below an organisation or the root");
+          throw new InvalidQuotaTreeException(
+              at, "an organisation stands below an organisation or the root");
         }
         if (nested >= MOST_NESTED) {
-          throw new BadTree(at, "more than " + MOST_NESTED + " organisations within one another");
+          throw new InvalidQuotaTreeException(
+              at, "more than " + MOST_NESTED + " organisations within one another");
         }
       }
       case TEAM -> {
         if (above != NodeSpec.Kind.ORGANISATION) {
-          throw new BadTree(at, "a team stands below an organisation or the root");
+          throw new InvalidQuotaTreeException(
+              at, "a team stands below an organisation or the root");
         }
         if (!known.containsKey(child.name())) {
-          throw new BadTree(at, "the platform has no team of that name");
+          throw new InvalidQuotaTreeException(at, "the platform has no team of that name");
         }
         if (!teams.add(child.name())) {
-          throw new BadTree(at, "the team stands in the tree twice");
+          throw new InvalidQuotaTreeException(at, "the team stands in the tree twice");
         }
       }
       case WORKLOAD -> {
         if (above != NodeSpec.Kind.TEAM) {
-          throw new BadTree(at, "a workload stands below a team");
+          throw new InvalidQuotaTreeException(at, "a workload stands below a team");
         }
         if (child.pattern() == null || child.pattern().isEmpty() || !child.children().isEmpty()) {
-          throw new BadTree(at, "a workload has a pattern, and nothing below it");
+          throw new InvalidQuotaTreeException(at, "a workload has a pattern, and nothing below it");
         }
       }
       default -> throw new IllegalStateException(child.kind().toString());
--- a/src/main/java/org/quincecross/quota/QuotaBooks.java
+++ b/src/main/java/org/quincecross/quota/QuotaUsage.java
@@ -8,7 +8,7 @@
  * What the tasks below each node use, and how much more each node may take. A change costs the
  * depth of the tree, whatever its size.
  */
-public final class QuotaBooks {
+public final class QuotaUsage {
   private final QuotaTree tree;
   private final Resources[] used;
 
@@ -17,7 +17,7 @@
 
   private long steps;
 
-  public QuotaBooks(QuotaTree tree) {
+  public QuotaUsage(QuotaTree tree) {
     this.tree = tree;
     this.used = new Resources[tree.nodes().size()];
     this.kept = new Resources[tree.nodes().size()];
--- a/src/main/java/org/quincecross/quota/Reclaim.java
+++ b/src/main/java/org/quincecross/quota/Reclaim.java
@@ -57,7 +57,10 @@
       implements Comparable<Making> {
     static Making of(List<Unit> victims) {
       Priority highest =
-          victims.stream().map(Unit::rank).max(Comparator.naturalOrder()).orElse(Priority.values()[0]);
+          victims.stream()
+              .map(Unit::rank)
+              .max(Comparator.naturalOrder())
+              .orElse(Priority.values()[0]);
       return new Making(
           victims, highest, victims.stream().mapToDouble(unit -> unit.lost().seconds()).sum());
     }
@@ -80,7 +83,7 @@
   private final Map<MachineId, List<Unit>> running = new HashMap<>();
   private final Map<String, Unit> victims = new LinkedHashMap<>();
 
-  private Reclaim(QuotaBooks books, Map<MachineId, Resources> free, List<Unit> units) {
+  private Reclaim(QuotaUsage books, Map<MachineId, Resources> free, List<Unit> units) {
     List<QuotaTree.Node> nodes = books.tree().nodes();
     this.used = new Resources[nodes.size()];
     nodes.forEach(node -> used[node.index()] = books.used(node));
@@ -106,7 +109,7 @@
    *     reclaimed for them
    */
   public static Plan plan(
-      QuotaBooks books, Map<MachineId, Resources> free, List<Unit> units, List<Claim> claims) {
+      QuotaUsage books, Map<MachineId, Resources> free, List<Unit> units, List<Claim> claims) {
     Reclaim reclaim = new Reclaim(books, free, units);
     List<Map<MachineId, Integer>> placed = new ArrayList<>();
     Resources most = Resources.NONE;
--- a/src/main/java/org/quincecross/replicated/RecordFields.java
+++ b/src/main/java/org/quincecross/replicated/RecordFields.java
@@ -99,7 +99,8 @@
     throw bad(name, "is not an integer from " + least + " to " + most);
   }
 
-  public long integerOr(String name, long least, long most, long otherwise) throws MalformedRecordException {
+  public long integerOr(String name, long least, long most, long otherwise)
+      throws MalformedRecordException {
     return has(name) ? integer(name, least, most) : otherwise;
   }
 
--- a/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
+++ b/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
@@ -13,7 +13,8 @@
  * @param requests the latest requests, oldest first
  * @param trail lines that are on no page yet, oldest first
  */
-public record ReplicatedRecord<S>(S state, long change, List<Request> requests, List<AuditEntry> trail) {
+public record ReplicatedRecord<S>(
+    S state, long change, List<Request> requests, List<AuditEntry> trail) {
   /** So many requests of one record are known by their names; the values of records are small. */
   public static final int MOST_REQUESTS = 12;
 
@@ -37,7 +38,8 @@
   /** What becomes of a request. */
   public sealed interface Result<S> {
     /** To be written in place of what there was; {@code withholds}: with it the fence rises. */
-    record Write<S>(ReplicatedRecord<S> next, Request made, boolean withholds) implements Result<S> {}
+    record Write<S>(ReplicatedRecord<S> next, Request made, boolean withholds)
+        implements Result<S> {}
 
     /** It was followed before. */
     record Known<S>(Request made) implements Result<S> {}
@@ -173,7 +175,8 @@
     return out;
   }
 
-  public static <S> ReplicatedRecord<S> read(RecordKind<S, ?> kind, Object value) throws MalformedRecordException {
+  public static <S> ReplicatedRecord<S> read(RecordKind<S, ?> kind, Object value)
+      throws MalformedRecordException {
     RecordFields in = RecordFields.of(value, "a record of " + kind.name());
     List<Request> requests = new ArrayList<>();
     for (Object each : in.list("requests")) {
--- a/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
+++ b/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.Incarnation;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 
 /**
  * Since when all controllers know of a revision: each one that could act by an older view of the
--- a/src/main/java/org/quincecross/requests/Place.java
+++ b/src/main/java/org/quincecross/reservation/Place.java
@@ -1,8 +1,8 @@
-package org.quincecross.requests;
+package org.quincecross.reservation;
 
 import java.util.Set;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 
 /**
  * What a block has for reservations.
--- a/src/main/java/org/quincecross/requests/RequestKind.java
+++ b/src/main/java/org/quincecross/reservation/RequestKind.java
@@ -1,4 +1,4 @@
-package org.quincecross.requests;
+package org.quincecross.reservation;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,13 +9,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
+import org.quincecross.model.Resources;
+import org.quincecross.replicated.AuditEvent;
 import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordFields;
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.Transition;
-import org.quincecross.replicated.AuditEvent;
-import org.quincecross.replicated.MalformedRecordException;
-import org.quincecross.model.Resources;
 
 /** Requests as records that all controllers follow. */
 public final class RequestKind implements RecordKind<Request, RequestCommand> {
@@ -266,7 +266,8 @@
           throw new MalformedRecordException("tasks and cpus of the command are to be above 0");
         }
         if (need.zones().size() > MOST_ZONES) {
-          throw new MalformedRecordException("field zones of the command names more than " + MOST_ZONES);
+          throw new MalformedRecordException(
+              "field zones of the command names more than " + MOST_ZONES);
         }
         for (String word : List.of(in.text("kind"), need.lane(), need.team())) {
           if (word.isBlank() || word.length() > MOST_WORD) {
@@ -307,7 +308,8 @@
         return new RequestCommand.Withdraw(why);
       }
       default ->
-          throw new MalformedRecordException("field do of the command is not one of [arrive, answer, withdraw]");
+          throw new MalformedRecordException(
+              "field do of the command is not one of [arrive, answer, withdraw]");
     }
   }
 
--- a/src/main/java/org/quincecross/requests/Reservation.java
+++ b/src/main/java/org/quincecross/reservation/Reservation.java
@@ -1,4 +1,4 @@
-package org.quincecross.requests;
+package org.quincecross.reservation;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Team;
 
 /**
--- a/src/main/java/org/quincecross/requests/Taken.java
+++ b/src/main/java/org/quincecross/reservation/Taken.java
@@ -1,4 +1,4 @@
-package org.quincecross.requests;
+package org.quincecross.reservation;
 
 import java.util.Map;
 
--- a/src/main/java/org/quincecross/rollout/Terms.java
+++ b/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
@@ -17,15 +17,15 @@
  *     marks
  * @param limits of the teams, infinite where there is none
  */
-public record Terms(Map<String, String> marks, Map<String, Resources> limits) {
+public record AnnouncedLimits(Map<String, String> marks, Map<String, Resources> limits) {
   /** A build that announces nothing. */
-  public static final Terms NONE = new Terms(Map.of(), Map.of());
+  public static final AnnouncedLimits NONE = new AnnouncedLimits(Map.of(), Map.of());
 
   /** The same with one more part that has to be equal. */
-  public Terms with(String part, String mark) {
+  public AnnouncedLimits with(String part, String mark) {
     Map<String, String> more = new TreeMap<>(marks);
     more.put(part, mark);
-    return new Terms(more, limits);
+    return new AnnouncedLimits(more, limits);
   }
 
   /**
@@ -33,9 +33,10 @@
    * that some controller was told. A team that another file does not name has the limit of this
    * one.
    */
-  public static Map<String, Team> lowest(Map<String, Team> own, Iterable<Terms> announced) {
+  public static Map<String, Team> lowest(
+      Map<String, Team> own, Iterable<AnnouncedLimits> announced) {
     Map<String, Team> teams = own;
-    for (Terms terms : announced) {
+    for (AnnouncedLimits terms : announced) {
       for (Team team : own.values()) {
         Resources limit = terms.limits().get(team.name());
         Resources before = teams.get(team.name()).limit();
@@ -60,7 +61,8 @@
    * Who differs from a controller in what, in words; empty where nobody does. Who announces nothing
    * says nothing of that.
    */
-  public static List<String> differences(ControllerId self, Map<ControllerId, Terms> announced) {
+  public static List<String> differences(
+      ControllerId self, Map<ControllerId, AnnouncedLimits> announced) {
     Map<String, String> own = announced.getOrDefault(self, NONE).marks();
     List<String> differences = new ArrayList<>();
     new TreeMap<>(announced)
--- a/src/main/java/org/quincecross/rollout/Feature.java
+++ b/src/main/java/org/quincecross/rollout/Feature.java
@@ -16,18 +16,18 @@
 
   // A record of one int is immutable.
   @SuppressWarnings("ImmutableEnumChecker")
-  private final Level since;
+  private final FeatureLevel since;
 
   Feature(int since) {
-    this.since = new Level(since);
+    this.since = new FeatureLevel(since);
   }
 
   /** The level that it comes with. */
-  public Level since() {
+  public FeatureLevel since() {
     return since;
   }
 
-  public boolean isIn(Level level) {
+  public boolean isIn(FeatureLevel level) {
     return !since.isAbove(level);
   }
 }
--- a/src/main/java/org/quincecross/rollout/Rollout.java
+++ b/src/main/java/org/quincecross/rollout/Rollout.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.Incarnation;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * When the level may change. It rises by one once every controller of the site has announced, in
@@ -55,10 +55,10 @@
    * @param onlyHere records that a lower level could not read
    */
   public record Site(
-      Level inForce,
+      FeatureLevel inForce,
       Set<ControllerId> expected,
       Map<ControllerId, Alive> alive,
-      Level most,
+      FeatureLevel most,
       int toMigrate,
       int onlyHere) {}
 
@@ -68,7 +68,7 @@
    * @param to the level to put in force, or null
    * @param why what holds the next level back, in words; empty where nothing does
    */
-  public record Decision(State state, Level to, String why) {}
+  public record Decision(State state, FeatureLevel to, String why) {}
 
   private record Seen(Alive alive, MonotonicTime since) {}
 
@@ -80,7 +80,7 @@
   }
 
   /** The one place where the state changes. */
-  private Decision enter(State next, Level to, String why) {
+  private Decision enter(State next, FeatureLevel to, String why) {
     state = next;
     return new Decision(next, to, why);
   }
@@ -96,14 +96,14 @@
                 seen.put(member, new Seen(alive, now));
               }
             });
-    if (site.inForce().isAbove(site.most()) && site.inForce().isAbove(Level.FIRST)) {
+    if (site.inForce().isAbove(site.most()) && site.inForce().isAbove(FeatureLevel.FIRST)) {
       return lower(site);
     }
     return raise(site, now);
   }
 
   private Decision lower(Site site) {
-    Level to = site.inForce().previous();
+    FeatureLevel to = site.inForce().previous();
     String unable = unable(site, to);
     if (!unable.isEmpty()) {
       return enter(
@@ -116,7 +116,7 @@
   }
 
   private Decision raise(Site site, MonotonicTime now) {
-    Level to = site.inForce().next();
+    FeatureLevel to = site.inForce().next();
     String unable = unable(site, to);
     boolean someCan = site.alive().values().stream().anyMatch(alive -> alive.build().can(to));
     if (!someCan) {
@@ -143,7 +143,7 @@
   }
 
   /** Who cannot do a level, and why; empty if all can. */
-  private static String unable(Site site, Level level) {
+  private static String unable(Site site, FeatureLevel level) {
     List<String> unable = new ArrayList<>();
     new TreeMap<>(name(site.expected()))
         .forEach(
--- a/src/main/java/org/quincecross/scheduling/Admission.java
+++ b/src/main/java/org/quincecross/scheduling/Admission.java
@@ -11,12 +11,12 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
 
@@ -314,8 +314,7 @@
   public static Resources roomForArrays(Collection<Block> blocks) {
     Resources room = Resources.NONE;
     for (Block block : blocks) {
-      room =
-          room.plus(block.capacity.minus(block.standing).minus(block.gangs).max(Resources.NONE));
+      room = room.plus(block.capacity.minus(block.standing).minus(block.gangs).max(Resources.NONE));
     }
     return room;
   }
@@ -334,7 +333,10 @@
             .thenComparing(demand -> demand.place() != Place.BEGINNING && !demand.guaranteed())
             .thenComparing(demand -> demand.place() != Place.TURN)
             .thenComparing(
-                demand -> demand.place() == Place.BEGINNING ? Priority.PRODUCTION : demand.job().priority(),
+                demand ->
+                    demand.place() == Place.BEGINNING
+                        ? Priority.PRODUCTION
+                        : demand.job().priority(),
                 Comparator.reverseOrder())
             .thenComparing(JobDemand::place)
             .thenComparing(JobDemand::order)
@@ -423,7 +425,9 @@
       return left;
     }
     PriorityQueue<PlacementCandidate> choices = bound ? null : choices(demand, perZone);
-    for (int index = demand.pool().nextMember(0); left > 0; index = demand.pool().nextMember(index + 1)) {
+    for (int index = demand.pool().nextMember(0);
+        left > 0;
+        index = demand.pool().nextMember(index + 1)) {
       PriorityQueue<PlacementCandidate> from = bound ? choices(demand, perZone) : choices;
       PlacementCandidate best = from.poll();
       if (best == null) {
@@ -454,7 +458,8 @@
     return 0;
   }
 
-  private PriorityQueue<PlacementCandidate> choices(JobDemand demand, Map<String, Integer> perZone) {
+  private PriorityQueue<PlacementCandidate> choices(
+      JobDemand demand, Map<String, Integer> perZone) {
     PriorityQueue<PlacementCandidate> choices = new PriorityQueue<>();
     Job job = demand.job();
     for (Block block : blocks) {
@@ -482,7 +487,8 @@
       if (demand.place() == Place.BEGINNING
           && teams.containsKey(job.team())
           && teams.get(job.team()).limit().capacityFor(job.taskResources()) >= job.taskCount()) {
-        keepRoomFor(demand, job.taskCount()); // as its team's work ends, no more of it starts before
+        keepRoomFor(
+            demand, job.taskCount()); // as its team's work ends, no more of it starts before
       }
       return 0;
     }
@@ -546,7 +552,8 @@
 
   private static Comparator<Block> keepingOrder(Job job, int tasks) {
     return Comparator.comparing((Block block) -> -Math.min(tasks, block.placesSoon(job)))
-        .thenComparing(block -> block.usedFrom(Priority.LOW).plus(block.kept).dominantShareOf(block.capacity))
+        .thenComparing(
+            block -> block.usedFrom(Priority.LOW).plus(block.kept).dominantShareOf(block.capacity))
         .thenComparing(Block::id);
   }
 
@@ -564,7 +571,8 @@
     int count = 0;
     for (Block block : blocks) {
       count +=
-          job.allows(block.type, block.zone, block.spot) && job.taskResources().fitsIn(block.machine)
+          job.allows(block.type, block.zone, block.spot)
+                  && job.taskResources().fitsIn(block.machine)
               ? 1
               : 0;
     }
@@ -613,7 +621,8 @@
       return true; // whatever else waits there already and does not fit yet
     }
     boolean keepsOut =
-        job.priority() != Priority.PRODUCTION && (block.isToStart || !block.kept.equals(Resources.NONE));
+        job.priority() != Priority.PRODUCTION
+            && (block.isToStart || !block.kept.equals(Resources.NONE));
     boolean mayPreempt =
         demand.isPressed()
             && !keepsOut; // room that is being gathered is not for what is quicker to take it
@@ -632,7 +641,8 @@
             : block.capacity;
     Resources kept =
         (keepsOut ? block.kept : Resources.NONE).plus(reserved == null ? Resources.NONE : reserved);
-    Resources room = capacity.minus(kept).minus(block.usedFrom(mayPreempt ? job.priority() : Priority.LOW));
+    Resources room =
+        capacity.minus(kept).minus(block.usedFrom(mayPreempt ? job.priority() : Priority.LOW));
     if (!mayPreempt && job.priority().isHigherThan(Priority.LOW)) {
       room = room.plus(block.idle); // gives way to all others, pressed or not
     }
--- a/src/main/java/org/quincecross/scheduling/Headroom.java
+++ b/src/main/java/org/quincecross/scheduling/Headroom.java
@@ -3,9 +3,9 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 /**
@@ -19,7 +19,8 @@
  * @param lentTo jobs that need not keep out, because they have waited too long; of room for
  *     requests none
  */
-public record Headroom(Purpose purpose, Resources each, int machines, For asked, Set<JobId> lentTo) {
+public record Headroom(
+    Purpose purpose, Resources each, int machines, For asked, Set<JobId> lentTo) {
   /** What the room is kept for. */
   public enum Purpose {
     /** Work that needs most of a machine; all smaller work keeps out. */
@@ -51,7 +52,8 @@
 
   /** Whether a task takes most of a machine. */
   public static boolean isLarge(Job job, Resources capacity) {
-    return job.taskResources().fitsIn(capacity) && job.taskResources().dominantShareOf(capacity) > LARGE;
+    return job.taskResources().fitsIn(capacity)
+        && job.taskResources().dominantShareOf(capacity) > LARGE;
   }
 
   /**
@@ -77,7 +79,8 @@
   boolean isKeptFrom(Job job, Resources capacity) {
     return switch (purpose) {
       // Urgent work prefers other room, but does not wait for the sake of work that is less urgent.
-      case LARGE_WORK, URGENT_WORK -> !isLarge(job, capacity) && job.priority() != Priority.PRODUCTION;
+      case LARGE_WORK, URGENT_WORK ->
+          !isLarge(job, capacity) && job.priority() != Priority.PRODUCTION;
       case REQUESTS -> !job.jobClass().equals(asked.lane()) && !mayBorrow(job);
     };
   }
--- a/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
+++ b/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 
 /** What blocks keep free, as admission asks for it. */
 final class HeadroomPlan {
--- a/src/main/java/org/quincecross/scheduling/MachineQueue.java
+++ b/src/main/java/org/quincecross/scheduling/MachineQueue.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.MonotonicTime;
 
 /** A machine and the queue of work that waits for it. */
 public final class MachineQueue {
@@ -83,7 +83,9 @@
 
   /** Whether an urgent entry would fit once work that can be stopped in a moment has been. */
   boolean couldFit(QueueEntry entry) {
-    return open && !entry.avoids(machine) && entry.job().taskResources().fitsIn(free().plus(displaceable));
+    return open
+        && !entry.avoids(machine)
+        && entry.job().taskResources().fitsIn(free().plus(displaceable));
   }
 
   void occupy(Resources more) {
--- a/src/main/java/org/quincecross/scheduling/PlacementCandidate.java
+++ b/src/main/java/org/quincecross/scheduling/PlacementCandidate.java
@@ -16,7 +16,8 @@
    * @param kept for how many tasks of its lane the zone keeps room: evenly used, the last job finds
    *     it in all of them
    */
-  PlacementCandidate(Admission.Block block, JobDemand demand, boolean entersReserve, int inZone, int kept) {
+  PlacementCandidate(
+      Admission.Block block, JobDemand demand, boolean entersReserve, int inZone, int kept) {
     this.block = block;
     this.kept = kept;
     this.inZone = inZone;
--- a/src/main/java/org/quincecross/scheduling/Preemption.java
+++ b/src/main/java/org/quincecross/scheduling/Preemption.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
 
 /**
--- a/src/main/java/org/quincecross/scheduling/QueueEntry.java
+++ b/src/main/java/org/quincecross/scheduling/QueueEntry.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.Revision;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Revision;
 import org.quincecross.model.TaskId;
 
 /** What waits in a queue: a task, or all tasks of a gang. */
--- a/src/main/java/org/quincecross/scheduling/ShardScheduler.java
+++ b/src/main/java/org/quincecross/scheduling/ShardScheduler.java
@@ -12,11 +12,11 @@
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.Predicate;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.MonotonicTime;
 
 /**
  * The queues of a block's machines, which are one another's neighbours: local backfilling limited
@@ -68,7 +68,8 @@
   }
 
   private static int lost(Headroom reserve, MachineQueue machine, QueueEntry entry) {
-    return reserve.in(machine.free()) - reserve.in(machine.free().minus(entry.job().taskResources()));
+    return reserve.in(machine.free())
+        - reserve.in(machine.free().minus(entry.job().taskResources()));
   }
 
   private boolean breaksUp(MachineQueue machine, QueueEntry entry) {
@@ -332,7 +333,8 @@
     for (QueueEntry gang : gangs) {
       MachineQueue home = queueOf.get(gang);
       QueueEntry head = home.head(now);
-      if (gang.counter() < head.counter() || head.job().priority().isHigherThan(gang.job().priority())) {
+      if (gang.counter() < head.counter()
+          || head.job().priority().isHigherThan(gang.job().priority())) {
         continue;
       }
       List<MachineQueue> places = places(gang, kept, machine -> machine.free());
@@ -375,7 +377,8 @@
     for (MachineQueue machine : order) {
       int fit =
           Math.min(
-              room.apply(machine).capacityFor(gang.job().taskResources()), gang.tasks().size() - places.size());
+              room.apply(machine).capacityFor(gang.job().taskResources()),
+              gang.tasks().size() - places.size());
       for (int i = 0; i < fit; i++) {
         places.add(machine);
       }
@@ -506,7 +509,8 @@
       if (!least.canEver(entry) || entry.avoids(least.machine())) {
         continue;
       }
-      double share = entry.job().taskResources().times(entry.tasks().size()).dominantShareOf(least.capacity());
+      double share =
+          entry.job().taskResources().times(entry.tasks().size()).dominantShareOf(least.capacity());
       double objective = Math.max(least.load() + share, most.load() - share);
       if (objective < bestObjective - 1e-9) {
         best = entry;
--- a/src/main/java/org/quincecross/shard/AgentCommandSender.java
+++ b/src/main/java/org/quincecross/shard/AgentCommandSender.java
@@ -9,19 +9,19 @@
 import java.util.Set;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Attempt;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.Json;
-import org.quincecross.protocol.AgentCommand;
 import org.quincecross.protocol.AgentCodec;
+import org.quincecross.protocol.AgentCommand;
 import org.quincecross.protocol.Heartbeat;
 import org.quincecross.protocol.Heartbeat.Piece;
 import org.quincecross.protocol.Heartbeat.TaskState;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -32,8 +32,8 @@
  * <p>Each direct command waits for its answer, {@link #DIRECT_TIMEOUT} at most. A command that was
  * not answered is not sent again by itself: what it said is said again by the answer to the
  * machine's next report, or after {@link #DIRECT_RETRY}. That it may still be executed is
- * remembered per attempt by {@link AgentSession} until the machine has shown a higher token or a new
- * session.
+ * remembered per attempt by {@link AgentSession} until the machine has shown a higher token or a
+ * new session.
  */
 final class AgentCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(AgentCommandSender.class);
@@ -104,7 +104,8 @@
    * The answer to the machine's report; one that does not obey yet is told nothing but the token.
    */
   byte[] answer(AgentSession session) {
-    List<AgentCommand> orders = session.state() == AgentSession.State.FENCED ? orders(session) : List.of();
+    List<AgentCommand> orders =
+        session.state() == AgentSession.State.FENCED ? orders(session) : List.of();
     tell(orders);
     session.startsInAnswer(starts(orders).keySet());
     return AgentCodec.writeAnswer(holder.lease().token(), orders);
@@ -173,7 +174,10 @@
   }
 
   private void directEnded(
-      AgentSession session, Map<Attempt, TaskId> starts, FencingToken sentWith, HttpOutcome outcome) {
+      AgentSession session,
+      Map<Attempt, TaskId> starts,
+      FencingToken sentWith,
+      HttpOutcome outcome) {
     Heartbeat report = readReport(outcome);
     // Another machine may have the address of one that is gone: what that one says is nothing of
     // this one.
--- a/src/main/java/org/quincecross/shard/AgentSession.java
+++ b/src/main/java/org/quincecross/shard/AgentSession.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.quincecross.failuredetection.OneWayPartitionDetector;
+import org.quincecross.failuredetection.StaleHeartbeatFilter;
 import org.quincecross.model.Attempt;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Machine;
-import org.quincecross.model.Resources;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Resources;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.FencingToken;
-import org.quincecross.failuredetection.OneWayPartitionDetector;
-import org.quincecross.failuredetection.StaleHeartbeatFilter;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Heartbeat;
 
 /** What the holder knows of one machine of its block. */
@@ -72,7 +72,11 @@
    * known now.
    */
   AgentSession(
-      Machine machine, Resources capacity, double cacheGb, MonotonicTime now, MonotonicTime leaseFrom) {
+      Machine machine,
+      Resources capacity,
+      double cacheGb,
+      MonotonicTime now,
+      MonotonicTime leaseFrom) {
     this.machine = machine;
     this.capacity = capacity;
     this.cacheGb = cacheGb;
@@ -159,7 +163,8 @@
    * one.
    */
   StaleHeartbeatFilter.Verdict judge(Heartbeat next, boolean beat, MonotonicTime now) {
-    StaleHeartbeatFilter.Shown shown = new StaleHeartbeatFilter.Shown(next.token(), next.session(), next.order());
+    StaleHeartbeatFilter.Shown shown =
+        new StaleHeartbeatFilter.Shown(next.token(), next.session(), next.order());
     return beat
         ? freshness.ofReport(shown, state == State.LOST, now)
         : freshness.ofAnswer(shown, now);
@@ -393,8 +398,7 @@
     int kept = 0;
     if (!startsUnanswered.isEmpty() && report != null) {
       for (Heartbeat.Piece piece : report.pieces()) {
-        kept +=
-            piece.state() == Heartbeat.TaskState.EXITED && isInDoubt(piece.attempt()) ? 1 : 0;
+        kept += piece.state() == Heartbeat.TaskState.EXITED && isInDoubt(piece.attempt()) ? 1 : 0;
       }
     }
     return kept;
--- a/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
+++ b/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
@@ -1,16 +1,16 @@
 package org.quincecross.shard;
 
 import java.util.Set;
-import org.quincecross.quarantine.FaultEvidence;
 import org.quincecross.model.Attempt;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MachineId;
 import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.MachineId;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Heartbeat.Cause;
 import org.quincecross.protocol.Heartbeat.Piece;
 import org.quincecross.protocol.Heartbeat.TaskState;
+import org.quincecross.quarantine.FaultEvidence;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,7 +23,8 @@
   private final Placements placements;
   private final FaultEvidence evidence;
 
-  HeartbeatProcessor(ShardContext context, ShardOwner holder, Placements placements, FaultEvidence evidence) {
+  HeartbeatProcessor(
+      ShardContext context, ShardOwner holder, Placements placements, FaultEvidence evidence) {
     this.context = context;
     this.holder = holder;
     this.placements = placements;
--- a/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
+++ b/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Map;
+import org.quincecross.failuredetection.OneWayPartitionDetector;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
-import org.quincecross.failuredetection.OneWayPartitionDetector;
 import org.quincecross.protocol.Heartbeat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -43,7 +43,10 @@
   private boolean formerHaveEnded;
 
   MachineLivenessMonitor(
-      ShardContext context, ShardOwner holder, HeartbeatProcessor intake, Map<MachineId, AgentSession> sessions) {
+      ShardContext context,
+      ShardOwner holder,
+      HeartbeatProcessor intake,
+      Map<MachineId, AgentSession> sessions) {
     this.context = context;
     this.holder = holder;
     this.intake = intake;
@@ -127,7 +130,8 @@
 
   /** Whether it is heard and hears. */
   boolean isInTouch(AgentSession session) {
-    return session.hearing().hears() && !context.now().since(session.heard()).isLongerThan(openFor());
+    return session.hearing().hears()
+        && !context.now().since(session.heard()).isLongerThan(openFor());
   }
 
   /**
--- a/src/main/java/org/quincecross/shard/MachineSnapshots.java
+++ b/src/main/java/org/quincecross/shard/MachineSnapshots.java
@@ -7,19 +7,19 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.quincecross.model.Job;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.peer.PeerHeartbeat;
-import org.quincecross.scheduling.ShardScheduler;
-import org.quincecross.scheduling.Headroom;
-import org.quincecross.state.JobRecord;
-import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.Heartbeat.Piece;
 import org.quincecross.protocol.Heartbeat.TaskState;
+import org.quincecross.protocol.Settings;
+import org.quincecross.scheduling.Headroom;
+import org.quincecross.scheduling.ShardScheduler;
+import org.quincecross.state.JobRecord;
 
 /** What machines have room for and are doing, put together from placements and reports. */
 final class MachineSnapshots {
@@ -112,7 +112,9 @@
         Resources borrowed = Resources.NONE;
         for (Placement placement : placements.seenOn(session.machine().id())) {
           borrowed =
-              Headroom.mayBorrow(placement.job()) ? borrowed.plus(placement.job().taskResources()) : borrowed;
+              Headroom.mayBorrow(placement.job())
+                  ? borrowed.plus(placement.job().taskResources())
+                  : borrowed;
         }
         Resources free = session.capacity().minus(used(session));
         tasks += free.plus(borrowed).capacityFor(reserve.each()) - free.capacityFor(reserve.each());
--- a/src/main/java/org/quincecross/shard/OwnedShards.java
+++ b/src/main/java/org/quincecross/shard/OwnedShards.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.peer.PeerHeartbeat;
-import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ShardLease;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/org/quincecross/shard/Placement.java
+++ b/src/main/java/org/quincecross/shard/Placement.java
@@ -3,9 +3,9 @@
 import org.quincecross.model.Attempt;
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Where a task that the block has stands. Each state that waits for a message says what ends the
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 import java.util.function.Function;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.scheduling.Headroom;
-import org.quincecross.state.ShardLease;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ShardLease;
 
 /**
  * Whether work that waits in one block would most likely start at once in another, as far as the
@@ -26,7 +26,8 @@
   /**
    * @param reserves what a block keeps free
    */
-  public RemoteCapacityHint(ClusterStateCache ledger, PeerViews views, Function<ShardId, List<Headroom>> reserves) {
+  public RemoteCapacityHint(
+      ClusterStateCache ledger, PeerViews views, Function<ShardId, List<Headroom>> reserves) {
     this.ledger = ledger;
     this.views = views;
     this.reserves = reserves;
--- a/src/main/java/org/quincecross/shard/ShardContext.java
+++ b/src/main/java/org/quincecross/shard/ShardContext.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 import java.util.Set;
-import org.quincecross.replicated.StartBlock;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.Timers;
+import org.quincecross.protocol.Settings;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.ClusterStateCache;
-import org.quincecross.protocol.Settings;
 
 /** What every holder of this controller shares. */
 public interface ShardContext {
@@ -43,7 +43,8 @@
 
   /**
    * Whether the ledger is recent enough to start tasks: a job that is not cancelled in it may have
-   * been called off elsewhere, and its user told ({@link org.quincecross.failuredetection.StartPermission}).
+   * been called off elsewhere, and its user told ({@link
+   * org.quincecross.failuredetection.StartPermission}).
    */
   default boolean mayStart() {
     return isEntitled();
--- a/src/main/java/org/quincecross/shard/ShardOwner.java
+++ b/src/main/java/org/quincecross/shard/ShardOwner.java
@@ -8,32 +8,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.quarantine.FaultEvidence;
+import org.quincecross.failuredetection.StaleHeartbeatFilter.Verdict;
 import org.quincecross.model.Attempt;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.peer.PeerHeartbeat;
-import org.quincecross.scheduling.ShardScheduler;
+import org.quincecross.protocol.Heartbeat;
+import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.quarantine.FaultEvidence;
 import org.quincecross.scheduling.QueueEntry;
-import org.quincecross.failuredetection.StaleHeartbeatFilter.Verdict;
+import org.quincecross.scheduling.ShardScheduler;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.ShardLease;
 import org.quincecross.state.JobRecord;
-import org.quincecross.protocol.Heartbeat;
-import org.quincecross.protocol.Heartbeat.Piece;
+import org.quincecross.state.ShardLease;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -117,7 +117,8 @@
   /** Whether every machine obeys this holder alone. */
   public boolean hasAllFenced() {
     return !superseded
-        && sessions.values().stream().allMatch(session -> session.state() == AgentSession.State.FENCED);
+        && sessions.values().stream()
+            .allMatch(session -> session.state() == AgentSession.State.FENCED);
   }
 
   /**
@@ -150,7 +151,8 @@
     MachineType type = context.ledger().types().get(machine.type());
     Resources capacity = type == null ? Resources.NONE : type.capacity();
     AgentSession session =
-        new AgentSession(machine, capacity, type == null ? 0 : type.cacheGb(), context.now(), leaseFrom);
+        new AgentSession(
+            machine, capacity, type == null ? 0 : type.cacheGb(), context.now(), leaseFrom);
     context.imagesOf(machine.id()).forEach(session::inheritImage);
     sessions.put(machine.id(), session);
     scheduler.addMachine(machine.id(), capacity, session::hasImage);
--- a/src/main/java/org/quincecross/shard/StartGate.java
+++ b/src/main/java/org/quincecross/shard/StartGate.java
@@ -1,10 +1,10 @@
 package org.quincecross.shard;
 
-import org.quincecross.replicated.StartBlock;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskId;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.state.JobRecord;
 
 /**
--- a/src/main/java/org/quincecross/shard/TokenRenewal.java
+++ b/src/main/java/org/quincecross/shard/TokenRenewal.java
@@ -2,8 +2,8 @@
 
 import java.util.Map;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * What of a block no message under its present token will end: the leader is asked to lease it
@@ -29,7 +29,8 @@
    * token), or a machine that has begun anew, whose reports are told from late ones of before only
    * by a higher token.
    */
-  static boolean any(Placements placements, Map<MachineId, AgentSession> sessions, MonotonicTime now) {
+  static boolean any(
+      Placements placements, Map<MachineId, AgentSession> sessions, MonotonicTime now) {
     for (Placement placement : placements.in(Placement.State.STOPPING)) {
       AgentSession session = sessions.get(placement.machine());
       // A machine that hears nothing does not show a new token either; the end of its session ends
--- a/src/main/java/org/quincecross/state/Allocation.java
+++ b/src/main/java/org/quincecross/state/Allocation.java
@@ -4,9 +4,9 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** The tasks that a block has: it alone may start them. */
 public record Allocation(Map<JobId, TaskSet> tasks, Revision version) {
--- a/src/main/java/org/quincecross/state/AllocationDelta.java
+++ b/src/main/java/org/quincecross/state/AllocationDelta.java
@@ -5,9 +5,9 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * How a block's tasks differ from its last whole record: from level 2 on this is what is written
--- a/src/main/java/org/quincecross/state/ClusterStateCache.java
+++ b/src/main/java/org/quincecross/state/ClusterStateCache.java
@@ -9,31 +9,31 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.model.ShardId;
+import org.quincecross.dependency.DependencyGraph;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.pipeline.Pipelines;
-import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Feature;
-import org.quincecross.rollout.Level;
-import org.quincecross.rollout.Terms;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.rollout.AnnouncedLimits;
+import org.quincecross.rollout.Build;
+import org.quincecross.rollout.Feature;
+import org.quincecross.rollout.FeatureLevel;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's copy of the records, as of {@link #revision()}. Changed by the {@link StateWatcher}
- * alone.
+ * This controller's copy of the records, as of {@link #revision()}. Changed by the {@link
+ * StateWatcher} alone.
  */
 public final class ClusterStateCache {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterStateCache.class);
@@ -117,7 +117,7 @@
   }
 
   /** Which jobs wait for which. */
-  public Pipelines pipelines() {
+  public DependencyGraph pipelines() {
     return jobs.pipelines();
   }
 
@@ -224,8 +224,8 @@
   }
 
   /** What each member announces that has to be the same on all. */
-  public Map<ControllerId, Terms> terms() {
-    Map<ControllerId, Terms> terms = new TreeMap<>();
+  public Map<ControllerId, AnnouncedLimits> terms() {
+    Map<ControllerId, AnnouncedLimits> terms = new TreeMap<>();
     members.values().forEach(member -> terms.put(member.member(), member.terms()));
     return terms;
   }
@@ -241,7 +241,7 @@
   }
 
   /** Where it is written at a level who leads. */
-  public static String leaderKey(Level level) {
+  public static String leaderKey(FeatureLevel level) {
     return Feature.LEADERSHIP_MOVED.isIn(level) ? StoreKeys.LEADS : StoreKeys.LEADER;
   }
 
@@ -408,7 +408,8 @@
                 .anyMatch(key::startsWith);
   }
 
-  private void putJob(String name, Object value, Revision version) throws MalformedMessageException {
+  private void putJob(String name, Object value, Revision version)
+      throws MalformedMessageException {
     JobId id = JobId.parse(name);
     if (id == null || value == null) {
       return;
@@ -496,7 +497,8 @@
 
   // A machine may be in a newer lease by now: the instance tells.
   @SuppressWarnings("ReferenceEquality")
-  private void putBlock(ShardId id, Object value, Revision version) throws MalformedMessageException {
+  private void putBlock(ShardId id, Object value, Revision version)
+      throws MalformedMessageException {
     ShardLease lease = value == null ? null : ShardLease.read(id, value, version);
     touchedBlocks.add(id);
     ShardLease before = lease == null ? blocks.remove(id) : blocks.put(id, lease);
@@ -516,7 +518,8 @@
     }
   }
 
-  private void putOther(String key, Object value, Revision version) throws MalformedMessageException {
+  private void putOther(String key, Object value, Revision version)
+      throws MalformedMessageException {
     if (key.startsWith(StoreKeys.MEMBERS)) {
       if (value == null) {
         members.values().removeIf(member -> StoreKeys.member(member.member()).equals(key));
@@ -544,12 +547,15 @@
     if (!in.has("build")) {
       return Build.BEFORE_LEVELS;
     }
-    Level least = new Level(in.integer("least", 1, Level.MOST));
+    FeatureLevel least = new FeatureLevel(in.integer("least", 1, FeatureLevel.MOST));
     return new Build(
-        in.string("build"), least, new Level(in.integer("most", least.number(), Level.MOST)));
+        in.string("build"),
+        least,
+        new FeatureLevel(in.integer("most", least.number(), FeatureLevel.MOST)));
   }
 
-  private static ControllerRecord member(Object value, Revision version) throws MalformedMessageException {
+  private static ControllerRecord member(Object value, Revision version)
+      throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a member");
     return new ControllerRecord(
         new ControllerId(in.string("member")),
@@ -560,9 +566,9 @@
         version);
   }
 
-  private static Terms terms(JsonFields in) throws MalformedMessageException {
+  private static AnnouncedLimits terms(JsonFields in) throws MalformedMessageException {
     if (!in.has("marks")) {
-      return Terms.NONE;
+      return AnnouncedLimits.NONE;
     }
     Map<String, String> marks = new TreeMap<>();
     JsonFields marked = in.fields("marks");
@@ -578,8 +584,10 @@
           new Resources(
               limit.has("cpus") ? limit.nonNegativeNumber("cpus") : Double.POSITIVE_INFINITY,
               limit.has("gpus") ? limit.nonNegativeNumber("gpus") : Double.POSITIVE_INFINITY,
-              limit.has("memory_gb") ? limit.nonNegativeNumber("memory_gb") : Double.POSITIVE_INFINITY));
+              limit.has("memory_gb")
+                  ? limit.nonNegativeNumber("memory_gb")
+                  : Double.POSITIVE_INFINITY));
     }
-    return new Terms(marks, limits);
+    return new AnnouncedLimits(marks, limits);
   }
 }
--- a/src/main/java/org/quincecross/state/CompletedTasks.java
+++ b/src/main/java/org/quincecross/state/CompletedTasks.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * The record of done tasks: of a chunk of a job's tasks, as ranges where these are short and as
--- a/src/main/java/org/quincecross/state/ControllerRecord.java
+++ b/src/main/java/org/quincecross/state/ControllerRecord.java
@@ -1,10 +1,10 @@
 package org.quincecross.state;
 
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.Incarnation;
 import org.quincecross.model.Revision;
+import org.quincecross.rollout.AnnouncedLimits;
 import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
 
 /**
  * A controller that is alive: the record goes with the lease that its life is named after.
@@ -13,4 +13,9 @@
  * @param terms what it has been told that has to be the same on all
  */
 public record ControllerRecord(
-    ControllerId member, Incarnation life, String zone, Build build, Terms terms, Revision version) {}
+    ControllerId member,
+    Incarnation life,
+    String zone,
+    Build build,
+    AnnouncedLimits terms,
+    Revision version) {}
--- a/src/main/java/org/quincecross/state/DemandForecast.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.replicated.StartBlock;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineType;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.scheduling.Headroom;
 
 /**
@@ -35,7 +35,8 @@
    * Of a block that keeps nothing free: what has waited long is to start there too, and not to
    * stand in its queue.
    */
-  private static final Headroom NOTHING = new Headroom(Headroom.Purpose.LARGE_WORK, Resources.NONE, 0);
+  private static final Headroom NOTHING =
+      new Headroom(Headroom.Purpose.LARGE_WORK, Resources.NONE, 0);
 
   private record Kind(String type, boolean spot) {}
 
--- a/src/main/java/org/quincecross/state/FeatureLevelRecord.java
+++ b/src/main/java/org/quincecross/state/FeatureLevelRecord.java
@@ -2,10 +2,10 @@
 
 import java.util.Map;
 import org.quincecross.model.Revision;
-import org.quincecross.rollout.Level;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.rollout.FeatureLevel;
 
 /**
  * The level in force.
@@ -13,15 +13,17 @@
  * @param version with which it took effect, for everybody; none while no record says a level, which
  *     is the first then
  */
-public record FeatureLevelRecord(Level level, Revision version) {
-  public static final FeatureLevelRecord NONE = new FeatureLevelRecord(Level.FIRST, Revision.NONE);
+public record FeatureLevelRecord(FeatureLevel level, Revision version) {
+  public static final FeatureLevelRecord NONE =
+      new FeatureLevelRecord(FeatureLevel.FIRST, Revision.NONE);
 
   static FeatureLevelRecord read(Object value, Revision version) throws MalformedMessageException {
     return new FeatureLevelRecord(
-        new Level(JsonFields.of(value, "the level").integer("level", 1, Level.MOST)), version);
+        new FeatureLevel(JsonFields.of(value, "the level").integer("level", 1, FeatureLevel.MOST)),
+        version);
   }
 
-  public static Map<String, Object> write(Level level) {
+  public static Map<String, Object> write(FeatureLevel level) {
     return Json.object("level", level.number());
   }
 }
--- a/src/main/java/org/quincecross/state/JobDependencies.java
+++ b/src/main/java/org/quincecross/state/JobDependencies.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.quincecross.model.JobId;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * The jobs that a job waits on, as the state service has them: a few in its own record, many in
--- a/src/main/java/org/quincecross/state/JobIndex.java
+++ b/src/main/java/org/quincecross/state/JobIndex.java
@@ -12,17 +12,17 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import org.quincecross.dependency.DependencyGraph;
+import org.quincecross.dependency.UrgencyPropagation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Revision;
-import org.quincecross.pipeline.Pipelines;
-import org.quincecross.pipeline.Urgencies;
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * The jobs of the {@link ClusterStateCache}: what their records say, and what follows for each from the
- * records of those that it waits on.
+ * The jobs of the {@link ClusterStateCache}: what their records say, and what follows for each from
+ * the records of those that it waits on.
  */
 final class JobIndex {
   /**
@@ -53,8 +53,8 @@
    */
   private final Map<String, Set<JobId>> lacking = new HashMap<>();
 
-  private final Pipelines pipelines = new Pipelines(this::own);
-  private final Urgencies urgencies = new Urgencies(this::asks, pipelines);
+  private final DependencyGraph pipelines = new DependencyGraph(this::own);
+  private final UrgencyPropagation urgencies = new UrgencyPropagation(this::asks, pipelines);
   private final Predicate<JobId> hasOwnRecord;
   private final Consumer<JobId> touched;
 
@@ -67,11 +67,11 @@
     this.touched = touched;
   }
 
-  private Pipelines.Own own(JobId id) {
+  private DependencyGraph.Own own(JobId id) {
     JobRecord record = jobs.get(id);
     return record == null
         ? null
-        : new Pipelines.Own(record.phase(), record.version(), record.cancelledMs());
+        : new DependencyGraph.Own(record.phase(), record.version(), record.cancelledMs());
   }
 
   /**
@@ -89,15 +89,17 @@
     return jobs.get(id);
   }
 
-  private Urgencies.Own asks(JobId id) {
+  private UrgencyPropagation.Own asks(JobId id) {
     JobRecord record = jobs.get(id);
     if (record == null || record.phase() != JobPhase.OPEN || pipelines.cancelled(id) != null) {
       return null;
     }
     Job job = record.job();
-    return new Urgencies.Own(
+    return new UrgencyPropagation.Own(
         job.priority(),
-        job.deadline() == null ? Urgencies.NEVER : record.acceptedMs() + job.deadline().millis(),
+        job.deadline() == null
+            ? UrgencyPropagation.NEVER
+            : record.acceptedMs() + job.deadline().millis(),
         HAND_OVER_MS + job.estimate().millis() + (long) (job.imageGb() * FETCH_MS_PER_GB));
   }
 
@@ -110,7 +112,7 @@
     return open;
   }
 
-  Pipelines pipelines() {
+  DependencyGraph pipelines() {
     return pipelines;
   }
 
@@ -211,7 +213,7 @@
   }
 
   private void standUrgent(JobId id) {
-    Urgencies.Urgency urgency = urgencies.inherited(id);
+    UrgencyPropagation.Urgency urgency = urgencies.inherited(id);
     if (urgency == null) {
       urgent.remove(id);
     } else {
@@ -223,7 +225,8 @@
   /** The one place where it changes how a job stands. */
   private void stand(JobId id) {
     JobRecord record = jobs.get(id);
-    Pipelines.Cancellation with = record.phase() == JobPhase.OPEN ? pipelines.cancelled(id) : null;
+    DependencyGraph.Cancellation with =
+        record.phase() == JobPhase.OPEN ? pipelines.cancelled(id) : null;
     if (with != null) {
       open.remove(record);
       cancelledWith.put(id, record.cancelledWith(with.since(), with.atMs()));
--- a/src/main/java/org/quincecross/state/JobRecord.java
+++ b/src/main/java/org/quincecross/state/JobRecord.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.quincecross.dependency.UrgencyPropagation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.pipeline.Urgencies;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * A job as the state service has it.
@@ -83,7 +83,8 @@
         : null;
   }
 
-  private static JobRecord record(JobId id, JsonFields in, Job job, JobPhase phase, Revision version)
+  private static JobRecord record(
+      JobId id, JsonFields in, Job job, JobPhase phase, Revision version)
       throws MalformedMessageException {
     return new JobRecord(
         id,
@@ -93,7 +94,9 @@
         in.has("cancelled") ? in.unsigned("cancelled") : 0,
         in.has("ended") ? in.unsigned("ended") : 0,
         version,
-        in.has(JobDependencies.IN_PARTS) ? List.copyOf(in.strings(JobDependencies.IN_PARTS)) : List.of(),
+        in.has(JobDependencies.IN_PARTS)
+            ? List.copyOf(in.strings(JobDependencies.IN_PARTS))
+            : List.of(),
         in.unknownFields(KNOWN),
         job == null
             ? Map.of()
@@ -106,7 +109,8 @@
   }
 
   /** The jobs of a bundle, as they were when they were accepted. */
-  static List<JobRecord> readBundle(Object value, Revision version) throws MalformedMessageException {
+  static List<JobRecord> readBundle(Object value, Revision version)
+      throws MalformedMessageException {
     List<JobRecord> records = new ArrayList<>();
     for (JsonFields in : JsonFields.of(value, "a bundle").objects("jobs")) {
       Job job = job(in);
@@ -129,7 +133,12 @@
     }
     Map<String, Object> out =
         Json.object(
-            "phase", "open", "at", acceptedMs, DEPENDENT, JobCodec.write(job.withDependencies(Set.of())));
+            "phase",
+            "open",
+            "at",
+            acceptedMs,
+            DEPENDENT,
+            JobCodec.write(job.withDependencies(Set.of())));
     out.putAll(JobDependencies.inRecord(job.dependencies()));
     return out;
   }
@@ -150,9 +159,11 @@
   }
 
   /** This open job, as urgent as those that need it. */
-  JobRecord treatedAs(Urgencies.Urgency urgency) {
+  JobRecord treatedAs(UrgencyPropagation.Urgency urgency) {
     TimeSpan deadline =
-        urgency.endByMs() == Urgencies.NEVER ? null : TimeSpan.ofMillis(urgency.endByMs() - acceptedMs);
+        urgency.endByMs() == UrgencyPropagation.NEVER
+            ? null
+            : TimeSpan.ofMillis(urgency.endByMs() - acceptedMs);
     return new JobRecord(
         id,
         job.withUrgency(urgency.rank(), deadline),
--- a/src/main/java/org/quincecross/state/KeyValueStoreClient.java
+++ b/src/main/java/org/quincecross/state/KeyValueStoreClient.java
@@ -10,14 +10,14 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.net.Limiter;
 import org.quincecross.net.Timers;
-import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.net.TokenBucket;
 import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.KeyValueStoreCodec;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Settings;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -46,9 +46,9 @@
   private final Timers timers;
   private final HttpCaller http;
   private final Endpoint service;
-  private final Limiter requests;
+  private final TokenBucket requests;
   private final double writesPerSecond;
-  private Limiter writes;
+  private TokenBucket writes;
   private boolean leading;
   private final ArrayDeque<Waiting> waitingReads = new ArrayDeque<>();
   private final ArrayDeque<Waiting> waitingTxns = new ArrayDeque<>();
@@ -61,9 +61,9 @@
     this.service = service;
     double perSecond = limits.requestsPerSecond() * REQUEST_SHARE;
     writesPerSecond = limits.writesPerSecond();
-    requests = new Limiter(perSecond, perSecond * 0.5, timers.now());
+    requests = new TokenBucket(perSecond, perSecond * 0.5, timers.now());
     writes =
-        new Limiter(
+        new TokenBucket(
             writesPerSecond * OTHERS_WRITE_SHARE,
             writesPerSecond * OTHERS_WRITE_SHARE,
             timers.now());
@@ -74,7 +74,7 @@
     if (leading != now) {
       leading = now;
       double share = writesPerSecond * (now ? LEADER_WRITE_SHARE : OTHERS_WRITE_SHARE);
-      writes = new Limiter(share, share, timers.now());
+      writes = new TokenBucket(share, share, timers.now());
       writes.drain(timers.now());
     }
   }
@@ -91,7 +91,10 @@
 
   void grant(TimeSpan ttl, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
-    send(HttpRequest.post(KeyValueStoreCodec.LEASES, KeyValueStoreCodec.writeGrant(ttl.millis())), TIMEOUT, done);
+    send(
+        HttpRequest.post(KeyValueStoreCodec.LEASES, KeyValueStoreCodec.writeGrant(ttl.millis())),
+        TIMEOUT,
+        done);
   }
 
   void renew(Incarnation lease, TimeSpan timeout, Consumer<HttpOutcome> done) {
@@ -111,13 +114,17 @@
   }
 
   /** Sends a transaction when its turn comes. */
-  public void txn(List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
+  public void txn(
+      List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
     enqueue(waitingTxns, changes.size(), () -> sendTxn(guards, changes, done));
   }
 
   /** Sends a transaction: at once where it is urgent, else when its turn comes. */
   public void txn(
-      List<Precondition> guards, List<Mutation> changes, boolean urgent, Consumer<TransactionResult> done) {
+      List<Precondition> guards,
+      List<Mutation> changes,
+      boolean urgent,
+      Consumer<TransactionResult> done) {
     if (urgent) {
       txnNow(guards, changes, done);
     } else {
@@ -132,8 +139,10 @@
     sendTxn(guards, changes, done);
   }
 
-  private void sendTxn(List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
-    HttpRequest request = HttpRequest.post(KeyValueStoreCodec.TXN, KeyValueStoreCodec.writeTxn(guards, changes));
+  private void sendTxn(
+      List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
+    HttpRequest request =
+        HttpRequest.post(KeyValueStoreCodec.TXN, KeyValueStoreCodec.writeTxn(guards, changes));
     send(request, TIMEOUT, outcome -> done.accept(readTxn(outcome)));
   }
 
@@ -148,7 +157,9 @@
         case 409 -> {
           var in = Json.parseFields(outcome.response().body());
           yield new TransactionResult(
-              TransactionResult.Kind.CONFLICT, KeyValueStoreCodec.readRevision(in), KeyValueStoreCodec.readFailed(in));
+              TransactionResult.Kind.CONFLICT,
+              KeyValueStoreCodec.readRevision(in),
+              KeyValueStoreCodec.readFailed(in));
         }
         case 400 -> {
           String why = new String(outcome.response().body(), StandardCharsets.UTF_8);
--- a/src/main/java/org/quincecross/state/Membership.java
+++ b/src/main/java/org/quincecross/state/Membership.java
@@ -4,21 +4,21 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.Incarnation;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
-import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.KeyValueStoreCodec;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.rollout.AnnouncedLimits;
+import org.quincecross.rollout.Build;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -60,7 +60,7 @@
   private final ControllerId member;
   private final String zone;
   private final Build build;
-  private final Terms terms;
+  private final AnnouncedLimits terms;
   private FeatureLevelRecord level = FeatureLevelRecord.NONE;
   private String unable = "";
   private int planned;
@@ -87,7 +87,7 @@
       ControllerId member,
       String zone,
       Build build,
-      Terms terms,
+      AnnouncedLimits terms,
       int mostBytes) {
     this.timers = timers;
     this.client = client;
@@ -208,7 +208,8 @@
               List.of(new Precondition(StoreKeys.LEVEL, level.version())),
               List.of(new Mutation(StoreKeys.member(member), record(), life)),
               this::announced);
-      case READING_LEVEL, UNABLE -> client.readNow(KeyValueStoreCodec.keyPath(StoreKeys.LEVEL), this::levelRead);
+      case READING_LEVEL, UNABLE ->
+          client.readNow(KeyValueStoreCodec.keyPath(StoreKeys.LEVEL), this::levelRead);
       case LIVE -> client.renew(life, RENEW_TIMEOUT, this::renewed);
       default -> throw new IllegalStateException(state.toString());
     }
@@ -360,7 +361,8 @@
       // while the answer is waited for (docs/incidents/announced-and-not-told.md).
       planned++;
       live(ledger.version(StoreKeys.member(member)));
-      stepAfter(timers.now().since(granted).isLongerThan(RENEW_EVERY) ? TimeSpan.ZERO : RENEW_EVERY);
+      stepAfter(
+          timers.now().since(granted).isLongerThan(RENEW_EVERY) ? TimeSpan.ZERO : RENEW_EVERY);
     }
     if (state != State.LIVE) {
       return;
--- a/src/main/java/org/quincecross/state/ModelIndex.java
+++ b/src/main/java/org/quincecross/state/ModelIndex.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.replicated.StartBlock;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MachineId;
 import org.quincecross.model.JobKind;
+import org.quincecross.model.MachineId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.models.Model;
-import org.quincecross.models.ModelCommand;
-import org.quincecross.models.ModelKind;
+import org.quincecross.modelserving.Model;
+import org.quincecross.modelserving.ModelCommand;
+import org.quincecross.modelserving.ModelKind;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.StartBlock;
 
 /**
  * The models as the ledger has them, by their jobs: which replicas are kept back, and where the
--- a/src/main/java/org/quincecross/state/OperatorSettings.java
+++ b/src/main/java/org/quincecross/state/OperatorSettings.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.Map;
-import org.quincecross.rollout.Level;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.rollout.FeatureLevel;
 
 /**
  * The operators' own settings, the same on all controllers.
@@ -33,7 +33,8 @@
    * Reads what an operator says; what is left out keeps its value of {@code before}. Unknown names
    * are refused.
    */
-  public static OperatorSettings read(Object value, OperatorSettings before) throws MalformedMessageException {
+  public static OperatorSettings read(Object value, OperatorSettings before)
+      throws MalformedMessageException {
     for (String name : unknown(value).keySet()) {
       throw new MalformedMessageException("unknown setting " + name);
     }
@@ -45,7 +46,8 @@
    * refused for them, an older controller would rent although operators have said that nothing is
    * to be rented.
    */
-  static OperatorSettings readRecord(Object value, OperatorSettings before) throws MalformedMessageException {
+  static OperatorSettings readRecord(Object value, OperatorSettings before)
+      throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "the settings");
     double idle = in.has("idle_s") ? in.nonNegativeNumber("idle_s") : before.idleSeconds();
     if (idle > LONGEST_IDLE_S) {
@@ -56,7 +58,7 @@
         in.boolOr("returning", before.returning()),
         idle,
         in.has("spare_tasks") ? in.integer("spare_tasks", 0, MOST_SPARE) : before.spareTasks(),
-        in.has("most_level") ? in.integer("most_level", 0, Level.MOST) : before.mostLevel(),
+        in.has("most_level") ? in.integer("most_level", 0, FeatureLevel.MOST) : before.mostLevel(),
         in.has("gone") ? List.copyOf(in.strings("gone")) : before.gone());
   }
 
