--- a/src/main/java/org/quincecross/state/QuotaRecord.java
+++ b/src/main/java/org/quincecross/state/QuotaRecord.java
@@ -7,11 +7,11 @@
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 import org.quincecross.model.Resources;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.quota.NodePath;
 import org.quincecross.quota.NodeSpec;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
-import org.quincecross.protocol.Json;
 
 /**
  * A tree of quotas as the state service keeps it and the administration API takes it: a list of
@@ -96,7 +96,8 @@
   /**
    * Reads the nodes at the top, each with what is below it.
    *
-   * @throws MalformedMessageException one line that names the node and what is wrong with how it is written
+   * @throws MalformedMessageException one line that names the node and what is wrong with how it is
+   *     written
    */
   public static List<NodeSpec> read(Object value) throws MalformedMessageException {
     List<NodeSpec> top = new ArrayList<>();
@@ -140,7 +141,8 @@
         new ArrayList<>());
   }
 
-  private static Resources resources(JsonFields in, String name, double leftOut) throws MalformedMessageException {
+  private static Resources resources(JsonFields in, String name, double leftOut)
+      throws MalformedMessageException {
     if (!in.has(name)) {
       return new Resources(leftOut, leftOut, leftOut);
     }
@@ -156,7 +158,8 @@
         amount(amount, "memory_gb", leftOut));
   }
 
-  private static double amount(JsonFields in, String name, double leftOut) throws MalformedMessageException {
+  private static double amount(JsonFields in, String name, double leftOut)
+      throws MalformedMessageException {
     return in.has(name) ? in.nonNegativeNumber(name) : leftOut;
   }
 }
--- a/src/main/java/org/quincecross/state/ReplicatedRecordIndex.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndex.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.replicated.ReplicatedRecord;
-import org.quincecross.replicated.RecordKind;
-import org.quincecross.replicated.RecordId;
+import org.quincecross.model.Revision;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.replicated.AuditEntry;
 import org.quincecross.replicated.AuditPage;
 import org.quincecross.replicated.MalformedRecordException;
-import org.quincecross.model.Revision;
-import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.ReplicatedRecord;
 
 /** The records of one kind as the ledger has them. */
 public final class ReplicatedRecordIndex<S, C> {
--- a/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
@@ -3,10 +3,10 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.quincecross.replicated.RecordKind;
-import org.quincecross.replicated.RecordId;
 import org.quincecross.model.Revision;
 import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.RecordKind;
 
 /**
  * The agreed records in the ledger. A kind that this controller does not know is left alone, unless
--- a/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
@@ -10,23 +10,23 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.quincecross.replicated.CommandOrigin;
-import org.quincecross.replicated.ReplicatedRecord;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.replicated.AuditEntry;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
-import org.quincecross.net.Limiter;
 import org.quincecross.net.Timers;
-import org.quincecross.rollout.Feature;
-import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.net.TokenBucket;
 import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.KeyValueStoreCodec;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 import org.quincecross.protocol.KeyValueStoreCodec.Precondition;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.protocol.Settings;
+import org.quincecross.replicated.AuditEntry;
+import org.quincecross.replicated.CommandOrigin;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.rollout.Feature;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -38,8 +38,8 @@
  * records are read, and what is not there is asked for again under the same name.
  *
  * <p>What ends each wait: a reading of the records fails after a second or so, a transaction after
- * what {@link KeyValueStoreClient} gives it, and {@link #ANSWERED} after it was asked whoever asks is told
- * that it is not known, whatever goes on.
+ * what {@link KeyValueStoreClient} gives it, and {@link #ANSWERED} after it was asked whoever asks
+ * is told that it is not known, whatever goes on.
  */
 public final class ReplicatedRecordStore {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicatedRecordStore.class);
@@ -108,7 +108,8 @@
     private final Ask<C> ask;
     private Consumer<Answer> done;
 
-    private Waiting(ReplicatedRecordIndex<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
+    private Waiting(
+        ReplicatedRecordIndex<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
       this.book = book;
       this.id = id;
       this.ask = ask;
@@ -143,7 +144,8 @@
           batch.has(record)
               ? batch.kept(record)
               : held == null ? ReplicatedRecord.none(book.kind()) : held.kept();
-      CommandOrigin at = new CommandOrigin(clockMs.getAsLong(), settings.clockBound().millis(), ask.by());
+      CommandOrigin at =
+          new CommandOrigin(clockMs.getAsLong(), settings.clockBound().millis(), ask.by());
       ReplicatedRecord.Result<S> result =
           kept.apply(book.kind(), id, version, ask.request(), ask.onChange(), ask.command(), at);
       if (result instanceof ReplicatedRecord.Result.Refused<S> refused) {
@@ -163,7 +165,8 @@
       }
     }
 
-    private void put(Batch batch, RecordId record, ReplicatedRecord.Result.Write<S> write, Revision version) {
+    private void put(
+        Batch batch, RecordId record, ReplicatedRecord.Result.Write<S> write, Revision version) {
       Map<String, Object> value = write.next().write(book.kind());
       int length = Json.write(value).length;
       if (length > settings.storeLimits().plannedValueBytes()) {
@@ -258,7 +261,7 @@
   private final Membership membership;
   private final Settings settings;
   private final LongSupplier clockMs;
-  private final Limiter writes;
+  private final TokenBucket writes;
   private final ArrayDeque<Waiting<?, ?>> waiting = new ArrayDeque<>();
   private MonotonicTime pressingFrom;
   private boolean busy;
@@ -289,7 +292,10 @@
     this.clockMs = clockMs;
     double rate = settings.storeLimits().writesPerSecond() * WRITE_SHARE;
     this.writes =
-        new Limiter(rate, Math.max(rate, settings.storeLimits().maxMutationsPerTransaction()), timers.now());
+        new TokenBucket(
+            rate,
+            Math.max(rate, settings.storeLimits().maxMutationsPerTransaction()),
+            timers.now());
   }
 
   private static Answer refused(int status, String why) {
@@ -335,7 +341,8 @@
    * Has a record changed, and answers once that is durable, or {@link #ANSWERED} later that it is
    * not known.
    */
-  public <S, C> void ask(ReplicatedRecordIndex<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
+  public <S, C> void ask(
+      ReplicatedRecordIndex<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
     if (!ledger.isLoaded() || !membership.unable().isEmpty()) {
       done.accept(unknown("this controller cannot take part", 2));
       return;
@@ -354,7 +361,8 @@
                   Math.min(
                       LONGEST_RETRY_S,
                       Math.ceil(
-                          waiting.size() / (settings.storeLimits().writesPerSecond() * WRITE_SHARE)))));
+                          waiting.size()
+                              / (settings.storeLimits().writesPerSecond() * WRITE_SHARE)))));
       return;
     }
     Waiting<S, C> one = new Waiting<>(book, id, ask, done);
@@ -382,7 +390,8 @@
           try {
             done.accept(
                 outcome.status() == 200
-                    ? ReplicatedRecordIndex.lines(Json.parseFields(outcome.response().body()).raw("Value"))
+                    ? ReplicatedRecordIndex.lines(
+                        Json.parseFields(outcome.response().body()).raw("Value"))
                     : null);
           } catch (MalformedMessageException e) {
             LOG.info("page {} of {}: {}", page, book.kind().name(), e.getMessage());
@@ -422,7 +431,8 @@
   /** The records are as new as whatever waits here. */
   private void write() {
     MonotonicTime now = timers.now();
-    int most = (int) Math.min(settings.storeLimits().maxMutationsPerTransaction(), writes.level(now));
+    int most =
+        (int) Math.min(settings.storeLimits().maxMutationsPerTransaction(), writes.level(now));
     if (most < 2 || (client.changesAffordable() < 2 && !isPressing(now))) {
       soon(RETRY);
       return;
--- a/src/main/java/org/quincecross/state/ReservedCapacity.java
+++ b/src/main/java/org/quincecross/state/ReservedCapacity.java
@@ -6,22 +6,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
-import org.quincecross.requests.Place;
-import org.quincecross.requests.Request;
-import org.quincecross.requests.RequestCommand;
-import org.quincecross.requests.RequestKind;
-import org.quincecross.requests.Reservation;
-import org.quincecross.requests.Taken;
+import org.quincecross.replicated.RecordId;
+import org.quincecross.reservation.Place;
+import org.quincecross.reservation.Request;
+import org.quincecross.reservation.RequestCommand;
+import org.quincecross.reservation.RequestKind;
+import org.quincecross.reservation.Reservation;
+import org.quincecross.reservation.Taken;
 import org.quincecross.scheduling.Headroom;
 
 /**
@@ -37,7 +37,8 @@
   /**
    * @param book of the requests, which has read none yet
    */
-  public ReservedCapacity(ClusterStateCache ledger, ReplicatedRecordIndex<Request, RequestCommand> book) {
+  public ReservedCapacity(
+      ClusterStateCache ledger, ReplicatedRecordIndex<Request, RequestCommand> book) {
     this.ledger = ledger;
     this.book = book;
     ledger.listen(this::changed);
--- a/src/main/java/org/quincecross/state/ShardLease.java
+++ b/src/main/java/org/quincecross/state/ShardLease.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.FencingToken;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
+import org.quincecross.model.ShardId;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * A block and the controller that it is leased to. The token is the revision of the lease with
@@ -45,7 +45,8 @@
   private static final Set<String> KNOWN =
       Set.of("holder", "life", "type", "zone", "spot", "machines", "token", "leaving");
 
-  static ShardLease read(ShardId id, Object value, Revision version) throws MalformedMessageException {
+  static ShardLease read(ShardId id, Object value, Revision version)
+      throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a block");
     String type = in.string("type");
     String zone = in.string("zone");
--- a/src/main/java/org/quincecross/state/StarvationTracker.java
+++ b/src/main/java/org/quincecross/state/StarvationTracker.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Which jobs have been given nothing for so long that they may have room that is kept for others.
--- a/src/main/java/org/quincecross/state/StateWatcher.java
+++ b/src/main/java/org/quincecross/state/StateWatcher.java
@@ -5,22 +5,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.KeyValueStoreCodec;
 import org.quincecross.protocol.KeyValueStoreCodec.Entry;
+import org.quincecross.protocol.MalformedMessageException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the {@link ClusterStateCache} up to date: reads all records once, then watches for changes. Beside the
- * watch it makes <em>barriers</em>: one short read of the revision and of what is new serves
- * everyone who needs to know that the ledger is current.
+ * Keeps the {@link ClusterStateCache} up to date: reads all records once, then watches for changes.
+ * Beside the watch it makes <em>barriers</em>: one short read of the revision and of what is new
+ * serves everyone who needs to know that the ledger is current.
  */
 public final class StateWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(StateWatcher.class);
@@ -129,10 +129,12 @@
             if (outcome.status() != 200) {
               throw new MalformedMessageException("status " + outcome.status());
             }
-            KeyValueStoreCodec.Page page = KeyValueStoreCodec.readList(Json.parseFields(outcome.response().body()));
+            KeyValueStoreCodec.Page page =
+                KeyValueStoreCodec.readList(Json.parseFields(outcome.response().body()));
             String last = after;
             for (Entry entry : page.entries()) {
-              entries.put(entry.key(), new ClusterStateCache.StateEntry(entry.value(), entry.version()));
+              entries.put(
+                  entry.key(), new ClusterStateCache.StateEntry(entry.value(), entry.version()));
               last = entry.key();
             }
             Revision from = first == null ? page.revision() : first;
@@ -154,7 +156,8 @@
         });
   }
 
-  private void finishLoad(Map<String, ClusterStateCache.StateEntry> entries, Revision from, MonotonicTime begun) {
+  private void finishLoad(
+      Map<String, ClusterStateCache.StateEntry> entries, Revision from, MonotonicTime begun) {
     // Pages are read one after the other, at revisions that may differ: the changes since the first
     // page are
     // caught up with before anyone sees the records.
@@ -181,7 +184,8 @@
               if (event.value() == null) {
                 entries.remove(event.key());
               } else {
-                entries.put(event.key(), new ClusterStateCache.StateEntry(event.value(), event.version()));
+                entries.put(
+                    event.key(), new ClusterStateCache.StateEntry(event.value(), event.version()));
               }
             }
             enter(State.FOLLOWING);
--- a/src/main/java/org/quincecross/state/StoreKeys.java
+++ b/src/main/java/org/quincecross/state/StoreKeys.java
@@ -2,11 +2,11 @@
 
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
-import org.quincecross.replicated.RecordId;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.ShardId;
+import org.quincecross.replicated.RecordId;
 
 /** Where the records lie in the state service. */
 public final class StoreKeys {
--- a/src/main/java/org/quincecross/state/TaskSetCodec.java
+++ b/src/main/java/org/quincecross/state/TaskSetCodec.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** Tasks of several jobs in a record: short, for what fits one value is written in one change. */
 public final class TaskSetCodec {
--- a/src/main/java/org/quincecross/state/TerminationProof.java
+++ b/src/main/java/org/quincecross/state/TerminationProof.java
@@ -2,9 +2,9 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
 
 /**
--- a/src/test/java/org/quincecross/FloorsTest.java
+++ b/src/test/java/org/quincecross/PackageLayeringTest.java
@@ -14,7 +14,7 @@
  * The packages stand on floors, and each imports from below alone; the packages of decisions have
  * no I/O and no clock.
  */
-class FloorsTest {
+class PackageLayeringTest {
   /** From the top down. Packages of a floor may know one another. */
   private static final List<List<String>> FLOORS =
       List.of(
@@ -30,15 +30,15 @@
               "progress",
               "quota",
               "overload",
-              "served",
+              "accounting",
               "rollout",
-              "holds",
+              "legalhold",
               "failuredetection",
               "quarantine",
               "replicated",
-              "models",
-              "requests",
-              "pipeline"),
+              "modelserving",
+              "reservation",
+              "dependency"),
           List.of("model"));
 
   private static final List<String> PURE =
@@ -47,15 +47,15 @@
           "progress",
           "quota",
           "overload",
-          "served",
+          "accounting",
           "rollout",
-          "holds",
+          "legalhold",
           "failuredetection",
           "quarantine",
           "replicated",
-          "models",
-          "requests",
-          "pipeline",
+          "modelserving",
+          "reservation",
+          "dependency",
           "model");
 
   private static final JavaClasses CLASSES =
--- a/src/test/java/org/quincecross/served/ServedBooksTest.java
+++ b/src/test/java/org/quincecross/accounting/JobAccountingTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.served;
+package org.quincecross.accounting;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,18 +11,22 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
+import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 
-class ServedBooksTest {
-  private static final ServiceLevelObjective START = new ServiceLevelObjective("wait 10 s", ServiceLevelObjective.Event.EACH_START, TimeSpan.ofSeconds(10));
-  private static final ServiceLevelObjective END = new ServiceLevelObjective("deadline 1.00x", ServiceLevelObjective.Event.END, TimeSpan.ofSeconds(40));
+class JobAccountingTest {
+  private static final ServiceLevelObjective START =
+      new ServiceLevelObjective(
+          "wait 10 s", ServiceLevelObjective.Event.EACH_START, TimeSpan.ofSeconds(10));
+  private static final ServiceLevelObjective END =
+      new ServiceLevelObjective(
+          "deadline 1.00x", ServiceLevelObjective.Event.END, TimeSpan.ofSeconds(40));
 
   private static MonotonicTime at(double seconds) {
     return new MonotonicTime((long) (seconds * 1e9));
@@ -70,27 +74,27 @@
    */
   @Example
   void whatIsKeptBackIsNobodysFault() {
-    ServedBooks books = new ServedBooks(job -> List.of(START, END));
+    JobAccounting books = new JobAccounting(job -> List.of(START, END));
     Job job = job(1, "t", "c", 4);
     books.accepted(job, at(0));
     books.withheld(job.id(), 4, at(5));
-    Served kept = books.teams(at(500)).get("t");
+    ServiceLevels kept = books.teams(at(500)).get("t");
     assertEquals(0, kept.startable());
     assertEquals(5, kept.starvedS());
     assertEquals(List.of(), kept.aims().stream().filter(met -> met.missed() > 0).toList());
     books.withheld(job.id(), 0, at(500));
     books.started(job.id(), 4, at(504));
     books.done(job.id(), at(534));
-    Served then = books.teams(at(535)).get("t");
+    ServiceLevels then = books.teams(at(535)).get("t");
     assertEquals(4, then.startable());
-    assertEquals(0, then.aims().stream().mapToInt(Served.Met::missed).sum());
+    assertEquals(0, then.aims().stream().mapToInt(ServiceLevels.Met::missed).sum());
     assertEquals(5, then.starvedS());
   }
 
   /** After any sequence of events the books say what a recount of all that happened says. */
   @Property(tries = 200, seed = "7")
   void theBooksAgreeWithARecount(@ForAll Random random) {
-    ServedBooks books = new ServedBooks(job -> List.of(START, END));
+    JobAccounting books = new JobAccounting(job -> List.of(START, END));
     Map<Integer, Story> stories = new LinkedHashMap<>();
     double now = 0;
     for (int step = 0; step < 150; step++) {
@@ -123,7 +127,7 @@
         }
       }
     }
-    for (Map.Entry<ServedBooks.Group, Served> group : books.groups(at(now)).entrySet()) {
+    for (Map.Entry<JobAccounting.Group, ServiceLevels> group : books.groups(at(now)).entrySet()) {
       assertEquals(
           recount(stories, group.getKey(), now),
           group.getValue().aims().toString()
@@ -136,11 +140,14 @@
               + group.getValue().tasks());
     }
     int started = stories.values().stream().mapToInt(story -> story.starts.size()).sum();
-    assertEquals(started, books.teams(at(now)).values().stream().mapToInt(Served::started).sum());
-    assertEquals(started, books.classes(at(now)).values().stream().mapToInt(Served::started).sum());
+    assertEquals(
+        started, books.teams(at(now)).values().stream().mapToInt(ServiceLevels::started).sum());
+    assertEquals(
+        started, books.classes(at(now)).values().stream().mapToInt(ServiceLevels::started).sum());
   }
 
-  private static String recount(Map<Integer, Story> stories, ServedBooks.Group group, double now) {
+  private static String recount(
+      Map<Integer, Story> stories, JobAccounting.Group group, double now) {
     int[] start = new int[2];
     int[] end = new int[2];
     int jobs = 0;
@@ -169,12 +176,12 @@
         end[1]++;
       }
     }
-    List<Served.Met> met = new ArrayList<>();
+    List<ServiceLevels.Met> met = new ArrayList<>();
     if (start[0] + start[1] > 0) {
-      met.add(new Served.Met(START.name(), start[0], start[1]));
+      met.add(new ServiceLevels.Met(START.name(), start[0], start[1]));
     }
     if (end[0] + end[1] > 0) {
-      met.add(new Served.Met(END.name(), end[0], end[1]));
+      met.add(new ServiceLevels.Met(END.name(), end[0], end[1]));
     }
     return met.toString() + jobs + "/" + ended + "/" + started + "/" + tasks;
   }
@@ -182,11 +189,12 @@
   /** After a restart: what ran before is not called late, what ends late is. */
   @Example
   void whatWasOpenBefore() {
-    ServedBooks books = new ServedBooks(job -> List.of(START, END));
+    JobAccounting books = new JobAccounting(job -> List.of(START, END));
     books.found(job(1, "t", "c", 4), at(0));
     books.started(new JobId("job-1"), 4, at(30));
     books.done(new JobId("job-1"), at(50));
-    assertEquals(List.of(new Served.Met(END.name(), 0, 1)), books.teams(at(60)).get("t").aims());
+    assertEquals(
+        List.of(new ServiceLevels.Met(END.name(), 0, 1)), books.teams(at(60)).get("t").aims());
   }
 
   /**
@@ -195,7 +203,7 @@
    */
   @Example
   void starvationAndLimits() {
-    ServedBooks books = new ServedBooks(job -> List.of(START));
+    JobAccounting books = new JobAccounting(job -> List.of(START));
     Job first = job(1, "t", "c", 4);
     books.accepted(first, at(0));
     books.started(first.id(), 1, at(5));
@@ -203,7 +211,7 @@
     assertEquals(25, books.teams(at(31)).get("t").starvedS());
     assertEquals(70, books.teams(at(100)).get("t").starvedS());
     books.heldBack(first.id(), 2);
-    Served served = books.teams(at(100)).get("t");
+    ServiceLevels served = books.teams(at(100)).get("t");
     assertEquals(2, served.startable());
     assertEquals(1, served.startedShare());
     assertEquals(0.5, served.least());
@@ -217,7 +225,7 @@
   /** The largest tenth is known only at the end; what was counted of it before must be there. */
   @Example
   void theLargestAreFoundAmongManySizes() {
-    ServedBooks books = new ServedBooks(job -> List.of());
+    JobAccounting books = new JobAccounting(job -> List.of());
     for (int i = 1; i <= 40; i++) {
       JobId id = new JobId("job-" + i);
       books.accepted(
@@ -246,7 +254,7 @@
         books.done(id, at(260));
       }
     }
-    Largest tenth = books.largest(at(300)).get("c").get(0);
+    LargestJobs tenth = books.largest(at(300)).get("c").get(0);
     assertTrue(tenth.jobs() >= 4 && tenth.jobs() <= 6, tenth.toString());
     assertEquals(tenth.jobs() - 1, tenth.served());
     assertEquals(tenth.jobs() - 2, tenth.inTime());
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -8,35 +8,35 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.quincecross.shard.OwnedShards;
-import org.quincecross.model.ShardId;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.SteppedClock;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
+import org.quincecross.rollout.AnnouncedLimits;
 import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
-import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
+import org.quincecross.shard.OwnedShards;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ControllerRecord;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StoreKeys;
 
 /**
  * When users may be told of a cancellation, by a controller that holds none of the job's blocks.
@@ -109,7 +109,7 @@
                     new Incarnation(1),
                     "z",
                     Build.BEFORE_LEVELS,
-                    Terms.NONE,
+                    AnnouncedLimits.NONE,
                     new Revision(1)),
                 MACHINE)
             .write());
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -18,31 +18,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.quincecross.shard.OwnedShards;
+import org.quincecross.failuredetection.IsolationDetector;
+import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.SteppedClock;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.failuredetection.IsolationDetector;
-import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
-import org.quincecross.state.StateWatcher;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.KeyValueStoreClient;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.CloudCodec;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
+import org.quincecross.shard.OwnedShards;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.KeyValueStoreClient;
+import org.quincecross.state.StateWatcher;
+import org.quincecross.state.StoreKeys;
 
 /**
  * What users are answered by one controller, with the state service, and what its answers wait for,
@@ -96,7 +96,8 @@
             TimeSpan.ofSeconds(2),
             new Settings.ProcessLimits(1, 300, 1000));
     KeyValueStoreClient client =
-        new KeyValueStoreClient(clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
+        new KeyValueStoreClient(
+            clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
     StateWatcher follower = new StateWatcher(clock, client, ledger);
     UnconfirmedOwnershipBound bound = workers.unconfirmedBound();
     Cancellations cancellations =
@@ -245,7 +246,8 @@
         response -> {
           try {
             JsonFields body = Json.parseFields(response.body());
-            answers.add(response.status() + (body.has("Status") ? " " + body.string("Status") : ""));
+            answers.add(
+                response.status() + (body.has("Status") ? " " + body.string("Status") : ""));
           } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
           }
--- a/src/test/java/org/quincecross/pipeline/PipelinesTest.java
+++ b/src/test/java/org/quincecross/dependency/DependencyGraphTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.pipeline;
+package org.quincecross.dependency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,10 +19,10 @@
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Revision;
 
-class PipelinesTest {
-  private final Map<JobId, Pipelines.Own> records = new HashMap<>();
+class DependencyGraphTest {
+  private final Map<JobId, DependencyGraph.Own> records = new HashMap<>();
   private final Map<JobId, Set<JobId>> waitsOn = new HashMap<>();
-  private final Pipelines pipelines = new Pipelines(records::get);
+  private final DependencyGraph pipelines = new DependencyGraph(records::get);
   private final Set<JobId> changed = new HashSet<>();
   private long revision;
 
@@ -33,7 +33,7 @@
   private void put(JobId id, JobPhase phase, Set<JobId> before) {
     records.put(
         id,
-        new Pipelines.Own(
+        new DependencyGraph.Own(
             phase, new Revision(++revision), phase == JobPhase.CANCELLED ? revision * 10 : 0));
     waitsOn.put(id, before);
     changed.clear();
@@ -42,7 +42,8 @@
   }
 
   /** How a job stands. */
-  private record Standing(boolean waits, Pipelines.Cancellation cancelled, Set<JobId> unfinished) {}
+  private record Standing(
+      boolean waits, DependencyGraph.Cancellation cancelled, Set<JobId> unfinished) {}
 
   private Standing stands(JobId id) {
     boolean isOpen = records.containsKey(id) && records.get(id).phase() == JobPhase.OPEN;
@@ -66,24 +67,24 @@
     return new Standing(!unfinished.isEmpty(), recountCancelled(id), unfinished);
   }
 
-  private Pipelines.Cancellation recountCancelled(JobId id) {
-    Pipelines.Own own = records.get(id);
+  private DependencyGraph.Cancellation recountCancelled(JobId id) {
+    DependencyGraph.Own own = records.get(id);
     if (own == null || own.phase() == JobPhase.DONE) {
       return null;
     }
     if (own.phase() == JobPhase.CANCELLED) {
-      return new Pipelines.Cancellation(own.version(), own.cancelledMs());
+      return new DependencyGraph.Cancellation(own.version(), own.cancelledMs());
     }
-    Pipelines.Cancellation first = null;
+    DependencyGraph.Cancellation first = null;
     for (JobId before : waitsOn.get(id)) {
-      Pipelines.Cancellation its = recountCancelled(before);
+      DependencyGraph.Cancellation its = recountCancelled(before);
       if (its != null && (first == null || first.since().isAfter(its.since()))) {
         first = its;
       }
     }
     return first == null || !own.version().isAfter(first.since())
         ? first
-        : new Pipelines.Cancellation(own.version(), first.atMs());
+        : new DependencyGraph.Cancellation(own.version(), first.atMs());
   }
 
   /**
@@ -93,7 +94,7 @@
    */
   @Property(tries = 1000, seed = "40")
   void standsByTheRecordsInAnyOrder(@ForAll long seed) {
-    new PipelinesTest().standByRecords(new Random(seed));
+    new DependencyGraphTest().standByRecords(new Random(seed));
   }
 
   private void standByRecords(Random random) {
@@ -104,7 +105,7 @@
         before.put(job(number), recount(job(number)));
       }
       int number = random.nextInt(jobs);
-      Pipelines.Own own = records.get(job(number));
+      DependencyGraph.Own own = records.get(job(number));
       if (own == null || (own.phase() == JobPhase.OPEN && random.nextInt(8) == 0)) {
         Set<JobId> after = new HashSet<>();
         for (int i = 0; i < number; i++) {
@@ -151,7 +152,7 @@
     put(job(1), JobPhase.CANCELLED, Set.of(job(0)));
     assertEquals(length - 1, changed.size());
     assertEquals(
-        new Pipelines.Cancellation(new Revision(revision), revision * 10),
+        new DependencyGraph.Cancellation(new Revision(revision), revision * 10),
         pipelines.cancelled(job(length - 1)));
   }
 
--- a/src/test/java/org/quincecross/pipeline/PipelineModelTest.java
+++ b/src/test/java/org/quincecross/dependency/DependencyModelTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.pipeline;
+package org.quincecross.dependency;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -24,9 +24,9 @@
  * accept, allocate, start, cancel, write results, one of which also loses what it knows, and
  * transactions that are applied whenever they like. A transaction fails once one of its keys has
  * been written after its controller last read; so no versions need be counted, and the states are
- * finite. Who waits and who is cancelled with whom is what {@link Pipelines} says.
+ * finite. Who waits and who is cancelled with whom is what {@link DependentJobs} says.
  */
-class PipelineModelTest {
+class DependencyModelTest {
   private static final int JOBS = 3;
   private static final int NODES = 2;
   private static final int NONE = 0;
@@ -143,7 +143,7 @@
   }
 
   /**
-   * What {@link Pipelines} says of records: bits of the jobs that wait, and of those that are
+   * What {@link DependentJobs} says of records: bits of the jobs that wait, and of those that are
    * cancelled.
    */
   private long[] standing(Records records) {
@@ -151,20 +151,21 @@
     return standings.computeIfAbsent(
         key,
         k -> {
-          Map<JobId, Pipelines.Own> own = new HashMap<>();
-          Pipelines pipelines = new Pipelines(own::get);
+          Map<JobId, DependencyGraph.Own> own = new HashMap<>();
+          DependencyGraph pipelines = new DependencyGraph(own::get);
           for (int j = 0; j < JOBS; j++) {
             if (records.job[j] != NONE) {
               own.put(
                   id(j),
-                  new Pipelines.Own(JobPhase.values()[records.job[j] - 1], new Revision(1), 0));
+                  new DependencyGraph.Own(
+                      JobPhase.values()[records.job[j] - 1], new Revision(1), 0));
             }
           }
           for (int j = JOBS - 1; j >= 0; j--) {
             if (records.job[j] != NONE) {
               pipelines.put(
                   id(j),
-                  graph.get(j).stream().map(PipelineModelTest::id).toList(),
+                  graph.get(j).stream().map(DependencyModelTest::id).toList(),
                   true,
                   other -> {});
             }
--- a/src/test/java/org/quincecross/pipeline/UrgenciesTest.java
+++ b/src/test/java/org/quincecross/dependency/UrgencyPropagationTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.pipeline;
+package org.quincecross.dependency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,18 +18,18 @@
 import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
 
-class UrgenciesTest {
-  private final Map<JobId, Pipelines.Own> records = new HashMap<>();
-  private final Map<JobId, Urgencies.Own> asked = new HashMap<>();
+class UrgencyPropagationTest {
+  private final Map<JobId, DependencyGraph.Own> records = new HashMap<>();
+  private final Map<JobId, UrgencyPropagation.Own> asked = new HashMap<>();
   private final Map<JobId, Set<JobId>> waitsOn = new HashMap<>();
-  private final Pipelines pipelines = new Pipelines(records::get);
-  private final Urgencies urgencies = new Urgencies(this::open, pipelines);
+  private final DependencyGraph pipelines = new DependencyGraph(records::get);
+  private final UrgencyPropagation urgencies = new UrgencyPropagation(this::open, pipelines);
 
   private static JobId job(int number) {
     return new JobId("job-" + number);
   }
 
-  private Urgencies.Own open(JobId id) {
+  private UrgencyPropagation.Own open(JobId id) {
     return records.containsKey(id)
             && records.get(id).phase() == JobPhase.OPEN
             && pipelines.cancelled(id) == null
@@ -41,7 +41,7 @@
    * @return the jobs whose urgency has changed
    */
   private Set<JobId> put(JobId id, JobPhase phase, Set<JobId> before) {
-    records.put(id, new Pipelines.Own(phase, new Revision(1), 0));
+    records.put(id, new DependencyGraph.Own(phase, new Revision(1), 0));
     Set<JobId> toLookAt = new HashSet<>(pipelines.unfinished(id));
     List<JobId> others = new ArrayList<>();
     pipelines.put(id, before, true, others::add);
@@ -53,21 +53,21 @@
     return changed;
   }
 
-  private Urgencies.Urgency recount(JobId id) {
+  private UrgencyPropagation.Urgency recount(JobId id) {
     Priority rank = asked.get(id).rank();
     long endBy = asked.get(id).endByMs();
     for (JobId other : asked.keySet()) {
       if (open(other) != null && waitsOn.get(other).contains(id)) {
-        Urgencies.Urgency its = recount(other);
+        UrgencyPropagation.Urgency its = recount(other);
         Priority inherits = its.rank() == Priority.PRODUCTION ? Priority.HIGH : its.rank();
         rank = inherits.isHigherThan(rank) ? inherits : rank;
         endBy =
-            its.endByMs() == Urgencies.NEVER
+            its.endByMs() == UrgencyPropagation.NEVER
                 ? endBy
                 : Math.min(endBy, its.endByMs() - asked.get(other).runMs());
       }
     }
-    return new Urgencies.Urgency(rank, endBy);
+    return new UrgencyPropagation.Urgency(rank, endBy);
   }
 
   /**
@@ -76,12 +76,12 @@
    */
   @Property(tries = 500, seed = "42")
   void asUrgentAsThoseThatNeedIt(@ForAll long seed) {
-    new UrgenciesTest().play(new Random(seed));
+    new UrgencyPropagationTest().play(new Random(seed));
   }
 
   private void play(Random random) {
     int jobs = 2 + random.nextInt(8);
-    Map<JobId, Urgencies.Urgency> before = new HashMap<>();
+    Map<JobId, UrgencyPropagation.Urgency> before = new HashMap<>();
     for (int step = 0; step < 30; step++) {
       JobId id = job(random.nextInt(jobs));
       Set<JobId> changed;
@@ -95,12 +95,13 @@
         waitsOn.put(id, after);
         asked.put(
             id,
-            new Urgencies.Own(
+            new UrgencyPropagation.Own(
                 Priority.values()[random.nextInt(4)],
-                random.nextBoolean() ? Urgencies.NEVER : 1000 + random.nextInt(1000),
+                random.nextBoolean() ? UrgencyPropagation.NEVER : 1000 + random.nextInt(1000),
                 random.nextInt(300)));
         changed = put(id, JobPhase.OPEN, after);
-        before.put(id, new Urgencies.Urgency(asked.get(id).rank(), asked.get(id).endByMs()));
+        before.put(
+            id, new UrgencyPropagation.Urgency(asked.get(id).rank(), asked.get(id).endByMs()));
       } else if (records.get(id).phase() == JobPhase.OPEN) {
         boolean ends = pipelines.unfinished(id).isEmpty() && random.nextInt(3) != 0;
         changed = put(id, ends ? JobPhase.DONE : JobPhase.CANCELLED, waitsOn.get(id));
@@ -109,9 +110,9 @@
       }
       for (JobId each : asked.keySet()) {
         if (open(each) != null) {
-          Urgencies.Urgency now = recount(each);
-          Urgencies.Urgency own =
-              new Urgencies.Urgency(asked.get(each).rank(), asked.get(each).endByMs());
+          UrgencyPropagation.Urgency now = recount(each);
+          UrgencyPropagation.Urgency own =
+              new UrgencyPropagation.Urgency(asked.get(each).rank(), asked.get(each).endByMs());
           assertEquals(now.equals(own) ? null : now, urgencies.inherited(each));
           assertTrue(now.equals(before.put(each, now)) || changed.contains(each));
         }
@@ -130,15 +131,15 @@
       waitsOn.put(job(i), i == 0 ? Set.of() : Set.of(job(i - 1)));
       asked.put(
           job(i),
-          new Urgencies.Own(
+          new UrgencyPropagation.Own(
               i == length - 1 ? Priority.HIGH : Priority.LOW,
-              i == length - 1 ? 1_000_000 : Urgencies.NEVER,
+              i == length - 1 ? 1_000_000 : UrgencyPropagation.NEVER,
               10));
       Set<JobId> changed = put(job(i), JobPhase.OPEN, waitsOn.get(job(i)));
       assertEquals(i == length - 1 ? length - 1 : 0, changed.size());
     }
     assertEquals(
-        new Urgencies.Urgency(Priority.HIGH, 1_000_000 - 10L * (length - 1)),
+        new UrgencyPropagation.Urgency(Priority.HIGH, 1_000_000 - 10L * (length - 1)),
         urgencies.inherited(job(0)));
   }
 }
--- a/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.quincecross.replicated.ReplicationBarrier;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.ReplicationBarrier;
 
 /**
  * Records that three controllers agree on, and what they keep from running, among troubles, in
@@ -136,7 +136,7 @@
                 && (request.contains("q/alloc") || request.contains("q/change"))
                 && request.contains("\"4711\""),
         2,
-        World.Mishap.STILL_BEFORE);
+        SimulatedCluster.Mishap.STILL_BEFORE);
     day.world.users().submit(job);
     double until = AgreedDay.READY_S + 11;
     while (day.world.mishapHit() < 0 && until < AgreedDay.READY_S + 15) {
@@ -192,7 +192,8 @@
     day.ask(0, "count", "first", "pass");
     day.world.time().runUntil(AgreedDay.READY_S + 12);
     Revision first = day.gates[0].book.get("count").version();
-    assertEquals(ReplicationBarrier.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
+    assertEquals(
+        ReplicationBarrier.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
     day.world.silence(2, 120, true);
     day.world.time().runUntil(AgreedDay.READY_S + 18);
     day.ask(0, "count", "second", "pass");
@@ -205,7 +206,8 @@
     day.world.time().runUntil(AgreedDay.READY_S + 20 + left - 0.5);
     assertEquals(ReplicationBarrier.State.SPREADING, day.gates[0].base.known().of(second).state());
     day.world.time().runUntil(day.world.time().seconds() + 1.5);
-    assertEquals(ReplicationBarrier.State.KNOWN_BY_TIME, day.gates[0].base.known().of(second).state());
+    assertEquals(
+        ReplicationBarrier.State.KNOWN_BY_TIME, day.gates[0].base.known().of(second).state());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/AgreedDay.java
@@ -10,25 +10,25 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.replicated.Gate;
-import org.quincecross.replicated.StartBlock;
 import org.quincecross.api.Controller;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Revision;
 import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.protocol.Features;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.Gate;
+import org.quincecross.replicated.StartBlock;
 import org.quincecross.rollout.Build;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.TerminationProof;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.Features;
-import org.quincecross.protocol.JsonFields;
-import org.quincecross.protocol.Json;
 
 /**
  * A site with records that its three controllers agree on, and a watch over what they keep from
@@ -112,13 +112,14 @@
       return base.ledger().isLoaded()
           && held != null
           && held.state().closed()
-          && TerminationProof.of(base.ledger(), Map.of(id, TaskSet.range(tasks)), held.version()).isProven();
+          && TerminationProof.of(base.ledger(), Map.of(id, TaskSet.range(tasks)), held.version())
+              .isProven();
     }
   }
 
-  private final Site site = Site.tryOut(30, true);
+  private final ClusterSpec site = ClusterSpec.tryOut(30, true);
   final Gates[] gates = new Gates[3];
-  final World world;
+  final SimulatedCluster world;
   final Map<JobId, Job> jobs = new TreeMap<>();
   final List<String> wrong = new ArrayList<>();
 
@@ -132,8 +133,9 @@
 
   AgreedDay(long seed) throws MalformedMessageException {
     world =
-        new World(site, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
-    for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
+        new SimulatedCluster(
+            site, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
+    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
       world.time().at(READY_S - 25 + due.atS(), () -> world.users().submit(due.job()));
       jobs.put(due.job().id(), due.job());
     }
@@ -205,7 +207,7 @@
         .around()
         .network()
         .call(
-            new Life(),
+            new ProcessScope(),
             "operator",
             world.around().node(node % 3),
             post(id, request, what),
@@ -261,7 +263,7 @@
       case 2 -> world.crash(Math.max(0, world.leader()));
       case 3 -> world.standStill(Math.max(0, world.leader()), 9);
       case 4 -> world.silence(Math.max(0, world.leader()), 20, true);
-      default -> world.state().refuse(Site.nodeName(Math.max(0, world.leader())), 20);
+      default -> world.state().refuse(ClusterSpec.nodeName(Math.max(0, world.leader())), 20);
     }
   }
 
--- a/src/test/java/org/quincecross/emulator/AnswersInTimeTest.java
+++ b/src/test/java/org/quincecross/emulator/AnswersInTimeTest.java
@@ -29,7 +29,7 @@
   @ParameterizedTest
   @EnumSource(Trouble.class)
   void everyRequestIsAnsweredInTime(Trouble trouble) {
-    World world = new World(7);
+    SimulatedCluster world = new SimulatedCluster(7);
     for (int i = 0; i < 150; i++) {
       int number = 1000 + i;
       world.time().at(4 + i * 0.35, () -> world.users().submit(number));
@@ -54,10 +54,10 @@
     assertEquals(List.of(), world.rules().broken());
   }
 
-  private static void begin(World world, Trouble trouble) {
+  private static void begin(SimulatedCluster world, Trouble trouble) {
     switch (trouble) {
       case OUT -> world.state().outage(25);
-      case REFUSED_ALONE -> world.state().refuse(Site.nodeName(0), 25);
+      case REFUSED_ALONE -> world.state().refuse(ClusterSpec.nodeName(0), 25);
       case SILENT -> cutAll(world, true);
       case HELD -> cutAll(world, false);
       case SLOW_AND_LATE -> world.state().applyLate(2);
@@ -76,9 +76,9 @@
     }
   }
 
-  private static void cutAll(World world, boolean lose) {
+  private static void cutAll(SimulatedCluster world, boolean lose) {
     for (int node = 0; node < world.nodeCount(); node++) {
-      world.cut(Site.nodeName(node), "state", 25, lose);
+      world.cut(ClusterSpec.nodeName(node), "state", 25, lose);
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/BackAtOnce.java
+++ b/src/test/java/org/quincecross/emulator/BackAtOnce.java
@@ -10,10 +10,10 @@
   private static final double FROM_S = 12;
   private static final double UNTIL_S = 150;
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Random random;
 
-  BackAtOnce(World world, long seed) {
+  BackAtOnce(SimulatedCluster world, long seed) {
     this.world = world;
     this.random = new Random(~seed);
   }
--- a/src/test/java/org/quincecross/emulator/BadNightsTest.java
+++ b/src/test/java/org/quincecross/emulator/BadNightsTest.java
@@ -15,12 +15,12 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * The operators' bad nights, in virtual time: silent and frozen controllers, deaf ones, storms of
@@ -94,7 +94,7 @@
     return blocksOf(world, node);
   }
 
-  private static int blocksOf(World world, int node) {
+  private static int blocksOf(SimulatedCluster world, int node) {
     int[] count = new int[1];
     world.ask(
         node,
@@ -102,7 +102,7 @@
         response ->
             count[0] =
                 new String(response.body(), StandardCharsets.UTF_8)
-                        .split("\"holder\":\"" + Site.nodeName(node) + "\"", -1)
+                        .split("\"holder\":\"" + ClusterSpec.nodeName(node) + "\"", -1)
                         .length
                     - 1);
     return count[0];
@@ -142,14 +142,14 @@
 
   /** How many times a controller is given a block while no machine hears it, for 70 s. */
   private static int givenWhileDeaf(BusySite on) {
-    World world = on.world;
-    Site site = on.site;
+    SimulatedCluster world = on.world;
+    ClusterSpec site = on.site;
     world.time().runUntil(30);
     int deaf = (world.leader() + 1) % site.nodes();
     world
         .cloud()
         .machines()
-        .forEach(machine -> world.cut(Site.nodeName(deaf), machine.text(), 70, true));
+        .forEach(machine -> world.cut(ClusterSpec.nodeName(deaf), machine.text(), 70, true));
     int given = 0;
     int held = blocksOf(world, deaf);
     int most = 0;
@@ -297,10 +297,10 @@
   @ParameterizedTest
   @EnumSource(Step.class)
   void aMishapInEachStep(Step step) throws MalformedMessageException {
-    for (World.Mishap mishap : World.Mishap.values()) {
+    for (SimulatedCluster.Mishap mishap : SimulatedCluster.Mishap.values()) {
       for (double seconds : new double[] {1, 6, 12, 35, 90}) {
-        Site growing = Site.tryOut(MACHINES, false);
-        World other = new World(growing, (long) (seconds * 10), Meter.OFF);
+        ClusterSpec growing = ClusterSpec.tryOut(MACHINES, false);
+        SimulatedCluster other = new SimulatedCluster(growing, (long) (seconds * 10), Meter.OFF);
         List<JobId> done = new ArrayList<>();
         submit(other, new ArrayList<>(), done);
         Job cancelledJob = array(72_000, 40, 400);
--- a/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.quincecross.accounting.JobSizeHistogram;
+import org.quincecross.accounting.LargestJobs;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.overload.Shares;
-import org.quincecross.rollout.Build;
-import org.quincecross.served.Largest;
-import org.quincecross.served.Sizes;
 import org.quincecross.protocol.Features;
+import org.quincecross.rollout.Build;
 
 /**
  * The largest array, a gang of two whole machines and an idle job in an overload, on three
@@ -30,11 +30,11 @@
       new Features(new Shares(0.85, 0.5, 0.01, 0.01), TimeSpan.ofSeconds(20), Build.BEFORE_LEVELS);
   private static final Resources ONE = new Resources(1, 0, 2);
 
-  private final World world = new World(site(), 11, Meter.OFF, ON);
+  private final SimulatedCluster world = new SimulatedCluster(site(), 11, Meter.OFF, ON);
   private int number = 100;
 
-  private static Site site() {
-    Site base = Site.tryOut(MACHINES, true);
+  private static ClusterSpec site() {
+    ClusterSpec base = ClusterSpec.tryOut(MACHINES, true);
     Map<String, Team> teams = new LinkedHashMap<>();
     for (String name : List.of("loud", "quiet")) {
       teams.put(name, new Team(name, Resources.NONE, new Resources(1e6, 1e6, 1e6)));
@@ -95,10 +95,10 @@
     world.time().at(175, () -> world.crash(Math.max(0, world.leader())));
     world.time().runUntil(300);
     assertEquals(List.of(), world.rules().broken());
-    Map<String, List<Largest>> largest = world.around().served().largest(world.around().now());
+    Map<String, List<LargestJobs>> largest = world.around().served().largest(world.around().now());
     for (String each : List.of("array", "gang", "idle")) {
-      Largest of = largest.get(each).get(0);
-      assertTrue(of.inTime() == 1 && of.longestS() <= Sizes.BEGIN_S, each + ": " + of);
+      LargestJobs of = largest.get(each).get(0);
+      assertTrue(of.inTime() == 1 && of.longestS() <= JobSizeHistogram.BEGIN_S, each + ": " + of);
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/BusySite.java
+++ b/src/test/java/org/quincecross/emulator/BusySite.java
@@ -40,8 +40,8 @@
             run_s = 6
             """;
 
-  final Site site = Site.tryOut(MACHINES, true);
-  final World world;
+  final ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
+  final SimulatedCluster world;
   final List<JobId> services = new ArrayList<>();
   final List<JobId> arrays = new ArrayList<>();
 
@@ -50,13 +50,14 @@
   }
 
   BusySite(long seed) throws MalformedMessageException {
-    world = new World(site, seed, Meter.OFF);
+    world = new SimulatedCluster(site, seed, Meter.OFF);
     submit(world, services, arrays);
   }
 
   /** Has the jobs submitted in a world from its fourth second on, and notes which they are. */
-  static void submit(World world, List<JobId> services, List<JobId> arrays) throws MalformedMessageException {
-    for (JobsFile.Due due : JobsFile.read(JOBS, world.site())) {
+  static void submit(SimulatedCluster world, List<JobId> services, List<JobId> arrays)
+      throws MalformedMessageException {
+    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, world.site())) {
       world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
       (due.job().jobClass().equals("rebuild") ? arrays : services).add(due.job().id());
     }
--- a/src/test/java/org/quincecross/emulator/CancelledInChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/CancelledInChangesTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 
@@ -54,13 +54,15 @@
       longOnes.add(job.id());
       world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
     }
-    world.time().at(AT_S - 5, () -> CloseLooks.begin(world.around(), 0.5, 0, 120, random));
+    world.time().at(AT_S - 5, () -> ConcurrentReaders.begin(world.around(), 0.5, 0, 120, random));
   }
 
   private void callOff(double atS, double hangS) {
     world
         .time()
-        .at(atS, () -> called = LateCancels.now(world.around(), LONG_JOBS / 2, hangS, random));
+        .at(
+            atS,
+            () -> called = LateCancellations.now(world.around(), LONG_JOBS / 2, hangS, random));
   }
 
   private void assertAllAreGone(double atS) {
@@ -120,7 +122,9 @@
     double outage = site.workers().cancelTimeout().seconds() + 9;
     world
         .time()
-        .at(AT_S, () -> world.state().refuse(Site.nodeName(Math.max(0, world.leader())), 1.2));
+        .at(
+            AT_S,
+            () -> world.state().refuse(ClusterSpec.nodeName(Math.max(0, world.leader())), 1.2));
     world.time().at(AT_S + 1, () -> world.state().outage(outage));
     callOff(AT_S + afterS, hangS);
     assertAllAreGone(AT_S + outage + 70);
--- a/src/test/java/org/quincecross/emulator/CloseLooksTest.java
+++ b/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
@@ -12,16 +12,16 @@
  * Users ask at all nodes within milliseconds, and repeat the submission, as soon as anything has
  * happened to a job. Three controllers, in virtual time.
  */
-class CloseLooksTest {
+class ConcurrentReadersTest {
   private static final int JOBS = 72;
   private static final double SECONDS = 60;
 
-  private World played(long seed, double cancelShare, double atEndShare) {
-    World world = new World(seed);
+  private SimulatedCluster played(long seed, double cancelShare, double atEndShare) {
+    SimulatedCluster world = new SimulatedCluster(seed);
     Random random = new Random(seed);
-    CloseLooks.begin(world.around(), 1, cancelShare, SECONDS, random);
+    ConcurrentReaders.begin(world.around(), 1, cancelShare, SECONDS, random);
     if (atEndShare > 0) {
-      LateCancels.atEnd(world.around(), atEndShare, seed % 2 == 0 ? 0 : 1.6, SECONDS, random);
+      LateCancellations.atEnd(world.around(), atEndShare, seed % 2 == 0 ? 0 : 1.6, SECONDS, random);
     }
     for (int i = 0; i < JOBS; i++) {
       int number = 100 + i;
@@ -35,7 +35,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void noNodeAnswersAnythingOlder(long seed) {
-    World world = played(seed, 0.3, 0);
+    SimulatedCluster world = played(seed, 0.3, 0);
     assertEquals(List.of(), world.rules().broken());
     assertTrue(
         world.users().answers().getOrDefault("poll 200", 0) > 10 * JOBS,
@@ -58,7 +58,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aCancellationMeetsTheEndOfTheLastTask(long seed) {
-    World world = played(seed, 0, 0.7);
+    SimulatedCluster world = played(seed, 0, 0.7);
     assertEquals(List.of(), world.rules().broken());
     long done =
         world.users().told().entrySet().stream()
--- a/src/test/java/org/quincecross/emulator/Cuts.java
+++ b/src/test/java/org/quincecross/emulator/Cuts.java
@@ -5,9 +5,9 @@
 
 /** Cuts of many links at once. */
 final class Cuts {
-  private final World world;
+  private final SimulatedCluster world;
 
-  Cuts(World world) {
+  Cuts(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -20,9 +20,9 @@
     List<String> outside = new ArrayList<>(List.of("state", "cloud", "users"));
     for (int i = 0; i < world.nodeCount(); i++) {
       (name.equals(world.site().zones().get(i % world.site().zones().size())) ? inside : outside)
-          .add(Site.nodeName(i));
+          .add(ClusterSpec.nodeName(i));
     }
-    for (Worker worker : world.cloud().workers()) {
+    for (AgentSimulator worker : world.cloud().workers()) {
       (name.equals(worker.machine().zone()) ? inside : outside).add(worker.machine().id().text());
     }
     inside.forEach(in -> outside.forEach(out -> world.cut(in, out, length, lose)));
--- a/src/test/java/org/quincecross/emulator/Day.java
+++ b/src/test/java/org/quincecross/emulator/Day.java
@@ -8,14 +8,14 @@
 import java.util.function.BiConsumer;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.rollout.Build;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.Build;
 
 /** A day drawn from a seed: jobs of all kinds, troubles alone and together, then quiet. */
 final class Day {
@@ -39,7 +39,7 @@
   private static final int DAYS_PER_LARGE_JOB = 40;
 
   private final long seed;
-  private final World world;
+  private final SimulatedCluster world;
   private final Random random;
   private final Liveness liveness;
   private final Meetings meetings;
@@ -49,7 +49,7 @@
   private static final Build NEW = Build.present("new", 2);
 
   Day(long seed) {
-    this(seed, new World(seed));
+    this(seed, new SimulatedCluster(seed));
   }
 
   /**
@@ -57,7 +57,8 @@
    * whatever goes on.
    */
   static Day ofRolls(long seed) {
-    World world = new World(Site.small(), seed, Meter.OFF, new Features(null, null, OLD));
+    SimulatedCluster world =
+        new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF, new Features(null, null, OLD));
     world.state().applyLate(60);
     Day day = new Day(seed, world);
     day.rollAll(10 + 40 * day.random.nextDouble(), NEW);
@@ -91,7 +92,7 @@
     }
   }
 
-  private Day(long seed, World world) {
+  private Day(long seed, SimulatedCluster world) {
     this(seed, world, null);
     for (int i = 0; i < JOBS; i++) {
       int number = 1000 + i;
@@ -105,7 +106,7 @@
     }
   }
 
-  private Day(long seed, World world, Meetings meetings) {
+  private Day(long seed, SimulatedCluster world, Meetings meetings) {
     this.seed = seed;
     this.world = world;
     this.meetings = meetings;
@@ -128,11 +129,14 @@
 
   /** The same with only some of its meetings, by number; none named: all. */
   static Day ofMeetings(long seed, Set<Integer> only, boolean further) {
-    Site site = Site.small();
+    ClusterSpec site = ClusterSpec.small();
     List<Settings.AgentTimeouts> workers =
-        List.of(site.workers(), Site.tryOut(9, true).workers(), Site.mixed(690).workers());
-    World world =
-        new World(
+        List.of(
+            site.workers(),
+            ClusterSpec.tryOut(9, true).workers(),
+            ClusterSpec.mixed(690).workers());
+    SimulatedCluster world =
+        new SimulatedCluster(
             site.with(workers.get((int) Math.floorMod(seed, (long) workers.size()))),
             seed,
             Meter.OFF);
@@ -148,7 +152,7 @@
   }
 
   /** Has more troubles beside those of the day. */
-  Day with(BiConsumer<World, Long> more) {
+  Day with(BiConsumer<SimulatedCluster, Long> more) {
     more.accept(world, seed);
     return this;
   }
@@ -235,17 +239,21 @@
         }
       }
       case 2 -> world.state().outage(length);
-      case 3 -> world.state().refuse(Site.nodeName(node), length);
-      case 4 -> world.cut(Site.nodeName(node), "state", length, lose);
+      case 3 -> world.state().refuse(ClusterSpec.nodeName(node), length);
+      case 4 -> world.cut(ClusterSpec.nodeName(node), "state", length, lose);
       case 5 ->
           machines.forEach(
-              each -> world.cut(Site.nodeName(node), each.text(), length, random.nextBoolean()));
+              each ->
+                  world.cut(ClusterSpec.nodeName(node), each.text(), length, random.nextBoolean()));
       case 6 ->
           world.cut(
-              Site.nodeName(node), Site.nodeName((node + 1) % world.nodeCount()), length, lose);
+              ClusterSpec.nodeName(node),
+              ClusterSpec.nodeName((node + 1) % world.nodeCount()),
+              length,
+              lose);
       case 7 -> {
         for (int i = 0; i < world.nodeCount(); i++) {
-          world.cut(Site.nodeName(i), machine.text(), length, random.nextBoolean());
+          world.cut(ClusterSpec.nodeName(i), machine.text(), length, random.nextBoolean());
         }
       }
       case 8 -> world.cloud().outage(length);
@@ -258,7 +266,7 @@
           machines.forEach(
               each ->
                   world.cut(
-                      Site.nodeName(random.nextInt(world.nodeCount())),
+                      ClusterSpec.nodeName(random.nextInt(world.nodeCount())),
                       each.text(),
                       3 + random.nextDouble() * 5,
                       random.nextBoolean()));
--- a/src/test/java/org/quincecross/emulator/DeafSite.java
+++ b/src/test/java/org/quincecross/emulator/DeafSite.java
@@ -44,14 +44,14 @@
             run_s = 40
             """;
 
-  final World world;
+  final SimulatedCluster world;
   final List<JobId> services = new ArrayList<>();
   final List<MachineId> deaf = new ArrayList<>();
 
   DeafSite(long seed) throws MalformedMessageException {
-    Site site = Site.tryOut(60, true);
-    world = new World(site, seed, Meter.OFF);
-    for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
+    ClusterSpec site = ClusterSpec.tryOut(60, true);
+    world = new SimulatedCluster(site, seed, Meter.OFF);
+    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
       world.time().at(6 + due.atS(), () -> world.users().submit(due.job()));
       if (due.job().jobClass().equals("front")) {
         services.add(due.job().id());
--- a/src/test/java/org/quincecross/emulator/HeldMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
@@ -10,7 +10,7 @@
  * Days on which commands, reports and the answers to either are held up for half a second to 15 s
  * and then arrive, after later ones, and reports come a second time up to three leases late.
  */
-class HeldMessagesTest {
+class DelayedMessagesTest {
   private static final double LONGEST_S = 15;
 
   /**
--- a/src/test/java/org/quincecross/emulator/PipelineRulesTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
@@ -7,25 +7,25 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 /** Each rule of dependent jobs is fed what breaks it, and what just does not. */
-class PipelineRulesTest {
+class DependencyInvariantsTest {
   private static final JobId FIRST = new JobId("job-1");
   private static final JobId MIDDLE = new JobId("job-2");
   private static final JobId LAST = new JobId("job-3");
 
   /** Of the controllers of this world nothing is heard: what happens is said by the test alone. */
-  private final World world = new World(1);
+  private final SimulatedCluster world = new SimulatedCluster(1);
 
-  private final Rules rules = world.rules();
+  private final ProtocolInvariants rules = world.rules();
   private Machine machine;
 
-  PipelineRulesTest() {
+  DependencyInvariantsTest() {
     world.time().runUntil(4);
     for (int node = 0; node < world.nodeCount(); node++) {
       world.down(node, 100_000);
@@ -144,7 +144,7 @@
 
   @Test
   void aSubmissionThatNamesAnUnknownJobIsAcceptedOrOneThatNamesAKnownOneIsNot() {
-    PipelineRules pipelines = world.around().pipelineRules();
+    DependencyInvariants pipelines = world.around().pipelineRules();
     pipelines.answered(MIDDLE, 422);
     assertBroken();
     pipelines.answered(MIDDLE, 201);
--- a/src/test/java/org/quincecross/emulator/LateCopiesTest.java
+++ b/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
@@ -14,15 +14,15 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Every report comes a second time, 1 s to three leases later, with three controllers in virtual
  * time.
  */
-class LateCopiesTest extends BusySite {
-  LateCopiesTest() throws MalformedMessageException {
+class DuplicatedMessagesTest extends BusySite {
+  DuplicatedMessagesTest() throws MalformedMessageException {
     world.time().at(10, () -> world.copyLate(1, new Random(7)));
   }
 
@@ -37,7 +37,7 @@
     List<MachineId> cut = world.cloud().machines().subList(0, 8);
     for (MachineId machine : cut) {
       for (int node = 0; node < site.nodes(); node++) {
-        world.cut(Site.nodeName(node), machine.text(), 300, true);
+        world.cut(ClusterSpec.nodeName(node), machine.text(), 300, true);
       }
     }
     world.time().runUntil(40 + lease + 8);
@@ -150,7 +150,7 @@
     world.copyLate(0, new Random(7));
     world.keepForNextLeader(share, new Random(8));
     world.time().runUntil(48);
-    List<Worker> workers = List.copyOf(world.cloud().workers());
+    List<AgentSimulator> workers = List.copyOf(world.cloud().workers());
     List<MachineId> gone =
         workers.subList(0, 4).stream().map(worker -> worker.machine().id()).toList();
     gone.forEach(machine -> world.cloud().take(machine, 0));
@@ -160,7 +160,7 @@
         .forEach(
             worker -> {
               for (int node = 0; node < site.nodes(); node++) {
-                world.cut(Site.nodeName(node), worker.machine().id().text(), 30, true);
+                world.cut(ClusterSpec.nodeName(node), worker.machine().id().text(), 30, true);
               }
             });
     world.time().runUntil(50);
--- a/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
+++ b/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
-import org.quincecross.rollout.Build;
-import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.Build;
 
 /**
  * The state service lowers its limits without notice, after records have been written that are
@@ -38,9 +38,9 @@
   private static final int JOBS = 420;
   private static final int SERVICES = 12;
 
-  private final World world =
-      new World(
-          Site.tryOut(9, true).with(new Settings.StoreLimits(400, 60, 4096, 8)),
+  private final SimulatedCluster world =
+      new SimulatedCluster(
+          ClusterSpec.tryOut(9, true).with(new Settings.StoreLimits(400, 60, 4096, 8)),
           5,
           Meter.OFF,
           Features.NONE);
@@ -252,8 +252,9 @@
       teams.put(
           "team-" + i, new Team("team-" + i, new Resources(1, 0, 1), new Resources(10, 0, 10)));
     }
-    World other =
-        new World(world.site().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
+    SimulatedCluster other =
+        new SimulatedCluster(
+            world.site().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
     other.time().runUntil(20);
     assertTrue(other.leader() >= 0, "nobody is a member");
     assertEquals(0, other.state().tooLarge());
--- a/src/test/java/org/quincecross/emulator/FullTeamsTest.java
+++ b/src/test/java/org/quincecross/emulator/FullTeamsTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Every team is at its limit, with as much again waiting, much of it bound to one zone, while jobs
@@ -32,13 +32,13 @@
   private static final double OVER_S = 110;
   private static final int WAVE = 14;
 
-  private final Site site =
-      Site.tryOut(30, true)
+  private final ClusterSpec site =
+      ClusterSpec.tryOut(30, true)
           .with(
               Map.of("long", team("long", 48), "zonal", team("zonal", 40), "web", team("web", 24)));
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final List<JobId> called = new ArrayList<>();
-  private World world;
+  private SimulatedCluster world;
   private Random random;
   private int changes;
   private int leader = -1;
@@ -132,7 +132,8 @@
           int kind = random.nextInt(5);
           for (int node = 0; kind < 3 && node < world.nodeCount(); node++) {
             if (kind != 0 || node != former) {
-              world.cut(Site.nodeName(node), machine.text(), 6 + 34 * random.nextDouble(), lose);
+              world.cut(
+                  ClusterSpec.nodeName(node), machine.text(), 6 + 34 * random.nextDouble(), lose);
             }
           }
         }
@@ -154,7 +155,7 @@
               return false;
             },
             0,
-            World.Mishap.STILL_AFTER);
+            SimulatedCluster.Mishap.STILL_AFTER);
         world.down((leader() + 1 + random.nextInt(2)) % 3, 15);
         world.time().after(20, () -> world.holdMessages(0, 0, random));
       }
@@ -188,7 +189,7 @@
       }
       case ZONE_LOSES_MACHINES -> {
         String zone = site.zones().get(random.nextInt(3));
-        List<Worker> there =
+        List<AgentSimulator> there =
             world.cloud().workers().stream()
                 .filter(worker -> worker.machine().zone().equals(zone))
                 .toList();
@@ -213,12 +214,12 @@
                   && world.time().seconds() > AT_S) {
                 for (int node = 0; node < world.nodeCount(); node++) {
                   if (!hit[node]
-                      && request.contains("\"holder\":\"" + Site.nodeName(node) + "\"")
+                      && request.contains("\"holder\":\"" + ClusterSpec.nodeName(node) + "\"")
                       && !hit[(node + 1) % 3]
                       && !hit[(node + 2) % 3]) {
                     hit[node] = true;
                     takenOver++;
-                    world.state().refuse(Site.nodeName(node), 45);
+                    world.state().refuse(ClusterSpec.nodeName(node), 45);
                     world
                         .cloud()
                         .workers()
@@ -234,7 +235,7 @@
               return false;
             },
             0,
-            World.Mishap.STILL_AFTER);
+            SimulatedCluster.Mishap.STILL_AFTER);
         world.down((leader() + 1 + random.nextInt(2)) % 3, 15);
         callOff(WAVE, 12);
         world.time().after(20, () -> world.holdMessages(0, 0, random));
@@ -308,7 +309,7 @@
   }
 
   private List<String> play(Trouble trouble, long seed) {
-    world = new World(site, seed, Meter.OFF);
+    world = new SimulatedCluster(site, seed, Meter.OFF);
     random = new Random(seed * 31 + trouble.ordinal());
     for (int i = 0; i < 36; i++) {
       submit(100 + i, "long", JobKind.ARRAY, 2 + i % 2, 1, i % 4 == 0, 55);
--- a/src/test/java/org/quincecross/emulator/GapDay.java
+++ b/src/test/java/org/quincecross/emulator/GapDay.java
@@ -8,10 +8,10 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 /**
@@ -26,14 +26,14 @@
   private static final double LONGEST_GAP_S = 110;
   private static final double QUIET_S = 100;
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Random random;
   private final Liveness liveness;
   private final List<JobId> jobs = new ArrayList<>();
   private final Map<JobId, Double> cancelAt = new TreeMap<>();
 
   GapDay(long seed) {
-    world = new World(Site.small(), seed, Meter.OFF);
+    world = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
     random = new Random(seed * 31 + 7);
     liveness = new Liveness(world);
     for (int i = 0; i < JOBS; i++) {
@@ -64,7 +64,7 @@
                 world.mishapAt(
                     request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""),
                     seconds,
-                    World.Mishap.STILL_BEFORE));
+                    SimulatedCluster.Mishap.STILL_BEFORE));
     world
         .time()
         .at(
@@ -94,7 +94,7 @@
     }
   }
 
-  World world() {
+  SimulatedCluster world() {
     return world;
   }
 
@@ -106,7 +106,9 @@
                 ? JobKind.SERVICE
                 : random.nextInt(8) == 0 ? JobKind.GANG : JobKind.ARRAY;
     int tasks =
-        number == FIRST ? 18 : shape == JobKind.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
+        number == FIRST
+            ? 18
+            : shape == JobKind.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
     return new Job(
         new JobId("job-" + number),
         "gap",
@@ -145,7 +147,7 @@
     int refused = leader >= 0 && !oneIn(4) ? leader : random.nextInt(world.nodeCount());
     double cancelS = world.site().workers().cancelTimeout().seconds();
     double refusal = 1 + upTo(17);
-    after(0, () -> world.state().refuse(Site.nodeName(refused), refusal));
+    after(0, () -> world.state().refuse(ClusterSpec.nodeName(refused), refusal));
     if (oneIn(4)) {
       after(
           refusal + upTo(1.5),
@@ -153,7 +155,7 @@
               world
                   .state()
                   .refuse(
-                      Site.nodeName(oneIn(3) ? random.nextInt(world.nodeCount()) : refused),
+                      ClusterSpec.nodeName(oneIn(3) ? random.nextInt(world.nodeCount()) : refused),
                       1 + upTo(12)));
     }
     double out = oneIn(6) ? upTo(20) - 4 : 0.5 + upTo(refusal);
@@ -161,7 +163,8 @@
     after(out, () -> world.state().outage(length));
     if (oneIn(6)) {
       after(
-          out + length + upTo(3), () -> world.state().refuse(Site.nodeName(refused), 1 + upTo(15)));
+          out + length + upTo(3),
+          () -> world.state().refuse(ClusterSpec.nodeName(refused), 1 + upTo(15)));
     }
     for (JobId id : jobs) {
       if (!oneIn(5)) {
@@ -193,7 +196,7 @@
                         for (int node = 0; node < world.nodeCount(); node++) {
                           // The refused one is the only one that reaches them, or none does.
                           if (node != refused || lose) {
-                            world.cut(Site.nodeName(node), each.text(), 2 + upTo(40), lose);
+                            world.cut(ClusterSpec.nodeName(node), each.text(), 2 + upTo(40), lose);
                           }
                         }
                       }));
--- a/src/test/java/org/quincecross/emulator/GapTest.java
+++ b/src/test/java/org/quincecross/emulator/GapTest.java
@@ -14,9 +14,9 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 
@@ -73,7 +73,7 @@
   }
 
   private String leaderName() {
-    return Site.nodeName(leader);
+    return ClusterSpec.nodeName(leader);
   }
 
   private List<JobId> cancelled() {
@@ -154,7 +154,7 @@
                 world.mishapAt(
                     request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""),
                     heldS,
-                    World.Mishap.STILL_BEFORE));
+                    SimulatedCluster.Mishap.STILL_BEFORE));
     world
         .time()
         .at(
--- a/src/test/java/org/quincecross/emulator/GrowthTest.java
+++ b/src/test/java/org/quincecross/emulator/GrowthTest.java
@@ -10,8 +10,8 @@
 
   private static Meter play(int machines) {
     Meter meter = new Meter(true);
-    World world = new World(Site.fleet(machines), 3, meter);
-    Load load = new Load(world.around(), 3);
+    SimulatedCluster world = new SimulatedCluster(ClusterSpec.fleet(machines), 3, meter);
+    WorkloadGenerator load = new WorkloadGenerator(world.around(), 3);
     world.time().at(10, () -> load.begin(15));
     world.time().runUntil(DAY_S);
     return meter;
@@ -45,7 +45,7 @@
   @Test
   void aQuietSiteIsNotLookedAtAllTheTime() {
     Meter meter = new Meter(true);
-    World world = new World(Site.tryOut(30, false), 3, meter);
+    SimulatedCluster world = new SimulatedCluster(ClusterSpec.tryOut(30, false), 3, meter);
     world.time().runUntil(30);
     long before = meter.costs().values().stream().mapToLong(Meter.Cost::calls).sum();
     long reports = calls(meter, "POST /agent/…");
--- a/src/test/java/org/quincecross/emulator/GuestsTest.java
+++ b/src/test/java/org/quincecross/emulator/GuestsTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Settings;
 
@@ -19,11 +19,11 @@
  * beside others, in virtual time.
  */
 class GuestsTest {
-  private static final Site WIDE = Site.tryOut(45, true);
+  private static final ClusterSpec WIDE = ClusterSpec.tryOut(45, true);
 
   /** Fewer changes a second than jobs come in one. */
-  private static final Site NARROW =
-      new Site(
+  private static final ClusterSpec NARROW =
+      new ClusterSpec(
           WIDE.nodeZones(),
           WIDE.zones(),
           WIDE.types(),
@@ -69,8 +69,8 @@
         null);
   }
 
-  private static World world(Site site) {
-    return new World(site, 7, Meter.OFF);
+  private static SimulatedCluster world(ClusterSpec site) {
+    return new SimulatedCluster(site, 7, Meter.OFF);
   }
 
   /**
@@ -79,7 +79,7 @@
    */
   @Test
   void aSwarmOfSubmissionsHasItselfWait() {
-    World world = world(NARROW);
+    SimulatedCluster world = world(NARROW);
     List<JobId> swarm = new ArrayList<>();
     for (int i = 0; i < 1500; i++) {
       Job job = job(100_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.5, 2, 0);
@@ -119,8 +119,9 @@
    */
   @Test
   void guestsFillWhatIsFreeAndGiveWay() {
-    World world = world(WIDE);
-    JobId huge = world.users().submit(job(1, "batch", JobKind.ARRAY, Priority.LOW, 20_000, 0.5, 2, 0));
+    SimulatedCluster world = world(WIDE);
+    JobId huge =
+        world.users().submit(job(1, "batch", JobKind.ARRAY, Priority.LOW, 20_000, 0.5, 2, 0));
     List<JobId> idle = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       Job job = job(10 + i, "batch", JobKind.ARRAY, Priority.LOW, 50, 2, 80, 10);
--- a/src/test/java/org/quincecross/emulator/HardCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/HardCasesTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 
--- a/src/test/java/org/quincecross/emulator/HoldCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/HoldCasesTest.java
@@ -115,8 +115,8 @@
    * the hold is closed and opened again.
    */
   @ParameterizedTest
-  @EnumSource(World.Mishap.class)
-  void theLeaderIsGoneBetweenItsGuardAndTheAnswer(World.Mishap mishap) {
+  @EnumSource(SimulatedCluster.Mishap.class)
+  void theLeaderIsGoneBetweenItsGuardAndTheAnswer(SimulatedCluster.Mishap mishap) {
     site.at(
         READY_S + 1,
         () ->
--- a/src/test/java/org/quincecross/emulator/HoldSite.java
+++ b/src/test/java/org/quincecross/emulator/HoldSite.java
@@ -11,16 +11,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.quincecross.holds.Records;
 import org.quincecross.http.HttpRequest;
+import org.quincecross.legalhold.Records;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Feature;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.rollout.Build;
+import org.quincecross.rollout.Feature;
 
 /**
  * Three controllers with holds switched on, sweeps, and a checker of its own: it reads the records
@@ -28,7 +28,7 @@
  * of what the controllers make of it.
  */
 final class HoldSite {
-  final World world;
+  final SimulatedCluster world;
   private final List<JobId> sweeps = new ArrayList<>();
   private final List<JobId> services = new ArrayList<>();
   private final Map<JobId, Map<TaskSet, Records>> touches = new HashMap<>();
@@ -40,12 +40,12 @@
   final Map<String, String> answers = new HashMap<>();
 
   HoldSite(String jobs, int machines, long seed) throws MalformedMessageException {
-    Site site = Site.tryOut(machines, true);
+    ClusterSpec site = ClusterSpec.tryOut(machines, true);
     Build build = Build.present("holds", Feature.AGREED_RECORDS.since().number());
     world =
-        new World(
+        new SimulatedCluster(
             site, seed, Meter.OFF, new Features(null, null, build, Map.of("holds", Map.of())));
-    for (JobsFile.Due due : JobsFile.read(jobs, site)) {
+    for (WorkloadFile.Due due : WorkloadFile.read(jobs, site)) {
       world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
       (due.job().jobClass().equals("front") ? services : sweeps).add(due.job().id());
     }
@@ -123,7 +123,7 @@
             "records",
             List.of(records),
             "from_ms",
-            (long) ((World.EPOCH_S + fromS) * 1000)));
+            (long) ((SimulatedCluster.EPOCH_S + fromS) * 1000)));
   }
 
   void close(int node, String reference, String request, int opening) {
@@ -168,10 +168,10 @@
 
   /** A controller has its workers, and neither the state service nor the other controllers. */
   void leaveAlone(int node, double seconds) {
-    world.state().refuse(Site.nodeName(node), seconds);
+    world.state().refuse(ClusterSpec.nodeName(node), seconds);
     for (int other = 0; other < world.nodeCount(); other++) {
       if (other != node) {
-        world.cut(Site.nodeName(node), Site.nodeName(other), seconds, true);
+        world.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, true);
       }
     }
   }
@@ -191,7 +191,8 @@
               boolean inside = worker.machine().zone().equals(world.site().zones().get(zone));
               for (int node = 0; node < world.nodeCount(); node++) {
                 if ((node == zone) != inside) {
-                  world.cut(worker.machine().id().text(), Site.nodeName(node), seconds, false);
+                  world.cut(
+                      worker.machine().id().text(), ClusterSpec.nodeName(node), seconds, false);
                 }
               }
             });
@@ -204,7 +205,7 @@
         .forEach(
             worker -> {
               for (int node = 0; node < world.nodeCount(); node++) {
-                world.cut(Site.nodeName(node), worker.machine().id().text(), seconds, true);
+                world.cut(ClusterSpec.nodeName(node), worker.machine().id().text(), seconds, true);
               }
             });
   }
@@ -220,7 +221,8 @@
           boolean touched =
               touches.getOrDefault(task.job(), Map.of()).entrySet().stream()
                   .anyMatch(
-                      claim -> claim.getKey().contains(task.index()) && claim.getValue().overlaps(held));
+                      claim ->
+                          claim.getKey().contains(task.index()) && claim.getValue().overlaps(held));
           if (touched && at > seconds) {
             late.add(task + " at " + at);
           }
--- a/src/test/java/org/quincecross/emulator/IdleRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
@@ -10,23 +10,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Work that waits in the queue of a block whose machines are busy for long, while those of other
  * blocks have nothing to do.
  */
-class IdleRoomTest {
+class IdleCapacityInvariantTest {
   private static final int MACHINES = 30;
   private static final double LONGEST_WAIT_S = 90;
 
   /** More than there is room for. */
-  private final Site site =
-      Site.tryOut(MACHINES, true)
+  private final ClusterSpec site =
+      ClusterSpec.tryOut(MACHINES, true)
           .with(
               Map.of(
                   "batch",
@@ -35,7 +35,7 @@
   private final List<JobId> anywhere = new ArrayList<>();
   private double longest;
 
-  private void submit(World world, double atS, int number, String zone, double runS) {
+  private void submit(SimulatedCluster world, double atS, int number, String zone, double runS) {
     Job job =
         new Job(
             new JobId("job-" + number),
@@ -70,7 +70,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void nothingWaitsBehindLongWorkWhileOthersAreIdle(long seed) {
-    World world = new World(site, seed, Meter.OFF);
+    SimulatedCluster world = new SimulatedCluster(site, seed, Meter.OFF);
     for (int i = 0; i < 4 * MACHINES; i++) {
       submit(world, 10, 1000 + i, site.zones().get(i % 3), i % 3 == 0 ? 300 : 30);
     }
--- a/src/test/java/org/quincecross/emulator/LateWriteDays.java
+++ b/src/test/java/org/quincecross/emulator/LateWriteDays.java
@@ -16,16 +16,16 @@
   private static final double UNTIL_S = 150;
   private static final double MINUTES_SHARE = 0.15;
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Random random;
 
-  private LateWriteDays(World world, long seed) {
+  private LateWriteDays(SimulatedCluster world, long seed) {
     this.world = world;
     this.random = new Random(seed * 31 + 7);
   }
 
   /** For {@link Day#with}. */
-  static void on(World world, long seed) {
+  static void on(SimulatedCluster world, long seed) {
     LateWriteDays days = new LateWriteDays(world, seed);
     days.lateWrites(0.2 + 0.1 * days.random.nextDouble());
     days.bundles(6, 7);
@@ -38,14 +38,15 @@
   }
 
   private void lateWrites(double share) {
-    LateWrites soon = LateWrites.share(share, 2, 12, this::isTrouble, random);
-    LateWrites minutes = LateWrites.share(MINUTES_SHARE * share, 12, 150, this::isTrouble, random);
+    DelayedTransactions soon = DelayedTransactions.share(share, 2, 12, this::isTrouble, random);
+    DelayedTransactions minutes =
+        DelayedTransactions.share(MINUTES_SHARE * share, 12, 150, this::isTrouble, random);
     world
         .state()
         .late(
             transaction -> {
               double after = minutes.afterS(transaction);
-              return after == LateWrites.PROMPT ? soon.afterS(transaction) : after;
+              return after == DelayedTransactions.PROMPT ? soon.afterS(transaction) : after;
             });
   }
 
--- a/src/test/java/org/quincecross/emulator/LateWritesTest.java
+++ b/src/test/java/org/quincecross/emulator/LateWritesTest.java
@@ -26,7 +26,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
   void aCancellationThatBecomesDurableLate(int alone) {
-    World world = new World(1);
+    SimulatedCluster world = new SimulatedCluster(1);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       int number = i;
@@ -38,26 +38,26 @@
             transaction ->
                 transaction.contains("\"cancelled\"") && world.time().seconds() < 32.4
                     ? 32.5 + 0.5 * world.random().nextDouble() - world.time().seconds()
-                    : LateWrites.PROMPT);
+                    : DelayedTransactions.PROMPT);
     world.time().at(16, () -> jobs.forEach(world.users()::cancel));
     world
         .time()
         .at(
             32,
             () -> {
-              world.state().refuse(Site.nodeName(alone), 90);
+              world.state().refuse(ClusterSpec.nodeName(alone), 90);
               world
                   .cloud()
                   .machines()
                   .forEach(
                       machine -> {
                         world.cut(
-                            Site.nodeName((alone + 1) % world.nodeCount()),
+                            ClusterSpec.nodeName((alone + 1) % world.nodeCount()),
                             machine.text(),
                             90,
                             true);
                         world.cut(
-                            Site.nodeName((alone + 2) % world.nodeCount()),
+                            ClusterSpec.nodeName((alone + 2) % world.nodeCount()),
                             machine.text(),
                             90,
                             true);
@@ -88,7 +88,7 @@
    */
   @Test
   void bundlesCarriedOutAfterTheirJobsAreOver() {
-    World world = new World(2);
+    SimulatedCluster world = new SimulatedCluster(2);
     world.state().applyLate(0);
     world
         .state()
@@ -96,7 +96,7 @@
             transaction ->
                 transaction.contains("q/bundle/") && world.time().seconds() < 10.6
                     ? 60
-                    : LateWrites.PROMPT);
+                    : DelayedTransactions.PROMPT);
     for (int i = 0; i < 24; i++) {
       int number = 100 + i;
       world.time().at(10, () -> world.users().submit(number));
@@ -137,7 +137,7 @@
    */
   @Test
   void aRecordOfItsOwnThatComesAfterABundle() {
-    World world = new World(2);
+    SimulatedCluster world = new SimulatedCluster(2);
     world.state().applyLate(0);
     for (int i = 0; i < 24; i++) {
       int number = 100 + i;
@@ -172,7 +172,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"q/block/", "q/alloc/", "q/page/", "\"done\""})
   void whatALeaderWrote(String what) {
-    World world = new World(4);
+    SimulatedCluster world = new SimulatedCluster(4);
     world.state().applyLate(0);
     int[] late = new int[1];
     world
@@ -181,14 +181,14 @@
             transaction ->
                 world.time().seconds() > 12 && transaction.contains(what) && late[0]++ % 3 == 0
                     ? 5
-                    : LateWrites.PROMPT);
+                    : DelayedTransactions.PROMPT);
     for (int i = 0; i < 40; i++) {
       int number = 100 + i;
       world.time().at(3 + 1.5 * i, () -> world.users().submit(number));
     }
     world.time().at(30, () -> world.crash((world.leader() + 1) % world.nodeCount()));
     world.time().runUntil(90);
-    world.state().late(LateWrites.NONE);
+    world.state().late(DelayedTransactions.NONE);
     world.time().runUntil(200);
     assertTrue(late[0] > 2, late[0] + " such");
     assertEquals(Set.of(409), Set.copyOf(world.state().lateOutcomes()));
@@ -202,7 +202,7 @@
   @ParameterizedTest
   @ValueSource(doubles = {0.5, 1.5, 2.9, 6})
   void whoEndedBeforeItStood(double later) {
-    World world = new World(4);
+    SimulatedCluster world = new SimulatedCluster(4);
     world.state().applyLate(0);
     world.time().runUntil(30);
     world.crash(world.leader());
@@ -212,7 +212,7 @@
         .late(
             transaction -> {
               if (stood[0] || !transaction.contains("\"Set\":\"q/lead")) {
-                return LateWrites.PROMPT;
+                return DelayedTransactions.PROMPT;
               }
               stood[0] = true;
               int node =
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 
 /**
  * A leader ends, or is cut off, while jobs of two and three long tasks run: what its successor
@@ -36,15 +36,15 @@
   /** From the end of a job's last task, or of the trouble, until its user has been told. */
   private static final double TOLD_WITHIN_S = 7;
 
-  private final Site site =
-      Site.tryOut(30, true)
+  private final ClusterSpec site =
+      ClusterSpec.tryOut(30, true)
           .with(
               Map.of(
                   "long",
                   new Team("long", new Resources(CPUS, 0, 1e9), new Resources(LIMIT_CPUS, 0, 1e9)),
                   "web",
                   new Team("web", new Resources(80, 0, 1e9), new Resources(120, 0, 1e9))));
-  private final World world = new World(site, 11, Meter.OFF);
+  private final SimulatedCluster world = new SimulatedCluster(site, 11, Meter.OFF);
   private final Random random = new Random(11);
   private final Map<JobId, Integer> ended = new LinkedHashMap<>();
   private final Map<JobId, Double> lastEnd = new HashMap<>();
@@ -207,12 +207,12 @@
    * which hear nobody.
    */
   private void unreachable(int former, double seconds) {
-    List<Worker> workers = new ArrayList<>(world.cloud().workers());
+    List<AgentSimulator> workers = new ArrayList<>(world.cloud().workers());
     for (int i = 0; i < workers.size(); i++) {
       Machine machine = workers.get(i).machine();
       for (int node = 0; i % 3 != 2 && node < world.nodeCount(); node++) {
         if (node != former || i % 3 == 1) {
-          world.cut(Site.nodeName(node), machine.id().text(), seconds, i % 2 == 0);
+          world.cut(ClusterSpec.nodeName(node), machine.id().text(), seconds, i % 2 == 0);
         }
       }
       if (i % 7 == 2) {
@@ -256,10 +256,10 @@
     switch (how) {
       case 0, 1 -> world.lone(node, seconds, how == 1);
       case 2 -> {
-        world.cut(Site.nodeName(node), "state", seconds, false);
+        world.cut(ClusterSpec.nodeName(node), "state", seconds, false);
         for (int other = 0; other < world.nodeCount(); other++) {
           if (other != node) {
-            world.cut(Site.nodeName(node), Site.nodeName(other), seconds, false);
+            world.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, false);
           }
         }
       }
@@ -283,12 +283,15 @@
             22,
             () -> {
               int former = leader();
-              for (Worker worker : world.cloud().workers()) {
+              for (AgentSimulator worker : world.cloud().workers()) {
                 for (int node = 0; node < world.nodeCount(); node++) {
                   if (node != former
                       && worker.machine().zone().equals(site.nodeZones().get(former))) {
                     world.cut(
-                        Site.nodeName(node), worker.machine().id().text(), seconds + 20, true);
+                        ClusterSpec.nodeName(node),
+                        worker.machine().id().text(),
+                        seconds + 20,
+                        true);
                   }
                 }
               }
@@ -344,7 +347,7 @@
           return sprung;
         },
         5,
-        World.Mishap.STILL_BEFORE);
+        SimulatedCluster.Mishap.STILL_BEFORE);
     atEnds(400, most -> {});
     world.time().runUntil(430);
     assertTrue(planner[0] >= 0);
--- a/src/test/java/org/quincecross/emulator/LeaderDay.java
+++ b/src/test/java/org/quincecross/emulator/LeaderDay.java
@@ -7,10 +7,10 @@
 import java.util.Random;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 /**
@@ -26,7 +26,7 @@
   private static final int SERVICES = 5;
   private static final double LOOK_EVERY_S = 0.1;
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Random random;
   private final Map<JobId, Integer> ended = new LinkedHashMap<>();
   private final List<JobId> all = new ArrayList<>();
@@ -34,7 +34,7 @@
   private double calmUntil;
 
   LeaderDay(long seed) {
-    world = new World(Site.small(), seed, Meter.OFF);
+    world = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
     random = new Random(~seed);
     for (int i = 0; i < LONG_JOBS; i++) {
       Job job = longJob(100 + i);
@@ -207,7 +207,7 @@
       }
       case 11 -> world.standStill(leader, longer * random.nextDouble());
       default -> {
-        world.state().refuse(Site.nodeName(leader), longer);
+        world.state().refuse(ClusterSpec.nodeName(leader), longer);
         world.time().after(longer * random.nextDouble(), () -> world.state().outage(seconds));
       }
     }
@@ -220,10 +220,10 @@
       world.lone(node, seconds, random.nextBoolean());
       return;
     }
-    world.cut(Site.nodeName(node), "state", seconds, false);
+    world.cut(ClusterSpec.nodeName(node), "state", seconds, false);
     for (int other = 0; other < world.nodeCount(); other++) {
       if (other != node) {
-        world.cut(Site.nodeName(node), Site.nodeName(other), seconds, false);
+        world.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, false);
       }
     }
   }
@@ -234,7 +234,7 @@
     for (MachineId machine : world.cloud().machines()) {
       for (int node = 0; random.nextBoolean() && node < world.nodeCount(); node++) {
         if (node != ending) {
-          world.cut(Site.nodeName(node), machine.text(), seconds, lose);
+          world.cut(ClusterSpec.nodeName(node), machine.text(), seconds, lose);
         }
       }
     }
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 /**
@@ -35,7 +35,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aTaskThatTwoLeadersGiveToDifferentBlocksIsInOne(long seed) {
-    World world = new World(Site.tryOut(30, true), seed, Meter.OFF);
+    SimulatedCluster world = new SimulatedCluster(ClusterSpec.tryOut(30, true), seed, Meter.OFF);
     JobId id = new JobId("job-1");
     world.mishapAt(
         request -> {
@@ -47,7 +47,7 @@
           return gives;
         },
         HELD_S,
-        World.Mishap.HELD);
+        SimulatedCluster.Mishap.HELD);
     // Into the leader's zone, where it holds all blocks itself: so the one that it chooses has a
     // new holder, which nobody there obeys.
     world
@@ -90,13 +90,13 @@
   }
 
   /** The leader ends, and nobody reaches the machines that it has just given the task to. */
-  private void strike(World world) {
+  private void strike(SimulatedCluster world) {
     world.down(world.leader(), 60);
     List<?> machines =
         (List<?>) ((Map<?, ?>) world.state().value("q/block/" + block)).get("machines");
     for (Object machine : machines) {
       for (int node = 0; node < world.nodeCount(); node++) {
-        world.cut(Site.nodeName(node), (String) ((List<?>) machine).get(0), CUT_S, true);
+        world.cut(ClusterSpec.nodeName(node), (String) ((List<?>) machine).get(0), CUT_S, true);
       }
     }
   }
--- a/src/test/java/org/quincecross/emulator/Liveness.java
+++ b/src/test/java/org/quincecross/emulator/Liveness.java
@@ -9,8 +9,8 @@
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobKind;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Says which accepted jobs hang. Once it is quiet, each open job has a task on a machine, or its
@@ -31,10 +31,10 @@
   private static final double LAST_S = 90;
   private static final double MOST_S = 1500;
 
-  private final World world;
+  private final SimulatedCluster world;
   private final List<String> findings = new ArrayList<>();
 
-  Liveness(World world) {
+  Liveness(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -116,7 +116,9 @@
         double each = SLOWEST * other.estimate().seconds() + OVERHEAD_S;
         double atOnce =
             Math.max(
-                1, Math.floor(world.team(job.team()).limit().cpus() / 2 / other.taskResources().cpus()));
+                1,
+                Math.floor(
+                    world.team(job.team()).limit().cpus() / 2 / other.taskResources().cpus()));
         sum += each * Math.ceil((other.taskCount() - world.rules().completedTasks(id)) / atOnce);
       }
     }
@@ -125,7 +127,11 @@
 
   private boolean isAtLimit(Job job) {
     int together = job.kind() == JobKind.GANG ? job.taskCount() : 1;
-    return world.team(job.team()).limit().minus(world.rules().used(job.team())).capacityFor(job.taskResources())
+    return world
+            .team(job.team())
+            .limit()
+            .minus(world.rules().used(job.team()))
+            .capacityFor(job.taskResources())
         < together;
   }
 
@@ -135,7 +141,8 @@
     try {
       for (int node = 0; node < world.nodeCount(); node++) {
         JsonFields status = world.status(node);
-        for (JsonFields stall : status == null ? List.<JsonFields>of() : status.objects("stalled")) {
+        for (JsonFields stall :
+            status == null ? List.<JsonFields>of() : status.objects("stalled")) {
           if (!stall.strings("waits_for").isEmpty()) {
             named.merge(stall.string("job"), stall.strings("waits_for").toString(), String::concat);
           }
--- a/src/test/java/org/quincecross/emulator/TrySiteTest.java
+++ b/src/test/java/org/quincecross/emulator/LocalClusterTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.JobId;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** A site of real processes and sockets on loopback. */
-class TrySiteTest {
+class LocalClusterTest {
   private static final String JAVA =
       Path.of(System.getProperty("java.home"), "bin", "java").toString();
   private static final String RUN =
@@ -58,8 +58,8 @@
             run_s = 1.5
             """;
 
-  private static TrySite.Plan plan(String jobs, int basePort, Drill.Kind drill) {
-    return new TrySite.Plan(
+  private static LocalCluster.Plan plan(String jobs, int basePort, Drill.Kind drill) {
+    return new LocalCluster.Plan(
         9,
         jobs,
         60,
@@ -82,7 +82,7 @@
   void theRestartOfAllControllers() throws IOException, MalformedMessageException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     int status =
-        new TrySite(plan(JOBS, 23_400, Drill.Kind.RESTART), new PrintStream(out, true)).run();
+        new LocalCluster(plan(JOBS, 23_400, Drill.Kind.RESTART), new PrintStream(out, true)).run();
     String summary = out.toString(StandardCharsets.UTF_8);
     assertEquals(0, status, summary);
     JsonFields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
@@ -103,8 +103,8 @@
   void aHoldWhileAControllerIsKilled() throws IOException, MalformedMessageException {
     String sweeps = JOBS.replace("run_s = 1.5", "run_s = 4").replace("tasks = 10", "tasks = 400");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    TrySite.Plan plan =
-        new TrySite.Plan(
+    LocalCluster.Plan plan =
+        new LocalCluster.Plan(
             9,
             sweeps,
             150,
@@ -117,13 +117,15 @@
             Path.of("").toAbsolutePath(),
             true,
             false);
-    int status = new TrySite(plan, new PrintStream(out, true)).run();
+    int status = new LocalCluster(plan, new PrintStream(out, true)).run();
     String summary = out.toString(StandardCharsets.UTF_8);
     assertEquals(0, status, summary);
     JsonFields drill =
         Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8)).fields("drill");
     assertEquals("over", drill.string("phase"));
-    assertTrue(drill.nonNegativeNumber("pinned_s") < 40 && drill.integer("tasks_running", 1, 1000) > 0, summary);
+    assertTrue(
+        drill.nonNegativeNumber("pinned_s") < 40 && drill.integer("tasks_running", 1, 1000) > 0,
+        summary);
   }
 
   /**
@@ -138,8 +140,8 @@
         JOBS
             + JOBS.substring(JOBS.indexOf("[[jobs]]", 5)).replace("\"rebuild\"", "\"next\"")
             + "waits_on = [\"rebuild\"]\n";
-    TrySite.Plan plan =
-        new TrySite.Plan(
+    LocalCluster.Plan plan =
+        new LocalCluster.Plan(
             9,
             jobs,
             120,
@@ -152,7 +154,7 @@
             Path.of("").toAbsolutePath(),
             true,
             false);
-    int status = new TrySite(plan, new PrintStream(out, true)).run();
+    int status = new LocalCluster(plan, new PrintStream(out, true)).run();
     String summary = out.toString(StandardCharsets.UTF_8);
     assertEquals(0, status, summary);
     JsonFields all = Json.parseFields(summary.strip().getBytes(StandardCharsets.UTF_8));
@@ -214,7 +216,8 @@
     try (ServerSocket taken = new ServerSocket()) {
       taken.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 25_411));
       IOException e =
-          assertThrows(IOException.class, () -> new TrySite(plan(JOBS, 25_400, null), System.out));
+          assertThrows(
+              IOException.class, () -> new LocalCluster(plan(JOBS, 25_400, null), System.out));
       assertEquals(
           "port 127.0.0.1:25411 is in use; choose others with --listen and --base-port",
           e.getMessage());
@@ -229,7 +232,7 @@
                 .replace("\"rebuild\"", "\"next\"")
                 .replace("copies = 2", "copies = 3")
             + "waits_on = [\"rebuild\"]\n";
-    List<JobsFile.Due> due = JobsFile.read(JOBS + next, Site.tryOut(9, false));
+    List<WorkloadFile.Due> due = WorkloadFile.read(JOBS + next, ClusterSpec.tryOut(9, false));
     assertEquals(
         List.of(List.of("job-1003"), List.of("job-1004"), List.of("job-1003")),
         due.stream()
@@ -241,7 +244,7 @@
   /** What is wrong with a jobs file is told by line and field. */
   @Test
   void aJobsFileWithAHole() {
-    Site site = Site.tryOut(9, false);
+    ClusterSpec site = ClusterSpec.tryOut(9, false);
     Stream.of(
             new String[] {
               "tasks = 2", "tasks = 0", "line 7: field tasks is not a whole number from 1 to 100000"
@@ -286,7 +289,7 @@
                   assertThrows(
                       MalformedMessageException.class,
                       () ->
-                          JobsFile.read(
+                          WorkloadFile.read(
                               JOBS.replaceFirst(each[0].replace("[", "\\["), each[1]), site));
               assertTrue(e.getMessage().startsWith(each[2]), e.getMessage());
             });
--- a/src/test/java/org/quincecross/emulator/LoneControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/LoneControllerTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 
@@ -33,7 +33,7 @@
   private record Outcome(
       double inTime, double worst, double longestUnanswered, int fewestReplicas, int refused) {}
 
-  private World world;
+  private SimulatedCluster world;
   private Balancer balancer;
 
   private static Job one(int number) {
@@ -59,8 +59,9 @@
   }
 
   /** Plays a day on which something is wrong from {@link #FROM_S} on for some time. */
-  private Outcome play(long seed, double seconds, IntConsumer trouble) throws MalformedMessageException {
-    world = new World(Site.tryOut(BusySite.MACHINES, true), seed, Meter.OFF);
+  private Outcome play(long seed, double seconds, IntConsumer trouble)
+      throws MalformedMessageException {
+    world = new SimulatedCluster(ClusterSpec.tryOut(BusySite.MACHINES, true), seed, Meter.OFF);
     balancer = world.users().balance();
     List<JobId> services = new ArrayList<>();
     List<JobId> arrays = new ArrayList<>();
@@ -104,7 +105,8 @@
    */
   @ParameterizedTest
   @CsvSource({"0, false", "1, true"})
-  void usersOfALoneControllerAreWithTheOthersSoon(int afterLeader, boolean lose) throws MalformedMessageException {
+  void usersOfALoneControllerAreWithTheOthersSoon(int afterLeader, boolean lose)
+      throws MalformedMessageException {
     double seconds = 20;
     Outcome outcome =
         play(
--- a/src/test/java/org/quincecross/emulator/LostAnswersTest.java
+++ b/src/test/java/org/quincecross/emulator/LostAnswersTest.java
@@ -18,11 +18,11 @@
  * controllers in virtual time.
  */
 class LostAnswersTest {
-  private final World world = new World(4);
+  private final SimulatedCluster world = new SimulatedCluster(4);
 
   private void loseAnswers(double fromS, double untilS, double share, String what) {
-    LateWrites lost =
-        LateWrites.atOnce(
+    DelayedTransactions lost =
+        DelayedTransactions.atOnce(
             share,
             () -> world.time().seconds() >= fromS && world.time().seconds() < untilS,
             new Random(5));
@@ -30,7 +30,7 @@
         .state()
         .late(
             transaction ->
-                transaction.contains(what) ? lost.afterS(transaction) : LateWrites.PROMPT);
+                transaction.contains(what) ? lost.afterS(transaction) : DelayedTransactions.PROMPT);
   }
 
   /**
@@ -97,16 +97,17 @@
         .state()
         .late(
             transaction -> {
-              if (lost[0] || !transaction.contains("\"Set\":\"q/member/" + Site.nodeName(node))) {
-                return LateWrites.PROMPT;
+              if (lost[0]
+                  || !transaction.contains("\"Set\":\"q/member/" + ClusterSpec.nodeName(node))) {
+                return DelayedTransactions.PROMPT;
               }
               lost[0] = true;
-              return LateWrites.AT_ONCE;
+              return DelayedTransactions.AT_ONCE;
             });
     Object life = null;
     for (double at = 30; at < 60; at += 0.1) {
       world.time().runUntil(at);
-      Object record = world.state().value("q/member/" + Site.nodeName(node));
+      Object record = world.state().value("q/member/" + ClusterSpec.nodeName(node));
       if (lost[0]) {
         assertTrue(record != null, "no member any more at " + at);
         Object now = ((Map<?, ?>) record).get("life");
@@ -127,10 +128,10 @@
   void submissionsAreNotHeldUp(double leastS, double mostS, double inTime, double longestS) {
     world.state().applyLate(0);
     Random draws = new Random(6);
-    LateWrites late =
+    DelayedTransactions late =
         leastS == 0
-            ? LateWrites.atOnce(0.2, () -> true, draws)
-            : LateWrites.share(0.2, leastS, mostS, () -> true, draws);
+            ? DelayedTransactions.atOnce(0.2, () -> true, draws)
+            : DelayedTransactions.share(0.2, leastS, mostS, () -> true, draws);
     world
         .state()
         .late(
@@ -140,7 +141,7 @@
                             || (transaction.contains("\"Set\":\"q/job/")
                                 && transaction.contains("\"open\"")))
                     ? late.afterS(transaction)
-                    : LateWrites.PROMPT);
+                    : DelayedTransactions.PROMPT);
     for (int i = 0; i < 240; i++) {
       int number = 1000 + i;
       world.time().at(20 + 0.25 * i, () -> world.users().submit(number));
--- a/src/test/java/org/quincecross/emulator/LostMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/LostMachinesTest.java
@@ -48,10 +48,10 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void allReplicasRunAgainSoonAfterTheLeasesAreOver(long seed) throws MalformedMessageException {
-    Site site = Site.tryOut(MACHINES, true);
-    World world = new World(site, seed, Meter.OFF);
+    ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
+    SimulatedCluster world = new SimulatedCluster(site, seed, Meter.OFF);
     List<JobId> services = new ArrayList<>();
-    for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
+    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
       world.time().at(6 + due.atS(), () -> world.users().submit(due.job()));
       if (due.job().jobClass().equals("front")) {
         services.add(due.job().id());
@@ -75,7 +75,7 @@
     assertEquals(List.of(), world.rules().broken());
   }
 
-  private static int replicas(World world, List<JobId> services) {
+  private static int replicas(SimulatedCluster world, List<JobId> services) {
     return services.stream().mapToInt(world.rules()::onMachines).sum();
   }
 }
--- a/src/test/java/org/quincecross/emulator/OddRequestsTest.java
+++ b/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
@@ -14,7 +14,7 @@
  * Odd requests under troubles: each answer is the protocol's or says later, and nothing comes of
  * any. Three controllers, in virtual time.
  */
-class OddRequestsTest {
+class MalformedRequestsTest {
   private static final double FROM_S = 6;
   private static final double SECONDS = 80;
 
@@ -33,10 +33,10 @@
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
   void eachGetsItsAnswer(int number) {
     Trouble trouble = Trouble.values()[number];
-    World world = new World(20 + number);
+    SimulatedCluster world = new SimulatedCluster(20 + number);
     world.state().applyLate(0);
     Random random = new Random(number);
-    world.time().at(FROM_S, () -> OddRequests.begin(world.around(), 0.05, SECONDS, random));
+    world.time().at(FROM_S, () -> MalformedRequests.begin(world.around(), 0.05, SECONDS, random));
     for (int i = 0; i < 40; i++) {
       int job = 100 + i;
       world.time().at(4 + i, () -> world.users().submit(job));
@@ -57,7 +57,7 @@
         "records");
   }
 
-  private void begin(World world, Trouble trouble, Random random) {
+  private void begin(SimulatedCluster world, Trouble trouble, Random random) {
     int leader = Math.max(0, world.leader());
     switch (trouble) {
       case NONE -> {}
@@ -66,9 +66,11 @@
         double until = world.time().seconds() + 14;
         world
             .state()
-            .late(LateWrites.share(0.4, 2, 12, () -> world.time().seconds() < until, random));
+            .late(
+                DelayedTransactions.share(
+                    0.4, 2, 12, () -> world.time().seconds() < until, random));
       }
-      case REFUSED -> world.state().refuse(Site.nodeName(leader), 10);
+      case REFUSED -> world.state().refuse(ClusterSpec.nodeName(leader), 10);
       case OUTAGE -> world.state().outage(10);
       case ALL_END -> {
         for (int node = 0; node < world.nodeCount(); node++) {
--- a/src/test/java/org/quincecross/emulator/Meetings.java
+++ b/src/test/java/org/quincecross/emulator/Meetings.java
@@ -9,10 +9,10 @@
 import java.util.SplittableRandom;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 /**
@@ -56,7 +56,7 @@
     private static final int FURTHER_FROM = LOST_ANSWERS.ordinal();
   }
 
-  private final World world;
+  private final SimulatedCluster world;
   private final boolean further;
   private final List<String> story = new ArrayList<>();
   private double overS = UNTIL_S;
@@ -67,7 +67,7 @@
    * @param further whether the first trouble of each is one of those that days of meetings have
    *     learnt last
    */
-  Meetings(World world, long seed, Set<Integer> only, boolean further) {
+  Meetings(SimulatedCluster world, long seed, Set<Integer> only, boolean further) {
     this.world = world;
     this.further = further;
     double at = FROM_S + 10 * source(seed, -2).nextDouble();
@@ -175,7 +175,9 @@
         double until = world.time().seconds() + length;
         world
             .state()
-            .late(LateWrites.share(share, 2, 12, () -> world.time().seconds() < until, random));
+            .late(
+                DelayedTransactions.share(
+                    share, 2, 12, () -> world.time().seconds() < until, random));
       }
       case LATE_REPORTS -> {
         world.copyLate(0.02 + 0.3 * share, random);
@@ -190,7 +192,7 @@
       case REFUSED_THEN_OUTAGE -> {
         double outage = world.site().workers().cancelTimeout().seconds() + 2 + 6 * share;
         double alone = Math.max(0.5, length - outage);
-        world.state().refuse(Site.nodeName(leader), alone + 0.2);
+        world.state().refuse(ClusterSpec.nodeName(leader), alone + 0.2);
         after(alone, () -> world.state().outage(outage));
       }
       case LONE_LEADER -> {
@@ -220,7 +222,7 @@
           for (int other = 0; other < world.nodeCount(); other++) {
             if (lose || random.nextBoolean()) {
               world.cut(
-                  Site.nodeName(other),
+                  ClusterSpec.nodeName(other),
                   each.text(),
                   length * random.nextDouble(),
                   random.nextBoolean());
@@ -260,7 +262,8 @@
         world
             .state()
             .late(
-                LateWrites.atOnce(0.1 + 0.7 * share, () -> world.time().seconds() < until, random));
+                DelayedTransactions.atOnce(
+                    0.1 + 0.7 * share, () -> world.time().seconds() < until, random));
       }
       case KEPT_REPORTS -> {
         double down = 0.1 + 3 * share;
@@ -286,12 +289,12 @@
     return String.format(Locale.ROOT, "leader n%d node n%d %s %.2f", leader, node, lose, share);
   }
 
-  /** As {@link World#lone}, but what it sends is held until the end. */
+  /** As {@link SimulatedCluster#lone}, but what it sends is held until the end. */
   private void hold(int node, double length) {
-    world.cut(Site.nodeName(node), "state", length, false);
+    world.cut(ClusterSpec.nodeName(node), "state", length, false);
     for (int other = 0; other < world.nodeCount(); other++) {
       if (other != node) {
-        world.cut(Site.nodeName(node), Site.nodeName(other), length, false);
+        world.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), length, false);
       }
     }
   }
--- a/src/test/java/org/quincecross/emulator/MessageRecorder.java
+++ b/src/test/java/org/quincecross/emulator/MessageRecorder.java
@@ -19,8 +19,8 @@
 import org.msgpack.value.Value;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Records what is said on a virtual network: the names of all fields with the types and the
--- a/src/test/java/org/quincecross/emulator/ModelCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelCasesTest.java
@@ -124,7 +124,8 @@
     "STILL_AFTER, 25",
     "SILENT, 25"
   })
-  void theLeaderIsFrozenAfterItsChoice(World.Mishap mishap, double seconds) throws MalformedMessageException {
+  void theLeaderIsFrozenAfterItsChoice(SimulatedCluster.Mishap mishap, double seconds)
+      throws MalformedMessageException {
     ModelSite site = ModelSite.withOne(6, 2);
     site.world.mishapAt(
         request ->
@@ -251,7 +252,7 @@
    */
   @Test
   void aLimitBelowTheLeast() throws MalformedMessageException {
-    Site plain = Site.tryOut(24, true);
+    ClusterSpec plain = ClusterSpec.tryOut(24, true);
     Map<String, Team> teams = new LinkedHashMap<>(plain.teams());
     teams.put("web", new Team("web", new Resources(12, 0, 1e9), new Resources(20, 0, 1e9)));
     ModelSite site = new ModelSite(plain.with(teams), 12);
@@ -312,7 +313,7 @@
    */
   @Test
   void fetchesOfAMachineTakeTurns() throws MalformedMessageException {
-    ModelSite site = new ModelSite(Site.tryOut(3, true), 18);
+    ModelSite site = new ModelSite(ClusterSpec.tryOut(3, true), 18);
     for (int i = 0; i < 4; i++) {
       site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100 + i, 1, 2, 6, false));
     }
@@ -336,7 +337,7 @@
    */
   @Test
   void keptWarmItComesBackWithoutAFetch() throws MalformedMessageException {
-    ModelSite site = new ModelSite(Site.tryOut(24, true), 15);
+    ModelSite site = new ModelSite(ClusterSpec.tryOut(24, true), 15);
     site.submit(ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
     site.world.time().runUntil(ModelSite.DEFINED_S);
     site.define("m", 100, 1, 4, ModelSite.IDLE_S, 1);
@@ -356,7 +357,7 @@
    */
   @Test
   void anIdleModelGivesWay() throws MalformedMessageException {
-    ModelSite site = new ModelSite(Site.tryOut(6, true), 16);
+    ModelSite site = new ModelSite(ClusterSpec.tryOut(6, true), 16);
     site.submit(ModelSite.job(100, 4, 6, 3, false));
     site.submit(ModelSite.job(101, 2, 6, 3, false));
     site.world.time().runUntil(ModelSite.DEFINED_S);
@@ -407,7 +408,8 @@
     site.world.time().runUntil(T + 28);
     assertEquals("WARM", site.phase("m"));
     double drained = site.until("m", "DRAINING", 60);
-    assertNull(site.world.state().value("q/member/" + Site.nodeName(other)), "its lease is over");
+    assertNull(
+        site.world.state().value("q/member/" + ClusterSpec.nodeName(other)), "its lease is over");
     assertTrue(drained < T + 27 + 20, "at " + drained);
     site.world.time().runUntil(T + 150);
     assertEquals("ZERO", site.phase("m"));
@@ -429,7 +431,7 @@
    * Many models, of which one in twenty is wanted: these come up, and all the others stay at zero.
    */
   private static void manyModels(int count) throws MalformedMessageException {
-    ModelSite site = new ModelSite(Site.tryOut(45, true), 14);
+    ModelSite site = new ModelSite(ClusterSpec.tryOut(45, true), 14);
     for (int i = 0; i < count; i++) {
       site.submit(ModelSite.job(1000 + i, 1, 0.25, 0.3, false));
     }
--- a/src/test/java/org/quincecross/emulator/ModelDay.java
+++ b/src/test/java/org/quincecross/emulator/ModelDay.java
@@ -32,7 +32,7 @@
 
   ModelDay(long seed) throws MalformedMessageException {
     random = new Random(seed * 31 + 7);
-    site = new ModelSite(Site.tryOut(24, random.nextBoolean()), seed);
+    site = new ModelSite(ClusterSpec.tryOut(24, random.nextBoolean()), seed);
     for (int i = 0; i < MODELS; i++) {
       site.submit(
           ModelSite.job(
@@ -66,16 +66,19 @@
   }
 
   private void trouble(int kind, int node, double seconds) {
-    World world = site.world;
+    SimulatedCluster world = site.world;
     switch (kind) {
       case 0 -> world.crash(node);
       case 1 -> world.silence(node, seconds, random.nextBoolean());
       case 2 -> world.standStill(node, seconds);
       case 3 -> world.state().outage(Math.min(seconds, 15));
-      case 4 -> world.state().refuse(Site.nodeName(node), seconds);
+      case 4 -> world.state().refuse(ClusterSpec.nodeName(node), seconds);
       case 5 ->
           world.cut(
-              Site.nodeName(node), Site.nodeName((node + 1) % 3), seconds, random.nextBoolean());
+              ClusterSpec.nodeName(node),
+              ClusterSpec.nodeName((node + 1) % 3),
+              seconds,
+              random.nextBoolean());
       case 6 -> {
         List<MachineId> machines = world.cloud().machines();
         if (machines.size() > 8) {
@@ -95,7 +98,7 @@
    * up, or that do not go back to zero.
    */
   List<String> play() {
-    World world = site.world;
+    SimulatedCluster world = site.world;
     world.time().runUntil(LAST_TROUBLE_S + QUIET_S);
     for (int i = 0; i < MODELS; i++) {
       expect(i, "ZERO", 0);
--- a/src/test/java/org/quincecross/emulator/ModelSite.java
+++ b/src/test/java/org/quincecross/emulator/ModelSite.java
@@ -11,16 +11,16 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.rollout.Build;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.rollout.Build;
 
 /** Three controllers, some machines, and models among their services, in virtual time. */
 final class ModelSite {
@@ -30,13 +30,13 @@
   /** How long the weights of the models here take to be fetched. */
   static final double FETCH_S = 8;
 
-  final World world;
+  final SimulatedCluster world;
   private int requests;
   private final List<JobId> jobs = new ArrayList<>();
 
-  ModelSite(Site site, long seed) {
+  ModelSite(ClusterSpec site, long seed) {
     world =
-        new World(
+        new SimulatedCluster(
             site,
             seed,
             Meter.OFF,
@@ -45,7 +45,7 @@
 
   /** One of 24 machines with one model of four replicas, {@code least} of which come up with it. */
   static ModelSite withOne(long seed, int least) throws MalformedMessageException {
-    ModelSite site = new ModelSite(Site.tryOut(24, true), seed);
+    ModelSite site = new ModelSite(ClusterSpec.tryOut(24, true), seed);
     // So late that its weights are on no machine when it becomes a model.
     site.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
     site.world.time().runUntil(DEFINED_S);
--- a/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.overload.Shares;
-import org.quincecross.rollout.Build;
 import org.quincecross.protocol.Features;
+import org.quincecross.rollout.Build;
 
 /**
  * There is more work than room, urgent and not, the cloud has no more machines, and all links are
@@ -43,7 +43,7 @@
     ALL
   }
 
-  private World world;
+  private SimulatedCluster world;
   private int number = 100;
 
   private static Team team(String name, double most) {
@@ -111,8 +111,8 @@
   void nothingWaitsBesideRoomForLong(Mix mix, long seed, boolean overload) {
     Features features =
         overload ? new Features(Shares.DEFAULTS, null, Build.BEFORE_LEVELS) : Features.NONE;
-    Site site =
-        Site.tryOut(MACHINES, true)
+    ClusterSpec site =
+        ClusterSpec.tryOut(MACHINES, true)
             .with(
                 Map.of(
                     "web",
@@ -121,7 +121,7 @@
                     team("batch", 1000),
                     "big",
                     team("big", mix == Mix.LARGE_AT_ITS_LIMIT ? 18 : 1000)));
-    world = new World(site, seed, Meter.OFF, features);
+    world = new SimulatedCluster(site, seed, Meter.OFF, features);
     Random random = new Random(seed * 31 + mix.ordinal());
     world.holdMessages(0.5, 4, random);
     world.time().at(8, () -> world.state().slow(0.2, 1.2, OVER_S - 8, random));
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -8,20 +8,20 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.quincecross.accounting.JobAccounting;
+import org.quincecross.accounting.ServiceLevels;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.overload.Shares;
-import org.quincecross.rollout.Build;
-import org.quincecross.served.Served;
-import org.quincecross.served.ServedBooks;
 import org.quincecross.protocol.Features;
+import org.quincecross.rollout.Build;
 
 /**
  * More work than can be done in time, on three controllers in virtual time: who is served all the
@@ -35,29 +35,36 @@
   private static final List<String> QUIET =
       List.of("quiet-1", "quiet-2", "quiet-3", "quiet-4", "quiet-5");
 
-  private final World world = new World(site(), 7, Meter.OFF, ON);
+  private final SimulatedCluster world = new SimulatedCluster(site(), 7, Meter.OFF, ON);
   private int number = 100;
 
   /**
    * Thirty machines of 8 CPUs, all up, and a second type of which there are three; teams without
    * guarantee.
    */
-  private static Site site() {
-    Site base = Site.tryOut(MACHINES, true);
+  private static ClusterSpec site() {
+    ClusterSpec base = ClusterSpec.tryOut(MACHINES, true);
     MachineType scarce =
         new MachineType(
-            "rare-8", new Resources(8, 0, 64), 20, 1, 0.5, 0.2, TimeSpan.ofSeconds(3), List.of("east"));
+            "rare-8",
+            new Resources(8, 0, 64),
+            20,
+            1,
+            0.5,
+            0.2,
+            TimeSpan.ofSeconds(3),
+            List.of("east"));
     List<MachineType> types = new ArrayList<>(base.types());
     types.add(scarce);
-    List<Site.Pool> pools = new ArrayList<>(base.pools());
-    pools.add(new Site.Pool("rare-8", "east", false, 3, 3));
+    List<ClusterSpec.Pool> pools = new ArrayList<>(base.pools());
+    pools.add(new ClusterSpec.Pool("rare-8", "east", false, 3, 3));
     Map<String, Team> teams = new LinkedHashMap<>();
     List<String> names = new ArrayList<>(QUIET);
     names.add(LOUD);
     for (String name : names) {
       teams.put(name, new Team(name, Resources.NONE, new Resources(1e6, 1e6, 1e6)));
     }
-    return new Site(
+    return new ClusterSpec(
         base.nodeZones(),
         base.zones(),
         types,
@@ -122,12 +129,12 @@
     return id;
   }
 
-  private Served of(String team, String jobClass) {
+  private ServiceLevels of(String team, String jobClass) {
     return world
         .around()
         .served()
         .groups(world.around().now())
-        .get(new ServedBooks.Group(team, jobClass));
+        .get(new JobAccounting.Group(team, jobClass));
   }
 
   private double inTime(String team, String jobClass) {
@@ -144,7 +151,7 @@
 
   private void assertQuietTeamsAreServed(double share, double mostStarvedS) {
     for (String team : QUIET) {
-      Served served = of(team, "batch");
+      ServiceLevels served = of(team, "batch");
       assertTrue(served.least() >= share && served.starvedS() < mostStarvedS, team + ": " + served);
     }
   }
@@ -181,7 +188,17 @@
     List<JobId> services = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       services.add(
-          submit(20 + 0.5 * i, LOUD, "front", JobKind.SERVICE, Priority.PRODUCTION, 4, ONE, null, 0, 0));
+          submit(
+              20 + 0.5 * i,
+              LOUD,
+              "front",
+              JobKind.SERVICE,
+              Priority.PRODUCTION,
+              4,
+              ONE,
+              null,
+              0,
+              0));
     }
     services.subList(0, 40).forEach(id -> world.time().at(110, () -> world.users().cancel(id)));
     for (int i = 0; i < 170; i++) {
@@ -217,7 +234,8 @@
       submit(20 + i, LOUD, "batch", Priority.NORMAL, 40, ONE, 10, 60);
     }
     for (int i = 0; i < 10; i++) {
-      submit(22 + 10 * i, "quiet-1", "rare", JobKind.ARRAY, Priority.NORMAL, 4, ONE, "rare-8", 10, 60);
+      submit(
+          22 + 10 * i, "quiet-1", "rare", JobKind.ARRAY, Priority.NORMAL, 4, ONE, "rare-8", 10, 60);
     }
     run(200);
     assertTrue(inTime("quiet-1", "rare") >= 0.9, of("quiet-1", "rare").toString());
@@ -229,7 +247,16 @@
       submit(20 + i, LOUD, "batch", Priority.NORMAL, 34, ONE, 10, 60);
     }
     submit(
-        70, "quiet-1", "whole", JobKind.ARRAY, Priority.NORMAL, 6, new Resources(8, 0, 8), null, 10, 60);
+        70,
+        "quiet-1",
+        "whole",
+        JobKind.ARRAY,
+        Priority.NORMAL,
+        6,
+        new Resources(8, 0, 8),
+        null,
+        10,
+        60);
     submit(70, "quiet-2", "gang", JobKind.GANG, Priority.NORMAL, 4, HALF, null, 10, 60);
     run(170);
     assertEquals(1, of("quiet-1", "whole").ended());
--- a/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
@@ -25,22 +25,22 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.StoreKeys;
 
 /** Jobs that wait for others, with three controllers and failures, in virtual time. */
 @Timeout(120)
 class PipelineCasesTest {
   private static final double LOOK_EVERY_S = 0.05;
 
-  private final World world = new World(Site.small(), 40, Meter.OFF);
+  private final SimulatedCluster world = new SimulatedCluster(ClusterSpec.small(), 40, Meter.OFF);
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final Map<JobId, Double> cancelledAt = new HashMap<>();
 
@@ -185,7 +185,7 @@
                           && txn.contains("q/job/")
                           && world.random().nextInt(3) == 0
                       ? after
-                      : LateWrites.PROMPT);
+                      : DelayedTransactions.PROMPT);
     }
     world.time().at(6, () -> diamond(1));
     world.time().at(8, () -> diamond(101));
@@ -316,7 +316,9 @@
             37.2,
             () ->
                 post(
-                    0, job(906, JobKind.SERVICE, 1, 1), answer -> assertTrue(answer.status() < 300)));
+                    0,
+                    job(906, JobKind.SERVICE, 1, 1),
+                    answer -> assertTrue(answer.status() < 300)));
     world.time().at(37.5, () -> postUntilRefused(0, job(907, 906), refusals));
     world
         .time()
@@ -384,7 +386,8 @@
           .state()
           .write(
               StoreKeys.job(job.id()),
-              Json.parse(Json.write(JobRecord.open(job, (long) (World.EPOCH_S * 1000)))));
+              Json.parse(
+                  Json.write(JobRecord.open(job, (long) (SimulatedCluster.EPOCH_S * 1000)))));
     }
     world.time().at(6, () -> world.state().outage(9));
     world.time().at(7, () -> world.users().cancel(id(0)));
--- a/src/test/java/org/quincecross/emulator/PipelineDays.java
+++ b/src/test/java/org/quincecross/emulator/PipelineDays.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Random;
 import org.quincecross.model.JobId;
-import org.quincecross.model.Resources;
 import org.quincecross.model.JobKind;
+import org.quincecross.model.Resources;
 
 /**
  * Pipelines drawn beside the jobs of a {@link Day}, from a source of their own: half of them have
@@ -18,14 +18,14 @@
   private static final int FIRST_NUMBER = 700_000;
   private static final double LOOK_S = 0.02;
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Random random;
   private final double fromS;
   private final double untilS;
   private final PipelineDraws draws;
   private final List<JobId> drawn = new ArrayList<>();
 
-  private PipelineDays(World world, long seed, double fromS, double untilS) {
+  private PipelineDays(SimulatedCluster world, long seed, double fromS, double untilS) {
     this.world = world;
     this.random = new Random(seed * 37 + 11);
     this.fromS = fromS;
@@ -39,12 +39,12 @@
   }
 
   /** For {@link Day#with}. */
-  static void on(World world, long seed) {
+  static void on(SimulatedCluster world, long seed) {
     between(world, seed, 5, 140);
   }
 
   /** Pipelines are submitted in that time, in seconds. */
-  static void between(World world, long seed, double fromS, double untilS) {
+  static void between(SimulatedCluster world, long seed, double fromS, double untilS) {
     PipelineDays days = new PipelineDays(world, seed, fromS, untilS);
     for (int i = 0; i < PIPELINES; i++) {
       world.time().at(days.moment(), days::pipeline);
@@ -70,8 +70,8 @@
     world.users().told().keySet().stream()
         .filter(id -> world.job(id).kind() != JobKind.SERVICE && !world.users().isMistaken(id))
         .forEach(earlier::add);
-    List<Pipelines.Step> steps = draws.draw(earlier);
-    for (Pipelines.Step step : steps) {
+    List<DependentJobs.Step> steps = draws.draw(earlier);
+    for (DependentJobs.Step step : steps) {
       drawn.add(step.job().id());
       world.around().pipelines().submit(step);
     }
--- a/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
@@ -18,13 +18,13 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Jobs that wait for others where troubles meet their ends, with three controllers in virtual time.
@@ -35,7 +35,7 @@
   private static final JobId LAST = new JobId("job-3");
   private static final double LOOK_S = 0.005;
 
-  private World world = new World(Site.tryOut(30, true), 3, Meter.OFF);
+  private SimulatedCluster world = new SimulatedCluster(ClusterSpec.tryOut(30, true), 3, Meter.OFF);
 
   // ---- what users do, each at a controller of the test's choice ----
 
@@ -62,7 +62,7 @@
         Set.of(waitsOn));
   }
 
-  private Pipelines pipelines() {
+  private DependentJobs pipelines() {
     return world.around().pipelines();
   }
 
@@ -74,7 +74,7 @@
   }
 
   private void submitLater(Job job) {
-    pipelines().submit(new Pipelines.Step(job, Pipelines.Submitted.ONCE_ACCEPTED));
+    pipelines().submit(new DependentJobs.Step(job, DependentJobs.Submitted.ONCE_ACCEPTED));
   }
 
   private void at(BooleanSupplier moment, Runnable what) {
@@ -235,7 +235,7 @@
             transaction ->
                 ended[0] && transaction.contains("q/alloc") && late[0]++ < 1
                     ? 6
-                    : LateWrites.PROMPT);
+                    : DelayedTransactions.PROMPT);
     world.time().at(10, () -> chain(6));
     world
         .time()
@@ -337,7 +337,7 @@
   void whoCannotReadTheRecordsRefusesForNow(int lone) {
     List<Integer> answers = new ArrayList<>();
     Job first = job(FIRST, 4, 4);
-    world.time().at(10, () -> world.state().refuse(Site.nodeName(lone), 6));
+    world.time().at(10, () -> world.state().refuse(ClusterSpec.nodeName(lone), 6));
     world
         .time()
         .at(
--- a/src/test/java/org/quincecross/emulator/PipelineUpgradeTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineUpgradeTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Resources;
-import org.quincecross.rollout.Build;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.Build;
 
 /**
  * Three controllers are replaced under load, pipelines come once all are new, and the state service
@@ -21,7 +21,7 @@
  */
 @Timeout(60)
 class PipelineUpgradeTest {
-  private static final Settings.StoreLimits LOW = Site.TRY_OUT_NEXT;
+  private static final Settings.StoreLimits LOW = ClusterSpec.TRY_OUT_NEXT;
   private static final Build OLD = Build.present("old", 1);
   private static final Build NEW = Build.present("new", 2);
   private static final double FIRST_REPLACED_S = 20;
@@ -29,8 +29,9 @@
   private static final double PIPELINES_S = 60;
   private static final double MOST_REFUSED_S = 5;
 
-  private final World world =
-      new World(Site.tryOut(BusySite.MACHINES, true), 6, Meter.OFF, new Features(null, null, OLD));
+  private final SimulatedCluster world =
+      new SimulatedCluster(
+          ClusterSpec.tryOut(BusySite.MACHINES, true), 6, Meter.OFF, new Features(null, null, OLD));
   private final List<JobId> services = new ArrayList<>();
   private final List<JobId> arrays = new ArrayList<>();
   private final List<JobId> dependent = new ArrayList<>();
@@ -97,7 +98,7 @@
       case LEADER_ENDS ->
           world.time().at(ALL_NEW_S + 1, () -> world.crash(Math.max(0, world.leader())));
       case ONE_REFUSED ->
-          world.time().at(ALL_NEW_S + 1, () -> world.state().refuse(Site.nodeName(1), 20));
+          world.time().at(ALL_NEW_S + 1, () -> world.state().refuse(ClusterSpec.nodeName(1), 20));
       case OUTAGE_AS_THE_LIMITS_FALL -> world.time().at(fallAt - 2, () -> world.state().outage(9));
       default -> {}
     }
--- a/src/test/java/org/quincecross/emulator/PollsTest.java
+++ b/src/test/java/org/quincecross/emulator/PollLivenessTest.java
@@ -11,11 +11,11 @@
  * A job whose questions are not answered for 75 s is found, however others fare, and whether or not
  * it is answered later.
  */
-class PollsTest {
+class PollLivenessTest {
   @Test
   void aJobThatNobodyAnswersForIsForgotten() {
     VirtualTime time = new VirtualTime();
-    Polls polls = new Polls(time);
+    PollLiveness polls = new PollLiveness(time);
     JobId answered = new JobId("job-1");
     JobId late = new JobId("job-2");
     JobId never = new JobId("job-3");
--- a/src/test/java/org/quincecross/emulator/RulesTest.java
+++ b/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
@@ -10,18 +10,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 
 /** Each rule is fed what breaks it, and what does not. */
-class RulesTest {
+class ProtocolInvariantsTest {
   private static final JobId ID = new JobId("job-1");
 
-  private final World world = new World(Site.tryOut(6, true), 1, Meter.OFF);
-  private final Rules rules = world.rules();
+  private final SimulatedCluster world =
+      new SimulatedCluster(ClusterSpec.tryOut(6, true), 1, Meter.OFF);
+  private final ProtocolInvariants rules = world.rules();
 
   private Job job(JobId id, double cpus, String team) {
     return new Job(
@@ -122,9 +123,9 @@
    */
   @Test
   void idleRoom() {
-    World still =
-        new World(
-            Site.tryOut(6, true)
+    SimulatedCluster still =
+        new SimulatedCluster(
+            ClusterSpec.tryOut(6, true)
                 .with(
                     Map.of(
                         "web",
--- a/src/test/java/org/quincecross/emulator/QuickBootsTest.java
+++ b/src/test/java/org/quincecross/emulator/QuickBootsTest.java
@@ -18,7 +18,7 @@
  * ends, in virtual time.
  */
 class QuickBootsTest {
-  private final World world = new World(3);
+  private final SimulatedCluster world = new SimulatedCluster(3);
 
   /** The machines that the cloud has up and no block has. */
   private Set<MachineId> inNoBlock() {
@@ -49,14 +49,16 @@
     Set<MachineId> before = Set.copyOf(world.cloud().machines());
     world.cloud().bootWithin(2, 60);
     Random draws = new Random(9);
-    LateWrites late = LateWrites.share(0.3, 2, 12, () -> world.time().seconds() < 60, draws);
-    LateWrites lost = LateWrites.atOnce(0.2, () -> world.time().seconds() < 60, draws);
+    DelayedTransactions late =
+        DelayedTransactions.share(0.3, 2, 12, () -> world.time().seconds() < 60, draws);
+    DelayedTransactions lost =
+        DelayedTransactions.atOnce(0.2, () -> world.time().seconds() < 60, draws);
     world
         .state()
         .late(
             transaction -> {
               double after = late.afterS(transaction);
-              return after == LateWrites.PROMPT ? lost.afterS(transaction) : after;
+              return after == DelayedTransactions.PROMPT ? lost.afterS(transaction) : after;
             });
     for (int i = 0; i < 40; i++) {
       int number = 100 + i;
--- a/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
+++ b/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.quincecross.rollout.Build;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.rollout.Build;
 
 /** Machines and controllers that are back within a fraction of a second, in virtual time. */
 class QuickReturnsTest extends BusySite {
@@ -27,7 +27,7 @@
   @ValueSource(doubles = {0.05, 0.3, 0.9})
   void machinesWhoseCountsBeginAnew(double seconds) {
     world.time().runUntil(30);
-    List<Worker> workers = world.cloud().workers();
+    List<AgentSimulator> workers = world.cloud().workers();
     workers.subList(0, workers.size() / 3).forEach(worker -> worker.restart(seconds));
     world.time().runUntil(30.02);
     assertTrue(replicas() < 36, "some ran there");
@@ -128,7 +128,7 @@
           return false;
         },
         0,
-        World.Mishap.STILL_AFTER);
+        SimulatedCluster.Mishap.STILL_AFTER);
     assertAllIsWell(150);
     assertTrue(hit[0]);
   }
@@ -137,8 +137,12 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void inARoll(long seed) {
-    World rolled =
-        new World(Site.small(), seed, Meter.OFF, new Features(null, null, Build.present("old", 1)));
+    SimulatedCluster rolled =
+        new SimulatedCluster(
+            ClusterSpec.small(),
+            seed,
+            Meter.OFF,
+            new Features(null, null, Build.present("old", 1)));
     for (int i = 0; i < 30; i++) {
       int number = i;
       rolled.time().at(3 + i, () -> rolled.users().submit(number));
@@ -178,7 +182,7 @@
   void anAnnouncementOfAFormerLifeThatComesLate(boolean leads) {
     world.time().runUntil(30);
     int node = (world.leader() + (leads ? 0 : 1)) % site.nodes();
-    String key = "q/member/" + Site.nodeName(node);
+    String key = "q/member/" + ClusterSpec.nodeName(node);
     Object present = world.state().value(key);
     Map<String, Object> former = new TreeMap<>();
     ((Map<?, ?>) present)
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -18,20 +18,20 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.overload.Shares;
-import org.quincecross.rollout.Build;
-import org.quincecross.state.CompletedTasks;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.SettingsWriter;
+import org.quincecross.rollout.Build;
+import org.quincecross.state.CompletedTasks;
 
 /**
  * Days in virtual time, the same at each call, that between them use every message, every kind of
@@ -131,7 +131,7 @@
     Day.ofFurtherMeetings(44).with((world, seed) -> watch(world, 200)).play();
   }
 
-  private void watch(World world, double untilS) {
+  private void watch(SimulatedCluster world, double untilS) {
     world.observe(recorder);
     for (double at = 20; at < untilS; at += 45) {
       world.time().at(at, () -> askEverything(world));
@@ -139,7 +139,7 @@
   }
 
   /** Asks each controller that is up what operators ask, and submits what cannot be accepted. */
-  private void askEverything(World world) {
+  private void askEverything(SimulatedCluster world) {
     for (int node = 0; node < world.nodeCount(); node++) {
       if (world.status(node) == null) {
         continue;
@@ -161,11 +161,11 @@
     }
   }
 
-  private void ask(World world, int node, HttpRequest request) {
+  private void ask(SimulatedCluster world, int node, HttpRequest request) {
     world.ask(node, request, response -> recorder.answered("controller", request, response));
   }
 
-  private static void runUntil(World world, double seconds) {
+  private static void runUntil(SimulatedCluster world, double seconds) {
     world.time().runUntil(seconds);
   }
 
@@ -174,15 +174,15 @@
    * who is served.
    */
   private void overload() {
-    Site site = Site.fleet(60);
-    World world =
-        new World(
+    ClusterSpec site = ClusterSpec.fleet(60);
+    SimulatedCluster world =
+        new SimulatedCluster(
             site,
             45,
             Meter.OFF,
             new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
     watch(world, 120);
-    Load load = new Load(world.around(), 45);
+    WorkloadGenerator load = new WorkloadGenerator(world.around(), 45);
     world.time().at(10, () -> load.begin(10));
     world.time().at(70, () -> world.crash(Math.max(0, world.leader())));
     runUntil(world, 130);
@@ -190,14 +190,14 @@
 
   /** Gangs, large arrays and an operator's change of the settings. */
   private void mixedFleet() {
-    World world =
-        new World(
-            Site.mixed(120),
+    SimulatedCluster world =
+        new SimulatedCluster(
+            ClusterSpec.mixed(120),
             46,
             Meter.OFF,
             new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
     watch(world, 120);
-    Load load = new Load(world.around(), 46);
+    WorkloadGenerator load = new WorkloadGenerator(world.around(), 46);
     world.time().at(10, () -> load.begin(10));
     // Waits on more jobs than its own record has room for.
     Set<JobId> predecessors =
@@ -208,7 +208,9 @@
       int number = 900_000 + i;
       world.time().at(8 + 0.1 * i, () -> world.users().submit(array(world, number)));
     }
-    world.time().at(50, () -> world.users().submit(array(world, 998).withDependencies(predecessors)));
+    world
+        .time()
+        .at(50, () -> world.users().submit(array(world, 998).withDependencies(predecessors)));
     world
         .time()
         .at(
@@ -237,7 +239,7 @@
     }
   }
 
-  private static Job array(World world, int number) {
+  private static Job array(SimulatedCluster world, int number) {
     return new Job(
         new JobId("job-" + number),
         "sync",
@@ -265,7 +267,7 @@
    * settings and features of that sort: the status, and the field that the answer names.
    */
   static List<String> malformed() throws MalformedMessageException {
-    World world = new World(Site.mixed(120), 50, Meter.OFF);
+    SimulatedCluster world = new SimulatedCluster(ClusterSpec.mixed(120), 50, Meter.OFF);
     runUntil(world, 20);
     List<String> lines = new ArrayList<>();
     Map<String, Object> job = JobCodec.submission(array(world, 997));
@@ -318,7 +320,8 @@
     }
     List<Endpoint> nodes =
         IntStream.range(0, 3).mapToObj(i -> new Endpoint("10.0.0." + i, 80)).toList();
-    Settings settings = Site.mixed(120).settings(0, nodes, nodes, nodes.get(1), nodes.get(2));
+    Settings settings =
+        ClusterSpec.mixed(120).settings(0, nodes, nodes, nodes.get(1), nodes.get(2));
     for (Map.Entry<String, Object> bad :
         spoilt(asMap(Json.parse(SettingsWriter.write(settings)))).entrySet()) {
       lines.add(
@@ -412,7 +415,7 @@
   }
 
   private void models() throws MalformedMessageException {
-    ModelSite site = new ModelSite(Site.tryOut(24, true), 48);
+    ModelSite site = new ModelSite(ClusterSpec.tryOut(24, true), 48);
     watch(site.world, 150);
     site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
     runUntil(site.world, ModelSite.DEFINED_S);
@@ -434,9 +437,9 @@
   }
 
   private void requests() {
-    World world =
-        new World(
-            Site.tryOut(30, true),
+    SimulatedCluster world =
+        new SimulatedCluster(
+            ClusterSpec.tryOut(30, true),
             49,
             Meter.OFF,
             new Features(
--- a/src/test/java/org/quincecross/emulator/RequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RequestCasesTest.java
@@ -15,17 +15,17 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.requests.Request;
-import org.quincecross.rollout.Build;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Features;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.reservation.Request;
+import org.quincecross.rollout.Build;
 
 /** Requests with a due time on three controllers, in virtual time. */
 class RequestCasesTest {
@@ -36,9 +36,9 @@
 
   private static final long HOUR_MS = 3_600_000;
 
-  private final Site site = Site.tryOut(MACHINES, true);
-  private final World world =
-      new World(
+  private final ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
+  private final SimulatedCluster world =
+      new SimulatedCluster(
           site,
           5,
           Meter.OFF,
@@ -178,8 +178,12 @@
       world
           .users()
           .submit(job("side", "batch", JobKind.SERVICE, Priority.PRODUCTION, 10, 2, false, false));
-      world.users().submit(job("rebuild", "batch", JobKind.ARRAY, Priority.HIGH, 60, 1, false, false));
-      world.users().submit(job("sweep", "batch", JobKind.ARRAY, Priority.NORMAL, 60, 1, true, false));
+      world
+          .users()
+          .submit(job("rebuild", "batch", JobKind.ARRAY, Priority.HIGH, 60, 1, false, false));
+      world
+          .users()
+          .submit(job("sweep", "batch", JobKind.ARRAY, Priority.NORMAL, 60, 1, true, false));
     }
   }
 
@@ -447,7 +451,7 @@
     assertTrue(
         rented <= 8 && world.cloud().workers().size() <= 8,
         rented + " machines, later " + world.cloud().workers().size());
-    for (Worker worker : world.cloud().workers()) {
+    for (AgentSimulator worker : world.cloud().workers()) {
       if (worker.machine().zone().equals("west")) {
         world.cloud().take(worker.machine().id(), 0);
       }
--- a/src/test/java/org/quincecross/emulator/RequestWatch.java
+++ b/src/test/java/org/quincecross/emulator/RequestWatch.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.quincecross.replicated.RecordFields;
 import org.quincecross.replicated.MalformedRecordException;
-import org.quincecross.requests.Request;
-import org.quincecross.requests.RequestKind;
+import org.quincecross.replicated.RecordFields;
+import org.quincecross.reservation.Request;
+import org.quincecross.reservation.RequestKind;
 
 /**
  * Watches the records of requests as the state service has them: none that was answered for is
@@ -19,7 +19,7 @@
   private static final double EVERY_S = 0.05;
   private static final RequestKind KIND = new RequestKind(id -> "", 0);
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Map<String, Object> values = new HashMap<>();
   private final Map<String, Request> seen = new TreeMap<>();
 
@@ -33,7 +33,7 @@
   private final Map<String, Integer> ends = new HashMap<>();
   private final List<String> broken = new ArrayList<>();
 
-  RequestWatch(World world) {
+  RequestWatch(SimulatedCluster world) {
     this.world = world;
     look();
   }
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -17,17 +17,17 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
-import org.quincecross.rollout.Build;
-import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Features;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.Build;
 
 /**
  * Controllers that are replaced one after the other by a build with another form of the stored
@@ -63,14 +63,16 @@
             """;
 
   /** Few changes a transaction: the switch has to fit. */
-  private final Site site = Site.tryOut(30, true).with(new Settings.StoreLimits(400, 56, 2048, 4));
+  private final ClusterSpec site =
+      ClusterSpec.tryOut(30, true).with(new Settings.StoreLimits(400, 56, 2048, 4));
 
-  private final World world = new World(site, 5, Meter.OFF, new Features(null, null, OLD));
+  private final SimulatedCluster world =
+      new SimulatedCluster(site, 5, Meter.OFF, new Features(null, null, OLD));
   private final List<JobId> arrays = new ArrayList<>();
   private final List<String> wrong = new ArrayList<>();
 
   RolloutCasesTest() throws MalformedMessageException {
-    for (JobsFile.Due due : JobsFile.read(JOBS, site)) {
+    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
       world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
       if (due.job().jobClass().equals("rebuild")) {
         arrays.add(due.job().id());
@@ -91,7 +93,7 @@
             () -> {
               int level = level();
               for (int node = 0; node < world.nodeCount(); node++) {
-                if (world.state().value("q/member/" + Site.nodeName(node))
+                if (world.state().value("q/member/" + ClusterSpec.nodeName(node))
                     instanceof Map<?, ?> member) {
                   int most = member.get("most") instanceof Number number ? number.intValue() : 1;
                   if (most < level && member.containsKey("build")) {
@@ -193,7 +195,8 @@
     world.time().runUntil(80);
     assertEquals(2, level());
     world.time().runUntil(100);
-    assertTrue(status(2).string("unable").contains("level 2 is in force"), status(2).string("unable"));
+    assertTrue(
+        status(2).string("unable").contains("level 2 is in force"), status(2).string("unable"));
     assertEquals(503, ask(2, HttpRequest.get("/up")));
     assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-1")));
     assertEquals(0, status(2).integer("blocks_held", 0, 1000));
@@ -211,7 +214,7 @@
     world.time().runUntil(20);
     world.down(2, 1);
     world.state().write("q/job/job-77", Json.object("phase", "open", "at", 1));
-    world.state().late(LateWrites.share(1, 30, 40, () -> true, new Random(1)));
+    world.state().late(DelayedTransactions.share(1, 30, 40, () -> true, new Random(1)));
     for (double at = 21.2; at < 25; at += 0.1) {
       world.time().runUntil(at);
       assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-77")));
@@ -445,7 +448,7 @@
         status(world.leader())
             .strings("settings_differ")
             .toString()
-            .contains(Site.nodeName(other) + " has other teams"),
+            .contains(ClusterSpec.nodeName(other) + " has other teams"),
         status(world.leader()).strings("settings_differ").toString());
     double most = 0;
     for (double at = 50; at < 80; at += 0.5) {
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -62,7 +62,7 @@
    */
   @Test
   void everyDayOfHeldMessagesKeepsTheRulesAndNothingHangs() {
-    play(HeldMessagesTest::day);
+    play(DelayedMessagesTest::day);
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/SettingsMarksTest.java
+++ b/src/test/java/org/quincecross/emulator/SettingsMarksTest.java
@@ -13,7 +13,7 @@
  * same marks in every build.
  */
 class SettingsMarksTest {
-  private static Map<String, String> marks(Site site) {
+  private static Map<String, String> marks(ClusterSpec site) {
     List<Endpoint> nodes =
         List.of(
             new Endpoint("10.0.0.1", 80),
@@ -27,15 +27,15 @@
   void marksAreThoseOfBuildsBefore() {
     assertEquals(
         "{objectives=d4cbb29, state limits=3906042b, teams=3fe1ebfb, workers=554ac61c, zones=e3617560}",
-        marks(Site.small()).toString());
+        marks(ClusterSpec.small()).toString());
     assertEquals(
         "{objectives=c804b83c, state limits=cfa5a42e, teams=acd72f45, workers=c95c1590, zones=914a00a7}",
-        marks(Site.mixed(690)).toString());
+        marks(ClusterSpec.mixed(690)).toString());
     assertEquals(
         "{objectives=e077ab5c, state limits=901f1174, teams=1f706750, workers=fc45cd3b, zones=e99121a7}",
-        marks(Site.fleet(1000)).toString());
+        marks(ClusterSpec.fleet(1000)).toString());
     assertEquals(
         "{objectives=acb1ac44, state limits=2306796a, teams=59650e8d, workers=4ea6237d, zones=e99121a7}",
-        marks(Site.tryOut(30, true)).toString());
+        marks(ClusterSpec.tryOut(30, true)).toString());
   }
 }
--- a/src/test/java/org/quincecross/emulator/SlowStateTest.java
+++ b/src/test/java/org/quincecross/emulator/SlowStateTest.java
@@ -25,7 +25,7 @@
   @ParameterizedTest
   @CsvSource({"0.2, 1", "1, 1.5", "1, 3", "3, 6"})
   void everyRequestIsAnsweredInTimeAndNothingPilesUp(double leastS, double mostS) {
-    World world = new World(7);
+    SimulatedCluster world = new SimulatedCluster(7);
     for (int i = 0; i < 200; i++) {
       int number = 1000 + i;
       world.time().at(4 + i * 0.5, () -> world.users().submit(number));
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Settings;
 
@@ -29,8 +29,9 @@
   @ParameterizedTest
   @ValueSource(ints = {15, 80})
   void eachHasItsEndToldAndOthersGetThrough(int changes) {
-    Site site = Site.tryOut(60, true).with(new Settings.StoreLimits(200, changes, 4096, 8));
-    World world = new World(site, changes, Meter.OFF);
+    ClusterSpec site =
+        ClusterSpec.tryOut(60, true).with(new Settings.StoreLimits(200, changes, 4096, 8));
+    SimulatedCluster world = new SimulatedCluster(site, changes, Meter.OFF);
     Random random = new Random(changes);
     List<JobId> others = new ArrayList<>();
     SmallJobs.begin(world, A_SECOND, 0.25, 5, SECONDS, random);
--- a/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
+++ b/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
@@ -19,7 +19,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aStartThatArrivesAfterAllThatTimeIsNotExecuted(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     boolean[] out = new boolean[1];
     world.mishapAt(
         request ->
@@ -27,7 +27,7 @@
                 && request.contains("\"start\"")
                 && request.contains("job-1/0"),
         40,
-        World.Mishap.HELD);
+        SimulatedCluster.Mishap.HELD);
     world.time().at(20, () -> world.users().submitService(1));
     for (int i = 0; i < 2000; i++) {
       world
--- a/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 
 /**
  * The state service is out for all: what was allocated before still starts, as the others show that
@@ -27,9 +27,9 @@
   @ValueSource(longs = {1, 2, 3})
   void whatIsAllocatedStartsAfterTenSeconds(long seed) {
     Resources all = new Resources(1000, 1000, 10_000);
-    World world =
-        new World(
-            Site.tryOut(15, true).with(Map.of("batch", new Team("batch", all, all))),
+    SimulatedCluster world =
+        new SimulatedCluster(
+            ClusterSpec.tryOut(15, true).with(Map.of("batch", new Team("batch", all, all))),
             seed,
             Meter.OFF);
     for (int i = 0; i < 10; i++) {
--- a/src/test/java/org/quincecross/emulator/BoundTest.java
+++ b/src/test/java/org/quincecross/emulator/UpperBoundTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Resources;
 
-class BoundTest {
+class UpperBoundTest {
   private static final Resources HUNDRED = new Resources(100, 0, 100);
 
-  private static Bound.Wanted wanted(String jobClass, double from, double until, double work) {
-    return new Bound.Wanted(jobClass, from, until, new Resources(work, 0, 0));
+  private static UpperBound.Wanted wanted(String jobClass, double from, double until, double work) {
+    return new UpperBound.Wanted(jobClass, from, until, new Resources(work, 0, 0));
   }
 
   /**
@@ -27,20 +27,20 @@
     List<Resources> capacity = Collections.nCopies(4, HUNDRED);
     // Ten seconds a slice: 1,000 units each. Both classes want 2,000 units in the first two slices,
     // and there are 2,000.
-    List<Bound.Wanted> both =
+    List<UpperBound.Wanted> both =
         List.of(
             wanted("a", 0, 15, 1000),
             wanted("a", 0, 15, 1000),
             wanted("b", 0, 15, 1000),
             wanted("b", 0, 15, 1000));
-    assertEquals(0.5, new Bound(10, capacity, both).leastShare(), 1e-6);
-    assertEquals(1, new Bound(10, capacity, both.subList(0, 2)).leastShare(), 1e-6);
+    assertEquals(0.5, new UpperBound(10, capacity, both).leastShare(), 1e-6);
+    assertEquals(1, new UpperBound(10, capacity, both.subList(0, 2)).leastShare(), 1e-6);
     // What is due after the end of the day is in neither.
-    assertEquals(1, new Bound(10, capacity, List.of(wanted("a", 0, 39, 1e9))).leastShare());
+    assertEquals(1, new UpperBound(10, capacity, List.of(wanted("a", 0, 39, 1e9))).leastShare());
     // Of a large and two small jobs the small ones can be done.
-    List<Bound.Wanted> sizes =
+    List<UpperBound.Wanted> sizes =
         List.of(wanted("a", 0, 5, 500), wanted("a", 0, 5, 500), wanted("a", 0, 5, 1e6));
-    assertEquals(2.0 / 3, new Bound(10, capacity, sizes).leastShare(), 1e-3);
+    assertEquals(2.0 / 3, new UpperBound(10, capacity, sizes).leastShare(), 1e-3);
   }
 
   /**
@@ -54,7 +54,7 @@
     for (int i = 0; i < slices; i++) {
       capacity.add(HUNDRED.times(0.5 + random.nextDouble()));
     }
-    List<Bound.Wanted> jobs = new ArrayList<>();
+    List<UpperBound.Wanted> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       double from = 50 * random.nextDouble();
       jobs.add(
@@ -64,7 +64,7 @@
               from + 15 * random.nextDouble() + 1,
               100 + 900 * random.nextDouble()));
     }
-    double bound = new Bound(10, capacity, jobs).leastShare();
+    double bound = new UpperBound(10, capacity, jobs).leastShare();
     assertTrue(bound >= 0 && bound <= 1 + 1e-9);
     for (int order = 0; order < 20; order++) {
       Collections.shuffle(jobs, random);
@@ -74,7 +74,7 @@
       }
       int[] all = new int[2];
       int[] done = new int[2];
-      for (Bound.Wanted job : jobs) {
+      for (UpperBound.Wanted job : jobs) {
         int which = job.jobClass().equals("a") ? 0 : 1;
         if (Math.floor(job.until() / 10) >= slices - 1) {
           continue;
--- a/src/test/java/org/quincecross/emulator/UserTroubles.java
+++ b/src/test/java/org/quincecross/emulator/UserTroubles.java
@@ -15,14 +15,14 @@
   private UserTroubles() {}
 
   /** For {@link Day#with}. */
-  static void on(World world, long seed) {
+  static void on(SimulatedCluster world, long seed) {
     Random random = new Random(new SplittableRandom(seed * 3011 + 5).nextLong());
     double seconds = 20 + 60 * random.nextDouble();
     at(
         world,
         random,
         () ->
-            CloseLooks.begin(
+            ConcurrentReaders.begin(
                 world.around(),
                 0.3 + 0.7 * random.nextDouble(),
                 0.2 * random.nextDouble(),
@@ -32,7 +32,7 @@
         world,
         random,
         () ->
-            LateCancels.atEnd(
+            LateCancellations.atEnd(
                 world.around(),
                 0.5 * random.nextDouble(),
                 random.nextBoolean() ? 0 : 2,
@@ -41,13 +41,13 @@
     at(
         world,
         random,
-        () -> OddRequests.begin(world.around(), 0.2 + random.nextDouble(), seconds, random));
+        () -> MalformedRequests.begin(world.around(), 0.2 + random.nextDouble(), seconds, random));
     for (int i = 0; i < 3; i++) {
       at(
           world,
           random,
           () ->
-              LateCancels.now(
+              LateCancellations.now(
                   world.around(),
                   2 + random.nextInt(8),
                   random.nextBoolean() ? 0 : 2 + 8 * random.nextDouble(),
@@ -58,7 +58,7 @@
     }
   }
 
-  private static void at(World world, Random random, Runnable trouble) {
+  private static void at(SimulatedCluster world, Random random, Runnable trouble) {
     world.time().at(FROM_S + (UNTIL_S - FROM_S - 10) * random.nextDouble(), trouble);
   }
 }
--- a/src/test/java/org/quincecross/emulator/WholeServiceTest.java
+++ b/src/test/java/org/quincecross/emulator/WholeServiceTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.model.JobId;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 /**
  * Days of a whole deployment with troubles drawn from fixed seeds: every rule is kept, and all work
@@ -41,7 +41,7 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
   void aHolderWithoutWordStopsInTimeForCancellations(int alone) {
-    World world = new World(1);
+    SimulatedCluster world = new SimulatedCluster(1);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       int number = i;
@@ -52,19 +52,19 @@
         .at(
             20,
             () -> {
-              world.state().refuse(Site.nodeName(alone), 90);
+              world.state().refuse(ClusterSpec.nodeName(alone), 90);
               world
                   .cloud()
                   .machines()
                   .forEach(
                       machine -> {
                         world.cut(
-                            Site.nodeName((alone + 1) % world.nodeCount()),
+                            ClusterSpec.nodeName((alone + 1) % world.nodeCount()),
                             machine.text(),
                             90,
                             true);
                         world.cut(
-                            Site.nodeName((alone + 2) % world.nodeCount()),
+                            ClusterSpec.nodeName((alone + 2) % world.nodeCount()),
                             machine.text(),
                             90,
                             true);
@@ -84,7 +84,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aGangLargerThanAnyBlockRuns(long seed) {
-    World world = new World(seed);
+    SimulatedCluster world = new SimulatedCluster(seed);
     world.time().at(5, () -> world.users().submitLargeGang(1, 8));
     for (int i = 0; i < seed; i++) {
       int node = i % world.nodeCount();
@@ -101,7 +101,7 @@
    */
   @Test
   void whatMakesNoProgressIsNamedWithWhatItWaitsFor() throws MalformedMessageException {
-    World world = new World(3);
+    SimulatedCluster world = new SimulatedCluster(3);
     world.time().at(5, () -> world.users().submitService(2));
     world.time().at(8, () -> world.users().submitLargeGang(1, 8));
     world.time().runUntil(120);
@@ -118,7 +118,7 @@
     assertEquals(Set.of(), stalled(world));
   }
 
-  private static Set<String> stalled(World world) throws MalformedMessageException {
+  private static Set<String> stalled(SimulatedCluster world) throws MalformedMessageException {
     Set<String> stalled = new TreeSet<>();
     for (int node = 0; node < world.nodeCount(); node++) {
       for (JsonFields stall : world.status(node).objects("stalled")) {
@@ -135,7 +135,7 @@
    */
   @Test
   void whatWasCancelledBeforeACrashOfAllDoesNotStartAfterIt() {
-    World world = new World(2);
+    SimulatedCluster world = new SimulatedCluster(2);
     world.time().at(5, () -> world.users().submitArray(1, 16));
     world.time().at(20, () -> world.users().cancel(new JobId("job-1")));
     boolean[] down = new boolean[1];
--- a/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
@@ -10,8 +10,8 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.ControllerId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /** Whose silence it is: of a link, of machines, or one's own. */
 class FailureDetectionTest {
--- a/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
+++ b/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.FencingToken;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Three controllers with drawn evidence: what each hears of the state service, of the others, and
@@ -129,7 +129,9 @@
     trio.step(7, 7);
     for (int i = 1; i < length; i++) {
       if (i >= shownAt) {
-        trio.nodes.get(lone).machine(new FencingToken(90), new FencingToken(40), true, at(trio.now));
+        trio.nodes
+            .get(lone)
+            .machine(new FencingToken(90), new FencingToken(40), true, at(trio.now));
       }
       trio.step(others, others);
       for (int node = 0; node < NODES; node++) {
--- a/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
+++ b/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /** A machine that speaks: from its reports alone, whether it hears. */
 class OneWayPartitionDetectorTest {
--- a/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
@@ -10,12 +10,12 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
-import org.quincecross.model.FencingToken;
 import org.quincecross.failuredetection.StaleHeartbeatFilter.Shown;
 import org.quincecross.failuredetection.StaleHeartbeatFilter.State;
 import org.quincecross.failuredetection.StaleHeartbeatFilter.Verdict;
+import org.quincecross.model.FencingToken;
+import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /**
  * What is news of a machine, with copies of all that it ever said, and with workers that begin
--- a/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.Incarnation;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 
 /**
  * Three controllers, cancellations, reports that are held up for forty seconds, a state service
--- a/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
+++ b/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
@@ -34,13 +34,15 @@
   }
 
   private static void check(double lease, double cancel) {
-    if (!UnconfirmedOwnershipBound.isPossible(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel))) {
+    if (!UnconfirmedOwnershipBound.isPossible(
+        TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel))) {
       assertTrue(
           lease * 1.002 - cancel * 0.998 > 38,
           "no bound for a lease of " + lease + " and a cancellation within " + cancel);
       return;
     }
-    UnconfirmedOwnershipBound bound = UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
+    UnconfirmedOwnershipBound bound =
+        UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
     double t = bound.unconfirmed().seconds();
     double toldAfter = bound.toldAfter().seconds();
     assertTrue(t > 4.9, "a hiccup is lived through: " + bound);
@@ -59,14 +61,16 @@
   @Example
   void forTheSettingsOfTodayItIsWhatItWas() {
     assertEquals(
-        new UnconfirmedOwnershipBound(TimeSpan.ofSeconds(36.0 + 8 - 11 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
+        new UnconfirmedOwnershipBound(
+            TimeSpan.ofSeconds(36.0 + 8 - 11 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(11, 36));
     assertEquals(
         new UnconfirmedOwnershipBound(
             TimeSpan.ofSeconds(42.5 + 8 - 17.5 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(17.5, 42.5));
     assertEquals(
-        new UnconfirmedOwnershipBound(TimeSpan.ofSeconds(54.0 + 8 - 24 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
+        new UnconfirmedOwnershipBound(
+            TimeSpan.ofSeconds(54.0 + 8 - 24 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
         of(24, 54));
   }
 
--- a/src/test/java/org/quincecross/leader/AllocationIndexTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationIndexTest.java
@@ -15,31 +15,31 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.rollout.AnnouncedLimits;
 import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.ShardLease;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.CompletedTasks;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.state.JobRecord;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.CacheTestSupport;
-import org.quincecross.state.ControllerRecord;
 
 class AllocationIndexTest {
   private static final int JOBS = 8;
@@ -91,7 +91,7 @@
             new Incarnation(1),
             "z",
             Build.BEFORE_LEVELS,
-            Terms.NONE,
+            AnnouncedLimits.NONE,
             new Revision(1));
     return ShardLease.first(
         new ShardId("b" + block),
@@ -141,7 +141,10 @@
               StoreKeys.allocation(new ShardId("b" + block)),
               random.nextInt(6) == 0 ? null : Allocation.write(tasks));
         }
-        case 4 -> put(StoreKeys.page(random.nextInt(2)), CompletedTasks.writePage(Map.of(id, some(random))));
+        case 4 ->
+            put(
+                StoreKeys.page(random.nextInt(2)),
+                CompletedTasks.writePage(Map.of(id, some(random))));
         default -> put(StoreKeys.done(id, 0), CompletedTasks.write(some(random), 0));
       }
       if (random.nextBoolean()) {
@@ -193,7 +196,8 @@
         waiting.add(id);
       }
       if (!out.isEmpty()) {
-        use.merge(record.job().team(), record.job().taskResources().times(out.size()), Resources::plus);
+        use.merge(
+            record.job().team(), record.job().taskResources().times(out.size()), Resources::plus);
       }
     }
     assertEquals(waiting, new HashSet<>(books.waiting()));
--- a/src/test/java/org/quincecross/leader/AllocationWriterTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationWriterTest.java
@@ -10,24 +10,24 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.rollout.Level;
+import org.quincecross.model.TimeSpan;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.rollout.FeatureLevel;
 import org.quincecross.state.Allocation;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.CompletedTasks;
+import org.quincecross.state.FeatureLevelRecord;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.CacheTestSupport;
-import org.quincecross.state.FeatureLevelRecord;
-import org.quincecross.protocol.Json;
-import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
 
 /**
  * A block whose whole record is up to four times as large as a value may be now: it shrinks, and
@@ -85,7 +85,7 @@
   /** Fills a block with a record as it was written when values could be larger. */
   private List<JobId> fill(Random random, int level) {
     ledger.listen(books::changed);
-    put(StoreKeys.LEVEL, FeatureLevelRecord.write(new Level(level)));
+    put(StoreKeys.LEVEL, FeatureLevelRecord.write(new FeatureLevel(level)));
     Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
     List<JobId> jobs = new ArrayList<>();
     while (Json.write(Allocation.write(tasks)).length < 4 * LIMIT - 40) {
@@ -141,7 +141,9 @@
     } else if (ledger.job(id).job() != null && ledger.job(id).job().taskCount() > 1) {
       TaskSet done = ledger.doneTasks(id);
       done.add(random.nextInt(ledger.job(id).job().taskCount() - 1));
-      put(StoreKeys.page(Integer.parseInt(id.digits())), CompletedTasks.writePage(Map.of(id, done)));
+      put(
+          StoreKeys.page(Integer.parseInt(id.digits())),
+          CompletedTasks.writePage(Map.of(id, done)));
     }
   }
 
--- a/src/test/java/org/quincecross/leader/AutoscalerTest.java
+++ b/src/test/java/org/quincecross/leader/AutoscalerTest.java
@@ -13,32 +13,32 @@
 import net.jqwik.api.Example;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerHeartbeat;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.AnnouncedLimits;
 import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.DemandForecast;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ControllerRecord;
+import org.quincecross.state.DemandForecast;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.protocol.CloudCodec;
-import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StoreKeys;
 
 /** What the fleet returns and what it leaves alone when machines fall silent. */
 class AutoscalerTest {
@@ -126,7 +126,7 @@
             new Incarnation(1),
             "a",
             Build.BEFORE_LEVELS,
-            Terms.NONE,
+            AnnouncedLimits.NONE,
             new Revision(1));
     for (String zone : List.of("a", "b")) {
       ShardLease block = null;
