--- a/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
+++ b/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
@@ -9,9 +9,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.MachineType;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 import org.quincecross.state.ClusterStateCache;
 
 /**
@@ -44,7 +44,8 @@
               .toList();
       MachineTypeWriter types = new MachineTypeWriter(new ClusterStateCache());
       for (double now = 0; now < 2.9; now += 0.1) {
-        TransactionBuilder plan = new TransactionBuilder(new ClusterStateCache(), random.nextInt(7), 4000);
+        TransactionBuilder plan =
+            new TransactionBuilder(new ClusterStateCache(), random.nextInt(7), 4000);
         boolean room = plan.room() >= count;
         assertEquals(room, types.plan(plan, catalog, at(now)));
         assertEquals(room ? count : 0, plan.changes().size());
@@ -72,7 +73,8 @@
                         List.of("a")))
             .toList();
     MachineTypeWriter types = new MachineTypeWriter(new ClusterStateCache());
-    assertFalse(types.plan(new TransactionBuilder(new ClusterStateCache(), 2, 4000), catalog, at(1)));
+    assertFalse(
+        types.plan(new TransactionBuilder(new ClusterStateCache(), 2, 4000), catalog, at(1)));
     TransactionBuilder later = new TransactionBuilder(new ClusterStateCache(), 2, 4000);
     assertTrue(types.plan(later, catalog, at(4.1)));
     assertEquals(2, later.changes().size());
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -7,38 +7,38 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.FencingToken;
 import org.quincecross.net.StillClock;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.AnnouncedLimits;
 import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.DemandForecast;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ControllerRecord;
+import org.quincecross.state.DemandForecast;
+import org.quincecross.state.JobRecord;
 import org.quincecross.state.OperatorSettings;
-import org.quincecross.protocol.CloudCodec;
-import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
-import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StoreKeys;
 
 /**
  * A start that was never answered and never showed is refused only under a higher token (incident
@@ -104,11 +104,19 @@
         ledger, StoreKeys.member(HOLDER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
     ControllerRecord member =
         new ControllerRecord(
-            HOLDER, new Incarnation(1), "a", Build.BEFORE_LEVELS, Terms.NONE, new Revision(1));
+            HOLDER,
+            new Incarnation(1),
+            "a",
+            Build.BEFORE_LEVELS,
+            AnnouncedLimits.NONE,
+            new Revision(1));
     Machine first = new Machine(new MachineId("m-0"), HERE, "t", "a", false);
     Machine second = new Machine(new MachineId("m-1"), HERE, "t", "a", false);
     CacheTestSupport.put(
-        ledger, StoreKeys.block(BLOCK), ShardLease.first(BLOCK, member, first).with(second).write(), 2);
+        ledger,
+        StoreKeys.block(BLOCK),
+        ShardLease.first(BLOCK, member, first).with(second).write(),
+        2);
     CacheTestSupport.advance(ledger, 2);
   }
 
@@ -193,7 +201,14 @@
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
-                    "t", new Resources(8, 0, 32), 50, 1, 1, 1, TimeSpan.ofSeconds(5), List.of("a")))),
+                    "t",
+                    new Resources(8, 0, 32),
+                    50,
+                    1,
+                    1,
+                    1,
+                    TimeSpan.ofSeconds(5),
+                    List.of("a")))),
         3);
     JobId gang = new JobId("job-1");
     CacheTestSupport.put(
--- a/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
+++ b/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
@@ -8,12 +8,12 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.state.ClusterStateCache;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.KeyValueStoreCodec.Mutation;
+import org.quincecross.protocol.Settings;
+import org.quincecross.state.ClusterStateCache;
 
 /**
  * A service that takes less than the settings say: what fits there is written all the same,
@@ -26,7 +26,8 @@
       @ForAll @IntRange(min = 600, max = 8192) int takesValue,
       @ForAll @IntRange(min = 3, max = 24) int toldChanges,
       @ForAll @IntRange(min = 0, max = 10) int tooLarge) {
-    TransactionLimits bounds = new TransactionLimits(new Settings.StoreLimits(100, 100, 8192, toldChanges));
+    TransactionLimits bounds =
+        new TransactionLimits(new Settings.StoreLimits(100, 100, 8192, toldChanges));
     ClusterStateCache ledger = new ClusterStateCache();
     Map<String, Map<String, Object>> waiting = new TreeMap<>();
     for (int i = 0; i < 20; i++) {
--- a/src/test/java/org/quincecross/holds/HoldBooksTest.java
+++ b/src/test/java/org/quincecross/legalhold/LegalHoldIndexTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 
-class HoldBooksTest {
+class LegalHoldIndexTest {
   private static Job job(int number, String lane, int tasks) {
     return new Job(
         new JobId("job-" + number),
@@ -94,7 +94,7 @@
   @Property(tries = 300)
   void theBooksSayWhatHoldsAndClaimsComeTo(@ForAll @LongRange(max = 1_000_000) long seed) {
     Random random = new Random(seed);
-    HoldBooks books = new HoldBooks();
+    LegalHoldIndex books = new LegalHoldIndex();
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       jobs.add(job(i, "lane" + i % 3, 1 + random.nextInt(30)));
@@ -183,7 +183,7 @@
   @Test
   void aHundredThousandTasksUnderTenThousandHoldsCostWhatChanges() {
     Random random = new Random(33);
-    HoldBooks books = new HoldBooks();
+    LegalHoldIndex books = new LegalHoldIndex();
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       Job job = job(i, "sweep", 10_000);
--- a/src/test/java/org/quincecross/holds/HoldModelTest.java
+++ b/src/test/java/org/quincecross/legalhold/LegalHoldModelTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.holds;
+package org.quincecross.legalhold;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.quincecross.legalhold.LegalHold.State;
+import org.quincecross.model.Revision;
 import org.quincecross.replicated.CommandOrigin;
 import org.quincecross.replicated.ReplicatedRecord;
-import org.quincecross.holds.Hold.State;
-import org.quincecross.model.Revision;
 
 /**
  * A hold and one sweep's task with two controllers, gone through whole: each may believe to lead,
@@ -24,7 +24,7 @@
  * and loses what it knows when it crashes. One of them holds the task's block. Operators open,
  * close and open again, and each of their requests may be made twice.
  */
-class HoldModelTest {
+class LegalHoldModelTest {
   private static final int MOST_STATES = 600_000;
 
   /** What is taken out, to be found. */
@@ -38,24 +38,28 @@
     GIVEN_BACK_LAST
   }
 
-  private static final HoldKind KIND = new HoldKind();
+  private static final LegalHoldKind KIND = new LegalHoldKind();
   private static final CommandOrigin AT = new CommandOrigin(1000, 0, "magistrate");
-  private static final HoldCommand OPEN =
-      new HoldCommand.Open(List.of(Records.parse("cdr/2026-03")), 0, 0);
+  private static final LegalHoldCommand OPEN =
+      new LegalHoldCommand.Open(List.of(Records.parse("cdr/2026-03")), 0, 0);
 
   /**
    * The records: of the hold and its version, of the fence, of whether the task is allocated and
    * since when.
    */
   private record Store(
-      ReplicatedRecord<Hold> hold, int version, int fence, boolean allocated, int allocation) {}
+      ReplicatedRecord<LegalHold> hold,
+      int version,
+      int fence,
+      boolean allocated,
+      int allocation) {}
 
   /** A transaction under way: null guards are not compared. */
   private record Txn(
       Integer version,
       Integer fence,
       Integer allocation,
-      ReplicatedRecord<Hold> hold,
+      ReplicatedRecord<LegalHold> hold,
       boolean fences,
       Boolean allocate) {}
 
@@ -103,14 +107,16 @@
         store.allocation() + (txn.allocate() == null ? 0 : 1));
   }
 
-  private Txn change(Store view, String request, HoldCommand command) {
-    ReplicatedRecord<Hold> kept =
+  private Txn change(Store view, String request, LegalHoldCommand command) {
+    ReplicatedRecord<LegalHold> kept =
         out == Guard.REQUEST_NAMES
-            ? new ReplicatedRecord<>(view.hold().state(), view.hold().change(), List.of(), List.of())
+            ? new ReplicatedRecord<>(
+                view.hold().state(), view.hold().change(), List.of(), List.of())
             : view.hold();
-    ReplicatedRecord.Result<Hold> result = kept.apply(KIND, "ref", new Revision(1), request, -1, command, AT);
-    if (result instanceof ReplicatedRecord.Result.Write<Hold> write) {
-      ReplicatedRecord<Hold> next = write.next();
+    ReplicatedRecord.Result<LegalHold> result =
+        kept.apply(KIND, "ref", new Revision(1), request, -1, command, AT);
+    if (result instanceof ReplicatedRecord.Result.Write<LegalHold> write) {
+      ReplicatedRecord<LegalHold> next = write.next();
       // The trail grows with each change and says nothing that the model asks for.
       next = new ReplicatedRecord<>(next.state(), next.change(), next.requests(), List.of());
       return new Txn(
@@ -182,10 +188,10 @@
       }
       // The last is asked for by somebody else, who has seen the first opening and not that it is
       // over.
-      HoldCommand command =
+      LegalHoldCommand command =
           i % 2 == 0
               ? OPEN
-              : new HoldCommand.Close(
+              : new LegalHoldCommand.Close(
                   out == Guard.OPENING_OF_CLOSE ? Math.max(1, view.hold().state().opening()) : 1);
       Txn txn = change(view, requests.get(i), command);
       World later = txn == null ? null : from.late(txn);
@@ -207,7 +213,7 @@
   }
 
   private void leader(World from, Store view, Consumer<World> to) {
-    Hold hold = view.hold().state();
+    LegalHold hold = view.hold().state();
     Integer fence = out == Guard.FENCE ? null : (Integer) view.fence();
     if (!view.allocated() && !hold.isInForce() && view.allocation() < 2) {
       add(from.late(new Txn(null, fence, view.allocation(), null, false, true)), to);
@@ -222,7 +228,7 @@
           change(
               view,
               null,
-              new HoldCommand.Pinned(hold.opening(), hold.scope(), view.version(), "", 0));
+              new LegalHoldCommand.Pinned(hold.opening(), hold.scope(), view.version(), "", 0));
       add(txn == null ? null : from.late(txn), to);
     }
   }
@@ -279,7 +285,7 @@
   }
 
   private void check(World world) {
-    Hold hold = world.store().hold().state();
+    LegalHold hold = world.store().hold().state();
     if (hold.state() == State.PINNED && world.runs()) {
       wrong = "pinned, and a task that touches the records runs";
     } else if (hold.state() == State.PINNED && world.store().allocated()) {
@@ -327,7 +333,7 @@
   @ParameterizedTest
   @EnumSource(value = Guard.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
   void eachGuardTakenOutIsFound(Guard guard) {
-    HoldModelTest model = new HoldModelTest();
+    LegalHoldModelTest model = new LegalHoldModelTest();
     model.out = guard;
     model.play();
     assertFalse(model.wrong == null, guard + " is not missed");
--- a/src/test/java/org/quincecross/model/TaskSetTest.java
+++ b/src/test/java/org/quincecross/model/TaskSetTest.java
@@ -55,7 +55,8 @@
       assertEquals(plain.contains(index), set.contains(index));
       assertEquals(plain.size(), set.size());
       assertEquals(plain.ceiling(index) == null ? -1 : plain.ceiling(index), set.nextMember(index));
-      assertEquals(plain.stream().filter(otherPlain::contains).count(), set.intersectionSize(other));
+      assertEquals(
+          plain.stream().filter(otherPlain::contains).count(), set.intersectionSize(other));
       assertEquals(set.toString().length(), set.textLength());
       assertEquals(set, TaskSet.parse(set.toString(), 300));
       assertEquals(set.hashCode(), TaskSet.parse(set.toString(), 300).hashCode());
--- a/src/test/java/org/quincecross/models/DecisionsTest.java
+++ b/src/test/java/org/quincecross/modelserving/DecisionsTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,18 +15,18 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import org.quincecross.replicated.Transition;
-import org.quincecross.replicated.MalformedRecordException;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
+import org.quincecross.replicated.MalformedRecordException;
+import org.quincecross.replicated.Transition;
 
 /**
  * What is decided of models: places, numbers of replicas, who gives way, what demand says; and that
@@ -117,7 +117,8 @@
     }
     assertTrue(!oneZone || zones.size() <= 1);
     zones.values().forEach(count -> assertTrue(count <= job.maxTasksPerZone()));
-    boolean anyFree = machines.stream().anyMatch(machine -> job.taskResources().fitsIn(machine.free()));
+    boolean anyFree =
+        machines.stream().anyMatch(machine -> job.taskResources().fitsIn(machine.free()));
     assertTrue(!anyFree || !choices.isEmpty());
     if (!choices.isEmpty() && anyFree) {
       double best =
@@ -288,7 +289,8 @@
     demand.wake(at(10));
     assertEquals(Demand.State.SATISFIED, demand.state());
     Model drained =
-        ((Transition.Changed<Model>) ModelRules.step(up, new ModelCommand.Drain(4, 120_000, "idle"), 0))
+        ((Transition.Changed<Model>)
+                ModelRules.step(up, new ModelCommand.Drain(4, 120_000, "idle"), 0))
             .next();
     demand.seen(drained, at(11));
     assertEquals(Demand.State.WANTED, demand.state());
--- a/src/test/java/org/quincecross/models/ModelMachineTest.java
+++ b/src/test/java/org/quincecross/modelserving/ModelMachineTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.models;
+package org.quincecross.modelserving;
 
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.quincecross.replicated.Transition;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.models.Model.Phase;
+import org.quincecross.modelserving.Model.Phase;
+import org.quincecross.replicated.Transition;
 
 /**
  * A model with one replica, two machines and two controllers, either of which may lead, gone
--- a/src/test/java/org/quincecross/net/HttpClientTest.java
+++ b/src/test/java/org/quincecross/net/HttpClientTest.java
@@ -22,7 +22,7 @@
   private static final byte[] OK =
       "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  private final Loop loop = new Loop();
+  private final EventLoop loop = new EventLoop();
   private final HttpClient client = new HttpClient(loop);
   private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
   private volatile int answeredOnEach = 1;
--- a/src/test/java/org/quincecross/net/HttpServerTest.java
+++ b/src/test/java/org/quincecross/net/HttpServerTest.java
@@ -33,7 +33,7 @@
   private static final byte[] UP =
       "GET /up HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  private final Loop loop = new Loop();
+  private final EventLoop loop = new EventLoop();
   private final List<Socket> sockets = new ArrayList<>();
   private final List<Consumer<HttpResponse>> held = new CopyOnWriteArrayList<>();
   private final AtomicInteger handed = new AtomicInteger();
--- a/src/test/java/org/quincecross/net/SteppedClock.java
+++ b/src/test/java/org/quincecross/net/SteppedClock.java
@@ -2,8 +2,8 @@
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /** A clock that a test moves by hand, with timers that go off as it passes them. */
 public final class SteppedClock implements Timers {
--- a/src/test/java/org/quincecross/net/StillClock.java
+++ b/src/test/java/org/quincecross/net/StillClock.java
@@ -1,7 +1,7 @@
 package org.quincecross.net;
 
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /** A clock that a test moves by hand, for what asks for the time alone. */
 public final class StillClock implements Timers {
--- a/src/test/java/org/quincecross/overload/OverloadTest.java
+++ b/src/test/java/org/quincecross/overload/OverloadTest.java
@@ -12,9 +12,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.quincecross.model.JobId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
-import org.quincecross.model.MonotonicTime;
 
 class OverloadTest {
   private static final Shares SHARES = new Shares(1, 0, 0.1, 0.1);
@@ -25,11 +25,11 @@
     return new MonotonicTime((long) (now * 1e9));
   }
 
-  private static Claim claim(
+  private static DemandClaim claim(
       int number, String team, Priority rank, int tasks, double ageS, double leftS) {
-    return new Claim(
+    return new DemandClaim(
         new JobId("job-" + number),
-        new Claim.Group(team, "c"),
+        new DemandClaim.Group(team, "c"),
         rank,
         false,
         new Revision(number),
@@ -38,10 +38,10 @@
         1,
         0,
         ageS,
-        List.of(new Goal(leftS, true)));
+        List.of(new Milestone(leftS, true)));
   }
 
-  private Map<JobId, Verdict> look(List<Claim> claims, double later) {
+  private Map<JobId, JobRanking> look(List<DemandClaim> claims, double later) {
     now += later;
     return overload.look(claims, time());
   }
@@ -52,8 +52,8 @@
    */
   @Example
   void statesWithHysteresis() {
-    List<Claim> much = List.of(claim(1, "t", Priority.NORMAL, 200, 0, 50));
-    List<Claim> little = List.of(claim(1, "t", Priority.NORMAL, 10, 0, 50));
+    List<DemandClaim> much = List.of(claim(1, "t", Priority.NORMAL, 200, 0, 50));
+    List<DemandClaim> little = List.of(claim(1, "t", Priority.NORMAL, 10, 0, 50));
     look(little, 1);
     assertEquals(Overload.State.CALM, overload.state());
     look(much, 1);
@@ -84,7 +84,7 @@
    */
   @Property(tries = 20, seed = "3")
   void everybodyIsServedInTheEnd(@ForAll @IntRange(min = 0, max = 9) int offset) {
-    Map<Integer, Claim> waiting = new HashMap<>();
+    Map<Integer, DemandClaim> waiting = new HashMap<>();
     Map<String, Double> done = new HashMap<>();
     int number = 10;
     waiting.put(1, claim(1, "low", Priority.LOW, 10_000, offset, 50));
@@ -94,12 +94,12 @@
       for (int i = 0; i < 2; i++) {
         waiting.put(++number, claim(number, "busy", Priority.NORMAL, 1, 0, 40));
       }
-      List<Claim> claims = new ArrayList<>();
-      for (Map.Entry<Integer, Claim> each : waiting.entrySet()) {
-        Claim claim = each.getValue();
+      List<DemandClaim> claims = new ArrayList<>();
+      for (Map.Entry<Integer, DemandClaim> each : waiting.entrySet()) {
+        DemandClaim claim = each.getValue();
         double age = claim.ageS() + 1;
         each.setValue(
-            new Claim(
+            new DemandClaim(
                 claim.id(),
                 claim.group(),
                 claim.rank(),
@@ -110,15 +110,15 @@
                 1,
                 0,
                 age,
-                List.of(new Goal(claim.goals().get(0).leftS() - 1, true))));
+                List.of(new Milestone(claim.goals().get(0).leftS() - 1, true))));
         claims.add(each.getValue());
       }
-      Map<JobId, Verdict> verdicts = look(claims, 1);
+      Map<JobId, JobRanking> verdicts = look(claims, 1);
       // As admission orders: turns, then priority, then what is in time, by its due time.
       claims.sort(
           (one, other) -> {
-            Verdict a = verdicts.get(one.id());
-            Verdict b = verdicts.get(other.id());
+            JobRanking a = verdicts.get(one.id());
+            JobRanking b = verdicts.get(other.id());
             int byTurn = Boolean.compare(b.turn() > 0, a.turn() > 0);
             int byRank = other.rank().compareTo(one.rank());
             int byStanding = a.standing().compareTo(b.standing());
@@ -128,7 +128,7 @@
                     ? byRank
                     : byStanding != 0 ? byStanding : Double.compare(a.order(), b.order());
           });
-      Claim first = claims.get(0);
+      DemandClaim first = claims.get(0);
       int index = Integer.parseInt(first.id().text().substring(4));
       overload.given(first.id(), 1);
       done.merge(index <= 2 ? first.group().team() + " large" : "small", 1.0, Double::sum);
@@ -137,7 +137,7 @@
       } else {
         waiting.put(
             index,
-            new Claim(
+            new DemandClaim(
                 first.id(),
                 first.group(),
                 first.rank(),
@@ -165,14 +165,14 @@
   /** Under another leader it begins anew, but what has waited long has its turn at once. */
   @Example
   void whatWaitedUnderAnotherLeaderIsNotYoungAgain() {
-    List<Claim> claims = new ArrayList<>();
+    List<DemandClaim> claims = new ArrayList<>();
     for (int i = 10; i < 200; i++) {
       claims.add(claim(i, "busy", Priority.NORMAL, 1, 1, 60));
     }
     claims.add(claim(1, "low", Priority.LOW, 50, 300, -200));
     look(claims, 0);
     look(claims, 4);
-    Verdict old = look(claims, 0.1).get(new JobId("job-1"));
+    JobRanking old = look(claims, 0.1).get(new JobId("job-1"));
     assertTrue(old.turn() > 0);
     Overload other = new Overload(SHARES);
     claims.set(claims.size() - 1, claim(1, "low", Priority.LOW, 50, 0, 60));
@@ -186,7 +186,7 @@
   /** What was seen counts more than what is assumed, the longer the more. */
   @Example
   void theFlowIsWhatIsSeen() {
-    Flow flow = new Flow();
+    ArrivalRate flow = new ArrivalRate();
     assertEquals(0.8, flow.rate(0.8));
     for (int i = 0; i < 100; i++) {
       flow.pass(1);
--- a/src/test/java/org/quincecross/overload/BeginningsTest.java
+++ b/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
@@ -13,16 +13,16 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.scheduling.Admission;
 import org.quincecross.scheduling.JobDemand;
 
@@ -30,7 +30,7 @@
  * The order of admission over minutes, with far more work than room: nobody whose limit allows it
  * waits past the bound.
  */
-class BeginningsTest {
+class StartGuaranteeTest {
   private static final double BOUND_S = 240;
   private static final Resources BLOCK = new Resources(48, 0, 192);
   private static final Resources MACHINE = new Resources(8, 0, 32);
@@ -96,7 +96,7 @@
    * A second: what has ended goes, what waits is admitted in the order, and blocks start what fits,
    * by priority and age.
    */
-  private void second(int now, Beginnings beginnings, Map<String, Team> teams) {
+  private void second(int now, StartGuarantee beginnings, Map<String, Team> teams) {
     List<Admission.Block> blocks = new ArrayList<>();
     for (String name : running.keySet()) {
       running
@@ -119,12 +119,12 @@
       blocks.add(block);
     }
     Map<String, Resources> use = new HashMap<>();
-    List<Beginnings.Waiting> waiting = new ArrayList<>();
+    List<StartGuarantee.Waiting> waiting = new ArrayList<>();
     for (Play each : jobs.values()) {
       use.merge(each.job.team(), each.job.taskResources().times(each.out), Resources::plus);
       if (!each.pool.isEmpty()) {
         waiting.add(
-            new Beginnings.Waiting(
+            new StartGuarantee.Waiting(
                 each.job.id(),
                 new Revision(each.submitted),
                 now - each.submitted,
@@ -137,7 +137,7 @@
     }
     Map<JobId, Integer> begin = beginnings.look(waiting, 30);
     List<JobDemand> demands = new ArrayList<>();
-    for (Beginnings.Waiting each : waiting) {
+    for (StartGuarantee.Waiting each : waiting) {
       Play play = jobs.get(each.id());
       demands.addAll(
           new JobDemand(
@@ -190,7 +190,10 @@
     jobs.values()
         .removeIf(
             each ->
-                each.pool.isEmpty() && each.out == 0 && each.begun >= 0 && each.job.taskCount() < 3);
+                each.pool.isEmpty()
+                    && each.out == 0
+                    && each.begun >= 0
+                    && each.job.taskCount() < 3);
   }
 
   @Property(tries = 8, seed = "5")
@@ -200,7 +203,7 @@
       queued.put(name, new ArrayList<>());
       running.put(name, new ArrayList<>());
     }
-    Beginnings beginnings = new Overload(new Shares(0.85, 1, 0.05, 0.05)).beginnings();
+    StartGuarantee beginnings = new Overload(new Shares(0.85, 1, 0.05, 0.05)).beginnings();
     double none = Double.POSITIVE_INFINITY;
     Map<String, Team> teams =
         Map.of(
@@ -255,13 +258,14 @@
   /** Every state from every other: only forward, and what has begun has begun. */
   @Example
   void statesGoForward() {
-    for (Beginnings.State state : Beginnings.State.values()) {
+    for (StartGuarantee.State state : StartGuarantee.State.values()) {
       for (double age = 0; age <= 300; age += 10) {
         for (boolean begun : new boolean[] {false, true}) {
-          Beginnings.State next = Beginnings.next(state, begun, age, 150, 200);
+          StartGuarantee.State next = StartGuarantee.next(state, begun, age, 150, 200);
           assertTrue(next.compareTo(state) >= 0, state + " to " + next);
-          assertEquals(begun || state == Beginnings.State.BEGUN, next == Beginnings.State.BEGUN);
-          assertTrue(age < 200 || next.compareTo(Beginnings.State.GUARANTEED) >= 0);
+          assertEquals(
+              begun || state == StartGuarantee.State.BEGUN, next == StartGuarantee.State.BEGUN);
+          assertTrue(age < 200 || next.compareTo(StartGuarantee.State.GUARANTEED) >= 0);
         }
       }
     }
--- a/src/test/java/org/quincecross/overload/InTimeTest.java
+++ b/src/test/java/org/quincecross/overload/TardinessMinimizerTest.java
@@ -18,11 +18,11 @@
 import org.quincecross.model.Priority;
 import org.quincecross.model.Revision;
 
-class InTimeTest {
-  static Claim claim(int number, double work, Goal... goals) {
-    return new Claim(
+class TardinessMinimizerTest {
+  static DemandClaim claim(int number, double work, Milestone... goals) {
+    return new DemandClaim(
         new JobId("job-" + number),
-        new Claim.Group("t", "c"),
+        new DemandClaim.Group("t", "c"),
         Priority.NORMAL,
         false,
         new Revision(number),
@@ -35,27 +35,27 @@
   }
 
   @Provide
-  static Arbitrary<List<Claim>> claims() {
-    Arbitrary<Claim> each =
+  static Arbitrary<List<DemandClaim>> claims() {
+    Arbitrary<DemandClaim> each =
         Combinators.combine(
                 Arbitraries.integers().between(1, 20), Arbitraries.integers().between(1, 40))
-            .as((work, due) -> claim(0, work, new Goal(due, true)));
+            .as((work, due) -> claim(0, work, new Milestone(due, true)));
     return each.list()
         .ofMinSize(1)
         .ofMaxSize(9)
         .map(
             list -> {
-              List<Claim> numbered = new ArrayList<>();
-              for (Claim claim : list) {
+              List<DemandClaim> numbered = new ArrayList<>();
+              for (DemandClaim claim : list) {
                 numbered.add(claim(numbered.size() + 1, claim.work(), claim.goals().get(0)));
               }
               return numbered;
             });
   }
 
-  private static boolean allInTime(List<Claim> claims) {
+  private static boolean allInTime(List<DemandClaim> claims) {
     double busy = 0;
-    for (Claim claim :
+    for (DemandClaim claim :
         claims.stream()
             .sorted(Comparator.comparingDouble(each -> each.goals().get(0).leftS()))
             .toList()) {
@@ -72,16 +72,17 @@
    * choices.
    */
   @Property(tries = 300, seed = "5")
-  void noChoiceKeepsMore(@ForAll("claims") List<Claim> claims) {
-    InTime inTime = new InTime(1);
+  void noChoiceKeepsMore(@ForAll("claims") List<DemandClaim> claims) {
+    TardinessMinimizer inTime = new TardinessMinimizer(1);
     inTime.take(claims);
-    List<Claim> kept = claims.stream().filter(claim -> inTime.dueS(claim.id()) != null).toList();
+    List<DemandClaim> kept =
+        claims.stream().filter(claim -> inTime.dueS(claim.id()) != null).toList();
     assertTrue(allInTime(kept));
     assertEquals(claims.size(), kept.size() + inTime.dropped().size());
     assertEquals(inTime.dropped().isEmpty(), inTime.fits());
     int most = 0;
     for (int choice = 0; choice < 1 << claims.size(); choice++) {
-      List<Claim> chosen = new ArrayList<>();
+      List<DemandClaim> chosen = new ArrayList<>();
       for (int i = 0; i < claims.size(); i++) {
         if ((choice >> i & 1) == 1) {
           chosen.add(claims.get(i));
@@ -100,14 +101,14 @@
    */
   @Example
   void triesTheNextGoal() {
-    InTime inTime = new InTime(0.5);
-    Claim large = claim(1, 20, new Goal(45, true), new Goal(90, true));
-    Claim small = claim(2, 5, new Goal(45, true));
+    TardinessMinimizer inTime = new TardinessMinimizer(0.5);
+    DemandClaim large = claim(1, 20, new Milestone(45, true), new Milestone(90, true));
+    DemandClaim small = claim(2, 5, new Milestone(45, true));
     inTime.take(List.of(large, small));
     assertEquals(45, inTime.dueS(small.id()));
     assertEquals(90, inTime.dueS(large.id()));
     assertTrue(!inTime.fits());
-    Claim lower = claim(3, 5, new Goal(59, true));
+    DemandClaim lower = claim(3, 5, new Milestone(59, true));
     inTime.take(List.of(lower));
     assertNull(inTime.dueS(lower.id()));
     assertEquals(List.of(lower), inTime.dropped());
@@ -117,9 +118,9 @@
   /** What nobody could do, or what nobody waits for, says nothing of how much there is to do. */
   @Example
   void whatIsLateAnywayIsNoSignOfTooMuch() {
-    InTime inTime = new InTime(1);
-    Claim hopeless = claim(1, 1, new Goal(-5, false));
-    Claim patient = claim(2, 1000);
+    TardinessMinimizer inTime = new TardinessMinimizer(1);
+    DemandClaim hopeless = claim(1, 1, new Milestone(-5, false));
+    DemandClaim patient = claim(2, 1000);
     inTime.take(List.of(hopeless, patient));
     assertEquals(List.of(hopeless), inTime.dropped());
     assertTrue(inTime.fits());
--- a/src/test/java/org/quincecross/peer/PeerCodecTest.java
+++ b/src/test/java/org/quincecross/peer/PeerCodecTest.java
@@ -13,16 +13,16 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 
 class PeerCodecTest {
@@ -97,7 +97,8 @@
   }
 
   @Property(tries = 200, seed = "6")
-  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerHeartbeat report) throws MalformedMessageException {
+  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerHeartbeat report)
+      throws MalformedMessageException {
     assertEquals(report, PeerCodec.read(PeerCodec.write(report)));
   }
 
--- a/src/test/java/org/quincecross/peer/PeerViewsTest.java
+++ b/src/test/java/org/quincecross/peer/PeerViewsTest.java
@@ -14,15 +14,15 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
-import org.quincecross.model.FencingToken;
 
 class PeerViewsTest {
   private static final ControllerId SENDER = new ControllerId("a");
@@ -201,7 +201,8 @@
                 List.of()),
             NOW));
     assertEquals(Map.of(), views.of(SENDER).blocks());
-    assertEquals(new PeerHeartbeat.Receipt(new Incarnation(1), 0, true), views.receipts().get(SENDER));
+    assertEquals(
+        new PeerHeartbeat.Receipt(new Incarnation(1), 0, true), views.receipts().get(SENDER));
   }
 
   @Example
--- a/src/test/java/org/quincecross/progress/ProgressWatchTest.java
+++ b/src/test/java/org/quincecross/progress/ProgressWatchTest.java
@@ -8,8 +8,8 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.quincecross.model.JobId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 class ProgressWatchTest {
   private static final JobId JOB = new JobId("job-1");
--- a/src/test/java/org/quincecross/protocol/FeaturesTest.java
+++ b/src/test/java/org/quincecross/protocol/FeaturesTest.java
@@ -48,7 +48,8 @@
             .most()
             .number());
     assertEquals(
-        Set.of("holds"), read("{\"rollout\": {}, \"agreed\": {\"holds\": {}}}").replicatedFeatures().keySet());
+        Set.of("holds"),
+        read("{\"rollout\": {}, \"agreed\": {\"holds\": {}}}").replicatedFeatures().keySet());
   }
 
   @ParameterizedTest
--- a/src/test/java/org/quincecross/protocol/JobCodecTest.java
+++ b/src/test/java/org/quincecross/protocol/JobCodecTest.java
@@ -17,9 +17,9 @@
 import net.jqwik.api.Provide;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 
 class JobCodecTest {
--- a/src/test/java/org/quincecross/protocol/SettingsTest.java
+++ b/src/test/java/org/quincecross/protocol/SettingsTest.java
@@ -10,8 +10,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.Endpoint;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.Endpoint;
 import org.quincecross.model.TimeSpan;
 
 class SettingsTest {
--- a/src/test/java/org/quincecross/quarantine/QuarantineTest.java
+++ b/src/test/java/org/quincecross/quarantine/QuarantineTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.TimeSpan;
 
 /** Sick machines and jobs with a mistake, told from one another. */
 class QuarantineTest {
@@ -148,7 +148,8 @@
   void aSuspectIsTriedEverMoreSeldomUntilItRuns() {
     SuspectJobs suspects = new SuspectJobs();
     JobId job = job(1);
-    assertEquals(Integer.MAX_VALUE, suspects.mayGo(new SuspectJobs.Look(job, 2, 9, 0, 5, 0), at(0)));
+    assertEquals(
+        Integer.MAX_VALUE, suspects.mayGo(new SuspectJobs.Look(job, 2, 9, 0, 5, 0), at(0)));
     int trials = 0;
     boolean out = false;
     double outSince = 0;
@@ -165,7 +166,8 @@
       }
     }
     assertTrue(trials >= 4 && trials <= 9, trials + " trials in ten minutes");
-    assertEquals(Integer.MAX_VALUE, suspects.mayGo(new SuspectJobs.Look(job, 0, 9, 1, 0, 0), at(600)));
+    assertEquals(
+        Integer.MAX_VALUE, suspects.mayGo(new SuspectJobs.Look(job, 0, 9, 1, 0, 0), at(600)));
     assertEquals(null, suspects.of(job));
   }
 
--- a/src/test/java/org/quincecross/quota/QuotaTest.java
+++ b/src/test/java/org/quincecross/quota/QuotaTest.java
@@ -47,7 +47,9 @@
 
   private static void assertBad(String message, NodeSpec... top) {
     assertEquals(
-        message, assertThrows(BadTree.class, () -> QuotaTree.of(List.of(top), TEAMS)).getMessage());
+        message,
+        assertThrows(InvalidQuotaTreeException.class, () -> QuotaTree.of(List.of(top), TEAMS))
+            .getMessage());
   }
 
   @Example
@@ -113,7 +115,7 @@
    * left as they did.
    */
   @Example
-  void aTeamThatThePlatformHasShrunkIsScaledAndSaid() throws BadTree {
+  void aTeamThatThePlatformHasShrunkIsScaledAndSaid() throws InvalidQuotaTreeException {
     NodeSpec tree =
         org(
             "a",
@@ -149,7 +151,7 @@
   void aFlatTreeDecidesAsTheLimitsDo(@ForAll long seed) {
     Random random = new Random(seed);
     QuotaTree tree = QuotaTree.flat(TEAMS);
-    QuotaBooks books = new QuotaBooks(tree);
+    QuotaUsage books = new QuotaUsage(tree);
     for (int step = 0; step < 60; step++) {
       Team team = TEAMS.get(random.nextInt(TEAMS.size()));
       QuotaTree.Node node = tree.of(team.name(), "c" + step);
@@ -163,7 +165,7 @@
   }
 
   @Example
-  void whyTasksWaitIsSaidLevelByLevelWithWhatWouldHaveToEnd() throws BadTree {
+  void whyTasksWaitIsSaidLevelByLevelWithWhatWouldHaveToEnd() throws InvalidQuotaTreeException {
     NodeSpec tree =
         node(
             "a",
@@ -173,7 +175,7 @@
             1,
             node("red", Kind.TEAM, 10, 40, 0),
             new NodeSpec("blue", Kind.TEAM, null, cpus(6), cpus(24), 1, 1, cpus(4), List.of()));
-    QuotaBooks books = new QuotaBooks(QuotaTree.of(List.of(tree), TEAMS));
+    QuotaUsage books = new QuotaUsage(QuotaTree.of(List.of(tree), TEAMS));
     QuotaTree.Node blue = books.tree().of("blue", "c");
     assertEquals(List.of(), Explanation.of(books, blue, cpus(2), 5));
     assertEquals(
@@ -240,7 +242,7 @@
     }
     try {
       return QuotaTree.of(top, teams);
-    } catch (BadTree e) {
+    } catch (InvalidQuotaTreeException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -254,7 +256,7 @@
   void whatIsNotLentCanAlwaysBeTaken(@ForAll long seed) {
     Random random = new Random(seed);
     QuotaTree tree = randomTree(random);
-    QuotaBooks books = new QuotaBooks(tree);
+    QuotaUsage books = new QuotaUsage(tree);
     List<QuotaTree.Node> nodes = tree.nodes();
     double[] own = new double[nodes.size()];
     for (int step = 0; step < 120; step++) {
@@ -288,7 +290,7 @@
   }
 
   @Example
-  void aChangeCostsTheDepthOfTheTreeWhateverItsSize() throws BadTree {
+  void aChangeCostsTheDepthOfTheTreeWhateverItsSize() throws InvalidQuotaTreeException {
     List<NodeSpec> many = new ArrayList<>();
     for (int i = 0; i < 9_000; i++) {
       many.add(org("o" + i, 0.001));
@@ -298,7 +300,7 @@
             "a",
             9,
             org("b", 9, node("red", Kind.TEAM, 9, 40, 1, node("x", Kind.WORKLOAD, 9, 40, 1)))));
-    QuotaBooks books = new QuotaBooks(QuotaTree.of(many, TEAMS));
+    QuotaUsage books = new QuotaUsage(QuotaTree.of(many, TEAMS));
     QuotaTree.Node leaf = books.tree().of("red", "x");
     books.add(leaf, cpus(1));
     books.room(leaf);
--- a/src/test/java/org/quincecross/quota/ReclaimTest.java
+++ b/src/test/java/org/quincecross/quota/ReclaimTest.java
@@ -14,15 +14,15 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.quota.NodeSpec.Kind;
 
 class ReclaimTest {
   private static final double MACHINE = 8;
 
   private final QuotaTree tree = tree();
-  private final QuotaBooks books = new QuotaBooks(tree);
+  private final QuotaUsage books = new QuotaUsage(tree);
   private final Map<MachineId, Resources> free = new LinkedHashMap<>();
   private final List<Reclaim.Unit> units = new ArrayList<>();
 
@@ -52,7 +52,7 @@
     }
     try {
       return QuotaTree.of(top, teams);
-    } catch (BadTree e) {
+    } catch (InvalidQuotaTreeException e) {
       throw new IllegalStateException(e);
     }
   }
@@ -78,7 +78,8 @@
       free.computeIfPresent(machine(machine), (m, room) -> room.minus(cpus(each)));
     }
     Reclaim.Unit unit =
-        new Reclaim.Unit(id, tree.of(team, "c"), cpus(each), places, rank, TimeSpan.ofSeconds(lostS));
+        new Reclaim.Unit(
+            id, tree.of(team, "c"), cpus(each), places, rank, TimeSpan.ofSeconds(lostS));
     units.add(unit);
     books.add(unit.node(), unit.total());
   }
--- a/src/test/java/org/quincecross/replicated/ReplicatedRecordModelTest.java
+++ b/src/test/java/org/quincecross/replicated/ReplicatedRecordModelTest.java
@@ -20,8 +20,8 @@
  * Agreed records as a small model, gone through whole: two controllers, three requests asked for
  * anywhere at any time and again, a leader that allocates one task, a holder that starts it,
  * crashes, and transactions that are applied whenever they like. The steps are those of {@link
- * ReplicatedRecord}. A guard holds as long as nothing has been written at its key since its controller last
- * read; so the states are finite.
+ * ReplicatedRecord}. A guard holds as long as nothing has been written at its key since its
+ * controller last read; so the states are finite.
  */
 class ReplicatedRecordModelTest {
   private static final int NODES = 2;
@@ -69,7 +69,8 @@
    * A transaction under way, or not answered: it is applied at any time, or never; a guard that has
    * failed makes it nothing.
    */
-  private record Txn(Write write, int request, ReplicatedRecord<Gate.State> next, boolean raises, int guards) {}
+  private record Txn(
+      Write write, int request, ReplicatedRecord<Gate.State> next, boolean raises, int guards) {}
 
   /** A state of everything. */
   private static final class State implements Cloneable {
@@ -84,7 +85,9 @@
     private int changes;
     private int changed;
     private int told;
-    private ReplicatedRecord<?>[] known = {ReplicatedRecord.none(GATE), ReplicatedRecord.none(GATE)};
+    private ReplicatedRecord<?>[] known = {
+      ReplicatedRecord.none(GATE), ReplicatedRecord.none(GATE)
+    };
     private boolean[] knownAllocated = new boolean[NODES];
     private int[] stale = new int[NODES];
     private Txn[] txn = new Txn[NODES];
--- a/src/test/java/org/quincecross/requests/RequestModelTest.java
+++ b/src/test/java/org/quincecross/reservation/RequestModelTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.requests;
+package org.quincecross.reservation;
 
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import org.quincecross.model.Resources;
 import org.quincecross.replicated.CommandOrigin;
 import org.quincecross.replicated.Transition;
-import org.quincecross.model.Resources;
 
 /**
  * A request and room for one task as a small model, gone through whole: two controllers that are
--- a/src/test/java/org/quincecross/requests/ReservationTest.java
+++ b/src/test/java/org/quincecross/reservation/ReservationTest.java
@@ -1,4 +1,4 @@
-package org.quincecross.requests;
+package org.quincecross.reservation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,8 +13,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Resources;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.Team;
 
 /**
--- a/src/test/java/org/quincecross/rollout/SwitchModelTest.java
+++ b/src/test/java/org/quincecross/rollout/FeatureLevelModelTest.java
@@ -21,7 +21,7 @@
  * is on a key, and holds as long as nothing has been written there since its controller last read;
  * so no versions need be counted, and the states are finite.
  */
-class SwitchModelTest {
+class FeatureLevelModelTest {
   private static final int NODES = 3;
 
   /**
--- a/src/test/java/org/quincecross/rollout/RolloutTest.java
+++ b/src/test/java/org/quincecross/rollout/RolloutTest.java
@@ -12,14 +12,14 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.Incarnation;
 import org.quincecross.model.MonotonicTime;
 
 class RolloutTest {
   private static final Set<ControllerId> ALL =
       Set.of(new ControllerId("a"), new ControllerId("b"), new ControllerId("c"));
-  private static final Level ANY = new Level(Level.MOST);
+  private static final FeatureLevel ANY = new FeatureLevel(FeatureLevel.MOST);
 
   private static MonotonicTime at(double seconds) {
     return new MonotonicTime((long) (seconds * 1e9));
@@ -34,7 +34,7 @@
   }
 
   private static Rollout.Site site(int level, Map<ControllerId, Rollout.Alive> alive) {
-    return new Rollout.Site(new Level(level), ALL, alive, ANY, 0, 0);
+    return new Rollout.Site(new FeatureLevel(level), ALL, alive, ANY, 0, 0);
   }
 
   /** Through the states of a roll, and back. */
@@ -51,24 +51,32 @@
     assertEquals(Rollout.State.STEADYING, rollout.look(site(1, all(2, 2)), at(2)).state());
     assertEquals(Rollout.State.STEADYING, rollout.look(site(1, all(2, 2)), at(11.9)).state());
     Rollout.Decision ready = rollout.look(site(1, all(2, 2)), at(12.1));
-    assertEquals(new Level(2), ready.to());
+    assertEquals(new FeatureLevel(2), ready.to());
     assertEquals(
         Rollout.State.MIGRATING,
-        rollout.look(new Rollout.Site(new Level(1), ALL, all(2, 2), ANY, 3, 0), at(13)).state());
+        rollout
+            .look(new Rollout.Site(new FeatureLevel(1), ALL, all(2, 2), ANY, 3, 0), at(13))
+            .state());
     assertEquals(
         Rollout.State.HELD,
         rollout
-            .look(new Rollout.Site(new Level(1), ALL, all(2, 2), Level.FIRST, 0, 0), at(13))
+            .look(
+                new Rollout.Site(new FeatureLevel(1), ALL, all(2, 2), FeatureLevel.FIRST, 0, 0),
+                at(13))
             .state());
     assertEquals(
         Rollout.State.LOWERING,
         rollout
-            .look(new Rollout.Site(new Level(2), ALL, all(2, 2), Level.FIRST, 0, 4), at(14))
+            .look(
+                new Rollout.Site(new FeatureLevel(2), ALL, all(2, 2), FeatureLevel.FIRST, 0, 4),
+                at(14))
             .state());
     assertEquals(
-        Level.FIRST,
+        FeatureLevel.FIRST,
         rollout
-            .look(new Rollout.Site(new Level(2), ALL, all(2, 2), Level.FIRST, 0, 0), at(15))
+            .look(
+                new Rollout.Site(new FeatureLevel(2), ALL, all(2, 2), FeatureLevel.FIRST, 0, 0),
+                at(15))
             .to());
   }
 
@@ -116,7 +124,8 @@
   void whoCounts() {
     Rollout rollout = new Rollout();
     Map<ControllerId, Rollout.Alive> alive = all(2, 2);
-    alive.put(new ControllerId("stranger"), new Rollout.Alive(Build.BEFORE_LEVELS, new Incarnation(7)));
+    alive.put(
+        new ControllerId("stranger"), new Rollout.Alive(Build.BEFORE_LEVELS, new Incarnation(7)));
     rollout.look(site(1, alive), at(0));
     assertNull(rollout.look(site(1, alive), at(30)).to());
     alive = all(2, 2);
@@ -124,9 +133,16 @@
     assertNull(rollout.look(site(1, alive), at(60)).to());
     Rollout.Site without =
         new Rollout.Site(
-            Level.FIRST, Set.of(new ControllerId("a"), new ControllerId("b")), alive, ANY, 0, 0);
-    assertEquals(new Level(2), rollout.look(without, at(80)).to());
-    assertThrows(IllegalArgumentException.class, () -> new Build("b", new Level(3), new Level(2)));
+            FeatureLevel.FIRST,
+            Set.of(new ControllerId("a"), new ControllerId("b")),
+            alive,
+            ANY,
+            0,
+            0);
+    assertEquals(new FeatureLevel(2), rollout.look(without, at(80)).to());
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> new Build("b", new FeatureLevel(3), new FeatureLevel(2)));
     assertThrows(IllegalArgumentException.class, () -> Build.present("b", 0));
   }
 }
--- a/src/test/java/org/quincecross/scheduling/AdmissionTest.java
+++ b/src/test/java/org/quincecross/scheduling/AdmissionTest.java
@@ -17,16 +17,16 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.Size;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 
 class AdmissionTest {
   private static final Team TEAM =
@@ -139,7 +139,8 @@
               .values()
               .forEach(count -> assertTrue(count <= job.maxTasksPerZone(), "spread over zones"));
           assertTrue(
-              job.kind() != JobKind.GANG || out.get(id).size() == job.taskCount(), "a gang goes whole");
+              job.kind() != JobKind.GANG || out.get(id).size() == job.taskCount(),
+              "a gang goes whole");
         });
   }
 
--- a/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
+++ b/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.ShardId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
+import org.quincecross.model.TimeSpan;
 
 /**
  * Room for six tasks of two processors kept for the lane "front", in one block of sixteen
@@ -48,7 +48,8 @@
             4000);
   }
 
-  private Job job(String lane, String team, JobKind shape, Priority rank, int tasks, double savesInS) {
+  private Job job(
+      String lane, String team, JobKind shape, Priority rank, int tasks, double savesInS) {
     return new Job(
         new JobId("job-" + ++number),
         lane,
@@ -110,12 +111,14 @@
   void whatSavesWithinASecondMayBorrowAndLeavesOthersTheirRoom() {
     Job quick = job("quick", "other", JobKind.ARRAY, Priority.NORMAL, 12, 1);
     block.count(quick, 12, 12, false);
-    assertEquals(List.of(4), admitted(job("plain", "other", JobKind.ARRAY, Priority.NORMAL, 20, 0)));
+    assertEquals(
+        List.of(4), admitted(job("plain", "other", JobKind.ARRAY, Priority.NORMAL, 20, 0)));
   }
 
   @Test
   void whatSavesSlowlyKeepsOut() {
-    assertEquals(List.of(4), admitted(job("slow", "other", JobKind.ARRAY, Priority.NORMAL, 20, 1.5)));
+    assertEquals(
+        List.of(4), admitted(job("slow", "other", JobKind.ARRAY, Priority.NORMAL, 20, 1.5)));
   }
 
   /**
--- a/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
+++ b/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
@@ -20,13 +20,13 @@
 import net.jqwik.api.constraints.Size;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
 
 class ShardSchedulerTest {
   private static final Resources MACHINE = new Resources(8, 0, 32);
@@ -126,7 +126,8 @@
     ShardScheduler block = block(3);
     Job job = job(1, JobKind.GANG, Priority.NORMAL, 3, 6, 1);
     QueueEntry gang =
-        new QueueEntry(job, IntStream.range(0, 3).mapToObj(job.id()::task).toList(), new Revision(1));
+        new QueueEntry(
+            job, IntStream.range(0, 3).mapToObj(job.id()::task).toList(), new Revision(1));
     block.enqueue(gang);
     block.update(new MachineId("m2"), new Resources(4, 0, 0), Resources.NONE, true);
     assertTrue(block.schedule(NOW).isEmpty());
@@ -178,7 +179,8 @@
     assertTrue(block.schedule(NOW).isEmpty(), "room can be made at once next to the image");
     Job other = job(2, JobKind.ARRAY, Priority.NORMAL, 1, 2, 1);
     Preemption.Running victim =
-        new Preemption.Running(other.id().task(0), withImage, Priority.NORMAL, false, two, false, NOW);
+        new Preemption.Running(
+            other.id().task(0), withImage, Priority.NORMAL, false, two, false, NOW);
     assertEquals(
         List.of(victim), new Preemption(block, List.of(victim), Map.of()).makeRoom(urgent, false));
     assertEquals(
@@ -202,14 +204,28 @@
     for (int i = 0; i < 3; i++) {
       block.update(machines.get(i), MACHINE, Resources.NONE, true);
       for (int half = 0; half < 2; half++) {
-        Job job = job(100 + 2 * i + half, JobKind.ARRAY, i < 2 ? Priority.LOW : Priority.NORMAL, 1, 4, 16);
+        Job job =
+            job(
+                100 + 2 * i + half,
+                JobKind.ARRAY,
+                i < 2 ? Priority.LOW : Priority.NORMAL,
+                1,
+                4,
+                16);
         running.add(
             new Preemption.Running(
-                job.id().task(0), machines.get(i), job.priority(), half == 1, job.taskResources(), true, NOW));
+                job.id().task(0),
+                machines.get(i),
+                job.priority(),
+                half == 1,
+                job.taskResources(),
+                true,
+                NOW));
       }
     }
     Job wide = job(1, JobKind.GANG, Priority.NORMAL, 2, 8, 32);
-    QueueEntry gang = new QueueEntry(wide, List.of(wide.id().task(0), wide.id().task(1)), new Revision(1));
+    QueueEntry gang =
+        new QueueEntry(wide, List.of(wide.id().task(0), wide.id().task(1)), new Revision(1));
     block.enqueue(gang);
     assertEquals(
         new HashSet<>(running.subList(0, 4)),
@@ -266,7 +282,9 @@
           if (!running.isEmpty()) {
             ShardScheduler.Start over = running.remove(step.number() % running.size());
             used.merge(
-                over.machines().get(0), over.entry().job().taskResources().times(-1), Resources::plus);
+                over.machines().get(0),
+                over.entry().job().taskResources().times(-1),
+                Resources::plus);
           }
         }
         default -> {
--- a/src/test/java/org/quincecross/shard/AgentSessionTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.quincecross.model.Endpoint;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
-import org.quincecross.model.FencingToken;
 import org.quincecross.protocol.Heartbeat;
 
 class AgentSessionTest {
@@ -21,7 +21,8 @@
 
   private final Machine machine =
       new Machine(new MachineId("m-1"), new Endpoint("10.0.0.9", 9000), "box", "a", false);
-  private final AgentSession session = new AgentSession(machine, new Resources(8, 0, 32), 10, at(0), at(0));
+  private final AgentSession session =
+      new AgentSession(machine, new Resources(8, 0, 32), 10, at(0), at(0));
 
   private static MonotonicTime at(double seconds) {
     return MonotonicTime.ZERO.plus(TimeSpan.ofSeconds(seconds));
--- a/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
@@ -9,24 +9,24 @@
 import org.junit.jupiter.api.Test;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Attempt;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
+import org.quincecross.protocol.Heartbeat;
+import org.quincecross.protocol.Json;
+import org.quincecross.rollout.AnnouncedLimits;
 import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ControllerRecord;
-import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Heartbeat;
 
 /**
  * A machine whose reports do not arrive while direct commands do, and whose session began after the
@@ -153,7 +153,7 @@
                     new Incarnation(2),
                     "z",
                     Build.BEFORE_LEVELS,
-                    Terms.NONE,
+                    AnnouncedLimits.NONE,
                     new Revision(1)))
             .write());
     holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
@@ -162,8 +162,7 @@
     for (double at = 0; at < 120 && Double.isNaN(startedAt); at += 0.25) {
       if (at % 5 == 1) {
         holder.answer(
-            new Heartbeat(
-                MACHINE, 1 + (long) (at / 10), ++order, former.token(), null, List.of()));
+            new Heartbeat(MACHINE, 1 + (long) (at / 10), ++order, former.token(), null, List.of()));
       }
       if (at % 1 == 0) {
         holder.answer(
@@ -199,7 +198,7 @@
                       new Incarnation(life),
                       "z",
                       Build.BEFORE_LEVELS,
-                      Terms.NONE,
+                      AnnouncedLimits.NONE,
                       new Revision(1)))
               .write());
     }
@@ -212,15 +211,19 @@
               }
             },
             ledger.blocks().get(BLOCK));
-    List<Heartbeat.Piece> runs =
-        List.of(piece(new Attempt(77), Heartbeat.TaskState.RUNNING, null));
+    List<Heartbeat.Piece> runs = List.of(piece(new Attempt(77), Heartbeat.TaskState.RUNNING, null));
     double startedAt = Double.NaN;
     for (double at = 0; at < 40 && Double.isNaN(startedAt); at += 0.25) {
       if (at == 5) {
         assertNotNull(
             holder.answer(
                 new Heartbeat(
-                    MACHINE, 1, 5, new FencingToken(holder.lease().token().number() - 1), null, runs)));
+                    MACHINE,
+                    1,
+                    5,
+                    new FencingToken(holder.lease().token().number() - 1),
+                    null,
+                    runs)));
       } else if (at == 12) {
         holder.answer(new Heartbeat(MACHINE, 1, 10, new FencingToken(before), null, List.of()));
       }
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -10,44 +10,44 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Attempt;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
+import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
-import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.StillClock;
 import org.quincecross.net.Timers;
-import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
-import org.quincecross.scheduling.Headroom;
-import org.quincecross.state.Allocation;
-import org.quincecross.state.ShardLease;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ClusterStateCache;
-import org.quincecross.state.CacheTestSupport;
-import org.quincecross.state.ControllerRecord;
 import org.quincecross.protocol.CloudCodec;
-import org.quincecross.protocol.Json;
-import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.Heartbeat;
 import org.quincecross.protocol.Heartbeat.Cause;
 import org.quincecross.protocol.Heartbeat.Piece;
 import org.quincecross.protocol.Heartbeat.TaskState;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.Settings;
+import org.quincecross.rollout.AnnouncedLimits;
+import org.quincecross.rollout.Build;
+import org.quincecross.scheduling.Headroom;
+import org.quincecross.state.Allocation;
+import org.quincecross.state.CacheTestSupport;
+import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.ControllerRecord;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.ShardLease;
+import org.quincecross.state.StoreKeys;
 
 /**
  * A holder of a block of one machine, which has room for two tasks, with the messages of both in
@@ -155,7 +155,14 @@
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
-                    "t", new Resources(8, 0, 8), 10, 1, 1, 1, TimeSpan.ofSeconds(5), List.of("z")))));
+                    "t",
+                    new Resources(8, 0, 8),
+                    10,
+                    1,
+                    1,
+                    1,
+                    TimeSpan.ofSeconds(5),
+                    List.of("z")))));
     Job job =
         new Job(
             TASK.job(),
@@ -186,7 +193,7 @@
                     new Incarnation(1),
                     "z",
                     Build.BEFORE_LEVELS,
-                    Terms.NONE,
+                    AnnouncedLimits.NONE,
                     new Revision(1)),
                 MACHINE)
             .write());
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -18,38 +18,38 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import org.quincecross.replicated.StartBlock;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Attempt;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
+import org.quincecross.model.FencingToken;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
-import org.quincecross.model.Revision;
-import org.quincecross.model.TimeSpan;
 import org.quincecross.model.MonotonicTime;
+import org.quincecross.model.Revision;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.model.FencingToken;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
-import org.quincecross.state.Allocation;
-import org.quincecross.state.JobRecord;
-import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ControllerRecord;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
-import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Heartbeat;
 import org.quincecross.protocol.Heartbeat.Cause;
 import org.quincecross.protocol.Heartbeat.Piece;
 import org.quincecross.protocol.Heartbeat.TaskState;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.StartBlock;
+import org.quincecross.rollout.AnnouncedLimits;
+import org.quincecross.rollout.Build;
+import org.quincecross.state.Allocation;
+import org.quincecross.state.ControllerRecord;
+import org.quincecross.state.JobRecord;
+import org.quincecross.state.StoreKeys;
 
 /**
  * A holder and three workers, with everything between them drawn: commands, reports and the answers
@@ -219,7 +219,7 @@
                       new Incarnation(1),
                       "z",
                       Build.BEFORE_LEVELS,
-                      Terms.NONE,
+                      AnnouncedLimits.NONE,
                       new Revision(1)))
               .write());
       context = new Wild();
--- a/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
+++ b/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
@@ -10,10 +10,10 @@
 import org.quincecross.model.Attempt;
 import org.quincecross.model.FencingToken;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.state.StoreKeys;
 import org.quincecross.protocol.Heartbeat;
 import org.quincecross.protocol.Heartbeat.Piece;
 import org.quincecross.protocol.Heartbeat.TaskState;
+import org.quincecross.state.StoreKeys;
 
 /**
  * Until when a machine is answered that may have a cancelled task which the answer does not stop
--- a/src/test/java/org/quincecross/shard/WaitingJobTest.java
+++ b/src/test/java/org/quincecross/shard/WaitingJobTest.java
@@ -7,25 +7,25 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
+import org.quincecross.protocol.CloudCodec;
+import org.quincecross.rollout.AnnouncedLimits;
 import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.ShardLease;
+import org.quincecross.state.ControllerRecord;
 import org.quincecross.state.JobRecord;
+import org.quincecross.state.ShardLease;
 import org.quincecross.state.StoreKeys;
-import org.quincecross.state.ControllerRecord;
-import org.quincecross.protocol.CloudCodec;
 
 /**
  * A holder starts nothing of a job that waits for another, whatever its block has been given: that
@@ -66,7 +66,14 @@
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
-                    "t", new Resources(8, 0, 8), 10, 1, 1, 1, TimeSpan.ofSeconds(5), List.of("z")))));
+                    "t",
+                    new Resources(8, 0, 8),
+                    10,
+                    1,
+                    1,
+                    1,
+                    TimeSpan.ofSeconds(5),
+                    List.of("z")))));
     put(
         StoreKeys.block(BLOCK),
         ShardLease.first(
@@ -76,7 +83,7 @@
                     new Incarnation(1),
                     "z",
                     Build.BEFORE_LEVELS,
-                    Terms.NONE,
+                    AnnouncedLimits.NONE,
                     new Revision(1)),
                 MACHINE)
             .write());
--- a/src/test/java/org/quincecross/state/AllocationDeltaTest.java
+++ b/src/test/java/org/quincecross/state/AllocationDeltaTest.java
@@ -11,8 +11,8 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskSet;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 class AllocationDeltaTest {
   private static Map<JobId, TaskSet> tasks(Random random) {
--- a/src/test/java/org/quincecross/state/CacheTestSupport.java
+++ b/src/test/java/org/quincecross/state/CacheTestSupport.java
@@ -3,15 +3,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.quincecross.model.Revision;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 /** Lets tests of other packages change a ledger as the follower does. */
 public final class CacheTestSupport {
   private CacheTestSupport() {}
 
   /** As it comes from the state service: through JSON. */
-  public static void put(ClusterStateCache ledger, String key, Map<String, Object> value, long revision) {
+  public static void put(
+      ClusterStateCache ledger, String key, Map<String, Object> value, long revision) {
     try {
       ledger.apply(
           key, value == null ? null : Json.parse(Json.write(value)), new Revision(revision));
@@ -25,13 +26,16 @@
   }
 
   /** Reads all records anew; each was last changed with {@code revision}. */
-  public static void load(ClusterStateCache ledger, Map<String, Map<String, Object>> values, long revision) {
+  public static void load(
+      ClusterStateCache ledger, Map<String, Map<String, Object>> values, long revision) {
     Map<String, ClusterStateCache.StateEntry> entries = new LinkedHashMap<>();
     values.forEach(
         (key, value) -> {
           try {
             entries.put(
-                key, new ClusterStateCache.StateEntry(Json.parse(Json.write(value)), new Revision(revision)));
+                key,
+                new ClusterStateCache.StateEntry(
+                    Json.parse(Json.write(value)), new Revision(revision)));
           } catch (MalformedMessageException e) {
             throw new IllegalArgumentException(e);
           }
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -11,22 +11,22 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.quincecross.GoldenFiles;
-import org.quincecross.replicated.ReplicatedRecord;
-import org.quincecross.replicated.RecordKind;
-import org.quincecross.replicated.AuditPage;
-import org.quincecross.replicated.MalformedRecordException;
-import org.quincecross.holds.ClaimKind;
-import org.quincecross.holds.HoldKind;
-import org.quincecross.holds.SweepKind;
-import org.quincecross.model.ShardId;
+import org.quincecross.legalhold.ClaimKind;
+import org.quincecross.legalhold.LegalHoldKind;
+import org.quincecross.legalhold.SweepKind;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
-import org.quincecross.models.ModelKind;
-import org.quincecross.requests.RequestKind;
-import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.model.ShardId;
+import org.quincecross.modelserving.ModelKind;
 import org.quincecross.protocol.CloudCodec;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.replicated.AuditPage;
+import org.quincecross.replicated.MalformedRecordException;
+import org.quincecross.replicated.RecordKind;
+import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.reservation.RequestKind;
 
 /**
  * Records as builds before wrote them are read, and are the same bytes when they are written again.
@@ -36,7 +36,8 @@
   private static final RequestKind REQUESTS = new RequestKind(request -> null, 86_400_000);
 
   @Test
-  void recordsAreReadAndWrittenByteForByte() throws IOException, MalformedMessageException, MalformedRecordException {
+  void recordsAreReadAndWrittenByteForByte()
+      throws IOException, MalformedMessageException, MalformedRecordException {
     TreeSet<String> kinds = new TreeSet<>();
     for (String[] line : GoldenFiles.messages("record ")) {
       Object value = Json.parse(line[2].getBytes(StandardCharsets.UTF_8));
@@ -72,7 +73,7 @@
   void allRecordsCanBeRead() throws IOException, MalformedMessageException {
     ClusterStateCache ledger = new ClusterStateCache();
     for (RecordKind<?, ?> kind :
-        List.of(new HoldKind(), new ClaimKind(), new SweepKind(), REQUESTS, new ModelKind())) {
+        List.of(new LegalHoldKind(), new ClaimKind(), new SweepKind(), REQUESTS, new ModelKind())) {
       ledger.agreed().add(kind);
     }
     for (String[] line : GoldenFiles.messages("record ")) {
@@ -84,7 +85,8 @@
         ledger.members().size() >= 3 && ledger.leader() != null && !ledger.types().isEmpty());
   }
 
-  private static Object again(String key, Object value) throws MalformedMessageException, MalformedRecordException {
+  private static Object again(String key, Object value)
+      throws MalformedMessageException, MalformedRecordException {
     String[] parts = key.split("/");
     return switch (parts[1]) {
       case "job" -> job(JobRecord.read(new JobId(parts[2]), value, VERSION));
@@ -110,8 +112,11 @@
       case "done" ->
           CompletedTasks.write(
               CompletedTasks.read(value, Integer.parseInt(parts[3])), Integer.parseInt(parts[3]));
-      case "page" -> CompletedTasks.writePage(TaskSetCodec.read(JsonFields.of(value, "a page").fields("jobs")));
-      case "type" -> CloudCodec.writeCatalog(CloudCodec.readCatalog(JsonFields.of(value, "a type")));
+      case "page" ->
+          CompletedTasks.writePage(
+              TaskSetCodec.read(JsonFields.of(value, "a page").fields("jobs")));
+      case "type" ->
+          CloudCodec.writeCatalog(CloudCodec.readCatalog(JsonFields.of(value, "a type")));
       case "level" -> FeatureLevelRecord.write(FeatureLevelRecord.read(value, VERSION).level());
       case "settings" -> OperatorSettings.readRecord(value, OperatorSettings.DEFAULTS).write();
       case "agreed" ->
@@ -137,7 +142,7 @@
 
   private static RecordKind<?, ?> kind(String name) {
     return switch (name) {
-      case "holds" -> new HoldKind();
+      case "holds" -> new LegalHoldKind();
       case "claims" -> new ClaimKind();
       case "sweeps" -> new SweepKind();
       case "requests" -> REQUESTS;
@@ -146,7 +151,8 @@
     };
   }
 
-  private static <S> Object agreed(RecordKind<S, ?> kind, Object value) throws MalformedRecordException {
+  private static <S> Object agreed(RecordKind<S, ?> kind, Object value)
+      throws MalformedRecordException {
     return ReplicatedRecord.read(kind, value).write(kind);
   }
 }
--- a/src/test/java/org/quincecross/state/JobIndexTest.java
+++ b/src/test/java/org/quincecross/state/JobIndexTest.java
@@ -17,20 +17,20 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Assertions;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.JobPhase;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.JobCodec;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
+import org.quincecross.protocol.MalformedMessageException;
 
 class JobIndexTest {
   private final ClusterStateCache ledger = new ClusterStateCache();
@@ -116,7 +116,8 @@
     readAsBefore(JobRecord.bundle(List.of(plain)));
     Assertions.assertThrows(MalformedMessageException.class, () -> readAsBefore(waits));
     Assertions.assertThrows(
-        MalformedMessageException.class, () -> readAsBefore(JobRecord.bundle(List.of(plain, waits))));
+        MalformedMessageException.class,
+        () -> readAsBefore(JobRecord.bundle(List.of(plain, waits))));
     JobRecord read = JobRecord.read(id(2), Json.parse(Json.write(waits)), new Revision(3));
     readAsBefore(read.cancelled(9));
     readAsBefore(read.done());
--- a/src/test/java/org/quincecross/state/OperatorSettingsTest.java
+++ b/src/test/java/org/quincecross/state/OperatorSettingsTest.java
@@ -9,8 +9,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 
 class OperatorSettingsTest {
   private static OperatorSettings read(String json) throws MalformedMessageException {
--- a/src/test/java/org/quincecross/state/QuotaRecordTest.java
+++ b/src/test/java/org/quincecross/state/QuotaRecordTest.java
@@ -11,10 +11,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.quincecross.model.Resources;
+import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.quota.NodeSpec;
 import org.quincecross.quota.NodeSpec.Kind;
-import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.protocol.Json;
 
 class QuotaRecordTest {
   private static double amount(Random random, double leftOut) {
@@ -76,7 +76,8 @@
 
   private static void assertBad(String message, String nodes) {
     byte[] json = ("{\"nodes\":[" + nodes + "]}").getBytes(StandardCharsets.UTF_8);
-    assertEquals(message, assertThrows(MalformedMessageException.class, () -> read(json)).getMessage());
+    assertEquals(
+        message, assertThrows(MalformedMessageException.class, () -> read(json)).getMessage());
   }
 
   @Example
--- a/src/test/java/org/quincecross/state/RecordsTest.java
+++ b/src/test/java/org/quincecross/state/RecordsTest.java
@@ -14,25 +14,25 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
-import org.quincecross.model.ShardId;
+import org.quincecross.model.ControllerId;
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
+import org.quincecross.model.JobKind;
 import org.quincecross.model.JobPhase;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
-import org.quincecross.model.JobKind;
-import org.quincecross.model.TimeSpan;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
-import org.quincecross.rollout.Build;
-import org.quincecross.rollout.Terms;
-import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.MalformedMessageException;
+import org.quincecross.rollout.AnnouncedLimits;
+import org.quincecross.rollout.Build;
 
 class RecordsTest {
   private static final int SMALLEST_VALUE = 1024;
@@ -100,7 +100,7 @@
             new Incarnation(7),
             "z",
             Build.BEFORE_LEVELS,
-            Terms.NONE,
+            AnnouncedLimits.NONE,
             new Revision(3));
     Map<String, Object> block = ShardLease.first(new ShardId("b"), member, machine).write();
     block.putAll(extra);
