--- a/src/main/java/org/quincecross/admin/AccountingLog.java
+++ b/src/main/java/org/quincecross/admin/AccountingLog.java
@@ -42,48 +42,48 @@
   private static final int MOST_TEAMS = 50;
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final Leader leader;
   private final LongSupplier clockMs;
   private final TimeSpan every;
-  private final StartBlock withheld;
+  private final StartBlock startBlock;
   private final JobAccounting books;
 
   /**
    * @param clockMs tells the time of day
    * @param every how often the leader logs it
-   * @param withheld tasks that may not run now: that they do not is nobody's fault
+   * @param startBlock tasks that may not run now: that they do not is nobody's fault
    */
   public AccountingLog(
       Timers timers,
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       Leader leader,
       Settings settings,
       LongSupplier clockMs,
       TimeSpan every,
-      StartBlock withheld) {
+      StartBlock startBlock) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.cache = cache;
     this.leader = leader;
     this.clockMs = clockMs;
     this.every = every;
-    this.withheld = withheld;
+    this.startBlock = startBlock;
     this.books =
         new JobAccounting(
             job -> {
-              JobRecord record = ledger.asRecorded(job.id());
+              JobRecord record = cache.storedJob(job.id());
               return settings.objectivesOf(
-                  job, TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+                  job, TimeSpan.ofMillis(cache.runnableSinceMs(record) - record.acceptedMs()));
             });
   }
 
   public void start() {
-    ledger.listen(this::ledgerChanged);
+    cache.addListener(this::ledgerChanged);
     leader.listen((job, more, reached) -> books.started(job, reached, timers.now()));
     timers.every(
         LOOK_EVERY,
         () -> {
-          if (ledger.isLoaded()) {
+          if (cache.isLoaded()) {
             leader.lookAtBooks();
           }
         });
@@ -93,24 +93,24 @@
   private void ledgerChanged(ClusterStateCache.Changes changes) {
     MonotonicTime now = timers.now();
     for (JobId id : changes.jobs()) {
-      JobRecord record = ledger.job(id);
+      JobRecord record = cache.job(id);
       if (record == null) {
         continue;
       }
       switch (record.phase()) {
         case OPEN -> {
-          if (ledger.pipelines().waits(id)) {
+          if (cache.dependencyGraph().waits(id)) {
             continue; // nothing is expected of it before it can run
           }
           TimeSpan age =
-              TimeSpan.ofMillis(Math.max(0, clockMs.getAsLong() - ledger.readyMs(record)));
+              TimeSpan.ofMillis(Math.max(0, clockMs.getAsLong() - cache.runnableSinceMs(record)));
           MonotonicTime accepted = new MonotonicTime(now.nanos() - age.nanos());
           if (changes.reloaded()) {
-            books.found(ledger.asRecorded(id).job(), accepted);
+            books.found(cache.storedJob(id).job(), accepted);
           } else {
-            books.accepted(ledger.asRecorded(id).job(), accepted);
+            books.accepted(cache.storedJob(id).job(), accepted);
           }
-          books.withheld(id, withheld.of(record.job()).size(), now);
+          books.withheld(id, startBlock.of(record.job()).size(), now);
         }
         case DONE -> books.done(id, now);
         case CANCELLED -> books.cancelled(id, now);
@@ -122,9 +122,9 @@
   /** Other tasks of some jobs are kept back than before. */
   public void withheldChanged(Set<JobId> jobs) {
     for (JobId id : jobs) {
-      JobRecord record = ledger.job(id);
+      JobRecord record = cache.job(id);
       if (record != null && record.phase() == JobPhase.OPEN) {
-        books.withheld(id, withheld.of(record.job()).size(), timers.now());
+        books.withheld(id, startBlock.of(record.job()).size(), timers.now());
       }
     }
   }
@@ -141,7 +141,7 @@
   }
 
   private void log() {
-    if (!leader.isLeading() || !ledger.isLoaded()) {
+    if (!leader.isLeading() || !cache.isLoaded()) {
       return;
     }
     MonotonicTime now = timers.now();
@@ -214,7 +214,7 @@
   /** For the status: each team and class, least served first. */
   List<Object> write() {
     MonotonicTime now = timers.now();
-    List<Map.Entry<String, ServiceLevels>> teams = ledger.isLoaded() ? teams(now) : List.of();
+    List<Map.Entry<String, ServiceLevels>> teams = cache.isLoaded() ? teams(now) : List.of();
     Map<JobAccounting.Group, ServiceLevels> groups = books.groups(now);
     List<Object> list = new ArrayList<>();
     for (Map.Entry<String, ServiceLevels> team : teams) {
--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -38,11 +38,11 @@
   private static final Logger LOG = LoggerFactory.getLogger(AdminApi.class);
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
-  private final StateWatcher follower;
+  private final ClusterStateCache cache;
+  private final StateWatcher watcher;
   private final Membership membership;
-  private final KeyValueStoreClient client;
-  private final OwnedShards holdings;
+  private final KeyValueStoreClient store;
+  private final OwnedShards ownedShards;
   private final Leader leader;
   private final Metrics metrics;
   private final StallDetector stalls;
@@ -55,11 +55,11 @@
    */
   public AdminApi(
       Timers timers,
-      ClusterStateCache ledger,
-      StateWatcher follower,
+      ClusterStateCache cache,
+      StateWatcher watcher,
       Membership membership,
-      KeyValueStoreClient client,
-      OwnedShards holdings,
+      KeyValueStoreClient store,
+      OwnedShards ownedShards,
       Leader leader,
       Metrics metrics,
       StallDetector stalls,
@@ -67,11 +67,11 @@
       ControllerId self,
       Settings.StoreLimits limits) {
     this.timers = timers;
-    this.ledger = ledger;
-    this.follower = follower;
+    this.cache = cache;
+    this.watcher = watcher;
     this.membership = membership;
-    this.client = client;
-    this.holdings = holdings;
+    this.store = store;
+    this.ownedShards = ownedShards;
     this.leader = leader;
     this.metrics = metrics;
     this.stalls = stalls;
@@ -117,16 +117,16 @@
   private Object status() {
     List<Object> members = new ArrayList<>();
     List<Object> builds = new ArrayList<>();
-    ledger
+    cache
         .members()
         .values()
         .forEach(
             member -> {
-              members.add(member.member().text());
+              members.add(member.id().text());
               builds.add(
                   Json.object(
                       "member",
-                      member.member().text(),
+                      member.id().text(),
                       "build",
                       member.build().name(),
                       "least_level",
@@ -136,41 +136,41 @@
             });
     return Json.object(
         "membership",
-        membership.state().toString(),
+        StatusWords.of(membership.state()),
         "life",
         membership.life().value(),
         "role",
-        leader.state().toString(),
+        StatusWords.of(leader.state()),
         "leader",
-        ledger.leader() == null ? null : ledger.leader().member().text(),
+        cache.leader() == null ? null : cache.leader().id().text(),
         "members",
         members,
         "builds",
         builds,
         "unable",
-        membership.unable(),
+        membership.incompatibility(),
         "settings_differ",
-        AnnouncedLimits.differences(self, ledger.terms()),
+        AnnouncedLimits.differences(self, cache.announcedLimits()),
         "level",
-        ledger.level().level().number(),
+        cache.level().level().number(),
         "level_since",
-        ledger.level().version().value(),
+        cache.level().version().value(),
         "level_state",
         leader.isLeading() ? leader.levels().decision().state().toString() : null,
         "level_waits_for",
         leader.isLeading() ? leader.levels().decision().why() : null,
         "revision",
-        ledger.revision().value(),
+        cache.revision().value(),
         "unconfirmed_ms",
-        follower.confirmed() == null ? null : timers.now().since(follower.confirmed()).millis(),
+        watcher.confirmedAt() == null ? null : timers.now().since(watcher.confirmedAt()).millis(),
         "jobs",
-        ledger.jobCount(),
+        cache.jobCount(),
         "blocks",
-        ledger.blocks().size(),
+        cache.shards().size(),
         "blocks_held",
-        holdings.all().size(),
+        ownedShards.all().size(),
         "too_large",
-        OversizedRecords.of(ledger, limits.plannedValueBytes()),
+        OversizedRecords.of(cache, limits.plannedValueBytes()),
         "stalled",
         stalls.write(),
         "served",
@@ -183,16 +183,16 @@
 
   private Object blocks() {
     List<Object> list = new ArrayList<>();
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       int tasks =
-          ledger.allocation(block.id()).tasks().values().stream().mapToInt(set -> set.size()).sum();
-      ShardOwner holder = holdings.get(block.id());
+          cache.allocation(block.id()).tasks().values().stream().mapToInt(set -> set.size()).sum();
+      ShardOwner owner = ownedShards.get(block.id());
       Map<String, Object> out =
           Json.object(
               "block",
               block.id().text(),
               "holder",
-              block.holder().text(),
+              block.owner().text(),
               "token",
               block.token().value(),
               "type",
@@ -205,9 +205,9 @@
               block.machines().size(),
               "allocated",
               tasks);
-      if (holder != null) {
-        out.put("waiting", holder.waitingCount());
-        out.put("unreported_results", holder.completed().size());
+      if (owner != null) {
+        out.put("waiting", owner.waitingCount());
+        out.put("unreported_results", owner.completed().size());
       }
       list.add(out);
     }
@@ -217,14 +217,14 @@
   /** The machines that this controller holds. */
   private Object machines() {
     List<Object> list = new ArrayList<>();
-    for (ShardOwner holder : holdings.all()) {
-      for (PeerHeartbeat.MachineState machine : holder.machines()) {
+    for (ShardOwner owner : ownedShards.all()) {
+      for (PeerHeartbeat.MachineState machine : owner.machines()) {
         list.add(
             Json.object(
                 "machine",
                 machine.id().text(),
                 "block",
-                holder.id().text(),
+                owner.id().text(),
                 "free_cpus",
                 machine.free().cpus(),
                 "free_gpus",
@@ -255,18 +255,18 @@
   // ---- settings ----
 
   private OperatorSettings present() {
-    return settings(ledger);
+    return settings(cache);
   }
 
   /** The operators' settings as the ledger has them. */
-  public static OperatorSettings settings(ClusterStateCache ledger) {
-    return ledger.operatorSettingsOrDefaults();
+  public static OperatorSettings settings(ClusterStateCache cache) {
+    return cache.operatorSettingsOrDefaults();
   }
 
   private Object settings() {
     return Json.object(
         "version",
-        ledger.version(StoreKeys.OPERATOR_SETTINGS).value(),
+        cache.version(StoreKeys.OPERATOR_SETTINGS).value(),
         "settings",
         present().write());
   }
@@ -284,16 +284,16 @@
       version = new Revision(in.unsigned("version"));
       next = OperatorSettings.read(in.raw("settings"), present());
       record = next.write();
-      record.putAll(OperatorSettings.unknown(ledger.operatorSettings()));
+      record.putAll(OperatorSettings.unknownFields(cache.operatorSettings()));
     } catch (MalformedMessageException e) {
       reply.accept(error(400, e.getMessage()));
       return;
     }
-    client.txn(
+    store.commit(
         List.of(new Precondition(StoreKeys.OPERATOR_SETTINGS, version)),
         List.of(Mutation.put(StoreKeys.OPERATOR_SETTINGS, record)),
-        outcome -> {
-          switch (outcome.kind()) {
+        result -> {
+          switch (result.kind()) {
             case COMMITTED -> {
               LOG.info("settings changed: {}", next);
               reply.accept(
@@ -301,7 +301,7 @@
                       200,
                       Json.write(
                           Json.object(
-                              "version", outcome.revision().value(), "settings", next.write()))));
+                              "version", result.revision().value(), "settings", next.write()))));
             }
             case CONFLICT ->
                 reply.accept(error(409, "the settings have changed since that version"));
--- a/src/main/java/org/quincecross/admin/AgreedApi.java
+++ b/src/main/java/org/quincecross/admin/AgreedApi.java
@@ -19,8 +19,8 @@
 import org.quincecross.replicated.RecordId;
 import org.quincecross.replicated.ReplicatedRecord;
 import org.quincecross.replicated.ReplicationBarrier;
+import org.quincecross.state.RecordCommand;
 import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.StateWatcher;
 
 /**
@@ -39,11 +39,11 @@
   private static final int MOST_PAGES = 8;
 
   private final ReplicatedFeatureContext base;
-  private final StateWatcher follower;
+  private final StateWatcher watcher;
 
-  public AgreedApi(ReplicatedFeatureContext base, StateWatcher follower) {
+  public AgreedApi(ReplicatedFeatureContext base, StateWatcher watcher) {
     this.base = base;
-    this.follower = follower;
+    this.watcher = watcher;
   }
 
   private static HttpResponse error(int status, String why) {
@@ -64,28 +64,28 @@
       reply.accept(get ? good(kinds()) : HttpResponse.of(405));
       return;
     }
-    ReplicatedRecordIndex<?, ?> book = base.ledger().agreed().book(parts[0]);
-    if (book == null) {
+    ReplicatedRecordIndex<?, ?> index = base.cache().replicatedRecords().index(parts[0]);
+    if (index == null) {
       reply.accept(
           error(
               404,
               "there is no kind "
                   + parts[0]
                   + " here; there are "
-                  + base.ledger().agreed().books().stream()
+                  + base.cache().replicatedRecords().indexes().stream()
                       .map(each -> each.kind().name())
                       .toList()));
     } else if (parts.length == 1) {
-      confirmed(get, reply, () -> list(book, request, reply));
+      confirmed(get, reply, () -> list(index, request, reply));
     } else if (parts.length == 2 && parts[1].equals("trail")) {
-      confirmed(get, reply, () -> trail(book, request, reply));
+      confirmed(get, reply, () -> trail(index, request, reply));
     } else if (parts.length != 2 || !RecordId.isName(parts[1])) {
       reply.accept(
           error(404, "no name of a record: letters, digits, '.', '_' and '-', at most 100"));
     } else if (request.method().equals("POST")) {
-      change(book, parts[1], request.body(), reply);
+      change(index, parts[1], request.body(), reply);
     } else {
-      confirmed(get, reply, () -> show(book, parts[1], reply));
+      confirmed(get, reply, () -> show(index, parts[1], reply));
     }
   }
 
@@ -94,7 +94,7 @@
       reply.accept(HttpResponse.of(405));
       return;
     }
-    follower.barrier(
+    watcher.barrier(
         current -> {
           if (current) {
             answer.run();
@@ -106,30 +106,30 @@
 
   private Object kinds() {
     List<Object> kinds = new ArrayList<>();
-    for (ReplicatedRecordIndex<?, ?> book : base.ledger().agreed().books()) {
+    for (ReplicatedRecordIndex<?, ?> index : base.cache().replicatedRecords().indexes()) {
       kinds.add(
           Json.object(
               "kind",
-              book.kind().name(),
+              index.kind().name(),
               "records",
-              book.all().size(),
+              index.all().size(),
               "unreadable",
-              book.unreadable().size(),
+              index.unreadable().size(),
               "trail_pages",
-              book.pages().size()));
+              index.pages().size()));
     }
-    return Json.object("kinds", kinds, "lacking", base.store().lacking());
+    return Json.object("kinds", kinds, "lacking", base.store().unavailableReason());
   }
 
   /** The records in the order of their names, from after {@code after} on. */
   private <S> void list(
-      ReplicatedRecordIndex<S, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
+      ReplicatedRecordIndex<S, ?> index, HttpRequest request, Consumer<HttpResponse> reply) {
     String after = request.query("after");
     CommandOrigin at = base.at();
     List<Object> rows = new ArrayList<>();
     String next = null;
     String last = null;
-    for (Map.Entry<String, ReplicatedRecordIndex.Held<S>> record : book.all().entrySet()) {
+    for (Map.Entry<String, ReplicatedRecordIndex.Held<S>> record : index.all().entrySet()) {
       if (after != null && record.getKey().compareTo(after) <= 0) {
         continue;
       }
@@ -137,46 +137,47 @@
         next = last;
         break;
       }
-      rows.addAll(book.kind().rows(record.getKey(), record.getValue().state(), at));
+      rows.addAll(index.kind().rows(record.getKey(), record.getValue().state(), at));
       last = record.getKey();
     }
     reply.accept(
         good(
             Json.object(
                 "kind",
-                book.kind().name(),
+                index.kind().name(),
                 "revision",
-                base.ledger().revision().value(),
+                base.cache().revision().value(),
                 "rows",
                 rows,
                 "unreadable",
-                book.unreadable(),
+                index.unreadable(),
                 "next_after",
                 next)));
   }
 
-  private <S> void show(ReplicatedRecordIndex<S, ?> book, String id, Consumer<HttpResponse> reply) {
-    ReplicatedRecordIndex.Held<S> held = book.get(id);
+  private <S> void show(
+      ReplicatedRecordIndex<S, ?> index, String id, Consumer<HttpResponse> reply) {
+    ReplicatedRecordIndex.Held<S> held = index.get(id);
     if (held == null) {
-      String unreadable = book.unreadable().get(id);
+      String unreadable = index.unreadable().get(id);
       reply.accept(
           unreadable == null
-              ? error(404, "there is no " + book.kind().name() + " " + id)
+              ? error(404, "there is no " + index.kind().name() + " " + id)
               : error(500, "the record cannot be read: " + unreadable));
       return;
     }
     ReplicationBarrier.Answer known = base.known().of(held.version());
     List<Object> trail = new ArrayList<>();
-    held.kept().lines(held.version()).forEach(line -> trail.add(line.show()));
+    held.record().lines(held.version()).forEach(line -> trail.add(line.show()));
     reply.accept(
         good(
             Json.object(
                 "kind",
-                book.kind().name(),
+                index.kind().name(),
                 "id",
                 id,
                 "change",
-                held.kept().change(),
+                held.record().change(),
                 "revision",
                 held.version().value(),
                 "known",
@@ -190,17 +191,17 @@
                         ? null
                         : Math.max(0, known.latest().since(base.timers().now()).millis())),
                 "rows",
-                book.kind().rows(id, held.state(), base.at()),
+                index.kind().rows(id, held.state(), base.at()),
                 "state",
-                book.kind().write(held.state()),
+                index.kind().write(held.state()),
                 "latest",
                 trail)));
   }
 
   /** Takes {@code {"request": "...", "command": {...}, "by": "...", "on_change": N}}. */
   private <S, C> void change(
-      ReplicatedRecordIndex<S, C> book, String id, byte[] body, Consumer<HttpResponse> reply) {
-    ReplicatedRecordStore.Ask<C> ask;
+      ReplicatedRecordIndex<S, C> index, String id, byte[] body, Consumer<HttpResponse> reply) {
+    RecordCommand<C> ask;
     try {
       JsonFields in = Json.parseFields(body);
       for (String name : in.fieldNames()) {
@@ -221,18 +222,18 @@
       }
       long onChange = in.has("on_change") ? in.integer("on_change", 0, Integer.MAX_VALUE) : -1;
       ask =
-          new ReplicatedRecordStore.Ask<>(
+          new RecordCommand<>(
               request,
               onChange,
-              book.kind().command(in.fields("command").unknownFields(List.of())),
+              index.kind().command(in.fields("command").unknownFields(List.of())),
               by);
     } catch (MalformedMessageException | MalformedRecordException e) {
       reply.accept(error(400, e.getMessage()));
       return;
     }
     base.store()
-        .ask(
-            book,
+        .submit(
+            index,
             id,
             ask,
             answer -> {
@@ -241,7 +242,7 @@
                     good(
                         Json.object(
                             "kind",
-                            book.kind().name(),
+                            index.kind().name(),
                             "id",
                             id,
                             "change",
@@ -249,10 +250,10 @@
                             "revision",
                             answer.revision().value(),
                             "note",
-                            answer.why().isEmpty() ? null : answer.why())));
+                            answer.reason().isEmpty() ? null : answer.reason())));
               } else {
                 reply.accept(
-                    error(answer.status(), answer.why()).withRetryAfter(answer.retryAfterS()));
+                    error(answer.status(), answer.reason()).withRetryAfter(answer.retryAfterS()));
               }
             });
   }
@@ -261,7 +262,7 @@
 
   /** Lines after a revision, from a page on; what no page has yet comes with the last page. */
   private void trail(
-      ReplicatedRecordIndex<?, ?> book, HttpRequest request, Consumer<HttpResponse> reply) {
+      ReplicatedRecordIndex<?, ?> index, HttpRequest request, Consumer<HttpResponse> reply) {
     long since;
     int page;
     try {
@@ -271,31 +272,31 @@
       reply.accept(error(400, "since is a revision, page the number of a page"));
       return;
     }
-    pages(book, new Revision(since), page, 0, new ArrayList<>(), reply);
+    pages(index, new Revision(since), page, 0, new ArrayList<>(), reply);
   }
 
   private void pages(
-      ReplicatedRecordIndex<?, ?> book,
+      ReplicatedRecordIndex<?, ?> index,
       Revision since,
       int from,
       int read,
       List<AuditEntry> lines,
       Consumer<HttpResponse> reply) {
     int page = from;
-    while (page <= book.lastPageNumber()
-        && !book.pages().getOrDefault(page, Revision.NONE).isAfter(since)) {
+    while (page <= index.lastPageNumber()
+        && !index.pages().getOrDefault(page, Revision.NONE).isAfter(since)) {
       page++;
     }
-    if (page > book.lastPageNumber()) {
-      addLatest(book, lines);
-      answer(book, since, lines, null, reply);
+    if (page > index.lastPageNumber()) {
+      addLatest(index, lines);
+      answer(index, since, lines, null, reply);
     } else if (read >= MOST_PAGES) {
-      answer(book, since, lines, page, reply);
+      answer(index, since, lines, page, reply);
     } else {
       int here = page;
       base.store()
           .page(
-              book,
+              index,
               here,
               more -> {
                 if (more == null) {
@@ -303,17 +304,17 @@
                   return;
                 }
                 lines.addAll(more);
-                pages(book, since, here + 1, read + 1, lines, reply);
+                pages(index, since, here + 1, read + 1, lines, reply);
               });
     }
   }
 
-  private static <S> void addLatest(ReplicatedRecordIndex<S, ?> book, List<AuditEntry> lines) {
-    book.all().values().forEach(held -> lines.addAll(held.kept().lines(held.version())));
+  private static <S> void addLatest(ReplicatedRecordIndex<S, ?> index, List<AuditEntry> lines) {
+    index.all().values().forEach(held -> lines.addAll(held.record().lines(held.version())));
   }
 
   private void answer(
-      ReplicatedRecordIndex<?, ?> book,
+      ReplicatedRecordIndex<?, ?> index,
       Revision since,
       List<AuditEntry> lines,
       Integer nextPage,
@@ -331,11 +332,11 @@
         good(
             Json.object(
                 "kind",
-                book.kind().name(),
+                index.kind().name(),
                 "since",
                 since.value(),
                 "revision",
-                base.ledger().revision().value(),
+                base.cache().revision().value(),
                 "lines",
                 out,
                 "next_page",
--- a/src/main/java/org/quincecross/admin/ModelDemandCollector.java
+++ b/src/main/java/org/quincecross/admin/ModelDemandCollector.java
@@ -24,9 +24,10 @@
 import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.replicated.RecordId;
 import org.quincecross.state.ClusterStateCache;
+import org.quincecross.state.CommandResponse;
 import org.quincecross.state.ModelIndex;
+import org.quincecross.state.RecordCommand;
 import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.ReplicatedRecordStore;
 
 /**
  * Where one controller hears who wants a model. Wakes are joined: however many come, one change is
@@ -48,7 +49,7 @@
   private final BiFunction<JobId, Integer, Boolean> runsHere;
   private final MonotonicTime begun;
   private final Map<String, Demand> demands = new TreeMap<>();
-  private final Map<String, List<Consumer<ReplicatedRecordStore.Answer>>> waiting = new HashMap<>();
+  private final Map<String, List<Consumer<CommandResponse>>> waiting = new HashMap<>();
   private final Set<String> asking = new HashSet<>();
   private long wakes;
   private long asked;
@@ -88,14 +89,14 @@
     if (changes.reloaded()) {
       demands.forEach((name, demand) -> demand.seen(records.book().state(name), now));
     } else {
-      for (RecordId record : changes.agreed()) {
+      for (RecordId record : changes.replicatedRecords()) {
         Demand demand = record.kind().equals(ModelKind.NAME) ? demands.get(record.id()) : null;
         if (demand != null) {
           demand.seen(records.book().state(record.id()), now);
         }
       }
     }
-    if (!changes.agreed().isEmpty() || changes.reloaded()) {
+    if (!changes.replicatedRecords().isEmpty() || changes.reloaded()) {
       List.copyOf(demands.keySet()).forEach(this::askIfWanted);
     }
   }
@@ -114,7 +115,7 @@
    * Somebody wants a model that is defined; {@code done} hears when that is durable, at once where
    * the record shows it up.
    */
-  public void wake(String name, Consumer<ReplicatedRecordStore.Answer> done) {
+  public void wake(String name, Consumer<CommandResponse> done) {
     wakes++;
     Demand demand = demand(name);
     demand.wake(base.timers().now());
@@ -122,23 +123,20 @@
   }
 
   /** A caller has so many requests in flight. */
-  public void told(
-      String name, String caller, int inFlight, Consumer<ReplicatedRecordStore.Answer> done) {
+  public void told(String name, String caller, int inFlight, Consumer<CommandResponse> done) {
     Demand demand = demand(name);
     demand.told(caller, inFlight, base.timers().now());
     wait(name, demand, done);
   }
 
-  private void wait(String name, Demand demand, Consumer<ReplicatedRecordStore.Answer> done) {
+  private void wait(String name, Demand demand, Consumer<CommandResponse> done) {
     if (demand.state() == Demand.State.SATISFIED) {
-      done.accept(new ReplicatedRecordStore.Answer(200, "", 0, Revision.NONE, 0));
+      done.accept(new CommandResponse(200, "", 0, Revision.NONE, 0));
       return;
     }
-    List<Consumer<ReplicatedRecordStore.Answer>> all =
-        waiting.computeIfAbsent(name, id -> new ArrayList<>());
+    List<Consumer<CommandResponse>> all = waiting.computeIfAbsent(name, id -> new ArrayList<>());
     if (all.size() >= MOST_WAITING) {
-      done.accept(
-          new ReplicatedRecordStore.Answer(202, "it has been asked for", 0, Revision.NONE, 1));
+      done.accept(new CommandResponse(202, "it has been asked for", 0, Revision.NONE, 1));
     } else {
       all.add(done);
       askIfWanted(name);
@@ -152,16 +150,16 @@
     }
     asked++;
     base.store()
-        .ask(
+        .submit(
             records.book(),
             name,
-            ReplicatedRecordStore.Ask.own(new ModelCommand.Wake()),
+            RecordCommand.own(new ModelCommand.Wake()),
             answer -> {
               asking.remove(name);
               if (answer.status() >= 400 && answer.status() < 500) {
                 demand.refused();
               }
-              List<Consumer<ReplicatedRecordStore.Answer>> all = waiting.remove(name);
+              List<Consumer<CommandResponse>> all = waiting.remove(name);
               if (all != null) {
                 all.forEach(done -> done.accept(answer));
               }
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -23,10 +23,11 @@
 import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordId;
 import org.quincecross.replicated.ReplicatedRecord;
+import org.quincecross.state.CommandResponse;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.ModelIndex;
+import org.quincecross.state.RecordCommand;
 import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.ReplicatedRecordStore;
 
 /**
  * Requests below {@code /admin/models}: what models there are, one of them, defining it, waking it,
@@ -149,7 +150,7 @@
 
   /** Whether the model's job can run; else that is answered. */
   private boolean mayWake(String name, Consumer<HttpResponse> reply) {
-    JobRecord job = base.ledger().job(records.book().state(name).job());
+    JobRecord job = base.cache().job(records.book().state(name).job());
     if (job == null || job.phase() == JobPhase.OPEN) {
       return true;
     }
@@ -178,7 +179,7 @@
           }
         });
     ModelCommand.Define define = (ModelCommand.Define) new ModelKind().command(command);
-    JobRecord job = base.ledger().job(define.job());
+    JobRecord job = base.cache().job(define.job());
     String other = records.nameOf(define.job());
     if (job == null) {
       reply.accept(error(404, "no job " + define.job() + " is known here: submit it first"));
@@ -229,10 +230,10 @@
           "field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
     }
     base.store()
-        .ask(
+        .submit(
             records.book(),
             name,
-            new ReplicatedRecordStore.Ask<>(request, -1, command, in.stringOr("by", "")),
+            new RecordCommand<>(request, -1, command, in.stringOr("by", "")),
             answer -> {
               if (answer.isDurable()) {
                 reply.accept(
@@ -247,17 +248,17 @@
                                 "revision",
                                 answer.revision().value(),
                                 "note",
-                                answer.why().isEmpty() ? null : answer.why()))));
+                                answer.reason().isEmpty() ? null : answer.reason()))));
               } else {
                 reply.accept(
-                    error(answer.status(), answer.why()).withRetryAfter(answer.retryAfterS()));
+                    error(answer.status(), answer.reason()).withRetryAfter(answer.retryAfterS()));
               }
             });
   }
 
-  private HttpResponse answered(String name, ReplicatedRecordStore.Answer answer) {
+  private HttpResponse answered(String name, CommandResponse answer) {
     if (answer.status() != 200 && answer.status() != 202) {
-      return error(answer.status(), answer.why()).withRetryAfter(answer.retryAfterS());
+      return error(answer.status(), answer.reason()).withRetryAfter(answer.retryAfterS());
     }
     return HttpResponse.of(answer.status(), Json.write(show(name)));
   }
@@ -290,7 +291,7 @@
 
   private Map<String, Object> show(String name) {
     Model model = records.book().state(name);
-    JobRecord record = base.ledger().job(model.job());
+    JobRecord record = base.cache().job(model.job());
     int runs = running.applyAsInt(model.job());
     Map<String, Object> out =
         Json.object(
--- a/src/main/java/org/quincecross/admin/StallDetector.java
+++ b/src/main/java/org/quincecross/admin/StallDetector.java
@@ -38,32 +38,32 @@
   private static final int MOST_SHOWN = 50;
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
-  private final OwnedShards holdings;
+  private final ClusterStateCache cache;
+  private final OwnedShards ownedShards;
   private final Leader leader;
   private final ToIntFunction<JobId> running;
-  private final StartBlock withheld;
+  private final StartBlock startBlock;
   private final ProgressWatch watch = new ProgressWatch();
   private final Map<JobId, MonotonicTime> said = new HashMap<>();
   private List<ProgressWatch.Stall> stalls = List.of();
 
   /**
    * @param running how many tasks of a job run, as far as is known here
-   * @param withheld tasks that may not run now: that they do not is no stall
+   * @param startBlock tasks that may not run now: that they do not is no stall
    */
   public StallDetector(
       Timers timers,
-      ClusterStateCache ledger,
-      OwnedShards holdings,
+      ClusterStateCache cache,
+      OwnedShards ownedShards,
       Leader leader,
       ToIntFunction<JobId> running,
-      StartBlock withheld) {
+      StartBlock startBlock) {
     this.timers = timers;
-    this.ledger = ledger;
-    this.holdings = holdings;
+    this.cache = cache;
+    this.ownedShards = ownedShards;
     this.leader = leader;
     this.running = running;
-    this.withheld = withheld;
+    this.startBlock = startBlock;
   }
 
   public void start() {
@@ -90,11 +90,11 @@
   private Collection<ProgressWatch.Standing> watched() {
     Map<JobId, ProgressWatch.Standing> standings = new TreeMap<>();
     if (leader.isLeading()) {
-      ledger.openJobs().forEach(record -> watch(record, standings));
+      cache.openJobs().forEach(record -> watch(record, standings));
     } else {
-      for (ShardOwner holder : holdings.all()) {
-        for (JobId job : holder.jobs()) {
-          JobRecord record = ledger.job(job);
+      for (ShardOwner owner : ownedShards.all()) {
+        for (JobId job : owner.jobs()) {
+          JobRecord record = cache.job(job);
           if (record != null && record.phase() == JobPhase.OPEN && !standings.containsKey(job)) {
             watch(record, standings);
           }
@@ -106,12 +106,12 @@
 
   /** A job of which no more is left than what may not run now is not watched until it may. */
   private void watch(JobRecord record, Map<JobId, ProgressWatch.Standing> standings) {
-    if (ledger.pipelines().waits(record.id())) {
+    if (cache.dependencyGraph().waits(record.id())) {
       return; // those that it waits for are watched
     }
     boolean service = record.job().kind() == JobKind.SERVICE;
-    int mayRun = record.job().taskCount() - withheld.of(record.job()).size();
-    int done = service ? 0 : ledger.doneCount(record.id());
+    int mayRun = record.job().taskCount() - startBlock.of(record.job()).size();
+    int done = service ? 0 : cache.completedCount(record.id());
     if (mayRun > done) {
       standings.put(
           record.id(),
@@ -128,7 +128,7 @@
   /** What a job's tasks wait for, as far as this controller knows. */
   private List<String> waits(JobId job) {
     List<String> waits = new ArrayList<>();
-    String kept = withheld.reason(job);
+    String kept = startBlock.reason(job);
     if (kept != null) {
       waits.add(kept);
     }
@@ -136,19 +136,19 @@
     if (pool != null) {
       waits.add(pool);
     }
-    for (ShardId block : ledger.allocatedBlocks()) {
-      if (!ledger.allocation(block).tasks().containsKey(job)) {
+    for (ShardId shard : cache.allocatedShards()) {
+      if (!cache.allocation(shard).tasks().containsKey(job)) {
         continue;
       }
-      ShardOwner holder = holdings.get(block);
-      ShardLease lease = ledger.block(block);
-      if (holder != null) {
-        waits.addAll(holder.waits(job));
+      ShardOwner owner = ownedShards.get(shard);
+      ShardLease lease = cache.shard(shard);
+      if (owner != null) {
+        waits.addAll(owner.waits(job));
       } else {
         waits.add(
             lease == null
-                ? "tasks in block " + block + ", which has no lease"
-                : "tasks in block " + block + ": ask " + lease.holder());
+                ? "tasks in block " + shard + ", which has no lease"
+                : "tasks in block " + shard + ": ask " + lease.owner());
       }
     }
     int count = running.applyAsInt(job);
--- /dev/null
+++ b/src/main/java/org/quincecross/admin/StatusWords.java
@@ -0,0 +1,29 @@
+package org.quincecross.admin;
+
+import org.quincecross.leader.Leader;
+import org.quincecross.state.Membership;
+
+/** The words that {@code /admin/status} has for states. They are part of the protocol. */
+final class StatusWords {
+  private StatusWords() {}
+
+  static String of(Membership.State state) {
+    return switch (state) {
+      case REVOKING_FORMER_LEASE -> "ENDING_FORMER_LIFE";
+      case ASKING_FOR_LEASE -> "ASKING_FOR_LEASE";
+      case ANNOUNCING -> "ANNOUNCING";
+      case LIVE -> "LIVE";
+      case READING_LEVEL -> "READING_LEVEL";
+      case INCOMPATIBLE -> "UNABLE";
+    };
+  }
+
+  static String of(Leader.State state) {
+    return switch (state) {
+      case FOLLOWER -> "FOLLOWING";
+      case CANDIDATE -> "STANDING";
+      case LEADER -> "LEADING";
+      case RECOVERING -> "MENDING";
+    };
+  }
+}
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -45,11 +45,11 @@
   /** A machine that its holder has not heard of for so long is not sent there. */
   private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(3);
 
-  private record Waiting(Heartbeat report, MonotonicTime until, Consumer<HttpResponse> reply) {}
+  private record Waiting(Heartbeat heartbeat, MonotonicTime until, Consumer<HttpResponse> reply) {}
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
-  private final OwnedShards holdings;
+  private final ClusterStateCache cache;
+  private final OwnedShards ownedShards;
   private final Leader leader;
   private final PeerViews views;
   private final ControllerId self;
@@ -61,16 +61,16 @@
 
   AgentApi(
       Timers timers,
-      ClusterStateCache ledger,
-      OwnedShards holdings,
+      ClusterStateCache cache,
+      OwnedShards ownedShards,
       Leader leader,
       PeerViews views,
       HttpCaller http,
       ControllerId self,
       IsolationDetector aloneness) {
     this.timers = timers;
-    this.ledger = ledger;
-    this.holdings = holdings;
+    this.cache = cache;
+    this.ownedShards = ownedShards;
     this.leader = leader;
     this.views = views;
     this.self = self;
@@ -84,48 +84,48 @@
   }
 
   void beat(byte[] body, Consumer<HttpResponse> reply) {
-    Heartbeat report;
+    Heartbeat heartbeat;
     try {
-      report = AgentCodec.readHeartbeat(Json.parseFields(body));
+      heartbeat = AgentCodec.readHeartbeat(Json.parseFields(body));
     } catch (MalformedMessageException e) {
       LOG.info("unreadable report: {}", e.getMessage());
       reply.accept(HttpResponse.of(400, JobCodec.writeError(e.getMessage())));
       return;
     }
-    if (!ledger.isLoaded()) {
+    if (!cache.isLoaded()) {
       reply.accept(HttpResponse.of(503));
       return;
     }
-    ShardLease lease = ledger.blockOf(report.machine().id());
+    ShardLease lease = cache.shardOf(heartbeat.machine().id());
     aloneness.machine(
-        report.token(),
-        new FencingToken(ledger.revision().value()),
-        lease != null && lease.holder().equals(self),
+        heartbeat.token(),
+        new FencingToken(cache.revision().value()),
+        lease != null && lease.owner().equals(self),
         timers.now());
-    route(report, timers.now().plus(WAIT_FOR_LEASE), reply);
+    route(heartbeat, timers.now().plus(WAIT_FOR_LEASE), reply);
   }
 
-  private void route(Heartbeat report, MonotonicTime until, Consumer<HttpResponse> reply) {
-    MachineId machine = report.machine().id();
-    ShardLease lease = ledger.blockOf(machine);
+  private void route(Heartbeat heartbeat, MonotonicTime until, Consumer<HttpResponse> reply) {
+    MachineId machine = heartbeat.machine().id();
+    ShardLease lease = cache.shardOf(machine);
     if (lease == null) {
       if (leader.isLeading()) {
-        arrivals.reported(report);
-        waitForLease(report, until, reply);
-      } else if (ledger.leader() != null) {
-        redirect(ledger.leader().member(), reply);
+        arrivals.reported(heartbeat);
+        waitForLease(heartbeat, until, reply);
+      } else if (cache.leader() != null) {
+        redirect(cache.leader().id(), reply);
       } else {
-        waitForLease(report, until, reply);
+        waitForLease(heartbeat, until, reply);
       }
       return;
     }
-    if (lease.holder().equals(self)) {
-      ShardOwner holder = holdings.get(lease.id());
-      byte[] answer = holder == null ? null : holder.answer(report);
+    if (lease.owner().equals(self)) {
+      ShardOwner owner = ownedShards.get(lease.id());
+      byte[] answer = owner == null ? null : owner.answer(heartbeat);
       if (answer != null) {
-        strays.answered(report, timers.now());
+        strays.answered(heartbeat, timers.now());
         reply.accept(HttpResponse.of(200, answer));
-      } else if (holder != null && holder.isSuperseded()) {
+      } else if (owner != null && owner.isSuperseded()) {
         // Another controller has the block and this one does not know yet which: the next will say,
         // and every
         // second that the machine waits here is lost to its lease.
@@ -134,24 +134,24 @@
         // Also where the holder cannot tell it from a late copy: that waits for nothing, and a
         // machine that has begun
         // anew is asked meanwhile, and answered once that is proven.
-        waitForLease(report, until, reply);
+        waitForLease(heartbeat, until, reply);
       }
       return;
     }
-    strays.heard(report, timers.now());
+    strays.heard(heartbeat, timers.now());
     // A worker that is sent to a controller which it cannot reach loses five seconds of its lease,
     // and on a short one that is
     // the second time (docs/incidents/inc-6ced.md). The leader is told of it and moves the block.
-    if (ledger.members().containsKey(lease.holder()) && !isUnheard(lease, machine)) {
-      redirect(lease.holder(), reply);
+    if (cache.members().containsKey(lease.owner()) && !isUnheard(lease, machine)) {
+      redirect(lease.owner(), reply);
     } else {
-      waitForLease(report, until, reply);
+      waitForLease(heartbeat, until, reply);
     }
   }
 
   /** Whether the holder of a block itself says that it has not heard of a machine for a while. */
   private boolean isUnheard(ShardLease lease, MachineId machine) {
-    PeerViews.View view = views.of(lease.holder());
+    PeerViews.View view = views.of(lease.owner());
     if (view == null || timers.now().since(view.at()).isLongerThan(WORD_FRESH)) {
       return false;
     }
@@ -173,12 +173,13 @@
   /**
    * The block is about to get a holder: better a late answer than a round of the other controllers.
    */
-  private void waitForLease(Heartbeat report, MonotonicTime until, Consumer<HttpResponse> reply) {
+  private void waitForLease(
+      Heartbeat heartbeat, MonotonicTime until, Consumer<HttpResponse> reply) {
     if (until.isBefore(timers.now())) {
       reply.accept(HttpResponse.of(503));
       return;
     }
-    waiting.add(new Waiting(report, until, reply));
+    waiting.add(new Waiting(heartbeat, until, reply));
     if (!lookPlanned) {
       lookPlanned = true;
       timers.after(
@@ -192,7 +193,7 @@
 
   /** New leases may be what reports wait for. */
   void ledgerChanged(ClusterStateCache.Changes changes) {
-    if (changes.reloaded() || !changes.blocks().isEmpty()) {
+    if (changes.reloaded() || !changes.shards().isEmpty()) {
       lookAgain();
     }
   }
@@ -200,6 +201,6 @@
   private void lookAgain() {
     List<Waiting> now = waiting;
     waiting = new ArrayList<>();
-    now.forEach(each -> route(each.report(), each.until(), each.reply()));
+    now.forEach(each -> route(each.heartbeat(), each.until(), each.reply()));
   }
 }
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -35,8 +35,8 @@
   private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(1.2);
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
-  private final OwnedShards holdings;
+  private final ClusterStateCache cache;
+  private final OwnedShards ownedShards;
   private final PeerViews views;
   private final UnconfirmedOwnershipBound bound;
 
@@ -51,35 +51,35 @@
 
   Cancellations(
       Timers timers,
-      ClusterStateCache ledger,
-      OwnedShards holdings,
+      ClusterStateCache cache,
+      OwnedShards ownedShards,
       PeerViews views,
       UnconfirmedOwnershipBound bound) {
     this.timers = timers;
-    this.ledger = ledger;
-    this.holdings = holdings;
+    this.cache = cache;
+    this.ownedShards = ownedShards;
     this.views = views;
     this.bound = bound;
   }
 
   void ledgerChanged(ClusterStateCache.Changes changes) {
     if (changes.reloaded()) {
-      for (ShardId block : ledger.allocatedBlocks()) {
-        ledger.allocation(block).tasks().keySet().forEach(this::seen);
+      for (ShardId shard : cache.allocatedShards()) {
+        cache.allocation(shard).tasks().keySet().forEach(this::seen);
       }
     } else {
       for (JobId id : changes.jobs()) {
-        JobRecord record = ledger.job(id);
+        JobRecord record = cache.job(id);
         if (record != null && record.version().isAfter(known)) {
           seen(id); // else something else of it has changed
         }
       }
     }
-    known = ledger.revision();
+    known = cache.revision();
   }
 
   private void seen(JobId id) {
-    JobRecord record = ledger.job(id);
+    JobRecord record = cache.job(id);
     if (record != null && record.phase() == JobPhase.CANCELLED) {
       untold.putIfAbsent(id, timers.now());
       planSweep();
@@ -128,7 +128,7 @@
       return true;
     }
     if (isOver(since)
-        || ledger.blocksOf(record.id()).isEmpty()
+        || cache.shardsOf(record.id()).isEmpty()
         || (bound.notingSuffices() && allHoldersHaveSeen(record))) {
       untold.remove(record.id());
       return true;
@@ -141,8 +141,8 @@
   }
 
   private boolean allHoldersHaveSeen(JobRecord record) {
-    for (ShardId id : ledger.blocksOf(record.id())) {
-      ShardLease lease = ledger.block(id);
+    for (ShardId id : cache.shardsOf(record.id())) {
+      ShardLease lease = cache.shard(id);
       if (lease == null || !hasSeen(lease, record)) {
         return false;
       }
@@ -151,11 +151,11 @@
   }
 
   private boolean hasSeen(ShardLease lease, JobRecord record) {
-    ShardOwner own = holdings.get(lease.id());
+    ShardOwner own = ownedShards.get(lease.id());
     if (own != null) {
       return own.hasAllFenced();
     }
-    PeerViews.View view = views.of(lease.holder());
+    PeerViews.View view = views.of(lease.owner());
     PeerViews.BlockView block = view == null ? null : view.blocks().get(lease.id());
     if (block == null
         || !block.token().equals(lease.token())
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -72,11 +72,11 @@
   private final HttpCaller http;
   private final Settings settings;
   private final PeerSender peers;
-  private final ClusterStateCache ledger = new ClusterStateCache();
+  private final ClusterStateCache cache = new ClusterStateCache();
   private final DemandForecast foresight;
-  private final StateWatcher follower;
+  private final StateWatcher watcher;
   private final Membership membership;
-  private final OwnedShards holdings;
+  private final OwnedShards ownedShards;
   private final ReplicatedFeatures agreed;
   private final Leader leader;
   private final Autoscaler fleet;
@@ -122,9 +122,9 @@
     this.peers = peers;
     this.settings = settings;
     this.clockMs = clockMs;
-    KeyValueStoreClient client =
+    KeyValueStoreClient store =
         new KeyValueStoreClient(timers, http, settings.storeAddress(), settings.storeLimits());
-    follower = new StateWatcher(timers, client, ledger);
+    watcher = new StateWatcher(timers, store, cache);
     aloneness =
         new IsolationDetector(
             settings.peers().stream().allMatch(other -> settings.self().compareTo(other.id()) < 0),
@@ -132,7 +132,7 @@
     membership =
         new Membership(
             timers,
-            client,
+            store,
             settings.self(),
             settings.zone(),
             features.build(),
@@ -153,33 +153,33 @@
     agreed =
         new ReplicatedFeatures(
             timers,
-            client,
-            follower,
-            ledger,
+            store,
+            watcher,
+            cache,
             membership,
             views,
             settings,
             features.replicatedFeatures(),
             clockMs,
             unconfirmedBound.unconfirmed());
-    foresight = new DemandForecast(ledger, agreed.withheld());
-    roomElsewhere = new RemoteCapacityHint(ledger, views, this::reserves);
-    holdings = new OwnedShards(this, settings.self(), membership::life);
+    foresight = new DemandForecast(cache, agreed.withheld());
+    roomElsewhere = new RemoteCapacityHint(cache, views, this::reserves);
+    ownedShards = new OwnedShards(this, settings.self(), membership::life);
     fleet =
         new Autoscaler(
             timers,
             http,
-            ledger,
+            cache,
             settings,
             foresight,
             membership::life,
-            () -> AdminApi.settings(ledger));
+            () -> AdminApi.settings(cache));
     leader =
         new Leader(
             timers,
-            client,
-            ledger,
-            follower,
+            store,
+            cache,
+            watcher,
             membership,
             settings,
             fleet,
@@ -189,13 +189,13 @@
             this::isWaking,
             features.overload() == null ? null : new Overload(features.overload()),
             agreed.withheld());
-    cancellations = new Cancellations(timers, ledger, holdings, views, unconfirmedBound);
+    cancellations = new Cancellations(timers, cache, ownedShards, views, unconfirmedBound);
     users =
         new UserApi(
             timers,
-            ledger,
-            follower,
-            client,
+            cache,
+            watcher,
+            store,
             settings,
             this::running,
             clockMs,
@@ -204,14 +204,15 @@
             memoryIsShort,
             aloneness::state);
     agents =
-        new AgentApi(timers, ledger, holdings, leader, views, http, settings.self(), aloneness);
-    stalls = new StallDetector(timers, ledger, holdings, leader, this::running, agreed.withheld());
+        new AgentApi(timers, cache, ownedShards, leader, views, http, settings.self(), aloneness);
+    stalls =
+        new StallDetector(timers, cache, ownedShards, leader, this::running, agreed.withheld());
     served =
         features.accountingInterval() == null
             ? null
             : new AccountingLog(
                 timers,
-                ledger,
+                cache,
                 leader,
                 settings,
                 clockMs,
@@ -220,11 +221,11 @@
     admin =
         new AdminApi(
             timers,
-            ledger,
-            follower,
+            cache,
+            watcher,
             membership,
-            client,
-            holdings,
+            store,
+            ownedShards,
             leader,
             metrics,
             stalls,
@@ -239,17 +240,17 @@
   }
 
   public void start() {
-    ledger.listen(changes -> membership.ledgerChanged(ledger));
-    agreed.listen(ledger, holdings, leader, served, this::running);
+    cache.addListener(changes -> membership.ledgerChanged(cache));
+    agreed.listen(cache, ownedShards, leader, served, this::running);
     agreed.keepRoom(foresight, leader);
-    ledger.listen(holdings::ledgerChanged);
-    ledger.listen(cancellations::ledgerChanged);
-    ledger.listen(this::forgetFormerHolders);
-    ledger.listen(leader::ledgerChanged);
-    ledger.listen(agents::ledgerChanged);
+    cache.addListener(ownedShards::ledgerChanged);
+    cache.addListener(cancellations::ledgerChanged);
+    cache.addListener(this::forgetFormerHolders);
+    cache.addListener(leader::ledgerChanged);
+    cache.addListener(agents::ledgerChanged);
     membership.start();
-    follower.start();
-    holdings.start();
+    watcher.start();
+    ownedShards.start();
     leader.start();
     fleet.start();
     stalls.start();
@@ -265,23 +266,23 @@
    */
   private void lookAtClock() {
     TimeSpan gap = stillness.turn(timers.now());
-    if (gap.equals(TimeSpan.ZERO) || follower.confirmed() == null) {
+    if (gap.equals(TimeSpan.ZERO) || watcher.confirmedAt() == null) {
       return;
     }
     LOG.info("stood still for {}: nothing is decided before the records are confirmed", gap);
     views.excuse(gap);
-    holdings.excuse(gap);
-    follower.barrier(confirmed -> leader.lookAgain());
+    ownedShards.excuse(gap);
+    watcher.barrier(confirmed -> leader.lookAgain());
   }
 
   private boolean isWaking() {
-    return stillness.isWaking(follower.confirmed(), timers.now());
+    return stillness.isWaking(watcher.confirmedAt(), timers.now());
   }
 
   // ---- the other controllers ----
 
   private PeerHeartbeat report(long base) {
-    MonotonicTime answering = follower.answering();
+    MonotonicTime answering = watcher.lastBarrierStart();
     TimeSpan unconfirmed =
         answering == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(answering);
     return new PeerHeartbeat(
@@ -290,9 +291,9 @@
         reports,
         base,
         views.receipts(),
-        ledger.revision(),
+        cache.revision(),
         unconfirmed,
-        holdings.since(base),
+        ownedShards.since(base),
         agents.strays(),
         agreed.sections());
   }
@@ -301,7 +302,7 @@
     reports++;
     startPermission.sent(membership.life(), reports, timers.now());
     lookAround();
-    holdings.refresh(reports, lookAtAll);
+    ownedShards.refresh(reports, lookAtAll);
     PeerViews.View own = views.of(settings.self());
     views.take(
         report(own == null || !own.life().equals(membership.life()) ? 0 : own.number()),
@@ -313,7 +314,7 @@
         LOG.debug("nothing arrives at {}: a new connection is made", member);
         peers.renew(member);
       }
-      boolean leads = ledger.leader() != null && ledger.leader().member().equals(member);
+      boolean leads = cache.leader() != null && cache.leader().id().equals(member);
       if ((everyone || leads)
           && peers.send(member, PeerCodec.write(report(sent.getOrDefault(member, 0L))))) {
         // On one connection nothing is lost; if this one is, the receiver will say that it has a
@@ -328,21 +329,21 @@
   public boolean frame(byte[] frame) {
     lookAtClock();
     try {
-      PeerHeartbeat report = PeerCodec.read(frame);
-      PeerHeartbeat.Receipt receipt = report.receipts().get(settings.self());
+      PeerHeartbeat heartbeat = PeerCodec.read(frame);
+      PeerHeartbeat.Receipt receipt = heartbeat.receipts().get(settings.self());
       if (receipt != null) {
         startPermission.received(
-            report.member(), receipt.life(), receipt.number(), report.ledger());
+            heartbeat.member(), receipt.incarnation(), receipt.number(), heartbeat.ledger());
       }
-      if (receipt != null && receipt.life().equals(membership.life())) {
+      if (receipt != null && receipt.incarnation().equals(membership.life())) {
         links
-            .computeIfAbsent(report.member(), member -> new LinkMonitor())
+            .computeIfAbsent(heartbeat.member(), member -> new LinkMonitor())
             .receipt(receipt.number(), receipt.gap(), timers.now());
       }
-      if (receipt != null && receipt.gap() && receipt.life().equals(membership.life())) {
-        sent.merge(report.member(), receipt.number(), Math::min);
+      if (receipt != null && receipt.gap() && receipt.incarnation().equals(membership.life())) {
+        sent.merge(heartbeat.member(), receipt.number(), Math::min);
       }
-      if (!views.take(report, timers.now())) {
+      if (!views.take(heartbeat, timers.now())) {
         newsForAll = true; // with the receipt that says so
         newsForLeader();
       }
@@ -355,8 +356,8 @@
 
   /** What a controller said of a block that another one holds now is of no use any more. */
   private void forgetFormerHolders(ClusterStateCache.Changes changes) {
-    for (ShardId id : changes.blocks()) {
-      ShardLease lease = ledger.block(id);
+    for (ShardId id : changes.shards()) {
+      ShardLease lease = cache.shard(id);
       for (Settings.Peer sibling : settings.peers()) {
         forgetIfFormer(sibling.id(), id, lease);
       }
@@ -370,16 +371,16 @@
     // A report may be ahead of the ledger here: what it says of a later lease is kept.
     if (block != null
         && (lease == null
-            || (!lease.holder().equals(member) && !block.token().isAfter(lease.token())))) {
+            || (!lease.owner().equals(member) && !block.token().isAfter(lease.token())))) {
       views.forget(member, id);
     }
   }
 
   private int running(JobId job) {
-    int count = holdings.running(job);
-    for (ShardId id : ledger.blocksOf(job)) {
-      ShardLease lease = holdings.get(id) == null ? ledger.block(id) : null;
-      PeerViews.View view = lease == null ? null : views.of(lease.holder());
+    int count = ownedShards.running(job);
+    for (ShardId id : cache.shardsOf(job)) {
+      ShardLease lease = ownedShards.get(id) == null ? cache.shard(id) : null;
+      PeerViews.View view = lease == null ? null : views.of(lease.owner());
       PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
       count += block == null ? 0 : block.running().getOrDefault(job, 0);
     }
@@ -437,7 +438,7 @@
    * called unknown.
    */
   private boolean isUnable() {
-    return !membership.unable().isEmpty() || !ledger.unreadable().isEmpty();
+    return !membership.incompatibility().isEmpty() || !cache.unreadable().isEmpty();
   }
 
   /**
@@ -446,7 +447,7 @@
    * state service returns.
    */
   private boolean isHealthy() {
-    if (!ledger.isLoaded() || isUnable()) {
+    if (!cache.isLoaded() || isUnable()) {
       return false;
     }
     lookAround();
@@ -454,12 +455,12 @@
   }
 
   private void lookAround() {
-    if (follower.answering() == null) {
+    if (watcher.lastBarrierStart() == null) {
       return; // nothing was read yet
     }
     IsolationDetector.State before = aloneness.state();
     aloneness.look(
-        follower.answering(),
+        watcher.lastBarrierStart(),
         settings.peers().stream()
             .map(
                 sibling -> {
@@ -489,12 +490,12 @@
 
   @Override
   public ClusterStateCache ledger() {
-    return ledger;
+    return cache;
   }
 
   @Override
-  public List<Headroom> reserves(ShardId block) {
-    return foresight.of(block, timers.now());
+  public List<Headroom> reserves(ShardId shard) {
+    return foresight.headroomFor(shard, timers.now());
   }
 
   @Override
@@ -529,7 +530,7 @@
 
   @Override
   public List<String> imagesOf(MachineId machine) {
-    ShardLease block = ledger.blockOf(machine);
+    ShardLease block = cache.shardOf(machine);
     if (block != null) {
       for (PeerViews.View view : views.all()) {
         PeerViews.BlockView known = view.blocks().get(block.id());
@@ -544,7 +545,7 @@
 
   @Override
   public MonotonicTime confirmed() {
-    return follower.confirmed();
+    return watcher.confirmedAt();
   }
 
   @Override
@@ -558,7 +559,7 @@
 
   @Override
   public boolean mayStart() {
-    return isEntitled() && startPermission.isGiven(confirmed(), ledger.revision(), timers.now());
+    return isEntitled() && startPermission.isGiven(confirmed(), cache.revision(), timers.now());
   }
 
   @Override
@@ -568,7 +569,7 @@
 
   @Override
   public boolean isLongCancelled(JobId id) {
-    JobRecord record = ledger.job(id);
+    JobRecord record = cache.job(id);
     if (record == null || record.phase() != JobPhase.CANCELLED) {
       return false;
     }
--- a/src/main/java/org/quincecross/api/DependencyWriter.java
+++ b/src/main/java/org/quincecross/api/DependencyWriter.java
@@ -27,13 +27,13 @@
    */
   private static final int MOST_AT_ONCE = 4;
 
-  private final KeyValueStoreClient client;
-  private final ClusterStateCache ledger;
+  private final KeyValueStoreClient store;
+  private final ClusterStateCache cache;
   private final int mostChanges;
 
-  DependencyWriter(KeyValueStoreClient client, ClusterStateCache ledger, int mostChanges) {
-    this.client = client;
-    this.ledger = ledger;
+  DependencyWriter(KeyValueStoreClient store, ClusterStateCache cache, int mostChanges) {
+    this.store = store;
+    this.cache = cache;
     this.mostChanges = Math.min(MOST_AT_ONCE, mostChanges);
   }
 
@@ -44,7 +44,7 @@
   void write(Set<JobId> waitsOn, Consumer<Boolean> durable) {
     List<Mutation> changes = new ArrayList<>();
     for (Map.Entry<String, Map<String, Object>> part : JobDependencies.parts(waitsOn).entrySet()) {
-      if (!ledger.hasPart(part.getKey())) {
+      if (!cache.hasDependencyPart(part.getKey())) {
         changes.add(Mutation.put(part.getKey(), part.getValue()));
       }
     }
@@ -57,11 +57,11 @@
       return;
     }
     int now = Math.min(mostChanges, changes.size());
-    client.txn(
+    store.commit(
         List.of(),
         changes.subList(0, now),
-        outcome -> {
-          if (outcome.kind() == TransactionResult.Kind.COMMITTED) {
+        result -> {
+          if (result.kind() == TransactionResult.Kind.COMMITTED) {
             write(changes.subList(now, changes.size()), durable);
           } else {
             durable.accept(false);
--- a/src/main/java/org/quincecross/api/ForeignHeartbeats.java
+++ b/src/main/java/org/quincecross/api/ForeignHeartbeats.java
@@ -27,9 +27,9 @@
    * @param stray false where the machine's block was held here at that time
    */
   private record Heard(long session, long order, MonotonicTime at, boolean stray) {
-    boolean isBefore(Heartbeat report) {
-      int bySession = Long.compareUnsigned(report.session(), session);
-      return bySession != 0 ? bySession > 0 : Long.compareUnsigned(report.sequence(), order) > 0;
+    boolean isBefore(Heartbeat heartbeat) {
+      int bySession = Long.compareUnsigned(heartbeat.session(), session);
+      return bySession != 0 ? bySession > 0 : Long.compareUnsigned(heartbeat.sequence(), order) > 0;
     }
   }
 
@@ -37,22 +37,22 @@
   private MonotonicTime tidied = new MonotonicTime(0);
 
   /** A machine of another's block has reported here, or a copy of a report came. */
-  void heard(Heartbeat report, MonotonicTime now) {
-    note(report, now, true);
+  void heard(Heartbeat heartbeat, MonotonicTime now) {
+    note(heartbeat, now, true);
   }
 
   /** Its block is held here now, and that holder has answered it. */
-  void answered(Heartbeat report, MonotonicTime now) {
-    note(report, now, false);
+  void answered(Heartbeat heartbeat, MonotonicTime now) {
+    note(heartbeat, now, false);
   }
 
-  private void note(Heartbeat report, MonotonicTime now, boolean stray) {
-    MachineId machine = report.machine().id();
+  private void note(Heartbeat heartbeat, MonotonicTime now, boolean stray) {
+    MachineId machine = heartbeat.machine().id();
     Heard before = heard.get(machine);
     if (before == null
-        || before.isBefore(report)
+        || before.isBefore(heartbeat)
         || now.since(before.at()).isLongerThan(REMEMBERED)) {
-      heard.put(machine, new Heard(report.session(), report.sequence(), now, stray));
+      heard.put(machine, new Heard(heartbeat.session(), heartbeat.sequence(), now, stray));
     }
   }
 
--- a/src/main/java/org/quincecross/api/ModelServingFeature.java
+++ b/src/main/java/org/quincecross/api/ModelServingFeature.java
@@ -33,19 +33,22 @@
   ModelServingFeature(ReplicatedFeatureContext base, PeerViews views) {
     this.base = base;
     this.views = views;
-    this.records = new ModelIndex(base.ledger());
+    this.records = new ModelIndex(base.cache());
     base.withheld().add(records);
   }
 
   /** Follows the records, and has the leader keep the models. */
   void listen(
-      ClusterStateCache ledger, OwnedShards holdings, Leader leader, ToIntFunction<JobId> running) {
+      ClusterStateCache cache,
+      OwnedShards ownedShards,
+      Leader leader,
+      ToIntFunction<JobId> running) {
     desk =
         new ModelDemandCollector(
-            base, records, (job, replica) -> runs(holdings, job.task(replica)));
+            base, records, (job, replica) -> runs(ownedShards, job.task(replica)));
     api =
-        new ModelsApi(base, records, desk, new ModelPlacementView(ledger, views, records), running);
-    ledger.listen(
+        new ModelsApi(base, records, desk, new ModelPlacementView(cache, views, records), running);
+    cache.addListener(
         changes -> {
           records.ledgerChanged(changes, base.withheld()::changed);
           desk.ledgerChanged(changes);
@@ -54,9 +57,9 @@
     desk.start();
   }
 
-  private static boolean runs(OwnedShards holdings, TaskId task) {
-    for (ShardOwner holder : holdings.all()) {
-      if (holder.running(task.job()) > 0 && holder.runs(task)) {
+  private static boolean runs(OwnedShards ownedShards, TaskId task) {
+    for (ShardOwner owner : ownedShards.all()) {
+      if (owner.running(task.job()) > 0 && owner.runs(task)) {
         return true;
       }
     }
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -58,9 +58,9 @@
    */
   ReplicatedFeatures(
       Timers timers,
-      KeyValueStoreClient client,
-      StateWatcher follower,
-      ClusterStateCache ledger,
+      KeyValueStoreClient store,
+      StateWatcher watcher,
+      ClusterStateCache cache,
       Membership membership,
       PeerViews views,
       Settings settings,
@@ -77,15 +77,14 @@
     base =
         new ReplicatedFeatureContext(
             timers,
-            ledger,
-            new ReplicatedRecordStore(
-                timers, client, follower, ledger, membership, settings, clockMs),
-            new KnownRevisions(timers, ledger, views, settings, longest),
+            cache,
+            new ReplicatedRecordStore(timers, store, watcher, cache, membership, settings, clockMs),
+            new KnownRevisions(timers, cache, views, settings, longest),
             new CombinedStartBlock(),
             settings,
             clockMs,
             parts);
-    api = new AgreedApi(base, follower);
+    api = new AgreedApi(base, watcher);
     models = base.has("models") ? new ModelServingFeature(base, views) : null;
     requests = base.has(RequestKind.NAME) ? new ReservationFeature(base) : null;
   }
@@ -118,20 +117,20 @@
    * @param served null where it is not counted who is served
    */
   void listen(
-      ClusterStateCache ledger,
-      OwnedShards holdings,
+      ClusterStateCache cache,
+      OwnedShards ownedShards,
       Leader leader,
       AccountingLog served,
       ToIntFunction<JobId> running) {
     if (base == null) {
       return;
     }
-    ledger.listen(base.known()::ledgerChanged);
+    cache.addListener(base.known()::ledgerChanged);
     base.withheld()
         .listen(
             (Set<JobId> jobs) -> {
               leader.withheldChanged(jobs);
-              holdings.withheldChanged(jobs);
+              ownedShards.withheldChanged(jobs);
               if (served != null) {
                 served.withheldChanged(jobs);
               }
@@ -141,7 +140,7 @@
       new LegalHoldReconciler(base, held, leader::isLeading);
     }
     if (models != null) {
-      models.listen(ledger, holdings, leader, running);
+      models.listen(cache, ownedShards, leader, running);
     }
   }
 
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -41,10 +41,10 @@
     } catch (MalformedRecordException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
-    ReplicatedRecordIndex<Request, RequestCommand> book =
-        base.ledger().agreed().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
-    rooms = new ReservedCapacity(base.ledger(), book);
-    keeper = new ReservationManager(base.store(), book, rooms, share);
+    ReplicatedRecordIndex<Request, RequestCommand> index =
+        base.cache().replicatedRecords().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
+    rooms = new ReservedCapacity(base.cache(), index);
+    keeper = new ReservationManager(base.store(), index, rooms, share);
   }
 
   void start(DemandForecast foresight, Leader leader) {
@@ -57,9 +57,9 @@
    * same says the same.
    */
   private String outlook(String reference) {
-    if (plan == null || !base.ledger().revision().equals(planned)) {
+    if (plan == null || !base.cache().revision().equals(planned)) {
       plan = rooms.plan(base.settings().teams(), share);
-      planned = base.ledger().revision();
+      planned = base.cache().revision();
     }
     return plan.without().getOrDefault(reference, "");
   }
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -101,8 +101,8 @@
   private final Map<JobId, List<Consumer<Outcome>>> pending = new HashMap<>();
 
   private final Timers timers;
-  private final KeyValueStoreClient client;
-  private final StateWatcher follower;
+  private final KeyValueStoreClient store;
+  private final StateWatcher watcher;
   private final ControllerId member;
   private final Supplier<Incarnation> life;
   private final int mostChanges;
@@ -128,16 +128,16 @@
    */
   Submissions(
       Timers timers,
-      KeyValueStoreClient client,
-      StateWatcher follower,
+      KeyValueStoreClient store,
+      StateWatcher watcher,
       ControllerId member,
       Supplier<Incarnation> life,
       Settings.StoreLimits limits,
       Predicate<JobId> isKnown) {
     this.isKnown = isKnown;
     this.timers = timers;
-    this.client = client;
-    this.follower = follower;
+    this.store = store;
+    this.watcher = watcher;
     this.member = member;
     this.life = life;
     this.mostChanges = limits.maxMutationsPerTransaction();
@@ -172,8 +172,8 @@
    * (docs/incidents/too-large-for-a-record.md).
    */
   boolean fits(Job job, long nowMs) {
-    return Json.write(JobRecord.cancelled(job, nowMs)).length <= mostValue
-        && Json.write(JobRecord.open(job, nowMs)).length <= mostValue;
+    return Json.write(JobRecord.writeCancelled(job, nowMs)).length <= mostValue
+        && Json.write(JobRecord.writeOpen(job, nowMs)).length <= mostValue;
   }
 
   void submit(Job job, long nowMs, Consumer<Outcome> done) {
@@ -216,7 +216,7 @@
     if (writing > heldUp || writing == MOST_AT_ONCE) {
       return;
     }
-    if (heldUp > 0 && client.changesAffordable() == 0) {
+    if (heldUp > 0 && store.affordableMutations() == 0) {
       flushLater();
       return;
     }
@@ -251,15 +251,15 @@
     String key = StoreKeys.job(one.job().id());
     write(
         List.of(new Precondition(key, Revision.NONE)),
-        List.of(Mutation.put(key, JobRecord.open(one.job(), one.acceptedMs()))),
+        List.of(Mutation.put(key, JobRecord.writeOpen(one.job(), one.acceptedMs()))),
         List.of(one),
-        outcome -> {
-          switch (outcome.kind()) {
+        result -> {
+          switch (result.kind()) {
             case COMMITTED -> one.done().accept(Outcome.ACCEPTED);
             case CONFLICT, UNKNOWN -> end(one);
             case UNAVAILABLE, TOO_LARGE -> one.done().accept(Outcome.REFUSED);
-            case REFUSED, NO_LEASE -> again(one);
-            default -> throw new IllegalStateException(outcome.kind().toString());
+            case THROTTLED, LEASE_EXPIRED -> again(one);
+            default -> throw new IllegalStateException(result.kind().toString());
           }
         });
   }
@@ -275,7 +275,7 @@
     int bytes = 0;
     // No more than can go out now: a change that waits for its budget has all behind it wait, other
     // teams' jobs among them.
-    int most = Math.max(1, Math.min(mostChanges, client.changesAffordable()));
+    int most = Math.max(1, Math.min(mostChanges, store.affordableMutations()));
     while (!waiting.isEmpty()
         && !waiting.peek().alone()
         && changes.size() < most
@@ -284,7 +284,7 @@
       int size = 0;
       while (!waiting.isEmpty() && !waiting.peek().alone()) {
         Map<String, Object> open =
-            JobRecord.open(waiting.peek().job(), waiting.peek().acceptedMs());
+            JobRecord.writeOpen(waiting.peek().job(), waiting.peek().acceptedMs());
         int more = Json.write(open).length + 1;
         if (!jobs.isEmpty() && size + more > mostValue) {
           break;
@@ -295,20 +295,20 @@
       }
       String key = StoreKeys.bundle(member, life.get(), ++bundles);
       guards.add(new Precondition(key, Revision.NONE));
-      changes.add(Mutation.put(key, JobRecord.bundle(jobs)));
+      changes.add(Mutation.put(key, JobRecord.writeBundle(jobs)));
       bytes += size;
     }
     write(
         guards,
         changes,
         group,
-        outcome -> {
-          switch (outcome.kind()) {
+        result -> {
+          switch (result.kind()) {
             // Nothing says whether a job was known already: only a ledger that has the bundle can
             // tell.
             case COMMITTED, UNKNOWN -> group.forEach(this::end);
             case UNAVAILABLE -> group.forEach(each -> each.done().accept(Outcome.REFUSED));
-            case CONFLICT, REFUSED, NO_LEASE -> group.forEach(this::again);
+            case CONFLICT, THROTTLED, LEASE_EXPIRED -> group.forEach(this::again);
             // One of them is too much, as the state service counts: the others must not wait for
             // it.
             case TOO_LARGE ->
@@ -317,7 +317,7 @@
                         again(
                             new Pending(
                                 each.job(), each.acceptedMs(), each.since(), each.done(), true)));
-            default -> throw new IllegalStateException(outcome.kind().toString());
+            default -> throw new IllegalStateException(result.kind().toString());
           }
         });
   }
@@ -342,10 +342,10 @@
             flush();
           }
         });
-    client.txn(
+    store.commit(
         guards,
         changes,
-        outcome -> {
+        result -> {
           answered[0] = true;
           writing--;
           heldUp -= isHeldUp[0] ? 1 : 0;
@@ -355,7 +355,7 @@
           double each =
               timers.now().since(begun).seconds() / group.size() / (isHeldUp[0] ? MOST_AT_ONCE : 1);
           secondsPerJob = (1 - LATEST) * secondsPerJob + LATEST * each;
-          done.accept(outcome);
+          done.accept(result);
           flush();
         });
   }
@@ -365,7 +365,7 @@
    * it. Looks again after ever longer pauses.
    */
   private void lookFor(List<Pending> group, boolean[] answered, TimeSpan pause) {
-    follower.barrier(
+    watcher.barrier(
         current -> {
           if (current) {
             group.stream()
@@ -404,6 +404,6 @@
   }
 
   private void look(Consumer<Outcome> done) {
-    follower.barrier(current -> done.accept(current ? Outcome.LOOK : Outcome.REFUSED));
+    watcher.barrier(current -> done.accept(current ? Outcome.LOOK : Outcome.REFUSED));
   }
 }
--- a/src/main/java/org/quincecross/api/UnassignedMachines.java
+++ b/src/main/java/org/quincecross/api/UnassignedMachines.java
@@ -46,9 +46,9 @@
   }
 
   /** A machine that is in no block has reported, or a copy of its report came. */
-  void reported(Heartbeat report) {
-    Machine machine = report.machine();
-    if (report.token().equals(FencingToken.NONE) && leader.newcomer(machine, false)) {
+  void reported(Heartbeat heartbeat) {
+    Machine machine = heartbeat.machine();
+    if (heartbeat.token().equals(FencingToken.NONE) && leader.newcomer(machine, false)) {
       return;
     }
     MonotonicTime now = timers.now();
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -60,9 +60,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
-  private final StateWatcher follower;
-  private final KeyValueStoreClient client;
+  private final ClusterStateCache cache;
+  private final StateWatcher watcher;
+  private final KeyValueStoreClient store;
   private final Settings settings;
   private final ToIntFunction<JobId> running;
   private final LongSupplier clockMs;
@@ -85,9 +85,9 @@
 
   UserApi(
       Timers timers,
-      ClusterStateCache ledger,
-      StateWatcher follower,
-      KeyValueStoreClient client,
+      ClusterStateCache cache,
+      StateWatcher watcher,
+      KeyValueStoreClient store,
       Settings settings,
       ToIntFunction<JobId> running,
       LongSupplier clockMs,
@@ -96,9 +96,9 @@
       BooleanSupplier memoryIsShort,
       Supplier<IsolationDetector.State> aloneness) {
     this.timers = timers;
-    this.ledger = ledger;
-    this.follower = follower;
-    this.client = client;
+    this.cache = cache;
+    this.watcher = watcher;
+    this.store = store;
     this.settings = settings;
     this.running = running;
     this.clockMs = clockMs;
@@ -113,14 +113,14 @@
     this.submissions =
         new Submissions(
             timers,
-            client,
-            follower,
+            store,
+            watcher,
             settings.self(),
             life,
             settings.storeLimits(),
-            id -> ledger.job(id) != null);
+            id -> cache.job(id) != null);
     this.afterParts =
-        new DependencyWriter(client, ledger, settings.storeLimits().maxMutationsPerTransaction());
+        new DependencyWriter(store, cache, settings.storeLimits().maxMutationsPerTransaction());
   }
 
   /** Answers a request below {@link JobCodec#JOBS_PATH}. */
@@ -162,7 +162,7 @@
   }
 
   private boolean isCutOff() {
-    MonotonicTime confirmed = follower.confirmed();
+    MonotonicTime confirmed = watcher.confirmedAt();
     return confirmed == null || timers.now().since(confirmed).isLongerThan(UNCONFIRMED);
   }
 
@@ -176,7 +176,7 @@
 
   private HttpResponse state(JobRecord record) {
     int tasks = record.job() == null ? 0 : record.job().taskCount();
-    int done = record.phase() == JobPhase.DONE ? tasks : ledger.doneCount(record.id());
+    int done = record.phase() == JobPhase.DONE ? tasks : cache.completedCount(record.id());
     return HttpResponse.of(
         200,
         JobCodec.writeStatus(
@@ -185,7 +185,7 @@
             done,
             record.phase() == JobPhase.OPEN ? running.applyAsInt(record.id()) : 0,
             record.phase() == JobPhase.OPEN
-                ? ledger.pipelines().unfinished(record.id())
+                ? cache.dependencyGraph().unfinished(record.id())
                 : List.of()));
   }
 
@@ -198,15 +198,15 @@
   }
 
   private void look(JobId id, Consumer<HttpResponse> reply, Runnable unknown, boolean mayWait) {
-    JobRecord known = ledger.job(id);
-    if (known != null && known.phase().isFinal()) {
+    JobRecord known = cache.job(id);
+    if (known != null && known.phase().isTerminal()) {
       tell(known, reply);
     } else if (isCutOff()) {
       refusals.refuse(reply, () -> look(id, reply, unknown, mayWait));
     } else {
       Consumer<Boolean> answer =
           current -> {
-            JobRecord record = ledger.job(id);
+            JobRecord record = cache.job(id);
             if (!current) {
               reply.accept(later("the state service cannot be reached"));
             } else if (record == null) {
@@ -216,9 +216,9 @@
             }
           };
       if (mayWait) {
-        follower.barrierSoon(answer);
+        watcher.barrierSoon(answer);
       } else {
-        follower.barrier(answer);
+        watcher.barrier(answer);
       }
     }
   }
@@ -241,7 +241,7 @@
       reply.accept(bad(400, e.getMessage()));
       return;
     }
-    if (ledger.job(id) != null) {
+    if (cache.job(id) != null) {
       look(id, reply, () -> reply.accept(later("try again")));
       return;
     }
@@ -282,12 +282,12 @@
     MonotonicTime now = timers.now();
     if (saidShort == null || now.since(saidShort).isLongerThan(SAY_EVERY)) {
       saidShort = now;
-      LOG.error("memory is short with {} jobs on record: new ones are refused", ledger.jobCount());
+      LOG.error("memory is short with {} jobs on record: new ones are refused", cache.jobCount());
     }
   }
 
   private boolean namesUnknown(Job job) {
-    return job.dependencies().stream().anyMatch(id -> ledger.job(id) == null);
+    return job.dependencies().stream().anyMatch(id -> cache.job(id) == null);
   }
 
   /**
@@ -333,7 +333,7 @@
         job,
         clockMs.getAsLong(),
         outcome -> {
-          JobRecord record = ledger.job(job.id());
+          JobRecord record = cache.job(job.id());
           switch (outcome) {
             case ACCEPTED -> {
               // What needs a cancelled job is cancelled from its acceptance on, and may long have
@@ -370,11 +370,11 @@
     if (team == null) {
       return bad(422, "unknown team");
     }
-    if (ledger.types().isEmpty()) {
+    if (cache.machineTypes().isEmpty()) {
       return later("the machine types are not known yet");
     }
     boolean fits = false;
-    for (MachineType type : ledger.types().values()) {
+    for (MachineType type : cache.machineTypes().values()) {
       // A type that the cloud has only in other zones than the job's is none that the job may use.
       boolean allowed =
           (job.machineTypes() == null || job.machineTypes().contains(type.name()))
@@ -385,7 +385,7 @@
       return bad(422, "no allowed machine type fits a task");
     }
     for (JobId id : job.dependencies()) {
-      JobRecord before = ledger.job(id);
+      JobRecord before = cache.job(id);
       if (before != null
           && before.phase() == JobPhase.OPEN
           && before.job().kind() == JobKind.SERVICE) {
@@ -405,11 +405,11 @@
   }
 
   private void cancel(JobId id, int tries, Consumer<HttpResponse> reply) {
-    JobRecord known = ledger.job(id);
+    JobRecord known = cache.job(id);
     if (known == null) {
-      follower.barrier(
+      watcher.barrier(
           current -> {
-            if (current && ledger.job(id) == null) {
+            if (current && cache.job(id) == null) {
               reply.accept(HttpResponse.of(404, JobCodec.writeError("no such job")));
             } else if (current) {
               cancel(id, tries, reply);
@@ -419,7 +419,7 @@
           });
       return;
     }
-    if (known.phase().isFinal()) {
+    if (known.phase().isTerminal()) {
       tell(known, reply);
       return;
     }
@@ -432,15 +432,15 @@
       return;
     }
     Consumer<TransactionResult> then =
-        outcome -> {
-          if (outcome.committed()) {
-            follower.barrier(current -> cancel(id, current ? tries - 1 : 0, reply));
-          } else if (outcome.kind() == TransactionResult.Kind.UNAVAILABLE) {
+        result -> {
+          if (result.committed()) {
+            watcher.barrier(current -> cancel(id, current ? tries - 1 : 0, reply));
+          } else if (result.kind() == TransactionResult.Kind.UNAVAILABLE) {
             reply.accept(later("the state service cannot be reached"));
-          } else if (outcome.kind() == TransactionResult.Kind.TOO_LARGE) {
+          } else if (result.kind() == TransactionResult.Kind.TOO_LARGE) {
             reply.accept(later("the state service takes no record so large"));
           } else {
-            follower.barrier(
+            watcher.barrier(
                 current -> timers.after(TimeSpan.ofMillis(60), () -> cancel(id, tries - 1, reply)));
           }
         };
@@ -451,17 +451,17 @@
     }
     List<Consumer<TransactionResult>> all = new ArrayList<>(List.of(then));
     cancelling.put(id, all);
-    client.txn(
-        List.of(new Precondition(StoreKeys.job(id), ledger.version(StoreKeys.job(id)))),
+    store.commit(
+        List.of(new Precondition(StoreKeys.job(id), cache.version(StoreKeys.job(id)))),
         List.of(
             Mutation.put(
                 StoreKeys.job(id),
-                ledger
-                    .asRecorded(id)
-                    .cancelled(clockMs.getAsLong(), settings.storeLimits().maxValueBytes()))),
-        outcome -> {
+                cache
+                    .storedJob(id)
+                    .writeCancelled(clockMs.getAsLong(), settings.storeLimits().maxValueBytes()))),
+        result -> {
           cancelling.remove(id);
-          all.forEach(each -> each.accept(outcome));
+          all.forEach(each -> each.accept(result));
         });
   }
 }
--- a/src/main/java/org/quincecross/dependency/UrgencyPropagation.java
+++ b/src/main/java/org/quincecross/dependency/UrgencyPropagation.java
@@ -28,10 +28,10 @@
    * @param runMs how long it takes from the end of those before it, at best: hand-over, image and
    *     run
    */
-  public record Own(Priority rank, long endByMs, long runMs) {}
+  public record Own(Priority priority, long endByMs, long runMs) {}
 
   /** What a job is to be treated as. */
-  public record Urgency(Priority rank, long endByMs) {}
+  public record Urgency(Priority priority, long endByMs) {}
 
   private final Function<JobId, Own> jobs;
   private final DependencyGraph pipelines;
@@ -62,7 +62,8 @@
       JobId id = toLookAt.poll();
       Own own = jobs.apply(id);
       Urgency now = own == null ? null : of(id, own);
-      Urgency next = own == null || now.equals(new Urgency(own.rank(), own.endByMs())) ? null : now;
+      Urgency next =
+          own == null || now.equals(new Urgency(own.priority(), own.endByMs())) ? null : now;
       Urgency before = next == null ? inherited.remove(id) : inherited.put(id, next);
       if (next == null ? before != null : !next.equals(before)) {
         changed.accept(id);
@@ -72,7 +73,7 @@
   }
 
   private Urgency of(JobId id, Own own) {
-    Priority rank = own.rank();
+    Priority priority = own.priority();
     long endBy = own.endByMs();
     for (JobId follower : pipelines.followersOf(id)) {
       Own its = jobs.apply(follower);
@@ -80,14 +81,14 @@
         continue;
       }
       Urgency inheritedToo = inherited.get(follower);
-      Priority itsRank = inheritedToo == null ? its.rank() : inheritedToo.rank();
+      Priority itsRank = inheritedToo == null ? its.priority() : inheritedToo.priority();
       // The highest priority has ways of its own, for what has to start within seconds: only who
       // asks for it has them.
       itsRank = itsRank == Priority.PRODUCTION ? Priority.HIGH : itsRank;
       long itsEndBy = inheritedToo == null ? its.endByMs() : inheritedToo.endByMs();
-      rank = itsRank.isHigherThan(rank) ? itsRank : rank;
+      priority = itsRank.isHigherThan(priority) ? itsRank : priority;
       endBy = itsEndBy == NEVER ? endBy : Math.min(endBy, itsEndBy - its.runMs());
     }
-    return new Urgency(rank, endBy);
+    return new Urgency(priority, endBy);
   }
 }
--- a/src/main/java/org/quincecross/emulator/AgentSimulator.java
+++ b/src/main/java/org/quincecross/emulator/AgentSimulator.java
@@ -394,8 +394,8 @@
     }
   }
 
-  private void execute(List<JsonFields> orders) throws MalformedMessageException {
-    for (JsonFields command : orders) {
+  private void execute(List<JsonFields> commands) throws MalformedMessageException {
+    for (JsonFields command : commands) {
       Key key = new Key(TaskId.parse(command.string("Piece")), command.unsigned("Try"));
       Task task = tasks.get(key);
       switch (command.string("Verb")) {
--- a/src/main/java/org/quincecross/emulator/ClusterSpec.java
+++ b/src/main/java/org/quincecross/emulator/ClusterSpec.java
@@ -52,8 +52,8 @@
    */
   record JobClass(
       String name,
-      JobKind shape,
-      Priority rank,
+      JobKind kind,
+      Priority priority,
       int initial,
       double perMinute,
       int meanTasks,
@@ -465,21 +465,25 @@
 
   /** What controller {@code node} is told; {@code state} is where it reaches the state service. */
   Settings settings(
-      int node, List<Endpoint> listen, List<Endpoint> peers, Endpoint cloud, Endpoint state) {
-    List<Settings.Peer> siblings = new ArrayList<>();
+      int node,
+      List<Endpoint> listen,
+      List<Endpoint> peerAddresses,
+      Endpoint cloud,
+      Endpoint state) {
+    List<Settings.Peer> peers = new ArrayList<>();
     for (int other = 0; other < nodes(); other++) {
       if (other != node) {
-        siblings.add(
+        peers.add(
             new Settings.Peer(
-                new ControllerId(nodeName(other)), nodeZones.get(other), peers.get(other)));
+                new ControllerId(nodeName(other)), nodeZones.get(other), peerAddresses.get(other)));
       }
     }
     return new Settings(
         new ControllerId(nodeName(node)),
         nodeZones.get(node),
         listen.get(node),
-        peers.get(node),
-        siblings,
+        peerAddresses.get(node),
+        peers,
         cloud,
         state,
         zones,
--- a/src/main/java/org/quincecross/emulator/PipelineDraws.java
+++ b/src/main/java/org/quincecross/emulator/PipelineDraws.java
@@ -93,22 +93,22 @@
     return some;
   }
 
-  private Job job(String team, Priority rank, TimeSpan due, List<JobId> waitsOn) {
-    JobKind shape = random.nextInt(4) == 0 ? JobKind.GANG : JobKind.ARRAY;
+  private Job job(String team, Priority priority, TimeSpan due, List<JobId> waitsOn) {
+    JobKind kind = random.nextInt(4) == 0 ? JobKind.GANG : JobKind.ARRAY;
     boolean saves = random.nextInt(3) == 0;
     return new Job(
         new JobId("job-" + number++),
         "pipeline",
         team,
-        shape,
-        rank,
-        1 + random.nextInt(shape == JobKind.GANG ? 2 : MOST_TASKS),
+        kind,
+        priority,
+        1 + random.nextInt(kind == JobKind.GANG ? 2 : MOST_TASKS),
         each,
         null,
         null,
         false,
         false,
-        shape == JobKind.ARRAY && random.nextBoolean(),
+        kind == JobKind.ARRAY && random.nextBoolean(),
         "img-" + random.nextInt(3),
         1,
         TimeSpan.ofSeconds(2 + random.nextInt(10)),
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -105,7 +105,7 @@
                 Map.of("requests", Map.of("share", SHARE))));
     front =
         site.classes().stream()
-            .filter(each -> each.shape() == JobKind.SERVICE)
+            .filter(each -> each.kind() == JobKind.SERVICE)
             .findFirst()
             .orElseThrow();
     MachineType type = site.types().get(0);
@@ -201,7 +201,7 @@
                 OTHER_FRONT,
                 team,
                 JobKind.SERVICE,
-                front.rank(),
+                front.priority(),
                 tasks,
                 front.each(),
                 null,
@@ -234,7 +234,7 @@
               ANSWERS,
               front.name(),
               JobKind.SERVICE,
-              front.rank(),
+              front.priority(),
               TASKS_EACH,
               front.each(),
               null,
--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -311,33 +311,33 @@
 
   /** Submits a job of any kind; some are cancelled later, services all. */
   void submit(int number) {
-    JobKind shape =
+    JobKind kind =
         random.nextInt(4) == 0
             ? JobKind.SERVICE
             : random.nextInt(5) == 0 ? JobKind.GANG : JobKind.ARRAY;
-    boolean wide = shape == JobKind.GANG && random.nextInt(3) == 0;
+    boolean wide = kind == JobKind.GANG && random.nextInt(3) == 0;
     int tasks =
-        shape == JobKind.ARRAY
+        kind == JobKind.ARRAY
             ? 1 + random.nextInt(8)
             : wide ? 2 + random.nextInt(2) : 1 + random.nextInt(2);
-    boolean spread = shape == JobKind.SERVICE && random.nextBoolean();
-    boolean saves = shape != JobKind.SERVICE && random.nextInt(3) == 0;
+    boolean spread = kind == JobKind.SERVICE && random.nextBoolean();
+    boolean saves = kind != JobKind.SERVICE && random.nextInt(3) == 0;
     Job job =
         new Job(
             new JobId("job-" + number),
-            shape.name(),
+            kind.name(),
             random.nextInt(3) == 0 && !wide ? "blue" : "red",
-            shape,
-            shape == JobKind.SERVICE
+            kind,
+            kind == JobKind.SERVICE
                 ? Priority.PRODUCTION
                 : random.nextBoolean() ? Priority.NORMAL : Priority.LOW,
             tasks,
             new Resources(wide ? 5 : 1 + random.nextInt(3), 0, 2),
             null,
             null,
-            shape == JobKind.GANG && tasks > 1,
+            kind == JobKind.GANG && tasks > 1,
             spread,
-            shape != JobKind.SERVICE && random.nextBoolean(),
+            kind != JobKind.SERVICE && random.nextBoolean(),
             "img-" + random.nextInt(3),
             1,
             TimeSpan.ofSeconds(2 + random.nextInt(15)),
@@ -345,7 +345,7 @@
             saves ? TimeSpan.ofSeconds(0.5 + random.nextDouble()) : TimeSpan.ZERO,
             null);
     submit(job);
-    if (shape == JobKind.SERVICE || random.nextInt(4) == 0) {
+    if (kind == JobKind.SERVICE || random.nextInt(4) == 0) {
       around.clock().after(1 + random.nextDouble() * 60, () -> cancel(job.id()));
     }
   }
--- a/src/main/java/org/quincecross/emulator/WorkloadFile.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadFile.java
@@ -205,7 +205,7 @@
       }
     }
     String name = in.text("name", null);
-    JobKind shape = in.word("shape", SHAPES);
+    JobKind kind = in.word("shape", SHAPES);
     String team = in.text("team", null);
     if (!site.teams().containsKey(team)) {
       throw in.wrong("team", "is not one of " + site.teams().keySet());
@@ -222,7 +222,7 @@
     if (site.types().stream().noneMatch(type -> each.fitsIn(type.capacity()))) {
       throw in.wrong("cpus", "and memory_gb of a task fit no machine of this site");
     }
-    boolean runs = shape != JobKind.SERVICE;
+    boolean runs = kind != JobKind.SERVICE;
     double run = runs ? in.amount("run_s", -1, 100_000) : 0;
     double every = in.amount("every_s", 0, 100_000);
     double due = in.amount("due_s", 0, 1_000_000);
@@ -242,7 +242,7 @@
                   id,
                   name,
                   team,
-                  shape,
+                  kind,
                   in.word("rank", RANKS),
                   tasks,
                   each,
@@ -261,7 +261,7 @@
                       .map(those -> those.get(number % those.size()))
                       .collect(Collectors.toSet()))));
     }
-    named.put(name, named.containsKey(name) || shape == JobKind.SERVICE ? List.of() : ids);
+    named.put(name, named.containsKey(name) || kind == JobKind.SERVICE ? List.of() : ids);
   }
 
   /**
--- a/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
@@ -146,7 +146,7 @@
         around.site().teams().containsKey(each.name())
             ? each.name()
             : teams[random.nextInt(teams.length)];
-    boolean varies = each.shape() != JobKind.GANG;
+    boolean varies = each.kind() != JobKind.GANG;
     int tasks =
         varies
             ? (int)
@@ -160,18 +160,18 @@
         new JobId("job-" + number++),
         each.name(),
         team,
-        each.shape(),
-        each.rank(),
+        each.kind(),
+        each.priority(),
         tasks,
         each.each(),
         null,
         null,
-        each.shape() == JobKind.GANG,
+        each.kind() == JobKind.GANG,
         each.spread(),
         each.spot(),
         each.name() + "-" + image,
         each.imageGb() * (0.6 + 0.8 * image / each.images()),
-        each.shape() == JobKind.SERVICE
+        each.kind() == JobKind.SERVICE
             ? TimeSpan.ZERO
             : TimeSpan.ofSeconds(each.runS() * Math.min(4, nearOne.sample())),
         TimeSpan.ofSeconds(each.saveEveryS()),
--- a/src/main/java/org/quincecross/failuredetection/StartPermission.java
+++ b/src/main/java/org/quincecross/failuredetection/StartPermission.java
@@ -44,7 +44,7 @@
  * settings do not name are not known here: all are to be given the same ones.
  */
 public final class StartPermission {
-  private record Numbered(Incarnation life, long number) {}
+  private record Numbered(Incarnation incarnation, long number) {}
 
   /** A report of another controller was made after {@code after}, and showed this revision. */
   private record Shown(MonotonicTime after, Revision revision) {}
@@ -67,24 +67,24 @@
    * A report is about to be made here. Of each the time is kept for as long as a receipt of it can
    * prove something.
    */
-  public void sent(Incarnation life, long number, MonotonicTime now) {
+  public void sent(Incarnation incarnation, long number, MonotonicTime now) {
     sent.values().removeIf(at -> now.since(at).isLongerThan(limit));
     // Every process has that name until it has its lease: a receipt could be one of a report of the
     // process before.
-    if (!life.equals(Incarnation.NONE)) {
-      sent.put(new Numbered(life, number), now);
+    if (!incarnation.equals(Incarnation.NONE)) {
+      sent.put(new Numbered(incarnation, number), now);
     }
   }
 
   /**
    * A report of another controller came.
    *
-   * @param life the life from which it has received, by its receipt
+   * @param incarnation the life from which it has received, by its receipt
    * @param number the last report of it that it has received
    * @param revision that of the records that it shows
    */
-  public void received(ControllerId from, Incarnation life, long number, Revision revision) {
-    MonotonicTime after = sent.get(new Numbered(life, number));
+  public void received(ControllerId from, Incarnation incarnation, long number, Revision revision) {
+    MonotonicTime after = sent.get(new Numbered(incarnation, number));
     if (after == null || revision.equals(Revision.NONE)) {
       return;
     }
--- a/src/main/java/org/quincecross/leader/AllocationIndex.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -41,8 +41,8 @@
    */
   record Account(Job job, TaskSet done, TaskSet out, TaskSet pool, Map<String, Integer> perZone) {}
 
-  private final ClusterStateCache ledger;
-  private final StartBlock withheld;
+  private final ClusterStateCache cache;
+  private final StartBlock startBlock;
   private final Map<ShardId, Map<JobId, TaskSet>> allocated = new HashMap<>();
   private final Map<JobId, Map<ShardId, TaskSet>> where = new HashMap<>();
   private final Map<JobId, Account> accounts = new HashMap<>();
@@ -63,16 +63,16 @@
     listeners.add(listener);
   }
 
-  AllocationIndex(ClusterStateCache ledger) {
-    this(ledger, StartBlock.NONE);
+  AllocationIndex(ClusterStateCache cache) {
+    this(cache, StartBlock.NONE);
   }
 
   /**
-   * @param withheld tasks that are in no pool, for they may not run now
+   * @param startBlock tasks that are in no pool, for they may not run now
    */
-  AllocationIndex(ClusterStateCache ledger, StartBlock withheld) {
-    this.ledger = ledger;
-    this.withheld = withheld;
+  AllocationIndex(ClusterStateCache cache, StartBlock startBlock) {
+    this.cache = cache;
+    this.startBlock = startBlock;
   }
 
   /** Other tasks of some jobs are kept back than before. */
@@ -89,20 +89,20 @@
 
   /** Notes what has changed; it is looked at when the books are next asked. */
   void changed(ClusterStateCache.Changes changes) {
-    toRead.addAll(changes.blocks());
+    toRead.addAll(changes.shards());
     toCount.addAll(changes.jobs());
     if (changes.reloaded()) {
       toRead.addAll(allocated.keySet());
-      toRead.addAll(ledger.allocatedBlocks());
-      toRead.addAll(ledger.blocks().keySet());
-      toCount.addAll(ledger.jobs());
+      toRead.addAll(cache.allocatedShards());
+      toRead.addAll(cache.shards().keySet());
+      toCount.addAll(cache.jobs());
     }
   }
 
   /** The one place where the books change. */
   private void refresh() {
-    for (ShardId block : toRead) {
-      read(block);
+    for (ShardId shard : toRead) {
+      read(shard);
     }
     toRead.clear();
     for (JobId job : toCount) {
@@ -111,20 +111,20 @@
     toCount.clear();
   }
 
-  private void read(ShardId block) {
-    Map<JobId, TaskSet> next = ledger.allocation(block).tasks();
+  private void read(ShardId shard) {
+    Map<JobId, TaskSet> next = cache.allocation(shard).tasks();
     Map<JobId, TaskSet> before =
-        next.isEmpty() ? allocated.remove(block) : allocated.put(block, next);
-    changedBlocks.add(block);
-    boolean isLeased = ledger.block(block) != null;
-    if (isLeased ? leased.add(block) : leased.remove(block)) {
+        next.isEmpty() ? allocated.remove(shard) : allocated.put(shard, next);
+    changedBlocks.add(shard);
+    boolean isLeased = cache.shard(shard) != null;
+    if (isLeased ? leased.add(shard) : leased.remove(shard)) {
       toCount.addAll(next.keySet()); // what is in no zone now is in one, or the reverse
     }
     if (before != null) {
       for (JobId job : before.keySet()) {
         if (!next.containsKey(job)) {
           Map<ShardId, TaskSet> there = where.get(job);
-          there.remove(block);
+          there.remove(shard);
           if (there.isEmpty()) {
             where.remove(job);
           }
@@ -134,7 +134,7 @@
     }
     next.forEach(
         (job, tasks) -> {
-          TaskSet known = where.computeIfAbsent(job, id -> new TreeMap<>()).put(block, tasks);
+          TaskSet known = where.computeIfAbsent(job, id -> new TreeMap<>()).put(shard, tasks);
           if (!tasks.equals(known)) {
             toCount.add(job);
           }
@@ -144,7 +144,7 @@
   private void count(JobId id) {
     Map<ShardId, TaskSet> there = where.getOrDefault(id, Map.of());
     changedBlocks.addAll(there.keySet());
-    JobRecord record = ledger.job(id);
+    JobRecord record = cache.job(id);
     waiting.remove(id);
     JobRecord wasOpen = openRecords.remove(id);
     if (wasOpen != null) {
@@ -155,13 +155,13 @@
       return;
     }
     Job job = record.job();
-    TaskSet done = ledger.doneTasks(id);
+    TaskSet done = cache.completedTasks(id);
     TaskSet allOut = new TaskSet();
     Map<String, Integer> perZone = new TreeMap<>();
     there.forEach(
-        (block, tasks) -> {
+        (shard, tasks) -> {
           int open = tasks.size() - tasks.intersectionSize(done);
-          ShardLease lease = ledger.block(block);
+          ShardLease lease = cache.shard(shard);
           if (open > 0 && lease != null) {
             perZone.merge(lease.zone(), open, Integer::sum);
           }
@@ -170,11 +170,11 @@
         });
     allOut.removeAll(done);
     TaskSet pool = new TaskSet();
-    if (record.phase() == JobPhase.OPEN && !ledger.pipelines().waits(id)) {
+    if (record.phase() == JobPhase.OPEN && !cache.dependencyGraph().waits(id)) {
       pool = TaskSet.range(job.taskCount());
       pool.removeAll(done);
       pool.removeAll(allOut);
-      pool.removeAll(withheld.of(job));
+      pool.removeAll(startBlock.of(job));
     }
     Account account = new Account(job, done, allOut, pool, perZone);
     Account before = accounts.put(id, account);
@@ -265,10 +265,10 @@
   }
 
   /** Goes through the jobs of a block of which some task is not done. */
-  void eachHeld(ShardId block, HeldTasks action) {
+  void eachHeld(ShardId shard, HeldTasks action) {
     refresh();
     allocated
-        .getOrDefault(block, Map.of())
+        .getOrDefault(shard, Map.of())
         .forEach(
             (id, tasks) -> {
               Account account = accounts.get(id);
@@ -281,11 +281,11 @@
   }
 
   /** The tasks of a block that are not done. */
-  Map<JobId, TaskSet> held(ShardId block) {
+  Map<JobId, TaskSet> held(ShardId shard) {
     refresh();
     Map<JobId, TaskSet> held = new LinkedHashMap<>();
     allocated
-        .getOrDefault(block, Map.of())
+        .getOrDefault(shard, Map.of())
         .forEach(
             (job, tasks) -> {
               Account account = accounts.get(job);
@@ -301,10 +301,10 @@
   }
 
   /** How many tasks a block's record names that are done. */
-  int stale(ShardId block) {
+  int stale(ShardId shard) {
     refresh();
     int stale = 0;
-    for (Map.Entry<JobId, TaskSet> entry : allocated.getOrDefault(block, Map.of()).entrySet()) {
+    for (Map.Entry<JobId, TaskSet> entry : allocated.getOrDefault(shard, Map.of()).entrySet()) {
       Account account = accounts.get(entry.getKey());
       stale +=
           account == null
--- a/src/main/java/org/quincecross/leader/AllocationWriter.java
+++ b/src/main/java/org/quincecross/leader/AllocationWriter.java
@@ -30,36 +30,36 @@
   /** A change larger than this part of the whole record is not worth having beside it. */
   private static final double LARGEST_CHANGE = 0.5;
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final BooleanSupplier wholeOnly;
 
   /**
    * @param wholeOnly whether no changes are to be written, for a level is to come that does not
    *     have them
    */
-  AllocationWriter(ClusterStateCache ledger, BooleanSupplier wholeOnly) {
-    this.ledger = ledger;
+  AllocationWriter(ClusterStateCache cache, BooleanSupplier wholeOnly) {
+    this.cache = cache;
     this.wholeOnly = wholeOnly;
   }
 
   /** Adds the write to a transaction; false if there is no room for it. */
-  boolean put(TransactionBuilder plan, ShardId id, Map<JobId, TaskSet> next) {
+  boolean put(TransactionBuilder transaction, ShardId id, Map<JobId, TaskSet> next) {
     int bytes = Json.write(Allocation.write(next)).length;
-    boolean isTooLarge = bytes > plan.mostValue();
-    Allocation whole = ledger.wholeAllocation(id);
+    boolean isTooLarge = bytes > transaction.mostValue();
+    Allocation whole = cache.wholeAllocation(id);
     if ((isTooLarge || !wholeOnly.getAsBoolean())
-        && Feature.ALLOCATION_CHANGES.isIn(ledger.level().level())
+        && Feature.ALLOCATION_CHANGES.isIn(cache.level().level())
         && whole.version().value() != 0) {
       Map<String, Object> change =
           AllocationDelta.write(whole, isTooLarge ? withOver(whole, next) : next);
       if (isTooLarge || Json.write(change).length < LARGEST_CHANGE * bytes) {
-        return plan.put(
-            StoreKeys.changedAllocation(id),
+        return transaction.put(
+            StoreKeys.allocationDelta(id),
             change,
             StoreKeys.allocation(id)); // a change of another whole record says nothing
       }
     }
-    return putWhole(plan, id, next);
+    return putWhole(transaction, id, next);
   }
 
   /**
@@ -73,10 +73,12 @@
         .tasks()
         .forEach(
             (job, tasks) -> {
-              JobRecord record = ledger.job(job);
+              JobRecord record = cache.job(job);
               TaskSet all = with.containsKey(job) ? with.get(job).copy() : new TaskSet();
               for (int i = tasks.nextMember(0); i >= 0; i = tasks.nextMember(i + 1)) {
-                if (record == null || record.phase() == JobPhase.DONE || ledger.isDone(job, i)) {
+                if (record == null
+                    || record.phase() == JobPhase.DONE
+                    || cache.isCompleted(job, i)) {
                   all.add(i);
                 }
               }
@@ -88,22 +90,23 @@
   }
 
   /** Writes it whole: at any level it can be read so. */
-  boolean putWhole(TransactionBuilder plan, ShardId id, Map<JobId, TaskSet> next) {
-    String changeKey = StoreKeys.changedAllocation(id);
+  boolean putWhole(TransactionBuilder transaction, ShardId id, Map<JobId, TaskSet> next) {
+    String changeKey = StoreKeys.allocationDelta(id);
     Map<String, Object> whole = Allocation.write(next);
-    boolean hasChange = ledger.version(changeKey).value() != 0;
-    if (hasChange && plan.room() < 2) {
+    boolean hasChange = cache.version(changeKey).value() != 0;
+    if (hasChange && transaction.room() < 2) {
       return false;
     }
-    return plan.put(StoreKeys.allocation(id), whole) && (!hasChange || plan.delete(changeKey));
+    return transaction.put(StoreKeys.allocation(id), whole)
+        && (!hasChange || transaction.delete(changeKey));
   }
 
   /**
    * The records that there are of a block's tasks: whoever deletes the block deletes them with it.
    */
   List<String> keys(ShardId id) {
-    return Stream.of(StoreKeys.allocation(id), StoreKeys.changedAllocation(id))
-        .filter(key -> ledger.version(key).value() != 0)
+    return Stream.of(StoreKeys.allocation(id), StoreKeys.allocationDelta(id))
+        .filter(key -> cache.version(key).value() != 0)
         .toList();
   }
 }
--- a/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
+++ b/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
@@ -28,17 +28,17 @@
 
   private static final TimeSpan MOVE_EVERY = TimeSpan.ofSeconds(5);
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final Set<RecordId> toLookAt = new LinkedHashSet<>();
   private MonotonicTime movedAt;
 
-  AuditTrailArchiver(ClusterStateCache ledger) {
-    this.ledger = ledger;
+  AuditTrailArchiver(ClusterStateCache cache) {
+    this.cache = cache;
   }
 
   /** Follows the records. */
   void changed(ClusterStateCache.Changes changes) {
-    toLookAt.addAll(changes.agreed());
+    toLookAt.addAll(changes.replicatedRecords());
   }
 
   /**
@@ -50,46 +50,46 @@
   }
 
   /** Adds what is to be moved to a transaction that has nothing else. */
-  void plan(TransactionBuilder plan, MonotonicTime now) {
+  void plan(TransactionBuilder transaction, MonotonicTime now) {
     movedAt = now;
-    for (ReplicatedRecordIndex<?, ?> book : ledger.agreed().books()) {
-      if (plan.room() >= 2) {
-        move(plan, book);
+    for (ReplicatedRecordIndex<?, ?> index : cache.replicatedRecords().indexes()) {
+      if (transaction.room() >= 2) {
+        move(transaction, index);
       }
     }
   }
 
   // Whether the page was replaced by a longer one or by the next: the instance tells.
   @SuppressWarnings("ReferenceEquality")
-  private <S> void move(TransactionBuilder plan, ReplicatedRecordIndex<S, ?> book) {
-    AuditPage page = book.lastPage();
-    int number = Math.max(1, book.lastPageNumber());
+  private <S> void move(TransactionBuilder transaction, ReplicatedRecordIndex<S, ?> index) {
+    AuditPage page = index.lastPage();
+    int number = Math.max(1, index.lastPageNumber());
     AuditPage next = page;
     for (RecordId id : List.copyOf(toLookAt)) {
-      if (!id.kind().equals(book.kind().name())) {
+      if (!id.kind().equals(index.kind().name())) {
         continue;
       }
-      ReplicatedRecordIndex.Held<S> held = book.get(id.id());
-      if (held == null || !isLong(book, held.kept(), plan)) {
+      ReplicatedRecordIndex.Held<S> held = index.get(id.id());
+      if (held == null || !isLong(index, held.record(), transaction)) {
         toLookAt.remove(id);
         continue;
       }
-      if (plan.room() < 2) {
+      if (transaction.room() < 2) {
         break; // what is moved changes, and is looked at again then; what has no room now stays
         // here
       }
-      List<AuditEntry> lines = held.kept().lines(held.version());
-      int fit = fitting(next, lines, plan);
+      List<AuditEntry> lines = held.record().lines(held.version());
+      int fit = fitting(next, lines, transaction);
       if (fit == 0 && next == page) {
         number++; // the page is full: the next one begins
         next = AuditPage.EMPTY;
-        fit = fitting(next, lines, plan);
+        fit = fitting(next, lines, transaction);
       }
       if (fit == 0) {
         break;
       }
-      if (!plan.put(
-          book.key(id.id()), held.kept().without(fit, held.version()).write(book.kind()))) {
+      if (!transaction.put(
+          index.key(id.id()), held.record().without(fit, held.version()).write(index.kind()))) {
         // Too large without its trail too. Moved all the same, its lines came to a page again and
         // again.
         toLookAt.remove(id);
@@ -97,25 +97,29 @@
       }
       next = next.with(lines.subList(0, fit));
     }
-    if (next != page && !next.lines().isEmpty() && !plan.put(book.pageKey(number), next.write())) {
-      throw new IllegalStateException("no room for page " + number + " of " + book.kind().name());
+    if (next != page
+        && !next.lines().isEmpty()
+        && !transaction.put(index.pageKey(number), next.write())) {
+      throw new IllegalStateException("no room for page " + number + " of " + index.kind().name());
     }
   }
 
   /** How many of the first lines fit a page beside what it has. */
-  private static int fitting(AuditPage page, List<AuditEntry> lines, TransactionBuilder plan) {
+  private static int fitting(
+      AuditPage page, List<AuditEntry> lines, TransactionBuilder transaction) {
     int fit = lines.size();
     while (fit > 0
-        && Json.write(page.with(lines.subList(0, fit)).write()).length > plan.mostValue()) {
+        && Json.write(page.with(lines.subList(0, fit)).write()).length > transaction.mostValue()) {
       fit--;
     }
     return fit;
   }
 
   private static <S> boolean isLong(
-      ReplicatedRecordIndex<S, ?> book, ReplicatedRecord<S> kept, TransactionBuilder plan) {
+      ReplicatedRecordIndex<S, ?> index, ReplicatedRecord<S> kept, TransactionBuilder transaction) {
     return kept.trail().size() >= MOST_LINES
         || (!kept.trail().isEmpty()
-            && Json.write(kept.write(book.kind())).length > LARGEST_SHARE * plan.mostValue());
+            && Json.write(kept.write(index.kind())).length
+                > LARGEST_SHARE * transaction.mostValue());
   }
 }
--- a/src/main/java/org/quincecross/leader/Autoscaler.java
+++ b/src/main/java/org/quincecross/leader/Autoscaler.java
@@ -72,7 +72,7 @@
 
   private final Timers timers;
   private final CloudClient cloud;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final Settings settings;
   private final DemandForecast foresight;
   private final Supplier<OperatorSettings> operators;
@@ -112,7 +112,7 @@
   public Autoscaler(
       Timers timers,
       HttpCaller http,
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       Settings settings,
       DemandForecast foresight,
       Supplier<Incarnation> life,
@@ -121,10 +121,10 @@
     this.cloud =
         new CloudClient(
             timers, http, settings.cloudAddress(), settings.cloudLimits().requestsPerSecond());
-    this.ledger = ledger;
+    this.cache = cache;
     this.settings = settings;
     this.foresight = foresight;
-    this.plans = new ScaleOutPolicy(ledger, catalog);
+    this.plans = new ScaleOutPolicy(cache, catalog);
     this.operators = operators;
     this.life = life;
     MonotonicTime now = timers.now();
@@ -177,7 +177,7 @@
    * far as they are in blocks.
    */
   Set<MachineId> leaving() {
-    leaving.removeIf(machine -> ledger.blockOf(machine) == null);
+    leaving.removeIf(machine -> cache.shardOf(machine) == null);
     return leaving;
   }
 
@@ -189,7 +189,7 @@
 
   /** How many machines there are or will be soon, as far as is known. */
   int expected() {
-    return Math.max(listed.size(), ledger.machineCount()) + booting.size();
+    return Math.max(listed.size(), cache.machineCount()) + booting.size();
   }
 
   void unmet(List<Admission.Unmet> now) {
@@ -211,7 +211,7 @@
     }
     refreshCatalog(now);
     refreshList(now);
-    booting.keySet().removeIf(machine -> ledger.blockOf(machine) != null || gone.contains(machine));
+    booting.keySet().removeIf(machine -> cache.shardOf(machine) != null || gone.contains(machine));
     // Renting is what work waits for; what may go back can be looked for half as often, at all
     // machines there are.
     looksBack = !looksBack;
@@ -272,7 +272,7 @@
           MonotonicTime now = timers.now();
           for (CloudCodec.CloudInstance machine : all.values()) {
             if (machine.status() == CloudCodec.Status.BOOTING
-                && ledger.blockOf(machine.machine().id()) == null
+                && cache.shardOf(machine.machine().id()) == null
                 && !gone.contains(machine.machine().id())) {
               MachineKind kind =
                   new MachineKind(
@@ -294,8 +294,8 @@
     unlisted.clear();
     unlistedSince
         .keySet()
-        .removeIf(machine -> listed.containsKey(machine) || ledger.blockOf(machine) == null);
-    for (ShardLease block : ledger.blocks().values()) {
+        .removeIf(machine -> listed.containsKey(machine) || cache.shardOf(machine) == null);
+    for (ShardLease block : cache.shards().values()) {
       for (MachineId machine : block.machines().keySet()) {
         if (!listed.containsKey(machine)
             && begun
@@ -325,8 +325,8 @@
         want(entry.getKey());
       }
       boolean goes =
-          ledger.blockOf(entry.getKey()) != null
-              && ledger.blockOf(entry.getKey()).leaving().contains(entry.getKey());
+          cache.shardOf(entry.getKey()) != null
+              && cache.shardOf(entry.getKey()).leaving().contains(entry.getKey());
       if (goes && (state.fenced() || state.sick()) && !state.open() && state.tasks() == 0) {
         back.add(entry.getKey());
       }
@@ -343,7 +343,7 @@
       // much of a zone, are more likely a trouble between here and there, which passes: a zone that
       // is cut off
       // goes on working.
-      String zone = ledger.blockOf(machine).zone();
+      String zone = cache.shardOf(machine).zone();
       if (silent.size() <= Math.max(2, current.machines().size() / 5)
           && unheard.get(zone) <= Math.max(2, all.get(zone) * MOST_SILENT_OF_ZONE)) {
         back.add(machine);
@@ -362,9 +362,9 @@
     }
     for (CloudCodec.CloudInstance machine : listed.values()) {
       MachineId id = machine.machine().id();
-      MachineType type = ledger.types().get(machine.machine().type());
+      MachineType type = cache.machineTypes().get(machine.machine().type());
       double boot = type == null ? 60 : type.bootTime().seconds();
-      boolean placed = ledger.blockOf(id) != null;
+      boolean placed = cache.shardOf(id) != null;
       boolean stuck = !placed && machine.age().seconds() > 5 * boot + 60;
       boolean unneeded = !placed && calm && machine.age().seconds() > 2 * boot;
       if (machine.status() == CloudCodec.Status.FAILED || stuck || unneeded) {
@@ -377,7 +377,7 @@
 
   private Map<String, Integer> perZone(Collection<MachineId> machines) {
     Map<String, Integer> count = new HashMap<>();
-    machines.forEach(machine -> count.merge(ledger.blockOf(machine).zone(), 1, Integer::sum));
+    machines.forEach(machine -> count.merge(cache.shardOf(machine).zone(), 1, Integer::sum));
     return count;
   }
 
@@ -388,7 +388,7 @@
    * come back with their images. One that has died is listed as failed after a while.
    */
   private TimeSpan patience(MachineId machine, boolean cutOff) {
-    boolean spot = ledger.blockOf(machine) != null && ledger.blockOf(machine).spot();
+    boolean spot = cache.shardOf(machine) != null && cache.shardOf(machine).spot();
     return spot && !cutOff ? spotPatience() : settings.agentTimeouts().lease().plus(CUT_OFF_FOR);
   }
 
@@ -407,7 +407,7 @@
         .machines()
         .forEach(
             (machine, state) -> {
-              int kind = ledger.blockOf(machine) != null && ledger.blockOf(machine).spot() ? 1 : 0;
+              int kind = cache.shardOf(machine) != null && cache.shardOf(machine).spot() ? 1 : 0;
               all[kind]++;
               unheard[kind] += state.silent().isLongerThan(spotPatience()) ? 1 : 0;
             });
@@ -439,17 +439,17 @@
    * given so many of this one.
    */
   private boolean makesWay(MachineId machine, MonotonicTime now) {
-    ShardLease block = ledger.blockOf(machine);
+    ShardLease block = cache.shardOf(machine);
     return block != null
-        && operators.get().returning()
+        && operators.get().scaleIn()
         && plans.othersMakeWay(
             new MachineKind(block.type(), block.zone(), block.spot()), unmet, now);
   }
 
   /** How long an idle machine is kept: the longer, the longer another one would take to come up. */
   private TimeSpan keepIdle(MachineId machine) {
-    ShardLease block = ledger.blockOf(machine);
-    MachineType type = block == null ? null : ledger.types().get(block.type());
+    ShardLease block = cache.shardOf(machine);
+    MachineType type = block == null ? null : cache.machineTypes().get(block.type());
     TimeSpan idle = TimeSpan.ofSeconds(operators.get().idleSeconds());
     return type == null ? idle : idle.plus(type.bootTime().times(0.5));
   }
@@ -466,9 +466,9 @@
     private final Map<Sort, List<Headroom>> large = new HashMap<>();
 
     Room(View view) {
-      for (ShardLease block : ledger.blocks().values()) {
+      for (ShardLease block : cache.shards().values()) {
         Sort sort = new Sort(block.type(), block.spot());
-        for (Headroom reserve : foresight.of(block.id(), timers.now())) {
+        for (Headroom reserve : foresight.headroomFor(block.id(), timers.now())) {
           if (reserve.purpose() == Headroom.Purpose.LARGE_WORK) {
             kept.merge(sort, reserve.machines(), Integer::sum);
             large.computeIfAbsent(sort, s -> List.of(reserve));
@@ -487,7 +487,7 @@
     }
 
     private void add(MachineId machine, View view, int sign) {
-      ShardLease block = ledger.blockOf(machine);
+      ShardLease block = cache.shardOf(machine);
       if (!counts(machine, block)) {
         return;
       }
@@ -537,7 +537,7 @@
 
   /** Whether nothing waits for room and nothing is going on that may soon ask for some. */
   private boolean isCalm(View current) {
-    if (!operators.get().returning() || !unmet.isEmpty() || !current.strays().isEmpty()) {
+    if (!operators.get().scaleIn() || !unmet.isEmpty() || !current.strays().isEmpty()) {
       return false;
     }
     long unfenced = current.machines().values().stream().filter(state -> !state.fenced()).count();
@@ -547,7 +547,7 @@
 
   /** Whether a machine takes so much longer to boot than others that nobody counts on it. */
   private boolean isLate(Booting machine) {
-    MachineType type = ledger.types().get(machine.kind().type());
+    MachineType type = cache.machineTypes().get(machine.kind().type());
     return type != null
         && timers.now().since(machine.since()).isLongerThan(type.bootTime().times(2));
   }
@@ -556,7 +556,7 @@
    * Whether the other machines of the type have room for the tasks, and for some more urgent ones.
    */
   private boolean hasRoomElsewhere(MachineId machine, Resources tasks, View current) {
-    ShardLease block = ledger.blockOf(machine);
+    ShardLease block = cache.shardOf(machine);
     if (block == null || !room.leavesReserve(machine, block, current)) {
       return false;
     }
@@ -584,7 +584,7 @@
     consolidateAfter = now.plus(LOOK_FOR_THIN_EVERY);
     Map<MachineId, Double> thin = new HashMap<>();
     for (Map.Entry<MachineId, PeerHeartbeat.MachineState> entry : current.machines().entrySet()) {
-      ShardLease block = ledger.blockOf(entry.getKey());
+      ShardLease block = cache.shardOf(entry.getKey());
       PeerHeartbeat.MachineState state = entry.getValue();
       if (block != null
           && state.movable()
@@ -592,7 +592,7 @@
           && state.tasks() <= MOST_MOVED_AT_ONCE
           && state.queued() == 0
           && !wanted.contains(entry.getKey())) {
-        Resources capacity = ledger.types().get(block.type()).capacity();
+        Resources capacity = cache.machineTypes().get(block.type()).capacity();
         double share = capacity.minus(state.free()).dominantShareOf(capacity);
         if (share <= MOST_USED_TO_EMPTY) {
           thin.put(entry.getKey(), share);
@@ -608,14 +608,14 @@
     for (MachineId machine : order) {
       PeerHeartbeat.MachineState state = current.machines().get(machine);
       Resources used =
-          ledger.types().get(ledger.blockOf(machine).type()).capacity().minus(state.free());
+          cache.machineTypes().get(cache.shardOf(machine).type()).capacity().minus(state.free());
       if (most > 0
           && hasRoomElsewhere(machine, used, current)
           && hasRoomNearby(machine, used, state.imagesInUse(), taken, current)) {
         LOG.info("machine {} is emptied: its replicas have room elsewhere", machine);
         want(machine);
         room.remove(machine, current);
-        room.promise(ledger.blockOf(machine).type(), used);
+        room.promise(cache.shardOf(machine).type(), used);
         consolidateAfter = now.plus(CONSOLIDATE_EVERY);
         most--;
       }
@@ -633,12 +633,12 @@
       List<String> images,
       Map<MachineId, Resources> taken,
       View current) {
-    for (MachineId other : ledger.blockOf(machine).machines().keySet()) {
+    for (MachineId other : cache.shardOf(machine).machines().keySet()) {
       PeerHeartbeat.MachineState state = current.machines().get(other);
       if (!other.equals(machine)
           && state != null
           && state.open()
-          && room.counts(other, ledger.blockOf(other))
+          && room.counts(other, cache.shardOf(other))
           && state.images().containsAll(images)
           && used.plus(taken.getOrDefault(other, Resources.NONE)).fitsIn(state.free())) {
         taken.merge(other, used, Resources::plus);
@@ -671,7 +671,7 @@
   // ---- renting ----
 
   private void rent(MonotonicTime now) {
-    if (!operators.get().renting()
+    if (!operators.get().scaleOut()
         || renting > 0
         || now.isBefore(rentAfter)
         || unmet.isEmpty()
--- a/src/main/java/org/quincecross/leader/CompletionWriter.java
+++ b/src/main/java/org/quincecross/leader/CompletionWriter.java
@@ -34,7 +34,7 @@
   private static final TimeSpan GATHER = TimeSpan.ofSeconds(1.5);
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final PeerViews views;
   private final AllocationIndex books;
   private final LongSupplier clockMs;
@@ -45,19 +45,19 @@
    */
   CompletionWriter(
       Timers timers,
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       PeerViews views,
       AllocationIndex books,
       LongSupplier clockMs) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.cache = cache;
     this.views = views;
     this.books = books;
     this.clockMs = clockMs;
   }
 
   /** Makes completions durable; a job whose last task is done becomes done in the same stroke. */
-  void plan(TransactionBuilder plan, Map<JobId, TaskSet> fresh) {
+  void plan(TransactionBuilder transaction, Map<JobId, TaskSet> fresh) {
     MonotonicTime now = timers.now();
     since.keySet().retainAll(fresh.keySet());
     boolean due = false;
@@ -73,14 +73,16 @@
         due |= now.since(since.computeIfAbsent(id, j -> now)).isLongerThan(GATHER);
         unfinished.put(id, all);
       } else {
-        JobRecord record = ledger.job(id);
-        plan.put(
+        JobRecord record = cache.job(id);
+        transaction.put(
             StoreKeys.job(id),
-            ledger.pipelines().hasFollowers(id) ? record.done(clockMs.getAsLong()) : record.done());
+            cache.dependencyGraph().hasFollowers(id)
+                ? record.writeDone(clockMs.getAsLong())
+                : record.writeDone());
       }
     }
     if (due) {
-      planParts(plan, unfinished, fresh);
+      planParts(transaction, unfinished, fresh);
     }
   }
 
@@ -89,11 +91,11 @@
    * jobs.
    */
   private void planParts(
-      TransactionBuilder plan, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
+      TransactionBuilder transaction, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
     Map<Integer, Page> pages = new TreeMap<>();
     Map<JobId, Integer> home = new HashMap<>();
-    ledger
-        .pages()
+    cache
+        .completedPages()
         .forEach(
             (number, sets) -> {
               Page page = new Page();
@@ -106,12 +108,12 @@
                   });
               pages.put(number, page);
             });
-    int mostBytes = plan.mostValue();
+    int mostBytes = transaction.mostValue();
     Set<Integer> changed = new TreeSet<>();
     unfinished.forEach(
         (id, all) -> {
-          if (!CompletedTasks.fitsPage(all) || ledger.hasChunks(id)) {
-            planChunks(plan, id, all, fresh.get(id));
+          if (!CompletedTasks.fitsOnPage(all) || cache.hasCompletedChunks(id)) {
+            planChunks(transaction, id, all, fresh.get(id));
             return;
           }
           // It stays on its page while there is room: one that moved would have to be written to
@@ -125,7 +127,8 @@
           changed.add(page);
         });
     for (int page : changed) {
-      plan.put(StoreKeys.page(page), CompletedTasks.writePage(pages.get(page).jobs));
+      transaction.put(
+          StoreKeys.completedPage(page), CompletedTasks.writePage(pages.get(page).jobs));
     }
   }
 
@@ -137,8 +140,8 @@
     int bytesWith(JobId job, TaskSet set) {
       TaskSet before = jobs.get(job);
       return bytes
-          + CompletedTasks.pageBytes(job, set)
-          - (before == null ? 0 : CompletedTasks.pageBytes(job, before));
+          + CompletedTasks.pageItemBytes(job, set)
+          - (before == null ? 0 : CompletedTasks.pageItemBytes(job, before));
     }
 
     void put(JobId job, TaskSet set) {
@@ -148,18 +151,19 @@
   }
 
   /** The done tasks of a job that is too large for a page. */
-  private static void planChunks(TransactionBuilder plan, JobId id, TaskSet all, TaskSet fresh) {
+  private static void planChunks(
+      TransactionBuilder transaction, JobId id, TaskSet all, TaskSet fresh) {
     // Only those with something new: chunks written again would fill the transaction, and those
     // after them never
     // be written (docs/incidents/unanswered-start.md, "jobs larger than a transaction's chunks").
     Set<Integer> chunks = new TreeSet<>();
     for (int i = fresh.nextMember(0);
         i >= 0;
-        i = fresh.nextMember((i / CompletedTasks.CHUNK + 1) * CompletedTasks.CHUNK)) {
-      chunks.add(i / CompletedTasks.CHUNK);
+        i = fresh.nextMember((i / CompletedTasks.CHUNK_SIZE + 1) * CompletedTasks.CHUNK_SIZE)) {
+      chunks.add(i / CompletedTasks.CHUNK_SIZE);
     }
     for (int chunk : chunks) {
-      plan.put(StoreKeys.done(id, chunk), CompletedTasks.write(all, chunk));
+      transaction.put(StoreKeys.completedChunk(id, chunk), CompletedTasks.write(all, chunk));
     }
   }
 
@@ -169,11 +173,11 @@
     for (PeerViews.View view : views.all()) {
       for (PeerViews.BlockView block : view.blocks().values()) {
         for (TaskId task : block.completed()) {
-          JobRecord job = ledger.job(task.job());
+          JobRecord job = cache.job(task.job());
           if (job != null
               && job.phase() == JobPhase.OPEN
               && task.index() < job.job().taskCount()
-              && !ledger.isDone(task.job(), task.index())) {
+              && !cache.isCompleted(task.job(), task.index())) {
             TaskSet done = fresh.computeIfAbsent(task.job(), id -> new TaskSet());
             done.add(task.index());
             // A gang completes as one, also where the machine of one of its tasks is lost right
--- a/src/main/java/org/quincecross/leader/CurrentPeerViews.java
+++ b/src/main/java/org/quincecross/leader/CurrentPeerViews.java
@@ -12,12 +12,12 @@
   private static final TimeSpan REPORT_FRESH = TimeSpan.ofSeconds(2.5);
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final PeerViews views;
 
-  CurrentPeerViews(Timers timers, ClusterStateCache ledger, PeerViews views) {
+  CurrentPeerViews(Timers timers, ClusterStateCache cache, PeerViews views) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.cache = cache;
     this.views = views;
   }
 
@@ -25,7 +25,7 @@
   PeerViews.View of(ControllerId member) {
     PeerViews.View view = views.of(member);
     return view == null
-            || !ledger.members().containsKey(member)
+            || !cache.members().containsKey(member)
             || timers.now().since(view.at()).isLongerThan(REPORT_FRESH)
         ? null
         : view;
@@ -33,7 +33,7 @@
 
   /** What the holder of a block last said of it, if that is recent and of the present lease. */
   PeerViews.BlockView of(ShardLease block) {
-    PeerViews.View view = of(block.holder());
+    PeerViews.View view = of(block.owner());
     PeerViews.BlockView known = view == null ? null : view.blocks().get(block.id());
     return known != null && known.token().equals(block.token()) ? known : null;
   }
--- a/src/main/java/org/quincecross/leader/FeatureLevelController.java
+++ b/src/main/java/org/quincecross/leader/FeatureLevelController.java
@@ -35,15 +35,15 @@
   private static final Logger LOG = LoggerFactory.getLogger(FeatureLevelController.class);
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final Settings settings;
   private final Membership membership;
   private final Rollout rollout = new Rollout();
   private Rollout.Decision decision = new Rollout.Decision(Rollout.State.SETTLED, null, "");
   private MonotonicTime looked;
 
-  FeatureLevelController(ClusterStateCache ledger, Settings settings, Membership membership) {
-    this.ledger = ledger;
+  FeatureLevelController(ClusterStateCache cache, Settings settings, Membership membership) {
+    this.cache = cache;
     this.settings = settings;
     this.membership = membership;
   }
@@ -65,31 +65,32 @@
     Rollout.Decision before = decision;
     decision = rollout.look(site(), now);
     if (!decision.why().equals(before.why()) && !decision.why().isEmpty()) {
-      LOG.info("level {}: {}: {}", ledger.level().level(), decision.state(), decision.why());
+      LOG.info("level {}: {}: {}", cache.level().level(), decision.state(), decision.why());
     }
     if (decision.to() != null) {
-      LOG.info("level {} is put in force after {}", decision.to(), ledger.level().level());
+      LOG.info("level {} is put in force after {}", decision.to(), cache.level().level());
     }
     return decision.to() != null;
   }
 
   private Rollout.Site site() {
-    OperatorSettings operators = ledger.operatorSettingsOrDefaults();
+    OperatorSettings operators = cache.operatorSettingsOrDefaults();
     Set<ControllerId> expected = new HashSet<>();
     expected.add(settings.self());
     settings.peers().forEach(sibling -> expected.add(sibling.id()));
-    expected.removeIf(member -> operators.gone().contains(member.text()));
+    expected.removeIf(member -> operators.removedControllers().contains(member.text()));
     Map<ControllerId, Rollout.Alive> alive = new HashMap<>();
-    ledger
+    cache
         .members()
         .values()
         .forEach(
-            member -> alive.put(member.member(), new Rollout.Alive(member.build(), member.life())));
+            member ->
+                alive.put(member.id(), new Rollout.Alive(member.build(), member.incarnation())));
     FeatureLevel most =
-        operators.mostLevel() == 0
+        operators.maxLevel() == 0
             ? new FeatureLevel(FeatureLevel.MOST)
-            : new FeatureLevel(operators.mostLevel());
-    FeatureLevel inForce = ledger.level().level();
+            : new FeatureLevel(operators.maxLevel());
+    FeatureLevel inForce = cache.level().level();
     int onlyHere = onlyReadableAt(inForce);
     return new Rollout.Site(inForce, expected, alive, most, 0, onlyHere);
   }
@@ -97,9 +98,9 @@
   /** How many records the level before this one could not read. */
   private int onlyReadableAt(FeatureLevel level) {
     if (level.equals(Feature.ALLOCATION_CHANGES.since())) {
-      return ledger.changedAllocations().size();
+      return cache.allocationsWithDelta().size();
     }
-    return level.equals(Feature.AGREED_RECORDS.since()) ? ledger.agreed().count() : 0;
+    return level.equals(Feature.AGREED_RECORDS.since()) ? cache.replicatedRecords().count() : 0;
   }
 
   /** Whether what only the present level can read is being rewritten. */
@@ -109,24 +110,24 @@
 
   /** The blocks whose records the level that is to come could not read. */
   List<ShardId> toRewrite() {
-    return isLowering() ? List.copyOf(ledger.changedAllocations()) : List.of();
+    return isLowering() ? List.copyOf(cache.allocationsWithDelta()) : List.of();
   }
 
   List<Precondition> guards() {
     List<Precondition> guards = new ArrayList<>();
-    guards.add(new Precondition(ledger.leaderKey(), ledger.version(ledger.leaderKey())));
-    guards.add(new Precondition(StoreKeys.LEVEL, ledger.level().version()));
-    Set<ControllerId> members = new HashSet<>(ledger.members().keySet());
+    guards.add(new Precondition(cache.leaderKey(), cache.version(cache.leaderKey())));
+    guards.add(new Precondition(StoreKeys.LEVEL, cache.level().version()));
+    Set<ControllerId> members = new HashSet<>(cache.members().keySet());
     members.add(settings.self());
     settings.peers().forEach(sibling -> members.add(sibling.id()));
     members.forEach(
         member ->
             guards.add(
                 new Precondition(
-                    StoreKeys.member(member), ledger.version(StoreKeys.member(member)))));
+                    StoreKeys.member(member), cache.version(StoreKeys.member(member)))));
     String otherPlace = ClusterStateCache.leaderKey(decision.to());
-    if (!otherPlace.equals(ledger.leaderKey())) {
-      guards.add(new Precondition(otherPlace, ledger.version(otherPlace)));
+    if (!otherPlace.equals(cache.leaderKey())) {
+      guards.add(new Precondition(otherPlace, cache.version(otherPlace)));
     }
     return guards;
   }
@@ -138,14 +139,14 @@
         new Mutation(
             ClusterStateCache.leaderKey(decision.to()), membership.record(), membership.life()));
     boolean moves = Feature.LEADERSHIP_MOVED.isIn(decision.to());
-    if (moves && !Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
+    if (moves && !Feature.LEADERSHIP_MOVED.isIn(cache.level().level())) {
       // Builds from before levels see that somebody leads, and never do so themselves.
       changes.add(
           Mutation.put(
               StoreKeys.LEADER,
               Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
-    } else if (!moves && Feature.LEADERSHIP_MOVED.isIn(ledger.level().level())) {
-      changes.add(Mutation.delete(StoreKeys.LEADS));
+    } else if (!moves && Feature.LEADERSHIP_MOVED.isIn(cache.level().level())) {
+      changes.add(Mutation.delete(StoreKeys.MOVED_LEADER));
     }
     return changes;
   }
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -83,16 +83,16 @@
 
   /** The states of a controller with regard to leading. */
   public enum State {
-    FOLLOWING,
-    STANDING,
-    LEADING,
-    MENDING
+    FOLLOWER,
+    CANDIDATE,
+    LEADER,
+    RECOVERING
   }
 
   private final Timers timers;
-  private final KeyValueStoreClient client;
-  private final ClusterStateCache ledger;
-  private final StateWatcher follower;
+  private final KeyValueStoreClient store;
+  private final ClusterStateCache cache;
+  private final StateWatcher watcher;
   private final Membership membership;
   private final Settings settings;
   private final Autoscaler fleet;
@@ -118,7 +118,7 @@
   private final AuditTrailArchiver trails;
   private final MachineTypeWriter types;
   private final AdmissionExtensions keepers;
-  private State state = State.FOLLOWING;
+  private State state = State.FOLLOWER;
   private boolean writing;
   private Revision awaited = Revision.NONE;
   private MonotonicTime planned;
@@ -141,13 +141,13 @@
    * @param isWaking whether this process has stood still, and has not been told since how things
    *     are
    * @param overload null where work is ordered by due time alone
-   * @param withheld tasks that are not to be allocated
+   * @param startBlock tasks that are not to be allocated
    */
   public Leader(
       Timers timers,
-      KeyValueStoreClient client,
-      ClusterStateCache ledger,
-      StateWatcher follower,
+      KeyValueStoreClient store,
+      ClusterStateCache cache,
+      StateWatcher watcher,
       Membership membership,
       Settings settings,
       Autoscaler fleet,
@@ -156,32 +156,31 @@
       LongSupplier clockMs,
       BooleanSupplier isWaking,
       Overload overload,
-      StartBlock withheld) {
+      StartBlock startBlock) {
     this.timers = timers;
-    this.client = client;
-    this.ledger = ledger;
-    this.follower = follower;
+    this.store = store;
+    this.cache = cache;
+    this.watcher = watcher;
     this.membership = membership;
     this.settings = settings;
     this.fleet = fleet;
     this.foresight = foresight;
     this.views = views;
     this.isWaking = isWaking;
-    this.books = new AllocationIndex(ledger, withheld);
+    this.books = new AllocationIndex(cache, startBlock);
     this.keepers = new AdmissionExtensions(this::teams, books::teamUse);
-    this.fresh = new CurrentPeerViews(timers, ledger, views);
-    this.levels = new FeatureLevelController(ledger, settings, membership);
+    this.fresh = new CurrentPeerViews(timers, cache, views);
+    this.levels = new FeatureLevelController(cache, settings, membership);
     this.bounds = new TransactionLimits(settings.storeLimits());
-    this.allocations = new AllocationWriter(ledger, levels::isLowering);
+    this.allocations = new AllocationWriter(cache, levels::isLowering);
     this.leases =
-        new ShardLeaseManager(
-            timers, ledger, settings, fleet, foresight, books, fresh, allocations);
-    this.results = new CompletionWriter(timers, ledger, views, books, clockMs);
+        new ShardLeaseManager(timers, cache, settings, fleet, foresight, books, fresh, allocations);
+    this.results = new CompletionWriter(timers, cache, views, books, clockMs);
     this.overload = overload;
-    this.demands = new PendingDemand(ledger, settings, books, clockMs, overload, this::running);
-    this.poolWaits = new PendingReasons(ledger, books, demands, views, fleet, this::teams);
-    this.trails = new AuditTrailArchiver(ledger);
-    this.types = new MachineTypeWriter(ledger);
+    this.demands = new PendingDemand(cache, settings, books, clockMs, overload, this::running);
+    this.poolWaits = new PendingReasons(cache, books, demands, views, fleet, this::teams);
+    this.trails = new AuditTrailArchiver(cache);
+    this.types = new MachineTypeWriter(cache);
     this.planned = timers.now();
     this.swept = timers.now();
   }
@@ -202,7 +201,7 @@
   }
 
   public boolean isLeading() {
-    return state == State.LEADING || state == State.MENDING;
+    return state == State.LEADER || state == State.RECOVERING;
   }
 
   /** The one place where leading changes its state. */
@@ -217,17 +216,17 @@
   public void ledgerChanged(ClusterStateCache.Changes changes) {
     books.changed(changes);
     trails.changed(changes);
-    toLookAt.addAll(changes.blocks());
+    toLookAt.addAll(changes.shards());
     soon(isUrgent(changes));
   }
 
   /** Whether a service was submitted, or controllers have come or gone. */
   private boolean isUrgent(ClusterStateCache.Changes changes) {
-    if (changes.reloaded() || (changes.jobs().isEmpty() && changes.blocks().isEmpty())) {
+    if (changes.reloaded() || (changes.jobs().isEmpty() && changes.shards().isEmpty())) {
       return true;
     }
     for (JobId id : changes.jobs()) {
-      JobRecord record = ledger.job(id);
+      JobRecord record = cache.job(id);
       if (record != null
           && record.phase() == JobPhase.OPEN
           && record.job().priority() == Priority.PRODUCTION) {
@@ -308,8 +307,8 @@
   /** How many tasks of a job run, as the holders of their blocks have told lately. */
   private int running(JobId job) {
     int running = 0;
-    for (ShardId id : ledger.blocksOf(job)) {
-      ShardLease lease = ledger.block(id);
+    for (ShardId id : cache.shardsOf(job)) {
+      ShardLease lease = cache.shard(id);
       PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
       running += view == null ? 0 : view.running().getOrDefault(job, 0);
     }
@@ -321,7 +320,7 @@
    * lowest.
    */
   private Map<String, Team> teams() {
-    return AnnouncedLimits.lowest(settings.teams(), ledger.terms().values());
+    return AnnouncedLimits.lowest(settings.teams(), cache.announcedLimits().values());
   }
 
   /**
@@ -384,52 +383,52 @@
   }
 
   private boolean leadsByLedger() {
-    ControllerRecord leader = ledger.leader();
+    ControllerRecord leader = cache.leader();
     return leader != null
-        && leader.member().equals(settings.self())
-        && leader.life().equals(membership.life());
+        && leader.id().equals(settings.self())
+        && leader.incarnation().equals(membership.life());
   }
 
   private void step() {
-    if (!ledger.isLoaded() || writing || isWaking.getAsBoolean()) {
+    if (!cache.isLoaded() || writing || isWaking.getAsBoolean()) {
       return;
     }
-    if (awaited.isAfter(ledger.revision())) {
-      follower.barrier(this::stepIf);
+    if (awaited.isAfter(cache.revision())) {
+      watcher.barrier(this::stepIf);
       return;
     }
-    if (!membership.unable().isEmpty() || !leadsByLedger()) {
-      enter(State.FOLLOWING);
-      client.lead(false);
+    if (!membership.incompatibility().isEmpty() || !leadsByLedger()) {
+      enter(State.FOLLOWER);
+      store.setLeading(false);
       leases.forgetNewcomers();
       fleet.stop();
       keepers.stop();
-      if (ledger.leader() == null && membership.isLive()) {
+      if (cache.leader() == null && membership.isLive()) {
         stand();
       }
       return;
     }
-    if (state == State.MENDING) {
+    if (state == State.RECOVERING) {
       mend();
       return;
     }
-    enter(State.LEADING);
+    enter(State.LEADER);
     // A leader that alone has lost the state service can decide nothing: its plans would be
     // refused, again and
     // again, while another one leads already.
-    if (!timers.now().since(follower.confirmed()).isLongerThan(UNCONFIRMED)) {
+    if (!timers.now().since(watcher.confirmedAt()).isLongerThan(UNCONFIRMED)) {
       lead();
     }
   }
 
   private void stand() {
-    enter(State.STANDING);
+    enter(State.CANDIDATE);
     write(
         List.of(
-            new Precondition(ledger.leaderKey(), Revision.NONE),
-            new Precondition(StoreKeys.LEVEL, ledger.level().version()),
-            membership.alive(ledger)),
-        List.of(new Mutation(ledger.leaderKey(), membership.record(), membership.life())),
+            new Precondition(cache.leaderKey(), Revision.NONE),
+            new Precondition(StoreKeys.LEVEL, cache.level().version()),
+            membership.aliveCondition(cache)),
+        List.of(new Mutation(cache.leaderKey(), membership.record(), membership.life())),
         true);
   }
 
@@ -439,49 +438,49 @@
    * from here on.
    */
   private void mend() {
-    String key = ledger.leaderKey();
+    String key = cache.leaderKey();
     write(
-        List.of(new Precondition(key, ledger.version(key))),
+        List.of(new Precondition(key, cache.version(key))),
         List.of(new Mutation(key, membership.record(), membership.life())),
         true);
   }
 
   private void write(List<Precondition> guards, List<Mutation> changes, boolean urgent) {
     writing = true;
-    client.txn(guards, changes, urgent, outcome -> written(outcome, changes));
+    store.commit(guards, changes, urgent, result -> written(result, changes));
   }
 
-  private void written(TransactionResult outcome, List<Mutation> changes) {
+  private void written(TransactionResult result, List<Mutation> changes) {
     writing = false;
-    switch (outcome.kind()) {
+    switch (result.kind()) {
       case COMMITTED -> {
-        awaited = outcome.revision();
-        if (state == State.MENDING) {
-          enter(State.LEADING);
+        awaited = result.revision();
+        if (state == State.RECOVERING) {
+          enter(State.LEADER);
         }
         soon(full);
       }
       case CONFLICT -> {
-        LOG.debug("transaction out of date: {}", outcome.failed());
-        awaited = outcome.revision();
-        follower.barrier(ok -> soon(true));
+        LOG.debug("transaction out of date: {}", result.failedKeys());
+        awaited = result.revision();
+        watcher.barrier(ok -> soon(true));
       }
       case UNKNOWN -> {
         LOG.info("transaction not answered");
         if (isLeading()) {
-          enter(State.MENDING);
+          enter(State.RECOVERING);
         }
-        follower.barrier(this::stepIf);
+        watcher.barrier(this::stepIf);
       }
       case TOO_LARGE -> {
         bounds.refused(changes, timers.now());
         if (changes.stream().anyMatch(change -> change.lease() != null)) {
-          membership.beBrief(); // who leads: without this record nothing else is ever planned
+          membership.omitLimits(); // who leads: without this record nothing else is ever planned
         }
         again();
       }
-      case REFUSED, UNAVAILABLE, NO_LEASE -> again();
-      default -> throw new IllegalStateException(outcome.kind().toString());
+      case THROTTLED, UNAVAILABLE, LEASE_EXPIRED -> again();
+      default -> throw new IllegalStateException(result.kind().toString());
     }
   }
 
@@ -489,11 +488,11 @@
 
   private void lead() {
     planned = timers.now();
-    client.lead(true);
+    store.setLeading(true);
     fleet.lead(this::fleetView);
     // As large as the budget is now: a transaction that waits for its turn is out of date when it
     // goes out.
-    int changes = Math.min(bounds.changes(), client.changesAffordable());
+    int changes = Math.min(bounds.changes(), store.affordableMutations());
     waits = changes < LEAST_CHANGES;
     if (waits) {
       again();
@@ -503,60 +502,63 @@
       write(levels.guards(), levels.changes(), true);
       return;
     }
-    TransactionBuilder plan = bounds.plan(ledger, changes, planned);
-    plan.guardAll();
+    TransactionBuilder transaction = bounds.plan(cache, changes, planned);
+    transaction.guardAll();
     if (trails.isDue(planned)) {
-      trails.plan(plan, planned);
-      if (!plan.isEmpty()) {
-        write(plan.guards(), plan.changes(), false);
+      trails.plan(transaction, planned);
+      if (!transaction.isEmpty()) {
+        write(transaction.guards(), transaction.changes(), false);
         return;
       }
     }
-    if (!types.plan(plan, fleet.catalog(), planned)) {
+    if (!types.plan(transaction, fleet.catalog(), planned)) {
       waits = true;
       again();
       return;
     }
-    Set<ShardId> leased = leases.plan(plan);
+    Set<ShardId> leased = leases.plan(transaction);
     // Neither results nor starts may crowd the other out of a small budget.
     resultsFirst = !resultsFirst;
     Map<JobId, TaskSet> completed = results.completions();
     if (resultsFirst) {
-      results.plan(plan, completed);
+      results.plan(transaction, completed);
     }
-    planAllocations(plan, leased, completed);
+    planAllocations(transaction, leased, completed);
     if (!resultsFirst) {
-      results.plan(plan, completed);
+      results.plan(transaction, completed);
     }
-    if (plan.isEmpty()) {
-      planSweep(plan);
-      waits |= planMigration(plan);
+    if (transaction.isEmpty()) {
+      planSweep(transaction);
+      waits |= planMigration(transaction);
     }
-    full = plan.room() < 1;
+    full = transaction.room() < 1;
     waits |= full || !completed.isEmpty();
-    if (!plan.isEmpty()) {
-      write(plan.guards(), plan.changes(), false);
+    if (!transaction.isEmpty()) {
+      write(transaction.guards(), transaction.changes(), false);
     } else if (waits) {
       soon(false);
     }
   }
 
   /** Now and then, when there is nothing else to write: bundles that say nothing any more. */
-  private void planSweep(TransactionBuilder plan) {
+  private void planSweep(TransactionBuilder transaction) {
     if (SWEEP_EVERY.isLongerThan(timers.now().since(swept))) {
       return;
     }
     swept = timers.now();
-    ledger.spentBundles().stream().sorted().limit(plan.room()).forEach(plan::delete);
+    cache.obsoleteBundles().stream()
+        .sorted()
+        .limit(transaction.room())
+        .forEach(transaction::delete);
   }
 
   /** In the slack: rewrites what a level that is to come could not read; whether more is left. */
-  private boolean planMigration(TransactionBuilder plan) {
+  private boolean planMigration(TransactionBuilder transaction) {
     for (ShardId id : levels.toRewrite()) {
-      if (plan.room() < 2) {
+      if (transaction.room() < 2) {
         return true;
       }
-      allocations.putWhole(plan, id, ledger.allocation(id).tasks());
+      allocations.putWhole(transaction, id, cache.allocation(id).tasks());
     }
     return false;
   }
@@ -569,7 +571,7 @@
   // ---- allocations ----
 
   private void planAllocations(
-      TransactionBuilder plan, Set<ShardId> leased, Map<JobId, TaskSet> completed) {
+      TransactionBuilder transaction, Set<ShardId> leased, Map<JobId, TaskSet> completed) {
     refreshAdmissionBlocks(completed);
     keepers.look(timers.now());
     List<Admission.Block> blocks = new ArrayList<>();
@@ -578,7 +580,7 @@
         (id, block) -> {
           if (!leased.contains(id)) {
             blocks.add(block);
-            reserves.put(id, foresight.plannedAround(id, timers.now()));
+            reserves.put(id, foresight.headroomForPlan(id, timers.now()));
             block.leaveOver(seenRoom.still(id, timers.now()));
           }
         });
@@ -588,7 +590,7 @@
         TimeSpan.ofSeconds(
             Math.min(
                 MOST_GATHERING.seconds(),
-                ledger.blocks().size() / settings.storeLimits().writesPerSecond()));
+                cache.shards().size() / settings.storeLimits().writesPerSecond()));
     MonotonicTime now = timers.now();
     for (Admission.Block block : blocks) {
       MonotonicTime written = writtenAt.get(block.id());
@@ -614,7 +616,7 @@
             .thenComparing(id -> writtenAt.getOrDefault(id, MonotonicTime.ZERO))
             .thenComparing(id -> id));
     for (ShardId id : toWrite) {
-      if (plan.room() < 1) {
+      if (transaction.room() < 1) {
         break;
       }
       Map<JobId, TaskSet> next = new LinkedHashMap<>(books.held(id));
@@ -630,7 +632,7 @@
                 all.addAll(tasks);
                 next.put(job, all);
               });
-      if (allocations.put(plan, id, next)) {
+      if (allocations.put(transaction, id, next)) {
         writtenAt.put(id, now);
       }
     }
@@ -639,14 +641,14 @@
   /** Brings the blocks of which something has changed up to date for admission. */
   private void refreshAdmissionBlocks(Map<JobId, TaskSet> completed) {
     toLookAt.addAll(books.takeChangedBlocks());
-    for (ControllerId member : ledger.members().keySet()) {
+    for (ControllerId member : cache.members().keySet()) {
       boolean isFresh = fresh.of(member) != null;
       if (!Boolean.valueOf(isFresh).equals(wasFresh.put(member, isFresh))) {
-        toLookAt.addAll(ledger.blocks().keySet());
+        toLookAt.addAll(cache.shards().keySet());
       }
     }
     for (ShardId id : toLookAt) {
-      ShardLease lease = ledger.block(id);
+      ShardLease lease = cache.shard(id);
       if (lease == null) {
         admissionBlocks.remove(id);
         seenRoom.forget(id);
@@ -657,7 +659,7 @@
       Admission.Block block =
           seenRoom.block(
               lease,
-              ledger.types().get(lease.type()),
+              cache.machineTypes().get(lease.type()),
               fresh.of(lease),
               bounds.value(),
               timers.now());
@@ -688,9 +690,9 @@
    * transaction.
    */
   private List<TaskId> released(ShardId id) {
-    ShardLease lease = ledger.block(id);
+    ShardLease lease = cache.shard(id);
     PeerViews.BlockView view = lease == null ? null : fresh.of(lease);
-    return view != null && view.allocation().equals(ledger.allocation(id).version())
+    return view != null && view.allocation().equals(cache.allocation(id).version())
         ? view.released()
         : List.of();
   }
@@ -698,7 +700,7 @@
   private Autoscaler.View fleetView() {
     Map<MachineId, PeerHeartbeat.MachineState> states = new HashMap<>();
     Set<MachineId> strays = new HashSet<>();
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       PeerViews.BlockView view = fresh.of(block);
       for (MachineId machine : view == null ? Set.<MachineId>of() : block.machines().keySet()) {
         PeerHeartbeat.MachineState state = view.machines().get(machine);
@@ -707,7 +709,7 @@
         }
       }
     }
-    for (ControllerId member : ledger.members().keySet()) {
+    for (ControllerId member : cache.members().keySet()) {
       PeerViews.View view = fresh.of(member);
       if (view != null) {
         strays.addAll(view.strays());
--- a/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -17,8 +17,8 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.peer.ReplicatedFeatureContext;
+import org.quincecross.state.RecordCommand;
 import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.ReplicatedRecordStore.Ask;
 import org.quincecross.state.TerminationProof;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -107,7 +107,7 @@
       case PINNED -> {
         Map<JobId, TaskSet> touching = held.touching(hold);
         TerminationProof.Proof proof =
-            TerminationProof.of(base.ledger(), touching, record.version());
+            TerminationProof.of(base.cache(), touching, record.version());
         Map<JobId, TaskSet> out =
             proof.state() == TerminationProof.State.HELD
                 ? together(proof)
@@ -136,7 +136,7 @@
       return;
     }
     Map<JobId, TaskSet> touching = held.touching(hold);
-    TerminationProof.Proof proof = TerminationProof.of(base.ledger(), touching, record.version());
+    TerminationProof.Proof proof = TerminationProof.of(base.cache(), touching, record.version());
     if (proof.isProven()) {
       Map<JobId, TaskSet> kept = held.keptBack(touching);
       ask(
@@ -203,7 +203,7 @@
   private static Map<JobId, TaskSet> together(TerminationProof.Proof proof) {
     Map<JobId, TaskSet> all = new TreeMap<>();
     proof
-        .where()
+        .remaining()
         .values()
         .forEach(
             block ->
@@ -229,14 +229,14 @@
   private void ask(String reference, LegalHoldCommand command) {
     asked.add(reference);
     base.store()
-        .ask(
+        .submit(
             held.holds(),
             reference,
-            Ask.own(command),
+            RecordCommand.own(command),
             answer -> {
               asked.remove(reference);
               if (!answer.isDurable()) {
-                LOG.debug("hold {}: {} {}", reference, answer.status(), answer.why());
+                LOG.debug("hold {}: {} {}", reference, answer.status(), answer.reason());
               }
             });
   }
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -67,7 +67,7 @@
   private record Over(JobId job, List<Records> series, TaskSet tasks, MonotonicTime at) {}
 
   private final ReplicatedFeatureContext base;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final ReplicatedRecordIndex<LegalHold, LegalHoldCommand> holds;
   private final ReplicatedRecordIndex<List<Claim>, List<Claim>> claims;
   private final ReplicatedRecordIndex<List<Records>, List<Records>> sweeps;
@@ -87,12 +87,12 @@
    */
   public LegalHoldStartBlock(ReplicatedFeatureContext base) {
     this.base = base;
-    this.ledger = base.ledger();
-    holds = ledger.agreed().add(new LegalHoldKind());
-    claims = ledger.agreed().add(new ClaimKind());
-    sweeps = ledger.agreed().add(new SweepKind());
+    this.cache = base.cache();
+    holds = cache.replicatedRecords().add(new LegalHoldKind());
+    claims = cache.replicatedRecords().add(new ClaimKind());
+    sweeps = cache.replicatedRecords().add(new SweepKind());
     base.withheld().add(this);
-    ledger.listen(this::changed);
+    cache.addListener(this::changed);
     base.timers().every(LOOK_EVERY, this::look);
   }
 
@@ -116,7 +116,7 @@
   // ---- following the ledger ----
 
   private void changed(ClusterStateCache.Changes changes) {
-    if (changes.agreed().isEmpty()
+    if (changes.replicatedRecords().isEmpty()
         && sweeps.all().isEmpty()
         && claims.all().isEmpty()
         && holds.all().isEmpty()
@@ -128,7 +128,7 @@
       reload(concerned);
     }
     Set<String> lanes = new HashSet<>();
-    for (RecordId record : changes.agreed()) {
+    for (RecordId record : changes.replicatedRecords()) {
       switch (record.kind()) {
         case LegalHoldKind.NAME -> {}
         case ClaimKind.NAME -> claim(record.id(), concerned);
@@ -141,15 +141,16 @@
     }
     if (!lanes.isEmpty()) {
       // A lane that was none of sweeps: its jobs were not followed.
-      ledger.jobs().forEach(id -> follow(ledger.job(id), lanes, concerned));
+      cache.jobs().forEach(id -> follow(cache.job(id), lanes, concerned));
     }
-    (changes.reloaded() ? ledger.jobs() : changes.jobs()).forEach(id -> job(id, concerned));
-    for (RecordId record : changes.agreed()) {
+    (changes.reloaded() ? cache.jobs() : changes.jobs()).forEach(id -> job(id, concerned));
+    for (RecordId record : changes.replicatedRecords()) {
       if (record.kind().equals(LegalHoldKind.NAME)) {
         hold(record.id(), concerned);
       }
     }
-    if (changes.agreed().stream().anyMatch(record -> !record.kind().equals(LegalHoldKind.NAME))) {
+    if (changes.replicatedRecords().stream()
+        .anyMatch(record -> !record.kind().equals(LegalHoldKind.NAME))) {
       disturb(concerned);
     }
     tell(concerned);
@@ -168,7 +169,7 @@
           hold.state() == LegalHold.State.PINNED ? look(hold).out() : Map.of();
       if (!out.isEmpty()) {
         disturbed.put(
-            reference, new Touched(hold.opening(), hold.scope(), ledger.revision(), out, Map.of()));
+            reference, new Touched(hold.opening(), hold.scope(), cache.revision(), out, Map.of()));
       }
     }
   }
@@ -180,7 +181,7 @@
     gone.removeAll(holds.all().keySet());
     gone.forEach(reference -> hold(reference, concerned));
     Set.copyOf(sweeping.keySet()).forEach(id -> job(id, concerned));
-    ledger.jobs().forEach(id -> job(id, concerned));
+    cache.jobs().forEach(id -> job(id, concerned));
     holds.all().keySet().forEach(reference -> hold(reference, concerned));
   }
 
@@ -203,7 +204,7 @@
   }
 
   private void job(JobId id, Set<JobId> concerned) {
-    JobRecord record = ledger.job(id);
+    JobRecord record = cache.job(id);
     if (record != null && record.job() != null) {
       boolean before = sweeping.containsKey(id);
       TaskSet withheld = books.of(record.job());
@@ -273,27 +274,27 @@
         .touching(hold.records())
         .forEach(
             (job, tasks) -> {
-              JobRecord record = ledger.job(job);
+              JobRecord record = cache.job(job);
               if (record == null || record.job() == null) {
                 if (record != null) {
                   done.put(job, tasks); // a done job
                 }
                 return;
               }
-              TaskSet completed = common(tasks, ledger.doneTasks(job));
+              TaskSet completed = common(tasks, cache.completedTasks(job));
               if (!completed.isEmpty()) {
                 done.put(job, completed);
               }
               TaskSet running = new TaskSet();
-              ledger
-                  .blocksOf(job)
+              cache
+                  .shardsOf(job)
                   .forEach(
-                      block ->
+                      shard ->
                           running.addAll(
                               common(
                                   tasks,
-                                  ledger
-                                      .allocation(block)
+                                  cache
+                                      .allocation(shard)
                                       .tasks()
                                       .getOrDefault(job, new TaskSet()))));
               running.removeAll(completed);
@@ -311,7 +312,7 @@
         done.put(each.job(), each.tasks());
       }
     }
-    return new Touched(hold.opening(), hold.scope(), ledger.revision(), out, done);
+    return new Touched(hold.opening(), hold.scope(), cache.revision(), out, done);
   }
 
   static TaskSet common(TaskSet one, TaskSet other) {
@@ -366,7 +367,7 @@
   /** The tasks that touch the records of a hold, of jobs that are not over. */
   Map<JobId, TaskSet> touching(LegalHold hold) {
     Map<JobId, TaskSet> all = books.touching(hold.records());
-    all.keySet().removeIf(id -> ledger.job(id) == null || ledger.job(id).job() == null);
+    all.keySet().removeIf(id -> cache.job(id) == null || cache.job(id).job() == null);
     return all;
   }
 
@@ -375,10 +376,10 @@
     Map<JobId, TaskSet> kept = new TreeMap<>();
     touching.forEach(
         (id, tasks) -> {
-          JobRecord record = ledger.job(id);
+          JobRecord record = cache.job(id);
           if (record != null && record.phase() == JobPhase.OPEN) {
             TaskSet rest = tasks.copy();
-            rest.removeAll(ledger.doneTasks(id));
+            rest.removeAll(cache.completedTasks(id));
             if (!rest.isEmpty()) {
               kept.put(id, rest);
             }
--- a/src/main/java/org/quincecross/leader/MachineTypeWriter.java
+++ b/src/main/java/org/quincecross/leader/MachineTypeWriter.java
@@ -20,20 +20,20 @@
 final class MachineTypeWriter {
   private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(3);
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private MonotonicTime waitsSince;
 
-  MachineTypeWriter(ClusterStateCache ledger) {
-    this.ledger = ledger;
+  MachineTypeWriter(ClusterStateCache cache) {
+    this.cache = cache;
   }
 
   /**
    * Adds to a transaction what is to be written; false where nothing should be written before there
    * is room for all of it.
    */
-  boolean plan(TransactionBuilder plan, Collection<MachineType> catalog, MonotonicTime now) {
+  boolean plan(TransactionBuilder transaction, Collection<MachineType> catalog, MonotonicTime now) {
     List<MachineType> news = catalog.stream().filter(this::isNews).toList();
-    if (news.size() > plan.room()) {
+    if (news.size() > transaction.room()) {
       waitsSince = waitsSince == null ? now : waitsSince;
       if (!now.since(waitsSince).isLongerThan(PATIENCE)) {
         return false;
@@ -42,12 +42,14 @@
       waitsSince = null;
     }
     news.forEach(
-        type -> plan.put(StoreKeys.type(type.name()), CloudCodec.writeCatalog(List.of(type))));
+        type ->
+            transaction.put(
+                StoreKeys.machineType(type.name()), CloudCodec.writeCatalog(List.of(type))));
     return true;
   }
 
   private boolean isNews(MachineType type) {
-    MachineType known = ledger.types().get(type.name());
+    MachineType known = cache.machineTypes().get(type.name());
     return known == null
         || !known.capacity().equals(type.capacity())
         || !known.zones().equals(type.zones());
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -33,7 +33,7 @@
  */
 final class ModelAdmission {
   private final Timers timers;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final ModelIndex records;
   private final ModelPlacementView machines;
   private final AllocationIndex books;
@@ -42,13 +42,13 @@
 
   ModelAdmission(
       Timers timers,
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       ModelIndex records,
       ModelPlacementView machines,
       AllocationIndex books,
       Supplier<Map<String, Team>> teams) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.cache = cache;
     this.records = records;
     this.machines = machines;
     this.books = books;
@@ -95,7 +95,7 @@
                 .forEach(
                     (id, tasks) -> {
                       if (records.nameOf(id) == null) {
-                        Job job = ledger.job(id).job();
+                        Job job = cache.job(id).job();
                         use.merge(
                             job.team(), job.taskResources().times(tasks.size()), Resources::plus);
                       }
@@ -115,7 +115,7 @@
         index >= 0;
         index = demand.pool().nextMember(index + 1)) {
       Model.Place place = model.places().get(index);
-      ShardLease lease = place == null ? null : ledger.blockOf(place.machine());
+      ShardLease lease = place == null ? null : cache.shardOf(place.machine());
       if (lease != null
           && (job.kind() == JobKind.GANG
               || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -39,8 +39,8 @@
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.ModelIndex;
+import org.quincecross.state.RecordCommand;
 import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.ShardLease;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -63,7 +63,7 @@
   private static final TimeSpan SEEN_AFTER = TimeSpan.ofSeconds(3);
 
   private final ReplicatedFeatureContext base;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final ModelIndex records;
   private final ModelPlacementView machines;
   private final PeerViews views;
@@ -94,11 +94,11 @@
       AllocationIndex books,
       Supplier<Map<String, Team>> teams) {
     this.base = base;
-    this.ledger = base.ledger();
+    this.cache = base.cache();
     this.records = records;
-    this.machines = new ModelPlacementView(ledger, views, records);
+    this.machines = new ModelPlacementView(cache, views, records);
     this.losses = new ReplicaFailureDetector(base, machines);
-    this.admission = new ModelAdmission(base.timers(), ledger, records, machines, books, teams);
+    this.admission = new ModelAdmission(base.timers(), cache, records, machines, books, teams);
     this.views = views;
     this.books = books;
     this.teams = teams;
@@ -156,7 +156,7 @@
       if (!model.isDefined() || (model.phase() == Phase.ZERO && model.terms().keepWarm() == 0)) {
         continue;
       }
-      JobRecord record = ledger.job(model.job());
+      JobRecord record = cache.job(model.job());
       if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
         all.add(
             new ModelSnapshot(
@@ -168,7 +168,7 @@
                 ModelCommand.ANY,
                 0,
                 "its job is " + (record.phase() == JobPhase.CANCELLED ? "cancelled" : "done")));
-      } else if (model.phase() == Phase.DRAINING && ledger.blocksOf(model.job()).isEmpty()) {
+      } else if (model.phase() == Phase.DRAINING && cache.shardsOf(model.job()).isEmpty()) {
         ask(each.getKey(), new ModelCommand.Gone(model.epoch()));
       }
     }
@@ -176,9 +176,9 @@
   }
 
   private void hear(MonotonicTime now) {
-    demand.keepOnly(ledger.members().keySet());
+    demand.keepOnly(cache.members().keySet());
     running = new HashSet<>();
-    for (ControllerId member : ledger.members().keySet()) {
+    for (ControllerId member : cache.members().keySet()) {
       PeerViews.View view = views.of(member);
       byte[] section = view == null ? null : view.sections().get(ModelStatusReport.SECTION);
       ModelStatusReport news = section == null ? null : ModelStatusReport.read(section);
@@ -201,14 +201,14 @@
         name, command instanceof ModelCommand.Choose choose ? choose.places().values() : List.of());
     LOG.debug("model {}: {}", name, command);
     base.store()
-        .ask(
+        .submit(
             records.book(),
             name,
-            ReplicatedRecordStore.Ask.own(command),
+            RecordCommand.own(command),
             answer -> {
               asked.remove(name);
               if (!answer.isDurable()) {
-                LOG.debug("model {}: {}: {} {}", name, command, answer.status(), answer.why());
+                LOG.debug("model {}: {}: {} {}", name, command, answer.status(), answer.reason());
               }
             });
   }
@@ -261,7 +261,7 @@
    * wakes are in the records alone.
    */
   private TimeSpan quiet(String name, MonotonicTime now) {
-    TimeSpan quiet = demand.quiet(name, ledger.members().keySet(), now);
+    TimeSpan quiet = demand.quiet(name, cache.members().keySet(), now);
     MonotonicTime up = upSince.get(name);
     return quiet == null || up == null || now.since(up).isLongerThan(quiet) ? quiet : now.since(up);
   }
@@ -290,7 +290,7 @@
   private Map<String, Integer> perZone(ModelSnapshot look) {
     Map<String, Integer> zones = new TreeMap<>();
     for (Model.Place place : look.model().places().values()) {
-      ShardLease lease = ledger.blockOf(place.machine());
+      ShardLease lease = cache.shardOf(place.machine());
       if (lease != null) {
         zones.merge(lease.zone(), 1, Integer::sum);
       }
@@ -428,7 +428,7 @@
 
   private double comeBackS(Job job) {
     double rate = 0;
-    for (MachineType type : ledger.types().values()) {
+    for (MachineType type : cache.machineTypes().values()) {
       rate = Math.max(rate, type.pullGbPerSecond());
     }
     return rate == 0 ? 0 : job.imageGb() / rate;
--- a/src/main/java/org/quincecross/leader/ObservedCapacity.java
+++ b/src/main/java/org/quincecross/leader/ObservedCapacity.java
@@ -82,16 +82,16 @@
    * Of each machine of a block that takes work, the room that was there all the time for a few
    * seconds at least.
    */
-  List<Resources> still(ShardId block, MonotonicTime now) {
+  List<Resources> still(ShardId shard, MonotonicTime now) {
     List<Resources> still = new ArrayList<>();
-    for (Least seen : least.getOrDefault(block, Map.of()).values()) {
+    for (Least seen : least.getOrDefault(shard, Map.of()).values()) {
       still.add(now.since(seen.since).isLongerThan(STILL) ? seen.now : seen.now.min(seen.before));
     }
     return still;
   }
 
   /** A block is no more. */
-  void forget(ShardId block) {
-    least.remove(block);
+  void forget(ShardId shard) {
+    least.remove(shard);
   }
 }
--- a/src/main/java/org/quincecross/leader/PendingDemand.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -53,7 +53,7 @@
   /** Most of what runs has ended after so many mean times. */
   private static final double EMPTIED = 1.5;
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final Settings settings;
   private final AllocationIndex books;
   private final LongSupplier clockMs;
@@ -74,13 +74,13 @@
    * @param running how many tasks of a job run, as their holders say
    */
   PendingDemand(
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       Settings settings,
       AllocationIndex books,
       LongSupplier clockMs,
       Overload overload,
       ToIntFunction<JobId> running) {
-    this.ledger = ledger;
+    this.cache = cache;
     this.settings = settings;
     this.books = books;
     this.clockMs = clockMs;
@@ -256,7 +256,7 @@
         .forEach(
             (record, account) -> {
               Guarantee guarantee = guarantees.get(account.job().team());
-              if (guarantee == null || ledger.pipelines().waits(record.id())) {
+              if (guarantee == null || cache.dependencyGraph().waits(record.id())) {
                 return; // what waits for other jobs takes no part of a guarantee
               }
               boolean within =
@@ -340,7 +340,7 @@
   private boolean isHurried(Job job) {
     TimeSpan within = settings.startTimeLimit(job.jobClass());
     double rate = 0;
-    for (MachineType type : ledger.types().values()) {
+    for (MachineType type : cache.machineTypes().values()) {
       rate = Math.max(rate, type.pullGbPerSecond());
     }
     return within != null
@@ -353,7 +353,7 @@
    * other jobs.
    */
   private double age(JobRecord record) {
-    return (clockMs.getAsLong() - ledger.readyMs(record)) / 1000.0;
+    return (clockMs.getAsLong() - cache.runnableSinceMs(record)) / 1000.0;
   }
 
   /**
@@ -376,7 +376,7 @@
 
   private List<ServiceLevelObjective> aims(JobRecord record) {
     return settings.objectivesOf(
-        record.job(), TimeSpan.ofMillis(ledger.readyMs(record) - record.acceptedMs()));
+        record.job(), TimeSpan.ofMillis(cache.runnableSinceMs(record) - record.acceptedMs()));
   }
 
   private List<Milestone> goals(Job job, double age) {
--- a/src/main/java/org/quincecross/leader/PendingReasons.java
+++ b/src/main/java/org/quincecross/leader/PendingReasons.java
@@ -16,7 +16,7 @@
 final class PendingReasons {
   private static final int MOST_NAMED = 10;
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final AllocationIndex books;
   private final PendingDemand demands;
   private final PeerViews views;
@@ -27,13 +27,13 @@
    * @param teams with the limits that hold
    */
   PendingReasons(
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       AllocationIndex books,
       PendingDemand demands,
       PeerViews views,
       Autoscaler fleet,
       Supplier<Map<String, Team>> teams) {
-    this.ledger = ledger;
+    this.cache = cache;
     this.books = books;
     this.demands = demands;
     this.views = views;
@@ -43,7 +43,7 @@
 
   /** What the tasks of an open job that are in the pool wait for; null where none are. */
   String of(JobId id) {
-    Collection<JobId> unfinished = ledger.pipelines().unfinished(id);
+    Collection<JobId> unfinished = cache.dependencyGraph().unfinished(id);
     if (!unfinished.isEmpty()) {
       return "waits for "
           + unfinished.stream().limit(MOST_NAMED).map(JobId::text).collect(Collectors.joining(", "))
--- a/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
+++ b/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
@@ -107,7 +107,7 @@
 
   private String wrongWith(ModelSnapshot look, int replica, Model.Place place, MonotonicTime now) {
     MachineId machine = place.machine();
-    ShardLease lease = base.ledger().blockOf(machine);
+    ShardLease lease = base.cache().shardOf(machine);
     if (lease == null) {
       return "is gone";
     }
@@ -132,7 +132,7 @@
     if (look.runs(replica)) {
       return null;
     }
-    MachineType type = base.ledger().types().get(lease.type());
+    MachineType type = base.cache().machineTypes().get(lease.type());
     double perGb =
         type == null || type.pullGbPerSecond() <= 0 ? 0 : FETCH_PATIENCE / type.pullGbPerSecond();
     TimeSpan turn = TimeSpan.ofSeconds(perGb * others(machine, look.job().image()));
--- a/src/main/java/org/quincecross/leader/ReservationManager.java
+++ b/src/main/java/org/quincecross/leader/ReservationManager.java
@@ -18,6 +18,7 @@
 import org.quincecross.reservation.RequestCommand;
 import org.quincecross.reservation.Reservation;
 import org.quincecross.scheduling.Admission;
+import org.quincecross.state.RecordCommand;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.ReservedCapacity;
@@ -54,7 +55,7 @@
   private static final JobId NO_JOB = new JobId("job-0");
 
   private final ReplicatedRecordStore store;
-  private final ReplicatedRecordIndex<Request, RequestCommand> book;
+  private final ReplicatedRecordIndex<Request, RequestCommand> index;
   private final ReservedCapacity rooms;
   private final double share;
   private List<Admission.Unmet> unmet = List.of();
@@ -74,11 +75,11 @@
    */
   public ReservationManager(
       ReplicatedRecordStore store,
-      ReplicatedRecordIndex<Request, RequestCommand> book,
+      ReplicatedRecordIndex<Request, RequestCommand> index,
       ReservedCapacity rooms,
       double share) {
     this.store = store;
-    this.book = book;
+    this.index = index;
     this.rooms = rooms;
     this.share = share;
   }
@@ -124,14 +125,14 @@
         loses ? new RequestCommand.Lose(move.without()) : new RequestCommand.Place(move.zones());
     rooms.expect(move.request().moved(move));
     underWay++;
-    store.ask(
-        book,
+    store.submit(
+        index,
         reference,
-        ReplicatedRecordStore.Ask.own(command),
+        RecordCommand.own(command),
         answer -> {
           underWay--;
-          if (!answer.isDurable() || !answer.why().isEmpty()) {
-            rooms.asRecorded(reference);
+          if (!answer.isDurable() || !answer.reason().isEmpty()) {
+            rooms.clearExpectation(reference);
           } else if (loses) {
             LOG.info("request {} has lost its room: {}", reference, move.without());
           }
--- a/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
@@ -37,13 +37,13 @@
   /** The kind of machine that a large gang's block is to grow by. */
   private record Goal(MachineKind kind, MonotonicTime since) {}
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final Map<String, MachineType> catalog;
   private final Map<MachineKind, MonotonicTime> refusedUntil = new HashMap<>();
   private final Map<JobId, Goal> goals = new HashMap<>();
 
-  ScaleOutPolicy(ClusterStateCache ledger, Map<String, MachineType> catalog) {
-    this.ledger = ledger;
+  ScaleOutPolicy(ClusterStateCache cache, Map<String, MachineType> catalog) {
+    this.cache = cache;
     this.catalog = catalog;
   }
 
@@ -79,7 +79,7 @@
       List<Admission.Unmet> unmet, Collection<MachineKind> booting, MonotonicTime now) {
     List<Bin> bins = new ArrayList<>();
     for (MachineKind kind : booting) {
-      MachineType type = ledger.types().get(kind.type());
+      MachineType type = cache.machineTypes().get(kind.type());
       if (type != null) {
         bins.add(new Bin(kind, type.capacity()));
       }
@@ -176,7 +176,7 @@
 
   private int largestBlock(MachineKind kind) {
     int most = 0;
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       if (block.type().equals(kind.type())
           && block.zone().equals(kind.zone())
           && block.spot() == kind.spot()) {
@@ -251,7 +251,7 @@
 
   private Map<MachineKind, Integer> machinesOfKinds(Collection<MachineKind> booting) {
     Map<MachineKind, Integer> counts = new HashMap<>();
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       counts.merge(
           new MachineKind(block.type(), block.zone(), block.spot()),
           block.machines().size(),
