--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -70,7 +70,7 @@
   private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(4);
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final Settings settings;
   private final Autoscaler fleet;
   private final DemandForecast foresight;
@@ -85,7 +85,7 @@
 
   ShardLeaseManager(
       Timers timers,
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       Settings settings,
       Autoscaler fleet,
       DemandForecast foresight,
@@ -93,7 +93,7 @@
       CurrentPeerViews fresh,
       AllocationWriter allocations) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.cache = cache;
     this.settings = settings;
     this.fleet = fleet;
     this.foresight = foresight;
@@ -119,15 +119,15 @@
    * every machine of a block that is gone.
    */
   boolean knowsAllGone() {
-    knowsAllGone |= ledger.blocks().isEmpty();
+    knowsAllGone |= cache.shards().isEmpty();
     return knowsAllGone;
   }
 
   private List<ControllerRecord> members() {
     // A build from before levels may join whatever the level is; it takes no block that it could
     // not read.
-    return ledger.members().values().stream()
-        .filter(member -> member.build().can(ledger.level().level()))
+    return cache.members().values().stream()
+        .filter(member -> member.build().can(cache.level().level()))
         .toList();
   }
 
@@ -151,21 +151,21 @@
    * inside can hold its machines.
    */
   private double cost(ControllerRecord member, String zone, Map<ControllerId, Integer> load) {
-    double average = (double) ledger.machineCount() / ledger.members().size();
+    double average = (double) cache.machineCount() / cache.members().size();
     // Where nobody hears the machines, one who does not is as good as another.
     double deaf =
-        hearing.of(member.member(), zone, timers.now()) == ReachabilityMap.State.HEARS
+        hearing.of(member.id(), zone, timers.now()) == ReachabilityMap.State.HEARS
             ? 0
-            : ledger.machineCount() + LEAST_AWAY;
+            : cache.machineCount() + LEAST_AWAY;
     return deaf
-        + load.getOrDefault(member.member(), 0)
+        + load.getOrDefault(member.id(), 0)
         + (member.zone().equals(zone) ? 0 : Math.max(LEAST_AWAY, AWAY * average));
   }
 
   private Map<ControllerId, Integer> machinesHeld() {
     Map<ControllerId, Integer> load = new HashMap<>();
-    for (ShardLease block : ledger.blocks().values()) {
-      load.merge(block.holder(), block.machines().size(), Integer::sum);
+    for (ShardLease block : cache.shards().values()) {
+      load.merge(block.owner(), block.machines().size(), Integer::sum);
     }
     return load;
   }
@@ -173,37 +173,37 @@
   /** Leases blocks of dead holders anew, takes machines in and out; returns the blocks changed. */
   // A changed lease is another instance.
   @SuppressWarnings("ReferenceEquality")
-  Set<ShardId> plan(TransactionBuilder plan) {
+  Set<ShardId> plan(TransactionBuilder transaction) {
     Map<ShardId, ShardLease> next = new TreeMap<>();
     Set<ShardId> deleted = new HashSet<>();
     Map<ControllerId, Integer> load = machinesHeld();
     Map<ShardId, Set<MachineId>> going = new HashMap<>();
     for (MachineId machine : fleet.leaving()) {
-      ShardLease block = ledger.blockOf(machine);
+      ShardLease block = cache.shardOf(machine);
       if (block != null) {
         going.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
       }
     }
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       ShardLease changed = without(block, going.getOrDefault(block.id(), Set.of()));
       if (changed.machines().isEmpty()) {
         // No machine is left, so no task of it is anywhere: all of them go back to the pool.
         List<String> records = allocations.keys(block.id());
-        if (plan.room() > records.size()) {
-          plan.delete(StoreKeys.block(block.id()));
-          records.forEach(plan::delete);
+        if (transaction.room() > records.size()) {
+          transaction.delete(StoreKeys.shard(block.id()));
+          records.forEach(transaction::delete);
           deleted.add(block.id());
         }
         continue;
       }
-      ControllerRecord holder = ledger.members().get(block.holder());
-      if (holder == null || !holder.life().equals(block.life())) {
-        load.merge(block.holder(), -block.machines().size(), Integer::sum);
+      ControllerRecord holder = cache.members().get(block.owner());
+      if (holder == null || !holder.incarnation().equals(block.incarnation())) {
+        load.merge(block.owner(), -block.machines().size(), Integer::sum);
         ControllerRecord chosen = chooseHolder(block.zone(), load);
         if (chosen != null) {
-          LOG.info("block {} goes from {} to {}", block.id(), block.holder(), chosen.member());
-          load.merge(chosen.member(), block.machines().size(), Integer::sum);
-          changed = changed.heldBy(chosen);
+          LOG.info("block {} goes from {} to {}", block.id(), block.owner(), chosen.id());
+          load.merge(chosen.id(), block.machines().size(), Integer::sum);
+          changed = changed.leasedTo(chosen);
         }
       }
       if (changed != block) {
@@ -215,8 +215,8 @@
     if (next.isEmpty() && deleted.isEmpty()) {
       rebalance(next, load);
     }
-    takeIn(next, deleted, load, plan.mostValue());
-    next.values().removeIf(block -> !plan.put(StoreKeys.block(block.id()), block.write()));
+    takeIn(next, deleted, load, transaction.mostValue());
+    next.values().removeIf(block -> !transaction.put(StoreKeys.shard(block.id()), block.write()));
     Set<ShardId> touched = new HashSet<>(next.keySet());
     touched.addAll(deleted);
     return touched;
@@ -243,23 +243,23 @@
     Map<ShardId, Map<ControllerId, Integer>> heardBy = new HashMap<>();
     Map<ShardId, Set<MachineId>> strays = new HashMap<>();
     for (ControllerRecord member : members()) {
-      PeerViews.View view = fresh.of(member.member());
+      PeerViews.View view = fresh.of(member.id());
       for (MachineId machine : view == null ? Set.<MachineId>of() : view.strays()) {
-        ShardLease block = ledger.blockOf(machine);
+        ShardLease block = cache.shardOf(machine);
         if (block != null
-            && !block.holder().equals(member.member())
+            && !block.owner().equals(member.id())
             && isSilent(block, machine)
             && moves.of(machine, timers.now()) == ShardMovePolicy.State.COUNTS) {
           strays.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
           heardBy
               .computeIfAbsent(block.id(), id -> new TreeMap<>())
-              .merge(member.member(), 1, Integer::sum);
+              .merge(member.id(), 1, Integer::sum);
         }
       }
     }
     heardBy.forEach(
         (id, members) -> {
-          ShardLease block = ledger.block(id);
+          ShardLease block = cache.shard(id);
           // The machines may have gone to several controllers: that half of them are heard
           // elsewhere is what counts.
           // One that hears nothing is heard by each in turn, and counts once.
@@ -270,10 +270,10 @@
             ControllerId member =
                 Collections.max(members.entrySet(), Map.Entry.comparingByValue()).getKey();
             LOG.info(
-                "block {} goes from {}, which does not hear it, to {}", id, block.holder(), member);
-            hearing.missed(block.holder(), block.zone(), timers.now());
+                "block {} goes from {}, which does not hear it, to {}", id, block.owner(), member);
+            hearing.missed(block.owner(), block.zone(), timers.now());
             moves.moved(strays.get(id), timers.now());
-            next.put(id, block.heldBy(ledger.members().get(member)));
+            next.put(id, block.leasedTo(cache.members().get(member)));
           }
         });
   }
@@ -285,10 +285,10 @@
   private void tryTheDeaf(Map<ShardId, ShardLease> next) {
     MonotonicTime now = timers.now();
     Map<String, ShardLease> smallest = new TreeMap<>();
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       PeerViews.BlockView view = fresh.of(block);
       if (view != null && obeysItsHolder(view)) {
-        hearing.heard(block.holder(), block.zone(), now);
+        hearing.heard(block.owner(), block.zone(), now);
         smallest.merge(
             block.zone(),
             block,
@@ -298,16 +298,16 @@
     for (ControllerRecord member : members()) {
       smallest.forEach(
           (zone, block) -> {
-            if (hearing.of(member.member(), zone, now) == ReachabilityMap.State.TO_BE_TRIED
-                && !block.holder().equals(member.member())
+            if (hearing.of(member.id(), zone, now) == ReachabilityMap.State.TO_BE_TRIED
+                && !block.owner().equals(member.id())
                 && !next.containsKey(block.id())) {
               LOG.info(
                   "block {} goes from {} to {}, to see whether that hears it now",
                   block.id(),
-                  block.holder(),
-                  member.member());
-              hearing.given(member.member(), zone, now);
-              next.put(block.id(), block.heldBy(member));
+                  block.owner(),
+                  member.id());
+              hearing.given(member.id(), zone, now);
+              next.put(block.id(), block.leasedTo(member));
             }
           });
     }
@@ -322,17 +322,17 @@
     if (!next.isEmpty() || !deleted.isEmpty()) {
       return;
     }
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       PeerViews.BlockView view = fresh.of(block);
       if (view != null
           && view.inDoubt()
-          && ledger.members().containsKey(block.holder())
+          && cache.members().containsKey(block.owner())
           && obeysItsHolder(view)) {
         LOG.info(
             "block {} gets a new token under {}: something there waits for one",
             block.id(),
-            block.holder());
-        next.put(block.id(), block.heldBy(ledger.members().get(block.holder())));
+            block.owner());
+        next.put(block.id(), block.leasedTo(cache.members().get(block.owner())));
         return;
       }
     }
@@ -345,7 +345,7 @@
 
   /** Whether a machine takes work of its holder, or is in no block any more. */
   private boolean isObedient(MachineId machine) {
-    ShardLease block = ledger.blockOf(machine);
+    ShardLease block = cache.shardOf(machine);
     PeerViews.BlockView view = block == null ? null : fresh.of(block);
     PeerHeartbeat.MachineState state = view == null ? null : view.machines().get(machine);
     return block == null || (state != null && state.fenced() && state.open());
@@ -371,8 +371,8 @@
     }
     rebalanced = timers.now();
     tryTheDeaf(next);
-    for (ShardLease block : ledger.blocks().values()) {
-      ControllerRecord holder = ledger.members().get(block.holder());
+    for (ShardLease block : cache.shards().values()) {
+      ControllerRecord holder = cache.members().get(block.owner());
       ControllerRecord better = chooseHolder(block.zone(), load);
       int size = block.machines().size();
       PeerViews.BlockView view = fresh.of(block);
@@ -396,11 +396,11 @@
         LOG.info(
             "block {} goes from {} to {} to share the load",
             block.id(),
-            block.holder(),
-            better.member());
-        next.put(block.id(), block.heldBy(better));
-        load.merge(holder.member(), -size, Integer::sum);
-        load.merge(better.member(), size, Integer::sum);
+            block.owner(),
+            better.id());
+        next.put(block.id(), block.leasedTo(better));
+        load.merge(holder.id(), -size, Integer::sum);
+        load.merge(better.id(), size, Integer::sum);
       }
     }
   }
@@ -451,15 +451,13 @@
       Set<ShardId> deleted,
       Map<ControllerId, Integer> load,
       int mostBytes) {
-    newcomers
-        .keySet()
-        .removeIf(machine -> ledger.blockOf(machine) != null || fleet.isGone(machine));
+    newcomers.keySet().removeIf(machine -> cache.shardOf(machine) != null || fleet.isGone(machine));
     if (newcomers.isEmpty() || members().isEmpty()) {
       return;
     }
     Map<Kind, List<ShardId>> withRoom = new HashMap<>();
-    ledger
-        .blocks()
+    cache
+        .shards()
         .values()
         .forEach(
             block -> {
@@ -468,7 +466,7 @@
               }
             });
     for (Machine machine : newcomers.values()) {
-      MachineType type = ledger.types().get(machine.type());
+      MachineType type = cache.machineTypes().get(machine.type());
       if (type == null) {
         continue;
       }
@@ -478,9 +476,9 @@
           withRoom.computeIfAbsent(
               new Kind(machine.type(), machine.zone(), machine.spot()), kind -> new ArrayList<>());
       while (home == null && !homes.isEmpty()) {
-        ShardLease block = next.getOrDefault(homes.get(0), ledger.block(homes.get(0)));
+        ShardLease block = next.getOrDefault(homes.get(0), cache.shard(homes.get(0)));
         // A block that a value cannot name would be written in vain, and its machines be in none.
-        if (block.machines().size() < most && block.with(machine).mostBytes() <= mostBytes) {
+        if (block.machines().size() < most && block.with(machine).maxBytes() <= mostBytes) {
           home = block;
         } else {
           homes.remove(0);
@@ -488,11 +486,11 @@
       }
       if (home != null) {
         next.put(home.id(), home.with(machine));
-        load.merge(home.holder(), 1, Integer::sum);
+        load.merge(home.owner(), 1, Integer::sum);
       } else {
         ControllerRecord holder = chooseHolder(machine.zone(), load);
         ShardLease made = ShardLease.first(new ShardId("b-" + machine.id()), holder, machine);
-        load.merge(holder.member(), 1, Integer::sum);
+        load.merge(holder.id(), 1, Integer::sum);
         next.put(made.id(), made);
         homes.add(made.id());
       }
--- a/src/main/java/org/quincecross/leader/TransactionBuilder.java
+++ b/src/main/java/org/quincecross/leader/TransactionBuilder.java
@@ -20,7 +20,7 @@
   /** What a transaction may hold overall, less room for its guards. */
   private static final int MOST_BYTES = 40 * 1024;
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final int mostChanges;
   private final int mostValue;
   private final BiPredicate<String, Integer> mayPut;
@@ -28,20 +28,20 @@
   private final List<Mutation> changes = new ArrayList<>();
   private int bytes;
 
-  TransactionBuilder(ClusterStateCache ledger, int mostChanges, int mostValue) {
-    this(ledger, mostChanges, mostValue, (key, bytes) -> true);
+  TransactionBuilder(ClusterStateCache cache, int mostChanges, int mostValue) {
+    this(cache, mostChanges, mostValue, (key, bytes) -> true);
   }
 
   /**
    * @param mayPut whether a value of so many bytes may be put there
    */
   TransactionBuilder(
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       int mostChanges,
       int mostValue,
       BiPredicate<String, Integer> mayPut) {
     this.mayPut = mayPut;
-    this.ledger = ledger;
+    this.cache = cache;
     this.mostChanges = mostChanges;
     this.mostValue = mostValue;
   }
@@ -51,17 +51,18 @@
    * keeps tasks back.
    */
   void guardAll() {
-    guard(ledger.leaderKey());
+    guard(cache.leaderKey());
     // What is decided by the level's features is of no use under another level.
     guard(StoreKeys.LEVEL);
-    if (Feature.AGREED_RECORDS.isIn(ledger.level().level())) {
+    if (Feature.AGREED_RECORDS.isIn(cache.level().level())) {
       guard(
-          StoreKeys.AGREED_FENCE); // what was planned before tasks were kept back may allocate them
+          StoreKeys
+              .REPLICATED_FENCE); // what was planned before tasks were kept back may allocate them
     }
   }
 
   void guard(String key) {
-    Revision version = ledger.version(key);
+    Revision version = cache.version(key);
     guards.add(new Precondition(key, version));
   }
 
--- a/src/main/java/org/quincecross/leader/TransactionLimits.java
+++ b/src/main/java/org/quincecross/leader/TransactionLimits.java
@@ -59,7 +59,7 @@
   }
 
   /** A transaction that is to have at most so many changes. */
-  TransactionBuilder plan(ClusterStateCache ledger, int most, MonotonicTime now) {
+  TransactionBuilder plan(ClusterStateCache cache, int most, MonotonicTime now) {
     refusals.values().removeIf(refusal -> refusal.until().isBefore(now));
     if (refusedAt != null && now.since(refusedAt).isLongerThan(ASIDE)) {
       changes = Math.min(limits.maxMutationsPerTransaction(), 2 * changes);
@@ -70,7 +70,7 @@
               : now;
     }
     return new TransactionBuilder(
-        ledger,
+        cache,
         most,
         value,
         (key, bytes) -> !refusals.containsKey(key) || bytes < refusals.get(key).bytes());
--- a/src/main/java/org/quincecross/model/JobPhase.java
+++ b/src/main/java/org/quincecross/model/JobPhase.java
@@ -7,7 +7,7 @@
   CANCELLED;
 
   /** Whether the phase can no longer change. */
-  public boolean isFinal() {
+  public boolean isTerminal() {
     return this != OPEN;
   }
 }
--- a/src/main/java/org/quincecross/modelserving/DemandSum.java
+++ b/src/main/java/org/quincecross/modelserving/DemandSum.java
@@ -28,7 +28,7 @@
   public record Told(int inFlight, TimeSpan quiet) {}
 
   private record Said(
-      Incarnation life, MonotonicTime at, Map<String, Told> models, TimeSpan since) {}
+      Incarnation incarnation, MonotonicTime at, Map<String, Told> models, TimeSpan since) {}
 
   private final Map<ControllerId, Said> said = new HashMap<>();
 
@@ -40,11 +40,11 @@
    */
   public void told(
       ControllerId member,
-      Incarnation life,
+      Incarnation incarnation,
       Map<String, Told> models,
       TimeSpan since,
       MonotonicTime now) {
-    said.put(member, new Said(life, now, Map.copyOf(models), since));
+    said.put(member, new Said(incarnation, now, Map.copyOf(models), since));
   }
 
   /** Keeps what those said whose leases are not over. */
--- a/src/main/java/org/quincecross/overload/DemandClaim.java
+++ b/src/main/java/org/quincecross/overload/DemandClaim.java
@@ -23,7 +23,7 @@
 public record DemandClaim(
     JobId id,
     Group group,
-    Priority rank,
+    Priority priority,
     boolean first,
     Revision accepted,
     int tasks,
--- a/src/main/java/org/quincecross/overload/Overload.java
+++ b/src/main/java/org/quincecross/overload/Overload.java
@@ -228,12 +228,12 @@
     order.removeIf(claim -> !claim.divisible());
     order.sort(
         Comparator.comparing((DemandClaim claim) -> !claim.first())
-            .thenComparing(DemandClaim::rank, Comparator.reverseOrder()));
+            .thenComparing(DemandClaim::priority, Comparator.reverseOrder()));
     Map<String, List<DemandClaim>> equals = new LinkedHashMap<>();
     order.forEach(
         claim ->
             equals
-                .computeIfAbsent(claim.first() + " " + claim.rank(), key -> new ArrayList<>())
+                .computeIfAbsent(claim.first() + " " + claim.priority(), key -> new ArrayList<>())
                 .add(claim));
     return equals.values();
   }
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -28,7 +28,7 @@
   private record Seen(Revision revision, MonotonicTime at) {}
 
   private final Timers timers;
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final PeerViews views;
   private final Settings settings;
   private final TimeSpan longest;
@@ -40,12 +40,12 @@
    */
   public KnownRevisions(
       Timers timers,
-      ClusterStateCache ledger,
+      ClusterStateCache cache,
       PeerViews views,
       Settings settings,
       TimeSpan longest) {
     this.timers = timers;
-    this.ledger = ledger;
+    this.cache = cache;
     this.views = views;
     this.settings = settings;
     this.longest = longest;
@@ -53,8 +53,8 @@
 
   /** Follows the records; costs nothing where no agreed record has changed. */
   public void ledgerChanged(ClusterStateCache.Changes changes) {
-    if (!changes.agreed().isEmpty()) {
-      seen.add(new Seen(ledger.revision(), timers.now()));
+    if (!changes.replicatedRecords().isEmpty()) {
+      seen.add(new Seen(cache.revision(), timers.now()));
       while (seen.size() > MOST_SEEN) {
         seen.poll();
       }
@@ -75,9 +75,9 @@
     List<ReplicationBarrier.Told> told = new ArrayList<>();
     expect(settings.self(), expected);
     settings.peers().forEach(sibling -> expect(sibling.id(), expected));
-    for (ControllerRecord member : ledger.members().values()) {
-      if (expected.stream().noneMatch(each -> each.member().equals(member.member()))) {
-        expect(member.member(), expected);
+    for (ControllerRecord member : cache.members().values()) {
+      if (expected.stream().noneMatch(each -> each.member().equals(member.id()))) {
+        expect(member.id(), expected);
       }
     }
     for (ReplicationBarrier.Told each : expected) {
@@ -86,13 +86,13 @@
         told.add(new ReplicationBarrier.Told(each.member(), view.life(), view.ledger()));
       }
     }
-    return ReplicationBarrier.of(revision, ledger.revision(), at, expected, told, longest, now);
+    return ReplicationBarrier.of(revision, cache.revision(), at, expected, told, longest, now);
   }
 
   private void expect(ControllerId member, List<ReplicationBarrier.Told> expected) {
-    ControllerRecord record = ledger.members().get(member);
+    ControllerRecord record = cache.members().get(member);
     expected.add(
         new ReplicationBarrier.Told(
-            member, record == null ? Incarnation.NONE : record.life(), Revision.NONE));
+            member, record == null ? Incarnation.NONE : record.incarnation(), Revision.NONE));
   }
 }
--- a/src/main/java/org/quincecross/peer/ModelPlacementView.java
+++ b/src/main/java/org/quincecross/peer/ModelPlacementView.java
@@ -37,12 +37,12 @@
 
   private static final double SLOW_BOOT = 1.6;
 
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final PeerViews views;
   private final ModelIndex records;
 
-  public ModelPlacementView(ClusterStateCache ledger, PeerViews views, ModelIndex records) {
-    this.ledger = ledger;
+  public ModelPlacementView(ClusterStateCache cache, PeerViews views, ModelIndex records) {
+    this.cache = cache;
     this.views = views;
     this.records = records;
   }
@@ -57,13 +57,13 @@
 
   /** What the holder of a machine's block last said of it, if that is recent; else null. */
   public PeerHeartbeat.MachineState state(MachineId machine, MonotonicTime now) {
-    ShardLease lease = ledger.blockOf(machine);
+    ShardLease lease = cache.shardOf(machine);
     PeerViews.BlockView block = lease == null ? null : block(lease, now);
     return block == null ? null : block.machines().get(machine);
   }
 
   private PeerViews.BlockView block(ShardLease lease, MonotonicTime now) {
-    PeerViews.View view = views.of(lease.holder());
+    PeerViews.View view = views.of(lease.owner());
     if (view == null || now.since(view.at()).isLongerThan(FRESH)) {
       return null;
     }
@@ -80,8 +80,8 @@
   public List<Weights.Candidate> candidates(Map<MachineId, List<Job>> notYet, MonotonicTime now) {
     Map<String, Double> sizes = sizes();
     List<Weights.Candidate> candidates = new ArrayList<>();
-    for (ShardLease lease : ledger.blocks().values()) {
-      MachineType type = ledger.types().get(lease.type());
+    for (ShardLease lease : cache.shards().values()) {
+      MachineType type = cache.machineTypes().get(lease.type());
       PeerViews.BlockView block = type == null ? null : block(lease, now);
       if (block == null) {
         continue;
@@ -109,7 +109,7 @@
         .values()
         .forEach(
             held -> {
-              JobRecord job = held.state().isDefined() ? ledger.job(held.state().job()) : null;
+              JobRecord job = held.state().isDefined() ? cache.job(held.state().job()) : null;
               if (job != null && job.job() != null) {
                 sizes.put(job.job().image(), job.job().imageGb());
               }
@@ -161,7 +161,7 @@
     }
     double best = Double.POSITIVE_INFINITY;
     double worst = Double.POSITIVE_INFINITY;
-    for (MachineType type : ledger.types().values()) {
+    for (MachineType type : cache.machineTypes().values()) {
       boolean allowed =
           type.zones().stream().anyMatch(zone -> job.allows(type.name(), zone, false));
       if (allowed && job.taskResources().fitsIn(type.capacity()) && type.pullGbPerSecond() > 0) {
@@ -185,8 +185,8 @@
     }
     double rate = 0;
     for (Model.Place place : model.places().values()) {
-      ShardLease lease = ledger.blockOf(place.machine());
-      MachineType type = lease == null ? null : ledger.types().get(lease.type());
+      ShardLease lease = cache.shardOf(place.machine());
+      MachineType type = lease == null ? null : cache.machineTypes().get(lease.type());
       rate = type == null ? rate : Math.max(rate, type.pullGbPerSecond());
     }
     double fetchS = rate > 0 ? job.imageGb() / rate : 0;
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -32,28 +32,29 @@
 
   private PeerCodec() {}
 
-  public static byte[] write(PeerHeartbeat report) {
+  public static byte[] write(PeerHeartbeat heartbeat) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(FORMAT);
-      out.packString(report.member().text());
-      out.packLong(report.life().value());
-      out.packLong(report.number());
-      out.packLong(report.base());
-      out.packMapHeader(report.receipts().size());
-      for (Map.Entry<ControllerId, PeerHeartbeat.Receipt> receipt : report.receipts().entrySet()) {
+      out.packString(heartbeat.member().text());
+      out.packLong(heartbeat.incarnation().value());
+      out.packLong(heartbeat.number());
+      out.packLong(heartbeat.base());
+      out.packMapHeader(heartbeat.receipts().size());
+      for (Map.Entry<ControllerId, PeerHeartbeat.Receipt> receipt :
+          heartbeat.receipts().entrySet()) {
         out.packString(receipt.getKey().text());
-        out.packLong(receipt.getValue().life().value());
+        out.packLong(receipt.getValue().incarnation().value());
         out.packLong(receipt.getValue().number());
         out.packBoolean(receipt.getValue().gap());
       }
-      out.packLong(report.ledger().value());
-      out.packLong(report.unconfirmed().nanos());
-      writeTexts(out, report.strays().stream().map(MachineId::text).toList());
-      out.packArrayHeader(report.blocks().size());
-      for (PeerHeartbeat.Block block : report.blocks()) {
+      out.packLong(heartbeat.ledger().value());
+      out.packLong(heartbeat.unconfirmed().nanos());
+      writeTexts(out, heartbeat.strays().stream().map(MachineId::text).toList());
+      out.packArrayHeader(heartbeat.blocks().size());
+      for (PeerHeartbeat.Block block : heartbeat.blocks()) {
         writeBlock(out, block);
       }
-      writeSections(out, report.sections());
+      writeSections(out, heartbeat.sections());
       return out.toByteArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -162,7 +163,7 @@
         throw new MalformedMessageException("unknown format of a peer report");
       }
       ControllerId member = new ControllerId(in.unpackString());
-      Incarnation life = new Incarnation(in.unpackLong());
+      Incarnation incarnation = new Incarnation(in.unpackLong());
       long number = in.unpackLong();
       long base = in.unpackLong();
       if (base < 0 || number <= base) {
@@ -187,7 +188,16 @@
         throw new MalformedMessageException("bytes left over in a peer report");
       }
       return new PeerHeartbeat(
-          member, life, number, base, receipts, ledger, unconfirmed, blocks, strays, sections);
+          member,
+          incarnation,
+          number,
+          base,
+          receipts,
+          ledger,
+          unconfirmed,
+          blocks,
+          strays,
+          sections);
     } catch (IOException | MessagePackException e) {
       throw new MalformedMessageException("unreadable peer report");
     }
--- a/src/main/java/org/quincecross/peer/PeerHeartbeat.java
+++ b/src/main/java/org/quincecross/peer/PeerHeartbeat.java
@@ -30,7 +30,7 @@
  */
 public record PeerHeartbeat(
     ControllerId member,
-    Incarnation life,
+    Incarnation incarnation,
     long number,
     long base,
     Map<ControllerId, Receipt> receipts,
@@ -41,7 +41,7 @@
     Map<String, byte[]> sections) {
   public PeerHeartbeat(
       ControllerId member,
-      Incarnation life,
+      Incarnation incarnation,
       long number,
       long base,
       Map<ControllerId, Receipt> receipts,
@@ -49,7 +49,8 @@
       TimeSpan unconfirmed,
       List<Block> blocks,
       List<MachineId> strays) {
-    this(member, life, number, base, receipts, ledger, unconfirmed, blocks, strays, Map.of());
+    this(
+        member, incarnation, number, base, receipts, ledger, unconfirmed, blocks, strays, Map.of());
   }
 
   /**
@@ -58,7 +59,7 @@
    * @param number everything up to this report of that life
    * @param gap whether a report came that builds on one that did not
    */
-  public record Receipt(Incarnation life, long number, boolean gap) {}
+  public record Receipt(Incarnation incarnation, long number, boolean gap) {}
 
   /**
    * A block that the sender holds.
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -41,7 +41,7 @@
 
   /** What is known of one controller. */
   public static final class View {
-    private final Incarnation life;
+    private final Incarnation incarnation;
     private final Map<ShardId, BlockView> blocks = new LinkedHashMap<>();
     private long number;
     private boolean gap;
@@ -51,13 +51,13 @@
     private Set<MachineId> strays = Set.of();
     private Map<String, byte[]> sections = Map.of();
 
-    private View(Incarnation life, MonotonicTime at) {
-      this.life = life;
+    private View(Incarnation incarnation, MonotonicTime at) {
+      this.incarnation = incarnation;
       this.at = at;
     }
 
     public Incarnation life() {
-      return life;
+      return incarnation;
     }
 
     /** The last report that all before it have come of. */
@@ -111,41 +111,42 @@
   }
 
   /** Takes a report; false if it builds on one that did not come, and so says nothing. */
-  public boolean take(PeerHeartbeat report, MonotonicTime now) {
-    View view = views.get(report.member());
-    if (view == null || !view.life.equals(report.life())) {
-      if (view != null && Long.compareUnsigned(report.life().value(), view.life.value()) < 0) {
+  public boolean take(PeerHeartbeat heartbeat, MonotonicTime now) {
+    View view = views.get(heartbeat.member());
+    if (view == null || !view.incarnation.equals(heartbeat.incarnation())) {
+      if (view != null
+          && Long.compareUnsigned(heartbeat.incarnation().value(), view.incarnation.value()) < 0) {
         return true; // a late one of a former life
       }
       List<ShardId> forgotten = view == null ? List.of() : List.copyOf(view.blocks.keySet());
-      view = new View(report.life(), now);
-      views.put(report.member(), view);
-      tell(report.member(), forgotten);
+      view = new View(heartbeat.incarnation(), now);
+      views.put(heartbeat.member(), view);
+      tell(heartbeat.member(), forgotten);
     }
-    if (report.number() <= view.number) {
+    if (heartbeat.number() <= view.number) {
       return true; // late or repeated
     }
-    if (report.base() > view.number) {
+    if (heartbeat.base() > view.number) {
       view.gap = true;
       return false;
     }
     view.gap = false;
-    view.number = report.number();
+    view.number = heartbeat.number();
     view.at = now;
-    view.ledger = report.ledger();
-    view.unconfirmed = report.unconfirmed();
-    view.strays = new HashSet<>(report.strays());
-    view.sections = report.sections();
+    view.ledger = heartbeat.ledger();
+    view.unconfirmed = heartbeat.unconfirmed();
+    view.strays = new HashSet<>(heartbeat.strays());
+    view.sections = heartbeat.sections();
     Set<ShardId> changed = new HashSet<>();
-    if (report.base() == 0) {
+    if (heartbeat.base() == 0) {
       changed.addAll(view.blocks.keySet());
       view.blocks.clear();
     }
-    for (PeerHeartbeat.Block block : report.blocks()) {
+    for (PeerHeartbeat.Block block : heartbeat.blocks()) {
       changed.add(block.id());
       merge(view, block);
     }
-    tell(report.member(), changed);
+    tell(heartbeat.member(), changed);
     return true;
   }
 
@@ -179,10 +180,10 @@
   }
 
   /** Forgets a block that a controller does not hold any more. */
-  public void forget(ControllerId member, ShardId block) {
+  public void forget(ControllerId member, ShardId shard) {
     View view = views.get(member);
-    if (view != null && view.blocks.remove(block) != null) {
-      tell(member, List.of(block));
+    if (view != null && view.blocks.remove(shard) != null) {
+      tell(member, List.of(shard));
     }
   }
 
@@ -196,7 +197,8 @@
     Map<ControllerId, PeerHeartbeat.Receipt> receipts = new HashMap<>();
     views.forEach(
         (member, view) ->
-            receipts.put(member, new PeerHeartbeat.Receipt(view.life, view.number, view.gap)));
+            receipts.put(
+                member, new PeerHeartbeat.Receipt(view.incarnation, view.number, view.gap)));
     return receipts;
   }
 }
--- a/src/main/java/org/quincecross/peer/ReplicatedFeatureContext.java
+++ b/src/main/java/org/quincecross/peer/ReplicatedFeatureContext.java
@@ -22,7 +22,7 @@
  */
 public record ReplicatedFeatureContext(
     Timers timers,
-    ClusterStateCache ledger,
+    ClusterStateCache cache,
     ReplicatedRecordStore store,
     KnownRevisions known,
     CombinedStartBlock withheld,
--- a/src/main/java/org/quincecross/protocol/AgentCodec.java
+++ b/src/main/java/org/quincecross/protocol/AgentCodec.java
@@ -97,23 +97,23 @@
         pieces);
   }
 
-  private static List<Object> commands(List<AgentCommand> orders) {
+  private static List<Object> commands(List<AgentCommand> commands) {
     List<Object> list = new ArrayList<>();
-    for (AgentCommand order : orders) {
+    for (AgentCommand command : commands) {
       Map<String, Object> out =
           Json.object(
               "Verb",
-              switch (order.verb()) {
+              switch (command.verb()) {
                 case START -> "start";
                 case STOP -> "halt";
                 case FORGET -> "clear";
               },
               "Piece",
-              order.task().toString(),
+              command.task().toString(),
               "Try",
-              Json.unsigned(order.attempt().value()));
-      if (order.verb() == AgentCommand.Verb.STOP) {
-        out.put("WindDownS", order.gracePeriod().seconds());
+              Json.unsigned(command.attempt().value()));
+      if (command.verb() == AgentCommand.Verb.STOP) {
+        out.put("WindDownS", command.gracePeriod().seconds());
       }
       list.add(out);
     }
@@ -121,13 +121,14 @@
   }
 
   /** Writes the response to a heartbeat. */
-  public static byte[] writeResponse(FencingToken token, List<AgentCommand> orders) {
+  public static byte[] writeResponse(FencingToken token, List<AgentCommand> commands) {
     return Json.write(
-        Json.object("Baton", Json.unsigned(token.value()), "Orders", commands(orders)));
+        Json.object("Baton", Json.unsigned(token.value()), "Orders", commands(commands)));
   }
 
   /** Writes the body of a command that is sent directly to an agent. */
-  public static byte[] writeCommands(FencingToken token, long session, List<AgentCommand> orders) {
+  public static byte[] writeCommands(
+      FencingToken token, long session, List<AgentCommand> commands) {
     return Json.write(
         Json.object(
             "Baton",
@@ -135,7 +136,7 @@
             "Shift",
             Json.unsigned(session),
             "Orders",
-            commands(orders)));
+            commands(commands)));
   }
 
   /** Writes the response that tells an agent which controller to report to. */
--- a/src/main/java/org/quincecross/quota/Reclaim.java
+++ b/src/main/java/org/quincecross/quota/Reclaim.java
@@ -34,7 +34,7 @@
       QuotaTree.Node node,
       Resources each,
       Map<MachineId, Integer> places,
-      Priority rank,
+      Priority priority,
       TimeSpan lost) {
     Resources total() {
       return each.times(places.values().stream().mapToInt(Integer::intValue).sum());
@@ -58,7 +58,7 @@
     static Making of(List<Unit> victims) {
       Priority highest =
           victims.stream()
-              .map(Unit::rank)
+              .map(Unit::priority)
               .max(Comparator.naturalOrder())
               .orElse(Priority.values()[0]);
       return new Making(
@@ -76,7 +76,7 @@
   }
 
   private static final Comparator<Unit> CHEAPEST =
-      Comparator.comparing(Unit::rank).thenComparing(Unit::lost).thenComparing(Unit::id);
+      Comparator.comparing(Unit::priority).thenComparing(Unit::lost).thenComparing(Unit::id);
 
   private final Resources[] used;
   private final Map<MachineId, Resources> free;
--- a/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
+++ b/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
@@ -34,10 +34,10 @@
   /**
    * What a controller has told of its records.
    *
-   * @param life in which it told it
+   * @param incarnation in which it told it
    * @param revision of its records
    */
-  public record Told(ControllerId member, Incarnation life, Revision revision) {}
+  public record Told(ControllerId member, Incarnation incarnation, Revision revision) {}
 
   /**
    * Whether all controllers know a revision.
@@ -83,12 +83,12 @@
     List<ControllerId> missing = new ArrayList<>();
     for (Told member : expected) {
       boolean has =
-          !member.life().equals(Incarnation.NONE)
+          !member.incarnation().equals(Incarnation.NONE)
               && told.stream()
                   .anyMatch(
                       each ->
                           each.member().equals(member.member())
-                              && each.life().equals(member.life())
+                              && each.incarnation().equals(member.incarnation())
                               && !revision.isAfter(each.revision()));
       if (!has) {
         missing.add(member.member());
--- a/src/main/java/org/quincecross/reservation/Place.java
+++ b/src/main/java/org/quincecross/reservation/Place.java
@@ -13,7 +13,7 @@
  * @param lanes whose tasks it has: their images are there or on the way
  */
 public record Place(
-    ShardId block,
+    ShardId shard,
     String zone,
     Resources machine,
     int machines,
--- a/src/main/java/org/quincecross/reservation/Reservation.java
+++ b/src/main/java/org/quincecross/reservation/Reservation.java
@@ -130,15 +130,15 @@
                         slot,
                         zone,
                         tasks,
-                        (block, some) ->
-                            sums.computeIfAbsent(block, id -> new TreeMap<>())
+                        (shard, some) ->
+                            sums.computeIfAbsent(shard, id -> new TreeMap<>())
                                 .merge(slot, some, Integer::sum)));
       }
     }
     sums.forEach(
-        (block, slots) ->
+        (shard, slots) ->
             kept.put(
-                block,
+                shard,
                 slots.entrySet().stream()
                     .map(each -> new Kept(each.getKey(), each.getValue()))
                     .toList()));
@@ -204,7 +204,7 @@
           }
         }
         if (zones != null) {
-          zones.forEach((zone, tasks) -> rooms.take(slot, zone, tasks, (block, some) -> {}));
+          zones.forEach((zone, tasks) -> rooms.take(slot, zone, tasks, (shard, some) -> {}));
           allowance.reserved(need, left);
         }
       }
@@ -273,7 +273,7 @@
 
   /** Told of some tasks that found room in a block. */
   private interface Found {
-    void in(ShardId block, int tasks);
+    void in(ShardId shard, int tasks);
   }
 
   /** What is left of the blocks' room. */
@@ -286,11 +286,11 @@
       for (Place place : places) {
         if (place.machines() > 0) {
           zones.computeIfAbsent(place.zone(), zone -> new ArrayList<>()).add(place);
-          left.put(place.block(), place.room());
+          left.put(place.shard(), place.room());
           capacity = capacity.plus(place.machine().times(place.machines()));
         }
       }
-      zones.values().forEach(list -> list.sort(Comparator.comparing(Place::block)));
+      zones.values().forEach(list -> list.sort(Comparator.comparing(Place::shard)));
     }
 
     Resources capacity() {
@@ -301,7 +301,7 @@
       looks++;
       return Math.min(
           place.machines() * place.machine().capacityFor(slot.each()),
-          left.get(place.block()).capacityFor(slot.each()));
+          left.get(place.shard()).capacityFor(slot.each()));
     }
 
     /** How many tasks find room in a zone, not counting beyond {@code most}. */
@@ -353,8 +353,8 @@
             int here = Math.min(rest, count(place, slot));
             if (here > 0) {
               left.computeIfPresent(
-                  place.block(), (block, room) -> room.minus(slot.each().times(here)));
-              found.in(place.block(), here);
+                  place.shard(), (shard, room) -> room.minus(slot.each().times(here)));
+              found.in(place.shard(), here);
               rest -= here;
             }
           }
--- a/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
+++ b/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
@@ -36,9 +36,9 @@
   public static Map<String, Team> lowest(
       Map<String, Team> own, Iterable<AnnouncedLimits> announced) {
     Map<String, Team> teams = own;
-    for (AnnouncedLimits terms : announced) {
+    for (AnnouncedLimits announcedLimits : announced) {
       for (Team team : own.values()) {
-        Resources limit = terms.limits().get(team.name());
+        Resources limit = announcedLimits.limits().get(team.name());
         Resources before = teams.get(team.name()).limit();
         if (limit != null && !before.fitsIn(limit)) {
           teams = teams == own ? new LinkedHashMap<>(own) : teams;
@@ -67,9 +67,9 @@
     List<String> differences = new ArrayList<>();
     new TreeMap<>(announced)
         .forEach(
-            (member, terms) -> {
+            (member, announcedLimits) -> {
               List<String> parts = new ArrayList<>();
-              new TreeMap<>(terms.marks())
+              new TreeMap<>(announcedLimits.marks())
                   .forEach(
                       (part, mark) -> {
                         if (own.containsKey(part) && !own.get(part).equals(mark)) {
--- a/src/main/java/org/quincecross/rollout/Rollout.java
+++ b/src/main/java/org/quincecross/rollout/Rollout.java
@@ -43,7 +43,7 @@
   }
 
   /** A controller that is alive. */
-  public record Alive(Build build, Incarnation life) {}
+  public record Alive(Build build, Incarnation incarnation) {}
 
   /**
    * A site as its leader sees it.
--- a/src/main/java/org/quincecross/scheduling/Admission.java
+++ b/src/main/java/org/quincecross/scheduling/Admission.java
@@ -210,8 +210,8 @@
       return usedFrom(Priority.LOW).dominantShareOf(capacity);
     }
 
-    private Resources usedFrom(Priority rank) {
-      return usedFrom[rank.ordinal()];
+    private Resources usedFrom(Priority priority) {
+      return usedFrom[priority.ordinal()];
     }
 
     Resources free() {
@@ -347,7 +347,7 @@
     highest =
         order.stream()
             .map(demand -> demand.job().priority())
-            .filter(rank -> rank != Priority.PRODUCTION)
+            .filter(priority -> priority != Priority.PRODUCTION)
             .max(Comparator.naturalOrder())
             .orElse(Priority.LOW);
     gathers = false;
@@ -387,7 +387,7 @@
       String zone,
       boolean spot,
       boolean array,
-      Priority rank,
+      Priority priority,
       boolean pressed,
       String apart) {}
 
--- a/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
+++ b/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
@@ -62,13 +62,13 @@
    * For how many tasks of a job's lane its zone still keeps room, if the block itself keeps some;
    * else 0.
    */
-  int left(Job job, ShardId block, String zone) {
+  int left(Job job, ShardId shard, String zone) {
     Map<String, Integer> ofLane = ofLanes.get(job.jobClass());
     if (ofLane == null) {
       return 0;
     }
     boolean here =
-        reserves.getOrDefault(block, List.of()).stream()
+        reserves.getOrDefault(shard, List.of()).stream()
             .anyMatch(
                 reserve ->
                     reserve.asked() != null && reserve.asked().lane().equals(job.jobClass()));
@@ -112,10 +112,10 @@
    *     not keep out, for what is lent to others counts as used, and beside it and the kept room
    *     there would be none left for it
    */
-  Resources from(Job job, ShardId block, Resources machine, Resources lent, boolean begins) {
+  Resources from(Job job, ShardId shard, Resources machine, Resources lent, boolean begins) {
     Resources kept = null;
     Resources requests = null;
-    for (Headroom reserve : reserves.getOrDefault(block, List.of())) {
+    for (Headroom reserve : reserves.getOrDefault(shard, List.of())) {
       if (!reserve.isKeptFrom(job, machine) || reserve.keepsNothing()) {
         continue;
       }
@@ -137,9 +137,9 @@
   }
 
   /** What of a block a job, though it may use it, should leave to others. */
-  Resources better(Job job, ShardId block, Resources machine) {
+  Resources better(Job job, ShardId shard, Resources machine) {
     Resources kept = Resources.NONE;
-    for (Headroom reserve : reserves.getOrDefault(block, List.of())) {
+    for (Headroom reserve : reserves.getOrDefault(shard, List.of())) {
       kept = reserve.isBetterAvoided(job, machine) ? kept.plus(reserve.total()) : kept;
     }
     return kept;
--- a/src/main/java/org/quincecross/scheduling/Preemption.java
+++ b/src/main/java/org/quincecross/scheduling/Preemption.java
@@ -25,7 +25,7 @@
   public record Running(
       TaskId task,
       MachineId machine,
-      Priority rank,
+      Priority priority,
       boolean idle,
       Resources each,
       boolean saves,
@@ -45,7 +45,7 @@
     Priority least = Priority.PRODUCTION;
     for (Running task : tasks) {
       running.computeIfAbsent(task.machine(), id -> new ArrayList<>()).add(task);
-      least = least.isHigherThan(task.rank()) ? task.rank() : least;
+      least = least.isHigherThan(task.priority()) ? task.priority() : least;
     }
     lowest = least;
     for (MachineQueue machine : block.machines()) {
@@ -126,7 +126,7 @@
   private static double cost(MachineQueue machine, QueueEntry entry, List<Running> victims) {
     double cost = machine.hasImage(entry) ? 0 : FETCH;
     for (Running victim : victims) {
-      cost += victim.each().cpus() * (victim.saves() ? 1 : 3) * (1 + victim.rank().ordinal());
+      cost += victim.each().cpus() * (victim.saves() ? 1 : 3) * (1 + victim.priority().ordinal());
     }
     return cost;
   }
@@ -142,12 +142,12 @@
     }
     List<Running> stoppable = new ArrayList<>();
     for (Running task : running.getOrDefault(machine.machine(), List.of())) {
-      if (entry.job().priority().isHigherThan(task.rank()) && (task.idle() || !ofIdle)) {
+      if (entry.job().priority().isHigherThan(task.priority()) && (task.idle() || !ofIdle)) {
         stoppable.add(task);
       }
     }
     stoppable.sort(
-        Comparator.comparing(Running::rank)
+        Comparator.comparing(Running::priority)
             .thenComparing(task -> !task.idle())
             .thenComparing(task -> !task.saves())
             .thenComparing(Running::since, Comparator.reverseOrder()));
--- a/src/main/java/org/quincecross/shard/AgentCommandSender.java
+++ b/src/main/java/org/quincecross/shard/AgentCommandSender.java
@@ -42,18 +42,18 @@
   private static final int MOST_ORDERS = 300;
 
   private final ShardContext context;
-  private final ShardOwner holder;
+  private final ShardOwner owner;
   private final Placements placements;
   private final Map<MachineId, AgentSession> sessions;
   private final UnacknowledgedResponses lastAnswers;
 
   AgentCommandSender(
       ShardContext context,
-      ShardOwner holder,
+      ShardOwner owner,
       Placements placements,
       Map<MachineId, AgentSession> sessions) {
     this.context = context;
-    this.holder = holder;
+    this.owner = owner;
     this.placements = placements;
     this.sessions = sessions;
     this.lastAnswers = new UnacknowledgedResponses(context, placements);
@@ -61,7 +61,7 @@
 
   /** All that the machine should be told now; everything in it may be told again. */
   List<AgentCommand> orders(AgentSession session) {
-    List<AgentCommand> orders = new ArrayList<>();
+    List<AgentCommand> commands = new ArrayList<>();
     MachineId machine = session.machine().id();
     Set<Attempt> present = new HashSet<>();
     for (TaskStatus piece : session.report().tasks()) {
@@ -76,23 +76,23 @@
                     && placement.machine().equals(machine)
                     && placement.attempt().equals(piece.attempt()));
         if (!keep && !session.mayStillStart(piece.attempt())) {
-          orders.add(AgentCommand.forget(piece.task(), piece.attempt()));
+          commands.add(AgentCommand.forget(piece.task(), piece.attempt()));
         }
       } else if (!ours) {
-        orders.add(AgentCommand.stop(piece.task(), piece.attempt(), TimeSpan.ZERO));
+        commands.add(AgentCommand.stop(piece.task(), piece.attempt(), TimeSpan.ZERO));
       } else if (placement.state() == Placement.State.STOPPING
           && (piece.state() != TaskState.CHECKPOINTING || placement.grace().nanos() == 0)) {
-        orders.add(AgentCommand.stop(piece.task(), piece.attempt(), placement.grace()));
+        commands.add(AgentCommand.stop(piece.task(), piece.attempt(), placement.grace()));
       }
     }
     // Said again, a start is a start: one that is held back here is said once the records are
     // confirmed (docs/incidents/started-without-word.md).
     for (Placement placement : context.mayStart() ? placements.on(machine) : List.<Placement>of()) {
       if (placement.state() == Placement.State.STARTING && !present.contains(placement.attempt())) {
-        orders.add(AgentCommand.start(placement.task(), placement.attempt()));
+        commands.add(AgentCommand.start(placement.task(), placement.attempt()));
       }
     }
-    return orders.size() > MOST_ORDERS ? orders.subList(0, MOST_ORDERS) : orders;
+    return commands.size() > MOST_ORDERS ? commands.subList(0, MOST_ORDERS) : commands;
   }
 
   /** Whether the machine may be answered, which renews its lease. */
@@ -104,27 +104,27 @@
    * The answer to the machine's report; one that does not obey yet is told nothing but the token.
    */
   byte[] answer(AgentSession session) {
-    List<AgentCommand> orders =
+    List<AgentCommand> commands =
         session.state() == AgentSession.State.FENCED ? orders(session) : List.of();
-    tell(orders);
-    session.startsInAnswer(starts(orders).keySet());
-    return AgentCodec.writeResponse(holder.lease().token(), orders);
+    tell(commands);
+    session.startsInAnswer(starts(commands).keySet());
+    return AgentCodec.writeResponse(owner.lease().token(), commands);
   }
 
-  private void tell(List<AgentCommand> orders) {
-    for (AgentCommand order : orders) {
-      Placement placement = placements.get(order.task());
-      if (placement != null && placement.attempt().equals(order.attempt())) {
+  private void tell(List<AgentCommand> commands) {
+    for (AgentCommand command : commands) {
+      Placement placement = placements.get(command.task());
+      if (placement != null && placement.attempt().equals(command.attempt())) {
         placement.tell();
       }
     }
   }
 
-  private static Map<Attempt, TaskId> starts(List<AgentCommand> orders) {
+  private static Map<Attempt, TaskId> starts(List<AgentCommand> commands) {
     Map<Attempt, TaskId> starts = new HashMap<>();
-    for (AgentCommand order : orders) {
-      if (order.verb() == AgentCommand.Verb.START) {
-        starts.put(order.attempt(), order.task());
+    for (AgentCommand command : commands) {
+      if (command.verb() == AgentCommand.Verb.START) {
+        starts.put(command.attempt(), command.task());
       }
     }
     return starts;
@@ -146,24 +146,24 @@
       if (session != null
           && session.state() == AgentSession.State.FENCED
           && session.canSendDirect(now)) {
-        List<AgentCommand> orders = orders(session);
-        if (!orders.isEmpty()) {
-          tell(orders);
-          sendDirect(session, orders);
+        List<AgentCommand> commands = orders(session);
+        if (!commands.isEmpty()) {
+          tell(commands);
+          sendDirect(session, commands);
         }
       }
     }
   }
 
-  private void sendDirect(AgentSession session, List<AgentCommand> orders) {
-    FencingToken sentWith = holder.lease().token();
-    Map<Attempt, TaskId> starts = starts(orders);
+  private void sendDirect(AgentSession session, List<AgentCommand> commands) {
+    FencingToken sentWith = owner.lease().token();
+    Map<Attempt, TaskId> starts = starts(commands);
     session.directSent(starts);
-    LOG.debug("block {}: {} commands to {}", holder.id(), orders.size(), session.machine().id());
+    LOG.debug("block {}: {} commands to {}", owner.id(), commands.size(), session.machine().id());
     HttpRequest request =
         HttpRequest.post(
             AgentCodec.COMMANDS_PATH,
-            AgentCodec.writeCommands(sentWith, session.report().session(), orders));
+            AgentCodec.writeCommands(sentWith, session.report().session(), commands));
     context
         .http()
         .call(
@@ -178,26 +178,26 @@
       Map<Attempt, TaskId> starts,
       FencingToken sentWith,
       HttpOutcome outcome) {
-    Heartbeat report = readReport(outcome);
+    Heartbeat heartbeat = readReport(outcome);
     // Another machine may have the address of one that is gone: what that one says is nothing of
     // this one.
-    if (report == null || !report.machine().id().equals(session.machine().id())) {
+    if (heartbeat == null || !heartbeat.machine().id().equals(session.machine().id())) {
       LOG.debug(
           "block {}: no answer from {}, status {}",
-          holder.id(),
+          owner.id(),
           session.machine().id(),
           outcome.status());
-      boolean mayHaveArrived = outcome.sent() && sentWith.equals(holder.lease().token());
+      boolean mayHaveArrived = outcome.sent() && sentWith.equals(owner.lease().token());
       session.directFailed(starts, mayHaveArrived, context.now().plus(DIRECT_RETRY));
       if (outcome.sent()) {
         session.hearing().commandUnanswered();
-        holder.stir(session);
+        owner.stir(session);
       }
       return;
     }
     session.directAnswered(starts);
     if (sessions.get(session.machine().id()) == session) {
-      holder.answered(session, report);
+      owner.answered(session, heartbeat);
     }
   }
 
@@ -235,7 +235,7 @@
                 session.machine().address(),
                 HttpRequest.get(AgentCodec.STATUS_PATH),
                 DIRECT_TIMEOUT,
-                outcome -> directEnded(session, Map.of(), holder.lease().token(), outcome));
+                outcome -> directEnded(session, Map.of(), owner.lease().token(), outcome));
       }
     }
   }
--- a/src/main/java/org/quincecross/shard/AgentSession.java
+++ b/src/main/java/org/quincecross/shard/AgentSession.java
@@ -49,7 +49,7 @@
   private final Set<Attempt> startsInAnswer = new HashSet<>();
   private final StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
   private State state = State.UNFENCED;
-  private Heartbeat report;
+  private Heartbeat heartbeat;
   private MonotonicTime heard;
   private MonotonicTime leaseFrom;
 
@@ -123,13 +123,13 @@
   }
 
   Heartbeat report() {
-    return report;
+    return heartbeat;
   }
 
   /** The attempts that the last report names, in whatever state. */
   Set<Attempt> reportedAttempts() {
     Set<Attempt> reported = new HashSet<>();
-    report.tasks().forEach(piece -> reported.add(piece.attempt()));
+    heartbeat.tasks().forEach(piece -> reported.add(piece.attempt()));
     return reported;
   }
 
@@ -139,7 +139,7 @@
    * executed or will be dropped.
    */
   void take(Heartbeat next, boolean beat, MonotonicTime now) {
-    if (report == null || report.session() != next.session() || state == State.LOST) {
+    if (heartbeat == null || heartbeat.session() != next.session() || state == State.LOST) {
       // A session's lease runs from when it began, which nobody has to answer: bounds from before
       // it say nothing of it, though no
       // answer was ever taken. Guards against docs/incidents/session-without-an-answer.md and
@@ -148,14 +148,14 @@
     }
     // A worker that has begun anew may come to the session that a command of before was sent to:
     // only a new token ends that.
-    if (report != null && report.session() != next.session() && !hasBegunAnew()) {
+    if (heartbeat != null && heartbeat.session() != next.session() && !hasBegunAnew()) {
       startsUnanswered.clear();
       startsInFlight.clear();
     }
     if (beat) {
       startsInAnswer.clear();
     }
-    report = next;
+    heartbeat = next;
   }
 
   /**
@@ -201,7 +201,7 @@
     if (leaseFrom.isBefore(now)) {
       leaseFrom = now;
     }
-    if (answered == report) {
+    if (answered == heartbeat) {
       hearing.answered(answered.session(), now);
     } else if (provenFrom.isBefore(now)) {
       provenFrom =
@@ -235,12 +235,12 @@
   boolean provesNoneTaken(Heartbeat next, FencingToken token) {
     if (state == State.FENCED
         || hasBegunAnew()
-        || report == null
+        || heartbeat == null
         || !token.isAfter(next.token())
-        || !next.isNewerThan(report)
-        || next.session() - report.session() > CLOSE_SESSIONS
-        || next.sequence() <= report.sequence()
-        || next.sequence() - report.sequence() > CLOSE_REPORTS) {
+        || !next.isNewerThan(heartbeat)
+        || next.session() - heartbeat.session() > CLOSE_SESSIONS
+        || next.sequence() <= heartbeat.sequence()
+        || next.sequence() - heartbeat.sequence() > CLOSE_REPORTS) {
       return false;
     }
     leaseFrom = provenFrom;
@@ -287,7 +287,7 @@
   }
 
   boolean hasNotice() {
-    return report != null && report.terminationNotice() != null;
+    return heartbeat != null && heartbeat.terminationNotice() != null;
   }
 
   boolean isSick() {
@@ -385,7 +385,7 @@
     if (starts.isEmpty()) {
       return false;
     }
-    Set<Attempt> shown = report == null ? Set.of() : reportedAttempts();
+    Set<Attempt> shown = heartbeat == null ? Set.of() : reportedAttempts();
     return starts.entrySet().stream()
         .anyMatch(start -> !shown.contains(start.getKey()) && which.test(start.getValue()));
   }
@@ -396,8 +396,8 @@
    */
   int keptExits() {
     int kept = 0;
-    if (!startsUnanswered.isEmpty() && report != null) {
-      for (Heartbeat.TaskStatus piece : report.tasks()) {
+    if (!startsUnanswered.isEmpty() && heartbeat != null) {
+      for (Heartbeat.TaskStatus piece : heartbeat.tasks()) {
         kept += piece.state() == Heartbeat.TaskState.EXITED && isInDoubt(piece.attempt()) ? 1 : 0;
       }
     }
--- a/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
+++ b/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
@@ -19,14 +19,14 @@
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
   private final ShardContext context;
-  private final ShardOwner holder;
+  private final ShardOwner owner;
   private final Placements placements;
   private final FaultEvidence evidence;
 
   HeartbeatProcessor(
-      ShardContext context, ShardOwner holder, Placements placements, FaultEvidence evidence) {
+      ShardContext context, ShardOwner owner, Placements placements, FaultEvidence evidence) {
     this.context = context;
-    this.holder = holder;
+    this.owner = owner;
     this.placements = placements;
     this.evidence = evidence;
   }
@@ -49,11 +49,11 @@
         placement.reported(
             machine, piece.attempt(), hasImage && piece.state() != TaskState.WAITING_FOR_GANG, now);
         if (!ran && placement.isRunning()) {
-          LOG.debug("block {}: {} runs on {}", holder.id(), placement.task(), machine);
+          LOG.debug("block {}: {} runs on {}", owner.id(), placement.task(), machine);
         }
         if (placement.isRunning()
             && now.since(placement.runningSince()).isLongerThan(FaultEvidence.STARTED_WELL)) {
-          holder.callSick(
+          owner.callSick(
               evidence.startedWell(machine, placement.task().job(), placement.runningSince(), now));
         }
       }
@@ -67,8 +67,8 @@
           && (ours
               || placement.state() == Placement.State.UNSETTLED
               || placement.state() == Placement.State.WAITING)) {
-        holder.dequeue(piece.task());
-        holder.callSick(evidence.completed(machine, piece.task().job(), now));
+        owner.dequeue(piece.task());
+        owner.callSick(evidence.completed(machine, piece.task().job(), now));
         placement.completed(machine, piece.attempt(), now);
         context.newsForLeader();
       }
@@ -92,28 +92,24 @@
     if (piece.exitReason() == ExitReason.ERROR) {
       placement.failed();
       TimeSpan ranFor = placement.isRunning() ? now.since(placement.runningSince()) : TimeSpan.ZERO;
-      holder.callSick(evidence.failed(machine, job, ranFor, now));
+      owner.callSick(evidence.failed(machine, job, ranFor, now));
       if (evidence.isDoubtful(job)) {
         // What else of it waits is tried one task at a time: it leaves the queues, and enters them
         // again as that allows.
         placements.ofJob(job).stream()
             .filter(other -> other.state() == Placement.State.WAITING)
-            .forEach(other -> holder.dequeue(other.task()));
+            .forEach(other -> owner.dequeue(other.task()));
       }
     } else if (piece.exitReason() == ExitReason.INSUFFICIENT_RESOURCES
         || piece.exitReason() == ExitReason.TASK_ALREADY_PRESENT
         || piece.exitReason() == ExitReason.UNKNOWN_TASK) {
       LOG.info(
-          "block {}: {} refused {}: {}",
-          holder.id(),
-          machine,
-          placement.task(),
-          piece.exitReason());
+          "block {}: {} refused {}: {}", owner.id(), machine, placement.task(), piece.exitReason());
       placement.failed();
     }
     placement.gone(now);
     LOG.debug(
-        "block {}: {} has left {}, {}", holder.id(), placement.task(), machine, piece.exitReason());
+        "block {}: {} has left {}, {}", owner.id(), placement.task(), machine, piece.exitReason());
     if (placement.state() == Placement.State.RELEASED) {
       context.newsForLeader();
     }
--- a/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
+++ b/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
@@ -31,7 +31,7 @@
   private static final int MACHINES_PER_DEAF = 5;
 
   private final ShardContext context;
-  private final ShardOwner holder;
+  private final ShardOwner owner;
   private final HeartbeatProcessor intake;
   private final Map<MachineId, AgentSession> sessions;
 
@@ -44,11 +44,11 @@
 
   MachineLivenessMonitor(
       ShardContext context,
-      ShardOwner holder,
+      ShardOwner owner,
       HeartbeatProcessor intake,
       Map<MachineId, AgentSession> sessions) {
     this.context = context;
-    this.holder = holder;
+    this.owner = owner;
     this.intake = intake;
     this.sessions = sessions;
   }
@@ -60,7 +60,7 @@
   /** Looks for machines whose silence has ended their leases. Returns whether one was found. */
   boolean tick() {
     MonotonicTime now = context.now();
-    if (!formerHaveEnded && context.allHaveNoted(new Revision(holder.lease().token().value()))) {
+    if (!formerHaveEnded && context.allHaveNoted(new Revision(owner.lease().token().value()))) {
       // Whoever held the block before this lease knows by now that it does not, and answers no
       // machine of it any more.
       formerHaveEnded = true;
@@ -90,9 +90,9 @@
   /** What a machine that is not heard loses with time, and when that is to be looked at again. */
   private boolean lookAtSilence(AgentSession session, MonotonicTime now) {
     boolean lost = loseIfOver(session, now);
-    boolean open = holder.isOpen(session);
+    boolean open = owner.isOpen(session);
     if (session.wasOpen() != open) {
-      holder.stir(session); // by falling silent
+      owner.stir(session); // by falling silent
     }
     MonotonicTime next = open ? session.heard().plus(openFor()) : session.leaseEnds(lease());
     if (session.state() != AgentSession.State.LOST && next.isBefore(silentAt)) {
@@ -116,11 +116,11 @@
     }
     LOG.info(
         "block {}: machine {} has not taken an answer for a lease, which is over",
-        holder.id(),
+        owner.id(),
         session.machine().id());
     session.enter(AgentSession.State.LOST);
     intake.freeAll(session.machine().id(), now);
-    holder.stir(session);
+    owner.stir(session);
     return true;
   }
 
@@ -139,22 +139,24 @@
    * proves that the machine's lease is over, or that the session is in which a former holder may
    * have commanded.
    */
-  boolean reported(AgentSession session, Heartbeat report, boolean beat) {
+  boolean reported(AgentSession session, Heartbeat heartbeat, boolean beat) {
     MonotonicTime now = context.now();
     if (!beat) {
-      session.hearing().commandAnswered(report.sequence(), now);
+      session.hearing().commandAnswered(heartbeat.sequence(), now);
       return false;
     }
     boolean hadHeard = session.hearing().hears();
-    session.hearing().reported(report.session(), report.sequence(), context.workers().lease(), now);
+    session
+        .hearing()
+        .reported(heartbeat.session(), heartbeat.sequence(), context.workers().lease(), now);
     if (hadHeard != session.hearing().hears()) {
       if (session.hearing().state() == OneWayPartitionDetector.State.DEAF) {
         LOG.info(
-            "block {}: machine {} speaks and does not hear", holder.id(), session.machine().id());
+            "block {}: machine {} speaks and does not hear", owner.id(), session.machine().id());
       }
-      holder.stir(session);
+      owner.stir(session);
     }
-    if (!session.provesNoneTaken(report, holder.lease().token())) {
+    if (!session.provesNoneTaken(heartbeat, owner.lease().token())) {
       return false;
     }
     session.hearing().noneTaken(now);
--- a/src/main/java/org/quincecross/shard/MachineSnapshots.java
+++ b/src/main/java/org/quincecross/shard/MachineSnapshots.java
@@ -30,7 +30,7 @@
   private static final TimeSpan ROUND = TimeSpan.ofSeconds(20);
 
   private final ShardContext context;
-  private final ShardOwner holder;
+  private final ShardOwner owner;
   private final Placements placements;
   private final Map<MachineId, AgentSession> sessions;
   private final ShardScheduler scheduler;
@@ -38,13 +38,13 @@
 
   MachineSnapshots(
       ShardContext context,
-      ShardOwner holder,
+      ShardOwner owner,
       Placements placements,
       Map<MachineId, AgentSession> sessions,
       ShardScheduler scheduler,
       MachineLivenessMonitor watch) {
     this.context = context;
-    this.holder = holder;
+    this.owner = owner;
     this.placements = placements;
     this.sessions = sessions;
     this.scheduler = scheduler;
@@ -108,7 +108,7 @@
   private int lent(Headroom reserve) {
     int tasks = 0;
     for (AgentSession session : sessions.values()) {
-      if (holder.isOpen(session)) {
+      if (owner.isOpen(session)) {
         Resources borrowed = Resources.NONE;
         for (Placement placement : placements.seenOn(session.machine().id())) {
           borrowed =
@@ -161,7 +161,7 @@
         hears ? session.capacity().minus(used(session)) : Resources.NONE,
         hears ? displaceable(id) : Resources.NONE,
         silence(session, now),
-        holder.isOpen(session),
+        owner.isOpen(session),
         session.state() == AgentSession.State.FENCED,
         session.hasNotice(),
         session.isSick() || watch.isToBeReplaced(session, now),
@@ -181,7 +181,7 @@
     MonotonicTime now = context.now();
     return session != null
         && (!silence(session, now).equals(told.silent())
-            || holder.isOpen(session) != told.open()
+            || owner.isOpen(session) != told.open()
             || (!told.sick() && watch.isToBeReplaced(session, now))
             || (!told.movable() && told.tasks() > 0 && isMovable(told.id(), now)));
   }
--- a/src/main/java/org/quincecross/shard/OwnedShards.java
+++ b/src/main/java/org/quincecross/shard/OwnedShards.java
@@ -42,59 +42,59 @@
     return holders.values();
   }
 
-  public ShardOwner get(ShardId block) {
-    return holders.get(block);
+  public ShardOwner get(ShardId shard) {
+    return holders.get(shard);
   }
 
   /** Follows the leases, allocations and jobs that have changed. */
   public void ledgerChanged(ClusterStateCache.Changes changes) {
-    ClusterStateCache ledger = context.ledger();
-    for (ShardId id : changes.reloaded() ? List.copyOf(holders.keySet()) : changes.blocks()) {
-      ShardLease lease = ledger.block(id);
-      if (holders.containsKey(id) && (lease == null || !lease.holder().equals(self))) {
+    ClusterStateCache cache = context.ledger();
+    for (ShardId id : changes.reloaded() ? List.copyOf(holders.keySet()) : changes.shards()) {
+      ShardLease lease = cache.shard(id);
+      if (holders.containsKey(id) && (lease == null || !lease.owner().equals(self))) {
         LOG.info("block {} is no longer held here", id);
         holders.remove(id).retire();
       }
     }
     for (ShardId id :
-        changes.reloaded() ? List.copyOf(ledger.blocks().keySet()) : changes.blocks()) {
-      ShardLease lease = ledger.block(id);
-      if (lease != null && lease.holder().equals(self)) {
+        changes.reloaded() ? List.copyOf(cache.shards().keySet()) : changes.shards()) {
+      ShardLease lease = cache.shard(id);
+      if (lease != null && lease.owner().equals(self)) {
         follow(lease);
       }
     }
-    for (ShardOwner holder : holders.values()) {
+    for (ShardOwner owner : holders.values()) {
       if (changes.reloaded()) {
-        holder.jobsChanged(ledger.jobs());
+        owner.jobsChanged(cache.jobs());
       } else if (!changes.jobs().isEmpty()) {
-        holder.jobsChanged(changes.jobs());
+        owner.jobsChanged(changes.jobs());
       }
-      if (changes.reloaded() || changes.blocks().contains(holder.id())) {
-        holder.sync();
+      if (changes.reloaded() || changes.shards().contains(owner.id())) {
+        owner.sync();
       }
     }
   }
 
   /** Other tasks of some jobs are kept back than before. */
   public void withheldChanged(Set<JobId> jobs) {
-    holders.values().forEach(holder -> holder.jobsChanged(jobs));
+    holders.values().forEach(owner -> owner.jobsChanged(jobs));
   }
 
   private void follow(ShardLease lease) {
-    ShardOwner holder = holders.get(lease.id());
-    if (holder != null && holder.lease().token().equals(lease.token())) {
-      if (!holder.lease().version().equals(lease.version())) {
-        holder.renewed(lease);
+    ShardOwner owner = holders.get(lease.id());
+    if (owner != null && owner.lease().token().equals(lease.token())) {
+      if (!owner.lease().version().equals(lease.version())) {
+        owner.renewed(lease);
       }
-    } else if (lease.life().equals(life.get())) {
+    } else if (lease.incarnation().equals(life.get())) {
       // Held from here on, by this life: whatever this process knew of the block is out of date.
       LOG.info(
           "block {} taken over, token {}, {} machines",
           lease.id(),
           lease.token(),
           lease.machines().size());
-      if (holder != null) {
-        holder.retire(); // what it has under way ends with it
+      if (owner != null) {
+        owner.retire(); // what it has under way ends with it
       }
       holders.put(lease.id(), new ShardOwner(context, lease));
       context.newsForLeader();
@@ -103,15 +103,15 @@
 
   /** For so long no machine was listened to here: that nothing came is no sign of its silence. */
   public void excuse(TimeSpan gap) {
-    holders.values().forEach(holder -> holder.excuse(gap));
+    holders.values().forEach(owner -> owner.excuse(gap));
   }
 
   /** How many tasks of a job run in the blocks held here that it is allocated to. */
   public int running(JobId job) {
     int running = 0;
-    for (ShardId block : context.ledger().blocksOf(job)) {
-      ShardOwner holder = holders.get(block);
-      running += holder == null ? 0 : holder.running(job);
+    for (ShardId shard : context.ledger().shardsOf(job)) {
+      ShardOwner owner = holders.get(shard);
+      running += owner == null ? 0 : owner.running(job);
     }
     return running;
   }
@@ -121,7 +121,7 @@
    * alone.
    */
   public void refresh(long number, boolean all) {
-    holders.values().forEach(holder -> holder.reporter().refresh(number, all));
+    holders.values().forEach(owner -> owner.reporter().refresh(number, all));
   }
 
   /**
@@ -130,8 +130,8 @@
    */
   public List<PeerHeartbeat.Block> since(long base) {
     List<PeerHeartbeat.Block> changed = new ArrayList<>();
-    for (ShardOwner holder : holders.values()) {
-      PeerHeartbeat.Block block = holder.reporter().since(base);
+    for (ShardOwner owner : holders.values()) {
+      PeerHeartbeat.Block block = owner.reporter().since(base);
       if (block != null) {
         changed.add(block);
       }
--- a/src/main/java/org/quincecross/shard/Preemptor.java
+++ b/src/main/java/org/quincecross/shard/Preemptor.java
@@ -38,7 +38,7 @@
   private static final TimeSpan IDLE_TURN = TimeSpan.ofSeconds(20);
 
   private final ShardContext context;
-  private final ShardOwner holder;
+  private final ShardOwner owner;
   private final Placements placements;
   private final Map<TaskId, QueueEntry> entries;
   private final Map<MachineId, AgentSession> sessions;
@@ -46,13 +46,13 @@
 
   Preemptor(
       ShardContext context,
-      ShardOwner holder,
+      ShardOwner owner,
       Placements placements,
       Map<TaskId, QueueEntry> entries,
       Map<MachineId, AgentSession> sessions,
       ShardScheduler scheduler) {
     this.context = context;
-    this.holder = holder;
+    this.owner = owner;
     this.placements = placements;
     this.entries = entries;
     this.sessions = sessions;
@@ -95,13 +95,13 @@
       } else if (idleWork && first.job().priority().isHigherThan(Priority.LOW)) {
         MonotonicTime soon = first.since().plus(IDLE_PATIENCE);
         if (now.isBefore(soon)) {
-          holder.wakeBy(soon);
+          owner.wakeBy(soon);
         } else {
           impatient.put(entry, true);
         }
       }
       if (!gang && now.isBefore(patient)) {
-        holder.wakeBy(patient);
+        owner.wakeBy(patient);
       }
     }
     Preemption preemption = null;
@@ -110,8 +110,7 @@
       preemption =
           preemption == null ? new Preemption(scheduler, stoppable(now), stopping()) : preemption;
       for (Preemption.Running victim : preemption.makeRoom(entry, waits.getValue())) {
-        LOG.info(
-            "block {}: {} makes room for {}", holder.id(), victim.task(), entry.tasks().get(0));
+        LOG.info("block {}: {} makes room for {}", owner.id(), victim.task(), entry.tasks().get(0));
         stopAll(placements.get(victim.task()), true, now);
       }
     }
@@ -191,7 +190,7 @@
     Map<MachineId, Resources> room = new LinkedHashMap<>();
     List<Placement> toMove = new ArrayList<>();
     for (AgentSession session : sessions.values()) {
-      if (session.isSick() || holder.lease().leaving().contains(session.machine().id())) {
+      if (session.isSick() || owner.lease().leaving().contains(session.machine().id())) {
         toMove.addAll(placements.on(session.machine().id()));
       }
     }
@@ -201,11 +200,11 @@
       }
       if (room.isEmpty()) {
         sessions.values().stream()
-            .filter(holder::isOpen)
+            .filter(owner::isOpen)
             .forEach(
                 session ->
                     room.put(
-                        session.machine().id(), session.capacity().minus(holder.used(session))));
+                        session.machine().id(), session.capacity().minus(owner.used(session))));
       }
       boolean back = true;
       for (Map.Entry<MachineId, Resources> other : room.entrySet()) {
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -19,7 +19,7 @@
  * start is decided by the leader.
  */
 public final class RemoteCapacityHint {
-  private final ClusterStateCache ledger;
+  private final ClusterStateCache cache;
   private final PeerViews views;
   private final Function<ShardId, List<Headroom>> reserves;
 
@@ -27,8 +27,8 @@
    * @param reserves what a block keeps free
    */
   public RemoteCapacityHint(
-      ClusterStateCache ledger, PeerViews views, Function<ShardId, List<Headroom>> reserves) {
-    this.ledger = ledger;
+      ClusterStateCache cache, PeerViews views, Function<ShardId, List<Headroom>> reserves) {
+    this.cache = cache;
     this.views = views;
     this.reserves = reserves;
   }
@@ -38,8 +38,8 @@
    * that would take it first.
    */
   public boolean isFor(Job job, ShardId here) {
-    ShardLease own = ledger.block(here);
-    for (ShardLease block : ledger.blocks().values()) {
+    ShardLease own = cache.shard(here);
+    for (ShardLease block : cache.shards().values()) {
       // The other tasks of a job bound to one zone are most likely here.
       boolean mayGo =
           !block.id().equals(here)
@@ -55,9 +55,9 @@
   }
 
   private boolean hasRoom(Job job, ShardLease block) {
-    PeerViews.View holder = views.of(block.holder());
+    PeerViews.View holder = views.of(block.owner());
     PeerViews.BlockView view = holder == null ? null : holder.blocks().get(block.id());
-    MachineType type = ledger.types().get(block.type());
+    MachineType type = cache.machineTypes().get(block.type());
     if (view == null
         || type == null
         || !view.token().equals(block.token())
--- a/src/main/java/org/quincecross/shard/Requeuer.java
+++ b/src/main/java/org/quincecross/shard/Requeuer.java
@@ -59,7 +59,7 @@
   private static final TimeSpan NONE_OPEN_PATIENCE = TimeSpan.ofSeconds(10);
 
   private final ShardContext context;
-  private final ShardOwner holder;
+  private final ShardOwner owner;
   private final Placements placements;
   private final Map<TaskId, QueueEntry> entries;
   private final Map<MachineId, AgentSession> sessions;
@@ -74,14 +74,14 @@
 
   Requeuer(
       ShardContext context,
-      ShardOwner holder,
+      ShardOwner owner,
       Placements placements,
       Map<TaskId, QueueEntry> entries,
       Map<MachineId, AgentSession> sessions,
       FaultEvidence evidence,
       ShardScheduler scheduler) {
     this.context = context;
-    this.holder = holder;
+    this.owner = owner;
     this.placements = placements;
     this.entries = entries;
     this.sessions = sessions;
@@ -108,7 +108,7 @@
       return;
     }
     surplusAt = now.plus(SURPLUS_EVERY);
-    holder.wakeBy(surplusAt);
+    owner.wakeBy(surplusAt);
     Resources standing = Resources.NONE;
     for (AgentSession session : sessions.values()) {
       for (Placement placement :
@@ -120,7 +120,7 @@
     for (QueueEntry entry : scheduler.surplus(QUEUE_AHEAD, standing)) {
       Placement placement = placements.get(entry.tasks().get(0));
       if (now.since(placement.since()).isLongerThan(SURPLUS_PATIENCE)) {
-        holder.dequeue(placement.task());
+        owner.dequeue(placement.task());
         placement.release(now);
         context.newsForLeader();
       }
@@ -140,15 +140,15 @@
       return;
     }
     elsewhereAt = now.plus(ELSEWHERE_EVERY);
-    holder.wakeBy(elsewhereAt);
+    owner.wakeBy(elsewhereAt);
     Map<JobId, Boolean> asked = new HashMap<>();
     for (QueueEntry entry : List.copyOf(entries.values())) {
       Placement placement = placements.get(entry.tasks().get(0));
       if (entry.job().kind() != JobKind.GANG
           && now.since(placement.since()).isLongerThan(ELSEWHERE_PATIENCE)
           && asked.computeIfAbsent(
-              entry.job().id(), id -> context.hasRoomElsewhere(entry.job(), holder.id()))) {
-        holder.dequeue(placement.task());
+              entry.job().id(), id -> context.hasRoomElsewhere(entry.job(), owner.id()))) {
+        owner.dequeue(placement.task());
         placement.release(now);
         context.newsForLeader();
       }
@@ -179,10 +179,10 @@
       Placement first = placements.get(entry.tasks().get(0));
       MonotonicTime patient = first.since().plus(GANG_PATIENCE);
       if (now.isBefore(patient)) {
-        holder.wakeBy(patient);
+        owner.wakeBy(patient);
         continue;
       }
-      holder.dequeue(first.task());
+      owner.dequeue(first.task());
       entry.tasks().forEach(task -> placements.get(task).release(now));
       context.newsForLeader();
     }
@@ -193,13 +193,13 @@
    * or for machines of which none takes work any more. In the pool it may go where there is room.
    */
   private void giveBackLongWaiting(MonotonicTime now) {
-    if (sessions.values().stream().anyMatch(holder::isOpen)) {
+    if (sessions.values().stream().anyMatch(owner::isOpen)) {
       noneOpenSince = null;
     } else if (noneOpenSince == null) {
       noneOpenSince = now;
     }
     if (noneOpenSince == null && lookAt != null && now.isBefore(lookAt)) {
-      holder.wakeBy(lookAt);
+      owner.wakeBy(lookAt);
       return; // what has come since waits longer than what was here
     }
     lookAt = now.plus(URGENT_WAIT);
@@ -220,10 +220,10 @@
       }
       if (now.isBefore(patient)) {
         lookAt = patient.isBefore(lookAt) ? patient : lookAt;
-        holder.wakeBy(patient);
+        owner.wakeBy(patient);
         continue;
       }
-      holder.dequeue(placement.task());
+      owner.dequeue(placement.task());
       placement.release(now);
       context.newsForLeader();
     }
@@ -235,7 +235,7 @@
     return !failedOn.isEmpty()
         && sessions.values().stream()
             .allMatch(
-                session -> failedOn.contains(session.machine().id()) || !holder.isOpen(session));
+                session -> failedOn.contains(session.machine().id()) || !owner.isOpen(session));
   }
 
   /**
@@ -257,20 +257,20 @@
         && (evidence.isBad(job.id()) || hasFailedEverywhere(job))) {
       LOG.info(
           "block {}: {} has failed on {} machines here and run on none",
-          holder.id(),
+          owner.id(),
           job.id(),
           evidence.failedOn(job.id()).size());
       evidence.decline(job.id(), now);
-      holder.reporter().headerChanged();
+      owner.reporter().headerChanged();
     }
     if (evidence.isDeclined(job.id(), now)) {
-      holder.dequeue(placement.task());
+      owner.dequeue(placement.task());
       placement.release(now);
       context.newsForLeader();
       return true;
     }
-    if (job.kind() != JobKind.GANG && holder.hasAnotherUnderWay(placement)) {
-      holder.wakeBy(now.plus(TRY_AGAIN));
+    if (job.kind() != JobKind.GANG && owner.hasAnotherUnderWay(placement)) {
+      owner.wakeBy(now.plus(TRY_AGAIN));
       return true;
     }
     return false;
--- a/src/main/java/org/quincecross/shard/ShardContext.java
+++ b/src/main/java/org/quincecross/shard/ShardContext.java
@@ -25,7 +25,7 @@
   ClusterStateCache ledger();
 
   /** What a block should keep free. */
-  List<Headroom> reserves(ShardId block);
+  List<Headroom> reserves(ShardId shard);
 
   Settings.AgentTimeouts workers();
 
--- a/src/main/java/org/quincecross/shard/ShardOwner.java
+++ b/src/main/java/org/quincecross/shard/ShardOwner.java
@@ -148,7 +148,7 @@
   // ---- the lease and the allocation, as the ledger has them ----
 
   private void addMachine(Machine machine, MonotonicTime leaseFrom) {
-    MachineType type = context.ledger().types().get(machine.type());
+    MachineType type = context.ledger().machineTypes().get(machine.type());
     Resources capacity = type == null ? Resources.NONE : type.capacity();
     AgentSession session =
         new AgentSession(
@@ -214,7 +214,7 @@
     boolean ours = false;
     for (JobId job : jobs) {
       JobRecord record = context.ledger().job(job);
-      if (record == null || record.phase().isFinal()) {
+      if (record == null || record.phase().isTerminal()) {
         evidence.forget(job);
       }
       if (!placements.hasJob(job)) {
@@ -240,7 +240,7 @@
       TaskSet tasks = allocated.getValue();
       for (int i = tasks.nextMember(0); i >= 0; i = tasks.nextMember(i + 1)) {
         TaskId task = job.id().task(i);
-        if (!placements.has(task) && !context.ledger().isDone(job.id(), i)) {
+        if (!placements.has(task) && !context.ledger().isCompleted(job.id(), i)) {
           placements.add(
               task, job.job(), settled ? Placement.State.WAITING : Placement.State.UNSETTLED, now);
         }
@@ -255,8 +255,8 @@
       return; // dropped since
     }
     JobRecord job = context.ledger().job(task.job());
-    boolean allocated = context.ledger().allocation(id()).has(task.job(), task.index());
-    if (context.ledger().isDone(task.job(), task.index())
+    boolean allocated = context.ledger().allocation(id()).contains(task.job(), task.index());
+    if (context.ledger().isCompleted(task.job(), task.index())
         || job == null
         || job.phase() == JobPhase.DONE) {
       if (placement.isBound()) {
@@ -337,7 +337,7 @@
   }
 
   private boolean wouldBeLateByFetch(Job job) {
-    MachineType type = context.ledger().types().get(lease.type());
+    MachineType type = context.ledger().machineTypes().get(lease.type());
     TimeSpan within = context.startWithin(job.jobClass());
     return type != null
         && within != null
@@ -407,20 +407,20 @@
   // ---- reports ----
 
   /** Answers a worker's report; null where this controller is not entitled to. */
-  public byte[] answer(Heartbeat report) {
-    AgentSession session = sessions.get(report.machine().id());
+  public byte[] answer(Heartbeat heartbeat) {
+    AgentSession session = sessions.get(heartbeat.machine().id());
     MonotonicTime now = context.now();
     if (session == null || superseded || !context.isEntitled()) {
       return null;
     }
-    if (!take(session, report, true)) {
+    if (!take(session, heartbeat, true)) {
       return null;
     }
     session.hear(now);
     if (!commands.mayAnswer(session)) {
       return null;
     }
-    session.answered(report, now);
+    session.answered(heartbeat, now);
     if (!session.wasOpen() && isOpen(session)) {
       stir(session);
     }
@@ -434,8 +434,8 @@
    * Takes what is news; false where the sender has no right to an answer, or most likely does not
    * wait for one.
    */
-  private boolean take(AgentSession session, Heartbeat report, boolean beat) {
-    if (report.token().isAfter(token())) {
+  private boolean take(AgentSession session, Heartbeat heartbeat, boolean beat) {
+    if (heartbeat.token().isAfter(token())) {
       // Someone else has leased the block: the ledger will say so soon.
       LOG.info(
           "block {}: machine {} has a higher token, stepping back", id(), session.machine().id());
@@ -443,26 +443,27 @@
       return false;
     }
     MonotonicTime now = context.now();
-    Verdict verdict = session.judge(report, beat, now);
+    Verdict verdict = session.judge(heartbeat, beat, now);
     if (verdict == Verdict.LATE || verdict == Verdict.OVERTAKEN) {
       return verdict == Verdict.OVERTAKEN;
     }
-    if (verdict == Verdict.NEWS && watch.reported(session, report, beat)) {
+    if (verdict == Verdict.NEWS && watch.reported(session, heartbeat, beat)) {
       settle();
     }
     Heartbeat before = session.report();
     boolean newSession =
-        (before != null && before.session() != report.session()) || verdict == Verdict.BEGUN_ANEW;
+        (before != null && before.session() != heartbeat.session())
+            || verdict == Verdict.BEGUN_ANEW;
     if (verdict == Verdict.BEGUN_ANEW) {
       LOG.info("block {}: machine {} has begun anew", id(), session.machine().id());
       session.enter(AgentSession.State.UNFENCED); // it has forgotten the token
-      session.answered(report, now); // its lease runs from when it began
+      session.answered(heartbeat, now); // its lease runs from when it began
     }
-    session.take(report, beat, now);
+    session.take(heartbeat, beat, now);
     if (before == null
         || newSession
-        || report.terminationNotice() != null
-        || !before.tasks().equals(report.tasks())) {
+        || heartbeat.terminationNotice() != null
+        || !before.tasks().equals(heartbeat.tasks())) {
       stir(session);
     }
     if (newSession || session.state() == AgentSession.State.LOST) {
@@ -473,7 +474,7 @@
         stir(session);
       }
     }
-    if (!report.token().equals(token())) {
+    if (!heartbeat.token().equals(token())) {
       return true; // what an unfenced machine reports may yet change
     }
     if (session.state() != AgentSession.State.FENCED) {
@@ -486,7 +487,7 @@
       stir(session);
       LOG.debug("block {}: machine {} fenced", id(), session.machine().id());
     }
-    for (TaskStatus piece : report.tasks()) {
+    for (TaskStatus piece : heartbeat.tasks()) {
       intake.takePiece(session, piece, now);
     }
     intake.freeMissing(session, beat, now);
@@ -534,8 +535,8 @@
   }
 
   /** A machine has answered a direct command. */
-  void answered(AgentSession session, Heartbeat report) {
-    take(session, report, false);
+  void answered(AgentSession session, Heartbeat heartbeat) {
+    take(session, heartbeat, false);
     if (session.hasBegunAnew()) {
       session.hear(context.now()); // its own reports are told from late ones only under a new token
     }
--- a/src/main/java/org/quincecross/shard/ShardReporter.java
+++ b/src/main/java/org/quincecross/shard/ShardReporter.java
@@ -17,7 +17,7 @@
 public final class ShardReporter {
   private record Part<T>(T content, long changedIn) {}
 
-  private final ShardOwner holder;
+  private final ShardOwner owner;
   private final Map<MachineId, Part<PeerHeartbeat.MachineState>> machines = new LinkedHashMap<>();
   private final Set<MachineId> dirty = new LinkedHashSet<>();
   private Part<PeerHeartbeat.Block> header;
@@ -26,8 +26,8 @@
   private boolean beginning = true;
   private long begunIn;
 
-  ShardReporter(ShardOwner holder) {
-    this.holder = holder;
+  ShardReporter(ShardOwner owner) {
+    this.owner = owner;
   }
 
   /** The machines of the block may have changed: all of it is told anew. */
@@ -60,36 +60,36 @@
       all = true;
     }
     if (all) {
-      inDoubt = holder.isInDoubt();
+      inDoubt = owner.isInDoubt();
     }
     if (dirtyHeader || all) {
       dirtyHeader = false;
       PeerHeartbeat.Block next =
           new PeerHeartbeat.Block(
-              holder.id(),
-              holder.lease().token(),
-              holder.allocated(),
+              owner.id(),
+              owner.lease().token(),
+              owner.allocated(),
               inDoubt,
-              holder.declined(),
+              owner.declined(),
               true,
-              holder.completed(),
-              holder.released(),
-              holder.running(),
+              owner.completed(),
+              owner.released(),
+              owner.running(),
               List.of());
       if (header == null || !header.content().equals(next)) {
         header = new Part<>(next.keeping(Map.copyOf(next.running())), number);
       }
     }
     if (all) {
-      for (MachineId machine : holder.lease().machines().keySet()) {
+      for (MachineId machine : owner.lease().machines().keySet()) {
         Part<PeerHeartbeat.MachineState> told = machines.get(machine);
-        if (told == null || holder.hasAged(told.content())) {
+        if (told == null || owner.hasAged(told.content())) {
           dirty.add(machine);
         }
       }
     }
     for (MachineId machine : dirty) {
-      PeerHeartbeat.MachineState next = holder.machine(machine);
+      PeerHeartbeat.MachineState next = owner.machine(machine);
       Part<PeerHeartbeat.MachineState> before = machines.get(machine);
       if (next != null && (before == null || !before.content().equals(next))) {
         machines.put(machine, new Part<>(next, number));
--- a/src/main/java/org/quincecross/shard/StartGate.java
+++ b/src/main/java/org/quincecross/shard/StartGate.java
@@ -14,19 +14,20 @@
  */
 final class StartGate {
   private final ShardContext context;
-  private final ShardOwner holder;
+  private final ShardOwner owner;
 
-  StartGate(ShardContext context, ShardOwner holder) {
+  StartGate(ShardContext context, ShardOwner owner) {
     this.context = context;
-    this.holder = holder;
+    this.owner = owner;
   }
 
   private boolean isWithheld(Placement placement) {
     // A leader allocates nothing of a job that waits for others; should it, nothing of it starts
     // here either.
-    StartBlock withheld = context.withheld();
-    return context.ledger().pipelines().waits(placement.task().job())
-        || (withheld != StartBlock.NONE && withheld.has(placement.job(), placement.task().index()));
+    StartBlock startBlock = context.withheld();
+    return context.ledger().dependencyGraph().waits(placement.task().job())
+        || (startBlock != StartBlock.NONE
+            && startBlock.has(placement.job(), placement.task().index()));
   }
 
   /**
@@ -39,8 +40,8 @@
     JobRecord job = context.ledger().job(task.job());
     return job != null
         && job.phase() == JobPhase.OPEN
-        && !context.ledger().isDone(task.job(), task.index())
-        && context.ledger().allocation(holder.id()).has(task.job(), task.index())
+        && !context.ledger().isCompleted(task.job(), task.index())
+        && context.ledger().allocation(owner.id()).contains(task.job(), task.index())
         && !isWithheld(placement);
   }
 
@@ -53,7 +54,7 @@
     switch (placement.state()) {
       case STARTING, ACTIVE, STOPPING -> placement.stop(Preemptor.graceOf(job), true, now);
       case WAITING -> {
-        holder.dequeue(placement.task());
+        owner.dequeue(placement.task());
         placement.release(now);
         context.newsForLeader();
       }
--- a/src/main/java/org/quincecross/shard/UnplacedReasons.java
+++ b/src/main/java/org/quincecross/shard/UnplacedReasons.java
@@ -13,7 +13,7 @@
 
   /** One line for each thing that tasks of the job wait for; none where all that is here runs. */
   static List<String> of(
-      JobId job, ShardOwner holder, Placements placements, Map<MachineId, AgentSession> sessions) {
+      JobId job, ShardOwner owner, Placements placements, Map<MachineId, AgentSession> sessions) {
     Map<String, Integer> counts = new TreeMap<>();
     for (Placement placement : placements.ofJob(job)) {
       String what =
@@ -28,7 +28,7 @@
             waits.add(
                 tasks
                     + (tasks == 1 ? " task in block " : " tasks in block ")
-                    + holder.id()
+                    + owner.id()
                     + ": "
                     + what));
     return waits;
--- a/src/main/java/org/quincecross/state/Allocation.java
+++ b/src/main/java/org/quincecross/state/Allocation.java
@@ -8,7 +8,7 @@
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.MalformedMessageException;
 
-/** The tasks that a block has: it alone may start them. */
+/** The tasks allocated to a shard. Only the shard's owner may start them. */
 public record Allocation(Map<JobId, TaskSet> tasks, Revision version) {
   public static final Allocation EMPTY = new Allocation(Map.of(), Revision.NONE);
 
@@ -17,11 +17,13 @@
         TaskSetCodec.read(JsonFields.of(value, "an allocation").fields("tasks")), version);
   }
 
+  /** Writes the full record of an allocation. */
   public static Map<String, Object> write(Map<JobId, TaskSet> tasks) {
     return Json.object("tasks", TaskSetCodec.write(tasks));
   }
 
-  public boolean has(JobId job, int index) {
+  /** Whether a task of a job is allocated. */
+  public boolean contains(JobId job, int index) {
     TaskSet set = tasks.get(job);
     return set != null && set.contains(index);
   }
--- a/src/main/java/org/quincecross/state/AllocationDelta.java
+++ b/src/main/java/org/quincecross/state/AllocationDelta.java
@@ -10,15 +10,16 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * How a block's tasks differ from its last whole record: from level 2 on this is what is written
- * most of the time, for a whole record of hundreds of tasks changes by a few.
+ * The difference between a shard's allocation and its last full record. From feature level 2 on,
+ * most allocation changes are written this way, because a full record of hundreds of tasks changes
+ * by only a few.
  *
- * @param base the version of the whole record that it changes; of any other it says nothing
- * @param more tasks that are not in the whole record
- * @param fewer tasks of the whole record that the block has no more
+ * @param base the version of the full record that the delta applies to; it is ignored for any other
+ * @param added tasks that are not in the full record
+ * @param removed tasks of the full record that the shard no longer has
  */
 public record AllocationDelta(
-    Revision base, Map<JobId, TaskSet> more, Map<JobId, TaskSet> fewer, Revision version) {
+    Revision base, Map<JobId, TaskSet> added, Map<JobId, TaskSet> removed, Revision version) {
 
   static AllocationDelta read(Object value, Revision version) throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a changed allocation");
@@ -29,15 +30,12 @@
         version);
   }
 
-  /**
-   * What has to be written so that {@code next} is read, where {@code whole} is the last whole
-   * record.
-   */
+  /** Writes the delta that turns the full record {@code whole} into {@code next}. */
   public static Map<String, Object> write(Allocation whole, Map<JobId, TaskSet> next) {
     Map<JobId, TaskSet> more = new LinkedHashMap<>();
     Map<JobId, TaskSet> fewer = new LinkedHashMap<>();
-    next.forEach((job, tasks) -> put(more, job, tasks, whole.tasks().get(job)));
-    whole.tasks().forEach((job, tasks) -> put(fewer, job, tasks, next.get(job)));
+    next.forEach((job, tasks) -> putDifference(more, job, tasks, whole.tasks().get(job)));
+    whole.tasks().forEach((job, tasks) -> putDifference(fewer, job, tasks, next.get(job)));
     return Json.object(
         "base",
         whole.version().value(),
@@ -47,7 +45,8 @@
         TaskSetCodec.write(fewer));
   }
 
-  private static void put(Map<JobId, TaskSet> into, JobId job, TaskSet tasks, TaskSet without) {
+  private static void putDifference(
+      Map<JobId, TaskSet> into, JobId job, TaskSet tasks, TaskSet without) {
     TaskSet left = tasks.copy();
     if (without != null) {
       left.removeAll(without);
@@ -57,15 +56,13 @@
     }
   }
 
-  /**
-   * The allocation as it is with this change; {@code whole} as it is where the change is not of it.
-   */
-  Allocation over(Allocation whole) {
+  /** Applies this delta; returns {@code whole} unchanged if the delta has another base. */
+  Allocation applyTo(Allocation whole) {
     if (!base.equals(whole.version())) {
       return whole;
     }
     Map<JobId, TaskSet> tasks = new LinkedHashMap<>(whole.tasks());
-    fewer.forEach(
+    removed.forEach(
         (job, gone) ->
             tasks.computeIfPresent(
                 job,
@@ -74,7 +71,7 @@
                   left.removeAll(gone);
                   return left.isEmpty() ? null : left;
                 }));
-    more.forEach(
+    added.forEach(
         (job, added) ->
             tasks.merge(
                 job,
--- a/src/main/java/org/quincecross/state/ClusterStateCache.java
+++ b/src/main/java/org/quincecross/state/ClusterStateCache.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -11,12 +10,9 @@
 import java.util.stream.Stream;
 import org.quincecross.dependency.DependencyGraph;
 import org.quincecross.model.ControllerId;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.JobId;
-import org.quincecross.model.JobPhase;
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
-import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
@@ -25,261 +21,253 @@
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.replicated.RecordId;
 import org.quincecross.rollout.AnnouncedLimits;
-import org.quincecross.rollout.Build;
 import org.quincecross.rollout.Feature;
 import org.quincecross.rollout.FeatureLevel;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's copy of the records, as of {@link #revision()}. Changed by the {@link
- * StateWatcher} alone.
+ * This controller's cached copy of all records, as of {@link #revision()}. Only the {@link
+ * StateWatcher} modifies it.
  */
 public final class ClusterStateCache {
   private static final Logger LOG = LoggerFactory.getLogger(ClusterStateCache.class);
 
-  /** What a batch of changes touched; {@code agreed}: the records that all controllers follow. */
+  /** The jobs, shards and replicated records touched by a batch of changes. */
   public record Changes(
-      Set<JobId> jobs, Set<ShardId> blocks, Set<RecordId> agreed, boolean reloaded) {}
+      Set<JobId> jobs, Set<ShardId> shards, Set<RecordId> replicatedRecords, boolean reloaded) {}
 
-  /** Told after every batch. */
+  /** Notified after every batch of changes. */
   public interface Listener {
+    /** Called after a batch of changes was applied. */
     void changed(Changes changes);
   }
 
   private final Map<String, Revision> versions = new HashMap<>();
   private final JobIndex jobs =
       new JobIndex(id -> versions.containsKey(StoreKeys.job(id)), this::touchJob);
-  private final Map<JobId, Map<Integer, TaskSet>> done = new HashMap<>();
-  private final Map<Integer, Map<JobId, TaskSet>> pages = new TreeMap<>();
-  private final Map<JobId, TaskSet> paged = new HashMap<>();
-  private final Map<ShardId, ShardLease> blocks = new TreeMap<>();
+  private final CompletedTaskTable completedTasks = new CompletedTaskTable();
+  private final Map<ShardId, ShardLease> shards = new TreeMap<>();
 
-  /** The same again: what is asked for many times a second is not to be searched for in order. */
-  private final Map<ShardId, ShardLease> blockById = new HashMap<>();
+  /** The same shards by hash: lookups are far too frequent for an ordered map. */
+  private final Map<ShardId, ShardLease> shardById = new HashMap<>();
 
-  /** As they are, with what has changed since their last whole record. */
-  private final Map<ShardId, Allocation> allocations = new HashMap<>();
-
-  private final Map<ShardId, Allocation> wholeAllocations = new HashMap<>();
-  private final Map<ShardId, AllocationDelta> allocationChanges = new HashMap<>();
-  private final Map<JobId, Set<ShardId>> allocatedTo = new HashMap<>();
-  private final Map<MachineId, ShardLease> blockOf = new HashMap<>();
+  private final AllocationTable allocations = new AllocationTable();
+  private final Map<MachineId, ShardLease> shardOf = new HashMap<>();
   private final Map<ControllerId, ControllerRecord> members = new TreeMap<>();
-  private final Map<String, MachineType> types = new TreeMap<>();
+  private final Map<String, MachineType> machineTypes = new TreeMap<>();
   private final List<Listener> listeners = new ArrayList<>();
   private final Map<String, String> unreadable = new TreeMap<>();
-  private final ReplicatedRecordIndexes agreed = new ReplicatedRecordIndexes();
-  private ControllerRecord leader;
-  private ControllerRecord leads;
+  private final ReplicatedRecordIndexes replicatedRecords = new ReplicatedRecordIndexes();
+  private ControllerRecord firstLevelLeader;
+  private ControllerRecord movedLeader;
   private FeatureLevelRecord level = FeatureLevelRecord.NONE;
   private Object operatorSettings;
   private Revision revision = Revision.NONE;
   private boolean loaded;
 
   private Set<JobId> touchedJobs = new HashSet<>();
-  private Set<ShardId> touchedBlocks = new HashSet<>();
-  private Set<RecordId> touchedAgreed = new HashSet<>();
+  private Set<ShardId> touchedShards = new HashSet<>();
+  private Set<RecordId> touchedRecords = new HashSet<>();
   private boolean touchedOther;
 
-  public void listen(Listener listener) {
+  /** Adds a listener; listeners are notified in the order in which they were added. */
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
-  /** Whether the records have been read at all. */
+  /** Whether all records have been read at least once. */
   public boolean isLoaded() {
     return loaded;
   }
 
+  /** The revision that the cache is current as of. */
   public Revision revision() {
     return revision;
   }
 
-  /** The version of a key, {@link Revision#NONE} if there is no such key. */
+  /** The version of a key, {@link Revision#NONE} if it does not exist. */
   public Revision version(String key) {
     return versions.getOrDefault(key, Revision.NONE);
   }
 
   /**
-   * A job as it stands. One that is cancelled because a job before it is has the version from which
-   * on it is, which is not that of its own key ({@link #version}).
+   * A job with everything derived from its dependencies. A job cancelled because of a dependency
+   * has the version of that cancellation rather than that of its own key ({@link #version}).
    */
   public JobRecord job(JobId id) {
     return jobs.job(id);
   }
 
   /**
-   * A job as its own record says, neither cancelled with another nor as urgent as those that need
-   * it; null where there is none.
+   * A job exactly as its own record describes it, or null: without derived cancellation and
+   * inherited urgency.
    */
-  public JobRecord asRecorded(JobId id) {
-    return jobs.asRecorded(id);
+  public JobRecord storedJob(JobId id) {
+    return jobs.storedJob(id);
   }
 
-  /** Which jobs wait for which. */
-  public DependencyGraph pipelines() {
-    return jobs.pipelines();
+  /** The dependency graph of all jobs. */
+  public DependencyGraph dependencyGraph() {
+    return jobs.dependencyGraph();
   }
 
   /**
-   * The time of day from which on an open job can run: its acceptance, or the end of the last job
-   * that it waits on.
+   * The time of day since which an open job has been runnable: its acceptance, or the end of its
+   * last dependency.
    */
-  public long readyMs(JobRecord record) {
-    return jobs.readyMs(record);
+  public long runnableSinceMs(JobRecord record) {
+    return jobs.runnableSinceMs(record);
   }
 
-  /** Whether a part of what jobs wait on is on record. */
-  public boolean hasPart(String key) {
-    return jobs.hasPart(key.substring(StoreKeys.AFTER.length()));
+  /** Whether a part of a dependency list is stored. */
+  public boolean hasDependencyPart(String key) {
+    return jobs.hasPart(key.substring(StoreKeys.DEPENDENCY_PARTS.length()));
   }
 
-  /** All jobs, those that are over among them. */
+  /** The ids of all jobs, including terminated ones. */
   public Set<JobId> jobs() {
     return jobs.ids();
   }
 
+  /** The number of all jobs, including terminated ones. */
   public int jobCount() {
     return jobs.ids().size();
   }
 
-  /** The bundles of accepted jobs of which every job has a record of its own by now. */
-  public List<String> spentBundles() {
-    return jobs.spentBundles();
+  /** The bundles in which every job has a record of its own by now. */
+  public List<String> obsoleteBundles() {
+    return jobs.obsoleteBundles();
   }
 
-  /** The open jobs, first accepted first. */
+  /** The open jobs in the order of their acceptance. */
   public Iterable<JobRecord> openJobs() {
     return jobs.open();
   }
 
-  public boolean isDone(JobId job, int index) {
-    TaskSet onPage = paged.get(job);
-    if (onPage != null && onPage.contains(index)) {
-      return true;
-    }
-    Map<Integer, TaskSet> chunks = done.get(job);
-    TaskSet chunk = chunks == null ? null : chunks.get(index / CompletedTasks.CHUNK);
-    return chunk != null && chunk.contains(index);
+  /** Whether a task of a job is completed. */
+  public boolean isCompleted(JobId job, int index) {
+    return completedTasks.isCompleted(job, index);
   }
 
-  /** A copy of the set of a job's done tasks. */
-  public TaskSet doneTasks(JobId job) {
-    TaskSet all = paged.containsKey(job) ? paged.get(job).copy() : new TaskSet();
-    done.getOrDefault(job, Map.of()).values().forEach(all::addAll);
-    return all;
+  /** A copy of the set of a job's completed tasks. */
+  public TaskSet completedTasks(JobId job) {
+    return completedTasks.completedTasks(job);
   }
 
-  public int doneCount(JobId job) {
-    TaskSet onPage = paged.get(job);
-    Map<Integer, TaskSet> chunks = done.get(job);
-    return chunks == null ? onPage == null ? 0 : onPage.size() : doneTasks(job).size();
+  /** The number of a job's completed tasks. */
+  public int completedCount(JobId job) {
+    return completedTasks.completedCount(job);
   }
 
-  /** The pages of done tasks, each with what its record has now. */
-  public Map<Integer, Map<JobId, TaskSet>> pages() {
-    return pages;
+  /** The pages of completed tasks with their stored content. */
+  public Map<Integer, Map<JobId, TaskSet>> completedPages() {
+    return completedTasks.pages();
   }
 
-  /** Whether a job has done tasks in chunks of its own. */
-  public boolean hasChunks(JobId job) {
-    return done.containsKey(job);
+  /** Whether a job has completed tasks in chunks of its own. */
+  public boolean hasCompletedChunks(JobId job) {
+    return completedTasks.hasChunks(job);
   }
 
-  /** All blocks, in the order of their ids. */
-  public Map<ShardId, ShardLease> blocks() {
-    return blocks;
+  /** All shards in the order of their ids. */
+  public Map<ShardId, ShardLease> shards() {
+    return shards;
   }
 
-  /** A block, or null if there is none of that id. */
-  public ShardLease block(ShardId id) {
-    return blockById.get(id);
+  /** The lease of a shard, or null if there is no such shard. */
+  public ShardLease shard(ShardId id) {
+    return shardById.get(id);
   }
 
-  /** The blocks whose allocations name tasks of a job. */
-  public Set<ShardId> blocksOf(JobId job) {
-    return allocatedTo.getOrDefault(job, Set.of());
+  /** The shards whose allocations contain tasks of a job. */
+  public Set<ShardId> shardsOf(JobId job) {
+    return allocations.shardsOf(job);
   }
 
-  public Allocation allocation(ShardId block) {
-    return allocations.getOrDefault(block, Allocation.EMPTY);
+  /** The tasks allocated to a shard. */
+  public Allocation allocation(ShardId shard) {
+    return allocations.allocation(shard);
   }
 
-  /** Blocks that have an allocation, also where the block itself is gone. */
-  public Set<ShardId> allocatedBlocks() {
-    return allocations.keySet();
+  /** The shards with an allocation, including shards that no longer exist. */
+  public Set<ShardId> allocatedShards() {
+    return allocations.allocatedShards();
   }
 
-  public ShardLease blockOf(MachineId machine) {
-    return blockOf.get(machine);
+  /** The shard that a machine belongs to, or null. */
+  public ShardLease shardOf(MachineId machine) {
+    return shardOf.get(machine);
   }
 
-  /** How many machines are in blocks. */
+  /** The number of machines in all shards. */
   public int machineCount() {
-    return blockOf.size();
+    return shardOf.size();
   }
 
+  /** The live controllers. */
   public Map<ControllerId, ControllerRecord> members() {
     return members;
   }
 
-  /** What each member announces that has to be the same on all. */
-  public Map<ControllerId, AnnouncedLimits> terms() {
+  /** The limits that each controller announces and that have to be equal on all. */
+  public Map<ControllerId, AnnouncedLimits> announcedLimits() {
     Map<ControllerId, AnnouncedLimits> terms = new TreeMap<>();
-    members.values().forEach(member -> terms.put(member.member(), member.terms()));
+    members.values().forEach(member -> terms.put(member.id(), member.announcedLimits()));
     return terms;
   }
 
-  /** The leading controller; its version is that of the leadership. Null where there is none. */
+  /** The leader; its version is that of the leadership. Null if there is none. */
   public ControllerRecord leader() {
-    return Feature.LEADERSHIP_MOVED.isIn(level.level()) ? leads : leader;
+    return Feature.LEADERSHIP_MOVED.isIn(level.level()) ? movedLeader : firstLevelLeader;
   }
 
-  /** Where it is written who leads, at the level in force. */
+  /** The key that names the leader at the feature level in force. */
   public String leaderKey() {
     return leaderKey(level.level());
   }
 
-  /** Where it is written at a level who leads. */
+  /** The key that names the leader at a feature level. */
   public static String leaderKey(FeatureLevel level) {
-    return Feature.LEADERSHIP_MOVED.isIn(level) ? StoreKeys.LEADS : StoreKeys.LEADER;
+    return Feature.LEADERSHIP_MOVED.isIn(level) ? StoreKeys.MOVED_LEADER : StoreKeys.LEADER;
   }
 
-  /** The records that all controllers follow, of the kinds that have been added. */
-  public ReplicatedRecordIndexes agreed() {
-    return agreed;
+  /** The indexes of replicated records, one for each registered kind. */
+  public ReplicatedRecordIndexes replicatedRecords() {
+    return replicatedRecords;
   }
 
-  /** The level in force, and with which revision it took effect. */
+  /** The feature level in force and the revision at which it took effect. */
   public FeatureLevelRecord level() {
     return level;
   }
 
   /**
-   * The records that could not be read, each with the reason. Whoever has one of them must not act
-   * on the others: what it takes for the state of things is not.
+   * The records that could not be read, with the reasons. A controller with unreadable records must
+   * not act on the others, because its view of the cluster is incomplete.
    */
   public Map<String, String> unreadable() {
     return unreadable;
   }
 
-  /** The last whole record of a block's tasks, without what has changed since. */
-  public Allocation wholeAllocation(ShardId block) {
-    return wholeAllocations.getOrDefault(block, Allocation.EMPTY);
+  /** The last full record of a shard's allocation, without its delta. */
+  public Allocation wholeAllocation(ShardId shard) {
+    return allocations.fullRecord(shard);
   }
 
-  /** The blocks of which a change is on record. */
-  public Set<ShardId> changedAllocations() {
-    return allocationChanges.keySet();
+  /** The shards with a stored allocation delta. */
+  public Set<ShardId> allocationsWithDelta() {
+    return allocations.shardsWithDelta();
   }
 
-  public Map<String, MachineType> types() {
-    return types;
+  /** The known machine types by name. */
+  public Map<String, MachineType> machineTypes() {
+    return machineTypes;
   }
 
   /**
-   * The operators' settings; the defaults where a later version wrote what cannot be read: better
-   * to go on than to guess.
+   * The operators' settings, or the defaults if a newer build wrote a form that cannot be read:
+   * continuing is safer than guessing.
    */
   public OperatorSettings operatorSettingsOrDefaults() {
     try {
@@ -291,11 +279,12 @@
     }
   }
 
+  /** The stored operators' settings as they were read, or null. */
   public Object operatorSettings() {
     return operatorSettings;
   }
 
-  /** Takes a whole reading of the records in place of what was known. */
+  /** Replaces the cache's content with a full read of the store. */
   void load(Map<String, StateEntry> entries, Revision at) {
     for (String key : List.copyOf(versions.keySet())) {
       if (!entries.containsKey(key)) {
@@ -308,29 +297,29 @@
     publish(true);
   }
 
-  /** A value and its version, in a reading of the records. */
+  /** A value and its version, as read from the store. */
   record StateEntry(Object value, Revision version) {}
 
-  /** Takes one change; {@code value} is null where the key is gone. */
+  /** Applies one change; {@code value} is null if the key was deleted. */
   void apply(String key, Object value, Revision version) {
     put(key, value, version);
   }
 
-  /** The changes up to here have all been taken. */
+  /** Marks all changes up to a revision as applied and notifies the listeners. */
   void advance(Revision to) {
     if (to.isAfter(revision)) {
       revision = to;
     }
-    if (!touchedJobs.isEmpty() || !touchedBlocks.isEmpty() || touchedOther) {
+    if (!touchedJobs.isEmpty() || !touchedShards.isEmpty() || touchedOther) {
       publish(false);
     }
   }
 
   private void publish(boolean reloaded) {
-    Changes changes = new Changes(touchedJobs, touchedBlocks, touchedAgreed, reloaded);
+    Changes changes = new Changes(touchedJobs, touchedShards, touchedRecords, reloaded);
     touchedJobs = new HashSet<>();
-    touchedAgreed = new HashSet<>();
-    touchedBlocks = new HashSet<>();
+    touchedRecords = new HashSet<>();
+    touchedShards = new HashSet<>();
     touchedOther = false;
     for (Listener listener : listeners) {
       listener.changed(changes);
@@ -345,45 +334,15 @@
       versions.put(key, version);
     }
     try {
-      if (key.startsWith(StoreKeys.JOBS)) {
-        putJob(key.substring(StoreKeys.JOBS.length()), value, version);
-      } else if (key.startsWith(StoreKeys.BUNDLES)) {
-        jobs.putBundle(key, value, version);
-      } else if (key.startsWith(StoreKeys.AFTER)) {
-        jobs.putPart(key.substring(StoreKeys.AFTER.length()), value);
-      } else if (key.startsWith(StoreKeys.DONE)) {
-        putDone(key.substring(StoreKeys.DONE.length()), value);
-      } else if (key.startsWith(StoreKeys.PAGES)) {
-        putPage(key.substring(StoreKeys.PAGES.length()), value);
-      } else if (key.startsWith(StoreKeys.BLOCKS)) {
-        putBlock(new ShardId(key.substring(StoreKeys.BLOCKS.length())), value, version);
-      } else if (key.startsWith(StoreKeys.ALLOCATIONS)) {
-        ShardId block = new ShardId(key.substring(StoreKeys.ALLOCATIONS.length()));
-        set(wholeAllocations, block, value == null ? null : Allocation.read(value, version));
-        putAllocation(block);
-      } else if (key.startsWith(StoreKeys.CHANGED_ALLOCATIONS)) {
-        ShardId block = new ShardId(key.substring(StoreKeys.CHANGED_ALLOCATIONS.length()));
-        set(allocationChanges, block, value == null ? null : AllocationDelta.read(value, version));
-        putAllocation(block);
-      } else if (key.startsWith(StoreKeys.AGREED)) {
-        touchedOther = true;
-        RecordId record = agreed.put(key, value, version);
-        if (record != null) {
-          touchedAgreed.add(record);
-        }
-      } else {
-        touchedOther = true;
-        putOther(key, value, version);
-      }
+      dispatch(key, value, version);
       if (!unreadable.isEmpty()) {
         unreadable.remove(key);
       }
     } catch (MalformedMessageException e) {
-      // A record that cannot be read is left as it was: it must not end the process or pass for
-      // another. Whoever skipped one
-      // has a wrong picture, and neither leads nor holds until it can be read
-      // (Membership.State.UNABLE).
-      LOG.error("record {} skipped: {}", key, e.getMessage());
+      // An unreadable record keeps its last readable content: it must neither end the process nor
+      // pass for another. A controller that skipped a record has an incomplete view and neither
+      // leads nor owns shards until it can read it (Membership.State.INCOMPATIBLE).
+      LOG.error("record {} cannot be read and is skipped: {}", key, e.getMessage());
       if (isEssential(key)) {
         unreadable.put(key, e.getMessage());
         touchedOther = true;
@@ -391,20 +350,58 @@
     }
   }
 
-  /** Whether a record says what runs where, or how the others are to be read. */
+  private void dispatch(String key, Object value, Revision version)
+      throws MalformedMessageException {
+    if (key.startsWith(StoreKeys.JOBS)) {
+      putJob(suffix(key, StoreKeys.JOBS), value, version);
+    } else if (key.startsWith(StoreKeys.BUNDLES)) {
+      jobs.putBundle(key, value, version);
+    } else if (key.startsWith(StoreKeys.DEPENDENCY_PARTS)) {
+      jobs.putPart(suffix(key, StoreKeys.DEPENDENCY_PARTS), value);
+    } else if (key.startsWith(StoreKeys.COMPLETED_CHUNKS)) {
+      completedTasks.putChunk(suffix(key, StoreKeys.COMPLETED_CHUNKS), value, touchedJobs::add);
+    } else if (key.startsWith(StoreKeys.COMPLETED_PAGES)) {
+      completedTasks.putPage(suffix(key, StoreKeys.COMPLETED_PAGES), value, jobs, touchedJobs::add);
+    } else if (key.startsWith(StoreKeys.SHARDS)) {
+      putShard(new ShardId(suffix(key, StoreKeys.SHARDS)), value, version);
+    } else if (key.startsWith(StoreKeys.ALLOCATIONS)) {
+      ShardId shard = new ShardId(suffix(key, StoreKeys.ALLOCATIONS));
+      allocations.putFullRecord(shard, value, version);
+      touchedShards.add(shard);
+    } else if (key.startsWith(StoreKeys.ALLOCATION_DELTAS)) {
+      ShardId shard = new ShardId(suffix(key, StoreKeys.ALLOCATION_DELTAS));
+      allocations.putDelta(shard, value, version);
+      touchedShards.add(shard);
+    } else if (key.startsWith(StoreKeys.REPLICATED)) {
+      touchedOther = true;
+      RecordId record = replicatedRecords.put(key, value, version);
+      if (record != null) {
+        touchedRecords.add(record);
+      }
+    } else {
+      touchedOther = true;
+      putOther(key, value, version);
+    }
+  }
+
+  private static String suffix(String key, String prefix) {
+    return key.substring(prefix.length());
+  }
+
+  /** Whether a record is needed to know what runs where, or how other records are to be read. */
   private boolean isEssential(String key) {
-    return key.startsWith(StoreKeys.AGREED)
-        ? agreed.isEssential(key)
+    return key.startsWith(StoreKeys.REPLICATED)
+        ? replicatedRecords.isEssential(key)
         : key.equals(StoreKeys.LEVEL)
             || Stream.of(
                     StoreKeys.JOBS,
                     StoreKeys.BUNDLES,
-                    StoreKeys.AFTER,
-                    StoreKeys.DONE,
-                    StoreKeys.PAGES,
-                    StoreKeys.BLOCKS,
+                    StoreKeys.DEPENDENCY_PARTS,
+                    StoreKeys.COMPLETED_CHUNKS,
+                    StoreKeys.COMPLETED_PAGES,
+                    StoreKeys.SHARDS,
                     StoreKeys.ALLOCATIONS,
-                    StoreKeys.CHANGED_ALLOCATIONS)
+                    StoreKeys.ALLOCATION_DELTAS)
                 .anyMatch(key::startsWith);
   }
 
@@ -418,103 +415,32 @@
   }
 
   private void touchJob(JobId id) {
-    if (jobs.job(id).phase() == JobPhase.DONE) {
-      paged.remove(id); // all of it is done: nobody asks for the parts
-    }
-    touchedJobs.add(id);
-  }
-
-  private void putDone(String name, Object value) throws MalformedMessageException {
-    int slash = name.indexOf('/');
-    JobId id = slash < 0 ? null : JobId.parse(name.substring(0, slash));
-    if (id == null || name.length() - slash > 6 || !name.substring(slash + 1).matches("[0-9]+")) {
-      throw new MalformedMessageException("bad key");
+    if (jobs.isDone(id)) {
+      completedTasks.jobDone(id);
     }
-    int chunk = Integer.parseInt(name.substring(slash + 1));
     touchedJobs.add(id);
-    Map<Integer, TaskSet> chunks = done.computeIfAbsent(id, j -> new LinkedHashMap<>());
-    if (value == null) {
-      chunks.remove(chunk);
-      if (chunks.isEmpty()) {
-        done.remove(id);
-      }
-    } else {
-      chunks.put(chunk, CompletedTasks.read(value, chunk));
-    }
-  }
-
-  /**
-   * A done task stays done, also where its job has left the page: it does so only once it is over.
-   */
-  private void putPage(String name, Object value) throws MalformedMessageException {
-    if (!name.matches("[0-9]{1,6}") || value == null) {
-      throw new MalformedMessageException("bad key");
-    }
-    Map<JobId, TaskSet> sets = TaskSetCodec.read(JsonFields.of(value, "a page").fields("jobs"));
-    pages.put(Integer.parseInt(name), sets);
-    sets.forEach(
-        (job, set) -> {
-          if (jobs.job(job) != null && jobs.job(job).phase() == JobPhase.DONE) {
-            return;
-          }
-          TaskSet known = paged.computeIfAbsent(job, id -> new TaskSet());
-          int before = known.size();
-          known.addAll(set);
-          if (known.size() != before) {
-            touchedJobs.add(job);
-          }
-        });
-  }
-
-  private static <T> void set(Map<ShardId, T> all, ShardId block, T value) {
-    if (value == null) {
-      all.remove(block);
-    } else {
-      all.put(block, value);
-    }
   }
 
-  private void putAllocation(ShardId block) {
-    touchedBlocks.add(block);
-    Allocation whole = wholeAllocations.get(block);
-    AllocationDelta change = whole == null ? null : allocationChanges.get(block);
-    Allocation next = change == null ? whole : change.over(whole);
-    Allocation before = next == null ? allocations.remove(block) : allocations.put(block, next);
-    if (next != null) {
-      next.tasks()
-          .keySet()
-          .forEach(job -> allocatedTo.computeIfAbsent(job, id -> new HashSet<>(4)).add(block));
-    }
-    if (before != null) {
-      for (JobId job : before.tasks().keySet()) {
-        if (next == null || !next.tasks().containsKey(job)) {
-          allocatedTo.computeIfPresent(
-              job, (id, there) -> there.remove(block) && there.isEmpty() ? null : there);
-        }
-      }
-    }
-  }
-
-  // A machine may be in a newer lease by now: the instance tells.
+  // A machine may belong to a newer lease by now: the instance tells.
   @SuppressWarnings("ReferenceEquality")
-  private void putBlock(ShardId id, Object value, Revision version)
+  private void putShard(ShardId id, Object value, Revision version)
       throws MalformedMessageException {
     ShardLease lease = value == null ? null : ShardLease.read(id, value, version);
-    touchedBlocks.add(id);
-    ShardLease before = lease == null ? blocks.remove(id) : blocks.put(id, lease);
+    touchedShards.add(id);
+    ShardLease before = lease == null ? shards.remove(id) : shards.put(id, lease);
     if (before != null) {
       before
           .machines()
           .keySet()
           .forEach(
               machine ->
-                  blockOf.computeIfPresent(machine, (m, block) -> block == before ? null : block));
+                  shardOf.computeIfPresent(machine, (m, block) -> block == before ? null : block));
     }
     if (lease == null) {
-      blockById.remove(id);
+      shardById.remove(id);
     } else {
-      blockById.put(id, lease);
-      lease.machines().keySet().forEach(machine -> blockOf.put(machine, lease));
+      shardById.put(id, lease);
+      lease.machines().keySet().forEach(machine -> shardOf.put(machine, lease));
     }
   }
 
@@ -522,72 +448,23 @@
       throws MalformedMessageException {
     if (key.startsWith(StoreKeys.MEMBERS)) {
       if (value == null) {
-        members.values().removeIf(member -> StoreKeys.member(member.member()).equals(key));
+        members.values().removeIf(member -> StoreKeys.member(member.id()).equals(key));
       } else {
-        ControllerRecord member = member(value, version);
-        members.put(member.member(), member);
+        ControllerRecord member = ControllerRecord.read(value, version);
+        members.put(member.id(), member);
       }
     } else if (key.equals(StoreKeys.LEADER)) {
-      leader = value == null ? null : member(value, version);
-    } else if (key.equals(StoreKeys.LEADS)) {
-      leads = value == null ? null : member(value, version);
+      firstLevelLeader = value == null ? null : ControllerRecord.read(value, version);
+    } else if (key.equals(StoreKeys.MOVED_LEADER)) {
+      movedLeader = value == null ? null : ControllerRecord.read(value, version);
     } else if (key.equals(StoreKeys.LEVEL)) {
       level = value == null ? FeatureLevelRecord.NONE : FeatureLevelRecord.read(value, version);
-    } else if (key.startsWith(StoreKeys.TYPES) && value != null) {
+    } else if (key.startsWith(StoreKeys.MACHINE_TYPES) && value != null) {
       for (MachineType type : CloudCodec.readCatalog(JsonFields.of(value, "a machine type"))) {
-        types.put(type.name(), type);
+        machineTypes.put(type.name(), type);
       }
     } else if (key.equals(StoreKeys.OPERATOR_SETTINGS)) {
       operatorSettings = value;
     }
   }
-
-  /** What a member announces; one that announces nothing was built before levels. */
-  private static Build build(JsonFields in) throws MalformedMessageException {
-    if (!in.has("build")) {
-      return Build.BEFORE_LEVELS;
-    }
-    FeatureLevel least = new FeatureLevel(in.integer("least", 1, FeatureLevel.MOST));
-    return new Build(
-        in.string("build"),
-        least,
-        new FeatureLevel(in.integer("most", least.number(), FeatureLevel.MOST)));
-  }
-
-  private static ControllerRecord member(Object value, Revision version)
-      throws MalformedMessageException {
-    JsonFields in = JsonFields.of(value, "a member");
-    return new ControllerRecord(
-        new ControllerId(in.string("member")),
-        new Incarnation(in.unsigned("life")),
-        in.string("zone"),
-        build(in),
-        terms(in),
-        version);
-  }
-
-  private static AnnouncedLimits terms(JsonFields in) throws MalformedMessageException {
-    if (!in.has("marks")) {
-      return AnnouncedLimits.NONE;
-    }
-    Map<String, String> marks = new TreeMap<>();
-    JsonFields marked = in.fields("marks");
-    for (String part : marked.fieldNames()) {
-      marks.put(part, marked.string(part));
-    }
-    Map<String, Resources> limits = new TreeMap<>();
-    JsonFields limited = in.fields("limits");
-    for (String team : limited.fieldNames()) {
-      JsonFields limit = limited.fields(team);
-      limits.put(
-          team,
-          new Resources(
-              limit.has("cpus") ? limit.nonNegativeNumber("cpus") : Double.POSITIVE_INFINITY,
-              limit.has("gpus") ? limit.nonNegativeNumber("gpus") : Double.POSITIVE_INFINITY,
-              limit.has("memory_gb")
-                  ? limit.nonNegativeNumber("memory_gb")
-                  : Double.POSITIVE_INFINITY));
-    }
-    return new AnnouncedLimits(marks, limits);
-  }
 }
--- a/src/main/java/org/quincecross/state/CompletedTasks.java
+++ b/src/main/java/org/quincecross/state/CompletedTasks.java
@@ -10,60 +10,60 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * The record of done tasks: of a chunk of a job's tasks, as ranges where these are short and as
- * bits where the tasks are scattered, so that a chunk fits a value of the state service whichever
- * tasks are done.
+ * The records of completed tasks. A chunk of a job's tasks is stored as ranges where they are short
+ * and as a bit set where the tasks are scattered, so that it always fits into a value of the store.
  */
 public final class CompletedTasks {
-  /** Tasks of a chunk; as bits in base 64 they take less than 700 bytes. */
-  public static final int CHUNK = 4096;
+  /** The number of tasks in a chunk; as a bit set in base 64 it takes less than 700 bytes. */
+  public static final int CHUNK_SIZE = 4096;
 
-  private static final int MOST_RANGES = 640;
+  private static final int MAX_RANGES_LENGTH = 640;
 
   private CompletedTasks() {}
 
-  /** What a page of several jobs' done tasks says. */
+  /** Writes a page with the completed tasks of several jobs. */
   public static Map<String, Object> writePage(Map<JobId, TaskSet> jobs) {
     return Json.object("jobs", TaskSetCodec.write(jobs));
   }
 
   /**
-   * What a page without jobs takes, and what a job's item takes beside its digits and its tasks.
+   * The size of a page without jobs. The next constant is the size of an item without its digits
+   * and tasks.
    */
   public static final int EMPTY_PAGE_BYTES = 11;
 
-  private static final int ITEM_BYTES = 6;
+  private static final int PAGE_ITEM_BYTES = 6;
 
-  /** What a job's item takes in a page, a byte for the comma included. */
-  public static int pageBytes(JobId job, TaskSet done) {
-    return done.isEmpty() ? 0 : job.digitCount() + done.textLength() + ITEM_BYTES;
+  /** The size of a job's item in a page, including a comma. */
+  public static int pageItemBytes(JobId job, TaskSet done) {
+    return done.isEmpty() ? 0 : job.digitCount() + done.textLength() + PAGE_ITEM_BYTES;
   }
 
-  /** Whether a job's done tasks are short enough for a page. */
-  public static boolean fitsPage(TaskSet done) {
-    return done.textLength() <= MOST_RANGES;
+  /** Whether a job's completed tasks are short enough for a page. */
+  public static boolean fitsOnPage(TaskSet done) {
+    return done.textLength() <= MAX_RANGES_LENGTH;
   }
 
-  /** The tasks of {@code all} that lie in a chunk, counted from the job's first task. */
+  /** Writes the tasks of {@code all} that belong to a chunk, counted from the job's first task. */
   public static Map<String, Object> write(TaskSet all, int chunk) {
     TaskSet in = new TaskSet();
     BitSet bits = new BitSet();
-    int base = chunk * CHUNK;
-    for (int i = all.nextMember(base); i >= 0 && i < base + CHUNK; i = all.nextMember(i + 1)) {
+    int base = chunk * CHUNK_SIZE;
+    for (int i = all.nextMember(base); i >= 0 && i < base + CHUNK_SIZE; i = all.nextMember(i + 1)) {
       in.add(i);
       bits.set(i - base);
     }
     String ranges = in.toString();
-    return ranges.length() <= MOST_RANGES
+    return ranges.length() <= MAX_RANGES_LENGTH
         ? Json.object("ranges", ranges)
         : Json.object("bits", Base64.getEncoder().encodeToString(bits.toByteArray()));
   }
 
   static TaskSet read(Object value, int chunk) throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a record of done tasks");
-    int base = chunk * CHUNK;
+    int base = chunk * CHUNK_SIZE;
     if (in.has("ranges")) {
-      TaskSet set = TaskSet.parse(in.string("ranges"), base + CHUNK);
+      TaskSet set = TaskSet.parse(in.string("ranges"), base + CHUNK_SIZE);
       if (set == null) {
         throw new MalformedMessageException("bad ranges in a record of done tasks");
       }
@@ -72,7 +72,7 @@
     TaskSet set = new TaskSet();
     try {
       BitSet bits = BitSet.valueOf(Base64.getDecoder().decode(in.string("bits")));
-      bits.stream().filter(i -> i < CHUNK).forEach(i -> set.add(base + i));
+      bits.stream().filter(i -> i < CHUNK_SIZE).forEach(i -> set.add(base + i));
     } catch (IllegalArgumentException e) {
       throw new MalformedMessageException("bad bits in a record of done tasks");
     }
--- a/src/main/java/org/quincecross/state/DemandForecast.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -17,136 +17,141 @@
 import org.quincecross.scheduling.Headroom;
 
 /**
- * Watches what work comes and says what each block should keep free for work that has not come yet.
+ * Observes the demand and derives how much headroom each shard should keep for work that has not
+ * arrived yet.
  */
 public final class DemandForecast {
-  /** Work of a kind that came lately comes again. */
-  private static final TimeSpan REMEMBERED = TimeSpan.ofSeconds(300);
+  /** Demand seen within this window is expected to return. */
+  private static final TimeSpan DEMAND_WINDOW = TimeSpan.ofSeconds(300);
 
-  /** Whole machines kept beyond those that waiting work needs, as long as such work is about. */
-  private static final int SPARE = 2;
+  /** Whole machines kept free beyond those that pending large work needs. */
+  private static final int SPARE_MACHINES = 2;
 
-  /** For so many machines, room for one more task of the highest priority is kept. */
-  private static final int MACHINES_PER_ROOM = 6;
+  /** One urgent task's headroom is kept for this many machines. */
+  private static final int MACHINES_PER_URGENT_TASK = 6;
 
-  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
+  private static final TimeSpan REFRESH_INTERVAL = TimeSpan.ofSeconds(1);
 
-  /**
-   * Of a block that keeps nothing free: what has waited long is to start there too, and not to
-   * stand in its queue.
-   */
-  private static final Headroom NOTHING =
+  /** Marks shards without headroom, in which starving jobs still have to be started. */
+  private static final Headroom NO_HEADROOM =
       new Headroom(Headroom.Purpose.LARGE_WORK, Resources.NONE, 0);
 
-  private record Kind(String type, boolean spot) {}
+  private record Kind(String machineType, boolean spot) {}
 
-  private record Seen(Resources each, MonotonicTime at) {}
+  private record Seen(Resources largest, MonotonicTime lastSeen) {}
 
-  private final ClusterStateCache ledger;
-  private final StartBlock withheld;
-  private final Map<Kind, Seen> seen = new HashMap<>();
-  private final Map<ShardId, List<Headroom>> reserves = new HashMap<>();
-  private final Map<ShardId, List<Headroom>> plannedAround = new HashMap<>();
-  private final StarvationTracker waits;
+  private final ClusterStateCache cache;
+  private final StartBlock startBlock;
+  private final Map<Kind, Seen> recentDemand = new HashMap<>();
+  private final Map<ShardId, List<Headroom>> headroomByShard = new HashMap<>();
+  private final Map<ShardId, List<Headroom>> headroomForPlan = new HashMap<>();
+  private final StarvationTracker starvation;
   private Seen urgent;
   private MonotonicTime computedAt;
-  private ReservedCapacity requests;
-  private long requestsSeen;
+  private ReservedCapacity reservedCapacity;
+  private long reservedCapacityVersion;
 
-  public DemandForecast(ClusterStateCache ledger) {
-    this(ledger, StartBlock.NONE);
+  /** Creates a forecast in which no task is blocked. */
+  public DemandForecast(ClusterStateCache cache) {
+    this(cache, StartBlock.NONE);
   }
 
   /**
-   * @param withheld tasks that may not run now, and for which nothing is to be kept free
+   * Creates a forecast.
+   *
+   * @param startBlock tasks that may not run now; no headroom is kept for them
    */
-  public DemandForecast(ClusterStateCache ledger, StartBlock withheld) {
-    this.ledger = ledger;
-    this.withheld = withheld;
-    waits = new StarvationTracker(ledger);
+  public DemandForecast(ClusterStateCache cache, StartBlock startBlock) {
+    this.cache = cache;
+    this.startBlock = startBlock;
+    starvation = new StarvationTracker(cache);
   }
 
-  /** Has room kept for requests, too. */
+  /** Adds the capacity reserved for deadline requests to the headroom. */
   public void keep(ReservedCapacity rooms) {
-    requests = rooms;
+    reservedCapacity = rooms;
   }
 
-  /** What a block keeps free when it starts work. */
-  public List<Headroom> of(ShardId block, MonotonicTime now) {
-    look(now);
-    return reserves.getOrDefault(block, List.of());
+  /** The headroom that a shard's owner keeps when it starts tasks. */
+  public List<Headroom> headroomFor(ShardId shard, MonotonicTime now) {
+    refresh(now);
+    return headroomByShard.getOrDefault(shard, List.of());
   }
 
   /**
-   * The same for a plan that gives work to blocks: what has just been given something has waited
-   * long no more.
+   * The headroom that the leader's plan keeps: a job that was just allocated something no longer
+   * counts as starving.
    */
-  public List<Headroom> plannedAround(ShardId block, MonotonicTime now) {
-    look(now);
-    return plannedAround.getOrDefault(block, List.of());
+  public List<Headroom> headroomForPlan(ShardId shard, MonotonicTime now) {
+    refresh(now);
+    return headroomForPlan.getOrDefault(shard, List.of());
   }
 
-  private void look(MonotonicTime now) {
-    // What should be kept free follows what has come in minutes: no need to look at everything at
-    // every change.
-    boolean others = requests != null && requests.version() != requestsSeen;
-    if (computedAt == null || others || now.since(computedAt).isLongerThan(LOOK_EVERY)) {
+  private void refresh(MonotonicTime now) {
+    // The forecast covers minutes of demand, so refreshing it at every change would be wasted.
+    boolean others =
+        reservedCapacity != null && reservedCapacity.version() != reservedCapacityVersion;
+    if (computedAt == null || others || now.since(computedAt).isLongerThan(REFRESH_INTERVAL)) {
       compute(now);
       computedAt = now;
     }
   }
 
   /**
-   * What a task of the highest priority takes, of those seen lately; nothing if there were none.
+   * The largest resource demand among recent tasks of the highest priority; none if there were
+   * none.
    */
   public Resources urgentTask() {
-    return urgent == null ? Resources.NONE : urgent.each();
+    return urgent == null ? Resources.NONE : urgent.largest();
   }
 
   private void compute(MonotonicTime now) {
-    reserves.clear();
+    headroomByShard.clear();
     Map<Kind, Integer> waiting = new HashMap<>();
-    for (JobRecord record : ledger.openJobs()) {
-      int mayRun = record.job().taskCount() - withheld.of(record.job()).size();
-      if (mayRun <= 0 || ledger.pipelines().waits(record.id())) {
+    for (JobRecord record : cache.openJobs()) {
+      int mayRun = record.job().taskCount() - startBlock.of(record.job()).size();
+      if (mayRun <= 0 || cache.dependencyGraph().waits(record.id())) {
         continue;
       }
       if (record.job().priority() == Priority.PRODUCTION) {
         urgent = new Seen(record.job().taskResources(), now);
       } else {
-        waits.look(record.id(), now);
+        starvation.observe(record.id(), now);
       }
-      for (MachineType type : ledger.types().values()) {
-        look(record.job(), mayRun, type, waiting, now);
+      for (MachineType type : cache.machineTypes().values()) {
+        refresh(record.job(), mayRun, type, waiting, now);
       }
     }
-    waits.lookedAtAll();
-    seen.values().removeIf(large -> now.since(large.at()).isLongerThan(REMEMBERED));
-    seen.forEach((kind, large) -> share(kind, large, waiting.getOrDefault(kind, 0) + SPARE));
-    keepForUrgent(now);
-    if (requests != null) {
-      requestsSeen = requests.version();
-      requests
-          .reserves()
+    starvation.forgetUnobserved();
+    recentDemand
+        .values()
+        .removeIf(large -> now.since(large.lastSeen()).isLongerThan(DEMAND_WINDOW));
+    recentDemand.forEach(
+        (kind, large) -> distribute(kind, large, waiting.getOrDefault(kind, 0) + SPARE_MACHINES));
+    reserveForUrgent(now);
+    if (reservedCapacity != null) {
+      reservedCapacityVersion = reservedCapacity.version();
+      reservedCapacity
+          .headroomByShard()
           .forEach(
-              (block, list) ->
-                  reserves.computeIfAbsent(block, id -> new ArrayList<>()).addAll(list));
+              (shard, list) ->
+                  headroomByShard.computeIfAbsent(shard, id -> new ArrayList<>()).addAll(list));
     }
-    lend(waits.toPlan(now), waits.toStart(now));
+    lend(starvation.starvingForPlan(now), starvation.starvingForStart(now));
   }
 
   /**
-   * Guards against docs/incidents/kept-room-without-an-end.md: what is kept for work that may come,
-   * or waits for its team's limit, is lent to what has waited long. While the cloud has more
-   * machines, such work has some rented; at the end of its capacity nothing would ever start there.
-   * Urgent work that comes takes it back at once, as it does from all lower priorities.
+   * Lends headroom for expected work, or for work that waits for its team's limit, to starving jobs
+   * (docs/incidents/kept-room-without-an-end.md). While the cloud has machines, such jobs get new
+   * ones; at its capacity they would otherwise never start. Urgent work takes the room back at once
+   * by preemption.
    */
   private void lend(Set<JobId> toPlan, Set<JobId> toStart) {
-    plannedAround.clear();
-    for (ShardId block : ledger.blocks().keySet()) {
-      List<Headroom> kept = reserves.getOrDefault(block, List.of(NOTHING));
-      plannedAround.put(block, lent(kept, toPlan));
-      reserves.put(block, lent(kept, toStart));
+    headroomForPlan.clear();
+    for (ShardId shard : cache.shards().keySet()) {
+      List<Headroom> kept = headroomByShard.getOrDefault(shard, List.of(NO_HEADROOM));
+      headroomForPlan.put(shard, lent(kept, toPlan));
+      headroomByShard.put(shard, lent(kept, toStart));
     }
   }
 
@@ -156,7 +161,7 @@
         .toList();
   }
 
-  private void look(
+  private void refresh(
       Job job, int tasks, MachineType type, Map<Kind, Integer> waiting, MonotonicTime now) {
     if (!Headroom.isLarge(job, type.capacity())
         || (job.machineTypes() != null && !job.machineTypes().contains(type.name()))) {
@@ -165,61 +170,62 @@
     for (boolean spot : job.allowsSpot() ? new boolean[] {true, false} : new boolean[] {false}) {
       Kind kind = new Kind(type.name(), spot);
       Resources each = job.taskResources();
-      Seen before = seen.get(kind);
+      Seen before = recentDemand.get(kind);
       if (before != null) {
         each =
             new Resources(
-                Math.max(each.cpus(), before.each().cpus()),
-                Math.max(each.gpus(), before.each().gpus()),
-                Math.max(each.memoryGb(), before.each().memoryGb()));
+                Math.max(each.cpus(), before.largest().cpus()),
+                Math.max(each.gpus(), before.largest().gpus()),
+                Math.max(each.memoryGb(), before.largest().memoryGb()));
       }
-      seen.put(kind, new Seen(each, now));
-      if (ledger.blocksOf(job.id()).isEmpty()) {
+      recentDemand.put(kind, new Seen(each, now));
+      if (cache.shardsOf(job.id()).isEmpty()) {
         waiting.merge(kind, tasks, Integer::sum);
       }
     }
   }
 
-  /** Divides so many whole machines among the blocks of a kind, by their size. */
-  private void share(Kind kind, Seen large, int machines) {
+  /** Distributes a number of whole machines over the shards of a kind, by shard size. */
+  private void distribute(Kind kind, Seen large, int machines) {
     int all = 0;
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       all += isOf(block, kind) ? block.machines().size() : 0;
     }
-    for (ShardLease block : ledger.blocks().values()) {
+    for (ShardLease block : cache.shards().values()) {
       if (isOf(block, kind)) {
         int share = (int) Math.ceil((double) machines * block.machines().size() / all);
         keep(
             block,
             new Headroom(
                 Headroom.Purpose.LARGE_WORK,
-                large.each(),
+                large.largest(),
                 Math.min(share, block.machines().size())));
       }
     }
   }
 
   private void keep(ShardLease block, Headroom reserve) {
-    reserves.computeIfAbsent(block.id(), id -> new ArrayList<>()).add(reserve);
+    headroomByShard.computeIfAbsent(block.id(), id -> new ArrayList<>()).add(reserve);
   }
 
-  /** Every block of some size on ordinary machines keeps room for more services. */
-  private void keepForUrgent(MonotonicTime now) {
-    if (urgent == null || now.since(urgent.at()).isLongerThan(REMEMBERED)) {
+  /** Every sufficiently large shard of on-demand machines keeps headroom for services. */
+  private void reserveForUrgent(MonotonicTime now) {
+    if (urgent == null || now.since(urgent.lastSeen()).isLongerThan(DEMAND_WINDOW)) {
       return;
     }
-    for (ShardLease block : ledger.blocks().values()) {
-      MachineType type = ledger.types().get(block.type());
+    for (ShardLease block : cache.shards().values()) {
+      MachineType type = cache.machineTypes().get(block.type());
       boolean small =
-          type != null && urgent.each().fitsIn(type.capacity()) && type.capacity().gpus() == 0;
+          type != null && urgent.largest().fitsIn(type.capacity()) && type.capacity().gpus() == 0;
       if (!block.spot() && small && block.machines().size() >= 3) {
-        int rooms = (block.machines().size() + MACHINES_PER_ROOM - 1) / MACHINES_PER_ROOM;
-        keep(block, new Headroom(Headroom.Purpose.URGENT_WORK, urgent.each(), rooms));
+        int rooms =
+            (block.machines().size() + MACHINES_PER_URGENT_TASK - 1) / MACHINES_PER_URGENT_TASK;
+        keep(block, new Headroom(Headroom.Purpose.URGENT_WORK, urgent.largest(), rooms));
       }
     }
   }
 
   private static boolean isOf(ShardLease block, Kind kind) {
-    return block.type().equals(kind.type()) && block.spot() == kind.spot();
+    return block.type().equals(kind.machineType()) && block.spot() == kind.spot();
   }
 }
--- a/src/main/java/org/quincecross/state/FeatureLevelRecord.java
+++ b/src/main/java/org/quincecross/state/FeatureLevelRecord.java
@@ -8,10 +8,10 @@
 import org.quincecross.rollout.FeatureLevel;
 
 /**
- * The level in force.
+ * The feature level in force.
  *
- * @param version with which it took effect, for everybody; none while no record says a level, which
- *     is the first then
+ * @param version the revision at which it took effect for all controllers; none while no level is
+ *     stored, which means the first
  */
 public record FeatureLevelRecord(FeatureLevel level, Revision version) {
   public static final FeatureLevelRecord NONE =
@@ -23,6 +23,7 @@
         version);
   }
 
+  /** Writes the record of a level. */
   public static Map<String, Object> write(FeatureLevel level) {
     return Json.object("level", level.number());
   }
--- a/src/main/java/org/quincecross/state/JobDependencies.java
+++ b/src/main/java/org/quincecross/state/JobDependencies.java
@@ -18,62 +18,61 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * The jobs that a job waits on, as the state service has them: a few in its own record, many in
- * parts of their own, which its record names. A part's name follows from what is in it, so it may
- * be written twice or late, and jobs that wait on the same share it. Parts are written before the
- * record, and stay.
+ * Stored dependency lists. A short list is stored inline in the job's record, a long one in parts,
+ * which are records of their own that the job's record names. A part is named after the hash of its
+ * content, so writing it twice or late is harmless, and jobs with equal dependencies share it.
+ * Parts are written before the job's record and never deleted.
  */
 public final class JobDependencies {
-  /** In a record, beside the description: the digits of ids. */
-  static final String IN_RECORD = "after";
+  /** Field of a job's record with the digits of the ids. */
+  static final String INLINE_FIELD = "after";
 
-  /** In a record: the names of the parts. */
-  static final String IN_PARTS = "after_parts";
+  /** Field of a job's record with the names of the parts. */
+  static final String PARTS_FIELD = "after_parts";
 
-  /** In a part: the digits of ids. */
-  private static final String IDS = "ids";
+  /** Field of a part with the digits of the ids. */
+  private static final String IDS_FIELD = "ids";
 
   /**
-   * Characters of digits that a record may have beside the description of its job: all of it is
-   * well below 2 KiB.
+   * The maximum length of an inline list; with the job's description the record stays well below 2
+   * KiB.
    */
-  private static final int MOST_IN_RECORD = 800;
+  private static final int MAX_INLINE_LENGTH = 800;
 
   /**
-   * Characters of digits in a part: below 2 KiB, and not so few that the names of parts would fill
-   * a record.
+   * The maximum length of a part: below 2 KiB, and long enough that the names of the parts fit into
+   * the job's record.
    */
-  private static final int MOST_IN_PART = 1_700;
+  private static final int MAX_PART_LENGTH = 1_700;
 
-  private static final int NAME_BYTES = 15;
+  private static final int PART_NAME_BYTES = 15;
 
   private JobDependencies() {}
 
-  /**
-   * The records that have to be durable before that of a job that waits on these; none where its
-   * own has room for them.
-   */
+  /** The parts that have to be durable before the job's record; none if the list fits inline. */
   public static Map<String, Map<String, Object>> parts(Set<JobId> waitsOn) {
     Map<String, Map<String, Object>> parts = new LinkedHashMap<>();
-    List<String> lines = lines(waitsOn, MOST_IN_PART);
-    if (!fitsRecord(waitsOn)) {
-      lines.forEach(line -> parts.put(StoreKeys.AFTER + name(line), Json.object(IDS, line)));
+    List<String> lines = lines(waitsOn, MAX_PART_LENGTH);
+    if (!fitsInline(waitsOn)) {
+      lines.forEach(
+          line ->
+              parts.put(StoreKeys.DEPENDENCY_PARTS + partName(line), Json.object(IDS_FIELD, line)));
     }
     return parts;
   }
 
-  private static boolean fitsRecord(Set<JobId> waitsOn) {
-    return waitsOn.stream().mapToInt(id -> id.digitCount() + 1).sum() <= MOST_IN_RECORD;
+  private static boolean fitsInline(Set<JobId> waitsOn) {
+    return waitsOn.stream().mapToInt(id -> id.digitCount() + 1).sum() <= MAX_INLINE_LENGTH;
   }
 
-  /** What the record of a job has beside its description. */
-  static Map<String, Object> inRecord(Set<JobId> waitsOn) {
-    return fitsRecord(waitsOn)
-        ? Json.object(IN_RECORD, String.join("", lines(waitsOn, MOST_IN_RECORD)))
+  /** The fields of a job's record that contain or reference its dependencies. */
+  static Map<String, Object> writeReferences(Set<JobId> waitsOn) {
+    return fitsInline(waitsOn)
+        ? Json.object(INLINE_FIELD, String.join("", lines(waitsOn, MAX_INLINE_LENGTH)))
         : Json.object(
-            IN_PARTS,
+            PARTS_FIELD,
             parts(waitsOn).keySet().stream()
-                .map(key -> key.substring(StoreKeys.AFTER.length()))
+                .map(key -> key.substring(StoreKeys.DEPENDENCY_PARTS.length()))
                 .toList());
   }
 
@@ -91,24 +90,24 @@
     return lines;
   }
 
-  private static String name(String line) {
+  private static String partName(String line) {
     try {
       byte[] hash =
           MessageDigest.getInstance("SHA-256").digest(line.getBytes(StandardCharsets.US_ASCII));
       return Base64.getUrlEncoder()
           .withoutPadding()
-          .encodeToString(Arrays.copyOf(hash, NAME_BYTES));
+          .encodeToString(Arrays.copyOf(hash, PART_NAME_BYTES));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException(e); // every JVM has it
+      throw new IllegalStateException(e); // every JVM provides SHA-256
     }
   }
 
-  static Set<JobId> readInRecord(JsonFields record) throws MalformedMessageException {
-    return record.has(IN_RECORD) ? read(record.string(IN_RECORD)) : Set.of();
+  static Set<JobId> readInline(JsonFields record) throws MalformedMessageException {
+    return record.has(INLINE_FIELD) ? read(record.string(INLINE_FIELD)) : Set.of();
   }
 
   static Set<JobId> readPart(Object value) throws MalformedMessageException {
-    return read(JsonFields.of(value, "a part of what a job waits on").string(IDS));
+    return read(JsonFields.of(value, "a part of what a job waits on").string(IDS_FIELD));
   }
 
   private static Set<JobId> read(String line) throws MalformedMessageException {
@@ -120,6 +119,6 @@
       }
       ids.add(id);
     }
-    return Collections.unmodifiableSet(ids); // in the same order in every process
+    return Collections.unmodifiableSet(ids); // the same order in every process
   }
 }
--- a/src/main/java/org/quincecross/state/JobIndex.java
+++ b/src/main/java/org/quincecross/state/JobIndex.java
@@ -21,26 +21,26 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * The jobs of the {@link ClusterStateCache}: what their records say, and what follows for each from
- * the records of those that it waits on.
+ * The jobs of the {@link ClusterStateCache}: their stored records, and the cancellation and urgency
+ * derived from their dependency graph.
  */
 final class JobIndex {
   /**
-   * From the end of a job until the tasks of the next have been told to start: two changes and a
-   * report.
+   * Expected time from the end of a dependency until the dependent job's tasks are told to start:
+   * two store writes and a heartbeat.
    */
-  private static final long HAND_OVER_MS = 3_000;
+  private static final long DEPENDENCY_LATENCY_MS = 3_000;
 
-  /** How long an image takes to be fetched, about. */
-  private static final double FETCH_MS_PER_GB = 1_000;
+  /** Expected time to pull an image. */
+  private static final double IMAGE_PULL_MS_PER_GB = 1_000;
 
   private final Map<JobId, JobRecord> jobs = new HashMap<>();
 
-  /** Jobs whose own records are open, and that are cancelled because one before them is. */
-  private final Map<JobId, JobRecord> cancelledWith = new HashMap<>();
+  /** Jobs that are stored as open and cancelled because a dependency was cancelled. */
+  private final Map<JobId, JobRecord> cancelledByDependency = new HashMap<>();
 
-  /** Open jobs that are as urgent as those that need them. */
-  private final Map<JobId, JobRecord> urgent = new HashMap<>();
+  /** Open jobs that inherit the urgency of their dependents. */
+  private final Map<JobId, JobRecord> withInheritedUrgency = new HashMap<>();
 
   private final TreeSet<JobRecord> open =
       new TreeSet<>(Comparator.comparing(JobRecord::version).thenComparing(JobRecord::id));
@@ -48,19 +48,21 @@
   private final Map<String, Set<JobId>> parts = new HashMap<>();
 
   /**
-   * By the name of a part that is not there yet: a reading of the records may bring a job before
-   * what it waits on.
+   * Jobs by the name of a dependency part that has not been read yet: a full read may deliver a job
+   * before its parts.
    */
-  private final Map<String, Set<JobId>> lacking = new HashMap<>();
+  private final Map<String, Set<JobId>> jobsByMissingPart = new HashMap<>();
 
-  private final DependencyGraph pipelines = new DependencyGraph(this::own);
-  private final UrgencyPropagation urgencies = new UrgencyPropagation(this::asks, pipelines);
+  private final DependencyGraph dependencyGraph = new DependencyGraph(this::own);
+  private final UrgencyPropagation urgencies = new UrgencyPropagation(this::asks, dependencyGraph);
   private final Predicate<JobId> hasOwnRecord;
   private final Consumer<JobId> touched;
 
   /**
-   * @param hasOwnRecord whether there is a record of a job alone
-   * @param touched told of each job of which something has changed
+   * Creates an empty index.
+   *
+   * @param hasOwnRecord whether a job has a record of its own
+   * @param touched notified of each job that changed
    */
   JobIndex(Predicate<JobId> hasOwnRecord, Consumer<JobId> touched) {
     this.hasOwnRecord = hasOwnRecord;
@@ -75,23 +77,32 @@
   }
 
   /**
-   * A job as it stands; one that is cancelled with another has the version from which on it is.
-   * Null where there is no such job.
+   * A job with its derived state, or null. A job cancelled because of a dependency has the version
+   * of that cancellation.
    */
   JobRecord job(JobId id) {
-    JobRecord derived = cancelledWith.isEmpty() ? null : cancelledWith.get(id);
-    derived = derived == null && !urgent.isEmpty() ? urgent.get(id) : derived;
+    JobRecord derived = cancelledByDependency.isEmpty() ? null : cancelledByDependency.get(id);
+    derived =
+        derived == null && !withInheritedUrgency.isEmpty() ? withInheritedUrgency.get(id) : derived;
     return derived == null ? jobs.get(id) : derived;
   }
 
-  /** A job as its own record says, whatever follows from others. */
-  JobRecord asRecorded(JobId id) {
+  /** Whether a job is known and done. */
+  boolean isDone(JobId id) {
+    JobRecord record = job(id);
+    return record != null && record.phase() == JobPhase.DONE;
+  }
+
+  /** A job exactly as its own record describes it. */
+  JobRecord storedJob(JobId id) {
     return jobs.get(id);
   }
 
   private UrgencyPropagation.Own asks(JobId id) {
     JobRecord record = jobs.get(id);
-    if (record == null || record.phase() != JobPhase.OPEN || pipelines.cancelled(id) != null) {
+    if (record == null
+        || record.phase() != JobPhase.OPEN
+        || dependencyGraph.cancelled(id) != null) {
       return null;
     }
     Job job = record.job();
@@ -100,27 +111,29 @@
         job.deadline() == null
             ? UrgencyPropagation.NEVER
             : record.acceptedMs() + job.deadline().millis(),
-        HAND_OVER_MS + job.estimate().millis() + (long) (job.imageGb() * FETCH_MS_PER_GB));
+        DEPENDENCY_LATENCY_MS
+            + job.estimate().millis()
+            + (long) (job.imageGb() * IMAGE_PULL_MS_PER_GB));
   }
 
   Set<JobId> ids() {
     return jobs.keySet();
   }
 
-  /** The open jobs, first accepted first. */
+  /** The open jobs in the order of their acceptance. */
   Iterable<JobRecord> open() {
     return open;
   }
 
-  DependencyGraph pipelines() {
-    return pipelines;
+  DependencyGraph dependencyGraph() {
+    return dependencyGraph;
   }
 
   /**
-   * The time of day from which on a job could run, that it was accepted at, or the last of those
-   * that it waits on was done.
+   * The time of day since which a job has been runnable: its acceptance, or the end of its last
+   * dependency.
    */
-  long readyMs(JobRecord record) {
+  long runnableSinceMs(JobRecord record) {
     long ready = record.acceptedMs();
     for (JobId before : record.job().dependencies()) {
       JobRecord its = jobs.get(before);
@@ -134,8 +147,8 @@
   }
 
   /**
-   * Jobs accepted together. A job may have been accepted twice, by two controllers that did not
-   * know of each other: then the first counts, and a record of its own before any bundle.
+   * Adds jobs that were accepted together. If two controllers accepted the same job, the first
+   * acceptance counts, and a record of its own takes precedence over any bundle.
    */
   void putBundle(String key, Object value, Revision version) throws MalformedMessageException {
     if (value == null) {
@@ -153,13 +166,13 @@
     }
   }
 
-  /** A part of what jobs wait on; such records are never deleted and never change. */
+  /** Adds a part of a dependency list; parts are never deleted or changed. */
   void putPart(String name, Object value) throws MalformedMessageException {
     if (value == null) {
       return;
     }
     parts.put(name, JobDependencies.readPart(value));
-    Set<JobId> complete = lacking.remove(name);
+    Set<JobId> complete = jobsByMissingPart.remove(name);
     if (complete != null) {
       complete.stream().sorted().forEach(id -> put(jobs.get(id)));
     }
@@ -169,8 +182,8 @@
     return parts.containsKey(name);
   }
 
-  /** The bundles of accepted jobs of which every job has a record of its own by now. */
-  List<String> spentBundles() {
+  /** The bundles in which every job has a record of its own by now. */
+  List<String> obsoleteBundles() {
     List<String> spent = new ArrayList<>();
     bundles.forEach(
         (key, ids) -> {
@@ -184,55 +197,60 @@
   private void put(JobRecord record) {
     JobId id = record.id();
     boolean complete = true;
-    if (record.phase() == JobPhase.OPEN && !record.parts().isEmpty()) {
+    if (record.phase() == JobPhase.OPEN && !record.dependencyParts().isEmpty()) {
       Set<JobId> waitsOn = new HashSet<>();
-      for (String part : record.parts()) {
+      for (String part : record.dependencyParts()) {
         if (parts.containsKey(part)) {
           waitsOn.addAll(parts.get(part));
         } else {
           complete = false;
-          lacking.computeIfAbsent(part, name -> new HashSet<>()).add(id);
+          jobsByMissingPart.computeIfAbsent(part, name -> new HashSet<>()).add(id);
         }
       }
-      record = record.waitingOn(Collections.unmodifiableSet(waitsOn));
+      record = record.withDependencies(Collections.unmodifiableSet(waitsOn));
     }
     JobRecord before = jobs.put(id, record);
     if (before != null && before.phase() == JobPhase.OPEN) {
       open.remove(before);
     }
-    Set<JobId> toLookAt = new HashSet<>(pipelines.unfinished(id));
-    pipelines.put(
-        id, record.job() == null ? Set.of() : record.job().dependencies(), complete, this::stand);
-    stand(id);
-    toLookAt.addAll(pipelines.unfinished(id));
-    if (!toLookAt.isEmpty() || pipelines.hasFollowers(id) || urgent.containsKey(id)) {
+    Set<JobId> toLookAt = new HashSet<>(dependencyGraph.unfinished(id));
+    dependencyGraph.put(
+        id,
+        record.job() == null ? Set.of() : record.job().dependencies(),
+        complete,
+        this::deriveCancellation);
+    deriveCancellation(id);
+    toLookAt.addAll(dependencyGraph.unfinished(id));
+    if (!toLookAt.isEmpty()
+        || dependencyGraph.hasFollowers(id)
+        || withInheritedUrgency.containsKey(id)) {
       toLookAt.add(id);
-      urgencies.look(toLookAt, this::standUrgent);
-      standUrgent(id); // also where it inherits the same: the record is another
+      urgencies.look(toLookAt, this::deriveUrgency);
+      deriveUrgency(id); // also if the inherited urgency is equal: the record is a new instance
     }
   }
 
-  private void standUrgent(JobId id) {
+  private void deriveUrgency(JobId id) {
     UrgencyPropagation.Urgency urgency = urgencies.inherited(id);
     if (urgency == null) {
-      urgent.remove(id);
+      withInheritedUrgency.remove(id);
     } else {
-      urgent.put(id, jobs.get(id).treatedAs(urgency));
+      withInheritedUrgency.put(id, jobs.get(id).withUrgency(urgency));
     }
     touched.accept(id);
   }
 
-  /** The one place where it changes how a job stands. */
-  private void stand(JobId id) {
+  /** The only method that changes a job's derived cancellation. */
+  private void deriveCancellation(JobId id) {
     JobRecord record = jobs.get(id);
     DependencyGraph.Cancellation with =
-        record.phase() == JobPhase.OPEN ? pipelines.cancelled(id) : null;
+        record.phase() == JobPhase.OPEN ? dependencyGraph.cancelled(id) : null;
     if (with != null) {
       open.remove(record);
-      cancelledWith.put(id, record.cancelledWith(with.since(), with.atMs()));
+      cancelledByDependency.put(id, record.cancelledByDependency(with.since(), with.atMs()));
       lookAround(id);
     } else {
-      if (cancelledWith.remove(id) != null) {
+      if (cancelledByDependency.remove(id) != null) {
         lookAround(id);
       }
       if (record.phase() == JobPhase.OPEN) {
@@ -243,13 +261,13 @@
   }
 
   private void lookAround(JobId id) {
-    List<JobId> around = new ArrayList<>(pipelines.unfinished(id));
+    List<JobId> around = new ArrayList<>(dependencyGraph.unfinished(id));
     around.add(id);
-    urgencies.look(around, this::standUrgent);
+    urgencies.look(around, this::deriveUrgency);
   }
 
-  /** What a job that is on record waits for, in the order of ids. */
-  Collection<JobId> unfinished(JobId id) {
-    return pipelines.unfinished(id);
+  /** The unfinished dependencies of a job, in the order of their ids. */
+  Collection<JobId> unfinishedDependencies(JobId id) {
+    return dependencyGraph.unfinished(id);
   }
 }
--- a/src/main/java/org/quincecross/state/JobRecord.java
+++ b/src/main/java/org/quincecross/state/JobRecord.java
@@ -16,18 +16,19 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * A job as the state service has it.
+ * The stored record of a job.
  *
- * @param job null once the job is done: only its end is still asked for
- * @param acceptedMs the time of day at which it was accepted; {@code cancelledMs}: at which it was
- *     cancelled, or 0
- * @param version while the job is open, also its place among the accepted jobs
- * @param endedMs the time of day at which the last task of a done job was, where others waited for
- *     it, else 0
- * @param parts the names of the records that have what the job waits on, where its own does not
- *     have it
- * @param others fields of the record that this build does not know, {@code jobOthers} those of the
- *     job's description: a record that is written anew has them as they were read
+ * @param job null once the job is done: only its phase is still needed
+ * @param acceptedMs the time of day of the acceptance
+ * @param cancelledMs the time of day of the cancellation, or 0
+ * @param endedMs the time of day at which the last task of a done job completed, if other jobs
+ *     depended on it, else 0
+ * @param version while the job is open, also its position in the order of acceptance
+ * @param dependencyParts the names of the records that contain the dependencies, if they are not
+ *     inline
+ * @param unknownFields fields of the record that this build does not know; they are kept when the
+ *     record is rewritten
+ * @param unknownJobFields the same for fields of the job's description
  */
 public record JobRecord(
     JobId id,
@@ -37,29 +38,29 @@
     long cancelledMs,
     long endedMs,
     Revision version,
-    List<String> parts,
-    Map<String, Object> others,
-    Map<String, Object> jobOthers) {
+    List<String> dependencyParts,
+    Map<String, Object> unknownFields,
+    Map<String, Object> unknownJobFields) {
   /**
-   * Where the description of an open job is that waits on others. A build that knows no pipelines
-   * finds an open job without a description here, so it cannot read the record, neither leads nor
-   * holds, and starts nothing too early (docs/design/pipelines.md).
+   * The field that holds the description of an open job with dependencies. A build without support
+   * for dependencies finds no description in such a record, cannot read it, and therefore neither
+   * leads nor owns shards nor starts anything too early (docs/design/pipelines.md).
    */
-  private static final String DEPENDENT = "dependent";
+  private static final String DEPENDENT_JOB_FIELD = "dependent";
 
-  /** In place of a name that is too long for a value, of a job that is over. */
-  private static final String SHORTENED = "-";
+  /** Replaces names of a terminated job that would make its record too large. */
+  private static final String SHORTENED_NAME = "-";
 
-  private static final Set<String> KNOWN =
+  private static final Set<String> KNOWN_FIELDS =
       Set.of(
           "phase",
           "at",
           "cancelled",
           "ended",
           "job",
-          DEPENDENT,
-          JobDependencies.IN_RECORD,
-          JobDependencies.IN_PARTS);
+          DEPENDENT_JOB_FIELD,
+          JobDependencies.INLINE_FIELD,
+          JobDependencies.PARTS_FIELD);
 
   static JobRecord read(JobId id, Object value, Revision version) throws MalformedMessageException {
     JsonFields in = JsonFields.of(value, "a job record");
@@ -67,24 +68,24 @@
         in.enumValue(
             "phase",
             Map.of("open", JobPhase.OPEN, "done", JobPhase.DONE, "cancelled", JobPhase.CANCELLED));
-    Job job = job(in);
+    Job job = readJob(in);
     if (phase == JobPhase.OPEN && job == null) {
       throw new MalformedMessageException("an open job without its description");
     }
-    return record(id, in, job, phase, version);
+    return readFields(id, in, job, phase, version);
   }
 
-  private static Job job(JsonFields in) throws MalformedMessageException {
+  private static Job readJob(JsonFields in) throws MalformedMessageException {
     if (in.has("job")) {
       return JobCodec.readRecord(in.fields("job"));
     }
-    return in.has(DEPENDENT)
-        ? JobCodec.readRecord(in.fields(DEPENDENT))
-            .withDependencies(JobDependencies.readInRecord(in))
+    return in.has(DEPENDENT_JOB_FIELD)
+        ? JobCodec.readRecord(in.fields(DEPENDENT_JOB_FIELD))
+            .withDependencies(JobDependencies.readInline(in))
         : null;
   }
 
-  private static JobRecord record(
+  private static JobRecord readFields(
       JobId id, JsonFields in, Job job, JobPhase phase, Revision version)
       throws MalformedMessageException {
     return new JobRecord(
@@ -95,40 +96,38 @@
         in.has("cancelled") ? in.unsigned("cancelled") : 0,
         in.has("ended") ? in.unsigned("ended") : 0,
         version,
-        in.has(JobDependencies.IN_PARTS)
-            ? List.copyOf(in.strings(JobDependencies.IN_PARTS))
+        in.has(JobDependencies.PARTS_FIELD)
+            ? List.copyOf(in.strings(JobDependencies.PARTS_FIELD))
             : List.of(),
-        in.unknownFields(KNOWN),
+        in.unknownFields(KNOWN_FIELDS),
         job == null
             ? Map.of()
-            : in.fields(in.has("job") ? "job" : DEPENDENT).unknownFields(JobCodec.FIELDS));
+            : in.fields(in.has("job") ? "job" : DEPENDENT_JOB_FIELD)
+                .unknownFields(JobCodec.FIELDS));
   }
 
-  /** Several jobs accepted in one change. */
-  public static Map<String, Object> bundle(List<Map<String, Object>> open) {
+  /** Writes several jobs that are accepted in one transaction. */
+  public static Map<String, Object> writeBundle(List<Map<String, Object>> open) {
     return Json.object("jobs", open);
   }
 
-  /** The jobs of a bundle, as they were when they were accepted. */
+  /** Reads the jobs of a bundle as they were when they were accepted. */
   static List<JobRecord> readBundle(Object value, Revision version)
       throws MalformedMessageException {
     List<JobRecord> records = new ArrayList<>();
     for (JsonFields in : JsonFields.of(value, "a bundle").objects("jobs")) {
-      Job job = job(in);
+      Job job = readJob(in);
       if (job == null) {
         throw new MalformedMessageException("a job in a bundle without its description");
       }
       in.unsigned("at");
-      records.add(record(job.id(), in, job, JobPhase.OPEN, version));
+      records.add(readFields(job.id(), in, job, JobPhase.OPEN, version));
     }
     return records;
   }
 
-  /**
-   * An accepted job. Of one that waits on many others, {@link JobDependencies#parts} have to be
-   * durable before.
-   */
-  public static Map<String, Object> open(Job job, long acceptedMs) {
+  /** Writes an accepted job. The {@link JobDependencies#parts} have to be durable first. */
+  public static Map<String, Object> writeOpen(Job job, long acceptedMs) {
     if (job.dependencies().isEmpty()) {
       return Json.object("phase", "open", "at", acceptedMs, "job", JobCodec.writeRecord(job));
     }
@@ -138,14 +137,14 @@
             "open",
             "at",
             acceptedMs,
-            DEPENDENT,
+            DEPENDENT_JOB_FIELD,
             JobCodec.writeRecord(job.withDependencies(Set.of())));
-    out.putAll(JobDependencies.inRecord(job.dependencies()));
+    out.putAll(JobDependencies.writeReferences(job.dependencies()));
     return out;
   }
 
-  /** This open job, known to wait on these. */
-  JobRecord waitingOn(Set<JobId> jobs) {
+  /** This open job with these dependencies. */
+  JobRecord withDependencies(Set<JobId> jobs) {
     return new JobRecord(
         id,
         job.withDependencies(jobs),
@@ -154,74 +153,83 @@
         cancelledMs,
         endedMs,
         version,
-        parts,
-        others,
-        jobOthers);
+        dependencyParts,
+        unknownFields,
+        unknownJobFields);
   }
 
-  /** This open job, as urgent as those that need it. */
-  JobRecord treatedAs(UrgencyPropagation.Urgency urgency) {
+  /** This open job with inherited urgency. */
+  JobRecord withUrgency(UrgencyPropagation.Urgency urgency) {
     TimeSpan deadline =
         urgency.endByMs() == UrgencyPropagation.NEVER
             ? null
             : TimeSpan.ofMillis(urgency.endByMs() - acceptedMs);
     return new JobRecord(
         id,
-        job.withUrgency(urgency.rank(), deadline),
+        job.withUrgency(urgency.priority(), deadline),
         phase,
         acceptedMs,
         cancelledMs,
         endedMs,
         version,
-        parts,
-        others,
-        jobOthers);
+        dependencyParts,
+        unknownFields,
+        unknownJobFields);
   }
 
-  /** This open job, cancelled because one that it waits on is. */
-  JobRecord cancelledWith(Revision since, long atMs) {
+  /** This open job, cancelled because of a dependency. */
+  JobRecord cancelledByDependency(Revision since, long atMs) {
     return new JobRecord(
-        id, job, JobPhase.CANCELLED, acceptedMs, atMs, 0, since, parts, others, jobOthers);
+        id,
+        job,
+        JobPhase.CANCELLED,
+        acceptedMs,
+        atMs,
+        0,
+        since,
+        dependencyParts,
+        unknownFields,
+        unknownJobFields);
   }
 
-  /** Nobody needs the description of a done job: its tasks are off their machines. */
-  public Map<String, Object> done() {
+  /** Writes a done job. Its description is omitted: all its tasks are off their machines. */
+  public Map<String, Object> writeDone() {
     Map<String, Object> out = Json.object("phase", "done");
-    out.putAll(others);
+    out.putAll(unknownFields);
     return out;
   }
 
-  /** The same where others wait for it: from then on they can run, and their times count. */
-  public Map<String, Object> done(long nowMs) {
-    Map<String, Object> out = done();
+  /** Writes a done job that others depend on: they become runnable at this time. */
+  public Map<String, Object> writeDone(long nowMs) {
+    Map<String, Object> out = writeDone();
     out.put("ended", nowMs);
     return out;
   }
 
   /**
-   * The record of a job that is cancelled as soon as it is accepted: but for an open one that waits
-   * on others none of it is larger.
+   * Writes a job that is cancelled as soon as it is accepted. Except for an open job with
+   * dependencies, no record of the job is larger.
    */
-  public static Map<String, Object> cancelled(Job job, long nowMs) {
+  public static Map<String, Object> writeCancelled(Job job, long nowMs) {
     return new JobRecord(
             job.id(), job, JobPhase.OPEN, nowMs, 0, 0, Revision.NONE, List.of(), Map.of(), Map.of())
-        .cancelled(nowMs);
+        .writeCancelled(nowMs);
   }
 
   /**
-   * The same in so many bytes, where values could be larger when the job was accepted: of its
-   * description what its tasks count by until they are gone. What it was to run on, and what this
-   * build does not know of it, no cancelled job needs.
+   * Writes a cancelled job in at most {@code mostBytes}, for jobs accepted when values could be
+   * larger. Of the description only what its running tasks are accounted by is kept; placement
+   * constraints and unknown fields are dropped.
    */
-  public Map<String, Object> cancelled(long nowMs, int mostBytes) {
-    Map<String, Object> all = cancelled(nowMs);
+  public Map<String, Object> writeCancelled(long nowMs, int mostBytes) {
+    Map<String, Object> all = writeCancelled(nowMs);
     if (Json.write(all).length <= mostBytes) {
       return all;
     }
     Job less =
         new Job(
             id,
-            SHORTENED,
+            SHORTENED_NAME,
             job.team(),
             job.kind(),
             job.priority(),
@@ -232,7 +240,7 @@
             job.singleZone(),
             job.spreadOverZones(),
             job.allowsSpot(),
-            SHORTENED,
+            SHORTENED_NAME,
             job.imageGb(),
             job.estimate(),
             job.checkpointInterval(),
@@ -250,17 +258,20 @@
             List.of(),
             Map.of(),
             Map.of())
-        .cancelled(nowMs);
+        .writeCancelled(nowMs);
   }
 
-  /** A cancelled job's tasks count until they are gone, so its description stays. */
-  public Map<String, Object> cancelled(long nowMs) {
-    // What it waited on is of no use any more, and might not fit.
+  /**
+   * Writes a cancelled job. Its tasks are accounted until they are gone, so the description is
+   * kept.
+   */
+  public Map<String, Object> writeCancelled(long nowMs) {
+    // Dependencies are irrelevant from now on and might not fit.
     Map<String, Object> description = JobCodec.writeRecord(job.withDependencies(Set.of()));
-    description.putAll(jobOthers);
+    description.putAll(unknownJobFields);
     Map<String, Object> out =
         Json.object("phase", "cancelled", "at", acceptedMs, "cancelled", nowMs, "job", description);
-    out.putAll(others);
+    out.putAll(unknownFields);
     return out;
   }
 }
--- a/src/main/java/org/quincecross/state/KeyValueStoreClient.java
+++ b/src/main/java/org/quincecross/state/KeyValueStoreClient.java
@@ -22,66 +22,68 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Speaks to the state service and keeps within this controller's share of its limits. What must not
- * wait (lease renewals, taking over) goes at once and is paid for by what follows.
+ * The client of the key-value store. It stays within this controller's share of the store's request
+ * and write limits. Urgent requests (lease renewals, failover) are sent at once and charged to
+ * later ones.
  */
 public final class KeyValueStoreClient {
   private static final Logger LOG = LoggerFactory.getLogger(KeyValueStoreClient.class);
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(2.5);
-  private static final TimeSpan WAIT_FOR_BUDGET = TimeSpan.ofMillis(20);
+  private static final TimeSpan BUDGET_TIMEOUT = TimeSpan.ofMillis(20);
 
   /**
-   * The controllers share the limits; all of them are seldom busy at once, so each may use more
-   * than its part.
+   * The controllers share the limits, but are seldom busy at the same time, so each may use more
+   * than a third.
    */
   private static final double REQUEST_SHARE = 0.45;
 
-  /** Nearly all changes are the leader's; the others only accept and cancel jobs. */
+  /** Almost all writes are the leader's; the other controllers only accept and cancel jobs. */
   private static final double LEADER_WRITE_SHARE = 0.8;
 
-  private static final double OTHERS_WRITE_SHARE = 0.4;
+  private static final double FOLLOWER_WRITE_SHARE = 0.4;
 
   private record Waiting(double writes, Runnable send) {}
 
   private final Timers timers;
   private final HttpCaller http;
-  private final Endpoint service;
+  private final Endpoint address;
   private final TokenBucket requests;
   private final double writesPerSecond;
   private TokenBucket writes;
   private boolean leading;
-  private final ArrayDeque<Waiting> waitingReads = new ArrayDeque<>();
-  private final ArrayDeque<Waiting> waitingTxns = new ArrayDeque<>();
+  private final ArrayDeque<Waiting> queuedReads = new ArrayDeque<>();
+  private final ArrayDeque<Waiting> queuedTransactions = new ArrayDeque<>();
   private boolean draining;
 
+  /** Creates a client of the store at an address. */
   public KeyValueStoreClient(
       Timers timers, HttpCaller http, Endpoint service, Settings.StoreLimits limits) {
     this.timers = timers;
     this.http = http;
-    this.service = service;
+    this.address = service;
     double perSecond = limits.requestsPerSecond() * REQUEST_SHARE;
     writesPerSecond = limits.writesPerSecond();
     requests = new TokenBucket(perSecond, perSecond * 0.5, timers.now());
     writes =
         new TokenBucket(
-            writesPerSecond * OTHERS_WRITE_SHARE,
-            writesPerSecond * OTHERS_WRITE_SHARE,
+            writesPerSecond * FOLLOWER_WRITE_SHARE,
+            writesPerSecond * FOLLOWER_WRITE_SHARE,
             timers.now());
   }
 
-  /** Says whether this controller leads, and so has most of the changes to make. */
-  public void lead(boolean now) {
+  /** Sets whether this controller leads and so gets most of the write limit. */
+  public void setLeading(boolean now) {
     if (leading != now) {
       leading = now;
-      double share = writesPerSecond * (now ? LEADER_WRITE_SHARE : OTHERS_WRITE_SHARE);
+      double share = writesPerSecond * (now ? LEADER_WRITE_SHARE : FOLLOWER_WRITE_SHARE);
       writes = new TokenBucket(share, share, timers.now());
       writes.drain(timers.now());
     }
   }
 
-  /** Sends a read that may wait for its turn. */
+  /** Sends a read once the request limit allows it. */
   void read(String path, TimeSpan timeout, Consumer<HttpOutcome> done) {
-    enqueue(waitingReads, 0, () -> send(HttpRequest.get(path), timeout, done));
+    enqueue(queuedReads, 0, () -> send(HttpRequest.get(path), timeout, done));
   }
 
   void readNow(String path, Consumer<HttpOutcome> done) {
@@ -89,7 +91,7 @@
     send(HttpRequest.get(path), TIMEOUT, done);
   }
 
-  void grant(TimeSpan ttl, Consumer<HttpOutcome> done) {
+  void grantLease(TimeSpan ttl, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
     send(
         HttpRequest.post(
@@ -98,58 +100,59 @@
         done);
   }
 
-  void renew(Incarnation lease, TimeSpan timeout, Consumer<HttpOutcome> done) {
+  void renewLease(Incarnation lease, TimeSpan timeout, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
     send(HttpRequest.post(KeyValueStoreCodec.renewPath(lease), new byte[0]), timeout, done);
   }
 
-  void end(Incarnation lease, Consumer<HttpOutcome> done) {
+  void revokeLease(Incarnation lease, Consumer<HttpOutcome> done) {
     requests.force(1, timers.now());
     send(HttpRequest.delete(KeyValueStoreCodec.leasePath(lease)), TIMEOUT, done);
   }
 
-  /** How many changes a transaction could make that goes out at once. */
-  public int changesAffordable() {
-    boolean busy = !waitingTxns.isEmpty() || requests.level(timers.now()) < 1;
+  /** The number of mutations that a transaction sent now could contain without waiting. */
+  public int affordableMutations() {
+    boolean busy = !queuedTransactions.isEmpty() || requests.level(timers.now()) < 1;
     return busy ? 0 : (int) Math.max(0, writes.level(timers.now()));
   }
 
-  /** Sends a transaction when its turn comes. */
-  public void txn(
+  /** Commits a transaction once the limits allow it. */
+  public void commit(
       List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
-    enqueue(waitingTxns, changes.size(), () -> sendTxn(guards, changes, done));
+    enqueue(queuedTransactions, changes.size(), () -> sendTransaction(guards, changes, done));
   }
 
-  /** Sends a transaction: at once where it is urgent, else when its turn comes. */
-  public void txn(
+  /** Commits a transaction: at once if it is urgent, otherwise once the limits allow it. */
+  public void commit(
       List<Precondition> guards,
       List<Mutation> changes,
       boolean urgent,
       Consumer<TransactionResult> done) {
     if (urgent) {
-      txnNow(guards, changes, done);
+      commitNow(guards, changes, done);
     } else {
-      txn(guards, changes, done);
+      commit(guards, changes, done);
     }
   }
 
-  /** Sends a transaction that must not wait. */
-  void txnNow(List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
+  /** Commits a transaction without waiting for the limits. */
+  void commitNow(
+      List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
     requests.force(1, timers.now());
     writes.force(changes.size(), timers.now());
-    sendTxn(guards, changes, done);
+    sendTransaction(guards, changes, done);
   }
 
-  private void sendTxn(
+  private void sendTransaction(
       List<Precondition> guards, List<Mutation> changes, Consumer<TransactionResult> done) {
     HttpRequest request =
         HttpRequest.post(
             KeyValueStoreCodec.TRANSACTION_PATH,
             KeyValueStoreCodec.writeTransaction(guards, changes));
-    send(request, TIMEOUT, outcome -> done.accept(readTxn(outcome)));
+    send(request, TIMEOUT, outcome -> done.accept(readResult(outcome)));
   }
 
-  private static TransactionResult readTxn(HttpOutcome outcome) {
+  private static TransactionResult readResult(HttpOutcome outcome) {
     try {
       return switch (outcome.status()) {
         case 200 ->
@@ -167,13 +170,14 @@
         case 400 -> {
           String why = new String(outcome.response().body(), StandardCharsets.UTF_8);
           LOG.info("transaction refused: {}", why);
-          // Taken for an ended lease, one that is too large was sent again, the same, for ever.
+          // A refusal for size must not be taken for an expired lease, or the same transaction is
+          // retried for ever.
           yield TransactionResult.of(
               why.contains(KeyValueStoreCodec.LEASE_EXPIRED)
-                  ? TransactionResult.Kind.NO_LEASE
+                  ? TransactionResult.Kind.LEASE_EXPIRED
                   : TransactionResult.Kind.TOO_LARGE);
         }
-        case 429 -> TransactionResult.of(TransactionResult.Kind.REFUSED);
+        case 429 -> TransactionResult.of(TransactionResult.Kind.THROTTLED);
         case 503 -> TransactionResult.of(TransactionResult.Kind.UNAVAILABLE);
         default ->
             TransactionResult.of(
@@ -188,7 +192,7 @@
 
   private void send(HttpRequest request, TimeSpan timeout, Consumer<HttpOutcome> done) {
     http.call(
-        service,
+        address,
         request,
         timeout,
         outcome -> {
@@ -206,13 +210,13 @@
   }
 
   private void drain() {
-    // Reads do not wait behind a transaction that is short of changes.
-    drain(waitingReads);
-    drain(waitingTxns);
-    if (!draining && !(waitingReads.isEmpty() && waitingTxns.isEmpty())) {
+    // Reads do not wait behind a transaction that waits for the write limit.
+    drain(queuedReads);
+    drain(queuedTransactions);
+    if (!draining && !(queuedReads.isEmpty() && queuedTransactions.isEmpty())) {
       draining = true;
       timers.after(
-          WAIT_FOR_BUDGET,
+          BUDGET_TIMEOUT,
           () -> {
             draining = false;
             drain();
