--- a/src/main/java/org/quincecross/state/Membership.java
+++ b/src/main/java/org/quincecross/state/Membership.java
@@ -2,12 +2,10 @@
 
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import org.quincecross.model.ControllerId;
 import org.quincecross.model.Incarnation;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.model.Resources;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
@@ -23,154 +21,130 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps this controller's lease and member record. A controller that starts ends the lease of its
- * former life at once, which proves to the others that that life is over.
+ * Maintains this controller's lease and member record. On start, the lease of the former
+ * incarnation is revoked at once, which proves to the other controllers that it has ended.
  */
 public final class Membership {
   private static final Logger LOG = LoggerFactory.getLogger(Membership.class);
-  private static final TimeSpan TTL = TimeSpan.ofSeconds(3);
-  private static final TimeSpan RENEW_EVERY = TimeSpan.ofMillis(900);
+  private static final TimeSpan LEASE_DURATION = TimeSpan.ofSeconds(3);
+  private static final TimeSpan RENEW_INTERVAL = TimeSpan.ofMillis(900);
   private static final TimeSpan RENEW_TIMEOUT = TimeSpan.ofSeconds(1);
-  private static final TimeSpan RETRY = TimeSpan.ofMillis(300);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.ofMillis(300);
 
-  /** One that cannot read the records looks again so often: they or the level may have changed. */
-  private static final TimeSpan LOOK_AGAIN = TimeSpan.ofSeconds(5);
+  /** How often an incompatible controller checks again whether records or level have changed. */
+  private static final TimeSpan RECHECK_INTERVAL = TimeSpan.ofSeconds(5);
 
   /** The states of membership. */
   public enum State {
-    ENDING_FORMER_LIFE,
+    REVOKING_FORMER_LEASE,
     ASKING_FOR_LEASE,
-    /**
-     * The member record is written, on condition that the level in force is one that this build can
-     * do.
-     */
+    /** The member record is being written, provided that this build supports the level in force. */
     ANNOUNCING,
     LIVE,
-    /** The level in force has changed since it was last known here. */
+    /** The level in force has changed since this controller last read it. */
     READING_LEVEL,
     /**
-     * This build cannot do the level in force, or cannot read a record: it is no member, holds
-     * nothing, and looks again.
+     * This build does not support the level in force or cannot read a record: the controller is no
+     * member, owns no shards, and checks again periodically.
      */
-    UNABLE
+    INCOMPATIBLE
   }
 
   private final Timers timers;
-  private final KeyValueStoreClient client;
+  private final KeyValueStoreClient store;
   private final ControllerId member;
   private final String zone;
   private final Build build;
-  private final AnnouncedLimits terms;
+  private final AnnouncedLimits announcedLimits;
   private FeatureLevelRecord level = FeatureLevelRecord.NONE;
-  private String unable = "";
+  private String incompatibility = "";
   private int planned;
   private BooleanSupplier unreadable = () -> false;
-  private State state = State.ENDING_FORMER_LIFE;
-  private Incarnation life = Incarnation.NONE;
+  private State state = State.REVOKING_FORMER_LEASE;
+  private Incarnation incarnation = Incarnation.NONE;
 
-  /** When the present life's lease was granted here; it runs from a moment before. */
-  private MonotonicTime granted;
+  /** When the lease of the present incarnation was granted; it runs from a moment earlier. */
+  private MonotonicTime leaseGrantedAt;
 
   private Revision announced = Revision.NONE;
 
-  /** Whether the record goes without what it says of the settings: with that it is too large. */
-  private boolean brief;
+  /** Whether the member record omits the limits, because it would be too large with them. */
+  private boolean omitsLimits;
 
   /**
-   * @param build what this controller can read and write
-   * @param terms what it has been told that has to be the same on all
-   * @param mostBytes of the member's record
+   * Creates a membership that has not started.
+   *
+   * @param build the feature levels that this build supports
+   * @param announcedLimits the parts of the settings that have to be equal on all controllers
+   * @param mostBytes the maximum size of the member record
    */
   public Membership(
       Timers timers,
-      KeyValueStoreClient client,
+      KeyValueStoreClient store,
       ControllerId member,
       String zone,
       Build build,
-      AnnouncedLimits terms,
+      AnnouncedLimits announcedLimits,
       int mostBytes) {
     this.timers = timers;
-    this.client = client;
+    this.store = store;
     this.member = member;
     this.zone = zone;
     this.build = build;
-    this.terms = terms;
+    this.announcedLimits = announcedLimits;
     if (Json.write(record()).length > mostBytes) {
-      beBrief();
+      omitLimits();
     }
   }
 
   /**
-   * The record that names this controller goes without what it says of its settings, which says too
-   * little but can be written.
+   * Omits the settings from the record that names this controller, because it would be too large
+   * with them.
    */
-  public void beBrief() {
-    if (!brief) {
-      LOG.warn(
-          "the record of member {} would be too large: it says nothing of its settings", member);
-      brief = true;
+  public void omitLimits() {
+    if (!omitsLimits) {
+      LOG.warn("the record of member {} would be too large: it omits the limits", member);
+      omitsLimits = true;
     }
   }
 
+  /** The present state. */
   public State state() {
     return state;
   }
 
+  /** Whether this controller is a live member. */
   public boolean isLive() {
     return state == State.LIVE;
   }
 
-  /** The present life, {@link Incarnation#NONE} before the first. */
+  /** The present incarnation, {@link Incarnation#NONE} before the first. */
   public Incarnation life() {
-    return life;
+    return incarnation;
   }
 
-  /** The record that names this controller, as a member or as the leader. */
+  /** The record that names this controller as a member or as the leader. */
   public Map<String, Object> record() {
-    Map<String, Object> record =
-        Json.object("member", member.text(), "life", life.value(), "zone", zone);
-    if (!build.equals(Build.BEFORE_LEVELS)) {
-      record.put("build", build.name());
-      record.put("least", build.least().number());
-      record.put("most", build.most().number());
-      if (!brief) {
-        record.put("marks", terms.marks());
-        Map<String, Object> limits = new TreeMap<>();
-        terms.limits().forEach((team, limit) -> limits.put(team, finite(limit)));
-        record.put("limits", limits);
-      }
-    }
-    return record;
+    return new ControllerRecord(member, incarnation, zone, build, announcedLimits, Revision.NONE)
+        .write(!omitsLimits);
   }
 
-  /** Of a limit what is one: JSON has no word for infinity. */
-  private static Map<String, Object> finite(Resources limit) {
-    Map<String, Object> out = new TreeMap<>();
-    Map.of("cpus", limit.cpus(), "gpus", limit.gpus(), "memory_gb", limit.memoryGb())
-        .forEach(
-            (name, amount) -> {
-              if (!amount.isInfinite()) {
-                out.put(name, amount);
-              }
-            });
-    return out;
-  }
-
-  /** What this controller can read and write. */
+  /** The feature levels that this build supports. */
   public Build build() {
     return build;
   }
 
-  /** Why this controller cannot take part; empty where it can. */
-  public String unable() {
-    return state == State.UNABLE ? unable : "";
+  /** Why this controller cannot take part; empty if it can. */
+  public String incompatibility() {
+    return state == State.INCOMPATIBLE ? incompatibility : "";
   }
 
+  /** Starts by revoking the lease of the former incarnation. */
   public void start() {
     step();
   }
 
-  /** The one place where membership changes its state. */
+  /** The only method that changes the state. */
   private void enter(State next) {
     state = next;
   }
@@ -180,7 +154,7 @@
     step();
   }
 
-  /** The next step; one that was planned before is not made. */
+  /** Schedules the next step; a step that was scheduled before is dropped. */
   private void stepAfter(TimeSpan span) {
     int mine = ++planned;
     timers.after(
@@ -192,36 +166,37 @@
         });
   }
 
-  private void again() {
-    stepAfter(RETRY);
+  private void retry() {
+    stepAfter(RETRY_DELAY);
   }
 
   private void step() {
     switch (state) {
-      case ENDING_FORMER_LIFE ->
-          client.readNow(KeyValueStoreCodec.keyPath(StoreKeys.member(member)), this::endFormer);
-      case ASKING_FOR_LEASE -> client.grant(TTL, this::granted);
-      // An older build that joins while the level rises either makes the switch fail, by this
-      // record, or fails itself.
+      case REVOKING_FORMER_LEASE ->
+          store.readNow(
+              KeyValueStoreCodec.keyPath(StoreKeys.member(member)), this::formerLeaseRevoked);
+      case ASKING_FOR_LEASE -> store.grantLease(LEASE_DURATION, this::leaseGranted);
+      // An older build that joins while the level is raised either fails the raise by this record,
+      // or fails itself.
       case ANNOUNCING ->
-          client.txnNow(
+          store.commitNow(
               List.of(new Precondition(StoreKeys.LEVEL, level.version())),
-              List.of(new Mutation(StoreKeys.member(member), record(), life)),
+              List.of(new Mutation(StoreKeys.member(member), record(), incarnation)),
               this::announced);
-      case READING_LEVEL, UNABLE ->
-          client.readNow(KeyValueStoreCodec.keyPath(StoreKeys.LEVEL), this::levelRead);
-      case LIVE -> client.renew(life, RENEW_TIMEOUT, this::renewed);
+      case READING_LEVEL, INCOMPATIBLE ->
+          store.readNow(KeyValueStoreCodec.keyPath(StoreKeys.LEVEL), this::levelRead);
+      case LIVE -> store.renewLease(incarnation, RENEW_TIMEOUT, this::renewed);
       default -> throw new IllegalStateException(state.toString());
     }
   }
 
-  private void endFormer(HttpOutcome outcome) {
+  private void formerLeaseRevoked(HttpOutcome outcome) {
     if (outcome.status() == 404) {
       stepTo(State.ASKING_FOR_LEASE);
       return;
     }
     if (outcome.status() != 200) {
-      again();
+      retry();
       return;
     }
     try {
@@ -230,69 +205,70 @@
         stepTo(State.ASKING_FOR_LEASE);
         return;
       }
-      client.end(
+      store.revokeLease(
           KeyValueStoreCodec.readLeaseGrant(in),
           ended -> {
             if (ended.status() == 200 || ended.status() == 204 || ended.status() == 404) {
               stepTo(State.ASKING_FOR_LEASE);
             } else {
-              again();
+              retry();
             }
           });
     } catch (MalformedMessageException e) {
-      again();
+      retry();
     }
   }
 
-  private void granted(HttpOutcome outcome) {
+  private void leaseGranted(HttpOutcome outcome) {
     try {
       if (outcome.status() == 200 || outcome.status() == 201) {
-        life = KeyValueStoreCodec.readLeaseGrant(Json.parseFields(outcome.response().body()));
-        granted = timers.now();
+        incarnation =
+            KeyValueStoreCodec.readLeaseGrant(Json.parseFields(outcome.response().body()));
+        leaseGrantedAt = timers.now();
         stepTo(State.ANNOUNCING);
         return;
       }
     } catch (MalformedMessageException e) {
-      LOG.info("unreadable lease: {}", e.getMessage());
+      LOG.info("lease response cannot be read: {}", e.getMessage());
     }
-    again();
+    retry();
   }
 
-  private void announced(TransactionResult outcome) {
+  private void announced(TransactionResult result) {
     if (state != State.ANNOUNCING) {
-      return; // the record itself has told meanwhile
+      return; // the member record has been observed meanwhile
     }
-    switch (outcome.kind()) {
+    switch (result.kind()) {
       case COMMITTED -> {
-        live(outcome.revision());
-        stepAfter(RENEW_EVERY);
+        becomeLive(result.revision());
+        stepAfter(RENEW_INTERVAL);
       }
-      case NO_LEASE -> stepTo(State.ASKING_FOR_LEASE);
+      case LEASE_EXPIRED -> stepTo(State.ASKING_FOR_LEASE);
       case TOO_LARGE -> {
-        beBrief();
+        omitLimits();
         enter(State.ASKING_FOR_LEASE);
-        again();
+        retry();
       }
       case CONFLICT -> stepTo(State.READING_LEVEL);
-      default -> again(); // the record is the same however often it is written
+      default -> retry(); // rewriting the same record is harmless
     }
   }
 
-  private void live(Revision since) {
-    LOG.info("member {} lives, life {}", member, life);
+  private void becomeLive(Revision since) {
+    LOG.info("member {} is live, incarnation {}", member, incarnation);
     announced = since;
     enter(State.LIVE);
   }
 
   private void renewed(HttpOutcome outcome) {
     if (state != State.LIVE) {
-      return; // found unable meanwhile
+      return; // became incompatible meanwhile
     }
     if (outcome.status() == 404) {
-      LOG.info("life {} is over: its lease has run out", life);
+      LOG.info("incarnation {} has ended: its lease has expired", incarnation);
       stepTo(State.ASKING_FOR_LEASE);
     } else {
-      stepAfter(outcome.status() == 200 ? RENEW_EVERY : RETRY);
+      stepAfter(outcome.status() == 200 ? RENEW_INTERVAL : RETRY_DELAY);
     }
   }
 
@@ -304,24 +280,24 @@
       } else if (outcome.status() == 404) {
         level = FeatureLevelRecord.NONE;
       } else {
-        again();
+        retry();
         return;
       }
     } catch (MalformedMessageException e) {
-      becomeUnable("the level on record cannot be read: " + e.getMessage());
+      becomeIncompatible("the level on record cannot be read: " + e.getMessage());
       return;
     }
     if (!build.can(level.level())) {
-      becomeUnable(tooOld());
+      becomeIncompatible(unsupportedLevel());
     } else if (unreadable.getAsBoolean()) {
-      becomeUnable(unable.isEmpty() ? "a record cannot be read" : unable);
+      becomeIncompatible(incompatibility.isEmpty() ? "a record cannot be read" : incompatibility);
     } else {
-      // A lease that was granted a while ago may have run out meanwhile: announcing finds that out.
-      stepTo(state == State.UNABLE ? State.ENDING_FORMER_LIFE : State.ANNOUNCING);
+      // A lease granted some time ago may have expired: announcing detects that.
+      stepTo(state == State.INCOMPATIBLE ? State.REVOKING_FORMER_LEASE : State.ANNOUNCING);
     }
   }
 
-  private String tooOld() {
+  private String unsupportedLevel() {
     return "level "
         + level.level()
         + " is in force, and this build ("
@@ -332,66 +308,67 @@
         + build.most();
   }
 
-  /**
-   * Takes no part from here on: what this controller leads and holds is taken over as if it had
-   * ended.
-   */
-  private void becomeUnable(String why) {
-    if (!unable.equals(why) || state != State.UNABLE) {
+  /** Stops taking part: leadership and shards fail over as if this controller had ended. */
+  private void becomeIncompatible(String why) {
+    if (!incompatibility.equals(why) || state != State.INCOMPATIBLE) {
       LOG.error("cannot take part: {}", why);
     }
     boolean wasLive = state == State.LIVE;
-    unable = why;
-    enter(State.UNABLE);
+    incompatibility = why;
+    enter(State.INCOMPATIBLE);
     if (wasLive) {
-      client.end(life, ended -> {});
+      store.revokeLease(incarnation, ended -> {});
     }
-    stepAfter(LOOK_AGAIN);
+    stepAfter(RECHECK_INTERVAL);
   }
 
   /**
-   * Follows the records: a live member that cannot read them, or not do the level in force, is none
-   * any more.
+   * Follows the records: a live member that finds an unreadable record or an unsupported level is a
+   * member no longer.
    */
-  public void ledgerChanged(ClusterStateCache ledger) {
-    unreadable = () -> !ledger.unreadable().isEmpty();
-    if (state == State.ANNOUNCING && isOnRecord(ledger)) {
-      // Announced, and the answer lost or still to come: others lease blocks to this life already,
-      // and its lease would run out
-      // while the answer is waited for (docs/incidents/announced-and-not-told.md).
+  public void ledgerChanged(ClusterStateCache cache) {
+    unreadable = () -> !cache.unreadable().isEmpty();
+    if (state == State.ANNOUNCING && isOnRecord(cache)) {
+      // The announcement was applied, but its response is lost or late: others already lease shards
+      // to this incarnation, and its lease would expire while the response is awaited
+      // (docs/incidents/announced-and-not-told.md).
       planned++;
-      live(ledger.version(StoreKeys.member(member)));
+      becomeLive(cache.version(StoreKeys.member(member)));
       stepAfter(
-          timers.now().since(granted).isLongerThan(RENEW_EVERY) ? TimeSpan.ZERO : RENEW_EVERY);
+          timers.now().since(leaseGrantedAt).isLongerThan(RENEW_INTERVAL)
+              ? TimeSpan.ZERO
+              : RENEW_INTERVAL);
     }
     if (state != State.LIVE) {
       return;
     }
-    level = ledger.level();
+    level = cache.level();
     if (!build.can(level.level())) {
-      becomeUnable(tooOld());
-    } else if (!ledger.unreadable().isEmpty()) {
-      Map.Entry<String, String> first = ledger.unreadable().entrySet().iterator().next();
-      becomeUnable("record " + first.getKey() + " cannot be read: " + first.getValue());
-    } else if (!announced.isAfter(ledger.revision()) && !isOnRecord(ledger)) {
-      // A former life's announcement, held back in the network until after this one's, takes its
-      // place and goes with the
-      // former lease: this life would go on, renewed and even leading, as a member that nobody
-      // knows.
-      LOG.info("life {} of member {} is not on record any more: announced again", life, member);
+      becomeIncompatible(unsupportedLevel());
+    } else if (!cache.unreadable().isEmpty()) {
+      Map.Entry<String, String> first = cache.unreadable().entrySet().iterator().next();
+      becomeIncompatible("record " + first.getKey() + " cannot be read: " + first.getValue());
+    } else if (!announced.isAfter(cache.revision()) && !isOnRecord(cache)) {
+      // A delayed announcement of a former incarnation has replaced this one's record and is
+      // deleted with the former lease: this incarnation would go on, even lead, as a member that
+      // nobody knows.
+      LOG.info(
+          "the record of incarnation {} of member {} was replaced: announcing again",
+          incarnation,
+          member);
       planned++;
       stepTo(State.ANNOUNCING);
     }
   }
 
-  private boolean isOnRecord(ClusterStateCache ledger) {
-    ControllerRecord record = ledger.members().get(member);
-    return record != null && record.life().equals(life);
+  private boolean isOnRecord(ClusterStateCache cache) {
+    ControllerRecord record = cache.members().get(member);
+    return record != null && record.incarnation().equals(incarnation);
   }
 
-  /** A condition that this life is not over. */
-  public Precondition alive(ClusterStateCache ledger) {
-    Revision version = ledger.version(StoreKeys.member(member));
+  /** A precondition that this incarnation is still a member. */
+  public Precondition aliveCondition(ClusterStateCache cache) {
+    Revision version = cache.version(StoreKeys.member(member));
     return new Precondition(StoreKeys.member(member), version);
   }
 }
--- a/src/main/java/org/quincecross/state/ModelIndex.java
+++ b/src/main/java/org/quincecross/state/ModelIndex.java
@@ -16,38 +16,36 @@
 import org.quincecross.replicated.RecordId;
 import org.quincecross.replicated.StartBlock;
 
-/**
- * The models as the ledger has them, by their jobs: which replicas are kept back, and where the
- * others may start.
- */
+/** The models by their jobs: which replicas may not start, and on which machines the others may. */
 public final class ModelIndex implements StartBlock {
   private record Kept(Model model, TaskSet tasks) {}
 
-  private final ReplicatedRecordIndex<Model, ModelCommand> book;
+  private final ReplicatedRecordIndex<Model, ModelCommand> index;
   private final Map<JobId, String> names = new HashMap<>();
   private final Map<String, JobId> jobs = new HashMap<>();
   private final Map<JobId, Kept> kept = new HashMap<>();
 
-  public ModelIndex(ClusterStateCache ledger) {
-    this.book = ledger.agreed().add(new ModelKind());
+  /** Creates an index and registers the kind of model records. */
+  public ModelIndex(ClusterStateCache cache) {
+    this.index = cache.replicatedRecords().add(new ModelKind());
   }
 
+  /** The records of all models. */
   public ReplicatedRecordIndex<Model, ModelCommand> book() {
-    return book;
+    return index;
   }
 
   /**
-   * Follows the records; {@code changed} is told of the jobs of which other replicas are kept back
-   * than before.
+   * Follows the records; {@code changed} is notified of jobs whose set of blocked replicas changed.
    */
   public void ledgerChanged(ClusterStateCache.Changes changes, Consumer<Set<JobId>> changed) {
     Set<JobId> touched = new HashSet<>();
     if (changes.reloaded()) {
-      Set<String> all = new HashSet<>(book.all().keySet());
+      Set<String> all = new HashSet<>(index.all().keySet());
       all.addAll(jobs.keySet());
       all.forEach(id -> take(id, touched));
     } else {
-      for (RecordId record : changes.agreed()) {
+      for (RecordId record : changes.replicatedRecords()) {
         if (record.kind().equals(ModelKind.NAME)) {
           take(record.id(), touched);
         }
@@ -59,7 +57,7 @@
   }
 
   private void take(String id, Set<JobId> touched) {
-    Model model = book.state(id);
+    Model model = index.state(id);
     JobId before = model.isDefined() ? jobs.put(id, model.job()) : jobs.remove(id);
     if (before != null) {
       touched.add(before);
@@ -71,19 +69,20 @@
     }
   }
 
-  /** The model that a job is, or null. */
+  /** The name of the model that a job serves, or null. */
   public String nameOf(JobId job) {
     return names.get(job);
   }
 
-  /** The record of the model that a job is, or null. */
+  /** The model that a job serves, or null. */
   public Model of(JobId job) {
     String name = names.get(job);
-    return name == null ? null : book.state(name);
+    return name == null ? null : index.state(name);
   }
 
   @Override
-  // A model that was read anew is another instance, and cheaper to tell apart than by its fields.
+  // A model that was read again is a new instance; comparing instances is cheaper than comparing
+  // fields.
   @SuppressWarnings("ReferenceEquality")
   public TaskSet of(Job job) {
     Model model = of(job.id());
@@ -115,8 +114,8 @@
   }
 
   /**
-   * The machines that a task may start on; null where its job is no model. A gang may use those of
-   * all its tasks.
+   * The machines that a task may start on; null if its job serves no model. A gang may use the
+   * machines of all its tasks.
    */
   public Set<MachineId> places(Job job, int index) {
     Model model = of(job.id());
--- a/src/main/java/org/quincecross/state/OversizedRecords.java
+++ b/src/main/java/org/quincecross/state/OversizedRecords.java
@@ -7,43 +7,45 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.protocol.Json;
 
-/** Finds what was written when values could be larger, and could not be written anew as it is. */
+/**
+ * Finds records that were written when values could be larger, and that could not be rewritten as
+ * they are.
+ */
 public final class OversizedRecords {
   private OversizedRecords() {}
 
   /**
-   * By key, in bytes, the records of blocks and of their tasks that are larger than a value may be;
-   * of the tasks those that are not over. Pages and bundles are not among them: jobs move on from a
-   * page, and a bundle is only ever deleted.
+   * The oversized records of shards and of non-terminated jobs, by key with their size in bytes.
+   * Pages and bundles are not included: jobs move on from pages, and bundles are only deleted.
    *
-   * @param mostBytes of a value
+   * @param mostBytes the maximum size of a value
    */
-  public static Map<String, Integer> of(ClusterStateCache ledger, int mostBytes) {
+  public static Map<String, Integer> of(ClusterStateCache cache, int mostBytes) {
     Map<String, Integer> large = new TreeMap<>();
-    ledger
-        .blocks()
+    cache
+        .shards()
         .forEach(
             (id, block) -> {
-              note(large, StoreKeys.block(id), block.write(), mostBytes);
+              addIfOversized(large, StoreKeys.shard(id), block.write(), mostBytes);
               Map<JobId, TaskSet> open = new TreeMap<>();
-              ledger
+              cache
                   .allocation(id)
                   .tasks()
                   .forEach(
                       (job, tasks) -> {
-                        JobRecord record = ledger.job(job);
+                        JobRecord record = cache.job(job);
                         if (record != null && record.phase() != JobPhase.DONE) {
                           TaskSet left = tasks.copy();
-                          left.removeAll(ledger.doneTasks(job));
+                          left.removeAll(cache.completedTasks(job));
                           open.put(job, left);
                         }
                       });
-              note(large, StoreKeys.allocation(id), Allocation.write(open), mostBytes);
+              addIfOversized(large, StoreKeys.allocation(id), Allocation.write(open), mostBytes);
             });
     return large;
   }
 
-  private static void note(
+  private static void addIfOversized(
       Map<String, Integer> large, String key, Map<String, Object> value, int mostBytes) {
     int bytes = Json.write(value).length;
     if (bytes > mostBytes) {
--- a/src/main/java/org/quincecross/state/QuotaRecord.java
+++ b/src/main/java/org/quincecross/state/QuotaRecord.java
@@ -14,13 +14,12 @@
 import org.quincecross.quota.NodeSpec;
 
 /**
- * A tree of quotas as the state service keeps it and the administration API takes it: a list of
- * nodes, each by its path and after its parent. A list by paths cannot be cyclic, needs no nesting
- * of JSON, and every error has a path to name.
+ * The stored and the API form of a quota tree: a list of nodes, each named by its path and listed
+ * after its parent. A list of paths cannot be cyclic, needs no nested JSON, and gives every error a
+ * path to name.
  *
- * <p>Left out, a guarantee is nothing, a limit and what may be borrowed are without bound, weight
- * and lend are 1. Whether the tree holds together is for {@link org.quincecross.quota.QuotaTree} to
- * say.
+ * <p>Defaults: no guarantee, no limit, unlimited borrowing, weight 1 and lending 1. Whether the
+ * tree is consistent is checked by {@link org.quincecross.quota.QuotaTree}.
  */
 public final class QuotaRecord {
   private static final Map<String, NodeSpec.Kind> KINDS =
@@ -43,6 +42,7 @@
 
   private QuotaRecord() {}
 
+  /** Writes a quota tree, given its root nodes. */
   public static Map<String, Object> write(List<NodeSpec> top) {
     List<Object> nodes = new ArrayList<>();
     write(NodePath.ROOT, top, nodes);
@@ -94,10 +94,9 @@
   }
 
   /**
-   * Reads the nodes at the top, each with what is below it.
+   * Reads the root nodes, each with its children.
    *
-   * @throws MalformedMessageException one line that names the node and what is wrong with how it is
-   *     written
+   * @throws MalformedMessageException with one line that names the node and the error
    */
   public static List<NodeSpec> read(Object value) throws MalformedMessageException {
     List<NodeSpec> top = new ArrayList<>();
--- a/src/main/java/org/quincecross/state/ReplicatedRecordIndex.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndex.java
@@ -13,22 +13,23 @@
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.ReplicatedRecord;
 
-/** The records of one kind as the ledger has them. */
+/** The replicated records of one kind. */
 public final class ReplicatedRecordIndex<S, C> {
-  /** A record. */
-  public record Held<S>(ReplicatedRecord<S> kept, Revision version) {
+  /** A record with its version. */
+  public record Held<S>(ReplicatedRecord<S> record, Revision version) {
+    /** The state of the record. */
     public S state() {
-      return kept.state();
+      return record.state();
     }
   }
 
   private final RecordKind<S, C> kind;
-  private final Map<String, Held<S>> held = new TreeMap<>();
+  private final Map<String, Held<S>> records = new TreeMap<>();
   private final Map<String, String> unreadable = new TreeMap<>();
 
   /**
-   * The pages of the trail, each with the latest revision on it: what is on them is read when it is
-   * asked for.
+   * The pages of the audit trail with the latest revision on each; their content is read from the
+   * store when it is needed.
    */
   private final TreeMap<Integer, Revision> pages = new TreeMap<>();
 
@@ -38,37 +39,38 @@
     this.kind = kind;
   }
 
+  /** The kind of these records. */
   public RecordKind<S, C> kind() {
     return kind;
   }
 
-  /** A record, or null where there is none. */
+  /** A record, or null if there is none. */
   public Held<S> get(String id) {
-    return held.get(id);
+    return records.get(id);
   }
 
-  /** The state of a record; the initial one where there is none. */
+  /** The state of a record; the initial state if there is none. */
   public S state(String id) {
-    Held<S> record = held.get(id);
+    Held<S> record = records.get(id);
     return record == null ? kind.initial() : record.state();
   }
 
-  /** All records that can be read, by their names. */
+  /** All readable records by id. */
   public Map<String, Held<S>> all() {
-    return Collections.unmodifiableMap(held);
+    return Collections.unmodifiableMap(records);
   }
 
-  /** The records that cannot be read, each with the reason. */
+  /** The unreadable records with the reasons. */
   public Map<String, String> unreadable() {
     return Collections.unmodifiableMap(unreadable);
   }
 
-  /** The numbers of the trail's pages, each with the latest revision of its lines. */
+  /** The numbers of the audit trail's pages with the latest revision on each. */
   public Map<Integer, Revision> pages() {
     return Collections.unmodifiableMap(pages);
   }
 
-  /** The number of the page that is being filled; 0 where there is none yet. */
+  /** The number of the page that is being filled; 0 before the first. */
   public int lastPageNumber() {
     return pages.isEmpty() ? 0 : pages.lastKey();
   }
@@ -78,26 +80,28 @@
     return lastPage;
   }
 
+  /** The key of a record. */
   public String key(String id) {
-    return StoreKeys.agreed(new RecordId(kind.name(), id));
+    return StoreKeys.replicatedRecord(new RecordId(kind.name(), id));
   }
 
+  /** The key of a page of the audit trail. */
   public String pageKey(int page) {
-    return StoreKeys.agreedPage(kind.name(), page);
+    return StoreKeys.auditPage(kind.name(), page);
   }
 
   void put(String id, Object value, Revision version) throws MalformedMessageException {
     if (value == null) {
-      held.remove(id);
+      records.remove(id);
       unreadable.remove(id);
       return;
     }
     try {
-      held.put(id, new Held<>(ReplicatedRecord.read(kind, value), version));
+      records.put(id, new Held<>(ReplicatedRecord.read(kind, value), version));
       unreadable.remove(id);
     } catch (MalformedRecordException e) {
-      // What it was before is not what it is now.
-      held.remove(id);
+      // The former state must not pass for the present one.
+      records.remove(id);
       unreadable.put(id, e.getMessage());
       throw new MalformedMessageException(e.getMessage());
     }
@@ -120,7 +124,7 @@
     }
   }
 
-  /** What a value of a page says. */
+  /** The entries of a page. */
   static List<AuditEntry> lines(Object value) throws MalformedMessageException {
     try {
       return AuditPage.read(value).lines();
--- a/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
@@ -9,80 +9,80 @@
 import org.quincecross.replicated.RecordKind;
 
 /**
- * The agreed records in the ledger. A kind that this controller does not know is left alone, unless
- * its records keep tasks from running: who cannot read such a record cannot know what must not run,
- * and takes no part.
+ * The indexes of all kinds of replicated records. Records of unknown kinds are ignored unless they
+ * block tasks from starting: a controller that cannot read those takes no part.
  */
 public final class ReplicatedRecordIndexes {
-  private final Map<String, ReplicatedRecordIndex<?, ?>> books = new LinkedHashMap<>();
+  private final Map<String, ReplicatedRecordIndex<?, ?>> indexes = new LinkedHashMap<>();
 
-  /** Has the records of a kind read; before the first of them is. */
+  /** Registers a kind, before the first of its records is read. */
   public <S, C> ReplicatedRecordIndex<S, C> add(RecordKind<S, C> kind) {
-    ReplicatedRecordIndex<S, C> book = new ReplicatedRecordIndex<>(kind);
-    if (books.put(kind.name(), book) != null) {
+    ReplicatedRecordIndex<S, C> index = new ReplicatedRecordIndex<>(kind);
+    if (indexes.put(kind.name(), index) != null) {
       throw new IllegalArgumentException("two kinds named " + kind.name());
     }
-    return book;
+    return index;
   }
 
-  /** The records of a kind, or null where it is not known. */
-  public ReplicatedRecordIndex<?, ?> book(String kind) {
-    return books.get(kind);
+  /** The index of a kind, or null if the kind is unknown. */
+  public ReplicatedRecordIndex<?, ?> index(String kind) {
+    return indexes.get(kind);
   }
 
-  public Collection<ReplicatedRecordIndex<?, ?>> books() {
-    return books.values();
+  /** The indexes of all kinds. */
+  public Collection<ReplicatedRecordIndex<?, ?>> indexes() {
+    return indexes.values();
   }
 
-  /** How many records there are of all known kinds. */
+  /** The number of records of all known kinds. */
   public int count() {
     int sum = 0;
-    for (ReplicatedRecordIndex<?, ?> book : books.values()) {
-      sum += book.all().size();
+    for (ReplicatedRecordIndex<?, ?> index : indexes.values()) {
+      sum += index.all().size();
     }
     return sum;
   }
 
-  /** Takes a record; the id of it, or null where it is none but the fence or a page of a trail. */
+  /** Applies a record; returns its id, or null for the fence and for pages of an audit trail. */
   RecordId put(String key, Object value, Revision version) throws MalformedMessageException {
-    String name = key.substring(StoreKeys.AGREED.length());
+    String name = key.substring(StoreKeys.REPLICATED.length());
     int slash = name.indexOf('/');
     if (slash < 0) {
-      return null; // the fence: its version says all
+      return null; // the fence carries no data besides its version
     }
-    ReplicatedRecordIndex<?, ?> book = books.get(name.substring(0, slash));
+    ReplicatedRecordIndex<?, ?> index = indexes.get(name.substring(0, slash));
     String id = name.substring(slash + 1);
-    if (book == null) {
+    if (index == null) {
       if (value instanceof Map<?, ?> map && Boolean.TRUE.equals(map.get("must"))) {
         throw new MalformedMessageException(
             "a record of a kind that this build does not know, and that keeps tasks from running");
       }
       return null;
     }
-    if (id.startsWith(StoreKeys.AGREED_PAGE)) {
-      book.putPage(page(id), value);
+    if (id.startsWith(StoreKeys.AUDIT_PAGE_PREFIX)) {
+      index.putPage(page(id), value);
       return null;
     }
-    book.put(id, value, version);
-    return new RecordId(book.kind().name(), id);
+    index.put(id, value, version);
+    return new RecordId(index.kind().name(), id);
   }
 
   private static int page(String id) throws MalformedMessageException {
     try {
-      return Integer.parseInt(id.substring(StoreKeys.AGREED_PAGE.length()));
+      return Integer.parseInt(id.substring(StoreKeys.AUDIT_PAGE_PREFIX.length()));
     } catch (NumberFormatException e) {
       throw new MalformedMessageException("bad key of a page");
     }
   }
 
-  /** Whether who cannot read a record may not act on the others. */
+  /** Whether a controller that cannot read the record must not act on the others. */
   boolean isEssential(String key) {
-    String name = key.substring(StoreKeys.AGREED.length());
+    String name = key.substring(StoreKeys.REPLICATED.length());
     int slash = name.indexOf('/');
-    if (slash < 0 || name.startsWith(StoreKeys.AGREED_PAGE, slash + 1)) {
+    if (slash < 0 || name.startsWith(StoreKeys.AUDIT_PAGE_PREFIX, slash + 1)) {
       return false;
     }
-    ReplicatedRecordIndex<?, ?> book = books.get(name.substring(0, slash));
-    return book == null || book.kind().restrains();
+    ReplicatedRecordIndex<?, ?> index = indexes.get(name.substring(0, slash));
+    return index == null || index.kind().restrains();
   }
 }
--- a/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
@@ -31,86 +31,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Changes agreed records for whoever asks this controller: several in one transaction, each guarded
- * by the version of its record. Whoever asks is answered once the change is durable. Where a guard
- * fails the steps are made again, on the newer state; where a transaction is not answered, it may
- * be applied at any later time, and the next one for the same record and it cannot both be: so the
- * records are read, and what is not there is asked for again under the same name.
+ * Changes replicated records on behalf of this controller's callers: several in one transaction,
+ * each with the version of its record as a precondition. A caller gets its response once the change
+ * is durable. If a precondition fails, the transitions are recomputed on the newer state. A
+ * transaction without a response may still be applied at any later time, but never together with a
+ * retry for the same record; so the records are read, and commands that were not applied are
+ * retried under the same request id.
  *
- * <p>What ends each wait: a reading of the records fails after a second or so, a transaction after
- * what {@link KeyValueStoreClient} gives it, and {@link #ANSWERED} after it was asked whoever asks
- * is told that it is not known, whatever goes on.
+ * <p>All waits are bounded: a read by about a second, a transaction by {@link KeyValueStoreClient},
+ * and a caller by {@link #RESPONSE_TIMEOUT}, after which it is told that the outcome is unknown.
  */
 public final class ReplicatedRecordStore {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicatedRecordStore.class);
 
-  /**
-   * The longest that anybody is left without an answer: users and operators' commands wait for
-   * longer.
-   */
-  public static final TimeSpan ANSWERED = TimeSpan.ofSeconds(4);
+  /** The longest that a caller waits for a response; users and operator commands time out later. */
+  public static final TimeSpan RESPONSE_TIMEOUT = TimeSpan.ofSeconds(4);
 
   private static final TimeSpan PAGE_TIMEOUT = TimeSpan.ofSeconds(2);
   private static final TimeSpan RETRY = TimeSpan.ofMillis(120);
 
-  /** Beyond so many that wait, others are told when to come back. */
-  private static final int MOST_WAITING = 128;
+  /** Callers beyond this number are told to retry later. */
+  private static final int MAX_PENDING = 128;
 
   /**
-   * Of the changes that the state service takes: live work goes first, and all controllers may be
-   * asked at once.
+   * The share of the store's write limit for these changes: scheduling has priority, and all
+   * controllers may write at once.
    */
   private static final double WRITE_SHARE = 0.2;
 
-  private static final int LONGEST_RETRY_S = 60;
+  private static final int MAX_RETRY_S = 60;
 
-  /** Where one record was asked for too often. */
-  private static final int BUSY_RECORD_S = 10;
+  /** Retry-after for a record that receives too many commands. */
+  private static final int BUSY_RECORD_RETRY_S = 10;
 
-  private static final int MOST_BYTES = 40 * 1024;
+  private static final int MAX_TRANSACTION_BYTES = 40 * 1024;
 
-  /**
-   * What is asked for.
-   *
-   * @param request the caller's own name of the request: all of the same name are one; null for a
-   *     step of a controller's own
-   * @param onChange the change of the record that the caller has seen and wants to have been the
-   *     last; -1 for whatever it is
-   * @param by who asks, as they say
-   */
-  public record Ask<C>(String request, long onChange, C command, String by) {
-    /** A step of a controller's own: to be made again only where its state asks for it. */
-    public static <C> Ask<C> own(C command) {
-      return new Ask<>(null, -1, command, "");
-    }
-  }
-
-  /**
-   * What became of it.
-   *
-   * @param status as HTTP has it: 200 durable (or nothing to change), 4xx refused and nothing
-   *     changed by it, 503 not known
-   * @param why in words, empty where all is said
-   * @param change of the record, at which it was followed
-   * @param revision of the records that has the change; none where nothing was written now
-   * @param retryAfterS when to ask again, in seconds; 0 where that is of no use
-   */
-  public record Answer(int status, String why, long change, Revision revision, int retryAfterS) {
-    public boolean isDurable() {
-      return status == 200;
-    }
-  }
-
-  /** One that waits. */
-  private final class Waiting<S, C> {
-    private final ReplicatedRecordIndex<S, C> book;
+  /** A command that waits for its outcome. */
+  private final class PendingCommand<S, C> {
+    private final ReplicatedRecordIndex<S, C> index;
     private final String id;
-    private final Ask<C> ask;
-    private Consumer<Answer> done;
-
-    private Waiting(
-        ReplicatedRecordIndex<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
-      this.book = book;
+    private final RecordCommand<C> ask;
+    private Consumer<CommandResponse> done;
+
+    private PendingCommand(
+        ReplicatedRecordIndex<S, C> index,
+        String id,
+        RecordCommand<C> ask,
+        Consumer<CommandResponse> done) {
+      this.index = index;
       this.id = id;
       this.ask = ask;
       this.done = done;
@@ -120,8 +88,8 @@
       return done == null;
     }
 
-    private void answer(Answer answer) {
-      Consumer<Answer> asker = done;
+    private void answer(CommandResponse answer) {
+      Consumer<CommandResponse> asker = done;
       done = null;
       if (asker != null) {
         asker.accept(answer);
@@ -129,37 +97,39 @@
     }
 
     /**
-     * Makes the step on the records as they are, or as a step before it in the same transaction
-     * leaves them.
+     * Computes the transition from the stored record, or from an earlier transition in the same
+     * transaction.
      */
     private void plan(Batch batch) {
-      ReplicatedRecordIndex.Held<S> held = book.get(id);
-      Revision version = ledger.version(book.key(id));
-      if (book.unreadable().containsKey(id)) {
-        answer(refused(409, "the record cannot be read: " + book.unreadable().get(id)));
+      ReplicatedRecordIndex.Held<S> held = index.get(id);
+      Revision version = cache.version(index.key(id));
+      if (index.unreadable().containsKey(id)) {
+        answer(refused(409, "the record cannot be read: " + index.unreadable().get(id)));
         return;
       }
-      RecordId record = new RecordId(book.kind().name(), id);
+      RecordId record = new RecordId(index.kind().name(), id);
       ReplicatedRecord<S> kept =
           batch.has(record)
               ? batch.kept(record)
-              : held == null ? ReplicatedRecord.none(book.kind()) : held.kept();
+              : held == null ? ReplicatedRecord.none(index.kind()) : held.record();
       CommandOrigin at =
-          new CommandOrigin(clockMs.getAsLong(), settings.clockBound().millis(), ask.by());
+          new CommandOrigin(clockMs.getAsLong(), settings.clockBound().millis(), ask.issuer());
       ReplicatedRecord.Result<S> result =
-          kept.apply(book.kind(), id, version, ask.request(), ask.onChange(), ask.command(), at);
+          kept.apply(
+              index.kind(), id, version, ask.requestId(), ask.expectedChange(), ask.command(), at);
       if (result instanceof ReplicatedRecord.Result.Refused<S> refused) {
         answer(refused(refused.status(), refused.why()));
       } else if (result instanceof ReplicatedRecord.Result.Known<S> known) {
-        // Known from a step of this same transaction: as durable as that.
-        Answer answer = new Answer(200, known.made().same(), known.made().change(), version, 0);
+        // Repeats a command of this same transaction, so it becomes durable with it.
+        CommandResponse answer =
+            new CommandResponse(200, known.made().same(), known.made().change(), version, 0);
         if (batch.has(record)) {
           batch.add(this, answer);
         } else {
           answer(answer);
         }
       } else if (result instanceof ReplicatedRecord.Result.Nothing<S> nothing) {
-        answer(new Answer(200, nothing.why(), kept.change(), version, 0));
+        answer(new CommandResponse(200, nothing.why(), kept.change(), version, 0));
       } else if (result instanceof ReplicatedRecord.Result.Write<S> write) {
         put(batch, record, write, version);
       }
@@ -167,16 +137,16 @@
 
     private void put(
         Batch batch, RecordId record, ReplicatedRecord.Result.Write<S> write, Revision version) {
-      Map<String, Object> value = write.next().write(book.kind());
+      Map<String, Object> value = write.next().write(index.kind());
       int length = Json.write(value).length;
       if (length > settings.storeLimits().plannedValueBytes()) {
         boolean byItself =
-            Json.write(write.next().without(Integer.MAX_VALUE, version).write(book.kind())).length
+            Json.write(write.next().without(Integer.MAX_VALUE, version).write(index.kind())).length
                 > settings.storeLimits().plannedValueBytes();
         answer(
             byItself
                 ? refused(413, "the record would be larger than the state service takes")
-                : new Answer(
+                : new CommandResponse(
                     503,
                     "the leader has not moved the record's trail to a page yet",
                     0,
@@ -186,20 +156,21 @@
       }
       if (batch.put(record, write.next(), value, length, version, write.withholds())) {
         batch.add(
-            this, new Answer(200, write.made().same(), write.made().change(), Revision.NONE, 0));
+            this,
+            new CommandResponse(200, write.made().same(), write.made().change(), Revision.NONE, 0));
       } else {
         batch.left.add(this);
       }
     }
   }
 
-  /** A transaction being put together. */
+  /** A transaction under construction. */
   private final class Batch {
     private final Map<RecordId, ReplicatedRecord<?>> next = new HashMap<>();
     private final Map<RecordId, Mutation> changes = new HashMap<>();
     private final List<Precondition> guards = new ArrayList<>();
-    private final Map<Waiting<?, ?>, Answer> answers = new LinkedHashMap<>();
-    private final List<Waiting<?, ?>> left = new ArrayList<>();
+    private final Map<PendingCommand<?, ?>, CommandResponse> answers = new LinkedHashMap<>();
+    private final List<PendingCommand<?, ?>> left = new ArrayList<>();
     private final int most;
     private boolean withholds;
     private int bytes;
@@ -214,7 +185,8 @@
 
     @SuppressWarnings("unchecked")
     private <S> ReplicatedRecord<S> kept(RecordId record) {
-      return (ReplicatedRecord<S>) next.get(record); // by its id of the book's kind
+      return (ReplicatedRecord<S>)
+          next.get(record); // the record was stored under its id by an index of the same kind
     }
 
     private boolean put(
@@ -226,10 +198,10 @@
         boolean raises) {
       boolean isNew = !next.containsKey(record);
       int after = changes.size() + (isNew ? 1 : 0) + (withholds || raises ? 1 : 0);
-      if (after > most || bytes + length > MOST_BYTES) {
+      if (after > most || bytes + length > MAX_TRANSACTION_BYTES) {
         return false;
       }
-      String key = StoreKeys.agreed(record);
+      String key = StoreKeys.replicatedRecord(record);
       if (isNew) {
         guards.add(new Precondition(key, version));
       }
@@ -240,53 +212,56 @@
       return true;
     }
 
-    private void add(Waiting<?, ?> one, Answer answer) {
+    private void add(PendingCommand<?, ?> one, CommandResponse answer) {
       answers.put(one, answer);
     }
 
     private List<Mutation> changes() {
       List<Mutation> all = new ArrayList<>(changes.values());
       if (withholds) {
-        // Not guarded: it may rise from whatever it is, and what matters is that it has risen.
-        all.add(Mutation.put(StoreKeys.AGREED_FENCE, Json.object("at", clockMs.getAsLong())));
+        // No precondition: the fence may rise from any version; it only has to rise.
+        all.add(Mutation.put(StoreKeys.REPLICATED_FENCE, Json.object("at", clockMs.getAsLong())));
       }
       return all;
     }
   }
 
   private final Timers timers;
-  private final KeyValueStoreClient client;
-  private final StateWatcher follower;
-  private final ClusterStateCache ledger;
+  private final KeyValueStoreClient store;
+  private final StateWatcher watcher;
+  private final ClusterStateCache cache;
   private final Membership membership;
   private final Settings settings;
   private final LongSupplier clockMs;
   private final TokenBucket writes;
-  private final ArrayDeque<Waiting<?, ?>> waiting = new ArrayDeque<>();
-  private MonotonicTime pressingFrom;
+  private final ArrayDeque<PendingCommand<?, ?>> pending = new ArrayDeque<>();
+  private MonotonicTime urgentFrom;
   private boolean busy;
   private boolean planned;
 
   /**
-   * So many of those that wait go into transactions of their own: one of them made one too large.
+   * The number of commands to be sent in transactions of their own, because together they were too
+   * large.
    */
-  private int alone;
+  private int inOwnTransaction;
 
   /**
-   * @param clockMs tells the time of day
+   * Creates a store.
+   *
+   * @param clockMs the time of day in milliseconds
    */
   public ReplicatedRecordStore(
       Timers timers,
-      KeyValueStoreClient client,
-      StateWatcher follower,
-      ClusterStateCache ledger,
+      KeyValueStoreClient store,
+      StateWatcher watcher,
+      ClusterStateCache cache,
       Membership membership,
       Settings settings,
       LongSupplier clockMs) {
     this.timers = timers;
-    this.client = client;
-    this.follower = follower;
-    this.ledger = ledger;
+    this.store = store;
+    this.watcher = watcher;
+    this.cache = cache;
     this.membership = membership;
     this.settings = settings;
     this.clockMs = clockMs;
@@ -298,28 +273,29 @@
             timers.now());
   }
 
-  private static Answer refused(int status, String why) {
-    return new Answer(status, why, 0, Revision.NONE, status == 429 ? BUSY_RECORD_S : 0);
+  private static CommandResponse refused(int status, String why) {
+    return new CommandResponse(
+        status, why, 0, Revision.NONE, status == 429 ? BUSY_RECORD_RETRY_S : 0);
   }
 
-  private static Answer unknown(String why, int retryAfterS) {
-    return new Answer(503, why, 0, Revision.NONE, retryAfterS);
+  private static CommandResponse unknown(String why, int retryAfterS) {
+    return new CommandResponse(503, why, 0, Revision.NONE, retryAfterS);
   }
 
   /**
-   * Why no agreed record can be changed now, with the controllers named that lack what it takes;
-   * null where it can.
+   * Why replicated records cannot be changed now, naming the controllers that lack support; null if
+   * they can.
    */
-  public String lacking() {
-    if (Feature.AGREED_RECORDS.isIn(ledger.level().level())) {
+  public String unavailableReason() {
+    if (Feature.AGREED_RECORDS.isIn(cache.level().level())) {
       return null;
     }
     TreeSet<String> lacking = new TreeSet<>();
-    TreeSet<ControllerId> all = new TreeSet<>(ledger.members().keySet());
+    TreeSet<ControllerId> all = new TreeSet<>(cache.members().keySet());
     settings.peers().forEach(sibling -> all.add(sibling.id()));
     all.add(settings.self());
     for (ControllerId member : all) {
-      ControllerRecord record = ledger.members().get(member);
+      ControllerRecord record = cache.members().get(member);
       if (record == null) {
         lacking.add(member + ", which is away");
       } else if (!record.build().can(Feature.AGREED_RECORDS.since())) {
@@ -338,53 +314,56 @@
   }
 
   /**
-   * Has a record changed, and answers once that is durable, or {@link #ANSWERED} later that it is
-   * not known.
+   * Submits a command. The response arrives once the change is durable, or after {@link
+   * #RESPONSE_TIMEOUT} as unknown.
    */
-  public <S, C> void ask(
-      ReplicatedRecordIndex<S, C> book, String id, Ask<C> ask, Consumer<Answer> done) {
-    if (!ledger.isLoaded() || !membership.unable().isEmpty()) {
+  public <S, C> void submit(
+      ReplicatedRecordIndex<S, C> index,
+      String id,
+      RecordCommand<C> ask,
+      Consumer<CommandResponse> done) {
+    if (!cache.isLoaded() || !membership.incompatibility().isEmpty()) {
       done.accept(unknown("this controller cannot take part", 2));
       return;
     }
-    String lacking = lacking();
+    String lacking = unavailableReason();
     if (lacking != null || !RecordId.isName(id)) {
       done.accept(
           lacking != null ? refused(409, lacking) : refused(400, "no name of a record: " + id));
       return;
     }
-    if (waiting.size() >= MOST_WAITING) {
+    if (pending.size() >= MAX_PENDING) {
       done.accept(
           unknown(
               "too many changes wait",
               (int)
                   Math.min(
-                      LONGEST_RETRY_S,
+                      MAX_RETRY_S,
                       Math.ceil(
-                          waiting.size()
+                          pending.size()
                               / (settings.storeLimits().writesPerSecond() * WRITE_SHARE)))));
       return;
     }
-    Waiting<S, C> one = new Waiting<>(book, id, ask, done);
-    waiting.add(one);
+    PendingCommand<S, C> one = new PendingCommand<>(index, id, ask, done);
+    pending.add(one);
     timers.after(
-        ANSWERED,
+        RESPONSE_TIMEOUT,
         () -> {
           if (!one.isOver()) {
-            waiting.remove(one);
+            pending.remove(one);
             one.answer(
                 unknown(
                     "the state service did not confirm it: ask again by the same name of the request",
                     1));
           }
         });
-    soon(TimeSpan.ofMillis(1));
+    scheduleFlush(TimeSpan.ofMillis(1));
   }
 
-  /** Reads a page of a trail; {@code done} gets null where that does not work. */
-  public void page(ReplicatedRecordIndex<?, ?> book, int page, Consumer<List<AuditEntry>> done) {
-    client.read(
-        KeyValueStoreCodec.keyPath(book.pageKey(page)),
+  /** Reads a page of an audit trail; {@code done} receives null on failure. */
+  public void page(ReplicatedRecordIndex<?, ?> index, int page, Consumer<List<AuditEntry>> done) {
+    store.read(
+        KeyValueStoreCodec.keyPath(index.pageKey(page)),
         PAGE_TIMEOUT,
         outcome -> {
           try {
@@ -394,13 +373,17 @@
                         Json.parseFields(outcome.response().body()).raw("Value"))
                     : null);
           } catch (MalformedMessageException e) {
-            LOG.info("page {} of {}: {}", page, book.kind().name(), e.getMessage());
+            LOG.info(
+                "audit page {} of {} cannot be read: {}",
+                page,
+                index.kind().name(),
+                e.getMessage());
             done.accept(null);
           }
         });
   }
 
-  private void soon(TimeSpan span) {
+  private void scheduleFlush(TimeSpan span) {
     if (!planned) {
       planned = true;
       timers.after(
@@ -413,82 +396,86 @@
   }
 
   private void flush() {
-    if (busy || waiting.isEmpty()) {
+    if (busy || pending.isEmpty()) {
       return;
     }
     busy = true;
-    follower.barrier(
+    watcher.barrier(
         current -> {
           busy = false;
           if (current) {
             write();
           } else {
-            soon(RETRY);
+            scheduleFlush(RETRY);
           }
         });
   }
 
-  /** The records are as new as whatever waits here. */
+  /** Writes the pending commands; the cache is current as of their submission. */
   private void write() {
     MonotonicTime now = timers.now();
     int most =
         (int) Math.min(settings.storeLimits().maxMutationsPerTransaction(), writes.level(now));
-    if (most < 2 || (client.changesAffordable() < 2 && !isPressing(now))) {
-      soon(RETRY);
+    if (most < 2 || (store.affordableMutations() < 2 && !isUrgent(now))) {
+      scheduleFlush(RETRY);
       return;
     }
-    String lacking = lacking();
+    String lacking = unavailableReason();
     Batch batch = new Batch(most);
-    boolean byItself = alone > 0;
-    while (!waiting.isEmpty() && batch.left.isEmpty() && !(byItself && !batch.changes.isEmpty())) {
-      alone = Math.max(0, alone - 1);
-      Waiting<?, ?> one = waiting.poll();
+    boolean byItself = inOwnTransaction > 0;
+    while (!pending.isEmpty() && batch.left.isEmpty() && !(byItself && !batch.changes.isEmpty())) {
+      inOwnTransaction = Math.max(0, inOwnTransaction - 1);
+      PendingCommand<?, ?> one = pending.poll();
       if (lacking != null) {
         one.answer(refused(409, lacking));
       } else if (!one.isOver()) {
         one.plan(batch);
       }
     }
-    batch.left.forEach(waiting::addFirst);
+    batch.left.forEach(pending::addFirst);
     if (batch.changes.isEmpty()) {
-      pressingFrom = null;
-      if (!waiting.isEmpty()) {
-        soon(RETRY);
+      urgentFrom = null;
+      if (!pending.isEmpty()) {
+        scheduleFlush(RETRY);
       }
       return;
     }
-    // Decided by what this level has: of no use under another.
-    batch.guards.add(new Precondition(StoreKeys.LEVEL, ledger.level().version()));
+    // Computed for this feature level, and invalid under any other.
+    batch.guards.add(new Precondition(StoreKeys.LEVEL, cache.level().version()));
     List<Mutation> changes = batch.changes();
     writes.force(changes.size(), now);
     busy = true;
-    client.txn(
+    store.commit(
         batch.guards,
         changes,
-        outcome -> {
+        result -> {
           busy = false;
-          written(batch, outcome);
+          written(batch, result);
         });
   }
 
-  /** Live work goes first, but not for ever. */
-  private boolean isPressing(MonotonicTime now) {
-    if (pressingFrom == null) {
-      pressingFrom = now;
+  /** Scheduling has priority over these changes, but only for a limited time. */
+  private boolean isUrgent(MonotonicTime now) {
+    if (urgentFrom == null) {
+      urgentFrom = now;
     }
-    return now.since(pressingFrom).isLongerThan(TimeSpan.ofSeconds(1));
+    return now.since(urgentFrom).isLongerThan(TimeSpan.ofSeconds(1));
   }
 
-  private void written(Batch batch, TransactionResult outcome) {
-    pressingFrom = null;
-    switch (outcome.kind()) {
+  private void written(Batch batch, TransactionResult result) {
+    urgentFrom = null;
+    switch (result.kind()) {
       case COMMITTED ->
           batch.answers.forEach(
               (one, answer) ->
                   one.answer(
-                      new Answer(
-                          answer.status(), answer.why(), answer.change(), outcome.revision(), 0)));
-      case CONFLICT, REFUSED, NO_LEASE, UNKNOWN -> again(batch, outcome);
+                      new CommandResponse(
+                          answer.status(),
+                          answer.reason(),
+                          answer.change(),
+                          result.revision(),
+                          0)));
+      case CONFLICT, THROTTLED, LEASE_EXPIRED, UNKNOWN -> requeue(batch, result);
       case TOO_LARGE -> {
         if (batch.answers.size() == 1) {
           batch
@@ -497,8 +484,8 @@
               .forEach(
                   one -> one.answer(unknown("the state service takes no change so large now", 2)));
         } else {
-          alone = batch.answers.size();
-          again(batch, outcome);
+          inOwnTransaction = batch.answers.size();
+          requeue(batch, result);
         }
       }
       case UNAVAILABLE ->
@@ -511,18 +498,19 @@
                           unknown(
                               "the state service does not serve: ask again by the same name of the request",
                               2)));
-      default -> throw new IllegalStateException(outcome.kind().toString());
+      default -> throw new IllegalStateException(result.kind().toString());
     }
-    if (!waiting.isEmpty()) {
-      soon(outcome.kind() == TransactionResult.Kind.COMMITTED ? TimeSpan.ofMillis(1) : RETRY);
+    if (!pending.isEmpty()) {
+      scheduleFlush(
+          result.kind() == TransactionResult.Kind.COMMITTED ? TimeSpan.ofMillis(1) : RETRY);
     }
   }
 
-  private void again(Batch batch, TransactionResult outcome) {
-    LOG.debug("agreed records: {} {}", outcome.kind(), outcome.failed());
-    List<Waiting<?, ?>> all = new ArrayList<>(batch.answers.keySet());
-    all.removeIf(Waiting::isOver);
+  private void requeue(Batch batch, TransactionResult result) {
+    LOG.debug("replicated records: {} {}", result.kind(), result.failedKeys());
+    List<PendingCommand<?, ?>> all = new ArrayList<>(batch.answers.keySet());
+    all.removeIf(PendingCommand::isOver);
     Collections.reverse(all);
-    all.forEach(waiting::addFirst); // in the order in which they came
+    all.forEach(pending::addFirst); // in the order of submission
   }
 }
--- a/src/main/java/org/quincecross/state/ReservedCapacity.java
+++ b/src/main/java/org/quincecross/state/ReservedCapacity.java
@@ -25,23 +25,25 @@
 import org.quincecross.scheduling.Headroom;
 
 /**
- * The room that is kept for requests, as the ledger has it: each controller that has read the same
- * records says the same. It costs nothing while there is no open request.
+ * The capacity reserved for deadline requests, derived from the records alone, so that all
+ * controllers agree on it. Without open requests it costs nothing.
  */
 public final class ReservedCapacity {
-  private final ClusterStateCache ledger;
-  private final ReplicatedRecordIndex<Request, RequestCommand> book;
+  private final ClusterStateCache cache;
+  private final ReplicatedRecordIndex<Request, RequestCommand> index;
   private final Reservation reservation = new Reservation();
   private long version;
 
   /**
-   * @param book of the requests, which has read none yet
+   * Creates an empty reservation.
+   *
+   * @param index the index of requests, which has not been filled yet
    */
   public ReservedCapacity(
-      ClusterStateCache ledger, ReplicatedRecordIndex<Request, RequestCommand> book) {
-    this.ledger = ledger;
-    this.book = book;
-    ledger.listen(this::changed);
+      ClusterStateCache cache, ReplicatedRecordIndex<Request, RequestCommand> index) {
+    this.cache = cache;
+    this.index = index;
+    cache.addListener(this::changed);
   }
 
   private void changed(ClusterStateCache.Changes changes) {
@@ -49,25 +51,25 @@
       for (Request known : List.copyOf(reservation.open())) {
         reservation.remove(known.reference());
       }
-      book.all().forEach((id, held) -> reservation.put(held.state().named(id)));
+      index.all().forEach((id, held) -> reservation.put(held.state().named(id)));
       version++;
     }
-    for (RecordId record : changes.agreed()) {
+    for (RecordId record : changes.replicatedRecords()) {
       if (record.kind().equals(RequestKind.NAME)) {
-        asRecorded(record.id());
+        clearExpectation(record.id());
       }
     }
   }
 
-  /** A request is as its record says. */
-  public void asRecorded(String reference) {
-    reservation.put(book.state(reference).named(reference));
+  /** Drops an expectation: the request is as its record says. */
+  public void clearExpectation(String reference) {
+    reservation.put(index.state(reference).named(reference));
     version++;
   }
 
   /**
-   * A request is taken to be so until its record is next seen: who has sent a reservation off gives
-   * its room to nobody while it is under way.
+   * Treats a request as changed until its record is next seen, so that the capacity of a
+   * reservation under way is not given away.
    */
   public void expect(Request request) {
     reservation.put(request);
@@ -79,17 +81,18 @@
     return version;
   }
 
-  /** How many machines there are in blocks. */
+  /** The number of machines in all shards. */
   public int machines() {
-    return ledger.machineCount();
+    return cache.machineCount();
   }
 
+  /** Whether no request is open. */
   public boolean isEmpty() {
     return reservation.isEmpty();
   }
 
-  /** What each block keeps free for requests. */
-  Map<ShardId, List<Headroom>> reserves() {
+  /** The headroom that each shard keeps for requests. */
+  Map<ShardId, List<Headroom>> headroomByShard() {
     Map<ShardId, List<Headroom>> reserves = new HashMap<>();
     if (reservation.isEmpty()) {
       return reserves;
@@ -97,7 +100,7 @@
     reservation
         .kept(new Standing().places, taken())
         .forEach(
-            (block, kept) -> {
+            (shard, kept) -> {
               List<Headroom> list = new ArrayList<>();
               kept.forEach(
                   each ->
@@ -107,15 +110,15 @@
                               each.slot().each(),
                               each.tasks(),
                               new Headroom.For(each.slot().lane(), each.slot().team()))));
-              reserves.put(block, list);
+              reserves.put(shard, list);
             });
     return reserves;
   }
 
   /**
-   * What should be reserved, by the ledger as it is.
+   * Plans reservations on the present records.
    *
-   * @param share of the machines that may be reserved beyond teams' guarantees
+   * @param share the share of the machines that may be reserved beyond team guarantees
    */
   public Reservation.Plan plan(Map<String, Team> teams, double share) {
     Standing standing = new Standing();
@@ -124,20 +127,20 @@
   }
 
   /**
-   * What runs that makes no way for the front service, and the room beside it. Spot machines, which
-   * go at any time, have none.
+   * The running work that is not preempted for the request's lane, and the capacity beside it. Spot
+   * machines, which may be taken away at any time, offer none.
    */
   private final class Standing {
     private final List<Place> places = new ArrayList<>();
     private final Map<String, Resources> ofTeams = new HashMap<>();
 
     Standing() {
-      for (ShardLease block : ledger.blocks().values()) {
-        MachineType type = ledger.types().get(block.type());
+      for (ShardLease block : cache.shards().values()) {
+        MachineType type = cache.machineTypes().get(block.type());
         Resources inBlock = Resources.NONE;
         Set<String> lanes = new HashSet<>();
-        for (Map.Entry<JobId, TaskSet> held : ledger.allocation(block.id()).tasks().entrySet()) {
-          JobRecord record = ledger.job(held.getKey());
+        for (Map.Entry<JobId, TaskSet> held : cache.allocation(block.id()).tasks().entrySet()) {
+          JobRecord record = cache.job(held.getKey());
           Job job = record == null ? null : record.job();
           if (job == null) {
             continue;
@@ -166,26 +169,26 @@
   private int notDone(JobId job, TaskSet tasks) {
     int count = 0;
     for (int index = tasks.nextMember(0); index >= 0; index = tasks.nextMember(index + 1)) {
-      count += ledger.isDone(job, index) ? 0 : 1;
+      count += cache.isCompleted(job, index) ? 0 : 1;
     }
     return count;
   }
 
-  /** The jobs of lanes that requests name, and where their tasks are. */
+  /** The jobs in lanes that requests name, and the places of their tasks. */
   private List<Taken> taken() {
     Set<String> lanes = reservation.lanes();
     List<Taken> taken = new ArrayList<>();
-    for (JobRecord record : ledger.openJobs()) {
-      if (lanes.contains(record.job().jobClass()) && !ledger.blocksOf(record.id()).isEmpty()) {
+    for (JobRecord record : cache.openJobs()) {
+      if (lanes.contains(record.job().jobClass()) && !cache.shardsOf(record.id()).isEmpty()) {
         Map<String, Integer> zones = new HashMap<>();
-        for (ShardId id : ledger.blocksOf(record.id())) {
-          ShardLease block = ledger.block(id);
+        for (ShardId id : cache.shardsOf(record.id())) {
+          ShardLease block = cache.shard(id);
           int tasks =
               block == null
                   ? 0
                   : notDone(
                       record.id(),
-                      ledger.allocation(id).tasks().getOrDefault(record.id(), new TaskSet()));
+                      cache.allocation(id).tasks().getOrDefault(record.id(), new TaskSet()));
           if (tasks > 0) {
             zones.merge(block.zone(), tasks, Integer::sum);
           }
--- a/src/main/java/org/quincecross/state/ShardLease.java
+++ b/src/main/java/org/quincecross/state/ShardLease.java
@@ -19,21 +19,20 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * A block and the controller that it is leased to. The token is the revision of the lease with
- * which the present holder's unbroken holding began: it rises with every change of holder, and only
- * then. A machine that joins has been in no other block, so it has seen no higher token.
+ * The lease of a shard to a controller. The fencing token is the revision at which the present
+ * owner's uninterrupted ownership began: it rises with every change of owner and only then. A
+ * machine that joins has been in no other shard and so has seen no higher token.
  *
- * @param holder the controller that may give commands to the machines
- * @param life the life of the holder that the lease was made for
- * @param leaving machines that are to go back to the cloud, and get no more work
- * @param version of this record
- * @param others fields of the record that this build does not know: they are written as they were
- *     read
+ * @param owner the controller that may command the machines
+ * @param incarnation the incarnation of the owner that the lease was granted to
+ * @param leaving machines that are being drained and terminated
+ * @param version the version of this record
+ * @param unknownFields fields that this build does not know; they are written as they were read
  */
 public record ShardLease(
     ShardId id,
-    ControllerId holder,
-    Incarnation life,
+    ControllerId owner,
+    Incarnation incarnation,
     String type,
     String zone,
     boolean spot,
@@ -41,8 +40,8 @@
     Set<MachineId> leaving,
     FencingToken token,
     Revision version,
-    Map<String, Object> others) {
-  private static final Set<String> KNOWN =
+    Map<String, Object> unknownFields) {
+  private static final Set<String> KNOWN_FIELDS =
       Set.of("holder", "life", "type", "zone", "spot", "machines", "token", "leaving");
 
   static ShardLease read(ShardId id, Object value, Revision version)
@@ -78,9 +77,10 @@
         leaving,
         new FencingToken(in.has("token") ? in.unsigned("token") : version.value()),
         version,
-        in.unknownFields(KNOWN));
+        in.unknownFields(KNOWN_FIELDS));
   }
 
+  /** Writes the record. */
   public Map<String, Object> write() {
     List<Object> list = new ArrayList<>();
     for (Machine machine : machines.values()) {
@@ -89,9 +89,9 @@
     Map<String, Object> out =
         Json.object(
             "holder",
-            holder.text(),
+            owner.text(),
             "life",
-            life.value(),
+            incarnation.value(),
             "type",
             type,
             "zone",
@@ -100,7 +100,7 @@
             spot,
             "machines",
             list);
-    out.putAll(others);
+    out.putAll(unknownFields);
     if (token.value() != 0) {
       out.put("token", token.value());
     }
@@ -111,14 +111,14 @@
   }
 
   /**
-   * The most bytes that the record comes to as long as it has these machines: with the longest
-   * token, and all of them leaving.
+   * The maximum size of the record with these machines: with the longest token and all machines
+   * leaving.
    */
-  public int mostBytes() {
+  public int maxBytes() {
     return Json.write(
             new ShardLease(
                     id,
-                    holder,
+                    owner,
                     new Incarnation(Long.MAX_VALUE),
                     type,
                     zone,
@@ -127,17 +127,17 @@
                     machines.keySet(),
                     new FencingToken(Long.MAX_VALUE),
                     version,
-                    others)
+                    unknownFields)
                 .write())
         .length;
   }
 
-  /** A block as it is to be leased for the first time. */
+  /** A new shard with its first lease. */
   public static ShardLease first(ShardId id, ControllerRecord holder, Machine machine) {
     return new ShardLease(
         id,
-        holder.member(),
-        holder.life(),
+        holder.id(),
+        holder.incarnation(),
         machine.type(),
         machine.zone(),
         machine.spot(),
@@ -148,12 +148,15 @@
         Map.of());
   }
 
-  /** The block under another holder, whose token is the revision of the lease to be written. */
-  public ShardLease heldBy(ControllerRecord member) {
+  /**
+   * The shard leased to another owner; its token is the revision of the lease that is about to be
+   * written.
+   */
+  public ShardLease leasedTo(ControllerRecord member) {
     return new ShardLease(
         id,
-        member.member(),
-        member.life(),
+        member.id(),
+        member.incarnation(),
         type,
         zone,
         spot,
@@ -161,28 +164,32 @@
         leaving,
         FencingToken.NONE,
         version,
-        others);
+        unknownFields);
   }
 
+  /** The shard with one more machine. */
   public ShardLease with(Machine machine) {
     Map<MachineId, Machine> more = new LinkedHashMap<>(machines);
     more.put(machine.id(), machine);
     return new ShardLease(
-        id, holder, life, type, zone, spot, more, leaving, token, version, others);
+        id, owner, incarnation, type, zone, spot, more, leaving, token, version, unknownFields);
   }
 
+  /** The shard without a machine. */
   public ShardLease without(MachineId machine) {
     Map<MachineId, Machine> fewer = new LinkedHashMap<>(machines);
     fewer.remove(machine);
     Set<MachineId> left = new LinkedHashSet<>(leaving);
     left.remove(machine);
-    return new ShardLease(id, holder, life, type, zone, spot, fewer, left, token, version, others);
+    return new ShardLease(
+        id, owner, incarnation, type, zone, spot, fewer, left, token, version, unknownFields);
   }
 
+  /** The shard with a machine marked as leaving. */
   public ShardLease leaving(MachineId machine) {
     Set<MachineId> more = new LinkedHashSet<>(leaving);
     more.add(machine);
     return new ShardLease(
-        id, holder, life, type, zone, spot, machines, more, token, version, others);
+        id, owner, incarnation, type, zone, spot, machines, more, token, version, unknownFields);
   }
 }
--- a/src/main/java/org/quincecross/state/StarvationTracker.java
+++ b/src/main/java/org/quincecross/state/StarvationTracker.java
@@ -12,93 +12,98 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Which jobs have been given nothing for so long that they may have room that is kept for others.
- * Counted from when a job could run, as far as this controller has seen.
+ * Tracks jobs that have been allocated nothing for so long that they may use headroom kept for
+ * other work. The wait is counted from when a job became runnable, as far as this controller has
+ * seen.
  */
 final class StarvationTracker {
   /**
-   * Leaves half a minute for the way from a plan to a start, of the 90 s that nothing waits beside
-   * room.
+   * Leaves half a minute from plan to start of the 90 s in which no job may wait beside free
+   * capacity.
    */
-  private static final TimeSpan LONG = TimeSpan.ofSeconds(60);
+  private static final TimeSpan THRESHOLD = TimeSpan.ofSeconds(60);
 
   /**
-   * How many of a job's tasks blocks have or are done, when that rose last, when before, and when
-   * last after a long wait, or null.
+   * A job's wait.
+   *
+   * @param given the number of tasks allocated or completed
+   * @param since when that number last rose
+   * @param before when it rose the time before
+   * @param lent when it last rose after starving, or null
    */
   private record Wait(int given, MonotonicTime since, MonotonicTime before, MonotonicTime lent) {}
 
-  private final ClusterStateCache ledger;
-  private final Map<JobId, Wait> waits = new HashMap<>();
+  private final ClusterStateCache cache;
+  private final Map<JobId, Wait> waitByJob = new HashMap<>();
   private final Set<JobId> seen = new HashSet<>();
 
-  StarvationTracker(ClusterStateCache ledger) {
-    this.ledger = ledger;
+  StarvationTracker(ClusterStateCache cache) {
+    this.cache = cache;
   }
 
-  /** A job that may run is open. */
-  void look(JobId job, MonotonicTime now) {
-    int given = given(job);
-    Wait wait = waits.get(job);
+  /** Observes an open, runnable job. */
+  void observe(JobId job, MonotonicTime now) {
+    int given = allocatedOrCompleted(job);
+    Wait wait = waitByJob.get(job);
     if (wait == null) {
-      waits.put(job, new Wait(given, now, now, null));
+      waitByJob.put(job, new Wait(given, now, now, null));
     } else if (given > wait.given) {
-      waits.put(job, new Wait(given, now, wait.since, isLong(wait.since, now) ? now : wait.lent));
+      waitByJob.put(
+          job, new Wait(given, now, wait.since, isLong(wait.since, now) ? now : wait.lent));
     } else if (given < wait.given) {
-      waits.put(
+      waitByJob.put(
           job,
           new Wait(
               given,
               wait.before,
               wait.before,
-              wait.lent)); // what comes back to the pool has waited already
+              wait.lent)); // tasks that return to the pool have waited already
     }
     seen.add(job);
   }
 
   /**
-   * A task that is done may still be named by a block for a moment: that is nothing more that was
-   * given.
+   * The number of a job's tasks that are allocated or completed. A completed task may still be
+   * allocated for a moment and then counts once.
    */
-  private int given(JobId job) {
-    TaskSet done = ledger.doneTasks(job);
+  private int allocatedOrCompleted(JobId job) {
+    TaskSet done = cache.completedTasks(job);
     int given = done.size();
-    for (ShardId block : ledger.blocksOf(job)) {
-      TaskSet there = ledger.allocation(block).tasks().get(job);
+    for (ShardId shard : cache.shardsOf(job)) {
+      TaskSet there = cache.allocation(shard).tasks().get(job);
       given += there == null ? 0 : there.size() - there.intersectionSize(done);
     }
     return given;
   }
 
-  /** All open jobs were looked at: others are forgotten. */
-  void lookedAtAll() {
-    waits.keySet().retainAll(seen);
+  /** Forgets all jobs that were not observed since the last call. */
+  void forgetUnobserved() {
+    waitByJob.keySet().retainAll(seen);
     seen.clear();
   }
 
   /**
-   * Those that were given nothing for long: a plan may give each one task, or a whole gang, into
-   * room kept for others.
+   * The jobs that are starving: a plan may place one task, or a whole gang, of each into headroom.
    */
-  Set<JobId> toPlan(MonotonicTime now) {
+  Set<JobId> starvingForPlan(MonotonicTime now) {
     return those(wait -> isLong(wait.since, now));
   }
 
   /**
-   * Those that are to start in that room where they have been given to a block, whatever else of
-   * them has been given since.
+   * The jobs whose tasks may start in headroom once they are allocated, even if the job was
+   * allocated more since.
    */
-  Set<JobId> toStart(MonotonicTime now) {
+  Set<JobId> starvingForStart(MonotonicTime now) {
     return those(wait -> wait.lent != null && !isLong(wait.lent, now));
   }
 
   private static boolean isLong(MonotonicTime since, MonotonicTime now) {
-    return now.since(since).isLongerThan(LONG);
+    return now.since(since).isLongerThan(THRESHOLD);
   }
 
   private Set<JobId> those(Predicate<Wait> which) {
     Set<JobId> jobs = new HashSet<>();
-    waits.forEach(
+    waitByJob.forEach(
         (job, wait) -> {
           if (which.test(wait)) {
             jobs.add(job);
--- a/src/main/java/org/quincecross/state/StateWatcher.java
+++ b/src/main/java/org/quincecross/state/StateWatcher.java
@@ -18,93 +18,90 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the {@link ClusterStateCache} up to date: reads all records once, then watches for changes.
- * Beside the watch it makes <em>barriers</em>: one short read of the revision and of what is new
- * serves everyone who needs to know that the ledger is current.
+ * Keeps the {@link ClusterStateCache} current: reads all records once, then watches for changes.
+ * Independently of the watch it runs <em>barriers</em>: one short read of the revision and of new
+ * changes serves everyone who needs to know that the cache is current.
  */
 public final class StateWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(StateWatcher.class);
-  private static final TimeSpan WATCH = TimeSpan.ofSeconds(10);
-  private static final TimeSpan RETRY = TimeSpan.ofMillis(250);
+  private static final TimeSpan WATCH_TIMEOUT = TimeSpan.ofSeconds(10);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.ofMillis(250);
 
   /**
-   * Changes that come close together are read together: requests are limited, and each reading has
-   * its cost.
+   * Changes in quick succession are read together: requests are limited, and each has a fixed cost.
    */
   private static final TimeSpan WATCH_SPACING = TimeSpan.ofMillis(40);
 
   private static final TimeSpan BARRIER_TIMEOUT = TimeSpan.ofSeconds(1.2);
   private static final TimeSpan BARRIER_SPACING = TimeSpan.ofMillis(40);
-  private static final TimeSpan BARRIER_GATHERING = TimeSpan.ofMillis(120);
+  private static final TimeSpan BARRIER_BATCHING_DELAY = TimeSpan.ofMillis(120);
 
-  /** How often the ledger is confirmed even if nobody asks. */
-  private static final TimeSpan HEARTBEAT = TimeSpan.ofMillis(500);
+  /** How often the cache is confirmed if nobody requests it. */
+  private static final TimeSpan CONFIRM_INTERVAL = TimeSpan.ofMillis(500);
 
-  private static final int PAGE = 400;
+  private static final int PAGE_SIZE = 400;
 
-  /** The states of following. */
+  /** The states of the watcher. */
   public enum State {
-    /**
-     * The records are being read, page by page. Ends with the last page; a page that does not come
-     * is asked for again.
-     */
+    /** The records are being read page by page; a page that fails is requested again. */
     LOADING,
     /**
-     * What has changed since the first page is being read. Until it is, nothing else may move the
-     * ledger on, and no barrier is made: what it brought would be taken back by records that were
-     * read before it.
+     * The changes since the first page are being read. Until then no other read may advance the
+     * cache and no barrier runs: records read earlier would overwrite what it applied.
      */
     CATCHING_UP,
     /** Changes are watched. */
-    FOLLOWING
+    WATCHING
   }
 
   private final Timers timers;
-  private final KeyValueStoreClient client;
-  private final ClusterStateCache ledger;
+  private final KeyValueStoreClient store;
+  private final ClusterStateCache cache;
   private State state = State.LOADING;
   private int generation;
-  private MonotonicTime confirmed;
-  private MonotonicTime answering;
-  private List<Consumer<Boolean>> askers = new ArrayList<>();
+  private MonotonicTime confirmedAt;
+  private MonotonicTime lastBarrierStart;
+  private List<Consumer<Boolean>> barrierCallbacks = new ArrayList<>();
   private boolean barrierRunning;
   private boolean barrierPlanned;
   private boolean spacingPlanned;
   private MonotonicTime lastBarrier;
 
-  public StateWatcher(Timers timers, KeyValueStoreClient client, ClusterStateCache ledger) {
+  /** Creates a watcher that has not started. */
+  public StateWatcher(Timers timers, KeyValueStoreClient store, ClusterStateCache cache) {
     this.timers = timers;
-    this.client = client;
-    this.ledger = ledger;
+    this.store = store;
+    this.cache = cache;
   }
 
+  /** Starts by reading all records. */
   public void start() {
     load();
-    timers.every(HEARTBEAT, () -> barrier(ok -> {}));
+    timers.every(CONFIRM_INTERVAL, () -> barrier(ok -> {}));
   }
 
-  /** The one place where following changes its state. */
+  /** The only method that changes the state. */
   private void enter(State next) {
     state = next;
     generation++;
   }
 
+  /** The present state. */
   public State state() {
     return state;
   }
 
-  /** The ledger holds all that had happened by this time; null before it was first read. */
-  public MonotonicTime confirmed() {
-    return confirmed;
+  /** The cache contains all changes up to this time; null before the first full read. */
+  public MonotonicTime confirmedAt() {
+    return confirmedAt;
   }
 
   /**
-   * When the last barrier began that worked; null before the records were first read. Where the
-   * watch alone gets through, the records go on being confirmed and still no question can be
-   * answered.
+   * When the last successful barrier began; null before the first full read. If only the watch gets
+   * through, records are still confirmed although no barrier succeeds.
    */
-  public MonotonicTime answering() {
-    return answering;
+  public MonotonicTime lastBarrierStart() {
+    return lastBarrierStart;
   }
 
   private void load() {
@@ -118,8 +115,8 @@
       Map<String, ClusterStateCache.StateEntry> entries,
       Revision first,
       MonotonicTime begun) {
-    client.read(
-        KeyValueStoreCodec.listPath(StoreKeys.ROOT, after, PAGE),
+    store.read(
+        KeyValueStoreCodec.listPath(StoreKeys.ROOT, after, PAGE_SIZE),
         TimeSpan.ofSeconds(5),
         outcome -> {
           if (generation != mine) {
@@ -144,9 +141,9 @@
               finishLoad(entries, from, begun);
             }
           } catch (MalformedMessageException e) {
-            LOG.debug("cannot read the records: {}", e.getMessage());
+            LOG.debug("reading all records failed: {}", e.getMessage());
             timers.after(
-                RETRY,
+                RETRY_DELAY,
                 () -> {
                   if (generation == mine) {
                     load();
@@ -158,12 +155,11 @@
 
   private void finishLoad(
       Map<String, ClusterStateCache.StateEntry> entries, Revision from, MonotonicTime begun) {
-    // Pages are read one after the other, at revisions that may differ: the changes since the first
-    // page are
-    // caught up with before anyone sees the records.
+    // Pages are read one after the other at possibly different revisions, so the changes since the
+    // first page are applied before anyone uses the records.
     enter(State.CATCHING_UP);
     int mine = generation;
-    client.read(
+    store.read(
         KeyValueStoreCodec.watchPath(StoreKeys.ROOT, from, 0),
         BARRIER_TIMEOUT,
         outcome -> {
@@ -188,16 +184,16 @@
                     event.key(), new ClusterStateCache.StateEntry(event.value(), event.version()));
               }
             }
-            enter(State.FOLLOWING);
-            confirmed = begun;
-            answering = begun;
-            LOG.info("records read: {} keys at revision {}", entries.size(), page.revision());
-            ledger.load(entries, page.revision());
+            enter(State.WATCHING);
+            confirmedAt = begun;
+            lastBarrierStart = begun;
+            LOG.info("all records read: {} keys at revision {}", entries.size(), page.revision());
+            cache.load(entries, page.revision());
             watch();
             barrier(ok -> {});
           } catch (MalformedMessageException e) {
-            LOG.info("cannot catch up with the records: {}", e.getMessage());
-            timers.after(RETRY, this::load);
+            LOG.info("reading the changes since the first page failed: {}", e.getMessage());
+            timers.after(RETRY_DELAY, this::load);
           }
         });
   }
@@ -205,14 +201,14 @@
   private void watch() {
     int mine = generation;
     MonotonicTime sent = timers.now();
-    client.read(
-        KeyValueStoreCodec.watchPath(StoreKeys.ROOT, ledger.revision(), WATCH.millis()),
-        WATCH.plus(TimeSpan.ofSeconds(5)),
+    store.read(
+        KeyValueStoreCodec.watchPath(StoreKeys.ROOT, cache.revision(), WATCH_TIMEOUT.millis()),
+        WATCH_TIMEOUT.plus(TimeSpan.ofSeconds(5)),
         outcome -> {
           if (generation != mine) {
             return;
           }
-          if (take(outcome, sent)) {
+          if (applyChanges(outcome, sent)) {
             long pause = WATCH_SPACING.nanos() - timers.now().since(sent).nanos();
             if (pause <= 0) {
               watch();
@@ -226,11 +222,11 @@
                   });
             }
           } else if (outcome.status() == 410) {
-            LOG.info("too far behind the records: reading them anew");
+            LOG.info("the watch is too far behind: reading all records again");
             load();
           } else {
             timers.after(
-                RETRY,
+                RETRY_DELAY,
                 () -> {
                   if (generation == mine) {
                     watch();
@@ -240,8 +236,8 @@
         });
   }
 
-  /** Takes the answer of a watch or a barrier; false if it is none. */
-  private boolean take(HttpOutcome outcome, MonotonicTime sent) {
+  /** Applies the response of a watch or a barrier; false if it was an error. */
+  private boolean applyChanges(HttpOutcome outcome, MonotonicTime sent) {
     if (outcome.status() != 200) {
       return false;
     }
@@ -249,39 +245,36 @@
     try {
       page = KeyValueStoreCodec.readWatch(Json.parseFields(outcome.response().body()));
     } catch (MalformedMessageException e) {
-      LOG.info("unreadable changes: {}", e.getMessage());
+      LOG.info("changes cannot be read: {}", e.getMessage());
       return false;
     }
-    // The watch and the barriers see the same changes: each is taken once, in order.
-    Revision known = ledger.revision();
+    // The watch and barriers receive the same changes: each is applied once, in order.
+    Revision known = cache.revision();
     for (Entry event : page.entries()) {
       if (event.version().isAfter(known)) {
-        ledger.apply(event.key(), event.value(), event.version());
+        cache.apply(event.key(), event.value(), event.version());
       }
     }
-    if (confirmed == null || confirmed.isBefore(sent)) {
-      confirmed = sent;
+    if (confirmedAt == null || confirmedAt.isBefore(sent)) {
+      confirmedAt = sent;
     }
-    ledger.advance(page.revision());
+    cache.advance(page.revision());
     return true;
   }
 
-  /** Confirms that the ledger is current as of now or later, then says whether that worked. */
+  /** Confirms that the cache is current as of now or later, then reports whether that succeeded. */
   public void barrier(Consumer<Boolean> whenCurrent) {
     if (join(whenCurrent)) {
       startBarrier();
     }
   }
 
-  /**
-   * The same for whoever can wait a moment: many that come one after the other are served by one
-   * reading.
-   */
+  /** The same for callers that can wait a moment: several in quick succession share one read. */
   public void barrierSoon(Consumer<Boolean> whenCurrent) {
     if (join(whenCurrent) && !barrierRunning && !barrierPlanned) {
       barrierPlanned = true;
       timers.after(
-          BARRIER_GATHERING,
+          BARRIER_BATCHING_DELAY,
           () -> {
             barrierPlanned = false;
             startBarrier();
@@ -290,21 +283,21 @@
   }
 
   private boolean join(Consumer<Boolean> whenCurrent) {
-    if (state != State.FOLLOWING || !ledger.isLoaded()) {
+    if (state != State.WATCHING || !cache.isLoaded()) {
       timers.after(TimeSpan.ofMillis(1), () -> whenCurrent.accept(false));
       return false;
     }
-    askers.add(whenCurrent);
+    barrierCallbacks.add(whenCurrent);
     return true;
   }
 
   private void startBarrier() {
-    if (barrierRunning || askers.isEmpty()) {
+    if (barrierRunning || barrierCallbacks.isEmpty()) {
       return;
     }
-    if (state != State.FOLLOWING) {
-      List<Consumer<Boolean>> refused = askers;
-      askers = new ArrayList<>();
+    if (state != State.WATCHING) {
+      List<Consumer<Boolean>> refused = barrierCallbacks;
+      barrierCallbacks = new ArrayList<>();
       refused.forEach(asker -> asker.accept(false));
       return;
     }
@@ -325,16 +318,16 @@
     lastBarrier = timers.now();
     MonotonicTime sent = lastBarrier;
     int mine = generation;
-    List<Consumer<Boolean>> served = askers;
-    askers = new ArrayList<>();
-    client.read(
-        KeyValueStoreCodec.watchPath(StoreKeys.ROOT, ledger.revision(), 0),
+    List<Consumer<Boolean>> served = barrierCallbacks;
+    barrierCallbacks = new ArrayList<>();
+    store.read(
+        KeyValueStoreCodec.watchPath(StoreKeys.ROOT, cache.revision(), 0),
         BARRIER_TIMEOUT,
         outcome -> {
           barrierRunning = false;
-          boolean current = generation == mine && take(outcome, sent);
+          boolean current = generation == mine && applyChanges(outcome, sent);
           if (current) {
-            answering = sent;
+            lastBarrierStart = sent;
           }
           served.forEach(asker -> asker.accept(current));
           startBarrier();
--- a/src/main/java/org/quincecross/state/StoreKeys.java
+++ b/src/main/java/org/quincecross/state/StoreKeys.java
@@ -8,99 +8,105 @@
 import org.quincecross.model.ShardId;
 import org.quincecross.replicated.RecordId;
 
-/** Where the records lie in the state service. */
+/** The keys of all records in the key-value store. */
 public final class StoreKeys {
-  /** Everything lies under this, so that one watch sees every change. */
+  /** The common prefix, so that a single watch sees every change. */
   public static final String ROOT = "q/";
 
   public static final String LEADER = ROOT + "leader";
 
-  /** The level in force. */
+  /** The feature level in force. */
   public static final String LEVEL = ROOT + "level";
 
   /**
-   * Who leads, from level 2 on. At {@link #LEADER} something is left then that builds without
+   * The leader, from feature level 2 on. {@link #LEADER} then keeps a value that builds without
    * levels take for a leader.
    */
-  public static final String LEADS = ROOT + "leads";
+  public static final String MOVED_LEADER = ROOT + "leads";
 
   public static final String OPERATOR_SETTINGS = ROOT + "settings";
   static final String MEMBERS = ROOT + "member/";
   static final String JOBS = ROOT + "job/";
   static final String BUNDLES = ROOT + "bundle/";
 
-  /** Parts of what jobs wait on. */
-  static final String AFTER = ROOT + "after/";
+  /** Parts of dependency lists. */
+  static final String DEPENDENCY_PARTS = ROOT + "after/";
 
-  static final String DONE = ROOT + "done/";
-  static final String PAGES = ROOT + "page/";
-  static final String BLOCKS = ROOT + "block/";
+  static final String COMPLETED_CHUNKS = ROOT + "done/";
+  static final String COMPLETED_PAGES = ROOT + "page/";
+  static final String SHARDS = ROOT + "block/";
   static final String ALLOCATIONS = ROOT + "alloc/";
-  static final String CHANGED_ALLOCATIONS = ROOT + "change/";
-  static final String TYPES = ROOT + "type/";
-  static final String AGREED = ROOT + "agreed/";
+  static final String ALLOCATION_DELTAS = ROOT + "change/";
+  static final String MACHINE_TYPES = ROOT + "type/";
+  static final String REPLICATED = ROOT + "agreed/";
 
   /**
-   * Written with every change that keeps tasks back; all that the leader writes is guarded by it.
+   * Written with every change that blocks tasks; everything the leader writes has its version as a
+   * precondition.
    */
-  public static final String AGREED_FENCE = AGREED + "fence";
+  public static final String REPLICATED_FENCE = REPLICATED + "fence";
 
-  /** No record has a name that begins so. */
-  static final String AGREED_PAGE = "~";
+  /** No id of a record begins with this prefix. */
+  static final String AUDIT_PAGE_PREFIX = "~";
 
   private StoreKeys() {}
 
+  /** The record of a live controller. */
   public static String member(ControllerId member) {
-    return MEMBERS + safe(member.text());
+    return MEMBERS + encoded(member.text());
   }
 
+  /** The record of a job. */
   public static String job(JobId job) {
     return JOBS + job.text();
   }
 
   /** A record of several accepted jobs; no two have the same name. */
-  public static String bundle(ControllerId member, Incarnation life, long number) {
-    return BUNDLES + safe(member.text()) + "-" + life + "-" + number;
+  public static String bundle(ControllerId member, Incarnation incarnation, long number) {
+    return BUNDLES + encoded(member.text()) + "-" + incarnation + "-" + number;
   }
 
-  /** The record of which tasks of a job are done, for the tasks of one chunk. */
-  public static String done(JobId job, int chunk) {
-    return DONE + job.text() + "/" + chunk;
+  /** The completed tasks of a job that belong to one chunk. */
+  public static String completedChunk(JobId job, int chunk) {
+    return COMPLETED_CHUNKS + job.text() + "/" + chunk;
   }
 
-  /** A record of which tasks of several jobs are done. */
-  public static String page(int page) {
-    return PAGES + page;
+  /** A page with the completed tasks of several jobs. */
+  public static String completedPage(int page) {
+    return COMPLETED_PAGES + page;
   }
 
-  public static String block(ShardId block) {
-    return BLOCKS + block.text();
+  /** The lease of a shard. */
+  public static String shard(ShardId shard) {
+    return SHARDS + shard.text();
   }
 
-  public static String allocation(ShardId block) {
-    return ALLOCATIONS + block.text();
+  /** The full record of a shard's allocation. */
+  public static String allocation(ShardId shard) {
+    return ALLOCATIONS + shard.text();
   }
 
-  /** The record of how a block's tasks differ from those of {@link #allocation}. */
-  public static String changedAllocation(ShardId block) {
-    return CHANGED_ALLOCATIONS + block.text();
+  /** The difference between a shard's allocation and its last full record ({@link #allocation}). */
+  public static String allocationDelta(ShardId shard) {
+    return ALLOCATION_DELTAS + shard.text();
   }
 
-  public static String type(String name) {
-    return TYPES + safe(name);
+  /** The record of a machine type. */
+  public static String machineType(String name) {
+    return MACHINE_TYPES + encoded(name);
   }
 
-  /** A record that all controllers follow. */
-  public static String agreed(RecordId record) {
-    return AGREED + record.kind() + "/" + record.id();
+  /** A replicated record. */
+  public static String replicatedRecord(RecordId record) {
+    return REPLICATED + record.kind() + "/" + record.id();
   }
 
-  /** A page of the trail of a kind of such records. */
-  public static String agreedPage(String kind, int page) {
-    return AGREED + kind + "/" + AGREED_PAGE + page;
+  /** A page of the audit trail of a kind of replicated records. */
+  public static String auditPage(String kind, int page) {
+    return REPLICATED + kind + "/" + AUDIT_PAGE_PREFIX + page;
   }
 
-  private static String safe(String name) {
+  private static String encoded(String name) {
     return URLEncoder.encode(name, StandardCharsets.UTF_8);
   }
 }
--- a/src/main/java/org/quincecross/state/TaskSetCodec.java
+++ b/src/main/java/org/quincecross/state/TaskSetCodec.java
@@ -8,7 +8,10 @@
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.MalformedMessageException;
 
-/** Tasks of several jobs in a record: short, for what fits one value is written in one change. */
+/**
+ * Reads and writes the tasks of several jobs. The form is compact, because a value's size limits
+ * what one change can write.
+ */
 public final class TaskSetCodec {
   private TaskSetCodec() {}
 
--- a/src/main/java/org/quincecross/state/TerminationProof.java
+++ b/src/main/java/org/quincecross/state/TerminationProof.java
@@ -8,34 +8,35 @@
 import org.quincecross.model.TaskSet;
 
 /**
- * The proof that tasks which an agreed record keeps back run nowhere and can start nowhere.
+ * Proves that tasks blocked by a replicated record run nowhere and cannot start.
  *
- * <p>A task runs only where a block's allocation names it: its holder starts nothing else, and the
- * leader takes a task out of an allocation only once its holder has proven it gone, or it is done.
- * An allocation that was planned without the record cannot be applied after it: all that the leader
- * writes is guarded by the fence, and the change that began to keep the tasks back raised the
- * fence. So where the records, as new as that change or newer, have no allocation with any of the
- * tasks, none runs, none was given back unproven, and none is given out again as long as the record
- * keeps it back.
+ * <p>A task runs only while a shard's allocation contains it: the owner starts nothing else, and
+ * the leader removes a task from an allocation only after the owner has proven it gone, or when it
+ * is completed. An allocation that was planned without the record cannot be applied after it,
+ * because everything the leader writes has the fence's version as a precondition, and the change
+ * that blocked the tasks raised the fence. So if the records, as of that change or later, contain
+ * no allocation with any of the tasks, none runs, none was released unproven, and none is allocated
+ * again while the record blocks it.
  */
 public final class TerminationProof {
-  /** How far the proof has come. */
+  /** The progress of the proof. */
   public enum State {
-    /** These records are older than the change that keeps the tasks back. */
+    /** The records are older than the change that blocks the tasks. */
     TOO_EARLY,
-    /** Some task is still in a block's allocation: it may run. */
+    /** Some task is still allocated and may run. */
     HELD,
-    /** None runs or can start. */
+    /** No task runs or can start. */
     PROVEN
   }
 
   /**
-   * What the records say of tasks that are to be gone.
+   * The state of the proof according to the records.
    *
-   * @param where the blocks that still have tasks, with which
-   * @param revision of the records by which this was found
+   * @param remaining the shards that still have tasks allocated, with these tasks
+   * @param revision the revision of the records
    */
-  public record Proof(State state, Map<ShardId, Map<JobId, TaskSet>> where, Revision revision) {
+  public record Proof(State state, Map<ShardId, Map<JobId, TaskSet>> remaining, Revision revision) {
+    /** Whether no task runs or can start. */
     public boolean isProven() {
       return state == State.PROVEN;
     }
@@ -44,30 +45,30 @@
   private TerminationProof() {}
 
   /**
-   * Looks for tasks in the allocations, at a cost in proportion to the blocks that have some of
-   * their jobs.
+   * Searches the allocations for tasks; the cost is proportional to the number of shards that have
+   * tasks of these jobs.
    *
-   * @param tasks that are to run nowhere
-   * @param since with which it was written that they are kept back, the fence with it
+   * @param tasks the tasks that must not run
+   * @param since the revision of the change that blocked them and raised the fence
    */
-  public static Proof of(ClusterStateCache ledger, Map<JobId, TaskSet> tasks, Revision since) {
-    Revision at = ledger.revision();
-    if (!ledger.isLoaded() || since.isAfter(at)) {
+  public static Proof of(ClusterStateCache cache, Map<JobId, TaskSet> tasks, Revision since) {
+    Revision at = cache.revision();
+    if (!cache.isLoaded() || since.isAfter(at)) {
       return new Proof(State.TOO_EARLY, Map.of(), at);
     }
     Map<ShardId, Map<JobId, TaskSet>> where = new HashMap<>();
     tasks.forEach(
         (job, set) -> {
-          for (ShardId block : ledger.blocksOf(job)) {
-            TaskSet there = ledger.allocation(block).tasks().getOrDefault(job, new TaskSet());
+          for (ShardId shard : cache.shardsOf(job)) {
+            TaskSet there = cache.allocation(shard).tasks().getOrDefault(job, new TaskSet());
             TaskSet still = new TaskSet();
             for (int i = there.nextMember(0); i >= 0; i = there.nextMember(i + 1)) {
-              if (set.contains(i) && !ledger.isDone(job, i)) {
+              if (set.contains(i) && !cache.isCompleted(job, i)) {
                 still.add(i);
               }
             }
             if (!still.isEmpty()) {
-              where.computeIfAbsent(block, b -> new HashMap<>()).put(job, still);
+              where.computeIfAbsent(shard, b -> new HashMap<>()).put(job, still);
             }
           }
         });
--- a/src/main/java/org/quincecross/state/TransactionResult.java
+++ b/src/main/java/org/quincecross/state/TransactionResult.java
@@ -4,32 +4,29 @@
 import org.quincecross.model.Revision;
 
 /**
- * What became of a transaction.
+ * The outcome of a transaction.
  *
- * @param revision the revision it made, or at which its conditions failed
- * @param failed the keys whose conditions failed
+ * @param revision the revision of the commit, or at which the preconditions failed
+ * @param failedKeys the keys whose preconditions failed
  */
-public record TransactionResult(Kind kind, Revision revision, List<String> failed) {
-  /** The ways in which a transaction can end. */
+public record TransactionResult(Kind kind, Revision revision, List<String> failedKeys) {
+  /** The possible outcomes. */
   public enum Kind {
     COMMITTED,
-    /** A condition failed. */
+    /** A precondition failed. */
     CONFLICT,
-    /** Surely not executed, for there were too many, and may be sent again. */
-    REFUSED,
-    /**
-     * Surely not executed, for the state service does not serve or cannot be reached: not to be
-     * sent again soon.
-     */
+    /** Certainly not applied because of the rate limit; may be sent again. */
+    THROTTLED,
+    /** Certainly not applied because the store is unavailable; must not be sent again soon. */
     UNAVAILABLE,
     /**
-     * Surely not executed, for what it says: a value or the transaction is larger than is allowed
-     * now. The same would be refused again, however often it is sent.
+     * Certainly not applied because a value or the transaction exceeds the current size limits;
+     * sending it again is pointless.
      */
     TOO_LARGE,
-    /** The lease in it has ended. */
-    NO_LEASE,
-    /** Not answered: executed, or executed later, or never. */
+    /** Certainly not applied because its lease has expired. */
+    LEASE_EXPIRED,
+    /** No response: applied, applied later, or never. */
     UNKNOWN
   }
 
@@ -37,6 +34,7 @@
     return new TransactionResult(kind, Revision.NONE, List.of());
   }
 
+  /** Whether the transaction was committed. */
   public boolean committed() {
     return kind == Kind.COMMITTED;
   }
--- a/src/main/java/org/quincecross/state/package-info.java
+++ b/src/main/java/org/quincecross/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The state service: its client, this controller's copy of the records, group commit, and the
- * records' formats.
+ * The replicated cluster state: the client of the key-value store, the formats of the records, this
+ * controller's cache of them, and membership.
  */
 package org.quincecross.state;
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -52,7 +52,7 @@
   private static final long LONG_AGO_MS = 1_000;
 
   private final SteppedClock clock = new SteppedClock();
-  private final ClusterStateCache ledger = new ClusterStateCache();
+  private final ClusterStateCache cache = new ClusterStateCache();
   private final PeerViews views = new PeerViews();
   private final Map<String, Map<String, Object>> records = new LinkedHashMap<>();
   private long revision;
@@ -63,18 +63,18 @@
     Cancellations made =
         new Cancellations(
             clock,
-            ledger,
+            cache,
             new OwnedShards(null, new ControllerId("n0"), () -> new Incarnation(7)),
             views,
             UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel)));
-    ledger.listen(made::ledgerChanged);
+    cache.addListener(made::ledgerChanged);
     return made;
   }
 
   private void put(String key, Map<String, Object> value) {
     records.put(key, value);
-    CacheTestSupport.put(ledger, key, value, ++revision);
-    CacheTestSupport.advance(ledger, revision);
+    CacheTestSupport.put(cache, key, value, ++revision);
+    CacheTestSupport.advance(cache, revision);
   }
 
   @BeforeEach
@@ -99,9 +99,9 @@
             TimeSpan.ZERO,
             TimeSpan.ZERO,
             null);
-    put(StoreKeys.job(JOB), JobRecord.open(job, 0));
+    put(StoreKeys.job(JOB), JobRecord.writeOpen(job, 0));
     put(
-        StoreKeys.block(BLOCK),
+        StoreKeys.shard(BLOCK),
         ShardLease.first(
                 BLOCK,
                 new ControllerRecord(
@@ -126,7 +126,7 @@
   }
 
   private void cancel() {
-    put(StoreKeys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
+    put(StoreKeys.job(JOB), cache.job(JOB).writeCancelled(LONG_AGO_MS));
   }
 
   /** The holder says that it has taken note of all that is known here. */
@@ -149,8 +149,8 @@
     PeerHeartbeat.Block block =
         new PeerHeartbeat.Block(
             BLOCK,
-            new FencingToken(ledger.block(BLOCK).token().value()),
-            ledger.allocation(BLOCK).version(),
+            new FencingToken(cache.shard(BLOCK).token().value()),
+            cache.allocation(BLOCK).version(),
             false,
             Set.of(),
             true,
@@ -165,7 +165,7 @@
             ++reports,
             reports - 1,
             Map.of(),
-            ledger.revision(),
+            cache.revision(),
             TimeSpan.ZERO,
             List.of(block),
             List.of()),
@@ -175,7 +175,7 @@
   /** Whether a user who asks now is told, within what a user's question may wait. */
   private boolean isTold() {
     Boolean[] told = new Boolean[1];
-    cancellations.whenSafe(ledger.job(JOB), safe -> told[0] = safe);
+    cancellations.whenSafe(cache.job(JOB), safe -> told[0] = safe);
     clock.advance(1.4);
     return told[0];
   }
@@ -209,13 +209,13 @@
    */
   @Test
   void afterTheRecordsWereReadAnewTheWaitBeginsAnew() {
-    records.put(StoreKeys.job(JOB), ledger.job(JOB).cancelled(LONG_AGO_MS));
-    CacheTestSupport.load(ledger, records, ++revision);
+    records.put(StoreKeys.job(JOB), cache.job(JOB).writeCancelled(LONG_AGO_MS));
+    CacheTestSupport.load(cache, records, ++revision);
     assertEquals(false, isTold(), "read just now, still allocated, not noted");
     clock.advance(8);
     assertEquals(true, isTold());
     records.put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
-    CacheTestSupport.load(ledger, records, ++revision);
+    CacheTestSupport.load(cache, records, ++revision);
     assertEquals(true, isTold(), "nothing of it is allocated: its tasks were proven gone");
   }
 
@@ -228,11 +228,11 @@
     allocate(0, 1);
     assertEquals(true, isTold());
     CacheTestSupport.put(
-        ledger,
-        StoreKeys.done(JOB, 0),
+        cache,
+        StoreKeys.completedChunk(JOB, 0),
         org.quincecross.state.CompletedTasks.write(new TaskSet(), 0),
         ++revision);
-    CacheTestSupport.advance(ledger, revision);
+    CacheTestSupport.advance(cache, revision);
     assertEquals(true, isTold());
   }
 
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -54,7 +54,7 @@
   private static final int MOST_BYTES = 4096;
 
   private final SteppedClock clock = new SteppedClock();
-  private final ClusterStateCache ledger = new ClusterStateCache();
+  private final ClusterStateCache cache = new ClusterStateCache();
   private final Map<String, Long> stamps = new HashMap<>();
   private final List<Map<String, Object>> log = new ArrayList<>();
   private final List<Runnable> held = new ArrayList<>();
@@ -69,7 +69,7 @@
     MachineType type =
         new MachineType(
             "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, TimeSpan.ofSeconds(45), List.of("a"));
-    write(StoreKeys.type("g8"), CloudCodec.writeCatalog(List.of(type)));
+    write(StoreKeys.machineType("g8"), CloudCodec.writeCatalog(List.of(type)));
     Settings.StoreLimits limits = new Settings.StoreLimits(1000, 50, MOST_BYTES, 8);
     Settings.AgentTimeouts workers =
         new Settings.AgentTimeouts(
@@ -95,25 +95,25 @@
             new Settings.CloudLimits(4, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(2),
             new Settings.ProcessLimits(1, 300, 1000));
-    KeyValueStoreClient client =
+    KeyValueStoreClient store =
         new KeyValueStoreClient(
             clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
-    StateWatcher follower = new StateWatcher(clock, client, ledger);
+    StateWatcher watcher = new StateWatcher(clock, store, cache);
     UnconfirmedOwnershipBound bound = workers.unconfirmedBound();
     Cancellations cancellations =
         new Cancellations(
             clock,
-            ledger,
+            cache,
             new OwnedShards(null, MEMBER, () -> new Incarnation(7)),
             new PeerViews(),
             bound);
-    ledger.listen(cancellations::ledgerChanged);
+    cache.addListener(cancellations::ledgerChanged);
     users =
         new UserApi(
             clock,
-            ledger,
-            follower,
-            client,
+            cache,
+            watcher,
+            store,
             settings,
             job -> 0,
             () -> clock.now().nanos() / 1_000_000,
@@ -121,7 +121,7 @@
             () -> new Incarnation(7),
             () -> false,
             () -> IsolationDetector.State.CONNECTED);
-    follower.start();
+    watcher.start();
     clock.advance(1);
   }
 
--- a/src/test/java/org/quincecross/dependency/UrgencyPropagationTest.java
+++ b/src/test/java/org/quincecross/dependency/UrgencyPropagationTest.java
@@ -54,20 +54,20 @@
   }
 
   private UrgencyPropagation.Urgency recount(JobId id) {
-    Priority rank = asked.get(id).rank();
+    Priority priority = asked.get(id).priority();
     long endBy = asked.get(id).endByMs();
     for (JobId other : asked.keySet()) {
       if (open(other) != null && waitsOn.get(other).contains(id)) {
         UrgencyPropagation.Urgency its = recount(other);
-        Priority inherits = its.rank() == Priority.PRODUCTION ? Priority.HIGH : its.rank();
-        rank = inherits.isHigherThan(rank) ? inherits : rank;
+        Priority inherits = its.priority() == Priority.PRODUCTION ? Priority.HIGH : its.priority();
+        priority = inherits.isHigherThan(priority) ? inherits : priority;
         endBy =
             its.endByMs() == UrgencyPropagation.NEVER
                 ? endBy
                 : Math.min(endBy, its.endByMs() - asked.get(other).runMs());
       }
     }
-    return new UrgencyPropagation.Urgency(rank, endBy);
+    return new UrgencyPropagation.Urgency(priority, endBy);
   }
 
   /**
@@ -101,7 +101,7 @@
                 random.nextInt(300)));
         changed = put(id, JobPhase.OPEN, after);
         before.put(
-            id, new UrgencyPropagation.Urgency(asked.get(id).rank(), asked.get(id).endByMs()));
+            id, new UrgencyPropagation.Urgency(asked.get(id).priority(), asked.get(id).endByMs()));
       } else if (records.get(id).phase() == JobPhase.OPEN) {
         boolean ends = pipelines.unfinished(id).isEmpty() && random.nextInt(3) != 0;
         changed = put(id, ends ? JobPhase.DONE : JobPhase.CANCELLED, waitsOn.get(id));
@@ -112,7 +112,7 @@
         if (open(each) != null) {
           UrgencyPropagation.Urgency now = recount(each);
           UrgencyPropagation.Urgency own =
-              new UrgencyPropagation.Urgency(asked.get(each).rank(), asked.get(each).endByMs());
+              new UrgencyPropagation.Urgency(asked.get(each).priority(), asked.get(each).endByMs());
           assertEquals(now.equals(own) ? null : now, urgencies.inherited(each));
           assertTrue(now.equals(before.put(each, now)) || changed.contains(each));
         }
--- a/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
@@ -55,9 +55,9 @@
     assertEquals(30, drawn.told.size(), () -> drawn.told.keySet().toString());
     assertEquals(Set.copyOf(drawn.told.values()).size(), 30);
     for (AgreedDay.Gates each : drawn.gates) {
-      assertEquals(30, each.book.state("count").passed());
+      assertEquals(30, each.index.state("count").passed());
     }
-    assertFalse(drawn.gates[0].book.pages().isEmpty(), "no page of the trail");
+    assertFalse(drawn.gates[0].index.pages().isEmpty(), "no page of the trail");
     assertEquals(30, drawn.get(1, "/gate/trail").objects("lines").size());
   }
 
@@ -191,14 +191,14 @@
     day.world.time().runUntil(AgreedDay.READY_S + 10);
     day.ask(0, "count", "first", "pass");
     day.world.time().runUntil(AgreedDay.READY_S + 12);
-    Revision first = day.gates[0].book.get("count").version();
+    Revision first = day.gates[0].index.get("count").version();
     assertEquals(
         ReplicationBarrier.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
     day.world.silence(2, 120, true);
     day.world.time().runUntil(AgreedDay.READY_S + 18);
     day.ask(0, "count", "second", "pass");
     day.world.time().runUntil(AgreedDay.READY_S + 20);
-    Revision second = day.gates[0].book.get("count").version();
+    Revision second = day.gates[0].index.get("count").version();
     ReplicationBarrier.Answer answer = day.gates[0].base.known().of(second);
     assertEquals(ReplicationBarrier.State.SPREADING, answer.state());
     assertEquals("[n2]", answer.missing().toString());
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/AgreedDay.java
@@ -69,24 +69,24 @@
   /** What a controller knows of the gates. */
   static final class Gates implements StartBlock {
     final ReplicatedFeatureContext base;
-    final ReplicatedRecordIndex<Gate.State, Gate.Command> book;
+    final ReplicatedRecordIndex<Gate.State, Gate.Command> index;
     private final Set<JobId> closed = new HashSet<>();
 
     Gates(ReplicatedFeatureContext base) {
       this.base = base;
-      this.book = base.ledger().agreed().add(new Gate());
+      this.index = base.cache().replicatedRecords().add(new Gate());
       base.withheld().add(this);
-      base.ledger()
-          .listen(
+      base.cache()
+          .addListener(
               changes -> {
                 Set<JobId> changed = new HashSet<>();
                 changes
-                    .agreed()
+                    .replicatedRecords()
                     .forEach(
                         record -> {
                           JobId job = JobId.parse(record.id());
                           if (job != null
-                              && (book.state(record.id()).closed()
+                              && (index.state(record.id()).closed()
                                   ? closed.add(job)
                                   : closed.remove(job))) {
                             changed.add(job);
@@ -108,11 +108,11 @@
 
     /** Whether all tasks of a job whose gate is closed are proven gone here. */
     boolean isProven(JobId id, int tasks) {
-      ReplicatedRecordIndex.Held<Gate.State> held = book.get(id.text());
-      return base.ledger().isLoaded()
+      ReplicatedRecordIndex.Held<Gate.State> held = index.get(id.text());
+      return base.cache().isLoaded()
           && held != null
           && held.state().closed()
-          && TerminationProof.of(base.ledger(), Map.of(id, TaskSet.range(tasks)), held.version())
+          && TerminationProof.of(base.cache(), Map.of(id, TaskSet.range(tasks)), held.version())
               .isProven();
     }
   }
@@ -167,11 +167,11 @@
                 long change = ((Number) map.get("change")).longValue();
                 proven.computeIfPresent(id, (job, by) -> by.change() == change ? by : null);
                 for (Gates each : gates) {
-                  ReplicatedRecordIndex.Held<Gate.State> held = each.book.get(id.text());
-                  if (held == null || held.kept().change() != change) {
+                  ReplicatedRecordIndex.Held<Gate.State> held = each.index.get(id.text());
+                  if (held == null || held.record().change() != change) {
                     continue;
                   }
-                  Revision revision = each.base.ledger().revision();
+                  Revision revision = each.base.cache().revision();
                   if (each.isProven(id, jobs.get(id).taskCount())) {
                     proven.putIfAbsent(id, new Proven(change, revision));
                   } else if (proven.containsKey(id) && revision.isAfter(proven.get(id).by())) {
--- a/src/test/java/org/quincecross/emulator/Day.java
+++ b/src/test/java/org/quincecross/emulator/Day.java
@@ -293,19 +293,19 @@
 
   /** A job that fails wherever it runs, until its user cancels it. */
   private void mistake() {
-    JobKind shape = JobKind.values()[random.nextInt(JobKind.values().length)];
+    JobKind kind = JobKind.values()[random.nextInt(JobKind.values().length)];
     Job job =
         new Job(
             new JobId("job-" + (5000 + world.users().mistakes().size())),
             "mistake",
             random.nextBoolean() ? "blue" : "red",
-            shape,
-            shape == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
-            1 + random.nextInt(shape == JobKind.ARRAY ? 20 : 2),
+            kind,
+            kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
+            1 + random.nextInt(kind == JobKind.ARRAY ? 20 : 2),
             new Resources(1 + random.nextInt(2), 0, 2),
             null,
             null,
-            shape == JobKind.GANG,
+            kind == JobKind.GANG,
             false,
             false,
             "img-" + random.nextInt(3),
--- a/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
+++ b/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
@@ -61,13 +61,19 @@
   }
 
   private static Job job(
-      int number, String team, JobKind shape, Priority rank, int tasks, double cpus, double runS) {
+      int number,
+      String team,
+      JobKind kind,
+      Priority priority,
+      int tasks,
+      double cpus,
+      double runS) {
     return new Job(
         new JobId("job-" + number),
-        shape == JobKind.SERVICE ? "front" : "small",
+        kind == JobKind.SERVICE ? "front" : "small",
         team,
-        shape,
-        rank,
+        kind,
+        priority,
         tasks,
         new Resources(cpus, 0, 0.1),
         null,
--- a/src/test/java/org/quincecross/emulator/FullTeamsTest.java
+++ b/src/test/java/org/quincecross/emulator/FullTeamsTest.java
@@ -63,14 +63,14 @@
   }
 
   private void submit(
-      int number, String team, JobKind shape, int tasks, int cpus, boolean oneZone, double runS) {
+      int number, String team, JobKind kind, int tasks, int cpus, boolean oneZone, double runS) {
     Job job =
         new Job(
             new JobId("job-" + number),
             "any",
             team,
-            shape,
-            shape == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
+            kind,
+            kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
             tasks,
             new Resources(cpus, 0, 2),
             null,
--- a/src/test/java/org/quincecross/emulator/GapDay.java
+++ b/src/test/java/org/quincecross/emulator/GapDay.java
@@ -99,7 +99,7 @@
   }
 
   private Job job(int number) {
-    JobKind shape =
+    JobKind kind =
         number == FIRST
             ? JobKind.ARRAY
             : random.nextInt(5) == 0
@@ -108,13 +108,13 @@
     int tasks =
         number == FIRST
             ? 18
-            : shape == JobKind.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
+            : kind == JobKind.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
     return new Job(
         new JobId("job-" + number),
         "gap",
         number != FIRST && oneIn(3) ? "blue" : "red",
-        shape,
-        shape == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
+        kind,
+        kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
         tasks,
         new Resources(1, 0, 2),
         null,
--- a/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
@@ -51,14 +51,14 @@
   }
 
   private JobId submit(
-      double atS, String team, JobKind shape, Priority rank, int tasks, int cpus, double runS) {
+      double atS, String team, JobKind kind, Priority priority, int tasks, int cpus, double runS) {
     Job job =
         new Job(
             new JobId("job-" + number++),
             "any",
             team,
-            shape,
-            rank,
+            kind,
+            priority,
             tasks,
             new Resources(cpus, 0, 2),
             null,
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -85,20 +85,20 @@
       double atS,
       String team,
       String jobClass,
-      Priority rank,
+      Priority priority,
       int tasks,
       Resources each,
       double runS,
       double dueS) {
-    return submit(atS, team, jobClass, JobKind.ARRAY, rank, tasks, each, null, runS, dueS);
+    return submit(atS, team, jobClass, JobKind.ARRAY, priority, tasks, each, null, runS, dueS);
   }
 
   private JobId submit(
       double atS,
       String team,
       String jobClass,
-      JobKind shape,
-      Priority rank,
+      JobKind kind,
+      Priority priority,
       int tasks,
       Resources each,
       String type,
@@ -110,13 +110,13 @@
             id,
             jobClass,
             team,
-            shape,
-            rank,
+            kind,
+            priority,
             tasks,
             each,
             type == null ? null : java.util.Set.of(type),
             null,
-            shape == JobKind.GANG,
+            kind == JobKind.GANG,
             false,
             false,
             jobClass,
--- a/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
@@ -53,13 +53,13 @@
     return new JobId("job-" + number);
   }
 
-  private static Job job(int number, JobKind shape, int tasks, double cpus, Integer... after) {
+  private static Job job(int number, JobKind kind, int tasks, double cpus, Integer... after) {
     return new Job(
         id(number),
         "stage",
         number % 2 == 0 ? "red" : "blue",
-        shape,
-        shape == JobKind.SERVICE ? Priority.PRODUCTION : Priority.LOW,
+        kind,
+        kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.LOW,
         tasks,
         new Resources(cpus, 0, 1),
         null,
@@ -390,7 +390,7 @@
           .write(
               StoreKeys.job(job.id()),
               Json.parse(
-                  Json.write(JobRecord.open(job, (long) (SimulatedCluster.EPOCH_S * 1000)))));
+                  Json.write(JobRecord.writeOpen(job, (long) (SimulatedCluster.EPOCH_S * 1000)))));
     }
     world.time().at(6, () -> world.state().outage(9));
     world.time().at(7, () -> world.users().cancel(id(0)));
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -233,8 +233,8 @@
    * The records of done tasks of a job of more than a chunk, which days this short do not write.
    */
   private void largeJob() {
-    TaskSet done = TaskSet.range(CompletedTasks.CHUNK + 17);
-    IntStream.range(1, 2000).forEach(i -> done.add(CompletedTasks.CHUNK + 2 * i));
+    TaskSet done = TaskSet.range(CompletedTasks.CHUNK_SIZE + 17);
+    IntStream.range(1, 2000).forEach(i -> done.add(CompletedTasks.CHUNK_SIZE + 2 * i));
     for (int chunk = 0; chunk < 2; chunk++) {
       recorder.stored("q/done/job-5/" + chunk, CompletedTasks.write(done, chunk));
     }
--- a/src/test/java/org/quincecross/leader/AllocationIndexTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationIndexTest.java
@@ -46,12 +46,12 @@
   private static final int TASKS = 12;
   private static final int BLOCKS = 4;
 
-  private final ClusterStateCache ledger = new ClusterStateCache();
-  private final AllocationIndex books = new AllocationIndex(ledger);
+  private final ClusterStateCache cache = new ClusterStateCache();
+  private final AllocationIndex books = new AllocationIndex(cache);
   private long revision;
 
   AllocationIndexTest() {
-    ledger.listen(books::changed);
+    cache.addListener(books::changed);
   }
 
   private static Job job(int number) {
@@ -80,8 +80,8 @@
   }
 
   private void put(String key, Map<String, Object> value) {
-    CacheTestSupport.put(ledger, key, value, ++revision);
-    CacheTestSupport.advance(ledger, revision);
+    CacheTestSupport.put(cache, key, value, ++revision);
+    CacheTestSupport.advance(cache, revision);
   }
 
   private static ShardLease lease(int block) {
@@ -120,17 +120,17 @@
       JobId id = job(number).id();
       switch (random.nextInt(6)) {
         case 0 -> {
-          if (ledger.job(id) == null) {
-            put(StoreKeys.job(id), JobRecord.open(job(number), 0));
-          } else if (random.nextInt(3) == 0 && ledger.job(id).phase() == JobPhase.OPEN) {
+          if (cache.job(id) == null) {
+            put(StoreKeys.job(id), JobRecord.writeOpen(job(number), 0));
+          } else if (random.nextInt(3) == 0 && cache.job(id).phase() == JobPhase.OPEN) {
             put(
                 StoreKeys.job(id),
-                random.nextBoolean() ? ledger.job(id).done() : ledger.job(id).cancelled(1));
+                random.nextBoolean() ? cache.job(id).writeDone() : cache.job(id).writeCancelled(1));
           }
         }
         case 1 ->
             put(
-                StoreKeys.block(new ShardId("b" + block)),
+                StoreKeys.shard(new ShardId("b" + block)),
                 random.nextInt(4) == 0 ? null : lease(block).write());
         case 2, 3 -> {
           Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
@@ -143,9 +143,9 @@
         }
         case 4 ->
             put(
-                StoreKeys.page(random.nextInt(2)),
+                StoreKeys.completedPage(random.nextInt(2)),
                 CompletedTasks.writePage(Map.of(id, some(random))));
-        default -> put(StoreKeys.done(id, 0), CompletedTasks.write(some(random), 0));
+        default -> put(StoreKeys.completedChunk(id, 0), CompletedTasks.write(some(random), 0));
       }
       if (random.nextBoolean()) {
         assertCounted();
@@ -159,7 +159,7 @@
     Set<JobId> waiting = new HashSet<>();
     for (int number = 0; number < JOBS; number++) {
       JobId id = job(number).id();
-      JobRecord record = ledger.job(id);
+      JobRecord record = cache.job(id);
       if (record == null || record.job() == null) {
         assertEquals(null, books.account(id));
         continue;
@@ -168,11 +168,11 @@
       Map<String, Integer> perZone = new TreeMap<>();
       for (int block = 0; block < BLOCKS; block++) {
         ShardId at = new ShardId("b" + block);
-        TaskSet there = ledger.allocation(at).tasks().getOrDefault(id, new TaskSet());
+        TaskSet there = cache.allocation(at).tasks().getOrDefault(id, new TaskSet());
         for (int i = 0; i < TASKS; i++) {
-          if (there.contains(i) && !ledger.isDone(id, i)) {
+          if (there.contains(i) && !cache.isCompleted(id, i)) {
             out.add(i);
-            if (ledger.blocks().containsKey(at)) {
+            if (cache.shards().containsKey(at)) {
               perZone.merge("z" + block % 2, 1, Integer::sum);
             }
           }
@@ -183,14 +183,14 @@
           record.job().dependencies().stream()
               .anyMatch(
                   before ->
-                      ledger.job(before) == null || ledger.job(before).phase() != JobPhase.DONE);
+                      cache.job(before) == null || cache.job(before).phase() != JobPhase.DONE);
       for (int i = 0; record.phase() == JobPhase.OPEN && !waits && i < TASKS; i++) {
-        if (!out.contains(i) && !ledger.isDone(id, i)) {
+        if (!out.contains(i) && !cache.isCompleted(id, i)) {
           pool.add(i);
         }
       }
       assertEquals(
-          new AllocationIndex.Account(record.job(), ledger.doneTasks(id), out, pool, perZone),
+          new AllocationIndex.Account(record.job(), cache.completedTasks(id), out, pool, perZone),
           books.account(id));
       if (!pool.isEmpty()) {
         waiting.add(id);
@@ -218,13 +218,15 @@
     List<Job> jobs = new ArrayList<>();
     for (int number = 0; number < 100; number++) {
       jobs.add(job(number));
-      put(StoreKeys.job(job(number).id()), JobRecord.open(job(number), 0));
+      put(StoreKeys.job(job(number).id()), JobRecord.writeOpen(job(number), 0));
       tasks.put(job(number).id(), TaskSet.range(TASKS));
     }
     put(StoreKeys.allocation(new ShardId("b0")), Allocation.write(tasks));
     books.teamUse();
     long before = books.counted();
-    put(StoreKeys.page(0), CompletedTasks.writePage(Map.of(jobs.get(5).id(), TaskSet.range(1))));
+    put(
+        StoreKeys.completedPage(0),
+        CompletedTasks.writePage(Map.of(jobs.get(5).id(), TaskSet.range(1))));
     books.teamUse();
     assertEquals(1, books.counted() - before);
   }
--- a/src/test/java/org/quincecross/leader/AllocationWriterTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationWriterTest.java
@@ -37,29 +37,29 @@
   private static final ShardId BLOCK = new ShardId("b");
   private static final int LIMIT = 1000;
 
-  private final ClusterStateCache ledger = new ClusterStateCache();
-  private final AllocationIndex books = new AllocationIndex(ledger);
-  private final AllocationWriter allocations = new AllocationWriter(ledger, () -> false);
+  private final ClusterStateCache cache = new ClusterStateCache();
+  private final AllocationIndex books = new AllocationIndex(cache);
+  private final AllocationWriter allocations = new AllocationWriter(cache, () -> false);
   private long revision;
 
   private void put(String key, Map<String, Object> value) {
-    CacheTestSupport.put(ledger, key, value, ++revision);
-    CacheTestSupport.advance(ledger, revision);
+    CacheTestSupport.put(cache, key, value, ++revision);
+    CacheTestSupport.advance(cache, revision);
   }
 
   @SuppressWarnings("unchecked")
-  private void apply(TransactionBuilder plan) {
+  private void apply(TransactionBuilder transaction) {
     revision++;
-    for (Mutation change : plan.changes()) {
+    for (Mutation change : transaction.changes()) {
       assertTrue(
           change.value() == null || Json.write(change.value()).length <= LIMIT, change.key());
-      CacheTestSupport.put(ledger, change.key(), (Map<String, Object>) change.value(), revision);
+      CacheTestSupport.put(cache, change.key(), (Map<String, Object>) change.value(), revision);
     }
-    CacheTestSupport.advance(ledger, revision);
+    CacheTestSupport.advance(cache, revision);
   }
 
   private static Map<String, Object> open(JobId id, int tasks) {
-    return JobRecord.open(
+    return JobRecord.writeOpen(
         new Job(
             id,
             "c",
@@ -84,7 +84,7 @@
 
   /** Fills a block with a record as it was written when values could be larger. */
   private List<JobId> fill(Random random, int level) {
-    ledger.listen(books::changed);
+    cache.addListener(books::changed);
     put(StoreKeys.LEVEL, FeatureLevelRecord.write(new FeatureLevel(level)));
     Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
     List<JobId> jobs = new ArrayList<>();
@@ -121,28 +121,28 @@
               : null;
       if (back != null) {
         next.remove(back);
-        TransactionBuilder plan = new TransactionBuilder(ledger, 4, LIMIT);
-        refused += allocations.put(plan, BLOCK, next) ? 0 : 1;
-        apply(plan);
+        TransactionBuilder transaction = new TransactionBuilder(cache, 4, LIMIT);
+        refused += allocations.put(transaction, BLOCK, next) ? 0 : 1;
+        apply(transaction);
         assertEquals(next, books.held(BLOCK));
       }
       expected = books.held(BLOCK);
     }
     assertEquals(0, refused);
     assertTrue(
-        Json.write(Allocation.write(ledger.wholeAllocation(BLOCK).tasks())).length <= LIMIT,
+        Json.write(Allocation.write(cache.wholeAllocation(BLOCK).tasks())).length <= LIMIT,
         "written whole again");
   }
 
   /** A task becomes durable as done on a page, or its job as a whole. */
   private void end(JobId id, Random random) {
     if (random.nextBoolean()) {
-      put(StoreKeys.job(id), ledger.job(id).done());
-    } else if (ledger.job(id).job() != null && ledger.job(id).job().taskCount() > 1) {
-      TaskSet done = ledger.doneTasks(id);
-      done.add(random.nextInt(ledger.job(id).job().taskCount() - 1));
+      put(StoreKeys.job(id), cache.job(id).writeDone());
+    } else if (cache.job(id).job() != null && cache.job(id).job().taskCount() > 1) {
+      TaskSet done = cache.completedTasks(id);
+      done.add(random.nextInt(cache.job(id).job().taskCount() - 1));
       put(
-          StoreKeys.page(Integer.parseInt(id.digits())),
+          StoreKeys.completedPage(Integer.parseInt(id.digits())),
           CompletedTasks.writePage(Map.of(id, done)));
     }
   }
@@ -153,13 +153,13 @@
     List<JobId> jobs = fill(random, 1);
     boolean fitted = false;
     for (JobId id : jobs) {
-      put(StoreKeys.job(id), ledger.job(id).done());
-      TransactionBuilder plan = new TransactionBuilder(ledger, 4, LIMIT);
+      put(StoreKeys.job(id), cache.job(id).writeDone());
+      TransactionBuilder transaction = new TransactionBuilder(cache, 4, LIMIT);
       boolean fits = Json.write(Allocation.write(books.held(BLOCK))).length <= LIMIT;
-      assertEquals(fits, allocations.put(plan, BLOCK, books.held(BLOCK)));
+      assertEquals(fits, allocations.put(transaction, BLOCK, books.held(BLOCK)));
       assertTrue(!fitted || fits);
       fitted = fits;
-      apply(plan);
+      apply(transaction);
     }
     assertTrue(fitted);
   }
--- a/src/test/java/org/quincecross/leader/AutoscalerTest.java
+++ b/src/test/java/org/quincecross/leader/AutoscalerTest.java
@@ -46,7 +46,7 @@
   private static final int PER_ZONE = 12;
 
   private final Clock clock = new Clock();
-  private final ClusterStateCache ledger = new ClusterStateCache();
+  private final ClusterStateCache cache = new ClusterStateCache();
   private final List<String> returned = new ArrayList<>();
   private final Set<MachineId> vanished = new HashSet<>();
   private final Map<MachineId, PeerHeartbeat.MachineState> states = new HashMap<>();
@@ -112,14 +112,15 @@
         new Autoscaler(
             clock,
             this::cloud,
-            ledger,
+            cache,
             settings,
-            new DemandForecast(ledger),
+            new DemandForecast(cache),
             () -> new Incarnation(1),
             () -> OperatorSettings.DEFAULTS);
     MachineType type =
         new MachineType("t", SIZE, 50, 1, 1, 0.3, TimeSpan.ofSeconds(10), List.of("a", "b"));
-    CacheTestSupport.put(ledger, StoreKeys.type("t"), CloudCodec.writeCatalog(List.of(type)), 1);
+    CacheTestSupport.put(
+        cache, StoreKeys.machineType("t"), CloudCodec.writeCatalog(List.of(type)), 1);
     ControllerRecord holder =
         new ControllerRecord(
             new ControllerId("n"),
@@ -138,7 +139,7 @@
                 : block.with(machine);
         hear(machine.id(), 0);
       }
-      CacheTestSupport.put(ledger, StoreKeys.block(block.id()), block.write(), 2);
+      CacheTestSupport.put(cache, StoreKeys.shard(block.id()), block.write(), 2);
     }
     ShardLease ordinary = null;
     for (int i = 0; i < PER_ZONE; i++) {
@@ -149,8 +150,8 @@
               : ordinary.with(machine);
       hear(machine.id(), 0);
     }
-    CacheTestSupport.put(ledger, StoreKeys.block(ordinary.id()), ordinary.write(), 2);
-    CacheTestSupport.advance(ledger, 2);
+    CacheTestSupport.put(cache, StoreKeys.shard(ordinary.id()), ordinary.write(), 2);
+    CacheTestSupport.advance(cache, 2);
     fleet.start();
   }
 
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -36,15 +36,15 @@
 class CompletionWriterTest {
   private static final int MOST_CHANGES = 8;
 
-  private final ClusterStateCache ledger = new ClusterStateCache();
-  private final AllocationIndex books = new AllocationIndex(ledger);
+  private final ClusterStateCache cache = new ClusterStateCache();
+  private final AllocationIndex books = new AllocationIndex(cache);
   private final PeerViews views = new PeerViews();
   private final StillClock timers = new StillClock();
   private long revision;
 
   private void put(String key, Object value) {
-    CacheTestSupport.put(ledger, key, castMap(value), ++revision);
-    CacheTestSupport.advance(ledger, revision);
+    CacheTestSupport.put(cache, key, castMap(value), ++revision);
+    CacheTestSupport.advance(cache, revision);
   }
 
   @SuppressWarnings("unchecked")
@@ -59,20 +59,20 @@
    */
   @Test
   void aJobOfMoreChunksThanATransactionHoldsBecomesDurable() {
-    ledger.listen(books::changed);
-    CompletionWriter results = new CompletionWriter(timers, ledger, views, books, () -> 0);
+    cache.addListener(books::changed);
+    CompletionWriter results = new CompletionWriter(timers, cache, views, books, () -> 0);
     int chunks = 24;
     JobId id = new JobId("job-1");
     put(
         StoreKeys.job(id),
-        JobRecord.open(
+        JobRecord.writeOpen(
             new Job(
                 id,
                 "c",
                 "t",
                 JobKind.ARRAY,
                 Priority.LOW,
-                chunks * CompletedTasks.CHUNK,
+                chunks * CompletedTasks.CHUNK_SIZE,
                 new Resources(1, 0, 1),
                 null,
                 null,
@@ -89,13 +89,13 @@
     for (int chunk = 0; chunk < chunks; chunk++) {
       TaskSet done = new TaskSet();
       for (int i = 0; i < 2000; i += 2) {
-        done.add(chunk * CompletedTasks.CHUNK + i);
+        done.add(chunk * CompletedTasks.CHUNK_SIZE + i);
       }
-      put(StoreKeys.done(id, chunk), CompletedTasks.write(done, chunk));
+      put(StoreKeys.completedChunk(id, chunk), CompletedTasks.write(done, chunk));
     }
     List<TaskId> completed = new ArrayList<>();
     for (int chunk = 0; chunk < chunks; chunk++) {
-      completed.add(id.task(chunk * CompletedTasks.CHUNK + 2001));
+      completed.add(id.task(chunk * CompletedTasks.CHUNK_SIZE + 2001));
     }
     views.take(
         new PeerHeartbeat(
@@ -122,16 +122,16 @@
         timers.now());
     int written = 0;
     for (int plans = 0; plans < 5; plans++) {
-      TransactionBuilder plan = new TransactionBuilder(ledger, MOST_CHANGES, 4000);
-      results.plan(plan, results.completions());
-      for (Mutation change : plan.changes()) {
+      TransactionBuilder transaction = new TransactionBuilder(cache, MOST_CHANGES, 4000);
+      results.plan(transaction, results.completions());
+      for (Mutation change : transaction.changes()) {
         put(change.key(), change.value());
         written++;
       }
       timers.advance(2);
     }
     assertTrue(
-        completed.stream().allMatch(task -> ledger.isDone(id, task.index())),
+        completed.stream().allMatch(task -> cache.isCompleted(id, task.index())),
         results.completions().toString());
     assertEquals(chunks, written);
   }
@@ -142,15 +142,15 @@
    */
   @Test
   void jobsMoveOnFromAPageThatIsLargerThanAValueMayBeNow() {
-    ledger.listen(books::changed);
-    CompletionWriter results = new CompletionWriter(timers, ledger, views, books, () -> 0);
+    cache.addListener(books::changed);
+    CompletionWriter results = new CompletionWriter(timers, cache, views, books, () -> 0);
     Map<JobId, TaskSet> page = new LinkedHashMap<>();
     List<TaskId> completed = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       JobId id = new JobId("job-" + (10_000 + i));
       put(
           StoreKeys.job(id),
-          JobRecord.open(
+          JobRecord.writeOpen(
               new Job(
                   id,
                   "c",
@@ -174,7 +174,7 @@
       page.put(id, TaskSet.range(1 + i % 3));
       completed.add(id.task(5));
     }
-    put(StoreKeys.page(0), CompletedTasks.writePage(page));
+    put(StoreKeys.completedPage(0), CompletedTasks.writePage(page));
     views.take(
         new PeerHeartbeat(
             new ControllerId("n"),
@@ -199,9 +199,9 @@
             List.of()),
         timers.now());
     for (int plans = 0; plans < 8; plans++) {
-      TransactionBuilder plan = new TransactionBuilder(ledger, 4, 1000);
-      results.plan(plan, results.completions());
-      for (Mutation change : plan.changes()) {
+      TransactionBuilder transaction = new TransactionBuilder(cache, 4, 1000);
+      results.plan(transaction, results.completions());
+      for (Mutation change : transaction.changes()) {
         assertTrue(Json.write(change.value()).length <= 1000, change.key());
         put(change.key(), change.value());
       }
@@ -209,7 +209,7 @@
     }
     assertTrue(
         completed.stream()
-            .allMatch(task -> ledger.isDone(task.job(), 5) && ledger.isDone(task.job(), 0)),
+            .allMatch(task -> cache.isCompleted(task.job(), 5) && cache.isCompleted(task.job(), 0)),
         results.completions().toString());
   }
 }
--- a/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
+++ b/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
@@ -44,11 +44,11 @@
               .toList();
       MachineTypeWriter types = new MachineTypeWriter(new ClusterStateCache());
       for (double now = 0; now < 2.9; now += 0.1) {
-        TransactionBuilder plan =
+        TransactionBuilder transaction =
             new TransactionBuilder(new ClusterStateCache(), random.nextInt(7), 4000);
-        boolean room = plan.room() >= count;
-        assertEquals(room, types.plan(plan, catalog, at(now)));
-        assertEquals(room ? count : 0, plan.changes().size());
+        boolean room = transaction.room() >= count;
+        assertEquals(room, types.plan(transaction, catalog, at(now)));
+        assertEquals(room ? count : 0, transaction.changes().size());
       }
     }
   }
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -50,7 +50,7 @@
   private static final Endpoint HERE = new Endpoint("10.0.0.1", 1);
 
   private final StillClock clock = new StillClock();
-  private final ClusterStateCache ledger = new ClusterStateCache();
+  private final ClusterStateCache cache = new ClusterStateCache();
   private final PeerViews views = new PeerViews();
   private final ShardLeaseManager leases;
   private long reports;
@@ -78,30 +78,30 @@
             new Settings.CloudLimits(10, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(1),
             new Settings.ProcessLimits(1, 100, 1000));
-    DemandForecast foresight = new DemandForecast(ledger);
+    DemandForecast foresight = new DemandForecast(cache);
     Autoscaler fleet =
         new Autoscaler(
             clock,
             (to, request, timeout, done) -> {},
-            ledger,
+            cache,
             settings,
             foresight,
             () -> new Incarnation(1),
             () -> OperatorSettings.DEFAULTS);
-    AllocationIndex books = new AllocationIndex(ledger);
-    ledger.listen(books::changed);
+    AllocationIndex books = new AllocationIndex(cache);
+    cache.addListener(books::changed);
     leases =
         new ShardLeaseManager(
             clock,
-            ledger,
+            cache,
             settings,
             fleet,
             foresight,
             books,
-            new CurrentPeerViews(clock, ledger, views),
-            new AllocationWriter(ledger, () -> false));
+            new CurrentPeerViews(clock, cache, views),
+            new AllocationWriter(cache, () -> false));
     CacheTestSupport.put(
-        ledger, StoreKeys.member(HOLDER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
+        cache, StoreKeys.member(HOLDER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
     ControllerRecord member =
         new ControllerRecord(
             HOLDER,
@@ -113,11 +113,11 @@
     Machine first = new Machine(new MachineId("m-0"), HERE, "t", "a", false);
     Machine second = new Machine(new MachineId("m-1"), HERE, "t", "a", false);
     CacheTestSupport.put(
-        ledger,
-        StoreKeys.block(BLOCK),
+        cache,
+        StoreKeys.shard(BLOCK),
         ShardLease.first(BLOCK, member, first).with(second).write(),
         2);
-    CacheTestSupport.advance(ledger, 2);
+    CacheTestSupport.advance(cache, 2);
   }
 
   private List<Mutation> planned(boolean inDoubt, boolean secondIsFenced) {
@@ -147,9 +147,9 @@
             List.of(block),
             List.of()),
         clock.now());
-    TransactionBuilder plan = new TransactionBuilder(ledger, 8, 4000);
-    leases.plan(plan);
-    return plan.changes();
+    TransactionBuilder transaction = new TransactionBuilder(cache, 8, 4000);
+    leases.plan(transaction);
+    return transaction.changes();
   }
 
   private static PeerHeartbeat.MachineState machine(String id, boolean fenced) {
@@ -178,14 +178,14 @@
         "a machine that is not fenced would keep the block unsettled");
     List<Mutation> changes = planned(true, true);
     assertEquals(1, changes.size());
-    CacheTestSupport.put(ledger, StoreKeys.block(BLOCK), cast(changes.get(0).value()), 7);
-    CacheTestSupport.advance(ledger, 7);
-    ShardLease lease = ledger.blocks().get(BLOCK);
-    assertEquals(HOLDER, lease.holder());
+    CacheTestSupport.put(cache, StoreKeys.shard(BLOCK), cast(changes.get(0).value()), 7);
+    CacheTestSupport.advance(cache, 7);
+    ShardLease lease = cache.shards().get(BLOCK);
+    assertEquals(HOLDER, lease.owner());
     assertTrue(lease.token().isAfter(new FencingToken(2)), lease.toString());
     assertEquals(
         List.of(),
-        leases.plan(new TransactionBuilder(ledger, 8, 4000)).stream().toList(),
+        leases.plan(new TransactionBuilder(cache, 8, 4000)).stream().toList(),
         "the doubt was of the former token");
   }
 
@@ -196,8 +196,8 @@
   @Test
   void aBlockTakesNoMoreMachinesThanItsRecordCanName() {
     CacheTestSupport.put(
-        ledger,
-        StoreKeys.type("t"),
+        cache,
+        StoreKeys.machineType("t"),
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
@@ -212,9 +212,9 @@
         3);
     JobId gang = new JobId("job-1");
     CacheTestSupport.put(
-        ledger,
+        cache,
         StoreKeys.job(gang),
-        JobRecord.open(
+        JobRecord.writeOpen(
             new Job(
                 gang,
                 "c",
@@ -236,21 +236,21 @@
                 null),
             0),
         4);
-    CacheTestSupport.advance(ledger, 4);
+    CacheTestSupport.advance(cache, 4);
     for (int i = 2; i < 100; i++) {
       leases.newcomer(new Machine(new MachineId("m-" + i), HERE, "t", "a", false));
     }
     for (int plans = 0; plans < 5; plans++) {
-      TransactionBuilder plan = new TransactionBuilder(ledger, 4, 1000);
-      leases.plan(plan);
-      for (Mutation change : plan.changes()) {
-        CacheTestSupport.put(ledger, change.key(), cast(change.value()), 10 + plans);
+      TransactionBuilder transaction = new TransactionBuilder(cache, 4, 1000);
+      leases.plan(transaction);
+      for (Mutation change : transaction.changes()) {
+        CacheTestSupport.put(cache, change.key(), cast(change.value()), 10 + plans);
       }
-      CacheTestSupport.advance(ledger, 10 + plans);
+      CacheTestSupport.advance(cache, 10 + plans);
     }
-    assertEquals(100, ledger.machineCount());
-    ledger
-        .blocks()
+    assertEquals(100, cache.machineCount());
+    cache
+        .shards()
         .values()
         .forEach(
             block -> {
--- a/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
+++ b/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
@@ -28,7 +28,7 @@
       @ForAll @IntRange(min = 0, max = 10) int tooLarge) {
     TransactionLimits bounds =
         new TransactionLimits(new Settings.StoreLimits(100, 100, 8192, toldChanges));
-    ClusterStateCache ledger = new ClusterStateCache();
+    ClusterStateCache cache = new ClusterStateCache();
     Map<String, Map<String, Object>> waiting = new TreeMap<>();
     for (int i = 0; i < 20; i++) {
       // The oversized come first in every plan.
@@ -39,17 +39,17 @@
     int refusals = 0;
     for (int step = 0; step < 100 && waiting.size() > tooLarge; step++) {
       now = now.plus(TimeSpan.ofMillis(100));
-      TransactionBuilder plan = bounds.plan(ledger, bounds.changes(), now);
-      waiting.forEach(plan::put);
+      TransactionBuilder transaction = bounds.plan(cache, bounds.changes(), now);
+      waiting.forEach(transaction::put);
       boolean taken =
-          plan.changes().size() <= takesChanges
-              && plan.changes().stream()
+          transaction.changes().size() <= takesChanges
+              && transaction.changes().stream()
                   .allMatch(change -> Json.write(change.value()).length <= takesValue);
       if (taken) {
-        plan.changes().stream().map(Mutation::key).forEach(waiting::remove);
+        transaction.changes().stream().map(Mutation::key).forEach(waiting::remove);
       } else {
         refusals++;
-        bounds.refused(plan.changes(), now);
+        bounds.refused(transaction.changes(), now);
       }
     }
     assertEquals(tooLarge, waiting.size(), refusals + " refusals");
--- a/src/test/java/org/quincecross/overload/OverloadTest.java
+++ b/src/test/java/org/quincecross/overload/OverloadTest.java
@@ -26,11 +26,11 @@
   }
 
   private static DemandClaim claim(
-      int number, String team, Priority rank, int tasks, double ageS, double leftS) {
+      int number, String team, Priority priority, int tasks, double ageS, double leftS) {
     return new DemandClaim(
         new JobId("job-" + number),
         new DemandClaim.Group(team, "c"),
-        rank,
+        priority,
         false,
         new Revision(number),
         tasks,
@@ -102,7 +102,7 @@
             new DemandClaim(
                 claim.id(),
                 claim.group(),
-                claim.rank(),
+                claim.priority(),
                 false,
                 claim.accepted(),
                 claim.tasks(),
@@ -120,7 +120,7 @@
             JobRanking a = verdicts.get(one.id());
             JobRanking b = verdicts.get(other.id());
             int byTurn = Boolean.compare(b.turn() > 0, a.turn() > 0);
-            int byRank = other.rank().compareTo(one.rank());
+            int byRank = other.priority().compareTo(one.priority());
             int byStanding = a.standing().compareTo(b.standing());
             return byTurn != 0
                 ? byTurn
@@ -140,7 +140,7 @@
             new DemandClaim(
                 first.id(),
                 first.group(),
-                first.rank(),
+                first.priority(),
                 false,
                 first.accepted(),
                 first.tasks() - 1,
--- a/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
+++ b/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
@@ -64,7 +64,7 @@
   private int number = 1000;
 
   private void submit(
-      String team, JobKind shape, Priority rank, int tasks, double cpus, double runS, int now) {
+      String team, JobKind kind, Priority priority, int tasks, double cpus, double runS, int now) {
     JobId id = new JobId("job-" + number++);
     jobs.put(
         id,
@@ -73,8 +73,8 @@
                 id,
                 "c",
                 team,
-                shape,
-                rank,
+                kind,
+                priority,
                 tasks,
                 new Resources(cpus, 0, 2),
                 null,
--- a/src/test/java/org/quincecross/peer/PeerCodecTest.java
+++ b/src/test/java/org/quincecross/peer/PeerCodecTest.java
@@ -97,14 +97,14 @@
   }
 
   @Property(tries = 200, seed = "6")
-  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerHeartbeat report)
+  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerHeartbeat heartbeat)
       throws MalformedMessageException {
-    assertEquals(report, PeerCodec.read(PeerCodec.write(report)));
+    assertEquals(heartbeat, PeerCodec.read(PeerCodec.write(heartbeat)));
   }
 
   @Property(tries = 200, seed = "7")
-  void aPartOfAReportIsABadMessage(@ForAll("reports") PeerHeartbeat report) {
-    byte[] whole = PeerCodec.write(report);
+  void aPartOfAReportIsABadMessage(@ForAll("reports") PeerHeartbeat heartbeat) {
+    byte[] whole = PeerCodec.write(heartbeat);
     byte[] part = Arrays.copyOf(whole, whole.length - 1);
     byte[] more = Arrays.copyOf(whole, whole.length + 1);
     for (byte[] bad : List.of(part, more)) {
--- a/src/test/java/org/quincecross/peer/PeerViewsTest.java
+++ b/src/test/java/org/quincecross/peer/PeerViewsTest.java
@@ -36,7 +36,7 @@
     private final Random random;
     private final Map<Integer, Map<Integer, Integer>> blocks = new TreeMap<>();
     private final Map<Integer, Map<Integer, Long>> changedIn = new TreeMap<>();
-    private Incarnation life = new Incarnation(1);
+    private Incarnation incarnation = new Incarnation(1);
     private long number;
     private long base;
 
@@ -79,10 +79,10 @@
                       states));
             }
           });
-      PeerHeartbeat report =
+      PeerHeartbeat heartbeat =
           new PeerHeartbeat(
               SENDER,
-              life,
+              incarnation,
               number,
               base,
               Map.of(),
@@ -91,11 +91,11 @@
               changed,
               List.of());
       base = number;
-      return report;
+      return heartbeat;
     }
 
     void restart() {
-      life = new Incarnation(life.value() + 1);
+      incarnation = new Incarnation(incarnation.value() + 1);
       number = 0;
       base = 0;
       changedIn.values().forEach(machines -> machines.replaceAll((name, at) -> 1L));
@@ -149,20 +149,20 @@
       if (random.nextInt(25) == 0) {
         sender.restart();
       }
-      PeerHeartbeat report = sender.report();
-      sent.add(report);
+      PeerHeartbeat heartbeat = sender.report();
+      sent.add(heartbeat);
       if (random.nextInt(4) == 0) {
         continue; // lost
       }
       if (random.nextInt(4) == 0) {
         views.take(sent.get(random.nextInt(sent.size())), NOW); // a late or repeated one
       }
-      boolean taken = views.take(report, NOW);
+      boolean taken = views.take(heartbeat, NOW);
       PeerHeartbeat.Receipt receipt = views.receipts().get(SENDER);
       if (taken) {
         assertEquals(sender.blocks, seen(views), "what was taken is all there is");
       } else {
-        assertTrue(receipt.gap() && receipt.life().equals(sender.life));
+        assertTrue(receipt.gap() && receipt.incarnation().equals(sender.incarnation));
         sender.base = receipt.number();
         assertTrue(
             views.take(sender.report(), NOW),
--- a/src/test/java/org/quincecross/protocol/JobCodecTest.java
+++ b/src/test/java/org/quincecross/protocol/JobCodecTest.java
@@ -53,8 +53,8 @@
             .as((one, spread, spot, zone, types) -> new Object[] {one, spread, spot, zone, types});
     return Combinators.combine(
             head.as(
-                (n, lane, team, shape, rank, tasks) ->
-                    new Object[] {n, lane, team, shape, rank, tasks}),
+                (n, lane, team, kind, priority, tasks) ->
+                    new Object[] {n, lane, team, kind, priority, tasks}),
             place,
             amounts,
             amounts,
--- a/src/test/java/org/quincecross/quota/ReclaimTest.java
+++ b/src/test/java/org/quincecross/quota/ReclaimTest.java
@@ -71,7 +71,8 @@
     }
   }
 
-  private void run(String id, String team, double each, Priority rank, double lostS, int... on) {
+  private void run(
+      String id, String team, double each, Priority priority, double lostS, int... on) {
     Map<MachineId, Integer> places = new LinkedHashMap<>();
     for (int machine : on) {
       places.merge(machine(machine), 1, Integer::sum);
@@ -79,7 +80,7 @@
     }
     Reclaim.Unit unit =
         new Reclaim.Unit(
-            id, tree.of(team, "c"), cpus(each), places, rank, TimeSpan.ofSeconds(lostS));
+            id, tree.of(team, "c"), cpus(each), places, priority, TimeSpan.ofSeconds(lostS));
     units.add(unit);
     books.add(unit.node(), unit.total());
   }
--- a/src/test/java/org/quincecross/reservation/ReservationTest.java
+++ b/src/test/java/org/quincecross/reservation/ReservationTest.java
@@ -142,7 +142,7 @@
     Resources all = Resources.NONE;
     for (Place place : places) {
       Resources here = Resources.NONE;
-      for (Reservation.Kept each : kept.getOrDefault(place.block(), List.of())) {
+      for (Reservation.Kept each : kept.getOrDefault(place.shard(), List.of())) {
         here = here.plus(each.slot().each().times(each.tasks()));
       }
       assertTrue(here.fitsIn(place.room()), place + " keeps " + here);
--- a/src/test/java/org/quincecross/scheduling/AdmissionTest.java
+++ b/src/test/java/org/quincecross/scheduling/AdmissionTest.java
@@ -44,13 +44,13 @@
             Arbitraries.of(true, false),
             Arbitraries.of("a", "b", "c").injectNull(0.7))
         .as(
-            (number, shape, rank, tasks, cpus, rule, spot, zone) ->
+            (number, kind, priority, tasks, cpus, rule, spot, zone) ->
                 new Job(
                     new JobId("job-" + number),
                     "c",
                     "t",
-                    shape,
-                    rank,
+                    kind,
+                    priority,
                     tasks,
                     new Resources(cpus, 0, 1),
                     null,
@@ -231,7 +231,7 @@
   @Example
   void whatNobodyExpectsIsInNobodysWay() {
     for (boolean idle : new boolean[] {true, false}) {
-      for (Priority rank : List.of(Priority.NORMAL, Priority.LOW)) {
+      for (Priority priority : List.of(Priority.NORMAL, Priority.LOW)) {
         Admission.Block block =
             new Admission.Block(
                 new ShardId("b"),
@@ -244,7 +244,7 @@
                 Map.of(),
                 4000);
         block.count(array(1, Priority.LOW, 8), 8, 8, idle);
-        Job job = array(2, rank, 4);
+        Job job = array(2, priority, 4);
         new Admission(List.of(block), Map.of("t", TEAM), Map.of(), Map.of())
             .run(
                 List.of(
@@ -261,18 +261,20 @@
         int admitted =
             block.admitted().containsKey(job.id()) ? block.admitted().get(job.id()).size() : 0;
         assertEquals(
-            idle && rank == Priority.NORMAL ? 4 : 1, admitted, rank + " beside idle work: " + idle);
+            idle && priority == Priority.NORMAL ? 4 : 1,
+            admitted,
+            priority + " beside idle work: " + idle);
       }
     }
   }
 
-  private static Job array(int number, Priority rank, int tasks) {
+  private static Job array(int number, Priority priority, int tasks) {
     return new Job(
         new JobId("job-" + number),
         "c",
         "t",
         JobKind.ARRAY,
-        rank,
+        priority,
         tasks,
         new Resources(2, 0, 1),
         null,
--- a/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
+++ b/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
@@ -49,13 +49,13 @@
   }
 
   private Job job(
-      String lane, String team, JobKind shape, Priority rank, int tasks, double savesInS) {
+      String lane, String team, JobKind kind, Priority priority, int tasks, double savesInS) {
     return new Job(
         new JobId("job-" + ++number),
         lane,
         team,
-        shape,
-        rank,
+        kind,
+        priority,
         tasks,
         new Resources(1, 0, 1),
         null,
--- a/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
+++ b/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
@@ -33,13 +33,13 @@
   private static final MonotonicTime NOW = new MonotonicTime(0);
 
   private static Job job(
-      int number, JobKind shape, Priority rank, int tasks, double cpus, double memory) {
+      int number, JobKind kind, Priority priority, int tasks, double cpus, double memory) {
     return new Job(
         new JobId("job-" + number),
         "c",
         "t",
-        shape,
-        rank,
+        kind,
+        priority,
         tasks,
         new Resources(cpus, 0, memory),
         null,
--- a/src/test/java/org/quincecross/shard/AgentSessionTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionTest.java
@@ -30,12 +30,12 @@
 
   /** Comes, is taken and is answered, and the machine does not hear the answer. */
   private void report(long number, long order, double atS) {
-    Heartbeat report = new Heartbeat(machine, number, order, FORMER, null, List.of());
+    Heartbeat heartbeat = new Heartbeat(machine, number, order, FORMER, null, List.of());
     if (session.report() != null) {
-      session.provesNoneTaken(report, PRESENT);
+      session.provesNoneTaken(heartbeat, PRESENT);
     }
-    session.take(report, true, at(atS));
-    session.answered(report, at(atS));
+    session.take(heartbeat, true, at(atS));
+    session.answered(heartbeat, at(atS));
   }
 
   /**
--- a/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
@@ -81,7 +81,7 @@
   private void pass(double seconds) {
     for (double at = 0; at < seconds; at += 0.25) {
       clock.advance(0.25);
-      holder.tick();
+      owner.tick();
     }
   }
 
@@ -94,23 +94,23 @@
     allocate(new TaskSet());
     calls.clear();
     clock.advance(2);
-    put(StoreKeys.block(BLOCK), ledger.blocks().get(BLOCK).with(OTHER).write());
-    holder.renewed(ledger.blocks().get(BLOCK));
+    put(StoreKeys.shard(BLOCK), cache.shards().get(BLOCK).with(OTHER).write());
+    owner.renewed(cache.shards().get(BLOCK));
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
     pass(2.75);
     answered(OTHER, 200, 2, 0, Map.of()); // its status
     pass(0.25);
-    long token = holder.lease().token().value();
+    long token = owner.lease().token().value();
     answered(OTHER, 200, 2, token, Map.of()); // it has seen the token
     TaskId task = TASK.job().task(1);
     allocate(only(1));
     Attempt attempt = attempt();
-    assertEquals(1, holder.machine(OTHER.id()).tasks(), "the other is silent by now");
+    assertEquals(1, owner.machine(OTHER.id()).tasks(), "the other is silent by now");
     answered(OTHER, 200, 2, token, Map.of(task, attempt));
     pass(9.5);
-    assertEquals(1, holder.machine(OTHER.id()).tasks(), "its session began 3 s after it joined");
+    assertEquals(1, owner.machine(OTHER.id()).tasks(), "its session began 3 s after it joined");
     pass(1.5);
-    assertEquals(0, holder.machine(OTHER.id()).tasks(), "its lease is over");
+    assertEquals(0, owner.machine(OTHER.id()).tasks(), "its lease is over");
   }
 
   /**
@@ -122,18 +122,18 @@
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
     lastConfirmed = clock.nanos();
     clock.advance(30);
-    holder.excuse(TimeSpan.ofSeconds(30));
-    holder.tick();
+    owner.excuse(TimeSpan.ofSeconds(30));
+    owner.tick();
     TaskId task = TASK.job().task(1);
     allocate(only(1));
-    answered(MACHINE, 409, 2, holder.lease().token().value(), Map.of());
+    answered(MACHINE, 409, 2, owner.lease().token().value(), Map.of());
     Attempt attempt = attempt();
-    answered(MACHINE, 200, 2, holder.lease().token().value(), Map.of(task, attempt));
+    answered(MACHINE, 200, 2, owner.lease().token().value(), Map.of(task, attempt));
     lastConfirmed = Long.MAX_VALUE;
     pass(2);
-    assertTrue(holder.runs(task), "it is there, for as long as the second session may last");
+    assertTrue(owner.runs(task), "it is there, for as long as the second session may last");
     pass(9);
-    assertEquals(0, holder.machine(MACHINE.id()).tasks(), "its lease is over");
+    assertEquals(0, owner.machine(MACHINE.id()).tasks(), "its lease is over");
   }
 
   /**
@@ -143,11 +143,11 @@
    */
   @Test
   void whatWaitsForADeafMachineDoesNotWaitForEver() {
-    ShardLease former = ledger.blocks().get(BLOCK).with(OTHER);
+    ShardLease former = cache.shards().get(BLOCK).with(OTHER);
     put(
-        StoreKeys.block(BLOCK),
+        StoreKeys.shard(BLOCK),
         former
-            .heldBy(
+            .leasedTo(
                 new ControllerRecord(
                     new ControllerId("n"),
                     new Incarnation(2),
@@ -156,21 +156,21 @@
                     AnnouncedLimits.NONE,
                     new Revision(1)))
             .write());
-    holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
-    holder.answer(new Heartbeat(OTHER, 1, 1, holder.lease().token(), null, List.of()));
+    owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
+    owner.answer(new Heartbeat(OTHER, 1, 1, owner.lease().token(), null, List.of()));
     double startedAt = Double.NaN;
     for (double at = 0; at < 120 && Double.isNaN(startedAt); at += 0.25) {
       if (at % 5 == 1) {
-        holder.answer(
+        owner.answer(
             new Heartbeat(MACHINE, 1 + (long) (at / 10), ++order, former.token(), null, List.of()));
       }
       if (at % 1 == 0) {
-        holder.answer(
-            new Heartbeat(OTHER, 1, 2 + (long) at, holder.lease().token(), null, List.of()));
+        owner.answer(
+            new Heartbeat(OTHER, 1, 2 + (long) at, owner.lease().token(), null, List.of()));
       }
       clock.advance(0.25);
-      holder.tick();
-      startedAt = holder.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
+      owner.tick();
+      startedAt = owner.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
     }
     assertTrue(
         startedAt > 30,
@@ -187,12 +187,12 @@
    */
   @Test
   void copiesOfALifeBeforeTheLastProveNothing() {
-    long before = holder.lease().token().value();
+    long before = owner.lease().token().value();
     for (long life = 2; life <= 3; life++) {
       put(
-          StoreKeys.block(BLOCK),
-          (life == 2 ? ledger.blocks().get(BLOCK).with(OTHER) : ledger.blocks().get(BLOCK))
-              .heldBy(
+          StoreKeys.shard(BLOCK),
+          (life == 2 ? cache.shards().get(BLOCK).with(OTHER) : cache.shards().get(BLOCK))
+              .leasedTo(
                   new ControllerRecord(
                       new ControllerId("n"),
                       new Incarnation(life),
@@ -202,7 +202,7 @@
                       new Revision(1)))
               .write());
     }
-    holder =
+    owner =
         new ShardOwner(
             new Context() {
               @Override
@@ -210,30 +210,30 @@
                 return true;
               }
             },
-            ledger.blocks().get(BLOCK));
+            cache.shards().get(BLOCK));
     List<Heartbeat.TaskStatus> runs =
         List.of(piece(new Attempt(77), Heartbeat.TaskState.RUNNING, null));
     double startedAt = Double.NaN;
     for (double at = 0; at < 40 && Double.isNaN(startedAt); at += 0.25) {
       if (at == 5) {
         assertNotNull(
-            holder.answer(
+            owner.answer(
                 new Heartbeat(
                     MACHINE,
                     1,
                     5,
-                    new FencingToken(holder.lease().token().value() - 1),
+                    new FencingToken(owner.lease().token().value() - 1),
                     null,
                     runs)));
       } else if (at == 12) {
-        holder.answer(new Heartbeat(MACHINE, 1, 10, new FencingToken(before), null, List.of()));
+        owner.answer(new Heartbeat(MACHINE, 1, 10, new FencingToken(before), null, List.of()));
       }
       if (at % 1 == 0) {
-        holder.answer(
-            new Heartbeat(OTHER, 1, 1 + (long) at, holder.lease().token(), null, List.of()));
+        owner.answer(
+            new Heartbeat(OTHER, 1, 1 + (long) at, owner.lease().token(), null, List.of()));
       }
       pass(0.25);
-      startedAt = holder.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
+      startedAt = owner.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
     }
     assertTrue(startedAt > 15 && startedAt < 17, "the lease runs from the answer on: " + startedAt);
   }
--- a/src/test/java/org/quincecross/shard/RequeuerTest.java
+++ b/src/test/java/org/quincecross/shard/RequeuerTest.java
@@ -26,20 +26,20 @@
 class RequeuerTest extends ShardOwnerHarness {
   private void nextSecond() {
     clock.advance(1);
-    holder.tick();
+    owner.tick();
   }
 
   @Test
   void whatFailsOnEveryMachineOfTheBlockGoesBackAndIsDeclinedForLongerEachTime() {
     for (int time = 1; time <= 5; time++) {
-      assertFalse(holder.machine(MACHINE.id()).sick());
+      assertFalse(owner.machine(MACHINE.id()).sick());
       Attempt attempt = attempt();
       directIsNeverAnswered();
       beat(List.of(piece(attempt, TaskState.EXITED, ExitReason.ERROR)));
-      assertEquals(List.of(TASK), holder.released());
-      assertEquals(Set.of(TASK.job()), holder.declined());
+      assertEquals(List.of(TASK), owner.released());
+      assertEquals(Set.of(TASK.job()), owner.declined());
       int declinedS = 0;
-      while (!holder.declined().isEmpty()) {
+      while (!owner.declined().isEmpty()) {
         beat(List.of());
         declinedS++;
       }
@@ -51,7 +51,7 @@
       }
     }
     assertTrue(
-        holder.machine(MACHINE.id()).sick(),
+        owner.machine(MACHINE.id()).sick(),
         "five failures and nothing else, though of one job alone");
   }
 
@@ -63,7 +63,7 @@
     }
     // Silent for longer than its lease: what was to start there is on no machine, and waits, but
     // not for ever.
-    assertEquals(List.of(TASK), holder.released());
+    assertEquals(List.of(TASK), owner.released());
   }
 
   /**
@@ -80,11 +80,11 @@
     for (int second = 0; second < 40; second++) {
       nextSecond();
     }
-    assertEquals(List.of(), holder.released());
-    assertEquals(1, holder.machine(MACHINE.id()).tasks());
+    assertEquals(List.of(), owner.released());
+    assertEquals(1, owner.machine(MACHINE.id()).tasks());
     lastConfirmed = clock.nanos();
     nextSecond();
-    assertEquals(0, holder.machine(MACHINE.id()).tasks());
+    assertEquals(0, owner.machine(MACHINE.id()).tasks());
   }
 
   @Test
@@ -92,10 +92,10 @@
     calls.remove(0).accept(HttpOutcome.failed(false));
     allocate(TaskSet.range(3));
     int second = 0;
-    while (holder.released().isEmpty() && second++ < 300) {
+    while (owner.released().isEmpty() && second++ < 300) {
       beat(started());
     }
-    assertEquals(List.of(TASK.job().task(2)), holder.released());
+    assertEquals(List.of(TASK.job().task(2)), owner.released());
     assertEquals(111, second, 2.0); // 90 s and twice the estimate of 10 s
   }
 
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -59,7 +59,7 @@
       new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
   static final TaskId TASK = new JobId("job-1").task(0);
 
-  final ClusterStateCache ledger = new ClusterStateCache();
+  final ClusterStateCache cache = new ClusterStateCache();
   final List<Consumer<HttpOutcome>> calls = new ArrayList<>();
   final List<String> sent = new ArrayList<>();
   final StillClock clock = new StillClock();
@@ -67,7 +67,7 @@
   long lastConfirmed = Long.MAX_VALUE;
   long order;
   boolean longCancelled;
-  ShardOwner holder;
+  ShardOwner owner;
 
   class Context implements ShardContext {
     @Override
@@ -85,11 +85,11 @@
 
     @Override
     public ClusterStateCache ledger() {
-      return ledger;
+      return cache;
     }
 
     @Override
-    public List<Headroom> reserves(ShardId block) {
+    public List<Headroom> reserves(ShardId shard) {
       return List.of();
     }
 
@@ -143,15 +143,15 @@
   }
 
   void put(String key, Map<String, Object> value) {
-    CacheTestSupport.put(ledger, key, value, ++revision);
-    CacheTestSupport.advance(ledger, revision);
+    CacheTestSupport.put(cache, key, value, ++revision);
+    CacheTestSupport.advance(cache, revision);
   }
 
   /** A fenced machine to which the start of the one task has just been sent directly. */
   @BeforeEach
   void aStartIsSent() {
     put(
-        StoreKeys.type("t"),
+        StoreKeys.machineType("t"),
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
@@ -183,9 +183,9 @@
             TimeSpan.ZERO,
             TimeSpan.ZERO,
             null);
-    put(StoreKeys.job(job.id()), JobRecord.open(job, 0));
+    put(StoreKeys.job(job.id()), JobRecord.writeOpen(job, 0));
     put(
-        StoreKeys.block(BLOCK),
+        StoreKeys.shard(BLOCK),
         ShardLease.first(
                 BLOCK,
                 new ControllerRecord(
@@ -197,7 +197,7 @@
                     new Revision(1)),
                 MACHINE)
             .write());
-    holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
+    owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
     calls
         .remove(0)
         .accept(
@@ -208,7 +208,7 @@
 
   void allocate(TaskSet tasks) {
     put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(TASK.job(), tasks)));
-    holder.sync();
+    owner.sync();
   }
 
   static TaskSet only(int index) {
@@ -219,8 +219,8 @@
 
   void beat(List<TaskStatus> pieces) {
     clock.advance(1);
-    holder.answer(new Heartbeat(MACHINE, 1, ++order, holder.lease().token(), null, pieces));
-    holder.tick();
+    owner.answer(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, pieces));
+    owner.tick();
   }
 
   Attempt attempt() {
@@ -241,7 +241,7 @@
   String answer(List<TaskStatus> pieces) {
     clock.advance(1);
     return new String(
-        holder.answer(new Heartbeat(MACHINE, 1, ++order, holder.lease().token(), null, pieces)),
+        owner.answer(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, pieces)),
         StandardCharsets.UTF_8);
   }
 
@@ -280,7 +280,7 @@
                             "Tick",
                             ++order,
                             "Baton",
-                            holder.lease().token().value(),
+                            owner.lease().token().value(),
                             "Pieces",
                             out)))));
   }
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -91,7 +91,7 @@
       random = new Random(seed);
       aStartIsSent();
       calls.clear();
-      Job one = ledger.job(TASK.job()).job();
+      Job one = cache.job(TASK.job()).job();
       job =
           new Job(
               new JobId("job-2"),
@@ -112,8 +112,8 @@
               TimeSpan.ZERO,
               TimeSpan.ZERO,
               null);
-      put(StoreKeys.job(job.id()), JobRecord.open(job, 0));
-      holder.retire();
+      put(StoreKeys.job(job.id()), JobRecord.writeOpen(job, 0));
+      owner.retire();
       for (int i = 1; i <= 3; i++) {
         workers.add(
             new Worker(
@@ -122,9 +122,9 @@
       }
       put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
       put(
-          StoreKeys.block(BLOCK),
-          ledger
-              .blocks()
+          StoreKeys.shard(BLOCK),
+          cache
+              .shards()
               .get(BLOCK)
               .with(workers.get(1).machine)
               .with(workers.get(2).machine)
@@ -205,15 +205,15 @@
       }
       if (context != null) {
         context.lastWord[0] = new MonotonicTime(Math.min(clock.nanos(), lastConfirmed));
-        former = holder;
+        former = owner;
         formerUntil = now() + formerGoesOn;
       }
       put(
-          StoreKeys.block(BLOCK),
-          ledger
-              .blocks()
+          StoreKeys.shard(BLOCK),
+          cache
+              .shards()
               .get(BLOCK)
-              .heldBy(
+              .leasedTo(
                   new ControllerRecord(
                       new ControllerId("n"),
                       new Incarnation(1),
@@ -223,7 +223,7 @@
                       new Revision(1)))
               .write());
       context = new Wild();
-      holder = new ShardOwner(context, ledger.blocks().get(BLOCK));
+      owner = new ShardOwner(context, cache.shards().get(BLOCK));
       endFormer();
     }
 
@@ -236,7 +236,7 @@
 
     private void tick() {
       endFormer();
-      holder.tick();
+      owner.tick();
       if (former != null) {
         former.tick();
       }
@@ -248,9 +248,9 @@
      * gets a new token.
      */
     private void lead() {
-      List<TaskId> gone = new ArrayList<>(holder.completed());
+      List<TaskId> gone = new ArrayList<>(owner.completed());
       gone.forEach(task -> finished.add(task.index()));
-      for (TaskId task : holder.released()) {
+      for (TaskId task : owner.released()) {
         gone.add(task);
         back.add(task.index());
       }
@@ -272,7 +272,7 @@
       if (changed) {
         allocateAll();
       }
-      doubtSince = !holder.isInDoubt() ? -1 : doubtSince < 0 ? now() : doubtSince;
+      doubtSince = !owner.isInDoubt() ? -1 : doubtSince < 0 ? now() : doubtSince;
       if (doubtSince >= 0 && now() - doubtSince > 1) {
         doubtSince = -1;
         leaseAnew(0);
@@ -286,12 +286,12 @@
       put(
           StoreKeys.allocation(BLOCK),
           Allocation.write(copy.isEmpty() ? Map.of() : Map.of(job.id(), copy)));
-      holder.sync();
+      owner.sync();
     }
 
-    private void report(Heartbeat report, Consumer<byte[]> reply) {
-      ShardOwner to = former != null && random.nextBoolean() ? former : holder;
-      reply.accept(to.answer(report));
+    private void report(Heartbeat heartbeat, Consumer<byte[]> reply) {
+      ShardOwner to = former != null && random.nextBoolean() ? former : owner;
+      reply.accept(to.answer(heartbeat));
     }
 
     private void direct(
@@ -345,7 +345,7 @@
         case 4 -> {
           int index = random.nextInt(TASKS);
           IntStream.range(index, Math.min(TASKS, index + 40)).forEach(withheld::add);
-          awake(() -> holder.jobsChanged(Set.of(job.id())));
+          awake(() -> owner.jobsChanged(Set.of(job.id())));
           later(between(0.3, 6), () -> IntStream.range(0, TASKS).forEach(withheld::remove));
         }
         case 5 -> standStill(between(1, 14));
@@ -369,7 +369,7 @@
       later(
           seconds,
           () -> {
-            holder.excuse(TimeSpan.ofSeconds(seconds));
+            owner.excuse(TimeSpan.ofSeconds(seconds));
             if (former != null) {
               former.excuse(TimeSpan.ofSeconds(seconds));
             }
@@ -389,9 +389,9 @@
           + ", back "
           + back
           + ", waits for "
-          + holder.waits(job.id())
+          + owner.waits(job.id())
           + ", in doubt "
-          + holder.isInDoubt()
+          + owner.isInDoubt()
           + ", "
           + workers.stream()
               .map(
@@ -512,7 +512,7 @@
         lastBeat = now();
         double sentAt = now();
         long sent = session;
-        Heartbeat report =
+        Heartbeat heartbeat =
             new Heartbeat(machine, session, ++order, new FencingToken(token), null, pieces());
         boolean[] over = new boolean[1];
         Consumer<byte[]> end =
@@ -541,9 +541,10 @@
               awake(
                   () ->
                       report(
-                          report, answer -> carry(hearsUntilCut(), 6, () -> end.accept(answer))));
+                          heartbeat,
+                          answer -> carry(hearsUntilCut(), 6, () -> end.accept(answer))));
               if (chance(0.3)) {
-                later(between(1, 26), () -> awake(() -> report(report, answer -> {})));
+                later(between(1, 26), () -> awake(() -> report(heartbeat, answer -> {})));
               }
             });
       }
@@ -619,8 +620,8 @@
             });
       }
 
-      private void execute(List<JsonFields> orders) throws MalformedMessageException {
-        for (JsonFields command : orders) {
+      private void execute(List<JsonFields> commands) throws MalformedMessageException {
+        for (JsonFields command : commands) {
           Key key = new Key(TaskId.parse(command.string("Piece")), command.unsigned("Try"));
           Task task = tasks.get(key);
           switch (command.string("Verb")) {
--- a/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
+++ b/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
@@ -21,13 +21,13 @@
  */
 class UnacknowledgedResponsesTest extends ShardOwnerHarness {
   private void cancel() {
-    put(StoreKeys.job(TASK.job()), ledger.job(TASK.job()).cancelled(1000));
-    holder.jobsChanged(Set.of(TASK.job()));
+    put(StoreKeys.job(TASK.job()), cache.job(TASK.job()).writeCancelled(1000));
+    owner.jobsChanged(Set.of(TASK.job()));
   }
 
   private byte[] report(FencingToken token, List<TaskStatus> pieces) {
     clock.advance(1);
-    return holder.answer(new Heartbeat(MACHINE, 1, ++order, token, null, pieces));
+    return owner.answer(new Heartbeat(MACHINE, 1, ++order, token, null, pieces));
   }
 
   @Test
@@ -35,9 +35,9 @@
     Attempt attempt = attempt();
     directIsNeverAnswered();
     cancel();
-    assertNotNull(report(holder.lease().token(), List.of()));
+    assertNotNull(report(owner.lease().token(), List.of()));
     longCancelled = true;
-    assertNull(report(holder.lease().token(), List.of()));
+    assertNull(report(owner.lease().token(), List.of()));
     assertTrue(answer(List.of(piece(attempt, TaskState.RUNNING, null))).contains("halt"));
   }
 
@@ -45,12 +45,12 @@
   void aMachineThatDoesNotObeyYetIsNotAnsweredForLongWhereACancelledTaskMayBeThere() {
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(true));
     cancel();
-    holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
-    FencingToken former = new FencingToken(holder.lease().token().value() - 1);
+    owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
+    FencingToken former = new FencingToken(owner.lease().token().value() - 1);
     assertNotNull(report(former, List.of()));
     longCancelled = true;
     assertNull(report(former, List.of()));
     // Once it obeys, what it has is known.
-    assertNotNull(report(holder.lease().token(), List.of()));
+    assertNotNull(report(owner.lease().token(), List.of()));
   }
 }
--- a/src/test/java/org/quincecross/shard/UnansweredStartTest.java
+++ b/src/test/java/org/quincecross/shard/UnansweredStartTest.java
@@ -27,10 +27,10 @@
     String stop = answer(List.of(piece(attempt, TaskState.RUNNING, null)));
     assertTrue(stop.contains("halt"), stop);
     String after = answer(List.of(piece(attempt, TaskState.EXITED, ExitReason.STOPPED)));
-    assertEquals(0, holder.completed().size() + holder.machine(MACHINE.id()).tasks());
+    assertEquals(0, owner.completed().size() + owner.machine(MACHINE.id()).tasks());
     // The exit is what makes the late start harmless: it must stay.
     assertFalse(after.contains("clear"), after);
-    assertFalse(holder.isInDoubt());
+    assertFalse(owner.isInDoubt());
   }
 
   @Test
@@ -39,7 +39,7 @@
     directIsNeverAnswered();
     beat(List.of(piece(attempt, TaskState.RUNNING, null)));
     String after = answer(List.of(piece(attempt, TaskState.EXITED, ExitReason.ERROR)));
-    assertEquals(List.of(TASK), holder.released());
+    assertEquals(List.of(TASK), owner.released());
     assertFalse(after.contains("clear"), after);
   }
 
@@ -52,10 +52,10 @@
     directIsNeverAnswered();
     allocate(new TaskSet());
     for (int i = 0; i < 30; i++) {
-      assertEquals(i > 8, holder.isInDoubt(), "after " + i + " s");
+      assertEquals(i > 8, owner.isInDoubt(), "after " + i + " s");
       beat(List.of());
     }
-    assertEquals(1, holder.machine(MACHINE.id()).tasks());
+    assertEquals(1, owner.machine(MACHINE.id()).tasks());
   }
 
   /**
@@ -73,7 +73,7 @@
         again); // and it gets lost
     allocate(new TaskSet());
     beat(exit);
-    assertEquals(0, holder.machine(MACHINE.id()).tasks());
+    assertEquals(0, owner.machine(MACHINE.id()).tasks());
   }
 
   /**
--- a/src/test/java/org/quincecross/shard/WaitingJobTest.java
+++ b/src/test/java/org/quincecross/shard/WaitingJobTest.java
@@ -62,7 +62,7 @@
   @Test
   void givesItBackUntilThatIsDone() {
     put(
-        StoreKeys.type("t"),
+        StoreKeys.machineType("t"),
         CloudCodec.writeCatalog(
             List.of(
                 new MachineType(
@@ -75,7 +75,7 @@
                     TimeSpan.ofSeconds(5),
                     List.of("z")))));
     put(
-        StoreKeys.block(BLOCK),
+        StoreKeys.shard(BLOCK),
         ShardLease.first(
                 BLOCK,
                 new ControllerRecord(
@@ -87,22 +87,22 @@
                     new Revision(1)),
                 MACHINE)
             .write());
-    holder = new ShardOwner(new Context(), ledger.blocks().get(BLOCK));
+    owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
     calls.remove(0).accept(HttpOutcome.failed(false));
     beat(List.of());
     JobId first = new JobId("job-8");
     JobId next = new JobId("job-9");
-    put(StoreKeys.job(first), JobRecord.open(job(first, Set.of()), 0));
-    put(StoreKeys.job(next), JobRecord.open(job(next, Set.of(first)), 0));
+    put(StoreKeys.job(first), JobRecord.writeOpen(job(first, Set.of()), 0));
+    put(StoreKeys.job(next), JobRecord.writeOpen(job(next, Set.of(first)), 0));
     put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
-    holder.sync();
+    owner.sync();
     beat(List.of());
-    assertEquals(List.of(next.task(0)), holder.released());
+    assertEquals(List.of(next.task(0)), owner.released());
     put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
-    holder.sync();
-    put(StoreKeys.job(first), ledger.job(first).done());
+    owner.sync();
+    put(StoreKeys.job(first), cache.job(first).writeDone());
     put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
-    holder.sync();
+    owner.sync();
     assertTrue(sent.get(sent.size() - 1).contains("job-9/0"), sent.toString());
   }
 }
--- a/src/test/java/org/quincecross/state/AllocationDeltaTest.java
+++ b/src/test/java/org/quincecross/state/AllocationDeltaTest.java
@@ -42,9 +42,9 @@
     AllocationDelta change =
         AllocationDelta.read(
             Json.parse(Json.write(AllocationDelta.write(whole, next))), new Revision(9));
-    assertEquals(next, new LinkedHashMap<>(change.over(whole).tasks()));
-    assertEquals(new Revision(9), change.over(whole).version());
+    assertEquals(next, new LinkedHashMap<>(change.applyTo(whole).tasks()));
+    assertEquals(new Revision(9), change.applyTo(whole).version());
     Allocation other = new Allocation(whole.tasks(), new Revision(8));
-    assertSame(other, change.over(other));
+    assertSame(other, change.applyTo(other));
   }
 }
--- a/src/test/java/org/quincecross/state/CacheTestSupport.java
+++ b/src/test/java/org/quincecross/state/CacheTestSupport.java
@@ -12,22 +12,22 @@
 
   /** As it comes from the state service: through JSON. */
   public static void put(
-      ClusterStateCache ledger, String key, Map<String, Object> value, long revision) {
+      ClusterStateCache cache, String key, Map<String, Object> value, long revision) {
     try {
-      ledger.apply(
+      cache.apply(
           key, value == null ? null : Json.parse(Json.write(value)), new Revision(revision));
     } catch (MalformedMessageException e) {
       throw new IllegalArgumentException(e);
     }
   }
 
-  public static void advance(ClusterStateCache ledger, long revision) {
-    ledger.advance(new Revision(revision));
+  public static void advance(ClusterStateCache cache, long revision) {
+    cache.advance(new Revision(revision));
   }
 
   /** Reads all records anew; each was last changed with {@code revision}. */
   public static void load(
-      ClusterStateCache ledger, Map<String, Map<String, Object>> values, long revision) {
+      ClusterStateCache cache, Map<String, Map<String, Object>> values, long revision) {
     Map<String, ClusterStateCache.StateEntry> entries = new LinkedHashMap<>();
     values.forEach(
         (key, value) -> {
@@ -40,6 +40,6 @@
             throw new IllegalArgumentException(e);
           }
         });
-    ledger.load(entries, new Revision(revision));
+    cache.load(entries, new Revision(revision));
   }
 }
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -71,18 +71,18 @@
 
   @Test
   void allRecordsCanBeRead() throws IOException, MalformedMessageException {
-    ClusterStateCache ledger = new ClusterStateCache();
+    ClusterStateCache cache = new ClusterStateCache();
     for (RecordKind<?, ?> kind :
         List.of(new LegalHoldKind(), new ClaimKind(), new SweepKind(), REQUESTS, new ModelKind())) {
-      ledger.agreed().add(kind);
+      cache.replicatedRecords().add(kind);
     }
     for (String[] line : GoldenFiles.messages("record ")) {
-      ledger.apply(line[1], Json.parse(line[2].getBytes(StandardCharsets.UTF_8)), VERSION);
+      cache.apply(line[1], Json.parse(line[2].getBytes(StandardCharsets.UTF_8)), VERSION);
     }
-    ledger.advance(VERSION);
-    assertEquals(Map.of(), ledger.unreadable());
+    cache.advance(VERSION);
+    assertEquals(Map.of(), cache.unreadable());
     assertTrue(
-        ledger.members().size() >= 3 && ledger.leader() != null && !ledger.types().isEmpty());
+        cache.members().size() >= 3 && cache.leader() != null && !cache.machineTypes().isEmpty());
   }
 
   private static Object again(String key, Object value)
@@ -93,9 +93,9 @@
       case "bundle" -> {
         List<Map<String, Object>> open = new ArrayList<>();
         for (JobRecord record : JobRecord.readBundle(value, VERSION)) {
-          open.add(JobRecord.open(record.job(), record.acceptedMs()));
+          open.add(JobRecord.writeOpen(record.job(), record.acceptedMs()));
         }
-        yield JobRecord.bundle(open);
+        yield JobRecord.writeBundle(open);
       }
       case "block" -> ShardLease.read(new ShardId(parts[2]), value, Revision.NONE).write();
       case "alloc" -> Allocation.write(Allocation.read(value, VERSION).tasks());
@@ -105,9 +105,9 @@
             "base",
             change.base().value(),
             "more",
-            TaskSetCodec.write(change.more()),
+            TaskSetCodec.write(change.added()),
             "fewer",
-            TaskSetCodec.write(change.fewer()));
+            TaskSetCodec.write(change.removed()));
       }
       case "done" ->
           CompletedTasks.write(
@@ -130,13 +130,13 @@
   }
 
   private static Object job(JobRecord record) {
-    if (!record.parts().isEmpty()) {
+    if (!record.dependencyParts().isEmpty()) {
       return null; // names parts that are records of their own
     }
     return switch (record.phase()) {
-      case OPEN -> JobRecord.open(record.job(), record.acceptedMs());
-      case DONE -> record.endedMs() == 0 ? record.done() : record.done(record.endedMs());
-      case CANCELLED -> record.cancelled(record.cancelledMs());
+      case OPEN -> JobRecord.writeOpen(record.job(), record.acceptedMs());
+      case DONE -> record.endedMs() == 0 ? record.writeDone() : record.writeDone(record.endedMs());
+      case CANCELLED -> record.writeCancelled(record.cancelledMs());
     };
   }
 
