--- a/src/main/java/org/quincecross/admin/AccountingLog.java
+++ b/src/main/java/org/quincecross/admin/AccountingLog.java
@@ -79,12 +79,12 @@
 
   public void start() {
     cache.addListener(this::ledgerChanged);
-    leader.listen((job, more, reached) -> books.started(job, reached, timers.now()));
+    leader.addListener((job, more, reached) -> books.started(job, reached, timers.now()));
     timers.every(
         LOOK_EVERY,
         () -> {
           if (cache.isLoaded()) {
-            leader.lookAtBooks();
+            leader.refreshAllocations();
           }
         });
     timers.every(every, this::log);
@@ -131,7 +131,7 @@
 
   /** The teams, those that were served least first. */
   private List<Map.Entry<String, ServiceLevels>> teams(MonotonicTime now) {
-    leader.heldBack(books.openIds()).forEach(books::heldBack);
+    leader.tasksOverTeamLimit(books.openIds()).forEach(books::heldBack);
     List<Map.Entry<String, ServiceLevels>> teams = new ArrayList<>(books.teams(now).entrySet());
     teams.sort(
         Comparator.comparingDouble(
--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -156,9 +156,9 @@
         "level_since",
         cache.level().version().value(),
         "level_state",
-        leader.isLeading() ? leader.levels().decision().state().toString() : null,
+        leader.isLeading() ? leader.featureLevels().decision().state().toString() : null,
         "level_waits_for",
-        leader.isLeading() ? leader.levels().decision().why() : null,
+        leader.isLeading() ? leader.featureLevels().decision().why() : null,
         "revision",
         cache.revision().value(),
         "unconfirmed_ms",
@@ -183,26 +183,26 @@
 
   private Object blocks() {
     List<Object> list = new ArrayList<>();
-    for (ShardLease block : cache.shards().values()) {
+    for (ShardLease shard : cache.shards().values()) {
       int tasks =
-          cache.allocation(block.id()).tasks().values().stream().mapToInt(set -> set.size()).sum();
-      ShardOwner owner = ownedShards.get(block.id());
+          cache.allocation(shard.id()).tasks().values().stream().mapToInt(set -> set.size()).sum();
+      ShardOwner owner = ownedShards.get(shard.id());
       Map<String, Object> out =
           Json.object(
               "block",
-              block.id().text(),
+              shard.id().text(),
               "holder",
-              block.owner().text(),
+              shard.owner().text(),
               "token",
-              block.token().value(),
+              shard.token().value(),
               "type",
-              block.type(),
+              shard.type(),
               "zone",
-              block.zone(),
+              shard.zone(),
               "spot",
-              block.spot(),
+              shard.spot(),
               "machines",
-              block.machines().size(),
+              shard.machines().size(),
               "allocated",
               tasks);
       if (owner != null) {
--- a/src/main/java/org/quincecross/admin/StallDetector.java
+++ b/src/main/java/org/quincecross/admin/StallDetector.java
@@ -132,7 +132,7 @@
     if (kept != null) {
       waits.add(kept);
     }
-    String pool = leader.poolWait(job);
+    String pool = leader.pendingReason(job);
     if (pool != null) {
       waits.add(pool);
     }
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -73,13 +73,13 @@
   private final Settings settings;
   private final PeerSender peers;
   private final ClusterStateCache cache = new ClusterStateCache();
-  private final DemandForecast foresight;
+  private final DemandForecast forecast;
   private final StateWatcher watcher;
   private final Membership membership;
   private final OwnedShards ownedShards;
   private final ReplicatedFeatures agreed;
   private final Leader leader;
-  private final Autoscaler fleet;
+  private final Autoscaler autoscaler;
   private final UserApi users;
   private final AgentApi agents;
   private final AdminApi admin;
@@ -162,16 +162,16 @@
             features.replicatedFeatures(),
             clockMs,
             unconfirmedBound.unconfirmed());
-    foresight = new DemandForecast(cache, agreed.withheld());
+    forecast = new DemandForecast(cache, agreed.withheld());
     roomElsewhere = new RemoteCapacityHint(cache, views, this::reserves);
     ownedShards = new OwnedShards(this, settings.self(), membership::life);
-    fleet =
+    autoscaler =
         new Autoscaler(
             timers,
             http,
             cache,
             settings,
-            foresight,
+            forecast,
             membership::life,
             () -> AdminApi.settings(cache));
     leader =
@@ -182,8 +182,8 @@
             watcher,
             membership,
             settings,
-            fleet,
-            foresight,
+            autoscaler,
+            forecast,
             views,
             clockMs,
             this::isWaking,
@@ -242,17 +242,17 @@
   public void start() {
     cache.addListener(changes -> membership.ledgerChanged(cache));
     agreed.listen(cache, ownedShards, leader, served, this::running);
-    agreed.keepRoom(foresight, leader);
+    agreed.keepRoom(forecast, leader);
     cache.addListener(ownedShards::ledgerChanged);
     cache.addListener(cancellations::ledgerChanged);
     cache.addListener(this::forgetFormerHolders);
-    cache.addListener(leader::ledgerChanged);
+    cache.addListener(leader::cacheChanged);
     cache.addListener(agents::ledgerChanged);
     membership.start();
     watcher.start();
     ownedShards.start();
     leader.start();
-    fleet.start();
+    autoscaler.start();
     stalls.start();
     if (served != null) {
       served.start();
@@ -272,7 +272,7 @@
     LOG.info("stood still for {}: nothing is decided before the records are confirmed", gap);
     views.excuse(gap);
     ownedShards.excuse(gap);
-    watcher.barrier(confirmed -> leader.lookAgain());
+    watcher.barrier(confirmed -> leader.scheduleStep());
   }
 
   private boolean isWaking() {
@@ -495,7 +495,7 @@
 
   @Override
   public List<Headroom> reserves(ShardId shard) {
-    return foresight.headroomFor(shard, timers.now());
+    return forecast.headroomFor(shard, timers.now());
   }
 
   @Override
@@ -530,10 +530,10 @@
 
   @Override
   public List<String> imagesOf(MachineId machine) {
-    ShardLease block = cache.shardOf(machine);
-    if (block != null) {
+    ShardLease shard = cache.shardOf(machine);
+    if (shard != null) {
       for (PeerViews.View view : views.all()) {
-        PeerViews.BlockView known = view.blocks().get(block.id());
+        PeerViews.BlockView known = view.blocks().get(shard.id());
         PeerHeartbeat.MachineState state = known == null ? null : known.machines().get(machine);
         if (state != null) {
           return state.images();
--- a/src/main/java/org/quincecross/api/ModelServingFeature.java
+++ b/src/main/java/org/quincecross/api/ModelServingFeature.java
@@ -53,7 +53,7 @@
           records.ledgerChanged(changes, base.withheld()::changed);
           desk.ledgerChanged(changes);
         });
-    leader.keepModels(base, records);
+    leader.enableModelServing(base, records);
     desk.start();
   }
 
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -104,9 +104,9 @@
   }
 
   /** Has room kept for requests, where that is switched on. */
-  void keepRoom(DemandForecast foresight, Leader leader) {
+  void keepRoom(DemandForecast forecast, Leader leader) {
     if (requests != null) {
-      requests.start(foresight, leader);
+      requests.start(forecast, leader);
     }
   }
 
@@ -129,7 +129,7 @@
     base.withheld()
         .listen(
             (Set<JobId> jobs) -> {
-              leader.withheldChanged(jobs);
+              leader.startBlockChanged(jobs);
               ownedShards.withheldChanged(jobs);
               if (served != null) {
                 served.withheldChanged(jobs);
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -47,9 +47,9 @@
     keeper = new ReservationManager(base.store(), index, rooms, share);
   }
 
-  void start(DemandForecast foresight, Leader leader) {
-    foresight.keep(rooms);
-    leader.keep(keeper);
+  void start(DemandForecast forecast, Leader leader) {
+    forecast.keep(rooms);
+    leader.enableReservations(keeper);
   }
 
   /**
--- a/src/main/java/org/quincecross/api/UnassignedMachines.java
+++ b/src/main/java/org/quincecross/api/UnassignedMachines.java
@@ -48,13 +48,13 @@
   /** A machine that is in no block has reported, or a copy of its report came. */
   void reported(Heartbeat heartbeat) {
     Machine machine = heartbeat.machine();
-    if (heartbeat.token().equals(FencingToken.NONE) && leader.newcomer(machine, false)) {
+    if (heartbeat.token().equals(FencingToken.NONE) && leader.addNewcomer(machine, false)) {
       return;
     }
     MonotonicTime now = timers.now();
     MonotonicTime answered = there.get(machine.id());
     if (answered != null && !now.since(answered).isLongerThan(THERE_FOR)) {
-      leader.newcomer(machine, true);
+      leader.addNewcomer(machine, true);
     } else if (!now.isBefore(askAfter.getOrDefault(machine.id(), now))) {
       forgetOld(now);
       askAfter.put(machine.id(), now.plus(ASK_TIMEOUT).plus(ASK_AGAIN));
@@ -81,7 +81,7 @@
         askAfter.remove(machine.id());
         there.put(machine.id(), timers.now());
         if (leader.isLeading()) {
-          leader.newcomer(machine, true);
+          leader.addNewcomer(machine, true);
         }
       }
     } catch (MalformedMessageException e) {
--- a/src/main/java/org/quincecross/leader/AdmissionExtensions.java
+++ b/src/main/java/org/quincecross/leader/AdmissionExtensions.java
@@ -13,13 +13,13 @@
 import org.quincecross.scheduling.JobDemand;
 
 /**
- * The parts that have a say in what a leader allocates, where they are switched on; without them a
- * plan is admission's alone.
+ * Optional extensions of admission (reservations, model serving), applied to each plan of the
+ * leader.
  */
 final class AdmissionExtensions {
   private final Supplier<Map<String, Team>> teams;
   private final Supplier<Map<String, Resources>> teamUse;
-  private ReservationManager requests;
+  private ReservationManager reservations;
   private ModelAutoscaler models;
 
   AdmissionExtensions(Supplier<Map<String, Team>> teams, Supplier<Map<String, Resources>> teamUse) {
@@ -28,21 +28,21 @@
   }
 
   void add(ReservationManager keeper) {
-    requests = keeper;
+    reservations = keeper;
   }
 
   void add(ModelAutoscaler keeper) {
     models = keeper;
   }
 
-  /** Before it is planned: what should be reserved for requests. */
-  void look(MonotonicTime now) {
-    if (requests != null) {
-      requests.look(teams.get(), now);
+  /** Called before each plan: reserves capacity for deadline requests. */
+  void prepare(MonotonicTime now) {
+    if (reservations != null) {
+      reservations.reconcile(teams.get(), now);
     }
   }
 
-  /** Admits what can be admitted; returns what machines are to be rented for. */
+  /** Admits pending jobs; returns the demand that machines are to be launched for. */
   List<Admission.Unmet> admit(
       List<Admission.Block> blocks,
       Map<ShardId, List<Headroom>> reserves,
@@ -51,15 +51,15 @@
         models == null
             ? new Admission(blocks, teams.get(), teamUse.get(), reserves).run(waiting)
             : models.admit(blocks, reserves, waiting);
-    return requests == null ? unmet : requests.with(unmet);
+    return reservations == null ? unmet : reservations.withReservations(unmet);
   }
 
-  /** What a machine looks like to who returns machines. */
-  PeerHeartbeat.MachineState seenByFleet(PeerHeartbeat.MachineState state) {
-    return models == null ? state : models.seenByFleet(state);
+  /** The state of a machine as the autoscaler should see it. */
+  PeerHeartbeat.MachineState autoscalerView(PeerHeartbeat.MachineState state) {
+    return models == null ? state : models.autoscalerView(state);
   }
 
-  /** Another controller leads now. */
+  /** Called when this controller stops leading. */
   void stop() {
     if (models != null) {
       models.stop();
--- a/src/main/java/org/quincecross/leader/AllocationIndex.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -23,43 +23,48 @@
 import org.quincecross.state.ShardLease;
 
 /**
- * What the ledger comes to for admission: which tasks each block holds, what each job has out and
- * in the pool, what each team uses. Kept current as the ledger changes, at a cost in proportion to
- * what changed: the tasks of the jobs and blocks concerned.
+ * An index of the allocations for admission: the unfinished tasks of each shard, the outstanding
+ * and pending tasks of each job, and each team's usage. Updated incrementally, at a cost
+ * proportional to the tasks of the changed jobs and shards.
  */
 final class AllocationIndex {
-  private static final int SUM_ANEW_AFTER = 10_000;
+  private static final int RECOMPUTE_INTERVAL = 10_000;
 
   /**
-   * A job that is not done.
+   * The allocation of a job that is not done.
    *
-   * @param done tasks whose completion is durable
-   * @param out allocated tasks that are not done: each may be on a machine
-   * @param pool tasks that wait to be allocated; none once the job is cancelled, or while it waits
-   *     for other jobs
-   * @param perZone how many tasks are out in each zone
+   * @param completed tasks whose completion is durable
+   * @param outstanding allocated tasks that are not completed; each may be on a machine
+   * @param pending tasks that wait for an allocation; none if the job is cancelled or has
+   *     unfinished dependencies
+   * @param outstandingByZone the number of outstanding tasks in each zone
    */
-  record Account(Job job, TaskSet done, TaskSet out, TaskSet pool, Map<String, Integer> perZone) {}
+  record JobAllocation(
+      Job job,
+      TaskSet completed,
+      TaskSet outstanding,
+      TaskSet pending,
+      Map<String, Integer> outstandingByZone) {}
 
   private final ClusterStateCache cache;
   private final StartBlock startBlock;
   private final Map<ShardId, Map<JobId, TaskSet>> allocated = new HashMap<>();
   private final Map<JobId, Map<ShardId, TaskSet>> where = new HashMap<>();
-  private final Map<JobId, Account> accounts = new HashMap<>();
+  private final Map<JobId, JobAllocation> accounts = new HashMap<>();
   private final Map<JobId, JobRecord> openRecords = new HashMap<>();
-  private final Map<JobRecord, Account> open =
+  private final Map<JobRecord, JobAllocation> open =
       new TreeMap<>(Comparator.comparing(JobRecord::version).thenComparing(JobRecord::id));
   private final Set<ShardId> leased = new HashSet<>();
   private final Set<JobId> waiting = new LinkedHashSet<>();
   private final Map<String, Use> use = new HashMap<>();
   private final Set<ShardId> toRead = new LinkedHashSet<>();
   private final Set<JobId> toCount = new LinkedHashSet<>();
-  private final Set<ShardId> changedBlocks = new HashSet<>();
-  private long counted;
+  private final Set<ShardId> changedShards = new HashSet<>();
+  private long countedItems;
   private final List<AllocationListener> listeners = new ArrayList<>();
 
-  /** Has {@code listener} told of tasks that leave the pool from now on. */
-  void listen(AllocationListener listener) {
+  /** Adds a listener for tasks that are allocated from now on. */
+  void addListener(AllocationListener listener) {
     listeners.add(listener);
   }
 
@@ -68,27 +73,29 @@
   }
 
   /**
-   * @param startBlock tasks that are in no pool, for they may not run now
+   * Creates an empty index.
+   *
+   * @param startBlock tasks that may not run now and so are not pending
    */
   AllocationIndex(ClusterStateCache cache, StartBlock startBlock) {
     this.cache = cache;
     this.startBlock = startBlock;
   }
 
-  /** Other tasks of some jobs are kept back than before. */
-  void withheldChanged(Set<JobId> jobs) {
+  /** Called when the set of blocked tasks of some jobs has changed. */
+  void startBlockChanged(Set<JobId> jobs) {
     toCount.addAll(jobs);
   }
 
-  /** What the tasks of a team take that are out, and how many of its jobs have such tasks. */
+  /** The resources of a team's outstanding tasks, and the number of its jobs that have any. */
   private static final class Use {
     private Resources sum = Resources.NONE;
     private int jobs;
     private int changes;
   }
 
-  /** Notes what has changed; it is looked at when the books are next asked. */
-  void changed(ClusterStateCache.Changes changes) {
+  /** Records changes; they are applied when the index is next queried. */
+  void cacheChanged(ClusterStateCache.Changes changes) {
     toRead.addAll(changes.shards());
     toCount.addAll(changes.jobs());
     if (changes.reloaded()) {
@@ -99,7 +106,7 @@
     }
   }
 
-  /** The one place where the books change. */
+  /** The only method that changes the index. */
   private void refresh() {
     for (ShardId shard : toRead) {
       read(shard);
@@ -115,10 +122,12 @@
     Map<JobId, TaskSet> next = cache.allocation(shard).tasks();
     Map<JobId, TaskSet> before =
         next.isEmpty() ? allocated.remove(shard) : allocated.put(shard, next);
-    changedBlocks.add(shard);
+    changedShards.add(shard);
     boolean isLeased = cache.shard(shard) != null;
     if (isLeased ? leased.add(shard) : leased.remove(shard)) {
-      toCount.addAll(next.keySet()); // what is in no zone now is in one, or the reverse
+      toCount.addAll(
+          next.keySet()); // a shard's tasks move between a zone and none when the shard appears or
+      // disappears
     }
     if (before != null) {
       for (JobId job : before.keySet()) {
@@ -142,72 +151,87 @@
   }
 
   private void count(JobId id) {
-    Map<ShardId, TaskSet> there = where.getOrDefault(id, Map.of());
-    changedBlocks.addAll(there.keySet());
-    JobRecord record = cache.job(id);
+    changedShards.addAll(where.getOrDefault(id, Map.of()).keySet());
     waiting.remove(id);
     JobRecord wasOpen = openRecords.remove(id);
     if (wasOpen != null) {
       open.remove(wasOpen);
     }
+    JobRecord record = cache.job(id);
     if (record == null || record.job() == null) {
-      used(accounts.remove(id), null);
+      updateUsage(accounts.remove(id), null);
       return;
     }
-    Job job = record.job();
-    TaskSet done = cache.completedTasks(id);
-    TaskSet allOut = new TaskSet();
-    Map<String, Integer> perZone = new TreeMap<>();
-    there.forEach(
-        (shard, tasks) -> {
-          int open = tasks.size() - tasks.intersectionSize(done);
-          ShardLease lease = cache.shard(shard);
-          if (open > 0 && lease != null) {
-            perZone.merge(lease.zone(), open, Integer::sum);
-          }
-          allOut.addAll(tasks);
-          counted++;
-        });
-    allOut.removeAll(done);
-    TaskSet pool = new TaskSet();
-    if (record.phase() == JobPhase.OPEN && !cache.dependencyGraph().waits(id)) {
-      pool = TaskSet.range(job.taskCount());
-      pool.removeAll(done);
-      pool.removeAll(allOut);
-      pool.removeAll(startBlock.of(job));
-    }
-    Account account = new Account(job, done, allOut, pool, perZone);
-    Account before = accounts.put(id, account);
-    used(before, account);
-    int reached = done.size() + allOut.size();
-    int more = reached - (before == null ? 0 : before.done().size() + before.out().size());
-    if (more > 0) {
-      listeners.forEach(listener -> listener.given(id, more, reached));
-    }
+    JobAllocation now = allocationOf(record);
+    JobAllocation before = accounts.put(id, now);
+    updateUsage(before, now);
+    notifyIfAllocated(id, before, now);
     if (record.phase() == JobPhase.OPEN) {
       openRecords.put(id, record);
-      open.put(record, account);
+      open.put(record, now);
     }
-    if (!pool.isEmpty()) {
+    if (!now.pending().isEmpty()) {
       waiting.add(id);
     }
   }
 
-  /** Counts what a job has out now in place of what it had. */
-  private void used(Account before, Account now) {
-    if (before != null && !before.out().isEmpty()) {
-      add(before, -1);
+  private JobAllocation allocationOf(JobRecord record) {
+    TaskSet completed = cache.completedTasks(record.id());
+    TaskSet outstanding = new TaskSet();
+    Map<String, Integer> outstandingByZone = new TreeMap<>();
+    where
+        .getOrDefault(record.id(), Map.of())
+        .forEach(
+            (shard, tasks) -> {
+              int open = tasks.size() - tasks.intersectionSize(completed);
+              ShardLease lease = cache.shard(shard);
+              if (open > 0 && lease != null) {
+                outstandingByZone.merge(lease.zone(), open, Integer::sum);
+              }
+              outstanding.addAll(tasks);
+              countedItems++;
+            });
+    outstanding.removeAll(completed);
+    TaskSet pending = pendingTasks(record, completed, outstanding);
+    return new JobAllocation(record.job(), completed, outstanding, pending, outstandingByZone);
+  }
+
+  private TaskSet pendingTasks(JobRecord record, TaskSet completed, TaskSet outstanding) {
+    if (record.phase() != JobPhase.OPEN || cache.dependencyGraph().waits(record.id())) {
+      return new TaskSet();
+    }
+    TaskSet pending = TaskSet.range(record.job().taskCount());
+    pending.removeAll(completed);
+    pending.removeAll(outstanding);
+    pending.removeAll(startBlock.of(record.job()));
+    return pending;
+  }
+
+  private void notifyIfAllocated(JobId id, JobAllocation before, JobAllocation now) {
+    int reached = now.completed().size() + now.outstanding().size();
+    int reachedBefore =
+        before == null ? 0 : before.completed().size() + before.outstanding().size();
+    if (reached > reachedBefore) {
+      listeners.forEach(listener -> listener.tasksAllocated(id, reached - reachedBefore, reached));
+    }
+  }
+
+  /** Replaces what a job contributes to its team's usage. */
+  private void updateUsage(JobAllocation before, JobAllocation now) {
+    if (before != null && !before.outstanding().isEmpty()) {
+      addUsage(before, -1);
     }
-    if (now != null && !now.out().isEmpty()) {
-      add(now, 1);
+    if (now != null && !now.outstanding().isEmpty()) {
+      addUsage(now, 1);
     }
   }
 
-  private void add(Account account, int sign) {
+  private void addUsage(JobAllocation account, int sign) {
     String team = account.job().team();
     Use sum = use.computeIfAbsent(team, name -> new Use());
     sum.jobs += sign;
-    sum.sum = sum.sum.plus(account.job().taskResources().times(sign * account.out().size()));
+    sum.sum =
+        sum.sum.plus(account.job().taskResources().times(sign * account.outstanding().size()));
     if (sum.jobs == 0) {
       use.remove(team);
     } else {
@@ -216,82 +240,85 @@
   }
 
   /**
-   * Sums up anew what many changes may have rounded: a team's limit holds whatever the order of
-   * additions was.
+   * Recomputes a sum from its terms, because repeated additions accumulate rounding errors and a
+   * team's limit must hold regardless of their order.
    */
-  private void sumAnew(String team, Use sum) {
+  private void recomputeUsage(String team, Use sum) {
     sum.changes = 0;
     sum.sum = Resources.NONE;
-    for (Account account : accounts.values()) {
+    for (JobAllocation account : accounts.values()) {
       if (account.job().team().equals(team)) {
-        sum.sum = sum.sum.plus(account.job().taskResources().times(account.out().size()));
+        sum.sum = sum.sum.plus(account.job().taskResources().times(account.outstanding().size()));
       }
     }
   }
 
-  /** How many items of allocations have been counted so far: the work that was done. */
-  long counted() {
-    return counted;
+  /** The number of allocation items processed so far, as a measure of work. */
+  long countedItems() {
+    return countedItems;
   }
 
-  /** What is known of a job that is not done, or null. */
-  Account account(JobId job) {
+  /** The allocation of a job that is not done, or null. */
+  JobAllocation get(JobId job) {
     refresh();
     return accounts.get(job);
   }
 
-  /** The open jobs, first accepted first. */
-  Map<JobRecord, Account> open() {
+  /** The open jobs in the order of their acceptance. */
+  Map<JobRecord, JobAllocation> openJobs() {
     refresh();
     return open;
   }
 
   /** The ids of the open jobs. */
-  Set<JobId> openIds() {
+  Set<JobId> openJobIds() {
     refresh();
     return openRecords.keySet();
   }
 
-  /** The jobs with tasks in the pool. */
-  Collection<JobId> waiting() {
+  /** The jobs with pending tasks. */
+  Collection<JobId> jobsWithPendingTasks() {
     refresh();
     return waiting;
   }
 
-  /** Takes the tasks of one job that a block has. */
+  /** Receives the tasks of one job in a shard. */
   interface HeldTasks {
-    /** {@code tasks}: those that its record names, {@code open} of which are not done. */
+    /**
+     * Called with the tasks that the shard's record contains, of which {@code open} are not
+     * completed.
+     */
     void of(Job job, TaskSet tasks, int open);
   }
 
-  /** Goes through the jobs of a block of which some task is not done. */
-  void eachHeld(ShardId shard, HeldTasks action) {
+  /** Iterates over the jobs of a shard that have uncompleted tasks. */
+  void forEachUnfinished(ShardId shard, HeldTasks action) {
     refresh();
     allocated
         .getOrDefault(shard, Map.of())
         .forEach(
             (id, tasks) -> {
-              Account account = accounts.get(id);
+              JobAllocation account = accounts.get(id);
               int open =
-                  account == null ? 0 : tasks.size() - tasks.intersectionSize(account.done());
+                  account == null ? 0 : tasks.size() - tasks.intersectionSize(account.completed());
               if (open > 0) {
                 action.of(account.job(), tasks, open);
               }
             });
   }
 
-  /** The tasks of a block that are not done. */
-  Map<JobId, TaskSet> held(ShardId shard) {
+  /** The uncompleted tasks of a shard. */
+  Map<JobId, TaskSet> unfinishedTasks(ShardId shard) {
     refresh();
     Map<JobId, TaskSet> held = new LinkedHashMap<>();
     allocated
         .getOrDefault(shard, Map.of())
         .forEach(
             (job, tasks) -> {
-              Account account = accounts.get(job);
+              JobAllocation account = accounts.get(job);
               if (account != null) {
                 TaskSet open = tasks.copy();
-                open.removeAll(account.done());
+                open.removeAll(account.completed());
                 if (!open.isEmpty()) {
                   held.put(job, open);
                 }
@@ -300,42 +327,43 @@
     return held;
   }
 
-  /** How many tasks a block's record names that are done. */
-  int stale(ShardId shard) {
+  /** The number of completed tasks that a shard's record still contains. */
+  int completedButAllocated(ShardId shard) {
     refresh();
     int stale = 0;
     for (Map.Entry<JobId, TaskSet> entry : allocated.getOrDefault(shard, Map.of()).entrySet()) {
-      Account account = accounts.get(entry.getKey());
+      JobAllocation account = accounts.get(entry.getKey());
       stale +=
           account == null
               ? entry.getValue().size()
-              : entry.getValue().intersectionSize(account.done());
+              : entry.getValue().intersectionSize(account.completed());
     }
     return stale;
   }
 
   /**
-   * What the tasks of each team take that are not proven gone, completed or not: a completion that
-   * is lost with its holder and its machine before it is durable is run again under its allocation.
+   * The resources of each team's tasks that are not proven gone, completed or not: a completion
+   * that is lost with its owner and machine before it is durable is repeated under the same
+   * allocation.
    */
-  Map<String, Resources> teamUse() {
+  Map<String, Resources> teamUsage() {
     refresh();
     Map<String, Resources> sums = new HashMap<>();
     use.forEach(
         (team, sum) -> {
-          if (sum.changes > SUM_ANEW_AFTER) {
-            sumAnew(team, sum);
+          if (sum.changes > RECOMPUTE_INTERVAL) {
+            recomputeUsage(team, sum);
           }
           sums.put(team, sum.sum);
         });
     return sums;
   }
 
-  /** The blocks of which something has changed since this was last asked. */
-  List<ShardId> takeChangedBlocks() {
+  /** The shards that have changed since the last call. */
+  List<ShardId> takeChangedShards() {
     refresh();
-    List<ShardId> taken = new ArrayList<>(changedBlocks);
-    changedBlocks.clear();
+    List<ShardId> taken = new ArrayList<>(changedShards);
+    changedShards.clear();
     return taken;
   }
 }
--- a/src/main/java/org/quincecross/leader/AllocationListener.java
+++ b/src/main/java/org/quincecross/leader/AllocationListener.java
@@ -2,11 +2,11 @@
 
 import org.quincecross.model.JobId;
 
-/** Told of tasks that left the pool. */
+/** Notified of tasks that were allocated. */
 public interface AllocationListener {
   /**
-   * So many more of a job's tasks have been given to blocks; with those that are done, so many are
-   * out of the pool now.
+   * Called when {@code more} tasks of a job were allocated, so that {@code reached} of them are now
+   * allocated or completed.
    */
-  void given(JobId job, int more, int reached);
+  void tasksAllocated(JobId job, int more, int reached);
 }
--- a/src/main/java/org/quincecross/leader/AllocationWriter.java
+++ b/src/main/java/org/quincecross/leader/AllocationWriter.java
@@ -18,56 +18,57 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * Writes which tasks a block has: whole, or from level 2 on what has changed since it was last
- * written whole.
+ * Writes the allocations of shards: as full records, or from feature level 2 on as deltas to the
+ * last full record.
  *
- * <p>A block may have more tasks than a value takes now: its whole record is from when values could
- * be larger. Nothing is admitted to such a block, and what its holder gives back is taken out by a
- * change, which names only tasks that are not over. So it shrinks, and is written whole again once
- * it fits. Before level 2 what is given back waits for that.
+ * <p>A shard's full record may date from when values could be larger and exceed the present limit.
+ * Nothing is admitted to such a shard, and tasks that its owner releases are removed by a delta,
+ * which names only unfinished tasks, until the allocation fits and is written in full again. Below
+ * level 2 released tasks wait for that.
  */
 final class AllocationWriter {
-  /** A change larger than this part of the whole record is not worth having beside it. */
-  private static final double LARGEST_CHANGE = 0.5;
+  /** A delta larger than this share of the full record is not worth keeping beside it. */
+  private static final double MAX_DELTA_SHARE = 0.5;
 
   private final ClusterStateCache cache;
-  private final BooleanSupplier wholeOnly;
+  private final BooleanSupplier fullRecordsOnly;
 
   /**
-   * @param wholeOnly whether no changes are to be written, for a level is to come that does not
-   *     have them
+   * Creates a writer.
+   *
+   * @param fullRecordsOnly whether deltas must not be written because a level without them is
+   *     coming
    */
   AllocationWriter(ClusterStateCache cache, BooleanSupplier wholeOnly) {
     this.cache = cache;
-    this.wholeOnly = wholeOnly;
+    this.fullRecordsOnly = wholeOnly;
   }
 
   /** Adds the write to a transaction; false if there is no room for it. */
   boolean put(TransactionBuilder transaction, ShardId id, Map<JobId, TaskSet> next) {
     int bytes = Json.write(Allocation.write(next)).length;
-    boolean isTooLarge = bytes > transaction.mostValue();
+    boolean isTooLarge = bytes > transaction.maxValueBytes();
     Allocation whole = cache.wholeAllocation(id);
-    if ((isTooLarge || !wholeOnly.getAsBoolean())
+    if ((isTooLarge || !fullRecordsOnly.getAsBoolean())
         && Feature.ALLOCATION_CHANGES.isIn(cache.level().level())
         && whole.version().value() != 0) {
       Map<String, Object> change =
-          AllocationDelta.write(whole, isTooLarge ? withOver(whole, next) : next);
-      if (isTooLarge || Json.write(change).length < LARGEST_CHANGE * bytes) {
+          AllocationDelta.write(whole, isTooLarge ? withTerminatedTasks(whole, next) : next);
+      if (isTooLarge || Json.write(change).length < MAX_DELTA_SHARE * bytes) {
         return transaction.put(
             StoreKeys.allocationDelta(id),
             change,
-            StoreKeys.allocation(id)); // a change of another whole record says nothing
+            StoreKeys.allocation(id)); // a delta to another full record is void
       }
     }
-    return putWhole(transaction, id, next);
+    return putFullRecord(transaction, id, next);
   }
 
   /**
-   * What a block is to have, and those tasks of its whole record that are over: done, or of a job
-   * that is done. They stay so, and whoever reads a record passes them over; to name all of them as
-   * gone would soon take more than a value.
+   * Adds the terminated tasks of the full record to an allocation. Readers ignore them, and naming
+   * all of them as removed would soon exceed a value.
    */
-  private Map<JobId, TaskSet> withOver(Allocation whole, Map<JobId, TaskSet> next) {
+  private Map<JobId, TaskSet> withTerminatedTasks(Allocation whole, Map<JobId, TaskSet> next) {
     Map<JobId, TaskSet> with = new LinkedHashMap<>(next);
     whole
         .tasks()
@@ -89,22 +90,20 @@
     return with;
   }
 
-  /** Writes it whole: at any level it can be read so. */
-  boolean putWhole(TransactionBuilder transaction, ShardId id, Map<JobId, TaskSet> next) {
+  /** Writes a full record, which every level can read. */
+  boolean putFullRecord(TransactionBuilder transaction, ShardId id, Map<JobId, TaskSet> next) {
     String changeKey = StoreKeys.allocationDelta(id);
     Map<String, Object> whole = Allocation.write(next);
     boolean hasChange = cache.version(changeKey).value() != 0;
-    if (hasChange && transaction.room() < 2) {
+    if (hasChange && transaction.remaining() < 2) {
       return false;
     }
     return transaction.put(StoreKeys.allocation(id), whole)
         && (!hasChange || transaction.delete(changeKey));
   }
 
-  /**
-   * The records that there are of a block's tasks: whoever deletes the block deletes them with it.
-   */
-  List<String> keys(ShardId id) {
+  /** The keys of a shard's allocation records, to be deleted together with the shard. */
+  List<String> recordKeys(ShardId id) {
     return Stream.of(StoreKeys.allocation(id), StoreKeys.allocationDelta(id))
         .filter(key -> cache.version(key).value() != 0)
         .toList();
--- a/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
+++ b/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
@@ -14,74 +14,75 @@
 import org.quincecross.state.ReplicatedRecordIndex;
 
 /**
- * Moves what the trails of agreed records have grown to onto pages, now and then: the leader alone
- * does, so a page has one writer.
+ * Moves audit entries from records that have accumulated them to pages. Only the leader does, so
+ * that each page has a single writer.
  */
 final class AuditTrailArchiver {
   /**
-   * A record with so many lines is worth writing for their sake; and one that takes so much of a
+   * A record with this many entries is worth rewriting, or one whose entries take this share of a
    * value.
    */
-  private static final int MOST_LINES = 6;
+  private static final int MAX_LINES_IN_RECORD = 6;
 
-  private static final double LARGEST_SHARE = 0.5;
+  private static final double MAX_VALUE_SHARE = 0.5;
 
-  private static final TimeSpan MOVE_EVERY = TimeSpan.ofSeconds(5);
+  private static final TimeSpan INTERVAL = TimeSpan.ofSeconds(5);
 
   private final ClusterStateCache cache;
-  private final Set<RecordId> toLookAt = new LinkedHashSet<>();
+  private final Set<RecordId> recordsToCheck = new LinkedHashSet<>();
   private MonotonicTime movedAt;
 
   AuditTrailArchiver(ClusterStateCache cache) {
     this.cache = cache;
   }
 
-  /** Follows the records. */
-  void changed(ClusterStateCache.Changes changes) {
-    toLookAt.addAll(changes.replicatedRecords());
+  /** Records which replicated records have changed. */
+  void cacheChanged(ClusterStateCache.Changes changes) {
+    recordsToCheck.addAll(changes.replicatedRecords());
   }
 
   /**
-   * Whether some record may have a trail to be moved, and none has been moved for a while: however
-   * much else there is to write.
+   * Whether entries may have to be moved and none were for an interval, regardless of other pending
+   * writes.
    */
   boolean isDue(MonotonicTime now) {
-    return !toLookAt.isEmpty() && (movedAt == null || now.since(movedAt).isLongerThan(MOVE_EVERY));
+    return !recordsToCheck.isEmpty()
+        && (movedAt == null || now.since(movedAt).isLongerThan(INTERVAL));
   }
 
-  /** Adds what is to be moved to a transaction that has nothing else. */
+  /** Adds the moves to a transaction that contains nothing else. */
   void plan(TransactionBuilder transaction, MonotonicTime now) {
     movedAt = now;
     for (ReplicatedRecordIndex<?, ?> index : cache.replicatedRecords().indexes()) {
-      if (transaction.room() >= 2) {
+      if (transaction.remaining() >= 2) {
         move(transaction, index);
       }
     }
   }
 
-  // Whether the page was replaced by a longer one or by the next: the instance tells.
+  // A page is replaced by a longer instance or by the next page.
   @SuppressWarnings("ReferenceEquality")
   private <S> void move(TransactionBuilder transaction, ReplicatedRecordIndex<S, ?> index) {
     AuditPage page = index.lastPage();
     int number = Math.max(1, index.lastPageNumber());
     AuditPage next = page;
-    for (RecordId id : List.copyOf(toLookAt)) {
+    for (RecordId id : List.copyOf(recordsToCheck)) {
       if (!id.kind().equals(index.kind().name())) {
         continue;
       }
       ReplicatedRecordIndex.Held<S> held = index.get(id.id());
       if (held == null || !isLong(index, held.record(), transaction)) {
-        toLookAt.remove(id);
+        recordsToCheck.remove(id);
         continue;
       }
-      if (transaction.room() < 2) {
-        break; // what is moved changes, and is looked at again then; what has no room now stays
-        // here
+      if (transaction.remaining() < 2) {
+        break; // a moved record changes and is checked again then; one without room now stays in
+        // the set
       }
       List<AuditEntry> lines = held.record().lines(held.version());
       int fit = fitting(next, lines, transaction);
       if (fit == 0 && next == page) {
-        number++; // the page is full: the next one begins
+        number++; // the page is full: continue on the next one
         next = AuditPage.EMPTY;
         fit = fitting(next, lines, transaction);
       }
@@ -90,9 +91,9 @@
       }
       if (!transaction.put(
           index.key(id.id()), held.record().without(fit, held.version()).write(index.kind()))) {
-        // Too large without its trail too. Moved all the same, its lines came to a page again and
-        // again.
-        toLookAt.remove(id);
+        // The record is too large even without its trail; moving entries would repeat them on page
+        // after page.
+        recordsToCheck.remove(id);
         continue;
       }
       next = next.with(lines.subList(0, fit));
@@ -104,12 +105,13 @@
     }
   }
 
-  /** How many of the first lines fit a page beside what it has. */
+  /** The number of leading entries that fit on a page beside its content. */
   private static int fitting(
       AuditPage page, List<AuditEntry> lines, TransactionBuilder transaction) {
     int fit = lines.size();
     while (fit > 0
-        && Json.write(page.with(lines.subList(0, fit)).write()).length > transaction.mostValue()) {
+        && Json.write(page.with(lines.subList(0, fit)).write()).length
+            > transaction.maxValueBytes()) {
       fit--;
     }
     return fit;
@@ -117,9 +119,9 @@
 
   private static <S> boolean isLong(
       ReplicatedRecordIndex<S, ?> index, ReplicatedRecord<S> kept, TransactionBuilder transaction) {
-    return kept.trail().size() >= MOST_LINES
+    return kept.trail().size() >= MAX_LINES_IN_RECORD
         || (!kept.trail().isEmpty()
             && Json.write(kept.write(index.kind())).length
-                > LARGEST_SHARE * transaction.mostValue());
+                > MAX_VALUE_SHARE * transaction.maxValueBytes());
   }
 }
--- a/src/main/java/org/quincecross/leader/CloudClient.java
+++ b/src/main/java/org/quincecross/leader/CloudClient.java
@@ -19,11 +19,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Speaks to the cloud, within its limit of requests. */
+/** The client of the cloud's API. It stays within the request limit. */
 final class CloudClient {
   private static final Logger LOG = LoggerFactory.getLogger(CloudClient.class);
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(5);
-  private static final TimeSpan BACK_OFF = TimeSpan.ofSeconds(1.5);
+  private static final TimeSpan BACKOFF = TimeSpan.ofSeconds(1.5);
 
   private final Timers timers;
   private final HttpCaller http;
@@ -37,16 +37,16 @@
     this.limiter = new TokenBucket(requestsPerS * 0.8, requestsPerS, timers.now());
   }
 
-  /** Whether a request may go out now; if so, it counts as sent. */
-  boolean take() {
+  /** Takes a permit for a request that is sent now; false if the limit allows none. */
+  boolean tryAcquire() {
     return limiter.take(1, timers.now());
   }
 
-  TimeSpan backOff() {
-    return BACK_OFF;
+  TimeSpan backoff() {
+    return BACKOFF;
   }
 
-  /** {@code done} gets null where there is no readable answer. */
+  /** Requests the machine types; {@code done} receives null if there is no readable response. */
   void catalog(Consumer<List<MachineType>> done) {
     call(
         HttpRequest.get(CloudCodec.CATALOG),
@@ -67,11 +67,16 @@
                     () -> CloudCodec.readPage(Json.parseFields(outcome.response().body())))));
   }
 
-  /** What became of a request to rent. */
-  record Rented(List<MachineId> machines, boolean noCapacity) {}
+  /** The outcome of a launch request. */
+  record LaunchResult(List<MachineId> machines, boolean noCapacity) {}
 
-  void rent(
-      String request, String type, String zone, boolean spot, int count, Consumer<Rented> done) {
+  void launch(
+      String request,
+      String type,
+      String zone,
+      boolean spot,
+      int count,
+      Consumer<LaunchResult> done) {
     byte[] body = CloudCodec.writeLaunchRequest(request, type, zone, spot, count);
     call(
         HttpRequest.post(CloudCodec.MACHINES, body),
@@ -84,11 +89,11 @@
               outcome.status() == 503
                   && new String(outcome.response().body(), StandardCharsets.UTF_8)
                       .contains("capacity");
-          done.accept(new Rented(machines == null ? List.of() : machines, none));
+          done.accept(new LaunchResult(machines == null ? List.of() : machines, none));
         });
   }
 
-  void giveBack(Collection<MachineId> machines, Consumer<Boolean> done) {
+  void terminate(Collection<MachineId> machines, Consumer<Boolean> done) {
     call(
         HttpRequest.post(CloudCodec.RETURN, CloudCodec.writeTerminateRequest(machines)),
         outcome -> done.accept(outcome.status() == 200));
@@ -98,7 +103,7 @@
     http.call(cloud, request, TIMEOUT, done);
   }
 
-  /** Reads what an answer says. */
+  /** Reads a response body. */
   private interface Reader<T> {
     T read() throws MalformedMessageException;
   }
@@ -110,7 +115,7 @@
     try {
       return reader.read();
     } catch (MalformedMessageException e) {
-      LOG.info("unreadable answer of the cloud: {}", e.getMessage());
+      LOG.info("cloud response cannot be read: {}", e.getMessage());
       return null;
     }
   }
--- a/src/main/java/org/quincecross/leader/CompletionWriter.java
+++ b/src/main/java/org/quincecross/leader/CompletionWriter.java
@@ -22,41 +22,46 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * Makes completions durable, gathered so that they cost few changes.
+ * Makes task completions durable, in batches that need few writes.
  *
- * <p>What ends each wait: a completion waits at most {@link #GATHER} for more of its job, then for
- * room in a transaction. Only what is new is written, so a transaction that is too small for all
- * leaves less for the next. A completion that a lost controller had reported is reported by the
- * next holder, from its machine, which keeps the result; where the machine is lost too, the task is
- * run again under its allocation.
+ * <p>A completion waits at most {@link #BATCHING_DELAY} for others of its job, then for room in a
+ * transaction. Only new completions are written, so a transaction that is too small leaves less for
+ * the next. A completion that a lost controller had reported is reported again by the next owner,
+ * because the machine keeps the result; if the machine is lost as well, the task is repeated under
+ * its allocation.
  */
 final class CompletionWriter {
-  private static final TimeSpan GATHER = TimeSpan.ofSeconds(1.5);
+  private static final TimeSpan BATCHING_DELAY = TimeSpan.ofSeconds(1.5);
 
   private final Timers timers;
   private final ClusterStateCache cache;
   private final PeerViews views;
-  private final AllocationIndex books;
+  private final AllocationIndex allocationIndex;
   private final LongSupplier clockMs;
   private final Map<JobId, MonotonicTime> since = new HashMap<>();
 
   /**
-   * @param clockMs tells the time of day
+   * Creates a writer.
+   *
+   * @param clockMs the time of day in milliseconds
    */
   CompletionWriter(
       Timers timers,
       ClusterStateCache cache,
       PeerViews views,
-      AllocationIndex books,
+      AllocationIndex allocationIndex,
       LongSupplier clockMs) {
     this.timers = timers;
     this.cache = cache;
     this.views = views;
-    this.books = books;
+    this.allocationIndex = allocationIndex;
     this.clockMs = clockMs;
   }
 
-  /** Makes completions durable; a job whose last task is done becomes done in the same stroke. */
+  /**
+   * Adds completions to a transaction; a job becomes done in the transaction that completes its
+   * last task.
+   */
   void plan(TransactionBuilder transaction, Map<JobId, TaskSet> fresh) {
     MonotonicTime now = timers.now();
     since.keySet().retainAll(fresh.keySet());
@@ -64,13 +69,13 @@
     Map<JobId, TaskSet> unfinished = new LinkedHashMap<>();
     for (Map.Entry<JobId, TaskSet> entry : fresh.entrySet()) {
       JobId id = entry.getKey();
-      AllocationIndex.Account account = books.account(id);
-      TaskSet all = account.done().copy();
+      AllocationIndex.JobAllocation account = allocationIndex.get(id);
+      TaskSet all = account.completed().copy();
       all.addAll(entry.getValue());
       if (all.size() < account.job().taskCount()) {
-        // Its machine keeps the result until it is durable, so a part of a job may wait for more of
-        // it.
-        due |= now.since(since.computeIfAbsent(id, j -> now)).isLongerThan(GATHER);
+        // The machine keeps the result until it is durable, so the tasks of a job can wait for each
+        // other.
+        due |= now.since(since.computeIfAbsent(id, j -> now)).isLongerThan(BATCHING_DELAY);
         unfinished.put(id, all);
       } else {
         JobRecord record = cache.job(id);
@@ -82,15 +87,15 @@
       }
     }
     if (due) {
-      planParts(transaction, unfinished, fresh);
+      planPages(transaction, unfinished, fresh);
     }
   }
 
   /**
-   * Writes the done tasks of unfinished jobs: most share pages, so that one change serves many
-   * jobs.
+   * Writes the completed tasks of unfinished jobs, mostly on shared pages, so that one write serves
+   * many jobs.
    */
-  private void planParts(
+  private void planPages(
       TransactionBuilder transaction, Map<JobId, TaskSet> unfinished, Map<JobId, TaskSet> fresh) {
     Map<Integer, Page> pages = new TreeMap<>();
     Map<JobId, Integer> home = new HashMap<>();
@@ -101,14 +106,14 @@
               Page page = new Page();
               sets.forEach(
                   (job, set) -> {
-                    if (books.account(job) != null) {
+                    if (allocationIndex.get(job) != null) {
                       page.put(job, set);
                       home.put(job, number);
                     }
                   });
               pages.put(number, page);
             });
-    int mostBytes = transaction.mostValue();
+    int mostBytes = transaction.maxValueBytes();
     Set<Integer> changed = new TreeSet<>();
     unfinished.forEach(
         (id, all) -> {
@@ -116,8 +121,7 @@
             planChunks(transaction, id, all, fresh.get(id));
             return;
           }
-          // It stays on its page while there is room: one that moved would have to be written to
-          // two.
+          // A job stays on its page while there is room: moving it takes writes to two pages.
           Integer at = home.get(id);
           int page = at != null && pages.get(at).bytesWith(id, all) <= mostBytes ? at : 0;
           while (pages.containsKey(page) && pages.get(page).bytesWith(id, all) > mostBytes) {
@@ -132,7 +136,10 @@
     }
   }
 
-  /** A page as it is to be written, and how large it is: asked for every job that has news. */
+  /**
+   * A page as it is about to be written, with its size, which is needed for every job with new
+   * completions.
+   */
   private static final class Page {
     private final Map<JobId, TaskSet> jobs = new LinkedHashMap<>();
     private int bytes = CompletedTasks.EMPTY_PAGE_BYTES;
@@ -150,12 +157,12 @@
     }
   }
 
-  /** The done tasks of a job that is too large for a page. */
+  /** Writes the completed tasks of a job that is too large for a page. */
   private static void planChunks(
       TransactionBuilder transaction, JobId id, TaskSet all, TaskSet fresh) {
-    // Only those with something new: chunks written again would fill the transaction, and those
-    // after them never
-    // be written (docs/incidents/unanswered-start.md, "jobs larger than a transaction's chunks").
+    // Only chunks with new completions: rewriting the others would fill the transaction before the
+    // last ones are reached (docs/incidents/unanswered-start.md, "jobs larger than a transaction's
+    // chunks").
     Set<Integer> chunks = new TreeSet<>();
     for (int i = fresh.nextMember(0);
         i >= 0;
@@ -167,8 +174,8 @@
     }
   }
 
-  /** The completions that holders report and that are not durable yet. */
-  Map<JobId, TaskSet> completions() {
+  /** The completions that owners report and that are not durable yet. */
+  Map<JobId, TaskSet> unrecordedCompletions() {
     Map<JobId, TaskSet> fresh = new LinkedHashMap<>();
     for (PeerViews.View view : views.all()) {
       for (PeerViews.BlockView block : view.blocks().values()) {
@@ -180,8 +187,8 @@
               && !cache.isCompleted(task.job(), task.index())) {
             TaskSet done = fresh.computeIfAbsent(task.job(), id -> new TaskSet());
             done.add(task.index());
-            // A gang completes as one, also where the machine of one of its tasks is lost right
-            // after.
+            // A gang completes as a whole, even if the machine of one of its tasks is lost right
+            // afterwards.
             for (int i = 0; job.job().kind() == JobKind.GANG && i < job.job().taskCount(); i++) {
               done.add(i);
             }
--- a/src/main/java/org/quincecross/leader/CurrentPeerViews.java
+++ b/src/main/java/org/quincecross/leader/CurrentPeerViews.java
@@ -1,15 +1,17 @@
 package org.quincecross.leader;
 
 import org.quincecross.model.ControllerId;
+import org.quincecross.model.JobId;
+import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ShardLease;
 
-/** What the controllers have told lately: older word of a block is no ground for a decision. */
+/** The recent views of controllers and shards; older ones must not be the basis of a decision. */
 final class CurrentPeerViews {
-  private static final TimeSpan REPORT_FRESH = TimeSpan.ofSeconds(2.5);
+  private static final TimeSpan MAX_AGE = TimeSpan.ofSeconds(2.5);
 
   private final Timers timers;
   private final ClusterStateCache cache;
@@ -21,20 +23,31 @@
     this.views = views;
   }
 
-  /** What a controller has told lately, or null. */
+  /** The view of a controller if it is recent, else null. */
   PeerViews.View of(ControllerId member) {
     PeerViews.View view = views.of(member);
     return view == null
             || !cache.members().containsKey(member)
-            || timers.now().since(view.at()).isLongerThan(REPORT_FRESH)
+            || timers.now().since(view.at()).isLongerThan(MAX_AGE)
         ? null
         : view;
   }
 
-  /** What the holder of a block last said of it, if that is recent and of the present lease. */
-  PeerViews.BlockView of(ShardLease block) {
-    PeerViews.View view = of(block.owner());
-    PeerViews.BlockView known = view == null ? null : view.blocks().get(block.id());
-    return known != null && known.token().equals(block.token()) ? known : null;
+  /** The view of a shard if it is recent and belongs to the present lease, else null. */
+  PeerViews.BlockView of(ShardLease shard) {
+    PeerViews.View view = of(shard.owner());
+    PeerViews.BlockView known = view == null ? null : view.blocks().get(shard.id());
+    return known != null && known.token().equals(shard.token()) ? known : null;
+  }
+
+  /** The number of a job's running tasks, according to recent views of their shards. */
+  int running(JobId job) {
+    int running = 0;
+    for (ShardId id : cache.shardsOf(job)) {
+      ShardLease lease = cache.shard(id);
+      PeerViews.BlockView view = lease == null ? null : of(lease);
+      running += view == null ? 0 : view.running().getOrDefault(job, 0);
+    }
+    return running;
   }
 }
--- a/src/main/java/org/quincecross/leader/FeatureLevelController.java
+++ b/src/main/java/org/quincecross/leader/FeatureLevelController.java
@@ -26,21 +26,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts another level in force: one transaction of the leader, guarded by the leadership, by the
- * level as it was, and by the record of every member. So it fails if any of them has come, gone or
- * been restarted since it was looked at, and the leader's transactions from before it, which are
- * guarded by where the leadership was written, fail after it, however late they are applied.
+ * Changes the feature level in force by a single transaction of the leader. Its preconditions are
+ * the leadership, the present level, and the record of every member, so it fails if a member has
+ * joined, left or restarted since it was planned. Transactions that the leader sent before it have
+ * the former leadership as a precondition and fail after it, however late they are applied.
  */
 public final class FeatureLevelController {
   private static final Logger LOG = LoggerFactory.getLogger(FeatureLevelController.class);
-  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
+  private static final TimeSpan INTERVAL = TimeSpan.ofSeconds(1);
 
   private final ClusterStateCache cache;
   private final Settings settings;
   private final Membership membership;
   private final Rollout rollout = new Rollout();
   private Rollout.Decision decision = new Rollout.Decision(Rollout.State.SETTLED, null, "");
-  private MonotonicTime looked;
+  private MonotonicTime evaluatedAt;
 
   FeatureLevelController(ClusterStateCache cache, Settings settings, Membership membership) {
     this.cache = cache;
@@ -48,27 +48,27 @@
     this.membership = membership;
   }
 
-  /** What holds the next level back, as of the last look. */
+  /** The last decision: whether the next level can be put in force, and what prevents it. */
   public Rollout.Decision decision() {
     return decision;
   }
 
   /**
-   * Looks, now and then, whether another level should be in force; if so, {@link #guards} and
-   * {@link #changes} put it there.
+   * Decides at intervals whether to change the level; if so, {@link #preconditions} and {@link
+   * #mutations} change it.
    */
-  boolean look(MonotonicTime now) {
-    if (looked != null && LOOK_EVERY.isLongerThan(now.since(looked))) {
+  boolean evaluate(MonotonicTime now) {
+    if (evaluatedAt != null && INTERVAL.isLongerThan(now.since(evaluatedAt))) {
       return false;
     }
-    looked = now;
+    evaluatedAt = now;
     Rollout.Decision before = decision;
     decision = rollout.look(site(), now);
     if (!decision.why().equals(before.why()) && !decision.why().isEmpty()) {
-      LOG.info("level {}: {}: {}", cache.level().level(), decision.state(), decision.why());
+      LOG.info("feature level {}: {}: {}", cache.level().level(), decision.state(), decision.why());
     }
     if (decision.to() != null) {
-      LOG.info("level {} is put in force after {}", decision.to(), cache.level().level());
+      LOG.info("feature level {} is put in force after {}", decision.to(), cache.level().level());
     }
     return decision.to() != null;
   }
@@ -91,29 +91,29 @@
             ? new FeatureLevel(FeatureLevel.MOST)
             : new FeatureLevel(operators.maxLevel());
     FeatureLevel inForce = cache.level().level();
-    int onlyHere = onlyReadableAt(inForce);
+    int onlyHere = recordsRequiring(inForce);
     return new Rollout.Site(inForce, expected, alive, most, 0, onlyHere);
   }
 
-  /** How many records the level before this one could not read. */
-  private int onlyReadableAt(FeatureLevel level) {
+  /** The number of records that the previous level could not read. */
+  private int recordsRequiring(FeatureLevel level) {
     if (level.equals(Feature.ALLOCATION_CHANGES.since())) {
       return cache.allocationsWithDelta().size();
     }
     return level.equals(Feature.AGREED_RECORDS.since()) ? cache.replicatedRecords().count() : 0;
   }
 
-  /** Whether what only the present level can read is being rewritten. */
+  /** Whether records that only the present level can read are being rewritten. */
   boolean isLowering() {
     return decision.state() == Rollout.State.LOWERING;
   }
 
-  /** The blocks whose records the level that is to come could not read. */
-  List<ShardId> toRewrite() {
+  /** The shards whose records the coming level could not read. */
+  List<ShardId> shardsToRewrite() {
     return isLowering() ? List.copyOf(cache.allocationsWithDelta()) : List.of();
   }
 
-  List<Precondition> guards() {
+  List<Precondition> preconditions() {
     List<Precondition> guards = new ArrayList<>();
     guards.add(new Precondition(cache.leaderKey(), cache.version(cache.leaderKey())));
     guards.add(new Precondition(StoreKeys.LEVEL, cache.level().version()));
@@ -132,7 +132,7 @@
     return guards;
   }
 
-  List<Mutation> changes() {
+  List<Mutation> mutations() {
     List<Mutation> changes = new ArrayList<>();
     changes.add(Mutation.put(StoreKeys.LEVEL, FeatureLevelRecord.write(decision.to())));
     changes.add(
@@ -140,7 +140,7 @@
             ClusterStateCache.leaderKey(decision.to()), membership.record(), membership.life()));
     boolean moves = Feature.LEADERSHIP_MOVED.isIn(decision.to());
     if (moves && !Feature.LEADERSHIP_MOVED.isIn(cache.level().level())) {
-      // Builds from before levels see that somebody leads, and never do so themselves.
+      // Builds without levels see a leader there and never try to lead themselves.
       changes.add(
           Mutation.put(
               StoreKeys.LEADER,
--- a/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -24,72 +24,71 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the leader makes of the holds: those whose time has come are written to be in force, what
- * touched their records goes into their trail, and they are pinned once it is proven that nothing
- * which touches these runs or can start. Each step is written by itself and guarded by the record,
- * so it does not matter who leads, or who believes to.
+ * The leader's reconciliation of legal holds: it puts due holds in force, records which tasks
+ * touched the held records, and pins a hold once it is proven that no such task runs or can start.
+ * Each step is a command of its own with the record's version as a precondition, so a concurrent
+ * former leader does no harm.
  */
 public final class LegalHoldReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(LegalHoldReconciler.class);
-  private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(250);
+  private static final TimeSpan INTERVAL = TimeSpan.ofMillis(250);
 
-  /**
-   * Steps that wait to be written at the same time: whoever asks from outside is to have room
-   * beside them.
-   */
-  private static final int MOST_ASKED = 24;
+  /** The maximum number of pending commands; callers from outside need room beside them. */
+  private static final int MAX_PENDING_COMMANDS = 24;
 
-  /** What is kept back is noted again no more often than this for one hold. */
-  private static final TimeSpan NOTE_EVERY = TimeSpan.ofSeconds(60);
+  /** The minimum interval between two notes of blocked tasks for one hold. */
+  private static final TimeSpan NOTE_INTERVAL = TimeSpan.ofSeconds(60);
 
   private final ReplicatedFeatureContext base;
-  private final LegalHoldStartBlock held;
+  private final LegalHoldStartBlock startBlock;
   private final BooleanSupplier leading;
   private final Set<String> open = new LinkedHashSet<>();
   private final Set<String> toNote = new LinkedHashSet<>();
-  private final Set<String> asked = new HashSet<>();
+  private final Set<String> pendingCommands = new HashSet<>();
   private final Map<String, MonotonicTime> noted = new HashMap<>();
   private boolean wasLeading;
 
   /**
+   * Creates a reconciler.
+   *
    * @param leading whether this controller leads
    */
   public LegalHoldReconciler(
       ReplicatedFeatureContext base, LegalHoldStartBlock held, BooleanSupplier leading) {
     this.base = base;
-    this.held = held;
+    this.startBlock = held;
     this.leading = leading;
-    base.timers().every(LOOK_EVERY, this::look);
+    base.timers().every(INTERVAL, this::evaluate);
   }
 
-  private void look() {
+  private void evaluate() {
     boolean leads = leading.getAsBoolean();
     if (leads && !wasLeading) {
-      open.addAll(held.holds().all().keySet());
+      open.addAll(startBlock.holds().all().keySet());
     }
     wasLeading = leads;
-    open.addAll(held.takeStirred());
+    open.addAll(startBlock.takeChangedHolds());
     if (!leads || (open.isEmpty() && toNote.isEmpty())) {
       return;
     }
     for (String reference : List.copyOf(open)) {
-      if (asked.size() >= MOST_ASKED) {
+      if (pendingCommands.size() >= MAX_PENDING_COMMANDS) {
         return;
       }
-      if (!asked.contains(reference)) {
+      if (!pendingCommands.contains(reference)) {
         step(reference);
       }
     }
     for (String reference : List.copyOf(toNote)) {
-      if (asked.size() < MOST_ASKED && !asked.contains(reference)) {
+      if (pendingCommands.size() < MAX_PENDING_COMMANDS && !pendingCommands.contains(reference)) {
         note(reference);
       }
     }
   }
 
-  /** Makes the next step of a hold, if there is one now. */
+  /** Submits the next step of a hold, if there is one. */
   private void step(String reference) {
-    ReplicatedRecordIndex.Held<LegalHold> record = held.holds().get(reference);
+    ReplicatedRecordIndex.Held<LegalHold> record = startBlock.holds().get(reference);
     LegalHold hold = record == null ? null : record.state();
     if (hold == null || !hold.isOpen()) {
       open.remove(reference);
@@ -99,27 +98,27 @@
     }
     switch (hold.state()) {
       case FUTURE -> {
-        if (hold.isDue(held.at())) {
-          ask(reference, new LegalHoldCommand.Due(hold.opening()));
+        if (hold.isDue(startBlock.now())) {
+          submit(reference, new LegalHoldCommand.Due(hold.opening()));
         }
       }
       case PINNING -> pin(reference, record);
       case PINNED -> {
-        Map<JobId, TaskSet> touching = held.touching(hold);
+        Map<JobId, TaskSet> touching = startBlock.touching(hold);
         TerminationProof.Proof proof =
             TerminationProof.of(base.cache(), touching, record.version());
         Map<JobId, TaskSet> out =
             proof.state() == TerminationProof.State.HELD
                 ? together(proof)
-                : held.disturbed(reference);
+                : startBlock.disturbed(reference);
         if (!out.isEmpty()) {
-          // A claim or a lane was told after these had begun.
-          ask(
+          // A claim or lane was declared after these tasks had started.
+          submit(
               reference,
               new LegalHoldCommand.Widened(hold.opening(), hold.scope(), firstPart(out)));
         } else if (proof.isProven()) {
           open.remove(reference);
-          if (Listing.what(held.keptBack(touching)) != hold.kept()) {
+          if (Listing.what(startBlock.keptBack(touching)) != hold.kept()) {
             toNote.add(reference);
           }
         }
@@ -132,14 +131,14 @@
     LegalHold hold = record.state();
     List<LegalHoldCommand.Note> notes = touchedNotes(reference, hold);
     if (hold.notes() < notes.size()) {
-      ask(reference, notes.get(hold.notes()));
+      submit(reference, notes.get(hold.notes()));
       return;
     }
-    Map<JobId, TaskSet> touching = held.touching(hold);
+    Map<JobId, TaskSet> touching = startBlock.touching(hold);
     TerminationProof.Proof proof = TerminationProof.of(base.cache(), touching, record.version());
     if (proof.isProven()) {
-      Map<JobId, TaskSet> kept = held.keptBack(touching);
-      ask(
+      Map<JobId, TaskSet> kept = startBlock.keptBack(touching);
+      submit(
           reference,
           new LegalHoldCommand.Pinned(
               hold.opening(),
@@ -151,11 +150,11 @@
   }
 
   /**
-   * What touched the records just before. Numbered alike by whoever leads, from what each saw when
-   * the hold came into force.
+   * The tasks that touched the records just before the hold came into force, numbered so that every
+   * leader derives the same notes.
    */
   private List<LegalHoldCommand.Note> touchedNotes(String reference, LegalHold hold) {
-    LegalHoldStartBlock.Touched touched = held.touched(reference);
+    LegalHoldStartBlock.Touched touched = startBlock.touched(reference);
     List<LegalHoldCommand.Note> notes = new ArrayList<>();
     if (touched == null || hold.scope() > 0) {
       return notes;
@@ -174,22 +173,22 @@
   }
 
   private void note(String reference) {
-    ReplicatedRecordIndex.Held<LegalHold> record = held.holds().get(reference);
+    ReplicatedRecordIndex.Held<LegalHold> record = startBlock.holds().get(reference);
     MonotonicTime now = base.timers().now();
     MonotonicTime before = noted.get(reference);
     if (record == null || record.state().state() != LegalHold.State.PINNED) {
       toNote.remove(reference);
       return;
     }
-    if (before != null && !now.since(before).isLongerThan(NOTE_EVERY)) {
+    if (before != null && !now.since(before).isLongerThan(NOTE_INTERVAL)) {
       return;
     }
     toNote.remove(reference);
     noted.put(reference, now);
-    Map<JobId, TaskSet> kept = held.keptBack(held.touching(record.state()));
+    Map<JobId, TaskSet> kept = startBlock.keptBack(startBlock.touching(record.state()));
     long what = Listing.what(kept);
     if (what != record.state().kept()) {
-      ask(
+      submit(
           reference,
           new LegalHoldCommand.Note(
               record.state().opening(),
@@ -226,17 +225,17 @@
                 + " tasks in all";
   }
 
-  private void ask(String reference, LegalHoldCommand command) {
-    asked.add(reference);
+  private void submit(String reference, LegalHoldCommand command) {
+    pendingCommands.add(reference);
     base.store()
         .submit(
-            held.holds(),
+            startBlock.holds(),
             reference,
             RecordCommand.own(command),
             answer -> {
-              asked.remove(reference);
+              pendingCommands.remove(reference);
               if (!answer.isDurable()) {
-                LOG.debug("hold {}: {} {}", reference, answer.status(), answer.reason());
+                LOG.debug("legal hold {}: {} {}", reference, answer.status(), answer.reason());
               }
             });
   }
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -37,29 +37,29 @@
 import org.quincecross.state.ReplicatedRecordIndex;
 
 /**
- * What the holds, claims and sweeps in the ledger keep back, on every controller. A hold whose time
- * is to come is in force here as soon as it may be that time by the clocks, written or not: the
- * state service may be out then.
+ * Blocks the tasks that legal holds, claims and sweeps forbid, on every controller. A hold with a
+ * start time takes effect here as soon as that time may have come by any clock, even before it is
+ * stored: the store may be unavailable then.
  */
 public final class LegalHoldStartBlock implements StartBlock {
-  private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(250);
+  private static final TimeSpan INTERVAL = TimeSpan.ofMillis(250);
 
   /**
-   * So many sweeps that are over are remembered, to be listed where they may have touched what is
-   * held.
+   * The number of finished sweeps that are remembered, so that those that may have touched held
+   * records can be listed.
    */
-  private static final int MOST_LATE = 500;
+  private static final int MAX_FINISHED_SWEEPS = 500;
 
   private static final TimeSpan LATELY = TimeSpan.ofSeconds(600);
   private static final int MOST_NAMED = 5;
   private static final int MOST_ROWS = 200;
 
   /**
-   * What touched the records of a hold when it was first seen here to be in force.
+   * The tasks that had touched a hold's records when this controller first saw it in force.
    *
-   * @param opening of the hold
-   * @param scope of the hold
-   * @param at the revision of the records by which this was found
+   * @param opening the number of the hold's opening
+   * @param scope the version of the hold's scope
+   * @param at the revision of the records in which the tasks were found
    */
   record Touched(
       int opening, int scope, Revision at, Map<JobId, TaskSet> out, Map<JobId, TaskSet> done) {}
@@ -71,19 +71,19 @@
   private final ReplicatedRecordIndex<LegalHold, LegalHoldCommand> holds;
   private final ReplicatedRecordIndex<List<Claim>, List<Claim>> claims;
   private final ReplicatedRecordIndex<List<Records>, List<Records>> sweeps;
-  private final LegalHoldIndex books = new LegalHoldIndex();
+  private final LegalHoldIndex index = new LegalHoldIndex();
   private final Map<String, Integer> future = new TreeMap<>();
   private final Map<String, Touched> touched = new HashMap<>();
   private final Map<String, Touched> disturbed = new HashMap<>();
-  private final Set<String> stirred = new LinkedHashSet<>();
-  private final ArrayDeque<Over> late = new ArrayDeque<>();
+  private final Set<String> changedHolds = new LinkedHashSet<>();
+  private final ArrayDeque<Over> finishedSweeps = new ArrayDeque<>();
   private final Map<JobId, Job> sweeping = new HashMap<>();
   private long latestMs;
   private MonotonicTime latestAt;
 
   /**
-   * Follows the records from now on: to be made before the first of them is read, and before
-   * whoever asks it follows them.
+   * Creates the block and follows the records from now on. It has to be created before the first
+   * record is read and before its users follow the records.
    */
   public LegalHoldStartBlock(ReplicatedFeatureContext base) {
     this.base = base;
@@ -93,11 +93,13 @@
     sweeps = cache.replicatedRecords().add(new SweepKind());
     base.withheld().add(this);
     cache.addListener(this::changed);
-    base.timers().every(LOOK_EVERY, this::look);
+    base.timers().every(INTERVAL, this::look);
   }
 
-  /** Now; a clock that is set back while this process runs does not set free what it kept back. */
-  CommandOrigin at() {
+  /**
+   * The present time; a clock that is set back does not release tasks that were blocked already.
+   */
+  CommandOrigin now() {
     MonotonicTime now = base.timers().now();
     long ran = latestAt == null ? 0 : latestMs + now.since(latestAt).millis();
     latestMs = Math.max(ran, base.clockMs().getAsLong());
@@ -109,12 +111,10 @@
     return holds;
   }
 
-  LegalHoldIndex books() {
-    return books;
+  LegalHoldIndex index() {
+    return index;
   }
 
-  // ---- following the ledger ----
-
   private void changed(ClusterStateCache.Changes changes) {
     if (changes.replicatedRecords().isEmpty()
         && sweeps.all().isEmpty()
@@ -133,14 +133,14 @@
         case LegalHoldKind.NAME -> {}
         case ClaimKind.NAME -> claim(record.id(), concerned);
         case SweepKind.NAME -> {
-          concerned.addAll(books.lane(record.id(), sweeps.state(record.id())));
+          concerned.addAll(index.lane(record.id(), sweeps.state(record.id())));
           lanes.add(record.id());
         }
         default -> {}
       }
     }
     if (!lanes.isEmpty()) {
-      // A lane that was none of sweeps: its jobs were not followed.
+      // The lane was not one of sweeps before, so its jobs were not tracked.
       cache.jobs().forEach(id -> follow(cache.job(id), lanes, concerned));
     }
     (changes.reloaded() ? cache.jobs() : changes.jobs()).forEach(id -> job(id, concerned));
@@ -153,16 +153,16 @@
         .anyMatch(record -> !record.kind().equals(LegalHoldKind.NAME))) {
       disturb(concerned);
     }
-    tell(concerned);
+    notifyBlocked(concerned);
   }
 
   /**
-   * Claims or lanes were told: what touches pinned records by them and is out is noted before it is
-   * stopped.
+   * Records tasks that touch pinned records because of newly declared claims or lanes, before they
+   * are stopped.
    */
   private void disturb(Set<JobId> concerned) {
     Set<String> references = new TreeSet<>();
-    concerned.forEach(id -> references.addAll(books.holding(id)));
+    concerned.forEach(id -> references.addAll(index.holding(id)));
     for (String reference : references) {
       LegalHold hold = holds.state(reference);
       Map<JobId, TaskSet> out =
@@ -175,9 +175,9 @@
   }
 
   private void reload(Set<JobId> concerned) {
-    sweeps.all().forEach((lane, held) -> concerned.addAll(books.lane(lane, held.state())));
+    sweeps.all().forEach((lane, held) -> concerned.addAll(index.lane(lane, held.state())));
     claims.all().keySet().forEach(page -> claim(page, concerned));
-    Set<String> gone = new HashSet<>(books.references());
+    Set<String> gone = new HashSet<>(index.references());
     gone.removeAll(holds.all().keySet());
     gone.forEach(reference -> hold(reference, concerned));
     Set.copyOf(sweeping.keySet()).forEach(id -> job(id, concerned));
@@ -185,15 +185,15 @@
     holds.all().keySet().forEach(reference -> hold(reference, concerned));
   }
 
-  private void tell(Set<JobId> concerned) {
-    concerned.forEach(id -> stirred.addAll(books.holding(id)));
+  private void notifyBlocked(Set<JobId> concerned) {
+    concerned.forEach(id -> changedHolds.addAll(index.holding(id)));
     base.withheld().changed(concerned);
   }
 
   private void claim(String page, Set<JobId> concerned) {
     JobId job = ClaimKind.job(page);
     if (job != null) {
-      concerned.addAll(books.claims(job, page, claims.state(page)));
+      concerned.addAll(index.claims(job, page, claims.state(page)));
     }
   }
 
@@ -207,8 +207,8 @@
     JobRecord record = cache.job(id);
     if (record != null && record.job() != null) {
       boolean before = sweeping.containsKey(id);
-      TaskSet withheld = books.of(record.job());
-      if (books.isTracked(id)) {
+      TaskSet withheld = index.of(record.job());
+      if (index.isTracked(id)) {
         sweeping.put(id, record.job());
         if (!before && !withheld.isEmpty()) {
           concerned.add(id);
@@ -219,18 +219,19 @@
     Job over = sweeping.remove(id);
     if (over != null) {
       List<Records> series = sweeps.state(over.jobClass());
-      late.add(new Over(id, series, TaskSet.range(over.taskCount()), base.timers().now()));
-      while (late.size() > MOST_LATE) {
-        late.poll();
+      finishedSweeps.add(
+          new Over(id, series, TaskSet.range(over.taskCount()), base.timers().now()));
+      while (finishedSweeps.size() > MAX_FINISHED_SWEEPS) {
+        finishedSweeps.poll();
       }
-      stirred.addAll(books.holding(id));
-      books.over(id);
+      changedHolds.addAll(index.holding(id));
+      index.over(id);
     }
   }
 
   private void hold(String reference, Set<JobId> concerned) {
     LegalHold hold = holds.state(reference);
-    boolean due = hold.isDue(at());
+    boolean due = hold.isDue(now());
     disturbed.computeIfPresent(
         reference,
         (name, found) ->
@@ -247,37 +248,37 @@
     if (hold.isInForce() || due) {
       Touched before = touched.get(reference);
       if (hold.state() == LegalHold.State.PINNED) {
-        touched.remove(reference); // it is in the trail
+        touched.remove(reference); // already in the audit trail
       } else if (before == null
           || before.opening() != hold.opening()
           || before.scope() != hold.scope()) {
         touched.put(reference, look(hold));
       }
-      if (!books.isInForce(reference, hold.records())) {
-        concerned.addAll(books.opened(reference, hold.records()));
+      if (!index.isInForce(reference, hold.records())) {
+        concerned.addAll(index.opened(reference, hold.records()));
       }
     } else {
       touched.remove(reference);
-      concerned.addAll(books.closed(reference));
+      concerned.addAll(index.closed(reference));
     }
-    stirred.add(reference);
+    changedHolds.add(reference);
   }
 
   /**
-   * What runs or has run of what touches the records of a hold: found before anything of it is
+   * The tasks that run or have run and touch a hold's records, determined before any of them is
    * stopped.
    */
   private Touched look(LegalHold hold) {
     Map<JobId, TaskSet> out = new TreeMap<>();
     Map<JobId, TaskSet> done = new TreeMap<>();
-    books
+    index
         .touching(hold.records())
         .forEach(
             (job, tasks) -> {
               JobRecord record = cache.job(job);
               if (record == null || record.job() == null) {
                 if (record != null) {
-                  done.put(job, tasks); // a done job
+                  done.put(job, tasks); // the job is done
                 }
                 return;
               }
@@ -303,10 +304,10 @@
               }
             });
     MonotonicTime now = base.timers().now();
-    for (Over each : late) {
+    for (Over each : finishedSweeps) {
       if (!now.since(each.at()).isLongerThan(LATELY)
           && !done.containsKey(each.job())
-          && !books.isTracked(each.job())
+          && !index.isTracked(each.job())
           && each.series().stream()
               .anyMatch(series -> hold.records().stream().anyMatch(series::overlaps))) {
         done.put(each.job(), each.tasks());
@@ -325,10 +326,10 @@
     return common;
   }
 
-  /** A time may have come. */
+  /** Checks whether the start time of a hold has come. */
   private void look() {
     if (!future.isEmpty()) {
-      CommandOrigin at = at();
+      CommandOrigin at = now();
       Set<JobId> concerned = new LinkedHashSet<>();
       List.copyOf(future.keySet())
           .forEach(
@@ -337,41 +338,42 @@
                   hold(reference, concerned);
                 }
               });
-      tell(concerned);
+      notifyBlocked(concerned);
     }
   }
 
-  // ---- for who decides what to write ----
-
-  /** The holds of which something has changed since this was last asked. */
-  Collection<String> takeStirred() {
-    Set<String> taken = new LinkedHashSet<>(stirred);
-    stirred.clear();
+  /** The holds that have changed since the last call. */
+  Collection<String> takeChangedHolds() {
+    Set<String> taken = new LinkedHashSet<>(changedHolds);
+    changedHolds.clear();
     return taken;
   }
 
-  /** What touched the records of a hold when it came into force, as was seen here. */
+  /**
+   * The tasks that had touched a hold's records when it came into force, as seen by this
+   * controller.
+   */
   Touched touched(String reference) {
     return touched.get(reference);
   }
 
   /**
-   * What was out and touches the records of a pinned hold by what was told since; none where
-   * nothing does.
+   * The running tasks that touch the records of a pinned hold because of later declarations; empty
+   * if there are none.
    */
   Map<JobId, TaskSet> disturbed(String reference) {
     Touched found = disturbed.get(reference);
     return found == null ? Map.of() : found.out();
   }
 
-  /** The tasks that touch the records of a hold, of jobs that are not over. */
+  /** The tasks of unfinished jobs that touch a hold's records. */
   Map<JobId, TaskSet> touching(LegalHold hold) {
-    Map<JobId, TaskSet> all = books.touching(hold.records());
+    Map<JobId, TaskSet> all = index.touching(hold.records());
     all.keySet().removeIf(id -> cache.job(id) == null || cache.job(id).job() == null);
     return all;
   }
 
-  /** The tasks of open jobs, out of these, that are still to be done. */
+  /** Those of the given tasks that are still to be run. */
   Map<JobId, TaskSet> keptBack(Map<JobId, TaskSet> touching) {
     Map<JobId, TaskSet> kept = new TreeMap<>();
     touching.forEach(
@@ -389,13 +391,13 @@
   }
 
   /**
-   * For operators: what each hold in force keeps back, in the order of their references from after
-   * {@code after} on.
+   * For operators: the tasks blocked by each hold in force, ordered by reference, starting after
+   * {@code after}.
    */
   public Map<String, Object> kept(String after) {
     List<Object> rows = new ArrayList<>();
     String last = null;
-    for (String reference : new TreeSet<>(books.references())) {
+    for (String reference : new TreeSet<>(index.references())) {
       if (after != null && reference.compareTo(after) <= 0) {
         continue;
       }
@@ -423,16 +425,14 @@
     return Json.object("kind", "kept", "rows", rows);
   }
 
-  // ---- for who allocates and starts ----
-
   @Override
   public TaskSet of(Job job) {
-    return books.of(job);
+    return index.of(job);
   }
 
   @Override
   public String reason(JobId job) {
-    Set<String> references = books.holding(job);
+    Set<String> references = index.holding(job);
     if (references.isEmpty()) {
       return null;
     }
--- a/src/main/java/org/quincecross/leader/MachineKind.java
+++ b/src/main/java/org/quincecross/leader/MachineKind.java
@@ -1,4 +1,4 @@
 package org.quincecross.leader;
 
-/** A kind of machine in a place. */
+/** A machine type in a zone, on demand or spot. */
 record MachineKind(String type, String zone, boolean spot) {}
--- a/src/main/java/org/quincecross/leader/MachineTypeWriter.java
+++ b/src/main/java/org/quincecross/leader/MachineTypeWriter.java
@@ -10,36 +10,36 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * Writes the machine types that the cloud offers, those that are new or have changed together: a
- * controller that knows some of them would tell users of a job for another that it can never run
+ * Stores the machine types that the cloud offers; new and changed types are written together,
+ * because a controller that knows only some of them would reject jobs that need another
  * (docs/incidents/some-of-the-types.md).
  *
- * <p>What ends the wait for room for all: the budget for changes, which refills, or {@link
- * #PATIENCE}, where a transaction never has so much.
+ * <p>The wait for room for all of them ends when the write budget refills, or after {@link
+ * #PATIENCE} if a transaction never has that much room.
  */
 final class MachineTypeWriter {
   private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(3);
 
   private final ClusterStateCache cache;
-  private MonotonicTime waitsSince;
+  private MonotonicTime waitingSince;
 
   MachineTypeWriter(ClusterStateCache cache) {
     this.cache = cache;
   }
 
   /**
-   * Adds to a transaction what is to be written; false where nothing should be written before there
-   * is room for all of it.
+   * Adds the types to a transaction; false if nothing may be written until there is room for all of
+   * them.
    */
   boolean plan(TransactionBuilder transaction, Collection<MachineType> catalog, MonotonicTime now) {
-    List<MachineType> news = catalog.stream().filter(this::isNews).toList();
-    if (news.size() > transaction.room()) {
-      waitsSince = waitsSince == null ? now : waitsSince;
-      if (!now.since(waitsSince).isLongerThan(PATIENCE)) {
+    List<MachineType> news = catalog.stream().filter(this::isNewOrChanged).toList();
+    if (news.size() > transaction.remaining()) {
+      waitingSince = waitingSince == null ? now : waitingSince;
+      if (!now.since(waitingSince).isLongerThan(PATIENCE)) {
         return false;
       }
     } else {
-      waitsSince = null;
+      waitingSince = null;
     }
     news.forEach(
         type ->
@@ -48,7 +48,7 @@
     return true;
   }
 
-  private boolean isNews(MachineType type) {
+  private boolean isNewOrChanged(MachineType type) {
     MachineType known = cache.machineTypes().get(type.name());
     return known == null
         || !known.capacity().equals(type.capacity())
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -28,15 +28,15 @@
 import org.quincecross.state.ShardLease;
 
 /**
- * Admission where there are models: their replicas go to the blocks of their places, all else as
- * ever.
+ * Admission with model serving: replicas of models go to the shards of their chosen machines,
+ * everything else as usual.
  */
 final class ModelAdmission {
   private final Timers timers;
   private final ClusterStateCache cache;
   private final ModelIndex records;
   private final ModelPlacementView machines;
-  private final AllocationIndex books;
+  private final AllocationIndex allocationIndex;
   private final Supplier<Map<String, Team>> teams;
   private Collection<ModelSnapshot> looks = List.of();
 
@@ -45,31 +45,31 @@
       ClusterStateCache cache,
       ModelIndex records,
       ModelPlacementView machines,
-      AllocationIndex books,
+      AllocationIndex allocationIndex,
       Supplier<Map<String, Team>> teams) {
     this.timers = timers;
     this.cache = cache;
     this.records = records;
     this.machines = machines;
-    this.books = books;
+    this.allocationIndex = allocationIndex;
     this.teams = teams;
   }
 
-  /** Takes note of the models as they are. */
-  void look(Collection<ModelSnapshot> now) {
+  /** Updates the models. */
+  void update(Collection<ModelSnapshot> now) {
     looks = now;
   }
 
   /**
-   * Admits what waits: replicas of models each to the block of its place, the rest as ever. Limits,
-   * zones and preemption hold for both; what there was no room for is returned.
+   * Admits pending jobs: each model replica to the shard of its machine, other tasks as usual, all
+   * under the same limits, zones and preemption. Returns the demand without capacity.
    */
   List<Admission.Unmet> admit(
       Collection<Admission.Block> blocks,
       Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> demands) {
     Map<String, Team> limits = teams.get();
-    Map<String, Resources> use = new HashMap<>(books.teamUse());
+    Map<String, Resources> use = new HashMap<>(allocationIndex.teamUsage());
     List<JobDemand> others = new ArrayList<>();
     List<JobDemand> placed = new ArrayList<>();
     demands.forEach(each -> (records.nameOf(each.job().id()) == null ? others : placed).add(each));
@@ -118,7 +118,7 @@
       ShardLease lease = place == null ? null : cache.shardOf(place.machine());
       if (lease != null
           && (job.kind() == JobKind.GANG
-              || !waitsItsTurn(job.id(), place.machine(), job.image()))) {
+              || !waitsForOtherPull(job.id(), place.machine(), job.image()))) {
         pools.computeIfAbsent(lease.id(), id -> new TaskSet()).add(index);
       }
     }
@@ -153,13 +153,13 @@
   }
 
   /**
-   * Whether a replica waits for the fetch of another model on its machine: fetches share the rate,
-   * and one after the other the first is there in half the time, and the last no later.
+   * Whether a replica should wait for another model's image pull on its machine: pulls share the
+   * bandwidth, so one after the other the first is ready sooner and the last no later.
    */
-  private boolean waitsItsTurn(JobId id, MachineId machine, String image) {
+  private boolean waitsForOtherPull(JobId id, MachineId machine, String image) {
     ModelSnapshot mine = null;
-    for (ModelSnapshot look : looks) {
-      mine = look.job().id().equals(id) ? look : mine;
+    for (ModelSnapshot snapshot : looks) {
+      mine = snapshot.job().id().equals(id) ? snapshot : mine;
     }
     PeerHeartbeat.MachineState state = machines.state(machine, timers.now());
     if (mine == null || state == null || state.images().contains(image)) {
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Supplier;
 import org.quincecross.model.ControllerId;
 import org.quincecross.model.Job;
@@ -16,7 +15,6 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.MachineType;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.model.Resources;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.Team;
@@ -41,114 +39,120 @@
 import org.quincecross.state.ModelIndex;
 import org.quincecross.state.RecordCommand;
 import org.quincecross.state.ReplicatedRecordIndex;
-import org.quincecross.state.ShardLease;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What a leader decides of models: where replicas go, when they serve, how many there are to be,
- * when a model goes to zero. It asks for one change of a record at a time, and decides again from
- * the record as it then is; so whoever leads next goes on from there.
+ * The leader's decisions on served models: the number of replicas, their machines, when they serve,
+ * and scaling to zero. Each decision is a single change of the model's record, and the next one
+ * starts from the record as stored; a new leader continues from there.
  */
 final class ModelAutoscaler {
   private static final Logger LOG = LoggerFactory.getLogger(ModelAutoscaler.class);
-  private static final TimeSpan LOOK_EVERY = TimeSpan.ofMillis(200);
-  private static final TimeSpan FRESH = TimeSpan.ofSeconds(2.5);
-  private static final int MOST_ASKED = 8;
+  private static final TimeSpan INTERVAL = TimeSpan.ofMillis(200);
+  private static final TimeSpan MAX_VIEW_AGE = TimeSpan.ofSeconds(2.5);
+  private static final int MAX_PENDING_COMMANDS = 8;
 
-  /** Models that find no room wait for so long for machines to be rented before others give way. */
-  private static final TimeSpan YIELD_AFTER = TimeSpan.ofSeconds(20);
-
-  /** By then what a machine is given is in what its holder says of it. */
-  private static final TimeSpan SEEN_AFTER = TimeSpan.ofSeconds(3);
+  /** How long a model without capacity waits for launched machines before others are evicted. */
+  private static final TimeSpan EVICTION_DELAY = TimeSpan.ofSeconds(20);
 
   private final ReplicatedFeatureContext base;
   private final ClusterStateCache cache;
   private final ModelIndex records;
   private final ModelPlacementView machines;
   private final PeerViews views;
-  private final AllocationIndex books;
+  private final AllocationIndex allocationIndex;
   private final Supplier<Map<String, Team>> teams;
   private final DemandSum demand = new DemandSum();
   private final Yielding yielding = new Yielding();
   private final Map<String, Scaling> scalings = new HashMap<>();
-  private final ReplicaFailureDetector losses;
+  private final ReplicaFailureDetector failureDetector;
   private final ModelAdmission admission;
   private final Map<String, MonotonicTime> upSince = new HashMap<>();
   private final Map<String, MonotonicTime> withoutRoom = new HashMap<>();
   private final Map<ControllerId, Long> heard = new HashMap<>();
 
-  /** The models of whose records a change is asked for, each with the machines that it chooses. */
-  private final Map<String, Collection<MachineId>> asked = new HashMap<>();
+  /** The models with a pending command, each with the machines that it chooses. */
+  private final Map<String, Collection<MachineId>> pendingCommands = new HashMap<>();
 
-  private final Set<MachineId> keptWarm = new HashSet<>();
-  private List<ModelSnapshot> looks = List.of();
+  private final Set<MachineId> warmMachines = new HashSet<>();
+  private List<ModelSnapshot> snapshots = List.of();
   private Set<TaskId> running = Set.of();
   private List<Admission.Unmet> unmet = List.of();
-  private MonotonicTime looked;
+  private MonotonicTime evaluatedAt;
 
   ModelAutoscaler(
       ReplicatedFeatureContext base,
       ModelIndex records,
       PeerViews views,
-      AllocationIndex books,
+      AllocationIndex allocationIndex,
       Supplier<Map<String, Team>> teams) {
     this.base = base;
     this.cache = base.cache();
     this.records = records;
     this.machines = new ModelPlacementView(cache, views, records);
-    this.losses = new ReplicaFailureDetector(base, machines);
-    this.admission = new ModelAdmission(base.timers(), cache, records, machines, books, teams);
+    this.failureDetector = new ReplicaFailureDetector(base, machines);
+    this.admission =
+        new ModelAdmission(base.timers(), cache, records, machines, allocationIndex, teams);
     this.views = views;
-    this.books = books;
+    this.allocationIndex = allocationIndex;
     this.teams = teams;
   }
 
-  /** Somebody else leads: what was told here counts no more. */
+  /** Called when this controller stops leading: its observations are void. */
   void stop() {
-    if (looked != null) {
-      looked = null;
+    if (evaluatedAt != null) {
+      evaluatedAt = null;
       demand.clear();
       heard.clear();
-      losses.forget();
-      admission.look(List.of());
+      failureDetector.forget();
+      admission.update(List.of());
       upSince.clear();
       withoutRoom.clear();
       unmet = List.of();
-      looks = List.of();
+      snapshots = List.of();
     }
   }
 
-  /** Looks at the models, now and then. */
-  private void look() {
+  /** Evaluates all models at intervals. */
+  private void evaluate() {
     MonotonicTime now = base.timers().now();
-    if ((looked != null && LOOK_EVERY.isLongerThan(now.since(looked)))
+    if ((evaluatedAt != null && INTERVAL.isLongerThan(now.since(evaluatedAt)))
         || records.book().all().isEmpty()) {
       return;
     }
-    looked = now;
-    hear(now);
-    looks = gather();
+    evaluatedAt = now;
+    collectReports(now);
+    snapshots = takeSnapshots();
     List<Admission.Unmet> missing = new ArrayList<>();
-    Choosing choosing = new Choosing(now);
-    losses.look(looks, now);
-    admission.look(looks);
-    for (ModelSnapshot look : looks) {
-      if (look.model().isUp()) {
-        upSince.putIfAbsent(look.name(), now);
+    ModelPlacementRound choosing =
+        new ModelPlacementRound(
+            snapshots,
+            pendingCommands,
+            failureDetector,
+            machines,
+            allocationIndex,
+            cache,
+            teams.get(),
+            now);
+    failureDetector.update(snapshots, now);
+    admission.update(snapshots);
+    for (ModelSnapshot snapshot : snapshots) {
+      if (snapshot.model().isUp()) {
+        upSince.putIfAbsent(snapshot.name(), now);
       } else {
-        upSince.remove(look.name());
+        upSince.remove(snapshot.name());
       }
-      ModelCommand command = decide(look, choosing, missing, now);
+      ModelCommand command = decide(snapshot, choosing, missing, now);
       if (command != null) {
-        ask(look.name(), command);
+        submit(snapshot.name(), command);
       }
     }
     unmet = missing;
-    keepWarm(choosing);
+    retainWarmMachines(choosing);
   }
 
-  private List<ModelSnapshot> gather() {
+  private List<ModelSnapshot> takeSnapshots() {
     List<ModelSnapshot> all = new ArrayList<>();
     for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each :
         records.book().all().entrySet()) {
@@ -160,22 +164,22 @@
       if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
         all.add(
             new ModelSnapshot(
-                each.getKey(), model, record.job(), books.account(record.id()), running));
+                each.getKey(), model, record.job(), allocationIndex.get(record.id()), running));
       } else if (model.isUp() && record != null) {
-        ask(
+        submit(
             each.getKey(),
             new ModelCommand.Drain(
                 ModelCommand.ANY,
                 0,
                 "its job is " + (record.phase() == JobPhase.CANCELLED ? "cancelled" : "done")));
       } else if (model.phase() == Phase.DRAINING && cache.shardsOf(model.job()).isEmpty()) {
-        ask(each.getKey(), new ModelCommand.Gone(model.epoch()));
+        submit(each.getKey(), new ModelCommand.Gone(model.epoch()));
       }
     }
     return all;
   }
 
-  private void hear(MonotonicTime now) {
+  private void collectReports(MonotonicTime now) {
     demand.keepOnly(cache.members().keySet());
     running = new HashSet<>();
     for (ControllerId member : cache.members().keySet()) {
@@ -186,18 +190,18 @@
         if (!Long.valueOf(view.number()).equals(heard.put(member, view.number()))) {
           demand.told(member, view.life(), news.demand(), news.since(), view.at());
         }
-        if (!now.since(view.at()).isLongerThan(FRESH)) {
+        if (!now.since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
           running.addAll(news.running());
         }
       }
     }
   }
 
-  private void ask(String name, ModelCommand command) {
-    if (asked.size() >= MOST_ASKED || asked.containsKey(name)) {
+  private void submit(String name, ModelCommand command) {
+    if (pendingCommands.size() >= MAX_PENDING_COMMANDS || pendingCommands.containsKey(name)) {
       return;
     }
-    asked.put(
+    pendingCommands.put(
         name, command instanceof ModelCommand.Choose choose ? choose.places().values() : List.of());
     LOG.debug("model {}: {}", name, command);
     base.store()
@@ -206,227 +210,128 @@
             name,
             RecordCommand.own(command),
             answer -> {
-              asked.remove(name);
+              pendingCommands.remove(name);
               if (!answer.isDurable()) {
                 LOG.debug("model {}: {}: {} {}", name, command, answer.status(), answer.reason());
               }
             });
   }
 
-  // ---- decisions ----
-
-  /** What is to be changed of a model's record now, or null. */
+  /** The change that a model's record needs now, or null. */
   private ModelCommand decide(
-      ModelSnapshot look, Choosing choosing, List<Admission.Unmet> missing, MonotonicTime now) {
-    Model model = look.model();
-    if (model.phase() == Phase.ZERO || asked.containsKey(look.name())) {
+      ModelSnapshot snapshot,
+      ModelPlacementRound choosing,
+      List<Admission.Unmet> missing,
+      MonotonicTime now) {
+    Model model = snapshot.model();
+    if (model.phase() == Phase.ZERO || pendingCommands.containsKey(snapshot.name())) {
       return null;
     }
     if (model.phase() == Phase.DRAINING) {
-      // Nothing is allocated: nothing can be on a machine, nor start.
-      return look.account() == null || look.account().out().isEmpty()
+      // Nothing is allocated, so nothing is on a machine or can start.
+      return snapshot.allocation() == null || snapshot.allocation().outstanding().isEmpty()
           ? new ModelCommand.Gone(model.epoch())
           : null;
     }
-    ModelCommand lost = losses.lost(look, now);
+    ModelCommand lost = failureDetector.failedReplicas(snapshot, now);
     if (lost != null) {
       return lost;
     }
-    int most = choosing.withinLimit(look);
-    int lacking = Math.min(model.missing(look.tasks()), most);
+    int most = choosing.withinLimit(snapshot);
+    int lacking = Math.min(model.missing(snapshot.tasks()), most);
     if (lacking > 0) {
-      Map<Integer, MachineId> places = choosing.choose(look, lacking);
+      Map<Integer, MachineId> places = choosing.choose(snapshot, lacking);
       if (!places.isEmpty()) {
-        withoutRoom.remove(look.name());
+        withoutRoom.remove(snapshot.name());
         return new ModelCommand.Choose(model.epoch(), places);
       }
-      missing.add(new Admission.Unmet(look.job(), lacking, perZone(look)));
-      yieldTo(look, choosing, now);
+      missing.add(
+          new Admission.Unmet(
+              snapshot.job(), lacking, ModelPlacementRound.replicasByZone(snapshot, cache)));
+      evictIdleModelFor(snapshot, choosing, now);
     }
-    long serving = model.places().keySet().stream().filter(look::runs).count();
+    long serving = model.places().keySet().stream().filter(snapshot::runs).count();
     if (model.phase() == Phase.STARTING) {
-      // Where its team's limit allows no more, what it allows has to do.
+      // If the team's limit allows no more replicas, fewer have to do.
       boolean ready =
-          model.missing(look.tasks()) == 0
+          model.missing(snapshot.tasks()) == 0
               ? serving >= Math.min(model.terms().least(), model.places().size())
               : most == 0 && serving > 0 && serving >= model.places().size();
       return ready ? new ModelCommand.Ready(model.epoch()) : null;
     }
-    return shrink(look, now);
+    return scaleIn(snapshot, now);
   }
 
   /**
-   * For how long nobody has wanted a model that is up; null where some controller has not said.
-   * That it came up counts as well: one that is no member any more may still be asked, and its
-   * wakes are in the records alone.
+   * How long nobody has requested a model that is up; null if some controller has not reported. The
+   * time since it came up counts too: wakes requested from a controller that is no longer a member
+   * are only in the records.
    */
-  private TimeSpan quiet(String name, MonotonicTime now) {
+  private TimeSpan idleFor(String name, MonotonicTime now) {
     TimeSpan quiet = demand.quiet(name, cache.members().keySet(), now);
     MonotonicTime up = upSince.get(name);
     return quiet == null || up == null || now.since(up).isLongerThan(quiet) ? quiet : now.since(up);
   }
 
-  private ModelCommand shrink(ModelSnapshot look, MonotonicTime now) {
-    int inFlight = demand.inFlight(look.name());
-    TimeSpan quiet = quiet(look.name(), now);
-    if (inFlight == 0 && quiet != null && quiet.isLongerThan(look.model().terms().idle())) {
+  private ModelCommand scaleIn(ModelSnapshot snapshot, MonotonicTime now) {
+    int inFlight = demand.inFlight(snapshot.name());
+    TimeSpan quiet = idleFor(snapshot.name(), now);
+    if (inFlight == 0 && quiet != null && quiet.isLongerThan(snapshot.model().terms().idle())) {
       return new ModelCommand.Drain(
-          look.model().epoch(),
+          snapshot.model().epoch(),
           quiet.millis(),
           "nobody wanted it for " + Math.round(quiet.seconds()) + " s");
     }
-    if (look.job().kind() == JobKind.GANG) {
+    if (snapshot.job().kind() == JobKind.GANG) {
       return null;
     }
     int wanted =
         scalings
-            .computeIfAbsent(look.name(), name -> new Scaling())
-            .wanted(look.model(), look.tasks(), inFlight, now);
-    return wanted != look.model().wanted()
-        ? new ModelCommand.Scale(look.model().epoch(), wanted)
+            .computeIfAbsent(snapshot.name(), name -> new Scaling())
+            .wanted(snapshot.model(), snapshot.tasks(), inFlight, now);
+    return wanted != snapshot.model().wanted()
+        ? new ModelCommand.Scale(snapshot.model().epoch(), wanted)
         : null;
   }
 
-  private Map<String, Integer> perZone(ModelSnapshot look) {
-    Map<String, Integer> zones = new TreeMap<>();
-    for (Model.Place place : look.model().places().values()) {
-      ShardLease lease = cache.shardOf(place.machine());
-      if (lease != null) {
-        zones.merge(lease.zone(), 1, Integer::sum);
-      }
-    }
-    return zones;
-  }
-
-  /** Chooses places, for all models of one look: what one has taken the next does not get. */
-  private final class Choosing {
-    private final Map<MachineId, List<Job>> notYet = new HashMap<>();
-
-    /** What the replicas of each team come to that have a place and are not allocated yet. */
-    private final Map<String, Resources> spokenFor = new HashMap<>();
-
-    private final MonotonicTime now;
-    private List<Weights.Candidate> candidates;
-
-    private Choosing(MonotonicTime now) {
-      this.now = now;
-      for (ModelSnapshot look : looks) {
-        asked.getOrDefault(look.name(), List.of()).forEach(machine -> add(machine, look.job()));
-        look.model()
-            .places()
-            .forEach(
-                (replica, place) -> {
-                  boolean seen =
-                      look.isOut(replica)
-                          && now.since(losses.since(look, replica, place, now))
-                              .isLongerThan(SEEN_AFTER);
-                  if (look.model().isUp() && !look.runs(replica) && !seen) {
-                    notYet
-                        .computeIfAbsent(place.machine(), id -> new ArrayList<>())
-                        .add(look.job());
-                    if (!look.isOut(replica)) {
-                      spokenFor.merge(
-                          look.job().team(), look.job().taskResources(), Resources::plus);
-                    }
-                  }
-                });
-      }
-    }
-
-    private void add(MachineId machine, Job job) {
-      notYet.computeIfAbsent(machine, id -> new ArrayList<>()).add(job);
-      spokenFor.merge(job.team(), job.taskResources(), Resources::plus);
-    }
-
-    /** How many more replicas the limit of its team leaves room for. */
-    private int withinLimit(ModelSnapshot look) {
-      Team team = teams.get().get(look.job().team());
-      return team == null
-          ? 0
-          : team.limit()
-              .minus(books.teamUse().getOrDefault(team.name(), Resources.NONE))
-              .minus(spokenFor.getOrDefault(team.name(), Resources.NONE))
-              .capacityFor(look.job().taskResources());
-    }
-
-    private List<Weights.Candidate> candidates() {
-      candidates = candidates == null ? machines.candidates(notYet, now) : candidates;
-      return candidates;
-    }
-
-    private Map<Integer, MachineId> choose(ModelSnapshot look, int most) {
-      List<Integer> free = new ArrayList<>();
-      for (int replica = 0; replica < look.tasks(); replica++) {
-        // One that may still be somewhere gets no other place: it is proven gone first.
-        if (!look.model().places().containsKey(replica) && !look.isOut(replica)) {
-          free.add(replica);
-        }
-      }
-      boolean whole = look.job().kind() == JobKind.GANG;
-      if (whole && (free.size() < look.tasks() || most < look.tasks())) {
-        return Map.of();
-      }
-      Set<MachineId> has = new HashSet<>();
-      look.model().places().values().forEach(place -> has.add(place.machine()));
-      List<Weights.Choice> choices =
-          whole
-              ? Weights.chooseWhole(look.job(), candidates(), look.model().avoided())
-              : Weights.choose(
-                  look.job(),
-                  Math.min(most, free.size()),
-                  perZone(look),
-                  has,
-                  candidates(),
-                  look.model().avoided());
-      Map<Integer, MachineId> places = new TreeMap<>();
-      for (int i = 0; i < choices.size(); i++) {
-        places.put(free.get(i), choices.get(i).machine());
-        add(choices.get(i).machine(), look.job());
-      }
-      if (!places.isEmpty()) {
-        candidates = null;
-      }
-      return places;
-    }
-  }
-
-  /** One that finds no room though machines are being rented has an idle one give way. */
-  private void yieldTo(ModelSnapshot look, Choosing choosing, MonotonicTime now) {
-    MonotonicTime since = withoutRoom.computeIfAbsent(look.name(), name -> now);
-    if (!now.since(since).isLongerThan(YIELD_AFTER)) {
+  /** Evicts an idle model for one that finds no capacity although machines are being launched. */
+  private void evictIdleModelFor(
+      ModelSnapshot snapshot, ModelPlacementRound choosing, MonotonicTime now) {
+    MonotonicTime since = withoutRoom.computeIfAbsent(snapshot.name(), name -> now);
+    if (!now.since(since).isLongerThan(EVICTION_DELAY)) {
       return;
     }
     List<Yielding.Idle> idle = new ArrayList<>();
-    for (ModelSnapshot other : looks) {
-      TimeSpan quiet = quiet(other.name(), now);
+    for (ModelSnapshot other : snapshots) {
+      TimeSpan quiet = idleFor(other.name(), now);
       MonotonicTime up = upSince.get(other.name());
       if (quiet != null
           && up != null
           && other.model().phase() == Phase.WARM
           && demand.inFlight(other.name()) == 0
-          && !asked.containsKey(other.name())) {
+          && !pendingCommands.containsKey(other.name())) {
         idle.add(
             new Yielding.Idle(
                 other.name(),
                 quiet,
                 now.since(up),
-                comeBackS(other.job()),
-                makesRoom(other, look.job(), choosing)));
+                coldStartSeconds(other.job()),
+                freesCapacityFor(other, snapshot.job(), choosing)));
       }
     }
     Yielding.Idle one = yielding.choose(idle, now);
     if (one != null) {
-      withoutRoom.put(look.name(), now);
-      ask(
+      withoutRoom.put(snapshot.name(), now);
+      submit(
           one.name(),
           new ModelCommand.Drain(
               records.book().state(one.name()).epoch(),
               one.quiet().millis(),
-              "gives way to " + look.name()));
+              "gives way to " + snapshot.name()));
     }
   }
 
-  private double comeBackS(Job job) {
+  private double coldStartSeconds(Job job) {
     double rate = 0;
     for (MachineType type : cache.machineTypes().values()) {
       rate = Math.max(rate, type.pullGbPerSecond());
@@ -434,7 +339,7 @@
     return rate == 0 ? 0 : job.imageGb() / rate;
   }
 
-  private boolean makesRoom(ModelSnapshot idle, Job wanted, Choosing choosing) {
+  private boolean freesCapacityFor(ModelSnapshot idle, Job wanted, ModelPlacementRound choosing) {
     return choosing.candidates().stream()
         .anyMatch(
             at ->
@@ -444,33 +349,30 @@
                     && wanted.taskResources().fitsIn(at.soon().plus(idle.job().taskResources())));
   }
 
-  // ---- machines that stay ----
-
-  /**
-   * Remembers which machines are kept for the weights that they have, or for replicas that are to
-   * come.
-   */
-  private void keepWarm(Choosing choosing) {
-    keptWarm.clear();
-    for (ModelSnapshot look : looks) {
-      look.model().places().values().forEach(place -> keptWarm.add(place.machine()));
+  /** Remembers the machines that are retained for the weights on them or for coming replicas. */
+  private void retainWarmMachines(ModelPlacementRound choosing) {
+    warmMachines.clear();
+    for (ModelSnapshot snapshot : snapshots) {
+      snapshot.model().places().values().forEach(place -> warmMachines.add(place.machine()));
       int more =
-          look.model().terms().keepWarm()
-              - (look.model().isUp() ? look.model().places().size() : 0);
+          snapshot.model().terms().keepWarm()
+              - (snapshot.model().isUp() ? snapshot.model().places().size() : 0);
       if (more > 0) {
         choosing.candidates().stream()
-            .filter(at -> at.images().contains(look.job().image()))
+            .filter(at -> at.images().contains(snapshot.job().image()))
             .map(Weights.Candidate::machine)
             .sorted()
             .limit(more)
-            .forEach(keptWarm::add);
+            .forEach(warmMachines::add);
       }
     }
   }
 
-  /** A machine as renting sees it: one that is kept for a model is not idle. */
-  PeerHeartbeat.MachineState seenByFleet(PeerHeartbeat.MachineState state) {
-    return !keptWarm.contains(state.id()) || state.queued() > 0
+  /**
+   * The state of a machine as the autoscaler should see it: one retained for a model is not idle.
+   */
+  PeerHeartbeat.MachineState autoscalerView(PeerHeartbeat.MachineState state) {
+    return !warmMachines.contains(state.id()) || state.queued() > 0
         ? state
         : new PeerHeartbeat.MachineState(
             state.id(),
@@ -489,14 +391,14 @@
   }
 
   /**
-   * Looks at the models and admits what waits; returns what there was no room for, with the
-   * replicas for which no machine has room.
+   * Evaluates the models and admits pending jobs; returns the demand without capacity, including
+   * replicas that no machine fits.
    */
   List<Admission.Unmet> admit(
       Collection<Admission.Block> blocks,
       Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> demands) {
-    look();
+    evaluate();
     List<Admission.Unmet> all = admission.admit(blocks, reserves, demands);
     all.addAll(unmet);
     return all;
--- a/src/main/java/org/quincecross/leader/ModelSnapshot.java
+++ b/src/main/java/org/quincecross/leader/ModelSnapshot.java
@@ -7,16 +7,20 @@
 import org.quincecross.modelserving.Model;
 
 /**
- * A model as the leader looks at it once.
+ * A model at one evaluation by the leader.
  *
- * @param account what is known of its job, or null
- * @param running the replicas of all models that have lately been told to run
+ * @param allocation the allocation of its job, or null
+ * @param running the replicas of all models that recently were reported as running
  */
 record ModelSnapshot(
-    String name, Model model, Job job, AllocationIndex.Account account, Set<TaskId> running) {
-  /** Whether a replica is allocated: it may be on a machine. */
-  boolean isOut(int replica) {
-    return account != null && account.out().contains(replica);
+    String name,
+    Model model,
+    Job job,
+    AllocationIndex.JobAllocation allocation,
+    Set<TaskId> running) {
+  /** Whether a replica is allocated and so may be on a machine. */
+  boolean isAllocated(int replica) {
+    return allocation != null && allocation.outstanding().contains(replica);
   }
 
   boolean runs(int replica) {
@@ -34,7 +38,7 @@
             .anyMatch(
                 each ->
                     each.getValue().machine().equals(machine)
-                        && isOut(each.getKey())
+                        && isAllocated(each.getKey())
                         && !runs(each.getKey()));
   }
 }
--- a/src/main/java/org/quincecross/leader/ObservedCapacity.java
+++ b/src/main/java/org/quincecross/leader/ObservedCapacity.java
@@ -17,21 +17,24 @@
 import org.quincecross.scheduling.Admission;
 import org.quincecross.state.ShardLease;
 
-/** The room on machines as their holders show it, and what of it nothing has taken for a while. */
+/**
+ * The free capacity of machines as their owners report it, and how much of it has remained unused
+ * for a while.
+ */
 final class ObservedCapacity {
   /**
-   * What has been given to a block starts within this where it has room: twice a report between
+   * Tasks allocated to a shard with capacity start within this time: two reports between
    * controllers and a start.
    */
-  private static final TimeSpan STILL = TimeSpan.ofSeconds(4);
+  private static final TimeSpan STABLE_AFTER = TimeSpan.ofSeconds(4);
 
-  /** The least room that a machine had since {@code since}, and in as long before. */
+  /** The minimum free capacity of a machine since {@code since}, and during the interval before. */
   private record Least(Resources now, Resources before, MonotonicTime since) {}
 
   private final Map<ShardId, Map<MachineId, Least>> least = new HashMap<>();
 
-  /** A block as admission sees it; of a holder that is not heard nothing is open. */
-  Admission.Block block(
+  /** A shard as admission sees it; without a recent view no machine accepts tasks. */
+  Admission.Block admissionShard(
       ShardLease lease,
       MachineType type,
       PeerViews.BlockView view,
@@ -73,24 +76,25 @@
   private static Least next(Least before, Resources free, MonotonicTime now) {
     return before == null
         ? new Least(free, Resources.NONE, now)
-        : now.since(before.since).isLongerThan(STILL)
+        : now.since(before.since).isLongerThan(STABLE_AFTER)
             ? new Least(free, before.now, now)
             : new Least(before.now.min(free), before.before, before.since);
   }
 
   /**
-   * Of each machine of a block that takes work, the room that was there all the time for a few
-   * seconds at least.
+   * For each machine of a shard that accepts tasks, the capacity that has been free for at least
+   * {@link #STABLE_AFTER}.
    */
-  List<Resources> still(ShardId shard, MonotonicTime now) {
+  List<Resources> stableCapacity(ShardId shard, MonotonicTime now) {
     List<Resources> still = new ArrayList<>();
     for (Least seen : least.getOrDefault(shard, Map.of()).values()) {
-      still.add(now.since(seen.since).isLongerThan(STILL) ? seen.now : seen.now.min(seen.before));
+      still.add(
+          now.since(seen.since).isLongerThan(STABLE_AFTER) ? seen.now : seen.now.min(seen.before));
     }
     return still;
   }
 
-  /** A block is no more. */
+  /** Forgets a shard that no longer exists. */
   void forget(ShardId shard) {
     least.remove(shard);
   }
--- a/src/main/java/org/quincecross/leader/PendingDemand.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -30,32 +30,31 @@
 import org.quincecross.state.JobRecord;
 
 /**
- * What waits to be admitted, and when it should be over; where there is more than can be done in
- * time, in what order.
+ * Collects the jobs with pending tasks, their due times, and under overload the order in which they
+ * are served.
  */
 final class PendingDemand {
-  /**
-   * A job that nobody waits for by a certain time comes after those of about an hour's patience.
-   */
+  /** The due time of a job without a deadline or objective. */
   private static final double NO_DEADLINE_S = 3600;
 
   /**
-   * Estimates are often too high by half: a job that has less of its estimated time left will be
-   * late.
+   * Jobs with less than this share of their estimated run time left will miss their due time;
+   * estimates are often too high by half.
    */
-  private static final double FEASIBLE = 0.6;
+  private static final double FEASIBLE_SHARE = 0.6;
 
   /**
-   * From the start of its last task to the end of a job, in estimates: the estimate and a fetch.
+   * The time from the start of a job's last task to its end, in estimated run times, including an
+   * image pull.
    */
-  private static final double TAIL = 1.1;
+  private static final double TAIL_FACTOR = 1.1;
 
-  /** Most of what runs has ended after so many mean times. */
-  private static final double EMPTIED = 1.5;
+  /** After this many mean run times most running tasks have ended. */
+  private static final double DRAIN_FACTOR = 1.5;
 
   private final ClusterStateCache cache;
   private final Settings settings;
-  private final AllocationIndex books;
+  private final AllocationIndex allocationIndex;
   private final LongSupplier clockMs;
   private final Overload overload;
   private final ToIntFunction<JobId> running;
@@ -63,44 +62,46 @@
   private final Map<JobId, Age> ages = new HashMap<>();
 
   /**
-   * How old a job was, since it could run, when it was first looked at here, when that was, and
-   * what is expected of it.
+   * The age of a job since it became runnable, at the moment it was first seen here, with its
+   * objectives.
    */
   private record Age(double seconds, MonotonicTime at, Job job, List<ServiceLevelObjective> aims) {}
 
   /**
-   * @param clockMs tells the time of day
-   * @param overload null where work is ordered by due time alone
-   * @param running how many tasks of a job run, as their holders say
+   * Creates an empty collection.
+   *
+   * @param clockMs the time of day in milliseconds
+   * @param overload null if work is ordered by due time alone
+   * @param running the number of running tasks of a job, as reported by the owners
    */
   PendingDemand(
       ClusterStateCache cache,
       Settings settings,
-      AllocationIndex books,
+      AllocationIndex allocationIndex,
       LongSupplier clockMs,
       Overload overload,
       ToIntFunction<JobId> running) {
     this.cache = cache;
     this.settings = settings;
-    this.books = books;
+    this.allocationIndex = allocationIndex;
     this.clockMs = clockMs;
     this.overload = overload;
     this.running = running;
-    books.listen((job, more, reached) -> suspects.given(job));
+    allocationIndex.addListener((job, more, reached) -> suspects.given(job));
     if (overload != null) {
-      books.listen((job, more, reached) -> overload.given(job, more));
+      allocationIndex.addListener((job, more, reached) -> overload.given(job, more));
     }
   }
 
-  /** A job with tasks in the pool, {@code pool} of which may be admitted now. */
-  private record Waiting(
-      JobRecord record, AllocationIndex.Account account, TaskSet pool, boolean guaranteed) {}
+  /** A job with pending tasks; {@code pool} are those that may be admitted now. */
+  private record PendingJob(
+      JobRecord record, AllocationIndex.JobAllocation account, TaskSet pool, boolean guaranteed) {}
 
   /**
-   * Why nothing of a job is admitted though it waits, in words; null where it is none that fails
-   * wherever it is tried.
+   * Why no task of a pending job is admitted, if it is suspected to fail on every machine; else
+   * null.
    */
-  String heldBack(JobId job) {
+  String suspectReason(JobId job) {
     SuspectJobs.State state = suspects.of(job);
     return state == null
         ? null
@@ -112,15 +113,17 @@
   }
 
   /**
-   * What may be admitted of a job that waits: all, or where blocks have declined it, what tries it
-   * anew.
+   * The tasks of a pending job that may be admitted: all, or a few trial tasks if shards have
+   * declined it.
    */
-  private TaskSet mayGo(
-      AllocationIndex.Account account, Collection<Admission.Block> blocks, MonotonicTime now) {
+  private TaskSet admissibleTasks(
+      AllocationIndex.JobAllocation account,
+      Collection<Admission.Block> blocks,
+      MonotonicTime now) {
     Job job = account.job();
     int declinedBy = Admission.declines(job, blocks);
     if (declinedBy == 0 && !suspects.isSuspect(job.id())) {
-      return account.pool();
+      return account.pending();
     }
     int most =
         suspects.mayGo(
@@ -128,48 +131,50 @@
                 job.id(),
                 declinedBy,
                 Admission.couldGoTo(job, blocks),
-                account.done().size(),
-                account.out().size(),
+                account.completed().size(),
+                account.outstanding().size(),
                 running.applyAsInt(job.id())),
             now);
-    if (most >= account.pool().size() || (most > 0 && job.kind() == JobKind.GANG)) {
-      return account.pool();
+    if (most >= account.pending().size() || (most > 0 && job.kind() == JobKind.GANG)) {
+      return account.pending();
     }
     TaskSet first = new TaskSet();
     if (most > 0) {
-      first.add(account.pool().nextMember(0));
+      first.add(account.pending().nextMember(0));
     }
     return first;
   }
 
-  /** All that waits; of a job that has its turn for some of its tasks, these first. */
-  List<JobDemand> demands(Collection<Admission.Block> blocks, MonotonicTime now) {
+  /** All pending demand; tasks with guaranteed starts come first. */
+  List<JobDemand> collect(Collection<Admission.Block> blocks, MonotonicTime now) {
     List<JobDemand> demands = new ArrayList<>();
-    List<Waiting> waiting = waiting(blocks, now);
+    List<PendingJob> waiting = waiting(blocks, now);
     if (overload == null) {
-      for (Waiting each : waiting) {
-        demands.add(inOrder(each, dueS(each.account.job(), age(each.record), aims(each.record))));
+      for (PendingJob each : waiting) {
+        demands.add(
+            inOrder(
+                each, secondsUntilDue(each.account.job(), age(each.record), aims(each.record))));
       }
       return demands;
     }
-    ages.keySet().retainAll(books.openIds());
+    ages.keySet().retainAll(allocationIndex.openJobIds());
     List<DemandClaim> claims = new ArrayList<>();
     Resources room = Admission.roomForArrays(blocks);
-    for (Waiting each : waiting) {
+    for (PendingJob each : waiting) {
       if (each.account.job().priority() != Priority.PRODUCTION) {
         claims.add(claim(each, room, now));
       }
     }
     Map<JobId, JobRanking> verdicts = overload.look(claims, now);
-    Map<JobId, Integer> begin = toBegin(waiting, room, now);
-    for (Waiting each : waiting) {
+    Map<JobId, Integer> begin = guaranteedStarts(waiting, room, now);
+    for (PendingJob each : waiting) {
       JobRanking verdict = verdicts.get(each.record.id());
       if (verdict == null) {
         inOrder(
                 each,
-                dueS(
+                secondsUntilDue(
                     each.account.job(),
-                    steadyAge(each.record, now),
+                    monotonicAge(each.record, now),
                     ages.get(each.record.id()).aims()))
             .with(begin.getOrDefault(each.record.id(), 0), Admission.Place.BEGINNING)
             .forEach(demands::add);
@@ -192,21 +197,23 @@
   }
 
   /**
-   * How many tasks of which jobs go before all others, because the jobs have waited too long to
-   * begin.
+   * The number of tasks of each job that go before all others because the job has waited too long
+   * to start.
    */
-  private Map<JobId, Integer> toBegin(List<Waiting> waiting, Resources room, MonotonicTime now) {
+  private Map<JobId, Integer> guaranteedStarts(
+      List<PendingJob> waiting, Resources room, MonotonicTime now) {
     StartGuarantee beginnings = overload.beginnings();
     List<StartGuarantee.Waiting> old = new ArrayList<>();
-    for (Waiting each : waiting) {
+    for (PendingJob each : waiting) {
       Job job = each.account.job();
-      // It was submitted before it was accepted, by a clock that may have been ahead.
-      double age = steadyAge(each.record, now) + 2 * settings.clockBound().seconds();
+      // The job was submitted before its acceptance, which was timed by a clock that may have been
+      // ahead.
+      double age = monotonicAge(each.record, now) + 2 * settings.clockBound().seconds();
       if (beginnings.isYoung(age)) {
         continue;
       }
-      int done = each.account.done().size();
-      int given = done + each.account.out().size();
+      int done = each.account.completed().size();
+      int given = done + each.account.outstanding().size();
       int ran =
           beginnings.of(job.id()) == StartGuarantee.State.BEGUN || given < job.startQuorum()
               ? given
@@ -222,78 +229,80 @@
               job.taskResources().dominantShareOf(room.max(job.taskResources())),
               job.kind() == JobKind.GANG));
     }
-    return beginnings.look(old, old.isEmpty() ? 0 : emptyS());
+    return beginnings.look(old, old.isEmpty() ? 0 : drainSeconds());
   }
 
   /**
-   * How long it takes until most of what arrays run now has ended: long tasks are met with more
-   * often, for they stay longer.
+   * The time until most of the currently running array tasks have ended. Long tasks are
+   * over-represented among running tasks.
    */
-  private double emptyS() {
+  private double drainSeconds() {
     double sum = 0;
     double squares = 0;
-    for (AllocationIndex.Account account : books.open().values()) {
+    for (AllocationIndex.JobAllocation account : allocationIndex.openJobs().values()) {
       double run =
-          account.job().kind() == JobKind.ARRAY && !account.out().isEmpty()
+          account.job().kind() == JobKind.ARRAY && !account.outstanding().isEmpty()
               ? account.job().estimate().seconds()
               : 0;
-      sum += account.out().size() * run;
-      squares += account.out().size() * run * run;
+      sum += account.outstanding().size() * run;
+      squares += account.outstanding().size() * run * run;
     }
-    return sum == 0 ? 0 : EMPTIED * squares / sum;
+    return sum == 0 ? 0 : DRAIN_FACTOR * squares / sum;
   }
 
-  private List<Waiting> waiting(Collection<Admission.Block> blocks, MonotonicTime now) {
-    List<Waiting> waiting = new ArrayList<>();
-    suspects.keepOnly(books.openIds());
-    if (books.waiting().isEmpty()) {
+  private List<PendingJob> waiting(Collection<Admission.Block> blocks, MonotonicTime now) {
+    List<PendingJob> waiting = new ArrayList<>();
+    suspects.keepOnly(allocationIndex.openJobIds());
+    if (allocationIndex.jobsWithPendingTasks().isEmpty()) {
       return waiting;
     }
     Map<String, Guarantee> guarantees = new HashMap<>();
     settings.teams().forEach((name, team) -> guarantees.put(name, new Guarantee(team.guarantee())));
-    books
-        .open()
+    allocationIndex
+        .openJobs()
         .forEach(
             (record, account) -> {
               Guarantee guarantee = guarantees.get(account.job().team());
               if (guarantee == null || cache.dependencyGraph().waits(record.id())) {
-                return; // what waits for other jobs takes no part of a guarantee
+                return; // jobs with unfinished dependencies do not use the guarantee
               }
               boolean within =
                   guarantee.covers(
                       account.job().taskResources(),
-                      account.job().taskCount() - account.done().size());
+                      account.job().taskCount() - account.completed().size());
               TaskSet pool =
-                  account.pool().isEmpty() ? account.pool() : mayGo(account, blocks, now);
+                  account.pending().isEmpty()
+                      ? account.pending()
+                      : admissibleTasks(account, blocks, now);
               if (!pool.isEmpty()) {
-                waiting.add(new Waiting(record, account, pool, within));
+                waiting.add(new PendingJob(record, account, pool, within));
               }
             });
     return waiting;
   }
 
-  private JobDemand inOrder(Waiting each, double dueS) {
+  private JobDemand inOrder(PendingJob each, double dueS) {
     return demand(each, dueS, Admission.Place.IN_ORDER, JobRanking.byDue(dueS));
   }
 
-  private JobDemand demand(Waiting each, double dueS, Admission.Place place, double order) {
+  private JobDemand demand(PendingJob each, double dueS, Admission.Place place, double order) {
     Job job = each.account.job();
     return new JobDemand(
         job,
         each.record.version(),
         dueS,
         each.guaranteed,
-        isHurried(job),
+        needsLocalImage(job),
         each.pool,
-        each.account.perZone(),
+        each.account.outstandingByZone(),
         place,
         order);
   }
 
-  private DemandClaim claim(Waiting each, Resources room, MonotonicTime now) {
+  private DemandClaim claim(PendingJob each, Resources room, MonotonicTime now) {
     Job job = each.account.job();
-    double age = steadyAge(each.record, now);
-    // Where there is next to no room, a task takes at least all of it.
+    double age = monotonicAge(each.record, now);
+    // With almost no capacity left, a task counts as taking all of it.
     double share = job.taskResources().dominantShareOf(room.max(job.taskResources()));
     double run = Math.max(1, job.estimate().seconds());
     return new DemandClaim(
@@ -305,14 +314,13 @@
         each.pool.size(),
         job.kind() != JobKind.GANG,
         share * run,
-        TAIL * run,
+        TAIL_FACTOR * run,
         age,
         goals(job, age));
   }
 
   /**
-   * What a team is guaranteed, and what its jobs come to that were accepted so far: looked at for
-   * every open job.
+   * A team's guaranteed resources and the demand of its jobs so far, computed over all open jobs.
    */
   private static final class Guarantee {
     private final Resources most;
@@ -324,7 +332,7 @@
       this.most = most;
     }
 
-    /** Counts the tasks of one more job; whether all up to it are within the guarantee. */
+    /** Adds a job's tasks; whether all demand so far is within the guarantee. */
     boolean covers(Resources each, int tasks) {
       cpus += each.cpus() * tasks;
       gpus += each.gpus() * tasks;
@@ -334,10 +342,10 @@
   }
 
   /**
-   * Whether fetching its image takes longer, on the quickest machines, than the job's tasks may
+   * Whether pulling its image takes longer, even on the fastest machines, than the job's tasks may
    * take to start.
    */
-  private boolean isHurried(Job job) {
+  private boolean needsLocalImage(Job job) {
     TimeSpan within = settings.startTimeLimit(job.jobClass());
     double rate = 0;
     for (MachineType type : cache.machineTypes().values()) {
@@ -349,25 +357,26 @@
   }
 
   /**
-   * Seconds since a job could run: only its own deadline counts from before, while it waited for
-   * other jobs.
+   * The seconds since a job became runnable; only its own deadline counts the time it waited for
+   * dependencies.
    */
   private double age(JobRecord record) {
     return (clockMs.getAsLong() - cache.runnableSinceMs(record)) / 1000.0;
   }
 
   /**
-   * How old a job is, in seconds: by the time of day as it was when the job was first looked at
-   * here, and by the steady clock from then on. A time of day that jumps makes nothing late that is
-   * known, and nothing younger than new.
+   * The age of a job in seconds: by the time of day when it was first seen here, and by the
+   * monotonic clock from then on, so that a jump of the time of day makes no known job late and no
+   * job younger than new.
    */
-  // A record that was read anew is another instance, and cheaper to tell apart than by its fields.
+  // A record that was read again is a new instance; comparing instances is cheaper than comparing
+  // fields.
   @SuppressWarnings("ReferenceEquality")
-  private double steadyAge(JobRecord record, MonotonicTime now) {
+  private double monotonicAge(JobRecord record, MonotonicTime now) {
     Age age =
         ages.computeIfAbsent(
             record.id(), id -> new Age(Math.max(0, age(record)), now, record.job(), aims(record)));
-    if (age.job != record.job()) { // it has become more urgent, for the sake of one that needs it
+    if (age.job != record.job()) { // the job inherited a higher urgency from a dependent job
       age = new Age(age.seconds, age.at, record.job(), aims(record));
       ages.put(record.id(), age);
     }
@@ -391,11 +400,11 @@
   }
 
   /**
-   * Seconds until a job should be over: by its deadline, a multiple of it, or what is expected of
-   * its class, whichever comes first of those that it can still meet. What can meet none is late.
+   * The seconds until a job should be over: the earliest of its deadline, multiples of it, and its
+   * class's objectives that it can still meet. A job that can meet none is late.
    */
-  private static double dueS(Job job, double age, List<ServiceLevelObjective> aims) {
-    double soonest = FEASIBLE * job.estimate().seconds();
+  private static double secondsUntilDue(Job job, double age, List<ServiceLevelObjective> aims) {
+    double soonest = FEASIBLE_SHARE * job.estimate().seconds();
     double last = NO_DEADLINE_S;
     for (ServiceLevelObjective aim : aims) {
       double left = aim.timeLimit().seconds() - age;
--- a/src/main/java/org/quincecross/leader/PendingReasons.java
+++ b/src/main/java/org/quincecross/leader/PendingReasons.java
@@ -12,36 +12,38 @@
 import org.quincecross.peer.PeerViews;
 import org.quincecross.state.ClusterStateCache;
 
-/** Says in words what the tasks in the pool wait for. */
+/** Explains in words what pending tasks wait for. */
 final class PendingReasons {
   private static final int MOST_NAMED = 10;
 
   private final ClusterStateCache cache;
-  private final AllocationIndex books;
-  private final PendingDemand demands;
+  private final AllocationIndex allocationIndex;
+  private final PendingDemand pendingDemand;
   private final PeerViews views;
-  private final Autoscaler fleet;
+  private final Autoscaler autoscaler;
   private final Supplier<Map<String, Team>> teams;
 
   /**
-   * @param teams with the limits that hold
+   * Creates an explainer.
+   *
+   * @param teams the teams with the limits in force
    */
   PendingReasons(
       ClusterStateCache cache,
-      AllocationIndex books,
-      PendingDemand demands,
+      AllocationIndex allocationIndex,
+      PendingDemand pendingDemand,
       PeerViews views,
-      Autoscaler fleet,
+      Autoscaler autoscaler,
       Supplier<Map<String, Team>> teams) {
     this.cache = cache;
-    this.books = books;
-    this.demands = demands;
+    this.allocationIndex = allocationIndex;
+    this.pendingDemand = pendingDemand;
     this.views = views;
-    this.fleet = fleet;
+    this.autoscaler = autoscaler;
     this.teams = teams;
   }
 
-  /** What the tasks of an open job that are in the pool wait for; null where none are. */
+  /** What the pending tasks of an open job wait for; null if it has none. */
   String of(JobId id) {
     Collection<JobId> unfinished = cache.dependencyGraph().unfinished(id);
     if (!unfinished.isEmpty()) {
@@ -51,25 +53,25 @@
               ? " and " + (unfinished.size() - MOST_NAMED) + " more"
               : "");
     }
-    AllocationIndex.Account account = books.account(id);
-    if (account == null || account.pool().isEmpty()) {
+    AllocationIndex.JobAllocation account = allocationIndex.get(id);
+    if (account == null || account.pending().isEmpty()) {
       return null;
     }
     Job job = account.job();
     int tasks = job.kind() == JobKind.GANG ? job.taskCount() : 1;
-    String what = account.pool().size() + " tasks in the pool: ";
+    String what = account.pending().size() + " tasks in the pool: ";
     Team team = teams.get().get(job.team());
-    Resources use = books.teamUse().getOrDefault(job.team(), Resources.NONE);
+    Resources use = allocationIndex.teamUsage().getOrDefault(job.team(), Resources.NONE);
     if (team == null) {
       return what + "the settings name no team " + job.team();
     }
     if (team.limit().minus(use).capacityFor(job.taskResources()) < tasks) {
       return what + "team " + job.team() + " uses " + use + " of its limit " + team.limit();
     }
-    if (job.kind() == JobKind.GANG && account.pool().size() < job.taskCount()) {
+    if (job.kind() == JobKind.GANG && account.pending().size() < job.taskCount()) {
       return what + "the rest of the gang is still in a block";
     }
-    String heldBack = demands.heldBack(id);
+    String heldBack = pendingDemand.suspectReason(id);
     if (heldBack != null) {
       return what + heldBack;
     }
@@ -85,7 +87,7 @@
           + " blocks, to be tried there again later";
     }
     return what
-        + (fleet.isUnmet(id)
+        + (autoscaler.isUnmet(id)
             ? "no block has room, machines are rented as the cloud gives them"
             : "to be allocated");
   }
--- a/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
+++ b/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
@@ -19,24 +19,24 @@
 import org.quincecross.state.ShardLease;
 
 /**
- * Which places of models have failed: their machines are gone, going, not heard, or have not
- * started a replica in time.
+ * Detects model replicas whose machine is gone, about to be taken, unreachable, or has not started
+ * them in time.
  */
 final class ReplicaFailureDetector {
   /**
-   * A fetch may take so many times as long as its rate says, and so much more, before it is given
-   * up.
+   * An image pull may take this multiple of its nominal time, plus the next constant, before it
+   * counts as failed.
    */
-  private static final double FETCH_PATIENCE = 2.5;
+  private static final double PULL_TIMEOUT_FACTOR = 2.5;
 
-  private static final TimeSpan START_PATIENCE = TimeSpan.ofSeconds(30);
+  private static final TimeSpan START_TIMEOUT = TimeSpan.ofSeconds(30);
 
-  /** A replica whose machine has no room after all gets another place after so long. */
-  private static final TimeSpan ROOM_PATIENCE = TimeSpan.ofSeconds(8);
+  /** A replica whose machine turns out to have no capacity gets another machine after this time. */
+  private static final TimeSpan CAPACITY_TIMEOUT = TimeSpan.ofSeconds(8);
 
   private static final String NO_ROOM = "has no room";
 
-  /** A replica in a place, since this leader has known of it. */
+  /** A replica on a machine, since this leader has known of it. */
   private record Start(String model, int replica, long epoch) {}
 
   private final ReplicatedFeatureContext base;
@@ -50,16 +50,17 @@
     this.machines = machines;
   }
 
-  /** Takes note of the places that there are now. */
-  void look(Collection<ModelSnapshot> now, MonotonicTime at) {
+  /** Updates the placements. */
+  void update(Collection<ModelSnapshot> now, MonotonicTime at) {
     looks = now;
     Set<Start> known = new HashSet<>();
-    for (ModelSnapshot look : looks) {
-      look.model()
+    for (ModelSnapshot snapshot : looks) {
+      snapshot
+          .model()
           .places()
           .forEach(
               (replica, place) -> {
-                Start start = new Start(look.name(), replica, place.epoch());
+                Start start = new Start(snapshot.name(), replica, place.epoch());
                 known.add(start);
                 begun.putIfAbsent(start, at);
               });
@@ -73,19 +74,19 @@
     looks = List.of();
   }
 
-  /** Since when a place has been known here. */
-  MonotonicTime since(ModelSnapshot look, int replica, Model.Place place, MonotonicTime now) {
-    return begun.getOrDefault(new Start(look.name(), replica, place.epoch()), now);
+  /** Since when a placement has been known here. */
+  MonotonicTime since(ModelSnapshot snapshot, int replica, Model.Place place, MonotonicTime now) {
+    return begun.getOrDefault(new Start(snapshot.name(), replica, place.epoch()), now);
   }
 
-  /** The replicas whose places have failed, or null. */
-  ModelCommand lost(ModelSnapshot look, MonotonicTime now) {
+  /** The replicas whose placements have failed, or null. */
+  ModelCommand failedReplicas(ModelSnapshot snapshot, MonotonicTime now) {
     Set<Integer> replicas = new HashSet<>();
     Set<MachineId> bad = new HashSet<>();
     String why = "";
-    for (Map.Entry<Integer, Model.Place> each : look.model().places().entrySet()) {
+    for (Map.Entry<Integer, Model.Place> each : snapshot.model().places().entrySet()) {
       MachineId machine = each.getValue().machine();
-      String wrong = wrongWith(look, each.getKey(), each.getValue(), now);
+      String wrong = failureReason(snapshot, each.getKey(), each.getValue(), now);
       if (wrong != null) {
         replicas.add(each.getKey());
         if (!wrong.equals(NO_ROOM)) {
@@ -97,15 +98,16 @@
     if (replicas.isEmpty()) {
       return null;
     }
-    // Of a gang nothing runs without the rest of it.
+    // A gang does not run without all of its tasks.
     return new ModelCommand.Lose(
-        look.model().epoch(),
-        look.job().kind() == JobKind.GANG ? look.model().places().keySet() : replicas,
+        snapshot.model().epoch(),
+        snapshot.job().kind() == JobKind.GANG ? snapshot.model().places().keySet() : replicas,
         bad,
         why);
   }
 
-  private String wrongWith(ModelSnapshot look, int replica, Model.Place place, MonotonicTime now) {
+  private String failureReason(
+      ModelSnapshot snapshot, int replica, Model.Place place, MonotonicTime now) {
     MachineId machine = place.machine();
     ShardLease lease = base.cache().shardOf(machine);
     if (lease == null) {
@@ -116,7 +118,7 @@
     }
     PeerHeartbeat.MachineState state = machines.state(machine, now);
     if (state == null) {
-      return null; // its holder is being replaced: nothing is known
+      return null; // the shard's owner is being replaced: nothing is known
     }
     if (state.notice() || state.sick()) {
       return state.notice() ? "is taken back" : "fails what it is given";
@@ -128,26 +130,28 @@
           : null;
     }
     shutSince.remove(machine);
-    MonotonicTime since = since(look, replica, place, now);
-    if (look.runs(replica)) {
+    MonotonicTime since = since(snapshot, replica, place, now);
+    if (snapshot.runs(replica)) {
       return null;
     }
     MachineType type = base.cache().machineTypes().get(lease.type());
     double perGb =
-        type == null || type.pullGbPerSecond() <= 0 ? 0 : FETCH_PATIENCE / type.pullGbPerSecond();
-    TimeSpan turn = TimeSpan.ofSeconds(perGb * others(machine, look.job().image()));
-    if (!look.isOut(replica)) {
-      return now.since(since).isLongerThan(ROOM_PATIENCE.plus(turn)) ? NO_ROOM : null;
+        type == null || type.pullGbPerSecond() <= 0
+            ? 0
+            : PULL_TIMEOUT_FACTOR / type.pullGbPerSecond();
+    TimeSpan turn = TimeSpan.ofSeconds(perGb * otherPullsGb(machine, snapshot.job().image()));
+    if (!snapshot.isAllocated(replica)) {
+      return now.since(since).isLongerThan(CAPACITY_TIMEOUT.plus(turn)) ? NO_ROOM : null;
     }
     return now.since(since)
             .isLongerThan(
-                START_PATIENCE.plus(turn).plus(TimeSpan.ofSeconds(perGb * look.job().imageGb())))
+                START_TIMEOUT.plus(turn).plus(TimeSpan.ofSeconds(perGb * snapshot.job().imageGb())))
         ? "did not start it in time"
         : null;
   }
 
-  /** What else a machine is to fetch for models that start there, in GB. */
-  private double others(MachineId machine, String image) {
+  /** The volume of other image pulls on a machine for models that start there, in GB. */
+  private double otherPullsGb(MachineId machine, String image) {
     Map<String, Double> sizes = new HashMap<>();
     for (ModelSnapshot other : looks) {
       other
--- a/src/main/java/org/quincecross/leader/ReservationManager.java
+++ b/src/main/java/org/quincecross/leader/ReservationManager.java
@@ -26,52 +26,58 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has room reserved for requests while this controller leads. It alone decides where, between two
- * of its plans of allocations: what it has sent off is kept free from then on here, and once it is
- * durable what others have planned without it fails by the fence.
+ * Reserves capacity for deadline requests while this controller leads. It alone decides on
+ * reservations, between two allocation plans: capacity is withheld here from the moment a
+ * reservation is sent, and once it is durable, plans made without it fail by the fence.
  */
 public final class ReservationManager {
   private static final Logger LOG = LoggerFactory.getLogger(ReservationManager.class);
 
   /**
-   * What runs changes all the time; whether a reservation still fits there is looked at so often.
+   * Running work changes constantly; this is how often existing reservations are checked against
+   * it.
    */
-  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(1);
+  private static final TimeSpan RECHECK_INTERVAL = TimeSpan.ofSeconds(1);
 
-  /** Where requests have changed, this much apart. */
-  private static final TimeSpan SPACING = TimeSpan.ofMillis(150);
+  /** The minimum interval between two checks after requests have changed. */
+  private static final TimeSpan MIN_INTERVAL = TimeSpan.ofMillis(150);
 
-  /** Sent off at once: a few transactions, so that what is due first is written first. */
-  private static final int MOST_AT_ONCE = 24;
+  /** Sent at once: a few transactions' worth, so that the requests due first are written first. */
+  private static final int MAX_COMMANDS_AT_ONCE = 24;
 
   /**
-   * So long what is reserved may not fit before it is given up. As its work starts, in another zone
-   * than the one that kept the room, a slot is missing here and free there until the next plan;
-   * given up at once, all of its room would go to whoever waits for it.
+   * How long a reservation may lack capacity before it is given up. When its work starts in another
+   * zone than the reserved one, it lacks a slot until the next plan; giving it up at once would
+   * lose all of its capacity to other work.
    */
-  private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(10);
+  private static final TimeSpan LOSS_TIMEOUT = TimeSpan.ofSeconds(10);
 
-  /** No job that is accepted has this id: it stands in the place of room that is asked for. */
-  private static final JobId NO_JOB = new JobId("job-0");
+  /** A placeholder for reserved capacity; no accepted job has this id. */
+  private static final JobId PLACEHOLDER_JOB = new JobId("job-0");
 
   private final ReplicatedRecordStore store;
   private final ReplicatedRecordIndex<Request, RequestCommand> index;
-  private final ReservedCapacity rooms;
+  private final ReservedCapacity reservedCapacity;
   private final double share;
   private List<Admission.Unmet> unmet = List.of();
   private MonotonicTime lookedAt;
   private long seen = -1;
 
-  /** How many machines there were: what has come is not to be rented once more. */
+  /**
+   * The number of machines at the last check, so that machines that have arrived are not launched
+   * again.
+   */
   private int machinesSeen;
 
-  /** Since when what is reserved for a request does not fit. */
+  /** Since when a request's reservation has lacked capacity. */
   private final Map<String, MonotonicTime> lacksSince = new HashMap<>();
 
   private int underWay;
 
   /**
-   * @param share of the machines that may be reserved beyond teams' guarantees
+   * Creates a manager.
+   *
+   * @param share the share of the machines that may be reserved beyond team guarantees
    */
   public ReservationManager(
       ReplicatedRecordStore store,
@@ -80,29 +86,31 @@
       double share) {
     this.store = store;
     this.index = index;
-    this.rooms = rooms;
+    this.reservedCapacity = rooms;
     this.share = share;
   }
 
   /**
-   * Looks whether all has room that should; called by the leader before it plans, while nothing
-   * that it planned is under way.
+   * Checks that every request has its capacity. The leader calls it before it plans, while none of
+   * its transactions is in flight.
    */
-  void look(Map<String, Team> teams, MonotonicTime now) {
-    if (rooms.isEmpty()) {
+  void reconcile(Map<String, Team> teams, MonotonicTime now) {
+    if (reservedCapacity.isEmpty()) {
       unmet = List.of();
       return;
     }
-    TimeSpan since = lookedAt == null ? LOOK_EVERY : now.since(lookedAt);
-    boolean machines = !unmet.isEmpty() && machinesSeen != rooms.machines();
+    TimeSpan since = lookedAt == null ? RECHECK_INTERVAL : now.since(lookedAt);
+    boolean machines = !unmet.isEmpty() && machinesSeen != reservedCapacity.machines();
     if (underWay > 0
-        || SPACING.isLongerThan(since)
-        || (seen == rooms.version() && !machines && LOOK_EVERY.isLongerThan(since))) {
+        || MIN_INTERVAL.isLongerThan(since)
+        || (seen == reservedCapacity.version()
+            && !machines
+            && RECHECK_INTERVAL.isLongerThan(since))) {
       return;
     }
     lookedAt = now;
-    machinesSeen = rooms.machines();
-    Reservation.Plan plan = rooms.plan(teams, share);
+    machinesSeen = reservedCapacity.machines();
+    Reservation.Plan plan = reservedCapacity.plan(teams, share);
     lacksSince.keySet().retainAll(plan.without().keySet());
     plan.moves().stream()
         .filter(
@@ -111,11 +119,11 @@
                     || !now.isBefore(
                         lacksSince
                             .computeIfAbsent(move.request().reference(), reference -> now)
-                            .plus(PATIENCE)))
-        .limit(MOST_AT_ONCE)
+                            .plus(LOSS_TIMEOUT)))
+        .limit(MAX_COMMANDS_AT_ONCE)
         .forEach(this::send);
     unmet = unmet(plan.unplaced());
-    seen = rooms.version();
+    seen = reservedCapacity.version();
   }
 
   private void send(Reservation.Move move) {
@@ -123,7 +131,7 @@
     boolean loses = move.zones().isEmpty();
     RequestCommand command =
         loses ? new RequestCommand.Lose(move.without()) : new RequestCommand.Place(move.zones());
-    rooms.expect(move.request().moved(move));
+    reservedCapacity.expect(move.request().moved(move));
     underWay++;
     store.submit(
         index,
@@ -132,15 +140,15 @@
         answer -> {
           underWay--;
           if (!answer.isDurable() || !answer.reason().isEmpty()) {
-            rooms.clearExpectation(reference);
+            reservedCapacity.clearExpectation(reference);
           } else if (loses) {
-            LOG.info("request {} has lost its room: {}", reference, move.without());
+            LOG.info("request {} has lost its reserved capacity: {}", reference, move.without());
           }
         });
   }
 
-  /** What is rented for: what has no block, and what should be reserved and has no room. */
-  List<Admission.Unmet> with(List<Admission.Unmet> jobs) {
+  /** The demand to launch machines for: jobs without a shard, and requests without capacity. */
+  List<Admission.Unmet> withReservations(List<Admission.Unmet> jobs) {
     if (unmet.isEmpty()) {
       return jobs;
     }
@@ -166,7 +174,7 @@
     Resources each = room.slot().each();
     Job job =
         new Job(
-            NO_JOB,
+            PLACEHOLDER_JOB,
             room.slot().lane(),
             room.slot().team(),
             JobKind.SERVICE,
--- a/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
@@ -18,23 +18,24 @@
 import org.quincecross.state.ShardLease;
 
 /**
- * Which machines to rent for work that has no room, by price, zone and what the cloud has refused
- * lately.
+ * Decides which machines to launch for demand without capacity, by price, zone and recent refusals
+ * of the cloud.
  */
 final class ScaleOutPolicy {
-  private static final TimeSpan REFUSED_FOR = TimeSpan.ofSeconds(15);
+  private static final TimeSpan REFUSAL_BACKOFF = TimeSpan.ofSeconds(15);
 
   /**
-   * So long a large gang waits for the kind it lacks least of, though the cloud refuses more of it.
-   * Others would be of no use to it, and take what the cloud may still give: with a gang of eight,
-   * seven machines in each of two zones and the cloud at its end, nothing would ever change.
+   * How long a large gang waits for the machine kind that it lacks least of, even if the cloud
+   * refuses it. Launching other kinds would not help the gang and would use up what the cloud can
+   * still provide: with a gang of eight, seven machines in each of two zones and the cloud at its
+   * capacity, nothing would ever change.
    */
-  private static final TimeSpan KEEP_GOAL = TimeSpan.ofSeconds(120);
+  private static final TimeSpan GOAL_TIMEOUT = TimeSpan.ofSeconds(120);
 
-  private static final int MOST_KINDS = 8;
-  private static final int MOST_OF_KIND = 50;
+  private static final int MAX_KINDS = 8;
+  private static final int MAX_OF_KIND = 50;
 
-  /** The kind of machine that a large gang's block is to grow by. */
+  /** The machine kind by which a large gang's shard is to grow. */
   private record Goal(MachineKind kind, MonotonicTime since) {}
 
   private final ClusterStateCache cache;
@@ -47,9 +48,9 @@
     this.catalog = catalog;
   }
 
-  /** The cloud did not give as many of a kind as it was asked for. */
-  void refused(MachineKind kind, MonotonicTime now) {
-    refusedUntil.put(kind, now.plus(REFUSED_FOR));
+  /** Records that the cloud provided fewer machines of a kind than requested. */
+  void recordRefusal(MachineKind kind, MonotonicTime now) {
+    refusedUntil.put(kind, now.plus(REFUSAL_BACKOFF));
   }
 
   private boolean isRefused(MachineKind kind, MonotonicTime now) {
@@ -58,10 +59,10 @@
   }
 
   /**
-   * Whether all that is unmet are large gangs that wait for machines of other kinds, and are
+   * Whether all unmet demand consists of large gangs that wait for other machine kinds and are
    * refused them.
    */
-  boolean othersMakeWay(MachineKind kind, List<Admission.Unmet> unmet, MonotonicTime now) {
+  boolean allWaitForOtherKinds(MachineKind kind, List<Admission.Unmet> unmet, MonotonicTime now) {
     for (Admission.Unmet need : unmet) {
       Goal goal = goals.get(need.job().id());
       if (goal == null || goal.kind().equals(kind) || !isRefused(goal.kind(), now)) {
@@ -71,11 +72,8 @@
     return !unmet.isEmpty();
   }
 
-  /**
-   * How many machines of which kind would give room to what has none, beyond those that are
-   * booting.
-   */
-  Map<MachineKind, Integer> wishes(
+  /** The number of machines of each kind that unmet demand needs beyond those that are booting. */
+  Map<MachineKind, Integer> desiredMachines(
       List<Admission.Unmet> unmet, Collection<MachineKind> booting, MonotonicTime now) {
     List<Bin> bins = new ArrayList<>();
     for (MachineKind kind : booting) {
@@ -88,14 +86,14 @@
     Map<MachineKind, Integer> wishes = new LinkedHashMap<>();
     Map<MachineKind, Integer> owned = machinesOfKinds(booting);
     for (Admission.Unmet need : unmet) {
-      if (need.job().kind() == JobKind.GANG && wishForLargeGang(need, booting, wishes, now)) {
+      if (need.job().kind() == JobKind.GANG && desireForLargeGang(need, booting, wishes, now)) {
         continue;
       }
       int left = need.tasks();
       for (Bin bin : bins) {
         left -= bin.fill(need.job(), left);
       }
-      while (left > 0 && wishes.size() < MOST_KINDS) {
+      while (left > 0 && wishes.size() < MAX_KINDS) {
         MachineKind kind = choose(need, wishes, owned, now);
         if (kind == null) {
           break;
@@ -108,7 +106,7 @@
         left -= filled;
         bins.add(bin);
         wishes.merge(kind, 1, Integer::sum);
-        if (wishes.get(kind) >= MOST_OF_KIND) {
+        if (wishes.get(kind) >= MAX_OF_KIND) {
           break;
         }
       }
@@ -117,10 +115,10 @@
   }
 
   /**
-   * A gang that no block is large enough for: the block that lacks least is to grow. False if there
-   * is a block that could hold it, and room is all that is missing.
+   * Grows the shard that lacks least for a gang that fits no shard. False if some shard is large
+   * enough and only lacks free capacity.
    */
-  private boolean wishForLargeGang(
+  private boolean desireForLargeGang(
       Admission.Unmet need,
       Collection<MachineKind> booting,
       Map<MachineKind, Integer> wishes,
@@ -151,14 +149,15 @@
   }
 
   /**
-   * The kind that lacks least; once chosen it stays, unless the cloud has refused more of it for
+   * The machine kind that lacks least; it is kept once chosen, unless the cloud has refused it for
    * long.
    */
   private MachineKind goal(JobId gang, Map<MachineKind, Integer> missing, MonotonicTime now) {
     Goal before = goals.get(gang);
     if (before != null
         && missing.containsKey(before.kind())
-        && !(isRefused(before.kind(), now) && now.since(before.since()).isLongerThan(KEEP_GOAL))) {
+        && !(isRefused(before.kind(), now)
+            && now.since(before.since()).isLongerThan(GOAL_TIMEOUT))) {
       return before.kind();
     }
     MachineKind best = null;
@@ -176,17 +175,17 @@
 
   private int largestBlock(MachineKind kind) {
     int most = 0;
-    for (ShardLease block : cache.shards().values()) {
-      if (block.type().equals(kind.type())
-          && block.zone().equals(kind.zone())
-          && block.spot() == kind.spot()) {
-        most = Math.max(most, block.machines().size());
+    for (ShardLease shard : cache.shards().values()) {
+      if (shard.type().equals(kind.type())
+          && shard.zone().equals(kind.zone())
+          && shard.spot() == kind.spot()) {
+        most = Math.max(most, shard.machines().size());
       }
     }
     return most;
   }
 
-  /** A machine to come, and what of it is spoken for. */
+  /** A machine to be launched and its capacity that is not taken yet. */
   private static final class Bin {
     private final MachineKind kind;
     private Resources free;
@@ -206,10 +205,7 @@
     }
   }
 
-  /**
-   * The cheapest kind for a job, a task at a time; among zones that have been refused last, another
-   * one.
-   */
+  /** The cheapest kind for a task; kinds that were recently refused are avoided. */
   private MachineKind choose(
       Admission.Unmet need,
       Map<MachineKind, Integer> wishes,
@@ -251,10 +247,10 @@
 
   private Map<MachineKind, Integer> machinesOfKinds(Collection<MachineKind> booting) {
     Map<MachineKind, Integer> counts = new HashMap<>();
-    for (ShardLease block : cache.shards().values()) {
+    for (ShardLease shard : cache.shards().values()) {
       counts.merge(
-          new MachineKind(block.type(), block.zone(), block.spot()),
-          block.machines().size(),
+          new MachineKind(shard.type(), shard.zone(), shard.spot()),
+          shard.machines().size(),
           Integer::sum);
     }
     booting.forEach(kind -> counts.merge(kind, 1, Integer::sum));
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -35,107 +35,100 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which controller holds which block, and which machines are in it: blocks are made, moved, filled
- * and emptied here.
+ * Assigns shards to controllers and machines to shards: creates, moves, fills and drains shards.
  */
 final class ShardLeaseManager {
   private static final Logger LOG = LoggerFactory.getLogger(ShardLeaseManager.class);
 
-  /** "Neighbours start at six similar machines per block." */
-  private static final int LEAST_BLOCK_SIZE = 6;
+  /** The paper's minimum: "Neighbours start at six similar machines per block." */
+  private static final int MIN_SHARD_SIZE = 6;
 
   /**
-   * So many blocks for each change a second: with more, each block's allocation could be written
-   * too seldom.
+   * The number of shards for each write per second; with more, each shard's allocation could be
+   * written too rarely.
    */
-  private static final double BLOCKS_PER_CHANGE = 0.6;
+  private static final double SHARDS_PER_WRITE = 0.6;
 
   /**
-   * Of the record of a block's tasks, what a task takes; alone in its job 14, in an array 4.
-   * Admission keeps the limit.
+   * The space of a task in a shard's allocation record: 14 bytes for a job's only task, 4 in an
+   * array. Admission enforces the limit.
    */
   private static final int BYTES_PER_TASK = 8;
 
-  private static final double LEAST_AWAY = 2.5;
-  private static final double AWAY = 0.4;
-  private static final TimeSpan REBALANCE_EVERY = TimeSpan.ofSeconds(4);
-  private static final int MOST_MOVED_AT_ONCE = 3;
+  private static final double MIN_REMOTE_ZONE_COST = 2.5;
+  private static final double REMOTE_ZONE_COST_SHARE = 0.4;
+  private static final TimeSpan REBALANCE_INTERVAL = TimeSpan.ofSeconds(4);
+  private static final int MAX_MOVES_AT_ONCE = 3;
 
   /**
-   * Moving a block costs a moment and what its holder has learnt of it: a small gain is not worth
-   * that.
+   * A move must improve the balance by this many machines: it costs a moment, and what the owner
+   * has learnt of the shard.
    */
   private static final int REBALANCE_GAIN = 4;
 
-  private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(4);
+  private static final TimeSpan UNREACHABLE_AFTER = TimeSpan.ofSeconds(4);
 
   private final Timers timers;
   private final ClusterStateCache cache;
   private final Settings settings;
-  private final Autoscaler fleet;
-  private final DemandForecast foresight;
-  private final AllocationIndex books;
-  private final CurrentPeerViews fresh;
+  private final Autoscaler autoscaler;
+  private final DemandForecast forecast;
+  private final AllocationIndex allocationIndex;
+  private final CurrentPeerViews currentViews;
   private final AllocationWriter allocations;
-  private final ReachabilityMap hearing = new ReachabilityMap();
-  private final ShardMovePolicy moves = new ShardMovePolicy();
+  private final ReachabilityMap reachability = new ReachabilityMap();
+  private final ShardMovePolicy movePolicy = new ShardMovePolicy();
   private final Map<MachineId, Machine> newcomers = new LinkedHashMap<>();
   private MonotonicTime rebalanced;
-  private boolean knowsAllGone;
-
-  ShardLeaseManager(
-      Timers timers,
-      ClusterStateCache cache,
-      Settings settings,
-      Autoscaler fleet,
-      DemandForecast foresight,
-      AllocationIndex books,
-      CurrentPeerViews fresh,
-      AllocationWriter allocations) {
-    this.timers = timers;
-    this.cache = cache;
-    this.settings = settings;
-    this.fleet = fleet;
-    this.foresight = foresight;
-    this.books = books;
-    this.fresh = fresh;
+  private boolean knowsAllTerminated;
+
+  ShardLeaseManager(LeaderContext context, Autoscaler autoscaler, AllocationWriter allocations) {
+    this.timers = context.timers();
+    this.cache = context.cache();
+    this.settings = context.settings();
+    this.forecast = context.forecast();
+    this.allocationIndex = context.allocationIndex();
+    this.currentViews = context.currentViews();
+    this.autoscaler = autoscaler;
     this.allocations = allocations;
     this.rebalanced = timers.now();
   }
 
-  /** A machine that is in no block reports; false if that is known already. */
-  boolean newcomer(Machine machine) {
+  /** Adds a machine that reports and is in no shard; false if it is known already. */
+  boolean addNewcomer(Machine machine) {
     return newcomers.put(machine.id(), machine) == null;
   }
 
-  /** Nobody leads here: others may take machines in, and learn of them that they are gone. */
+  /**
+   * Called when this controller stops leading: others may add the machines, and learn of their
+   * termination.
+   */
   void forgetNewcomers() {
     newcomers.clear();
-    knowsAllGone = false;
+    knowsAllTerminated = false;
   }
 
   /**
-   * Whether this leader has led since there was no block: then {@link Autoscaler#isGone} knows
-   * every machine of a block that is gone.
+   * Whether this leader has led since there were no shards: then {@link Autoscaler#isGone} knows
+   * every terminated machine.
    */
-  boolean knowsAllGone() {
-    knowsAllGone |= cache.shards().isEmpty();
-    return knowsAllGone;
+  boolean knowsAllTerminated() {
+    knowsAllTerminated |= cache.shards().isEmpty();
+    return knowsAllTerminated;
   }
 
   private List<ControllerRecord> members() {
-    // A build from before levels may join whatever the level is; it takes no block that it could
-    // not read.
+    // A build without levels may join at any level; it gets no shards that it could not read.
     return cache.members().values().stream()
         .filter(member -> member.build().can(cache.level().level()))
         .toList();
   }
 
   /**
-   * The member to lease a block to: the one with the fewest machines, and of those one in the
-   * block's zone.
+   * The member to lease a shard to: the one with the lowest cost, which prefers few machines and
+   * the shard's zone.
    */
-  private ControllerRecord chooseHolder(String zone, Map<ControllerId, Integer> load) {
+  private ControllerRecord chooseOwner(String zone, Map<ControllerId, Integer> load) {
     ControllerRecord best = null;
     for (ControllerRecord member : members()) {
       if (best == null || cost(member, zone, load) < cost(best, zone, load)) {
@@ -146,88 +139,115 @@
   }
 
   /**
-   * What it costs to have a block of a zone with a controller, in machines: those that it has, and
-   * where it is in another zone, a share of the average. When a zone is cut off, only a controller
-   * inside can hold its machines.
+   * The cost of leasing a shard of a zone to a controller, in machines: those it has, plus a share
+   * of the average if it is in another zone. If a zone is cut off, only a controller inside can
+   * command its machines.
    */
   private double cost(ControllerRecord member, String zone, Map<ControllerId, Integer> load) {
     double average = (double) cache.machineCount() / cache.members().size();
-    // Where nobody hears the machines, one who does not is as good as another.
+    // if nobody reaches the machines, controllers that do not are equal
     double deaf =
-        hearing.of(member.id(), zone, timers.now()) == ReachabilityMap.State.HEARS
+        reachability.of(member.id(), zone, timers.now()) == ReachabilityMap.State.HEARS
             ? 0
-            : cache.machineCount() + LEAST_AWAY;
+            : cache.machineCount() + MIN_REMOTE_ZONE_COST;
     return deaf
         + load.getOrDefault(member.id(), 0)
-        + (member.zone().equals(zone) ? 0 : Math.max(LEAST_AWAY, AWAY * average));
+        + (member.zone().equals(zone)
+            ? 0
+            : Math.max(MIN_REMOTE_ZONE_COST, REMOTE_ZONE_COST_SHARE * average));
   }
 
-  private Map<ControllerId, Integer> machinesHeld() {
+  private Map<ControllerId, Integer> machinesByOwner() {
     Map<ControllerId, Integer> load = new HashMap<>();
-    for (ShardLease block : cache.shards().values()) {
-      load.merge(block.owner(), block.machines().size(), Integer::sum);
+    for (ShardLease shard : cache.shards().values()) {
+      load.merge(shard.owner(), shard.machines().size(), Integer::sum);
     }
     return load;
   }
 
-  /** Leases blocks of dead holders anew, takes machines in and out; returns the blocks changed. */
-  // A changed lease is another instance.
-  @SuppressWarnings("ReferenceEquality")
+  /** Moves shards of dead owners, adds and removes machines; returns the changed shards. */
   Set<ShardId> plan(TransactionBuilder transaction) {
     Map<ShardId, ShardLease> next = new TreeMap<>();
     Set<ShardId> deleted = new HashSet<>();
-    Map<ControllerId, Integer> load = machinesHeld();
-    Map<ShardId, Set<MachineId>> going = new HashMap<>();
-    for (MachineId machine : fleet.leaving()) {
-      ShardLease block = cache.shardOf(machine);
-      if (block != null) {
-        going.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
-      }
+    Map<ControllerId, Integer> load = machinesByOwner();
+    updateShards(transaction, next, deleted, load);
+    moveUnreachableShards(next, deleted);
+    renewTokens(next, deleted);
+    if (next.isEmpty() && deleted.isEmpty()) {
+      rebalance(next, load);
     }
-    for (ShardLease block : cache.shards().values()) {
-      ShardLease changed = without(block, going.getOrDefault(block.id(), Set.of()));
+    addNewcomers(next, deleted, load, transaction.maxValueBytes());
+    next.values().removeIf(shard -> !transaction.put(StoreKeys.shard(shard.id()), shard.write()));
+    Set<ShardId> touched = new HashSet<>(next.keySet());
+    touched.addAll(deleted);
+    return touched;
+  }
+
+  /** Removes machines from shards, deletes empty shards, and moves those of dead owners. */
+  // A changed lease is a new instance.
+  @SuppressWarnings("ReferenceEquality")
+  private void updateShards(
+      TransactionBuilder transaction,
+      Map<ShardId, ShardLease> next,
+      Set<ShardId> deleted,
+      Map<ControllerId, Integer> load) {
+    Map<ShardId, Set<MachineId>> leaving = leavingMachines();
+    for (ShardLease shard : cache.shards().values()) {
+      ShardLease changed = without(shard, leaving.getOrDefault(shard.id(), Set.of()));
       if (changed.machines().isEmpty()) {
-        // No machine is left, so no task of it is anywhere: all of them go back to the pool.
-        List<String> records = allocations.keys(block.id());
-        if (transaction.room() > records.size()) {
-          transaction.delete(StoreKeys.shard(block.id()));
-          records.forEach(transaction::delete);
-          deleted.add(block.id());
-        }
+        deleteShard(transaction, shard, deleted);
         continue;
       }
-      ControllerRecord holder = cache.members().get(block.owner());
-      if (holder == null || !holder.incarnation().equals(block.incarnation())) {
-        load.merge(block.owner(), -block.machines().size(), Integer::sum);
-        ControllerRecord chosen = chooseHolder(block.zone(), load);
-        if (chosen != null) {
-          LOG.info("block {} goes from {} to {}", block.id(), block.owner(), chosen.id());
-          load.merge(chosen.id(), block.machines().size(), Integer::sum);
-          changed = changed.leasedTo(chosen);
-        }
+      ControllerRecord owner = cache.members().get(shard.owner());
+      if (owner == null || !owner.incarnation().equals(shard.incarnation())) {
+        changed = moveToLiveOwner(shard, changed, load);
       }
-      if (changed != block) {
-        next.put(block.id(), changed);
+      if (changed != shard) {
+        next.put(shard.id(), changed);
       }
     }
-    rescueUnheard(next, deleted);
-    endDoubts(next, deleted);
-    if (next.isEmpty() && deleted.isEmpty()) {
-      rebalance(next, load);
+  }
+
+  private Map<ShardId, Set<MachineId>> leavingMachines() {
+    Map<ShardId, Set<MachineId>> leaving = new HashMap<>();
+    for (MachineId machine : autoscaler.leaving()) {
+      ShardLease shard = cache.shardOf(machine);
+      if (shard != null) {
+        leaving.computeIfAbsent(shard.id(), id -> new HashSet<>()).add(machine);
+      }
     }
-    takeIn(next, deleted, load, transaction.mostValue());
-    next.values().removeIf(block -> !transaction.put(StoreKeys.shard(block.id()), block.write()));
-    Set<ShardId> touched = new HashSet<>(next.keySet());
-    touched.addAll(deleted);
-    return touched;
+    return leaving;
   }
 
-  private ShardLease without(ShardLease block, Set<MachineId> going) {
-    ShardLease changed = block;
+  /** Deletes a shard without machines: no task of it is anywhere, so all return to the pool. */
+  private void deleteShard(TransactionBuilder transaction, ShardLease shard, Set<ShardId> deleted) {
+    List<String> records = allocations.recordKeys(shard.id());
+    if (transaction.remaining() > records.size()) {
+      transaction.delete(StoreKeys.shard(shard.id()));
+      records.forEach(transaction::delete);
+      deleted.add(shard.id());
+    }
+  }
+
+  private ShardLease moveToLiveOwner(
+      ShardLease shard, ShardLease changed, Map<ControllerId, Integer> load) {
+    load.merge(shard.owner(), -shard.machines().size(), Integer::sum);
+    ControllerRecord chosen = chooseOwner(shard.zone(), load);
+    if (chosen == null) {
+      return changed;
+    }
+    LOG.info(
+        "shard {} moves from {} to {}: its owner is gone", shard.id(), shard.owner(), chosen.id());
+    load.merge(chosen.id(), shard.machines().size(), Integer::sum);
+    return changed.leasedTo(chosen);
+  }
+
+  private ShardLease without(ShardLease shard, Set<MachineId> going) {
+    ShardLease changed = shard;
     for (MachineId machine : going) {
-      if (fleet.isGone(machine)) {
+      if (autoscaler.isGone(machine)) {
         changed = changed.without(machine);
-      } else if (!block.leaving().contains(machine)) {
+      } else if (!shard.leaving().contains(machine)) {
         changed = changed.leaving(machine);
       }
     }
@@ -235,170 +255,167 @@
   }
 
   /**
-   * A holder whose machines report to another controller is cut off from them: that one gets the
-   * block.
+   * Moves a shard whose machines report to another controller, because its owner cannot reach them.
    */
-  private void rescueUnheard(Map<ShardId, ShardLease> next, Set<ShardId> deleted) {
-    moves.obeys(moves.marked().stream().filter(this::isObedient).toList());
+  private void moveUnreachableShards(Map<ShardId, ShardLease> next, Set<ShardId> deleted) {
+    movePolicy.obeys(movePolicy.marked().stream().filter(this::isFenced).toList());
     Map<ShardId, Map<ControllerId, Integer>> heardBy = new HashMap<>();
     Map<ShardId, Set<MachineId>> strays = new HashMap<>();
     for (ControllerRecord member : members()) {
-      PeerViews.View view = fresh.of(member.id());
+      PeerViews.View view = currentViews.of(member.id());
       for (MachineId machine : view == null ? Set.<MachineId>of() : view.strays()) {
-        ShardLease block = cache.shardOf(machine);
-        if (block != null
-            && !block.owner().equals(member.id())
-            && isSilent(block, machine)
-            && moves.of(machine, timers.now()) == ShardMovePolicy.State.COUNTS) {
-          strays.computeIfAbsent(block.id(), id -> new HashSet<>()).add(machine);
+        ShardLease shard = cache.shardOf(machine);
+        if (shard != null
+            && !shard.owner().equals(member.id())
+            && isUnreachable(shard, machine)
+            && movePolicy.of(machine, timers.now()) == ShardMovePolicy.State.COUNTS) {
+          strays.computeIfAbsent(shard.id(), id -> new HashSet<>()).add(machine);
           heardBy
-              .computeIfAbsent(block.id(), id -> new TreeMap<>())
+              .computeIfAbsent(shard.id(), id -> new TreeMap<>())
               .merge(member.id(), 1, Integer::sum);
         }
       }
     }
     heardBy.forEach(
         (id, members) -> {
-          ShardLease block = cache.shard(id);
-          // The machines may have gone to several controllers: that half of them are heard
-          // elsewhere is what counts.
-          // One that hears nothing is heard by each in turn, and counts once.
+          ShardLease shard = cache.shard(id);
+          // The machines may have gone to several controllers, so half of them reporting elsewhere
+          // is enough. An unreachable controller is offered each shard only once.
           int machines = strays.get(id).size();
-          if (machines * 2 > block.machines().size()
+          if (machines * 2 > shard.machines().size()
               && !next.containsKey(id)
               && !deleted.contains(id)) {
             ControllerId member =
                 Collections.max(members.entrySet(), Map.Entry.comparingByValue()).getKey();
             LOG.info(
-                "block {} goes from {}, which does not hear it, to {}", id, block.owner(), member);
-            hearing.missed(block.owner(), block.zone(), timers.now());
-            moves.moved(strays.get(id), timers.now());
-            next.put(id, block.leasedTo(cache.members().get(member)));
+                "shard {} moves from {}, which cannot reach its machines, to {}",
+                id,
+                shard.owner(),
+                member);
+            reachability.missed(shard.owner(), shard.zone(), timers.now());
+            movePolicy.moved(strays.get(id), timers.now());
+            next.put(id, shard.leasedTo(cache.members().get(member)));
           }
         });
   }
 
   /**
-   * Gives controllers that did not hear the machines of a zone the smallest block there to try,
-   * once their pause is over; and takes note of what becomes of trials.
+   * After a pause, gives controllers that could not reach a zone's machines the smallest shard
+   * there as a probe, and records the outcome of earlier probes.
    */
-  private void tryTheDeaf(Map<ShardId, ShardLease> next) {
+  private void probeUnreachableZones(Map<ShardId, ShardLease> next) {
     MonotonicTime now = timers.now();
     Map<String, ShardLease> smallest = new TreeMap<>();
-    for (ShardLease block : cache.shards().values()) {
-      PeerViews.BlockView view = fresh.of(block);
-      if (view != null && obeysItsHolder(view)) {
-        hearing.heard(block.owner(), block.zone(), now);
+    for (ShardLease shard : cache.shards().values()) {
+      PeerViews.BlockView view = currentViews.of(shard);
+      if (view != null && isWhollyFenced(view)) {
+        reachability.heard(shard.owner(), shard.zone(), now);
         smallest.merge(
-            block.zone(),
-            block,
+            shard.zone(),
+            shard,
             (one, other) -> other.machines().size() < one.machines().size() ? other : one);
       }
     }
     for (ControllerRecord member : members()) {
       smallest.forEach(
-          (zone, block) -> {
-            if (hearing.of(member.id(), zone, now) == ReachabilityMap.State.TO_BE_TRIED
-                && !block.owner().equals(member.id())
-                && !next.containsKey(block.id())) {
+          (zone, shard) -> {
+            if (reachability.of(member.id(), zone, now) == ReachabilityMap.State.TO_BE_TRIED
+                && !shard.owner().equals(member.id())
+                && !next.containsKey(shard.id())) {
               LOG.info(
-                  "block {} goes from {} to {}, to see whether that hears it now",
-                  block.id(),
-                  block.owner(),
+                  "shard {} moves from {} to {} to probe whether that controller reaches it now",
+                  shard.id(),
+                  shard.owner(),
                   member.id());
-              hearing.given(member.id(), zone, now);
-              next.put(block.id(), block.leasedTo(member));
+              reachability.given(member.id(), zone, now);
+              next.put(shard.id(), shard.leasedTo(member));
             }
           });
     }
   }
 
   /**
-   * Leases a block anew to the holder that it has, one at a time, where something waits there that
-   * only a new token ends. Only while all of its machines obey that holder: then they are fenced
-   * again in a moment.
+   * Renews the lease of a shard with its present owner, one at a time, if work there waits for
+   * something that only a new fencing token resolves. Only while all machines are fenced for the
+   * owner, so that they are fenced again within a moment.
    */
-  private void endDoubts(Map<ShardId, ShardLease> next, Set<ShardId> deleted) {
+  private void renewTokens(Map<ShardId, ShardLease> next, Set<ShardId> deleted) {
     if (!next.isEmpty() || !deleted.isEmpty()) {
       return;
     }
-    for (ShardLease block : cache.shards().values()) {
-      PeerViews.BlockView view = fresh.of(block);
+    for (ShardLease shard : cache.shards().values()) {
+      PeerViews.BlockView view = currentViews.of(shard);
       if (view != null
           && view.inDoubt()
-          && cache.members().containsKey(block.owner())
-          && obeysItsHolder(view)) {
+          && cache.members().containsKey(shard.owner())
+          && isWhollyFenced(view)) {
         LOG.info(
-            "block {} gets a new token under {}: something there waits for one",
-            block.id(),
-            block.owner());
-        next.put(block.id(), block.leasedTo(cache.members().get(block.owner())));
+            "shard {} gets a new fencing token under {}: pending work cannot finish under the present one",
+            shard.id(),
+            shard.owner());
+        next.put(shard.id(), shard.leasedTo(cache.members().get(shard.owner())));
         return;
       }
     }
   }
 
-  private static boolean obeysItsHolder(PeerViews.BlockView view) {
+  private static boolean isWhollyFenced(PeerViews.BlockView view) {
     return view.machines().values().stream()
-        .allMatch(machine -> machine.fenced() && !machine.silent().isLongerThan(UNHEARD));
+        .allMatch(machine -> machine.fenced() && !machine.silent().isLongerThan(UNREACHABLE_AFTER));
   }
 
-  /** Whether a machine takes work of its holder, or is in no block any more. */
-  private boolean isObedient(MachineId machine) {
-    ShardLease block = cache.shardOf(machine);
-    PeerViews.BlockView view = block == null ? null : fresh.of(block);
+  /** Whether a machine is fenced for its owner, or is in no shard any more. */
+  private boolean isFenced(MachineId machine) {
+    ShardLease shard = cache.shardOf(machine);
+    PeerViews.BlockView view = shard == null ? null : currentViews.of(shard);
     PeerHeartbeat.MachineState state = view == null ? null : view.machines().get(machine);
-    return block == null || (state != null && state.fenced() && state.open());
+    return shard == null || (state != null && state.fenced() && state.open());
   }
 
   /**
-   * Whether a block's holder does not hear a machine; a holder that has not reported yet says
-   * nothing of that.
+   * Whether a shard's owner cannot reach a machine; false for an owner that has not reported yet.
    */
-  private boolean isSilent(ShardLease block, MachineId machine) {
-    PeerViews.BlockView view = fresh.of(block);
+  private boolean isUnreachable(ShardLease shard, MachineId machine) {
+    PeerViews.BlockView view = currentViews.of(shard);
     PeerHeartbeat.MachineState state = view == null ? null : view.machines().get(machine);
-    return state != null && state.silent().isLongerThan(UNHEARD);
+    return state != null && state.silent().isLongerThan(UNREACHABLE_AFTER);
   }
 
-  /**
-   * Moves a few blocks to controllers that have much less to do, or are in the blocks' zones, now
-   * and then.
-   */
+  /** Moves a few shards at intervals to controllers with much less load or in the shards' zones. */
   private void rebalance(Map<ShardId, ShardLease> next, Map<ControllerId, Integer> load) {
-    if (REBALANCE_EVERY.isLongerThan(timers.now().since(rebalanced))) {
+    if (REBALANCE_INTERVAL.isLongerThan(timers.now().since(rebalanced))) {
       return;
     }
     rebalanced = timers.now();
-    tryTheDeaf(next);
-    for (ShardLease block : cache.shards().values()) {
-      ControllerRecord holder = cache.members().get(block.owner());
-      ControllerRecord better = chooseHolder(block.zone(), load);
-      int size = block.machines().size();
-      PeerViews.BlockView view = fresh.of(block);
-      // A machine that takes no work and does not say why may be one that hears nothing: it would
-      // not show a new token.
+    probeUnreachableZones(next);
+    for (ShardLease shard : cache.shards().values()) {
+      ControllerRecord holder = cache.members().get(shard.owner());
+      ControllerRecord better = chooseOwner(shard.zone(), load);
+      int size = shard.machines().size();
+      PeerViews.BlockView view = currentViews.of(shard);
+      // A machine that accepts no tasks without a reason may receive no responses and would not
+      // confirm a new token.
       boolean calm =
           view != null
-              && obeysItsHolder(view)
+              && isWhollyFenced(view)
               && view.machines().values().stream()
                   .allMatch(
                       machine ->
                           machine.open()
                               || machine.notice()
                               || machine.sick()
-                              || block.leaving().contains(machine.id()));
+                              || shard.leaving().contains(machine.id()));
       if (holder != null
           && calm
-          && next.size() < MOST_MOVED_AT_ONCE
-          && cost(holder, block.zone(), load) - cost(better, block.zone(), load) - size
+          && next.size() < MAX_MOVES_AT_ONCE
+          && cost(holder, shard.zone(), load) - cost(better, shard.zone(), load) - size
               > REBALANCE_GAIN) {
         LOG.info(
-            "block {} goes from {} to {} to share the load",
-            block.id(),
-            block.owner(),
+            "shard {} moves from {} to {} to balance the load",
+            shard.id(),
+            shard.owner(),
             better.id());
-        next.put(block.id(), block.leasedTo(better));
+        next.put(shard.id(), shard.leasedTo(better));
         load.merge(holder.id(), -size, Integer::sum);
         load.merge(better.id(), size, Integer::sum);
       }
@@ -406,30 +423,31 @@
   }
 
   /**
-   * How many machines a block may have: the more machines and the fewer changes a second, the more.
+   * The maximum number of machines in a shard: higher with more machines and fewer writes per
+   * second.
    */
-  private int mostMachines(MachineType type) {
-    int all = fleet.expected();
-    double bySize = Math.ceil(all / (BLOCKS_PER_CHANGE * settings.storeLimits().writesPerSecond()));
-    Resources small = foresight.urgentTask();
+  private int maxMachinesPerShard(MachineType type) {
+    int all = autoscaler.expected();
+    double bySize = Math.ceil(all / (SHARDS_PER_WRITE * settings.storeLimits().writesPerSecond()));
+    Resources small = forecast.urgentTask();
     int tasks =
         Math.max(
             1,
             small.cpus() > 0 ? type.capacity().capacityFor(small) : (int) type.capacity().cpus());
     int byRecord =
-        Math.max(LEAST_BLOCK_SIZE, settings.storeLimits().maxValueBytes() / BYTES_PER_TASK / tasks);
+        Math.max(MIN_SHARD_SIZE, settings.storeLimits().maxValueBytes() / BYTES_PER_TASK / tasks);
     return (int)
-        Math.max(Math.max(LEAST_BLOCK_SIZE, largestGang(type)), Math.min(bySize, byRecord));
+        Math.max(Math.max(MIN_SHARD_SIZE, largestPendingGang(type)), Math.min(bySize, byRecord));
   }
 
   /**
-   * How many machines of a type the largest gang needs that waits: the machines rented for it make
-   * a block so large.
+   * The number of machines of a type that the largest pending gang needs, which decides how large a
+   * shard may grow for it.
    */
-  private int largestGang(MachineType type) {
+  private int largestPendingGang(MachineType type) {
     int most = 0;
-    for (JobId id : books.waiting()) {
-      Job job = books.account(id).job();
+    for (JobId id : allocationIndex.jobsWithPendingTasks()) {
+      Job job = allocationIndex.get(id).job();
       int each = type.capacity().capacityFor(job.taskResources());
       if (job.kind() == JobKind.GANG
           && each > 0
@@ -441,17 +459,19 @@
   }
 
   private record Kind(String type, String zone, boolean spot) {
-    static Kind of(ShardLease block) {
-      return new Kind(block.type(), block.zone(), block.spot());
+    static Kind of(ShardLease shard) {
+      return new Kind(shard.type(), shard.zone(), shard.spot());
     }
   }
 
-  private void takeIn(
+  private void addNewcomers(
       Map<ShardId, ShardLease> next,
       Set<ShardId> deleted,
       Map<ControllerId, Integer> load,
       int mostBytes) {
-    newcomers.keySet().removeIf(machine -> cache.shardOf(machine) != null || fleet.isGone(machine));
+    newcomers
+        .keySet()
+        .removeIf(machine -> cache.shardOf(machine) != null || autoscaler.isGone(machine));
     if (newcomers.isEmpty() || members().isEmpty()) {
       return;
     }
@@ -460,9 +480,9 @@
         .shards()
         .values()
         .forEach(
-            block -> {
-              if (!deleted.contains(block.id())) {
-                withRoom.computeIfAbsent(Kind.of(block), kind -> new ArrayList<>()).add(block.id());
+            shard -> {
+              if (!deleted.contains(shard.id())) {
+                withRoom.computeIfAbsent(Kind.of(shard), kind -> new ArrayList<>()).add(shard.id());
               }
             });
     for (Machine machine : newcomers.values()) {
@@ -470,16 +490,17 @@
       if (type == null) {
         continue;
       }
-      int most = mostMachines(type);
+      int most = maxMachinesPerShard(type);
       ShardLease home = null;
       List<ShardId> homes =
           withRoom.computeIfAbsent(
               new Kind(machine.type(), machine.zone(), machine.spot()), kind -> new ArrayList<>());
       while (home == null && !homes.isEmpty()) {
-        ShardLease block = next.getOrDefault(homes.get(0), cache.shard(homes.get(0)));
-        // A block that a value cannot name would be written in vain, and its machines be in none.
-        if (block.machines().size() < most && block.with(machine).maxBytes() <= mostBytes) {
-          home = block;
+        ShardLease shard = next.getOrDefault(homes.get(0), cache.shard(homes.get(0)));
+        // A shard whose record would exceed a value cannot be written, and its machines would be in
+        // no shard.
+        if (shard.machines().size() < most && shard.with(machine).maxBytes() <= mostBytes) {
+          home = shard;
         } else {
           homes.remove(0);
         }
@@ -488,7 +509,7 @@
         next.put(home.id(), home.with(machine));
         load.merge(home.owner(), 1, Integer::sum);
       } else {
-        ControllerRecord holder = chooseHolder(machine.zone(), load);
+        ControllerRecord holder = chooseOwner(machine.zone(), load);
         ShardLease made = ShardLease.first(new ShardId("b-" + machine.id()), holder, machine);
         load.merge(holder.id(), 1, Integer::sum);
         next.put(made.id(), made);
