--- a/src/main/java/org/quincecross/leader/TransactionBuilder.java
+++ b/src/main/java/org/quincecross/leader/TransactionBuilder.java
@@ -13,19 +13,18 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * A transaction being put together: every changed key is guarded by its version, and the limits are
- * kept.
+ * Builds a transaction within the limits; the version of every changed key becomes a precondition.
  */
 final class TransactionBuilder {
-  /** What a transaction may hold overall, less room for its guards. */
-  private static final int MOST_BYTES = 40 * 1024;
+  /** The maximum size of a transaction, less room for its preconditions. */
+  private static final int MAX_BYTES = 40 * 1024;
 
   private final ClusterStateCache cache;
-  private final int mostChanges;
-  private final int mostValue;
+  private final int maxMutations;
+  private final int maxValueBytes;
   private final BiPredicate<String, Integer> mayPut;
-  private final List<Precondition> guards = new ArrayList<>();
-  private final List<Mutation> changes = new ArrayList<>();
+  private final List<Precondition> preconditions = new ArrayList<>();
+  private final List<Mutation> mutations = new ArrayList<>();
   private int bytes;
 
   TransactionBuilder(ClusterStateCache cache, int mostChanges, int mostValue) {
@@ -33,7 +32,9 @@
   }
 
   /**
-   * @param mayPut whether a value of so many bytes may be put there
+   * Creates an empty transaction.
+   *
+   * @param mayPut whether a value of a size may be written to a key
    */
   TransactionBuilder(
       ClusterStateCache cache,
@@ -42,86 +43,87 @@
       BiPredicate<String, Integer> mayPut) {
     this.mayPut = mayPut;
     this.cache = cache;
-    this.mostChanges = mostChanges;
-    this.mostValue = mostValue;
+    this.maxMutations = mostChanges;
+    this.maxValueBytes = mostValue;
   }
 
   /**
-   * By what all is guarded that a leader plans: who leads, the level, and from level 3 on what
-   * keeps tasks back.
+   * Adds the preconditions of all of the leader's transactions: the leadership, the feature level,
+   * and from level 3 on the fence of blocked tasks.
    */
-  void guardAll() {
-    guard(cache.leaderKey());
-    // What is decided by the level's features is of no use under another level.
-    guard(StoreKeys.LEVEL);
+  void requireLeadership() {
+    require(cache.leaderKey());
+    // what was planned with the features of one level is void under another
+    require(StoreKeys.LEVEL);
     if (Feature.AGREED_RECORDS.isIn(cache.level().level())) {
-      guard(
+      require(
           StoreKeys
-              .REPLICATED_FENCE); // what was planned before tasks were kept back may allocate them
+              .REPLICATED_FENCE); // a plan that predates a change of blocked tasks may allocate
+      // them
     }
   }
 
-  void guard(String key) {
+  void require(String key) {
     Revision version = cache.version(key);
-    guards.add(new Precondition(key, version));
+    preconditions.add(new Precondition(key, version));
   }
 
-  int room() {
-    return mostChanges - changes.size();
+  int remaining() {
+    return maxMutations - mutations.size();
   }
 
   boolean isEmpty() {
-    return changes.isEmpty();
+    return mutations.isEmpty();
   }
 
-  /** The largest value that the state service takes. */
-  int mostValue() {
-    return mostValue;
+  /** The maximum size of a value. */
+  int maxValueBytes() {
+    return maxValueBytes;
   }
 
   /**
-   * Adds a put that is of use only while another key has the version that it has now; false if
-   * there is no room for it.
+   * Adds a put that is valid only while another key keeps its present version; false if there is no
+   * room.
    */
   boolean put(String key, Map<String, Object> value, String other) {
     boolean isIn = put(key, value);
     if (isIn) {
-      guard(other);
+      require(other);
     }
     return isIn;
   }
 
-  /** Adds a put; false if the transaction is full or the value too large for the state service. */
+  /** Adds a put; false if the transaction is full or the value too large. */
   boolean put(String key, Map<String, Object> value) {
-    if (room() < 1) {
+    if (remaining() < 1) {
       return false;
     }
     int length = Json.write(value).length;
     int size = length + key.length() + 64;
-    if (length > mostValue || bytes + size > MOST_BYTES || !mayPut.test(key, length)) {
+    if (length > maxValueBytes || bytes + size > MAX_BYTES || !mayPut.test(key, length)) {
       return false;
     }
     bytes += size;
-    guard(key);
-    changes.add(Mutation.put(key, value));
+    require(key);
+    mutations.add(Mutation.put(key, value));
     return true;
   }
 
   /** Adds a delete; false if the transaction is full. */
   boolean delete(String key) {
-    if (room() < 1) {
+    if (remaining() < 1) {
       return false;
     }
-    guard(key);
-    changes.add(Mutation.delete(key));
+    require(key);
+    mutations.add(Mutation.delete(key));
     return true;
   }
 
-  List<Precondition> guards() {
-    return guards;
+  List<Precondition> preconditions() {
+    return preconditions;
   }
 
-  List<Mutation> changes() {
-    return changes;
+  List<Mutation> mutations() {
+    return mutations;
   }
 }
--- a/src/main/java/org/quincecross/leader/TransactionLimits.java
+++ b/src/main/java/org/quincecross/leader/TransactionLimits.java
@@ -13,26 +13,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How large the leader's transactions may be: as the settings say, and after one that was too large
- * all the same, smaller. What was refused is not planned again as it was, so it holds nothing else
- * up. With settings that are right nothing is ever refused; they may say too much where the
- * platform was told too late, and then work goes on in smaller steps.
+ * The size limits of the leader's transactions: those of the settings, reduced after the store has
+ * refused a transaction as too large. A refused record is not planned again in the same size, so it
+ * does not block others. With correct settings nothing is refused; they may be wrong where the
+ * platform was informed too late, and then work continues in smaller steps.
  *
- * <p>What ends each wait: a record that was refused may be written again after {@link #ASIDE}, at
- * once where it is smaller; the bounds go back to what the settings say by doubling, once for each
- * {@link #ASIDE} without a refusal.
+ * <p>A refused record may be written again after {@link #REFUSAL_BACKOFF}, or at once if it is
+ * smaller; the limits double after each {@link #REFUSAL_BACKOFF} without a refusal until they reach
+ * the settings.
  */
 final class TransactionLimits {
   private static final Logger LOG = LoggerFactory.getLogger(TransactionLimits.class);
-  private static final TimeSpan ASIDE = TimeSpan.ofSeconds(10);
+  private static final TimeSpan REFUSAL_BACKOFF = TimeSpan.ofSeconds(10);
 
   /**
-   * A block and its two records, or the level with the two places of the leadership, go together.
+   * A shard with its two allocation records, and the level with both leader keys, have to fit into
+   * one transaction.
    */
-  private static final int LEAST_CHANGES = 3;
+  private static final int MIN_MUTATIONS = 3;
 
-  /** A chunk of done tasks and a job are smaller. */
-  private static final int LEAST_VALUE = 1024;
+  /** A chunk of completed tasks and a job's record are smaller than this. */
+  private static final int MIN_VALUE_BYTES = 1024;
 
   private record Refusal(int bytes, MonotonicTime until) {}
 
@@ -48,20 +49,20 @@
     this.value = limits.plannedValueBytes();
   }
 
-  /** The most changes of a transaction. */
-  int changes() {
+  /** The maximum number of mutations of a transaction. */
+  int maxMutations() {
     return changes;
   }
 
-  /** The most bytes of a value. */
-  int value() {
+  /** The maximum size of a value in bytes. */
+  int maxValueBytes() {
     return value;
   }
 
-  /** A transaction that is to have at most so many changes. */
-  TransactionBuilder plan(ClusterStateCache cache, int most, MonotonicTime now) {
+  /** Starts a transaction of at most {@code most} mutations. */
+  TransactionBuilder newTransaction(ClusterStateCache cache, int most, MonotonicTime now) {
     refusals.values().removeIf(refusal -> refusal.until().isBefore(now));
-    if (refusedAt != null && now.since(refusedAt).isLongerThan(ASIDE)) {
+    if (refusedAt != null && now.since(refusedAt).isLongerThan(REFUSAL_BACKOFF)) {
       changes = Math.min(limits.maxMutationsPerTransaction(), 2 * changes);
       value = Math.min(limits.plannedValueBytes(), 2 * value);
       refusedAt =
@@ -76,13 +77,13 @@
         (key, bytes) -> !refusals.containsKey(key) || bytes < refusals.get(key).bytes());
   }
 
-  /** A transaction with these changes was too large. */
-  void refused(List<Mutation> refused, MonotonicTime now) {
+  /** Records that the store refused a transaction as too large. */
+  void recordRefusal(List<Mutation> refused, MonotonicTime now) {
     refusedAt = now;
-    if (refused.size() > LEAST_CHANGES) {
-      changes = Math.max(LEAST_CHANGES, refused.size() / 2);
+    if (refused.size() > MIN_MUTATIONS) {
+      changes = Math.max(MIN_MUTATIONS, refused.size() / 2);
     } else {
-      value = Math.max(Math.min(LEAST_VALUE, limits.plannedValueBytes()), value / 2);
+      value = Math.max(Math.min(MIN_VALUE_BYTES, limits.plannedValueBytes()), value / 2);
       String largest = null;
       int most = 0;
       for (Mutation change : refused) {
@@ -93,11 +94,12 @@
         }
       }
       if (largest != null) {
-        refusals.put(largest, new Refusal(most, now.plus(ASIDE)));
+        refusals.put(largest, new Refusal(most, now.plus(REFUSAL_BACKOFF)));
       }
     }
     LOG.warn(
-        "the state service takes no transaction of {} changes, one in {}; planned smaller: {} changes, {} bytes a value",
+        "the store refused a transaction of {} mutations as too large, among them {}; "
+            + "the limits are now {} mutations, {} bytes per value",
         refused.size(),
         refused.stream().map(Mutation::key).findFirst().orElse("none"),
         changes,
--- a/src/main/java/org/quincecross/leader/package-info.java
+++ b/src/main/java/org/quincecross/leader/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What the leading controller does: block leases, admission, results, and the fleet of machines.
+ * The leader: election, shard leases, allocation, completion, autoscaling, and the extensions for
+ * reservations, legal holds and model serving.
  */
 package org.quincecross.leader;
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -39,36 +39,36 @@
    */
   public boolean isFor(Job job, ShardId here) {
     ShardLease own = cache.shard(here);
-    for (ShardLease block : cache.shards().values()) {
+    for (ShardLease shard : cache.shards().values()) {
       // The other tasks of a job bound to one zone are most likely here.
       boolean mayGo =
-          !block.id().equals(here)
-              && job.allows(block.type(), block.zone(), block.spot())
+          !shard.id().equals(here)
+              && job.allows(shard.type(), shard.zone(), shard.spot())
               && (!job.singleZone()
                   || job.taskCount() == 1
-                  || (own != null && block.zone().equals(own.zone())));
-      if (mayGo && hasRoom(job, block)) {
+                  || (own != null && shard.zone().equals(own.zone())));
+      if (mayGo && hasRoom(job, shard)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean hasRoom(Job job, ShardLease block) {
-    PeerViews.View holder = views.of(block.owner());
-    PeerViews.BlockView view = holder == null ? null : holder.blocks().get(block.id());
-    MachineType type = cache.machineTypes().get(block.type());
+  private boolean hasRoom(Job job, ShardLease shard) {
+    PeerViews.View holder = views.of(shard.owner());
+    PeerViews.BlockView view = holder == null ? null : holder.blocks().get(shard.id());
+    MachineType type = cache.machineTypes().get(shard.type());
     if (view == null
         || type == null
-        || !view.token().equals(block.token())
+        || !view.token().equals(shard.token())
         || view.declined().contains(job.id())) {
       return false;
     }
     Resources free = Resources.NONE;
     boolean fits = false;
-    for (MachineId id : block.machines().keySet()) {
+    for (MachineId id : shard.machines().keySet()) {
       PeerHeartbeat.MachineState machine = view.machines().get(id);
-      if (machine == null || !machine.open() || block.leaving().contains(id)) {
+      if (machine == null || !machine.open() || shard.leaving().contains(id)) {
         continue;
       }
       if (machine.queued() > 0) {
@@ -77,7 +77,7 @@
       free = free.plus(machine.free());
       fits |= job.taskResources().fitsIn(machine.free());
     }
-    for (Headroom reserve : reserves.apply(block.id())) {
+    for (Headroom reserve : reserves.apply(shard.id())) {
       free = reserve.keepsOut(job, type.capacity()) ? free.minus(reserve.total()) : free;
     }
     return fits && job.taskResources().fitsIn(free);
--- a/src/main/java/org/quincecross/state/ClusterStateCache.java
+++ b/src/main/java/org/quincecross/state/ClusterStateCache.java
@@ -434,7 +434,7 @@
           .keySet()
           .forEach(
               machine ->
-                  shardOf.computeIfPresent(machine, (m, block) -> block == before ? null : block));
+                  shardOf.computeIfPresent(machine, (m, shard) -> shard == before ? null : shard));
     }
     if (lease == null) {
       shardById.remove(id);
--- a/src/main/java/org/quincecross/state/DemandForecast.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -188,24 +188,24 @@
   /** Distributes a number of whole machines over the shards of a kind, by shard size. */
   private void distribute(Kind kind, Seen large, int machines) {
     int all = 0;
-    for (ShardLease block : cache.shards().values()) {
-      all += isOf(block, kind) ? block.machines().size() : 0;
+    for (ShardLease shard : cache.shards().values()) {
+      all += isOf(shard, kind) ? shard.machines().size() : 0;
     }
-    for (ShardLease block : cache.shards().values()) {
-      if (isOf(block, kind)) {
-        int share = (int) Math.ceil((double) machines * block.machines().size() / all);
+    for (ShardLease shard : cache.shards().values()) {
+      if (isOf(shard, kind)) {
+        int share = (int) Math.ceil((double) machines * shard.machines().size() / all);
         keep(
-            block,
+            shard,
             new Headroom(
                 Headroom.Purpose.LARGE_WORK,
                 large.largest(),
-                Math.min(share, block.machines().size())));
+                Math.min(share, shard.machines().size())));
       }
     }
   }
 
-  private void keep(ShardLease block, Headroom reserve) {
-    headroomByShard.computeIfAbsent(block.id(), id -> new ArrayList<>()).add(reserve);
+  private void keep(ShardLease shard, Headroom reserve) {
+    headroomByShard.computeIfAbsent(shard.id(), id -> new ArrayList<>()).add(reserve);
   }
 
   /** Every sufficiently large shard of on-demand machines keeps headroom for services. */
@@ -213,19 +213,19 @@
     if (urgent == null || now.since(urgent.lastSeen()).isLongerThan(DEMAND_WINDOW)) {
       return;
     }
-    for (ShardLease block : cache.shards().values()) {
-      MachineType type = cache.machineTypes().get(block.type());
+    for (ShardLease shard : cache.shards().values()) {
+      MachineType type = cache.machineTypes().get(shard.type());
       boolean small =
           type != null && urgent.largest().fitsIn(type.capacity()) && type.capacity().gpus() == 0;
-      if (!block.spot() && small && block.machines().size() >= 3) {
+      if (!shard.spot() && small && shard.machines().size() >= 3) {
         int rooms =
-            (block.machines().size() + MACHINES_PER_URGENT_TASK - 1) / MACHINES_PER_URGENT_TASK;
-        keep(block, new Headroom(Headroom.Purpose.URGENT_WORK, urgent.largest(), rooms));
+            (shard.machines().size() + MACHINES_PER_URGENT_TASK - 1) / MACHINES_PER_URGENT_TASK;
+        keep(shard, new Headroom(Headroom.Purpose.URGENT_WORK, urgent.largest(), rooms));
       }
     }
   }
 
-  private static boolean isOf(ShardLease block, Kind kind) {
-    return block.type().equals(kind.machineType()) && block.spot() == kind.spot();
+  private static boolean isOf(ShardLease shard, Kind kind) {
+    return shard.type().equals(kind.machineType()) && shard.spot() == kind.spot();
   }
 }
--- a/src/main/java/org/quincecross/state/OversizedRecords.java
+++ b/src/main/java/org/quincecross/state/OversizedRecords.java
@@ -25,8 +25,8 @@
     cache
         .shards()
         .forEach(
-            (id, block) -> {
-              addIfOversized(large, StoreKeys.shard(id), block.write(), mostBytes);
+            (id, shard) -> {
+              addIfOversized(large, StoreKeys.shard(id), shard.write(), mostBytes);
               Map<JobId, TaskSet> open = new TreeMap<>();
               cache
                   .allocation(id)
--- a/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
@@ -7,10 +7,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeSet;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
@@ -26,7 +24,6 @@
 import org.quincecross.replicated.CommandOrigin;
 import org.quincecross.replicated.RecordId;
 import org.quincecross.replicated.ReplicatedRecord;
-import org.quincecross.rollout.Feature;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -232,6 +229,7 @@
   private final ClusterStateCache cache;
   private final Membership membership;
   private final Settings settings;
+  private final ReplicationSupport support;
   private final LongSupplier clockMs;
   private final TokenBucket writes;
   private final ArrayDeque<PendingCommand<?, ?>> pending = new ArrayDeque<>();
@@ -264,6 +262,7 @@
     this.cache = cache;
     this.membership = membership;
     this.settings = settings;
+    this.support = new ReplicationSupport(cache, settings);
     this.clockMs = clockMs;
     double rate = settings.storeLimits().writesPerSecond() * WRITE_SHARE;
     this.writes =
@@ -287,30 +286,7 @@
    * they can.
    */
   public String unavailableReason() {
-    if (Feature.AGREED_RECORDS.isIn(cache.level().level())) {
-      return null;
-    }
-    TreeSet<String> lacking = new TreeSet<>();
-    TreeSet<ControllerId> all = new TreeSet<>(cache.members().keySet());
-    settings.peers().forEach(sibling -> all.add(sibling.id()));
-    all.add(settings.self());
-    for (ControllerId member : all) {
-      ControllerRecord record = cache.members().get(member);
-      if (record == null) {
-        lacking.add(member + ", which is away");
-      } else if (!record.build().can(Feature.AGREED_RECORDS.since())) {
-        lacking.add(
-            member
-                + ", whose build ("
-                + record.build().name()
-                + ") ends at level "
-                + record.build().most());
-      }
-    }
-    return "level "
-        + Feature.AGREED_RECORDS.since()
-        + " is not in force yet; it waits for "
-        + (lacking.isEmpty() ? "the leader to raise it" : String.join("; ", lacking));
+    return support.unavailableReason();
   }
 
   /**
--- a/src/main/java/org/quincecross/state/ReservedCapacity.java
+++ b/src/main/java/org/quincecross/state/ReservedCapacity.java
@@ -135,11 +135,11 @@
     private final Map<String, Resources> ofTeams = new HashMap<>();
 
     Standing() {
-      for (ShardLease block : cache.shards().values()) {
-        MachineType type = cache.machineTypes().get(block.type());
+      for (ShardLease shard : cache.shards().values()) {
+        MachineType type = cache.machineTypes().get(shard.type());
         Resources inBlock = Resources.NONE;
         Set<String> lanes = new HashSet<>();
-        for (Map.Entry<JobId, TaskSet> held : cache.allocation(block.id()).tasks().entrySet()) {
+        for (Map.Entry<JobId, TaskSet> held : cache.allocation(shard.id()).tasks().entrySet()) {
           JobRecord record = cache.job(held.getKey());
           Job job = record == null ? null : record.job();
           if (job == null) {
@@ -152,13 +152,13 @@
             ofTeams.merge(job.team(), use, Resources::plus);
           }
         }
-        if (type != null && !block.spot()) {
+        if (type != null && !shard.spot()) {
           places.add(
               new Place(
-                  block.id(),
-                  block.zone(),
+                  shard.id(),
+                  shard.zone(),
                   type.capacity(),
-                  block.machines().size() - block.leaving().size(),
+                  shard.machines().size() - shard.leaving().size(),
                   inBlock,
                   lanes));
         }
@@ -182,15 +182,15 @@
       if (lanes.contains(record.job().jobClass()) && !cache.shardsOf(record.id()).isEmpty()) {
         Map<String, Integer> zones = new HashMap<>();
         for (ShardId id : cache.shardsOf(record.id())) {
-          ShardLease block = cache.shard(id);
+          ShardLease shard = cache.shard(id);
           int tasks =
-              block == null
+              shard == null
                   ? 0
                   : notDone(
                       record.id(),
                       cache.allocation(id).tasks().getOrDefault(record.id(), new TaskSet()));
           if (tasks > 0) {
-            zones.merge(block.zone(), tasks, Integer::sum);
+            zones.merge(shard.zone(), tasks, Integer::sum);
           }
         }
         taken.add(new Taken(record.job().jobClass(), record.acceptedMs(), zones));
--- a/src/test/java/org/quincecross/leader/AllocationIndexTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationIndexTest.java
@@ -47,11 +47,11 @@
   private static final int BLOCKS = 4;
 
   private final ClusterStateCache cache = new ClusterStateCache();
-  private final AllocationIndex books = new AllocationIndex(cache);
+  private final AllocationIndex allocationIndex = new AllocationIndex(cache);
   private long revision;
 
   AllocationIndexTest() {
-    cache.addListener(books::changed);
+    cache.addListener(allocationIndex::cacheChanged);
   }
 
   private static Job job(int number) {
@@ -154,6 +154,8 @@
     assertCounted();
   }
 
+  // A recount of everything, in one place.
+  @SuppressWarnings("MethodLength")
   private void assertCounted() {
     Map<String, Resources> use = new HashMap<>();
     Set<JobId> waiting = new HashSet<>();
@@ -161,7 +163,7 @@
       JobId id = job(number).id();
       JobRecord record = cache.job(id);
       if (record == null || record.job() == null) {
-        assertEquals(null, books.account(id));
+        assertEquals(null, allocationIndex.get(id));
         continue;
       }
       TaskSet out = new TaskSet();
@@ -190,8 +192,9 @@
         }
       }
       assertEquals(
-          new AllocationIndex.Account(record.job(), cache.completedTasks(id), out, pool, perZone),
-          books.account(id));
+          new AllocationIndex.JobAllocation(
+              record.job(), cache.completedTasks(id), out, pool, perZone),
+          allocationIndex.get(id));
       if (!pool.isEmpty()) {
         waiting.add(id);
       }
@@ -200,12 +203,13 @@
             record.job().team(), record.job().taskResources().times(out.size()), Resources::plus);
       }
     }
-    assertEquals(waiting, new HashSet<>(books.waiting()));
-    assertEquals(use.keySet(), books.teamUse().keySet());
+    assertEquals(waiting, new HashSet<>(allocationIndex.jobsWithPendingTasks()));
+    assertEquals(use.keySet(), allocationIndex.teamUsage().keySet());
     use.forEach(
         (team, sum) ->
             assertTrue(
-                sum.fitsIn(books.teamUse().get(team)) && books.teamUse().get(team).fitsIn(sum)));
+                sum.fitsIn(allocationIndex.teamUsage().get(team))
+                    && allocationIndex.teamUsage().get(team).fitsIn(sum)));
   }
 
   /**
@@ -222,12 +226,12 @@
       tasks.put(job(number).id(), TaskSet.range(TASKS));
     }
     put(StoreKeys.allocation(new ShardId("b0")), Allocation.write(tasks));
-    books.teamUse();
-    long before = books.counted();
+    allocationIndex.teamUsage();
+    long before = allocationIndex.countedItems();
     put(
         StoreKeys.completedPage(0),
         CompletedTasks.writePage(Map.of(jobs.get(5).id(), TaskSet.range(1))));
-    books.teamUse();
-    assertEquals(1, books.counted() - before);
+    allocationIndex.teamUsage();
+    assertEquals(1, allocationIndex.countedItems() - before);
   }
 }
--- a/src/test/java/org/quincecross/leader/AllocationWriterTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationWriterTest.java
@@ -38,7 +38,7 @@
   private static final int LIMIT = 1000;
 
   private final ClusterStateCache cache = new ClusterStateCache();
-  private final AllocationIndex books = new AllocationIndex(cache);
+  private final AllocationIndex allocationIndex = new AllocationIndex(cache);
   private final AllocationWriter allocations = new AllocationWriter(cache, () -> false);
   private long revision;
 
@@ -50,7 +50,7 @@
   @SuppressWarnings("unchecked")
   private void apply(TransactionBuilder transaction) {
     revision++;
-    for (Mutation change : transaction.changes()) {
+    for (Mutation change : transaction.mutations()) {
       assertTrue(
           change.value() == null || Json.write(change.value()).length <= LIMIT, change.key());
       CacheTestSupport.put(cache, change.key(), (Map<String, Object>) change.value(), revision);
@@ -84,7 +84,7 @@
 
   /** Fills a block with a record as it was written when values could be larger. */
   private List<JobId> fill(Random random, int level) {
-    cache.addListener(books::changed);
+    cache.addListener(allocationIndex::cacheChanged);
     put(StoreKeys.LEVEL, FeatureLevelRecord.write(new FeatureLevel(level)));
     Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
     List<JobId> jobs = new ArrayList<>();
@@ -106,14 +106,14 @@
   @Property(tries = 40, seed = "8")
   void anOversizedBlockShrinks(@ForAll Random random) {
     fill(random, 2);
-    Map<JobId, TaskSet> expected = books.held(BLOCK);
+    Map<JobId, TaskSet> expected = allocationIndex.unfinishedTasks(BLOCK);
     int refused = 0;
     for (int step = 0; step < 200 && !expected.isEmpty(); step++) {
       List<JobId> left = List.copyOf(expected.keySet());
       for (int i = 0; i < 4 && i < left.size(); i++) {
         end(left.get(random.nextInt(left.size())), random);
       }
-      Map<JobId, TaskSet> next = books.held(BLOCK);
+      Map<JobId, TaskSet> next = allocationIndex.unfinishedTasks(BLOCK);
       // Work ends all the time; now and then some is given back, a tenth in all.
       JobId back =
           random.nextInt(3) == 0 && !next.isEmpty()
@@ -124,9 +124,9 @@
         TransactionBuilder transaction = new TransactionBuilder(cache, 4, LIMIT);
         refused += allocations.put(transaction, BLOCK, next) ? 0 : 1;
         apply(transaction);
-        assertEquals(next, books.held(BLOCK));
+        assertEquals(next, allocationIndex.unfinishedTasks(BLOCK));
       }
-      expected = books.held(BLOCK);
+      expected = allocationIndex.unfinishedTasks(BLOCK);
     }
     assertEquals(0, refused);
     assertTrue(
@@ -155,8 +155,10 @@
     for (JobId id : jobs) {
       put(StoreKeys.job(id), cache.job(id).writeDone());
       TransactionBuilder transaction = new TransactionBuilder(cache, 4, LIMIT);
-      boolean fits = Json.write(Allocation.write(books.held(BLOCK))).length <= LIMIT;
-      assertEquals(fits, allocations.put(transaction, BLOCK, books.held(BLOCK)));
+      boolean fits =
+          Json.write(Allocation.write(allocationIndex.unfinishedTasks(BLOCK))).length <= LIMIT;
+      assertEquals(
+          fits, allocations.put(transaction, BLOCK, allocationIndex.unfinishedTasks(BLOCK)));
       assertTrue(!fitted || fits);
       fitted = fits;
       apply(transaction);
--- a/src/test/java/org/quincecross/leader/AutoscalerTest.java
+++ b/src/test/java/org/quincecross/leader/AutoscalerTest.java
@@ -50,7 +50,7 @@
   private final List<String> returned = new ArrayList<>();
   private final Set<MachineId> vanished = new HashSet<>();
   private final Map<MachineId, PeerHeartbeat.MachineState> states = new HashMap<>();
-  private final Autoscaler fleet;
+  private final Autoscaler autoscaler;
 
   private static final class Clock implements Timers {
     private record Due(long at, long order, Runnable action) {}
@@ -84,6 +84,8 @@
     }
   }
 
+  // The fixture reads best whole.
+  @SuppressWarnings("MethodLength")
   AutoscalerTest() {
     Endpoint here = new Endpoint("10.0.0.1", 1);
     Settings settings =
@@ -108,7 +110,7 @@
             new Settings.CloudLimits(10, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(1),
             new Settings.ProcessLimits(1, 100, 1000));
-    fleet =
+    autoscaler =
         new Autoscaler(
             clock,
             this::cloud,
@@ -130,16 +132,16 @@
             AnnouncedLimits.NONE,
             new Revision(1));
     for (String zone : List.of("a", "b")) {
-      ShardLease block = null;
+      ShardLease shard = null;
       for (int i = 0; i < PER_ZONE; i++) {
         Machine machine = new Machine(new MachineId("m-" + zone + i), here, "t", zone, true);
-        block =
-            block == null
+        shard =
+            shard == null
                 ? ShardLease.first(new ShardId(zone), holder, machine)
-                : block.with(machine);
+                : shard.with(machine);
         hear(machine.id(), 0);
       }
-      CacheTestSupport.put(cache, StoreKeys.shard(block.id()), block.write(), 2);
+      CacheTestSupport.put(cache, StoreKeys.shard(shard.id()), shard.write(), 2);
     }
     ShardLease ordinary = null;
     for (int i = 0; i < PER_ZONE; i++) {
@@ -152,7 +154,7 @@
     }
     CacheTestSupport.put(cache, StoreKeys.shard(ordinary.id()), ordinary.write(), 2);
     CacheTestSupport.advance(cache, 2);
-    fleet.start();
+    autoscaler.start();
   }
 
   private void cloud(
@@ -208,7 +210,7 @@
 
   private void lead(double seconds) {
     for (double at = 0; at < seconds; at += 0.1) {
-      fleet.lead(() -> new Autoscaler.View(states, Set.of()));
+      autoscaler.lead(() -> new Autoscaler.View(states, Set.of()));
       clock.run(0.1);
     }
   }
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -37,7 +37,7 @@
   private static final int MOST_CHANGES = 8;
 
   private final ClusterStateCache cache = new ClusterStateCache();
-  private final AllocationIndex books = new AllocationIndex(cache);
+  private final AllocationIndex allocationIndex = new AllocationIndex(cache);
   private final PeerViews views = new PeerViews();
   private final StillClock timers = new StillClock();
   private long revision;
@@ -57,10 +57,12 @@
    * durable, in few writes, also in its last chunk. It is not written chunk by chunk from the first
    * one each time.
    */
+  // One course of events.
+  @SuppressWarnings("MethodLength")
   @Test
   void aJobOfMoreChunksThanATransactionHoldsBecomesDurable() {
-    cache.addListener(books::changed);
-    CompletionWriter results = new CompletionWriter(timers, cache, views, books, () -> 0);
+    cache.addListener(allocationIndex::cacheChanged);
+    CompletionWriter results = new CompletionWriter(timers, cache, views, allocationIndex, () -> 0);
     int chunks = 24;
     JobId id = new JobId("job-1");
     put(
@@ -123,8 +125,8 @@
     int written = 0;
     for (int plans = 0; plans < 5; plans++) {
       TransactionBuilder transaction = new TransactionBuilder(cache, MOST_CHANGES, 4000);
-      results.plan(transaction, results.completions());
-      for (Mutation change : transaction.changes()) {
+      results.plan(transaction, results.unrecordedCompletions());
+      for (Mutation change : transaction.mutations()) {
         put(change.key(), change.value());
         written++;
       }
@@ -132,7 +134,7 @@
     }
     assertTrue(
         completed.stream().allMatch(task -> cache.isCompleted(id, task.index())),
-        results.completions().toString());
+        results.unrecordedCompletions().toString());
     assertEquals(chunks, written);
   }
 
@@ -140,10 +142,12 @@
    * A page of the old full size: the jobs on it go on to others, and what was done on it stays
    * done, also for whoever reads it all anew.
    */
+  // One course of events.
+  @SuppressWarnings("MethodLength")
   @Test
   void jobsMoveOnFromAPageThatIsLargerThanAValueMayBeNow() {
-    cache.addListener(books::changed);
-    CompletionWriter results = new CompletionWriter(timers, cache, views, books, () -> 0);
+    cache.addListener(allocationIndex::cacheChanged);
+    CompletionWriter results = new CompletionWriter(timers, cache, views, allocationIndex, () -> 0);
     Map<JobId, TaskSet> page = new LinkedHashMap<>();
     List<TaskId> completed = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
@@ -200,8 +204,8 @@
         timers.now());
     for (int plans = 0; plans < 8; plans++) {
       TransactionBuilder transaction = new TransactionBuilder(cache, 4, 1000);
-      results.plan(transaction, results.completions());
-      for (Mutation change : transaction.changes()) {
+      results.plan(transaction, results.unrecordedCompletions());
+      for (Mutation change : transaction.mutations()) {
         assertTrue(Json.write(change.value()).length <= 1000, change.key());
         put(change.key(), change.value());
       }
@@ -210,6 +214,6 @@
     assertTrue(
         completed.stream()
             .allMatch(task -> cache.isCompleted(task.job(), 5) && cache.isCompleted(task.job(), 0)),
-        results.completions().toString());
+        results.unrecordedCompletions().toString());
   }
 }
--- a/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
+++ b/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
@@ -46,9 +46,9 @@
       for (double now = 0; now < 2.9; now += 0.1) {
         TransactionBuilder transaction =
             new TransactionBuilder(new ClusterStateCache(), random.nextInt(7), 4000);
-        boolean room = transaction.room() >= count;
+        boolean room = transaction.remaining() >= count;
         assertEquals(room, types.plan(transaction, catalog, at(now)));
-        assertEquals(room ? count : 0, transaction.changes().size());
+        assertEquals(room ? count : 0, transaction.mutations().size());
       }
     }
   }
@@ -77,6 +77,6 @@
         types.plan(new TransactionBuilder(new ClusterStateCache(), 2, 4000), catalog, at(1)));
     TransactionBuilder later = new TransactionBuilder(new ClusterStateCache(), 2, 4000);
     assertTrue(types.plan(later, catalog, at(4.1)));
-    assertEquals(2, later.changes().size());
+    assertEquals(2, later.mutations().size());
   }
 }
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -55,6 +55,8 @@
   private final ShardLeaseManager leases;
   private long reports;
 
+  // The fixture reads best whole.
+  @SuppressWarnings("MethodLength")
   ShardLeaseManagerTest() {
     Settings settings =
         new Settings(
@@ -78,27 +80,28 @@
             new Settings.CloudLimits(10, TimeSpan.ofSeconds(2)),
             TimeSpan.ofSeconds(1),
             new Settings.ProcessLimits(1, 100, 1000));
-    DemandForecast foresight = new DemandForecast(cache);
-    Autoscaler fleet =
+    DemandForecast forecast = new DemandForecast(cache);
+    Autoscaler autoscaler =
         new Autoscaler(
             clock,
             (to, request, timeout, done) -> {},
             cache,
             settings,
-            foresight,
+            forecast,
             () -> new Incarnation(1),
             () -> OperatorSettings.DEFAULTS);
-    AllocationIndex books = new AllocationIndex(cache);
-    cache.addListener(books::changed);
+    AllocationIndex allocationIndex = new AllocationIndex(cache);
+    cache.addListener(allocationIndex::cacheChanged);
     leases =
         new ShardLeaseManager(
-            clock,
-            cache,
-            settings,
-            fleet,
-            foresight,
-            books,
-            new CurrentPeerViews(clock, cache, views),
+            new LeaderContext(
+                clock,
+                cache,
+                settings,
+                new CurrentPeerViews(clock, cache, views),
+                allocationIndex,
+                forecast),
+            autoscaler,
             new AllocationWriter(cache, () -> false));
     CacheTestSupport.put(
         cache, StoreKeys.member(HOLDER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
@@ -149,7 +152,7 @@
         clock.now());
     TransactionBuilder transaction = new TransactionBuilder(cache, 8, 4000);
     leases.plan(transaction);
-    return transaction.changes();
+    return transaction.mutations();
   }
 
   private static PeerHeartbeat.MachineState machine(String id, boolean fenced) {
@@ -193,6 +196,8 @@
    * For a gang of a hundred machines a block would be so large; one that a value cannot name would
    * never be written.
    */
+  // One course of events.
+  @SuppressWarnings("MethodLength")
   @Test
   void aBlockTakesNoMoreMachinesThanItsRecordCanName() {
     CacheTestSupport.put(
@@ -238,12 +243,12 @@
         4);
     CacheTestSupport.advance(cache, 4);
     for (int i = 2; i < 100; i++) {
-      leases.newcomer(new Machine(new MachineId("m-" + i), HERE, "t", "a", false));
+      leases.addNewcomer(new Machine(new MachineId("m-" + i), HERE, "t", "a", false));
     }
     for (int plans = 0; plans < 5; plans++) {
       TransactionBuilder transaction = new TransactionBuilder(cache, 4, 1000);
       leases.plan(transaction);
-      for (Mutation change : transaction.changes()) {
+      for (Mutation change : transaction.mutations()) {
         CacheTestSupport.put(cache, change.key(), cast(change.value()), 10 + plans);
       }
       CacheTestSupport.advance(cache, 10 + plans);
@@ -253,12 +258,12 @@
         .shards()
         .values()
         .forEach(
-            block -> {
-              ShardLease all = block;
-              for (MachineId machine : block.machines().keySet()) {
+            shard -> {
+              ShardLease all = shard;
+              for (MachineId machine : shard.machines().keySet()) {
                 all = all.leaving(machine);
               }
-              assertTrue(Json.write(all.write()).length <= 1000, block.toString());
+              assertTrue(Json.write(all.write()).length <= 1000, shard.toString());
             });
   }
 
--- a/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
+++ b/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
@@ -39,17 +39,17 @@
     int refusals = 0;
     for (int step = 0; step < 100 && waiting.size() > tooLarge; step++) {
       now = now.plus(TimeSpan.ofMillis(100));
-      TransactionBuilder transaction = bounds.plan(cache, bounds.changes(), now);
+      TransactionBuilder transaction = bounds.newTransaction(cache, bounds.maxMutations(), now);
       waiting.forEach(transaction::put);
       boolean taken =
-          transaction.changes().size() <= takesChanges
-              && transaction.changes().stream()
+          transaction.mutations().size() <= takesChanges
+              && transaction.mutations().stream()
                   .allMatch(change -> Json.write(change.value()).length <= takesValue);
       if (taken) {
-        transaction.changes().stream().map(Mutation::key).forEach(waiting::remove);
+        transaction.mutations().stream().map(Mutation::key).forEach(waiting::remove);
       } else {
         refusals++;
-        bounds.refused(transaction.changes(), now);
+        bounds.recordRefusal(transaction.mutations(), now);
       }
     }
     assertEquals(tooLarge, waiting.size(), refusals + " refusals");
--- a/src/test/java/org/quincecross/state/CacheTestSupport.java
+++ b/src/test/java/org/quincecross/state/CacheTestSupport.java
@@ -21,6 +21,7 @@
     }
   }
 
+  /** Marks all changes up to a revision as applied. */
   public static void advance(ClusterStateCache cache, long revision) {
     cache.advance(new Revision(revision));
   }
