--- a/src/main/java/org/quincecross/admin/StallDetector.java
+++ b/src/main/java/org/quincecross/admin/StallDetector.java
@@ -143,7 +143,7 @@
       ShardOwner owner = ownedShards.get(shard);
       ShardLease lease = cache.shard(shard);
       if (owner != null) {
-        waits.addAll(owner.waits(job));
+        waits.addAll(owner.unplacedReasons(job));
       } else {
         waits.add(
             lease == null
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -121,7 +121,7 @@
     }
     if (lease.owner().equals(self)) {
       ShardOwner owner = ownedShards.get(lease.id());
-      byte[] answer = owner == null ? null : owner.answer(heartbeat);
+      byte[] answer = owner == null ? null : owner.respond(heartbeat);
       if (answer != null) {
         strays.answered(heartbeat, timers.now());
         reply.accept(HttpResponse.of(200, answer));
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -163,7 +163,7 @@
             clockMs,
             unconfirmedBound.unconfirmed());
     forecast = new DemandForecast(cache, agreed.withheld());
-    roomElsewhere = new RemoteCapacityHint(cache, views, this::reserves);
+    roomElsewhere = new RemoteCapacityHint(cache, views, this::headroom);
     ownedShards = new OwnedShards(this, settings.self(), membership::life);
     autoscaler =
         new Autoscaler(
@@ -243,7 +243,7 @@
     cache.addListener(changes -> membership.ledgerChanged(cache));
     agreed.listen(cache, ownedShards, leader, served, this::running);
     agreed.keepRoom(forecast, leader);
-    cache.addListener(ownedShards::ledgerChanged);
+    cache.addListener(ownedShards::cacheChanged);
     cache.addListener(cancellations::ledgerChanged);
     cache.addListener(this::forgetFormerHolders);
     cache.addListener(leader::cacheChanged);
@@ -271,7 +271,7 @@
     }
     LOG.info("stood still for {}: nothing is decided before the records are confirmed", gap);
     views.excuse(gap);
-    ownedShards.excuse(gap);
+    ownedShards.excusePause(gap);
     watcher.barrier(confirmed -> leader.scheduleStep());
   }
 
@@ -345,7 +345,7 @@
       }
       if (!views.take(heartbeat, timers.now())) {
         newsForAll = true; // with the receipt that says so
-        newsForLeader();
+        notifyLeader();
       }
       return true;
     } catch (MalformedMessageException e) {
@@ -489,43 +489,43 @@
   }
 
   @Override
-  public ClusterStateCache ledger() {
+  public ClusterStateCache cache() {
     return cache;
   }
 
   @Override
-  public List<Headroom> reserves(ShardId shard) {
+  public List<Headroom> headroom(ShardId shard) {
     return forecast.headroomFor(shard, timers.now());
   }
 
   @Override
-  public Settings.AgentTimeouts workers() {
+  public Settings.AgentTimeouts agentTimeouts() {
     return settings.agentTimeouts();
   }
 
   @Override
-  public StartBlock withheld() {
+  public StartBlock startBlock() {
     return agreed.withheld();
   }
 
   @Override
-  public Set<MachineId> places(Job job, int index) {
+  public Set<MachineId> machinesFor(Job job, int index) {
     return agreed.places(job, index);
   }
 
   @Override
-  public boolean isIdle(Job job) {
+  public boolean isBestEffort(Job job) {
     return settings.isBestEffort(job);
   }
 
   @Override
-  public TimeSpan startWithin(String jobClass) {
+  public TimeSpan startTimeLimit(String jobClass) {
     return settings.startTimeLimit(jobClass);
   }
 
   @Override
-  public boolean hasRoomElsewhere(Job job, ShardId here) {
-    return roomElsewhere.isFor(job, here);
+  public boolean hasCapacityElsewhere(Job job, ShardId here) {
+    return roomElsewhere.exists(job, here);
   }
 
   @Override
@@ -544,13 +544,13 @@
   }
 
   @Override
-  public MonotonicTime confirmed() {
+  public MonotonicTime confirmedAt() {
     return watcher.confirmedAt();
   }
 
   @Override
-  public boolean isEntitled() {
-    MonotonicTime confirmed = confirmed();
+  public boolean mayCommand() {
+    MonotonicTime confirmed = confirmedAt();
     return confirmed != null
         && !isWaking()
         && !isUnable()
@@ -558,17 +558,17 @@
   }
 
   @Override
-  public boolean mayStart() {
-    return isEntitled() && startPermission.isGiven(confirmed(), cache.revision(), timers.now());
+  public boolean mayStartTasks() {
+    return mayCommand() && startPermission.isGiven(confirmedAt(), cache.revision(), timers.now());
   }
 
   @Override
-  public TimeSpan longestUnconfirmed() {
+  public TimeSpan maxUnconfirmedOwnership() {
     return unconfirmedBound.unconfirmed();
   }
 
   @Override
-  public boolean isLongCancelled(JobId id) {
+  public boolean isCancellationExpiring(JobId id) {
     JobRecord record = cache.job(id);
     if (record == null || record.phase() != JobPhase.CANCELLED) {
       return false;
@@ -582,7 +582,7 @@
   }
 
   @Override
-  public boolean allHaveNoted(Revision revision) {
+  public boolean allControllersHaveSeen(Revision revision) {
     for (Settings.Peer sibling : settings.peers()) {
       PeerViews.View view = views.of(sibling.id());
       if (!sibling.id().equals(settings.self())
@@ -594,7 +594,7 @@
   }
 
   @Override
-  public void newsForLeader() {
+  public void notifyLeader() {
     if (!newsPlanned) {
       newsPlanned = true;
       timers.after(
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -130,7 +130,7 @@
         .listen(
             (Set<JobId> jobs) -> {
               leader.startBlockChanged(jobs);
-              ownedShards.withheldChanged(jobs);
+              ownedShards.startBlockChanged(jobs);
               if (served != null) {
                 served.withheldChanged(jobs);
               }
--- a/src/main/java/org/quincecross/leader/AllocationWriter.java
+++ b/src/main/java/org/quincecross/leader/AllocationWriter.java
@@ -39,9 +39,9 @@
    * @param fullRecordsOnly whether deltas must not be written because a level without them is
    *     coming
    */
-  AllocationWriter(ClusterStateCache cache, BooleanSupplier wholeOnly) {
+  AllocationWriter(ClusterStateCache cache, BooleanSupplier fullRecordsOnly) {
     this.cache = cache;
-    this.fullRecordsOnly = wholeOnly;
+    this.fullRecordsOnly = fullRecordsOnly;
   }
 
   /** Adds the write to a transaction; false if there is no room for it. */
--- a/src/main/java/org/quincecross/leader/ModelPlacementRound.java
+++ b/src/main/java/org/quincecross/leader/ModelPlacementRound.java
@@ -34,7 +34,6 @@
   /** The resources of each team's replicas that have a machine and are not allocated yet. */
   private final Map<String, Resources> placedDemand = new HashMap<>();
 
-  private final List<ModelSnapshot> snapshots;
   private final ReplicaFailureDetector failureDetector;
   private final ModelPlacementView machines;
   private final AllocationIndex allocationIndex;
@@ -58,7 +57,6 @@
       ClusterStateCache cache,
       Map<String, Team> teams,
       MonotonicTime now) {
-    this.snapshots = snapshots;
     this.failureDetector = failureDetector;
     this.machines = machines;
     this.allocationIndex = allocationIndex;
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -1,6 +1,5 @@
 package org.quincecross.leader;
 
-import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -12,23 +11,16 @@
 import org.quincecross.failuredetection.ReachabilityMap;
 import org.quincecross.failuredetection.ShardMovePolicy;
 import org.quincecross.model.ControllerId;
-import org.quincecross.model.Job;
-import org.quincecross.model.JobId;
-import org.quincecross.model.JobKind;
 import org.quincecross.model.Machine;
 import org.quincecross.model.MachineId;
-import org.quincecross.model.MachineType;
 import org.quincecross.model.MonotonicTime;
-import org.quincecross.model.Resources;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
-import org.quincecross.protocol.Settings;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ControllerRecord;
-import org.quincecross.state.DemandForecast;
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.StoreKeys;
 import org.slf4j.Logger;
@@ -40,21 +32,6 @@
 final class ShardLeaseManager {
   private static final Logger LOG = LoggerFactory.getLogger(ShardLeaseManager.class);
 
-  /** The paper's minimum: "Neighbours start at six similar machines per block." */
-  private static final int MIN_SHARD_SIZE = 6;
-
-  /**
-   * The number of shards for each write per second; with more, each shard's allocation could be
-   * written too rarely.
-   */
-  private static final double SHARDS_PER_WRITE = 0.6;
-
-  /**
-   * The space of a task in a shard's allocation record: 14 bytes for a job's only task, 4 in an
-   * array. Admission enforces the limit.
-   */
-  private static final int BYTES_PER_TASK = 8;
-
   private static final double MIN_REMOTE_ZONE_COST = 2.5;
   private static final double REMOTE_ZONE_COST_SHARE = 0.4;
   private static final TimeSpan REBALANCE_INTERVAL = TimeSpan.ofSeconds(4);
@@ -70,12 +47,10 @@
 
   private final Timers timers;
   private final ClusterStateCache cache;
-  private final Settings settings;
   private final Autoscaler autoscaler;
-  private final DemandForecast forecast;
-  private final AllocationIndex allocationIndex;
   private final CurrentPeerViews currentViews;
   private final AllocationWriter allocations;
+  private final NewcomerPlacement newcomerPlacement;
   private final ReachabilityMap reachability = new ReachabilityMap();
   private final ShardMovePolicy movePolicy = new ShardMovePolicy();
   private final Map<MachineId, Machine> newcomers = new LinkedHashMap<>();
@@ -85,12 +60,10 @@
   ShardLeaseManager(LeaderContext context, Autoscaler autoscaler, AllocationWriter allocations) {
     this.timers = context.timers();
     this.cache = context.cache();
-    this.settings = context.settings();
-    this.forecast = context.forecast();
-    this.allocationIndex = context.allocationIndex();
     this.currentViews = context.currentViews();
     this.autoscaler = autoscaler;
     this.allocations = allocations;
+    this.newcomerPlacement = new NewcomerPlacement(context, autoscaler);
     this.rebalanced = timers.now();
   }
 
@@ -422,99 +395,22 @@
     }
   }
 
-  /**
-   * The maximum number of machines in a shard: higher with more machines and fewer writes per
-   * second.
-   */
-  private int maxMachinesPerShard(MachineType type) {
-    int all = autoscaler.expected();
-    double bySize = Math.ceil(all / (SHARDS_PER_WRITE * settings.storeLimits().writesPerSecond()));
-    Resources small = forecast.urgentTask();
-    int tasks =
-        Math.max(
-            1,
-            small.cpus() > 0 ? type.capacity().capacityFor(small) : (int) type.capacity().cpus());
-    int byRecord =
-        Math.max(MIN_SHARD_SIZE, settings.storeLimits().maxValueBytes() / BYTES_PER_TASK / tasks);
-    return (int)
-        Math.max(Math.max(MIN_SHARD_SIZE, largestPendingGang(type)), Math.min(bySize, byRecord));
-  }
-
-  /**
-   * The number of machines of a type that the largest pending gang needs, which decides how large a
-   * shard may grow for it.
-   */
-  private int largestPendingGang(MachineType type) {
-    int most = 0;
-    for (JobId id : allocationIndex.jobsWithPendingTasks()) {
-      Job job = allocationIndex.get(id).job();
-      int each = type.capacity().capacityFor(job.taskResources());
-      if (job.kind() == JobKind.GANG
-          && each > 0
-          && (job.machineTypes() == null || job.machineTypes().contains(type.name()))) {
-        most = Math.max(most, (job.taskCount() + each - 1) / each);
-      }
-    }
-    return most;
-  }
-
-  private record Kind(String type, String zone, boolean spot) {
-    static Kind of(ShardLease shard) {
-      return new Kind(shard.type(), shard.zone(), shard.spot());
-    }
-  }
-
   private void addNewcomers(
       Map<ShardId, ShardLease> next,
       Set<ShardId> deleted,
       Map<ControllerId, Integer> load,
-      int mostBytes) {
+      int maxBytes) {
     newcomers
         .keySet()
         .removeIf(machine -> cache.shardOf(machine) != null || autoscaler.isGone(machine));
     if (newcomers.isEmpty() || members().isEmpty()) {
       return;
     }
-    Map<Kind, List<ShardId>> withRoom = new HashMap<>();
-    cache
-        .shards()
-        .values()
-        .forEach(
-            shard -> {
-              if (!deleted.contains(shard.id())) {
-                withRoom.computeIfAbsent(Kind.of(shard), kind -> new ArrayList<>()).add(shard.id());
-              }
-            });
-    for (Machine machine : newcomers.values()) {
-      MachineType type = cache.machineTypes().get(machine.type());
-      if (type == null) {
-        continue;
-      }
-      int most = maxMachinesPerShard(type);
-      ShardLease home = null;
-      List<ShardId> homes =
-          withRoom.computeIfAbsent(
-              new Kind(machine.type(), machine.zone(), machine.spot()), kind -> new ArrayList<>());
-      while (home == null && !homes.isEmpty()) {
-        ShardLease shard = next.getOrDefault(homes.get(0), cache.shard(homes.get(0)));
-        // A shard whose record would exceed a value cannot be written, and its machines would be in
-        // no shard.
-        if (shard.machines().size() < most && shard.with(machine).maxBytes() <= mostBytes) {
-          home = shard;
-        } else {
-          homes.remove(0);
-        }
-      }
-      if (home != null) {
-        next.put(home.id(), home.with(machine));
-        load.merge(home.owner(), 1, Integer::sum);
-      } else {
-        ControllerRecord holder = chooseOwner(machine.zone(), load);
-        ShardLease made = ShardLease.first(new ShardId("b-" + machine.id()), holder, machine);
-        load.merge(holder.id(), 1, Integer::sum);
-        next.put(made.id(), made);
-        homes.add(made.id());
-      }
-    }
+    newcomerPlacement.add(newcomers.values(), next, deleted, load, maxBytes, this::newShard);
+  }
+
+  private ShardLease newShard(Machine machine, Map<ControllerId, Integer> load) {
+    ControllerRecord owner = chooseOwner(machine.zone(), load);
+    return ShardLease.first(new ShardId("b-" + machine.id()), owner, machine);
   }
 }
--- a/src/main/java/org/quincecross/protocol/AgentCodec.java
+++ b/src/main/java/org/quincecross/protocol/AgentCodec.java
@@ -97,6 +97,16 @@
         pieces);
   }
 
+  /** The protocol's word for an exit reason. */
+  public static String exitWord(ExitReason reason) {
+    for (Map.Entry<String, ExitReason> word : CAUSES.entrySet()) {
+      if (word.getValue() == reason) {
+        return word.getKey();
+      }
+    }
+    throw new IllegalArgumentException("no word for exit reason " + reason);
+  }
+
   private static List<Object> commands(List<AgentCommand> commands) {
     List<Object> list = new ArrayList<>();
     for (AgentCommand command : commands) {
--- a/src/main/java/org/quincecross/shard/AgentCommandSender.java
+++ b/src/main/java/org/quincecross/shard/AgentCommandSender.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.BiConsumer;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.model.Attempt;
 import org.quincecross.model.FencingToken;
@@ -26,96 +27,98 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a holder tells its machines, beside the answers to their reports: starts and stops at once,
- * and the present token to those that have not shown it.
+ * Sends commands to the shard's agents, besides those in responses to heartbeats: starts and stops
+ * at once, and the present fencing token to agents that have not confirmed it.
  *
- * <p>Each direct command waits for its answer, {@link #DIRECT_TIMEOUT} at most. A command that was
- * not answered is not sent again by itself: what it said is said again by the answer to the
- * machine's next report, or after {@link #DIRECT_RETRY}. That it may still be executed is
- * remembered per attempt by {@link AgentSession} until the machine has shown a higher token or a
- * new session.
+ * <p>Each direct command waits for its response, {@link #COMMAND_TIMEOUT} at most. A command
+ * without a response is not retried by itself: its content is repeated in the response to the
+ * agent's next heartbeat, or after {@link #COMMAND_RETRY_DELAY}. That it may still be executed is
+ * remembered per attempt by {@link AgentSession} until the agent has shown a higher token or a new
+ * session.
  */
 final class AgentCommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(AgentCommandSender.class);
-  private static final TimeSpan DIRECT_TIMEOUT = TimeSpan.ofSeconds(1.5);
-  private static final TimeSpan DIRECT_RETRY = TimeSpan.ofSeconds(1);
-  private static final int MOST_ORDERS = 300;
+  private static final TimeSpan COMMAND_TIMEOUT = TimeSpan.ofSeconds(1.5);
+  private static final TimeSpan COMMAND_RETRY_DELAY = TimeSpan.ofSeconds(1);
+  private static final int MAX_COMMANDS = 300;
 
   private final ShardContext context;
-  private final ShardOwner owner;
+  private final ShardState state;
+  private final BiConsumer<AgentSession, Heartbeat> responseHandler;
   private final Placements placements;
   private final Map<MachineId, AgentSession> sessions;
-  private final UnacknowledgedResponses lastAnswers;
+  private final UnacknowledgedResponses unacknowledgedResponses;
 
-  AgentCommandSender(
-      ShardContext context,
-      ShardOwner owner,
-      Placements placements,
-      Map<MachineId, AgentSession> sessions) {
-    this.context = context;
-    this.owner = owner;
-    this.placements = placements;
-    this.sessions = sessions;
-    this.lastAnswers = new UnacknowledgedResponses(context, placements);
+  /**
+   * Creates a sender.
+   *
+   * @param responseHandler receives the status in responses to direct commands
+   */
+  AgentCommandSender(ShardState state, BiConsumer<AgentSession, Heartbeat> responseHandler) {
+    this.state = state;
+    this.context = state.context();
+    this.placements = state.placements();
+    this.sessions = state.sessions();
+    this.responseHandler = responseHandler;
+    this.unacknowledgedResponses = new UnacknowledgedResponses(context, placements);
   }
 
-  /** All that the machine should be told now; everything in it may be told again. */
-  List<AgentCommand> orders(AgentSession session) {
+  /** All commands that the agent should have now; each of them may be repeated. */
+  List<AgentCommand> pendingCommands(AgentSession session) {
     List<AgentCommand> commands = new ArrayList<>();
     MachineId machine = session.machine().id();
     Set<Attempt> present = new HashSet<>();
-    for (TaskStatus piece : session.report().tasks()) {
-      present.add(piece.attempt());
-      Placement placement = placements.get(piece.task());
-      boolean ours = placement != null && placement.isBoundTo(machine, piece.attempt());
-      if (piece.state() == TaskState.EXITED) {
+    for (TaskStatus status : session.lastHeartbeat().tasks()) {
+      present.add(status.attempt());
+      Placement placement = placements.get(status.task());
+      boolean ours = placement != null && placement.isAttemptOn(machine, status.attempt());
+      if (status.state() == TaskState.EXITED) {
         boolean keep =
             ours
                 || (placement != null
                     && placement.state() == Placement.State.COMPLETED
                     && placement.machine().equals(machine)
-                    && placement.attempt().equals(piece.attempt()));
-        if (!keep && !session.mayStillStart(piece.attempt())) {
-          commands.add(AgentCommand.forget(piece.task(), piece.attempt()));
+                    && placement.attempt().equals(status.attempt()));
+        if (!keep && !session.mayStillBeStarted(status.attempt())) {
+          commands.add(AgentCommand.forget(status.task(), status.attempt()));
         }
       } else if (!ours) {
-        commands.add(AgentCommand.stop(piece.task(), piece.attempt(), TimeSpan.ZERO));
+        commands.add(AgentCommand.stop(status.task(), status.attempt(), TimeSpan.ZERO));
       } else if (placement.state() == Placement.State.STOPPING
-          && (piece.state() != TaskState.CHECKPOINTING || placement.grace().nanos() == 0)) {
-        commands.add(AgentCommand.stop(piece.task(), piece.attempt(), placement.grace()));
+          && (status.state() != TaskState.CHECKPOINTING || placement.gracePeriod().nanos() == 0)) {
+        commands.add(AgentCommand.stop(status.task(), status.attempt(), placement.gracePeriod()));
       }
     }
-    // Said again, a start is a start: one that is held back here is said once the records are
+    // Repeating a start is a start: one that is held back here is sent once the records are
     // confirmed (docs/incidents/started-without-word.md).
-    for (Placement placement : context.mayStart() ? placements.on(machine) : List.<Placement>of()) {
+    for (Placement placement :
+        context.mayStartTasks() ? placements.on(machine) : List.<Placement>of()) {
       if (placement.state() == Placement.State.STARTING && !present.contains(placement.attempt())) {
         commands.add(AgentCommand.start(placement.task(), placement.attempt()));
       }
     }
-    return commands.size() > MOST_ORDERS ? commands.subList(0, MOST_ORDERS) : commands;
+    return commands.size() > MAX_COMMANDS ? commands.subList(0, MAX_COMMANDS) : commands;
   }
 
-  /** Whether the machine may be answered, which renews its lease. */
-  boolean mayAnswer(AgentSession session) {
-    return lastAnswers.mayAnswer(session);
+  /** Whether the agent may get a response, which renews its lease. */
+  boolean mayRespond(AgentSession session) {
+    return unacknowledgedResponses.mayRespond(session);
   }
 
-  /**
-   * The answer to the machine's report; one that does not obey yet is told nothing but the token.
-   */
-  byte[] answer(AgentSession session) {
+  /** The response to the agent's heartbeat; an agent that is not fenced yet gets only the token. */
+  byte[] response(AgentSession session) {
     List<AgentCommand> commands =
-        session.state() == AgentSession.State.FENCED ? orders(session) : List.of();
-    tell(commands);
-    session.startsInAnswer(starts(commands).keySet());
-    return AgentCodec.writeResponse(owner.lease().token(), commands);
+        session.state() == AgentSession.State.FENCED ? pendingCommands(session) : List.of();
+    markSent(commands);
+    session.startsInResponse(starts(commands).keySet());
+    return AgentCodec.writeResponse(state.lease().token(), commands);
   }
 
-  private void tell(List<AgentCommand> commands) {
+  private void markSent(List<AgentCommand> commands) {
     for (AgentCommand command : commands) {
       Placement placement = placements.get(command.task());
       if (placement != null && placement.attempt().equals(command.attempt())) {
-        placement.tell();
+        placement.markCommandSent();
       }
     }
   }
@@ -130,12 +133,12 @@
     return starts;
   }
 
-  /** Sends starts and stops at once rather than with the answer to the next report. */
-  void sendUntold() {
+  /** Sends starts and stops at once instead of with the response to the next heartbeat. */
+  void sendUnsent() {
     Set<MachineId> untold = new LinkedHashSet<>();
     for (Placement.State state : List.of(Placement.State.STARTING, Placement.State.STOPPING)) {
       for (Placement placement : placements.in(state)) {
-        if (!placement.isTold()) {
+        if (!placement.isCommandSent()) {
           untold.add(placement.machine());
         }
       }
@@ -146,9 +149,9 @@
       if (session != null
           && session.state() == AgentSession.State.FENCED
           && session.canSendDirect(now)) {
-        List<AgentCommand> commands = orders(session);
+        List<AgentCommand> commands = pendingCommands(session);
         if (!commands.isEmpty()) {
-          tell(commands);
+          markSent(commands);
           sendDirect(session, commands);
         }
       }
@@ -156,20 +159,20 @@
   }
 
   private void sendDirect(AgentSession session, List<AgentCommand> commands) {
-    FencingToken sentWith = owner.lease().token();
+    FencingToken sentWith = state.lease().token();
     Map<Attempt, TaskId> starts = starts(commands);
     session.directSent(starts);
-    LOG.debug("block {}: {} commands to {}", owner.id(), commands.size(), session.machine().id());
+    LOG.debug("shard {}: {} commands to {}", state.id(), commands.size(), session.machine().id());
     HttpRequest request =
         HttpRequest.post(
             AgentCodec.COMMANDS_PATH,
-            AgentCodec.writeCommands(sentWith, session.report().session(), commands));
+            AgentCodec.writeCommands(sentWith, session.lastHeartbeat().session(), commands));
     context
         .http()
         .call(
             session.machine().address(),
             request,
-            DIRECT_TIMEOUT,
+            COMMAND_TIMEOUT,
             outcome -> directEnded(session, starts, sentWith, outcome));
   }
 
@@ -179,25 +182,25 @@
       FencingToken sentWith,
       HttpOutcome outcome) {
     Heartbeat heartbeat = readReport(outcome);
-    // Another machine may have the address of one that is gone: what that one says is nothing of
-    // this one.
+    // Another machine may have the address of a terminated one; its status says nothing about that
+    // one.
     if (heartbeat == null || !heartbeat.machine().id().equals(session.machine().id())) {
       LOG.debug(
-          "block {}: no answer from {}, status {}",
-          owner.id(),
+          "shard {}: no response from {}, status {}",
+          state.id(),
           session.machine().id(),
           outcome.status());
-      boolean mayHaveArrived = outcome.sent() && sentWith.equals(owner.lease().token());
-      session.directFailed(starts, mayHaveArrived, context.now().plus(DIRECT_RETRY));
+      boolean mayHaveArrived = outcome.sent() && sentWith.equals(state.lease().token());
+      session.directFailed(starts, mayHaveArrived, context.now().plus(COMMAND_RETRY_DELAY));
       if (outcome.sent()) {
-        session.hearing().commandUnanswered();
-        owner.stir(session);
+        session.reachability().commandUnanswered();
+        state.markDirty(session);
       }
       return;
     }
     session.directAnswered(starts);
     if (sessions.get(session.machine().id()) == session) {
-      owner.answered(session, heartbeat);
+      responseHandler.accept(session, heartbeat);
     }
   }
 
@@ -208,23 +211,24 @@
     try {
       return AgentCodec.readHeartbeat(Json.parseFields(outcome.response().body()));
     } catch (MalformedMessageException e) {
-      LOG.info("unreadable answer of a worker: {}", e.getMessage());
+      LOG.info("agent response cannot be read: {}", e.getMessage());
       return null;
     }
   }
 
   /**
-   * Shows unfenced machines the present token: asks for the session, then sends a command that
-   * commands nothing. Such a command also asks a doubted machine what it has ({@link
-   * org.quincecross.failuredetection.StaleHeartbeatFilter}): its answer is made after the doubt.
+   * Sends the present token to machines that are not fenced: requests the session, then sends an
+   * empty command. Such a command also asks a doubtful machine for its state ({@link
+   * org.quincecross.failuredetection.StaleHeartbeatFilter}), because its response is made after the
+   * doubt arose.
    */
-  void fence() {
+  void requestStatus() {
     MonotonicTime now = context.now();
     for (AgentSession session : sessions.values()) {
-      if (session.isToBeAsked(context.workers().heartbeatInterval(), now)
+      if (session.needsStatusRequest(context.agentTimeouts().heartbeatInterval(), now)
           && session.canSendDirect(now)
-          && context.isEntitled()) {
-        if (session.report() != null) {
+          && context.mayCommand()) {
+        if (session.lastHeartbeat() != null) {
           sendDirect(session, List.of());
           continue;
         }
@@ -234,8 +238,8 @@
             .call(
                 session.machine().address(),
                 HttpRequest.get(AgentCodec.STATUS_PATH),
-                DIRECT_TIMEOUT,
-                outcome -> directEnded(session, Map.of(), owner.lease().token(), outcome));
+                COMMAND_TIMEOUT,
+                outcome -> directEnded(session, Map.of(), state.lease().token(), outcome));
       }
     }
   }
--- a/src/main/java/org/quincecross/shard/AgentSession.java
+++ b/src/main/java/org/quincecross/shard/AgentSession.java
@@ -19,57 +19,62 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Heartbeat;
 
-/** What the holder knows of one machine of its block. */
+/** The owner's knowledge of one machine of its shard. */
 final class AgentSession {
   /** The states of a session. */
   enum State {
-    /** It may still obey the former holder. */
+    /** The agent may still obey a former owner. */
     UNFENCED,
-    /** It has shown the block's token: it obeys this holder alone, and its report is complete. */
+    /**
+     * The agent has shown the shard's token: it obeys this owner alone, and its heartbeat is
+     * complete.
+     */
     FENCED,
-    /** Its lease has surely run out: nothing runs there until it reports again. */
+    /** The agent's lease has certainly expired: nothing runs there until it reports again. */
     LOST
   }
 
   /**
-   * What a worker may send between two reports to the same controller: a round of the others, in
-   * two sessions at most.
+   * The number of messages that an agent may send between two heartbeats to the same controller:
+   * one round of the others, in at most two sessions.
    */
-  private static final long CLOSE_REPORTS = 12;
+  private static final long MAX_SEQUENCE_GAP = 12;
 
-  private static final long CLOSE_SESSIONS = 2;
+  private static final long MAX_SESSION_GAP = 2;
 
   private final Machine machine;
   private final Resources capacity;
   private final double cacheGb;
   private final Map<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
-  private final Set<String> fetched = new HashSet<>();
+  private final Set<String> imagePulled = new HashSet<>();
   private final Map<Attempt, TaskId> startsInFlight = new HashMap<>();
-  private final Map<Attempt, TaskId> startsUnanswered = new HashMap<>();
-  private final Set<Attempt> startsInAnswer = new HashSet<>();
-  private final StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
+  private final Map<Attempt, TaskId> unansweredStarts = new HashMap<>();
+  private final Set<Attempt> startsInResponse = new HashSet<>();
+  private final StaleHeartbeatFilter staleFilter = new StaleHeartbeatFilter();
   private State state = State.UNFENCED;
-  private Heartbeat heartbeat;
-  private MonotonicTime heard;
+  private Heartbeat lastHeartbeat;
+  private MonotonicTime lastContact;
   private MonotonicTime leaseFrom;
 
-  /** The same as far as the answers to reports go of which nothing will be proven. */
+  /** The same bound, restricted to responses to heartbeats about which nothing will be proven. */
   private MonotonicTime provenFrom;
 
-  /** When its present session was first shown: that has a lease of its own from before then on. */
+  /** When the present session was first seen; it has a lease of its own from before then. */
   private MonotonicTime shownFrom;
 
-  private final OneWayPartitionDetector hearing;
-  private boolean cleared;
+  private final OneWayPartitionDetector reachability;
+  private boolean wasCleared;
   private MonotonicTime directAfter;
   private boolean directRunning;
-  private boolean sick;
+  private boolean faulty;
   private boolean open;
   private List<String> imageList;
 
   /**
-   * {@code leaseFrom}: nobody can have renewed the machine's lease later than this, as far as is
-   * known now.
+   * Creates an unfenced session.
+   *
+   * @param leaseFrom no one can have renewed the machine's lease later than this, as far as is
+   *     known
    */
   AgentSession(
       Machine machine,
@@ -83,31 +88,31 @@
     this.leaseFrom = leaseFrom;
     this.provenFrom = leaseFrom;
     this.shownFrom = now;
-    this.hearing = new OneWayPartitionDetector(now);
-    this.heard = now;
+    this.reachability = new OneWayPartitionDetector(now);
+    this.lastContact = now;
     this.directAfter = now;
   }
 
-  /** The one place where a session changes its state. */
+  /** The only method that changes the state. */
   void enter(State next) {
-    if (next == State.FENCED && !hasBegunAnew()) {
-      // Whatever was sent with a former token is refused from here on.
-      startsUnanswered.clear();
+    if (next == State.FENCED && !hasRestarted()) {
+      // Commands sent with a former token are refused from here on.
+      unansweredStarts.clear();
     }
-    cleared |= next != State.UNFENCED;
+    wasCleared |= next != State.UNFENCED;
     state = next;
   }
 
   /**
-   * Whether it has been fenced or lost: nothing that a former holder may have sent counts there any
-   * more.
+   * Whether the machine has been fenced or lost: nothing that a former owner sent has an effect
+   * there any more.
    */
   boolean wasCleared() {
-    return cleared;
+    return wasCleared;
   }
 
-  OneWayPartitionDetector hearing() {
-    return hearing;
+  OneWayPartitionDetector reachability() {
+    return reachability;
   }
 
   Machine machine() {
@@ -122,187 +127,190 @@
     return state;
   }
 
-  Heartbeat report() {
-    return heartbeat;
+  Heartbeat lastHeartbeat() {
+    return lastHeartbeat;
   }
 
-  /** The attempts that the last report names, in whatever state. */
+  /** The attempts in the last heartbeat, in any state. */
   Set<Attempt> reportedAttempts() {
     Set<Attempt> reported = new HashSet<>();
-    heartbeat.tasks().forEach(piece -> reported.add(piece.attempt()));
+    lastHeartbeat.tasks().forEach(status -> reported.add(status.attempt()));
     return reported;
   }
 
   /**
-   * Takes a report that is newer than those before; {@code beat}: one that the worker sent by
-   * itself. It has one such report under way at a time, so the answer to the one before has been
-   * executed or will be dropped.
+   * Accepts a heartbeat that is newer than all before.
+   *
+   * @param beat whether the agent sent it on its own. It has one such heartbeat in flight at a
+   *     time, so the response to the previous one has been executed or will be dropped.
    */
-  void take(Heartbeat next, boolean beat, MonotonicTime now) {
-    if (heartbeat == null || heartbeat.session() != next.session() || state == State.LOST) {
-      // A session's lease runs from when it began, which nobody has to answer: bounds from before
-      // it say nothing of it, though no
-      // answer was ever taken. Guards against docs/incidents/session-without-an-answer.md and
-      // lease-of-a-new-session.md.
+  void accept(Heartbeat next, boolean beat, MonotonicTime now) {
+    if (lastHeartbeat == null || lastHeartbeat.session() != next.session() || state == State.LOST) {
+      // A session's lease runs from its beginning, which needs no response: earlier bounds do not
+      // cover it, even if no response was ever accepted. Guards against
+      // docs/incidents/session-without-an-answer.md and lease-of-a-new-session.md.
       shownFrom = now;
     }
-    // A worker that has begun anew may come to the session that a command of before was sent to:
-    // only a new token ends that.
-    if (heartbeat != null && heartbeat.session() != next.session() && !hasBegunAnew()) {
-      startsUnanswered.clear();
+    // A restarted agent may reach the session number that an earlier command was sent to: only a
+    // new token excludes that.
+    if (lastHeartbeat != null && lastHeartbeat.session() != next.session() && !hasRestarted()) {
+      unansweredStarts.clear();
       startsInFlight.clear();
     }
     if (beat) {
-      startsInAnswer.clear();
+      startsInResponse.clear();
     }
-    heartbeat = next;
+    lastHeartbeat = next;
   }
 
   /**
-   * What a message of the machine is; {@code beat}: it sent it by itself, or it is a copy of such a
-   * one.
+   * Classifies a message of the machine; {@code beat}: the agent sent it on its own, or it is a
+   * copy of such a message.
    */
-  StaleHeartbeatFilter.Verdict judge(Heartbeat next, boolean beat, MonotonicTime now) {
+  StaleHeartbeatFilter.Verdict classify(Heartbeat next, boolean beat, MonotonicTime now) {
     StaleHeartbeatFilter.Shown shown =
         new StaleHeartbeatFilter.Shown(next.token(), next.session(), next.sequence());
     return beat
-        ? freshness.ofReport(shown, state == State.LOST, now)
-        : freshness.ofAnswer(shown, now);
+        ? staleFilter.ofReport(shown, state == State.LOST, now)
+        : staleFilter.ofAnswer(shown, now);
   }
 
   /**
-   * Whether the worker has begun anew under this holder: it gets no work before the block has a new
+   * Whether the agent has restarted under this owner: it gets no tasks before the shard has a new
    * token.
    */
-  boolean hasBegunAnew() {
-    return freshness.state() == StaleHeartbeatFilter.State.BEGUN_ANEW;
+  boolean hasRestarted() {
+    return staleFilter.state() == StaleHeartbeatFilter.State.BEGUN_ANEW;
   }
 
   /**
-   * Whether the machine is to be asked what it has: it does not obey yet, or what came last from it
-   * is doubtful.
+   * Whether the machine has to be asked for its state: it is not fenced, or its last message is
+   * doubtful.
    */
-  boolean isToBeAsked(TimeSpan reportEvery, MonotonicTime now) {
-    return state == State.UNFENCED || freshness.isToBeAsked(reportEvery, now);
+  boolean needsStatusRequest(TimeSpan reportEvery, MonotonicTime now) {
+    return state == State.UNFENCED || staleFilter.isToBeAsked(reportEvery, now);
   }
 
-  void hear(MonotonicTime now) {
-    heard = now;
+  void recordContact(MonotonicTime now) {
+    lastContact = now;
   }
 
-  MonotonicTime heard() {
-    return heard;
+  MonotonicTime lastContact() {
+    return lastContact;
   }
 
-  /** A report was answered with the block's token: the machine's lease may run from now. */
-  // Equal reports of two moments prove different things: the instance is meant.
+  /**
+   * Called when a heartbeat got a response with the shard's token: the machine's lease may run from
+   * now.
+   */
+  // Equal heartbeats of two moments prove different things: the instance is meant.
   @SuppressWarnings("ReferenceEquality")
-  void answered(Heartbeat answered, MonotonicTime now) {
+  void responseSent(Heartbeat answered, MonotonicTime now) {
     if (leaseFrom.isBefore(now)) {
       leaseFrom = now;
     }
-    if (answered == heartbeat) {
-      hearing.answered(answered.session(), now);
+    if (answered == lastHeartbeat) {
+      reachability.answered(answered.session(), now);
     } else if (provenFrom.isBefore(now)) {
       provenFrom =
-          now; // a report that is not the newest: from a life of the machine of which nothing is
+          now; // not the newest heartbeat: it comes from an agent process about which nothing is
       // known
     }
   }
 
   /**
-   * Whether a report, about to be taken, proves that no answer of this holder was taken; then the
-   * lease runs from where it ran before the first of them.
+   * Whether a heartbeat that is about to be accepted proves that no response of this owner was
+   * accepted; the lease then runs from where it ran before the first of them.
    *
-   * <p>Proof. A worker keeps the highest token that it has seen, and only an answer with at least
-   * that token renews its lease. All answers of this holder have the block's token. It has one
-   * report under way at a time and drops the answer to one that it has given up, so when it made
-   * this report each answer to an earlier one had been taken or never will be; and had one been
-   * taken, this report would show the token. Nobody else answers with this token, and who answers
-   * with a lower one is bounded by what the holder began with; one with a higher one holds the
-   * block, which the last word from the state service excludes up to then.
+   * <p>Proof. An agent keeps the highest token that it has seen, and only a response with at least
+   * that token renews its lease. All responses of this owner carry the shard's token. The agent has
+   * one heartbeat in flight at a time and drops the response to one that it has given up, so when
+   * it made this heartbeat, each response to an earlier one had been accepted or never will be; and
+   * had one been accepted, this heartbeat would show the token. No one else responds with this
+   * token. Responses with a lower one are bounded by what the owner began with; one with a higher
+   * token owns the shard, which the last confirmation by the store excludes up to then.
    *
-   * <p>A machine that was started anew counts from one again and is another worker: a late copy of
-   * a report from its former life would prove nothing about it. So the report must show no lower
-   * token than the last one (Freshness.isAfter), follow it closely in number and session, the
-   * machine must never have shown the token, and an answer to any report that was not the newest
-   * ({@link #answered}) keeps its bound.
+   * <p>A restarted agent counts from one again and is another process: a late copy of a heartbeat
+   * from before the restart would prove nothing about it. So the heartbeat must show no lower token
+   * than the last one (StaleHeartbeatFilter.isAfter), follow it closely in number and session, the
+   * machine must never have shown the token, and a response to any heartbeat that was not the
+   * newest ({@link #responseSent}) keeps its bound.
    *
-   * <p>With an equal token a report shows by its session alone whether an answer was taken. It
-   * needs no other proof: the session ends by itself when the lease does, and the first report of
-   * the next one frees all that the one before had.
+   * <p>With an equal token a heartbeat shows by its session alone whether a response was accepted.
+   * It needs no other proof: the session ends by itself when the lease does, and the first
+   * heartbeat of the next session frees everything that the previous one had.
    */
   boolean provesNoneTaken(Heartbeat next, FencingToken token) {
     if (state == State.FENCED
-        || hasBegunAnew()
-        || heartbeat == null
+        || hasRestarted()
+        || lastHeartbeat == null
         || !token.isAfter(next.token())
-        || !next.isNewerThan(heartbeat)
-        || next.session() - heartbeat.session() > CLOSE_SESSIONS
-        || next.sequence() <= heartbeat.sequence()
-        || next.sequence() - heartbeat.sequence() > CLOSE_REPORTS) {
+        || !next.isNewerThan(lastHeartbeat)
+        || next.session() - lastHeartbeat.session() > MAX_SESSION_GAP
+        || next.sequence() <= lastHeartbeat.sequence()
+        || next.sequence() - lastHeartbeat.sequence() > MAX_SEQUENCE_GAP) {
       return false;
     }
     leaseFrom = provenFrom;
     return true;
   }
 
-  /** No former holder can have answered the machine after this. */
-  void answeredByOthersUntil(MonotonicTime now) {
+  /** Called when no former owner can respond to the machine after this time. */
+  void formerOwnersSilentSince(MonotonicTime now) {
     leaseFrom = now.isBefore(leaseFrom) ? now : leaseFrom;
     provenFrom = now.isBefore(provenFrom) ? now : provenFrom;
   }
 
-  /** When its lease is over at the latest, if it is not answered again. */
-  MonotonicTime leaseEnds(TimeSpan leaseAtMost) {
+  /** When the machine's lease expires at the latest if it gets no more responses. */
+  MonotonicTime leaseExpiry(TimeSpan leaseAtMost) {
     return (leaseFrom.isBefore(shownFrom) ? shownFrom : leaseFrom).plus(leaseAtMost);
   }
 
-  boolean leaseIsOver(TimeSpan leaseAtMost, MonotonicTime now) {
-    return leaseEnds(leaseAtMost).isBefore(now);
+  boolean isLeaseExpired(TimeSpan leaseAtMost, MonotonicTime now) {
+    return leaseExpiry(leaseAtMost).isBefore(now);
   }
 
   /**
-   * Notes that the session is surely over in which a former holder may have commanded, though the
-   * machine may be in a later one; true once. A machine that hears nothing goes from one session to
-   * the next and is never lost by {@link #leaseIsOver}, as each has a lease of its own; what waits
-   * for it would wait for ever.
+   * Records that the session in which a former owner may have sent commands is certainly over,
+   * although the machine may be in a later one; true once. A machine that receives nothing goes
+   * from one session to the next and is never lost by {@link #isLeaseExpired}, as each has a lease
+   * of its own; what waits for it would wait for ever.
    *
-   * <p>Proof. Nobody else has answered or commanded it after the first bound on its lease, and of
-   * this holder's answers none was taken before {@link #provenFrom} (to be asked right after {@link
-   * #provesNoneTaken}). So the session of that time was over a lease later, and no former holder
-   * knows the number of any that began since.
+   * <p>Proof. No one else has responded to it or commanded it after the first bound on its lease,
+   * and of this owner's responses none was accepted before {@link #provenFrom} (to be asked right
+   * after {@link #provesNoneTaken}). So the session of that time was over a lease later, and no
+   * former owner knows the number of any that began since.
    */
-  boolean clearByTime(TimeSpan leaseAtMost, MonotonicTime now) {
-    if (cleared || !leaseFrom.plus(leaseAtMost).isBefore(now)) {
+  boolean clearAfterLease(TimeSpan leaseAtMost, MonotonicTime now) {
+    if (wasCleared || !leaseFrom.plus(leaseAtMost).isBefore(now)) {
       return false;
     }
-    cleared = true;
+    wasCleared = true;
     return true;
   }
 
-  /** Whether it obeys this holder alone and nothing speaks against giving it work. */
-  boolean takesWork() {
-    return state == State.FENCED && !sick && !hasNotice() && !hasBegunAnew();
+  /** Whether the machine obeys this owner alone and nothing speaks against giving it tasks. */
+  boolean acceptsTasks() {
+    return state == State.FENCED && !faulty && !hasTerminationNotice() && !hasRestarted();
   }
 
-  boolean hasNotice() {
-    return heartbeat != null && heartbeat.terminationNotice() != null;
+  boolean hasTerminationNotice() {
+    return lastHeartbeat != null && lastHeartbeat.terminationNotice() != null;
   }
 
-  boolean isSick() {
-    return sick;
+  boolean isFaulty() {
+    return faulty;
   }
 
-  void markSick() {
-    sick = true;
+  void markFaulty() {
+    faulty = true;
   }
 
   boolean hasImage(String image) {
     return images.containsKey(image);
   }
 
-  /** The images, in an order that stays while they do. */
+  /** The images, in a stable order. */
   List<String> images() {
     if (imageList == null) {
       imageList = images.keySet().stream().sorted().toList();
@@ -310,34 +318,34 @@
     return imageList;
   }
 
-  /** Whether it was last found to take work. */
-  boolean wasOpen() {
+  /** Whether the machine was last found to accept tasks. */
+  boolean isOpen() {
     return open;
   }
 
-  void found(boolean nowOpen) {
+  void setOpen(boolean nowOpen) {
     open = nowOpen;
   }
 
-  /** Whether an image is not known to be here yet, though a task that needs it is. */
-  boolean isFetching(String image) {
-    return !fetched.contains(image);
+  /** Whether an image is not known to be present although a task that needs it is. */
+  boolean isPulling(String image) {
+    return !imagePulled.contains(image);
   }
 
-  void fetched(String image) {
-    fetched.add(image);
+  void imagePulled(String image) {
+    imagePulled.add(image);
   }
 
-  /** A former holder knew of an image here; how large it is will show when it is used again. */
+  /** Adds an image that a former owner knew of; its size will be known when it is next used. */
   void inheritImage(String image) {
     images.put(image, 0.0);
     imageList = null;
-    fetched.add(image);
+    imagePulled.add(image);
   }
 
   /**
-   * A task has or gets its image here, so the machine has it: until more recently used ones crowd
-   * it out.
+   * Records that a task has or gets its image here; the image stays until more recently used ones
+   * evict it.
    */
   void usedImage(String image, double gb) {
     Double before = images.put(image, gb);
@@ -350,63 +358,65 @@
         i.hasNext() && sum > cacheGb; ) {
       Map.Entry<String, Double> oldest = i.next();
       sum -= oldest.getValue();
-      fetched.remove(oldest.getKey());
+      imagePulled.remove(oldest.getKey());
       i.remove();
     }
   }
 
   /**
-   * Whether a start of this attempt may yet be executed: then its report must not be cleared, or it
-   * starts anew.
+   * Whether a start of this attempt may still be executed: then its exit must not be cleared, or it
+   * starts again.
    */
-  boolean mayStillStart(Attempt attempt) {
+  boolean mayStillBeStarted(Attempt attempt) {
     return startsInFlight.containsKey(attempt)
-        || startsUnanswered.containsKey(attempt)
-        || startsInAnswer.contains(attempt);
+        || unansweredStarts.containsKey(attempt)
+        || startsInResponse.contains(attempt);
   }
 
   /**
-   * Whether only a new token or a new session ends the doubt about a start: nothing else of it will
-   * come.
+   * Whether only a new token or session resolves whether an attempt was started: no other sign of
+   * it will come.
    */
-  boolean isInDoubt(Attempt attempt) {
-    return startsUnanswered.containsKey(attempt);
+  boolean needsTokenToResolve(Attempt attempt) {
+    return unansweredStarts.containsKey(attempt);
   }
 
   /**
-   * Whether one of some tasks may yet start here by a command whose attempt the machine has not
+   * Whether one of some tasks may still be started by a command whose attempt the machine has not
    * shown.
    */
-  boolean mayYetStart(Predicate<TaskId> which) {
-    return mayYetStart(startsUnanswered, which) || mayYetStart(startsInFlight, which);
+  boolean mayStillStartAny(Predicate<TaskId> which) {
+    return mayStillStartAny(unansweredStarts, which) || mayStillStartAny(startsInFlight, which);
   }
 
-  private boolean mayYetStart(Map<Attempt, TaskId> starts, Predicate<TaskId> which) {
+  private boolean mayStillStartAny(Map<Attempt, TaskId> starts, Predicate<TaskId> which) {
     if (starts.isEmpty()) {
       return false;
     }
-    Set<Attempt> shown = heartbeat == null ? Set.of() : reportedAttempts();
+    Set<Attempt> shown = lastHeartbeat == null ? Set.of() : reportedAttempts();
     return starts.entrySet().stream()
         .anyMatch(start -> !shown.contains(start.getKey()) && which.test(start.getValue()));
   }
 
   /**
-   * How many exits the machine reports that must not be cleared, because a start of theirs may
-   * still come.
+   * The number of reported exits that must not be cleared because a start of them may still arrive.
    */
-  int keptExits() {
+  int retainedExits() {
     int kept = 0;
-    if (!startsUnanswered.isEmpty() && heartbeat != null) {
-      for (Heartbeat.TaskStatus piece : heartbeat.tasks()) {
-        kept += piece.state() == Heartbeat.TaskState.EXITED && isInDoubt(piece.attempt()) ? 1 : 0;
+    if (!unansweredStarts.isEmpty() && lastHeartbeat != null) {
+      for (Heartbeat.TaskStatus status : lastHeartbeat.tasks()) {
+        kept +=
+            status.state() == Heartbeat.TaskState.EXITED && needsTokenToResolve(status.attempt())
+                ? 1
+                : 0;
       }
     }
     return kept;
   }
 
-  /** The answer to the last report has these starts. */
-  void startsInAnswer(Set<Attempt> starts) {
-    startsInAnswer.addAll(starts);
+  /** Records that the response to the last heartbeat contains these starts. */
+  void startsInResponse(Set<Attempt> starts) {
+    startsInResponse.addAll(starts);
   }
 
   boolean canSendDirect(MonotonicTime now) {
@@ -415,7 +425,7 @@
 
   void directSent(Map<Attempt, TaskId> starts) {
     directRunning = true;
-    freshness.asking();
+    staleFilter.asking();
     startsInFlight.putAll(starts);
   }
 
@@ -426,9 +436,9 @@
 
   void directFailed(Map<Attempt, TaskId> starts, boolean mayHaveArrived, MonotonicTime retryAt) {
     directAnswered(starts);
-    freshness.unanswered();
+    staleFilter.unanswered();
     if (mayHaveArrived) {
-      startsUnanswered.putAll(starts);
+      unansweredStarts.putAll(starts);
     }
     directAfter = retryAt;
   }
--- a/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
+++ b/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
@@ -11,173 +11,189 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Which machines of a block are heard and hear, and which have surely lost their leases. */
+/**
+ * Monitors which machines of a shard can be reached, and which have certainly lost their leases.
+ */
 final class MachineLivenessMonitor {
   private static final Logger LOG = LoggerFactory.getLogger(MachineLivenessMonitor.class);
 
-  /** Beyond the clocks' drift: what a worker and this process may take to notice. */
+  /** What an agent and this process may take to notice, beyond clock drift. */
   private static final TimeSpan LEASE_MARGIN = TimeSpan.ofSeconds(0.7);
 
   private static final double CLOCK_DRIFT = 1.001;
-  private static final TimeSpan LONGEST_UNLOOKED = TimeSpan.ofSeconds(1);
+  private static final TimeSpan MAX_CHECK_INTERVAL = TimeSpan.ofSeconds(1);
 
-  /** A machine that has not heard anything for so much longer than a lease is to be replaced. */
-  private static final TimeSpan LASTING = TimeSpan.ofSeconds(75);
+  /** A machine that has received nothing for this much longer than a lease is to be replaced. */
+  private static final TimeSpan REPLACEMENT_TIMEOUT = TimeSpan.ofSeconds(75);
 
   /**
-   * Of so many machines of a block one may be replaced for being deaf; where more are, it is the
-   * network.
+   * Of this many machines of a shard one may be replaced for a one-way partition; if there are
+   * more, it is the network.
    */
-  private static final int MACHINES_PER_DEAF = 5;
+  private static final int MACHINES_PER_REPLACEMENT = 5;
 
   private final ShardContext context;
-  private final ShardOwner owner;
-  private final HeartbeatProcessor intake;
+  private final ShardState state;
+  private final TaskStatusProcessor taskStatuses;
   private final Map<MachineId, AgentSession> sessions;
 
   /**
-   * Before this no machine loses anything by its silence; what is heard meanwhile only puts it off.
+   * No machine loses anything by silence before this time; contact in the meantime only postpones
+   * it.
    */
-  private MonotonicTime silentAt;
-
-  private boolean formerHaveEnded;
-
-  MachineLivenessMonitor(
-      ShardContext context,
-      ShardOwner owner,
-      HeartbeatProcessor intake,
-      Map<MachineId, AgentSession> sessions) {
-    this.context = context;
-    this.owner = owner;
-    this.intake = intake;
-    this.sessions = sessions;
+  private MonotonicTime nextCheck;
+
+  private boolean formerOwnersEnded;
+
+  MachineLivenessMonitor(ShardState state, TaskStatusProcessor taskStatuses) {
+    this.state = state;
+    this.context = state.context();
+    this.taskStatuses = taskStatuses;
+    this.sessions = state.sessions();
   }
 
   private TimeSpan lease() {
-    return context.workers().lease().times(CLOCK_DRIFT).plus(LEASE_MARGIN);
+    return context.agentTimeouts().lease().times(CLOCK_DRIFT).plus(LEASE_MARGIN);
   }
 
-  /** Looks for machines whose silence has ended their leases. Returns whether one was found. */
+  /** Checks for machines whose leases have expired by silence. Returns whether one was found. */
   boolean tick() {
     MonotonicTime now = context.now();
-    if (!formerHaveEnded && context.allHaveNoted(new Revision(owner.lease().token().value()))) {
-      // Whoever held the block before this lease knows by now that it does not, and answers no
-      // machine of it any more.
-      formerHaveEnded = true;
-      sessions.values().forEach(session -> session.answeredByOthersUntil(now));
-      silentAt = null;
+    if (!formerOwnersEnded
+        && context.allControllersHaveSeen(new Revision(state.lease().token().value()))) {
+      // Every former owner of the shard knows by now that it is none, and responds to none of its
+      // machines any more.
+      formerOwnersEnded = true;
+      sessions.values().forEach(session -> session.formerOwnersSilentSince(now));
+      nextCheck = null;
     }
-    if (silentAt != null && now.isBefore(silentAt)) {
+    if (nextCheck != null && now.isBefore(nextCheck)) {
       return false;
     }
-    silentAt = now.plus(LONGEST_UNLOOKED);
+    nextCheck = now.plus(MAX_CHECK_INTERVAL);
     boolean found = false;
     for (AgentSession session : List.copyOf(sessions.values())) {
-      found |= lookAtSilence(session, now);
+      found |= check(session, now);
     }
     return found;
   }
 
-  /** For so long no machine was listened to. Their leases ran on all the same. */
-  void excuse(TimeSpan gap) {
+  /**
+   * Called after a pause of this process, during which no machine could be heard. Their leases ran
+   * on all the same.
+   */
+  void excusePause(TimeSpan gap) {
     MonotonicTime now = context.now();
     for (AgentSession session : sessions.values()) {
-      MonotonicTime heard = session.heard().plus(gap);
-      session.hear(now.isBefore(heard) ? now : heard);
+      MonotonicTime heard = session.lastContact().plus(gap);
+      session.recordContact(now.isBefore(heard) ? now : heard);
     }
   }
 
-  /** What a machine that is not heard loses with time, and when that is to be looked at again. */
-  private boolean lookAtSilence(AgentSession session, MonotonicTime now) {
-    boolean lost = loseIfOver(session, now);
-    boolean open = owner.isOpen(session);
-    if (session.wasOpen() != open) {
-      owner.stir(session); // by falling silent
+  /** Checks what an unreachable machine loses with time, and when to check it again. */
+  private boolean check(AgentSession session, MonotonicTime now) {
+    boolean lost = loseIfLeaseExpired(session, now);
+    boolean open = isOpen(session);
+    if (session.isOpen() != open) {
+      state.markDirty(session); // it became unreachable
     }
-    MonotonicTime next = open ? session.heard().plus(openFor()) : session.leaseEnds(lease());
-    if (session.state() != AgentSession.State.LOST && next.isBefore(silentAt)) {
-      silentAt = next;
+    MonotonicTime next =
+        open ? session.lastContact().plus(openTimeout()) : session.leaseExpiry(lease());
+    if (session.state() != AgentSession.State.LOST && next.isBefore(nextCheck)) {
+      nextCheck = next;
     }
     return lost;
   }
 
   /**
-   * That a lease is over counts only as of the last word from the state service: until then nobody
-   * else held the block, so nobody else can have renewed it. After that another controller may
-   * have, and what runs there goes on, while the other machines may still obey this holder
+   * An expired lease counts only as of the last confirmation by the store: until then no one else
+   * owned the shard, so no one else can have renewed it. Afterwards another controller may have,
+   * and what runs there goes on, while the other machines may still obey this owner
    * (docs/incidents/lost-by-a-former-holder.md).
    */
-  private boolean loseIfOver(AgentSession session, MonotonicTime now) {
-    MonotonicTime confirmed = context.confirmed();
+  private boolean loseIfLeaseExpired(AgentSession session, MonotonicTime now) {
+    MonotonicTime confirmed = context.confirmedAt();
     if (session.state() == AgentSession.State.LOST
         || confirmed == null
-        || !session.leaseIsOver(lease(), confirmed)) {
+        || !session.isLeaseExpired(lease(), confirmed)) {
       return false;
     }
     LOG.info(
-        "block {}: machine {} has not taken an answer for a lease, which is over",
-        owner.id(),
+        "shard {}: machine {} has accepted no response for the length of its lease, which has expired",
+        state.id(),
         session.machine().id());
     session.enter(AgentSession.State.LOST);
-    intake.freeAll(session.machine().id(), now);
-    owner.stir(session);
+    taskStatuses.freeAll(session.machine().id(), now);
+    state.markDirty(session);
     return true;
   }
 
-  private TimeSpan openFor() {
-    return context.workers().heartbeatInterval().times(2).plus(TimeSpan.ofSeconds(2));
+  private TimeSpan openTimeout() {
+    return context.agentTimeouts().heartbeatInterval().times(2).plus(TimeSpan.ofSeconds(2));
+  }
+
+  /** Whether the machine accepts tasks now. */
+  boolean isOpen(AgentSession session) {
+    return session.acceptsTasks()
+        && !state.lease().leaving().contains(session.machine().id())
+        && isReachable(session);
   }
 
-  /** Whether it is heard and hears. */
-  boolean isInTouch(AgentSession session) {
-    return session.hearing().hears()
-        && !context.now().since(session.heard()).isLongerThan(openFor());
+  /** Whether the machine is heard and hears. */
+  private boolean isReachable(AgentSession session) {
+    return session.reachability().hears()
+        && !context.now().since(session.lastContact()).isLongerThan(openTimeout());
   }
 
   /**
-   * What a newer report says of whether the machine hears, before it is taken. Returns whether it
-   * proves that the machine's lease is over, or that the session is in which a former holder may
-   * have commanded.
+   * Evaluates a new heartbeat, before it is accepted, for reachability. Returns whether it proves
+   * that the machine's lease has expired, or that the session is over in which a former owner may
+   * have sent commands.
    */
-  boolean reported(AgentSession session, Heartbeat heartbeat, boolean beat) {
+  boolean heartbeatReceived(AgentSession session, Heartbeat heartbeat, boolean beat) {
     MonotonicTime now = context.now();
     if (!beat) {
-      session.hearing().commandAnswered(heartbeat.sequence(), now);
+      session.reachability().commandAnswered(heartbeat.sequence(), now);
       return false;
     }
-    boolean hadHeard = session.hearing().hears();
+    boolean hadHeard = session.reachability().hears();
     session
-        .hearing()
-        .reported(heartbeat.session(), heartbeat.sequence(), context.workers().lease(), now);
-    if (hadHeard != session.hearing().hears()) {
-      if (session.hearing().state() == OneWayPartitionDetector.State.DEAF) {
+        .reachability()
+        .reported(heartbeat.session(), heartbeat.sequence(), context.agentTimeouts().lease(), now);
+    if (hadHeard != session.reachability().hears()) {
+      if (session.reachability().state() == OneWayPartitionDetector.State.DEAF) {
         LOG.info(
-            "block {}: machine {} speaks and does not hear", owner.id(), session.machine().id());
+            "shard {}: machine {} sends heartbeats but receives no responses (one-way partition)",
+            state.id(),
+            session.machine().id());
       }
-      owner.stir(session);
+      state.markDirty(session);
     }
-    if (!session.provesNoneTaken(heartbeat, owner.lease().token())) {
+    if (!session.provesNoneTaken(heartbeat, state.lease().token())) {
       return false;
     }
-    session.hearing().noneTaken(now);
+    session.reachability().noneTaken(now);
     boolean isCleared =
-        context.confirmed() != null && session.clearByTime(lease(), context.confirmed());
-    return loseIfOver(session, now) || isCleared;
+        context.confirmedAt() != null && session.clearAfterLease(lease(), context.confirmedAt());
+    return loseIfLeaseExpired(session, now) || isCleared;
   }
 
   /**
-   * Whether a machine has been deaf for so long that another should take its place, and the others
-   * are not deaf as well.
+   * Whether a machine has been in a one-way partition for so long that another should replace it,
+   * while the others are not.
    */
-  boolean isToBeReplaced(AgentSession session, MonotonicTime now) {
-    if (!isLastingDeaf(session, now)) {
+  boolean needsReplacement(AgentSession session, MonotonicTime now) {
+    if (!isPartitionedForLong(session, now)) {
       return false;
     }
-    long deaf = sessions.values().stream().filter(other -> !other.hearing().hears()).count();
-    return deaf <= Math.max(1, sessions.size() / MACHINES_PER_DEAF);
+    long deaf = sessions.values().stream().filter(other -> !other.reachability().hears()).count();
+    return deaf <= Math.max(1, sessions.size() / MACHINES_PER_REPLACEMENT);
   }
 
-  private boolean isLastingDeaf(AgentSession session, MonotonicTime now) {
-    return session.hearing().deafFor(now).isLongerThan(context.workers().lease().plus(LASTING));
+  private boolean isPartitionedForLong(AgentSession session, MonotonicTime now) {
+    return session
+        .reachability()
+        .deafFor(now)
+        .isLongerThan(context.agentTimeouts().lease().plus(REPLACEMENT_TIMEOUT));
   }
 }
--- a/src/main/java/org/quincecross/shard/MachineSnapshots.java
+++ b/src/main/java/org/quincecross/shard/MachineSnapshots.java
@@ -21,51 +21,43 @@
 import org.quincecross.scheduling.ShardScheduler;
 import org.quincecross.state.JobRecord;
 
-/** What machines have room for and are doing, put together from placements and reports. */
+/** The capacity and activity of machines, derived from placements and heartbeats. */
 final class MachineSnapshots {
-  /** A replica that has just been started should not be stopped again for tidiness. */
-  private static final TimeSpan MOVABLE_AFTER = TimeSpan.ofSeconds(40);
+  /** A replica that was started recently should not be moved for consolidation. */
+  private static final TimeSpan MIN_RUN_TIME_TO_MOVE = TimeSpan.ofSeconds(40);
 
-  /** A machine that hears nothing goes the round of the controllers in this time. */
-  private static final TimeSpan ROUND = TimeSpan.ofSeconds(20);
+  /** A machine that receives nothing contacts all controllers in turn within this time. */
+  private static final TimeSpan CONTROLLER_ROUND_TIME = TimeSpan.ofSeconds(20);
 
   private final ShardContext context;
-  private final ShardOwner owner;
   private final Placements placements;
   private final Map<MachineId, AgentSession> sessions;
   private final ShardScheduler scheduler;
-  private final MachineLivenessMonitor watch;
+  private final MachineLivenessMonitor monitor;
 
-  MachineSnapshots(
-      ShardContext context,
-      ShardOwner owner,
-      Placements placements,
-      Map<MachineId, AgentSession> sessions,
-      ShardScheduler scheduler,
-      MachineLivenessMonitor watch) {
-    this.context = context;
-    this.owner = owner;
-    this.placements = placements;
-    this.sessions = sessions;
-    this.scheduler = scheduler;
-    this.watch = watch;
+  MachineSnapshots(ShardState state, MachineLivenessMonitor monitor) {
+    this.context = state.context();
+    this.placements = state.placements();
+    this.sessions = state.sessions();
+    this.scheduler = state.scheduler();
+    this.monitor = monitor;
   }
 
-  /** What the machine's tasks take: those placed there, and what else it reports. */
+  /** The resources of the machine's tasks: those placed there, and others that it reports. */
   Resources used(AgentSession session) {
     Resources used = Resources.NONE;
     MachineId machine = session.machine().id();
-    for (Placement placement : placements.seenOn(machine)) {
-      if (placement.isBound()) {
+    for (Placement placement : placements.viewOn(machine)) {
+      if (placement.isOnMachine()) {
         used = used.plus(placement.job().taskResources());
       }
     }
-    if (session.report() != null) {
-      for (TaskStatus piece : session.report().tasks()) {
-        Placement placement = placements.get(piece.task());
-        boolean counted = placement != null && placement.isBoundTo(machine, piece.attempt());
-        JobRecord job = context.ledger().job(piece.task().job());
-        if (piece.state() != TaskState.EXITED && !counted && job != null && job.job() != null) {
+    if (session.lastHeartbeat() != null) {
+      for (TaskStatus status : session.lastHeartbeat().tasks()) {
+        Placement placement = placements.get(status.task());
+        boolean counted = placement != null && placement.isAttemptOn(machine, status.attempt());
+        JobRecord job = context.cache().job(status.task().job());
+        if (status.state() != TaskState.EXITED && !counted && job != null && job.job() != null) {
           used = used.plus(job.job().taskResources());
         }
       }
@@ -74,15 +66,15 @@
   }
 
   /**
-   * What urgent work could have in a moment: what takes no time to stop, or is being stopped
-   * already.
+   * The resources that urgent work could have within a moment: tasks that stop at once or are
+   * stopping already.
    */
-  Resources displaceable(MachineId machine) {
+  Resources preemptible(MachineId machine) {
     Resources sum = Resources.NONE;
-    for (Placement placement : placements.seenOn(machine)) {
+    for (Placement placement : placements.viewOn(machine)) {
       Job job = placement.job();
       if (placement.state() == Placement.State.STOPPING
-          || (placement.isBound()
+          || (placement.isOnMachine()
               && job.priority() != Priority.PRODUCTION
               && job.kind() != JobKind.GANG
               && !job.hasCheckpoints())) {
@@ -92,25 +84,30 @@
     return sum;
   }
 
-  /** What is to be kept free, but for room for requests that is lent to what makes way for them. */
-  List<Headroom> lessLent(List<Headroom> reserves) {
+  /**
+   * The headroom to be kept, without the reserved capacity that is lent to work that gives way to
+   * requests.
+   */
+  List<Headroom> withoutLent(List<Headroom> reserves) {
     if (reserves.stream().noneMatch(reserve -> reserve.purpose() == Headroom.Purpose.REQUESTS)) {
       return reserves;
     }
     List<Headroom> less = new ArrayList<>();
     for (Headroom reserve : reserves) {
       less.add(
-          reserve.purpose() == Headroom.Purpose.REQUESTS ? reserve.lent(lent(reserve)) : reserve);
+          reserve.purpose() == Headroom.Purpose.REQUESTS
+              ? reserve.lent(lentPart(reserve))
+              : reserve);
     }
     return less;
   }
 
-  private int lent(Headroom reserve) {
+  private int lentPart(Headroom reserve) {
     int tasks = 0;
     for (AgentSession session : sessions.values()) {
-      if (owner.isOpen(session)) {
+      if (monitor.isOpen(session)) {
         Resources borrowed = Resources.NONE;
-        for (Placement placement : placements.seenOn(session.machine().id())) {
+        for (Placement placement : placements.viewOn(session.machine().id())) {
           borrowed =
               Headroom.mayBorrow(placement.job())
                   ? borrowed.plus(placement.job().taskResources())
@@ -123,13 +120,16 @@
     return tasks;
   }
 
-  /** The images that tasks on the machine wait for, and the highest priority among those tasks. */
-  Map<String, Priority> fetching(AgentSession session) {
+  /**
+   * The images that tasks on the machine wait for, each with the highest priority among those
+   * tasks.
+   */
+  Map<String, Priority> imagesBeingPulled(AgentSession session) {
     Map<String, Priority> images = new HashMap<>();
-    for (Placement placement : placements.seenOn(session.machine().id())) {
-      if (placement.isBound()
+    for (Placement placement : placements.viewOn(session.machine().id())) {
+      if (placement.isOnMachine()
           && !placement.isRunning()
-          && session.isFetching(placement.job().image())) {
+          && session.isPulling(placement.job().image())) {
         images.merge(
             placement.job().image(),
             placement.job().priority(),
@@ -139,10 +139,8 @@
     return images;
   }
 
-  /**
-   * What is known of a machine, for the leader and for operators; null if it is not in the block.
-   */
-  PeerHeartbeat.MachineState machine(MachineId id) {
+  /** The state of a machine for the leader and for operators; null if it is not in the shard. */
+  PeerHeartbeat.MachineState snapshot(MachineId id) {
     AgentSession session = sessions.get(id);
     if (session == null) {
       return null;
@@ -150,21 +148,21 @@
     MonotonicTime now = context.now();
     int tasks = 0;
     Set<String> inUse = new TreeSet<>();
-    for (Placement placement : placements.seenOn(id)) {
+    for (Placement placement : placements.viewOn(id)) {
       tasks++;
       inUse.add(placement.job().image());
     }
-    // Where nothing that is sent arrives there is no room for anybody, however empty it looks.
-    boolean hears = session.hearing().hears();
+    // A machine that receives no commands has no capacity for anyone, however empty it looks.
+    boolean hears = session.reachability().hears();
     return new PeerHeartbeat.MachineState(
         id,
         hears ? session.capacity().minus(used(session)) : Resources.NONE,
-        hears ? displaceable(id) : Resources.NONE,
-        silence(session, now),
-        owner.isOpen(session),
+        hears ? preemptible(id) : Resources.NONE,
+        reportedSilence(session, now),
+        monitor.isOpen(session),
         session.state() == AgentSession.State.FENCED,
-        session.hasNotice(),
-        session.isSick() || watch.isToBeReplaced(session, now),
+        session.hasTerminationNotice(),
+        session.isFaulty() || monitor.needsReplacement(session, now),
         isMovable(id, now),
         tasks,
         scheduler.machine(id).waiting().size(),
@@ -173,46 +171,45 @@
   }
 
   /**
-   * Whether time alone has made what was last told of a machine out of date: it fell silent, or its
-   * replicas have stayed.
+   * Whether time alone has made a reported state outdated: the machine fell silent, or its replicas
+   * may be moved now.
    */
-  boolean hasAged(PeerHeartbeat.MachineState told) {
+  boolean isOutdated(PeerHeartbeat.MachineState told) {
     AgentSession session = sessions.get(told.id());
     MonotonicTime now = context.now();
     return session != null
-        && (!silence(session, now).equals(told.silent())
-            || owner.isOpen(session) != told.open()
-            || (!told.sick() && watch.isToBeReplaced(session, now))
+        && (!reportedSilence(session, now).equals(told.silent())
+            || monitor.isOpen(session) != told.open()
+            || (!told.sick() && monitor.needsReplacement(session, now))
             || (!told.movable() && told.tasks() > 0 && isMovable(told.id(), now)));
   }
 
-  /** Whether all that is there are replicas that have run for a while. */
+  /** Whether only replicas that have run for a while are on the machine. */
   private boolean isMovable(MachineId machine, MonotonicTime now) {
-    for (Placement placement : placements.seenOn(machine)) {
+    for (Placement placement : placements.viewOn(machine)) {
       if (placement.job().kind() != JobKind.SERVICE
           || placement.state() != Placement.State.ACTIVE
           || !placement.isRunning()
-          || !now.since(placement.runningSince()).isLongerThan(MOVABLE_AFTER)) {
+          || !now.since(placement.runningSince()).isLongerThan(MIN_RUN_TIME_TO_MOVE)) {
         return false;
       }
     }
     return true;
   }
 
-  private TimeSpan silence(AgentSession session, MonotonicTime now) {
-    TimeSpan silent = now.since(session.heard());
-    if (!session.hearing().hears() && !silent.isLongerThan(ROUND)) {
+  private TimeSpan reportedSilence(AgentSession session, MonotonicTime now) {
+    TimeSpan silent = now.since(session.lastContact());
+    if (!session.reachability().hears() && !silent.isLongerThan(CONTROLLER_ROUND_TIME)) {
       return TimeSpan
-          .ZERO; // it goes the round of the controllers and speaks to each; another would not be
-      // heard either
+          .ZERO; // it contacts every controller in turn; another one could not reach it either
     }
-    return silent.isLongerThan(quiet(context.workers()))
+    return silent.isLongerThan(maxQuietTime(context.agentTimeouts()))
         ? TimeSpan.ofSeconds(Math.floor(silent.seconds()))
         : TimeSpan.ZERO;
   }
 
-  /** A machine that has reported this lately is not called silent. */
-  private static TimeSpan quiet(Settings.AgentTimeouts workers) {
+  /** A machine that was heard within this time is not reported as silent. */
+  private static TimeSpan maxQuietTime(Settings.AgentTimeouts workers) {
     return workers.heartbeatInterval().times(1.25).plus(TimeSpan.ofSeconds(2));
   }
 }
--- a/src/main/java/org/quincecross/shard/OwnedShards.java
+++ b/src/main/java/org/quincecross/shard/OwnedShards.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The blocks that this controller holds. */
+/** The shards that this controller owns. */
 public final class OwnedShards {
   private static final Logger LOG = LoggerFactory.getLogger(OwnedShards.class);
   private static final TimeSpan TICK = TimeSpan.ofMillis(150);
@@ -26,34 +26,38 @@
   private final ShardContext context;
   private final ControllerId self;
   private final Supplier<Incarnation> life;
-  private final Map<ShardId, ShardOwner> holders = new LinkedHashMap<>();
+  private final Map<ShardId, ShardOwner> owners = new LinkedHashMap<>();
 
+  /** Creates an empty set of shards. */
   public OwnedShards(ShardContext context, ControllerId self, Supplier<Incarnation> life) {
     this.context = context;
     this.self = self;
     this.life = life;
   }
 
+  /** Starts the periodic work of all owned shards. */
   public void start() {
-    context.timers().every(TICK, () -> List.copyOf(holders.values()).forEach(ShardOwner::tick));
+    context.timers().every(TICK, () -> List.copyOf(owners.values()).forEach(ShardOwner::tick));
   }
 
+  /** All owned shards. */
   public Collection<ShardOwner> all() {
-    return holders.values();
+    return owners.values();
   }
 
+  /** The owner of a shard, or null if this controller does not own it. */
   public ShardOwner get(ShardId shard) {
-    return holders.get(shard);
+    return owners.get(shard);
   }
 
-  /** Follows the leases, allocations and jobs that have changed. */
-  public void ledgerChanged(ClusterStateCache.Changes changes) {
-    ClusterStateCache cache = context.ledger();
-    for (ShardId id : changes.reloaded() ? List.copyOf(holders.keySet()) : changes.shards()) {
+  /** Applies changed leases, allocations and jobs. */
+  public void cacheChanged(ClusterStateCache.Changes changes) {
+    ClusterStateCache cache = context.cache();
+    for (ShardId id : changes.reloaded() ? List.copyOf(owners.keySet()) : changes.shards()) {
       ShardLease lease = cache.shard(id);
-      if (holders.containsKey(id) && (lease == null || !lease.owner().equals(self))) {
-        LOG.info("block {} is no longer held here", id);
-        holders.remove(id).retire();
+      if (owners.containsKey(id) && (lease == null || !lease.owner().equals(self))) {
+        LOG.info("shard {} is no longer owned", id);
+        owners.remove(id).retire();
       }
     }
     for (ShardId id :
@@ -63,7 +67,7 @@
         follow(lease);
       }
     }
-    for (ShardOwner owner : holders.values()) {
+    for (ShardOwner owner : owners.values()) {
       if (changes.reloaded()) {
         owner.jobsChanged(cache.jobs());
       } else if (!changes.jobs().isEmpty()) {
@@ -75,62 +79,62 @@
     }
   }
 
-  /** Other tasks of some jobs are kept back than before. */
-  public void withheldChanged(Set<JobId> jobs) {
-    holders.values().forEach(owner -> owner.jobsChanged(jobs));
+  /** Called when the set of blocked tasks of some jobs has changed. */
+  public void startBlockChanged(Set<JobId> jobs) {
+    owners.values().forEach(owner -> owner.jobsChanged(jobs));
   }
 
   private void follow(ShardLease lease) {
-    ShardOwner owner = holders.get(lease.id());
+    ShardOwner owner = owners.get(lease.id());
     if (owner != null && owner.lease().token().equals(lease.token())) {
       if (!owner.lease().version().equals(lease.version())) {
         owner.renewed(lease);
       }
     } else if (lease.incarnation().equals(life.get())) {
-      // Held from here on, by this life: whatever this process knew of the block is out of date.
+      // Owned from here on by this incarnation: what this process knew of the shard is outdated.
       LOG.info(
-          "block {} taken over, token {}, {} machines",
+          "shard {} taken over, token {}, {} machines",
           lease.id(),
           lease.token(),
           lease.machines().size());
       if (owner != null) {
-        owner.retire(); // what it has under way ends with it
+        owner.retire(); // its pending requests end with it
       }
-      holders.put(lease.id(), new ShardOwner(context, lease));
-      context.newsForLeader();
+      owners.put(lease.id(), new ShardOwner(context, lease));
+      context.notifyLeader();
     }
   }
 
-  /** For so long no machine was listened to here: that nothing came is no sign of its silence. */
-  public void excuse(TimeSpan gap) {
-    holders.values().forEach(owner -> owner.excuse(gap));
+  /**
+   * Called after a pause of this process, during which no machine could be heard: its silence means
+   * nothing.
+   */
+  public void excusePause(TimeSpan gap) {
+    owners.values().forEach(owner -> owner.excusePause(gap));
   }
 
-  /** How many tasks of a job run in the blocks held here that it is allocated to. */
+  /** The number of a job's tasks that run in the owned shards it is allocated to. */
   public int running(JobId job) {
     int running = 0;
-    for (ShardId shard : context.ledger().shardsOf(job)) {
-      ShardOwner owner = holders.get(shard);
+    for (ShardId shard : context.cache().shardsOf(job)) {
+      ShardOwner owner = owners.get(shard);
       running += owner == null ? 0 : owner.running(job);
     }
     return running;
   }
 
   /**
-   * Notes what is new for report {@code number}; {@code all}: looks also at what changes with time
-   * alone.
+   * Collects the changes for report {@code number}; {@code all}: including states that change with
+   * time alone.
    */
   public void refresh(long number, boolean all) {
-    holders.values().forEach(owner -> owner.reporter().refresh(number, all));
+    owners.values().forEach(owner -> owner.reporter().refresh(number, all));
   }
 
-  /**
-   * What has changed after report {@code base} in the blocks held here, as of the last {@link
-   * #refresh}.
-   */
+  /** The changes in the owned shards after report {@code base}, as of the last {@link #refresh}. */
   public List<PeerHeartbeat.Block> since(long base) {
     List<PeerHeartbeat.Block> changed = new ArrayList<>();
-    for (ShardOwner owner : holders.values()) {
+    for (ShardOwner owner : owners.values()) {
       PeerHeartbeat.Block block = owner.reporter().since(base);
       if (block != null) {
         changed.add(block);
--- a/src/main/java/org/quincecross/shard/Placement.java
+++ b/src/main/java/org/quincecross/shard/Placement.java
@@ -8,63 +8,62 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Where a task that the block has stands. Each state that waits for a message says what ends the
- * wait if the message never comes; a state of which that cannot be said is an error
+ * The state of a task that is allocated to the shard. Each state that waits for a message names
+ * what ends the wait if the message never comes; a state without such an end is an error
  * (docs/incidents/unanswered-start.md).
  */
 final class Placement {
   /** The states of a placement. */
   enum State {
     /**
-     * The former holder may have started it: it may not start before all machines are fenced or
-     * released. Waits for each machine's report; without it, for the end of its lease as of the
-     * state service's last word, or its return to the cloud.
+     * A former owner may have started the task: it must not start before all machines are fenced or
+     * lost. Waits for each machine's heartbeat, or for the expiry of its lease as of the last
+     * confirmation by the store, or for its termination.
      */
     UNSETTLED,
     /**
-     * On no machine, surely. Waits for room; without it, goes back to the pool: after 10 s where no
-     * machine takes work, at once where it has failed on all, a gang after 30 s, everything else
-     * after 90 s and twice its estimate.
+     * Certainly on no machine. Waits for capacity, or returns to the pool: after 10 s if no machine
+     * accepts tasks, at once if it has failed on all, a gang after 30 s, everything else after 90 s
+     * and twice its estimate.
      */
     WAITING,
     /**
-     * Its start has been decided and may be under way. Waits for a report that has it: every answer
-     * to a report without it repeats the start; a machine that does not report is lost with its
-     * lease.
+     * A start has been decided and may be in flight. Waits for a heartbeat that has it: every
+     * response to a heartbeat without it repeats the start; a machine that does not report is lost
+     * with its lease.
      */
     STARTING,
     /**
      * Its machine reports it. Waits for its exit; a machine that reports without it has lost it,
-     * one that does not report is lost with its lease, a gang that does not come together exits by
-     * itself.
+     * one that does not report is lost with its lease, and a gang that does not come together exits
+     * by itself.
      */
     ACTIVE,
     /**
-     * To be stopped, and not yet known to be gone. Waits for its exit, or a report without it:
-     * every answer repeats the stop. Where its start was never answered and never shows, no report
-     * is proof; then the block is leased anew ({@link ShardOwner#isInDoubt}).
+     * To be stopped, and not known to be gone. Waits for its exit, or a heartbeat without it: every
+     * response repeats the stop. If its start got no response and never shows, no heartbeat is
+     * proof; the shard's lease is then renewed ({@link ShardOwner#needsTokenRenewal}).
      */
     STOPPING,
     /**
-     * Completed; its machine keeps the result until that is durable. Waits for the records to say
-     * so: until they do, it is part of what every controller is told of the block, so whoever leads
-     * knows it.
+     * Completed; its machine keeps the result until it is durable. Waits for the records: until
+     * then, it is part of every report on the shard, so that any leader knows it.
      */
     COMPLETED,
     /**
-     * On no machine, and given back: never to be started again under this allocation. Waits for an
-     * allocation without it; told as completions are.
+     * On no machine, and released: never to be started again under this allocation. Waits for an
+     * allocation without it; reported as completions are.
      */
     RELEASED
   }
 
-  /** Told of every change, so that what finds placements stays in step. */
+  /** Notified of every change, so that indexes stay in step. */
   interface Observer {
     /**
-     * A placement was in {@code before}, on {@code from} (null: nowhere), and now is as it says
-     * itself.
+     * Called when a placement has changed from {@code before} on machine {@code from} (null: none)
+     * to its present state.
      */
-    void moved(Placement placement, State before, MachineId from);
+    void placementChanged(Placement placement, State before, MachineId from);
   }
 
   private final Observer observer;
@@ -74,9 +73,9 @@
   private MonotonicTime since;
   private MachineId machine;
   private Attempt attempt = Attempt.NONE;
-  private TimeSpan grace = TimeSpan.ZERO;
-  private boolean giveBack;
-  private boolean told;
+  private TimeSpan gracePeriod = TimeSpan.ZERO;
+  private boolean requeueWhenStopped;
+  private boolean commandSent;
   private boolean running;
   private boolean countedAsRunning;
   private MonotonicTime runningSince;
@@ -89,15 +88,15 @@
     enter(state, null, now);
   }
 
-  /** The one place where a placement changes its state. */
+  /** The only method that changes the state. */
   private void enter(State next, MachineId where, MonotonicTime now) {
     State before = state;
     MachineId from = machine;
     state = next;
     machine = where;
     since = now;
-    told = false;
-    observer.moved(this, before, from);
+    commandSent = false;
+    observer.placementChanged(this, before, from);
   }
 
   TaskId task() {
@@ -124,8 +123,8 @@
     return attempt;
   }
 
-  TimeSpan grace() {
-    return grace;
+  TimeSpan gracePeriod() {
+    return gracePeriod;
   }
 
   int failures() {
@@ -133,19 +132,19 @@
   }
 
   /** Whether its machine has to count it. */
-  boolean isBound() {
+  boolean isOnMachine() {
     return state == State.STARTING || state == State.ACTIVE || state == State.STOPPING;
   }
 
-  boolean isBoundTo(MachineId where, Attempt which) {
-    return isBound() && machine.equals(where) && attempt.equals(which);
+  boolean isAttemptOn(MachineId where, Attempt which) {
+    return isOnMachine() && machine.equals(where) && attempt.equals(which);
   }
 
   boolean isRunning() {
     return running && (state == State.ACTIVE || state == State.STOPPING);
   }
 
-  /** Notes whether it is counted among what runs; true if that is new. */
+  /** Records whether the task is counted as running; true if that changed. */
   boolean countAsRunning(boolean now) {
     boolean isNew = now != countedAsRunning;
     countedAsRunning = now;
@@ -162,9 +161,7 @@
     enter(State.STARTING, where, now);
   }
 
-  /**
-   * A machine reports the task: one that this holder started, or one that the former holder did.
-   */
+  /** Called when a machine reports the task, started by this owner or a former one. */
   void reported(MachineId where, Attempt which, boolean runs, MonotonicTime now) {
     attempt = which;
     boolean changed = runs != running;
@@ -175,24 +172,23 @@
     if (state != State.ACTIVE && state != State.STOPPING) {
       enter(State.ACTIVE, where, now);
     } else if (changed) {
-      observer.moved(this, state, machine);
+      observer.placementChanged(this, state, machine);
     }
   }
 
   /**
-   * Has the task stopped; {@code back}: it then returns to the pool rather than to a queue of the
-   * block.
+   * Stops the task; {@code back}: it then returns to the pool rather than to a queue of the shard.
    */
   void stop(TimeSpan saveTime, boolean back, MonotonicTime now) {
-    giveBack |= back;
+    requeueWhenStopped |= back;
     if (state == State.STOPPING) {
-      if (saveTime.nanos() < grace.nanos()) {
-        grace = saveTime;
-        told = false;
+      if (saveTime.nanos() < gracePeriod.nanos()) {
+        gracePeriod = saveTime;
+        commandSent = false;
       }
       return;
     }
-    grace = saveTime;
+    gracePeriod = saveTime;
     enter(State.STOPPING, machine, now);
   }
 
@@ -201,30 +197,30 @@
     enter(State.COMPLETED, where, now);
   }
 
-  /** The task is surely on no machine. */
-  void gone(MonotonicTime now) {
+  /** Called when the task is certainly on no machine. */
+  void leftMachine(MonotonicTime now) {
     running = false;
-    enter(giveBack ? State.RELEASED : State.WAITING, null, now);
+    enter(requeueWhenStopped ? State.RELEASED : State.WAITING, null, now);
   }
 
   void release(MonotonicTime now) {
     enter(State.RELEASED, null, now);
   }
 
-  void failed() {
+  void countFailure() {
     failures++;
   }
 
-  /** Whether the machine has been told of the present state. */
-  boolean isTold() {
-    return told;
+  /** Whether the command for the present state has been sent to the machine. */
+  boolean isCommandSent() {
+    return commandSent;
   }
 
-  void tell() {
-    told = true;
+  void markCommandSent() {
+    commandSent = true;
   }
 
-  void untell() {
-    told = false;
+  void markCommandUnsent() {
+    commandSent = false;
   }
 }
--- a/src/main/java/org/quincecross/shard/Placements.java
+++ b/src/main/java/org/quincecross/shard/Placements.java
@@ -17,9 +17,9 @@
 import org.quincecross.model.TaskId;
 
 /**
- * The placements of a block, found by task, job, machine and state. A report or a change of a
- * record then costs what it touches, not what the block holds. What changed since it was last asked
- * is remembered as well.
+ * The placements of a shard, indexed by task, job, machine and state, so that a heartbeat or a
+ * changed record costs in proportion to what it touches. Also collects what has changed since it
+ * was last taken.
  */
 final class Placements implements Placement.Observer {
   private final Map<TaskId, Placement> byTask = new LinkedHashMap<>();
@@ -30,7 +30,7 @@
   private final Map<JobId, Integer> runningSeen = Collections.unmodifiableMap(running);
   private Set<Placement> changed = new LinkedHashSet<>();
   private Set<MachineId> changedMachines = new LinkedHashSet<>();
-  private boolean stirred;
+  private boolean schedulingNeeded;
 
   Placements() {
     for (Placement.State state : Placement.State.values()) {
@@ -38,9 +38,9 @@
     }
   }
 
-  /** The one place where the indexes change. */
+  /** The only method that changes the indexes. */
   @Override
-  public void moved(Placement placement, Placement.State before, MachineId from) {
+  public void placementChanged(Placement placement, Placement.State before, MachineId from) {
     if (before != null) {
       unlink(placement, before, from);
     }
@@ -51,7 +51,7 @@
     }
     countRunning(placement, placement.isRunning());
     changed.add(placement);
-    stirred = true;
+    schedulingNeeded = true;
   }
 
   private void countRunning(Placement placement, boolean runs) {
@@ -62,7 +62,7 @@
   }
 
   private void unlink(Placement placement, Placement.State state, MachineId machine) {
-    stirred = true;
+    schedulingNeeded = true;
     byState.get(state).remove(placement);
     if (machine != null) {
       Set<Placement> there = byMachine.get(machine);
@@ -109,7 +109,7 @@
     return new ArrayList<>(byTask.values());
   }
 
-  /** The jobs that have a placement here. */
+  /** The jobs with placements. */
   Collection<JobId> jobs() {
     return byJob.keySet();
   }
@@ -122,18 +122,18 @@
     return byJob.containsKey(job);
   }
 
-  /** How many tasks of each job run here. */
+  /** The number of running tasks of each job. */
   Map<JobId, Integer> running() {
     return runningSeen;
   }
 
-  /** Those that a machine has to count or keeps the result of. */
+  /** The placements that a machine has to count or keeps the result of. */
   List<Placement> on(MachineId machine) {
     return copy(byMachine.get(machine));
   }
 
-  /** The same, to look at: they must not be changed meanwhile. */
-  Collection<Placement> seenOn(MachineId machine) {
+  /** The same as a live view: they must not be changed while it is used. */
+  Collection<Placement> viewOn(MachineId machine) {
     return byMachine.getOrDefault(machine, Set.of());
   }
 
@@ -145,8 +145,8 @@
     return byState.get(state).size();
   }
 
-  /** Those in a state, to look at: they must not be changed meanwhile. */
-  Collection<Placement> seenIn(Placement.State state) {
+  /** The placements in a state as a live view: they must not be changed while it is used. */
+  Collection<Placement> viewIn(Placement.State state) {
     return byState.get(state);
   }
 
@@ -154,7 +154,7 @@
     return placements == null ? List.of() : new ArrayList<>(placements);
   }
 
-  /** What has changed since this was last asked. */
+  /** The placements that have changed since the last call. */
   Collection<Placement> takeChanged() {
     Set<Placement> taken = changed;
     changed = new LinkedHashSet<>();
@@ -165,14 +165,14 @@
     return !changed.isEmpty();
   }
 
-  /** Whether anything has changed since this was last asked. */
-  boolean takeStirred() {
-    boolean taken = stirred;
-    stirred = false;
+  /** Whether anything has changed since the last call. */
+  boolean takeSchedulingNeeded() {
+    boolean taken = schedulingNeeded;
+    schedulingNeeded = false;
     return taken;
   }
 
-  /** The machines on which something has changed since this was last asked. */
+  /** The machines on which something has changed since the last call. */
   Set<MachineId> takeChangedMachines() {
     Set<MachineId> taken = changedMachines;
     changedMachines = new LinkedHashSet<>();
--- a/src/main/java/org/quincecross/shard/Preemptor.java
+++ b/src/main/java/org/quincecross/shard/Preemptor.java
@@ -20,103 +20,101 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Stops what runs: for work of higher priority, and on machines that go, or fail what they are
- * given.
- */
+/** Stops running tasks: for work of higher priority, and on machines that are leaving or faulty. */
 final class Preemptor {
   private static final Logger LOG = LoggerFactory.getLogger(Preemptor.class);
-  private static final TimeSpan ROOM_PATIENCE = TimeSpan.ofMillis(20);
+  private static final TimeSpan PREEMPTION_DELAY = TimeSpan.ofMillis(20);
 
-  /** What nobody expects by any time is stopped as soon as other work finds no room. */
-  private static final TimeSpan IDLE_PATIENCE = TimeSpan.ofSeconds(1);
+  /** Best-effort work is preempted as soon as other work finds no capacity. */
+  private static final TimeSpan BEST_EFFORT_PREEMPTION_DELAY = TimeSpan.ofSeconds(1);
 
   /**
-   * Before that it is not: its floors and turns would come to nothing, and machines would do little
-   * but start and save.
+   * But not before it has run this long: otherwise its minimum shares would come to nothing, and
+   * machines would do little but start tasks and save checkpoints.
    */
-  private static final TimeSpan IDLE_TURN = TimeSpan.ofSeconds(20);
+  private static final TimeSpan BEST_EFFORT_MIN_RUN_TIME = TimeSpan.ofSeconds(20);
 
   private final ShardContext context;
-  private final ShardOwner owner;
+  private final ShardState state;
+  private final MachineSnapshots snapshots;
+  private final MachineLivenessMonitor monitor;
   private final Placements placements;
   private final Map<TaskId, QueueEntry> entries;
   private final Map<MachineId, AgentSession> sessions;
   private final ShardScheduler scheduler;
 
-  Preemptor(
-      ShardContext context,
-      ShardOwner owner,
-      Placements placements,
-      Map<TaskId, QueueEntry> entries,
-      Map<MachineId, AgentSession> sessions,
-      ShardScheduler scheduler) {
-    this.context = context;
-    this.owner = owner;
-    this.placements = placements;
-    this.entries = entries;
-    this.sessions = sessions;
-    this.scheduler = scheduler;
+  Preemptor(ShardState state, MachineSnapshots snapshots, MachineLivenessMonitor monitor) {
+    this.state = state;
+    this.context = state.context();
+    this.placements = state.placements();
+    this.entries = state.queueEntries();
+    this.sessions = state.sessions();
+    this.scheduler = state.scheduler();
+    this.snapshots = snapshots;
+    this.monitor = monitor;
   }
 
   /**
-   * Stops a task and, of a gang, all others with it: progress is saved only if all are told in
+   * Stops a task, and with it its whole gang: checkpoints are saved only if all tasks are told in
    * time.
    */
-  private void stopAll(Placement placement, boolean back, MonotonicTime now) {
+  private void stopWithGang(Placement placement, boolean back, MonotonicTime now) {
     Job job = placement.job();
     if (job.kind() != JobKind.GANG) {
-      placement.stop(graceOf(job), back, now);
+      placement.stop(gracePeriodOf(job), back, now);
       return;
     }
     for (int i = 0; i < job.taskCount(); i++) {
       Placement member = placements.get(job.id().task(i));
-      if (member != null && member.isBound()) {
-        member.stop(graceOf(job), back, now);
+      if (member != null && member.isOnMachine()) {
+        member.stop(gracePeriodOf(job), back, now);
       }
     }
   }
 
-  /** Stops work of lower priority for work that has waited a moment and fits nowhere. */
-  void makeRoom(MonotonicTime now) {
+  /** Preempts work of lower priority for work that has waited a moment and fits nowhere. */
+  void preempt(MonotonicTime now) {
     if (entries.isEmpty()) {
       return;
     }
     boolean idleWork =
-        placements.seenIn(Placement.State.ACTIVE).stream()
-            .anyMatch(placement -> context.isIdle(placement.job()));
+        placements.viewIn(Placement.State.ACTIVE).stream()
+            .anyMatch(placement -> context.isBestEffort(placement.job()));
     Map<QueueEntry, Boolean> impatient = new TreeMap<>(QueueEntry.ORDER);
     for (QueueEntry entry : entries.values()) {
       Placement first = placements.get(entry.tasks().get(0));
-      MonotonicTime patient = first.since().plus(patience(first.job()));
+      MonotonicTime patient = first.since().plus(preemptionDelay(first.job()));
       boolean gang = entry.tasks().size() > 1;
       if (!gang && !now.isBefore(patient)) {
         impatient.put(entry, false);
       } else if (idleWork && first.job().priority().isHigherThan(Priority.LOW)) {
-        MonotonicTime soon = first.since().plus(IDLE_PATIENCE);
+        MonotonicTime soon = first.since().plus(BEST_EFFORT_PREEMPTION_DELAY);
         if (now.isBefore(soon)) {
-          owner.wakeBy(soon);
+          state.wakeBy(soon);
         } else {
           impatient.put(entry, true);
         }
       }
       if (!gang && now.isBefore(patient)) {
-        owner.wakeBy(patient);
+        state.wakeBy(patient);
       }
     }
     Preemption preemption = null;
     for (Map.Entry<QueueEntry, Boolean> waits : impatient.entrySet()) {
       QueueEntry entry = waits.getKey();
       preemption =
-          preemption == null ? new Preemption(scheduler, stoppable(now), stopping()) : preemption;
+          preemption == null
+              ? new Preemption(scheduler, isPreemptible(now), stopping())
+              : preemption;
       for (Preemption.Running victim : preemption.makeRoom(entry, waits.getValue())) {
-        LOG.info("block {}: {} makes room for {}", owner.id(), victim.task(), entry.tasks().get(0));
-        stopAll(placements.get(victim.task()), true, now);
+        LOG.info(
+            "shard {}: {} is preempted for {}", state.id(), victim.task(), entry.tasks().get(0));
+        stopWithGang(placements.get(victim.task()), true, now);
       }
     }
   }
 
-  /** What the tasks take that are being stopped, on each machine. */
+  /** The resources of the tasks that are being stopped on each machine. */
   private Map<MachineId, Resources> stopping() {
     Map<MachineId, Resources> stopping = new HashMap<>();
     for (Placement placement : placements.in(Placement.State.STOPPING)) {
@@ -125,7 +123,7 @@
     return stopping;
   }
 
-  private List<Preemption.Running> stoppable(MonotonicTime now) {
+  private List<Preemption.Running> isPreemptible(MonotonicTime now) {
     List<Preemption.Running> running = new ArrayList<>();
     for (Placement.State state : List.of(Placement.State.STARTING, Placement.State.ACTIVE)) {
       for (Placement placement : placements.in(state)) {
@@ -135,8 +133,8 @@
                   placement.task(),
                   placement.machine(),
                   placement.job().priority(),
-                  context.isIdle(placement.job())
-                      && now.since(placement.since()).isLongerThan(IDLE_TURN),
+                  context.isBestEffort(placement.job())
+                      && now.since(placement.since()).isLongerThan(BEST_EFFORT_MIN_RUN_TIME),
                   placement.job().taskResources(),
                   placement.job().hasCheckpoints(),
                   placement.since()));
@@ -147,64 +145,63 @@
   }
 
   /**
-   * How long work waits before other work is stopped for it: what is queued ahead of its time may
-   * well start soon.
+   * How long work waits before other work is preempted for it: tasks queued ahead may well end
+   * soon.
    */
-  private static TimeSpan patience(Job job) {
+  private static TimeSpan preemptionDelay(Job job) {
     return job.priority() == Priority.PRODUCTION
-        ? ROOM_PATIENCE
+        ? PREEMPTION_DELAY
         : TimeSpan.ofSeconds(Math.max(5, 0.25 * job.estimate().seconds()));
   }
 
   /**
-   * A machine that is about to be taken: what can save does so, and what cannot finish goes
-   * elsewhere at once.
+   * Drains machines that are about to be taken away: tasks that can save a checkpoint do so, and
+   * tasks that cannot finish move at once.
    */
-  void clearNoticed(MonotonicTime now) {
+  void drainNoticed(MonotonicTime now) {
     for (AgentSession session : sessions.values()) {
-      if (!session.hasNotice()) {
+      if (!session.hasTerminationNotice()) {
         continue;
       }
       for (Placement placement : placements.on(session.machine().id())) {
-        if (!placement.isBound() || placement.state() == Placement.State.STOPPING) {
+        if (!placement.isOnMachine() || placement.state() == Placement.State.STOPPING) {
           continue;
         }
         double left =
             placement.job().estimate().seconds()
                 - (placement.isRunning() ? now.since(placement.runningSince()).seconds() : 0);
         if (left < 0
-            || left > 0.6 * session.report().terminationNotice().seconds()
+            || left > 0.6 * session.lastHeartbeat().terminationNotice().seconds()
             || placement.job().kind() == JobKind.SERVICE) {
-          stopAll(placement, true, now);
+          stopWithGang(placement, true, now);
         }
       }
     }
   }
 
   /**
-   * A machine that is to go back to the cloud, or fails what it is given: its work goes elsewhere.
-   * What has room and its image on another machine of the block starts there at once, the rest goes
-   * back to the pool.
+   * Drains machines that are leaving or faulty. Tasks with capacity and their image on another
+   * machine of the shard start there at once, the others return to the pool.
    */
-  void clearLeaving(MonotonicTime now) {
+  void drainLeaving(MonotonicTime now) {
     Map<MachineId, Resources> room = new LinkedHashMap<>();
     List<Placement> toMove = new ArrayList<>();
     for (AgentSession session : sessions.values()) {
-      if (session.isSick() || owner.lease().leaving().contains(session.machine().id())) {
+      if (session.isFaulty() || state.lease().leaving().contains(session.machine().id())) {
         toMove.addAll(placements.on(session.machine().id()));
       }
     }
     for (Placement placement : toMove) {
-      if (!placement.isBound() || placement.state() == Placement.State.STOPPING) {
+      if (!placement.isOnMachine() || placement.state() == Placement.State.STOPPING) {
         continue;
       }
       if (room.isEmpty()) {
         sessions.values().stream()
-            .filter(owner::isOpen)
+            .filter(monitor::isOpen)
             .forEach(
                 session ->
                     room.put(
-                        session.machine().id(), session.capacity().minus(owner.used(session))));
+                        session.machine().id(), session.capacity().minus(snapshots.used(session))));
       }
       boolean back = true;
       for (Map.Entry<MachineId, Resources> other : room.entrySet()) {
@@ -215,12 +212,12 @@
           back = false;
         }
       }
-      stopAll(placement, back, now);
+      stopWithGang(placement, back, now);
     }
   }
 
-  /** How long a task that is stopped has for saving its progress. */
-  static TimeSpan graceOf(Job job) {
+  /** How long a stopped task has to save its checkpoint. */
+  static TimeSpan gracePeriodOf(Job job) {
     return job.hasCheckpoints() ? job.checkpointCost().plus(TimeSpan.ofSeconds(1)) : TimeSpan.ZERO;
   }
 }
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -14,9 +14,9 @@
 import org.quincecross.state.ShardLease;
 
 /**
- * Whether work that waits in one block would most likely start at once in another, as far as the
- * controllers have told. A hint alone, by which work goes back to the pool: where it may go and
- * start is decided by the leader.
+ * Tells whether work that waits in one shard would most likely start at once in another, according
+ * to the controllers' reports. Only a hint by which work returns to the pool: the leader decides
+ * where it may go.
  */
 public final class RemoteCapacityHint {
   private final ClusterStateCache cache;
@@ -24,7 +24,9 @@
   private final Function<ShardId, List<Headroom>> reserves;
 
   /**
-   * @param reserves what a block keeps free
+   * Creates a hint.
+   *
+   * @param reserves the headroom that a shard keeps
    */
   public RemoteCapacityHint(
       ClusterStateCache cache, PeerViews views, Function<ShardId, List<Headroom>> reserves) {
@@ -34,10 +36,10 @@
   }
 
   /**
-   * Whether another block than {@code here} has room for a task of a job, and nothing in its queues
+   * Whether another shard than {@code here} has capacity for a task of a job, and nothing queued
    * that would take it first.
    */
-  public boolean isFor(Job job, ShardId here) {
+  public boolean exists(Job job, ShardId here) {
     ShardLease own = cache.shard(here);
     for (ShardLease shard : cache.shards().values()) {
       // The other tasks of a job bound to one zone are most likely here.
--- a/src/main/java/org/quincecross/shard/Requeuer.java
+++ b/src/main/java/org/quincecross/shard/Requeuer.java
@@ -20,155 +20,151 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Gives work that the block cannot run back to the pool, where others may have it. */
+/** Returns work that the shard cannot run to the pool, from where other shards may get it. */
 final class Requeuer {
   private static final Logger LOG = LoggerFactory.getLogger(Requeuer.class);
-  private static final TimeSpan GANG_PATIENCE = TimeSpan.ofSeconds(30);
+  private static final TimeSpan GANG_TIMEOUT = TimeSpan.ofSeconds(30);
 
-  /** Beyond twice its estimate: what runs before it should have ended by then. */
-  private static final TimeSpan LONG_WAIT = TimeSpan.ofSeconds(90);
+  /** Beyond twice the task's estimate: tasks that run before it should have ended by then. */
+  private static final TimeSpan WAIT_TIMEOUT = TimeSpan.ofSeconds(90);
 
-  /** Urgent work: longer than lower work takes to save and make room for it. */
-  private static final TimeSpan URGENT_WAIT = TimeSpan.ofSeconds(6);
+  /** For urgent work: longer than lower work takes to save a checkpoint and stop. */
+  private static final TimeSpan URGENT_TIMEOUT = TimeSpan.ofSeconds(6);
 
   /**
-   * Of what services do not use, so much may be spoken for beyond what there is: what the leader
-   * gives, too.
+   * The share of capacity not used by services that may be overcommitted by queued work; the leader
+   * allocates as much.
    */
-  private static final double QUEUE_AHEAD = 0.15;
+  private static final double MAX_OVERCOMMIT = 0.15;
 
-  private static final TimeSpan SURPLUS_PATIENCE = TimeSpan.ofSeconds(3);
-  private static final TimeSpan SURPLUS_EVERY = TimeSpan.ofSeconds(1);
+  private static final TimeSpan SURPLUS_TIMEOUT = TimeSpan.ofSeconds(3);
+  private static final TimeSpan SURPLUS_INTERVAL = TimeSpan.ofSeconds(1);
 
   /**
-   * Where another block has room and this one none, work does not wait for longer than this and the
-   * time between two looks.
+   * If another shard has capacity and this one has none, work waits no longer than this plus the
+   * check interval.
    */
-  private static final TimeSpan ELSEWHERE_PATIENCE = TimeSpan.ofSeconds(20);
+  private static final TimeSpan ELSEWHERE_TIMEOUT = TimeSpan.ofSeconds(20);
 
-  private static final TimeSpan ELSEWHERE_EVERY = TimeSpan.ofSeconds(5);
-  private static final TimeSpan CONFIRMED_LATELY = TimeSpan.ofSeconds(2);
+  private static final TimeSpan ELSEWHERE_INTERVAL = TimeSpan.ofSeconds(5);
+  private static final TimeSpan MAX_UNCONFIRMED = TimeSpan.ofSeconds(2);
 
   /**
-   * A job in doubt is looked at again so often: one task of it is under way, and others wait to
-   * know what becomes of that.
+   * How often a job suspected to fail is reconsidered: one task of it is being tried, and others
+   * wait for the outcome.
    */
-  private static final TimeSpan TRY_AGAIN = TimeSpan.ofSeconds(1);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.ofSeconds(1);
 
-  /** How long work waits for any machine of the block to take work again. */
-  private static final TimeSpan NONE_OPEN_PATIENCE = TimeSpan.ofSeconds(10);
+  /** How long work waits for any machine of the shard to accept tasks again. */
+  private static final TimeSpan NONE_OPEN_TIMEOUT = TimeSpan.ofSeconds(10);
 
   private final ShardContext context;
-  private final ShardOwner owner;
+  private final ShardState state;
+  private final MachineLivenessMonitor monitor;
+  private final ShardReporter reporter;
   private final Placements placements;
   private final Map<TaskId, QueueEntry> entries;
   private final Map<MachineId, AgentSession> sessions;
   private final FaultEvidence evidence;
   private final ShardScheduler scheduler;
   private MonotonicTime noneOpenSince;
-  private MonotonicTime surplusAt;
-  private MonotonicTime elsewhereAt;
+  private MonotonicTime checkSurplusAt;
+  private MonotonicTime checkElsewhereAt;
 
-  /** Before this nothing here has waited for long, as long as some machine takes work. */
-  private MonotonicTime lookAt;
+  /** No work has waited for long before this time, as long as some machine accepts tasks. */
+  private MonotonicTime checkAt;
 
-  Requeuer(
-      ShardContext context,
-      ShardOwner owner,
-      Placements placements,
-      Map<TaskId, QueueEntry> entries,
-      Map<MachineId, AgentSession> sessions,
-      FaultEvidence evidence,
-      ShardScheduler scheduler) {
-    this.context = context;
-    this.owner = owner;
-    this.placements = placements;
-    this.entries = entries;
-    this.sessions = sessions;
-    this.evidence = evidence;
-    this.scheduler = scheduler;
+  Requeuer(ShardState state, MachineLivenessMonitor monitor, ShardReporter reporter) {
+    this.state = state;
+    this.context = state.context();
+    this.placements = state.placements();
+    this.entries = state.queueEntries();
+    this.sessions = state.sessions();
+    this.evidence = state.evidence();
+    this.scheduler = state.scheduler();
+    this.monitor = monitor;
+    this.reporter = reporter;
   }
 
-  /** Gives back all that should not wait here any longer. */
-  void giveBack(MonotonicTime now) {
-    giveBackGangs(now);
-    giveBackLongWaiting(now);
-    giveBackSurplus(now);
-    giveBackToIdle(now);
+  /** Returns all work that should not wait here any longer. */
+  void requeue(MonotonicTime now) {
+    requeueGangs(now);
+    requeueLongWaiting(now);
+    requeueSurplus(now);
+    requeueToIdleShards(now);
   }
 
   /**
-   * Gives back what a block that has lost machines cannot start soon. The leader gives a block no
-   * more than it can start soon, but what was on machines that are gone waits here all at once, and
-   * others may have room: without this a replica whose machine had vanished with half of its block
-   * waited for 90 s.
+   * Returns work that a shard which has lost machines cannot start soon. The leader allocates no
+   * more than a shard can start soon, but the tasks of lost machines all wait here at once, and
+   * other shards may have capacity: without this a replica whose machine had vanished with half of
+   * its shard waited for 90 s.
    */
-  private void giveBackSurplus(MonotonicTime now) {
-    if (entries.isEmpty() || (surplusAt != null && now.isBefore(surplusAt)) || !leaderCanAct(now)) {
+  private void requeueSurplus(MonotonicTime now) {
+    if (entries.isEmpty()
+        || (checkSurplusAt != null && now.isBefore(checkSurplusAt))
+        || !isStoreReachable(now)) {
       return;
     }
-    surplusAt = now.plus(SURPLUS_EVERY);
-    owner.wakeBy(surplusAt);
+    checkSurplusAt = now.plus(SURPLUS_INTERVAL);
+    state.wakeBy(checkSurplusAt);
     Resources standing = Resources.NONE;
     for (AgentSession session : sessions.values()) {
       for (Placement placement :
-          session.wasOpen() ? placements.seenOn(session.machine().id()) : List.<Placement>of()) {
-        boolean stays = placement.job().kind() == JobKind.SERVICE && placement.isBound();
+          session.isOpen() ? placements.viewOn(session.machine().id()) : List.<Placement>of()) {
+        boolean stays = placement.job().kind() == JobKind.SERVICE && placement.isOnMachine();
         standing = stays ? standing.plus(placement.job().taskResources()) : standing;
       }
     }
-    for (QueueEntry entry : scheduler.surplus(QUEUE_AHEAD, standing)) {
+    for (QueueEntry entry : scheduler.surplus(MAX_OVERCOMMIT, standing)) {
       Placement placement = placements.get(entry.tasks().get(0));
-      if (now.since(placement.since()).isLongerThan(SURPLUS_PATIENCE)) {
-        owner.dequeue(placement.task());
+      if (now.since(placement.since()).isLongerThan(SURPLUS_TIMEOUT)) {
+        state.dequeue(placement.task());
         placement.release(now);
-        context.newsForLeader();
+        context.notifyLeader();
       }
     }
   }
 
   /**
-   * Gives back what has waited here for a while though another block has room: what is queued ahead
-   * of its time stands behind what runs here, which may go on for long after others have run out of
-   * work. Guards against docs/incidents/idle-room.md: nothing waits for {@link #LONG_WAIT} and
-   * twice its estimate while machines that could run it are idle, or are even returned.
+   * Returns work that has waited here for a while although another shard has capacity:
+   * overcommitted work waits behind tasks that may run long after other shards have become idle.
+   * Guards against docs/incidents/idle-room.md: nothing waits for {@link #WAIT_TIMEOUT} and twice
+   * its estimate while machines that could run it are idle, or are even terminated.
    */
-  private void giveBackToIdle(MonotonicTime now) {
+  private void requeueToIdleShards(MonotonicTime now) {
     if (entries.isEmpty()
-        || (elsewhereAt != null && now.isBefore(elsewhereAt))
-        || !leaderCanAct(now)) {
+        || (checkElsewhereAt != null && now.isBefore(checkElsewhereAt))
+        || !isStoreReachable(now)) {
       return;
     }
-    elsewhereAt = now.plus(ELSEWHERE_EVERY);
-    owner.wakeBy(elsewhereAt);
+    checkElsewhereAt = now.plus(ELSEWHERE_INTERVAL);
+    state.wakeBy(checkElsewhereAt);
     Map<JobId, Boolean> asked = new HashMap<>();
     for (QueueEntry entry : List.copyOf(entries.values())) {
       Placement placement = placements.get(entry.tasks().get(0));
       if (entry.job().kind() != JobKind.GANG
-          && now.since(placement.since()).isLongerThan(ELSEWHERE_PATIENCE)
+          && now.since(placement.since()).isLongerThan(ELSEWHERE_TIMEOUT)
           && asked.computeIfAbsent(
-              entry.job().id(), id -> context.hasRoomElsewhere(entry.job(), owner.id()))) {
-        owner.dequeue(placement.task());
+              entry.job().id(), id -> context.hasCapacityElsewhere(entry.job(), state.id()))) {
+        state.dequeue(placement.task());
         placement.release(now);
-        context.newsForLeader();
+        context.notifyLeader();
       }
     }
   }
 
-  /**
-   * Cut off from the records, a block had better keep what it has: nobody else will start it
-   * either.
-   */
-  private boolean leaderCanAct(MonotonicTime now) {
-    return context.confirmed() != null
-        && !now.since(context.confirmed()).isLongerThan(CONFIRMED_LATELY);
+  /** While the store is unreachable, a shard keeps its work: no one else would start it either. */
+  private boolean isStoreReachable(MonotonicTime now) {
+    return context.confirmedAt() != null
+        && !now.since(context.confirmedAt()).isLongerThan(MAX_UNCONFIRMED);
   }
 
   /**
-   * A gang that has waited long may wait for ever: services that stay for hours can be all over the
-   * machines that it needs. The leader may know a better block by now.
+   * Returns gangs that have waited long and may wait for ever, because long-running services can
+   * occupy parts of all the machines that they need. The leader may know a better shard by now.
    */
-  private void giveBackGangs(MonotonicTime now) {
+  private void requeueGangs(MonotonicTime now) {
     Set<QueueEntry> gangs = new LinkedHashSet<>();
     for (QueueEntry entry : entries.values()) {
       if (entry.job().kind() == JobKind.GANG) {
@@ -177,76 +173,76 @@
     }
     for (QueueEntry entry : gangs) {
       Placement first = placements.get(entry.tasks().get(0));
-      MonotonicTime patient = first.since().plus(GANG_PATIENCE);
+      MonotonicTime patient = first.since().plus(GANG_TIMEOUT);
       if (now.isBefore(patient)) {
-        owner.wakeBy(patient);
+        state.wakeBy(patient);
         continue;
       }
-      owner.dequeue(first.task());
+      state.dequeue(first.task());
       entry.tasks().forEach(task -> placements.get(task).release(now));
-      context.newsForLeader();
+      context.notifyLeader();
     }
   }
 
   /**
-   * What has waited here for long may wait for ever as well: behind services that stay for hours,
-   * or for machines of which none takes work any more. In the pool it may go where there is room.
+   * Returns other work that has waited long and may wait for ever, behind long-running services or
+   * for machines of which none accepts tasks any more. From the pool it may go where there is
+   * capacity.
    */
-  private void giveBackLongWaiting(MonotonicTime now) {
-    if (sessions.values().stream().anyMatch(owner::isOpen)) {
+  private void requeueLongWaiting(MonotonicTime now) {
+    if (sessions.values().stream().anyMatch(monitor::isOpen)) {
       noneOpenSince = null;
     } else if (noneOpenSince == null) {
       noneOpenSince = now;
     }
-    if (noneOpenSince == null && lookAt != null && now.isBefore(lookAt)) {
-      owner.wakeBy(lookAt);
-      return; // what has come since waits longer than what was here
+    if (noneOpenSince == null && checkAt != null && now.isBefore(checkAt)) {
+      state.wakeBy(checkAt);
+      return; // tasks that arrived since have a later timeout
     }
-    lookAt = now.plus(URGENT_WAIT);
+    checkAt = now.plus(URGENT_TIMEOUT);
     for (Placement placement : placements.in(Placement.State.WAITING)) {
       Job job = placement.job();
       MonotonicTime patient =
           placement
               .since()
               .plus(
-                  job.priority() == Priority.PRODUCTION && leaderCanAct(now)
-                      ? URGENT_WAIT
-                      : LONG_WAIT.plus(job.estimate().times(2)));
-      if (noneOpenSince != null && noneOpenSince.plus(NONE_OPEN_PATIENCE).isBefore(patient)) {
-        patient = noneOpenSince.plus(NONE_OPEN_PATIENCE);
+                  job.priority() == Priority.PRODUCTION && isStoreReachable(now)
+                      ? URGENT_TIMEOUT
+                      : WAIT_TIMEOUT.plus(job.estimate().times(2)));
+      if (noneOpenSince != null && noneOpenSince.plus(NONE_OPEN_TIMEOUT).isBefore(patient)) {
+        patient = noneOpenSince.plus(NONE_OPEN_TIMEOUT);
       }
       if (job.kind() == JobKind.GANG && noneOpenSince == null) {
-        continue; // goes back as one, and sooner
+        continue; // returns as a whole, and sooner
       }
       if (now.isBefore(patient)) {
-        lookAt = patient.isBefore(lookAt) ? patient : lookAt;
-        owner.wakeBy(patient);
+        checkAt = patient.isBefore(checkAt) ? patient : checkAt;
+        state.wakeBy(patient);
         continue;
       }
-      owner.dequeue(placement.task());
+      state.dequeue(placement.task());
       placement.release(now);
-      context.newsForLeader();
+      context.notifyLeader();
     }
   }
 
-  /** Whether a job has failed on every machine that takes work here. */
+  /** Whether a job has failed on every machine that accepts tasks here. */
   private boolean hasFailedEverywhere(Job job) {
     Set<MachineId> failedOn = evidence.failedOn(job.id());
     return !failedOn.isEmpty()
         && sessions.values().stream()
             .allMatch(
-                session -> failedOn.contains(session.machine().id()) || !owner.isOpen(session));
+                session -> failedOn.contains(session.machine().id()) || !monitor.isOpen(session));
   }
 
   /**
-   * Whether a task that waits is not to enter a queue now: its job has failed here and run nowhere.
-   * Where it has failed on enough machines, or on all, the block declines it, and all of it that
-   * waits goes back; until then one task at a time is tried, on machines where it has not failed.
-   * One machine that fails what it is given looks from here like a job that fails wherever it is
-   * tried: other blocks tell them apart, and a task that only this block may have would be tried
-   * here for ever.
+   * Whether a waiting task must not enter a queue now because its job has failed here and run
+   * nowhere. Once it has failed on enough machines, or on all, the shard declines the job and
+   * returns all of its waiting tasks; until then one task at a time is tried, on machines where it
+   * has not failed. Here a faulty machine cannot be told from a job that fails everywhere; other
+   * shards can, and a task that only this shard may have would be tried here for ever.
    */
-  boolean keepsBack(Placement placement) {
+  boolean holdsBack(Placement placement) {
     Job job = placement.job();
     MonotonicTime now = context.now();
     if (!evidence.isDoubtful(job.id())) {
@@ -256,21 +252,21 @@
         && placement.failures() > 0
         && (evidence.isBad(job.id()) || hasFailedEverywhere(job))) {
       LOG.info(
-          "block {}: {} has failed on {} machines here and run on none",
-          owner.id(),
+          "shard {}: {} has failed on {} machines here and run on none",
+          state.id(),
           job.id(),
           evidence.failedOn(job.id()).size());
       evidence.decline(job.id(), now);
-      owner.reporter().headerChanged();
+      reporter.headerChanged();
     }
     if (evidence.isDeclined(job.id(), now)) {
-      owner.dequeue(placement.task());
+      state.dequeue(placement.task());
       placement.release(now);
-      context.newsForLeader();
+      context.notifyLeader();
       return true;
     }
-    if (job.kind() != JobKind.GANG && owner.hasAnotherUnderWay(placement)) {
-      owner.wakeBy(now.plus(TRY_AGAIN));
+    if (job.kind() != JobKind.GANG && state.hasOtherTaskUnderWay(placement)) {
+      state.wakeBy(now.plus(RETRY_INTERVAL));
       return true;
     }
     return false;
--- a/src/main/java/org/quincecross/shard/ShardContext.java
+++ b/src/main/java/org/quincecross/shard/ShardContext.java
@@ -16,87 +16,86 @@
 import org.quincecross.scheduling.Headroom;
 import org.quincecross.state.ClusterStateCache;
 
-/** What every holder of this controller shares. */
+/** What all shard owners of this controller share. */
 public interface ShardContext {
+  /** The timers of this controller's event loop. */
   Timers timers();
 
+  /** Sends requests to agents. */
   HttpCaller http();
 
-  ClusterStateCache ledger();
+  /** This controller's copy of the records. */
+  ClusterStateCache cache();
 
-  /** What a block should keep free. */
-  List<Headroom> reserves(ShardId shard);
+  /** The headroom that a shard should keep. */
+  List<Headroom> headroom(ShardId shard);
 
-  Settings.AgentTimeouts workers();
+  /** The timing of agents. */
+  Settings.AgentTimeouts agentTimeouts();
 
-  /** The time within which tasks of a class should start, or null if nothing is said of that. */
-  TimeSpan startWithin(String jobClass);
+  /** The time within which tasks of a class should start, or null without such an objective. */
+  TimeSpan startTimeLimit(String jobClass);
 
-  /** Whether nobody expects a job by any time: it gives way to all others. */
-  boolean isIdle(Job job);
+  /** Whether a job is best-effort: it gives way to all others. */
+  boolean isBestEffort(Job job);
 
-  /** The images that a machine was last said to have, by whoever held it. */
+  /** The images that a machine was last reported to have, by any owner. */
   List<String> imagesOf(MachineId machine);
 
-  /** Whether the ledger is recent enough for this controller to give commands and renew leases. */
-  boolean isEntitled();
+  /** Whether the cache is recent enough for this controller to send commands and renew leases. */
+  boolean mayCommand();
 
   /**
-   * Whether the ledger is recent enough to start tasks: a job that is not cancelled in it may have
-   * been called off elsewhere, and its user told ({@link
+   * Whether the cache is recent enough to start tasks: a job that is not cancelled in it may have
+   * been cancelled at another controller, and its user told so ({@link
    * org.quincecross.failuredetection.StartPermission}).
    */
-  default boolean mayStart() {
-    return isEntitled();
+  default boolean mayStartTasks() {
+    return mayCommand();
   }
 
-  /** The ledger has all that had happened by this time; null before it was first read. */
-  MonotonicTime confirmed();
+  /** The cache contains all changes up to this time; null before the first full read. */
+  MonotonicTime confirmedAt();
 
-  /**
-   * The longest that a former holder, cut off from the state service, goes on answering its
-   * machines.
-   */
-  TimeSpan longestUnconfirmed();
+  /** The longest that a former owner without the store goes on responding to its machines. */
+  TimeSpan maxUnconfirmedOwnership();
 
   /**
-   * Whether each other controller has said that it has taken note of all up to a revision: then
-   * none of them holds anything under an older lease any more.
+   * Whether every other controller has reported that its cache contains all changes up to a
+   * revision: then none of them owns anything under an older lease.
    */
-  default boolean allHaveNoted(Revision revision) {
+  default boolean allControllersHaveSeen(Revision revision) {
     return false;
   }
 
   /**
-   * Whether a job has been cancelled for so long that its tasks may not outlast a lease that is
-   * renewed now: less than a lease may be left of the time that a cancellation has, if its user was
-   * told as soon as it was made.
+   * Whether a job was cancelled so long ago that its tasks may not outlast a lease that is renewed
+   * now: less than a lease may be left of the time allowed for a cancellation, if its user was told
+   * at once.
    */
-  default boolean isLongCancelled(JobId job) {
+  default boolean isCancellationExpiring(JobId job) {
     return false;
   }
 
-  /**
-   * Whether a task of a job, which waits in a block, would most likely start at once in another
-   * block.
-   */
-  default boolean hasRoomElsewhere(Job job, ShardId here) {
+  /** Whether a task that waits in a shard would most likely start at once in another shard. */
+  default boolean hasCapacityElsewhere(Job job, ShardId here) {
     return false;
   }
 
-  /** Something has happened that the leader should hear of soon. */
-  void newsForLeader();
+  /** Notifies the leader soon of something that has happened. */
+  void notifyLeader();
 
-  /** The machines that a task is bound to; null where it may start on any. */
-  default Set<MachineId> places(Job job, int index) {
+  /** The machines that a task is bound to; null if it may start on any. */
+  default Set<MachineId> machinesFor(Job job, int index) {
     return null;
   }
 
-  /** Tasks that are not to run now. */
-  default StartBlock withheld() {
+  /** The tasks that must not run now. */
+  default StartBlock startBlock() {
     return StartBlock.NONE;
   }
 
+  /** The present time. */
   default MonotonicTime now() {
     return timers().now();
   }
--- a/src/main/java/org/quincecross/shard/ShardReporter.java
+++ b/src/main/java/org/quincecross/shard/ShardReporter.java
@@ -11,27 +11,29 @@
 import org.quincecross.peer.PeerHeartbeat;
 
 /**
- * What the other controllers should know of a block, and in which report each part of it last
- * changed: what a receiver has already is not told again, so a report costs what has changed.
+ * The shard's part of reports to other controllers. Tracks in which report each part last changed,
+ * so that a report contains only what the receiver does not have.
  */
 public final class ShardReporter {
   private record Part<T>(T content, long changedIn) {}
 
-  private final ShardOwner owner;
+  private final ShardState state;
+  private final MachineSnapshots snapshots;
   private final Map<MachineId, Part<PeerHeartbeat.MachineState>> machines = new LinkedHashMap<>();
   private final Set<MachineId> dirty = new LinkedHashSet<>();
   private Part<PeerHeartbeat.Block> header;
-  private boolean inDoubt;
+  private boolean needsTokenRenewal;
   private boolean dirtyHeader = true;
   private boolean beginning = true;
-  private long begunIn;
+  private long reportedAllIn;
 
-  ShardReporter(ShardOwner owner) {
-    this.owner = owner;
+  ShardReporter(ShardState state, MachineSnapshots snapshots) {
+    this.state = state;
+    this.snapshots = snapshots;
   }
 
-  /** The machines of the block may have changed: all of it is told anew. */
-  void begin() {
+  /** Reports everything anew, because the shard's machines may have changed. */
+  void reportAll() {
     beginning = true;
     dirtyHeader = true;
   }
@@ -48,48 +50,27 @@
   }
 
   /**
-   * Brings the parts up to date for report {@code number}; {@code all}: also those that change with
-   * time alone.
+   * Updates the parts for report {@code number}; {@code all}: including those that change with time
+   * alone.
    */
   void refresh(long number, boolean all) {
+    boolean refreshAll = all || beginning;
     if (beginning) {
       beginning = false;
-      begunIn = number;
+      reportedAllIn = number;
       machines.clear();
       header = null;
-      all = true;
     }
-    if (all) {
-      inDoubt = owner.isInDoubt();
+    if (refreshAll) {
+      needsTokenRenewal = state.needsTokenRenewal();
+      markOutdatedMachines();
     }
-    if (dirtyHeader || all) {
+    if (dirtyHeader || refreshAll) {
       dirtyHeader = false;
-      PeerHeartbeat.Block next =
-          new PeerHeartbeat.Block(
-              owner.id(),
-              owner.lease().token(),
-              owner.allocated(),
-              inDoubt,
-              owner.declined(),
-              true,
-              owner.completed(),
-              owner.released(),
-              owner.running(),
-              List.of());
-      if (header == null || !header.content().equals(next)) {
-        header = new Part<>(next.keeping(Map.copyOf(next.running())), number);
-      }
-    }
-    if (all) {
-      for (MachineId machine : owner.lease().machines().keySet()) {
-        Part<PeerHeartbeat.MachineState> told = machines.get(machine);
-        if (told == null || owner.hasAged(told.content())) {
-          dirty.add(machine);
-        }
-      }
+      refreshHeader(number);
     }
     for (MachineId machine : dirty) {
-      PeerHeartbeat.MachineState next = owner.machine(machine);
+      PeerHeartbeat.MachineState next = snapshots.snapshot(machine);
       Part<PeerHeartbeat.MachineState> before = machines.get(machine);
       if (next != null && (before == null || !before.content().equals(next))) {
         machines.put(machine, new Part<>(next, number));
@@ -98,7 +79,34 @@
     dirty.clear();
   }
 
-  /** What has changed after report {@code base}, or null if nothing has. */
+  private void refreshHeader(long number) {
+    PeerHeartbeat.Block next =
+        new PeerHeartbeat.Block(
+            state.id(),
+            state.lease().token(),
+            state.syncedAllocation(),
+            needsTokenRenewal,
+            state.declinedJobs(),
+            true,
+            state.tasksIn(Placement.State.COMPLETED),
+            state.tasksIn(Placement.State.RELEASED),
+            state.placements().running(),
+            List.of());
+    if (header == null || !header.content().equals(next)) {
+      header = new Part<>(next.keeping(Map.copyOf(next.running())), number);
+    }
+  }
+
+  private void markOutdatedMachines() {
+    for (MachineId machine : state.lease().machines().keySet()) {
+      Part<PeerHeartbeat.MachineState> reported = machines.get(machine);
+      if (reported == null || snapshots.isOutdated(reported.content())) {
+        dirty.add(machine);
+      }
+    }
+  }
+
+  /** The changes after report {@code base}, or null if there are none. */
   PeerHeartbeat.Block since(long base) {
     List<PeerHeartbeat.MachineState> changed = new ArrayList<>();
     for (Part<PeerHeartbeat.MachineState> part : machines.values()) {
@@ -107,7 +115,7 @@
       }
     }
     return header.changedIn() > base || !changed.isEmpty()
-        ? header.content().with(begunIn > base, changed)
+        ? header.content().with(reportedAllIn > base, changed)
         : null;
   }
 }
--- a/src/main/java/org/quincecross/shard/StartGate.java
+++ b/src/main/java/org/quincecross/shard/StartGate.java
@@ -8,57 +8,58 @@
 import org.quincecross.state.JobRecord;
 
 /**
- * Which of a block's tasks may start, by the records: open, not done, allocated here, and kept back
- * by nothing. What is kept back and runs is stopped in order, saved where it saves, and goes back;
- * the allocation without it is the proof that it is gone.
+ * Decides by the records which of a shard's tasks may start: those that are open, not completed,
+ * allocated here, and not blocked. Blocked tasks that run are stopped in an orderly way, with a
+ * checkpoint if they save any, and released; the allocation without them is the proof that they are
+ * gone.
  */
 final class StartGate {
   private final ShardContext context;
-  private final ShardOwner owner;
+  private final ShardState state;
 
-  StartGate(ShardContext context, ShardOwner owner) {
-    this.context = context;
-    this.owner = owner;
+  StartGate(ShardState state) {
+    this.state = state;
+    this.context = state.context();
   }
 
-  private boolean isWithheld(Placement placement) {
-    // A leader allocates nothing of a job that waits for others; should it, nothing of it starts
-    // here either.
-    StartBlock startBlock = context.withheld();
-    return context.ledger().dependencyGraph().waits(placement.task().job())
+  private boolean isBlocked(Placement placement) {
+    // The leader allocates no tasks of a job with unfinished dependencies; if it did, none of them
+    // would start here.
+    StartBlock startBlock = context.startBlock();
+    return context.cache().dependencyGraph().waits(placement.task().job())
         || (startBlock != StartBlock.NONE
             && startBlock.has(placement.job(), placement.task().index()));
   }
 
   /**
-   * Whether the ledger lets a task start. Asked where a task enters a queue and again where it
-   * leaves one: what became free to start since the ledger last changed (a block that has just been
-   * settled) may have been cancelled long before.
+   * Whether the records let a task start. Checked when a task enters a queue and again when it
+   * leaves one: a task that became free to start since the last change of the records, such as in a
+   * shard that was just settled, may have been cancelled long before.
    */
   boolean mayStart(Placement placement) {
     TaskId task = placement.task();
-    JobRecord job = context.ledger().job(task.job());
+    JobRecord job = context.cache().job(task.job());
     return job != null
         && job.phase() == JobPhase.OPEN
-        && !context.ledger().isCompleted(task.job(), task.index())
-        && context.ledger().allocation(owner.id()).contains(task.job(), task.index())
-        && !isWithheld(placement);
+        && !context.cache().isCompleted(task.job(), task.index())
+        && context.cache().allocation(state.id()).contains(task.job(), task.index())
+        && !isBlocked(placement);
   }
 
-  /** Has what is kept back stopped, or given back where it is on no machine. */
+  /** Stops a blocked task, or releases it if it is on no machine. */
   void sync(Placement placement, MonotonicTime now) {
-    if (!isWithheld(placement)) {
+    if (!isBlocked(placement)) {
       return;
     }
     Job job = placement.job();
     switch (placement.state()) {
-      case STARTING, ACTIVE, STOPPING -> placement.stop(Preemptor.graceOf(job), true, now);
+      case STARTING, ACTIVE, STOPPING -> placement.stop(Preemptor.gracePeriodOf(job), true, now);
       case WAITING -> {
-        owner.dequeue(placement.task());
+        state.dequeue(placement.task());
         placement.release(now);
-        context.newsForLeader();
+        context.notifyLeader();
       }
-      // Completed before it was kept back, or not known yet where it is, or given back already.
+      // Completed before it was blocked, not located yet, or released already.
       case COMPLETED, UNSETTLED, RELEASED -> {}
       default -> throw new IllegalStateException(placement.state().toString());
     }
--- a/src/main/java/org/quincecross/shard/TokenRenewal.java
+++ b/src/main/java/org/quincecross/shard/TokenRenewal.java
@@ -6,43 +6,39 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * What of a block no message under its present token will end: the leader is asked to lease it
- * anew.
+ * Detects shards in which pending work cannot finish under the present fencing token, so that the
+ * leader has to renew the lease.
  */
 final class TokenRenewal {
-  /**
-   * Where a stop has waited so long for a start that was never answered, a new token is asked for.
-   */
-  private static final TimeSpan DOUBT_PATIENCE = TimeSpan.ofSeconds(8);
+  /** A stop that has waited this long for a start without a response needs a new token. */
+  private static final TimeSpan DOUBT_TIMEOUT = TimeSpan.ofSeconds(8);
 
-  /**
-   * So many exits that cannot be cleared make a machine's reports long enough to ask for a new
-   * token.
-   */
-  private static final int MOST_KEPT_EXITS = 100;
+  /** This many exits that cannot be cleared make heartbeats long enough to ask for a new token. */
+  private static final int MAX_RETAINED_EXITS = 100;
 
   private TokenRenewal() {}
 
   /**
-   * Whether there is a task that is to be stopped whose start was sent, never answered and never
-   * seen (it may arrive minutes late, and is refused only once its machine has seen a higher
-   * token), or a machine that has begun anew, whose reports are told from late ones of before only
-   * by a higher token.
+   * Whether a task is to be stopped whose start was sent, got no response and was never seen (it
+   * may arrive minutes late, and is refused only once its machine has seen a higher token), or a
+   * machine has restarted, whose heartbeats are told from late ones of before only by a higher
+   * token.
    */
-  static boolean any(
+  static boolean isNeeded(
       Placements placements, Map<MachineId, AgentSession> sessions, MonotonicTime now) {
     for (Placement placement : placements.in(Placement.State.STOPPING)) {
       AgentSession session = sessions.get(placement.machine());
-      // A machine that hears nothing does not show a new token either; the end of its session ends
-      // the doubt.
-      if (session.hearing().hears()
-          && session.isInDoubt(placement.attempt())
-          && now.since(placement.since()).isLongerThan(DOUBT_PATIENCE)
+      // A machine that receives nothing will not show a new token either; the end of its session
+      // resolves the doubt.
+      if (session.reachability().hears()
+          && session.needsTokenToResolve(placement.attempt())
+          && now.since(placement.since()).isLongerThan(DOUBT_TIMEOUT)
           && !session.reportedAttempts().contains(placement.attempt())) {
         return true;
       }
     }
     return sessions.values().stream()
-        .anyMatch(session -> session.hasBegunAnew() || session.keptExits() > MOST_KEPT_EXITS);
+        .anyMatch(
+            session -> session.hasRestarted() || session.retainedExits() > MAX_RETAINED_EXITS);
   }
 }
--- a/src/main/java/org/quincecross/shard/UnacknowledgedResponses.java
+++ b/src/main/java/org/quincecross/shard/UnacknowledgedResponses.java
@@ -3,19 +3,19 @@
 import org.quincecross.model.TaskId;
 
 /**
- * Until when a machine is answered on which a cancelled task may be that the answer does not stop.
- * An answer renews the machine's lease, so what it leaves there may stay for a lease; and of a
- * cancelled task nothing may stay for longer than a cancellation has
+ * Decides until when a machine gets responses on which a cancelled task may be that the response
+ * does not stop. A response renews the machine's lease, so what it leaves there may stay for a
+ * lease; and of a cancelled task nothing may stay for longer than a cancellation may take
  * (docs/incidents/start-after-cancel.md).
  *
- * <p>Proof. An answer to a machine that obeys this holder stops all that the machine has shown, if
- * it is taken; if it is not, it renews nothing. Two things remain. A start that was sent and never
- * answered may be executed at any time in the session, and the session lasts while it is answered.
- * And a machine that does not obey yet is told no more than the token, though a former holder's
- * tasks are there, or a start of that one gets there before the answer. Such a machine is answered
- * for so long after the cancellation that a lease from then on ends in time, also where the user
- * was told as soon as it was made. A holder that has not noted the cancellation is bounded by
- * {@link ShardContext#longestUnconfirmed}.
+ * <p>Proof. A response to a fenced machine stops everything that the machine has shown, if it is
+ * accepted; if it is not, it renews nothing. Two things remain. A start that was sent without a
+ * response may be executed at any time in the session, and the session lasts while it gets
+ * responses. And a machine that is not fenced gets no more than the token, although a former
+ * owner's tasks are there, or a start of that owner arrives before the response. Such a machine
+ * gets responses for so long after the cancellation that a lease from then on ends in time, also if
+ * the user was told at once. An owner that has not seen the cancellation is bounded by {@link
+ * ShardContext#maxUnconfirmedOwnership}.
  */
 final class UnacknowledgedResponses {
   private final ShardContext context;
@@ -26,16 +26,16 @@
     this.placements = placements;
   }
 
-  boolean mayAnswer(AgentSession session) {
-    if (session.mayYetStart(this::isLongCancelled)) {
+  boolean mayRespond(AgentSession session) {
+    if (session.mayStillStartAny(this::isLongCancelled)) {
       return false;
     }
     return session.wasCleared()
-        || placements.seenIn(Placement.State.UNSETTLED).stream()
+        || placements.viewIn(Placement.State.UNSETTLED).stream()
             .noneMatch(placement -> isLongCancelled(placement.task()));
   }
 
   private boolean isLongCancelled(TaskId task) {
-    return context.isLongCancelled(task.job());
+    return context.isCancellationExpiring(task.job());
   }
 }
--- a/src/main/java/org/quincecross/shard/UnplacedReasons.java
+++ b/src/main/java/org/quincecross/shard/UnplacedReasons.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.quincecross.model.JobId;
-import org.quincecross.model.MachineId;
 
-/** Says in words what the tasks of a job wait for in a block. */
+/** Explains in words what the tasks of a job wait for in a shard. */
 final class UnplacedReasons {
   private UnplacedReasons() {}
 
-  /** One line for each thing that tasks of the job wait for; none where all that is here runs. */
-  static List<String> of(
-      JobId job, ShardOwner owner, Placements placements, Map<MachineId, AgentSession> sessions) {
+  /** One line for each reason; none if all of the job's tasks here run. */
+  static List<String> of(JobId job, ShardState state) {
     Map<String, Integer> counts = new TreeMap<>();
-    for (Placement placement : placements.ofJob(job)) {
+    for (Placement placement : state.placements().ofJob(job)) {
       String what =
-          what(placement, placement.machine() == null ? null : sessions.get(placement.machine()));
+          what(
+              placement,
+              placement.machine() == null ? null : state.sessions().get(placement.machine()));
       if (what != null) {
         counts.merge(what, 1, Integer::sum);
       }
@@ -28,7 +28,7 @@
             waits.add(
                 tasks
                     + (tasks == 1 ? " task in block " : " tasks in block ")
-                    + owner.id()
+                    + state.id()
                     + ": "
                     + what));
     return waits;
@@ -55,7 +55,7 @@
 
   private static String on(Placement placement, AgentSession session) {
     String doubt =
-        session != null && session.isInDoubt(placement.attempt())
+        session != null && session.needsTokenToResolve(placement.attempt())
             ? ", whose answer to the start never came"
             : "";
     return placement.machine() + doubt;
--- a/src/main/java/org/quincecross/shard/package-info.java
+++ b/src/main/java/org/quincecross/shard/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Holding a block: the sessions of its machines, fencing, reconciliation, and what its tasks are
- * doing.
+ * Ownership of shards: agent sessions, fencing, reconciliation of heartbeats with the records, and
+ * the state of tasks.
  */
 package org.quincecross.shard;
--- a/src/test/java/org/quincecross/shard/AgentSessionTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionTest.java
@@ -31,11 +31,11 @@
   /** Comes, is taken and is answered, and the machine does not hear the answer. */
   private void report(long number, long order, double atS) {
     Heartbeat heartbeat = new Heartbeat(machine, number, order, FORMER, null, List.of());
-    if (session.report() != null) {
+    if (session.lastHeartbeat() != null) {
       session.provesNoneTaken(heartbeat, PRESENT);
     }
-    session.take(heartbeat, true, at(atS));
-    session.answered(heartbeat, at(atS));
+    session.accept(heartbeat, true, at(atS));
+    session.responseSent(heartbeat, at(atS));
   }
 
   /**
@@ -47,11 +47,11 @@
   void thatNoAnswerWasTakenSaysNothingOfTheLeaseOfANewSession() {
     report(1, 1, 1);
     report(1, 2, 5);
-    assertFalse(session.leaseIsOver(LEASE, at(12.5)));
+    assertFalse(session.isLeaseExpired(LEASE, at(12.5)));
     report(2, 3, 13.5);
     report(2, 4, 18);
     session.provesNoneTaken(new Heartbeat(machine, 2, 5, FORMER, null, List.of()), PRESENT);
-    assertFalse(session.leaseIsOver(LEASE, at(25)));
-    assertTrue(session.leaseIsOver(LEASE, at(25.6)));
+    assertFalse(session.isLeaseExpired(LEASE, at(25)));
+    assertTrue(session.isLeaseExpired(LEASE, at(25.6)));
   }
 }
--- a/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
@@ -122,7 +122,7 @@
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
     lastConfirmed = clock.nanos();
     clock.advance(30);
-    owner.excuse(TimeSpan.ofSeconds(30));
+    owner.excusePause(TimeSpan.ofSeconds(30));
     owner.tick();
     TaskId task = TASK.job().task(1);
     allocate(only(1));
@@ -157,15 +157,15 @@
                     new Revision(1)))
             .write());
     owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
-    owner.answer(new Heartbeat(OTHER, 1, 1, owner.lease().token(), null, List.of()));
+    owner.respond(new Heartbeat(OTHER, 1, 1, owner.lease().token(), null, List.of()));
     double startedAt = Double.NaN;
     for (double at = 0; at < 120 && Double.isNaN(startedAt); at += 0.25) {
       if (at % 5 == 1) {
-        owner.answer(
+        owner.respond(
             new Heartbeat(MACHINE, 1 + (long) (at / 10), ++order, former.token(), null, List.of()));
       }
       if (at % 1 == 0) {
-        owner.answer(
+        owner.respond(
             new Heartbeat(OTHER, 1, 2 + (long) at, owner.lease().token(), null, List.of()));
       }
       clock.advance(0.25);
@@ -185,6 +185,8 @@
    * has shown since. They do not show that it has not taken that answer
    * (docs/incidents/copies-of-a-life-before-the-last.md).
    */
+  // One course of events.
+  @SuppressWarnings("MethodLength")
   @Test
   void copiesOfALifeBeforeTheLastProveNothing() {
     long before = owner.lease().token().value();
@@ -206,7 +208,7 @@
         new ShardOwner(
             new Context() {
               @Override
-              public boolean allHaveNoted(Revision revision) {
+              public boolean allControllersHaveSeen(Revision revision) {
                 return true;
               }
             },
@@ -217,7 +219,7 @@
     for (double at = 0; at < 40 && Double.isNaN(startedAt); at += 0.25) {
       if (at == 5) {
         assertNotNull(
-            owner.answer(
+            owner.respond(
                 new Heartbeat(
                     MACHINE,
                     1,
@@ -226,10 +228,10 @@
                     null,
                     runs)));
       } else if (at == 12) {
-        owner.answer(new Heartbeat(MACHINE, 1, 10, new FencingToken(before), null, List.of()));
+        owner.respond(new Heartbeat(MACHINE, 1, 10, new FencingToken(before), null, List.of()));
       }
       if (at % 1 == 0) {
-        owner.answer(
+        owner.respond(
             new Heartbeat(OTHER, 1, 1 + (long) at, owner.lease().token(), null, List.of()));
       }
       pass(0.25);
--- a/src/test/java/org/quincecross/shard/RequeuerTest.java
+++ b/src/test/java/org/quincecross/shard/RequeuerTest.java
@@ -37,9 +37,9 @@
       directIsNeverAnswered();
       beat(List.of(piece(attempt, TaskState.EXITED, ExitReason.ERROR)));
       assertEquals(List.of(TASK), owner.released());
-      assertEquals(Set.of(TASK.job()), owner.declined());
+      assertEquals(Set.of(TASK.job()), owner.declinedJobs());
       int declinedS = 0;
-      while (!owner.declined().isEmpty()) {
+      while (!owner.declinedJobs().isEmpty()) {
         beat(List.of());
         declinedS++;
       }
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -84,17 +84,17 @@
     }
 
     @Override
-    public ClusterStateCache ledger() {
+    public ClusterStateCache cache() {
       return cache;
     }
 
     @Override
-    public List<Headroom> reserves(ShardId shard) {
+    public List<Headroom> headroom(ShardId shard) {
       return List.of();
     }
 
     @Override
-    public Settings.AgentTimeouts workers() {
+    public Settings.AgentTimeouts agentTimeouts() {
       return new Settings.AgentTimeouts(
           TimeSpan.ofSeconds(1),
           TimeSpan.ofSeconds(10),
@@ -104,12 +104,12 @@
     }
 
     @Override
-    public boolean isIdle(Job job) {
+    public boolean isBestEffort(Job job) {
       return false;
     }
 
     @Override
-    public TimeSpan startWithin(String jobClass) {
+    public TimeSpan startTimeLimit(String jobClass) {
       return null;
     }
 
@@ -119,27 +119,27 @@
     }
 
     @Override
-    public boolean isEntitled() {
+    public boolean mayCommand() {
       return true;
     }
 
     @Override
-    public MonotonicTime confirmed() {
+    public MonotonicTime confirmedAt() {
       return new MonotonicTime(Math.min(clock.nanos(), lastConfirmed));
     }
 
     @Override
-    public TimeSpan longestUnconfirmed() {
+    public TimeSpan maxUnconfirmedOwnership() {
       return TimeSpan.ofSeconds(20);
     }
 
     @Override
-    public boolean isLongCancelled(JobId job) {
+    public boolean isCancellationExpiring(JobId job) {
       return longCancelled;
     }
 
     @Override
-    public void newsForLeader() {}
+    public void notifyLeader() {}
   }
 
   void put(String key, Map<String, Object> value) {
@@ -148,6 +148,8 @@
   }
 
   /** A fenced machine to which the start of the one task has just been sent directly. */
+  // The fixture reads best whole.
+  @SuppressWarnings("MethodLength")
   @BeforeEach
   void aStartIsSent() {
     put(
@@ -219,7 +221,7 @@
 
   void beat(List<TaskStatus> pieces) {
     clock.advance(1);
-    owner.answer(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, pieces));
+    owner.respond(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, pieces));
     owner.tick();
   }
 
@@ -241,20 +243,20 @@
   String answer(List<TaskStatus> pieces) {
     clock.advance(1);
     return new String(
-        owner.answer(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, pieces)),
+        owner.respond(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, pieces)),
         StandardCharsets.UTF_8);
   }
 
   void directIsAnswered(List<TaskStatus> pieces) {
     List<Object> out = new ArrayList<>();
     pieces.forEach(
-        piece ->
+        status ->
             out.add(
                 Json.object(
                     "Piece",
-                    piece.task().toString(),
+                    status.task().toString(),
                     "Try",
-                    piece.attempt().value(),
+                    status.attempt().value(),
                     "Status",
                     "exited",
                     "Cause",
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -8,7 +8,6 @@
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
@@ -36,6 +35,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
+import org.quincecross.protocol.AgentCodec;
 import org.quincecross.protocol.Heartbeat;
 import org.quincecross.protocol.Heartbeat.ExitReason;
 import org.quincecross.protocol.Heartbeat.TaskState;
@@ -168,17 +168,17 @@
       }
 
       @Override
-      public boolean isEntitled() {
+      public boolean mayCommand() {
         return entitled;
       }
 
       @Override
-      public MonotonicTime confirmed() {
-        return lastWord[0] == null ? super.confirmed() : lastWord[0];
+      public MonotonicTime confirmedAt() {
+        return lastWord[0] == null ? super.confirmedAt() : lastWord[0];
       }
 
       @Override
-      public StartBlock withheld() {
+      public StartBlock startBlock() {
         return new StartBlock() {
           @Override
           public TaskSet of(Job each) {
@@ -272,7 +272,7 @@
       if (changed) {
         allocateAll();
       }
-      doubtSince = !owner.isInDoubt() ? -1 : doubtSince < 0 ? now() : doubtSince;
+      doubtSince = !owner.needsTokenRenewal() ? -1 : doubtSince < 0 ? now() : doubtSince;
       if (doubtSince >= 0 && now() - doubtSince > 1) {
         doubtSince = -1;
         leaseAnew(0);
@@ -291,7 +291,7 @@
 
     private void report(Heartbeat heartbeat, Consumer<byte[]> reply) {
       ShardOwner to = former != null && random.nextBoolean() ? former : owner;
-      reply.accept(to.answer(heartbeat));
+      reply.accept(to.respond(heartbeat));
     }
 
     private void direct(
@@ -369,9 +369,9 @@
       later(
           seconds,
           () -> {
-            owner.excuse(TimeSpan.ofSeconds(seconds));
+            owner.excusePause(TimeSpan.ofSeconds(seconds));
             if (former != null) {
-              former.excuse(TimeSpan.ofSeconds(seconds));
+              former.excusePause(TimeSpan.ofSeconds(seconds));
             }
           });
       later(
@@ -389,9 +389,9 @@
           + ", back "
           + back
           + ", waits for "
-          + owner.waits(job.id())
+          + owner.unplacedReasons(job.id())
           + ", in doubt "
-          + owner.isInDoubt()
+          + owner.needsTokenRenewal()
           + ", "
           + workers.stream()
               .map(
@@ -562,6 +562,8 @@
         }
       }
 
+      // One agent, as a protocol has it.
+      @SuppressWarnings("MethodLength")
       void request(HttpRequest request, Consumer<HttpResponse> reply) {
         whenGoing(
             () -> {
@@ -589,7 +591,7 @@
                                   "Status",
                                   piece.exitReason() == null ? "running" : "exited");
                           if (piece.exitReason() != null) {
-                            each.put("Cause", piece.exitReason().name().toLowerCase(Locale.ROOT));
+                            each.put("Cause", AgentCodec.exitWord(piece.exitReason()));
                           }
                           out.add(each);
                         });
--- a/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
+++ b/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
@@ -27,7 +27,7 @@
 
   private byte[] report(FencingToken token, List<TaskStatus> pieces) {
     clock.advance(1);
-    return owner.answer(new Heartbeat(MACHINE, 1, ++order, token, null, pieces));
+    return owner.respond(new Heartbeat(MACHINE, 1, ++order, token, null, pieces));
   }
 
   @Test
--- a/src/test/java/org/quincecross/shard/UnansweredStartTest.java
+++ b/src/test/java/org/quincecross/shard/UnansweredStartTest.java
@@ -30,7 +30,7 @@
     assertEquals(0, owner.completed().size() + owner.machine(MACHINE.id()).tasks());
     // The exit is what makes the late start harmless: it must stay.
     assertFalse(after.contains("clear"), after);
-    assertFalse(owner.isInDoubt());
+    assertFalse(owner.needsTokenRenewal());
   }
 
   @Test
@@ -52,7 +52,7 @@
     directIsNeverAnswered();
     allocate(new TaskSet());
     for (int i = 0; i < 30; i++) {
-      assertEquals(i > 8, owner.isInDoubt(), "after " + i + " s");
+      assertEquals(i > 8, owner.needsTokenRenewal(), "after " + i + " s");
       beat(List.of());
     }
     assertEquals(1, owner.machine(MACHINE.id()).tasks());
