--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -240,11 +240,11 @@
                 "fenced",
                 machine.fenced(),
                 "notice",
-                machine.notice(),
+                machine.terminationNotice(),
                 "sick",
-                machine.sick(),
+                machine.faulty(),
                 "silent_ms",
-                machine.silent().millis(),
+                machine.silentFor().millis(),
                 "images",
                 machine.images()));
       }
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -35,12 +35,12 @@
    * A report whose block is just being leased waits this long for its answer; workers give up after
    * 4 s.
    */
-  private static final TimeSpan WAIT_FOR_LEASE = TimeSpan.ofSeconds(2.5);
+  private static final TimeSpan MAX_WAIT_FOR_LEASE = TimeSpan.ofSeconds(2.5);
 
-  private static final TimeSpan LOOK_AGAIN = TimeSpan.ofMillis(250);
+  private static final TimeSpan RECHECK_INTERVAL = TimeSpan.ofMillis(250);
 
   /** A holder's word that is older says nothing of whom it hears. */
-  private static final TimeSpan WORD_FRESH = TimeSpan.ofSeconds(2.5);
+  private static final TimeSpan MAX_VIEW_AGE = TimeSpan.ofSeconds(2.5);
 
   /** A machine that its holder has not heard of for so long is not sent there. */
   private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(3);
@@ -54,7 +54,7 @@
   private final PeerViews views;
   private final ControllerId self;
   private final ForeignHeartbeats strays = new ForeignHeartbeats();
-  private final UnassignedMachines arrivals;
+  private final UnassignedMachines unassignedMachines;
   private final IsolationDetector aloneness;
   private List<Waiting> waiting = new ArrayList<>();
   private boolean lookPlanned;
@@ -74,7 +74,7 @@
     this.leader = leader;
     this.views = views;
     this.self = self;
-    this.arrivals = new UnassignedMachines(timers, http, leader);
+    this.unassignedMachines = new UnassignedMachines(timers, http, leader);
     this.aloneness = aloneness;
   }
 
@@ -83,12 +83,12 @@
     return strays.lately(timers.now());
   }
 
-  void beat(byte[] body, Consumer<HttpResponse> reply) {
+  void heartbeat(byte[] body, Consumer<HttpResponse> reply) {
     Heartbeat heartbeat;
     try {
       heartbeat = AgentCodec.readHeartbeat(Json.parseFields(body));
     } catch (MalformedMessageException e) {
-      LOG.info("unreadable report: {}", e.getMessage());
+      LOG.info("heartbeat cannot be read: {}", e.getMessage());
       reply.accept(HttpResponse.of(400, JobCodec.writeError(e.getMessage())));
       return;
     }
@@ -97,12 +97,12 @@
       return;
     }
     ShardLease lease = cache.shardOf(heartbeat.machine().id());
-    aloneness.machine(
+    aloneness.machineReported(
         heartbeat.token(),
         new FencingToken(cache.revision().value()),
         lease != null && lease.owner().equals(self),
         timers.now());
-    route(heartbeat, timers.now().plus(WAIT_FOR_LEASE), reply);
+    route(heartbeat, timers.now().plus(MAX_WAIT_FOR_LEASE), reply);
   }
 
   private void route(Heartbeat heartbeat, MonotonicTime until, Consumer<HttpResponse> reply) {
@@ -110,7 +110,7 @@
     ShardLease lease = cache.shardOf(machine);
     if (lease == null) {
       if (leader.isLeading()) {
-        arrivals.reported(heartbeat);
+        unassignedMachines.reported(heartbeat);
         waitForLease(heartbeat, until, reply);
       } else if (cache.leader() != null) {
         redirect(cache.leader().id(), reply);
@@ -152,15 +152,15 @@
   /** Whether the holder of a block itself says that it has not heard of a machine for a while. */
   private boolean isUnheard(ShardLease lease, MachineId machine) {
     PeerViews.View view = views.of(lease.owner());
-    if (view == null || timers.now().since(view.at()).isLongerThan(WORD_FRESH)) {
+    if (view == null || timers.now().since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
       return false;
     }
-    PeerViews.BlockView block = view.blocks().get(lease.id());
+    PeerViews.ShardView block = view.shards().get(lease.id());
     PeerHeartbeat.MachineState state =
         block == null || !block.token().equals(lease.token())
             ? null
             : block.machines().get(machine);
-    return state != null && state.silent().isLongerThan(UNHEARD);
+    return state != null && state.silentFor().isLongerThan(UNHEARD);
   }
 
   private void redirect(ControllerId member, Consumer<HttpResponse> reply) {
@@ -183,22 +183,22 @@
     if (!lookPlanned) {
       lookPlanned = true;
       timers.after(
-          LOOK_AGAIN,
+          RECHECK_INTERVAL,
           () -> {
             lookPlanned = false;
-            lookAgain();
+            recheckWaiting();
           });
     }
   }
 
   /** New leases may be what reports wait for. */
-  void ledgerChanged(ClusterStateCache.Changes changes) {
+  void cacheChanged(ClusterStateCache.Changes changes) {
     if (changes.reloaded() || !changes.shards().isEmpty()) {
-      lookAgain();
+      recheckWaiting();
     }
   }
 
-  private void lookAgain() {
+  private void recheckWaiting() {
     List<Waiting> now = waiting;
     waiting = new ArrayList<>();
     now.forEach(each -> route(each.heartbeat(), each.until(), each.reply()));
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -31,8 +31,8 @@
  * the records were read waits as well, while they allocate any of it.
  */
 final class Cancellations {
-  private static final TimeSpan LOOK_AGAIN = TimeSpan.ofMillis(100);
-  private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(1.2);
+  private static final TimeSpan RECHECK_INTERVAL = TimeSpan.ofMillis(100);
+  private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(1.2);
 
   private final Timers timers;
   private final ClusterStateCache cache;
@@ -62,7 +62,7 @@
     this.bound = bound;
   }
 
-  void ledgerChanged(ClusterStateCache.Changes changes) {
+  void cacheChanged(ClusterStateCache.Changes changes) {
     if (changes.reloaded()) {
       for (ShardId shard : cache.allocatedShards()) {
         cache.allocation(shard).tasks().keySet().forEach(this::seen);
@@ -90,7 +90,7 @@
     if (!sweepPlanned && !untold.isEmpty()) {
       sweepPlanned = true;
       timers.after(
-          bound.toldAfter(),
+          bound.confirmCancellationAfter(),
           () -> {
             sweepPlanned = false;
             for (Iterator<MonotonicTime> oldest = untold.values().iterator();
@@ -109,27 +109,27 @@
 
   /** Says, soon, whether a user may be told what the record says. */
   void whenSafe(JobRecord record, Consumer<Boolean> safe) {
-    whenSafe(record, timers.now().plus(PATIENCE), safe);
+    whenSafe(record, timers.now().plus(TIMEOUT), safe);
   }
 
   private void whenSafe(JobRecord record, MonotonicTime until, Consumer<Boolean> safe) {
-    if (record.phase() != JobPhase.CANCELLED || mayTell(record)) {
+    if (record.phase() != JobPhase.CANCELLED || mayConfirm(record)) {
       safe.accept(true);
     } else if (until.isBefore(timers.now())) {
       safe.accept(false);
     } else {
-      timers.after(LOOK_AGAIN, () -> whenSafe(record, until, safe));
+      timers.after(RECHECK_INTERVAL, () -> whenSafe(record, until, safe));
     }
   }
 
-  private boolean mayTell(JobRecord record) {
+  private boolean mayConfirm(JobRecord record) {
     MonotonicTime since = untold.get(record.id());
     if (since == null) {
       return true;
     }
     if (isOver(since)
         || cache.shardsOf(record.id()).isEmpty()
-        || (bound.notingSuffices() && allHoldersHaveSeen(record))) {
+        || (bound.acknowledgementSuffices() && allOwnersHaveSeen(record))) {
       untold.remove(record.id());
       return true;
     }
@@ -137,10 +137,10 @@
   }
 
   private boolean isOver(MonotonicTime since) {
-    return timers.now().since(since).isLongerThan(bound.toldAfter());
+    return timers.now().since(since).isLongerThan(bound.confirmCancellationAfter());
   }
 
-  private boolean allHoldersHaveSeen(JobRecord record) {
+  private boolean allOwnersHaveSeen(JobRecord record) {
     for (ShardId id : cache.shardsOf(record.id())) {
       ShardLease lease = cache.shard(id);
       if (lease == null || !hasSeen(lease, record)) {
@@ -156,10 +156,10 @@
       return own.hasAllFenced();
     }
     PeerViews.View view = views.of(lease.owner());
-    PeerViews.BlockView block = view == null ? null : view.blocks().get(lease.id());
+    PeerViews.ShardView block = view == null ? null : view.shards().get(lease.id());
     if (block == null
         || !block.token().equals(lease.token())
-        || record.version().isAfter(view.ledger())) {
+        || record.version().isAfter(view.cacheRevision())) {
       return false;
     }
     for (MachineId machine : lease.machines().keySet()) {
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -62,11 +62,11 @@
 /** A whole controller, but for its sockets and its clock. */
 public final class Controller implements HttpHandler, ShardContext {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-  private static final TimeSpan TELL_EVERY = TimeSpan.ofMillis(500);
-  private static final TimeSpan NEWS_AFTER = TimeSpan.ofMillis(100);
+  private static final TimeSpan REPORT_INTERVAL = TimeSpan.ofMillis(500);
+  private static final TimeSpan NOTIFICATION_DELAY = TimeSpan.ofMillis(100);
 
   /** What changes with time alone is looked at in every second of the regular reports. */
-  private static final int LOOK_AT_ALL_EVERY = 2;
+  private static final int FULL_REPORT_EVERY = 2;
 
   private final Timers timers;
   private final HttpCaller http;
@@ -84,22 +84,22 @@
   private final AgentApi agents;
   private final AdminApi admin;
   private final StallDetector stalls;
-  private final AccountingLog served;
+  private final AccountingLog accounting;
   private final Cancellations cancellations;
   private final Metrics metrics = new Metrics();
   private final PeerViews views = new PeerViews();
   private final RemoteCapacityHint roomElsewhere;
   private final Map<ControllerId, Long> sent = new HashMap<>();
   private final Map<ControllerId, LinkMonitor> links = new HashMap<>();
-  private final PauseDetector stillness;
-  private final IsolationDetector aloneness;
+  private final PauseDetector pauseDetector;
+  private final IsolationDetector isolation;
   private final UnconfirmedOwnershipBound unconfirmedBound;
   private final StartPermission startPermission;
   private final LongSupplier clockMs;
   private long reports;
   private long regularReports;
-  private boolean newsPlanned;
-  private boolean newsForAll;
+  private boolean notificationPlanned;
+  private boolean notifyAll;
 
   /**
    * @param features what is switched on
@@ -116,16 +116,16 @@
       BooleanSupplier memoryIsShort) {
     // Whatever comes to pass here comes by a timer, an answer, a request or a frame, and each
     // begins with a look at the clock.
-    stillness = new PauseDetector(clock.now());
-    timers = InstrumentedTimers.timers(clock, this::lookAtClock);
-    http = InstrumentedTimers.caller(caller, this::lookAtClock);
+    pauseDetector = new PauseDetector(clock.now());
+    timers = InstrumentedTimers.timers(clock, this::detectPause);
+    http = InstrumentedTimers.caller(caller, this::detectPause);
     this.peers = peers;
     this.settings = settings;
     this.clockMs = clockMs;
     KeyValueStoreClient store =
         new KeyValueStoreClient(timers, http, settings.storeAddress(), settings.storeLimits());
     watcher = new StateWatcher(timers, store, cache);
-    aloneness =
+    isolation =
         new IsolationDetector(
             settings.peers().stream().allMatch(other -> settings.self().compareTo(other.id()) < 0),
             clock.now());
@@ -149,7 +149,7 @@
                 .map(Settings.Peer::id)
                 .filter(other -> !other.equals(settings.self()))
                 .collect(Collectors.toSet()),
-            unconfirmedBound.starts());
+            unconfirmedBound.maxUnconfirmedStarts());
     agreed =
         new ReplicatedFeatures(
             timers,
@@ -161,7 +161,7 @@
             settings,
             features.replicatedFeatures(),
             clockMs,
-            unconfirmedBound.unconfirmed());
+            unconfirmedBound.maxUnconfirmed());
     forecast = new DemandForecast(cache, agreed.withheld());
     roomElsewhere = new RemoteCapacityHint(cache, views, this::headroom);
     ownedShards = new OwnedShards(this, settings.self(), membership::life);
@@ -202,12 +202,12 @@
             cancellations,
             membership::life,
             memoryIsShort,
-            aloneness::state);
+            isolation::state);
     agents =
-        new AgentApi(timers, cache, ownedShards, leader, views, http, settings.self(), aloneness);
+        new AgentApi(timers, cache, ownedShards, leader, views, http, settings.self(), isolation);
     stalls =
         new StallDetector(timers, cache, ownedShards, leader, this::running, agreed.withheld());
-    served =
+    accounting =
         features.accountingInterval() == null
             ? null
             : new AccountingLog(
@@ -229,7 +229,7 @@
             leader,
             metrics,
             stalls,
-            served,
+            accounting,
             settings.self(),
             settings.storeLimits());
   }
@@ -241,42 +241,42 @@
 
   public void start() {
     cache.addListener(changes -> membership.ledgerChanged(cache));
-    agreed.listen(cache, ownedShards, leader, served, this::running);
+    agreed.listen(cache, ownedShards, leader, accounting, this::running);
     agreed.keepRoom(forecast, leader);
     cache.addListener(ownedShards::cacheChanged);
-    cache.addListener(cancellations::ledgerChanged);
-    cache.addListener(this::forgetFormerHolders);
+    cache.addListener(cancellations::cacheChanged);
+    cache.addListener(this::forgetFormerOwners);
     cache.addListener(leader::cacheChanged);
-    cache.addListener(agents::ledgerChanged);
+    cache.addListener(agents::cacheChanged);
     membership.start();
     watcher.start();
     ownedShards.start();
     leader.start();
     autoscaler.start();
     stalls.start();
-    if (served != null) {
-      served.start();
+    if (accounting != null) {
+      accounting.start();
     }
-    timers.every(TELL_EVERY, () -> tell(true, ++regularReports % LOOK_AT_ALL_EVERY == 0));
+    timers.every(REPORT_INTERVAL, () -> report(true, ++regularReports % FULL_REPORT_EVERY == 0));
   }
 
   /**
    * Notices that this process has stood still while its clocks ran on, before anything is done by
    * what it knew. It is its own stillness that nobody was heard meanwhile.
    */
-  private void lookAtClock() {
-    TimeSpan gap = stillness.turn(timers.now());
+  private void detectPause() {
+    TimeSpan gap = pauseDetector.tick(timers.now());
     if (gap.equals(TimeSpan.ZERO) || watcher.confirmedAt() == null) {
       return;
     }
-    LOG.info("stood still for {}: nothing is decided before the records are confirmed", gap);
-    views.excuse(gap);
+    LOG.info("process paused for {}: no decisions before the records are confirmed", gap);
+    views.excusePause(gap);
     ownedShards.excusePause(gap);
     watcher.barrier(confirmed -> leader.scheduleStep());
   }
 
   private boolean isWaking() {
-    return stillness.isWaking(watcher.confirmedAt(), timers.now());
+    return pauseDetector.isWaking(watcher.confirmedAt(), timers.now());
   }
 
   // ---- the other controllers ----
@@ -298,20 +298,20 @@
         agreed.sections());
   }
 
-  private void tell(boolean everyone, boolean lookAtAll) {
+  private void report(boolean everyone, boolean lookAtAll) {
     reports++;
     startPermission.sent(membership.life(), reports, timers.now());
-    lookAround();
+    updateIsolation();
     ownedShards.refresh(reports, lookAtAll);
     PeerViews.View own = views.of(settings.self());
-    views.take(
-        report(own == null || !own.life().equals(membership.life()) ? 0 : own.number()),
+    views.apply(
+        report(own == null || !own.incarnation().equals(membership.life()) ? 0 : own.number()),
         timers.now());
     for (Settings.Peer sibling : settings.peers()) {
       ControllerId member = sibling.id();
       LinkMonitor link = links.computeIfAbsent(member, m -> new LinkMonitor());
-      if (link.takeStuck(timers.now())) {
-        LOG.debug("nothing arrives at {}: a new connection is made", member);
+      if (link.takeReconnectNeeded(timers.now())) {
+        LOG.debug("peer {} receives nothing: reconnecting", member);
         peers.renew(member);
       }
       boolean leads = cache.leader() != null && cache.leader().id().equals(member);
@@ -327,13 +327,13 @@
 
   /** Takes a frame from another controller; false if it cannot be read. */
   public boolean frame(byte[] frame) {
-    lookAtClock();
+    detectPause();
     try {
       PeerHeartbeat heartbeat = PeerCodec.read(frame);
       PeerHeartbeat.Receipt receipt = heartbeat.receipts().get(settings.self());
       if (receipt != null) {
         startPermission.received(
-            heartbeat.member(), receipt.incarnation(), receipt.number(), heartbeat.ledger());
+            heartbeat.member(), receipt.incarnation(), receipt.number(), heartbeat.cacheRevision());
       }
       if (receipt != null && receipt.incarnation().equals(membership.life())) {
         links
@@ -343,19 +343,19 @@
       if (receipt != null && receipt.gap() && receipt.incarnation().equals(membership.life())) {
         sent.merge(heartbeat.member(), receipt.number(), Math::min);
       }
-      if (!views.take(heartbeat, timers.now())) {
-        newsForAll = true; // with the receipt that says so
+      if (!views.apply(heartbeat, timers.now())) {
+        notifyAll = true; // with the receipt that says so
         notifyLeader();
       }
       return true;
     } catch (MalformedMessageException e) {
-      LOG.info("{}", e.getMessage());
+      LOG.info("peer report cannot be read: {}", e.getMessage());
       return false;
     }
   }
 
   /** What a controller said of a block that another one holds now is of no use any more. */
-  private void forgetFormerHolders(ClusterStateCache.Changes changes) {
+  private void forgetFormerOwners(ClusterStateCache.Changes changes) {
     for (ShardId id : changes.shards()) {
       ShardLease lease = cache.shard(id);
       for (Settings.Peer sibling : settings.peers()) {
@@ -367,7 +367,7 @@
 
   private void forgetIfFormer(ControllerId member, ShardId id, ShardLease lease) {
     PeerViews.View view = views.of(member);
-    PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
+    PeerViews.ShardView block = view == null ? null : view.shards().get(id);
     // A report may be ahead of the ledger here: what it says of a later lease is kept.
     if (block != null
         && (lease == null
@@ -381,7 +381,7 @@
     for (ShardId id : cache.shardsOf(job)) {
       ShardLease lease = ownedShards.get(id) == null ? cache.shard(id) : null;
       PeerViews.View view = lease == null ? null : views.of(lease.owner());
-      PeerViews.BlockView block = view == null ? null : view.blocks().get(id);
+      PeerViews.ShardView block = view == null ? null : view.shards().get(id);
       count += block == null ? 0 : block.running().getOrDefault(job, 0);
     }
     return count;
@@ -391,7 +391,7 @@
 
   @Override
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-    lookAtClock();
+    detectPause();
     MonotonicTime begun = timers.now();
     String path = request.path();
     String what =
@@ -408,12 +408,12 @@
   }
 
   private void route(HttpRequest request, String path, Consumer<HttpResponse> reply) {
-    if (isUnable()
+    if (isIncompatible()
         && (path.equals(AgentCodec.HEARTBEAT_PATH) || path.startsWith(JobCodec.JOBS_PATH))) {
       reply.accept(HttpResponse.of(503, JobCodec.writeError("this controller cannot take part")));
     } else if (path.equals(AgentCodec.HEARTBEAT_PATH)) {
       if (request.method().equals("POST")) {
-        agents.beat(request.body(), reply);
+        agents.heartbeat(request.body(), reply);
       } else {
         reply.accept(HttpResponse.of(405));
       }
@@ -437,7 +437,7 @@
    * Also before it is a member, or between two lives: a job whose record is skipped must not be
    * called unknown.
    */
-  private boolean isUnable() {
+  private boolean isIncompatible() {
     return !membership.incompatibility().isEmpty() || !cache.unreadable().isEmpty();
   }
 
@@ -447,32 +447,32 @@
    * state service returns.
    */
   private boolean isHealthy() {
-    if (!cache.isLoaded() || isUnable()) {
+    if (!cache.isLoaded() || isIncompatible()) {
       return false;
     }
-    lookAround();
-    return aloneness.state().takesUsers();
+    updateIsolation();
+    return isolation.state().takesUsers();
   }
 
-  private void lookAround() {
+  private void updateIsolation() {
     if (watcher.lastBarrierStart() == null) {
       return; // nothing was read yet
     }
-    IsolationDetector.State before = aloneness.state();
-    aloneness.look(
+    IsolationDetector.State before = isolation.state();
+    isolation.evaluate(
         watcher.lastBarrierStart(),
         settings.peers().stream()
             .map(
                 sibling -> {
                   PeerViews.View view = views.of(sibling.id());
-                  return new IsolationDetector.Word(
+                  return new IsolationDetector.PeerContact(
                       view == null ? null : view.at(),
-                      view == null ? TimeSpan.ZERO : view.unconfirmed());
+                      view == null ? TimeSpan.ZERO : view.sinceStoreContact());
                 })
             .toList(),
         timers.now());
-    if (aloneness.state() != before) {
-      LOG.info("state service and others: {}, was {}", aloneness.state(), before);
+    if (isolation.state() != before) {
+      LOG.info("store connectivity: {}, was {}", isolation.state(), before);
     }
   }
 
@@ -533,7 +533,7 @@
     ShardLease shard = cache.shardOf(machine);
     if (shard != null) {
       for (PeerViews.View view : views.all()) {
-        PeerViews.BlockView known = view.blocks().get(shard.id());
+        PeerViews.ShardView known = view.shards().get(shard.id());
         PeerHeartbeat.MachineState state = known == null ? null : known.machines().get(machine);
         if (state != null) {
           return state.images();
@@ -553,18 +553,18 @@
     MonotonicTime confirmed = confirmedAt();
     return confirmed != null
         && !isWaking()
-        && !isUnable()
-        && !timers.now().since(confirmed).isLongerThan(unconfirmedBound.unconfirmed());
+        && !isIncompatible()
+        && !timers.now().since(confirmed).isLongerThan(unconfirmedBound.maxUnconfirmed());
   }
 
   @Override
   public boolean mayStartTasks() {
-    return mayCommand() && startPermission.isGiven(confirmedAt(), cache.revision(), timers.now());
+    return mayCommand() && startPermission.isGranted(confirmedAt(), cache.revision(), timers.now());
   }
 
   @Override
   public TimeSpan maxUnconfirmedOwnership() {
-    return unconfirmedBound.unconfirmed();
+    return unconfirmedBound.maxUnconfirmed();
   }
 
   @Override
@@ -578,7 +578,9 @@
     TimeSpan atMost =
         TimeSpan.ofMillis(clockMs.getAsLong() - record.cancelledMs())
             .plus(settings.clockBound().times(2));
-    return atMost.plus(unconfirmedBound.toldAfter()).isLongerThan(unconfirmedBound.unconfirmed());
+    return atMost
+        .plus(unconfirmedBound.confirmCancellationAfter())
+        .isLongerThan(unconfirmedBound.maxUnconfirmed());
   }
 
   @Override
@@ -586,7 +588,7 @@
     for (Settings.Peer sibling : settings.peers()) {
       PeerViews.View view = views.of(sibling.id());
       if (!sibling.id().equals(settings.self())
-          && (view == null || revision.isAfter(view.ledger()))) {
+          && (view == null || revision.isAfter(view.cacheRevision()))) {
         return false;
       }
     }
@@ -595,15 +597,15 @@
 
   @Override
   public void notifyLeader() {
-    if (!newsPlanned) {
-      newsPlanned = true;
+    if (!notificationPlanned) {
+      notificationPlanned = true;
       timers.after(
-          NEWS_AFTER,
+          NOTIFICATION_DELAY,
           () -> {
-            newsPlanned = false;
-            boolean everyone = newsForAll;
-            newsForAll = false;
-            tell(everyone, false);
+            notificationPlanned = false;
+            boolean everyone = notifyAll;
+            notifyAll = false;
+            report(everyone, false);
           });
     }
   }
--- a/src/main/java/org/quincecross/api/LoadShedder.java
+++ b/src/main/java/org/quincecross/api/LoadShedder.java
@@ -21,7 +21,7 @@
   private static final TimeSpan HELD = TimeSpan.ofSeconds(1);
 
   /** Each takes a socket. */
-  private static final int MOST_HELD = 100;
+  private static final int MAX_HELD = 100;
 
   private final Timers timers;
   private final Supplier<IsolationDetector.State> aloneness;
@@ -41,7 +41,7 @@
 
   /** Refuses a request, or has it tried {@code again} if there is word by then. */
   void refuse(Consumer<HttpResponse> reply, Runnable again) {
-    if (aloneness.get().takesUsers() || held >= MOST_HELD) {
+    if (aloneness.get().takesUsers() || held >= MAX_HELD) {
       reply.accept(refusal());
       return;
     }
--- a/src/main/java/org/quincecross/api/ModelServingFeature.java
+++ b/src/main/java/org/quincecross/api/ModelServingFeature.java
@@ -34,7 +34,7 @@
     this.base = base;
     this.views = views;
     this.records = new ModelIndex(base.cache());
-    base.withheld().add(records);
+    base.startBlock().add(records);
   }
 
   /** Follows the records, and has the leader keep the models. */
@@ -50,7 +50,7 @@
         new ModelsApi(base, records, desk, new ModelPlacementView(cache, views, records), running);
     cache.addListener(
         changes -> {
-          records.ledgerChanged(changes, base.withheld()::changed);
+          records.ledgerChanged(changes, base.startBlock()::changed);
           desk.ledgerChanged(changes);
         });
     leader.enableModelServing(base, records);
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -100,7 +100,7 @@
 
   /** What is not to run now. */
   StartBlock withheld() {
-    return base == null ? StartBlock.NONE : base.withheld();
+    return base == null ? StartBlock.NONE : base.startBlock();
   }
 
   /** Has room kept for requests, where that is switched on. */
@@ -125,8 +125,8 @@
     if (base == null) {
       return;
     }
-    cache.addListener(base.known()::ledgerChanged);
-    base.withheld()
+    cache.addListener(base.known()::cacheChanged);
+    base.startBlock()
         .listen(
             (Set<JobId> jobs) -> {
               leader.startBlockChanged(jobs);
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -32,15 +32,15 @@
  * <p>What ends each wait: a transaction waits for the budget, which refills, and then for its
  * answer, for as long as {@link KeyValueStoreClient} gives it; one without an answer, or in
  * conflict, waits for a reading of the records, which fails after a second; one that was refused
- * for its number is tried again until {@link #PATIENCE} is over, and one that the state service
- * does not serve ends at once. An answer that is long in coming holds up nobody but those that it
- * is about, and they are answered as soon as the records have their jobs
+ * for its number is tried again until {@link #TIMEOUT} is over, and one that the state service does
+ * not serve ends at once. An answer that is long in coming holds up nobody but those that it is
+ * about, and they are answered as soon as the records have their jobs
  * (docs/incidents/an-answer-that-holds-up-others.md). Whatever this comes to together, {@link
  * ResponseDeadline} answers before the user stops waiting; what has not been written by then is not
  * written any more.
  */
 final class Submissions {
-  private static final TimeSpan PATIENCE = TimeSpan.ofSeconds(2);
+  private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(2);
 
   /** The longest that a user is left without an answer, who waits 5 s for it. */
   static final TimeSpan ANSWERED = TimeSpan.ofSeconds(3.2);
@@ -155,7 +155,7 @@
       return 0;
     }
     MonotonicTime now = timers.now();
-    TimeSpan wait = TimeSpan.ofSeconds((underWay + waiting.ahead(team)) * secondsPerJob);
+    TimeSpan wait = TimeSpan.ofSeconds((underWay + waiting.itemsAhead(team)) * secondsPerJob);
     if (!wait.isLongerThan(LONGEST_QUEUE)) {
       return 0;
     }
@@ -387,7 +387,7 @@
     if (!pending.containsKey(one.job().id())) {
       return; // it is on record already
     }
-    if (timers.now().since(one.since()).isLongerThan(PATIENCE)) {
+    if (timers.now().since(one.since()).isLongerThan(TIMEOUT)) {
       one.done().accept(Outcome.REFUSED);
       return;
     }
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -72,7 +72,7 @@
   private final DependencyWriter afterParts;
   private final Cancellations cancellations;
   private final BooleanSupplier memoryIsShort;
-  private final LoadShedder refusals;
+  private final LoadShedder loadShedder;
 
   /**
    * Who waits for the same cancellation to be written. In a wave that is larger than the budget for
@@ -104,7 +104,7 @@
     this.clockMs = clockMs;
     this.cancellations = cancellations;
     this.memoryIsShort = memoryIsShort;
-    this.refusals = new LoadShedder(timers, aloneness, this::isCutOff);
+    this.loadShedder = new LoadShedder(timers, aloneness, this::isCutOff);
     this.polls =
         new ResponseDeadline(timers, POLL_ANSWERED, later("the state service cannot be reached"));
     this.changes =
@@ -169,7 +169,7 @@
   /**
    * Answers with a job's state; where a cancellation may not be told yet, the user is to come back.
    */
-  private void tell(JobRecord record, Consumer<HttpResponse> reply) {
+  private void respond(JobRecord record, Consumer<HttpResponse> reply) {
     cancellations.whenSafe(
         record, safe -> reply.accept(safe ? state(record) : later("being cancelled")));
   }
@@ -193,16 +193,16 @@
    * Answers with a job's state: at once if it is final, else when the ledger is known to be
    * current.
    */
-  private void look(JobId id, Consumer<HttpResponse> reply, Runnable unknown) {
-    look(id, reply, unknown, false);
+  private void readJob(JobId id, Consumer<HttpResponse> reply, Runnable unknown) {
+    readJob(id, reply, unknown, false);
   }
 
-  private void look(JobId id, Consumer<HttpResponse> reply, Runnable unknown, boolean mayWait) {
+  private void readJob(JobId id, Consumer<HttpResponse> reply, Runnable unknown, boolean mayWait) {
     JobRecord known = cache.job(id);
     if (known != null && known.phase().isTerminal()) {
-      tell(known, reply);
+      respond(known, reply);
     } else if (isCutOff()) {
-      refusals.refuse(reply, () -> look(id, reply, unknown, mayWait));
+      loadShedder.refuse(reply, () -> readJob(id, reply, unknown, mayWait));
     } else {
       Consumer<Boolean> answer =
           current -> {
@@ -212,7 +212,7 @@
             } else if (record == null) {
               unknown.run();
             } else {
-              tell(record, reply);
+              respond(record, reply);
             }
           };
       if (mayWait) {
@@ -224,7 +224,7 @@
   }
 
   private void poll(JobId id, Consumer<HttpResponse> reply) {
-    look(
+    readJob(
         id,
         reply,
         () -> reply.accept(HttpResponse.of(404, JobCodec.writeError("no such job"))),
@@ -242,11 +242,11 @@
       return;
     }
     if (cache.job(id) != null) {
-      look(id, reply, () -> reply.accept(later("try again")));
+      readJob(id, reply, () -> reply.accept(later("try again")));
       return;
     }
     if (isCutOff()) {
-      refusals.refuse(reply, () -> submit(body, reply));
+      loadShedder.refuse(reply, () -> submit(body, reply));
       return;
     }
     if (memoryIsShort.getAsBoolean()) {
@@ -267,14 +267,14 @@
         takeIfKnown(job, reply);
         return;
       }
-      take(job, reply);
+      accept(job, reply);
     } else if (refusal.status() == 503) {
       reply.accept(refusal);
     } else {
       // A known job is known whatever its repetition says: another controller may have accepted it
       // just now.
       HttpResponse verdict = refusal;
-      look(id, reply, () -> reply.accept(verdict));
+      readJob(id, reply, () -> reply.accept(verdict));
     }
   }
 
@@ -282,7 +282,7 @@
     MonotonicTime now = timers.now();
     if (saidShort == null || now.since(saidShort).isLongerThan(SAY_EVERY)) {
       saidShort = now;
-      LOG.error("memory is short with {} jobs on record: new ones are refused", cache.jobCount());
+      LOG.error("memory is short with {} stored jobs: new ones are refused", cache.jobCount());
     }
   }
 
@@ -295,7 +295,7 @@
    * on can say that nobody has.
    */
   private void takeIfKnown(Job job, Consumer<HttpResponse> reply) {
-    look(
+    readJob(
         job.id(),
         reply,
         () -> {
@@ -306,12 +306,12 @@
           if (refusal != null) {
             reply.accept(refusal);
           } else {
-            take(job, reply);
+            accept(job, reply);
           }
         });
   }
 
-  private void take(Job job, Consumer<HttpResponse> reply) {
+  private void accept(Job job, Consumer<HttpResponse> reply) {
     int comeBackInS = submissions.comeBackInS(job.team());
     if (comeBackInS > 0) {
       reply.accept(bad(429, "too many submissions at once").withRetryAfter(comeBackInS));
@@ -321,14 +321,14 @@
         job.dependencies(),
         durable -> {
           if (durable) {
-            accept(job, reply);
+            persist(job, reply);
           } else {
             reply.accept(later("the state service does not take it now"));
           }
         });
   }
 
-  private void accept(Job job, Consumer<HttpResponse> reply) {
+  private void persist(Job job, Consumer<HttpResponse> reply) {
     submissions.submit(
         job,
         clockMs.getAsLong(),
@@ -340,7 +340,7 @@
               // to be called so: only a reading that
               // begins now tells whether it does.
               if (!job.dependencies().isEmpty()) {
-                look(
+                readJob(
                     job.id(),
                     told ->
                         reply.accept(
@@ -355,7 +355,7 @@
               if (record == null) {
                 reply.accept(later("try again"));
               } else {
-                tell(record, reply);
+                respond(record, reply);
               }
             }
             case REFUSED -> reply.accept(later("the state service does not take it now"));
@@ -420,7 +420,7 @@
       return;
     }
     if (known.phase().isTerminal()) {
-      tell(known, reply);
+      respond(known, reply);
       return;
     }
     if (tries == 0) {
@@ -428,7 +428,7 @@
       return;
     }
     if (isCutOff()) {
-      refusals.refuse(reply, () -> cancel(id, tries - 1, reply));
+      loadShedder.refuse(reply, () -> cancel(id, tries - 1, reply));
       return;
     }
     Consumer<TransactionResult> then =
--- a/src/main/java/org/quincecross/cli/Server.java
+++ b/src/main/java/org/quincecross/cli/Server.java
@@ -64,7 +64,7 @@
     new FrameServer(loop, settings.peerAddress(), controller::frame);
     controller.start();
     LOG.info(
-        "{} serves users and workers on {}, controllers on {}",
+        "{} serves users and agents on {}, controllers on {}",
         settings.self(),
         settings.listenAddress(),
         settings.peerAddress());
--- a/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
@@ -21,28 +21,28 @@
    * Without word for so long a controller asks whose silence it is; others' word that is older says
    * nothing.
    */
-  public static final TimeSpan SILENT = TimeSpan.ofSeconds(3);
+  public static final TimeSpan SILENCE_TIMEOUT = TimeSpan.ofSeconds(3);
 
   /**
    * Who has had word within so long is served: in an outage of all the last word of one may be half
    * a second after another's.
    */
-  static final TimeSpan SERVED = TimeSpan.ofSeconds(2);
+  static final TimeSpan RECENT_CONTACT = TimeSpan.ofSeconds(2);
 
   /**
    * Membership ends 3 s after the last renewal, and renewals are 0.9 s apart: no block is taken
    * from the silent earlier.
    */
-  static final TimeSpan NOT_TAKEN_BEFORE = TimeSpan.ofSeconds(2);
+  static final TimeSpan MIN_FAILOVER_TIME = TimeSpan.ofSeconds(2);
 
   /** Blocks of a member that is out are with others, and their machines told so, well before. */
-  static final TimeSpan TAKEN_BY = TimeSpan.ofSeconds(12);
+  static final TimeSpan MAX_FAILOVER_TIME = TimeSpan.ofSeconds(12);
 
   /**
    * Once back, the state service has to be heard for so long: each removal by the balancer doubles
    * its pause.
    */
-  static final TimeSpan STEADY = TimeSpan.ofSeconds(2);
+  static final TimeSpan STABILITY_TIME = TimeSpan.ofSeconds(2);
 
   /** The states of a controller with regard to the state service and the others. */
   public enum State {
@@ -50,20 +50,20 @@
     CONNECTED(true),
     /**
      * It is not, and nothing says yet whose silence it is. Ends with any word, or with {@link
-     * #TAKEN_BY}.
+     * #MAX_FAILOVER_TIME}.
      */
-    UNCONFIRMED(true),
+    UNDETERMINED(true),
     /**
      * Nobody hears it, as far as can be known. Ends with word from it, or with a proof that others
      * do hear it.
      */
-    OUTAGE_OF_ALL(true),
+    STORE_OUTAGE(true),
     /**
      * Others hear it. Ends with word from it, or when all others say that they have none either.
      */
-    ALONE(false),
-    /** Heard again, not yet for {@link #STEADY}. */
-    RETURNING(false);
+    ISOLATED(false),
+    /** Heard again, not yet for {@link #STABILITY_TIME}. */
+    RECOVERING(false);
 
     private final boolean takesUsers;
 
@@ -83,9 +83,9 @@
    * @param at when that came; null: never
    * @param unconfirmed how long it had been without word from the state service then
    */
-  public record Word(MonotonicTime at, TimeSpan unconfirmed) {
+  public record PeerContact(MonotonicTime at, TimeSpan unconfirmed) {
     private boolean isFresh(MonotonicTime now) {
-      return at != null && !now.since(at).isLongerThan(SILENT);
+      return at != null && !now.since(at).isLongerThan(SILENCE_TIMEOUT);
     }
 
     private TimeSpan unconfirmedBy(MonotonicTime now) {
@@ -93,11 +93,11 @@
     }
 
     private boolean isServed(MonotonicTime now) {
-      return at != null && !unconfirmedBy(now).isLongerThan(SERVED);
+      return at != null && !unconfirmedBy(now).isLongerThan(RECENT_CONTACT);
     }
 
     private boolean isOut(MonotonicTime now) {
-      return isFresh(now) && unconfirmedBy(now).isLongerThan(SILENT);
+      return isFresh(now) && unconfirmedBy(now).isLongerThan(SILENCE_TIMEOUT);
     }
   }
 
@@ -107,13 +107,13 @@
   private MonotonicTime confirmed;
 
   /** Tokens up to here may have been written before the loss. */
-  private FencingToken floor = FencingToken.NONE;
+  private FencingToken tokenFloor = FencingToken.NONE;
 
-  private boolean othersWrite;
+  private boolean othersReachStore;
   private MonotonicTime ownMachine;
 
   /** Since when others have had word again while this one has none; null where none has. */
-  private MonotonicTime othersBack;
+  private MonotonicTime othersRecoveredAt;
 
   /**
    * @param first whether this controller stays in where nothing at all tells whose silence it is:
@@ -144,14 +144,15 @@
    * @param known everything that was written up to here is known to this controller
    * @param own whether this controller holds its block, as far as it knows
    */
-  public void machine(FencingToken token, FencingToken known, boolean own, MonotonicTime now) {
+  public void machineReported(
+      FencingToken token, FencingToken known, boolean own, MonotonicTime now) {
     TimeSpan silence = now.since(confirmed);
-    if (!silence.isLongerThan(NOT_TAKEN_BEFORE)) {
+    if (!silence.isLongerThan(MIN_FAILOVER_TIME)) {
       // Written in the very moment of the loss, perhaps: says nothing of what came after.
-      floor = token.isAfter(floor) ? token : floor;
-    } else if (token.isAfter(known) && token.isAfter(floor)) {
-      othersWrite = true;
-    } else if (own && silence.isLongerThan(TAKEN_BY)) {
+      tokenFloor = token.isAfter(tokenFloor) ? token : tokenFloor;
+    } else if (token.isAfter(known) && token.isAfter(tokenFloor)) {
+      othersReachStore = true;
+    } else if (own && silence.isLongerThan(MAX_FAILOVER_TIME)) {
       ownMachine = now;
     }
   }
@@ -162,63 +163,64 @@
    * @param heard when the state service was asked what it last answered
    * @param words what each of the others said last
    */
-  public void look(MonotonicTime heard, Collection<Word> words, MonotonicTime now) {
+  public void evaluate(MonotonicTime heard, Collection<PeerContact> words, MonotonicTime now) {
     if (confirmed.isBefore(heard)) {
       confirmed = heard;
     }
     boolean othersServed = words.stream().anyMatch(word -> word.isServed(now));
-    if (!now.since(confirmed).isLongerThan(SILENT)) {
+    if (!now.since(confirmed).isLongerThan(SILENCE_TIMEOUT)) {
       back(othersServed, now);
       return;
     }
     boolean allSayOut = !words.isEmpty() && words.stream().allMatch(word -> word.isOut(now));
     boolean someSayOut = words.stream().anyMatch(word -> word.isOut(now));
     if (!othersServed) {
-      othersBack = null;
-    } else if (othersBack == null) {
-      othersBack = now;
+      othersRecoveredAt = null;
+    } else if (othersRecoveredAt == null) {
+      othersRecoveredAt = now;
     }
     if (othersServed
-        && (state != State.OUTAGE_OF_ALL || now.since(othersBack).isLongerThan(SILENT))) {
-      enter(State.ALONE, now);
+        && (state != State.STORE_OUTAGE
+            || now.since(othersRecoveredAt).isLongerThan(SILENCE_TIMEOUT))) {
+      enter(State.ISOLATED, now);
     } else if (othersServed) {
-      enter(State.OUTAGE_OF_ALL, now); // it is over, and word reaches one a moment before another
+      enter(State.STORE_OUTAGE, now); // it is over, and word reaches one a moment before another
     } else if (allSayOut) {
       // Whatever was proven before: by now all of them are out, and say so themselves.
-      othersWrite = false;
-      enter(State.OUTAGE_OF_ALL, now);
-    } else if (othersWrite) {
-      enter(State.ALONE, now);
+      othersReachStore = false;
+      enter(State.STORE_OUTAGE, now);
+    } else if (othersReachStore) {
+      enter(State.ISOLATED, now);
     } else if (someSayOut) {
-      enter(State.OUTAGE_OF_ALL, now);
-    } else if (state == State.RETURNING) {
-      enter(State.ALONE, now);
-    } else if (state != State.ALONE) {
+      enter(State.STORE_OUTAGE, now);
+    } else if (state == State.RECOVERING) {
+      enter(State.ISOLATED, now);
+    } else if (state != State.ISOLATED) {
       nobodySaysAnything(now);
     }
   }
 
   private void nobodySaysAnything(MonotonicTime now) {
-    if (!now.since(confirmed).isLongerThan(TAKEN_BY)) {
+    if (!now.since(confirmed).isLongerThan(MAX_FAILOVER_TIME)) {
       if (state == State.CONNECTED) {
-        enter(State.UNCONFIRMED, now);
+        enter(State.UNDETERMINED, now);
       }
     } else if (first
-        || state == State.OUTAGE_OF_ALL
+        || state == State.STORE_OUTAGE
         || (ownMachine != null && confirmed.isBefore(ownMachine))) {
-      enter(State.OUTAGE_OF_ALL, now);
-    } else if (now.since(confirmed).isLongerThan(TAKEN_BY.plus(SILENT))) {
-      enter(State.ALONE, now);
+      enter(State.STORE_OUTAGE, now);
+    } else if (now.since(confirmed).isLongerThan(MAX_FAILOVER_TIME.plus(SILENCE_TIMEOUT))) {
+      enter(State.ISOLATED, now);
     }
   }
 
   private void back(boolean othersServed, MonotonicTime now) {
-    othersWrite = false;
-    othersBack = null;
+    othersReachStore = false;
+    othersRecoveredAt = null;
     switch (state) {
-      case ALONE -> enter(othersServed ? State.RETURNING : State.CONNECTED, now);
-      case RETURNING -> {
-        if (!othersServed || now.since(since).isLongerThan(STEADY)) {
+      case ISOLATED -> enter(othersServed ? State.RECOVERING : State.CONNECTED, now);
+      case RECOVERING -> {
+        if (!othersServed || now.since(since).isLongerThan(STABILITY_TIME)) {
           enter(State.CONNECTED, now);
         }
       }
--- a/src/main/java/org/quincecross/failuredetection/LinkMonitor.java
+++ b/src/main/java/org/quincecross/failuredetection/LinkMonitor.java
@@ -16,7 +16,7 @@
    * Reports go out twice a second, and each is answered by the receipt in the next one that comes
    * back.
    */
-  static final TimeSpan PATIENCE = TimeSpan.ofSeconds(3);
+  static final TimeSpan RECEIPT_TIMEOUT = TimeSpan.ofSeconds(3);
 
   /** The states of a link. */
   public enum State {
@@ -24,7 +24,7 @@
     ACKNOWLEDGED,
     /**
      * Something was sent, and no receipt has come since. Ends with a receipt, or after {@link
-     * #PATIENCE}.
+     * #RECEIPT_TIMEOUT}.
      */
     WAITING
   }
@@ -61,10 +61,10 @@
 
   /**
    * Whether the connection is to be made anew. If it is said so, it is not said again before {@link
-   * #PATIENCE} is over.
+   * #RECEIPT_TIMEOUT} is over.
    */
-  public boolean takeStuck(MonotonicTime now) {
-    if (state != State.WAITING || !now.since(since).isLongerThan(PATIENCE)) {
+  public boolean takeReconnectNeeded(MonotonicTime now) {
+    if (state != State.WAITING || !now.since(since).isLongerThan(RECEIPT_TIMEOUT)) {
       return false;
     }
     enter(State.WAITING, now);
--- a/src/main/java/org/quincecross/failuredetection/PauseDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/PauseDetector.java
@@ -18,9 +18,9 @@
    * Something happens in a controller several times a second; a turn that comes so late was not
    * merely busy.
    */
-  static final TimeSpan NOTICED = TimeSpan.ofSeconds(1.5);
+  static final TimeSpan MIN_PAUSE = TimeSpan.ofSeconds(1.5);
 
-  static final TimeSpan LONGEST_WAKING = TimeSpan.ofSeconds(2);
+  static final TimeSpan MAX_WAKING = TimeSpan.ofSeconds(2);
 
   /** The states of a process with regard to its clocks. */
   public enum State {
@@ -45,10 +45,10 @@
    * Something is about to be done. Returns for how long nothing was, where that is longer than
    * being busy explains; else zero.
    */
-  public TimeSpan turn(MonotonicTime now) {
+  public TimeSpan tick(MonotonicTime now) {
     TimeSpan gap = now.since(last);
     last = now;
-    if (!gap.isLongerThan(NOTICED)) {
+    if (!gap.isLongerThan(MIN_PAUSE)) {
       return TimeSpan.ZERO;
     }
     wokeAt = now;
@@ -65,7 +65,7 @@
   public boolean isWaking(MonotonicTime confirmed, MonotonicTime now) {
     if (state == State.WAKING
         && ((confirmed != null && !confirmed.isBefore(wokeAt))
-            || now.since(wokeAt).isLongerThan(LONGEST_WAKING))) {
+            || now.since(wokeAt).isLongerThan(MAX_WAKING))) {
       enter(State.AWAKE);
     }
     return state == State.WAKING;
--- a/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
+++ b/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
@@ -64,7 +64,7 @@
   /**
    * A block of a zone was taken from a controller that does not hear its machines, while others do.
    */
-  public void missed(ControllerId member, String zone, MonotonicTime now) {
+  public void unreachable(ControllerId member, String zone, MonotonicTime now) {
     Ear ear = ears.computeIfAbsent(new Place(member, zone), place -> new Ear());
     if (ear.state != State.DEAF) { // several blocks are found at once
       pause(ear, now);
@@ -72,14 +72,14 @@
   }
 
   /** A block of a zone went to a controller. */
-  public void given(ControllerId member, String zone, MonotonicTime now) {
+  public void probeStarted(ControllerId member, String zone, MonotonicTime now) {
     if (of(member, zone, now) == State.TO_BE_TRIED) {
       enter(ears.get(new Place(member, zone)), State.ON_TRIAL, now.plus(TRIAL));
     }
   }
 
   /** All machines of a block of the zone obey the controller and report to it. */
-  public void heard(ControllerId member, String zone, MonotonicTime now) {
+  public void reachable(ControllerId member, String zone, MonotonicTime now) {
     if (of(member, zone, now) == State.ON_TRIAL) {
       ears.remove(new Place(member, zone));
     }
--- a/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
+++ b/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
@@ -61,12 +61,12 @@
   }
 
   /** The machines that have been moved and not obeyed since. */
-  public Collection<MachineId> marked() {
+  public Collection<MachineId> suspendedMachines() {
     return marks.keySet();
   }
 
   /** A machine obeys its holder, or is no more. */
-  public void obeys(Collection<MachineId> machines) {
+  public void fenced(Collection<MachineId> machines) {
     marks.keySet().removeAll(machines);
   }
 
--- a/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
+++ b/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
@@ -34,7 +34,7 @@
  */
 public final class StaleHeartbeatFilter {
   /** Workers drop an answer after this time. */
-  static final TimeSpan ANSWER_DROPPED = TimeSpan.ofSeconds(4);
+  static final TimeSpan RESPONSE_DROPPED_AFTER = TimeSpan.ofSeconds(4);
 
   /** Beyond the report that was due. */
   static final TimeSpan DUE_MARGIN = TimeSpan.ofSeconds(0.5);
@@ -55,9 +55,9 @@
   }
 
   /** What a message is. */
-  public enum Verdict {
+  public enum Classification {
     /** Made after all that was taken. */
-    NEWS,
+    NEW,
     /**
      * Made shortly before something that was taken, and not seen yet: its sender may wait for an
      * answer, its content is old.
@@ -68,7 +68,7 @@
      */
     LATE,
     /** Of a worker that has begun anew, by proof. */
-    BEGUN_ANEW
+    RESTARTED
   }
 
   /**
@@ -78,8 +78,8 @@
    * @param session unsigned
    * @param order unsigned
    */
-  public record Shown(FencingToken token, long session, long order) {
-    public boolean isAfter(Shown other) {
+  public record Position(FencingToken token, long session, long order) {
+    public boolean isAfter(Position other) {
       int byToken = token.compareTo(other.token);
       if (byToken != 0) {
         return byToken > 0;
@@ -90,9 +90,9 @@
   }
 
   private State state = State.TRUSTED;
-  private Shown latest;
-  private Shown latestReport;
-  private Shown asked;
+  private Position latest;
+  private Position latestReport;
+  private Position asked;
   private MonotonicTime latestAt;
 
   /** The one place where the state changes. */
@@ -106,7 +106,7 @@
     return state;
   }
 
-  private void taken(Shown shown, MonotonicTime now) {
+  private void taken(Position shown, MonotonicTime now) {
     latest = shown;
     latestAt = now;
   }
@@ -116,7 +116,7 @@
    *
    * @param leaseOver whether the lease of the worker that was last heard is surely over
    */
-  public Verdict ofReport(Shown shown, boolean leaseOver, MonotonicTime now) {
+  public Classification classifyHeartbeat(Position shown, boolean leaseOver, MonotonicTime now) {
     boolean after = latest == null || shown.isAfter(latest);
     if (state != State.BEGUN_ANEW
         && after
@@ -124,7 +124,7 @@
       taken(shown, now);
       latestReport = shown;
       enter(State.TRUSTED);
-      return Verdict.NEWS;
+      return Classification.NEW;
     }
     // Its answer is dropped by its sender once it is older than that; and it is older than what was
     // taken since.
@@ -132,33 +132,33 @@
         && !leaseOver
         && (latestReport == null || shown.isAfter(latestReport))
         && latest.session == shown.session
-        && !now.since(latestAt).isLongerThan(ANSWER_DROPPED)) {
+        && !now.since(latestAt).isLongerThan(RESPONSE_DROPPED_AFTER)) {
       latestReport = shown;
-      return Verdict.OVERTAKEN;
+      return Classification.OVERTAKEN;
     }
     enter(State.DOUBTED);
-    return Verdict.LATE;
+    return Classification.LATE;
   }
 
   /** A request is sent straight to the machine. One is under way at a time. */
-  public void asking() {
+  public void statusRequested() {
     asked = latest;
   }
 
   /** The machine has answered the request that was sent last. */
-  public Verdict ofAnswer(Shown shown, MonotonicTime now) {
+  public Classification classifyCommandResponse(Position shown, MonotonicTime now) {
     if (asked != null && !shown.isAfter(asked)) {
       taken(shown, now);
       latestReport = null;
       enter(State.BEGUN_ANEW);
-      return Verdict.BEGUN_ANEW;
+      return Classification.RESTARTED;
     }
     if (latest != null && !shown.isAfter(latest)) {
-      return Verdict.OVERTAKEN;
+      return Classification.OVERTAKEN;
     }
     taken(shown, now);
     enter(State.TRUSTED);
-    return Verdict.NEWS;
+    return Classification.NEW;
   }
 
   /**
@@ -167,13 +167,13 @@
    *
    * @param report how often machines report; they do so up to a quarter later
    */
-  public boolean isToBeAsked(TimeSpan report, MonotonicTime now) {
+  public boolean needsStatusRequest(TimeSpan report, MonotonicTime now) {
     return state != State.TRUSTED
         && now.since(latestAt).isLongerThan(report.times(1.25).plus(DUE_MARGIN));
   }
 
   /** The request that was sent last had no answer: what comes next may raise the doubt again. */
-  public void unanswered() {
+  public void statusRequestFailed() {
     enter(State.TRUSTED);
   }
 }
--- a/src/main/java/org/quincecross/failuredetection/StartPermission.java
+++ b/src/main/java/org/quincecross/failuredetection/StartPermission.java
@@ -14,12 +14,12 @@
  * Whether a holder may start what is allocated to it: whether nobody can have been told yet of a
  * cancellation that it has not noted.
  *
- * <p><b>Rule.</b> It may within D - M ({@link UnconfirmedOwnershipBound#starts}) of its last word
- * from the state service, and as well while each other controller that the settings name has shown,
- * in a report that was made within the last D - M, a revision of the records no later than the
- * holder's own. When a report came proves nothing, packets may be held back for minutes. But one
- * with a receipt for a report that left here at s was made after s, by any clock, and s is a time
- * of the clock here (docs/incidents/started-without-word.md).
+ * <p><b>Rule.</b> It may within D - M ({@link UnconfirmedOwnershipBound#maxUnconfirmedStarts}) of
+ * its last word from the state service, and as well while each other controller that the settings
+ * name has shown, in a report that was made within the last D - M, a revision of the records no
+ * later than the holder's own. When a report came proves nothing, packets may be held back for
+ * minutes. But one with a receipt for a report that left here at s was made after s, by any clock,
+ * and s is a time of the clock here (docs/incidents/started-without-word.md).
  *
  * <p><b>Proof</b> of the second part. A cancellation that the holder has not noted is of a revision
  * x later than its own. Let the controller that tells it have shown revision r, not later than the
@@ -100,7 +100,7 @@
    * @param confirmed the holder has noted all that had happened by then
    * @param noted the revision up to which it has noted all
    */
-  public boolean isGiven(MonotonicTime confirmed, Revision noted, MonotonicTime now) {
+  public boolean isGranted(MonotonicTime confirmed, Revision noted, MonotonicTime now) {
     return isRecent(confirmed, now)
         || others.stream()
             .allMatch(
--- a/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
+++ b/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
@@ -6,15 +6,16 @@
  * For how long a holder goes on without word from the state service, and what users who cancel pay
  * for it; both follow from the settings' {@code lease_s} (L) and {@code cancel_s} (C) alone.
  *
- * <p><b>Rule.</b> A holder answers its machines for {@link #unconfirmed} (T) after it <em>sent</em>
- * the last request to the state service that was answered, and no longer. Nobody is told that a job
- * is cancelled before one of these is so:
+ * <p><b>Rule.</b> A holder answers its machines for {@link #maxUnconfirmed} (T) after it
+ * <em>sent</em> the last request to the state service that was answered, and no longer. Nobody is
+ * told that a job is cancelled before one of these is so:
  *
  * <ol>
  *   <li>the records allocate none of its tasks;
- *   <li>{@link #notingSuffices}, and every holder of a block that the records allocate tasks of it
- *       to has noted the cancellation, with all machines of the block fenced;
- *   <li>{@link #toldAfter} (D) has passed since whoever tells it saw the record first.
+ *   <li>{@link #acknowledgementSuffices}, and every holder of a block that the records allocate
+ *       tasks of it to has noted the cancellation, with all machines of the block fenced;
+ *   <li>{@link #confirmCancellationAfter} (D) has passed since whoever tells it saw the record
+ *       first.
  * </ol>
  *
  * <p><b>Claim.</b> C after the first telling no task of the job is on a machine, nor can one start.
@@ -48,13 +49,14 @@
  * and as much longer as it takes elsewhere. Users try for 60 s, so there is a longest D; settings
  * that need more have no bound.
  *
- * @param unconfirmed T: how long a holder may answer its machines after it last heard from the
+ * @param maxUnconfirmed T: how long a holder may answer its machines after it last heard from the
  *     state service
- * @param toldAfter D: how long after it was seen first a cancellation may be told in any case
- * @param notingSuffices whether it may be told sooner, once all holders have noted it
+ * @param confirmCancellationAfter D: how long after it was seen first a cancellation may be told in
+ *     any case
+ * @param acknowledgementSuffices whether it may be told sooner, once all holders have noted it
  */
 public record UnconfirmedOwnershipBound(
-    TimeSpan unconfirmed, TimeSpan toldAfter, boolean notingSuffices) {
+    TimeSpan maxUnconfirmed, TimeSpan confirmCancellationAfter, boolean acknowledgementSuffices) {
   private static final double LEAST_TOLD_AFTER_S = 8;
   private static final double LONGEST_TOLD_AFTER_S = 45;
   private static final double LEAST_UNCONFIRMED_S = 5;
@@ -101,9 +103,9 @@
    * D - M left before anybody was told. By 1 and 2 a holder that has not noted it has none of its
    * tasks, or nobody is told (docs/incidents/started-without-word.md).
    */
-  public TimeSpan starts() {
+  public TimeSpan maxUnconfirmedStarts() {
     return new TimeSpan(
-        toldAfter.nanos()
+        confirmCancellationAfter.nanos()
             - TimeSpan.ofSeconds(LEAST_MARGIN_S)
                 .nanos()); // over 45 s two clocks differ by less than 0.1 s
   }
--- a/src/main/java/org/quincecross/leader/AdmissionExtensions.java
+++ b/src/main/java/org/quincecross/leader/AdmissionExtensions.java
@@ -44,7 +44,7 @@
 
   /** Admits pending jobs; returns the demand that machines are to be launched for. */
   List<Admission.Unmet> admit(
-      List<Admission.Block> blocks,
+      List<Admission.ShardCapacity> blocks,
       Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> waiting) {
     List<Admission.Unmet> unmet =
--- a/src/main/java/org/quincecross/leader/AllocationPlanner.java
+++ b/src/main/java/org/quincecross/leader/AllocationPlanner.java
@@ -39,7 +39,7 @@
   private final AdmissionExtensions extensions;
   private final AllocationWriter writer;
   private final TransactionLimits limits;
-  private final Map<ShardId, Admission.Block> admissionShards = new TreeMap<>();
+  private final Map<ShardId, Admission.ShardCapacity> admissionShards = new TreeMap<>();
   private final ObservedCapacity observedCapacity = new ObservedCapacity();
   private final Set<ShardId> changedShards = new HashSet<>();
   private final Set<ShardId> staleShards = new HashSet<>();
@@ -77,7 +77,7 @@
     refreshShards(completed);
     MonotonicTime now = context.timers().now();
     extensions.prepare(now);
-    List<Admission.Block> candidates = admit(leased, now);
+    List<Admission.ShardCapacity> candidates = admit(leased, now);
     List<ShardId> due = new ArrayList<>();
     boolean waits = selectDue(candidates, now, due);
     // Writes are scarce: urgent work first, then the shards that were written least recently.
@@ -96,15 +96,15 @@
     return waits;
   }
 
-  private List<Admission.Block> admit(Set<ShardId> leased, MonotonicTime now) {
-    List<Admission.Block> candidates = new ArrayList<>();
+  private List<Admission.ShardCapacity> admit(Set<ShardId> leased, MonotonicTime now) {
+    List<Admission.ShardCapacity> candidates = new ArrayList<>();
     Map<ShardId, List<Headroom>> headroom = new HashMap<>();
     admissionShards.forEach(
         (id, shard) -> {
           if (!leased.contains(id)) {
             candidates.add(shard);
             headroom.put(id, context.forecast().headroomForPlan(id, now));
-            shard.leaveOver(observedCapacity.stableCapacity(id, now));
+            shard.setStableCapacity(observedCapacity.stableCapacity(id, now));
           }
         });
     autoscaler.unmet(
@@ -114,21 +114,21 @@
 
   /** Collects the shards to be written now; whether others are due and wait for more changes. */
   private boolean selectDue(
-      List<Admission.Block> candidates, MonotonicTime now, List<ShardId> due) {
+      List<Admission.ShardCapacity> candidates, MonotonicTime now, List<ShardId> due) {
     TimeSpan batchingDelay = batchingDelay();
     boolean waits = false;
-    for (Admission.Block shard : candidates) {
+    for (Admission.ShardCapacity shard : candidates) {
       MonotonicTime written = writtenAt.get(shard.id());
       boolean batched = written == null || now.since(written).isLongerThan(batchingDelay);
       boolean changed =
-          shard.admittedRank() != null
+          shard.highestAdmittedPriority() != null
               || staleShards.contains(shard.id())
               || !released(shard.id()).isEmpty();
       if (changed && (isUrgent(shard) || batched)) {
         due.add(shard.id());
       }
       waits |= changed && !batched;
-      if (shard.admittedRank() != null) {
+      if (shard.highestAdmittedPriority() != null) {
         // Next time, what was admitted is in the cache, or it was not written.
         changedShards.add(shard.id());
       }
@@ -136,8 +136,8 @@
     return waits;
   }
 
-  private static boolean isUrgent(Admission.Block shard) {
-    return shard.admittedRank() == Priority.PRODUCTION;
+  private static boolean isUrgent(Admission.ShardCapacity shard) {
+    return shard.highestAdmittedPriority() == Priority.PRODUCTION;
   }
 
   private TimeSpan batchingDelay() {
@@ -191,7 +191,7 @@
   }
 
   private void refresh(ShardLease lease, Map<JobId, TaskSet> completed) {
-    Admission.Block shard =
+    Admission.ShardCapacity shard =
         observedCapacity.admissionShard(
             lease,
             context.cache().machineTypes().get(lease.type()),
@@ -223,7 +223,7 @@
    */
   private List<TaskId> released(ShardId id) {
     ShardLease lease = context.cache().shard(id);
-    PeerViews.BlockView view = lease == null ? null : context.currentViews().of(lease);
+    PeerViews.ShardView view = lease == null ? null : context.currentViews().of(lease);
     return view != null && view.allocation().equals(context.cache().allocation(id).version())
         ? view.released()
         : List.of();
--- a/src/main/java/org/quincecross/leader/CompletionWriter.java
+++ b/src/main/java/org/quincecross/leader/CompletionWriter.java
@@ -178,7 +178,7 @@
   Map<JobId, TaskSet> unrecordedCompletions() {
     Map<JobId, TaskSet> fresh = new LinkedHashMap<>();
     for (PeerViews.View view : views.all()) {
-      for (PeerViews.BlockView block : view.blocks().values()) {
+      for (PeerViews.ShardView block : view.shards().values()) {
         for (TaskId task : block.completed()) {
           JobRecord job = cache.job(task.job());
           if (job != null
--- a/src/main/java/org/quincecross/leader/CurrentPeerViews.java
+++ b/src/main/java/org/quincecross/leader/CurrentPeerViews.java
@@ -34,9 +34,9 @@
   }
 
   /** The view of a shard if it is recent and belongs to the present lease, else null. */
-  PeerViews.BlockView of(ShardLease shard) {
+  PeerViews.ShardView of(ShardLease shard) {
     PeerViews.View view = of(shard.owner());
-    PeerViews.BlockView known = view == null ? null : view.blocks().get(shard.id());
+    PeerViews.ShardView known = view == null ? null : view.shards().get(shard.id());
     return known != null && known.token().equals(shard.token()) ? known : null;
   }
 
@@ -45,7 +45,7 @@
     int running = 0;
     for (ShardId id : cache.shardsOf(job)) {
       ShardLease lease = cache.shard(id);
-      PeerViews.BlockView view = lease == null ? null : of(lease);
+      PeerViews.ShardView view = lease == null ? null : of(lease);
       running += view == null ? 0 : view.running().getOrDefault(job, 0);
     }
     return running;
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -166,7 +166,7 @@
 
   /** Starts to follow the records and to take part in elections. */
   public void start() {
-    views.listen(
+    views.addListener(
         (member, shards) -> {
           allocationPlanner.shardsChanged(shards);
           scheduleStep(false);
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -91,7 +91,7 @@
     holds = cache.replicatedRecords().add(new LegalHoldKind());
     claims = cache.replicatedRecords().add(new ClaimKind());
     sweeps = cache.replicatedRecords().add(new SweepKind());
-    base.withheld().add(this);
+    base.startBlock().add(this);
     cache.addListener(this::changed);
     base.timers().every(INTERVAL, this::look);
   }
@@ -187,7 +187,7 @@
 
   private void notifyBlocked(Set<JobId> concerned) {
     concerned.forEach(id -> changedHolds.addAll(index.holding(id)));
-    base.withheld().changed(concerned);
+    base.startBlock().changed(concerned);
   }
 
   private void claim(String page, Set<JobId> concerned) {
--- a/src/main/java/org/quincecross/leader/MachineStateCollector.java
+++ b/src/main/java/org/quincecross/leader/MachineStateCollector.java
@@ -23,7 +23,7 @@
   Autoscaler.View collect() {
     Map<MachineId, PeerHeartbeat.MachineState> states = new HashMap<>();
     for (ShardLease shard : context.cache().shards().values()) {
-      PeerViews.BlockView view = context.currentViews().of(shard);
+      PeerViews.ShardView view = context.currentViews().of(shard);
       if (view != null) {
         addStates(shard, view, states);
       }
@@ -33,7 +33,7 @@
 
   private void addStates(
       ShardLease shard,
-      PeerViews.BlockView view,
+      PeerViews.ShardView view,
       Map<MachineId, PeerHeartbeat.MachineState> states) {
     for (MachineId machine : shard.machines().keySet()) {
       PeerHeartbeat.MachineState state = view.machines().get(machine);
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -65,7 +65,7 @@
    * under the same limits, zones and preemption. Returns the demand without capacity.
    */
   List<Admission.Unmet> admit(
-      Collection<Admission.Block> blocks,
+      Collection<Admission.ShardCapacity> blocks,
       Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> demands) {
     Map<String, Team> limits = teams.get();
@@ -87,7 +87,7 @@
     return all;
   }
 
-  private void addAdmitted(Collection<Admission.Block> blocks, Map<String, Resources> use) {
+  private void addAdmitted(Collection<Admission.ShardCapacity> blocks, Map<String, Resources> use) {
     blocks.forEach(
         block ->
             block
@@ -104,7 +104,7 @@
 
   private void admit(
       JobDemand demand,
-      Collection<Admission.Block> blocks,
+      Collection<Admission.ShardCapacity> blocks,
       Map<String, Team> limits,
       Map<String, Resources> use,
       Map<ShardId, List<Headroom>> reserves) {
@@ -122,7 +122,7 @@
         pools.computeIfAbsent(lease.id(), id -> new TaskSet()).add(index);
       }
     }
-    for (Admission.Block block : blocks) {
+    for (Admission.ShardCapacity block : blocks) {
       TaskSet pool = pools.get(block.id());
       if (pool != null) {
         int before = count(block, job.id());
@@ -137,7 +137,7 @@
                         false,
                         pool,
                         demand.perZone(),
-                        Admission.Place.TURN,
+                        Admission.Place.ROUND_ROBIN_TURN,
                         demand.order())));
         use.merge(
             job.team(),
@@ -147,7 +147,7 @@
     }
   }
 
-  private static int count(Admission.Block block, JobId job) {
+  private static int count(Admission.ShardCapacity block, JobId job) {
     TaskSet tasks = block.admitted().get(job);
     return tasks == null ? 0 : tasks.size();
   }
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -188,7 +188,7 @@
       ModelStatusReport news = section == null ? null : ModelStatusReport.read(section);
       if (news != null) {
         if (!Long.valueOf(view.number()).equals(heard.put(member, view.number()))) {
-          demand.told(member, view.life(), news.demand(), news.since(), view.at());
+          demand.told(member, view.incarnation(), news.demand(), news.since(), view.at());
         }
         if (!now.since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
           running.addAll(news.running());
@@ -377,12 +377,12 @@
         : new PeerHeartbeat.MachineState(
             state.id(),
             state.free(),
-            state.yielding(),
-            state.silent(),
+            state.preemptible(),
+            state.silentFor(),
             state.open(),
             state.fenced(),
-            state.notice(),
-            state.sick(),
+            state.terminationNotice(),
+            state.faulty(),
             state.movable(),
             state.tasks(),
             1,
@@ -395,7 +395,7 @@
    * replicas that no machine fits.
    */
   List<Admission.Unmet> admit(
-      Collection<Admission.Block> blocks,
+      Collection<Admission.ShardCapacity> blocks,
       Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> demands) {
     evaluate();
--- a/src/main/java/org/quincecross/leader/ObservedCapacity.java
+++ b/src/main/java/org/quincecross/leader/ObservedCapacity.java
@@ -34,10 +34,10 @@
   private final Map<ShardId, Map<MachineId, Least>> least = new HashMap<>();
 
   /** A shard as admission sees it; without a recent view no machine accepts tasks. */
-  Admission.Block admissionShard(
+  Admission.ShardCapacity admissionShard(
       ShardLease lease,
       MachineType type,
-      PeerViews.BlockView view,
+      PeerViews.ShardView view,
       int mostBytes,
       MonotonicTime now) {
     List<Resources> free = new ArrayList<>();
@@ -51,15 +51,15 @@
         continue;
       }
       free.add(state.free());
-      soon.add(state.free().plus(state.yielding()));
-      Admission.ImageRoom room = new Admission.ImageRoom(state.free(), state.yielding());
+      soon.add(state.free().plus(state.preemptible()));
+      Admission.ImageRoom room = new Admission.ImageRoom(state.free(), state.preemptible());
       state.images().forEach(image -> images.merge(image, room, Admission.ImageRoom::plus));
       after.put(machine, next(before.get(machine), state.free(), now));
     }
     least.put(lease.id(), after);
     Resources capacity = type == null ? Resources.NONE : type.capacity().times(free.size());
-    Admission.Block block =
-        new Admission.Block(
+    Admission.ShardCapacity block =
+        new Admission.ShardCapacity(
             lease.id(),
             lease.type(),
             lease.zone(),
@@ -69,7 +69,7 @@
             soon,
             images,
             mostBytes);
-    block.decline(view == null ? Set.of() : view.declined());
+    block.decline(view == null ? Set.of() : view.declinedJobs());
     return block;
   }
 
--- a/src/main/java/org/quincecross/leader/PendingDemand.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -118,10 +118,10 @@
    */
   private TaskSet admissibleTasks(
       AllocationIndex.JobAllocation account,
-      Collection<Admission.Block> blocks,
+      Collection<Admission.ShardCapacity> blocks,
       MonotonicTime now) {
     Job job = account.job();
-    int declinedBy = Admission.declines(job, blocks);
+    int declinedBy = Admission.decliningShards(job, blocks);
     if (declinedBy == 0 && !suspects.isSuspect(job.id())) {
       return account.pending();
     }
@@ -130,7 +130,7 @@
             new SuspectJobs.Look(
                 job.id(),
                 declinedBy,
-                Admission.couldGoTo(job, blocks),
+                Admission.eligibleShards(job, blocks),
                 account.completed().size(),
                 account.outstanding().size(),
                 running.applyAsInt(job.id())),
@@ -146,7 +146,7 @@
   }
 
   /** All pending demand; tasks with guaranteed starts come first. */
-  List<JobDemand> collect(Collection<Admission.Block> blocks, MonotonicTime now) {
+  List<JobDemand> collect(Collection<Admission.ShardCapacity> blocks, MonotonicTime now) {
     List<JobDemand> demands = new ArrayList<>();
     List<PendingJob> waiting = waiting(blocks, now);
     if (overload == null) {
@@ -176,7 +176,7 @@
                     each.account.job(),
                     monotonicAge(each.record, now),
                     ages.get(each.record.id()).aims()))
-            .with(begin.getOrDefault(each.record.id(), 0), Admission.Place.BEGINNING)
+            .with(begin.getOrDefault(each.record.id(), 0), Admission.Place.GUARANTEED_START)
             .forEach(demands::add);
         continue;
       }
@@ -185,12 +185,12 @@
               each,
               verdict.dueS(),
               verdict.standing() == JobRanking.Standing.SET_ASIDE
-                  ? Admission.Place.SET_ASIDE
-                  : Admission.Place.IN_ORDER,
+                  ? Admission.Place.DEPRIORITIZED
+                  : Admission.Place.BY_PRIORITY,
               verdict.order());
       for (JobDemand part :
-          all.with(begin.getOrDefault(each.record.id(), 0), Admission.Place.BEGINNING)) {
-        demands.addAll(part.with(verdict.turn(), Admission.Place.TURN));
+          all.with(begin.getOrDefault(each.record.id(), 0), Admission.Place.GUARANTEED_START)) {
+        demands.addAll(part.with(verdict.turn(), Admission.Place.ROUND_ROBIN_TURN));
       }
     }
     return demands;
@@ -250,7 +250,7 @@
     return sum == 0 ? 0 : DRAIN_FACTOR * squares / sum;
   }
 
-  private List<PendingJob> waiting(Collection<Admission.Block> blocks, MonotonicTime now) {
+  private List<PendingJob> waiting(Collection<Admission.ShardCapacity> blocks, MonotonicTime now) {
     List<PendingJob> waiting = new ArrayList<>();
     suspects.keepOnly(allocationIndex.openJobIds());
     if (allocationIndex.jobsWithPendingTasks().isEmpty()) {
@@ -282,7 +282,7 @@
   }
 
   private JobDemand inOrder(PendingJob each, double dueS) {
-    return demand(each, dueS, Admission.Place.IN_ORDER, JobRanking.byDue(dueS));
+    return demand(each, dueS, Admission.Place.BY_PRIORITY, JobRanking.byDue(dueS));
   }
 
   private JobDemand demand(PendingJob each, double dueS, Admission.Place place, double order) {
--- a/src/main/java/org/quincecross/leader/PendingReasons.java
+++ b/src/main/java/org/quincecross/leader/PendingReasons.java
@@ -77,8 +77,8 @@
     }
     long declines =
         views.all().stream()
-            .flatMap(view -> view.blocks().values().stream())
-            .filter(block -> block.declined().contains(id))
+            .flatMap(view -> view.shards().values().stream())
+            .filter(block -> block.declinedJobs().contains(id))
             .count();
     if (declines > 0) {
       return what
--- a/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
+++ b/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
@@ -120,8 +120,8 @@
     if (state == null) {
       return null; // the shard's owner is being replaced: nothing is known
     }
-    if (state.notice() || state.sick()) {
-      return state.notice() ? "is taken back" : "fails what it is given";
+    if (state.terminationNotice() || state.faulty()) {
+      return state.terminationNotice() ? "is taken back" : "fails what it is given";
     }
     if (!state.open()) {
       MonotonicTime since = shutSince.computeIfAbsent(machine, id -> now);
--- a/src/main/java/org/quincecross/leader/ScaleInPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleInPolicy.java
@@ -299,13 +299,13 @@
     view.machines()
         .forEach(
             (machine, state) -> {
-              if (state.sick()) {
+              if (state.faulty()) {
                 select(machine);
               }
               ShardLease shard = cache.shardOf(machine);
               boolean isLeaving = shard != null && shard.leaving().contains(machine);
               if (isLeaving
-                  && (state.fenced() || state.sick())
+                  && (state.fenced() || state.faulty())
                   && !state.open()
                   && state.tasks() == 0) {
                 terminable.add(machine);
@@ -324,7 +324,7 @@
     view.machines()
         .forEach(
             (machine, state) -> {
-              if (state.silent().isLongerThan(unreachableTimeout(machine, networkFailure))
+              if (state.silentFor().isLongerThan(unreachableTimeout(machine, networkFailure))
                   && !view.strays().contains(machine)) {
                 unreachable.add(machine);
               }
@@ -375,7 +375,7 @@
     int unreachableSpot = 0;
     int unreachableOnDemand = 0;
     for (Map.Entry<MachineId, PeerHeartbeat.MachineState> entry : view.machines().entrySet()) {
-      int unreachable = entry.getValue().silent().isLongerThan(spotTimeout()) ? 1 : 0;
+      int unreachable = entry.getValue().silentFor().isLongerThan(spotTimeout()) ? 1 : 0;
       if (isSpot(entry.getKey())) {
         spot++;
         unreachableSpot += unreachable;
@@ -396,7 +396,7 @@
     for (MachineId machine : inventory.unlisted()) {
       PeerHeartbeat.MachineState state = view.machines().get(machine);
       if (state != null
-          && state.silent().isLongerThan(spotTimeout())
+          && state.silentFor().isLongerThan(spotTimeout())
           && !view.strays().contains(machine)) {
         terminable.add(machine);
       }
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -231,7 +231,7 @@
    * Moves a shard whose machines report to another controller, because its owner cannot reach them.
    */
   private void moveUnreachableShards(Map<ShardId, ShardLease> next, Set<ShardId> deleted) {
-    movePolicy.obeys(movePolicy.marked().stream().filter(this::isFenced).toList());
+    movePolicy.fenced(movePolicy.suspendedMachines().stream().filter(this::isFenced).toList());
     Map<ShardId, Map<ControllerId, Integer>> heardBy = new HashMap<>();
     Map<ShardId, Set<MachineId>> strays = new HashMap<>();
     for (ControllerRecord member : members()) {
@@ -265,7 +265,7 @@
                 id,
                 shard.owner(),
                 member);
-            reachability.missed(shard.owner(), shard.zone(), timers.now());
+            reachability.unreachable(shard.owner(), shard.zone(), timers.now());
             movePolicy.moved(strays.get(id), timers.now());
             next.put(id, shard.leasedTo(cache.members().get(member)));
           }
@@ -280,9 +280,9 @@
     MonotonicTime now = timers.now();
     Map<String, ShardLease> smallest = new TreeMap<>();
     for (ShardLease shard : cache.shards().values()) {
-      PeerViews.BlockView view = currentViews.of(shard);
+      PeerViews.ShardView view = currentViews.of(shard);
       if (view != null && isWhollyFenced(view)) {
-        reachability.heard(shard.owner(), shard.zone(), now);
+        reachability.reachable(shard.owner(), shard.zone(), now);
         smallest.merge(
             shard.zone(),
             shard,
@@ -300,7 +300,7 @@
                   shard.id(),
                   shard.owner(),
                   member.id());
-              reachability.given(member.id(), zone, now);
+              reachability.probeStarted(member.id(), zone, now);
               next.put(shard.id(), shard.leasedTo(member));
             }
           });
@@ -317,9 +317,9 @@
       return;
     }
     for (ShardLease shard : cache.shards().values()) {
-      PeerViews.BlockView view = currentViews.of(shard);
+      PeerViews.ShardView view = currentViews.of(shard);
       if (view != null
-          && view.inDoubt()
+          && view.needsTokenRenewal()
           && cache.members().containsKey(shard.owner())
           && isWhollyFenced(view)) {
         LOG.info(
@@ -332,15 +332,16 @@
     }
   }
 
-  private static boolean isWhollyFenced(PeerViews.BlockView view) {
+  private static boolean isWhollyFenced(PeerViews.ShardView view) {
     return view.machines().values().stream()
-        .allMatch(machine -> machine.fenced() && !machine.silent().isLongerThan(UNREACHABLE_AFTER));
+        .allMatch(
+            machine -> machine.fenced() && !machine.silentFor().isLongerThan(UNREACHABLE_AFTER));
   }
 
   /** Whether a machine is fenced for its owner, or is in no shard any more. */
   private boolean isFenced(MachineId machine) {
     ShardLease shard = cache.shardOf(machine);
-    PeerViews.BlockView view = shard == null ? null : currentViews.of(shard);
+    PeerViews.ShardView view = shard == null ? null : currentViews.of(shard);
     PeerHeartbeat.MachineState state = view == null ? null : view.machines().get(machine);
     return shard == null || (state != null && state.fenced() && state.open());
   }
@@ -349,9 +350,9 @@
    * Whether a shard's owner cannot reach a machine; false for an owner that has not reported yet.
    */
   private boolean isUnreachable(ShardLease shard, MachineId machine) {
-    PeerViews.BlockView view = currentViews.of(shard);
+    PeerViews.ShardView view = currentViews.of(shard);
     PeerHeartbeat.MachineState state = view == null ? null : view.machines().get(machine);
-    return state != null && state.silent().isLongerThan(UNREACHABLE_AFTER);
+    return state != null && state.silentFor().isLongerThan(UNREACHABLE_AFTER);
   }
 
   /** Moves a few shards at intervals to controllers with much less load or in the shards' zones. */
@@ -365,7 +366,7 @@
       ControllerRecord holder = cache.members().get(shard.owner());
       ControllerRecord better = chooseOwner(shard.zone(), load);
       int size = shard.machines().size();
-      PeerViews.BlockView view = currentViews.of(shard);
+      PeerViews.ShardView view = currentViews.of(shard);
       // A machine that accepts no tasks without a reason may receive no responses and would not
       // confirm a new token.
       boolean calm =
@@ -375,8 +376,8 @@
                   .allMatch(
                       machine ->
                           machine.open()
-                              || machine.notice()
-                              || machine.sick()
+                              || machine.terminationNotice()
+                              || machine.faulty()
                               || shard.leaving().contains(machine.id()));
       if (holder != null
           && calm
--- a/src/main/java/org/quincecross/net/FrameServer.java
+++ b/src/main/java/org/quincecross/net/FrameServer.java
@@ -76,7 +76,7 @@
 
   @Override
   public void broken(IOException cause) {
-    LOG.error("trouble on the peer socket: {}", cause.getMessage());
+    LOG.error("error on the peer socket: {}", cause.getMessage());
   }
 
   private final class Receiver implements Connection.Sink {
--- a/src/main/java/org/quincecross/net/HttpServer.java
+++ b/src/main/java/org/quincecross/net/HttpServer.java
@@ -87,7 +87,7 @@
 
   @Override
   public void broken(IOException cause) {
-    LOG.error("trouble on the listening socket: {}", cause.getMessage());
+    LOG.error("error on the listening socket: {}", cause.getMessage());
   }
 
   /**
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -15,15 +15,15 @@
 import org.quincecross.state.ControllerRecord;
 
 /**
- * Answers, by the records and by what the other controllers report, since when all controllers know
- * of a change of an agreed record.
+ * Tells from the records and the other controllers' reports since when all controllers know of a
+ * change of a replicated record.
  */
 public final class KnownRevisions {
   /**
-   * Of changes that were seen later than this many others it is not known any more when; they count
-   * as seen when asked for.
+   * The number of changes whose time of arrival is remembered; older ones count as seen when they
+   * are asked for.
    */
-  private static final int MOST_SEEN = 4096;
+  private static final int MAX_REMEMBERED = 4096;
 
   private record Seen(Revision revision, MonotonicTime at) {}
 
@@ -35,8 +35,10 @@
   private final ArrayDeque<Seen> seen = new ArrayDeque<>();
 
   /**
-   * @param longest for how long a controller acts after it last heard from the state service,
-   *     clocks' drift included
+   * Creates an empty memory.
+   *
+   * @param longest how long a controller acts after its last contact with the store, including
+   *     clock drift
    */
   public KnownRevisions(
       Timers timers,
@@ -51,17 +53,17 @@
     this.longest = longest;
   }
 
-  /** Follows the records; costs nothing where no agreed record has changed. */
-  public void ledgerChanged(ClusterStateCache.Changes changes) {
+  /** Records arrivals; free if no replicated record has changed. */
+  public void cacheChanged(ClusterStateCache.Changes changes) {
     if (!changes.replicatedRecords().isEmpty()) {
       seen.add(new Seen(cache.revision(), timers.now()));
-      while (seen.size() > MOST_SEEN) {
+      while (seen.size() > MAX_REMEMBERED) {
         seen.poll();
       }
     }
   }
 
-  /** Since when all know of a revision; asked for one that an agreed record was changed with. */
+  /** Since when all controllers know of the revision of a change of a replicated record. */
   public ReplicationBarrier.Answer of(Revision revision) {
     MonotonicTime now = timers.now();
     MonotonicTime at = null;
@@ -83,7 +85,8 @@
     for (ReplicationBarrier.Told each : expected) {
       PeerViews.View view = views.of(each.member());
       if (view != null) {
-        told.add(new ReplicationBarrier.Told(each.member(), view.life(), view.ledger()));
+        told.add(
+            new ReplicationBarrier.Told(each.member(), view.incarnation(), view.cacheRevision()));
       }
     }
     return ReplicationBarrier.of(revision, cache.revision(), at, expected, told, longest, now);
--- a/src/main/java/org/quincecross/peer/ModelPlacementView.java
+++ b/src/main/java/org/quincecross/peer/ModelPlacementView.java
@@ -20,27 +20,27 @@
 import org.quincecross.state.ShardLease;
 
 /**
- * The machines as they matter for models: room, weights that are there or coming, by what the
- * holders have told lately.
+ * The machines as model serving sees them, from recent reports: free capacity, and weights that are
+ * present or being pulled.
  */
 public final class ModelPlacementView {
-  private static final TimeSpan FRESH = TimeSpan.ofSeconds(2.5);
+  private static final TimeSpan MAX_VIEW_AGE = TimeSpan.ofSeconds(2.5);
 
-  /** From the start command to the first request beyond the fetch, at the least. */
-  private static final double START_S = 1;
+  /** The minimum time from a start command to the first request, beyond the image pull. */
+  private static final double MIN_START_S = 1;
 
   /**
-   * The fetch of an image takes up to a third longer than its rate says, a boot up to 1.6 times as
-   * long.
+   * An image pull takes up to a third longer than its nominal time, a boot up to 1.6 times as long.
    */
-  private static final double SLOW_FETCH = 1.5;
+  private static final double PULL_SLOWDOWN = 1.5;
 
-  private static final double SLOW_BOOT = 1.6;
+  private static final double BOOT_SLOWDOWN = 1.6;
 
   private final ClusterStateCache cache;
   private final PeerViews views;
   private final ModelIndex records;
 
+  /** Creates a view. */
   public ModelPlacementView(ClusterStateCache cache, PeerViews views, ModelIndex records) {
     this.cache = cache;
     this.views = views;
@@ -50,39 +50,39 @@
   /**
    * The time until a replica serves.
    *
-   * @param bestS seconds until a replica should serve
-   * @param worstS seconds until it does at the latest, if nothing fails
+   * @param bestS the expected time in seconds
+   * @param worstS the maximum time in seconds if nothing fails
    */
   public record Estimate(double bestS, double worstS) {}
 
-  /** What the holder of a machine's block last said of it, if that is recent; else null. */
+  /** The recently reported state of a machine, or null. */
   public PeerHeartbeat.MachineState state(MachineId machine, MonotonicTime now) {
     ShardLease lease = cache.shardOf(machine);
-    PeerViews.BlockView block = lease == null ? null : block(lease, now);
+    PeerViews.ShardView block = lease == null ? null : block(lease, now);
     return block == null ? null : block.machines().get(machine);
   }
 
-  private PeerViews.BlockView block(ShardLease lease, MonotonicTime now) {
+  private PeerViews.ShardView block(ShardLease lease, MonotonicTime now) {
     PeerViews.View view = views.of(lease.owner());
-    if (view == null || now.since(view.at()).isLongerThan(FRESH)) {
+    if (view == null || now.since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
       return null;
     }
-    PeerViews.BlockView block = view.blocks().get(lease.id());
+    PeerViews.ShardView block = view.shards().get(lease.id());
     return block != null && block.token().equals(lease.token()) ? block : null;
   }
 
   /**
-   * The machines that take work.
+   * The machines that accept tasks.
    *
-   * @param notYet what is chosen for machines and not yet seen there: takes room, and where its
-   *     weights are not there, a turn to fetch
+   * @param notYet jobs assigned to machines and not reported there yet: they take capacity and, if
+   *     their weights are absent, a turn to pull
    */
   public List<Weights.Candidate> candidates(Map<MachineId, List<Job>> notYet, MonotonicTime now) {
     Map<String, Double> sizes = sizes();
     List<Weights.Candidate> candidates = new ArrayList<>();
     for (ShardLease lease : cache.shards().values()) {
       MachineType type = cache.machineTypes().get(lease.type());
-      PeerViews.BlockView block = type == null ? null : block(lease, now);
+      PeerViews.ShardView block = type == null ? null : block(lease, now);
       if (block == null) {
         continue;
       }
@@ -90,7 +90,7 @@
         PeerHeartbeat.MachineState state = block.machines().get(machine);
         if (state != null
             && state.open()
-            && !state.notice()
+            && !state.terminationNotice()
             && !lease.leaving().contains(machine)) {
           candidates.add(
               candidate(lease, type, state, notYet.getOrDefault(machine, List.of()), sizes));
@@ -100,7 +100,7 @@
     return candidates;
   }
 
-  /** The images of models, in GB. */
+  /** The sizes of the models' images in GB. */
   private Map<String, Double> sizes() {
     Map<String, Double> sizes = new HashMap<>();
     records
@@ -143,7 +143,7 @@
         lease.zone(),
         lease.spot(),
         free,
-        free.plus(state.yielding()),
+        free.plus(state.preemptible()),
         type.pullGbPerSecond(),
         type.cacheGb(),
         Set.copyOf(state.images()),
@@ -151,13 +151,13 @@
         weights);
   }
 
-  /** When a model that is not up, or has no place yet, could serve. */
+  /** The time until a model that is not up, or has no machine yet, could serve. */
   public Estimate estimate(Job job, MonotonicTime now) {
     List<Weights.Choice> choices =
         Weights.choose(job, 1, Map.of(), Set.of(), candidates(Map.of(), now), Set.of());
     if (!choices.isEmpty()) {
       double readyS = choices.get(0).readyS();
-      return new Estimate(START_S + readyS, 3 * START_S + SLOW_FETCH * readyS);
+      return new Estimate(MIN_START_S + readyS, 3 * MIN_START_S + PULL_SLOWDOWN * readyS);
     }
     double best = Double.POSITIVE_INFINITY;
     double worst = Double.POSITIVE_INFINITY;
@@ -166,18 +166,21 @@
           type.zones().stream().anyMatch(zone -> job.allows(type.name(), zone, false));
       if (allowed && job.taskResources().fitsIn(type.capacity()) && type.pullGbPerSecond() > 0) {
         double fetchS = job.imageGb() / type.pullGbPerSecond();
-        best = Math.min(best, type.bootTime().seconds() + fetchS + START_S);
+        best = Math.min(best, type.bootTime().seconds() + fetchS + MIN_START_S);
         worst =
             Math.min(
-                worst, SLOW_BOOT * type.bootTime().seconds() + SLOW_FETCH * fetchS + 10 * START_S);
+                worst,
+                BOOT_SLOWDOWN * type.bootTime().seconds()
+                    + PULL_SLOWDOWN * fetchS
+                    + 10 * MIN_START_S);
       }
     }
     return new Estimate(best, worst);
   }
 
   /**
-   * When a model that starts on machines that are chosen should serve; {@code elapsedS}: since it
-   * began to start.
+   * The time until a model that starts on chosen machines should serve; {@code elapsedS} counts
+   * from the beginning of the start.
    */
   public Estimate estimate(Job job, Model model, double elapsedS, MonotonicTime now) {
     if (model.places().isEmpty()) {
@@ -191,7 +194,7 @@
     }
     double fetchS = rate > 0 ? job.imageGb() / rate : 0;
     return new Estimate(
-        Math.max(START_S, START_S + fetchS - elapsedS),
-        Math.max(3 * START_S, 3 * START_S + SLOW_FETCH * fetchS - elapsedS));
+        Math.max(MIN_START_S, MIN_START_S + fetchS - elapsedS),
+        Math.max(3 * MIN_START_S, 3 * MIN_START_S + PULL_SLOWDOWN * fetchS - elapsedS));
   }
 }
--- a/src/main/java/org/quincecross/peer/ModelStatusReport.java
+++ b/src/main/java/org/quincecross/peer/ModelStatusReport.java
@@ -15,17 +15,18 @@
 import org.quincecross.modelserving.DemandSum;
 
 /**
- * What a controller tells of models, as a section of its reports: all of it each time.
+ * A controller's report on models, a section of its peer reports that is sent whole each time.
  *
- * @param since for how long it has listened to those who want models
- * @param demand what it has seen of that, of the models that anybody has wanted here
- * @param running the replicas that run in its blocks
+ * @param since how long the controller has observed the demand
+ * @param demand the demand that it has observed
+ * @param running the replicas that run in its shards
  */
 public record ModelStatusReport(
     TimeSpan since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
   public static final String SECTION = "models";
-  private static final int MOST_ITEMS = 100_000;
+  private static final int MAX_ITEMS = 100_000;
 
+  /** Writes the section. */
   public byte[] write() {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packLong(since.nanos());
@@ -45,17 +46,17 @@
     }
   }
 
-  /** What a section says; null where it cannot be read. */
+  /** Reads a section; null if it is malformed. */
   public static ModelStatusReport read(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       TimeSpan since = new TimeSpan(in.unpackLong());
       Map<String, DemandSum.Told> demand = new HashMap<>();
-      for (int i = Math.min(MOST_ITEMS, in.unpackMapHeader()); i > 0; i--) {
+      for (int i = Math.min(MAX_ITEMS, in.unpackMapHeader()); i > 0; i--) {
         demand.put(
             in.unpackString(), new DemandSum.Told(in.unpackInt(), new TimeSpan(in.unpackLong())));
       }
       Set<TaskId> running = new HashSet<>();
-      for (int i = Math.min(MOST_ITEMS, in.unpackArrayHeader()); i > 0; i--) {
+      for (int i = Math.min(MAX_ITEMS, in.unpackArrayHeader()); i > 0; i--) {
         TaskId task = TaskId.parse(in.unpackString());
         if (task != null) {
           running.add(task);
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -24,14 +24,15 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 
-/** Peer reports to and from MessagePack. */
+/** Converts peer reports to and from MessagePack. */
 public final class PeerCodec {
   private static final int FORMAT = 3;
-  private static final int MOST_ITEMS = 200_000;
-  private static final int MOST_SECTION_BYTES = 1 << 22;
+  private static final int MAX_ITEMS = 200_000;
+  private static final int MAX_SECTION_BYTES = 1 << 22;
 
   private PeerCodec() {}
 
+  /** Writes a report. */
   public static byte[] write(PeerHeartbeat heartbeat) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(FORMAT);
@@ -47,12 +48,12 @@
         out.packLong(receipt.getValue().number());
         out.packBoolean(receipt.getValue().gap());
       }
-      out.packLong(heartbeat.ledger().value());
-      out.packLong(heartbeat.unconfirmed().nanos());
+      out.packLong(heartbeat.cacheRevision().value());
+      out.packLong(heartbeat.sinceStoreContact().nanos());
       writeTexts(out, heartbeat.strays().stream().map(MachineId::text).toList());
-      out.packArrayHeader(heartbeat.blocks().size());
-      for (PeerHeartbeat.Block block : heartbeat.blocks()) {
-        writeBlock(out, block);
+      out.packArrayHeader(heartbeat.shards().size());
+      for (PeerHeartbeat.ShardStatus block : heartbeat.shards()) {
+        writeShard(out, block);
       }
       writeSections(out, heartbeat.sections());
       return out.toByteArray();
@@ -61,7 +62,7 @@
     }
   }
 
-  /** What builds from before sections could not read: left out where there are none. */
+  /** Builds from before sections cannot read them, so an empty map is omitted. */
   private static void writeSections(MessageBufferPacker out, Map<String, byte[]> sections)
       throws IOException {
     if (!sections.isEmpty()) {
@@ -78,10 +79,10 @@
       throws IOException, MalformedMessageException {
     Map<String, byte[]> sections = new HashMap<>();
     if (in.hasNext()) {
-      for (int i = count(in.unpackMapHeader()); i > 0; i--) {
+      for (int i = checkedCount(in.unpackMapHeader()); i > 0; i--) {
         String name = in.unpackString();
         int length = in.unpackBinaryHeader();
-        if (length < 0 || length > MOST_SECTION_BYTES) {
+        if (length < 0 || length > MAX_SECTION_BYTES) {
           throw new MalformedMessageException("too long a section of a peer report");
         }
         sections.put(name, in.readPayload(length));
@@ -90,14 +91,14 @@
     return sections;
   }
 
-  private static void writeBlock(MessageBufferPacker out, PeerHeartbeat.Block block)
+  private static void writeShard(MessageBufferPacker out, PeerHeartbeat.ShardStatus block)
       throws IOException {
     out.packString(block.id().text());
     out.packLong(block.token().value());
     out.packLong(block.allocation().value());
-    out.packBoolean(block.inDoubt());
-    writeTexts(out, block.declined().stream().map(JobId::text).sorted().toList());
-    out.packBoolean(block.whole());
+    out.packBoolean(block.needsTokenRenewal());
+    writeTexts(out, block.declinedJobs().stream().map(JobId::text).sorted().toList());
+    out.packBoolean(block.hasAllMachines());
     writeTasks(out, block.completed());
     writeTasks(out, block.released());
     out.packMapHeader(block.running().size());
@@ -109,12 +110,12 @@
     for (PeerHeartbeat.MachineState machine : block.machines()) {
       out.packString(machine.id().text());
       writeResources(out, machine.free());
-      writeResources(out, machine.yielding());
-      out.packLong(machine.silent().nanos());
+      writeResources(out, machine.preemptible());
+      out.packLong(machine.silentFor().nanos());
       out.packBoolean(machine.open());
       out.packBoolean(machine.fenced());
-      out.packBoolean(machine.notice());
-      out.packBoolean(machine.sick());
+      out.packBoolean(machine.terminationNotice());
+      out.packBoolean(machine.faulty());
       out.packBoolean(machine.movable());
       out.packInt(machine.tasks());
       out.packInt(machine.queued());
@@ -144,7 +145,7 @@
   private static List<String> readTexts(MessageUnpacker in)
       throws IOException, MalformedMessageException {
     List<String> texts = new ArrayList<>();
-    for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
+    for (int i = checkedCount(in.unpackArrayHeader()); i > 0; i--) {
       texts.add(in.unpackString());
     }
     return texts;
@@ -157,6 +158,7 @@
     }
   }
 
+  /** Reads a report. */
   public static PeerHeartbeat read(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       if (in.unpackInt() != FORMAT) {
@@ -170,7 +172,7 @@
         throw new MalformedMessageException("a peer report that builds on a later one");
       }
       Map<ControllerId, PeerHeartbeat.Receipt> receipts = new HashMap<>();
-      for (int i = count(in.unpackMapHeader()); i > 0; i--) {
+      for (int i = checkedCount(in.unpackMapHeader()); i > 0; i--) {
         receipts.put(
             new ControllerId(in.unpackString()),
             new PeerHeartbeat.Receipt(
@@ -179,9 +181,9 @@
       Revision ledger = new Revision(in.unpackLong());
       TimeSpan unconfirmed = new TimeSpan(in.unpackLong());
       List<MachineId> strays = readTexts(in).stream().map(MachineId::new).toList();
-      List<PeerHeartbeat.Block> blocks = new ArrayList<>();
-      for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
-        blocks.add(readBlock(in));
+      List<PeerHeartbeat.ShardStatus> blocks = new ArrayList<>();
+      for (int i = checkedCount(in.unpackArrayHeader()); i > 0; i--) {
+        blocks.add(readShard(in));
       }
       Map<String, byte[]> sections = readSections(in);
       if (in.hasNext()) {
@@ -203,7 +205,7 @@
     }
   }
 
-  private static PeerHeartbeat.Block readBlock(MessageUnpacker in)
+  private static PeerHeartbeat.ShardStatus readShard(MessageUnpacker in)
       throws IOException, MalformedMessageException {
     ShardId id = new ShardId(in.unpackString());
     FencingToken token = new FencingToken(in.unpackLong());
@@ -217,11 +219,11 @@
     List<TaskId> completed = readTasks(in);
     List<TaskId> released = readTasks(in);
     Map<JobId, Integer> running = new HashMap<>();
-    for (int i = count(in.unpackMapHeader()); i > 0; i--) {
+    for (int i = checkedCount(in.unpackMapHeader()); i > 0; i--) {
       running.put(job(in.unpackString()), in.unpackInt());
     }
     List<PeerHeartbeat.MachineState> machines = new ArrayList<>();
-    for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
+    for (int i = checkedCount(in.unpackArrayHeader()); i > 0; i--) {
       MachineId machine = new MachineId(in.unpackString());
       Resources free = readResources(in);
       Resources yielding = readResources(in);
@@ -249,7 +251,7 @@
               readTexts(in),
               readTexts(in)));
     }
-    return new PeerHeartbeat.Block(
+    return new PeerHeartbeat.ShardStatus(
         id, token, allocation, inDoubt, declined, whole, completed, released, running, machines);
   }
 
@@ -264,7 +266,7 @@
   private static List<TaskId> readTasks(MessageUnpacker in)
       throws IOException, MalformedMessageException {
     List<TaskId> tasks = new ArrayList<>();
-    for (int i = count(in.unpackArrayHeader()); i > 0; i--) {
+    for (int i = checkedCount(in.unpackArrayHeader()); i > 0; i--) {
       TaskId task = TaskId.parse(in.unpackString());
       if (task == null) {
         throw new MalformedMessageException("bad task id in a peer report");
@@ -274,8 +276,8 @@
     return tasks;
   }
 
-  private static int count(int items) throws MalformedMessageException {
-    if (items > MOST_ITEMS) {
+  private static int checkedCount(int items) throws MalformedMessageException {
+    if (items > MAX_ITEMS) {
       throw new MalformedMessageException("too many items in a peer report");
     }
     return items;
--- a/src/main/java/org/quincecross/peer/PeerHeartbeat.java
+++ b/src/main/java/org/quincecross/peer/PeerHeartbeat.java
@@ -15,18 +15,18 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * What a controller tells another again and again: everything that has changed since report {@code
- * base}, which the receiver must have. A receiver that has not says so ({@link Receipt#gap}) and is
- * told from what it does have.
+ * A periodic report of one controller to another with everything that has changed since report
+ * {@code base}, which the receiver must have. A receiver that lacks it says so ({@link
+ * Receipt#gap}), and the next report starts from what it has.
  *
- * @param number rises with every report of a life
- * @param base the report that this one builds upon; 0: none, this one is whole
- * @param receipts what the sender has received of others
- * @param ledger everything up to here the sender and the blocks that it holds have taken note of
- * @param unconfirmed how long ago the sender last heard from the state service
- * @param strays machines of others' blocks that report to the sender
- * @param sections what parts of the sender tell theirs elsewhere, by name, whole each time; a
- *     receiver leaves alone what it does not know
+ * @param number rises with every report of an incarnation
+ * @param base the report that this one builds on; 0 for a full report
+ * @param receipts what the sender has received from others
+ * @param cacheRevision the sender's cache and the owners of its shards have applied everything up
+ *     to this revision
+ * @param sinceStoreContact the time since the sender's last contact with the store
+ * @param strays machines of other controllers' shards that report to the sender
+ * @param sections reports of optional features, by name, always whole; unknown ones are ignored
  */
 public record PeerHeartbeat(
     ControllerId member,
@@ -34,11 +34,12 @@
     long number,
     long base,
     Map<ControllerId, Receipt> receipts,
-    Revision ledger,
-    TimeSpan unconfirmed,
-    List<Block> blocks,
+    Revision cacheRevision,
+    TimeSpan sinceStoreContact,
+    List<ShardStatus> shards,
     List<MachineId> strays,
     Map<String, byte[]> sections) {
+  /** Creates a report without sections. */
   public PeerHeartbeat(
       ControllerId member,
       Incarnation incarnation,
@@ -47,82 +48,93 @@
       Map<ControllerId, Receipt> receipts,
       Revision ledger,
       TimeSpan unconfirmed,
-      List<Block> blocks,
+      List<ShardStatus> blocks,
       List<MachineId> strays) {
     this(
         member, incarnation, number, base, receipts, ledger, unconfirmed, blocks, strays, Map.of());
   }
 
   /**
-   * What a controller has received of another one.
+   * What a controller has received from another.
    *
-   * @param number everything up to this report of that life
-   * @param gap whether a report came that builds on one that did not
+   * @param number the last report of that incarnation before any gap
+   * @param gap whether a report arrived that builds on one that did not
    */
   public record Receipt(Incarnation incarnation, long number, boolean gap) {}
 
   /**
-   * A block that the sender holds.
+   * The status of a shard that the sender owns.
    *
-   * @param allocation the version of the allocation that {@code released} speaks of
-   * @param inDoubt whether something there waits that only a new token ends
-   * @param declined jobs that have failed on every machine that takes work there
-   * @param whole whether {@code machines} are all that the block has, rather than those that have
-   *     changed
-   * @param completed tasks whose completion is not yet durable
+   * @param allocation the version of the allocation that {@code released} refers to
+   * @param needsTokenRenewal whether pending work there can finish only under a new token
+   * @param declinedJobs jobs that have failed on every machine that accepts tasks there
+   * @param hasAllMachines whether {@code machines} contains all of the shard's machines, not only
+   *     changed ones
+   * @param completed tasks whose completion is not durable yet
    * @param released tasks that are on no machine and will not be started
    */
-  public record Block(
+  public record ShardStatus(
       ShardId id,
       FencingToken token,
       Revision allocation,
-      boolean inDoubt,
-      Set<JobId> declined,
-      boolean whole,
+      boolean needsTokenRenewal,
+      Set<JobId> declinedJobs,
+      boolean hasAllMachines,
       List<TaskId> completed,
       List<TaskId> released,
       Map<JobId, Integer> running,
       List<MachineState> machines) {
 
-    /** The same with how many tasks run as it is now, where that goes on changing. */
-    public Block keeping(Map<JobId, Integer> runningNow) {
-      return new Block(
+    /** The same with a copy of the numbers of running tasks, which otherwise change. */
+    public ShardStatus withRunning(Map<JobId, Integer> runningNow) {
+      return new ShardStatus(
           id,
           token,
           allocation,
-          inDoubt,
-          declined,
-          whole,
+          needsTokenRenewal,
+          declinedJobs,
+          hasAllMachines,
           completed,
           released,
           runningNow,
           machines);
     }
 
-    public Block with(boolean nowWhole, List<MachineState> states) {
-      return new Block(
-          id, token, allocation, inDoubt, declined, nowWhole, completed, released, running, states);
+    /** The same with other machines. */
+    public ShardStatus with(boolean nowWhole, List<MachineState> states) {
+      return new ShardStatus(
+          id,
+          token,
+          allocation,
+          needsTokenRenewal,
+          declinedJobs,
+          nowWhole,
+          completed,
+          released,
+          running,
+          states);
     }
   }
 
   /**
-   * A machine of a block.
+   * The state of a machine in a shard.
    *
-   * @param silent how long it has not reported; zero while it reports as it should
-   * @param open whether it takes work
-   * @param yielding what urgent work could have in a moment, beyond {@code free}
-   * @param images those that it has or is fetching; {@code imagesInUse}: those that its tasks need
-   * @param movable whether all that runs there are services that have been up for a while
+   * @param silentFor how long it has not reported; zero while it reports as expected
+   * @param open whether it accepts tasks
+   * @param preemptible what urgent work could have within a moment, beyond {@code free}
+   * @param images the images that it has or is pulling
+   * @param imagesInUse the images that its tasks need
+   * @param movable whether it runs only services that have been up for a while
    */
   public record MachineState(
       MachineId id,
       Resources free,
-      Resources yielding,
-      TimeSpan silent,
+      Resources preemptible,
+      TimeSpan silentFor,
       boolean open,
       boolean fenced,
-      boolean notice,
-      boolean sick,
+      boolean terminationNotice,
+      boolean faulty,
       boolean movable,
       int tasks,
       int queued,
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -20,34 +20,35 @@
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TimeSpan;
 
-/** What each controller has told of itself and its blocks, put together from its reports. */
+/** The views of all controllers and their shards, assembled from their reports. */
 public final class PeerViews {
-  /** A block as its holder last described it. */
-  public record BlockView(
+  /** A shard as its owner last reported it. */
+  public record ShardView(
       ShardId id,
       FencingToken token,
       Revision allocation,
-      boolean inDoubt,
-      Set<JobId> declined,
+      boolean needsTokenRenewal,
+      Set<JobId> declinedJobs,
       List<TaskId> completed,
       List<TaskId> released,
       Map<JobId, Integer> running,
       Map<MachineId, PeerHeartbeat.MachineState> machines) {}
 
-  /** Told which blocks a report says something new of. */
+  /** Notified of the shards that a report changes. */
   public interface Listener {
+    /** Called with the shards of a controller whose views have changed. */
     void changed(ControllerId member, Collection<ShardId> blocks);
   }
 
-  /** What is known of one controller. */
+  /** The view of one controller. */
   public static final class View {
     private final Incarnation incarnation;
-    private final Map<ShardId, BlockView> blocks = new LinkedHashMap<>();
+    private final Map<ShardId, ShardView> shards = new LinkedHashMap<>();
     private long number;
     private boolean gap;
     private MonotonicTime at;
-    private Revision ledger = Revision.NONE;
-    private TimeSpan unconfirmed = TimeSpan.ZERO;
+    private Revision cacheRevision = Revision.NONE;
+    private TimeSpan sinceStoreContact = TimeSpan.ZERO;
     private Set<MachineId> strays = Set.of();
     private Map<String, byte[]> sections = Map.of();
 
@@ -56,72 +57,77 @@
       this.at = at;
     }
 
-    public Incarnation life() {
+    /** The incarnation of the controller. */
+    public Incarnation incarnation() {
       return incarnation;
     }
 
-    /** The last report that all before it have come of. */
+    /** The last report received without a gap before it. */
     public long number() {
       return number;
     }
 
-    /** When its last report came. */
+    /** When its last report arrived. */
     public MonotonicTime at() {
       return at;
     }
 
-    /** The revision that it had taken note of. */
-    public Revision ledger() {
-      return ledger;
+    /** The revision that its cache had applied. */
+    public Revision cacheRevision() {
+      return cacheRevision;
     }
 
-    /** How long it had not heard from the state service. */
-    public TimeSpan unconfirmed() {
-      return unconfirmed;
+    /** How long it had no contact with the store. */
+    public TimeSpan sinceStoreContact() {
+      return sinceStoreContact;
     }
 
+    /** The machines of other controllers' shards that report to it. */
     public Set<MachineId> strays() {
       return strays;
     }
 
-    /** What parts of it tell theirs here, by name. */
+    /** The reports of optional features, by name. */
     public Map<String, byte[]> sections() {
       return sections;
     }
 
-    public Map<ShardId, BlockView> blocks() {
-      return blocks;
+    /** The shards that it owns. */
+    public Map<ShardId, ShardView> shards() {
+      return shards;
     }
   }
 
   private final Map<ControllerId, View> views = new TreeMap<>();
   private final List<Listener> listeners = new ArrayList<>();
 
-  public void listen(Listener listener) {
+  /** Adds a listener for changed views. */
+  public void addListener(Listener listener) {
     listeners.add(listener);
   }
 
+  /** The views of all controllers. */
   public Collection<View> all() {
     return views.values();
   }
 
-  /** What is known of a controller, or null. */
+  /** The view of a controller, or null. */
   public View of(ControllerId member) {
     return views.get(member);
   }
 
-  /** Takes a report; false if it builds on one that did not come, and so says nothing. */
-  public boolean take(PeerHeartbeat heartbeat, MonotonicTime now) {
+  /** Applies a report; false if it builds on one that did not arrive, and so was ignored. */
+  public boolean apply(PeerHeartbeat heartbeat, MonotonicTime now) {
     View view = views.get(heartbeat.member());
     if (view == null || !view.incarnation.equals(heartbeat.incarnation())) {
       if (view != null
           && Long.compareUnsigned(heartbeat.incarnation().value(), view.incarnation.value()) < 0) {
-        return true; // a late one of a former life
+        return true; // late, of a former incarnation
       }
-      List<ShardId> forgotten = view == null ? List.of() : List.copyOf(view.blocks.keySet());
+      List<ShardId> forgotten = view == null ? List.of() : List.copyOf(view.shards.keySet());
       view = new View(heartbeat.incarnation(), now);
       views.put(heartbeat.member(), view);
-      tell(heartbeat.member(), forgotten);
+      notifyListeners(heartbeat.member(), forgotten);
     }
     if (heartbeat.number() <= view.number) {
       return true; // late or repeated
@@ -133,66 +139,69 @@
     view.gap = false;
     view.number = heartbeat.number();
     view.at = now;
-    view.ledger = heartbeat.ledger();
-    view.unconfirmed = heartbeat.unconfirmed();
+    view.cacheRevision = heartbeat.cacheRevision();
+    view.sinceStoreContact = heartbeat.sinceStoreContact();
     view.strays = new HashSet<>(heartbeat.strays());
     view.sections = heartbeat.sections();
     Set<ShardId> changed = new HashSet<>();
     if (heartbeat.base() == 0) {
-      changed.addAll(view.blocks.keySet());
-      view.blocks.clear();
+      changed.addAll(view.shards.keySet());
+      view.shards.clear();
     }
-    for (PeerHeartbeat.Block block : heartbeat.blocks()) {
+    for (PeerHeartbeat.ShardStatus block : heartbeat.shards()) {
       changed.add(block.id());
       merge(view, block);
     }
-    tell(heartbeat.member(), changed);
+    notifyListeners(heartbeat.member(), changed);
     return true;
   }
 
-  private static void merge(View view, PeerHeartbeat.Block block) {
-    BlockView before = view.blocks.get(block.id());
+  private static void merge(View view, PeerHeartbeat.ShardStatus block) {
+    ShardView before = view.shards.get(block.id());
     Map<MachineId, PeerHeartbeat.MachineState> machines = new LinkedHashMap<>();
-    if (before != null && !block.whole()) {
+    if (before != null && !block.hasAllMachines()) {
       machines = before.machines();
     }
     for (PeerHeartbeat.MachineState machine : block.machines()) {
       machines.put(machine.id(), machine);
     }
-    view.blocks.put(
+    view.shards.put(
         block.id(),
-        new BlockView(
+        new ShardView(
             block.id(),
             block.token(),
             block.allocation(),
-            block.inDoubt(),
-            block.declined(),
+            block.needsTokenRenewal(),
+            block.declinedJobs(),
             block.completed(),
             block.released(),
             block.running(),
             machines));
   }
 
-  private void tell(ControllerId member, Collection<ShardId> changed) {
+  private void notifyListeners(ControllerId member, Collection<ShardId> changed) {
     if (!changed.isEmpty()) {
       listeners.forEach(listener -> listener.changed(member, changed));
     }
   }
 
-  /** Forgets a block that a controller does not hold any more. */
+  /** Forgets a shard that a controller no longer owns. */
   public void forget(ControllerId member, ShardId shard) {
     View view = views.get(member);
-    if (view != null && view.blocks.remove(shard) != null) {
-      tell(member, List.of(shard));
+    if (view != null && view.shards.remove(shard) != null) {
+      notifyListeners(member, List.of(shard));
     }
   }
 
-  /** For so long nobody was listened to here: that nothing came is no sign of who did not speak. */
-  public void excuse(TimeSpan gap) {
+  /**
+   * Called after a pause of this process, during which no one could be heard: others' silence means
+   * nothing.
+   */
+  public void excusePause(TimeSpan gap) {
     views.values().forEach(view -> view.at = view.at.plus(gap));
   }
 
-  /** What has been received of each controller, for it to know. */
+  /** What has been received from each controller, to be sent back to it. */
   public Map<ControllerId, PeerHeartbeat.Receipt> receipts() {
     Map<ControllerId, PeerHeartbeat.Receipt> receipts = new HashMap<>();
     views.forEach(
--- a/src/main/java/org/quincecross/peer/ReplicatedFeatureContext.java
+++ b/src/main/java/org/quincecross/peer/ReplicatedFeatureContext.java
@@ -12,33 +12,34 @@
 import org.quincecross.state.ReplicatedRecordStore;
 
 /**
- * What a part that rests on agreed records is given.
+ * What a feature based on replicated records is given.
  *
  * @param store changes the records
  * @param known tells since when all controllers know of a change
- * @param withheld where the part says what it keeps back, and of which jobs that has changed
- * @param clockMs tells the time of day
- * @param parts the parts that are switched on, each with its settings
+ * @param startBlock where the feature blocks tasks and announces changes of that
+ * @param clockMs the time of day in milliseconds
+ * @param parts the features that are switched on, each with its settings
  */
 public record ReplicatedFeatureContext(
     Timers timers,
     ClusterStateCache cache,
     ReplicatedRecordStore store,
     KnownRevisions known,
-    CombinedStartBlock withheld,
+    CombinedStartBlock startBlock,
     Settings settings,
     LongSupplier clockMs,
     Map<String, Object> parts) {
-  /** Now, for a step of a controller's own or a view. */
+  /** The present time, for a controller's own command or a query. */
   public CommandOrigin at() {
     return new CommandOrigin(clockMs.getAsLong(), settings.clockBound().millis(), "");
   }
 
+  /** Whether a feature is switched on. */
   public boolean has(String part) {
     return parts.containsKey(part);
   }
 
-  /** The settings of a part that is switched on. */
+  /** The settings of a feature that is switched on. */
   public RecordFields settingsOf(String part) throws MalformedRecordException {
     return RecordFields.of(parts.get(part), part);
   }
--- a/src/main/java/org/quincecross/peer/package-info.java
+++ b/src/main/java/org/quincecross/peer/package-info.java
@@ -1,2 +1,5 @@
-/** What the controllers say to one another, in MessagePack over TCP. */
+/**
+ * The reports that controllers exchange, in MessagePack over TCP, and the views that they build
+ * from them.
+ */
 package org.quincecross.peer;
--- a/src/main/java/org/quincecross/scheduling/Admission.java
+++ b/src/main/java/org/quincecross/scheduling/Admission.java
@@ -31,10 +31,10 @@
    * tasks, so that a short queue is there to start from. What services use does not drain: behind
    * them a task would wait for ever.
    */
-  private static final double QUEUE_AHEAD = 0.15;
+  private static final double MAX_OVERCOMMIT = 0.15;
 
   /** A job that has failed in so many blocks is no reason to rent more machines. */
-  private static final int BAD_AFTER = 3;
+  private static final int MAX_DECLINING_SHARDS = 3;
 
   /** What a job's item in the record of a block's tasks takes beside its id and its tasks. */
   private static final int ITEM_BYTES = 6;
@@ -53,7 +53,7 @@
    * A block as admission sees it. What is counted into it stays; what was admitted spoils it for
    * another round.
    */
-  public static final class Block {
+  public static final class ShardCapacity {
     private final ShardId id;
     private final String type;
     final String zone;
@@ -69,18 +69,18 @@
     private final Map<JobId, TaskSet> admitted = new LinkedHashMap<>();
 
     /** What those jobs use that nobody expects by any time. */
-    private Resources idle = Resources.NONE;
+    private Resources bestEffortUse = Resources.NONE;
 
     /** What services use. */
-    private Resources standing = Resources.NONE;
+    private Resources serviceUse = Resources.NONE;
 
     private Resources gangs = Resources.NONE;
 
     /** What is used by work that may borrow room kept for requests. */
-    private Resources lent = Resources.NONE;
+    private Resources lentUse = Resources.NONE;
 
     private Set<JobId> declined = Set.of();
-    private Priority admittedRank;
+    private Priority highestAdmittedPriority;
     private int gangTasks;
     private int admittedTasks;
     private List<Resources> leftOver = List.of();
@@ -96,7 +96,7 @@
      * Whether work that is to begin was admitted in this round, and no queue may form that would
      * pass it.
      */
-    private boolean isToStart;
+    private boolean hasGuaranteedStart;
 
     /**
      * @param capacity of the machines that take work
@@ -105,7 +105,7 @@
      * @param images those that machines of the block have, each with the free room there
      * @param mostBytes what the record of its tasks may take
      */
-    public Block(
+    public ShardCapacity(
         ShardId id,
         String type,
         String zone,
@@ -152,7 +152,7 @@
       bytes += bytesFor(job, recorded);
       use(job, running);
       if (isIdle) {
-        idle = idle.plus(job.taskResources().times(running));
+        bestEffortUse = bestEffortUse.plus(job.taskResources().times(running));
       }
     }
 
@@ -164,7 +164,7 @@
     /**
      * Of each machine, the room that nothing of what the block has already has taken for a while.
      */
-    public void leaveOver(List<Resources> rooms) {
+    public void setStableCapacity(List<Resources> rooms) {
       leftOver = rooms;
     }
 
@@ -174,11 +174,11 @@
         usedFrom[rank] = usedFrom[rank].plus(more);
       }
       if (job.kind() == JobKind.SERVICE) {
-        standing = standing.plus(more);
+        serviceUse = serviceUse.plus(more);
       } else if (job.kind() == JobKind.GANG) {
         gangs = gangs.plus(more);
       } else if (Headroom.mayBorrow(job)) {
-        lent = lent.plus(more);
+        lentUse = lentUse.plus(more);
       }
     }
 
@@ -188,8 +188,8 @@
     }
 
     /** The highest priority of what was admitted, or null if nothing was. */
-    public Priority admittedRank() {
-      return admittedRank;
+    public Priority highestAdmittedPriority() {
+      return highestAdmittedPriority;
     }
 
     /**
@@ -252,8 +252,8 @@
       images.computeIfPresent(
           job.image(),
           (image, room) -> new ImageRoom(room.free().minus(job.taskResources()), room.yielding()));
-      if (admittedRank == null || job.priority().isHigherThan(admittedRank)) {
-        admittedRank = job.priority();
+      if (highestAdmittedPriority == null || job.priority().isHigherThan(highestAdmittedPriority)) {
+        highestAdmittedPriority = job.priority();
       }
     }
   }
@@ -267,30 +267,30 @@
      * Before those of any priority but the highest, guaranteed or not: it has not begun, and has
      * waited as long as it may.
      */
-    BEGINNING,
+    GUARANTEED_START,
     /** Before those of any priority but the highest: it has a turn. */
-    TURN,
+    ROUND_ROBIN_TURN,
     /** By priority and due time. */
-    IN_ORDER,
+    BY_PRIORITY,
     /** After those of its priority. */
-    SET_ASIDE
+    DEPRIORITIZED
   }
 
   /** Tasks of a job for which there was no block. */
   public record Unmet(Job job, int tasks, Map<String, Integer> perZone) {}
 
-  private final Collection<Block> blocks;
+  private final Collection<ShardCapacity> blocks;
   private final Map<String, Team> teams;
-  private final Map<String, Resources> teamUse;
-  private final HeadroomPlan reserves;
+  private final Map<String, Resources> teamUsage;
+  private final HeadroomPlan headroom;
   private final Map<Alike, List<Resources>> withoutRoom = new HashMap<>();
-  private long looks;
+  private long shardsExamined;
 
   /**
    * Whether room is gathered in this round for a gang that has waited long, though it has no
    * earlier place.
    */
-  private boolean gathers;
+  private boolean gathersCapacity;
 
   /** The highest priority below the very highest of what waits. */
   private Priority highest = Priority.LOW;
@@ -300,28 +300,29 @@
    * @param reserves what blocks keep free
    */
   public Admission(
-      Collection<Block> blocks,
+      Collection<ShardCapacity> blocks,
       Map<String, Team> teams,
       Map<String, Resources> teamUse,
       Map<ShardId, List<Headroom>> reserves) {
     this.blocks = blocks;
     this.teams = teams;
-    this.teamUse = new HashMap<>(teamUse);
-    this.reserves = new HeadroomPlan(reserves, blocks);
+    this.teamUsage = new HashMap<>(teamUse);
+    this.headroom = new HeadroomPlan(reserves, blocks);
   }
 
   /** What the machines of some blocks have for arrays: what services and gangs do not use. */
-  public static Resources roomForArrays(Collection<Block> blocks) {
+  public static Resources roomForArrays(Collection<ShardCapacity> blocks) {
     Resources room = Resources.NONE;
-    for (Block block : blocks) {
-      room = room.plus(block.capacity.minus(block.standing).minus(block.gangs).max(Resources.NONE));
+    for (ShardCapacity block : blocks) {
+      room =
+          room.plus(block.capacity.minus(block.serviceUse).minus(block.gangs).max(Resources.NONE));
     }
     return room;
   }
 
   /** How often a block was looked at for a job: the work that was done. */
-  public long looks() {
-    return looks;
+  public long shardsExamined() {
+    return shardsExamined;
   }
 
   /** Admits what can be admitted, the most urgent first; returns what there was no block for. */
@@ -329,12 +330,13 @@
     List<JobDemand> order = new ArrayList<>(demands);
     order.sort(
         Comparator.comparing((JobDemand demand) -> demand.job().priority() != Priority.PRODUCTION)
-            .thenComparing(demand -> demand.place() != Place.BEGINNING)
-            .thenComparing(demand -> demand.place() != Place.BEGINNING && !demand.guaranteed())
-            .thenComparing(demand -> demand.place() != Place.TURN)
+            .thenComparing(demand -> demand.place() != Place.GUARANTEED_START)
+            .thenComparing(
+                demand -> demand.place() != Place.GUARANTEED_START && !demand.guaranteed())
+            .thenComparing(demand -> demand.place() != Place.ROUND_ROBIN_TURN)
             .thenComparing(
                 demand ->
-                    demand.place() == Place.BEGINNING
+                    demand.place() == Place.GUARANTEED_START
                         ? Priority.PRODUCTION
                         : demand.job().priority(),
                 Comparator.reverseOrder())
@@ -343,14 +345,14 @@
             .thenComparing(JobDemand::accepted)
             .thenComparing(demand -> demand.job().id()));
     blocks.forEach(block -> block.kept = Resources.NONE);
-    blocks.forEach(block -> block.isToStart = false);
+    blocks.forEach(block -> block.hasGuaranteedStart = false);
     highest =
         order.stream()
             .map(demand -> demand.job().priority())
             .filter(priority -> priority != Priority.PRODUCTION)
             .max(Comparator.naturalOrder())
             .orElse(Priority.LOW);
-    gathers = false;
+    gathersCapacity = false;
     List<Unmet> unmet = new ArrayList<>();
     for (JobDemand demand : order) {
       Map<String, Integer> perZone = new TreeMap<>(demand.perZone());
@@ -369,16 +371,16 @@
     return team == null
         ? 0
         : team.limit()
-            .minus(teamUse.getOrDefault(job.team(), Resources.NONE))
-            .minus(reserves.ofTeam(job))
+            .minus(teamUsage.getOrDefault(job.team(), Resources.NONE))
+            .minus(headroom.ofTeam(job))
             .capacityFor(job.taskResources());
   }
 
-  private void admit(Job job, int index, Block block) {
+  private void admit(Job job, int index, ShardCapacity block) {
     block.admittedTasks++;
     block.admit(job, index);
-    teamUse.merge(job.team(), job.taskResources(), Resources::plus);
-    reserves.given(job, block.zone);
+    teamUsage.merge(job.team(), job.taskResources(), Resources::plus);
+    headroom.given(job, block.zone);
   }
 
   /** Jobs that a block has room for or not alike, but for how much their tasks take. */
@@ -400,8 +402,8 @@
     Job job = demand.job();
     int left = Math.min(demand.pool().size(), withinLimit(job));
     if (left == 0) {
-      if (demand.place() == Place.BEGINNING) {
-        keepRoomFor(demand, 1); // as its team's work ends, no more of it starts before
+      if (demand.place() == Place.GUARANTEED_START) {
+        reserveCapacityFor(demand, 1); // as its team's work ends, no more of it starts before
       }
       return 0;
     }
@@ -409,7 +411,7 @@
     boolean bound = job.spreadOverZones() || job.singleZone();
     boolean large = blocks.stream().anyMatch(block -> Headroom.isLarge(job, block.machine));
     Alike alike =
-        bound || large || demand.place() == Place.BEGINNING
+        bound || large || demand.place() == Place.GUARANTEED_START
             ? null
             : new Alike(
                 job.machineTypes(),
@@ -417,8 +419,8 @@
                 job.allowsSpot(),
                 job.kind() == JobKind.ARRAY,
                 job.priority(),
-                demand.isPressed(),
-                reserves.apart(job));
+                demand.isUrgent(),
+                headroom.apart(job));
     if (alike != null
         && withoutRoom.getOrDefault(alike, List.of()).stream()
             .anyMatch(each -> each.fitsIn(job.taskResources()))) {
@@ -431,18 +433,18 @@
       PriorityQueue<PlacementCandidate> from = bound ? choices(demand, perZone) : choices;
       PlacementCandidate best = from.poll();
       if (best == null) {
-        if (demand.place() == Place.BEGINNING) {
-          keepRoomFor(demand, 1);
+        if (demand.place() == Place.GUARANTEED_START) {
+          reserveCapacityFor(demand, 1);
         }
-        int declines = declines(job, blocks);
+        int declines = decliningShards(job, blocks);
         if (alike != null && declines == 0) {
           withoutRoom.computeIfAbsent(alike, a -> new ArrayList<>()).add(job.taskResources());
         }
-        return isBad(declines) ? 0 : left;
+        return isFaultyJob(declines) ? 0 : left;
       }
-      Block block = best.block();
+      ShardCapacity block = best.block();
       admit(job, index, block);
-      block.isToStart |= goesBehind(demand);
+      block.hasGuaranteedStart |= goesBehind(demand);
       perZone.merge(block.zone, 1, Integer::sum);
       left--;
       if (!bound && hasRoom(demand, 1, block)) {
@@ -450,9 +452,9 @@
             new PlacementCandidate(
                 block,
                 demand,
-                entersReserve(job, block),
+                usesHeadroom(job, block),
                 0,
-                reserves.left(job, block.id, block.zone)));
+                headroom.left(job, block.id, block.zone)));
       }
     }
     return 0;
@@ -462,16 +464,16 @@
       JobDemand demand, Map<String, Integer> perZone) {
     PriorityQueue<PlacementCandidate> choices = new PriorityQueue<>();
     Job job = demand.job();
-    for (Block block : blocks) {
-      looks++;
+    for (ShardCapacity block : blocks) {
+      shardsExamined++;
       if (mayGo(job, block, perZone) && hasRoom(demand, 1, block)) {
         choices.add(
             new PlacementCandidate(
                 block,
                 demand,
-                entersReserve(job, block),
+                usesHeadroom(job, block),
                 job.spreadOverZones() ? perZone.getOrDefault(block.zone, 0) : 0,
-                reserves.left(job, block.id, block.zone)));
+                headroom.left(job, block.id, block.zone)));
       }
     }
     return choices;
@@ -484,19 +486,19 @@
       return 0; // some of it is still out there
     }
     if (withinLimit(job) < job.taskCount()) {
-      if (demand.place() == Place.BEGINNING
+      if (demand.place() == Place.GUARANTEED_START
           && teams.containsKey(job.team())
           && teams.get(job.team()).limit().capacityFor(job.taskResources()) >= job.taskCount()) {
-        keepRoomFor(
+        reserveCapacityFor(
             demand, job.taskCount()); // as its team's work ends, no more of it starts before
       }
       return 0;
     }
     // Where it can start now, or where most of it could: room that is spread over many machines is
     // of no use to it.
-    Block best = null;
-    for (Block block : blocks) {
-      looks++;
+    ShardCapacity best = null;
+    for (ShardCapacity block : blocks) {
+      shardsExamined++;
       if (mayGo(job, block, Map.of())
           && hasRoom(demand, job.taskCount(), block)
           && (!job.spreadOverZones() || job.taskCount() <= job.maxTasksPerZone())
@@ -506,18 +508,21 @@
     }
     if (best == null) {
       boolean isNext =
-          reserves.isLent(job) && !gathers; // one at a time: others are to find room meanwhile
-      gathers |= isNext;
-      if (demand.place() == Place.TURN || demand.place() == Place.BEGINNING || isNext) {
-        keepRoomFor(demand, job.taskCount());
+          headroom.isLent(job)
+              && !gathersCapacity; // one at a time: others are to find room meanwhile
+      gathersCapacity |= isNext;
+      if (demand.place() == Place.ROUND_ROBIN_TURN
+          || demand.place() == Place.GUARANTEED_START
+          || isNext) {
+        reserveCapacityFor(demand, job.taskCount());
       }
-      return isBad(declines(job, blocks)) ? 0 : job.taskCount();
+      return isFaultyJob(decliningShards(job, blocks)) ? 0 : job.taskCount();
     }
     for (int index = 0; index < job.taskCount(); index++) {
       admit(job, index, best);
     }
     best.gangTasks += job.taskCount();
-    best.isToStart |= goesBehind(demand);
+    best.hasGuaranteedStart |= goesBehind(demand);
     return 0;
   }
 
@@ -527,49 +532,49 @@
    * one whose arrays leave the most room when they end, and that is used least: the next plan
    * chooses it again. What its team's limit allows is kept for it with that.
    */
-  private void keepRoomFor(JobDemand demand, int tasks) {
+  private void reserveCapacityFor(JobDemand demand, int tasks) {
     Job job = demand.job();
-    Block best = null;
-    for (Block block : blocks) {
+    ShardCapacity best = null;
+    for (ShardCapacity block : blocks) {
       boolean could =
           mayGo(job, block, demand.perZone())
               && block.machine.capacityFor(job.taskResources()) * block.machines >= tasks
               && block
                   .kept
                   .plus(job.taskResources().times(tasks))
-                  .fitsIn(block.capacity.minus(block.standing));
+                  .fitsIn(block.capacity.minus(block.serviceUse));
       if (could && (best == null || keepingOrder(job, tasks).compare(block, best) < 0)) {
         best = block;
       }
     }
     if (best != null) {
       best.kept = best.kept.plus(job.taskResources().times(tasks));
-      if (demand.place() == Place.BEGINNING) {
-        teamUse.merge(job.team(), job.taskResources().times(tasks), Resources::plus);
+      if (demand.place() == Place.GUARANTEED_START) {
+        teamUsage.merge(job.team(), job.taskResources().times(tasks), Resources::plus);
       }
     }
   }
 
-  private static Comparator<Block> keepingOrder(Job job, int tasks) {
-    return Comparator.comparing((Block block) -> -Math.min(tasks, block.placesSoon(job)))
+  private static Comparator<ShardCapacity> keepingOrder(Job job, int tasks) {
+    return Comparator.comparing((ShardCapacity block) -> -Math.min(tasks, block.placesSoon(job)))
         .thenComparing(
             block -> block.usedFrom(Priority.LOW).plus(block.kept).dominantShareOf(block.capacity))
-        .thenComparing(Block::id);
+        .thenComparing(ShardCapacity::id);
   }
 
   /** How many blocks a job has failed in. */
-  public static int declines(Job job, Collection<Block> blocks) {
+  public static int decliningShards(Job job, Collection<ShardCapacity> blocks) {
     int declines = 0;
-    for (Block block : blocks) {
+    for (ShardCapacity block : blocks) {
       declines += block.declined.contains(job.id()) ? 1 : 0;
     }
     return declines;
   }
 
   /** How many blocks have machines that a job's tasks may go to, whatever else is there. */
-  public static int couldGoTo(Job job, Collection<Block> blocks) {
+  public static int eligibleShards(Job job, Collection<ShardCapacity> blocks) {
     int count = 0;
-    for (Block block : blocks) {
+    for (ShardCapacity block : blocks) {
       count +=
           job.allows(block.type, block.zone, block.spot)
                   && job.taskResources().fitsIn(block.machine)
@@ -580,11 +585,11 @@
   }
 
   /** Whether the fault is the job's: nobody should rent machines for it to fail on. */
-  private static boolean isBad(int declines) {
-    return declines >= BAD_AFTER;
+  private static boolean isFaultyJob(int declines) {
+    return declines >= MAX_DECLINING_SHARDS;
   }
 
-  private static boolean mayGo(Job job, Block block, Map<String, Integer> perZone) {
+  private static boolean mayGo(Job job, ShardCapacity block, Map<String, Integer> perZone) {
     if (!job.allows(block.type, block.zone, block.spot) || block.declined.contains(job.id())) {
       return false;
     }
@@ -595,12 +600,12 @@
   }
 
   /** Whether a job that need not keep out of what is kept free would use it. */
-  private boolean entersReserve(Job job, Block block) {
+  private boolean usesHeadroom(Job job, ShardCapacity block) {
     return !job.taskResources()
         .fitsIn(
             block
                 .capacity
-                .minus(reserves.better(job, block.id, block.machine))
+                .minus(headroom.better(job, block.id, block.machine))
                 .minus(block.usedFrom(Priority.LOW)));
   }
 
@@ -609,42 +614,43 @@
    * is to begin.
    */
   private boolean goesBehind(JobDemand demand) {
-    return demand.place() == Place.BEGINNING && highest.isHigherThan(demand.job().priority());
+    return demand.place() == Place.GUARANTEED_START
+        && highest.isHigherThan(demand.job().priority());
   }
 
-  private boolean hasRoom(JobDemand demand, int tasks, Block block) {
+  private boolean hasRoom(JobDemand demand, int tasks, ShardCapacity block) {
     Job job = demand.job();
     if (block.machines == 0 || block.bytes + block.bytesFor(job, tasks) > block.mostBytes) {
       return false;
     }
-    if (reserves.isLent(job) && block.places(job, block.leftOver) - block.admittedTasks >= tasks) {
+    if (headroom.isLent(job) && block.places(job, block.leftOver) - block.admittedTasks >= tasks) {
       return true; // whatever else waits there already and does not fit yet
     }
     boolean keepsOut =
         job.priority() != Priority.PRODUCTION
-            && (block.isToStart || !block.kept.equals(Resources.NONE));
+            && (block.hasGuaranteedStart || !block.kept.equals(Resources.NONE));
     boolean mayPreempt =
-        demand.isPressed()
+        demand.isUrgent()
             && !keepsOut; // room that is being gathered is not for what is quicker to take it
     // What room is kept for and runs there already is part of what is used.
     Resources reserved =
-        reserves.from(
+        headroom.from(
             job,
             block.id,
             block.machine,
-            mayPreempt ? Resources.NONE : block.lent,
-            demand.place() == Place.BEGINNING);
+            mayPreempt ? Resources.NONE : block.lentUse,
+            demand.place() == Place.GUARANTEED_START);
     Resources capacity =
         job.kind() == JobKind.ARRAY && reserved == null && !keepsOut && !goesBehind(demand)
             ? block.capacity.plus(
-                block.capacity.minus(block.standing).max(Resources.NONE).times(QUEUE_AHEAD))
+                block.capacity.minus(block.serviceUse).max(Resources.NONE).times(MAX_OVERCOMMIT))
             : block.capacity;
     Resources kept =
         (keepsOut ? block.kept : Resources.NONE).plus(reserved == null ? Resources.NONE : reserved);
     Resources room =
         capacity.minus(kept).minus(block.usedFrom(mayPreempt ? job.priority() : Priority.LOW));
     if (!mayPreempt && job.priority().isHigherThan(Priority.LOW)) {
-      room = room.plus(block.idle); // gives way to all others, pressed or not
+      room = room.plus(block.bestEffortUse); // gives way to all others, pressed or not
     }
     return job.taskResources().times(tasks).fitsIn(room)
         && block.machine.capacityFor(job.taskResources()) * block.machines >= tasks;
--- a/src/main/java/org/quincecross/scheduling/Headroom.java
+++ b/src/main/java/org/quincecross/scheduling/Headroom.java
@@ -15,12 +15,12 @@
  *
  * @param machines that have room for {@code each}; of room for requests: for how many tasks,
  *     wherever they are
- * @param asked for whom; null but of room for requests
+ * @param requestedMachines for whom; null but of room for requests
  * @param lentTo jobs that need not keep out, because they have waited too long; of room for
  *     requests none
  */
 public record Headroom(
-    Purpose purpose, Resources each, int machines, For asked, Set<JobId> lentTo) {
+    Purpose purpose, Resources each, int machines, For requestedMachines, Set<JobId> lentTo) {
   /** What the room is kept for. */
   public enum Purpose {
     /** Work that needs most of a machine; all smaller work keeps out. */
@@ -71,7 +71,7 @@
    * Whether a job has to keep out of the room, on machines of this capacity: not where it is lent
    * to it.
    */
-  public boolean keepsOut(Job job, Resources capacity) {
+  public boolean isWithheldFrom(Job job, Resources capacity) {
     return isKeptFrom(job, capacity) && !lentTo.contains(job.id());
   }
 
@@ -81,7 +81,7 @@
       // Urgent work prefers other room, but does not wait for the sake of work that is less urgent.
       case LARGE_WORK, URGENT_WORK ->
           !isLarge(job, capacity) && job.priority() != Priority.PRODUCTION;
-      case REQUESTS -> !job.jobClass().equals(asked.lane()) && !mayBorrow(job);
+      case REQUESTS -> !job.jobClass().equals(requestedMachines.lane()) && !mayBorrow(job);
     };
   }
 
@@ -90,7 +90,7 @@
     return switch (purpose) {
       case LARGE_WORK -> !isLarge(job, capacity);
       case URGENT_WORK -> false;
-      case REQUESTS -> !job.jobClass().equals(asked.lane());
+      case REQUESTS -> !job.jobClass().equals(requestedMachines.lane());
     };
   }
 
@@ -105,13 +105,13 @@
   }
 
   /** The same with less to be kept free, for so much of it is lent. */
-  public Headroom lent(int tasks) {
-    return new Headroom(purpose, each, Math.max(0, machines - tasks), asked, lentTo);
+  public Headroom lentCopy(int tasks) {
+    return new Headroom(purpose, each, Math.max(0, machines - tasks), requestedMachines, lentTo);
   }
 
   /** The same, but some jobs need not keep out. */
   public Headroom lentTo(Set<JobId> jobs) {
-    return new Headroom(purpose, each, machines, asked, jobs);
+    return new Headroom(purpose, each, machines, requestedMachines, jobs);
   }
 
   /** What all that is kept comes to. */
--- a/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
+++ b/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
@@ -29,20 +29,20 @@
 
   private final Set<JobId> lentTo = new HashSet<>();
 
-  HeadroomPlan(Map<ShardId, List<Headroom>> reserves, Collection<Admission.Block> blocks) {
+  HeadroomPlan(Map<ShardId, List<Headroom>> reserves, Collection<Admission.ShardCapacity> blocks) {
     this.reserves = reserves;
     Map<ShardId, String> zones = new HashMap<>();
     blocks.forEach(block -> zones.put(block.id(), block.zone));
     for (Map.Entry<ShardId, List<Headroom>> ofBlock : reserves.entrySet()) {
       for (Headroom reserve : ofBlock.getValue()) {
         lentTo.addAll(reserve.lentTo());
-        if (reserve.asked() != null) {
+        if (reserve.requestedMachines() != null) {
           ofLanes
-              .computeIfAbsent(reserve.asked().lane(), lane -> new HashMap<>())
+              .computeIfAbsent(reserve.requestedMachines().lane(), lane -> new HashMap<>())
               .merge(zones.getOrDefault(ofBlock.getKey(), ""), reserve.machines(), Integer::sum);
           ofTeams
-              .computeIfAbsent(reserve.asked().team(), team -> new HashMap<>())
-              .merge(reserve.asked().lane(), reserve.total(), Resources::plus);
+              .computeIfAbsent(reserve.requestedMachines().team(), team -> new HashMap<>())
+              .merge(reserve.requestedMachines().lane(), reserve.total(), Resources::plus);
         }
       }
     }
@@ -71,7 +71,8 @@
         reserves.getOrDefault(shard, List.of()).stream()
             .anyMatch(
                 reserve ->
-                    reserve.asked() != null && reserve.asked().lane().equals(job.jobClass()));
+                    reserve.requestedMachines() != null
+                        && reserve.requestedMachines().lane().equals(job.jobClass()));
     return here ? Math.max(0, ofLane.getOrDefault(zone, 0)) : 0;
   }
 
--- a/src/main/java/org/quincecross/scheduling/JobDemand.java
+++ b/src/main/java/org/quincecross/scheduling/JobDemand.java
@@ -27,17 +27,17 @@
     Admission.Place place,
     double order) {
   /** A job with less time to spare than this is pressed. */
-  private static final double PRESSED_S = 12;
+  private static final double URGENT_WITHIN_S = 12;
 
   /**
    * The same with as many of its tasks in an earlier place: as two, or as it is or whole where none
    * or all of them are.
    */
   public List<JobDemand> with(int tasks, Admission.Place earlier) {
-    if (tasks <= 0 || place == Admission.Place.BEGINNING) {
+    if (tasks <= 0 || place == Admission.Place.GUARANTEED_START) {
       return List.of(this);
     }
-    double first = earlier == Admission.Place.BEGINNING ? 0 : order; // the oldest first
+    double first = earlier == Admission.Place.GUARANTEED_START ? 0 : order; // the oldest first
     // Where the place of one task may change where the next may go, the job stays in one piece.
     if (tasks >= pool.size() || job.spreadOverZones() || job.singleZone()) {
       return List.of(
@@ -55,8 +55,9 @@
   }
 
   /** Whether others are to make room for it: it must start at once, or it will be late. */
-  boolean isPressed() {
+  boolean isUrgent() {
     double run = job.estimate().seconds();
-    return job.priority() == Priority.PRODUCTION || dueS < run + Math.max(PRESSED_S, 0.4 * run);
+    return job.priority() == Priority.PRODUCTION
+        || dueS < run + Math.max(URGENT_WITHIN_S, 0.4 * run);
   }
 }
--- a/src/main/java/org/quincecross/scheduling/MachineQueue.java
+++ b/src/main/java/org/quincecross/scheduling/MachineQueue.java
@@ -19,8 +19,8 @@
   private final List<QueueEntry> unmodifiable = Collections.unmodifiableList(queue);
   private Resources used = Resources.NONE;
   private Resources queued = Resources.NONE;
-  private Map<String, Priority> fetching = Map.of();
-  private Resources displaceable = Resources.NONE;
+  private Map<String, Priority> imagesBeingPulled = Map.of();
+  private Resources preemptible = Resources.NONE;
   private boolean open;
 
   MachineQueue(MachineId machine, Resources capacity, Predicate<String> hasImage) {
@@ -53,23 +53,23 @@
     open = nowOpen;
   }
 
-  void fetching(Map<String, Priority> images) {
-    fetching = images;
+  void imagesBeingPulled(Map<String, Priority> images) {
+    imagesBeingPulled = images;
   }
 
-  int fetches() {
-    return fetching.size();
+  int isPulling() {
+    return imagesBeingPulled.size();
   }
 
   /**
    * Whether work of a higher priority waits here for an image, whose fetch another image would slow
    * down.
    */
-  boolean fetchesForBetter(QueueEntry entry) {
+  boolean isPullingForHigherPriority(QueueEntry entry) {
     if (hasImage(entry)) {
       return false;
     }
-    return fetching.entrySet().stream()
+    return imagesBeingPulled.entrySet().stream()
         .anyMatch(
             fetch ->
                 !fetch.getKey().equals(entry.job().image())
@@ -78,17 +78,17 @@
 
   void use(Resources now, Resources displaceableNow) {
     used = now;
-    displaceable = displaceableNow;
+    preemptible = displaceableNow;
   }
 
   /** Whether an urgent entry would fit once work that can be stopped in a moment has been. */
   boolean couldFit(QueueEntry entry) {
     return open
         && !entry.avoids(machine)
-        && entry.job().taskResources().fitsIn(free().plus(displaceable));
+        && entry.job().taskResources().fitsIn(free().plus(preemptible));
   }
 
-  void occupy(Resources more) {
+  void allocate(Resources more) {
     used = used.plus(more);
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** The first in line that may start now, or null. */
-  QueueEntry head(MonotonicTime now) {
+  QueueEntry firstReady(MonotonicTime now) {
     for (QueueEntry entry : queue) {
       if (entry.isReady(now)) {
         return entry;
@@ -125,7 +125,7 @@
     return null;
   }
 
-  boolean canEver(QueueEntry entry) {
+  boolean fitsEmptyMachine(QueueEntry entry) {
     return entry.job().taskResources().fitsIn(capacity);
   }
 
@@ -156,13 +156,13 @@
   }
 
   /** Work was started past the entries ahead of it: each of them has been passed once more. */
-  void passedBy(QueueEntry started, MonotonicTime now) {
+  void countPassedBy(QueueEntry started, MonotonicTime now) {
     for (QueueEntry entry : queue) {
       if (entry == started) {
         return;
       }
       if (entry.isReady(now)) {
-        entry.passed();
+        entry.countPassed();
       }
     }
   }
--- a/src/main/java/org/quincecross/scheduling/PlacementCandidate.java
+++ b/src/main/java/org/quincecross/scheduling/PlacementCandidate.java
@@ -5,7 +5,7 @@
 
 /** A block that a task could go to, as it is now; the better one is less. */
 final class PlacementCandidate implements Comparable<PlacementCandidate> {
-  private final Admission.Block block;
+  private final Admission.ShardCapacity block;
   private final int grade;
   private final int inZone;
   private final int kept;
@@ -17,7 +17,11 @@
    *     it in all of them
    */
   PlacementCandidate(
-      Admission.Block block, JobDemand demand, boolean entersReserve, int inZone, int kept) {
+      Admission.ShardCapacity block,
+      JobDemand demand,
+      boolean entersReserve,
+      int inZone,
+      int kept) {
     this.block = block;
     this.kept = kept;
     this.inZone = inZone;
@@ -33,7 +37,7 @@
     this.second = demand.hurried() ? room : image;
   }
 
-  Admission.Block block() {
+  Admission.ShardCapacity block() {
     return block;
   }
 
@@ -56,14 +60,14 @@
   }
 
   /** Which of the blocks that have room for a gang it goes to. */
-  static Comparator<Admission.Block> gangOrder(JobDemand demand) {
+  static Comparator<Admission.ShardCapacity> gangOrder(JobDemand demand) {
     Job job = demand.job();
     return Comparator.comparing(
-            (Admission.Block block) -> -Math.min(job.taskCount(), block.placesNow(job)))
+            (Admission.ShardCapacity block) -> -Math.min(job.taskCount(), block.placesNow(job)))
         .thenComparing(block -> -Math.min(job.taskCount(), block.placesSoon(job)))
         .thenComparing(block -> new PlacementCandidate(block, demand, false, 0, 0).grade)
         .thenComparing(block -> block.imageGrade(job))
-        .thenComparing(Admission.Block::usedShare)
-        .thenComparing(Admission.Block::id);
+        .thenComparing(Admission.ShardCapacity::usedShare)
+        .thenComparing(Admission.ShardCapacity::id);
   }
 }
--- a/src/main/java/org/quincecross/scheduling/Preemption.java
+++ b/src/main/java/org/quincecross/scheduling/Preemption.java
@@ -65,21 +65,21 @@
    *
    * @param ofIdle whether only what nobody expects may be stopped
    */
-  public List<Running> makeRoom(QueueEntry entry, boolean ofIdle) {
+  public List<Running> victimsFor(QueueEntry entry, boolean ofIdle) {
     if (entry.tasks().size() > 1) {
-      return makeRoomForGang(entry, ofIdle);
+      return victimsForGang(entry, ofIdle);
     }
-    List<Running> victims = makeRoomForOne(entry, ofIdle);
+    List<Running> victims = victimsForOne(entry, ofIdle);
     return victims == null ? List.of() : victims;
   }
 
-  private List<Running> makeRoomForGang(QueueEntry gang, boolean ofIdle) {
+  private List<Running> victimsForGang(QueueEntry gang, boolean ofIdle) {
     Map<MachineId, Resources> roomBefore = new HashMap<>(room);
     Map<MachineId, List<Running>> runningBefore = new HashMap<>();
     running.forEach((machine, tasks) -> runningBefore.put(machine, new ArrayList<>(tasks)));
     List<Running> all = new ArrayList<>();
     for (int i = 0; i < gang.tasks().size(); i++) {
-      List<Running> victims = makeRoomForOne(gang, ofIdle);
+      List<Running> victims = victimsForOne(gang, ofIdle);
       if (victims == null) {
         room.putAll(roomBefore);
         running.putAll(runningBefore);
@@ -91,11 +91,13 @@
   }
 
   /** What is stopped for one task of an entry; null where no machine can be made to fit it. */
-  private List<Running> makeRoomForOne(QueueEntry entry, boolean ofIdle) {
+  private List<Running> victimsForOne(QueueEntry entry, boolean ofIdle) {
     MachineQueue best = null;
     List<Running> bestVictims = null;
     for (MachineQueue machine : block.machines()) {
-      if (!machine.isOpen() || !machine.canEver(entry) || entry.avoids(machine.machine())) {
+      if (!machine.isOpen()
+          || !machine.fitsEmptyMachine(entry)
+          || entry.avoids(machine.machine())) {
         continue;
       }
       List<Running> victims = onMachine(machine, entry, ofIdle);
@@ -121,10 +123,10 @@
   }
 
   /** A fetch takes longer than most of what a victim loses. */
-  private static final double FETCH = 1000;
+  private static final double IMAGE_PULL_COST = 1000;
 
   private static double cost(MachineQueue machine, QueueEntry entry, List<Running> victims) {
-    double cost = machine.hasImage(entry) ? 0 : FETCH;
+    double cost = machine.hasImage(entry) ? 0 : IMAGE_PULL_COST;
     for (Running victim : victims) {
       cost += victim.each().cpus() * (victim.saves() ? 1 : 3) * (1 + victim.priority().ordinal());
     }
--- a/src/main/java/org/quincecross/scheduling/QueueEntry.java
+++ b/src/main/java/org/quincecross/scheduling/QueueEntry.java
@@ -25,13 +25,13 @@
   private final Job job;
   private final List<TaskId> tasks;
   private final Revision accepted;
-  private final Set<MachineId> avoided = new HashSet<>();
+  private final Set<MachineId> avoidedMachines = new HashSet<>();
 
   /** The machines that it is bound to; null for any. */
-  private Set<MachineId> only;
+  private Set<MachineId> allowedMachines;
 
   private int counter;
-  private boolean avoidsFetch;
+  private boolean avoidsImagePull;
   private MonotonicTime notBefore;
 
   public QueueEntry(Job job, List<TaskId> tasks, Revision accepted) {
@@ -53,39 +53,40 @@
     return counter;
   }
 
-  void passed() {
+  void countPassed() {
     counter++;
   }
 
   /** Machines on which this work has failed and is not tried again while there are others. */
-  public Set<MachineId> avoided() {
-    return avoided;
+  public Set<MachineId> avoidedMachines() {
+    return avoidedMachines;
   }
 
   /** Has it start on none but these machines. */
-  public void onlyOn(Set<MachineId> machines) {
-    only = machines;
+  public void allowOnly(Set<MachineId> machines) {
+    allowedMachines = machines;
   }
 
   /** Whether a machine is no place for it. */
   boolean avoids(MachineId machine) {
-    return (only != null && !only.contains(machine)) || avoided.contains(machine);
+    return (allowedMachines != null && !allowedMachines.contains(machine))
+        || avoidedMachines.contains(machine);
   }
 
   /**
    * Says that a fetch of its image would make it late: it rather displaces other work where its
    * image is.
    */
-  public void avoidFetch() {
-    avoidsFetch = true;
+  public void avoidImagePull() {
+    avoidsImagePull = true;
   }
 
-  boolean avoidsFetch() {
-    return avoidsFetch;
+  boolean avoidsImagePull() {
+    return avoidsImagePull;
   }
 
   /** Keeps the entry from starting before {@code time}. */
-  public void holdBack(MonotonicTime time) {
+  public void delayUntil(MonotonicTime time) {
     notBefore = time;
   }
 
--- a/src/main/java/org/quincecross/scheduling/RoundRobinQueue.java
+++ b/src/main/java/org/quincecross/scheduling/RoundRobinQueue.java
@@ -64,7 +64,7 @@
   }
 
   /** How many items would go before one that an owner adds now, if no more came. */
-  public int ahead(K owner) {
+  public int itemsAhead(K owner) {
     ArrayDeque<T> own = queues.get(owner);
     int turn = own == null ? 1 : own.size() + 1;
     int ahead = turn - 1;
--- a/src/main/java/org/quincecross/scheduling/ShardScheduler.java
+++ b/src/main/java/org/quincecross/scheduling/ShardScheduler.java
@@ -29,7 +29,7 @@
 
   private final Map<MachineId, MachineQueue> machines = new LinkedHashMap<>();
   private final Map<QueueEntry, MachineQueue> queueOf = new HashMap<>();
-  private List<Headroom> reserves = List.of();
+  private List<Headroom> headroom = List.of();
   private int[] left = new int[0];
 
   public void addMachine(MachineId machine, Resources capacity, Predicate<String> hasImage) {
@@ -49,21 +49,23 @@
   }
 
   /** Says what is to be kept free. */
-  public void reserve(List<Headroom> toKeep) {
-    reserves = toKeep;
+  public void setHeadroom(List<Headroom> toKeep) {
+    headroom = toKeep;
     left = new int[toKeep.size()];
-    recount();
+    recomputeHeadroom();
   }
 
   /**
    * Whether a task of {@code entry} would take a machine's room for what {@code reserve} is kept
    * for.
    */
-  private static boolean takes(Headroom reserve, MachineQueue machine, QueueEntry entry) {
-    return reserve.keepsOut(entry.job(), machine.capacity()) && breaksUp(reserve, machine, entry);
+  private static boolean usesHeadroom(Headroom reserve, MachineQueue machine, QueueEntry entry) {
+    return reserve.isWithheldFrom(entry.job(), machine.capacity())
+        && splitsWholeMachine(reserve, machine, entry);
   }
 
-  private static boolean breaksUp(Headroom reserve, MachineQueue machine, QueueEntry entry) {
+  private static boolean splitsWholeMachine(
+      Headroom reserve, MachineQueue machine, QueueEntry entry) {
     return lost(reserve, machine, entry) > 0;
   }
 
@@ -72,22 +74,22 @@
         - reserve.in(machine.free().minus(entry.job().taskResources()));
   }
 
-  private boolean breaksUp(MachineQueue machine, QueueEntry entry) {
-    return reserves.stream()
+  private boolean splitsWholeMachine(MachineQueue machine, QueueEntry entry) {
+    return headroom.stream()
         .anyMatch(
             reserve ->
-                breaksUp(reserve, machine, entry)
-                    && (reserve.keepsOut(entry.job(), machine.capacity())
+                splitsWholeMachine(reserve, machine, entry)
+                    && (reserve.isWithheldFrom(entry.job(), machine.capacity())
                         || reserve.isBetterAvoided(entry.job(), machine.capacity())));
   }
 
   private boolean mayStartOn(MachineQueue machine, QueueEntry entry) {
-    if (!machine.fitsNow(entry) || machine.fetchesForBetter(entry)) {
+    if (!machine.fitsNow(entry) || machine.isPullingForHigherPriority(entry)) {
       return false;
     }
-    for (int i = 0; i < reserves.size(); i++) {
-      if (takes(reserves.get(i), machine, entry)
-          && left(i) - lost(reserves.get(i), machine, entry) < reserves.get(i).machines()) {
+    for (int i = 0; i < headroom.size(); i++) {
+      if (usesHeadroom(headroom.get(i), machine, entry)
+          && left(i) - lost(headroom.get(i), machine, entry) < headroom.get(i).machines()) {
         return false;
       }
     }
@@ -102,13 +104,13 @@
     if (left[reserve] < 0) {
       left[reserve] = 0;
       for (MachineQueue machine : machines.values()) {
-        left[reserve] += machine.isOpen() ? reserves.get(reserve).in(machine.free()) : 0;
+        left[reserve] += machine.isOpen() ? headroom.get(reserve).in(machine.free()) : 0;
       }
     }
     return left[reserve];
   }
 
-  private void recount() {
+  private void recomputeHeadroom() {
     Arrays.fill(left, -1);
   }
 
@@ -128,12 +130,12 @@
     MachineQueue queue = machines.get(machine);
     queue.use(used, displaceable);
     queue.open(open);
-    recount();
+    recomputeHeadroom();
   }
 
   /** Says which images a machine is fetching, and for work of which priority at the most. */
-  public void fetching(MachineId machine, Map<String, Priority> images) {
-    machines.get(machine).fetching(images);
+  public void setImagesBeingPulled(MachineId machine, Map<String, Priority> images) {
+    machines.get(machine).imagesBeingPulled(images);
   }
 
   /**
@@ -141,7 +143,7 @@
    * run it.
    */
   public boolean enqueue(QueueEntry entry) {
-    MachineQueue best = best(entryOrder(entry), machine -> machine.canEver(entry));
+    MachineQueue best = best(entryOrder(entry), machine -> machine.fitsEmptyMachine(entry));
     if (best == null) {
       return false;
     }
@@ -177,10 +179,10 @@
     return Comparator.comparing(
             (MachineQueue machine) -> !machine.isOpen() || entry.avoids(machine.machine()))
         .thenComparing(machine -> !(machine.fitsNow(entry) && machine.waiting().isEmpty()))
-        .thenComparing(machine -> breaksUp(machine, entry))
+        .thenComparing(machine -> splitsWholeMachine(machine, entry))
         .thenComparing(machine -> machine.fitsNow(entry) && !machine.hasImage(entry))
         .thenComparing(
-            machine -> machine.fitsNow(entry) && !machine.hasImage(entry) ? machine.fetches() : 0)
+            machine -> machine.fitsNow(entry) && !machine.hasImage(entry) ? machine.isPulling() : 0)
         .thenComparing(MachineQueue::load)
         .thenComparing(machine -> machine.fit(entry))
         .thenComparing(MachineQueue::machine);
@@ -252,16 +254,18 @@
     for (MachineQueue machine : machines.values()) {
       while (machine.isOpen()
           && !kept.contains(machine.machine())
-          && startLocally(machine, now, starts)) {
+          && startFromQueue(machine, now, starts)) {
         // one more has started
       }
     }
     for (MachineQueue machine : machines.values()) {
-      while (machine.isOpen() && !kept.contains(machine.machine()) && pull(machine, now, starts)) {
+      while (machine.isOpen()
+          && !kept.contains(machine.machine())
+          && pullFromNeighbour(machine, now, starts)) {
         // one more was pulled and has started
       }
     }
-    balance();
+    balanceQueues();
     return starts;
   }
 
@@ -282,7 +286,7 @@
       MachineQueue best = best(urgentOrder(entry), machine -> mayStartOn(machine, entry));
       boolean betterElsewhere =
           best != null
-              && entry.avoidsFetch()
+              && entry.avoidsImagePull()
               && !best.hasImage(entry)
               && machines.values().stream()
                   .anyMatch(machine -> machine.hasImage(entry) && machine.couldFit(entry));
@@ -297,8 +301,8 @@
    */
   private Comparator<MachineQueue> urgentOrder(QueueEntry entry) {
     return Comparator.comparing((MachineQueue machine) -> !machine.hasImage(entry))
-        .thenComparing(machine -> breaksUp(machine, entry))
-        .thenComparing(machine -> machine.hasImage(entry) ? 0 : machine.fetches())
+        .thenComparing(machine -> splitsWholeMachine(machine, entry))
+        .thenComparing(machine -> machine.hasImage(entry) ? 0 : machine.isPulling())
         .thenComparing(machine -> machine.fit(entry))
         .thenComparing(MachineQueue::machine);
   }
@@ -307,10 +311,10 @@
     remove(entry);
     List<MachineId> ids = new ArrayList<>();
     for (MachineQueue machine : on) {
-      machine.occupy(entry.job().taskResources());
+      machine.allocate(entry.job().taskResources());
       ids.add(machine.machine());
     }
-    recount();
+    recomputeHeadroom();
     starts.add(new Start(entry, ids));
   }
 
@@ -332,14 +336,14 @@
     Set<MachineId> kept = new HashSet<>();
     for (QueueEntry gang : gangs) {
       MachineQueue home = queueOf.get(gang);
-      QueueEntry head = home.head(now);
+      QueueEntry head = home.firstReady(now);
       if (gang.counter() < head.counter()
           || head.job().priority().isHigherThan(gang.job().priority())) {
         continue;
       }
       List<MachineQueue> places = places(gang, kept, machine -> machine.free());
       if (places != null) {
-        home.passedBy(gang, now);
+        home.countPassedBy(gang, now);
         start(gang, places, starts);
         continue;
       }
@@ -390,8 +394,8 @@
    * Local scheduling: the head starts if it fits; else, of those whose counter is at least the
    * head's, the one with the least BM times FM, and everything that it passes is counted up.
    */
-  private boolean startLocally(MachineQueue machine, MonotonicTime now, List<Start> starts) {
-    QueueEntry head = machine.head(now);
+  private boolean startFromQueue(MachineQueue machine, MonotonicTime now, List<Start> starts) {
+    QueueEntry head = machine.firstReady(now);
     if (head == null || !machine.mayFitAny()) {
       return false;
     }
@@ -414,7 +418,7 @@
     if (best == null) {
       return false;
     }
-    machine.passedBy(best, now);
+    machine.countPassedBy(best, now);
     start(best, List.of(machine), starts);
     return true;
   }
@@ -424,7 +428,7 @@
    * any other.
    */
   private boolean isLent(QueueEntry entry) {
-    return reserves.stream().anyMatch(reserve -> reserve.lentTo().contains(entry.job().id()));
+    return headroom.stream().anyMatch(reserve -> reserve.lentTo().contains(entry.job().id()));
   }
 
   /** Urgent work is placed by {@link #startUrgent} alone. */
@@ -449,11 +453,11 @@
    * has something for it. An asker with work of its own takes only entries whose counter is at most
    * its head's; one with an empty queue takes any that fits.
    */
-  private boolean pull(MachineQueue asker, MonotonicTime now, List<Start> starts) {
+  private boolean pullFromNeighbour(MachineQueue asker, MonotonicTime now, List<Start> starts) {
     if (!asker.mayFitAny()) {
       return false;
     }
-    QueueEntry head = asker.head(now);
+    QueueEntry head = asker.firstReady(now);
     List<MachineQueue> neighbours = new ArrayList<>();
     for (MachineQueue machine : machines.values()) {
       if (machine != asker && !machine.waiting().isEmpty()) {
@@ -488,7 +492,7 @@
    * loaded, if that lowers the larger of the two. In a block all machines are alike, so each is
    * among its equals.
    */
-  private void balance() {
+  private void balanceQueues() {
     MachineQueue least = null;
     MachineQueue most = null;
     for (MachineQueue machine : machines.values()) {
@@ -506,7 +510,7 @@
     QueueEntry best = null;
     double bestObjective = most.load();
     for (QueueEntry entry : most.waiting()) {
-      if (!least.canEver(entry) || entry.avoids(least.machine())) {
+      if (!least.fitsEmptyMachine(entry) || entry.avoids(least.machine())) {
         continue;
       }
       double share =
--- a/src/main/java/org/quincecross/shard/AgentCommandSender.java
+++ b/src/main/java/org/quincecross/shard/AgentCommandSender.java
@@ -193,7 +193,7 @@
       boolean mayHaveArrived = outcome.sent() && sentWith.equals(state.lease().token());
       session.directFailed(starts, mayHaveArrived, context.now().plus(COMMAND_RETRY_DELAY));
       if (outcome.sent()) {
-        session.reachability().commandUnanswered();
+        session.reachability().commandTimedOut();
         state.markDirty(session);
       }
       return;
--- a/src/main/java/org/quincecross/shard/AgentSession.java
+++ b/src/main/java/org/quincecross/shard/AgentSession.java
@@ -167,12 +167,12 @@
    * Classifies a message of the machine; {@code beat}: the agent sent it on its own, or it is a
    * copy of such a message.
    */
-  StaleHeartbeatFilter.Verdict classify(Heartbeat next, boolean beat, MonotonicTime now) {
-    StaleHeartbeatFilter.Shown shown =
-        new StaleHeartbeatFilter.Shown(next.token(), next.session(), next.sequence());
+  StaleHeartbeatFilter.Classification classify(Heartbeat next, boolean beat, MonotonicTime now) {
+    StaleHeartbeatFilter.Position shown =
+        new StaleHeartbeatFilter.Position(next.token(), next.session(), next.sequence());
     return beat
-        ? staleFilter.ofReport(shown, state == State.LOST, now)
-        : staleFilter.ofAnswer(shown, now);
+        ? staleFilter.classifyHeartbeat(shown, state == State.LOST, now)
+        : staleFilter.classifyCommandResponse(shown, now);
   }
 
   /**
@@ -188,7 +188,7 @@
    * doubtful.
    */
   boolean needsStatusRequest(TimeSpan reportEvery, MonotonicTime now) {
-    return state == State.UNFENCED || staleFilter.isToBeAsked(reportEvery, now);
+    return state == State.UNFENCED || staleFilter.needsStatusRequest(reportEvery, now);
   }
 
   void recordContact(MonotonicTime now) {
@@ -210,7 +210,7 @@
       leaseFrom = now;
     }
     if (answered == lastHeartbeat) {
-      reachability.answered(answered.session(), now);
+      reachability.responseSent(answered.session(), now);
     } else if (provenFrom.isBefore(now)) {
       provenFrom =
           now; // not the newest heartbeat: it comes from an agent process about which nothing is
@@ -425,7 +425,7 @@
 
   void directSent(Map<Attempt, TaskId> starts) {
     directRunning = true;
-    staleFilter.asking();
+    staleFilter.statusRequested();
     startsInFlight.putAll(starts);
   }
 
@@ -436,7 +436,7 @@
 
   void directFailed(Map<Attempt, TaskId> starts, boolean mayHaveArrived, MonotonicTime retryAt) {
     directAnswered(starts);
-    staleFilter.unanswered();
+    staleFilter.statusRequestFailed();
     if (mayHaveArrived) {
       unansweredStarts.putAll(starts);
     }
--- a/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
+++ b/src/main/java/org/quincecross/shard/HeartbeatProcessor.java
@@ -1,6 +1,6 @@
 package org.quincecross.shard;
 
-import org.quincecross.failuredetection.StaleHeartbeatFilter.Verdict;
+import org.quincecross.failuredetection.StaleHeartbeatFilter.Classification;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.protocol.Heartbeat;
 import org.slf4j.Logger;
@@ -38,11 +38,11 @@
       return false;
     }
     MonotonicTime now = state.context().now();
-    Verdict verdict = session.classify(heartbeat, beat, now);
-    if (verdict == Verdict.LATE || verdict == Verdict.OVERTAKEN) {
-      return verdict == Verdict.OVERTAKEN;
+    Classification verdict = session.classify(heartbeat, beat, now);
+    if (verdict == Classification.LATE || verdict == Classification.OVERTAKEN) {
+      return verdict == Classification.OVERTAKEN;
     }
-    if (verdict == Verdict.NEWS && monitor.heartbeatReceived(session, heartbeat, beat)) {
+    if (verdict == Classification.NEW && monitor.heartbeatReceived(session, heartbeat, beat)) {
       state.settleIfAllCleared();
     }
     Heartbeat before = session.lastHeartbeat();
@@ -58,9 +58,13 @@
   }
 
   private void updateSession(
-      AgentSession session, Heartbeat heartbeat, boolean beat, Verdict verdict, MonotonicTime now) {
+      AgentSession session,
+      Heartbeat heartbeat,
+      boolean beat,
+      Classification verdict,
+      MonotonicTime now) {
     Heartbeat before = session.lastHeartbeat();
-    boolean restarted = verdict == Verdict.BEGUN_ANEW;
+    boolean restarted = verdict == Classification.RESTARTED;
     boolean newSession = restarted || (before != null && before.session() != heartbeat.session());
     if (restarted) {
       LOG.info(
@@ -92,7 +96,7 @@
     session.enter(AgentSession.State.FENCED);
     if (before != null && state.token().isAfter(before.token())) {
       // Only a token that has risen proves that a message arrived.
-      session.reachability().shownToken(now);
+      session.reachability().tokenConfirmed(now);
     }
     state.markDirty(session);
     LOG.debug("shard {}: machine {} is fenced", state.id(), session.machine().id());
--- a/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
+++ b/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
@@ -141,7 +141,7 @@
 
   /** Whether the machine is heard and hears. */
   private boolean isReachable(AgentSession session) {
-    return session.reachability().hears()
+    return session.reachability().isReceiving()
         && !context.now().since(session.lastContact()).isLongerThan(openTimeout());
   }
 
@@ -153,15 +153,16 @@
   boolean heartbeatReceived(AgentSession session, Heartbeat heartbeat, boolean beat) {
     MonotonicTime now = context.now();
     if (!beat) {
-      session.reachability().commandAnswered(heartbeat.sequence(), now);
+      session.reachability().commandAcknowledged(heartbeat.sequence(), now);
       return false;
     }
-    boolean hadHeard = session.reachability().hears();
+    boolean hadHeard = session.reachability().isReceiving();
     session
         .reachability()
-        .reported(heartbeat.session(), heartbeat.sequence(), context.agentTimeouts().lease(), now);
-    if (hadHeard != session.reachability().hears()) {
-      if (session.reachability().state() == OneWayPartitionDetector.State.DEAF) {
+        .heartbeatReceived(
+            heartbeat.session(), heartbeat.sequence(), context.agentTimeouts().lease(), now);
+    if (hadHeard != session.reachability().isReceiving()) {
+      if (session.reachability().state() == OneWayPartitionDetector.State.PARTITIONED) {
         LOG.info(
             "shard {}: machine {} sends heartbeats but receives no responses (one-way partition)",
             state.id(),
@@ -172,7 +173,7 @@
     if (!session.provesNoneTaken(heartbeat, state.lease().token())) {
       return false;
     }
-    session.reachability().noneTaken(now);
+    session.reachability().noResponseAccepted(now);
     boolean isCleared =
         context.confirmedAt() != null && session.clearAfterLease(lease(), context.confirmedAt());
     return loseIfLeaseExpired(session, now) || isCleared;
@@ -186,14 +187,15 @@
     if (!isPartitionedForLong(session, now)) {
       return false;
     }
-    long deaf = sessions.values().stream().filter(other -> !other.reachability().hears()).count();
+    long deaf =
+        sessions.values().stream().filter(other -> !other.reachability().isReceiving()).count();
     return deaf <= Math.max(1, sessions.size() / MACHINES_PER_REPLACEMENT);
   }
 
   private boolean isPartitionedForLong(AgentSession session, MonotonicTime now) {
     return session
         .reachability()
-        .deafFor(now)
+        .partitionedFor(now)
         .isLongerThan(context.agentTimeouts().lease().plus(REPLACEMENT_TIMEOUT));
   }
 }
--- a/src/main/java/org/quincecross/shard/MachineSnapshots.java
+++ b/src/main/java/org/quincecross/shard/MachineSnapshots.java
@@ -96,7 +96,7 @@
     for (Headroom reserve : reserves) {
       less.add(
           reserve.purpose() == Headroom.Purpose.REQUESTS
-              ? reserve.lent(lentPart(reserve))
+              ? reserve.lentCopy(lentPart(reserve))
               : reserve);
     }
     return less;
@@ -153,7 +153,7 @@
       inUse.add(placement.job().image());
     }
     // A machine that receives no commands has no capacity for anyone, however empty it looks.
-    boolean hears = session.reachability().hears();
+    boolean hears = session.reachability().isReceiving();
     return new PeerHeartbeat.MachineState(
         id,
         hears ? session.capacity().minus(used(session)) : Resources.NONE,
@@ -178,9 +178,9 @@
     AgentSession session = sessions.get(told.id());
     MonotonicTime now = context.now();
     return session != null
-        && (!reportedSilence(session, now).equals(told.silent())
+        && (!reportedSilence(session, now).equals(told.silentFor())
             || monitor.isOpen(session) != told.open()
-            || (!told.sick() && monitor.needsReplacement(session, now))
+            || (!told.faulty() && monitor.needsReplacement(session, now))
             || (!told.movable() && told.tasks() > 0 && isMovable(told.id(), now)));
   }
 
@@ -199,7 +199,7 @@
 
   private TimeSpan reportedSilence(AgentSession session, MonotonicTime now) {
     TimeSpan silent = now.since(session.lastContact());
-    if (!session.reachability().hears() && !silent.isLongerThan(CONTROLLER_ROUND_TIME)) {
+    if (!session.reachability().isReceiving() && !silent.isLongerThan(CONTROLLER_ROUND_TIME)) {
       return TimeSpan
           .ZERO; // it contacts every controller in turn; another one could not reach it either
     }
--- a/src/main/java/org/quincecross/shard/OwnedShards.java
+++ b/src/main/java/org/quincecross/shard/OwnedShards.java
@@ -132,10 +132,10 @@
   }
 
   /** The changes in the owned shards after report {@code base}, as of the last {@link #refresh}. */
-  public List<PeerHeartbeat.Block> since(long base) {
-    List<PeerHeartbeat.Block> changed = new ArrayList<>();
+  public List<PeerHeartbeat.ShardStatus> since(long base) {
+    List<PeerHeartbeat.ShardStatus> changed = new ArrayList<>();
     for (ShardOwner owner : owners.values()) {
-      PeerHeartbeat.Block block = owner.reporter().since(base);
+      PeerHeartbeat.ShardStatus block = owner.reporter().since(base);
       if (block != null) {
         changed.add(block);
       }
--- a/src/main/java/org/quincecross/shard/Preemptor.java
+++ b/src/main/java/org/quincecross/shard/Preemptor.java
@@ -106,7 +106,7 @@
           preemption == null
               ? new Preemption(scheduler, isPreemptible(now), stopping())
               : preemption;
-      for (Preemption.Running victim : preemption.makeRoom(entry, waits.getValue())) {
+      for (Preemption.Running victim : preemption.victimsFor(entry, waits.getValue())) {
         LOG.info(
             "shard {}: {} is preempted for {}", state.id(), victim.task(), entry.tasks().get(0));
         stopWithGang(placements.get(victim.task()), true, now);
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -58,12 +58,12 @@
 
   private boolean hasRoom(Job job, ShardLease shard) {
     PeerViews.View holder = views.of(shard.owner());
-    PeerViews.BlockView view = holder == null ? null : holder.blocks().get(shard.id());
+    PeerViews.ShardView view = holder == null ? null : holder.shards().get(shard.id());
     MachineType type = cache.machineTypes().get(shard.type());
     if (view == null
         || type == null
         || !view.token().equals(shard.token())
-        || view.declined().contains(job.id())) {
+        || view.declinedJobs().contains(job.id())) {
       return false;
     }
     Resources free = Resources.NONE;
@@ -80,7 +80,7 @@
       fits |= job.taskResources().fitsIn(machine.free());
     }
     for (Headroom reserve : reserves.apply(shard.id())) {
-      free = reserve.keepsOut(job, type.capacity()) ? free.minus(reserve.total()) : free;
+      free = reserve.isWithheldFrom(job, type.capacity()) ? free.minus(reserve.total()) : free;
     }
     return fits && job.taskResources().fitsIn(free);
   }
--- a/src/main/java/org/quincecross/shard/ShardOwner.java
+++ b/src/main/java/org/quincecross/shard/ShardOwner.java
@@ -269,12 +269,12 @@
             .scheduler()
             .update(
                 machine, snapshots.used(session), snapshots.preemptible(machine), session.isOpen());
-        state.scheduler().fetching(machine, snapshots.imagesBeingPulled(session));
+        state.scheduler().setImagesBeingPulled(machine, snapshots.imagesBeingPulled(session));
       }
     }
     reporter.machinesChanged(dirty);
     dirty.clear();
-    state.scheduler().reserve(snapshots.withoutLent(context.headroom(id())));
+    state.scheduler().setHeadroom(snapshots.withoutLent(context.headroom(id())));
   }
 
   // ---- queries ----
--- a/src/main/java/org/quincecross/shard/ShardReporter.java
+++ b/src/main/java/org/quincecross/shard/ShardReporter.java
@@ -21,7 +21,7 @@
   private final MachineSnapshots snapshots;
   private final Map<MachineId, Part<PeerHeartbeat.MachineState>> machines = new LinkedHashMap<>();
   private final Set<MachineId> dirty = new LinkedHashSet<>();
-  private Part<PeerHeartbeat.Block> header;
+  private Part<PeerHeartbeat.ShardStatus> header;
   private boolean needsTokenRenewal;
   private boolean dirtyHeader = true;
   private boolean beginning = true;
@@ -80,8 +80,8 @@
   }
 
   private void refreshHeader(long number) {
-    PeerHeartbeat.Block next =
-        new PeerHeartbeat.Block(
+    PeerHeartbeat.ShardStatus next =
+        new PeerHeartbeat.ShardStatus(
             state.id(),
             state.lease().token(),
             state.syncedAllocation(),
@@ -93,7 +93,7 @@
             state.placements().running(),
             List.of());
     if (header == null || !header.content().equals(next)) {
-      header = new Part<>(next.keeping(Map.copyOf(next.running())), number);
+      header = new Part<>(next.withRunning(Map.copyOf(next.running())), number);
     }
   }
 
@@ -107,7 +107,7 @@
   }
 
   /** The changes after report {@code base}, or null if there are none. */
-  PeerHeartbeat.Block since(long base) {
+  PeerHeartbeat.ShardStatus since(long base) {
     List<PeerHeartbeat.MachineState> changed = new ArrayList<>();
     for (Part<PeerHeartbeat.MachineState> part : machines.values()) {
       if (part.changedIn() > base) {
--- a/src/main/java/org/quincecross/shard/TaskEnqueuer.java
+++ b/src/main/java/org/quincecross/shard/TaskEnqueuer.java
@@ -51,14 +51,14 @@
     }
     JobRecord record = context.cache().job(job.id());
     QueueEntry entry = new QueueEntry(job, tasks, record.version());
-    entry.onlyOn(context.machinesFor(job, placement.task().index()));
+    entry.allowOnly(context.machinesFor(job, placement.task().index()));
     if (wouldBeLateByPull(job)) {
-      entry.avoidFetch();
+      entry.avoidImagePull();
     }
     if (placement.failures() > 0) {
-      entry.avoided().addAll(state.evidence().failedOn(job.id()));
+      entry.avoidedMachines().addAll(state.evidence().failedOn(job.id()));
       MonotonicTime ready = context.now().plus(retryDelay(placement.failures()));
-      entry.holdBack(ready);
+      entry.delayUntil(ready);
       state.wakeBy(ready);
     }
     if (state.scheduler().enqueue(entry)) {
--- a/src/main/java/org/quincecross/shard/TokenRenewal.java
+++ b/src/main/java/org/quincecross/shard/TokenRenewal.java
@@ -30,7 +30,7 @@
       AgentSession session = sessions.get(placement.machine());
       // A machine that receives nothing will not show a new token either; the end of its session
       // resolves the doubt.
-      if (session.reachability().hears()
+      if (session.reachability().isReceiving()
           && session.needsTokenToResolve(placement.attempt())
           && now.since(placement.since()).isLongerThan(DOUBT_TIMEOUT)
           && !session.reportedAttempts().contains(placement.attempt())) {
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -67,7 +67,7 @@
             new OwnedShards(null, new ControllerId("n0"), () -> new Incarnation(7)),
             views,
             UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel)));
-    cache.addListener(made::ledgerChanged);
+    cache.addListener(made::cacheChanged);
     return made;
   }
 
@@ -146,8 +146,8 @@
             0,
             List.of(),
             List.of());
-    PeerHeartbeat.Block block =
-        new PeerHeartbeat.Block(
+    PeerHeartbeat.ShardStatus block =
+        new PeerHeartbeat.ShardStatus(
             BLOCK,
             new FencingToken(cache.shard(BLOCK).token().value()),
             cache.allocation(BLOCK).version(),
@@ -158,7 +158,7 @@
             List.of(),
             Map.of(),
             List.of(machine));
-    views.take(
+    views.apply(
         new PeerHeartbeat(
             HOLDER,
             new Incarnation(1),
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -107,7 +107,7 @@
             new OwnedShards(null, MEMBER, () -> new Incarnation(7)),
             new PeerViews(),
             bound);
-    cache.addListener(cancellations::ledgerChanged);
+    cache.addListener(cancellations::cacheChanged);
     users =
         new UserApi(
             clock,
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/AgreedDay.java
@@ -75,7 +75,7 @@
     Gates(ReplicatedFeatureContext base) {
       this.base = base;
       this.index = base.cache().replicatedRecords().add(new Gate());
-      base.withheld().add(this);
+      base.startBlock().add(this);
       base.cache()
           .addListener(
               changes -> {
@@ -92,7 +92,7 @@
                             changed.add(job);
                           }
                         });
-                base.withheld().changed(changed);
+                base.startBlock().changed(changed);
               });
     }
 
--- a/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
@@ -38,7 +38,7 @@
       if (i < acknowledged) {
         link.receipt(i, false, at(now));
       }
-      if (link.takeStuck(at(now))) {
+      if (link.takeReconnectNeeded(at(now))) {
         assertTrue(now > quietFrom, "it was answered until " + quietFrom);
         assertTrue(now - lastRenewed > 2.999);
         lastRenewed = now;
@@ -53,7 +53,7 @@
     for (double now = 0; now < 20; now += 0.5) {
       link.sent(at(now));
       link.receipt(7, true, at(now));
-      assertFalse(link.takeStuck(at(now)));
+      assertFalse(link.takeReconnectNeeded(at(now)));
     }
   }
 
@@ -66,20 +66,20 @@
     ReachabilityMap hearing = new ReachabilityMap();
     int trials = 0;
     double hearsFrom = 600;
-    hearing.missed(DEAF, "a", at(0));
+    hearing.unreachable(DEAF, "a", at(0));
     assertEquals(ReachabilityMap.State.HEARS, hearing.of(DEAF, "b", at(1)), "another zone");
     double given = 0;
     for (double now = 0; now < 900; now += 0.5) {
       ReachabilityMap.State state = hearing.of(DEAF, "a", at(now));
       if (state == ReachabilityMap.State.TO_BE_TRIED) {
-        hearing.given(DEAF, "a", at(now));
+        hearing.probeStarted(DEAF, "a", at(now));
         given = now;
         trials++;
       } else if (state == ReachabilityMap.State.ON_TRIAL && now - given >= 4) {
         if (now < hearsFrom) {
-          hearing.missed(DEAF, "a", at(now));
+          hearing.unreachable(DEAF, "a", at(now));
         } else {
-          hearing.heard(DEAF, "a", at(now));
+          hearing.reachable(DEAF, "a", at(now));
         }
       }
       if (now == 300) {
@@ -93,10 +93,10 @@
   @Test
   void aTrialThatSaysNothingHasFailed() {
     ReachabilityMap hearing = new ReachabilityMap();
-    hearing.missed(DEAF, "a", at(0));
-    hearing.given(DEAF, "a", at(13));
+    hearing.unreachable(DEAF, "a", at(0));
+    hearing.probeStarted(DEAF, "a", at(13));
     assertEquals(ReachabilityMap.State.ON_TRIAL, hearing.of(DEAF, "a", at(14)));
-    hearing.heard(DEAF, "b", at(14));
+    hearing.reachable(DEAF, "b", at(14));
     assertEquals(ReachabilityMap.State.DEAF, hearing.of(DEAF, "a", at(26)));
   }
 
@@ -109,21 +109,21 @@
       @ForAll @DoubleRange(min = 0, max = 120) double gap,
       @ForAll @DoubleRange(min = 0, max = 3) double confirmedAfter) {
     PauseDetector stillness = new PauseDetector(at(0));
-    assertEquals(TimeSpan.ZERO, stillness.turn(at(0.2)));
+    assertEquals(TimeSpan.ZERO, stillness.tick(at(0.2)));
     double woke = 0.2 + gap;
-    TimeSpan noticed = stillness.turn(at(woke));
+    TimeSpan noticed = stillness.tick(at(woke));
     boolean stoodStill = gap > 1.5;
     assertEquals(stoodStill, !noticed.equals(TimeSpan.ZERO));
     assertEquals(
         stoodStill,
         stillness.isWaking(at(0.1), at(woke)),
         "what was confirmed before says nothing");
-    assertEquals(TimeSpan.ZERO, stillness.turn(at(woke + 0.1)));
+    assertEquals(TimeSpan.ZERO, stillness.tick(at(woke + 0.1)));
     assertFalse(
         stillness.isWaking(at(0.1), at(woke + 2.1)), "in an outage nobody can confirm anything");
     if (stoodStill) {
       PauseDetector other = new PauseDetector(at(0));
-      other.turn(at(woke));
+      other.tick(at(woke));
       double now = woke + confirmedAfter;
       assertEquals(confirmedAfter <= 2, other.isWaking(at(woke - 0.01), at(now)));
       assertFalse(other.isWaking(at(woke + 0.01), at(now)));
--- a/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
+++ b/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
@@ -33,14 +33,15 @@
   private static final class Trio {
     private final List<IsolationDetector> nodes = new ArrayList<>();
     private final double[] heard = new double[NODES];
-    private final IsolationDetector.Word[][] words = new IsolationDetector.Word[NODES][NODES];
+    private final IsolationDetector.PeerContact[][] words =
+        new IsolationDetector.PeerContact[NODES][NODES];
     private double now;
 
     Trio() {
       for (int i = 0; i < NODES; i++) {
         nodes.add(new IsolationDetector(i == 0, at(0)));
         for (int j = 0; j < NODES; j++) {
-          words[i][j] = new IsolationDetector.Word(null, TimeSpan.ZERO);
+          words[i][j] = new IsolationDetector.PeerContact(null, TimeSpan.ZERO);
         }
       }
     }
@@ -57,14 +58,14 @@
       for (int i = 0; i < NODES; i++) {
         for (int j = 0; j < NODES; j++) {
           if (i != j && (linked >> i & linked >> j & 1) == 1) {
-            words[i][j] = new IsolationDetector.Word(at(now), at(now).since(at(heard[j])));
+            words[i][j] = new IsolationDetector.PeerContact(at(now), at(now).since(at(heard[j])));
           }
         }
       }
       for (int i = 0; i < NODES; i++) {
-        List<IsolationDetector.Word> others = new ArrayList<>(List.of(words[i]));
+        List<IsolationDetector.PeerContact> others = new ArrayList<>(List.of(words[i]));
         others.remove(i);
-        nodes.get(i).look(at(heard[i]), others, at(now));
+        nodes.get(i).evaluate(at(heard[i]), others, at(now));
       }
     }
 
@@ -94,7 +95,7 @@
           // 50 was written in the moment of the loss: no controller but its writer knows of it.
           trio.nodes
               .get(node)
-              .machine(
+              .machineReported(
                   new FencingToken(random.nextInt(3) == 0 || (i > 0 && i < 3) ? 50 : 20),
                   new FencingToken(40),
                   true,
@@ -131,7 +132,7 @@
       if (i >= shownAt) {
         trio.nodes
             .get(lone)
-            .machine(new FencingToken(90), new FencingToken(40), true, at(trio.now));
+            .machineReported(new FencingToken(90), new FencingToken(40), true, at(trio.now));
       }
       trio.step(others, others);
       for (int node = 0; node < NODES; node++) {
--- a/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
+++ b/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
@@ -39,24 +39,24 @@
     for (int time = 0; time < times; time++) {
       for (int i = 0; i < 60; i++) {
         now += every;
-        deafness.reported(session, ++number, LEASE, at(now));
-        deafness.answered(session, at(now));
+        deafness.heartbeatReceived(session, ++number, LEASE, at(now));
+        deafness.responseSent(session, at(now));
         // The first time at its second report; each time it proves fickle for longer, and never for
         // ever.
         assertTrue(
-            deafness.hears() || i <= (time == 0 ? 1 : 1 + OneWayPartitionDetector.MOST_TRIALS),
+            deafness.isReceiving() || i <= (time == 0 ? 1 : 1 + OneWayPartitionDetector.MAX_TRIALS),
             "not used at report " + i);
       }
       for (int round = 0; round < rounds; round++) {
         now += ROUND;
         number += 3;
         session++;
-        deafness.reported(session, number, LEASE, at(now));
-        deafness.answered(session, at(now));
-        assertFalse(deafness.hears());
-        assertTrue(round < 1 || deafness.state() == OneWayPartitionDetector.State.DEAF);
+        deafness.heartbeatReceived(session, number, LEASE, at(now));
+        deafness.responseSent(session, at(now));
+        assertFalse(deafness.isReceiving());
+        assertTrue(round < 1 || deafness.state() == OneWayPartitionDetector.State.PARTITIONED);
       }
-      assertTrue(deafness.deafFor(at(now)).isLongerThan(TimeSpan.ofSeconds(ROUND)));
+      assertTrue(deafness.partitionedFor(at(now)).isLongerThan(TimeSpan.ofSeconds(ROUND)));
     }
   }
 
@@ -64,11 +64,11 @@
   @Test
   void aNewSessionThoughAnsweredIsDeaf() {
     OneWayPartitionDetector deafness = new OneWayPartitionDetector(at(0));
-    deafness.answered(1, at(5));
-    deafness.reported(2, 9, LEASE, at(12));
-    assertEquals(OneWayPartitionDetector.State.DEAF, deafness.state());
-    deafness.shownToken(at(13));
-    assertTrue(deafness.hears());
+    deafness.responseSent(1, at(5));
+    deafness.heartbeatReceived(2, 9, LEASE, at(12));
+    assertEquals(OneWayPartitionDetector.State.PARTITIONED, deafness.state());
+    deafness.tokenConfirmed(at(13));
+    assertTrue(deafness.isReceiving());
   }
 
   @Test
@@ -80,7 +80,7 @@
     assertEquals(ShardMovePolicy.State.COUNTS, moves.of(machine, at(36)));
     moves.moved(List.of(machine), at(36));
     assertEquals(ShardMovePolicy.State.MOVED, moves.of(machine, at(100)));
-    moves.obeys(List.of(machine));
+    moves.fenced(List.of(machine));
     assertEquals(ShardMovePolicy.State.COUNTS, moves.of(machine, at(101)));
   }
 }
