--- a/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import org.quincecross.failuredetection.StaleHeartbeatFilter.Shown;
+import org.quincecross.failuredetection.StaleHeartbeatFilter.Classification;
+import org.quincecross.failuredetection.StaleHeartbeatFilter.Position;
 import org.quincecross.failuredetection.StaleHeartbeatFilter.State;
-import org.quincecross.failuredetection.StaleHeartbeatFilter.Verdict;
 import org.quincecross.model.FencingToken;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
@@ -31,7 +31,7 @@
   }
 
   /** A message and in which life and as the how many-th it was made. */
-  private record Made(int life, int number, Shown shown) {}
+  private record Made(int life, int number, Position shown) {}
 
   /** Plays one machine for a while; what it says arrives, gets lost, comes late and comes again. */
   private static final class Machine {
@@ -55,7 +55,7 @@
     }
 
     Made says() {
-      return new Made(life, ++number, new Shown(new FencingToken(shows), session, ++order));
+      return new Made(life, ++number, new Position(new FencingToken(shows), session, ++order));
     }
 
     private void begins() {
@@ -66,9 +66,9 @@
     }
 
     private void report(Made made, double now) {
-      Verdict verdict = freshness.ofReport(made.shown(), false, at(now));
-      assertNotEquals(Verdict.BEGUN_ANEW, verdict, "counts alone prove nothing");
-      if (verdict == Verdict.NEWS) {
+      Classification verdict = freshness.classifyHeartbeat(made.shown(), false, at(now));
+      assertNotEquals(Classification.RESTARTED, verdict, "counts alone prove nothing");
+      if (verdict == Classification.NEW) {
         assertTrue(made.life() != takenLife || made.number() > taken, made + " after " + taken);
         taken = made.number();
         takenLife = made.life();
@@ -76,18 +76,18 @@
     }
 
     private void ask(double now) {
-      freshness.asking();
+      freshness.statusRequested();
       if (random.nextInt(3) == 0) {
-        freshness.unanswered();
+        freshness.statusRequestFailed();
         return;
       }
       shows = Math.max(shows, random.nextInt(4));
       Made made = says();
-      Verdict verdict = freshness.ofAnswer(made.shown(), at(now));
-      if (verdict == Verdict.BEGUN_ANEW) {
+      Classification verdict = freshness.classifyCommandResponse(made.shown(), at(now));
+      if (verdict == Classification.RESTARTED) {
         assertTrue(life > 0, "it goes on as ever");
       }
-      assertNotEquals(Verdict.LATE, verdict);
+      assertNotEquals(Classification.LATE, verdict);
       taken = made.number();
       takenLife = made.life();
     }
@@ -108,12 +108,15 @@
         if (!reports.isEmpty() && random.nextInt(2) == 0) {
           report(reports.get(random.nextInt(reports.size())), now);
         }
-        if (freshness.isToBeAsked(REPORT, at(now)) || random.nextInt(8) == 0) {
+        if (freshness.needsStatusRequest(REPORT, at(now)) || random.nextInt(8) == 0) {
           ask(now);
         }
         if (freshness.state() == State.BEGUN_ANEW) {
           reports.forEach(
-              made -> assertEquals(Verdict.LATE, freshness.ofReport(made.shown(), false, at(now))));
+              made ->
+                  assertEquals(
+                      Classification.LATE,
+                      freshness.classifyHeartbeat(made.shown(), false, at(now))));
         }
       }
     }
@@ -138,17 +141,20 @@
   void aMachineThatHasBegunAnewIsFoundOut(@ForAll long seed) {
     Random random = new Random(seed);
     StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
-    freshness.ofReport(
-        new Shown(PRESENT, 1 + random.nextInt(3), 40 + random.nextInt(1000)), false, at(0));
+    freshness.classifyHeartbeat(
+        new Position(PRESENT, 1 + random.nextInt(3), 40 + random.nextInt(1000)), false, at(0));
     double now = 0;
     for (int order = 1; freshness.state() != State.BEGUN_ANEW; order++) {
       now += 0.5 + random.nextDouble() * 2;
       assertTrue(now < 10, "not found out");
-      assertEquals(Verdict.LATE, freshness.ofReport(new Shown(FORMER, 1, order), false, at(now)));
-      if (freshness.isToBeAsked(REPORT, at(now))) {
-        freshness.asking();
+      assertEquals(
+          Classification.LATE,
+          freshness.classifyHeartbeat(new Position(FORMER, 1, order), false, at(now)));
+      if (freshness.needsStatusRequest(REPORT, at(now))) {
+        freshness.statusRequested();
         assertEquals(
-            Verdict.BEGUN_ANEW, freshness.ofAnswer(new Shown(FORMER, 1, ++order), at(now)));
+            Classification.RESTARTED,
+            freshness.classifyCommandResponse(new Position(FORMER, 1, ++order), at(now)));
       }
     }
   }
@@ -160,11 +166,16 @@
   @Test
   void theTokenRanksBeforeTheCounts() {
     StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
-    assertEquals(Verdict.NEWS, freshness.ofReport(new Shown(FORMER, 3, 88), false, at(0)));
-    freshness.asking();
-    assertEquals(Verdict.NEWS, freshness.ofAnswer(new Shown(PRESENT, 1, 2), at(1)));
-    assertEquals(Verdict.LATE, freshness.ofReport(new Shown(FORMER, 3, 89), false, at(2)));
-    assertEquals(Verdict.NEWS, freshness.ofReport(new Shown(PRESENT, 1, 3), false, at(2)));
+    assertEquals(
+        Classification.NEW, freshness.classifyHeartbeat(new Position(FORMER, 3, 88), false, at(0)));
+    freshness.statusRequested();
+    assertEquals(
+        Classification.NEW, freshness.classifyCommandResponse(new Position(PRESENT, 1, 2), at(1)));
+    assertEquals(
+        Classification.LATE,
+        freshness.classifyHeartbeat(new Position(FORMER, 3, 89), false, at(2)));
+    assertEquals(
+        Classification.NEW, freshness.classifyHeartbeat(new Position(PRESENT, 1, 3), false, at(2)));
   }
 
   /**
@@ -174,21 +185,31 @@
   @Test
   void aSessionDoesNotOutliveItsLease() {
     StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
-    freshness.ofReport(new Shown(PRESENT, 2, 10), false, at(0));
-    assertEquals(Verdict.LATE, freshness.ofReport(new Shown(PRESENT, 2, 11), true, at(30)));
-    assertTrue(freshness.isToBeAsked(REPORT, at(30)));
-    assertEquals(Verdict.NEWS, freshness.ofReport(new Shown(PRESENT, 3, 12), true, at(31)));
+    freshness.classifyHeartbeat(new Position(PRESENT, 2, 10), false, at(0));
+    assertEquals(
+        Classification.LATE,
+        freshness.classifyHeartbeat(new Position(PRESENT, 2, 11), true, at(30)));
+    assertTrue(freshness.needsStatusRequest(REPORT, at(30)));
+    assertEquals(
+        Classification.NEW,
+        freshness.classifyHeartbeat(new Position(PRESENT, 3, 12), true, at(31)));
   }
 
   /** A report that an answer has overtaken is answered for as long as its sender waits, once. */
   @Test
   void whatIsOvertakenIsAnsweredOnce() {
     StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
-    freshness.ofReport(new Shown(PRESENT, 1, 10), false, at(0));
-    freshness.asking();
-    freshness.ofAnswer(new Shown(PRESENT, 1, 13), at(1));
-    assertEquals(Verdict.OVERTAKEN, freshness.ofReport(new Shown(PRESENT, 1, 11), false, at(2)));
-    assertEquals(Verdict.LATE, freshness.ofReport(new Shown(PRESENT, 1, 11), false, at(2)));
-    assertEquals(Verdict.LATE, freshness.ofReport(new Shown(PRESENT, 1, 12), false, at(6)));
+    freshness.classifyHeartbeat(new Position(PRESENT, 1, 10), false, at(0));
+    freshness.statusRequested();
+    freshness.classifyCommandResponse(new Position(PRESENT, 1, 13), at(1));
+    assertEquals(
+        Classification.OVERTAKEN,
+        freshness.classifyHeartbeat(new Position(PRESENT, 1, 11), false, at(2)));
+    assertEquals(
+        Classification.LATE,
+        freshness.classifyHeartbeat(new Position(PRESENT, 1, 11), false, at(2)));
+    assertEquals(
+        Classification.LATE,
+        freshness.classifyHeartbeat(new Position(PRESENT, 1, 12), false, at(6)));
   }
 }
--- a/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
@@ -208,7 +208,7 @@
         holder();
         teller(tellers.get(0), served[0]);
         teller(tellers.get(1), served[1]);
-        if (confirmed != null && permission.isGiven(confirmed, new Revision(noted), now())) {
+        if (confirmed != null && permission.isGranted(confirmed, new Revision(noted), now())) {
           beyondLimit += now().since(confirmed).isLongerThan(LIMIT) ? 1 : 0;
           if (!toldMs.tailMap(noted, false).isEmpty()) {
             return "at " + nowMs + ", noted up to " + noted + ", told " + toldMs;
--- a/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
+++ b/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
@@ -43,15 +43,15 @@
     }
     UnconfirmedOwnershipBound bound =
         UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
-    double t = bound.unconfirmed().seconds();
-    double toldAfter = bound.toldAfter().seconds();
+    double t = bound.maxUnconfirmed().seconds();
+    double toldAfter = bound.confirmCancellationAfter().seconds();
     assertTrue(t > 4.9, "a hiccup is lived through: " + bound);
     assertTrue(toldAfter >= 8 && toldAfter < 45.1, "users are still there to be told: " + bound);
     double goneAfterDurable = t * (1 + DRIFT) + lease * (1 + DRIFT) + MESSAGES_S;
     double told = toldAfter * (1 - DRIFT);
     assertTrue(
         goneAfterDurable <= told + cancel, bound + " at lease " + lease + ", cancel " + cancel);
-    if (bound.notingSuffices()) {
+    if (bound.acknowledgementSuffices()) {
       assertTrue(
           lease * (1 + DRIFT) + 12 + MESSAGES_S <= cancel,
           "one lease and what is held up: " + bound);
@@ -81,10 +81,11 @@
   @Example
   void whereLeasesAreLongUsersWaitLonger() {
     UnconfirmedOwnershipBound bound = of(60, 36);
-    assertEquals(5, bound.unconfirmed().seconds(), 1e-6);
-    assertEquals(5 + 60.12 + 1.5 - 36, bound.toldAfter().seconds(), 1e-6);
+    assertEquals(5, bound.maxUnconfirmed().seconds(), 1e-6);
+    assertEquals(5 + 60.12 + 1.5 - 36, bound.confirmCancellationAfter().seconds(), 1e-6);
     assertTrue(
-        !bound.notingSuffices(), "a machine that does not hear the stop goes on for a lease");
+        !bound.acknowledgementSuffices(),
+        "a machine that does not hear the stop goes on for a lease");
     assertThrows(IllegalArgumentException.class, () -> of(80, 36));
   }
 
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -99,7 +99,7 @@
     for (int chunk = 0; chunk < chunks; chunk++) {
       completed.add(id.task(chunk * CompletedTasks.CHUNK_SIZE + 2001));
     }
-    views.take(
+    views.apply(
         new PeerHeartbeat(
             new ControllerId("n"),
             new Incarnation(1),
@@ -109,7 +109,7 @@
             Revision.NONE,
             TimeSpan.ZERO,
             List.of(
-                new PeerHeartbeat.Block(
+                new PeerHeartbeat.ShardStatus(
                     new ShardId("b"),
                     new FencingToken(1),
                     Revision.NONE,
@@ -179,7 +179,7 @@
       completed.add(id.task(5));
     }
     put(StoreKeys.completedPage(0), CompletedTasks.writePage(page));
-    views.take(
+    views.apply(
         new PeerHeartbeat(
             new ControllerId("n"),
             new Incarnation(1),
@@ -189,7 +189,7 @@
             Revision.NONE,
             TimeSpan.ZERO,
             List.of(
-                new PeerHeartbeat.Block(
+                new PeerHeartbeat.ShardStatus(
                     new ShardId("b"),
                     new FencingToken(1),
                     Revision.NONE,
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -126,8 +126,8 @@
   private List<Mutation> planned(boolean inDoubt, boolean secondIsFenced) {
     List<PeerHeartbeat.MachineState> machines =
         List.of(machine("m-0", true), machine("m-1", secondIsFenced));
-    PeerHeartbeat.Block block =
-        new PeerHeartbeat.Block(
+    PeerHeartbeat.ShardStatus block =
+        new PeerHeartbeat.ShardStatus(
             BLOCK,
             new FencingToken(2),
             Revision.NONE,
@@ -138,7 +138,7 @@
             List.of(),
             Map.of(),
             machines);
-    views.take(
+    views.apply(
         new PeerHeartbeat(
             HOLDER,
             new Incarnation(1),
--- a/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
+++ b/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
@@ -97,7 +97,7 @@
    * by priority and age.
    */
   private void second(int now, StartGuarantee beginnings, Map<String, Team> teams) {
-    List<Admission.Block> blocks = new ArrayList<>();
+    List<Admission.ShardCapacity> blocks = new ArrayList<>();
     for (String name : running.keySet()) {
       running
           .get(name)
@@ -111,8 +111,8 @@
       for (int i = 0; i < MACHINES; i++) {
         machines.add(MACHINE);
       }
-      Admission.Block block =
-          new Admission.Block(
+      Admission.ShardCapacity block =
+          new Admission.ShardCapacity(
               new ShardId(name), "m", "z", false, BLOCK, machines, machines, Map.of(), 100_000);
       queued.get(name).forEach(each -> block.count(each.job, 1, 1, false));
       running.get(name).forEach(each -> block.count(each.getKey().job, 1, 1, false));
@@ -148,12 +148,12 @@
                   false,
                   play.pool.copy(),
                   Map.of(),
-                  Admission.Place.IN_ORDER,
+                  Admission.Place.BY_PRIORITY,
                   play.job.estimatedDemand())
-              .with(begin.getOrDefault(each.id(), 0), Admission.Place.BEGINNING));
+              .with(begin.getOrDefault(each.id(), 0), Admission.Place.GUARANTEED_START));
     }
     new Admission(blocks, teams, use, Map.of()).run(demands);
-    for (Admission.Block block : blocks) {
+    for (Admission.ShardCapacity block : blocks) {
       block
           .admitted()
           .forEach(
--- a/src/test/java/org/quincecross/peer/PeerCodecTest.java
+++ b/src/test/java/org/quincecross/peer/PeerCodecTest.java
@@ -26,6 +26,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 class PeerCodecTest {
+  // A generator reads best whole.
+  @SuppressWarnings("MethodLength")
   @Provide
   static Arbitrary<PeerHeartbeat> reports() {
     var jobs = Arbitraries.integers().between(0, 99_999).map(n -> new JobId("job-" + n));
@@ -64,7 +66,7 @@
                 names, Arbitraries.longs(), tasks, tasks, jobs, machines.list().ofMaxSize(6))
             .as(
                 (name, token, completed, released, job, states) ->
-                    new PeerHeartbeat.Block(
+                    new PeerHeartbeat.ShardStatus(
                         new ShardId(name),
                         new FencingToken(token),
                         new Revision(token),
--- a/src/test/java/org/quincecross/peer/PeerViewsTest.java
+++ b/src/test/java/org/quincecross/peer/PeerViewsTest.java
@@ -54,7 +54,7 @@
       int machine = random.nextInt(4);
       blocks.get(block).put(machine, random.nextInt(100));
       changedIn.get(block).put(machine, number);
-      List<PeerHeartbeat.Block> changed = new ArrayList<>();
+      List<PeerHeartbeat.ShardStatus> changed = new ArrayList<>();
       blocks.forEach(
           (id, machines) -> {
             List<PeerHeartbeat.MachineState> states = new ArrayList<>();
@@ -66,7 +66,7 @@
                 });
             if (!states.isEmpty()) {
               changed.add(
-                  new PeerHeartbeat.Block(
+                  new PeerHeartbeat.ShardStatus(
                       new ShardId("b" + id),
                       new FencingToken(1),
                       new Revision(1),
@@ -123,7 +123,7 @@
     Map<Integer, Map<Integer, Integer>> seen = new TreeMap<>();
     for (int block = 0; block < 3; block++) {
       Map<Integer, Integer> machines = new TreeMap<>();
-      PeerViews.BlockView view = views.of(SENDER).blocks().get(new ShardId("b" + block));
+      PeerViews.ShardView view = views.of(SENDER).shards().get(new ShardId("b" + block));
       if (view != null) {
         view.machines()
             .forEach(
@@ -155,9 +155,9 @@
         continue; // lost
       }
       if (random.nextInt(4) == 0) {
-        views.take(sent.get(random.nextInt(sent.size())), NOW); // a late or repeated one
+        views.apply(sent.get(random.nextInt(sent.size())), NOW); // a late or repeated one
       }
-      boolean taken = views.take(heartbeat, NOW);
+      boolean taken = views.apply(heartbeat, NOW);
       PeerHeartbeat.Receipt receipt = views.receipts().get(SENDER);
       if (taken) {
         assertEquals(sender.blocks, seen(views), "what was taken is all there is");
@@ -165,7 +165,7 @@
         assertTrue(receipt.gap() && receipt.incarnation().equals(sender.incarnation));
         sender.base = receipt.number();
         assertTrue(
-            views.take(sender.report(), NOW),
+            views.apply(sender.report(), NOW),
             "told from what the receiver has, it takes the report");
         assertEquals(sender.blocks, seen(views));
       }
@@ -175,8 +175,8 @@
   @Example
   void aReportWithNoKnownBaseSaysNothing() {
     PeerViews views = new PeerViews();
-    PeerHeartbeat.Block block =
-        new PeerHeartbeat.Block(
+    PeerHeartbeat.ShardStatus block =
+        new PeerHeartbeat.ShardStatus(
             new ShardId("b0"),
             new FencingToken(1),
             new Revision(1),
@@ -188,7 +188,7 @@
             Map.of(),
             List.of(machine(1, 1)));
     assertFalse(
-        views.take(
+        views.apply(
             new PeerHeartbeat(
                 SENDER,
                 new Incarnation(1),
@@ -200,7 +200,7 @@
                 List.of(block),
                 List.of()),
             NOW));
-    assertEquals(Map.of(), views.of(SENDER).blocks());
+    assertEquals(Map.of(), views.of(SENDER).shards());
     assertEquals(
         new PeerHeartbeat.Receipt(new Incarnation(1), 0, true), views.receipts().get(SENDER));
   }
@@ -211,7 +211,7 @@
     for (int i = 1; i <= 2; i++) {
       Map<MachineId, PeerHeartbeat.MachineState> expected = new LinkedHashMap<>();
       expected.put(new MachineId("m" + i), machine(i, i));
-      views.take(
+      views.apply(
           new PeerHeartbeat(
               SENDER,
               new Incarnation(1),
@@ -221,7 +221,7 @@
               Revision.NONE,
               TimeSpan.ZERO,
               List.of(
-                  new PeerHeartbeat.Block(
+                  new PeerHeartbeat.ShardStatus(
                       new ShardId("b0"),
                       new FencingToken(1),
                       new Revision(1),
@@ -234,7 +234,7 @@
                       List.of(machine(i, i)))),
               List.of()),
           NOW);
-      assertEquals(expected, views.of(SENDER).blocks().get(new ShardId("b0")).machines());
+      assertEquals(expected, views.of(SENDER).shards().get(new ShardId("b0")).machines());
     }
   }
 }
--- a/src/test/java/org/quincecross/scheduling/AdmissionTest.java
+++ b/src/test/java/org/quincecross/scheduling/AdmissionTest.java
@@ -68,14 +68,14 @@
 
   @Property(tries = 400, seed = "11")
   void keepsLimitsZonesAndKinds(@ForAll @Size(max = 12) List<@From("jobs") Job> jobs) {
-    List<Admission.Block> blocks = new ArrayList<>();
+    List<Admission.ShardCapacity> blocks = new ArrayList<>();
     Map<ShardId, String> zoneOf = new HashMap<>();
     for (String zone : List.of("a", "b", "c")) {
       for (boolean spot : new boolean[] {true, false}) {
         ShardId id = new ShardId(zone + spot);
         zoneOf.put(id, zone);
         blocks.add(
-            new Admission.Block(
+            new Admission.ShardCapacity(
                 id,
                 "m",
                 zone,
@@ -104,7 +104,7 @@
                 job.taskCount() % 2 == 0,
                 all,
                 Map.of(),
-                Admission.Place.IN_ORDER,
+                Admission.Place.BY_PRIORITY,
                 100));
       }
     }
@@ -116,7 +116,7 @@
     Resources use = before;
     Map<JobId, Map<String, Integer>> perZone = new HashMap<>();
     Map<JobId, TaskSet> out = new HashMap<>();
-    for (Admission.Block block : blocks) {
+    for (Admission.ShardCapacity block : blocks) {
       for (Map.Entry<JobId, TaskSet> admitted : block.admitted().entrySet()) {
         Job job = byId.get(admitted.getKey());
         int count = admitted.getValue().size();
@@ -171,7 +171,7 @@
             TimeSpan.ZERO,
             TimeSpan.ZERO,
             null);
-    List<Admission.Block> blocks = blocks(job, declines);
+    List<Admission.ShardCapacity> blocks = blocks(job, declines);
     List<Admission.Unmet> unmet = admit(job, blocks);
     int admitted = 0;
     for (int i = 0; i < blocks.size(); i++) {
@@ -188,11 +188,11 @@
         "with two, other machines may do better");
   }
 
-  private static List<Admission.Block> blocks(Job job, List<Boolean> declines) {
-    List<Admission.Block> blocks = new ArrayList<>();
+  private static List<Admission.ShardCapacity> blocks(Job job, List<Boolean> declines) {
+    List<Admission.ShardCapacity> blocks = new ArrayList<>();
     for (int i = 0; i < declines.size(); i++) {
-      Admission.Block block =
-          new Admission.Block(
+      Admission.ShardCapacity block =
+          new Admission.ShardCapacity(
               new ShardId("b" + i),
               "m",
               "a",
@@ -208,7 +208,7 @@
     return blocks;
   }
 
-  private static List<Admission.Unmet> admit(Job job, List<Admission.Block> blocks) {
+  private static List<Admission.Unmet> admit(Job job, List<Admission.ShardCapacity> blocks) {
     return new Admission(blocks, Map.of("t", TEAM), Map.of(), Map.of())
         .run(
             List.of(
@@ -220,7 +220,7 @@
                     false,
                     TaskSet.range(1),
                     Map.of(),
-                    Admission.Place.IN_ORDER,
+                    Admission.Place.BY_PRIORITY,
                     100)));
   }
 
@@ -232,8 +232,8 @@
   void whatNobodyExpectsIsInNobodysWay() {
     for (boolean idle : new boolean[] {true, false}) {
       for (Priority priority : List.of(Priority.NORMAL, Priority.LOW)) {
-        Admission.Block block =
-            new Admission.Block(
+        Admission.ShardCapacity block =
+            new Admission.ShardCapacity(
                 new ShardId("b"),
                 "m",
                 "a",
@@ -256,7 +256,7 @@
                         false,
                         TaskSet.range(4),
                         Map.of(),
-                        Admission.Place.IN_ORDER,
+                        Admission.Place.BY_PRIORITY,
                         500)));
         int admitted =
             block.admitted().containsKey(job.id()) ? block.admitted().get(job.id()).size() : 0;
--- a/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
+++ b/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
@@ -29,14 +29,14 @@
   private final Team web = new Team("web", Resources.NONE, new Resources(20, 0, 99));
   private final Team other = new Team("other", Resources.NONE, new Resources(99, 0, 99));
   private final Map<String, Resources> use = new HashMap<>();
-  private Admission.Block block;
+  private Admission.ShardCapacity block;
   private int number;
 
   @BeforeEach
   void anEmptyBlock() {
     Resources machine = new Resources(8, 0, 64);
     block =
-        new Admission.Block(
+        new Admission.ShardCapacity(
             BLOCK,
             "m",
             "a",
@@ -87,7 +87,7 @@
               false,
               TaskSet.range(job.taskCount()),
               Map.of(),
-              Admission.Place.IN_ORDER,
+              Admission.Place.BY_PRIORITY,
               demands.size()));
     }
     new Admission(
@@ -132,7 +132,7 @@
       scheduler.addMachine(new MachineId(name), new Resources(8, 0, 64), image -> true);
       scheduler.update(new MachineId(name), Resources.NONE, Resources.NONE, true);
     }
-    scheduler.reserve(
+    scheduler.setHeadroom(
         List.of(
             new Headroom(
                 Headroom.Purpose.REQUESTS,
--- a/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
+++ b/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
@@ -149,7 +149,8 @@
   @Example
   void smallWorkLeavesRoomForLargeWork() {
     ShardScheduler block = block(2);
-    block.reserve(List.of(new Headroom(Headroom.Purpose.LARGE_WORK, new Resources(7, 0, 1), 1)));
+    block.setHeadroom(
+        List.of(new Headroom(Headroom.Purpose.LARGE_WORK, new Resources(7, 0, 1), 1)));
     for (int i = 0; i < 8; i++) {
       block.enqueue(entry(i, 2, 1));
     }
@@ -174,7 +175,7 @@
     block.update(withImage, MACHINE, two, true);
     Job job = job(1, JobKind.SERVICE, Priority.PRODUCTION, 1, 2, 1);
     QueueEntry urgent = new QueueEntry(job, List.of(job.id().task(0)), new Revision(1));
-    urgent.avoidFetch();
+    urgent.avoidImagePull();
     block.enqueue(urgent);
     assertTrue(block.schedule(NOW).isEmpty(), "room can be made at once next to the image");
     Job other = job(2, JobKind.ARRAY, Priority.NORMAL, 1, 2, 1);
@@ -182,10 +183,11 @@
         new Preemption.Running(
             other.id().task(0), withImage, Priority.NORMAL, false, two, false, NOW);
     assertEquals(
-        List.of(victim), new Preemption(block, List.of(victim), Map.of()).makeRoom(urgent, false));
+        List.of(victim),
+        new Preemption(block, List.of(victim), Map.of()).victimsFor(urgent, false));
     assertEquals(
         List.of(),
-        new Preemption(block, List.of(), Map.of(withImage, two)).makeRoom(urgent, false),
+        new Preemption(block, List.of(), Map.of(withImage, two)).victimsFor(urgent, false),
         "it is being made");
     block.update(withImage, MACHINE.minus(two), Resources.NONE, true);
     List<ShardScheduler.Start> starts = block.schedule(NOW);
@@ -229,7 +231,7 @@
     block.enqueue(gang);
     assertEquals(
         new HashSet<>(running.subList(0, 4)),
-        new HashSet<>(new Preemption(block, running, Map.of()).makeRoom(gang, false)));
+        new HashSet<>(new Preemption(block, running, Map.of()).victimsFor(gang, false)));
     Job wider = job(2, JobKind.GANG, Priority.NORMAL, 3, 8, 32);
     QueueEntry tooWide =
         new QueueEntry(
@@ -238,16 +240,17 @@
             new Revision(2));
     block.enqueue(tooWide);
     Preemption preemption = new Preemption(block, running, Map.of());
-    assertEquals(List.of(), preemption.makeRoom(tooWide, false), "work of its own priority stays");
+    assertEquals(
+        List.of(), preemption.victimsFor(tooWide, false), "work of its own priority stays");
     assertEquals(
         4,
-        preemption.makeRoom(gang, false).size(),
+        preemption.victimsFor(gang, false).size(),
         "what was not stopped for one can be for another");
     Job small = job(3, JobKind.ARRAY, Priority.NORMAL, 1, 4, 16);
     QueueEntry one = new QueueEntry(small, List.of(small.id().task(0)), new Revision(3));
-    assertTrue(new Preemption(block, running, Map.of()).makeRoom(one, true).get(0).idle());
+    assertTrue(new Preemption(block, running, Map.of()).victimsFor(one, true).get(0).idle());
     assertEquals(
-        List.of(), new Preemption(block, running.subList(4, 6), Map.of()).makeRoom(one, true));
+        List.of(), new Preemption(block, running.subList(4, 6), Map.of()).victimsFor(one, true));
   }
 
   /** One thing that happens to a block. */
--- a/src/test/java/org/quincecross/shard/RequeuerTest.java
+++ b/src/test/java/org/quincecross/shard/RequeuerTest.java
@@ -32,7 +32,7 @@
   @Test
   void whatFailsOnEveryMachineOfTheBlockGoesBackAndIsDeclinedForLongerEachTime() {
     for (int time = 1; time <= 5; time++) {
-      assertFalse(owner.machine(MACHINE.id()).sick());
+      assertFalse(owner.machine(MACHINE.id()).faulty());
       Attempt attempt = attempt();
       directIsNeverAnswered();
       beat(List.of(piece(attempt, TaskState.EXITED, ExitReason.ERROR)));
@@ -51,7 +51,7 @@
       }
     }
     assertTrue(
-        owner.machine(MACHINE.id()).sick(),
+        owner.machine(MACHINE.id()).faulty(),
         "five failures and nothing else, though of one job alone");
   }
 
