--- a/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
@@ -6,63 +6,63 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Whether a controller without word from the state service is alone in that, and so had better send
- * its users elsewhere, or whether nobody has any, and users' way back had better stay open.
+ * Decides whether a controller without contact to the store is isolated, and should send its users
+ * elsewhere, or whether the store is down for everyone, and users' way back should stay open.
  *
- * <p>The state service cannot tell the two apart for it: a 503 that it alone gets looks as an
- * outage does. Nor can the links to the other controllers where they are lost in the same instant.
- * The machines can. A block is leased anew by a write, and its new holder tells its machines the
- * new token: a machine that shows a token later than all that is known here proves that somebody
- * writes. That a controller's own machines go on reporting for long and show none says that nobody
- * does: its membership ended seconds after the loss, and its blocks would be with others.
+ * <p>The store cannot tell it which: a 503 that only this controller gets looks like an outage. The
+ * links to the other controllers cannot either if they are lost in the same instant. The machines
+ * can. A shard is leased to another controller by a write, and its new owner sends its machines the
+ * new token: a machine that shows a token later than everything known here proves that someone
+ * writes. If this controller's own machines go on reporting for long and show none, no one does:
+ * its membership ended seconds after the loss, and its shards would be with others.
  */
 public final class IsolationDetector {
   /**
-   * Without word for so long a controller asks whose silence it is; others' word that is older says
-   * nothing.
+   * The time without contact after which a controller asks whether it is isolated; older reports of
+   * others prove nothing.
    */
   public static final TimeSpan SILENCE_TIMEOUT = TimeSpan.ofSeconds(3);
 
   /**
-   * Who has had word within so long is served: in an outage of all the last word of one may be half
-   * a second after another's.
+   * A controller with contact within this time is served: in an outage, the last contact of one may
+   * be half a second after another's.
    */
   static final TimeSpan RECENT_CONTACT = TimeSpan.ofSeconds(2);
 
   /**
-   * Membership ends 3 s after the last renewal, and renewals are 0.9 s apart: no block is taken
-   * from the silent earlier.
+   * Membership ends 3 s after the last renewal, and renewals are 0.9 s apart: no shard fails over
+   * earlier.
    */
   static final TimeSpan MIN_FAILOVER_TIME = TimeSpan.ofSeconds(2);
 
-  /** Blocks of a member that is out are with others, and their machines told so, well before. */
+  /**
+   * The shards of a lost member are with others, and their machines know it, well before this time.
+   */
   static final TimeSpan MAX_FAILOVER_TIME = TimeSpan.ofSeconds(12);
 
   /**
-   * Once back, the state service has to be heard for so long: each removal by the balancer doubles
-   * its pause.
+   * How long the store has to be reachable again: each removal by the load balancer doubles its
+   * pause.
    */
   static final TimeSpan STABILITY_TIME = TimeSpan.ofSeconds(2);
 
-  /** The states of a controller with regard to the state service and the others. */
+  /** The states of a controller with regard to the store and the other controllers. */
   public enum State {
-    /** The state service is heard. */
+    /** The store is reachable. */
     CONNECTED(true),
     /**
-     * It is not, and nothing says yet whose silence it is. Ends with any word, or with {@link
+     * The store is unreachable, and nothing tells yet for whom. Ends with contact, or after {@link
      * #MAX_FAILOVER_TIME}.
      */
     UNDETERMINED(true),
     /**
-     * Nobody hears it, as far as can be known. Ends with word from it, or with a proof that others
-     * do hear it.
+     * The store is unreachable for everyone, as far as can be known. Ends with contact, or with a
+     * proof that others reach it.
      */
     STORE_OUTAGE(true),
-    /**
-     * Others hear it. Ends with word from it, or when all others say that they have none either.
-     */
+    /** Others reach the store. Ends with contact, or when all others report that they do not. */
     ISOLATED(false),
-    /** Heard again, not yet for {@link #STABILITY_TIME}. */
+    /** Reachable again, but not yet for {@link #STABILITY_TIME}. */
     RECOVERING(false);
 
     private final boolean takesUsers;
@@ -71,17 +71,17 @@
       this.takesUsers = takesUsers;
     }
 
-    /** Whether users should come here. */
+    /** Whether users should be sent here. */
     public boolean takesUsers() {
       return takesUsers;
     }
   }
 
   /**
-   * What another controller said last.
+   * The last report of another controller.
    *
-   * @param at when that came; null: never
-   * @param unconfirmed how long it had been without word from the state service then
+   * @param at when it arrived; null: never
+   * @param unconfirmed how long that controller had no contact with the store then
    */
   public record PeerContact(MonotonicTime at, TimeSpan unconfirmed) {
     private boolean isFresh(MonotonicTime now) {
@@ -106,18 +106,20 @@
   private MonotonicTime since;
   private MonotonicTime confirmed;
 
-  /** Tokens up to here may have been written before the loss. */
+  /** Tokens up to this one may have been written before the loss. */
   private FencingToken tokenFloor = FencingToken.NONE;
 
   private boolean othersReachStore;
   private MonotonicTime ownMachine;
 
-  /** Since when others have had word again while this one has none; null where none has. */
+  /** Since when others have had contact again while this controller has none; null if none has. */
   private MonotonicTime othersRecoveredAt;
 
   /**
-   * @param first whether this controller stays in where nothing at all tells whose silence it is:
-   *     one of all does
+   * Creates a detector.
+   *
+   * @param first whether this controller keeps its users if nothing at all tells for whom the store
+   *     is unreachable; this is so for one controller
    */
   public IsolationDetector(boolean first, MonotonicTime now) {
     this.first = first;
@@ -125,11 +127,12 @@
     this.confirmed = now;
   }
 
+  /** The present state. */
   public State state() {
     return state;
   }
 
-  /** The one place where the state changes. */
+  /** The only method that changes the state. */
   private void enter(State next, MonotonicTime now) {
     if (next != state) {
       state = next;
@@ -138,17 +141,18 @@
   }
 
   /**
-   * A machine has reported.
+   * Called when a machine has reported.
    *
-   * @param token the highest that it has seen
-   * @param known everything that was written up to here is known to this controller
-   * @param own whether this controller holds its block, as far as it knows
+   * @param token the highest token that it has seen
+   * @param known this controller knows everything that was written up to here
+   * @param own whether this controller owns the machine's shard, as far as it knows
    */
   public void machineReported(
       FencingToken token, FencingToken known, boolean own, MonotonicTime now) {
     TimeSpan silence = now.since(confirmed);
     if (!silence.isLongerThan(MIN_FAILOVER_TIME)) {
-      // Written in the very moment of the loss, perhaps: says nothing of what came after.
+      // Perhaps written in the very moment of the loss: it proves nothing about the time
+      // afterwards.
       tokenFloor = token.isAfter(tokenFloor) ? token : tokenFloor;
     } else if (token.isAfter(known) && token.isAfter(tokenFloor)) {
       othersReachStore = true;
@@ -158,10 +162,10 @@
   }
 
   /**
-   * Weighs what there is; to be called twice a second and where it matters.
+   * Evaluates the evidence; called twice a second and whenever the state matters.
    *
-   * @param heard when the state service was asked what it last answered
-   * @param words what each of the others said last
+   * @param heard when the last answered request to the store was sent
+   * @param words the last report of each other controller
    */
   public void evaluate(MonotonicTime heard, Collection<PeerContact> words, MonotonicTime now) {
     if (confirmed.isBefore(heard)) {
@@ -184,9 +188,11 @@
             || now.since(othersRecoveredAt).isLongerThan(SILENCE_TIMEOUT))) {
       enter(State.ISOLATED, now);
     } else if (othersServed) {
-      enter(State.STORE_OUTAGE, now); // it is over, and word reaches one a moment before another
+      enter(
+          State.STORE_OUTAGE,
+          now); // the outage is over, and one controller notices a moment before another
     } else if (allSayOut) {
-      // Whatever was proven before: by now all of them are out, and say so themselves.
+      // Whatever was proven before: by now all others are without the store, and say so themselves.
       othersReachStore = false;
       enter(State.STORE_OUTAGE, now);
     } else if (othersReachStore) {
--- a/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
@@ -4,45 +4,47 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Whether a machine that speaks also hears, as its reports tell the controller that answers them.
+ * Detects from a machine's heartbeats whether responses reach it, for the controller that responds.
  *
- * <p>A worker whose report was answered stays with the controller that answered it and reports
- * there again soon, with the next number. One that has not got the answer gives up after {@link
- * #RESPONSE_TIMEOUT}, goes to the next controller a second later, and comes back only when it has
- * been round all of them; once its lease is over it has a new session. So a machine that speaks and
- * does not hear looks alive and empty, the best of all places for work, again at each round
- * (docs/incidents/deaf-machines.md). Nothing here proves that anything is gone: what is bound to
- * the machine is freed by its sessions and leases, as ever. This says only whether to give it more.
+ * <p>An agent that got a response stays with that controller and reports there again soon, with the
+ * next number. One that did not gives up after {@link #RESPONSE_TIMEOUT}, goes to the next
+ * controller a second later, and comes back only after a round of all of them; once its lease has
+ * expired it has a new session. So a machine that sends and does not receive looks alive and empty,
+ * the best of all places for tasks, at each round again (docs/incidents/deaf-machines.md). Nothing
+ * here proves that anything is gone: what is bound to the machine is freed by its sessions and
+ * leases as always. This only decides whether to give it more.
  */
 public final class OneWayPartitionDetector {
-  /** A worker waits so long for the answer to a report. */
+  /** How long an agent waits for the response to a heartbeat. */
   static final TimeSpan RESPONSE_TIMEOUT = TimeSpan.ofSeconds(4);
 
-  /** Direct commands without an answer, one after the other, that count as a sign. */
+  /**
+   * The number of direct commands without a response, one after the other, that count as a sign.
+   */
   static final int MAX_UNANSWERED_COMMANDS = 2;
 
-  /** A machine that is deaf again so soon is believed less easily than before. */
+  /** A machine that is partitioned again within this time has to give more proof than before. */
   static final TimeSpan RELAPSE_WINDOW = TimeSpan.ofSeconds(60);
 
   static final int MAX_TRIALS = 16;
 
-  /** The states of a machine that speaks. */
+  /** The states of a machine that sends heartbeats. */
   public enum State {
-    /** As far as is known: it takes work. */
+    /** As far as is known, it receives responses and accepts tasks. */
     RECEIVING,
     /**
-     * One sign that an answer or a command did not arrive. Ends with the first sign that one did,
-     * or with the second that not.
+     * One sign that a response or command did not arrive. Ends with the first sign that one did, or
+     * the second that one did not.
      */
     SUSPECTED,
     /**
-     * Several signs, or a session that ended within a lease of an answer. Each answer to a report
-     * tries it, without work.
+     * Several signs, or a session that ended within a lease of a response. Each response to a
+     * heartbeat is a probe, without tasks.
      */
     PARTITIONED,
     /**
-     * It has heard, and has been deaf again and again before: it has to hear for some more reports
-     * in a row.
+     * It has received something after repeated partitions: it has to receive for some more
+     * heartbeats in a row.
      */
     TRIED
   }
@@ -57,29 +59,28 @@
   private int trials = 1;
   private int trialsLeft;
 
-  /**
-   * @param now until now nothing speaks against the machine
-   */
+  /** Creates a detector; until {@code now} nothing speaks against the machine. */
   public OneWayPartitionDetector(MonotonicTime now) {
     heardAt = now;
   }
 
-  /** The one place where the state changes. */
+  /** The only method that changes the state. */
   private void enter(State next) {
     state = next;
   }
 
+  /** The present state. */
   public State state() {
     return state;
   }
 
-  /** Whether it may be given work. */
+  /** Whether it may be given tasks. */
   public boolean isReceiving() {
     return state == State.RECEIVING;
   }
 
   /**
-   * For how long nothing has shown that it hears, while something shows that it does not; else
+   * For how long nothing has shown that it receives, while something shows that it does not; else
    * zero.
    */
   public TimeSpan partitionedFor(MonotonicTime now) {
@@ -87,17 +88,17 @@
   }
 
   /**
-   * A report came that is newer than all before it.
+   * Called with a heartbeat that is newer than all before.
    *
-   * @param session the worker's session
-   * @param number the report's number
-   * @param lease how long a lease lasts
+   * @param session the agent's session
+   * @param number the heartbeat's sequence number
+   * @param lease the length of a lease
    */
   public void heartbeatReceived(long session, long number, TimeSpan lease, MonotonicTime now) {
     if (answeredAt != null) {
       boolean late = !RESPONSE_TIMEOUT.isLongerThan(now.since(answeredAt));
       if (session != answeredSession) {
-        // Had it taken the answer, its lease would have begun anew with the report that was
+        // Had it accepted the response, its lease would have restarted with the heartbeat that was
         // answered.
         if (now.since(answeredAt).isLongerThan(lease)) {
           recordMiss(now);
@@ -105,9 +106,9 @@
           relapse(now);
         }
       } else if (number == known + 1) {
-        // However late it is: a worker that has not got an answer has reported to the others before
-        // it is here again. Where
-        // reports are due every five seconds, each comes later than an answer is waited for.
+        // However late it is: an agent without a response reports to the other controllers before
+        // it is here again. With heartbeats every five seconds, each comes later than a response is
+        // awaited.
         recordReception(now);
       } else if (late) {
         recordMiss(now);
@@ -116,20 +117,20 @@
     known = number;
   }
 
-  /** Its last report was answered. */
+  /** Called when its last heartbeat got a response. */
   public void responseSent(long session, MonotonicTime now) {
     answeredAt = now;
     answeredSession = session;
   }
 
-  /** A direct command was answered; {@code number}: that of the answer. */
+  /** Called when it responded to a direct command with this sequence number. */
   public void commandAcknowledged(long number, MonotonicTime now) {
     unanswered = 0;
     known = Math.max(known, number);
     recordReception(now);
   }
 
-  /** A direct command was sent and not answered in time. */
+  /** Called when a direct command got no response in time. */
   public void commandTimedOut() {
     if (++unanswered >= MAX_UNANSWERED_COMMANDS && state == State.RECEIVING) {
       enter(State.SUSPECTED);
@@ -137,7 +138,8 @@
   }
 
   /**
-   * It has shown a token that it had not seen before it was told it: it hears, whatever was known.
+   * Called when it showed a token that it had not seen before it was sent: it receives, whatever
+   * was known.
    */
   public void tokenConfirmed(MonotonicTime now) {
     heardAt = now;
@@ -145,7 +147,10 @@
     enter(State.RECEIVING);
   }
 
-  /** A report proves that an answer was not taken that was sent long enough before to arrive. */
+  /**
+   * Called when a heartbeat proves that a response was not accepted that was sent early enough to
+   * arrive.
+   */
   public void noResponseAccepted(MonotonicTime now) {
     if (answeredAt != null && !RESPONSE_TIMEOUT.isLongerThan(now.since(answeredAt))) {
       relapse(now);
--- a/src/main/java/org/quincecross/failuredetection/PauseDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/PauseDetector.java
@@ -4,20 +4,18 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Whether this process has stood still while its clocks ran on, and has not yet looked about since.
+ * Detects that this process was paused while its clocks ran on, and whether it has confirmed the
+ * records since.
  *
- * <p>What it knew is then as old as it is, though nothing in the process has aged: others may lead,
- * hold its blocks and answer its machines. What was confirmed by a time is still bounded by that
- * time; what is taken for another's silence is not, for nobody was there to listen. While {@link
- * State#WAKING}, nothing is planned, rented, returned or answered for a block, until the state
- * service has confirmed the records once. It is not waited for that for ever: in an outage of the
- * state service the rules by what was last confirmed hold, as for any controller.
+ * <p>What it knew is then outdated, although nothing in the process has aged: others may lead, own
+ * its shards and respond to its machines. What was confirmed by a time is still bounded by that
+ * time; what is taken for others' silence is not, because no one was there to listen. While {@link
+ * State#WAKING}, nothing is planned, launched, terminated or responded to, until the store has
+ * confirmed the records once. The wait is bounded: in an outage of the store the rules for what was
+ * last confirmed hold, as for any controller.
  */
 public final class PauseDetector {
-  /**
-   * Something happens in a controller several times a second; a turn that comes so late was not
-   * merely busy.
-   */
+  /** Something happens in a controller several times a second; a longer gap is not mere load. */
   static final TimeSpan MIN_PAUSE = TimeSpan.ofSeconds(1.5);
 
   static final TimeSpan MAX_WAKING = TimeSpan.ofSeconds(2);
@@ -32,18 +30,19 @@
   private MonotonicTime last;
   private MonotonicTime wokeAt;
 
+  /** Creates a detector. */
   public PauseDetector(MonotonicTime now) {
     last = now;
   }
 
-  /** The one place where the state changes. */
+  /** The only method that changes the state. */
   private void enter(State next) {
     state = next;
   }
 
   /**
-   * Something is about to be done. Returns for how long nothing was, where that is longer than
-   * being busy explains; else zero.
+   * Called before anything is done. Returns how long nothing was done if that is longer than load
+   * explains; else zero.
    */
   public TimeSpan tick(MonotonicTime now) {
     TimeSpan gap = now.since(last);
@@ -57,10 +56,9 @@
   }
 
   /**
-   * Whether this process has stood still and not confirmed the records since.
+   * Whether this process was paused and has not confirmed the records since.
    *
-   * @param confirmed the records hold all that had happened by this time; null before they were
-   *     read
+   * @param confirmed the cache contains all changes up to this time; null before the first read
    */
   public boolean isWaking(MonotonicTime confirmed, MonotonicTime now) {
     if (state == State.WAKING
--- a/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
+++ b/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
@@ -8,18 +8,17 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Which machines' reports to other controllers speak for moving their block.
+ * Decides which machines' reports to other controllers are a reason to move their shard.
  *
- * <p>A machine that reports to others because its holder does not answer it is served by another
- * one: that is one controller's trouble. If the next holder is not heard either, the machine hears
- * nobody, and goes the round of all controllers for as long as that lasts; to move its block each
- * time it arrives at another one would put off, for all the other machines of the block, the moment
- * at which all is settled. Kept by the leader alone.
+ * <p>A machine that reports to others because its owner does not respond is served by another
+ * controller: then that is one controller's problem. If the next owner does not reach it either,
+ * the machine receives nothing and goes the round of all controllers for as long as that lasts;
+ * moving its shard each time it arrives at another one would postpone, for all other machines of
+ * the shard, the moment at which it is settled. Kept by the leader alone.
  */
 public final class ShardMovePolicy {
   /**
-   * The pause after the first move; each further one doubles it, until the machine has obeyed a
-   * holder.
+   * The pause after the first move; each further one doubles it, until the machine has been fenced.
    */
   static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(36);
 
@@ -27,10 +26,10 @@
 
   /** The states of a machine with regard to the controllers. */
   public enum State {
-    /** Where it reports says who hears it. */
+    /** The controller that it reports to can reach it. */
     COUNTS,
     /**
-     * Its block has been moved for its sake, and it has not obeyed since: ends with its obeying, or
+     * Its shard has been moved for its sake, and it has not been fenced since: ends when it is, or
      * with the pause.
      */
     MOVED
@@ -44,13 +43,13 @@
 
   private final Map<MachineId, Mark> marks = new HashMap<>();
 
-  /** The one place where a machine changes its state. */
+  /** The only method that changes the state. */
   private static void enter(Mark mark, State next, MonotonicTime until) {
     mark.state = next;
     mark.until = until;
   }
 
-  /** A block was moved because these machines of it reported to others. */
+  /** Called when a shard was moved because these machines of it reported to others. */
   public void moved(Collection<MachineId> machines, MonotonicTime now) {
     for (MachineId machine : machines) {
       Mark mark = marks.computeIfAbsent(machine, id -> new Mark());
@@ -60,16 +59,17 @@
     }
   }
 
-  /** The machines that have been moved and not obeyed since. */
+  /** The machines whose shards were moved and that have not been fenced since. */
   public Collection<MachineId> suspendedMachines() {
     return marks.keySet();
   }
 
-  /** A machine obeys its holder, or is no more. */
+  /** Called when machines are fenced for their owner, or exist no longer. */
   public void fenced(Collection<MachineId> machines) {
     marks.keySet().removeAll(machines);
   }
 
+  /** Whether a machine's reports are a reason to move its shard. */
   public State of(MachineId machine, MonotonicTime now) {
     Mark mark = marks.get(machine);
     if (mark != null && mark.state == State.MOVED && !now.isBefore(mark.until)) {
--- a/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
+++ b/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
@@ -5,80 +5,76 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Tells news of one machine from late copies of what it said before, for the holder of its block.
+ * Tells new messages of one machine from late copies of earlier ones, for the owner of its shard.
  *
- * <p>A report may come again, seconds to leases later, and a machine may be back within a fraction
- * of a second as a new worker, whose counts begin anew: the first report of that one and a copy of
- * an old report may be the same bytes. So counts alone never prove that a machine has begun anew;
- * four things prove something:
+ * <p>A heartbeat may arrive again, seconds to leases later, and a machine may be back within a
+ * fraction of a second with a restarted agent, whose counts begin anew: its first heartbeat and a
+ * copy of an old one may be the same bytes. So counts alone never prove a restart; four things
+ * prove something:
  *
  * <ul>
- *   <li><b>The token.</b> A worker never shows a lower token than it has shown before. So of two
- *       messages that with the lower token was made before the other, by the same worker, or by one
- *       that has begun anew: the token ranks before the counts, the present one and those of former
- *       holders, and nothing that was said under lower ones can pass for news once the machine has
- *       shown a higher (docs/incidents/copies-of-a-life-before-the-last.md).
- *   <li><b>The counts.</b> Within the life of a worker the larger (session, number) is the later
- *       one.
- *   <li><b>A lease that is surely over.</b> Its worker has gone on to the next session, so that a
- *       report of the same session was made before.
- *   <li><b>An answer.</b> An answer to a request that was sent now was made now. One with counts
- *       that are not above all that was known when the request was sent is of a worker that has
- *       begun anew; what the one before had is gone.
+ *   <li><b>The token.</b> An agent never shows a lower token than it has shown before. So of two
+ *       messages the one with the lower token was made before the other, by the same agent, or by
+ *       one that has restarted: the token ranks before the counts, the present one and those of
+ *       former owners, and nothing that was said under lower ones can pass for new once the machine
+ *       has shown a higher one (docs/incidents/copies-of-a-life-before-the-last.md).
+ *   <li><b>The counts.</b> Without a restart the larger (session, number) is the later one.
+ *   <li><b>A lease that has certainly expired.</b> Its agent has gone on to the next session, so a
+ *       heartbeat of the same session was made before.
+ *   <li><b>A response.</b> A response to a request that was sent now was made now. One with counts
+ *       that are not above everything known when the request was sent comes from a restarted agent;
+ *       what it had before is gone.
  * </ul>
  *
- * A doubtful report is neither taken nor answered. Where the machine goes on, its next report is
- * due soon and says so for nothing; where that does not come, the machine is asked. Until the block
- * has a new token, only answers are believed of a machine that has begun anew: what its former life
- * said may still come, with larger counts.
+ * A doubtful heartbeat is neither accepted nor responded to. If the machine goes on, its next
+ * heartbeat is due soon and resolves the doubt for free; if that does not come, the machine is
+ * asked. Until the shard has a new token, only responses are believed of a restarted agent:
+ * heartbeats from before the restart may still come, with larger counts.
  */
 public final class StaleHeartbeatFilter {
-  /** Workers drop an answer after this time. */
+  /** Agents drop a response after this time. */
   static final TimeSpan RESPONSE_DROPPED_AFTER = TimeSpan.ofSeconds(4);
 
-  /** Beyond the report that was due. */
+  /** The tolerance beyond the heartbeat that was due. */
   static final TimeSpan DUE_MARGIN = TimeSpan.ofSeconds(0.5);
 
   /** The states of what is known of a machine. */
   public enum State {
-    /** What came is in order. */
+    /** Its messages are in order. */
     TRUSTED,
     /**
-     * Something came that is a late copy, unless the machine has begun anew. Ends with news, or
-     * with an answer.
+     * A message came that is a late copy, unless the agent has restarted. Ends with a new message,
+     * or with a response.
      */
     DOUBTED,
-    /**
-     * An answer has proven that it has begun anew. Ends with the holder: the block is leased anew.
-     */
+    /** A response has proven that the agent has restarted. Ends with the shard's next token. */
     BEGUN_ANEW
   }
 
-  /** What a message is. */
+  /** The classification of a message. */
   public enum Classification {
-    /** Made after all that was taken. */
+    /** Made after all that were accepted. */
     NEW,
     /**
-     * Made shortly before something that was taken, and not seen yet: its sender may wait for an
-     * answer, its content is old.
+     * Made shortly before one that was accepted, and not seen yet: its sender may wait for a
+     * response, its content is outdated.
      */
     OVERTAKEN,
-    /**
-     * A late copy or a late message, unless the machine has begun anew: nothing follows from it.
-     */
+    /** A late copy or a late message, unless the agent has restarted: nothing follows from it. */
     LATE,
-    /** Of a worker that has begun anew, by proof. */
+    /** From a restarted agent, by proof. */
     RESTARTED
   }
 
   /**
    * What a message shows of when it was made.
    *
-   * @param token the highest that its worker had seen
+   * @param token the highest that its agent had seen
    * @param session unsigned
    * @param order unsigned
    */
   public record Position(FencingToken token, long session, long order) {
+    /** Whether this message was made later, by the same agent. */
     public boolean isAfter(Position other) {
       int byToken = token.compareTo(other.token);
       if (byToken != 0) {
@@ -95,13 +91,14 @@
   private Position asked;
   private MonotonicTime latestAt;
 
-  /** The one place where the state changes. */
+  /** The only method that changes the state. */
   private void enter(State next) {
     if (state != State.BEGUN_ANEW) {
       state = next;
     }
   }
 
+  /** The present state. */
   public State state() {
     return state;
   }
@@ -112,9 +109,9 @@
   }
 
   /**
-   * A report came that the machine sent by itself, or a copy of one.
+   * Classifies a heartbeat that the machine sent on its own, or a copy of one.
    *
-   * @param leaseOver whether the lease of the worker that was last heard is surely over
+   * @param leaseOver whether the lease of the agent that was last heard has certainly expired
    */
   public Classification classifyHeartbeat(Position shown, boolean leaseOver, MonotonicTime now) {
     boolean after = latest == null || shown.isAfter(latest);
@@ -126,8 +123,8 @@
       enter(State.TRUSTED);
       return Classification.NEW;
     }
-    // Its answer is dropped by its sender once it is older than that; and it is older than what was
-    // taken since.
+    // Its sender drops a response that is older than that, and the message is older than what was
+    // accepted since.
     if (state != State.BEGUN_ANEW
         && !leaseOver
         && (latestReport == null || shown.isAfter(latestReport))
@@ -140,12 +137,12 @@
     return Classification.LATE;
   }
 
-  /** A request is sent straight to the machine. One is under way at a time. */
+  /** Called when a request is sent directly to the machine; there is one at a time. */
   public void statusRequested() {
     asked = latest;
   }
 
-  /** The machine has answered the request that was sent last. */
+  /** Classifies the response to the last request. */
   public Classification classifyCommandResponse(Position shown, MonotonicTime now) {
     if (asked != null && !shown.isAfter(asked)) {
       taken(shown, now);
@@ -162,17 +159,17 @@
   }
 
   /**
-   * Whether the machine is to be asked: where it is doubted and its next report, which would end
-   * the doubt, is overdue; and now and then once it has begun anew.
+   * Whether the machine has to be asked: if it is doubted and its next heartbeat, which would
+   * resolve the doubt, is overdue; and at intervals once its agent has restarted.
    *
-   * @param report how often machines report; they do so up to a quarter later
+   * @param report the heartbeat interval; heartbeats come up to a quarter later
    */
   public boolean needsStatusRequest(TimeSpan report, MonotonicTime now) {
     return state != State.TRUSTED
         && now.since(latestAt).isLongerThan(report.times(1.25).plus(DUE_MARGIN));
   }
 
-  /** The request that was sent last had no answer: what comes next may raise the doubt again. */
+  /** Called when the last request got no response: the next message may raise the doubt again. */
   public void statusRequestFailed() {
     enter(State.TRUSTED);
   }
--- a/src/main/java/org/quincecross/failuredetection/StartPermission.java
+++ b/src/main/java/org/quincecross/failuredetection/StartPermission.java
@@ -11,37 +11,37 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Whether a holder may start what is allocated to it: whether nobody can have been told yet of a
- * cancellation that it has not noted.
+ * Decides whether an owner may start its allocated tasks: whether no one can have been told yet of
+ * a cancellation that the owner has not seen.
  *
  * <p><b>Rule.</b> It may within D - M ({@link UnconfirmedOwnershipBound#maxUnconfirmedStarts}) of
- * its last word from the state service, and as well while each other controller that the settings
- * name has shown, in a report that was made within the last D - M, a revision of the records no
- * later than the holder's own. When a report came proves nothing, packets may be held back for
- * minutes. But one with a receipt for a report that left here at s was made after s, by any clock,
- * and s is a time of the clock here (docs/incidents/started-without-word.md).
+ * its last contact with the store, and as well while each other controller that the settings name
+ * has shown, in a report that was made within the last D - M, a revision of the records no later
+ * than the owner's own. The time at which a report came proves nothing, as packets may be delayed
+ * for minutes. But one with a receipt for a report that left here at s was made after s, by any
+ * clock, and s is a time of the clock here (docs/incidents/started-without-word.md).
  *
- * <p><b>Proof</b> of the second part. A cancellation that the holder has not noted is of a revision
- * x later than its own. Let the controller that tells it have shown revision r, not later than the
- * holder's own and so before x, in a report made after s, with s &ge; now - (D - M).
+ * <p><b>Proof</b> of the second part. A cancellation that the owner has not seen is of a revision x
+ * later than its own. Let the controller that confirms it have shown revision r, not later than the
+ * owner's own and so before x, in a report made after s, with s &ge; now - (D - M).
  *
  * <ul>
- *   <li>The life that made the report had not seen x when it made it, for revisions never fall in a
- *       life. So it saw x first after s, and tells it by rule 3 of {@link
+ *   <li>The incarnation that made the report had not seen x when it made it, for revisions never
+ *       fall within an incarnation. So it saw x first after s, and confirms it by rule 3 of {@link
  *       UnconfirmedOwnershipBound} after s + D &ge; now + M: the start has left before.
- *   <li>A later life reads the records when it begins, after s, and waits for D from then.
- *   <li>A former life cannot have told it: what is told is durable, and the life that made the
- *       report read the records after that, so its r is x or later. A life that has not read them
- *       yet shows none at all, and that proves nothing.
- *   <li>Nor has the holder's own process told it, which has not noted it, nor a former one, after
- *       which it read the records.
- *   <li>By rules 1 and 2 nobody tells while the holder may start any of it: it has noted the
- *       cancellation or given the task back, or another one has the block under a later token and
- *       its machines are fenced, which refuse what the former holder sends.
+ *   <li>A later incarnation reads the records when it begins, after s, and waits for D from then.
+ *   <li>A former incarnation cannot have confirmed it: what is confirmed is durable, and the
+ *       incarnation that made the report read the records after that, so its r is x or later. An
+ *       incarnation that has not read them yet shows none at all, and that proves nothing.
+ *   <li>Nor has the owner's own process confirmed it, which has not seen it, nor a former one,
+ *       after which it read the records.
+ *   <li>By rules 1 and 2 no one confirms while the owner may start any of it: it has seen the
+ *       cancellation or released the task, or another controller owns the shard under a later token
+ *       and its machines are fenced, which refuse what the former owner sends.
  * </ul>
  *
- * M is what clocks differ by, and what goes by between decision and sending. Controllers that the
- * settings do not name are not known here: all are to be given the same ones.
+ * M is the difference of clocks, and the time between decision and sending. Controllers that the
+ * settings do not name are not known here: all have to be given the same ones.
  */
 public final class StartPermission {
   private record Numbered(Incarnation incarnation, long number) {}
@@ -55,6 +55,8 @@
   private final Map<ControllerId, Shown> shown = new HashMap<>();
 
   /**
+   * Creates a permission that is not granted.
+   *
    * @param others all other controllers
    * @param limit D - M
    */
@@ -64,24 +66,24 @@
   }
 
   /**
-   * A report is about to be made here. Of each the time is kept for as long as a receipt of it can
-   * prove something.
+   * Called when a report is about to be made here. The time of each is kept for as long as a
+   * receipt of it can prove something.
    */
   public void sent(Incarnation incarnation, long number, MonotonicTime now) {
     sent.values().removeIf(at -> now.since(at).isLongerThan(limit));
-    // Every process has that name until it has its lease: a receipt could be one of a report of the
-    // process before.
+    // Every process has that name until it has its lease: the receipt could be for a report of the
+    // previous process.
     if (!incarnation.equals(Incarnation.NONE)) {
       sent.put(new Numbered(incarnation, number), now);
     }
   }
 
   /**
-   * A report of another controller came.
+   * Called when a report of another controller arrived.
    *
-   * @param incarnation the life from which it has received, by its receipt
-   * @param number the last report of it that it has received
-   * @param revision that of the records that it shows
+   * @param incarnation the incarnation that it has received reports from, by its receipt
+   * @param number the last report that it has received
+   * @param revision the revision of the records that it shows
    */
   public void received(ControllerId from, Incarnation incarnation, long number, Revision revision) {
     MonotonicTime after = sent.get(new Numbered(incarnation, number));
@@ -97,8 +99,8 @@
   /**
    * Whether tasks may be started now.
    *
-   * @param confirmed the holder has noted all that had happened by then
-   * @param noted the revision up to which it has noted all
+   * @param confirmed the owner has seen all changes up to this time
+   * @param noted the revision up to which it has seen all changes
    */
   public boolean isGranted(MonotonicTime confirmed, Revision noted, MonotonicTime now) {
     return isRecent(confirmed, now)
--- a/src/main/java/org/quincecross/failuredetection/package-info.java
+++ b/src/main/java/org/quincecross/failuredetection/package-info.java
@@ -1,2 +1,5 @@
-/** Failure detection: whose silence it is, and what may be decided meanwhile. Pure. */
+/**
+ * Failure detection: isolated controllers, one-way partitions, pauses, late messages, and the
+ * bounds on what may be decided meanwhile. Pure.
+ */
 package org.quincecross.failuredetection;
