--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -27,22 +27,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Workers' reports: answered by the holder of their block, sent on to it by everyone else. */
+/**
+ * Handles agents' heartbeats: the owner of the machine's shard responds to them, every other
+ * controller redirects them.
+ */
 final class AgentApi {
   private static final Logger LOG = LoggerFactory.getLogger(AgentApi.class);
 
   /**
-   * A report whose block is just being leased waits this long for its answer; workers give up after
+   * How long a heartbeat waits for a response while its shard is being leased; agents give up after
    * 4 s.
    */
   private static final TimeSpan MAX_WAIT_FOR_LEASE = TimeSpan.ofSeconds(2.5);
 
   private static final TimeSpan RECHECK_INTERVAL = TimeSpan.ofMillis(250);
 
-  /** A holder's word that is older says nothing of whom it hears. */
+  /** An older report of an owner proves nothing about which machines it reaches. */
   private static final TimeSpan MAX_VIEW_AGE = TimeSpan.ofSeconds(2.5);
 
-  /** A machine that its holder has not heard of for so long is not sent there. */
+  /** A machine that its owner has not heard for this long is not redirected to it. */
   private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(3);
 
   private record Waiting(Heartbeat heartbeat, MonotonicTime until, Consumer<HttpResponse> reply) {}
@@ -78,7 +81,7 @@
     this.aloneness = aloneness;
   }
 
-  /** Machines of others' blocks that have reported here lately. */
+  /** Machines of other controllers' shards that have reported here recently. */
   List<MachineId> strays() {
     return strays.lately(timers.now());
   }
@@ -126,22 +129,20 @@
         strays.answered(heartbeat, timers.now());
         reply.accept(HttpResponse.of(200, answer));
       } else if (owner != null && owner.isSuperseded()) {
-        // Another controller has the block and this one does not know yet which: the next will say,
-        // and every
-        // second that the machine waits here is lost to its lease.
+        // Another controller owns the shard and this one does not know yet which: the next one will
+        // say, and every second that the machine waits here is lost to its lease.
         reply.accept(HttpResponse.of(503));
       } else {
-        // Also where the holder cannot tell it from a late copy: that waits for nothing, and a
-        // machine that has begun
-        // anew is asked meanwhile, and answered once that is proven.
+        // Also if the owner cannot tell it from a late copy: a copy waits for nothing, and a
+        // restarted agent is asked meanwhile and gets its response once the restart is proven.
         waitForLease(heartbeat, until, reply);
       }
       return;
     }
     strays.heard(heartbeat, timers.now());
-    // A worker that is sent to a controller which it cannot reach loses five seconds of its lease,
-    // and on a short one that is
-    // the second time (docs/incidents/inc-6ced.md). The leader is told of it and moves the block.
+    // An agent that is redirected to a controller which it cannot reach loses five seconds of its
+    // lease, and on a short lease that is too much (docs/incidents/inc-6ced.md). The leader is told
+    // of the machine and moves the shard.
     if (cache.members().containsKey(lease.owner()) && !isUnheard(lease, machine)) {
       redirect(lease.owner(), reply);
     } else {
@@ -149,7 +150,7 @@
     }
   }
 
-  /** Whether the holder of a block itself says that it has not heard of a machine for a while. */
+  /** Whether the owner of a shard itself reports that it has not heard a machine for a while. */
   private boolean isUnheard(ShardLease lease, MachineId machine) {
     PeerViews.View view = views.of(lease.owner());
     if (view == null || timers.now().since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
@@ -171,7 +172,8 @@
   }
 
   /**
-   * The block is about to get a holder: better a late answer than a round of the other controllers.
+   * Waits until the shard has an owner: a late response is better than a round of the other
+   * controllers.
    */
   private void waitForLease(
       Heartbeat heartbeat, MonotonicTime until, Consumer<HttpResponse> reply) {
@@ -191,7 +193,7 @@
     }
   }
 
-  /** New leases may be what reports wait for. */
+  /** Called when records have changed: heartbeats may wait for new leases. */
   void cacheChanged(ClusterStateCache.Changes changes) {
     if (changes.reloaded() || !changes.shards().isEmpty()) {
       recheckWaiting();
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -1,8 +1,6 @@
 package org.quincecross.api;
 
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -13,7 +11,6 @@
 import org.quincecross.admin.Metrics;
 import org.quincecross.admin.StallDetector;
 import org.quincecross.failuredetection.IsolationDetector;
-import org.quincecross.failuredetection.LinkMonitor;
 import org.quincecross.failuredetection.PauseDetector;
 import org.quincecross.failuredetection.StartPermission;
 import org.quincecross.failuredetection.UnconfirmedOwnershipBound;
@@ -21,7 +18,6 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Autoscaler;
 import org.quincecross.leader.Leader;
-import org.quincecross.model.ControllerId;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
@@ -35,14 +31,12 @@
 import org.quincecross.net.InstrumentedTimers;
 import org.quincecross.net.Timers;
 import org.quincecross.overload.Overload;
-import org.quincecross.peer.PeerCodec;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.protocol.AgentCodec;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.JobCodec;
-import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.protocol.Settings;
 import org.quincecross.replicated.StartBlock;
 import org.quincecross.scheduling.Headroom;
@@ -59,19 +53,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A whole controller, but for its sockets and its clock. */
+/** A controller, except for its sockets and its clock. */
 public final class Controller implements HttpHandler, ShardContext {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-  private static final TimeSpan REPORT_INTERVAL = TimeSpan.ofMillis(500);
-  private static final TimeSpan NOTIFICATION_DELAY = TimeSpan.ofMillis(100);
-
-  /** What changes with time alone is looked at in every second of the regular reports. */
-  private static final int FULL_REPORT_EVERY = 2;
 
   private final Timers timers;
   private final HttpCaller http;
   private final Settings settings;
-  private final PeerSender peers;
   private final ClusterStateCache cache = new ClusterStateCache();
   private final DemandForecast forecast;
   private final StateWatcher watcher;
@@ -89,23 +77,23 @@
   private final Metrics metrics = new Metrics();
   private final PeerViews views = new PeerViews();
   private final RemoteCapacityHint roomElsewhere;
-  private final Map<ControllerId, Long> sent = new HashMap<>();
-  private final Map<ControllerId, LinkMonitor> links = new HashMap<>();
   private final PauseDetector pauseDetector;
   private final IsolationDetector isolation;
   private final UnconfirmedOwnershipBound unconfirmedBound;
   private final StartPermission startPermission;
   private final LongSupplier clockMs;
-  private long reports;
-  private long regularReports;
-  private boolean notificationPlanned;
-  private boolean notifyAll;
+  private final PeerReporter peerReporter;
+  private final StoreConnectivity connectivity;
 
   /**
-   * @param features what is switched on
-   * @param clockMs tells the time of day
+   * Creates a controller that has not started.
+   *
+   * @param features the features that are switched on
+   * @param clockMs the time of day in milliseconds
    * @param memoryIsShort whether there is no memory for more jobs
    */
+  // Puts a whole controller together, each part after those that it needs.
+  @SuppressWarnings("MethodLength")
   public Controller(
       Timers clock,
       HttpCaller caller,
@@ -114,12 +102,11 @@
       Features features,
       LongSupplier clockMs,
       BooleanSupplier memoryIsShort) {
-    // Whatever comes to pass here comes by a timer, an answer, a request or a frame, and each
-    // begins with a look at the clock.
+    // Everything here begins with a timer, a response, a request or a frame, and each first checks
+    // for a pause of the process.
     pauseDetector = new PauseDetector(clock.now());
     timers = InstrumentedTimers.timers(clock, this::detectPause);
     http = InstrumentedTimers.caller(caller, this::detectPause);
-    this.peers = peers;
     this.settings = settings;
     this.clockMs = clockMs;
     KeyValueStoreClient store =
@@ -205,6 +192,20 @@
             isolation::state);
     agents =
         new AgentApi(timers, cache, ownedShards, leader, views, http, settings.self(), isolation);
+    connectivity = new StoreConnectivity(timers, watcher, views, settings.peers(), isolation);
+    peerReporter =
+        new PeerReporter(
+            timers,
+            cache,
+            settings.self(),
+            settings.peers().stream().map(Settings.Peer::id).toList(),
+            peers,
+            views,
+            ownedShards,
+            startPermission,
+            connectivity::update,
+            membership::life,
+            this::ownReport);
     stalls =
         new StallDetector(timers, cache, ownedShards, leader, this::running, agreed.withheld());
     accounting =
@@ -234,18 +235,19 @@
             settings.storeLimits());
   }
 
-  /** What the parts that rest on agreed records are given; null where there are none. */
+  /** What features based on replicated records are given; null if there are none. */
   public ReplicatedFeatureContext agreed() {
     return agreed.base();
   }
 
+  /** Starts all parts. */
   public void start() {
     cache.addListener(changes -> membership.ledgerChanged(cache));
     agreed.listen(cache, ownedShards, leader, accounting, this::running);
     agreed.keepRoom(forecast, leader);
     cache.addListener(ownedShards::cacheChanged);
     cache.addListener(cancellations::cacheChanged);
-    cache.addListener(this::forgetFormerOwners);
+    cache.addListener(peerReporter::forgetFormerOwners);
     cache.addListener(leader::cacheChanged);
     cache.addListener(agents::cacheChanged);
     membership.start();
@@ -257,12 +259,12 @@
     if (accounting != null) {
       accounting.start();
     }
-    timers.every(REPORT_INTERVAL, () -> report(true, ++regularReports % FULL_REPORT_EVERY == 0));
+    peerReporter.start();
   }
 
   /**
-   * Notices that this process has stood still while its clocks ran on, before anything is done by
-   * what it knew. It is its own stillness that nobody was heard meanwhile.
+   * Detects that this process was paused while its clocks ran on, before anything is done on
+   * outdated knowledge. It is its own pause that no one was heard meanwhile.
    */
   private void detectPause() {
     TimeSpan gap = pauseDetector.tick(timers.now());
@@ -279,16 +281,14 @@
     return pauseDetector.isWaking(watcher.confirmedAt(), timers.now());
   }
 
-  // ---- the other controllers ----
-
-  private PeerHeartbeat report(long base) {
+  private PeerHeartbeat ownReport(long number, long base) {
     MonotonicTime answering = watcher.lastBarrierStart();
     TimeSpan unconfirmed =
         answering == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(answering);
     return new PeerHeartbeat(
         settings.self(),
         membership.life(),
-        reports,
+        number,
         base,
         views.receipts(),
         cache.revision(),
@@ -298,82 +298,10 @@
         agreed.sections());
   }
 
-  private void report(boolean everyone, boolean lookAtAll) {
-    reports++;
-    startPermission.sent(membership.life(), reports, timers.now());
-    updateIsolation();
-    ownedShards.refresh(reports, lookAtAll);
-    PeerViews.View own = views.of(settings.self());
-    views.apply(
-        report(own == null || !own.incarnation().equals(membership.life()) ? 0 : own.number()),
-        timers.now());
-    for (Settings.Peer sibling : settings.peers()) {
-      ControllerId member = sibling.id();
-      LinkMonitor link = links.computeIfAbsent(member, m -> new LinkMonitor());
-      if (link.takeReconnectNeeded(timers.now())) {
-        LOG.debug("peer {} receives nothing: reconnecting", member);
-        peers.renew(member);
-      }
-      boolean leads = cache.leader() != null && cache.leader().id().equals(member);
-      if ((everyone || leads)
-          && peers.send(member, PeerCodec.write(report(sent.getOrDefault(member, 0L))))) {
-        // On one connection nothing is lost; if this one is, the receiver will say that it has a
-        // gap.
-        sent.put(member, reports);
-        link.sent(timers.now());
-      }
-    }
-  }
-
-  /** Takes a frame from another controller; false if it cannot be read. */
+  /** Applies a frame from another controller; false if it cannot be read. */
   public boolean frame(byte[] frame) {
     detectPause();
-    try {
-      PeerHeartbeat heartbeat = PeerCodec.read(frame);
-      PeerHeartbeat.Receipt receipt = heartbeat.receipts().get(settings.self());
-      if (receipt != null) {
-        startPermission.received(
-            heartbeat.member(), receipt.incarnation(), receipt.number(), heartbeat.cacheRevision());
-      }
-      if (receipt != null && receipt.incarnation().equals(membership.life())) {
-        links
-            .computeIfAbsent(heartbeat.member(), member -> new LinkMonitor())
-            .receipt(receipt.number(), receipt.gap(), timers.now());
-      }
-      if (receipt != null && receipt.gap() && receipt.incarnation().equals(membership.life())) {
-        sent.merge(heartbeat.member(), receipt.number(), Math::min);
-      }
-      if (!views.apply(heartbeat, timers.now())) {
-        notifyAll = true; // with the receipt that says so
-        notifyLeader();
-      }
-      return true;
-    } catch (MalformedMessageException e) {
-      LOG.info("peer report cannot be read: {}", e.getMessage());
-      return false;
-    }
-  }
-
-  /** What a controller said of a block that another one holds now is of no use any more. */
-  private void forgetFormerOwners(ClusterStateCache.Changes changes) {
-    for (ShardId id : changes.shards()) {
-      ShardLease lease = cache.shard(id);
-      for (Settings.Peer sibling : settings.peers()) {
-        forgetIfFormer(sibling.id(), id, lease);
-      }
-      forgetIfFormer(settings.self(), id, lease);
-    }
-  }
-
-  private void forgetIfFormer(ControllerId member, ShardId id, ShardLease lease) {
-    PeerViews.View view = views.of(member);
-    PeerViews.ShardView block = view == null ? null : view.shards().get(id);
-    // A report may be ahead of the ledger here: what it says of a later lease is kept.
-    if (block != null
-        && (lease == null
-            || (!lease.owner().equals(member) && !block.token().isAfter(lease.token())))) {
-      views.forget(member, id);
-    }
+    return peerReporter.receive(frame);
   }
 
   private int running(JobId job) {
@@ -387,8 +315,6 @@
     return count;
   }
 
-  // ---- requests ----
-
   @Override
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     detectPause();
@@ -434,50 +360,26 @@
   }
 
   /**
-   * Also before it is a member, or between two lives: a job whose record is skipped must not be
-   * called unknown.
+   * Also before it is a member, or between two incarnations: a job whose record was skipped must
+   * not be called unknown.
    */
   private boolean isIncompatible() {
     return !membership.incompatibility().isEmpty() || !cache.unreadable().isEmpty();
   }
 
   /**
-   * Whether users should come here. A controller that alone cannot reach the state service sends
-   * them elsewhere; if nobody can, staying in keeps users' way back open for the moment that the
-   * state service returns.
+   * Whether users should be sent here. A controller that alone cannot reach the store sends them
+   * elsewhere; if no one can, staying keeps users' way back open for the moment that the store
+   * returns.
    */
   private boolean isHealthy() {
     if (!cache.isLoaded() || isIncompatible()) {
       return false;
     }
-    updateIsolation();
+    connectivity.update();
     return isolation.state().takesUsers();
   }
 
-  private void updateIsolation() {
-    if (watcher.lastBarrierStart() == null) {
-      return; // nothing was read yet
-    }
-    IsolationDetector.State before = isolation.state();
-    isolation.evaluate(
-        watcher.lastBarrierStart(),
-        settings.peers().stream()
-            .map(
-                sibling -> {
-                  PeerViews.View view = views.of(sibling.id());
-                  return new IsolationDetector.PeerContact(
-                      view == null ? null : view.at(),
-                      view == null ? TimeSpan.ZERO : view.sinceStoreContact());
-                })
-            .toList(),
-        timers.now());
-    if (isolation.state() != before) {
-      LOG.info("store connectivity: {}, was {}", isolation.state(), before);
-    }
-  }
-
-  // ---- what the holders of blocks need ----
-
   @Override
   public Timers timers() {
     return timers;
@@ -531,16 +433,7 @@
   @Override
   public List<String> imagesOf(MachineId machine) {
     ShardLease shard = cache.shardOf(machine);
-    if (shard != null) {
-      for (PeerViews.View view : views.all()) {
-        PeerViews.ShardView known = view.shards().get(shard.id());
-        PeerHeartbeat.MachineState state = known == null ? null : known.machines().get(machine);
-        if (state != null) {
-          return state.images();
-        }
-      }
-    }
-    return List.of();
+    return shard == null ? List.of() : views.imagesOf(shard.id(), machine);
   }
 
   @Override
@@ -573,8 +466,8 @@
     if (record == null || record.phase() != JobPhase.CANCELLED) {
       return false;
     }
-    // It was made at this time or later, whatever the clocks here and there are off; and told no
-    // earlier.
+    // The cancellation was made at this time or later, whatever the difference of the clocks, and
+    // confirmed no earlier.
     TimeSpan atMost =
         TimeSpan.ofMillis(clockMs.getAsLong() - record.cancelledMs())
             .plus(settings.clockBound().times(2));
@@ -597,16 +490,6 @@
 
   @Override
   public void notifyLeader() {
-    if (!notificationPlanned) {
-      notificationPlanned = true;
-      timers.after(
-          NOTIFICATION_DELAY,
-          () -> {
-            notificationPlanned = false;
-            boolean everyone = notifyAll;
-            notifyAll = false;
-            report(everyone, false);
-          });
-    }
+    peerReporter.notifyLeader();
   }
 }
--- a/src/main/java/org/quincecross/api/DependencyWriter.java
+++ b/src/main/java/org/quincecross/api/DependencyWriter.java
@@ -13,17 +13,17 @@
 import org.quincecross.state.TransactionResult;
 
 /**
- * Makes durable what a new job waits on where its own record has no room for it, before that record
- * is written.
+ * Makes the dependency list of a new job durable if its own record has no room for it, before that
+ * record is written.
  *
- * <p>A part says the same whenever it is written, so a change that comes twice, late or after its
- * user has given up does no harm, and a repetition at the same controller writes only what is not
- * on record yet.
+ * <p>A part has the same content whenever it is written, so a write that comes twice, late or after
+ * its user has given up does no harm, and a repetition at the same controller writes only what is
+ * not stored yet.
  */
 final class DependencyWriter {
   /**
-   * In one transaction: with less than 2 KiB each, far below its 64 KiB; also fewer where the limit
-   * is lower.
+   * The number of parts in one transaction: at less than 2 KiB each, far below its 64 KiB; fewer if
+   * the limit is lower.
    */
   private static final int MOST_AT_ONCE = 4;
 
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Writes what is not on record yet; {@code durable}: whether all of it is, told within a
-   * transaction's time for each few parts.
+   * Writes the parts that are not stored yet; {@code durable} receives whether all of them are,
+   * within a transaction's time for each few parts.
    */
   void write(Set<JobId> waitsOn, Consumer<Boolean> durable) {
     List<Mutation> changes = new ArrayList<>();
--- a/src/main/java/org/quincecross/api/ForeignHeartbeats.java
+++ b/src/main/java/org/quincecross/api/ForeignHeartbeats.java
@@ -9,22 +9,24 @@
 import org.quincecross.protocol.Heartbeat;
 
 /**
- * Machines of others' blocks that have reported here lately: the leader moves a block that its
- * holder does not hear, and returns no machine that somebody hears. A late copy must do neither, so
- * that a report counts only if it was made after all that came here from that machine before: one
- * that goes on shows larger counts at each.
+ * Remembers machines of other controllers' shards that have reported here recently: the leader
+ * moves a shard that its owner does not reach, and terminates no machine that someone hears. A late
+ * copy must do neither, so a heartbeat counts only if it was made after all that arrived here from
+ * that machine before: a live agent shows larger counts each time.
  */
 final class ForeignHeartbeats {
   private static final TimeSpan STRAY_FOR = TimeSpan.ofSeconds(6);
 
   /**
-   * Counts are remembered for so long after the last report that counted: copies come later than
-   * most of leases.
+   * How long counts are remembered after the last heartbeat that counted: copies arrive later than
+   * most leases.
    */
   private static final TimeSpan REMEMBERED = TimeSpan.ofSeconds(300);
 
   /**
-   * @param stray false where the machine's block was held here at that time
+   * The last heartbeat of a machine.
+   *
+   * @param stray false if this controller owned the machine's shard at that time
    */
   private record Heard(long session, long order, MonotonicTime at, boolean stray) {
     boolean isBefore(Heartbeat heartbeat) {
@@ -36,12 +38,15 @@
   private final Map<MachineId, Heard> heard = new HashMap<>();
   private MonotonicTime tidied = new MonotonicTime(0);
 
-  /** A machine of another's block has reported here, or a copy of a report came. */
+  /**
+   * Called when a machine of another controller's shard has reported here, or a copy of a heartbeat
+   * arrived.
+   */
   void heard(Heartbeat heartbeat, MonotonicTime now) {
     note(heartbeat, now, true);
   }
 
-  /** Its block is held here now, and that holder has answered it. */
+  /** Called when this controller owns the machine's shard and has responded to it. */
   void answered(Heartbeat heartbeat, MonotonicTime now) {
     note(heartbeat, now, false);
   }
--- a/src/main/java/org/quincecross/api/LoadShedder.java
+++ b/src/main/java/org/quincecross/api/LoadShedder.java
@@ -10,17 +10,17 @@
 import org.quincecross.protocol.JobCodec;
 
 /**
- * How requests are refused that need the state service while it is not heard. The users' balancer
- * favours whoever has the fewest open connections: a controller that refuses at once has none, and
- * draws all. So where it is known to be alone the refusal is held for a moment, in which word may
- * come and the request be answered after all; then it ends the connection, for the next one to be
- * made to another controller.
+ * Refuses requests that need the store while it is unreachable. The load balancer favours the
+ * controller with the fewest open connections: a controller that refuses at once has none, and
+ * attracts all. So if it is known to be isolated, the refusal is delayed for a moment, in which
+ * contact may return and the request be served after all; then the connection is closed, so that
+ * the next one goes to another controller.
  */
 final class LoadShedder {
-  /** Of a poll's 2 s; several times what another controller takes for an answer. */
+  /** Out of a poll's 2 s; several times what another controller needs for a response. */
   private static final TimeSpan HELD = TimeSpan.ofSeconds(1);
 
-  /** Each takes a socket. */
+  /** Each delayed refusal occupies a socket. */
   private static final int MAX_HELD = 100;
 
   private final Timers timers;
@@ -39,7 +39,7 @@
         .withRetryAfter(1);
   }
 
-  /** Refuses a request, or has it tried {@code again} if there is word by then. */
+  /** Refuses a request, or has it tried {@code again} if contact returns by then. */
   void refuse(Consumer<HttpResponse> reply, Runnable again) {
     if (aloneness.get().takesUsers() || held >= MAX_HELD) {
       reply.accept(refusal());
--- a/src/main/java/org/quincecross/api/ModelServingFeature.java
+++ b/src/main/java/org/quincecross/api/ModelServingFeature.java
@@ -22,7 +22,7 @@
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ModelIndex;
 
-/** Models from zero, put together for one controller. */
+/** Model serving, assembled for one controller. */
 final class ModelServingFeature {
   private final ReplicatedFeatureContext base;
   private final ModelIndex records;
@@ -37,7 +37,7 @@
     base.startBlock().add(records);
   }
 
-  /** Follows the records, and has the leader keep the models. */
+  /** Follows the records, and has the leader scale the models. */
   void listen(
       ClusterStateCache cache,
       OwnedShards ownedShards,
@@ -71,7 +71,7 @@
     return records.places(job, index);
   }
 
-  /** What the reports to the other controllers say of models. */
+  /** The section on models in reports to other controllers. */
   Map<String, byte[]> sections() {
     byte[] section = desk == null ? null : desk.section();
     return section == null ? Map.of() : Map.of(ModelStatusReport.SECTION, section);
--- a/src/main/java/org/quincecross/api/PeerSender.java
+++ b/src/main/java/org/quincecross/api/PeerSender.java
@@ -3,15 +3,15 @@
 import org.quincecross.model.ControllerId;
 
 /**
- * Sends frames to the other controllers; a frame may be lost. Tests put a network of their own
- * here.
+ * Sends frames to the other controllers; a frame may be lost. Tests provide a network of their own.
  */
 public interface PeerSender {
+  /** Sends a frame; false if there is no connection. */
   boolean send(ControllerId to, byte[] frame);
 
   /**
-   * Lets go of the connection to a controller that nothing seems to arrive at: the next frame goes
-   * out on a new one.
+   * Drops the connection to a controller that seems to receive nothing: the next frame uses a new
+   * one.
    */
   void renew(ControllerId to);
 }
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -38,12 +38,9 @@
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.StateWatcher;
 
-/**
- * The records that all controllers follow, and the parts that rest on them, where they are switched
- * on.
- */
+/** The replicated records, and the features based on them that are switched on. */
 final class ReplicatedFeatures {
-  /** What the holds keep back, as the controller that is asked sees it. */
+  /** The path of the tasks blocked by legal holds, as the controller that is asked sees them. */
   private static final String KEPT = AgreedApi.ROOT + "/kept";
 
   private final ReplicatedFeatureContext base;
@@ -53,8 +50,11 @@
   private final ReservationFeature requests;
 
   /**
-   * @param parts those that are switched on, with their settings; null: there are no such records
-   * @param longest for how long a controller acts after it last heard from the state service
+   * Creates the features.
+   *
+   * @param parts the features that are switched on, with their settings; null: there are no
+   *     replicated records
+   * @param longest how long a controller acts after its last contact with the store
    */
   ReplicatedFeatures(
       Timers timers,
@@ -89,7 +89,7 @@
     requests = base.has(RequestKind.NAME) ? new ReservationFeature(base) : null;
   }
 
-  /** What is the same on all controllers that have the same parts with the same settings. */
+  /** A checksum that is equal on all controllers with the same features and settings. */
   static String mark(Map<String, Object> parts) {
     return Integer.toHexString(new TreeMap<>(parts).toString().hashCode());
   }
@@ -98,12 +98,12 @@
     return base;
   }
 
-  /** What is not to run now. */
+  /** The tasks that must not run now. */
   StartBlock withheld() {
     return base == null ? StartBlock.NONE : base.startBlock();
   }
 
-  /** Has room kept for requests, where that is switched on. */
+  /** Reserves capacity for deadline requests, if that is switched on. */
   void keepRoom(DemandForecast forecast, Leader leader) {
     if (requests != null) {
       requests.start(forecast, leader);
@@ -111,10 +111,10 @@
   }
 
   /**
-   * Follows the records, before whoever asks what is kept back: each part that keeps something back
-   * has its listener here.
+   * Follows the records, before anyone asks which tasks are blocked: each feature that blocks tasks
+   * adds its listener here.
    *
-   * @param served null where it is not counted who is served
+   * @param served null if service levels are not accounted
    */
   void listen(
       ClusterStateCache cache,
@@ -149,7 +149,7 @@
     return models == null ? null : models.places(job, index);
   }
 
-  /** What the parts tell the other controllers. */
+  /** The features' sections in reports to other controllers. */
   Map<String, byte[]> sections() {
     return models == null ? Map.of() : models.sections();
   }
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -14,7 +14,7 @@
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReservedCapacity;
 
-/** Requests with a due time, where they are switched on. */
+/** Deadline requests, if they are switched on. */
 final class ReservationFeature {
   private static final double SHARE = 0.2;
   private static final double WARN_S = 24 * 3600;
@@ -28,7 +28,9 @@
   private Revision planned;
 
   /**
-   * @throws IllegalArgumentException where its settings cannot be read
+   * Creates the feature.
+   *
+   * @throws IllegalArgumentException if its settings are malformed
    */
   ReservationFeature(ReplicatedFeatureContext base) {
     this.base = base;
@@ -53,8 +55,8 @@
   }
 
   /**
-   * Why a request has no room, by the records as they are here: any controller that has read the
-   * same says the same.
+   * Why a request has no capacity, according to the records: every controller that has read the
+   * same records says the same.
    */
   private String outlook(String reference) {
     if (plan == null || !base.cache().revision().equals(planned)) {
--- a/src/main/java/org/quincecross/api/ResponseDeadline.java
+++ b/src/main/java/org/quincecross/api/ResponseDeadline.java
@@ -8,9 +8,9 @@
 import org.quincecross.net.Timers;
 
 /**
- * Answers requests before their users stop waiting, whatever becomes of what they asked for: a
- * request that is held back costs its user the whole wait, and one that is refused in time is soon
- * tried again. What the request had set going may still happen; its repetition finds it done.
+ * Responds to requests before their users stop waiting, whatever becomes of them: a request without
+ * a response costs its user the whole wait, and one that is refused in time is soon retried. What
+ * the request started may still happen; its repetition finds it done.
  */
 final class ResponseDeadline {
   private static final class Open implements Consumer<HttpResponse> {
@@ -38,14 +38,18 @@
   private final ArrayDeque<Open> open = new ArrayDeque<>();
   private boolean armed;
 
-  /** What is not answered {@code within} this long is answered with {@code otherwise}. */
+  /**
+   * Creates a deadline: requests without a response {@code within} this time get {@code otherwise}.
+   */
   ResponseDeadline(Timers timers, TimeSpan within, HttpResponse otherwise) {
     this.timers = timers;
     this.within = within;
     this.otherwise = otherwise;
   }
 
-  /** A reply that is answered in time: the first answer goes out, later ones are dropped. */
+  /**
+   * Wraps a reply so that it is called in time: the first response is sent, later ones are dropped.
+   */
   Consumer<HttpResponse> guard(Consumer<HttpResponse> reply) {
     Open one = new Open(timers.now().plus(within), reply);
     open.add(one);
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -27,77 +27,76 @@
 import org.quincecross.state.TransactionResult;
 
 /**
- * Makes submissions durable, several in one change where several have come.
+ * Makes submissions durable, several in one write if several have arrived.
  *
- * <p>What ends each wait: a transaction waits for the budget, which refills, and then for its
- * answer, for as long as {@link KeyValueStoreClient} gives it; one without an answer, or in
- * conflict, waits for a reading of the records, which fails after a second; one that was refused
- * for its number is tried again until {@link #TIMEOUT} is over, and one that the state service does
- * not serve ends at once. An answer that is long in coming holds up nobody but those that it is
- * about, and they are answered as soon as the records have their jobs
- * (docs/incidents/an-answer-that-holds-up-others.md). Whatever this comes to together, {@link
- * ResponseDeadline} answers before the user stops waiting; what has not been written by then is not
- * written any more.
+ * <p>All waits are bounded: a transaction waits for the write limit, which refills, and then for
+ * its response, for as long as {@link KeyValueStoreClient} allows; one without a response, or in
+ * conflict, waits for a read of the records, which fails after a second; a throttled one is retried
+ * until {@link #TIMEOUT} is over, and one that the store does not serve ends at once. A late
+ * response delays only the jobs that it is about, and their users are answered as soon as the
+ * records contain the jobs (docs/incidents/an-answer-that-holds-up-others.md). Whatever this adds
+ * up to, {@link ResponseDeadline} responds before the user stops waiting; what has not been written
+ * by then is not written any more.
  */
 final class Submissions {
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(2);
 
-  /** The longest that a user is left without an answer, who waits 5 s for it. */
+  /** The longest that a user is left without a response; users wait 5 s. */
   static final TimeSpan ANSWERED = TimeSpan.ofSeconds(3.2);
 
   private static final TimeSpan RETRY = TimeSpan.ofMillis(120);
 
   /**
-   * What would be written later than this is not taken: its user is told when to come back instead
-   * of waiting in vain.
+   * A job that would be written later than this is refused: its user is told when to come back
+   * instead of waiting in vain.
    */
   private static final TimeSpan LONGEST_QUEUE = TimeSpan.ofSeconds(1.2);
 
-  /** Users come back for a minute in all, so they had better be let come several times. */
+  /** Users retry for a minute in all, so they should be able to retry several times. */
   private static final int LONGEST_RETRY_S = 8;
 
-  /** So many of each team may wait however many others do: they have their turns. */
+  /** The number of jobs of each team that may wait however many others do: teams take turns. */
   private static final int ALWAYS_TAKEN = 4;
 
   /**
-   * Before any was written: of the changes a second, what may go to new jobs, and how many of them
-   * share one.
+   * The initial estimate, before any was written: the share of the write limit for new jobs, and
+   * how many of them share a write.
    */
   private static final double JOBS_PER_CHANGE = 4;
 
-  /** The weight of the last change in what a job takes to be written. */
+  /** The weight of the last write in the moving average of the time per job. */
   private static final double LATEST = 0.3;
 
   private static final int MOST_BYTES = 40 * 1024;
 
   /**
-   * The state service answers within a tenth of this, as a rule: from then on others are written
-   * beside what waits for its answer.
+   * The store usually responds within a tenth of this; after it, other jobs are written besides the
+   * one that waits for its response.
    */
   private static final TimeSpan HELD_UP = TimeSpan.ofMillis(100);
 
   private static final int MOST_AT_ONCE = 4;
 
-  /** How a submission ended. */
+  /** The outcome of a submission. */
   enum Outcome {
     ACCEPTED,
     /**
-     * The record was there before, or what became of the write is not known: the ledger has the
-     * answer.
+     * The record existed before, or the outcome of the write is unknown: the cache has the answer.
      */
     LOOK,
-    /** Not taken. */
+    /** Not accepted. */
     REFUSED
   }
 
   /**
-   * @param alone whether it is to be written by itself: among others it was too much for the state
-   *     service
+   * A waiting submission.
+   *
+   * @param alone whether it has to be written alone, because together with others it was too large
    */
   private record Pending(
       Job job, long acceptedMs, MonotonicTime since, Consumer<Outcome> done, boolean alone) {}
 
-  /** Those whose submission of the same job waits for the same outcome. */
+  /** Callbacks of repeated submissions of the same job that wait for the same outcome. */
   private final Map<JobId, List<Consumer<Outcome>>> pending = new HashMap<>();
 
   private final Timers timers;
@@ -108,12 +107,12 @@
   private final int mostChanges;
   private final int mostValue;
 
-  /** By team: a swarm of jobs of one has its own jobs wait. */
+  /** By team, so that a burst of one team delays only its own jobs. */
   private final RoundRobinQueue<String, Pending> waiting = new RoundRobinQueue<>();
 
   private final Predicate<JobId> isKnown;
 
-  /** Transactions without an answer so far, and how many of these have waited for long. */
+  /** Transactions without a response so far, and how many of them are overdue. */
   private int writing;
 
   private int heldUp;
@@ -124,7 +123,9 @@
   private long bundles;
 
   /**
-   * @param isKnown whether this controller's copy of the records has a job
+   * Creates an empty queue.
+   *
+   * @param isKnown whether this controller's cache contains a job
    */
   Submissions(
       Timers timers,
@@ -146,9 +147,9 @@
   }
 
   /**
-   * In how many seconds a new job of a team had better come back, because it would wait too long
-   * here; 0 where it would not. Each who is told so is told a later time, so that they do not all
-   * come at once.
+   * The seconds after which a new job of a team should be submitted again, because it would wait
+   * too long here; 0 if it would not. Each caller is given a later time, so that they do not all
+   * return at once.
    */
   int comeBackInS(String team) {
     if (waiting.size(team) < ALWAYS_TAKEN) {
@@ -167,8 +168,8 @@
   }
 
   /**
-   * Whether a job's record fits a value of the state service, also the larger one that it will have
-   * if it is cancelled: one that does not cannot be accepted, or could never be cancelled
+   * Whether a job's record fits into a value, also the larger one that it will have if it is
+   * cancelled: a job whose record does not can never be cancelled, so it cannot be accepted
    * (docs/incidents/too-large-for-a-record.md).
    */
   boolean fits(Job job, long nowMs) {
@@ -179,11 +180,10 @@
   void submit(Job job, long nowMs, Consumer<Outcome> done) {
     List<Consumer<Outcome>> others = pending.get(job.id());
     if (others != null) {
-      // Asked for again before the answer to the write is here: once is enough. But the write, and
-      // the reading after it, may be over
-      // in the state service, and what others have told since would be newer than what they say. So
-      // who joins waits for a reading of
-      // his own (docs/incidents/joined-submission.md).
+      // A repetition before the write's response needs no second write. But the write, and the read
+      // after it, may be over in the store, and what other controllers have told since would be
+      // newer than they are. So each repetition waits for a read of its own
+      // (docs/incidents/joined-submission.md).
       others.add(
           outcome -> {
             if (outcome == Outcome.REFUSED) {
@@ -203,7 +203,7 @@
             nowMs,
             timers.now(),
             outcome -> {
-              if (pending.get(job.id()) == all) { // else the records have said so before
+              if (pending.get(job.id()) == all) { // otherwise the records have shown it before
                 pending.remove(job.id());
                 all.forEach(each -> each.accept(outcome));
               }
@@ -220,7 +220,7 @@
       flushLater();
       return;
     }
-    // Whoever asked has been answered: the repetition will be written.
+    // The caller has got a response already; the repetition will be written.
     List<Pending> late = new ArrayList<>();
     waiting.takeIf(each -> timers.now().since(each.since()).isLongerThan(ANSWERED), late::add);
     late.forEach(each -> each.done().accept(Outcome.REFUSED));
@@ -234,7 +234,7 @@
     }
   }
 
-  /** Beside what is held up nothing is written that would have to wait for the budget. */
+  /** While a write is overdue, nothing is written that would have to wait for the write limit. */
   private void flushLater() {
     if (!flushPlanned && !waiting.isEmpty()) {
       flushPlanned = true;
@@ -265,16 +265,16 @@
   }
 
   /**
-   * Changes are few and jobs may come many at a time: what fits one value is accepted with one
-   * change.
+   * Writes are scarce and jobs may arrive many at a time: as many as fit into a value are accepted
+   * with one write.
    */
   private void writeMany() {
     List<Pending> group = new ArrayList<>();
     List<Precondition> guards = new ArrayList<>();
     List<Mutation> changes = new ArrayList<>();
     int bytes = 0;
-    // No more than can go out now: a change that waits for its budget has all behind it wait, other
-    // teams' jobs among them.
+    // No more than can be sent now: a write that waits for the limit delays everything behind it,
+    // other teams' jobs included.
     int most = Math.max(1, Math.min(mostChanges, store.affordableMutations()));
     while (!waiting.isEmpty()
         && !waiting.peek().alone()
@@ -298,28 +298,24 @@
       changes.add(Mutation.put(key, JobRecord.writeBundle(jobs)));
       bytes += size;
     }
-    write(
-        guards,
-        changes,
-        group,
-        result -> {
-          switch (result.kind()) {
-            // Nothing says whether a job was known already: only a ledger that has the bundle can
-            // tell.
-            case COMMITTED, UNKNOWN -> group.forEach(this::end);
-            case UNAVAILABLE -> group.forEach(each -> each.done().accept(Outcome.REFUSED));
-            case CONFLICT, THROTTLED, LEASE_EXPIRED -> group.forEach(this::again);
-            // One of them is too much, as the state service counts: the others must not wait for
-            // it.
-            case TOO_LARGE ->
-                group.forEach(
-                    each ->
-                        again(
-                            new Pending(
-                                each.job(), each.acceptedMs(), each.since(), each.done(), true)));
-            default -> throw new IllegalStateException(result.kind().toString());
-          }
-        });
+    write(guards, changes, group, result -> written(group, result));
+  }
+
+  private void written(List<Pending> group, TransactionResult result) {
+    switch (result.kind()) {
+      // The outcome does not tell whether a job was known already: only a cache with the bundle
+      // can.
+      case COMMITTED, UNKNOWN -> group.forEach(this::end);
+      case UNAVAILABLE -> group.forEach(each -> each.done().accept(Outcome.REFUSED));
+      case CONFLICT, THROTTLED, LEASE_EXPIRED -> group.forEach(this::again);
+      // One of them is too large for the store: the others must not wait for it.
+      case TOO_LARGE ->
+          group.forEach(
+              each ->
+                  again(
+                      new Pending(each.job(), each.acceptedMs(), each.since(), each.done(), true)));
+      default -> throw new IllegalStateException(result.kind().toString());
+    }
   }
 
   private void write(
@@ -350,8 +346,7 @@
           writing--;
           heldUp -= isHeldUp[0] ? 1 : 0;
           underWay -= group.size();
-          // One that was held up kept others from being written only as far as no more could go
-          // beside it.
+          // An overdue write delayed others only as far as no more could be written besides it.
           double each =
               timers.now().since(begun).seconds() / group.size() / (isHeldUp[0] ? MOST_AT_ONCE : 1);
           secondsPerJob = (1 - LATEST) * secondsPerJob + LATEST * each;
@@ -361,8 +356,8 @@
   }
 
   /**
-   * The answer to a write may be lost, or late: whoever's job is on record by now need not wait for
-   * it. Looks again after ever longer pauses.
+   * The response to a write may be lost or late: a user whose job is stored by now need not wait
+   * for it. Checks again after increasing pauses.
    */
   private void lookFor(List<Pending> group, boolean[] answered, TimeSpan pause) {
     watcher.barrier(
@@ -385,7 +380,7 @@
 
   private void again(Pending one) {
     if (!pending.containsKey(one.job().id())) {
-      return; // it is on record already
+      return; // stored already
     }
     if (timers.now().since(one.since()).isLongerThan(TIMEOUT)) {
       one.done().accept(Outcome.REFUSED);
--- a/src/main/java/org/quincecross/api/UnassignedMachines.java
+++ b/src/main/java/org/quincecross/api/UnassignedMachines.java
@@ -18,19 +18,19 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Machines that report and are in no block. A late copy of the report of one that was returned or
- * taken looks the same as the first report of a new one, and a block that takes it in waits for a
- * machine that is gone. So it is asked itself before it is taken in: an answer to a request that is
- * sent now was made now. That holds for one that shows no token as well: a copy of a gone machine's
- * very first report shows none, and a leader that has just begun knows of no machine that is gone
- * (docs/incidents/a-gone-machines-first-report.md). Only a leader that has led since there was no
- * block knows all that are gone and asks nobody without a token.
+ * Machines that report and are in no shard. A late copy of a heartbeat of a terminated machine
+ * looks the same as the first heartbeat of a new one, and a shard that includes it waits for a
+ * machine that is gone. So the machine itself is asked before it is added: a response to a request
+ * that is sent now was made now. That holds even without a token: a copy of a terminated machine's
+ * very first heartbeat shows none, and a new leader knows of no terminated machines
+ * (docs/incidents/a-gone-machines-first-report.md). Only a leader that has led since there were no
+ * shards knows all of them, and asks no machine without a token.
  */
 final class UnassignedMachines {
   private static final TimeSpan ASK_TIMEOUT = TimeSpan.ofSeconds(1.5);
   private static final TimeSpan ASK_AGAIN = TimeSpan.ofSeconds(1);
 
-  /** So long after its answer a machine counts as there. */
+  /** How long after its response a machine counts as existing. */
   private static final TimeSpan THERE_FOR = TimeSpan.ofSeconds(4);
 
   private final Timers timers;
@@ -45,7 +45,7 @@
     this.leader = leader;
   }
 
-  /** A machine that is in no block has reported, or a copy of its report came. */
+  /** Called when a machine that is in no shard has reported, or a copy of its heartbeat arrived. */
   void reported(Heartbeat heartbeat) {
     Machine machine = heartbeat.machine();
     if (heartbeat.token().equals(FencingToken.NONE) && leader.addNewcomer(machine, false)) {
@@ -73,7 +73,7 @@
 
   private void answered(Machine machine, HttpOutcome outcome) {
     try {
-      // Another machine may have the address of one that is gone.
+      // Another machine may have the address of a terminated one.
       if (outcome.status() == 200
           && AgentCodec.readHeartbeat(Json.parseFields(outcome.response().body()))
               .machine()
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -41,19 +41,20 @@
 
 /**
  * Submissions, polls and cancellations. What users are told is durable first, and what is not final
- * is told only after the ledger was confirmed to be current: no answer is older than one that
+ * is told only after the cache was confirmed to be current: no response is older than one that
  * another controller has given.
  */
 final class UserApi {
-  /** Without word from the state service for so long, what needs it is refused at once. */
+  /** After this time without contact to the store, requests that need it are refused at once. */
   private static final TimeSpan UNCONFIRMED = TimeSpan.ofSeconds(2);
 
-  /** Of a poll's 2 s: what is left is for the way there and back. */
+  /** Out of a poll's 2 s: the rest is for the network. */
   private static final TimeSpan POLL_ANSWERED = TimeSpan.ofSeconds(1.6);
 
+  private static final TimeSpan CANCEL_RETRY_DELAY = TimeSpan.ofMillis(60);
   private static final int CANCEL_TRIES = 6;
 
-  /** What fills the memory stays for long, so there is no hurry to come back. */
+  /** Memory stays occupied for long, so there is no hurry to retry. */
   private static final int WITHOUT_MEMORY_S = 20;
 
   private static final TimeSpan SAY_EVERY = TimeSpan.ofSeconds(60);
@@ -75,9 +76,9 @@
   private final LoadShedder loadShedder;
 
   /**
-   * Who waits for the same cancellation to be written. In a wave that is larger than the budget for
-   * changes each waits for its turn, and its user asks again every few seconds: each time one more
-   * write, and the wave would feed itself (docs/incidents/wave-that-feeds-itself.md).
+   * Callbacks that wait for the same cancellation to be written. In a wave that exceeds the write
+   * limit each write waits for its turn, and its user asks again every few seconds: with one more
+   * write each time, the wave would feed itself (docs/incidents/wave-that-feeds-itself.md).
    */
   private final Map<JobId, List<Consumer<TransactionResult>>> cancelling = new HashMap<>();
 
@@ -123,7 +124,7 @@
         new DependencyWriter(store, cache, settings.storeLimits().maxMutationsPerTransaction());
   }
 
-  /** Answers a request below {@link JobCodec#JOBS_PATH}. */
+  /** Handles a request below {@link JobCodec#JOBS_PATH}. */
   void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     String rest = request.path().substring(JobCodec.JOBS_PATH.length());
     if (rest.isEmpty()) {
@@ -167,7 +168,8 @@
   }
 
   /**
-   * Answers with a job's state; where a cancellation may not be told yet, the user is to come back.
+   * Responds with a job's state; if a cancellation may not be confirmed yet, the user is told to
+   * retry.
    */
   private void respond(JobRecord record, Consumer<HttpResponse> reply) {
     cancellations.whenSafe(
@@ -190,7 +192,7 @@
   }
 
   /**
-   * Answers with a job's state: at once if it is final, else when the ledger is known to be
+   * Responds with a job's state: at once if it is final, else when the cache is known to be
    * current.
    */
   private void readJob(JobId id, Consumer<HttpResponse> reply, Runnable unknown) {
@@ -291,8 +293,8 @@
   }
 
   /**
-   * Another controller may have accepted what a job names a moment ago: only records read from now
-   * on can say that nobody has.
+   * Another controller may have accepted a named dependency a moment ago: only records read from
+   * now on can prove that no one has.
    */
   private void takeIfKnown(Job job, Consumer<HttpResponse> reply) {
     readJob(
@@ -336,9 +338,8 @@
           JobRecord record = cache.job(job.id());
           switch (outcome) {
             case ACCEPTED -> {
-              // What needs a cancelled job is cancelled from its acceptance on, and may long have
-              // to be called so: only a reading that
-              // begins now tells whether it does.
+              // A job that depends on a cancelled one is cancelled from its acceptance on, possibly
+              // long known as such: only a read that begins now tells whether it is.
               if (!job.dependencies().isEmpty()) {
                 readJob(
                     job.id(),
@@ -364,7 +365,7 @@
         });
   }
 
-  /** Why a job can never run or be kept, or null. */
+  /** Why a job can never run or be stored, or null. */
   private HttpResponse refusal(Job job) {
     Team team = settings.teams().get(job.team());
     if (team == null) {
@@ -375,7 +376,8 @@
     }
     boolean fits = false;
     for (MachineType type : cache.machineTypes().values()) {
-      // A type that the cloud has only in other zones than the job's is none that the job may use.
+      // A machine type that the cloud offers only in other zones than the job's is of no use to the
+      // job.
       boolean allowed =
           (job.machineTypes() == null || job.machineTypes().contains(type.name()))
               && (job.zone() == null || type.zones().contains(job.zone()));
@@ -407,58 +409,58 @@
   private void cancel(JobId id, int tries, Consumer<HttpResponse> reply) {
     JobRecord known = cache.job(id);
     if (known == null) {
-      watcher.barrier(
-          current -> {
-            if (current && cache.job(id) == null) {
-              reply.accept(HttpResponse.of(404, JobCodec.writeError("no such job")));
-            } else if (current) {
-              cancel(id, tries, reply);
-            } else {
-              reply.accept(later("the state service cannot be reached"));
-            }
-          });
-      return;
-    }
-    if (known.phase().isTerminal()) {
+      watcher.barrier(current -> cancelAfterRead(id, tries, current, reply));
+    } else if (known.phase().isTerminal()) {
       respond(known, reply);
-      return;
+    } else if (tries == 0) {
+      reply.accept(later("the state service cannot be reached"));
+    } else if (isCutOff()) {
+      loadShedder.refuse(reply, () -> cancel(id, tries - 1, reply));
+    } else {
+      writeCancellation(id, result -> cancellationWritten(id, tries, result, reply));
     }
-    if (tries == 0) {
+  }
+
+  private void cancelAfterRead(JobId id, int tries, boolean current, Consumer<HttpResponse> reply) {
+    if (!current) {
       reply.accept(later("the state service cannot be reached"));
-      return;
+    } else if (cache.job(id) == null) {
+      reply.accept(HttpResponse.of(404, JobCodec.writeError("no such job")));
+    } else {
+      cancel(id, tries, reply);
     }
-    if (isCutOff()) {
-      loadShedder.refuse(reply, () -> cancel(id, tries - 1, reply));
-      return;
+  }
+
+  private void cancellationWritten(
+      JobId id, int tries, TransactionResult result, Consumer<HttpResponse> reply) {
+    if (result.committed()) {
+      watcher.barrier(current -> cancel(id, current ? tries - 1 : 0, reply));
+    } else if (result.kind() == TransactionResult.Kind.UNAVAILABLE) {
+      reply.accept(later("the state service cannot be reached"));
+    } else if (result.kind() == TransactionResult.Kind.TOO_LARGE) {
+      reply.accept(later("the state service takes no record so large"));
+    } else {
+      watcher.barrier(
+          current -> timers.after(CANCEL_RETRY_DELAY, () -> cancel(id, tries - 1, reply)));
     }
-    Consumer<TransactionResult> then =
-        result -> {
-          if (result.committed()) {
-            watcher.barrier(current -> cancel(id, current ? tries - 1 : 0, reply));
-          } else if (result.kind() == TransactionResult.Kind.UNAVAILABLE) {
-            reply.accept(later("the state service cannot be reached"));
-          } else if (result.kind() == TransactionResult.Kind.TOO_LARGE) {
-            reply.accept(later("the state service takes no record so large"));
-          } else {
-            watcher.barrier(
-                current -> timers.after(TimeSpan.ofMillis(60), () -> cancel(id, tries - 1, reply)));
-          }
-        };
+  }
+
+  /** Writes a cancellation, once for all who wait for the same one. */
+  private void writeCancellation(JobId id, Consumer<TransactionResult> done) {
     List<Consumer<TransactionResult>> others = cancelling.get(id);
     if (others != null) {
-      others.add(then); // each is answered after a reading that begins when the outcome is known
+      others.add(done); // each is answered after a read that begins when the outcome is known
       return;
     }
-    List<Consumer<TransactionResult>> all = new ArrayList<>(List.of(then));
+    List<Consumer<TransactionResult>> all = new ArrayList<>(List.of(done));
     cancelling.put(id, all);
+    Map<String, Object> record =
+        cache
+            .storedJob(id)
+            .writeCancelled(clockMs.getAsLong(), settings.storeLimits().maxValueBytes());
     store.commit(
         List.of(new Precondition(StoreKeys.job(id), cache.version(StoreKeys.job(id)))),
-        List.of(
-            Mutation.put(
-                StoreKeys.job(id),
-                cache
-                    .storedJob(id)
-                    .writeCancelled(clockMs.getAsLong(), settings.storeLimits().maxValueBytes()))),
+        List.of(Mutation.put(StoreKeys.job(id), record)),
         result -> {
           cancelling.remove(id);
           all.forEach(each -> each.accept(result));
--- a/src/main/java/org/quincecross/api/package-info.java
+++ b/src/main/java/org/quincecross/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A controller as others see it: what users, workers, health checks and the other controllers ask
- * of it.
+ * A controller's interfaces: what users, agents, health checks and the other controllers ask of it.
+ * {@link org.quincecross.api.Controller} puts a controller together.
  */
 package org.quincecross.api;
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -210,4 +210,16 @@
                 member, new PeerHeartbeat.Receipt(view.incarnation, view.number, view.gap)));
     return receipts;
   }
+
+  /** The images that a machine of a shard was last reported to have, by any owner. */
+  public List<String> imagesOf(ShardId shard, MachineId machine) {
+    for (View view : views.values()) {
+      ShardView known = view.shards().get(shard);
+      PeerHeartbeat.MachineState state = known == null ? null : known.machines().get(machine);
+      if (state != null) {
+        return state.images();
+      }
+    }
+    return List.of();
+  }
 }
