--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -24,7 +24,7 @@
 import org.quincecross.model.ShardId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.net.SteppedClock;
+import org.quincecross.net.ManualTimers;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.rollout.AnnouncedLimits;
@@ -51,7 +51,7 @@
   /** Minutes before all that happens here, by the time of day. */
   private static final long LONG_AGO_MS = 1_000;
 
-  private final SteppedClock clock = new SteppedClock();
+  private final ManualTimers clock = new ManualTimers();
   private final ClusterStateCache cache = new ClusterStateCache();
   private final PeerViews views = new PeerViews();
   private final Map<String, Map<String, Object>> records = new LinkedHashMap<>();
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -30,7 +30,7 @@
 import org.quincecross.model.Team;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.net.SteppedClock;
+import org.quincecross.net.ManualTimers;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.JobCodec;
@@ -53,7 +53,7 @@
   private static final Endpoint HERE = new Endpoint("10.0.0.1", 80);
   private static final int MOST_BYTES = 4096;
 
-  private final SteppedClock clock = new SteppedClock();
+  private final ManualTimers clock = new ManualTimers();
   private final ClusterStateCache cache = new ClusterStateCache();
   private final Map<String, Long> stamps = new HashMap<>();
   private final List<Map<String, Object>> log = new ArrayList<>();
--- a/src/test/java/org/quincecross/emulator/MuteMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
@@ -15,8 +15,8 @@
  * Machines that reach no controller while direct commands reach them and are answered, with three
  * controllers in virtual time.
  */
-class MuteMachinesTest extends BusySite {
-  MuteMachinesTest() throws MalformedMessageException {}
+class AgentsCannotConnectTest extends BusyCluster {
+  AgentsCannotConnectTest() throws MalformedMessageException {}
 
   /**
    * A sixth, or half, of the machines is mute for so long; in some the leader ends meanwhile. What
--- a/src/test/java/org/quincecross/emulator/BusySite.java
+++ b/src/test/java/org/quincecross/emulator/BusyCluster.java
@@ -11,7 +11,7 @@
  * Three controllers, 45 machines, services of 36 replicas, and arrays that come for a while, in
  * virtual time.
  */
-class BusySite {
+class BusyCluster {
   static final int MACHINES = 45;
 
   static final String JOBS =
@@ -45,11 +45,11 @@
   final List<JobId> services = new ArrayList<>();
   final List<JobId> arrays = new ArrayList<>();
 
-  BusySite() throws MalformedMessageException {
+  BusyCluster() throws MalformedMessageException {
     this(5);
   }
 
-  BusySite(long seed) throws MalformedMessageException {
+  BusyCluster(long seed) throws MalformedMessageException {
     world = new SimulatedCluster(site, seed, Meter.OFF);
     submit(world, services, arrays);
   }
--- a/src/test/java/org/quincecross/emulator/CancelledInChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
@@ -21,7 +21,7 @@
  * ask at all nodes: while one controller's work changes hands, and at the very moment at which the
  * state service refuses the leader alone. Three controllers, 45 machines.
  */
-class CancelledInChangesTest extends BusySite {
+class CancellationDuringFailoverTest extends BusyCluster {
   private static final double AT_S = 30;
   private static final int LONG_JOBS = 40;
 
@@ -29,7 +29,7 @@
   private final List<JobId> longOnes = new ArrayList<>();
   private List<JobId> called = List.of();
 
-  CancelledInChangesTest() throws MalformedMessageException {
+  CancellationDuringFailoverTest() throws MalformedMessageException {
     for (int i = 0; i < LONG_JOBS; i++) {
       Job job =
           new Job(
--- a/src/test/java/org/quincecross/emulator/GapDay.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
@@ -19,7 +19,7 @@
  * the others, and it is then out for all, for about as long as a cancellation has. All times are
  * drawn against one another; late changes, deaf machines, cuts, crashes and a stillness join in.
  */
-final class GapDay {
+final class CancellationDuringOutageScenario {
   private static final int FIRST = 2000;
   private static final int JOBS = 26;
   private static final double GAP_FROM_S = 45;
@@ -28,14 +28,14 @@
 
   private final SimulatedCluster world;
   private final Random random;
-  private final Liveness liveness;
+  private final LivenessInvariant liveness;
   private final List<JobId> jobs = new ArrayList<>();
   private final Map<JobId, Double> cancelAt = new TreeMap<>();
 
-  GapDay(long seed) {
+  CancellationDuringOutageScenario(long seed) {
     world = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
     random = new Random(seed * 31 + 7);
-    liveness = new Liveness(world);
+    liveness = new LivenessInvariant(world);
     for (int i = 0; i < JOBS; i++) {
       Job job = job(FIRST + i);
       jobs.add(job.id());
--- a/src/test/java/org/quincecross/emulator/GapTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
@@ -25,7 +25,7 @@
  * for all, for longer than a cancellation has; the machines go on reporting to the old leader all
  * the while. All of a job must be gone in time after its user was told.
  */
-class GapTest extends BusySite {
+class CancellationDuringOutageTest extends BusyCluster {
   private static final double REFUSED_S = 30;
   private static final double OUT_S = 32;
   private static final double REFUSED_FOR_S = 14;
@@ -38,7 +38,7 @@
   private double outS = OUT_S;
   private int leader;
 
-  GapTest() throws MalformedMessageException {}
+  CancellationDuringOutageTest() throws MalformedMessageException {}
 
   @BeforeEach
   void longArraysRun() {
@@ -279,6 +279,6 @@
   @ParameterizedTest
   @ValueSource(longs = {7, 38, 115, 280})
   void drawnDays(long seed) {
-    assertEquals(List.of(), new GapDay(seed).play());
+    assertEquals(List.of(), new CancellationDuringOutageScenario(seed).play());
   }
 }
--- a/src/test/java/org/quincecross/emulator/MoreThanRoomTest.java
+++ b/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
@@ -26,7 +26,7 @@
  * slow at first. When they are not any more, nothing waits for 90 s beside room, and the largest
  * begins within 240 s. Three controllers, 18 machines, virtual time.
  */
-class MoreThanRoomTest {
+class CapacityExhaustedTest {
   private static final int MACHINES = 18;
   private static final double OVER_S = 60;
   private static final double UNTIL_S = 330;
--- a/src/test/java/org/quincecross/emulator/Meetings.java
+++ b/src/test/java/org/quincecross/emulator/CombinedFaults.java
@@ -20,7 +20,7 @@
  * lasts or within seconds of its end. Each meeting is drawn from a source of its own, so a day with
  * some of them left out has the others as they were.
  */
-final class Meetings {
+final class CombinedFaults {
   private static final double FROM_S = 14;
   private static final double UNTIL_S = 150;
   private static final double MOST_APART_S = 5;
@@ -67,7 +67,7 @@
    * @param further whether the first trouble of each is one of those that days of meetings have
    *     learnt last
    */
-  Meetings(SimulatedCluster world, long seed, Set<Integer> only, boolean further) {
+  CombinedFaults(SimulatedCluster world, long seed, Set<Integer> only, boolean further) {
     this.world = world;
     this.further = further;
     double at = FROM_S + 10 * source(seed, -2).nextDouble();
@@ -243,7 +243,8 @@
                       worker.hang(length * random.nextDouble());
                     }
                   });
-      case ZONE -> new Cuts(world).zone(random.nextInt(world.site().zones().size()), length, lose);
+      case ZONE ->
+          new ZonePartitions(world).zone(random.nextInt(world.site().zones().size()), length, lose);
       case CANCELLATIONS -> {
         for (JobId id : open(random, 0.1 + 0.3 * share)) {
           after(length * random.nextDouble(), () -> world.users().cancel(id));
--- a/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
+++ b/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
@@ -48,7 +48,7 @@
   @ParameterizedTest
   @ValueSource(longs = 2)
   void daysOfUsersTroubles(long seed) {
-    assertEquals(List.of(), Day.ofMeetings(seed).with(UserTroubles::on).play());
+    assertEquals(List.of(), RandomScenario.ofMeetings(seed).with(UserErrorFaults::on).play());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/BadNightsTest.java
+++ b/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
@@ -26,8 +26,8 @@
  * The operators' bad nights, in virtual time: silent and frozen controllers, deaf ones, storms of
  * questions, jobs that only fail.
  */
-class BadNightsTest extends BusySite {
-  BadNightsTest() throws MalformedMessageException {}
+class ControllerFailuresTest extends BusyCluster {
+  ControllerFailuresTest() throws MalformedMessageException {}
 
   private static Job array(int number, int tasks) {
     return array(number, tasks, 6);
@@ -133,7 +133,7 @@
   void aDeafControllerIsTriedSeldom() throws MalformedMessageException {
     int given = 0;
     for (int seed = 1; seed <= 8; seed++) {
-      int now = givenWhileDeaf(new BusySite(seed));
+      int now = givenWhileDeaf(new BusyCluster(seed));
       assertTrue(now <= 8, now + " times given a block, seed " + seed);
       given += now;
     }
@@ -141,7 +141,7 @@
   }
 
   /** How many times a controller is given a block while no machine hears it, for 70 s. */
-  private static int givenWhileDeaf(BusySite on) {
+  private static int givenWhileDeaf(BusyCluster on) {
     SimulatedCluster world = on.world;
     ClusterSpec site = on.site;
     world.time().runUntil(30);
--- a/src/test/java/org/quincecross/emulator/GrowthTest.java
+++ b/src/test/java/org/quincecross/emulator/CostScalingTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a fleet of twice the size costs: work is counted, in calls and in bytes, not timed. */
-class GrowthTest {
+class CostScalingTest {
   private static final double DAY_S = 100;
 
   private static Meter play(int machines) {
--- a/src/test/java/org/quincecross/emulator/RequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -28,7 +28,7 @@
 import org.quincecross.rollout.Build;
 
 /** Requests with a due time on three controllers, in virtual time. */
-class RequestCasesTest {
+class DeadlineRequestCasesTest {
   private static final int MACHINES = 30;
 
   /** By then the level that requests come with is in force. */
@@ -44,7 +44,7 @@
           Meter.OFF,
           new Features(
               null, null, Build.present("requests", 3), Map.of("requests", Map.of("share", 0.5))));
-  private final RequestWatch watch = new RequestWatch(world);
+  private final DeadlineRequestInvariant watch = new DeadlineRequestInvariant(world);
   private final Map<String, Integer> answers = new HashMap<>();
   private final Map<String, String> words = new HashMap<>();
   private int jobs = 100;
--- a/src/test/java/org/quincecross/emulator/RequestWatch.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
@@ -14,7 +14,7 @@
  * Watches the records of requests as the state service has them: none that was answered for is
  * lost, no reservation is lost or doubled.
  */
-final class RequestWatch {
+final class DeadlineRequestInvariant {
   private static final String KEYS = "q/agreed/requests/";
   private static final double EVERY_S = 0.05;
   private static final RequestKind KIND = new RequestKind(id -> "", 0);
@@ -33,7 +33,7 @@
   private final Map<String, Integer> ends = new HashMap<>();
   private final List<String> broken = new ArrayList<>();
 
-  RequestWatch(SimulatedCluster world) {
+  DeadlineRequestInvariant(SimulatedCluster world) {
     this.world = world;
     look();
   }
--- a/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
@@ -17,13 +17,13 @@
    * Of every four such days one has each of: few messages held up and many copies, many and few,
    * half of all, machines back at once.
    */
-  static Day day(long seed) {
+  static RandomScenario day(long seed) {
     double held = List.of(0.03, 0.2, 0.5, 0.1).get((int) (seed % 4));
     double copies = List.of(0.5, 0.05, 0.2, 0.1).get((int) (seed % 4));
-    return new Day(seed)
+    return new RandomScenario(seed)
         .with(
             (world, each) ->
-                new BackAtOnce(world, each)
+                new FastRestartFaults(world, each)
                     .copies(copies)
                     .held(held, LONGEST_S)
                     .machines(1.0 / 6, seed % 4 == 3 ? 2 : 0));
--- a/src/test/java/org/quincecross/emulator/LateWriteDays.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
@@ -6,12 +6,12 @@
 import org.quincecross.model.JobId;
 
 /**
- * Troubles drawn beside those of a {@link Day}, from a source of their own: a fifth to a third of
- * all transactions are not answered and carried out 2 to 12 s later, some of them minutes later,
- * while jobs come together, are cancelled as soon as they are accepted or at any time, and
+ * Troubles drawn beside those of a {@link RandomScenario}, from a source of their own: a fifth to a
+ * third of all transactions are not answered and carried out 2 to 12 s later, some of them minutes
+ * later, while jobs come together, are cancelled as soon as they are accepted or at any time, and
  * controllers are back at once.
  */
-final class LateWriteDays {
+final class DelayedTransactionFaults {
   private static final double FROM_S = 12;
   private static final double UNTIL_S = 150;
   private static final double MINUTES_SHARE = 0.15;
@@ -19,18 +19,18 @@
   private final SimulatedCluster world;
   private final Random random;
 
-  private LateWriteDays(SimulatedCluster world, long seed) {
+  private DelayedTransactionFaults(SimulatedCluster world, long seed) {
     this.world = world;
     this.random = new Random(seed * 31 + 7);
   }
 
-  /** For {@link Day#with}. */
+  /** For {@link RandomScenario#with}. */
   static void on(SimulatedCluster world, long seed) {
-    LateWriteDays days = new LateWriteDays(world, seed);
+    DelayedTransactionFaults days = new DelayedTransactionFaults(world, seed);
     days.lateWrites(0.2 + 0.1 * days.random.nextDouble());
     days.bundles(6, 7);
     days.cancellations(12);
-    new BackAtOnce(world, seed).controllers(3);
+    new FastRestartFaults(world, seed).controllers(3);
   }
 
   private boolean isTrouble() {
--- a/src/test/java/org/quincecross/emulator/LateWritesTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
@@ -16,7 +16,7 @@
  * Transactions without an answer that are carried out late, after newer ones of the same
  * controller, in virtual time.
  */
-class LateWritesTest {
+class DelayedTransactionsTest {
   /**
    * A cancellation becomes durable long after it was asked for, when a holder has just lost the
    * state service and its machines hear nobody else. It is new when it becomes durable, not when it
@@ -78,7 +78,9 @@
   void daysOfLateWrites(long seed) {
     assertEquals(
         List.of(),
-        (seed % 2 == 0 ? new Day(seed) : Day.ofRolls(seed)).with(LateWriteDays::on).play());
+        (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
+            .with(DelayedTransactionFaults::on)
+            .play());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/PipelineCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
@@ -37,7 +37,7 @@
 
 /** Jobs that wait for others, with three controllers and failures, in virtual time. */
 @Timeout(120)
-class PipelineCasesTest {
+class DependencyCasesTest {
   private static final double LOOK_EVERY_S = 0.05;
 
   private final SimulatedCluster world = new SimulatedCluster(ClusterSpec.small(), 40, Meter.OFF);
@@ -73,7 +73,7 @@
         TimeSpan.ZERO,
         TimeSpan.ZERO,
         null,
-        Set.copyOf(Arrays.stream(after).map(PipelineCasesTest::id).toList()));
+        Set.copyOf(Arrays.stream(after).map(DependencyCasesTest::id).toList()));
   }
 
   private static Job job(int number, Integer... after) {
--- a/src/test/java/org/quincecross/emulator/PipelineDays.java
+++ b/src/test/java/org/quincecross/emulator/DependencyFaults.java
@@ -8,11 +8,11 @@
 import org.quincecross.model.Resources;
 
 /**
- * Pipelines drawn beside the jobs of a {@link Day}, from a source of their own: half of them have
- * one of their jobs cancelled, at any time or at the moment at which its last task ends; and some
- * jobs name one that nobody submitted.
+ * Pipelines drawn beside the jobs of a {@link RandomScenario}, from a source of their own: half of
+ * them have one of their jobs cancelled, at any time or at the moment at which its last task ends;
+ * and some jobs name one that nobody submitted.
  */
-final class PipelineDays {
+final class DependencyFaults {
   private static final int PIPELINES = 9;
   private static final int STRANGERS = 3;
   private static final int FIRST_NUMBER = 700_000;
@@ -25,7 +25,7 @@
   private final PipelineDraws draws;
   private final List<JobId> drawn = new ArrayList<>();
 
-  private PipelineDays(SimulatedCluster world, long seed, double fromS, double untilS) {
+  private DependencyFaults(SimulatedCluster world, long seed, double fromS, double untilS) {
     this.world = world;
     this.random = new Random(seed * 37 + 11);
     this.fromS = fromS;
@@ -38,14 +38,14 @@
             FIRST_NUMBER);
   }
 
-  /** For {@link Day#with}. */
+  /** For {@link RandomScenario#with}. */
   static void on(SimulatedCluster world, long seed) {
     between(world, seed, 5, 140);
   }
 
   /** Pipelines are submitted in that time, in seconds. */
   static void between(SimulatedCluster world, long seed, double fromS, double untilS) {
-    PipelineDays days = new PipelineDays(world, seed, fromS, untilS);
+    DependencyFaults days = new DependencyFaults(world, seed, fromS, untilS);
     for (int i = 0; i < PIPELINES; i++) {
       world.time().at(days.moment(), days::pipeline);
     }
--- a/src/test/java/org/quincecross/emulator/PipelineDayTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyScenarioTest.java
@@ -10,10 +10,10 @@
  * Days with pipelines drawn from fixed seeds, among all troubles: no task too early, no job
  * orphaned, and all work gets done.
  */
-class PipelineDayTest {
+class DependencyScenarioTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void keepsTheRulesAndFinishesTheWork(long seed) {
-    assertEquals(List.of(), Day.ofPipelines(seed).play());
+    assertEquals(List.of(), RandomScenario.ofPipelines(seed).play());
   }
 }
--- a/src/test/java/org/quincecross/emulator/PipelineEndsTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
@@ -29,7 +29,7 @@
 /**
  * Jobs that wait for others where troubles meet their ends, with three controllers in virtual time.
  */
-class PipelineEndsTest {
+class DependencyTerminationTest {
   private static final JobId FIRST = new JobId("job-1");
   private static final JobId MIDDLE = new JobId("job-2");
   private static final JobId LAST = new JobId("job-3");
--- a/src/test/java/org/quincecross/emulator/PipelineUpgradeTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
@@ -20,7 +20,7 @@
  * lowers its limits, in virtual time.
  */
 @Timeout(60)
-class PipelineUpgradeTest {
+class DependencyUpgradeTest {
   private static final Settings.StoreLimits LOW = ClusterSpec.TRY_OUT_NEXT;
   private static final Build OLD = Build.present("old", 1);
   private static final Build NEW = Build.present("new", 2);
@@ -31,13 +31,16 @@
 
   private final SimulatedCluster world =
       new SimulatedCluster(
-          ClusterSpec.tryOut(BusySite.MACHINES, true), 6, Meter.OFF, new Features(null, null, OLD));
+          ClusterSpec.tryOut(BusyCluster.MACHINES, true),
+          6,
+          Meter.OFF,
+          new Features(null, null, OLD));
   private final List<JobId> services = new ArrayList<>();
   private final List<JobId> arrays = new ArrayList<>();
   private final List<JobId> dependent = new ArrayList<>();
 
-  PipelineUpgradeTest() throws MalformedMessageException {
-    BusySite.submit(world, services, arrays);
+  DependencyUpgradeTest() throws MalformedMessageException {
+    BusyCluster.submit(world, services, arrays);
   }
 
   /** What else happens in that spell. */
--- a/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
@@ -21,7 +21,7 @@
  * Every report comes a second time, 1 s to three leases later, with three controllers in virtual
  * time.
  */
-class DuplicatedMessagesTest extends BusySite {
+class DuplicatedMessagesTest extends BusyCluster {
   DuplicatedMessagesTest() throws MalformedMessageException {
     world.time().at(10, () -> world.copyLate(1, new Random(7)));
   }
--- a/src/test/java/org/quincecross/emulator/QuickBootsTest.java
+++ b/src/test/java/org/quincecross/emulator/FastBootTest.java
@@ -17,7 +17,7 @@
  * Machines that are up within two seconds and get work at once while writes lag, and the leader
  * ends, in virtual time.
  */
-class QuickBootsTest {
+class FastBootTest {
   private final SimulatedCluster world = new SimulatedCluster(3);
 
   /** The machines that the cloud has up and no block has. */
--- a/src/test/java/org/quincecross/emulator/BackAtOnce.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartFaults.java
@@ -3,17 +3,17 @@
 import java.util.Random;
 
 /**
- * Troubles drawn beside those of a {@link Day}, from a source of their own: late copies, messages
- * held up, machines and processes back at once.
+ * Troubles drawn beside those of a {@link RandomScenario}, from a source of their own: late copies,
+ * messages held up, machines and processes back at once.
  */
-final class BackAtOnce {
+final class FastRestartFaults {
   private static final double FROM_S = 12;
   private static final double UNTIL_S = 150;
 
   private final SimulatedCluster world;
   private final Random random;
 
-  BackAtOnce(SimulatedCluster world, long seed) {
+  FastRestartFaults(SimulatedCluster world, long seed) {
     this.world = world;
     this.random = new Random(~seed);
   }
@@ -23,7 +23,7 @@
   }
 
   /** A share of all reports comes a second time, 1 s to three leases later. */
-  BackAtOnce copies(double share) {
+  FastRestartFaults copies(double share) {
     world.time().at(FROM_S, () -> world.copyLate(share, random));
     world.time().at(UNTIL_S, () -> world.copyLate(0, random));
     return this;
@@ -33,7 +33,7 @@
    * Between these seconds of the day a share of commands, reports and answers to either is held up
    * for up to so long.
    */
-  BackAtOnce held(double share, double longestS) {
+  FastRestartFaults held(double share, double longestS) {
     Random draws = new Random(random.nextLong());
     world.time().at(FROM_S, () -> world.holdMessages(share, longestS, draws));
     world.time().at(UNTIL_S, () -> world.holdMessages(0, 0, draws));
@@ -44,7 +44,7 @@
    * Now and then each machine with this chance is restarted: it is back in a fraction of a second,
    * its counts begun anew.
    */
-  BackAtOnce machines(double share, int times) {
+  FastRestartFaults machines(double share, int times) {
     for (int i = 0; i < times; i++) {
       world
           .time()
@@ -69,7 +69,7 @@
   }
 
   /** A controller, or all, is back in 0.1 to 0.5 s, up to three times within six seconds. */
-  BackAtOnce controllers(int times) {
+  FastRestartFaults controllers(int times) {
     for (int i = 0; i < times; i++) {
       double at = moment();
       int node = random.nextInt(world.nodeCount() + 1);
--- a/src/test/java/org/quincecross/emulator/QuickReturnsTest.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartTest.java
@@ -15,8 +15,8 @@
 import org.quincecross.rollout.Build;
 
 /** Machines and controllers that are back within a fraction of a second, in virtual time. */
-class QuickReturnsTest extends BusySite {
-  QuickReturnsTest() throws MalformedMessageException {}
+class FastRestartTest extends BusyCluster {
+  FastRestartTest() throws MalformedMessageException {}
 
   /**
    * A third of the machines is back at once with nothing on it, its counts begun anew: what ran
@@ -165,7 +165,7 @@
       int node = (int) (at * 10) % rolled.nodeCount();
       rolled.time().at(at, () -> rolled.down(node, 0.3));
     }
-    Liveness liveness = new Liveness(rolled);
+    LivenessInvariant liveness = new LivenessInvariant(rolled);
     rolled.time().runUntil(120);
     liveness.watch();
     assertEquals(List.of(), liveness.findings());
--- a/src/test/java/org/quincecross/emulator/HardCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
@@ -18,8 +18,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /** What happens to a fleet all at once, in virtual time. */
-class HardCasesTest extends BusySite {
-  HardCasesTest() throws MalformedMessageException {}
+class FleetFailuresTest extends BusyCluster {
+  FleetFailuresTest() throws MalformedMessageException {}
 
   private static Job oneTask(JobId id) {
     return new Job(
--- a/src/test/java/org/quincecross/emulator/BeginningsCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
@@ -24,7 +24,7 @@
  * The largest array, a gang of two whole machines and an idle job in an overload, on three
  * controllers in virtual time.
  */
-class BeginningsCasesTest {
+class GuaranteedStartTest {
   private static final int MACHINES = 12;
   private static final Features ON =
       new Features(new Shares(0.85, 0.5, 0.01, 0.01), TimeSpan.ofSeconds(20), Build.BEFORE_LEVELS);
--- a/src/test/java/org/quincecross/emulator/LoneControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
@@ -22,7 +22,7 @@
  * A controller without the state service and without the others, but with its machines and users;
  * and outages of all beside it.
  */
-class LoneControllerTest {
+class IsolatedControllerTest {
   private static final double FROM_S = 40;
   private static final double PER_SECOND = 4;
 
@@ -61,11 +61,11 @@
   /** Plays a day on which something is wrong from {@link #FROM_S} on for some time. */
   private Outcome play(long seed, double seconds, IntConsumer trouble)
       throws MalformedMessageException {
-    world = new SimulatedCluster(ClusterSpec.tryOut(BusySite.MACHINES, true), seed, Meter.OFF);
+    world = new SimulatedCluster(ClusterSpec.tryOut(BusyCluster.MACHINES, true), seed, Meter.OFF);
     balancer = world.users().balance();
     List<JobId> services = new ArrayList<>();
     List<JobId> arrays = new ArrayList<>();
-    BusySite.submit(world, services, arrays);
+    BusyCluster.submit(world, services, arrays);
     List<JobId> late = new ArrayList<>();
     for (int i = 0; i < PER_SECOND * (seconds + 20); i++) {
       Job job = one(60_000 + i);
--- a/src/test/java/org/quincecross/emulator/LeaderDay.java
+++ b/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
@@ -19,7 +19,7 @@
  * applies late what it was sent, machines cannot be reached; some jobs are cancelled meanwhile.
  * Then quiet.
  */
-final class LeaderDay {
+final class LeaderFailureScenario {
   private static final double LAST_TROUBLE_S = 210;
   private static final double QUIET_S = 60;
   private static final int LONG_JOBS = 16;
@@ -33,7 +33,7 @@
   private final List<String> strikes = new ArrayList<>();
   private double calmUntil;
 
-  LeaderDay(long seed) {
+  LeaderFailureScenario(long seed) {
     world = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
     random = new Random(~seed);
     for (int i = 0; i < LONG_JOBS; i++) {
@@ -258,7 +258,7 @@
   List<String> play() {
     world.time().runUntil(LAST_TROUBLE_S + QUIET_S);
     world.around().troublesAreOver();
-    Liveness liveness = new Liveness(world);
+    LivenessInvariant liveness = new LivenessInvariant(world);
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
     wrong.addAll(world.rules().broken());
--- a/src/test/java/org/quincecross/emulator/HoldCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
@@ -17,7 +17,7 @@
 /**
  * Holds against sweeps with three controllers in virtual time, under load and through what fails.
  */
-class HoldCasesTest {
+class LegalHoldCasesTest {
   static final String JOBS =
       """
             [[jobs]]
@@ -49,9 +49,9 @@
   /** By then the level has risen to that of agreed records. */
   private static final double READY_S = 42;
 
-  private HoldSite site = new HoldSite(JOBS, 30, 7);
+  private LegalHoldCluster site = new LegalHoldCluster(JOBS, 30, 7);
 
-  HoldCasesTest() throws MalformedMessageException {
+  LegalHoldCasesTest() throws MalformedMessageException {
     tell();
   }
 
@@ -60,8 +60,8 @@
     site.told("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
   }
 
-  private HoldSite site(long seed) throws MalformedMessageException {
-    site = new HoldSite(JOBS, 30, seed);
+  private LegalHoldCluster site(long seed) throws MalformedMessageException {
+    site = new LegalHoldCluster(JOBS, 30, seed);
     tell();
     return site;
   }
@@ -286,7 +286,7 @@
    */
   @Test
   void aLaneToldLateIsPinnedAnew() throws MalformedMessageException {
-    site = new HoldSite(JOBS, 30, 7);
+    site = new LegalHoldCluster(JOBS, 30, 7);
     site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
     site.run(READY_S + 12);
     assertEquals("PINNED", site.state("ref-1"));
--- a/src/test/java/org/quincecross/emulator/HoldSite.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
@@ -27,7 +27,7 @@
  * as the state service has them, and what runs by the stand-ins of the machines, and knows nothing
  * of what the controllers make of it.
  */
-final class HoldSite {
+final class LegalHoldCluster {
   final SimulatedCluster world;
   private final List<JobId> sweeps = new ArrayList<>();
   private final List<JobId> services = new ArrayList<>();
@@ -39,7 +39,7 @@
   private final List<String> wrong = new ArrayList<>();
   final Map<String, String> answers = new HashMap<>();
 
-  HoldSite(String jobs, int machines, long seed) throws MalformedMessageException {
+  LegalHoldCluster(String jobs, int machines, long seed) throws MalformedMessageException {
     ClusterSpec site = ClusterSpec.tryOut(machines, true);
     Build build = Build.present("holds", Feature.AGREED_RECORDS.since().number());
     world =
--- a/src/test/java/org/quincecross/emulator/HoldSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
@@ -17,7 +17,7 @@
  * takes is written to the log.
  */
 @Tag("seeds")
-class HoldSeedsTest {
+class LegalHoldSeedsTest {
   private static final double READY_S = 42;
   private static final int SEEDS = Integer.getInteger("seeds", 20);
 
@@ -35,7 +35,7 @@
     List<Double> times = new ArrayList<>();
     for (long seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
-      HoldSite site = new HoldSite(HoldCasesTest.JOBS, 30, seed);
+      LegalHoldCluster site = new LegalHoldCluster(LegalHoldCasesTest.JOBS, 30, seed);
       site.told("sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
       site.world.state().applyLate(40);
       double at = READY_S + 2 + 10 * random.nextDouble();
@@ -71,7 +71,7 @@
     assertEquals(3 * SEEDS, times.size());
   }
 
-  private static void begin(HoldSite site, String trouble, Random random) {
+  private static void begin(LegalHoldCluster site, String trouble, Random random) {
     int node = random.nextInt(3);
     double length = 20 + 20 * random.nextDouble();
     switch (trouble) {
--- a/src/test/java/org/quincecross/emulator/Liveness.java
+++ b/src/test/java/org/quincecross/emulator/LivenessInvariant.java
@@ -17,7 +17,7 @@
  * team is at its limit, or a controller names it with what it waits for; and all of them are over
  * within what their estimates and their teams' limits leave.
  */
-final class Liveness {
+final class LivenessInvariant {
   /**
    * Between one task and the next of a job there may be a start, a fetch and a result to be
    * written.
@@ -34,7 +34,7 @@
   private final SimulatedCluster world;
   private final List<String> findings = new ArrayList<>();
 
-  Liveness(SimulatedCluster world) {
+  LivenessInvariant(SimulatedCluster world) {
     this.world = world;
   }
 
--- a/src/test/java/org/quincecross/emulator/LostAnswersTest.java
+++ b/src/test/java/org/quincecross/emulator/LostResponsesTest.java
@@ -17,7 +17,7 @@
  * Transactions that are carried out at once and of which only the answer is lost, with three
  * controllers in virtual time.
  */
-class LostAnswersTest {
+class LostResponsesTest {
   private final SimulatedCluster world = new SimulatedCluster(4);
 
   private void loseAnswers(double fromS, double untilS, double share, String what) {
--- a/src/test/java/org/quincecross/emulator/LostMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/MachineLossTest.java
@@ -16,7 +16,7 @@
  * blocks have lost more than they can start goes back to the pool, so all replicas run again soon
  * after the leases of the lost machines are over.
  */
-class LostMachinesTest {
+class MachineLossTest {
   private static final int MACHINES = 60;
   private static final double LEASE_S = 12;
   private static final double MOST_AFTER_LEASE_S = 25;
--- a/src/test/java/org/quincecross/emulator/ModelCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
@@ -19,14 +19,14 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /** Models from zero with three controllers and failures, in virtual time. */
-class ModelCasesTest {
+class ModelServingCasesTest {
   private static final double T = 40;
 
   /**
    * 10,000 wakes in a second at each controller, until the model is warm; all are answered. Returns
    * how long that took.
    */
-  private static double manyWakes(ModelSite site) throws MalformedMessageException {
+  private static double manyWakes(ModelServingCluster site) throws MalformedMessageException {
     int[] answered = new int[1];
     for (int node = 0; node < 3; node++) {
       for (int i = 0; i < 10_000; i++) {
@@ -56,17 +56,18 @@
   void theModelServesSoonAfterItsFetch() throws MalformedMessageException {
     double[] warm = new double[5];
     for (int i = 0; i < warm.length; i++) {
-      ModelSite site = ModelSite.withOne(4 + i, 2);
+      ModelServingCluster site = ModelServingCluster.withOne(4 + i, 2);
       long before = site.epoch("m");
       warm[i] = manyWakes(site);
       assertTrue(
           site.epoch("m") <= before + 5,
           "however many wakes, few changes: " + (site.epoch("m") - before));
       assertTrue(
-          warm[i] > ModelSite.FETCH_S && warm[i] < ModelSite.FETCH_S + 9, "warm after " + warm[i]);
+          warm[i] > ModelServingCluster.FETCH_S && warm[i] < ModelServingCluster.FETCH_S + 9,
+          "warm after " + warm[i]);
     }
     Arrays.sort(warm);
-    assertTrue(warm[2] < ModelSite.FETCH_S + 3, Arrays.toString(warm));
+    assertTrue(warm[2] < ModelServingCluster.FETCH_S + 3, Arrays.toString(warm));
   }
 
   /**
@@ -75,12 +76,14 @@
    */
   @Test
   void manyWakesAreOneColdStart() throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(4, 2);
+    ModelServingCluster site = ModelServingCluster.withOne(4, 2);
     long before = site.epoch("m");
     int started = site.world.around().coldStarts().starts();
     int fetched = site.world.around().coldStarts().fetches();
     double warm = manyWakes(site);
-    assertTrue(warm > ModelSite.FETCH_S && warm < ModelSite.FETCH_S + 4, "warm after " + warm);
+    assertTrue(
+        warm > ModelServingCluster.FETCH_S && warm < ModelServingCluster.FETCH_S + 4,
+        "warm after " + warm);
     for (int node = 0; node < 3; node++) {
       assertTrue(site.asked(node) <= 3, "changes asked for by one controller: " + site.asked(node));
     }
@@ -100,7 +103,7 @@
   @ParameterizedTest
   @ValueSource(doubles = {0.01, 0.05, 0.15, 0.4, 1, 4, 8.5})
   void allRestartedWhileItStarts(double afterS) throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(5, 2);
+    ModelServingCluster site = ModelServingCluster.withOne(5, 2);
     site.wakeAt(T, 1, "m");
     for (int node = 0; node < 3; node++) {
       int each = node;
@@ -126,7 +129,7 @@
   })
   void theLeaderIsFrozenAfterItsChoice(SimulatedCluster.Mishap mishap, double seconds)
       throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(6, 2);
+    ModelServingCluster site = ModelServingCluster.withOne(6, 2);
     site.world.mishapAt(
         request ->
             request.startsWith("POST /txn")
@@ -147,7 +150,7 @@
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.5, 3, 5.5})
   void twoWakesInAnElection(double afterS) throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(7, 2);
+    ModelServingCluster site = ModelServingCluster.withOne(7, 2);
     int leader = site.world.leader();
     site.world.time().at(T, () -> site.world.down(leader, 30));
     site.wakeAt(T + afterS, (leader + 1) % 3, "m");
@@ -161,7 +164,7 @@
   @ParameterizedTest
   @CsvSource({"0, 3", "0.03, 10", "0.15, 10", "0.5, 10", "5, 10", "8.6, 10", "32, 10"})
   void anOutageInEachStep(double afterS, double seconds) throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(8, 2);
+    ModelServingCluster site = ModelServingCluster.withOne(8, 2);
     site.world.state().applyLate(60);
     site.wakeAt(T, 2, "m");
     site.world.time().at(T + afterS, () -> site.world.state().outage(seconds));
@@ -181,7 +184,7 @@
   @ParameterizedTest
   @ValueSource(doubles = {0, 6, 30})
   void theLastWarmMachineIsTaken(double noticeS) throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(9, 1);
+    ModelServingCluster site = ModelServingCluster.withOne(9, 1);
     site.wakeAt(T, 0, "m");
     site.until("m", "WARM", 60);
     String machine = site.machine("m").text();
@@ -206,7 +209,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"ZERO", "STARTING", "WARM", "DRAINING"})
   void itsJobIsCancelled(String phase) throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(10, 2);
+    ModelServingCluster site = ModelServingCluster.withOne(10, 2);
     if (!phase.equals("ZERO")) {
       site.wakeAt(T, 0, "m");
       site.until("m", phase, 90);
@@ -228,12 +231,12 @@
   @ParameterizedTest
   @ValueSource(doubles = {-0.2, -0.05, -0.02, -0.01, -0.004, 0, 0.004, 0.01, 0.03, 0.1, 0.5, 1})
   void aWakeAgainstADrain(double offset) throws MalformedMessageException {
-    ModelSite first = ModelSite.withOne(11, 2);
+    ModelServingCluster first = ModelServingCluster.withOne(11, 2);
     first.wakeAt(T, 0, "m");
     first.until("m", "WARM", 60);
     double drainAt = first.until("m", "DRAINING", 60);
     for (int node = 0; node < 3; node++) {
-      ModelSite site = ModelSite.withOne(11, 2);
+      ModelServingCluster site = ModelServingCluster.withOne(11, 2);
       site.wakeAt(T, 0, "m");
       site.until("m", "WARM", 60);
       site.wakeAt(drainAt + offset, node, "m");
@@ -255,10 +258,10 @@
     ClusterSpec plain = ClusterSpec.tryOut(24, true);
     Map<String, Team> teams = new LinkedHashMap<>(plain.teams());
     teams.put("web", new Team("web", new Resources(12, 0, 1e9), new Resources(20, 0, 1e9)));
-    ModelSite site = new ModelSite(plain.with(teams), 12);
-    site.submit(ModelSite.job(100, 2, 6, 2, false));
-    site.submit(ModelSite.job(101, 2, 6, 2, false));
-    site.world.time().runUntil(ModelSite.DEFINED_S);
+    ModelServingCluster site = new ModelServingCluster(plain.with(teams), 12);
+    site.submit(ModelServingCluster.job(100, 2, 6, 2, false));
+    site.submit(ModelServingCluster.job(101, 2, 6, 2, false));
+    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
     site.define("m", 100, 2, 2);
     site.define("n", 101, 2, 2);
     site.until("m", "ZERO", 40);
@@ -286,7 +289,7 @@
    */
   @Test
   void mistakesChangeNothing() throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(17, 2);
+    ModelServingCluster site = ModelServingCluster.withOne(17, 2);
     long epoch = site.epoch("m");
     assertEquals(404, site.post(0, "other/wake", Map.of()));
     assertEquals(404, site.post(0, "other", Map.of("job", "job-5", "request", "a")));
@@ -313,15 +316,16 @@
    */
   @Test
   void fetchesOfAMachineTakeTurns() throws MalformedMessageException {
-    ModelSite site = new ModelSite(ClusterSpec.tryOut(3, true), 18);
+    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(3, true), 18);
     for (int i = 0; i < 4; i++) {
-      site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100 + i, 1, 2, 6, false));
+      site.submitAt(
+          ModelServingCluster.DEFINED_S - 0.5, ModelServingCluster.job(100 + i, 1, 2, 6, false));
     }
-    site.world.time().runUntil(ModelSite.DEFINED_S);
+    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < 4; i++) {
       site.define("m" + i, 100 + i, 1, 1);
     }
-    double at = ModelSite.DEFINED_S + 4;
+    double at = ModelServingCluster.DEFINED_S + 4;
     site.world.time().runUntil(at);
     for (int i = 0; i < 4; i++) {
       site.wakeAt(at, i % 3, "m" + i);
@@ -337,10 +341,10 @@
    */
   @Test
   void keptWarmItComesBackWithoutAFetch() throws MalformedMessageException {
-    ModelSite site = new ModelSite(ClusterSpec.tryOut(24, true), 15);
-    site.submit(ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
-    site.world.time().runUntil(ModelSite.DEFINED_S);
-    site.define("m", 100, 1, 4, ModelSite.IDLE_S, 1);
+    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), 15);
+    site.submit(ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
+    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
+    site.define("m", 100, 1, 4, ModelServingCluster.IDLE_S, 1);
     site.until("m", "ZERO", 40);
     site.world.time().runUntil(200);
     int fetches = site.world.around().coldStarts().fetches();
@@ -357,10 +361,10 @@
    */
   @Test
   void anIdleModelGivesWay() throws MalformedMessageException {
-    ModelSite site = new ModelSite(ClusterSpec.tryOut(6, true), 16);
-    site.submit(ModelSite.job(100, 4, 6, 3, false));
-    site.submit(ModelSite.job(101, 2, 6, 3, false));
-    site.world.time().runUntil(ModelSite.DEFINED_S);
+    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(6, true), 16);
+    site.submit(ModelServingCluster.job(100, 4, 6, 3, false));
+    site.submit(ModelServingCluster.job(101, 2, 6, 3, false));
+    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
     site.define("m", 100, 4, 4, 900, 0);
     site.define("n", 101, 2, 2, 900, 0);
     site.until("n", "ZERO", 40);
@@ -383,7 +387,7 @@
    */
   @Test
   void whatOneThatIsAwayHasSeenCounts() throws MalformedMessageException {
-    ModelSite site = ModelSite.withOne(13, 1);
+    ModelServingCluster site = ModelServingCluster.withOne(13, 1);
     int leader = site.world.leader();
     int other = (leader + 1) % 3;
     site.world
@@ -431,17 +435,17 @@
    * Many models, of which one in twenty is wanted: these come up, and all the others stay at zero.
    */
   private static void manyModels(int count) throws MalformedMessageException {
-    ModelSite site = new ModelSite(ClusterSpec.tryOut(45, true), 14);
+    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(45, true), 14);
     for (int i = 0; i < count; i++) {
-      site.submit(ModelSite.job(1000 + i, 1, 0.25, 0.3, false));
+      site.submit(ModelServingCluster.job(1000 + i, 1, 0.25, 0.3, false));
     }
-    site.world.time().runUntil(ModelSite.DEFINED_S);
+    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < count; i++) {
       int each = i;
       site.world
           .time()
           .at(
-              ModelSite.DEFINED_S + i / 25.0,
+              ModelServingCluster.DEFINED_S + i / 25.0,
               () -> site.defineLater(each % 3, "m" + each, 1000 + each));
     }
     site.world.time().runUntil(120);
--- a/src/test/java/org/quincecross/emulator/ModelSite.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCluster.java
@@ -23,7 +23,7 @@
 import org.quincecross.rollout.Build;
 
 /** Three controllers, some machines, and models among their services, in virtual time. */
-final class ModelSite {
+final class ModelServingCluster {
   static final double DEFINED_S = 18;
   static final double IDLE_S = 20;
 
@@ -34,7 +34,7 @@
   private int requests;
   private final List<JobId> jobs = new ArrayList<>();
 
-  ModelSite(ClusterSpec site, long seed) {
+  ModelServingCluster(ClusterSpec site, long seed) {
     world =
         new SimulatedCluster(
             site,
@@ -44,8 +44,8 @@
   }
 
   /** One of 24 machines with one model of four replicas, {@code least} of which come up with it. */
-  static ModelSite withOne(long seed, int least) throws MalformedMessageException {
-    ModelSite site = new ModelSite(ClusterSpec.tryOut(24, true), seed);
+  static ModelServingCluster withOne(long seed, int least) throws MalformedMessageException {
+    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), seed);
     // So late that its weights are on no machine when it becomes a model.
     site.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
     site.world.time().runUntil(DEFINED_S);
--- a/src/test/java/org/quincecross/emulator/ModelDay.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingScenario.java
@@ -11,7 +11,7 @@
  * A day drawn from a seed: models that are wanted now and then, troubles alone and together, then
  * quiet.
  */
-final class ModelDay {
+final class ModelServingScenario {
   private static final int MODELS = 5;
   private static final int LEAST = 2;
 
@@ -26,19 +26,19 @@
   private static final double LONGEST_TROUBLE_S = 30;
   private static final double QUIET_S = 75;
 
-  private final ModelSite site;
+  private final ModelServingCluster site;
   private final Random random;
   private final List<String> wrong = new ArrayList<>();
 
-  ModelDay(long seed) throws MalformedMessageException {
+  ModelServingScenario(long seed) throws MalformedMessageException {
     random = new Random(seed * 31 + 7);
-    site = new ModelSite(ClusterSpec.tryOut(24, random.nextBoolean()), seed);
+    site = new ModelServingCluster(ClusterSpec.tryOut(24, random.nextBoolean()), seed);
     for (int i = 0; i < MODELS; i++) {
       site.submit(
-          ModelSite.job(
+          ModelServingCluster.job(
               100 + i, i == 0 ? GANG : 4, 3 + random.nextInt(4), 2 + random.nextInt(9), i == 0));
     }
-    site.world.time().runUntil(ModelSite.DEFINED_S);
+    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < MODELS; i++) {
       site.define(name(i), 100 + i, i == 0 ? GANG : LEAST, i == 0 ? GANG : 4);
     }
--- a/src/test/java/org/quincecross/emulator/ModelSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingSeedsTest.java
@@ -13,11 +13,11 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /** Days of models among troubles; many of them with {@code mvn -B -Pseeds test -Dseeds=A-B}. */
-class ModelSeedsTest {
+class ModelServingSeedsTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void someDays(long seed) throws MalformedMessageException {
-    assertEquals(List.of(), new ModelDay(seed).play());
+    assertEquals(List.of(), new ModelServingScenario(seed).play());
   }
 
   @Test
@@ -31,7 +31,7 @@
             seed -> {
               Object findings;
               try {
-                findings = new ModelDay(seed).play();
+                findings = new ModelServingScenario(seed).play();
               } catch (MalformedMessageException | RuntimeException | AssertionError e) {
                 findings = e;
               }
--- a/src/test/java/org/quincecross/emulator/DeafSite.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
@@ -14,7 +14,7 @@
  * Three controllers, 61 machines, services of 80 replicas on them, in virtual time; some machines
  * stop hearing for a while.
  */
-final class DeafSite {
+final class OneWayPartitionCluster {
   static final double LEASE_S = 12;
   static final int REPLICAS = 80;
   private static final double DEAF_AT_S = 35;
@@ -48,7 +48,7 @@
   final List<JobId> services = new ArrayList<>();
   final List<MachineId> deaf = new ArrayList<>();
 
-  DeafSite(long seed) throws MalformedMessageException {
+  OneWayPartitionCluster(long seed) throws MalformedMessageException {
     ClusterSpec site = ClusterSpec.tryOut(60, true);
     world = new SimulatedCluster(site, seed, Meter.OFF);
     for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
@@ -116,7 +116,7 @@
     for (int percent : new int[] {33, 20, 5}) {
       for (double seconds : new double[] {30, 150, 600}) {
         for (long seed = 1; seed <= 3; seed++) {
-          DeafSite site = new DeafSite(seed);
+          OneWayPartitionCluster site = new OneWayPartitionCluster(seed);
           site.deafen(percent, seconds, seed);
           double missing = site.missingUntil(seconds + 60);
           System.out.printf(
--- a/src/test/java/org/quincecross/emulator/DeafMachinesTest.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
@@ -13,18 +13,18 @@
  * controllers: what they had runs elsewhere soon after their leases, they are sent next to nothing,
  * and they are used again when they hear.
  */
-class DeafMachinesTest {
+class OneWayPartitionTest {
   /**
    * A block that went elsewhere meanwhile settles a lease after the last answer that a deaf machine
    * may have taken.
    */
-  private static final double MOST_MISSING_S = 3 * DeafSite.LEASE_S;
+  private static final double MOST_MISSING_S = 3 * OneWayPartitionCluster.LEASE_S;
 
   @ParameterizedTest
   @CsvSource({"20, 150, 1", "33, 150, 1"})
   void whatDeafMachinesHadRunsElsewhereAfterTheirLeases(int percent, double seconds, long seed)
       throws MalformedMessageException {
-    DeafSite site = new DeafSite(seed);
+    OneWayPartitionCluster site = new OneWayPartitionCluster(seed);
     site.deafen(percent, seconds, seed);
     double missing = site.missingUntil(seconds);
     assertTrue(missing < MOST_MISSING_S, "replicas missing for " + missing + " s");
--- a/src/test/java/org/quincecross/emulator/Day.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -18,7 +18,7 @@
 import org.quincecross.rollout.Build;
 
 /** A day drawn from a seed: jobs of all kinds, troubles alone and together, then quiet. */
-final class Day {
+final class RandomScenario {
   private static final double FIRST_TROUBLE_S = 12;
   private static final double LAST_TROUBLE_S = 150;
   private static final double LONGEST_TROUBLE_S = 33;
@@ -41,14 +41,14 @@
   private final long seed;
   private final SimulatedCluster world;
   private final Random random;
-  private final Liveness liveness;
-  private final Meetings meetings;
+  private final LivenessInvariant liveness;
+  private final CombinedFaults meetings;
   private boolean rolls;
 
   private static final Build OLD = Build.present("old", 1);
   private static final Build NEW = Build.present("new", 2);
 
-  Day(long seed) {
+  RandomScenario(long seed) {
     this(seed, new SimulatedCluster(seed));
   }
 
@@ -56,11 +56,11 @@
    * The same with controllers that are replaced by ones of a newer build, back half way or not, in
    * whatever goes on.
    */
-  static Day ofRolls(long seed) {
+  static RandomScenario ofRolls(long seed) {
     SimulatedCluster world =
         new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF, new Features(null, null, OLD));
     world.state().applyLate(60);
-    Day day = new Day(seed, world);
+    RandomScenario day = new RandomScenario(seed, world);
     day.rollAll(10 + 40 * day.random.nextDouble(), NEW);
     if (day.random.nextBoolean()) {
       day.rollAll(30 + 40 * day.random.nextDouble(), OLD);
@@ -76,8 +76,8 @@
    * A day, or one of rolls that are over before, or of troubles that meet, with pipelines of
    * dependent jobs.
    */
-  static Day ofPipelines(long seed) {
-    return (seed % 3 == 2 ? ofMeetings(seed) : new Day(seed)).with(PipelineDays::on);
+  static RandomScenario ofPipelines(long seed) {
+    return (seed % 3 == 2 ? ofMeetings(seed) : new RandomScenario(seed)).with(DependencyFaults::on);
   }
 
   /**
@@ -92,7 +92,7 @@
     }
   }
 
-  private Day(long seed, SimulatedCluster world) {
+  private RandomScenario(long seed, SimulatedCluster world) {
     this(seed, world, null);
     for (int i = 0; i < JOBS; i++) {
       int number = 1000 + i;
@@ -106,16 +106,16 @@
     }
   }
 
-  private Day(long seed, SimulatedCluster world, Meetings meetings) {
+  private RandomScenario(long seed, SimulatedCluster world, CombinedFaults meetings) {
     this.seed = seed;
     this.world = world;
     this.meetings = meetings;
     random = world.random();
-    liveness = new Liveness(world);
+    liveness = new LivenessInvariant(world);
   }
 
   /** A day of troubles that meet on purpose, on one of several sites. */
-  static Day ofMeetings(long seed) {
+  static RandomScenario ofMeetings(long seed) {
     return ofMeetings(seed, Set.of(), false);
   }
 
@@ -123,12 +123,12 @@
    * The same with lost answers, kept reports, mute machines and quick boots, each of them with any
    * other trouble.
    */
-  static Day ofFurtherMeetings(long seed) {
+  static RandomScenario ofFurtherMeetings(long seed) {
     return ofMeetings(seed, Set.of(), true);
   }
 
   /** The same with only some of its meetings, by number; none named: all. */
-  static Day ofMeetings(long seed, Set<Integer> only, boolean further) {
+  static RandomScenario ofMeetings(long seed, Set<Integer> only, boolean further) {
     ClusterSpec site = ClusterSpec.small();
     List<Settings.AgentTimeouts> workers =
         List.of(
@@ -140,7 +140,8 @@
             site.with(workers.get((int) Math.floorMod(seed, (long) workers.size()))),
             seed,
             Meter.OFF);
-    Day day = new Day(seed, world, new Meetings(world, seed, only, further));
+    RandomScenario day =
+        new RandomScenario(seed, world, new CombinedFaults(world, seed, only, further));
     for (int i = 0; i < JOBS; i++) {
       int number = 1000 + i;
       world.time().at(3 + i * 2.2, () -> world.users().submit(number));
@@ -152,7 +153,7 @@
   }
 
   /** Has more troubles beside those of the day. */
-  Day with(BiConsumer<SimulatedCluster, Long> more) {
+  RandomScenario with(BiConsumer<SimulatedCluster, Long> more) {
     more.accept(world, seed);
     return this;
   }
@@ -261,7 +262,7 @@
           machines.stream()
               .filter(each -> random.nextInt(4) == 0)
               .forEach(each -> world.cloud().take(each, 3 + random.nextDouble() * 15));
-      case 10 -> new Cuts(world).zone(node % world.site().zones().size(), length, lose);
+      case 10 -> new ZonePartitions(world).zone(node % world.site().zones().size(), length, lose);
       case 11 ->
           machines.forEach(
               each ->
--- a/src/test/java/org/quincecross/emulator/WholeServiceTest.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
@@ -18,19 +18,19 @@
  * Days of a whole deployment with troubles drawn from fixed seeds: every rule is kept, and all work
  * gets done.
  */
-class WholeServiceTest {
+class RandomScenarioTest {
   @ParameterizedTest
   @ValueSource(
       longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 515, 528, 10199, 21435, 21580, 23492})
   void keepsTheRulesAndFinishesTheWork(long seed) {
-    assertEquals(List.of(), new Day(seed).play());
+    assertEquals(List.of(), new RandomScenario(seed).play());
   }
 
   /** Troubles that meet on purpose: what is begun in one is not over when the next comes. */
   @ParameterizedTest
   @ValueSource(longs = {101, 1328, 10237})
   void keepsTheRulesWhenTroublesMeet(long seed) {
-    assertEquals(List.of(), Day.ofMeetings(seed).play());
+    assertEquals(List.of(), RandomScenario.ofMeetings(seed).play());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -126,10 +126,10 @@
    * troubles that meet.
    */
   private void troubles() {
-    new Day(40).with((world, seed) -> watch(world, 300)).play();
-    Day.ofPipelines(42).with((world, seed) -> watch(world, 200)).play();
-    Day.ofRolls(43).with((world, seed) -> watch(world, 200)).play();
-    Day.ofFurtherMeetings(44).with((world, seed) -> watch(world, 200)).play();
+    new RandomScenario(40).with((world, seed) -> watch(world, 300)).play();
+    RandomScenario.ofPipelines(42).with((world, seed) -> watch(world, 200)).play();
+    RandomScenario.ofRolls(43).with((world, seed) -> watch(world, 200)).play();
+    RandomScenario.ofFurtherMeetings(44).with((world, seed) -> watch(world, 200)).play();
   }
 
   private void watch(SimulatedCluster world, double untilS) {
@@ -403,7 +403,7 @@
   }
 
   private void holds() throws MalformedMessageException {
-    HoldSite site = new HoldSite(SWEEPS, 30, 47);
+    LegalHoldCluster site = new LegalHoldCluster(SWEEPS, 30, 47);
     watch(site.world, 160);
     site.told("sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
     site.at(44, () -> site.open(0, "ref-1", "r1", "cdr/2025-03"));
@@ -416,10 +416,12 @@
   }
 
   private void models() throws MalformedMessageException {
-    ModelSite site = new ModelSite(ClusterSpec.tryOut(24, true), 48);
+    ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), 48);
     watch(site.world, 150);
-    site.submitAt(ModelSite.DEFINED_S - 0.5, ModelSite.job(100, 4, 6, ModelSite.FETCH_S, false));
-    runUntil(site.world, ModelSite.DEFINED_S);
+    site.submitAt(
+        ModelServingCluster.DEFINED_S - 0.5,
+        ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
+    runUntil(site.world, ModelServingCluster.DEFINED_S);
     site.define("m", 100, 2, 4);
     site.wakeAt(50, 1, "m");
     for (int i = 0; i < 30; i++) {
--- a/src/test/java/org/quincecross/emulator/AgreedCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
@@ -25,10 +25,10 @@
  * Records that three controllers agree on, and what they keep from running, among troubles, in
  * virtual time.
  */
-class AgreedCasesTest {
-  private final AgreedDay day = new AgreedDay(7);
+class ReplicatedRecordCasesTest {
+  private final ReplicatedRecordCluster day = new ReplicatedRecordCluster(7);
 
-  AgreedCasesTest() throws MalformedMessageException {}
+  ReplicatedRecordCasesTest() throws MalformedMessageException {}
 
   /**
    * Requests come twice, at two controllers at once, and again later; some transactions are applied
@@ -37,24 +37,24 @@
   @ParameterizedTest
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
   void eachRequestIsOneChange(long seed, int trouble) throws MalformedMessageException {
-    AgreedDay drawn = new AgreedDay(seed);
+    ReplicatedRecordCluster drawn = new ReplicatedRecordCluster(seed);
     drawn.world.state().applyLate(4);
     for (int i = 0; i < 30; i++) {
       String name = "pass-" + i;
       int node = i;
-      double at = AgreedDay.READY_S + 20 + 0.7 * i;
+      double at = ReplicatedRecordCluster.READY_S + 20 + 0.7 * i;
       drawn.world.time().at(at, () -> drawn.ask(node, "count", name, "pass"));
       drawn.world.time().at(at + 0.003, () -> drawn.ask(node + 1, "count", name, "pass"));
       drawn.world.time().at(at + 40, () -> drawn.ask(node + 2, "count", name, "pass"));
     }
-    drawn.world.time().at(AgreedDay.READY_S + 30, () -> drawn.trouble(trouble));
+    drawn.world.time().at(ReplicatedRecordCluster.READY_S + 30, () -> drawn.trouble(trouble));
     // A request is known for two minutes by its name: later ones wait until there is room for
     // theirs.
-    drawn.world.time().runUntil(AgreedDay.READY_S + 700);
+    drawn.world.time().runUntil(ReplicatedRecordCluster.READY_S + 700);
     assertEquals(List.of(), drawn.wrong);
     assertEquals(30, drawn.told.size(), () -> drawn.told.keySet().toString());
     assertEquals(Set.copyOf(drawn.told.values()).size(), 30);
-    for (AgreedDay.Gates each : drawn.gates) {
+    for (ReplicatedRecordCluster.Gates each : drawn.gates) {
       assertEquals(30, each.index.state("count").passed());
     }
     assertFalse(drawn.gates[0].index.pages().isEmpty(), "no page of the trail");
@@ -68,7 +68,7 @@
   @ParameterizedTest
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
   void whatIsKeptBackDoesNotRun(long seed, int trouble) throws MalformedMessageException {
-    AgreedDay drawn = new AgreedDay(seed);
+    ReplicatedRecordCluster drawn = new ReplicatedRecordCluster(seed);
     drawn.world.state().applyLate(20);
     int i = 0;
     for (JobId id : drawn.jobs.keySet()) {
@@ -77,23 +77,23 @@
           .world
           .time()
           .at(
-              AgreedDay.READY_S + 10 + 0.9 * n,
+              ReplicatedRecordCluster.READY_S + 10 + 0.9 * n,
               () -> drawn.ask(n, id.text(), "close-" + id, "close"));
       drawn
           .world
           .time()
           .at(
-              AgreedDay.READY_S + 110 + 0.9 * n,
+              ReplicatedRecordCluster.READY_S + 110 + 0.9 * n,
               () -> drawn.ask(n + 1, id.text(), "open-" + id, "open"));
     }
-    drawn.world.time().at(AgreedDay.READY_S + 16, () -> drawn.trouble(trouble));
-    drawn.world.time().runUntil(AgreedDay.READY_S + 109);
+    drawn.world.time().at(ReplicatedRecordCluster.READY_S + 16, () -> drawn.trouble(trouble));
+    drawn.world.time().runUntil(ReplicatedRecordCluster.READY_S + 109);
     assertEquals(drawn.jobs.keySet(), drawn.proven.keySet());
     assertEquals(0, drawn.world.rules().onMachines());
     for (JobId id : drawn.jobs.keySet()) {
       assertTrue(Set.of("queued", "done").contains(drawn.world.users().told().get(id)), id.text());
     }
-    drawn.assertAllIsWell(AgreedDay.READY_S + 360);
+    drawn.assertAllIsWell(ReplicatedRecordCluster.READY_S + 360);
   }
 
   /**
@@ -102,7 +102,7 @@
    */
   @Test
   void whatWasPlannedBeforeItWasKeptBackIsNotAllocated() throws MalformedMessageException {
-    day.world.time().runUntil(AgreedDay.READY_S + 10);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     JobId late = new JobId("job-4711");
     Job like =
         day.jobs.values().stream()
@@ -138,8 +138,8 @@
         2,
         SimulatedCluster.Mishap.STILL_BEFORE);
     day.world.users().submit(job);
-    double until = AgreedDay.READY_S + 11;
-    while (day.world.mishapHit() < 0 && until < AgreedDay.READY_S + 15) {
+    double until = ReplicatedRecordCluster.READY_S + 11;
+    while (day.world.mishapHit() < 0 && until < ReplicatedRecordCluster.READY_S + 15) {
       until += 0.01;
       day.world.time().runUntil(until);
     }
@@ -148,10 +148,10 @@
     day.ask(leader + 1, late.text(), "close", "close");
     day.world.time().runUntil(until + 1.5);
     assertTrue(day.proven.containsKey(late), "not proven before the transaction is sent");
-    day.world.time().runUntil(AgreedDay.READY_S + 30);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 30);
     assertEquals(List.of(), day.wrong);
     day.ask(leader, late.text(), "open", "open");
-    day.assertAllIsWell(AgreedDay.READY_S + 200);
+    day.assertAllIsWell(ReplicatedRecordCluster.READY_S + 200);
   }
 
   /**
@@ -160,17 +160,17 @@
    */
   @Test
   void refusedUntilAllHaveIt() throws MalformedMessageException {
-    day.world.install(2, AgreedDay.OLD);
+    day.world.install(2, ReplicatedRecordCluster.OLD);
     day.world.crash(2);
-    day.world.time().runUntil(AgreedDay.READY_S + 10);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     List<String> answers = new ArrayList<>();
     for (int node = 0; node < 3; node++) {
       day.world.ask(
           node,
-          AgreedDay.post("count", "early", "pass"),
+          ReplicatedRecordCluster.post("count", "early", "pass"),
           response -> answers.add(response.status() + " " + new String(response.body(), UTF_8)));
     }
-    day.world.time().runUntil(AgreedDay.READY_S + 12);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
     assertEquals(3, answers.size());
     for (String answer : answers) {
       assertTrue(
@@ -178,32 +178,32 @@
           answer);
     }
     assertTrue(day.world.state().under("q/agreed/").isEmpty());
-    day.world.roll(2, AgreedDay.NEW);
-    day.world.time().runUntil(AgreedDay.READY_S + 40);
+    day.world.roll(2, ReplicatedRecordCluster.NEW);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 40);
     day.ask(2, "count", "early", "pass");
-    day.world.time().runUntil(AgreedDay.READY_S + 42);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 42);
     assertEquals(1L, day.told.get("early"));
   }
 
   /** All know of a change soon; with one cut off it is known by time, and not before. */
   @Test
   void sinceWhenAllKnow() {
-    day.world.time().runUntil(AgreedDay.READY_S + 10);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     day.ask(0, "count", "first", "pass");
-    day.world.time().runUntil(AgreedDay.READY_S + 12);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
     Revision first = day.gates[0].index.get("count").version();
     assertEquals(
         ReplicationBarrier.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
     day.world.silence(2, 120, true);
-    day.world.time().runUntil(AgreedDay.READY_S + 18);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 18);
     day.ask(0, "count", "second", "pass");
-    day.world.time().runUntil(AgreedDay.READY_S + 20);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 20);
     Revision second = day.gates[0].index.get("count").version();
     ReplicationBarrier.Answer answer = day.gates[0].base.known().of(second);
     assertEquals(ReplicationBarrier.State.SPREADING, answer.state());
     assertEquals("[n2]", answer.missing().toString());
     double left = answer.latest().since(day.gates[0].base.timers().now()).seconds();
-    day.world.time().runUntil(AgreedDay.READY_S + 20 + left - 0.5);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 20 + left - 0.5);
     assertEquals(ReplicationBarrier.State.SPREADING, day.gates[0].base.known().of(second).state());
     day.world.time().runUntil(day.world.time().seconds() + 1.5);
     assertEquals(
@@ -217,18 +217,18 @@
   @ParameterizedTest
   @ValueSource(strings = {"q/agreed/gate/job-1", "q/agreed/unknown/x"})
   void whatCannotBeReadIsNotIgnored(String key) throws MalformedMessageException {
-    day.world.time().runUntil(AgreedDay.READY_S + 10);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     day.world
         .state()
         .write(key, Json.object("must", true, "change", 1, "state", "from the future"));
-    day.world.time().runUntil(AgreedDay.READY_S + 16);
+    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 16);
     for (int node = 0; node < 3; node++) {
       assertTrue(
           day.world.status(node).string("unable").contains(key),
           day.world.status(node).string("unable"));
     }
     day.world.state().write(key, null);
-    day.assertAllIsWell(AgreedDay.READY_S + 260);
+    day.assertAllIsWell(ReplicatedRecordCluster.READY_S + 260);
     assertFalse(day.world.leader() < 0);
   }
 }
--- a/src/test/java/org/quincecross/emulator/AgreedDay.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
@@ -24,7 +24,7 @@
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.replicated.Gate;
+import org.quincecross.replicated.GateKind;
 import org.quincecross.replicated.StartBlock;
 import org.quincecross.rollout.Build;
 import org.quincecross.state.ReplicatedRecordIndex;
@@ -34,7 +34,7 @@
  * A site with records that its three controllers agree on, and a watch over what they keep from
  * running, in virtual time.
  */
-final class AgreedDay {
+final class ReplicatedRecordCluster {
   static final Build NEW = Build.present("new", 3);
   static final Build OLD = Build.present("old", 2);
 
@@ -69,12 +69,12 @@
   /** What a controller knows of the gates. */
   static final class Gates implements StartBlock {
     final ReplicatedFeatureContext base;
-    final ReplicatedRecordIndex<Gate.State, Gate.Command> index;
+    final ReplicatedRecordIndex<GateKind.State, GateKind.Command> index;
     private final Set<JobId> closed = new HashSet<>();
 
     Gates(ReplicatedFeatureContext base) {
       this.base = base;
-      this.index = base.cache().replicatedRecords().add(new Gate());
+      this.index = base.cache().replicatedRecords().add(new GateKind());
       base.startBlock().add(this);
       base.cache()
           .addListener(
@@ -108,7 +108,7 @@
 
     /** Whether all tasks of a job whose gate is closed are proven gone here. */
     boolean isProven(JobId id, int tasks) {
-      ReplicatedRecordIndex.Held<Gate.State> held = index.get(id.text());
+      ReplicatedRecordIndex.Held<GateKind.State> held = index.get(id.text());
       return base.cache().isLoaded()
           && held != null
           && held.state().closed()
@@ -131,7 +131,7 @@
   /** Requests by their names, that were told to be durable, with the change that was told. */
   final Map<String, Long> told = new TreeMap<>();
 
-  AgreedDay(long seed) throws MalformedMessageException {
+  ReplicatedRecordCluster(long seed) throws MalformedMessageException {
     world =
         new SimulatedCluster(
             site, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
@@ -167,7 +167,7 @@
                 long change = ((Number) map.get("change")).longValue();
                 proven.computeIfPresent(id, (job, by) -> by.change() == change ? by : null);
                 for (Gates each : gates) {
-                  ReplicatedRecordIndex.Held<Gate.State> held = each.index.get(id.text());
+                  ReplicatedRecordIndex.Held<GateKind.State> held = each.index.get(id.text());
                   if (held == null || held.record().change() != change) {
                     continue;
                   }
--- a/src/test/java/org/quincecross/emulator/AnswersInTimeTest.java
+++ b/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
@@ -12,7 +12,7 @@
  * Whatever the state service does, a user is answered well before he stops waiting: 5 s for a
  * submission or a cancellation, 2 s for a poll.
  */
-class AnswersInTimeTest {
+class ResponseDeadlineTest {
   private static final double MOST_CHANGE_S = 3.3;
   private static final double MOST_POLL_S = 1.7;
 
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -12,19 +12,19 @@
 
 /**
  * Many days, for a machine with time: {@code mvn -B -Pseeds test -Dseeds=20000-24999}. No part of
- * the ordinary tests. A seed that fails here goes into {@link WholeServiceTest}.
+ * the ordinary tests. A seed that fails here goes into {@link RandomScenarioTest}.
  */
 @Tag("seeds")
 class SeedsTest {
   @Test
   void everyDayKeepsTheRulesAndNothingHangs() {
-    play(Day::new);
+    play(RandomScenario::new);
   }
 
   /** The same while controllers are replaced by ones with another form of the records. */
   @Test
   void everyDayOfRollsKeepsTheRulesAndNothingHangs() {
-    play(Day::ofRolls);
+    play(RandomScenario::ofRolls);
   }
 
   /**
@@ -38,10 +38,10 @@
     int controllers = Integer.getInteger("controllers", 3);
     play(
         seed ->
-            (seed % 2 == 0 ? new Day(seed) : Day.ofRolls(seed))
+            (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
                 .with(
                     (world, each) ->
-                        new BackAtOnce(world, each)
+                        new FastRestartFaults(world, each)
                             .copies(share)
                             .machines(1.0 / 6, machines)
                             .controllers(controllers)));
@@ -53,7 +53,10 @@
    */
   @Test
   void everyDayOfLateWritesKeepsTheRulesAndNothingHangs() {
-    play(seed -> (seed % 2 == 0 ? new Day(seed) : Day.ofRolls(seed)).with(LateWriteDays::on));
+    play(
+        seed ->
+            (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
+                .with(DelayedTransactionFaults::on));
   }
 
   /**
@@ -71,13 +74,13 @@
    */
   @Test
   void everyDayOfLeaderChangesKeepsTheRulesAndNothingHangs() {
-    playAll(seed -> new LeaderDay(seed).play());
+    playAll(seed -> new LeaderFailureScenario(seed).play());
   }
 
   /** Troubles that meet on purpose. */
   @Test
   void everyDayOfMeetingsKeepsTheRulesAndNothingHangs() {
-    play(Day::ofMeetings);
+    play(RandomScenario::ofMeetings);
   }
 
   /**
@@ -85,28 +88,28 @@
    */
   @Test
   void everyDayOfFurtherMeetingsKeepsTheRulesAndNothingHangs() {
-    play(Day::ofFurtherMeetings);
+    play(RandomScenario::ofFurtherMeetings);
   }
 
   /** The same beside the troubles that users make. */
   @Test
   void everyDayOfMeetingsAndUsersTroublesKeepsTheRulesAndNothingHangs() {
-    play(seed -> Day.ofMeetings(seed).with(UserTroubles::on));
+    play(seed -> RandomScenario.ofMeetings(seed).with(UserErrorFaults::on));
   }
 
   /** The state service refuses one controller, then everybody, while users cancel and ask. */
   @Test
   void everyGapDayKeepsTheRulesAndNothingHangs() {
-    playAll(seed -> new GapDay(seed).play());
+    playAll(seed -> new CancellationDuringOutageScenario(seed).play());
   }
 
   /** Jobs that wait for others, cancelled at every stage, among all troubles. */
   @Test
   void everyDayOfPipelinesKeepsTheRulesAndNothingHangs() {
-    play(Day::ofPipelines);
+    play(RandomScenario::ofPipelines);
   }
 
-  private static void play(LongFunction<Day> day) {
+  private static void play(LongFunction<RandomScenario> day) {
     playAll(seed -> day.apply(seed).play());
   }
 
--- a/src/test/java/org/quincecross/emulator/SlowStateTest.java
+++ b/src/test/java/org/quincecross/emulator/SlowStoreTest.java
@@ -16,7 +16,7 @@
  * answered or refused before it stops waiting, what the controllers have under way stays bounded,
  * and soon after it each question is answered again.
  */
-class SlowStateTest {
+class SlowStoreTest {
   private static final double FROM_S = 30;
   private static final double SECONDS = 60;
   private static final double MOST_CHANGE_S = 3.3;
--- a/src/test/java/org/quincecross/emulator/FallingLimitsTest.java
+++ b/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
@@ -32,7 +32,7 @@
  * larger than it takes from then on. Three controllers, in virtual time.
  */
 @Timeout(120)
-class FallingLimitsTest {
+class StoreLimitReductionTest {
   private static final Settings.StoreLimits LOW = new Settings.StoreLimits(400, 40, 1024, 4);
   private static final Build NEW = Build.present("new", 2);
   private static final int JOBS = 420;
@@ -47,7 +47,7 @@
   private final List<JobId> batch = new ArrayList<>();
   private final List<JobId> services = new ArrayList<>();
 
-  FallingLimitsTest() {
+  StoreLimitReductionTest() {
     for (int i = 0; i < JOBS; i++) {
       Job job = job(1_000_000_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.1, 35);
       batch.add(job.id());
--- a/src/test/java/org/quincecross/emulator/FullTeamsTest.java
+++ b/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
@@ -27,7 +27,7 @@
  * are cancelled and troubles meet. What cannot be reached counts until it is proven gone: by its
  * team's limit, and by its zone. Three controllers, 30 machines, virtual time.
  */
-class FullTeamsTest {
+class TeamLimitDuringFailuresTest {
   private static final double AT_S = 28;
   private static final double OVER_S = 110;
   private static final int WAVE = 14;
@@ -160,7 +160,7 @@
         world.time().after(20, () -> world.holdMessages(0, 0, random));
       }
       case ZONE -> {
-        new Cuts(world)
+        new ZonePartitions(world)
             .zone(random.nextInt(3), lease + 2 + 24 * random.nextDouble(), random.nextBoolean());
         callOff(WAVE, 16);
       }
@@ -300,7 +300,8 @@
     Map<Long, List<String>> wrong = new TreeMap<>();
     for (long seed = Long.parseLong(range[0]); seed <= Long.parseLong(range[1]); seed++) {
       List<String> found =
-          new FullTeamsTest().play(Trouble.values()[(int) (seed % Trouble.values().length)], seed);
+          new TeamLimitDuringFailuresTest()
+              .play(Trouble.values()[(int) (seed % Trouble.values().length)], seed);
       if (!found.isEmpty()) {
         wrong.put(seed, found);
       }
--- a/src/test/java/org/quincecross/emulator/GuestsTest.java
+++ b/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
@@ -18,7 +18,7 @@
  * A team that comes without a guarantee: a swarm of tiny jobs, one huge array, long idle work;
  * beside others, in virtual time.
  */
-class GuestsTest {
+class UnguaranteedTeamTest {
   private static final ClusterSpec WIDE = ClusterSpec.tryOut(45, true);
 
   /** Fewer changes a second than jobs come in one. */
--- a/src/test/java/org/quincecross/emulator/UserTroubles.java
+++ b/src/test/java/org/quincecross/emulator/UserErrorFaults.java
@@ -4,17 +4,17 @@
 import java.util.SplittableRandom;
 
 /**
- * Troubles that users make, drawn beside those of a {@link Day} from a source of their own: they
- * look closely, call off at the end and many at once, err, and on some days submit one class of
- * one-task jobs, four a second, a quarter of them called off.
+ * Troubles that users make, drawn beside those of a {@link RandomScenario} from a source of their
+ * own: they look closely, call off at the end and many at once, err, and on some days submit one
+ * class of one-task jobs, four a second, a quarter of them called off.
  */
-final class UserTroubles {
+final class UserErrorFaults {
   private static final double FROM_S = 14;
   private static final double UNTIL_S = 150;
 
-  private UserTroubles() {}
+  private UserErrorFaults() {}
 
-  /** For {@link Day#with}. */
+  /** For {@link RandomScenario#with}. */
   static void on(SimulatedCluster world, long seed) {
     Random random = new Random(new SplittableRandom(seed * 3011 + 5).nextLong());
     double seconds = 20 + 60 * random.nextDouble();
--- a/src/test/java/org/quincecross/emulator/Cuts.java
+++ b/src/test/java/org/quincecross/emulator/ZonePartitions.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /** Cuts of many links at once. */
-final class Cuts {
+final class ZonePartitions {
   private final SimulatedCluster world;
 
-  Cuts(SimulatedCluster world) {
+  ZonePartitions(SimulatedCluster world) {
     this.world = world;
   }
 
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -22,7 +22,7 @@
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.net.StillClock;
+import org.quincecross.net.ManualClock;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.protocol.Json;
@@ -39,7 +39,7 @@
   private final ClusterStateCache cache = new ClusterStateCache();
   private final AllocationIndex allocationIndex = new AllocationIndex(cache);
   private final PeerViews views = new PeerViews();
-  private final StillClock timers = new StillClock();
+  private final ManualClock timers = new ManualClock();
   private long revision;
 
   private void put(String key, Object value) {
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -22,7 +22,7 @@
 import org.quincecross.model.Revision;
 import org.quincecross.model.ShardId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.net.StillClock;
+import org.quincecross.net.ManualClock;
 import org.quincecross.peer.PeerHeartbeat;
 import org.quincecross.peer.PeerViews;
 import org.quincecross.protocol.CloudCodec;
@@ -49,7 +49,7 @@
   private static final ShardId BLOCK = new ShardId("b");
   private static final Endpoint HERE = new Endpoint("10.0.0.1", 1);
 
-  private final StillClock clock = new StillClock();
+  private final ManualClock clock = new ManualClock();
   private final ClusterStateCache cache = new ClusterStateCache();
   private final PeerViews views = new PeerViews();
   private final ShardLeaseManager leases;
--- a/src/test/java/org/quincecross/net/StillClock.java
+++ b/src/test/java/org/quincecross/net/ManualClock.java
@@ -4,7 +4,7 @@
 import org.quincecross.model.TimeSpan;
 
 /** A clock that a test moves by hand, for what asks for the time alone. */
-public final class StillClock implements Timers {
+public final class ManualClock implements Timers {
   private long nanos;
 
   public long nanos() {
--- a/src/test/java/org/quincecross/net/SteppedClock.java
+++ b/src/test/java/org/quincecross/net/ManualTimers.java
@@ -6,7 +6,7 @@
 import org.quincecross.model.TimeSpan;
 
 /** A clock that a test moves by hand, with timers that go off as it passes them. */
-public final class SteppedClock implements Timers {
+public final class ManualTimers implements Timers {
   private record Due(long at, long order, Runnable action) {}
 
   private final PriorityQueue<Due> due =
--- a/src/test/java/org/quincecross/replicated/Gate.java
+++ b/src/test/java/org/quincecross/replicated/GateKind.java
@@ -8,7 +8,7 @@
  * A kind for tests: what is closed keeps all tasks of the job of its name back; and each passing
  * counts.
  */
-public final class Gate implements RecordKind<Gate.State, Gate.Command> {
+public final class GateKind implements RecordKind<GateKind.State, GateKind.Command> {
   public record State(boolean closed, long passed) {}
 
   public enum Command {
--- a/src/test/java/org/quincecross/replicated/ReplicatedRecordModelTest.java
+++ b/src/test/java/org/quincecross/replicated/ReplicatedRecordModelTest.java
@@ -33,10 +33,10 @@
 
   private static final int FENCE = 2;
   private static final int ALLOCATION = 4;
-  private static final Gate GATE = new Gate();
+  private static final GateKind GATE = new GateKind();
   private static final CommandOrigin NOW = new CommandOrigin(1_000_000, 10, "");
-  private static final Gate.Command[] REQUESTS = {
-    Gate.Command.CLOSE, Gate.Command.OPEN, Gate.Command.CLOSE
+  private static final GateKind.Command[] REQUESTS = {
+    GateKind.Command.CLOSE, GateKind.Command.OPEN, GateKind.Command.CLOSE
   };
 
   /** What can be left out, to see that the model finds what it guards against. */
@@ -70,11 +70,15 @@
    * failed makes it nothing.
    */
   private record Txn(
-      Write write, int request, ReplicatedRecord<Gate.State> next, boolean raises, int guards) {}
+      Write write,
+      int request,
+      ReplicatedRecord<GateKind.State> next,
+      boolean raises,
+      int guards) {}
 
   /** A state of everything. */
   private static final class State implements Cloneable {
-    private ReplicatedRecord<Gate.State> record = ReplicatedRecord.none(GATE);
+    private ReplicatedRecord<GateKind.State> record = ReplicatedRecord.none(GATE);
     private boolean allocated;
     private boolean runs;
 
@@ -133,8 +137,8 @@
     }
 
     @SuppressWarnings("unchecked")
-    private ReplicatedRecord<Gate.State> known(int node) {
-      return (ReplicatedRecord<Gate.State>) known[node];
+    private ReplicatedRecord<GateKind.State> known(int node) {
+      return (ReplicatedRecord<GateKind.State>) known[node];
     }
   }
 
@@ -187,21 +191,21 @@
   /** A request comes, for the first time or again: the steps are those of the program. */
   private void ask(State from, int node, Consumer<State> next) {
     for (int request = 0; request < REQUESTS.length; request++) {
-      ReplicatedRecord<Gate.State> known = from.known(node);
+      ReplicatedRecord<GateKind.State> known = from.known(node);
       if (!guards.contains(Guard.ONCE_BY_NAME)) {
         known = new ReplicatedRecord<>(known.state(), known.change(), List.of(), known.trail());
       }
-      ReplicatedRecord.Result<Gate.State> result =
+      ReplicatedRecord.Result<GateKind.State> result =
           known.apply(GATE, "g", Revision.NONE, "r" + request, -1, REQUESTS[request], NOW);
       State state = from.copy();
       if (result instanceof ReplicatedRecord.Result.Known) {
         state.told |= 1 << request;
-      } else if (result instanceof ReplicatedRecord.Result.Write<Gate.State> write) {
+      } else if (result instanceof ReplicatedRecord.Result.Write<GateKind.State> write) {
         if ((from.stale[node] & RECORD) != 0 && guards.contains(Guard.CHANGE_BY_VERSION)) {
           continue; // would fail
         }
         // The trail grows with each change and is of no concern here.
-        ReplicatedRecord<Gate.State> kept =
+        ReplicatedRecord<GateKind.State> kept =
             new ReplicatedRecord<>(
                 write.next().state(), write.next().change(), write.next().requests(), List.of());
         state.txn[node] =
--- a/src/test/java/org/quincecross/shard/WaitingJobTest.java
+++ b/src/test/java/org/quincecross/shard/DependentJobTest.java
@@ -31,7 +31,7 @@
  * A holder starts nothing of a job that waits for another, whatever its block has been given: that
  * goes back.
  */
-class WaitingJobTest extends ShardOwnerHarness {
+class DependentJobTest extends ShardOwnerHarness {
   private static Job job(JobId id, Set<JobId> waitsOn) {
     return new Job(
         id,
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -29,7 +29,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpCaller;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.net.StillClock;
+import org.quincecross.net.ManualClock;
 import org.quincecross.net.Timers;
 import org.quincecross.protocol.CloudCodec;
 import org.quincecross.protocol.Heartbeat;
@@ -62,7 +62,7 @@
   final ClusterStateCache cache = new ClusterStateCache();
   final List<Consumer<HttpOutcome>> calls = new ArrayList<>();
   final List<String> sent = new ArrayList<>();
-  final StillClock clock = new StillClock();
+  final ManualClock clock = new ManualClock();
   long revision;
   long lastConfirmed = Long.MAX_VALUE;
   long order;
--- a/src/test/java/org/quincecross/state/StateWatcherTest.java
+++ b/src/test/java/org/quincecross/state/StateWatcherTest.java
@@ -13,7 +13,7 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Endpoint;
 import org.quincecross.net.HttpOutcome;
-import org.quincecross.net.SteppedClock;
+import org.quincecross.net.ManualTimers;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.Settings;
 
@@ -36,7 +36,7 @@
     }
   }
 
-  private final SteppedClock clock = new SteppedClock();
+  private final ManualTimers clock = new ManualTimers();
   private final ClusterStateCache cache = new ClusterStateCache();
   private final List<Call> calls = new ArrayList<>();
   private StateWatcher watcher;
