--- a/src/main/java/org/quincecross/emulator/Measurement.java
+++ b/src/main/java/org/quincecross/emulator/Measurement.java
@@ -85,7 +85,7 @@
       {"timer Autoscaler", "a look at the fleet"},
       {"timer OwnedShards", "a look at the blocks held"},
       {"peer report", "a peer's report"},
-      {"timer Controller", "telling the peers"},
+      {"timer PeerReporter", "telling the peers"},
       {"answer /orders", "a worker's answer to a command"},
       {"answer /hosts", "the cloud's list"},
       {"timer StallDetector", "a look for stalled jobs"},
