--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -58,7 +58,7 @@
   private final ControllerId self;
   private final ForeignHeartbeats strays = new ForeignHeartbeats();
   private final UnassignedMachines unassignedMachines;
-  private final IsolationDetector aloneness;
+  private final IsolationDetector isolation;
   private List<Waiting> waiting = new ArrayList<>();
   private boolean lookPlanned;
 
@@ -70,7 +70,7 @@
       PeerViews views,
       HttpCaller http,
       ControllerId self,
-      IsolationDetector aloneness) {
+      IsolationDetector isolation) {
     this.timers = timers;
     this.cache = cache;
     this.ownedShards = ownedShards;
@@ -78,7 +78,7 @@
     this.views = views;
     this.self = self;
     this.unassignedMachines = new UnassignedMachines(timers, http, leader);
-    this.aloneness = aloneness;
+    this.isolation = isolation;
   }
 
   /** Machines of other controllers' shards that have reported here recently. */
@@ -100,7 +100,7 @@
       return;
     }
     ShardLease lease = cache.shardOf(heartbeat.machine().id());
-    aloneness.machineReported(
+    isolation.machineReported(
         heartbeat.token(),
         new FencingToken(cache.revision().value()),
         lease != null && lease.owner().equals(self),
@@ -156,11 +156,11 @@
     if (view == null || timers.now().since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
       return false;
     }
-    PeerViews.ShardView block = view.shards().get(lease.id());
+    PeerViews.ShardView shardView = view.shards().get(lease.id());
     PeerHeartbeat.MachineState state =
-        block == null || !block.token().equals(lease.token())
+        shardView == null || !shardView.token().equals(lease.token())
             ? null
-            : block.machines().get(machine);
+            : shardView.machines().get(machine);
     return state != null && state.silentFor().isLongerThan(UNHEARD);
   }
 
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -156,14 +156,14 @@
       return own.hasAllFenced();
     }
     PeerViews.View view = views.of(lease.owner());
-    PeerViews.ShardView block = view == null ? null : view.shards().get(lease.id());
-    if (block == null
-        || !block.token().equals(lease.token())
+    PeerViews.ShardView shardView = view == null ? null : view.shards().get(lease.id());
+    if (shardView == null
+        || !shardView.token().equals(lease.token())
         || record.version().isAfter(view.cacheRevision())) {
       return false;
     }
     for (MachineId machine : lease.machines().keySet()) {
-      PeerHeartbeat.MachineState state = block.machines().get(machine);
+      PeerHeartbeat.MachineState state = shardView.machines().get(machine);
       if (state == null || !state.fenced()) {
         return false;
       }
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -309,8 +309,8 @@
     for (ShardId id : cache.shardsOf(job)) {
       ShardLease lease = ownedShards.get(id) == null ? cache.shard(id) : null;
       PeerViews.View view = lease == null ? null : views.of(lease.owner());
-      PeerViews.ShardView block = view == null ? null : view.shards().get(id);
-      count += block == null ? 0 : block.running().getOrDefault(job, 0);
+      PeerViews.ShardView shardView = view == null ? null : view.shards().get(id);
+      count += shardView == null ? 0 : shardView.running().getOrDefault(job, 0);
     }
     return count;
   }
@@ -478,9 +478,9 @@
 
   @Override
   public boolean allControllersHaveSeen(Revision revision) {
-    for (Settings.Peer sibling : settings.peers()) {
-      PeerViews.View view = views.of(sibling.id());
-      if (!sibling.id().equals(settings.self())
+    for (Settings.Peer peer : settings.peers()) {
+      PeerViews.View view = views.of(peer.id());
+      if (!peer.id().equals(settings.self())
           && (view == null || revision.isAfter(view.cacheRevision()))) {
         return false;
       }
--- a/src/main/java/org/quincecross/api/PeerReporter.java
+++ b/src/main/java/org/quincecross/api/PeerReporter.java
@@ -154,11 +154,11 @@
 
   private void forgetIfFormer(ControllerId member, ShardId id, ShardLease lease) {
     PeerViews.View view = views.of(member);
-    PeerViews.ShardView block = view == null ? null : view.shards().get(id);
+    PeerViews.ShardView shardView = view == null ? null : view.shards().get(id);
     // A report may be ahead of this cache: what it says of a later lease is kept.
-    if (block != null
+    if (shardView != null
         && (lease == null
-            || (!lease.owner().equals(member) && !block.token().isAfter(lease.token())))) {
+            || (!lease.owner().equals(member) && !shardView.token().isAfter(lease.token())))) {
       views.forget(member, id);
     }
   }
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -22,7 +22,7 @@
 
   private final ReplicatedFeatureContext base;
   private final ReservedCapacity rooms;
-  private final ReservationManager keeper;
+  private final ReservationManager reservations;
   private final double share;
   private Reservation.Plan plan;
   private Revision planned;
@@ -46,12 +46,12 @@
     ReplicatedRecordIndex<Request, RequestCommand> index =
         base.cache().replicatedRecords().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
     rooms = new ReservedCapacity(base.cache(), index);
-    keeper = new ReservationManager(base.store(), index, rooms, share);
+    reservations = new ReservationManager(base.store(), index, rooms, share);
   }
 
   void start(DemandForecast forecast, Leader leader) {
     forecast.keep(rooms);
-    leader.enableReservations(keeper);
+    leader.enableReservations(reservations);
   }
 
   /**
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -103,7 +103,7 @@
   private final KeyValueStoreClient store;
   private final StateWatcher watcher;
   private final ControllerId member;
-  private final Supplier<Incarnation> life;
+  private final Supplier<Incarnation> incarnation;
   private final int mostChanges;
   private final int mostValue;
 
@@ -132,7 +132,7 @@
       KeyValueStoreClient store,
       StateWatcher watcher,
       ControllerId member,
-      Supplier<Incarnation> life,
+      Supplier<Incarnation> incarnation,
       Settings.StoreLimits limits,
       Predicate<JobId> isKnown) {
     this.isKnown = isKnown;
@@ -140,7 +140,7 @@
     this.store = store;
     this.watcher = watcher;
     this.member = member;
-    this.life = life;
+    this.incarnation = incarnation;
     this.mostChanges = limits.maxMutationsPerTransaction();
     this.mostValue = limits.plannedValueBytes();
     this.secondsPerJob = 1 / (limits.writesPerSecond() * JOBS_PER_CHANGE);
@@ -293,7 +293,7 @@
         jobs.add(open);
         group.add(waiting.poll());
       }
-      String key = StoreKeys.bundle(member, life.get(), ++bundles);
+      String key = StoreKeys.bundle(member, incarnation.get(), ++bundles);
       guards.add(new Precondition(key, Revision.NONE));
       changes.add(Mutation.put(key, JobRecord.writeBundle(jobs)));
       bytes += size;
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -93,7 +93,7 @@
       ToIntFunction<JobId> running,
       LongSupplier clockMs,
       Cancellations cancellations,
-      Supplier<Incarnation> life,
+      Supplier<Incarnation> incarnation,
       BooleanSupplier memoryIsShort,
       Supplier<IsolationDetector.State> aloneness) {
     this.timers = timers;
@@ -117,7 +117,7 @@
             store,
             watcher,
             settings.self(),
-            life,
+            incarnation,
             settings.storeLimits(),
             id -> cache.job(id) != null);
     this.afterParts =
--- a/src/main/java/org/quincecross/cli/Server.java
+++ b/src/main/java/org/quincecross/cli/Server.java
@@ -34,8 +34,8 @@
   void run() throws IOException {
     EventLoop loop = new EventLoop();
     Map<ControllerId, FrameSender> peers = new HashMap<>();
-    for (Settings.Peer sibling : settings.peers()) {
-      peers.put(sibling.id(), new FrameSender(loop, sibling.address()));
+    for (Settings.Peer peer : settings.peers()) {
+      peers.put(peer.id(), new FrameSender(loop, peer.address()));
     }
     PeerSender sender =
         new PeerSender() {
--- a/src/main/java/org/quincecross/leader/AdmissionExtensions.java
+++ b/src/main/java/org/quincecross/leader/AdmissionExtensions.java
@@ -27,12 +27,12 @@
     this.teamUse = teamUse;
   }
 
-  void add(ReservationManager keeper) {
-    reservations = keeper;
+  void add(ReservationManager reservations) {
+    this.reservations = reservations;
   }
 
-  void add(ModelAutoscaler keeper) {
-    models = keeper;
+  void add(ModelAutoscaler modelAutoscaler) {
+    models = modelAutoscaler;
   }
 
   /** Called before each plan: reserves capacity for deadline requests. */
@@ -44,13 +44,13 @@
 
   /** Admits pending jobs; returns the demand that machines are to be launched for. */
   List<Admission.Unmet> admit(
-      List<Admission.ShardCapacity> blocks,
+      List<Admission.ShardCapacity> shards,
       Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> waiting) {
     List<Admission.Unmet> unmet =
         models == null
-            ? new Admission(blocks, teams.get(), teamUse.get(), reserves).run(waiting)
-            : models.admit(blocks, reserves, waiting);
+            ? new Admission(shards, teams.get(), teamUse.get(), reserves).run(waiting)
+            : models.admit(shards, reserves, waiting);
     return reservations == null ? unmet : reservations.withReservations(unmet);
   }
 
--- a/src/main/java/org/quincecross/leader/CompletionWriter.java
+++ b/src/main/java/org/quincecross/leader/CompletionWriter.java
@@ -178,8 +178,8 @@
   Map<JobId, TaskSet> unrecordedCompletions() {
     Map<JobId, TaskSet> fresh = new LinkedHashMap<>();
     for (PeerViews.View view : views.all()) {
-      for (PeerViews.ShardView block : view.shards().values()) {
-        for (TaskId task : block.completed()) {
+      for (PeerViews.ShardView shardView : view.shards().values()) {
+        for (TaskId task : shardView.completed()) {
           JobRecord job = cache.job(task.job());
           if (job != null
               && job.phase() == JobPhase.OPEN
--- a/src/main/java/org/quincecross/leader/FeatureLevelController.java
+++ b/src/main/java/org/quincecross/leader/FeatureLevelController.java
@@ -77,7 +77,7 @@
     OperatorSettings operators = cache.operatorSettingsOrDefaults();
     Set<ControllerId> expected = new HashSet<>();
     expected.add(settings.self());
-    settings.peers().forEach(sibling -> expected.add(sibling.id()));
+    settings.peers().forEach(peer -> expected.add(peer.id()));
     expected.removeIf(member -> operators.removedControllers().contains(member.text()));
     Map<ControllerId, Rollout.Alive> alive = new HashMap<>();
     cache
@@ -119,7 +119,7 @@
     guards.add(new Precondition(StoreKeys.LEVEL, cache.level().version()));
     Set<ControllerId> members = new HashSet<>(cache.members().keySet());
     members.add(settings.self());
-    settings.peers().forEach(sibling -> members.add(sibling.id()));
+    settings.peers().forEach(peer -> members.add(peer.id()));
     members.forEach(
         member ->
             guards.add(
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -65,7 +65,7 @@
    * under the same limits, zones and preemption. Returns the demand without capacity.
    */
   List<Admission.Unmet> admit(
-      Collection<Admission.ShardCapacity> blocks,
+      Collection<Admission.ShardCapacity> shards,
       Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> demands) {
     Map<String, Team> limits = teams.get();
@@ -75,22 +75,22 @@
     demands.forEach(each -> (records.nameOf(each.job().id()) == null ? others : placed).add(each));
     placed.stream()
         .filter(each -> each.job().priority() == Priority.PRODUCTION)
-        .forEach(each -> admit(each, blocks, limits, use, reserves));
+        .forEach(each -> admit(each, shards, limits, use, reserves));
     List<Admission.Unmet> all =
-        new ArrayList<>(new Admission(blocks, limits, use, reserves).run(others));
+        new ArrayList<>(new Admission(shards, limits, use, reserves).run(others));
     List<JobDemand> last =
         placed.stream().filter(each -> each.job().priority() != Priority.PRODUCTION).toList();
     if (!last.isEmpty()) {
-      addAdmitted(blocks, use);
-      last.forEach(each -> admit(each, blocks, limits, use, reserves));
+      addAdmitted(shards, use);
+      last.forEach(each -> admit(each, shards, limits, use, reserves));
     }
     return all;
   }
 
-  private void addAdmitted(Collection<Admission.ShardCapacity> blocks, Map<String, Resources> use) {
-    blocks.forEach(
-        block ->
-            block
+  private void addAdmitted(Collection<Admission.ShardCapacity> shards, Map<String, Resources> use) {
+    shards.forEach(
+        shard ->
+            shard
                 .admitted()
                 .forEach(
                     (id, tasks) -> {
@@ -104,7 +104,7 @@
 
   private void admit(
       JobDemand demand,
-      Collection<Admission.ShardCapacity> blocks,
+      Collection<Admission.ShardCapacity> shards,
       Map<String, Team> limits,
       Map<String, Resources> use,
       Map<ShardId, List<Headroom>> reserves) {
@@ -122,11 +122,11 @@
         pools.computeIfAbsent(lease.id(), id -> new TaskSet()).add(index);
       }
     }
-    for (Admission.ShardCapacity block : blocks) {
-      TaskSet pool = pools.get(block.id());
+    for (Admission.ShardCapacity shard : shards) {
+      TaskSet pool = pools.get(shard.id());
       if (pool != null) {
-        int before = count(block, job.id());
-        new Admission(List.of(block), limits, use, reserves)
+        int before = count(shard, job.id());
+        new Admission(List.of(shard), limits, use, reserves)
             .run(
                 List.of(
                     new JobDemand(
@@ -141,14 +141,14 @@
                         demand.order())));
         use.merge(
             job.team(),
-            job.taskResources().times(count(block, job.id()) - before),
+            job.taskResources().times(count(shard, job.id()) - before),
             Resources::plus);
       }
     }
   }
 
-  private static int count(Admission.ShardCapacity block, JobId job) {
-    TaskSet tasks = block.admitted().get(job);
+  private static int count(Admission.ShardCapacity shard, JobId job) {
+    TaskSet tasks = shard.admitted().get(job);
     return tasks == null ? 0 : tasks.size();
   }
 
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -395,11 +395,11 @@
    * replicas that no machine fits.
    */
   List<Admission.Unmet> admit(
-      Collection<Admission.ShardCapacity> blocks,
+      Collection<Admission.ShardCapacity> shards,
       Map<ShardId, List<Headroom>> reserves,
       List<JobDemand> demands) {
     evaluate();
-    List<Admission.Unmet> all = admission.admit(blocks, reserves, demands);
+    List<Admission.Unmet> all = admission.admit(shards, reserves, demands);
     all.addAll(unmet);
     return all;
   }
--- a/src/main/java/org/quincecross/leader/ObservedCapacity.java
+++ b/src/main/java/org/quincecross/leader/ObservedCapacity.java
@@ -58,7 +58,7 @@
     }
     least.put(lease.id(), after);
     Resources capacity = type == null ? Resources.NONE : type.capacity().times(free.size());
-    Admission.ShardCapacity block =
+    Admission.ShardCapacity shard =
         new Admission.ShardCapacity(
             lease.id(),
             lease.type(),
@@ -69,8 +69,8 @@
             soon,
             images,
             mostBytes);
-    block.decline(view == null ? Set.of() : view.declinedJobs());
-    return block;
+    shard.decline(view == null ? Set.of() : view.declinedJobs());
+    return shard;
   }
 
   private static Least next(Least before, Resources free, MonotonicTime now) {
--- a/src/main/java/org/quincecross/leader/PendingDemand.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -118,10 +118,10 @@
    */
   private TaskSet admissibleTasks(
       AllocationIndex.JobAllocation account,
-      Collection<Admission.ShardCapacity> blocks,
+      Collection<Admission.ShardCapacity> shards,
       MonotonicTime now) {
     Job job = account.job();
-    int declinedBy = Admission.decliningShards(job, blocks);
+    int declinedBy = Admission.decliningShards(job, shards);
     if (declinedBy == 0 && !suspects.isSuspect(job.id())) {
       return account.pending();
     }
@@ -130,7 +130,7 @@
             new SuspectJobs.Look(
                 job.id(),
                 declinedBy,
-                Admission.eligibleShards(job, blocks),
+                Admission.eligibleShards(job, shards),
                 account.completed().size(),
                 account.outstanding().size(),
                 running.applyAsInt(job.id())),
@@ -146,9 +146,9 @@
   }
 
   /** All pending demand; tasks with guaranteed starts come first. */
-  List<JobDemand> collect(Collection<Admission.ShardCapacity> blocks, MonotonicTime now) {
+  List<JobDemand> collect(Collection<Admission.ShardCapacity> shards, MonotonicTime now) {
     List<JobDemand> demands = new ArrayList<>();
-    List<PendingJob> waiting = waiting(blocks, now);
+    List<PendingJob> waiting = waiting(shards, now);
     if (overload == null) {
       for (PendingJob each : waiting) {
         demands.add(
@@ -159,7 +159,7 @@
     }
     ages.keySet().retainAll(allocationIndex.openJobIds());
     List<DemandClaim> claims = new ArrayList<>();
-    Resources room = Admission.roomForArrays(blocks);
+    Resources room = Admission.roomForArrays(shards);
     for (PendingJob each : waiting) {
       if (each.account.job().priority() != Priority.PRODUCTION) {
         claims.add(claim(each, room, now));
@@ -250,7 +250,7 @@
     return sum == 0 ? 0 : DRAIN_FACTOR * squares / sum;
   }
 
-  private List<PendingJob> waiting(Collection<Admission.ShardCapacity> blocks, MonotonicTime now) {
+  private List<PendingJob> waiting(Collection<Admission.ShardCapacity> shards, MonotonicTime now) {
     List<PendingJob> waiting = new ArrayList<>();
     suspects.keepOnly(allocationIndex.openJobIds());
     if (allocationIndex.jobsWithPendingTasks().isEmpty()) {
@@ -273,7 +273,7 @@
               TaskSet pool =
                   account.pending().isEmpty()
                       ? account.pending()
-                      : admissibleTasks(account, blocks, now);
+                      : admissibleTasks(account, shards, now);
               if (!pool.isEmpty()) {
                 waiting.add(new PendingJob(record, account, pool, within));
               }
--- a/src/main/java/org/quincecross/leader/PendingReasons.java
+++ b/src/main/java/org/quincecross/leader/PendingReasons.java
@@ -78,7 +78,7 @@
     long declines =
         views.all().stream()
             .flatMap(view -> view.shards().values().stream())
-            .filter(block -> block.declinedJobs().contains(id))
+            .filter(shardView -> shardView.declinedJobs().contains(id))
             .count();
     if (declines > 0) {
       return what
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -363,7 +363,7 @@
     rebalanced = timers.now();
     probeUnreachableZones(next);
     for (ShardLease shard : cache.shards().values()) {
-      ControllerRecord holder = cache.members().get(shard.owner());
+      ControllerRecord owner = cache.members().get(shard.owner());
       ControllerRecord better = chooseOwner(shard.zone(), load);
       int size = shard.machines().size();
       PeerViews.ShardView view = currentViews.of(shard);
@@ -379,10 +379,10 @@
                               || machine.terminationNotice()
                               || machine.faulty()
                               || shard.leaving().contains(machine.id()));
-      if (holder != null
+      if (owner != null
           && calm
           && next.size() < MAX_MOVES_AT_ONCE
-          && cost(holder, shard.zone(), load) - cost(better, shard.zone(), load) - size
+          && cost(owner, shard.zone(), load) - cost(better, shard.zone(), load) - size
               > REBALANCE_GAIN) {
         LOG.info(
             "shard {} moves from {} to {} to balance the load",
@@ -390,7 +390,7 @@
             shard.owner(),
             better.id());
         next.put(shard.id(), shard.leasedTo(better));
-        load.merge(holder.id(), -size, Integer::sum);
+        load.merge(owner.id(), -size, Integer::sum);
         load.merge(better.id(), size, Integer::sum);
       }
     }
--- a/src/main/java/org/quincecross/modelserving/Weights.java
+++ b/src/main/java/org/quincecross/modelserving/Weights.java
@@ -157,11 +157,11 @@
    */
   public static List<Choice> chooseWhole(
       Job job, Collection<Candidate> candidates, Set<MachineId> avoided) {
-    Map<String, List<Candidate>> blocks = new TreeMap<>();
+    Map<String, List<Candidate>> shards = new TreeMap<>();
     candidates.forEach(
-        each -> blocks.computeIfAbsent(each.block(), block -> new ArrayList<>()).add(each));
+        each -> shards.computeIfAbsent(each.block(), block -> new ArrayList<>()).add(each));
     List<Choice> best = List.of();
-    for (List<Candidate> block : blocks.values()) {
+    for (List<Candidate> block : shards.values()) {
       List<Choice> all = choose(job, job.taskCount(), Map.of(), Set.of(), block, avoided);
       if (all.size() == job.taskCount() && (best.isEmpty() || lastS(all) < lastS(best))) {
         best = all;
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -76,7 +76,7 @@
     List<ReplicationBarrier.Told> expected = new ArrayList<>();
     List<ReplicationBarrier.Told> told = new ArrayList<>();
     expect(settings.self(), expected);
-    settings.peers().forEach(sibling -> expect(sibling.id(), expected));
+    settings.peers().forEach(peer -> expect(peer.id(), expected));
     for (ControllerRecord member : cache.members().values()) {
       if (expected.stream().noneMatch(each -> each.member().equals(member.id()))) {
         expect(member.id(), expected);
--- a/src/main/java/org/quincecross/peer/ModelPlacementView.java
+++ b/src/main/java/org/quincecross/peer/ModelPlacementView.java
@@ -58,8 +58,8 @@
   /** The recently reported state of a machine, or null. */
   public PeerHeartbeat.MachineState state(MachineId machine, MonotonicTime now) {
     ShardLease lease = cache.shardOf(machine);
-    PeerViews.ShardView block = lease == null ? null : block(lease, now);
-    return block == null ? null : block.machines().get(machine);
+    PeerViews.ShardView shardView = lease == null ? null : block(lease, now);
+    return shardView == null ? null : shardView.machines().get(machine);
   }
 
   private PeerViews.ShardView block(ShardLease lease, MonotonicTime now) {
@@ -67,8 +67,8 @@
     if (view == null || now.since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
       return null;
     }
-    PeerViews.ShardView block = view.shards().get(lease.id());
-    return block != null && block.token().equals(lease.token()) ? block : null;
+    PeerViews.ShardView shardView = view.shards().get(lease.id());
+    return shardView != null && shardView.token().equals(lease.token()) ? shardView : null;
   }
 
   /**
@@ -82,12 +82,12 @@
     List<Weights.Candidate> candidates = new ArrayList<>();
     for (ShardLease lease : cache.shards().values()) {
       MachineType type = cache.machineTypes().get(lease.type());
-      PeerViews.ShardView block = type == null ? null : block(lease, now);
-      if (block == null) {
+      PeerViews.ShardView shardView = type == null ? null : block(lease, now);
+      if (shardView == null) {
         continue;
       }
       for (MachineId machine : lease.machines().keySet()) {
-        PeerHeartbeat.MachineState state = block.machines().get(machine);
+        PeerHeartbeat.MachineState state = shardView.machines().get(machine);
         if (state != null
             && state.open()
             && !state.terminationNotice()
--- a/src/main/java/org/quincecross/peer/PeerCodec.java
+++ b/src/main/java/org/quincecross/peer/PeerCodec.java
@@ -52,8 +52,8 @@
       out.packLong(heartbeat.sinceStoreContact().nanos());
       writeTexts(out, heartbeat.strays().stream().map(MachineId::text).toList());
       out.packArrayHeader(heartbeat.shards().size());
-      for (PeerHeartbeat.ShardStatus block : heartbeat.shards()) {
-        writeShard(out, block);
+      for (PeerHeartbeat.ShardStatus shardStatus : heartbeat.shards()) {
+        writeShard(out, shardStatus);
       }
       writeSections(out, heartbeat.sections());
       return out.toByteArray();
@@ -91,23 +91,23 @@
     return sections;
   }
 
-  private static void writeShard(MessageBufferPacker out, PeerHeartbeat.ShardStatus block)
+  private static void writeShard(MessageBufferPacker out, PeerHeartbeat.ShardStatus shardStatus)
       throws IOException {
-    out.packString(block.id().text());
-    out.packLong(block.token().value());
-    out.packLong(block.allocation().value());
-    out.packBoolean(block.needsTokenRenewal());
-    writeTexts(out, block.declinedJobs().stream().map(JobId::text).sorted().toList());
-    out.packBoolean(block.hasAllMachines());
-    writeTasks(out, block.completed());
-    writeTasks(out, block.released());
-    out.packMapHeader(block.running().size());
-    for (Map.Entry<JobId, Integer> running : block.running().entrySet()) {
+    out.packString(shardStatus.id().text());
+    out.packLong(shardStatus.token().value());
+    out.packLong(shardStatus.allocation().value());
+    out.packBoolean(shardStatus.needsTokenRenewal());
+    writeTexts(out, shardStatus.declinedJobs().stream().map(JobId::text).sorted().toList());
+    out.packBoolean(shardStatus.hasAllMachines());
+    writeTasks(out, shardStatus.completed());
+    writeTasks(out, shardStatus.released());
+    out.packMapHeader(shardStatus.running().size());
+    for (Map.Entry<JobId, Integer> running : shardStatus.running().entrySet()) {
       out.packString(running.getKey().text());
       out.packInt(running.getValue());
     }
-    out.packArrayHeader(block.machines().size());
-    for (PeerHeartbeat.MachineState machine : block.machines()) {
+    out.packArrayHeader(shardStatus.machines().size());
+    for (PeerHeartbeat.MachineState machine : shardStatus.machines()) {
       out.packString(machine.id().text());
       writeResources(out, machine.free());
       writeResources(out, machine.preemptible());
@@ -181,9 +181,9 @@
       Revision ledger = new Revision(in.unpackLong());
       TimeSpan unconfirmed = new TimeSpan(in.unpackLong());
       List<MachineId> strays = readTexts(in).stream().map(MachineId::new).toList();
-      List<PeerHeartbeat.ShardStatus> blocks = new ArrayList<>();
+      List<PeerHeartbeat.ShardStatus> shards = new ArrayList<>();
       for (int i = checkedCount(in.unpackArrayHeader()); i > 0; i--) {
-        blocks.add(readShard(in));
+        shards.add(readShard(in));
       }
       Map<String, byte[]> sections = readSections(in);
       if (in.hasNext()) {
@@ -197,7 +197,7 @@
           receipts,
           ledger,
           unconfirmed,
-          blocks,
+          shards,
           strays,
           sections);
     } catch (IOException | MessagePackException e) {
--- a/src/main/java/org/quincecross/peer/PeerHeartbeat.java
+++ b/src/main/java/org/quincecross/peer/PeerHeartbeat.java
@@ -48,10 +48,10 @@
       Map<ControllerId, Receipt> receipts,
       Revision ledger,
       TimeSpan unconfirmed,
-      List<ShardStatus> blocks,
+      List<ShardStatus> shards,
       List<MachineId> strays) {
     this(
-        member, incarnation, number, base, receipts, ledger, unconfirmed, blocks, strays, Map.of());
+        member, incarnation, number, base, receipts, ledger, unconfirmed, shards, strays, Map.of());
   }
 
   /**
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -37,7 +37,7 @@
   /** Notified of the shards that a report changes. */
   public interface Listener {
     /** Called with the shards of a controller whose views have changed. */
-    void changed(ControllerId member, Collection<ShardId> blocks);
+    void changed(ControllerId member, Collection<ShardId> shards);
   }
 
   /** The view of one controller. */
@@ -148,34 +148,34 @@
       changed.addAll(view.shards.keySet());
       view.shards.clear();
     }
-    for (PeerHeartbeat.ShardStatus block : heartbeat.shards()) {
-      changed.add(block.id());
-      merge(view, block);
+    for (PeerHeartbeat.ShardStatus shardStatus : heartbeat.shards()) {
+      changed.add(shardStatus.id());
+      merge(view, shardStatus);
     }
     notifyListeners(heartbeat.member(), changed);
     return true;
   }
 
-  private static void merge(View view, PeerHeartbeat.ShardStatus block) {
-    ShardView before = view.shards.get(block.id());
+  private static void merge(View view, PeerHeartbeat.ShardStatus shardStatus) {
+    ShardView before = view.shards.get(shardStatus.id());
     Map<MachineId, PeerHeartbeat.MachineState> machines = new LinkedHashMap<>();
-    if (before != null && !block.hasAllMachines()) {
+    if (before != null && !shardStatus.hasAllMachines()) {
       machines = before.machines();
     }
-    for (PeerHeartbeat.MachineState machine : block.machines()) {
+    for (PeerHeartbeat.MachineState machine : shardStatus.machines()) {
       machines.put(machine.id(), machine);
     }
     view.shards.put(
-        block.id(),
+        shardStatus.id(),
         new ShardView(
-            block.id(),
-            block.token(),
-            block.allocation(),
-            block.needsTokenRenewal(),
-            block.declinedJobs(),
-            block.completed(),
-            block.released(),
-            block.running(),
+            shardStatus.id(),
+            shardStatus.token(),
+            shardStatus.allocation(),
+            shardStatus.needsTokenRenewal(),
+            shardStatus.declinedJobs(),
+            shardStatus.completed(),
+            shardStatus.released(),
+            shardStatus.running(),
             machines));
   }
 
--- a/src/main/java/org/quincecross/scheduling/Admission.java
+++ b/src/main/java/org/quincecross/scheduling/Admission.java
@@ -281,7 +281,7 @@
   /** Tasks of a job for which no shard had capacity. */
   public record Unmet(Job job, int tasks, Map<String, Integer> perZone) {}
 
-  private final Collection<ShardCapacity> blocks;
+  private final Collection<ShardCapacity> shards;
   private final Map<String, Team> teams;
   private final Map<String, Resources> teamUsage;
   private final HeadroomPlan headroom;
@@ -304,22 +304,22 @@
    * @param reserves the headroom that shards keep
    */
   public Admission(
-      Collection<ShardCapacity> blocks,
+      Collection<ShardCapacity> shards,
       Map<String, Team> teams,
       Map<String, Resources> teamUse,
       Map<ShardId, List<Headroom>> reserves) {
-    this.blocks = blocks;
+    this.shards = shards;
     this.teams = teams;
     this.teamUsage = new HashMap<>(teamUse);
-    this.headroom = new HeadroomPlan(reserves, blocks);
+    this.headroom = new HeadroomPlan(reserves, shards);
   }
 
   /** The capacity of some shards for arrays: what services and gangs do not use. */
-  public static Resources roomForArrays(Collection<ShardCapacity> blocks) {
+  public static Resources roomForArrays(Collection<ShardCapacity> shards) {
     Resources room = Resources.NONE;
-    for (ShardCapacity block : blocks) {
+    for (ShardCapacity shard : shards) {
       room =
-          room.plus(block.capacity.minus(block.serviceUse).minus(block.gangs).max(Resources.NONE));
+          room.plus(shard.capacity.minus(shard.serviceUse).minus(shard.gangs).max(Resources.NONE));
     }
     return room;
   }
@@ -351,8 +351,8 @@
             .thenComparing(JobDemand::order)
             .thenComparing(JobDemand::accepted)
             .thenComparing(demand -> demand.job().id()));
-    blocks.forEach(block -> block.kept = Resources.NONE);
-    blocks.forEach(block -> block.hasGuaranteedStart = false);
+    shards.forEach(shard -> shard.kept = Resources.NONE);
+    shards.forEach(shard -> shard.hasGuaranteedStart = false);
     highest =
         order.stream()
             .map(demand -> demand.job().priority())
@@ -383,11 +383,11 @@
             .capacityFor(job.taskResources());
   }
 
-  private void admit(Job job, int index, ShardCapacity block) {
-    block.admittedTasks++;
-    block.admit(job, index);
+  private void admit(Job job, int index, ShardCapacity shard) {
+    shard.admittedTasks++;
+    shard.admit(job, index);
     teamUsage.merge(job.team(), job.taskResources(), Resources::plus);
-    headroom.given(job, block.zone);
+    headroom.given(job, shard.zone);
   }
 
   /** Jobs that a shard has capacity for or not alike, apart from how much their tasks need. */
@@ -417,7 +417,7 @@
     }
     // If the place of one task may change where the next may go, all shards are examined for each.
     boolean bound = job.spreadOverZones() || job.singleZone();
-    boolean large = blocks.stream().anyMatch(block -> Headroom.isLarge(job, block.machine));
+    boolean large = shards.stream().anyMatch(shard -> Headroom.isLarge(job, shard.machine));
     Alike alike =
         bound || large || demand.place() == Place.GUARANTEED_START
             ? null
@@ -444,25 +444,25 @@
         if (demand.place() == Place.GUARANTEED_START) {
           reserveCapacityFor(demand, 1);
         }
-        int declines = decliningShards(job, blocks);
+        int declines = decliningShards(job, shards);
         if (alike != null && declines == 0) {
           withoutRoom.computeIfAbsent(alike, a -> new ArrayList<>()).add(job.taskResources());
         }
         return isFaultyJob(declines) ? 0 : left;
       }
-      ShardCapacity block = best.block();
-      admit(job, index, block);
-      block.hasGuaranteedStart |= goesBehind(demand);
-      perZone.merge(block.zone, 1, Integer::sum);
+      ShardCapacity shard = best.block();
+      admit(job, index, shard);
+      shard.hasGuaranteedStart |= goesBehind(demand);
+      perZone.merge(shard.zone, 1, Integer::sum);
       left--;
-      if (!bound && hasRoom(demand, 1, block)) {
+      if (!bound && hasRoom(demand, 1, shard)) {
         choices.add(
             new PlacementCandidate(
-                block,
+                shard,
                 demand,
-                usesHeadroom(job, block),
+                usesHeadroom(job, shard),
                 0,
-                headroom.left(job, block.id, block.zone)));
+                headroom.left(job, shard.id, shard.zone)));
       }
     }
     return 0;
@@ -472,16 +472,16 @@
       JobDemand demand, Map<String, Integer> perZone) {
     PriorityQueue<PlacementCandidate> choices = new PriorityQueue<>();
     Job job = demand.job();
-    for (ShardCapacity block : blocks) {
+    for (ShardCapacity shard : shards) {
       shardsExamined++;
-      if (mayGo(job, block, perZone) && hasRoom(demand, 1, block)) {
+      if (mayGo(job, shard, perZone) && hasRoom(demand, 1, shard)) {
         choices.add(
             new PlacementCandidate(
-                block,
+                shard,
                 demand,
-                usesHeadroom(job, block),
-                job.spreadOverZones() ? perZone.getOrDefault(block.zone, 0) : 0,
-                headroom.left(job, block.id, block.zone)));
+                usesHeadroom(job, shard),
+                job.spreadOverZones() ? perZone.getOrDefault(shard.zone, 0) : 0,
+                headroom.left(job, shard.id, shard.zone)));
       }
     }
     return choices;
@@ -506,13 +506,13 @@
     // Where it can start now, or where most of it could: capacity that is spread over many machines
     // is of no use to it.
     ShardCapacity best = null;
-    for (ShardCapacity block : blocks) {
+    for (ShardCapacity shard : shards) {
       shardsExamined++;
-      if (mayGo(job, block, Map.of())
-          && hasRoom(demand, job.taskCount(), block)
+      if (mayGo(job, shard, Map.of())
+          && hasRoom(demand, job.taskCount(), shard)
           && (!job.spreadOverZones() || job.taskCount() <= job.maxTasksPerZone())
-          && (best == null || PlacementCandidate.gangOrder(demand).compare(block, best) < 0)) {
-        best = block;
+          && (best == null || PlacementCandidate.gangOrder(demand).compare(shard, best) < 0)) {
+        best = shard;
       }
     }
     if (best == null) {
@@ -525,7 +525,7 @@
           || isNext) {
         reserveCapacityFor(demand, job.taskCount());
       }
-      return isFaultyJob(decliningShards(job, blocks)) ? 0 : job.taskCount();
+      return isFaultyJob(decliningShards(job, shards)) ? 0 : job.taskCount();
     }
     for (int index = 0; index < job.taskCount(); index++) {
       admit(job, index, best);
@@ -545,16 +545,16 @@
   private void reserveCapacityFor(JobDemand demand, int tasks) {
     Job job = demand.job();
     ShardCapacity best = null;
-    for (ShardCapacity block : blocks) {
+    for (ShardCapacity shard : shards) {
       boolean could =
-          mayGo(job, block, demand.perZone())
-              && block.machine.capacityFor(job.taskResources()) * block.machines >= tasks
-              && block
+          mayGo(job, shard, demand.perZone())
+              && shard.machine.capacityFor(job.taskResources()) * shard.machines >= tasks
+              && shard
                   .kept
                   .plus(job.taskResources().times(tasks))
-                  .fitsIn(block.capacity.minus(block.serviceUse));
-      if (could && (best == null || keepingOrder(job, tasks).compare(block, best) < 0)) {
-        best = block;
+                  .fitsIn(shard.capacity.minus(shard.serviceUse));
+      if (could && (best == null || keepingOrder(job, tasks).compare(shard, best) < 0)) {
+        best = shard;
       }
     }
     if (best != null) {
@@ -566,28 +566,28 @@
   }
 
   private static Comparator<ShardCapacity> keepingOrder(Job job, int tasks) {
-    return Comparator.comparing((ShardCapacity block) -> -Math.min(tasks, block.placesSoon(job)))
+    return Comparator.comparing((ShardCapacity shard) -> -Math.min(tasks, shard.placesSoon(job)))
         .thenComparing(
-            block -> block.usedFrom(Priority.LOW).plus(block.kept).dominantShareOf(block.capacity))
+            shard -> shard.usedFrom(Priority.LOW).plus(shard.kept).dominantShareOf(shard.capacity))
         .thenComparing(ShardCapacity::id);
   }
 
   /** The number of shards that declined a job. */
-  public static int decliningShards(Job job, Collection<ShardCapacity> blocks) {
+  public static int decliningShards(Job job, Collection<ShardCapacity> shards) {
     int declines = 0;
-    for (ShardCapacity block : blocks) {
-      declines += block.declined.contains(job.id()) ? 1 : 0;
+    for (ShardCapacity shard : shards) {
+      declines += shard.declined.contains(job.id()) ? 1 : 0;
     }
     return declines;
   }
 
   /** The number of shards with machines that a job's tasks may run on, whatever else is there. */
-  public static int eligibleShards(Job job, Collection<ShardCapacity> blocks) {
+  public static int eligibleShards(Job job, Collection<ShardCapacity> shards) {
     int count = 0;
-    for (ShardCapacity block : blocks) {
+    for (ShardCapacity shard : shards) {
       count +=
-          job.allows(block.type, block.zone, block.spot)
-                  && job.taskResources().fitsIn(block.machine)
+          job.allows(shard.type, shard.zone, shard.spot)
+                  && job.taskResources().fitsIn(shard.machine)
               ? 1
               : 0;
     }
@@ -599,24 +599,24 @@
     return declines >= MAX_DECLINING_SHARDS;
   }
 
-  private static boolean mayGo(Job job, ShardCapacity block, Map<String, Integer> perZone) {
-    if (!job.allows(block.type, block.zone, block.spot) || block.declined.contains(job.id())) {
+  private static boolean mayGo(Job job, ShardCapacity shard, Map<String, Integer> perZone) {
+    if (!job.allows(shard.type, shard.zone, shard.spot) || shard.declined.contains(job.id())) {
       return false;
     }
-    if (job.singleZone() && !perZone.isEmpty() && !perZone.containsKey(block.zone)) {
+    if (job.singleZone() && !perZone.isEmpty() && !perZone.containsKey(shard.zone)) {
       return false;
     }
-    return !job.spreadOverZones() || perZone.getOrDefault(block.zone, 0) < job.maxTasksPerZone();
+    return !job.spreadOverZones() || perZone.getOrDefault(shard.zone, 0) < job.maxTasksPerZone();
   }
 
   /** Whether a job that need not keep out of headroom would use it. */
-  private boolean usesHeadroom(Job job, ShardCapacity block) {
+  private boolean usesHeadroom(Job job, ShardCapacity shard) {
     return !job.taskResources()
         .fitsIn(
-            block
+            shard
                 .capacity
-                .minus(headroom.better(job, block.id, block.machine))
-                .minus(block.usedFrom(Priority.LOW)));
+                .minus(headroom.better(job, shard.id, shard.machine))
+                .minus(shard.usedFrom(Priority.LOW)));
   }
 
   /**
@@ -628,17 +628,17 @@
         && highest.isHigherThan(demand.job().priority());
   }
 
-  private boolean hasRoom(JobDemand demand, int tasks, ShardCapacity block) {
+  private boolean hasRoom(JobDemand demand, int tasks, ShardCapacity shard) {
     Job job = demand.job();
-    if (block.machines == 0 || block.bytes + block.bytesFor(job, tasks) > block.mostBytes) {
+    if (shard.machines == 0 || shard.bytes + shard.bytesFor(job, tasks) > shard.mostBytes) {
       return false;
     }
-    if (headroom.isLent(job) && block.places(job, block.leftOver) - block.admittedTasks >= tasks) {
+    if (headroom.isLent(job) && shard.places(job, shard.leftOver) - shard.admittedTasks >= tasks) {
       return true; // whatever else waits there already and does not fit yet
     }
     boolean keepsOut =
         job.priority() != Priority.PRODUCTION
-            && (block.hasGuaranteedStart || !block.kept.equals(Resources.NONE));
+            && (shard.hasGuaranteedStart || !shard.kept.equals(Resources.NONE));
     boolean mayPreempt =
         demand.isUrgent()
             && !keepsOut; // Capacity that is being gathered is not for whoever takes it first. What
@@ -646,23 +646,23 @@
     Resources reserved =
         headroom.from(
             job,
-            block.id,
-            block.machine,
-            mayPreempt ? Resources.NONE : block.lentUse,
+            shard.id,
+            shard.machine,
+            mayPreempt ? Resources.NONE : shard.lentUse,
             demand.place() == Place.GUARANTEED_START);
     Resources capacity =
         job.kind() == JobKind.ARRAY && reserved == null && !keepsOut && !goesBehind(demand)
-            ? block.capacity.plus(
-                block.capacity.minus(block.serviceUse).max(Resources.NONE).times(MAX_OVERCOMMIT))
-            : block.capacity;
+            ? shard.capacity.plus(
+                shard.capacity.minus(shard.serviceUse).max(Resources.NONE).times(MAX_OVERCOMMIT))
+            : shard.capacity;
     Resources kept =
-        (keepsOut ? block.kept : Resources.NONE).plus(reserved == null ? Resources.NONE : reserved);
+        (keepsOut ? shard.kept : Resources.NONE).plus(reserved == null ? Resources.NONE : reserved);
     Resources room =
-        capacity.minus(kept).minus(block.usedFrom(mayPreempt ? job.priority() : Priority.LOW));
+        capacity.minus(kept).minus(shard.usedFrom(mayPreempt ? job.priority() : Priority.LOW));
     if (!mayPreempt && job.priority().isHigherThan(Priority.LOW)) {
-      room = room.plus(block.bestEffortUse); // gives way to all others, pressed or not
+      room = room.plus(shard.bestEffortUse); // gives way to all others, pressed or not
     }
     return job.taskResources().times(tasks).fitsIn(room)
-        && block.machine.capacityFor(job.taskResources()) * block.machines >= tasks;
+        && shard.machine.capacityFor(job.taskResources()) * shard.machines >= tasks;
   }
 }
--- a/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
+++ b/src/main/java/org/quincecross/scheduling/HeadroomPlan.java
@@ -29,20 +29,20 @@
 
   private final Set<JobId> lentTo = new HashSet<>();
 
-  HeadroomPlan(Map<ShardId, List<Headroom>> reserves, Collection<Admission.ShardCapacity> blocks) {
+  HeadroomPlan(Map<ShardId, List<Headroom>> reserves, Collection<Admission.ShardCapacity> shards) {
     this.reserves = reserves;
     Map<ShardId, String> zones = new HashMap<>();
-    blocks.forEach(block -> zones.put(block.id(), block.zone));
+    shards.forEach(shard -> zones.put(shard.id(), shard.zone));
     for (Map.Entry<ShardId, List<Headroom>> ofBlock : reserves.entrySet()) {
-      for (Headroom reserve : ofBlock.getValue()) {
-        lentTo.addAll(reserve.lentTo());
-        if (reserve.requestedMachines() != null) {
+      for (Headroom headroom : ofBlock.getValue()) {
+        lentTo.addAll(headroom.lentTo());
+        if (headroom.requestedMachines() != null) {
           ofLanes
-              .computeIfAbsent(reserve.requestedMachines().lane(), lane -> new HashMap<>())
-              .merge(zones.getOrDefault(ofBlock.getKey(), ""), reserve.machines(), Integer::sum);
+              .computeIfAbsent(headroom.requestedMachines().lane(), lane -> new HashMap<>())
+              .merge(zones.getOrDefault(ofBlock.getKey(), ""), headroom.machines(), Integer::sum);
           ofTeams
-              .computeIfAbsent(reserve.requestedMachines().team(), team -> new HashMap<>())
-              .merge(reserve.requestedMachines().lane(), reserve.total(), Resources::plus);
+              .computeIfAbsent(headroom.requestedMachines().team(), team -> new HashMap<>())
+              .merge(headroom.requestedMachines().lane(), headroom.total(), Resources::plus);
         }
       }
     }
@@ -70,9 +70,9 @@
     boolean here =
         reserves.getOrDefault(shard, List.of()).stream()
             .anyMatch(
-                reserve ->
-                    reserve.requestedMachines() != null
-                        && reserve.requestedMachines().lane().equals(job.jobClass()));
+                headroom ->
+                    headroom.requestedMachines() != null
+                        && headroom.requestedMachines().lane().equals(job.jobClass()));
     return here ? Math.max(0, ofLane.getOrDefault(zone, 0)) : 0;
   }
 
@@ -115,19 +115,19 @@
   Resources from(Job job, ShardId shard, Resources machine, Resources lent, boolean begins) {
     Resources kept = null;
     Resources requests = null;
-    for (Headroom reserve : reserves.getOrDefault(shard, List.of())) {
-      if (!reserve.isKeptFrom(job, machine) || reserve.keepsNothing()) {
+    for (Headroom headroom : reserves.getOrDefault(shard, List.of())) {
+      if (!headroom.isKeptFrom(job, machine) || headroom.keepsNothing()) {
         continue;
       }
-      if (begins && reserve.purpose() != Headroom.Purpose.REQUESTS) {
+      if (begins && headroom.purpose() != Headroom.Purpose.REQUESTS) {
         kept =
             kept == null ? Resources.NONE : kept; // the job is to start, and not to wait in a queue
         continue;
       }
-      if (reserve.purpose() == Headroom.Purpose.REQUESTS) {
-        requests = requests == null ? reserve.total() : requests.plus(reserve.total());
+      if (headroom.purpose() == Headroom.Purpose.REQUESTS) {
+        requests = requests == null ? headroom.total() : requests.plus(headroom.total());
       } else {
-        kept = kept == null ? reserve.total() : kept.plus(reserve.total());
+        kept = kept == null ? headroom.total() : kept.plus(headroom.total());
       }
     }
     if (requests == null) {
@@ -140,8 +140,8 @@
   /** The capacity of a shard that a job may use but should leave to others. */
   Resources better(Job job, ShardId shard, Resources machine) {
     Resources kept = Resources.NONE;
-    for (Headroom reserve : reserves.getOrDefault(shard, List.of())) {
-      kept = reserve.isBetterAvoided(job, machine) ? kept.plus(reserve.total()) : kept;
+    for (Headroom headroom : reserves.getOrDefault(shard, List.of())) {
+      kept = headroom.isBetterAvoided(job, machine) ? kept.plus(headroom.total()) : kept;
     }
     return kept;
   }
--- a/src/main/java/org/quincecross/scheduling/PlacementCandidate.java
+++ b/src/main/java/org/quincecross/scheduling/PlacementCandidate.java
@@ -5,7 +5,7 @@
 
 /** A shard that a task could go to, in its present state; smaller is better. */
 final class PlacementCandidate implements Comparable<PlacementCandidate> {
-  private final Admission.ShardCapacity block;
+  private final Admission.ShardCapacity shard;
   private final int grade;
   private final int inZone;
   private final int kept;
@@ -19,28 +19,28 @@
    *     evenly, the last job finds it in all zones
    */
   PlacementCandidate(
-      Admission.ShardCapacity block,
+      Admission.ShardCapacity shard,
       JobDemand demand,
       boolean entersReserve,
       int inZone,
       int kept) {
-    this.block = block;
+    this.shard = shard;
     this.kept = kept;
     this.inZone = inZone;
     Job job = demand.job();
-    boolean wastesGpus = job.taskResources().gpus() == 0 && block.capacity().gpus() > 0;
-    boolean waits = kept == 0 && !job.taskResources().fitsIn(block.free());
+    boolean wastesGpus = job.taskResources().gpus() == 0 && shard.capacity().gpus() > 0;
+    boolean waits = kept == 0 && !job.taskResources().fitsIn(shard.free());
     // Work is packed where it fits, so that unneeded machines become idle and can be terminated.
-    this.unused = -block.usedShare();
+    this.unused = -shard.usedShare();
     // Urgent work goes to its image first of all; for other work a pull is the lesser evil.
     int room = (entersReserve ? 4 : 0) + (wastesGpus ? 2 : 0) + (waits ? 1 : 0);
-    int image = 2 * block.imageGrade(job) + (block.isSpot() ? 0 : 1);
+    int image = 2 * shard.imageGrade(job) + (shard.isSpot() ? 0 : 1);
     this.grade = demand.hurried() ? image : room;
     this.second = demand.hurried() ? room : image;
   }
 
   Admission.ShardCapacity block() {
-    return block;
+    return shard;
   }
 
   @Override
@@ -58,17 +58,17 @@
       return Integer.compare(second, other.second);
     }
     int byUse = Double.compare(unused, other.unused);
-    return byUse != 0 ? byUse : block.id().compareTo(other.block.id());
+    return byUse != 0 ? byUse : shard.id().compareTo(other.shard.id());
   }
 
   /** The order in which shards with capacity for a gang are preferred. */
   static Comparator<Admission.ShardCapacity> gangOrder(JobDemand demand) {
     Job job = demand.job();
     return Comparator.comparing(
-            (Admission.ShardCapacity block) -> -Math.min(job.taskCount(), block.placesNow(job)))
-        .thenComparing(block -> -Math.min(job.taskCount(), block.placesSoon(job)))
-        .thenComparing(block -> new PlacementCandidate(block, demand, false, 0, 0).grade)
-        .thenComparing(block -> block.imageGrade(job))
+            (Admission.ShardCapacity shard) -> -Math.min(job.taskCount(), shard.placesNow(job)))
+        .thenComparing(shard -> -Math.min(job.taskCount(), shard.placesSoon(job)))
+        .thenComparing(shard -> new PlacementCandidate(shard, demand, false, 0, 0).grade)
+        .thenComparing(shard -> shard.imageGrade(job))
         .thenComparing(Admission.ShardCapacity::usedShare)
         .thenComparing(Admission.ShardCapacity::id);
   }
--- a/src/main/java/org/quincecross/scheduling/Preemption.java
+++ b/src/main/java/org/quincecross/scheduling/Preemption.java
@@ -30,7 +30,7 @@
       boolean saves,
       MonotonicTime since) {}
 
-  private final ShardScheduler block;
+  private final ShardScheduler scheduler;
   private final Map<MachineId, List<Running>> running = new HashMap<>();
   private final Map<MachineId, Resources> room = new HashMap<>();
   private final Priority lowest;
@@ -41,15 +41,16 @@
    * @param tasks the running tasks that could be preempted
    * @param stopping the resources of the tasks that are being stopped on each machine
    */
-  public Preemption(ShardScheduler block, List<Running> tasks, Map<MachineId, Resources> stopping) {
-    this.block = block;
+  public Preemption(
+      ShardScheduler scheduler, List<Running> tasks, Map<MachineId, Resources> stopping) {
+    this.scheduler = scheduler;
     Priority least = Priority.PRODUCTION;
     for (Running task : tasks) {
       running.computeIfAbsent(task.machine(), id -> new ArrayList<>()).add(task);
       least = least.isHigherThan(task.priority()) ? task.priority() : least;
     }
     lowest = least;
-    for (MachineQueue machine : block.machines()) {
+    for (MachineQueue machine : scheduler.machines()) {
       room.put(
           machine.machine(),
           machine.free().plus(stopping.getOrDefault(machine.machine(), Resources.NONE)));
@@ -95,7 +96,7 @@
   private List<Running> victimsForOne(QueueEntry entry, boolean ofIdle) {
     MachineQueue best = null;
     List<Running> bestVictims = null;
-    for (MachineQueue machine : block.machines()) {
+    for (MachineQueue machine : scheduler.machines()) {
       if (!machine.isOpen()
           || !machine.fitsEmptyMachine(entry)
           || entry.avoids(machine.machine())) {
@@ -118,7 +119,7 @@
     }
     room.put(best.machine(), left);
     if (entry.tasks().size() == 1) {
-      block.move(entry, best.machine());
+      scheduler.move(entry, best.machine());
     }
     return bestVictims;
   }
--- a/src/main/java/org/quincecross/scheduling/ShardScheduler.java
+++ b/src/main/java/org/quincecross/scheduling/ShardScheduler.java
@@ -60,28 +60,28 @@
    * Whether a task of {@code entry} would use capacity of a machine that {@code reserve} is kept
    * for.
    */
-  private static boolean usesHeadroom(Headroom reserve, MachineQueue machine, QueueEntry entry) {
-    return reserve.isWithheldFrom(entry.job(), machine.capacity())
-        && splitsWholeMachine(reserve, machine, entry);
+  private static boolean usesHeadroom(Headroom headroom, MachineQueue machine, QueueEntry entry) {
+    return headroom.isWithheldFrom(entry.job(), machine.capacity())
+        && splitsWholeMachine(headroom, machine, entry);
   }
 
   private static boolean splitsWholeMachine(
-      Headroom reserve, MachineQueue machine, QueueEntry entry) {
-    return lost(reserve, machine, entry) > 0;
+      Headroom headroom, MachineQueue machine, QueueEntry entry) {
+    return lost(headroom, machine, entry) > 0;
   }
 
-  private static int lost(Headroom reserve, MachineQueue machine, QueueEntry entry) {
-    return reserve.in(machine.free())
-        - reserve.in(machine.free().minus(entry.job().taskResources()));
+  private static int lost(Headroom headroom, MachineQueue machine, QueueEntry entry) {
+    return headroom.in(machine.free())
+        - headroom.in(machine.free().minus(entry.job().taskResources()));
   }
 
   private boolean splitsWholeMachine(MachineQueue machine, QueueEntry entry) {
     return headroom.stream()
         .anyMatch(
-            reserve ->
-                splitsWholeMachine(reserve, machine, entry)
-                    && (reserve.isWithheldFrom(entry.job(), machine.capacity())
-                        || reserve.isBetterAvoided(entry.job(), machine.capacity())));
+            headroom ->
+                splitsWholeMachine(headroom, machine, entry)
+                    && (headroom.isWithheldFrom(entry.job(), machine.capacity())
+                        || headroom.isBetterAvoided(entry.job(), machine.capacity())));
   }
 
   private boolean mayStartOn(MachineQueue machine, QueueEntry entry) {
@@ -433,7 +433,7 @@
 
   /** Whether an entry's job is starving: it then counts as passed as often as any other. */
   private boolean isLent(QueueEntry entry) {
-    return headroom.stream().anyMatch(reserve -> reserve.lentTo().contains(entry.job().id()));
+    return headroom.stream().anyMatch(headroom -> headroom.lentTo().contains(entry.job().id()));
   }
 
   /** Urgent work is placed by {@link #startUrgent} alone. */
--- a/src/main/java/org/quincecross/shard/MachineSnapshots.java
+++ b/src/main/java/org/quincecross/shard/MachineSnapshots.java
@@ -89,20 +89,20 @@
    * requests.
    */
   List<Headroom> withoutLent(List<Headroom> reserves) {
-    if (reserves.stream().noneMatch(reserve -> reserve.purpose() == Headroom.Purpose.REQUESTS)) {
+    if (reserves.stream().noneMatch(headroom -> headroom.purpose() == Headroom.Purpose.REQUESTS)) {
       return reserves;
     }
     List<Headroom> less = new ArrayList<>();
-    for (Headroom reserve : reserves) {
+    for (Headroom headroom : reserves) {
       less.add(
-          reserve.purpose() == Headroom.Purpose.REQUESTS
-              ? reserve.lentCopy(lentPart(reserve))
-              : reserve);
+          headroom.purpose() == Headroom.Purpose.REQUESTS
+              ? headroom.lentCopy(lentPart(headroom))
+              : headroom);
     }
     return less;
   }
 
-  private int lentPart(Headroom reserve) {
+  private int lentPart(Headroom headroom) {
     int tasks = 0;
     for (AgentSession session : sessions.values()) {
       if (monitor.isOpen(session)) {
@@ -114,7 +114,8 @@
                   : borrowed;
         }
         Resources free = session.capacity().minus(used(session));
-        tasks += free.plus(borrowed).capacityFor(reserve.each()) - free.capacityFor(reserve.each());
+        tasks +=
+            free.plus(borrowed).capacityFor(headroom.each()) - free.capacityFor(headroom.each());
       }
     }
     return tasks;
--- a/src/main/java/org/quincecross/shard/OwnedShards.java
+++ b/src/main/java/org/quincecross/shard/OwnedShards.java
@@ -25,14 +25,14 @@
 
   private final ShardContext context;
   private final ControllerId self;
-  private final Supplier<Incarnation> life;
+  private final Supplier<Incarnation> incarnation;
   private final Map<ShardId, ShardOwner> owners = new LinkedHashMap<>();
 
   /** Creates an empty set of shards. */
-  public OwnedShards(ShardContext context, ControllerId self, Supplier<Incarnation> life) {
+  public OwnedShards(ShardContext context, ControllerId self, Supplier<Incarnation> incarnation) {
     this.context = context;
     this.self = self;
-    this.life = life;
+    this.incarnation = incarnation;
   }
 
   /** Starts the periodic work of all owned shards. */
@@ -90,7 +90,7 @@
       if (!owner.lease().version().equals(lease.version())) {
         owner.renewed(lease);
       }
-    } else if (lease.incarnation().equals(life.get())) {
+    } else if (lease.incarnation().equals(incarnation.get())) {
       // Owned from here on by this incarnation: what this process knew of the shard is outdated.
       LOG.info(
           "shard {} taken over, token {}, {} machines",
@@ -135,9 +135,9 @@
   public List<PeerHeartbeat.ShardStatus> since(long base) {
     List<PeerHeartbeat.ShardStatus> changed = new ArrayList<>();
     for (ShardOwner owner : owners.values()) {
-      PeerHeartbeat.ShardStatus block = owner.reporter().since(base);
-      if (block != null) {
-        changed.add(block);
+      PeerHeartbeat.ShardStatus shardStatus = owner.reporter().since(base);
+      if (shardStatus != null) {
+        changed.add(shardStatus);
       }
     }
     return changed;
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -79,8 +79,8 @@
       free = free.plus(machine.free());
       fits |= job.taskResources().fitsIn(machine.free());
     }
-    for (Headroom reserve : reserves.apply(shard.id())) {
-      free = reserve.isWithheldFrom(job, type.capacity()) ? free.minus(reserve.total()) : free;
+    for (Headroom headroom : reserves.apply(shard.id())) {
+      free = headroom.isWithheldFrom(job, type.capacity()) ? free.minus(headroom.total()) : free;
     }
     return fits && job.taskResources().fitsIn(free);
   }
--- a/src/main/java/org/quincecross/state/DemandForecast.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -204,8 +204,8 @@
     }
   }
 
-  private void keep(ShardLease shard, Headroom reserve) {
-    headroomByShard.computeIfAbsent(shard.id(), id -> new ArrayList<>()).add(reserve);
+  private void keep(ShardLease shard, Headroom headroom) {
+    headroomByShard.computeIfAbsent(shard.id(), id -> new ArrayList<>()).add(headroom);
   }
 
   /** Every sufficiently large shard of on-demand machines keeps headroom for services. */
--- a/src/main/java/org/quincecross/state/ReplicationSupport.java
+++ b/src/main/java/org/quincecross/state/ReplicationSupport.java
@@ -25,7 +25,7 @@
     }
     TreeSet<String> lacking = new TreeSet<>();
     TreeSet<ControllerId> all = new TreeSet<>(cache.members().keySet());
-    settings.peers().forEach(sibling -> all.add(sibling.id()));
+    settings.peers().forEach(peer -> all.add(peer.id()));
     all.add(settings.self());
     for (ControllerId member : all) {
       ControllerRecord record = cache.members().get(member);
--- a/src/main/java/org/quincecross/state/ShardLease.java
+++ b/src/main/java/org/quincecross/state/ShardLease.java
@@ -133,11 +133,11 @@
   }
 
   /** A new shard with its first lease. */
-  public static ShardLease first(ShardId id, ControllerRecord holder, Machine machine) {
+  public static ShardLease first(ShardId id, ControllerRecord owner, Machine machine) {
     return new ShardLease(
         id,
-        holder.id(),
-        holder.incarnation(),
+        owner.id(),
+        owner.incarnation(),
         machine.type(),
         machine.zone(),
         machine.spot(),
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -146,7 +146,7 @@
             0,
             List.of(),
             List.of());
-    PeerHeartbeat.ShardStatus block =
+    PeerHeartbeat.ShardStatus shardStatus =
         new PeerHeartbeat.ShardStatus(
             BLOCK,
             new FencingToken(cache.shard(BLOCK).token().value()),
@@ -167,7 +167,7 @@
             Map.of(),
             cache.revision(),
             TimeSpan.ZERO,
-            List.of(block),
+            List.of(shardStatus),
             List.of()),
         clock.now());
   }
--- a/src/test/java/org/quincecross/emulator/CostScalingTest.java
+++ b/src/test/java/org/quincecross/emulator/CostScalingTest.java
@@ -28,7 +28,11 @@
     assertTrue(calls(large, "POST /agent/…") > 1.5 * calls(small, "POST /agent/…"));
     for (String timer :
         new String[] {
-          "timer Leader", "timer PeerReporter", "timer OwnedShards", "timer Autoscaler", "peer report"
+          "timer Leader",
+          "timer PeerReporter",
+          "timer OwnedShards",
+          "timer Autoscaler",
+          "peer report"
         }) {
       assertTrue(
           calls(large, timer) < 1.4 * calls(small, timer),
--- a/src/test/java/org/quincecross/leader/AllocationIndexTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationIndexTest.java
@@ -85,7 +85,7 @@
   }
 
   private static ShardLease lease(int block) {
-    ControllerRecord holder =
+    ControllerRecord owner =
         new ControllerRecord(
             new ControllerId("m"),
             new Incarnation(1),
@@ -95,7 +95,7 @@
             new Revision(1));
     return ShardLease.first(
         new ShardId("b" + block),
-        holder,
+        owner,
         new Machine(
             new MachineId("m" + block), new Endpoint("10.0.0.1", 1), "t", "z" + block % 2, false));
   }
--- a/src/test/java/org/quincecross/leader/AutoscalerTest.java
+++ b/src/test/java/org/quincecross/leader/AutoscalerTest.java
@@ -123,7 +123,7 @@
         new MachineType("t", SIZE, 50, 1, 1, 0.3, TimeSpan.ofSeconds(10), List.of("a", "b"));
     CacheTestSupport.put(
         cache, StoreKeys.machineType("t"), CloudCodec.writeCatalog(List.of(type)), 1);
-    ControllerRecord holder =
+    ControllerRecord owner =
         new ControllerRecord(
             new ControllerId("n"),
             new Incarnation(1),
@@ -137,7 +137,7 @@
         Machine machine = new Machine(new MachineId("m-" + zone + i), here, "t", zone, true);
         shard =
             shard == null
-                ? ShardLease.first(new ShardId(zone), holder, machine)
+                ? ShardLease.first(new ShardId(zone), owner, machine)
                 : shard.with(machine);
         hear(machine.id(), 0);
       }
@@ -148,7 +148,7 @@
       Machine machine = new Machine(new MachineId("o-" + i), here, "t", "b", false);
       ordinary =
           ordinary == null
-              ? ShardLease.first(new ShardId("o"), holder, machine)
+              ? ShardLease.first(new ShardId("o"), owner, machine)
               : ordinary.with(machine);
       hear(machine.id(), 0);
     }
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -126,7 +126,7 @@
   private List<Mutation> planned(boolean inDoubt, boolean secondIsFenced) {
     List<PeerHeartbeat.MachineState> machines =
         List.of(machine("m-0", true), machine("m-1", secondIsFenced));
-    PeerHeartbeat.ShardStatus block =
+    PeerHeartbeat.ShardStatus shardStatus =
         new PeerHeartbeat.ShardStatus(
             BLOCK,
             new FencingToken(2),
@@ -147,7 +147,7 @@
             Map.of(),
             Revision.NONE,
             TimeSpan.ZERO,
-            List.of(block),
+            List.of(shardStatus),
             List.of()),
         clock.now());
     TransactionBuilder transaction = new TransactionBuilder(cache, 8, 4000);
--- a/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
+++ b/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
@@ -97,7 +97,7 @@
    * by priority and age.
    */
   private void second(int now, StartGuarantee beginnings, Map<String, Team> teams) {
-    List<Admission.ShardCapacity> blocks = new ArrayList<>();
+    List<Admission.ShardCapacity> shards = new ArrayList<>();
     for (String name : running.keySet()) {
       running
           .get(name)
@@ -111,12 +111,12 @@
       for (int i = 0; i < MACHINES; i++) {
         machines.add(MACHINE);
       }
-      Admission.ShardCapacity block =
+      Admission.ShardCapacity shard =
           new Admission.ShardCapacity(
               new ShardId(name), "m", "z", false, BLOCK, machines, machines, Map.of(), 100_000);
-      queued.get(name).forEach(each -> block.count(each.job, 1, 1, false));
-      running.get(name).forEach(each -> block.count(each.getKey().job, 1, 1, false));
-      blocks.add(block);
+      queued.get(name).forEach(each -> shard.count(each.job, 1, 1, false));
+      running.get(name).forEach(each -> shard.count(each.getKey().job, 1, 1, false));
+      shards.add(shard);
     }
     Map<String, Resources> use = new HashMap<>();
     List<StartGuarantee.Waiting> waiting = new ArrayList<>();
@@ -152,9 +152,9 @@
                   play.job.estimatedDemand())
               .with(begin.getOrDefault(each.id(), 0), Admission.Place.GUARANTEED_START));
     }
-    new Admission(blocks, teams, use, Map.of()).run(demands);
-    for (Admission.ShardCapacity block : blocks) {
-      block
+    new Admission(shards, teams, use, Map.of()).run(demands);
+    for (Admission.ShardCapacity shard : shards) {
+      shard
           .admitted()
           .forEach(
               (id, tasks) -> {
@@ -163,7 +163,7 @@
                 play.given += tasks.size();
                 play.out += tasks.size();
                 for (int i = 0; i < tasks.size(); i++) {
-                  queued.get(block.id().text()).add(play);
+                  queued.get(shard.id().text()).add(play);
                 }
               });
     }
--- a/src/test/java/org/quincecross/peer/PeerViewsTest.java
+++ b/src/test/java/org/quincecross/peer/PeerViewsTest.java
@@ -34,7 +34,7 @@
    */
   private static final class Sender {
     private final Random random;
-    private final Map<Integer, Map<Integer, Integer>> blocks = new TreeMap<>();
+    private final Map<Integer, Map<Integer, Integer>> shards = new TreeMap<>();
     private final Map<Integer, Map<Integer, Long>> changedIn = new TreeMap<>();
     private Incarnation incarnation = new Incarnation(1);
     private long number;
@@ -43,7 +43,7 @@
     Sender(Random random) {
       this.random = random;
       for (int block = 0; block < 3; block++) {
-        blocks.put(block, new TreeMap<>());
+        shards.put(block, new TreeMap<>());
         changedIn.put(block, new TreeMap<>());
       }
     }
@@ -52,10 +52,10 @@
       number++;
       int block = random.nextInt(3);
       int machine = random.nextInt(4);
-      blocks.get(block).put(machine, random.nextInt(100));
+      shards.get(block).put(machine, random.nextInt(100));
       changedIn.get(block).put(machine, number);
       List<PeerHeartbeat.ShardStatus> changed = new ArrayList<>();
-      blocks.forEach(
+      shards.forEach(
           (id, machines) -> {
             List<PeerHeartbeat.MachineState> states = new ArrayList<>();
             machines.forEach(
@@ -160,14 +160,14 @@
       boolean taken = views.apply(heartbeat, NOW);
       PeerHeartbeat.Receipt receipt = views.receipts().get(SENDER);
       if (taken) {
-        assertEquals(sender.blocks, seen(views), "what was taken is all there is");
+        assertEquals(sender.shards, seen(views), "what was taken is all there is");
       } else {
         assertTrue(receipt.gap() && receipt.incarnation().equals(sender.incarnation));
         sender.base = receipt.number();
         assertTrue(
             views.apply(sender.report(), NOW),
             "told from what the receiver has, it takes the report");
-        assertEquals(sender.blocks, seen(views));
+        assertEquals(sender.shards, seen(views));
       }
     }
   }
@@ -175,7 +175,7 @@
   @Example
   void aReportWithNoKnownBaseSaysNothing() {
     PeerViews views = new PeerViews();
-    PeerHeartbeat.ShardStatus block =
+    PeerHeartbeat.ShardStatus shardStatus =
         new PeerHeartbeat.ShardStatus(
             new ShardId("b0"),
             new FencingToken(1),
@@ -197,7 +197,7 @@
                 Map.of(),
                 Revision.NONE,
                 TimeSpan.ZERO,
-                List.of(block),
+                List.of(shardStatus),
                 List.of()),
             NOW));
     assertEquals(Map.of(), views.of(SENDER).shards());
--- a/src/test/java/org/quincecross/scheduling/AdmissionTest.java
+++ b/src/test/java/org/quincecross/scheduling/AdmissionTest.java
@@ -68,13 +68,13 @@
 
   @Property(tries = 400, seed = "11")
   void keepsLimitsZonesAndKinds(@ForAll @Size(max = 12) List<@From("jobs") Job> jobs) {
-    List<Admission.ShardCapacity> blocks = new ArrayList<>();
+    List<Admission.ShardCapacity> shards = new ArrayList<>();
     Map<ShardId, String> zoneOf = new HashMap<>();
     for (String zone : List.of("a", "b", "c")) {
       for (boolean spot : new boolean[] {true, false}) {
         ShardId id = new ShardId(zone + spot);
         zoneOf.put(id, zone);
-        blocks.add(
+        shards.add(
             new Admission.ShardCapacity(
                 id,
                 "m",
@@ -111,23 +111,23 @@
     byId.clear();
     demands.forEach(demand -> byId.put(demand.job().id(), demand.job()));
     Resources before = new Resources(4, 0, 0);
-    new Admission(blocks, Map.of("t", TEAM), Map.of("t", before), Map.of()).run(demands);
+    new Admission(shards, Map.of("t", TEAM), Map.of("t", before), Map.of()).run(demands);
 
     Resources use = before;
     Map<JobId, Map<String, Integer>> perZone = new HashMap<>();
     Map<JobId, TaskSet> out = new HashMap<>();
-    for (Admission.ShardCapacity block : blocks) {
-      for (Map.Entry<JobId, TaskSet> admitted : block.admitted().entrySet()) {
+    for (Admission.ShardCapacity shard : shards) {
+      for (Map.Entry<JobId, TaskSet> admitted : shard.admitted().entrySet()) {
         Job job = byId.get(admitted.getKey());
         int count = admitted.getValue().size();
         use = use.plus(job.taskResources().times(count));
         perZone
             .computeIfAbsent(job.id(), id -> new HashMap<>())
-            .merge(zoneOf.get(block.id()), count, Integer::sum);
+            .merge(zoneOf.get(shard.id()), count, Integer::sum);
         int sizeBefore = out.computeIfAbsent(job.id(), id -> new TaskSet()).size();
         out.get(job.id()).addAll(admitted.getValue());
         assertEquals(sizeBefore + count, out.get(job.id()).size(), "a task goes to one block only");
-        assertTrue(job.allows("m", zoneOf.get(block.id()), block.id().text().endsWith("true")));
+        assertTrue(job.allows("m", zoneOf.get(shard.id()), shard.id().text().endsWith("true")));
       }
     }
     assertTrue(use.fitsIn(TEAM.limit()), "the team's limit");
@@ -171,11 +171,11 @@
             TimeSpan.ZERO,
             TimeSpan.ZERO,
             null);
-    List<Admission.ShardCapacity> blocks = blocks(job, declines);
-    List<Admission.Unmet> unmet = admit(job, blocks);
+    List<Admission.ShardCapacity> shards = blocks(job, declines);
+    List<Admission.Unmet> unmet = admit(job, shards);
     int admitted = 0;
-    for (int i = 0; i < blocks.size(); i++) {
-      int here = blocks.get(i).admitted().size();
+    for (int i = 0; i < shards.size(); i++) {
+      int here = shards.get(i).admitted().size();
       assertTrue(here == 0 || !declines.get(i), "given to a block that declines it");
       admitted += here;
     }
@@ -189,9 +189,9 @@
   }
 
   private static List<Admission.ShardCapacity> blocks(Job job, List<Boolean> declines) {
-    List<Admission.ShardCapacity> blocks = new ArrayList<>();
+    List<Admission.ShardCapacity> shards = new ArrayList<>();
     for (int i = 0; i < declines.size(); i++) {
-      Admission.ShardCapacity block =
+      Admission.ShardCapacity shard =
           new Admission.ShardCapacity(
               new ShardId("b" + i),
               "m",
@@ -202,14 +202,14 @@
               List.of(new Resources(8, 0, 32)),
               Map.of(),
               4000);
-      block.decline(declines.get(i) ? Set.of(job.id()) : Set.of(new JobId("job-100000")));
-      blocks.add(block);
+      shard.decline(declines.get(i) ? Set.of(job.id()) : Set.of(new JobId("job-100000")));
+      shards.add(shard);
     }
-    return blocks;
+    return shards;
   }
 
-  private static List<Admission.Unmet> admit(Job job, List<Admission.ShardCapacity> blocks) {
-    return new Admission(blocks, Map.of("t", TEAM), Map.of(), Map.of())
+  private static List<Admission.Unmet> admit(Job job, List<Admission.ShardCapacity> shards) {
+    return new Admission(shards, Map.of("t", TEAM), Map.of(), Map.of())
         .run(
             List.of(
                 new JobDemand(
@@ -232,7 +232,7 @@
   void whatNobodyExpectsIsInNobodysWay() {
     for (boolean idle : new boolean[] {true, false}) {
       for (Priority priority : List.of(Priority.NORMAL, Priority.LOW)) {
-        Admission.ShardCapacity block =
+        Admission.ShardCapacity shard =
             new Admission.ShardCapacity(
                 new ShardId("b"),
                 "m",
@@ -243,9 +243,9 @@
                 List.of(),
                 Map.of(),
                 4000);
-        block.count(array(1, Priority.LOW, 8), 8, 8, idle);
+        shard.count(array(1, Priority.LOW, 8), 8, 8, idle);
         Job job = array(2, priority, 4);
-        new Admission(List.of(block), Map.of("t", TEAM), Map.of(), Map.of())
+        new Admission(List.of(shard), Map.of("t", TEAM), Map.of(), Map.of())
             .run(
                 List.of(
                     new JobDemand(
@@ -259,7 +259,7 @@
                         Admission.Place.BY_PRIORITY,
                         500)));
         int admitted =
-            block.admitted().containsKey(job.id()) ? block.admitted().get(job.id()).size() : 0;
+            shard.admitted().containsKey(job.id()) ? shard.admitted().get(job.id()).size() : 0;
         assertEquals(
             idle && priority == Priority.NORMAL ? 4 : 1,
             admitted,
--- a/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
+++ b/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
@@ -29,13 +29,13 @@
   private final Team web = new Team("web", Resources.NONE, new Resources(20, 0, 99));
   private final Team other = new Team("other", Resources.NONE, new Resources(99, 0, 99));
   private final Map<String, Resources> use = new HashMap<>();
-  private Admission.ShardCapacity block;
+  private Admission.ShardCapacity shard;
   private int number;
 
   @BeforeEach
   void anEmptyBlock() {
     Resources machine = new Resources(8, 0, 64);
-    block =
+    shard =
         new Admission.ShardCapacity(
             BLOCK,
             "m",
@@ -91,10 +91,10 @@
               demands.size()));
     }
     new Admission(
-            List.of(block), Map.of("web", web, "other", other), use, Map.of(BLOCK, List.of(kept)))
+            List.of(shard), Map.of("web", web, "other", other), use, Map.of(BLOCK, List.of(kept)))
         .run(demands);
     return java.util.Arrays.stream(jobs)
-        .map(job -> block.admitted().getOrDefault(job.id(), new TaskSet()).size())
+        .map(job -> shard.admitted().getOrDefault(job.id(), new TaskSet()).size())
         .toList();
   }
 
@@ -110,7 +110,7 @@
   @Test
   void whatSavesWithinASecondMayBorrowAndLeavesOthersTheirRoom() {
     Job quick = job("quick", "other", JobKind.ARRAY, Priority.NORMAL, 12, 1);
-    block.count(quick, 12, 12, false);
+    shard.count(quick, 12, 12, false);
     assertEquals(
         List.of(4), admitted(job("plain", "other", JobKind.ARRAY, Priority.NORMAL, 20, 0)));
   }
--- a/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
+++ b/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
@@ -61,101 +61,104 @@
   }
 
   private static ShardScheduler block(int machines) {
-    ShardScheduler block = new ShardScheduler();
+    ShardScheduler scheduler = new ShardScheduler();
     for (int i = 0; i < machines; i++) {
-      block.addMachine(new MachineId("m" + i), MACHINE, image -> false);
-      block.update(new MachineId("m" + i), Resources.NONE, Resources.NONE, true);
+      scheduler.addMachine(new MachineId("m" + i), MACHINE, image -> false);
+      scheduler.update(new MachineId("m" + i), Resources.NONE, Resources.NONE, true);
     }
-    return block;
+    return scheduler;
   }
 
   @Example
   void aTaskThatPassesOthersCountsThemUp() {
-    ShardScheduler block = block(1);
-    block.update(new MachineId("m0"), new Resources(6, 0, 0), Resources.NONE, true);
+    ShardScheduler scheduler = block(1);
+    scheduler.update(new MachineId("m0"), new Resources(6, 0, 0), Resources.NONE, true);
     QueueEntry wide = entry(1, 8, 1);
     QueueEntry alsoWide = entry(2, 4, 1);
     QueueEntry narrow = entry(3, 2, 1);
-    List.of(wide, alsoWide, narrow).forEach(block::enqueue);
+    List.of(wide, alsoWide, narrow).forEach(scheduler::enqueue);
     assertEquals(
-        List.of(narrow), block.schedule(NOW).stream().map(ShardScheduler.Start::entry).toList());
+        List.of(narrow),
+        scheduler.schedule(NOW).stream().map(ShardScheduler.Start::entry).toList());
     assertEquals(1, wide.counter());
     assertEquals(1, alsoWide.counter());
   }
 
   @Example
   void nothingPassesAHeadWithAHigherCounter() {
-    ShardScheduler block = block(1);
-    block.update(new MachineId("m0"), new Resources(6, 0, 0), Resources.NONE, true);
+    ShardScheduler scheduler = block(1);
+    scheduler.update(new MachineId("m0"), new Resources(6, 0, 0), Resources.NONE, true);
     QueueEntry wide = entry(1, 8, 1);
-    block.enqueue(wide);
-    block.enqueue(entry(2, 2, 1));
-    block.schedule(NOW);
+    scheduler.enqueue(wide);
+    scheduler.enqueue(entry(2, 2, 1));
+    scheduler.schedule(NOW);
     assertEquals(1, wide.counter());
-    block.update(new MachineId("m0"), new Resources(6, 0, 0), Resources.NONE, true);
-    block.enqueue(entry(3, 2, 1));
-    assertTrue(block.schedule(NOW).isEmpty(), "the counter of a newcomer is less than the head's");
+    scheduler.update(new MachineId("m0"), new Resources(6, 0, 0), Resources.NONE, true);
+    scheduler.enqueue(entry(3, 2, 1));
+    assertTrue(
+        scheduler.schedule(NOW).isEmpty(), "the counter of a newcomer is less than the head's");
   }
 
   @Example
   void theBetterBalanceStartsFirst() {
-    ShardScheduler block = block(1);
-    block.update(new MachineId("m0"), new Resources(4, 0, 0), Resources.NONE, true);
+    ShardScheduler scheduler = block(1);
+    scheduler.update(new MachineId("m0"), new Resources(4, 0, 0), Resources.NONE, true);
     QueueEntry head = entry(1, 8, 1);
     QueueEntry lopsided = entry(2, 3, 1);
     QueueEntry balanced = entry(3, 3, 28);
-    List.of(head, lopsided, balanced).forEach(block::enqueue);
-    assertEquals(balanced, block.schedule(NOW).get(0).entry());
+    List.of(head, lopsided, balanced).forEach(scheduler::enqueue);
+    assertEquals(balanced, scheduler.schedule(NOW).get(0).entry());
   }
 
   @Example
   void aFreeMachinePullsFromTheLongestQueue() {
-    ShardScheduler block = block(2);
-    block.update(new MachineId("m1"), MACHINE, Resources.NONE, false);
+    ShardScheduler scheduler = block(2);
+    scheduler.update(new MachineId("m1"), MACHINE, Resources.NONE, false);
     for (int i = 0; i < 6; i++) {
-      block.enqueue(entry(i, 8, 1));
+      scheduler.enqueue(entry(i, 8, 1));
     }
-    block.update(new MachineId("m0"), MACHINE, Resources.NONE, true);
-    block.update(new MachineId("m1"), Resources.NONE, Resources.NONE, true);
-    List<ShardScheduler.Start> starts = block.schedule(NOW);
+    scheduler.update(new MachineId("m0"), MACHINE, Resources.NONE, true);
+    scheduler.update(new MachineId("m1"), Resources.NONE, Resources.NONE, true);
+    List<ShardScheduler.Start> starts = scheduler.schedule(NOW);
     assertEquals(List.of(new MachineId("m1")), starts.get(0).machines());
   }
 
   @Example
   void aGangStartsWholeOrNotAtAll() {
-    ShardScheduler block = block(3);
+    ShardScheduler scheduler = block(3);
     Job job = job(1, JobKind.GANG, Priority.NORMAL, 3, 6, 1);
     QueueEntry gang =
         new QueueEntry(
             job, IntStream.range(0, 3).mapToObj(job.id()::task).toList(), new Revision(1));
-    block.enqueue(gang);
-    block.update(new MachineId("m2"), new Resources(4, 0, 0), Resources.NONE, true);
-    assertTrue(block.schedule(NOW).isEmpty());
-    block.update(new MachineId("m2"), Resources.NONE, Resources.NONE, true);
-    List<ShardScheduler.Start> starts = block.schedule(NOW);
+    scheduler.enqueue(gang);
+    scheduler.update(new MachineId("m2"), new Resources(4, 0, 0), Resources.NONE, true);
+    assertTrue(scheduler.schedule(NOW).isEmpty());
+    scheduler.update(new MachineId("m2"), Resources.NONE, Resources.NONE, true);
+    List<ShardScheduler.Start> starts = scheduler.schedule(NOW);
     assertEquals(3, starts.get(0).machines().size());
   }
 
   @Example
   void smallTasksDoNotStarveAGang() {
-    ShardScheduler block = block(1);
-    block.update(new MachineId("m0"), new Resources(4, 0, 0), Resources.NONE, true);
+    ShardScheduler scheduler = block(1);
+    scheduler.update(new MachineId("m0"), new Resources(4, 0, 0), Resources.NONE, true);
     Job job = job(1, JobKind.GANG, Priority.NORMAL, 1, 8, 1);
-    block.enqueue(new QueueEntry(job, List.of(job.id().task(0)), new Revision(1)));
-    block.enqueue(entry(2, 2, 1));
-    assertTrue(block.schedule(NOW).isEmpty(), "the machine that the gang waits for is kept for it");
+    scheduler.enqueue(new QueueEntry(job, List.of(job.id().task(0)), new Revision(1)));
+    scheduler.enqueue(entry(2, 2, 1));
+    assertTrue(
+        scheduler.schedule(NOW).isEmpty(), "the machine that the gang waits for is kept for it");
   }
 
   @Example
   void smallWorkLeavesRoomForLargeWork() {
-    ShardScheduler block = block(2);
-    block.setHeadroom(
+    ShardScheduler scheduler = block(2);
+    scheduler.setHeadroom(
         List.of(new Headroom(Headroom.Purpose.LARGE_WORK, new Resources(7, 0, 1), 1)));
     for (int i = 0; i < 8; i++) {
-      block.enqueue(entry(i, 2, 1));
+      scheduler.enqueue(entry(i, 2, 1));
     }
     Map<MachineId, Integer> count = new HashMap<>();
-    block.schedule(NOW).forEach(start -> count.merge(start.machines().get(0), 1, Integer::sum));
+    scheduler.schedule(NOW).forEach(start -> count.merge(start.machines().get(0), 1, Integer::sum));
     assertEquals(1, count.size(), "one of the two machines stays whole");
   }
 
@@ -165,32 +168,32 @@
    */
   @Example
   void urgentWorkDisplacesOthersWhereItsImageIs() {
-    ShardScheduler block = new ShardScheduler();
+    ShardScheduler scheduler = new ShardScheduler();
     MachineId idle = new MachineId("m0");
     MachineId withImage = new MachineId("m1");
-    block.addMachine(idle, MACHINE, image -> false);
-    block.addMachine(withImage, MACHINE, image -> true);
+    scheduler.addMachine(idle, MACHINE, image -> false);
+    scheduler.addMachine(withImage, MACHINE, image -> true);
     Resources two = new Resources(2, 0, 1);
-    block.update(idle, Resources.NONE, Resources.NONE, true);
-    block.update(withImage, MACHINE, two, true);
+    scheduler.update(idle, Resources.NONE, Resources.NONE, true);
+    scheduler.update(withImage, MACHINE, two, true);
     Job job = job(1, JobKind.SERVICE, Priority.PRODUCTION, 1, 2, 1);
     QueueEntry urgent = new QueueEntry(job, List.of(job.id().task(0)), new Revision(1));
     urgent.avoidImagePull();
-    block.enqueue(urgent);
-    assertTrue(block.schedule(NOW).isEmpty(), "room can be made at once next to the image");
+    scheduler.enqueue(urgent);
+    assertTrue(scheduler.schedule(NOW).isEmpty(), "room can be made at once next to the image");
     Job other = job(2, JobKind.ARRAY, Priority.NORMAL, 1, 2, 1);
     Preemption.Running victim =
         new Preemption.Running(
             other.id().task(0), withImage, Priority.NORMAL, false, two, false, NOW);
     assertEquals(
         List.of(victim),
-        new Preemption(block, List.of(victim), Map.of()).victimsFor(urgent, false));
+        new Preemption(scheduler, List.of(victim), Map.of()).victimsFor(urgent, false));
     assertEquals(
         List.of(),
-        new Preemption(block, List.of(), Map.of(withImage, two)).victimsFor(urgent, false),
+        new Preemption(scheduler, List.of(), Map.of(withImage, two)).victimsFor(urgent, false),
         "it is being made");
-    block.update(withImage, MACHINE.minus(two), Resources.NONE, true);
-    List<ShardScheduler.Start> starts = block.schedule(NOW);
+    scheduler.update(withImage, MACHINE.minus(two), Resources.NONE, true);
+    List<ShardScheduler.Start> starts = scheduler.schedule(NOW);
     assertEquals(List.of(withImage), starts.get(0).machines());
   }
 
@@ -200,11 +203,11 @@
    */
   @Example
   void roomForAGangIsMadeOnAsManyMachinesAsItNeedsOrOnNone() {
-    ShardScheduler block = block(3);
+    ShardScheduler scheduler = block(3);
     List<Preemption.Running> running = new ArrayList<>();
-    List<MachineId> machines = block.machines().stream().map(MachineQueue::machine).toList();
+    List<MachineId> machines = scheduler.machines().stream().map(MachineQueue::machine).toList();
     for (int i = 0; i < 3; i++) {
-      block.update(machines.get(i), MACHINE, Resources.NONE, true);
+      scheduler.update(machines.get(i), MACHINE, Resources.NONE, true);
       for (int half = 0; half < 2; half++) {
         Job job =
             job(
@@ -228,18 +231,18 @@
     Job wide = job(1, JobKind.GANG, Priority.NORMAL, 2, 8, 32);
     QueueEntry gang =
         new QueueEntry(wide, List.of(wide.id().task(0), wide.id().task(1)), new Revision(1));
-    block.enqueue(gang);
+    scheduler.enqueue(gang);
     assertEquals(
         new HashSet<>(running.subList(0, 4)),
-        new HashSet<>(new Preemption(block, running, Map.of()).victimsFor(gang, false)));
+        new HashSet<>(new Preemption(scheduler, running, Map.of()).victimsFor(gang, false)));
     Job wider = job(2, JobKind.GANG, Priority.NORMAL, 3, 8, 32);
     QueueEntry tooWide =
         new QueueEntry(
             wider,
             List.of(wider.id().task(0), wider.id().task(1), wider.id().task(2)),
             new Revision(2));
-    block.enqueue(tooWide);
-    Preemption preemption = new Preemption(block, running, Map.of());
+    scheduler.enqueue(tooWide);
+    Preemption preemption = new Preemption(scheduler, running, Map.of());
     assertEquals(
         List.of(), preemption.victimsFor(tooWide, false), "work of its own priority stays");
     assertEquals(
@@ -248,9 +251,10 @@
         "what was not stopped for one can be for another");
     Job small = job(3, JobKind.ARRAY, Priority.NORMAL, 1, 4, 16);
     QueueEntry one = new QueueEntry(small, List.of(small.id().task(0)), new Revision(3));
-    assertTrue(new Preemption(block, running, Map.of()).victimsFor(one, true).get(0).idle());
+    assertTrue(new Preemption(scheduler, running, Map.of()).victimsFor(one, true).get(0).idle());
     assertEquals(
-        List.of(), new Preemption(block, running.subList(4, 6), Map.of()).victimsFor(one, true));
+        List.of(),
+        new Preemption(scheduler, running.subList(4, 6), Map.of()).victimsFor(one, true));
   }
 
   /** One thing that happens to a block. */
@@ -269,7 +273,7 @@
   @Property(tries = 300, seed = "10")
   void neverOverfillsAMachineAndLosesNoWork(
       @ForAll @Size(max = 60) List<@net.jqwik.api.From("steps") Step> steps) {
-    ShardScheduler block = block(4);
+    ShardScheduler scheduler = block(4);
     Map<MachineId, Resources> used = new HashMap<>();
     List<QueueEntry> waiting = new ArrayList<>();
     List<ShardScheduler.Start> running = new ArrayList<>();
@@ -278,7 +282,7 @@
       switch (step.kind()) {
         case 0, 1 -> {
           QueueEntry entry = entry(++number, step.cpus(), step.memory());
-          assertTrue(block.enqueue(entry));
+          assertTrue(scheduler.enqueue(entry));
           waiting.add(entry);
         }
         case 2 -> {
@@ -293,13 +297,13 @@
         default -> {
           for (int i = 0; i < 4; i++) {
             MachineId machine = new MachineId("m" + i);
-            block.update(
+            scheduler.update(
                 machine,
                 used.getOrDefault(machine, Resources.NONE),
                 Resources.NONE,
                 i != step.number());
           }
-          for (ShardScheduler.Start start : block.schedule(NOW)) {
+          for (ShardScheduler.Start start : scheduler.schedule(NOW)) {
             assertTrue(waiting.remove(start.entry()), "started once");
             MachineId machine = start.machines().get(0);
             assertFalse(
@@ -311,7 +315,7 @@
           }
         }
       }
-      assertEquals(waiting.size(), block.waiting().size());
+      assertEquals(waiting.size(), scheduler.waiting().size());
     }
   }
 }
