--- a/src/main/java/org/quincecross/admin/AccountingLog.java
+++ b/src/main/java/org/quincecross/admin/AccountingLog.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 import org.quincecross.accounting.JobAccounting;
+import org.quincecross.accounting.LargestJobs;
 import org.quincecross.accounting.ServiceLevels;
 import org.quincecross.leader.Leader;
 import org.quincecross.model.JobId;
@@ -235,31 +236,32 @@
 
   /** For the status: how the largest jobs of each class fared. */
   Map<String, Object> largest() {
-    Map<String, Object> classes = Json.object();
-    books
-        .largest(timers.now())
-        .forEach(
-            (name, parts) ->
-                classes.put(
-                    name,
-                    parts.stream()
-                        .map(
-                            each ->
-                                Json.object(
-                                    "part",
-                                    each.part(),
-                                    "jobs",
-                                    each.jobs(),
-                                    "served",
-                                    each.served(),
-                                    "due",
-                                    each.due(),
-                                    "in_time",
-                                    each.inTime(),
-                                    "longest_s",
-                                    each.longestS()))
-                        .toList()));
-    return classes;
+    return writeLargest(books.largest(timers.now()));
+  }
+
+  /** How the largest jobs of each class fared, as JSON has it. */
+  public static Map<String, Object> writeLargest(Map<String, List<LargestJobs>> all) {
+    Map<String, Object> written = Json.object();
+    all.forEach(
+        (name, parts) ->
+            written.put(name, parts.stream().map(AccountingLog::writeLargestJobs).toList()));
+    return written;
+  }
+
+  private static Map<String, Object> writeLargestJobs(LargestJobs jobs) {
+    return Json.object(
+        "part",
+        jobs.part(),
+        "jobs",
+        jobs.jobs(),
+        "served",
+        jobs.served(),
+        "due",
+        jobs.due(),
+        "in_time",
+        jobs.inTime(),
+        "longest_s",
+        jobs.longestS());
   }
 
   private static Map<String, Object> served(ServiceLevels served) {
--- a/src/main/java/org/quincecross/emulator/OverloadDays.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDays.java
@@ -9,8 +9,8 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.LongStream;
 import org.quincecross.accounting.JobSizeHistogram;
-import org.quincecross.accounting.LargestJobs;
 import org.quincecross.accounting.ServiceLevels;
+import org.quincecross.admin.AccountingLog;
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.Json;
 
@@ -201,7 +201,7 @@
               "classes",
               served(result.classes()),
               "largest",
-              largest(result.largest()),
+              AccountingLog.writeLargest(result.largest()),
               "teams",
               served(result.teams()),
               "rules_broken",
@@ -210,33 +210,6 @@
     out.println(new String(Json.write(days), java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  /** How the largest jobs of each class fared, as JSON has it. */
-  static Map<String, Object> largest(Map<String, List<LargestJobs>> all) {
-    Map<String, Object> written = Json.object();
-    all.forEach(
-        (name, parts) ->
-            written.put(
-                name,
-                parts.stream()
-                    .map(
-                        each ->
-                            Json.object(
-                                "part",
-                                each.part(),
-                                "jobs",
-                                each.jobs(),
-                                "served",
-                                each.served(),
-                                "due",
-                                each.due(),
-                                "in_time",
-                                each.inTime(),
-                                "longest_s",
-                                each.longestS()))
-                    .toList()));
-    return written;
-  }
-
   /** What each class or team got, as JSON has it. */
   static Map<String, Object> served(Map<String, ServiceLevels> all) {
     Map<String, Object> written = Json.object();
--- a/src/main/java/org/quincecross/replicated/CommandOrigin.java
+++ b/src/main/java/org/quincecross/replicated/CommandOrigin.java
@@ -8,11 +8,6 @@
  * @param by who asked, as they say; empty where a controller makes the step itself
  */
 public record CommandOrigin(long timeOfDayMs, long clockBoundMs, String by) {
-  /** The earliest that it may be, in ms since 1970. */
-  public long earliestMs() {
-    return timeOfDayMs - clockBoundMs;
-  }
-
   /** The latest that it may be, in ms since 1970. */
   public long latestMs() {
     return timeOfDayMs + clockBoundMs;
--- a/src/main/java/org/quincecross/state/JobIndex.java
+++ b/src/main/java/org/quincecross/state/JobIndex.java
@@ -1,7 +1,6 @@
 package org.quincecross.state;
 
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -265,9 +264,4 @@
     around.add(id);
     urgencies.look(around, this::deriveUrgency);
   }
-
-  /** The unfinished dependencies of a job, in the order of their ids. */
-  Collection<JobId> unfinishedDependencies(JobId id) {
-    return dependencyGraph.unfinished(id);
-  }
 }
--- a/src/main/java/org/quincecross/state/StateWatcher.java
+++ b/src/main/java/org/quincecross/state/StateWatcher.java
@@ -11,6 +11,7 @@
 import org.quincecross.net.HttpOutcome;
 import org.quincecross.net.Timers;
 import org.quincecross.protocol.Json;
+import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.KeyValueStoreCodec;
 import org.quincecross.protocol.KeyValueStoreCodec.Entry;
 import org.quincecross.protocol.MalformedMessageException;
@@ -123,11 +124,7 @@
             return;
           }
           try {
-            if (outcome.status() != 200) {
-              throw new MalformedMessageException("status " + outcome.status());
-            }
-            KeyValueStoreCodec.Page page =
-                KeyValueStoreCodec.readList(Json.parseFields(outcome.response().body()));
+            KeyValueStoreCodec.Page page = KeyValueStoreCodec.readList(successfulBody(outcome));
             String last = after;
             for (Entry entry : page.entries()) {
               entries.put(
@@ -167,11 +164,7 @@
             return;
           }
           try {
-            if (outcome.status() != 200) {
-              throw new MalformedMessageException("status " + outcome.status());
-            }
-            KeyValueStoreCodec.Page page =
-                KeyValueStoreCodec.readWatch(Json.parseFields(outcome.response().body()));
+            KeyValueStoreCodec.Page page = KeyValueStoreCodec.readWatch(successfulBody(outcome));
             for (Entry event : page.entries()) {
               ClusterStateCache.StateEntry known = entries.get(event.key());
               if (known != null && !event.version().isAfter(known.version())) {
@@ -198,6 +191,13 @@
         });
   }
 
+  private static JsonFields successfulBody(HttpOutcome outcome) throws MalformedMessageException {
+    if (outcome.status() != 200) {
+      throw new MalformedMessageException("status " + outcome.status());
+    }
+    return Json.parseFields(outcome.response().body());
+  }
+
   private void watch() {
     int mine = generation;
     MonotonicTime sent = timers.now();
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
@@ -40,29 +40,7 @@
                     ? 32.5 + 0.5 * world.random().nextDouble() - world.time().seconds()
                     : DelayedTransactions.PROMPT);
     world.time().at(16, () -> jobs.forEach(world.users()::cancel));
-    world
-        .time()
-        .at(
-            32,
-            () -> {
-              world.state().refuse(ClusterSpec.nodeName(alone), 90);
-              world
-                  .cloud()
-                  .machines()
-                  .forEach(
-                      machine -> {
-                        world.cut(
-                            ClusterSpec.nodeName((alone + 1) % world.nodeCount()),
-                            machine.text(),
-                            90,
-                            true);
-                        world.cut(
-                            ClusterSpec.nodeName((alone + 2) % world.nodeCount()),
-                            machine.text(),
-                            90,
-                            true);
-                      });
-            });
+    world.time().at(32, () -> OwnerWithoutStore.isolate(world, alone, 90));
     world.time().runUntil(170);
     assertTrue(world.state().lateOutcomes().contains(200), world.state().lateOutcomes().toString());
     assertEquals(12, world.users().told().values().stream().filter("cancelled"::equals).count());
--- a/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
@@ -47,29 +47,7 @@
       int number = i;
       world.time().at(5 + i * 0.1, () -> jobs.add(world.users().submitService(number)));
     }
-    world
-        .time()
-        .at(
-            20,
-            () -> {
-              world.state().refuse(ClusterSpec.nodeName(alone), 90);
-              world
-                  .cloud()
-                  .machines()
-                  .forEach(
-                      machine -> {
-                        world.cut(
-                            ClusterSpec.nodeName((alone + 1) % world.nodeCount()),
-                            machine.text(),
-                            90,
-                            true);
-                        world.cut(
-                            ClusterSpec.nodeName((alone + 2) % world.nodeCount()),
-                            machine.text(),
-                            90,
-                            true);
-                      });
-            });
+    world.time().at(20, () -> OwnerWithoutStore.isolate(world, alone, 90));
     world.time().at(24, () -> jobs.forEach(world.users()::cancel));
     world.time().runUntil(150);
     assertEquals(12, world.users().told().values().stream().filter("cancelled"::equals).count());
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -99,29 +99,7 @@
     for (int chunk = 0; chunk < chunks; chunk++) {
       completed.add(id.task(chunk * CompletedTasks.CHUNK_SIZE + 2001));
     }
-    views.apply(
-        new PeerHeartbeat(
-            new ControllerId("n"),
-            new Incarnation(1),
-            1,
-            0,
-            Map.of(),
-            Revision.NONE,
-            TimeSpan.ZERO,
-            List.of(
-                new PeerHeartbeat.ShardStatus(
-                    new ShardId("b"),
-                    new FencingToken(1),
-                    Revision.NONE,
-                    false,
-                    Set.of(),
-                    true,
-                    completed,
-                    List.of(),
-                    Map.of(),
-                    List.of())),
-            List.of()),
-        timers.now());
+    reportCompleted(completed);
     int written = 0;
     for (int plans = 0; plans < 5; plans++) {
       TransactionBuilder transaction = new TransactionBuilder(cache, MOST_CHANGES, 4000);
@@ -179,6 +157,24 @@
       completed.add(id.task(5));
     }
     put(StoreKeys.completedPage(0), CompletedTasks.writePage(page));
+    reportCompleted(completed);
+    for (int plans = 0; plans < 8; plans++) {
+      TransactionBuilder transaction = new TransactionBuilder(cache, 4, 1000);
+      results.plan(transaction, results.unrecordedCompletions());
+      for (Mutation change : transaction.mutations()) {
+        assertTrue(Json.write(change.value()).length <= 1000, change.key());
+        put(change.key(), change.value());
+      }
+      timers.advance(2);
+    }
+    assertTrue(
+        completed.stream()
+            .allMatch(task -> cache.isCompleted(task.job(), 5) && cache.isCompleted(task.job(), 0)),
+        results.unrecordedCompletions().toString());
+  }
+
+  /** The owner of the shard reports these tasks as completed. */
+  private void reportCompleted(List<TaskId> completed) {
     views.apply(
         new PeerHeartbeat(
             new ControllerId("n"),
@@ -202,18 +198,5 @@
                     List.of())),
             List.of()),
         timers.now());
-    for (int plans = 0; plans < 8; plans++) {
-      TransactionBuilder transaction = new TransactionBuilder(cache, 4, 1000);
-      results.plan(transaction, results.unrecordedCompletions());
-      for (Mutation change : transaction.mutations()) {
-        assertTrue(Json.write(change.value()).length <= 1000, change.key());
-        put(change.key(), change.value());
-      }
-      timers.advance(2);
-    }
-    assertTrue(
-        completed.stream()
-            .allMatch(task -> cache.isCompleted(task.job(), 5) && cache.isCompleted(task.job(), 0)),
-        results.unrecordedCompletions().toString());
   }
 }
--- a/src/test/java/org/quincecross/shard/DependentJobTest.java
+++ b/src/test/java/org/quincecross/shard/DependentJobTest.java
@@ -7,24 +7,14 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.quincecross.model.ControllerId;
-import org.quincecross.model.Incarnation;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobKind;
-import org.quincecross.model.MachineType;
 import org.quincecross.model.Priority;
 import org.quincecross.model.Resources;
-import org.quincecross.model.Revision;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.net.HttpOutcome;
-import org.quincecross.protocol.CloudCodec;
-import org.quincecross.rollout.AnnouncedLimits;
-import org.quincecross.rollout.Build;
 import org.quincecross.state.Allocation;
-import org.quincecross.state.ControllerRecord;
 import org.quincecross.state.JobRecord;
-import org.quincecross.state.ShardLease;
 import org.quincecross.state.StoreKeys;
 
 /**
@@ -61,35 +51,8 @@
 
   @Test
   void givesItBackUntilThatIsDone() {
-    put(
-        StoreKeys.machineType("t"),
-        CloudCodec.writeCatalog(
-            List.of(
-                new MachineType(
-                    "t",
-                    new Resources(8, 0, 8),
-                    10,
-                    1,
-                    1,
-                    1,
-                    TimeSpan.ofSeconds(5),
-                    List.of("z")))));
-    put(
-        StoreKeys.shard(BLOCK),
-        ShardLease.first(
-                BLOCK,
-                new ControllerRecord(
-                    new ControllerId("n"),
-                    new Incarnation(1),
-                    "z",
-                    Build.BEFORE_LEVELS,
-                    AnnouncedLimits.NONE,
-                    new Revision(1)),
-                MACHINE)
-            .write());
-    owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
-    calls.remove(0).accept(HttpOutcome.failed(false));
-    beat(List.of());
+    putMachineType();
+    takeOverShard();
     JobId first = new JobId("job-8");
     JobId next = new JobId("job-9");
     put(StoreKeys.job(first), JobRecord.writeOpen(job(first, Set.of()), 0));
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -148,23 +148,9 @@
   }
 
   /** A fenced machine to which the start of the one task has just been sent directly. */
-  // The fixture reads best whole.
-  @SuppressWarnings("MethodLength")
   @BeforeEach
   void aStartIsSent() {
-    put(
-        StoreKeys.machineType("t"),
-        CloudCodec.writeCatalog(
-            List.of(
-                new MachineType(
-                    "t",
-                    new Resources(8, 0, 8),
-                    10,
-                    1,
-                    1,
-                    1,
-                    TimeSpan.ofSeconds(5),
-                    List.of("z")))));
+    putMachineType();
     Job job =
         new Job(
             TASK.job(),
@@ -186,6 +172,28 @@
             TimeSpan.ZERO,
             null);
     put(StoreKeys.job(job.id()), JobRecord.writeOpen(job, 0));
+    takeOverShard();
+    allocate(only(0));
+  }
+
+  void putMachineType() {
+    put(
+        StoreKeys.machineType("t"),
+        CloudCodec.writeCatalog(
+            List.of(
+                new MachineType(
+                    "t",
+                    new Resources(8, 0, 8),
+                    10,
+                    1,
+                    1,
+                    1,
+                    TimeSpan.ofSeconds(5),
+                    List.of("z")))));
+  }
+
+  /** The owner takes over the shard with its one machine, whose first heartbeat is answered. */
+  void takeOverShard() {
     put(
         StoreKeys.shard(BLOCK),
         ShardLease.first(
@@ -200,12 +208,9 @@
                 MACHINE)
             .write());
     owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
-    calls
-        .remove(0)
-        .accept(
-            HttpOutcome.failed(false)); // the command that shows the token; a report shows it below
+    // The command that shows the token fails; the heartbeat shows it.
+    calls.remove(0).accept(HttpOutcome.failed(false));
     beat(List.of());
-    allocate(only(0));
   }
 
   void allocate(TaskSet tasks) {
