--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -106,25 +106,17 @@
           around
               .users()
               .submit(
-                  new Job(
-                      JOB,
-                      "front",
-                      "web",
-                      JobKind.SERVICE,
-                      Priority.PRODUCTION,
-                      REPLICAS,
-                      new Resources(2, 0, 4),
-                      null,
-                      null,
-                      false,
-                      false,
-                      false,
-                      "weights",
-                      WEIGHTS_GB,
-                      TimeSpan.ZERO,
-                      TimeSpan.ZERO,
-                      TimeSpan.ZERO,
-                      null));
+                  Job.builder(JOB)
+                      .jobClass("front")
+                      .team("web")
+                      .kind(JobKind.SERVICE)
+                      .priority(Priority.PRODUCTION)
+                      .taskCount(REPLICAS)
+                      .taskResources(new Resources(2, 0, 4))
+                      .image("weights")
+                      .imageGb(WEIGHTS_GB)
+                      .estimate(TimeSpan.ZERO)
+                      .build());
           enter(Phase.DEFINING);
         }
       }
--- a/src/main/java/org/quincecross/emulator/PipelineDraws.java
+++ b/src/main/java/org/quincecross/emulator/PipelineDraws.java
@@ -96,25 +96,21 @@
   private Job job(String team, Priority priority, TimeSpan due, List<JobId> waitsOn) {
     JobKind kind = random.nextInt(4) == 0 ? JobKind.GANG : JobKind.ARRAY;
     boolean saves = random.nextInt(3) == 0;
-    return new Job(
-        new JobId("job-" + number++),
-        "pipeline",
-        team,
-        kind,
-        priority,
-        1 + random.nextInt(kind == JobKind.GANG ? 2 : MOST_TASKS),
-        each,
-        null,
-        null,
-        false,
-        false,
-        kind == JobKind.ARRAY && random.nextBoolean(),
-        "img-" + random.nextInt(3),
-        1,
-        TimeSpan.ofSeconds(2 + random.nextInt(10)),
-        saves ? TimeSpan.ofSeconds(3) : TimeSpan.ZERO,
-        saves ? TimeSpan.ofSeconds(1) : TimeSpan.ZERO,
-        due,
-        Set.copyOf(waitsOn));
+    return Job.builder(new JobId("job-" + number++))
+        .jobClass("pipeline")
+        .team(team)
+        .kind(kind)
+        .priority(priority)
+        .taskCount(1 + random.nextInt(kind == JobKind.GANG ? 2 : MOST_TASKS))
+        .taskResources(each)
+        .allowsSpot(kind == JobKind.ARRAY && random.nextBoolean())
+        .image("img-" + random.nextInt(3))
+        .imageGb(1)
+        .estimate(TimeSpan.ofSeconds(2 + random.nextInt(10)))
+        .checkpointInterval(saves ? TimeSpan.ofSeconds(3) : TimeSpan.ZERO)
+        .checkpointCost(saves ? TimeSpan.ofSeconds(1) : TimeSpan.ZERO)
+        .deadline(due)
+        .dependencies(Set.copyOf(waitsOn))
+        .build();
   }
 }
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -196,25 +196,17 @@
     world
         .users()
         .submit(
-            new Job(
-                new JobId("job-" + (FIRST_NUMBER / 2 + grown++)),
-                OTHER_FRONT,
-                team,
-                JobKind.SERVICE,
-                front.priority(),
-                tasks,
-                front.each(),
-                null,
-                null,
-                false,
-                false,
-                false,
-                OTHER_FRONT,
-                front.imageGb(),
-                TimeSpan.ZERO,
-                TimeSpan.ZERO,
-                TimeSpan.ZERO,
-                null));
+            Job.builder(new JobId("job-" + (FIRST_NUMBER / 2 + grown++)))
+                .jobClass(OTHER_FRONT)
+                .team(team)
+                .kind(JobKind.SERVICE)
+                .priority(front.priority())
+                .taskCount(tasks)
+                .taskResources(front.each())
+                .image(OTHER_FRONT)
+                .imageGb(front.imageGb())
+                .estimate(TimeSpan.ZERO)
+                .build());
   }
 
   /** The work for the answers, the same whether there is room for it or not. */
@@ -229,25 +221,18 @@
     }
     for (int i = 0; i < requests; i++) {
       Job job =
-          new Job(
-              new JobId("job-" + (FIRST_NUMBER + i)),
-              ANSWERS,
-              front.name(),
-              JobKind.SERVICE,
-              front.priority(),
-              TASKS_EACH,
-              front.each(),
-              null,
-              null,
-              false,
-              true,
-              false,
-              front.name() + "-1",
-              front.imageGb(),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null);
+          Job.builder(new JobId("job-" + (FIRST_NUMBER + i)))
+              .jobClass(ANSWERS)
+              .team(front.name())
+              .kind(JobKind.SERVICE)
+              .priority(front.priority())
+              .taskCount(TASKS_EACH)
+              .taskResources(front.each())
+              .spreadOverZones(true)
+              .image(front.name() + "-1")
+              .imageGb(front.imageGb())
+              .estimate(TimeSpan.ZERO)
+              .build();
       ofRequests.add(job.id());
       world.time().after(0.05 * i, () -> world.users().submit(job));
     }
--- a/src/main/java/org/quincecross/emulator/SmallJobs.java
+++ b/src/main/java/org/quincecross/emulator/SmallJobs.java
@@ -34,25 +34,18 @@
     String team = world.site().teams().keySet().stream().sorted().findFirst().orElseThrow();
     for (int i = 0; i < aSecond * seconds; i++) {
       Job job =
-          new Job(
-              new JobId("job-" + (FIRST_NUMBER + i)),
-              "small",
-              team,
-              JobKind.ARRAY,
-              Priority.NORMAL,
-              1,
-              new Resources(1, 0, 1),
-              null,
-              null,
-              false,
-              false,
-              true,
-              "img-" + random.nextInt(3),
-              0.5,
-              TimeSpan.ofSeconds(1 + random.nextDouble() * LONGEST_S / 2),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null);
+          Job.builder(new JobId("job-" + (FIRST_NUMBER + i)))
+              .jobClass("small")
+              .team(team)
+              .kind(JobKind.ARRAY)
+              .priority(Priority.NORMAL)
+              .taskCount(1)
+              .taskResources(new Resources(1, 0, 1))
+              .allowsSpot(true)
+              .image("img-" + random.nextInt(3))
+              .imageGb(0.5)
+              .estimate(TimeSpan.ofSeconds(1 + random.nextDouble() * LONGEST_S / 2))
+              .build();
       double at = fromS + (i + random.nextDouble()) / aSecond;
       world.time().at(at, () -> world.users().submit(job));
       if (random.nextDouble() < cancelShare) {
--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -208,97 +208,68 @@
   /** Submits one service replica that stays until it is cancelled. */
   JobId submitService(int number) {
     return submit(
-        new Job(
-            new JobId("job-" + number),
-            "service",
-            "red",
-            JobKind.SERVICE,
-            Priority.PRODUCTION,
-            1,
-            new Resources(1, 0, 2),
-            null,
-            null,
-            false,
-            false,
-            false,
-            "img-0",
-            1,
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null));
+        Job.builder(new JobId("job-" + number))
+            .jobClass("service")
+            .team("red")
+            .kind(JobKind.SERVICE)
+            .priority(Priority.PRODUCTION)
+            .taskCount(1)
+            .taskResources(new Resources(1, 0, 2))
+            .image("img-0")
+            .imageGb(1)
+            .estimate(TimeSpan.ZERO)
+            .build());
   }
 
   /** Submits a gang each of whose tasks takes most of a machine. */
   JobId submitLargeGang(int number, int tasks) {
     return submit(
-        new Job(
-            new JobId("job-" + number),
-            "gang",
-            "red",
-            JobKind.GANG,
-            Priority.NORMAL,
-            tasks,
-            new Resources(5, 0, 2),
-            null,
-            null,
-            true,
-            false,
-            false,
-            "img-0",
-            1,
-            TimeSpan.ofSeconds(20),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null));
+        Job.builder(new JobId("job-" + number))
+            .jobClass("gang")
+            .team("red")
+            .kind(JobKind.GANG)
+            .priority(Priority.NORMAL)
+            .taskCount(tasks)
+            .taskResources(new Resources(5, 0, 2))
+            .singleZone(true)
+            .image("img-0")
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(20))
+            .build());
   }
 
   /** Submits one array of long tasks. */
   JobId submitArray(int number, int tasks) {
     return submit(
-        new Job(
-            new JobId("job-" + number),
-            "array",
-            "red",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            tasks,
-            new Resources(4, 0, 2),
-            null,
-            null,
-            false,
-            false,
-            true,
-            "img-0",
-            1,
-            TimeSpan.ofSeconds(300),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null));
+        Job.builder(new JobId("job-" + number))
+            .jobClass("array")
+            .team("red")
+            .kind(JobKind.ARRAY)
+            .priority(Priority.NORMAL)
+            .taskCount(tasks)
+            .taskResources(new Resources(4, 0, 2))
+            .allowsSpot(true)
+            .image("img-0")
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(300))
+            .build());
   }
 
   /** Submits an array of short tasks, more than a chunk of the records of done tasks has. */
   JobId submitManyTasks(int number) {
     return submit(
-        new Job(
-            new JobId("job-" + number),
-            "many",
-            "red",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            MANY_TASKS,
-            new Resources(0.25, 0, 0.5),
-            null,
-            null,
-            false,
-            false,
-            true,
-            "img-0",
-            1,
-            TimeSpan.ofSeconds(1),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null));
+        Job.builder(new JobId("job-" + number))
+            .jobClass("many")
+            .team("red")
+            .kind(JobKind.ARRAY)
+            .priority(Priority.NORMAL)
+            .taskCount(MANY_TASKS)
+            .taskResources(new Resources(0.25, 0, 0.5))
+            .allowsSpot(true)
+            .image("img-0")
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(1))
+            .build());
   }
 
   JobId submit(Job job) {
@@ -323,27 +294,25 @@
     boolean spread = kind == JobKind.SERVICE && random.nextBoolean();
     boolean saves = kind != JobKind.SERVICE && random.nextInt(3) == 0;
     Job job =
-        new Job(
-            new JobId("job-" + number),
-            kind.name(),
-            random.nextInt(3) == 0 && !wide ? "blue" : "red",
-            kind,
-            kind == JobKind.SERVICE
-                ? Priority.PRODUCTION
-                : random.nextBoolean() ? Priority.NORMAL : Priority.LOW,
-            tasks,
-            new Resources(wide ? 5 : 1 + random.nextInt(3), 0, 2),
-            null,
-            null,
-            kind == JobKind.GANG && tasks > 1,
-            spread,
-            kind != JobKind.SERVICE && random.nextBoolean(),
-            "img-" + random.nextInt(3),
-            1,
-            TimeSpan.ofSeconds(2 + random.nextInt(15)),
-            saves ? TimeSpan.ofSeconds(3) : TimeSpan.ZERO,
-            saves ? TimeSpan.ofSeconds(0.5 + random.nextDouble()) : TimeSpan.ZERO,
-            null);
+        Job.builder(new JobId("job-" + number))
+            .jobClass(kind.name())
+            .team(random.nextInt(3) == 0 && !wide ? "blue" : "red")
+            .kind(kind)
+            .priority(
+                kind == JobKind.SERVICE
+                    ? Priority.PRODUCTION
+                    : random.nextBoolean() ? Priority.NORMAL : Priority.LOW)
+            .taskCount(tasks)
+            .taskResources(new Resources(wide ? 5 : 1 + random.nextInt(3), 0, 2))
+            .singleZone(kind == JobKind.GANG && tasks > 1)
+            .spreadOverZones(spread)
+            .allowsSpot(kind != JobKind.SERVICE && random.nextBoolean())
+            .image("img-" + random.nextInt(3))
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(2 + random.nextInt(15)))
+            .checkpointInterval(saves ? TimeSpan.ofSeconds(3) : TimeSpan.ZERO)
+            .checkpointCost(saves ? TimeSpan.ofSeconds(0.5 + random.nextDouble()) : TimeSpan.ZERO)
+            .build();
     submit(job);
     if (kind == JobKind.SERVICE || random.nextInt(4) == 0) {
       around.clock().after(1 + random.nextDouble() * 60, () -> cancel(job.id()));
--- a/src/main/java/org/quincecross/emulator/WorkloadFile.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadFile.java
@@ -238,28 +238,27 @@
       this.due.add(
           new Due(
               i * every * copies / all,
-              new Job(
-                  id,
-                  name,
-                  team,
-                  kind,
-                  in.word("rank", RANKS),
-                  tasks,
-                  each,
-                  null,
-                  null,
-                  in.flag("one_zone"),
-                  in.flag("spread"),
-                  in.flag("spot"),
-                  in.text("image", name),
-                  in.amount("image_gb", 0, 1000),
-                  TimeSpan.ofSeconds(run),
-                  TimeSpan.ofSeconds(in.amount("save_every_s", 0, 100_000)),
-                  TimeSpan.ofSeconds(in.amount("save_s", 0, 1000)),
-                  due == 0 ? null : TimeSpan.ofSeconds(due),
-                  before.stream()
-                      .map(those -> those.get(number % those.size()))
-                      .collect(Collectors.toSet()))));
+              Job.builder(id)
+                  .jobClass(name)
+                  .team(team)
+                  .kind(kind)
+                  .priority(in.word("rank", RANKS))
+                  .taskCount(tasks)
+                  .taskResources(each)
+                  .singleZone(in.flag("one_zone"))
+                  .spreadOverZones(in.flag("spread"))
+                  .allowsSpot(in.flag("spot"))
+                  .image(in.text("image", name))
+                  .imageGb(in.amount("image_gb", 0, 1000))
+                  .estimate(TimeSpan.ofSeconds(run))
+                  .checkpointInterval(TimeSpan.ofSeconds(in.amount("save_every_s", 0, 100_000)))
+                  .checkpointCost(TimeSpan.ofSeconds(in.amount("save_s", 0, 1000)))
+                  .deadline(due == 0 ? null : TimeSpan.ofSeconds(due))
+                  .dependencies(
+                      before.stream()
+                          .map(those -> those.get(number % those.size()))
+                          .collect(Collectors.toSet()))
+                  .build()));
     }
     named.put(name, named.containsKey(name) || kind == JobKind.SERVICE ? List.of() : ids);
   }
--- a/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
@@ -156,26 +156,25 @@
                         4L * each.meanTasks(), Math.round(each.meanTasks() * nearOne.sample())))
             : each.meanTasks();
     int image = images.sample();
-    return new Job(
-        new JobId("job-" + number++),
-        each.name(),
-        team,
-        each.kind(),
-        each.priority(),
-        tasks,
-        each.each(),
-        null,
-        null,
-        each.kind() == JobKind.GANG,
-        each.spread(),
-        each.spot(),
-        each.name() + "-" + image,
-        each.imageGb() * (0.6 + 0.8 * image / each.images()),
-        each.kind() == JobKind.SERVICE
-            ? TimeSpan.ZERO
-            : TimeSpan.ofSeconds(each.runS() * Math.min(4, nearOne.sample())),
-        TimeSpan.ofSeconds(each.saveEveryS()),
-        TimeSpan.ofSeconds(each.saveEveryS() > 0 ? 3 : 0),
-        each.dueS() > 0 ? TimeSpan.ofSeconds(each.dueS()) : null);
+    return Job.builder(new JobId("job-" + number++))
+        .jobClass(each.name())
+        .team(team)
+        .kind(each.kind())
+        .priority(each.priority())
+        .taskCount(tasks)
+        .taskResources(each.each())
+        .singleZone(each.kind() == JobKind.GANG)
+        .spreadOverZones(each.spread())
+        .allowsSpot(each.spot())
+        .image(each.name() + "-" + image)
+        .imageGb(each.imageGb() * (0.6 + 0.8 * image / each.images()))
+        .estimate(
+            each.kind() == JobKind.SERVICE
+                ? TimeSpan.ZERO
+                : TimeSpan.ofSeconds(each.runS() * Math.min(4, nearOne.sample())))
+        .checkpointInterval(TimeSpan.ofSeconds(each.saveEveryS()))
+        .checkpointCost(TimeSpan.ofSeconds(each.saveEveryS() > 0 ? 3 : 0))
+        .deadline(each.dueS() > 0 ? TimeSpan.ofSeconds(each.dueS()) : null)
+        .build();
   }
 }
--- a/src/main/java/org/quincecross/leader/ReservationManager.java
+++ b/src/main/java/org/quincecross/leader/ReservationManager.java
@@ -173,25 +173,19 @@
   private static Admission.Unmet unmet(Reservation.Unplaced room, String zone, int missing) {
     Resources each = room.slot().each();
     Job job =
-        new Job(
-            PLACEHOLDER_JOB,
-            room.slot().lane(),
-            room.slot().team(),
-            JobKind.SERVICE,
-            Priority.PRODUCTION,
-            room.tasks(),
-            each,
-            null,
-            zone,
-            false,
-            zone == null,
-            false,
-            "",
-            0,
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(PLACEHOLDER_JOB)
+            .jobClass(room.slot().lane())
+            .team(room.slot().team())
+            .kind(JobKind.SERVICE)
+            .priority(Priority.PRODUCTION)
+            .taskCount(room.tasks())
+            .taskResources(each)
+            .zone(zone)
+            .spreadOverZones(zone == null)
+            .image("")
+            .imageGb(0)
+            .estimate(TimeSpan.ZERO)
+            .build();
     return new Admission.Unmet(job, missing, zone == null ? room.found() : Map.of());
   }
 }
--- a/src/main/java/org/quincecross/model/Job.java
+++ b/src/main/java/org/quincecross/model/Job.java
@@ -38,46 +38,9 @@
     TimeSpan deadline,
     Set<JobId> dependencies) {
 
-  /** Creates a job without dependencies. */
-  public Job(
-      JobId id,
-      String jobClass,
-      String team,
-      JobKind kind,
-      Priority priority,
-      int tasks,
-      Resources each,
-      Set<String> types,
-      String zone,
-      boolean oneZone,
-      boolean spread,
-      boolean spot,
-      String image,
-      double imageGb,
-      TimeSpan estimate,
-      TimeSpan checkpointEvery,
-      TimeSpan saveTime,
-      TimeSpan deadline) {
-    this(
-        id,
-        jobClass,
-        team,
-        kind,
-        priority,
-        tasks,
-        each,
-        types,
-        zone,
-        oneZone,
-        spread,
-        spot,
-        image,
-        imageGb,
-        estimate,
-        checkpointEvery,
-        saveTime,
-        deadline,
-        Set.of());
+  /** Starts building a job. */
+  public static Builder builder(JobId id) {
+    return new Builder(id);
   }
 
   /** Weights of GPUs and memory against CPUs, used only to order jobs by size. */
@@ -87,50 +50,34 @@
 
   /** Returns the same job with these dependencies. */
   public Job withDependencies(Set<JobId> jobs) {
-    return new Job(
-        id,
-        jobClass,
-        team,
-        kind,
-        priority,
-        taskCount,
-        taskResources,
-        machineTypes,
-        zone,
-        singleZone,
-        spreadOverZones,
-        allowsSpot,
-        image,
-        imageGb,
-        estimate,
-        checkpointInterval,
-        checkpointCost,
-        deadline,
-        jobs);
+    return toBuilder().dependencies(jobs).build();
   }
 
   /** Returns the same job with another priority and deadline. */
-  public Job withUrgency(Priority otherRank, TimeSpan otherDeadline) {
-    return new Job(
-        id,
-        jobClass,
-        team,
-        kind,
-        otherRank,
-        taskCount,
-        taskResources,
-        machineTypes,
-        zone,
-        singleZone,
-        spreadOverZones,
-        allowsSpot,
-        image,
-        imageGb,
-        estimate,
-        checkpointInterval,
-        checkpointCost,
-        otherDeadline,
-        dependencies);
+  public Job withUrgency(Priority otherPriority, TimeSpan otherDeadline) {
+    return toBuilder().priority(otherPriority).deadline(otherDeadline).build();
+  }
+
+  private Builder toBuilder() {
+    return new Builder(id)
+        .jobClass(jobClass)
+        .team(team)
+        .kind(kind)
+        .priority(priority)
+        .taskCount(taskCount)
+        .taskResources(taskResources)
+        .machineTypes(machineTypes)
+        .zone(zone)
+        .singleZone(singleZone)
+        .spreadOverZones(spreadOverZones)
+        .allowsSpot(allowsSpot)
+        .image(image)
+        .imageGb(imageGb)
+        .estimate(estimate)
+        .checkpointInterval(checkpointInterval)
+        .checkpointCost(checkpointCost)
+        .deadline(deadline)
+        .dependencies(dependencies);
   }
 
   /** Whether the job's tasks save checkpoints. */
@@ -172,4 +119,166 @@
             + taskResources.memoryGb() / GB_PER_CPU)
         * Math.max(1, estimate.seconds());
   }
+
+  /**
+   * Builds a job. Unless set otherwise, it may run on any machine on demand, saves no checkpoints,
+   * and has neither a deadline nor dependencies.
+   */
+  public static final class Builder {
+    private final JobId id;
+    private String jobClass;
+    private String team;
+    private JobKind kind;
+    private Priority priority;
+    private int taskCount;
+    private Resources taskResources;
+    private Set<String> machineTypes;
+    private String zone;
+    private boolean singleZone;
+    private boolean spreadOverZones;
+    private boolean allowsSpot;
+    private String image;
+    private double imageGb;
+    private TimeSpan estimate;
+    private TimeSpan checkpointInterval = TimeSpan.ZERO;
+    private TimeSpan checkpointCost = TimeSpan.ZERO;
+    private TimeSpan deadline;
+    private Set<JobId> dependencies = Set.of();
+
+    private Builder(JobId id) {
+      this.id = id;
+    }
+
+    /** Sets the class of the job, which service-level objectives name. */
+    public Builder jobClass(String value) {
+      jobClass = value;
+      return this;
+    }
+
+    /** Sets the team, whose quota the job uses. */
+    public Builder team(String value) {
+      team = value;
+      return this;
+    }
+
+    /** Sets the kind. */
+    public Builder kind(JobKind value) {
+      kind = value;
+      return this;
+    }
+
+    /** Sets the priority. */
+    public Builder priority(Priority value) {
+      priority = value;
+      return this;
+    }
+
+    /** Sets the number of tasks. */
+    public Builder taskCount(int value) {
+      taskCount = value;
+      return this;
+    }
+
+    /** Sets the resources that each task occupies. */
+    public Builder taskResources(Resources value) {
+      taskResources = value;
+      return this;
+    }
+
+    /** Restricts the job to machine types. */
+    public Builder machineTypes(Set<String> value) {
+      machineTypes = value;
+      return this;
+    }
+
+    /** Restricts the job to a zone. */
+    public Builder zone(String value) {
+      zone = value;
+      return this;
+    }
+
+    /** Sets whether all tasks have to run in one zone. */
+    public Builder singleZone(boolean value) {
+      singleZone = value;
+      return this;
+    }
+
+    /** Sets whether at most half of the tasks may run in one zone. */
+    public Builder spreadOverZones(boolean value) {
+      spreadOverZones = value;
+      return this;
+    }
+
+    /** Sets whether tasks may run on spot machines. */
+    public Builder allowsSpot(boolean value) {
+      allowsSpot = value;
+      return this;
+    }
+
+    /** Sets the image. */
+    public Builder image(String value) {
+      image = value;
+      return this;
+    }
+
+    /** Sets the size of the image in GB. */
+    public Builder imageGb(double value) {
+      imageGb = value;
+      return this;
+    }
+
+    /** Sets the user's estimate of a task's run time. */
+    public Builder estimate(TimeSpan value) {
+      estimate = value;
+      return this;
+    }
+
+    /** Sets how often a task saves a checkpoint. */
+    public Builder checkpointInterval(TimeSpan value) {
+      checkpointInterval = value;
+      return this;
+    }
+
+    /** Sets how long saving a checkpoint takes. */
+    public Builder checkpointCost(TimeSpan value) {
+      checkpointCost = value;
+      return this;
+    }
+
+    /** Sets the deadline, counted from the submission. */
+    public Builder deadline(TimeSpan value) {
+      deadline = value;
+      return this;
+    }
+
+    /** Sets the jobs that have to be done before any task of this one starts. */
+    public Builder dependencies(Set<JobId> value) {
+      dependencies = value;
+      return this;
+    }
+
+    /** Creates the job. */
+    public Job build() {
+      return new Job(
+          id,
+          jobClass,
+          team,
+          kind,
+          priority,
+          taskCount,
+          taskResources,
+          machineTypes,
+          zone,
+          singleZone,
+          spreadOverZones,
+          allowsSpot,
+          image,
+          imageGb,
+          estimate,
+          checkpointInterval,
+          checkpointCost,
+          deadline,
+          dependencies);
+    }
+  }
 }
--- a/src/main/java/org/quincecross/state/JobRecord.java
+++ b/src/main/java/org/quincecross/state/JobRecord.java
@@ -227,26 +227,24 @@
       return all;
     }
     Job less =
-        new Job(
-            id,
-            SHORTENED_NAME,
-            job.team(),
-            job.kind(),
-            job.priority(),
-            job.taskCount(),
-            job.taskResources(),
-            null,
-            job.zone(),
-            job.singleZone(),
-            job.spreadOverZones(),
-            job.allowsSpot(),
-            SHORTENED_NAME,
-            job.imageGb(),
-            job.estimate(),
-            job.checkpointInterval(),
-            job.checkpointCost(),
-            job.deadline(),
-            Set.of());
+        Job.builder(id)
+            .jobClass(SHORTENED_NAME)
+            .team(job.team())
+            .kind(job.kind())
+            .priority(job.priority())
+            .taskCount(job.taskCount())
+            .taskResources(job.taskResources())
+            .zone(job.zone())
+            .singleZone(job.singleZone())
+            .spreadOverZones(job.spreadOverZones())
+            .allowsSpot(job.allowsSpot())
+            .image(SHORTENED_NAME)
+            .imageGb(job.imageGb())
+            .estimate(job.estimate())
+            .checkpointInterval(job.checkpointInterval())
+            .checkpointCost(job.checkpointCost())
+            .deadline(job.deadline())
+            .build();
     return new JobRecord(
             id,
             less,
--- a/src/test/java/org/quincecross/accounting/JobAccountingTest.java
+++ b/src/test/java/org/quincecross/accounting/JobAccountingTest.java
@@ -33,25 +33,17 @@
   }
 
   private static Job job(int number, String team, String jobClass, int tasks) {
-    return new Job(
-        new JobId("job-" + number),
-        jobClass,
-        team,
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        tasks,
-        new Resources(1, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "i",
-        1,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass(jobClass)
+        .team(team)
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(tasks)
+        .taskResources(new Resources(1, 0, 1))
+        .image("i")
+        .imageGb(1)
+        .estimate(TimeSpan.ZERO)
+        .build();
   }
 
   /** What really happened to a job. */
@@ -229,25 +221,17 @@
     for (int i = 1; i <= 40; i++) {
       JobId id = new JobId("job-" + i);
       books.accepted(
-          new Job(
-              id,
-              "c",
-              "t",
-              JobKind.ARRAY,
-              Priority.NORMAL,
-              10 * i * i,
-              new Resources(1, 0, 2),
-              null,
-              null,
-              false,
-              false,
-              false,
-              "i",
-              1,
-              TimeSpan.ofSeconds(10),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null),
+          Job.builder(id)
+              .jobClass("c")
+              .team("t")
+              .kind(JobKind.ARRAY)
+              .priority(Priority.NORMAL)
+              .taskCount(10 * i * i)
+              .taskResources(new Resources(1, 0, 2))
+              .image("i")
+              .imageGb(1)
+              .estimate(TimeSpan.ofSeconds(10))
+              .build(),
           at(0));
       books.started(id, i * i, at(i > 38 ? 250 : 10));
       if (i != 40) {
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -80,25 +80,17 @@
   @BeforeEach
   void aJobIsAllocated() {
     Job job =
-        new Job(
-            JOB,
-            "c",
-            "team",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            3,
-            new Resources(4, 0, 1),
-            null,
-            null,
-            false,
-            false,
-            false,
-            "i",
-            1,
-            TimeSpan.ofSeconds(10),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(JOB)
+            .jobClass("c")
+            .team("team")
+            .kind(JobKind.ARRAY)
+            .priority(Priority.NORMAL)
+            .taskCount(3)
+            .taskResources(new Resources(4, 0, 1))
+            .image("i")
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(10))
+            .build();
     put(StoreKeys.job(JOB), JobRecord.writeOpen(job, 0));
     put(
         StoreKeys.shard(BLOCK),
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
@@ -109,25 +109,17 @@
         number == FIRST
             ? 18
             : kind == JobKind.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
-    return new Job(
-        new JobId("job-" + number),
-        "gap",
-        number != FIRST && oneIn(3) ? "blue" : "red",
-        kind,
-        kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
-        tasks,
-        new Resources(1, 0, 2),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "img-" + random.nextInt(3),
-        1,
-        TimeSpan.ofSeconds(90 + random.nextInt(200)),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass("gap")
+        .team(number != FIRST && oneIn(3) ? "blue" : "red")
+        .kind(kind)
+        .priority(kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL)
+        .taskCount(tasks)
+        .taskResources(new Resources(1, 0, 2))
+        .image("img-" + random.nextInt(3))
+        .imageGb(1)
+        .estimate(TimeSpan.ofSeconds(90 + random.nextInt(200)))
+        .build();
   }
 
   private double upTo(double seconds) {
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
@@ -44,25 +44,17 @@
   void longArraysRun() {
     for (int i = 0; i < LONG_JOBS; i++) {
       Job job =
-          new Job(
-              new JobId("job-" + (30_000 + i)),
-              "long",
-              "batch",
-              JobKind.ARRAY,
-              Priority.NORMAL,
-              i == KEPT ? 60 : 6,
-              new Resources(1, 0, 2),
-              null,
-              null,
-              false,
-              false,
-              false,
-              "long",
-              0.5,
-              TimeSpan.ofSeconds(300),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null);
+          Job.builder(new JobId("job-" + (30_000 + i)))
+              .jobClass("long")
+              .team("batch")
+              .kind(JobKind.ARRAY)
+              .priority(Priority.NORMAL)
+              .taskCount(i == KEPT ? 60 : 6)
+              .taskResources(new Resources(1, 0, 2))
+              .image("long")
+              .imageGb(0.5)
+              .estimate(TimeSpan.ofSeconds(300))
+              .build();
       longOnes.add(job.id());
       world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
     }
--- a/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
+++ b/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
@@ -53,25 +53,20 @@
   private JobId submit(
       double atS, String team, JobKind kind, Priority priority, int tasks, int cpus, double runS) {
     Job job =
-        new Job(
-            new JobId("job-" + number++),
-            "any",
-            team,
-            kind,
-            priority,
-            tasks,
-            new Resources(cpus, 0, 2),
-            null,
-            null,
-            false,
-            false,
-            number % 2 == 0,
-            "img-" + number % 3,
-            1,
-            TimeSpan.ofSeconds(runS),
-            TimeSpan.ofSeconds(number % 3 == 0 ? 10 : 0),
-            TimeSpan.ofSeconds(number % 3 == 0 ? 0.5 : 0),
-            null);
+        Job.builder(new JobId("job-" + number++))
+            .jobClass("any")
+            .team(team)
+            .kind(kind)
+            .priority(priority)
+            .taskCount(tasks)
+            .taskResources(new Resources(cpus, 0, 2))
+            .allowsSpot(number % 2 == 0)
+            .image("img-" + number % 3)
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(runS))
+            .checkpointInterval(TimeSpan.ofSeconds(number % 3 == 0 ? 10 : 0))
+            .checkpointCost(TimeSpan.ofSeconds(number % 3 == 0 ? 0.5 : 0))
+            .build();
     world.time().at(atS, () -> world.users().submit(job));
     return job.id();
   }
--- a/src/test/java/org/quincecross/emulator/CombinedFaults.java
+++ b/src/test/java/org/quincecross/emulator/CombinedFaults.java
@@ -354,25 +354,18 @@
         seconds.add(1, 5 + 10 * random.nextDouble());
       }
       Job job =
-          new Job(
-              new JobId("job-" + number),
-              "small",
-              random.nextInt(3) == 0 ? "blue" : "red",
-              JobKind.ARRAY,
-              Priority.NORMAL,
-              seconds.size(),
-              new Resources(1, 0, 2),
-              null,
-              null,
-              false,
-              false,
-              random.nextBoolean(),
-              "img-" + random.nextInt(3),
-              1,
-              TimeSpan.ofSeconds(45),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null);
+          Job.builder(new JobId("job-" + number))
+              .jobClass("small")
+              .team(random.nextInt(3) == 0 ? "blue" : "red")
+              .kind(JobKind.ARRAY)
+              .priority(Priority.NORMAL)
+              .taskCount(seconds.size())
+              .taskResources(new Resources(1, 0, 2))
+              .allowsSpot(random.nextBoolean())
+              .image("img-" + random.nextInt(3))
+              .imageGb(1)
+              .estimate(TimeSpan.ofSeconds(45))
+              .build();
       world
           .time()
           .at(
--- a/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
@@ -34,25 +34,17 @@
   }
 
   private static Job array(int number, int tasks, double seconds) {
-    return new Job(
-        new JobId("job-" + number),
-        "other",
-        "batch",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        tasks,
-        new Resources(1, 0, 2),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "other",
-        0.5,
-        TimeSpan.ofSeconds(seconds),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass("other")
+        .team("batch")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(tasks)
+        .taskResources(new Resources(1, 0, 2))
+        .image("other")
+        .imageGb(0.5)
+        .estimate(TimeSpan.ofSeconds(seconds))
+        .build();
   }
 
   /** How many replicas a controller believes to run. */
@@ -195,25 +187,18 @@
       Job job =
           i % 5 < 3
               ? array(70_000 + i, 30)
-              : new Job(
-                  new JobId("job-" + (70_000 + i)),
-                  "mistaken",
-                  "batch",
-                  i % 5 == 3 ? JobKind.GANG : JobKind.SERVICE,
-                  i % 5 == 3 ? Priority.NORMAL : Priority.PRODUCTION,
-                  3,
-                  new Resources(2, 0, 4),
-                  null,
-                  null,
-                  i % 5 == 3,
-                  false,
-                  false,
-                  "mistaken",
-                  0.5,
-                  TimeSpan.ofSeconds(6),
-                  TimeSpan.ZERO,
-                  TimeSpan.ZERO,
-                  null);
+              : Job.builder(new JobId("job-" + (70_000 + i)))
+                  .jobClass("mistaken")
+                  .team("batch")
+                  .kind(i % 5 == 3 ? JobKind.GANG : JobKind.SERVICE)
+                  .priority(i % 5 == 3 ? Priority.NORMAL : Priority.PRODUCTION)
+                  .taskCount(3)
+                  .taskResources(new Resources(2, 0, 4))
+                  .singleZone(i % 5 == 3)
+                  .image("mistaken")
+                  .imageGb(0.5)
+                  .estimate(TimeSpan.ofSeconds(6))
+                  .build();
       world.time().at(15 + 0.3 * i, () -> world.users().submitMistaken(job));
     }
     world.time().runUntil(30);
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -130,25 +130,21 @@
       double cpus,
       boolean saves,
       boolean spread) {
-    return new Job(
-        new JobId("job-" + ++jobs),
-        lane,
-        team,
-        kind,
-        priority,
-        tasks,
-        new Resources(cpus, 0, 2 * cpus),
-        null,
-        null,
-        false,
-        spread,
-        kind == JobKind.ARRAY,
-        "img-" + lane,
-        0.5,
-        TimeSpan.ofSeconds(kind == JobKind.ARRAY ? 40 : 0),
-        saves ? TimeSpan.ofSeconds(10) : TimeSpan.ZERO,
-        saves ? TimeSpan.ofSeconds(0.8) : TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + ++jobs))
+        .jobClass(lane)
+        .team(team)
+        .kind(kind)
+        .priority(priority)
+        .taskCount(tasks)
+        .taskResources(new Resources(cpus, 0, 2 * cpus))
+        .spreadOverZones(spread)
+        .allowsSpot(kind == JobKind.ARRAY)
+        .image("img-" + lane)
+        .imageGb(0.5)
+        .estimate(TimeSpan.ofSeconds(kind == JobKind.ARRAY ? 40 : 0))
+        .checkpointInterval(saves ? TimeSpan.ofSeconds(10) : TimeSpan.ZERO)
+        .checkpointCost(saves ? TimeSpan.ofSeconds(0.8) : TimeSpan.ZERO)
+        .build();
   }
 
   private void set(String settings) throws MalformedMessageException {
--- a/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
@@ -54,26 +54,18 @@
   }
 
   private static Job job(int number, JobKind kind, int tasks, double cpus, Integer... after) {
-    return new Job(
-        id(number),
-        "stage",
-        number % 2 == 0 ? "red" : "blue",
-        kind,
-        kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.LOW,
-        tasks,
-        new Resources(cpus, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "img",
-        0.2,
-        TimeSpan.ofSeconds(3),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null,
-        Set.copyOf(Arrays.stream(after).map(DependencyCasesTest::id).toList()));
+    return Job.builder(id(number))
+        .jobClass("stage")
+        .team(number % 2 == 0 ? "red" : "blue")
+        .kind(kind)
+        .priority(kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.LOW)
+        .taskCount(tasks)
+        .taskResources(new Resources(cpus, 0, 1))
+        .image("img")
+        .imageGb(0.2)
+        .estimate(TimeSpan.ofSeconds(3))
+        .dependencies(Set.copyOf(Arrays.stream(after).map(DependencyCasesTest::id).toList()))
+        .build();
   }
 
   private static Job job(int number, Integer... after) {
--- a/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
@@ -37,26 +37,19 @@
   }
 
   private static Job job(JobId id, int tasks, JobId... waitsOn) {
-    return new Job(
-        id,
-        "pipeline",
-        "red",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        tasks,
-        new Resources(1, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        true,
-        "img-0",
-        1,
-        TimeSpan.ofSeconds(5),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null,
-        Set.of(waitsOn));
+    return Job.builder(id)
+        .jobClass("pipeline")
+        .team("red")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(tasks)
+        .taskResources(new Resources(1, 0, 1))
+        .allowsSpot(true)
+        .image("img-0")
+        .imageGb(1)
+        .estimate(TimeSpan.ofSeconds(5))
+        .dependencies(Set.of(waitsOn))
+        .build();
   }
 
   private void tell(JobId id, String state, boolean asked) {
--- a/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
@@ -40,26 +40,18 @@
   // ---- what users do, each at a controller of the test's choice ----
 
   private static Job job(JobId id, int tasks, double seconds, JobId... waitsOn) {
-    return new Job(
-        id,
-        "pipeline",
-        "batch",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        tasks,
-        new Resources(0.5, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "img",
-        0.2,
-        TimeSpan.ofSeconds(seconds),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null,
-        Set.of(waitsOn));
+    return Job.builder(id)
+        .jobClass("pipeline")
+        .team("batch")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(tasks)
+        .taskResources(new Resources(0.5, 0, 1))
+        .image("img")
+        .imageGb(0.2)
+        .estimate(TimeSpan.ofSeconds(seconds))
+        .dependencies(Set.of(waitsOn))
+        .build();
   }
 
   private DependentJobs pipelines() {
--- a/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
@@ -22,25 +22,17 @@
   FleetFailuresTest() throws MalformedMessageException {}
 
   private static Job oneTask(JobId id) {
-    return new Job(
-        id,
-        "late",
-        "batch",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        1,
-        new Resources(1, 0, 2),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "late",
-        0.5,
-        TimeSpan.ofSeconds(6),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(id)
+        .jobClass("late")
+        .team("batch")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(1)
+        .taskResources(new Resources(1, 0, 2))
+        .image("late")
+        .imageGb(0.5)
+        .estimate(TimeSpan.ofSeconds(6))
+        .build();
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
+++ b/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
@@ -53,25 +53,21 @@
       double runS,
       double saveS) {
     Job job =
-        new Job(
-            new JobId("job-" + number++),
-            jobClass,
-            team,
-            kind,
-            priority,
-            tasks,
-            each,
-            null,
-            null,
-            kind == JobKind.GANG,
-            false,
-            false,
-            "img",
-            0.5,
-            TimeSpan.ofSeconds(runS),
-            TimeSpan.ofSeconds(saveS),
-            TimeSpan.ofSeconds(saveS > 0 ? 1 : 0),
-            saveS > 0 ? null : TimeSpan.ofSeconds(60));
+        Job.builder(new JobId("job-" + number++))
+            .jobClass(jobClass)
+            .team(team)
+            .kind(kind)
+            .priority(priority)
+            .taskCount(tasks)
+            .taskResources(each)
+            .singleZone(kind == JobKind.GANG)
+            .image("img")
+            .imageGb(0.5)
+            .estimate(TimeSpan.ofSeconds(runS))
+            .checkpointInterval(TimeSpan.ofSeconds(saveS))
+            .checkpointCost(TimeSpan.ofSeconds(saveS > 0 ? 1 : 0))
+            .deadline(saveS > 0 ? null : TimeSpan.ofSeconds(60))
+            .build();
     world.time().at(atS, () -> world.users().submit(job));
   }
 
--- a/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
@@ -37,25 +37,19 @@
 
   private void submit(SimulatedCluster world, double atS, int number, String zone, double runS) {
     Job job =
-        new Job(
-            new JobId("job-" + number),
-            "any",
-            "batch",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            1,
-            new Resources(2, 0, 2),
-            null,
-            zone,
-            false,
-            false,
-            true,
-            "img-1",
-            1,
-            TimeSpan.ofSeconds(runS),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(new JobId("job-" + number))
+            .jobClass("any")
+            .team("batch")
+            .kind(JobKind.ARRAY)
+            .priority(Priority.NORMAL)
+            .taskCount(1)
+            .taskResources(new Resources(2, 0, 2))
+            .zone(zone)
+            .allowsSpot(true)
+            .image("img-1")
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(runS))
+            .build();
     world.time().at(atS, () -> world.users().submit(job));
     if (zone == null) {
       anywhere.add(job.id());
--- a/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
@@ -37,25 +37,17 @@
   private Balancer balancer;
 
   private static Job one(int number) {
-    return new Job(
-        new JobId("job-" + number),
-        "late",
-        "batch",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        1,
-        new Resources(0.5, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "late",
-        0.5,
-        TimeSpan.ofSeconds(2),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass("late")
+        .team("batch")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(1)
+        .taskResources(new Resources(0.5, 0, 1))
+        .image("late")
+        .imageGb(0.5)
+        .estimate(TimeSpan.ofSeconds(2))
+        .build();
   }
 
   /** Plays a day on which something is wrong from {@link #FROM_S} on for some time. */
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -55,25 +55,20 @@
     for (int i = 0; i < jobs; i++) {
       int count = 2 + i % 2;
       Job job =
-          new Job(
-              new JobId("job-" + (100 + i)),
-              "long",
-              "long",
-              JobKind.ARRAY,
-              Priority.NORMAL,
-              count,
-              new Resources(each, 0, 2),
-              null,
-              null,
-              i % 4 == 0,
-              i % 4 == 1,
-              i % 3 == 0,
-              "img-" + i % 3,
-              0.5,
-              TimeSpan.ofSeconds(20),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null);
+          Job.builder(new JobId("job-" + (100 + i)))
+              .jobClass("long")
+              .team("long")
+              .kind(JobKind.ARRAY)
+              .priority(Priority.NORMAL)
+              .taskCount(count)
+              .taskResources(new Resources(each, 0, 2))
+              .singleZone(i % 4 == 0)
+              .spreadOverZones(i % 4 == 1)
+              .allowsSpot(i % 3 == 0)
+              .image("img-" + i % 3)
+              .imageGb(0.5)
+              .estimate(TimeSpan.ofSeconds(20))
+              .build();
       for (int task = 1; task < count; task++) {
         world
             .around()
--- a/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
+++ b/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
@@ -43,25 +43,18 @@
     }
     for (int i = 0; i < SERVICES; i++) {
       submit(
-          new Job(
-              new JobId("job-" + (200 + i)),
-              "service",
-              "blue",
-              JobKind.SERVICE,
-              Priority.PRODUCTION,
-              1 + random.nextInt(3),
-              new Resources(1, 0, 2),
-              null,
-              null,
-              false,
-              random.nextBoolean(),
-              false,
-              "img-0",
-              1,
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null),
+          Job.builder(new JobId("job-" + (200 + i)))
+              .jobClass("service")
+              .team("blue")
+              .kind(JobKind.SERVICE)
+              .priority(Priority.PRODUCTION)
+              .taskCount(1 + random.nextInt(3))
+              .taskResources(new Resources(1, 0, 2))
+              .spreadOverZones(random.nextBoolean())
+              .image("img-0")
+              .imageGb(1)
+              .estimate(TimeSpan.ZERO)
+              .build(),
           4 + 20 * random.nextDouble());
       cancelAt(new JobId("job-" + (200 + i)), LAST_TROUBLE_S * random.nextDouble());
     }
@@ -80,47 +73,39 @@
     boolean gang = random.nextInt(5) == 0;
     boolean saves = random.nextInt(4) == 0;
     Job job =
-        new Job(
-            new JobId("job-" + number),
-            "long",
-            random.nextInt(3) == 0 ? "blue" : "red",
-            gang ? JobKind.GANG : JobKind.ARRAY,
-            random.nextBoolean() ? Priority.NORMAL : Priority.LOW,
-            tasks,
-            new Resources(1 + random.nextInt(3), 0, 2),
-            null,
-            null,
-            gang || random.nextInt(4) == 0,
-            false,
-            random.nextBoolean(),
-            "img-" + random.nextInt(3),
-            1,
-            TimeSpan.ofSeconds(gang ? 40 : 90 + random.nextInt(40)),
-            saves ? TimeSpan.ofSeconds(8) : TimeSpan.ZERO,
-            saves ? TimeSpan.ofSeconds(1) : TimeSpan.ZERO,
-            null);
+        Job.builder(new JobId("job-" + number))
+            .jobClass("long")
+            .team(random.nextInt(3) == 0 ? "blue" : "red")
+            .kind(gang ? JobKind.GANG : JobKind.ARRAY)
+            .priority(random.nextBoolean() ? Priority.NORMAL : Priority.LOW)
+            .taskCount(tasks)
+            .taskResources(new Resources(1 + random.nextInt(3), 0, 2))
+            .singleZone(gang || random.nextInt(4) == 0)
+            .allowsSpot(random.nextBoolean())
+            .image("img-" + random.nextInt(3))
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(gang ? 40 : 90 + random.nextInt(40)))
+            .checkpointInterval(saves ? TimeSpan.ofSeconds(8) : TimeSpan.ZERO)
+            .checkpointCost(saves ? TimeSpan.ofSeconds(1) : TimeSpan.ZERO)
+            .build();
     Job spread =
         random.nextInt(3) != 0 || job.singleZone()
             ? job
-            : new Job(
-                job.id(),
-                job.jobClass(),
-                job.team(),
-                job.kind(),
-                job.priority(),
-                job.taskCount(),
-                job.taskResources(),
-                null,
-                null,
-                false,
-                true,
-                job.allowsSpot(),
-                job.image(),
-                1,
-                job.estimate(),
-                job.checkpointInterval(),
-                job.checkpointCost(),
-                null);
+            : Job.builder(job.id())
+                .jobClass(job.jobClass())
+                .team(job.team())
+                .kind(job.kind())
+                .priority(job.priority())
+                .taskCount(job.taskCount())
+                .taskResources(job.taskResources())
+                .spreadOverZones(true)
+                .allowsSpot(job.allowsSpot())
+                .image(job.image())
+                .imageGb(1)
+                .estimate(job.estimate())
+                .checkpointInterval(job.checkpointInterval())
+                .checkpointCost(job.checkpointCost())
+                .build();
     for (int i = 1; i < tasks && !gang; i++) {
       world.around().tasks().runsLonger(job.id().task(i), -i * (30 + 20 * random.nextDouble()));
     }
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -58,25 +58,18 @@
                 world
                     .users()
                     .submit(
-                        new Job(
-                            id,
-                            "long",
-                            "batch",
-                            JobKind.ARRAY,
-                            Priority.NORMAL,
-                            1,
-                            new Resources(2, 0, 2),
-                            null,
-                            world.site().nodeZones().get(world.leader()),
-                            false,
-                            false,
-                            false,
-                            "img-1",
-                            1,
-                            TimeSpan.ofSeconds(60),
-                            TimeSpan.ZERO,
-                            TimeSpan.ZERO,
-                            null)));
+                        Job.builder(id)
+                            .jobClass("long")
+                            .team("batch")
+                            .kind(JobKind.ARRAY)
+                            .priority(Priority.NORMAL)
+                            .taskCount(1)
+                            .taskResources(new Resources(2, 0, 2))
+                            .zone(world.site().nodeZones().get(world.leader()))
+                            .image("img-1")
+                            .imageGb(1)
+                            .estimate(TimeSpan.ofSeconds(60))
+                            .build()));
     world.time().runUntil(20 + HELD_S - 1);
     assertNotNull(block);
     assertEquals(1, world.rules().onMachines(id), "runs elsewhere before the late write comes");
--- a/src/test/java/org/quincecross/emulator/ModelServingCluster.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCluster.java
@@ -56,25 +56,18 @@
   }
 
   static Job job(int number, int tasks, double cpus, double imageGb, boolean gang) {
-    return new Job(
-        new JobId("job-" + number),
-        "front",
-        "web",
-        gang ? JobKind.GANG : JobKind.SERVICE,
-        Priority.PRODUCTION,
-        tasks,
-        new Resources(cpus, 0, 2),
-        null,
-        null,
-        gang,
-        false,
-        false,
-        "weights-" + number,
-        imageGb,
-        gang ? TimeSpan.ofSeconds(100_000) : TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass("front")
+        .team("web")
+        .kind(gang ? JobKind.GANG : JobKind.SERVICE)
+        .priority(Priority.PRODUCTION)
+        .taskCount(tasks)
+        .taskResources(new Resources(cpus, 0, 2))
+        .singleZone(gang)
+        .image("weights-" + number)
+        .imageGb(imageGb)
+        .estimate(gang ? TimeSpan.ofSeconds(100_000) : TimeSpan.ZERO)
+        .build();
   }
 
   void submit(Job job) {
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -106,25 +106,20 @@
       double dueS) {
     JobId id = new JobId("job-" + number++);
     Job job =
-        new Job(
-            id,
-            jobClass,
-            team,
-            kind,
-            priority,
-            tasks,
-            each,
-            type == null ? null : java.util.Set.of(type),
-            null,
-            kind == JobKind.GANG,
-            false,
-            false,
-            jobClass,
-            0.5,
-            TimeSpan.ofSeconds(runS),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            dueS > 0 ? TimeSpan.ofSeconds(dueS) : null);
+        Job.builder(id)
+            .jobClass(jobClass)
+            .team(team)
+            .kind(kind)
+            .priority(priority)
+            .taskCount(tasks)
+            .taskResources(each)
+            .machineTypes(type == null ? null : java.util.Set.of(type))
+            .singleZone(kind == JobKind.GANG)
+            .image(jobClass)
+            .imageGb(0.5)
+            .estimate(TimeSpan.ofSeconds(runS))
+            .deadline(dueS > 0 ? TimeSpan.ofSeconds(dueS) : null)
+            .build();
     world.time().at(atS, () -> world.users().submit(job));
     return id;
   }
--- a/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
@@ -25,25 +25,17 @@
   private final ProtocolInvariants rules = world.rules();
 
   private Job job(JobId id, double cpus, String team) {
-    return new Job(
-        id,
-        "any",
-        team,
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        1,
-        new Resources(cpus, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "img",
-        0.5,
-        TimeSpan.ofSeconds(2),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(id)
+        .jobClass("any")
+        .team(team)
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(1)
+        .taskResources(new Resources(cpus, 0, 1))
+        .image("img")
+        .imageGb(0.5)
+        .estimate(TimeSpan.ofSeconds(2))
+        .build();
   }
 
   private long broken(String rule) {
--- a/src/test/java/org/quincecross/emulator/RandomScenario.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -296,25 +296,18 @@
   private void mistake() {
     JobKind kind = JobKind.values()[random.nextInt(JobKind.values().length)];
     Job job =
-        new Job(
-            new JobId("job-" + (5000 + world.users().mistakes().size())),
-            "mistake",
-            random.nextBoolean() ? "blue" : "red",
-            kind,
-            kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
-            1 + random.nextInt(kind == JobKind.ARRAY ? 20 : 2),
-            new Resources(1 + random.nextInt(2), 0, 2),
-            null,
-            null,
-            kind == JobKind.GANG,
-            false,
-            false,
-            "img-" + random.nextInt(3),
-            1,
-            TimeSpan.ofSeconds(10),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(new JobId("job-" + (5000 + world.users().mistakes().size())))
+            .jobClass("mistake")
+            .team(random.nextBoolean() ? "blue" : "red")
+            .kind(kind)
+            .priority(kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL)
+            .taskCount(1 + random.nextInt(kind == JobKind.ARRAY ? 20 : 2))
+            .taskResources(new Resources(1 + random.nextInt(2), 0, 2))
+            .singleZone(kind == JobKind.GANG)
+            .image("img-" + random.nextInt(3))
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(10))
+            .build();
     world.users().submitMistaken(job);
     world
         .time()
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -241,26 +241,23 @@
   }
 
   private static Job array(SimulatedCluster world, int number) {
-    return new Job(
-        new JobId("job-" + number),
-        "sync",
-        world.site().teams().keySet().iterator().next(),
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        5,
-        new Resources(1, 0, 1),
-        Set.of("box-8"),
-        "left",
-        false,
-        false,
-        true,
-        "img-1",
-        0.5,
-        TimeSpan.ofSeconds(20),
-        TimeSpan.ofSeconds(5),
-        TimeSpan.ofSeconds(1),
-        TimeSpan.ofSeconds(90),
-        Set.of());
+    return Job.builder(new JobId("job-" + number))
+        .jobClass("sync")
+        .team(world.site().teams().keySet().iterator().next())
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(5)
+        .taskResources(new Resources(1, 0, 1))
+        .machineTypes(Set.of("box-8"))
+        .zone("left")
+        .allowsSpot(true)
+        .image("img-1")
+        .imageGb(0.5)
+        .estimate(TimeSpan.ofSeconds(20))
+        .checkpointInterval(TimeSpan.ofSeconds(5))
+        .checkpointCost(TimeSpan.ofSeconds(1))
+        .deadline(TimeSpan.ofSeconds(90))
+        .build();
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
@@ -110,25 +110,19 @@
             .findFirst()
             .orElseThrow();
     Job job =
-        new Job(
-            late,
-            like.jobClass(),
-            like.team(),
-            JobKind.ARRAY,
-            Priority.PRODUCTION,
-            5,
-            like.taskResources(),
-            null,
-            null,
-            false,
-            false,
-            false,
-            like.image(),
-            like.imageGb(),
-            like.estimate(),
-            like.checkpointInterval(),
-            like.checkpointCost(),
-            null);
+        Job.builder(late)
+            .jobClass(like.jobClass())
+            .team(like.team())
+            .kind(JobKind.ARRAY)
+            .priority(Priority.PRODUCTION)
+            .taskCount(5)
+            .taskResources(like.taskResources())
+            .image(like.image())
+            .imageGb(like.imageGb())
+            .estimate(like.estimate())
+            .checkpointInterval(like.checkpointInterval())
+            .checkpointCost(like.checkpointCost())
+            .build();
     day.jobs.put(late, job);
     day.world.mishapAt(
         request ->
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -406,25 +406,17 @@
   void whileALimitDiffersTheLowestHolds() throws MalformedMessageException {
     JobId wide = new JobId("job-90000");
     Job job =
-        new Job(
-            wide,
-            "wide",
-            "batch",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            400,
-            new Resources(1, 0, 1),
-            null,
-            null,
-            false,
-            false,
-            false,
-            "w",
-            0.5,
-            TimeSpan.ofSeconds(10),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(wide)
+            .jobClass("wide")
+            .team("batch")
+            .kind(JobKind.ARRAY)
+            .priority(Priority.NORMAL)
+            .taskCount(400)
+            .taskResources(new Resources(1, 0, 1))
+            .image("w")
+            .imageGb(0.5)
+            .estimate(TimeSpan.ofSeconds(10))
+            .build();
     rollAll(6, 3, NEW);
     world.time().at(22, () -> world.users().submit(job));
     world.time().runUntil(30);
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -37,25 +37,17 @@
     SmallJobs.begin(world, A_SECOND, 0.25, 5, SECONDS, random);
     for (int i = 0; i < 15; i++) {
       Job other =
-          new Job(
-              new JobId("job-" + (100 + i)),
-              "other",
-              "web",
-              JobKind.ARRAY,
-              Priority.NORMAL,
-              6,
-              new Resources(2, 0, 4),
-              null,
-              null,
-              false,
-              false,
-              false,
-              "other",
-              0.5,
-              TimeSpan.ofSeconds(5),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null);
+          Job.builder(new JobId("job-" + (100 + i)))
+              .jobClass("other")
+              .team("web")
+              .kind(JobKind.ARRAY)
+              .priority(Priority.NORMAL)
+              .taskCount(6)
+              .taskResources(new Resources(2, 0, 4))
+              .image("other")
+              .imageGb(0.5)
+              .estimate(TimeSpan.ofSeconds(5))
+              .build();
       others.add(other.id());
       world.time().at(10 + 10 * i, () -> world.users().submit(other));
     }
--- a/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
@@ -34,25 +34,17 @@
             Meter.OFF);
     for (int i = 0; i < 10; i++) {
       Job job =
-          new Job(
-              new JobId("job-" + (30_000 + i)),
-              "long",
-              "batch",
-              JobKind.ARRAY,
-              Priority.NORMAL,
-              60,
-              new Resources(1, 0, 2),
-              null,
-              null,
-              false,
-              false,
-              false,
-              "long",
-              0.5,
-              TimeSpan.ofSeconds(35 + 2 * i),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null);
+          Job.builder(new JobId("job-" + (30_000 + i)))
+              .jobClass("long")
+              .team("batch")
+              .kind(JobKind.ARRAY)
+              .priority(Priority.NORMAL)
+              .taskCount(60)
+              .taskResources(new Resources(1, 0, 2))
+              .image("long")
+              .imageGb(0.5)
+              .estimate(TimeSpan.ofSeconds(35 + 2 * i))
+              .build();
       world.time().at(26 + i * 0.1, () -> world.users().submit(job));
     }
     world.time().at(OUT_S, () -> world.state().outage(OUT_FOR_S));
--- a/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
+++ b/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
@@ -68,25 +68,17 @@
       int tasks,
       double cpus,
       double runS) {
-    return new Job(
-        new JobId("job-" + number),
-        kind == JobKind.SERVICE ? "front" : "small",
-        team,
-        kind,
-        priority,
-        tasks,
-        new Resources(cpus, 0, 0.1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "i",
-        0.2,
-        TimeSpan.ofSeconds(runS),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass(kind == JobKind.SERVICE ? "front" : "small")
+        .team(team)
+        .kind(kind)
+        .priority(priority)
+        .taskCount(tasks)
+        .taskResources(new Resources(cpus, 0, 0.1))
+        .image("i")
+        .imageGb(0.2)
+        .estimate(TimeSpan.ofSeconds(runS))
+        .build();
   }
 
   /** Those that may have to be changed: bundles are only ever deleted. */
--- a/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
@@ -65,25 +65,19 @@
   private void submit(
       int number, String team, JobKind kind, int tasks, int cpus, boolean oneZone, double runS) {
     Job job =
-        new Job(
-            new JobId("job-" + number),
-            "any",
-            team,
-            kind,
-            kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL,
-            tasks,
-            new Resources(cpus, 0, 2),
-            null,
-            null,
-            oneZone,
-            false,
-            number % 3 != 0,
-            "img-" + number % 3,
-            1,
-            TimeSpan.ofSeconds(runS),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(new JobId("job-" + number))
+            .jobClass("any")
+            .team(team)
+            .kind(kind)
+            .priority(kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL)
+            .taskCount(tasks)
+            .taskResources(new Resources(cpus, 0, 2))
+            .singleZone(oneZone)
+            .allowsSpot(number % 3 != 0)
+            .image("img-" + number % 3)
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(runS))
+            .build();
     jobs.put(job.id(), job);
     world.time().at(5 + 12 * random.nextDouble(), () -> world.users().submit(job));
   }
--- a/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
+++ b/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
@@ -48,25 +48,20 @@
       double cpus,
       double seconds,
       double saveEveryS) {
-    return new Job(
-        new JobId("job-" + number),
-        kind + "-" + priority,
-        team,
-        kind,
-        priority,
-        tasks,
-        new Resources(cpus, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        kind == JobKind.ARRAY,
-        "img-" + number % 3,
-        0.3,
-        TimeSpan.ofSeconds(seconds),
-        TimeSpan.ofSeconds(saveEveryS),
-        TimeSpan.ofSeconds(saveEveryS > 0 ? 1 : 0),
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass(kind + "-" + priority)
+        .team(team)
+        .kind(kind)
+        .priority(priority)
+        .taskCount(tasks)
+        .taskResources(new Resources(cpus, 0, 1))
+        .allowsSpot(kind == JobKind.ARRAY)
+        .image("img-" + number % 3)
+        .imageGb(0.3)
+        .estimate(TimeSpan.ofSeconds(seconds))
+        .checkpointInterval(TimeSpan.ofSeconds(saveEveryS))
+        .checkpointCost(TimeSpan.ofSeconds(saveEveryS > 0 ? 1 : 0))
+        .build();
   }
 
   private static SimulatedCluster world(ClusterSpec site) {
--- a/src/test/java/org/quincecross/leader/AllocationIndexTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationIndexTest.java
@@ -55,28 +55,22 @@
   }
 
   private static Job job(int number) {
-    return new Job(
-        new JobId("job-" + number),
-        "c",
-        number % 2 == 0 ? "even" : "odd",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        TASKS,
-        new Resources(1 + number, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        true,
-        "i",
-        1,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null,
-        number % 4 == 3
-            ? Set.of(new JobId("job-" + (number - 1)), new JobId("job-" + (number - 3)))
-            : Set.of());
+    return Job.builder(new JobId("job-" + number))
+        .jobClass("c")
+        .team(number % 2 == 0 ? "even" : "odd")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(TASKS)
+        .taskResources(new Resources(1 + number, 0, 1))
+        .allowsSpot(true)
+        .image("i")
+        .imageGb(1)
+        .estimate(TimeSpan.ZERO)
+        .dependencies(
+            number % 4 == 3
+                ? Set.of(new JobId("job-" + (number - 1)), new JobId("job-" + (number - 3)))
+                : Set.of())
+        .build();
   }
 
   private void put(String key, Map<String, Object> value) {
--- a/src/test/java/org/quincecross/leader/AllocationWriterTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationWriterTest.java
@@ -60,25 +60,17 @@
 
   private static Map<String, Object> open(JobId id, int tasks) {
     return JobRecord.writeOpen(
-        new Job(
-            id,
-            "c",
-            "t",
-            JobKind.ARRAY,
-            Priority.LOW,
-            tasks,
-            new Resources(1, 0, 1),
-            null,
-            null,
-            false,
-            false,
-            false,
-            "i",
-            1,
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null),
+        Job.builder(id)
+            .jobClass("c")
+            .team("t")
+            .kind(JobKind.ARRAY)
+            .priority(Priority.LOW)
+            .taskCount(tasks)
+            .taskResources(new Resources(1, 0, 1))
+            .image("i")
+            .imageGb(1)
+            .estimate(TimeSpan.ZERO)
+            .build(),
         0);
   }
 
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -57,8 +57,6 @@
    * durable, in few writes, also in its last chunk. It is not written chunk by chunk from the first
    * one each time.
    */
-  // One course of events.
-  @SuppressWarnings("MethodLength")
   @Test
   void aJobOfMoreChunksThanATransactionHoldsBecomesDurable() {
     cache.addListener(allocationIndex::cacheChanged);
@@ -68,25 +66,17 @@
     put(
         StoreKeys.job(id),
         JobRecord.writeOpen(
-            new Job(
-                id,
-                "c",
-                "t",
-                JobKind.ARRAY,
-                Priority.LOW,
-                chunks * CompletedTasks.CHUNK_SIZE,
-                new Resources(1, 0, 1),
-                null,
-                null,
-                false,
-                false,
-                false,
-                "i",
-                1,
-                TimeSpan.ZERO,
-                TimeSpan.ZERO,
-                TimeSpan.ZERO,
-                null),
+            Job.builder(id)
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.ARRAY)
+                .priority(Priority.LOW)
+                .taskCount(chunks * CompletedTasks.CHUNK_SIZE)
+                .taskResources(new Resources(1, 0, 1))
+                .image("i")
+                .imageGb(1)
+                .estimate(TimeSpan.ZERO)
+                .build(),
             0));
     for (int chunk = 0; chunk < chunks; chunk++) {
       TaskSet done = new TaskSet();
@@ -120,8 +110,6 @@
    * A page of the old full size: the jobs on it go on to others, and what was done on it stays
    * done, also for whoever reads it all anew.
    */
-  // One course of events.
-  @SuppressWarnings("MethodLength")
   @Test
   void jobsMoveOnFromAPageThatIsLargerThanAValueMayBeNow() {
     cache.addListener(allocationIndex::cacheChanged);
@@ -133,25 +121,17 @@
       put(
           StoreKeys.job(id),
           JobRecord.writeOpen(
-              new Job(
-                  id,
-                  "c",
-                  "t",
-                  JobKind.ARRAY,
-                  Priority.LOW,
-                  9,
-                  new Resources(1, 0, 1),
-                  null,
-                  null,
-                  false,
-                  false,
-                  false,
-                  "i",
-                  1,
-                  TimeSpan.ZERO,
-                  TimeSpan.ZERO,
-                  TimeSpan.ZERO,
-                  null),
+              Job.builder(id)
+                  .jobClass("c")
+                  .team("t")
+                  .kind(JobKind.ARRAY)
+                  .priority(Priority.LOW)
+                  .taskCount(9)
+                  .taskResources(new Resources(1, 0, 1))
+                  .image("i")
+                  .imageGb(1)
+                  .estimate(TimeSpan.ZERO)
+                  .build(),
               0));
       page.put(id, TaskSet.range(1 + i % 3));
       completed.add(id.task(5));
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -220,25 +220,17 @@
         cache,
         StoreKeys.job(gang),
         JobRecord.writeOpen(
-            new Job(
-                gang,
-                "c",
-                "t",
-                JobKind.GANG,
-                Priority.NORMAL,
-                100,
-                new Resources(8, 0, 1),
-                null,
-                null,
-                false,
-                false,
-                false,
-                "i",
-                1,
-                TimeSpan.ZERO,
-                TimeSpan.ZERO,
-                TimeSpan.ZERO,
-                null),
+            Job.builder(gang)
+                .jobClass("c")
+                .team("t")
+                .kind(JobKind.GANG)
+                .priority(Priority.NORMAL)
+                .taskCount(100)
+                .taskResources(new Resources(8, 0, 1))
+                .image("i")
+                .imageGb(1)
+                .estimate(TimeSpan.ZERO)
+                .build(),
             0),
         4);
     CacheTestSupport.advance(cache, 4);
--- a/src/test/java/org/quincecross/legalhold/LegalHoldIndexTest.java
+++ b/src/test/java/org/quincecross/legalhold/LegalHoldIndexTest.java
@@ -25,25 +25,18 @@
 
 class LegalHoldIndexTest {
   private static Job job(int number, String lane, int tasks) {
-    return new Job(
-        new JobId("job-" + number),
-        lane,
-        "team",
-        JobKind.ARRAY,
-        Priority.NORMAL,
-        tasks,
-        Resources.NONE,
-        null,
-        null,
-        false,
-        false,
-        true,
-        "image",
-        0,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass(lane)
+        .team("team")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.NORMAL)
+        .taskCount(tasks)
+        .taskResources(Resources.NONE)
+        .allowsSpot(true)
+        .image("image")
+        .imageGb(0)
+        .estimate(TimeSpan.ZERO)
+        .build();
   }
 
   private static Records records(Random random, int series) {
--- a/src/test/java/org/quincecross/modelserving/DecisionsTest.java
+++ b/src/test/java/org/quincecross/modelserving/DecisionsTest.java
@@ -40,25 +40,20 @@
   }
 
   private static Job job(double cpus, double gb, boolean oneZone, boolean spread) {
-    return new Job(
-        new JobId("job-7"),
-        "c",
-        "t",
-        JobKind.SERVICE,
-        Priority.PRODUCTION,
-        6,
-        new Resources(cpus, 0, 1),
-        null,
-        null,
-        oneZone,
-        spread,
-        true,
-        "w",
-        gb,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-7"))
+        .jobClass("c")
+        .team("t")
+        .kind(JobKind.SERVICE)
+        .priority(Priority.PRODUCTION)
+        .taskCount(6)
+        .taskResources(new Resources(cpus, 0, 1))
+        .singleZone(oneZone)
+        .spreadOverZones(spread)
+        .allowsSpot(true)
+        .image("w")
+        .imageGb(gb)
+        .estimate(TimeSpan.ZERO)
+        .build();
   }
 
   private static List<Weights.Candidate> machines(Random random, int count) {
--- a/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
+++ b/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
@@ -69,25 +69,17 @@
     jobs.put(
         id,
         new Play(
-            new Job(
-                id,
-                "c",
-                team,
-                kind,
-                priority,
-                tasks,
-                new Resources(cpus, 0, 2),
-                null,
-                null,
-                false,
-                false,
-                false,
-                "i",
-                1,
-                TimeSpan.ofSeconds(runS),
-                TimeSpan.ZERO,
-                TimeSpan.ZERO,
-                null),
+            Job.builder(id)
+                .jobClass("c")
+                .team(team)
+                .kind(kind)
+                .priority(priority)
+                .taskCount(tasks)
+                .taskResources(new Resources(cpus, 0, 2))
+                .image("i")
+                .imageGb(1)
+                .estimate(TimeSpan.ofSeconds(runS))
+                .build(),
             now,
             runS));
   }
--- a/src/test/java/org/quincecross/protocol/JobCodecTest.java
+++ b/src/test/java/org/quincecross/protocol/JobCodecTest.java
@@ -65,28 +65,29 @@
             (h, p, cpus, mem, estimate, save, due) -> {
               @SuppressWarnings("unchecked")
               Set<String> types = (Set<String>) p[4];
-              return new Job(
-                  new JobId("job-" + h[0]),
-                  (String) h[1],
-                  (String) h[2],
-                  (JobKind) h[3],
-                  (Priority) h[4],
-                  (int) h[5],
-                  new Resources(cpus, 0, mem),
-                  types,
-                  (String) p[3],
-                  (boolean) p[0],
-                  (boolean) p[1],
-                  (boolean) p[2],
-                  "img",
-                  mem,
-                  estimate,
-                  save,
-                  save,
-                  due,
-                  IntStream.range(0, (int) h[5] % 4)
-                      .mapToObj(i -> new JobId("job-00" + i))
-                      .collect(Collectors.toSet()));
+              return Job.builder(new JobId("job-" + h[0]))
+                  .jobClass((String) h[1])
+                  .team((String) h[2])
+                  .kind((JobKind) h[3])
+                  .priority((Priority) h[4])
+                  .taskCount((int) h[5])
+                  .taskResources(new Resources(cpus, 0, mem))
+                  .machineTypes(types)
+                  .zone((String) p[3])
+                  .singleZone((boolean) p[0])
+                  .spreadOverZones((boolean) p[1])
+                  .allowsSpot((boolean) p[2])
+                  .image("img")
+                  .imageGb(mem)
+                  .estimate(estimate)
+                  .checkpointInterval(save)
+                  .checkpointCost(save)
+                  .deadline(due)
+                  .dependencies(
+                      IntStream.range(0, (int) h[5] % 4)
+                          .mapToObj(i -> new JobId("job-00" + i))
+                          .collect(Collectors.toSet()))
+                  .build();
             });
   }
 
--- a/src/test/java/org/quincecross/scheduling/AdmissionTest.java
+++ b/src/test/java/org/quincecross/scheduling/AdmissionTest.java
@@ -45,25 +45,21 @@
             Arbitraries.of("a", "b", "c").injectNull(0.7))
         .as(
             (number, kind, priority, tasks, cpus, rule, spot, zone) ->
-                new Job(
-                    new JobId("job-" + number),
-                    "c",
-                    "t",
-                    kind,
-                    priority,
-                    tasks,
-                    new Resources(cpus, 0, 1),
-                    null,
-                    zone,
-                    rule.equals("one"),
-                    rule.equals("spread"),
-                    spot,
-                    "i",
-                    1,
-                    TimeSpan.ZERO,
-                    TimeSpan.ZERO,
-                    TimeSpan.ZERO,
-                    null));
+                Job.builder(new JobId("job-" + number))
+                    .jobClass("c")
+                    .team("t")
+                    .kind(kind)
+                    .priority(priority)
+                    .taskCount(tasks)
+                    .taskResources(new Resources(cpus, 0, 1))
+                    .zone(zone)
+                    .singleZone(rule.equals("one"))
+                    .spreadOverZones(rule.equals("spread"))
+                    .allowsSpot(spot)
+                    .image("i")
+                    .imageGb(1)
+                    .estimate(TimeSpan.ZERO)
+                    .build());
   }
 
   @Property(tries = 400, seed = "11")
@@ -152,25 +148,18 @@
   void whatABlockDeclinesGoesElsewhere(
       @ForAll("jobs") Job drawn, @ForAll @Size(4) List<Boolean> declines) {
     Job job =
-        new Job(
-            drawn.id(),
-            "c",
-            "t",
-            drawn.kind(),
-            drawn.priority(),
-            1,
-            drawn.taskResources(),
-            null,
-            null,
-            false,
-            false,
-            true,
-            "i",
-            1,
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(drawn.id())
+            .jobClass("c")
+            .team("t")
+            .kind(drawn.kind())
+            .priority(drawn.priority())
+            .taskCount(1)
+            .taskResources(drawn.taskResources())
+            .allowsSpot(true)
+            .image("i")
+            .imageGb(1)
+            .estimate(TimeSpan.ZERO)
+            .build();
     List<Admission.ShardCapacity> shards = blocks(job, declines);
     List<Admission.Unmet> unmet = admit(job, shards);
     int admitted = 0;
@@ -269,24 +258,17 @@
   }
 
   private static Job array(int number, Priority priority, int tasks) {
-    return new Job(
-        new JobId("job-" + number),
-        "c",
-        "t",
-        JobKind.ARRAY,
-        priority,
-        tasks,
-        new Resources(2, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        true,
-        "i",
-        1,
-        TimeSpan.ofSeconds(60),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass("c")
+        .team("t")
+        .kind(JobKind.ARRAY)
+        .priority(priority)
+        .taskCount(tasks)
+        .taskResources(new Resources(2, 0, 1))
+        .allowsSpot(true)
+        .image("i")
+        .imageGb(1)
+        .estimate(TimeSpan.ofSeconds(60))
+        .build();
   }
 }
--- a/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
+++ b/src/test/java/org/quincecross/scheduling/HeadroomPlanTest.java
@@ -50,25 +50,19 @@
 
   private Job job(
       String lane, String team, JobKind kind, Priority priority, int tasks, double savesInS) {
-    return new Job(
-        new JobId("job-" + ++number),
-        lane,
-        team,
-        kind,
-        priority,
-        tasks,
-        new Resources(1, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "i",
-        0,
-        TimeSpan.ofSeconds(30),
-        savesInS > 0 ? TimeSpan.ofSeconds(5) : TimeSpan.ZERO,
-        TimeSpan.ofSeconds(savesInS),
-        null);
+    return Job.builder(new JobId("job-" + ++number))
+        .jobClass(lane)
+        .team(team)
+        .kind(kind)
+        .priority(priority)
+        .taskCount(tasks)
+        .taskResources(new Resources(1, 0, 1))
+        .image("i")
+        .imageGb(0)
+        .estimate(TimeSpan.ofSeconds(30))
+        .checkpointInterval(savesInS > 0 ? TimeSpan.ofSeconds(5) : TimeSpan.ZERO)
+        .checkpointCost(TimeSpan.ofSeconds(savesInS))
+        .build();
   }
 
   /** How many tasks of each of some jobs are admitted, the first ones first. */
--- a/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
+++ b/src/test/java/org/quincecross/scheduling/ShardSchedulerTest.java
@@ -34,25 +34,18 @@
 
   private static Job job(
       int number, JobKind kind, Priority priority, int tasks, double cpus, double memory) {
-    return new Job(
-        new JobId("job-" + number),
-        "c",
-        "t",
-        kind,
-        priority,
-        tasks,
-        new Resources(cpus, 0, memory),
-        null,
-        null,
-        false,
-        false,
-        true,
-        "img",
-        1,
-        TimeSpan.ofSeconds(10),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null);
+    return Job.builder(new JobId("job-" + number))
+        .jobClass("c")
+        .team("t")
+        .kind(kind)
+        .priority(priority)
+        .taskCount(tasks)
+        .taskResources(new Resources(cpus, 0, memory))
+        .allowsSpot(true)
+        .image("img")
+        .imageGb(1)
+        .estimate(TimeSpan.ofSeconds(10))
+        .build();
   }
 
   private static QueueEntry entry(int number, double cpus, double memory) {
--- a/src/test/java/org/quincecross/shard/DependentJobTest.java
+++ b/src/test/java/org/quincecross/shard/DependentJobTest.java
@@ -23,26 +23,18 @@
  */
 class DependentJobTest extends ShardOwnerHarness {
   private static Job job(JobId id, Set<JobId> waitsOn) {
-    return new Job(
-        id,
-        "c",
-        "team",
-        JobKind.ARRAY,
-        Priority.HIGH,
-        1,
-        new Resources(1, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "i",
-        1,
-        TimeSpan.ofSeconds(10),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null,
-        waitsOn);
+    return Job.builder(id)
+        .jobClass("c")
+        .team("team")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.HIGH)
+        .taskCount(1)
+        .taskResources(new Resources(1, 0, 1))
+        .image("i")
+        .imageGb(1)
+        .estimate(TimeSpan.ofSeconds(10))
+        .dependencies(waitsOn)
+        .build();
   }
 
   /** A machine without any task. */
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -152,25 +152,17 @@
   void aStartIsSent() {
     putMachineType();
     Job job =
-        new Job(
-            TASK.job(),
-            "c",
-            "team",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            3,
-            new Resources(4, 0, 1),
-            null,
-            null,
-            false,
-            false,
-            false,
-            "i",
-            1,
-            TimeSpan.ofSeconds(10),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(TASK.job())
+            .jobClass("c")
+            .team("team")
+            .kind(JobKind.ARRAY)
+            .priority(Priority.NORMAL)
+            .taskCount(3)
+            .taskResources(new Resources(4, 0, 1))
+            .image("i")
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(10))
+            .build();
     put(StoreKeys.job(job.id()), JobRecord.writeOpen(job, 0));
     takeOverShard();
     allocate(only(0));
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -93,25 +93,17 @@
       calls.clear();
       Job one = cache.job(TASK.job()).job();
       job =
-          new Job(
-              new JobId("job-2"),
-              one.jobClass(),
-              one.team(),
-              one.kind(),
-              one.priority(),
-              TASKS,
-              one.taskResources(),
-              null,
-              null,
-              false,
-              false,
-              false,
-              one.image(),
-              one.imageGb(),
-              one.estimate(),
-              TimeSpan.ZERO,
-              TimeSpan.ZERO,
-              null);
+          Job.builder(new JobId("job-2"))
+              .jobClass(one.jobClass())
+              .team(one.team())
+              .kind(one.kind())
+              .priority(one.priority())
+              .taskCount(TASKS)
+              .taskResources(one.taskResources())
+              .image(one.image())
+              .imageGb(one.imageGb())
+              .estimate(one.estimate())
+              .build();
       put(StoreKeys.job(job.id()), JobRecord.writeOpen(job, 0));
       owner.retire();
       for (int i = 1; i <= 3; i++) {
--- a/src/test/java/org/quincecross/state/JobIndexTest.java
+++ b/src/test/java/org/quincecross/state/JobIndexTest.java
@@ -46,26 +46,18 @@
   }
 
   private static Job job(JobId id, Set<JobId> waitsOn) {
-    return new Job(
-        id,
-        "c",
-        "t",
-        JobKind.ARRAY,
-        Priority.LOW,
-        3,
-        new Resources(1, 0, 1),
-        null,
-        null,
-        false,
-        false,
-        false,
-        "i",
-        1,
-        TimeSpan.ofSeconds(4),
-        TimeSpan.ZERO,
-        TimeSpan.ZERO,
-        null,
-        waitsOn);
+    return Job.builder(id)
+        .jobClass("c")
+        .team("t")
+        .kind(JobKind.ARRAY)
+        .priority(Priority.LOW)
+        .taskCount(3)
+        .taskResources(new Resources(1, 0, 1))
+        .image("i")
+        .imageGb(1)
+        .estimate(TimeSpan.ofSeconds(4))
+        .dependencies(waitsOn)
+        .build();
   }
 
   private void put(String key, Map<String, Object> value) {
--- a/src/test/java/org/quincecross/state/RecordsTest.java
+++ b/src/test/java/org/quincecross/state/RecordsTest.java
@@ -119,25 +119,17 @@
     }
 
     Job job =
-        new Job(
-            new JobId("job-5"),
-            "c",
-            "team",
-            JobKind.ARRAY,
-            Priority.NORMAL,
-            3,
-            new Resources(1, 0, 1),
-            null,
-            null,
-            false,
-            false,
-            false,
-            "i",
-            1,
-            TimeSpan.ofSeconds(5),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(new JobId("job-5"))
+            .jobClass("c")
+            .team("team")
+            .kind(JobKind.ARRAY)
+            .priority(Priority.NORMAL)
+            .taskCount(3)
+            .taskResources(new Resources(1, 0, 1))
+            .image("i")
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(5))
+            .build();
     Map<String, Object> open = JobRecord.writeOpen(job, 77);
     open.putAll(extra);
     @SuppressWarnings("unchecked")
@@ -180,25 +172,20 @@
   @Property(tries = 100, seed = "16")
   void aJobOfTheOldSizeIsCancelledInLess(@ForAll Random random) throws MalformedMessageException {
     Job job =
-        new Job(
-            new JobId("job-5"),
-            "c".repeat(random.nextInt(1500)) + "c",
-            "team",
-            JobKind.GANG,
-            Priority.NORMAL,
-            3,
-            new Resources(1, 0, 1),
-            Set.of("t".repeat(random.nextInt(1500))),
-            "z",
-            false,
-            true,
-            false,
-            "i".repeat(1 + random.nextInt(1500)),
-            1,
-            TimeSpan.ofSeconds(5),
-            TimeSpan.ZERO,
-            TimeSpan.ZERO,
-            null);
+        Job.builder(new JobId("job-5"))
+            .jobClass("c".repeat(random.nextInt(1500)) + "c")
+            .team("team")
+            .kind(JobKind.GANG)
+            .priority(Priority.NORMAL)
+            .taskCount(3)
+            .taskResources(new Resources(1, 0, 1))
+            .machineTypes(Set.of("t".repeat(random.nextInt(1500))))
+            .zone("z")
+            .spreadOverZones(true)
+            .image("i".repeat(1 + random.nextInt(1500)))
+            .imageGb(1)
+            .estimate(TimeSpan.ofSeconds(5))
+            .build();
     Map<String, Object> open = JobRecord.writeOpen(job, 77);
     open.put("later", "x".repeat(random.nextInt(1500)));
     JobRecord record = JobRecord.read(job.id(), throughJson(open), new Revision(4));
