--- a/src/main/java/org/quincecross/accounting/JobAccounting.java
+++ b/src/main/java/org/quincecross/accounting/JobAccounting.java
@@ -16,9 +16,9 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Counts what each class of jobs of each team asked for and got. An event costs the same however
- * many jobs there are; what is missed by jobs that are still open is counted when the books are
- * read.
+ * Counts what each class of jobs of each team requested and received. The cost of an event does not
+ * depend on the number of jobs; objectives missed by jobs that are still open are counted when the
+ * figures are read.
  */
 public final class JobAccounting {
   /** The jobs of one class of one team. */
@@ -30,7 +30,7 @@
     }
   }
 
-  /** Met and missed, of an aim. */
+  /** How often a service-level objective was met and missed. */
   private static final class Tally {
     private int met;
     private int missed;
@@ -41,251 +41,270 @@
     }
   }
 
-  /** What is counted for a group. */
-  private static final class Count {
+  /** The figures of a group. */
+  private static final class GroupFigures {
     private int jobs;
     private int ended;
     private int tasks;
     private int started;
     private int heldBack;
-    private int withheld;
+    private int blocked;
 
     /** Jobs with tasks that have not been started yet. */
     private int waiting;
 
     private double starvedS;
-    private MonotonicTime hungrySince;
-    private final Map<String, Tally> aims = new LinkedHashMap<>();
+    private MonotonicTime starvedSince;
+    private final Map<String, Tally> objectives = new LinkedHashMap<>();
 
-    /** Aims of one name are counted together: each job's deadline is another length of time. */
-    Tally tally(String aim) {
-      return aims.computeIfAbsent(aim, a -> new Tally());
+    /**
+     * Objectives of the same name are counted together, although the deadline of each job is a
+     * different length of time.
+     */
+    Tally tally(String objective) {
+      return objectives.computeIfAbsent(objective, a -> new Tally());
     }
 
-    /** Some work waits from now on, or is waited for no longer, or has just been served. */
-    void hungry(MonotonicTime now, boolean served) {
-      if (hungrySince != null && (served || waiting == 0)) {
-        starvedS = Math.max(starvedS, now.since(hungrySince).seconds());
-        hungrySince = null;
+    /**
+     * Updates the starvation time: work starts to wait, nothing waits any more, or work has just
+     * been served.
+     */
+    void updateStarvation(MonotonicTime now, boolean served) {
+      if (starvedSince != null && (served || waiting == 0)) {
+        starvedS = Math.max(starvedS, now.since(starvedSince).seconds());
+        starvedSince = null;
       }
-      if (waiting > 0 && hungrySince == null) {
-        hungrySince = now;
+      if (waiting > 0 && starvedSince == null) {
+        starvedSince = now;
       }
     }
 
-    void add(Count other, MonotonicTime now) {
+    void add(GroupFigures other, MonotonicTime now) {
       jobs += other.jobs;
       ended += other.ended;
       tasks += other.tasks;
       started += other.started;
       heldBack += other.heldBack;
-      withheld += other.withheld;
+      blocked += other.blocked;
       starvedS = Math.max(starvedS, other.starvedS);
-      if (other.hungrySince != null) {
-        starvedS = Math.max(starvedS, now.since(other.hungrySince).seconds());
+      if (other.starvedSince != null) {
+        starvedS = Math.max(starvedS, now.since(other.starvedSince).seconds());
       }
-      other.aims.forEach((aim, tally) -> tally(aim).add(tally));
+      other.objectives.forEach((objective, tally) -> tally(objective).add(tally));
     }
   }
 
-  /** A job that is not over. */
-  private static final class Open {
-    private final Count count;
+  /** A job that has not ended. */
+  private static final class OpenJob {
+    private final GroupFigures group;
     private final int tasks;
     private final MonotonicTime accepted;
-    private final List<ServiceLevelObjective> aims;
+    private final List<ServiceLevelObjective> objectives;
     private final String jobClass;
-    private final int step;
-    private final int toBegin;
+    private final int sizeStep;
+    private final int startQuorum;
     private final boolean isService;
-    private final boolean wasFound;
+    private final boolean openBeforeCounting;
     private int started;
     private int heldBack;
-    private boolean hasBegun;
+    private boolean hasStarted;
     private boolean waits = true;
 
     /**
-     * Tasks that may not run by an agreed record, and since when there are such; the time of that
-     * counts against no aim.
+     * Tasks blocked by a replicated record, and since when some are blocked; blocked time counts
+     * against no objective.
      */
-    private int withheld;
+    private int blocked;
 
-    private MonotonicTime withheldSince;
-    private TimeSpan excused = TimeSpan.ZERO;
+    private MonotonicTime blockedSince;
+    private TimeSpan blockedTime = TimeSpan.ZERO;
 
-    Open(
-        Count count,
+    OpenJob(
+        GroupFigures group,
         Job job,
         MonotonicTime accepted,
-        List<ServiceLevelObjective> aims,
-        boolean wasFound) {
-      this.wasFound = wasFound;
-      this.count = count;
+        List<ServiceLevelObjective> objectives,
+        boolean openBeforeCounting) {
+      this.openBeforeCounting = openBeforeCounting;
+      this.group = group;
       this.tasks = job.taskCount();
       this.jobClass = job.jobClass();
-      this.step = JobSizeHistogram.step(job.estimatedDemand());
-      this.toBegin = job.startQuorum();
+      this.sizeStep = JobSizeHistogram.step(job.estimatedDemand());
+      this.startQuorum = job.startQuorum();
       this.isService = job.kind() == JobKind.SERVICE;
       this.accepted = accepted;
-      this.aims = aims;
+      this.objectives = objectives;
     }
 
-    private TimeSpan without(MonotonicTime now) {
-      return withheldSince == null ? excused : excused.plus(now.since(withheldSince));
+    private TimeSpan blockedTime(MonotonicTime now) {
+      return blockedSince == null ? blockedTime : blockedTime.plus(now.since(blockedSince));
     }
 
-    boolean isPast(ServiceLevelObjective aim, MonotonicTime now) {
-      return now.since(accepted).isLongerThan(aim.timeLimit().plus(without(now)));
+    boolean isPast(ServiceLevelObjective objective, MonotonicTime now) {
+      return now.since(accepted).isLongerThan(objective.timeLimit().plus(blockedTime(now)));
     }
 
-    /** For how long it has waited while it was let run. */
+    /** Returns how long it has waited while it was allowed to run. */
     double waitedS(MonotonicTime now) {
-      return now.since(accepted).seconds() - without(now).seconds();
+      return now.since(accepted).seconds() - blockedTime(now).seconds();
     }
 
-    /** Whether some task may start that has not yet; counted with the others of its group. */
-    void countWaiting() {
-      boolean now = started + withheld < tasks;
+    /**
+     * Updates whether a task that may run has not started yet, and the count of such jobs in its
+     * group.
+     */
+    void updateWaiting() {
+      boolean now = started + blocked < tasks;
       if (now != waits) {
         waits = now;
-        count.waiting += now ? 1 : -1;
+        group.waiting += now ? 1 : -1;
       }
     }
   }
 
-  private final Function<Job, List<ServiceLevelObjective>> aims;
-  private final Map<Group, Count> counts = new TreeMap<>();
-  private final Map<JobId, Open> open = new HashMap<>();
+  private final Function<Job, List<ServiceLevelObjective>> objectives;
+  private final Map<Group, GroupFigures> counts = new TreeMap<>();
+  private final Map<JobId, OpenJob> open = new HashMap<>();
   private final Map<String, JobSizeHistogram> sizes = new TreeMap<>();
 
   /**
-   * @param aims what is expected of a job
+   * @param objectives the service-level objectives of a job
    */
-  public JobAccounting(Function<Job, List<ServiceLevelObjective>> aims) {
-    this.aims = aims;
+  public JobAccounting(Function<Job, List<ServiceLevelObjective>> objectives) {
+    this.objectives = objectives;
   }
 
-  /** A job was accepted: once for each job, later calls change nothing. */
+  /** Records that a job was accepted; repeated calls for the same job have no effect. */
   public void accepted(Job job, MonotonicTime at) {
-    add(job, at, aims.apply(job), false);
+    add(job, at, objectives.apply(job), false);
   }
 
   /**
-   * A job was open when the counting began: when its tasks started that run already, nobody knows,
-   * so starts do not count.
+   * Records a job that was open when counting began. When its running tasks started is unknown, so
+   * start objectives are not counted for it.
    */
-  public void found(Job job, MonotonicTime at) {
+  public void recordAlreadyOpen(Job job, MonotonicTime at) {
     add(
         job,
         at,
-        aims.apply(job).stream()
-            .filter(aim -> aim.event() == ServiceLevelObjective.Event.END)
+        objectives.apply(job).stream()
+            .filter(objective -> objective.event() == ServiceLevelObjective.Event.END)
             .toList(),
         true);
   }
 
-  private void add(Job job, MonotonicTime at, List<ServiceLevelObjective> ofJob, boolean wasFound) {
+  private void add(
+      Job job,
+      MonotonicTime at,
+      List<ServiceLevelObjective> objectivesOfJob,
+      boolean openBeforeCounting) {
     if (open.containsKey(job.id())) {
       return;
     }
-    Count count =
-        counts.computeIfAbsent(new Group(job.team(), job.jobClass()), group -> new Count());
-    Open opened = new Open(count, job, at, ofJob, wasFound);
+    GroupFigures count =
+        counts.computeIfAbsent(new Group(job.team(), job.jobClass()), group -> new GroupFigures());
+    OpenJob opened = new OpenJob(count, job, at, objectivesOfJob, openBeforeCounting);
     open.put(job.id(), opened);
-    ofSize(opened).jobs++;
+    sizeTally(opened).jobs++;
     count.jobs++;
     count.tasks += job.taskCount();
     count.waiting++;
-    count.hungry(at, false);
+    count.updateStarvation(at, false);
   }
 
-  private JobSizeHistogram.Tally ofSize(Open job) {
-    return sizes.computeIfAbsent(job.jobClass, name -> new JobSizeHistogram()).of(job.step);
+  private JobSizeHistogram.Tally sizeTally(OpenJob job) {
+    return sizes.computeIfAbsent(job.jobClass, name -> new JobSizeHistogram()).of(job.sizeStep);
   }
 
   /**
-   * So many tasks of a job have been started or have ended so far: what is no news changes nothing.
+   * Records how many tasks of a job have been started or have ended so far; an unchanged number has
+   * no effect.
    */
   public void started(JobId id, int tasks, MonotonicTime now) {
-    Open job = open.get(id);
+    OpenJob job = open.get(id);
     if (job == null || tasks <= job.started) {
       return;
     }
     int more = Math.min(tasks, job.tasks) - job.started;
     job.started += more;
-    job.count.started += more;
-    if (!job.hasBegun && job.started >= job.toBegin) {
-      job.hasBegun = true;
+    job.group.started += more;
+    if (!job.hasStarted && job.started >= job.startQuorum) {
+      job.hasStarted = true;
       double afterS = job.waitedS(now);
-      if (!job.wasFound
+      if (!job.openBeforeCounting
           || afterS
-              <= JobSizeHistogram.BEGIN_S) { // of what was open before, nobody knows when it began
-        ofSize(job).began(afterS);
+              <= JobSizeHistogram
+                  .MAX_START_DELAY_S) { // when jobs that were open before counting began were
+        // started is unknown
+        sizeTally(job).recordStart(afterS);
       }
-      ofSize(job).served += job.isService ? 1 : 0;
+      sizeTally(job).served += job.isService ? 1 : 0;
     }
-    for (ServiceLevelObjective aim : job.aims) {
-      if (aim.event() == ServiceLevelObjective.Event.EACH_START) {
-        Tally tally = job.count.tally(aim.name());
-        if (job.isPast(aim, now)) {
+    for (ServiceLevelObjective objective : job.objectives) {
+      if (objective.event() == ServiceLevelObjective.Event.EACH_START) {
+        Tally tally = job.group.tally(objective.name());
+        if (job.isPast(objective, now)) {
           tally.missed += more;
         } else {
           tally.met += more;
         }
       }
     }
-    withhold(job, job.withheld);
-    job.count.hungry(now, true);
+    setBlocked(job, job.blocked);
+    job.group.updateStarvation(now, true);
   }
 
-  /** So many tasks of an open job may not run now, by an agreed record; 0 from when they may. */
-  public void withheld(JobId id, int tasks, MonotonicTime now) {
-    Open job = open.get(id);
-    if (job == null || (tasks == 0 && job.withheldSince == null)) {
+  /**
+   * Records how many tasks of an open job a replicated record blocks now; 0 when none are blocked
+   * any more.
+   */
+  public void blocked(JobId id, int tasks, MonotonicTime now) {
+    OpenJob job = open.get(id);
+    if (job == null || (tasks == 0 && job.blockedSince == null)) {
       return;
     }
-    if (tasks > 0 && job.withheldSince == null) {
-      job.withheldSince = now;
+    if (tasks > 0 && job.blockedSince == null) {
+      job.blockedSince = now;
     } else if (tasks == 0) {
-      job.excused = job.excused.plus(now.since(job.withheldSince));
-      job.withheldSince = null;
+      job.blockedTime = job.blockedTime.plus(now.since(job.blockedSince));
+      job.blockedSince = null;
     }
-    withhold(job, tasks);
-    job.count.hungry(now, false);
+    setBlocked(job, tasks);
+    job.group.updateStarvation(now, false);
   }
 
-  private static void withhold(Open job, int tasks) {
+  private static void setBlocked(OpenJob job, int tasks) {
     int notStarted = Math.min(tasks, job.tasks - job.started);
-    job.count.withheld += notStarted - job.withheld;
-    job.withheld = notStarted;
-    job.countWaiting();
+    job.group.blocked += notStarted - job.blocked;
+    job.blocked = notStarted;
+    job.updateWaiting();
   }
 
-  /** So many tasks of an open job cannot be started now, because its team is at its limit. */
+  /** Records how many tasks of an open job cannot start because its team is at its limit. */
   public void heldBack(JobId id, int tasks) {
-    Open job = open.get(id);
+    OpenJob job = open.get(id);
     if (job != null) {
-      job.count.heldBack += tasks - job.heldBack;
+      job.group.heldBack += tasks - job.heldBack;
       job.heldBack = tasks;
     }
   }
 
-  /** A job is done. */
+  /** Records that a job is done. */
   public void done(JobId id, MonotonicTime now) {
-    Open job = open.get(id);
+    OpenJob job = open.get(id);
     if (job == null) {
       return;
     }
     heldBack(id, 0);
-    withhold(job, 0);
+    setBlocked(job, 0);
     started(id, job.tasks, now);
     open.remove(id);
-    job.count.ended++;
-    ofSize(job).served += job.isService ? 0 : 1;
-    for (ServiceLevelObjective aim : job.aims) {
-      if (aim.event() == ServiceLevelObjective.Event.END) {
-        Tally tally = job.count.tally(aim.name());
-        if (job.isPast(aim, now)) {
+    job.group.ended++;
+    sizeTally(job).served += job.isService ? 0 : 1;
+    for (ServiceLevelObjective objective : job.objectives) {
+      if (objective.event() == ServiceLevelObjective.Event.END) {
+        Tally tally = job.group.tally(objective.name());
+        if (job.isPast(objective, now)) {
           tally.missed++;
         } else {
           tally.met++;
@@ -294,64 +313,61 @@
     }
   }
 
-  /** A job's user does not want it any more: what it did not get is nobody's fault. */
+  /** Records that a job was cancelled; what it did not receive counts against no objective. */
   public void cancelled(JobId id, MonotonicTime now) {
     heldBack(id, 0);
-    Open job = open.remove(id);
+    OpenJob job = open.remove(id);
     if (job == null) {
       return;
     }
-    withhold(job, 0);
-    job.count.jobs--;
-    if (!job.hasBegun) {
-      ofSize(job).jobs--;
+    setBlocked(job, 0);
+    job.group.jobs--;
+    if (!job.hasStarted) {
+      sizeTally(job).jobs--;
     } else if (!job.isService) {
-      ofSize(job).served++; // it ran until nobody wanted it any more
+      sizeTally(job).served++; // it ran until it was no longer wanted
     }
-    job.count.tasks -= job.tasks - job.started;
+    job.group.tasks -= job.tasks - job.started;
     if (job.started < job.tasks) {
-      job.count.waiting--;
+      job.group.waiting--;
     }
-    job.count.hungry(now, false);
+    job.group.updateStarvation(now, false);
   }
 
-  /** How many jobs are known that are not over: what the books hold in memory. */
+  /** Number of jobs held in memory: those that have not ended. */
   public int openJobs() {
     return open.size();
   }
 
-  /** The ids of the jobs that are not over. */
+  /** Ids of the jobs that have not ended. */
   public Collection<JobId> openIds() {
     return open.keySet();
   }
 
-  /** How each class of each team has been served so far. */
+  /** Returns the figures by class and team. */
   public Map<Group, ServiceLevels> groups(MonotonicTime now) {
-    return by(group -> group, now);
+    return aggregate(group -> group, now);
   }
 
-  /** How each team has been served so far. */
+  /** Returns the figures by team. */
   public Map<String, ServiceLevels> teams(MonotonicTime now) {
-    return by(Group::team, now);
+    return aggregate(Group::team, now);
   }
 
-  /** How each class has been served so far. */
+  /** Returns the figures by class. */
   public Map<String, ServiceLevels> classes(MonotonicTime now) {
-    return by(Group::jobClass, now);
+    return aggregate(Group::jobClass, now);
   }
 
-  /**
-   * How the largest jobs of each class have fared so far: its largest tenth and its largest
-   * quarter.
-   */
+  /** Returns how the largest tenth and the largest quarter of each class have been served. */
   public Map<String, List<LargestJobs>> largest(MonotonicTime now) {
     Map<String, JobSizeHistogram> sums = new TreeMap<>();
     sizes.forEach(
         (name, each) -> sums.computeIfAbsent(name, n -> new JobSizeHistogram()).add(each));
-    for (Open job : open.values()) {
-      // What its team's limit holds back is nobody's fault.
-      if (!job.hasBegun && job.started + job.heldBack < job.tasks) {
-        sums.get(job.jobClass).of(job.step).waits(job.waitedS(now));
+    for (OpenJob job : open.values()) {
+      // Tasks held back by the team's limit do not count as late.
+      if (!job.hasStarted && job.started + job.heldBack < job.tasks) {
+        sums.get(job.jobClass).of(job.sizeStep).recordWaiting(job.waitedS(now));
       }
     }
     Map<String, List<LargestJobs>> largest = new TreeMap<>();
@@ -359,43 +375,45 @@
     return largest;
   }
 
-  private <K> Map<K, ServiceLevels> by(Function<Group, K> key, MonotonicTime now) {
-    Map<Count, Count> late = new HashMap<>();
-    for (Open job : open.values()) {
-      Count count = late.computeIfAbsent(job.count, c -> new Count());
-      for (ServiceLevelObjective aim : job.aims) {
-        if (job.isPast(aim, now)) {
-          count.tally(aim.name()).missed +=
-              aim.event() == ServiceLevelObjective.Event.END
+  private <K> Map<K, ServiceLevels> aggregate(Function<Group, K> key, MonotonicTime now) {
+    Map<GroupFigures, GroupFigures> missedByOpenJobs = new HashMap<>();
+    for (OpenJob job : open.values()) {
+      GroupFigures count = missedByOpenJobs.computeIfAbsent(job.group, c -> new GroupFigures());
+      for (ServiceLevelObjective objective : job.objectives) {
+        if (job.isPast(objective, now)) {
+          count.tally(objective.name()).missed +=
+              objective.event() == ServiceLevelObjective.Event.END
                   ? 1
-                  : job.tasks - job.started - job.heldBack - job.withheld;
+                  : job.tasks - job.started - job.heldBack - job.blocked;
         }
       }
     }
-    Map<K, Count> sums = new TreeMap<>();
+    Map<K, GroupFigures> sums = new TreeMap<>();
     counts.forEach(
         (group, count) -> {
-          Count sum = sums.computeIfAbsent(key.apply(group), k -> new Count());
+          GroupFigures sum = sums.computeIfAbsent(key.apply(group), k -> new GroupFigures());
           sum.add(count, now);
-          if (late.containsKey(count)) {
-            sum.add(late.get(count), now);
+          if (missedByOpenJobs.containsKey(count)) {
+            sum.add(missedByOpenJobs.get(count), now);
           }
         });
     Map<K, ServiceLevels> served = new TreeMap<>();
     sums.forEach(
-        (each, sum) -> {
-          List<ServiceLevels.Met> met = new ArrayList<>();
-          sum.aims.forEach(
-              (aim, tally) -> met.add(new ServiceLevels.Met(aim, tally.met, tally.missed)));
+        (group, sum) -> {
+          List<ServiceLevels.ObjectiveCount> objectivesMet = new ArrayList<>();
+          sum.objectives.forEach(
+              (objective, tally) ->
+                  objectivesMet.add(
+                      new ServiceLevels.ObjectiveCount(objective, tally.met, tally.missed)));
           served.put(
-              each,
+              group,
               new ServiceLevels(
                   sum.jobs,
                   sum.ended,
                   sum.tasks,
                   sum.started,
-                  sum.tasks - sum.heldBack - sum.withheld,
-                  met,
+                  sum.tasks - sum.heldBack - sum.blocked,
+                  objectivesMet,
                   sum.starvedS));
         });
     return served;
--- a/src/main/java/org/quincecross/accounting/JobSizeHistogram.java
+++ b/src/main/java/org/quincecross/accounting/JobSizeHistogram.java
@@ -6,22 +6,22 @@
 import java.util.TreeMap;
 
 /**
- * Counts the jobs of a class by size, so that it can be said at any time how the largest fared:
- * which those are is known only as others come. Sizes are counted in steps of a twelfth or so, so
- * the books are as large for a million jobs as for a hundred.
+ * Counts the jobs of a class by size, to tell at any time how the largest were served; which jobs
+ * are the largest is known only after later ones have arrived. Sizes are bucketed in steps of about
+ * a twelfth, so memory does not depend on the number of jobs.
  */
 public final class JobSizeHistogram {
-  /** A job has to begin so soon, in seconds from its first submission. */
-  public static final double BEGIN_S = 240;
+  /** A job has to start within this time, in seconds from its first submission. */
+  public static final double MAX_START_DELAY_S = 240;
 
-  static final List<Double> PARTS = List.of(0.1, 0.25);
+  static final List<Double> LARGEST_FRACTIONS = List.of(0.1, 0.25);
 
-  /** Steps for each doubling. */
-  private static final int STEPS = 6;
+  /** Buckets per doubling of the size. */
+  private static final int STEPS_PER_DOUBLING = 6;
 
-  private static final int MOST_STEP = 40 * STEPS;
+  private static final int MAX_STEP = 40 * STEPS_PER_DOUBLING;
 
-  /** The jobs of about one size. */
+  /** The jobs of one size bucket. */
   static final class Tally {
     int jobs;
     int served;
@@ -37,8 +37,8 @@
       longestS = Math.max(longestS, other.longestS);
     }
 
-    void began(double afterS) {
-      if (afterS <= BEGIN_S) {
+    void recordStart(double afterS) {
+      if (afterS <= MAX_START_DELAY_S) {
         inTime++;
       } else {
         late++;
@@ -46,20 +46,23 @@
       longestS = Math.max(longestS, afterS);
     }
 
-    /** One is not begun yet. */
-    void waits(double sinceS) {
-      late += sinceS > BEGIN_S ? 1 : 0;
+    /** Counts a job that has not started yet. */
+    void recordWaiting(double sinceS) {
+      late += sinceS > MAX_START_DELAY_S ? 1 : 0;
       longestS = Math.max(longestS, sinceS);
     }
   }
 
   private final TreeMap<Integer, Tally> tallies = new TreeMap<>();
 
-  /** The step that a size belongs to. */
+  /** Returns the bucket of a size. */
   static int step(double size) {
     return (int)
         Math.max(
-            0, Math.min(MOST_STEP, Math.round(STEPS * Math.log(Math.max(1, size)) / Math.log(2))));
+            0,
+            Math.min(
+                MAX_STEP,
+                Math.round(STEPS_PER_DOUBLING * Math.log(Math.max(1, size)) / Math.log(2))));
   }
 
   Tally of(int step) {
@@ -74,22 +77,22 @@
     other.tallies.forEach((step, tally) -> of(step).add(tally));
   }
 
-  /** How the largest tenth and the largest quarter fared. */
+  /** Returns how the largest tenth and the largest quarter were served. */
   List<LargestJobs> largest() {
-    int all = tallies.values().stream().mapToInt(tally -> tally.jobs).sum();
-    List<LargestJobs> parts = new ArrayList<>();
-    for (double part : PARTS) {
+    int totalJobs = tallies.values().stream().mapToInt(tally -> tally.jobs).sum();
+    List<LargestJobs> largest = new ArrayList<>();
+    for (double fraction : LARGEST_FRACTIONS) {
       Tally sum = new Tally();
       for (Tally tally : tallies.descendingMap().values()) {
-        if (sum.jobs >= Math.max(1, part * all)) {
+        if (sum.jobs >= Math.max(1, fraction * totalJobs)) {
           break;
         }
         sum.add(tally);
       }
-      parts.add(
+      largest.add(
           new LargestJobs(
-              part, sum.jobs, sum.served, sum.inTime + sum.late, sum.inTime, sum.longestS));
+              fraction, sum.jobs, sum.served, sum.inTime + sum.late, sum.inTime, sum.longestS));
     }
-    return parts;
+    return largest;
   }
 }
--- a/src/main/java/org/quincecross/accounting/ServiceLevels.java
+++ b/src/main/java/org/quincecross/accounting/ServiceLevels.java
@@ -3,40 +3,45 @@
 import java.util.List;
 
 /**
- * How the jobs of a group were served: of one class of one team, of a team, or of a class.
+ * How the jobs of a group were served: a class of a team, a team, or a class.
  *
  * @param jobs accepted and not cancelled
- * @param ended of them
- * @param tasks of them; {@code started}: those that were given a place at least once
- * @param startable how many tasks could have been, for all that limits say
- * @param aims each with what it was met by
- * @param starvedS the longest time, in seconds, for which some work waited and nothing was started
- *     or ended; with what goes on now
+ * @param ended of these jobs
+ * @param tasks of these jobs; {@code started}: allocated at least once
+ * @param startable tasks that limits and replicated records allowed to start
+ * @param objectives how often each service-level objective was met and missed
+ * @param starvedS longest time in seconds during which work waited while nothing was started or
+ *     ended, including the current wait
  */
 public record ServiceLevels(
-    int jobs, int ended, int tasks, int started, int startable, List<Met> aims, double starvedS) {
+    int jobs,
+    int ended,
+    int tasks,
+    int started,
+    int startable,
+    List<ObjectiveCount> objectives,
+    double starvedS) {
   /**
-   * How many met an aim, and how many missed it or have missed it by now; those whose time is not
-   * over are in neither.
+   * How often an objective was met and missed so far. Jobs whose time is not over count in neither.
    */
-  public record Met(String aim, int met, int missed) {
-    /** From 0 to 1; 1 where nothing was due. */
+  public record ObjectiveCount(String objective, int met, int missed) {
+    /** Returns the fraction met, from 0 to 1; 1 if nothing was due. */
     public double share() {
       return met + missed == 0 ? 1 : (double) met / (met + missed);
     }
   }
 
-  /** The part of the tasks that could have been started which were, from 0 to 1. */
+  /** Returns the fraction of startable tasks that were started, from 0 to 1. */
   public double startedShare() {
     return startable == 0 ? 1 : Math.min(1, (double) started / startable);
   }
 
-  /** The least of its shares, by the strictest reading: starts, and each aim. */
-  public double least() {
-    double least = startedShare();
-    for (Met met : aims) {
-      least = Math.min(least, met.share());
+  /** Returns the lowest of its fractions: started tasks, and each objective. */
+  public double lowestShare() {
+    double lowest = startedShare();
+    for (ObjectiveCount objective : objectives) {
+      lowest = Math.min(lowest, objective.share());
     }
-    return least;
+    return lowest;
   }
 }
--- a/src/main/java/org/quincecross/accounting/package-info.java
+++ b/src/main/java/org/quincecross/accounting/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Who was served, and who waits while others are: counted as it happens. Pure: no I/O, no clock.
+ * Accounting of service levels: which jobs, classes and teams were served, counted as events occur.
+ * Pure: no I/O, no clock.
  */
 package org.quincecross.accounting;
--- a/src/main/java/org/quincecross/admin/AccountingLog.java
+++ b/src/main/java/org/quincecross/admin/AccountingLog.java
@@ -100,18 +100,18 @@
       }
       switch (record.phase()) {
         case OPEN -> {
-          if (cache.dependencyGraph().waits(id)) {
+          if (cache.dependencyGraph().isWaiting(id)) {
             continue; // nothing is expected of it before it can run
           }
           TimeSpan age =
               TimeSpan.ofMillis(Math.max(0, clockMs.getAsLong() - cache.runnableSinceMs(record)));
           MonotonicTime accepted = new MonotonicTime(now.nanos() - age.nanos());
           if (changes.reloaded()) {
-            books.found(cache.storedJob(id).job(), accepted);
+            books.recordAlreadyOpen(cache.storedJob(id).job(), accepted);
           } else {
             books.accepted(cache.storedJob(id).job(), accepted);
           }
-          books.withheld(id, startBlock.of(record.job()).size(), now);
+          books.blocked(id, startBlock.of(record.job()).size(), now);
         }
         case DONE -> books.done(id, now);
         case CANCELLED -> books.cancelled(id, now);
@@ -125,7 +125,7 @@
     for (JobId id : jobs) {
       JobRecord record = cache.job(id);
       if (record != null && record.phase() == JobPhase.OPEN) {
-        books.withheld(id, startBlock.of(record.job()).size(), timers.now());
+        books.blocked(id, startBlock.of(record.job()).size(), timers.now());
       }
     }
   }
@@ -136,7 +136,7 @@
     List<Map.Entry<String, ServiceLevels>> teams = new ArrayList<>(books.teams(now).entrySet());
     teams.sort(
         Comparator.comparingDouble(
-                (Map.Entry<String, ServiceLevels> team) -> team.getValue().least())
+                (Map.Entry<String, ServiceLevels> team) -> team.getValue().lowestShare())
             .thenComparing(Map.Entry::getKey));
     return teams.subList(0, Math.min(MOST_TEAMS, teams.size()));
   }
@@ -170,7 +170,7 @@
                                 Locale.ROOT,
                                 "served %s largest %.2f: done %d/%d, begun in time %d/%d, longest %.0f s",
                                 name,
-                                part.part(),
+                                part.fraction(),
                                 part.served(),
                                 part.jobs(),
                                 part.inTime(),
@@ -191,18 +191,18 @@
             String.format(
                 Locale.ROOT,
                 " least %.2f: jobs %d/%d, tasks %d/%d",
-                served.least(),
+                served.lowestShare(),
                 served.ended(),
                 served.jobs(),
                 served.started(),
                 served.startable()));
     served
-        .aims()
+        .objectives()
         .forEach(
             met ->
                 words
                     .append(", ")
-                    .append(met.aim())
+                    .append(met.objective())
                     .append(' ')
                     .append(met.met())
                     .append('/')
@@ -251,7 +251,7 @@
   private static Map<String, Object> writeLargestJobs(LargestJobs jobs) {
     return Json.object(
         "part",
-        jobs.part(),
+        jobs.fraction(),
         "jobs",
         jobs.jobs(),
         "served",
@@ -267,11 +267,13 @@
   private static Map<String, Object> served(ServiceLevels served) {
     Map<String, Object> aims = Json.object();
     served
-        .aims()
-        .forEach(met -> aims.put(met.aim(), Json.object("met", met.met(), "missed", met.missed())));
+        .objectives()
+        .forEach(
+            met ->
+                aims.put(met.objective(), Json.object("met", met.met(), "missed", met.missed())));
     return Json.object(
         "least",
-        served.least(),
+        served.lowestShare(),
         "jobs",
         served.jobs(),
         "ended",
@@ -304,10 +306,10 @@
         "rate",
         leader.overload().rate(),
         "arriving",
-        leader.overload().arriving(),
+        leader.overload().arrivalRate(),
         "set_aside",
-        leader.overload().setAside(),
+        leader.overload().deferredJobs(),
         "behind_s",
-        leader.overload().behindS());
+        leader.overload().backlogS());
   }
 }
--- a/src/main/java/org/quincecross/admin/ModelDemandCollector.java
+++ b/src/main/java/org/quincecross/admin/ModelDemandCollector.java
@@ -15,10 +15,10 @@
 import org.quincecross.model.Revision;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.modelserving.Demand;
-import org.quincecross.modelserving.DemandSum;
+import org.quincecross.modelserving.ClusterDemand;
 import org.quincecross.modelserving.Model;
 import org.quincecross.modelserving.ModelCommand;
+import org.quincecross.modelserving.ModelDemand;
 import org.quincecross.modelserving.ModelKind;
 import org.quincecross.peer.ModelStatusReport;
 import org.quincecross.peer.ReplicatedFeatureContext;
@@ -48,7 +48,7 @@
   private final ModelIndex records;
   private final BiFunction<JobId, Integer, Boolean> runsHere;
   private final MonotonicTime begun;
-  private final Map<String, Demand> demands = new TreeMap<>();
+  private final Map<String, ModelDemand> demands = new TreeMap<>();
   private final Map<String, List<Consumer<CommandResponse>>> waiting = new HashMap<>();
   private final Set<String> asking = new HashSet<>();
   private long wakes;
@@ -79,7 +79,7 @@
 
   /** What callers of this controller have in flight. */
   public int inFlight(String name) {
-    Demand demand = demands.get(name);
+    ModelDemand demand = demands.get(name);
     return demand == null ? 0 : demand.inFlight(base.timers().now());
   }
 
@@ -87,12 +87,12 @@
   public void ledgerChanged(ClusterStateCache.Changes changes) {
     MonotonicTime now = base.timers().now();
     if (changes.reloaded()) {
-      demands.forEach((name, demand) -> demand.seen(records.book().state(name), now));
+      demands.forEach((name, demand) -> demand.update(records.book().state(name), now));
     } else {
       for (RecordId record : changes.replicatedRecords()) {
-        Demand demand = record.kind().equals(ModelKind.NAME) ? demands.get(record.id()) : null;
+        ModelDemand demand = record.kind().equals(ModelKind.NAME) ? demands.get(record.id()) : null;
         if (demand != null) {
-          demand.seen(records.book().state(record.id()), now);
+          demand.update(records.book().state(record.id()), now);
         }
       }
     }
@@ -101,12 +101,12 @@
     }
   }
 
-  private Demand demand(String name) {
+  private ModelDemand demand(String name) {
     return demands.computeIfAbsent(
         name,
         id -> {
-          Demand demand = new Demand(begun);
-          demand.seen(records.book().state(id), base.timers().now());
+          ModelDemand demand = new ModelDemand(begun);
+          demand.update(records.book().state(id), base.timers().now());
           return demand;
         });
   }
@@ -117,20 +117,20 @@
    */
   public void wake(String name, Consumer<CommandResponse> done) {
     wakes++;
-    Demand demand = demand(name);
+    ModelDemand demand = demand(name);
     demand.wake(base.timers().now());
     wait(name, demand, done);
   }
 
   /** A caller has so many requests in flight. */
   public void told(String name, String caller, int inFlight, Consumer<CommandResponse> done) {
-    Demand demand = demand(name);
-    demand.told(caller, inFlight, base.timers().now());
+    ModelDemand demand = demand(name);
+    demand.reportInFlight(caller, inFlight, base.timers().now());
     wait(name, demand, done);
   }
 
-  private void wait(String name, Demand demand, Consumer<CommandResponse> done) {
-    if (demand.state() == Demand.State.SATISFIED) {
+  private void wait(String name, ModelDemand demand, Consumer<CommandResponse> done) {
+    if (demand.state() == ModelDemand.State.SATISFIED) {
       done.accept(new CommandResponse(200, "", 0, Revision.NONE, 0));
       return;
     }
@@ -144,8 +144,8 @@
   }
 
   private void askIfWanted(String name) {
-    Demand demand = demands.get(name);
-    if (demand.state() != Demand.State.WANTED || !asking.add(name)) {
+    ModelDemand demand = demands.get(name);
+    if (demand.state() != ModelDemand.State.WANTED || !asking.add(name)) {
       return;
     }
     asked++;
@@ -157,7 +157,7 @@
             answer -> {
               asking.remove(name);
               if (answer.status() >= 400 && answer.status() < 500) {
-                demand.refused();
+                demand.wakeRejected();
               }
               List<Consumer<CommandResponse>> all = waiting.remove(name);
               if (all != null) {
@@ -172,26 +172,27 @@
       return null;
     }
     MonotonicTime now = base.timers().now();
-    Map<String, DemandSum.Told> told = new LinkedHashMap<>();
+    Map<String, ClusterDemand.ModelReport> told = new LinkedHashMap<>();
     demands
         .entrySet()
         .removeIf(
             each -> {
               Model model = records.book().state(each.getKey());
               return !model.isDefined()
-                  || (each.getValue().state() == Demand.State.SATISFIED
+                  || (each.getValue().state() == ModelDemand.State.SATISFIED
                       && !model.isUp()
                       && each.getValue()
-                          .quiet(now)
-                          .isLongerThan(model.terms().idle().times(FORGOTTEN_AFTER)));
+                          .idleTime(now)
+                          .isLongerThan(model.limits().idleTimeout().times(FORGOTTEN_AFTER)));
             });
     demands.forEach(
         (name, demand) ->
-            told.put(name, new DemandSum.Told(demand.inFlight(now), demand.quiet(now))));
+            told.put(
+                name, new ClusterDemand.ModelReport(demand.inFlight(now), demand.idleTime(now))));
     Set<TaskId> running = new HashSet<>();
     for (ReplicatedRecordIndex.Held<Model> held : records.book().all().values()) {
       held.state()
-          .places()
+          .placements()
           .keySet()
           .forEach(
               replica -> {
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -193,19 +193,19 @@
           error(
               400,
               "job " + define.job() + " is an array: a model is a service, or a gang that serves"));
-    } else if (define.terms().most() > job.job().taskCount()) {
+    } else if (define.limits().maxReplicas() > job.job().taskCount()) {
       reply.accept(
           error(
               400,
               "field most is "
-                  + define.terms().most()
+                  + define.limits().maxReplicas()
                   + ", and job "
                   + define.job()
                   + " has "
                   + job.job().taskCount()
                   + " tasks"));
     } else if (job.job().kind() == JobKind.GANG
-        && define.terms().least() != job.job().taskCount()) {
+        && define.limits().minReplicas() != job.job().taskCount()) {
       reply.accept(
           error(
               400,
@@ -304,15 +304,15 @@
             "epoch",
             model.epoch(),
             "wanted",
-            model.wanted(),
+            model.desiredReplicas(),
             "running",
             runs,
             "why",
-            model.why(),
+            model.reason(),
             "in_flight_here",
             desk.inFlight(name));
     if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
-      double elapsedS = Math.max(0, (base.at().timeOfDayMs() - model.sinceMs()) / 1000.0);
+      double elapsedS = Math.max(0, (base.at().timeOfDayMs() - model.phaseSinceMs()) / 1000.0);
       ModelPlacementView.Estimate estimate =
           model.phase() == Model.Phase.WARM && runs > 0
               ? new ModelPlacementView.Estimate(0, 0)
@@ -326,7 +326,7 @@
     }
     List<Object> places = new ArrayList<>();
     model
-        .places()
+        .placements()
         .forEach(
             (replica, place) ->
                 places.add(
@@ -338,11 +338,11 @@
                         "epoch",
                         place.epoch())));
     out.put("places", places);
-    out.put("least", model.terms().least());
-    out.put("most", model.terms().most());
-    out.put("per_replica", model.terms().perReplica());
-    out.put("idle_s", model.terms().idle().seconds());
-    out.put("keep_warm", model.terms().keepWarm());
+    out.put("least", model.limits().minReplicas());
+    out.put("most", model.limits().maxReplicas());
+    out.put("per_replica", model.limits().requestsPerReplica());
+    out.put("idle_s", model.limits().idleTimeout().seconds());
+    out.put("keep_warm", model.limits().cachedMachines());
     return out;
   }
 }
--- a/src/main/java/org/quincecross/admin/StallDetector.java
+++ b/src/main/java/org/quincecross/admin/StallDetector.java
@@ -72,7 +72,7 @@
 
   private void look() {
     MonotonicTime now = timers.now();
-    stalls = watch.look(watched(), now);
+    stalls = watch.update(watched(), now);
     said.keySet().retainAll(stalls.stream().map(ProgressWatch.Stall::job).toList());
     for (ProgressWatch.Stall stall : stalls) {
       MonotonicTime before = said.get(stall.job());
@@ -87,8 +87,8 @@
     }
   }
 
-  private Collection<ProgressWatch.Standing> watched() {
-    Map<JobId, ProgressWatch.Standing> standings = new TreeMap<>();
+  private Collection<ProgressWatch.JobStatus> watched() {
+    Map<JobId, ProgressWatch.JobStatus> standings = new TreeMap<>();
     if (leader.isLeading()) {
       cache.openJobs().forEach(record -> watch(record, standings));
     } else {
@@ -105,8 +105,8 @@
   }
 
   /** A job of which no more is left than what may not run now is not watched until it may. */
-  private void watch(JobRecord record, Map<JobId, ProgressWatch.Standing> standings) {
-    if (cache.dependencyGraph().waits(record.id())) {
+  private void watch(JobRecord record, Map<JobId, ProgressWatch.JobStatus> standings) {
+    if (cache.dependencyGraph().isWaiting(record.id())) {
       return; // those that it waits for are watched
     }
     boolean service = record.job().kind() == JobKind.SERVICE;
@@ -115,7 +115,7 @@
     if (mayRun > done) {
       standings.put(
           record.id(),
-          new ProgressWatch.Standing(
+          new ProgressWatch.JobStatus(
               record.id(),
               service,
               record.job().estimate(),
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -6,10 +6,10 @@
 import org.quincecross.peer.ReplicatedFeatureContext;
 import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordFields;
-import org.quincecross.reservation.Request;
+import org.quincecross.reservation.DeadlineRequest;
 import org.quincecross.reservation.RequestCommand;
 import org.quincecross.reservation.RequestKind;
-import org.quincecross.reservation.Reservation;
+import org.quincecross.reservation.ReservationPlanner;
 import org.quincecross.state.DemandForecast;
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReservedCapacity;
@@ -24,7 +24,7 @@
   private final ReservedCapacity rooms;
   private final ReservationManager reservations;
   private final double share;
-  private Reservation.Plan plan;
+  private ReservationPlanner.Plan plan;
   private Revision planned;
 
   /**
@@ -43,7 +43,7 @@
     } catch (MalformedRecordException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
-    ReplicatedRecordIndex<Request, RequestCommand> index =
+    ReplicatedRecordIndex<DeadlineRequest, RequestCommand> index =
         base.cache().replicatedRecords().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
     rooms = new ReservedCapacity(base.cache(), index);
     reservations = new ReservationManager(base.store(), index, rooms, share);
@@ -63,6 +63,6 @@
       plan = rooms.plan(base.settings().teams(), share);
       planned = base.cache().revision();
     }
-    return plan.without().getOrDefault(reference, "");
+    return plan.unreservedReasons().getOrDefault(reference, "");
   }
 }
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -187,7 +187,7 @@
             done,
             record.phase() == JobPhase.OPEN ? running.applyAsInt(record.id()) : 0,
             record.phase() == JobPhase.OPEN
-                ? cache.dependencyGraph().unfinished(record.id())
+                ? cache.dependencyGraph().unfinishedDependencies(record.id())
                 : List.of()));
   }
 
--- a/src/main/java/org/quincecross/cli/RequestCommands.java
+++ b/src/main/java/org/quincecross/cli/RequestCommands.java
@@ -131,7 +131,7 @@
         names = "--tasks",
         required = true,
         paramLabel = "N",
-        description = "how many tasks, up to " + RequestKind.MOST_TASKS)
+        description = "how many tasks, up to " + RequestKind.MAX_TASKS)
     private int tasks;
 
     @Option(
@@ -176,8 +176,8 @@
                 + Instant.ofEpochMilli(arrivedMs)
                 + ", when it arrived");
       }
-      if (tasks < 1 || tasks > RequestKind.MOST_TASKS) {
-        throw wrong("--tasks: " + tasks + " is not from 1 to " + RequestKind.MOST_TASKS);
+      if (tasks < 1 || tasks > RequestKind.MAX_TASKS) {
+        throw wrong("--tasks: " + tasks + " is not from 1 to " + RequestKind.MAX_TASKS);
       }
       if (!(cpus > 0) || !(gpus >= 0) || !(memoryGb >= 0)) {
         throw wrong("--cpus is to be above 0, --gpus and --memory-gb at least 0");
--- a/src/main/java/org/quincecross/dependency/DependencyGraph.java
+++ b/src/main/java/org/quincecross/dependency/DependencyGraph.java
@@ -16,30 +16,27 @@
 import org.quincecross.model.Revision;
 
 /**
- * Which jobs wait for which, and what follows for each from the records of the others: a job may
- * run once all that it waits on are done, and is cancelled once one of them is, whether by its own
- * record or in turn. Both follow from the records alone, in whatever order they are read, and
+ * The dependencies between jobs, and what follows from the records of other jobs: a job may run
+ * once all jobs it depends on are done, and is cancelled once one of them is, directly or
+ * transitively. Both are derived from the records alone, in whatever order they are read, and
  * nothing is written for them.
  *
- * <p>A job that is cancelled so never had a task: its tasks may run only once all before it are
- * done, and what is done never becomes cancelled.
+ * <p>A job cancelled this way never had a running task: its tasks may run only once all its
+ * dependencies are done, and a done job never becomes cancelled.
  *
- * <p>A change costs the jobs whose standing it changes, and the links between them. Only jobs with
- * a link take memory here.
+ * <p>The cost of a change is the number of jobs whose status changes and the links between them.
+ * Only jobs with a link take memory here.
  */
 public final class DependencyGraph {
-  /**
-   * What a job's own record says; {@code cancelledMs}: the time of day at which it was cancelled,
-   * or 0.
-   */
-  public record Own(JobPhase phase, Revision version, long cancelledMs) {}
+  /** What a job's own record says; {@code cancelledMs}: time of day of its cancellation, or 0. */
+  public record JobState(JobPhase phase, Revision version, long cancelledMs) {}
 
   /**
    * Why a job is cancelled without a record that says so.
    *
-   * @param since the revision from which on it is: of the first cancellation among the jobs before
-   *     it, or its own acceptance if later
-   * @param atMs the time of day of that cancellation
+   * @param since revision from which on the job is cancelled: that of the first cancellation among
+   *     its dependencies, or of its own acceptance if later
+   * @param atMs time of day of that cancellation
    */
   public record Cancellation(Revision since, long atMs) {
     private boolean isBefore(Cancellation other) {
@@ -48,66 +45,66 @@
   }
 
   private static final class Node {
-    /** The jobs not done that this one waits on; none once its own record is final. */
-    private Set<JobId> needs = Set.of();
+    /** The dependencies that are not done; empty once the job's own record is final. */
+    private Set<JobId> dependencies = Set.of();
 
-    private final Set<JobId> followers = new HashSet<>(2);
-    private boolean isPartlyKnown;
+    private final Set<JobId> dependents = new HashSet<>(2);
+    private boolean hasUnknownDependencies;
 
-    /** By its own record or by derivation. */
+    /** The cancellation, by its own record or derived; null if there is none. */
     private Cancellation cancelled;
   }
 
-  private final Function<JobId, Own> records;
+  private final Function<JobId, JobState> records;
   private final Map<JobId, Node> nodes = new HashMap<>();
 
   /**
-   * @param records what is on record of a job, null where nothing is
+   * @param records returns a job's record, or null if there is none
    */
-  public DependencyGraph(Function<JobId, Own> records) {
+  public DependencyGraph(Function<JobId, JobState> records) {
     this.records = records;
   }
 
   /**
-   * A job's record is new or has changed, or is the same once more.
+   * Updates a job whose record is new, changed, or repeated.
    *
-   * @param complete false while not all that the job waits on is known: it waits at least until it
-   *     is
-   * @param changed told of other jobs whose standing has changed
+   * @param complete false while not all dependencies are known; the job waits at least until they
+   *     are
+   * @param changed called with every other job whose status has changed
    */
   public void put(JobId id, Collection<JobId> waitsOn, boolean complete, Consumer<JobId> changed) {
     Node node = nodes.get(id);
     if (node == null && waitsOn.isEmpty() && complete) {
-      return; // nothing is linked to it
+      return; // no job is linked to it
     }
     node = node == null ? node(id) : node;
-    Own own = records.apply(id);
-    Set<JobId> needs = new HashSet<>(2);
-    if (own.phase() == JobPhase.OPEN) {
-      for (JobId before : waitsOn) {
-        if (!isDone(before)) {
-          needs.add(before);
+    JobState state = records.apply(id);
+    Set<JobId> dependencies = new HashSet<>(2);
+    if (state.phase() == JobPhase.OPEN) {
+      for (JobId dependency : waitsOn) {
+        if (!isDone(dependency)) {
+          dependencies.add(dependency);
         }
       }
     }
-    for (JobId before : List.copyOf(node.needs)) {
-      if (!needs.contains(before)) {
-        unlink(before, id);
+    for (JobId dependency : List.copyOf(node.dependencies)) {
+      if (!dependencies.contains(dependency)) {
+        unlink(dependency, id);
       }
     }
-    for (JobId before : needs) {
-      node(before).followers.add(id);
+    for (JobId dependency : dependencies) {
+      node(dependency).dependents.add(id);
     }
-    node.needs = needs.isEmpty() ? Set.of() : needs;
-    node.isPartlyKnown = own.phase() == JobPhase.OPEN && !complete;
-    Cancellation was = node.cancelled;
+    node.dependencies = dependencies.isEmpty() ? Set.of() : dependencies;
+    node.hasUnknownDependencies = state.phase() == JobPhase.OPEN && !complete;
+    Cancellation previous = node.cancelled;
     node.cancelled = cancellation(id, node);
-    if (own.phase() == JobPhase.DONE) {
-      release(id, was, changed);
-    } else if (!Objects.equals(was, node.cancelled)) {
-      tell(id, was, changed);
+    if (state.phase() == JobPhase.DONE) {
+      release(id, previous, changed);
+    } else if (!Objects.equals(previous, node.cancelled)) {
+      propagate(id, previous, changed);
     }
-    forgetIfBare(id);
+    removeIfUnlinked(id);
   }
 
   private Node node(JobId id) {
@@ -121,128 +118,133 @@
   }
 
   private boolean isDone(JobId id) {
-    Own own = records.apply(id);
-    return own != null && own.phase() == JobPhase.DONE;
+    JobState state = records.apply(id);
+    return state != null && state.phase() == JobPhase.DONE;
   }
 
   private Cancellation cancellation(JobId id, Node node) {
-    Own own = records.apply(id);
-    if (own == null || own.phase() == JobPhase.DONE) {
+    JobState state = records.apply(id);
+    if (state == null || state.phase() == JobPhase.DONE) {
       return null;
     }
-    if (own.phase() == JobPhase.CANCELLED) {
-      return new Cancellation(own.version(), own.cancelledMs());
+    if (state.phase() == JobPhase.CANCELLED) {
+      return new Cancellation(state.version(), state.cancelledMs());
     }
     Cancellation first = null;
-    for (JobId before : node.needs) {
-      Cancellation its = nodes.get(before).cancelled;
-      first = its != null && its.isBefore(first) ? its : first;
+    for (JobId dependency : node.dependencies) {
+      Cancellation candidate = nodes.get(dependency).cancelled;
+      first = candidate != null && candidate.isBefore(first) ? candidate : first;
     }
-    return first == null ? null : notBefore(own.version(), first);
+    return first == null ? null : notBefore(state.version(), first);
   }
 
   private static Cancellation notBefore(Revision accepted, Cancellation cause) {
     return accepted.isAfter(cause.since()) ? new Cancellation(accepted, cause.atMs()) : cause;
   }
 
-  /** A job is done: those that it alone kept from running may. */
-  private void release(JobId id, Cancellation was, Consumer<JobId> changed) {
+  /** Releases the jobs that waited for a done job alone. */
+  private void release(JobId id, Cancellation previous, Consumer<JobId> changed) {
     Node node = nodes.get(id);
-    for (JobId follower : List.copyOf(node.followers)) {
-      Node its = nodes.get(follower);
-      its.needs.remove(id);
-      node.followers.remove(follower);
-      if (its.needs.isEmpty() && !its.isPartlyKnown) {
-        changed.accept(follower);
+    for (JobId dependent : List.copyOf(node.dependents)) {
+      Node dependentNode = nodes.get(dependent);
+      dependentNode.dependencies.remove(id);
+      node.dependents.remove(dependent);
+      if (dependentNode.dependencies.isEmpty() && !dependentNode.hasUnknownDependencies) {
+        changed.accept(dependent);
       }
-      if (was != null) {
-        Cancellation before = its.cancelled; // it was cancelled by a record that has been replaced
-        its.cancelled = cancellation(follower, its);
-        if (!Objects.equals(before, its.cancelled)) {
-          changed.accept(follower);
-          tell(follower, before, changed);
+      if (previous != null) {
+        Cancellation before =
+            dependentNode.cancelled; // the record that cancelled it has been replaced
+        dependentNode.cancelled = cancellation(dependent, dependentNode);
+        if (!Objects.equals(before, dependentNode.cancelled)) {
+          changed.accept(dependent);
+          propagate(dependent, before, changed);
         }
       }
-      forgetIfBare(follower);
+      removeIfUnlinked(dependent);
     }
   }
 
-  private record News(JobId id, Cancellation was) {}
+  private record CancellationChange(JobId id, Cancellation previous) {}
 
   /**
-   * Carries a cancellation on to all that need the job, one step after the other: chains may be of
-   * any length.
+   * Propagates a change of a job's cancellation to all dependent jobs. Iterative, because chains
+   * may be of any length.
    */
-  private void tell(JobId first, Cancellation firstWas, Consumer<JobId> changed) {
-    ArrayDeque<News> toTell = new ArrayDeque<>(List.of(new News(first, firstWas)));
-    while (!toTell.isEmpty()) {
-      News news = toTell.poll();
-      Cancellation cause = nodes.get(news.id).cancelled;
-      for (JobId follower : nodes.get(news.id).followers) {
-        Node its = nodes.get(follower);
-        Cancellation before = its.cancelled;
-        if (news.was != null) {
-          its.cancelled = cancellation(follower, its);
+  private void propagate(JobId first, Cancellation firstPrevious, Consumer<JobId> changed) {
+    ArrayDeque<CancellationChange> queue =
+        new ArrayDeque<>(List.of(new CancellationChange(first, firstPrevious)));
+    while (!queue.isEmpty()) {
+      CancellationChange change = queue.poll();
+      Cancellation cause = nodes.get(change.id).cancelled;
+      for (JobId dependent : nodes.get(change.id).dependents) {
+        Node dependentNode = nodes.get(dependent);
+        Cancellation before = dependentNode.cancelled;
+        if (change.previous != null) {
+          dependentNode.cancelled = cancellation(dependent, dependentNode);
         } else if (cause != null && cause.isBefore(before)) {
-          its.cancelled = notBefore(records.apply(follower).version(), cause);
+          dependentNode.cancelled = notBefore(records.apply(dependent).version(), cause);
         }
-        if (!Objects.equals(before, its.cancelled)) {
-          changed.accept(follower);
-          toTell.add(new News(follower, before));
+        if (!Objects.equals(before, dependentNode.cancelled)) {
+          changed.accept(dependent);
+          queue.add(new CancellationChange(dependent, before));
         }
       }
     }
   }
 
-  private void unlink(JobId before, JobId follower) {
-    Node node = nodes.get(before);
+  private void unlink(JobId dependency, JobId dependent) {
+    Node node = nodes.get(dependency);
     if (node != null) {
-      node.followers.remove(follower);
-      forgetIfBare(before);
+      node.dependents.remove(dependent);
+      removeIfUnlinked(dependency);
     }
   }
 
-  private void forgetIfBare(JobId id) {
+  private void removeIfUnlinked(JobId id) {
     Node node = nodes.get(id);
-    if (node != null && node.followers.isEmpty() && node.needs.isEmpty() && !node.isPartlyKnown) {
+    if (node != null
+        && node.dependents.isEmpty()
+        && node.dependencies.isEmpty()
+        && !node.hasUnknownDependencies) {
       nodes.remove(id);
     }
   }
 
-  /** Why a job whose own record is open is cancelled all the same; null where it is not. */
+  /** Returns why a job whose own record is open is cancelled; null if it is not. */
   public Cancellation cancelled(JobId id) {
     Node node = nodes.get(id);
     return node == null ? null : node.cancelled;
   }
 
-  /** Whether a job that is on record may not run yet. */
-  public boolean waits(JobId id) {
+  /** Whether a job on record may not run yet. */
+  public boolean isWaiting(JobId id) {
     Node node = nodes.get(id);
-    return node != null && (node.isPartlyKnown || !node.needs.isEmpty());
+    return node != null && (node.hasUnknownDependencies || !node.dependencies.isEmpty());
   }
 
-  /** The jobs that are not done that a job waits on, in the order of their ids. */
-  public Collection<JobId> unfinished(JobId id) {
+  /** Returns the dependencies of a job that are not done, in id order. */
+  public Collection<JobId> unfinishedDependencies(JobId id) {
     Node node = nodes.get(id);
-    return node == null ? List.of() : new TreeSet<>(node.needs);
+    return node == null ? List.of() : new TreeSet<>(node.dependencies);
   }
 
-  Set<JobId> followersOf(JobId id) {
+  Set<JobId> dependentsOf(JobId id) {
     Node node = nodes.get(id);
-    return node == null ? Set.of() : node.followers;
+    return node == null ? Set.of() : node.dependents;
   }
 
-  Set<JobId> needsOf(JobId id) {
+  Set<JobId> dependenciesOf(JobId id) {
     Node node = nodes.get(id);
-    return node == null ? Set.of() : node.needs;
+    return node == null ? Set.of() : node.dependencies;
   }
 
-  public boolean hasFollowers(JobId id) {
+  public boolean hasDependents(JobId id) {
     Node node = nodes.get(id);
-    return node != null && !node.followers.isEmpty();
+    return node != null && !node.dependents.isEmpty();
   }
 
-  /** How many jobs are kept here: what the links take in memory. */
+  /** Number of jobs held in memory. */
   public int size() {
     return nodes.size();
   }
--- a/src/main/java/org/quincecross/dependency/UrgencyPropagation.java
+++ b/src/main/java/org/quincecross/dependency/UrgencyPropagation.java
@@ -10,84 +10,92 @@
 import org.quincecross.model.Priority;
 
 /**
- * How urgent each job is for the sake of those that need it: users set priority and deadline on the
- * last job of a pipeline only. A job has the highest priority of its own and of all that need it,
- * and has to end early enough for each of them to end in time.
+ * Propagates urgency to the jobs that others depend on; users set priority and deadline on the last
+ * job of a pipeline only. A job has the highest priority of its own and of all jobs that depend on
+ * it, and has to end early enough for each of them to end in time.
  *
- * <p>Recomputed where a job is submitted or is over, for the jobs before it and as far as something
+ * <p>Recomputed when a job is submitted or ends, for the jobs it depends on, as far as something
  * changes.
  */
 public final class UrgencyPropagation {
-  /** There is no time by which it has to end. */
-  public static final long NEVER = Long.MAX_VALUE;
+  /** No deadline. */
+  public static final long NO_DEADLINE = Long.MAX_VALUE;
 
   /**
-   * What a job asks for by itself.
+   * What a job requests for itself.
    *
-   * @param endByMs the time of day by which it should end, or {@link #NEVER}
-   * @param runMs how long it takes from the end of those before it, at best: hand-over, image and
-   *     run
+   * @param endByMs time of day by which it should end, or {@link #NO_DEADLINE}
+   * @param runMs shortest time from the end of its dependencies to its own end: hand-over, image
+   *     fetch and run
    */
-  public record Own(Priority priority, long endByMs, long runMs) {}
+  public record RequestedUrgency(Priority priority, long endByMs, long runMs) {}
 
-  /** What a job is to be treated as. */
+  /** The priority and deadline that a job is scheduled with. */
   public record Urgency(Priority priority, long endByMs) {}
 
-  private final Function<JobId, Own> jobs;
-  private final DependencyGraph pipelines;
+  private final Function<JobId, RequestedUrgency> jobs;
+  private final DependencyGraph graph;
 
-  /** Of jobs that are more urgent than they say. */
+  /** Jobs that are more urgent than they request. */
   private final Map<JobId, Urgency> inherited = new HashMap<>();
 
   /**
-   * @param jobs what an open job asks for, null for a job that is over or not known
+   * @param jobs returns what an open job requests, or null if the job has ended or is unknown
    */
-  public UrgencyPropagation(Function<JobId, Own> jobs, DependencyGraph pipelines) {
+  public UrgencyPropagation(Function<JobId, RequestedUrgency> jobs, DependencyGraph graph) {
     this.jobs = jobs;
-    this.pipelines = pipelines;
+    this.graph = graph;
   }
 
-  /** What a job inherits; null where it is treated as it says itself. */
+  /** Returns the urgency that a job inherits, or null if it keeps its own. */
   public Urgency inherited(JobId id) {
     return inherited.get(id);
   }
 
   /**
-   * These jobs ask for something else than before, or others than before need them; {@code changed}
-   * is told of each whose urgency changes.
+   * Re-evaluates jobs whose own urgency or whose dependents have changed; {@code changed} is called
+   * with each job whose urgency changes.
    */
-  public void look(Collection<JobId> first, Consumer<JobId> changed) {
-    ArrayDeque<JobId> toLookAt = new ArrayDeque<>(first);
-    while (!toLookAt.isEmpty()) {
-      JobId id = toLookAt.poll();
-      Own own = jobs.apply(id);
-      Urgency now = own == null ? null : of(id, own);
+  public void update(Collection<JobId> first, Consumer<JobId> changed) {
+    ArrayDeque<JobId> queue = new ArrayDeque<>(first);
+    while (!queue.isEmpty()) {
+      JobId id = queue.poll();
+      RequestedUrgency requested = jobs.apply(id);
+      Urgency now = requested == null ? null : urgency(id, requested);
       Urgency next =
-          own == null || now.equals(new Urgency(own.priority(), own.endByMs())) ? null : now;
+          requested == null || now.equals(new Urgency(requested.priority(), requested.endByMs()))
+              ? null
+              : now;
       Urgency before = next == null ? inherited.remove(id) : inherited.put(id, next);
       if (next == null ? before != null : !next.equals(before)) {
         changed.accept(id);
-        toLookAt.addAll(pipelines.needsOf(id));
+        queue.addAll(graph.dependenciesOf(id));
       }
     }
   }
 
-  private Urgency of(JobId id, Own own) {
-    Priority priority = own.priority();
-    long endBy = own.endByMs();
-    for (JobId follower : pipelines.followersOf(id)) {
-      Own its = jobs.apply(follower);
-      if (its == null) {
+  private Urgency urgency(JobId id, RequestedUrgency requested) {
+    Priority priority = requested.priority();
+    long endBy = requested.endByMs();
+    for (JobId dependent : graph.dependentsOf(id)) {
+      RequestedUrgency ofDependent = jobs.apply(dependent);
+      if (ofDependent == null) {
         continue;
       }
-      Urgency inheritedToo = inherited.get(follower);
-      Priority itsRank = inheritedToo == null ? its.priority() : inheritedToo.priority();
-      // The highest priority has ways of its own, for what has to start within seconds: only who
-      // asks for it has them.
-      itsRank = itsRank == Priority.PRODUCTION ? Priority.HIGH : itsRank;
-      long itsEndBy = inheritedToo == null ? its.endByMs() : inheritedToo.endByMs();
-      priority = itsRank.isHigherThan(priority) ? itsRank : priority;
-      endBy = itsEndBy == NEVER ? endBy : Math.min(endBy, itsEndBy - its.runMs());
+      Urgency inheritedByDependent = inherited.get(dependent);
+      Priority dependentPriority =
+          inheritedByDependent == null ? ofDependent.priority() : inheritedByDependent.priority();
+      // The highest priority is served by a separate path for tasks that have to start within
+      // seconds, so it is not inherited.
+      dependentPriority =
+          dependentPriority == Priority.PRODUCTION ? Priority.HIGH : dependentPriority;
+      long dependentEndBy =
+          inheritedByDependent == null ? ofDependent.endByMs() : inheritedByDependent.endByMs();
+      priority = dependentPriority.isHigherThan(priority) ? dependentPriority : priority;
+      endBy =
+          dependentEndBy == NO_DEADLINE
+              ? endBy
+              : Math.min(endBy, dependentEndBy - ofDependent.runMs());
     }
     return new Urgency(priority, endBy);
   }
--- a/src/main/java/org/quincecross/dependency/package-info.java
+++ b/src/main/java/org/quincecross/dependency/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Jobs that wait for other jobs: who may run, and who is cancelled with whom. Pure: no input or
- * output, and no clock.
+ * Dependencies between jobs: which jobs may run, and which are cancelled with others. Pure: no I/O,
+ * no clock.
  */
 package org.quincecross.dependency;
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -72,12 +72,12 @@
 
     /** The least share of what was due that any class got, by each aim and by starts. */
     public double leastOfClasses() {
-      return classes.values().stream().mapToDouble(ServiceLevels::least).min().orElse(1);
+      return classes.values().stream().mapToDouble(ServiceLevels::lowestShare).min().orElse(1);
     }
 
     /** The same of teams. */
     public double leastOfTeams() {
-      return teams.values().stream().mapToDouble(ServiceLevels::least).min().orElse(1);
+      return teams.values().stream().mapToDouble(ServiceLevels::lowestShare).min().orElse(1);
     }
 
     /**
@@ -87,8 +87,8 @@
     public double leastInTime() {
       double least = 1;
       for (ServiceLevels served : classes.values()) {
-        for (ServiceLevels.Met met : served.aims()) {
-          if (met.aim().startsWith("deadline")) {
+        for (ServiceLevels.ObjectiveCount met : served.objectives()) {
+          if (met.objective().startsWith("deadline")) {
             least = Math.min(least, met.share());
             break;
           }
--- a/src/main/java/org/quincecross/emulator/OverloadDays.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDays.java
@@ -66,8 +66,10 @@
         Locale.ROOT,
         "longest until one of a class's largest quarter began: %.0f s; on %d days within %.0f s%n%n",
         results.stream().mapToDouble(OverloadDay.Result::longestS).max().orElse(0),
-        results.stream().filter(result -> result.longestS() <= JobSizeHistogram.BEGIN_S).count(),
-        JobSizeHistogram.BEGIN_S);
+        results.stream()
+            .filter(result -> result.longestS() <= JobSizeHistogram.MAX_START_DELAY_S)
+            .count(),
+        JobSizeHistogram.MAX_START_DELAY_S);
     if (results.size() == 1) {
       table(out, results.get(0));
     } else {
@@ -105,10 +107,14 @@
                 add(sums, name + " jobs ended", served.ended(), served.jobs());
                 add(sums, name + " tasks started", served.started(), served.startable());
                 served
-                    .aims()
+                    .objectives()
                     .forEach(
                         met ->
-                            add(sums, name + " " + met.aim(), met.met(), met.met() + met.missed()));
+                            add(
+                                sums,
+                                name + " " + met.objective(),
+                                met.met(),
+                                met.met() + met.missed()));
               });
     }
     for (OverloadDay.Result result : results) {
@@ -118,7 +124,7 @@
               (name, parts) ->
                   parts.forEach(
                       part -> {
-                        String which = name + " largest " + part.part();
+                        String which = name + " largest " + part.fraction();
                         add(sums, which + " served", part.served(), part.jobs());
                         add(sums, which + " begun in time", part.inTime(), part.due());
                       }));
@@ -159,7 +165,7 @@
                             Locale.ROOT,
                             "| %s, %.2f | %d | %.2f | %d of %d | %.0f |%n",
                             name,
-                            part.part(),
+                            part.fraction(),
                             part.jobs(),
                             part.servedShare(),
                             part.inTime(),
@@ -170,14 +176,15 @@
   private static void line(PrintStream out, String name, ServiceLevels served) {
     List<String> aims = new ArrayList<>();
     served
-        .aims()
+        .objectives()
         .forEach(
-            met -> aims.add(met.aim() + ": " + met.met() + " of " + (met.met() + met.missed())));
+            met ->
+                aims.add(met.objective() + ": " + met.met() + " of " + (met.met() + met.missed())));
     out.printf(
         Locale.ROOT,
         "| %s | %.2f | %d of %d | %d of %d | %s | %.0f |%n",
         name,
-        served.least(),
+        served.lowestShare(),
         served.ended(),
         served.jobs(),
         served.started(),
@@ -216,12 +223,12 @@
     all.forEach(
         (name, served) -> {
           Map<String, Object> aims = Json.object();
-          served.aims().forEach(met -> aims.put(met.aim(), met.share()));
+          served.objectives().forEach(met -> aims.put(met.objective(), met.share()));
           written.put(
               name,
               Json.object(
                   "least",
-                  served.least(),
+                  served.lowestShare(),
                   "jobs",
                   served.jobs(),
                   "ended",
--- a/src/main/java/org/quincecross/leader/AllocationIndex.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -197,7 +197,7 @@
   }
 
   private TaskSet pendingTasks(JobRecord record, TaskSet completed, TaskSet outstanding) {
-    if (record.phase() != JobPhase.OPEN || cache.dependencyGraph().waits(record.id())) {
+    if (record.phase() != JobPhase.OPEN || cache.dependencyGraph().isWaiting(record.id())) {
       return new TaskSet();
     }
     TaskSet pending = TaskSet.range(record.job().taskCount());
--- a/src/main/java/org/quincecross/leader/CompletionWriter.java
+++ b/src/main/java/org/quincecross/leader/CompletionWriter.java
@@ -81,7 +81,7 @@
         JobRecord record = cache.job(id);
         transaction.put(
             StoreKeys.job(id),
-            cache.dependencyGraph().hasFollowers(id)
+            cache.dependencyGraph().hasDependents(id)
                 ? record.writeDone(clockMs.getAsLong())
                 : record.writeDone());
       }
--- a/src/main/java/org/quincecross/leader/ModelAdmission.java
+++ b/src/main/java/org/quincecross/leader/ModelAdmission.java
@@ -114,7 +114,7 @@
     for (int index = demand.pool().nextMember(0);
         index >= 0;
         index = demand.pool().nextMember(index + 1)) {
-      Model.Place place = model.places().get(index);
+      Model.Placement place = model.placements().get(index);
       ShardLease lease = place == null ? null : cache.shardOf(place.machine());
       if (lease != null
           && (job.kind() == JobKind.GANG
@@ -168,8 +168,8 @@
     for (ModelSnapshot other : looks) {
       boolean before =
           !other.job().image().equals(image)
-              && (other.model().sinceMs() < mine.model().sinceMs()
-                  || (other.model().sinceMs() == mine.model().sinceMs()
+              && (other.model().phaseSinceMs() < mine.model().phaseSinceMs()
+                  || (other.model().phaseSinceMs() == mine.model().phaseSinceMs()
                       && other.name().compareTo(mine.name()) < 0));
       if (before && other.startsOn(machine)) {
         return true;
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -19,13 +19,13 @@
 import org.quincecross.model.TaskId;
 import org.quincecross.model.Team;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.modelserving.DemandSum;
+import org.quincecross.modelserving.ClusterDemand;
 import org.quincecross.modelserving.Model;
 import org.quincecross.modelserving.Model.Phase;
 import org.quincecross.modelserving.ModelCommand;
-import org.quincecross.modelserving.Scaling;
-import org.quincecross.modelserving.Weights;
-import org.quincecross.modelserving.Yielding;
+import org.quincecross.modelserving.ModelEvictionPolicy;
+import org.quincecross.modelserving.ReplicaPlacer;
+import org.quincecross.modelserving.ReplicaScaler;
 import org.quincecross.peer.ModelPlacementView;
 import org.quincecross.peer.ModelStatusReport;
 import org.quincecross.peer.PeerHeartbeat;
@@ -63,9 +63,9 @@
   private final PeerViews views;
   private final AllocationIndex allocationIndex;
   private final Supplier<Map<String, Team>> teams;
-  private final DemandSum demand = new DemandSum();
-  private final Yielding yielding = new Yielding();
-  private final Map<String, Scaling> scalings = new HashMap<>();
+  private final ClusterDemand demand = new ClusterDemand();
+  private final ModelEvictionPolicy yielding = new ModelEvictionPolicy();
+  private final Map<String, ReplicaScaler> scalings = new HashMap<>();
   private final ReplicaFailureDetector failureDetector;
   private final ModelAdmission admission;
   private final Map<String, MonotonicTime> upSince = new HashMap<>();
@@ -157,7 +157,8 @@
     for (Map.Entry<String, ReplicatedRecordIndex.Held<Model>> each :
         records.book().all().entrySet()) {
       Model model = each.getValue().state();
-      if (!model.isDefined() || (model.phase() == Phase.ZERO && model.terms().keepWarm() == 0)) {
+      if (!model.isDefined()
+          || (model.phase() == Phase.ZERO && model.limits().cachedMachines() == 0)) {
         continue;
       }
       JobRecord record = cache.job(model.job());
@@ -169,18 +170,18 @@
         submit(
             each.getKey(),
             new ModelCommand.Drain(
-                ModelCommand.ANY,
+                ModelCommand.ANY_EPOCH,
                 0,
                 "its job is " + (record.phase() == JobPhase.CANCELLED ? "cancelled" : "done")));
       } else if (model.phase() == Phase.DRAINING && cache.shardsOf(model.job()).isEmpty()) {
-        submit(each.getKey(), new ModelCommand.Gone(model.epoch()));
+        submit(each.getKey(), new ModelCommand.MarkDrained(model.epoch()));
       }
     }
     return all;
   }
 
   private void collectReports(MonotonicTime now) {
-    demand.keepOnly(cache.members().keySet());
+    demand.retainMembers(cache.members().keySet());
     running = new HashSet<>();
     for (ControllerId member : cache.members().keySet()) {
       PeerViews.View view = views.of(member);
@@ -188,7 +189,7 @@
       ModelStatusReport news = section == null ? null : ModelStatusReport.read(section);
       if (news != null) {
         if (!Long.valueOf(view.number()).equals(heard.put(member, view.number()))) {
-          demand.told(member, view.incarnation(), news.demand(), news.since(), view.at());
+          demand.report(member, view.incarnation(), news.demand(), news.since(), view.at());
         }
         if (!now.since(view.at()).isLongerThan(MAX_VIEW_AGE)) {
           running.addAll(news.running());
@@ -202,7 +203,8 @@
       return;
     }
     pendingCommands.put(
-        name, command instanceof ModelCommand.Choose choose ? choose.places().values() : List.of());
+        name,
+        command instanceof ModelCommand.Place choose ? choose.machines().values() : List.of());
     LOG.debug("model {}: {}", name, command);
     base.store()
         .submit(
@@ -230,7 +232,7 @@
     if (model.phase() == Phase.DRAINING) {
       // Nothing is allocated, so nothing is on a machine or can start.
       return snapshot.allocation() == null || snapshot.allocation().outstanding().isEmpty()
-          ? new ModelCommand.Gone(model.epoch())
+          ? new ModelCommand.MarkDrained(model.epoch())
           : null;
     }
     ModelCommand lost = failureDetector.failedReplicas(snapshot, now);
@@ -238,26 +240,26 @@
       return lost;
     }
     int most = choosing.withinLimit(snapshot);
-    int lacking = Math.min(model.missing(snapshot.tasks()), most);
+    int lacking = Math.min(model.unplacedReplicas(snapshot.tasks()), most);
     if (lacking > 0) {
       Map<Integer, MachineId> places = choosing.choose(snapshot, lacking);
       if (!places.isEmpty()) {
         withoutRoom.remove(snapshot.name());
-        return new ModelCommand.Choose(model.epoch(), places);
+        return new ModelCommand.Place(model.epoch(), places);
       }
       missing.add(
           new Admission.Unmet(
               snapshot.job(), lacking, ModelPlacementRound.replicasByZone(snapshot, cache)));
       evictIdleModelFor(snapshot, choosing, now);
     }
-    long serving = model.places().keySet().stream().filter(snapshot::runs).count();
+    long serving = model.placements().keySet().stream().filter(snapshot::runs).count();
     if (model.phase() == Phase.STARTING) {
       // If the team's limit allows no more replicas, fewer have to do.
       boolean ready =
-          model.missing(snapshot.tasks()) == 0
-              ? serving >= Math.min(model.terms().least(), model.places().size())
-              : most == 0 && serving > 0 && serving >= model.places().size();
-      return ready ? new ModelCommand.Ready(model.epoch()) : null;
+          model.unplacedReplicas(snapshot.tasks()) == 0
+              ? serving >= Math.min(model.limits().minReplicas(), model.placements().size())
+              : most == 0 && serving > 0 && serving >= model.placements().size();
+      return ready ? new ModelCommand.MarkWarm(model.epoch()) : null;
     }
     return scaleIn(snapshot, now);
   }
@@ -268,7 +270,7 @@
    * are only in the records.
    */
   private TimeSpan idleFor(String name, MonotonicTime now) {
-    TimeSpan quiet = demand.quiet(name, cache.members().keySet(), now);
+    TimeSpan quiet = demand.idleTime(name, cache.members().keySet(), now);
     MonotonicTime up = upSince.get(name);
     return quiet == null || up == null || now.since(up).isLongerThan(quiet) ? quiet : now.since(up);
   }
@@ -276,7 +278,9 @@
   private ModelCommand scaleIn(ModelSnapshot snapshot, MonotonicTime now) {
     int inFlight = demand.inFlight(snapshot.name());
     TimeSpan quiet = idleFor(snapshot.name(), now);
-    if (inFlight == 0 && quiet != null && quiet.isLongerThan(snapshot.model().terms().idle())) {
+    if (inFlight == 0
+        && quiet != null
+        && quiet.isLongerThan(snapshot.model().limits().idleTimeout())) {
       return new ModelCommand.Drain(
           snapshot.model().epoch(),
           quiet.millis(),
@@ -287,9 +291,9 @@
     }
     int wanted =
         scalings
-            .computeIfAbsent(snapshot.name(), name -> new Scaling())
-            .wanted(snapshot.model(), snapshot.tasks(), inFlight, now);
-    return wanted != snapshot.model().wanted()
+            .computeIfAbsent(snapshot.name(), name -> new ReplicaScaler())
+            .desiredReplicas(snapshot.model(), snapshot.tasks(), inFlight, now);
+    return wanted != snapshot.model().desiredReplicas()
         ? new ModelCommand.Scale(snapshot.model().epoch(), wanted)
         : null;
   }
@@ -301,7 +305,7 @@
     if (!now.since(since).isLongerThan(EVICTION_DELAY)) {
       return;
     }
-    List<Yielding.Idle> idle = new ArrayList<>();
+    List<ModelEvictionPolicy.IdleModel> idle = new ArrayList<>();
     for (ModelSnapshot other : snapshots) {
       TimeSpan quiet = idleFor(other.name(), now);
       MonotonicTime up = upSince.get(other.name());
@@ -311,7 +315,7 @@
           && demand.inFlight(other.name()) == 0
           && !pendingCommands.containsKey(other.name())) {
         idle.add(
-            new Yielding.Idle(
+            new ModelEvictionPolicy.IdleModel(
                 other.name(),
                 quiet,
                 now.since(up),
@@ -319,14 +323,14 @@
                 freesCapacityFor(other, snapshot.job(), choosing)));
       }
     }
-    Yielding.Idle one = yielding.choose(idle, now);
+    ModelEvictionPolicy.IdleModel one = yielding.choose(idle, now);
     if (one != null) {
       withoutRoom.put(snapshot.name(), now);
       submit(
           one.name(),
           new ModelCommand.Drain(
               records.book().state(one.name()).epoch(),
-              one.quiet().millis(),
+              one.idleTime().millis(),
               "gives way to " + snapshot.name()));
     }
   }
@@ -344,23 +348,25 @@
         .anyMatch(
             at ->
                 wanted.allows(at.type(), at.zone(), at.spot())
-                    && idle.model().places().values().stream()
+                    && idle.model().placements().values().stream()
                         .anyMatch(place -> place.machine().equals(at.machine()))
-                    && wanted.taskResources().fitsIn(at.soon().plus(idle.job().taskResources())));
+                    && wanted
+                        .taskResources()
+                        .fitsIn(at.freeAfterPreemption().plus(idle.job().taskResources())));
   }
 
   /** Remembers the machines that are retained for the weights on them or for coming replicas. */
   private void retainWarmMachines(ModelPlacementRound choosing) {
     warmMachines.clear();
     for (ModelSnapshot snapshot : snapshots) {
-      snapshot.model().places().values().forEach(place -> warmMachines.add(place.machine()));
+      snapshot.model().placements().values().forEach(place -> warmMachines.add(place.machine()));
       int more =
-          snapshot.model().terms().keepWarm()
-              - (snapshot.model().isUp() ? snapshot.model().places().size() : 0);
+          snapshot.model().limits().cachedMachines()
+              - (snapshot.model().isUp() ? snapshot.model().placements().size() : 0);
       if (more > 0) {
         choosing.candidates().stream()
             .filter(at -> at.images().contains(snapshot.job().image()))
-            .map(Weights.Candidate::machine)
+            .map(ReplicaPlacer.Candidate::machine)
             .sorted()
             .limit(more)
             .forEach(warmMachines::add);
--- a/src/main/java/org/quincecross/leader/ModelPlacementRound.java
+++ b/src/main/java/org/quincecross/leader/ModelPlacementRound.java
@@ -16,7 +16,7 @@
 import org.quincecross.model.Team;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.modelserving.Model;
-import org.quincecross.modelserving.Weights;
+import org.quincecross.modelserving.ReplicaPlacer;
 import org.quincecross.peer.ModelPlacementView;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ShardLease;
@@ -40,7 +40,7 @@
   private final ClusterStateCache cache;
   private final Map<String, Team> teams;
   private final MonotonicTime now;
-  private List<Weights.Candidate> candidates;
+  private List<ReplicaPlacer.Candidate> candidates;
 
   /**
    * Starts a round.
@@ -75,7 +75,7 @@
   private void addPlaced(ModelSnapshot snapshot) {
     snapshot
         .model()
-        .places()
+        .placements()
         .forEach(
             (replica, place) -> {
               boolean seen =
@@ -110,7 +110,7 @@
             .capacityFor(snapshot.job().taskResources());
   }
 
-  List<Weights.Candidate> candidates() {
+  List<ReplicaPlacer.Candidate> candidates() {
     candidates = candidates == null ? machines.candidates(placedJobs, now) : candidates;
     return candidates;
   }
@@ -119,7 +119,7 @@
     List<Integer> free = new ArrayList<>();
     for (int replica = 0; replica < snapshot.tasks(); replica++) {
       // A replica that may still run somewhere gets no other machine before it is proven gone.
-      if (!snapshot.model().places().containsKey(replica) && !snapshot.isAllocated(replica)) {
+      if (!snapshot.model().placements().containsKey(replica) && !snapshot.isAllocated(replica)) {
         free.add(replica);
       }
     }
@@ -128,17 +128,18 @@
       return Map.of();
     }
     Set<MachineId> has = new HashSet<>();
-    snapshot.model().places().values().forEach(place -> has.add(place.machine()));
-    List<Weights.Choice> choices =
+    snapshot.model().placements().values().forEach(place -> has.add(place.machine()));
+    List<ReplicaPlacer.Assignment> choices =
         whole
-            ? Weights.chooseWhole(snapshot.job(), candidates(), snapshot.model().avoided())
-            : Weights.choose(
+            ? ReplicaPlacer.chooseWithinShard(
+                snapshot.job(), candidates(), snapshot.model().avoidedMachines())
+            : ReplicaPlacer.choose(
                 snapshot.job(),
                 Math.min(most, free.size()),
                 replicasByZone(snapshot, cache),
                 has,
                 candidates(),
-                snapshot.model().avoided());
+                snapshot.model().avoidedMachines());
     Map<Integer, MachineId> places = new TreeMap<>();
     for (int i = 0; i < choices.size(); i++) {
       places.put(free.get(i), choices.get(i).machine());
@@ -153,7 +154,7 @@
   /** The number of a model's placed replicas in each zone. */
   static Map<String, Integer> replicasByZone(ModelSnapshot snapshot, ClusterStateCache cache) {
     Map<String, Integer> zones = new TreeMap<>();
-    for (Model.Place place : snapshot.model().places().values()) {
+    for (Model.Placement place : snapshot.model().placements().values()) {
       ShardLease lease = cache.shardOf(place.machine());
       if (lease != null) {
         zones.merge(lease.zone(), 1, Integer::sum);
--- a/src/main/java/org/quincecross/leader/ModelSnapshot.java
+++ b/src/main/java/org/quincecross/leader/ModelSnapshot.java
@@ -34,7 +34,7 @@
   /** Whether a replica is allocated to a machine and does not run yet. */
   boolean startsOn(MachineId machine) {
     return model.isUp()
-        && model.places().entrySet().stream()
+        && model.placements().entrySet().stream()
             .anyMatch(
                 each ->
                     each.getValue().machine().equals(machine)
--- a/src/main/java/org/quincecross/leader/PendingDemand.java
+++ b/src/main/java/org/quincecross/leader/PendingDemand.java
@@ -17,9 +17,9 @@
 import org.quincecross.model.ServiceLevelObjective;
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.overload.DemandClaim;
+import org.quincecross.overload.AdmissionCandidate;
+import org.quincecross.overload.JobDeadline;
 import org.quincecross.overload.JobRanking;
-import org.quincecross.overload.Milestone;
 import org.quincecross.overload.Overload;
 import org.quincecross.overload.StartGuarantee;
 import org.quincecross.protocol.Settings;
@@ -87,9 +87,9 @@
     this.clockMs = clockMs;
     this.overload = overload;
     this.running = running;
-    allocationIndex.addListener((job, more, reached) -> suspects.given(job));
+    allocationIndex.addListener((job, more, reached) -> suspects.allocated(job));
     if (overload != null) {
-      allocationIndex.addListener((job, more, reached) -> overload.given(job, more));
+      allocationIndex.addListener((job, more, reached) -> overload.admitted(job, more));
     }
   }
 
@@ -102,7 +102,7 @@
    * null.
    */
   String suspectReason(JobId job) {
-    SuspectJobs.State state = suspects.of(job);
+    SuspectJobs.State state = suspects.state(job);
     return state == null
         ? null
         : switch (state) {
@@ -126,8 +126,8 @@
       return account.pending();
     }
     int most =
-        suspects.mayGo(
-            new SuspectJobs.Look(
+        suspects.admissibleTasks(
+            new SuspectJobs.JobStatus(
                 job.id(),
                 declinedBy,
                 Admission.eligibleShards(job, shards),
@@ -158,14 +158,14 @@
       return demands;
     }
     ages.keySet().retainAll(allocationIndex.openJobIds());
-    List<DemandClaim> claims = new ArrayList<>();
+    List<AdmissionCandidate> claims = new ArrayList<>();
     Resources room = Admission.roomForArrays(shards);
     for (PendingJob each : waiting) {
       if (each.account.job().priority() != Priority.PRODUCTION) {
         claims.add(claim(each, room, now));
       }
     }
-    Map<JobId, JobRanking> verdicts = overload.look(claims, now);
+    Map<JobId, JobRanking> verdicts = overload.rank(claims, now);
     Map<JobId, Integer> begin = guaranteedStarts(waiting, room, now);
     for (PendingJob each : waiting) {
       JobRanking verdict = verdicts.get(each.record.id());
@@ -202,7 +202,7 @@
    */
   private Map<JobId, Integer> guaranteedStarts(
       List<PendingJob> waiting, Resources room, MonotonicTime now) {
-    StartGuarantee beginnings = overload.beginnings();
+    StartGuarantee beginnings = overload.startGuarantee();
     List<StartGuarantee.Waiting> old = new ArrayList<>();
     for (PendingJob each : waiting) {
       Job job = each.account.job();
@@ -229,7 +229,7 @@
               job.taskResources().dominantShareOf(room.max(job.taskResources())),
               job.kind() == JobKind.GANG));
     }
-    return beginnings.look(old, old.isEmpty() ? 0 : drainSeconds());
+    return beginnings.evaluate(old, old.isEmpty() ? 0 : drainSeconds());
   }
 
   /**
@@ -252,7 +252,7 @@
 
   private List<PendingJob> waiting(Collection<Admission.ShardCapacity> shards, MonotonicTime now) {
     List<PendingJob> waiting = new ArrayList<>();
-    suspects.keepOnly(allocationIndex.openJobIds());
+    suspects.retainOpen(allocationIndex.openJobIds());
     if (allocationIndex.jobsWithPendingTasks().isEmpty()) {
       return waiting;
     }
@@ -263,7 +263,7 @@
         .forEach(
             (record, account) -> {
               Guarantee guarantee = guarantees.get(account.job().team());
-              if (guarantee == null || cache.dependencyGraph().waits(record.id())) {
+              if (guarantee == null || cache.dependencyGraph().isWaiting(record.id())) {
                 return; // jobs with unfinished dependencies do not use the guarantee
               }
               boolean within =
@@ -299,15 +299,15 @@
         order);
   }
 
-  private DemandClaim claim(PendingJob each, Resources room, MonotonicTime now) {
+  private AdmissionCandidate claim(PendingJob each, Resources room, MonotonicTime now) {
     Job job = each.account.job();
     double age = monotonicAge(each.record, now);
     // With almost no capacity left, a task counts as taking all of it.
     double share = job.taskResources().dominantShareOf(room.max(job.taskResources()));
     double run = Math.max(1, job.estimate().seconds());
-    return new DemandClaim(
+    return new AdmissionCandidate(
         job.id(),
-        new DemandClaim.Group(job.team(), job.jobClass()),
+        new AdmissionCandidate.Group(job.team(), job.jobClass()),
         job.priority(),
         each.guaranteed,
         each.record.version(),
@@ -388,11 +388,11 @@
         record.job(), TimeSpan.ofMillis(cache.runnableSinceMs(record) - record.acceptedMs()));
   }
 
-  private List<Milestone> goals(Job job, double age) {
-    List<Milestone> goals = new ArrayList<>();
+  private List<JobDeadline> goals(Job job, double age) {
+    List<JobDeadline> goals = new ArrayList<>();
     for (ServiceLevelObjective aim : ages.get(job.id()).aims()) {
       goals.add(
-          new Milestone(
+          new JobDeadline(
               aim.timeLimit().seconds() - age,
               aim.event() == ServiceLevelObjective.Event.EACH_START));
     }
--- a/src/main/java/org/quincecross/leader/PendingReasons.java
+++ b/src/main/java/org/quincecross/leader/PendingReasons.java
@@ -45,7 +45,7 @@
 
   /** What the pending tasks of an open job wait for; null if it has none. */
   String of(JobId id) {
-    Collection<JobId> unfinished = cache.dependencyGraph().unfinished(id);
+    Collection<JobId> unfinished = cache.dependencyGraph().unfinishedDependencies(id);
     if (!unfinished.isEmpty()) {
       return "waits for "
           + unfinished.stream().limit(MOST_NAMED).map(JobId::text).collect(Collectors.joining(", "))
--- a/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
+++ b/src/main/java/org/quincecross/leader/ReplicaFailureDetector.java
@@ -57,7 +57,7 @@
     for (ModelSnapshot snapshot : looks) {
       snapshot
           .model()
-          .places()
+          .placements()
           .forEach(
               (replica, place) -> {
                 Start start = new Start(snapshot.name(), replica, place.epoch());
@@ -75,7 +75,8 @@
   }
 
   /** Since when a placement has been known here. */
-  MonotonicTime since(ModelSnapshot snapshot, int replica, Model.Place place, MonotonicTime now) {
+  MonotonicTime since(
+      ModelSnapshot snapshot, int replica, Model.Placement place, MonotonicTime now) {
     return begun.getOrDefault(new Start(snapshot.name(), replica, place.epoch()), now);
   }
 
@@ -84,7 +85,7 @@
     Set<Integer> replicas = new HashSet<>();
     Set<MachineId> bad = new HashSet<>();
     String why = "";
-    for (Map.Entry<Integer, Model.Place> each : snapshot.model().places().entrySet()) {
+    for (Map.Entry<Integer, Model.Placement> each : snapshot.model().placements().entrySet()) {
       MachineId machine = each.getValue().machine();
       String wrong = failureReason(snapshot, each.getKey(), each.getValue(), now);
       if (wrong != null) {
@@ -99,15 +100,15 @@
       return null;
     }
     // A gang does not run without all of its tasks.
-    return new ModelCommand.Lose(
+    return new ModelCommand.RemoveReplicas(
         snapshot.model().epoch(),
-        snapshot.job().kind() == JobKind.GANG ? snapshot.model().places().keySet() : replicas,
+        snapshot.job().kind() == JobKind.GANG ? snapshot.model().placements().keySet() : replicas,
         bad,
         why);
   }
 
   private String failureReason(
-      ModelSnapshot snapshot, int replica, Model.Place place, MonotonicTime now) {
+      ModelSnapshot snapshot, int replica, Model.Placement place, MonotonicTime now) {
     MachineId machine = place.machine();
     ShardLease lease = base.cache().shardOf(machine);
     if (lease == null) {
@@ -156,7 +157,7 @@
     for (ModelSnapshot other : looks) {
       other
           .model()
-          .places()
+          .placements()
           .forEach(
               (replica, place) -> {
                 if (place.machine().equals(machine)
--- a/src/main/java/org/quincecross/leader/ReservationManager.java
+++ b/src/main/java/org/quincecross/leader/ReservationManager.java
@@ -14,9 +14,9 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.Team;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.reservation.Request;
+import org.quincecross.reservation.DeadlineRequest;
 import org.quincecross.reservation.RequestCommand;
-import org.quincecross.reservation.Reservation;
+import org.quincecross.reservation.ReservationPlanner;
 import org.quincecross.scheduling.Admission;
 import org.quincecross.state.RecordCommand;
 import org.quincecross.state.ReplicatedRecordIndex;
@@ -56,7 +56,7 @@
   private static final JobId PLACEHOLDER_JOB = new JobId("job-0");
 
   private final ReplicatedRecordStore store;
-  private final ReplicatedRecordIndex<Request, RequestCommand> index;
+  private final ReplicatedRecordIndex<DeadlineRequest, RequestCommand> index;
   private final ReservedCapacity reservedCapacity;
   private final double share;
   private List<Admission.Unmet> unmet = List.of();
@@ -81,7 +81,7 @@
    */
   public ReservationManager(
       ReplicatedRecordStore store,
-      ReplicatedRecordIndex<Request, RequestCommand> index,
+      ReplicatedRecordIndex<DeadlineRequest, RequestCommand> index,
       ReservedCapacity rooms,
       double share) {
     this.store = store;
@@ -110,9 +110,9 @@
     }
     lookedAt = now;
     machinesSeen = reservedCapacity.machines();
-    Reservation.Plan plan = reservedCapacity.plan(teams, share);
-    lacksSince.keySet().retainAll(plan.without().keySet());
-    plan.moves().stream()
+    ReservationPlanner.Plan plan = reservedCapacity.plan(teams, share);
+    lacksSince.keySet().retainAll(plan.unreservedReasons().keySet());
+    plan.changes().stream()
         .filter(
             move ->
                 !move.zones().isEmpty()
@@ -126,12 +126,14 @@
     seen = reservedCapacity.version();
   }
 
-  private void send(Reservation.Move move) {
+  private void send(ReservationPlanner.ReservationChange move) {
     String reference = move.request().reference();
     boolean loses = move.zones().isEmpty();
     RequestCommand command =
-        loses ? new RequestCommand.Lose(move.without()) : new RequestCommand.Place(move.zones());
-    reservedCapacity.expect(move.request().moved(move));
+        loses
+            ? new RequestCommand.LoseReservation(move.lostReason())
+            : new RequestCommand.Reserve(move.zones());
+    reservedCapacity.expect(move.request().apply(move));
     underWay++;
     store.submit(
         index,
@@ -142,7 +144,7 @@
           if (!answer.isDurable() || !answer.reason().isEmpty()) {
             reservedCapacity.clearExpectation(reference);
           } else if (loses) {
-            LOG.info("request {} has lost its reserved capacity: {}", reference, move.without());
+            LOG.info("request {} has lost its reserved capacity: {}", reference, move.lostReason());
           }
         });
   }
@@ -157,9 +159,9 @@
     return all;
   }
 
-  private static List<Admission.Unmet> unmet(List<Reservation.Unplaced> unplaced) {
+  private static List<Admission.Unmet> unmet(List<ReservationPlanner.Unplaced> unplaced) {
     List<Admission.Unmet> unmet = new ArrayList<>();
-    for (Reservation.Unplaced each : unplaced) {
+    for (ReservationPlanner.Unplaced each : unplaced) {
       if (each.zones().isEmpty()) {
         unmet.add(unmet(each, null, each.missing()));
       }
@@ -170,11 +172,11 @@
     return unmet;
   }
 
-  private static Admission.Unmet unmet(Reservation.Unplaced room, String zone, int missing) {
-    Resources each = room.slot().each();
+  private static Admission.Unmet unmet(ReservationPlanner.Unplaced room, String zone, int missing) {
+    Resources each = room.slot().resources();
     Job job =
         Job.builder(PLACEHOLDER_JOB)
-            .jobClass(room.slot().lane())
+            .jobClass(room.slot().jobClass())
             .team(room.slot().team())
             .kind(JobKind.SERVICE)
             .priority(Priority.PRODUCTION)
--- a/src/main/java/org/quincecross/modelserving/Model.java
+++ b/src/main/java/org/quincecross/modelserving/Model.java
@@ -11,73 +11,78 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * A model as its record says. Whatever changes {@code places} raises {@code epoch}: what was
- * decided by an older epoch is refused.
+ * The replicated record of a served model. Every change of {@code placements} increments {@code
+ * epoch}; a command that was decided under an older epoch is rejected.
  *
- * @param job the service whose tasks are the model's replicas, or null before it is defined
- * @param wanted how many replicas there are to be; 0 where none
- * @param places the replicas that may be on machines, and on which
- * @param avoided machines on which a start of this model has failed since it was last at zero
- * @param quietMs for so long nobody had wanted it, as far as was known to who last drained it: what
- *     was seen of demand later turns it back
- * @param sinceMs the time of day when it came into its state
- * @param why what brought it into its state, in words
+ * @param job the service whose tasks are the model's replicas; null while the model is undefined
+ * @param desiredReplicas target number of replicas; 0 while the model is at zero
+ * @param placements the machines on which replicas may be, by replica
+ * @param avoidedMachines machines on which a start of this model has failed since it was last at
+ *     zero
+ * @param idleMs for how long there had been no demand, as known when the last drain was decided;
+ *     more recent demand reverts the drain
+ * @param phaseSinceMs time of day at which the current phase was entered
+ * @param reason why the current phase was entered, as text for operators
  */
 public record Model(
     JobId job,
-    Terms terms,
+    ScalingLimits limits,
     Phase phase,
     long epoch,
-    int wanted,
-    Map<Integer, Place> places,
-    Set<MachineId> avoided,
-    long quietMs,
-    long sinceMs,
-    String why) {
-  /** One that nobody has defined. */
-  public static final Model NONE =
+    int desiredReplicas,
+    Map<Integer, Placement> placements,
+    Set<MachineId> avoidedMachines,
+    long idleMs,
+    long phaseSinceMs,
+    String reason) {
+  /** The record of a model that is not defined. */
+  public static final Model UNDEFINED =
       new Model(null, null, Phase.ZERO, 0, 0, Map.of(), Set.of(), 0, 0, "");
 
-  /** The states of a model. */
+  /** The phases of a model. */
   public enum Phase {
-    /** No replica may be on any machine. Ends with a wake. */
+    /** No replica may be on any machine. Ends with a wake command. */
     ZERO,
     /**
-     * Replicas are to come, on machines that are chosen or still to be chosen. Ends when the least
-     * of them run; a replica that does not come is given up and has another machine chosen, in a
-     * new epoch.
+     * Replicas are being placed and started. Ends when the minimum number of replicas run. A
+     * replica that fails to start is given up and placed on another machine, in a new epoch.
      */
     STARTING,
-    /** The least of its replicas have been seen to run. */
+    /** The minimum number of replicas have been seen running. */
     WARM,
     /**
-     * No replica may start, and those that run are stopped. Ends when none is left on any machine,
-     * or with a wake.
+     * No replica may start and running replicas are stopped. Ends when no replica is left on any
+     * machine, or with a wake command.
      */
     DRAINING
   }
 
   /**
-   * Where a replica may be.
+   * The machine assigned to a replica.
    *
-   * @param epoch the one in which this was chosen
+   * @param epoch the epoch in which the machine was assigned
    */
-  public record Place(MachineId machine, long epoch) {}
+  public record Placement(MachineId machine, long epoch) {}
 
   /**
-   * What operators say of a model.
+   * Scaling limits of a model, set by operators.
    *
-   * @param least replicas while it is not at zero, at least 1
-   * @param most replicas
-   * @param perReplica how many requests a replica serves at a time
-   * @param idle without a request for so long it goes to zero
-   * @param keepWarm on how many machines its weights are kept while it is at zero
+   * @param minReplicas replicas while the model is not at zero, at least 1
+   * @param maxReplicas upper limit of replicas
+   * @param requestsPerReplica concurrent requests that one replica serves
+   * @param idleTimeout idle time after which the model is scaled to zero
+   * @param cachedMachines on how many machines the weights stay cached while the model is at zero
    */
-  public record Terms(int least, int most, int perReplica, TimeSpan idle, int keepWarm) {}
+  public record ScalingLimits(
+      int minReplicas,
+      int maxReplicas,
+      int requestsPerReplica,
+      TimeSpan idleTimeout,
+      int cachedMachines) {}
 
   public Model {
-    places = Collections.unmodifiableMap(new TreeMap<>(places));
-    avoided = Collections.unmodifiableSet(new TreeSet<>(avoided));
+    placements = Collections.unmodifiableMap(new TreeMap<>(placements));
+    avoidedMachines = Collections.unmodifiableSet(new TreeSet<>(avoidedMachines));
   }
 
   public boolean isDefined() {
@@ -89,41 +94,104 @@
     return phase == Phase.STARTING || phase == Phase.WARM;
   }
 
-  /** Of so many replicas those that may not start, and are stopped where they run. */
-  public TaskSet withheld(int tasks) {
-    TaskSet withheld = TaskSet.range(tasks);
+  /**
+   * Returns the replicas that must not run, out of {@code tasks}; those that are running are
+   * stopped.
+   */
+  public TaskSet blockedReplicas(int tasks) {
+    TaskSet blocked = TaskSet.range(tasks);
     if (isUp()) {
-      places.keySet().forEach(withheld::remove);
+      placements.keySet().forEach(blocked::remove);
     }
-    return withheld;
+    return blocked;
   }
 
-  /** How many replicas have no place yet, where the job has so many. */
-  public int missing(int tasks) {
-    return isUp() ? Math.max(0, Math.min(wanted, tasks) - places.size()) : 0;
+  /** Returns how many desired replicas have no machine yet, for a job of {@code tasks} replicas. */
+  public int unplacedReplicas(int tasks) {
+    return isUp() ? Math.max(0, Math.min(desiredReplicas, tasks) - placements.size()) : 0;
   }
 
-  Model in(Phase next, long atMs, String because) {
-    return new Model(job, terms, next, epoch + 1, wanted, places, avoided, quietMs, atMs, because);
+  Model inPhase(Phase next, long atMs, String reason) {
+    return new Model(
+        job,
+        limits,
+        next,
+        epoch + 1,
+        desiredReplicas,
+        placements,
+        avoidedMachines,
+        idleMs,
+        atMs,
+        reason);
   }
 
-  Model with(Map<Integer, Place> next) {
-    return new Model(job, terms, phase, epoch, wanted, next, avoided, quietMs, sinceMs, why);
+  Model withPlacements(Map<Integer, Placement> next) {
+    return new Model(
+        job,
+        limits,
+        phase,
+        epoch,
+        desiredReplicas,
+        next,
+        avoidedMachines,
+        idleMs,
+        phaseSinceMs,
+        reason);
   }
 
-  Model wanting(int replicas) {
-    return new Model(job, terms, phase, epoch, replicas, places, avoided, quietMs, sinceMs, why);
+  Model withDesiredReplicas(int replicas) {
+    return new Model(
+        job,
+        limits,
+        phase,
+        epoch,
+        replicas,
+        placements,
+        avoidedMachines,
+        idleMs,
+        phaseSinceMs,
+        reason);
   }
 
-  Model avoiding(Set<MachineId> machines) {
-    return new Model(job, terms, phase, epoch, wanted, places, machines, quietMs, sinceMs, why);
+  Model withAvoidedMachines(Set<MachineId> machines) {
+    return new Model(
+        job,
+        limits,
+        phase,
+        epoch,
+        desiredReplicas,
+        placements,
+        machines,
+        idleMs,
+        phaseSinceMs,
+        reason);
   }
 
-  Model quietFor(long ms) {
-    return new Model(job, terms, phase, epoch, wanted, places, avoided, ms, sinceMs, why);
+  Model withIdleMs(long ms) {
+    return new Model(
+        job,
+        limits,
+        phase,
+        epoch,
+        desiredReplicas,
+        placements,
+        avoidedMachines,
+        ms,
+        phaseSinceMs,
+        reason);
   }
 
-  Model under(Terms next) {
-    return new Model(job, next, phase, epoch, wanted, places, avoided, quietMs, sinceMs, why);
+  Model withLimits(ScalingLimits next) {
+    return new Model(
+        job,
+        next,
+        phase,
+        epoch,
+        desiredReplicas,
+        placements,
+        avoidedMachines,
+        idleMs,
+        phaseSinceMs,
+        reason);
   }
 }
--- a/src/main/java/org/quincecross/modelserving/ModelCommand.java
+++ b/src/main/java/org/quincecross/modelserving/ModelCommand.java
@@ -6,45 +6,50 @@
 import org.quincecross.model.MachineId;
 
 /**
- * What can be asked of a model's record. What a leader decides names the epoch that it was decided
- * by, and is refused in any other.
+ * Commands that change a model's record. A command decided by the leader names the epoch it was
+ * decided under and is rejected in any other epoch.
  */
 public sealed interface ModelCommand {
-  /** Whatever the epoch is. */
-  long ANY = -1;
+  /** Matches every epoch. */
+  long ANY_EPOCH = -1;
 
-  /** An operator's: the job becomes a model, at zero, or has other terms from here on. */
-  record Define(JobId job, Model.Terms terms) implements ModelCommand {}
+  /**
+   * Operator command: defines the job as a model, at zero, or changes the scaling limits of an
+   * existing model.
+   */
+  record Define(JobId job, Model.ScalingLimits limits) implements ModelCommand {}
 
-  /** Somebody wants it. */
+  /** Requests that the model be up. */
   record Wake() implements ModelCommand {}
 
   /**
-   * It goes to zero.
+   * Scales the model to zero.
    *
-   * @param epoch the one that it was decided by; {@link #ANY}: an operator says so, or the job is
-   *     over
-   * @param quietMs for so long nobody has wanted it, as far as is known
+   * @param epoch the epoch that the decision is based on; {@link #ANY_EPOCH} if an operator
+   *     requested the drain or the job has ended
+   * @param idleMs for how long there has been no demand, as far as known
    */
-  record Drain(long epoch, long quietMs, String why) implements ModelCommand {}
+  record Drain(long epoch, long idleMs, String reason) implements ModelCommand {}
 
-  /** A leader's: replicas have places. */
-  record Choose(long epoch, Map<Integer, MachineId> places) implements ModelCommand {}
+  /** Leader command: assigns machines to replicas. */
+  record Place(long epoch, Map<Integer, MachineId> machines) implements ModelCommand {}
 
-  /** A leader's: the least of its replicas run. */
-  record Ready(long epoch) implements ModelCommand {}
+  /** Leader command: the minimum number of replicas run. */
+  record MarkWarm(long epoch) implements ModelCommand {}
 
   /**
-   * A leader's: replicas lose their places; they get others once they are proven to be nowhere.
+   * Leader command: removes the placements of replicas. They are placed again once they are proven
+   * to be on no machine.
    *
-   * @param bad the machines of these that are not to be chosen again
+   * @param badMachines the machines among these that are to be avoided
    */
-  record Lose(long epoch, Set<Integer> replicas, Set<MachineId> bad, String why)
+  record RemoveReplicas(
+      long epoch, Set<Integer> replicas, Set<MachineId> badMachines, String reason)
       implements ModelCommand {}
 
-  /** A leader's: so many replicas there are to be. */
-  record Scale(long epoch, int wanted) implements ModelCommand {}
+  /** Leader command: sets the target number of replicas. */
+  record Scale(long epoch, int replicas) implements ModelCommand {}
 
-  /** A leader's: none of the replicas is on any machine any more. */
-  record Gone(long epoch) implements ModelCommand {}
+  /** Leader command: no replica is left on any machine. */
+  record MarkDrained(long epoch) implements ModelCommand {}
 }
--- a/src/main/java/org/quincecross/modelserving/ModelKind.java
+++ b/src/main/java/org/quincecross/modelserving/ModelKind.java
@@ -12,28 +12,28 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.modelserving.Model.Phase;
-import org.quincecross.modelserving.Model.Place;
+import org.quincecross.modelserving.Model.Placement;
 import org.quincecross.replicated.CommandOrigin;
 import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordFields;
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.Transition;
 
-/** Models as a kind of agreed record. */
+/** The replicated record kind of served models: format of commands, records and listing rows. */
 public final class ModelKind implements RecordKind<Model, ModelCommand> {
   public static final String NAME = "models";
 
-  /** With their places the record has to fit one value. */
-  static final int MOST_REPLICAS = 48;
+  /** Limit that keeps a record with all placements within one stored value. */
+  static final int MAX_REPLICAS = 48;
 
   /**
-   * Who sees that an operator has drained it, and was asked for it less than this before, takes
-   * that for later.
+   * Idle time recorded for a drain by an operator. A controller that saw demand within this time
+   * before it learns of the drain takes the demand as newer and wakes the model again.
    */
-  private static final long SAME_INSTANT_MS = 1000;
+  private static final long OPERATOR_DRAIN_IDLE_MS = 1000;
 
-  private static final int MOST_PER_REPLICA = 100_000;
-  private static final double MOST_IDLE_S = 30 * 86_400;
+  private static final int MAX_REQUESTS_PER_REPLICA = 100_000;
+  private static final double MAX_IDLE_TIMEOUT_S = 30 * 86_400;
 
   @Override
   public String name() {
@@ -42,7 +42,7 @@
 
   @Override
   public Model initial() {
-    return Model.NONE;
+    return Model.UNDEFINED;
   }
 
   @Override
@@ -56,7 +56,7 @@
       return true;
     }
     return before.isUp()
-        && !(next.isUp() && next.places().keySet().containsAll(before.places().keySet()));
+        && !(next.isUp() && next.placements().keySet().containsAll(before.placements().keySet()));
   }
 
   @Override
@@ -64,7 +64,7 @@
     return ModelRules.step(state, command, at.timeOfDayMs());
   }
 
-  // ---- what operators send ----
+  // ---- operator commands ----
 
   @Override
   public ModelCommand command(Map<String, Object> value) throws MalformedRecordException {
@@ -76,11 +76,12 @@
       }
       case "drain" -> {
         body.only(List.of("do"));
-        return new ModelCommand.Drain(ModelCommand.ANY, SAME_INSTANT_MS, "drained by an operator");
+        return new ModelCommand.Drain(
+            ModelCommand.ANY_EPOCH, OPERATOR_DRAIN_IDLE_MS, "drained by an operator");
       }
       case "define" -> {
         body.only(List.of("do", "job", "least", "most", "per_replica", "idle_s", "keep_warm"));
-        return new ModelCommand.Define(job(body), terms(body));
+        return new ModelCommand.Define(readJob(body), readLimits(body));
       }
       default ->
           throw new MalformedRecordException(
@@ -88,7 +89,7 @@
     }
   }
 
-  private static JobId job(RecordFields body) throws MalformedRecordException {
+  private static JobId readJob(RecordFields body) throws MalformedRecordException {
     JobId job = JobId.parse(body.text("job"));
     if (job == null) {
       throw new MalformedRecordException("field job is no job id: job- and digits");
@@ -96,44 +97,45 @@
     return job;
   }
 
-  private static Model.Terms terms(RecordFields body) throws MalformedRecordException {
-    int least = (int) body.integerOr("least", 1, MOST_REPLICAS, 1);
-    int most = (int) body.integerOr("most", 1, MOST_REPLICAS, least);
-    if (most < least) {
+  private static Model.ScalingLimits readLimits(RecordFields body) throws MalformedRecordException {
+    int minReplicas = (int) body.integerOr("least", 1, MAX_REPLICAS, 1);
+    int maxReplicas = (int) body.integerOr("most", 1, MAX_REPLICAS, minReplicas);
+    if (maxReplicas < minReplicas) {
       throw new MalformedRecordException("field most is below field least");
     }
-    return new Model.Terms(
-        least,
-        most,
-        (int) body.integerOr("per_replica", 1, MOST_PER_REPLICA, 1),
-        TimeSpan.ofSeconds(body.has("idle_s") ? body.amount("idle_s", 1, MOST_IDLE_S) : 300),
-        (int) body.integerOr("keep_warm", 0, MOST_REPLICAS, 0));
+    return new Model.ScalingLimits(
+        minReplicas,
+        maxReplicas,
+        (int) body.integerOr("per_replica", 1, MAX_REQUESTS_PER_REPLICA, 1),
+        TimeSpan.ofSeconds(body.has("idle_s") ? body.amount("idle_s", 1, MAX_IDLE_TIMEOUT_S) : 300),
+        (int) body.integerOr("keep_warm", 0, MAX_REPLICAS, 0));
   }
 
-  // ---- the record ----
+  // ---- stored record ----
 
   @Override
   public Model read(Map<String, Object> value) throws MalformedRecordException {
     RecordFields in = RecordFields.of(value, "a model");
     if (!in.has("job")) {
-      return Model.NONE;
+      return Model.UNDEFINED;
     }
-    Map<Integer, Place> places = new TreeMap<>();
-    for (RecordFields place : in.bodies("places")) {
-      places.put(
-          (int) place.integer("replica", 0, Integer.MAX_VALUE),
-          new Place(
-              new MachineId(place.text("machine")), place.integer("epoch", 0, Long.MAX_VALUE)));
+    Map<Integer, Placement> placements = new TreeMap<>();
+    for (RecordFields placement : in.bodies("places")) {
+      placements.put(
+          (int) placement.integer("replica", 0, Integer.MAX_VALUE),
+          new Placement(
+              new MachineId(placement.text("machine")),
+              placement.integer("epoch", 0, Long.MAX_VALUE)));
     }
     Set<MachineId> avoided = new TreeSet<>();
     in.texts("avoided").forEach(machine -> avoided.add(new MachineId(machine)));
     return new Model(
-        job(in),
-        terms(in.body("terms")),
+        readJob(in),
+        readLimits(in.body("terms")),
         in.word("state", Phase.class),
         in.integer("epoch", 0, Long.MAX_VALUE),
-        (int) in.integer("wanted", 0, MOST_REPLICAS),
-        places,
+        (int) in.integer("wanted", 0, MAX_REPLICAS),
+        placements,
         avoided,
         in.integer("quiet_ms", 0, Long.MAX_VALUE),
         in.integer("since_ms", 0, Long.MAX_VALUE),
@@ -149,30 +151,30 @@
     out.put("job", model.job().text());
     out.put("state", model.phase().name());
     out.put("epoch", model.epoch());
-    out.put("wanted", (long) model.wanted());
-    List<Object> places = new ArrayList<>();
+    out.put("wanted", (long) model.desiredReplicas());
+    List<Object> placements = new ArrayList<>();
     model
-        .places()
+        .placements()
         .forEach(
             (replica, place) -> {
-              Map<String, Object> each = new LinkedHashMap<>();
-              each.put("replica", (long) replica);
-              each.put("machine", place.machine().text());
-              each.put("epoch", place.epoch());
-              places.add(each);
+              Map<String, Object> fields = new LinkedHashMap<>();
+              fields.put("replica", (long) replica);
+              fields.put("machine", place.machine().text());
+              fields.put("epoch", place.epoch());
+              placements.add(fields);
             });
-    out.put("places", places);
-    out.put("avoided", model.avoided().stream().map(MachineId::text).toList());
-    out.put("quiet_ms", model.quietMs());
-    out.put("since_ms", model.sinceMs());
-    out.put("why", model.why());
-    Map<String, Object> terms = new LinkedHashMap<>();
-    terms.put("least", (long) model.terms().least());
-    terms.put("most", (long) model.terms().most());
-    terms.put("per_replica", (long) model.terms().perReplica());
-    terms.put("idle_s", model.terms().idle().seconds());
-    terms.put("keep_warm", (long) model.terms().keepWarm());
-    out.put("terms", terms);
+    out.put("places", placements);
+    out.put("avoided", model.avoidedMachines().stream().map(MachineId::text).toList());
+    out.put("quiet_ms", model.idleMs());
+    out.put("since_ms", model.phaseSinceMs());
+    out.put("why", model.reason());
+    Map<String, Object> limits = new LinkedHashMap<>();
+    limits.put("least", (long) model.limits().minReplicas());
+    limits.put("most", (long) model.limits().maxReplicas());
+    limits.put("per_replica", (long) model.limits().requestsPerReplica());
+    limits.put("idle_s", model.limits().idleTimeout().seconds());
+    limits.put("keep_warm", (long) model.limits().cachedMachines());
+    out.put("terms", limits);
     return out;
   }
 
@@ -186,10 +188,10 @@
     row.put("job", model.job().text());
     row.put("state", model.phase().name().toLowerCase(Locale.ROOT));
     row.put("epoch", model.epoch());
-    row.put("wanted", (long) model.wanted());
-    row.put("placed", (long) model.places().size());
-    row.put("for_s", Math.max(0, (at.timeOfDayMs() - model.sinceMs()) / 1000));
-    row.put("why", model.why());
+    row.put("wanted", (long) model.desiredReplicas());
+    row.put("placed", (long) model.placements().size());
+    row.put("for_s", Math.max(0, (at.timeOfDayMs() - model.phaseSinceMs()) / 1000));
+    row.put("why", model.reason());
     return List.of(row);
   }
 }
--- a/src/main/java/org/quincecross/modelserving/ModelRules.java
+++ b/src/main/java/org/quincecross/modelserving/ModelRules.java
@@ -9,30 +9,30 @@
 import java.util.TreeSet;
 import org.quincecross.model.MachineId;
 import org.quincecross.modelserving.Model.Phase;
-import org.quincecross.modelserving.Model.Place;
+import org.quincecross.modelserving.Model.Placement;
 import org.quincecross.replicated.AuditEvent;
 import org.quincecross.replicated.Transition;
 
-/** The one function by which a model's record changes. */
+/** State transitions of a model's record. */
 public final class ModelRules {
-  /** What a record remembers of machines that failed is bounded, as the record is. */
-  private static final int MOST_AVOIDED = 8;
+  /** Limit on avoided machines, which keeps the record within its size limit. */
+  private static final int MAX_AVOIDED_MACHINES = 8;
 
   static final int CONFLICT = 409;
-  static final int UNKNOWN = 404;
+  static final int NOT_FOUND = 404;
 
   private ModelRules() {}
 
   /**
-   * The one place where a model changes its state; {@code atMs} is a time of day, for the record
-   * alone.
+   * Applies a command to a model. {@code atMs} is a time of day that is only recorded, never
+   * compared.
    */
   public static Transition<Model> step(Model model, ModelCommand command, long atMs) {
     if (command instanceof ModelCommand.Define define) {
       return define(model, define, atMs);
     }
     if (!model.isDefined()) {
-      return new Transition.Refused<>(UNKNOWN, "no such model is defined");
+      return new Transition.Refused<>(NOT_FOUND, "no such model is defined");
     }
     if (command instanceof ModelCommand.Wake) {
       return wake(model, atMs);
@@ -40,56 +40,62 @@
     if (command instanceof ModelCommand.Drain drain) {
       return drain(model, drain, atMs);
     }
-    if (command instanceof ModelCommand.Choose choose) {
-      return stale(model, choose.epoch()) ? late(model, choose.epoch()) : choose(model, choose);
+    if (command instanceof ModelCommand.Place place) {
+      return isStale(model, place.epoch())
+          ? rejectStale(model, place.epoch())
+          : place(model, place);
     }
-    if (command instanceof ModelCommand.Ready ready) {
-      return stale(model, ready.epoch())
-          ? late(model, ready.epoch())
+    if (command instanceof ModelCommand.MarkWarm warm) {
+      return isStale(model, warm.epoch())
+          ? rejectStale(model, warm.epoch())
           : model.phase() == Phase.STARTING
-              ? changed(model.in(Phase.WARM, atMs, "its replicas run"))
-              : same(model);
+              ? changed(model.inPhase(Phase.WARM, atMs, "its replicas run"))
+              : unchanged(model);
     }
-    if (command instanceof ModelCommand.Lose lose) {
-      return stale(model, lose.epoch()) ? late(model, lose.epoch()) : lose(model, lose, atMs);
+    if (command instanceof ModelCommand.RemoveReplicas remove) {
+      return isStale(model, remove.epoch())
+          ? rejectStale(model, remove.epoch())
+          : removeReplicas(model, remove, atMs);
     }
     if (command instanceof ModelCommand.Scale scale) {
-      return stale(model, scale.epoch()) ? late(model, scale.epoch()) : scale(model, scale);
+      return isStale(model, scale.epoch())
+          ? rejectStale(model, scale.epoch())
+          : scale(model, scale);
     }
-    if (command instanceof ModelCommand.Gone gone) {
-      return stale(model, gone.epoch())
-          ? late(model, gone.epoch())
+    if (command instanceof ModelCommand.MarkDrained drained) {
+      return isStale(model, drained.epoch())
+          ? rejectStale(model, drained.epoch())
           : model.phase() == Phase.DRAINING
               ? changed(
                   model
-                      .with(Map.of())
-                      .avoiding(Set.of())
-                      .wanting(0)
-                      .in(Phase.ZERO, atMs, model.why()))
-              : same(model);
+                      .withPlacements(Map.of())
+                      .withAvoidedMachines(Set.of())
+                      .withDesiredReplicas(0)
+                      .inPhase(Phase.ZERO, atMs, model.reason()))
+              : unchanged(model);
     }
     throw new IllegalArgumentException(command.toString());
   }
 
-  private static boolean stale(Model model, long epoch) {
+  private static boolean isStale(Model model, long epoch) {
     return model.epoch() != epoch;
   }
 
-  private static Transition<Model> late(Model model, long epoch) {
+  private static Transition<Model> rejectStale(Model model, long epoch) {
     return new Transition.Refused<>(
         CONFLICT, "decided in epoch " + epoch + ", and this is epoch " + model.epoch());
   }
 
-  private static Transition<Model> same(Model model) {
+  private static Transition<Model> unchanged(Model model) {
     return new Transition.Same<>("it is " + model.phase() + " in epoch " + model.epoch());
   }
 
   private static Transition<Model> changed(Model next) {
     Map<String, Object> details = new LinkedHashMap<>();
     details.put("epoch", next.epoch());
-    details.put("wanted", (long) next.wanted());
-    details.put("placed", (long) next.places().size());
-    details.put("why", next.why());
+    details.put("wanted", (long) next.desiredReplicas());
+    details.put("placed", (long) next.placements().size());
+    details.put("why", next.reason());
     return new Transition.Changed<>(
         next, List.of(new AuditEvent(next.phase().toString().toLowerCase(Locale.ROOT), details)));
   }
@@ -99,16 +105,16 @@
       return new Transition.Refused<>(CONFLICT, "the model is " + model.job() + " already");
     }
     if (model.isDefined()) {
-      return define.terms().equals(model.terms())
-          ? same(model)
-          : changed(model.under(define.terms()));
+      return define.limits().equals(model.limits())
+          ? unchanged(model)
+          : changed(model.withLimits(define.limits()));
     }
-    // What runs already is stopped in order: a model begins at zero, and that is known only once
-    // nothing is left of it.
+    // Replicas that run already must be stopped first. A new model therefore starts in DRAINING and
+    // reaches ZERO only when nothing is left on any machine.
     return changed(
         new Model(
             define.job(),
-            define.terms(),
+            define.limits(),
             Phase.DRAINING,
             1,
             0,
@@ -121,98 +127,101 @@
 
   private static Transition<Model> wake(Model model, long atMs) {
     if (model.isUp()) {
-      return same(model);
+      return unchanged(model);
     }
-    int wanted = Math.max(1, model.terms().least());
-    // What still runs of a drain that is turned back is kept; a replica that was stopped starts in
-    // the new epoch, where its weights are.
-    Map<Integer, Place> kept = new TreeMap<>();
+    int desired = Math.max(1, model.limits().minReplicas());
+    // When a drain is reverted, replicas that still run are kept. A replica that was stopped starts
+    // again in the new epoch on the same machine, where its weights are cached.
+    Map<Integer, Placement> kept = new TreeMap<>();
     model
-        .places()
+        .placements()
         .forEach(
-            (replica, place) -> {
-              if (kept.size() < wanted) {
-                kept.put(replica, new Place(place.machine(), model.epoch() + 1));
+            (replica, placement) -> {
+              if (kept.size() < desired) {
+                kept.put(replica, new Placement(placement.machine(), model.epoch() + 1));
               }
             });
     return changed(
         model
-            .with(kept)
-            .wanting(wanted)
-            .in(
+            .withPlacements(kept)
+            .withDesiredReplicas(desired)
+            .inPhase(
                 Phase.STARTING,
                 atMs,
                 model.phase() == Phase.DRAINING ? "woken while it drained" : "woken"));
   }
 
   private static Transition<Model> drain(Model model, ModelCommand.Drain drain, long atMs) {
-    boolean any = drain.epoch() == ModelCommand.ANY;
-    if (!any && stale(model, drain.epoch())) {
-      return late(model, drain.epoch());
-    }
-    // Where it starts, somebody has just asked for it.
-    boolean may = any ? model.isUp() : model.phase() == Phase.WARM;
-    return may
-        ? changed(model.quietFor(drain.quietMs()).in(Phase.DRAINING, atMs, drain.why()))
-        : same(model);
+    boolean anyEpoch = drain.epoch() == ModelCommand.ANY_EPOCH;
+    if (!anyEpoch && isStale(model, drain.epoch())) {
+      return rejectStale(model, drain.epoch());
+    }
+    // A model that is STARTING has just been requested, so the leader may not drain it; only a WARM
+    // one.
+    boolean allowed = anyEpoch ? model.isUp() : model.phase() == Phase.WARM;
+    return allowed
+        ? changed(model.withIdleMs(drain.idleMs()).inPhase(Phase.DRAINING, atMs, drain.reason()))
+        : unchanged(model);
   }
 
-  private static Transition<Model> choose(Model model, ModelCommand.Choose choose) {
-    Map<Integer, Place> places = new TreeMap<>(model.places());
-    choose
-        .places()
+  private static Transition<Model> place(Model model, ModelCommand.Place place) {
+    Map<Integer, Placement> placements = new TreeMap<>(model.placements());
+    place
+        .machines()
         .forEach(
             (replica, machine) ->
-                places.putIfAbsent(replica, new Place(machine, model.epoch() + 1)));
+                placements.putIfAbsent(replica, new Placement(machine, model.epoch() + 1)));
     boolean fits =
         model.isUp()
-            && places.size() <= model.wanted()
-            && places.keySet().stream().allMatch(replica -> replica >= 0);
-    if (!fits || places.size() == model.places().size()) {
-      return same(model);
+            && placements.size() <= model.desiredReplicas()
+            && placements.keySet().stream().allMatch(replica -> replica >= 0);
+    if (!fits || placements.size() == model.placements().size()) {
+      return unchanged(model);
     }
-    return changed(raised(model.with(places)));
+    return changed(withNextEpoch(model.withPlacements(placements)));
   }
 
-  /** The same state, in a new epoch. */
-  private static Model raised(Model model) {
-    return model.in(model.phase(), model.sinceMs(), model.why());
+  /** Returns the model in the same phase with a new epoch. */
+  private static Model withNextEpoch(Model model) {
+    return model.inPhase(model.phase(), model.phaseSinceMs(), model.reason());
   }
 
-  private static Transition<Model> lose(Model model, ModelCommand.Lose lose, long atMs) {
-    Map<Integer, Place> places = new TreeMap<>(model.places());
-    if (!model.isUp() || !places.keySet().removeAll(lose.replicas())) {
-      return same(model);
-    }
-    Set<MachineId> avoided = new TreeSet<>(model.avoided());
-    lose.bad().stream().limit(MOST_AVOIDED).forEach(avoided::add);
-    while (avoided.size() > MOST_AVOIDED) {
-      avoided.remove(
-          avoided.stream()
-              .filter(machine -> !lose.bad().contains(machine))
+  private static Transition<Model> removeReplicas(
+      Model model, ModelCommand.RemoveReplicas remove, long atMs) {
+    Map<Integer, Placement> placements = new TreeMap<>(model.placements());
+    if (!model.isUp() || !placements.keySet().removeAll(remove.replicas())) {
+      return unchanged(model);
+    }
+    Set<MachineId> avoidedMachines = new TreeSet<>(model.avoidedMachines());
+    remove.badMachines().stream().limit(MAX_AVOIDED_MACHINES).forEach(avoidedMachines::add);
+    while (avoidedMachines.size() > MAX_AVOIDED_MACHINES) {
+      avoidedMachines.remove(
+          avoidedMachines.stream()
+              .filter(machine -> !remove.badMachines().contains(machine))
               .findFirst()
               .orElseThrow());
     }
-    // With none left it is a cold start again.
-    Phase next = places.isEmpty() ? Phase.STARTING : model.phase();
+    // With no replica left the model has to start cold again.
+    Phase next = placements.isEmpty() ? Phase.STARTING : model.phase();
     return changed(
         model
-            .with(places)
-            .avoiding(avoided)
-            .in(next, next == model.phase() ? model.sinceMs() : atMs, lose.why()));
+            .withPlacements(placements)
+            .withAvoidedMachines(avoidedMachines)
+            .inPhase(next, next == model.phase() ? model.phaseSinceMs() : atMs, remove.reason()));
   }
 
   private static Transition<Model> scale(Model model, ModelCommand.Scale scale) {
-    int wanted =
+    int desired =
         Math.max(
-            Math.max(1, model.terms().least()), Math.min(scale.wanted(), model.terms().most()));
-    if (!model.isUp() || wanted == model.wanted()) {
-      return same(model);
+            Math.max(1, model.limits().minReplicas()),
+            Math.min(scale.replicas(), model.limits().maxReplicas()));
+    if (!model.isUp() || desired == model.desiredReplicas()) {
+      return unchanged(model);
     }
-    TreeMap<Integer, Place> places = new TreeMap<>(model.places());
-    while (places.size() > wanted) {
-      places.remove(places.lastKey());
+    TreeMap<Integer, Placement> placements = new TreeMap<>(model.placements());
+    while (placements.size() > desired) {
+      placements.remove(placements.lastKey());
     }
-    return changed(raised(model.with(places).wanting(wanted)));
+    return changed(withNextEpoch(model.withPlacements(placements).withDesiredReplicas(desired)));
   }
 }
--- a/src/main/java/org/quincecross/modelserving/package-info.java
+++ b/src/main/java/org/quincecross/modelserving/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Models that are kept at zero and come back when they are wanted: what the controllers agree on so
- * that a cold start happens once, how many replicas there are to be, and on which machines. Pure:
- * no I/O, no clock. See docs/design/models.md.
+ * Served models that scale to zero and come back on demand: the replicated state, replica counts,
+ * and machine selection. Pure: no I/O, no clock. See docs/design/models.md.
  */
 package org.quincecross.modelserving;
--- a/src/main/java/org/quincecross/overload/FairShareCredits.java
+++ b/src/main/java/org/quincecross/overload/FairShareCredits.java
@@ -5,52 +5,53 @@
 import java.util.Set;
 
 /**
- * What is owed to groups of jobs: each that waits earns its minimum part with time and pays for
- * what it is given, however it is given. Deficit round robin (Shreedhar and Varghese, SIGCOMM
- * 1995), with time for its rounds.
+ * Credits of groups of jobs: each waiting group earns an equal share of capacity over time and pays
+ * for what is admitted, by whichever rule. Deficit round robin (Shreedhar and Varghese, SIGCOMM
+ * 1995), with elapsed time in place of rounds.
  */
 final class FairShareCredits<K> {
   private final double share;
-  private final double mostS;
+  private final double maxSavedS;
   private final Map<K, Double> credits = new HashMap<>();
-  private double each;
+  private double shareEach;
 
   /**
-   * @param share of all room that is divided among those that wait, in equal parts
-   * @param mostS for how many seconds of its part a group may save up, and be in debt
+   * @param share share of all capacity that is divided equally among the waiting groups
+   * @param maxSavedS for how many seconds of its share a group may save up credit or go into debt
    */
-  FairShareCredits(double share, double mostS) {
+  FairShareCredits(double share, double maxSavedS) {
     this.share = share;
-    this.mostS = mostS;
+    this.maxSavedS = maxSavedS;
   }
 
   /**
-   * Gives each that waits its part for some seconds; forgets the others.
+   * Credits every waiting group for some elapsed seconds and drops the others.
    *
-   * @param waiting those that wait, each with how long its oldest job has: one that is new here,
-   *     but waited under another leader, is not young again and begins with what it would have
-   *     saved up
+   * @param waiting the waiting groups, each with the age of its oldest job: a group that already
+   *     waited under the previous leader starts with the credit it would have saved up
    */
   void earn(Map<K, Double> waiting, double seconds) {
     credits.keySet().retainAll(Set.copyOf(waiting.keySet()));
-    each = waiting.isEmpty() ? 0 : share / waiting.size();
+    shareEach = waiting.isEmpty() ? 0 : share / waiting.size();
     waiting.forEach(
         (key, ageS) ->
             credits.merge(
-                key, Math.min(mostS, ageS) * each, (before, fresh) -> before + each * seconds));
-    credits.replaceAll((key, credit) -> Math.min(credit, mostS * each));
+                key,
+                Math.min(maxSavedS, ageS) * shareEach,
+                (before, fresh) -> before + shareEach * seconds));
+    credits.replaceAll((key, credit) -> Math.min(credit, maxSavedS * shareEach));
   }
 
-  /** Takes what a group was given off what it is owed. */
+  /** Charges a group for admitted work. */
   void pay(K key, double work) {
-    credits.computeIfPresent(key, (k, credit) -> Math.max(-mostS * each, credit - work));
+    credits.computeIfPresent(key, (k, credit) -> Math.max(-maxSavedS * shareEach, credit - work));
   }
 
   /**
-   * What a group is owed: the part of all room, times seconds; below 0 if it had more than its
-   * part.
+   * Returns the credit of a group, in capacity share times seconds; negative if it received more
+   * than its share.
    */
-  double of(K key) {
+  double credit(K key) {
     return credits.getOrDefault(key, 0.0);
   }
 }
--- a/src/main/java/org/quincecross/overload/JobRanking.java
+++ b/src/main/java/org/quincecross/overload/JobRanking.java
@@ -1,25 +1,25 @@
 package org.quincecross.overload;
 
 /**
- * Where a job stands in the order.
+ * The position of a job in the admission order.
  *
- * @param standing whether it is served in time, after all that is, or now for once before others
- * @param dueS seconds until the goal that it is served for; of what is set aside, less the longer
- *     it has waited
- * @param order less is earlier, among those of the same priority and standing
- * @param turn how many of its tasks have their turn now
+ * @param standing whether the job can be served in time or is deferred
+ * @param dueS seconds until the deadline that it is served for; for a deferred job negative, and
+ *     lower the longer it has waited
+ * @param order sort key among jobs of the same priority and standing, lowest first
+ * @param turn number of tasks that are admitted ahead of the order now
  */
 public record JobRanking(Standing standing, double dueS, double order, int turn) {
-  /** What becomes of a job in the order of admission. */
+  /** How the job is treated in the admission order. */
   public enum Standing {
     IN_TIME,
     SET_ASIDE
   }
 
-  private static final double LATE = 1e6;
+  private static final double LATE_OFFSET_S = 1e6;
 
-  /** The order of due times: the soonest first, and what is late after all that is not. */
+  /** Sort key by due time: soonest first, late jobs after all others. */
   public static double byDue(double dueS) {
-    return dueS < 0 ? LATE + dueS : dueS;
+    return dueS < 0 ? LATE_OFFSET_S + dueS : dueS;
   }
 }
--- a/src/main/java/org/quincecross/overload/Overload.java
+++ b/src/main/java/org/quincecross/overload/Overload.java
@@ -14,156 +14,161 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Notices that more work is to be done than can be done in time, and orders it then: as many jobs
- * as can be are served in time ({@link ResponseDeadline}), the rest is set aside but has its turns,
- * and every group of jobs gets a minimum part.
+ * Detects that more work is pending than can be served in time, and orders admission in that case:
+ * as many jobs as possible are served in time ({@link TardinessMinimizer}), the rest is deferred
+ * but still receives a share of capacity, and every group of jobs is guaranteed a minimum share.
  */
 public final class Overload {
-  /** The states, in the order in which they are gone through. */
+  /** The states, in the order in which they are passed through. */
   public enum State {
-    /** Everything fits. The order is that of due times. */
+    /** All work fits. Jobs are ordered by due time. */
     CALM,
     /**
-     * Something does not fit, since a moment ago: machines may be booting, or a burst be over at
-     * once.
+     * Some work has not fitted for a moment. Machines may be booting, or a burst may end at once.
      */
     STRAINED,
-    /** Something does not fit: jobs are set aside, and groups have their floors. */
+    /** Some work does not fit: jobs are deferred, and groups receive their minimum shares. */
     OVERLOADED,
-    /** Everything fits again, since a moment ago. The order is still that of an overload. */
+    /** All work has fitted again for a moment. The order of an overload still applies. */
     EASING
   }
 
-  private static final TimeSpan STRAIN = TimeSpan.ofSeconds(3);
-  private static final TimeSpan EASE = TimeSpan.ofSeconds(15);
+  private static final TimeSpan STRAIN_DELAY = TimeSpan.ofSeconds(3);
+  private static final TimeSpan EASE_DELAY = TimeSpan.ofSeconds(15);
 
-  /** For so long a group may save up its part. */
-  private static final double SAVED_S = 30;
+  /** For how many seconds a group may save up its share. */
+  private static final double MAX_SAVED_S = 30;
 
   /**
-   * A look so much later than the one before earns no more than this: nobody was owed anything
-   * while nobody led.
+   * Upper limit of the time credited for one step: while no leader ranked jobs, no credit accrued.
    */
-  private static final double LONGEST_STEP_S = 2;
+  private static final double MAX_STEP_S = 2;
 
   /**
-   * However little is given for a while, no less than this part of what is assumed can be: machines
-   * come back.
+   * Lower limit of the admission rate, as a share of the assumed one: after a lull in admissions,
+   * machines come back.
    */
-  private static final double LEAST_USED = 0.25;
+  private static final double MIN_USED_SHARE = 0.25;
 
-  /** However much comes, so much is left for what waits. */
-  private static final double LEAST_FOR_WAITING = 0.15;
+  /** Share of capacity that always remains for waiting work, however much arrives. */
+  private static final double MIN_WAITING_SHARE = 0.15;
 
-  /** A job that is met here for the first time at a greater age came under another leader. */
-  private static final double NEW_S = 5;
+  /**
+   * A job first seen at a greater age was submitted under another leader, so it does not count as
+   * an arrival.
+   */
+  private static final double NEW_JOB_MAX_AGE_S = 5;
 
-  private static final double WHOLE_FIRST = 1e9;
-  private static final String ASIDE = "set aside";
-  private static final Comparator<DemandClaim> OLDEST_FIRST =
-      Comparator.comparing(DemandClaim::accepted).thenComparing(DemandClaim::id);
+  private static final double GANG_FIRST_OFFSET = 1e9;
+  private static final String DEFERRED_GROUP = "set aside";
+  private static final Comparator<AdmissionCandidate> OLDEST_FIRST =
+      Comparator.comparing(AdmissionCandidate::accepted).thenComparing(AdmissionCandidate::id);
 
   private final Shares shares;
-  private final StartGuarantee beginnings;
-  private final FairShareCredits<DemandClaim.Group> floors;
-  private final FairShareCredits<String> turns;
-  private final ArrivalRate given = new ArrivalRate();
-  private final ArrivalRate arriving = new ArrivalRate();
-  private final Map<JobId, DemandClaim> known = new HashMap<>();
-  private final Set<JobId> aside = new HashSet<>();
+  private final StartGuarantee startGuarantee;
+  private final FairShareCredits<AdmissionCandidate.Group> floorCredits;
+  private final FairShareCredits<String> deferredCredits;
+  private final DecayingRate admitted = new DecayingRate();
+  private final DecayingRate arrivalRate = new DecayingRate();
+  private final Map<JobId, AdmissionCandidate> pendingById = new HashMap<>();
+  private final Set<JobId> deferred = new HashSet<>();
   private State state = State.CALM;
   private MonotonicTime since;
-  private MonotonicTime looked;
-  private double behindS;
+  private MonotonicTime rankedAt;
+  private double backlogS;
 
   public Overload(Shares shares) {
     this.shares = shares;
-    this.beginnings = new StartGuarantee(shares.beginS());
-    this.floors = new FairShareCredits<>(shares.floor(), SAVED_S);
-    this.turns = new FairShareCredits<>(shares.turns(), SAVED_S);
+    this.startGuarantee = new StartGuarantee(shares.startGuaranteeS());
+    this.floorCredits = new FairShareCredits<>(shares.floor(), MAX_SAVED_S);
+    this.deferredCredits = new FairShareCredits<>(shares.deferred(), MAX_SAVED_S);
   }
 
-  /** Who goes before all others because it has waited too long to begin, in whatever state. */
-  public StartGuarantee beginnings() {
-    return beginnings;
+  /** Returns the start guarantee, which applies in every state. */
+  public StartGuarantee startGuarantee() {
+    return startGuarantee;
   }
 
   public State state() {
     return state;
   }
 
-  /** Since when it is in this state; null before the first look. */
+  /** When the current state was entered; null before the first ranking. */
   public MonotonicTime since() {
     return since;
   }
 
   /**
-   * How much work gets its place in a second, as a part of all room for arrays: as seen of late,
-   * and as assumed before that.
+   * Returns the work admitted per second, as a share of all capacity for arrays: the observed rate,
+   * or the assumed one before that.
    */
   public double rate() {
-    return Math.max(LEAST_USED * shares.usable(), Math.min(1, given.rate(shares.usable())));
+    return Math.max(MIN_USED_SHARE * shares.usable(), Math.min(1, admitted.rate(shares.usable())));
   }
 
-  /** How much work comes in a second, as a part of all room for arrays. */
-  public double arriving() {
-    return arriving.rate(0);
+  /** Returns the work arriving per second, as a share of all capacity for arrays. */
+  public double arrivalRate() {
+    return arrivalRate.rate(0);
   }
 
   /**
-   * What is left in a second for what waits: without what will come and be due sooner, and without
-   * the turns.
+   * Returns the capacity per second for work that waits: without work that will arrive and be due
+   * sooner, and without the share of deferred work.
    */
   private double rateForWaiting() {
-    double left = Math.max(LEAST_FOR_WAITING, 1 - shares.coming() * arriving() / rate());
-    return rate() * left * (isActive() ? 1 - shares.turns() : 1);
+    double left = Math.max(MIN_WAITING_SHARE, 1 - shares.earlierDue() * arrivalRate() / rate());
+    return rate() * left * (isActive() ? 1 - shares.deferred() : 1);
   }
 
-  /** Takes note of the jobs that are new. */
-  private void meet(Collection<DemandClaim> claims, double step) {
-    given.pass(step);
-    arriving.pass(step);
-    for (DemandClaim claim : claims) {
-      if (claim.divisible() && claim.ageS() < NEW_S && !known.containsKey(claim.id())) {
-        arriving.add(claim.work());
+  /** Records new jobs in the arrival rate. */
+  private void recordArrivals(Collection<AdmissionCandidate> pending, double elapsedS) {
+    admitted.advance(elapsedS);
+    arrivalRate.advance(elapsedS);
+    for (AdmissionCandidate job : pending) {
+      if (job.divisible() && job.ageS() < NEW_JOB_MAX_AGE_S && !pendingById.containsKey(job.id())) {
+        arrivalRate.add(job.work());
       }
     }
-    known.clear();
-    claims.forEach(claim -> known.put(claim.id(), claim));
+    pendingById.clear();
+    pending.forEach(job -> pendingById.put(job.id(), job));
   }
 
-  /** How many jobs were set aside when it last looked. */
-  public int setAside() {
-    return isActive() ? aside.size() : 0;
+  /** How many jobs were deferred by the last ranking. */
+  public int deferredJobs() {
+    return isActive() ? deferred.size() : 0;
   }
 
   /**
-   * In how many seconds all work that is to be done in time will have started, as of the last look.
+   * Seconds until all work that can be served in time will have started, as of the last ranking.
    */
-  public double behindS() {
-    return behindS;
+  public double backlogS() {
+    return backlogS;
   }
 
-  /** The one place where the state changes. */
-  private void enter(State next, MonotonicTime now) {
+  /** The only method that changes the state. */
+  private void setState(State next, MonotonicTime now) {
     if (next != state || since == null) {
       since = now;
     }
     state = next;
   }
 
-  private void notice(boolean fits, MonotonicTime now) {
-    TimeSpan stayed = since == null ? TimeSpan.ZERO : now.since(since);
+  private void updateState(boolean fits, MonotonicTime now) {
+    TimeSpan inState = since == null ? TimeSpan.ZERO : now.since(since);
     switch (state) {
-      case CALM -> enter(fits ? State.CALM : State.STRAINED, now);
+      case CALM -> setState(fits ? State.CALM : State.STRAINED, now);
       case STRAINED ->
-          enter(
-              fits ? State.CALM : stayed.isLongerThan(STRAIN) ? State.OVERLOADED : State.STRAINED,
+          setState(
+              fits
+                  ? State.CALM
+                  : inState.isLongerThan(STRAIN_DELAY) ? State.OVERLOADED : State.STRAINED,
               now);
-      case OVERLOADED -> enter(fits ? State.EASING : State.OVERLOADED, now);
+      case OVERLOADED -> setState(fits ? State.EASING : State.OVERLOADED, now);
       case EASING ->
-          enter(
-              !fits ? State.OVERLOADED : stayed.isLongerThan(EASE) ? State.CALM : State.EASING,
+          setState(
+              !fits
+                  ? State.OVERLOADED
+                  : inState.isLongerThan(EASE_DELAY) ? State.CALM : State.EASING,
               now);
       default -> throw new IllegalStateException(state.toString());
     }
@@ -173,131 +178,131 @@
     return state == State.OVERLOADED || state == State.EASING;
   }
 
-  /**
-   * Looks at all work that waits, other than what must start at once, and says of each job where it
-   * stands.
-   */
-  public Map<JobId, JobRanking> look(Collection<DemandClaim> claims, MonotonicTime now) {
-    double step = looked == null ? 0 : Math.min(LONGEST_STEP_S, now.since(looked).seconds());
-    looked = now;
-    meet(claims, step);
-    TardinessMinimizer inTime = new TardinessMinimizer(rateForWaiting());
-    equals(claims).forEach(inTime::take);
-    behindS = inTime.busyS();
-    notice(inTime.fits(), now);
+  /** Ranks all waiting work, except work that must start at once. */
+  public Map<JobId, JobRanking> rank(Collection<AdmissionCandidate> pending, MonotonicTime now) {
+    double elapsedS = rankedAt == null ? 0 : Math.min(MAX_STEP_S, now.since(rankedAt).seconds());
+    rankedAt = now;
+    recordArrivals(pending, elapsedS);
+    TardinessMinimizer schedule = new TardinessMinimizer(rateForWaiting());
+    byPriority(pending).forEach(schedule::add);
+    backlogS = schedule.backlogS();
+    updateState(schedule.fits(), now);
     if (state == State.CALM) {
-      given.forget(); // what nothing waits for says how much is asked for, not how much can be done
+      admitted
+          .reset(); // admissions without an overload reflect demand, not the rate that is possible
     }
-    aside.clear();
-    inTime.dropped().forEach(claim -> aside.add(claim.id()));
-    Map<JobId, Integer> turn = turns(claims, step);
-    Map<JobId, JobRanking> verdicts = new HashMap<>();
-    for (DemandClaim claim : claims) {
-      Double due = inTime.dueS(claim.id());
-      boolean isAside = isActive() && aside.contains(claim.id());
-      double dueS = due == null ? claim.dueS() : due;
-      verdicts.put(
-          claim.id(),
+    deferred.clear();
+    schedule.lateJobs().forEach(job -> deferred.add(job.id()));
+    Map<JobId, Integer> turns = deferredCredits(pending, elapsedS);
+    Map<JobId, JobRanking> rankings = new HashMap<>();
+    for (AdmissionCandidate job : pending) {
+      Double due = schedule.dueS(job.id());
+      boolean isDeferred = isActive() && deferred.contains(job.id());
+      double dueS = due == null ? job.dueS() : due;
+      rankings.put(
+          job.id(),
           new JobRanking(
-              isAside ? JobRanking.Standing.SET_ASIDE : JobRanking.Standing.IN_TIME,
+              isDeferred ? JobRanking.Standing.SET_ASIDE : JobRanking.Standing.IN_TIME,
               dueS,
-              order(claim, dueS),
-              turn.getOrDefault(claim.id(), 0)));
+              order(job, dueS),
+              turns.getOrDefault(job.id(), 0)));
     }
-    return verdicts;
+    return rankings;
   }
 
   /**
-   * Where a job stands among its equals. While all fits, by its due time. In an overload the least
-   * work first: whatever is foreseen is wrong by something, and in the order of due times one job
-   * that is late by a little has all after it late. What starts whole goes before what can be
-   * divided: it needs room that is seldom there.
+   * Sort key within a priority. Without an overload, by due time. In an overload, least work first:
+   * estimates are always off, and ordered by due time, one slightly late job would delay all jobs
+   * after it. Gangs go before divisible work, because they need contiguous room that is seldom
+   * free.
    */
-  private double order(DemandClaim claim, double dueS) {
+  private double order(AdmissionCandidate job, double dueS) {
     return !isActive()
         ? JobRanking.byDue(dueS)
-        : claim.divisible() ? claim.work() : JobRanking.byDue(dueS) - WHOLE_FIRST;
+        : job.divisible() ? job.work() : JobRanking.byDue(dueS) - GANG_FIRST_OFFSET;
   }
 
   /**
-   * The divisible claims by priority, the highest first: what stands in a higher one is served
-   * before all of a lower.
+   * The divisible jobs grouped by priority, highest first; a higher priority is served before all
+   * lower ones.
    */
-  private static Collection<List<DemandClaim>> equals(Collection<DemandClaim> claims) {
-    List<DemandClaim> order = new ArrayList<>(claims);
-    order.removeIf(claim -> !claim.divisible());
+  private static Collection<List<AdmissionCandidate>> byPriority(
+      Collection<AdmissionCandidate> pending) {
+    List<AdmissionCandidate> order = new ArrayList<>(pending);
+    order.removeIf(job -> !job.divisible());
     order.sort(
-        Comparator.comparing((DemandClaim claim) -> !claim.first())
-            .thenComparing(DemandClaim::priority, Comparator.reverseOrder()));
-    Map<String, List<DemandClaim>> equals = new LinkedHashMap<>();
+        Comparator.comparing((AdmissionCandidate job) -> !job.guaranteed())
+            .thenComparing(AdmissionCandidate::priority, Comparator.reverseOrder()));
+    Map<String, List<AdmissionCandidate>> groups = new LinkedHashMap<>();
     order.forEach(
-        claim ->
-            equals
-                .computeIfAbsent(claim.first() + " " + claim.priority(), key -> new ArrayList<>())
-                .add(claim));
-    return equals.values();
+        job ->
+            groups
+                .computeIfAbsent(job.guaranteed() + " " + job.priority(), key -> new ArrayList<>())
+                .add(job));
+    return groups.values();
   }
 
-  // ---- turns ----
+  // ---- shares of groups and of deferred work ----
 
   /**
-   * Says how many tasks of which jobs go before others for once: those of groups below their floor,
-   * and what was set aside.
+   * Returns how many tasks of each job are admitted ahead of the order: those of groups below their
+   * minimum share, and deferred work.
    */
-  private Map<JobId, Integer> turns(Collection<DemandClaim> claims, double step) {
-    List<DemandClaim> waiting = new ArrayList<>(claims);
-    waiting.removeIf(DemandClaim::first);
+  private Map<JobId, Integer> deferredCredits(
+      Collection<AdmissionCandidate> pending, double elapsedS) {
+    List<AdmissionCandidate> waiting = new ArrayList<>(pending);
+    waiting.removeIf(AdmissionCandidate::guaranteed);
     waiting.sort(OLDEST_FIRST);
-    Map<DemandClaim.Group, Double> groups = new HashMap<>();
-    Map<String, Double> asides = new HashMap<>();
-    for (DemandClaim claim : isActive() ? waiting : List.<DemandClaim>of()) {
-      groups.merge(claim.group(), claim.ageS(), Math::max);
-      if (aside.contains(claim.id())) {
-        asides.merge(ASIDE, claim.ageS(), Math::max);
+    Map<AdmissionCandidate.Group, Double> groupAges = new HashMap<>();
+    Map<String, Double> deferredAge = new HashMap<>();
+    for (AdmissionCandidate job : isActive() ? waiting : List.<AdmissionCandidate>of()) {
+      groupAges.merge(job.group(), job.ageS(), Math::max);
+      if (deferred.contains(job.id())) {
+        deferredAge.merge(DEFERRED_GROUP, job.ageS(), Math::max);
       }
     }
-    floors.earn(groups, step);
-    turns.earn(asides, step);
-    Map<JobId, Integer> turn = new HashMap<>();
-    Map<DemandClaim.Group, Double> owed = new HashMap<>();
-    groups.keySet().forEach(group -> owed.put(group, floors.of(group)));
-    double owedAside = turns.of(ASIDE);
-    for (DemandClaim claim : isActive() ? waiting : List.<DemandClaim>of()) {
-      double ofGroup = owed.get(claim.group());
-      double ofAside = aside.contains(claim.id()) ? owedAside : 0;
-      int tasks = tasksFor(claim, Math.max(ofGroup, ofAside));
+    floorCredits.earn(groupAges, elapsedS);
+    deferredCredits.earn(deferredAge, elapsedS);
+    Map<JobId, Integer> turns = new HashMap<>();
+    Map<AdmissionCandidate.Group, Double> groupCredits = new HashMap<>();
+    groupAges.keySet().forEach(group -> groupCredits.put(group, floorCredits.credit(group)));
+    double deferredCredit = deferredCredits.credit(DEFERRED_GROUP);
+    for (AdmissionCandidate job : isActive() ? waiting : List.<AdmissionCandidate>of()) {
+      double groupCredit = groupCredits.get(job.group());
+      double jobDeferredCredit = deferred.contains(job.id()) ? deferredCredit : 0;
+      int tasks = tasksFor(job, Math.max(groupCredit, jobDeferredCredit));
       if (tasks > 0) {
-        turn.put(claim.id(), tasks);
-        owed.put(claim.group(), ofGroup - tasks * claim.taskWork());
-        owedAside = ofAside > 0 ? ofAside - tasks * claim.taskWork() : owedAside;
+        turns.put(job.id(), tasks);
+        groupCredits.put(job.group(), groupCredit - tasks * job.taskWork());
+        deferredCredit =
+            jobDeferredCredit > 0 ? jobDeferredCredit - tasks * job.taskWork() : deferredCredit;
       }
     }
-    return turn;
+    return turns;
   }
 
-  /**
-   * Whoever is owed anything has at least one task's turn: what that is too much is paid back with
-   * time.
-   */
-  private static int tasksFor(DemandClaim claim, double owed) {
-    if (owed <= 0) {
+  /** Any positive credit admits at least one task; an overdraft is paid back over time. */
+  private static int tasksFor(AdmissionCandidate job, double credit) {
+    if (credit <= 0) {
       return 0;
     }
-    return claim.divisible()
-        ? (int) Math.min(claim.tasks(), Math.ceil(owed / claim.taskWork()))
-        : claim.tasks();
+    return job.divisible()
+        ? (int) Math.min(job.tasks(), Math.ceil(credit / job.taskWork()))
+        : job.tasks();
   }
 
-  /** Tasks of a job have left the pool: its group, and what was set aside, have had so much. */
-  public void given(JobId job, int tasks) {
-    DemandClaim claim = known.get(job);
-    if (claim != null && claim.divisible()) {
-      given.add(tasks * claim.taskWork());
+  /**
+   * Records that tasks of a job were admitted: charges its group, and the share of deferred work.
+   */
+  public void admitted(JobId job, int tasks) {
+    AdmissionCandidate pending = pendingById.get(job);
+    if (pending != null && pending.divisible()) {
+      admitted.add(tasks * pending.taskWork());
     }
-    if (claim != null && !claim.first()) {
-      floors.pay(claim.group(), tasks * claim.taskWork());
-      if (aside.contains(job)) {
-        turns.pay(ASIDE, tasks * claim.taskWork());
+    if (pending != null && !pending.guaranteed()) {
+      floorCredits.pay(pending.group(), tasks * pending.taskWork());
+      if (deferred.contains(job)) {
+        deferredCredits.pay(DEFERRED_GROUP, tasks * pending.taskWork());
       }
     }
   }
--- a/src/main/java/org/quincecross/overload/StartGuarantee.java
+++ b/src/main/java/org/quincecross/overload/StartGuarantee.java
@@ -10,32 +10,34 @@
 import org.quincecross.model.Revision;
 
 /**
- * Sees to it that every job begins within a bounded time, whatever the overload's state, its
- * priority and its size: what has not begun has the next room that becomes free, the oldest first.
- * It is a claim on free room, not a right to stop what runs.
+ * Guarantees that every job starts within a bounded time, in every overload state and for every
+ * priority and size: jobs that have not started take the next room that becomes free, oldest first.
+ * The guarantee claims free room; it never preempts running tasks.
  */
 public final class StartGuarantee {
-  /** How a job stands with regard to its beginning. */
+  /** How the guarantee applies to a job. */
   public enum State {
-    /** It may wait for its place in the order. */
+    /** It waits for its place in the normal order. */
     YOUNG,
-    /** It goes before others, as long as what is claimed so is a part of the room. */
+    /**
+     * It goes before others, as long as promoted jobs claim less than their share of the capacity.
+     */
     PROMOTED,
     /** It goes before others however much is claimed. */
     GUARANTEED,
-    /** As many of its tasks as a beginning takes have run. */
+    /** As many of its tasks have run as its start requires. */
     BEGUN
   }
 
   /**
-   * A job with tasks in the pool.
+   * A job with unallocated tasks.
    *
    * @param ageS seconds since it was submitted
-   * @param needed how many of its tasks make a beginning
+   * @param needed how many of its tasks must run for the job to count as started
    * @param ran how many run or are done
-   * @param given how many have been given to blocks, those that ran among them
-   * @param taskRoom what a task takes, as a part of the room of all machines
-   * @param whole whether they start together, so that room has to be gathered for them
+   * @param allocated how many are allocated to shards, including those that ran
+   * @param taskRoom capacity share of one task, of all machines
+   * @param whole whether its tasks start together, so that room has to be gathered for them
    */
   public record Waiting(
       JobId id,
@@ -43,18 +45,20 @@
       double ageS,
       int needed,
       int ran,
-      int given,
+      int allocated,
       double taskRoom,
       boolean whole) {}
 
-  /** What is promoted claims at most this part of the room at a time, but for the oldest. */
-  private static final double MOST_PROMOTED = 0.2;
+  /** Capacity share that promoted jobs may claim at a time; the oldest may exceed it. */
+  private static final double MAX_PROMOTED_SHARE = 0.2;
 
-  /** Before the guarantee, so that as much room as it takes has become free by then. */
-  private static final double PROMOTED_BEFORE_S = 50;
+  /**
+   * How long before the guarantee a job is promoted, so that enough room has become free by then.
+   */
+  private static final double PROMOTION_LEAD_S = 50;
 
-  /** However long what runs takes, nothing is promoted earlier than this before its guarantee. */
-  private static final double MOST_BEFORE_S = 120;
+  /** Upper limit of the promotion lead time, however long running tasks take. */
+  private static final double MAX_PROMOTION_LEAD_S = 120;
 
   private static final Comparator<Waiting> OLDEST_FIRST =
       Comparator.comparing(Waiting::accepted).thenComparing(Waiting::id);
@@ -63,36 +67,36 @@
   private final Map<JobId, State> states = new HashMap<>();
 
   /**
-   * @param guaranteedS the age in seconds from which a job goes before all others until it has
-   *     begun; 0: none ever does
+   * @param guaranteedS age in seconds from which a job goes before all others until it has started;
+   *     0 disables the guarantee
    */
   StartGuarantee(double guaranteedS) {
     this.guaranteedS = guaranteedS;
   }
 
-  /** Whether it does anything at all. */
-  public boolean isOn() {
+  /** Whether the guarantee is enabled. */
+  public boolean isEnabled() {
     return guaranteedS > 0;
   }
 
-  /** Whether nobody of this age could claim anything: such jobs need not be shown. */
+  /** Whether a job of this age is too young to be promoted; such jobs need not be evaluated. */
   public boolean isYoung(double ageS) {
-    return !isOn() || ageS < guaranteedS - Math.min(guaranteedS, MOST_BEFORE_S);
+    return !isEnabled() || ageS < guaranteedS - Math.min(guaranteedS, MAX_PROMOTION_LEAD_S);
   }
 
-  /** The state of a job as of the last look. */
+  /** Returns the state of a job as of the last evaluation. */
   public State of(JobId job) {
     return states.getOrDefault(job, State.YOUNG);
   }
 
-  /** The one function for every change of state. */
+  /** Returns the state after {@code state}. */
   static State next(
-      State state, boolean hasBegun, double ageS, double promotedS, double guaranteedS) {
+      State state, boolean hasStarted, double ageS, double promotedS, double guaranteedS) {
     return switch (state) {
-      case BEGUN -> State.BEGUN; // what it loses later is not its beginning
-      case GUARANTEED -> hasBegun ? State.BEGUN : State.GUARANTEED;
+      case BEGUN -> State.BEGUN; // losing tasks later does not undo the start
+      case GUARANTEED -> hasStarted ? State.BEGUN : State.GUARANTEED;
       case PROMOTED, YOUNG ->
-          hasBegun
+          hasStarted
               ? State.BEGUN
               : ageS >= guaranteedS
                   ? State.GUARANTEED
@@ -101,43 +105,43 @@
   }
 
   /**
-   * Looks at all jobs with tasks in the pool that are not young; others are forgotten.
+   * Evaluates all jobs with unallocated tasks that are not young; forgets all others.
    *
-   * @param emptyS how long it takes, in seconds, until most of what runs has ended: what starts
-   *     whole waits for that
+   * @param emptyS estimated seconds until most running tasks have ended; jobs that start as a whole
+   *     wait for that
    * @return how many tasks of which jobs go before all others now
    */
-  public Map<JobId, Integer> look(Collection<Waiting> waiting, double emptyS) {
-    Map<JobId, State> before = new HashMap<>(states);
+  public Map<JobId, Integer> evaluate(Collection<Waiting> waiting, double emptyS) {
+    Map<JobId, State> previous = new HashMap<>(states);
     states.clear();
     List<Waiting> claiming = new ArrayList<>();
-    for (Waiting each : waiting) {
-      double beforeS =
-          each.whole
-              ? Math.max(PROMOTED_BEFORE_S, Math.min(MOST_BEFORE_S, emptyS))
-              : PROMOTED_BEFORE_S;
+    for (Waiting job : waiting) {
+      double leadS =
+          job.whole
+              ? Math.max(PROMOTION_LEAD_S, Math.min(MAX_PROMOTION_LEAD_S, emptyS))
+              : PROMOTION_LEAD_S;
       State state =
           next(
-              before.getOrDefault(each.id, State.YOUNG),
-              each.ran >= each.needed,
-              each.ageS,
-              guaranteedS - Math.min(guaranteedS, beforeS),
+              previous.getOrDefault(job.id, State.YOUNG),
+              job.ran >= job.needed,
+              job.ageS,
+              guaranteedS - Math.min(guaranteedS, leadS),
               guaranteedS);
-      states.put(each.id, state);
-      if (isOn()
+      states.put(job.id, state);
+      if (isEnabled()
           && (state == State.PROMOTED || state == State.GUARANTEED)
-          && each.given < each.needed) {
-        claiming.add(each);
+          && job.allocated < job.needed) {
+        claiming.add(job);
       }
     }
     claiming.sort(OLDEST_FIRST);
     Map<JobId, Integer> claims = new HashMap<>();
     double claimed = 0;
-    for (Waiting each : claiming) {
-      int tasks = each.needed - each.given;
-      if (states.get(each.id) == State.GUARANTEED || claimed < MOST_PROMOTED) {
-        claims.put(each.id, tasks);
-        claimed += tasks * each.taskRoom;
+    for (Waiting job : claiming) {
+      int tasks = job.needed - job.allocated;
+      if (states.get(job.id) == State.GUARANTEED || claimed < MAX_PROMOTED_SHARE) {
+        claims.put(job.id, tasks);
+        claimed += tasks * job.taskRoom;
       }
     }
     return claims;
--- a/src/main/java/org/quincecross/overload/TardinessMinimizer.java
+++ b/src/main/java/org/quincecross/overload/TardinessMinimizer.java
@@ -9,97 +9,98 @@
 import org.quincecross.model.JobId;
 
 /**
- * Which jobs can still be served in time, so that as few as can be are late. J. M. Moore's rule, as
- * stated by Hodgson ("An n job, one machine sequencing algorithm for minimizing the number of late
- * jobs", Management Science 15, 1968): take the jobs by due time; whenever one would be late, leave
- * out the largest of those taken so far. Jobs of many tasks are divisible, so all machines together
- * are the rule's one machine. A job that is left out tries again with its next goal, if it has one;
- * if not, it is set aside.
+ * Selects the jobs that can be served in time, minimising the number of late jobs. Moore's
+ * algorithm in Hodgson's form ("An n job, one machine sequencing algorithm for minimizing the
+ * number of late jobs", Management Science 15, 1968): take jobs by due time, and whenever one would
+ * be late, drop the largest job taken so far. Jobs of many tasks are divisible, so all machines
+ * together count as the algorithm's single machine. A dropped job is tried again with its next
+ * deadline; without one it is late.
  */
 final class TardinessMinimizer {
-  /** A job with one of its goals. */
-  private record Attempt(DemandClaim claim, int goal, double startsInS) {}
+  /** A job scheduled for one of its deadlines. */
+  private record Attempt(AdmissionCandidate job, int deadlineIndex, double latestStartS) {}
 
   private static final Comparator<Attempt> BY_DUE =
-      Comparator.comparingDouble(Attempt::startsInS)
-          .thenComparing(each -> each.claim.accepted())
-          .thenComparing(each -> each.claim.id());
+      Comparator.comparingDouble(Attempt::latestStartS)
+          .thenComparing(each -> each.job.accepted())
+          .thenComparing(each -> each.job.id());
   private static final Comparator<Attempt> LARGEST_FIRST =
-      Comparator.comparingDouble((Attempt each) -> -each.claim.work())
+      Comparator.comparingDouble((Attempt each) -> -each.job.work())
           .thenComparing(BY_DUE.reversed());
 
   private final double rate;
   private final Map<JobId, Double> dueS = new HashMap<>();
-  private final List<DemandClaim> dropped = new ArrayList<>();
-  private double busyS;
+  private final List<AdmissionCandidate> lateJobs = new ArrayList<>();
+  private double backlogS;
   private boolean fits = true;
 
   /**
-   * @param rate how much work is done in a second, as a part of all room
+   * @param rate work done per second, as a share of all capacity
    */
   TardinessMinimizer(double rate) {
     this.rate = rate;
   }
 
-  /** Takes the jobs of one priority, after those of the priorities above it have been taken. */
-  void take(List<DemandClaim> claims) {
+  /** Adds the jobs of one priority, after those of all higher priorities. */
+  void add(List<AdmissionCandidate> jobs) {
     PriorityQueue<Attempt> toTry = new PriorityQueue<>(BY_DUE);
-    for (DemandClaim claim : claims) {
-      next(claim, -1, Double.NEGATIVE_INFINITY, toTry);
+    for (AdmissionCandidate job : jobs) {
+      scheduleNextDeadline(job, -1, Double.NEGATIVE_INFINITY, toTry);
     }
     PriorityQueue<Attempt> taken = new PriorityQueue<>(LARGEST_FIRST);
     while (!toTry.isEmpty()) {
       Attempt attempt = toTry.poll();
       taken.add(attempt);
-      dueS.put(attempt.claim.id(), attempt.claim.goals().get(attempt.goal).leftS());
-      busyS += attempt.claim.work() / rate;
-      while (busyS > attempt.startsInS && !taken.isEmpty()) {
+      dueS.put(attempt.job.id(), attempt.job.deadlines().get(attempt.deadlineIndex).remainingS());
+      backlogS += attempt.job.work() / rate;
+      while (backlogS > attempt.latestStartS && !taken.isEmpty()) {
         Attempt largest = taken.poll();
         fits = false;
-        busyS -= largest.claim.work() / rate;
-        dueS.remove(largest.claim.id());
-        next(largest.claim, largest.goal, attempt.startsInS, toTry);
+        backlogS -= largest.job.work() / rate;
+        dueS.remove(largest.job.id());
+        scheduleNextDeadline(largest.job, largest.deadlineIndex, attempt.latestStartS, toTry);
       }
     }
   }
 
-  /** Seconds until all work that is to be done in time has started. */
-  double busyS() {
-    return busyS;
+  /** Returns the seconds until all work that can be served in time has started. */
+  double backlogS() {
+    return backlogS;
   }
 
   /**
-   * Whether nothing is left out for want of room: what is late already, or asks for what nobody
-   * could do, does not count.
+   * Whether no job was dropped for lack of capacity. Jobs that are late already, or could not be
+   * served on an idle cluster either, do not count.
    */
   boolean fits() {
     return fits;
   }
 
   /**
-   * Has a job try its next goal that lies beyond what was tried last; one without any is set aside,
-   * unless nobody waits for it.
+   * Schedules a job for its next deadline after the one tried last. Without any it is late, unless
+   * it has no deadlines at all.
    */
-  private void next(DemandClaim claim, int goal, double beyondS, PriorityQueue<Attempt> toTry) {
-    for (int i = goal + 1; i < claim.goals().size(); i++) {
-      double startsIn = claim.startsIn(claim.goals().get(i));
-      if (startsIn > Math.max(0, beyondS)) {
-        toTry.add(new Attempt(claim, i, startsIn));
+  private void scheduleNextDeadline(
+      AdmissionCandidate job, int lastIndex, double afterS, PriorityQueue<Attempt> toTry) {
+    for (int i = lastIndex + 1; i < job.deadlines().size(); i++) {
+      double latestStartS = job.latestLastStartS(job.deadlines().get(i));
+      if (latestStartS > Math.max(0, afterS)) {
+        toTry.add(new Attempt(job, i, latestStartS));
         return;
       }
     }
-    if (!claim.goals().isEmpty()) {
-      dropped.add(claim);
+    if (!job.deadlines().isEmpty()) {
+      lateJobs.add(job);
     }
   }
 
-  /** Seconds until the goal that a job can be served for; null if it can be served for none. */
+  /** Returns the seconds until the deadline that a job is served for, or null if it meets none. */
   Double dueS(JobId job) {
     return dueS.get(job);
   }
 
-  /** The jobs that have goals and can meet none of them. */
-  List<DemandClaim> dropped() {
-    return dropped;
+  /** Returns the jobs with deadlines that meet none of them. */
+  List<AdmissionCandidate> lateJobs() {
+    return lateJobs;
   }
 }
--- a/src/main/java/org/quincecross/overload/package-info.java
+++ b/src/main/java/org/quincecross/overload/package-info.java
@@ -1,5 +1,6 @@
 /**
- * More work than can be done in time: when that is so, which work is set aside, and what everybody
- * gets all the same. Pure: no I/O, no clock. See docs/design/overload.md.
+ * Overload handling: detects that more work is pending than can be done in time, chooses what is
+ * deferred, and guarantees minimum shares and start times. Pure: no I/O, no clock. See
+ * docs/design/overload.md.
  */
 package org.quincecross.overload;
--- a/src/main/java/org/quincecross/peer/ModelPlacementView.java
+++ b/src/main/java/org/quincecross/peer/ModelPlacementView.java
@@ -13,7 +13,7 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
 import org.quincecross.modelserving.Model;
-import org.quincecross.modelserving.Weights;
+import org.quincecross.modelserving.ReplicaPlacer;
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.ModelIndex;
@@ -77,9 +77,10 @@
    * @param notYet jobs assigned to machines and not reported there yet: they take capacity and, if
    *     their weights are absent, a turn to pull
    */
-  public List<Weights.Candidate> candidates(Map<MachineId, List<Job>> notYet, MonotonicTime now) {
+  public List<ReplicaPlacer.Candidate> candidates(
+      Map<MachineId, List<Job>> notYet, MonotonicTime now) {
     Map<String, Double> sizes = sizes();
-    List<Weights.Candidate> candidates = new ArrayList<>();
+    List<ReplicaPlacer.Candidate> candidates = new ArrayList<>();
     for (ShardLease lease : cache.shards().values()) {
       MachineType type = cache.machineTypes().get(lease.type());
       PeerViews.ShardView shardView = type == null ? null : block(lease, now);
@@ -117,7 +118,7 @@
     return sizes;
   }
 
-  private static Weights.Candidate candidate(
+  private static ReplicaPlacer.Candidate candidate(
       ShardLease lease,
       MachineType type,
       PeerHeartbeat.MachineState state,
@@ -136,7 +137,7 @@
         .filter(sizes::containsKey)
         .forEach(image -> weights.put(image, sizes.get(image)));
     Resources free = state.free().minus(taken);
-    return new Weights.Candidate(
+    return new ReplicaPlacer.Candidate(
         state.id(),
         lease.id().text(),
         lease.type(),
@@ -153,8 +154,8 @@
 
   /** The time until a model that is not up, or has no machine yet, could serve. */
   public Estimate estimate(Job job, MonotonicTime now) {
-    List<Weights.Choice> choices =
-        Weights.choose(job, 1, Map.of(), Set.of(), candidates(Map.of(), now), Set.of());
+    List<ReplicaPlacer.Assignment> choices =
+        ReplicaPlacer.choose(job, 1, Map.of(), Set.of(), candidates(Map.of(), now), Set.of());
     if (!choices.isEmpty()) {
       double readyS = choices.get(0).readyS();
       return new Estimate(MIN_START_S + readyS, 3 * MIN_START_S + PULL_SLOWDOWN * readyS);
@@ -183,11 +184,11 @@
    * from the beginning of the start.
    */
   public Estimate estimate(Job job, Model model, double elapsedS, MonotonicTime now) {
-    if (model.places().isEmpty()) {
+    if (model.placements().isEmpty()) {
       return estimate(job, now);
     }
     double rate = 0;
-    for (Model.Place place : model.places().values()) {
+    for (Model.Placement place : model.placements().values()) {
       ShardLease lease = cache.shardOf(place.machine());
       MachineType type = lease == null ? null : cache.machineTypes().get(lease.type());
       rate = type == null ? rate : Math.max(rate, type.pullGbPerSecond());
--- a/src/main/java/org/quincecross/peer/ModelStatusReport.java
+++ b/src/main/java/org/quincecross/peer/ModelStatusReport.java
@@ -12,7 +12,7 @@
 import org.msgpack.core.MessageUnpacker;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TimeSpan;
-import org.quincecross.modelserving.DemandSum;
+import org.quincecross.modelserving.ClusterDemand;
 
 /**
  * A controller's report on models, a section of its peer reports that is sent whole each time.
@@ -22,7 +22,7 @@
  * @param running the replicas that run in its shards
  */
 public record ModelStatusReport(
-    TimeSpan since, Map<String, DemandSum.Told> demand, Set<TaskId> running) {
+    TimeSpan since, Map<String, ClusterDemand.ModelReport> demand, Set<TaskId> running) {
   public static final String SECTION = "models";
   private static final int MAX_ITEMS = 100_000;
 
@@ -31,10 +31,10 @@
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packLong(since.nanos());
       out.packMapHeader(demand.size());
-      for (Map.Entry<String, DemandSum.Told> each : demand.entrySet()) {
+      for (Map.Entry<String, ClusterDemand.ModelReport> each : demand.entrySet()) {
         out.packString(each.getKey());
         out.packInt(each.getValue().inFlight());
-        out.packLong(each.getValue().quiet().nanos());
+        out.packLong(each.getValue().idleTime().nanos());
       }
       out.packArrayHeader(running.size());
       for (TaskId task : running) {
@@ -50,10 +50,11 @@
   public static ModelStatusReport read(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       TimeSpan since = new TimeSpan(in.unpackLong());
-      Map<String, DemandSum.Told> demand = new HashMap<>();
+      Map<String, ClusterDemand.ModelReport> demand = new HashMap<>();
       for (int i = Math.min(MAX_ITEMS, in.unpackMapHeader()); i > 0; i--) {
         demand.put(
-            in.unpackString(), new DemandSum.Told(in.unpackInt(), new TimeSpan(in.unpackLong())));
+            in.unpackString(),
+            new ClusterDemand.ModelReport(in.unpackInt(), new TimeSpan(in.unpackLong())));
       }
       Set<TaskId> running = new HashSet<>();
       for (int i = Math.min(MAX_ITEMS, in.unpackArrayHeader()); i > 0; i--) {
--- a/src/main/java/org/quincecross/progress/ProgressWatch.java
+++ b/src/main/java/org/quincecross/progress/ProgressWatch.java
@@ -12,58 +12,57 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Remembers when each open job last made progress. Progress is a completed task; of a service, that
- * all replicas run. A task that is started again and again and never completes is none, so work
- * that fails wherever it is tried shows here as well as work that nobody works on.
+ * Tracks when each open job last made progress. For a job progress is a completed task; for a
+ * service, that all replicas run. A task that is started repeatedly and never completes is no
+ * progress, so this also detects work that fails wherever it is tried.
  */
 public final class ProgressWatch {
   /**
-   * Estimates are often wrong by half, machines may be slow, and a task may be stopped once for
-   * more urgent work.
+   * Multiple of the estimate that is allowed: estimates are often off by half, machines may be
+   * slow, and a task may be preempted once.
    */
-  private static final double EXPLAINED = 3;
+  private static final double ESTIMATE_FACTOR = 3;
 
-  /** What fetches, renting and a change of holder take on top. */
+  /** Additional time allowed for image fetches, scale-out and a change of shard owner. */
   private static final TimeSpan SLACK = TimeSpan.ofSeconds(60);
 
   /**
-   * An open job as it is now.
+   * The current status of an open job.
    *
    * @param service whether its tasks run until it is cancelled
-   * @param estimate of the run time of a task
-   * @param tasks how many it has; {@code done}, {@code running}: how many of them are done and run
+   * @param estimate estimated run time of a task
+   * @param tasks how many it has; {@code done}, {@code running}: how many of them are done or
+   *     running
    */
-  public record Standing(
+  public record JobStatus(
       JobId job, boolean service, TimeSpan estimate, int tasks, int done, int running) {
-    boolean isWhole() {
+    boolean allReplicasRun() {
       return service && running >= tasks;
     }
   }
 
-  /** A job without progress since {@code since}, which its estimate does not explain. */
+  /** A job without progress since {@code since}, for longer than its estimate explains. */
   public record Stall(JobId job, MonotonicTime since) {}
 
-  private record Mark(int done, MonotonicTime at) {}
+  private record Progress(int done, MonotonicTime at) {}
 
-  private final Map<JobId, Mark> marks = new HashMap<>();
+  private final Map<JobId, Progress> lastProgress = new HashMap<>();
 
-  /**
-   * Takes note of all open jobs that are to be watched; returns those that have stalled, the
-   * longest first.
-   */
-  public List<Stall> look(Collection<Standing> jobs, MonotonicTime now) {
+  /** Updates all open jobs to be watched; returns the stalled ones, longest first. */
+  public List<Stall> update(Collection<JobStatus> jobs, MonotonicTime now) {
     Set<JobId> seen = new HashSet<>();
     List<Stall> stalls = new ArrayList<>();
-    for (Standing job : jobs) {
+    for (JobStatus job : jobs) {
       seen.add(job.job());
-      Mark before = marks.get(job.job());
-      if (before == null || job.done() > before.done() || job.isWhole()) {
-        marks.put(job.job(), new Mark(job.done(), now));
-      } else if (now.since(before.at()).isLongerThan(job.estimate().times(EXPLAINED).plus(SLACK))) {
+      Progress before = lastProgress.get(job.job());
+      if (before == null || job.done() > before.done() || job.allReplicasRun()) {
+        lastProgress.put(job.job(), new Progress(job.done(), now));
+      } else if (now.since(before.at())
+          .isLongerThan(job.estimate().times(ESTIMATE_FACTOR).plus(SLACK))) {
         stalls.add(new Stall(job.job(), before.at()));
       }
     }
-    marks.keySet().retainAll(seen);
+    lastProgress.keySet().retainAll(seen);
     stalls.sort((one, other) -> one.since().compareTo(other.since()));
     return stalls;
   }
--- a/src/main/java/org/quincecross/progress/package-info.java
+++ b/src/main/java/org/quincecross/progress/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which jobs make no progress for longer than their owners' estimates explain. Pure: no I/O, no
+ * Detection of jobs without progress for longer than their estimates explain. Pure: no I/O, no
  * clock.
  */
 package org.quincecross.progress;
--- a/src/main/java/org/quincecross/protocol/Features.java
+++ b/src/main/java/org/quincecross/protocol/Features.java
@@ -59,15 +59,17 @@
     Shares shares =
         new Shares(
             share(in, "usable", Shares.DEFAULTS.usable()),
-            share(in, "coming", Shares.DEFAULTS.coming()),
+            share(in, "coming", Shares.DEFAULTS.earlierDue()),
             share(in, "floor", Shares.DEFAULTS.floor()),
-            share(in, "turns", Shares.DEFAULTS.turns()),
-            in.has("begin_s") ? in.nonNegativeNumber("begin_s") : Shares.DEFAULTS.beginS());
-    if (shares.beginS() > Shares.MOST_BEGIN_S) {
+            share(in, "turns", Shares.DEFAULTS.deferred()),
+            in.has("begin_s")
+                ? in.nonNegativeNumber("begin_s")
+                : Shares.DEFAULTS.startGuaranteeS());
+    if (shares.startGuaranteeS() > Shares.MAX_START_GUARANTEE_S) {
       throw new MalformedMessageException(
-          "field begin_s of overload is more than " + (int) Shares.MOST_BEGIN_S);
+          "field begin_s of overload is more than " + (int) Shares.MAX_START_GUARANTEE_S);
     }
-    if (shares.usable() == 0 || shares.floor() + shares.turns() > 0.5) {
+    if (shares.usable() == 0 || shares.floor() + shares.deferred() > 0.5) {
       throw new MalformedMessageException(
           "overload: usable is to be above 0, and floor and turns together at most 0.5");
     }
--- a/src/main/java/org/quincecross/quarantine/package-info.java
+++ b/src/main/java/org/quincecross/quarantine/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Failures told apart by where they happen: machines that fail every task, and jobs that fail on
- * every machine. Pure.
+ * Attribution of failures: machines that fail every task, and jobs that fail on every machine.
+ * Pure: no I/O, no clock.
  */
 package org.quincecross.quarantine;
--- a/src/main/java/org/quincecross/reservation/RequestCommand.java
+++ b/src/main/java/org/quincecross/reservation/RequestCommand.java
@@ -2,23 +2,23 @@
 
 import java.util.Map;
 
-/** What is asked of a request. */
+/** Commands on a request. */
 public sealed interface RequestCommand {
   /**
-   * It has arrived; {@code figures} in the state {@link Request.State#ARRIVED}, recorded at no time
-   * yet.
+   * Records a request; {@code request} is in the state {@link DeadlineRequest.State#ARRIVED}
+   * without a time of recording.
    */
-  record Arrive(Request figures) implements RequestCommand {}
+  record Arrive(DeadlineRequest request) implements RequestCommand {}
 
-  /** Its answer was delivered; {@code deliveredMs} -1: just now. */
+  /** The answer was delivered; {@code deliveredMs} is -1 for now. */
   record Answer(long deliveredMs) implements RequestCommand {}
 
-  /** Nobody wants an answer any more. */
-  record Withdraw(String why) implements RequestCommand {}
+  /** The answer is no longer wanted. */
+  record Withdraw(String reason) implements RequestCommand {}
 
-  /** Of the leader alone: room is kept for it from now on, so many tasks in each zone. */
-  record Place(Map<String, Integer> zones) implements RequestCommand {}
+  /** Leader command: capacity is reserved for so many tasks in each zone. */
+  record Reserve(Map<String, Integer> zones) implements RequestCommand {}
 
-  /** Of the leader alone: it has no room any more. */
-  record Lose(String why) implements RequestCommand {}
+  /** Leader command: the reservation is lost. */
+  record LoseReservation(String reason) implements RequestCommand {}
 }
