--- a/src/main/java/org/quincecross/reservation/RequestKind.java
+++ b/src/main/java/org/quincecross/reservation/RequestKind.java
@@ -17,22 +17,22 @@
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.Transition;
 
-/** Requests as records that all controllers follow. */
-public final class RequestKind implements RecordKind<Request, RequestCommand> {
+/** The replicated record kind of deadline requests. */
+public final class RequestKind implements RecordKind<DeadlineRequest, RequestCommand> {
   public static final String NAME = "requests";
 
-  /** The most tasks that one request may ask room for. */
-  public static final int MOST_TASKS = 1000;
+  /** Upper limit of tasks per request. */
+  public static final int MAX_TASKS = 1000;
 
-  private static final int MOST_ZONES = 16;
-  private static final int MOST_WORD = 60;
-  private static final int MOST_WHY = 200;
-  private static final double MOST_EACH = 100_000;
+  private static final int MAX_ZONES = 16;
+  private static final int MAX_NAME_LENGTH = 60;
+  private static final int MAX_REASON_LENGTH = 200;
+  private static final double MAX_RESOURCE_AMOUNT = 100_000;
 
-  /** Until the year 9999. */
-  private static final long MOST_MS = 253_402_300_799_000L;
+  /** The end of year 9999. */
+  private static final long MAX_TIME_MS = 253_402_300_799_000L;
 
-  private static final Set<String> ARRIVE =
+  private static final Set<String> ARRIVE_FIELDS =
       Set.of(
           "do",
           "kind",
@@ -46,16 +46,16 @@
           "memory_gb",
           "zones");
 
-  private final Function<String, String> outlook;
+  private final Function<String, String> unreservedReason;
   private final long warnMs;
 
   /**
-   * @param outlook why an open request has no room as things are, by its reference; empty where
-   *     room is about to be reserved
-   * @param warnMs due soon: so long before, in milliseconds
+   * @param unreservedReason returns why an open request has no reservation now, by its reference;
+   *     empty if one is about to be made
+   * @param warnMs a request is due soon this long before its due time, in milliseconds
    */
-  public RequestKind(Function<String, String> outlook, long warnMs) {
-    this.outlook = outlook;
+  public RequestKind(Function<String, String> unreservedReason, long warnMs) {
+    this.unreservedReason = unreservedReason;
     this.warnMs = warnMs;
   }
 
@@ -65,18 +65,19 @@
   }
 
   @Override
-  public Request initial() {
-    return Request.NONE;
+  public DeadlineRequest initial() {
+    return DeadlineRequest.NONE;
   }
 
-  // ---- the one function that changes a request ----
+  // ---- transitions ----
 
   @Override
-  public Transition<Request> step(Request state, RequestCommand command, CommandOrigin at) {
+  public Transition<DeadlineRequest> step(
+      DeadlineRequest state, RequestCommand command, CommandOrigin at) {
     if (command instanceof RequestCommand.Arrive arrive) {
-      return arrive(state, arrive.figures(), at);
+      return arrive(state, arrive.request(), at);
     }
-    if (state.state() == Request.State.NONE) {
+    if (state.state() == DeadlineRequest.State.NONE) {
       return new Transition.Refused<>(404, "no such request has arrived");
     }
     if (command instanceof RequestCommand.Answer answer) {
@@ -87,75 +88,83 @@
         case WITHDRAWN -> new Transition.Same<>("withdrawn already");
         case ANSWERED ->
             new Transition.Refused<>(
-                409, "its answer was delivered already, at " + state.overMs() + " ms");
+                409, "its answer was delivered already, at " + state.closedMs() + " ms");
         default ->
             changed(
-                state.over(Request.State.WITHDRAWN, at.timeOfDayMs(), at.clockBoundMs()),
+                state.close(DeadlineRequest.State.WITHDRAWN, at.timeOfDayMs(), at.clockBoundMs()),
                 "withdrawn",
                 "why",
-                withdraw.why(),
+                withdraw.reason(),
                 "gave_back",
-                state.reserved());
+                state.reservedTasks());
       };
     }
     if (!state.state().isOpen()) {
-      return new Transition.Same<>("it is over"); // what the leader decided before it knew
+      return new Transition.Same<>(
+          "it is over"); // the leader's decision was based on an older state
     }
-    if (command instanceof RequestCommand.Place place) {
-      int tasks = place.zones().values().stream().mapToInt(Integer::intValue).sum();
+    if (command instanceof RequestCommand.Reserve reserve) {
+      int tasks = reserve.zones().values().stream().mapToInt(Integer::intValue).sum();
       if (tasks != state.need().tasks()
-          || !place.zones().keySet().stream().allMatch(state.need()::allows)) {
+          || !reserve.zones().keySet().stream().allMatch(state.need()::allows)) {
         return new Transition.Refused<>(409, "that is not the room that it needs");
       }
-      return state.state() == Request.State.RESERVED && state.zones().equals(place.zones())
+      return state.state() == DeadlineRequest.State.RESERVED
+              && state.zones().equals(reserve.zones())
           ? new Transition.Same<>("reserved there already")
           : changed(
-              state.reserved(place.zones()), "reserved", "zones", new TreeMap<>(place.zones()));
+              state.reservedTasks(reserve.zones()),
+              "reserved",
+              "zones",
+              new TreeMap<>(reserve.zones()));
     }
-    String why = ((RequestCommand.Lose) command).why();
-    return state.state() == Request.State.ARRIVED
+    String reason = ((RequestCommand.LoseReservation) command).reason();
+    return state.state() == DeadlineRequest.State.ARRIVED
         ? new Transition.Same<>("it has no room")
-        : changed(state.withoutRoom(why), "without_room", "why", why, "had", state.zones());
+        : changed(
+            state.withLostReservation(reason), "without_room", "why", reason, "had", state.zones());
   }
 
-  private static Transition<Request> arrive(Request state, Request figures, CommandOrigin at) {
-    if (state.state() != Request.State.NONE) {
-      List<String> differences = state.differences(figures);
+  private static Transition<DeadlineRequest> arrive(
+      DeadlineRequest state, DeadlineRequest arrived, CommandOrigin at) {
+    if (state.state() != DeadlineRequest.State.NONE) {
+      List<String> differences = state.differences(arrived);
       return differences.isEmpty()
           ? new Transition.Same<>("known already")
           : new Transition.Refused<>(
               409, "the request is known with other figures: " + String.join("; ", differences));
     }
-    if (figures.arrivedMs() > at.latestMs()) {
+    if (arrived.arrivedMs() > at.latestMs()) {
       return new Transition.Refused<>(
           422, "arrived_ms is in the future: it is " + at.timeOfDayMs() + " ms here");
     }
-    Request known =
-        new Request(
+    DeadlineRequest known =
+        new DeadlineRequest(
             "",
-            figures.kind(),
-            figures.arrivedMs(),
-            figures.dueMs(),
-            figures.need(),
+            arrived.kind(),
+            arrived.arrivedMs(),
+            arrived.dueMs(),
+            arrived.need(),
             at.timeOfDayMs(),
-            Request.State.ARRIVED,
+            DeadlineRequest.State.ARRIVED,
             Map.of(),
             "",
             0,
             0);
-    return changed(known, "arrived", "kind", figures.kind(), "due_ms", figures.dueMs());
+    return changed(known, "arrived", "kind", arrived.kind(), "due_ms", arrived.dueMs());
   }
 
-  private static Transition<Request> answer(Request state, long deliveredMs, CommandOrigin at) {
+  private static Transition<DeadlineRequest> answer(
+      DeadlineRequest state, long deliveredMs, CommandOrigin at) {
     switch (state.state()) {
       case ANSWERED -> {
-        return deliveredMs < 0 || deliveredMs == state.overMs()
+        return deliveredMs < 0 || deliveredMs == state.closedMs()
             ? new Transition.Same<>("delivered already")
             : new Transition.Refused<>(
-                409, "its answer was delivered at " + state.overMs() + " ms, not " + deliveredMs);
+                409, "its answer was delivered at " + state.closedMs() + " ms, not " + deliveredMs);
       }
       case WITHDRAWN -> {
-        return new Transition.Refused<>(409, "it was withdrawn at " + state.overMs() + " ms");
+        return new Transition.Refused<>(409, "it was withdrawn at " + state.closedMs() + " ms");
       }
       default -> {
         if (deliveredMs > at.latestMs()) {
@@ -166,16 +175,18 @@
           return new Transition.Refused<>(
               422, "delivered_ms is before the request arrived, at " + state.arrivedMs() + " ms");
         }
-        Request next =
+        DeadlineRequest next =
             deliveredMs < 0
-                ? state.over(Request.State.ANSWERED, at.timeOfDayMs(), at.clockBoundMs())
-                : state.over(Request.State.ANSWERED, deliveredMs, 0);
-        return changed(next, "answered", "at_ms", next.overMs(), "gave_back", state.reserved());
+                ? state.close(DeadlineRequest.State.ANSWERED, at.timeOfDayMs(), at.clockBoundMs())
+                : state.close(DeadlineRequest.State.ANSWERED, deliveredMs, 0);
+        return changed(
+            next, "answered", "at_ms", next.closedMs(), "gave_back", state.reservedTasks());
       }
     }
   }
 
-  private static Transition<Request> changed(Request next, String event, Object... details) {
+  private static Transition<DeadlineRequest> changed(
+      DeadlineRequest next, String event, Object... details) {
     Map<String, Object> map = new LinkedHashMap<>();
     for (int i = 0; i < details.length; i += 2) {
       map.put((String) details[i], details[i + 1]);
@@ -183,75 +194,78 @@
     return new Transition.Changed<>(next, List.of(new AuditEvent(event, map)));
   }
 
-  /** What was planned while the room was anybody's would give it away: from here on it fails. */
+  /**
+   * Allocations planned before the reservation would give the capacity away; from here on they
+   * fail.
+   */
   @Override
-  public boolean startsWithholding(Request before, Request next) {
-    return next.state() == Request.State.RESERVED && !next.zones().equals(before.zones());
+  public boolean startsWithholding(DeadlineRequest before, DeadlineRequest next) {
+    return next.state() == DeadlineRequest.State.RESERVED && !next.zones().equals(before.zones());
   }
 
-  // ---- as records, commands and rows ----
+  // ---- formats ----
 
   @Override
-  public Map<String, Object> write(Request state) {
+  public Map<String, Object> write(DeadlineRequest state) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("state", state.state().name().toLowerCase(Locale.ROOT));
     out.put("kind", state.kind());
     out.put("arrived_ms", state.arrivedMs());
     out.put("due_ms", state.dueMs());
-    out.put("lane", state.need().lane());
+    out.put("lane", state.need().jobClass());
     out.put("team", state.need().team());
     out.put("tasks", state.need().tasks());
-    out.put("cpus", state.need().each().cpus());
-    out.put("gpus", state.need().each().gpus());
-    out.put("memory_gb", state.need().each().memoryGb());
+    out.put("cpus", state.need().resourcesPerTask().cpus());
+    out.put("gpus", state.need().resourcesPerTask().gpus());
+    out.put("memory_gb", state.need().resourcesPerTask().memoryGb());
     out.put("zones", state.need().zones().stream().sorted().toList());
     out.put("recorded_ms", state.recordedMs());
     if (!state.zones().isEmpty()) {
       out.put("reserved", state.zones());
     }
-    if (!state.without().isEmpty()) {
-      out.put("without", state.without());
+    if (!state.lostReason().isEmpty()) {
+      out.put("without", state.lostReason());
     }
-    if (state.overMs() > 0) {
-      out.put("over_ms", state.overMs());
-      out.put("over_bound_ms", state.overBoundMs());
+    if (state.closedMs() > 0) {
+      out.put("over_ms", state.closedMs());
+      out.put("over_bound_ms", state.closedClockBoundMs());
     }
     return out;
   }
 
   @Override
-  public Request read(Map<String, Object> value) throws MalformedRecordException {
+  public DeadlineRequest read(Map<String, Object> value) throws MalformedRecordException {
     RecordFields in = RecordFields.of(value, "a request");
     Map<String, Integer> zones = new TreeMap<>();
     if (in.has("reserved")) {
       RecordFields reserved = in.body("reserved");
       for (String zone : reserved.all().keySet()) {
-        zones.put(zone, (int) reserved.integer(zone, 1, MOST_TASKS));
+        zones.put(zone, (int) reserved.integer(zone, 1, MAX_TASKS));
       }
     }
-    return new Request(
+    return new DeadlineRequest(
         "",
         in.text("kind"),
-        in.integer("arrived_ms", 0, MOST_MS),
-        in.integer("due_ms", 0, MOST_MS),
+        in.integer("arrived_ms", 0, MAX_TIME_MS),
+        in.integer("due_ms", 0, MAX_TIME_MS),
         need(in),
-        in.integer("recorded_ms", 0, MOST_MS),
-        in.word("state", Request.State.class),
+        in.integer("recorded_ms", 0, MAX_TIME_MS),
+        in.word("state", DeadlineRequest.State.class),
         zones,
         in.textOr("without", ""),
-        in.integerOr("over_ms", 0, MOST_MS, 0),
-        in.integerOr("over_bound_ms", 0, MOST_MS, 0));
+        in.integerOr("over_ms", 0, MAX_TIME_MS, 0),
+        in.integerOr("over_bound_ms", 0, MAX_TIME_MS, 0));
   }
 
-  private static Need need(RecordFields in) throws MalformedRecordException {
-    return new Need(
+  private static CapacityNeed need(RecordFields in) throws MalformedRecordException {
+    return new CapacityNeed(
         in.text("lane"),
         in.text("team"),
-        (int) in.integer("tasks", 0, MOST_TASKS),
+        (int) in.integer("tasks", 0, MAX_TASKS),
         new Resources(
-            in.amount("cpus", 0, MOST_EACH),
-            in.has("gpus") ? in.amount("gpus", 0, MOST_EACH) : 0,
-            in.amount("memory_gb", 0, MOST_EACH)),
+            in.amount("cpus", 0, MAX_RESOURCE_AMOUNT),
+            in.has("gpus") ? in.amount("gpus", 0, MAX_RESOURCE_AMOUNT) : 0,
+            in.amount("memory_gb", 0, MAX_RESOURCE_AMOUNT)),
         Set.copyOf(in.texts("zones")));
   }
 
@@ -260,35 +274,37 @@
     RecordFields in = RecordFields.of(body, "the command");
     switch (in.text("do")) {
       case "arrive" -> {
-        in.only(ARRIVE);
-        Need need = need(in);
-        if (need.tasks() < 1 || need.each().cpus() <= 0) {
+        in.only(ARRIVE_FIELDS);
+        CapacityNeed need = need(in);
+        if (need.tasks() < 1 || need.resourcesPerTask().cpus() <= 0) {
           throw new MalformedRecordException("tasks and cpus of the command are to be above 0");
         }
-        if (need.zones().size() > MOST_ZONES) {
+        if (need.zones().size() > MAX_ZONES) {
           throw new MalformedRecordException(
-              "field zones of the command names more than " + MOST_ZONES);
+              "field zones of the command names more than " + MAX_ZONES);
         }
-        for (String word : List.of(in.text("kind"), need.lane(), need.team())) {
-          if (word.isBlank() || word.length() > MOST_WORD) {
+        for (String name : List.of(in.text("kind"), need.jobClass(), need.team())) {
+          if (name.isBlank() || name.length() > MAX_NAME_LENGTH) {
             throw new MalformedRecordException(
-                "kind, lane and team of the command are to have 1 to " + MOST_WORD + " characters");
+                "kind, lane and team of the command are to have 1 to "
+                    + MAX_NAME_LENGTH
+                    + " characters");
           }
         }
-        long arrived = in.integer("arrived_ms", 0, MOST_MS);
-        long due = in.integer("due_ms", 0, MOST_MS);
+        long arrived = in.integer("arrived_ms", 0, MAX_TIME_MS);
+        long due = in.integer("due_ms", 0, MAX_TIME_MS);
         if (due <= arrived) {
           throw new MalformedRecordException("field due_ms of the command is not after arrived_ms");
         }
         return new RequestCommand.Arrive(
-            new Request(
+            new DeadlineRequest(
                 "",
                 in.text("kind"),
                 arrived,
                 due,
                 need,
                 0,
-                Request.State.ARRIVED,
+                DeadlineRequest.State.ARRIVED,
                 Map.of(),
                 "",
                 0,
@@ -296,16 +312,16 @@
       }
       case "answer" -> {
         in.only(Set.of("do", "delivered_ms"));
-        return new RequestCommand.Answer(in.integerOr("delivered_ms", 0, MOST_MS, -1));
+        return new RequestCommand.Answer(in.integerOr("delivered_ms", 0, MAX_TIME_MS, -1));
       }
       case "withdraw" -> {
         in.only(Set.of("do", "why"));
-        String why = in.textOr("why", "");
-        if (why.length() > MOST_WHY) {
+        String reason = in.textOr("why", "");
+        if (reason.length() > MAX_REASON_LENGTH) {
           throw new MalformedRecordException(
-              "field why of the command has more than " + MOST_WHY + " characters");
+              "field why of the command has more than " + MAX_REASON_LENGTH + " characters");
         }
-        return new RequestCommand.Withdraw(why);
+        return new RequestCommand.Withdraw(reason);
       }
       default ->
           throw new MalformedRecordException(
@@ -314,7 +330,7 @@
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, Request state, CommandOrigin at) {
+  public List<Map<String, Object>> rows(String id, DeadlineRequest state, CommandOrigin at) {
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("reference", id);
     row.put("kind", state.kind());
@@ -322,22 +338,27 @@
     row.put(
         "due",
         state.state().isOpen()
-            ? state.due(at.timeOfDayMs(), at.clockBoundMs(), warnMs).name().toLowerCase(Locale.ROOT)
+            ? state
+                .dueStatus(at.timeOfDayMs(), at.clockBoundMs(), warnMs)
+                .name()
+                .toLowerCase(Locale.ROOT)
             : state.wasLate() ? "late" : "");
     row.put("arrived_ms", state.arrivedMs());
     row.put("due_ms", state.dueMs());
-    row.put("over_ms", state.overMs());
-    row.put("over_bound_ms", state.overBoundMs());
-    row.put("lane", state.need().lane());
+    row.put("over_ms", state.closedMs());
+    row.put("over_bound_ms", state.closedClockBoundMs());
+    row.put("lane", state.need().jobClass());
     row.put("team", state.need().team());
     row.put("tasks", state.need().tasks());
-    row.put("reserved", state.reserved());
+    row.put("reserved", state.reservedTasks());
     row.put("zones", zones(state));
-    row.put("without", state.state() == Request.State.ARRIVED ? outlook.apply(id) : "");
+    row.put(
+        "without",
+        state.state() == DeadlineRequest.State.ARRIVED ? unreservedReason.apply(id) : "");
     return List.of(row);
   }
 
-  private static String zones(Request state) {
+  private static String zones(DeadlineRequest state) {
     List<String> zones = new ArrayList<>();
     if (state.zones().isEmpty()) {
       zones.addAll(new TreeSet<>(state.need().zones()));
--- a/src/main/java/org/quincecross/reservation/package-info.java
+++ b/src/main/java/org/quincecross/reservation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests with a due time, their states, and where room is reserved until they are answered. No
- * I/O, no clock.
+ * Requests with a due time, and the capacity reserved for them until they are answered. No I/O, no
+ * clock.
  */
 package org.quincecross.reservation;
--- a/src/main/java/org/quincecross/shard/Requeuer.java
+++ b/src/main/java/org/quincecross/shard/Requeuer.java
@@ -245,12 +245,12 @@
   boolean holdsBack(Placement placement) {
     Job job = placement.job();
     MonotonicTime now = context.now();
-    if (!evidence.isDoubtful(job.id())) {
+    if (!evidence.isSuspect(job.id())) {
       return false;
     }
     if (!evidence.isDeclined(job.id(), now)
         && placement.failures() > 0
-        && (evidence.isBad(job.id()) || hasFailedEverywhere(job))) {
+        && (evidence.isFaulty(job.id()) || hasFailedEverywhere(job))) {
       LOG.info(
           "shard {}: {} has failed on {} machines here and run on none",
           state.id(),
--- a/src/main/java/org/quincecross/shard/StartGate.java
+++ b/src/main/java/org/quincecross/shard/StartGate.java
@@ -26,7 +26,7 @@
     // The leader allocates no tasks of a job with unfinished dependencies; if it did, none of them
     // would start here.
     StartBlock startBlock = context.startBlock();
-    return context.cache().dependencyGraph().waits(placement.task().job())
+    return context.cache().dependencyGraph().isWaiting(placement.task().job())
         || (startBlock != StartBlock.NONE
             && startBlock.has(placement.job(), placement.task().index()));
   }
--- a/src/main/java/org/quincecross/shard/TaskStatusProcessor.java
+++ b/src/main/java/org/quincecross/shard/TaskStatusProcessor.java
@@ -106,7 +106,7 @@
       placement.countFailure();
       TimeSpan ranFor = placement.isRunning() ? now.since(placement.runningSince()) : TimeSpan.ZERO;
       state.markFaulty(evidence.failed(machine, job, ranFor, now));
-      if (evidence.isDoubtful(job)) {
+      if (evidence.isSuspect(job)) {
         // The job's other waiting tasks are tried one at a time: they leave the queues and return
         // as that permits.
         placements.ofJob(job).stream()
--- a/src/main/java/org/quincecross/state/DemandForecast.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -110,7 +110,7 @@
     Map<Kind, Integer> waiting = new HashMap<>();
     for (JobRecord record : cache.openJobs()) {
       int mayRun = record.job().taskCount() - startBlock.of(record.job()).size();
-      if (mayRun <= 0 || cache.dependencyGraph().waits(record.id())) {
+      if (mayRun <= 0 || cache.dependencyGraph().isWaiting(record.id())) {
         continue;
       }
       if (record.job().priority() == Priority.PRODUCTION) {
--- a/src/main/java/org/quincecross/state/JobIndex.java
+++ b/src/main/java/org/quincecross/state/JobIndex.java
@@ -68,11 +68,11 @@
     this.touched = touched;
   }
 
-  private DependencyGraph.Own own(JobId id) {
+  private DependencyGraph.JobState own(JobId id) {
     JobRecord record = jobs.get(id);
     return record == null
         ? null
-        : new DependencyGraph.Own(record.phase(), record.version(), record.cancelledMs());
+        : new DependencyGraph.JobState(record.phase(), record.version(), record.cancelledMs());
   }
 
   /**
@@ -97,7 +97,7 @@
     return jobs.get(id);
   }
 
-  private UrgencyPropagation.Own asks(JobId id) {
+  private UrgencyPropagation.RequestedUrgency asks(JobId id) {
     JobRecord record = jobs.get(id);
     if (record == null
         || record.phase() != JobPhase.OPEN
@@ -105,10 +105,10 @@
       return null;
     }
     Job job = record.job();
-    return new UrgencyPropagation.Own(
+    return new UrgencyPropagation.RequestedUrgency(
         job.priority(),
         job.deadline() == null
-            ? UrgencyPropagation.NEVER
+            ? UrgencyPropagation.NO_DEADLINE
             : record.acceptedMs() + job.deadline().millis(),
         DEPENDENCY_LATENCY_MS
             + job.estimate().millis()
@@ -212,19 +212,19 @@
     if (before != null && before.phase() == JobPhase.OPEN) {
       open.remove(before);
     }
-    Set<JobId> toLookAt = new HashSet<>(dependencyGraph.unfinished(id));
+    Set<JobId> toLookAt = new HashSet<>(dependencyGraph.unfinishedDependencies(id));
     dependencyGraph.put(
         id,
         record.job() == null ? Set.of() : record.job().dependencies(),
         complete,
         this::deriveCancellation);
     deriveCancellation(id);
-    toLookAt.addAll(dependencyGraph.unfinished(id));
+    toLookAt.addAll(dependencyGraph.unfinishedDependencies(id));
     if (!toLookAt.isEmpty()
-        || dependencyGraph.hasFollowers(id)
+        || dependencyGraph.hasDependents(id)
         || withInheritedUrgency.containsKey(id)) {
       toLookAt.add(id);
-      urgencies.look(toLookAt, this::deriveUrgency);
+      urgencies.update(toLookAt, this::deriveUrgency);
       deriveUrgency(id); // also if the inherited urgency is equal: the record is a new instance
     }
   }
@@ -260,8 +260,8 @@
   }
 
   private void lookAround(JobId id) {
-    List<JobId> around = new ArrayList<>(dependencyGraph.unfinished(id));
+    List<JobId> around = new ArrayList<>(dependencyGraph.unfinishedDependencies(id));
     around.add(id);
-    urgencies.look(around, this::deriveUrgency);
+    urgencies.update(around, this::deriveUrgency);
   }
 }
--- a/src/main/java/org/quincecross/state/JobRecord.java
+++ b/src/main/java/org/quincecross/state/JobRecord.java
@@ -161,7 +161,7 @@
   /** This open job with inherited urgency. */
   JobRecord withUrgency(UrgencyPropagation.Urgency urgency) {
     TimeSpan deadline =
-        urgency.endByMs() == UrgencyPropagation.NEVER
+        urgency.endByMs() == UrgencyPropagation.NO_DEADLINE
             ? null
             : TimeSpan.ofMillis(urgency.endByMs() - acceptedMs);
     return new JobRecord(
--- a/src/main/java/org/quincecross/state/ModelIndex.java
+++ b/src/main/java/org/quincecross/state/ModelIndex.java
@@ -91,7 +91,7 @@
     }
     Kept last = kept.get(job.id());
     if (last == null || last.model != model) {
-      last = new Kept(model, model.withheld(job.taskCount()));
+      last = new Kept(model, model.blockedReplicas(job.taskCount()));
       kept.put(job.id(), last);
     }
     return last.tasks;
@@ -107,9 +107,9 @@
             + " is "
             + model.phase()
             + ", "
-            + model.places().size()
+            + model.placements().size()
             + " of "
-            + model.wanted()
+            + model.desiredReplicas()
             + " wanted replicas have a machine";
   }
 
@@ -124,10 +124,10 @@
     }
     if (job.kind() == JobKind.GANG) {
       Set<MachineId> all = new HashSet<>();
-      model.places().values().forEach(place -> all.add(place.machine()));
+      model.placements().values().forEach(place -> all.add(place.machine()));
       return all;
     }
-    Model.Place place = model.places().get(index);
+    Model.Placement place = model.placements().get(index);
     return place == null ? Set.of() : Set.of(place.machine());
   }
 }
--- a/src/main/java/org/quincecross/state/ReservedCapacity.java
+++ b/src/main/java/org/quincecross/state/ReservedCapacity.java
@@ -16,12 +16,12 @@
 import org.quincecross.model.TaskSet;
 import org.quincecross.model.Team;
 import org.quincecross.replicated.RecordId;
-import org.quincecross.reservation.Place;
-import org.quincecross.reservation.Request;
+import org.quincecross.reservation.DeadlineRequest;
 import org.quincecross.reservation.RequestCommand;
 import org.quincecross.reservation.RequestKind;
-import org.quincecross.reservation.Reservation;
-import org.quincecross.reservation.Taken;
+import org.quincecross.reservation.ReservableShard;
+import org.quincecross.reservation.ReservationPlanner;
+import org.quincecross.reservation.RunningJob;
 import org.quincecross.scheduling.Headroom;
 
 /**
@@ -30,8 +30,8 @@
  */
 public final class ReservedCapacity {
   private final ClusterStateCache cache;
-  private final ReplicatedRecordIndex<Request, RequestCommand> index;
-  private final Reservation reservation = new Reservation();
+  private final ReplicatedRecordIndex<DeadlineRequest, RequestCommand> index;
+  private final ReservationPlanner reservation = new ReservationPlanner();
   private long version;
 
   /**
@@ -40,7 +40,7 @@
    * @param index the index of requests, which has not been filled yet
    */
   public ReservedCapacity(
-      ClusterStateCache cache, ReplicatedRecordIndex<Request, RequestCommand> index) {
+      ClusterStateCache cache, ReplicatedRecordIndex<DeadlineRequest, RequestCommand> index) {
     this.cache = cache;
     this.index = index;
     cache.addListener(this::changed);
@@ -48,10 +48,10 @@
 
   private void changed(ClusterStateCache.Changes changes) {
     if (changes.reloaded()) {
-      for (Request known : List.copyOf(reservation.open())) {
+      for (DeadlineRequest known : List.copyOf(reservation.open())) {
         reservation.remove(known.reference());
       }
-      index.all().forEach((id, held) -> reservation.put(held.state().named(id)));
+      index.all().forEach((id, held) -> reservation.put(held.state().withReference(id)));
       version++;
     }
     for (RecordId record : changes.replicatedRecords()) {
@@ -63,7 +63,7 @@
 
   /** Drops an expectation: the request is as its record says. */
   public void clearExpectation(String reference) {
-    reservation.put(index.state(reference).named(reference));
+    reservation.put(index.state(reference).withReference(reference));
     version++;
   }
 
@@ -71,7 +71,7 @@
    * Treats a request as changed until its record is next seen, so that the capacity of a
    * reservation under way is not given away.
    */
-  public void expect(Request request) {
+  public void expect(DeadlineRequest request) {
     reservation.put(request);
     version++;
   }
@@ -98,7 +98,7 @@
       return reserves;
     }
     reservation
-        .kept(new Standing().places, taken())
+        .reservedByShard(new Standing().places, taken())
         .forEach(
             (shard, kept) -> {
               List<Headroom> list = new ArrayList<>();
@@ -107,9 +107,9 @@
                       list.add(
                           new Headroom(
                               Headroom.Purpose.REQUESTS,
-                              each.slot().each(),
+                              each.slot().resources(),
                               each.tasks(),
-                              new Headroom.For(each.slot().lane(), each.slot().team()))));
+                              new Headroom.For(each.slot().jobClass(), each.slot().team()))));
               reserves.put(shard, list);
             });
     return reserves;
@@ -120,10 +120,10 @@
    *
    * @param share the share of the machines that may be reserved beyond team guarantees
    */
-  public Reservation.Plan plan(Map<String, Team> teams, double share) {
+  public ReservationPlanner.Plan plan(Map<String, Team> teams, double share) {
     Standing standing = new Standing();
     return reservation.plan(
-        standing.places, taken(), new Reservation.Limits(teams, standing.ofTeams, share));
+        standing.places, taken(), new ReservationPlanner.Limits(teams, standing.ofTeams, share));
   }
 
   /**
@@ -131,7 +131,7 @@
    * machines, which may be taken away at any time, offer none.
    */
   private final class Standing {
-    private final List<Place> places = new ArrayList<>();
+    private final List<ReservableShard> places = new ArrayList<>();
     private final Map<String, Resources> ofTeams = new HashMap<>();
 
     Standing() {
@@ -154,7 +154,7 @@
         }
         if (type != null && !shard.spot()) {
           places.add(
-              new Place(
+              new ReservableShard(
                   shard.id(),
                   shard.zone(),
                   type.capacity(),
@@ -175,9 +175,9 @@
   }
 
   /** The jobs in lanes that requests name, and the places of their tasks. */
-  private List<Taken> taken() {
-    Set<String> lanes = reservation.lanes();
-    List<Taken> taken = new ArrayList<>();
+  private List<RunningJob> taken() {
+    Set<String> lanes = reservation.jobClasses();
+    List<RunningJob> taken = new ArrayList<>();
     for (JobRecord record : cache.openJobs()) {
       if (lanes.contains(record.job().jobClass()) && !cache.shardsOf(record.id()).isEmpty()) {
         Map<String, Integer> zones = new HashMap<>();
@@ -193,7 +193,7 @@
             zones.merge(shard.zone(), tasks, Integer::sum);
           }
         }
-        taken.add(new Taken(record.job().jobClass(), record.acceptedMs(), zones));
+        taken.add(new RunningJob(record.job().jobClass(), record.acceptedMs(), zones));
       }
     }
     return taken;
--- a/src/test/java/org/quincecross/accounting/JobAccountingTest.java
+++ b/src/test/java/org/quincecross/accounting/JobAccountingTest.java
@@ -46,83 +46,86 @@
         .build();
   }
 
-  /** What really happened to a job. */
-  private static final class Story {
+  /** The actual history of a job. */
+  private static final class JobHistory {
     private final Job job;
     private final double accepted;
     private final List<Double> starts = new ArrayList<>();
     private double done = -1;
     private boolean cancelled;
 
-    Story(Job job, double accepted) {
+    JobHistory(Job job, double accepted) {
       this.job = job;
       this.accepted = accepted;
     }
   }
 
   /**
-   * What may not run by an agreed record counts neither as unserved nor as late, and time goes on
-   * for it when it may.
+   * Tasks blocked by a replicated record count neither as unserved nor as late, and their waiting
+   * time resumes when they are unblocked.
    */
   @Example
-  void whatIsKeptBackIsNobodysFault() {
-    JobAccounting books = new JobAccounting(job -> List.of(START, END));
+  void blockedTimeCountsAgainstNoObjective() {
+    JobAccounting accounting = new JobAccounting(job -> List.of(START, END));
     Job job = job(1, "t", "c", 4);
-    books.accepted(job, at(0));
-    books.withheld(job.id(), 4, at(5));
-    ServiceLevels kept = books.teams(at(500)).get("t");
-    assertEquals(0, kept.startable());
-    assertEquals(5, kept.starvedS());
-    assertEquals(List.of(), kept.aims().stream().filter(met -> met.missed() > 0).toList());
-    books.withheld(job.id(), 0, at(500));
-    books.started(job.id(), 4, at(504));
-    books.done(job.id(), at(534));
-    ServiceLevels then = books.teams(at(535)).get("t");
-    assertEquals(4, then.startable());
-    assertEquals(0, then.aims().stream().mapToInt(ServiceLevels.Met::missed).sum());
-    assertEquals(5, then.starvedS());
+    accounting.accepted(job, at(0));
+    accounting.blocked(job.id(), 4, at(5));
+    ServiceLevels whileBlocked = accounting.teams(at(500)).get("t");
+    assertEquals(0, whileBlocked.startable());
+    assertEquals(5, whileBlocked.starvedS());
+    assertEquals(
+        List.of(), whileBlocked.objectives().stream().filter(met -> met.missed() > 0).toList());
+    accounting.blocked(job.id(), 0, at(500));
+    accounting.started(job.id(), 4, at(504));
+    accounting.done(job.id(), at(534));
+    ServiceLevels afterwards = accounting.teams(at(535)).get("t");
+    assertEquals(4, afterwards.startable());
+    assertEquals(
+        0, afterwards.objectives().stream().mapToInt(ServiceLevels.ObjectiveCount::missed).sum());
+    assertEquals(5, afterwards.starvedS());
   }
 
-  /** After any sequence of events the books say what a recount of all that happened says. */
+  /** After any sequence of events the figures equal a recount of the full history. */
   @Property(tries = 200, seed = "7")
-  void theBooksAgreeWithARecount(@ForAll Random random) {
-    JobAccounting books = new JobAccounting(job -> List.of(START, END));
-    Map<Integer, Story> stories = new LinkedHashMap<>();
+  void figuresEqualARecount(@ForAll Random random) {
+    JobAccounting accounting = new JobAccounting(job -> List.of(START, END));
+    Map<Integer, JobHistory> histories = new LinkedHashMap<>();
     double now = 0;
     for (int step = 0; step < 150; step++) {
       now += random.nextDouble() * 4;
       int number = random.nextInt(25);
-      Story story = stories.get(number);
-      if (story == null) {
+      JobHistory history = histories.get(number);
+      if (history == null) {
         Job job =
             job(number, "t" + random.nextInt(3), "c" + random.nextInt(2), 1 + random.nextInt(6));
-        stories.put(number, new Story(job, now));
-        books.accepted(job, at(now));
-        books.accepted(job, at(now + 1)); // told twice
-      } else if (story.done < 0 && !story.cancelled) {
+        histories.put(number, new JobHistory(job, now));
+        accounting.accepted(job, at(now));
+        accounting.accepted(job, at(now + 1)); // repeated event
+      } else if (history.done < 0 && !history.cancelled) {
         int what = random.nextInt(5);
         if (what == 0) {
-          books.cancelled(story.job.id(), at(now));
-          story.cancelled = true;
+          accounting.cancelled(history.job.id(), at(now));
+          history.cancelled = true;
         } else if (what == 1) {
-          books.done(story.job.id(), at(now));
-          while (story.starts.size() < story.job.taskCount()) {
-            story.starts.add(now);
+          accounting.done(history.job.id(), at(now));
+          while (history.starts.size() < history.job.taskCount()) {
+            history.starts.add(now);
           }
-          story.done = now;
+          history.done = now;
         } else {
-          int reached = random.nextInt(story.job.taskCount() + 1);
-          books.started(story.job.id(), reached, at(now));
-          while (story.starts.size() < reached) {
-            story.starts.add(now);
+          int reached = random.nextInt(history.job.taskCount() + 1);
+          accounting.started(history.job.id(), reached, at(now));
+          while (history.starts.size() < reached) {
+            history.starts.add(now);
           }
         }
       }
     }
-    for (Map.Entry<JobAccounting.Group, ServiceLevels> group : books.groups(at(now)).entrySet()) {
+    for (Map.Entry<JobAccounting.Group, ServiceLevels> group :
+        accounting.groups(at(now)).entrySet()) {
       assertEquals(
-          recount(stories, group.getKey(), now),
-          group.getValue().aims().toString()
+          recount(histories, group.getKey(), now),
+          group.getValue().objectives().toString()
               + group.getValue().jobs()
               + "/"
               + group.getValue().ended()
@@ -131,96 +134,99 @@
               + "/"
               + group.getValue().tasks());
     }
-    int started = stories.values().stream().mapToInt(story -> story.starts.size()).sum();
+    int started = histories.values().stream().mapToInt(history -> history.starts.size()).sum();
     assertEquals(
-        started, books.teams(at(now)).values().stream().mapToInt(ServiceLevels::started).sum());
+        started,
+        accounting.teams(at(now)).values().stream().mapToInt(ServiceLevels::started).sum());
     assertEquals(
-        started, books.classes(at(now)).values().stream().mapToInt(ServiceLevels::started).sum());
+        started,
+        accounting.classes(at(now)).values().stream().mapToInt(ServiceLevels::started).sum());
   }
 
   private static String recount(
-      Map<Integer, Story> stories, JobAccounting.Group group, double now) {
+      Map<Integer, JobHistory> histories, JobAccounting.Group group, double now) {
     int[] start = new int[2];
     int[] end = new int[2];
     int jobs = 0;
     int ended = 0;
     int started = 0;
     int tasks = 0;
-    for (Story story : stories.values()) {
-      if (!story.job.team().equals(group.team())
-          || !story.job.jobClass().equals(group.jobClass())) {
+    for (JobHistory history : histories.values()) {
+      if (!history.job.team().equals(group.team())
+          || !history.job.jobClass().equals(group.jobClass())) {
         continue;
       }
-      started += story.starts.size();
-      tasks += story.cancelled ? story.starts.size() : story.job.taskCount();
-      jobs += story.cancelled ? 0 : 1;
-      for (double each : story.starts) {
-        start[each - story.accepted > 10 ? 1 : 0]++;
+      started += history.starts.size();
+      tasks += history.cancelled ? history.starts.size() : history.job.taskCount();
+      jobs += history.cancelled ? 0 : 1;
+      for (double each : history.starts) {
+        start[each - history.accepted > 10 ? 1 : 0]++;
       }
-      boolean open = story.done < 0 && !story.cancelled;
-      if (open && now - story.accepted > 10) {
-        start[1] += story.job.taskCount() - story.starts.size();
+      boolean open = history.done < 0 && !history.cancelled;
+      if (open && now - history.accepted > 10) {
+        start[1] += history.job.taskCount() - history.starts.size();
       }
-      if (story.done >= 0) {
+      if (history.done >= 0) {
         ended++;
-        end[story.done - story.accepted > 40 ? 1 : 0]++;
-      } else if (open && now - story.accepted > 40) {
+        end[history.done - history.accepted > 40 ? 1 : 0]++;
+      } else if (open && now - history.accepted > 40) {
         end[1]++;
       }
     }
-    List<ServiceLevels.Met> met = new ArrayList<>();
+    List<ServiceLevels.ObjectiveCount> met = new ArrayList<>();
     if (start[0] + start[1] > 0) {
-      met.add(new ServiceLevels.Met(START.name(), start[0], start[1]));
+      met.add(new ServiceLevels.ObjectiveCount(START.name(), start[0], start[1]));
     }
     if (end[0] + end[1] > 0) {
-      met.add(new ServiceLevels.Met(END.name(), end[0], end[1]));
+      met.add(new ServiceLevels.ObjectiveCount(END.name(), end[0], end[1]));
     }
     return met.toString() + jobs + "/" + ended + "/" + started + "/" + tasks;
   }
 
-  /** After a restart: what ran before is not called late, what ends late is. */
+  /** After a restart, starts before counting began do not count as late, but late ends do. */
   @Example
-  void whatWasOpenBefore() {
-    JobAccounting books = new JobAccounting(job -> List.of(START, END));
-    books.found(job(1, "t", "c", 4), at(0));
-    books.started(new JobId("job-1"), 4, at(30));
-    books.done(new JobId("job-1"), at(50));
+  void jobsOpenBeforeCountingMissOnlyEndObjectives() {
+    JobAccounting accounting = new JobAccounting(job -> List.of(START, END));
+    accounting.recordAlreadyOpen(job(1, "t", "c", 4), at(0));
+    accounting.started(new JobId("job-1"), 4, at(30));
+    accounting.done(new JobId("job-1"), at(50));
     assertEquals(
-        List.of(new ServiceLevels.Met(END.name(), 0, 1)), books.teams(at(60)).get("t").aims());
+        List.of(new ServiceLevels.ObjectiveCount(END.name(), 0, 1)),
+        accounting.teams(at(60)).get("t").objectives());
   }
 
   /**
-   * The longest time with work waiting and nothing served; what waits at its team's limit could not
-   * have been started.
+   * The longest time with waiting work and nothing served; tasks held back by their team's limit do
+   * not count as startable.
    */
   @Example
-  void starvationAndLimits() {
-    JobAccounting books = new JobAccounting(job -> List.of(START));
+  void measuresStarvationWithoutTasksAtTeamLimit() {
+    JobAccounting accounting = new JobAccounting(job -> List.of(START));
     Job first = job(1, "t", "c", 4);
-    books.accepted(first, at(0));
-    books.started(first.id(), 1, at(5));
-    books.started(first.id(), 2, at(30));
-    assertEquals(25, books.teams(at(31)).get("t").starvedS());
-    assertEquals(70, books.teams(at(100)).get("t").starvedS());
-    books.heldBack(first.id(), 2);
-    ServiceLevels served = books.teams(at(100)).get("t");
+    accounting.accepted(first, at(0));
+    accounting.started(first.id(), 1, at(5));
+    accounting.started(first.id(), 2, at(30));
+    assertEquals(25, accounting.teams(at(31)).get("t").starvedS());
+    assertEquals(70, accounting.teams(at(100)).get("t").starvedS());
+    accounting.heldBack(first.id(), 2);
+    ServiceLevels served = accounting.teams(at(100)).get("t");
     assertEquals(2, served.startable());
     assertEquals(1, served.startedShare());
-    assertEquals(0.5, served.least());
-    books.started(first.id(), 4, at(101));
-    books.heldBack(first.id(), 0);
-    books.done(first.id(), at(200));
-    assertEquals(71, books.teams(at(300)).get("t").starvedS());
-    assertEquals(0, books.openJobs());
+    assertEquals(0.5, served.lowestShare());
+    accounting.started(first.id(), 4, at(101));
+    accounting.heldBack(first.id(), 0);
+    accounting.done(first.id(), at(200));
+    assertEquals(71, accounting.teams(at(300)).get("t").starvedS());
+    assertEquals(0, accounting.openJobs());
   }
 
-  /** The largest tenth is known only at the end; what was counted of it before must be there. */
+  /** The largest tenth is known only at the end, yet jobs counted earlier must be included. */
   @Example
-  void theLargestAreFoundAmongManySizes() {
-    JobAccounting books = new JobAccounting(job -> List.of());
+  void findsLargestJobsAmongManySizes() {
+    JobAccounting accounting = new JobAccounting(job -> List.of());
     for (int i = 1; i <= 40; i++) {
       JobId id = new JobId("job-" + i);
-      books.accepted(
+      accounting.accepted(
           Job.builder(id)
               .jobClass("c")
               .team("t")
@@ -233,12 +239,12 @@
               .estimate(TimeSpan.ofSeconds(10))
               .build(),
           at(0));
-      books.started(id, i * i, at(i > 38 ? 250 : 10));
+      accounting.started(id, i * i, at(i > 38 ? 250 : 10));
       if (i != 40) {
-        books.done(id, at(260));
+        accounting.done(id, at(260));
       }
     }
-    LargestJobs tenth = books.largest(at(300)).get("c").get(0);
+    LargestJobs tenth = accounting.largest(at(300)).get("c").get(0);
     assertTrue(tenth.jobs() >= 4 && tenth.jobs() <= 6, tenth.toString());
     assertEquals(tenth.jobs() - 1, tenth.served());
     assertEquals(tenth.jobs() - 2, tenth.inTime());
--- a/src/test/java/org/quincecross/dependency/DependencyGraphTest.java
+++ b/src/test/java/org/quincecross/dependency/DependencyGraphTest.java
@@ -20,9 +20,9 @@
 import org.quincecross.model.Revision;
 
 class DependencyGraphTest {
-  private final Map<JobId, DependencyGraph.Own> records = new HashMap<>();
+  private final Map<JobId, DependencyGraph.JobState> records = new HashMap<>();
   private final Map<JobId, Set<JobId>> waitsOn = new HashMap<>();
-  private final DependencyGraph pipelines = new DependencyGraph(records::get);
+  private final DependencyGraph graph = new DependencyGraph(records::get);
   private final Set<JobId> changed = new HashSet<>();
   private long revision;
 
@@ -30,45 +30,45 @@
     return new JobId("job-" + number);
   }
 
-  private void put(JobId id, JobPhase phase, Set<JobId> before) {
+  private void put(JobId id, JobPhase phase, Set<JobId> dependency) {
     records.put(
         id,
-        new DependencyGraph.Own(
+        new DependencyGraph.JobState(
             phase, new Revision(++revision), phase == JobPhase.CANCELLED ? revision * 10 : 0));
-    waitsOn.put(id, before);
+    waitsOn.put(id, dependency);
     changed.clear();
-    pipelines.put(id, phase == JobPhase.DONE ? Set.of() : before, true, changed::add);
+    graph.put(id, phase == JobPhase.DONE ? Set.of() : dependency, true, changed::add);
     changed.add(id);
   }
 
-  /** How a job stands. */
-  private record Standing(
+  /** The status of a job as the graph derives it. */
+  private record JobStatus(
       boolean waits, DependencyGraph.Cancellation cancelled, Set<JobId> unfinished) {}
 
-  private Standing stands(JobId id) {
+  private JobStatus status(JobId id) {
     boolean isOpen = records.containsKey(id) && records.get(id).phase() == JobPhase.OPEN;
-    return new Standing(
-        isOpen && pipelines.waits(id),
-        isOpen ? pipelines.cancelled(id) : null,
-        isOpen ? new TreeSet<>(pipelines.unfinished(id)) : Set.of());
+    return new JobStatus(
+        isOpen && graph.isWaiting(id),
+        isOpen ? graph.cancelled(id) : null,
+        isOpen ? new TreeSet<>(graph.unfinishedDependencies(id)) : Set.of());
   }
 
-  /** The same by the definition, from the records alone. */
-  private Standing recount(JobId id) {
+  /** The same by definition, from the records alone. */
+  private JobStatus recount(JobId id) {
     if (!records.containsKey(id) || records.get(id).phase() != JobPhase.OPEN) {
-      return new Standing(false, null, Set.of());
+      return new JobStatus(false, null, Set.of());
     }
     Set<JobId> unfinished = new TreeSet<>();
-    for (JobId before : waitsOn.get(id)) {
-      if (!records.containsKey(before) || records.get(before).phase() != JobPhase.DONE) {
-        unfinished.add(before);
+    for (JobId dependency : waitsOn.get(id)) {
+      if (!records.containsKey(dependency) || records.get(dependency).phase() != JobPhase.DONE) {
+        unfinished.add(dependency);
       }
     }
-    return new Standing(!unfinished.isEmpty(), recountCancelled(id), unfinished);
+    return new JobStatus(!unfinished.isEmpty(), recountCancelled(id), unfinished);
   }
 
   private DependencyGraph.Cancellation recountCancelled(JobId id) {
-    DependencyGraph.Own own = records.get(id);
+    DependencyGraph.JobState own = records.get(id);
     if (own == null || own.phase() == JobPhase.DONE) {
       return null;
     }
@@ -76,8 +76,8 @@
       return new DependencyGraph.Cancellation(own.version(), own.cancelledMs());
     }
     DependencyGraph.Cancellation first = null;
-    for (JobId before : waitsOn.get(id)) {
-      DependencyGraph.Cancellation its = recountCancelled(before);
+    for (JobId dependency : waitsOn.get(id)) {
+      DependencyGraph.Cancellation its = recountCancelled(dependency);
       if (its != null && (first == null || first.since().isAfter(its.since()))) {
         first = its;
       }
@@ -88,24 +88,24 @@
   }
 
   /**
-   * Records of any acyclic graph in any order, also a job before those that it waits on, the same
-   * once more, and one that takes the place of another: what stands follows from them, and
-   * whoever's standing changes is named.
+   * Records of any acyclic graph arrive in any order: a job before its dependencies, a record
+   * twice, a record replacing another. The derived status always follows from the records, and
+   * every job whose status changes is reported.
    */
   @Property(tries = 1000, seed = "40")
-  void standsByTheRecordsInAnyOrder(@ForAll long seed) {
-    new DependencyGraphTest().standByRecords(new Random(seed));
+  void statusFollowsFromRecordsInAnyOrder(@ForAll long seed) {
+    new DependencyGraphTest().checkRandomRecords(new Random(seed));
   }
 
-  private void standByRecords(Random random) {
+  private void checkRandomRecords(Random random) {
     int jobs = 2 + random.nextInt(9);
     for (int step = 0; step < 40; step++) {
-      Map<JobId, Standing> before = new HashMap<>();
+      Map<JobId, JobStatus> dependency = new HashMap<>();
       for (int number = 0; number < jobs; number++) {
-        before.put(job(number), recount(job(number)));
+        dependency.put(job(number), recount(job(number)));
       }
       int number = random.nextInt(jobs);
-      DependencyGraph.Own own = records.get(job(number));
+      DependencyGraph.JobState own = records.get(job(number));
       if (own == null || (own.phase() == JobPhase.OPEN && random.nextInt(8) == 0)) {
         Set<JobId> after = new HashSet<>();
         for (int i = 0; i < number; i++) {
@@ -115,7 +115,7 @@
         }
         put(job(number), JobPhase.OPEN, after);
       } else if (own.phase() == JobPhase.OPEN) {
-        // Only what does not wait is ever done.
+        // Only jobs that do not wait can be done.
         boolean canEnd = recount(job(number)).unfinished().isEmpty();
         put(
             job(number),
@@ -125,9 +125,9 @@
         put(job(number), own.phase(), waitsOn.get(job(number)));
       }
       for (int i = 0; i < jobs; i++) {
-        Standing now = recount(job(i));
-        assertEquals(now, stands(job(i)));
-        Standing was = before.get(job(i));
+        JobStatus now = recount(job(i));
+        assertEquals(now, status(job(i)));
+        JobStatus was = dependency.get(job(i));
         assertTrue(
             (now.waits() == was.waits() && Objects.equals(now.cancelled(), was.cancelled()))
                 || changed.contains(job(i)),
@@ -137,13 +137,13 @@
   }
 
   /**
-   * A chain of any length is cancelled at once from its head, and a done job at its head lets just
-   * the next one run.
+   * Cancelling the head of a long chain cancels all of it, and a done head releases only the next
+   * job.
    */
   @Example
-  void aChainOfAHundredThousand() {
+  void propagatesAlongChainOfHundredThousandJobs() {
     int length = 100_000;
-    for (int i = length - 1; i > 0; i--) { // the last first, as a reading may bring them
+    for (int i = length - 1; i > 0; i--) { // in reverse order, as an initial read may deliver them
       put(job(i), JobPhase.OPEN, Set.of(job(i - 1)));
     }
     put(job(0), JobPhase.OPEN, Set.of());
@@ -153,15 +153,15 @@
     assertEquals(length - 1, changed.size());
     assertEquals(
         new DependencyGraph.Cancellation(new Revision(revision), revision * 10),
-        pipelines.cancelled(job(length - 1)));
+        graph.cancelled(job(length - 1)));
   }
 
   /**
-   * Once all is over nothing is kept of what waited, and of a thousand that one waits on the last
-   * lets it run.
+   * Once all jobs have ended nothing is held in memory; of a thousand dependencies only the last
+   * one done releases the job.
    */
   @Example
-  void whatIsOverTakesNoMemory() {
+  void endedJobsTakeNoMemory() {
     List<JobId> first = new ArrayList<>();
     for (int i = 0; i < 1000; i++) {
       first.add(job(i));
@@ -172,12 +172,12 @@
       put(job(6000 + i), JobPhase.OPEN, Set.of(job(5000)));
     }
     for (JobId id : first) {
-      assertTrue(pipelines.waits(job(5000)));
+      assertTrue(graph.isWaiting(job(5000)));
       put(id, JobPhase.DONE, Set.of());
     }
     assertEquals(Set.of(first.get(999), job(5000)), changed);
     put(job(5000), JobPhase.DONE, Set.of());
     assertEquals(1001, changed.size());
-    assertEquals(0, pipelines.size());
+    assertEquals(0, graph.size());
   }
 }
--- a/src/test/java/org/quincecross/dependency/DependencyModelTest.java
+++ b/src/test/java/org/quincecross/dependency/DependencyModelTest.java
@@ -20,11 +20,11 @@
 import org.quincecross.model.Revision;
 
 /**
- * Pipelines as a small model, gone through whole: three jobs, two controllers that read, lead,
- * accept, allocate, start, cancel, write results, one of which also loses what it knows, and
- * transactions that are applied whenever they like. A transaction fails once one of its keys has
- * been written after its controller last read; so no versions need be counted, and the states are
- * finite. Who waits and who is cancelled with whom is what {@link DependentJobs} says.
+ * Explores all states of three dependent jobs and two controllers that read, lead, accept,
+ * allocate, start, cancel and write results; one of them may lose its memory, and transactions are
+ * applied at any later time. A transaction fails once one of its keys has been written after its
+ * controller last read, so no versions are counted and the states are finite. Waiting and derived
+ * cancellation come from {@link DependencyGraph}.
  */
 class DependencyModelTest {
   private static final int JOBS = 3;
@@ -35,22 +35,28 @@
   private static final int CANCELLED = 3;
   private static final int LEADER_KEY = 1;
 
-  /** What can be left out, to see that the model finds what it guards against. */
+  /**
+   * Protocol rules that can be disabled, to show that the search finds a violation without each of
+   * them.
+   */
   private enum Guard {
     /**
-     * The leader allocates, and the holder starts, nothing of a job that waits: either alone is
-     * enough.
+     * The leader does not allocate, and the shard owner does not start, tasks of a waiting job;
+     * either alone is sufficient.
+     */
+    LEADER_OR_OWNER_WAITS,
+    /**
+     * A job is released by the record that its dependency is done, not by the ends of that job's
+     * tasks.
      */
-    LEADER_OR_HOLDER_WAITS,
-    /** A job is let run by the record that one before it is done, not by the ends of its tasks. */
     RELEASED_BY_RECORD,
-    /** A result is written on condition that the job's record is as it was. */
+    /** A result is written on condition that the job's record is unchanged. */
     DONE_BY_RECORD,
-    /** So is a cancellation. */
+    /** A cancellation is written on condition that the job's record is unchanged. */
     CANCEL_BY_RECORD,
     /** A job is accepted on condition that it has no record. */
     ACCEPT_BY_RECORD,
-    /** A job before this one that is cancelled cancels it. */
+    /** A cancelled dependency cancels the job. */
     CANCELLED_WITH_OTHERS
   }
 
@@ -62,11 +68,11 @@
     FINISH
   }
 
-  /** The graphs: a chain, and one that waits for two. */
+  /** The graphs: a chain, and a job with two dependencies. */
   private static final List<List<Set<Integer>>> GRAPHS =
       List.of(List.of(Set.of(), Set.of(0), Set.of(1)), List.of(Set.of(), Set.of(), Set.of(0, 1)));
 
-  /** What is on record, or was when a controller read it. */
+  /** The stored records, or what a controller last read of them. */
   private static final class Records implements Cloneable {
     private int[] job = new int[JOBS];
     private boolean[] allocated = new boolean[JOBS];
@@ -94,15 +100,15 @@
     private Records[] seen = {new Records(), new Records()};
 
     /**
-     * The keys that have changed since this controller last read; the leadership, then jobs, then
-     * allocations.
+     * The keys that have changed since this controller last read, as bits: leadership, then jobs,
+     * then allocations.
      */
     private int[] stale = new int[NODES];
 
     private Kind[] pending = {Kind.NOTHING, Kind.NOTHING};
     private int[] pendingOf = new int[NODES];
     private int ended;
-    private int toldCancelled;
+    private int reportedCancelled;
 
     private State copy() {
       State copy = new State();
@@ -112,7 +118,7 @@
       copy.pending = pending.clone();
       copy.pendingOf = pendingOf.clone();
       copy.ended = ended;
-      copy.toldCancelled = toldCancelled;
+      copy.reportedCancelled = reportedCancelled;
       return copy;
     }
 
@@ -125,14 +131,14 @@
       }
       return List.of(
           durable.key() << 40 | seen[0].key() << 20 | seen[1].key(),
-          (rest << JOBS | ended) << JOBS | toldCancelled);
+          (rest << JOBS | ended) << JOBS | reportedCancelled);
     }
   }
 
-  private final Map<Long, long[]> standings = new HashMap<>();
+  private final Map<Long, long[]> derived = new HashMap<>();
   private Set<Guard> guards = EnumSet.allOf(Guard.class);
   private List<Set<Integer>> graph;
-  private String broken;
+  private String violation;
 
   private static int recordKey(int job) {
     return 2 << job;
@@ -143,27 +149,27 @@
   }
 
   /**
-   * What {@link DependentJobs} says of records: bits of the jobs that wait, and of those that are
-   * cancelled.
+   * What {@link DependencyGraph} derives from records: bits of the waiting jobs, and of the
+   * cancelled ones.
    */
-  private long[] standing(Records records) {
+  private long[] derive(Records records) {
     long key = records.key();
-    return standings.computeIfAbsent(
+    return derived.computeIfAbsent(
         key,
         k -> {
-          Map<JobId, DependencyGraph.Own> own = new HashMap<>();
-          DependencyGraph pipelines = new DependencyGraph(own::get);
+          Map<JobId, DependencyGraph.JobState> own = new HashMap<>();
+          DependencyGraph graphOfRecords = new DependencyGraph(own::get);
           for (int j = 0; j < JOBS; j++) {
             if (records.job[j] != NONE) {
               own.put(
                   id(j),
-                  new DependencyGraph.Own(
+                  new DependencyGraph.JobState(
                       JobPhase.values()[records.job[j] - 1], new Revision(1), 0));
             }
           }
           for (int j = JOBS - 1; j >= 0; j--) {
             if (records.job[j] != NONE) {
-              pipelines.put(
+              graphOfRecords.put(
                   id(j),
                   graph.get(j).stream().map(DependencyModelTest::id).toList(),
                   true,
@@ -173,10 +179,10 @@
           long waits = 0;
           long cancelled = 0;
           for (int j = 0; j < JOBS; j++) {
-            waits |= pipelines.waits(id(j)) ? 1L << j : 0;
+            waits |= graphOfRecords.isWaiting(id(j)) ? 1L << j : 0;
             boolean with =
                 records.job[j] == OPEN
-                    && pipelines.cancelled(id(j)) != null
+                    && graphOfRecords.cancelled(id(j)) != null
                     && guards.contains(Guard.CANCELLED_WITH_OTHERS);
             cancelled |= records.job[j] == CANCELLED || with ? 1L << j : 0;
           }
@@ -189,11 +195,11 @@
   }
 
   private boolean mayRun(State state, Records records, int job) {
-    boolean isCancelled = (standing(records)[1] >> job & 1) != 0;
+    boolean isCancelled = (derive(records)[1] >> job & 1) != 0;
     if (records.job[job] != OPEN || isCancelled) {
       return false;
     }
-    if (!guards.contains(Guard.LEADER_OR_HOLDER_WAITS) || (standing(records)[0] >> job & 1) == 0) {
+    if (!guards.contains(Guard.LEADER_OR_OWNER_WAITS) || (derive(records)[0] >> job & 1) == 0) {
       return true;
     }
     return !guards.contains(Guard.RELEASED_BY_RECORD)
@@ -228,7 +234,7 @@
     }
   }
 
-  private void carryOut(State state, int node) {
+  private void commit(State state, int node) {
     int job = state.pendingOf[node];
     Kind kind = state.pending[node];
     state.pending[node] = Kind.NOTHING;
@@ -268,10 +274,10 @@
       }
       if (state.pending[n] != Kind.NOTHING) {
         State late = state.copy();
-        carryOut(late, n);
+        commit(late, n);
         next.accept(late);
       }
-      long cancelled = standing(seen)[1];
+      long cancelled = derive(seen)[1];
       for (int j = 0; j < JOBS; j++) {
         boolean openHere = seen.job[j] == OPEN && (cancelled >> j & 1) == 0;
         if (seen.job[j] == NONE
@@ -293,10 +299,10 @@
           ends.ended |= 1 << j;
           next.accept(ends);
         }
-        if ((cancelled >> j & 1) != 0 && (state.toldCancelled >> j & 1) == 0) {
-          State told = state.copy();
-          told.toldCancelled |= 1 << j;
-          next.accept(told);
+        if ((cancelled >> j & 1) != 0 && (state.reportedCancelled >> j & 1) == 0) {
+          State reported = state.copy();
+          reported.reportedCancelled |= 1 << j;
+          next.accept(reported);
         }
       }
     }
@@ -305,76 +311,78 @@
   private void started(State state, int job) {
     for (int before : graph.get(job)) {
       if (state.durable.job[before] != DONE) {
-        broken = "job " + job + " starts, and the one before it is not done";
+        violation = "job " + job + " starts before its dependency is done";
       }
     }
   }
 
   /**
-   * What users were told stays so; and whoever needs what is cancelled is cancelled, and never
-   * done.
+   * Checks that what users were told stays true, and that the dependents of a cancelled job are
+   * cancelled and never done.
    */
   private void check(State state) {
-    long cancelled = standing(state.durable)[1];
-    if ((state.toldCancelled & ~cancelled) != 0) {
-      broken = "told cancelled, and is not";
+    long cancelled = derive(state.durable)[1];
+    if ((state.reportedCancelled & ~cancelled) != 0) {
+      violation = "a job was reported as cancelled and is not";
     }
     for (int j = 0; j < JOBS; j++) {
       for (int before : graph.get(j)) {
         boolean isOver = state.durable.job[before] == CANCELLED;
         if (isOver && state.durable.job[j] != NONE && (cancelled >> j & 1) == 0) {
-          broken =
+          violation =
               "job "
                   + j
                   + " is called "
                   + (state.durable.job[j] == DONE ? "done" : "open")
-                  + ", and the one before it is cancelled";
+                  + " although its dependency is cancelled";
         }
       }
     }
   }
 
-  private int goThrough(List<Set<Integer>> jobs) {
+  private int explore(List<Set<Integer>> jobs) {
     graph = jobs;
-    standings.clear();
-    broken = null;
+    derived.clear();
+    violation = null;
     Set<List<Long>> known = new HashSet<>();
     ArrayDeque<State> open = new ArrayDeque<>();
     State first = new State();
-    if (jobs.get(1).isEmpty()) { // of two that do not wait it matters little how they were accepted
+    if (jobs.get(1)
+        .isEmpty()) { // how jobs without dependencies were accepted is irrelevant, so the search
+      // starts with them open
       first.durable.job = new int[] {OPEN, OPEN, NONE};
       first.seen = new Records[] {first.durable.copy(), first.durable.copy()};
     }
     known.add(first.key());
     open.add(first);
-    while (!open.isEmpty() && broken == null) {
+    while (!open.isEmpty() && violation == null) {
       steps(
           open.poll(),
           next -> {
-            if (broken == null && known.add(next.key())) {
+            if (violation == null && known.add(next.key())) {
               check(next);
               open.add(next);
             }
           });
-      assertTrue(known.size() < 6_000_000, "too many states");
+      assertTrue(known.size() < 6_000_000, "more states than the search limit");
     }
     return known.size();
   }
 
   @Test
-  void nothingStartsTooEarlyAndNothingIsLeftBehind() {
+  void dependentsStartOnlyAfterAndAreCancelledWithDependencies() {
     for (List<Set<Integer>> jobs : GRAPHS) {
-      int states = goThrough(jobs);
-      assertNull(broken);
+      int states = explore(jobs);
+      assertNull(violation);
       assertTrue(states > 100_000, states + " states");
     }
   }
 
   @ParameterizedTest
   @EnumSource(Guard.class)
-  void withoutAGuardARuleIsBroken(Guard without) {
+  void disablingAnyGuardCausesViolation(Guard without) {
     guards = EnumSet.complementOf(EnumSet.of(without));
-    goThrough(GRAPHS.get(0));
-    assertNotNull(broken);
+    explore(GRAPHS.get(0));
+    assertNotNull(violation);
   }
 }
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -24,7 +24,7 @@
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.MalformedMessageException;
-import org.quincecross.reservation.Request;
+import org.quincecross.reservation.DeadlineRequest;
 import org.quincecross.rollout.Build;
 
 /** Requests with a due time on three controllers, in virtual time. */
@@ -109,7 +109,7 @@
         name,
         reference,
         Json.object("do", "answer"),
-        () -> watch.ended(reference, Request.State.ANSWERED));
+        () -> watch.ended(reference, DeadlineRequest.State.ANSWERED));
   }
 
   private void withdraw(int node, String name, String reference) {
@@ -118,7 +118,7 @@
         name,
         reference,
         Json.object("do", "withdraw", "why", "not needed"),
-        () -> watch.ended(reference, Request.State.WITHDRAWN));
+        () -> watch.ended(reference, DeadlineRequest.State.WITHDRAWN));
   }
 
   private Job job(
@@ -236,7 +236,8 @@
     world.time().runUntil(READY_S);
     arrive(0, "a", "police-1", "police", 24, 24);
     run(15);
-    assertEquals(Request.State.RESERVED, watch.request("police-1").state(), words.toString());
+    assertEquals(
+        DeadlineRequest.State.RESERVED, watch.request("police-1").state(), words.toString());
     assertTrue(
         watch.request("police-1").zones().values().stream().allMatch(tasks -> tasks == 8),
         watch.request("police-1").toString());
@@ -261,7 +262,7 @@
     deliver(1, "d", "police-1");
     world.users().cancel(front);
     run(60);
-    assertEquals(Request.State.ANSWERED, watch.request("police-1").state());
+    assertEquals(DeadlineRequest.State.ANSWERED, watch.request("police-1").state());
     assertTrue(
         world.rules().used("batch").cpus() > 8 * MACHINES - 10,
         "given back: " + world.rules().used("batch"));
@@ -289,7 +290,7 @@
         24,
         watch.request("r-1").need().tasks());
     run(5);
-    assertEquals(Request.State.RESERVED, watch.request("r-1").state());
+    assertEquals(DeadlineRequest.State.RESERVED, watch.request("r-1").state());
     assertSound();
   }
 
@@ -366,7 +367,7 @@
       run(16);
       assertEquals(200, answers.get("a" + round), words.toString());
       assertEquals(
-          ends ? Request.State.ANSWERED : Request.State.RESERVED,
+          ends ? DeadlineRequest.State.ANSWERED : DeadlineRequest.State.RESERVED,
           watch.request(reference).state(),
           reference + " " + words);
     }
@@ -396,7 +397,7 @@
     assertEquals(
         4,
         watch.seen().values().stream()
-            .filter(request -> request.state() == Request.State.RESERVED)
+            .filter(request -> request.state() == DeadlineRequest.State.RESERVED)
             .count(),
         watch.seen().toString());
     set("{\"renting\": false}");
@@ -412,8 +413,10 @@
             });
     ordinary.subList(0, 8).forEach(id -> world.cloud().take(id, 0));
     run(45);
-    assertEquals(Request.State.ARRIVED, watch.request("r-0").state(), watch.seen().toString());
-    assertEquals(Request.State.RESERVED, watch.request("r-3").state(), watch.seen().toString());
+    assertEquals(
+        DeadlineRequest.State.ARRIVED, watch.request("r-0").state(), watch.seen().toString());
+    assertEquals(
+        DeadlineRequest.State.RESERVED, watch.request("r-3").state(), watch.seen().toString());
     for (int node = 0; node < 3; node++) {
       assertTrue(
           row(node, "r-0").string("without").contains("no room for 18 tasks"),
@@ -424,7 +427,7 @@
     assertEquals(
         4,
         watch.seen().values().stream()
-            .filter(request -> request.state() == Request.State.RESERVED)
+            .filter(request -> request.state() == DeadlineRequest.State.RESERVED)
             .count(),
         watch.seen().toString());
     assertSound();
@@ -456,7 +459,7 @@
     run(60);
     set("{\"renting\": true}");
     run(30);
-    assertEquals(Request.State.RESERVED, watch.request("r-1").state());
+    assertEquals(DeadlineRequest.State.RESERVED, watch.request("r-1").state());
     JobId front =
         world
             .users()
@@ -518,14 +521,17 @@
                   List.of()));
     }
     run(30);
-    List<Request> byDue = new ArrayList<>(watch.seen().values());
-    byDue.sort(java.util.Comparator.comparing(Request::dueMs));
+    List<DeadlineRequest> byDue = new ArrayList<>(watch.seen().values());
+    byDue.sort(java.util.Comparator.comparing(DeadlineRequest::dueMs));
     int reserved =
-        (int) byDue.stream().filter(request -> request.state() == Request.State.RESERVED).count();
+        (int)
+            byDue.stream()
+                .filter(request -> request.state() == DeadlineRequest.State.RESERVED)
+                .count();
     assertTrue(reserved > 20, reserved + " reserved");
     assertTrue(
         byDue.subList(0, reserved).stream()
-            .allMatch(request -> request.state() == Request.State.RESERVED),
+            .allMatch(request -> request.state() == DeadlineRequest.State.RESERVED),
         "first due first");
     assertTrue(row(1, byDue.get(9_999).reference()).string("without").length() > 10, "told");
     String why = row(1, byDue.get(reserved).reference()).string("without");
@@ -534,7 +540,7 @@
     run(10);
     assertEquals(200, answers.get("d"));
     assertEquals(
-        Request.State.RESERVED,
+        DeadlineRequest.State.RESERVED,
         watch.request(byDue.get(reserved).reference()).state(),
         "the next in line has what was given back");
     assertSound();
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.quincecross.replicated.MalformedRecordException;
 import org.quincecross.replicated.RecordFields;
-import org.quincecross.reservation.Request;
+import org.quincecross.reservation.DeadlineRequest;
 import org.quincecross.reservation.RequestKind;
 
 /**
@@ -21,7 +21,7 @@
 
   private final SimulatedCluster world;
   private final Map<String, Object> values = new HashMap<>();
-  private final Map<String, Request> seen = new TreeMap<>();
+  private final Map<String, DeadlineRequest> seen = new TreeMap<>();
 
   /**
    * What operators were told is durable, by reference: the kind of the request that was accepted,
@@ -29,7 +29,7 @@
    */
   private final Map<String, String> accepted = new HashMap<>();
 
-  private final Map<String, Request.State> ended = new HashMap<>();
+  private final Map<String, DeadlineRequest.State> ended = new HashMap<>();
   private final Map<String, Integer> ends = new HashMap<>();
   private final List<String> broken = new ArrayList<>();
 
@@ -42,12 +42,12 @@
     return broken;
   }
 
-  Map<String, Request> seen() {
+  Map<String, DeadlineRequest> seen() {
     return seen;
   }
 
-  Request request(String reference) {
-    return seen.getOrDefault(reference, Request.NONE);
+  DeadlineRequest request(String reference) {
+    return seen.getOrDefault(reference, DeadlineRequest.NONE);
   }
 
   void accepted(String reference, String kind) {
@@ -57,7 +57,7 @@
     }
   }
 
-  void ended(String reference, Request.State end) {
+  void ended(String reference, DeadlineRequest.State end) {
     if (!ended.merge(reference, end, (one, other) -> one).equals(end)) {
       breaks(reference, "was ended in two ways");
     }
@@ -74,9 +74,9 @@
         continue;
       }
       try {
-        Request now =
+        DeadlineRequest now =
             KIND.read(RecordFields.of(value, "a record").body("state").all())
-                .named(key.substring(KEYS.length()));
+                .withReference(key.substring(KEYS.length()));
         check(seen.put(now.reference(), now), now);
       } catch (MalformedRecordException e) {
         breaks(key, e.getMessage());
@@ -97,10 +97,10 @@
     world.time().after(seen.size() > 1000 ? 1 : EVERY_S, this::look);
   }
 
-  private void check(Request before, Request now) {
-    int room = now.state() == Request.State.RESERVED ? now.need().tasks() : 0;
-    if (now.reserved() != room) {
-      breaks(now.reference(), "has room for " + now.reserved() + " of " + room);
+  private void check(DeadlineRequest before, DeadlineRequest now) {
+    int room = now.state() == DeadlineRequest.State.RESERVED ? now.need().tasks() : 0;
+    if (now.reservedTasks() != room) {
+      breaks(now.reference(), "has room for " + now.reservedTasks() + " of " + room);
     }
     if (before != null && !before.state().isOpen() && !now.equals(before)) {
       breaks(now.reference(), "was over and has changed");
--- a/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
+++ b/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
@@ -94,7 +94,9 @@
     Map<String, List<LargestJobs>> largest = world.around().served().largest(world.around().now());
     for (String each : List.of("array", "gang", "idle")) {
       LargestJobs of = largest.get(each).get(0);
-      assertTrue(of.inTime() == 1 && of.longestS() <= JobSizeHistogram.BEGIN_S, each + ": " + of);
+      assertTrue(
+          of.inTime() == 1 && of.longestS() <= JobSizeHistogram.MAX_START_DELAY_S,
+          each + ": " + of);
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -133,7 +133,7 @@
   }
 
   private double inTime(String team, String jobClass) {
-    return of(team, jobClass).aims().get(0).share();
+    return of(team, jobClass).objectives().get(0).share();
   }
 
   private void run(double untilS) {
@@ -147,7 +147,8 @@
   private void assertQuietTeamsAreServed(double share, double mostStarvedS) {
     for (String team : QUIET) {
       ServiceLevels served = of(team, "batch");
-      assertTrue(served.least() >= share && served.starvedS() < mostStarvedS, team + ": " + served);
+      assertTrue(
+          served.lowestShare() >= share && served.starvedS() < mostStarvedS, team + ": " + served);
     }
   }
 
--- a/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
+++ b/src/test/java/org/quincecross/overload/StartGuaranteeTest.java
@@ -27,40 +27,40 @@
 import org.quincecross.scheduling.JobDemand;
 
 /**
- * The order of admission over minutes, with far more work than room: nobody whose limit allows it
- * waits past the bound.
+ * Simulates minutes of admission with far more work than capacity: no job whose team limit allows
+ * it waits longer than the bound.
  */
 class StartGuaranteeTest {
   private static final double BOUND_S = 240;
-  private static final Resources BLOCK = new Resources(48, 0, 192);
+  private static final Resources SHARD = new Resources(48, 0, 192);
   private static final Resources MACHINE = new Resources(8, 0, 32);
   private static final int MACHINES = 6;
 
-  /** A job and what has become of it. */
-  private static final class Play {
+  /** A simulated job. */
+  private static final class SimulatedJob {
     private final Job job;
     private final int submitted;
     private final double runS;
-    private final TaskSet pool;
-    private int given;
+    private final TaskSet unallocated;
+    private int allocated;
     private int ran;
-    private int out;
-    private int begun = -1;
+    private int active;
+    private int startedAt = -1;
 
-    Play(Job job, int submitted, double runS) {
+    SimulatedJob(Job job, int submitted, double runS) {
       this.job = job;
       this.submitted = submitted;
       this.runS = runS;
-      this.pool = TaskSet.range(job.taskCount());
+      this.unallocated = TaskSet.range(job.taskCount());
     }
   }
 
-  private final Map<JobId, Play> jobs = new TreeMap<>(Comparator.comparing(JobId::text));
+  private final Map<JobId, SimulatedJob> jobs = new TreeMap<>(Comparator.comparing(JobId::text));
 
-  /** Of each block: the tasks that wait there, and those that run, with when they end. */
-  private final Map<String, List<Play>> queued = new TreeMap<>();
+  /** Per shard: the queued tasks, and the running tasks with their end times. */
+  private final Map<String, List<SimulatedJob>> queued = new TreeMap<>();
 
-  private final Map<String, List<Map.Entry<Play, Double>>> running = new TreeMap<>();
+  private final Map<String, List<Map.Entry<SimulatedJob, Double>>> running = new TreeMap<>();
   private int number = 1000;
 
   private void submit(
@@ -68,7 +68,7 @@
     JobId id = new JobId("job-" + number++);
     jobs.put(
         id,
-        new Play(
+        new SimulatedJob(
             Job.builder(id)
                 .jobClass("c")
                 .team(team)
@@ -85,18 +85,18 @@
   }
 
   /**
-   * A second: what has ended goes, what waits is admitted in the order, and blocks start what fits,
-   * by priority and age.
+   * Simulates one second: ends tasks, admits waiting tasks in order, and starts what fits in each
+   * shard by priority and age.
    */
-  private void second(int now, StartGuarantee beginnings, Map<String, Team> teams) {
+  private void simulateSecond(int now, StartGuarantee guarantee, Map<String, Team> teams) {
     List<Admission.ShardCapacity> shards = new ArrayList<>();
     for (String name : running.keySet()) {
       running
           .get(name)
           .removeIf(
-              each -> {
-                boolean over = each.getValue() <= now;
-                each.getKey().out -= over ? 1 : 0;
+              job -> {
+                boolean over = job.getValue() <= now;
+                job.getKey().active -= over ? 1 : 0;
                 return over;
               });
       List<Resources> machines = new ArrayList<>();
@@ -105,44 +105,44 @@
       }
       Admission.ShardCapacity shard =
           new Admission.ShardCapacity(
-              new ShardId(name), "m", "z", false, BLOCK, machines, machines, Map.of(), 100_000);
-      queued.get(name).forEach(each -> shard.count(each.job, 1, 1, false));
-      running.get(name).forEach(each -> shard.count(each.getKey().job, 1, 1, false));
+              new ShardId(name), "m", "z", false, SHARD, machines, machines, Map.of(), 100_000);
+      queued.get(name).forEach(job -> shard.count(job.job, 1, 1, false));
+      running.get(name).forEach(job -> shard.count(job.getKey().job, 1, 1, false));
       shards.add(shard);
     }
     Map<String, Resources> use = new HashMap<>();
     List<StartGuarantee.Waiting> waiting = new ArrayList<>();
-    for (Play each : jobs.values()) {
-      use.merge(each.job.team(), each.job.taskResources().times(each.out), Resources::plus);
-      if (!each.pool.isEmpty()) {
+    for (SimulatedJob job : jobs.values()) {
+      use.merge(job.job.team(), job.job.taskResources().times(job.active), Resources::plus);
+      if (!job.unallocated.isEmpty()) {
         waiting.add(
             new StartGuarantee.Waiting(
-                each.job.id(),
-                new Revision(each.submitted),
-                now - each.submitted,
-                each.job.startQuorum(),
-                each.ran,
-                each.given,
-                each.job.taskResources().cpus() / (3 * BLOCK.cpus()),
-                each.job.kind() == JobKind.GANG));
+                job.job.id(),
+                new Revision(job.submitted),
+                now - job.submitted,
+                job.job.startQuorum(),
+                job.ran,
+                job.allocated,
+                job.job.taskResources().cpus() / (3 * SHARD.cpus()),
+                job.job.kind() == JobKind.GANG));
       }
     }
-    Map<JobId, Integer> begin = beginnings.look(waiting, 30);
+    Map<JobId, Integer> claims = guarantee.evaluate(waiting, 30);
     List<JobDemand> demands = new ArrayList<>();
-    for (StartGuarantee.Waiting each : waiting) {
-      Play play = jobs.get(each.id());
+    for (StartGuarantee.Waiting job : waiting) {
+      SimulatedJob simulated = jobs.get(job.id());
       demands.addAll(
           new JobDemand(
-                  play.job,
-                  each.accepted(),
+                  simulated.job,
+                  job.accepted(),
                   3600,
                   false,
                   false,
-                  play.pool.copy(),
+                  simulated.unallocated.copy(),
                   Map.of(),
                   Admission.Place.BY_PRIORITY,
-                  play.job.estimatedDemand())
-              .with(begin.getOrDefault(each.id(), 0), Admission.Place.GUARANTEED_START));
+                  simulated.job.estimatedDemand())
+              .with(claims.getOrDefault(job.id(), 0), Admission.Place.GUARANTEED_START));
     }
     new Admission(shards, teams, use, Map.of()).run(demands);
     for (Admission.ShardCapacity shard : shards) {
@@ -150,62 +150,63 @@
           .admitted()
           .forEach(
               (id, tasks) -> {
-                Play play = jobs.get(id);
-                play.pool.removeAll(tasks);
-                play.given += tasks.size();
-                play.out += tasks.size();
+                SimulatedJob simulated = jobs.get(id);
+                simulated.unallocated.removeAll(tasks);
+                simulated.allocated += tasks.size();
+                simulated.active += tasks.size();
                 for (int i = 0; i < tasks.size(); i++) {
-                  queued.get(shard.id().text()).add(play);
+                  queued.get(shard.id().text()).add(simulated);
                 }
               });
     }
     for (String name : queued.keySet()) {
-      List<Play> queue = queued.get(name);
+      List<SimulatedJob> queue = queued.get(name);
       queue.sort(
-          Comparator.comparing((Play each) -> each.job.priority())
+          Comparator.comparing((SimulatedJob job) -> job.job.priority())
               .reversed()
-              .thenComparing(each -> each.submitted));
-      double free = BLOCK.cpus();
-      for (Map.Entry<Play, Double> each : running.get(name)) {
-        free -= each.getKey().job.taskResources().cpus();
+              .thenComparing(job -> job.submitted));
+      double free = SHARD.cpus();
+      for (Map.Entry<SimulatedJob, Double> job : running.get(name)) {
+        free -= job.getKey().job.taskResources().cpus();
       }
-      for (Play each : List.copyOf(queue)) {
-        if (each.job.taskResources().cpus() <= free) {
-          queue.remove(each);
-          free -= each.job.taskResources().cpus();
-          running.get(name).add(Map.entry(each, now + each.runS));
-          each.ran++;
-          each.begun = each.begun < 0 && each.ran >= each.job.startQuorum() ? now : each.begun;
+      for (SimulatedJob job : List.copyOf(queue)) {
+        if (job.job.taskResources().cpus() <= free) {
+          queue.remove(job);
+          free -= job.job.taskResources().cpus();
+          running.get(name).add(Map.entry(job, now + job.runS));
+          job.ran++;
+          job.startedAt =
+              job.startedAt < 0 && job.ran >= job.job.startQuorum() ? now : job.startedAt;
         }
       }
     }
     jobs.values()
         .removeIf(
-            each ->
-                each.pool.isEmpty()
-                    && each.out == 0
-                    && each.begun >= 0
-                    && each.job.taskCount() < 3);
+            job ->
+                job.unallocated.isEmpty()
+                    && job.active == 0
+                    && job.startedAt >= 0
+                    && job.job.taskCount() < 3);
   }
 
   @Property(tries = 8, seed = "5")
-  void nobodyWaitsPastTheBoundWhileWorkBehindItStarts(@ForAll Random random) {
+  void startsEveryJobWithinTheBound(@ForAll Random random) {
     jobs.clear();
     for (String name : List.of("b1", "b2", "b3")) {
       queued.put(name, new ArrayList<>());
       running.put(name, new ArrayList<>());
     }
-    StartGuarantee beginnings = new Overload(new Shares(0.85, 1, 0.05, 0.05)).beginnings();
-    double none = Double.POSITIVE_INFINITY;
+    StartGuarantee guarantee = new Overload(new Shares(0.85, 1, 0.05, 0.05)).startGuarantee();
+    double unlimited = Double.POSITIVE_INFINITY;
     Map<String, Team> teams =
         Map.of(
             "loud",
-            new Team("loud", Resources.NONE, new Resources(none, none, none)),
+            new Team("loud", Resources.NONE, new Resources(unlimited, unlimited, unlimited)),
             "tight",
-            new Team("tight", Resources.NONE, new Resources(24, none, none)));
+            new Team("tight", Resources.NONE, new Resources(24, unlimited, unlimited)));
     for (int now = 0; now < 420; now++) {
-      // More than fits, of little work each, of both teams: without the bound all room and all of
-      // the limit goes to these.
+      // Many small jobs of both teams exceed the capacity: without the start guarantee they would
+      // take all room and the whole limit.
       for (int i = 0; i < 12 && jobs.size() < 120; i++) {
         submit(
             "loud",
@@ -226,8 +227,8 @@
           now);
       if (now % 20 == 0 && now < 160) {
         boolean gang = random.nextBoolean();
-        // What its team's limit does not let begin at once takes several run times more: of that
-        // nothing is promised.
+        // Jobs that the team's limit does not let start at once take several run times longer; the
+        // guarantee does not cover that, so jobs of team "tight" stay small.
         boolean tight = random.nextInt(3) == 0;
         submit(
             tight ? "tight" : "loud",
@@ -238,25 +239,26 @@
             10 + random.nextInt(30),
             now);
       }
-      second(now, beginnings, teams);
-      for (Play each : jobs.values()) {
+      simulateSecond(now, guarantee, teams);
+      for (SimulatedJob job : jobs.values()) {
         assertTrue(
-            each.begun >= 0 || now - each.submitted <= BOUND_S || each.job.taskCount() < 3,
-            each.job + " after " + (now - each.submitted));
+            job.startedAt >= 0 || now - job.submitted <= BOUND_S || job.job.taskCount() < 3,
+            job.job + " after " + (now - job.submitted));
       }
     }
   }
 
-  /** Every state from every other: only forward, and what has begun has begun. */
+  /** State transitions only move forward, and a started job stays started. */
   @Example
-  void statesGoForward() {
+  void statesOnlyMoveForward() {
     for (StartGuarantee.State state : StartGuarantee.State.values()) {
       for (double age = 0; age <= 300; age += 10) {
-        for (boolean begun : new boolean[] {false, true}) {
-          StartGuarantee.State next = StartGuarantee.next(state, begun, age, 150, 200);
+        for (boolean hasStarted : new boolean[] {false, true}) {
+          StartGuarantee.State next = StartGuarantee.next(state, hasStarted, age, 150, 200);
           assertTrue(next.compareTo(state) >= 0, state + " to " + next);
           assertEquals(
-              begun || state == StartGuarantee.State.BEGUN, next == StartGuarantee.State.BEGUN);
+              hasStarted || state == StartGuarantee.State.BEGUN,
+              next == StartGuarantee.State.BEGUN);
           assertTrue(age < 200 || next.compareTo(StartGuarantee.State.GUARANTEED) >= 0);
         }
       }
--- a/src/test/java/org/quincecross/overload/TardinessMinimizerTest.java
+++ b/src/test/java/org/quincecross/overload/TardinessMinimizerTest.java
@@ -19,10 +19,10 @@
 import org.quincecross.model.Revision;
 
 class TardinessMinimizerTest {
-  static DemandClaim claim(int number, double work, Milestone... goals) {
-    return new DemandClaim(
+  static AdmissionCandidate pendingJob(int number, double work, JobDeadline... goals) {
+    return new AdmissionCandidate(
         new JobId("job-" + number),
-        new DemandClaim.Group("t", "c"),
+        new AdmissionCandidate.Group("t", "c"),
         Priority.NORMAL,
         false,
         new Revision(number),
@@ -35,32 +35,32 @@
   }
 
   @Provide
-  static Arbitrary<List<DemandClaim>> claims() {
-    Arbitrary<DemandClaim> each =
+  static Arbitrary<List<AdmissionCandidate>> claims() {
+    Arbitrary<AdmissionCandidate> each =
         Combinators.combine(
                 Arbitraries.integers().between(1, 20), Arbitraries.integers().between(1, 40))
-            .as((work, due) -> claim(0, work, new Milestone(due, true)));
+            .as((work, due) -> pendingJob(0, work, new JobDeadline(due, true)));
     return each.list()
         .ofMinSize(1)
         .ofMaxSize(9)
         .map(
             list -> {
-              List<DemandClaim> numbered = new ArrayList<>();
-              for (DemandClaim claim : list) {
-                numbered.add(claim(numbered.size() + 1, claim.work(), claim.goals().get(0)));
+              List<AdmissionCandidate> numbered = new ArrayList<>();
+              for (AdmissionCandidate job : list) {
+                numbered.add(pendingJob(numbered.size() + 1, job.work(), job.deadlines().get(0)));
               }
               return numbered;
             });
   }
 
-  private static boolean allInTime(List<DemandClaim> claims) {
+  private static boolean allInTime(List<AdmissionCandidate> jobs) {
     double busy = 0;
-    for (DemandClaim claim :
-        claims.stream()
-            .sorted(Comparator.comparingDouble(each -> each.goals().get(0).leftS()))
+    for (AdmissionCandidate job :
+        jobs.stream()
+            .sorted(Comparator.comparingDouble(each -> each.deadlines().get(0).remainingS()))
             .toList()) {
-      busy += claim.work();
-      if (busy > claim.goals().get(0).leftS()) {
+      busy += job.work();
+      if (busy > job.deadlines().get(0).remainingS()) {
         return false;
       }
     }
@@ -68,61 +68,62 @@
   }
 
   /**
-   * What is kept can all be done in time, and no choice of jobs would keep more: compared with all
-   * choices.
+   * All selected jobs can be served in time, and no other choice of jobs selects more; compared
+   * with every choice.
    */
   @Property(tries = 300, seed = "5")
-  void noChoiceKeepsMore(@ForAll("claims") List<DemandClaim> claims) {
-    TardinessMinimizer inTime = new TardinessMinimizer(1);
-    inTime.take(claims);
-    List<DemandClaim> kept =
-        claims.stream().filter(claim -> inTime.dueS(claim.id()) != null).toList();
-    assertTrue(allInTime(kept));
-    assertEquals(claims.size(), kept.size() + inTime.dropped().size());
-    assertEquals(inTime.dropped().isEmpty(), inTime.fits());
+  void selectsTheMostJobs(@ForAll("claims") List<AdmissionCandidate> jobs) {
+    TardinessMinimizer schedule = new TardinessMinimizer(1);
+    schedule.add(jobs);
+    List<AdmissionCandidate> selected =
+        jobs.stream().filter(job -> schedule.dueS(job.id()) != null).toList();
+    assertTrue(allInTime(selected));
+    assertEquals(jobs.size(), selected.size() + schedule.lateJobs().size());
+    assertEquals(schedule.lateJobs().isEmpty(), schedule.fits());
     int most = 0;
-    for (int choice = 0; choice < 1 << claims.size(); choice++) {
-      List<DemandClaim> chosen = new ArrayList<>();
-      for (int i = 0; i < claims.size(); i++) {
+    for (int choice = 0; choice < 1 << jobs.size(); choice++) {
+      List<AdmissionCandidate> chosen = new ArrayList<>();
+      for (int i = 0; i < jobs.size(); i++) {
         if ((choice >> i & 1) == 1) {
-          chosen.add(claims.get(i));
+          chosen.add(jobs.get(i));
         }
       }
       if (chosen.size() > most && allInTime(chosen)) {
         most = chosen.size();
       }
     }
-    assertEquals(most, kept.size());
+    assertEquals(most, selected.size());
   }
 
   /**
-   * A job that is left out is served for its next goal; what is of lower priority comes after all
-   * of a higher one.
+   * A dropped job is tried with its next deadline; a lower priority comes after all of a higher
+   * one.
    */
   @Example
-  void triesTheNextGoal() {
-    TardinessMinimizer inTime = new TardinessMinimizer(0.5);
-    DemandClaim large = claim(1, 20, new Milestone(45, true), new Milestone(90, true));
-    DemandClaim small = claim(2, 5, new Milestone(45, true));
-    inTime.take(List.of(large, small));
-    assertEquals(45, inTime.dueS(small.id()));
-    assertEquals(90, inTime.dueS(large.id()));
-    assertTrue(!inTime.fits());
-    DemandClaim lower = claim(3, 5, new Milestone(59, true));
-    inTime.take(List.of(lower));
-    assertNull(inTime.dueS(lower.id()));
-    assertEquals(List.of(lower), inTime.dropped());
-    assertEquals(50, inTime.busyS());
+  void triesTheNextDeadline() {
+    TardinessMinimizer schedule = new TardinessMinimizer(0.5);
+    AdmissionCandidate large =
+        pendingJob(1, 20, new JobDeadline(45, true), new JobDeadline(90, true));
+    AdmissionCandidate small = pendingJob(2, 5, new JobDeadline(45, true));
+    schedule.add(List.of(large, small));
+    assertEquals(45, schedule.dueS(small.id()));
+    assertEquals(90, schedule.dueS(large.id()));
+    assertTrue(!schedule.fits());
+    AdmissionCandidate lower = pendingJob(3, 5, new JobDeadline(59, true));
+    schedule.add(List.of(lower));
+    assertNull(schedule.dueS(lower.id()));
+    assertEquals(List.of(lower), schedule.lateJobs());
+    assertEquals(50, schedule.backlogS());
   }
 
-  /** What nobody could do, or what nobody waits for, says nothing of how much there is to do. */
+  /** A job that is late in any case, or has no deadline, is no sign of an overload. */
   @Example
-  void whatIsLateAnywayIsNoSignOfTooMuch() {
-    TardinessMinimizer inTime = new TardinessMinimizer(1);
-    DemandClaim hopeless = claim(1, 1, new Milestone(-5, false));
-    DemandClaim patient = claim(2, 1000);
-    inTime.take(List.of(hopeless, patient));
-    assertEquals(List.of(hopeless), inTime.dropped());
-    assertTrue(inTime.fits());
+  void ignoresJobsThatAreLateInAnyCase() {
+    TardinessMinimizer schedule = new TardinessMinimizer(1);
+    AdmissionCandidate alreadyLate = pendingJob(1, 1, new JobDeadline(-5, false));
+    AdmissionCandidate withoutDeadline = pendingJob(2, 1000);
+    schedule.add(List.of(alreadyLate, withoutDeadline));
+    assertEquals(List.of(alreadyLate), schedule.lateJobs());
+    assertTrue(schedule.fits());
   }
 }
--- a/src/test/java/org/quincecross/progress/ProgressWatchTest.java
+++ b/src/test/java/org/quincecross/progress/ProgressWatchTest.java
@@ -17,45 +17,47 @@
   private static final double ALLOWED_S = 3 * ESTIMATE_S + 60;
 
   /**
-   * Whatever the numbers of running tasks do: a job has stalled when its done tasks last grew
-   * longer ago than allowed.
+   * A job has stalled when its number of done tasks last grew longer ago than allowed, whatever its
+   * number of running tasks.
    */
   @Property(tries = 300, seed = "41")
-  void aJobStallsWhenNothingOfItEnds(
+  void jobStallsWithoutCompletedTasks(
       @ForAll @Size(max = 60) List<@IntRange(min = 0, max = 30) Integer> gaps,
       @ForAll @IntRange(min = 0, max = 9) int running) {
     ProgressWatch watch = new ProgressWatch();
     double now = 0;
-    double grew = 0;
+    double lastProgressS = 0;
     int done = 0;
-    watch.look(List.of(standing(false, done, running)), at(now));
+    watch.update(List.of(status(false, done, running)), at(now));
     for (int gap : gaps) {
       now += gap;
       if (gap % 7 == 6) {
         done++;
-        grew = now;
+        lastProgressS = now;
       }
       List<ProgressWatch.Stall> stalls =
-          watch.look(List.of(standing(false, done, (running + gap) % 9)), at(now));
+          watch.update(List.of(status(false, done, (running + gap) % 9)), at(now));
       List<ProgressWatch.Stall> expected =
-          now - grew > ALLOWED_S ? List.of(new ProgressWatch.Stall(JOB, at(grew))) : List.of();
+          now - lastProgressS > ALLOWED_S
+              ? List.of(new ProgressWatch.Stall(JOB, at(lastProgressS)))
+              : List.of();
       assertEquals(expected, stalls, "at " + now);
     }
   }
 
   /** A service makes progress as long as all of its replicas run. */
   @Property(tries = 50, seed = "42")
-  void aServiceStallsWhenReplicasAreMissing(@ForAll @IntRange(min = 0, max = 3) int running) {
+  void serviceStallsWhenReplicasAreMissing(@ForAll @IntRange(min = 0, max = 3) int running) {
     ProgressWatch watch = new ProgressWatch();
     for (int second = 0; second <= 200; second += 10) {
-      boolean stalled = !watch.look(List.of(standing(true, 0, running)), at(second)).isEmpty();
+      boolean stalled = !watch.update(List.of(status(true, 0, running)), at(second)).isEmpty();
       assertEquals(running < 3 && second > ALLOWED_S, stalled, "at " + second);
     }
-    assertEquals(0, watch.look(List.of(standing(true, 0, 3)), at(210)).size());
+    assertEquals(0, watch.update(List.of(status(true, 0, 3)), at(210)).size());
   }
 
-  private static ProgressWatch.Standing standing(boolean service, int done, int running) {
-    return new ProgressWatch.Standing(
+  private static ProgressWatch.JobStatus status(boolean service, int done, int running) {
+    return new ProgressWatch.JobStatus(
         JOB, service, TimeSpan.ofSeconds(ESTIMATE_S), service ? 3 : 100, done, running);
   }
 
--- a/src/test/java/org/quincecross/quarantine/QuarantineTest.java
+++ b/src/test/java/org/quincecross/quarantine/QuarantineTest.java
@@ -17,7 +17,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
 
-/** Sick machines and jobs with a mistake, told from one another. */
+/** Tests that faulty machines and faulty jobs are told apart. */
 class QuarantineTest {
   private static final int MACHINES = 11;
   private static final int JOBS = 30;
@@ -35,20 +35,19 @@
   }
 
   /**
-   * A block with some sick machines and some jobs with a mistake, tasks starting at random, as long
-   * as they are let: no sound machine is called sick, every sick one is, no sound job is called
-   * bad.
+   * Starts tasks at random in a shard with some faulty machines and some faulty jobs: all faulty
+   * machines are found, no sound machine and no sound job is called faulty.
    */
   @Property(tries = 150)
-  void bothAreFoundAndNothingElse(@ForAll long seed) {
+  void findsExactlyTheFaultyMachinesAndJobs(@ForAll long seed) {
     Random random = new Random(seed);
-    Set<MachineId> sick = new HashSet<>();
+    Set<MachineId> faultyMachines = new HashSet<>();
     for (int i = random.nextInt(3); i > 0; i--) {
-      sick.add(machine(random.nextInt(MACHINES)));
+      faultyMachines.add(machine(random.nextInt(MACHINES)));
     }
-    Set<JobId> mistaken = new HashSet<>();
+    Set<JobId> faultyJobs = new HashSet<>();
     for (int i = random.nextInt(8); i > 0; i--) {
-      mistaken.add(job(random.nextInt(JOBS)));
+      faultyJobs.add(job(random.nextInt(JOBS)));
     }
     FaultEvidence evidence = new FaultEvidence();
     Set<MachineId> found = new HashSet<>();
@@ -58,10 +57,10 @@
       MachineId machine = machine(random.nextInt(MACHINES));
       JobId job = job(random.nextInt(JOBS));
       if (!found.contains(machine)
-          && !evidence.isBad(job)
+          && !evidence.isFaulty(job)
           && !evidence.isDeclined(job, time)
-          && !(evidence.isDoubtful(job) && evidence.failedOn(job).contains(machine))) {
-        if (sick.contains(machine) || mistaken.contains(job)) {
+          && !(evidence.isSuspect(job) && evidence.failedOn(job).contains(machine))) {
+        if (faultyMachines.contains(machine) || faultyJobs.contains(job)) {
           found.addAll(evidence.failed(machine, job, TimeSpan.ZERO, time));
         } else {
           running.computeIfAbsent(machine, m -> new HashMap<>()).putIfAbsent(job, now);
@@ -85,20 +84,20 @@
                         return false;
                       }));
     }
-    assertEquals(sick, found);
+    assertEquals(faultyMachines, found);
     for (int i = 0; i < JOBS; i++) {
-      if (!mistaken.contains(job(i))) {
-        assertFalse(evidence.isBad(job(i)), job(i).text());
+      if (!faultyJobs.contains(job(i))) {
+        assertFalse(evidence.isFaulty(job(i)), job(i).text());
       }
     }
   }
 
   /**
-   * Tens of jobs with a mistake, all on the same machines at the same moment, before any of them
-   * was tried elsewhere.
+   * Many faulty jobs reach the same machine at the same moment, before any of them was tried
+   * elsewhere; the machine is not called faulty.
    */
   @Test
-  void aMachineThatGoesOnRunningOthersIsNotSickForLong() {
+  void manyFaultyJobsDoNotMakeMachineFaulty() {
     FaultEvidence evidence = new FaultEvidence();
     evidence.startedWell(machine(1), job(99), at(0), at(5));
     assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(10)));
@@ -108,17 +107,14 @@
     assertEquals(Set.of(), evidence.failed(machine(1), job(3), TimeSpan.ZERO, at(12)));
     evidence.startedWell(machine(1), job(5), at(13), at(18));
     assertEquals(Set.of(), evidence.failed(machine(1), job(4), TimeSpan.ZERO, at(24)));
-    assertFalse(evidence.isBad(job(1)));
+    assertFalse(evidence.isFaulty(job(1)));
     evidence.failed(machine(3), job(1), TimeSpan.ZERO, at(25));
-    assertTrue(evidence.isBad(job(1)));
+    assertTrue(evidence.isFaulty(job(1)));
   }
 
-  /**
-   * What failed on a machine counts against it from the moment that the job is seen to run
-   * elsewhere.
-   */
+  /** Failures count against a machine from the moment that the job is seen running elsewhere. */
   @Test
-  void aJobThatRunsElsewhereSpeaksAgainstTheMachinesWhereItFailedBefore() {
+  void earlierFailuresCountOnceJobRunsElsewhere() {
     FaultEvidence evidence = new FaultEvidence();
     assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(0)));
     assertEquals(Set.of(), evidence.failed(machine(1), job(1), TimeSpan.ZERO, at(1)));
@@ -126,60 +122,65 @@
   }
 
   /**
-   * A job that fails after it has run for a while is not cleared by that, nor are machines blamed
-   * for it.
+   * A job that fails after running for a while is not cleared by that run, and machines are not
+   * blamed.
    */
   @Test
-  void aJobThatFailsLateIsNotTakenForOneThatRuns() {
+  void lateFailureDoesNotClearJob() {
     FaultEvidence evidence = new FaultEvidence();
     for (int i = 0; i < 3; i++) {
       evidence.startedWell(machine(i), job(1), at(20 * i), at(20 * i + 6));
       assertEquals(
           Set.of(), evidence.failed(machine(i), job(1), TimeSpan.ofSeconds(9), at(20 * i + 9)));
     }
-    assertTrue(evidence.isBad(job(1)));
+    assertTrue(evidence.isFaulty(job(1)));
   }
 
   /**
-   * Declined by three blocks: paused, tried with one task at a time, ever more seldom; free once
-   * something of it is done.
+   * A job declined by three shards is paused and tried one task at a time, at growing intervals,
+   * and cleared once a task is done.
    */
   @Test
-  void aSuspectIsTriedEverMoreSeldomUntilItRuns() {
+  void triesSuspectAtGrowingIntervalsUntilItRuns() {
     SuspectJobs suspects = new SuspectJobs();
     JobId job = job(1);
     assertEquals(
-        Integer.MAX_VALUE, suspects.mayGo(new SuspectJobs.Look(job, 2, 9, 0, 5, 0), at(0)));
+        Integer.MAX_VALUE,
+        suspects.admissibleTasks(new SuspectJobs.JobStatus(job, 2, 9, 0, 5, 0), at(0)));
     int trials = 0;
-    boolean out = false;
-    double outSince = 0;
+    boolean onTrial = false;
+    double trialSince = 0;
     for (double now = 0; now < 600; now += 0.5) {
-      int may = suspects.mayGo(new SuspectJobs.Look(job, 3, 9, 0, out ? 1 : 0, 0), at(now));
-      assertTrue(may <= 1);
-      if (may == 1 && !out) {
-        suspects.given(job);
-        out = true;
-        outSince = now;
+      int admissible =
+          suspects.admissibleTasks(
+              new SuspectJobs.JobStatus(job, 3, 9, 0, onTrial ? 1 : 0, 0), at(now));
+      assertTrue(admissible <= 1);
+      if (admissible == 1 && !onTrial) {
+        suspects.allocated(job);
+        onTrial = true;
+        trialSince = now;
         trials++;
-      } else if (out && now - outSince > 2) {
-        out = false;
+      } else if (onTrial && now - trialSince > 2) {
+        onTrial = false;
       }
     }
     assertTrue(trials >= 4 && trials <= 9, trials + " trials in ten minutes");
     assertEquals(
-        Integer.MAX_VALUE, suspects.mayGo(new SuspectJobs.Look(job, 0, 9, 1, 0, 0), at(600)));
-    assertEquals(null, suspects.of(job));
+        Integer.MAX_VALUE,
+        suspects.admissibleTasks(new SuspectJobs.JobStatus(job, 0, 9, 1, 0, 0), at(600)));
+    assertEquals(null, suspects.state(job));
   }
 
-  /** However many suspects there are, no more than one trial begins in a second. */
+  /** At most one trial begins a second, however many suspects there are. */
   @Test
-  void trialsOfManySuspectsAreSpread() {
+  void spreadsTrialsOfManySuspects() {
     SuspectJobs suspects = new SuspectJobs();
     int begun = 0;
     for (double now = 0; now < 60; now += 0.25) {
       for (int i = 0; i < 50; i++) {
-        if (suspects.mayGo(new SuspectJobs.Look(job(i), 3, 3, 0, 0, 0), at(now)) == 1) {
-          suspects.given(job(i));
+        if (suspects.admissibleTasks(new SuspectJobs.JobStatus(job(i), 3, 3, 0, 0, 0), at(now))
+            == 1) {
+          suspects.allocated(job(i));
           begun++;
         }
       }
--- a/src/test/java/org/quincecross/state/JobIndexTest.java
+++ b/src/test/java/org/quincecross/state/JobIndexTest.java
@@ -141,13 +141,13 @@
     Collections.shuffle(keys, random);
     for (String key : keys) {
       if (cache.job(job.id()) != null) {
-        assertTrue(cache.dependencyGraph().waits(job.id()));
+        assertTrue(cache.dependencyGraph().isWaiting(job.id()));
       }
       put(key, records.get(key));
     }
     assertTrue(changed.contains(job.id()));
     assertEquals(job, cache.job(job.id()).job());
-    assertEquals(waitsOn, new HashSet<>(cache.dependencyGraph().unfinished(job.id())));
+    assertEquals(waitsOn, new HashSet<>(cache.dependencyGraph().unfinishedDependencies(job.id())));
     assertTrue(parts < 30);
   }
 
@@ -189,10 +189,11 @@
             List.of(
                 JobRecord.writeOpen(job(id(2), Set.of(id(1))), 200),
                 JobRecord.writeOpen(job(id(3), Set.of(id(2))), 300))));
-    assertTrue(cache.dependencyGraph().waits(id(2)) && cache.dependencyGraph().waits(id(3)));
+    assertTrue(
+        cache.dependencyGraph().isWaiting(id(2)) && cache.dependencyGraph().isWaiting(id(3)));
     put(StoreKeys.job(id(1)), cache.job(id(1)).writeDone(900));
     assertEquals(Set.of(id(1), id(2)), changed);
-    assertFalse(cache.dependencyGraph().waits(id(2)));
+    assertFalse(cache.dependencyGraph().isWaiting(id(2)));
     assertEquals(900, cache.runnableSinceMs(cache.job(id(2))));
     put(StoreKeys.job(id(2)), cache.job(id(2)).writeCancelled(950));
     assertEquals(Set.of(id(2), id(3)), changed);
