--- a/src/main/java/org/quincecross/legalhold/Claim.java
+++ b/src/main/java/org/quincecross/legalhold/Claim.java
@@ -3,5 +3,5 @@
 import java.util.List;
 import org.quincecross.model.TaskSet;
 
-/** Which records some tasks of a job touch: each of these tasks may touch all of these records. */
+/** The records that tasks of a job may access: each of the tasks may access all of the records. */
 public record Claim(TaskSet tasks, List<Records> records) {}
--- a/src/main/java/org/quincecross/legalhold/ClaimKind.java
+++ b/src/main/java/org/quincecross/legalhold/ClaimKind.java
@@ -14,17 +14,17 @@
 import org.quincecross.replicated.Transition;
 
 /**
- * Claims as agreed records, by pages named {@code <job>.<page>}. What was told is not told
- * otherwise later: the job is cancelled and submitted anew in its place, for a task may have gone
- * by what was told.
+ * The replicated record kind of claims, in pages named {@code <job>.<page>}. A page is never
+ * changed once recorded, because a task may have run under it; the job has to be cancelled and
+ * submitted under a new id instead.
  */
 public final class ClaimKind implements RecordKind<List<Claim>, List<Claim>> {
   public static final String NAME = "claims";
 
-  /** The most tasks that a job can have. */
+  /** Upper limit of the tasks of a job. */
   public static final int MOST_TASKS = 100_000;
 
-  /** So many characters of claims fit into one page. */
+  /** Upper limit of the characters of claims in one page. */
   public static final int MOST_PAGE = 2600;
 
   @Override
@@ -42,7 +42,9 @@
     return true;
   }
 
-  /** A job whose lane is none of sweeps touched nothing before. */
+  /**
+   * Before its first claim, a job whose class is not a sweep class was assumed to access nothing.
+   */
   @Override
   public boolean startsWithholding(List<Claim> before, List<Claim> next) {
     return !next.equals(before);
@@ -64,7 +66,7 @@
     return new Transition.Changed<>(told, List.of(new AuditEvent("told", details)));
   }
 
-  /** The job whose page this is, or null. */
+  /** Returns the job that a page belongs to, or null. */
   public static JobId job(String id) {
     int dot = id.indexOf('.');
     return JobId.parse(dot < 0 ? id : id.substring(0, dot));
@@ -108,7 +110,7 @@
     return claims;
   }
 
-  /** About how long a claim is as it is written. */
+  /** Returns the approximate length of a claim as written. */
   public static int length(Claim claim) {
     return 27
         + claim.tasks().textLength()
--- a/src/main/java/org/quincecross/legalhold/LegalHold.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHold.java
@@ -4,20 +4,20 @@
 import org.quincecross.replicated.CommandOrigin;
 
 /**
- * A hold under the reference of a magistrate's request.
+ * A legal hold, named by the reference of a magistrate's request.
  *
- * @param opening which opening of the reference this is, counted from 1; 0 where there was none
- * @param records that are held
- * @param fromMs from when, in ms since 1970; 0: from its opening on
- * @param reviewMs when somebody is to look at it again, in ms since 1970; 0: never. It only reminds
- * @param by who opened it, or who closed it
- * @param scope how often it was found, after it had been pinned, that more tasks touch its records
- *     than was known
- * @param provenAt the revision of the records by which it was last found that no task that touches
- *     its records runs; 0 where not yet
- * @param notes how many notes of its trail were made in this opening
- * @param kept stands for what the last note of tasks kept back said: another one is made only of
- *     something else
+ * @param opening number of the current opening of this reference, counted from 1; 0 if it was never
+ *     opened
+ * @param records the records on hold
+ * @param fromMs when it takes effect, in ms since 1970; 0 for immediately
+ * @param reviewMs when it is due for review, in ms since 1970; 0 for never. A reminder only
+ * @param by who opened or closed it
+ * @param scope how often tasks that access its records were found after it had been pinned
+ * @param provenAt revision of the state at which it was last proven that no task accessing its
+ *     records runs; 0 if not yet
+ * @param notes number of audit notes in this opening
+ * @param notedDigest digest of the blocked tasks in the last note; another note is made only if
+ *     they differ
  */
 public record LegalHold(
     State state,
@@ -34,11 +34,11 @@
   public enum State {
     /** Never opened. */
     NONE,
-    /** Opened for a later time. */
+    /** Opened, to take effect later. */
     FUTURE,
-    /** In force; a task that touches its records may still run. */
+    /** In effect; a task that accesses its records may still run. */
     PINNING,
-    /** In force, and proven: no such task runs or can start anywhere. */
+    /** In effect, and proven: no such task runs or can start anywhere. */
     PINNED,
     /** Closed; may be opened again. */
     CLOSED
@@ -46,7 +46,7 @@
 
   static final LegalHold NONE = new LegalHold(State.NONE, 0, List.of(), 0, 0, "", 0, 0, 0, 0);
 
-  /** Whether it keeps tasks back whatever the time of day. */
+  /** Whether it blocks tasks, regardless of the time of day. */
   public boolean isInForce() {
     return state == State.PINNING || state == State.PINNED;
   }
@@ -55,7 +55,10 @@
     return isInForce() || state == State.FUTURE;
   }
 
-  /** Whether it may be in force by a clock: the bound of the clocks counts against the sweep. */
+  /**
+   * Whether its time may have come. The clock error counts against the sweep, so that a hold never
+   * takes effect late.
+   */
   public boolean isDue(CommandOrigin at) {
     return state == State.FUTURE && at.latestMs() >= fromMs;
   }
@@ -65,7 +68,7 @@
     return isOpen() && reviewMs > 0 && at.latestMs() >= reviewMs;
   }
 
-  /** The one function that changes the state; all else of a hold changes with it or stays. */
+  /** The only method that changes the state; all other fields change with it or stay. */
   LegalHold enter(State next, String who) {
     return new LegalHold(
         next, opening, records, fromMs, reviewMs, who, scope, provenAt, notes, kept);
--- a/src/main/java/org/quincecross/legalhold/LegalHoldCommand.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldCommand.java
@@ -3,46 +3,48 @@
 import java.util.List;
 
 /**
- * What becomes of a hold. The first three are asked for by operators; the others a controller makes
- * itself, on what it has found.
+ * Commands on a hold. The first three are sent by operators; controllers issue the others
+ * themselves, from what they have found.
  */
 public sealed interface LegalHoldCommand {
   /**
    * Opens a hold.
    *
-   * @param fromMs 0: from now on; {@code reviewMs} 0: never
+   * @param fromMs 0 for immediately; {@code reviewMs}: 0 for never
    */
   record Open(List<Records> records, long fromMs, long reviewMs) implements LegalHoldCommand {}
 
-  /** Ends one opening, and no other: a closing that is applied late does nothing to a later one. */
+  /**
+   * Closes one opening only, so that a close that is applied late does not affect a later opening.
+   */
   record Close(int opening) implements LegalHoldCommand {}
 
   record Review(int opening, long reviewMs) implements LegalHoldCommand {}
 
-  /** Its time may have come. */
+  /** The time of a future hold may have come. */
   record Due(int opening) implements LegalHoldCommand {}
 
   /**
-   * Records that no task touches the held records any more.
+   * No task accesses the held records any more.
    *
-   * @param revision of the records in which no task that touches the hold's records was out
-   * @param kept the tasks that are kept back, as far as they fit
-   * @param what stands for all that are kept back
+   * @param revision the revision of the state in which no task accessing the records was allocated
+   * @param blocked the blocked tasks, as far as they fit
+   * @param digest digest of all blocked tasks
    */
   record Pinned(int opening, int scope, long revision, String kept, long what)
       implements LegalHoldCommand {}
 
   /**
-   * A task that touches the records is out though this was pinned: a claim or a lane was told after
-   * it began.
+   * A task that accesses the records is allocated although the hold was pinned: a claim or sweep
+   * class was recorded after the task started.
    */
   record Widened(int opening, int scope, String tasks) implements LegalHoldCommand {}
 
   /**
-   * A note for the trail.
+   * An audit note.
    *
-   * @param number of the note, counted from 0: the same is not made twice
-   * @param what stands for all that is noted, of which this may be a part
+   * @param number of the note, counted from 0, so that the same note is not made twice
+   * @param digest digest of everything noted, of which this may be a part
    */
   record Note(int opening, int number, String event, String tasks, long what)
       implements LegalHoldCommand {}
--- a/src/main/java/org/quincecross/legalhold/LegalHoldIndex.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldIndex.java
@@ -16,16 +16,16 @@
 import org.quincecross.model.TaskSet;
 
 /**
- * Which tasks the holds in force keep back. Kept current as holds, claims and lanes change, at a
- * cost in proportion to what changes with it: the claims on the records concerned and the tasks
- * that are kept back or set free. Memory is in proportion to what was told.
+ * The tasks that holds in effect block. Updated as holds, claims and sweep classes change. The cost
+ * of an update is proportional to the claims on the records concerned and to the tasks that become
+ * blocked or unblocked; memory is proportional to the recorded claims.
  */
 public final class LegalHoldIndex {
   private static final TaskSet NONE = new TaskSet();
 
   /**
-   * Records that some claims name, how many different records under hold they touch, and who claims
-   * them.
+   * Records named by claims, the number of different records on hold that overlap them, and the
+   * claims.
    */
   private static final class Claimed {
     private final Records records;
@@ -37,11 +37,11 @@
     }
   }
 
-  /** Tasks of a job that touch the same records: kept back while any of these are under hold. */
+  /** Tasks of a job that access the same records; blocked while any of these are on hold. */
   private static final class Entry {
     private final Tracked job;
 
-    /** First and last of each run of tasks. */
+    /** First and last task of each run of consecutive tasks. */
     private final int[] runs;
 
     private final List<Claimed> records;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** A job that has claims, or of which was asked while its lane is one of sweeps. */
+  /** A job that has claims, or that was queried while its class is a sweep class. */
   private static final class Tracked {
     private final JobId id;
     private final Map<String, List<Claim>> pages = new TreeMap<>();
@@ -72,10 +72,10 @@
     private final TaskSet claimed = new TaskSet();
     private TaskSet withheld = new TaskSet();
 
-    /** Whether a task is in more than one entry. */
+    /** Whether some task is in more than one entry. */
     private boolean mixed;
 
-    /** The tasks that no claim names, where the job is a sweep. */
+    /** The tasks without claims, if the job's class is a sweep class. */
     private Entry rest;
 
     private Job job;
@@ -96,10 +96,7 @@
 
   // ---- holds ----
 
-  /**
-   * A hold is in force from now on. Returns the jobs of which other tasks are kept back than
-   * before.
-   */
+  /** Puts a hold into effect. Returns the jobs whose blocked tasks change. */
   public Set<JobId> opened(String reference, Collection<Records> records) {
     Set<JobId> changed = closed(reference);
     List<Records> distinct = List.copyOf(new LinkedHashSet<>(records));
@@ -116,9 +113,7 @@
     return changed;
   }
 
-  /**
-   * A hold is in force no more. Returns the jobs of which other tasks are kept back than before.
-   */
+  /** Ends a hold. Returns the jobs whose blocked tasks change. */
   public Set<JobId> closed(String reference) {
     Set<JobId> changed = new LinkedHashSet<>();
     for (Records each : holds.getOrDefault(reference, List.of())) {
@@ -152,7 +147,7 @@
     }
   }
 
-  /** An entry is kept back now and was not, or the reverse. */
+  /** Updates the blocked tasks of a job after an entry became blocked or unblocked. */
   private void turn(Entry entry) {
     Tracked job = entry.job;
     if (entry.covered > 0) {
@@ -176,9 +171,12 @@
     }
   }
 
-  // ---- claims and lanes ----
+  // ---- claims and sweep classes ----
 
-  /** A page of a job's claims was told, or (with none) is gone. Returns the jobs concerned. */
+  /**
+   * Records a page of a job's claims, or removes it if {@code claims} is empty. Returns the jobs
+   * concerned.
+   */
   public Set<JobId> claims(JobId id, String page, List<Claim> claims) {
     Tracked job = jobs.computeIfAbsent(id, Tracked::new);
     List<Claim> before = claims.isEmpty() ? job.pages.remove(page) : job.pages.put(page, claims);
@@ -207,8 +205,8 @@
   }
 
   /**
-   * Jobs of a lane are sweeps that may touch these records; none: they are no sweeps. Returns the
-   * jobs concerned.
+   * Sets the records that jobs of a class may access as sweeps; empty if it is not a sweep class.
+   * Returns the jobs concerned.
    */
   public Set<JobId> lane(String lane, List<Records> series) {
     List<Records> before =
@@ -222,7 +220,7 @@
     return changed;
   }
 
-  /** The tasks that no claim names are told anew, and what is kept back is summed up. */
+  /** Updates the entry of the tasks without claims, and the blocked tasks of the job. */
   private Set<JobId> rest(Tracked job) {
     if (job.rest != null) {
       drop(job.rest);
@@ -230,8 +228,8 @@
       job.rest = null;
     }
     if (job.job != null) {
-      // What is unknown is not touched: tasks of a sweep without claims may touch all of its
-      // series.
+      // Without claims the accessed records are unknown, so a sweep's task may access all series of
+      // its class.
       TaskSet rest = TaskSet.range(job.job.taskCount());
       rest.removeAll(job.claimed);
       List<Records> series = lanes.getOrDefault(job.job.jobClass(), List.of());
@@ -273,7 +271,7 @@
     return entry;
   }
 
-  /** A key may be of any period under hold, and a period may hold any key. */
+  /** A key may belong to any period on hold, and a period may contain any key. */
   private static Set<Records> broadened(List<Records> records) {
     Set<Records> all = new LinkedHashSet<>(records);
     for (Records each : records) {
@@ -300,16 +298,16 @@
     return runs.stream().mapToInt(Integer::intValue).toArray();
   }
 
-  // ---- what comes of it ----
+  // ---- queries ----
 
-  /** The tasks of a job that are kept back; not to be changed. */
+  /** Returns the blocked tasks of a job; callers must not change the set. */
   public TaskSet of(Job job) {
     if (jobs.isEmpty() && lanes.isEmpty()) {
       return NONE;
     }
     Tracked known = jobs.get(job.id());
     if (known == null && !lanes.containsKey(job.jobClass())) {
-      // Its lane may become one of sweeps: it is found then by being asked for again.
+      // Its class may become a sweep class later; the job is tracked when it is queried again.
       return NONE;
     }
     if (known == null || known.job == null) {
@@ -321,10 +319,7 @@
     return known.withheld;
   }
 
-  /**
-   * Nothing is asked of a job any more that is over: what its claims say stays, as long as they are
-   * told.
-   */
+  /** Stops tracking a job that has ended; its claims stay as long as they are recorded. */
   public void over(JobId id) {
     Tracked known = jobs.get(id);
     if (known != null && known.job != null) {
@@ -341,7 +336,7 @@
     }
   }
 
-  /** The references of the holds that keep tasks of a job back, in order of their names. */
+  /** Returns the references of the holds that block tasks of a job, sorted. */
   public Set<String> holding(JobId id) {
     Set<String> references = new TreeSet<>();
     Tracked known = jobs.get(id);
@@ -355,7 +350,7 @@
     return references;
   }
 
-  /** The tasks, by job, that touch some of these records, by what is known of claims and lanes. */
+  /** Returns the tasks, by job, that may access some of these records. */
   public Map<JobId, TaskSet> touching(Collection<Records> records) {
     Map<JobId, TaskSet> touching = new LinkedHashMap<>();
     for (Records each : records) {
@@ -367,27 +362,30 @@
     return touching;
   }
 
-  /** Whether a hold is in force, on these records. */
+  /** Whether a hold on exactly these records is in effect. */
   public boolean isInForce(String reference, Collection<Records> records) {
     return List.copyOf(new LinkedHashSet<>(records)).equals(holds.get(reference));
   }
 
-  /** The holds in force. */
+  /** Returns the holds in effect. */
   public Set<String> references() {
     return Set.copyOf(holds.keySet());
   }
 
-  /** Whether a job has claims, or was asked for as a sweep. */
+  /** Whether a job has claims, or was queried as a sweep. */
   public boolean isTracked(JobId id) {
     return jobs.containsKey(id);
   }
 
-  /** How many claims are known, each of some tasks of a job. */
+  /** Number of known entries, each of some tasks of a job. */
   public int size() {
     return entries;
   }
 
-  /** The steps made so far: claims and holds looked at, tasks kept back or set free. */
+  /**
+   * Number of steps so far, as a measure of cost: claims and holds visited, tasks blocked or
+   * unblocked.
+   */
   long work() {
     return work;
   }
--- a/src/main/java/org/quincecross/legalhold/LegalHoldKind.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldKind.java
@@ -13,11 +13,11 @@
 import org.quincecross.replicated.RecordKind;
 import org.quincecross.replicated.Transition;
 
-/** Holds as agreed records; a hold's name is its reference. */
+/** The replicated record kind of legal holds; a record's name is the hold's reference. */
 public final class LegalHoldKind implements RecordKind<LegalHold, LegalHoldCommand> {
   public static final String NAME = "holds";
 
-  /** So many characters of records fit beside the trail. */
+  /** Upper limit of the characters of a hold's records, which leaves room for the audit trail. */
   public static final int MOST_RECORDS = 1000;
 
   private static final long LAST_MS = 253_402_300_799_999L;
@@ -42,7 +42,7 @@
     return next.isInForce() && !before.isInForce();
   }
 
-  // ---- the step ----
+  // ---- transitions ----
 
   @Override
   public Transition<LegalHold> step(LegalHold hold, LegalHoldCommand command, CommandOrigin at) {
@@ -201,7 +201,7 @@
             review.reviewMs());
   }
 
-  // ---- how it is written ----
+  // ---- formats ----
 
   private static List<Object> texts(List<Records> records) {
     List<Object> texts = new ArrayList<>();
@@ -257,7 +257,10 @@
         in.integer("kept", Long.MIN_VALUE, Long.MAX_VALUE));
   }
 
-  /** Operators open, close and set review dates; what controllers find is nobody else's to say. */
+  /**
+   * Operators may open, close and set review dates; all other commands are issued by controllers
+   * only.
+   */
   @Override
   public LegalHoldCommand command(Map<String, Object> body) throws MalformedRecordException {
     RecordFields in = RecordFields.of(body, "the command");
--- a/src/main/java/org/quincecross/legalhold/Listing.java
+++ b/src/main/java/org/quincecross/legalhold/Listing.java
@@ -7,16 +7,16 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
 
-/** Tasks by job as text for a trail, cut into parts that fit its lines. */
+/** Formats tasks by job as text for the audit trail, in parts that fit its entries. */
 public final class Listing {
-  /** So many characters are in one part. */
+  /** Upper limit of the characters of a part. */
   static final int MOST = 700;
 
   private Listing() {}
 
   /**
-   * Each part is like {@code job-1/0-5,7 job-2/0}; together they name all the tasks. None for no
-   * tasks.
+   * Returns parts such as {@code job-1/0-5,7 job-2/0}, which together name all the tasks; none for
+   * no tasks.
    */
   public static List<String> parts(Map<JobId, TaskSet> tasks) {
     List<String> parts = new ArrayList<>();
@@ -51,7 +51,7 @@
     return parts;
   }
 
-  /** Stands for the tasks of a listing: another one of the same tasks has the same. */
+  /** Returns a digest of the tasks; equal for the same tasks. */
   public static long what(Map<JobId, TaskSet> tasks) {
     long what = 1;
     for (Map.Entry<JobId, TaskSet> each : new TreeMap<>(tasks).entrySet()) {
--- a/src/main/java/org/quincecross/legalhold/RecordIndex.java
+++ b/src/main/java/org/quincecross/legalhold/RecordIndex.java
@@ -8,10 +8,10 @@
 import org.locationtech.jts.index.bintree.Interval;
 
 /**
- * Something for each of many records, found by what overlaps others: periods in a tree of intervals
- * for each series, keys by their names. That a key may be of any period is not looked up pair by
- * pair: {@link #anyKey} and {@link #anyPeriod} stand for it, and whoever puts a key or a period
- * into one index puts these into the other.
+ * Values for record selectors, found by overlap: periods in an interval tree for each series, keys
+ * by name. Since a key may belong to any period, pairs of keys and periods are not looked up
+ * individually: the wildcards {@link #anyKey} and {@link #anyPeriod} stand for them, and a caller
+ * that puts a key or a period into one index puts the wildcard into the other.
  */
 final class RecordIndex<V> {
   private static final int KEYS = -1;
@@ -20,7 +20,7 @@
   private record Item<V>(Records records, V value) {}
 
   private static final class Series<V> {
-    /** The whole series, and what stands for any key or any period of it. */
+    /** The whole series, and the wildcards for any key and any period of it. */
     private final Map<Records, V> broad = new HashMap<>();
 
     private final Map<Records, V> keys = new HashMap<>();
@@ -38,12 +38,12 @@
 
   private final Map<String, Series<V>> series = new HashMap<>();
 
-  /** Stands for all keys of a series, whichever they are: overlaps every period. */
+  /** The wildcard for all keys of a series: overlaps every period. */
   static Records anyKey(String series) {
     return new Records(series, KEYS, 0, null);
   }
 
-  /** Stands for all periods of a series: overlaps every key. */
+  /** The wildcard for all periods of a series: overlaps every key. */
   static Records anyPeriod(String series) {
     return new Records(series, PERIODS, 0, null);
   }
@@ -65,8 +65,8 @@
   }
 
   /**
-   * The ends of an interval belong to it in the tree, so the end is put half a day before the first
-   * that is not in the period.
+   * Intervals in the tree include their ends, so the end is set half a day before the first day
+   * after the period.
    */
   private static Interval span(Records records) {
     return new Interval(records.from(), records.to() - 0.5);
@@ -96,8 +96,8 @@
   }
 
   /**
-   * How many there are that overlap {@code records}; of what is broad this is known without looking
-   * at each.
+   * Returns how many entries overlap {@code records}; wildcards are counted without visiting each
+   * entry.
    */
   int count(Records records) {
     Series<V> there = series.get(records.series());
@@ -116,7 +116,7 @@
     };
   }
 
-  /** What there is for records of which some may be among {@code records}. */
+  /** Returns the values of all entries that may overlap {@code records}. */
   List<V> overlapping(Records records) {
     List<V> found = new ArrayList<>();
     if (records.equals(Records.ANY)) {
@@ -140,7 +140,7 @@
       add(found, anyKey(records.series()));
       for (Object candidate : there.tree.query(span(records))) {
         Records other = ((Item<?>) candidate).records();
-        if (other.overlaps(records)) { // the tree finds some beside those that overlap
+        if (other.overlaps(records)) { // the tree also returns candidates that do not overlap
           found.add(get(other));
         }
       }
--- a/src/main/java/org/quincecross/legalhold/Records.java
+++ b/src/main/java/org/quincecross/legalhold/Records.java
@@ -4,18 +4,18 @@
 import java.util.regex.Pattern;
 
 /**
- * Records as a hold or a claim names them: all of a series ({@code cdr}), those of a period of it
- * ({@code cdr/2026}, {@code cdr/2026-03}, {@code cdr/2026-03-15}, {@code cdr/2026-01..2026-03},
- * both ends included), or one by its key ({@code cdr#key}). Which period a key is of nobody has
- * said, so a key touches every period of its series.
+ * Selects records, as a hold or a claim names them: all of a series ({@code cdr}), those of a
+ * period ({@code cdr/2026}, {@code cdr/2026-03}, {@code cdr/2026-03-15}, {@code
+ * cdr/2026-01..2026-03}, both ends included), or one by its key ({@code cdr#key}). The period of a
+ * key is not known, so a key overlaps every period of its series.
  *
- * @param from the first day of the period, as the number that its digits form (20260315); 0 unless
- *     it is a period
- * @param to the first such number after the period
- * @param key the record's key; null unless it is named by key
+ * @param from first day of the period as the number formed by its digits (20260315); 0 unless it
+ *     selects a period
+ * @param to first such number after the period
+ * @param key the record's key; null unless it selects by key
  */
 public record Records(String series, int from, int to, String key) {
-  /** Any record of any series: what is touched by a task of which nothing is known. */
+  /** Selects any record of any series: what a task may access if nothing is known about it. */
   public static final Records ANY = new Records("*", 0, 0, null);
 
   private static final String SERIES = "[A-Za-z0-9][A-Za-z0-9._-]{0,39}";
@@ -26,9 +26,9 @@
   private static final int[] DAYS = {31, 29, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31};
 
   /**
-   * Reads the text of records.
+   * Parses the text of a selector.
    *
-   * @throws IllegalArgumentException saying what is wrong with it
+   * @throws IllegalArgumentException if it is invalid, with the reason
    */
   public static Records parse(String text) {
     Matcher form = FORM.matcher(text);
@@ -81,7 +81,7 @@
     return key != null;
   }
 
-  /** Whether some record may be among both. */
+  /** Whether a record may match both selectors. */
   public boolean overlaps(Records other) {
     if (!series.equals(other.series)) {
       return equals(ANY) || other.equals(ANY);
@@ -104,14 +104,14 @@
     return out.toString();
   }
 
-  /** The text that {@link #parse} reads. */
+  /** Returns the text that {@link #parse} accepts. */
   @Override
   public String toString() {
     if (!isPeriod()) {
       return isKey() ? series + "#" + key : series;
     }
-    // The end is the number after the last day, month or year: which of them it was its own digits
-    // say.
+    // The number after the last day, month or year; its trailing zero digits tell which of them the
+    // period ends with.
     int last = to % 100 != 0 ? to - 1 : to % 10_000 != 0 ? to - 100 : to - 10_000;
     return series
         + "/"
--- a/src/main/java/org/quincecross/legalhold/SweepKind.java
+++ b/src/main/java/org/quincecross/legalhold/SweepKind.java
@@ -12,8 +12,8 @@
 import org.quincecross.replicated.Transition;
 
 /**
- * Which lanes are sweeps, as agreed records named by the lane: the series that their jobs may
- * touch, {@code *} for any; none: no sweeps.
+ * The replicated record kind of sweep classes, named by the job class: the series that jobs of the
+ * class may access, {@code *} for any. Empty if the class is not a sweep class.
  */
 public final class SweepKind implements RecordKind<List<Records>, List<Records>> {
   public static final String NAME = "sweeps";
--- a/src/main/java/org/quincecross/legalhold/package-info.java
+++ b/src/main/java/org/quincecross/legalhold/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Legal holds: which records are pinned under an open request of a magistrate, which tasks of
- * sweeps touch them, and through which states a hold goes. Decisions alone: no input or output, and
- * no clock.
+ * Legal holds: the records pinned under an open request of a magistrate, the tasks of sweeps that
+ * access them, and the states of a hold. Pure: no I/O, no clock.
  */
 package org.quincecross.legalhold;
--- a/src/main/java/org/quincecross/replicated/AuditEntry.java
+++ b/src/main/java/org/quincecross/replicated/AuditEntry.java
@@ -7,27 +7,27 @@
 import org.quincecross.model.Revision;
 
 /**
- * A line of the trail.
+ * An entry of a record's audit trail.
  *
- * @param revision with which it became durable; {@link Revision#NONE} while that is the version of
- *     the record that it stands in
+ * @param revision the revision at which it became durable; {@link Revision#NONE} while that is the
+ *     version of the record that contains it
  * @param id of the record
- * @param change which change of that record it belongs to, counted from 1
- * @param atMs the time of day where it was made, in ms since 1970
- * @param by who asked; empty where a controller made the step itself
+ * @param change the change of that record that it belongs to, counted from 1
+ * @param atMs time of day of the controller that applied the change, in ms since 1970
+ * @param by who requested it; empty for a controller's own step
  */
 public record AuditEntry(
     Revision revision, String id, long change, long atMs, String by, AuditEvent entry) {
   private static final int FIELDS = 7;
 
-  /** With the revision, where that is not known yet. */
+  /** Returns the entry with its revision, if that was not set yet. */
   AuditEntry stamped(Revision version) {
     return revision.equals(Revision.NONE)
         ? new AuditEntry(version, id, change, atMs, by, entry)
         : this;
   }
 
-  /** A list in place of an object: a page has 4 KiB. */
+  /** Writes a list rather than an object, because a page is limited to 4 KiB. */
   List<Object> write() {
     List<Object> out = new ArrayList<>();
     out.add(revision.value());
@@ -60,7 +60,8 @@
           by,
           new AuditEvent(event, details));
     }
-    throw new MalformedRecordException("a line of a trail is none");
+    throw new MalformedRecordException(
+        "an audit entry is not a list of revision, id, change, time, author, event and details");
   }
 
   static List<AuditEntry> readAll(List<?> in) throws MalformedRecordException {
@@ -77,7 +78,7 @@
     return out;
   }
 
-  /** For operators. */
+  /** Returns the entry as operators see it. */
   public Map<String, Object> show() {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("revision", revision.value());
--- a/src/main/java/org/quincecross/replicated/AuditPage.java
+++ b/src/main/java/org/quincecross/replicated/AuditPage.java
@@ -7,8 +7,8 @@
 import org.quincecross.model.Revision;
 
 /**
- * A page of a trail: lines that no record has any more. Pages are numbered from 1; lines are added
- * to the last one alone, by the leader, until it is full, and never changed or removed.
+ * A page of audit entries that are no longer part of any record. Pages are numbered from 1. The
+ * leader appends entries to the last page until it is full; entries are never changed or removed.
  */
 public record AuditPage(List<AuditEntry> lines) {
   public static final AuditPage EMPTY = new AuditPage(List.of());
@@ -19,7 +19,7 @@
     return new AuditPage(List.copyOf(all));
   }
 
-  /** The latest revision of its lines. */
+  /** Returns the latest revision of its entries. */
   public Revision latest() {
     Revision latest = Revision.NONE;
     for (AuditEntry line : lines) {
--- a/src/main/java/org/quincecross/replicated/CombinedStartBlock.java
+++ b/src/main/java/org/quincecross/replicated/CombinedStartBlock.java
@@ -10,24 +10,24 @@
 import org.quincecross.model.TaskSet;
 
 /**
- * The tasks that any one part keeps back. Each part says of which jobs its answer has changed;
- * whoever goes by it is told.
+ * The union of the tasks that several sources block. Each source reports the jobs whose blocked
+ * tasks have changed, and listeners are notified.
  */
 public final class CombinedStartBlock implements StartBlock {
   private final List<StartBlock> parts = new ArrayList<>();
   private final List<Consumer<Set<JobId>>> listeners = new ArrayList<>();
 
-  /** Has a part asked from now on. */
+  /** Adds a source. */
   public void add(StartBlock part) {
     parts.add(part);
   }
 
-  /** Has {@code listener} told of jobs of which other tasks are kept back than before. */
+  /** Adds a listener that is called with the jobs whose blocked tasks have changed. */
   public void listen(Consumer<Set<JobId>> listener) {
     listeners.add(listener);
   }
 
-  /** A part answers otherwise than before of these jobs. */
+  /** Reports that a source blocks other tasks of these jobs than before. */
   public void changed(Set<JobId> jobs) {
     if (!jobs.isEmpty()) {
       listeners.forEach(listener -> listener.accept(jobs));
@@ -54,7 +54,7 @@
     if (all == null) {
       return NONE.of(job);
     }
-    // A gang runs whole or not at all.
+    // A gang runs as a whole or not at all.
     return job.kind() == JobKind.GANG ? TaskSet.range(job.taskCount()) : all;
   }
 
--- a/src/main/java/org/quincecross/replicated/CommandOrigin.java
+++ b/src/main/java/org/quincecross/replicated/CommandOrigin.java
@@ -1,14 +1,14 @@
 package org.quincecross.replicated;
 
 /**
- * When and by whom a step is made.
+ * When and by whom a command is applied.
  *
- * @param timeOfDayMs the time of day where the step is made, in ms since 1970
- * @param clockBoundMs how far that may be from the true time, in ms
- * @param by who asked, as they say; empty where a controller makes the step itself
+ * @param timeOfDayMs time of day of the controller that applies it, in ms since 1970
+ * @param clockBoundMs maximum error of that clock, in ms
+ * @param by who requested it, as stated; empty for a controller's own step
  */
 public record CommandOrigin(long timeOfDayMs, long clockBoundMs, String by) {
-  /** The latest that it may be, in ms since 1970. */
+  /** Returns the latest possible true time, in ms since 1970. */
   public long latestMs() {
     return timeOfDayMs + clockBoundMs;
   }
--- a/src/main/java/org/quincecross/replicated/RecordFields.java
+++ b/src/main/java/org/quincecross/replicated/RecordFields.java
@@ -7,8 +7,7 @@
 import java.util.Map;
 
 /**
- * The fields of a record or a command, taken with checks: what is missing or of the wrong kind is
- * named.
+ * Typed access to the fields of a record or a command; errors name the missing or malformed field.
  */
 public final class RecordFields {
   private static final int MOST_STRING = 2048;
@@ -24,7 +23,7 @@
   /**
    * Wraps a value that has to be an object.
    *
-   * @param where what it is, for the messages
+   * @param where what the value is, for error messages
    */
   public static RecordFields of(Object value, String where) throws MalformedRecordException {
     if (value instanceof Map<?, ?> map) {
@@ -34,8 +33,8 @@
   }
 
   /**
-   * Refuses names that are not among {@code known}: a misspelt one would be left out without
-   * anybody noticing.
+   * Rejects fields that are not in {@code known}; a misspelt field would otherwise be ignored
+   * silently.
    */
   public RecordFields only(Collection<String> known) throws MalformedRecordException {
     for (Object name : map.keySet()) {
@@ -50,7 +49,7 @@
     return map.get(name) != null;
   }
 
-  /** The value as it is; null where there is none. */
+  /** Returns the unchecked value, or null if there is none. */
   public Object raw(String name) {
     return map.get(name);
   }
@@ -88,7 +87,7 @@
     throw bad(name, "is not true or false");
   }
 
-  /** An integer from {@code least} to {@code most}. */
+  /** Returns an integer from {@code least} to {@code most}. */
   public long integer(String name, long least, long most) throws MalformedRecordException {
     Object value = need(name);
     if ((value instanceof Long || value instanceof Integer)
@@ -104,7 +103,7 @@
     return has(name) ? integer(name, least, most) : otherwise;
   }
 
-  /** A finite number from {@code least} to {@code most}. */
+  /** Returns a finite number from {@code least} to {@code most}. */
   public double amount(String name, double least, double most) throws MalformedRecordException {
     if (need(name) instanceof Number number
         && number.doubleValue() >= least
@@ -114,7 +113,7 @@
     throw bad(name, "is not a number from " + least + " to " + most);
   }
 
-  /** One of the constants of {@code words}, in lower or upper case. */
+  /** Returns the constant of {@code words} named by the field, in lower or upper case. */
   public <E extends Enum<E>> E word(String name, Class<E> words) throws MalformedRecordException {
     String text = text(name);
     List<String> known = new ArrayList<>();
@@ -138,7 +137,7 @@
     return texts;
   }
 
-  /** Empty where there is none. */
+  /** Returns a list; empty if the field is missing. */
   public List<?> list(String name) throws MalformedRecordException {
     if (!has(name)) {
       return List.of();
@@ -149,7 +148,7 @@
     throw bad(name, "is not a list");
   }
 
-  /** Empty where there is none. */
+  /** Returns a list of objects; empty if the field is missing. */
   public List<RecordFields> bodies(String name) throws MalformedRecordException {
     List<RecordFields> bodies = new ArrayList<>();
     for (Object item : list(name)) {
@@ -162,7 +161,7 @@
     return of(need(name), name + " of " + where);
   }
 
-  /** All fields as they are. */
+  /** Returns all fields unchecked. */
   public Map<String, Object> all() {
     Map<String, Object> all = new LinkedHashMap<>();
     map.forEach((name, value) -> all.put(String.valueOf(name), value));
--- a/src/main/java/org/quincecross/replicated/RecordId.java
+++ b/src/main/java/org/quincecross/replicated/RecordId.java
@@ -1,8 +1,8 @@
 package org.quincecross.replicated;
 
 /**
- * A record: its kind and its own name, 1 to 100 of the letters a-z and A-Z, digits, '.', '_' and
- * '-'; it begins with a letter or digit.
+ * Identifies a record: its kind, and its name within the kind. A name has 1 to 100 characters of
+ * a-z, A-Z, 0-9, '.', '_' and '-', and begins with a letter or digit.
  */
 public record RecordId(String kind, String id) implements Comparable<RecordId> {
   private static final int MOST = 100;
--- a/src/main/java/org/quincecross/replicated/RecordKind.java
+++ b/src/main/java/org/quincecross/replicated/RecordKind.java
@@ -4,65 +4,63 @@
 import java.util.Map;
 
 /**
- * A kind of record that all controllers follow. Every build that has the kind makes the same step
- * of the same state: what a later build does otherwise comes with a level (docs/design/rollout.md).
+ * A kind of record that all controllers replicate. Every build that knows the kind makes the same
+ * transition from the same state; changed behaviour of a later build requires a new feature level
+ * (docs/design/rollout.md).
  *
  * @param <S> an immutable state
  * @param <C> a command
  */
 public interface RecordKind<S, C> {
   /**
-   * Lower-case letters; where its records lie ({@code q/agreed/<name>/<id>}) and are asked for
-   * ({@code /admin/agreed/<name>/<id>}).
+   * The name in lower-case letters; its records are stored under {@code q/agreed/<name>/<id>} and
+   * served under {@code /admin/agreed/<name>/<id>}.
    */
   String name();
 
-  /** The state of a record that is not there yet. */
+  /** The state of a record that does not exist yet. */
   S initial();
 
   /**
    * Reads a state from its record.
    *
-   * @throws MalformedRecordException where the record is not one of this kind
+   * @throws MalformedRecordException if the record is not of this kind
    */
   S read(Map<String, Object> value) throws MalformedRecordException;
 
   /**
-   * What {@link #read} reads: maps, lists, strings, longs, doubles and booleans. With its trail it
-   * has to fit one value (4 KiB).
+   * Writes what {@link #read} reads: maps, lists, strings, longs, doubles and booleans. With its
+   * audit trail it has to fit one stored value (4 KiB).
    */
   Map<String, Object> write(S state);
 
   /**
-   * Reads what an operator sends.
+   * Reads an operator's command.
    *
-   * @throws MalformedRecordException where it is no command; the message names the field
+   * @throws MalformedRecordException if it is invalid; the message names the field
    */
   C command(Map<String, Object> body) throws MalformedRecordException;
 
   /**
-   * The one function that changes a state of this kind; pure: it may be made again, on a newer
-   * state, until a change is durable.
+   * Applies a command to a state. Pure: it may be repeated on a newer state until the change is
+   * durable.
    */
   Transition<S> step(S state, C command, CommandOrigin at);
 
-  /**
-   * What is shown of a record, as rows of one table: the names of the columns are the same in each
-   * row.
-   */
+  /** Returns the rows of a record in the operators' table; all rows have the same columns. */
   List<Map<String, Object>> rows(String id, S state, CommandOrigin at);
 
   /**
-   * Whether records of this kind keep tasks from running. Then a controller that cannot read one of
-   * them, or does not know the kind, takes no part: it would let run what is to be kept back.
+   * Whether records of this kind can block tasks. A controller that cannot read such a record, or
+   * does not know the kind, must not take part, because it would start blocked tasks.
    */
   default boolean restrains() {
     return false;
   }
 
   /**
-   * Whether a change keeps tasks back that were not kept back before it. Such a change makes every
-   * allocation fail that was planned without it.
+   * Whether a change blocks tasks that were not blocked before. Every allocation that was planned
+   * without such a change fails.
    */
   default boolean startsWithholding(S before, S next) {
     return false;
--- a/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
+++ b/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
@@ -7,47 +7,47 @@
 import org.quincecross.model.Revision;
 
 /**
- * A record as it is kept: the state of its kind, and what makes each request one change.
+ * A stored record: the state of its kind, and what makes every request take effect once.
  *
  * @param change how often the state has changed
  * @param requests the latest requests, oldest first
- * @param trail lines that are on no page yet, oldest first
+ * @param trail audit entries that are on no page yet, oldest first
  */
 public record ReplicatedRecord<S>(
     S state, long change, List<Request> requests, List<AuditEntry> trail) {
-  /** So many requests of one record are known by their names; the values of records are small. */
+  /** Number of requests that a record remembers; limited because stored values are small. */
   public static final int MOST_REQUESTS = 12;
 
   /**
-   * A name is known for so long at least, by the clocks of the controllers, whose bound comes on
-   * top.
+   * Minimum time for which a request name is remembered; the clock error of the controllers is
+   * added.
    */
   public static final long REQUESTS_KNOWN_MS = 120_000;
 
-  /** The longest name of a request. */
+  /** Upper limit of the length of a request name. */
   public static final int LONGEST_NAME = 64;
 
   /**
-   * A request that has been followed.
+   * A request that has been applied.
    *
    * @param change how often the state had changed then
-   * @param same why nothing was to be changed; empty where it was
+   * @param unchangedReason why it changed nothing; empty if it changed the state
    */
   public record Request(String name, long change, long atMs, String same) {}
 
-  /** What becomes of a request. */
+  /** The result of applying a command. */
   public sealed interface Result<S> {
-    /** To be written in place of what there was; {@code withholds}: with it the fence rises. */
+    /** The record has to be written; {@code raisesFence}: the fence is incremented with it. */
     record Write<S>(ReplicatedRecord<S> next, Request made, boolean withholds)
         implements Result<S> {}
 
-    /** It was followed before. */
+    /** The request was applied before. */
     record Known<S>(Request made) implements Result<S> {}
 
-    /** Nothing is to be written; {@code status} as HTTP has it. */
+    /** The command is rejected; {@code status} is an HTTP status. */
     record Refused<S>(int status, String why) implements Result<S> {}
 
-    /** A step of a controller's own that changes nothing. */
+    /** A controller's own step that changes nothing. */
     record Nothing<S>(String why) implements Result<S> {}
   }
 
@@ -56,13 +56,12 @@
   }
 
   /**
-   * The one function that changes a record.
+   * Applies a command.
    *
-   * @param version of the record as it is, none where it is not there
-   * @param request the caller's own name of the request; null for a step of a controller's own,
-   *     which is made again only if its state asks for it
-   * @param onChange the change that the caller has seen, and wants to have been the last; -1 for
-   *     whatever it is
+   * @param version of the stored record, none if it does not exist
+   * @param request the caller's name of the request; null for a controller's own step, which is
+   *     repeated only if its state requires it
+   * @param onChange the change that the caller expects to be the last; -1 for any
    */
   public <C> Result<S> apply(
       RecordKind<S, C> kind,
@@ -116,8 +115,8 @@
     if (request == null) {
       return new Result.Nothing<>(why);
     }
-    // Known by its name from now on: a copy of it that comes late may find a state in which there
-    // is something to change.
+    // The request name is remembered although nothing changes: a delayed copy of the request may
+    // find a state that it would change.
     Request made =
         new Request(request, change, at.timeOfDayMs(), why.isEmpty() ? "nothing to change" : why);
     return new Result.Write<>(
@@ -145,24 +144,25 @@
   }
 
   /**
-   * The lines of the trail that stand here, with the revision of the latest from the record itself.
+   * Returns the audit entries in this record, with the revision of the latest set to the record's
+   * own.
    */
   public List<AuditEntry> lines(Revision version) {
     return stamped(version);
   }
 
-  /** The same without its first {@code lines} lines of the trail, which are on a page now. */
+  /** Returns the record without its first {@code lines} audit entries, which are on a page now. */
   public ReplicatedRecord<S> without(int lines, Revision version) {
     List<AuditEntry> all = stamped(version);
     return new ReplicatedRecord<>(
         state, change, requests, all.subList(Math.min(lines, all.size()), all.size()));
   }
 
-  /** The record. */
+  /** Writes the record. */
   public Map<String, Object> write(RecordKind<S, ?> kind) {
     Map<String, Object> out = new LinkedHashMap<>();
     if (kind.restrains()) {
-      out.put("must", true); // who does not know the kind must not go on without it
+      out.put("must", true); // a build that does not know the kind must not ignore the record
     }
     out.put("change", change);
     out.put("state", kind.write(state));
@@ -186,7 +186,10 @@
           && fields.get(1) instanceof Number change
           && fields.get(2) instanceof Number atMs
           && fields.get(3) instanceof String same)) {
-        throw new MalformedRecordException("a request of a record of " + kind.name() + " is none");
+        throw new MalformedRecordException(
+            "a request of a record of "
+                + kind.name()
+                + " is not a list of name, change, time and reason");
       }
       requests.add(new Request(name, change.longValue(), atMs.longValue(), same));
     }
--- a/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
+++ b/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
@@ -10,41 +10,41 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Since when all controllers know of a revision: each one that could act by an older view of the
- * records has seen it, or can act no more. A controller gives commands and renews leases only for a
- * bounded time after it last heard from the state service; one that has heard from it since the
- * revision was durable has seen it.
+ * Decides since when all controllers know a revision: each one that could act on an older state has
+ * seen it, or can no longer act. A controller sends commands and renews leases only for a bounded
+ * time after it last heard from the state service; one that has heard from it since the revision
+ * became durable has seen it.
  */
 public final class ReplicationBarrier {
-  /** How far a revision has come. */
+  /** How far a revision has been replicated. */
   public enum State {
     /** This controller has not seen it. */
     UNKNOWN,
-    /** Some controller may act without it. */
+    /** Some controller may still act without it. */
     SPREADING,
-    /** Every controller has said, in its present life, that its records are as new. */
+    /** Every controller has reported, in its current incarnation, a state at least as new. */
     KNOWN_BY_REPORTS,
     /**
-     * Whoever has not seen it has not heard from the state service for so long that it can act no
-     * more.
+     * Any controller that has not seen it has been without the state service for so long that it
+     * can no longer act.
      */
     KNOWN_BY_TIME
   }
 
   /**
-   * What a controller has told of its records.
+   * The state revision that a controller reported.
    *
-   * @param incarnation in which it told it
-   * @param revision of its records
+   * @param incarnation the incarnation that reported it
+   * @param revision of its state
    */
   public record Told(ControllerId member, Incarnation incarnation, Revision revision) {}
 
   /**
    * Whether all controllers know a revision.
    *
-   * @param missing the controllers that have not told of it
-   * @param latest when it is known by all at the latest; null where this controller has not seen it
-   *     itself
+   * @param missing controllers that have not reported it
+   * @param latest when all controllers know it at the latest; null if this controller has not seen
+   *     it itself
    */
   public record Answer(State state, List<ControllerId> missing, MonotonicTime latest) {
     public boolean isKnown() {
@@ -57,17 +57,17 @@
   /**
    * Decides whether all controllers know a revision.
    *
-   * @param revision that is asked for
-   * @param own the revision of this controller's records
-   * @param seenAt when this controller first saw the revision, or any time after; null where it has
+   * @param revision the revision in question
+   * @param own revision of this controller's state
+   * @param seenAt when this controller first saw the revision, or any later time; null if it has
    *     not
-   * @param expected all controllers that there may be, this one among them or not, with the life
-   *     that each has by the records; {@link Incarnation#NONE} for one that has none: it may be cut
-   *     off and act by what it knows
-   * @param told what the others have told; what they told in a former life does not count, for a
-   *     process may go on beside its successor
-   * @param longest for how long a controller acts after it last heard from the state service,
-   *     clocks' drift included
+   * @param expected all controllers that may exist, with or without this one, with the incarnation
+   *     that each has on record; {@link Incarnation#NONE} for one without a record, which may be
+   *     partitioned and act on what it knows
+   * @param reported what the others have reported; reports of a former incarnation do not count,
+   *     because an old process may run beside its successor
+   * @param longest how long a controller acts after it last heard from the state service, including
+   *     clock drift
    */
   public static Answer of(
       Revision revision,
--- a/src/main/java/org/quincecross/replicated/StartBlock.java
+++ b/src/main/java/org/quincecross/replicated/StartBlock.java
@@ -6,11 +6,12 @@
 import org.quincecross.model.TaskSet;
 
 /**
- * Tasks of accepted jobs that may not run now, by an agreed record (a hold, a model at zero). They
- * are not allocated, not started and cause no renting; what runs of them is stopped in order.
+ * Tasks of accepted jobs that must not run now because of a replicated record (a legal hold, a
+ * model at zero). They are not allocated, not started, and cause no scale-out; those that run are
+ * stopped gracefully.
  */
 public interface StartBlock {
-  /** Nothing is kept back. */
+  /** Blocks nothing. */
   StartBlock NONE =
       new StartBlock() {
         private final TaskSet none = new TaskSet();
@@ -27,16 +28,17 @@
       };
 
   /**
-   * The tasks of a job that may not run; the caller does not change the set. Asked for often: kept,
-   * not made anew.
+   * Returns the blocked tasks of a job; callers must not change the set. Called often, so
+   * implementations cache the set.
    */
   TaskSet of(Job job);
 
-  /** Why, in words, for operators; null where nothing of the job is kept back. */
+  /** Returns the reason as text for operators; null if nothing of the job is blocked. */
   String reason(JobId job);
 
   /**
-   * Whether a task may not run; a gang, which runs whole, may not where one of its tasks may not.
+   * Whether a task is blocked. All tasks of a gang are blocked if one of them is, because a gang
+   * runs as a whole.
    */
   default boolean has(Job job, int index) {
     TaskSet withheld = of(job);
--- a/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
+++ b/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
@@ -10,18 +10,19 @@
 import org.quincecross.model.Team;
 
 /**
- * What a controller announces of the platform's file that has to be the same on all: while
- * controllers are replaced one after the other, some have the file of before.
+ * The parts of the platform file that a controller announces because they must be equal on all
+ * controllers. While controllers are replaced one after the other, some still have the previous
+ * file.
  *
- * @param marks a short mark of each part of the file that has to be equal; equal parts have equal
- *     marks
- * @param limits of the teams, infinite where there is none
+ * @param checksums a short checksum of each part that has to be equal; equal parts have equal
+ *     checksums
+ * @param limits limits of the teams, infinite where there is none
  */
 public record AnnouncedLimits(Map<String, String> marks, Map<String, Resources> limits) {
-  /** A build that announces nothing. */
+  /** What a build without announcements has. */
   public static final AnnouncedLimits NONE = new AnnouncedLimits(Map.of(), Map.of());
 
-  /** The same with one more part that has to be equal. */
+  /** Returns a copy with another part that has to be equal. */
   public AnnouncedLimits with(String part, String mark) {
     Map<String, String> more = new TreeMap<>(marks);
     more.put(part, mark);
@@ -29,9 +30,9 @@
   }
 
   /**
-   * The teams with the lowest of the limits that are announced: whoever leads, none is surpassed
-   * that some controller was told. A team that another file does not name has the limit of this
-   * one.
+   * Returns the teams with the lowest of the announced limits, so that whichever controller leads,
+   * no limit that any controller knows is exceeded. A team that another file does not name keeps
+   * the limit of this one.
    */
   public static Map<String, Team> lowest(
       Map<String, Team> own, Iterable<AnnouncedLimits> announced) {
@@ -58,8 +59,8 @@
   }
 
   /**
-   * Who differs from a controller in what, in words; empty where nobody does. Who announces nothing
-   * says nothing of that.
+   * Describes which controllers differ from this one in which parts; empty if none does.
+   * Controllers without announcements are skipped.
    */
   public static List<String> differences(
       ControllerId self, Map<ControllerId, AnnouncedLimits> announced) {
--- a/src/main/java/org/quincecross/rollout/Build.java
+++ b/src/main/java/org/quincecross/rollout/Build.java
@@ -1,14 +1,14 @@
 package org.quincecross.rollout;
 
 /**
- * What a controller is, as it announces it.
+ * A controller's build, as it announces it.
  *
  * @param name of the program
- * @param least the lowest level that it can read and write
- * @param most the highest
+ * @param minLevel lowest feature level that it can read and write
+ * @param maxLevel highest feature level that it can read and write
  */
 public record Build(String name, FeatureLevel least, FeatureLevel most) {
-  /** One that announces nothing: it was built before levels. */
+  /** A build without announcements, from before feature levels. */
   public static final Build BEFORE_LEVELS =
       new Build("before levels", FeatureLevel.FIRST, FeatureLevel.FIRST);
 
@@ -18,7 +18,7 @@
     }
   }
 
-  /** This program, which reads and writes every level up to {@code most}. */
+  /** The build of this program, which reads and writes every level up to {@code maxLevel}. */
   public static Build present(String name, int most) {
     return new Build(name, FeatureLevel.FIRST, new FeatureLevel(most));
   }
--- a/src/main/java/org/quincecross/rollout/Feature.java
+++ b/src/main/java/org/quincecross/rollout/Feature.java
@@ -1,17 +1,20 @@
 package org.quincecross.rollout;
 
-/** What comes with a level. Whether it is there is asked for here and nowhere else. */
+/**
+ * The features that come with a level. Callers check for a feature here and never for a level
+ * number.
+ */
 public enum Feature {
   /**
-   * The leadership has a place that builds without levels don't know of, so that they never lead.
+   * The leadership record has another key, which builds without levels do not know, so that they
+   * never lead.
    */
   LEADERSHIP_MOVED(2),
-  /** Of a block's allocation what changed is written, and the whole only now and then. */
-  ALLOCATION_CHANGES(2),
   /**
-   * There are records that all controllers follow, and what the leader writes is guarded by their
-   * fence.
+   * The changes of a shard's allocation are written, and the whole allocation only occasionally.
    */
+  ALLOCATION_CHANGES(2),
+  /** Replicated records exist, and what the leader writes is guarded by their fence. */
   AGREED_RECORDS(3);
 
   // A record of one int is immutable.
@@ -22,7 +25,7 @@
     this.since = new FeatureLevel(since);
   }
 
-  /** The level that it comes with. */
+  /** The level that introduces the feature. */
   public FeatureLevel since() {
     return since;
   }
--- a/src/main/java/org/quincecross/rollout/FeatureLevel.java
+++ b/src/main/java/org/quincecross/rollout/FeatureLevel.java
@@ -1,17 +1,17 @@
 package org.quincecross.rollout;
 
 /**
- * A number for the formats of all records and of the peer link, and for the behaviours that go with
- * them; from 1 on.
+ * A version number of the formats of all records and of the peer protocol, and of the behaviour
+ * that depends on them; from 1.
  */
 public record FeatureLevel(int number) implements Comparable<FeatureLevel> {
-  /** What there was before levels: no record says it. */
+  /** The level before levels were introduced; no record states it. */
   public static final FeatureLevel FIRST = new FeatureLevel(1);
 
-  /** The highest that this program can read and write. */
+  /** The highest level that this program can read and write. */
   public static final FeatureLevel NEWEST = new FeatureLevel(3);
 
-  /** A record that names a higher one is damaged. */
+  /** A record that states a higher level is corrupt. */
   public static final int MOST = 10_000;
 
   public boolean isAbove(FeatureLevel other) {
--- a/src/main/java/org/quincecross/rollout/Rollout.java
+++ b/src/main/java/org/quincecross/rollout/Rollout.java
@@ -12,47 +12,51 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * When the level may change. It rises by one once every controller of the site has announced, in
- * its present life and for a time, that it can read and write the next; of all that the settings
- * name, not only of those that are alive: one that is away may come back with its old build. It
- * falls by one when operators want it lower, and nothing is left that only the higher one can read.
+ * Decides when the feature level may change. It rises by one once every controller of the site has
+ * announced, in its current incarnation and for some time, that it supports the next level. This
+ * includes all controllers in the settings, not only live ones, because an unreachable controller
+ * may return with its old build. It falls by one if operators request a lower level and no record
+ * is left that only the higher level can read.
  */
 public final class Rollout {
   /**
-   * For so long all have to have been there: one that fails at once with the new build is to be
-   * seen first.
+   * How long all controllers have to be up, so that a new build that fails at once is noticed
+   * first.
    */
   public static final TimeSpan STEADY = TimeSpan.ofSeconds(10);
 
-  /** The states of a site with regard to its level. */
+  /** The states of a site with regard to its feature level. */
   public enum State {
-    /** Every controller's newest level is in force. */
+    /** The highest level that every controller supports is in effect. */
     SETTLED,
-    /** Some controller is away, or cannot do the next level. */
+    /** Some controller is unreachable, or does not support the next level. */
     WAITING,
     /** Operators hold the next level back. */
     HELD,
-    /** All can, since a moment ago. */
+    /** All controllers support the next level, but have not been up for long enough. */
     STEADYING,
-    /** What the present level changes in old records is still to be written. */
+    /** Records in the format before the current level still have to be rewritten. */
     MIGRATING,
-    /** Operators want a lower level: what only the present one can read is being rewritten. */
+    /**
+     * Operators request a lower level: records that only the current level can read are being
+     * rewritten.
+     */
     LOWERING,
-    /** The next or the previous level may be put in force now. */
+    /** The next or the previous level may be put into effect now. */
     READY
   }
 
-  /** A controller that is alive. */
+  /** A live controller. */
   public record Alive(Build build, Incarnation incarnation) {}
 
   /**
-   * A site as its leader sees it.
+   * The site as its leader sees it.
    *
-   * @param expected all controllers that the settings name, and that operators have not said to be
-   *     gone
-   * @param most the highest level that operators want
-   * @param toMigrate records in a form of the level before
-   * @param onlyHere records that a lower level could not read
+   * @param expected all controllers in the settings, without those that operators have marked as
+   *     removed
+   * @param maxLevel highest level that operators allow
+   * @param toMigrate number of records in the format of the previous level
+   * @param unreadableBelow number of records that the next lower level could not read
    */
   public record Site(
       FeatureLevel inForce,
@@ -63,10 +67,10 @@
       int onlyHere) {}
 
   /**
-   * What is to be done.
+   * The decision.
    *
-   * @param to the level to put in force, or null
-   * @param why what holds the next level back, in words; empty where nothing does
+   * @param to the level to put into effect, or null
+   * @param why what holds the next level back, as text; empty if nothing does
    */
   public record Decision(State state, FeatureLevel to, String why) {}
 
@@ -79,13 +83,13 @@
     return state;
   }
 
-  /** The one place where the state changes. */
+  /** The only method that changes the state. */
   private Decision enter(State next, FeatureLevel to, String why) {
     state = next;
     return new Decision(next, to, why);
   }
 
-  /** Looks at the site; a leader does so now and then. */
+  /** Evaluates the site; called by the leader at intervals. */
   public Decision look(Site site, MonotonicTime now) {
     seen.keySet().retainAll(site.alive().keySet());
     site.alive()
@@ -142,7 +146,7 @@
     return enter(State.READY, to, "");
   }
 
-  /** Who cannot do a level, and why; empty if all can. */
+  /** Describes the controllers that do not support a level, and why; empty if all do. */
   private static String unable(Site site, FeatureLevel level) {
     List<String> unable = new ArrayList<>();
     new TreeMap<>(name(site.expected()))
@@ -160,7 +164,7 @@
                         + alive.build().most());
               }
             });
-    // One that nobody expects, but that is there, counts as well: it reads the records like any
+    // A live controller that is not expected counts as well, because it reads the records like any
     // other.
     site.alive()
         .forEach(
--- a/src/test/java/org/quincecross/legalhold/LegalHoldIndexTest.java
+++ b/src/test/java/org/quincecross/legalhold/LegalHoldIndexTest.java
@@ -54,7 +54,7 @@
         });
   }
 
-  /** What holds, claims and lanes come to, worked out from nothing. */
+  /** Computes the blocked tasks from holds, claims and sweep classes from scratch. */
   private static TaskSet expected(
       Job job,
       Map<JobId, Map<String, List<Claim>>> claims,
@@ -136,7 +136,9 @@
           lanes.put("lane" + random.nextInt(3), series);
           changed = new java.util.HashSet<>();
           lanes.forEach((lane, each) -> changed.addAll(books.lane(lane, each)));
-          jobs.forEach(each -> changed.add(each.id())); // a lane's jobs are asked for anew
+          jobs.forEach(
+              each ->
+                  changed.add(each.id())); // the jobs of a class are queried again after a change
         }
       }
       for (Job each : jobs) {
@@ -145,7 +147,7 @@
         TaskSet was = before.put(each.id(), expected);
         assertTrue(
             changed.contains(each.id()) || was == null || was.equals(expected),
-            "a change of " + each.id() + " was not told");
+            "a change of " + each.id() + " was not reported");
         assertEquals(!expected.isEmpty(), !books.holding(each.id()).isEmpty());
         TaskSet touching = new TaskSet();
         holds
@@ -170,8 +172,8 @@
   }
 
   /**
-   * Ten jobs of 10,000 tasks whose records are 20,000 in all, and 10,000 holds come, overlap and
-   * go. Steps are counted, not time.
+   * Ten jobs of 10,000 tasks with 20,000 claims in all, under 10,000 holds that overlap and are
+   * closed again. Counts steps, not time.
    */
   @Test
   void aHundredThousandTasksUnderTenThousandHoldsCostWhatChanges() {
@@ -225,9 +227,8 @@
     }
     long closed = books.work() - told - opened;
     jobs.forEach(job -> assertTrue(books.of(job).isEmpty()));
-    // Each hold looks at the claims of one day or one key, and at what stands for all keys or days
-    // of its series, whose 20,000 entries
-    // turn once in all each way.
+    // Each hold visits the claims of one day or one key, and the wildcards of its series, whose
+    // 20,000 entries change state once in each direction.
     assertTrue(
         opened < 200_000 && closed < 200_000,
         "steps: " + opened + " to open, " + closed + " to close");
--- a/src/test/java/org/quincecross/legalhold/LegalHoldModelTest.java
+++ b/src/test/java/org/quincecross/legalhold/LegalHoldModelTest.java
@@ -19,15 +19,18 @@
 import org.quincecross.replicated.ReplicatedRecord;
 
 /**
- * A hold and one sweep's task with two controllers, gone through whole: each may believe to lead,
- * sees the records late, has transactions under way that are applied at any later time or never,
- * and loses what it knows when it crashes. One of them holds the task's block. Operators open,
- * close and open again, and each of their requests may be made twice.
+ * Explores all states of a hold and one task of a sweep with two controllers: each may believe to
+ * lead, sees the records late, has transactions that are applied at any later time or never, and
+ * loses its memory in a crash. One of them owns the task's shard. Operators open, close and reopen
+ * the hold, and each of their requests may arrive twice.
  */
 class LegalHoldModelTest {
   private static final int MOST_STATES = 600_000;
 
-  /** What is taken out, to be found. */
+  /**
+   * Protocol rules that can be disabled, to show that the search finds a violation without each of
+   * them.
+   */
   private enum Guard {
     NONE,
     FENCE,
@@ -44,8 +47,8 @@
       new LegalHoldCommand.Open(List.of(Records.parse("cdr/2026-03")), 0, 0);
 
   /**
-   * The records: of the hold and its version, of the fence, of whether the task is allocated and
-   * since when.
+   * The stored records: the hold and its version, the fence, and whether and since which version
+   * the task is allocated.
    */
   private record Store(
       ReplicatedRecord<LegalHold> hold,
@@ -54,7 +57,7 @@
       boolean allocated,
       int allocation) {}
 
-  /** A transaction under way: null guards are not compared. */
+  /** A transaction in flight; null guards are not compared. */
   private record Txn(
       Integer version,
       Integer fence,
@@ -117,7 +120,7 @@
         kept.apply(KIND, "ref", new Revision(1), request, -1, command, AT);
     if (result instanceof ReplicatedRecord.Result.Write<LegalHold> write) {
       ReplicatedRecord<LegalHold> next = write.next();
-      // The trail grows with each change and says nothing that the model asks for.
+      // The audit trail grows with each change and is irrelevant here.
       next = new ReplicatedRecord<>(next.state(), next.change(), next.requests(), List.of());
       return new Txn(
           out == Guard.RECORD_VERSION && request == null ? null : (Integer) view.version(),
@@ -131,7 +134,7 @@
   }
 
   private void next(World from, Consumer<World> to) {
-    // A transaction under way is applied or lost.
+    // A transaction in flight is applied or lost.
     for (Txn txn : from.late()) {
       List<Txn> rest = new ArrayList<>(from.late());
       rest.remove(txn);
@@ -148,7 +151,7 @@
       to.accept(without);
       to.accept(without.with(commit(from.store(), txn)));
     }
-    // A controller sees the records as they are: by following them, or anew after a crash.
+    // A controller reads the current records: by watching them, or after a crash.
     to.accept(
         new World(
             from.store(),
@@ -177,8 +180,8 @@
   }
 
   /**
-   * Each of these in its turn, and any of them once more at any time. A close of the first opening
-   * by another name comes when it may.
+   * Each request comes in this order, and any of them may be repeated at any time. A close of the
+   * first opening under another request name may come late.
    */
   private void operators(World from, Store view, Consumer<World> to) {
     List<String> requests = List.of("open-1", "close-1", "open-2", "close-1-too");
@@ -186,8 +189,8 @@
       if (i > 0 && !from.sent().contains(requests.get(i - 1))) {
         continue;
       }
-      // The last is asked for by somebody else, who has seen the first opening and not that it is
-      // over.
+      // The last request comes from another operator, who has seen the first opening but not its
+      // close.
       LegalHoldCommand command =
           i % 2 == 0
               ? OPEN
@@ -218,7 +221,7 @@
     if (!view.allocated() && !hold.isInForce() && view.allocation() < 2) {
       add(from.late(new Txn(null, fence, view.allocation(), null, false, true)), to);
     }
-    // Taken out of the allocation only once its holder has given it back in it.
+    // A task is removed from the allocation only once its owner has released it there.
     boolean gone = out == Guard.GIVEN_BACK_LAST || from.returned() == view.allocation();
     if (view.allocated() && gone) {
       add(from.late(new Txn(null, fence, view.allocation(), null, false, false)), to);
@@ -234,8 +237,8 @@
   }
 
   /**
-   * The first controller holds the block: it starts by what it sees, and gives back what it sees to
-   * be kept back.
+   * The first controller owns the shard: it starts tasks by the records it sees, and releases those
+   * it sees blocked.
    */
   private void holder(World from, Consumer<World> to) {
     Store view = from.seenA();
@@ -287,13 +290,13 @@
   private void check(World world) {
     LegalHold hold = world.store().hold().state();
     if (hold.state() == State.PINNED && world.runs()) {
-      wrong = "pinned, and a task that touches the records runs";
+      wrong = "pinned although a task that accesses the records runs";
     } else if (hold.state() == State.PINNED && world.store().allocated()) {
-      wrong = "pinned, and a task that touches the records is allocated";
+      wrong = "pinned although a task that accesses the records is allocated";
     } else if (hold.opening() > 2 || (hold.opening() == 2 && !world.sent().contains("open-2"))) {
       wrong = "opened more often than asked for";
     } else if (hold.opening() == 2 && hold.state() == State.CLOSED) {
-      wrong = "the second opening was closed by the closing of the first";
+      wrong = "the second opening was closed by the close of the first";
     }
   }
 
@@ -336,6 +339,6 @@
     LegalHoldModelTest model = new LegalHoldModelTest();
     model.out = guard;
     model.play();
-    assertFalse(model.wrong == null, guard + " is not missed");
+    assertFalse(model.wrong == null, guard + " can be disabled without a violation being found");
   }
 }
--- a/src/test/java/org/quincecross/replicated/GateKind.java
+++ b/src/test/java/org/quincecross/replicated/GateKind.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * A kind for tests: what is closed keeps all tasks of the job of its name back; and each passing
- * counts.
+ * A record kind for tests: a closed gate blocks all tasks of the job of its name; each passing is
+ * counted.
  */
 public final class GateKind implements RecordKind<GateKind.State, GateKind.Command> {
   public record State(boolean closed, long passed) {}
--- a/src/test/java/org/quincecross/replicated/ReplicatedRecordModelTest.java
+++ b/src/test/java/org/quincecross/replicated/ReplicatedRecordModelTest.java
@@ -17,11 +17,11 @@
 import org.quincecross.model.Revision;
 
 /**
- * Agreed records as a small model, gone through whole: two controllers, three requests asked for
- * anywhere at any time and again, a leader that allocates one task, a holder that starts it,
- * crashes, and transactions that are applied whenever they like. The steps are those of {@link
- * ReplicatedRecord}. A guard holds as long as nothing has been written at its key since its
- * controller last read; so the states are finite.
+ * Explores all states of replicated records: two controllers, three requests sent to either at any
+ * time and repeated, a leader that allocates one task, a shard owner that starts it, crashes, and
+ * transactions applied at any later time. The transitions are those of {@link ReplicatedRecord}. A
+ * guard holds as long as its key has not been written since its controller last read, so the states
+ * are finite.
  */
 class ReplicatedRecordModelTest {
   private static final int NODES = 2;
@@ -39,23 +39,26 @@
     GateKind.Command.CLOSE, GateKind.Command.OPEN, GateKind.Command.CLOSE
   };
 
-  /** What can be left out, to see that the model finds what it guards against. */
+  /**
+   * Protocol rules that can be disabled, to show that the search finds a violation without each of
+   * them.
+   */
   private enum Guard {
     /** A change is guarded by the version of its record. */
     CHANGE_BY_VERSION,
-    /** A request that the record knows by its name is not followed again. */
+    /** A request that the record knows by its name is not applied again. */
     ONCE_BY_NAME,
-    /** Whoever asks is told once it is durable. */
+    /** A caller is answered only once its change is durable. */
     TOLD_WHEN_DURABLE,
     /** What the leader writes is guarded by the fence. */
     ALLOCATED_BY_FENCE,
-    /** What keeps tasks back raises the fence. */
+    /** A change that blocks tasks raises the fence. */
     CLOSING_RAISES,
-    /** The leader takes a task out of its allocation once its holder has given it back. */
+    /** The leader removes a task from its allocation only once the shard owner has released it. */
     FREED_WHEN_GONE,
-    /** The proof looks at records that are as new as the closing. */
+    /** The proof uses records at least as new as the closing. */
     PROVEN_BY_NEW_RECORDS,
-    /** What a holder has given back it does not start again under the same allocation. */
+    /** A shard owner does not restart a released task under the same allocation. */
     GIVEN_BACK_FOR_GOOD
   }
 
@@ -66,8 +69,8 @@
   }
 
   /**
-   * A transaction under way, or not answered: it is applied at any time, or never; a guard that has
-   * failed makes it nothing.
+   * A transaction in flight or without an answer: it is applied at any time, or never; a failed
+   * guard voids it.
    */
   private record Txn(
       Write write,
@@ -76,13 +79,13 @@
       boolean raises,
       int guards) {}
 
-  /** A state of everything. */
+  /** The complete state. */
   private static final class State implements Cloneable {
     private ReplicatedRecord<GateKind.State> record = ReplicatedRecord.none(GATE);
     private boolean allocated;
     private boolean runs;
 
-    /** The holder has given the task back under the allocation that it knows. */
+    /** The shard owner has released the task under the allocation that it knows. */
     private boolean released;
 
     private boolean proven;
@@ -154,7 +157,7 @@
   private static void read(State state, int node) {
     state.known[node] = state.record;
     if (node == HOLDER && state.knownAllocated[node] != state.allocated) {
-      state.released = false; // another allocation
+      state.released = false; // a different allocation
     }
     state.knownAllocated[node] = state.allocated;
     state.stale[node] = 0;
@@ -188,7 +191,7 @@
     hold(from, next);
   }
 
-  /** A request comes, for the first time or again: the steps are those of the program. */
+  /** A request arrives, for the first time or repeated. */
   private void ask(State from, int node, Consumer<State> next) {
     for (int request = 0; request < REQUESTS.length; request++) {
       ReplicatedRecord<GateKind.State> known = from.known(node);
@@ -204,7 +207,7 @@
         if ((from.stale[node] & RECORD) != 0 && guards.contains(Guard.CHANGE_BY_VERSION)) {
           continue; // would fail
         }
-        // The trail grows with each change and is of no concern here.
+        // The audit trail grows with each change and is irrelevant here.
         ReplicatedRecord<GateKind.State> kept =
             new ReplicatedRecord<>(
                 write.next().state(), write.next().change(), write.next().requests(), List.of());
@@ -263,14 +266,15 @@
       wrong(
           (state.told & 1 << request) != 0
               && state.record.requests().stream().noneMatch(each -> each.name().equals(name)),
-          "told and not there");
+          "answered but not in the record");
     }
     next.accept(state);
   }
 
   private void lead(State from, Consumer<State> next) {
     if (from.txn[LEADER] != null || from.late[LEADER] != null) {
-      return; // the leader writes its leadership anew first, which makes what was not answered fail
+      return; // the leader first rewrites its leadership record, which makes unanswered
+      // transactions fail
     }
     int fence = guards.contains(Guard.ALLOCATED_BY_FENCE) ? FENCE : 0;
     if ((from.stale[LEADER] & (ALLOCATION | fence)) != 0) {
@@ -288,7 +292,7 @@
     }
   }
 
-  /** The holder goes by the records that it knows, however old. */
+  /** The shard owner acts on the records that it knows, however old. */
   private void hold(State from, Consumer<State> next) {
     boolean closed = from.known(HOLDER).state().closed();
     State state = from.copy();
@@ -318,7 +322,7 @@
     if (closed && knows && !from.knownAllocated[node] && !from.proven) {
       State state = from.copy();
       state.proven = true;
-      wrong(state.runs, "runs though it is proven that it does not");
+      wrong(state.runs, "runs although it is proven that it does not");
       next.accept(state);
     }
   }
--- a/src/test/java/org/quincecross/rollout/FeatureLevelModelTest.java
+++ b/src/test/java/org/quincecross/rollout/FeatureLevelModelTest.java
@@ -16,39 +16,39 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The switch of the level as a small model, gone through whole: three controllers, two builds,
- * joins, ends, crashes, and transactions that are applied whenever they like. A transaction's guard
- * is on a key, and holds as long as nothing has been written there since its controller last read;
- * so no versions need be counted, and the states are finite.
+ * Explores all states of a level change: three controllers, two builds, joins, leaves, crashes, and
+ * transactions applied at any later time. A transaction's guard is on a key, and holds as long as
+ * the key has not been written since its controller last read, so no versions are counted and the
+ * states are finite.
  */
 class FeatureLevelModelTest {
   private static final int NODES = 3;
 
   /**
-   * Bits of the keys: the level, the leadership, and the records of the members, which only the
-   * switch looks at, at all of them.
+   * Bits of the keys: the level, the leadership, and the records of all members, which only the
+   * level change is guarded by.
    */
   private static final int LEVEL = 1;
 
   private static final int LEADER = 2;
 
-  /** What can be left out, to see that the model finds what it guards against. */
+  /**
+   * Protocol rules that can be disabled, to show that the search finds a violation without each of
+   * them.
+   */
   private enum Guard {
-    /** The switch is guarded by the record of every member. */
+    /** The level change is guarded by the record of every member. */
     SWITCH_BY_MEMBERS,
     /** A controller joins on condition that the level is the one it knows. */
     JOIN_BY_LEVEL,
     /**
-     * What the leader writes is guarded by the level and by where the leadership is written: either
-     * alone is enough.
+     * What the leader writes is guarded by the level and by the leadership record; either alone is
+     * sufficient.
      */
     WRITE_BY_LEVEL_AND_LEADERSHIP,
-    /**
-     * The switch waits for every controller that the settings name, not for those alone that are
-     * there.
-     */
+    /** The level change waits for every controller in the settings, not only for the live ones. */
     SWITCH_WAITS_FOR_ALL,
-    /** A member that cannot do the level in force is none any more. */
+    /** A member that does not support the level in effect leaves. */
     UNABLE_LEAVES
   }
 
@@ -63,21 +63,21 @@
 
   private static final int MEMBERS = 4;
 
-  /** A state of everything; small numbers only, so that equal states are found again. */
+  /** The complete state; small numbers only, so that equal states are recognised. */
   private static final class State implements Cloneable {
     private int level = 1;
     private int leader = -1;
 
-    /** The member records: 0 none, else the highest level of the build that wrote it. */
+    /** The member records: 0 for none, else the highest level of the build that wrote it. */
     private int[] record = new int[NODES];
 
-    /** What is running: 0 nothing, else the highest level of the build. */
+    /** What is running: 0 for nothing, else the highest level of the build. */
     private int[] build = new int[NODES];
 
     private boolean[] live = new boolean[NODES];
     private int[] knownLevel = {1, 1, 1};
 
-    /** Whether, as last read, all could do level 2; and all those that were there. */
+    /** Whether, as last read, all controllers supported level 2; and all live ones did. */
     private boolean[] knownAllCan = new boolean[NODES];
 
     private boolean[] knownThoseThereCan = new boolean[NODES];
@@ -88,7 +88,7 @@
     private Kind[] pending = {Kind.NONE, Kind.NONE, Kind.NONE};
 
     /**
-     * The keys whose change makes the pending transaction fail: one that fails is as good as none.
+     * The keys whose change makes the pending transaction fail; a failed transaction is dropped.
      */
     private int[] guards = new int[NODES];
 
@@ -140,7 +140,7 @@
       guards[node] = 0;
     }
 
-    /** What no step asks for is as at first. */
+    /** Resets what no further step reads, so that equivalent states are equal. */
     private State plain() {
       for (int i = 0; i < NODES; i++) {
         if (build[i] == 0 || !live[i]) {
@@ -162,7 +162,7 @@
 
   private void plan(State from, int node, Kind kind, int keys, Consumer<State> next) {
     if (from.pending[node] != Kind.NONE || (from.stale[node] & keys) != 0) {
-      return; // one at a time; and what is known to be stale would fail
+      return; // one at a time, and a transaction known to be stale would fail
     }
     State state = from.copy();
     state.pending[node] = kind;
@@ -171,8 +171,8 @@
   }
 
   /**
-   * The lease of a life is over, because it was ended or has run out: what goes with it goes, and
-   * what was to be written with it fails.
+   * The lease of an incarnation ends or expires: its records are removed, and transactions under
+   * the lease fail.
    */
   private void end(State state, int node) {
     state.live[node] = false;
@@ -187,7 +187,7 @@
     }
   }
 
-  /** All that can happen next. */
+  /** Generates all successors. */
   private void steps(State from, Consumer<State> next) {
     for (int node = 0; node < NODES; node++) {
       int me = node;
@@ -200,10 +200,10 @@
         }
       } else {
         State crash = from.copy();
-        crash.live[node] = false; // its record stays for as long as its lease does
+        crash.live[node] = false; // its record stays until its lease expires
         crash.build[node] = 0;
         if (crash.pending[node] == Kind.JOIN) {
-          crash.drop(node); // nobody keeps the lease that it is written with
+          crash.drop(node); // the lease that the record is attached to is no longer renewed
         }
         next.accept(crash);
         State read = from.copy();
@@ -244,7 +244,7 @@
     boolean able =
         from.build[node] >= from.knownLevel[node] || !guards.contains(Guard.UNABLE_LEAVES);
     if (!from.live[node]) {
-      if (able && from.record[node] == 0) { // its former life has been ended first
+      if (able && from.record[node] == 0) { // the former incarnation has to be ended first
         plan(from, node, Kind.JOIN, guards.contains(Guard.JOIN_BY_LEVEL) ? LEVEL : 0, next);
       }
       return;
@@ -278,7 +278,7 @@
         state.changed(MEMBERS);
         wrong(
             state.level == 2 && state.build[node] == 1,
-            "a controller joins that cannot read what is there");
+            "a controller joins that cannot read the stored records");
       }
       case LEAD -> {
         state.leader = node;
@@ -291,11 +291,11 @@
           wrong(
               state.build[other] == 1 && state.live[other],
               "a live controller cannot read what the level allows to be written");
-          wrong(state.record[other] == 0, "one that is away may come back with its old build");
+          wrong(
+              state.record[other] == 0, "an unreachable controller may return with its old build");
         }
       }
-      case WRITE_OLD ->
-          wrong(state.level == 2, "written by the rules of before the switch, after it");
+      case WRITE_OLD -> wrong(state.level == 2, "written in the old format after the level change");
       case WRITE_NEW -> {
         for (int other = 0; other < NODES; other++) {
           wrong(
@@ -314,7 +314,7 @@
     }
   }
 
-  /** Goes through all states, or up to the first violation; returns how many there were. */
+  /** Explores all states, or up to the first violation; returns their number. */
   private int explore() {
     Set<String> seen = new HashSet<>();
     ArrayDeque<State> open = new ArrayDeque<>(List.of(new State()));
@@ -332,7 +332,7 @@
         }
       }
     }
-    assertTrue(switched || violation != null, "nothing was ever switched");
+    assertTrue(switched || violation != null, "no level change was ever reached");
     return seen.size();
   }
 
--- a/src/test/java/org/quincecross/rollout/RolloutTest.java
+++ b/src/test/java/org/quincecross/rollout/RolloutTest.java
@@ -37,7 +37,7 @@
     return new Rollout.Site(new FeatureLevel(level), ALL, alive, ANY, 0, 0);
   }
 
-  /** Through the states of a roll, and back. */
+  /** Passes through all states of a rollout, and back. */
   @Example
   void theStatesOfARoll() {
     Rollout rollout = new Rollout();
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Whatever comes and goes: the level rises only where all that are expected, and all that are
-   * there, have been able to for a while.
+   * Controllers join and leave at random: the level rises only when all expected and all live
+   * controllers have supported it for long enough.
    */
   @Property(tries = 300, seed = "4")
   void neverRisesWithoutAll(@ForAll Random random) {
@@ -117,8 +117,8 @@
   }
 
   /**
-   * One that nobody expects counts, for it reads the records like any other; one that operators
-   * have said to be gone does not.
+   * A live controller that is not expected counts, because it reads the records like any other; one
+   * that operators marked as removed does not.
    */
   @Example
   void whoCounts() {
