--- a/src/main/java/org/quincecross/admin/AccountingLog.java
+++ b/src/main/java/org/quincecross/admin/AccountingLog.java
@@ -111,7 +111,7 @@
           } else {
             books.accepted(cache.storedJob(id).job(), accepted);
           }
-          books.blocked(id, startBlock.of(record.job()).size(), now);
+          books.blocked(id, startBlock.blockedTasks(record.job()).size(), now);
         }
         case DONE -> books.done(id, now);
         case CANCELLED -> books.cancelled(id, now);
@@ -125,7 +125,7 @@
     for (JobId id : jobs) {
       JobRecord record = cache.job(id);
       if (record != null && record.phase() == JobPhase.OPEN) {
-        books.blocked(id, startBlock.of(record.job()).size(), timers.now());
+        books.blocked(id, startBlock.blockedTasks(record.job()).size(), timers.now());
       }
     }
   }
--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -130,9 +130,9 @@
                       "build",
                       member.build().name(),
                       "least_level",
-                      member.build().least().number(),
+                      member.build().minLevel().number(),
                       "most_level",
-                      member.build().most().number()));
+                      member.build().maxLevel().number()));
             });
     return Json.object(
         "membership",
@@ -158,7 +158,7 @@
         "level_state",
         leader.isLeading() ? leader.featureLevels().decision().state().toString() : null,
         "level_waits_for",
-        leader.isLeading() ? leader.featureLevels().decision().why() : null,
+        leader.isLeading() ? leader.featureLevels().decision().reason() : null,
         "revision",
         cache.revision().value(),
         "unconfirmed_ms",
--- a/src/main/java/org/quincecross/admin/AgreedApi.java
+++ b/src/main/java/org/quincecross/admin/AgreedApi.java
@@ -166,9 +166,9 @@
               : error(500, "the record cannot be read: " + unreadable));
       return;
     }
-    ReplicationBarrier.Answer known = base.known().of(held.version());
+    ReplicationBarrier.Status known = base.known().of(held.version());
     List<Object> trail = new ArrayList<>();
-    held.record().lines(held.version()).forEach(line -> trail.add(line.show()));
+    held.record().auditEntries(held.version()).forEach(line -> trail.add(line.toMap()));
     reply.accept(
         good(
             Json.object(
@@ -211,14 +211,16 @@
         }
       }
       String request = in.string("request");
-      if (request.isBlank() || request.length() > ReplicatedRecord.LONGEST_NAME) {
+      if (request.isBlank() || request.length() > ReplicatedRecord.MAX_REQUEST_NAME_LENGTH) {
         throw new MalformedMessageException(
-            "field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
+            "field request is not 1 to "
+                + ReplicatedRecord.MAX_REQUEST_NAME_LENGTH
+                + " characters");
       }
       String by = in.stringOr("by", "");
-      if (by.length() > ReplicatedRecord.LONGEST_NAME) {
+      if (by.length() > ReplicatedRecord.MAX_REQUEST_NAME_LENGTH) {
         throw new MalformedMessageException(
-            "field by is longer than " + ReplicatedRecord.LONGEST_NAME + " characters");
+            "field by is longer than " + ReplicatedRecord.MAX_REQUEST_NAME_LENGTH + " characters");
       }
       long onChange = in.has("on_change") ? in.integer("on_change", 0, Integer.MAX_VALUE) : -1;
       ask =
@@ -310,7 +312,7 @@
   }
 
   private static <S> void addLatest(ReplicatedRecordIndex<S, ?> index, List<AuditEntry> lines) {
-    index.all().values().forEach(held -> lines.addAll(held.record().lines(held.version())));
+    index.all().values().forEach(held -> lines.addAll(held.record().auditEntries(held.version())));
   }
 
   private void answer(
@@ -327,7 +329,7 @@
             Comparator.comparing(AuditEntry::revision)
                 .thenComparing(AuditEntry::id)
                 .thenComparing(AuditEntry::change))
-        .forEach(line -> out.add(line.show()));
+        .forEach(line -> out.add(line.toMap()));
     reply.accept(
         good(
             Json.object(
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -120,9 +120,9 @@
         only(in, List.of("from", "in_flight"));
         String from = in.string("from");
         int inFlight = in.integer("in_flight", 0, MOST_IN_FLIGHT);
-        if (from.isBlank() || from.length() > ReplicatedRecord.LONGEST_NAME) {
+        if (from.isBlank() || from.length() > ReplicatedRecord.MAX_REQUEST_NAME_LENGTH) {
           throw new MalformedMessageException(
-              "field from is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
+              "field from is not 1 to " + ReplicatedRecord.MAX_REQUEST_NAME_LENGTH + " characters");
         }
         if (inFlight == 0 || mayWake(name, reply)) {
           desk.told(name, from, inFlight, answer -> reply.accept(answered(name, answer)));
@@ -225,9 +225,9 @@
       String name, JsonFields in, ModelCommand command, Consumer<HttpResponse> reply)
       throws MalformedMessageException {
     String request = in.string("request");
-    if (request.isBlank() || request.length() > ReplicatedRecord.LONGEST_NAME) {
+    if (request.isBlank() || request.length() > ReplicatedRecord.MAX_REQUEST_NAME_LENGTH) {
       throw new MalformedMessageException(
-          "field request is not 1 to " + ReplicatedRecord.LONGEST_NAME + " characters");
+          "field request is not 1 to " + ReplicatedRecord.MAX_REQUEST_NAME_LENGTH + " characters");
     }
     base.store()
         .submit(
--- a/src/main/java/org/quincecross/admin/StallDetector.java
+++ b/src/main/java/org/quincecross/admin/StallDetector.java
@@ -110,7 +110,7 @@
       return; // those that it waits for are watched
     }
     boolean service = record.job().kind() == JobKind.SERVICE;
-    int mayRun = record.job().taskCount() - startBlock.of(record.job()).size();
+    int mayRun = record.job().taskCount() - startBlock.blockedTasks(record.job()).size();
     int done = service ? 0 : cache.completedCount(record.id());
     if (mayRun > done) {
       standings.put(
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -127,7 +127,8 @@
                 ? settings.announcedLimits()
                 : settings
                     .announcedLimits()
-                    .with("agreed parts", ReplicatedFeatures.mark(features.replicatedFeatures())),
+                    .withPart(
+                        "agreed parts", ReplicatedFeatures.mark(features.replicatedFeatures())),
             settings.storeLimits().plannedValueBytes());
     unconfirmedBound = settings.agentTimeouts().unconfirmedBound();
     startPermission =
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -127,7 +127,7 @@
     }
     cache.addListener(base.known()::cacheChanged);
     base.startBlock()
-        .listen(
+        .addListener(
             (Set<JobId> jobs) -> {
               leader.startBlockChanged(jobs);
               ownedShards.startBlockChanged(jobs);
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -37,7 +37,7 @@
     double warnS;
     try {
       RecordFields settings =
-          base.settingsOf(RequestKind.NAME).only(java.util.List.of("share", "warn_s"));
+          base.settingsOf(RequestKind.NAME).allowOnly(java.util.List.of("share", "warn_s"));
       share = settings.has("share") ? settings.amount("share", 0, 1) : SHARE;
       warnS = settings.has("warn_s") ? settings.amount("warn_s", 0, MOST_WARN_S) : WARN_S;
     } catch (MalformedRecordException e) {
--- a/src/main/java/org/quincecross/cli/HoldCommands.java
+++ b/src/main/java/org/quincecross/cli/HoldCommands.java
@@ -15,11 +15,11 @@
 import org.apache.commons.csv.CSVParser;
 import org.apache.commons.csv.CSVPrinter;
 import org.apache.commons.csv.CSVRecord;
-import org.quincecross.legalhold.Claim;
 import org.quincecross.legalhold.ClaimKind;
 import org.quincecross.legalhold.LegalHoldKind;
-import org.quincecross.legalhold.Records;
-import org.quincecross.legalhold.SweepKind;
+import org.quincecross.legalhold.RecordClaim;
+import org.quincecross.legalhold.RecordSelector;
+import org.quincecross.legalhold.SweepClassKind;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskSet;
 import org.quincecross.protocol.Json;
@@ -72,7 +72,7 @@
       List<Object> records = new ArrayList<>();
       for (String text : texts) {
         try {
-          records.add(Records.parse(text).toString());
+          records.add(RecordSelector.parse(text).toString());
         } catch (IllegalArgumentException e) {
           throw wrong(e.getMessage());
         }
@@ -348,9 +348,9 @@
       int length = 0;
       try (CSVParser lines = CSVParser.parse(file, StandardCharsets.UTF_8, CSVFormat.RFC4180)) {
         for (CSVRecord line : lines) {
-          Claim claim = claim(line);
+          RecordClaim claim = claim(line);
           length += ClaimKind.length(claim);
-          if (pages.isEmpty() || length > ClaimKind.MOST_PAGE) {
+          if (pages.isEmpty() || length > ClaimKind.MAX_PAGE_LENGTH) {
             pages.add(new ArrayList<>());
             length = ClaimKind.length(claim);
           }
@@ -361,7 +361,7 @@
                       "tasks",
                       claim.tasks().toString(),
                       "records",
-                      claim.records().stream().map(Records::toString).toList()));
+                      claim.records().stream().map(RecordSelector::toString).toList()));
         }
       } catch (java.nio.file.NoSuchFileException e) {
         throw wrong("there is no file " + file);
@@ -380,8 +380,8 @@
       return status;
     }
 
-    private Claim claim(CSVRecord line) {
-      TaskSet tasks = TaskSet.parse(line.get(0).trim(), ClaimKind.MOST_TASKS);
+    private RecordClaim claim(CSVRecord line) {
+      TaskSet tasks = TaskSet.parse(line.get(0).trim(), ClaimKind.MAX_TASKS);
       if (tasks == null || tasks.isEmpty()) {
         throw wrong(
             file
@@ -391,10 +391,10 @@
                 + line.get(0)
                 + "' names no tasks such as 0-15,17");
       }
-      List<Records> records = new ArrayList<>();
+      List<RecordSelector> records = new ArrayList<>();
       for (int i = 1; i < line.size(); i++) {
         try {
-          records.add(Records.parse(line.get(i).trim()));
+          records.add(RecordSelector.parse(line.get(i).trim()));
         } catch (IllegalArgumentException e) {
           throw wrong(file + " line " + line.getRecordNumber() + ": " + e.getMessage());
         }
@@ -402,14 +402,14 @@
       if (records.isEmpty()) {
         throw wrong(file + " line " + line.getRecordNumber() + " names no records");
       }
-      Claim claim = new Claim(tasks, records);
-      if (ClaimKind.length(claim) > ClaimKind.MOST_PAGE) {
+      RecordClaim claim = new RecordClaim(tasks, records);
+      if (ClaimKind.length(claim) > ClaimKind.MAX_PAGE_LENGTH) {
         throw wrong(
             file
                 + " line "
                 + line.getRecordNumber()
                 + " is longer than "
-                + ClaimKind.MOST_PAGE
+                + ClaimKind.MAX_PAGE_LENGTH
                 + " characters: split it");
       }
       return claim;
@@ -443,7 +443,7 @@
 
     @Override
     String kind() {
-      return SweepKind.NAME;
+      return SweepClassKind.NAME;
     }
 
     @Override
@@ -458,7 +458,7 @@
             "name the series that jobs of " + lane + " may touch ('*' for any), or say --none");
       }
       List<String> all = named ? series : List.of();
-      records(all.stream().filter(each -> !each.equals(Records.ANY.series())).toList());
+      records(all.stream().filter(each -> !each.equals(RecordSelector.ANY.series())).toList());
       return change(lane, request, Json.object("series", all));
     }
   }
--- a/src/main/java/org/quincecross/emulator/HoldDrill.java
+++ b/src/main/java/org/quincecross/emulator/HoldDrill.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.legalhold.LegalHoldKind;
-import org.quincecross.legalhold.SweepKind;
+import org.quincecross.legalhold.SweepClassKind;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobKind;
@@ -88,7 +88,7 @@
           enter(State.TELLS_LANE);
           ask(
               0,
-              SweepKind.NAME,
+              SweepClassKind.NAME,
               lane,
               Json.object("series", List.of(SERIES)),
               () -> enter(State.OPENS));
--- a/src/main/java/org/quincecross/leader/AllocationIndex.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -203,7 +203,7 @@
     TaskSet pending = TaskSet.range(record.job().taskCount());
     pending.removeAll(completed);
     pending.removeAll(outstanding);
-    pending.removeAll(startBlock.of(record.job()));
+    pending.removeAll(startBlock.blockedTasks(record.job()));
     return pending;
   }
 
--- a/src/main/java/org/quincecross/leader/AllocationWriter.java
+++ b/src/main/java/org/quincecross/leader/AllocationWriter.java
@@ -50,7 +50,7 @@
     boolean isTooLarge = bytes > transaction.maxValueBytes();
     Allocation whole = cache.wholeAllocation(id);
     if ((isTooLarge || !fullRecordsOnly.getAsBoolean())
-        && Feature.ALLOCATION_CHANGES.isIn(cache.level().level())
+        && Feature.ALLOCATION_CHANGES.isEnabledAt(cache.level().level())
         && whole.version().value() != 0) {
       Map<String, Object> change =
           AllocationDelta.write(whole, isTooLarge ? withTerminatedTasks(whole, next) : next);
--- a/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
+++ b/src/main/java/org/quincecross/leader/AuditTrailArchiver.java
@@ -79,7 +79,7 @@
         break; // a moved record changes and is checked again then; one without room now stays in
         // the set
       }
-      List<AuditEntry> lines = held.record().lines(held.version());
+      List<AuditEntry> lines = held.record().auditEntries(held.version());
       int fit = fitting(next, lines, transaction);
       if (fit == 0 && next == page) {
         number++; // the page is full: continue on the next one
@@ -90,7 +90,8 @@
         break;
       }
       if (!transaction.put(
-          index.key(id.id()), held.record().without(fit, held.version()).write(index.kind()))) {
+          index.key(id.id()),
+          held.record().withoutEntries(fit, held.version()).write(index.kind()))) {
         // The record is too large even without its trail; moving entries would repeat them on page
         // after page.
         recordsToCheck.remove(id);
--- a/src/main/java/org/quincecross/leader/FeatureLevelController.java
+++ b/src/main/java/org/quincecross/leader/FeatureLevelController.java
@@ -63,9 +63,10 @@
     }
     evaluatedAt = now;
     Rollout.Decision before = decision;
-    decision = rollout.look(site(), now);
-    if (!decision.why().equals(before.why()) && !decision.why().isEmpty()) {
-      LOG.info("feature level {}: {}: {}", cache.level().level(), decision.state(), decision.why());
+    decision = rollout.evaluate(site(), now);
+    if (!decision.reason().equals(before.reason()) && !decision.reason().isEmpty()) {
+      LOG.info(
+          "feature level {}: {}: {}", cache.level().level(), decision.state(), decision.reason());
     }
     if (decision.to() != null) {
       LOG.info("feature level {} is put in force after {}", decision.to(), cache.level().level());
@@ -79,16 +80,17 @@
     expected.add(settings.self());
     settings.peers().forEach(peer -> expected.add(peer.id()));
     expected.removeIf(member -> operators.removedControllers().contains(member.text()));
-    Map<ControllerId, Rollout.Alive> alive = new HashMap<>();
+    Map<ControllerId, Rollout.LiveController> alive = new HashMap<>();
     cache
         .members()
         .values()
         .forEach(
             member ->
-                alive.put(member.id(), new Rollout.Alive(member.build(), member.incarnation())));
+                alive.put(
+                    member.id(), new Rollout.LiveController(member.build(), member.incarnation())));
     FeatureLevel most =
         operators.maxLevel() == 0
-            ? new FeatureLevel(FeatureLevel.MOST)
+            ? new FeatureLevel(FeatureLevel.MAX_NUMBER)
             : new FeatureLevel(operators.maxLevel());
     FeatureLevel inForce = cache.level().level();
     int onlyHere = recordsRequiring(inForce);
@@ -138,14 +140,14 @@
     changes.add(
         new Mutation(
             ClusterStateCache.leaderKey(decision.to()), membership.record(), membership.life()));
-    boolean moves = Feature.LEADERSHIP_MOVED.isIn(decision.to());
-    if (moves && !Feature.LEADERSHIP_MOVED.isIn(cache.level().level())) {
+    boolean moves = Feature.LEADERSHIP_MOVED.isEnabledAt(decision.to());
+    if (moves && !Feature.LEADERSHIP_MOVED.isEnabledAt(cache.level().level())) {
       // Builds without levels see a leader there and never try to lead themselves.
       changes.add(
           Mutation.put(
               StoreKeys.LEADER,
               Json.object("member", "level-" + decision.to(), "life", 0, "zone", "")));
-    } else if (!moves && Feature.LEADERSHIP_MOVED.isIn(cache.level().level())) {
+    } else if (!moves && Feature.LEADERSHIP_MOVED.isEnabledAt(cache.level().level())) {
       changes.add(Mutation.delete(StoreKeys.MOVED_LEADER));
     }
     return changes;
--- a/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -11,7 +11,7 @@
 import java.util.function.BooleanSupplier;
 import org.quincecross.legalhold.LegalHold;
 import org.quincecross.legalhold.LegalHoldCommand;
-import org.quincecross.legalhold.Listing;
+import org.quincecross.legalhold.TaskListing;
 import org.quincecross.model.JobId;
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TaskSet;
@@ -118,7 +118,7 @@
               new LegalHoldCommand.Widened(hold.opening(), hold.scope(), firstPart(out)));
         } else if (proof.isProven()) {
           open.remove(reference);
-          if (Listing.what(startBlock.keptBack(touching)) != hold.kept()) {
+          if (TaskListing.digest(startBlock.keptBack(touching)) != hold.notedDigest()) {
             toNote.add(reference);
           }
         }
@@ -145,7 +145,7 @@
               hold.scope(),
               proof.revision().value(),
               firstPart(kept),
-              Listing.what(kept)));
+              TaskListing.digest(kept)));
     }
   }
 
@@ -159,12 +159,12 @@
     if (touched == null || hold.scope() > 0) {
       return notes;
     }
-    Listing.parts(touched.out())
+    TaskListing.parts(touched.out())
         .forEach(
             part ->
                 notes.add(
                     new LegalHoldCommand.Note(hold.opening(), notes.size(), "was out", part, 0)));
-    Listing.parts(touched.done())
+    TaskListing.parts(touched.done())
         .forEach(
             part ->
                 notes.add(
@@ -186,8 +186,8 @@
     toNote.remove(reference);
     noted.put(reference, now);
     Map<JobId, TaskSet> kept = startBlock.keptBack(startBlock.touching(record.state()));
-    long what = Listing.what(kept);
-    if (what != record.state().kept()) {
+    long what = TaskListing.digest(kept);
+    if (what != record.state().notedDigest()) {
       submit(
           reference,
           new LegalHoldCommand.Note(
@@ -212,7 +212,7 @@
   }
 
   private static String firstPart(Map<JobId, TaskSet> tasks) {
-    List<String> parts = Listing.parts(tasks);
+    List<String> parts = TaskListing.parts(tasks);
     return parts.isEmpty()
         ? ""
         : parts.size() == 1
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.quincecross.legalhold.Claim;
 import org.quincecross.legalhold.ClaimKind;
 import org.quincecross.legalhold.LegalHold;
 import org.quincecross.legalhold.LegalHoldCommand;
 import org.quincecross.legalhold.LegalHoldIndex;
 import org.quincecross.legalhold.LegalHoldKind;
-import org.quincecross.legalhold.Listing;
-import org.quincecross.legalhold.Records;
-import org.quincecross.legalhold.SweepKind;
+import org.quincecross.legalhold.RecordClaim;
+import org.quincecross.legalhold.RecordSelector;
+import org.quincecross.legalhold.SweepClassKind;
+import org.quincecross.legalhold.TaskListing;
 import org.quincecross.model.Job;
 import org.quincecross.model.JobId;
 import org.quincecross.model.JobPhase;
@@ -64,13 +64,13 @@
   record Touched(
       int opening, int scope, Revision at, Map<JobId, TaskSet> out, Map<JobId, TaskSet> done) {}
 
-  private record Over(JobId job, List<Records> series, TaskSet tasks, MonotonicTime at) {}
+  private record Over(JobId job, List<RecordSelector> series, TaskSet tasks, MonotonicTime at) {}
 
   private final ReplicatedFeatureContext base;
   private final ClusterStateCache cache;
   private final ReplicatedRecordIndex<LegalHold, LegalHoldCommand> holds;
-  private final ReplicatedRecordIndex<List<Claim>, List<Claim>> claims;
-  private final ReplicatedRecordIndex<List<Records>, List<Records>> sweeps;
+  private final ReplicatedRecordIndex<List<RecordClaim>, List<RecordClaim>> claims;
+  private final ReplicatedRecordIndex<List<RecordSelector>, List<RecordSelector>> sweeps;
   private final LegalHoldIndex index = new LegalHoldIndex();
   private final Map<String, Integer> future = new TreeMap<>();
   private final Map<String, Touched> touched = new HashMap<>();
@@ -90,7 +90,7 @@
     this.cache = base.cache();
     holds = cache.replicatedRecords().add(new LegalHoldKind());
     claims = cache.replicatedRecords().add(new ClaimKind());
-    sweeps = cache.replicatedRecords().add(new SweepKind());
+    sweeps = cache.replicatedRecords().add(new SweepClassKind());
     base.startBlock().add(this);
     cache.addListener(this::changed);
     base.timers().every(INTERVAL, this::look);
@@ -132,8 +132,8 @@
       switch (record.kind()) {
         case LegalHoldKind.NAME -> {}
         case ClaimKind.NAME -> claim(record.id(), concerned);
-        case SweepKind.NAME -> {
-          concerned.addAll(index.lane(record.id(), sweeps.state(record.id())));
+        case SweepClassKind.NAME -> {
+          concerned.addAll(index.setSweepClass(record.id(), sweeps.state(record.id())));
           lanes.add(record.id());
         }
         default -> {}
@@ -162,7 +162,7 @@
    */
   private void disturb(Set<JobId> concerned) {
     Set<String> references = new TreeSet<>();
-    concerned.forEach(id -> references.addAll(index.holding(id)));
+    concerned.forEach(id -> references.addAll(index.holdsBlocking(id)));
     for (String reference : references) {
       LegalHold hold = holds.state(reference);
       Map<JobId, TaskSet> out =
@@ -175,7 +175,7 @@
   }
 
   private void reload(Set<JobId> concerned) {
-    sweeps.all().forEach((lane, held) -> concerned.addAll(index.lane(lane, held.state())));
+    sweeps.all().forEach((lane, held) -> concerned.addAll(index.setSweepClass(lane, held.state())));
     claims.all().keySet().forEach(page -> claim(page, concerned));
     Set<String> gone = new HashSet<>(index.references());
     gone.removeAll(holds.all().keySet());
@@ -186,14 +186,14 @@
   }
 
   private void notifyBlocked(Set<JobId> concerned) {
-    concerned.forEach(id -> changedHolds.addAll(index.holding(id)));
+    concerned.forEach(id -> changedHolds.addAll(index.holdsBlocking(id)));
     base.startBlock().changed(concerned);
   }
 
   private void claim(String page, Set<JobId> concerned) {
     JobId job = ClaimKind.job(page);
     if (job != null) {
-      concerned.addAll(index.claims(job, page, claims.state(page)));
+      concerned.addAll(index.setClaims(job, page, claims.state(page)));
     }
   }
 
@@ -207,7 +207,7 @@
     JobRecord record = cache.job(id);
     if (record != null && record.job() != null) {
       boolean before = sweeping.containsKey(id);
-      TaskSet withheld = index.of(record.job());
+      TaskSet withheld = index.blockedTasks(record.job());
       if (index.isTracked(id)) {
         sweeping.put(id, record.job());
         if (!before && !withheld.isEmpty()) {
@@ -218,14 +218,14 @@
     }
     Job over = sweeping.remove(id);
     if (over != null) {
-      List<Records> series = sweeps.state(over.jobClass());
+      List<RecordSelector> series = sweeps.state(over.jobClass());
       finishedSweeps.add(
           new Over(id, series, TaskSet.range(over.taskCount()), base.timers().now()));
       while (finishedSweeps.size() > MAX_FINISHED_SWEEPS) {
         finishedSweeps.poll();
       }
-      changedHolds.addAll(index.holding(id));
-      index.over(id);
+      changedHolds.addAll(index.holdsBlocking(id));
+      index.jobEnded(id);
     }
   }
 
@@ -240,12 +240,12 @@
                     && hold.scope() == found.scope()
                 ? found
                 : null);
-    if (hold.isOpen() && !hold.isInForce() && !due) {
+    if (hold.isOpen() && !hold.isInEffect() && !due) {
       future.put(reference, hold.opening());
     } else {
       future.remove(reference);
     }
-    if (hold.isInForce() || due) {
+    if (hold.isInEffect() || due) {
       Touched before = touched.get(reference);
       if (hold.state() == LegalHold.State.PINNED) {
         touched.remove(reference); // already in the audit trail
@@ -254,12 +254,12 @@
           || before.scope() != hold.scope()) {
         touched.put(reference, look(hold));
       }
-      if (!index.isInForce(reference, hold.records())) {
-        concerned.addAll(index.opened(reference, hold.records()));
+      if (!index.isInEffect(reference, hold.records())) {
+        concerned.addAll(index.open(reference, hold.records()));
       }
     } else {
       touched.remove(reference);
-      concerned.addAll(index.closed(reference));
+      concerned.addAll(index.close(reference));
     }
     changedHolds.add(reference);
   }
@@ -272,7 +272,7 @@
     Map<JobId, TaskSet> out = new TreeMap<>();
     Map<JobId, TaskSet> done = new TreeMap<>();
     index
-        .touching(hold.records())
+        .tasksAccessing(hold.records())
         .forEach(
             (job, tasks) -> {
               JobRecord record = cache.job(job);
@@ -368,7 +368,7 @@
 
   /** The tasks of unfinished jobs that touch a hold's records. */
   Map<JobId, TaskSet> touching(LegalHold hold) {
-    Map<JobId, TaskSet> all = index.touching(hold.records());
+    Map<JobId, TaskSet> all = index.tasksAccessing(hold.records());
     all.keySet().removeIf(id -> cache.job(id) == null || cache.job(id).job() == null);
     return all;
   }
@@ -405,7 +405,7 @@
         return Json.object("kind", "kept", "rows", rows, "next_after", last);
       }
       Map<JobId, TaskSet> kept = keptBack(touching(holds.state(reference)));
-      List<String> parts = Listing.parts(kept);
+      List<String> parts = TaskListing.parts(kept);
       rows.add(
           Json.object(
               "reference",
@@ -426,13 +426,13 @@
   }
 
   @Override
-  public TaskSet of(Job job) {
-    return index.of(job);
+  public TaskSet blockedTasks(Job job) {
+    return index.blockedTasks(job);
   }
 
   @Override
   public String reason(JobId job) {
-    Set<String> references = index.holding(job);
+    Set<String> references = index.holdsBlocking(job);
     if (references.isEmpty()) {
       return null;
     }
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -93,7 +93,7 @@
   private List<ControllerRecord> members() {
     // A build without levels may join at any level; it gets no shards that it could not read.
     return cache.members().values().stream()
-        .filter(member -> member.build().can(cache.level().level()))
+        .filter(member -> member.build().supports(cache.level().level()))
         .toList();
   }
 
--- a/src/main/java/org/quincecross/leader/TransactionBuilder.java
+++ b/src/main/java/org/quincecross/leader/TransactionBuilder.java
@@ -55,7 +55,7 @@
     require(cache.leaderKey());
     // what was planned with the features of one level is void under another
     require(StoreKeys.LEVEL);
-    if (Feature.AGREED_RECORDS.isIn(cache.level().level())) {
+    if (Feature.AGREED_RECORDS.isEnabledAt(cache.level().level())) {
       require(
           StoreKeys
               .REPLICATED_FENCE); // a plan that predates a change of blocked tasks may allocate
--- a/src/main/java/org/quincecross/legalhold/ClaimKind.java
+++ b/src/main/java/org/quincecross/legalhold/ClaimKind.java
@@ -18,14 +18,14 @@
  * changed once recorded, because a task may have run under it; the job has to be cancelled and
  * submitted under a new id instead.
  */
-public final class ClaimKind implements RecordKind<List<Claim>, List<Claim>> {
+public final class ClaimKind implements RecordKind<List<RecordClaim>, List<RecordClaim>> {
   public static final String NAME = "claims";
 
   /** Upper limit of the tasks of a job. */
-  public static final int MOST_TASKS = 100_000;
+  public static final int MAX_TASKS = 100_000;
 
   /** Upper limit of the characters of claims in one page. */
-  public static final int MOST_PAGE = 2600;
+  public static final int MAX_PAGE_LENGTH = 2600;
 
   @Override
   public String name() {
@@ -33,12 +33,12 @@
   }
 
   @Override
-  public List<Claim> initial() {
+  public List<RecordClaim> initial() {
     return List.of();
   }
 
   @Override
-  public boolean restrains() {
+  public boolean canBlockTasks() {
     return true;
   }
 
@@ -46,14 +46,15 @@
    * Before its first claim, a job whose class is not a sweep class was assumed to access nothing.
    */
   @Override
-  public boolean startsWithholding(List<Claim> before, List<Claim> next) {
+  public boolean blocksMoreTasks(List<RecordClaim> before, List<RecordClaim> next) {
     return !next.equals(before);
   }
 
   @Override
-  public Transition<List<Claim>> step(List<Claim> claims, List<Claim> told, CommandOrigin at) {
-    if (claims.equals(told)) {
-      return new Transition.Same<>("told already");
+  public Transition<List<RecordClaim>> step(
+      List<RecordClaim> claims, List<RecordClaim> recorded, CommandOrigin at) {
+    if (claims.equals(recorded)) {
+      return new Transition.Unchanged<>("told already");
     }
     if (!claims.isEmpty()) {
       return new Transition.Refused<>(
@@ -61,9 +62,9 @@
           "told otherwise already: tasks may have run by it; cancel the job and submit it under a new id");
     }
     Map<String, Object> details = new LinkedHashMap<>();
-    details.put("claims", told.size());
-    details.put("tasks", told.stream().mapToInt(each -> each.tasks().size()).sum());
-    return new Transition.Changed<>(told, List.of(new AuditEvent("told", details)));
+    details.put("claims", recorded.size());
+    details.put("tasks", recorded.stream().mapToInt(each -> each.tasks().size()).sum());
+    return new Transition.Changed<>(recorded, List.of(new AuditEvent("told", details)));
   }
 
   /** Returns the job that a page belongs to, or null. */
@@ -72,58 +73,58 @@
     return JobId.parse(dot < 0 ? id : id.substring(0, dot));
   }
 
-  private static List<Claim> claims(RecordFields in) throws MalformedRecordException {
-    List<Claim> claims = new ArrayList<>();
-    for (RecordFields each : in.bodies("claims")) {
-      each.only(List.of("tasks", "records"));
-      TaskSet tasks = TaskSet.parse(each.text("tasks"), MOST_TASKS);
+  private static List<RecordClaim> claims(RecordFields in) throws MalformedRecordException {
+    List<RecordClaim> claims = new ArrayList<>();
+    for (RecordFields fields : in.objects("claims")) {
+      fields.allowOnly(List.of("tasks", "records"));
+      TaskSet tasks = TaskSet.parse(fields.text("tasks"), MAX_TASKS);
       if (tasks == null || tasks.isEmpty()) {
         throw new MalformedRecordException(
             "field tasks of a claim: '"
-                + each.text("tasks")
+                + fields.text("tasks")
                 + "' is not like 0-15,17, all below "
-                + MOST_TASKS);
+                + MAX_TASKS);
       }
-      claims.add(new Claim(tasks, LegalHoldKind.records(each, "records")));
+      claims.add(new RecordClaim(tasks, LegalHoldKind.records(fields, "records")));
     }
     return List.copyOf(claims);
   }
 
   @Override
-  public List<Claim> read(Map<String, Object> value) throws MalformedRecordException {
+  public List<RecordClaim> read(Map<String, Object> value) throws MalformedRecordException {
     return claims(RecordFields.of(value, "a page of claims"));
   }
 
   @Override
-  public List<Claim> command(Map<String, Object> body) throws MalformedRecordException {
-    RecordFields in = RecordFields.of(body, "the command").only(List.of("claims"));
-    List<Claim> claims = claims(in);
+  public List<RecordClaim> command(Map<String, Object> body) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(body, "the command").allowOnly(List.of("claims"));
+    List<RecordClaim> claims = claims(in);
     if (claims.isEmpty()) {
       throw new MalformedRecordException("field claims is empty");
     }
-    if (claims.stream().mapToInt(ClaimKind::length).sum() > MOST_PAGE) {
+    if (claims.stream().mapToInt(ClaimKind::length).sum() > MAX_PAGE_LENGTH) {
       throw new MalformedRecordException(
           "field claims is longer than "
-              + MOST_PAGE
+              + MAX_PAGE_LENGTH
               + " characters: tell the rest as another page");
     }
     return claims;
   }
 
   /** Returns the approximate length of a claim as written. */
-  public static int length(Claim claim) {
+  public static int length(RecordClaim claim) {
     return 27
         + claim.tasks().textLength()
         + claim.records().stream().mapToInt(each -> each.toString().length() + 3).sum();
   }
 
   @Override
-  public Map<String, Object> write(List<Claim> claims) {
+  public Map<String, Object> write(List<RecordClaim> claims) {
     List<Object> list = new ArrayList<>();
-    for (Claim claim : claims) {
+    for (RecordClaim claim : claims) {
       Map<String, Object> out = new LinkedHashMap<>();
       out.put("tasks", claim.tasks().toString());
-      out.put("records", claim.records().stream().map(Records::toString).toList());
+      out.put("records", claim.records().stream().map(RecordSelector::toString).toList());
       list.add(out);
     }
     Map<String, Object> out = new LinkedHashMap<>();
@@ -132,14 +133,15 @@
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, List<Claim> claims, CommandOrigin at) {
+  public List<Map<String, Object>> rows(String id, List<RecordClaim> claims, CommandOrigin at) {
     List<Map<String, Object>> rows = new ArrayList<>();
-    for (Claim claim : claims) {
+    for (RecordClaim claim : claims) {
       Map<String, Object> row = new LinkedHashMap<>();
       row.put("page", id);
       row.put("tasks", claim.tasks().toString());
       row.put(
-          "records", String.join(" ", claim.records().stream().map(Records::toString).toList()));
+          "records",
+          String.join(" ", claim.records().stream().map(RecordSelector::toString).toList()));
       rows.add(row);
     }
     return rows;
--- a/src/main/java/org/quincecross/legalhold/LegalHold.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHold.java
@@ -22,14 +22,14 @@
 public record LegalHold(
     State state,
     int opening,
-    List<Records> records,
+    List<RecordSelector> records,
     long fromMs,
     long reviewMs,
     String by,
     int scope,
     long provenAt,
     int notes,
-    long kept) {
+    long notedDigest) {
   /** The states of a hold. */
   public enum State {
     /** Never opened. */
@@ -47,12 +47,12 @@
   static final LegalHold NONE = new LegalHold(State.NONE, 0, List.of(), 0, 0, "", 0, 0, 0, 0);
 
   /** Whether it blocks tasks, regardless of the time of day. */
-  public boolean isInForce() {
+  public boolean isInEffect() {
     return state == State.PINNING || state == State.PINNED;
   }
 
   public boolean isOpen() {
-    return isInForce() || state == State.FUTURE;
+    return isInEffect() || state == State.FUTURE;
   }
 
   /**
@@ -64,32 +64,33 @@
   }
 
   /** Whether its review date may have passed. */
-  public boolean isToBeReviewed(CommandOrigin at) {
+  public boolean isReviewDue(CommandOrigin at) {
     return isOpen() && reviewMs > 0 && at.latestMs() >= reviewMs;
   }
 
   /** The only method that changes the state; all other fields change with it or stay. */
-  LegalHold enter(State next, String who) {
+  LegalHold inState(State next, String by) {
     return new LegalHold(
-        next, opening, records, fromMs, reviewMs, who, scope, provenAt, notes, kept);
+        next, opening, records, fromMs, reviewMs, by, scope, provenAt, notes, notedDigest);
   }
 
-  LegalHold proven(long revision, long what) {
+  LegalHold withProof(long revision, long digest) {
     return new LegalHold(
-        state, opening, records, fromMs, reviewMs, by, scope, revision, notes, what);
+        state, opening, records, fromMs, reviewMs, by, scope, revision, notes, digest);
   }
 
-  LegalHold widened() {
+  LegalHold withWidenedScope() {
     return new LegalHold(
-        state, opening, records, fromMs, reviewMs, by, scope + 1, provenAt, notes, kept);
+        state, opening, records, fromMs, reviewMs, by, scope + 1, provenAt, notes, notedDigest);
   }
 
-  LegalHold noted(long what) {
+  LegalHold withNote(long digest) {
     return new LegalHold(
-        state, opening, records, fromMs, reviewMs, by, scope, provenAt, notes + 1, what);
+        state, opening, records, fromMs, reviewMs, by, scope, provenAt, notes + 1, digest);
   }
 
-  LegalHold reviewedAt(long ms) {
-    return new LegalHold(state, opening, records, fromMs, ms, by, scope, provenAt, notes, kept);
+  LegalHold withReviewDate(long ms) {
+    return new LegalHold(
+        state, opening, records, fromMs, ms, by, scope, provenAt, notes, notedDigest);
   }
 }
--- a/src/main/java/org/quincecross/legalhold/LegalHoldCommand.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldCommand.java
@@ -12,7 +12,8 @@
    *
    * @param fromMs 0 for immediately; {@code reviewMs}: 0 for never
    */
-  record Open(List<Records> records, long fromMs, long reviewMs) implements LegalHoldCommand {}
+  record Open(List<RecordSelector> records, long fromMs, long reviewMs)
+      implements LegalHoldCommand {}
 
   /**
    * Closes one opening only, so that a close that is applied late does not affect a later opening.
@@ -31,7 +32,7 @@
    * @param blocked the blocked tasks, as far as they fit
    * @param digest digest of all blocked tasks
    */
-  record Pinned(int opening, int scope, long revision, String kept, long what)
+  record Pinned(int opening, int scope, long revision, String blocked, long digest)
       implements LegalHoldCommand {}
 
   /**
@@ -46,6 +47,6 @@
    * @param number of the note, counted from 0, so that the same note is not made twice
    * @param digest digest of everything noted, of which this may be a part
    */
-  record Note(int opening, int number, String event, String tasks, long what)
+  record Note(int opening, int number, String event, String tasks, long digest)
       implements LegalHoldCommand {}
 }
--- a/src/main/java/org/quincecross/legalhold/LegalHoldIndex.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldIndex.java
@@ -21,33 +21,33 @@
  * blocked or unblocked; memory is proportional to the recorded claims.
  */
 public final class LegalHoldIndex {
-  private static final TaskSet NONE = new TaskSet();
+  private static final TaskSet NO_TASKS = new TaskSet();
 
   /**
    * Records named by claims, the number of different records on hold that overlap them, and the
    * claims.
    */
-  private static final class Claimed {
-    private final Records records;
-    private final Set<Entry> entries = new HashSet<>();
-    private int covers;
+  private static final class ClaimedRecords {
+    private final RecordSelector records;
+    private final Set<TaskEntry> entries = new HashSet<>();
+    private int overlappingHolds;
 
-    private Claimed(Records records) {
+    private ClaimedRecords(RecordSelector records) {
       this.records = records;
     }
   }
 
   /** Tasks of a job that access the same records; blocked while any of these are on hold. */
-  private static final class Entry {
-    private final Tracked job;
+  private static final class TaskEntry {
+    private final TrackedJob job;
 
     /** First and last task of each run of consecutive tasks. */
     private final int[] runs;
 
-    private final List<Claimed> records;
-    private int covered;
+    private final List<ClaimedRecords> records;
+    private int recordsOnHold;
 
-    private Entry(Tracked job, int[] runs, List<Claimed> records) {
+    private TaskEntry(TrackedJob job, int[] runs, List<ClaimedRecords> records) {
       this.job = job;
       this.runs = runs;
       this.records = records;
@@ -65,82 +65,82 @@
   }
 
   /** A job that has claims, or that was queried while its class is a sweep class. */
-  private static final class Tracked {
+  private static final class TrackedJob {
     private final JobId id;
-    private final Map<String, List<Claim>> pages = new TreeMap<>();
-    private final List<Entry> entries = new ArrayList<>();
+    private final Map<String, List<RecordClaim>> pages = new TreeMap<>();
+    private final List<TaskEntry> entries = new ArrayList<>();
     private final TaskSet claimed = new TaskSet();
-    private TaskSet withheld = new TaskSet();
+    private TaskSet blocked = new TaskSet();
 
     /** Whether some task is in more than one entry. */
-    private boolean mixed;
+    private boolean hasOverlappingEntries;
 
     /** The tasks without claims, if the job's class is a sweep class. */
-    private Entry rest;
+    private TaskEntry unclaimed;
 
     private Job job;
 
-    private Tracked(JobId id) {
+    private TrackedJob(JobId id) {
       this.id = id;
     }
   }
 
-  private final RecordIndex<Claimed> claimed = new RecordIndex<>();
+  private final RecordIndex<ClaimedRecords> claimed = new RecordIndex<>();
   private final RecordIndex<Set<String>> held = new RecordIndex<>();
-  private final Map<String, List<Records>> holds = new HashMap<>();
-  private final Map<JobId, Tracked> jobs = new HashMap<>();
-  private final Map<String, List<Records>> lanes = new HashMap<>();
-  private final Map<String, Set<JobId>> sweeps = new HashMap<>();
+  private final Map<String, List<RecordSelector>> holds = new HashMap<>();
+  private final Map<JobId, TrackedJob> jobs = new HashMap<>();
+  private final Map<String, List<RecordSelector>> sweepClasses = new HashMap<>();
+  private final Map<String, Set<JobId>> sweepJobsByClass = new HashMap<>();
   private int entries;
-  private long work;
+  private long steps;
 
   // ---- holds ----
 
   /** Puts a hold into effect. Returns the jobs whose blocked tasks change. */
-  public Set<JobId> opened(String reference, Collection<Records> records) {
-    Set<JobId> changed = closed(reference);
-    List<Records> distinct = List.copyOf(new LinkedHashSet<>(records));
+  public Set<JobId> open(String reference, Collection<RecordSelector> records) {
+    Set<JobId> changed = close(reference);
+    List<RecordSelector> distinct = List.copyOf(new LinkedHashSet<>(records));
     holds.put(reference, distinct);
-    for (Records each : distinct) {
-      Set<String> under = held.get(each);
-      if (under == null) {
-        under = new TreeSet<>();
-        held.put(each, under);
-        cover(each, 1, changed);
+    for (RecordSelector each : distinct) {
+      Set<String> references = held.get(each);
+      if (references == null) {
+        references = new TreeSet<>();
+        held.put(each, references);
+        updateOverlaps(each, 1, changed);
       }
-      under.add(reference);
+      references.add(reference);
     }
     return changed;
   }
 
   /** Ends a hold. Returns the jobs whose blocked tasks change. */
-  public Set<JobId> closed(String reference) {
+  public Set<JobId> close(String reference) {
     Set<JobId> changed = new LinkedHashSet<>();
-    for (Records each : holds.getOrDefault(reference, List.of())) {
-      Set<String> under = held.get(each);
-      under.remove(reference);
-      if (under.isEmpty()) {
+    for (RecordSelector each : holds.getOrDefault(reference, List.of())) {
+      Set<String> references = held.get(each);
+      references.remove(reference);
+      if (references.isEmpty()) {
         held.remove(each);
-        cover(each, -1, changed);
+        updateOverlaps(each, -1, changed);
       }
     }
     holds.remove(reference);
     return changed;
   }
 
-  private void cover(Records records, int by, Set<JobId> changed) {
-    for (Claimed each : claimed.overlapping(records)) {
-      work++;
-      boolean before = each.covers > 0;
-      each.covers += by;
-      if (before == each.covers > 0) {
+  private void updateOverlaps(RecordSelector records, int delta, Set<JobId> changed) {
+    for (ClaimedRecords each : claimed.overlapping(records)) {
+      steps++;
+      boolean before = each.overlappingHolds > 0;
+      each.overlappingHolds += delta;
+      if (before == each.overlappingHolds > 0) {
         continue;
       }
-      for (Entry entry : each.entries) {
-        work++;
-        entry.covered += by;
-        if (entry.covered == (by > 0 ? 1 : 0)) {
-          turn(entry);
+      for (TaskEntry entry : each.entries) {
+        steps++;
+        entry.recordsOnHold += delta;
+        if (entry.recordsOnHold == (delta > 0 ? 1 : 0)) {
+          updateBlocked(entry);
           changed.add(entry.job.id);
         }
       }
@@ -148,26 +148,26 @@
   }
 
   /** Updates the blocked tasks of a job after an entry became blocked or unblocked. */
-  private void turn(Entry entry) {
-    Tracked job = entry.job;
-    if (entry.covered > 0) {
-      work += entry.addTo(job.withheld);
-    } else if (job.mixed) {
-      sum(job);
+  private void updateBlocked(TaskEntry entry) {
+    TrackedJob job = entry.job;
+    if (entry.recordsOnHold > 0) {
+      steps += entry.addTo(job.blocked);
+    } else if (job.hasOverlappingEntries) {
+      recomputeBlocked(job);
     } else {
       for (int i = 0; i < entry.runs.length; i += 2) {
-        for (int task = entry.runs[i]; task <= entry.runs[i + 1]; task++, work++) {
-          job.withheld.remove(task);
+        for (int task = entry.runs[i]; task <= entry.runs[i + 1]; task++, steps++) {
+          job.blocked.remove(task);
         }
       }
     }
   }
 
-  private void sum(Tracked job) {
-    job.withheld = new TaskSet();
-    for (Entry entry : job.entries) {
-      work++;
-      work += entry.covered > 0 ? entry.addTo(job.withheld) : 0;
+  private void recomputeBlocked(TrackedJob job) {
+    job.blocked = new TaskSet();
+    for (TaskEntry entry : job.entries) {
+      steps++;
+      steps += entry.recordsOnHold > 0 ? entry.addTo(job.blocked) : 0;
     }
   }
 
@@ -177,30 +177,31 @@
    * Records a page of a job's claims, or removes it if {@code claims} is empty. Returns the jobs
    * concerned.
    */
-  public Set<JobId> claims(JobId id, String page, List<Claim> claims) {
-    Tracked job = jobs.computeIfAbsent(id, Tracked::new);
-    List<Claim> before = claims.isEmpty() ? job.pages.remove(page) : job.pages.put(page, claims);
+  public Set<JobId> setClaims(JobId id, String page, List<RecordClaim> claims) {
+    TrackedJob job = jobs.computeIfAbsent(id, TrackedJob::new);
+    List<RecordClaim> before =
+        claims.isEmpty() ? job.pages.remove(page) : job.pages.put(page, claims);
     if (claims.equals(before == null ? List.of() : before)) {
       return Set.of();
     }
     if (before != null) {
-      job.entries.forEach(this::drop);
+      job.entries.forEach(this::removeEntry);
       job.entries.clear();
-      job.rest = null;
+      job.unclaimed = null;
       job.claimed.removeAll(job.claimed.copy());
-      job.mixed = false;
-      job.pages.values().forEach(each -> take(job, each));
+      job.hasOverlappingEntries = false;
+      job.pages.values().forEach(each -> addClaims(job, each));
     } else {
-      take(job, claims);
+      addClaims(job, claims);
     }
-    return rest(job);
+    return updateUnclaimed(job);
   }
 
-  private void take(Tracked job, List<Claim> page) {
-    for (Claim claim : page) {
-      job.mixed |= claim.tasks().intersectionSize(job.claimed) > 0;
+  private void addClaims(TrackedJob job, List<RecordClaim> page) {
+    for (RecordClaim claim : page) {
+      job.hasOverlappingEntries |= claim.tasks().intersectionSize(job.claimed) > 0;
       job.claimed.addAll(claim.tasks());
-      add(job, claim);
+      addEntry(job, claim);
     }
   }
 
@@ -208,42 +209,44 @@
    * Sets the records that jobs of a class may access as sweeps; empty if it is not a sweep class.
    * Returns the jobs concerned.
    */
-  public Set<JobId> lane(String lane, List<Records> series) {
-    List<Records> before =
-        series.isEmpty() ? lanes.remove(lane) : lanes.put(lane, List.copyOf(series));
+  public Set<JobId> setSweepClass(String jobClass, List<RecordSelector> series) {
+    List<RecordSelector> before =
+        series.isEmpty()
+            ? sweepClasses.remove(jobClass)
+            : sweepClasses.put(jobClass, List.copyOf(series));
     Set<JobId> changed = new LinkedHashSet<>();
     if (!series.equals(before == null ? List.of() : before)) {
-      for (JobId job : Set.copyOf(sweeps.getOrDefault(lane, Set.of()))) {
-        changed.addAll(rest(jobs.get(job)));
+      for (JobId job : Set.copyOf(sweepJobsByClass.getOrDefault(jobClass, Set.of()))) {
+        changed.addAll(updateUnclaimed(jobs.get(job)));
       }
     }
     return changed;
   }
 
   /** Updates the entry of the tasks without claims, and the blocked tasks of the job. */
-  private Set<JobId> rest(Tracked job) {
-    if (job.rest != null) {
-      drop(job.rest);
-      job.entries.remove(job.rest);
-      job.rest = null;
+  private Set<JobId> updateUnclaimed(TrackedJob job) {
+    if (job.unclaimed != null) {
+      removeEntry(job.unclaimed);
+      job.entries.remove(job.unclaimed);
+      job.unclaimed = null;
     }
     if (job.job != null) {
       // Without claims the accessed records are unknown, so a sweep's task may access all series of
       // its class.
-      TaskSet rest = TaskSet.range(job.job.taskCount());
-      rest.removeAll(job.claimed);
-      List<Records> series = lanes.getOrDefault(job.job.jobClass(), List.of());
-      if (!rest.isEmpty() && !series.isEmpty()) {
-        job.rest = add(job, new Claim(rest, series));
+      TaskSet unclaimed = TaskSet.range(job.job.taskCount());
+      unclaimed.removeAll(job.claimed);
+      List<RecordSelector> series = sweepClasses.getOrDefault(job.job.jobClass(), List.of());
+      if (!unclaimed.isEmpty() && !series.isEmpty()) {
+        job.unclaimed = addEntry(job, new RecordClaim(unclaimed, series));
       }
     }
-    sum(job);
+    recomputeBlocked(job);
     return Set.of(job.id);
   }
 
-  private void drop(Entry entry) {
+  private void removeEntry(TaskEntry entry) {
     entries--;
-    for (Claimed each : entry.records) {
+    for (ClaimedRecords each : entry.records) {
       each.entries.remove(entry);
       if (each.entries.isEmpty()) {
         claimed.remove(each.records);
@@ -251,20 +254,20 @@
     }
   }
 
-  private Entry add(Tracked job, Claim claim) {
-    List<Claimed> records = new ArrayList<>();
-    Entry entry = new Entry(job, runs(claim.tasks()), records);
-    for (Records each : broadened(claim.records())) {
-      Claimed known = claimed.get(each);
+  private TaskEntry addEntry(TrackedJob job, RecordClaim claim) {
+    List<ClaimedRecords> records = new ArrayList<>();
+    TaskEntry entry = new TaskEntry(job, runs(claim.tasks()), records);
+    for (RecordSelector each : withWildcards(claim.records())) {
+      ClaimedRecords known = claimed.get(each);
       if (known == null) {
-        known = new Claimed(each);
-        known.covers = held.count(each);
-        work++;
+        known = new ClaimedRecords(each);
+        known.overlappingHolds = held.count(each);
+        steps++;
         claimed.put(each, known);
       }
       known.entries.add(entry);
       records.add(known);
-      entry.covered += known.covers > 0 ? 1 : 0;
+      entry.recordsOnHold += known.overlappingHolds > 0 ? 1 : 0;
     }
     job.entries.add(entry);
     entries++;
@@ -272,9 +275,9 @@
   }
 
   /** A key may belong to any period on hold, and a period may contain any key. */
-  private static Set<Records> broadened(List<Records> records) {
-    Set<Records> all = new LinkedHashSet<>(records);
-    for (Records each : records) {
+  private static Set<RecordSelector> withWildcards(List<RecordSelector> records) {
+    Set<RecordSelector> all = new LinkedHashSet<>(records);
+    for (RecordSelector each : records) {
       if (each.isKey()) {
         all.add(RecordIndex.anyKey(each.series()));
       } else if (each.isPeriod()) {
@@ -301,35 +304,37 @@
   // ---- queries ----
 
   /** Returns the blocked tasks of a job; callers must not change the set. */
-  public TaskSet of(Job job) {
-    if (jobs.isEmpty() && lanes.isEmpty()) {
-      return NONE;
+  public TaskSet blockedTasks(Job job) {
+    if (jobs.isEmpty() && sweepClasses.isEmpty()) {
+      return NO_TASKS;
     }
-    Tracked known = jobs.get(job.id());
-    if (known == null && !lanes.containsKey(job.jobClass())) {
+    TrackedJob known = jobs.get(job.id());
+    if (known == null && !sweepClasses.containsKey(job.jobClass())) {
       // Its class may become a sweep class later; the job is tracked when it is queried again.
-      return NONE;
+      return NO_TASKS;
     }
     if (known == null || known.job == null) {
-      known = jobs.computeIfAbsent(job.id(), Tracked::new);
+      known = jobs.computeIfAbsent(job.id(), TrackedJob::new);
       known.job = job;
-      sweeps.computeIfAbsent(job.jobClass(), lane -> new LinkedHashSet<>()).add(job.id());
-      rest(known);
+      sweepJobsByClass
+          .computeIfAbsent(job.jobClass(), jobClass -> new LinkedHashSet<>())
+          .add(job.id());
+      updateUnclaimed(known);
     }
-    return known.withheld;
+    return known.blocked;
   }
 
   /** Stops tracking a job that has ended; its claims stay as long as they are recorded. */
-  public void over(JobId id) {
-    Tracked known = jobs.get(id);
+  public void jobEnded(JobId id) {
+    TrackedJob known = jobs.get(id);
     if (known != null && known.job != null) {
-      Set<JobId> lane = sweeps.get(known.job.jobClass());
-      lane.remove(id);
-      if (lane.isEmpty()) {
-        sweeps.remove(known.job.jobClass());
+      Set<JobId> jobsOfClass = sweepJobsByClass.get(known.job.jobClass());
+      jobsOfClass.remove(id);
+      if (jobsOfClass.isEmpty()) {
+        sweepJobsByClass.remove(known.job.jobClass());
       }
       known.job = null;
-      rest(known);
+      updateUnclaimed(known);
       if (known.pages.isEmpty()) {
         jobs.remove(id);
       }
@@ -337,12 +342,12 @@
   }
 
   /** Returns the references of the holds that block tasks of a job, sorted. */
-  public Set<String> holding(JobId id) {
+  public Set<String> holdsBlocking(JobId id) {
     Set<String> references = new TreeSet<>();
-    Tracked known = jobs.get(id);
+    TrackedJob known = jobs.get(id);
     if (known != null) {
-      for (Entry entry : known.entries) {
-        if (entry.covered > 0) {
+      for (TaskEntry entry : known.entries) {
+        if (entry.recordsOnHold > 0) {
           entry.records.forEach(each -> held.overlapping(each.records).forEach(references::addAll));
         }
       }
@@ -351,19 +356,19 @@
   }
 
   /** Returns the tasks, by job, that may access some of these records. */
-  public Map<JobId, TaskSet> touching(Collection<Records> records) {
-    Map<JobId, TaskSet> touching = new LinkedHashMap<>();
-    for (Records each : records) {
-      for (Claimed claims : claimed.overlapping(each)) {
+  public Map<JobId, TaskSet> tasksAccessing(Collection<RecordSelector> records) {
+    Map<JobId, TaskSet> tasksByJob = new LinkedHashMap<>();
+    for (RecordSelector each : records) {
+      for (ClaimedRecords claims : claimed.overlapping(each)) {
         claims.entries.forEach(
-            entry -> entry.addTo(touching.computeIfAbsent(entry.job.id, id -> new TaskSet())));
+            entry -> entry.addTo(tasksByJob.computeIfAbsent(entry.job.id, id -> new TaskSet())));
       }
     }
-    return touching;
+    return tasksByJob;
   }
 
   /** Whether a hold on exactly these records is in effect. */
-  public boolean isInForce(String reference, Collection<Records> records) {
+  public boolean isInEffect(String reference, Collection<RecordSelector> records) {
     return List.copyOf(new LinkedHashSet<>(records)).equals(holds.get(reference));
   }
 
@@ -386,7 +391,7 @@
    * Number of steps so far, as a measure of cost: claims and holds visited, tasks blocked or
    * unblocked.
    */
-  long work() {
-    return work;
+  long steps() {
+    return steps;
   }
 }
--- a/src/main/java/org/quincecross/legalhold/LegalHoldKind.java
+++ b/src/main/java/org/quincecross/legalhold/LegalHoldKind.java
@@ -18,9 +18,9 @@
   public static final String NAME = "holds";
 
   /** Upper limit of the characters of a hold's records, which leaves room for the audit trail. */
-  public static final int MOST_RECORDS = 1000;
+  public static final int MAX_RECORDS_LENGTH = 1000;
 
-  private static final long LAST_MS = 253_402_300_799_999L;
+  private static final long MAX_TIME_MS = 253_402_300_799_999L;
 
   @Override
   public String name() {
@@ -33,13 +33,13 @@
   }
 
   @Override
-  public boolean restrains() {
+  public boolean canBlockTasks() {
     return true;
   }
 
   @Override
-  public boolean startsWithholding(LegalHold before, LegalHold next) {
-    return next.isInForce() && !before.isInForce();
+  public boolean blocksMoreTasks(LegalHold before, LegalHold next) {
+    return next.isInEffect() && !before.isInEffect();
   }
 
   // ---- transitions ----
@@ -57,31 +57,31 @@
     }
     if (command instanceof LegalHoldCommand.Due due) {
       return due.opening() != hold.opening() || !hold.isDue(at)
-          ? new Transition.Same<>("not due")
-          : changed(hold.enter(State.PINNING, hold.by()), "due", "opening", due.opening());
+          ? new Transition.Unchanged<>("not due")
+          : changed(hold.inState(State.PINNING, hold.by()), "due", "opening", due.opening());
     }
     if (command instanceof LegalHoldCommand.Pinned pinned) {
       return pinned.opening() != hold.opening()
               || pinned.scope() != hold.scope()
               || hold.state() != State.PINNING
-          ? new Transition.Same<>("nothing to be pinned")
+          ? new Transition.Unchanged<>("nothing to be pinned")
           : changed(
-              hold.enter(State.PINNED, hold.by()).proven(pinned.revision(), pinned.what()),
+              hold.inState(State.PINNED, hold.by()).withProof(pinned.revision(), pinned.digest()),
               "pinned",
               "opening",
               pinned.opening(),
               "proven_at",
               pinned.revision(),
               "kept_back",
-              pinned.kept());
+              pinned.blocked());
     }
     if (command instanceof LegalHoldCommand.Widened widened) {
       return widened.opening() != hold.opening()
               || widened.scope() != hold.scope()
               || hold.state() != State.PINNED
-          ? new Transition.Same<>("not pinned")
+          ? new Transition.Unchanged<>("not pinned")
           : changed(
-              hold.enter(State.PINNING, hold.by()).widened(),
+              hold.inState(State.PINNING, hold.by()).withWidenedScope(),
               "widened",
               "opening",
               widened.opening(),
@@ -89,10 +89,10 @@
               widened.tasks());
     }
     LegalHoldCommand.Note note = (LegalHoldCommand.Note) command;
-    return note.opening() != hold.opening() || note.number() != hold.notes() || !hold.isInForce()
-        ? new Transition.Same<>("noted before")
+    return note.opening() != hold.opening() || note.number() != hold.notes() || !hold.isInEffect()
+        ? new Transition.Unchanged<>("noted before")
         : changed(
-            hold.noted(note.what()),
+            hold.withNote(note.digest()),
             note.event(),
             "opening",
             note.opening(),
@@ -117,9 +117,9 @@
       boolean same =
           hold.records().equals(open.records())
               && hold.reviewMs() == open.reviewMs()
-              && (hold.fromMs() == open.fromMs() || (hold.isInForce() && open.fromMs() == 0));
+              && (hold.fromMs() == open.fromMs() || (hold.isInEffect() && open.fromMs() == 0));
       return same
-          ? new Transition.Same<>("open already, opening " + hold.opening())
+          ? new Transition.Unchanged<>("open already, opening " + hold.opening())
           : new Transition.Refused<>(
               409,
               "open already, opening "
@@ -138,7 +138,7 @@
             0,
             0,
             0);
-    LegalHold opened = next.isDue(at) ? next.enter(State.PINNING, at.by()) : next;
+    LegalHold opened = next.isDue(at) ? next.inState(State.PINNING, at.by()) : next;
     return changed(
         opened,
         "opened",
@@ -165,7 +165,7 @@
           409, "there is no opening " + close.opening() + " yet; the last is " + hold.opening());
     }
     if (close.opening() < hold.opening() || hold.state() == State.CLOSED) {
-      return new Transition.Same<>(
+      return new Transition.Unchanged<>(
           "opening "
               + close.opening()
               + " is closed already"
@@ -174,7 +174,7 @@
                   : ""));
     }
     return changed(
-        hold.enter(State.CLOSED, at.by()),
+        hold.inState(State.CLOSED, at.by()),
         "closed",
         "opening",
         close.opening(),
@@ -191,9 +191,9 @@
       return new Transition.Refused<>(400, "who sets the review date is to be named (by)");
     }
     return review.reviewMs() == hold.reviewMs()
-        ? new Transition.Same<>("so already")
+        ? new Transition.Unchanged<>("so already")
         : changed(
-            hold.reviewedAt(review.reviewMs()),
+            hold.withReviewDate(review.reviewMs()),
             "review",
             "opening",
             review.opening(),
@@ -203,17 +203,18 @@
 
   // ---- formats ----
 
-  private static List<Object> texts(List<Records> records) {
+  private static List<Object> texts(List<RecordSelector> records) {
     List<Object> texts = new ArrayList<>();
     records.forEach(each -> texts.add(each.toString()));
     return texts;
   }
 
-  static List<Records> records(RecordFields in, String name) throws MalformedRecordException {
-    List<Records> records = new ArrayList<>();
+  static List<RecordSelector> records(RecordFields in, String name)
+      throws MalformedRecordException {
+    List<RecordSelector> records = new ArrayList<>();
     for (String text : in.texts(name)) {
       try {
-        records.add(Records.parse(text));
+        records.add(RecordSelector.parse(text));
       } catch (IllegalArgumentException e) {
         throw new MalformedRecordException("field " + name + ": " + e.getMessage());
       }
@@ -236,20 +237,20 @@
     out.put("scope", hold.scope());
     out.put("proven_at", hold.provenAt());
     out.put("notes", hold.notes());
-    out.put("kept", hold.kept());
+    out.put("kept", hold.notedDigest());
     return out;
   }
 
   @Override
   public LegalHold read(Map<String, Object> value) throws MalformedRecordException {
     RecordFields in = RecordFields.of(value, "a hold");
-    State state = in.word("state", State.class);
+    State state = in.enumConstant("state", State.class);
     return new LegalHold(
         state,
         (int) in.integer("opening", 0, Integer.MAX_VALUE),
         state == State.NONE ? List.of() : records(in, "records"),
-        in.integer("from_ms", 0, LAST_MS),
-        in.integer("review_ms", 0, LAST_MS),
+        in.integer("from_ms", 0, MAX_TIME_MS),
+        in.integer("review_ms", 0, MAX_TIME_MS),
         in.text("by"),
         (int) in.integer("scope", 0, Integer.MAX_VALUE),
         in.integer("proven_at", 0, Long.MAX_VALUE),
@@ -264,30 +265,32 @@
   @Override
   public LegalHoldCommand command(Map<String, Object> body) throws MalformedRecordException {
     RecordFields in = RecordFields.of(body, "the command");
-    String what = in.text("do").toLowerCase(Locale.ROOT);
-    switch (what) {
+    String action = in.text("do").toLowerCase(Locale.ROOT);
+    switch (action) {
       case "open" -> {
-        in.only(List.of("do", "records", "from_ms", "review_ms"));
-        List<Records> records = records(in, "records");
-        if (records.stream().mapToInt(each -> each.toString().length() + 3).sum() > MOST_RECORDS) {
+        in.allowOnly(List.of("do", "records", "from_ms", "review_ms"));
+        List<RecordSelector> records = records(in, "records");
+        if (records.stream().mapToInt(each -> each.toString().length() + 3).sum()
+            > MAX_RECORDS_LENGTH) {
           throw new MalformedRecordException(
               "field records is longer than "
-                  + MOST_RECORDS
+                  + MAX_RECORDS_LENGTH
                   + " characters: open a second hold for the rest");
         }
         return new LegalHoldCommand.Open(
             records,
-            in.integerOr("from_ms", 0, LAST_MS, 0),
-            in.integerOr("review_ms", 0, LAST_MS, 0));
+            in.integerOr("from_ms", 0, MAX_TIME_MS, 0),
+            in.integerOr("review_ms", 0, MAX_TIME_MS, 0));
       }
       case "close" -> {
-        in.only(List.of("do", "opening"));
+        in.allowOnly(List.of("do", "opening"));
         return new LegalHoldCommand.Close((int) in.integer("opening", 1, Integer.MAX_VALUE));
       }
       case "review" -> {
-        in.only(List.of("do", "opening", "review_ms"));
+        in.allowOnly(List.of("do", "opening", "review_ms"));
         return new LegalHoldCommand.Review(
-            (int) in.integer("opening", 1, Integer.MAX_VALUE), in.integer("review_ms", 0, LAST_MS));
+            (int) in.integer("opening", 1, Integer.MAX_VALUE),
+            in.integer("review_ms", 0, MAX_TIME_MS));
       }
       default ->
           throw new MalformedRecordException(
@@ -301,10 +304,12 @@
     row.put("reference", id);
     row.put("state", hold.state().name());
     row.put("opening", hold.opening());
-    row.put("records", String.join(" ", hold.records().stream().map(Records::toString).toList()));
+    row.put(
+        "records",
+        String.join(" ", hold.records().stream().map(RecordSelector::toString).toList()));
     row.put("from_ms", hold.fromMs());
     row.put("review_ms", hold.reviewMs());
-    row.put("to_be_reviewed", hold.isToBeReviewed(at));
+    row.put("to_be_reviewed", hold.isReviewDue(at));
     row.put("by", hold.by());
     row.put("proven_at", hold.provenAt());
     return List.of(row);
--- a/src/main/java/org/quincecross/legalhold/Claim.java
+++ b/src/main/java/org/quincecross/legalhold/RecordClaim.java
@@ -4,4 +4,4 @@
 import org.quincecross.model.TaskSet;
 
 /** The records that tasks of a job may access: each of the tasks may access all of the records. */
-public record Claim(TaskSet tasks, List<Records> records) {}
+public record RecordClaim(TaskSet tasks, List<RecordSelector> records) {}
--- a/src/main/java/org/quincecross/legalhold/RecordIndex.java
+++ b/src/main/java/org/quincecross/legalhold/RecordIndex.java
@@ -14,83 +14,84 @@
  * that puts a key or a period into one index puts the wildcard into the other.
  */
 final class RecordIndex<V> {
-  private static final int KEYS = -1;
-  private static final int PERIODS = -2;
+  private static final int ANY_KEY = -1;
+  private static final int ANY_PERIOD = -2;
 
-  private record Item<V>(Records records, V value) {}
+  private record PeriodEntry<V>(RecordSelector records, V value) {}
 
-  private static final class Series<V> {
+  private static final class SeriesEntries<V> {
     /** The whole series, and the wildcards for any key and any period of it. */
-    private final Map<Records, V> broad = new HashMap<>();
+    private final Map<RecordSelector, V> seriesWide = new HashMap<>();
 
-    private final Map<Records, V> keys = new HashMap<>();
-    private final Map<Records, Item<V>> periods = new HashMap<>();
-    private final Bintree tree = new Bintree();
+    private final Map<RecordSelector, V> keys = new HashMap<>();
+    private final Map<RecordSelector, PeriodEntry<V>> periods = new HashMap<>();
+    private final Bintree periodTree = new Bintree();
 
     private boolean isEmpty() {
-      return broad.isEmpty() && keys.isEmpty() && periods.isEmpty();
+      return seriesWide.isEmpty() && keys.isEmpty() && periods.isEmpty();
     }
 
     private int size() {
-      return broad.size() + keys.size() + periods.size();
+      return seriesWide.size() + keys.size() + periods.size();
     }
   }
 
-  private final Map<String, Series<V>> series = new HashMap<>();
+  private final Map<String, SeriesEntries<V>> series = new HashMap<>();
 
   /** The wildcard for all keys of a series: overlaps every period. */
-  static Records anyKey(String series) {
-    return new Records(series, KEYS, 0, null);
+  static RecordSelector anyKey(String series) {
+    return new RecordSelector(series, ANY_KEY, 0, null);
   }
 
   /** The wildcard for all periods of a series: overlaps every key. */
-  static Records anyPeriod(String series) {
-    return new Records(series, PERIODS, 0, null);
+  static RecordSelector anyPeriod(String series) {
+    return new RecordSelector(series, ANY_PERIOD, 0, null);
   }
 
-  private static Records whole(String series) {
-    return new Records(series, 0, 0, null);
+  private static RecordSelector wholeSeries(String series) {
+    return new RecordSelector(series, 0, 0, null);
   }
 
-  V get(Records records) {
-    Series<V> there = series.get(records.series());
-    if (there == null) {
+  V get(RecordSelector records) {
+    SeriesEntries<V> ofSeries = series.get(records.series());
+    if (ofSeries == null) {
       return null;
     }
     if (records.isPeriod()) {
-      Item<V> item = there.periods.get(records);
+      PeriodEntry<V> item = ofSeries.periods.get(records);
       return item == null ? null : item.value();
     }
-    return (records.isKey() ? there.keys : there.broad).get(records);
+    return (records.isKey() ? ofSeries.keys : ofSeries.seriesWide).get(records);
   }
 
   /**
    * Intervals in the tree include their ends, so the end is set half a day before the first day
    * after the period.
    */
-  private static Interval span(Records records) {
+  private static Interval span(RecordSelector records) {
     return new Interval(records.from(), records.to() - 0.5);
   }
 
-  void put(Records records, V value) {
-    Series<V> there = series.computeIfAbsent(records.series(), name -> new Series<>());
+  void put(RecordSelector records, V value) {
+    SeriesEntries<V> ofSeries =
+        series.computeIfAbsent(records.series(), name -> new SeriesEntries<>());
     if (records.isPeriod()) {
-      Item<V> item = new Item<>(records, value);
-      there.periods.put(records, item);
-      there.tree.insert(span(records), item);
+      PeriodEntry<V> item = new PeriodEntry<>(records, value);
+      ofSeries.periods.put(records, item);
+      ofSeries.periodTree.insert(span(records), item);
     } else {
-      (records.isKey() ? there.keys : there.broad).put(records, value);
+      (records.isKey() ? ofSeries.keys : ofSeries.seriesWide).put(records, value);
     }
   }
 
-  void remove(Records records) {
-    Series<V> there = series.get(records.series());
+  void remove(RecordSelector records) {
+    SeriesEntries<V> ofSeries = series.get(records.series());
     if (records.isPeriod()) {
-      there.tree.remove(span(records), there.periods.remove(records));
+      ofSeries.periodTree.remove(span(records), ofSeries.periods.remove(records));
     } else {
-      (records.isKey() ? there.keys : there.broad).remove(records);
+      (records.isKey() ? ofSeries.keys : ofSeries.seriesWide).remove(records);
     }
-    if (there.isEmpty()) {
+    if (ofSeries.isEmpty()) {
       series.remove(records.series());
     }
   }
@@ -99,69 +100,69 @@
    * Returns how many entries overlap {@code records}; wildcards are counted without visiting each
    * entry.
    */
-  int count(Records records) {
-    Series<V> there = series.get(records.series());
-    if (records.equals(Records.ANY)) {
-      return series.values().stream().mapToInt(Series::size).sum();
+  int count(RecordSelector records) {
+    SeriesEntries<V> ofSeries = series.get(records.series());
+    if (records.equals(RecordSelector.ANY)) {
+      return series.values().stream().mapToInt(SeriesEntries::size).sum();
     }
-    int any = get(Records.ANY) == null ? 0 : 1;
-    if (there == null) {
+    int any = get(RecordSelector.ANY) == null ? 0 : 1;
+    if (ofSeries == null) {
       return any;
     }
-    int whole = get(whole(records.series())) == null ? 0 : 1;
+    int whole = get(wholeSeries(records.series())) == null ? 0 : 1;
     return switch (records.from()) {
-      case KEYS -> any + whole + there.periods.size();
-      case PERIODS -> any + whole + there.keys.size();
+      case ANY_KEY -> any + whole + ofSeries.periods.size();
+      case ANY_PERIOD -> any + whole + ofSeries.keys.size();
       default -> overlapping(records).size();
     };
   }
 
   /** Returns the values of all entries that may overlap {@code records}. */
-  List<V> overlapping(Records records) {
+  List<V> overlapping(RecordSelector records) {
     List<V> found = new ArrayList<>();
-    if (records.equals(Records.ANY)) {
+    if (records.equals(RecordSelector.ANY)) {
       series.values().forEach(each -> addAll(each, found));
       return found;
     }
-    add(found, Records.ANY);
-    Series<V> there = series.get(records.series());
-    if (there == null) {
+    add(found, RecordSelector.ANY);
+    SeriesEntries<V> ofSeries = series.get(records.series());
+    if (ofSeries == null) {
       return found;
     }
-    if (records.equals(whole(records.series()))) {
-      addAll(there, found);
+    if (records.equals(wholeSeries(records.series()))) {
+      addAll(ofSeries, found);
       return found;
     }
-    add(found, whole(records.series()));
+    add(found, wholeSeries(records.series()));
     if (records.isKey()) {
       add(found, records);
       add(found, anyPeriod(records.series()));
     } else if (records.isPeriod()) {
       add(found, anyKey(records.series()));
-      for (Object candidate : there.tree.query(span(records))) {
-        Records other = ((Item<?>) candidate).records();
+      for (Object candidate : ofSeries.periodTree.query(span(records))) {
+        RecordSelector other = ((PeriodEntry<?>) candidate).records();
         if (other.overlaps(records)) { // the tree also returns candidates that do not overlap
           found.add(get(other));
         }
       }
-    } else if (records.from() == KEYS) {
-      there.periods.values().forEach(item -> found.add(item.value()));
+    } else if (records.from() == ANY_KEY) {
+      ofSeries.periods.values().forEach(item -> found.add(item.value()));
     } else {
-      found.addAll(there.keys.values());
+      found.addAll(ofSeries.keys.values());
     }
     return found;
   }
 
-  private void add(List<V> found, Records records) {
+  private void add(List<V> found, RecordSelector records) {
     V value = get(records);
     if (value != null) {
       found.add(value);
     }
   }
 
-  private void addAll(Series<V> there, List<V> found) {
-    found.addAll(there.broad.values());
-    found.addAll(there.keys.values());
-    there.periods.values().forEach(item -> found.add(item.value()));
+  private void addAll(SeriesEntries<V> ofSeries, List<V> found) {
+    found.addAll(ofSeries.seriesWide.values());
+    found.addAll(ofSeries.keys.values());
+    ofSeries.periods.values().forEach(item -> found.add(item.value()));
   }
 }
--- a/src/main/java/org/quincecross/legalhold/Records.java
+++ b/src/main/java/org/quincecross/legalhold/RecordSelector.java
@@ -14,13 +14,13 @@
  * @param to first such number after the period
  * @param key the record's key; null unless it selects by key
  */
-public record Records(String series, int from, int to, String key) {
+public record RecordSelector(String series, int from, int to, String key) {
   /** Selects any record of any series: what a task may access if nothing is known about it. */
-  public static final Records ANY = new Records("*", 0, 0, null);
+  public static final RecordSelector ANY = new RecordSelector("*", 0, 0, null);
 
   private static final String SERIES = "[A-Za-z0-9][A-Za-z0-9._-]{0,39}";
   private static final String PERIOD = "(\\d{4})(?:-(\\d{2})(?:-(\\d{2}))?)?";
-  private static final Pattern FORM =
+  private static final Pattern FORMAT =
       Pattern.compile(
           "(" + SERIES + ")(?:/" + PERIOD + "(?:\\.\\." + PERIOD + ")?|#([!-~&&[^,;\"]]{1,80}))?");
   private static final int[] DAYS = {31, 29, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31};
@@ -30,47 +30,47 @@
    *
    * @throws IllegalArgumentException if it is invalid, with the reason
    */
-  public static Records parse(String text) {
-    Matcher form = FORM.matcher(text);
-    if (!form.matches()) {
+  public static RecordSelector parse(String text) {
+    Matcher match = FORMAT.matcher(text);
+    if (!match.matches()) {
       throw new IllegalArgumentException(
           "'"
               + text
               + "' names no records: SERIES, SERIES/2026-03, SERIES/2026-01..2026-03 or SERIES#KEY");
     }
-    if (form.group(2) == null) {
-      return new Records(form.group(1), 0, 0, form.group(8));
+    if (match.group(2) == null) {
+      return new RecordSelector(match.group(1), 0, 0, match.group(8));
     }
-    int from = start(text, form, 2);
-    int to = end(form, form.group(5) == null ? 2 : 5);
-    if (form.group(5) != null) {
-      start(text, form, 5);
+    int from = start(text, match, 2);
+    int to = end(match, match.group(5) == null ? 2 : 5);
+    if (match.group(5) != null) {
+      start(text, match, 5);
     }
     if (to <= from) {
       throw new IllegalArgumentException("'" + text + "' ends before it begins");
     }
-    return new Records(form.group(1), from, to, null);
+    return new RecordSelector(match.group(1), from, to, null);
   }
 
-  private static int part(Matcher form, int group) {
-    return form.group(group) == null ? 0 : Integer.parseInt(form.group(group));
+  private static int number(Matcher match, int group) {
+    return match.group(group) == null ? 0 : Integer.parseInt(match.group(group));
   }
 
-  private static int start(String text, Matcher form, int at) {
-    int month = part(form, at + 1);
-    int day = part(form, at + 2);
+  private static int start(String text, Matcher match, int at) {
+    int month = number(match, at + 1);
+    int day = number(match, at + 2);
     boolean good =
-        (form.group(at + 1) == null || (month >= 1 && month <= 12))
-            && (form.group(at + 2) == null || (day >= 1 && day <= DAYS[month - 1]));
+        (match.group(at + 1) == null || (month >= 1 && month <= 12))
+            && (match.group(at + 2) == null || (day >= 1 && day <= DAYS[month - 1]));
     if (!good) {
       throw new IllegalArgumentException("'" + text + "' has a month or a day that there is not");
     }
-    return part(form, at) * 10_000 + month * 100 + day;
+    return number(match, at) * 10_000 + month * 100 + day;
   }
 
-  private static int end(Matcher form, int at) {
-    int width = form.group(at + 2) != null ? 1 : form.group(at + 1) != null ? 100 : 10_000;
-    return part(form, at) * 10_000 + part(form, at + 1) * 100 + part(form, at + 2) + width;
+  private static int end(Matcher match, int at) {
+    int width = match.group(at + 2) != null ? 1 : match.group(at + 1) != null ? 100 : 10_000;
+    return number(match, at) * 10_000 + number(match, at + 1) * 100 + number(match, at + 2) + width;
   }
 
   public boolean isPeriod() {
@@ -82,7 +82,7 @@
   }
 
   /** Whether a record may match both selectors. */
-  public boolean overlaps(Records other) {
+  public boolean overlaps(RecordSelector other) {
     if (!series.equals(other.series)) {
       return equals(ANY) || other.equals(ANY);
     }
--- a/src/main/java/org/quincecross/legalhold/SweepKind.java
+++ b/src/main/java/org/quincecross/legalhold/SweepClassKind.java
@@ -15,7 +15,8 @@
  * The replicated record kind of sweep classes, named by the job class: the series that jobs of the
  * class may access, {@code *} for any. Empty if the class is not a sweep class.
  */
-public final class SweepKind implements RecordKind<List<Records>, List<Records>> {
+public final class SweepClassKind
+    implements RecordKind<List<RecordSelector>, List<RecordSelector>> {
   public static final String NAME = "sweeps";
 
   @Override
@@ -24,28 +25,28 @@
   }
 
   @Override
-  public List<Records> initial() {
+  public List<RecordSelector> initial() {
     return List.of();
   }
 
   @Override
-  public boolean restrains() {
+  public boolean canBlockTasks() {
     return true;
   }
 
   @Override
-  public boolean startsWithholding(List<Records> before, List<Records> next) {
+  public boolean blocksMoreTasks(List<RecordSelector> before, List<RecordSelector> next) {
     return !before.containsAll(next);
   }
 
   @Override
-  public Transition<List<Records>> step(
-      List<Records> series, List<Records> next, CommandOrigin at) {
+  public Transition<List<RecordSelector>> step(
+      List<RecordSelector> series, List<RecordSelector> next, CommandOrigin at) {
     if (at.by().isBlank()) {
       return new Transition.Refused<>(400, "who says so is to be named (by)");
     }
     if (series.equals(next)) {
-      return new Transition.Same<>("so already");
+      return new Transition.Unchanged<>("so already");
     }
     Map<String, Object> details = new LinkedHashMap<>();
     details.put("series", texts(next));
@@ -53,37 +54,40 @@
         next, List.of(new AuditEvent(next.isEmpty() ? "no sweeps" : "sweeps", details)));
   }
 
-  private static List<Object> texts(List<Records> series) {
+  private static List<Object> texts(List<RecordSelector> series) {
     List<Object> texts = new ArrayList<>();
     series.forEach(each -> texts.add(each.series()));
     return texts;
   }
 
-  private static List<Records> series(RecordFields in) throws MalformedRecordException {
-    List<Records> series = new ArrayList<>();
+  private static List<RecordSelector> series(RecordFields in) throws MalformedRecordException {
+    List<RecordSelector> series = new ArrayList<>();
     for (String text : in.texts("series")) {
-      Records one;
+      RecordSelector selector;
       try {
-        one = text.equals(Records.ANY.series()) ? Records.ANY : Records.parse(text);
+        selector =
+            text.equals(RecordSelector.ANY.series())
+                ? RecordSelector.ANY
+                : RecordSelector.parse(text);
       } catch (IllegalArgumentException e) {
         throw new MalformedRecordException("field series: " + e.getMessage());
       }
-      if (one.isPeriod() || one.isKey()) {
+      if (selector.isPeriod() || selector.isKey()) {
         throw new MalformedRecordException("field series: " + text + " is not a whole series");
       }
-      series.add(one);
+      series.add(selector);
     }
     return List.copyOf(series);
   }
 
   @Override
-  public List<Records> read(Map<String, Object> value) throws MalformedRecordException {
+  public List<RecordSelector> read(Map<String, Object> value) throws MalformedRecordException {
     return series(RecordFields.of(value, "a lane of sweeps"));
   }
 
   @Override
-  public List<Records> command(Map<String, Object> body) throws MalformedRecordException {
-    RecordFields in = RecordFields.of(body, "the command").only(List.of("series"));
+  public List<RecordSelector> command(Map<String, Object> body) throws MalformedRecordException {
+    RecordFields in = RecordFields.of(body, "the command").allowOnly(List.of("series"));
     if (!in.has("series")) {
       throw new MalformedRecordException(
           "field series of the command is missing; [] says that the lane has no sweeps");
@@ -92,17 +96,17 @@
   }
 
   @Override
-  public Map<String, Object> write(List<Records> series) {
+  public Map<String, Object> write(List<RecordSelector> series) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("series", texts(series));
     return out;
   }
 
   @Override
-  public List<Map<String, Object>> rows(String id, List<Records> series, CommandOrigin at) {
+  public List<Map<String, Object>> rows(String id, List<RecordSelector> series, CommandOrigin at) {
     Map<String, Object> row = new LinkedHashMap<>();
     row.put("lane", id);
-    row.put("series", String.join(" ", series.stream().map(Records::series).toList()));
+    row.put("series", String.join(" ", series.stream().map(RecordSelector::series).toList()));
     return List.of(row);
   }
 }
--- a/src/main/java/org/quincecross/legalhold/Listing.java
+++ b/src/main/java/org/quincecross/legalhold/TaskListing.java
@@ -8,11 +8,11 @@
 import org.quincecross.model.TaskSet;
 
 /** Formats tasks by job as text for the audit trail, in parts that fit its entries. */
-public final class Listing {
+public final class TaskListing {
   /** Upper limit of the characters of a part. */
-  static final int MOST = 700;
+  static final int MAX_PART_LENGTH = 700;
 
-  private Listing() {}
+  private TaskListing() {}
 
   /**
    * Returns parts such as {@code job-1/0-5,7 job-2/0}, which together name all the tasks; none for
@@ -27,7 +27,7 @@
               TaskSet rest = set.copy();
               while (!rest.isEmpty()) {
                 String name = (part.length() > 0 ? " " : "") + job + "/";
-                if (part.length() + name.length() + rest.textLength() <= MOST) {
+                if (part.length() + name.length() + rest.textLength() <= MAX_PART_LENGTH) {
                   part.append(name).append(rest);
                   return;
                 }
@@ -37,7 +37,7 @@
                   continue;
                 }
                 TaskSet first = new TaskSet();
-                while (first.textLength() < MOST - 60) {
+                while (first.textLength() < MAX_PART_LENGTH - 60) {
                   int next = rest.nextMember(0);
                   first.add(next);
                   rest.remove(next);
@@ -52,11 +52,11 @@
   }
 
   /** Returns a digest of the tasks; equal for the same tasks. */
-  public static long what(Map<JobId, TaskSet> tasks) {
-    long what = 1;
+  public static long digest(Map<JobId, TaskSet> tasks) {
+    long digest = 1;
     for (Map.Entry<JobId, TaskSet> each : new TreeMap<>(tasks).entrySet()) {
-      what = what * 1_000_003 + each.getKey().hashCode() * 31L + each.getValue().hashCode();
+      digest = digest * 1_000_003 + each.getKey().hashCode() * 31L + each.getValue().hashCode();
     }
-    return tasks.isEmpty() ? 0 : what;
+    return tasks.isEmpty() ? 0 : digest;
   }
 }
--- a/src/main/java/org/quincecross/modelserving/ModelKind.java
+++ b/src/main/java/org/quincecross/modelserving/ModelKind.java
@@ -46,12 +46,12 @@
   }
 
   @Override
-  public boolean restrains() {
+  public boolean canBlockTasks() {
     return true;
   }
 
   @Override
-  public boolean startsWithholding(Model before, Model next) {
+  public boolean blocksMoreTasks(Model before, Model next) {
     if (!before.isDefined()) {
       return true;
     }
@@ -71,16 +71,16 @@
     RecordFields body = RecordFields.of(value, "the command");
     switch (body.text("do")) {
       case "wake" -> {
-        body.only(List.of("do"));
+        body.allowOnly(List.of("do"));
         return new ModelCommand.Wake();
       }
       case "drain" -> {
-        body.only(List.of("do"));
+        body.allowOnly(List.of("do"));
         return new ModelCommand.Drain(
             ModelCommand.ANY_EPOCH, OPERATOR_DRAIN_IDLE_MS, "drained by an operator");
       }
       case "define" -> {
-        body.only(List.of("do", "job", "least", "most", "per_replica", "idle_s", "keep_warm"));
+        body.allowOnly(List.of("do", "job", "least", "most", "per_replica", "idle_s", "keep_warm"));
         return new ModelCommand.Define(readJob(body), readLimits(body));
       }
       default ->
@@ -120,7 +120,7 @@
       return Model.UNDEFINED;
     }
     Map<Integer, Placement> placements = new TreeMap<>();
-    for (RecordFields placement : in.bodies("places")) {
+    for (RecordFields placement : in.objects("places")) {
       placements.put(
           (int) placement.integer("replica", 0, Integer.MAX_VALUE),
           new Placement(
@@ -131,8 +131,8 @@
     in.texts("avoided").forEach(machine -> avoided.add(new MachineId(machine)));
     return new Model(
         readJob(in),
-        readLimits(in.body("terms")),
-        in.word("state", Phase.class),
+        readLimits(in.object("terms")),
+        in.enumConstant("state", Phase.class),
         in.integer("epoch", 0, Long.MAX_VALUE),
         (int) in.integer("wanted", 0, MAX_REPLICAS),
         placements,
--- a/src/main/java/org/quincecross/modelserving/ModelRules.java
+++ b/src/main/java/org/quincecross/modelserving/ModelRules.java
@@ -87,7 +87,7 @@
   }
 
   private static Transition<Model> unchanged(Model model) {
-    return new Transition.Same<>("it is " + model.phase() + " in epoch " + model.epoch());
+    return new Transition.Unchanged<>("it is " + model.phase() + " in epoch " + model.epoch());
   }
 
   private static Transition<Model> changed(Model next) {
--- a/src/main/java/org/quincecross/peer/KnownRevisions.java
+++ b/src/main/java/org/quincecross/peer/KnownRevisions.java
@@ -64,7 +64,7 @@
   }
 
   /** Since when all controllers know of the revision of a change of a replicated record. */
-  public ReplicationBarrier.Answer of(Revision revision) {
+  public ReplicationBarrier.Status of(Revision revision) {
     MonotonicTime now = timers.now();
     MonotonicTime at = null;
     for (Seen each : seen) {
@@ -73,8 +73,8 @@
         break;
       }
     }
-    List<ReplicationBarrier.Told> expected = new ArrayList<>();
-    List<ReplicationBarrier.Told> told = new ArrayList<>();
+    List<ReplicationBarrier.ReportedRevision> expected = new ArrayList<>();
+    List<ReplicationBarrier.ReportedRevision> told = new ArrayList<>();
     expect(settings.self(), expected);
     settings.peers().forEach(peer -> expect(peer.id(), expected));
     for (ControllerRecord member : cache.members().values()) {
@@ -82,20 +82,21 @@
         expect(member.id(), expected);
       }
     }
-    for (ReplicationBarrier.Told each : expected) {
+    for (ReplicationBarrier.ReportedRevision each : expected) {
       PeerViews.View view = views.of(each.member());
       if (view != null) {
         told.add(
-            new ReplicationBarrier.Told(each.member(), view.incarnation(), view.cacheRevision()));
+            new ReplicationBarrier.ReportedRevision(
+                each.member(), view.incarnation(), view.cacheRevision()));
       }
     }
-    return ReplicationBarrier.of(revision, cache.revision(), at, expected, told, longest, now);
+    return ReplicationBarrier.status(revision, cache.revision(), at, expected, told, longest, now);
   }
 
-  private void expect(ControllerId member, List<ReplicationBarrier.Told> expected) {
+  private void expect(ControllerId member, List<ReplicationBarrier.ReportedRevision> expected) {
     ControllerRecord record = cache.members().get(member);
     expected.add(
-        new ReplicationBarrier.Told(
+        new ReplicationBarrier.ReportedRevision(
             member, record == null ? Incarnation.NONE : record.incarnation(), Revision.NONE));
   }
 }
--- a/src/main/java/org/quincecross/replicated/AuditEntry.java
+++ b/src/main/java/org/quincecross/replicated/AuditEntry.java
@@ -17,13 +17,13 @@
  * @param by who requested it; empty for a controller's own step
  */
 public record AuditEntry(
-    Revision revision, String id, long change, long atMs, String by, AuditEvent entry) {
-  private static final int FIELDS = 7;
+    Revision revision, String id, long change, long atMs, String by, AuditEvent event) {
+  private static final int FIELD_COUNT = 7;
 
   /** Returns the entry with its revision, if that was not set yet. */
-  AuditEntry stamped(Revision version) {
+  AuditEntry withRevision(Revision version) {
     return revision.equals(Revision.NONE)
-        ? new AuditEntry(version, id, change, atMs, by, entry)
+        ? new AuditEntry(version, id, change, atMs, by, event)
         : this;
   }
 
@@ -35,14 +35,14 @@
     out.add(change);
     out.add(atMs);
     out.add(by);
-    out.add(entry.event());
-    out.add(entry.details());
+    out.add(event.event());
+    out.add(event.details());
     return out;
   }
 
   static AuditEntry read(Object value) throws MalformedRecordException {
     if (value instanceof List<?> in
-        && in.size() == FIELDS
+        && in.size() == FIELD_COUNT
         && in.get(0) instanceof Number revision
         && in.get(1) instanceof String id
         && in.get(2) instanceof Number change
@@ -66,8 +66,8 @@
 
   static List<AuditEntry> readAll(List<?> in) throws MalformedRecordException {
     List<AuditEntry> lines = new ArrayList<>();
-    for (Object each : in) {
-      lines.add(read(each));
+    for (Object entry : in) {
+      lines.add(read(entry));
     }
     return lines;
   }
@@ -79,15 +79,15 @@
   }
 
   /** Returns the entry as operators see it. */
-  public Map<String, Object> show() {
+  public Map<String, Object> toMap() {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("revision", revision.value());
     out.put("id", id);
     out.put("change", change);
     out.put("at_ms", atMs);
     out.put("by", by);
-    out.put("event", entry.event());
-    out.put("details", entry.details());
+    out.put("event", event.event());
+    out.put("details", event.details());
     return out;
   }
 }
--- a/src/main/java/org/quincecross/replicated/CombinedStartBlock.java
+++ b/src/main/java/org/quincecross/replicated/CombinedStartBlock.java
@@ -14,16 +14,16 @@
  * tasks have changed, and listeners are notified.
  */
 public final class CombinedStartBlock implements StartBlock {
-  private final List<StartBlock> parts = new ArrayList<>();
+  private final List<StartBlock> sources = new ArrayList<>();
   private final List<Consumer<Set<JobId>>> listeners = new ArrayList<>();
 
   /** Adds a source. */
-  public void add(StartBlock part) {
-    parts.add(part);
+  public void add(StartBlock source) {
+    sources.add(source);
   }
 
   /** Adds a listener that is called with the jobs whose blocked tasks have changed. */
-  public void listen(Consumer<Set<JobId>> listener) {
+  public void addListener(Consumer<Set<JobId>> listener) {
     listeners.add(listener);
   }
 
@@ -35,24 +35,24 @@
   }
 
   @Override
-  public TaskSet of(Job job) {
+  public TaskSet blockedTasks(Job job) {
     TaskSet all = null;
-    boolean mine = false;
-    for (StartBlock part : parts) {
-      TaskSet one = part.of(job);
-      if (one.isEmpty()) {
+    boolean isCopy = false;
+    for (StartBlock source : sources) {
+      TaskSet ofSource = source.blockedTasks(job);
+      if (ofSource.isEmpty()) {
         continue;
       }
       if (all == null) {
-        all = one;
+        all = ofSource;
       } else {
-        all = mine ? all : all.copy();
-        mine = true;
-        all.addAll(one);
+        all = isCopy ? all : all.copy();
+        isCopy = true;
+        all.addAll(ofSource);
       }
     }
     if (all == null) {
-      return NONE.of(job);
+      return NONE.blockedTasks(job);
     }
     // A gang runs as a whole or not at all.
     return job.kind() == JobKind.GANG ? TaskSet.range(job.taskCount()) : all;
@@ -61,8 +61,8 @@
   @Override
   public String reason(JobId job) {
     String reasons = null;
-    for (StartBlock part : parts) {
-      String reason = part.reason(job);
+    for (StartBlock source : sources) {
+      String reason = source.reason(job);
       if (reason != null) {
         reasons = reasons == null ? reason : reasons + "; " + reason;
       }
--- a/src/main/java/org/quincecross/replicated/RecordFields.java
+++ b/src/main/java/org/quincecross/replicated/RecordFields.java
@@ -10,7 +10,7 @@
  * Typed access to the fields of a record or a command; errors name the missing or malformed field.
  */
 public final class RecordFields {
-  private static final int MOST_STRING = 2048;
+  private static final int MAX_STRING_LENGTH = 2048;
 
   private final Map<?, ?> map;
   private final String where;
@@ -36,7 +36,7 @@
    * Rejects fields that are not in {@code known}; a misspelt field would otherwise be ignored
    * silently.
    */
-  public RecordFields only(Collection<String> known) throws MalformedRecordException {
+  public RecordFields allowOnly(Collection<String> known) throws MalformedRecordException {
     for (Object name : map.keySet()) {
       if (!known.contains(String.valueOf(name))) {
         throw new MalformedRecordException("unknown field " + name + " of " + where);
@@ -54,83 +54,84 @@
     return map.get(name);
   }
 
-  private MalformedRecordException bad(String name, String what) {
-    return new MalformedRecordException("field " + name + " of " + where + " " + what);
+  private MalformedRecordException malformed(String name, String fault) {
+    return new MalformedRecordException("field " + name + " of " + where + " " + fault);
   }
 
-  private Object need(String name) throws MalformedRecordException {
+  private Object required(String name) throws MalformedRecordException {
     Object value = map.get(name);
     if (value == null) {
-      throw bad(name, "is missing");
+      throw malformed(name, "is missing");
     }
     return value;
   }
 
   public String text(String name) throws MalformedRecordException {
-    if (need(name) instanceof String text && text.length() <= MOST_STRING) {
+    if (required(name) instanceof String text && text.length() <= MAX_STRING_LENGTH) {
       return text;
     }
-    throw bad(name, "is not a string of at most " + MOST_STRING + " characters");
+    throw malformed(name, "is not a string of at most " + MAX_STRING_LENGTH + " characters");
   }
 
-  public String textOr(String name, String otherwise) throws MalformedRecordException {
-    return has(name) ? text(name) : otherwise;
+  public String textOr(String name, String defaultValue) throws MalformedRecordException {
+    return has(name) ? text(name) : defaultValue;
   }
 
-  public boolean flagOr(String name, boolean otherwise) throws MalformedRecordException {
+  public boolean flagOr(String name, boolean defaultValue) throws MalformedRecordException {
     if (!has(name)) {
-      return otherwise;
+      return defaultValue;
     }
-    if (need(name) instanceof Boolean flag) {
+    if (required(name) instanceof Boolean flag) {
       return flag;
     }
-    throw bad(name, "is not true or false");
+    throw malformed(name, "is not true or false");
   }
 
   /** Returns an integer from {@code least} to {@code most}. */
-  public long integer(String name, long least, long most) throws MalformedRecordException {
-    Object value = need(name);
+  public long integer(String name, long min, long max) throws MalformedRecordException {
+    Object value = required(name);
     if ((value instanceof Long || value instanceof Integer)
-        && ((Number) value).longValue() >= least
-        && ((Number) value).longValue() <= most) {
+        && ((Number) value).longValue() >= min
+        && ((Number) value).longValue() <= max) {
       return ((Number) value).longValue();
     }
-    throw bad(name, "is not an integer from " + least + " to " + most);
+    throw malformed(name, "is not an integer from " + min + " to " + max);
   }
 
-  public long integerOr(String name, long least, long most, long otherwise)
+  public long integerOr(String name, long min, long max, long defaultValue)
       throws MalformedRecordException {
-    return has(name) ? integer(name, least, most) : otherwise;
+    return has(name) ? integer(name, min, max) : defaultValue;
   }
 
   /** Returns a finite number from {@code least} to {@code most}. */
-  public double amount(String name, double least, double most) throws MalformedRecordException {
-    if (need(name) instanceof Number number
-        && number.doubleValue() >= least
-        && number.doubleValue() <= most) {
+  public double amount(String name, double min, double max) throws MalformedRecordException {
+    if (required(name) instanceof Number number
+        && number.doubleValue() >= min
+        && number.doubleValue() <= max) {
       return number.doubleValue();
     }
-    throw bad(name, "is not a number from " + least + " to " + most);
+    throw malformed(name, "is not a number from " + min + " to " + max);
   }
 
   /** Returns the constant of {@code words} named by the field, in lower or upper case. */
-  public <E extends Enum<E>> E word(String name, Class<E> words) throws MalformedRecordException {
+  public <E extends Enum<E>> E enumConstant(String name, Class<E> type)
+      throws MalformedRecordException {
     String text = text(name);
     List<String> known = new ArrayList<>();
-    for (E word : words.getEnumConstants()) {
-      if (word.name().equalsIgnoreCase(text)) {
-        return word;
+    for (E constant : type.getEnumConstants()) {
+      if (constant.name().equalsIgnoreCase(text)) {
+        return constant;
       }
-      known.add(word.name().toLowerCase(java.util.Locale.ROOT));
+      known.add(constant.name().toLowerCase(java.util.Locale.ROOT));
     }
-    throw bad(name, "is not one of " + known);
+    throw malformed(name, "is not one of " + known);
   }
 
   public List<String> texts(String name) throws MalformedRecordException {
     List<String> texts = new ArrayList<>();
     for (Object item : list(name)) {
-      if (!(item instanceof String text) || text.length() > MOST_STRING) {
-        throw bad(name, "is not a list of strings");
+      if (!(item instanceof String text) || text.length() > MAX_STRING_LENGTH) {
+        throw malformed(name, "is not a list of strings");
       }
       texts.add(text);
     }
@@ -142,23 +143,23 @@
     if (!has(name)) {
       return List.of();
     }
-    if (need(name) instanceof List<?> list) {
+    if (required(name) instanceof List<?> list) {
       return list;
     }
-    throw bad(name, "is not a list");
+    throw malformed(name, "is not a list");
   }
 
   /** Returns a list of objects; empty if the field is missing. */
-  public List<RecordFields> bodies(String name) throws MalformedRecordException {
-    List<RecordFields> bodies = new ArrayList<>();
+  public List<RecordFields> objects(String name) throws MalformedRecordException {
+    List<RecordFields> objects = new ArrayList<>();
     for (Object item : list(name)) {
-      bodies.add(of(item, "an item of " + name + " of " + where));
+      objects.add(of(item, "an item of " + name + " of " + where));
     }
-    return bodies;
+    return objects;
   }
 
-  public RecordFields body(String name) throws MalformedRecordException {
-    return of(need(name), name + " of " + where);
+  public RecordFields object(String name) throws MalformedRecordException {
+    return of(required(name), name + " of " + where);
   }
 
   /** Returns all fields unchecked. */
--- a/src/main/java/org/quincecross/replicated/RecordId.java
+++ b/src/main/java/org/quincecross/replicated/RecordId.java
@@ -5,11 +5,11 @@
  * a-z, A-Z, 0-9, '.', '_' and '-', and begins with a letter or digit.
  */
 public record RecordId(String kind, String id) implements Comparable<RecordId> {
-  private static final int MOST = 100;
+  private static final int MAX_NAME_LENGTH = 100;
 
   /** Whether a record may have this name. */
   public static boolean isName(String id) {
-    if (id.isEmpty() || id.length() > MOST || !isLetterOrDigit(id.charAt(0))) {
+    if (id.isEmpty() || id.length() > MAX_NAME_LENGTH || !isLetterOrDigit(id.charAt(0))) {
       return false;
     }
     for (int i = 1; i < id.length(); i++) {
--- a/src/main/java/org/quincecross/replicated/RecordKind.java
+++ b/src/main/java/org/quincecross/replicated/RecordKind.java
@@ -54,7 +54,7 @@
    * Whether records of this kind can block tasks. A controller that cannot read such a record, or
    * does not know the kind, must not take part, because it would start blocked tasks.
    */
-  default boolean restrains() {
+  default boolean canBlockTasks() {
     return false;
   }
 
@@ -62,7 +62,7 @@
    * Whether a change blocks tasks that were not blocked before. Every allocation that was planned
    * without such a change fails.
    */
-  default boolean startsWithholding(S before, S next) {
+  default boolean blocksMoreTasks(S before, S next) {
     return false;
   }
 }
--- a/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
+++ b/src/main/java/org/quincecross/replicated/ReplicatedRecord.java
@@ -14,18 +14,18 @@
  * @param trail audit entries that are on no page yet, oldest first
  */
 public record ReplicatedRecord<S>(
-    S state, long change, List<Request> requests, List<AuditEntry> trail) {
+    S state, long change, List<AppliedRequest> requests, List<AuditEntry> trail) {
   /** Number of requests that a record remembers; limited because stored values are small. */
-  public static final int MOST_REQUESTS = 12;
+  public static final int MAX_REQUESTS = 12;
 
   /**
    * Minimum time for which a request name is remembered; the clock error of the controllers is
    * added.
    */
-  public static final long REQUESTS_KNOWN_MS = 120_000;
+  public static final long REQUEST_RETENTION_MS = 120_000;
 
   /** Upper limit of the length of a request name. */
-  public static final int LONGEST_NAME = 64;
+  public static final int MAX_REQUEST_NAME_LENGTH = 64;
 
   /**
    * A request that has been applied.
@@ -33,25 +33,25 @@
    * @param change how often the state had changed then
    * @param unchangedReason why it changed nothing; empty if it changed the state
    */
-  public record Request(String name, long change, long atMs, String same) {}
+  public record AppliedRequest(String name, long change, long atMs, String unchangedReason) {}
 
   /** The result of applying a command. */
   public sealed interface Result<S> {
     /** The record has to be written; {@code raisesFence}: the fence is incremented with it. */
-    record Write<S>(ReplicatedRecord<S> next, Request made, boolean withholds)
+    record Write<S>(ReplicatedRecord<S> next, AppliedRequest applied, boolean raisesFence)
         implements Result<S> {}
 
     /** The request was applied before. */
-    record Known<S>(Request made) implements Result<S> {}
+    record AlreadyApplied<S>(AppliedRequest applied) implements Result<S> {}
 
     /** The command is rejected; {@code status} is an HTTP status. */
-    record Refused<S>(int status, String why) implements Result<S> {}
+    record Refused<S>(int status, String reason) implements Result<S> {}
 
     /** A controller's own step that changes nothing. */
-    record Nothing<S>(String why) implements Result<S> {}
+    record NoChange<S>(String reason) implements Result<S> {}
   }
 
-  public static <S> ReplicatedRecord<S> none(RecordKind<S, ?> kind) {
+  public static <S> ReplicatedRecord<S> initial(RecordKind<S, ?> kind) {
     return new ReplicatedRecord<>(kind.initial(), 0, List.of(), List.of());
   }
 
@@ -72,18 +72,18 @@
       C command,
       CommandOrigin at) {
     if (request != null) {
-      for (Request before : requests) {
-        if (before.name().equals(request)) {
-          return new Result.Known<>(before);
+      for (AppliedRequest previous : requests) {
+        if (previous.name().equals(request)) {
+          return new Result.AlreadyApplied<>(previous);
         }
       }
-      if (requests.size() >= MOST_REQUESTS && !isOld(requests.get(0), at)) {
+      if (requests.size() >= MAX_REQUESTS && !isExpired(requests.get(0), at)) {
         return new Result.Refused<>(
             429,
             "too many requests for one record: the names of the last "
-                + MOST_REQUESTS
+                + MAX_REQUESTS
                 + " are to be known for "
-                + REQUESTS_KNOWN_MS / 1000
+                + REQUEST_RETENTION_MS / 1000
                 + " s");
       }
     }
@@ -93,82 +93,88 @@
     }
     Transition<S> step = kind.step(state, command, at);
     if (step instanceof Transition.Refused<S> refused) {
-      return new Result.Refused<>(refused.status(), refused.why());
+      return new Result.Refused<>(refused.status(), refused.reason());
     }
     if (step instanceof Transition.Changed<S> changed) {
-      Request made = new Request(request, change + 1, at.timeOfDayMs(), "");
-      List<AuditEntry> lines = new ArrayList<>();
-      trail.forEach(line -> lines.add(line.stamped(version)));
+      AppliedRequest applied = new AppliedRequest(request, change + 1, at.timeOfDayMs(), "");
+      List<AuditEntry> entries = new ArrayList<>();
+      trail.forEach(line -> entries.add(line.withRevision(version)));
       changed
           .trail()
           .forEach(
               entry ->
-                  lines.add(
+                  entries.add(
                       new AuditEntry(
                           Revision.NONE, id, change + 1, at.timeOfDayMs(), at.by(), entry)));
       return new Result.Write<>(
-          new ReplicatedRecord<>(changed.next(), change + 1, with(made, at), List.copyOf(lines)),
-          made,
-          kind.startsWithholding(state, changed.next()));
+          new ReplicatedRecord<>(
+              changed.next(), change + 1, requestsWith(applied, at), List.copyOf(entries)),
+          applied,
+          kind.blocksMoreTasks(state, changed.next()));
     }
-    String why = ((Transition.Same<S>) step).why();
+    String reason = ((Transition.Unchanged<S>) step).reason();
     if (request == null) {
-      return new Result.Nothing<>(why);
+      return new Result.NoChange<>(reason);
     }
     // The request name is remembered although nothing changes: a delayed copy of the request may
     // find a state that it would change.
-    Request made =
-        new Request(request, change, at.timeOfDayMs(), why.isEmpty() ? "nothing to change" : why);
+    AppliedRequest applied =
+        new AppliedRequest(
+            request, change, at.timeOfDayMs(), reason.isEmpty() ? "nothing to change" : reason);
     return new Result.Write<>(
-        new ReplicatedRecord<>(state, change, with(made, at), stamped(version)), made, false);
+        new ReplicatedRecord<>(
+            state, change, requestsWith(applied, at), trailWithRevisions(version)),
+        applied,
+        false);
   }
 
-  private static boolean isOld(Request request, CommandOrigin at) {
-    return at.timeOfDayMs() - request.atMs() > REQUESTS_KNOWN_MS + 2 * at.clockBoundMs();
+  private static boolean isExpired(AppliedRequest request, CommandOrigin at) {
+    return at.timeOfDayMs() - request.atMs() > REQUEST_RETENTION_MS + 2 * at.clockBoundMs();
   }
 
-  private List<Request> with(Request made, CommandOrigin at) {
-    if (made.name() == null) {
+  private List<AppliedRequest> requestsWith(AppliedRequest applied, CommandOrigin at) {
+    if (applied.name() == null) {
       return requests;
     }
-    List<Request> all = new ArrayList<>(requests);
-    while (!all.isEmpty() && (all.size() >= MOST_REQUESTS || isOld(all.get(0), at))) {
+    List<AppliedRequest> all = new ArrayList<>(requests);
+    while (!all.isEmpty() && (all.size() >= MAX_REQUESTS || isExpired(all.get(0), at))) {
       all.remove(0);
     }
-    all.add(made);
+    all.add(applied);
     return List.copyOf(all);
   }
 
-  private List<AuditEntry> stamped(Revision version) {
-    return trail.stream().map(line -> line.stamped(version)).toList();
+  private List<AuditEntry> trailWithRevisions(Revision version) {
+    return trail.stream().map(line -> line.withRevision(version)).toList();
   }
 
   /**
    * Returns the audit entries in this record, with the revision of the latest set to the record's
    * own.
    */
-  public List<AuditEntry> lines(Revision version) {
-    return stamped(version);
+  public List<AuditEntry> auditEntries(Revision version) {
+    return trailWithRevisions(version);
   }
 
   /** Returns the record without its first {@code lines} audit entries, which are on a page now. */
-  public ReplicatedRecord<S> without(int lines, Revision version) {
-    List<AuditEntry> all = stamped(version);
+  public ReplicatedRecord<S> withoutEntries(int count, Revision version) {
+    List<AuditEntry> all = trailWithRevisions(version);
     return new ReplicatedRecord<>(
-        state, change, requests, all.subList(Math.min(lines, all.size()), all.size()));
+        state, change, requests, all.subList(Math.min(count, all.size()), all.size()));
   }
 
   /** Writes the record. */
   public Map<String, Object> write(RecordKind<S, ?> kind) {
     Map<String, Object> out = new LinkedHashMap<>();
-    if (kind.restrains()) {
+    if (kind.canBlockTasks()) {
       out.put("must", true); // a build that does not know the kind must not ignore the record
     }
     out.put("change", change);
     out.put("state", kind.write(state));
     List<Object> names = new ArrayList<>();
-    for (Request request : requests) {
-      names.add(List.of(request.name(), request.change(), request.atMs(), request.same()));
+    for (AppliedRequest request : requests) {
+      names.add(
+          List.of(request.name(), request.change(), request.atMs(), request.unchangedReason()));
     }
     out.put("requests", names);
     out.put("trail", AuditEntry.writeAll(trail));
@@ -178,7 +184,7 @@
   public static <S> ReplicatedRecord<S> read(RecordKind<S, ?> kind, Object value)
       throws MalformedRecordException {
     RecordFields in = RecordFields.of(value, "a record of " + kind.name());
-    List<Request> requests = new ArrayList<>();
+    List<AppliedRequest> requests = new ArrayList<>();
     for (Object each : in.list("requests")) {
       if (!(each instanceof List<?> fields
           && fields.size() == 4
@@ -191,10 +197,10 @@
                 + kind.name()
                 + " is not a list of name, change, time and reason");
       }
-      requests.add(new Request(name, change.longValue(), atMs.longValue(), same));
+      requests.add(new AppliedRequest(name, change.longValue(), atMs.longValue(), same));
     }
     return new ReplicatedRecord<>(
-        kind.read(in.body("state").all()),
+        kind.read(in.object("state").all()),
         in.integer("change", 0, Long.MAX_VALUE),
         List.copyOf(requests),
         List.copyOf(AuditEntry.readAll(in.list("trail"))));
--- a/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
+++ b/src/main/java/org/quincecross/replicated/ReplicationBarrier.java
@@ -37,7 +37,7 @@
    * @param incarnation the incarnation that reported it
    * @param revision of its state
    */
-  public record Told(ControllerId member, Incarnation incarnation, Revision revision) {}
+  public record ReportedRevision(ControllerId member, Incarnation incarnation, Revision revision) {}
 
   /**
    * Whether all controllers know a revision.
@@ -46,7 +46,7 @@
    * @param latest when all controllers know it at the latest; null if this controller has not seen
    *     it itself
    */
-  public record Answer(State state, List<ControllerId> missing, MonotonicTime latest) {
+  public record Status(State state, List<ControllerId> missing, MonotonicTime latest) {
     public boolean isKnown() {
       return state == State.KNOWN_BY_REPORTS || state == State.KNOWN_BY_TIME;
     }
@@ -69,36 +69,36 @@
    * @param longest how long a controller acts after it last heard from the state service, including
    *     clock drift
    */
-  public static Answer of(
+  public static Status status(
       Revision revision,
       Revision own,
       MonotonicTime seenAt,
-      Collection<Told> expected,
-      Collection<Told> told,
+      Collection<ReportedRevision> expected,
+      Collection<ReportedRevision> reported,
       TimeSpan longest,
       MonotonicTime now) {
     if (revision.isAfter(own) || seenAt == null) {
-      return new Answer(State.UNKNOWN, List.of(), null);
+      return new Status(State.UNKNOWN, List.of(), null);
     }
     List<ControllerId> missing = new ArrayList<>();
-    for (Told member : expected) {
-      boolean has =
+    for (ReportedRevision member : expected) {
+      boolean isReported =
           !member.incarnation().equals(Incarnation.NONE)
-              && told.stream()
+              && reported.stream()
                   .anyMatch(
-                      each ->
-                          each.member().equals(member.member())
-                              && each.incarnation().equals(member.incarnation())
-                              && !revision.isAfter(each.revision()));
-      if (!has) {
+                      report ->
+                          report.member().equals(member.member())
+                              && report.incarnation().equals(member.incarnation())
+                              && !revision.isAfter(report.revision()));
+      if (!isReported) {
         missing.add(member.member());
       }
     }
     MonotonicTime latest = seenAt.plus(longest);
     if (missing.isEmpty()) {
-      return new Answer(State.KNOWN_BY_REPORTS, List.of(), latest);
+      return new Status(State.KNOWN_BY_REPORTS, List.of(), latest);
     }
-    return new Answer(
+    return new Status(
         latest.isBefore(now) ? State.KNOWN_BY_TIME : State.SPREADING, List.copyOf(missing), latest);
   }
 }
--- a/src/main/java/org/quincecross/replicated/StartBlock.java
+++ b/src/main/java/org/quincecross/replicated/StartBlock.java
@@ -17,7 +17,7 @@
         private final TaskSet none = new TaskSet();
 
         @Override
-        public TaskSet of(Job job) {
+        public TaskSet blockedTasks(Job job) {
           return none;
         }
 
@@ -31,7 +31,7 @@
    * Returns the blocked tasks of a job; callers must not change the set. Called often, so
    * implementations cache the set.
    */
-  TaskSet of(Job job);
+  TaskSet blockedTasks(Job job);
 
   /** Returns the reason as text for operators; null if nothing of the job is blocked. */
   String reason(JobId job);
@@ -40,8 +40,8 @@
    * Whether a task is blocked. All tasks of a gang are blocked if one of them is, because a gang
    * runs as a whole.
    */
-  default boolean has(Job job, int index) {
-    TaskSet withheld = of(job);
-    return !withheld.isEmpty() && (withheld.contains(index) || job.kind() == JobKind.GANG);
+  default boolean isBlocked(Job job, int index) {
+    TaskSet blocked = blockedTasks(job);
+    return !blocked.isEmpty() && (blocked.contains(index) || job.kind() == JobKind.GANG);
   }
 }
--- a/src/main/java/org/quincecross/replicated/Transition.java
+++ b/src/main/java/org/quincecross/replicated/Transition.java
@@ -8,8 +8,8 @@
   record Changed<S>(S next, List<AuditEvent> trail) implements Transition<S> {}
 
   /** The state already is as requested; the caller receives the same answer as for a change. */
-  record Same<S>(String why) implements Transition<S> {}
+  record Unchanged<S>(String reason) implements Transition<S> {}
 
   /** The command is not allowed in this state; {@code status} is an HTTP status from 400 to 499. */
-  record Refused<S>(int status, String why) implements Transition<S> {}
+  record Refused<S>(int status, String reason) implements Transition<S> {}
 }
--- a/src/main/java/org/quincecross/reservation/RequestKind.java
+++ b/src/main/java/org/quincecross/reservation/RequestKind.java
@@ -85,7 +85,7 @@
     }
     if (command instanceof RequestCommand.Withdraw withdraw) {
       return switch (state.state()) {
-        case WITHDRAWN -> new Transition.Same<>("withdrawn already");
+        case WITHDRAWN -> new Transition.Unchanged<>("withdrawn already");
         case ANSWERED ->
             new Transition.Refused<>(
                 409, "its answer was delivered already, at " + state.closedMs() + " ms");
@@ -100,7 +100,7 @@
       };
     }
     if (!state.state().isOpen()) {
-      return new Transition.Same<>(
+      return new Transition.Unchanged<>(
           "it is over"); // the leader's decision was based on an older state
     }
     if (command instanceof RequestCommand.Reserve reserve) {
@@ -111,7 +111,7 @@
       }
       return state.state() == DeadlineRequest.State.RESERVED
               && state.zones().equals(reserve.zones())
-          ? new Transition.Same<>("reserved there already")
+          ? new Transition.Unchanged<>("reserved there already")
           : changed(
               state.reservedTasks(reserve.zones()),
               "reserved",
@@ -120,7 +120,7 @@
     }
     String reason = ((RequestCommand.LoseReservation) command).reason();
     return state.state() == DeadlineRequest.State.ARRIVED
-        ? new Transition.Same<>("it has no room")
+        ? new Transition.Unchanged<>("it has no room")
         : changed(
             state.withLostReservation(reason), "without_room", "why", reason, "had", state.zones());
   }
@@ -130,7 +130,7 @@
     if (state.state() != DeadlineRequest.State.NONE) {
       List<String> differences = state.differences(arrived);
       return differences.isEmpty()
-          ? new Transition.Same<>("known already")
+          ? new Transition.Unchanged<>("known already")
           : new Transition.Refused<>(
               409, "the request is known with other figures: " + String.join("; ", differences));
     }
@@ -159,7 +159,7 @@
     switch (state.state()) {
       case ANSWERED -> {
         return deliveredMs < 0 || deliveredMs == state.closedMs()
-            ? new Transition.Same<>("delivered already")
+            ? new Transition.Unchanged<>("delivered already")
             : new Transition.Refused<>(
                 409, "its answer was delivered at " + state.closedMs() + " ms, not " + deliveredMs);
       }
@@ -199,7 +199,7 @@
    * fail.
    */
   @Override
-  public boolean startsWithholding(DeadlineRequest before, DeadlineRequest next) {
+  public boolean blocksMoreTasks(DeadlineRequest before, DeadlineRequest next) {
     return next.state() == DeadlineRequest.State.RESERVED && !next.zones().equals(before.zones());
   }
 
@@ -238,7 +238,7 @@
     RecordFields in = RecordFields.of(value, "a request");
     Map<String, Integer> zones = new TreeMap<>();
     if (in.has("reserved")) {
-      RecordFields reserved = in.body("reserved");
+      RecordFields reserved = in.object("reserved");
       for (String zone : reserved.all().keySet()) {
         zones.put(zone, (int) reserved.integer(zone, 1, MAX_TASKS));
       }
@@ -250,7 +250,7 @@
         in.integer("due_ms", 0, MAX_TIME_MS),
         need(in),
         in.integer("recorded_ms", 0, MAX_TIME_MS),
-        in.word("state", DeadlineRequest.State.class),
+        in.enumConstant("state", DeadlineRequest.State.class),
         zones,
         in.textOr("without", ""),
         in.integerOr("over_ms", 0, MAX_TIME_MS, 0),
@@ -274,7 +274,7 @@
     RecordFields in = RecordFields.of(body, "the command");
     switch (in.text("do")) {
       case "arrive" -> {
-        in.only(ARRIVE_FIELDS);
+        in.allowOnly(ARRIVE_FIELDS);
         CapacityNeed need = need(in);
         if (need.tasks() < 1 || need.resourcesPerTask().cpus() <= 0) {
           throw new MalformedRecordException("tasks and cpus of the command are to be above 0");
@@ -311,11 +311,11 @@
                 0));
       }
       case "answer" -> {
-        in.only(Set.of("do", "delivered_ms"));
+        in.allowOnly(Set.of("do", "delivered_ms"));
         return new RequestCommand.Answer(in.integerOr("delivered_ms", 0, MAX_TIME_MS, -1));
       }
       case "withdraw" -> {
-        in.only(Set.of("do", "why"));
+        in.allowOnly(Set.of("do", "why"));
         String reason = in.textOr("why", "");
         if (reason.length() > MAX_REASON_LENGTH) {
           throw new MalformedRecordException(
--- a/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
+++ b/src/main/java/org/quincecross/rollout/AnnouncedLimits.java
@@ -18,14 +18,14 @@
  *     checksums
  * @param limits limits of the teams, infinite where there is none
  */
-public record AnnouncedLimits(Map<String, String> marks, Map<String, Resources> limits) {
+public record AnnouncedLimits(Map<String, String> checksums, Map<String, Resources> limits) {
   /** What a build without announcements has. */
   public static final AnnouncedLimits NONE = new AnnouncedLimits(Map.of(), Map.of());
 
   /** Returns a copy with another part that has to be equal. */
-  public AnnouncedLimits with(String part, String mark) {
-    Map<String, String> more = new TreeMap<>(marks);
-    more.put(part, mark);
+  public AnnouncedLimits withPart(String part, String checksum) {
+    Map<String, String> more = new TreeMap<>(checksums);
+    more.put(part, checksum);
     return new AnnouncedLimits(more, limits);
   }
 
@@ -40,8 +40,8 @@
     for (AnnouncedLimits announcedLimits : announced) {
       for (Team team : own.values()) {
         Resources limit = announcedLimits.limits().get(team.name());
-        Resources before = teams.get(team.name()).limit();
-        if (limit != null && !before.fitsIn(limit)) {
+        Resources lowestSoFar = teams.get(team.name()).limit();
+        if (limit != null && !lowestSoFar.fitsIn(limit)) {
           teams = teams == own ? new LinkedHashMap<>(own) : teams;
           teams.put(
               team.name(),
@@ -49,9 +49,9 @@
                   team.name(),
                   team.guarantee(),
                   new Resources(
-                      Math.min(limit.cpus(), before.cpus()),
-                      Math.min(limit.gpus(), before.gpus()),
-                      Math.min(limit.memoryGb(), before.memoryGb()))));
+                      Math.min(limit.cpus(), lowestSoFar.cpus()),
+                      Math.min(limit.gpus(), lowestSoFar.gpus()),
+                      Math.min(limit.memoryGb(), lowestSoFar.memoryGb()))));
         }
       }
     }
@@ -64,16 +64,16 @@
    */
   public static List<String> differences(
       ControllerId self, Map<ControllerId, AnnouncedLimits> announced) {
-    Map<String, String> own = announced.getOrDefault(self, NONE).marks();
+    Map<String, String> own = announced.getOrDefault(self, NONE).checksums();
     List<String> differences = new ArrayList<>();
     new TreeMap<>(announced)
         .forEach(
             (member, announcedLimits) -> {
               List<String> parts = new ArrayList<>();
-              new TreeMap<>(announcedLimits.marks())
+              new TreeMap<>(announcedLimits.checksums())
                   .forEach(
-                      (part, mark) -> {
-                        if (own.containsKey(part) && !own.get(part).equals(mark)) {
+                      (part, checksum) -> {
+                        if (own.containsKey(part) && !own.get(part).equals(checksum)) {
                           parts.add(part);
                         }
                       });
--- a/src/main/java/org/quincecross/rollout/Build.java
+++ b/src/main/java/org/quincecross/rollout/Build.java
@@ -7,23 +7,25 @@
  * @param minLevel lowest feature level that it can read and write
  * @param maxLevel highest feature level that it can read and write
  */
-public record Build(String name, FeatureLevel least, FeatureLevel most) {
+public record Build(String name, FeatureLevel minLevel, FeatureLevel maxLevel) {
   /** A build without announcements, from before feature levels. */
   public static final Build BEFORE_LEVELS =
       new Build("before levels", FeatureLevel.FIRST, FeatureLevel.FIRST);
 
   public Build {
-    if (least.isAbove(most) || least.number() < 1 || most.number() > FeatureLevel.MOST) {
-      throw new IllegalArgumentException("levels from " + least + " to " + most);
+    if (minLevel.isAbove(maxLevel)
+        || minLevel.number() < 1
+        || maxLevel.number() > FeatureLevel.MAX_NUMBER) {
+      throw new IllegalArgumentException("levels from " + minLevel + " to " + maxLevel);
     }
   }
 
   /** The build of this program, which reads and writes every level up to {@code maxLevel}. */
-  public static Build present(String name, int most) {
-    return new Build(name, FeatureLevel.FIRST, new FeatureLevel(most));
+  public static Build present(String name, int maxLevel) {
+    return new Build(name, FeatureLevel.FIRST, new FeatureLevel(maxLevel));
   }
 
-  public boolean can(FeatureLevel level) {
-    return !least.isAbove(level) && !level.isAbove(most);
+  public boolean supports(FeatureLevel level) {
+    return !minLevel.isAbove(level) && !level.isAbove(maxLevel);
   }
 }
--- a/src/main/java/org/quincecross/rollout/Feature.java
+++ b/src/main/java/org/quincecross/rollout/Feature.java
@@ -30,7 +30,7 @@
     return since;
   }
 
-  public boolean isIn(FeatureLevel level) {
+  public boolean isEnabledAt(FeatureLevel level) {
     return !since.isAbove(level);
   }
 }
--- a/src/main/java/org/quincecross/rollout/FeatureLevel.java
+++ b/src/main/java/org/quincecross/rollout/FeatureLevel.java
@@ -12,7 +12,7 @@
   public static final FeatureLevel NEWEST = new FeatureLevel(3);
 
   /** A record that states a higher level is corrupt. */
-  public static final int MOST = 10_000;
+  public static final int MAX_NUMBER = 10_000;
 
   public boolean isAbove(FeatureLevel other) {
     return number > other.number;
--- a/src/main/java/org/quincecross/rollout/Rollout.java
+++ b/src/main/java/org/quincecross/rollout/Rollout.java
@@ -23,7 +23,7 @@
    * How long all controllers have to be up, so that a new build that fails at once is noticed
    * first.
    */
-  public static final TimeSpan STEADY = TimeSpan.ofSeconds(10);
+  public static final TimeSpan STEADY_TIME = TimeSpan.ofSeconds(10);
 
   /** The states of a site with regard to its feature level. */
   public enum State {
@@ -47,7 +47,7 @@
   }
 
   /** A live controller. */
-  public record Alive(Build build, Incarnation incarnation) {}
+  public record LiveController(Build build, Incarnation incarnation) {}
 
   /**
    * The site as its leader sees it.
@@ -59,24 +59,24 @@
    * @param unreadableBelow number of records that the next lower level could not read
    */
   public record Site(
-      FeatureLevel inForce,
+      FeatureLevel inEffect,
       Set<ControllerId> expected,
-      Map<ControllerId, Alive> alive,
-      FeatureLevel most,
+      Map<ControllerId, LiveController> live,
+      FeatureLevel maxLevel,
       int toMigrate,
-      int onlyHere) {}
+      int unreadableBelow) {}
 
   /**
    * The decision.
    *
    * @param to the level to put into effect, or null
-   * @param why what holds the next level back, as text; empty if nothing does
+   * @param reason what holds the next level back, as text; empty if nothing does
    */
-  public record Decision(State state, FeatureLevel to, String why) {}
+  public record Decision(State state, FeatureLevel to, String reason) {}
 
-  private record Seen(Alive alive, MonotonicTime since) {}
+  private record Observation(LiveController controller, MonotonicTime since) {}
 
-  private final Map<ControllerId, Seen> seen = new HashMap<>();
+  private final Map<ControllerId, Observation> observations = new HashMap<>();
   private State state = State.SETTLED;
 
   public State state() {
@@ -84,99 +84,103 @@
   }
 
   /** The only method that changes the state. */
-  private Decision enter(State next, FeatureLevel to, String why) {
+  private Decision setState(State next, FeatureLevel to, String reason) {
     state = next;
-    return new Decision(next, to, why);
+    return new Decision(next, to, reason);
   }
 
   /** Evaluates the site; called by the leader at intervals. */
-  public Decision look(Site site, MonotonicTime now) {
-    seen.keySet().retainAll(site.alive().keySet());
-    site.alive()
+  public Decision evaluate(Site site, MonotonicTime now) {
+    observations.keySet().retainAll(site.live().keySet());
+    site.live()
         .forEach(
-            (member, alive) -> {
-              Seen before = seen.get(member);
-              if (before == null || !before.alive.equals(alive)) {
-                seen.put(member, new Seen(alive, now));
+            (member, controller) -> {
+              Observation previous = observations.get(member);
+              if (previous == null || !previous.controller.equals(controller)) {
+                observations.put(member, new Observation(controller, now));
               }
             });
-    if (site.inForce().isAbove(site.most()) && site.inForce().isAbove(FeatureLevel.FIRST)) {
+    if (site.inEffect().isAbove(site.maxLevel()) && site.inEffect().isAbove(FeatureLevel.FIRST)) {
       return lower(site);
     }
     return raise(site, now);
   }
 
   private Decision lower(Site site) {
-    FeatureLevel to = site.inForce().previous();
-    String unable = unable(site, to);
-    if (!unable.isEmpty()) {
-      return enter(
-          State.WAITING, null, "level " + to + ", which operators want, waits for " + unable);
+    FeatureLevel to = site.inEffect().previous();
+    String unsupported = unsupportedBy(site, to);
+    if (!unsupported.isEmpty()) {
+      return setState(
+          State.WAITING, null, "level " + to + ", which operators want, waits for " + unsupported);
     }
-    return site.onlyHere() > 0
-        ? enter(
-            State.LOWERING, null, site.onlyHere() + " records that level " + to + " could not read")
-        : enter(State.READY, to, "");
+    return site.unreadableBelow() > 0
+        ? setState(
+            State.LOWERING,
+            null,
+            site.unreadableBelow() + " records that level " + to + " could not read")
+        : setState(State.READY, to, "");
   }
 
   private Decision raise(Site site, MonotonicTime now) {
-    FeatureLevel to = site.inForce().next();
-    String unable = unable(site, to);
-    boolean someCan = site.alive().values().stream().anyMatch(alive -> alive.build().can(to));
-    if (!someCan) {
-      return enter(State.SETTLED, null, "");
+    FeatureLevel to = site.inEffect().next();
+    String unsupported = unsupportedBy(site, to);
+    boolean someSupport =
+        site.live().values().stream().anyMatch(controller -> controller.build().supports(to));
+    if (!someSupport) {
+      return setState(State.SETTLED, null, "");
     }
-    if (to.isAbove(site.most())) {
-      return enter(State.HELD, null, "operators hold level " + to + " back");
+    if (to.isAbove(site.maxLevel())) {
+      return setState(State.HELD, null, "operators hold level " + to + " back");
     }
-    if (!unable.isEmpty()) {
-      return enter(State.WAITING, null, "level " + to + " waits for " + unable);
+    if (!unsupported.isEmpty()) {
+      return setState(State.WAITING, null, "level " + to + " waits for " + unsupported);
     }
     if (site.toMigrate() > 0) {
-      return enter(
+      return setState(
           State.MIGRATING,
           null,
-          site.toMigrate() + " records are still in the form before level " + site.inForce());
+          site.toMigrate() + " records are still in the form before level " + site.inEffect());
     }
     for (ControllerId member : site.expected()) {
-      if (!now.since(seen.get(member).since()).isLongerThan(STEADY)) {
-        return enter(State.STEADYING, null, member + " has not been there for " + STEADY + " yet");
+      if (!now.since(observations.get(member).since()).isLongerThan(STEADY_TIME)) {
+        return setState(
+            State.STEADYING, null, member + " has not been there for " + STEADY_TIME + " yet");
       }
     }
-    return enter(State.READY, to, "");
+    return setState(State.READY, to, "");
   }
 
   /** Describes the controllers that do not support a level, and why; empty if all do. */
-  private static String unable(Site site, FeatureLevel level) {
-    List<String> unable = new ArrayList<>();
-    new TreeMap<>(name(site.expected()))
+  private static String unsupportedBy(Site site, FeatureLevel level) {
+    List<String> unsupported = new ArrayList<>();
+    new TreeMap<>(byName(site.expected()))
         .forEach(
             (name, member) -> {
-              Alive alive = site.alive().get(member);
-              if (alive == null) {
-                unable.add(name + ", which is away");
-              } else if (!alive.build().can(level)) {
-                unable.add(
+              LiveController controller = site.live().get(member);
+              if (controller == null) {
+                unsupported.add(name + ", which is away");
+              } else if (!controller.build().supports(level)) {
+                unsupported.add(
                     name
                         + ", whose build ("
-                        + alive.build().name()
+                        + controller.build().name()
                         + ") ends at level "
-                        + alive.build().most());
+                        + controller.build().maxLevel());
               }
             });
     // A live controller that is not expected counts as well, because it reads the records like any
     // other.
-    site.alive()
+    site.live()
         .forEach(
-            (member, alive) -> {
-              if (!site.expected().contains(member) && !alive.build().can(level)) {
-                unable.add(member + ", which no settings name");
+            (member, controller) -> {
+              if (!site.expected().contains(member) && !controller.build().supports(level)) {
+                unsupported.add(member + ", which no settings name");
               }
             });
-    return String.join("; ", unable);
+    return String.join("; ", unsupported);
   }
 
-  private static Map<String, ControllerId> name(Set<ControllerId> members) {
+  private static Map<String, ControllerId> byName(Set<ControllerId> members) {
     Map<String, ControllerId> named = new HashMap<>();
     members.forEach(member -> named.put(member.text(), member));
     return named;
--- a/src/main/java/org/quincecross/shard/StartGate.java
+++ b/src/main/java/org/quincecross/shard/StartGate.java
@@ -28,7 +28,7 @@
     StartBlock startBlock = context.startBlock();
     return context.cache().dependencyGraph().isWaiting(placement.task().job())
         || (startBlock != StartBlock.NONE
-            && startBlock.has(placement.job(), placement.task().index()));
+            && startBlock.isBlocked(placement.job(), placement.task().index()));
   }
 
   /**
--- a/src/main/java/org/quincecross/state/ClusterStateCache.java
+++ b/src/main/java/org/quincecross/state/ClusterStateCache.java
@@ -219,7 +219,7 @@
 
   /** The leader; its version is that of the leadership. Null if there is none. */
   public ControllerRecord leader() {
-    return Feature.LEADERSHIP_MOVED.isIn(level.level()) ? movedLeader : firstLevelLeader;
+    return Feature.LEADERSHIP_MOVED.isEnabledAt(level.level()) ? movedLeader : firstLevelLeader;
   }
 
   /** The key that names the leader at the feature level in force. */
@@ -229,7 +229,7 @@
 
   /** The key that names the leader at a feature level. */
   public static String leaderKey(FeatureLevel level) {
-    return Feature.LEADERSHIP_MOVED.isIn(level) ? StoreKeys.MOVED_LEADER : StoreKeys.LEADER;
+    return Feature.LEADERSHIP_MOVED.isEnabledAt(level) ? StoreKeys.MOVED_LEADER : StoreKeys.LEADER;
   }
 
   /** The indexes of replicated records, one for each registered kind. */
--- a/src/main/java/org/quincecross/state/ControllerRecord.java
+++ b/src/main/java/org/quincecross/state/ControllerRecord.java
@@ -34,11 +34,11 @@
     if (!in.has("build")) {
       return Build.BEFORE_LEVELS;
     }
-    FeatureLevel least = new FeatureLevel(in.integer("least", 1, FeatureLevel.MOST));
+    FeatureLevel least = new FeatureLevel(in.integer("least", 1, FeatureLevel.MAX_NUMBER));
     return new Build(
         in.string("build"),
         least,
-        new FeatureLevel(in.integer("most", least.number(), FeatureLevel.MOST)));
+        new FeatureLevel(in.integer("most", least.number(), FeatureLevel.MAX_NUMBER)));
   }
 
   static ControllerRecord read(Object value, Revision version) throws MalformedMessageException {
@@ -87,10 +87,10 @@
         Json.object("member", id.text(), "life", incarnation.value(), "zone", zone);
     if (!build.equals(Build.BEFORE_LEVELS)) {
       record.put("build", build.name());
-      record.put("least", build.least().number());
-      record.put("most", build.most().number());
+      record.put("least", build.minLevel().number());
+      record.put("most", build.maxLevel().number());
       if (withLimits) {
-        record.put("marks", announcedLimits.marks());
+        record.put("marks", announcedLimits.checksums());
         Map<String, Object> limits = new TreeMap<>();
         announcedLimits.limits().forEach((team, limit) -> limits.put(team, finite(limit)));
         record.put("limits", limits);
--- a/src/main/java/org/quincecross/state/DemandForecast.java
+++ b/src/main/java/org/quincecross/state/DemandForecast.java
@@ -109,7 +109,7 @@
     headroomByShard.clear();
     Map<Kind, Integer> waiting = new HashMap<>();
     for (JobRecord record : cache.openJobs()) {
-      int mayRun = record.job().taskCount() - startBlock.of(record.job()).size();
+      int mayRun = record.job().taskCount() - startBlock.blockedTasks(record.job()).size();
       if (mayRun <= 0 || cache.dependencyGraph().isWaiting(record.id())) {
         continue;
       }
--- a/src/main/java/org/quincecross/state/FeatureLevelRecord.java
+++ b/src/main/java/org/quincecross/state/FeatureLevelRecord.java
@@ -19,7 +19,8 @@
 
   static FeatureLevelRecord read(Object value, Revision version) throws MalformedMessageException {
     return new FeatureLevelRecord(
-        new FeatureLevel(JsonFields.of(value, "the level").integer("level", 1, FeatureLevel.MOST)),
+        new FeatureLevel(
+            JsonFields.of(value, "the level").integer("level", 1, FeatureLevel.MAX_NUMBER)),
         version);
   }
 
--- a/src/main/java/org/quincecross/state/Membership.java
+++ b/src/main/java/org/quincecross/state/Membership.java
@@ -287,7 +287,7 @@
       becomeIncompatible("the level on record cannot be read: " + e.getMessage());
       return;
     }
-    if (!build.can(level.level())) {
+    if (!build.supports(level.level())) {
       becomeIncompatible(unsupportedLevel());
     } else if (unreadable.getAsBoolean()) {
       becomeIncompatible(incompatibility.isEmpty() ? "a record cannot be read" : incompatibility);
@@ -303,9 +303,9 @@
         + " is in force, and this build ("
         + build.name()
         + ") does levels "
-        + build.least()
+        + build.minLevel()
         + " to "
-        + build.most();
+        + build.maxLevel();
   }
 
   /** Stops taking part: leadership and shards fail over as if this controller had ended. */
@@ -343,7 +343,7 @@
       return;
     }
     level = cache.level();
-    if (!build.can(level.level())) {
+    if (!build.supports(level.level())) {
       becomeIncompatible(unsupportedLevel());
     } else if (!cache.unreadable().isEmpty()) {
       Map.Entry<String, String> first = cache.unreadable().entrySet().iterator().next();
--- a/src/main/java/org/quincecross/state/ModelIndex.java
+++ b/src/main/java/org/quincecross/state/ModelIndex.java
@@ -84,10 +84,10 @@
   // A model that was read again is a new instance; comparing instances is cheaper than comparing
   // fields.
   @SuppressWarnings("ReferenceEquality")
-  public TaskSet of(Job job) {
+  public TaskSet blockedTasks(Job job) {
     Model model = of(job.id());
     if (model == null) {
-      return NONE.of(job);
+      return NONE.blockedTasks(job);
     }
     Kept last = kept.get(job.id());
     if (last == null || last.model != model) {
--- a/src/main/java/org/quincecross/state/OperatorSettings.java
+++ b/src/main/java/org/quincecross/state/OperatorSettings.java
@@ -57,7 +57,9 @@
         in.boolOr("returning", before.scaleIn()),
         idle,
         in.has("spare_tasks") ? in.integer("spare_tasks", 0, MAX_SPARE_TASKS) : before.spareTasks(),
-        in.has("most_level") ? in.integer("most_level", 0, FeatureLevel.MOST) : before.maxLevel(),
+        in.has("most_level")
+            ? in.integer("most_level", 0, FeatureLevel.MAX_NUMBER)
+            : before.maxLevel(),
         in.has("gone") ? List.copyOf(in.strings("gone")) : before.removedControllers());
   }
 
--- a/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordIndexes.java
@@ -83,6 +83,6 @@
       return false;
     }
     ReplicatedRecordIndex<?, ?> index = indexes.get(name.substring(0, slash));
-    return index == null || index.kind().restrains();
+    return index == null || index.kind().canBlockTasks();
   }
 }
--- a/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
+++ b/src/main/java/org/quincecross/state/ReplicatedRecordStore.java
@@ -108,25 +108,26 @@
       ReplicatedRecord<S> kept =
           batch.has(record)
               ? batch.kept(record)
-              : held == null ? ReplicatedRecord.none(index.kind()) : held.record();
+              : held == null ? ReplicatedRecord.initial(index.kind()) : held.record();
       CommandOrigin at =
           new CommandOrigin(clockMs.getAsLong(), settings.clockBound().millis(), ask.issuer());
       ReplicatedRecord.Result<S> result =
           kept.apply(
               index.kind(), id, version, ask.requestId(), ask.expectedChange(), ask.command(), at);
       if (result instanceof ReplicatedRecord.Result.Refused<S> refused) {
-        answer(refused(refused.status(), refused.why()));
-      } else if (result instanceof ReplicatedRecord.Result.Known<S> known) {
+        answer(refused(refused.status(), refused.reason()));
+      } else if (result instanceof ReplicatedRecord.Result.AlreadyApplied<S> known) {
         // Repeats a command of this same transaction, so it becomes durable with it.
         CommandResponse answer =
-            new CommandResponse(200, known.made().same(), known.made().change(), version, 0);
+            new CommandResponse(
+                200, known.applied().unchangedReason(), known.applied().change(), version, 0);
         if (batch.has(record)) {
           batch.add(this, answer);
         } else {
           answer(answer);
         }
-      } else if (result instanceof ReplicatedRecord.Result.Nothing<S> nothing) {
-        answer(new CommandResponse(200, nothing.why(), kept.change(), version, 0));
+      } else if (result instanceof ReplicatedRecord.Result.NoChange<S> nothing) {
+        answer(new CommandResponse(200, nothing.reason(), kept.change(), version, 0));
       } else if (result instanceof ReplicatedRecord.Result.Write<S> write) {
         put(batch, record, write, version);
       }
@@ -138,7 +139,8 @@
       int length = Json.write(value).length;
       if (length > settings.storeLimits().plannedValueBytes()) {
         boolean byItself =
-            Json.write(write.next().without(Integer.MAX_VALUE, version).write(index.kind())).length
+            Json.write(write.next().withoutEntries(Integer.MAX_VALUE, version).write(index.kind()))
+                    .length
                 > settings.storeLimits().plannedValueBytes();
         answer(
             byItself
@@ -151,10 +153,15 @@
                     2));
         return;
       }
-      if (batch.put(record, write.next(), value, length, version, write.withholds())) {
+      if (batch.put(record, write.next(), value, length, version, write.raisesFence())) {
         batch.add(
             this,
-            new CommandResponse(200, write.made().same(), write.made().change(), Revision.NONE, 0));
+            new CommandResponse(
+                200,
+                write.applied().unchangedReason(),
+                write.applied().change(),
+                Revision.NONE,
+                0));
       } else {
         batch.left.add(this);
       }
--- a/src/main/java/org/quincecross/state/ReplicationSupport.java
+++ b/src/main/java/org/quincecross/state/ReplicationSupport.java
@@ -20,7 +20,7 @@
    * they can.
    */
   String unavailableReason() {
-    if (Feature.AGREED_RECORDS.isIn(cache.level().level())) {
+    if (Feature.AGREED_RECORDS.isEnabledAt(cache.level().level())) {
       return null;
     }
     TreeSet<String> lacking = new TreeSet<>();
@@ -31,13 +31,13 @@
       ControllerRecord record = cache.members().get(member);
       if (record == null) {
         lacking.add(member + ", which is away");
-      } else if (!record.build().can(Feature.AGREED_RECORDS.since())) {
+      } else if (!record.build().supports(Feature.AGREED_RECORDS.since())) {
         lacking.add(
             member
                 + ", whose build ("
                 + record.build().name()
                 + ") ends at level "
-                + record.build().most());
+                + record.build().maxLevel());
       }
     }
     return "level "
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
@@ -75,7 +75,7 @@
       }
       try {
         DeadlineRequest now =
-            KIND.read(RecordFields.of(value, "a record").body("state").all())
+            KIND.read(RecordFields.of(value, "a record").object("state").all())
                 .withReference(key.substring(KEYS.length()));
         check(seen.put(now.reference(), now), now);
       } catch (MalformedRecordException e) {
--- a/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.quincecross.http.HttpRequest;
-import org.quincecross.legalhold.Records;
+import org.quincecross.legalhold.RecordSelector;
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
@@ -31,7 +31,7 @@
   final SimulatedCluster world;
   private final List<JobId> sweeps = new ArrayList<>();
   private final List<JobId> services = new ArrayList<>();
-  private final Map<JobId, Map<TaskSet, Records>> touches = new HashMap<>();
+  private final Map<JobId, Map<TaskSet, RecordSelector>> touches = new HashMap<>();
   private final Map<String, Double> openedAt = new HashMap<>();
   private final Map<String, Double> pinnedAt = new TreeMap<>();
   private final Map<TaskId, Double> startedAt = new HashMap<>();
@@ -138,10 +138,10 @@
     at(1, () -> ask(0, "sweeps", lane, "sweep-" + lane, Json.object("series", List.of(series))));
     for (JobId job : sweeps) {
       List<Object> all = new ArrayList<>();
-      Map<TaskSet, Records> touched = new HashMap<>();
+      Map<TaskSet, RecordSelector> touched = new HashMap<>();
       for (int i = 0; i < claims.length; i += 2) {
         all.add(Json.object("tasks", claims[i], "records", List.of(claims[i + 1])));
-        touched.put(TaskSet.parse(claims[i], 100_000), Records.parse(claims[i + 1]));
+        touched.put(TaskSet.parse(claims[i], 100_000), RecordSelector.parse(claims[i + 1]));
       }
       touches.put(job, touched);
       if (!all.isEmpty()) {
@@ -214,7 +214,7 @@
 
   /** The tasks that began after a time and touch some records. */
   List<String> startedAfter(double seconds, String records) {
-    Records held = Records.parse(records);
+    RecordSelector held = RecordSelector.parse(records);
     List<String> late = new ArrayList<>();
     startedAt.forEach(
         (task, at) -> {
@@ -277,7 +277,7 @@
                   }
                 }
               }
-              Map<Records, String> pinned = new HashMap<>();
+              Map<RecordSelector, String> pinned = new HashMap<>();
               for (String key : world.state().under("q/agreed/holds/")) {
                 String reference = key.substring("q/agreed/holds/".length());
                 if (!reference.startsWith("~") && state(reference).equals("PINNED")) {
@@ -285,7 +285,7 @@
                       reference + "/" + hold(reference).get("opening"), world.time().seconds());
                   List<?> records = (List<?>) hold(reference).get("records");
                   records.forEach(
-                      each -> pinned.putIfAbsent(Records.parse((String) each), reference));
+                      each -> pinned.putIfAbsent(RecordSelector.parse((String) each), reference));
                 }
               }
               pinned.forEach((records, reference) -> check(reference, records));
@@ -293,14 +293,14 @@
             });
   }
 
-  private void check(String reference, Records held) {
+  private void check(String reference, RecordSelector held) {
     for (JobId job : sweeps) {
-      Map<TaskSet, Records> claims = touches.get(job);
+      Map<TaskSet, RecordSelector> claims = touches.get(job);
       for (int index = 0;
           claims != null && world.rules().onMachines(job) > 0 && index < world.job(job).taskCount();
           index++) {
         boolean touched = claims.isEmpty();
-        for (Map.Entry<TaskSet, Records> claim : claims.entrySet()) {
+        for (Map.Entry<TaskSet, RecordSelector> claim : claims.entrySet()) {
           touched |= claim.getKey().contains(index) && claim.getValue().overlaps(held);
         }
         if (touched && world.rules().isOn(job.task(index))) {
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
@@ -193,7 +193,7 @@
     day.ask(0, "count", "second", "pass");
     day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 20);
     Revision second = day.gates[0].index.get("count").version();
-    ReplicationBarrier.Answer answer = day.gates[0].base.known().of(second);
+    ReplicationBarrier.Status answer = day.gates[0].base.known().of(second);
     assertEquals(ReplicationBarrier.State.SPREADING, answer.state());
     assertEquals("[n2]", answer.missing().toString());
     double left = answer.latest().since(day.gates[0].base.timers().now()).seconds();
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public TaskSet of(Job job) {
+    public TaskSet blockedTasks(Job job) {
       return closed.contains(job.id()) ? TaskSet.range(job.taskCount()) : new TaskSet();
     }
 
--- a/src/test/java/org/quincecross/emulator/SettingsMarksTest.java
+++ b/src/test/java/org/quincecross/emulator/SettingsMarksTest.java
@@ -20,7 +20,7 @@
             new Endpoint("10.0.0.2", 80),
             new Endpoint("10.0.0.3", 80));
     return new TreeMap<>(
-        site.settings(0, nodes, nodes, nodes.get(1), nodes.get(2)).announcedLimits().marks());
+        site.settings(0, nodes, nodes, nodes.get(1), nodes.get(2)).announcedLimits().checksums());
   }
 
   @Test
--- a/src/test/java/org/quincecross/legalhold/LegalHoldIndexTest.java
+++ b/src/test/java/org/quincecross/legalhold/LegalHoldIndexTest.java
@@ -24,9 +24,9 @@
 import org.quincecross.model.TimeSpan;
 
 class LegalHoldIndexTest {
-  private static Job job(int number, String lane, int tasks) {
+  private static Job job(int number, String jobClass, int tasks) {
     return Job.builder(new JobId("job-" + number))
-        .jobClass(lane)
+        .jobClass(jobClass)
         .team("team")
         .kind(JobKind.ARRAY)
         .priority(Priority.NORMAL)
@@ -39,11 +39,11 @@
         .build();
   }
 
-  private static Records records(Random random, int series) {
+  private static RecordSelector records(Random random, int series) {
     String name = "s" + random.nextInt(series);
     int year = 2020 + random.nextInt(3);
     String month = String.format("%d-%02d", year, 1 + random.nextInt(12));
-    return Records.parse(
+    return RecordSelector.parse(
         switch (random.nextInt(6)) {
           case 0 -> name;
           case 1 -> name + "#k" + random.nextInt(4);
@@ -57,44 +57,44 @@
   /** Computes the blocked tasks from holds, claims and sweep classes from scratch. */
   private static TaskSet expected(
       Job job,
-      Map<JobId, Map<String, List<Claim>>> claims,
-      Map<String, List<Records>> lanes,
-      Map<String, List<Records>> holds) {
-    TaskSet withheld = new TaskSet();
+      Map<JobId, Map<String, List<RecordClaim>>> claims,
+      Map<String, List<RecordSelector>> sweepClasses,
+      Map<String, List<RecordSelector>> holds) {
+    TaskSet blocked = new TaskSet();
     for (int task = 0; task < job.taskCount(); task++) {
-      List<Records> touched = new ArrayList<>();
-      boolean known = false;
-      for (List<Claim> page : claims.getOrDefault(job.id(), Map.of()).values()) {
-        for (Claim claim : page) {
+      List<RecordSelector> touched = new ArrayList<>();
+      boolean hasClaim = false;
+      for (List<RecordClaim> page : claims.getOrDefault(job.id(), Map.of()).values()) {
+        for (RecordClaim claim : page) {
           if (claim.tasks().contains(task)) {
-            known = true;
+            hasClaim = true;
             touched.addAll(claim.records());
           }
         }
       }
-      if (!known) {
-        touched.addAll(lanes.getOrDefault(job.jobClass(), List.of()));
+      if (!hasClaim) {
+        touched.addAll(sweepClasses.getOrDefault(job.jobClass(), List.of()));
       }
       if (holds.values().stream()
           .flatMap(List::stream)
           .anyMatch(hold -> touched.stream().anyMatch(hold::overlaps))) {
-        withheld.add(task);
+        blocked.add(task);
       }
     }
-    return withheld;
+    return blocked;
   }
 
   @Property(tries = 300)
-  void theBooksSayWhatHoldsAndClaimsComeTo(@ForAll @LongRange(max = 1_000_000) long seed) {
+  void indexEqualsComputationFromScratch(@ForAll @LongRange(max = 1_000_000) long seed) {
     Random random = new Random(seed);
-    LegalHoldIndex books = new LegalHoldIndex();
+    LegalHoldIndex index = new LegalHoldIndex();
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       jobs.add(job(i, "lane" + i % 3, 1 + random.nextInt(30)));
     }
-    Map<JobId, Map<String, List<Claim>>> claims = new HashMap<>();
-    Map<String, List<Records>> lanes = new HashMap<>();
-    Map<String, List<Records>> holds = new TreeMap<>();
+    Map<JobId, Map<String, List<RecordClaim>>> claims = new HashMap<>();
+    Map<String, List<RecordSelector>> sweepClasses = new HashMap<>();
+    Map<String, List<RecordSelector>> holds = new TreeMap<>();
     Map<JobId, TaskSet> before = new HashMap<>();
     for (int step = 0; step < 60; step++) {
       Set<JobId> changed;
@@ -102,14 +102,14 @@
       switch (random.nextInt(5)) {
         case 0, 1 -> {
           String reference = "ref-" + random.nextInt(5);
-          List<Records> records = List.of(records(random, 3), records(random, 3));
+          List<RecordSelector> records = List.of(records(random, 3), records(random, 3));
           holds.put(reference, records);
-          changed = books.opened(reference, records);
+          changed = index.open(reference, records);
         }
         case 2 -> {
           String reference = "ref-" + random.nextInt(5);
           holds.remove(reference);
-          changed = books.closed(reference);
+          changed = index.close(reference);
         }
         case 3 -> {
           TaskSet tasks = new TaskSet();
@@ -118,44 +118,46 @@
               tasks.add(task);
             }
           }
-          List<Claim> page =
+          List<RecordClaim> page =
               tasks.isEmpty()
                   ? List.of()
-                  : List.of(new Claim(tasks, List.of(records(random, 3), records(random, 3))));
+                  : List.of(
+                      new RecordClaim(tasks, List.of(records(random, 3), records(random, 3))));
           String name = "" + random.nextInt(2);
           claims.computeIfAbsent(job.id(), id -> new HashMap<>()).put(name, page);
-          changed = books.claims(job.id(), name, page);
+          changed = index.setClaims(job.id(), name, page);
         }
         default -> {
-          List<Records> series =
+          List<RecordSelector> series =
               random.nextInt(3) == 0
                   ? List.of()
                   : random.nextInt(3) == 0
-                      ? List.of(Records.ANY)
-                      : List.of(Records.parse("s" + random.nextInt(3)));
-          lanes.put("lane" + random.nextInt(3), series);
+                      ? List.of(RecordSelector.ANY)
+                      : List.of(RecordSelector.parse("s" + random.nextInt(3)));
+          sweepClasses.put("lane" + random.nextInt(3), series);
           changed = new java.util.HashSet<>();
-          lanes.forEach((lane, each) -> changed.addAll(books.lane(lane, each)));
+          sweepClasses.forEach(
+              (jobClass, each) -> changed.addAll(index.setSweepClass(jobClass, each)));
           jobs.forEach(
               each ->
                   changed.add(each.id())); // the jobs of a class are queried again after a change
         }
       }
       for (Job each : jobs) {
-        TaskSet expected = expected(each, claims, lanes, holds);
-        assertEquals(expected, books.of(each), "step " + step + " " + each.id());
+        TaskSet expected = expected(each, claims, sweepClasses, holds);
+        assertEquals(expected, index.blockedTasks(each), "step " + step + " " + each.id());
         TaskSet was = before.put(each.id(), expected);
         assertTrue(
             changed.contains(each.id()) || was == null || was.equals(expected),
             "a change of " + each.id() + " was not reported");
-        assertEquals(!expected.isEmpty(), !books.holding(each.id()).isEmpty());
+        assertEquals(!expected.isEmpty(), !index.holdsBlocking(each.id()).isEmpty());
         TaskSet touching = new TaskSet();
         holds
             .values()
             .forEach(
                 hold ->
-                    books
-                        .touching(hold)
+                    index
+                        .tasksAccessing(hold)
                         .forEach(
                             (id, tasks) -> {
                               if (id.equals(each.id())) {
@@ -165,10 +167,10 @@
         assertEquals(expected, touching);
       }
     }
-    jobs.forEach(each -> books.over(each.id()));
+    jobs.forEach(each -> index.jobEnded(each.id()));
     claims.forEach(
-        (id, pages) -> pages.keySet().forEach(page -> books.claims(id, page, List.of())));
-    assertEquals(0, books.size());
+        (id, pages) -> pages.keySet().forEach(page -> index.setClaims(id, page, List.of())));
+    assertEquals(0, index.size());
   }
 
   /**
@@ -176,42 +178,43 @@
    * closed again. Counts steps, not time.
    */
   @Test
-  void aHundredThousandTasksUnderTenThousandHoldsCostWhatChanges() {
+  void updateCostIsProportionalToChange() {
     Random random = new Random(33);
-    LegalHoldIndex books = new LegalHoldIndex();
+    LegalHoldIndex index = new LegalHoldIndex();
     List<Job> jobs = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       Job job = job(i, "sweep", 10_000);
       jobs.add(job);
       for (int page = 0; page < 20; page++) {
-        List<Claim> claims = new ArrayList<>();
+        List<RecordClaim> claims = new ArrayList<>();
         for (int k = 0; k < 100; k++) {
           TaskSet tasks = new TaskSet();
           for (int task = 0; task < 5; task++) {
             tasks.add((page * 100 + k) * 5 + task);
           }
-          Records day =
-              Records.parse(
+          RecordSelector day =
+              RecordSelector.parse(
                   String.format(
                       "s%d/%d-%02d-%02d",
                       i, 2020 + page / 5, 1 + k % 12, 1 + (page * 100 + k) % 28));
           claims.add(
-              new Claim(
+              new RecordClaim(
                   tasks,
-                  List.of(k % 4 == 0 ? Records.parse("s" + i + "#key" + page + "-" + k) : day)));
+                  List.of(
+                      k % 4 == 0 ? RecordSelector.parse("s" + i + "#key" + page + "-" + k) : day)));
         }
-        books.claims(job.id(), "" + page, claims);
+        index.setClaims(job.id(), "" + page, claims);
       }
-      books.of(job);
+      index.blockedTasks(job);
     }
-    assertEquals(20_000, books.size());
-    long told = books.work();
+    assertEquals(20_000, index.size());
+    long stepsForClaims = index.steps();
     for (int i = 0; i < 10_000; i++) {
       String series = "s" + random.nextInt(10);
-      books.opened(
+      index.open(
           "ref-" + i,
           List.of(
-              Records.parse(
+              RecordSelector.parse(
                   i % 2 == 0
                       ? series + "#key" + random.nextInt(20) + "-" + random.nextInt(100)
                       : String.format(
@@ -221,21 +224,21 @@
                           1 + random.nextInt(12),
                           1 + random.nextInt(28)))));
     }
-    long opened = books.work() - told;
+    long stepsToOpen = index.steps() - stepsForClaims;
     for (int i = 0; i < 10_000; i++) {
-      books.closed("ref-" + (i * 7919) % 10_000);
+      index.close("ref-" + (i * 7919) % 10_000);
     }
-    long closed = books.work() - told - opened;
-    jobs.forEach(job -> assertTrue(books.of(job).isEmpty()));
+    long stepsToClose = index.steps() - stepsForClaims - stepsToOpen;
+    jobs.forEach(job -> assertTrue(index.blockedTasks(job).isEmpty()));
     // Each hold visits the claims of one day or one key, and the wildcards of its series, whose
     // 20,000 entries change state once in each direction.
     assertTrue(
-        opened < 200_000 && closed < 200_000,
-        "steps: " + opened + " to open, " + closed + " to close");
+        stepsToOpen < 200_000 && stepsToClose < 200_000,
+        "steps: " + stepsToOpen + " to open, " + stepsToClose + " to close");
   }
 
   @Test
-  void recordsAreNamedInOneWay() {
+  void selectorsHaveOneTextForm() {
     for (String text :
         List.of(
             "cdr",
@@ -245,7 +248,7 @@
             "cdr/2025..2026-03-15",
             "cdr#a/b:c",
             "a.b_c-d/2026-09..2026-10")) {
-      assertEquals(text, Records.parse(text).toString());
+      assertEquals(text, RecordSelector.parse(text).toString());
     }
     for (String text :
         List.of(
@@ -258,7 +261,7 @@
             "cdr#",
             "cdr#a b",
             "cdr/2026-00")) {
-      assertThrows(IllegalArgumentException.class, () -> Records.parse(text), text);
+      assertThrows(IllegalArgumentException.class, () -> RecordSelector.parse(text), text);
     }
   }
 }
--- a/src/test/java/org/quincecross/legalhold/LegalHoldModelTest.java
+++ b/src/test/java/org/quincecross/legalhold/LegalHoldStateSpaceTest.java
@@ -24,8 +24,8 @@
  * loses its memory in a crash. One of them owns the task's shard. Operators open, close and reopen
  * the hold, and each of their requests may arrive twice.
  */
-class LegalHoldModelTest {
-  private static final int MOST_STATES = 600_000;
+class LegalHoldStateSpaceTest {
+  private static final int MAX_STATES = 600_000;
 
   /**
    * Protocol rules that can be disabled, to show that the search finds a violation without each of
@@ -38,13 +38,13 @@
     ALLOCATION_PROOF,
     OPENING_OF_CLOSE,
     REQUEST_NAMES,
-    GIVEN_BACK_LAST
+    RELEASED_BEFORE_FREED
   }
 
   private static final LegalHoldKind KIND = new LegalHoldKind();
   private static final CommandOrigin AT = new CommandOrigin(1000, 0, "magistrate");
   private static final LegalHoldCommand OPEN =
-      new LegalHoldCommand.Open(List.of(Records.parse("cdr/2026-03")), 0, 0);
+      new LegalHoldCommand.Open(List.of(RecordSelector.parse("cdr/2026-03")), 0, 0);
 
   /**
    * The stored records: the hold and its version, the fence, and whether and since which version
@@ -58,7 +58,7 @@
       int allocation) {}
 
   /** A transaction in flight; null guards are not compared. */
-  private record Txn(
+  private record Transaction(
       Integer version,
       Integer fence,
       Integer allocation,
@@ -70,74 +70,76 @@
       Store store,
       Store seenA,
       Store seenB,
-      List<Txn> late,
+      List<Transaction> inFlight,
       boolean runs,
       int startedIn,
-      int returned,
+      int releasedIn,
       Set<String> sent) {
     World with(Store next) {
-      return new World(next, seenA, seenB, late, runs, startedIn, returned, sent);
+      return new World(next, seenA, seenB, inFlight, runs, startedIn, releasedIn, sent);
     }
 
-    World late(Txn txn) {
-      if (late.contains(txn) || late.size() >= 2) {
+    World inFlight(Transaction txn) {
+      if (inFlight.contains(txn) || inFlight.size() >= 2) {
         return null;
       }
-      List<Txn> more = new ArrayList<>(late);
+      List<Transaction> more = new ArrayList<>(inFlight);
       more.add(txn);
-      return new World(store, seenA, seenB, more, runs, startedIn, returned, sent);
+      return new World(store, seenA, seenB, more, runs, startedIn, releasedIn, sent);
     }
   }
 
-  private Guard out = Guard.NONE;
+  private Guard disabledGuard = Guard.NONE;
   private final Set<World> seen = new HashSet<>();
   private final ArrayDeque<World> todo = new ArrayDeque<>();
-  private String wrong;
+  private String violation;
 
-  private Store commit(Store store, Txn txn) {
-    boolean holds =
-        (txn.version() == null || txn.version() == store.version())
-            && (txn.fence() == null || txn.fence() == store.fence())
-            && (txn.allocation() == null || txn.allocation() == store.allocation());
-    if (!holds) {
+  private Store commit(Store store, Transaction transaction) {
+    boolean guardsHold =
+        (transaction.version() == null || transaction.version() == store.version())
+            && (transaction.fence() == null || transaction.fence() == store.fence())
+            && (transaction.allocation() == null || transaction.allocation() == store.allocation());
+    if (!guardsHold) {
       return store;
     }
     return new Store(
-        txn.hold() == null ? store.hold() : txn.hold(),
-        store.version() + (txn.hold() == null ? 0 : 1),
-        store.fence() + (txn.fences() ? 1 : 0),
-        txn.allocate() == null ? store.allocated() : txn.allocate(),
-        store.allocation() + (txn.allocate() == null ? 0 : 1));
+        transaction.hold() == null ? store.hold() : transaction.hold(),
+        store.version() + (transaction.hold() == null ? 0 : 1),
+        store.fence() + (transaction.fences() ? 1 : 0),
+        transaction.allocate() == null ? store.allocated() : transaction.allocate(),
+        store.allocation() + (transaction.allocate() == null ? 0 : 1));
   }
 
-  private Txn change(Store view, String request, LegalHoldCommand command) {
-    ReplicatedRecord<LegalHold> kept =
-        out == Guard.REQUEST_NAMES
+  private Transaction change(Store view, String request, LegalHoldCommand command) {
+    ReplicatedRecord<LegalHold> known =
+        disabledGuard == Guard.REQUEST_NAMES
             ? new ReplicatedRecord<>(
                 view.hold().state(), view.hold().change(), List.of(), List.of())
             : view.hold();
     ReplicatedRecord.Result<LegalHold> result =
-        kept.apply(KIND, "ref", new Revision(1), request, -1, command, AT);
+        known.apply(KIND, "ref", new Revision(1), request, -1, command, AT);
     if (result instanceof ReplicatedRecord.Result.Write<LegalHold> write) {
       ReplicatedRecord<LegalHold> next = write.next();
       // The audit trail grows with each change and is irrelevant here.
       next = new ReplicatedRecord<>(next.state(), next.change(), next.requests(), List.of());
-      return new Txn(
-          out == Guard.RECORD_VERSION && request == null ? null : (Integer) view.version(),
+      return new Transaction(
+          disabledGuard == Guard.RECORD_VERSION && request == null
+              ? null
+              : (Integer) view.version(),
           null,
           null,
           next,
-          write.withholds(),
+          write.raisesFence(),
           null);
     }
     return null;
   }
 
-  private void next(World from, Consumer<World> to) {
+  private void addSuccessors(World from, Consumer<World> to) {
     // A transaction in flight is applied or lost.
-    for (Txn txn : from.late()) {
-      List<Txn> rest = new ArrayList<>(from.late());
-      rest.remove(txn);
+    for (Transaction transaction : from.inFlight()) {
+      List<Transaction> rest = new ArrayList<>(from.inFlight());
+      rest.remove(transaction);
       World without =
           new World(
               from.store(),
@@ -146,10 +148,10 @@
               rest,
               from.runs(),
               from.startedIn(),
-              from.returned(),
+              from.releasedIn(),
               from.sent());
       to.accept(without);
-      to.accept(without.with(commit(from.store(), txn)));
+      to.accept(without.with(commit(from.store(), transaction)));
     }
     // A controller reads the current records: by watching them, or after a crash.
     to.accept(
@@ -157,33 +159,33 @@
             from.store(),
             from.store(),
             from.seenB(),
-            from.late(),
+            from.inFlight(),
             from.runs(),
             from.startedIn(),
-            from.returned(),
+            from.releasedIn(),
             from.sent()));
     to.accept(
         new World(
             from.store(),
             from.seenA(),
             from.store(),
-            from.late(),
+            from.inFlight(),
             from.runs(),
             from.startedIn(),
-            from.returned(),
+            from.releasedIn(),
             from.sent()));
     for (Store view : new HashSet<>(List.of(from.seenA(), from.seenB()))) {
-      operators(from, view, to);
-      leader(from, view, to);
+      stepOperators(from, view, to);
+      stepLeader(from, view, to);
     }
-    holder(from, to);
+    stepShardOwner(from, to);
   }
 
   /**
    * Each request comes in this order, and any of them may be repeated at any time. A close of the
    * first opening under another request name may come late.
    */
-  private void operators(World from, Store view, Consumer<World> to) {
+  private void stepOperators(World from, Store view, Consumer<World> to) {
     List<String> requests = List.of("open-1", "close-1", "open-2", "close-1-too");
     for (int i = 0; i < requests.size(); i++) {
       if (i > 0 && !from.sent().contains(requests.get(i - 1))) {
@@ -195,9 +197,11 @@
           i % 2 == 0
               ? OPEN
               : new LegalHoldCommand.Close(
-                  out == Guard.OPENING_OF_CLOSE ? Math.max(1, view.hold().state().opening()) : 1);
-      Txn txn = change(view, requests.get(i), command);
-      World later = txn == null ? null : from.late(txn);
+                  disabledGuard == Guard.OPENING_OF_CLOSE
+                      ? Math.max(1, view.hold().state().opening())
+                      : 1);
+      Transaction transaction = change(view, requests.get(i), command);
+      World later = transaction == null ? null : from.inFlight(transaction);
       if (later != null) {
         Set<String> sent = new HashSet<>(from.sent());
         sent.add(requests.get(i));
@@ -206,33 +210,35 @@
                 later.store(),
                 later.seenA(),
                 later.seenB(),
-                later.late(),
+                later.inFlight(),
                 later.runs(),
                 later.startedIn(),
-                later.returned(),
+                later.releasedIn(),
                 sent));
       }
     }
   }
 
-  private void leader(World from, Store view, Consumer<World> to) {
+  private void stepLeader(World from, Store view, Consumer<World> to) {
     LegalHold hold = view.hold().state();
-    Integer fence = out == Guard.FENCE ? null : (Integer) view.fence();
-    if (!view.allocated() && !hold.isInForce() && view.allocation() < 2) {
-      add(from.late(new Txn(null, fence, view.allocation(), null, false, true)), to);
+    Integer fence = disabledGuard == Guard.FENCE ? null : (Integer) view.fence();
+    if (!view.allocated() && !hold.isInEffect() && view.allocation() < 2) {
+      add(from.inFlight(new Transaction(null, fence, view.allocation(), null, false, true)), to);
     }
     // A task is removed from the allocation only once its owner has released it there.
-    boolean gone = out == Guard.GIVEN_BACK_LAST || from.returned() == view.allocation();
-    if (view.allocated() && gone) {
-      add(from.late(new Txn(null, fence, view.allocation(), null, false, false)), to);
+    boolean released =
+        disabledGuard == Guard.RELEASED_BEFORE_FREED || from.releasedIn() == view.allocation();
+    if (view.allocated() && released) {
+      add(from.inFlight(new Transaction(null, fence, view.allocation(), null, false, false)), to);
     }
-    if (hold.state() == State.PINNING && (!view.allocated() || out == Guard.ALLOCATION_PROOF)) {
-      Txn txn =
+    if (hold.state() == State.PINNING
+        && (!view.allocated() || disabledGuard == Guard.ALLOCATION_PROOF)) {
+      Transaction transaction =
           change(
               view,
               null,
               new LegalHoldCommand.Pinned(hold.opening(), hold.scope(), view.version(), "", 0));
-      add(txn == null ? null : from.late(txn), to);
+      add(transaction == null ? null : from.inFlight(transaction), to);
     }
   }
 
@@ -240,40 +246,40 @@
    * The first controller owns the shard: it starts tasks by the records it sees, and releases those
    * it sees blocked.
    */
-  private void holder(World from, Consumer<World> to) {
+  private void stepShardOwner(World from, Consumer<World> to) {
     Store view = from.seenA();
-    boolean withheld = view.hold().state().isInForce();
-    if (!from.runs() && view.allocated() && !withheld && from.returned() != view.allocation()) {
+    boolean blocked = view.hold().state().isInEffect();
+    if (!from.runs() && view.allocated() && !blocked && from.releasedIn() != view.allocation()) {
       to.accept(
           new World(
               from.store(),
               view,
               from.seenB(),
-              from.late(),
+              from.inFlight(),
               true,
               view.allocation(),
-              from.returned(),
+              from.releasedIn(),
               from.sent()));
     }
-    if (from.runs() && withheld) {
+    if (from.runs() && blocked) {
       to.accept(
           new World(
               from.store(),
               view,
               from.seenB(),
-              from.late(),
+              from.inFlight(),
               false,
               0,
-              from.returned(),
+              from.releasedIn(),
               from.sent()));
     }
-    if (!from.runs() && view.allocated() && withheld) {
+    if (!from.runs() && view.allocated() && blocked) {
       to.accept(
           new World(
               from.store(),
               view,
               from.seenB(),
-              from.late(),
+              from.inFlight(),
               false,
               0,
               view.allocation(),
@@ -290,25 +296,25 @@
   private void check(World world) {
     LegalHold hold = world.store().hold().state();
     if (hold.state() == State.PINNED && world.runs()) {
-      wrong = "pinned although a task that accesses the records runs";
+      violation = "pinned although a task that accesses the records runs";
     } else if (hold.state() == State.PINNED && world.store().allocated()) {
-      wrong = "pinned although a task that accesses the records is allocated";
+      violation = "pinned although a task that accesses the records is allocated";
     } else if (hold.opening() > 2 || (hold.opening() == 2 && !world.sent().contains("open-2"))) {
-      wrong = "opened more often than asked for";
+      violation = "opened more often than asked for";
     } else if (hold.opening() == 2 && hold.state() == State.CLOSED) {
-      wrong = "the second opening was closed by the close of the first";
+      violation = "the second opening was closed by the close of the first";
     }
   }
 
-  private int play() {
-    Store first = new Store(ReplicatedRecord.none(KIND), 0, 0, false, 0);
+  private int explore() {
+    Store first = new Store(ReplicatedRecord.initial(KIND), 0, 0, false, 0);
     World start = new World(first, first, first, List.of(), false, 0, -1, Set.of());
     todo.add(start);
     seen.add(start);
-    while (!todo.isEmpty() && wrong == null && seen.size() < MOST_STATES) {
+    while (!todo.isEmpty() && violation == null && seen.size() < MAX_STATES) {
       World world = todo.poll();
       check(world);
-      next(
+      addSuccessors(
           world,
           next -> {
             if (seen.add(next)) {
@@ -321,9 +327,9 @@
 
   @Test
   void noTaskRunsOncePinnedAndEachRequestIsOneChange() {
-    int states = play();
-    assertEquals(null, wrong);
-    assertTrue(states > 10_000 && states < MOST_STATES, "states: " + states);
+    int states = explore();
+    assertEquals(null, violation);
+    assertTrue(states > 10_000 && states < MAX_STATES, "states: " + states);
     for (State state : State.values()) {
       if (state != State.FUTURE) {
         assertTrue(
@@ -335,10 +341,11 @@
 
   @ParameterizedTest
   @EnumSource(value = Guard.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void eachGuardTakenOutIsFound(Guard guard) {
-    LegalHoldModelTest model = new LegalHoldModelTest();
-    model.out = guard;
-    model.play();
-    assertFalse(model.wrong == null, guard + " can be disabled without a violation being found");
+  void disablingAnyGuardCausesViolation(Guard guard) {
+    LegalHoldStateSpaceTest model = new LegalHoldStateSpaceTest();
+    model.disabledGuard = guard;
+    model.explore();
+    assertFalse(
+        model.violation == null, guard + " can be disabled without a violation being found");
   }
 }
--- a/src/test/java/org/quincecross/modelserving/ModelStateSpaceTest.java
+++ b/src/test/java/org/quincecross/modelserving/ModelStateSpaceTest.java
@@ -234,8 +234,7 @@
     Model before = state.record;
     if (ModelRules.step(before, command, 0) instanceof Transition.Changed<Model> changed) {
       state.record = changed.next();
-      state.fence =
-          KIND.startsWithholding(before, state.record) ? state.record.epoch() : state.fence;
+      state.fence = KIND.blocksMoreTasks(before, state.record) ? state.record.epoch() : state.fence;
       if (command instanceof ModelCommand.Wake
           && !isEnabled(Guard.NEW_EPOCH_ON_REVERTED_DRAIN)
           && !before.placements().isEmpty()) {
--- a/src/test/java/org/quincecross/protocol/FeaturesTest.java
+++ b/src/test/java/org/quincecross/protocol/FeaturesTest.java
@@ -32,20 +32,20 @@
   @Test
   void whatIsDeployedTakesPartInLevelTwo() throws MalformedMessageException, IOException {
     Features deployed = Features.read(Files.readAllBytes(Path.of("deploy/features.json")));
-    assertEquals(2, deployed.build().most().number());
+    assertEquals(2, deployed.build().maxLevel().number());
     assertNull(deployed.replicatedFeatures());
   }
 
   /** A controller announces the level of agreed records only where they are named. */
   @Test
   void agreedRecordsComeWithTheirLevel() throws MalformedMessageException {
-    assertEquals(2, read("{\"rollout\": {}}").build().most().number());
+    assertEquals(2, read("{\"rollout\": {}}").build().maxLevel().number());
     assertNull(read("{\"rollout\": {}}").replicatedFeatures());
     assertEquals(
         3,
         read("{\"rollout\": {}, \"agreed\": {\"holds\": {\"review_days\": 3}}}")
             .build()
-            .most()
+            .maxLevel()
             .number());
     assertEquals(
         Set.of("holds"),
--- a/src/test/java/org/quincecross/replicated/GateKind.java
+++ b/src/test/java/org/quincecross/replicated/GateKind.java
@@ -43,7 +43,9 @@
 
   @Override
   public Command command(Map<String, Object> body) throws MalformedRecordException {
-    return RecordFields.of(body, "the command").only(List.of("do")).word("do", Command.class);
+    return RecordFields.of(body, "the command")
+        .allowOnly(List.of("do"))
+        .enumConstant("do", Command.class);
   }
 
   @Override
@@ -55,12 +57,12 @@
               : changed(new State(false, state.passed() + 1), "passed");
       case CLOSE ->
           state.closed()
-              ? new Transition.Same<>("it is closed already")
+              ? new Transition.Unchanged<>("it is closed already")
               : changed(new State(true, state.passed()), "closed");
       case OPEN ->
           state.closed()
               ? changed(new State(false, state.passed()), "opened")
-              : new Transition.Same<>("it is open already");
+              : new Transition.Unchanged<>("it is open already");
     };
   }
 
@@ -74,12 +76,12 @@
   }
 
   @Override
-  public boolean restrains() {
+  public boolean canBlockTasks() {
     return true;
   }
 
   @Override
-  public boolean startsWithholding(State before, State next) {
+  public boolean blocksMoreTasks(State before, State next) {
     return !before.closed() && next.closed();
   }
 }
