--- a/src/test/java/org/quincecross/replicated/ReplicatedRecordModelTest.java
+++ b/src/test/java/org/quincecross/replicated/ReplicatedRecordStateSpaceTest.java
@@ -23,10 +23,10 @@
  * guard holds as long as its key has not been written since its controller last read, so the states
  * are finite.
  */
-class ReplicatedRecordModelTest {
+class ReplicatedRecordStateSpaceTest {
   private static final int NODES = 2;
   private static final int LEADER = 0;
-  private static final int HOLDER = 1;
+  private static final int OWNER = 1;
 
   /** Bits of the keys. */
   private static final int RECORD = 1;
@@ -35,7 +35,7 @@
   private static final int ALLOCATION = 4;
   private static final GateKind GATE = new GateKind();
   private static final CommandOrigin NOW = new CommandOrigin(1_000_000, 10, "");
-  private static final GateKind.Command[] REQUESTS = {
+  private static final GateKind.Command[] COMMANDS = {
     GateKind.Command.CLOSE, GateKind.Command.OPEN, GateKind.Command.CLOSE
   };
 
@@ -49,17 +49,17 @@
     /** A request that the record knows by its name is not applied again. */
     ONCE_BY_NAME,
     /** A caller is answered only once its change is durable. */
-    TOLD_WHEN_DURABLE,
+    ANSWERED_WHEN_DURABLE,
     /** What the leader writes is guarded by the fence. */
     ALLOCATED_BY_FENCE,
     /** A change that blocks tasks raises the fence. */
-    CLOSING_RAISES,
+    BLOCKING_RAISES_FENCE,
     /** The leader removes a task from its allocation only once the shard owner has released it. */
-    FREED_WHEN_GONE,
+    FREED_AFTER_RELEASE,
     /** The proof uses records at least as new as the closing. */
     PROVEN_BY_NEW_RECORDS,
     /** A shard owner does not restart a released task under the same allocation. */
-    GIVEN_BACK_FOR_GOOD
+    RELEASED_FOR_GOOD
   }
 
   private enum Write {
@@ -72,7 +72,7 @@
    * A transaction in flight or without an answer: it is applied at any time, or never; a failed
    * guard voids it.
    */
-  private record Txn(
+  private record Transaction(
       Write write,
       int request,
       ReplicatedRecord<GateKind.State> next,
@@ -81,7 +81,7 @@
 
   /** The complete state. */
   private static final class State implements Cloneable {
-    private ReplicatedRecord<GateKind.State> record = ReplicatedRecord.none(GATE);
+    private ReplicatedRecord<GateKind.State> record = ReplicatedRecord.initial(GATE);
     private boolean allocated;
     private boolean runs;
 
@@ -91,14 +91,14 @@
     private boolean proven;
     private int changes;
     private int changed;
-    private int told;
+    private int answered;
     private ReplicatedRecord<?>[] known = {
-      ReplicatedRecord.none(GATE), ReplicatedRecord.none(GATE)
+      ReplicatedRecord.initial(GATE), ReplicatedRecord.initial(GATE)
     };
     private boolean[] knownAllocated = new boolean[NODES];
     private int[] stale = new int[NODES];
-    private Txn[] txn = new Txn[NODES];
-    private Txn[] late = new Txn[NODES];
+    private Transaction[] pending = new Transaction[NODES];
+    private Transaction[] unanswered = new Transaction[NODES];
 
     private State copy() {
       try {
@@ -106,8 +106,8 @@
         copy.known = known.clone();
         copy.knownAllocated = knownAllocated.clone();
         copy.stale = stale.clone();
-        copy.txn = txn.clone();
-        copy.late = late.clone();
+        copy.pending = pending.clone();
+        copy.unanswered = unanswered.clone();
         return copy;
       } catch (CloneNotSupportedException e) {
         throw new IllegalStateException(e);
@@ -123,19 +123,20 @@
           proven,
           changes,
           changed,
-          told,
+          answered,
           Arrays.asList(known),
           Arrays.hashCode(knownAllocated),
           Arrays.hashCode(stale),
-          Arrays.asList(txn),
-          Arrays.asList(late));
+          Arrays.asList(pending),
+          Arrays.asList(unanswered));
     }
 
     private void written(int keys) {
       for (int i = 0; i < NODES; i++) {
         stale[i] |= keys;
-        txn[i] = txn[i] != null && (txn[i].guards() & keys) != 0 ? null : txn[i];
-        late[i] = late[i] != null && (late[i].guards() & keys) != 0 ? null : late[i];
+        pending[i] = pending[i] != null && (pending[i].guards() & keys) != 0 ? null : pending[i];
+        unanswered[i] =
+            unanswered[i] != null && (unanswered[i].guards() & keys) != 0 ? null : unanswered[i];
       }
     }
 
@@ -148,15 +149,15 @@
   private final Set<Guard> guards = EnumSet.allOf(Guard.class);
   private String violation;
 
-  private void wrong(boolean is, String what) {
-    if (is && violation == null) {
-      violation = what;
+  private void checkNot(boolean violated, String description) {
+    if (violated && violation == null) {
+      violation = description;
     }
   }
 
   private static void read(State state, int node) {
     state.known[node] = state.record;
-    if (node == HOLDER && state.knownAllocated[node] != state.allocated) {
+    if (node == OWNER && state.knownAllocated[node] != state.allocated) {
       state.released = false; // a different allocation
     }
     state.knownAllocated[node] = state.allocated;
@@ -169,40 +170,41 @@
       read(read, node);
       next.accept(read);
       State crash = from.copy();
-      crash.late[node] = crash.txn[node] == null ? crash.late[node] : crash.txn[node];
-      crash.txn[node] = null;
+      crash.unanswered[node] =
+          crash.pending[node] == null ? crash.unanswered[node] : crash.pending[node];
+      crash.pending[node] = null;
       read(crash, node);
       next.accept(crash);
-      if (from.txn[node] != null) {
+      if (from.pending[node] != null) {
         State unanswered = from.copy();
-        unanswered.late[node] = from.txn[node];
-        unanswered.txn[node] = null;
+        unanswered.unanswered[node] = from.pending[node];
+        unanswered.pending[node] = null;
         next.accept(unanswered);
         apply(from, node, true, next);
       } else {
-        ask(from, node, next);
+        sendRequests(from, node, next);
       }
-      if (from.late[node] != null) {
+      if (from.unanswered[node] != null) {
         apply(from, node, false, next);
       }
       prove(from, node, next);
     }
-    lead(from, next);
-    hold(from, next);
+    stepLeader(from, next);
+    stepShardOwner(from, next);
   }
 
   /** A request arrives, for the first time or repeated. */
-  private void ask(State from, int node, Consumer<State> next) {
-    for (int request = 0; request < REQUESTS.length; request++) {
+  private void sendRequests(State from, int node, Consumer<State> next) {
+    for (int request = 0; request < COMMANDS.length; request++) {
       ReplicatedRecord<GateKind.State> known = from.known(node);
       if (!guards.contains(Guard.ONCE_BY_NAME)) {
         known = new ReplicatedRecord<>(known.state(), known.change(), List.of(), known.trail());
       }
       ReplicatedRecord.Result<GateKind.State> result =
-          known.apply(GATE, "g", Revision.NONE, "r" + request, -1, REQUESTS[request], NOW);
+          known.apply(GATE, "g", Revision.NONE, "r" + request, -1, COMMANDS[request], NOW);
       State state = from.copy();
-      if (result instanceof ReplicatedRecord.Result.Known) {
-        state.told |= 1 << request;
+      if (result instanceof ReplicatedRecord.Result.AlreadyApplied) {
+        state.answered |= 1 << request;
       } else if (result instanceof ReplicatedRecord.Result.Write<GateKind.State> write) {
         if ((from.stale[node] & RECORD) != 0 && guards.contains(Guard.CHANGE_BY_VERSION)) {
           continue; // would fail
@@ -211,15 +213,15 @@
         ReplicatedRecord<GateKind.State> kept =
             new ReplicatedRecord<>(
                 write.next().state(), write.next().change(), write.next().requests(), List.of());
-        state.txn[node] =
-            new Txn(
+        state.pending[node] =
+            new Transaction(
                 Write.CHANGE,
                 request,
                 kept,
-                write.withholds() && guards.contains(Guard.CLOSING_RAISES),
+                write.raisesFence() && guards.contains(Guard.BLOCKING_RAISES_FENCE),
                 guards.contains(Guard.CHANGE_BY_VERSION) ? RECORD : 0);
-        if (!guards.contains(Guard.TOLD_WHEN_DURABLE)) {
-          state.told |= 1 << request;
+        if (!guards.contains(Guard.ANSWERED_WHEN_DURABLE)) {
+          state.answered |= 1 << request;
         }
       }
       next.accept(state);
@@ -228,51 +230,56 @@
 
   private void apply(State from, int node, boolean answered, Consumer<State> next) {
     State state = from.copy();
-    Txn txn = answered ? state.txn[node] : state.late[node];
+    Transaction transaction = answered ? state.pending[node] : state.unanswered[node];
     if (answered) {
-      state.txn[node] = null;
+      state.pending[node] = null;
     } else {
-      state.late[node] = null;
+      state.unanswered[node] = null;
     }
-    switch (txn.write()) {
+    switch (transaction.write()) {
       case CHANGE -> {
-        if (txn.next().change() > 0
-            && txn.next().requests().get(txn.next().requests().size() - 1).same().isEmpty()) {
+        if (transaction.next().change() > 0
+            && transaction
+                .next()
+                .requests()
+                .get(transaction.next().requests().size() - 1)
+                .unchangedReason()
+                .isEmpty()) {
           state.changes++;
-          wrong((state.changed & 1 << txn.request()) != 0, "a request is two changes");
-          state.changed |= 1 << txn.request();
+          checkNot((state.changed & 1 << transaction.request()) != 0, "a request is two changes");
+          state.changed |= 1 << transaction.request();
         }
-        state.record = txn.next();
-        wrong(state.record.change() != state.changes, "a change is lost");
+        state.record = transaction.next();
+        checkNot(state.record.change() != state.changes, "a change is lost");
         state.proven &= state.record.state().closed();
-        state.written(txn.raises() ? RECORD | FENCE : RECORD);
+        state.written(transaction.raises() ? RECORD | FENCE : RECORD);
         if (answered) {
-          state.told |= 1 << txn.request();
+          state.answered |= 1 << transaction.request();
         }
       }
       case ALLOCATE -> {
         state.allocated = true;
         state.written(ALLOCATION);
-        wrong(state.proven, "allocated after it was proven that it cannot be");
+        checkNot(state.proven, "allocated after it was proven that it cannot be");
       }
       case FREE -> {
         state.allocated = false;
         state.written(ALLOCATION);
       }
-      default -> throw new IllegalStateException(txn.write().toString());
+      default -> throw new IllegalStateException(transaction.write().toString());
     }
-    for (int request = 0; request < REQUESTS.length; request++) {
+    for (int request = 0; request < COMMANDS.length; request++) {
       String name = "r" + request;
-      wrong(
-          (state.told & 1 << request) != 0
+      checkNot(
+          (state.answered & 1 << request) != 0
               && state.record.requests().stream().noneMatch(each -> each.name().equals(name)),
           "answered but not in the record");
     }
     next.accept(state);
   }
 
-  private void lead(State from, Consumer<State> next) {
-    if (from.txn[LEADER] != null || from.late[LEADER] != null) {
+  private void stepLeader(State from, Consumer<State> next) {
+    if (from.pending[LEADER] != null || from.unanswered[LEADER] != null) {
       return; // the leader first rewrites its leadership record, which makes unanswered
       // transactions fail
     }
@@ -283,29 +290,29 @@
     boolean closed = from.known(LEADER).state().closed();
     State state = from.copy();
     if (!from.knownAllocated[LEADER] && !closed) {
-      state.txn[LEADER] = new Txn(Write.ALLOCATE, 0, null, false, ALLOCATION | fence);
+      state.pending[LEADER] = new Transaction(Write.ALLOCATE, 0, null, false, ALLOCATION | fence);
       next.accept(state);
     } else if (from.knownAllocated[LEADER]
-        && (from.released || (!guards.contains(Guard.FREED_WHEN_GONE) && closed))) {
-      state.txn[LEADER] = new Txn(Write.FREE, 0, null, false, ALLOCATION | fence);
+        && (from.released || (!guards.contains(Guard.FREED_AFTER_RELEASE) && closed))) {
+      state.pending[LEADER] = new Transaction(Write.FREE, 0, null, false, ALLOCATION | fence);
       next.accept(state);
     }
   }
 
   /** The shard owner acts on the records that it knows, however old. */
-  private void hold(State from, Consumer<State> next) {
-    boolean closed = from.known(HOLDER).state().closed();
+  private void stepShardOwner(State from, Consumer<State> next) {
+    boolean closed = from.known(OWNER).state().closed();
     State state = from.copy();
     if (!from.runs
-        && from.knownAllocated[HOLDER]
+        && from.knownAllocated[OWNER]
         && !closed
-        && !(from.released && guards.contains(Guard.GIVEN_BACK_FOR_GOOD))) {
+        && !(from.released && guards.contains(Guard.RELEASED_FOR_GOOD))) {
       state.runs = true;
-      wrong(from.proven, "started after it was proven that it cannot be");
+      checkNot(from.proven, "started after it was proven that it cannot be");
     } else if (from.runs && closed) {
       state.runs = false;
       state.released = true;
-    } else if (!from.runs && closed && from.knownAllocated[HOLDER] && !from.released) {
+    } else if (!from.runs && closed && from.knownAllocated[OWNER] && !from.released) {
       state.released = true;
     } else {
       return;
@@ -322,7 +329,7 @@
     if (closed && knows && !from.knownAllocated[node] && !from.proven) {
       State state = from.copy();
       state.proven = true;
-      wrong(state.runs, "runs although it is proven that it does not");
+      checkNot(state.runs, "runs although it is proven that it does not");
       next.accept(state);
     }
   }
@@ -333,7 +340,7 @@
     boolean[] proven = new boolean[1];
     while (!open.isEmpty() && violation == null) {
       State state = open.poll();
-      proven[0] |= state.proven && state.changes == REQUESTS.length;
+      proven[0] |= state.proven && state.changes == COMMANDS.length;
       steps(
           state,
           each -> {
--- a/src/test/java/org/quincecross/reservation/RequestStateSpaceTest.java
+++ b/src/test/java/org/quincecross/reservation/RequestStateSpaceTest.java
@@ -266,7 +266,7 @@
     Transition<DeadlineRequest> step = step(from.views.get(node), command);
     if (step instanceof Transition.Changed<DeadlineRequest> changed) {
       plan(from, node, changed.next(), RECORD, number);
-    } else if (step instanceof Transition.Same<DeadlineRequest> && number >= 0) {
+    } else if (step instanceof Transition.Unchanged<DeadlineRequest> && number >= 0) {
       addState(from.acknowledged(number));
     }
   }
@@ -289,8 +289,7 @@
     if (next.closings > 1) {
       violation = "a reservation is released twice";
     }
-    next =
-        next.written(RECORD | (KIND.startsWithholding(from.record, transaction.next) ? FENCE : 0));
+    next = next.written(RECORD | (KIND.blocksMoreTasks(from.record, transaction.next) ? FENCE : 0));
     addState(transaction.command >= 0 ? next.acknowledged(transaction.command) : next);
   }
 
--- a/src/test/java/org/quincecross/rollout/FeatureLevelModelTest.java
+++ b/src/test/java/org/quincecross/rollout/FeatureLevelStateSpaceTest.java
@@ -21,7 +21,7 @@
  * the key has not been written since its controller last read, so no versions are counted and the
  * states are finite.
  */
-class FeatureLevelModelTest {
+class FeatureLevelStateSpaceTest {
   private static final int NODES = 3;
 
   /**
@@ -80,7 +80,7 @@
     /** Whether, as last read, all controllers supported level 2; and all live ones did. */
     private boolean[] knownAllCan = new boolean[NODES];
 
-    private boolean[] knownThoseThereCan = new boolean[NODES];
+    private boolean[] knownLiveCan = new boolean[NODES];
 
     /** The keys that have changed since this controller last read. */
     private int[] stale = new int[NODES];
@@ -100,7 +100,7 @@
         copy.live = live.clone();
         copy.knownLevel = knownLevel.clone();
         copy.knownAllCan = knownAllCan.clone();
-        copy.knownThoseThereCan = knownThoseThereCan.clone();
+        copy.knownLiveCan = knownLiveCan.clone();
         copy.stale = stale.clone();
         copy.pending = pending.clone();
         copy.guards = guards.clone();
@@ -118,7 +118,7 @@
             .append(live[i] ? 1 : 0)
             .append(knownLevel[i])
             .append(knownAllCan[i] ? 1 : 0)
-            .append(knownThoseThereCan[i] ? 1 : 0)
+            .append(knownLiveCan[i] ? 1 : 0)
             .append(stale[i])
             .append(pending[i].ordinal())
             .append(guards[i]);
@@ -141,11 +141,11 @@
     }
 
     /** Resets what no further step reads, so that equivalent states are equal. */
-    private State plain() {
+    private State normalised() {
       for (int i = 0; i < NODES; i++) {
         if (build[i] == 0 || !live[i]) {
           knownAllCan[i] = false;
-          knownThoseThereCan[i] = false;
+          knownLiveCan[i] = false;
           stale[i] &= LEVEL;
         }
         if (build[i] == 0) {
@@ -209,12 +209,12 @@
         State read = from.copy();
         read(read, node);
         next.accept(read);
-        planned(from, me, next);
+        planTransactions(from, me, next);
       }
       if (!from.live[node] && from.record[node] != 0) {
-        State over = from.copy();
-        end(over, node);
-        next.accept(over);
+        State expired = from.copy();
+        end(expired, node);
+        next.accept(expired);
       }
       if (from.pending[node] != Kind.NONE) {
         apply(from, node, next);
@@ -226,13 +226,13 @@
     state.stale[node] = 0;
     state.knownLevel[node] = state.level;
     boolean all = true;
-    boolean there = true;
+    boolean liveCan = true;
     for (int record : state.record) {
       all &= record == 2;
-      there &= record != 1;
+      liveCan &= record != 1;
     }
     state.knownAllCan[node] = all;
-    state.knownThoseThereCan[node] = there;
+    state.knownLiveCan[node] = liveCan;
     if (guards.contains(Guard.UNABLE_LEAVES)
         && state.build[node] < state.level
         && state.live[node]) {
@@ -240,11 +240,11 @@
     }
   }
 
-  private void planned(State from, int node, Consumer<State> next) {
-    boolean able =
+  private void planTransactions(State from, int node, Consumer<State> next) {
+    boolean supportsLevel =
         from.build[node] >= from.knownLevel[node] || !guards.contains(Guard.UNABLE_LEAVES);
     if (!from.live[node]) {
-      if (able && from.record[node] == 0) { // the former incarnation has to be ended first
+      if (supportsLevel && from.record[node] == 0) { // the former incarnation has to be ended first
         plan(from, node, Kind.JOIN, guards.contains(Guard.JOIN_BY_LEVEL) ? LEVEL : 0, next);
       }
       return;
@@ -260,7 +260,7 @@
     boolean waited =
         guards.contains(Guard.SWITCH_WAITS_FOR_ALL)
             ? from.knownAllCan[node]
-            : from.knownThoseThereCan[node];
+            : from.knownLiveCan[node];
     if (from.knownLevel[node] == 1 && from.build[node] == 2 && waited) {
       int members = guards.contains(Guard.SWITCH_BY_MEMBERS) ? MEMBERS : 0;
       plan(from, node, Kind.SWITCH, LEVEL | LEADER | members, next);
@@ -276,7 +276,7 @@
         state.record[node] = state.build[node];
         state.live[node] = true;
         state.changed(MEMBERS);
-        wrong(
+        checkNot(
             state.level == 2 && state.build[node] == 1,
             "a controller joins that cannot read the stored records");
       }
@@ -288,17 +288,18 @@
         state.level = 2;
         state.changed(LEVEL | LEADER);
         for (int other = 0; other < NODES; other++) {
-          wrong(
+          checkNot(
               state.build[other] == 1 && state.live[other],
               "a live controller cannot read what the level allows to be written");
-          wrong(
+          checkNot(
               state.record[other] == 0, "an unreachable controller may return with its old build");
         }
       }
-      case WRITE_OLD -> wrong(state.level == 2, "written in the old format after the level change");
+      case WRITE_OLD ->
+          checkNot(state.level == 2, "written in the old format after the level change");
       case WRITE_NEW -> {
         for (int other = 0; other < NODES; other++) {
-          wrong(
+          checkNot(
               state.live[other] && state.build[other] == 1,
               "a live controller cannot read what was written");
         }
@@ -308,9 +309,9 @@
     next.accept(state);
   }
 
-  private void wrong(boolean is, String what) {
-    if (is && violation == null) {
-      violation = what;
+  private void checkNot(boolean violated, String description) {
+    if (violated && violation == null) {
+      violation = description;
     }
   }
 
@@ -326,7 +327,7 @@
       List<State> following = new ArrayList<>();
       steps(state, following::add);
       for (State each : following) {
-        State next = each.plain();
+        State next = each.normalised();
         if (seen.add(next.key())) {
           open.add(next);
         }
@@ -337,7 +338,7 @@
   }
 
   @Test
-  void nothingIsWrittenThatALiveControllerCannotRead() {
+  void noReachableStateViolatesInvariants() {
     int states = explore();
     assertNull(violation);
     assertTrue(states > 100_000, states + " states");
@@ -345,7 +346,7 @@
 
   @ParameterizedTest
   @EnumSource(Guard.class)
-  void withoutAGuardTheModelFindsWhatItGuardsAgainst(Guard guard) {
+  void disablingAnyGuardCausesViolation(Guard guard) {
     guards.remove(guard);
     explore();
     assertNotEquals(null, violation, guard.toString());
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -173,7 +173,7 @@
       public StartBlock startBlock() {
         return new StartBlock() {
           @Override
-          public TaskSet of(Job each) {
+          public TaskSet blockedTasks(Job each) {
             return each.id().equals(job.id()) ? withheld : new TaskSet();
           }
 
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -13,7 +13,7 @@
 import org.quincecross.GoldenFiles;
 import org.quincecross.legalhold.ClaimKind;
 import org.quincecross.legalhold.LegalHoldKind;
-import org.quincecross.legalhold.SweepKind;
+import org.quincecross.legalhold.SweepClassKind;
 import org.quincecross.model.JobId;
 import org.quincecross.model.Revision;
 import org.quincecross.model.ShardId;
@@ -73,7 +73,12 @@
   void allRecordsCanBeRead() throws IOException, MalformedMessageException {
     ClusterStateCache cache = new ClusterStateCache();
     for (RecordKind<?, ?> kind :
-        List.of(new LegalHoldKind(), new ClaimKind(), new SweepKind(), REQUESTS, new ModelKind())) {
+        List.of(
+            new LegalHoldKind(),
+            new ClaimKind(),
+            new SweepClassKind(),
+            REQUESTS,
+            new ModelKind())) {
       cache.replicatedRecords().add(kind);
     }
     for (String[] line : GoldenFiles.messages("record ")) {
@@ -144,7 +149,7 @@
     return switch (name) {
       case "holds" -> new LegalHoldKind();
       case "claims" -> new ClaimKind();
-      case "sweeps" -> new SweepKind();
+      case "sweeps" -> new SweepClassKind();
       case "requests" -> REQUESTS;
       case "models" -> new ModelKind();
       default -> throw new IllegalArgumentException(name);
