--- a/src/main/java/org/quincecross/admin/AccountingLog.java
+++ b/src/main/java/org/quincecross/admin/AccountingLog.java
@@ -25,21 +25,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts from the records who is served, team by team and class by class, on every controller
- * alike, so that a new leader knows what went before. The leader logs it, a line a team; all show
- * it in their status. Counted from the start of the process; of jobs that are open then, what they
- * got before counts as got by then.
+ * Accounts service levels by team and class from the records, on every controller alike, so that a
+ * new leader has the history. The leader logs a line for each team; all controllers show the
+ * figures in their status. Counting starts with the process; what jobs that are open then had
+ * received before counts as received at that time.
  */
 public final class AccountingLog {
   private static final Logger LOG = LoggerFactory.getLogger(AccountingLog.class);
 
   /**
-   * What others allocate is looked at so often: a start is not counted later than this after it was
-   * recorded.
+   * Interval at which allocations by other controllers are read; a start is counted at most this
+   * much late.
    */
   private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(2);
 
-  /** Of more teams than this, those that were served least are named. */
+  /** Upper limit of the teams listed; beyond it, those served least. */
   private static final int MOST_TEAMS = 50;
 
   private final Timers timers;
@@ -51,9 +51,9 @@
   private final JobAccounting books;
 
   /**
-   * @param clockMs tells the time of day
-   * @param every how often the leader logs it
-   * @param startBlock tasks that may not run now: that they do not is nobody's fault
+   * @param clockMs returns the time of day
+   * @param every interval at which the leader logs the figures
+   * @param startBlock tasks that must not run now, which do not count as unserved
    */
   public AccountingLog(
       Timers timers,
@@ -101,7 +101,7 @@
       switch (record.phase()) {
         case OPEN -> {
           if (cache.dependencyGraph().isWaiting(id)) {
-            continue; // nothing is expected of it before it can run
+            continue; // a job with unfinished dependencies cannot run yet
           }
           TimeSpan age =
               TimeSpan.ofMillis(Math.max(0, clockMs.getAsLong() - cache.runnableSinceMs(record)));
@@ -120,7 +120,7 @@
     }
   }
 
-  /** Other tasks of some jobs are kept back than before. */
+  /** Called when other tasks of some jobs are blocked than before. */
   public void withheldChanged(Set<JobId> jobs) {
     for (JobId id : jobs) {
       JobRecord record = cache.job(id);
@@ -130,7 +130,7 @@
     }
   }
 
-  /** The teams, those that were served least first. */
+  /** Returns the teams, least served first. */
   private List<Map.Entry<String, ServiceLevels>> teams(MonotonicTime now) {
     leader.tasksOverTeamLimit(books.openIds()).forEach(books::heldBack);
     List<Map.Entry<String, ServiceLevels>> teams = new ArrayList<>(books.teams(now).entrySet());
@@ -182,8 +182,8 @@
   }
 
   /**
-   * For people and for counting: jobs ended of accepted, tasks started of what could be, each aim
-   * as met of due.
+   * Formats the figures for the log: jobs ended of accepted, tasks started of startable, and each
+   * objective as met of due.
    */
   private static String words(ServiceLevels served) {
     StringBuilder words =
@@ -212,7 +212,7 @@
         .toString();
   }
 
-  /** For the status: each team and class, least served first. */
+  /** Returns the figures for the status: each team and class, least served first. */
   List<Object> write() {
     MonotonicTime now = timers.now();
     List<Map.Entry<String, ServiceLevels>> teams = cache.isLoaded() ? teams(now) : List.of();
@@ -234,12 +234,12 @@
     return list;
   }
 
-  /** For the status: how the largest jobs of each class fared. */
+  /** Returns for the status how the largest jobs of each class were served. */
   Map<String, Object> largest() {
     return writeLargest(books.largest(timers.now()));
   }
 
-  /** How the largest jobs of each class fared, as JSON has it. */
+  /** Writes how the largest jobs of each class were served, as JSON. */
   public static Map<String, Object> writeLargest(Map<String, List<LargestJobs>> all) {
     Map<String, Object> written = Json.object();
     all.forEach(
@@ -290,10 +290,7 @@
         aims);
   }
 
-  /**
-   * For the status: whether there is more work than can be done in time; null where nobody looks at
-   * that here.
-   */
+  /** Returns for the status whether there is an overload; null if it is not monitored here. */
   Map<String, Object> overload(MonotonicTime now) {
     if (leader.overload() == null || leader.overload().since() == null) {
       return null;
--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -32,7 +32,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Requests below {@code /admin}. */
+/** Serves requests below {@code /admin}. */
 public final class AdminApi {
   public static final String ROOT = "/admin";
   private static final Logger LOG = LoggerFactory.getLogger(AdminApi.class);
@@ -51,7 +51,7 @@
   private final Settings.StoreLimits limits;
 
   /**
-   * @param served null where it is not counted who is served
+   * @param accounting null if service levels are not accounted
    */
   public AdminApi(
       Timers timers,
@@ -105,7 +105,7 @@
     return HttpResponse.of(status, JobCodec.writeError(why));
   }
 
-  /** Makes an answer. */
+  /** Creates the body of a response. */
   private interface View {
     Object make();
   }
@@ -214,7 +214,7 @@
     return list;
   }
 
-  /** The machines that this controller holds. */
+  /** Returns the machines of the shards that this controller owns. */
   private Object machines() {
     List<Object> list = new ArrayList<>();
     for (ShardOwner owner : ownedShards.all()) {
@@ -258,7 +258,7 @@
     return settings(cache);
   }
 
-  /** The operators' settings as the ledger has them. */
+  /** Returns the operators' settings as cached. */
   public static OperatorSettings settings(ClusterStateCache cache) {
     return cache.operatorSettingsOrDefaults();
   }
@@ -272,8 +272,8 @@
   }
 
   /**
-   * Takes {@code {"version": V, "settings": {...}}}, where V is the version that the change was
-   * made on.
+   * Handles {@code {"version": V, "settings": {...}}}, where V is the version that the change is
+   * based on.
    */
   private void change(byte[] body, Consumer<HttpResponse> reply) {
     OperatorSettings next;
--- a/src/main/java/org/quincecross/admin/AgreedApi.java
+++ b/src/main/java/org/quincecross/admin/AgreedApi.java
@@ -24,15 +24,16 @@
 import org.quincecross.state.StateWatcher;
 
 /**
- * Requests below {@code /admin/agreed}: what records there are, one record, a change of it, the
- * trail. All answers that say what is so are given from records that were confirmed after the
- * question came; what cannot be confirmed is answered 503.
+ * Serves requests below {@code /admin/agreed} on replicated records: the kinds, the records of a
+ * kind, one record, a change of it, and the audit trail. Responses are given from state that was
+ * confirmed after the request arrived; if it cannot be confirmed, the status is 503.
  */
 public final class AgreedApi {
   public static final String ROOT = AdminApi.ROOT + "/agreed";
 
   /**
-   * So many records or lines are in one answer at most; the answer then says where the next begins.
+   * Upper limit of records or audit entries in one response, which then states where the next
+   * begins.
    */
   private static final int MOST_ROWS = 1000;
 
@@ -54,7 +55,7 @@
     return HttpResponse.of(200, Json.write(value));
   }
 
-  /** Answers a request below {@link #ROOT}. */
+  /** Handles a request below {@link #ROOT}. */
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     String path = request.path().substring(ROOT.length());
     String[] parts =
@@ -121,7 +122,7 @@
     return Json.object("kinds", kinds, "lacking", base.store().unavailableReason());
   }
 
-  /** The records in the order of their names, from after {@code after} on. */
+  /** Lists the records in name order, starting after {@code after}. */
   private <S> void list(
       ReplicatedRecordIndex<S, ?> index, HttpRequest request, Consumer<HttpResponse> reply) {
     String after = request.query("after");
@@ -198,7 +199,7 @@
                 trail)));
   }
 
-  /** Takes {@code {"request": "...", "command": {...}, "by": "...", "on_change": N}}. */
+  /** Handles {@code {"request": "...", "command": {...}, "by": "...", "on_change": N}}. */
   private <S, C> void change(
       ReplicatedRecordIndex<S, C> index, String id, byte[] body, Consumer<HttpResponse> reply) {
     RecordCommand<C> ask;
@@ -260,9 +261,12 @@
             });
   }
 
-  // ---- the trail ----
+  // ---- audit trail ----
 
-  /** Lines after a revision, from a page on; what no page has yet comes with the last page. */
+  /**
+   * Returns the audit entries after a revision, starting at a page; entries that are on no page yet
+   * come with the last page.
+   */
   private void trail(
       ReplicatedRecordIndex<?, ?> index, HttpRequest request, Consumer<HttpResponse> reply) {
     long since;
--- a/src/main/java/org/quincecross/admin/Metrics.java
+++ b/src/main/java/org/quincecross/admin/Metrics.java
@@ -7,7 +7,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.Json;
 
-/** How long requests took, by what was asked and how it was answered. */
+/** Latency histograms of requests, by request type and response status. */
 public final class Metrics {
   private static final long MOST_MS = 60_000;
 
--- a/src/main/java/org/quincecross/admin/ModelDemandCollector.java
+++ b/src/main/java/org/quincecross/admin/ModelDemandCollector.java
@@ -30,18 +30,21 @@
 import org.quincecross.state.ReplicatedRecordIndex;
 
 /**
- * Where one controller hears who wants a model. Wakes are joined: however many come, one change is
- * asked for until the record shows the model up, and all who wait are answered together. What is
- * seen of demand goes to the leader with the reports.
+ * Collects the demand for models on one controller. Wake requests are joined: however many arrive,
+ * one command is sent until the record shows the model up, and all callers are answered together.
+ * The demand is reported to the leader.
  */
 public final class ModelDemandCollector {
-  /** A wake that could not be made durable is tried again after so long. */
+  /** Retry interval of a wake command that could not be made durable. */
   private static final TimeSpan AGAIN = TimeSpan.ofMillis(500);
 
-  /** So many wait for one answer; the others are told at once that it is on its way. */
+  /**
+   * Upper limit of callers waiting for the same wake command; others are told at once that it is on
+   * its way.
+   */
   private static final int MOST_WAITING = 256;
 
-  /** Models that nobody has wanted for so much longer than their idle time are forgotten here. */
+  /** Models whose idle time exceeds this multiple of their idle timeout are dropped here. */
   private static final double FORGOTTEN_AFTER = 2;
 
   private final ReplicatedFeatureContext base;
@@ -55,7 +58,7 @@
   private long asked;
 
   /**
-   * @param runsHere whether a replica runs in a block of this controller
+   * @param runsHere whether a replica runs in a shard of this controller
    */
   public ModelDemandCollector(
       ReplicatedFeatureContext base,
@@ -67,23 +70,26 @@
     this.begun = base.timers().now();
   }
 
-  /** Begins to look after wakes that were not heard. */
+  /** Starts retrying wake commands that are still pending. */
   public void start() {
     base.timers().every(AGAIN, () -> List.copyOf(demands.keySet()).forEach(this::askIfWanted));
   }
 
-  /** How many wakes have come here, and for how many changes of a record they asked. */
+  /**
+   * Returns how many wake requests have arrived here, and how many wake commands were sent for
+   * them.
+   */
   public Map<String, Long> counts() {
     return Map.of("wakes", wakes, "asked", asked);
   }
 
-  /** What callers of this controller have in flight. */
+  /** Returns the in-flight requests of callers of this controller. */
   public int inFlight(String name) {
     ModelDemand demand = demands.get(name);
     return demand == null ? 0 : demand.inFlight(base.timers().now());
   }
 
-  /** Follows the records. */
+  /** Called when records have changed. */
   public void ledgerChanged(ClusterStateCache.Changes changes) {
     MonotonicTime now = base.timers().now();
     if (changes.reloaded()) {
@@ -112,8 +118,8 @@
   }
 
   /**
-   * Somebody wants a model that is defined; {@code done} hears when that is durable, at once where
-   * the record shows it up.
+   * Requests a model that is defined; {@code done} is called when the wake is durable, or at once
+   * if the record shows the model up.
    */
   public void wake(String name, Consumer<CommandResponse> done) {
     wakes++;
@@ -122,7 +128,7 @@
     wait(name, demand, done);
   }
 
-  /** A caller has so many requests in flight. */
+  /** Records the in-flight requests of a caller. */
   public void told(String name, String caller, int inFlight, Consumer<CommandResponse> done) {
     ModelDemand demand = demand(name);
     demand.reportInFlight(caller, inFlight, base.timers().now());
@@ -166,7 +172,9 @@
             });
   }
 
-  /** What the reports say of models; null where there is nothing to say, for there are none. */
+  /**
+   * Returns the section on models for reports to other controllers, or null if there are no models.
+   */
   public byte[] section() {
     if (records.book().all().isEmpty()) {
       return null;
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -30,9 +30,9 @@
 import org.quincecross.state.ReplicatedRecordIndex;
 
 /**
- * Requests below {@code /admin/models}: what models there are, one of them, defining it, waking it,
- * telling what is in flight, draining it. What is changed goes the way of all agreed records; what
- * is shown is as this controller has it.
+ * Serves requests below {@code /admin/models}: the models, one model, defining, waking and draining
+ * it, and reporting in-flight requests. Changes are applied as to all replicated records; responses
+ * show this controller's state.
  */
 public final class ModelsApi {
   public static final String ROOT = AdminApi.ROOT + "/models";
@@ -47,7 +47,7 @@
   private final ToIntFunction<JobId> running;
 
   /**
-   * @param running how many tasks of a job run, as their holders say
+   * @param running how many tasks of a job run, as reported by their shard owners
    */
   public ModelsApi(
       ReplicatedFeatureContext base,
@@ -66,7 +66,7 @@
     return HttpResponse.of(status, JobCodec.writeError(why));
   }
 
-  /** Answers a request below {@link #ROOT}. */
+  /** Handles a request below {@link #ROOT}. */
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
     String path = request.path().substring(ROOT.length());
     String[] parts =
@@ -148,7 +148,7 @@
     }
   }
 
-  /** Whether the model's job can run; else that is answered. */
+  /** Whether the model's job can run; if not, responds with the reason. */
   private boolean mayWake(String name, Consumer<HttpResponse> reply) {
     JobRecord job = base.cache().job(records.book().state(name).job());
     if (job == null || job.phase() == JobPhase.OPEN) {
--- a/src/main/java/org/quincecross/admin/StallDetector.java
+++ b/src/main/java/org/quincecross/admin/StallDetector.java
@@ -27,9 +27,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Names the jobs that make no progress, with what they wait for: for operators, in the log and in
- * the status. The leader watches all open jobs, every other controller those that have tasks in its
- * blocks.
+ * Reports jobs without progress, with what they wait for, to operators in the log and in the
+ * status. The leader watches all open jobs, every other controller those with tasks in its shards.
  */
 public final class StallDetector {
   private static final Logger LOG = LoggerFactory.getLogger(StallDetector.class);
@@ -48,8 +47,8 @@
   private List<ProgressWatch.Stall> stalls = List.of();
 
   /**
-   * @param running how many tasks of a job run, as far as is known here
-   * @param startBlock tasks that may not run now: that they do not is no stall
+   * @param running how many tasks of a job run, as far as known here
+   * @param startBlock tasks that must not run now, which do not count as stalled
    */
   public StallDetector(
       Timers timers,
@@ -104,10 +103,10 @@
     return standings.values();
   }
 
-  /** A job of which no more is left than what may not run now is not watched until it may. */
+  /** A job whose remaining tasks are all blocked is not watched until one may run. */
   private void watch(JobRecord record, Map<JobId, ProgressWatch.JobStatus> standings) {
     if (cache.dependencyGraph().isWaiting(record.id())) {
-      return; // those that it waits for are watched
+      return; // the jobs that it depends on are watched
     }
     boolean service = record.job().kind() == JobKind.SERVICE;
     int mayRun = record.job().taskCount() - startBlock.blockedTasks(record.job()).size();
@@ -125,7 +124,7 @@
     }
   }
 
-  /** What a job's tasks wait for, as far as this controller knows. */
+  /** Returns what a job's tasks wait for, as far as this controller knows. */
   private List<String> waits(JobId job) {
     List<String> waits = new ArrayList<>();
     String kept = startBlock.reason(job);
@@ -158,7 +157,7 @@
     return waits;
   }
 
-  /** For the status. */
+  /** Returns the stalled jobs for the status. */
   Object write() {
     MonotonicTime now = timers.now();
     List<Object> list = new ArrayList<>();
--- a/src/main/java/org/quincecross/admin/StatusWords.java
+++ b/src/main/java/org/quincecross/admin/StatusWords.java
@@ -3,7 +3,7 @@
 import org.quincecross.leader.Leader;
 import org.quincecross.state.Membership;
 
-/** The words that {@code /admin/status} has for states. They are part of the protocol. */
+/** The state names in {@code /admin/status}, which are part of the interface. */
 final class StatusWords {
   private StatusWords() {}
 
--- a/src/main/java/org/quincecross/admin/package-info.java
+++ b/src/main/java/org/quincecross/admin/package-info.java
@@ -1,5 +1,2 @@
-/**
- * The administration API: what an operator can see of a controller, and the operators' own
- * settings.
- */
+/** The administration API: what operators can see of a controller, and the operators' settings. */
 package org.quincecross.admin;
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -28,8 +28,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Handles agents' heartbeats: the owner of the machine's shard responds to them, every other
- * controller redirects them.
+ * Handles agents' heartbeats: the owner of the machine's shard responds to them, all other
+ * controllers redirect them.
  */
 final class AgentApi {
   private static final Logger LOG = LoggerFactory.getLogger(AgentApi.class);
@@ -42,7 +42,7 @@
 
   private static final TimeSpan RECHECK_INTERVAL = TimeSpan.ofMillis(250);
 
-  /** An older report of an owner proves nothing about which machines it reaches. */
+  /** An older report of an owner does not show which machines it currently reaches. */
   private static final TimeSpan MAX_VIEW_AGE = TimeSpan.ofSeconds(2.5);
 
   /** A machine that its owner has not heard for this long is not redirected to it. */
@@ -129,19 +129,20 @@
         strays.answered(heartbeat, timers.now());
         reply.accept(HttpResponse.of(200, answer));
       } else if (owner != null && owner.isSuperseded()) {
-        // Another controller owns the shard and this one does not know yet which: the next one will
-        // say, and every second that the machine waits here is lost to its lease.
+        // Another controller owns the shard and this one does not know yet which. The next
+        // controller can tell, and every second that the agent waits here is lost to its lease.
         reply.accept(HttpResponse.of(503));
       } else {
-        // Also if the owner cannot tell it from a late copy: a copy waits for nothing, and a
-        // restarted agent is asked meanwhile and gets its response once the restart is proven.
+        // Also if the owner cannot distinguish the heartbeat from a late copy: no one waits for the
+        // response to a copy, and a restarted agent is queried meanwhile and gets its response once
+        // the restart is proven.
         waitForLease(heartbeat, until, reply);
       }
       return;
     }
     strays.heard(heartbeat, timers.now());
     // An agent that is redirected to a controller which it cannot reach loses five seconds of its
-    // lease, and on a short lease that is too much (docs/incidents/inc-6ced.md). The leader is told
+    // lease, and a short lease does not allow that (docs/incidents/inc-6ced.md). The leader is told
     // of the machine and moves the shard.
     if (cache.members().containsKey(lease.owner()) && !isUnheard(lease, machine)) {
       redirect(lease.owner(), reply);
@@ -172,8 +173,8 @@
   }
 
   /**
-   * Waits until the shard has an owner: a late response is better than a round of the other
-   * controllers.
+   * Waits until the shard has an owner: a late response is better than having the agent try all
+   * other controllers.
    */
   private void waitForLease(
       Heartbeat heartbeat, MonotonicTime until, Consumer<HttpResponse> reply) {
@@ -193,7 +194,7 @@
     }
   }
 
-  /** Called when records have changed: heartbeats may wait for new leases. */
+  /** Called when records have changed, because heartbeats may wait for new leases. */
   void cacheChanged(ClusterStateCache.Changes changes) {
     if (changes.reloaded() || !changes.shards().isEmpty()) {
       recheckWaiting();
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -25,10 +25,10 @@
  * Decides when users may be told that a job is cancelled, by the rule of {@link
  * UnconfirmedOwnershipBound}, which has the proof.
  *
- * <p>The wait runs from when the record was first seen here, never from the time of day in it: that
- * is the time at which the change was formed, and one that waited, or got no response and is
- * applied late, may be durable only now (docs/incidents/told-by-an-old-time.md). Jobs that were
- * cancelled before the records were read wait as well, while any of their tasks are allocated.
+ * <p>The delay runs from when the record was first seen here, never from the time of day in it.
+ * That is when the change was created; one that waited, or got no response and is applied late, may
+ * have become durable only now (docs/incidents/told-by-an-old-time.md). Cancellations from before
+ * the records were read are delayed as well, while any of their tasks are allocated.
  */
 final class Cancellations {
   private static final TimeSpan RECHECK_INTERVAL = TimeSpan.ofMillis(100);
@@ -41,8 +41,8 @@
   private final UnconfirmedOwnershipBound bound;
 
   /**
-   * When cancellations were first seen that may not be confirmed without a check, oldest first;
-   * those over the delay are removed.
+   * When cancellations that may not be confirmed without a check were first seen, oldest first;
+   * entries past the delay are removed.
    */
   private final Map<JobId, MonotonicTime> untold = new LinkedHashMap<>();
 
@@ -71,7 +71,7 @@
       for (JobId id : changes.jobs()) {
         JobRecord record = cache.job(id);
         if (record != null && record.version().isAfter(known)) {
-          seen(id); // otherwise something else of the job has changed
+          seen(id); // otherwise another property of the job has changed
         }
       }
     }
@@ -107,7 +107,7 @@
     return untold.size();
   }
 
-  /** Reports, soon, whether a user may be told what the record says. */
+  /** Reports soon whether a user may be told what the record says. */
   void whenSafe(JobRecord record, Consumer<Boolean> safe) {
     whenSafe(record, timers.now().plus(TIMEOUT), safe);
   }
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -102,8 +102,8 @@
       Features features,
       LongSupplier clockMs,
       BooleanSupplier memoryIsShort) {
-    // Everything here begins with a timer, a response, a request or a frame, and each first checks
-    // for a pause of the process.
+    // Every event begins with a timer, a response, a request or a frame, and each first checks for
+    // a pause of the process.
     pauseDetector = new PauseDetector(clock.now());
     timers = InstrumentedTimers.timers(clock, this::detectPause);
     http = InstrumentedTimers.caller(caller, this::detectPause);
@@ -236,7 +236,7 @@
             settings.storeLimits());
   }
 
-  /** What features based on replicated records are given; null if there are none. */
+  /** The context of the features based on replicated records; null if there are none. */
   public ReplicatedFeatureContext agreed() {
     return agreed.base();
   }
@@ -264,8 +264,8 @@
   }
 
   /**
-   * Detects that this process was paused while its clocks ran on, before anything is done on
-   * outdated knowledge. It is its own pause that no one was heard meanwhile.
+   * Detects that this process was paused while its clocks ran on, before acting on outdated state.
+   * The silence of others during the pause is then not held against them.
    */
   private void detectPause() {
     TimeSpan gap = pauseDetector.tick(timers.now());
@@ -361,16 +361,16 @@
   }
 
   /**
-   * Also before it is a member, or between two incarnations: a job whose record was skipped must
-   * not be called unknown.
+   * Also applies before it is a member, or between two incarnations: a job whose record was skipped
+   * must not be reported as unknown.
    */
   private boolean isIncompatible() {
     return !membership.incompatibility().isEmpty() || !cache.unreadable().isEmpty();
   }
 
   /**
-   * Whether users should be sent here. A controller that alone cannot reach the store sends them
-   * elsewhere; if no one can, staying keeps users' way back open for the moment that the store
+   * Whether users should be sent here. If this controller alone cannot reach the store, it sends
+   * them elsewhere; if no controller can, users stay, so that they are served as soon as the store
    * returns.
    */
   private boolean isHealthy() {
@@ -467,8 +467,8 @@
     if (record == null || record.phase() != JobPhase.CANCELLED) {
       return false;
     }
-    // The cancellation was made at this time or later, whatever the difference of the clocks, and
-    // confirmed no earlier.
+    // The cancellation was made at this time or later, within the clock error, and was confirmed no
+    // earlier.
     TimeSpan atMost =
         TimeSpan.ofMillis(clockMs.getAsLong() - record.cancelledMs())
             .plus(settings.clockBound().times(2));
--- a/src/main/java/org/quincecross/api/DependencyWriter.java
+++ b/src/main/java/org/quincecross/api/DependencyWriter.java
@@ -13,16 +13,16 @@
 import org.quincecross.state.TransactionResult;
 
 /**
- * Makes the dependency list of a new job durable if its own record has no room for it, before that
- * record is written.
+ * Writes the dependency list of a new job, if its own record has no room for it, before that record
+ * is written.
  *
- * <p>A part has the same content whenever it is written, so a write that comes twice, late or after
- * its user has given up does no harm, and a repetition at the same controller writes only what is
- * not stored yet.
+ * <p>A part always has the same content, so a write that is repeated, late, or made after its user
+ * has given up does no harm, and a repetition at the same controller writes only what is not stored
+ * yet.
  */
 final class DependencyWriter {
   /**
-   * The number of parts in one transaction: at less than 2 KiB each, far below its 64 KiB; fewer if
+   * The number of parts in one transaction: at less than 2 KiB each far below its 64 KiB; fewer if
    * the limit is lower.
    */
   private static final int MOST_AT_ONCE = 4;
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Writes the parts that are not stored yet; {@code durable} receives whether all of them are,
-   * within a transaction's time for each few parts.
+   * Writes the parts that are not stored yet; {@code durable} receives whether all of them are
+   * stored, after one transaction for every few parts.
    */
   void write(Set<JobId> waitsOn, Consumer<Boolean> durable) {
     List<Mutation> changes = new ArrayList<>();
--- a/src/main/java/org/quincecross/api/ForeignHeartbeats.java
+++ b/src/main/java/org/quincecross/api/ForeignHeartbeats.java
@@ -9,10 +9,10 @@
 import org.quincecross.protocol.Heartbeat;
 
 /**
- * Remembers machines of other controllers' shards that have reported here recently: the leader
- * moves a shard that its owner does not reach, and terminates no machine that someone hears. A late
- * copy must do neither, so a heartbeat counts only if it was made after all that arrived here from
- * that machine before: a live agent shows larger counts each time.
+ * Records machines of other controllers' shards that have reported here recently. The leader moves
+ * a shard whose owner does not reach its machines, and terminates no machine that some controller
+ * hears. A late copy must cause neither, so a heartbeat counts only if it was made after all
+ * earlier arrivals from that machine: a live agent shows larger counts each time.
  */
 final class ForeignHeartbeats {
   private static final TimeSpan STRAY_FOR = TimeSpan.ofSeconds(6);
--- a/src/main/java/org/quincecross/api/LoadShedder.java
+++ b/src/main/java/org/quincecross/api/LoadShedder.java
@@ -10,17 +10,17 @@
 import org.quincecross.protocol.JobCodec;
 
 /**
- * Refuses requests that need the store while it is unreachable. The load balancer favours the
- * controller with the fewest open connections: a controller that refuses at once has none, and
- * attracts all. So if it is known to be isolated, the refusal is delayed for a moment, in which
- * contact may return and the request be served after all; then the connection is closed, so that
- * the next one goes to another controller.
+ * Rejects requests that need the store while it is unreachable. The load balancer prefers the
+ * controller with the fewest open connections, so a controller that rejects at once would attract
+ * all requests. If the controller is known to be isolated, the rejection is therefore delayed
+ * briefly; contact may return in that time, and the request is then served. Afterwards the
+ * connection is closed, so that the next request goes to another controller.
  */
 final class LoadShedder {
-  /** Out of a poll's 2 s; several times what another controller needs for a response. */
+  /** Part of a poll's 2 s; several times what another controller needs for a response. */
   private static final TimeSpan HELD = TimeSpan.ofSeconds(1);
 
-  /** Each delayed refusal occupies a socket. */
+  /** Each delayed rejection occupies a socket. */
   private static final int MAX_HELD = 100;
 
   private final Timers timers;
@@ -39,7 +39,7 @@
         .withRetryAfter(1);
   }
 
-  /** Refuses a request, or has it tried {@code again} if contact returns by then. */
+  /** Rejects a request, or has it retried by {@code again} if contact returns by then. */
   void refuse(Consumer<HttpResponse> reply, Runnable again) {
     if (aloneness.get().takesUsers() || held >= MAX_HELD) {
       reply.accept(refusal());
--- a/src/main/java/org/quincecross/api/ModelServingFeature.java
+++ b/src/main/java/org/quincecross/api/ModelServingFeature.java
@@ -37,7 +37,7 @@
     base.startBlock().add(records);
   }
 
-  /** Follows the records, and has the leader scale the models. */
+  /** Subscribes to the records, and has the leader scale the models. */
   void listen(
       ClusterStateCache cache,
       OwnedShards ownedShards,
--- a/src/main/java/org/quincecross/api/PeerReporter.java
+++ b/src/main/java/org/quincecross/api/PeerReporter.java
@@ -34,7 +34,7 @@
 
   /** Creates this controller's reports. */
   interface ReportFactory {
-    /** Report {@code number}, with what has changed after report {@code base}. */
+    /** Creates report {@code number}, with what has changed after report {@code base}. */
     PeerHeartbeat create(long number, long base);
   }
 
@@ -106,7 +106,8 @@
       if ((everyone || leads)
           && sender.send(
               member, PeerCodec.write(reports.create(count, sent.getOrDefault(member, 0L))))) {
-        // A connection loses nothing; if the connection is lost, the receiver will report a gap.
+        // A connection loses no frames; if the connection itself is lost, the receiver will report
+        // a gap.
         sent.put(member, count);
         link.sent(timers.now());
       }
@@ -131,7 +132,7 @@
         sent.merge(heartbeat.member(), receipt.number(), Math::min);
       }
       if (!views.apply(heartbeat, timers.now())) {
-        notifyAll = true; // with the receipt that reports the gap
+        notifyAll = true; // sends the receipt that reports the gap
         notifyLeader();
       }
       return true;
@@ -155,7 +156,7 @@
   private void forgetIfFormer(ControllerId member, ShardId id, ShardLease lease) {
     PeerViews.View view = views.of(member);
     PeerViews.ShardView shardView = view == null ? null : view.shards().get(id);
-    // A report may be ahead of this cache: what it says of a later lease is kept.
+    // A report may be newer than this cache: what it says of a later lease is kept.
     if (shardView != null
         && (lease == null
             || (!lease.owner().equals(member) && !shardView.token().isAfter(lease.token())))) {
--- a/src/main/java/org/quincecross/api/PeerSender.java
+++ b/src/main/java/org/quincecross/api/PeerSender.java
@@ -10,7 +10,7 @@
   boolean send(ControllerId to, byte[] frame);
 
   /**
-   * Drops the connection to a controller that seems to receive nothing: the next frame uses a new
+   * Drops the connection to a controller that seems to receive nothing; the next frame opens a new
    * one.
    */
   void renew(ControllerId to);
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -38,9 +38,12 @@
 import org.quincecross.state.ReplicatedRecordStore;
 import org.quincecross.state.StateWatcher;
 
-/** The replicated records, and the features based on them that are switched on. */
+/** The replicated records and the enabled features that are based on them. */
 final class ReplicatedFeatures {
-  /** The path of the tasks blocked by legal holds, as the controller that is asked sees them. */
+  /**
+   * The path of the tasks blocked by legal holds, as seen by the controller that receives the
+   * request.
+   */
   private static final String KEPT = AgreedApi.ROOT + "/kept";
 
   private final ReplicatedFeatureContext base;
@@ -52,8 +55,7 @@
   /**
    * Creates the features.
    *
-   * @param parts the features that are switched on, with their settings; null: there are no
-   *     replicated records
+   * @param parts the enabled features with their settings; null if there are no replicated records
    * @param longest how long a controller acts after its last contact with the store
    */
   ReplicatedFeatures(
@@ -103,7 +105,7 @@
     return base == null ? StartBlock.NONE : base.startBlock();
   }
 
-  /** Reserves capacity for deadline requests, if that is switched on. */
+  /** Reserves capacity for deadline requests, if enabled. */
   void keepRoom(DemandForecast forecast, Leader leader) {
     if (requests != null) {
       requests.start(forecast, leader);
@@ -111,10 +113,10 @@
   }
 
   /**
-   * Follows the records, before anyone asks which tasks are blocked: each feature that blocks tasks
+   * Subscribes to the records before any query for blocked tasks; each feature that blocks tasks
    * adds its listener here.
    *
-   * @param served null if service levels are not accounted
+   * @param accounting null if service levels are not accounted
    */
   void listen(
       ClusterStateCache cache,
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -14,7 +14,7 @@
 import org.quincecross.state.ReplicatedRecordIndex;
 import org.quincecross.state.ReservedCapacity;
 
-/** Deadline requests, if they are switched on. */
+/** Deadline requests, if enabled. */
 final class ReservationFeature {
   private static final double SHARE = 0.2;
   private static final double WARN_S = 24 * 3600;
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Why a request has no capacity, according to the records: every controller that has read the
-   * same records says the same.
+   * Why a request has no capacity according to the records; identical on all controllers with the
+   * same revision.
    */
   private String outlook(String reference) {
     if (plan == null || !base.cache().revision().equals(planned)) {
--- a/src/main/java/org/quincecross/api/ResponseDeadline.java
+++ b/src/main/java/org/quincecross/api/ResponseDeadline.java
@@ -8,9 +8,9 @@
 import org.quincecross.net.Timers;
 
 /**
- * Responds to requests before their users stop waiting, whatever becomes of them: a request without
- * a response costs its user the whole wait, and one that is refused in time is soon retried. What
- * the request started may still happen; its repetition finds it done.
+ * Responds to requests before their users stop waiting. A request without a response costs its user
+ * the whole timeout, while one that is rejected in time is soon retried. What the request started
+ * may still complete; the retry then finds it done.
  */
 final class ResponseDeadline {
   private static final class Open implements Consumer<HttpResponse> {
@@ -39,7 +39,7 @@
   private boolean armed;
 
   /**
-   * Creates a deadline: requests without a response {@code within} this time get {@code otherwise}.
+   * Creates a deadline: requests without a response {@code within} this time get {@code fallback}.
    */
   ResponseDeadline(Timers timers, TimeSpan within, HttpResponse otherwise) {
     this.timers = timers;
--- a/src/main/java/org/quincecross/api/StoreConnectivity.java
+++ b/src/main/java/org/quincecross/api/StoreConnectivity.java
@@ -11,7 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Feeds the {@link IsolationDetector} with this controller's and the others' contact to the store.
+ * Updates the {@link IsolationDetector} with the store contact of this controller and of the
+ * others.
  */
 final class StoreConnectivity {
   private static final Logger LOG = LoggerFactory.getLogger(StoreConnectivity.class);
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -29,39 +29,38 @@
 /**
  * Makes submissions durable, several in one write if several have arrived.
  *
- * <p>All waits are bounded: a transaction waits for the write limit, which refills, and then for
- * its response, for as long as {@link KeyValueStoreClient} allows; one without a response, or in
- * conflict, waits for a read of the records, which fails after a second; a throttled one is retried
+ * <p>All waits are bounded. A transaction waits for the write limit, which refills, and then for
+ * its response, for as long as {@link KeyValueStoreClient} allows. One without a response, or in
+ * conflict, waits for a read of the records, which fails after a second. A throttled one is retried
  * until {@link #TIMEOUT} is over, and one that the store does not serve ends at once. A late
- * response delays only the jobs that it is about, and their users are answered as soon as the
- * records contain the jobs (docs/incidents/an-answer-that-holds-up-others.md). Whatever this adds
- * up to, {@link ResponseDeadline} responds before the user stops waiting; what has not been written
- * by then is not written any more.
+ * response delays only its own jobs, and their users are answered as soon as the records contain
+ * the jobs (docs/incidents/an-answer-that-holds-up-others.md). In any case {@link ResponseDeadline}
+ * responds before the user stops waiting; what has not been written by then is no longer written.
  */
 final class Submissions {
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(2);
 
-  /** The longest that a user is left without a response; users wait 5 s. */
+  /** The longest time that a user waits for a response; users give up after 5 s. */
   static final TimeSpan ANSWERED = TimeSpan.ofSeconds(3.2);
 
   private static final TimeSpan RETRY = TimeSpan.ofMillis(120);
 
   /**
-   * A job that would be written later than this is refused: its user is told when to come back
-   * instead of waiting in vain.
+   * A job that would be written later than this is rejected with the time of a retry, so that its
+   * user does not wait in vain.
    */
   private static final TimeSpan LONGEST_QUEUE = TimeSpan.ofSeconds(1.2);
 
   /** Users retry for a minute in all, so they should be able to retry several times. */
   private static final int LONGEST_RETRY_S = 8;
 
-  /** The number of jobs of each team that may wait however many others do: teams take turns. */
-  private static final int ALWAYS_TAKEN = 4;
-
   /**
-   * The initial estimate, before any was written: the share of the write limit for new jobs, and
-   * how many of them share a write.
+   * The number of jobs of each team that may wait regardless of other teams, since teams take
+   * turns.
    */
+  private static final int ALWAYS_TAKEN = 4;
+
+  /** The initial estimate of the jobs per write, before any was written. */
   private static final double JOBS_PER_CHANGE = 4;
 
   /** The weight of the last write in the moving average of the time per job. */
@@ -70,8 +69,8 @@
   private static final int MOST_BYTES = 40 * 1024;
 
   /**
-   * The store usually responds within a tenth of this; after it, other jobs are written besides the
-   * one that waits for its response.
+   * The store usually responds within a tenth of this; after it, other jobs are written while one
+   * write still waits for its response.
    */
   private static final TimeSpan HELD_UP = TimeSpan.ofMillis(100);
 
@@ -91,7 +90,7 @@
   /**
    * A waiting submission.
    *
-   * @param alone whether it has to be written alone, because together with others it was too large
+   * @param alone whether it has to be written alone, because it was too large together with others
    */
   private record Pending(
       Job job, long acceptedMs, MonotonicTime since, Consumer<Outcome> done, boolean alone) {}
@@ -147,9 +146,9 @@
   }
 
   /**
-   * The seconds after which a new job of a team should be submitted again, because it would wait
-   * too long here; 0 if it would not. Each caller is given a later time, so that they do not all
-   * return at once.
+   * The seconds after which a new job of a team should be submitted again because it would wait too
+   * long here; 0 if it would not. Each caller is given a later time, so that they do not all return
+   * at once.
    */
   int comeBackInS(String team) {
     if (waiting.size(team) < ALWAYS_TAKEN) {
@@ -168,8 +167,8 @@
   }
 
   /**
-   * Whether a job's record fits into a value, also the larger one that it will have if it is
-   * cancelled: a job whose record does not can never be cancelled, so it cannot be accepted
+   * Whether a job's record fits into a value, including the larger record of its cancellation. A
+   * job that does not fit could never be cancelled, so it cannot be accepted
    * (docs/incidents/too-large-for-a-record.md).
    */
   boolean fits(Job job, long nowMs) {
@@ -181,8 +180,8 @@
     List<Consumer<Outcome>> others = pending.get(job.id());
     if (others != null) {
       // A repetition before the write's response needs no second write. But the write, and the read
-      // after it, may be over in the store, and what other controllers have told since would be
-      // newer than they are. So each repetition waits for a read of its own
+      // after it, may have completed in the store already, and what other controllers have told
+      // users since would be newer. So each repetition waits for a read of its own
       // (docs/incidents/joined-submission.md).
       others.add(
           outcome -> {
@@ -203,7 +202,7 @@
             nowMs,
             timers.now(),
             outcome -> {
-              if (pending.get(job.id()) == all) { // otherwise the records have shown it before
+              if (pending.get(job.id()) == all) { // otherwise the records have shown the job before
                 pending.remove(job.id());
                 all.forEach(each -> each.accept(outcome));
               }
@@ -220,7 +219,7 @@
       flushLater();
       return;
     }
-    // The caller has got a response already; the repetition will be written.
+    // The caller has been answered already; its retry will be written.
     List<Pending> late = new ArrayList<>();
     waiting.removeIf(each -> timers.now().since(each.since()).isLongerThan(ANSWERED), late::add);
     late.forEach(each -> each.done().accept(Outcome.REFUSED));
@@ -265,16 +264,16 @@
   }
 
   /**
-   * Writes are scarce and jobs may arrive many at a time: as many as fit into a value are accepted
-   * with one write.
+   * Writes are limited and many jobs may arrive at once, so as many as fit into a value are
+   * accepted with one write.
    */
   private void writeMany() {
     List<Pending> group = new ArrayList<>();
     List<Precondition> guards = new ArrayList<>();
     List<Mutation> changes = new ArrayList<>();
     int bytes = 0;
-    // No more than can be sent now: a write that waits for the limit delays everything behind it,
-    // other teams' jobs included.
+    // Limited to what can be sent now: a write that waits for the limit delays everything behind
+    // it, including other teams' jobs.
     int most = Math.max(1, Math.min(mostChanges, store.affordableMutations()));
     while (!waiting.isEmpty()
         && !waiting.peek().alone()
@@ -303,12 +302,12 @@
 
   private void written(List<Pending> group, TransactionResult result) {
     switch (result.kind()) {
-      // The outcome does not tell whether a job was known already: only a cache with the bundle
-      // can.
+      // The outcome does not tell whether a job was known already; only a cache that contains the
+      // bundle does.
       case COMMITTED, UNKNOWN -> group.forEach(this::end);
       case UNAVAILABLE -> group.forEach(each -> each.done().accept(Outcome.REFUSED));
       case CONFLICT, THROTTLED, LEASE_EXPIRED -> group.forEach(this::again);
-      // One of them is too large for the store: the others must not wait for it.
+      // One of them is too large for the store; the others must not wait for it.
       case TOO_LARGE ->
           group.forEach(
               each ->
@@ -346,7 +345,7 @@
           writing--;
           heldUp -= isHeldUp[0] ? 1 : 0;
           underWay -= group.size();
-          // An overdue write delayed others only as far as no more could be written besides it.
+          // An overdue write delayed others only as far as no further write was allowed besides it.
           double each =
               timers.now().since(begun).seconds() / group.size() / (isHeldUp[0] ? MOST_AT_ONCE : 1);
           secondsPerJob = (1 - LATEST) * secondsPerJob + LATEST * each;
@@ -356,7 +355,7 @@
   }
 
   /**
-   * The response to a write may be lost or late: a user whose job is stored by now need not wait
+   * The response to a write may be lost or late; a user whose job is stored meanwhile need not wait
    * for it. Checks again after increasing pauses.
    */
   private void lookFor(List<Pending> group, boolean[] answered, TimeSpan pause) {
--- a/src/main/java/org/quincecross/api/UnassignedMachines.java
+++ b/src/main/java/org/quincecross/api/UnassignedMachines.java
@@ -18,13 +18,13 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Machines that report and are in no shard. A late copy of a heartbeat of a terminated machine
- * looks the same as the first heartbeat of a new one, and a shard that includes it waits for a
- * machine that is gone. So the machine itself is asked before it is added: a response to a request
- * that is sent now was made now. That holds even without a token: a copy of a terminated machine's
- * very first heartbeat shows none, and a new leader knows of no terminated machines
+ * Machines that send heartbeats and are in no shard. A late copy of a heartbeat of a terminated
+ * machine looks the same as the first heartbeat of a new one, and a shard that includes it would
+ * wait for a machine that is gone. So the machine itself is queried before it is added: a response
+ * to a request sent now was made now. That applies even without a token: a copy of a terminated
+ * machine's very first heartbeat shows none, and a new leader knows of no terminated machines
  * (docs/incidents/a-gone-machines-first-report.md). Only a leader that has led since there were no
- * shards knows all of them, and asks no machine without a token.
+ * shards knows all of them, and does not query a machine without a token.
  */
 final class UnassignedMachines {
   private static final TimeSpan ASK_TIMEOUT = TimeSpan.ofSeconds(1.5);
@@ -85,7 +85,7 @@
         }
       }
     } catch (MalformedMessageException e) {
-      // It is asked again when it reports again.
+      // It is queried again at its next heartbeat.
       there.remove(machine.id());
     }
   }
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -40,21 +40,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Submissions, polls and cancellations. What users are told is durable first, and what is not final
- * is told only after the cache was confirmed to be current: no response is older than one that
- * another controller has given.
+ * Handles submissions, polls and cancellations. What users are told is durable first, and what is
+ * not final is told only after the cache was confirmed to be current, so no response is older than
+ * one that another controller has given.
  */
 final class UserApi {
-  /** After this time without contact to the store, requests that need it are refused at once. */
+  /** After this time without contact to the store, requests that need it are rejected at once. */
   private static final TimeSpan UNCONFIRMED = TimeSpan.ofSeconds(2);
 
-  /** Out of a poll's 2 s: the rest is for the network. */
+  /** Part of a poll's 2 s; the rest is for the network. */
   private static final TimeSpan POLL_ANSWERED = TimeSpan.ofSeconds(1.6);
 
   private static final TimeSpan CANCEL_RETRY_DELAY = TimeSpan.ofMillis(60);
   private static final int CANCEL_TRIES = 6;
 
-  /** Memory stays occupied for long, so there is no hurry to retry. */
+  /** Memory stays occupied for long, so an early retry is useless. */
   private static final int WITHOUT_MEMORY_S = 20;
 
   private static final TimeSpan SAY_EVERY = TimeSpan.ofSeconds(60);
@@ -76,9 +76,9 @@
   private final LoadShedder loadShedder;
 
   /**
-   * Callbacks that wait for the same cancellation to be written. In a wave that exceeds the write
-   * limit each write waits for its turn, and its user asks again every few seconds: with one more
-   * write each time, the wave would feed itself (docs/incidents/wave-that-feeds-itself.md).
+   * Callbacks that wait for the same cancellation to be written. In a burst that exceeds the write
+   * limit each write waits for its turn, and its user asks again every few seconds; with one more
+   * write each time, the burst would feed itself (docs/incidents/wave-that-feeds-itself.md).
    */
   private final Map<JobId, List<Consumer<TransactionResult>>> cancelling = new HashMap<>();
 
@@ -273,8 +273,8 @@
     } else if (refusal.status() == 503) {
       reply.accept(refusal);
     } else {
-      // A known job is known whatever its repetition says: another controller may have accepted it
-      // just now.
+      // A known job is known whatever its repetition contains: another controller may have accepted
+      // it just now.
       HttpResponse verdict = refusal;
       readJob(id, reply, () -> reply.accept(verdict));
     }
@@ -284,7 +284,7 @@
     MonotonicTime now = timers.now();
     if (saidShort == null || now.since(saidShort).isLongerThan(SAY_EVERY)) {
       saidShort = now;
-      LOG.error("memory is short with {} stored jobs: new ones are refused", cache.jobCount());
+      LOG.error("memory limit reached with {} stored jobs; rejecting new jobs", cache.jobCount());
     }
   }
 
@@ -293,8 +293,8 @@
   }
 
   /**
-   * Another controller may have accepted a named dependency a moment ago: only records read from
-   * now on can prove that no one has.
+   * Another controller may have accepted a dependency a moment ago; only a read that begins now can
+   * prove that none has.
    */
   private void takeIfKnown(Job job, Consumer<HttpResponse> reply) {
     readJob(
@@ -304,7 +304,7 @@
           HttpResponse refusal =
               namesUnknown(job)
                   ? bad(422, "waits on a job that was never accepted")
-                  : refusal(job); // more is known now
+                  : refusal(job); // the cache may contain more now
           if (refusal != null) {
             reply.accept(refusal);
           } else {
@@ -339,7 +339,7 @@
           switch (outcome) {
             case ACCEPTED -> {
               // A job that depends on a cancelled one is cancelled from its acceptance on, possibly
-              // long known as such: only a read that begins now tells whether it is.
+              // long known as such; only a read that begins now tells whether it is.
               if (!job.dependencies().isEmpty()) {
                 readJob(
                     job.id(),
@@ -376,8 +376,7 @@
     }
     boolean fits = false;
     for (MachineType type : cache.machineTypes().values()) {
-      // A machine type that the cloud offers only in other zones than the job's is of no use to the
-      // job.
+      // A machine type that the cloud offers only in other zones than the job's cannot run the job.
       boolean allowed =
           (job.machineTypes() == null || job.machineTypes().contains(type.name()))
               && (job.zone() == null || type.zones().contains(job.zone()));
@@ -445,7 +444,7 @@
     }
   }
 
-  /** Writes a cancellation, once for all who wait for the same one. */
+  /** Writes a cancellation once for all who wait for it. */
   private void writeCancellation(JobId id, Consumer<TransactionResult> done) {
     List<Consumer<TransactionResult>> others = cancelling.get(id);
     if (others != null) {
--- a/src/main/java/org/quincecross/api/package-info.java
+++ b/src/main/java/org/quincecross/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A controller's interfaces: what users, agents, health checks and the other controllers ask of it.
- * {@link org.quincecross.api.Controller} puts a controller together.
+ * A controller's interfaces for users, agents, health checks and the other controllers. {@link
+ * org.quincecross.api.Controller} assembles a controller.
  */
 package org.quincecross.api;
--- a/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
@@ -6,20 +6,21 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Decides whether a controller without contact to the store is isolated, and should send its users
- * elsewhere, or whether the store is down for everyone, and users' way back should stay open.
+ * Decides whether a controller without contact to the store is isolated and should send its users
+ * elsewhere, or whether the store is down for everyone and users should be able to stay.
  *
- * <p>The store cannot tell it which: a 503 that only this controller gets looks like an outage. The
- * links to the other controllers cannot either if they are lost in the same instant. The machines
+ * <p>The store cannot tell which: a 503 that only this controller receives looks like an outage.
+ * Neither can the links to the other controllers, if they are lost at the same moment. The machines
  * can. A shard is leased to another controller by a write, and its new owner sends its machines the
  * new token: a machine that shows a token later than everything known here proves that someone
- * writes. If this controller's own machines go on reporting for long and show none, no one does:
- * its membership ended seconds after the loss, and its shards would be with others.
+ * writes. If this controller's own machines go on reporting for long and show no such token, no one
+ * writes: its membership ended seconds after the loss, and otherwise its shards would be with other
+ * controllers.
  */
 public final class IsolationDetector {
   /**
-   * The time without contact after which a controller asks whether it is isolated; older reports of
-   * others prove nothing.
+   * Time without contact after which a controller evaluates whether it is isolated; older reports
+   * of other controllers prove nothing.
    */
   public static final TimeSpan SILENCE_TIMEOUT = TimeSpan.ofSeconds(3);
 
@@ -30,19 +31,19 @@
   static final TimeSpan RECENT_CONTACT = TimeSpan.ofSeconds(2);
 
   /**
-   * Membership ends 3 s after the last renewal, and renewals are 0.9 s apart: no shard fails over
-   * earlier.
+   * Membership ends 3 s after the last renewal, and renewals are 0.9 s apart, so no shard fails
+   * over earlier.
    */
   static final TimeSpan MIN_FAILOVER_TIME = TimeSpan.ofSeconds(2);
 
   /**
-   * The shards of a lost member are with others, and their machines know it, well before this time.
+   * Well before this time the shards of a lost member have new owners, and their machines show it.
    */
   static final TimeSpan MAX_FAILOVER_TIME = TimeSpan.ofSeconds(12);
 
   /**
-   * How long the store has to be reachable again: each removal by the load balancer doubles its
-   * pause.
+   * How long the store has to be reachable again, because each removal by the load balancer doubles
+   * its pause.
    */
   static final TimeSpan STABILITY_TIME = TimeSpan.ofSeconds(2);
 
@@ -51,8 +52,8 @@
     /** The store is reachable. */
     CONNECTED(true),
     /**
-     * The store is unreachable, and nothing tells yet for whom. Ends with contact, or after {@link
-     * #MAX_FAILOVER_TIME}.
+     * The store is unreachable, and it is not known yet for whom. Ends with contact, or after
+     * {@link #MAX_FAILOVER_TIME}.
      */
     UNDETERMINED(true),
     /**
@@ -112,14 +113,16 @@
   private boolean othersReachStore;
   private MonotonicTime ownMachine;
 
-  /** Since when others have had contact again while this controller has none; null if none has. */
+  /**
+   * Since when other controllers have had contact again while this one has none; null if none has.
+   */
   private MonotonicTime othersRecoveredAt;
 
   /**
    * Creates a detector.
    *
-   * @param first whether this controller keeps its users if nothing at all tells for whom the store
-   *     is unreachable; this is so for one controller
+   * @param first whether this controller keeps its users if there is no evidence for whom the store
+   *     is unreachable; true for exactly one controller
    */
   public IsolationDetector(boolean first, MonotonicTime now) {
     this.first = first;
@@ -127,7 +130,7 @@
     this.confirmed = now;
   }
 
-  /** The present state. */
+  /** The current state. */
   public State state() {
     return state;
   }
@@ -151,8 +154,8 @@
       FencingToken token, FencingToken known, boolean own, MonotonicTime now) {
     TimeSpan silence = now.since(confirmed);
     if (!silence.isLongerThan(MIN_FAILOVER_TIME)) {
-      // Perhaps written in the very moment of the loss: it proves nothing about the time
-      // afterwards.
+      // The token may have been written at the moment of the loss, so it proves nothing about the
+      // time afterwards.
       tokenFloor = token.isAfter(tokenFloor) ? token : tokenFloor;
     } else if (token.isAfter(known) && token.isAfter(tokenFloor)) {
       othersReachStore = true;
@@ -162,10 +165,10 @@
   }
 
   /**
-   * Evaluates the evidence; called twice a second and whenever the state matters.
+   * Evaluates the evidence; called twice a second and whenever the state is needed.
    *
    * @param heard when the last answered request to the store was sent
-   * @param words the last report of each other controller
+   * @param contacts the last report of each other controller
    */
   public void evaluate(MonotonicTime heard, Collection<PeerContact> words, MonotonicTime now) {
     if (confirmed.isBefore(heard)) {
@@ -190,9 +193,10 @@
     } else if (othersServed) {
       enter(
           State.STORE_OUTAGE,
-          now); // the outage is over, and one controller notices a moment before another
+          now); // the outage is over, and some controllers notice it a moment earlier than others
     } else if (allSayOut) {
-      // Whatever was proven before: by now all others are without the store, and say so themselves.
+      // Regardless of earlier proof, all other controllers now report that they cannot reach the
+      // store.
       othersReachStore = false;
       enter(State.STORE_OUTAGE, now);
     } else if (othersReachStore) {
--- a/src/main/java/org/quincecross/failuredetection/LinkMonitor.java
+++ b/src/main/java/org/quincecross/failuredetection/LinkMonitor.java
@@ -7,8 +7,8 @@
  * Monitors by receipts whether reports reach another controller.
  *
  * <p>If the other side was silent for a minute, TCP retries on an open connection after a pause
- * that has grown to the length of that silence: whoever waits for it hears nothing for another
- * minute after the other side is back, and nothing says so (docs/incidents/blind-after-silence.md).
+ * that has grown to the length of that silence. The receiver then hears nothing for another minute
+ * after the other side is back, and no error indicates it (docs/incidents/blind-after-silence.md).
  * A new connection works at once.
  */
 public final class LinkMonitor {
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Whether to reconnect. After it has returned true, it does not again before {@link
-   * #RECEIPT_TIMEOUT} is over.
+   * Whether to reconnect. Once it has returned true, it returns false until {@link
+   * #RECEIPT_TIMEOUT} has passed.
    */
   public boolean takeReconnectNeeded(MonotonicTime now) {
     if (state != State.WAITING || !now.since(since).isLongerThan(RECEIPT_TIMEOUT)) {
--- a/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
@@ -6,13 +6,13 @@
 /**
  * Detects from a machine's heartbeats whether responses reach it, for the controller that responds.
  *
- * <p>An agent that got a response stays with that controller and reports there again soon, with the
- * next number. One that did not gives up after {@link #RESPONSE_TIMEOUT}, goes to the next
- * controller a second later, and comes back only after a round of all of them; once its lease has
- * expired it has a new session. So a machine that sends and does not receive looks alive and empty,
- * the best of all places for tasks, at each round again (docs/incidents/deaf-machines.md). Nothing
- * here proves that anything is gone: what is bound to the machine is freed by its sessions and
- * leases as always. This only decides whether to give it more.
+ * <p>An agent that received a response stays with that controller and soon sends the next heartbeat
+ * there, with the next number. An agent that did not gives up after {@link #RESPONSE_TIMEOUT}, goes
+ * to the next controller a second later, and returns only after trying all of them; once its lease
+ * has expired it has a new session. So a machine that sends but does not receive looks alive and
+ * empty, the best candidate for tasks, at each such round (docs/incidents/deaf-machines.md).
+ * Nothing here proves that tasks are gone: what is bound to the machine is released through its
+ * sessions and leases as usual. The detector only decides whether to allocate more to it.
  */
 public final class OneWayPartitionDetector {
   /** How long an agent waits for the response to a heartbeat. */
@@ -23,14 +23,14 @@
    */
   static final int MAX_UNANSWERED_COMMANDS = 2;
 
-  /** A machine that is partitioned again within this time has to give more proof than before. */
+  /** A machine that is partitioned again within this time has to give more evidence than before. */
   static final TimeSpan RELAPSE_WINDOW = TimeSpan.ofSeconds(60);
 
   static final int MAX_TRIALS = 16;
 
   /** The states of a machine that sends heartbeats. */
   public enum State {
-    /** As far as is known, it receives responses and accepts tasks. */
+    /** As far as known, it receives responses and accepts tasks. */
     RECEIVING,
     /**
      * One sign that a response or command did not arrive. Ends with the first sign that one did, or
@@ -43,7 +43,7 @@
      */
     PARTITIONED,
     /**
-     * It has received something after repeated partitions: it has to receive for some more
+     * It has received something after repeated partitions, and has to do so for some more
      * heartbeats in a row.
      */
     TRIED
@@ -59,7 +59,7 @@
   private int trials = 1;
   private int trialsLeft;
 
-  /** Creates a detector; until {@code now} nothing speaks against the machine. */
+  /** Creates a detector; up to {@code now} there is no evidence against the machine. */
   public OneWayPartitionDetector(MonotonicTime now) {
     heardAt = now;
   }
@@ -69,7 +69,7 @@
     state = next;
   }
 
-  /** The present state. */
+  /** The current state. */
   public State state() {
     return state;
   }
@@ -80,8 +80,8 @@
   }
 
   /**
-   * For how long nothing has shown that it receives, while something shows that it does not; else
-   * zero.
+   * How long there has been evidence that it does not receive and none that it does; zero if there
+   * is no such evidence.
    */
   public TimeSpan partitionedFor(MonotonicTime now) {
     return state == State.RECEIVING ? TimeSpan.ZERO : now.since(heardAt);
@@ -98,17 +98,17 @@
     if (answeredAt != null) {
       boolean late = !RESPONSE_TIMEOUT.isLongerThan(now.since(answeredAt));
       if (session != answeredSession) {
-        // Had it accepted the response, its lease would have restarted with the heartbeat that was
-        // answered.
+        // Had the agent accepted the response, its lease would have restarted with the heartbeat
+        // that was answered.
         if (now.since(answeredAt).isLongerThan(lease)) {
           recordMiss(now);
         } else {
           relapse(now);
         }
       } else if (number == known + 1) {
-        // However late it is: an agent without a response reports to the other controllers before
-        // it is here again. With heartbeats every five seconds, each comes later than a response is
-        // awaited.
+        // Regardless of the delay: an agent without a response sends heartbeats to the other
+        // controllers before it returns here. At an interval of five seconds every heartbeat
+        // arrives later than the response timeout.
         recordReception(now);
       } else if (late) {
         recordMiss(now);
@@ -138,8 +138,8 @@
   }
 
   /**
-   * Called when it showed a token that it had not seen before it was sent: it receives, whatever
-   * was known.
+   * Called when it showed a token that it had not seen when the token was sent, which proves that
+   * it receives.
    */
   public void tokenConfirmed(MonotonicTime now) {
     heardAt = now;
--- a/src/main/java/org/quincecross/failuredetection/PauseDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/PauseDetector.java
@@ -4,18 +4,18 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Detects that this process was paused while its clocks ran on, and whether it has confirmed the
- * records since.
+ * Detects that this process was paused while its clocks ran on, and whether it has confirmed its
+ * state with the store since.
  *
- * <p>What it knew is then outdated, although nothing in the process has aged: others may lead, own
- * its shards and respond to its machines. What was confirmed by a time is still bounded by that
- * time; what is taken for others' silence is not, because no one was there to listen. While {@link
- * State#WAKING}, nothing is planned, launched, terminated or responded to, until the store has
- * confirmed the records once. The wait is bounded: in an outage of the store the rules for what was
- * last confirmed hold, as for any controller.
+ * <p>What it knew is then outdated, although nothing in the process has aged: other controllers may
+ * lead, own its shards and respond to its machines. What was confirmed at some time is still valid
+ * as of that time; the silence of others is not, because nothing was received during the pause.
+ * While {@link State#WAKING}, nothing is planned, launched, terminated or responded to, until the
+ * store has confirmed the state once. The wait is bounded: in an outage of the store, the rules for
+ * the last confirmed state apply, as for any controller.
  */
 public final class PauseDetector {
-  /** Something happens in a controller several times a second; a longer gap is not mere load. */
+  /** A controller handles several events a second; a longer gap is not explained by load. */
   static final TimeSpan MIN_PAUSE = TimeSpan.ofSeconds(1.5);
 
   static final TimeSpan MAX_WAKING = TimeSpan.ofSeconds(2);
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Called before anything is done. Returns how long nothing was done if that is longer than load
-   * explains; else zero.
+   * Called before any event is handled. Returns the length of the gap before it if load does not
+   * explain it; else zero.
    */
   public TimeSpan tick(MonotonicTime now) {
     TimeSpan gap = now.since(last);
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Whether this process was paused and has not confirmed the records since.
+   * Whether this process was paused and has not confirmed its state since.
    *
    * @param confirmed the cache contains all changes up to this time; null before the first read
    */
--- a/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
+++ b/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
@@ -7,17 +7,17 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Remembers which controllers reach the machines of which zones, as far as shards that were taken
- * from them tell.
+ * Records which controllers reach the machines of which zones, as far as shards that were taken
+ * from them show.
  *
- * <p>A controller that is cut off from the machines alone is as live as any and, once its shards
- * have gone to others, has the lowest load of all. Without this memory it is given shards again at
- * once, the machines are stuck with it until their leases nearly expire, and so on every few
- * seconds for as long as the partition lasts (docs/incidents/inc-6ced.md). Kept by the leader
- * alone: the next one finds out anew.
+ * <p>A controller that is cut off from the machines alone appears live and, once its shards have
+ * moved, has the lowest load of all. Without this record it would be given shards again at once,
+ * the machines would be stuck with it until their leases nearly expire, and this would repeat every
+ * few seconds during the partition (docs/incidents/inc-6ced.md). Kept by the leader only; a new
+ * leader starts without it.
  */
 public final class ReachabilityMap {
-  /** The pause before the first probe; each failure doubles it. */
+  /** The pause before the first probe; doubled by each failure. */
   static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(12);
 
   static final TimeSpan LONGEST_PAUSE = TimeSpan.ofSeconds(96);
@@ -27,15 +27,15 @@
 
   /** The states of a controller with regard to the machines of a zone. */
   public enum State {
-    /** As far as is known, it reaches them. */
+    /** As far as known, it reaches them. */
     HEARS,
-    /** It gets no shard of the zone before the pause is over. */
+    /** It is given no shard of the zone until the pause is over. */
     DEAF,
-    /** The pause is over: it may be given one shard, the smallest. */
+    /** The pause is over: it may be given one shard, the smallest, as a probe. */
     TO_BE_TRIED,
     /**
      * It has been given that shard. Ends when the machines are fenced for it, when the shard is
-     * taken away again, or with time.
+     * moved away again, or by timeout.
      */
     ON_TRIAL
   }
@@ -62,12 +62,12 @@
   }
 
   /**
-   * Called when a shard of a zone was taken from a controller that does not reach its machines,
-   * while others do.
+   * Called when a shard of a zone was moved away from a controller that does not reach its
+   * machines, while others do.
    */
   public void unreachable(ControllerId member, String zone, MonotonicTime now) {
     Ear ear = ears.computeIfAbsent(new Place(member, zone), place -> new Ear());
-    if (ear.state != State.DEAF) { // several shards are found at once
+    if (ear.state != State.DEAF) { // several shards are detected at once
       pause(ear, now);
     }
   }
@@ -99,8 +99,7 @@
         case DEAF -> enter(ear, State.TO_BE_TRIED, ear.until.plus(LONGEST_PAUSE));
         case ON_TRIAL -> pause(ear, now);
         case TO_BE_TRIED -> {
-          // No shard was available for a probe for so long that what is known proves nothing any
-          // more.
+          // No shard was available for a probe for so long that the record is outdated.
           ears.remove(new Place(member, zone));
           return State.HEARS;
         }
--- a/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
+++ b/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
@@ -8,17 +8,16 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Decides which machines' reports to other controllers are a reason to move their shard.
+ * Decides which machines' heartbeats to other controllers are a reason to move their shard.
  *
- * <p>A machine that reports to others because its owner does not respond is served by another
- * controller: then that is one controller's problem. If the next owner does not reach it either,
- * the machine receives nothing and goes the round of all controllers for as long as that lasts;
- * moving its shard each time it arrives at another one would postpone, for all other machines of
- * the shard, the moment at which it is settled. Kept by the leader alone.
+ * <p>A machine that sends heartbeats to other controllers because its owner does not respond can be
+ * served by another one, so the problem is on the owner's side. If the next owner does not reach it
+ * either, the machine receives nothing and keeps trying all controllers; moving its shard every
+ * time would repeatedly delay all other machines of the shard. Kept by the leader only.
  */
 public final class ShardMovePolicy {
   /**
-   * The pause after the first move; each further one doubles it, until the machine has been fenced.
+   * The pause after the first move; doubled by each further one until the machine has been fenced.
    */
   static final TimeSpan FIRST_PAUSE = TimeSpan.ofSeconds(36);
 
@@ -26,11 +25,13 @@
 
   /** The states of a machine with regard to the controllers. */
   public enum State {
-    /** The controller that it reports to can reach it. */
+    /**
+     * The controller that it sends heartbeats to can presumably reach it, so its heartbeats count.
+     */
     COUNTS,
     /**
-     * Its shard has been moved for its sake, and it has not been fenced since: ends when it is, or
-     * with the pause.
+     * Its shard has been moved because of it, and it has not been fenced since. Ends when it is
+     * fenced, or after the pause.
      */
     MOVED
   }
@@ -49,7 +50,7 @@
     mark.until = until;
   }
 
-  /** Called when a shard was moved because these machines of it reported to others. */
+  /** Called when a shard was moved because these machines of it sent heartbeats to others. */
   public void moved(Collection<MachineId> machines, MonotonicTime now) {
     for (MachineId machine : machines) {
       Mark mark = marks.computeIfAbsent(machine, id -> new Mark());
@@ -64,12 +65,12 @@
     return marks.keySet();
   }
 
-  /** Called when machines are fenced for their owner, or exist no longer. */
+  /** Called when machines are fenced for their owner, or no longer exist. */
   public void fenced(Collection<MachineId> machines) {
     marks.keySet().removeAll(machines);
   }
 
-  /** Whether a machine's reports are a reason to move its shard. */
+  /** Whether a machine's heartbeats are a reason to move its shard. */
   public State of(MachineId machine, MonotonicTime now) {
     Mark mark = marks.get(machine);
     if (mark != null && mark.state == State.MOVED && !now.isBefore(mark.until)) {
--- a/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
+++ b/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
@@ -5,46 +5,47 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Tells new messages of one machine from late copies of earlier ones, for the owner of its shard.
+ * Distinguishes new messages of a machine from late copies of earlier ones, for the owner of its
+ * shard.
  *
- * <p>A heartbeat may arrive again, seconds to leases later, and a machine may be back within a
- * fraction of a second with a restarted agent, whose counts begin anew: its first heartbeat and a
- * copy of an old one may be the same bytes. So counts alone never prove a restart; four things
- * prove something:
+ * <p>A heartbeat may arrive again seconds or several leases later, and a machine may be back within
+ * a fraction of a second with a restarted agent whose counts start afresh: its first heartbeat and
+ * a copy of an old one may be identical. So counts alone never prove a restart. Four things prove
+ * something:
  *
  * <ul>
- *   <li><b>The token.</b> An agent never shows a lower token than it has shown before. So of two
- *       messages the one with the lower token was made before the other, by the same agent, or by
- *       one that has restarted: the token ranks before the counts, the present one and those of
- *       former owners, and nothing that was said under lower ones can pass for new once the machine
- *       has shown a higher one (docs/incidents/copies-of-a-life-before-the-last.md).
- *   <li><b>The counts.</b> Without a restart the larger (session, number) is the later one.
- *   <li><b>A lease that has certainly expired.</b> Its agent has gone on to the next session, so a
+ *   <li><b>The token.</b> An agent never shows a lower token than before. Of two messages, the one
+ *       with the lower token was therefore made first, whether or not the agent restarted in
+ *       between. The token ranks before the counts, so once the machine has shown a higher token,
+ *       nothing sent under a lower one counts as new
+ *       (docs/incidents/copies-of-a-life-before-the-last.md).
+ *   <li><b>The counts.</b> Without a restart, the larger (session, number) is the later one.
+ *   <li><b>A lease that has certainly expired.</b> Its agent has moved on to the next session, so a
  *       heartbeat of the same session was made before.
- *   <li><b>A response.</b> A response to a request that was sent now was made now. One with counts
- *       that are not above everything known when the request was sent comes from a restarted agent;
- *       what it had before is gone.
+ *   <li><b>A response.</b> A response to a request sent now was made now. If its counts are not
+ *       above everything known when the request was sent, it comes from a restarted agent, and
+ *       everything the agent had before is gone.
  * </ul>
  *
- * A doubtful heartbeat is neither accepted nor responded to. If the machine goes on, its next
- * heartbeat is due soon and resolves the doubt for free; if that does not come, the machine is
- * asked. Until the shard has a new token, only responses are believed of a restarted agent:
- * heartbeats from before the restart may still come, with larger counts.
+ * A doubtful heartbeat is neither accepted nor responded to. If the machine is alive, its next
+ * heartbeat is due soon and resolves the doubt at no cost; if that does not arrive, the machine is
+ * queried. Until the shard has a new token, only responses of a restarted agent are accepted:
+ * heartbeats from before the restart may still arrive, with larger counts.
  */
 public final class StaleHeartbeatFilter {
-  /** Agents drop a response after this time. */
+  /** Agents discard a response that arrives after this time. */
   static final TimeSpan RESPONSE_DROPPED_AFTER = TimeSpan.ofSeconds(4);
 
   /** The tolerance beyond the heartbeat that was due. */
   static final TimeSpan DUE_MARGIN = TimeSpan.ofSeconds(0.5);
 
-  /** The states of what is known of a machine. */
+  /** What is known about the order of a machine's messages. */
   public enum State {
     /** Its messages are in order. */
     TRUSTED,
     /**
-     * A message came that is a late copy, unless the agent has restarted. Ends with a new message,
-     * or with a response.
+     * A message arrived that is a late copy, unless the agent has restarted. Ends with a new
+     * message or a response.
      */
     DOUBTED,
     /** A response has proven that the agent has restarted. Ends with the shard's next token. */
@@ -56,18 +57,18 @@
     /** Made after all that were accepted. */
     NEW,
     /**
-     * Made shortly before one that was accepted, and not seen yet: its sender may wait for a
-     * response, its content is outdated.
+     * Made shortly before an accepted one, and not seen yet: its sender may wait for a response,
+     * but its content is outdated.
      */
     OVERTAKEN,
-    /** A late copy or a late message, unless the agent has restarted: nothing follows from it. */
+    /** A late copy or a late message, unless the agent has restarted. It has no effect. */
     LATE,
-    /** From a restarted agent, by proof. */
+    /** From a restarted agent, as proven by a response. */
     RESTARTED
   }
 
   /**
-   * What a message shows of when it was made.
+   * What a message shows about when it was made.
    *
    * @param token the highest that its agent had seen
    * @param session unsigned
@@ -98,7 +99,7 @@
     }
   }
 
-  /** The present state. */
+  /** The current state. */
   public State state() {
     return state;
   }
@@ -123,8 +124,8 @@
       enter(State.TRUSTED);
       return Classification.NEW;
     }
-    // Its sender drops a response that is older than that, and the message is older than what was
-    // accepted since.
+    // Its sender no longer accepts a response after that time, and the message is older than what
+    // was accepted since.
     if (state != State.BEGUN_ANEW
         && !leaseOver
         && (latestReport == null || shown.isAfter(latestReport))
@@ -159,8 +160,8 @@
   }
 
   /**
-   * Whether the machine has to be asked: if it is doubted and its next heartbeat, which would
-   * resolve the doubt, is overdue; and at intervals once its agent has restarted.
+   * Whether the machine has to be queried: while a doubt is unresolved and its next heartbeat,
+   * which would resolve it, is overdue; and at intervals once its agent has restarted.
    *
    * @param report the heartbeat interval; heartbeats come up to a quarter later
    */
@@ -169,7 +170,7 @@
         && now.since(latestAt).isLongerThan(report.times(1.25).plus(DUE_MARGIN));
   }
 
-  /** Called when the last request got no response: the next message may raise the doubt again. */
+  /** Called when the last request got no response; the next message may raise the doubt again. */
   public void statusRequestFailed() {
     enter(State.TRUSTED);
   }
--- a/src/main/java/org/quincecross/failuredetection/StartPermission.java
+++ b/src/main/java/org/quincecross/failuredetection/StartPermission.java
@@ -11,37 +11,38 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Decides whether an owner may start its allocated tasks: whether no one can have been told yet of
- * a cancellation that the owner has not seen.
+ * Decides whether an owner may start its allocated tasks, that is, whether no user can have been
+ * told yet of a cancellation that the owner has not seen.
  *
  * <p><b>Rule.</b> It may within D - M ({@link UnconfirmedOwnershipBound#maxUnconfirmedStarts}) of
- * its last contact with the store, and as well while each other controller that the settings name
- * has shown, in a report that was made within the last D - M, a revision of the records no later
- * than the owner's own. The time at which a report came proves nothing, as packets may be delayed
- * for minutes. But one with a receipt for a report that left here at s was made after s, by any
- * clock, and s is a time of the clock here (docs/incidents/started-without-word.md).
+ * its last contact with the store. It also may while each other controller in the settings has
+ * shown, in a report made within the last D - M, a state revision no later than the owner's own.
+ * The arrival time of a report proves nothing, because packets may be delayed for minutes. But a
+ * report with a receipt for a report that left here at s was made after s, and s is a time of the
+ * local clock (docs/incidents/started-without-word.md).
  *
- * <p><b>Proof</b> of the second part. A cancellation that the owner has not seen is of a revision x
+ * <p><b>Proof</b> of the second part. A cancellation that the owner has not seen has a revision x
  * later than its own. Let the controller that confirms it have shown revision r, not later than the
  * owner's own and so before x, in a report made after s, with s &ge; now - (D - M).
  *
  * <ul>
- *   <li>The incarnation that made the report had not seen x when it made it, for revisions never
- *       fall within an incarnation. So it saw x first after s, and confirms it by rule 3 of {@link
- *       UnconfirmedOwnershipBound} after s + D &ge; now + M: the start has left before.
+ *   <li>The incarnation that made the report had not seen x when it made it, because revisions
+ *       never decrease within an incarnation. So it saw x first after s, and confirms it by rule 3
+ *       of {@link UnconfirmedOwnershipBound} after s + D &ge; now + M: the start has been sent
+ *       before.
  *   <li>A later incarnation reads the records when it begins, after s, and waits for D from then.
  *   <li>A former incarnation cannot have confirmed it: what is confirmed is durable, and the
  *       incarnation that made the report read the records after that, so its r is x or later. An
- *       incarnation that has not read them yet shows none at all, and that proves nothing.
- *   <li>Nor has the owner's own process confirmed it, which has not seen it, nor a former one,
- *       after which it read the records.
- *   <li>By rules 1 and 2 no one confirms while the owner may start any of it: it has seen the
- *       cancellation or released the task, or another controller owns the shard under a later token
- *       and its machines are fenced, which refuse what the former owner sends.
+ *       incarnation that has not read them yet shows no revision, and that proves nothing.
+ *   <li>The owner's own process, which has not seen the cancellation, has not confirmed it either,
+ *       nor has a former process of it, after which it read the records.
+ *   <li>By rules 1 and 2 no one confirms while the owner may start any of the tasks: it has seen
+ *       the cancellation or released the task, or another controller owns the shard under a later
+ *       token and its machines are fenced and reject what the former owner sends.
  * </ul>
  *
- * M is the difference of clocks, and the time between decision and sending. Controllers that the
- * settings do not name are not known here: all have to be given the same ones.
+ * M covers the difference of clocks and the time between decision and sending. Controllers that the
+ * settings do not name are unknown here, so all controllers must be given the same list.
  */
 public final class StartPermission {
   private record Numbered(Incarnation incarnation, long number) {}
@@ -66,13 +67,13 @@
   }
 
   /**
-   * Called when a report is about to be made here. The time of each is kept for as long as a
-   * receipt of it can prove something.
+   * Called when a report is about to be made here. Its time is kept for as long as a receipt for it
+   * can prove something.
    */
   public void sent(Incarnation incarnation, long number, MonotonicTime now) {
     sent.values().removeIf(at -> now.since(at).isLongerThan(limit));
-    // Every process has that name until it has its lease: the receipt could be for a report of the
-    // previous process.
+    // A process has no incarnation until it has its lease, so a receipt could be for a report of
+    // the previous process.
     if (!incarnation.equals(Incarnation.NONE)) {
       sent.put(new Numbered(incarnation, number), now);
     }
--- a/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
@@ -13,7 +13,10 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
 
-/** Whose silence it is: of a link, of machines, or one's own. */
+/**
+ * Tests the detectors of broken links, of controllers that do not reach machines, and of pauses of
+ * the own process.
+ */
 class FailureDetectionTest {
   private static final ControllerId DEAF = new ControllerId("n1");
 
@@ -22,8 +25,8 @@
   }
 
   /**
-   * While a link says nothing, a new connection is asked for again and again, but never twice
-   * within the patience.
+   * While a link is unacknowledged, a new connection is requested repeatedly, but never twice
+   * within the receipt timeout.
    */
   @Property(tries = 200)
   void aLinkThatSaysNothingIsMadeAnewInGoodTimeAndNotTooOften(
@@ -39,7 +42,7 @@
         link.receipt(i, false, at(now));
       }
       if (link.takeReconnectNeeded(at(now))) {
-        assertTrue(now > quietFrom, "it was answered until " + quietFrom);
+        assertTrue(now > quietFrom, "the link was acknowledged until " + quietFrom);
         assertTrue(now - lastRenewed > 2.999);
         lastRenewed = now;
       }
@@ -58,8 +61,8 @@
   }
 
   /**
-   * However long a controller stays deaf, it is tried ever more seldom; once it hears, it is one
-   * like the others.
+   * A controller that stays unreachable is probed at growing intervals; once it is reachable it is
+   * treated like the others.
    */
   @Test
   void aDeafControllerIsTriedEverMoreSeldom() {
@@ -101,8 +104,8 @@
   }
 
   /**
-   * A gap is noticed once, at the first turn after it, and it is over with a confirmation that is
-   * younger than it, or with time.
+   * A gap is reported once, at the first event after it, and ends with a confirmation after it or
+   * by timeout.
    */
   @Property(tries = 200)
   void aGapOfTheClockIsNoticedAtOnceAndLookedAboutAfter(
@@ -117,10 +120,11 @@
     assertEquals(
         stoodStill,
         stillness.isWaking(at(0.1), at(woke)),
-        "what was confirmed before says nothing");
+        "a confirmation before the pause does not count");
     assertEquals(TimeSpan.ZERO, stillness.tick(at(woke + 0.1)));
     assertFalse(
-        stillness.isWaking(at(0.1), at(woke + 2.1)), "in an outage nobody can confirm anything");
+        stillness.isWaking(at(0.1), at(woke + 2.1)),
+        "waking ends by timeout during a store outage");
     if (stoodStill) {
       PauseDetector other = new PauseDetector(at(0));
       other.tick(at(woke));
--- a/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
+++ b/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
@@ -15,8 +15,8 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Three controllers with drawn evidence: what each hears of the state service, of the others, and
- * of its machines.
+ * Three controllers with random evidence: contact to the store, reports of the others, and tokens
+ * of their machines.
  */
 class IsolationDetectorTest {
   private static final int NODES = 3;
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Three controllers; the last word of the state service to each, what each said last to each, and
-   * the machines' tokens.
+   * Three controllers, with the last store contact of each, the last report of each to each other,
+   * and the machines' tokens.
    */
   private static final class Trio {
     private final List<IsolationDetector> nodes = new ArrayList<>();
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Half a second; {@code served}: who hears the state service, {@code linked}: which controllers
-     * hear each other.
+     * Simulates half a second; {@code served}: bits of the controllers with contact to the store,
+     * {@code linked}: bits of the controllers that receive each other's reports.
      */
     void step(int served, int linked) {
       now += STEP_S;
@@ -75,9 +75,8 @@
   }
 
   /**
-   * Nobody hears the state service, whatever the links do, whatever is written until the moment of
-   * it, and whichever machines still report or do not: somebody takes users all the while, and all
-   * whose machines report do.
+   * During a store outage for all, whatever happens to links, late writes and machines: at least
+   * one controller takes users at any time, and so do all whose machines report.
    */
   @Property(tries = 400)
   void inAnOutageOfAllSomebodyIsAlwaysIn(
@@ -92,7 +91,7 @@
       links = random.nextInt(8) == 0 ? random.nextInt(8) : links;
       for (int node = 0; node < NODES; node++) {
         if ((machines >> node & 1) == 1) {
-          // 50 was written in the moment of the loss: no controller but its writer knows of it.
+          // Token 50 was written at the moment of the loss; only its writer knows of it.
           trio.nodes
               .get(node)
               .machineReported(
@@ -108,7 +107,7 @@
         in += trio.takesUsers(node) ? 1 : 0;
         assertTrue((machines >> node & 1) == 0 || trio.takesUsers(node), node + " at " + trio.now);
       }
-      assertTrue(in > 0, "nobody at " + trio.now);
+      assertTrue(in > 0, "no controller takes users at " + trio.now);
     }
     for (int i = 0; i < 3; i++) {
       trio.step(7, 7);
@@ -117,8 +116,8 @@
   }
 
   /**
-   * One alone hears nobody but a machine that another controller leads now: it is out from then on,
-   * and in again some time after its return.
+   * An isolated controller hears only a machine that another controller owns now: it stops taking
+   * users from then on, and takes them again some time after its return.
    */
   @Property(tries = 200)
   void whoeverIsAloneIsOutOnceAMachineShowsIt(
@@ -137,13 +136,15 @@
       trio.step(others, others);
       for (int node = 0; node < NODES; node++) {
         boolean in = trio.takesUsers(node);
-        assertTrue(node == lone || in, "others are in");
-        assertFalse(node == lone && i > Math.max(shownAt, 7) && in, "in at " + trio.now);
+        assertTrue(node == lone || in, "other controllers take users");
+        assertFalse(
+            node == lone && i > Math.max(shownAt, 7) && in,
+            "the isolated controller takes users at " + trio.now);
       }
     }
     for (int i = 0; i < 4; i++) {
       trio.step(7, 7);
-      assertFalse(trio.takesUsers(lone), "in again at once");
+      assertFalse(trio.takesUsers(lone), "takes users again at once");
     }
     trio.step(7, 7);
     trio.step(7, 7);
--- a/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
+++ b/src/test/java/org/quincecross/failuredetection/OneWayPartitionDetectorTest.java
@@ -14,7 +14,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
 
-/** A machine that speaks: from its reports alone, whether it hears. */
+/** Decides from a machine's heartbeats alone whether it receives responses. */
 class OneWayPartitionDetectorTest {
   private static final TimeSpan LEASE = TimeSpan.ofSeconds(12);
   private static final double ROUND = 15;
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Whatever the pace of its reports and however often it goes deaf: a deaf one gets no work after
-   * a round, one that hears soon does.
+   * For any heartbeat interval and number of partitions: a partitioned machine gets no tasks after
+   * one round of the controllers, and one that receives again soon does.
    */
   @Property(tries = 200)
   void aMachineIsUsedWhileItHears(
@@ -41,11 +41,11 @@
         now += every;
         deafness.heartbeatReceived(session, ++number, LEASE, at(now));
         deafness.responseSent(session, at(now));
-        // The first time at its second report; each time it proves fickle for longer, and never for
-        // ever.
+        // The first time from its second heartbeat; after repeated partitions later, but within a
+        // bound.
         assertTrue(
             deafness.isReceiving() || i <= (time == 0 ? 1 : 1 + OneWayPartitionDetector.MAX_TRIALS),
-            "not used at report " + i);
+            "not used at heartbeat " + i);
       }
       for (int round = 0; round < rounds; round++) {
         now += ROUND;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** A session that ends within a lease of an answer is sign enough: the answer was not taken. */
+  /** A session that ends within a lease of a response proves that the response was not accepted. */
   @Test
   void aNewSessionThoughAnsweredIsDeaf() {
     OneWayPartitionDetector deafness = new OneWayPartitionDetector(at(0));
--- a/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
@@ -18,8 +18,8 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * What is news of a machine, with copies of all that it ever said, and with workers that begin
- * anew.
+ * Tests which messages of a machine count as new, with copies of everything it ever sent and with
+ * agents that restart.
  */
 class StaleHeartbeatFilterTest {
   private static final TimeSpan REPORT = TimeSpan.ofSeconds(2);
@@ -30,10 +30,10 @@
     return new MonotonicTime((long) (seconds * 1e9));
   }
 
-  /** A message and in which life and as the how many-th it was made. */
+  /** A message, with the incarnation of the agent that made it and its number there. */
   private record Made(int life, int number, Position shown) {}
 
-  /** Plays one machine for a while; what it says arrives, gets lost, comes late and comes again. */
+  /** Simulates one machine whose messages arrive, get lost, come late and are repeated. */
   private static final class Machine {
     private final Random random;
     private final boolean restarts;
@@ -85,7 +85,7 @@
       Made made = says();
       Classification verdict = freshness.classifyCommandResponse(made.shown(), at(now));
       if (verdict == Classification.RESTARTED) {
-        assertTrue(life > 0, "it goes on as ever");
+        assertTrue(life > 0, "restart reported although the agent never restarted");
       }
       assertNotEquals(Classification.LATE, verdict);
       taken = made.number();
@@ -127,15 +127,18 @@
     new Machine(seed, false).play();
   }
 
-  /** Nor is a copy of what the present worker said news where it has begun anew unnoticed. */
+  /**
+   * A copy of a message of the current agent does not count as new after an unnoticed restart
+   * either.
+   */
   @Property(tries = 400)
   void noCopyIsNewsWhereWorkersBeginAnew(@ForAll long seed) {
     new Machine(seed, true).play();
   }
 
   /**
-   * Whatever was known: one that has begun anew is asked soon after its next report, and that is
-   * the proof.
+   * A restarted agent is queried soon after its next heartbeat, whatever was known before, and the
+   * response proves the restart.
    */
   @Property(tries = 200)
   void aMachineThatHasBegunAnewIsFoundOut(@ForAll long seed) {
@@ -146,7 +149,7 @@
     double now = 0;
     for (int order = 1; freshness.state() != State.BEGUN_ANEW; order++) {
       now += 0.5 + random.nextDouble() * 2;
-      assertTrue(now < 10, "not found out");
+      assertTrue(now < 10, "restart not detected in time");
       assertEquals(
           Classification.LATE,
           freshness.classifyHeartbeat(new Position(FORMER, 1, order), false, at(now)));
@@ -160,8 +163,8 @@
   }
 
   /**
-   * Under a new token nothing of before passes for news, whatever its counts, once the machine has
-   * shown it.
+   * Once the machine has shown a new token, nothing sent under an older token counts as new,
+   * whatever its counts.
    */
   @Test
   void theTokenRanksBeforeTheCounts() {
@@ -179,8 +182,8 @@
   }
 
   /**
-   * Once a lease is surely over, a report of the same session is late, however large its number; an
-   * answer is not.
+   * Once a lease has certainly expired, a heartbeat of the same session is late, however large its
+   * number; a response is not.
    */
   @Test
   void aSessionDoesNotOutliveItsLease() {
@@ -195,7 +198,10 @@
         freshness.classifyHeartbeat(new Position(PRESENT, 3, 12), true, at(31)));
   }
 
-  /** A report that an answer has overtaken is answered for as long as its sender waits, once. */
+  /**
+   * A heartbeat that was overtaken by a response is answered while its sender still waits, and only
+   * once.
+   */
   @Test
   void whatIsOvertakenIsAnsweredOnce() {
     StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
--- a/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
@@ -22,8 +22,8 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Three controllers, cancellations, reports that are held up for forty seconds, a state service
- * that serves whom it likes, restarts.
+ * Simulates three controllers, cancellations, reports delayed by up to forty seconds, a store that
+ * is reachable for some of them only, and restarts.
  */
 class StartPermissionTest {
   private static final int DAYS = 1000;
@@ -32,7 +32,7 @@
   private static final long TOLD_AFTER_MS = 8000;
   private static final TimeSpan LIMIT = TimeSpan.ofMillis(6500);
 
-  /** What the holder leaves out. */
+  /** A part of the rule that the owner leaves out. */
   private enum Flaw {
     NONE,
     RECEIPTS,
@@ -51,7 +51,9 @@
     }
   }
 
-  /** One that takes cancellations and tells them; what it knows goes with its life. */
+  /**
+   * A controller that accepts cancellations and confirms them; it loses its memory in a restart.
+   */
   private static final class Teller {
     final ControllerId member;
     final Map<Long, Long> seenMs = new HashMap<>();
@@ -132,7 +134,7 @@
               arrive));
     }
 
-    /** The name of a life; the first lives of all processes have none. */
+    /** The incarnation; all processes share the same one before their first lease. */
     private Incarnation name(long of) {
       return of == 0 && flaw == Flaw.NO_LIFE_YET ? new Incarnation(-1) : new Incarnation(of);
     }
@@ -196,7 +198,7 @@
       }
     }
 
-    /** What was started after its user had been told, or null. */
+    /** Returns what was started after its user had been told of the cancellation, or null. */
     String play() {
       for (; nowMs < 240_000; nowMs += STEP_MS) {
         for (int i = 0; i < served.length; i++) {
@@ -211,7 +213,12 @@
         if (confirmed != null && permission.isGranted(confirmed, new Revision(noted), now())) {
           beyondLimit += now().since(confirmed).isLongerThan(LIMIT) ? 1 : 0;
           if (!toldMs.tailMap(noted, false).isEmpty()) {
-            return "at " + nowMs + ", noted up to " + noted + ", told " + toldMs;
+            return "at "
+                + nowMs
+                + ", owner has seen revision "
+                + noted
+                + ", confirmed to users "
+                + toldMs;
           }
         }
       }
@@ -227,10 +234,10 @@
       assertNull(day.play(), "seed " + seed);
       beyondLimit += day.beyondLimit;
     }
-    assertTrue(beyondLimit > 10 * DAYS, "starts without word: " + beyondLimit);
+    assertTrue(beyondLimit > 10 * DAYS, "starts without store contact: " + beyondLimit);
   }
 
-  /** A holder that leaves out any of what the proof rests on is found. */
+  /** An owner that leaves out any part of the rule violates it. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
   void eachGuardIsNeeded(Flaw flaw) {
--- a/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
+++ b/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
@@ -15,9 +15,9 @@
   private static final double MESSAGES_S = 0.9;
 
   /**
-   * The worst that the proof knows, with every clock wrong its own way: a holder whose last word is
-   * from the moment before the cancellation became durable, a machine that it answered last of all,
-   * and a user who is told as soon as may be.
+   * The worst case of the proof with every clock off in a different direction: an owner whose last
+   * store contact is just before the cancellation became durable, a machine that it answered last,
+   * and a user who is told as early as possible.
    */
   @Property(tries = 2000, seed = "31")
   void allIsGoneInTimeWhateverTheSettings(
@@ -45,8 +45,8 @@
         UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
     double t = bound.maxUnconfirmed().seconds();
     double toldAfter = bound.confirmCancellationAfter().seconds();
-    assertTrue(t > 4.9, "a hiccup is lived through: " + bound);
-    assertTrue(toldAfter >= 8 && toldAfter < 45.1, "users are still there to be told: " + bound);
+    assertTrue(t > 4.9, "T is long enough for a brief disturbance: " + bound);
+    assertTrue(toldAfter >= 8 && toldAfter < 45.1, "users still retry when D has passed: " + bound);
     double goneAfterDurable = t * (1 + DRIFT) + lease * (1 + DRIFT) + MESSAGES_S;
     double told = toldAfter * (1 - DRIFT);
     assertTrue(
@@ -54,7 +54,7 @@
     if (bound.acknowledgementSuffices()) {
       assertTrue(
           lease * (1 + DRIFT) + 12 + MESSAGES_S <= cancel,
-          "one lease and what is held up: " + bound);
+          "one lease and a delayed start fit: " + bound);
     }
   }
 
@@ -75,8 +75,7 @@
   }
 
   /**
-   * Where T came out at less than a second it was taken for one, and tasks outlived their
-   * cancellation.
+   * T below one second used to be rounded up to one second, and tasks outlived their cancellation.
    */
   @Example
   void whereLeasesAreLongUsersWaitLonger() {
@@ -84,8 +83,7 @@
     assertEquals(5, bound.maxUnconfirmed().seconds(), 1e-6);
     assertEquals(5 + 60.12 + 1.5 - 36, bound.confirmCancellationAfter().seconds(), 1e-6);
     assertTrue(
-        !bound.acknowledgementSuffices(),
-        "a machine that does not hear the stop goes on for a lease");
+        !bound.acknowledgementSuffices(), "a machine that misses the stop continues for a lease");
     assertThrows(IllegalArgumentException.class, () -> of(80, 36));
   }
 
