--- a/src/main/java/org/quincecross/admin/AccountingLog.java
+++ b/src/main/java/org/quincecross/admin/AccountingLog.java
@@ -37,22 +37,22 @@
    * Interval at which allocations by other controllers are read; a start is counted at most this
    * much late.
    */
-  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(2);
+  private static final TimeSpan REFRESH_INTERVAL = TimeSpan.ofSeconds(2);
 
   /** Upper limit of the teams listed; beyond it, those served least. */
-  private static final int MOST_TEAMS = 50;
+  private static final int MAX_TEAMS = 50;
 
   private final Timers timers;
   private final ClusterStateCache cache;
   private final Leader leader;
   private final LongSupplier clockMs;
-  private final TimeSpan every;
+  private final TimeSpan logInterval;
   private final StartBlock startBlock;
-  private final JobAccounting books;
+  private final JobAccounting accounting;
 
   /**
    * @param clockMs returns the time of day
-   * @param every interval at which the leader logs the figures
+   * @param logInterval interval at which the leader logs the figures
    * @param startBlock tasks that must not run now, which do not count as unserved
    */
   public AccountingLog(
@@ -61,15 +61,15 @@
       Leader leader,
       Settings settings,
       LongSupplier clockMs,
-      TimeSpan every,
+      TimeSpan logInterval,
       StartBlock startBlock) {
     this.timers = timers;
     this.cache = cache;
     this.leader = leader;
     this.clockMs = clockMs;
-    this.every = every;
+    this.logInterval = logInterval;
     this.startBlock = startBlock;
-    this.books =
+    this.accounting =
         new JobAccounting(
             job -> {
               JobRecord record = cache.storedJob(job.id());
@@ -79,19 +79,19 @@
   }
 
   public void start() {
-    cache.addListener(this::ledgerChanged);
-    leader.addListener((job, more, reached) -> books.started(job, reached, timers.now()));
+    cache.addListener(this::cacheChanged);
+    leader.addListener((job, more, reached) -> accounting.started(job, reached, timers.now()));
     timers.every(
-        LOOK_EVERY,
+        REFRESH_INTERVAL,
         () -> {
           if (cache.isLoaded()) {
             leader.refreshAllocations();
           }
         });
-    timers.every(every, this::log);
+    timers.every(logInterval, this::log);
   }
 
-  private void ledgerChanged(ClusterStateCache.Changes changes) {
+  private void cacheChanged(ClusterStateCache.Changes changes) {
     MonotonicTime now = timers.now();
     for (JobId id : changes.jobs()) {
       JobRecord record = cache.job(id);
@@ -107,38 +107,39 @@
               TimeSpan.ofMillis(Math.max(0, clockMs.getAsLong() - cache.runnableSinceMs(record)));
           MonotonicTime accepted = new MonotonicTime(now.nanos() - age.nanos());
           if (changes.reloaded()) {
-            books.recordAlreadyOpen(cache.storedJob(id).job(), accepted);
+            accounting.recordAlreadyOpen(cache.storedJob(id).job(), accepted);
           } else {
-            books.accepted(cache.storedJob(id).job(), accepted);
+            accounting.accepted(cache.storedJob(id).job(), accepted);
           }
-          books.blocked(id, startBlock.blockedTasks(record.job()).size(), now);
+          accounting.blocked(id, startBlock.blockedTasks(record.job()).size(), now);
         }
-        case DONE -> books.done(id, now);
-        case CANCELLED -> books.cancelled(id, now);
+        case DONE -> accounting.done(id, now);
+        case CANCELLED -> accounting.cancelled(id, now);
         default -> throw new IllegalStateException(record.phase().toString());
       }
     }
   }
 
   /** Called when other tasks of some jobs are blocked than before. */
-  public void withheldChanged(Set<JobId> jobs) {
+  public void startBlockChanged(Set<JobId> jobs) {
     for (JobId id : jobs) {
       JobRecord record = cache.job(id);
       if (record != null && record.phase() == JobPhase.OPEN) {
-        books.blocked(id, startBlock.blockedTasks(record.job()).size(), timers.now());
+        accounting.blocked(id, startBlock.blockedTasks(record.job()).size(), timers.now());
       }
     }
   }
 
   /** Returns the teams, least served first. */
   private List<Map.Entry<String, ServiceLevels>> teams(MonotonicTime now) {
-    leader.tasksOverTeamLimit(books.openIds()).forEach(books::heldBack);
-    List<Map.Entry<String, ServiceLevels>> teams = new ArrayList<>(books.teams(now).entrySet());
+    leader.tasksOverTeamLimit(accounting.openIds()).forEach(accounting::heldBack);
+    List<Map.Entry<String, ServiceLevels>> teams =
+        new ArrayList<>(accounting.teams(now).entrySet());
     teams.sort(
         Comparator.comparingDouble(
                 (Map.Entry<String, ServiceLevels> team) -> team.getValue().lowestShare())
             .thenComparing(Map.Entry::getKey));
-    return teams.subList(0, Math.min(MOST_TEAMS, teams.size()));
+    return teams.subList(0, Math.min(MAX_TEAMS, teams.size()));
   }
 
   private void log() {
@@ -147,35 +148,35 @@
     }
     MonotonicTime now = timers.now();
     List<Map.Entry<String, ServiceLevels>> teams = teams(now);
-    Map<JobAccounting.Group, ServiceLevels> groups = books.groups(now);
+    Map<JobAccounting.Group, ServiceLevels> groups = accounting.groups(now);
     for (Map.Entry<String, ServiceLevels> team : teams) {
       StringBuilder line = new StringBuilder();
       groups.forEach(
-          (group, served) -> {
+          (group, levels) -> {
             if (group.team().equals(team.getKey())) {
-              line.append("; ").append(group.jobClass()).append(words(served));
+              line.append("; ").append(group.jobClass()).append(format(levels));
             }
           });
-      LOG.info("served {}{}{}", team.getKey(), words(team.getValue()), line);
+      LOG.info("served {}{}{}", team.getKey(), format(team.getValue()), line);
     }
-    books
+    accounting
         .largest(now)
         .forEach(
-            (name, parts) ->
-                parts.forEach(
-                    part ->
+            (name, fractions) ->
+                fractions.forEach(
+                    fraction ->
                         LOG.info(
                             "{}",
                             String.format(
                                 Locale.ROOT,
                                 "served %s largest %.2f: done %d/%d, begun in time %d/%d, longest %.0f s",
                                 name,
-                                part.fraction(),
-                                part.served(),
-                                part.jobs(),
-                                part.inTime(),
-                                part.due(),
-                                part.longestS()))));
+                                fraction.fraction(),
+                                fraction.served(),
+                                fraction.jobs(),
+                                fraction.inTime(),
+                                fraction.due(),
+                                fraction.longestS()))));
     if (leader.overload() != null) {
       LOG.info("{}", Json.object("overload", overload(now)));
     }
@@ -185,30 +186,28 @@
    * Formats the figures for the log: jobs ended of accepted, tasks started of startable, and each
    * objective as met of due.
    */
-  private static String words(ServiceLevels served) {
-    StringBuilder words =
+  private static String format(ServiceLevels levels) {
+    StringBuilder text =
         new StringBuilder(
             String.format(
                 Locale.ROOT,
                 " least %.2f: jobs %d/%d, tasks %d/%d",
-                served.lowestShare(),
-                served.ended(),
-                served.jobs(),
-                served.started(),
-                served.startable()));
-    served
+                levels.lowestShare(),
+                levels.ended(),
+                levels.jobs(),
+                levels.started(),
+                levels.startable()));
+    levels
         .objectives()
         .forEach(
-            met ->
-                words
-                    .append(", ")
-                    .append(met.objective())
+            objective ->
+                text.append(", ")
+                    .append(objective.objective())
                     .append(' ')
-                    .append(met.met())
+                    .append(objective.met())
                     .append('/')
-                    .append(met.met() + met.missed()));
-    return words
-        .append(String.format(Locale.ROOT, ", starved %.0f s", served.starvedS()))
+                    .append(objective.met() + objective.missed()));
+    return text.append(String.format(Locale.ROOT, ", starved %.0f s", levels.starvedS()))
         .toString();
   }
 
@@ -216,15 +215,15 @@
   List<Object> write() {
     MonotonicTime now = timers.now();
     List<Map.Entry<String, ServiceLevels>> teams = cache.isLoaded() ? teams(now) : List.of();
-    Map<JobAccounting.Group, ServiceLevels> groups = books.groups(now);
+    Map<JobAccounting.Group, ServiceLevels> groups = accounting.groups(now);
     List<Object> list = new ArrayList<>();
     for (Map.Entry<String, ServiceLevels> team : teams) {
       Map<String, Object> item = served(team.getValue());
       Map<String, Object> classes = Json.object();
       groups.forEach(
-          (group, each) -> {
+          (group, levels) -> {
             if (group.team().equals(team.getKey())) {
-              classes.put(group.jobClass(), served(each));
+              classes.put(group.jobClass(), served(levels));
             }
           });
       item.put("team", team.getKey());
@@ -236,15 +235,15 @@
 
   /** Returns for the status how the largest jobs of each class were served. */
   Map<String, Object> largest() {
-    return writeLargest(books.largest(timers.now()));
+    return writeLargest(accounting.largest(timers.now()));
   }
 
   /** Writes how the largest jobs of each class were served, as JSON. */
   public static Map<String, Object> writeLargest(Map<String, List<LargestJobs>> all) {
     Map<String, Object> written = Json.object();
     all.forEach(
-        (name, parts) ->
-            written.put(name, parts.stream().map(AccountingLog::writeLargestJobs).toList()));
+        (name, fractions) ->
+            written.put(name, fractions.stream().map(AccountingLog::writeLargestJobs).toList()));
     return written;
   }
 
@@ -264,30 +263,32 @@
         jobs.longestS());
   }
 
-  private static Map<String, Object> served(ServiceLevels served) {
-    Map<String, Object> aims = Json.object();
-    served
+  private static Map<String, Object> served(ServiceLevels levels) {
+    Map<String, Object> objectives = Json.object();
+    levels
         .objectives()
         .forEach(
-            met ->
-                aims.put(met.objective(), Json.object("met", met.met(), "missed", met.missed())));
+            objective ->
+                objectives.put(
+                    objective.objective(),
+                    Json.object("met", objective.met(), "missed", objective.missed())));
     return Json.object(
         "least",
-        served.lowestShare(),
+        levels.lowestShare(),
         "jobs",
-        served.jobs(),
+        levels.jobs(),
         "ended",
-        served.ended(),
+        levels.ended(),
         "tasks",
-        served.tasks(),
+        levels.tasks(),
         "startable",
-        served.startable(),
+        levels.startable(),
         "started",
-        served.started(),
+        levels.started(),
         "starved_s",
-        served.starvedS(),
+        levels.starvedS(),
         "aims",
-        aims);
+        objectives);
   }
 
   /** Returns for the status whether there is an overload; null if it is not monitored here. */
--- a/src/main/java/org/quincecross/admin/AdminApi.java
+++ b/src/main/java/org/quincecross/admin/AdminApi.java
@@ -46,7 +46,7 @@
   private final Leader leader;
   private final Metrics metrics;
   private final StallDetector stalls;
-  private final AccountingLog served;
+  private final AccountingLog accounting;
   private final ControllerId self;
   private final Settings.StoreLimits limits;
 
@@ -63,7 +63,7 @@
       Leader leader,
       Metrics metrics,
       StallDetector stalls,
-      AccountingLog served,
+      AccountingLog accounting,
       ControllerId self,
       Settings.StoreLimits limits) {
     this.timers = timers;
@@ -75,22 +75,22 @@
     this.leader = leader;
     this.metrics = metrics;
     this.stalls = stalls;
-    this.served = served;
+    this.accounting = accounting;
     this.self = self;
     this.limits = limits;
   }
 
   public void handle(HttpRequest request, Consumer<HttpResponse> reply) {
-    String what = request.path().substring(ROOT.length());
+    String resource = request.path().substring(ROOT.length());
     boolean get = request.method().equals("GET");
-    switch (what) {
+    switch (resource) {
       case "/status" -> answer(get, this::status, reply);
       case "/blocks" -> answer(get, this::blocks, reply);
       case "/machines" -> answer(get, this::machines, reply);
       case "/metrics" -> answer(get, metrics::write, reply);
       case "/settings" -> {
         if (request.method().equals("PUT")) {
-          change(request.body(), reply);
+          changeSettings(request.body(), reply);
         } else {
           answer(get, this::settings, reply);
         }
@@ -101,17 +101,17 @@
     }
   }
 
-  private static HttpResponse error(int status, String why) {
-    return HttpResponse.of(status, JobCodec.writeError(why));
+  private static HttpResponse error(int status, String reason) {
+    return HttpResponse.of(status, JobCodec.writeError(reason));
   }
 
   /** Creates the body of a response. */
-  private interface View {
-    Object make();
+  private interface ResponseBody {
+    Object create();
   }
 
-  private static void answer(boolean get, View view, Consumer<HttpResponse> reply) {
-    reply.accept(get ? HttpResponse.of(200, Json.write(view.make())) : HttpResponse.of(405));
+  private static void answer(boolean get, ResponseBody body, Consumer<HttpResponse> reply) {
+    reply.accept(get ? HttpResponse.of(200, Json.write(body.create())) : HttpResponse.of(405));
   }
 
   private Object status() {
@@ -136,11 +136,11 @@
             });
     return Json.object(
         "membership",
-        StatusWords.of(membership.state()),
+        StatusNames.of(membership.state()),
         "life",
         membership.life().value(),
         "role",
-        StatusWords.of(leader.state()),
+        StatusNames.of(leader.state()),
         "leader",
         cache.leader() == null ? null : cache.leader().id().text(),
         "members",
@@ -174,11 +174,11 @@
         "stalled",
         stalls.write(),
         "served",
-        served == null ? null : served.write(),
+        accounting == null ? null : accounting.write(),
         "largest",
-        served == null ? null : served.largest(),
+        accounting == null ? null : accounting.largest(),
         "overload",
-        served == null ? null : served.overload(timers.now()));
+        accounting == null ? null : accounting.overload(timers.now()));
   }
 
   private Object blocks() {
@@ -254,7 +254,7 @@
 
   // ---- settings ----
 
-  private OperatorSettings present() {
+  private OperatorSettings currentSettings() {
     return settings(cache);
   }
 
@@ -268,21 +268,21 @@
         "version",
         cache.version(StoreKeys.OPERATOR_SETTINGS).value(),
         "settings",
-        present().write());
+        currentSettings().write());
   }
 
   /**
    * Handles {@code {"version": V, "settings": {...}}}, where V is the version that the change is
    * based on.
    */
-  private void change(byte[] body, Consumer<HttpResponse> reply) {
+  private void changeSettings(byte[] body, Consumer<HttpResponse> reply) {
     OperatorSettings next;
     Map<String, Object> record;
     Revision version;
     try {
       JsonFields in = Json.parseFields(body);
       version = new Revision(in.unsigned("version"));
-      next = OperatorSettings.read(in.raw("settings"), present());
+      next = OperatorSettings.read(in.raw("settings"), currentSettings());
       record = next.write();
       record.putAll(OperatorSettings.unknownFields(cache.operatorSettings()));
     } catch (MalformedMessageException e) {
--- a/src/main/java/org/quincecross/admin/Metrics.java
+++ b/src/main/java/org/quincecross/admin/Metrics.java
@@ -9,14 +9,14 @@
 
 /** Latency histograms of requests, by request type and response status. */
 public final class Metrics {
-  private static final long MOST_MS = 60_000;
+  private static final long MAX_MS = 60_000;
 
   private final Map<String, Histogram> latencies = new TreeMap<>();
 
-  public void record(String what, int status, TimeSpan took) {
+  public void record(String requestType, int status, TimeSpan latency) {
     latencies
-        .computeIfAbsent(what + " " + status, name -> new Histogram(MOST_MS, 2))
-        .recordValue(Math.min(MOST_MS, Math.max(0, took.millis())));
+        .computeIfAbsent(requestType + " " + status, name -> new Histogram(MAX_MS, 2))
+        .recordValue(Math.min(MAX_MS, Math.max(0, latency.millis())));
   }
 
   Map<String, Object> write() {
--- a/src/main/java/org/quincecross/admin/ModelDemandCollector.java
+++ b/src/main/java/org/quincecross/admin/ModelDemandCollector.java
@@ -36,43 +36,45 @@
  */
 public final class ModelDemandCollector {
   /** Retry interval of a wake command that could not be made durable. */
-  private static final TimeSpan AGAIN = TimeSpan.ofMillis(500);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.ofMillis(500);
 
   /**
    * Upper limit of callers waiting for the same wake command; others are told at once that it is on
    * its way.
    */
-  private static final int MOST_WAITING = 256;
+  private static final int MAX_WAITING = 256;
 
   /** Models whose idle time exceeds this multiple of their idle timeout are dropped here. */
-  private static final double FORGOTTEN_AFTER = 2;
+  private static final double DROP_AFTER_IDLE_TIMEOUTS = 2;
 
-  private final ReplicatedFeatureContext base;
+  private final ReplicatedFeatureContext context;
   private final ModelIndex records;
   private final BiFunction<JobId, Integer, Boolean> runsHere;
-  private final MonotonicTime begun;
+  private final MonotonicTime observedSince;
   private final Map<String, ModelDemand> demands = new TreeMap<>();
   private final Map<String, List<Consumer<CommandResponse>>> waiting = new HashMap<>();
-  private final Set<String> asking = new HashSet<>();
+  private final Set<String> submitting = new HashSet<>();
   private long wakes;
-  private long asked;
+  private long submitted;
 
   /**
    * @param runsHere whether a replica runs in a shard of this controller
    */
   public ModelDemandCollector(
-      ReplicatedFeatureContext base,
+      ReplicatedFeatureContext context,
       ModelIndex records,
       BiFunction<JobId, Integer, Boolean> runsHere) {
-    this.base = base;
+    this.context = context;
     this.records = records;
     this.runsHere = runsHere;
-    this.begun = base.timers().now();
+    this.observedSince = context.timers().now();
   }
 
   /** Starts retrying wake commands that are still pending. */
   public void start() {
-    base.timers().every(AGAIN, () -> List.copyOf(demands.keySet()).forEach(this::askIfWanted));
+    context
+        .timers()
+        .every(RETRY_INTERVAL, () -> List.copyOf(demands.keySet()).forEach(this::submitIfWanted));
   }
 
   /**
@@ -80,18 +82,18 @@
    * them.
    */
   public Map<String, Long> counts() {
-    return Map.of("wakes", wakes, "asked", asked);
+    return Map.of("wakes", wakes, "asked", submitted);
   }
 
   /** Returns the in-flight requests of callers of this controller. */
   public int inFlight(String name) {
     ModelDemand demand = demands.get(name);
-    return demand == null ? 0 : demand.inFlight(base.timers().now());
+    return demand == null ? 0 : demand.inFlight(context.timers().now());
   }
 
   /** Called when records have changed. */
-  public void ledgerChanged(ClusterStateCache.Changes changes) {
-    MonotonicTime now = base.timers().now();
+  public void cacheChanged(ClusterStateCache.Changes changes) {
+    MonotonicTime now = context.timers().now();
     if (changes.reloaded()) {
       demands.forEach((name, demand) -> demand.update(records.book().state(name), now));
     } else {
@@ -103,7 +105,7 @@
       }
     }
     if (!changes.replicatedRecords().isEmpty() || changes.reloaded()) {
-      List.copyOf(demands.keySet()).forEach(this::askIfWanted);
+      List.copyOf(demands.keySet()).forEach(this::submitIfWanted);
     }
   }
 
@@ -111,8 +113,8 @@
     return demands.computeIfAbsent(
         name,
         id -> {
-          ModelDemand demand = new ModelDemand(begun);
-          demand.update(records.book().state(id), base.timers().now());
+          ModelDemand demand = new ModelDemand(observedSince);
+          demand.update(records.book().state(id), context.timers().now());
           return demand;
         });
   }
@@ -124,50 +126,53 @@
   public void wake(String name, Consumer<CommandResponse> done) {
     wakes++;
     ModelDemand demand = demand(name);
-    demand.wake(base.timers().now());
-    wait(name, demand, done);
+    demand.wake(context.timers().now());
+    awaitUp(name, demand, done);
   }
 
   /** Records the in-flight requests of a caller. */
-  public void told(String name, String caller, int inFlight, Consumer<CommandResponse> done) {
+  public void reportInFlight(
+      String name, String caller, int inFlight, Consumer<CommandResponse> done) {
     ModelDemand demand = demand(name);
-    demand.reportInFlight(caller, inFlight, base.timers().now());
-    wait(name, demand, done);
+    demand.reportInFlight(caller, inFlight, context.timers().now());
+    awaitUp(name, demand, done);
   }
 
-  private void wait(String name, ModelDemand demand, Consumer<CommandResponse> done) {
+  private void awaitUp(String name, ModelDemand demand, Consumer<CommandResponse> done) {
     if (demand.state() == ModelDemand.State.SATISFIED) {
       done.accept(new CommandResponse(200, "", 0, Revision.NONE, 0));
       return;
     }
-    List<Consumer<CommandResponse>> all = waiting.computeIfAbsent(name, id -> new ArrayList<>());
-    if (all.size() >= MOST_WAITING) {
+    List<Consumer<CommandResponse>> callers =
+        waiting.computeIfAbsent(name, id -> new ArrayList<>());
+    if (callers.size() >= MAX_WAITING) {
       done.accept(new CommandResponse(202, "it has been asked for", 0, Revision.NONE, 1));
     } else {
-      all.add(done);
-      askIfWanted(name);
+      callers.add(done);
+      submitIfWanted(name);
     }
   }
 
-  private void askIfWanted(String name) {
+  private void submitIfWanted(String name) {
     ModelDemand demand = demands.get(name);
-    if (demand.state() != ModelDemand.State.WANTED || !asking.add(name)) {
+    if (demand.state() != ModelDemand.State.WANTED || !submitting.add(name)) {
       return;
     }
-    asked++;
-    base.store()
+    submitted++;
+    context
+        .store()
         .submit(
             records.book(),
             name,
             RecordCommand.own(new ModelCommand.Wake()),
             answer -> {
-              asking.remove(name);
+              submitting.remove(name);
               if (answer.status() >= 400 && answer.status() < 500) {
                 demand.wakeRejected();
               }
-              List<Consumer<CommandResponse>> all = waiting.remove(name);
-              if (all != null) {
-                all.forEach(done -> done.accept(answer));
+              List<Consumer<CommandResponse>> callers = waiting.remove(name);
+              if (callers != null) {
+                callers.forEach(done -> done.accept(answer));
               }
             });
   }
@@ -179,8 +184,8 @@
     if (records.book().all().isEmpty()) {
       return null;
     }
-    MonotonicTime now = base.timers().now();
-    Map<String, ClusterDemand.ModelReport> told = new LinkedHashMap<>();
+    MonotonicTime now = context.timers().now();
+    Map<String, ClusterDemand.ModelReport> reports = new LinkedHashMap<>();
     demands
         .entrySet()
         .removeIf(
@@ -191,11 +196,12 @@
                       && !model.isUp()
                       && each.getValue()
                           .idleTime(now)
-                          .isLongerThan(model.limits().idleTimeout().times(FORGOTTEN_AFTER)));
+                          .isLongerThan(
+                              model.limits().idleTimeout().times(DROP_AFTER_IDLE_TIMEOUTS)));
             });
     demands.forEach(
         (name, demand) ->
-            told.put(
+            reports.put(
                 name, new ClusterDemand.ModelReport(demand.inFlight(now), demand.idleTime(now))));
     Set<TaskId> running = new HashSet<>();
     for (ReplicatedRecordIndex.Held<Model> held : records.book().all().values()) {
@@ -209,6 +215,6 @@
                 }
               });
     }
-    return new ModelStatusReport(now.since(begun), told, running).write();
+    return new ModelStatusReport(now.since(observedSince), reports, running).write();
   }
 }
--- a/src/main/java/org/quincecross/admin/ModelsApi.java
+++ b/src/main/java/org/quincecross/admin/ModelsApi.java
@@ -36,34 +36,34 @@
  */
 public final class ModelsApi {
   public static final String ROOT = AdminApi.ROOT + "/models";
-  private static final int MOST_IN_FLIGHT = 10_000_000;
-  private static final List<String> TERMS =
+  private static final int MAX_IN_FLIGHT = 10_000_000;
+  private static final List<String> LIMIT_FIELDS =
       List.of("job", "least", "most", "per_replica", "idle_s", "keep_warm");
 
-  private final ReplicatedFeatureContext base;
+  private final ReplicatedFeatureContext context;
   private final ModelIndex records;
-  private final ModelDemandCollector desk;
-  private final ModelPlacementView fleet;
+  private final ModelDemandCollector demand;
+  private final ModelPlacementView placementView;
   private final ToIntFunction<JobId> running;
 
   /**
    * @param running how many tasks of a job run, as reported by their shard owners
    */
   public ModelsApi(
-      ReplicatedFeatureContext base,
+      ReplicatedFeatureContext context,
       ModelIndex records,
-      ModelDemandCollector desk,
-      ModelPlacementView fleet,
+      ModelDemandCollector demand,
+      ModelPlacementView placementView,
       ToIntFunction<JobId> running) {
-    this.base = base;
+    this.context = context;
     this.records = records;
-    this.desk = desk;
-    this.fleet = fleet;
+    this.demand = demand;
+    this.placementView = placementView;
     this.running = running;
   }
 
-  private static HttpResponse error(int status, String why) {
-    return HttpResponse.of(status, JobCodec.writeError(why));
+  private static HttpResponse error(int status, String reason) {
+    return HttpResponse.of(status, JobCodec.writeError(reason));
   }
 
   /** Handles a request below {@link #ROOT}. */
@@ -83,7 +83,9 @@
           error(404, "no name of a model: letters, digits, '.', '_' and '-', at most 100"));
     } else if (get) {
       reply.accept(
-          known(parts[0]) ? HttpResponse.of(200, Json.write(show(parts[0]))) : unknown(parts[0]));
+          isDefined(parts[0])
+              ? HttpResponse.of(200, Json.write(show(parts[0])))
+              : notDefined(parts[0]));
     } else {
       try {
         post(parts[0], parts.length == 1 ? "define" : parts[1], request.body(), reply);
@@ -93,51 +95,54 @@
     }
   }
 
-  private boolean known(String name) {
+  private boolean isDefined(String name) {
     return records.book().state(name).isDefined();
   }
 
-  private static HttpResponse unknown(String name) {
+  private static HttpResponse notDefined(String name) {
     return error(404, "no model " + name + " is defined");
   }
 
-  private void post(String name, String what, byte[] body, Consumer<HttpResponse> reply)
+  private void post(String name, String action, byte[] body, Consumer<HttpResponse> reply)
       throws MalformedMessageException, MalformedRecordException {
     JsonFields in = Json.parseFields(body);
-    if (!what.equals("define") && !known(name)) {
-      reply.accept(unknown(name));
+    if (!action.equals("define") && !isDefined(name)) {
+      reply.accept(notDefined(name));
       return;
     }
-    switch (what) {
+    switch (action) {
       case "define" -> define(name, in, reply);
       case "wake" -> {
-        only(in, List.of());
+        allowOnly(in, List.of());
         if (mayWake(name, reply)) {
-          desk.wake(name, answer -> reply.accept(answered(name, answer)));
+          demand.wake(name, answer -> reply.accept(answered(name, answer)));
         }
       }
       case "load" -> {
-        only(in, List.of("from", "in_flight"));
+        allowOnly(in, List.of("from", "in_flight"));
         String from = in.string("from");
-        int inFlight = in.integer("in_flight", 0, MOST_IN_FLIGHT);
+        int inFlight = in.integer("in_flight", 0, MAX_IN_FLIGHT);
         if (from.isBlank() || from.length() > ReplicatedRecord.MAX_REQUEST_NAME_LENGTH) {
           throw new MalformedMessageException(
               "field from is not 1 to " + ReplicatedRecord.MAX_REQUEST_NAME_LENGTH + " characters");
         }
         if (inFlight == 0 || mayWake(name, reply)) {
-          desk.told(name, from, inFlight, answer -> reply.accept(answered(name, answer)));
+          demand.reportInFlight(
+              name, from, inFlight, answer -> reply.accept(answered(name, answer)));
         }
       }
       case "drain" -> {
-        only(in, List.of("request", "by"));
+        allowOnly(in, List.of("request", "by"));
         change(name, in, new ModelKind().command(Json.object("do", "drain")), reply);
       }
       default ->
-          reply.accept(error(404, "unknown request " + what + "; there are wake, load and drain"));
+          reply.accept(
+              error(404, "unknown request " + action + "; there are wake, load and drain"));
     }
   }
 
-  private static void only(JsonFields in, List<String> names) throws MalformedMessageException {
+  private static void allowOnly(JsonFields in, List<String> names)
+      throws MalformedMessageException {
     for (String name : in.fieldNames()) {
       if (!names.contains(name)) {
         throw new MalformedMessageException(
@@ -150,7 +155,7 @@
 
   /** Whether the model's job can run; if not, responds with the reason. */
   private boolean mayWake(String name, Consumer<HttpResponse> reply) {
-    JobRecord job = base.cache().job(records.book().state(name).job());
+    JobRecord job = context.cache().job(records.book().state(name).job());
     if (job == null || job.phase() == JobPhase.OPEN) {
       return true;
     }
@@ -168,18 +173,18 @@
 
   private void define(String name, JsonFields in, Consumer<HttpResponse> reply)
       throws MalformedMessageException, MalformedRecordException {
-    List<String> names = new ArrayList<>(TERMS);
+    List<String> names = new ArrayList<>(LIMIT_FIELDS);
     names.addAll(List.of("request", "by"));
-    only(in, names);
+    allowOnly(in, names);
     Map<String, Object> command = Json.object("do", "define");
-    TERMS.forEach(
-        term -> {
-          if (in.has(term)) {
-            command.put(term, in.raw(term));
+    LIMIT_FIELDS.forEach(
+        field -> {
+          if (in.has(field)) {
+            command.put(field, in.raw(field));
           }
         });
     ModelCommand.Define define = (ModelCommand.Define) new ModelKind().command(command);
-    JobRecord job = base.cache().job(define.job());
+    JobRecord job = context.cache().job(define.job());
     String other = records.nameOf(define.job());
     if (job == null) {
       reply.accept(error(404, "no job " + define.job() + " is known here: submit it first"));
@@ -229,7 +234,8 @@
       throw new MalformedMessageException(
           "field request is not 1 to " + ReplicatedRecord.MAX_REQUEST_NAME_LENGTH + " characters");
     }
-    base.store()
+    context
+        .store()
         .submit(
             records.book(),
             name,
@@ -270,7 +276,7 @@
       records
           .book()
           .kind()
-          .rows(each.getKey(), each.getValue().state(), base.at())
+          .rows(each.getKey(), each.getValue().state(), context.at())
           .forEach(
               row -> {
                 row.put("running", running.applyAsInt(each.getValue().state().job()));
@@ -284,15 +290,15 @@
                 "rows",
                 rows,
                 "wakes",
-                desk.counts().get("wakes"),
+                demand.counts().get("wakes"),
                 "asked",
-                desk.counts().get("asked"))));
+                demand.counts().get("asked"))));
   }
 
   private Map<String, Object> show(String name) {
     Model model = records.book().state(name);
-    JobRecord record = base.cache().job(model.job());
-    int runs = running.applyAsInt(model.job());
+    JobRecord record = context.cache().job(model.job());
+    int runningTasks = running.applyAsInt(model.job());
     Map<String, Object> out =
         Json.object(
             "model",
@@ -306,38 +312,38 @@
             "wanted",
             model.desiredReplicas(),
             "running",
-            runs,
+            runningTasks,
             "why",
             model.reason(),
             "in_flight_here",
-            desk.inFlight(name));
+            demand.inFlight(name));
     if (record != null && record.job() != null && record.phase() == JobPhase.OPEN) {
-      double elapsedS = Math.max(0, (base.at().timeOfDayMs() - model.phaseSinceMs()) / 1000.0);
+      double elapsedS = Math.max(0, (context.at().timeOfDayMs() - model.phaseSinceMs()) / 1000.0);
       ModelPlacementView.Estimate estimate =
-          model.phase() == Model.Phase.WARM && runs > 0
+          model.phase() == Model.Phase.WARM && runningTasks > 0
               ? new ModelPlacementView.Estimate(0, 0)
               : model.isUp()
-                  ? fleet.estimate(record.job(), model, elapsedS, base.timers().now())
-                  : fleet.estimate(record.job(), base.timers().now());
+                  ? placementView.estimate(record.job(), model, elapsedS, context.timers().now())
+                  : placementView.estimate(record.job(), context.timers().now());
       if (!Double.isInfinite(estimate.worstS())) {
         out.put("ready_in_s", Math.round(10 * estimate.bestS()) / 10.0);
         out.put("ready_by_s", Math.round(10 * estimate.worstS()) / 10.0);
       }
     }
-    List<Object> places = new ArrayList<>();
+    List<Object> placements = new ArrayList<>();
     model
         .placements()
         .forEach(
-            (replica, place) ->
-                places.add(
+            (replica, placement) ->
+                placements.add(
                     Json.object(
                         "replica",
                         replica,
                         "machine",
-                        place.machine().text(),
+                        placement.machine().text(),
                         "epoch",
-                        place.epoch())));
-    out.put("places", places);
+                        placement.epoch())));
+    out.put("places", placements);
     out.put("least", model.limits().minReplicas());
     out.put("most", model.limits().maxReplicas());
     out.put("per_replica", model.limits().requestsPerReplica());
--- a/src/main/java/org/quincecross/admin/AgreedApi.java
+++ b/src/main/java/org/quincecross/admin/ReplicatedRecordsApi.java
@@ -28,30 +28,30 @@
  * kind, one record, a change of it, and the audit trail. Responses are given from state that was
  * confirmed after the request arrived; if it cannot be confirmed, the status is 503.
  */
-public final class AgreedApi {
+public final class ReplicatedRecordsApi {
   public static final String ROOT = AdminApi.ROOT + "/agreed";
 
   /**
    * Upper limit of records or audit entries in one response, which then states where the next
    * begins.
    */
-  private static final int MOST_ROWS = 1000;
+  private static final int MAX_ROWS = 1000;
 
-  private static final int MOST_PAGES = 8;
+  private static final int MAX_PAGES = 8;
 
-  private final ReplicatedFeatureContext base;
+  private final ReplicatedFeatureContext context;
   private final StateWatcher watcher;
 
-  public AgreedApi(ReplicatedFeatureContext base, StateWatcher watcher) {
-    this.base = base;
+  public ReplicatedRecordsApi(ReplicatedFeatureContext context, StateWatcher watcher) {
+    this.context = context;
     this.watcher = watcher;
   }
 
-  private static HttpResponse error(int status, String why) {
-    return HttpResponse.of(status, JobCodec.writeError(why));
+  private static HttpResponse error(int status, String reason) {
+    return HttpResponse.of(status, JobCodec.writeError(reason));
   }
 
-  private static HttpResponse good(Object value) {
+  private static HttpResponse ok(Object value) {
     return HttpResponse.of(200, Json.write(value));
   }
 
@@ -62,10 +62,10 @@
         path.isEmpty() || path.equals("/") ? new String[0] : path.substring(1).split("/", -1);
     boolean get = request.method().equals("GET");
     if (parts.length == 0) {
-      reply.accept(get ? good(kinds()) : HttpResponse.of(405));
+      reply.accept(get ? ok(kinds()) : HttpResponse.of(405));
       return;
     }
-    ReplicatedRecordIndex<?, ?> index = base.cache().replicatedRecords().index(parts[0]);
+    ReplicatedRecordIndex<?, ?> index = context.cache().replicatedRecords().index(parts[0]);
     if (index == null) {
       reply.accept(
           error(
@@ -73,7 +73,7 @@
               "there is no kind "
                   + parts[0]
                   + " here; there are "
-                  + base.cache().replicatedRecords().indexes().stream()
+                  + context.cache().replicatedRecords().indexes().stream()
                       .map(each -> each.kind().name())
                       .toList()));
     } else if (parts.length == 1) {
@@ -107,7 +107,7 @@
 
   private Object kinds() {
     List<Object> kinds = new ArrayList<>();
-    for (ReplicatedRecordIndex<?, ?> index : base.cache().replicatedRecords().indexes()) {
+    for (ReplicatedRecordIndex<?, ?> index : context.cache().replicatedRecords().indexes()) {
       kinds.add(
           Json.object(
               "kind",
@@ -119,14 +119,14 @@
               "trail_pages",
               index.pages().size()));
     }
-    return Json.object("kinds", kinds, "lacking", base.store().unavailableReason());
+    return Json.object("kinds", kinds, "lacking", context.store().unavailableReason());
   }
 
   /** Lists the records in name order, starting after {@code after}. */
   private <S> void list(
       ReplicatedRecordIndex<S, ?> index, HttpRequest request, Consumer<HttpResponse> reply) {
     String after = request.query("after");
-    CommandOrigin at = base.at();
+    CommandOrigin at = context.at();
     List<Object> rows = new ArrayList<>();
     String next = null;
     String last = null;
@@ -134,7 +134,7 @@
       if (after != null && record.getKey().compareTo(after) <= 0) {
         continue;
       }
-      if (rows.size() >= MOST_ROWS) {
+      if (rows.size() >= MAX_ROWS) {
         next = last;
         break;
       }
@@ -142,12 +142,12 @@
       last = record.getKey();
     }
     reply.accept(
-        good(
+        ok(
             Json.object(
                 "kind",
                 index.kind().name(),
                 "revision",
-                base.cache().revision().value(),
+                context.cache().revision().value(),
                 "rows",
                 rows,
                 "unreadable",
@@ -167,11 +167,11 @@
               : error(500, "the record cannot be read: " + unreadable));
       return;
     }
-    ReplicationBarrier.Status known = base.known().of(held.version());
+    ReplicationBarrier.Status replication = context.known().of(held.version());
     List<Object> trail = new ArrayList<>();
-    held.record().auditEntries(held.version()).forEach(line -> trail.add(line.toMap()));
+    held.record().auditEntries(held.version()).forEach(entry -> trail.add(entry.toMap()));
     reply.accept(
-        good(
+        ok(
             Json.object(
                 "kind",
                 index.kind().name(),
@@ -184,15 +184,15 @@
                 "known",
                 Json.object(
                     "state",
-                    known.state().toString(),
+                    replication.state().toString(),
                     "missing",
-                    known.missing().stream().map(member -> member.text()).toList(),
+                    replication.missing().stream().map(member -> member.text()).toList(),
                     "at_the_latest_in_ms",
-                    known.latest() == null
+                    replication.latest() == null
                         ? null
-                        : Math.max(0, known.latest().since(base.timers().now()).millis())),
+                        : Math.max(0, replication.latest().since(context.timers().now()).millis())),
                 "rows",
-                index.kind().rows(id, held.state(), base.at()),
+                index.kind().rows(id, held.state(), context.at()),
                 "state",
                 index.kind().write(held.state()),
                 "latest",
@@ -202,7 +202,7 @@
   /** Handles {@code {"request": "...", "command": {...}, "by": "...", "on_change": N}}. */
   private <S, C> void change(
       ReplicatedRecordIndex<S, C> index, String id, byte[] body, Consumer<HttpResponse> reply) {
-    RecordCommand<C> ask;
+    RecordCommand<C> command;
     try {
       JsonFields in = Json.parseFields(body);
       for (String name : in.fieldNames()) {
@@ -224,7 +224,7 @@
             "field by is longer than " + ReplicatedRecord.MAX_REQUEST_NAME_LENGTH + " characters");
       }
       long onChange = in.has("on_change") ? in.integer("on_change", 0, Integer.MAX_VALUE) : -1;
-      ask =
+      command =
           new RecordCommand<>(
               request,
               onChange,
@@ -234,15 +234,16 @@
       reply.accept(error(400, e.getMessage()));
       return;
     }
-    base.store()
+    context
+        .store()
         .submit(
             index,
             id,
-            ask,
+            command,
             answer -> {
               if (answer.isDurable()) {
                 reply.accept(
-                    good(
+                    ok(
                         Json.object(
                             "kind",
                             index.kind().name(),
@@ -286,7 +287,7 @@
       Revision since,
       int from,
       int read,
-      List<AuditEntry> lines,
+      List<AuditEntry> entries,
       Consumer<HttpResponse> reply) {
     int page = from;
     while (page <= index.lastPageNumber()
@@ -294,13 +295,14 @@
       page++;
     }
     if (page > index.lastPageNumber()) {
-      addLatest(index, lines);
-      answer(index, since, lines, null, reply);
-    } else if (read >= MOST_PAGES) {
-      answer(index, since, lines, page, reply);
+      addLatest(index, entries);
+      answer(index, since, entries, null, reply);
+    } else if (read >= MAX_PAGES) {
+      answer(index, since, entries, page, reply);
     } else {
       int here = page;
-      base.store()
+      context
+          .store()
           .page(
               index,
               here,
@@ -309,40 +311,43 @@
                   reply.accept(error(503, "a page of the trail cannot be read").withRetryAfter(1));
                   return;
                 }
-                lines.addAll(more);
-                pages(index, since, here + 1, read + 1, lines, reply);
+                entries.addAll(more);
+                pages(index, since, here + 1, read + 1, entries, reply);
               });
     }
   }
 
-  private static <S> void addLatest(ReplicatedRecordIndex<S, ?> index, List<AuditEntry> lines) {
-    index.all().values().forEach(held -> lines.addAll(held.record().auditEntries(held.version())));
+  private static <S> void addLatest(ReplicatedRecordIndex<S, ?> index, List<AuditEntry> entries) {
+    index
+        .all()
+        .values()
+        .forEach(held -> entries.addAll(held.record().auditEntries(held.version())));
   }
 
   private void answer(
       ReplicatedRecordIndex<?, ?> index,
       Revision since,
-      List<AuditEntry> lines,
+      List<AuditEntry> entries,
       Integer nextPage,
       Consumer<HttpResponse> reply) {
     List<Object> out = new ArrayList<>();
-    lines.stream()
-        .filter(line -> line.revision().isAfter(since))
+    entries.stream()
+        .filter(entry -> entry.revision().isAfter(since))
         .distinct()
         .sorted(
             Comparator.comparing(AuditEntry::revision)
                 .thenComparing(AuditEntry::id)
                 .thenComparing(AuditEntry::change))
-        .forEach(line -> out.add(line.toMap()));
+        .forEach(entry -> out.add(entry.toMap()));
     reply.accept(
-        good(
+        ok(
             Json.object(
                 "kind",
                 index.kind().name(),
                 "since",
                 since.value(),
                 "revision",
-                base.cache().revision().value(),
+                context.cache().revision().value(),
                 "lines",
                 out,
                 "next_page",
--- a/src/main/java/org/quincecross/admin/StallDetector.java
+++ b/src/main/java/org/quincecross/admin/StallDetector.java
@@ -32,9 +32,9 @@
  */
 public final class StallDetector {
   private static final Logger LOG = LoggerFactory.getLogger(StallDetector.class);
-  private static final TimeSpan LOOK_EVERY = TimeSpan.ofSeconds(5);
-  private static final TimeSpan SAY_AGAIN = TimeSpan.ofSeconds(300);
-  private static final int MOST_SHOWN = 50;
+  private static final TimeSpan CHECK_INTERVAL = TimeSpan.ofSeconds(5);
+  private static final TimeSpan LOG_INTERVAL = TimeSpan.ofSeconds(300);
+  private static final int MAX_SHOWN = 50;
 
   private final Timers timers;
   private final ClusterStateCache cache;
@@ -43,7 +43,7 @@
   private final ToIntFunction<JobId> running;
   private final StartBlock startBlock;
   private final ProgressWatch watch = new ProgressWatch();
-  private final Map<JobId, MonotonicTime> said = new HashMap<>();
+  private final Map<JobId, MonotonicTime> loggedAt = new HashMap<>();
   private List<ProgressWatch.Stall> stalls = List.of();
 
   /**
@@ -66,45 +66,45 @@
   }
 
   public void start() {
-    timers.every(LOOK_EVERY, this::look);
+    timers.every(CHECK_INTERVAL, this::check);
   }
 
-  private void look() {
+  private void check() {
     MonotonicTime now = timers.now();
     stalls = watch.update(watched(), now);
-    said.keySet().retainAll(stalls.stream().map(ProgressWatch.Stall::job).toList());
+    loggedAt.keySet().retainAll(stalls.stream().map(ProgressWatch.Stall::job).toList());
     for (ProgressWatch.Stall stall : stalls) {
-      MonotonicTime before = said.get(stall.job());
-      if (before == null || now.since(before).isLongerThan(SAY_AGAIN)) {
-        said.put(stall.job(), now);
+      MonotonicTime before = loggedAt.get(stall.job());
+      if (before == null || now.since(before).isLongerThan(LOG_INTERVAL)) {
+        loggedAt.put(stall.job(), now);
         LOG.info(
             "{} has made no progress for {}: {}",
             stall.job(),
             now.since(stall.since()),
-            waits(stall.job()));
+            waitReasons(stall.job()));
       }
     }
   }
 
   private Collection<ProgressWatch.JobStatus> watched() {
-    Map<JobId, ProgressWatch.JobStatus> standings = new TreeMap<>();
+    Map<JobId, ProgressWatch.JobStatus> statuses = new TreeMap<>();
     if (leader.isLeading()) {
-      cache.openJobs().forEach(record -> watch(record, standings));
+      cache.openJobs().forEach(record -> watch(record, statuses));
     } else {
       for (ShardOwner owner : ownedShards.all()) {
         for (JobId job : owner.jobs()) {
           JobRecord record = cache.job(job);
-          if (record != null && record.phase() == JobPhase.OPEN && !standings.containsKey(job)) {
-            watch(record, standings);
+          if (record != null && record.phase() == JobPhase.OPEN && !statuses.containsKey(job)) {
+            watch(record, statuses);
           }
         }
       }
     }
-    return standings.values();
+    return statuses.values();
   }
 
   /** A job whose remaining tasks are all blocked is not watched until one may run. */
-  private void watch(JobRecord record, Map<JobId, ProgressWatch.JobStatus> standings) {
+  private void watch(JobRecord record, Map<JobId, ProgressWatch.JobStatus> statuses) {
     if (cache.dependencyGraph().isWaiting(record.id())) {
       return; // the jobs that it depends on are watched
     }
@@ -112,7 +112,7 @@
     int mayRun = record.job().taskCount() - startBlock.blockedTasks(record.job()).size();
     int done = service ? 0 : cache.completedCount(record.id());
     if (mayRun > done) {
-      standings.put(
+      statuses.put(
           record.id(),
           new ProgressWatch.JobStatus(
               record.id(),
@@ -125,15 +125,15 @@
   }
 
   /** Returns what a job's tasks wait for, as far as this controller knows. */
-  private List<String> waits(JobId job) {
-    List<String> waits = new ArrayList<>();
-    String kept = startBlock.reason(job);
-    if (kept != null) {
-      waits.add(kept);
+  private List<String> waitReasons(JobId job) {
+    List<String> reasons = new ArrayList<>();
+    String blockReason = startBlock.reason(job);
+    if (blockReason != null) {
+      reasons.add(blockReason);
     }
-    String pool = leader.pendingReason(job);
-    if (pool != null) {
-      waits.add(pool);
+    String pendingReason = leader.pendingReason(job);
+    if (pendingReason != null) {
+      reasons.add(pendingReason);
     }
     for (ShardId shard : cache.allocatedShards()) {
       if (!cache.allocation(shard).tasks().containsKey(job)) {
@@ -142,9 +142,9 @@
       ShardOwner owner = ownedShards.get(shard);
       ShardLease lease = cache.shard(shard);
       if (owner != null) {
-        waits.addAll(owner.unplacedReasons(job));
+        reasons.addAll(owner.unplacedReasons(job));
       } else {
-        waits.add(
+        reasons.add(
             lease == null
                 ? "tasks in block " + shard + ", which has no lease"
                 : "tasks in block " + shard + ": ask " + lease.owner());
@@ -152,16 +152,16 @@
     }
     int count = running.applyAsInt(job);
     if (count > 0) {
-      waits.add(count + " tasks run");
+      reasons.add(count + " tasks run");
     }
-    return waits;
+    return reasons;
   }
 
   /** Returns the stalled jobs for the status. */
   Object write() {
     MonotonicTime now = timers.now();
     List<Object> list = new ArrayList<>();
-    for (ProgressWatch.Stall stall : stalls.subList(0, Math.min(MOST_SHOWN, stalls.size()))) {
+    for (ProgressWatch.Stall stall : stalls.subList(0, Math.min(MAX_SHOWN, stalls.size()))) {
       list.add(
           Json.object(
               "job",
@@ -169,7 +169,7 @@
               "for_s",
               Math.floor(now.since(stall.since()).seconds()),
               "waits_for",
-              waits(stall.job())));
+              waitReasons(stall.job())));
     }
     return list;
   }
--- a/src/main/java/org/quincecross/admin/StatusWords.java
+++ b/src/main/java/org/quincecross/admin/StatusNames.java
@@ -4,8 +4,8 @@
 import org.quincecross.state.Membership;
 
 /** The state names in {@code /admin/status}, which are part of the interface. */
-final class StatusWords {
-  private StatusWords() {}
+final class StatusNames {
+  private StatusNames() {}
 
   static String of(Membership.State state) {
     return switch (state) {
--- a/src/main/java/org/quincecross/api/AgentApi.java
+++ b/src/main/java/org/quincecross/api/AgentApi.java
@@ -46,7 +46,7 @@
   private static final TimeSpan MAX_VIEW_AGE = TimeSpan.ofSeconds(2.5);
 
   /** A machine that its owner has not heard for this long is not redirected to it. */
-  private static final TimeSpan UNHEARD = TimeSpan.ofSeconds(3);
+  private static final TimeSpan UNHEARD_AFTER = TimeSpan.ofSeconds(3);
 
   private record Waiting(Heartbeat heartbeat, MonotonicTime until, Consumer<HttpResponse> reply) {}
 
@@ -56,11 +56,11 @@
   private final Leader leader;
   private final PeerViews views;
   private final ControllerId self;
-  private final ForeignHeartbeats strays = new ForeignHeartbeats();
+  private final ForeignHeartbeats foreignHeartbeats = new ForeignHeartbeats();
   private final UnassignedMachines unassignedMachines;
   private final IsolationDetector isolation;
   private List<Waiting> waiting = new ArrayList<>();
-  private boolean lookPlanned;
+  private boolean recheckPlanned;
 
   AgentApi(
       Timers timers,
@@ -82,8 +82,8 @@
   }
 
   /** Machines of other controllers' shards that have reported here recently. */
-  List<MachineId> strays() {
-    return strays.lately(timers.now());
+  List<MachineId> foreignHeartbeats() {
+    return foreignHeartbeats.recentMachines(timers.now());
   }
 
   void heartbeat(byte[] body, Consumer<HttpResponse> reply) {
@@ -126,7 +126,7 @@
       ShardOwner owner = ownedShards.get(lease.id());
       byte[] answer = owner == null ? null : owner.respond(heartbeat);
       if (answer != null) {
-        strays.answered(heartbeat, timers.now());
+        foreignHeartbeats.answered(heartbeat, timers.now());
         reply.accept(HttpResponse.of(200, answer));
       } else if (owner != null && owner.isSuperseded()) {
         // Another controller owns the shard and this one does not know yet which. The next
@@ -140,7 +140,7 @@
       }
       return;
     }
-    strays.heard(heartbeat, timers.now());
+    foreignHeartbeats.heard(heartbeat, timers.now());
     // An agent that is redirected to a controller which it cannot reach loses five seconds of its
     // lease, and a short lease does not allow that (docs/incidents/inc-6ced.md). The leader is told
     // of the machine and moves the shard.
@@ -162,7 +162,7 @@
         shardView == null || !shardView.token().equals(lease.token())
             ? null
             : shardView.machines().get(machine);
-    return state != null && state.silentFor().isLongerThan(UNHEARD);
+    return state != null && state.silentFor().isLongerThan(UNHEARD_AFTER);
   }
 
   private void redirect(ControllerId member, Consumer<HttpResponse> reply) {
@@ -183,12 +183,12 @@
       return;
     }
     waiting.add(new Waiting(heartbeat, until, reply));
-    if (!lookPlanned) {
-      lookPlanned = true;
+    if (!recheckPlanned) {
+      recheckPlanned = true;
       timers.after(
           RECHECK_INTERVAL,
           () -> {
-            lookPlanned = false;
+            recheckPlanned = false;
             recheckWaiting();
           });
     }
--- a/src/main/java/org/quincecross/api/Cancellations.java
+++ b/src/main/java/org/quincecross/api/Cancellations.java
@@ -44,9 +44,9 @@
    * When cancellations that may not be confirmed without a check were first seen, oldest first;
    * entries past the delay are removed.
    */
-  private final Map<JobId, MonotonicTime> untold = new LinkedHashMap<>();
+  private final Map<JobId, MonotonicTime> unconfirmed = new LinkedHashMap<>();
 
-  private Revision known = Revision.NONE;
+  private Revision cacheRevision = Revision.NONE;
   private boolean sweepPlanned;
 
   Cancellations(
@@ -70,31 +70,31 @@
     } else {
       for (JobId id : changes.jobs()) {
         JobRecord record = cache.job(id);
-        if (record != null && record.version().isAfter(known)) {
+        if (record != null && record.version().isAfter(cacheRevision)) {
           seen(id); // otherwise another property of the job has changed
         }
       }
     }
-    known = cache.revision();
+    cacheRevision = cache.revision();
   }
 
   private void seen(JobId id) {
     JobRecord record = cache.job(id);
     if (record != null && record.phase() == JobPhase.CANCELLED) {
-      untold.putIfAbsent(id, timers.now());
+      unconfirmed.putIfAbsent(id, timers.now());
       planSweep();
     }
   }
 
   private void planSweep() {
-    if (!sweepPlanned && !untold.isEmpty()) {
+    if (!sweepPlanned && !unconfirmed.isEmpty()) {
       sweepPlanned = true;
       timers.after(
           bound.confirmCancellationAfter(),
           () -> {
             sweepPlanned = false;
-            for (Iterator<MonotonicTime> oldest = untold.values().iterator();
-                oldest.hasNext() && isOver(oldest.next()); ) {
+            for (Iterator<MonotonicTime> oldest = unconfirmed.values().iterator();
+                oldest.hasNext() && isDelayOver(oldest.next()); ) {
               oldest.remove();
             }
             planSweep();
@@ -104,7 +104,7 @@
 
   /** The number of remembered cancellations. */
   int remembered() {
-    return untold.size();
+    return unconfirmed.size();
   }
 
   /** Reports soon whether a user may be told what the record says. */
@@ -123,20 +123,20 @@
   }
 
   private boolean mayConfirm(JobRecord record) {
-    MonotonicTime since = untold.get(record.id());
+    MonotonicTime since = unconfirmed.get(record.id());
     if (since == null) {
       return true;
     }
-    if (isOver(since)
+    if (isDelayOver(since)
         || cache.shardsOf(record.id()).isEmpty()
         || (bound.acknowledgementSuffices() && allOwnersHaveSeen(record))) {
-      untold.remove(record.id());
+      unconfirmed.remove(record.id());
       return true;
     }
     return false;
   }
 
-  private boolean isOver(MonotonicTime since) {
+  private boolean isDelayOver(MonotonicTime since) {
     return timers.now().since(since).isLongerThan(bound.confirmCancellationAfter());
   }
 
--- a/src/main/java/org/quincecross/api/Controller.java
+++ b/src/main/java/org/quincecross/api/Controller.java
@@ -65,7 +65,7 @@
   private final StateWatcher watcher;
   private final Membership membership;
   private final OwnedShards ownedShards;
-  private final ReplicatedFeatures agreed;
+  private final ReplicatedFeatures replicatedFeatures;
   private final Leader leader;
   private final Autoscaler autoscaler;
   private final UserApi users;
@@ -76,7 +76,7 @@
   private final Cancellations cancellations;
   private final Metrics metrics = new Metrics();
   private final PeerViews views = new PeerViews();
-  private final RemoteCapacityHint roomElsewhere;
+  private final RemoteCapacityHint remoteCapacity;
   private final PauseDetector pauseDetector;
   private final IsolationDetector isolation;
   private final UnconfirmedOwnershipBound unconfirmedBound;
@@ -128,7 +128,7 @@
                 : settings
                     .announcedLimits()
                     .withPart(
-                        "agreed parts", ReplicatedFeatures.mark(features.replicatedFeatures())),
+                        "agreed parts", ReplicatedFeatures.checksum(features.replicatedFeatures())),
             settings.storeLimits().plannedValueBytes());
     unconfirmedBound = settings.agentTimeouts().unconfirmedBound();
     startPermission =
@@ -138,7 +138,7 @@
                 .filter(other -> !other.equals(settings.self()))
                 .collect(Collectors.toSet()),
             unconfirmedBound.maxUnconfirmedStarts());
-    agreed =
+    replicatedFeatures =
         new ReplicatedFeatures(
             timers,
             store,
@@ -150,8 +150,8 @@
             features.replicatedFeatures(),
             clockMs,
             unconfirmedBound.maxUnconfirmed());
-    forecast = new DemandForecast(cache, agreed.withheld());
-    roomElsewhere = new RemoteCapacityHint(cache, views, this::headroom);
+    forecast = new DemandForecast(cache, replicatedFeatures.startBlock());
+    remoteCapacity = new RemoteCapacityHint(cache, views, this::headroom);
     ownedShards = new OwnedShards(this, settings.self(), membership::life);
     autoscaler =
         new Autoscaler(
@@ -176,7 +176,7 @@
             clockMs,
             this::isWaking,
             features.overload() == null ? null : new Overload(features.overload()),
-            agreed.withheld());
+            replicatedFeatures.startBlock());
     cancellations = new Cancellations(timers, cache, ownedShards, views, unconfirmedBound);
     users =
         new UserApi(
@@ -208,7 +208,8 @@
             membership::life,
             this::ownReport);
     stalls =
-        new StallDetector(timers, cache, ownedShards, leader, this::running, agreed.withheld());
+        new StallDetector(
+            timers, cache, ownedShards, leader, this::running, replicatedFeatures.startBlock());
     accounting =
         features.accountingInterval() == null
             ? null
@@ -219,7 +220,7 @@
                 settings,
                 clockMs,
                 features.accountingInterval(),
-                agreed.withheld());
+                replicatedFeatures.startBlock());
     admin =
         new AdminApi(
             timers,
@@ -237,15 +238,15 @@
   }
 
   /** The context of the features based on replicated records; null if there are none. */
-  public ReplicatedFeatureContext agreed() {
-    return agreed.base();
+  public ReplicatedFeatureContext replicatedFeatures() {
+    return replicatedFeatures.context();
   }
 
   /** Starts all parts. */
   public void start() {
     cache.addListener(changes -> membership.ledgerChanged(cache));
-    agreed.listen(cache, ownedShards, leader, accounting, this::running);
-    agreed.keepRoom(forecast, leader);
+    replicatedFeatures.listen(cache, ownedShards, leader, accounting, this::running);
+    replicatedFeatures.enableReservations(forecast, leader);
     cache.addListener(ownedShards::cacheChanged);
     cache.addListener(cancellations::cacheChanged);
     cache.addListener(peerReporter::forgetFormerOwners);
@@ -283,9 +284,9 @@
   }
 
   private PeerHeartbeat ownReport(long number, long base) {
-    MonotonicTime answering = watcher.lastBarrierStart();
+    MonotonicTime lastContact = watcher.lastBarrierStart();
     TimeSpan unconfirmed =
-        answering == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(answering);
+        lastContact == null ? TimeSpan.ofSeconds(1e6) : timers.now().since(lastContact);
     return new PeerHeartbeat(
         settings.self(),
         membership.life(),
@@ -295,8 +296,8 @@
         cache.revision(),
         unconfirmed,
         ownedShards.since(base),
-        agents.strays(),
-        agreed.sections());
+        agents.foreignHeartbeats(),
+        replicatedFeatures.sections());
   }
 
   /** Applies a frame from another controller; false if it cannot be read. */
@@ -321,7 +322,7 @@
     detectPause();
     MonotonicTime begun = timers.now();
     String path = request.path();
-    String what =
+    String requestType =
         path.startsWith(JobCodec.JOBS_PATH)
             ? request.method() + (path.endsWith(JobCodec.CANCEL_SUFFIX) ? " cancel" : " job")
             : path.equals(AgentCodec.HEARTBEAT_PATH) ? "report" : "other";
@@ -329,7 +330,7 @@
         request,
         path,
         response -> {
-          metrics.record(what, response.status(), timers.now().since(begun));
+          metrics.record(requestType, response.status(), timers.now().since(begun));
           reply.accept(response);
         });
   }
@@ -351,8 +352,8 @@
           request.method().equals("GET")
               ? HttpResponse.of(isHealthy() ? 200 : 503)
               : HttpResponse.of(405));
-    } else if (ReplicatedFeatures.isAsked(path)) {
-      agreed.handle(request, reply);
+    } else if (ReplicatedFeatures.handles(path)) {
+      replicatedFeatures.handle(request, reply);
     } else if (path.startsWith(AdminApi.ROOT + "/")) {
       admin.handle(request, reply);
     } else {
@@ -408,12 +409,12 @@
 
   @Override
   public StartBlock startBlock() {
-    return agreed.withheld();
+    return replicatedFeatures.startBlock();
   }
 
   @Override
   public Set<MachineId> machinesFor(Job job, int index) {
-    return agreed.places(job, index);
+    return replicatedFeatures.places(job, index);
   }
 
   @Override
@@ -428,7 +429,7 @@
 
   @Override
   public boolean hasCapacityElsewhere(Job job, ShardId here) {
-    return roomElsewhere.exists(job, here);
+    return remoteCapacity.exists(job, here);
   }
 
   @Override
--- a/src/main/java/org/quincecross/api/DependencyWriter.java
+++ b/src/main/java/org/quincecross/api/DependencyWriter.java
@@ -25,16 +25,16 @@
    * The number of parts in one transaction: at less than 2 KiB each far below its 64 KiB; fewer if
    * the limit is lower.
    */
-  private static final int MOST_AT_ONCE = 4;
+  private static final int MAX_PARTS_PER_TRANSACTION = 4;
 
   private final KeyValueStoreClient store;
   private final ClusterStateCache cache;
-  private final int mostChanges;
+  private final int maxChanges;
 
-  DependencyWriter(KeyValueStoreClient store, ClusterStateCache cache, int mostChanges) {
+  DependencyWriter(KeyValueStoreClient store, ClusterStateCache cache, int maxChanges) {
     this.store = store;
     this.cache = cache;
-    this.mostChanges = Math.min(MOST_AT_ONCE, mostChanges);
+    this.maxChanges = Math.min(MAX_PARTS_PER_TRANSACTION, maxChanges);
   }
 
   /**
@@ -56,13 +56,13 @@
       durable.accept(true);
       return;
     }
-    int now = Math.min(mostChanges, changes.size());
+    int count = Math.min(maxChanges, changes.size());
     store.commit(
         List.of(),
-        changes.subList(0, now),
+        changes.subList(0, count),
         result -> {
           if (result.kind() == TransactionResult.Kind.COMMITTED) {
-            write(changes.subList(now, changes.size()), durable);
+            write(changes.subList(count, changes.size()), durable);
           } else {
             durable.accept(false);
           }
--- a/src/main/java/org/quincecross/api/ForeignHeartbeats.java
+++ b/src/main/java/org/quincecross/api/ForeignHeartbeats.java
@@ -15,7 +15,7 @@
  * earlier arrivals from that machine: a live agent shows larger counts each time.
  */
 final class ForeignHeartbeats {
-  private static final TimeSpan STRAY_FOR = TimeSpan.ofSeconds(6);
+  private static final TimeSpan FOREIGN_FOR = TimeSpan.ofSeconds(6);
 
   /**
    * How long counts are remembered after the last heartbeat that counted: copies arrive later than
@@ -26,50 +26,52 @@
   /**
    * The last heartbeat of a machine.
    *
-   * @param stray false if this controller owned the machine's shard at that time
+   * @param foreign false if this controller owned the machine's shard at that time
    */
-  private record Heard(long session, long order, MonotonicTime at, boolean stray) {
+  private record LastHeartbeat(long session, long order, MonotonicTime at, boolean foreign) {
     boolean isBefore(Heartbeat heartbeat) {
       int bySession = Long.compareUnsigned(heartbeat.session(), session);
       return bySession != 0 ? bySession > 0 : Long.compareUnsigned(heartbeat.sequence(), order) > 0;
     }
   }
 
-  private final Map<MachineId, Heard> heard = new HashMap<>();
-  private MonotonicTime tidied = new MonotonicTime(0);
+  private final Map<MachineId, LastHeartbeat> heard = new HashMap<>();
+  private MonotonicTime cleanedUpAt = new MonotonicTime(0);
 
   /**
    * Called when a machine of another controller's shard has reported here, or a copy of a heartbeat
    * arrived.
    */
   void heard(Heartbeat heartbeat, MonotonicTime now) {
-    note(heartbeat, now, true);
+    record(heartbeat, now, true);
   }
 
   /** Called when this controller owns the machine's shard and has responded to it. */
   void answered(Heartbeat heartbeat, MonotonicTime now) {
-    note(heartbeat, now, false);
+    record(heartbeat, now, false);
   }
 
-  private void note(Heartbeat heartbeat, MonotonicTime now, boolean stray) {
+  private void record(Heartbeat heartbeat, MonotonicTime now, boolean foreign) {
     MachineId machine = heartbeat.machine().id();
-    Heard before = heard.get(machine);
+    LastHeartbeat before = heard.get(machine);
     if (before == null
         || before.isBefore(heartbeat)
         || now.since(before.at()).isLongerThan(REMEMBERED)) {
-      heard.put(machine, new Heard(heartbeat.session(), heartbeat.sequence(), now, stray));
+      heard.put(
+          machine, new LastHeartbeat(heartbeat.session(), heartbeat.sequence(), now, foreign));
     }
   }
 
-  List<MachineId> lately(MonotonicTime now) {
-    if (now.since(tidied).isLongerThan(STRAY_FOR)) {
-      tidied = now;
+  List<MachineId> recentMachines(MonotonicTime now) {
+    if (now.since(cleanedUpAt).isLongerThan(FOREIGN_FOR)) {
+      cleanedUpAt = now;
       heard.values().removeIf(each -> now.since(each.at()).isLongerThan(REMEMBERED));
     }
     return heard.entrySet().stream()
         .filter(
             each ->
-                each.getValue().stray() && !now.since(each.getValue().at()).isLongerThan(STRAY_FOR))
+                each.getValue().foreign()
+                    && !now.since(each.getValue().at()).isLongerThan(FOREIGN_FOR))
         .map(Map.Entry::getKey)
         .toList();
   }
--- a/src/main/java/org/quincecross/api/LoadShedder.java
+++ b/src/main/java/org/quincecross/api/LoadShedder.java
@@ -18,42 +18,43 @@
  */
 final class LoadShedder {
   /** Part of a poll's 2 s; several times what another controller needs for a response. */
-  private static final TimeSpan HELD = TimeSpan.ofSeconds(1);
+  private static final TimeSpan REJECTION_DELAY = TimeSpan.ofSeconds(1);
 
   /** Each delayed rejection occupies a socket. */
-  private static final int MAX_HELD = 100;
+  private static final int MAX_DELAYED = 100;
 
   private final Timers timers;
-  private final Supplier<IsolationDetector.State> aloneness;
-  private final BooleanSupplier cutOff;
-  private int held;
+  private final Supplier<IsolationDetector.State> isolation;
+  private final BooleanSupplier isDisconnected;
+  private int delayed;
 
-  LoadShedder(Timers timers, Supplier<IsolationDetector.State> aloneness, BooleanSupplier cutOff) {
+  LoadShedder(
+      Timers timers, Supplier<IsolationDetector.State> isolation, BooleanSupplier isDisconnected) {
     this.timers = timers;
-    this.aloneness = aloneness;
-    this.cutOff = cutOff;
+    this.isolation = isolation;
+    this.isDisconnected = isDisconnected;
   }
 
-  private static HttpResponse refusal() {
+  private static HttpResponse rejection() {
     return HttpResponse.of(503, JobCodec.writeError("the state service cannot be reached"))
         .withRetryAfter(1);
   }
 
   /** Rejects a request, or has it retried by {@code again} if contact returns by then. */
-  void refuse(Consumer<HttpResponse> reply, Runnable again) {
-    if (aloneness.get().takesUsers() || held >= MAX_HELD) {
-      reply.accept(refusal());
+  void reject(Consumer<HttpResponse> reply, Runnable retry) {
+    if (isolation.get().takesUsers() || delayed >= MAX_DELAYED) {
+      reply.accept(rejection());
       return;
     }
-    held++;
+    delayed++;
     timers.after(
-        HELD,
+        REJECTION_DELAY,
         () -> {
-          held--;
-          if (cutOff.getAsBoolean()) {
-            reply.accept(refusal().closing());
+          delayed--;
+          if (isDisconnected.getAsBoolean()) {
+            reply.accept(rejection().closing());
           } else {
-            again.run();
+            retry.run();
           }
         });
   }
--- a/src/main/java/org/quincecross/api/ModelServingFeature.java
+++ b/src/main/java/org/quincecross/api/ModelServingFeature.java
@@ -24,17 +24,17 @@
 
 /** Model serving, assembled for one controller. */
 final class ModelServingFeature {
-  private final ReplicatedFeatureContext base;
+  private final ReplicatedFeatureContext context;
   private final ModelIndex records;
   private final PeerViews views;
-  private ModelDemandCollector desk;
+  private ModelDemandCollector demand;
   private ModelsApi api;
 
-  ModelServingFeature(ReplicatedFeatureContext base, PeerViews views) {
-    this.base = base;
+  ModelServingFeature(ReplicatedFeatureContext context, PeerViews views) {
+    this.context = context;
     this.views = views;
-    this.records = new ModelIndex(base.cache());
-    base.startBlock().add(records);
+    this.records = new ModelIndex(context.cache());
+    context.startBlock().add(records);
   }
 
   /** Subscribes to the records, and has the leader scale the models. */
@@ -43,18 +43,19 @@
       OwnedShards ownedShards,
       Leader leader,
       ToIntFunction<JobId> running) {
-    desk =
+    demand =
         new ModelDemandCollector(
-            base, records, (job, replica) -> runs(ownedShards, job.task(replica)));
+            context, records, (job, replica) -> runs(ownedShards, job.task(replica)));
     api =
-        new ModelsApi(base, records, desk, new ModelPlacementView(cache, views, records), running);
+        new ModelsApi(
+            context, records, demand, new ModelPlacementView(cache, views, records), running);
     cache.addListener(
         changes -> {
-          records.ledgerChanged(changes, base.startBlock()::changed);
-          desk.ledgerChanged(changes);
+          records.ledgerChanged(changes, context.startBlock()::changed);
+          demand.cacheChanged(changes);
         });
-    leader.enableModelServing(base, records);
-    desk.start();
+    leader.enableModelServing(context, records);
+    demand.start();
   }
 
   private static boolean runs(OwnedShards ownedShards, TaskId task) {
@@ -73,7 +74,7 @@
 
   /** The section on models in reports to other controllers. */
   Map<String, byte[]> sections() {
-    byte[] section = desk == null ? null : desk.section();
+    byte[] section = demand == null ? null : demand.section();
     return section == null ? Map.of() : Map.of(ModelStatusReport.SECTION, section);
   }
 
--- a/src/main/java/org/quincecross/api/ReplicatedFeatures.java
+++ b/src/main/java/org/quincecross/api/ReplicatedFeatures.java
@@ -8,8 +8,8 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.Stream;
 import org.quincecross.admin.AccountingLog;
-import org.quincecross.admin.AgreedApi;
 import org.quincecross.admin.ModelsApi;
+import org.quincecross.admin.ReplicatedRecordsApi;
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 import org.quincecross.leader.Leader;
@@ -44,11 +44,11 @@
    * The path of the tasks blocked by legal holds, as seen by the controller that receives the
    * request.
    */
-  private static final String KEPT = AgreedApi.ROOT + "/kept";
+  private static final String BLOCKED_TASKS_PATH = ReplicatedRecordsApi.ROOT + "/kept";
 
-  private final ReplicatedFeatureContext base;
-  private final AgreedApi api;
-  private LegalHoldStartBlock held;
+  private final ReplicatedFeatureContext context;
+  private final ReplicatedRecordsApi api;
+  private LegalHoldStartBlock legalHolds;
   private final ModelServingFeature models;
   private final ReservationFeature requests;
 
@@ -70,13 +70,13 @@
       LongSupplier clockMs,
       TimeSpan longest) {
     if (parts == null) {
-      base = null;
+      context = null;
       api = null;
       models = null;
       requests = null;
       return;
     }
-    base =
+    context =
         new ReplicatedFeatureContext(
             timers,
             cache,
@@ -86,27 +86,27 @@
             settings,
             clockMs,
             parts);
-    api = new AgreedApi(base, watcher);
-    models = base.has("models") ? new ModelServingFeature(base, views) : null;
-    requests = base.has(RequestKind.NAME) ? new ReservationFeature(base) : null;
+    api = new ReplicatedRecordsApi(context, watcher);
+    models = context.has("models") ? new ModelServingFeature(context, views) : null;
+    requests = context.has(RequestKind.NAME) ? new ReservationFeature(context) : null;
   }
 
   /** A checksum that is equal on all controllers with the same features and settings. */
-  static String mark(Map<String, Object> parts) {
+  static String checksum(Map<String, Object> parts) {
     return Integer.toHexString(new TreeMap<>(parts).toString().hashCode());
   }
 
-  ReplicatedFeatureContext base() {
-    return base;
+  ReplicatedFeatureContext context() {
+    return context;
   }
 
   /** The tasks that must not run now. */
-  StartBlock withheld() {
-    return base == null ? StartBlock.NONE : base.startBlock();
+  StartBlock startBlock() {
+    return context == null ? StartBlock.NONE : context.startBlock();
   }
 
   /** Reserves capacity for deadline requests, if enabled. */
-  void keepRoom(DemandForecast forecast, Leader leader) {
+  void enableReservations(DemandForecast forecast, Leader leader) {
     if (requests != null) {
       requests.start(forecast, leader);
     }
@@ -122,24 +122,25 @@
       ClusterStateCache cache,
       OwnedShards ownedShards,
       Leader leader,
-      AccountingLog served,
+      AccountingLog accounting,
       ToIntFunction<JobId> running) {
-    if (base == null) {
+    if (context == null) {
       return;
     }
-    cache.addListener(base.known()::cacheChanged);
-    base.startBlock()
+    cache.addListener(context.known()::cacheChanged);
+    context
+        .startBlock()
         .addListener(
             (Set<JobId> jobs) -> {
               leader.startBlockChanged(jobs);
               ownedShards.startBlockChanged(jobs);
-              if (served != null) {
-                served.withheldChanged(jobs);
+              if (accounting != null) {
+                accounting.startBlockChanged(jobs);
               }
             });
-    if (base.has(LegalHoldKind.NAME)) {
-      held = new LegalHoldStartBlock(base);
-      new LegalHoldReconciler(base, held, leader::isLeading);
+    if (context.has(LegalHoldKind.NAME)) {
+      legalHolds = new LegalHoldStartBlock(context);
+      new LegalHoldReconciler(context, legalHolds, leader::isLeading);
     }
     if (models != null) {
       models.listen(cache, ownedShards, leader, running);
@@ -156,8 +157,8 @@
     return models == null ? Map.of() : models.sections();
   }
 
-  static boolean isAsked(String path) {
-    return Stream.of(AgreedApi.ROOT, ModelsApi.ROOT)
+  static boolean handles(String path) {
+    return Stream.of(ReplicatedRecordsApi.ROOT, ModelsApi.ROOT)
         .anyMatch(root -> path.equals(root) || path.startsWith(root + "/"));
   }
 
@@ -167,10 +168,10 @@
     } else if (api == null || request.path().startsWith(ModelsApi.ROOT)) {
       reply.accept(HttpResponse.of(404, JobCodec.writeError("this is not switched on here")));
     } else {
-      if (held != null && request.path().equals(KEPT)) {
+      if (legalHolds != null && request.path().equals(BLOCKED_TASKS_PATH)) {
         reply.accept(
             request.method().equals("GET")
-                ? HttpResponse.of(200, Json.write(held.kept(request.query("after"))))
+                ? HttpResponse.of(200, Json.write(legalHolds.kept(request.query("after"))))
                 : HttpResponse.of(405));
         return;
       }
--- a/src/main/java/org/quincecross/api/ReservationFeature.java
+++ b/src/main/java/org/quincecross/api/ReservationFeature.java
@@ -16,41 +16,44 @@
 
 /** Deadline requests, if enabled. */
 final class ReservationFeature {
-  private static final double SHARE = 0.2;
-  private static final double WARN_S = 24 * 3600;
-  private static final double MOST_WARN_S = 366 * 24 * 3600;
+  private static final double DEFAULT_SHARE = 0.2;
+  private static final double DEFAULT_WARN_S = 24 * 3600;
+  private static final double MAX_WARN_S = 366 * 24 * 3600;
 
-  private final ReplicatedFeatureContext base;
-  private final ReservedCapacity rooms;
+  private final ReplicatedFeatureContext context;
+  private final ReservedCapacity capacity;
   private final ReservationManager reservations;
   private final double share;
   private ReservationPlanner.Plan plan;
-  private Revision planned;
+  private Revision planRevision;
 
   /**
    * Creates the feature.
    *
    * @throws IllegalArgumentException if its settings are malformed
    */
-  ReservationFeature(ReplicatedFeatureContext base) {
-    this.base = base;
+  ReservationFeature(ReplicatedFeatureContext context) {
+    this.context = context;
     double warnS;
     try {
       RecordFields settings =
-          base.settingsOf(RequestKind.NAME).allowOnly(java.util.List.of("share", "warn_s"));
-      share = settings.has("share") ? settings.amount("share", 0, 1) : SHARE;
-      warnS = settings.has("warn_s") ? settings.amount("warn_s", 0, MOST_WARN_S) : WARN_S;
+          context.settingsOf(RequestKind.NAME).allowOnly(java.util.List.of("share", "warn_s"));
+      share = settings.has("share") ? settings.amount("share", 0, 1) : DEFAULT_SHARE;
+      warnS = settings.has("warn_s") ? settings.amount("warn_s", 0, MAX_WARN_S) : DEFAULT_WARN_S;
     } catch (MalformedRecordException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
     ReplicatedRecordIndex<DeadlineRequest, RequestCommand> index =
-        base.cache().replicatedRecords().add(new RequestKind(this::outlook, (long) (warnS * 1000)));
-    rooms = new ReservedCapacity(base.cache(), index);
-    reservations = new ReservationManager(base.store(), index, rooms, share);
+        context
+            .cache()
+            .replicatedRecords()
+            .add(new RequestKind(this::unreservedReason, (long) (warnS * 1000)));
+    capacity = new ReservedCapacity(context.cache(), index);
+    reservations = new ReservationManager(context.store(), index, capacity, share);
   }
 
   void start(DemandForecast forecast, Leader leader) {
-    forecast.keep(rooms);
+    forecast.keep(capacity);
     leader.enableReservations(reservations);
   }
 
@@ -58,10 +61,10 @@
    * Why a request has no capacity according to the records; identical on all controllers with the
    * same revision.
    */
-  private String outlook(String reference) {
-    if (plan == null || !base.cache().revision().equals(planned)) {
-      plan = rooms.plan(base.settings().teams(), share);
-      planned = base.cache().revision();
+  private String unreservedReason(String reference) {
+    if (plan == null || !context.cache().revision().equals(planRevision)) {
+      plan = capacity.plan(context.settings().teams(), share);
+      planRevision = context.cache().revision();
     }
     return plan.unreservedReasons().getOrDefault(reference, "");
   }
--- a/src/main/java/org/quincecross/api/ResponseDeadline.java
+++ b/src/main/java/org/quincecross/api/ResponseDeadline.java
@@ -13,11 +13,11 @@
  * may still complete; the retry then finds it done.
  */
 final class ResponseDeadline {
-  private static final class Open implements Consumer<HttpResponse> {
+  private static final class GuardedReply implements Consumer<HttpResponse> {
     private final MonotonicTime until;
     private Consumer<HttpResponse> reply;
 
-    Open(MonotonicTime until, Consumer<HttpResponse> reply) {
+    GuardedReply(MonotonicTime until, Consumer<HttpResponse> reply) {
       this.until = until;
       this.reply = reply;
     }
@@ -34,27 +34,27 @@
 
   private final Timers timers;
   private final TimeSpan within;
-  private final HttpResponse otherwise;
-  private final ArrayDeque<Open> open = new ArrayDeque<>();
+  private final HttpResponse fallback;
+  private final ArrayDeque<GuardedReply> open = new ArrayDeque<>();
   private boolean armed;
 
   /**
    * Creates a deadline: requests without a response {@code within} this time get {@code fallback}.
    */
-  ResponseDeadline(Timers timers, TimeSpan within, HttpResponse otherwise) {
+  ResponseDeadline(Timers timers, TimeSpan within, HttpResponse fallback) {
     this.timers = timers;
     this.within = within;
-    this.otherwise = otherwise;
+    this.fallback = fallback;
   }
 
   /**
    * Wraps a reply so that it is called in time: the first response is sent, later ones are dropped.
    */
   Consumer<HttpResponse> guard(Consumer<HttpResponse> reply) {
-    Open one = new Open(timers.now().plus(within), reply);
-    open.add(one);
+    GuardedReply guarded = new GuardedReply(timers.now().plus(within), reply);
+    open.add(guarded);
     arm();
-    return one;
+    return guarded;
   }
 
   private void arm() {
@@ -70,7 +70,7 @@
             MonotonicTime now = timers.now();
             while (!open.isEmpty()
                 && (open.peek().reply == null || !now.isBefore(open.peek().until))) {
-              open.poll().accept(otherwise);
+              open.poll().accept(fallback);
             }
             arm();
           });
--- a/src/main/java/org/quincecross/api/Submissions.java
+++ b/src/main/java/org/quincecross/api/Submissions.java
@@ -41,40 +41,40 @@
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(2);
 
   /** The longest time that a user waits for a response; users give up after 5 s. */
-  static final TimeSpan ANSWERED = TimeSpan.ofSeconds(3.2);
+  static final TimeSpan MAX_RESPONSE_TIME = TimeSpan.ofSeconds(3.2);
 
-  private static final TimeSpan RETRY = TimeSpan.ofMillis(120);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.ofMillis(120);
 
   /**
    * A job that would be written later than this is rejected with the time of a retry, so that its
    * user does not wait in vain.
    */
-  private static final TimeSpan LONGEST_QUEUE = TimeSpan.ofSeconds(1.2);
+  private static final TimeSpan MAX_QUEUE_TIME = TimeSpan.ofSeconds(1.2);
 
   /** Users retry for a minute in all, so they should be able to retry several times. */
-  private static final int LONGEST_RETRY_S = 8;
+  private static final int MAX_RETRY_AFTER_S = 8;
 
   /**
    * The number of jobs of each team that may wait regardless of other teams, since teams take
    * turns.
    */
-  private static final int ALWAYS_TAKEN = 4;
+  private static final int MIN_QUEUED_PER_TEAM = 4;
 
   /** The initial estimate of the jobs per write, before any was written. */
   private static final double JOBS_PER_CHANGE = 4;
 
   /** The weight of the last write in the moving average of the time per job. */
-  private static final double LATEST = 0.3;
+  private static final double LATEST_WEIGHT = 0.3;
 
-  private static final int MOST_BYTES = 40 * 1024;
+  private static final int MAX_BYTES = 40 * 1024;
 
   /**
    * The store usually responds within a tenth of this; after it, other jobs are written while one
    * write still waits for its response.
    */
-  private static final TimeSpan HELD_UP = TimeSpan.ofMillis(100);
+  private static final TimeSpan OVERDUE_AFTER = TimeSpan.ofMillis(100);
 
-  private static final int MOST_AT_ONCE = 4;
+  private static final int MAX_CONCURRENT_WRITES = 4;
 
   /** The outcome of a submission. */
   enum Outcome {
@@ -103,8 +103,8 @@
   private final StateWatcher watcher;
   private final ControllerId member;
   private final Supplier<Incarnation> incarnation;
-  private final int mostChanges;
-  private final int mostValue;
+  private final int maxChanges;
+  private final int maxValueBytes;
 
   /** By team, so that a burst of one team delays only its own jobs. */
   private final RoundRobinQueue<String, Pending> waiting = new RoundRobinQueue<>();
@@ -112,13 +112,13 @@
   private final Predicate<JobId> isKnown;
 
   /** Transactions without a response so far, and how many of them are overdue. */
-  private int writing;
+  private int pendingWrites;
 
-  private int heldUp;
+  private int overdueWrites;
   private boolean flushPlanned;
-  private int underWay;
+  private int jobsBeingWritten;
   private double secondsPerJob;
-  private final Map<String, MonotonicTime> spokenForUntil = new HashMap<>();
+  private final Map<String, MonotonicTime> promisedUntil = new HashMap<>();
   private long bundles;
 
   /**
@@ -140,8 +140,8 @@
     this.watcher = watcher;
     this.member = member;
     this.incarnation = incarnation;
-    this.mostChanges = limits.maxMutationsPerTransaction();
-    this.mostValue = limits.plannedValueBytes();
+    this.maxChanges = limits.maxMutationsPerTransaction();
+    this.maxValueBytes = limits.plannedValueBytes();
     this.secondsPerJob = 1 / (limits.writesPerSecond() * JOBS_PER_CHANGE);
   }
 
@@ -150,20 +150,21 @@
    * long here; 0 if it would not. Each caller is given a later time, so that they do not all return
    * at once.
    */
-  int comeBackInS(String team) {
-    if (waiting.size(team) < ALWAYS_TAKEN) {
+  int retryAfterS(String team) {
+    if (waiting.size(team) < MIN_QUEUED_PER_TEAM) {
       return 0;
     }
     MonotonicTime now = timers.now();
-    TimeSpan wait = TimeSpan.ofSeconds((underWay + waiting.itemsAhead(team)) * secondsPerJob);
-    if (!wait.isLongerThan(LONGEST_QUEUE)) {
+    TimeSpan wait =
+        TimeSpan.ofSeconds((jobsBeingWritten + waiting.itemsAhead(team)) * secondsPerJob);
+    if (!wait.isLongerThan(MAX_QUEUE_TIME)) {
       return 0;
     }
     MonotonicTime free = now.plus(wait);
-    MonotonicTime spokenFor = spokenForUntil.getOrDefault(team, free);
-    MonotonicTime at = spokenFor.isBefore(free) ? free : spokenFor;
-    spokenForUntil.put(team, at.plus(TimeSpan.ofSeconds(secondsPerJob)));
-    return (int) Math.max(1, Math.min(LONGEST_RETRY_S, Math.ceil(at.since(now).seconds())));
+    MonotonicTime promised = promisedUntil.getOrDefault(team, free);
+    MonotonicTime at = promised.isBefore(free) ? free : promised;
+    promisedUntil.put(team, at.plus(TimeSpan.ofSeconds(secondsPerJob)));
+    return (int) Math.max(1, Math.min(MAX_RETRY_AFTER_S, Math.ceil(at.since(now).seconds())));
   }
 
   /**
@@ -172,8 +173,8 @@
    * (docs/incidents/too-large-for-a-record.md).
    */
   boolean fits(Job job, long nowMs) {
-    return Json.write(JobRecord.writeCancelled(job, nowMs)).length <= mostValue
-        && Json.write(JobRecord.writeOpen(job, nowMs)).length <= mostValue;
+    return Json.write(JobRecord.writeCancelled(job, nowMs)).length <= maxValueBytes
+        && Json.write(JobRecord.writeOpen(job, nowMs)).length <= maxValueBytes;
   }
 
   void submit(Job job, long nowMs, Consumer<Outcome> done) {
@@ -188,7 +189,7 @@
             if (outcome == Outcome.REFUSED) {
               done.accept(outcome);
             } else {
-              look(done);
+              finishByRead(done);
             }
           });
       return;
@@ -212,17 +213,18 @@
   }
 
   private void flush() {
-    if (writing > heldUp || writing == MOST_AT_ONCE) {
+    if (pendingWrites > overdueWrites || pendingWrites == MAX_CONCURRENT_WRITES) {
       return;
     }
-    if (heldUp > 0 && store.affordableMutations() == 0) {
+    if (overdueWrites > 0 && store.affordableMutations() == 0) {
       flushLater();
       return;
     }
     // The caller has been answered already; its retry will be written.
-    List<Pending> late = new ArrayList<>();
-    waiting.removeIf(each -> timers.now().since(each.since()).isLongerThan(ANSWERED), late::add);
-    late.forEach(each -> each.done().accept(Outcome.REFUSED));
+    List<Pending> expired = new ArrayList<>();
+    waiting.removeIf(
+        each -> timers.now().since(each.since()).isLongerThan(MAX_RESPONSE_TIME), expired::add);
+    expired.forEach(each -> each.done().accept(Outcome.REFUSED));
     if (waiting.isEmpty()) {
       return;
     }
@@ -238,7 +240,7 @@
     if (!flushPlanned && !waiting.isEmpty()) {
       flushPlanned = true;
       timers.after(
-          HELD_UP,
+          OVERDUE_AFTER,
           () -> {
             flushPlanned = false;
             flush();
@@ -246,18 +248,18 @@
     }
   }
 
-  private void writeOne(Pending one) {
-    String key = StoreKeys.job(one.job().id());
+  private void writeOne(Pending submission) {
+    String key = StoreKeys.job(submission.job().id());
     write(
         List.of(new Precondition(key, Revision.NONE)),
-        List.of(Mutation.put(key, JobRecord.writeOpen(one.job(), one.acceptedMs()))),
-        List.of(one),
+        List.of(Mutation.put(key, JobRecord.writeOpen(submission.job(), submission.acceptedMs()))),
+        List.of(submission),
         result -> {
           switch (result.kind()) {
-            case COMMITTED -> one.done().accept(Outcome.ACCEPTED);
-            case CONFLICT, UNKNOWN -> end(one);
-            case UNAVAILABLE, TOO_LARGE -> one.done().accept(Outcome.REFUSED);
-            case THROTTLED, LEASE_EXPIRED -> again(one);
+            case COMMITTED -> submission.done().accept(Outcome.ACCEPTED);
+            case CONFLICT, UNKNOWN -> finishByRead(submission);
+            case UNAVAILABLE, TOO_LARGE -> submission.done().accept(Outcome.REFUSED);
+            case THROTTLED, LEASE_EXPIRED -> retry(submission);
             default -> throw new IllegalStateException(result.kind().toString());
           }
         });
@@ -274,18 +276,18 @@
     int bytes = 0;
     // Limited to what can be sent now: a write that waits for the limit delays everything behind
     // it, including other teams' jobs.
-    int most = Math.max(1, Math.min(mostChanges, store.affordableMutations()));
+    int maxBundles = Math.max(1, Math.min(maxChanges, store.affordableMutations()));
     while (!waiting.isEmpty()
         && !waiting.peek().alone()
-        && changes.size() < most
-        && bytes < MOST_BYTES) {
+        && changes.size() < maxBundles
+        && bytes < MAX_BYTES) {
       List<Map<String, Object>> jobs = new ArrayList<>();
       int size = 0;
       while (!waiting.isEmpty() && !waiting.peek().alone()) {
         Map<String, Object> open =
             JobRecord.writeOpen(waiting.peek().job(), waiting.peek().acceptedMs());
         int more = Json.write(open).length + 1;
-        if (!jobs.isEmpty() && size + more > mostValue) {
+        if (!jobs.isEmpty() && size + more > maxValueBytes) {
           break;
         }
         size += more;
@@ -304,14 +306,14 @@
     switch (result.kind()) {
       // The outcome does not tell whether a job was known already; only a cache that contains the
       // bundle does.
-      case COMMITTED, UNKNOWN -> group.forEach(this::end);
+      case COMMITTED, UNKNOWN -> group.forEach(this::finishByRead);
       case UNAVAILABLE -> group.forEach(each -> each.done().accept(Outcome.REFUSED));
-      case CONFLICT, THROTTLED, LEASE_EXPIRED -> group.forEach(this::again);
+      case CONFLICT, THROTTLED, LEASE_EXPIRED -> group.forEach(this::retry);
       // One of them is too large for the store; the others must not wait for it.
       case TOO_LARGE ->
           group.forEach(
               each ->
-                  again(
+                  retry(
                       new Pending(each.job(), each.acceptedMs(), each.since(), each.done(), true)));
       default -> throw new IllegalStateException(result.kind().toString());
     }
@@ -322,18 +324,18 @@
       List<Mutation> changes,
       List<Pending> group,
       Consumer<TransactionResult> done) {
-    writing++;
-    underWay += group.size();
+    pendingWrites++;
+    jobsBeingWritten += group.size();
     MonotonicTime begun = timers.now();
     boolean[] answered = new boolean[1];
-    boolean[] isHeldUp = new boolean[1];
+    boolean[] isOverdue = new boolean[1];
     timers.after(
-        HELD_UP,
+        OVERDUE_AFTER,
         () -> {
           if (!answered[0]) {
-            isHeldUp[0] = true;
-            heldUp++;
-            lookFor(group, answered, HELD_UP);
+            isOverdue[0] = true;
+            overdueWrites++;
+            checkStored(group, answered, OVERDUE_AFTER);
             flush();
           }
         });
@@ -342,13 +344,15 @@
         changes,
         result -> {
           answered[0] = true;
-          writing--;
-          heldUp -= isHeldUp[0] ? 1 : 0;
-          underWay -= group.size();
+          pendingWrites--;
+          overdueWrites -= isOverdue[0] ? 1 : 0;
+          jobsBeingWritten -= group.size();
           // An overdue write delayed others only as far as no further write was allowed besides it.
-          double each =
-              timers.now().since(begun).seconds() / group.size() / (isHeldUp[0] ? MOST_AT_ONCE : 1);
-          secondsPerJob = (1 - LATEST) * secondsPerJob + LATEST * each;
+          double secondsEach =
+              timers.now().since(begun).seconds()
+                  / group.size()
+                  / (isOverdue[0] ? MAX_CONCURRENT_WRITES : 1);
+          secondsPerJob = (1 - LATEST_WEIGHT) * secondsPerJob + LATEST_WEIGHT * secondsEach;
           done.accept(result);
           flush();
         });
@@ -358,7 +362,7 @@
    * The response to a write may be lost or late; a user whose job is stored meanwhile need not wait
    * for it. Checks again after increasing pauses.
    */
-  private void lookFor(List<Pending> group, boolean[] answered, TimeSpan pause) {
+  private void checkStored(List<Pending> group, boolean[] answered, TimeSpan pause) {
     watcher.barrier(
         current -> {
           if (current) {
@@ -372,32 +376,32 @@
         () -> {
           if (!answered[0]
               && group.stream().anyMatch(each -> pending.containsKey(each.job().id()))) {
-            lookFor(group, answered, pause.times(2));
+            checkStored(group, answered, pause.times(2));
           }
         });
   }
 
-  private void again(Pending one) {
-    if (!pending.containsKey(one.job().id())) {
+  private void retry(Pending submission) {
+    if (!pending.containsKey(submission.job().id())) {
       return; // stored already
     }
-    if (timers.now().since(one.since()).isLongerThan(TIMEOUT)) {
-      one.done().accept(Outcome.REFUSED);
+    if (timers.now().since(submission.since()).isLongerThan(TIMEOUT)) {
+      submission.done().accept(Outcome.REFUSED);
       return;
     }
     timers.after(
-        RETRY,
+        RETRY_DELAY,
         () -> {
-          waiting.add(one.job().team(), one);
+          waiting.add(submission.job().team(), submission);
           flush();
         });
   }
 
-  private void end(Pending one) {
-    look(one.done());
+  private void finishByRead(Pending submission) {
+    finishByRead(submission.done());
   }
 
-  private void look(Consumer<Outcome> done) {
+  private void finishByRead(Consumer<Outcome> done) {
     watcher.barrier(current -> done.accept(current ? Outcome.LOOK : Outcome.REFUSED));
   }
 }
--- a/src/main/java/org/quincecross/api/UnassignedMachines.java
+++ b/src/main/java/org/quincecross/api/UnassignedMachines.java
@@ -27,17 +27,17 @@
  * shards knows all of them, and does not query a machine without a token.
  */
 final class UnassignedMachines {
-  private static final TimeSpan ASK_TIMEOUT = TimeSpan.ofSeconds(1.5);
-  private static final TimeSpan ASK_AGAIN = TimeSpan.ofSeconds(1);
+  private static final TimeSpan QUERY_TIMEOUT = TimeSpan.ofSeconds(1.5);
+  private static final TimeSpan QUERY_INTERVAL = TimeSpan.ofSeconds(1);
 
   /** How long after its response a machine counts as existing. */
-  private static final TimeSpan THERE_FOR = TimeSpan.ofSeconds(4);
+  private static final TimeSpan CONFIRMED_FOR = TimeSpan.ofSeconds(4);
 
   private final Timers timers;
   private final HttpCaller http;
   private final Leader leader;
-  private final Map<MachineId, MonotonicTime> askAfter = new HashMap<>();
-  private final Map<MachineId, MonotonicTime> there = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> queryAfter = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> confirmedAt = new HashMap<>();
 
   UnassignedMachines(Timers timers, HttpCaller http, Leader leader) {
     this.timers = timers;
@@ -52,41 +52,41 @@
       return;
     }
     MonotonicTime now = timers.now();
-    MonotonicTime answered = there.get(machine.id());
-    if (answered != null && !now.since(answered).isLongerThan(THERE_FOR)) {
+    MonotonicTime answered = confirmedAt.get(machine.id());
+    if (answered != null && !now.since(answered).isLongerThan(CONFIRMED_FOR)) {
       leader.addNewcomer(machine, true);
-    } else if (!now.isBefore(askAfter.getOrDefault(machine.id(), now))) {
+    } else if (!now.isBefore(queryAfter.getOrDefault(machine.id(), now))) {
       forgetOld(now);
-      askAfter.put(machine.id(), now.plus(ASK_TIMEOUT).plus(ASK_AGAIN));
+      queryAfter.put(machine.id(), now.plus(QUERY_TIMEOUT).plus(QUERY_INTERVAL));
       http.call(
           machine.address(),
           HttpRequest.get(AgentCodec.STATUS_PATH),
-          ASK_TIMEOUT,
-          outcome -> answered(machine, outcome));
+          QUERY_TIMEOUT,
+          outcome -> queryAnswered(machine, outcome));
     }
   }
 
   private void forgetOld(MonotonicTime now) {
-    askAfter.values().removeIf(after -> after.isBefore(now));
-    there.values().removeIf(at -> now.since(at).isLongerThan(THERE_FOR));
+    queryAfter.values().removeIf(after -> after.isBefore(now));
+    confirmedAt.values().removeIf(at -> now.since(at).isLongerThan(CONFIRMED_FOR));
   }
 
-  private void answered(Machine machine, HttpOutcome outcome) {
+  private void queryAnswered(Machine machine, HttpOutcome outcome) {
     try {
       // Another machine may have the address of a terminated one.
       if (outcome.status() == 200
           && AgentCodec.readHeartbeat(Json.parseFields(outcome.response().body()))
               .machine()
               .equals(machine)) {
-        askAfter.remove(machine.id());
-        there.put(machine.id(), timers.now());
+        queryAfter.remove(machine.id());
+        confirmedAt.put(machine.id(), timers.now());
         if (leader.isLeading()) {
           leader.addNewcomer(machine, true);
         }
       }
     } catch (MalformedMessageException e) {
       // It is queried again at its next heartbeat.
-      there.remove(machine.id());
+      confirmedAt.remove(machine.id());
     }
   }
 }
--- a/src/main/java/org/quincecross/api/UserApi.java
+++ b/src/main/java/org/quincecross/api/UserApi.java
@@ -46,18 +46,18 @@
  */
 final class UserApi {
   /** After this time without contact to the store, requests that need it are rejected at once. */
-  private static final TimeSpan UNCONFIRMED = TimeSpan.ofSeconds(2);
+  private static final TimeSpan DISCONNECTED_AFTER = TimeSpan.ofSeconds(2);
 
   /** Part of a poll's 2 s; the rest is for the network. */
-  private static final TimeSpan POLL_ANSWERED = TimeSpan.ofSeconds(1.6);
+  private static final TimeSpan POLL_DEADLINE = TimeSpan.ofSeconds(1.6);
 
   private static final TimeSpan CANCEL_RETRY_DELAY = TimeSpan.ofMillis(60);
   private static final int CANCEL_TRIES = 6;
 
   /** Memory stays occupied for long, so an early retry is useless. */
-  private static final int WITHOUT_MEMORY_S = 20;
+  private static final int NO_MEMORY_RETRY_AFTER_S = 20;
 
-  private static final TimeSpan SAY_EVERY = TimeSpan.ofSeconds(60);
+  private static final TimeSpan MEMORY_LOG_INTERVAL = TimeSpan.ofSeconds(60);
   private static final Logger LOG = LoggerFactory.getLogger(UserApi.class);
 
   private final Timers timers;
@@ -70,7 +70,7 @@
   private final ResponseDeadline polls;
   private final ResponseDeadline changes;
   private final Submissions submissions;
-  private final DependencyWriter afterParts;
+  private final DependencyWriter dependencyWriter;
   private final Cancellations cancellations;
   private final BooleanSupplier memoryIsShort;
   private final LoadShedder loadShedder;
@@ -82,7 +82,7 @@
    */
   private final Map<JobId, List<Consumer<TransactionResult>>> cancelling = new HashMap<>();
 
-  private MonotonicTime saidShort;
+  private MonotonicTime memoryLoggedAt;
 
   UserApi(
       Timers timers,
@@ -95,7 +95,7 @@
       Cancellations cancellations,
       Supplier<Incarnation> incarnation,
       BooleanSupplier memoryIsShort,
-      Supplier<IsolationDetector.State> aloneness) {
+      Supplier<IsolationDetector.State> isolation) {
     this.timers = timers;
     this.cache = cache;
     this.watcher = watcher;
@@ -105,12 +105,13 @@
     this.clockMs = clockMs;
     this.cancellations = cancellations;
     this.memoryIsShort = memoryIsShort;
-    this.loadShedder = new LoadShedder(timers, aloneness, this::isCutOff);
+    this.loadShedder = new LoadShedder(timers, isolation, this::isDisconnected);
     this.polls =
-        new ResponseDeadline(timers, POLL_ANSWERED, later("the state service cannot be reached"));
+        new ResponseDeadline(
+            timers, POLL_DEADLINE, unavailable("the state service cannot be reached"));
     this.changes =
         new ResponseDeadline(
-            timers, Submissions.ANSWERED, later("not confirmed in time, ask again"));
+            timers, Submissions.MAX_RESPONSE_TIME, unavailable("not confirmed in time, ask again"));
     this.submissions =
         new Submissions(
             timers,
@@ -120,7 +121,7 @@
             incarnation,
             settings.storeLimits(),
             id -> cache.job(id) != null);
-    this.afterParts =
+    this.dependencyWriter =
         new DependencyWriter(store, cache, settings.storeLimits().maxMutationsPerTransaction());
   }
 
@@ -154,17 +155,17 @@
     }
   }
 
-  private static HttpResponse later(String why) {
-    return HttpResponse.of(503, JobCodec.writeError(why)).withRetryAfter(1);
+  private static HttpResponse unavailable(String reason) {
+    return HttpResponse.of(503, JobCodec.writeError(reason)).withRetryAfter(1);
   }
 
-  private static HttpResponse bad(int status, String why) {
-    return HttpResponse.of(status, JobCodec.writeError(why));
+  private static HttpResponse error(int status, String reason) {
+    return HttpResponse.of(status, JobCodec.writeError(reason));
   }
 
-  private boolean isCutOff() {
+  private boolean isDisconnected() {
     MonotonicTime confirmed = watcher.confirmedAt();
-    return confirmed == null || timers.now().since(confirmed).isLongerThan(UNCONFIRMED);
+    return confirmed == null || timers.now().since(confirmed).isLongerThan(DISCONNECTED_AFTER);
   }
 
   /**
@@ -173,7 +174,7 @@
    */
   private void respond(JobRecord record, Consumer<HttpResponse> reply) {
     cancellations.whenSafe(
-        record, safe -> reply.accept(safe ? state(record) : later("being cancelled")));
+        record, safe -> reply.accept(safe ? state(record) : unavailable("being cancelled")));
   }
 
   private HttpResponse state(JobRecord record) {
@@ -203,14 +204,14 @@
     JobRecord known = cache.job(id);
     if (known != null && known.phase().isTerminal()) {
       respond(known, reply);
-    } else if (isCutOff()) {
-      loadShedder.refuse(reply, () -> readJob(id, reply, unknown, mayWait));
+    } else if (isDisconnected()) {
+      loadShedder.reject(reply, () -> readJob(id, reply, unknown, mayWait));
     } else {
       Consumer<Boolean> answer =
           current -> {
             JobRecord record = cache.job(id);
             if (!current) {
-              reply.accept(later("the state service cannot be reached"));
+              reply.accept(unavailable("the state service cannot be reached"));
             } else if (record == null) {
               unknown.run();
             } else {
@@ -240,55 +241,55 @@
       in = Json.parseFields(body);
       id = JobCodec.readId(in);
     } catch (MalformedMessageException e) {
-      reply.accept(bad(400, e.getMessage()));
+      reply.accept(error(400, e.getMessage()));
       return;
     }
     if (cache.job(id) != null) {
-      readJob(id, reply, () -> reply.accept(later("try again")));
+      readJob(id, reply, () -> reply.accept(unavailable("try again")));
       return;
     }
-    if (isCutOff()) {
-      loadShedder.refuse(reply, () -> submit(body, reply));
+    if (isDisconnected()) {
+      loadShedder.reject(reply, () -> submit(body, reply));
       return;
     }
     if (memoryIsShort.getAsBoolean()) {
-      sayShort();
-      reply.accept(later("no memory for more jobs").withRetryAfter(WITHOUT_MEMORY_S));
+      logMemoryShortage();
+      reply.accept(unavailable("no memory for more jobs").withRetryAfter(NO_MEMORY_RETRY_AFTER_S));
       return;
     }
-    HttpResponse refusal;
+    HttpResponse rejection;
     Job job = null;
     try {
       job = JobCodec.readSubmission(in);
-      refusal = refusal(job);
+      rejection = rejection(job);
     } catch (MalformedMessageException e) {
-      refusal = bad(400, e.getMessage());
+      rejection = error(400, e.getMessage());
     }
-    if (refusal == null) {
-      if (namesUnknown(job)) {
-        takeIfKnown(job, reply);
+    if (rejection == null) {
+      if (hasUnknownDependency(job)) {
+        acceptIfDependenciesExist(job, reply);
         return;
       }
       accept(job, reply);
-    } else if (refusal.status() == 503) {
-      reply.accept(refusal);
+    } else if (rejection.status() == 503) {
+      reply.accept(rejection);
     } else {
       // A known job is known whatever its repetition contains: another controller may have accepted
       // it just now.
-      HttpResponse verdict = refusal;
-      readJob(id, reply, () -> reply.accept(verdict));
+      HttpResponse response = rejection;
+      readJob(id, reply, () -> reply.accept(response));
     }
   }
 
-  private void sayShort() {
+  private void logMemoryShortage() {
     MonotonicTime now = timers.now();
-    if (saidShort == null || now.since(saidShort).isLongerThan(SAY_EVERY)) {
-      saidShort = now;
+    if (memoryLoggedAt == null || now.since(memoryLoggedAt).isLongerThan(MEMORY_LOG_INTERVAL)) {
+      memoryLoggedAt = now;
       LOG.error("memory limit reached with {} stored jobs; rejecting new jobs", cache.jobCount());
     }
   }
 
-  private boolean namesUnknown(Job job) {
+  private boolean hasUnknownDependency(Job job) {
     return job.dependencies().stream().anyMatch(id -> cache.job(id) == null);
   }
 
@@ -296,17 +297,17 @@
    * Another controller may have accepted a dependency a moment ago; only a read that begins now can
    * prove that none has.
    */
-  private void takeIfKnown(Job job, Consumer<HttpResponse> reply) {
+  private void acceptIfDependenciesExist(Job job, Consumer<HttpResponse> reply) {
     readJob(
         job.id(),
         reply,
         () -> {
-          HttpResponse refusal =
-              namesUnknown(job)
-                  ? bad(422, "waits on a job that was never accepted")
-                  : refusal(job); // the cache may contain more now
-          if (refusal != null) {
-            reply.accept(refusal);
+          HttpResponse rejection =
+              hasUnknownDependency(job)
+                  ? error(422, "waits on a job that was never accepted")
+                  : rejection(job); // the cache may contain more now
+          if (rejection != null) {
+            reply.accept(rejection);
           } else {
             accept(job, reply);
           }
@@ -314,18 +315,18 @@
   }
 
   private void accept(Job job, Consumer<HttpResponse> reply) {
-    int comeBackInS = submissions.comeBackInS(job.team());
-    if (comeBackInS > 0) {
-      reply.accept(bad(429, "too many submissions at once").withRetryAfter(comeBackInS));
+    int retryAfterS = submissions.retryAfterS(job.team());
+    if (retryAfterS > 0) {
+      reply.accept(error(429, "too many submissions at once").withRetryAfter(retryAfterS));
       return;
     }
-    afterParts.write(
+    dependencyWriter.write(
         job.dependencies(),
         durable -> {
           if (durable) {
             persist(job, reply);
           } else {
-            reply.accept(later("the state service does not take it now"));
+            reply.accept(unavailable("the state service does not take it now"));
           }
         });
   }
@@ -343,10 +344,12 @@
               if (!job.dependencies().isEmpty()) {
                 readJob(
                     job.id(),
-                    told ->
+                    response ->
                         reply.accept(
-                            told.status() == 200 ? HttpResponse.of(201, told.body()) : told),
-                    () -> reply.accept(later("try again")));
+                            response.status() == 200
+                                ? HttpResponse.of(201, response.body())
+                                : response),
+                    () -> reply.accept(unavailable("try again")));
               } else {
                 reply.accept(
                     HttpResponse.of(201, JobCodec.writeStatus(job.id(), JobPhase.OPEN, 0, 0)));
@@ -354,25 +357,25 @@
             }
             case LOOK -> {
               if (record == null) {
-                reply.accept(later("try again"));
+                reply.accept(unavailable("try again"));
               } else {
                 respond(record, reply);
               }
             }
-            case REFUSED -> reply.accept(later("the state service does not take it now"));
+            case REFUSED -> reply.accept(unavailable("the state service does not take it now"));
             default -> throw new IllegalStateException(outcome.toString());
           }
         });
   }
 
   /** Why a job can never run or be stored, or null. */
-  private HttpResponse refusal(Job job) {
+  private HttpResponse rejection(Job job) {
     Team team = settings.teams().get(job.team());
     if (team == null) {
-      return bad(422, "unknown team");
+      return error(422, "unknown team");
     }
     if (cache.machineTypes().isEmpty()) {
-      return later("the machine types are not known yet");
+      return unavailable("the machine types are not known yet");
     }
     boolean fits = false;
     for (MachineType type : cache.machineTypes().values()) {
@@ -383,14 +386,14 @@
       fits |= allowed && job.taskResources().fitsIn(type.capacity());
     }
     if (!fits) {
-      return bad(422, "no allowed machine type fits a task");
+      return error(422, "no allowed machine type fits a task");
     }
     for (JobId id : job.dependencies()) {
-      JobRecord before = cache.job(id);
-      if (before != null
-          && before.phase() == JobPhase.OPEN
-          && before.job().kind() == JobKind.SERVICE) {
-        return bad(422, "waits on a service, which is never done");
+      JobRecord dependency = cache.job(id);
+      if (dependency != null
+          && dependency.phase() == JobPhase.OPEN
+          && dependency.job().kind() == JobKind.SERVICE) {
+        return error(422, "waits on a service, which is never done");
       }
     }
     Resources need =
@@ -398,11 +401,11 @@
             ? job.taskResources()
             : job.taskResources().times(job.taskCount());
     if (!need.fitsIn(team.limit())) {
-      return bad(422, "more than the team's limit");
+      return error(422, "more than the team's limit");
     }
     return submissions.fits(job, clockMs.getAsLong())
         ? null
-        : bad(400, "the description is too long");
+        : error(400, "the description is too long");
   }
 
   private void cancel(JobId id, int tries, Consumer<HttpResponse> reply) {
@@ -412,9 +415,9 @@
     } else if (known.phase().isTerminal()) {
       respond(known, reply);
     } else if (tries == 0) {
-      reply.accept(later("the state service cannot be reached"));
-    } else if (isCutOff()) {
-      loadShedder.refuse(reply, () -> cancel(id, tries - 1, reply));
+      reply.accept(unavailable("the state service cannot be reached"));
+    } else if (isDisconnected()) {
+      loadShedder.reject(reply, () -> cancel(id, tries - 1, reply));
     } else {
       writeCancellation(id, result -> cancellationWritten(id, tries, result, reply));
     }
@@ -422,7 +425,7 @@
 
   private void cancelAfterRead(JobId id, int tries, boolean current, Consumer<HttpResponse> reply) {
     if (!current) {
-      reply.accept(later("the state service cannot be reached"));
+      reply.accept(unavailable("the state service cannot be reached"));
     } else if (cache.job(id) == null) {
       reply.accept(HttpResponse.of(404, JobCodec.writeError("no such job")));
     } else {
@@ -435,9 +438,9 @@
     if (result.committed()) {
       watcher.barrier(current -> cancel(id, current ? tries - 1 : 0, reply));
     } else if (result.kind() == TransactionResult.Kind.UNAVAILABLE) {
-      reply.accept(later("the state service cannot be reached"));
+      reply.accept(unavailable("the state service cannot be reached"));
     } else if (result.kind() == TransactionResult.Kind.TOO_LARGE) {
-      reply.accept(later("the state service takes no record so large"));
+      reply.accept(unavailable("the state service takes no record so large"));
     } else {
       watcher.barrier(
           current -> timers.after(CANCEL_RETRY_DELAY, () -> cancel(id, tries - 1, reply)));
--- a/src/main/java/org/quincecross/cli/AgreedCommand.java
+++ b/src/main/java/org/quincecross/cli/AgreedCommand.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.UUID;
 import java.util.concurrent.Callable;
-import org.quincecross.admin.AgreedApi;
+import org.quincecross.admin.ReplicatedRecordsApi;
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.MalformedMessageException;
@@ -53,7 +53,7 @@
   }
 
   private String path(String rest) {
-    return AgreedApi.ROOT + "/" + kind() + rest;
+    return ReplicatedRecordsApi.ROOT + "/" + kind() + rest;
   }
 
   final String checked(String id) {
--- a/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/IsolationDetector.java
@@ -81,23 +81,23 @@
   /**
    * The last report of another controller.
    *
-   * @param at when it arrived; null: never
+   * @param receivedAt when it arrived; null: never
    * @param unconfirmed how long that controller had no contact with the store then
    */
-  public record PeerContact(MonotonicTime at, TimeSpan unconfirmed) {
+  public record PeerContact(MonotonicTime receivedAt, TimeSpan unconfirmed) {
     private boolean isFresh(MonotonicTime now) {
-      return at != null && !now.since(at).isLongerThan(SILENCE_TIMEOUT);
+      return receivedAt != null && !now.since(receivedAt).isLongerThan(SILENCE_TIMEOUT);
     }
 
     private TimeSpan unconfirmedBy(MonotonicTime now) {
-      return unconfirmed.plus(now.since(at));
+      return unconfirmed.plus(now.since(receivedAt));
     }
 
-    private boolean isServed(MonotonicTime now) {
-      return at != null && !unconfirmedBy(now).isLongerThan(RECENT_CONTACT);
+    private boolean hasContact(MonotonicTime now) {
+      return receivedAt != null && !unconfirmedBy(now).isLongerThan(RECENT_CONTACT);
     }
 
-    private boolean isOut(MonotonicTime now) {
+    private boolean reportsOutage(MonotonicTime now) {
       return isFresh(now) && unconfirmedBy(now).isLongerThan(SILENCE_TIMEOUT);
     }
   }
@@ -105,13 +105,13 @@
   private final boolean first;
   private State state = State.CONNECTED;
   private MonotonicTime since;
-  private MonotonicTime confirmed;
+  private MonotonicTime lastContact;
 
   /** Tokens up to this one may have been written before the loss. */
   private FencingToken tokenFloor = FencingToken.NONE;
 
   private boolean othersReachStore;
-  private MonotonicTime ownMachine;
+  private MonotonicTime ownMachineReportedAt;
 
   /**
    * Since when other controllers have had contact again while this one has none; null if none has.
@@ -127,7 +127,7 @@
   public IsolationDetector(boolean first, MonotonicTime now) {
     this.first = first;
     this.since = now;
-    this.confirmed = now;
+    this.lastContact = now;
   }
 
   /** The current state. */
@@ -152,7 +152,7 @@
    */
   public void machineReported(
       FencingToken token, FencingToken known, boolean own, MonotonicTime now) {
-    TimeSpan silence = now.since(confirmed);
+    TimeSpan silence = now.since(lastContact);
     if (!silence.isLongerThan(MIN_FAILOVER_TIME)) {
       // The token may have been written at the moment of the loss, so it proves nothing about the
       // time afterwards.
@@ -160,7 +160,7 @@
     } else if (token.isAfter(known) && token.isAfter(tokenFloor)) {
       othersReachStore = true;
     } else if (own && silence.isLongerThan(MAX_FAILOVER_TIME)) {
-      ownMachine = now;
+      ownMachineReportedAt = now;
     }
   }
 
@@ -170,67 +170,68 @@
    * @param heard when the last answered request to the store was sent
    * @param contacts the last report of each other controller
    */
-  public void evaluate(MonotonicTime heard, Collection<PeerContact> words, MonotonicTime now) {
-    if (confirmed.isBefore(heard)) {
-      confirmed = heard;
+  public void evaluate(MonotonicTime heard, Collection<PeerContact> contacts, MonotonicTime now) {
+    if (lastContact.isBefore(heard)) {
+      lastContact = heard;
     }
-    boolean othersServed = words.stream().anyMatch(word -> word.isServed(now));
-    if (!now.since(confirmed).isLongerThan(SILENCE_TIMEOUT)) {
-      back(othersServed, now);
+    boolean othersHaveContact = contacts.stream().anyMatch(contact -> contact.hasContact(now));
+    if (!now.since(lastContact).isLongerThan(SILENCE_TIMEOUT)) {
+      contactRestored(othersHaveContact, now);
       return;
     }
-    boolean allSayOut = !words.isEmpty() && words.stream().allMatch(word -> word.isOut(now));
-    boolean someSayOut = words.stream().anyMatch(word -> word.isOut(now));
-    if (!othersServed) {
+    boolean allReportOutage =
+        !contacts.isEmpty() && contacts.stream().allMatch(contact -> contact.reportsOutage(now));
+    boolean someReportOutage = contacts.stream().anyMatch(contact -> contact.reportsOutage(now));
+    if (!othersHaveContact) {
       othersRecoveredAt = null;
     } else if (othersRecoveredAt == null) {
       othersRecoveredAt = now;
     }
-    if (othersServed
+    if (othersHaveContact
         && (state != State.STORE_OUTAGE
             || now.since(othersRecoveredAt).isLongerThan(SILENCE_TIMEOUT))) {
       enter(State.ISOLATED, now);
-    } else if (othersServed) {
+    } else if (othersHaveContact) {
       enter(
           State.STORE_OUTAGE,
           now); // the outage is over, and some controllers notice it a moment earlier than others
-    } else if (allSayOut) {
+    } else if (allReportOutage) {
       // Regardless of earlier proof, all other controllers now report that they cannot reach the
       // store.
       othersReachStore = false;
       enter(State.STORE_OUTAGE, now);
     } else if (othersReachStore) {
       enter(State.ISOLATED, now);
-    } else if (someSayOut) {
+    } else if (someReportOutage) {
       enter(State.STORE_OUTAGE, now);
     } else if (state == State.RECOVERING) {
       enter(State.ISOLATED, now);
     } else if (state != State.ISOLATED) {
-      nobodySaysAnything(now);
+      evaluateWithoutEvidence(now);
     }
   }
 
-  private void nobodySaysAnything(MonotonicTime now) {
-    if (!now.since(confirmed).isLongerThan(MAX_FAILOVER_TIME)) {
+  private void evaluateWithoutEvidence(MonotonicTime now) {
+    if (!now.since(lastContact).isLongerThan(MAX_FAILOVER_TIME)) {
       if (state == State.CONNECTED) {
         enter(State.UNDETERMINED, now);
       }
     } else if (first
         || state == State.STORE_OUTAGE
-        || (ownMachine != null && confirmed.isBefore(ownMachine))) {
+        || (ownMachineReportedAt != null && lastContact.isBefore(ownMachineReportedAt))) {
       enter(State.STORE_OUTAGE, now);
-    } else if (now.since(confirmed).isLongerThan(MAX_FAILOVER_TIME.plus(SILENCE_TIMEOUT))) {
+    } else if (now.since(lastContact).isLongerThan(MAX_FAILOVER_TIME.plus(SILENCE_TIMEOUT))) {
       enter(State.ISOLATED, now);
     }
   }
 
-  private void back(boolean othersServed, MonotonicTime now) {
+  private void contactRestored(boolean othersHaveContact, MonotonicTime now) {
     othersReachStore = false;
     othersRecoveredAt = null;
     switch (state) {
-      case ISOLATED -> enter(othersServed ? State.RECOVERING : State.CONNECTED, now);
+      case ISOLATED -> enter(othersHaveContact ? State.RECOVERING : State.CONNECTED, now);
       case RECOVERING -> {
-        if (!othersServed || now.since(since).isLongerThan(STABILITY_TIME)) {
+        if (!othersHaveContact || now.since(since).isLongerThan(STABILITY_TIME)) {
           enter(State.CONNECTED, now);
         }
       }
--- a/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
+++ b/src/main/java/org/quincecross/failuredetection/OneWayPartitionDetector.java
@@ -50,18 +50,18 @@
   }
 
   private State state = State.RECEIVING;
-  private MonotonicTime heardAt;
-  private MonotonicTime deafAt;
+  private MonotonicTime receivedAt;
+  private MonotonicTime partitionedAt;
   private MonotonicTime answeredAt;
   private long answeredSession;
-  private long known;
+  private long lastNumber;
   private int unanswered;
   private int trials = 1;
   private int trialsLeft;
 
   /** Creates a detector; up to {@code now} there is no evidence against the machine. */
   public OneWayPartitionDetector(MonotonicTime now) {
-    heardAt = now;
+    receivedAt = now;
   }
 
   /** The only method that changes the state. */
@@ -84,7 +84,7 @@
    * is no such evidence.
    */
   public TimeSpan partitionedFor(MonotonicTime now) {
-    return state == State.RECEIVING ? TimeSpan.ZERO : now.since(heardAt);
+    return state == State.RECEIVING ? TimeSpan.ZERO : now.since(receivedAt);
   }
 
   /**
@@ -105,7 +105,7 @@
         } else {
           relapse(now);
         }
-      } else if (number == known + 1) {
+      } else if (number == lastNumber + 1) {
         // Regardless of the delay: an agent without a response sends heartbeats to the other
         // controllers before it returns here. At an interval of five seconds every heartbeat
         // arrives later than the response timeout.
@@ -114,7 +114,7 @@
         recordMiss(now);
       }
     }
-    known = number;
+    lastNumber = number;
   }
 
   /** Called when its last heartbeat got a response. */
@@ -126,7 +126,7 @@
   /** Called when it responded to a direct command with this sequence number. */
   public void commandAcknowledged(long number, MonotonicTime now) {
     unanswered = 0;
-    known = Math.max(known, number);
+    lastNumber = Math.max(lastNumber, number);
     recordReception(now);
   }
 
@@ -142,14 +142,14 @@
    * it receives.
    */
   public void tokenConfirmed(MonotonicTime now) {
-    heardAt = now;
+    receivedAt = now;
     unanswered = 0;
     enter(State.RECEIVING);
   }
 
   /**
-   * Called when a heartbeat proves that a response was not accepted that was sent early enough to
-   * arrive.
+   * Called when a heartbeat proves that a response was not accepted although it was sent early
+   * enough.
    */
   public void noResponseAccepted(MonotonicTime now) {
     if (answeredAt != null && !RESPONSE_TIMEOUT.isLongerThan(now.since(answeredAt))) {
@@ -158,10 +158,10 @@
   }
 
   private void recordReception(MonotonicTime now) {
-    heardAt = now;
+    receivedAt = now;
     switch (state) {
       case RECEIVING -> {
-        if (trials > 1 && now.since(deafAt).isLongerThan(RELAPSE_WINDOW)) {
+        if (trials > 1 && now.since(partitionedAt).isLongerThan(RELAPSE_WINDOW)) {
           trials = 1;
         }
       }
@@ -189,7 +189,7 @@
   }
 
   private void relapse(MonotonicTime now) {
-    deafAt = now;
+    partitionedAt = now;
     enter(State.PARTITIONED);
   }
 }
--- a/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
+++ b/src/main/java/org/quincecross/failuredetection/ReachabilityMap.java
@@ -23,7 +23,7 @@
   static final TimeSpan LONGEST_PAUSE = TimeSpan.ofSeconds(96);
 
   /** A probe without an outcome for this long has failed. */
-  static final TimeSpan TRIAL = TimeSpan.ofSeconds(12);
+  static final TimeSpan TRIAL_TIMEOUT = TimeSpan.ofSeconds(12);
 
   /** The states of a controller with regard to the machines of a zone. */
   public enum State {
@@ -40,25 +40,26 @@
     ON_TRIAL
   }
 
-  private record Place(ControllerId member, String zone) {}
+  private record MemberZone(ControllerId member, String zone) {}
 
-  private static final class Ear {
+  private static final class Reachability {
     private State state = State.HEARS;
     private MonotonicTime until;
     private TimeSpan pause = FIRST_PAUSE;
   }
 
-  private final Map<Place, Ear> ears = new HashMap<>();
+  private final Map<MemberZone, Reachability> entries = new HashMap<>();
 
   /** The only method that changes the state. */
-  private static void enter(Ear ear, State next, MonotonicTime until) {
-    ear.state = next;
-    ear.until = until;
+  private static void enter(Reachability entry, State next, MonotonicTime until) {
+    entry.state = next;
+    entry.until = until;
   }
 
-  private static void pause(Ear ear, MonotonicTime now) {
-    enter(ear, State.DEAF, now.plus(ear.pause));
-    ear.pause = ear.pause.times(2).isLongerThan(LONGEST_PAUSE) ? LONGEST_PAUSE : ear.pause.times(2);
+  private static void pause(Reachability entry, MonotonicTime now) {
+    enter(entry, State.DEAF, now.plus(entry.pause));
+    entry.pause =
+        entry.pause.times(2).isLongerThan(LONGEST_PAUSE) ? LONGEST_PAUSE : entry.pause.times(2);
   }
 
   /**
@@ -66,16 +67,17 @@
    * machines, while others do.
    */
   public void unreachable(ControllerId member, String zone, MonotonicTime now) {
-    Ear ear = ears.computeIfAbsent(new Place(member, zone), place -> new Ear());
-    if (ear.state != State.DEAF) { // several shards are detected at once
-      pause(ear, now);
+    Reachability entry =
+        entries.computeIfAbsent(new MemberZone(member, zone), place -> new Reachability());
+    if (entry.state != State.DEAF) { // several shards are detected at once
+      pause(entry, now);
     }
   }
 
   /** Called when a shard of a zone was leased to a controller. */
   public void probeStarted(ControllerId member, String zone, MonotonicTime now) {
-    if (of(member, zone, now) == State.TO_BE_TRIED) {
-      enter(ears.get(new Place(member, zone)), State.ON_TRIAL, now.plus(TRIAL));
+    if (state(member, zone, now) == State.TO_BE_TRIED) {
+      enter(entries.get(new MemberZone(member, zone)), State.ON_TRIAL, now.plus(TRIAL_TIMEOUT));
     }
   }
 
@@ -83,29 +85,29 @@
    * Called when all machines of a shard of the zone are fenced for the controller and report to it.
    */
   public void reachable(ControllerId member, String zone, MonotonicTime now) {
-    if (of(member, zone, now) == State.ON_TRIAL) {
-      ears.remove(new Place(member, zone));
+    if (state(member, zone, now) == State.ON_TRIAL) {
+      entries.remove(new MemberZone(member, zone));
     }
   }
 
   /** Whether a controller reaches the machines of a zone. */
-  public State of(ControllerId member, String zone, MonotonicTime now) {
-    Ear ear = ears.get(new Place(member, zone));
-    if (ear == null) {
+  public State state(ControllerId member, String zone, MonotonicTime now) {
+    Reachability entry = entries.get(new MemberZone(member, zone));
+    if (entry == null) {
       return State.HEARS;
     }
-    if (!now.isBefore(ear.until)) {
-      switch (ear.state) {
-        case DEAF -> enter(ear, State.TO_BE_TRIED, ear.until.plus(LONGEST_PAUSE));
-        case ON_TRIAL -> pause(ear, now);
+    if (!now.isBefore(entry.until)) {
+      switch (entry.state) {
+        case DEAF -> enter(entry, State.TO_BE_TRIED, entry.until.plus(LONGEST_PAUSE));
+        case ON_TRIAL -> pause(entry, now);
         case TO_BE_TRIED -> {
           // No shard was available for a probe for so long that the record is outdated.
-          ears.remove(new Place(member, zone));
+          entries.remove(new MemberZone(member, zone));
           return State.HEARS;
         }
-        default -> throw new IllegalStateException(ear.state.toString());
+        default -> throw new IllegalStateException(entry.state.toString());
       }
     }
-    return ear.state;
+    return entry.state;
   }
 }
--- a/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
+++ b/src/main/java/org/quincecross/failuredetection/ShardMovePolicy.java
@@ -36,46 +36,50 @@
     MOVED
   }
 
-  private static final class Mark {
+  private static final class MachineMoves {
     private State state = State.COUNTS;
     private MonotonicTime until;
     private TimeSpan pause = FIRST_PAUSE;
   }
 
-  private final Map<MachineId, Mark> marks = new HashMap<>();
+  private final Map<MachineId, MachineMoves> moves = new HashMap<>();
 
   /** The only method that changes the state. */
-  private static void enter(Mark mark, State next, MonotonicTime until) {
-    mark.state = next;
-    mark.until = until;
+  private static void enter(MachineMoves machineMoves, State next, MonotonicTime until) {
+    machineMoves.state = next;
+    machineMoves.until = until;
   }
 
   /** Called when a shard was moved because these machines of it sent heartbeats to others. */
   public void moved(Collection<MachineId> machines, MonotonicTime now) {
     for (MachineId machine : machines) {
-      Mark mark = marks.computeIfAbsent(machine, id -> new Mark());
-      enter(mark, State.MOVED, now.plus(mark.pause));
-      mark.pause =
-          mark.pause.times(2).isLongerThan(LONGEST_PAUSE) ? LONGEST_PAUSE : mark.pause.times(2);
+      MachineMoves machineMoves = moves.computeIfAbsent(machine, id -> new MachineMoves());
+      enter(machineMoves, State.MOVED, now.plus(machineMoves.pause));
+      machineMoves.pause =
+          machineMoves.pause.times(2).isLongerThan(LONGEST_PAUSE)
+              ? LONGEST_PAUSE
+              : machineMoves.pause.times(2);
     }
   }
 
   /** The machines whose shards were moved and that have not been fenced since. */
   public Collection<MachineId> suspendedMachines() {
-    return marks.keySet();
+    return moves.keySet();
   }
 
   /** Called when machines are fenced for their owner, or no longer exist. */
   public void fenced(Collection<MachineId> machines) {
-    marks.keySet().removeAll(machines);
+    moves.keySet().removeAll(machines);
   }
 
   /** Whether a machine's heartbeats are a reason to move its shard. */
-  public State of(MachineId machine, MonotonicTime now) {
-    Mark mark = marks.get(machine);
-    if (mark != null && mark.state == State.MOVED && !now.isBefore(mark.until)) {
-      enter(mark, State.COUNTS, now);
+  public State state(MachineId machine, MonotonicTime now) {
+    MachineMoves machineMoves = moves.get(machine);
+    if (machineMoves != null
+        && machineMoves.state == State.MOVED
+        && !now.isBefore(machineMoves.until)) {
+      enter(machineMoves, State.COUNTS, now);
     }
-    return mark == null ? State.COUNTS : mark.state;
+    return machineMoves == null ? State.COUNTS : machineMoves.state;
   }
 }
--- a/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
+++ b/src/main/java/org/quincecross/failuredetection/StaleHeartbeatFilter.java
@@ -88,8 +88,8 @@
 
   private State state = State.TRUSTED;
   private Position latest;
-  private Position latestReport;
-  private Position asked;
+  private Position latestHeartbeat;
+  private Position latestAtRequest;
   private MonotonicTime latestAt;
 
   /** The only method that changes the state. */
@@ -104,7 +104,7 @@
     return state;
   }
 
-  private void taken(Position shown, MonotonicTime now) {
+  private void recordAccepted(Position shown, MonotonicTime now) {
     latest = shown;
     latestAt = now;
   }
@@ -112,26 +112,26 @@
   /**
    * Classifies a heartbeat that the machine sent on its own, or a copy of one.
    *
-   * @param leaseOver whether the lease of the agent that was last heard has certainly expired
+   * @param leaseExpired whether the lease of the agent that was last heard has certainly expired
    */
-  public Classification classifyHeartbeat(Position shown, boolean leaseOver, MonotonicTime now) {
-    boolean after = latest == null || shown.isAfter(latest);
+  public Classification classifyHeartbeat(Position shown, boolean leaseExpired, MonotonicTime now) {
+    boolean isLater = latest == null || shown.isAfter(latest);
     if (state != State.BEGUN_ANEW
-        && after
-        && !(leaseOver && latest != null && latest.session == shown.session)) {
-      taken(shown, now);
-      latestReport = shown;
+        && isLater
+        && !(leaseExpired && latest != null && latest.session == shown.session)) {
+      recordAccepted(shown, now);
+      latestHeartbeat = shown;
       enter(State.TRUSTED);
       return Classification.NEW;
     }
     // Its sender no longer accepts a response after that time, and the message is older than what
     // was accepted since.
     if (state != State.BEGUN_ANEW
-        && !leaseOver
-        && (latestReport == null || shown.isAfter(latestReport))
+        && !leaseExpired
+        && (latestHeartbeat == null || shown.isAfter(latestHeartbeat))
         && latest.session == shown.session
         && !now.since(latestAt).isLongerThan(RESPONSE_DROPPED_AFTER)) {
-      latestReport = shown;
+      latestHeartbeat = shown;
       return Classification.OVERTAKEN;
     }
     enter(State.DOUBTED);
@@ -140,21 +140,21 @@
 
   /** Called when a request is sent directly to the machine; there is one at a time. */
   public void statusRequested() {
-    asked = latest;
+    latestAtRequest = latest;
   }
 
   /** Classifies the response to the last request. */
   public Classification classifyCommandResponse(Position shown, MonotonicTime now) {
-    if (asked != null && !shown.isAfter(asked)) {
-      taken(shown, now);
-      latestReport = null;
+    if (latestAtRequest != null && !shown.isAfter(latestAtRequest)) {
+      recordAccepted(shown, now);
+      latestHeartbeat = null;
       enter(State.BEGUN_ANEW);
       return Classification.RESTARTED;
     }
     if (latest != null && !shown.isAfter(latest)) {
       return Classification.OVERTAKEN;
     }
-    taken(shown, now);
+    recordAccepted(shown, now);
     enter(State.TRUSTED);
     return Classification.NEW;
   }
--- a/src/main/java/org/quincecross/failuredetection/StartPermission.java
+++ b/src/main/java/org/quincecross/failuredetection/StartPermission.java
@@ -45,15 +45,15 @@
  * settings do not name are unknown here, so all controllers must be given the same list.
  */
 public final class StartPermission {
-  private record Numbered(Incarnation incarnation, long number) {}
+  private record ReportId(Incarnation incarnation, long number) {}
 
   /** A report of another controller was made after {@code after}, and showed this revision. */
-  private record Shown(MonotonicTime after, Revision revision) {}
+  private record ShownRevision(MonotonicTime after, Revision revision) {}
 
   private final Set<ControllerId> others;
   private final TimeSpan limit;
-  private final Map<Numbered, MonotonicTime> sent = new LinkedHashMap<>();
-  private final Map<ControllerId, Shown> shown = new HashMap<>();
+  private final Map<ReportId, MonotonicTime> sent = new LinkedHashMap<>();
+  private final Map<ControllerId, ShownRevision> shown = new HashMap<>();
 
   /**
    * Creates a permission that is not granted.
@@ -75,7 +75,7 @@
     // A process has no incarnation until it has its lease, so a receipt could be for a report of
     // the previous process.
     if (!incarnation.equals(Incarnation.NONE)) {
-      sent.put(new Numbered(incarnation, number), now);
+      sent.put(new ReportId(incarnation, number), now);
     }
   }
 
@@ -87,13 +87,13 @@
    * @param revision the revision of the records that it shows
    */
   public void received(ControllerId from, Incarnation incarnation, long number, Revision revision) {
-    MonotonicTime after = sent.get(new Numbered(incarnation, number));
+    MonotonicTime after = sent.get(new ReportId(incarnation, number));
     if (after == null || revision.equals(Revision.NONE)) {
       return;
     }
-    Shown known = shown.get(from);
+    ShownRevision known = shown.get(from);
     if (known == null || !after.isBefore(known.after)) {
-      shown.put(from, new Shown(after, revision));
+      shown.put(from, new ShownRevision(after, revision));
     }
   }
 
@@ -108,7 +108,7 @@
         || others.stream()
             .allMatch(
                 other -> {
-                  Shown last = shown.get(other);
+                  ShownRevision last = shown.get(other);
                   return last != null && isRecent(last.after, now) && !last.revision.isAfter(noted);
                 });
   }
--- a/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
+++ b/src/main/java/org/quincecross/failuredetection/UnconfirmedOwnershipBound.java
@@ -60,23 +60,23 @@
  */
 public record UnconfirmedOwnershipBound(
     TimeSpan maxUnconfirmed, TimeSpan confirmCancellationAfter, boolean acknowledgementSuffices) {
-  private static final double LEAST_TOLD_AFTER_S = 8;
-  private static final double LONGEST_TOLD_AFTER_S = 45;
-  private static final double LEAST_UNCONFIRMED_S = 5;
-  private static final double HELD_UP_S = 12;
+  private static final double MIN_CONFIRM_AFTER_S = 8;
+  private static final double MAX_CONFIRM_AFTER_S = 45;
+  private static final double MIN_UNCONFIRMED_S = 5;
+  private static final double DELAYED_START_S = 12;
 
   /** Covers the drift of two clocks against a third one, and the delay of an agent. */
   private static final double LEASE_FACTOR = 1.002;
 
   private static final double DRIFT = 0.001;
-  private static final double LEAST_MARGIN_S = 1.5;
+  private static final double MIN_MARGIN_S = 1.5;
   private static final double MESSAGES_S = 1;
 
   /**
    * Whether a bound exists; if not, leases are too long for the time allowed for a cancellation.
    */
   public static boolean isPossible(TimeSpan lease, TimeSpan cancel) {
-    return toldAfterS(lease.seconds(), cancel.seconds()) <= LONGEST_TOLD_AFTER_S;
+    return confirmAfterS(lease.seconds(), cancel.seconds()) <= MAX_CONFIRM_AFTER_S;
   }
 
   /**
@@ -89,13 +89,13 @@
       throw new IllegalArgumentException(
           "no bound for a lease of " + lease + " and a cancellation within " + cancel);
     }
-    double toldAfter = toldAfterS(lease.seconds(), cancel.seconds());
-    double margin = marginS(cancel.seconds(), toldAfter);
-    double unconfirmed = cancel.seconds() + toldAfter - lease.seconds() * LEASE_FACTOR - margin;
+    double confirmAfter = confirmAfterS(lease.seconds(), cancel.seconds());
+    double margin = marginS(cancel.seconds(), confirmAfter);
+    double unconfirmed = cancel.seconds() + confirmAfter - lease.seconds() * LEASE_FACTOR - margin;
     return new UnconfirmedOwnershipBound(
         TimeSpan.ofSeconds(unconfirmed),
-        TimeSpan.ofSeconds(toldAfter),
-        HELD_UP_S + lease.seconds() * LEASE_FACTOR + margin <= cancel.seconds());
+        TimeSpan.ofSeconds(confirmAfter),
+        DELAYED_START_S + lease.seconds() * LEASE_FACTOR + margin <= cancel.seconds());
   }
 
   /**
@@ -108,23 +108,23 @@
   public TimeSpan maxUnconfirmedStarts() {
     return new TimeSpan(
         confirmCancellationAfter.nanos()
-            - TimeSpan.ofSeconds(LEAST_MARGIN_S)
+            - TimeSpan.ofSeconds(MIN_MARGIN_S)
                 .nanos()); // over 45 s two clocks differ by less than 0.1 s
   }
 
   /** T and D together are less than C + 2 D, and each is measured by a different clock. */
-  private static double marginS(double cancel, double toldAfter) {
-    return Math.max(LEAST_MARGIN_S, MESSAGES_S + DRIFT * (cancel + 2 * toldAfter));
+  private static double marginS(double cancel, double confirmAfter) {
+    return Math.max(MIN_MARGIN_S, MESSAGES_S + DRIFT * (cancel + 2 * confirmAfter));
   }
 
   /**
    * The smallest D for which T reaches its minimum. The margin grows with D, so the equation is
    * solved for each case of the margin.
    */
-  private static double toldAfterS(double lease, double cancel) {
-    double without = LEAST_UNCONFIRMED_S + lease * LEASE_FACTOR - cancel;
-    double byLeast = without + LEAST_MARGIN_S;
-    double byDrift = (without + MESSAGES_S + DRIFT * cancel) / (1 - 2 * DRIFT);
-    return Math.max(LEAST_TOLD_AFTER_S, Math.max(byLeast, byDrift));
+  private static double confirmAfterS(double lease, double cancel) {
+    double withoutMargin = MIN_UNCONFIRMED_S + lease * LEASE_FACTOR - cancel;
+    double byMinMargin = withoutMargin + MIN_MARGIN_S;
+    double byDrift = (withoutMargin + MESSAGES_S + DRIFT * cancel) / (1 - 2 * DRIFT);
+    return Math.max(MIN_CONFIRM_AFTER_S, Math.max(byMinMargin, byDrift));
   }
 }
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -120,7 +120,7 @@
     double average = (double) cache.machineCount() / cache.members().size();
     // if nobody reaches the machines, controllers that do not are equal
     double deaf =
-        reachability.of(member.id(), zone, timers.now()) == ReachabilityMap.State.HEARS
+        reachability.state(member.id(), zone, timers.now()) == ReachabilityMap.State.HEARS
             ? 0
             : cache.machineCount() + MIN_REMOTE_ZONE_COST;
     return deaf
@@ -241,7 +241,7 @@
         if (shard != null
             && !shard.owner().equals(member.id())
             && isUnreachable(shard, machine)
-            && movePolicy.of(machine, timers.now()) == ShardMovePolicy.State.COUNTS) {
+            && movePolicy.state(machine, timers.now()) == ShardMovePolicy.State.COUNTS) {
           strays.computeIfAbsent(shard.id(), id -> new HashSet<>()).add(machine);
           heardBy
               .computeIfAbsent(shard.id(), id -> new TreeMap<>())
@@ -292,7 +292,7 @@
     for (ControllerRecord member : members()) {
       smallest.forEach(
           (zone, shard) -> {
-            if (reachability.of(member.id(), zone, now) == ReachabilityMap.State.TO_BE_TRIED
+            if (reachability.state(member.id(), zone, now) == ReachabilityMap.State.TO_BE_TRIED
                 && !shard.owner().equals(member.id())
                 && !next.containsKey(shard.id())) {
               LOG.info(
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
@@ -143,7 +143,7 @@
   }
 
   private void prepare(int node, Controller controller) {
-    gates[node] = new Gates(controller.agreed());
+    gates[node] = new Gates(controller.replicatedFeatures());
   }
 
   /**
--- a/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/FailureDetectionTest.java
@@ -18,7 +18,7 @@
  * the own process.
  */
 class FailureDetectionTest {
-  private static final ControllerId DEAF = new ControllerId("n1");
+  private static final ControllerId CONTROLLER = new ControllerId("n1");
 
   private static MonotonicTime at(double seconds) {
     return new MonotonicTime(TimeSpan.ofSeconds(seconds).nanos());
@@ -29,11 +29,11 @@
    * within the receipt timeout.
    */
   @Property(tries = 200)
-  void aLinkThatSaysNothingIsMadeAnewInGoodTimeAndNotTooOften(
+  void reconnectsUnacknowledgedLinkInTimeAndNotTooOften(
       @ForAll @DoubleRange(min = 0.1, max = 0.9) double every,
       @ForAll @IntRange(min = 0, max = 40) int acknowledged) {
     LinkMonitor link = new LinkMonitor();
-    double lastRenewed = Double.NEGATIVE_INFINITY;
+    double lastReconnect = Double.NEGATIVE_INFINITY;
     double quietFrom = acknowledged * every;
     for (int i = 0; i < 200; i++) {
       double now = i * every;
@@ -43,15 +43,15 @@
       }
       if (link.takeReconnectNeeded(at(now))) {
         assertTrue(now > quietFrom, "the link was acknowledged until " + quietFrom);
-        assertTrue(now - lastRenewed > 2.999);
-        lastRenewed = now;
+        assertTrue(now - lastReconnect > 2.999);
+        lastReconnect = now;
       }
-      assertTrue(now - Math.max(lastRenewed, quietFrom) < 3 + 3 * every, "not noticed at " + now);
+      assertTrue(now - Math.max(lastReconnect, quietFrom) < 3 + 3 * every, "not noticed at " + now);
     }
   }
 
   @Test
-  void aReceiptThatAsksForMoreIsASignOfLifeToo() {
+  void receiptWithGapAcknowledgesLink() {
     LinkMonitor link = new LinkMonitor();
     for (double now = 0; now < 20; now += 0.5) {
       link.sent(at(now));
@@ -65,42 +65,43 @@
    * treated like the others.
    */
   @Test
-  void aDeafControllerIsTriedEverMoreSeldom() {
-    ReachabilityMap hearing = new ReachabilityMap();
+  void probesUnreachableControllerAtGrowingIntervals() {
+    ReachabilityMap reachability = new ReachabilityMap();
     int trials = 0;
-    double hearsFrom = 600;
-    hearing.unreachable(DEAF, "a", at(0));
-    assertEquals(ReachabilityMap.State.HEARS, hearing.of(DEAF, "b", at(1)), "another zone");
+    double reachableFrom = 600;
+    reachability.unreachable(CONTROLLER, "a", at(0));
+    assertEquals(
+        ReachabilityMap.State.HEARS, reachability.state(CONTROLLER, "b", at(1)), "another zone");
     double given = 0;
     for (double now = 0; now < 900; now += 0.5) {
-      ReachabilityMap.State state = hearing.of(DEAF, "a", at(now));
+      ReachabilityMap.State state = reachability.state(CONTROLLER, "a", at(now));
       if (state == ReachabilityMap.State.TO_BE_TRIED) {
-        hearing.probeStarted(DEAF, "a", at(now));
+        reachability.probeStarted(CONTROLLER, "a", at(now));
         given = now;
         trials++;
       } else if (state == ReachabilityMap.State.ON_TRIAL && now - given >= 4) {
-        if (now < hearsFrom) {
-          hearing.unreachable(DEAF, "a", at(now));
+        if (now < reachableFrom) {
+          reachability.unreachable(CONTROLLER, "a", at(now));
         } else {
-          hearing.reachable(DEAF, "a", at(now));
+          reachability.reachable(CONTROLLER, "a", at(now));
         }
       }
       if (now == 300) {
         assertTrue(trials <= 5, trials + " trials in 300 s");
       }
     }
-    assertEquals(ReachabilityMap.State.HEARS, hearing.of(DEAF, "a", at(900)));
+    assertEquals(ReachabilityMap.State.HEARS, reachability.state(CONTROLLER, "a", at(900)));
     assertTrue(trials <= 9, trials + " trials");
   }
 
   @Test
-  void aTrialThatSaysNothingHasFailed() {
-    ReachabilityMap hearing = new ReachabilityMap();
-    hearing.unreachable(DEAF, "a", at(0));
-    hearing.probeStarted(DEAF, "a", at(13));
-    assertEquals(ReachabilityMap.State.ON_TRIAL, hearing.of(DEAF, "a", at(14)));
-    hearing.reachable(DEAF, "b", at(14));
-    assertEquals(ReachabilityMap.State.DEAF, hearing.of(DEAF, "a", at(26)));
+  void probeWithoutOutcomeHasFailed() {
+    ReachabilityMap reachability = new ReachabilityMap();
+    reachability.unreachable(CONTROLLER, "a", at(0));
+    reachability.probeStarted(CONTROLLER, "a", at(13));
+    assertEquals(ReachabilityMap.State.ON_TRIAL, reachability.state(CONTROLLER, "a", at(14)));
+    reachability.reachable(CONTROLLER, "b", at(14));
+    assertEquals(ReachabilityMap.State.DEAF, reachability.state(CONTROLLER, "a", at(26)));
   }
 
   /**
@@ -108,24 +109,23 @@
    * by timeout.
    */
   @Property(tries = 200)
-  void aGapOfTheClockIsNoticedAtOnceAndLookedAboutAfter(
+  void detectsPauseUntilStateIsConfirmed(
       @ForAll @DoubleRange(min = 0, max = 120) double gap,
       @ForAll @DoubleRange(min = 0, max = 3) double confirmedAfter) {
-    PauseDetector stillness = new PauseDetector(at(0));
-    assertEquals(TimeSpan.ZERO, stillness.tick(at(0.2)));
+    PauseDetector detector = new PauseDetector(at(0));
+    assertEquals(TimeSpan.ZERO, detector.tick(at(0.2)));
     double woke = 0.2 + gap;
-    TimeSpan noticed = stillness.tick(at(woke));
-    boolean stoodStill = gap > 1.5;
-    assertEquals(stoodStill, !noticed.equals(TimeSpan.ZERO));
+    TimeSpan noticed = detector.tick(at(woke));
+    boolean wasPaused = gap > 1.5;
+    assertEquals(wasPaused, !noticed.equals(TimeSpan.ZERO));
     assertEquals(
-        stoodStill,
-        stillness.isWaking(at(0.1), at(woke)),
+        wasPaused,
+        detector.isWaking(at(0.1), at(woke)),
         "a confirmation before the pause does not count");
-    assertEquals(TimeSpan.ZERO, stillness.tick(at(woke + 0.1)));
+    assertEquals(TimeSpan.ZERO, detector.tick(at(woke + 0.1)));
     assertFalse(
-        stillness.isWaking(at(0.1), at(woke + 2.1)),
-        "waking ends by timeout during a store outage");
-    if (stoodStill) {
+        detector.isWaking(at(0.1), at(woke + 2.1)), "waking ends by timeout during a store outage");
+    if (wasPaused) {
       PauseDetector other = new PauseDetector(at(0));
       other.tick(at(woke));
       double now = woke + confirmedAfter;
--- a/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
+++ b/src/test/java/org/quincecross/failuredetection/IsolationDetectorTest.java
@@ -30,18 +30,18 @@
    * Three controllers, with the last store contact of each, the last report of each to each other,
    * and the machines' tokens.
    */
-  private static final class Trio {
+  private static final class ThreeControllers {
     private final List<IsolationDetector> nodes = new ArrayList<>();
-    private final double[] heard = new double[NODES];
-    private final IsolationDetector.PeerContact[][] words =
+    private final double[] lastContact = new double[NODES];
+    private final IsolationDetector.PeerContact[][] reports =
         new IsolationDetector.PeerContact[NODES][NODES];
     private double now;
 
-    Trio() {
+    ThreeControllers() {
       for (int i = 0; i < NODES; i++) {
         nodes.add(new IsolationDetector(i == 0, at(0)));
         for (int j = 0; j < NODES; j++) {
-          words[i][j] = new IsolationDetector.PeerContact(null, TimeSpan.ZERO);
+          reports[i][j] = new IsolationDetector.PeerContact(null, TimeSpan.ZERO);
         }
       }
     }
@@ -53,19 +53,20 @@
     void step(int served, int linked) {
       now += STEP_S;
       for (int i = 0; i < NODES; i++) {
-        heard[i] = (served >> i & 1) == 1 ? now : heard[i];
+        lastContact[i] = (served >> i & 1) == 1 ? now : lastContact[i];
       }
       for (int i = 0; i < NODES; i++) {
         for (int j = 0; j < NODES; j++) {
           if (i != j && (linked >> i & linked >> j & 1) == 1) {
-            words[i][j] = new IsolationDetector.PeerContact(at(now), at(now).since(at(heard[j])));
+            reports[i][j] =
+                new IsolationDetector.PeerContact(at(now), at(now).since(at(lastContact[j])));
           }
         }
       }
       for (int i = 0; i < NODES; i++) {
-        List<IsolationDetector.PeerContact> others = new ArrayList<>(List.of(words[i]));
+        List<IsolationDetector.PeerContact> others = new ArrayList<>(List.of(reports[i]));
         others.remove(i);
-        nodes.get(i).evaluate(at(heard[i]), others, at(now));
+        nodes.get(i).evaluate(at(lastContact[i]), others, at(now));
       }
     }
 
@@ -79,40 +80,43 @@
    * one controller takes users at any time, and so do all whose machines report.
    */
   @Property(tries = 400)
-  void inAnOutageOfAllSomebodyIsAlwaysIn(
+  void someControllerTakesUsersInStoreOutage(
       @ForAll long seed, @ForAll @IntRange(min = 0, max = 7) int machines) {
     Random random = new Random(seed);
-    Trio trio = new Trio();
+    ThreeControllers controllers = new ThreeControllers();
     int links = 7;
     for (int i = 0; i < 20; i++) {
-      trio.step(7, 7);
+      controllers.step(7, 7);
     }
     for (int i = 0; i < 200; i++) {
       links = random.nextInt(8) == 0 ? random.nextInt(8) : links;
       for (int node = 0; node < NODES; node++) {
         if ((machines >> node & 1) == 1) {
           // Token 50 was written at the moment of the loss; only its writer knows of it.
-          trio.nodes
+          controllers
+              .nodes
               .get(node)
               .machineReported(
                   new FencingToken(random.nextInt(3) == 0 || (i > 0 && i < 3) ? 50 : 20),
                   new FencingToken(40),
                   true,
-                  at(trio.now));
+                  at(controllers.now));
         }
       }
-      trio.step(0, links);
-      int in = 0;
+      controllers.step(0, links);
+      int taking = 0;
       for (int node = 0; node < NODES; node++) {
-        in += trio.takesUsers(node) ? 1 : 0;
-        assertTrue((machines >> node & 1) == 0 || trio.takesUsers(node), node + " at " + trio.now);
+        taking += controllers.takesUsers(node) ? 1 : 0;
+        assertTrue(
+            (machines >> node & 1) == 0 || controllers.takesUsers(node),
+            node + " at " + controllers.now);
       }
-      assertTrue(in > 0, "no controller takes users at " + trio.now);
+      assertTrue(taking > 0, "no controller takes users at " + controllers.now);
     }
     for (int i = 0; i < 3; i++) {
-      trio.step(7, 7);
+      controllers.step(7, 7);
     }
-    assertEquals(IsolationDetector.State.CONNECTED, trio.nodes.get(0).state());
+    assertEquals(IsolationDetector.State.CONNECTED, controllers.nodes.get(0).state());
   }
 
   /**
@@ -120,34 +124,35 @@
    * users from then on, and takes them again some time after its return.
    */
   @Property(tries = 200)
-  void whoeverIsAloneIsOutOnceAMachineShowsIt(
-      @ForAll @IntRange(min = 0, max = 2) int lone,
+  void isolatedControllerStopsTakingUsersOnProof(
+      @ForAll @IntRange(min = 0, max = 2) int isolated,
       @ForAll @IntRange(min = 6, max = 30) int shownAt,
       @ForAll @IntRange(min = 40, max = 300) int length) {
-    Trio trio = new Trio();
-    int others = 7 & ~(1 << lone);
-    trio.step(7, 7);
+    ThreeControllers controllers = new ThreeControllers();
+    int others = 7 & ~(1 << isolated);
+    controllers.step(7, 7);
     for (int i = 1; i < length; i++) {
       if (i >= shownAt) {
-        trio.nodes
-            .get(lone)
-            .machineReported(new FencingToken(90), new FencingToken(40), true, at(trio.now));
+        controllers
+            .nodes
+            .get(isolated)
+            .machineReported(new FencingToken(90), new FencingToken(40), true, at(controllers.now));
       }
-      trio.step(others, others);
+      controllers.step(others, others);
       for (int node = 0; node < NODES; node++) {
-        boolean in = trio.takesUsers(node);
-        assertTrue(node == lone || in, "other controllers take users");
+        boolean takesUsers = controllers.takesUsers(node);
+        assertTrue(node == isolated || takesUsers, "other controllers take users");
         assertFalse(
-            node == lone && i > Math.max(shownAt, 7) && in,
-            "the isolated controller takes users at " + trio.now);
+            node == isolated && i > Math.max(shownAt, 7) && takesUsers,
+            "the isolated controller takes users at " + controllers.now);
       }
     }
     for (int i = 0; i < 4; i++) {
-      trio.step(7, 7);
-      assertFalse(trio.takesUsers(lone), "takes users again at once");
+      controllers.step(7, 7);
+      assertFalse(controllers.takesUsers(isolated), "takes users again at once");
     }
-    trio.step(7, 7);
-    trio.step(7, 7);
-    assertTrue(trio.takesUsers(lone));
+    controllers.step(7, 7);
+    controllers.step(7, 7);
+    assertTrue(controllers.takesUsers(isolated));
   }
 }
--- a/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
@@ -31,100 +31,103 @@
   }
 
   /** A message, with the incarnation of the agent that made it and its number there. */
-  private record Made(int life, int number, Position shown) {}
+  private record SentMessage(int incarnation, int number, Position shown) {}
 
   /** Simulates one machine whose messages arrive, get lost, come late and are repeated. */
-  private static final class Machine {
+  private static final class SimulatedMachine {
     private final Random random;
     private final boolean restarts;
-    private final StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
-    private final List<Made> reports = new ArrayList<>();
-    private int life;
+    private final StaleHeartbeatFilter filter = new StaleHeartbeatFilter();
+    private final List<SentMessage> reports = new ArrayList<>();
+    private int incarnation;
     private int number;
     private long session = 1;
     private long order;
-    private long shows;
-    private int taken;
-    private int takenLife;
+    private long token;
+    private int acceptedNumber;
+    private int acceptedIncarnation;
 
-    Machine(long seed, boolean restarts) {
+    SimulatedMachine(long seed, boolean restarts) {
       this.random = new Random(seed);
       this.restarts = restarts;
       session = 1L + random.nextInt(3);
       order = random.nextInt(20);
     }
 
-    Made says() {
-      return new Made(life, ++number, new Position(new FencingToken(shows), session, ++order));
+    SentMessage nextMessage() {
+      return new SentMessage(
+          incarnation, ++number, new Position(new FencingToken(token), session, ++order));
     }
 
-    private void begins() {
-      life++;
+    private void restart() {
+      incarnation++;
       session = 1;
       order = 0;
-      shows = 0;
+      token = 0;
     }
 
-    private void report(Made made, double now) {
-      Classification verdict = freshness.classifyHeartbeat(made.shown(), false, at(now));
-      assertNotEquals(Classification.RESTARTED, verdict, "counts alone prove nothing");
-      if (verdict == Classification.NEW) {
-        assertTrue(made.life() != takenLife || made.number() > taken, made + " after " + taken);
-        taken = made.number();
-        takenLife = made.life();
+    private void heartbeat(SentMessage message, double now) {
+      Classification classification = filter.classifyHeartbeat(message.shown(), false, at(now));
+      assertNotEquals(Classification.RESTARTED, classification, "counts alone prove nothing");
+      if (classification == Classification.NEW) {
+        assertTrue(
+            message.incarnation() != acceptedIncarnation || message.number() > acceptedNumber,
+            message + " after " + acceptedNumber);
+        acceptedNumber = message.number();
+        acceptedIncarnation = message.incarnation();
       }
     }
 
-    private void ask(double now) {
-      freshness.statusRequested();
+    private void requestStatus(double now) {
+      filter.statusRequested();
       if (random.nextInt(3) == 0) {
-        freshness.statusRequestFailed();
+        filter.statusRequestFailed();
         return;
       }
-      shows = Math.max(shows, random.nextInt(4));
-      Made made = says();
-      Classification verdict = freshness.classifyCommandResponse(made.shown(), at(now));
-      if (verdict == Classification.RESTARTED) {
-        assertTrue(life > 0, "restart reported although the agent never restarted");
+      token = Math.max(token, random.nextInt(4));
+      SentMessage message = nextMessage();
+      Classification classification = filter.classifyCommandResponse(message.shown(), at(now));
+      if (classification == Classification.RESTARTED) {
+        assertTrue(incarnation > 0, "restart reported although the agent never restarted");
       }
-      assertNotEquals(Classification.LATE, verdict);
-      taken = made.number();
-      takenLife = made.life();
+      assertNotEquals(Classification.LATE, classification);
+      acceptedNumber = message.number();
+      acceptedIncarnation = message.incarnation();
     }
 
-    void play() {
+    void run() {
       for (int step = 0; step < 120; step++) {
         double now = step * 0.5;
         if (restarts && random.nextInt(40) == 0) {
-          begins();
+          restart();
         }
         if (random.nextInt(3) > 0) {
-          Made made = says();
-          reports.add(made);
+          SentMessage message = nextMessage();
+          reports.add(message);
           if (random.nextInt(4) > 0) {
-            report(made, now);
+            heartbeat(message, now);
           }
         }
         if (!reports.isEmpty() && random.nextInt(2) == 0) {
-          report(reports.get(random.nextInt(reports.size())), now);
+          heartbeat(reports.get(random.nextInt(reports.size())), now);
         }
-        if (freshness.needsStatusRequest(REPORT, at(now)) || random.nextInt(8) == 0) {
-          ask(now);
+        if (filter.needsStatusRequest(REPORT, at(now)) || random.nextInt(8) == 0) {
+          requestStatus(now);
         }
-        if (freshness.state() == State.BEGUN_ANEW) {
+        if (filter.state() == State.BEGUN_ANEW) {
           reports.forEach(
-              made ->
+              message ->
                   assertEquals(
                       Classification.LATE,
-                      freshness.classifyHeartbeat(made.shown(), false, at(now))));
+                      filter.classifyHeartbeat(message.shown(), false, at(now))));
         }
       }
     }
   }
 
   @Property(tries = 400)
-  void noCopyIsNewsAndAMachineThatGoesOnHasNotBegunAnew(@ForAll long seed) {
-    new Machine(seed, false).play();
+  void copiesAreNotNewAndDoNotProveRestart(@ForAll long seed) {
+    new SimulatedMachine(seed, false).run();
   }
 
   /**
@@ -132,8 +135,8 @@
    * either.
    */
   @Property(tries = 400)
-  void noCopyIsNewsWhereWorkersBeginAnew(@ForAll long seed) {
-    new Machine(seed, true).play();
+  void copiesAreNotNewWhenAgentsRestart(@ForAll long seed) {
+    new SimulatedMachine(seed, true).run();
   }
 
   /**
@@ -143,21 +146,21 @@
   @Property(tries = 200)
   void aMachineThatHasBegunAnewIsFoundOut(@ForAll long seed) {
     Random random = new Random(seed);
-    StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
-    freshness.classifyHeartbeat(
+    StaleHeartbeatFilter filter = new StaleHeartbeatFilter();
+    filter.classifyHeartbeat(
         new Position(PRESENT, 1 + random.nextInt(3), 40 + random.nextInt(1000)), false, at(0));
     double now = 0;
-    for (int order = 1; freshness.state() != State.BEGUN_ANEW; order++) {
+    for (int order = 1; filter.state() != State.BEGUN_ANEW; order++) {
       now += 0.5 + random.nextDouble() * 2;
       assertTrue(now < 10, "restart not detected in time");
       assertEquals(
           Classification.LATE,
-          freshness.classifyHeartbeat(new Position(FORMER, 1, order), false, at(now)));
-      if (freshness.needsStatusRequest(REPORT, at(now))) {
-        freshness.statusRequested();
+          filter.classifyHeartbeat(new Position(FORMER, 1, order), false, at(now)));
+      if (filter.needsStatusRequest(REPORT, at(now))) {
+        filter.statusRequested();
         assertEquals(
             Classification.RESTARTED,
-            freshness.classifyCommandResponse(new Position(FORMER, 1, ++order), at(now)));
+            filter.classifyCommandResponse(new Position(FORMER, 1, ++order), at(now)));
       }
     }
   }
@@ -167,18 +170,17 @@
    * whatever its counts.
    */
   @Test
-  void theTokenRanksBeforeTheCounts() {
-    StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
+  void tokenRanksBeforeCounts() {
+    StaleHeartbeatFilter filter = new StaleHeartbeatFilter();
     assertEquals(
-        Classification.NEW, freshness.classifyHeartbeat(new Position(FORMER, 3, 88), false, at(0)));
-    freshness.statusRequested();
+        Classification.NEW, filter.classifyHeartbeat(new Position(FORMER, 3, 88), false, at(0)));
+    filter.statusRequested();
     assertEquals(
-        Classification.NEW, freshness.classifyCommandResponse(new Position(PRESENT, 1, 2), at(1)));
+        Classification.NEW, filter.classifyCommandResponse(new Position(PRESENT, 1, 2), at(1)));
     assertEquals(
-        Classification.LATE,
-        freshness.classifyHeartbeat(new Position(FORMER, 3, 89), false, at(2)));
+        Classification.LATE, filter.classifyHeartbeat(new Position(FORMER, 3, 89), false, at(2)));
     assertEquals(
-        Classification.NEW, freshness.classifyHeartbeat(new Position(PRESENT, 1, 3), false, at(2)));
+        Classification.NEW, filter.classifyHeartbeat(new Position(PRESENT, 1, 3), false, at(2)));
   }
 
   /**
@@ -186,16 +188,14 @@
    * number; a response is not.
    */
   @Test
-  void aSessionDoesNotOutliveItsLease() {
-    StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
-    freshness.classifyHeartbeat(new Position(PRESENT, 2, 10), false, at(0));
+  void sessionDoesNotOutliveItsLease() {
+    StaleHeartbeatFilter filter = new StaleHeartbeatFilter();
+    filter.classifyHeartbeat(new Position(PRESENT, 2, 10), false, at(0));
     assertEquals(
-        Classification.LATE,
-        freshness.classifyHeartbeat(new Position(PRESENT, 2, 11), true, at(30)));
-    assertTrue(freshness.needsStatusRequest(REPORT, at(30)));
+        Classification.LATE, filter.classifyHeartbeat(new Position(PRESENT, 2, 11), true, at(30)));
+    assertTrue(filter.needsStatusRequest(REPORT, at(30)));
     assertEquals(
-        Classification.NEW,
-        freshness.classifyHeartbeat(new Position(PRESENT, 3, 12), true, at(31)));
+        Classification.NEW, filter.classifyHeartbeat(new Position(PRESENT, 3, 12), true, at(31)));
   }
 
   /**
@@ -203,19 +203,17 @@
    * once.
    */
   @Test
-  void whatIsOvertakenIsAnsweredOnce() {
-    StaleHeartbeatFilter freshness = new StaleHeartbeatFilter();
-    freshness.classifyHeartbeat(new Position(PRESENT, 1, 10), false, at(0));
-    freshness.statusRequested();
-    freshness.classifyCommandResponse(new Position(PRESENT, 1, 13), at(1));
+  void overtakenHeartbeatIsAnsweredOnce() {
+    StaleHeartbeatFilter filter = new StaleHeartbeatFilter();
+    filter.classifyHeartbeat(new Position(PRESENT, 1, 10), false, at(0));
+    filter.statusRequested();
+    filter.classifyCommandResponse(new Position(PRESENT, 1, 13), at(1));
     assertEquals(
         Classification.OVERTAKEN,
-        freshness.classifyHeartbeat(new Position(PRESENT, 1, 11), false, at(2)));
+        filter.classifyHeartbeat(new Position(PRESENT, 1, 11), false, at(2)));
     assertEquals(
-        Classification.LATE,
-        freshness.classifyHeartbeat(new Position(PRESENT, 1, 11), false, at(2)));
+        Classification.LATE, filter.classifyHeartbeat(new Position(PRESENT, 1, 11), false, at(2)));
     assertEquals(
-        Classification.LATE,
-        freshness.classifyHeartbeat(new Position(PRESENT, 1, 12), false, at(6)));
+        Classification.LATE, filter.classifyHeartbeat(new Position(PRESENT, 1, 12), false, at(6)));
   }
 }
--- a/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StartPermissionTest.java
@@ -26,10 +26,10 @@
  * is reachable for some of them only, and restarts.
  */
 class StartPermissionTest {
-  private static final int DAYS = 1000;
-  private static final int DAYS_WITH_FLAW = 3000;
+  private static final int RUNS = 1000;
+  private static final int RUNS_WITH_FLAW = 3000;
   private static final int STEP_MS = 100;
-  private static final long TOLD_AFTER_MS = 8000;
+  private static final long CONFIRM_AFTER_MS = 8000;
   private static final TimeSpan LIMIT = TimeSpan.ofMillis(6500);
 
   /** A part of the rule that the owner leaves out. */
@@ -54,171 +54,176 @@
   /**
    * A controller that accepts cancellations and confirms them; it loses its memory in a restart.
    */
-  private static final class Teller {
+  private static final class ConfirmingController {
     final ControllerId member;
     final Map<Long, Long> seenMs = new HashMap<>();
     long revision;
-    long heardLife = -1;
-    long heardNumber;
-    boolean isCut;
+    long receivedIncarnation = -1;
+    long receivedNumber;
+    boolean isPartitioned;
 
-    Teller(String name) {
+    ConfirmingController(String name) {
       member = new ControllerId(name);
     }
 
     void restart() {
       seenMs.clear();
       revision = 0;
-      heardLife = -1;
+      receivedIncarnation = -1;
     }
 
-    void hear(long life, long number) {
-      if (life > heardLife || (life == heardLife && number > heardNumber)) {
-        heardLife = life;
-        heardNumber = number;
+    void receive(long life, long number) {
+      if (life > receivedIncarnation || (life == receivedIncarnation && number > receivedNumber)) {
+        receivedIncarnation = life;
+        receivedNumber = number;
       }
     }
   }
 
-  private static final class Day {
+  private static final class Simulation {
     private final Random random;
     private final Flaw flaw;
-    private final List<Teller> tellers = List.of(new Teller("b"), new Teller("c"));
+    private final List<ConfirmingController> others =
+        List.of(new ConfirmingController("b"), new ConfirmingController("c"));
     private final boolean[] served = {true, true, true};
     private final PriorityQueue<Message> messages = new PriorityQueue<>();
     private final List<Long> cancellations = new ArrayList<>();
-    private final TreeMap<Long, Long> toldMs = new TreeMap<>();
+    private final TreeMap<Long, Long> confirmedMs = new TreeMap<>();
     private long nowMs;
     private long durable = 1;
     private StartPermission permission;
-    private long lives;
-    private long life;
+    private long incarnations;
+    private long incarnation;
     private long number;
-    private long noted;
+    private long seenRevision;
     private MonotonicTime confirmed;
     private int beyondLimit;
 
-    Day(long seed, Flaw flaw) {
+    Simulation(long seed, Flaw flaw) {
       random = new Random(seed);
       this.flaw = flaw;
-      begin();
+      restartOwner();
     }
 
     private MonotonicTime now() {
       return new MonotonicTime(TimeSpan.ofMillis(nowMs).nanos());
     }
 
-    private boolean drawn(double probability) {
+    private boolean chance(double probability) {
       return random.nextDouble() < probability;
     }
 
-    private void begin() {
-      Set<ControllerId> others =
+    private void restartOwner() {
+      Set<ControllerId> otherIds =
           flaw == Flaw.ONE_CONTROLLER
-              ? Set.of(tellers.get(0).member)
-              : Set.of(tellers.get(0).member, tellers.get(1).member);
+              ? Set.of(others.get(0).member)
+              : Set.of(others.get(0).member, others.get(1).member);
       permission =
           new StartPermission(
-              others, flaw == Flaw.LIMIT ? TimeSpan.ofMillis(TOLD_AFTER_MS + 1500) : LIMIT);
-      life = 0;
+              otherIds, flaw == Flaw.LIMIT ? TimeSpan.ofMillis(CONFIRM_AFTER_MS + 1500) : LIMIT);
+      incarnation = 0;
       number = 0;
-      noted = 0;
+      seenRevision = 0;
       confirmed = null;
     }
 
-    private void send(Teller teller, Runnable arrive) {
+    private void send(ConfirmingController controller, Runnable arrive) {
       messages.add(
           new Message(
               nowMs
-                  + (teller.isCut || drawn(0.3) ? random.nextInt(40_000) : 1 + random.nextInt(200)),
+                  + (controller.isPartitioned || chance(0.3)
+                      ? random.nextInt(40_000)
+                      : 1 + random.nextInt(200)),
               arrive));
     }
 
     /** The incarnation; all processes share the same one before their first lease. */
-    private Incarnation name(long of) {
+    private Incarnation incarnationOf(long of) {
       return of == 0 && flaw == Flaw.NO_LIFE_YET ? new Incarnation(-1) : new Incarnation(of);
     }
 
-    private void receive(ControllerId from, long ofLife, long ofNumber, long revision) {
-      Incarnation receipt = name(flaw == Flaw.LIFE ? life : ofLife);
+    private void receive(ControllerId from, long ofIncarnation, long ofNumber, long revision) {
+      Incarnation receipt = incarnationOf(flaw == Flaw.LIFE ? incarnation : ofIncarnation);
       if (flaw == Flaw.RECEIPTS) {
         permission.sent(receipt, ofNumber, now());
       }
-      boolean taken =
+      boolean overridesRevision =
           (flaw == Flaw.REVISION && revision > 0)
               || (flaw == Flaw.RECORDS_NOT_READ && revision == 0);
-      permission.received(from, receipt, ofNumber, new Revision(taken ? 1 : revision));
+      permission.received(from, receipt, ofNumber, new Revision(overridesRevision ? 1 : revision));
     }
 
-    private void holder() {
-      if (drawn(0.01)) {
-        begin();
+    private void stepOwner() {
+      if (chance(0.01)) {
+        restartOwner();
       }
-      if (life == 0 && drawn(0.005)) {
-        life = ++lives;
+      if (incarnation == 0 && chance(0.005)) {
+        incarnation = ++incarnations;
       }
-      if (served[2] && drawn(0.5)) {
-        noted = durable;
+      if (served[2] && chance(0.5)) {
+        seenRevision = durable;
         confirmed = now();
       }
-      if (drawn(0.3)) {
-        permission.sent(name(life), ++number, now());
-        long ofLife = life;
+      if (chance(0.3)) {
+        permission.sent(incarnationOf(incarnation), ++number, now());
+        long ofIncarnation = incarnation;
         long ofNumber = number;
-        tellers.forEach(teller -> send(teller, () -> teller.hear(ofLife, ofNumber)));
+        others.forEach(
+            controller -> send(controller, () -> controller.receive(ofIncarnation, ofNumber)));
       }
     }
 
-    private void teller(Teller teller, boolean isServed) {
-      teller.isCut ^= drawn(teller.isCut ? 0.01 : 0.003);
-      if (drawn(0.004)) {
-        teller.restart();
+    private void stepOther(ConfirmingController controller, boolean isServed) {
+      controller.isPartitioned ^= chance(controller.isPartitioned ? 0.01 : 0.003);
+      if (chance(0.004)) {
+        controller.restart();
       }
-      if (isServed && drawn(0.5)) {
-        if (teller.revision > 0 && drawn(0.02)) {
+      if (isServed && chance(0.5)) {
+        if (controller.revision > 0 && chance(0.02)) {
           durable++;
           cancellations.add(durable);
         }
-        cancellations.forEach(revision -> teller.seenMs.putIfAbsent(revision, nowMs));
-        teller.revision = durable;
+        cancellations.forEach(revision -> controller.seenMs.putIfAbsent(revision, nowMs));
+        controller.revision = durable;
       }
-      teller.seenMs.forEach(
+      controller.seenMs.forEach(
           (revision, seen) -> {
-            if (nowMs - seen >= TOLD_AFTER_MS) {
-              toldMs.putIfAbsent(revision, nowMs);
+            if (nowMs - seen >= CONFIRM_AFTER_MS) {
+              confirmedMs.putIfAbsent(revision, nowMs);
             }
           });
-      if (drawn(0.3)) {
-        long ofLife = teller.heardLife;
-        long ofNumber = teller.heardNumber;
-        long revision = teller.revision;
-        if (ofLife >= 0) {
-          send(teller, () -> receive(teller.member, ofLife, ofNumber, revision));
+      if (chance(0.3)) {
+        long ofIncarnation = controller.receivedIncarnation;
+        long ofNumber = controller.receivedNumber;
+        long revision = controller.revision;
+        if (ofIncarnation >= 0) {
+          send(controller, () -> receive(controller.member, ofIncarnation, ofNumber, revision));
         }
       }
     }
 
     /** Returns what was started after its user had been told of the cancellation, or null. */
-    String play() {
+    String run() {
       for (; nowMs < 240_000; nowMs += STEP_MS) {
         for (int i = 0; i < served.length; i++) {
-          served[i] ^= drawn(0.01);
+          served[i] ^= chance(0.01);
         }
         while (!messages.isEmpty() && messages.peek().dueMs <= nowMs) {
           messages.poll().arrive.run();
         }
-        holder();
-        teller(tellers.get(0), served[0]);
-        teller(tellers.get(1), served[1]);
-        if (confirmed != null && permission.isGranted(confirmed, new Revision(noted), now())) {
+        stepOwner();
+        stepOther(others.get(0), served[0]);
+        stepOther(others.get(1), served[1]);
+        if (confirmed != null
+            && permission.isGranted(confirmed, new Revision(seenRevision), now())) {
           beyondLimit += now().since(confirmed).isLongerThan(LIMIT) ? 1 : 0;
-          if (!toldMs.tailMap(noted, false).isEmpty()) {
+          if (!confirmedMs.tailMap(seenRevision, false).isEmpty()) {
             return "at "
                 + nowMs
                 + ", owner has seen revision "
-                + noted
+                + seenRevision
                 + ", confirmed to users "
-                + toldMs;
+                + confirmedMs;
           }
         }
       }
@@ -227,21 +232,22 @@
   }
 
   @Test
-  void nothingThatWasToldIsStarted() {
+  void startsNothingConfirmedAsCancelled() {
     int beyondLimit = 0;
-    for (long seed = 0; seed < DAYS; seed++) {
-      Day day = new Day(seed, Flaw.NONE);
-      assertNull(day.play(), "seed " + seed);
-      beyondLimit += day.beyondLimit;
+    for (long seed = 0; seed < RUNS; seed++) {
+      Simulation simulation = new Simulation(seed, Flaw.NONE);
+      assertNull(simulation.run(), "seed " + seed);
+      beyondLimit += simulation.beyondLimit;
     }
-    assertTrue(beyondLimit > 10 * DAYS, "starts without store contact: " + beyondLimit);
+    assertTrue(beyondLimit > 10 * RUNS, "starts without store contact: " + beyondLimit);
   }
 
   /** An owner that leaves out any part of the rule violates it. */
   @ParameterizedTest
   @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-  void eachGuardIsNeeded(Flaw flaw) {
+  void disablingAnyGuardCausesViolation(Flaw flaw) {
     assertTrue(
-        LongStream.range(0, DAYS_WITH_FLAW).anyMatch(seed -> new Day(seed, flaw).play() != null));
+        LongStream.range(0, RUNS_WITH_FLAW)
+            .anyMatch(seed -> new Simulation(seed, flaw).run() != null));
   }
 }
--- a/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
+++ b/src/test/java/org/quincecross/failuredetection/UnconfirmedOwnershipBoundTest.java
@@ -20,14 +20,14 @@
    * and a user who is told as early as possible.
    */
   @Property(tries = 2000, seed = "31")
-  void allIsGoneInTimeWhateverTheSettings(
+  void tasksEndInTimeForAnySettings(
       @ForAll @DoubleRange(min = 0.1, max = 86_400) double lease,
       @ForAll @DoubleRange(min = 0.1, max = 86_400) double cancel) {
     check(lease, cancel);
   }
 
   @Property(tries = 2000, seed = "32")
-  void allIsGoneInTimeWithOrdinarySettings(
+  void tasksEndInTimeForOrdinarySettings(
       @ForAll @DoubleRange(min = 0.5, max = 120) double lease,
       @ForAll @DoubleRange(min = 0.5, max = 120) double cancel) {
     check(lease, cancel);
@@ -44,13 +44,15 @@
     UnconfirmedOwnershipBound bound =
         UnconfirmedOwnershipBound.of(TimeSpan.ofSeconds(lease), TimeSpan.ofSeconds(cancel));
     double t = bound.maxUnconfirmed().seconds();
-    double toldAfter = bound.confirmCancellationAfter().seconds();
+    double confirmAfter = bound.confirmCancellationAfter().seconds();
     assertTrue(t > 4.9, "T is long enough for a brief disturbance: " + bound);
-    assertTrue(toldAfter >= 8 && toldAfter < 45.1, "users still retry when D has passed: " + bound);
-    double goneAfterDurable = t * (1 + DRIFT) + lease * (1 + DRIFT) + MESSAGES_S;
-    double told = toldAfter * (1 - DRIFT);
     assertTrue(
-        goneAfterDurable <= told + cancel, bound + " at lease " + lease + ", cancel " + cancel);
+        confirmAfter >= 8 && confirmAfter < 45.1, "users still retry when D has passed: " + bound);
+    double endedAfterDurable = t * (1 + DRIFT) + lease * (1 + DRIFT) + MESSAGES_S;
+    double confirmedAt = confirmAfter * (1 - DRIFT);
+    assertTrue(
+        endedAfterDurable <= confirmedAt + cancel,
+        bound + " at lease " + lease + ", cancel " + cancel);
     if (bound.acknowledgementSuffices()) {
       assertTrue(
           lease * (1 + DRIFT) + 12 + MESSAGES_S <= cancel,
@@ -59,7 +61,7 @@
   }
 
   @Example
-  void forTheSettingsOfTodayItIsWhatItWas() {
+  void boundIsUnchangedForDeployedSettings() {
     assertEquals(
         new UnconfirmedOwnershipBound(
             TimeSpan.ofSeconds(36.0 + 8 - 11 * 1.002 - 1.5), TimeSpan.ofSeconds(8), true),
@@ -78,7 +80,7 @@
    * T below one second used to be rounded up to one second, and tasks outlived their cancellation.
    */
   @Example
-  void whereLeasesAreLongUsersWaitLonger() {
+  void longLeasesDelayConfirmation() {
     UnconfirmedOwnershipBound bound = of(60, 36);
     assertEquals(5, bound.maxUnconfirmed().seconds(), 1e-6);
     assertEquals(5 + 60.12 + 1.5 - 36, bound.confirmCancellationAfter().seconds(), 1e-6);
