--- a/src/main/java/org/quincecross/leader/AllocationIndex.java
+++ b/src/main/java/org/quincecross/leader/AllocationIndex.java
@@ -342,9 +342,9 @@
   }
 
   /**
-   * The resources of each team's tasks that are not proven gone, completed or not: a completion
-   * that is lost with its owner and machine before it is durable is repeated under the same
-   * allocation.
+   * The resources of each team's tasks that are not proven gone, completed or not. A completed task
+   * counts, because a completion that is lost with its owner and machine before it is durable is
+   * repeated under the same allocation.
    */
   Map<String, Resources> teamUsage() {
     refresh();
--- a/src/main/java/org/quincecross/leader/Autoscaler.java
+++ b/src/main/java/org/quincecross/leader/Autoscaler.java
@@ -25,7 +25,7 @@
 
 /**
  * Scales the fleet while this controller leads: launches machines for demand without capacity, and
- * terminates machines that are idle, unreachable or sick.
+ * terminates machines that are idle, unreachable or faulty.
  */
 public final class Autoscaler {
   private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
@@ -105,7 +105,7 @@
     timers.every(TICK, this::tick);
   }
 
-  /** Called again and again while this controller leads. */
+  /** Called repeatedly while this controller leads. */
   void lead(Supplier<View> views) {
     MonotonicTime now = timers.now();
     if (!leading) {
@@ -155,7 +155,7 @@
 
   private void tick() {
     MonotonicTime now = timers.now();
-    // A leader that has lost the store may be deposed: machines that report to it are not assigned
+    // A leader that has lost the store may be deposed. Machines that report to it are not assigned
     // new owners any more, and terminating them as unreachable would end everything on them.
     if (!leading || view == null || now.since(confirmedAt).isLongerThan(LEADERSHIP_TIMEOUT)) {
       return;
--- a/src/main/java/org/quincecross/leader/CurrentPeerViews.java
+++ b/src/main/java/org/quincecross/leader/CurrentPeerViews.java
@@ -9,7 +9,7 @@
 import org.quincecross.state.ClusterStateCache;
 import org.quincecross.state.ShardLease;
 
-/** The recent views of controllers and shards; older ones must not be the basis of a decision. */
+/** The recent views of controllers and shards; decisions must not be based on older ones. */
 final class CurrentPeerViews {
   private static final TimeSpan MAX_AGE = TimeSpan.ofSeconds(2.5);
 
--- a/src/main/java/org/quincecross/leader/Leader.java
+++ b/src/main/java/org/quincecross/leader/Leader.java
@@ -350,8 +350,8 @@
       return;
     }
     enter(State.LEADER);
-    // A leader that alone has lost the store can decide nothing: its transactions would be refused
-    // again and again, while another controller leads already.
+    // A leader that alone has lost the store can decide nothing: its transactions would be rejected
+    // repeatedly, while another controller leads already.
     if (!timers.now().since(watcher.confirmedAt()).isLongerThan(UNCONFIRMED)) {
       lead();
     }
@@ -438,8 +438,8 @@
     plannedAt = timers.now();
     store.setLeading(true);
     autoscaler.lead(machineStates::collect);
-    // No larger than the present budget: a transaction that waits for its turn is out of date when
-    // it is sent.
+    // Limited to the present budget, because a transaction that waits for its turn is out of date
+    // when it is sent.
     int mutations = Math.min(limits.maxMutations(), store.affordableMutations());
     hasWaitingChanges = mutations < MIN_MUTATIONS;
     if (hasWaitingChanges) {
--- a/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldReconciler.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's reconciliation of legal holds: it puts due holds in force, records which tasks
- * touched the held records, and pins a hold once it is proven that no such task runs or can start.
+ * The leader's reconciliation of legal holds: it puts due holds into effect, records which tasks
+ * accessed the held records, and pins a hold once it is proven that no such task runs or can start.
  * Each step is a command of its own with the record's version as a precondition, so a concurrent
  * former leader does no harm.
  */
@@ -33,7 +33,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(LegalHoldReconciler.class);
   private static final TimeSpan INTERVAL = TimeSpan.ofMillis(250);
 
-  /** The maximum number of pending commands; callers from outside need room beside them. */
+  /** The maximum number of pending commands, which leaves room for commands from outside. */
   private static final int MAX_PENDING_COMMANDS = 24;
 
   /** The minimum interval between two notes of blocked tasks for one hold. */
@@ -112,7 +112,7 @@
                 ? together(proof)
                 : startBlock.disturbed(reference);
         if (!out.isEmpty()) {
-          // A claim or lane was declared after these tasks had started.
+          // A claim or sweep class was recorded after these tasks had started.
           submit(
               reference,
               new LegalHoldCommand.Widened(hold.opening(), hold.scope(), firstPart(out)));
@@ -150,7 +150,7 @@
   }
 
   /**
-   * The tasks that touched the records just before the hold came into force, numbered so that every
+   * The tasks that accessed the records just before the hold took effect, numbered so that every
    * leader derives the same notes.
    */
   private List<LegalHoldCommand.Note> touchedNotes(String reference, LegalHold hold) {
--- a/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
+++ b/src/main/java/org/quincecross/leader/LegalHoldStartBlock.java
@@ -37,15 +37,15 @@
 import org.quincecross.state.ReplicatedRecordIndex;
 
 /**
- * Blocks the tasks that legal holds, claims and sweeps forbid, on every controller. A hold with a
- * start time takes effect here as soon as that time may have come by any clock, even before it is
- * stored: the store may be unavailable then.
+ * Blocks the tasks that legal holds, claims and sweep classes forbid, on every controller. A hold
+ * with a start time takes effect here as soon as that time may have come by any clock, even before
+ * it is stored, because the store may be unavailable then.
  */
 public final class LegalHoldStartBlock implements StartBlock {
   private static final TimeSpan INTERVAL = TimeSpan.ofMillis(250);
 
   /**
-   * The number of finished sweeps that are remembered, so that those that may have touched held
+   * The number of finished sweeps that are remembered, so that those that may have accessed held
    * records can be listed.
    */
   private static final int MAX_FINISHED_SWEEPS = 500;
@@ -54,13 +54,7 @@
   private static final int MOST_NAMED = 5;
   private static final int MOST_ROWS = 200;
 
-  /**
-   * The tasks that had touched a hold's records when this controller first saw it in force.
-   *
-   * @param opening the number of the hold's opening
-   * @param scope the version of the hold's scope
-   * @param at the revision of the records in which the tasks were found
-   */
+  /** The tasks that had accessed a hold's records when this controller first saw it in effect. */
   record Touched(
       int opening, int scope, Revision at, Map<JobId, TaskSet> out, Map<JobId, TaskSet> done) {}
 
@@ -140,7 +134,7 @@
       }
     }
     if (!lanes.isEmpty()) {
-      // The lane was not one of sweeps before, so its jobs were not tracked.
+      // The class was not a sweep class before, so its jobs were not tracked.
       cache.jobs().forEach(id -> follow(cache.job(id), lanes, concerned));
     }
     (changes.reloaded() ? cache.jobs() : changes.jobs()).forEach(id -> job(id, concerned));
@@ -157,8 +151,8 @@
   }
 
   /**
-   * Records tasks that touch pinned records because of newly declared claims or lanes, before they
-   * are stopped.
+   * Records tasks that access pinned records because of newly recorded claims or sweep classes,
+   * before they are stopped.
    */
   private void disturb(Set<JobId> concerned) {
     Set<String> references = new TreeSet<>();
@@ -265,7 +259,7 @@
   }
 
   /**
-   * The tasks that run or have run and touch a hold's records, determined before any of them is
+   * The tasks that run or have run and access a hold's records, determined before any of them is
    * stopped.
    */
   private Touched look(LegalHold hold) {
@@ -350,23 +344,22 @@
   }
 
   /**
-   * The tasks that had touched a hold's records when it came into force, as seen by this
-   * controller.
+   * The tasks that had accessed a hold's records when it took effect, as seen by this controller.
    */
   Touched touched(String reference) {
     return touched.get(reference);
   }
 
   /**
-   * The running tasks that touch the records of a pinned hold because of later declarations; empty
-   * if there are none.
+   * The running tasks that access the records of a pinned hold because of later claims or sweep
+   * classes; empty if there are none.
    */
   Map<JobId, TaskSet> disturbed(String reference) {
     Touched found = disturbed.get(reference);
     return found == null ? Map.of() : found.out();
   }
 
-  /** The tasks of unfinished jobs that touch a hold's records. */
+  /** The tasks of unfinished jobs that access a hold's records. */
   Map<JobId, TaskSet> touching(LegalHold hold) {
     Map<JobId, TaskSet> all = index.tasksAccessing(hold.records());
     all.keySet().removeIf(id -> cache.job(id) == null || cache.job(id).job() == null);
@@ -391,8 +384,8 @@
   }
 
   /**
-   * For operators: the tasks blocked by each hold in force, ordered by reference, starting after
-   * {@code after}.
+   * Returns for operators the tasks blocked by each hold in effect, ordered by reference, starting
+   * after {@code after}.
    */
   public Map<String, Object> kept(String after) {
     List<Object> rows = new ArrayList<>();
--- a/src/main/java/org/quincecross/leader/ModelAutoscaler.java
+++ b/src/main/java/org/quincecross/leader/ModelAutoscaler.java
@@ -254,7 +254,7 @@
     }
     long serving = model.placements().keySet().stream().filter(snapshot::runs).count();
     if (model.phase() == Phase.STARTING) {
-      // If the team's limit allows no more replicas, fewer have to do.
+      // If the team's limit allows no more replicas, the model runs with fewer.
       boolean ready =
           model.unplacedReplicas(snapshot.tasks()) == 0
               ? serving >= Math.min(model.limits().minReplicas(), model.placements().size())
@@ -265,9 +265,9 @@
   }
 
   /**
-   * How long nobody has requested a model that is up; null if some controller has not reported. The
-   * time since it came up counts too: wakes requested from a controller that is no longer a member
-   * are only in the records.
+   * How long there has been no demand for a model that is up; null if some controller has not
+   * reported. Bounded by the time since it came up: wakes requested from a controller that is no
+   * longer a member are only in the records.
    */
   private TimeSpan idleFor(String name, MonotonicTime now) {
     TimeSpan quiet = demand.idleTime(name, cache.members().keySet(), now);
--- a/src/main/java/org/quincecross/leader/ReservationManager.java
+++ b/src/main/java/org/quincecross/leader/ReservationManager.java
@@ -42,7 +42,10 @@
   /** The minimum interval between two checks after requests have changed. */
   private static final TimeSpan MIN_INTERVAL = TimeSpan.ofMillis(150);
 
-  /** Sent at once: a few transactions' worth, so that the requests due first are written first. */
+  /**
+   * The maximum number of commands sent at once: a few transactions' worth, so that the requests
+   * due first are written first.
+   */
   private static final int MAX_COMMANDS_AT_ONCE = 24;
 
   /**
--- a/src/main/java/org/quincecross/leader/ScaleInPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleInPolicy.java
@@ -27,8 +27,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which machines are given up: selects idle and thinly used machines to be drained, and
- * finds machines to be terminated because they are drained, sick, unreachable or unneeded.
+ * Decides which machines are released: selects idle and thinly used machines to be drained, and
+ * finds machines to be terminated because they are drained, faulty, unreachable or unneeded.
  */
 final class ScaleInPolicy {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
@@ -141,7 +141,7 @@
     return terminable;
   }
 
-  /** Whether nothing waits for capacity, and nothing is under way that may soon do so. */
+  /** Whether nothing waits for capacity, and nothing is in progress that may soon do so. */
   private boolean isCalm(Autoscaler.View view, List<Admission.Unmet> unmet, MonotonicTime now) {
     if (!operators.get().scaleIn() || !unmet.isEmpty() || !view.strays().isEmpty()) {
       return false;
@@ -151,7 +151,9 @@
         && inventory.booting().stream().allMatch(machine -> isOverdue(machine, now));
   }
 
-  /** Whether a machine takes so much longer to boot than usual that nothing waits for it. */
+  /**
+   * Whether a machine takes so much longer to boot than usual that no waiting work counts on it.
+   */
   private boolean isOverdue(CloudInventory.Booting machine, MonotonicTime now) {
     MachineType type = cache.machineTypes().get(machine.kind().type());
     return type != null && now.since(machine.since()).isLongerThan(type.bootTime().times(2));
@@ -294,7 +296,7 @@
 
   // ---- termination ----
 
-  /** Selects sick machines, and adds machines that are drained. */
+  /** Selects faulty machines, and adds machines that are drained. */
   private void addDrained(Autoscaler.View view, Set<MachineId> terminable) {
     view.machines()
         .forEach(
@@ -315,8 +317,8 @@
 
   /**
    * Adds unreachable machines if they are few. A few are dead or cut off, and terminating them
-   * proves their tasks gone. Many at once, or much of a zone, are more likely behind a network
-   * failure that passes, and a zone that is cut off goes on working.
+   * proves their tasks gone. Many at once, or much of a zone, are more likely behind a temporary
+   * network failure, and a zone that is cut off continues to run its tasks.
    */
   private void addUnreachable(Autoscaler.View view, Set<MachineId> terminable) {
     boolean networkFailure = isNetworkFailure(view);
@@ -390,7 +392,7 @@
 
   /**
    * Adds unreachable machines that the cloud no longer lists, however many they are: they will not
-   * return. Terminating them is the proof without which their shards' work would wait for ever.
+   * return. Terminating them is the proof without which their shards' work would wait without end.
    */
   private void addUnlisted(Autoscaler.View view, Set<MachineId> terminable) {
     for (MachineId machine : inventory.unlisted()) {
--- a/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
+++ b/src/main/java/org/quincecross/leader/ScaleOutPolicy.java
@@ -28,7 +28,7 @@
    * How long a large gang waits for the machine kind that it lacks least of, even if the cloud
    * refuses it. Launching other kinds would not help the gang and would use up what the cloud can
    * still provide: with a gang of eight, seven machines in each of two zones and the cloud at its
-   * capacity, nothing would ever change.
+   * capacity, the gang would never start.
    */
   private static final TimeSpan GOAL_TIMEOUT = TimeSpan.ofSeconds(120);
 
--- a/src/main/java/org/quincecross/leader/ShardLeaseManager.java
+++ b/src/main/java/org/quincecross/leader/ShardLeaseManager.java
@@ -38,8 +38,8 @@
   private static final int MAX_MOVES_AT_ONCE = 3;
 
   /**
-   * A move must improve the balance by this many machines: it costs a moment, and what the owner
-   * has learnt of the shard.
+   * A move must improve the balance by this many machines, because it interrupts the shard briefly
+   * and loses the owner's observations.
    */
   private static final int REBALANCE_GAIN = 4;
 
@@ -118,7 +118,7 @@
    */
   private double cost(ControllerRecord member, String zone, Map<ControllerId, Integer> load) {
     double average = (double) cache.machineCount() / cache.members().size();
-    // if nobody reaches the machines, controllers that do not are equal
+    // if no controller reaches the machines, those that do not are equal
     double deaf =
         reachability.state(member.id(), zone, timers.now()) == ReachabilityMap.State.HEARS
             ? 0
--- a/src/main/java/org/quincecross/shard/AgentCommandSender.java
+++ b/src/main/java/org/quincecross/shard/AgentCommandSender.java
@@ -182,8 +182,8 @@
       FencingToken sentWith,
       HttpOutcome outcome) {
     Heartbeat heartbeat = readReport(outcome);
-    // Another machine may have the address of a terminated one; its status says nothing about that
-    // one.
+    // Another machine may have the address of a terminated one; its status says nothing about the
+    // terminated machine.
     if (heartbeat == null || !heartbeat.machine().id().equals(session.machine().id())) {
       LOG.debug(
           "shard {}: no response from {}, status {}",
@@ -217,8 +217,8 @@
   }
 
   /**
-   * Sends the present token to machines that are not fenced: requests the session, then sends an
-   * empty command. Such a command also asks a doubtful machine for its state ({@link
+   * Sends the current token to machines that are not fenced: requests the session, then sends an
+   * empty command. Such a command also queries a doubtful machine ({@link
    * org.quincecross.failuredetection.StaleHeartbeatFilter}), because its response is made after the
    * doubt arose.
    */
--- a/src/main/java/org/quincecross/shard/AgentSession.java
+++ b/src/main/java/org/quincecross/shard/AgentSession.java
@@ -59,7 +59,7 @@
   /** The same bound, restricted to responses to heartbeats about which nothing will be proven. */
   private MonotonicTime provenFrom;
 
-  /** When the present session was first seen; it has a lease of its own from before then. */
+  /** When the current session was first seen; its lease began before then. */
   private MonotonicTime shownFrom;
 
   private final OneWayPartitionDetector reachability;
@@ -289,7 +289,9 @@
     return true;
   }
 
-  /** Whether the machine obeys this owner alone and nothing speaks against giving it tasks. */
+  /**
+   * Whether the machine is fenced for this owner and there is no reason to withhold tasks from it.
+   */
   boolean acceptsTasks() {
     return state == State.FENCED && !faulty && !hasTerminationNotice() && !hasRestarted();
   }
@@ -364,8 +366,8 @@
   }
 
   /**
-   * Whether a start of this attempt may still be executed: then its exit must not be cleared, or it
-   * starts again.
+   * Whether a start of this attempt may still be executed; its exit must then not be cleared, or
+   * the attempt would start again.
    */
   boolean mayStillBeStarted(Attempt attempt) {
     return startsInFlight.containsKey(attempt)
@@ -374,8 +376,8 @@
   }
 
   /**
-   * Whether only a new token or session resolves whether an attempt was started: no other sign of
-   * it will come.
+   * Whether only a new token or session can resolve whether an attempt was started, because no
+   * other evidence will arrive.
    */
   boolean needsTokenToResolve(Attempt attempt) {
     return unansweredStarts.containsKey(attempt);
--- a/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
+++ b/src/main/java/org/quincecross/shard/MachineLivenessMonitor.java
@@ -23,12 +23,15 @@
   private static final double CLOCK_DRIFT = 1.001;
   private static final TimeSpan MAX_CHECK_INTERVAL = TimeSpan.ofSeconds(1);
 
-  /** A machine that has received nothing for this much longer than a lease is to be replaced. */
+  /**
+   * A machine that has received nothing for this long after its lease has expired is to be
+   * replaced.
+   */
   private static final TimeSpan REPLACEMENT_TIMEOUT = TimeSpan.ofSeconds(75);
 
   /**
-   * Of this many machines of a shard one may be replaced for a one-way partition; if there are
-   * more, it is the network.
+   * One of this many machines of a shard may be replaced for a one-way partition; if more are
+   * affected, the network is the cause.
    */
   private static final int MACHINES_PER_REPLACEMENT = 5;
 
@@ -37,10 +40,7 @@
   private final TaskStatusProcessor taskStatuses;
   private final Map<MachineId, AgentSession> sessions;
 
-  /**
-   * No machine loses anything by silence before this time; contact in the meantime only postpones
-   * it.
-   */
+  /** No lease expires by silence before this time; contact in the meantime only postpones it. */
   private MonotonicTime nextCheck;
 
   private boolean formerOwnersEnded;
@@ -61,8 +61,8 @@
     MonotonicTime now = context.now();
     if (!formerOwnersEnded
         && context.allControllersHaveSeen(new Revision(state.lease().token().value()))) {
-      // Every former owner of the shard knows by now that it is none, and responds to none of its
-      // machines any more.
+      // By now every former owner of the shard knows that it no longer owns it, and responds to
+      // none of its machines.
       formerOwnersEnded = true;
       sessions.values().forEach(session -> session.formerOwnersSilentSince(now));
       nextCheck = null;
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Checks what an unreachable machine loses with time, and when to check it again. */
+  /** Checks what an unreachable machine loses as time passes, and when to check it again. */
   private boolean check(AgentSession session, MonotonicTime now) {
     boolean lost = loseIfLeaseExpired(session, now);
     boolean open = isOpen(session);
@@ -106,9 +106,9 @@
   }
 
   /**
-   * An expired lease counts only as of the last confirmation by the store: until then no one else
-   * owned the shard, so no one else can have renewed it. Afterwards another controller may have,
-   * and what runs there goes on, while the other machines may still obey this owner
+   * An expired lease counts only as of the last confirmation by the store: until then no other
+   * controller owned the shard, so none can have renewed the lease. Afterwards another controller
+   * may have; then the machine's tasks continue, and the other machines may still obey this owner
    * (docs/incidents/lost-by-a-former-holder.md).
    */
   private boolean loseIfLeaseExpired(AgentSession session, MonotonicTime now) {
@@ -139,15 +139,15 @@
         && isReachable(session);
   }
 
-  /** Whether the machine is heard and hears. */
+  /** Whether heartbeats from the machine arrive and responses reach it. */
   private boolean isReachable(AgentSession session) {
     return session.reachability().isReceiving()
         && !context.now().since(session.lastContact()).isLongerThan(openTimeout());
   }
 
   /**
-   * Evaluates a new heartbeat, before it is accepted, for reachability. Returns whether it proves
-   * that the machine's lease has expired, or that the session is over in which a former owner may
+   * Evaluates a new heartbeat for reachability before it is accepted. Returns whether it proves
+   * that the machine's lease has expired, or that the session has ended in which a former owner may
    * have sent commands.
    */
   boolean heartbeatReceived(AgentSession session, Heartbeat heartbeat, boolean beat) {
--- a/src/main/java/org/quincecross/shard/MachineSnapshots.java
+++ b/src/main/java/org/quincecross/shard/MachineSnapshots.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * The resources that urgent work could have within a moment: tasks that stop at once or are
-   * stopping already.
+   * The resources that preemption for urgent work can free within a moment: tasks that stop at once
+   * or are stopping already.
    */
   Resources preemptible(MachineId machine) {
     Resources sum = Resources.NONE;
@@ -85,8 +85,8 @@
   }
 
   /**
-   * The headroom to be kept, without the reserved capacity that is lent to work that gives way to
-   * requests.
+   * The headroom to be kept, without the reserved capacity that is lent to work that is preempted
+   * for requests.
    */
   List<Headroom> withoutLent(List<Headroom> reserves) {
     if (reserves.stream().noneMatch(headroom -> headroom.purpose() == Headroom.Purpose.REQUESTS)) {
@@ -153,7 +153,7 @@
       tasks++;
       inUse.add(placement.job().image());
     }
-    // A machine that receives no commands has no capacity for anyone, however empty it looks.
+    // A machine that receives no commands offers no capacity, however empty it looks.
     boolean hears = session.reachability().isReceiving();
     return new PeerHeartbeat.MachineState(
         id,
@@ -202,7 +202,8 @@
     TimeSpan silent = now.since(session.lastContact());
     if (!session.reachability().isReceiving() && !silent.isLongerThan(CONTROLLER_ROUND_TIME)) {
       return TimeSpan
-          .ZERO; // it contacts every controller in turn; another one could not reach it either
+          .ZERO; // it contacts every controller in turn, so another controller could not reach it
+      // either
     }
     return silent.isLongerThan(maxQuietTime(context.agentTimeouts()))
         ? TimeSpan.ofSeconds(Math.floor(silent.seconds()))
--- a/src/main/java/org/quincecross/shard/OwnedShards.java
+++ b/src/main/java/org/quincecross/shard/OwnedShards.java
@@ -91,7 +91,7 @@
         owner.renewed(lease);
       }
     } else if (lease.incarnation().equals(incarnation.get())) {
-      // Owned from here on by this incarnation: what this process knew of the shard is outdated.
+      // Owned from here on by this incarnation; what this process knew of the shard is outdated.
       LOG.info(
           "shard {} taken over, token {}, {} machines",
           lease.id(),
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Called after a pause of this process, during which no machine could be heard: its silence means
-   * nothing.
+   * Called after a pause of this process. No machine could be heard during the pause, so its
+   * silence proves nothing.
    */
   public void excusePause(TimeSpan gap) {
     owners.values().forEach(owner -> owner.excusePause(gap));
--- a/src/main/java/org/quincecross/shard/Placement.java
+++ b/src/main/java/org/quincecross/shard/Placement.java
@@ -16,8 +16,8 @@
   /** The states of a placement. */
   enum State {
     /**
-     * A former owner may have started the task: it must not start before all machines are fenced or
-     * lost. Waits for each machine's heartbeat, or for the expiry of its lease as of the last
+     * A former owner may have started the task, so it must not start before all machines are fenced
+     * or lost. Waits for each machine's heartbeat, for the expiry of its lease as of the last
      * confirmation by the store, or for its termination.
      */
     UNSETTLED,
@@ -41,7 +41,7 @@
     ACTIVE,
     /**
      * To be stopped, and not known to be gone. Waits for its exit, or a heartbeat without it: every
-     * response repeats the stop. If its start got no response and never shows, no heartbeat is
+     * response repeats the stop. If its start got no response and was never seen, no heartbeat is
      * proof; the shard's lease is then renewed ({@link ShardOwner#needsTokenRenewal}).
      */
     STOPPING,
@@ -51,7 +51,7 @@
      */
     COMPLETED,
     /**
-     * On no machine, and released: never to be started again under this allocation. Waits for an
+     * On no machine, and released: never started again under this allocation. Waits for an
      * allocation without it; reported as completions are.
      */
     RELEASED
@@ -177,7 +177,8 @@
   }
 
   /**
-   * Stops the task; {@code back}: it then returns to the pool rather than to a queue of the shard.
+   * Stops the task; with {@code requeue} it then returns to the pool rather than to a queue of the
+   * shard.
    */
   void stop(TimeSpan saveTime, boolean back, MonotonicTime now) {
     requeueWhenStopped |= back;
--- a/src/main/java/org/quincecross/shard/PlacementReconciler.java
+++ b/src/main/java/org/quincecross/shard/PlacementReconciler.java
@@ -40,7 +40,7 @@
   private void addPlacements(JobId id, TaskSet tasks, MonotonicTime now) {
     JobRecord job = context.cache().job(id);
     if (job == null || job.job() == null) {
-      return; // nothing is left to do of a done job
+      return; // no task of a done job is left to run
     }
     Placement.State initial =
         state.isSettled() ? Placement.State.WAITING : Placement.State.UNSETTLED;
@@ -100,7 +100,7 @@
     }
   }
 
-  /** The task is completed: a second run would be useless. */
+  /** The task is completed, so a second run would be useless. */
   private void finish(Placement placement, MonotonicTime now) {
     if (placement.isOnMachine()) {
       placement.stop(TimeSpan.ZERO, true, now);
--- a/src/main/java/org/quincecross/shard/Preemptor.java
+++ b/src/main/java/org/quincecross/shard/Preemptor.java
@@ -29,8 +29,8 @@
   private static final TimeSpan BEST_EFFORT_PREEMPTION_DELAY = TimeSpan.ofSeconds(1);
 
   /**
-   * But not before it has run this long: otherwise its minimum shares would come to nothing, and
-   * machines would do little but start tasks and save checkpoints.
+   * Minimum run time before best-effort work is preempted. Without it the work would make no
+   * progress, and machines would mostly start tasks and save checkpoints.
    */
   private static final TimeSpan BEST_EFFORT_MIN_RUN_TIME = TimeSpan.ofSeconds(20);
 
@@ -145,8 +145,8 @@
   }
 
   /**
-   * How long work waits before other work is preempted for it: tasks queued ahead may well end
-   * soon.
+   * How long work waits before other work is preempted for it, because tasks queued ahead of it may
+   * end soon.
    */
   private static TimeSpan preemptionDelay(Job job) {
     return job.priority() == Priority.PRODUCTION
--- a/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
+++ b/src/main/java/org/quincecross/shard/RemoteCapacityHint.java
@@ -14,9 +14,8 @@
 import org.quincecross.state.ShardLease;
 
 /**
- * Tells whether work that waits in one shard would most likely start at once in another, according
- * to the controllers' reports. Only a hint by which work returns to the pool: the leader decides
- * where it may go.
+ * Estimates from the controllers' reports whether work that waits in one shard would start at once
+ * in another. Only a hint for returning work to the pool; the leader decides where it may go.
  */
 public final class RemoteCapacityHint {
   private final ClusterStateCache cache;
@@ -42,7 +41,7 @@
   public boolean exists(Job job, ShardId here) {
     ShardLease own = cache.shard(here);
     for (ShardLease shard : cache.shards().values()) {
-      // The other tasks of a job bound to one zone are most likely here.
+      // The other tasks of a job bound to one zone are most likely in this one.
       boolean mayGo =
           !shard.id().equals(here)
               && job.allows(shard.type(), shard.zone(), shard.spot())
--- a/src/main/java/org/quincecross/shard/Requeuer.java
+++ b/src/main/java/org/quincecross/shard/Requeuer.java
@@ -161,8 +161,8 @@
   }
 
   /**
-   * Returns gangs that have waited long and may wait for ever, because long-running services can
-   * occupy parts of all the machines that they need. The leader may know a better shard by now.
+   * Returns gangs that have waited long and may wait without bound, because long-running services
+   * can occupy parts of all the machines that they need. The leader may know a better shard by now.
    */
   private void requeueGangs(MonotonicTime now) {
     Set<QueueEntry> gangs = new LinkedHashSet<>();
@@ -185,9 +185,9 @@
   }
 
   /**
-   * Returns other work that has waited long and may wait for ever, behind long-running services or
-   * for machines of which none accepts tasks any more. From the pool it may go where there is
-   * capacity.
+   * Returns other work that has waited long and may wait without bound, behind long-running
+   * services or for machines of which none accepts tasks any more. From the pool it can go where
+   * there is capacity.
    */
   private void requeueLongWaiting(MonotonicTime now) {
     if (sessions.values().stream().anyMatch(monitor::isOpen)) {
@@ -239,8 +239,9 @@
    * Whether a waiting task must not enter a queue now because its job has failed here and run
    * nowhere. Once it has failed on enough machines, or on all, the shard declines the job and
    * returns all of its waiting tasks; until then one task at a time is tried, on machines where it
-   * has not failed. Here a faulty machine cannot be told from a job that fails everywhere; other
-   * shards can, and a task that only this shard may have would be tried here for ever.
+   * has not failed. A single shard cannot distinguish a faulty machine from a job that fails
+   * everywhere, but other shards can, and a task that only this shard could run would be tried here
+   * without end.
    */
   boolean holdsBack(Placement placement) {
     Job job = placement.job();
--- a/src/main/java/org/quincecross/shard/ShardState.java
+++ b/src/main/java/org/quincecross/shard/ShardState.java
@@ -104,15 +104,15 @@
     superseded = true;
   }
 
-  /** Whether it is known of every task where it is: on a machine of the shard, or nowhere. */
+  /** Whether the location of every task is known: on a machine of the shard, or on none. */
   boolean isSettled() {
     return settled;
   }
 
   /**
    * Settles the shard once every machine has been fenced or lost: tasks that none of them reported
-   * are certainly nowhere. It is enough that each was fenced or lost once: from then on no command
-   * of a former owner has an effect there, and this owner gives none for unsettled tasks.
+   * are certainly on no machine. It is enough that each was fenced or lost once: from then on no
+   * command of a former owner has an effect there, and this owner gives none for unsettled tasks.
    */
   void settleIfAllCleared() {
     if (settled || !sessions.values().stream().allMatch(AgentSession::wasCleared)) {
--- a/src/main/java/org/quincecross/shard/StartGate.java
+++ b/src/main/java/org/quincecross/shard/StartGate.java
@@ -9,9 +9,8 @@
 
 /**
  * Decides by the records which of a shard's tasks may start: those that are open, not completed,
- * allocated here, and not blocked. Blocked tasks that run are stopped in an orderly way, with a
- * checkpoint if they save any, and released; the allocation without them is the proof that they are
- * gone.
+ * allocated here, and not blocked. Blocked tasks that run are stopped gracefully, with a checkpoint
+ * if they save any, and released; the allocation without them is the proof that they are gone.
  */
 final class StartGate {
   private final ShardContext context;
@@ -33,8 +32,8 @@
 
   /**
    * Whether the records let a task start. Checked when a task enters a queue and again when it
-   * leaves one: a task that became free to start since the last change of the records, such as in a
-   * shard that was just settled, may have been cancelled long before.
+   * leaves one, because a task that could start only later, such as in a shard that has just been
+   * settled, may have been cancelled long before.
    */
   boolean mayStart(Placement placement) {
     TaskId task = placement.task();
--- a/src/main/java/org/quincecross/shard/TaskStatusProcessor.java
+++ b/src/main/java/org/quincecross/shard/TaskStatusProcessor.java
@@ -46,8 +46,8 @@
         && placement.job().kind() != JobKind.SERVICE) {
       completed(machine, placement, status, ours, now);
     } else if (ours) {
-      // Also if a start of this attempt may still arrive: the agent keeps the exit until it is
-      // cleared, which AgentCommandSender does not do before that start is certainly over, and
+      // Also applies if a start of this attempt may still arrive: the agent keeps the exit until it
+      // is cleared, which AgentCommandSender does not do before that start is certainly over, and
       // meanwhile such a start has no effect. Guards against docs/incidents/unanswered-start.md: a
       // task that waited for a response that never came.
       exited(session, placement, status, now);
@@ -134,15 +134,16 @@
 
   /** Handles tasks on the machine that its complete heartbeat lacks. */
   void freeMissing(AgentSession session, boolean beat, MonotonicTime now) {
-    // By attempt: a machine may still report the exit of an earlier attempt of a task that it is to
-    // start again.
+    // Compared by attempt: a machine may still report the exit of an earlier attempt of a task that
+    // it is to start again.
     Set<Attempt> reported = session.reportedAttempts();
     for (Placement placement : placements.on(session.machine().id())) {
       if (!placement.isOnMachine() || reported.contains(placement.attempt())) {
         continue;
       }
       if (placement.state() == Placement.State.STARTING) {
-        placement.markCommandUnsent(); // the start did not arrive, or not yet: it may be repeated
+        placement
+            .markCommandUnsent(); // the start has not arrived, or not yet, so it may be repeated
       } else if (beat && !session.mayStillBeStarted(placement.attempt())) {
         placement.leftMachine(now);
         context.notifyLeader();
--- a/src/main/java/org/quincecross/shard/TokenRenewal.java
+++ b/src/main/java/org/quincecross/shard/TokenRenewal.java
@@ -6,8 +6,8 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Detects shards in which pending work cannot finish under the present fencing token, so that the
- * leader has to renew the lease.
+ * Detects shards in which pending work cannot finish under the current fencing token, so that the
+ * leader renews the lease.
  */
 final class TokenRenewal {
   /** A stop that has waited this long for a start without a response needs a new token. */
@@ -19,10 +19,10 @@
   private TokenRenewal() {}
 
   /**
-   * Whether a task is to be stopped whose start was sent, got no response and was never seen (it
-   * may arrive minutes late, and is refused only once its machine has seen a higher token), or a
-   * machine has restarted, whose heartbeats are told from late ones of before only by a higher
-   * token.
+   * Whether a task is to be stopped whose start was sent, got no response and was never seen; it
+   * may arrive minutes late, and is rejected only once its machine has seen a higher token. Or
+   * whether a machine has restarted, whose heartbeats can be distinguished from late ones only by a
+   * higher token.
    */
   static boolean isNeeded(
       Placements placements, Map<MachineId, AgentSession> sessions, MonotonicTime now) {
--- a/src/main/java/org/quincecross/shard/UnplacedReasons.java
+++ b/src/main/java/org/quincecross/shard/UnplacedReasons.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.quincecross.model.JobId;
 
-/** Explains in words what the tasks of a job wait for in a shard. */
+/** Describes what the tasks of a job wait for in a shard. */
 final class UnplacedReasons {
   private UnplacedReasons() {}
 
--- a/src/test/java/org/quincecross/api/CancelModelTest.java
+++ b/src/test/java/org/quincecross/api/CancelModelTest.java
@@ -25,89 +25,99 @@
  * messages: nothing in the model takes any of it.
  */
 class CancelModelTest {
-  /** What {@code cancel_s}, {@code lease_s} and the delay of {@link Cancellations} are in steps. */
+  /**
+   * The values of {@code cancel_s}, {@code lease_s} and the delay of {@link Cancellations}, in
+   * steps.
+   */
   private static final int CANCEL = 2;
 
   private static final int LEASE = 1;
   private static final int DELAY = 1;
   private static final int LONGEST_UNCONFIRMED = CANCEL + DELAY - LEASE;
 
-  /** As in {@code block.UnacknowledgedResponses}. */
+  /** As in {@code shard.UnacknowledgedResponses}. */
   private static final int LONGEST_UNSURE = LONGEST_UNCONFIRMED - DELAY;
 
   private static final int HOLDERS = 2;
 
-  /** For so long a worker waits for an answer, and a controller for one of the state service. */
+  /** How long an agent waits for a response, and a controller for one of the store. */
   private static final int WAIT = 1;
 
   private static final int NONE = -1;
 
-  /** What can be left out, to see that the model finds what it guards against. */
+  /**
+   * Protocol rules that can be disabled, to show that the search finds a violation without each of
+   * them.
+   */
   private enum Guard {
-    /** A holder answers for so long after its last word from the state service. */
+    /** An owner responds only for a limited time after its last contact with the store. */
     ENTITLED_FOR_A_TIME,
-    /** The records are complete as of when the request was sent that was answered. */
+    /** The records are complete as of when the answered request was sent. */
     CONFIRMED_AS_OF_SENDING,
-    /** Where holders have not said that they know, the user is told after the delay. */
+    /** If owners have not reported that they know, the user is told after the delay. */
     TOLD_AFTER_DELAY,
-    /**
-     * The delay runs from when the record was first seen to be durable, not from when it was made.
-     */
+    /** The delay runs from when the record was first seen durable, not from when it was created. */
     DELAY_FROM_FIRST_SEEN,
-    /** Told at once only where the holder has noted the cancellation. */
+    /** The user is told at once only if the owner has seen the cancellation. */
     TOLD_WHEN_NOTED,
-    /** Told at once only where all machines of the block are fenced. */
+    /** The user is told at once only if all machines of the shard are fenced. */
     TOLD_WHEN_FENCED,
-    /** A holder that knows of the cancellation starts nothing. */
+    /** An owner that knows of the cancellation starts nothing. */
     NOTED_STARTS_NOTHING,
-    /** Each answer says again what is to stop. */
+    /** Each response repeats what is to be stopped. */
     STOPS_REPEATED,
-    /** Given back only once no start may arrive any more. */
+    /** The task is released only once no start of it may still arrive. */
     GIVEN_BACK_WHEN_GONE,
-    /** A machine that may yet execute the start of a cancelled task is not answered for long. */
+    /**
+     * A machine that may still execute the start of a cancelled task gets responses only for a
+     * limited time.
+     */
     DOUBTED_LET_GO,
-    /** A machine that does not obey yet and may have a cancelled task is not answered for long. */
+    /**
+     * A machine that is not fenced yet and may have a cancelled task gets responses only for a
+     * limited time.
+     */
     UNFENCED_LET_GO
   }
 
-  /** Where the start stands that a holder sent straight to the machine. */
+  /** The progress of the start that an owner sent directly to the machine. */
   private static final int NOT_SENT = 0;
 
   private static final int HELD = 1;
   private static final int OVER = 2;
 
-  /** A state of everything; ages are {@link #NONE} where there is nothing. */
+  /** The complete state; ages are {@link #NONE} if not applicable. */
   private static final class State implements Cloneable {
     private int formed = NONE;
     private boolean durable;
     private boolean leasedAnew;
 
-    /** Before the present step, and before the one before it. */
+    /** Before the current step, and before the previous one. */
     private boolean[] wasDurable = new boolean[2];
 
     private boolean[] wasLeasedAnew = new boolean[2];
     private boolean allocated = true;
-    // the controller that tells
+    // the controller that tells the user
     private int seen = NONE;
     private boolean knowsNewLease;
     private boolean knowsAllocated = true;
     private int told = NONE;
-    // the holders
+    // the owners
     private boolean[] holds = {true, false};
     private int[] confirmed = {0, LONGEST_UNCONFIRMED + 1};
     private boolean[] noted = new boolean[HOLDERS];
     private boolean[] fenced = {true, false};
 
-    /** A start was sent that no report has shown. */
+    /** A start was sent that no heartbeat has shown. */
     private boolean[] doubt = new boolean[HOLDERS];
 
-    /** The last report had the task, or none has come: it may be there. */
+    /** The last heartbeat had the task, or none has arrived, so it may be running. */
     private boolean[] mayRun = {false, true};
 
     private boolean[] knowsAllocation = {true, true};
     private boolean[] stopTold = new boolean[HOLDERS];
 
-    /** Said to the others: noted, all fenced. */
+    /** Reported to the others: has seen the cancellation, all machines fenced. */
     private boolean[] said = new boolean[HOLDERS];
 
     // the machine
@@ -120,13 +130,13 @@
     private boolean reportRuns;
 
     /**
-     * Made before something that its holder has heard since: it may wait for an answer, and says
-     * nothing.
+     * Made before something that its owner has received since: it may wait for a response, and
+     * proves nothing.
      */
     private boolean overtaken;
 
     /**
-     * Whether the report has each holder's attempt, in whatever state, or is of a later session.
+     * Whether the heartbeat has each owner's attempt, in whatever state, or is of a later session.
      */
     private boolean[] reportEnds = new boolean[HOLDERS];
 
@@ -152,7 +162,7 @@
       }
     }
 
-    /** All of it in one number. */
+    /** Encodes the state in one number. */
     private long key() {
       long key = 1;
       for (int i = 0; i < HOLDERS; i++) {
@@ -243,10 +253,10 @@
   private boolean toldAtOnce;
   private boolean toldLate;
 
-  /** The longest that the task was there after its user was told. */
+  /** The longest time that the task was running after its user was told. */
   private int longest;
 
-  /** The states that were reached: an open table of numbers. */
+  /** The reached states, in an open-addressing hash table of numbers. */
   private static final class Known {
     private long[] table = new long[1 << 20];
     private int size;
@@ -282,7 +292,7 @@
     return guards.contains(guard);
   }
 
-  /** A state that may follow. */
+  /** Adds a successor state. */
   private void next(State state) {
     longest = state.runs ? Math.max(longest, state.told) : longest;
     if (longest > CANCEL && violation == null) {
@@ -292,7 +302,7 @@
       plain(state, i);
     }
     if (state.told > CANCEL && !mayRunAgain(state)) {
-      return; // nothing that follows has the task anywhere
+      return; // in no successor is the task on any machine
     }
     if (seen.add(state.key())) {
       if (opened == open.length) {
@@ -302,11 +312,11 @@
     }
   }
 
-  /** What no step asks for is as at first. */
+  /** Resets what no step reads, so that equivalent states are equal. */
   private void plain(State state, int i) {
     state.stopTold[i] &= !has(Guard.STOPS_REPEATED);
     if (state.noted[i] && state.holds[i] && state.fenced[i]) {
-      state.said[i] = true; // what is said stays true, and being said sooner is the worse
+      state.said[i] = true; // a report stays valid, and reporting earlier is the worse case
     }
     if (!state.holds[i] && i == 0) {
       state.confirmed[i] = 0;
@@ -366,8 +376,8 @@
       state.confirmed[i] = Math.min(state.confirmed[i] + 1, LONGEST_UNCONFIRMED + 1);
     }
     if (++state.leaseAge > LEASE) {
-      // The worker kills and forgets all, and goes on to the next session, which starts of the one
-      // before do not match.
+      // The agent kills and forgets all tasks and starts its next session; starts for the former
+      // session do not match it.
       state.leaseAge = 0;
       state.runs = false;
       state.report = NONE;
@@ -393,7 +403,7 @@
       state.leasedAnew = true;
       next(state);
     }
-    // The leader takes out what the present holder has given back.
+    // The leader removes from the allocation what the current owner has released.
     int holder = from.leasedAnew ? 1 : 0;
     boolean gone = !from.mayRun[holder] && !(from.doubt[holder] && has(Guard.GIVEN_BACK_WHEN_GONE));
     if (from.allocated && from.holds[holder] && from.noted[holder] && from.fenced[holder] && gone) {
@@ -409,7 +419,7 @@
     }
     if (from.durable) {
       State state =
-          from.copy(); // it reads the records, all that is new at once, or again after a crash
+          from.copy(); // it reads the records: all that is new at once, or again after a crash
       state.seen = Math.max(from.seen, 0);
       state.knowsNewLease = from.leasedAnew;
       state.knowsAllocated = from.allocated;
@@ -437,14 +447,14 @@
       toldLate |= !says;
       State state = from.copy();
       state.told = 0;
-      state.seen = NONE; // nobody asks any more
+      state.seen = NONE; // no user asks any more
       state.knowsNewLease = false;
       state.knowsAllocated = false;
       next(state);
     }
   }
 
-  /** A holder asks the state service, and is answered at once or a step later. */
+  /** An owner sends a request to the store, and is answered at once or a step later. */
   private void follow(State from, int i) {
     State now = from.copy();
     learn(now, i, from.durable, from.leasedAnew, 0);
@@ -478,7 +488,7 @@
     if (!isEntitled(from, i)) {
       return;
     }
-    // The command that shows the token; its answer is a report, and renews no lease.
+    // The command that shows the token; the response to it is a status, and renews no lease.
     if (from.token <= i) {
       State state = from.copy();
       state.token = i;
@@ -505,7 +515,7 @@
     }
   }
 
-  /** What a report says; one that shows the present token is complete. */
+  /** Applies a heartbeat; one that shows the current token is complete. */
   private static void take(State state, int i, int token, boolean runs, boolean[] ends) {
     if (token == i) {
       state.fenced[i] = true;
@@ -520,7 +530,7 @@
       take(state, i, from.reportToken, from.reportRuns, from.reportEnds);
     }
     State unanswered = state.copy();
-    next(unanswered); // or the answer is lost
+    next(unanswered); // or the response is lost
     boolean doubtful = state.doubt[i] && has(Guard.DOUBTED_LET_GO);
     boolean unfenced = !state.fenced[i] && state.knowsAllocation[i] && has(Guard.UNFENCED_LET_GO);
     if ((state.noted[i] && (doubtful || unfenced) && state.formed > LONGEST_UNSURE)
@@ -553,7 +563,7 @@
       if (from.start[i] == HELD) {
         State state = from.copy();
         state.start[i] = OVER;
-        state.runs |= from.token == i; // else it is refused
+        state.runs |= from.token == i; // otherwise it is rejected
         next(state);
       }
     }
@@ -563,7 +573,8 @@
     next(new State());
     while (opened > 0 && violation == null) {
       steps(
-          State.of(open[--opened])); // all are gone through, and what is wrong is found sooner than
+          State.of(
+              open[--opened])); // all states are explored, and violations are found sooner than
       // breadth first
     }
     return seen.size;
@@ -574,7 +585,7 @@
     int states = explore();
     assertNull(violation);
     assertTrue(toldAtOnce && toldLate);
-    assertEquals(CANCEL, longest, "the bounds are no shorter than they have to be");
+    assertEquals(CANCEL, longest, "the bounds are tight");
     assertEquals(749_437, states);
   }
 
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -39,7 +39,8 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * When users may be told of a cancellation, by a controller that holds none of the job's blocks.
+ * Tests when users may be told of a cancellation by a controller that owns none of the job's
+ * shards.
  */
 class CancellationsTest {
   private static final ControllerId HOLDER = new ControllerId("n1");
@@ -48,7 +49,7 @@
       new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
   private static final JobId JOB = new JobId("job-1");
 
-  /** Minutes before all that happens here, by the time of day. */
+  /** Minutes before everything in this test, by the time of day. */
   private static final long LONG_AGO_MS = 1_000;
 
   private final ManualTimers clock = new ManualTimers();
@@ -121,7 +122,7 @@
     put(StoreKeys.job(JOB), cache.job(JOB).writeCancelled(LONG_AGO_MS));
   }
 
-  /** The holder says that it has taken note of all that is known here. */
+  /** The owner reports that it has seen everything that is known here. */
   private void report(boolean fenced) {
     PeerHeartbeat.MachineState machine =
         new PeerHeartbeat.MachineState(
@@ -164,7 +165,7 @@
         clock.now());
   }
 
-  /** Whether a user who asks now is told, within what a user's question may wait. */
+  /** Whether a user who asks now is told, within the time that a request may wait. */
   private boolean isTold() {
     Boolean[] told = new Boolean[1];
     cancellations.whenSafe(cache.job(JOB), safe -> told[0] = safe);
@@ -173,15 +174,16 @@
   }
 
   /**
-   * A cancellation whose change waited, or was not answered and is carried out late, is told no
+   * A cancellation whose write waited, or got no response and is applied late, is confirmed no
    * sooner than any other.
    */
   @Test
   void theWaitRunsFromWhenTheRecordWasSeenNotFromTheTimeInIt() {
     cancel();
-    assertEquals(false, isTold(), "not noted by its holder");
+    assertEquals(false, isTold(), "its owner has not seen it");
     clock.advance(5);
-    assertEquals(false, isTold(), "not noted, and seen for less than 8 s");
+    assertEquals(
+        false, isTold(), "its owner has not seen it, and it was first seen less than 8 s ago");
     clock.advance(0.5);
     assertEquals(true, isTold());
   }
@@ -190,28 +192,28 @@
   void itIsToldAsSoonAsItIsNotedWithAllMachinesFenced() {
     cancel();
     report(false);
-    assertEquals(false, isTold(), "a machine obeys another holder");
+    assertEquals(false, isTold(), "a machine is not fenced");
     report(true);
     assertEquals(true, isTold());
   }
 
   /**
-   * A controller that reads the records anew does not know when a cancellation in them became
+   * A controller that reads all records anew does not know when a cancellation in them became
    * durable.
    */
   @Test
   void afterTheRecordsWereReadAnewTheWaitBeginsAnew() {
     records.put(StoreKeys.job(JOB), cache.job(JOB).writeCancelled(LONG_AGO_MS));
     CacheTestSupport.load(cache, records, ++revision);
-    assertEquals(false, isTold(), "read just now, still allocated, not noted");
+    assertEquals(false, isTold(), "read just now, still allocated, not seen by its owner");
     clock.advance(8);
     assertEquals(true, isTold());
     records.put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
     CacheTestSupport.load(cache, records, ++revision);
-    assertEquals(true, isTold(), "nothing of it is allocated: its tasks were proven gone");
+    assertEquals(true, isTold(), "none of its tasks is allocated, so they were proven gone");
   }
 
-  /** What else changes of a job that is over says nothing of when it was cancelled. */
+  /** Other changes of an ended job do not show when it was cancelled. */
   @Test
   void aWaitThatIsOverDoesNotBeginAgain() {
     cancel();
@@ -237,8 +239,8 @@
   }
 
   /**
-   * A machine that does not hear the stop goes on for a lease, which is longer here than a
-   * cancellation has.
+   * A machine that misses the stop continues for a lease, which is longer here than the time
+   * allowed for a cancellation.
    */
   @Test
   void whereALeaseIsLongerThanACancellationHasNotingDoesNotSuffice() {
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -45,8 +45,8 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * What users are answered by one controller, with the state service, and what its answers wait for,
- * in the test's hands.
+ * Tests the responses of one controller to users; the test controls the state service and delays
+ * its responses.
  */
 class UserApiTest {
   private static final ControllerId MEMBER = new ControllerId("n0");
@@ -64,7 +64,7 @@
   private int takes = MOST_BYTES;
   private UserApi users;
 
-  // The fixture reads best whole.
+  // The whole test setup in one place.
   @SuppressWarnings("MethodLength")
   @BeforeEach
   void aControllerHasReadTheRecords() {
@@ -127,7 +127,7 @@
     clock.advance(1);
   }
 
-  // ---- a state service whose watches never say anything, so that only barriers bring news ----
+  // ---- a state service whose watches never return, so that only barriers deliver changes ----
 
   private void write(String key, Object value) {
     stamps.put(key, ++epoch);
@@ -241,7 +241,7 @@
         900.0);
   }
 
-  /** What a user is answered: empty until he is. */
+  /** Returns the responses to a user's request; empty until there is one. */
   private List<String> ask(HttpRequest request) {
     List<String> answers = new ArrayList<>();
     Consumer<HttpResponse> reply =
@@ -257,7 +257,7 @@
     try {
       users.handle(request, reply);
     } catch (RuntimeException e) {
-      answers.add("the connection is closed"); // as the loop does
+      answers.add("the connection is closed"); // as the event loop does
     }
     return answers;
   }
@@ -278,12 +278,12 @@
     return answers.get(0);
   }
 
-  // ---- what they are answered ----
+  // ---- responses ----
 
   /**
-   * A submission is under way, with the answer to its write or to the reading after it held up.
-   * Meanwhile another controller has told that the job is cancelled. Whoever submits it again now
-   * put his question after that.
+   * A submission is in progress, with the response to its write or to the read after it delayed.
+   * Meanwhile another controller has reported the job as cancelled. A user who submits the job
+   * again now must not be told anything older.
    */
   @ParameterizedTest
   @ValueSource(strings = {"/txn", "/follow"})
@@ -309,7 +309,7 @@
 
   /**
    * Jobs around the size of the largest value: none is accepted that could not be cancelled, and
-   * none holds up those beside it.
+   * none delays the jobs beside it.
    */
   @Test
   void whatIsTooLargeForARecordIsRefusedAndHindersNobody() {
@@ -336,8 +336,8 @@
   }
 
   /**
-   * The state service counts more for a value than is known here: what it refuses does not hold up
-   * what came with it.
+   * The state service counts more bytes for a value than is known here: what it rejects does not
+   * delay what came with it.
    */
   @Test
   void whatTheStateServiceFindsTooLargeHindersNobody() {
@@ -359,8 +359,8 @@
   }
 
   /**
-   * Fields that may not be null may not be left out; and whatever a repetition holds, a known job
-   * is known.
+   * Fields that must not be null must not be missing either; and a known job is known, whatever its
+   * repetition contains.
    */
   @Test
   void aJobWithoutAFieldIsMalformedAndAKnownOneIsKnown() {
@@ -386,7 +386,7 @@
     }
   }
 
-  /** A cancellation that waits for its turn and is asked for again and again costs one change. */
+  /** A cancellation that waits for its turn and is requested repeatedly costs one write. */
   @Test
   void aCancellationIsWrittenOnce() {
     assertEquals("201 queued", soon(submit(job(1))));
--- a/src/test/java/org/quincecross/leader/AllocationIndexTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationIndexTest.java
@@ -104,7 +104,7 @@
     return set;
   }
 
-  /** Whatever changes, the books say what counting everything anew says. */
+  /** After any changes, the index equals a full recount. */
   @Property(tries = 200, seed = "31")
   void keepUpWithTheLedger(@ForAll long seed) {
     Random random = new Random(seed);
@@ -148,7 +148,7 @@
     assertCounted();
   }
 
-  // A recount of everything, in one place.
+  // Recounts everything.
   @SuppressWarnings("MethodLength")
   private void assertCounted() {
     Map<String, Resources> use = new HashMap<>();
@@ -207,8 +207,8 @@
   }
 
   /**
-   * A change costs what it touches: with a hundred jobs out, one completion counts the blocks of
-   * one job.
+   * The cost of a change is proportional to what it affects: with a hundred allocated jobs, one
+   * completion visits the shards of one job.
    */
   @Example
   void aChangeCostsWhatItTouches() {
--- a/src/test/java/org/quincecross/leader/AllocationWriterTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationWriterTest.java
@@ -30,8 +30,8 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * A block whose whole record is up to four times as large as a value may be now: it shrinks, and
- * what is given back is taken out.
+ * A shard's full record is up to four times as large as a value may be now: it shrinks, and
+ * released tasks are removed.
  */
 class AllocationWriterTest {
   private static final ShardId BLOCK = new ShardId("b");
@@ -74,7 +74,7 @@
         0);
   }
 
-  /** Fills a block with a record as it was written when values could be larger. */
+  /** Fills a shard with a record as written when values could be larger. */
   private List<JobId> fill(Random random, int level) {
     cache.addListener(allocationIndex::cacheChanged);
     put(StoreKeys.LEVEL, FeatureLevelRecord.write(new FeatureLevel(level)));
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Whatever ends and is given back, in whatever order: what is not over and was not given back is
-   * allocated, and nothing else is.
+   * Tasks end and are released in any order: exactly the tasks that have neither ended nor been
+   * released stay allocated.
    */
   @Property(tries = 40, seed = "8")
   void anOversizedBlockShrinks(@ForAll Random random) {
@@ -106,7 +106,7 @@
         end(left.get(random.nextInt(left.size())), random);
       }
       Map<JobId, TaskSet> next = allocationIndex.unfinishedTasks(BLOCK);
-      // Work ends all the time; now and then some is given back, a tenth in all.
+      // Tasks end continuously; now and then some are released, a tenth in all.
       JobId back =
           random.nextInt(3) == 0 && !next.isEmpty()
               ? List.copyOf(next.keySet()).get(random.nextInt(next.size()))
@@ -126,7 +126,7 @@
         "written whole again");
   }
 
-  /** A task becomes durable as done on a page, or its job as a whole. */
+  /** A task becomes durable as completed on a page, or with its job as a whole. */
   private void end(JobId id, Random random) {
     if (random.nextBoolean()) {
       put(StoreKeys.job(id), cache.job(id).writeDone());
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Before level 2 nothing is written of it until what is left fits, and then all of it. */
+  /** Before feature level 2 nothing is written until the rest fits, and then all of it. */
   @Property(tries = 10, seed = "9")
   void beforeLevelTwoItWaits(@ForAll Random random) {
     List<JobId> jobs = fill(random, 1);
--- a/src/test/java/org/quincecross/leader/AutoscalerTest.java
+++ b/src/test/java/org/quincecross/leader/AutoscalerTest.java
@@ -40,7 +40,7 @@
 import org.quincecross.state.ShardLease;
 import org.quincecross.state.StoreKeys;
 
-/** What the fleet returns and what it leaves alone when machines fall silent. */
+/** Tests which machines are terminated and which are kept when machines become unreachable. */
 class AutoscalerTest {
   private static final Resources SIZE = new Resources(8, 0, 32);
   private static final int PER_ZONE = 12;
@@ -84,7 +84,7 @@
     }
   }
 
-  // The fixture reads best whole.
+  // The whole test setup in one place.
   @SuppressWarnings("MethodLength")
   AutoscalerTest() {
     Endpoint here = new Endpoint("10.0.0.1", 1);
@@ -222,7 +222,7 @@
     assertEquals(List.of("{\"Hosts\":[\"m-a3\"]}"), returned);
   }
 
-  /** A zone that is cut off goes on working: returning its machines would end what runs there. */
+  /** A zone that is cut off continues to run its tasks; terminating its machines would end them. */
   @Example
   void muchOfAZoneIsNotReturned() {
     for (int i = 0; i < 4; i++) {
@@ -233,9 +233,9 @@
   }
 
   /**
-   * Of a zone that is cut off the cloud still lists the machines. What it does not list any more,
-   * however much of the zone, does not come back, and the work of its blocks must not wait for it
-   * (incident unanswered-start).
+   * The cloud still lists the machines of a zone that is cut off. Machines that it no longer lists,
+   * however many of the zone, do not return, and the work of their shards must not wait for them
+   * (docs/incidents/unanswered-start.md).
    */
   @Example
   void whatTheCloudDoesNotListAnyMoreIsReturnedHoweverMuchItIs() {
@@ -253,8 +253,8 @@
   }
 
   /**
-   * Nobody takes ordinary machines: where they are silent as well, it is the network, and all of
-   * them may come back.
+   * On-demand machines are not preempted; if they are unreachable as well, the network is the
+   * cause, and all of them may return.
    */
   @Example
   void spotMachinesSilentTogetherWithOrdinaryOnesAreNotReturned() {
@@ -266,8 +266,8 @@
   }
 
   /**
-   * A leader without the state service sees machines fall silent that have gone to their new
-   * holders.
+   * A leader without contact to the store sees machines as unreachable that have moved to new
+   * owners.
    */
   @Example
   void aLeaderThatPlansNoMoreReturnsNothing() {
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -53,9 +53,9 @@
   }
 
   /**
-   * A job with more chunks of done tasks than a transaction holds: whatever completes becomes
-   * durable, in few writes, also in its last chunk. It is not written chunk by chunk from the first
-   * one each time.
+   * A job with more chunks of completed tasks than a transaction holds: all completions become
+   * durable in few writes, including those in its last chunk. The chunks are not rewritten from the
+   * first one each time.
    */
   @Test
   void aJobOfMoreChunksThanATransactionHoldsBecomesDurable() {
@@ -107,8 +107,8 @@
   }
 
   /**
-   * A page of the old full size: the jobs on it go on to others, and what was done on it stays
-   * done, also for whoever reads it all anew.
+   * A page has the former full size: its jobs move to other pages, and what was completed on it
+   * stays completed, also for a controller that reads all records anew.
    */
   @Test
   void jobsMoveOnFromAPageThatIsLargerThanAValueMayBeNow() {
--- a/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
+++ b/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
@@ -14,10 +14,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.state.ClusterStateCache;
 
-/**
- * Of the machine types users see all or none, however small the budget for changes is as they are
- * written.
- */
+/** Users see all machine types or none, however small the write budget is. */
 class MachineTypeWriterTest {
   private static MonotonicTime at(double seconds) {
     return MonotonicTime.ZERO.plus(TimeSpan.ofSeconds(seconds));
@@ -54,7 +51,8 @@
   }
 
   /**
-   * A transaction that never has room for all has them written in parts: better than none for ever.
+   * Types that never fit into one transaction are written in parts, because that is better than
+   * never.
    */
   @Test
   void whatNeverHasRoomIsWrittenInParts() {
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -41,8 +41,8 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * A start that was never answered and never showed is refused only under a higher token (incident
- * unanswered-start).
+ * A start without a response that was never seen is rejected only under a higher token
+ * (docs/incidents/unanswered-start.md).
  */
 class ShardLeaseManagerTest {
   private static final ControllerId HOLDER = new ControllerId("n");
@@ -55,7 +55,7 @@
   private final ShardLeaseManager leases;
   private long reports;
 
-  // The fixture reads best whole.
+  // The whole test setup in one place.
   @SuppressWarnings("MethodLength")
   ShardLeaseManagerTest() {
     Settings settings =
@@ -193,10 +193,10 @@
   }
 
   /**
-   * For a gang of a hundred machines a block would be so large; one that a value cannot name would
-   * never be written.
+   * A gang of a hundred machines would need a shard of that size, but a record too large for a
+   * value could never be written.
    */
-  // One course of events.
+  // A single sequence of events.
   @SuppressWarnings("MethodLength")
   @Test
   void aBlockTakesNoMoreMachinesThanItsRecordCanName() {
--- a/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
+++ b/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
@@ -16,8 +16,8 @@
 import org.quincecross.state.ClusterStateCache;
 
 /**
- * A service that takes less than the settings say: what fits there is written all the same,
- * whatever is planned before it.
+ * The store accepts less than the settings state: what fits there is written nevertheless, whatever
+ * is planned before it.
  */
 class TransactionLimitsTest {
   @Property(tries = 200, seed = "3")
@@ -31,7 +31,7 @@
     ClusterStateCache cache = new ClusterStateCache();
     Map<String, Map<String, Object>> waiting = new TreeMap<>();
     for (int i = 0; i < 20; i++) {
-      // The oversized come first in every plan.
+      // The oversized mutations come first in every plan.
       waiting.put(
           (char) ('a' + i) + "", Json.object("v", "x".repeat(i < tooLarge ? takesValue + 1 : 500)));
     }
--- a/src/test/java/org/quincecross/shard/AgentSessionTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionTest.java
@@ -28,7 +28,7 @@
     return MonotonicTime.ZERO.plus(TimeSpan.ofSeconds(seconds));
   }
 
-  /** Comes, is taken and is answered, and the machine does not hear the answer. */
+  /** Accepts a heartbeat and records a response, which the machine does not receive. */
   private void report(long number, long order, double atS) {
     Heartbeat heartbeat = new Heartbeat(machine, number, order, FORMER, null, List.of());
     if (session.lastHeartbeat() != null) {
@@ -39,8 +39,9 @@
   }
 
   /**
-   * A deaf machine's lease runs out, and its next session, which began after all that bounds the
-   * lease of the one before, shows that no answer was taken: its lease is not over
+   * The lease of a machine that receives nothing expires, and its next session, which began after
+   * everything that bounds the lease of the former one, shows that no response was accepted. That
+   * does not prove that the new session's lease has expired
    * (docs/incidents/lease-of-a-new-session.md).
    */
   @Test
--- a/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
@@ -29,15 +29,15 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * A machine whose reports do not arrive while direct commands do, and whose session began after the
- * last answer that it may have had: its lease runs from when that session began, not from that
- * answer (incident session-without-an-answer).
+ * A machine's heartbeats do not arrive while direct commands do, and its session began after the
+ * last response that it may have received: its lease runs from when that session began, not from
+ * that response (docs/incidents/session-without-an-answer.md).
  */
 class AgentSessionsUnansweredTest extends ShardOwnerHarness {
   private static final Machine OTHER =
       new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
 
-  /** The command that was sent last is answered by the machine's report. */
+  /** Responds to the last command with the machine's status. */
   private void answered(
       Machine machine, int status, long session, long token, Map<TaskId, Attempt> running) {
     List<Object> pieces =
@@ -86,8 +86,8 @@
   }
 
   /**
-   * It joins, its first session ends soon after, and it is first heard by its answer to a command,
-   * in the second.
+   * The machine joins, its first session ends soon after, and it is first heard by its response to
+   * a command in the second session.
    */
   @Test
   void aMachineThatJoinsAndIsHeardByCommandsAlone() {
@@ -105,16 +105,19 @@
     TaskId task = TASK.job().task(1);
     allocate(only(1));
     Attempt attempt = attempt();
-    assertEquals(1, owner.machine(OTHER.id()).tasks(), "the other is silent by now");
+    assertEquals(1, owner.machine(OTHER.id()).tasks(), "the other machine is unreachable by now");
     answered(OTHER, 200, 2, token, Map.of(task, attempt));
     pass(9.5);
-    assertEquals(1, owner.machine(OTHER.id()).tasks(), "its session began 3 s after it joined");
+    assertEquals(
+        1,
+        owner.machine(OTHER.id()).tasks(),
+        "its session began 3 s after it joined, so its lease is still valid");
     pass(1.5);
-    assertEquals(0, owner.machine(OTHER.id()).tasks(), "its lease is over");
+    assertEquals(0, owner.machine(OTHER.id()).tasks(), "its lease has expired");
   }
 
   /**
-   * A controller that stood still for longer than a lease: the machine is in its next session when
+   * The controller was paused for longer than a lease, so the machine is in its next session when
    * it is given work.
    */
   @Test
@@ -131,15 +134,16 @@
     answered(MACHINE, 200, 2, owner.lease().token().value(), Map.of(task, attempt));
     lastConfirmed = Long.MAX_VALUE;
     pass(2);
-    assertTrue(owner.runs(task), "it is there, for as long as the second session may last");
+    assertTrue(
+        owner.runs(task), "the task counts as running as long as the second session may last");
     pass(9);
-    assertEquals(0, owner.machine(MACHINE.id()).tasks(), "its lease is over");
+    assertEquals(0, owner.machine(MACHINE.id()).tasks(), "its lease has expired");
   }
 
   /**
-   * A new holder has a machine that hears nothing and goes from session to session, each with a
-   * lease of its own. What the former holder may have started waits for it only until the session
-   * is surely over that it may have commanded in.
+   * A new owner has a machine that receives nothing and goes from session to session, each with a
+   * lease of its own. Tasks that the former owner may have started are blocked only until the
+   * session in which it may have sent commands has certainly ended.
    */
   @Test
   void whatWaitsForADeafMachineDoesNotWaitForEver() {
@@ -176,16 +180,16 @@
         startedAt > 30,
         "a former holder goes on for 20 s, and what it has answered for a lease of 10 s: "
             + startedAt);
-    assertTrue(startedAt < 37, "the next report after that says enough: " + startedAt);
+    assertTrue(startedAt < 37, "the next heartbeat after that is proof: " + startedAt);
   }
 
   /**
-   * A machine that has begun anew under a former holder has the third one's answer, and is not
-   * heard after it; what comes are copies of what its former life said, with a lower token than it
-   * has shown since. They do not show that it has not taken that answer
+   * A machine whose agent restarted under a former owner receives a response of the third owner and
+   * is not heard again; only copies of heartbeats from before the restart arrive, with a lower
+   * token than the machine has shown since. They do not prove that the response was not accepted
    * (docs/incidents/copies-of-a-life-before-the-last.md).
    */
-  // One course of events.
+  // A single sequence of events.
   @SuppressWarnings("MethodLength")
   @Test
   void copiesOfALifeBeforeTheLastProveNothing() {
@@ -237,6 +241,6 @@
       pass(0.25);
       startedAt = owner.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
     }
-    assertTrue(startedAt > 15 && startedAt < 17, "the lease runs from the answer on: " + startedAt);
+    assertTrue(startedAt > 15 && startedAt < 17, "the lease runs from the response: " + startedAt);
   }
 }
--- a/src/test/java/org/quincecross/shard/DependentJobTest.java
+++ b/src/test/java/org/quincecross/shard/DependentJobTest.java
@@ -18,8 +18,8 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * A holder starts nothing of a job that waits for another, whatever its block has been given: that
- * goes back.
+ * A shard owner starts no tasks of a job with unfinished dependencies, even if they are allocated
+ * to its shard, but releases them.
  */
 class DependentJobTest extends ShardOwnerHarness {
   private static Job job(JobId id, Set<JobId> waitsOn) {
@@ -37,7 +37,7 @@
         .build();
   }
 
-  /** A machine without any task. */
+  /** The machine has no task. */
   @Override
   void aStartIsSent() {}
 
--- a/src/test/java/org/quincecross/shard/RequeuerTest.java
+++ b/src/test/java/org/quincecross/shard/RequeuerTest.java
@@ -20,8 +20,8 @@
 import org.quincecross.protocol.Heartbeat.TaskStatus;
 
 /**
- * Work that a block cannot run goes back to the pool, where others may have it (incident
- * unanswered-start).
+ * Work that a shard cannot run returns to the pool, from where other shards may get it
+ * (docs/incidents/unanswered-start.md).
  */
 class RequeuerTest extends ShardOwnerHarness {
   private void nextSecond() {
@@ -45,14 +45,14 @@
       }
       assertEquals(30 * (1 << (time - 1)), declinedS, 1.0);
       allocate(new TaskSet()); // the leader has taken it back
-      allocate(only(0)); // and, as nobody else has room, gives it here again
+      allocate(only(0)); // and allocates it here again, because no other shard has room
       if (time < 5) {
         assertTrue(sent.get(sent.size() - 1).contains("start"), sent.toString());
       }
     }
     assertTrue(
         owner.machine(MACHINE.id()).faulty(),
-        "five failures and nothing else, though of one job alone");
+        "five failures without any success make the machine faulty, even of one job alone");
   }
 
   @Test
@@ -61,15 +61,15 @@
     for (int second = 0; second < 40; second++) {
       nextSecond();
     }
-    // Silent for longer than its lease: what was to start there is on no machine, and waits, but
-    // not for ever.
+    // Silent for longer than its lease: the task that was to start there is on no machine, and
+    // waits, but not without bound.
     assertEquals(List.of(TASK), owner.released());
   }
 
   /**
-   * A holder that has lost the state service may have been succeeded: the new holder answers the
-   * machine, and what runs there goes on, however long this one has not heard of it (incident
-   * lost-by-a-former-holder).
+   * An owner that has lost the store may have been succeeded. The new owner responds to the
+   * machine, so the machine's tasks continue, however long this owner has not heard of it
+   * (docs/incidents/lost-by-a-former-holder.md).
    */
   @Test
   void aMachineIsNotCalledLostOnTheWordOfAHolderThatMayHaveBeenSucceeded() {
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -50,8 +50,8 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * A holder of a block of one machine, which has room for two tasks, with the messages of both in
- * the test's hands.
+ * A shard owner with one machine that has room for two tasks; the test delivers the messages of
+ * both.
  */
 abstract class ShardOwnerHarness {
   static final ShardId BLOCK = new ShardId("b");
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -52,11 +52,11 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * A holder and three workers, with everything between them drawn: commands, reports and the answers
- * to either are held up, lost, come late and come again; machines hang, are cut off in one
- * direction or both, and lose their leases; the holder stands still, is followed by another one
- * while it goes on, and is told to stop tasks and to start them again. No task is ever on two
- * machines, none starts again under an attempt that has been cleared, and all end.
+ * A shard owner and three simulated agents with random faults between them. Commands, heartbeats
+ * and their responses are delayed, lost and repeated; machines hang, are partitioned in one or both
+ * directions, and lose their leases; the owner is paused, is succeeded while it continues, and is
+ * told to stop and restart tasks. No task is ever on two machines, none starts again under an
+ * attempt that has been cleared, and all end.
  */
 class ShardOwnerModelTest {
   private static final double TROUBLE_S = 100;
@@ -132,7 +132,7 @@
       due.add(new Due(clock.nanos() + Math.max(0, (long) (seconds * 1e9)), number++, run));
     }
 
-    /** What happens in the controller waits while it stands still. */
+    /** Runs an event of the controller, delayed to the end of its pause. */
     private void awake(Runnable run) {
       if (now() < stillUntil) {
         later(stillUntil - now() + 0.001, () -> awake(run));
@@ -188,8 +188,8 @@
     private Wild context;
 
     /**
-     * The block goes to another holder; the one before goes on for a while, without word of the
-     * records.
+     * Leases the shard under a new token; the former owner continues for a while, without contact
+     * to the store.
      */
     private void leaseAnew(double formerGoesOn) {
       if (former != null) {
@@ -236,8 +236,8 @@
     }
 
     /**
-     * Does what a leader does: what is back goes out again, what is done stays out, and a doubt
-     * gets a new token.
+     * Acts as the leader: reallocates released tasks, removes completed ones, and renews the token
+     * when requested.
      */
     private void lead() {
       List<TaskId> gone = new ArrayList<>(owner.completed());
@@ -249,7 +249,7 @@
       boolean changed = !gone.isEmpty();
       gone.forEach(task -> allocated.remove(task.index()));
       if (changed) {
-        allocateAll(); // what is out must have been out once before it may be in again
+        allocateAll(); // a released task must leave the allocation before it may return to it
       }
       back.removeIf(index -> finished.contains(index));
       while (allocated.size() < AT_ONCE && (!back.isEmpty() || given < TASKS)) {
@@ -322,7 +322,7 @@
       }
     }
 
-    // ---- troubles ----
+    // ---- faults ----
 
     private void trouble() {
       if (quiet) {
@@ -342,7 +342,7 @@
         }
         case 5 -> standStill(between(1, 14));
         default -> {
-          // Reports go unanswered for so long that leases end, and commands arrive.
+          // Heartbeats go unanswered for so long that leases expire, while commands arrive.
           double still = between(7, 13);
           standStill(still);
           workers.forEach(each -> each.unansweredUntil = now() + still + between(2, 12));
@@ -374,7 +374,7 @@
           });
     }
 
-    /** What has not ended, and what it waits for. */
+    /** Describes what has not ended, and what it waits for. */
     String left() {
       return "given "
           + given
@@ -415,7 +415,7 @@
       }
     }
 
-    // ---- a worker ----
+    // ---- an agent ----
 
     private record Key(TaskId task, long attempt) {}
 
@@ -428,7 +428,7 @@
       private final Machine machine;
       private final Map<Key, Task> tasks = new LinkedHashMap<>();
 
-      /** What has been started in this session: none of it may start again. */
+      /** What has been started in this session; none of it may start again. */
       private final Set<Key> ever = new HashSet<>();
 
       private long session = 1;
@@ -524,7 +524,7 @@
                     });
         later(4, () -> end.accept(null));
         if (now() < unansweredUntil) {
-          return; // it goes to controllers that do not answer
+          return; // it contacts controllers that do not respond
         }
         carry(
             speaksUntilCut(),
@@ -554,7 +554,7 @@
         }
       }
 
-      // One agent, as a protocol has it.
+      // The behaviour of one agent, as in the protocol.
       @SuppressWarnings("MethodLength")
       void request(HttpRequest request, Consumer<HttpResponse> reply) {
         whenGoing(
@@ -685,13 +685,15 @@
     Model model = new Model(seed);
     model.play();
     assertEquals(List.of(), model.broken, "seed " + seed);
-    assertTrue(model.done.containsAll(model.finished), "seed " + seed + ": called done and is not");
+    assertTrue(
+        model.done.containsAll(model.finished),
+        "seed " + seed + ": reported as completed but did not exit");
     assertEquals(TASKS, model.finished.size(), "seed " + seed + ": " + model.left());
   }
 
   /**
-   * Among them, days that show each guard out: late reports (most of them), clears (20, 24), doubts
-   * (2), commands in flight (44), leases (59).
+   * Includes seeds that fail without each guard: late heartbeats (most of them), clears (20, 24),
+   * doubts (2), commands in flight (44), leases (59).
    */
   @Test
   void noTaskIsOnTwoMachinesAndAllEnd() {
--- a/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
+++ b/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
@@ -16,8 +16,8 @@
 import org.quincecross.state.StoreKeys;
 
 /**
- * Until when a machine is answered that may have a cancelled task which the answer does not stop
- * (incident start-after-cancel).
+ * Limits how long a machine gets responses that may have a cancelled task which the response does
+ * not stop (docs/incidents/start-after-cancel.md).
  */
 class UnacknowledgedResponsesTest extends ShardOwnerHarness {
   private void cancel() {
@@ -50,7 +50,7 @@
     assertNotNull(report(former, List.of()));
     longCancelled = true;
     assertNull(report(former, List.of()));
-    // Once it obeys, what it has is known.
+    // Once it is fenced, its tasks are known.
     assertNotNull(report(owner.lease().token(), List.of()));
   }
 }
--- a/src/test/java/org/quincecross/shard/UnansweredStartTest.java
+++ b/src/test/java/org/quincecross/shard/UnansweredStartTest.java
@@ -14,8 +14,8 @@
 import org.quincecross.protocol.Heartbeat.TaskStatus;
 
 /**
- * A direct start that was sent and never answered: the task must not wait for that answer (incident
- * unanswered-start).
+ * A direct start was sent and got no response; the task must not wait for that response
+ * (docs/incidents/unanswered-start.md).
  */
 class UnansweredStartTest extends ShardOwnerHarness {
   @Test
@@ -28,7 +28,7 @@
     assertTrue(stop.contains("halt"), stop);
     String after = answer(List.of(piece(attempt, TaskState.EXITED, ExitReason.STOPPED)));
     assertEquals(0, owner.completed().size() + owner.machine(MACHINE.id()).tasks());
-    // The exit is what makes the late start harmless: it must stay.
+    // The reported exit makes the late start harmless, so it must not be cleared.
     assertFalse(after.contains("clear"), after);
     assertFalse(owner.needsTokenRenewal());
   }
@@ -44,8 +44,8 @@
   }
 
   /**
-   * The machine may still get the start, so its task counts as there; only a higher token can end
-   * that.
+   * The machine may still receive the start, so its task counts as running there; only a higher
+   * token can end that.
    */
   @Test
   void aStartThatNeverShowedBeforeItsStopAsksForANewToken() {
@@ -59,8 +59,8 @@
   }
 
   /**
-   * A machine that keeps an exit reports it beside the next attempt of the same task: the one says
-   * nothing of the other.
+   * A machine that keeps an exit reports it beside the next attempt of the same task; the exit does
+   * not apply to the next attempt.
    */
   @Test
   void theExitOfAnEarlierAttemptDoesNotStandForTheNextOne() {
@@ -77,9 +77,9 @@
   }
 
   /**
-   * A start that goes out with the answer to a report may arrive after a direct command that was
-   * sent later: what it started must not be cleared before the worker's next report, or it would
-   * start anew.
+   * A start sent in the response to a heartbeat may arrive after a direct command that was sent
+   * later. What it started must not be cleared before the agent's next heartbeat, or it would start
+   * again.
    */
   @Test
   void nothingIsClearedWhileAnAnswerThatStartsItMayBeUnderWay() {
