--- a/src/main/java/org/quincecross/shard/Placement.java
+++ b/src/main/java/org/quincecross/shard/Placement.java
@@ -180,8 +180,8 @@
    * Stops the task; with {@code requeue} it then returns to the pool rather than to a queue of the
    * shard.
    */
-  void stop(TimeSpan saveTime, boolean back, MonotonicTime now) {
-    requeueWhenStopped |= back;
+  void stop(TimeSpan saveTime, boolean requeue, MonotonicTime now) {
+    requeueWhenStopped |= requeue;
     if (state == State.STOPPING) {
       if (saveTime.nanos() < gracePeriod.nanos()) {
         gracePeriod = saveTime;
--- a/src/main/java/org/quincecross/shard/Preemptor.java
+++ b/src/main/java/org/quincecross/shard/Preemptor.java
@@ -58,16 +58,16 @@
    * Stops a task, and with it its whole gang: checkpoints are saved only if all tasks are told in
    * time.
    */
-  private void stopWithGang(Placement placement, boolean back, MonotonicTime now) {
+  private void stopWithGang(Placement placement, boolean requeue, MonotonicTime now) {
     Job job = placement.job();
     if (job.kind() != JobKind.GANG) {
-      placement.stop(gracePeriodOf(job), back, now);
+      placement.stop(gracePeriodOf(job), requeue, now);
       return;
     }
     for (int i = 0; i < job.taskCount(); i++) {
       Placement member = placements.get(job.id().task(i));
       if (member != null && member.isOnMachine()) {
-        member.stop(gracePeriodOf(job), back, now);
+        member.stop(gracePeriodOf(job), requeue, now);
       }
     }
   }
@@ -203,16 +203,16 @@
                     room.put(
                         session.machine().id(), session.capacity().minus(snapshots.used(session))));
       }
-      boolean back = true;
+      boolean requeue = true;
       for (Map.Entry<MachineId, Resources> other : room.entrySet()) {
-        if (back
+        if (requeue
             && placement.job().taskResources().fitsIn(other.getValue())
             && sessions.get(other.getKey()).hasImage(placement.job().image())) {
           other.setValue(other.getValue().minus(placement.job().taskResources()));
-          back = false;
+          requeue = false;
         }
       }
-      stopWithGang(placement, back, now);
+      stopWithGang(placement, requeue, now);
     }
   }
 
--- a/src/test/java/org/quincecross/api/CancelModelTest.java
+++ b/src/test/java/org/quincecross/api/CancellationStateSpaceTest.java
@@ -24,7 +24,7 @@
  * though time has no end. The bounds are those of the program without the margin for clocks and
  * messages: nothing in the model takes any of it.
  */
-class CancelModelTest {
+class CancellationStateSpaceTest {
   /**
    * The values of {@code cancel_s}, {@code lease_s} and the delay of {@link Cancellations}, in
    * steps.
@@ -33,12 +33,12 @@
 
   private static final int LEASE = 1;
   private static final int DELAY = 1;
-  private static final int LONGEST_UNCONFIRMED = CANCEL + DELAY - LEASE;
+  private static final int MAX_UNCONFIRMED = CANCEL + DELAY - LEASE;
 
   /** As in {@code shard.UnacknowledgedResponses}. */
-  private static final int LONGEST_UNSURE = LONGEST_UNCONFIRMED - DELAY;
+  private static final int MAX_UNACKNOWLEDGED = MAX_UNCONFIRMED - DELAY;
 
-  private static final int HOLDERS = 2;
+  private static final int OWNERS = 2;
 
   /** How long an agent waits for a response, and a controller for one of the store. */
   private static final int WAIT = 1;
@@ -83,48 +83,48 @@
   /** The progress of the start that an owner sent directly to the machine. */
   private static final int NOT_SENT = 0;
 
-  private static final int HELD = 1;
+  private static final int DELAYED = 1;
   private static final int OVER = 2;
 
   /** The complete state; ages are {@link #NONE} if not applicable. */
   private static final class State implements Cloneable {
     private int formed = NONE;
     private boolean durable;
-    private boolean leasedAnew;
+    private boolean leaseRenewed;
 
     /** Before the current step, and before the previous one. */
     private boolean[] wasDurable = new boolean[2];
 
-    private boolean[] wasLeasedAnew = new boolean[2];
+    private boolean[] wasLeaseRenewed = new boolean[2];
     private boolean allocated = true;
     // the controller that tells the user
     private int seen = NONE;
     private boolean knowsNewLease;
     private boolean knowsAllocated = true;
-    private int told = NONE;
+    private int confirmationAge = NONE;
     // the owners
-    private boolean[] holds = {true, false};
-    private int[] confirmed = {0, LONGEST_UNCONFIRMED + 1};
-    private boolean[] noted = new boolean[HOLDERS];
+    private boolean[] owns = {true, false};
+    private int[] confirmed = {0, MAX_UNCONFIRMED + 1};
+    private boolean[] hasSeen = new boolean[OWNERS];
     private boolean[] fenced = {true, false};
 
     /** A start was sent that no heartbeat has shown. */
-    private boolean[] doubt = new boolean[HOLDERS];
+    private boolean[] unseenStart = new boolean[OWNERS];
 
     /** The last heartbeat had the task, or none has arrived, so it may be running. */
     private boolean[] mayRun = {false, true};
 
     private boolean[] knowsAllocation = {true, true};
-    private boolean[] stopTold = new boolean[HOLDERS];
+    private boolean[] stopSent = new boolean[OWNERS];
 
     /** Reported to the others: has seen the cancellation, all machines fenced. */
-    private boolean[] said = new boolean[HOLDERS];
+    private boolean[] reported = new boolean[OWNERS];
 
     // the machine
     private int token;
     private boolean runs;
     private int leaseAge;
-    private int[] start = new int[HOLDERS];
+    private int[] start = new int[OWNERS];
     private int report = NONE;
     private int reportToken;
     private boolean reportRuns;
@@ -138,22 +138,22 @@
     /**
      * Whether the heartbeat has each owner's attempt, in whatever state, or is of a later session.
      */
-    private boolean[] reportEnds = new boolean[HOLDERS];
+    private boolean[] reportEnds = new boolean[OWNERS];
 
     private State copy() {
       try {
         State copy = (State) clone();
         copy.wasDurable = wasDurable.clone();
-        copy.wasLeasedAnew = wasLeasedAnew.clone();
-        copy.holds = holds.clone();
+        copy.wasLeaseRenewed = wasLeaseRenewed.clone();
+        copy.owns = owns.clone();
         copy.confirmed = confirmed.clone();
-        copy.noted = noted.clone();
+        copy.hasSeen = hasSeen.clone();
         copy.fenced = fenced.clone();
-        copy.doubt = doubt.clone();
+        copy.unseenStart = unseenStart.clone();
         copy.mayRun = mayRun.clone();
         copy.knowsAllocation = knowsAllocation.clone();
-        copy.stopTold = stopTold.clone();
-        copy.said = said.clone();
+        copy.stopSent = stopSent.clone();
+        copy.reported = reported.clone();
         copy.start = start.clone();
         copy.reportEnds = reportEnds.clone();
         return copy;
@@ -165,32 +165,32 @@
     /** Encodes the state in one number. */
     private long key() {
       long key = 1;
-      for (int i = 0; i < HOLDERS; i++) {
+      for (int i = 0; i < OWNERS; i++) {
         key =
             ((key << 3 | confirmed[i]) << 2 | start[i]) << 9
                 | bits(
-                    holds[i],
-                    noted[i],
+                    owns[i],
+                    hasSeen[i],
                     fenced[i],
-                    doubt[i],
+                    unseenStart[i],
                     mayRun[i],
-                    stopTold[i],
-                    said[i],
+                    stopSent[i],
+                    reported[i],
                     reportEnds[i],
                     knowsAllocation[i]);
       }
-      for (int each : new int[] {formed, seen, told, leaseAge, report}) {
+      for (int each : new int[] {formed, seen, confirmationAge, leaseAge, report}) {
         key = key << 3 | each + 1;
       }
       return key << 14
           | bits(
               wasDurable[1],
-              wasLeasedAnew[1],
+              wasLeaseRenewed[1],
               overtaken,
               wasDurable[0],
-              wasLeasedAnew[0],
+              wasLeaseRenewed[0],
               durable,
-              leasedAnew,
+              leaseRenewed,
               allocated,
               knowsNewLease,
               knowsAllocated,
@@ -211,7 +211,7 @@
     private static State of(long key) {
       State state = new State();
       state.durable = (key & 256) != 0;
-      state.leasedAnew = (key & 128) != 0;
+      state.leaseRenewed = (key & 128) != 0;
       state.allocated = (key & 64) != 0;
       state.knowsNewLease = (key & 32) != 0;
       state.knowsAllocated = (key & 16) != 0;
@@ -221,23 +221,23 @@
       state.reportRuns = (key & 1) != 0;
       state.overtaken = (key & 2048) != 0;
       state.wasDurable = new boolean[] {(key & 1024) != 0, (key & 8192) != 0};
-      state.wasLeasedAnew = new boolean[] {(key & 512) != 0, (key & 4096) != 0};
+      state.wasLeaseRenewed = new boolean[] {(key & 512) != 0, (key & 4096) != 0};
       state.report = (int) (key >> 14 & 7) - 1;
       state.leaseAge = (int) (key >> 17 & 7) - 1;
-      state.told = (int) (key >> 20 & 7) - 1;
+      state.confirmationAge = (int) (key >> 20 & 7) - 1;
       state.seen = (int) (key >> 23 & 7) - 1;
       state.formed = (int) (key >> 26 & 7) - 1;
-      for (int i = 0; i < HOLDERS; i++) {
+      for (int i = 0; i < OWNERS; i++) {
         long of = key >> (i == 0 ? 43 : 29);
         state.knowsAllocation[i] = (of & 1) != 0;
         state.reportEnds[i] = (of & 2) != 0;
-        state.said[i] = (of & 4) != 0;
-        state.stopTold[i] = (of & 8) != 0;
+        state.reported[i] = (of & 4) != 0;
+        state.stopSent[i] = (of & 8) != 0;
         state.mayRun[i] = (of & 16) != 0;
-        state.doubt[i] = (of & 32) != 0;
+        state.unseenStart[i] = (of & 32) != 0;
         state.fenced[i] = (of & 64) != 0;
-        state.noted[i] = (of & 128) != 0;
-        state.holds[i] = (of & 256) != 0;
+        state.hasSeen[i] = (of & 128) != 0;
+        state.owns[i] = (of & 256) != 0;
         state.start[i] = (int) (of >> 9 & 3);
         state.confirmed[i] = (int) (of >> 11 & 7);
       }
@@ -246,18 +246,18 @@
   }
 
   private final Set<Guard> guards = EnumSet.allOf(Guard.class);
-  private final Known seen = new Known();
+  private final StateSet seen = new StateSet();
   private long[] open = new long[1 << 16];
   private int opened;
   private State violation;
-  private boolean toldAtOnce;
-  private boolean toldLate;
+  private boolean confirmedAtOnce;
+  private boolean confirmedLate;
 
   /** The longest time that the task was running after its user was told. */
-  private int longest;
+  private int longestRunAfterConfirmation;
 
   /** The reached states, in an open-addressing hash table of numbers. */
-  private static final class Known {
+  private static final class StateSet {
     private long[] table = new long[1 << 20];
     private int size;
 
@@ -288,20 +288,23 @@
     }
   }
 
-  private boolean has(Guard guard) {
+  private boolean isEnabled(Guard guard) {
     return guards.contains(guard);
   }
 
   /** Adds a successor state. */
-  private void next(State state) {
-    longest = state.runs ? Math.max(longest, state.told) : longest;
-    if (longest > CANCEL && violation == null) {
+  private void addSuccessor(State state) {
+    longestRunAfterConfirmation =
+        state.runs
+            ? Math.max(longestRunAfterConfirmation, state.confirmationAge)
+            : longestRunAfterConfirmation;
+    if (longestRunAfterConfirmation > CANCEL && violation == null) {
       violation = state;
     }
-    for (int i = 0; i < HOLDERS; i++) {
-      plain(state, i);
+    for (int i = 0; i < OWNERS; i++) {
+      normalise(state, i);
     }
-    if (state.told > CANCEL && !mayRunAgain(state)) {
+    if (state.confirmationAge > CANCEL && !mayRunAgain(state)) {
       return; // in no successor is the task on any machine
     }
     if (seen.add(state.key())) {
@@ -313,17 +316,17 @@
   }
 
   /** Resets what no step reads, so that equivalent states are equal. */
-  private void plain(State state, int i) {
-    state.stopTold[i] &= !has(Guard.STOPS_REPEATED);
-    if (state.noted[i] && state.holds[i] && state.fenced[i]) {
-      state.said[i] = true; // a report stays valid, and reporting earlier is the worse case
+  private void normalise(State state, int i) {
+    state.stopSent[i] &= !isEnabled(Guard.STOPS_REPEATED);
+    if (state.hasSeen[i] && state.owns[i] && state.fenced[i]) {
+      state.reported[i] = true; // a report stays valid, and reporting earlier is the worse case
     }
-    if (!state.holds[i] && i == 0) {
+    if (!state.owns[i] && i == 0) {
       state.confirmed[i] = 0;
-      state.doubt[i] = false;
+      state.unseenStart[i] = false;
       state.mayRun[i] = false;
       state.fenced[i] = false;
-      state.noted[i] = false;
+      state.hasSeen[i] = false;
     }
     if (state.report == NONE) {
       state.reportToken = 0;
@@ -335,25 +338,25 @@
 
   private static boolean mayRunAgain(State state) {
     boolean may = state.runs;
-    for (int i = 0; i < HOLDERS; i++) {
-      may |= state.start[i] == HELD || (!state.noted[i] && state.start[i] == NOT_SENT);
+    for (int i = 0; i < OWNERS; i++) {
+      may |= state.start[i] == DELAYED || (!state.hasSeen[i] && state.start[i] == NOT_SENT);
     }
     return may;
   }
 
   private void steps(State from) {
-    time(from);
-    for (int i = 0; i < HOLDERS; i++) {
-      if (from.holds[i] || i == 1) {
-        follow(from, i);
+    passTime(from);
+    for (int i = 0; i < OWNERS; i++) {
+      if (from.owns[i] || i == 1) {
+        readStore(from, i);
       }
-      if (from.holds[i]) {
-        hold(from, i);
+      if (from.owns[i]) {
+        stepOwner(from, i);
       }
     }
-    machine(from);
-    teller(from);
-    records(from);
+    stepMachine(from);
+    stepConfirmingController(from);
+    stepStore(from);
   }
 
   private static int older(int age, int most) {
@@ -364,16 +367,16 @@
     return age == NONE || age == WAIT ? NONE : age + 1;
   }
 
-  private void time(State from) {
+  private void passTime(State from) {
     State state = from.copy();
     state.wasDurable = new boolean[] {state.durable, state.wasDurable[0]};
-    state.wasLeasedAnew = new boolean[] {state.leasedAnew, state.wasLeasedAnew[0]};
-    state.formed = older(state.formed, LONGEST_UNSURE + 1);
+    state.wasLeaseRenewed = new boolean[] {state.leaseRenewed, state.wasLeaseRenewed[0]};
+    state.formed = older(state.formed, MAX_UNACKNOWLEDGED + 1);
     state.seen = older(state.seen, DELAY);
-    state.told = older(state.told, CANCEL + 1);
+    state.confirmationAge = older(state.confirmationAge, CANCEL + 1);
     state.report = waited(state.report);
-    for (int i = 0; i < HOLDERS; i++) {
-      state.confirmed[i] = Math.min(state.confirmed[i] + 1, LONGEST_UNCONFIRMED + 1);
+    for (int i = 0; i < OWNERS; i++) {
+      state.confirmed[i] = Math.min(state.confirmed[i] + 1, MAX_UNCONFIRMED + 1);
     }
     if (++state.leaseAge > LEASE) {
       // The agent kills and forgets all tasks and starts its next session; starts for the former
@@ -381,111 +384,117 @@
       state.leaseAge = 0;
       state.runs = false;
       state.report = NONE;
-      for (int i = 0; i < HOLDERS; i++) {
-        state.start[i] = state.start[i] == HELD ? OVER : state.start[i];
+      for (int i = 0; i < OWNERS; i++) {
+        state.start[i] = state.start[i] == DELAYED ? OVER : state.start[i];
       }
     }
-    next(state);
+    addSuccessor(state);
   }
 
-  private void records(State from) {
+  private void stepStore(State from) {
     if (from.formed == NONE) {
       State state = from.copy();
       state.formed = 0;
-      next(state);
+      addSuccessor(state);
     } else if (!from.durable) {
       State state = from.copy();
       state.durable = true;
-      next(state);
+      addSuccessor(state);
     }
-    if (!from.leasedAnew) {
+    if (!from.leaseRenewed) {
       State state = from.copy();
-      state.leasedAnew = true;
-      next(state);
+      state.leaseRenewed = true;
+      addSuccessor(state);
     }
     // The leader removes from the allocation what the current owner has released.
-    int holder = from.leasedAnew ? 1 : 0;
-    boolean gone = !from.mayRun[holder] && !(from.doubt[holder] && has(Guard.GIVEN_BACK_WHEN_GONE));
-    if (from.allocated && from.holds[holder] && from.noted[holder] && from.fenced[holder] && gone) {
+    int holder = from.leaseRenewed ? 1 : 0;
+    boolean gone =
+        !from.mayRun[holder]
+            && !(from.unseenStart[holder] && isEnabled(Guard.GIVEN_BACK_WHEN_GONE));
+    if (from.allocated
+        && from.owns[holder]
+        && from.hasSeen[holder]
+        && from.fenced[holder]
+        && gone) {
       State state = from.copy();
       state.allocated = false;
-      next(state);
+      addSuccessor(state);
     }
   }
 
-  private void teller(State from) {
-    if (from.told != NONE) {
+  private void stepConfirmingController(State from) {
+    if (from.confirmationAge != NONE) {
       return;
     }
     if (from.durable) {
       State state =
           from.copy(); // it reads the records: all that is new at once, or again after a crash
       state.seen = Math.max(from.seen, 0);
-      state.knowsNewLease = from.leasedAnew;
+      state.knowsNewLease = from.leaseRenewed;
       state.knowsAllocated = from.allocated;
-      next(state);
+      addSuccessor(state);
     }
     if (from.seen == NONE) {
       return;
     }
     State crash = from.copy();
     crash.seen = NONE;
-    next(crash);
+    addSuccessor(crash);
     int holder = from.knowsNewLease ? 1 : 0;
-    boolean says = from.said[holder];
-    if (!has(Guard.TOLD_WHEN_NOTED)) {
-      says |= from.holds[holder] && from.fenced[holder];
+    boolean says = from.reported[holder];
+    if (!isEnabled(Guard.TOLD_WHEN_NOTED)) {
+      says |= from.owns[holder] && from.fenced[holder];
     }
-    if (!has(Guard.TOLD_WHEN_FENCED)) {
-      says |= from.holds[holder] && from.noted[holder];
+    if (!isEnabled(Guard.TOLD_WHEN_FENCED)) {
+      says |= from.owns[holder] && from.hasSeen[holder];
     }
     boolean late =
-        (has(Guard.DELAY_FROM_FIRST_SEEN) ? from.seen : from.formed)
-            >= (has(Guard.TOLD_AFTER_DELAY) ? DELAY : 0);
+        (isEnabled(Guard.DELAY_FROM_FIRST_SEEN) ? from.seen : from.formed)
+            >= (isEnabled(Guard.TOLD_AFTER_DELAY) ? DELAY : 0);
     if (says || !from.knowsAllocated || late) {
-      toldAtOnce |= !late;
-      toldLate |= !says;
+      confirmedAtOnce |= !late;
+      confirmedLate |= !says;
       State state = from.copy();
-      state.told = 0;
+      state.confirmationAge = 0;
       state.seen = NONE; // no user asks any more
       state.knowsNewLease = false;
       state.knowsAllocated = false;
-      next(state);
+      addSuccessor(state);
     }
   }
 
   /** An owner sends a request to the store, and is answered at once or a step later. */
-  private void follow(State from, int i) {
+  private void readStore(State from, int i) {
     State now = from.copy();
-    learn(now, i, from.durable, from.leasedAnew, 0);
-    next(now);
+    applyStoreResponse(now, i, from.durable, from.leaseRenewed, 0);
+    addSuccessor(now);
     State late = from.copy();
-    learn(
+    applyStoreResponse(
         late,
         i,
         from.wasDurable[1],
-        from.wasLeasedAnew[1],
-        has(Guard.CONFIRMED_AS_OF_SENDING) ? 1 : 0);
-    next(late);
+        from.wasLeaseRenewed[1],
+        isEnabled(Guard.CONFIRMED_AS_OF_SENDING) ? 1 : 0);
+    addSuccessor(late);
   }
 
-  private void learn(State state, int i, boolean noted, boolean newLease, int age) {
-    state.noted[i] |= noted;
+  private void applyStoreResponse(State state, int i, boolean noted, boolean newLease, int age) {
+    state.hasSeen[i] |= noted;
     state.confirmed[i] = Math.min(state.confirmed[i], age);
     if (i == 0 && newLease) {
-      state.holds[i] = false;
-    } else if (i == 1 && newLease && !state.holds[i]) {
-      state.holds[i] = true;
+      state.owns[i] = false;
+    } else if (i == 1 && newLease && !state.owns[i]) {
+      state.owns[i] = true;
       state.knowsAllocation[i] = state.allocated;
     }
   }
 
-  private boolean isEntitled(State state, int i) {
-    return state.confirmed[i] <= LONGEST_UNCONFIRMED || !has(Guard.ENTITLED_FOR_A_TIME);
+  private boolean mayRespond(State state, int i) {
+    return state.confirmed[i] <= MAX_UNCONFIRMED || !isEnabled(Guard.ENTITLED_FOR_A_TIME);
   }
 
-  private void hold(State from, int i) {
-    if (!isEntitled(from, i)) {
+  private void stepOwner(State from, int i) {
+    if (!mayRespond(from, i)) {
       return;
     }
     // The command that shows the token; the response to it is a status, and renews no lease.
@@ -493,84 +502,86 @@
       State state = from.copy();
       state.token = i;
       state.overtaken = true;
-      take(state, i, i, from.runs, new boolean[] {from.start[0] == OVER, from.start[1] == OVER});
-      next(state);
+      applyHeartbeat(
+          state, i, i, from.runs, new boolean[] {from.start[0] == OVER, from.start[1] == OVER});
+      addSuccessor(state);
       State unanswered = from.copy();
       unanswered.token = i;
-      next(unanswered);
+      addSuccessor(unanswered);
     }
-    boolean open = !from.noted[i] || !has(Guard.NOTED_STARTS_NOTHING);
+    boolean open = !from.hasSeen[i] || !isEnabled(Guard.NOTED_STARTS_NOTHING);
     if (open
         && from.knowsAllocation[i]
         && from.fenced[i]
         && !from.mayRun[i]
         && from.start[i] == NOT_SENT) {
       State state = from.copy();
-      state.start[i] = HELD;
-      state.doubt[i] = true;
-      next(state);
+      state.start[i] = DELAYED;
+      state.unseenStart[i] = true;
+      addSuccessor(state);
     }
     if (from.report != NONE && from.reportToken <= i) {
-      answer(from, i);
+      respondToHeartbeat(from, i);
     }
   }
 
   /** Applies a heartbeat; one that shows the current token is complete. */
-  private static void take(State state, int i, int token, boolean runs, boolean[] ends) {
+  private static void applyHeartbeat(State state, int i, int token, boolean runs, boolean[] ends) {
     if (token == i) {
       state.fenced[i] = true;
       state.mayRun[i] = runs;
-      state.doubt[i] &= !ends[i];
+      state.unseenStart[i] &= !ends[i];
     }
   }
 
-  private void answer(State from, int i) {
+  private void respondToHeartbeat(State from, int i) {
     State state = from.copy();
     if (!from.overtaken || from.token != i) {
-      take(state, i, from.reportToken, from.reportRuns, from.reportEnds);
+      applyHeartbeat(state, i, from.reportToken, from.reportRuns, from.reportEnds);
     }
     State unanswered = state.copy();
-    next(unanswered); // or the response is lost
-    boolean doubtful = state.doubt[i] && has(Guard.DOUBTED_LET_GO);
-    boolean unfenced = !state.fenced[i] && state.knowsAllocation[i] && has(Guard.UNFENCED_LET_GO);
-    if ((state.noted[i] && (doubtful || unfenced) && state.formed > LONGEST_UNSURE)
+    addSuccessor(unanswered); // or the response is lost
+    boolean doubtful = state.unseenStart[i] && isEnabled(Guard.DOUBTED_LET_GO);
+    boolean unfenced =
+        !state.fenced[i] && state.knowsAllocation[i] && isEnabled(Guard.UNFENCED_LET_GO);
+    if ((state.hasSeen[i] && (doubtful || unfenced) && state.formed > MAX_UNACKNOWLEDGED)
         || state.token > i) {
       return;
     }
-    boolean stop = state.fenced[i] && state.noted[i] && state.mayRun[i] && !state.stopTold[i];
+    boolean stop = state.fenced[i] && state.hasSeen[i] && state.mayRun[i] && !state.stopSent[i];
     unanswered = state.copy();
-    unanswered.stopTold[i] |= stop;
-    next(unanswered);
-    state.stopTold[i] |= stop;
+    unanswered.stopSent[i] |= stop;
+    addSuccessor(unanswered);
+    state.stopSent[i] |= stop;
     state.token = i;
     state.leaseAge = Math.min(state.leaseAge, state.report);
     state.report = NONE;
     state.runs &= !stop;
-    next(state);
+    addSuccessor(state);
   }
 
-  private void machine(State from) {
+  private void stepMachine(State from) {
     State report = from.copy();
     report.report = 0;
     report.overtaken = false;
     report.reportToken = from.token;
     report.reportRuns = from.runs;
-    for (int i = 0; i < HOLDERS; i++) {
+    for (int i = 0; i < OWNERS; i++) {
       report.reportEnds[i] = from.start[i] == OVER;
     }
-    next(report);
-    for (int i = 0; i < HOLDERS; i++) {
-      if (from.start[i] == HELD) {
+    addSuccessor(report);
+    for (int i = 0; i < OWNERS; i++) {
+      if (from.start[i] == DELAYED) {
         State state = from.copy();
         state.start[i] = OVER;
         state.runs |= from.token == i; // otherwise it is rejected
-        next(state);
+        addSuccessor(state);
       }
     }
   }
 
   private int explore() {
-    next(new State());
+    addSuccessor(new State());
     while (opened > 0 && violation == null) {
       steps(
           State.of(
@@ -581,17 +592,17 @@
   }
 
   @Test
-  void nothingOfACancelledJobIsOnAMachineForLongAfterItsUserWasTold() {
+  void cancelledTaskEndsInTimeAfterConfirmation() {
     int states = explore();
     assertNull(violation);
-    assertTrue(toldAtOnce && toldLate);
-    assertEquals(CANCEL, longest, "the bounds are tight");
+    assertTrue(confirmedAtOnce && confirmedLate);
+    assertEquals(CANCEL, longestRunAfterConfirmation, "the bounds are tight");
     assertEquals(749_437, states);
   }
 
   @ParameterizedTest
   @EnumSource(Guard.class)
-  void withoutAGuardTheModelFindsWhatItGuardsAgainst(Guard guard) {
+  void disablingAnyGuardCausesViolation(Guard guard) {
     guards.remove(guard);
     explore();
     assertNotEquals(null, violation, guard.toString());
--- a/src/test/java/org/quincecross/api/CancellationsTest.java
+++ b/src/test/java/org/quincecross/api/CancellationsTest.java
@@ -43,8 +43,8 @@
  * shards.
  */
 class CancellationsTest {
-  private static final ControllerId HOLDER = new ControllerId("n1");
-  private static final ShardId BLOCK = new ShardId("b");
+  private static final ControllerId OWNER = new ControllerId("n1");
+  private static final ShardId SHARD = new ShardId("b");
   private static final Machine MACHINE =
       new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
   private static final JobId JOB = new JobId("job-1");
@@ -79,7 +79,7 @@
   }
 
   @BeforeEach
-  void aJobIsAllocated() {
+  void allocateJob() {
     Job job =
         Job.builder(JOB)
             .jobClass("c")
@@ -94,11 +94,11 @@
             .build();
     put(StoreKeys.job(JOB), JobRecord.writeOpen(job, 0));
     put(
-        StoreKeys.shard(BLOCK),
+        StoreKeys.shard(SHARD),
         ShardLease.first(
-                BLOCK,
+                SHARD,
                 new ControllerRecord(
-                    HOLDER,
+                    OWNER,
                     new Incarnation(1),
                     "z",
                     Build.BEFORE_LEVELS,
@@ -115,7 +115,7 @@
     for (int index : indices) {
       tasks.add(index);
     }
-    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(JOB, tasks)));
+    put(StoreKeys.allocation(SHARD), Allocation.write(Map.of(JOB, tasks)));
   }
 
   private void cancel() {
@@ -141,9 +141,9 @@
             List.of());
     PeerHeartbeat.ShardStatus shardStatus =
         new PeerHeartbeat.ShardStatus(
-            BLOCK,
-            new FencingToken(cache.shard(BLOCK).token().value()),
-            cache.allocation(BLOCK).version(),
+            SHARD,
+            new FencingToken(cache.shard(SHARD).token().value()),
+            cache.allocation(SHARD).version(),
             false,
             Set.of(),
             true,
@@ -153,7 +153,7 @@
             List.of(machine));
     views.apply(
         new PeerHeartbeat(
-            HOLDER,
+            OWNER,
             new Incarnation(1),
             ++reports,
             reports - 1,
@@ -166,7 +166,7 @@
   }
 
   /** Whether a user who asks now is told, within the time that a request may wait. */
-  private boolean isTold() {
+  private boolean isConfirmed() {
     Boolean[] told = new Boolean[1];
     cancellations.whenSafe(cache.job(JOB), safe -> told[0] = safe);
     clock.advance(1.4);
@@ -178,23 +178,23 @@
    * sooner than any other.
    */
   @Test
-  void theWaitRunsFromWhenTheRecordWasSeenNotFromTheTimeInIt() {
+  void delayRunsFromWhenRecordWasSeen() {
     cancel();
-    assertEquals(false, isTold(), "its owner has not seen it");
+    assertEquals(false, isConfirmed(), "its owner has not seen it");
     clock.advance(5);
     assertEquals(
-        false, isTold(), "its owner has not seen it, and it was first seen less than 8 s ago");
+        false, isConfirmed(), "its owner has not seen it, and it was first seen less than 8 s ago");
     clock.advance(0.5);
-    assertEquals(true, isTold());
+    assertEquals(true, isConfirmed());
   }
 
   @Test
-  void itIsToldAsSoonAsItIsNotedWithAllMachinesFenced() {
+  void confirmsOnceOwnerHasSeenItWithAllMachinesFenced() {
     cancel();
     report(false);
-    assertEquals(false, isTold(), "a machine is not fenced");
+    assertEquals(false, isConfirmed(), "a machine is not fenced");
     report(true);
-    assertEquals(true, isTold());
+    assertEquals(true, isConfirmed());
   }
 
   /**
@@ -202,36 +202,36 @@
    * durable.
    */
   @Test
-  void afterTheRecordsWereReadAnewTheWaitBeginsAnew() {
+  void delayRestartsAfterFullRead() {
     records.put(StoreKeys.job(JOB), cache.job(JOB).writeCancelled(LONG_AGO_MS));
     CacheTestSupport.load(cache, records, ++revision);
-    assertEquals(false, isTold(), "read just now, still allocated, not seen by its owner");
+    assertEquals(false, isConfirmed(), "read just now, still allocated, not seen by its owner");
     clock.advance(8);
-    assertEquals(true, isTold());
-    records.put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
+    assertEquals(true, isConfirmed());
+    records.put(StoreKeys.allocation(SHARD), Allocation.write(Map.of()));
     CacheTestSupport.load(cache, records, ++revision);
-    assertEquals(true, isTold(), "none of its tasks is allocated, so they were proven gone");
+    assertEquals(true, isConfirmed(), "none of its tasks is allocated, so they were proven gone");
   }
 
   /** Other changes of an ended job do not show when it was cancelled. */
   @Test
-  void aWaitThatIsOverDoesNotBeginAgain() {
+  void delayDoesNotRestartAfterItsEnd() {
     cancel();
     clock.advance(9);
-    assertEquals(true, isTold());
+    assertEquals(true, isConfirmed());
     allocate(0, 1);
-    assertEquals(true, isTold());
+    assertEquals(true, isConfirmed());
     CacheTestSupport.put(
         cache,
         StoreKeys.completedChunk(JOB, 0),
         org.quincecross.state.CompletedTasks.write(new TaskSet(), 0),
         ++revision);
     CacheTestSupport.advance(cache, revision);
-    assertEquals(true, isTold());
+    assertEquals(true, isConfirmed());
   }
 
   @Test
-  void whatIsOverIsForgotten() {
+  void forgetsCancellationsPastTheDelay() {
     cancel();
     assertEquals(1, cancellations.remembered());
     clock.advance(20);
@@ -243,14 +243,14 @@
    * allowed for a cancellation.
    */
   @Test
-  void whereALeaseIsLongerThanACancellationHasNotingDoesNotSuffice() {
+  void longLeaseRequiresTheDelayEvenIfOwnerHasSeenIt() {
     cancellations = controller(60, 36);
     cancel();
     report(true);
-    assertEquals(false, isTold());
+    assertEquals(false, isConfirmed());
     clock.advance(25);
-    assertEquals(false, isTold());
+    assertEquals(false, isConfirmed());
     clock.advance(4);
-    assertEquals(true, isTold(), "after 30.62 s");
+    assertEquals(true, isConfirmed(), "after 30.62 s");
   }
 }
--- a/src/test/java/org/quincecross/api/UserApiTest.java
+++ b/src/test/java/org/quincecross/api/UserApiTest.java
@@ -50,29 +50,29 @@
  */
 class UserApiTest {
   private static final ControllerId MEMBER = new ControllerId("n0");
-  private static final Endpoint HERE = new Endpoint("10.0.0.1", 80);
-  private static final int MOST_BYTES = 4096;
+  private static final Endpoint ADDRESS = new Endpoint("10.0.0.1", 80);
+  private static final int MAX_BYTES = 4096;
 
   private final ManualTimers clock = new ManualTimers();
   private final ClusterStateCache cache = new ClusterStateCache();
   private final Map<String, Long> stamps = new HashMap<>();
   private final List<Map<String, Object>> log = new ArrayList<>();
-  private final List<Runnable> held = new ArrayList<>();
-  private Predicate<String> holds = what -> false;
+  private final List<Runnable> delayed = new ArrayList<>();
+  private Predicate<String> delays = what -> false;
   private long epoch;
   private int changesAsked;
-  private int takes = MOST_BYTES;
+  private int acceptedBytes = MAX_BYTES;
   private UserApi users;
 
   // The whole test setup in one place.
   @SuppressWarnings("MethodLength")
   @BeforeEach
-  void aControllerHasReadTheRecords() {
+  void startController() {
     MachineType type =
         new MachineType(
             "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, TimeSpan.ofSeconds(45), List.of("a"));
     write(StoreKeys.machineType("g8"), CloudCodec.writeCatalog(List.of(type)));
-    Settings.StoreLimits limits = new Settings.StoreLimits(1000, 50, MOST_BYTES, 8);
+    Settings.StoreLimits limits = new Settings.StoreLimits(1000, 50, MAX_BYTES, 8);
     Settings.AgentTimeouts workers =
         new Settings.AgentTimeouts(
             TimeSpan.ofSeconds(1),
@@ -84,11 +84,11 @@
         new Settings(
             MEMBER,
             "a",
-            HERE,
-            HERE,
+            ADDRESS,
+            ADDRESS,
             List.of(),
-            HERE,
-            HERE,
+            ADDRESS,
+            ADDRESS,
             List.of("a"),
             Map.of("vision", new Team("vision", Resources.NONE, new Resources(1e6, 1e6, 1e6))),
             List.of(),
@@ -99,7 +99,7 @@
             new Settings.ProcessLimits(1, 300, 1000));
     KeyValueStoreClient store =
         new KeyValueStoreClient(
-            clock, (to, request, timeout, done) -> serve(request, done), HERE, limits);
+            clock, (to, request, timeout, done) -> serve(request, done), ADDRESS, limits);
     StateWatcher watcher = new StateWatcher(clock, store, cache);
     UnconfirmedOwnershipBound bound = workers.unconfirmedBound();
     Cancellations cancellations =
@@ -138,8 +138,8 @@
     try {
       HttpResponse answer = answer(request);
       Runnable reply = () -> done.accept(HttpOutcome.answered(answer));
-      if (holds.test(request.path())) {
-        held.add(reply);
+      if (delays.test(request.path())) {
+        delayed.add(reply);
       } else if (!"10000".equals(request.query("BlockMs"))) {
         clock.after(TimeSpan.ofMillis(2), reply);
       }
@@ -178,7 +178,7 @@
     JsonFields in = Json.parseFields(request.body());
     changesAsked += in.objects("Apply").size();
     for (JsonFields change : in.objects("Apply")) {
-      if (Json.write(change.raw("Value")).length > takes) {
+      if (Json.write(change.raw("Value")).length > acceptedBytes) {
         return HttpResponse.of(400);
       }
     }
@@ -287,21 +287,21 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"/txn", "/follow"})
-  void whoJoinsASubmissionUnderWayIsToldNothingOlder(String heldUp) {
+  void joinedSubmissionIsAnsweredWithCurrentState(String heldUp) {
     boolean inABundle = heldUp.equals("/follow");
     List<List<String>> others = new ArrayList<>();
     for (int number = 2; inABundle && number < 4; number++) {
       others.add(
           submit(job(number))); // the second waits for the first, and takes the next one with it
     }
-    holds = heldUp::equals;
+    delays = heldUp::equals;
     List<String> first = submit(job(1));
     clock.advance(0.1);
-    holds = what -> false;
-    assertEquals(1, held.size());
+    delays = what -> false;
+    assertEquals(1, delayed.size());
     write("q/job/job-1", Json.object("phase", "cancelled", "at", 1, "cancelled", 2, "job", job(1)));
     List<String> again = submit(job(1));
-    held.get(0).run();
+    delayed.get(0).run();
     assertEquals("200 cancelled", soon(again));
     assertEquals(1, first.size());
     others.forEach(each -> assertEquals(1, each.size()));
@@ -312,12 +312,12 @@
    * none delays the jobs beside it.
    */
   @Test
-  void whatIsTooLargeForARecordIsRefusedAndHindersNobody() {
+  void rejectsOversizedJobWithoutDelayingOthers() {
     Random random = new Random(5);
     Set<String> outcomes = new TreeSet<>();
     for (int number = 1; number < 120; number++) {
       Map<String, Object> large = job(1000 + number);
-      large.put("Lane", "x".repeat(MOST_BYTES - 520 + random.nextInt(260)));
+      large.put("Lane", "x".repeat(MAX_BYTES - 520 + random.nextInt(260)));
       List<String> before = submit(job(2000 + number));
       List<String> answers = submit(large);
       List<String> beside = submit(job(3000 + number));
@@ -340,14 +340,14 @@
    * delay what came with it.
    */
   @Test
-  void whatTheStateServiceFindsTooLargeHindersNobody() {
-    takes = MOST_BYTES / 2;
+  void valueRejectedByStoreDelaysNoOtherJob() {
+    acceptedBytes = MAX_BYTES / 2;
     List<List<String>> others = new ArrayList<>();
     for (int number = 1; number < 8; number++) {
       others.add(submit(job(number)));
     }
     Map<String, Object> large = job(9);
-    large.put("Lane", "x".repeat(takes));
+    large.put("Lane", "x".repeat(acceptedBytes));
     List<String> refused = submit(large);
     clock.advance(0.4);
     others.forEach(
@@ -363,7 +363,7 @@
    * repetition contains.
    */
   @Test
-  void aJobWithoutAFieldIsMalformedAndAKnownOneIsKnown() {
+  void rejectsMissingFieldsExceptForKnownJobs() {
     Set<String> mayBeNull = Set.of("Hulls", "Yard", "DueS");
     int number = 0;
     for (String field : job(0).keySet()) {
@@ -388,17 +388,17 @@
 
   /** A cancellation that waits for its turn and is requested repeatedly costs one write. */
   @Test
-  void aCancellationIsWrittenOnce() {
+  void cancellationIsWrittenOnce() {
     assertEquals("201 queued", soon(submit(job(1))));
     changesAsked = 0;
-    holds = "/txn"::equals;
+    delays = "/txn"::equals;
     List<List<String>> answers = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       answers.add(cancel(1));
       clock.advance(0.05);
     }
-    holds = what -> false;
-    held.forEach(Runnable::run);
+    delays = what -> false;
+    delayed.forEach(Runnable::run);
     clock.advance(1);
     assertEquals(Collections.nCopies(20, List.of("200 cancelled")), answers);
     assertEquals(1, changesAsked);
--- a/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
+++ b/src/test/java/org/quincecross/failuredetection/StaleHeartbeatFilterTest.java
@@ -144,7 +144,7 @@
    * response proves the restart.
    */
   @Property(tries = 200)
-  void aMachineThatHasBegunAnewIsFoundOut(@ForAll long seed) {
+  void restartedAgentIsDetected(@ForAll long seed) {
     Random random = new Random(seed);
     StaleHeartbeatFilter filter = new StaleHeartbeatFilter();
     filter.classifyHeartbeat(
--- a/src/test/java/org/quincecross/leader/AllocationIndexTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationIndexTest.java
@@ -44,7 +44,7 @@
 class AllocationIndexTest {
   private static final int JOBS = 8;
   private static final int TASKS = 12;
-  private static final int BLOCKS = 4;
+  private static final int SHARDS = 4;
 
   private final ClusterStateCache cache = new ClusterStateCache();
   private final AllocationIndex allocationIndex = new AllocationIndex(cache);
@@ -78,7 +78,7 @@
     CacheTestSupport.advance(cache, revision);
   }
 
-  private static ShardLease lease(int block) {
+  private static ShardLease lease(int shard) {
     ControllerRecord owner =
         new ControllerRecord(
             new ControllerId("m"),
@@ -88,10 +88,10 @@
             AnnouncedLimits.NONE,
             new Revision(1));
     return ShardLease.first(
-        new ShardId("b" + block),
+        new ShardId("b" + shard),
         owner,
         new Machine(
-            new MachineId("m" + block), new Endpoint("10.0.0.1", 1), "t", "z" + block % 2, false));
+            new MachineId("m" + shard), new Endpoint("10.0.0.1", 1), "t", "z" + shard % 2, false));
   }
 
   private static TaskSet some(Random random) {
@@ -106,11 +106,11 @@
 
   /** After any changes, the index equals a full recount. */
   @Property(tries = 200, seed = "31")
-  void keepUpWithTheLedger(@ForAll long seed) {
+  void indexEqualsRecount(@ForAll long seed) {
     Random random = new Random(seed);
     for (int step = 0; step < 50; step++) {
       int number = random.nextInt(JOBS);
-      int block = random.nextInt(BLOCKS);
+      int block = random.nextInt(SHARDS);
       JobId id = job(number).id();
       switch (random.nextInt(6)) {
         case 0 -> {
@@ -142,15 +142,15 @@
         default -> put(StoreKeys.completedChunk(id, 0), CompletedTasks.write(some(random), 0));
       }
       if (random.nextBoolean()) {
-        assertCounted();
+        assertEqualsRecount();
       }
     }
-    assertCounted();
+    assertEqualsRecount();
   }
 
   // Recounts everything.
   @SuppressWarnings("MethodLength")
-  private void assertCounted() {
+  private void assertEqualsRecount() {
     Map<String, Resources> use = new HashMap<>();
     Set<JobId> waiting = new HashSet<>();
     for (int number = 0; number < JOBS; number++) {
@@ -162,7 +162,7 @@
       }
       TaskSet out = new TaskSet();
       Map<String, Integer> perZone = new TreeMap<>();
-      for (int block = 0; block < BLOCKS; block++) {
+      for (int block = 0; block < SHARDS; block++) {
         ShardId at = new ShardId("b" + block);
         TaskSet there = cache.allocation(at).tasks().getOrDefault(id, new TaskSet());
         for (int i = 0; i < TASKS; i++) {
@@ -211,7 +211,7 @@
    * completion visits the shards of one job.
    */
   @Example
-  void aChangeCostsWhatItTouches() {
+  void changeCostsWhatItAffects() {
     Map<JobId, TaskSet> tasks = new LinkedHashMap<>();
     List<Job> jobs = new ArrayList<>();
     for (int number = 0; number < 100; number++) {
--- a/src/test/java/org/quincecross/leader/AllocationWriterTest.java
+++ b/src/test/java/org/quincecross/leader/AllocationWriterTest.java
@@ -34,7 +34,7 @@
  * released tasks are removed.
  */
 class AllocationWriterTest {
-  private static final ShardId BLOCK = new ShardId("b");
+  private static final ShardId SHARD = new ShardId("b");
   private static final int LIMIT = 1000;
 
   private final ClusterStateCache cache = new ClusterStateCache();
@@ -87,7 +87,7 @@
       put(StoreKeys.job(id), open(id, count));
       tasks.put(id, TaskSet.range(count));
     }
-    put(StoreKeys.allocation(BLOCK), Allocation.write(tasks));
+    put(StoreKeys.allocation(SHARD), Allocation.write(tasks));
     return jobs;
   }
 
@@ -96,16 +96,16 @@
    * released stay allocated.
    */
   @Property(tries = 40, seed = "8")
-  void anOversizedBlockShrinks(@ForAll Random random) {
+  void oversizedAllocationShrinks(@ForAll Random random) {
     fill(random, 2);
-    Map<JobId, TaskSet> expected = allocationIndex.unfinishedTasks(BLOCK);
+    Map<JobId, TaskSet> expected = allocationIndex.unfinishedTasks(SHARD);
     int refused = 0;
     for (int step = 0; step < 200 && !expected.isEmpty(); step++) {
       List<JobId> left = List.copyOf(expected.keySet());
       for (int i = 0; i < 4 && i < left.size(); i++) {
         end(left.get(random.nextInt(left.size())), random);
       }
-      Map<JobId, TaskSet> next = allocationIndex.unfinishedTasks(BLOCK);
+      Map<JobId, TaskSet> next = allocationIndex.unfinishedTasks(SHARD);
       // Tasks end continuously; now and then some are released, a tenth in all.
       JobId back =
           random.nextInt(3) == 0 && !next.isEmpty()
@@ -114,15 +114,15 @@
       if (back != null) {
         next.remove(back);
         TransactionBuilder transaction = new TransactionBuilder(cache, 4, LIMIT);
-        refused += allocations.put(transaction, BLOCK, next) ? 0 : 1;
+        refused += allocations.put(transaction, SHARD, next) ? 0 : 1;
         apply(transaction);
-        assertEquals(next, allocationIndex.unfinishedTasks(BLOCK));
+        assertEquals(next, allocationIndex.unfinishedTasks(SHARD));
       }
-      expected = allocationIndex.unfinishedTasks(BLOCK);
+      expected = allocationIndex.unfinishedTasks(SHARD);
     }
     assertEquals(0, refused);
     assertTrue(
-        Json.write(Allocation.write(cache.wholeAllocation(BLOCK).tasks())).length <= LIMIT,
+        Json.write(Allocation.write(cache.wholeAllocation(SHARD).tasks())).length <= LIMIT,
         "written whole again");
   }
 
@@ -141,16 +141,16 @@
 
   /** Before feature level 2 nothing is written until the rest fits, and then all of it. */
   @Property(tries = 10, seed = "9")
-  void beforeLevelTwoItWaits(@ForAll Random random) {
+  void waitsBeforeFeatureLevelTwo(@ForAll Random random) {
     List<JobId> jobs = fill(random, 1);
     boolean fitted = false;
     for (JobId id : jobs) {
       put(StoreKeys.job(id), cache.job(id).writeDone());
       TransactionBuilder transaction = new TransactionBuilder(cache, 4, LIMIT);
       boolean fits =
-          Json.write(Allocation.write(allocationIndex.unfinishedTasks(BLOCK))).length <= LIMIT;
+          Json.write(Allocation.write(allocationIndex.unfinishedTasks(SHARD))).length <= LIMIT;
       assertEquals(
-          fits, allocations.put(transaction, BLOCK, allocationIndex.unfinishedTasks(BLOCK)));
+          fits, allocations.put(transaction, SHARD, allocationIndex.unfinishedTasks(SHARD)));
       assertTrue(!fitted || fits);
       fitted = fits;
       apply(transaction);
--- a/src/test/java/org/quincecross/leader/AutoscalerTest.java
+++ b/src/test/java/org/quincecross/leader/AutoscalerTest.java
@@ -47,7 +47,7 @@
 
   private final Clock clock = new Clock();
   private final ClusterStateCache cache = new ClusterStateCache();
-  private final List<String> returned = new ArrayList<>();
+  private final List<String> terminated = new ArrayList<>();
   private final Set<MachineId> vanished = new HashSet<>();
   private final Map<MachineId, PeerHeartbeat.MachineState> states = new HashMap<>();
   private final Autoscaler autoscaler;
@@ -139,7 +139,7 @@
             shard == null
                 ? ShardLease.first(new ShardId(zone), owner, machine)
                 : shard.with(machine);
-        hear(machine.id(), 0);
+        report(machine.id(), 0);
       }
       CacheTestSupport.put(cache, StoreKeys.shard(shard.id()), shard.write(), 2);
     }
@@ -150,7 +150,7 @@
           ordinary == null
               ? ShardLease.first(new ShardId("o"), owner, machine)
               : ordinary.with(machine);
-      hear(machine.id(), 0);
+      report(machine.id(), 0);
     }
     CacheTestSupport.put(cache, StoreKeys.shard(ordinary.id()), ordinary.write(), 2);
     CacheTestSupport.advance(cache, 2);
@@ -183,20 +183,20 @@
                         1.0)));
     byte[] body = Json.write(Json.object("Hosts", hosts, "Hulls", List.of(), "More", false));
     if (request.path().equals("/hosts/return")) {
-      returned.add(new String(request.body(), StandardCharsets.UTF_8));
+      terminated.add(new String(request.body(), StandardCharsets.UTF_8));
     }
     clock.after(
         TimeSpan.ofMillis(1), () -> done.accept(HttpOutcome.answered(HttpResponse.of(200, body))));
   }
 
-  private void hear(MachineId machine, double silent) {
+  private void report(MachineId machine, double silentS) {
     states.put(
         machine,
         new PeerHeartbeat.MachineState(
             machine,
             Resources.NONE,
             Resources.NONE,
-            TimeSpan.ofSeconds(silent),
+            TimeSpan.ofSeconds(silentS),
             true,
             true,
             false,
@@ -216,20 +216,20 @@
   }
 
   @Example
-  void aSpotMachineThatFallsSilentIsReturned() {
-    hear(new MachineId("m-a3"), 30);
+  void terminatesUnreachableSpotMachine() {
+    report(new MachineId("m-a3"), 30);
     lead(3);
-    assertEquals(List.of("{\"Hosts\":[\"m-a3\"]}"), returned);
+    assertEquals(List.of("{\"Hosts\":[\"m-a3\"]}"), terminated);
   }
 
   /** A zone that is cut off continues to run its tasks; terminating its machines would end them. */
   @Example
-  void muchOfAZoneIsNotReturned() {
+  void keepsMachinesIfMuchOfAZoneIsUnreachable() {
     for (int i = 0; i < 4; i++) {
-      hear(new MachineId("m-a" + i), 30);
+      report(new MachineId("m-a" + i), 30);
     }
     lead(3);
-    assertEquals(List.of(), returned);
+    assertEquals(List.of(), terminated);
   }
 
   /**
@@ -238,18 +238,18 @@
    * (docs/incidents/unanswered-start.md).
    */
   @Example
-  void whatTheCloudDoesNotListAnyMoreIsReturnedHoweverMuchItIs() {
+  void terminatesAllMachinesThatTheCloudNoLongerLists() {
     for (int i = 0; i < 10; i++) {
-      hear(new MachineId("m-a" + i), 30);
+      report(new MachineId("m-a" + i), 30);
     }
     for (int i = 0; i < 6; i++) {
       vanished.add(new MachineId("m-a" + i));
     }
     lead(7);
-    assertEquals(List.of(), returned, "a list may be older than the machine");
+    assertEquals(List.of(), terminated, "a list may be older than the machine");
     lead(13);
     assertEquals(
-        List.of("{\"Hosts\":[\"m-a0\",\"m-a1\",\"m-a2\",\"m-a3\",\"m-a4\",\"m-a5\"]}"), returned);
+        List.of("{\"Hosts\":[\"m-a0\",\"m-a1\",\"m-a2\",\"m-a3\",\"m-a4\",\"m-a5\"]}"), terminated);
   }
 
   /**
@@ -257,12 +257,12 @@
    * cause, and all of them may return.
    */
   @Example
-  void spotMachinesSilentTogetherWithOrdinaryOnesAreNotReturned() {
-    hear(new MachineId("m-b3"), 30);
-    hear(new MachineId("o-1"), 30);
-    hear(new MachineId("o-2"), 30);
+  void keepsSpotMachinesUnreachableTogetherWithOnDemandOnes() {
+    report(new MachineId("m-b3"), 30);
+    report(new MachineId("o-1"), 30);
+    report(new MachineId("o-2"), 30);
     lead(3);
-    assertEquals(List.of(), returned);
+    assertEquals(List.of(), terminated);
   }
 
   /**
@@ -270,11 +270,11 @@
    * owners.
    */
   @Example
-  void aLeaderThatPlansNoMoreReturnsNothing() {
+  void leaderWithoutStoreTerminatesNothing() {
     lead(3);
     clock.run(2);
-    hear(new MachineId("m-a3"), 30);
+    report(new MachineId("m-a3"), 30);
     clock.run(60);
-    assertEquals(List.of(), returned);
+    assertEquals(List.of(), terminated);
   }
 }
--- a/src/test/java/org/quincecross/leader/CompletionWriterTest.java
+++ b/src/test/java/org/quincecross/leader/CompletionWriterTest.java
@@ -34,7 +34,7 @@
 import org.quincecross.state.StoreKeys;
 
 class CompletionWriterTest {
-  private static final int MOST_CHANGES = 8;
+  private static final int MAX_CHANGES = 8;
 
   private final ClusterStateCache cache = new ClusterStateCache();
   private final AllocationIndex allocationIndex = new AllocationIndex(cache);
@@ -58,7 +58,7 @@
    * first one each time.
    */
   @Test
-  void aJobOfMoreChunksThanATransactionHoldsBecomesDurable() {
+  void writesJobWithMoreChunksThanATransactionHolds() {
     cache.addListener(allocationIndex::cacheChanged);
     CompletionWriter results = new CompletionWriter(timers, cache, views, allocationIndex, () -> 0);
     int chunks = 24;
@@ -92,7 +92,7 @@
     reportCompleted(completed);
     int written = 0;
     for (int plans = 0; plans < 5; plans++) {
-      TransactionBuilder transaction = new TransactionBuilder(cache, MOST_CHANGES, 4000);
+      TransactionBuilder transaction = new TransactionBuilder(cache, MAX_CHANGES, 4000);
       results.plan(transaction, results.unrecordedCompletions());
       for (Mutation change : transaction.mutations()) {
         put(change.key(), change.value());
@@ -111,7 +111,7 @@
    * stays completed, also for a controller that reads all records anew.
    */
   @Test
-  void jobsMoveOnFromAPageThatIsLargerThanAValueMayBeNow() {
+  void jobsLeavePageThatExceedsReducedValueLimit() {
     cache.addListener(allocationIndex::cacheChanged);
     CompletionWriter results = new CompletionWriter(timers, cache, views, allocationIndex, () -> 0);
     Map<JobId, TaskSet> page = new LinkedHashMap<>();
--- a/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
+++ b/src/test/java/org/quincecross/leader/MachineTypeWriterTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void allAreWrittenTogetherOrNoneYet() {
+  void writesAllTypesTogetherOrNone() {
     Random random = new Random(3);
     for (int round = 0; round < 200; round++) {
       int count = 1 + random.nextInt(5);
@@ -55,7 +55,7 @@
    * never.
    */
   @Test
-  void whatNeverHasRoomIsWrittenInParts() {
+  void writesTypesInPartsIfTheyNeverFit() {
     List<MachineType> catalog =
         IntStream.range(0, 5)
             .mapToObj(
--- a/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
+++ b/src/test/java/org/quincecross/leader/ShardLeaseManagerTest.java
@@ -45,9 +45,9 @@
  * (docs/incidents/unanswered-start.md).
  */
 class ShardLeaseManagerTest {
-  private static final ControllerId HOLDER = new ControllerId("n");
-  private static final ShardId BLOCK = new ShardId("b");
-  private static final Endpoint HERE = new Endpoint("10.0.0.1", 1);
+  private static final ControllerId OWNER = new ControllerId("n");
+  private static final ShardId SHARD = new ShardId("b");
+  private static final Endpoint ADDRESS = new Endpoint("10.0.0.1", 1);
 
   private final ManualClock clock = new ManualClock();
   private final ClusterStateCache cache = new ClusterStateCache();
@@ -60,13 +60,13 @@
   ShardLeaseManagerTest() {
     Settings settings =
         new Settings(
-            HOLDER,
+            OWNER,
             "a",
-            HERE,
-            HERE,
+            ADDRESS,
+            ADDRESS,
             List.of(),
-            HERE,
-            HERE,
+            ADDRESS,
+            ADDRESS,
             List.of("a"),
             Map.of(),
             List.of(),
@@ -104,34 +104,34 @@
             autoscaler,
             new AllocationWriter(cache, () -> false));
     CacheTestSupport.put(
-        cache, StoreKeys.member(HOLDER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
+        cache, StoreKeys.member(OWNER), Json.object("member", "n", "life", 1, "zone", "a"), 1);
     ControllerRecord member =
         new ControllerRecord(
-            HOLDER,
+            OWNER,
             new Incarnation(1),
             "a",
             Build.BEFORE_LEVELS,
             AnnouncedLimits.NONE,
             new Revision(1));
-    Machine first = new Machine(new MachineId("m-0"), HERE, "t", "a", false);
-    Machine second = new Machine(new MachineId("m-1"), HERE, "t", "a", false);
+    Machine first = new Machine(new MachineId("m-0"), ADDRESS, "t", "a", false);
+    Machine second = new Machine(new MachineId("m-1"), ADDRESS, "t", "a", false);
     CacheTestSupport.put(
         cache,
-        StoreKeys.shard(BLOCK),
-        ShardLease.first(BLOCK, member, first).with(second).write(),
+        StoreKeys.shard(SHARD),
+        ShardLease.first(SHARD, member, first).with(second).write(),
         2);
     CacheTestSupport.advance(cache, 2);
   }
 
-  private List<Mutation> planned(boolean inDoubt, boolean secondIsFenced) {
+  private List<Mutation> planned(boolean needsRenewal, boolean secondIsFenced) {
     List<PeerHeartbeat.MachineState> machines =
         List.of(machine("m-0", true), machine("m-1", secondIsFenced));
     PeerHeartbeat.ShardStatus shardStatus =
         new PeerHeartbeat.ShardStatus(
-            BLOCK,
+            SHARD,
             new FencingToken(2),
             Revision.NONE,
-            inDoubt,
+            needsRenewal,
             Set.of(),
             true,
             List.of(),
@@ -140,7 +140,7 @@
             machines);
     views.apply(
         new PeerHeartbeat(
-            HOLDER,
+            OWNER,
             new Incarnation(1),
             ++reports,
             0,
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void aBlockInDoubtIsLeasedAnewToItsHolderOnceAllOfItsMachinesObeyThat() {
+  void renewsLeaseOnceAllMachinesAreFenced() {
     assertEquals(List.of(), planned(false, true));
     assertEquals(
         List.of(),
@@ -181,10 +181,10 @@
         "a machine that is not fenced would keep the block unsettled");
     List<Mutation> changes = planned(true, true);
     assertEquals(1, changes.size());
-    CacheTestSupport.put(cache, StoreKeys.shard(BLOCK), cast(changes.get(0).value()), 7);
+    CacheTestSupport.put(cache, StoreKeys.shard(SHARD), cast(changes.get(0).value()), 7);
     CacheTestSupport.advance(cache, 7);
-    ShardLease lease = cache.shards().get(BLOCK);
-    assertEquals(HOLDER, lease.owner());
+    ShardLease lease = cache.shards().get(SHARD);
+    assertEquals(OWNER, lease.owner());
     assertTrue(lease.token().isAfter(new FencingToken(2)), lease.toString());
     assertEquals(
         List.of(),
@@ -199,7 +199,7 @@
   // A single sequence of events.
   @SuppressWarnings("MethodLength")
   @Test
-  void aBlockTakesNoMoreMachinesThanItsRecordCanName() {
+  void shardGrowsOnlyAsFarAsItsRecordFits() {
     CacheTestSupport.put(
         cache,
         StoreKeys.machineType("t"),
@@ -235,7 +235,7 @@
         4);
     CacheTestSupport.advance(cache, 4);
     for (int i = 2; i < 100; i++) {
-      leases.addNewcomer(new Machine(new MachineId("m-" + i), HERE, "t", "a", false));
+      leases.addNewcomer(new Machine(new MachineId("m-" + i), ADDRESS, "t", "a", false));
     }
     for (int plans = 0; plans < 5; plans++) {
       TransactionBuilder transaction = new TransactionBuilder(cache, 4, 1000);
--- a/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
+++ b/src/test/java/org/quincecross/leader/TransactionLimitsTest.java
@@ -21,7 +21,7 @@
  */
 class TransactionLimitsTest {
   @Property(tries = 200, seed = "3")
-  void whatFitsIsWritten(
+  void writesWhatFits(
       @ForAll @IntRange(min = 3, max = 24) int takesChanges,
       @ForAll @IntRange(min = 600, max = 8192) int takesValue,
       @ForAll @IntRange(min = 3, max = 24) int toldChanges,
--- a/src/test/java/org/quincecross/shard/AgentSessionTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionTest.java
@@ -29,7 +29,7 @@
   }
 
   /** Accepts a heartbeat and records a response, which the machine does not receive. */
-  private void report(long number, long order, double atS) {
+  private void heartbeatWithLostResponse(long number, long order, double atS) {
     Heartbeat heartbeat = new Heartbeat(machine, number, order, FORMER, null, List.of());
     if (session.lastHeartbeat() != null) {
       session.provesNoneTaken(heartbeat, PRESENT);
@@ -45,12 +45,12 @@
    * (docs/incidents/lease-of-a-new-session.md).
    */
   @Test
-  void thatNoAnswerWasTakenSaysNothingOfTheLeaseOfANewSession() {
-    report(1, 1, 1);
-    report(1, 2, 5);
+  void unacceptedResponseDoesNotEndLeaseOfNewSession() {
+    heartbeatWithLostResponse(1, 1, 1);
+    heartbeatWithLostResponse(1, 2, 5);
     assertFalse(session.isLeaseExpired(LEASE, at(12.5)));
-    report(2, 3, 13.5);
-    report(2, 4, 18);
+    heartbeatWithLostResponse(2, 3, 13.5);
+    heartbeatWithLostResponse(2, 4, 18);
     session.provesNoneTaken(new Heartbeat(machine, 2, 5, FORMER, null, List.of()), PRESENT);
     assertFalse(session.isLeaseExpired(LEASE, at(25)));
     assertTrue(session.isLeaseExpired(LEASE, at(25.6)));
--- a/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
+++ b/src/test/java/org/quincecross/shard/AgentSessionsUnansweredTest.java
@@ -38,9 +38,9 @@
       new Machine(new MachineId("m-2"), new Endpoint("10.1.0.2", 9000), "t", "z", false);
 
   /** Responds to the last command with the machine's status. */
-  private void answered(
+  private void respondToLastCommand(
       Machine machine, int status, long session, long token, Map<TaskId, Attempt> running) {
-    List<Object> pieces =
+    List<Object> statuses =
         running.entrySet().stream()
             .<Object>map(
                 each ->
@@ -75,10 +75,10 @@
                             "Baton",
                             token,
                             "Pieces",
-                            pieces)))));
+                            statuses)))));
   }
 
-  private void pass(double seconds) {
+  private void advanceInTicks(double seconds) {
     for (double at = 0; at < seconds; at += 0.25) {
       clock.advance(0.25);
       owner.tick();
@@ -90,29 +90,29 @@
    * a command in the second session.
    */
   @Test
-  void aMachineThatJoinsAndIsHeardByCommandsAlone() {
+  void leaseRunsFromSessionOfMachineHeardByCommandsAlone() {
     allocate(new TaskSet());
     calls.clear();
     clock.advance(2);
-    put(StoreKeys.shard(BLOCK), cache.shards().get(BLOCK).with(OTHER).write());
-    owner.renewed(cache.shards().get(BLOCK));
+    put(StoreKeys.shard(SHARD), cache.shards().get(SHARD).with(OTHER).write());
+    owner.renewed(cache.shards().get(SHARD));
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
-    pass(2.75);
-    answered(OTHER, 200, 2, 0, Map.of()); // its status
-    pass(0.25);
+    advanceInTicks(2.75);
+    respondToLastCommand(OTHER, 200, 2, 0, Map.of()); // its status
+    advanceInTicks(0.25);
     long token = owner.lease().token().value();
-    answered(OTHER, 200, 2, token, Map.of()); // it has seen the token
+    respondToLastCommand(OTHER, 200, 2, token, Map.of()); // it has seen the token
     TaskId task = TASK.job().task(1);
     allocate(only(1));
     Attempt attempt = attempt();
     assertEquals(1, owner.machine(OTHER.id()).tasks(), "the other machine is unreachable by now");
-    answered(OTHER, 200, 2, token, Map.of(task, attempt));
-    pass(9.5);
+    respondToLastCommand(OTHER, 200, 2, token, Map.of(task, attempt));
+    advanceInTicks(9.5);
     assertEquals(
         1,
         owner.machine(OTHER.id()).tasks(),
         "its session began 3 s after it joined, so its lease is still valid");
-    pass(1.5);
+    advanceInTicks(1.5);
     assertEquals(0, owner.machine(OTHER.id()).tasks(), "its lease has expired");
   }
 
@@ -121,7 +121,7 @@
    * it is given work.
    */
   @Test
-  void aMachineThatIsGivenWorkByAControllerThatStoodStill() {
+  void leaseRunsFromSessionSeenAfterPause() {
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
     lastConfirmed = clock.nanos();
     clock.advance(30);
@@ -129,14 +129,14 @@
     owner.tick();
     TaskId task = TASK.job().task(1);
     allocate(only(1));
-    answered(MACHINE, 409, 2, owner.lease().token().value(), Map.of());
+    respondToLastCommand(MACHINE, 409, 2, owner.lease().token().value(), Map.of());
     Attempt attempt = attempt();
-    answered(MACHINE, 200, 2, owner.lease().token().value(), Map.of(task, attempt));
+    respondToLastCommand(MACHINE, 200, 2, owner.lease().token().value(), Map.of(task, attempt));
     lastConfirmed = Long.MAX_VALUE;
-    pass(2);
+    advanceInTicks(2);
     assertTrue(
         owner.runs(task), "the task counts as running as long as the second session may last");
-    pass(9);
+    advanceInTicks(9);
     assertEquals(0, owner.machine(MACHINE.id()).tasks(), "its lease has expired");
   }
 
@@ -146,10 +146,10 @@
    * session in which it may have sent commands has certainly ended.
    */
   @Test
-  void whatWaitsForADeafMachineDoesNotWaitForEver() {
-    ShardLease former = cache.shards().get(BLOCK).with(OTHER);
+  void unsettledTasksStartOnceFormerSessionHasEnded() {
+    ShardLease former = cache.shards().get(SHARD).with(OTHER);
     put(
-        StoreKeys.shard(BLOCK),
+        StoreKeys.shard(SHARD),
         former
             .leasedTo(
                 new ControllerRecord(
@@ -160,7 +160,7 @@
                     AnnouncedLimits.NONE,
                     new Revision(1)))
             .write());
-    owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
+    owner = new ShardOwner(new Context(), cache.shards().get(SHARD));
     owner.respond(new Heartbeat(OTHER, 1, 1, owner.lease().token(), null, List.of()));
     double startedAt = Double.NaN;
     for (double at = 0; at < 120 && Double.isNaN(startedAt); at += 0.25) {
@@ -192,16 +192,16 @@
   // A single sequence of events.
   @SuppressWarnings("MethodLength")
   @Test
-  void copiesOfALifeBeforeTheLastProveNothing() {
+  void copiesFromBeforeRestartProveNothing() {
     long before = owner.lease().token().value();
-    for (long life = 2; life <= 3; life++) {
+    for (long incarnation = 2; incarnation <= 3; incarnation++) {
       put(
-          StoreKeys.shard(BLOCK),
-          (life == 2 ? cache.shards().get(BLOCK).with(OTHER) : cache.shards().get(BLOCK))
+          StoreKeys.shard(SHARD),
+          (incarnation == 2 ? cache.shards().get(SHARD).with(OTHER) : cache.shards().get(SHARD))
               .leasedTo(
                   new ControllerRecord(
                       new ControllerId("n"),
-                      new Incarnation(life),
+                      new Incarnation(incarnation),
                       "z",
                       Build.BEFORE_LEVELS,
                       AnnouncedLimits.NONE,
@@ -216,9 +216,9 @@
                 return true;
               }
             },
-            cache.shards().get(BLOCK));
+            cache.shards().get(SHARD));
     List<Heartbeat.TaskStatus> runs =
-        List.of(piece(new Attempt(77), Heartbeat.TaskState.RUNNING, null));
+        List.of(taskStatus(new Attempt(77), Heartbeat.TaskState.RUNNING, null));
     double startedAt = Double.NaN;
     for (double at = 0; at < 40 && Double.isNaN(startedAt); at += 0.25) {
       if (at == 5) {
@@ -238,7 +238,7 @@
         owner.respond(
             new Heartbeat(OTHER, 1, 1 + (long) at, owner.lease().token(), null, List.of()));
       }
-      pass(0.25);
+      advanceInTicks(0.25);
       startedAt = owner.machine(OTHER.id()).tasks() > 0 ? at : startedAt;
     }
     assertTrue(startedAt > 15 && startedAt < 17, "the lease runs from the response: " + startedAt);
--- a/src/test/java/org/quincecross/shard/DependentJobTest.java
+++ b/src/test/java/org/quincecross/shard/DependentJobTest.java
@@ -39,24 +39,24 @@
 
   /** The machine has no task. */
   @Override
-  void aStartIsSent() {}
+  void sendStart() {}
 
   @Test
-  void givesItBackUntilThatIsDone() {
+  void releasesTasksUntilDependencyIsDone() {
     putMachineType();
     takeOverShard();
     JobId first = new JobId("job-8");
     JobId next = new JobId("job-9");
     put(StoreKeys.job(first), JobRecord.writeOpen(job(first, Set.of()), 0));
     put(StoreKeys.job(next), JobRecord.writeOpen(job(next, Set.of(first)), 0));
-    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
+    put(StoreKeys.allocation(SHARD), Allocation.write(Map.of(next, only(0))));
     owner.sync();
-    beat(List.of());
+    heartbeat(List.of());
     assertEquals(List.of(next.task(0)), owner.released());
-    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
+    put(StoreKeys.allocation(SHARD), Allocation.write(Map.of()));
     owner.sync();
     put(StoreKeys.job(first), cache.job(first).writeDone());
-    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(next, only(0))));
+    put(StoreKeys.allocation(SHARD), Allocation.write(Map.of(next, only(0))));
     owner.sync();
     assertTrue(sent.get(sent.size() - 1).contains("job-9/0"), sent.toString());
   }
--- a/src/test/java/org/quincecross/shard/RequeuerTest.java
+++ b/src/test/java/org/quincecross/shard/RequeuerTest.java
@@ -30,17 +30,17 @@
   }
 
   @Test
-  void whatFailsOnEveryMachineOfTheBlockGoesBackAndIsDeclinedForLongerEachTime() {
+  void releasesAndDeclinesJobThatFailsOnEveryMachine() {
     for (int time = 1; time <= 5; time++) {
       assertFalse(owner.machine(MACHINE.id()).faulty());
       Attempt attempt = attempt();
-      directIsNeverAnswered();
-      beat(List.of(piece(attempt, TaskState.EXITED, ExitReason.ERROR)));
+      lastCommandTimesOut();
+      heartbeat(List.of(taskStatus(attempt, TaskState.EXITED, ExitReason.ERROR)));
       assertEquals(List.of(TASK), owner.released());
       assertEquals(Set.of(TASK.job()), owner.declinedJobs());
       int declinedS = 0;
       while (!owner.declinedJobs().isEmpty()) {
-        beat(List.of());
+        heartbeat(List.of());
         declinedS++;
       }
       assertEquals(30 * (1 << (time - 1)), declinedS, 1.0);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void whatWaitsForMachinesOfWhichNoneTakesWorkGoesBack() {
+  void releasesWorkIfNoMachineAcceptsTasks() {
     calls.remove(0).accept(HttpOutcome.failed(false));
     for (int second = 0; second < 40; second++) {
       nextSecond();
@@ -72,10 +72,10 @@
    * (docs/incidents/lost-by-a-former-holder.md).
    */
   @Test
-  void aMachineIsNotCalledLostOnTheWordOfAHolderThatMayHaveBeenSucceeded() {
+  void ownerWithoutStoreDoesNotDeclareMachineLost() {
     Attempt attempt = attempt();
     calls.remove(0).accept(HttpOutcome.failed(false));
-    beat(List.of(piece(attempt, TaskState.RUNNING, null)));
+    heartbeat(List.of(taskStatus(attempt, TaskState.RUNNING, null)));
     lastConfirmed = clock.nanos() + 2_000_000_000L;
     for (int second = 0; second < 40; second++) {
       nextSecond();
@@ -88,12 +88,12 @@
   }
 
   @Test
-  void whatWaitsLongForRoomGoesBack() {
+  void releasesWorkThatWaitedLongForCapacity() {
     calls.remove(0).accept(HttpOutcome.failed(false));
     allocate(TaskSet.range(3));
     int second = 0;
     while (owner.released().isEmpty() && second++ < 300) {
-      beat(started());
+      heartbeat(started());
     }
     assertEquals(List.of(TASK.job().task(2)), owner.released());
     assertEquals(111, second, 2.0); // 90 s and twice the estimate of 10 s
@@ -101,17 +101,17 @@
 
   /** Everything that has been started, as running. */
   private List<TaskStatus> started() {
-    Map<TaskId, TaskStatus> pieces = new TreeMap<>();
+    Map<TaskId, TaskStatus> statuses = new TreeMap<>();
     Pattern start = Pattern.compile("\"start\",\"Piece\":\"([^\"]+)\",\"Try\":([0-9]+)");
     for (String command : sent) {
       for (Matcher found = start.matcher(command); found.find(); ) {
         TaskId task = TaskId.parse(found.group(1));
-        pieces.put(
+        statuses.put(
             task,
             new TaskStatus(
                 task, new Attempt(Long.parseLong(found.group(2))), TaskState.RUNNING, null, false));
       }
     }
-    return List.copyOf(pieces.values());
+    return List.copyOf(statuses.values());
   }
 }
--- a/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerHarness.java
@@ -54,7 +54,7 @@
  * both.
  */
 abstract class ShardOwnerHarness {
-  static final ShardId BLOCK = new ShardId("b");
+  static final ShardId SHARD = new ShardId("b");
   static final Machine MACHINE =
       new Machine(new MachineId("m-1"), new Endpoint("10.1.0.1", 9000), "t", "z", false);
   static final TaskId TASK = new JobId("job-1").task(0);
@@ -66,7 +66,7 @@
   long revision;
   long lastConfirmed = Long.MAX_VALUE;
   long order;
-  boolean longCancelled;
+  boolean cancellationExpiring;
   ShardOwner owner;
 
   class Context implements ShardContext {
@@ -135,7 +135,7 @@
 
     @Override
     public boolean isCancellationExpiring(JobId job) {
-      return longCancelled;
+      return cancellationExpiring;
     }
 
     @Override
@@ -149,7 +149,7 @@
 
   /** A fenced machine to which the start of the one task has just been sent directly. */
   @BeforeEach
-  void aStartIsSent() {
+  void sendStart() {
     putMachineType();
     Job job =
         Job.builder(TASK.job())
@@ -187,9 +187,9 @@
   /** The owner takes over the shard with its one machine, whose first heartbeat is answered. */
   void takeOverShard() {
     put(
-        StoreKeys.shard(BLOCK),
+        StoreKeys.shard(SHARD),
         ShardLease.first(
-                BLOCK,
+                SHARD,
                 new ControllerRecord(
                     new ControllerId("n"),
                     new Incarnation(1),
@@ -199,14 +199,14 @@
                     new Revision(1)),
                 MACHINE)
             .write());
-    owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
+    owner = new ShardOwner(new Context(), cache.shards().get(SHARD));
     // The command that shows the token fails; the heartbeat shows it.
     calls.remove(0).accept(HttpOutcome.failed(false));
-    beat(List.of());
+    heartbeat(List.of());
   }
 
   void allocate(TaskSet tasks) {
-    put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of(TASK.job(), tasks)));
+    put(StoreKeys.allocation(SHARD), Allocation.write(Map.of(TASK.job(), tasks)));
     owner.sync();
   }
 
@@ -216,9 +216,9 @@
     return set;
   }
 
-  void beat(List<TaskStatus> pieces) {
+  void heartbeat(List<TaskStatus> statuses) {
     clock.advance(1);
-    owner.respond(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, pieces));
+    owner.respond(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, statuses));
     owner.tick();
   }
 
@@ -228,25 +228,25 @@
     return new Attempt(Long.parseLong(body.replaceAll(".*\"Try\":([0-9]+).*", "$1")));
   }
 
-  void directIsNeverAnswered() {
+  void lastCommandTimesOut() {
     Consumer<HttpOutcome> last = calls.remove(calls.size() - 1);
     last.accept(HttpOutcome.failed(true));
   }
 
-  static TaskStatus piece(Attempt attempt, TaskState state, ExitReason cause) {
+  static TaskStatus taskStatus(Attempt attempt, TaskState state, ExitReason cause) {
     return new TaskStatus(TASK, attempt, state, cause, false);
   }
 
-  String answer(List<TaskStatus> pieces) {
+  String responseTo(List<TaskStatus> statuses) {
     clock.advance(1);
     return new String(
-        owner.respond(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, pieces)),
+        owner.respond(new Heartbeat(MACHINE, 1, ++order, owner.lease().token(), null, statuses)),
         StandardCharsets.UTF_8);
   }
 
-  void directIsAnswered(List<TaskStatus> pieces) {
+  void respondToLastCommand(List<TaskStatus> statuses) {
     List<Object> out = new ArrayList<>();
-    pieces.forEach(
+    statuses.forEach(
         status ->
             out.add(
                 Json.object(
--- a/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
+++ b/src/test/java/org/quincecross/shard/ShardOwnerModelTest.java
@@ -59,69 +59,70 @@
  * attempt that has been cleared, and all end.
  */
 class ShardOwnerModelTest {
-  private static final double TROUBLE_S = 100;
-  private static final double QUIET_S = 75;
+  private static final double FAULTS_S = 100;
+  private static final double RECOVERY_S = 75;
   private static final int TASKS = 90;
-  private static final int AT_ONCE = 9;
+  private static final int MAX_ALLOCATED = 9;
 
-  private static final class Model extends ShardOwnerHarness {
-    private record Due(long at, long number, Runnable run) {}
+  private static final class Simulation extends ShardOwnerHarness {
+    private record ScheduledEvent(long at, long number, Runnable run) {}
 
     private final Random random;
-    private final PriorityQueue<Due> due =
-        new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
-    private final List<Worker> workers = new ArrayList<>();
+    private final PriorityQueue<ScheduledEvent> events =
+        new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledEvent::at).thenComparingLong(ScheduledEvent::number));
+    private final List<SimulatedAgent> agents = new ArrayList<>();
     private final Job job;
     private final TaskSet allocated = new TaskSet();
-    private final TaskSet withheld = new TaskSet();
-    private final Set<Integer> done = new HashSet<>();
+    private final TaskSet blocked = new TaskSet();
+    private final Set<Integer> exited = new HashSet<>();
     private final Set<Integer> finished = new HashSet<>();
-    private final List<Integer> back = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<Integer> released = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private ShardOwner former;
     private double formerUntil;
-    private double stillUntil;
-    private boolean entitled = true;
-    private boolean quiet;
-    private double doubtSince = -1;
-    private int given;
+    private double pausedUntil;
+    private boolean mayCommand = true;
+    private boolean faultsEnded;
+    private double renewalNeededSince = -1;
+    private int allocatedSoFar;
     private long number;
 
-    Model(long seed) {
+    Simulation(long seed) {
       random = new Random(seed);
-      aStartIsSent();
+      sendStart();
       calls.clear();
-      Job one = cache.job(TASK.job()).job();
+      Job template = cache.job(TASK.job()).job();
       job =
           Job.builder(new JobId("job-2"))
-              .jobClass(one.jobClass())
-              .team(one.team())
-              .kind(one.kind())
-              .priority(one.priority())
+              .jobClass(template.jobClass())
+              .team(template.team())
+              .kind(template.kind())
+              .priority(template.priority())
               .taskCount(TASKS)
-              .taskResources(one.taskResources())
-              .image(one.image())
-              .imageGb(one.imageGb())
-              .estimate(one.estimate())
+              .taskResources(template.taskResources())
+              .image(template.image())
+              .imageGb(template.imageGb())
+              .estimate(template.estimate())
               .build();
       put(StoreKeys.job(job.id()), JobRecord.writeOpen(job, 0));
       owner.retire();
       for (int i = 1; i <= 3; i++) {
-        workers.add(
-            new Worker(
+        agents.add(
+            new SimulatedAgent(
                 new Machine(
                     new MachineId("m-" + i), new Endpoint("10.1.0." + i, 9000), "t", "z", false)));
       }
-      put(StoreKeys.allocation(BLOCK), Allocation.write(Map.of()));
+      put(StoreKeys.allocation(SHARD), Allocation.write(Map.of()));
       put(
-          StoreKeys.shard(BLOCK),
+          StoreKeys.shard(SHARD),
           cache
               .shards()
-              .get(BLOCK)
-              .with(workers.get(1).machine)
-              .with(workers.get(2).machine)
+              .get(SHARD)
+              .with(agents.get(1).machine)
+              .with(agents.get(2).machine)
               .write());
-      leaseAnew(0);
+      renewLease(0);
     }
 
     private double now() {
@@ -129,20 +130,21 @@
     }
 
     private void later(double seconds, Runnable run) {
-      due.add(new Due(clock.nanos() + Math.max(0, (long) (seconds * 1e9)), number++, run));
+      events.add(
+          new ScheduledEvent(clock.nanos() + Math.max(0, (long) (seconds * 1e9)), number++, run));
     }
 
     /** Runs an event of the controller, delayed to the end of its pause. */
-    private void awake(Runnable run) {
-      if (now() < stillUntil) {
-        later(stillUntil - now() + 0.001, () -> awake(run));
+    private void whenNotPaused(Runnable run) {
+      if (now() < pausedUntil) {
+        later(pausedUntil - now() + 0.001, () -> whenNotPaused(run));
       } else {
         run.run();
       }
     }
 
     private boolean chance(double share) {
-      return !quiet && random.nextDouble() < share;
+      return !faultsEnded && random.nextDouble() < share;
     }
 
     private double between(double from, double to) {
@@ -151,22 +153,22 @@
 
     // ---- the controller ----
 
-    private final class Wild extends Context {
-      private final MonotonicTime[] lastWord = new MonotonicTime[1];
+    private final class FaultyContext extends Context {
+      private final MonotonicTime[] lastContact = new MonotonicTime[1];
 
       @Override
       public HttpCaller http() {
-        return (to, request, timeout, over) -> direct(to, request, timeout.seconds(), over);
+        return (to, request, timeout, over) -> deliverCommand(to, request, timeout.seconds(), over);
       }
 
       @Override
       public boolean mayCommand() {
-        return entitled;
+        return mayCommand;
       }
 
       @Override
       public MonotonicTime confirmedAt() {
-        return lastWord[0] == null ? super.confirmedAt() : lastWord[0];
+        return lastContact[0] == null ? super.confirmedAt() : lastContact[0];
       }
 
       @Override
@@ -174,7 +176,7 @@
         return new StartBlock() {
           @Override
           public TaskSet blockedTasks(Job each) {
-            return each.id().equals(job.id()) ? withheld : new TaskSet();
+            return each.id().equals(job.id()) ? blocked : new TaskSet();
           }
 
           @Override
@@ -185,26 +187,26 @@
       }
     }
 
-    private Wild context;
+    private FaultyContext context;
 
     /**
      * Leases the shard under a new token; the former owner continues for a while, without contact
      * to the store.
      */
-    private void leaseAnew(double formerGoesOn) {
+    private void renewLease(double formerContinuesS) {
       if (former != null) {
         former.retire();
       }
       if (context != null) {
-        context.lastWord[0] = new MonotonicTime(Math.min(clock.nanos(), lastConfirmed));
+        context.lastContact[0] = new MonotonicTime(Math.min(clock.nanos(), lastConfirmed));
         former = owner;
-        formerUntil = now() + formerGoesOn;
+        formerUntil = now() + formerContinuesS;
       }
       put(
-          StoreKeys.shard(BLOCK),
+          StoreKeys.shard(SHARD),
           cache
               .shards()
-              .get(BLOCK)
+              .get(SHARD)
               .leasedTo(
                   new ControllerRecord(
                       new ControllerId("n"),
@@ -214,12 +216,12 @@
                       AnnouncedLimits.NONE,
                       new Revision(1)))
               .write());
-      context = new Wild();
-      owner = new ShardOwner(context, cache.shards().get(BLOCK));
-      endFormer();
+      context = new FaultyContext();
+      owner = new ShardOwner(context, cache.shards().get(SHARD));
+      retireFormerOwner();
     }
 
-    private void endFormer() {
+    private void retireFormerOwner() {
       if (former != null && now() >= formerUntil) {
         former.retire();
         former = null;
@@ -227,35 +229,35 @@
     }
 
     private void tick() {
-      endFormer();
+      retireFormerOwner();
       owner.tick();
       if (former != null) {
         former.tick();
       }
-      later(0.15, () -> awake(this::tick));
+      later(0.15, () -> whenNotPaused(this::tick));
     }
 
     /**
      * Acts as the leader: reallocates released tasks, removes completed ones, and renews the token
      * when requested.
      */
-    private void lead() {
+    private void stepLeader() {
       List<TaskId> gone = new ArrayList<>(owner.completed());
       gone.forEach(task -> finished.add(task.index()));
       for (TaskId task : owner.released()) {
         gone.add(task);
-        back.add(task.index());
+        released.add(task.index());
       }
       boolean changed = !gone.isEmpty();
       gone.forEach(task -> allocated.remove(task.index()));
       if (changed) {
         allocateAll(); // a released task must leave the allocation before it may return to it
       }
-      back.removeIf(index -> finished.contains(index));
-      while (allocated.size() < AT_ONCE && (!back.isEmpty() || given < TASKS)) {
-        int next = back.isEmpty() ? given++ : back.remove(0);
-        if (withheld.contains(next)) {
-          back.add(next);
+      released.removeIf(index -> finished.contains(index));
+      while (allocated.size() < MAX_ALLOCATED && (!released.isEmpty() || allocatedSoFar < TASKS)) {
+        int next = released.isEmpty() ? allocatedSoFar++ : released.remove(0);
+        if (blocked.contains(next)) {
+          released.add(next);
           break;
         }
         allocated.add(next);
@@ -264,29 +266,30 @@
       if (changed) {
         allocateAll();
       }
-      doubtSince = !owner.needsTokenRenewal() ? -1 : doubtSince < 0 ? now() : doubtSince;
-      if (doubtSince >= 0 && now() - doubtSince > 1) {
-        doubtSince = -1;
-        leaseAnew(0);
+      renewalNeededSince =
+          !owner.needsTokenRenewal() ? -1 : renewalNeededSince < 0 ? now() : renewalNeededSince;
+      if (renewalNeededSince >= 0 && now() - renewalNeededSince > 1) {
+        renewalNeededSince = -1;
+        renewLease(0);
       }
-      later(between(0.2, 0.8), () -> awake(this::lead));
+      later(between(0.2, 0.8), () -> whenNotPaused(this::stepLeader));
     }
 
     private void allocateAll() {
       TaskSet copy = new TaskSet();
       IntStream.range(0, TASKS).filter(allocated::contains).forEach(copy::add);
       put(
-          StoreKeys.allocation(BLOCK),
+          StoreKeys.allocation(SHARD),
           Allocation.write(copy.isEmpty() ? Map.of() : Map.of(job.id(), copy)));
       owner.sync();
     }
 
-    private void report(Heartbeat heartbeat, Consumer<byte[]> reply) {
+    private void deliverHeartbeat(Heartbeat heartbeat, Consumer<byte[]> reply) {
       ShardOwner to = former != null && random.nextBoolean() ? former : owner;
       reply.accept(to.respond(heartbeat));
     }
 
-    private void direct(
+    private void deliverCommand(
         Endpoint to, HttpRequest request, double timeoutS, Consumer<HttpOutcome> over) {
       boolean[] ended = new boolean[1];
       Consumer<HttpOutcome> once =
@@ -296,27 +299,27 @@
               over.accept(outcome);
             }
           };
-      Worker worker =
-          workers.stream()
+      SimulatedAgent agent =
+          agents.stream()
               .filter(each -> each.machine.address().equals(to))
               .findFirst()
               .orElseThrow();
-      carry(
-          worker.hearsUntilCut(),
+      deliver(
+          agent.isReceiving(),
           12,
           () ->
-              worker.request(
+              agent.request(
                   request,
                   response ->
-                      carry(
-                          worker.speaksUntilCut(),
+                      deliver(
+                          agent.isSending(),
                           3,
-                          () -> awake(() -> once.accept(HttpOutcome.answered(response))))));
-      later(timeoutS, () -> awake(() -> once.accept(HttpOutcome.failed(true))));
+                          () -> whenNotPaused(() -> once.accept(HttpOutcome.answered(response))))));
+      later(timeoutS, () -> whenNotPaused(() -> once.accept(HttpOutcome.failed(true))));
     }
 
     /** A message arrives soon, late or never. */
-    private void carry(boolean open, double longestS, Runnable arrival) {
+    private void deliver(boolean open, double longestS, Runnable arrival) {
       if (open && !chance(0.04)) {
         later(chance(0.12) ? between(0.5, longestS) : between(0.002, 0.02), arrival);
       }
@@ -324,40 +327,40 @@
 
     // ---- faults ----
 
-    private void trouble() {
-      if (quiet) {
+    private void injectFault() {
+      if (faultsEnded) {
         return;
       }
-      Worker worker = workers.get(random.nextInt(workers.size()));
+      SimulatedAgent agent = agents.get(random.nextInt(agents.size()));
       switch (random.nextInt(7)) {
-        case 0 -> worker.hangUntil = now() + between(0.5, 9);
-        case 1 -> worker.cut(random.nextBoolean(), random.nextBoolean(), between(2, 16));
-        case 2 -> worker.unansweredUntil = now() + between(4, 24);
-        case 3 -> awake(() -> leaseAnew(random.nextBoolean() ? 0 : between(0, 6)));
+        case 0 -> agent.hangUntil = now() + between(0.5, 9);
+        case 1 -> agent.partition(random.nextBoolean(), random.nextBoolean(), between(2, 16));
+        case 2 -> agent.unansweredUntil = now() + between(4, 24);
+        case 3 -> whenNotPaused(() -> renewLease(random.nextBoolean() ? 0 : between(0, 6)));
         case 4 -> {
           int index = random.nextInt(TASKS);
-          IntStream.range(index, Math.min(TASKS, index + 40)).forEach(withheld::add);
-          awake(() -> owner.jobsChanged(Set.of(job.id())));
-          later(between(0.3, 6), () -> IntStream.range(0, TASKS).forEach(withheld::remove));
+          IntStream.range(index, Math.min(TASKS, index + 40)).forEach(blocked::add);
+          whenNotPaused(() -> owner.jobsChanged(Set.of(job.id())));
+          later(between(0.3, 6), () -> IntStream.range(0, TASKS).forEach(blocked::remove));
         }
-        case 5 -> standStill(between(1, 14));
+        case 5 -> pause(between(1, 14));
         default -> {
           // Heartbeats go unanswered for so long that leases expire, while commands arrive.
-          double still = between(7, 13);
-          standStill(still);
-          workers.forEach(each -> each.unansweredUntil = now() + still + between(2, 12));
+          double pauseS = between(7, 13);
+          pause(pauseS);
+          agents.forEach(each -> each.unansweredUntil = now() + pauseS + between(2, 12));
         }
       }
-      later(between(1, 7), this::trouble);
+      later(between(1, 7), this::injectFault);
     }
 
-    private void standStill(double seconds) {
-      if (now() < stillUntil) {
+    private void pause(double seconds) {
+      if (now() < pausedUntil) {
         return;
       }
-      stillUntil = now() + seconds;
+      pausedUntil = now() + seconds;
       lastConfirmed = clock.nanos();
-      entitled = false;
+      mayCommand = false;
       later(
           seconds,
           () -> {
@@ -370,46 +373,46 @@
           seconds + between(0.01, 0.5),
           () -> {
             lastConfirmed = Long.MAX_VALUE;
-            entitled = true;
+            mayCommand = true;
           });
     }
 
     /** Describes what has not ended, and what it waits for. */
-    String left() {
+    String unfinished() {
       return "given "
-          + given
+          + allocatedSoFar
           + ", back "
-          + back
+          + released
           + ", waits for "
           + owner.unplacedReasons(job.id())
           + ", in doubt "
           + owner.needsTokenRenewal()
           + ", "
-          + workers.stream()
+          + agents.stream()
               .map(
-                  worker ->
-                      worker.machine.id()
+                  agent ->
+                      agent.machine.id()
                           + " in session "
-                          + worker.session
+                          + agent.session
                           + " has "
-                          + worker.pieces())
+                          + agent.statuses())
               .toList();
     }
 
-    void play() {
+    void run() {
       tick();
-      lead();
-      workers.forEach(worker -> later(random.nextDouble(), worker::beat));
-      workers.forEach(Worker::watchLease);
-      later(4, this::trouble);
+      stepLeader();
+      agents.forEach(agent -> later(random.nextDouble(), agent::sendHeartbeat));
+      agents.forEach(SimulatedAgent::watchLease);
+      later(4, this::injectFault);
       later(
-          TROUBLE_S,
+          FAULTS_S,
           () -> {
-            quiet = true;
-            IntStream.range(0, TASKS).forEach(withheld::remove);
+            faultsEnded = true;
+            IntStream.range(0, TASKS).forEach(blocked::remove);
           });
-      while (now() < TROUBLE_S + QUIET_S && broken.isEmpty()) {
-        Due next = due.poll();
+      while (now() < FAULTS_S + RECOVERY_S && violations.isEmpty()) {
+        ScheduledEvent next = events.poll();
         clock.advance((next.at() - clock.nanos()) / 1e9);
         next.run().run();
       }
@@ -417,131 +420,133 @@
 
     // ---- an agent ----
 
-    private record Key(TaskId task, long attempt) {}
+    private record TaskAttempt(TaskId task, long attempt) {}
 
-    private static final class Task {
+    private static final class AgentTask {
       private ExitReason cause;
     }
 
-    private final class Worker {
+    private final class SimulatedAgent {
       private static final double LEASE_S = 10;
       private final Machine machine;
-      private final Map<Key, Task> tasks = new LinkedHashMap<>();
+      private final Map<TaskAttempt, AgentTask> tasks = new LinkedHashMap<>();
 
       /** What has been started in this session; none of it may start again. */
-      private final Set<Key> ever = new HashSet<>();
+      private final Set<TaskAttempt> startedInSession = new HashSet<>();
 
       private long session = 1;
       private long order;
       private long token;
       private double leaseFrom = now();
       private double hangUntil;
-      private double deafUntil;
-      private double muteUntil;
+      private double notReceivingUntil;
+      private double notSendingUntil;
       private double unansweredUntil;
-      private boolean reporting;
-      private double lastBeat = -1;
+      private boolean heartbeatPending;
+      private double lastHeartbeat = -1;
 
-      Worker(Machine machine) {
+      SimulatedAgent(Machine machine) {
         this.machine = machine;
       }
 
-      void cut(boolean hears, boolean speaks, double seconds) {
-        deafUntil = hears ? deafUntil : now() + seconds;
-        muteUntil = speaks ? muteUntil : now() + seconds;
+      void partition(boolean receives, boolean sends, double seconds) {
+        notReceivingUntil = receives ? notReceivingUntil : now() + seconds;
+        notSendingUntil = sends ? notSendingUntil : now() + seconds;
       }
 
-      boolean hearsUntilCut() {
-        return now() >= deafUntil;
+      boolean isReceiving() {
+        return now() >= notReceivingUntil;
       }
 
-      boolean speaksUntilCut() {
-        return now() >= muteUntil;
+      boolean isSending() {
+        return now() >= notSendingUntil;
       }
 
       void watchLease() {
         if (now() - leaseFrom > LEASE_S) {
           tasks.clear();
-          ever.clear();
+          startedInSession.clear();
           session++;
           leaseFrom = now();
-          soon(0.1);
+          heartbeatAfter(0.1);
         }
         later(0.05, this::watchLease);
       }
 
-      private void whenGoing(Runnable run) {
+      private void whenNotHanging(Runnable run) {
         if (now() < hangUntil) {
-          later(hangUntil - now() + 0.001, () -> whenGoing(run));
+          later(hangUntil - now() + 0.001, () -> whenNotHanging(run));
         } else {
           run.run();
         }
       }
 
-      private void soon(double seconds) {
-        later(seconds, () -> whenGoing(this::beat));
+      private void heartbeatAfter(double seconds) {
+        later(seconds, () -> whenNotHanging(this::sendHeartbeat));
       }
 
-      private List<TaskStatus> pieces() {
-        List<TaskStatus> pieces = new ArrayList<>();
+      private List<TaskStatus> statuses() {
+        List<TaskStatus> statuses = new ArrayList<>();
         tasks.forEach(
             (key, task) ->
-                pieces.add(
+                statuses.add(
                     new TaskStatus(
                         key.task(),
                         new Attempt(key.attempt()),
                         task.cause == null ? TaskState.RUNNING : TaskState.EXITED,
                         task.cause,
                         false)));
-        return pieces;
+        return statuses;
       }
 
-      void beat() {
-        if (reporting || now() - lastBeat < 0.45) {
+      void sendHeartbeat() {
+        if (heartbeatPending || now() - lastHeartbeat < 0.45) {
           return;
         }
-        reporting = true;
-        lastBeat = now();
+        heartbeatPending = true;
+        lastHeartbeat = now();
         double sentAt = now();
-        long sent = session;
+        long sentInSession = session;
         Heartbeat heartbeat =
-            new Heartbeat(machine, session, ++order, new FencingToken(token), null, pieces());
+            new Heartbeat(machine, session, ++order, new FencingToken(token), null, statuses());
         boolean[] over = new boolean[1];
         Consumer<byte[]> end =
             answer ->
-                whenGoing(
+                whenNotHanging(
                     () -> {
                       if (over[0]) {
                         return;
                       }
                       over[0] = true;
-                      reporting = false;
+                      heartbeatPending = false;
                       boolean inTime = answer != null && now() - sentAt <= 4;
-                      if (inTime && sent == session) {
-                        take(answer, sentAt);
+                      if (inTime && sentInSession == session) {
+                        acceptResponse(answer, sentAt);
                       }
-                      soon(inTime ? between(0.75, 1.25) : 1);
+                      heartbeatAfter(inTime ? between(0.75, 1.25) : 1);
                     });
         later(4, () -> end.accept(null));
         if (now() < unansweredUntil) {
           return; // it contacts controllers that do not respond
         }
-        carry(
-            speaksUntilCut(),
+        deliver(
+            isSending(),
             8,
             () -> {
-              awake(
+              whenNotPaused(
                   () ->
-                      report(
+                      deliverHeartbeat(
                           heartbeat,
-                          answer -> carry(hearsUntilCut(), 6, () -> end.accept(answer))));
+                          answer -> deliver(isReceiving(), 6, () -> end.accept(answer))));
               if (chance(0.3)) {
-                later(between(1, 26), () -> awake(() -> report(heartbeat, answer -> {})));
+                later(
+                    between(1, 26),
+                    () -> whenNotPaused(() -> deliverHeartbeat(heartbeat, answer -> {})));
               }
             });
       }
 
-      private void take(byte[] answer, double sentAt) {
+      private void acceptResponse(byte[] answer, double sentAt) {
         try {
           JsonFields in = Json.parseFields(answer);
           if (in.unsigned("Baton") >= token) {
@@ -557,7 +562,7 @@
       // The behaviour of one agent, as in the protocol.
       @SuppressWarnings("MethodLength")
       void request(HttpRequest request, Consumer<HttpResponse> reply) {
-        whenGoing(
+        whenNotHanging(
             () -> {
               try {
                 int status = 200;
@@ -571,19 +576,19 @@
                   }
                 }
                 List<Object> out = new ArrayList<>();
-                pieces()
+                statuses()
                     .forEach(
-                        piece -> {
+                        taskStatus -> {
                           Map<String, Object> each =
                               Json.object(
                                   "Piece",
-                                  piece.task().toString(),
+                                  taskStatus.task().toString(),
                                   "Try",
-                                  piece.attempt().value(),
+                                  taskStatus.attempt().value(),
                                   "Status",
-                                  piece.exitReason() == null ? "running" : "exited");
-                          if (piece.exitReason() != null) {
-                            each.put("Cause", AgentCodec.exitWord(piece.exitReason()));
+                                  taskStatus.exitReason() == null ? "running" : "exited");
+                          if (taskStatus.exitReason() != null) {
+                            each.put("Cause", AgentCodec.exitWord(taskStatus.exitReason()));
                           }
                           out.add(each);
                         });
@@ -616,8 +621,9 @@
 
       private void execute(List<JsonFields> commands) throws MalformedMessageException {
         for (JsonFields command : commands) {
-          Key key = new Key(TaskId.parse(command.string("Piece")), command.unsigned("Try"));
-          Task task = tasks.get(key);
+          TaskAttempt key =
+              new TaskAttempt(TaskId.parse(command.string("Piece")), command.unsigned("Try"));
+          AgentTask task = tasks.get(key);
           switch (command.string("Verb")) {
             case "start" -> {
               if (task == null) {
@@ -634,61 +640,63 @@
         }
       }
 
-      private boolean has(TaskId id) {
+      private boolean isRunning(TaskId id) {
         return tasks.entrySet().stream()
             .anyMatch(each -> each.getKey().task().equals(id) && each.getValue().cause == null);
       }
 
-      private void start(Key key) {
-        if (!ever.add(key)) {
-          broken.add(
+      private void start(TaskAttempt key) {
+        if (!startedInSession.add(key)) {
+          violations.add(
               key + " starts anew on " + machine.id() + ", which has cleared it, at " + now());
         }
-        Task task = new Task();
-        boolean inUse = has(key.task());
+        AgentTask task = new AgentTask();
+        boolean inUse = isRunning(key.task());
         long used = tasks.values().stream().filter(each -> each.cause == null).count();
         tasks.put(key, task);
         if (inUse || used >= 2) {
           task.cause = inUse ? ExitReason.TASK_ALREADY_PRESENT : ExitReason.INSUFFICIENT_RESOURCES;
           return;
         }
-        for (Worker other : workers) {
-          if (other != this && other.has(key.task())) {
-            broken.add(key + " on " + machine.id() + " and " + other.machine.id() + " at " + now());
+        for (SimulatedAgent other : agents) {
+          if (other != this && other.isRunning(key.task())) {
+            violations.add(
+                key + " on " + machine.id() + " and " + other.machine.id() + " at " + now());
           }
         }
         later(
-            done.contains(key.task().index())
+            exited.contains(key.task().index())
                 ? 0.2
                 : random.nextBoolean() ? between(0.1, 1) : between(1, 8),
             () ->
-                whenGoing(
+                whenNotHanging(
                     () -> {
                       if (tasks.get(key) == task && task.cause == null) {
-                        done.add(key.task().index());
+                        exited.add(key.task().index());
                         exit(key, task, ExitReason.DONE);
                       }
                     }));
-        soon(0.5);
+        heartbeatAfter(0.5);
       }
 
-      private void exit(Key key, Task task, ExitReason cause) {
+      private void exit(TaskAttempt key, AgentTask task, ExitReason cause) {
         if (task != null && tasks.get(key) == task && task.cause == null) {
           task.cause = cause;
-          soon(0.5);
+          heartbeatAfter(0.5);
         }
       }
     }
   }
 
-  private static void play(long seed) {
-    Model model = new Model(seed);
-    model.play();
-    assertEquals(List.of(), model.broken, "seed " + seed);
+  private static void run(long seed) {
+    Simulation simulation = new Simulation(seed);
+    simulation.run();
+    assertEquals(List.of(), simulation.violations, "seed " + seed);
     assertTrue(
-        model.done.containsAll(model.finished),
+        simulation.exited.containsAll(simulation.finished),
         "seed " + seed + ": reported as completed but did not exit");
-    assertEquals(TASKS, model.finished.size(), "seed " + seed + ": " + model.left());
+    assertEquals(
+        TASKS, simulation.finished.size(), "seed " + seed + ": " + simulation.unfinished());
   }
 
   /**
@@ -696,17 +704,17 @@
    * doubts (2), commands in flight (44), leases (59).
    */
   @Test
-  void noTaskIsOnTwoMachinesAndAllEnd() {
+  void noTaskRunsTwiceAndAllEnd() {
     LongStream.concat(LongStream.rangeClosed(1, 24), LongStream.of(31, 38, 44, 56, 59))
-        .forEach(ShardOwnerModelTest::play);
+        .forEach(ShardOwnerModelTest::run);
   }
 
   @Test
   @Tag("seeds")
-  void theSameForManySeeds() {
+  void noTaskRunsTwiceAndAllEndForManySeeds() {
     String[] range = System.getProperty("seeds", "20000-24999").split("-");
     LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]))
         .parallel()
-        .forEach(ShardOwnerModelTest::play);
+        .forEach(ShardOwnerModelTest::run);
   }
 }
--- a/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
+++ b/src/test/java/org/quincecross/shard/UnacknowledgedResponsesTest.java
@@ -25,32 +25,32 @@
     owner.jobsChanged(Set.of(TASK.job()));
   }
 
-  private byte[] report(FencingToken token, List<TaskStatus> pieces) {
+  private byte[] heartbeat(FencingToken token, List<TaskStatus> pieces) {
     clock.advance(1);
     return owner.respond(new Heartbeat(MACHINE, 1, ++order, token, null, pieces));
   }
 
   @Test
-  void aMachineThatMayYetStartACancelledTaskIsNotAnsweredForLong() {
+  void limitsResponsesToMachineThatMayStillStartCancelledTask() {
     Attempt attempt = attempt();
-    directIsNeverAnswered();
+    lastCommandTimesOut();
     cancel();
-    assertNotNull(report(owner.lease().token(), List.of()));
-    longCancelled = true;
-    assertNull(report(owner.lease().token(), List.of()));
-    assertTrue(answer(List.of(piece(attempt, TaskState.RUNNING, null))).contains("halt"));
+    assertNotNull(heartbeat(owner.lease().token(), List.of()));
+    cancellationExpiring = true;
+    assertNull(heartbeat(owner.lease().token(), List.of()));
+    assertTrue(responseTo(List.of(taskStatus(attempt, TaskState.RUNNING, null))).contains("halt"));
   }
 
   @Test
-  void aMachineThatDoesNotObeyYetIsNotAnsweredForLongWhereACancelledTaskMayBeThere() {
+  void limitsResponsesToUnfencedMachineThatMayHaveCancelledTask() {
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(true));
     cancel();
-    owner = new ShardOwner(new Context(), cache.shards().get(BLOCK));
+    owner = new ShardOwner(new Context(), cache.shards().get(SHARD));
     FencingToken former = new FencingToken(owner.lease().token().value() - 1);
-    assertNotNull(report(former, List.of()));
-    longCancelled = true;
-    assertNull(report(former, List.of()));
+    assertNotNull(heartbeat(former, List.of()));
+    cancellationExpiring = true;
+    assertNull(heartbeat(former, List.of()));
     // Once it is fenced, its tasks are known.
-    assertNotNull(report(owner.lease().token(), List.of()));
+    assertNotNull(heartbeat(owner.lease().token(), List.of()));
   }
 }
--- a/src/test/java/org/quincecross/shard/UnansweredStartTest.java
+++ b/src/test/java/org/quincecross/shard/UnansweredStartTest.java
@@ -19,14 +19,14 @@
  */
 class UnansweredStartTest extends ShardOwnerHarness {
   @Test
-  void aTaskThatWasStoppedIsGoneOnceItsExitIsReported() {
+  void stoppedTaskEndsWithReportedExit() {
     Attempt attempt = attempt();
-    directIsNeverAnswered();
-    beat(List.of(piece(attempt, TaskState.RUNNING, null)));
+    lastCommandTimesOut();
+    heartbeat(List.of(taskStatus(attempt, TaskState.RUNNING, null)));
     allocate(new TaskSet());
-    String stop = answer(List.of(piece(attempt, TaskState.RUNNING, null)));
+    String stop = responseTo(List.of(taskStatus(attempt, TaskState.RUNNING, null)));
     assertTrue(stop.contains("halt"), stop);
-    String after = answer(List.of(piece(attempt, TaskState.EXITED, ExitReason.STOPPED)));
+    String after = responseTo(List.of(taskStatus(attempt, TaskState.EXITED, ExitReason.STOPPED)));
     assertEquals(0, owner.completed().size() + owner.machine(MACHINE.id()).tasks());
     // The reported exit makes the late start harmless, so it must not be cleared.
     assertFalse(after.contains("clear"), after);
@@ -34,11 +34,11 @@
   }
 
   @Test
-  void aTaskThatFailedGoesElsewhere() {
+  void failedTaskIsReleased() {
     Attempt attempt = attempt();
-    directIsNeverAnswered();
-    beat(List.of(piece(attempt, TaskState.RUNNING, null)));
-    String after = answer(List.of(piece(attempt, TaskState.EXITED, ExitReason.ERROR)));
+    lastCommandTimesOut();
+    heartbeat(List.of(taskStatus(attempt, TaskState.RUNNING, null)));
+    String after = responseTo(List.of(taskStatus(attempt, TaskState.EXITED, ExitReason.ERROR)));
     assertEquals(List.of(TASK), owner.released());
     assertFalse(after.contains("clear"), after);
   }
@@ -48,12 +48,12 @@
    * token can end that.
    */
   @Test
-  void aStartThatNeverShowedBeforeItsStopAsksForANewToken() {
-    directIsNeverAnswered();
+  void unseenStartRequiresNewToken() {
+    lastCommandTimesOut();
     allocate(new TaskSet());
     for (int i = 0; i < 30; i++) {
       assertEquals(i > 8, owner.needsTokenRenewal(), "after " + i + " s");
-      beat(List.of());
+      heartbeat(List.of());
     }
     assertEquals(1, owner.machine(MACHINE.id()).tasks());
   }
@@ -63,16 +63,16 @@
    * not apply to the next attempt.
    */
   @Test
-  void theExitOfAnEarlierAttemptDoesNotStandForTheNextOne() {
+  void exitOfEarlierAttemptDoesNotApplyToNext() {
     Attempt first = attempt();
-    directIsNeverAnswered();
-    List<TaskStatus> exit = List.of(piece(first, TaskState.EXITED, ExitReason.STOPPED));
-    String again = answer(exit);
+    lastCommandTimesOut();
+    List<TaskStatus> exit = List.of(taskStatus(first, TaskState.EXITED, ExitReason.STOPPED));
+    String again = responseTo(exit);
     assertTrue(
         again.contains("start") && !again.contains(":" + first.value() + "}"),
         again); // and it gets lost
     allocate(new TaskSet());
-    beat(exit);
+    heartbeat(exit);
     assertEquals(0, owner.machine(MACHINE.id()).tasks());
   }
 
@@ -82,16 +82,16 @@
    * again.
    */
   @Test
-  void nothingIsClearedWhileAnAnswerThatStartsItMayBeUnderWay() {
+  void doesNotClearWhileResponseWithStartMayBeInFlight() {
     Attempt attempt = attempt();
     calls.remove(calls.size() - 1).accept(HttpOutcome.failed(false));
-    assertTrue(answer(List.of()).contains("start"));
+    assertTrue(responseTo(List.of()).contains("start"));
     allocate(only(1));
-    TaskStatus exit = piece(attempt, TaskState.EXITED, ExitReason.STOPPED);
-    directIsAnswered(List.of(exit));
+    TaskStatus exit = taskStatus(attempt, TaskState.EXITED, ExitReason.STOPPED);
+    respondToLastCommand(List.of(exit));
     allocate(only(2));
     String command = sent.get(sent.size() - 1);
     assertTrue(command.contains("start") && !command.contains("clear"), command);
-    assertTrue(answer(List.of(exit)).contains("clear"));
+    assertTrue(responseTo(List.of(exit)).contains("clear"));
   }
 }
