--- a/src/main/java/org/quincecross/cli/AgreedCommand.java
+++ b/src/main/java/org/quincecross/cli/AgreedCommand.java
@@ -19,12 +19,11 @@
 import picocli.CommandLine.Spec;
 
 /**
- * What the commands for a kind of agreed records share. Each prints JSON or a table, or one line
- * that says what was wrong; the exit status is 0 where it did what it was asked, 1 where not, and 2
- * for what the command line got wrong.
+ * Base of the commands on replicated records. Each prints JSON or a table, or one line with the
+ * error. The exit status is 0 on success, 1 on failure, and 2 for an invalid command line.
  */
 abstract class AgreedCommand implements Callable<Integer> {
-  /** How answers are printed. */
+  /** The output formats. */
   enum Output {
     json,
     table
@@ -47,7 +46,7 @@
   /** The kind of the records. */
   abstract String kind();
 
-  /** What the command line got wrong; nothing has been asked then. */
+  /** Creates the exception for an invalid command line; no request has been sent then. */
   final ParameterException wrong(String what) {
     return new ParameterException(spec.commandLine(), what);
   }
@@ -73,7 +72,7 @@
     spec.commandLine().getOut().flush();
   }
 
-  /** Prints rows as the command line wants them. */
+  /** Prints rows in the requested format. */
   final int print(List<Map<String, Object>> rows) {
     print(
         output == Output.json
@@ -82,12 +81,12 @@
     return 0;
   }
 
-  /** Asks a controller for something beside the records themselves. */
+  /** Sends a request that is not about the records themselves. */
   final ClientCommand.Server.Reply send(String method, String path, Map<String, Object> body) {
     return server.send(method, path, body == null ? null : Json.write(body));
   }
 
-  /** Says what went wrong; the exit status. */
+  /** Prints the error in a reply; returns the exit status. */
   final int failed(ClientCommand.Server.Reply reply) {
     String why = reply.text();
     try {
@@ -96,7 +95,7 @@
               ? why
               : Json.parseFields(why.getBytes(StandardCharsets.UTF_8)).stringOr("error", why);
     } catch (MalformedMessageException e) {
-      // as it came
+      // the text is printed as received
     }
     spec.commandLine()
         .getErr()
@@ -105,7 +104,7 @@
     return 1;
   }
 
-  /** Takes what a controller answered; null where it cannot be read. */
+  /** Parses a reply; null if it is malformed. */
   private static JsonFields read(ClientCommand.Server.Reply reply) {
     try {
       return Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
@@ -114,9 +113,9 @@
     }
   }
 
-  /** Takes what is in one answer of several. */
+  /** Processes one of several response pages. */
   interface Page {
-    /** The path of the next page, or null. */
+    /** Processes a page and returns the path of the next one, or null. */
     String take(JsonFields answer) throws MalformedMessageException;
   }
 
@@ -149,7 +148,7 @@
     return rows;
   }
 
-  /** All records, as rows; null where that failed and was said. */
+  /** Returns all records as rows; null if that failed, after printing the error. */
   final List<Map<String, Object>> list() {
     List<Map<String, Object>> rows = new ArrayList<>();
     int status =
@@ -162,7 +161,10 @@
     return status == 0 ? rows : null;
   }
 
-  /** Lines of the trail after a revision, as rows; null where that failed and was said. */
+  /**
+   * Returns the audit entries after a revision as rows; null if that failed, after printing the
+   * error.
+   */
   final List<Map<String, Object>> trail(long since) {
     List<Map<String, Object>> rows = new ArrayList<>();
     int status =
@@ -198,10 +200,7 @@
     }
   }
 
-  /**
-   * Has a record changed; asks again by the same name of the request where it is not known what
-   * became of it.
-   */
+  /** Changes a record; retries under the same request name while the outcome is unknown. */
   final int change(String id, Request request, Map<String, Object> command) {
     String name = request.name == null ? UUID.randomUUID().toString() : request.name;
     Map<String, Object> body = Json.object("request", name, "command", command, "by", request.by);
@@ -220,7 +219,7 @@
       if (reply.status() == 503 || reply.status() == 0) {
         spec.commandLine()
             .getErr()
-            .println("it is not known whether it was done: ask again with --request " + name);
+            .println("the outcome is unknown: repeat with --request " + name);
       }
       return status;
     }
@@ -251,22 +250,22 @@
     }
   }
 
-  /** What goes with each change. */
+  /** Options of each change. */
   static final class Request {
     @Option(
         names = "--request",
         paramLabel = "NAME",
         description =
-            "the request's own name: however often it is asked for, it is one change (default: a new one each time)")
+            "name of the request; repeating a request under the same name applies it once (default: a new name)")
     private String name;
 
     @Option(
         names = "--by",
         paramLabel = "WHO",
-        description = "who asks, for the trail (default: this user)")
+        description = "author for the audit trail (default: this user)")
     private String by = System.getProperty("user.name", "");
 
-    /** Puts these in a request that is not made by {@link AgreedCommand#change}. */
+    /** Adds the options to a request that is not sent by {@link ReplicatedRecordCommand#change}. */
     void putInto(Map<String, Object> body) {
       body.put("request", name == null ? UUID.randomUUID().toString() : name);
       body.put("by", by);
@@ -275,7 +274,7 @@
     @Option(
         names = "--on-change",
         paramLabel = "N",
-        description = "only if the record's last change is this one")
+        description = "apply only if this is the record's last change")
     private long onChange = -1;
   }
 
@@ -299,13 +298,13 @@
     }
   }
 
-  /** Shows the trail. */
+  /** Shows the audit trail. */
   abstract static class Trail extends AgreedCommand {
     @Option(
         names = "--since",
         paramLabel = "REVISION",
         defaultValue = "0",
-        description = "only what came after this revision")
+        description = "only entries after this revision")
     private long since;
 
     @Override
--- a/src/main/java/org/quincecross/cli/ClassLoading.java
+++ b/src/main/java/org/quincecross/cli/ClassLoading.java
@@ -12,15 +12,15 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Loads what a controller needs, so that the class-data archive made of it spares every start the
- * reading and checking of classes: on a share of one core that is much of the time until the first
- * answer.
+ * Loads the classes that a controller needs for the class-data archive. The archive spares every
+ * start the reading and verification of classes, which on a fraction of a core takes much of the
+ * time until the first response.
  */
 final class ClassLoading {
   private static final List<String> PACKAGES =
       List.of("org/quincecross/", "com/fasterxml/jackson/core/", "org/msgpack/core/", "org/slf4j/");
 
-  /** What no serving controller needs: it must not make the archive larger. */
+  /** Packages that a serving controller does not need, which would only enlarge the archive. */
   private static final List<String> LEFT_OUT =
       List.of("org/quincecross/emulator/", "org/quincecross/quota/");
 
@@ -50,7 +50,7 @@
     try {
       Class.forName(name, false, ClassLoading.class.getClassLoader());
     } catch (ClassNotFoundException | LinkageError e) {
-      // a class for something that is not there is not needed at run time either
+      // a class whose optional dependencies are missing is not needed at run time either
     }
   }
 }
--- a/src/main/java/org/quincecross/cli/ClientCommand.java
+++ b/src/main/java/org/quincecross/cli/ClientCommand.java
@@ -18,13 +18,13 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The commands that ask a running controller. Each prints the answer; the exit status is 0 if it
- * was 200 or 201.
+ * The commands that send a request to a running controller and print the response. The exit status
+ * is 0 if the response status was 200 or 201.
  */
 final class ClientCommand {
   private static final int TIMEOUT_MS = 6000;
 
-  /** Which controller to ask. */
+  /** Option that selects the controller. */
   static final class Server {
     @Option(
         names = "--server",
@@ -36,12 +36,12 @@
     @Spec(Spec.Target.MIXEE)
     private CommandSpec spec;
 
-    /** Asks and prints the answer; the exit status. */
+    /** Sends a request and prints the response; returns the exit status. */
     int ask(String method, String path, byte[] body) {
       return print(send(method, path, body));
     }
 
-    /** An answer; {@code status} 0 where there was none, and {@code text} then says why. */
+    /** A response; if there was none, {@code status} is 0 and {@code text} has the reason. */
     record Reply(int status, String text, int retryAfterS) {
       boolean isGood() {
         return status == 200 || status == 201;
--- a/src/main/java/org/quincecross/cli/HeapWatch.java
+++ b/src/main/java/org/quincecross/cli/HeapWatch.java
@@ -7,16 +7,19 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Whether the heap is nearly full of what is in use. A controller that runs out of memory ends, and
- * so do the others, which hold the same records, and each again when it has read them anew: no new
- * job is worth that. Looked at closely, with classes that take some memory themselves, only where a
- * cheap look gives cause.
+ * Checks whether the heap is nearly full of live objects. A controller that runs out of memory
+ * ends, and so do the others, which hold the same records, and each of them again after reading the
+ * records on restart; so new jobs are rejected before that. The exact check loads classes that take
+ * memory themselves, so it runs only if a cheap check indicates a need.
  */
 final class HeapWatch implements BooleanSupplier {
-  /** Of the heap, in use or not: below this there is nothing to look at. */
+  /** Share of the heap in use, including garbage, below which the exact check is skipped. */
   private static final double LOOK_FROM = 0.7;
 
-  /** Of what long-lived objects may take, in use after the last full collection. */
+  /**
+   * Share of the old generation in use after the last full collection from which memory counts as
+   * short.
+   */
   private static final double SHORT_FROM = 0.85;
 
   private MemoryPoolMXBean longLived;
@@ -34,7 +37,7 @@
         && afterCollection.getUsed() > SHORT_FROM * afterCollection.getMax();
   }
 
-  /** The pool that objects which stay end in: of those that are collected, the largest. */
+  /** Returns the pool of the old generation: the largest pool that is collected. */
   private MemoryPoolMXBean longLived() {
     if (longLived == null) {
       for (MemoryPoolMXBean pool : ManagementFactory.getMemoryPoolMXBeans()) {
--- a/src/main/java/org/quincecross/cli/HoldCalendar.java
+++ b/src/main/java/org/quincecross/cli/HoldCalendar.java
@@ -10,8 +10,8 @@
 import org.quincecross.protocol.Json;
 
 /**
- * What the trail of holds comes to by days (UTC): which holds were or will be in force, on which
- * records, and what each kept back.
+ * Summarises the audit trail of legal holds by day (UTC): which holds were or will be in effect, on
+ * which records, and which tasks each blocked.
  */
 final class HoldCalendar {
   /** One opening of a hold. */
@@ -25,7 +25,7 @@
     private long pinnedMs = Long.MAX_VALUE;
     private long closedMs = Long.MAX_VALUE;
 
-    /** What was kept back, by when it was noted. */
+    /** The blocked tasks, by the time they were noted. */
     private final TreeMap<Long, String> kept = new TreeMap<>();
 
     private Opening(String reference, long number) {
@@ -37,7 +37,7 @@
   private final List<Opening> openings = new ArrayList<>();
 
   /**
-   * @param trail lines of the trail, earliest first
+   * @param trail audit entries, earliest first
    */
   HoldCalendar(List<Map<String, Object>> trail) {
     Map<String, Opening> byName = new TreeMap<>();
@@ -79,8 +79,8 @@
   }
 
   /**
-   * One row for each hold on each day from {@code first} to before {@code end} on which it is in
-   * force or something becomes of it.
+   * Returns one row for each hold and each day from {@code first} to before {@code end} on which it
+   * is in effect or changes.
    */
   List<Map<String, Object>> rows(LocalDate first, LocalDate end) {
     List<Map<String, Object>> rows = new ArrayList<>();
--- a/src/main/java/org/quincecross/cli/HoldCommands.java
+++ b/src/main/java/org/quincecross/cli/HoldCommands.java
@@ -50,7 +50,7 @@
       HoldCommands.Sweeps.class
     },
     description =
-        "Pins records under a magistrate's request, so that no sweep touches them until the request is closed.")
+        "Pins records under a magistrate's request, so that no sweep accesses them until the request is closed.")
 final class HoldCommands implements Runnable {
   @Spec private CommandSpec spec;
 
@@ -58,7 +58,7 @@
   public void run() {
     throw new ParameterException(
         spec.commandLine(),
-        "say which: open, close, review, show, list, kept, calendar, trail, claim, claims or sweeps");
+        "missing command: one of open, close, review, show, list, kept, calendar, trail, claim, claims and sweeps");
   }
 
   private abstract static class OfHolds extends AgreedCommand {
@@ -67,7 +67,7 @@
       return LegalHoldKind.NAME;
     }
 
-    /** Records, checked before anybody is asked. */
+    /** Parses records, before any request is sent. */
     final List<Object> records(List<String> texts) {
       List<Object> records = new ArrayList<>();
       for (String text : texts) {
@@ -81,8 +81,8 @@
     }
 
     /**
-     * A day such as 2026-12-02 (its beginning, UTC) or a time such as 2026-12-02T10:00Z, in ms; 0
-     * for none.
+     * Parses a day such as 2026-12-02 (its start, UTC) or a time such as 2026-12-02T10:00Z; returns
+     * ms, or 0 for null.
      */
     final long time(String option, String text) {
       if (text == null) {
@@ -127,7 +127,7 @@
     @Option(
         names = "--review",
         paramLabel = "TIME",
-        description = "when somebody is to look at it again; nothing ends by it")
+        description = "review date, as a reminder; the hold does not end then")
     private String review;
 
     @Mixin private Request request;
@@ -151,7 +151,7 @@
   @Command(
       name = "close",
       mixinStandardHelpOptions = true,
-      description = "Closes one opening of a hold: its records are free of it.")
+      description = "Closes one opening of a hold.")
   static final class Close extends OfHolds {
     @Parameters(paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
     private String reference;
@@ -160,7 +160,7 @@
         names = "--opening",
         required = true,
         paramLabel = "N",
-        description = "which opening, as 'hold show' tells it: no later one is closed")
+        description = "number of the opening, as shown by 'hold show'; a later opening stays open")
     private int opening;
 
     @Mixin private Request request;
@@ -174,7 +174,7 @@
   @Command(
       name = "review",
       mixinStandardHelpOptions = true,
-      description = "Sets the date at which somebody is to look at a hold again.")
+      description = "Sets the review date of a hold.")
   static final class Review extends OfHolds {
     @Parameters(paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
     private String reference;
@@ -199,8 +199,7 @@
   @Command(
       name = "show",
       mixinStandardHelpOptions = true,
-      description =
-          "Shows a hold: PINNED says that nothing which touches its records runs or can start.")
+      description = "Shows a hold. PINNED: no task that accesses its records runs or can start.")
   static final class Show extends AgreedCommand.Showing {
     @Override
     String kind() {
@@ -219,7 +218,7 @@
   @Command(
       name = "kept",
       mixinStandardHelpOptions = true,
-      description = "Lists what each hold in force keeps back now.")
+      description = "Lists the tasks that each hold in effect blocks now.")
   static final class Kept extends AgreedCommand.Listing {
     @Override
     String kind() {
@@ -230,7 +229,7 @@
   @Command(
       name = "claims",
       mixinStandardHelpOptions = true,
-      description = "Lists what was told of which tasks touch which records.")
+      description = "Lists the recorded claims: which tasks may access which records.")
   static final class Claims extends AgreedCommand.Listing {
     @Override
     String kind() {
@@ -241,7 +240,7 @@
   @Command(
       name = "calendar",
       mixinStandardHelpOptions = true,
-      description = "Shows the holds by days (UTC), with what each keeps back.")
+      description = "Shows the holds by day (UTC), with the tasks that each blocks.")
   static final class Calendar extends OfHolds {
     @Option(
         names = "--month",
@@ -279,7 +278,7 @@
   @Command(
       name = "trail",
       mixinStandardHelpOptions = true,
-      description = "Shows the trail of all holds, each line with its revision.")
+      description = "Shows the audit trail of all holds, each entry with its revision.")
   static final class TrailOf extends OfHolds {
     @Option(
         names = "--since",
@@ -320,7 +319,7 @@
       name = "claim",
       mixinStandardHelpOptions = true,
       description =
-          "Tells which records a job's tasks touch, before or after it is submitted. What was told cannot be told otherwise.")
+          "Records which records a job's tasks may access, before or after its submission. A recorded claim cannot be changed.")
   static final class Tell extends OfHolds {
     @Parameters(index = "0", paramLabel = "JOB", description = "the id of the job")
     private String job;
@@ -329,7 +328,7 @@
         index = "1",
         paramLabel = "FILE",
         description =
-            "CSV without a header: tasks such as 0-15, then the records that each of them touches")
+            "CSV without a header: tasks such as 0-15, then the records that each of them may access")
     private Path file;
 
     @Mixin private Request request;
@@ -419,24 +418,23 @@
   @Command(
       name = "sweeps",
       mixinStandardHelpOptions = true,
-      description =
-          "Lists which lanes are sweeps, or tells of one which series its jobs may touch.")
+      description = "Lists the sweep lanes, or sets which series the jobs of a lane may access.")
   static final class Sweeps extends OfHolds {
     @Parameters(
         index = "0",
         arity = "0..1",
         paramLabel = "LANE",
-        description = "the lane; none: all are listed")
+        description = "the lane; if omitted, all are listed")
     private String lane;
 
     @Parameters(
         index = "1..*",
         arity = "0..*",
         paramLabel = "SERIES",
-        description = "what its jobs may touch; '*' for any series")
+        description = "series that its jobs may access; '*' for any")
     private List<String> series;
 
-    @Option(names = "--none", description = "the lane is none of sweeps any more")
+    @Option(names = "--none", description = "the lane is no longer a sweep lane")
     private boolean none;
 
     @Mixin private Request request;
@@ -455,7 +453,7 @@
       boolean named = series != null && !series.isEmpty();
       if (named == none) {
         throw wrong(
-            "name the series that jobs of " + lane + " may touch ('*' for any), or say --none");
+            "name the series that jobs of " + lane + " may access ('*' for any), or give --none");
       }
       List<String> all = named ? series : List.of();
       records(all.stream().filter(each -> !each.equals(RecordSelector.ANY.series())).toList());
--- a/src/main/java/org/quincecross/cli/Main.java
+++ b/src/main/java/org/quincecross/cli/Main.java
@@ -5,16 +5,15 @@
 import java.util.Locale;
 import picocli.CommandLine;
 
-/** Where the program starts. */
+/** The entry point of the program. */
 public final class Main {
   private Main() {}
 
   public static void main(String[] args) {
     configureLogging(System.getenv("LOG_LEVEL"));
-    // The calls that the platform makes, and those that a trial makes. The command-line library is
-    // compiled for such an old
-    // class format that no class-data archive takes it, and loading it is half of the time that a
-    // restart takes.
+    // Serves the calls of the platform and of local trials without the command-line library. That
+    // library has an old class file format that class-data archives exclude, and loading it takes
+    // half of the time of a restart.
     int from = args.length >= 4 && args[0].equals("--with") ? 2 : 0;
     boolean ends = args.length == from + 3 && args[from + 2].equals("--end-with-input");
     if ((args.length == from + 2 || ends) && args[from].equals("--config")) {
@@ -30,20 +29,17 @@
     }
   }
 
-  /**
-   * For a controller that another process has started: it ends when that process does, however that
-   * ends.
-   */
+  /** For a controller started by another process: ends when that process ends, in whatever way. */
   private static void endWithInput() {
     Thread watcher =
         new Thread(
             () -> {
               try {
                 while (System.in.read() >= 0) {
-                  // nothing is said there
+                  // the content is ignored
                 }
               } catch (IOException e) {
-                // the same as its end
+                // equivalent to the end of the input
               }
               Runtime.getRuntime().halt(0);
             },
@@ -55,7 +51,7 @@
   /**
    * Serves until the process is killed; returns the exit status if it cannot.
    *
-   * @param with the file that switches features on, or null
+   * @param with the file that enables features, or null
    */
   static int serve(Path config, Path with) {
     try {
@@ -67,7 +63,7 @@
     }
   }
 
-  /** Has to come before the first logger is made. */
+  /** Must be called before the first logger is created. */
   private static void configureLogging(String level) {
     String known = level == null ? "info" : level.toLowerCase(Locale.ROOT);
     System.setProperty(
--- a/src/main/java/org/quincecross/cli/MeasureCommand.java
+++ b/src/main/java/org/quincecross/cli/MeasureCommand.java
@@ -17,14 +17,14 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Measures what a fleet's day costs its controllers. */
+/** Measures the cost of a simulated day of a cluster for its controllers. */
 @Command(
     name = "measure",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description =
-        "Plays a day of a whole fleet in virtual time, all of whose controllers are restarted after 150 s, and tells what it "
-            + "costs them: processor time and bytes allocated, by what they were called for.")
+        "Simulates a day of a whole cluster in virtual time, with a restart of all controllers after 150 s, and reports its "
+            + "cost to them: processor time and allocated bytes by type of event.")
 final class MeasureCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
@@ -55,7 +55,7 @@
       names = "--seed",
       paramLabel = "N",
       defaultValue = "1",
-      description = "which day (default: ${DEFAULT-VALUE})")
+      description = "seed of the day (default: ${DEFAULT-VALUE})")
   private long seed;
 
   @Option(
@@ -63,21 +63,21 @@
       paramLabel = "WHAT",
       defaultValue = "restart",
       description =
-          "restart: all controllers are restarted, and what it costs; overload: more work than can be done in time, and who "
-              + "is served; requests: what room that is kept for requests costs (default: ${DEFAULT-VALUE})")
+          "restart: cost of a restart of all controllers; overload: which jobs are served when there is more work than can be "
+              + "done in time; requests: cost of capacity reserved for requests (default: ${DEFAULT-VALUE})")
   private String day;
 
   @Option(
       names = "--days",
       paramLabel = "N",
       defaultValue = "1",
-      description = "overload: so many days, from that seed on (default: ${DEFAULT-VALUE})")
+      description = "overload: number of days, with consecutive seeds (default: ${DEFAULT-VALUE})")
   private int days;
 
   @Option(
       names = "--with",
       paramLabel = "FILE",
-      description = "switches on in all controllers what this file (JSON) names")
+      description = "enables the features in this file (JSON) on all controllers")
   private Path with;
 
   @Option(
@@ -90,7 +90,7 @@
   @Option(
       names = "--recording",
       paramLabel = "FILE",
-      description = "writes a recording of the JDK's flight recorder here")
+      description = "file for a JDK Flight Recorder recording")
   private Path recording;
 
   @Override
--- a/src/main/java/org/quincecross/cli/ModelCommands.java
+++ b/src/main/java/org/quincecross/cli/ModelCommands.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Models that are kept at zero and come back when they are wanted. */
+/** Commands on served models that scale to zero. */
 @Command(
     name = "model",
     mixinStandardHelpOptions = true,
@@ -39,10 +39,11 @@
   @Override
   public Integer call() {
     throw new ParameterException(
-        spec.commandLine(), "say what to do: define, wake, load, drain, show, list or trail");
+        spec.commandLine(),
+        "missing command: one of define, wake, load, drain, show, list and trail");
   }
 
-  /** What the commands share: they print one row of what the answer says. */
+  /** Base of the commands that print one row of the response. */
   abstract static class One extends AgreedCommand {
     private static final List<String> COLUMNS =
         List.of(
@@ -89,7 +90,7 @@
       name = "define",
       mixinStandardHelpOptions = true,
       description =
-          "Makes a service that was submitted a model, which begins at zero; or changes what was said of one.")
+          "Defines a submitted service as a model, which starts at zero; or changes the limits of a model.")
   static final class Define extends One {
     @Option(
         names = "--job",
@@ -102,13 +103,13 @@
         names = "--least",
         paramLabel = "N",
         defaultValue = "1",
-        description = "replicas while it is up (default: ${DEFAULT-VALUE})")
+        description = "minimum number of replicas while it is up (default: ${DEFAULT-VALUE})")
     private int least;
 
     @Option(
         names = "--most",
         paramLabel = "N",
-        description = "replicas at most (default: as --least)")
+        description = "maximum number of replicas (default: as --least)")
     private Integer most;
 
     @Option(
@@ -122,7 +123,7 @@
         names = "--idle-s",
         paramLabel = "SECONDS",
         defaultValue = "300",
-        description = "without a request for so long it goes to zero (default: ${DEFAULT-VALUE})")
+        description = "idle time after which it scales to zero (default: ${DEFAULT-VALUE})")
     private double idleS;
 
     @Option(
@@ -130,7 +131,7 @@
         paramLabel = "N",
         defaultValue = "0",
         description =
-            "machines that are kept for its weights while it is at zero (default: ${DEFAULT-VALUE})")
+            "machines that keep its weights cached while it is at zero (default: ${DEFAULT-VALUE})")
     private int keepWarm;
 
     @Mixin private Request request;
@@ -169,7 +170,7 @@
   @Command(
       name = "wake",
       mixinStandardHelpOptions = true,
-      description = "Has a model come up, and says when it should be ready.")
+      description = "Wakes a model, and shows when it should be ready.")
   static final class Wake extends One {
     @Override
     public Integer call() {
@@ -180,13 +181,13 @@
   @Command(
       name = "load",
       mixinStandardHelpOptions = true,
-      description = "Tells how many requests a caller has in flight; that counts for 30 s.")
+      description = "Reports a caller's requests in flight; a report is valid for 30 s.")
   static final class Load extends One {
     @Option(
         names = "--from",
         required = true,
         paramLabel = "CALLER",
-        description = "who has them: what it told before is replaced")
+        description = "the caller; replaces its previous report")
     private String from;
 
     @Option(names = "--in-flight", required = true, paramLabel = "N", description = "how many")
@@ -204,7 +205,7 @@
   @Command(
       name = "drain",
       mixinStandardHelpOptions = true,
-      description = "Has a model go to zero, whatever is in flight.")
+      description = "Scales a model to zero, regardless of requests in flight.")
   static final class Drain extends One {
     @Mixin private Request request;
 
@@ -258,7 +259,7 @@
   @Command(
       name = "trail",
       mixinStandardHelpOptions = true,
-      description = "Shows what has become of the models, step by step.")
+      description = "Shows the audit trail of the models.")
   static final class Trail extends AgreedCommand.Trail {
     @Override
     String kind() {
--- a/src/main/java/org/quincecross/cli/QuincecrossCommand.java
+++ b/src/main/java/org/quincecross/cli/QuincecrossCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line: without a subcommand, serves. */
+/** The root command; without a subcommand, it serves. */
 @Command(
     name = "quincecross",
     mixinStandardHelpOptions = true,
@@ -38,10 +38,10 @@
   @Option(
       names = "--with",
       paramLabel = "FILE",
-      description = "switches on what this file (JSON) names, such as deploy/features.json")
+      description = "enables the features in this file (JSON), such as deploy/features.json")
   private Path with;
 
-  /** For the build alone, which makes the class-data archive from what is loaded here. */
+  /** Used by the build only, which creates the class-data archive from the classes loaded here. */
   @Option(names = "--load-classes-and-exit", hidden = true)
   private boolean loadClasses;
 
--- a/src/main/java/org/quincecross/cli/RequestCommands.java
+++ b/src/main/java/org/quincecross/cli/RequestCommands.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The command for requests with a due time. */
+/** Commands on requests with a due time. */
 @Command(
     name = "request",
     mixinStandardHelpOptions = true,
@@ -36,24 +36,25 @@
       RequestCommands.TrailOf.class
     },
     description =
-        "Records requests of police, carriers and others, and keeps room for their answers until they are delivered.")
+        "Records requests of police, carriers and others, and reserves capacity until they are answered.")
 final class RequestCommands implements Runnable {
   @Spec private CommandSpec spec;
 
   @Override
   public void run() {
     throw new ParameterException(
-        spec.commandLine(), "say which: arrive, answer, withdraw, show, list, report or trail");
+        spec.commandLine(),
+        "missing command: one of arrive, answer, withdraw, show, list, report and trail");
   }
 
-  /** What the commands for requests share. */
+  /** Base of the commands on requests. */
   private abstract static class OfRequests extends AgreedCommand {
     @Override
     String kind() {
       return RequestKind.NAME;
     }
 
-    /** A time of day such as 2026-12-02T10:00Z, in ms. */
+    /** Parses a time of day such as 2026-12-02T10:00Z; returns ms. */
     final long time(String option, String text) {
       try {
         return text.equals("now")
@@ -68,7 +69,7 @@
       }
     }
 
-    /** A time of day, or a time span such as 72h or 14d after {@code from}. */
+    /** Parses a time of day, or a time span such as 72h or 14d after {@code from}. */
     final long timeOrSpan(String option, String text, long from) {
       if (!text.matches("[0-9]{1,5}[mhd]")) {
         return time(option, text);
@@ -87,9 +88,9 @@
       name = "arrive",
       mixinStandardHelpOptions = true,
       sortOptions = false,
-      description = "Records a request that has arrived, and has room reserved for it.")
+      description = "Records a request that has arrived, and reserves capacity for it.")
   static final class Arrive extends OfRequests {
-    @Parameters(paramLabel = "REFERENCE", description = "by which those who ask know it")
+    @Parameters(paramLabel = "REFERENCE", description = "the requester's reference")
     private String id;
 
     @Option(
@@ -110,21 +111,21 @@
         names = "--due",
         required = true,
         paramLabel = "TIME",
-        description = "when its answer is due, or after how long: 90m, 72h, 14d")
+        description = "when its answer is due, or the time until then: 90m, 72h, 14d")
     private String due;
 
     @Option(
         names = "--lane",
         required = true,
         paramLabel = "LANE",
-        description = "the lane whose tasks are to find room")
+        description = "the lane whose tasks need capacity")
     private String lane;
 
     @Option(
         names = "--team",
         required = true,
         paramLabel = "TEAM",
-        description = "whose limit and guarantee it counts against")
+        description = "the team whose limit and guarantee it counts against")
     private String team;
 
     @Option(
@@ -159,7 +160,7 @@
         names = "--zones",
         paramLabel = "ZONE",
         split = ",",
-        description = "where its tasks may be (default: anywhere)")
+        description = "allowed zones (default: any)")
     private List<String> zones = new ArrayList<>();
 
     @Mixin private Request request;
@@ -209,14 +210,14 @@
                   memoryGb,
                   "zones",
                   zones));
-      return status == 0 ? show(id) : status; // with it whether there is room
+      return status == 0 ? show(id) : status; // also shows whether capacity is reserved
     }
   }
 
   @Command(
       name = "answer",
       mixinStandardHelpOptions = true,
-      description = "Records that the answer was delivered, and gives its room back.")
+      description = "Records that the answer was delivered, and releases its capacity.")
   static final class Answer extends OfRequests {
     @Parameters(paramLabel = "REFERENCE", description = "the request")
     private String id;
@@ -224,7 +225,7 @@
     @Option(
         names = "--delivered",
         paramLabel = "TIME",
-        description = "when it was delivered (default: as this is recorded)")
+        description = "when it was delivered (default: now)")
     private String delivered;
 
     @Mixin private Request request;
@@ -242,12 +243,16 @@
   @Command(
       name = "withdraw",
       mixinStandardHelpOptions = true,
-      description = "Records that no answer is wanted any more, and gives its room back.")
+      description = "Records that no answer is needed any more, and releases its capacity.")
   static final class Withdraw extends OfRequests {
     @Parameters(paramLabel = "REFERENCE", description = "the request")
     private String id;
 
-    @Option(names = "--why", paramLabel = "TEXT", defaultValue = "", description = "for the trail")
+    @Option(
+        names = "--why",
+        paramLabel = "TEXT",
+        defaultValue = "",
+        description = "reason for the audit trail")
     private String why;
 
     @Mixin private Request request;
@@ -261,7 +266,7 @@
   @Command(
       name = "show",
       mixinStandardHelpOptions = true,
-      description = "Shows a request, where it has room, or why it has none.")
+      description = "Shows a request, and its reserved capacity or why it has none.")
   static final class Show extends OfRequests {
     @Parameters(paramLabel = "REFERENCE", description = "the request")
     private String id;
@@ -275,18 +280,18 @@
   @Command(
       name = "list",
       mixinStandardHelpOptions = true,
-      description = "Lists requests, the first due first.")
+      description = "Lists requests, earliest due first.")
   static final class ListAll extends OfRequests {
-    @Option(names = "--open", description = "only those that wait for an answer")
+    @Option(names = "--open", description = "only open requests")
     private boolean open;
 
-    @Option(names = "--without-room", description = "only those that wait and have no room")
+    @Option(names = "--without-room", description = "only open requests without reserved capacity")
     private boolean without;
 
     @Option(
         names = "--due",
         paramLabel = "HOW",
-        description = "only those that are soon, uncertain or late")
+        description = "only requests with this due status: soon, uncertain or late")
     private String due;
 
     @Override
@@ -316,9 +321,9 @@
       name = "report",
       mixinStandardHelpOptions = true,
       sortOptions = false,
-      description = "What became of requests, by kind and the month (UTC) in which they arrived.")
+      description = "Summarises requests by kind and month of arrival (UTC).")
   static final class Report extends OfRequests {
-    @Option(names = "--csv", description = "as CSV, whatever --output says")
+    @Option(names = "--csv", description = "as CSV, regardless of --output")
     private boolean csv;
 
     @Override
@@ -339,7 +344,7 @@
   @Command(
       name = "trail",
       mixinStandardHelpOptions = true,
-      description = "Shows what was changed, when and by whom.")
+      description = "Shows the audit trail of the requests.")
   static final class TrailOf extends AgreedCommand.Trail {
     @Override
     String kind() {
@@ -347,7 +352,7 @@
     }
   }
 
-  /** Rows that all have the same columns. */
+  /** Formats rows that all have the same columns. */
   static String csv(List<Map<String, Object>> rows) throws IOException {
     StringBuilder out = new StringBuilder();
     try (CSVPrinter printer = new CSVPrinter(out, CSVFormat.RFC4180)) {
--- a/src/main/java/org/quincecross/cli/RequestReport.java
+++ b/src/main/java/org/quincecross/cli/RequestReport.java
@@ -11,12 +11,11 @@
 import org.quincecross.protocol.Json;
 
 /**
- * What became of requests, by kind and by the month (UTC) in which they arrived. It is made where
- * it is asked for: controllers have little time, and all that goes into it is in the list of the
- * records.
+ * Summarises requests by kind and by the month (UTC) of their arrival. Computed by the client,
+ * because controllers have little processor time and the listing contains all the data.
  */
 final class RequestReport {
-  /** Ten years, in seconds; what took longer counts as that. */
+  /** Ten years in seconds, the upper limit of recorded durations. */
   private static final long MOST_S = 10L * 366 * 24 * 3600;
 
   private record Group(String kind, YearMonth month) implements Comparable<Group> {
@@ -56,9 +55,7 @@
       }
     }
 
-    /**
-     * Hours to the answer that so many of a hundred did not exceed; null where none was answered.
-     */
+    /** Returns the percentile of hours until the answer; null if none was answered. */
     private Double hours(double percentile) {
       return answeredS.getTotalCount() == 0
           ? null
@@ -69,7 +66,7 @@
   private final Map<Group, Counts> groups = new TreeMap<>();
 
   /**
-   * @param requests the rows of the list
+   * @param requests the rows of the listing
    */
   RequestReport(List<Map<String, Object>> requests) {
     for (Map<String, Object> row : requests) {
@@ -85,7 +82,7 @@
     return row.get(name) instanceof Number number ? number.longValue() : 0;
   }
 
-  /** One row for each month and kind, the first month first. */
+  /** Returns one row for each month and kind, earliest month first. */
   List<Map<String, Object>> rows() {
     List<Map<String, Object>> rows = new ArrayList<>();
     groups.forEach(
--- a/src/main/java/org/quincecross/cli/Server.java
+++ b/src/main/java/org/quincecross/cli/Server.java
@@ -20,7 +20,7 @@
 final class Server {
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
-  /** Sockets kept for what this controller calls and for the other controllers. */
+  /** Sockets reserved for outgoing calls and for the other controllers. */
   private static final int SOCKETS_KEPT = 120;
 
   private final Settings settings;
--- a/src/main/java/org/quincecross/cli/SettingsFile.java
+++ b/src/main/java/org/quincecross/cli/SettingsFile.java
@@ -8,14 +8,11 @@
 import org.quincecross.protocol.Settings;
 import org.quincecross.protocol.SettingsReader;
 
-/**
- * Reads the settings file and that of the features, with one clear line for whatever is wrong with
- * them.
- */
+/** Reads the settings file and the features file; errors are a single line. */
 final class SettingsFile {
   private SettingsFile() {}
 
-  /** Reads what a file says. */
+  /** Parses the content of a file. */
   private interface Reader<T> {
     T read(byte[] bytes) throws MalformedMessageException;
   }
@@ -24,7 +21,7 @@
     return read(file, "settings file", SettingsReader::read);
   }
 
-  /** The features that a file switches on; none without a file. */
+  /** Reads the features that a file enables; none without a file. */
   static Features features(Path file) throws IOException {
     return file == null ? Features.NONE : read(file, "features file", Features::read);
   }
--- a/src/main/java/org/quincecross/cli/Table.java
+++ b/src/main/java/org/quincecross/cli/Table.java
@@ -11,10 +11,7 @@
 import picocli.CommandLine.Help.Column;
 import picocli.CommandLine.Help.TextTable;
 
-/**
- * Rows for people: a column for each name, as wide as what is in it, up to a width at which it is
- * wrapped.
- */
+/** Formats rows as a table with a column for each name; wide columns are wrapped. */
 final class Table {
   private static final int WIDEST = 60;
   private static final int GAP = 2;
--- a/src/main/java/org/quincecross/cli/TryCommand.java
+++ b/src/main/java/org/quincecross/cli/TryCommand.java
@@ -34,7 +34,7 @@
 final class TryCommand implements Callable<Integer> {
   private static final int MOST_MACHINES = 1000;
 
-  /** A time such as 90, 90s or 5m, in seconds. */
+  /** Parses a time such as 90, 90s or 5m, in seconds. */
   static final class Seconds implements ITypeConverter<Double> {
     private static final Pattern FORM = Pattern.compile("([0-9]{1,6}(?:\\.[0-9]+)?)([sm]?)");
 
@@ -60,7 +60,7 @@
   @Option(
       names = "--jobs",
       paramLabel = "FILE",
-      description = "the jobs to submit, as TOML (default: those that are shipped)")
+      description = "the jobs to submit, as TOML (default: built-in samples)")
   private Path jobs;
 
   @Option(
@@ -75,13 +75,13 @@
   @Option(
       names = "--drill",
       paramLabel = "WHAT",
-      description = "has something fail: restart, zone, state, workers, deaf, roll, hold or model")
+      description = "injects a failure: restart, zone, state, workers, deaf, roll, hold or model")
   private String drill;
 
   @Option(
       names = "--from",
       paramLabel = "JAR",
-      description = "with --drill roll: the build that the controllers have before")
+      description = "with --drill roll: jar of the build to upgrade from")
   private File from;
 
   @Option(
@@ -106,7 +106,7 @@
   private String output;
 
   @Override
-  // Java 17 is built for, where there is no console without a terminal.
+  // The build targets Java 17, where the console is null without a terminal.
   @SuppressWarnings("SystemConsoleNull")
   public Integer call() {
     Endpoint front = Endpoint.parse(listen);
@@ -199,7 +199,7 @@
         + " --config";
   }
 
-  /** The command that the deploy file beside the jar runs, or null if there is none. */
+  /** The run command of the deploy file beside the jar, or null if there is none. */
   private static String deployedRun(Path file) throws IOException {
     if (!Files.exists(file)) {
       return null;
--- a/src/main/java/org/quincecross/http/Bytes.java
+++ b/src/main/java/org/quincecross/http/Bytes.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Small help with byte arrays. */
+/** Byte array helpers. */
 final class Bytes {
   private Bytes() {}
 
--- a/src/main/java/org/quincecross/http/HttpParser.java
+++ b/src/main/java/org/quincecross/http/HttpParser.java
@@ -6,18 +6,18 @@
 import java.util.Locale;
 
 /**
- * Reads one side of a connection, in pieces of any size. One message at a time: after {@link
- * Phase#COMPLETE} the caller takes the message and calls {@link #next()}; bytes not yet read stay
- * in the caller's buffer.
+ * Parses one direction of a connection incrementally. One message at a time: after {@link
+ * Phase#COMPLETE} the caller takes the message and calls {@link #next()}; unread bytes stay in the
+ * caller's buffer.
  */
 public final class HttpParser {
-  /** What is read: the requests of a client or the responses of a server. */
+  /** What is parsed: the requests of a client or the responses of a server. */
   public enum Role {
     REQUESTS,
     RESPONSES
   }
 
-  /** Where in a message the parser is. */
+  /** The position of the parser in a message. */
   public enum Phase {
     START_LINE,
     HEADERS,
@@ -44,7 +44,7 @@
   private Phase phase = Phase.START_LINE;
   private int headBytes;
 
-  /** The body where all of it came in one piece; else it is put together in {@link #body}. */
+  /** The body if it arrived in one piece; otherwise it is assembled in {@link #body}. */
   private byte[] whole;
 
   private ByteArrayOutputStream body;
@@ -64,7 +64,7 @@
     this.mostBody = mostBody;
   }
 
-  /** The one place where the parser changes its phase. */
+  /** The only method that changes the phase. */
   private void enter(Phase next) {
     phase = next;
   }
@@ -79,14 +79,14 @@
     return phase;
   }
 
-  /** Whether some of a message has come, but not all. */
+  /** Whether a part of a message has arrived, but not all of it. */
   public boolean isMidMessage() {
     return phase != Phase.COMPLETE
         && phase != Phase.FAILED
         && (phase != Phase.START_LINE || headBytes > 0);
   }
 
-  /** The status that tells the other side what was wrong. */
+  /** The status that tells the other side why its message was rejected. */
   public int failure() {
     return failure;
   }
@@ -103,7 +103,7 @@
     return whole != null ? whole : body == null ? NONE : body.toByteArray();
   }
 
-  /** Gets ready for the message after a complete one. */
+  /** Prepares for the message after a complete one. */
   public void next() {
     enter(Phase.START_LINE);
     line.reset();
@@ -113,8 +113,8 @@
   }
 
   /**
-   * The connection has ended: a body that runs to the end is complete, anything else in the middle
-   * has failed.
+   * Called at the end of the connection: a body delimited by it is complete, any other partial
+   * message has failed.
    */
   public Phase end() {
     if (phase == Phase.UNTIL_CLOSE) {
@@ -126,7 +126,7 @@
     return phase;
   }
 
-  /** Reads until the buffer is empty or a message is complete. */
+  /** Parses until the buffer is empty or a message is complete. */
   public Phase feed(ByteBuffer in) {
     while (phase != Phase.COMPLETE && phase != Phase.FAILED && in.hasRemaining()) {
       switch (phase) {
@@ -200,7 +200,7 @@
     switch (phase) {
       case START_LINE -> {
         if (text.isEmpty() && headBytes <= 4) {
-          return; // a stray line end between messages is allowed for
+          return; // tolerates an empty line between messages
         }
         startLine(text);
       }
@@ -269,7 +269,7 @@
     }
     String name = known(text, colon);
     if (name == null) {
-      return; // what says nothing here is not taken apart
+      return; // other headers are not parsed
     }
     String value = text.substring(colon + 1).strip().toLowerCase(Locale.ROOT);
     switch (name) {
@@ -306,7 +306,7 @@
     }
   }
 
-  /** The name of a header that means something here, or null. */
+  /** Returns the name of a supported header, or null. */
   private static String known(String text, int length) {
     for (String name : KNOWN) {
       if (name.length() == length && text.regionMatches(true, 0, name, 0, length)) {
@@ -318,7 +318,7 @@
 
   private void headDone() {
     if (chunked && length >= 0) {
-      fail(400); // two framings at once: what one reader takes for a body another takes for a
+      fail(400); // ambiguous framing: what one reader takes for a body another would take for a
       // request
     } else if (role == Role.RESPONSES && status < 200) {
       next();
--- a/src/main/java/org/quincecross/http/HttpRequest.java
+++ b/src/main/java/org/quincecross/http/HttpRequest.java
@@ -4,12 +4,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A request.
+ * An HTTP request.
  *
- * @param target the path and query as they stood in the request line
+ * @param target the path and query as in the request line
  * @param close whether the sender wants the connection closed after the response
  */
-// Nobody compares requests, and a copy of each body would cost every message.
+// Requests are never compared, and copying each body would add cost to every message.
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpRequest(String method, String target, byte[] body, boolean close) {
   private static final byte[] EMPTY = new byte[0];
@@ -31,7 +31,7 @@
     return mark < 0 ? target : target.substring(0, mark);
   }
 
-  /** The value of a query parameter, or null. */
+  /** Returns the value of a query parameter, or null. */
   public String query(String name) {
     int mark = target.indexOf('?');
     if (mark < 0) {
@@ -50,7 +50,7 @@
     return null;
   }
 
-  /** The bytes that go out on a connection to {@code host}. */
+  /** Returns the encoded request to {@code host}. */
   public byte[] encode(String host) {
     StringBuilder head = new StringBuilder(128);
     head.append(method)
--- a/src/main/java/org/quincecross/http/HttpResponse.java
+++ b/src/main/java/org/quincecross/http/HttpResponse.java
@@ -1,12 +1,12 @@
 package org.quincecross.http;
 
 /**
- * A response.
+ * An HTTP response.
  *
  * @param retryAfterS seconds for a {@code Retry-After} header, or 0 for none
- * @param close whether the connection ends with it
+ * @param close whether the connection is closed after it
  */
-// Nobody compares responses, and a copy of each body would cost every message.
+// Responses are never compared, and copying each body would add cost to every message.
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpResponse(int status, byte[] body, int retryAfterS, boolean close) {
   private static final byte[] EMPTY = new byte[0];
--- a/src/main/java/org/quincecross/http/package-info.java
+++ b/src/main/java/org/quincecross/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1: messages and the project's own parser. Knows nothing of sockets. */
+/** HTTP/1.1: messages and a parser, independent of sockets. */
 package org.quincecross.http;
--- a/src/main/java/org/quincecross/net/Connection.java
+++ b/src/main/java/org/quincecross/net/Connection.java
@@ -10,7 +10,8 @@
 import org.quincecross.model.Endpoint;
 
 /**
- * A TCP connection on the loop: what is read goes to a sink, what cannot be written yet is kept.
+ * A TCP connection on the event loop: received bytes go to a sink, and bytes that cannot be written
+ * yet are buffered.
  */
 final class Connection implements EventLoop.Waker {
   /** The states of a connection. */
@@ -21,14 +22,14 @@
     CLOSED
   }
 
-  /** What a connection is for. */
+  /** Receives the events of a connection. */
   interface Sink {
     default void connected() {}
 
-    /** Takes all of the bytes. */
+    /** Consumes all of the bytes. */
     void received(ByteBuffer bytes);
 
-    /** The connection is over; called once, unless this side closed it. */
+    /** The connection has ended; called once, unless this side closed it. */
     void closed();
   }
 
@@ -48,7 +49,7 @@
     key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
   }
 
-  /** Begins to connect; the sink hears when that has worked or failed. */
+  /** Starts connecting; the sink is notified of success or failure. */
   static Connection connect(EventLoop loop, Endpoint to, Sink sink) throws IOException {
     SocketChannel socket = SocketChannel.open();
     try {
@@ -62,7 +63,7 @@
     }
   }
 
-  /** The one place where a connection changes its state. */
+  /** The only method that changes the state. */
   private void enter(State next) {
     state = next;
   }
@@ -93,7 +94,7 @@
     return bytes;
   }
 
-  /** Closes once everything is written. */
+  /** Closes once everything has been written. */
   void closeAfterFlush() {
     if (unsent.isEmpty()) {
       close();
@@ -102,7 +103,7 @@
     }
   }
 
-  /** Closes without telling the sink. */
+  /** Closes without notifying the sink. */
   void close() {
     if (state == State.CLOSED) {
       return;
@@ -112,7 +113,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      // nothing is left to be done with it
+      // the channel is discarded in any case
     }
   }
 
--- a/src/main/java/org/quincecross/net/EventLoop.java
+++ b/src/main/java/org/quincecross/net/EventLoop.java
@@ -13,15 +13,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The selector loop that everything in the process runs on. */
+/** The selector loop that runs everything in the process. */
 public final class EventLoop implements Timers {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
-  /** Something on a socket that the loop wakes. */
+  /** Handles the events of a socket. */
   interface Waker {
     void ready(SelectionKey key) throws IOException;
 
-    /** The socket is of no use any more. */
+    /** The socket has failed. */
     void broken(IOException cause);
   }
 
@@ -99,7 +99,7 @@
     } catch (IOException e) {
       waker.broken(e);
     } catch (RuntimeException e) {
-      // One connection's trouble must not end the process for all others.
+      // A failure of one connection must not end the process.
       LOG.error("unexpected failure on a connection", e);
       waker.broken(new IOException(e));
     }
--- a/src/main/java/org/quincecross/net/FrameSender.java
+++ b/src/main/java/org/quincecross/net/FrameSender.java
@@ -6,8 +6,8 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Sends frames, each with its length before it, on a connection that is made anew when it breaks. A
- * frame that cannot go out now is dropped: what is sent this way is sent again.
+ * Sends frames, each preceded by its length, on a connection that is re-established when it breaks.
+ * A frame that cannot be sent now is dropped, because its content is sent again later.
  */
 public final class FrameSender {
   private static final TimeSpan RETRY = TimeSpan.ofMillis(400);
@@ -23,14 +23,14 @@
     this.to = to;
   }
 
-  /** Returns whether the frame went out, as far as can be known. */
+  /** Returns whether the frame was sent, as far as known. */
   public boolean send(byte[] frame) {
     if (connection == null && !waiting) {
       connect();
     }
     if (connection != null && connection.state() == Connection.State.OPEN) {
       if (connection.unsentBytes() > FrameServer.MOST_FRAME) {
-        dropConnection(); // the other side takes nothing any more
+        dropConnection(); // the receiver no longer reads
         return false;
       }
       connection.send(
@@ -40,7 +40,7 @@
     return false;
   }
 
-  /** Lets go of the connection: the next frame goes out on a new one. */
+  /** Drops the connection; the next frame uses a new one. */
   public void renew() {
     if (connection != null && connection.state() == Connection.State.OPEN) {
       dropConnection();
@@ -56,7 +56,7 @@
               new Connection.Sink() {
                 @Override
                 public void received(ByteBuffer bytes) {
-                  // nothing is said on this side of the link
+                  // the receiver sends nothing on this connection
                 }
 
                 @Override
--- a/src/main/java/org/quincecross/net/FrameServer.java
+++ b/src/main/java/org/quincecross/net/FrameServer.java
@@ -16,23 +16,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Listens for frames, each with its length before it. */
+/** Listens for frames, each preceded by its length. */
 public final class FrameServer implements EventLoop.Waker {
-  /** The longest frame that is taken; a longer one ends its connection. */
+  /** The longest accepted frame; a longer one closes its connection. */
   static final int MOST_FRAME = 1024 * 1024;
 
   private static final int MOST_CONNECTIONS = 32;
 
   /**
-   * Whoever is there says something twice a second: a connection that is quiet for longer is one
-   * that nobody has any more.
+   * Each sender transmits twice a second, so a connection that is silent for longer has been
+   * abandoned.
    */
   private static final TimeSpan IDLE = TimeSpan.ofSeconds(20);
 
   private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(5);
   private static final Logger LOG = LoggerFactory.getLogger(FrameServer.class);
 
-  /** Takes frames; false ends the connection that the frame came on. */
+  /** Handles frames; false closes the connection that the frame came on. */
   public interface Handler {
     boolean frame(byte[] frame);
   }
--- a/src/main/java/org/quincecross/net/HttpCaller.java
+++ b/src/main/java/org/quincecross/net/HttpCaller.java
@@ -5,8 +5,8 @@
 import org.quincecross.model.Endpoint;
 import org.quincecross.model.TimeSpan;
 
-/** Sends requests. Tests put a network of their own here. */
+/** Sends requests; tests provide a simulated network. */
 public interface HttpCaller {
-  /** Sends a request; {@code done} is called exactly once, never from inside this call. */
+  /** Sends a request; {@code done} is called exactly once, and never during this call. */
   void call(Endpoint to, HttpRequest request, TimeSpan timeout, Consumer<HttpOutcome> done);
 }
--- a/src/main/java/org/quincecross/net/HttpClient.java
+++ b/src/main/java/org/quincecross/net/HttpClient.java
@@ -13,16 +13,16 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
 
-/** Calls other programs, on connections that are kept and used again. */
+/** Sends HTTP requests on connections that are kept alive and reused. */
 public final class HttpClient implements HttpCaller {
-  /** The longest response that is read; a watch may bring thousands of changes at once. */
+  /** The longest response that is read; a watch may return thousands of changes at once. */
   private static final int MOST_BODY = 16 * 1024 * 1024;
 
   private static final int MOST_KEPT = 4;
   private static final TimeSpan KEEP = TimeSpan.ofSeconds(20);
   private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(5);
 
-  /** The states of a call. */
+  /** The states of a connection with regard to its current call. */
   private enum State {
     IDLE,
     WAITING,
@@ -33,8 +33,8 @@
   private final Map<Endpoint, ArrayDeque<Line>> kept = new HashMap<>();
 
   /**
-   * When calls are to be over, for one timer: nearly all of them are answered long before, and a
-   * timer each would wake the process for nothing.
+   * Deadlines of calls, served by a single timer: almost all calls are answered long before, and a
+   * timer for each would wake the process needlessly.
    */
   private final PriorityQueue<Deadline> deadlines = new PriorityQueue<>();
 
@@ -57,7 +57,7 @@
     loop.after(SWEEP_EVERY, this::sweep);
   }
 
-  /** Lets go of the connections that are kept; calls under way end as they would. */
+  /** Closes idle connections; calls in progress complete normally. */
   public void close() {
     closed = true;
     kept.values().forEach(lines -> lines.forEach(line -> line.connection.close()));
@@ -129,8 +129,8 @@
     while (!deadlines.isEmpty() && !now.isBefore(deadlines.peek().at())) {
       Deadline next = deadlines.poll();
       if (next.isOpen()) {
-        // What is silent now was silent for the connections that are kept to it, too: each would
-        // cost another wait.
+        // Other kept connections to an endpoint that did not respond are probably broken as well;
+        // each would cost another timeout.
         forget(next.line().to);
         next.line().finish(HttpOutcome.failed(next.line().sent), false);
       }
@@ -153,7 +153,7 @@
       connection = Connection.connect(loop, to, this);
     }
 
-    /** The one place where a call changes its state. */
+    /** The only method that changes the state. */
     private void enter(State next) {
       state = next;
     }
--- a/src/main/java/org/quincecross/net/HttpHandler.java
+++ b/src/main/java/org/quincecross/net/HttpHandler.java
@@ -4,8 +4,8 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 
-/** Answers requests, at once or later. */
+/** Handles requests, synchronously or asynchronously. */
 public interface HttpHandler {
-  /** {@code reply} is to be called once; calls after the first are ignored. */
+  /** {@code reply} is to be called once; later calls are ignored. */
   void handle(HttpRequest request, Consumer<HttpResponse> reply);
 }
--- a/src/main/java/org/quincecross/net/HttpServer.java
+++ b/src/main/java/org/quincecross/net/HttpServer.java
@@ -18,12 +18,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Listens for HTTP. Slow and silent clients are timed out; too many of them are shed. */
+/**
+ * Listens for HTTP requests. Slow and idle clients are timed out, and excess connections are shed.
+ */
 public final class HttpServer implements EventLoop.Waker {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
   private static final int MOST_BODY = 64 * 1024;
 
-  /** A client that has begun a request gets this long to finish it. */
+  /** Time limit for a client to complete a request. */
   private static final TimeSpan REQUEST_TIME = TimeSpan.ofSeconds(10);
 
   private static final TimeSpan IDLE_TIME = TimeSpan.ofSeconds(90);
@@ -48,7 +50,7 @@
     loop.after(SWEEP_EVERY, this::sweep);
   }
 
-  /** Listens no more and ends all connections. */
+  /** Stops listening and closes all connections. */
   public void close() {
     closed = true;
     List.copyOf(clients).forEach(Client::end);
@@ -66,7 +68,7 @@
       try {
         socket = channel.accept();
       } catch (IOException e) {
-        // Out of sockets: the listener itself is sound, and must outlive the shortage.
+        // Out of sockets: the listener itself is intact and must survive the shortage.
         LOG.error("cannot accept a connection: {}", e.getMessage());
         shedIdle();
         return;
@@ -75,8 +77,7 @@
         return;
       }
       if (clients.size() >= mostConnections && !shedIdle()) {
-        // Refused at once: held in the queue of the listening socket it would wait, and so would
-        // those behind it.
+        // Rejected at once; left in the accept queue it would wait, and so would those behind it.
         socket.close();
         continue;
       }
@@ -91,8 +92,8 @@
   }
 
   /**
-   * Ends the connection that has been idle longest, so that health checks and workers still get
-   * one; false if none is.
+   * Closes the connection that has been idle longest, so that health checks and agents still get
+   * one; false if none is idle.
    */
   private boolean shedIdle() {
     for (Client client : clients) {
@@ -182,7 +183,7 @@
       busy = false;
       since = loop.now();
       if (clients.remove(this)) {
-        clients.add(this); // the set stays in the order of last use
+        clients.add(this); // keeps the set in order of last use
       }
       connection.send(response.encode());
       if (response.close()) {
--- a/src/main/java/org/quincecross/net/InstrumentedTimers.java
+++ b/src/main/java/org/quincecross/net/InstrumentedTimers.java
@@ -3,11 +3,11 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
 
-/** Clocks and callers that do something first, whatever it is that they call back for. */
+/** Timers and callers that run an action before each of their callbacks. */
 public final class InstrumentedTimers {
   private InstrumentedTimers() {}
 
-  /** What is done at a callback. */
+  /** A callback with the action that runs before it. */
   public record Step(Runnable first, Runnable action) implements Runnable {
     @Override
     public void run() {
@@ -16,7 +16,7 @@
     }
   }
 
-  /** The same clock; {@code first} is run before each action that it was asked to run. */
+  /** Returns timers that run {@code first} before each scheduled action. */
   public static Timers timers(Timers clock, Runnable first) {
     return new Timers() {
       @Override
@@ -36,7 +36,7 @@
     };
   }
 
-  /** The same caller; {@code first} is run before each answer is taken. */
+  /** Returns a caller that runs {@code first} before each outcome is handled. */
   public static HttpCaller caller(HttpCaller caller, Runnable first) {
     return (to, request, timeout, done) ->
         caller.call(
--- a/src/main/java/org/quincecross/net/Timers.java
+++ b/src/main/java/org/quincecross/net/Timers.java
@@ -3,14 +3,14 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
 
-/** The steady clock and what can be put off by it. Tests put a clock of their own here. */
+/** The monotonic clock and the actions scheduled on it; tests provide a simulated clock. */
 public interface Timers {
   MonotonicTime now();
 
-  /** Runs {@code action} once, {@code delay} from now. */
+  /** Runs {@code action} once, after {@code delay}. */
   void after(TimeSpan delay, Runnable action);
 
-  /** Runs {@code action} again and again, {@code period} after it last returned. */
+  /** Runs {@code action} repeatedly, {@code period} after it last returned. */
   default void every(TimeSpan period, Runnable action) {
     after(
         period,
--- a/src/main/java/org/quincecross/net/TokenBucket.java
+++ b/src/main/java/org/quincecross/net/TokenBucket.java
@@ -2,7 +2,7 @@
 
 import org.quincecross.model.MonotonicTime;
 
-/** A token bucket: so many units a second, with bursts worth some seconds. */
+/** A token bucket: a rate per second with bursts up to a capacity. */
 public final class TokenBucket {
   private final double perSecond;
   private final double most;
@@ -21,10 +21,7 @@
     at = now;
   }
 
-  /**
-   * Takes {@code units} if there are so many; a larger bite than the bucket holds waits for a full
-   * bucket.
-   */
+  /** Takes {@code units} if available; a demand beyond the capacity needs a full bucket. */
   public boolean take(double units, MonotonicTime now) {
     refill(now);
     if (level < Math.min(units, most)) {
@@ -35,7 +32,7 @@
   }
 
   /**
-   * Takes {@code units} whatever is there: for what must not wait, and is paid for by what follows.
+   * Takes {@code units} even if not available, for what must not wait; later demands pay for it.
    */
   public void force(double units, MonotonicTime now) {
     refill(now);
@@ -47,7 +44,10 @@
     return level;
   }
 
-  /** After a refusal by the other side: others have used the budget, so stand back for a while. */
+  /**
+   * Called after the other side has rejected a request for its rate: others have used the budget,
+   * so the bucket is emptied for a while.
+   */
   public void drain(MonotonicTime now) {
     refill(now);
     level = Math.min(level, -0.2 * perSecond);
--- a/src/main/java/org/quincecross/net/package-info.java
+++ b/src/main/java/org/quincecross/net/package-info.java
@@ -1,4 +1,5 @@
 /**
- * One thread, one selector loop: timers, the HTTP server and client, limiters. Nothing here blocks.
+ * A single thread with one selector loop: timers, the HTTP server and client, rate limiters.
+ * Nothing here blocks.
  */
 package org.quincecross.net;
--- a/src/main/java/org/quincecross/peer/ModelStatusReport.java
+++ b/src/main/java/org/quincecross/peer/ModelStatusReport.java
@@ -15,11 +15,7 @@
 import org.quincecross.modelserving.ClusterDemand;
 
 /**
- * A controller's report on models, a section of its peer reports that is sent whole each time.
- *
- * @param since how long the controller has observed the demand
- * @param demand the demand that it has observed
- * @param running the replicas that run in its shards
+ * A controller's report on models: a section of its peer reports that is sent in full each time.
  */
 public record ModelStatusReport(
     TimeSpan since, Map<String, ClusterDemand.ModelReport> demand, Set<TaskId> running) {
--- a/src/main/java/org/quincecross/peer/PeerViews.java
+++ b/src/main/java/org/quincecross/peer/PeerViews.java
@@ -194,8 +194,8 @@
   }
 
   /**
-   * Called after a pause of this process, during which no one could be heard: others' silence means
-   * nothing.
+   * Called after a pause of this process. No report could be received during the pause, so the
+   * silence of others proves nothing.
    */
   public void excusePause(TimeSpan gap) {
     views.values().forEach(view -> view.at = view.at.plus(gap));
--- a/src/main/java/org/quincecross/state/Membership.java
+++ b/src/main/java/org/quincecross/state/Membership.java
@@ -349,9 +349,9 @@
       Map.Entry<String, String> first = cache.unreadable().entrySet().iterator().next();
       becomeIncompatible("record " + first.getKey() + " cannot be read: " + first.getValue());
     } else if (!announced.isAfter(cache.revision()) && !isOnRecord(cache)) {
-      // A delayed announcement of a former incarnation has replaced this one's record and is
-      // deleted with the former lease: this incarnation would go on, even lead, as a member that
-      // nobody knows.
+      // A delayed announcement of a former incarnation has replaced this one's record and will be
+      // deleted with the former lease. Without a new announcement this incarnation would continue,
+      // and even lead, as a member unknown to the others.
       LOG.info(
           "the record of incarnation {} of member {} was replaced: announcing again",
           incarnation,
--- a/src/main/java/org/quincecross/state/ReservedCapacity.java
+++ b/src/main/java/org/quincecross/state/ReservedCapacity.java
@@ -128,8 +128,8 @@
   }
 
   /**
-   * The running work that is not preempted for the request's lane, and the capacity beside it. Spot
-   * machines, which may be taken away at any time, offer none.
+   * The running work that is not preempted for the request's job class, and the capacity beside it.
+   * Spot machines, which may be taken away at any time, offer none.
    */
   private final class Standing {
     private final List<ReservableShard> places = new ArrayList<>();
@@ -175,7 +175,7 @@
     return count;
   }
 
-  /** The jobs in lanes that requests name, and the places of their tasks. */
+  /** The jobs of classes that requests name, and the zones of their tasks. */
   private List<RunningJob> taken() {
     Set<String> lanes = reservation.jobClasses();
     List<RunningJob> taken = new ArrayList<>();
