--- a/src/main/java/org/quincecross/cli/ClassLoading.java
+++ b/src/main/java/org/quincecross/cli/ClassLoading.java
@@ -21,7 +21,7 @@
       List.of("org/quincecross/", "com/fasterxml/jackson/core/", "org/msgpack/core/", "org/slf4j/");
 
   /** Packages that a serving controller does not need, which would only enlarge the archive. */
-  private static final List<String> LEFT_OUT =
+  private static final List<String> EXCLUDED =
       List.of("org/quincecross/emulator/", "org/quincecross/quota/");
 
   private ClassLoading() {}
@@ -34,7 +34,7 @@
         String name = entry.getName();
         if (name.endsWith(".class")
             && PACKAGES.stream().anyMatch(name::startsWith)
-            && LEFT_OUT.stream().noneMatch(name::startsWith)) {
+            && EXCLUDED.stream().noneMatch(name::startsWith)) {
           load(name.substring(0, name.length() - ".class".length()).replace('/', '.'));
         }
       }
--- a/src/main/java/org/quincecross/cli/ClientCommand.java
+++ b/src/main/java/org/quincecross/cli/ClientCommand.java
@@ -37,13 +37,13 @@
     private CommandSpec spec;
 
     /** Sends a request and prints the response; returns the exit status. */
-    int ask(String method, String path, byte[] body) {
+    int sendAndPrint(String method, String path, byte[] body) {
       return print(send(method, path, body));
     }
 
     /** A response; if there was none, {@code status} is 0 and {@code text} has the reason. */
     record Reply(int status, String text, int retryAfterS) {
-      boolean isGood() {
+      boolean isSuccess() {
         return status == 200 || status == 201;
       }
     }
@@ -53,9 +53,9 @@
         spec.commandLine().getErr().println("quincecross: " + reply.text());
         return 1;
       }
-      (reply.isGood() ? spec.commandLine().getOut() : spec.commandLine().getErr())
-          .println(reply.isGood() ? reply.text() : reply.status() + " " + reply.text());
-      return reply.isGood() ? 0 : 1;
+      (reply.isSuccess() ? spec.commandLine().getOut() : spec.commandLine().getErr())
+          .println(reply.isSuccess() ? reply.text() : reply.status() + " " + reply.text());
+      return reply.isSuccess() ? 0 : 1;
     }
 
     Reply send(String method, String path, byte[] body) {
@@ -95,7 +95,7 @@
 
     @Override
     public Integer call() throws IOException {
-      return server.ask("POST", JobCodec.JOBS_PATH, Files.readAllBytes(file));
+      return server.sendAndPrint("POST", JobCodec.JOBS_PATH, Files.readAllBytes(file));
     }
   }
 
@@ -111,7 +111,7 @@
 
     @Override
     public Integer call() {
-      return server.ask("GET", JobCodec.JOBS_PATH + "/" + job, null);
+      return server.sendAndPrint("GET", JobCodec.JOBS_PATH + "/" + job, null);
     }
   }
 
@@ -124,7 +124,7 @@
 
     @Override
     public Integer call() {
-      return server.ask(
+      return server.sendAndPrint(
           "POST", JobCodec.JOBS_PATH + "/" + job + JobCodec.CANCEL_SUFFIX, new byte[0]);
     }
   }
@@ -141,7 +141,7 @@
 
     @Override
     public Integer call() {
-      return server.ask("GET", AdminApi.ROOT + "/" + what, null);
+      return server.sendAndPrint("GET", AdminApi.ROOT + "/" + what, null);
     }
   }
 
@@ -168,7 +168,8 @@
     @Override
     public Integer call() {
       String body = "{\"version\":" + version + ",\"settings\":" + settings + "}";
-      return server.ask("PUT", AdminApi.ROOT + "/settings", body.getBytes(StandardCharsets.UTF_8));
+      return server.sendAndPrint(
+          "PUT", AdminApi.ROOT + "/settings", body.getBytes(StandardCharsets.UTF_8));
     }
   }
 }
--- a/src/main/java/org/quincecross/cli/HeapWatch.java
+++ b/src/main/java/org/quincecross/cli/HeapUsageMonitor.java
@@ -12,9 +12,9 @@
  * records on restart; so new jobs are rejected before that. The exact check loads classes that take
  * memory themselves, so it runs only if a cheap check indicates a need.
  */
-final class HeapWatch implements BooleanSupplier {
+final class HeapUsageMonitor implements BooleanSupplier {
   /** Share of the heap in use, including garbage, below which the exact check is skipped. */
-  private static final double LOOK_FROM = 0.7;
+  private static final double EXACT_CHECK_FROM = 0.7;
 
   /**
    * Share of the old generation in use after the last full collection from which memory counts as
@@ -22,32 +22,34 @@
    */
   private static final double SHORT_FROM = 0.85;
 
-  private MemoryPoolMXBean longLived;
+  private MemoryPoolMXBean oldGeneration;
 
   @Override
   public boolean getAsBoolean() {
     Runtime runtime = Runtime.getRuntime();
     double used = (double) (runtime.totalMemory() - runtime.freeMemory()) / runtime.maxMemory();
-    if (used < LOOK_FROM) {
+    if (used < EXACT_CHECK_FROM) {
       return false;
     }
-    MemoryUsage afterCollection = longLived() == null ? null : longLived().getCollectionUsage();
+    MemoryUsage afterCollection =
+        oldGeneration() == null ? null : oldGeneration().getCollectionUsage();
     return afterCollection != null
         && afterCollection.getMax() > 0
         && afterCollection.getUsed() > SHORT_FROM * afterCollection.getMax();
   }
 
   /** Returns the pool of the old generation: the largest pool that is collected. */
-  private MemoryPoolMXBean longLived() {
-    if (longLived == null) {
+  private MemoryPoolMXBean oldGeneration() {
+    if (oldGeneration == null) {
       for (MemoryPoolMXBean pool : ManagementFactory.getMemoryPoolMXBeans()) {
         if (pool.getType() == MemoryType.HEAP
             && pool.getCollectionUsage() != null
-            && (longLived == null || pool.getUsage().getMax() > longLived.getUsage().getMax())) {
-          longLived = pool;
+            && (oldGeneration == null
+                || pool.getUsage().getMax() > oldGeneration.getUsage().getMax())) {
+          oldGeneration = pool;
         }
       }
     }
-    return longLived;
+    return oldGeneration;
   }
 }
--- a/src/main/java/org/quincecross/cli/HoldCalendar.java
+++ b/src/main/java/org/quincecross/cli/HoldCalendar.java
@@ -26,7 +26,7 @@
     private long closedMs = Long.MAX_VALUE;
 
     /** The blocked tasks, by the time they were noted. */
-    private final TreeMap<Long, String> kept = new TreeMap<>();
+    private final TreeMap<Long, String> blocked = new TreeMap<>();
 
     private Opening(String reference, long number) {
       this.reference = reference;
@@ -69,9 +69,9 @@
         case "review" -> opening.reviewMs = ((Number) details.get("review_ms")).longValue();
         case "pinned" -> {
           opening.pinnedMs = Math.min(opening.pinnedMs, at);
-          opening.kept.put(at, String.valueOf(details.get("kept_back")));
+          opening.blocked.put(at, String.valueOf(details.get("kept_back")));
         }
-        case "keeps back" -> opening.kept.put(at, String.valueOf(details.get("tasks")));
+        case "keeps back" -> opening.blocked.put(at, String.valueOf(details.get("tasks")));
         case "closed" -> opening.closedMs = at;
         default -> {}
       }
@@ -87,40 +87,45 @@
     for (LocalDate day = first; day.isBefore(end); day = day.plusDays(1)) {
       long from = day.atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli();
       long to = day.plusDays(1).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli();
-      for (Opening each : openings) {
-        List<String> what = new ArrayList<>();
-        add(what, each.openedMs, from, to, "opened");
-        add(what, each.fromMs > each.openedMs ? each.fromMs : Long.MAX_VALUE, from, to, "in force");
-        add(what, each.pinnedMs, from, to, "pinned");
-        add(what, each.reviewMs, from, to, "to be reviewed");
-        add(what, each.closedMs, from, to, "closed");
-        boolean inForce = each.fromMs < to && each.closedMs >= from;
-        if (!inForce && what.isEmpty()) {
+      for (Opening opening : openings) {
+        List<String> events = new ArrayList<>();
+        add(events, opening.openedMs, from, to, "opened");
+        add(
+            events,
+            opening.fromMs > opening.openedMs ? opening.fromMs : Long.MAX_VALUE,
+            from,
+            to,
+            "in force");
+        add(events, opening.pinnedMs, from, to, "pinned");
+        add(events, opening.reviewMs, from, to, "to be reviewed");
+        add(events, opening.closedMs, from, to, "closed");
+        boolean inEffect = opening.fromMs < to && opening.closedMs >= from;
+        if (!inEffect && events.isEmpty()) {
           continue;
         }
-        Map.Entry<Long, String> kept = each.kept.lowerEntry(to);
+        Map.Entry<Long, String> blocked = opening.blocked.lowerEntry(to);
         rows.add(
             Json.object(
                 "day",
                 day.toString(),
                 "reference",
-                each.reference,
+                opening.reference,
                 "opening",
-                each.number,
+                opening.number,
                 "what",
-                what.isEmpty() ? "in force" : String.join(", ", what),
+                events.isEmpty() ? "in force" : String.join(", ", events),
                 "records",
-                each.records,
+                opening.records,
                 "keeps_back",
-                !inForce || kept == null ? "" : kept.getValue()));
+                !inEffect || blocked == null ? "" : blocked.getValue()));
       }
     }
     return rows;
   }
 
-  private static void add(List<String> what, long ms, long from, long to, String word) {
+  private static void add(List<String> events, long ms, long from, long to, String word) {
     if (ms >= from && ms < to) {
-      what.add(
+      events.add(
           word + " " + Instant.ofEpochMilli(ms).atOffset(ZoneOffset.UTC).toLocalTime().withNano(0));
     }
   }
--- a/src/main/java/org/quincecross/cli/HoldCommands.java
+++ b/src/main/java/org/quincecross/cli/HoldCommands.java
@@ -44,8 +44,8 @@
       HoldCommands.ListAll.class,
       HoldCommands.Kept.class,
       HoldCommands.Calendar.class,
-      HoldCommands.TrailOf.class,
-      HoldCommands.Tell.class,
+      HoldCommands.Trail.class,
+      HoldCommands.Claim.class,
       HoldCommands.Claims.class,
       HoldCommands.Sweeps.class
     },
@@ -61,7 +61,7 @@
         "missing command: one of open, close, review, show, list, kept, calendar, trail, claim, claims and sweeps");
   }
 
-  private abstract static class OfHolds extends AgreedCommand {
+  private abstract static class HoldCommand extends ReplicatedRecordCommand {
     @Override
     String kind() {
       return LegalHoldKind.NAME;
@@ -74,7 +74,7 @@
         try {
           records.add(RecordSelector.parse(text).toString());
         } catch (IllegalArgumentException e) {
-          throw wrong(e.getMessage());
+          throw invalidUsage(e.getMessage());
         }
       }
       return records;
@@ -93,7 +93,7 @@
             ? LocalDate.parse(text).atStartOfDay(ZoneOffset.UTC).toInstant().toEpochMilli()
             : OffsetDateTime.parse(text).toInstant().toEpochMilli();
       } catch (DateTimeException e) {
-        throw wrong(
+        throw invalidUsage(
             option
                 + ": '"
                 + text
@@ -103,7 +103,7 @@
   }
 
   @Command(name = "open", mixinStandardHelpOptions = true, description = "Opens a hold.")
-  static final class Open extends OfHolds {
+  static final class Open extends HoldCommand {
     @Parameters(
         index = "0",
         paramLabel = "REFERENCE",
@@ -130,7 +130,7 @@
         description = "review date, as a reminder; the hold does not end then")
     private String review;
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     public Integer call() {
@@ -152,7 +152,7 @@
       name = "close",
       mixinStandardHelpOptions = true,
       description = "Closes one opening of a hold.")
-  static final class Close extends OfHolds {
+  static final class Close extends HoldCommand {
     @Parameters(paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
     private String reference;
 
@@ -163,7 +163,7 @@
         description = "number of the opening, as shown by 'hold show'; a later opening stays open")
     private int opening;
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     public Integer call() {
@@ -175,7 +175,7 @@
       name = "review",
       mixinStandardHelpOptions = true,
       description = "Sets the review date of a hold.")
-  static final class Review extends OfHolds {
+  static final class Review extends HoldCommand {
     @Parameters(paramLabel = "REFERENCE", description = "the reference of the magistrate's request")
     private String reference;
 
@@ -185,7 +185,7 @@
     @Option(names = "--at", required = true, paramLabel = "TIME", description = "a day or a time")
     private String at;
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     public Integer call() {
@@ -200,7 +200,7 @@
       name = "show",
       mixinStandardHelpOptions = true,
       description = "Shows a hold. PINNED: no task that accesses its records runs or can start.")
-  static final class Show extends AgreedCommand.Showing {
+  static final class Show extends ReplicatedRecordCommand.ShowRecord {
     @Override
     String kind() {
       return LegalHoldKind.NAME;
@@ -208,7 +208,7 @@
   }
 
   @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists all holds.")
-  static final class ListAll extends AgreedCommand.Listing {
+  static final class ListAll extends ReplicatedRecordCommand.ListRecords {
     @Override
     String kind() {
       return LegalHoldKind.NAME;
@@ -219,7 +219,7 @@
       name = "kept",
       mixinStandardHelpOptions = true,
       description = "Lists the tasks that each hold in effect blocks now.")
-  static final class Kept extends AgreedCommand.Listing {
+  static final class Kept extends ReplicatedRecordCommand.ListRecords {
     @Override
     String kind() {
       return "kept";
@@ -230,7 +230,7 @@
       name = "claims",
       mixinStandardHelpOptions = true,
       description = "Lists the recorded claims: which tasks may access which records.")
-  static final class Claims extends AgreedCommand.Listing {
+  static final class Claims extends ReplicatedRecordCommand.ListRecords {
     @Override
     String kind() {
       return ClaimKind.NAME;
@@ -241,7 +241,7 @@
       name = "calendar",
       mixinStandardHelpOptions = true,
       description = "Shows the holds by day (UTC), with the tasks that each blocks.")
-  static final class Calendar extends OfHolds {
+  static final class Calendar extends HoldCommand {
     @Option(
         names = "--month",
         paramLabel = "YYYY-MM",
@@ -265,7 +265,7 @@
           end = all.plusMonths(1).atDay(1);
         }
       } catch (DateTimeException e) {
-        throw wrong(
+        throw invalidUsage(
             day != null
                 ? "--day: '" + day + "' is no day such as 2026-12-02"
                 : "--month: '" + month + "' is no month such as 2026-12");
@@ -279,7 +279,7 @@
       name = "trail",
       mixinStandardHelpOptions = true,
       description = "Shows the audit trail of all holds, each entry with its revision.")
-  static final class TrailOf extends OfHolds {
+  static final class Trail extends HoldCommand {
     @Option(
         names = "--since",
         paramLabel = "REVISION",
@@ -320,7 +320,7 @@
       mixinStandardHelpOptions = true,
       description =
           "Records which records a job's tasks may access, before or after its submission. A recorded claim cannot be changed.")
-  static final class Tell extends OfHolds {
+  static final class Claim extends HoldCommand {
     @Parameters(index = "0", paramLabel = "JOB", description = "the id of the job")
     private String job;
 
@@ -331,7 +331,7 @@
             "CSV without a header: tasks such as 0-15, then the records that each of them may access")
     private Path file;
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     String kind() {
@@ -341,7 +341,7 @@
     @Override
     public Integer call() throws IOException {
       if (JobId.parse(job) == null) {
-        throw wrong("'" + job + "' is no id of a job");
+        throw invalidUsage("'" + job + "' is no id of a job");
       }
       List<List<Object>> pages = new ArrayList<>();
       int length = 0;
@@ -363,10 +363,10 @@
                       claim.records().stream().map(RecordSelector::toString).toList()));
         }
       } catch (java.nio.file.NoSuchFileException e) {
-        throw wrong("there is no file " + file);
+        throw invalidUsage("there is no file " + file);
       }
       if (pages.isEmpty()) {
-        throw wrong(file + " has no lines");
+        throw invalidUsage(file + " has no lines");
       }
       int status = 0;
       for (int page = 0; page < pages.size() && status == 0; page++) {
@@ -382,7 +382,7 @@
     private RecordClaim claim(CSVRecord line) {
       TaskSet tasks = TaskSet.parse(line.get(0).trim(), ClaimKind.MAX_TASKS);
       if (tasks == null || tasks.isEmpty()) {
-        throw wrong(
+        throw invalidUsage(
             file
                 + " line "
                 + line.getRecordNumber()
@@ -395,15 +395,15 @@
         try {
           records.add(RecordSelector.parse(line.get(i).trim()));
         } catch (IllegalArgumentException e) {
-          throw wrong(file + " line " + line.getRecordNumber() + ": " + e.getMessage());
+          throw invalidUsage(file + " line " + line.getRecordNumber() + ": " + e.getMessage());
         }
       }
       if (records.isEmpty()) {
-        throw wrong(file + " line " + line.getRecordNumber() + " names no records");
+        throw invalidUsage(file + " line " + line.getRecordNumber() + " names no records");
       }
       RecordClaim claim = new RecordClaim(tasks, records);
       if (ClaimKind.length(claim) > ClaimKind.MAX_PAGE_LENGTH) {
-        throw wrong(
+        throw invalidUsage(
             file
                 + " line "
                 + line.getRecordNumber()
@@ -419,13 +419,13 @@
       name = "sweeps",
       mixinStandardHelpOptions = true,
       description = "Lists the sweep lanes, or sets which series the jobs of a lane may access.")
-  static final class Sweeps extends OfHolds {
+  static final class Sweeps extends HoldCommand {
     @Parameters(
         index = "0",
         arity = "0..1",
         paramLabel = "LANE",
         description = "the lane; if omitted, all are listed")
-    private String lane;
+    private String jobClass;
 
     @Parameters(
         index = "1..*",
@@ -437,7 +437,7 @@
     @Option(names = "--none", description = "the lane is no longer a sweep lane")
     private boolean none;
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     String kind() {
@@ -446,18 +446,20 @@
 
     @Override
     public Integer call() {
-      if (lane == null) {
+      if (jobClass == null) {
         List<Map<String, Object>> rows = list();
         return rows == null ? 1 : print(rows);
       }
       boolean named = series != null && !series.isEmpty();
       if (named == none) {
-        throw wrong(
-            "name the series that jobs of " + lane + " may access ('*' for any), or give --none");
+        throw invalidUsage(
+            "name the series that jobs of "
+                + jobClass
+                + " may access ('*' for any), or give --none");
       }
       List<String> all = named ? series : List.of();
       records(all.stream().filter(each -> !each.equals(RecordSelector.ANY.series())).toList());
-      return change(lane, request, Json.object("series", all));
+      return change(jobClass, request, Json.object("series", all));
     }
   }
 }
--- a/src/main/java/org/quincecross/cli/Main.java
+++ b/src/main/java/org/quincecross/cli/Main.java
@@ -15,10 +15,10 @@
     // library has an old class file format that class-data archives exclude, and loading it takes
     // half of the time of a restart.
     int from = args.length >= 4 && args[0].equals("--with") ? 2 : 0;
-    boolean ends = args.length == from + 3 && args[from + 2].equals("--end-with-input");
-    if ((args.length == from + 2 || ends) && args[from].equals("--config")) {
-      if (ends) {
-        endWithInput();
+    boolean endsWithInput = args.length == from + 3 && args[from + 2].equals("--end-with-input");
+    if ((args.length == from + 2 || endsWithInput) && args[from].equals("--config")) {
+      if (endsWithInput) {
+        haltAtEndOfInput();
       }
       System.exit(serve(Path.of(args[from + 1]), from == 0 ? null : Path.of(args[1])));
     }
@@ -30,7 +30,7 @@
   }
 
   /** For a controller started by another process: ends when that process ends, in whatever way. */
-  private static void endWithInput() {
+  private static void haltAtEndOfInput() {
     Thread watcher =
         new Thread(
             () -> {
--- a/src/main/java/org/quincecross/cli/MeasureCommand.java
+++ b/src/main/java/org/quincecross/cli/MeasureCommand.java
@@ -78,7 +78,7 @@
       names = "--with",
       paramLabel = "FILE",
       description = "enables the features in this file (JSON) on all controllers")
-  private Path with;
+  private Path featuresFile;
 
   @Option(
       names = "--output",
@@ -112,7 +112,7 @@
           spec.commandLine(), "--output: '" + output + "' is neither text nor json");
     }
     System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
-    Features features = SettingsFile.features(with);
+    Features features = SettingsFile.features(featuresFile);
     return switch (day) {
       case "restart" -> restart(new Measurement(kind, machines, seed, features));
       case "overload" -> overload(kind, features);
--- a/src/main/java/org/quincecross/cli/ModelCommands.java
+++ b/src/main/java/org/quincecross/cli/ModelCommands.java
@@ -44,7 +44,7 @@
   }
 
   /** Base of the commands that print one row of the response. */
-  abstract static class One extends AgreedCommand {
+  abstract static class SingleModelCommand extends ReplicatedRecordCommand {
     private static final List<String> COLUMNS =
         List.of(
             "model",
@@ -69,11 +69,11 @@
       return ModelKind.NAME;
     }
 
-    final int ask(String method, String what, Map<String, Object> body) {
+    final int sendAndPrint(String method, String action, Map<String, Object> body) {
       ClientCommand.Server.Reply reply =
-          send(method, ModelsApi.ROOT + "/" + checked(name) + what, body);
-      if (!reply.isGood() && reply.status() != 202) {
-        return failed(reply);
+          send(method, ModelsApi.ROOT + "/" + validId(name) + action, body);
+      if (!reply.isSuccess() && reply.status() != 202) {
+        return printError(reply);
       }
       try {
         JsonFields answer = Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
@@ -81,7 +81,7 @@
         COLUMNS.stream().filter(answer::has).forEach(column -> row.put(column, answer.raw(column)));
         return print(List.of(row));
       } catch (MalformedMessageException e) {
-        return failed(reply);
+        return printError(reply);
       }
     }
   }
@@ -91,7 +91,7 @@
       mixinStandardHelpOptions = true,
       description =
           "Defines a submitted service as a model, which starts at zero; or changes the limits of a model.")
-  static final class Define extends One {
+  static final class Define extends SingleModelCommand {
     @Option(
         names = "--job",
         required = true,
@@ -104,20 +104,20 @@
         paramLabel = "N",
         defaultValue = "1",
         description = "minimum number of replicas while it is up (default: ${DEFAULT-VALUE})")
-    private int least;
+    private int minReplicas;
 
     @Option(
         names = "--most",
         paramLabel = "N",
         description = "maximum number of replicas (default: as --least)")
-    private Integer most;
+    private Integer maxReplicas;
 
     @Option(
         names = "--per-replica",
         paramLabel = "N",
         defaultValue = "1",
         description = "requests that a replica serves at a time (default: ${DEFAULT-VALUE})")
-    private int perReplica;
+    private int requestsPerReplica;
 
     @Option(
         names = "--idle-s",
@@ -132,38 +132,38 @@
         defaultValue = "0",
         description =
             "machines that keep its weights cached while it is at zero (default: ${DEFAULT-VALUE})")
-    private int keepWarm;
+    private int cachedMachines;
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     public Integer call() {
       if (JobId.parse(job) == null) {
-        throw wrong("--job: '" + job + "' is no job id: job- and digits");
+        throw invalidUsage("--job: '" + job + "' is no job id: job- and digits");
       }
-      int highest = most == null ? least : most;
-      if (least < 1 || highest < least) {
-        throw wrong("--least is at least 1, and --most at least --least");
+      int highest = maxReplicas == null ? minReplicas : maxReplicas;
+      if (minReplicas < 1 || highest < minReplicas) {
+        throw invalidUsage("--least is at least 1, and --most at least --least");
       }
-      if (perReplica < 1 || idleS < 1 || keepWarm < 0) {
-        throw wrong("--per-replica and --idle-s are at least 1, --keep-warm at least 0");
+      if (requestsPerReplica < 1 || idleS < 1 || cachedMachines < 0) {
+        throw invalidUsage("--per-replica and --idle-s are at least 1, --keep-warm at least 0");
       }
       Map<String, Object> body =
           Json.object(
               "job",
               job,
               "least",
-              least,
+              minReplicas,
               "most",
               highest,
               "per_replica",
-              perReplica,
+              requestsPerReplica,
               "idle_s",
               idleS,
               "keep_warm",
-              keepWarm);
-      request.putInto(body);
-      return ask("POST", "", body);
+              cachedMachines);
+      request.addTo(body);
+      return sendAndPrint("POST", "", body);
     }
   }
 
@@ -171,10 +171,10 @@
       name = "wake",
       mixinStandardHelpOptions = true,
       description = "Wakes a model, and shows when it should be ready.")
-  static final class Wake extends One {
+  static final class Wake extends SingleModelCommand {
     @Override
     public Integer call() {
-      return ask("POST", "/wake", Json.object());
+      return sendAndPrint("POST", "/wake", Json.object());
     }
   }
 
@@ -182,7 +182,7 @@
       name = "load",
       mixinStandardHelpOptions = true,
       description = "Reports a caller's requests in flight; a report is valid for 30 s.")
-  static final class Load extends One {
+  static final class Load extends SingleModelCommand {
     @Option(
         names = "--from",
         required = true,
@@ -196,9 +196,9 @@
     @Override
     public Integer call() {
       if (inFlight < 0) {
-        throw wrong("--in-flight is at least 0");
+        throw invalidUsage("--in-flight is at least 0");
       }
-      return ask("POST", "/load", Json.object("from", from, "in_flight", inFlight));
+      return sendAndPrint("POST", "/load", Json.object("from", from, "in_flight", inFlight));
     }
   }
 
@@ -206,14 +206,14 @@
       name = "drain",
       mixinStandardHelpOptions = true,
       description = "Scales a model to zero, regardless of requests in flight.")
-  static final class Drain extends One {
-    @Mixin private Request request;
+  static final class Drain extends SingleModelCommand {
+    @Mixin private ChangeOptions request;
 
     @Override
     public Integer call() {
       Map<String, Object> body = Json.object();
-      request.putInto(body);
-      return ask("POST", "/drain", body);
+      request.addTo(body);
+      return sendAndPrint("POST", "/drain", body);
     }
   }
 
@@ -221,15 +221,15 @@
       name = "show",
       mixinStandardHelpOptions = true,
       description = "Shows a model, and when it should be ready.")
-  static final class Show extends One {
+  static final class Show extends SingleModelCommand {
     @Override
     public Integer call() {
-      return ask("GET", "", null);
+      return sendAndPrint("GET", "", null);
     }
   }
 
   @Command(name = "list", mixinStandardHelpOptions = true, description = "Lists the models.")
-  static final class ListAll extends AgreedCommand {
+  static final class ListAll extends ReplicatedRecordCommand {
     @Override
     String kind() {
       return ModelKind.NAME;
@@ -238,8 +238,8 @@
     @Override
     public Integer call() {
       ClientCommand.Server.Reply reply = send("GET", ModelsApi.ROOT, null);
-      if (!reply.isGood()) {
-        return failed(reply);
+      if (!reply.isSuccess()) {
+        return printError(reply);
       }
       try {
         List<Map<String, Object>> rows = new ArrayList<>();
@@ -251,7 +251,7 @@
         }
         return print(rows);
       } catch (MalformedMessageException e) {
-        return failed(reply);
+        return printError(reply);
       }
     }
   }
@@ -260,7 +260,7 @@
       name = "trail",
       mixinStandardHelpOptions = true,
       description = "Shows the audit trail of the models.")
-  static final class Trail extends AgreedCommand.Trail {
+  static final class Trail extends ReplicatedRecordCommand.ShowTrail {
     @Override
     String kind() {
       return ModelKind.NAME;
--- a/src/main/java/org/quincecross/cli/QuincecrossCommand.java
+++ b/src/main/java/org/quincecross/cli/QuincecrossCommand.java
@@ -39,7 +39,7 @@
       names = "--with",
       paramLabel = "FILE",
       description = "enables the features in this file (JSON), such as deploy/features.json")
-  private Path with;
+  private Path featuresFile;
 
   /** Used by the build only, which creates the class-data archive from the classes loaded here. */
   @Option(names = "--load-classes-and-exit", hidden = true)
@@ -54,6 +54,6 @@
     if (config == null) {
       throw new ParameterException(spec.commandLine(), "--config FILE is needed to serve");
     }
-    return Main.serve(config, with);
+    return Main.serve(config, featuresFile);
   }
 }
--- a/src/main/java/org/quincecross/cli/AgreedCommand.java
+++ b/src/main/java/org/quincecross/cli/ReplicatedRecordCommand.java
@@ -22,15 +22,15 @@
  * Base of the commands on replicated records. Each prints JSON or a table, or one line with the
  * error. The exit status is 0 on success, 1 on failure, and 2 for an invalid command line.
  */
-abstract class AgreedCommand implements Callable<Integer> {
+abstract class ReplicatedRecordCommand implements Callable<Integer> {
   /** The output formats. */
   enum Output {
     json,
     table
   }
 
-  private static final int MOST_TRIES = 4;
-  private static final int LONGEST_WAIT_S = 10;
+  private static final int MAX_TRIES = 4;
+  private static final int MAX_RETRY_WAIT_S = 10;
 
   @Mixin private ClientCommand.Server server;
 
@@ -47,17 +47,17 @@
   abstract String kind();
 
   /** Creates the exception for an invalid command line; no request has been sent then. */
-  final ParameterException wrong(String what) {
-    return new ParameterException(spec.commandLine(), what);
+  final ParameterException invalidUsage(String message) {
+    return new ParameterException(spec.commandLine(), message);
   }
 
   private String path(String rest) {
     return ReplicatedRecordsApi.ROOT + "/" + kind() + rest;
   }
 
-  final String checked(String id) {
+  final String validId(String id) {
     if (!RecordId.isName(id)) {
-      throw wrong(
+      throw invalidUsage(
           "'"
               + id
               + "' is no name of a "
@@ -87,25 +87,28 @@
   }
 
   /** Prints the error in a reply; returns the exit status. */
-  final int failed(ClientCommand.Server.Reply reply) {
-    String why = reply.text();
+  final int printError(ClientCommand.Server.Reply reply) {
+    String error = reply.text();
     try {
-      why =
+      error =
           reply.status() == 0
-              ? why
-              : Json.parseFields(why.getBytes(StandardCharsets.UTF_8)).stringOr("error", why);
+              ? error
+              : Json.parseFields(error.getBytes(StandardCharsets.UTF_8)).stringOr("error", error);
     } catch (MalformedMessageException e) {
       // the text is printed as received
     }
     spec.commandLine()
         .getErr()
         .println(
-            spec.qualifiedName() + ": " + (reply.status() == 0 ? "" : reply.status() + " ") + why);
+            spec.qualifiedName()
+                + ": "
+                + (reply.status() == 0 ? "" : reply.status() + " ")
+                + error);
     return 1;
   }
 
   /** Parses a reply; null if it is malformed. */
-  private static JsonFields read(ClientCommand.Server.Reply reply) {
+  private static JsonFields parse(ClientCommand.Server.Reply reply) {
     try {
       return Json.parseFields(reply.text().getBytes(StandardCharsets.UTF_8));
     } catch (MalformedMessageException e) {
@@ -116,19 +119,19 @@
   /** Processes one of several response pages. */
   interface Page {
     /** Processes a page and returns the path of the next one, or null. */
-    String take(JsonFields answer) throws MalformedMessageException;
+    String process(JsonFields answer) throws MalformedMessageException;
   }
 
   private int pages(String first, Page page) {
     String next = first;
     while (next != null) {
       ClientCommand.Server.Reply reply = server.send("GET", path(next), null);
-      JsonFields answer = reply.isGood() ? read(reply) : null;
+      JsonFields answer = reply.isSuccess() ? parse(reply) : null;
       if (answer == null) {
-        return failed(reply);
+        return printError(reply);
       }
       try {
-        next = page.take(answer);
+        next = page.process(answer);
       } catch (MalformedMessageException e) {
         spec.commandLine().getErr().println("quincecross: " + e.getMessage());
         return 1;
@@ -184,10 +187,10 @@
 
   /** Prints one record. */
   final int show(String id) {
-    ClientCommand.Server.Reply reply = server.send("GET", path("/" + checked(id)), null);
-    JsonFields answer = reply.isGood() ? read(reply) : null;
+    ClientCommand.Server.Reply reply = server.send("GET", path("/" + validId(id)), null);
+    JsonFields answer = reply.isSuccess() ? parse(reply) : null;
     if (answer == null) {
-      return failed(reply);
+      return printError(reply);
     }
     if (output == Output.json) {
       return server.print(reply);
@@ -201,21 +204,21 @@
   }
 
   /** Changes a record; retries under the same request name while the outcome is unknown. */
-  final int change(String id, Request request, Map<String, Object> command) {
-    String name = request.name == null ? UUID.randomUUID().toString() : request.name;
-    Map<String, Object> body = Json.object("request", name, "command", command, "by", request.by);
-    if (request.onChange >= 0) {
-      body.put("on_change", request.onChange);
+  final int change(String id, ChangeOptions options, Map<String, Object> command) {
+    String name = options.name == null ? UUID.randomUUID().toString() : options.name;
+    Map<String, Object> body = Json.object("request", name, "command", command, "by", options.by);
+    if (options.onChange >= 0) {
+      body.put("on_change", options.onChange);
     }
     ClientCommand.Server.Reply reply = null;
-    for (int tries = 0; tries < MOST_TRIES; tries++) {
-      reply = server.send("POST", path("/" + checked(id)), Json.write(body));
+    for (int tries = 0; tries < MAX_TRIES; tries++) {
+      reply = server.send("POST", path("/" + validId(id)), Json.write(body));
       if ((reply.status() != 503 && reply.status() != 0) || !pause(reply.retryAfterS())) {
         break;
       }
     }
-    if (!reply.isGood()) {
-      int status = failed(reply);
+    if (!reply.isSuccess()) {
+      int status = printError(reply);
       if (reply.status() == 503 || reply.status() == 0) {
         spec.commandLine()
             .getErr()
@@ -223,7 +226,7 @@
       }
       return status;
     }
-    JsonFields answer = read(reply);
+    JsonFields answer = parse(reply);
     if (output == Output.json || answer == null) {
       return server.print(reply);
     }
@@ -242,7 +245,7 @@
 
   private static boolean pause(int seconds) {
     try {
-      Thread.sleep(1000L * Math.min(LONGEST_WAIT_S, Math.max(1, seconds)));
+      Thread.sleep(1000L * Math.min(MAX_RETRY_WAIT_S, Math.max(1, seconds)));
       return true;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -251,7 +254,7 @@
   }
 
   /** Options of each change. */
-  static final class Request {
+  static final class ChangeOptions {
     @Option(
         names = "--request",
         paramLabel = "NAME",
@@ -266,7 +269,7 @@
     private String by = System.getProperty("user.name", "");
 
     /** Adds the options to a request that is not sent by {@link ReplicatedRecordCommand#change}. */
-    void putInto(Map<String, Object> body) {
+    void addTo(Map<String, Object> body) {
       body.put("request", name == null ? UUID.randomUUID().toString() : name);
       body.put("by", by);
     }
@@ -279,7 +282,7 @@
   }
 
   /** Lists the records of a kind. */
-  abstract static class Listing extends AgreedCommand {
+  abstract static class ListRecords extends ReplicatedRecordCommand {
     @Override
     public Integer call() {
       List<Map<String, Object>> rows = list();
@@ -288,7 +291,7 @@
   }
 
   /** Shows one record. */
-  abstract static class Showing extends AgreedCommand {
+  abstract static class ShowRecord extends ReplicatedRecordCommand {
     @Parameters(paramLabel = "ID", description = "the name of the record")
     private String id;
 
@@ -299,7 +302,7 @@
   }
 
   /** Shows the audit trail. */
-  abstract static class Trail extends AgreedCommand {
+  abstract static class ShowTrail extends ReplicatedRecordCommand {
     @Option(
         names = "--since",
         paramLabel = "REVISION",
--- a/src/main/java/org/quincecross/cli/RequestCommands.java
+++ b/src/main/java/org/quincecross/cli/RequestCommands.java
@@ -33,7 +33,7 @@
       RequestCommands.Show.class,
       RequestCommands.ListAll.class,
       RequestCommands.Report.class,
-      RequestCommands.TrailOf.class
+      RequestCommands.Trail.class
     },
     description =
         "Records requests of police, carriers and others, and reserves capacity until they are answered.")
@@ -48,7 +48,7 @@
   }
 
   /** Base of the commands on requests. */
-  private abstract static class OfRequests extends AgreedCommand {
+  private abstract static class RequestsCommand extends ReplicatedRecordCommand {
     @Override
     String kind() {
       return RequestKind.NAME;
@@ -61,7 +61,7 @@
             ? System.currentTimeMillis()
             : OffsetDateTime.parse(text).toInstant().toEpochMilli();
       } catch (DateTimeParseException e) {
-        throw wrong(
+        throw invalidUsage(
             option
                 + ": '"
                 + text
@@ -89,7 +89,7 @@
       mixinStandardHelpOptions = true,
       sortOptions = false,
       description = "Records a request that has arrived, and reserves capacity for it.")
-  static final class Arrive extends OfRequests {
+  static final class Arrive extends RequestsCommand {
     @Parameters(paramLabel = "REFERENCE", description = "the requester's reference")
     private String id;
 
@@ -98,7 +98,7 @@
         required = true,
         paramLabel = "WORD",
         description = "who asks, such as police or carrier")
-    private String who;
+    private String kind;
 
     @Option(
         names = "--arrived",
@@ -119,7 +119,7 @@
         required = true,
         paramLabel = "LANE",
         description = "the lane whose tasks need capacity")
-    private String lane;
+    private String jobClass;
 
     @Option(
         names = "--team",
@@ -163,14 +163,14 @@
         description = "allowed zones (default: any)")
     private List<String> zones = new ArrayList<>();
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     public Integer call() {
       long arrivedMs = time("--arrived", arrived);
       long dueMs = timeOrSpan("--due", due, arrivedMs);
       if (dueMs <= arrivedMs) {
-        throw wrong(
+        throw invalidUsage(
             "--due: "
                 + Instant.ofEpochMilli(dueMs)
                 + " is not after "
@@ -178,10 +178,10 @@
                 + ", when it arrived");
       }
       if (tasks < 1 || tasks > RequestKind.MAX_TASKS) {
-        throw wrong("--tasks: " + tasks + " is not from 1 to " + RequestKind.MAX_TASKS);
+        throw invalidUsage("--tasks: " + tasks + " is not from 1 to " + RequestKind.MAX_TASKS);
       }
       if (!(cpus > 0) || !(gpus >= 0) || !(memoryGb >= 0)) {
-        throw wrong("--cpus is to be above 0, --gpus and --memory-gb at least 0");
+        throw invalidUsage("--cpus is to be above 0, --gpus and --memory-gb at least 0");
       }
       int status =
           change(
@@ -191,13 +191,13 @@
                   "do",
                   "arrive",
                   "kind",
-                  who,
+                  kind,
                   "arrived_ms",
                   arrivedMs,
                   "due_ms",
                   dueMs,
                   "lane",
-                  lane,
+                  jobClass,
                   "team",
                   team,
                   "tasks",
@@ -218,7 +218,7 @@
       name = "answer",
       mixinStandardHelpOptions = true,
       description = "Records that the answer was delivered, and releases its capacity.")
-  static final class Answer extends OfRequests {
+  static final class Answer extends RequestsCommand {
     @Parameters(paramLabel = "REFERENCE", description = "the request")
     private String id;
 
@@ -228,7 +228,7 @@
         description = "when it was delivered (default: now)")
     private String delivered;
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     public Integer call() {
@@ -244,7 +244,7 @@
       name = "withdraw",
       mixinStandardHelpOptions = true,
       description = "Records that no answer is needed any more, and releases its capacity.")
-  static final class Withdraw extends OfRequests {
+  static final class Withdraw extends RequestsCommand {
     @Parameters(paramLabel = "REFERENCE", description = "the request")
     private String id;
 
@@ -255,7 +255,7 @@
         description = "reason for the audit trail")
     private String why;
 
-    @Mixin private Request request;
+    @Mixin private ChangeOptions request;
 
     @Override
     public Integer call() {
@@ -267,7 +267,7 @@
       name = "show",
       mixinStandardHelpOptions = true,
       description = "Shows a request, and its reserved capacity or why it has none.")
-  static final class Show extends OfRequests {
+  static final class Show extends RequestsCommand {
     @Parameters(paramLabel = "REFERENCE", description = "the request")
     private String id;
 
@@ -281,12 +281,12 @@
       name = "list",
       mixinStandardHelpOptions = true,
       description = "Lists requests, earliest due first.")
-  static final class ListAll extends OfRequests {
+  static final class ListAll extends RequestsCommand {
     @Option(names = "--open", description = "only open requests")
     private boolean open;
 
     @Option(names = "--without-room", description = "only open requests without reserved capacity")
-    private boolean without;
+    private boolean withoutCapacity;
 
     @Option(
         names = "--due",
@@ -297,7 +297,7 @@
     @Override
     public Integer call() {
       if (due != null && !List.of("ahead", "soon", "uncertain", "late").contains(due)) {
-        throw wrong("--due: '" + due + "' is none of ahead, soon, uncertain and late");
+        throw invalidUsage("--due: '" + due + "' is none of ahead, soon, uncertain and late");
       }
       List<Map<String, Object>> rows = list();
       if (rows == null) {
@@ -305,8 +305,9 @@
       }
       rows.removeIf(
           row ->
-              ((open || without) && !List.of("arrived", "reserved").contains(row.get("state")))
-                  || (without && !"arrived".equals(row.get("state")))
+              ((open || withoutCapacity)
+                      && !List.of("arrived", "reserved").contains(row.get("state")))
+                  || (withoutCapacity && !"arrived".equals(row.get("state")))
                   || (due != null && !due.equals(row.get("due"))));
       rows.sort(
           (one, other) ->
@@ -322,7 +323,7 @@
       mixinStandardHelpOptions = true,
       sortOptions = false,
       description = "Summarises requests by kind and month of arrival (UTC).")
-  static final class Report extends OfRequests {
+  static final class Report extends RequestsCommand {
     @Option(names = "--csv", description = "as CSV, regardless of --output")
     private boolean csv;
 
@@ -345,7 +346,7 @@
       name = "trail",
       mixinStandardHelpOptions = true,
       description = "Shows the audit trail of the requests.")
-  static final class TrailOf extends AgreedCommand.Trail {
+  static final class Trail extends ReplicatedRecordCommand.ShowTrail {
     @Override
     String kind() {
       return RequestKind.NAME;
--- a/src/main/java/org/quincecross/cli/RequestReport.java
+++ b/src/main/java/org/quincecross/cli/RequestReport.java
@@ -16,7 +16,7 @@
  */
 final class RequestReport {
   /** Ten years in seconds, the upper limit of recorded durations. */
-  private static final long MOST_S = 10L * 366 * 24 * 3600;
+  private static final long MAX_S = 10L * 366 * 24 * 3600;
 
   private record Group(String kind, YearMonth month) implements Comparable<Group> {
     @Override
@@ -32,9 +32,9 @@
     private int late;
     private int open;
     private int openLate;
-    private int without;
+    private int withoutCapacity;
     private int withdrawn;
-    private final Histogram answeredS = new Histogram(MOST_S, 3);
+    private final Histogram answeredS = new Histogram(MAX_S, 3);
 
     private void add(Map<String, Object> row) {
       arrived++;
@@ -44,13 +44,13 @@
           inTime += isLate ? 0 : 1;
           late += isLate ? 1 : 0;
           long tookS = (ms(row, "over_ms") - ms(row, "arrived_ms")) / 1000;
-          answeredS.recordValue(Math.max(0, Math.min(MOST_S, tookS)));
+          answeredS.recordValue(Math.max(0, Math.min(MAX_S, tookS)));
         }
         case "withdrawn" -> withdrawn++;
         default -> {
           open++;
           openLate += isLate ? 1 : 0;
-          without += "arrived".equals(row.get("state")) ? 1 : 0;
+          withoutCapacity += "arrived".equals(row.get("state")) ? 1 : 0;
         }
       }
     }
@@ -104,7 +104,7 @@
                     "open_late",
                     counts.openLate,
                     "without_room",
-                    counts.without,
+                    counts.withoutCapacity,
                     "withdrawn",
                     counts.withdrawn,
                     "hours_p50",
--- a/src/main/java/org/quincecross/cli/Server.java
+++ b/src/main/java/org/quincecross/cli/Server.java
@@ -21,7 +21,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
   /** Sockets reserved for outgoing calls and for the other controllers. */
-  private static final int SOCKETS_KEPT = 120;
+  private static final int RESERVED_SOCKETS = 120;
 
   private final Settings settings;
   private final Features features;
@@ -46,7 +46,7 @@
 
           @Override
           public void renew(ControllerId to) {
-            peers.get(to).renew();
+            peers.get(to).reconnect();
           }
         };
     Controller controller =
@@ -57,10 +57,13 @@
             settings,
             features,
             System::currentTimeMillis,
-            new HeapWatch());
+            new HeapUsageMonitor());
     int sockets = settings.processLimits().maxSockets();
     new HttpServer(
-        loop, settings.listenAddress(), Math.max(sockets / 2, sockets - SOCKETS_KEPT), controller);
+        loop,
+        settings.listenAddress(),
+        Math.max(sockets / 2, sockets - RESERVED_SOCKETS),
+        controller);
     new FrameServer(loop, settings.peerAddress(), controller::frame);
     controller.start();
     LOG.info(
--- a/src/main/java/org/quincecross/cli/Table.java
+++ b/src/main/java/org/quincecross/cli/Table.java
@@ -13,7 +13,7 @@
 
 /** Formats rows as a table with a column for each name; wide columns are wrapped. */
 final class Table {
-  private static final int WIDEST = 60;
+  private static final int MAX_COLUMN_WIDTH = 60;
   private static final int GAP = 2;
 
   private Table() {}
@@ -30,7 +30,7 @@
       for (Map<String, Object> row : rows) {
         width = Math.max(width, cell(row.get(name)).length());
       }
-      columns.add(new Column(Math.min(WIDEST, width) + GAP, 0, Column.Overflow.WRAP));
+      columns.add(new Column(Math.min(MAX_COLUMN_WIDTH, width) + GAP, 0, Column.Overflow.WRAP));
     }
     TextTable table =
         TextTable.forColumns(Help.defaultColorScheme(Ansi.OFF), columns.toArray(new Column[0]));
--- a/src/main/java/org/quincecross/cli/TryCommand.java
+++ b/src/main/java/org/quincecross/cli/TryCommand.java
@@ -32,7 +32,7 @@
             + "state service, the cloud, the workers and the users, and sample jobs. Ends when all jobs have ended, after --for, or "
             + "with Ctrl-C, and leaves nothing behind. Exit status 0: every job ended as it should and no rule was broken.")
 final class TryCommand implements Callable<Integer> {
-  private static final int MOST_MACHINES = 1000;
+  private static final int MAX_MACHINES = 1000;
 
   /** Parses a time such as 90, 90s or 5m, in seconds. */
   static final class Seconds implements ITypeConverter<Double> {
@@ -40,11 +40,11 @@
 
     @Override
     public Double convert(String text) {
-      Matcher form = FORM.matcher(text);
-      if (!form.matches()) {
+      Matcher match = FORM.matcher(text);
+      if (!match.matches()) {
         throw new TypeConversionException("'" + text + "' is not a time such as 90s or 5m");
       }
-      return Double.parseDouble(form.group(1)) * (form.group(2).equals("m") ? 60 : 1);
+      return Double.parseDouble(match.group(1)) * (match.group(2).equals("m") ? 60 : 1);
     }
   }
 
@@ -111,19 +111,19 @@
   public Integer call() {
     Endpoint front = Endpoint.parse(listen);
     if (front == null) {
-      throw wrong("--listen: '" + listen + "' is not an IPv4 address and a port");
+      throw invalidUsage("--listen: '" + listen + "' is not an IPv4 address and a port");
     }
     if (!front.host().startsWith("127.")) {
-      throw wrong(
+      throw invalidUsage(
           "--listen: "
               + front.host()
               + " is not a loopback address; a trial is for this machine alone");
     }
-    if (machines < 3 || machines > MOST_MACHINES) {
-      throw wrong("--machines: " + machines + " is not from 3 to " + MOST_MACHINES);
+    if (machines < 3 || machines > MAX_MACHINES) {
+      throw invalidUsage("--machines: " + machines + " is not from 3 to " + MAX_MACHINES);
     }
     if (basePort < 1024 || basePort + 200 + 2 * machines > 65_535) {
-      throw wrong(
+      throw invalidUsage(
           "--base-port: "
               + basePort
               + " leaves no room for the ports of "
@@ -131,13 +131,13 @@
               + " machines");
     }
     if (from != null && kind() != Drill.Kind.ROLL) {
-      throw wrong("--from goes with --drill roll");
+      throw invalidUsage("--from goes with --drill roll");
     }
     if (from != null && !from.isFile()) {
-      throw wrong("--from: no file " + from);
+      throw invalidUsage("--from: no file " + from);
     }
     if (!output.equals("text") && !output.equals("json")) {
-      throw wrong("--output: '" + output + "' is neither text nor json");
+      throw invalidUsage("--output: '" + output + "' is neither text nor json");
     }
     try {
       File jar =
@@ -171,8 +171,8 @@
     }
   }
 
-  private ParameterException wrong(String what) {
-    return new ParameterException(spec.commandLine(), what);
+  private ParameterException invalidUsage(String message) {
+    return new ParameterException(spec.commandLine(), message);
   }
 
   private Drill.Kind kind() {
@@ -184,7 +184,7 @@
         return kind;
       }
     }
-    throw wrong(
+    throw invalidUsage(
         "--drill: '"
             + drill
             + "' is not one of restart, zone, state, workers, deaf, roll, hold, model");
--- a/src/main/java/org/quincecross/emulator/Meter.java
+++ b/src/main/java/org/quincecross/emulator/Meter.java
@@ -55,7 +55,8 @@
       action.run();
       return;
     }
-    Runnable named = action instanceof InstrumentedTimers.Step step ? step.action() : action;
+    Runnable named =
+        action instanceof InstrumentedTimers.InstrumentedAction step ? step.action() : action;
     String name = named.getClass().getName();
     int lambda = name.indexOf("$$");
     String owner = lambda < 0 ? name : name.substring(0, lambda);
--- a/src/main/java/org/quincecross/http/HttpParser.java
+++ b/src/main/java/org/quincecross/http/HttpParser.java
@@ -31,24 +31,24 @@
     FAILED
   }
 
-  private static final int MOST_HEAD = 16 * 1024;
-  private static final String[] KNOWN = {
+  private static final int MAX_HEAD_BYTES = 16 * 1024;
+  private static final String[] SUPPORTED_HEADERS = {
     "content-length", "connection", "transfer-encoding", "retry-after"
   };
-  private static final byte[] NONE = new byte[0];
+  private static final byte[] NO_BYTES = new byte[0];
 
   private final Role role;
-  private final int mostBody;
+  private final int maxBodyBytes;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
 
   private Phase phase = Phase.START_LINE;
   private int headBytes;
 
   /** The body if it arrived in one piece; otherwise it is assembled in {@link #body}. */
-  private byte[] whole;
+  private byte[] singlePieceBody;
 
   private ByteArrayOutputStream body;
-  private long left;
+  private long remainingBytes;
   private String method;
   private String target;
   private int status;
@@ -59,19 +59,19 @@
   private int retryAfterS;
   private int failure;
 
-  public HttpParser(Role role, int mostBody) {
+  public HttpParser(Role role, int maxBodyBytes) {
     this.role = role;
-    this.mostBody = mostBody;
+    this.maxBodyBytes = maxBodyBytes;
   }
 
   /** The only method that changes the phase. */
-  private void enter(Phase next) {
+  private void setPhase(Phase next) {
     phase = next;
   }
 
   private Phase fail(int code) {
     failure = code;
-    enter(Phase.FAILED);
+    setPhase(Phase.FAILED);
     return phase;
   }
 
@@ -92,24 +92,24 @@
   }
 
   public HttpRequest request() {
-    return new HttpRequest(method, target, bytes(), close);
+    return new HttpRequest(method, target, bodyBytes(), close);
   }
 
   public HttpResponse response() {
-    return new HttpResponse(status, bytes(), retryAfterS, close);
+    return new HttpResponse(status, bodyBytes(), retryAfterS, close);
   }
 
-  private byte[] bytes() {
-    return whole != null ? whole : body == null ? NONE : body.toByteArray();
+  private byte[] bodyBytes() {
+    return singlePieceBody != null ? singlePieceBody : body == null ? NO_BYTES : body.toByteArray();
   }
 
   /** Prepares for the message after a complete one. */
   public void next() {
-    enter(Phase.START_LINE);
+    setPhase(Phase.START_LINE);
     line.reset();
     headBytes = 0;
     body = null;
-    whole = null;
+    singlePieceBody = null;
   }
 
   /**
@@ -119,7 +119,7 @@
   public Phase end() {
     if (phase == Phase.UNTIL_CLOSE) {
       close = true;
-      enter(Phase.COMPLETE);
+      setPhase(Phase.COMPLETE);
     } else if (isMidMessage()) {
       fail(400);
     }
@@ -139,15 +139,18 @@
   }
 
   private void readBody(ByteBuffer in) {
-    int n = (int) Math.min(in.remaining(), phase == Phase.UNTIL_CLOSE ? Integer.MAX_VALUE : left);
-    if (bodySize() + (long) n > mostBody) {
+    int n =
+        (int)
+            Math.min(
+                in.remaining(), phase == Phase.UNTIL_CLOSE ? Integer.MAX_VALUE : remainingBytes);
+    if (bodySize() + (long) n > maxBodyBytes) {
       fail(413);
       return;
     }
     byte[] piece = new byte[n];
     in.get(piece);
-    if (phase == Phase.BODY && body == null && n == left) {
-      whole = piece;
+    if (phase == Phase.BODY && body == null && n == remainingBytes) {
+      singlePieceBody = piece;
     } else {
       body = body == null ? new ByteArrayOutputStream(Math.max(n, 512)) : body;
       body.write(piece, 0, n);
@@ -155,9 +158,9 @@
     if (phase == Phase.UNTIL_CLOSE) {
       return;
     }
-    left -= n;
-    if (left == 0) {
-      enter(phase == Phase.BODY ? Phase.COMPLETE : Phase.CHUNK_END);
+    remainingBytes -= n;
+    if (remainingBytes == 0) {
+      setPhase(phase == Phase.BODY ? Phase.COMPLETE : Phase.CHUNK_END);
     }
   }
 
@@ -168,7 +171,7 @@
   private void readLine(ByteBuffer in) {
     int from = in.position();
     int at = from;
-    int last = Math.min(in.limit(), from + MOST_HEAD - headBytes);
+    int last = Math.min(in.limit(), from + MAX_HEAD_BYTES - headBytes);
     while (at < last && in.get(at) != '\n') {
       at++;
     }
@@ -215,14 +218,14 @@
       case CHUNK_END -> {
         if (text.isEmpty()) {
           headBytes = 0;
-          enter(Phase.CHUNK_SIZE);
+          setPhase(Phase.CHUNK_SIZE);
         } else {
           fail(400);
         }
       }
       case TRAILERS -> {
         if (text.isEmpty()) {
-          enter(Phase.COMPLETE);
+          setPhase(Phase.COMPLETE);
         }
       }
       default -> throw new IllegalStateException(phase.toString());
@@ -258,7 +261,7 @@
     }
     oldVersion = version.equals("HTTP/1.0");
     close = oldVersion;
-    enter(Phase.HEADERS);
+    setPhase(Phase.HEADERS);
   }
 
   private void header(String text) {
@@ -267,7 +270,7 @@
       fail(400);
       return;
     }
-    String name = known(text, colon);
+    String name = supportedHeader(text, colon);
     if (name == null) {
       return; // other headers are not parsed
     }
@@ -307,8 +310,8 @@
   }
 
   /** Returns the name of a supported header, or null. */
-  private static String known(String text, int length) {
-    for (String name : KNOWN) {
+  private static String supportedHeader(String text, int length) {
+    for (String name : SUPPORTED_HEADERS) {
       if (name.length() == length && text.regionMatches(true, 0, name, 0, length)) {
         return name;
       }
@@ -324,16 +327,16 @@
       next();
     } else if (chunked) {
       headBytes = 0;
-      enter(Phase.CHUNK_SIZE);
-    } else if (length > mostBody) {
+      setPhase(Phase.CHUNK_SIZE);
+    } else if (length > maxBodyBytes) {
       fail(413);
     } else if (length > 0) {
-      left = length;
-      enter(Phase.BODY);
+      remainingBytes = length;
+      setPhase(Phase.BODY);
     } else if (length == 0 || role == Role.REQUESTS || status == 204 || status == 304) {
-      enter(Phase.COMPLETE);
+      setPhase(Phase.COMPLETE);
     } else {
-      enter(Phase.UNTIL_CLOSE);
+      setPhase(Phase.UNTIL_CLOSE);
     }
   }
 
@@ -346,11 +349,11 @@
       fail(400);
       return;
     }
-    left = Long.parseLong(digits, 16);
-    if (bodySize() + left > mostBody) {
+    remainingBytes = Long.parseLong(digits, 16);
+    if (bodySize() + remainingBytes > maxBodyBytes) {
       fail(413);
     } else {
-      enter(left == 0 ? Phase.TRAILERS : Phase.CHUNK_DATA);
+      setPhase(remainingBytes == 0 ? Phase.TRAILERS : Phase.CHUNK_DATA);
     }
   }
 
--- a/src/main/java/org/quincecross/net/Connection.java
+++ b/src/main/java/org/quincecross/net/Connection.java
@@ -13,7 +13,7 @@
  * A TCP connection on the event loop: received bytes go to a sink, and bytes that cannot be written
  * yet are buffered.
  */
-final class Connection implements EventLoop.Waker {
+final class Connection implements EventLoop.SocketHandler {
   /** The states of a connection. */
   enum State {
     CONNECTING,
@@ -45,7 +45,7 @@
       throws IOException {
     this.channel = channel;
     this.sink = sink;
-    enter(connected ? State.OPEN : State.CONNECTING);
+    setState(connected ? State.OPEN : State.CONNECTING);
     key = loop.register(channel, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** The only method that changes the state. */
-  private void enter(State next) {
+  private void setState(State next) {
     state = next;
   }
 
@@ -81,7 +81,7 @@
       try {
         flush();
       } catch (IOException e) {
-        broken(e);
+        failed(e);
       }
     }
   }
@@ -99,7 +99,7 @@
     if (unsent.isEmpty()) {
       close();
     } else if (state == State.OPEN) {
-      enter(State.FLUSHING);
+      setState(State.FLUSHING);
     }
   }
 
@@ -108,7 +108,7 @@
     if (state == State.CLOSED) {
       return;
     }
-    enter(State.CLOSED);
+    setState(State.CLOSED);
     unsent.clear();
     try {
       channel.close();
@@ -118,7 +118,7 @@
   }
 
   @Override
-  public void broken(IOException cause) {
+  public void failed(IOException cause) {
     if (state != State.CLOSED) {
       close();
       sink.closed();
@@ -128,7 +128,7 @@
   @Override
   public void ready(SelectionKey ready) throws IOException {
     if (ready.isConnectable() && channel.finishConnect()) {
-      enter(State.OPEN);
+      setState(State.OPEN);
       key.interestOps(SelectionKey.OP_READ);
       sink.connected();
       flush();
@@ -145,7 +145,7 @@
     SCRATCH.clear();
     int n = channel.read(SCRATCH);
     if (n < 0) {
-      broken(new IOException("end of stream"));
+      failed(new IOException("end of stream"));
     } else if (n > 0) {
       SCRATCH.flip();
       byte[] copy = new byte[n];
--- a/src/main/java/org/quincecross/net/EventLoop.java
+++ b/src/main/java/org/quincecross/net/EventLoop.java
@@ -18,23 +18,24 @@
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
   /** Handles the events of a socket. */
-  interface Waker {
+  interface SocketHandler {
     void ready(SelectionKey key) throws IOException;
 
     /** The socket has failed. */
-    void broken(IOException cause);
+    void failed(IOException cause);
   }
 
-  private record Due(MonotonicTime at, long order, Runnable action) implements Comparable<Due> {
+  private record ScheduledAction(MonotonicTime at, long order, Runnable action)
+      implements Comparable<ScheduledAction> {
     @Override
-    public int compareTo(Due other) {
+    public int compareTo(ScheduledAction other) {
       int byTime = at.compareTo(other.at);
       return byTime != 0 ? byTime : Long.compare(order, other.order);
     }
   }
 
   private final Selector selector;
-  private final PriorityQueue<Due> timers = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledAction> timers = new PriorityQueue<>();
   private long order;
   private volatile boolean stopped;
 
@@ -53,7 +54,7 @@
 
   @Override
   public void after(TimeSpan delay, Runnable action) {
-    timers.add(new Due(now().plus(delay), order++, action));
+    timers.add(new ScheduledAction(now().plus(delay), order++, action));
   }
 
   public void stop() {
@@ -61,7 +62,8 @@
     selector.wakeup();
   }
 
-  SelectionKey register(SelectableChannel channel, int interest, Waker waker) throws IOException {
+  SelectionKey register(SelectableChannel channel, int interest, SocketHandler waker)
+      throws IOException {
     channel.configureBlocking(false);
     return channel.register(selector, interest, waker);
   }
@@ -70,7 +72,7 @@
   public void run() throws IOException {
     while (!stopped) {
       runTimers();
-      Due first = timers.peek();
+      ScheduledAction first = timers.peek();
       if (first == null) {
         selector.select();
       } else {
@@ -84,24 +86,24 @@
       List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
       selector.selectedKeys().clear();
       for (SelectionKey key : ready) {
-        wake(key);
+        dispatch(key);
       }
     }
     selector.close();
   }
 
-  private void wake(SelectionKey key) {
-    Waker waker = (Waker) key.attachment();
+  private void dispatch(SelectionKey key) {
+    SocketHandler waker = (SocketHandler) key.attachment();
     try {
       if (key.isValid()) {
         waker.ready(key);
       }
     } catch (IOException e) {
-      waker.broken(e);
+      waker.failed(e);
     } catch (RuntimeException e) {
       // A failure of one connection must not end the process.
       LOG.error("unexpected failure on a connection", e);
-      waker.broken(new IOException(e));
+      waker.failed(new IOException(e));
     }
   }
 
--- a/src/main/java/org/quincecross/net/FrameSender.java
+++ b/src/main/java/org/quincecross/net/FrameSender.java
@@ -16,7 +16,7 @@
   private final EventLoop loop;
   private final Endpoint to;
   private Connection connection;
-  private boolean waiting;
+  private boolean waitingToRetry;
 
   public FrameSender(EventLoop loop, Endpoint to) {
     this.loop = loop;
@@ -25,11 +25,11 @@
 
   /** Returns whether the frame was sent, as far as known. */
   public boolean send(byte[] frame) {
-    if (connection == null && !waiting) {
+    if (connection == null && !waitingToRetry) {
       connect();
     }
     if (connection != null && connection.state() == Connection.State.OPEN) {
-      if (connection.unsentBytes() > FrameServer.MOST_FRAME) {
+      if (connection.unsentBytes() > FrameServer.MAX_FRAME_BYTES) {
         dropConnection(); // the receiver no longer reads
         return false;
       }
@@ -41,7 +41,7 @@
   }
 
   /** Drops the connection; the next frame uses a new one. */
-  public void renew() {
+  public void reconnect() {
     if (connection != null && connection.state() == Connection.State.OPEN) {
       dropConnection();
     }
@@ -49,7 +49,7 @@
 
   private void connect() {
     try {
-      Connection made =
+      Connection attempt =
           Connection.connect(
               loop,
               to,
@@ -64,11 +64,11 @@
                   dropConnection();
                 }
               });
-      connection = made;
+      connection = attempt;
       loop.after(
           CONNECT_TIMEOUT,
           () -> {
-            if (connection == made && made.state() == Connection.State.CONNECTING) {
+            if (connection == attempt && attempt.state() == Connection.State.CONNECTING) {
               dropConnection();
             }
           });
@@ -82,7 +82,7 @@
       connection.close();
       connection = null;
     }
-    waiting = true;
-    loop.after(RETRY, () -> waiting = false);
+    waitingToRetry = true;
+    loop.after(RETRY, () -> waitingToRetry = false);
   }
 }
--- a/src/main/java/org/quincecross/net/FrameServer.java
+++ b/src/main/java/org/quincecross/net/FrameServer.java
@@ -17,19 +17,19 @@
 import org.slf4j.LoggerFactory;
 
 /** Listens for frames, each preceded by its length. */
-public final class FrameServer implements EventLoop.Waker {
+public final class FrameServer implements EventLoop.SocketHandler {
   /** The longest accepted frame; a longer one closes its connection. */
-  static final int MOST_FRAME = 1024 * 1024;
+  static final int MAX_FRAME_BYTES = 1024 * 1024;
 
-  private static final int MOST_CONNECTIONS = 32;
+  private static final int MAX_CONNECTIONS = 32;
 
   /**
    * Each sender transmits twice a second, so a connection that is silent for longer has been
    * abandoned.
    */
-  private static final TimeSpan IDLE = TimeSpan.ofSeconds(20);
+  private static final TimeSpan IDLE_TIMEOUT = TimeSpan.ofSeconds(20);
 
-  private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(5);
+  private static final TimeSpan SWEEP_INTERVAL = TimeSpan.ofSeconds(5);
   private static final Logger LOG = LoggerFactory.getLogger(FrameServer.class);
 
   /** Handles frames; false closes the connection that the frame came on. */
@@ -49,14 +49,14 @@
     channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     channel.bind(new InetSocketAddress(listen.host(), listen.port()));
     loop.register(channel, SelectionKey.OP_ACCEPT, this);
-    loop.every(SWEEP_EVERY, this::sweep);
+    loop.every(SWEEP_INTERVAL, this::sweep);
   }
 
   private void sweep() {
     MonotonicTime now = loop.now();
     for (Receiver receiver : List.copyOf(receivers)) {
-      if (now.since(receiver.heard).isLongerThan(IDLE)) {
-        receiver.end("quiet");
+      if (now.since(receiver.lastReceived).isLongerThan(IDLE_TIMEOUT)) {
+        receiver.closeWith("quiet");
       }
     }
   }
@@ -67,7 +67,7 @@
     if (socket == null) {
       return;
     }
-    if (receivers.size() >= MOST_CONNECTIONS) {
+    if (receivers.size() >= MAX_CONNECTIONS) {
       socket.close();
       return;
     }
@@ -75,14 +75,14 @@
   }
 
   @Override
-  public void broken(IOException cause) {
+  public void failed(IOException cause) {
     LOG.error("error on the peer socket: {}", cause.getMessage());
   }
 
   private final class Receiver implements Connection.Sink {
     private final Connection connection;
-    private ByteBuffer rest = ByteBuffer.allocate(0);
-    private MonotonicTime heard = loop.now();
+    private ByteBuffer buffered = ByteBuffer.allocate(0);
+    private MonotonicTime lastReceived = loop.now();
 
     Receiver(SocketChannel socket) throws IOException {
       connection = new Connection(loop, socket, this, true);
@@ -90,13 +90,16 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-      heard = loop.now();
+      lastReceived = loop.now();
       ByteBuffer joined =
-          ByteBuffer.allocate(rest.remaining() + bytes.remaining()).put(rest).put(bytes).flip();
+          ByteBuffer.allocate(buffered.remaining() + bytes.remaining())
+              .put(buffered)
+              .put(bytes)
+              .flip();
       while (joined.remaining() >= 4) {
         int length = joined.getInt(joined.position());
-        if (length < 0 || length > MOST_FRAME) {
-          end("frame of " + length + " bytes");
+        if (length < 0 || length > MAX_FRAME_BYTES) {
+          closeWith("frame of " + length + " bytes");
           return;
         }
         if (joined.remaining() < 4 + length) {
@@ -106,14 +109,14 @@
         joined.position(joined.position() + 4);
         joined.get(frame);
         if (!handler.frame(frame)) {
-          end("unreadable frame");
+          closeWith("unreadable frame");
           return;
         }
       }
-      rest = joined;
+      buffered = joined;
     }
 
-    private void end(String why) {
+    private void closeWith(String why) {
       LOG.info("peer connection closed: {}", why);
       connection.close();
       closed();
--- a/src/main/java/org/quincecross/net/HttpClient.java
+++ b/src/main/java/org/quincecross/net/HttpClient.java
@@ -16,11 +16,11 @@
 /** Sends HTTP requests on connections that are kept alive and reused. */
 public final class HttpClient implements HttpCaller {
   /** The longest response that is read; a watch may return thousands of changes at once. */
-  private static final int MOST_BODY = 16 * 1024 * 1024;
+  private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
 
-  private static final int MOST_KEPT = 4;
-  private static final TimeSpan KEEP = TimeSpan.ofSeconds(20);
-  private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(5);
+  private static final int MAX_IDLE_PER_ENDPOINT = 4;
+  private static final TimeSpan IDLE_TIMEOUT = TimeSpan.ofSeconds(20);
+  private static final TimeSpan SWEEP_INTERVAL = TimeSpan.ofSeconds(5);
 
   /** The states of a connection with regard to its current call. */
   private enum State {
@@ -30,7 +30,7 @@
   }
 
   private final EventLoop loop;
-  private final Map<Endpoint, ArrayDeque<Line>> kept = new HashMap<>();
+  private final Map<Endpoint, ArrayDeque<ClientConnection>> idleConnections = new HashMap<>();
 
   /**
    * Deadlines of calls, served by a single timer: almost all calls are answered long before, and a
@@ -41,9 +41,10 @@
   private MonotonicTime armedFor;
   private boolean closed;
 
-  private record Deadline(MonotonicTime at, Line line, long call) implements Comparable<Deadline> {
+  private record Deadline(MonotonicTime at, ClientConnection connection, long call)
+      implements Comparable<Deadline> {
     boolean isOpen() {
-      return line.state == State.WAITING && line.call == call;
+      return connection.state == State.WAITING && connection.call == call;
     }
 
     @Override
@@ -54,59 +55,60 @@
 
   public HttpClient(EventLoop loop) {
     this.loop = loop;
-    loop.after(SWEEP_EVERY, this::sweep);
+    loop.after(SWEEP_INTERVAL, this::sweep);
   }
 
   /** Closes idle connections; calls in progress complete normally. */
   public void close() {
     closed = true;
-    kept.values().forEach(lines -> lines.forEach(line -> line.connection.close()));
-    kept.clear();
+    idleConnections.values().forEach(idle -> idle.forEach(line -> line.connection.close()));
+    idleConnections.clear();
   }
 
   @Override
   public void call(Endpoint to, HttpRequest request, TimeSpan timeout, Consumer<HttpOutcome> done) {
-    Line line = null;
-    ArrayDeque<Line> lines = kept.get(to);
-    if (lines != null) {
-      line = lines.pollLast();
+    ClientConnection connection = null;
+    ArrayDeque<ClientConnection> idle = idleConnections.get(to);
+    if (idle != null) {
+      connection = idle.pollLast();
     }
     try {
-      if (line == null) {
-        line = new Line(to);
+      if (connection == null) {
+        connection = new ClientConnection(to);
       }
     } catch (IOException | RuntimeException e) {
       loop.after(TimeSpan.ofMillis(1), () -> done.accept(HttpOutcome.failed(false)));
       return;
     }
-    line.start(request, timeout, done);
+    connection.start(request, timeout, done);
   }
 
   private void sweep() {
     if (closed) {
       return;
     }
-    loop.after(SWEEP_EVERY, this::sweep);
+    loop.after(SWEEP_INTERVAL, this::sweep);
     MonotonicTime now = loop.now();
-    kept.values()
+    idleConnections
+        .values()
         .removeIf(
-            lines -> {
-              while (!lines.isEmpty()
-                  && now.since(lines.peekFirst().idleSince).isLongerThan(KEEP)) {
-                lines.pollFirst().connection.close();
+            idle -> {
+              while (!idle.isEmpty()
+                  && now.since(idle.peekFirst().idleSince).isLongerThan(IDLE_TIMEOUT)) {
+                idle.pollFirst().connection.close();
               }
-              return lines.isEmpty();
+              return idle.isEmpty();
             });
   }
 
-  private void forget(Endpoint to) {
-    ArrayDeque<Line> lines = kept.remove(to);
-    if (lines != null) {
-      lines.forEach(line -> line.connection.close());
+  private void dropIdle(Endpoint to) {
+    ArrayDeque<ClientConnection> idle = idleConnections.remove(to);
+    if (idle != null) {
+      idle.forEach(line -> line.connection.close());
     }
   }
 
-  private void arm() {
+  private void armTimer() {
     while (!deadlines.isEmpty() && !deadlines.peek().isOpen()) {
       deadlines.poll();
     }
@@ -118,70 +120,71 @@
           () -> {
             if (at.equals(armedFor)) {
               armedFor = null;
-              expire();
+              expireCalls();
             }
           });
     }
   }
 
-  private void expire() {
+  private void expireCalls() {
     MonotonicTime now = loop.now();
     while (!deadlines.isEmpty() && !now.isBefore(deadlines.peek().at())) {
       Deadline next = deadlines.poll();
       if (next.isOpen()) {
         // Other kept connections to an endpoint that did not respond are probably broken as well;
         // each would cost another timeout.
-        forget(next.line().to);
-        next.line().finish(HttpOutcome.failed(next.line().sent), false);
+        dropIdle(next.connection().to);
+        next.connection().finish(HttpOutcome.failed(next.connection().sent), false);
       }
     }
-    arm();
+    armTimer();
   }
 
-  private final class Line implements Connection.Sink {
+  private final class ClientConnection implements Connection.Sink {
     private final Endpoint to;
     private final Connection connection;
-    private final HttpParser parser = new HttpParser(HttpParser.Role.RESPONSES, MOST_BODY);
+    private final HttpParser parser = new HttpParser(HttpParser.Role.RESPONSES, MAX_BODY_BYTES);
     private State state = State.IDLE;
     private Consumer<HttpOutcome> done;
     private boolean sent;
     private long call;
     private MonotonicTime idleSince;
 
-    Line(Endpoint to) throws IOException {
+    ClientConnection(Endpoint to) throws IOException {
       this.to = to;
       connection = Connection.connect(loop, to, this);
     }
 
     /** The only method that changes the state. */
-    private void enter(State next) {
+    private void setState(State next) {
       state = next;
     }
 
     void start(HttpRequest request, TimeSpan timeout, Consumer<HttpOutcome> whenDone) {
-      enter(State.WAITING);
+      setState(State.WAITING);
       done = whenDone;
       sent = connection.state() == Connection.State.OPEN;
-      long mine = ++call;
+      long callNumber = ++call;
       connection.send(request.encode(to.toString()));
-      deadlines.add(new Deadline(loop.now().plus(timeout), this, mine));
-      arm();
+      deadlines.add(new Deadline(loop.now().plus(timeout), this, callNumber));
+      armTimer();
     }
 
     private void finish(HttpOutcome outcome, boolean keep) {
       Consumer<HttpOutcome> whenDone = done;
       done = null;
       if (keep && !closed) {
-        enter(State.IDLE);
+        setState(State.IDLE);
         parser.next();
         idleSince = loop.now();
-        ArrayDeque<Line> lines = kept.computeIfAbsent(to, e -> new ArrayDeque<>());
-        lines.add(this);
-        if (lines.size() > MOST_KEPT) {
-          lines.pollFirst().connection.close();
+        ArrayDeque<ClientConnection> idle =
+            idleConnections.computeIfAbsent(to, e -> new ArrayDeque<>());
+        idle.add(this);
+        if (idle.size() > MAX_IDLE_PER_ENDPOINT) {
+          idle.pollFirst().connection.close();
         }
       } else {
-        enter(State.OVER);
+        setState(State.OVER);
         connection.close();
       }
       whenDone.accept(outcome);
@@ -221,11 +224,11 @@
     }
 
     private void drop() {
-      enter(State.OVER);
+      setState(State.OVER);
       connection.close();
-      ArrayDeque<Line> lines = kept.get(to);
-      if (lines != null) {
-        lines.remove(this);
+      ArrayDeque<ClientConnection> idle = idleConnections.get(to);
+      if (idle != null) {
+        idle.remove(this);
       }
     }
   }
--- a/src/main/java/org/quincecross/net/HttpServer.java
+++ b/src/main/java/org/quincecross/net/HttpServer.java
@@ -21,39 +21,39 @@
 /**
  * Listens for HTTP requests. Slow and idle clients are timed out, and excess connections are shed.
  */
-public final class HttpServer implements EventLoop.Waker {
+public final class HttpServer implements EventLoop.SocketHandler {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
-  private static final int MOST_BODY = 64 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** Time limit for a client to complete a request. */
-  private static final TimeSpan REQUEST_TIME = TimeSpan.ofSeconds(10);
+  private static final TimeSpan REQUEST_TIMEOUT = TimeSpan.ofSeconds(10);
 
-  private static final TimeSpan IDLE_TIME = TimeSpan.ofSeconds(90);
-  private static final TimeSpan SWEEP_EVERY = TimeSpan.ofSeconds(2);
+  private static final TimeSpan IDLE_TIMEOUT = TimeSpan.ofSeconds(90);
+  private static final TimeSpan SWEEP_INTERVAL = TimeSpan.ofSeconds(2);
 
   private final EventLoop loop;
   private final HttpHandler handler;
-  private final int mostConnections;
+  private final int maxConnections;
   private final ServerSocketChannel channel;
   private final Set<Client> clients = new LinkedHashSet<>();
   private boolean closed;
 
-  public HttpServer(EventLoop loop, Endpoint listen, int mostConnections, HttpHandler handler)
+  public HttpServer(EventLoop loop, Endpoint listen, int maxConnections, HttpHandler handler)
       throws IOException {
     this.loop = loop;
     this.handler = handler;
-    this.mostConnections = mostConnections;
+    this.maxConnections = maxConnections;
     channel = ServerSocketChannel.open();
     channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     channel.bind(new InetSocketAddress(listen.host(), listen.port()), 512);
     loop.register(channel, SelectionKey.OP_ACCEPT, this);
-    loop.after(SWEEP_EVERY, this::sweep);
+    loop.after(SWEEP_INTERVAL, this::sweep);
   }
 
   /** Stops listening and closes all connections. */
   public void close() {
     closed = true;
-    List.copyOf(clients).forEach(Client::end);
+    List.copyOf(clients).forEach(Client::disconnect);
     try {
       channel.close();
     } catch (IOException e) {
@@ -76,7 +76,7 @@
       if (socket == null) {
         return;
       }
-      if (clients.size() >= mostConnections && !shedIdle()) {
+      if (clients.size() >= maxConnections && !shedIdle()) {
         // Rejected at once; left in the accept queue it would wait, and so would those behind it.
         socket.close();
         continue;
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void broken(IOException cause) {
+  public void failed(IOException cause) {
     LOG.error("error on the listening socket: {}", cause.getMessage());
   }
 
@@ -98,7 +98,7 @@
   private boolean shedIdle() {
     for (Client client : clients) {
       if (!client.busy) {
-        client.end();
+        client.disconnect();
         return true;
       }
     }
@@ -109,21 +109,21 @@
     if (closed) {
       return;
     }
-    loop.after(SWEEP_EVERY, this::sweep);
+    loop.after(SWEEP_INTERVAL, this::sweep);
     MonotonicTime now = loop.now();
     for (Client client : List.copyOf(clients)) {
-      TimeSpan quiet = now.since(client.since);
+      TimeSpan idle = now.since(client.since);
       if (!client.busy
-          && quiet.isLongerThan(client.parser.isMidMessage() ? REQUEST_TIME : IDLE_TIME)) {
-        client.end();
+          && idle.isLongerThan(client.parser.isMidMessage() ? REQUEST_TIMEOUT : IDLE_TIMEOUT)) {
+        client.disconnect();
       }
     }
   }
 
   private final class Client implements Connection.Sink {
     private final Connection connection;
-    private final HttpParser parser = new HttpParser(HttpParser.Role.REQUESTS, MOST_BODY);
-    private ByteBuffer rest = ByteBuffer.allocate(0);
+    private final HttpParser parser = new HttpParser(HttpParser.Role.REQUESTS, MAX_BODY_BYTES);
+    private ByteBuffer buffered = ByteBuffer.allocate(0);
     private boolean busy;
     private MonotonicTime since = loop.now();
 
@@ -131,33 +131,33 @@
       connection = new Connection(loop, socket, this, true);
     }
 
-    void end() {
+    void disconnect() {
       connection.close();
       clients.remove(this);
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-      if (rest.hasRemaining()) {
-        ByteBuffer joined = ByteBuffer.allocate(rest.remaining() + bytes.remaining());
-        joined.put(rest).put(bytes).flip();
-        rest = joined;
+      if (buffered.hasRemaining()) {
+        ByteBuffer joined = ByteBuffer.allocate(buffered.remaining() + bytes.remaining());
+        joined.put(buffered).put(bytes).flip();
+        buffered = joined;
       } else {
-        rest = bytes;
+        buffered = bytes;
       }
-      if (busy && rest.remaining() > 2 * MOST_BODY) {
-        end();
+      if (busy && buffered.remaining() > 2 * MAX_BODY_BYTES) {
+        disconnect();
         return;
       }
       proceed();
     }
 
     private void proceed() {
-      while (!busy && connection.state() == Connection.State.OPEN && rest.hasRemaining()) {
+      while (!busy && connection.state() == Connection.State.OPEN && buffered.hasRemaining()) {
         if (!parser.isMidMessage()) {
           since = loop.now();
         }
-        HttpParser.Phase phase = parser.feed(rest);
+        HttpParser.Phase phase = parser.feed(buffered);
         if (phase == HttpParser.Phase.FAILED) {
           connection.send(HttpResponse.of(parser.failure()).closing().encode());
           connection.closeAfterFlush();
--- a/src/main/java/org/quincecross/net/InstrumentedTimers.java
+++ b/src/main/java/org/quincecross/net/InstrumentedTimers.java
@@ -8,7 +8,7 @@
   private InstrumentedTimers() {}
 
   /** A callback with the action that runs before it. */
-  public record Step(Runnable first, Runnable action) implements Runnable {
+  public record InstrumentedAction(Runnable first, Runnable action) implements Runnable {
     @Override
     public void run() {
       first.run();
@@ -26,12 +26,12 @@
 
       @Override
       public void after(TimeSpan delay, Runnable action) {
-        clock.after(delay, new Step(first, action));
+        clock.after(delay, new InstrumentedAction(first, action));
       }
 
       @Override
       public void every(TimeSpan period, Runnable action) {
-        clock.every(period, new Step(first, action));
+        clock.every(period, new InstrumentedAction(first, action));
       }
     };
   }
--- a/src/main/java/org/quincecross/net/TokenBucket.java
+++ b/src/main/java/org/quincecross/net/TokenBucket.java
@@ -5,26 +5,26 @@
 /** A token bucket: a rate per second with bursts up to a capacity. */
 public final class TokenBucket {
   private final double perSecond;
-  private final double most;
+  private final double capacity;
   private double level;
-  private MonotonicTime at;
+  private MonotonicTime refilledAt;
 
   public TokenBucket(double perSecond, double burst, MonotonicTime now) {
     this.perSecond = perSecond;
-    this.most = Math.max(1, burst);
-    this.level = most;
-    this.at = now;
+    this.capacity = Math.max(1, burst);
+    this.level = capacity;
+    this.refilledAt = now;
   }
 
   private void refill(MonotonicTime now) {
-    level = Math.min(most, level + now.since(at).seconds() * perSecond);
-    at = now;
+    level = Math.min(capacity, level + now.since(refilledAt).seconds() * perSecond);
+    refilledAt = now;
   }
 
   /** Takes {@code units} if available; a demand beyond the capacity needs a full bucket. */
   public boolean take(double units, MonotonicTime now) {
     refill(now);
-    if (level < Math.min(units, most)) {
+    if (level < Math.min(units, capacity)) {
       return false;
     }
     level -= units;
