--- a/src/main/java/org/quincecross/emulator/AgentSimulator.java
+++ b/src/main/java/org/quincecross/emulator/AgentSimulator.java
@@ -21,23 +21,26 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * A stand-in for a worker, as its protocol describes it: sessions, tokens, leases, commands, what
- * becomes of tasks.
+ * A simulated worker agent that follows the worker protocol: sessions, fencing tokens, leases,
+ * commands and task states.
  */
 final class AgentSimulator implements Network.Host {
   private static final double NO_ANSWER_S = 4;
   private static final double FAILS_AFTER_S = 0.3;
   private static final double MISTAKE_AFTER_S =
-      0.001; // a job with a mistake fails as soon as it runs
+      0.001; // a misconfigured job fails as soon as it runs
   private static final double LEAST_BETWEEN_REPORTS_S = 0.5;
 
-  /** A lease that runs out is noticed so much later at the most. */
+  /** The longest time that an expired lease goes unnoticed. */
   private static final double LEASE_LOOK_S = 0.05;
 
-  /** A rest of less than the clock's step would be waited for without the time moving on. */
+  /** A shorter delay would be rescheduled forever without the clock advancing. */
   private static final double CLOCK_STEP_S = 1e-9;
 
-  /** A start: the worker tells attempts of a task apart and keeps each until it is cleared. */
+  /**
+   * One attempt to run a task. The worker tells attempts apart and keeps each one until it is
+   * cleared.
+   */
   private record Key(TaskId task, long attempt) {}
 
   private static final class Task {
@@ -94,8 +97,8 @@
   }
 
   /**
-   * When the last report was sent that a controller has answered which it obeys; negative before
-   * the first.
+   * When the last report was sent that a controller with an accepted token has answered; negative
+   * before the first.
    */
   double answeredFrom() {
     return answeredFrom;
@@ -113,8 +116,8 @@
   }
 
   /**
-   * It ends and is back after so many seconds, with nothing on it; as a new worker: its counts and
-   * its token begin anew.
+   * Stops the worker and starts it again after {@code seconds}, without tasks. It comes back as a
+   * new worker: its counters and its fencing token start over.
    */
   void restart(double seconds) {
     if (!life.isAlive()) {
@@ -143,7 +146,7 @@
         });
   }
 
-  /** The cloud gives notice that it takes the machine back. */
+  /** The cloud announces that it will terminate the machine. */
   void notice(double seconds) {
     takenAt = clock.seconds() + seconds;
     beatLater(0.5);
@@ -180,7 +183,9 @@
     return life;
   }
 
-  /** When the next report is due: they come a quarter earlier or later. */
+  /**
+   * The delay until the next report: the configured interval with a jitter of a quarter either way.
+   */
   private double reportS() {
     return around.site().workers().heartbeatInterval().seconds()
         * (0.75 + 0.5 * around.random().nextDouble());
@@ -194,7 +199,7 @@
         seconds,
         () -> {
           if (begun != life) {
-            return; // put off by a worker that has ended since
+            return; // scheduled by a worker process that has ended since
           }
           if (life.isAlive() && clock.seconds() < hangsUntil) {
             after(Math.max(hangsUntil - clock.seconds(), CLOCK_STEP_S), action);
@@ -204,14 +209,14 @@
         });
   }
 
-  /** Nothing happens here for a while; then the machine goes on, if its lease lets it. */
+  /** Suspends the worker for a while. It resumes afterwards, if its lease permits. */
   void hang(double seconds) {
     hangsUntil = clock.seconds() + seconds;
   }
 
   /**
-   * What is sent here does not arrive for a while, answers to reports among it; what this machine
-   * sends does.
+   * Drops everything sent to this worker for a while, including answers to its reports. What the
+   * worker sends still arrives.
    */
   void deafen(double seconds) {
     deafUntil = clock.seconds() + seconds;
@@ -221,7 +226,7 @@
     return clock.seconds() < deafUntil;
   }
 
-  /** Whether it is up and well, and stays. */
+  /** Whether the worker is up, works correctly, and is not about to be terminated. */
   boolean takesWork() {
     return life.isAlive()
         && Double.isNaN(takenAt)
@@ -241,7 +246,7 @@
       beatLater(LEAST_BETWEEN_REPORTS_S);
       held = 0;
     }
-    // Also of a machine that hangs: it may go on within its lease, not after it.
+    // Also checked for a machine that hangs: it may resume within its lease, but not after it.
     ProcessScope begun = life;
     clock.after(
         Math.max(LEASE_LOOK_S, (lease - held) / traits.clock()),
@@ -277,7 +282,7 @@
             request,
             TimeSpan.ofSeconds(NO_ANSWER_S),
             outcome -> {
-              // An answer that does not arrive is missed only when its time is up.
+              // A lost answer is noticed only when the request times out.
               boolean lost = isDeaf() && outcome.response() != null;
               after(
                   lost ? sentAt + NO_ANSWER_S - clock.seconds() : 0,
@@ -368,7 +373,7 @@
   @Override
   public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
     if (isDeaf()) {
-      return; // whoever asked waits until its time is up
+      return; // the caller waits until its request times out
     }
     if (clock.seconds() < hangsUntil) {
       after(
@@ -502,7 +507,7 @@
 
   // ---- gangs ----
 
-  /** Whether a task of a gang waits here for the others of its attempt. */
+  /** Whether a gang task waits here for the other tasks of its attempt. */
   boolean gathers(TaskId id, long attempt) {
     Task task = tasks.get(new Key(id, attempt));
     return task != null && task.state.equals("gathering");
@@ -523,7 +528,9 @@
     return traits.speed();
   }
 
-  /** All tasks of the attempt have their images: they start together, and run for so long. */
+  /**
+   * All tasks of the attempt have their images: they start together and run for {@code seconds}.
+   */
   void gangStarts(Job job, TaskId id, long attempt, double seconds) {
     Key key = new Key(id, attempt);
     Task task = tasks.get(key);
@@ -532,7 +539,7 @@
     }
   }
 
-  /** Another task of the gang is gone: this one notices after a while. */
+  /** Another task of the gang is gone; this one notices after the gang peer timeout. */
   void gangLost(TaskId id, long attempt) {
     Key key = new Key(id, attempt);
     Task task = tasks.get(key);
@@ -581,7 +588,7 @@
     }
   }
 
-  /** The task, if it is here with this attempt, is done. */
+  /** Completes the task, if this attempt of it is on this machine. */
   void complete(TaskId id, long attempt) {
     Key key = new Key(id, attempt);
     Task task = tasks.get(key);
--- a/src/main/java/org/quincecross/emulator/Balancer.java
+++ b/src/main/java/org/quincecross/emulator/Balancer.java
@@ -11,10 +11,11 @@
 import org.quincecross.protocol.JobCodec;
 
 /**
- * The users' load balancer as the protocol has it: a new connection goes to the healthy controller
- * with the fewest open ones; two failed probes in a row, or three of six, make a controller
- * unhealthy, and 5 s later its connections are reset; two good ones make it healthy again, not
- * before a pause that doubles with each removal within two minutes.
+ * Simulates the users' load balancer as the protocol describes it. A new connection goes to the
+ * healthy controller with the fewest open connections. Two failed probes in a row, or three of the
+ * last six, make a controller unhealthy, and its connections are reset 5 s later. Two successful
+ * probes make it healthy again, but not before a pause that doubles with each removal within two
+ * minutes.
  */
 final class Balancer {
   private static final double PROBE_S = 1;
@@ -25,7 +26,7 @@
   private static final double RAISED_OVER_S = 10;
   private static final int PROBES = 6;
 
-  /** The states of a controller with the balancer. */
+  /** The load balancer's view of a controller. */
   private enum State {
     NEW,
     HEALTHY,
@@ -143,8 +144,8 @@
   }
 
   /**
-   * A request of a user, over the connection that it has or a new one. A reset one is as good as no
-   * answer.
+   * Sends a user's request over the existing connection, or a new one. A reset connection counts as
+   * no answer.
    */
   void call(Object user, HttpRequest request, double timeoutS, Consumer<HttpOutcome> done) {
     Connection kept = connections.get(user);
@@ -183,6 +184,6 @@
         .clock()
         .after(
             timeoutS + 0.01,
-            () -> once.accept(HttpOutcome.failed(true))); // its connection was reset
+            () -> once.accept(HttpOutcome.failed(true))); // the connection was reset
   }
 }
--- a/src/main/java/org/quincecross/emulator/CloudSimulator.java
+++ b/src/main/java/org/quincecross/emulator/CloudSimulator.java
@@ -21,15 +21,15 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * A stand-in for the cloud, as its protocol describes it; on odd sites some machines are slow,
- * sick, late or never up.
+ * Simulates the cloud provider as its protocol describes it. In a deployment with unreliable
+ * machines some are slow, faulty, late or never up.
  */
 final class CloudSimulator implements Network.Host {
   private static final int MOST_AT_ONCE = 50;
   private static final int MOST_LISTED = 500;
   private static final double LIST_EVERY_S = 1;
 
-  /** A machine that is rented: {@code worker} is null until it is up. */
+  /** A rented machine; {@code worker} is null until the machine is up. */
   private static final class Rented {
     private final Machine machine;
     private final ClusterSpec.Pool pool;
@@ -78,7 +78,7 @@
     return new MonotonicTime((long) (around.clock().seconds() * 1e9));
   }
 
-  /** What the list will say once its delay is over. */
+  /** Takes a snapshot of the machines, which the list shows after its configured lag. */
   private void refreshList() {
     List<Listed> list = new ArrayList<>();
     for (Rented each : rented.values()) {
@@ -161,7 +161,7 @@
         speed, random.nextInt(20) == 0, 1 + 0.0005 * (2 * random.nextDouble() - 1));
   }
 
-  /** Takes a machine back, after {@code noticeS} seconds' notice if that is more than 0. */
+  /** Terminates a machine, after {@code noticeS} seconds' notice if that is positive. */
   void take(MachineId id, double noticeS) {
     Rented place = rented.get(id);
     if (place == null) {
@@ -180,7 +180,7 @@
     }
   }
 
-  /** For a while machines that are rented are up within so many seconds. */
+  /** For {@code seconds}, rented machines boot within {@code mostS}. */
   void bootWithin(double mostS, double seconds) {
     longestBootS = mostS;
     bootsQuicklyUntil = around.clock().seconds() + seconds;
@@ -264,8 +264,8 @@
   }
 
   /**
-   * The machines rented, those of the same request if it is a repeated one; null where there is
-   * none to be had.
+   * The machines rented, or those of the first request if this one repeats it; null if none are
+   * available.
    */
   private List<Object> rent(JsonFields in) throws MalformedMessageException {
     String type = in.string("Hull");
--- a/src/main/java/org/quincecross/emulator/ClusterSpec.java
+++ b/src/main/java/org/quincecross/emulator/ClusterSpec.java
@@ -15,12 +15,12 @@
 import org.quincecross.protocol.Settings;
 
 /**
- * A deployment: what surrounds the controllers, and what they are told of it.
+ * A simulated deployment: the environment of the controllers, and what their settings say about it.
  *
  * @param nodeZones the zone of each controller
- * @param mostMachines that the cloud has in all
- * @param restart after which a crashed controller is started again
- * @param odd whether some rented machines are slow, sick, late or never up
+ * @param maxMachines the capacity of the cloud, in machines
+ * @param restart the delay before a crashed controller is started again
+ * @param unreliableMachines whether some rented machines are slow, faulty, late or never up
  */
 record ClusterSpec(
     List<String> nodeZones,
@@ -39,16 +39,17 @@
     List<JobClass> classes) {
 
   /**
-   * Machines of one type, zone and kind: so many are up at the start, and so many the cloud has.
+   * A pool of machines of one type, zone and price kind: {@code initial} are up at the start, and
+   * the cloud has {@code maxMachines}.
    */
   record Pool(String type, String zone, boolean spot, int initial, int most) {}
 
   /**
-   * Jobs of one kind.
+   * A class of jobs in the workload.
    *
-   * @param initial submitted at once when the day begins
-   * @param perMinute submitted in each minute after that
-   * @param meanTasks of a job; sizes are spread around it
+   * @param initial the number of jobs submitted at the start
+   * @param perMinute the number of jobs submitted per minute after that
+   * @param meanTasks the mean of the distribution of tasks per job
    */
   record JobClass(
       String name,
@@ -107,7 +108,7 @@
         TimeSpan.ofSeconds(cancel));
   }
 
-  /** Three controllers, two zones, one small type of machine: for days with many troubles. */
+  /** Three controllers, two zones, one small machine type: for simulated days with many faults. */
   static ClusterSpec small() {
     MachineType type =
         new MachineType(
@@ -142,11 +143,11 @@
   }
 
   /**
-   * A fleet of one type in three zones: long-running replicas, arrays and sweeps, so many that the
-   * machines are mostly used. Work and limits grow with the machines, but for what the state
-   * service allows.
+   * A fleet of one machine type in three zones, running services, arrays and sweeps that keep most
+   * of the capacity in use. Work and limits grow with the machines, except for the limits of the
+   * state service.
    *
-   * @param machines that the cloud has; a quarter of them are up at the start
+   * @param machines the capacity of the cloud; a quarter of the machines are up at the start
    */
   static ClusterSpec fleet(int machines) {
     MachineType type =
@@ -236,10 +237,10 @@
   }
 
   /**
-   * A fleet of three types in two zones, with gangs that take whole machines, and few changes a
-   * second.
+   * A fleet of three machine types in two zones, with gangs that take whole machines and few
+   * changes per second.
    *
-   * @param machines that the cloud has; half of them are up at the start
+   * @param machines the capacity of the cloud; half of the machines are up at the start
    */
   static ClusterSpec mixed(int machines) {
     MachineType small =
@@ -355,14 +356,14 @@
         classes);
   }
 
-  /** What the state service of a site that is tried allows once it has lowered its limits. */
+  /** The limits that the state service of a trial deployment has after it lowered them. */
   static final Settings.StoreLimits TRY_OUT_NEXT = new Settings.StoreLimits(400, 80, 2048, 8);
 
   /**
-   * A site to be tried on one machine in real time: small leases, quick boots.
+   * A deployment to try on one computer in real time: short leases, fast boots.
    *
-   * @param machines that the cloud has
-   * @param allUp whether all of them are up at the start, rather than a third
+   * @param machines the capacity of the cloud
+   * @param allUp whether all machines are up at the start, rather than a third
    */
   static ClusterSpec tryOut(int machines, boolean allUp) {
     MachineType type =
@@ -406,7 +407,7 @@
         List.of());
   }
 
-  /** The same with other teams. */
+  /** A copy of this deployment with other teams. */
   ClusterSpec with(Map<String, Team> other) {
     return new ClusterSpec(
         nodeZones,
@@ -425,7 +426,7 @@
         classes);
   }
 
-  /** The same with machines that report, and whose leases end, at other times. */
+  /** A copy of this deployment with other agent timeouts. */
   ClusterSpec with(Settings.AgentTimeouts other) {
     return new ClusterSpec(
         nodeZones,
@@ -444,7 +445,7 @@
         classes);
   }
 
-  /** The same with a state service of other limits. */
+  /** A copy of this deployment with other limits of the state service. */
   ClusterSpec with(Settings.StoreLimits other) {
     return new ClusterSpec(
         nodeZones,
@@ -463,7 +464,7 @@
         classes);
   }
 
-  /** What controller {@code node} is told; {@code state} is where it reaches the state service. */
+  /** The settings of controller {@code node}; {@code state} is its address of the state service. */
   Settings settings(
       int node,
       List<Endpoint> listen,
--- a/src/main/java/org/quincecross/emulator/ColdStarts.java
+++ b/src/main/java/org/quincecross/emulator/ColdStarts.java
@@ -14,9 +14,8 @@
 import org.quincecross.modelserving.ModelKind;
 
 /**
- * Watches that each place of a model's record is started once, and has the weights fetched once, as
- * long as its machine is not lost: by what the machines do, and by the records as the state service
- * has them.
+ * Checks that each placement in a model's record is started once and fetches the weights once, as
+ * long as its machine is not lost. Compares what machines do with the records in the state service.
  */
 final class ColdStarts {
   private record Place(TaskId task, MachineId machine, long epoch) {}
@@ -33,32 +32,32 @@
     this.around = around;
   }
 
-  /** Has a job watched that is a model of this name. */
+  /** Watches a job that serves the model of this name. */
   void watch(String name, JobId job) {
     names.put(job, name);
   }
 
-  /** What was started or fetched twice. */
+  /** Placements that were started, or whose weights were fetched, more than once. */
   List<String> wrong() {
     return wrong;
   }
 
-  /** How many places were started. */
+  /** The number of placements that were started. */
   int starts() {
     return started.size();
   }
 
-  /** How often weights began to be fetched. */
+  /** The number of times that fetching of weights began. */
   int fetches() {
     return fetches;
   }
 
-  /** Starts that arrived when the record had the place no more. */
+  /** The number of starts that arrived after the placement had left the record. */
   int late() {
     return late;
   }
 
-  /** What the state service has of a model's state; null before it is defined. */
+  /** The model's state in the state service; null before the model is defined. */
   static Map<?, ?> state(KeyValueStoreSimulator state, String name) {
     return state.value("q/agreed/" + ModelKind.NAME + "/" + name) instanceof Map<?, ?> record
             && record.get("state") instanceof Map<?, ?> of
@@ -71,7 +70,8 @@
     if (model != null && model.get("places") instanceof List<?> places) {
       for (Object each : places) {
         Map<?, ?> place = (Map<?, ?>) each;
-        // The tasks of a gang go to the machines of all of them as it comes.
+        // Each task of a gang runs on every machine of the gang's placements, in the order of
+        // arrival.
         boolean its =
             ((Number) place.get("replica")).intValue() == task.index()
                 || around.job(task.job()).kind() == JobKind.GANG;
@@ -83,7 +83,7 @@
     return null;
   }
 
-  /** A machine has begun a task; {@code fetches}: and to fetch its image for that. */
+  /** A machine has begun a task; {@code fetch} if it also began to fetch the image for it. */
   void started(TaskId task, MachineId machine, boolean fetch) {
     if (!names.containsKey(task.job())) {
       return;
@@ -99,14 +99,16 @@
     }
   }
 
-  /** A machine has lost what was on it. */
+  /** A machine has lost its tasks. */
   void lost(MachineId machine) {
     Set<JobId> gangs = new HashSet<>();
     started.forEach(
         place -> {
           Job job = around.job(place.task().job());
           if (place.machine().equals(machine) && job.kind() == JobKind.GANG) {
-            gangs.add(job.id()); // the rest of it cannot go on, and starts again where it is
+            gangs.add(
+                job.id()); // the other tasks of the gang cannot continue, and start again on the
+            // same machines
           }
         });
     started.removeIf(
--- a/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
+++ b/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
@@ -4,9 +4,9 @@
 import org.quincecross.model.JobId;
 
 /**
- * Users who look closely: right after a job was accepted, its last task has ended, or one of them
- * was told that it is done or cancelled, they put five questions to the nodes in turn within 10 ms,
- * and submit it once more; some call it off at once.
+ * Users who read from all controllers at once: right after a job was accepted, its last task ended,
+ * or one of them was told that it is done or cancelled, they send five requests to the controllers
+ * in turn within 10 ms and submit the job once more. Some cancel it at once.
  */
 final class ConcurrentReaders {
   private static final int QUESTIONS = 5;
@@ -28,10 +28,10 @@
   }
 
   /**
-   * From now on, for some seconds.
+   * Starts these users for some seconds.
    *
-   * @param share of the moments that are looked at closely, 0 to 1
-   * @param cancelShare of the jobs that are called off as soon as they are accepted
+   * @param share of the job events that are followed by such requests, 0 to 1
+   * @param cancelShare of the jobs that are cancelled as soon as they are accepted
    */
   static void begin(
       ClusterEnvironment around, double share, double cancelShare, double seconds, Random random) {
--- a/src/main/java/org/quincecross/emulator/ControllerProcess.java
+++ b/src/main/java/org/quincecross/emulator/ControllerProcess.java
@@ -9,9 +9,9 @@
 import java.util.stream.Stream;
 
 /**
- * A controller as a process of its own, as it is deployed: started, killed without warning, stopped
- * and continued. It ends by itself when this program does, however that ends, for its standard
- * input ends with it.
+ * A controller that runs as its own process, as in a deployment: started, killed without warning,
+ * suspended and resumed. It exits when this program exits, for whatever reason, because its
+ * standard input is closed then.
  */
 final class ControllerProcess {
   /** The states of the process. */
@@ -21,7 +21,7 @@
     STOPPED
   }
 
-  /** What a process holds. */
+  /** The resources that a process holds. */
   record Footprint(double residentMb, int sockets, int threads) {
     static final Footprint NONE = new Footprint(0, 0, 0);
 
@@ -41,14 +41,14 @@
   private Footprint most = Footprint.NONE;
   private int starts;
 
-  /** {@code command} is run in {@code directory}; what it writes goes to {@code log}. */
+  /** Runs {@code command} in {@code directory}; its output goes to {@code log}. */
   ControllerProcess(List<String> command, Path directory, Path log) {
     this.command = List.copyOf(command);
     this.directory = directory;
     this.log = log;
   }
 
-  /** The one place where the state changes. */
+  /** The only place where the state changes. */
   private void enter(State next) {
     state = next;
   }
@@ -76,14 +76,14 @@
     enter(State.RUNS);
   }
 
-  /** Ends it as a power cut does, and starts another program in its place. */
+  /** Kills the process as a power failure does, and starts another program in its place. */
   void replaceBy(List<String> other) throws IOException {
     kill();
     command = List.copyOf(other);
     start();
   }
 
-  /** Ends it as a power cut does. */
+  /** Kills the process as a power failure does. */
   void kill() {
     if (state() != State.DOWN) {
       process.destroyForcibly();
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Has it stand still, or go on. */
+  /** Suspends or resumes the process. */
   void freeze(boolean still) throws IOException {
     if (state() != State.DOWN) {
       try {
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Looks at what it holds now; {@link #most} remembers the most of each. Nothing where the system
-   * does not tell.
+   * Samples the resources that the process holds; {@link #peak} keeps the largest value of each.
+   * Does nothing where the system does not report them.
    */
   void look() {
     if (state() == State.DOWN) {
@@ -128,7 +128,7 @@
       int sockets = (int) files.filter(ControllerProcess::isSocket).count();
       most = most.most(new Footprint(mb, sockets, threads));
     } catch (IOException | java.io.UncheckedIOException e) {
-      // it has just ended, or this system has no such files
+      // the process has just ended, or this system has no such files
     }
   }
 
@@ -146,8 +146,8 @@
 
   /**
    * The command that runs a controller with the deployed options, from {@code run} of a deploy
-   * file: its first word is replaced by this program's own Java, and paths in it hold in the deploy
-   * file's repository.
+   * file: its first word is replaced by the Java of this program, and its paths are relative to the
+   * deploy file's repository.
    */
   static List<String> command(String run, Path settings) {
     List<String> words = new ArrayList<>(List.of(run.trim().split("\\s+")));
@@ -157,7 +157,7 @@
     return words;
   }
 
-  /** The same command with another file of features in place of the one that it has, if any. */
+  /** The same command with another features file in place of the one that it names, if any. */
   static List<String> withFeatures(List<String> command, Path features) {
     List<String> words = new ArrayList<>(command);
     int with = words.indexOf("--with");
@@ -168,7 +168,7 @@
     return words;
   }
 
-  /** The same with plain options, for a jar that has no deploy file beside it. */
+  /** The same command with plain options, for a jar without a deploy file. */
   static String plainRun(File jar) {
     return "java -Xms24m -Xmx80m -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -jar "
         + jar.getAbsolutePath()
--- a/src/main/java/org/quincecross/emulator/DelayedMessages.java
+++ b/src/main/java/org/quincecross/emulator/DelayedMessages.java
@@ -4,9 +4,9 @@
 import org.quincecross.http.HttpRequest;
 
 /**
- * Some of the messages between controllers and machines are held up on their way, each by itself:
- * commands and their answers, reports and theirs. Whoever waits gives up meanwhile; what was held
- * then arrives all the same, after messages that were sent later.
+ * Delays some of the messages between controllers and machines, each independently: commands and
+ * their answers, reports and their answers. The caller times out meanwhile; the delayed message
+ * still arrives, after messages that were sent later.
  */
 final class DelayedMessages {
   static final DelayedMessages NONE = new DelayedMessages(0, 0, new Random(0));
@@ -18,7 +18,7 @@
 
   /**
    * @param share of the messages, 0 to 1
-   * @param longestS each is held for 0.5 s to this
+   * @param longestS each delay is between 0.5 s and this
    */
   DelayedMessages(double share, double longestS, Random random) {
     this.share = share;
@@ -26,7 +26,7 @@
     this.random = random;
   }
 
-  /** For how many seconds a request, or the answer to it, is held up. */
+  /** The delay of a request or of its answer, in seconds. */
   double seconds(HttpRequest request) {
     if (share == 0
         || (!request.path().equals("/orders") && !request.path().equals("/agent/beat"))
--- a/src/main/java/org/quincecross/emulator/DelayedTransactions.java
+++ b/src/main/java/org/quincecross/emulator/DelayedTransactions.java
@@ -3,28 +3,30 @@
 import java.util.Random;
 import java.util.function.BooleanSupplier;
 
-/** Which transactions the state service does not answer, and how much later it carries them out. */
+/**
+ * Decides which transactions the state service does not answer, and how much later it applies them.
+ */
 interface DelayedTransactions {
-  /** Carried out and answered as it comes. */
+  /** Applied and answered on arrival. */
   double PROMPT = -1;
 
-  /** Carried out as it comes, and only the answer is lost: whoever else reads sees it at once. */
+  /** Applied on arrival; only the answer is lost, so other readers see the change at once. */
   double AT_ONCE = 0;
 
   DelayedTransactions NONE = transaction -> PROMPT;
 
   /**
-   * Says what becomes of a transaction.
+   * Decides what happens to a transaction.
    *
    * @param transaction its body
-   * @return {@link #PROMPT}, {@link #AT_ONCE}, or after how many seconds it is carried out without
-   *     an answer
+   * @return {@link #PROMPT}, {@link #AT_ONCE}, or the delay in seconds after which it is applied
+   *     without an answer
    */
   double afterS(String transaction);
 
   /**
-   * A share of all, for as long as it is so, carried out from {@code leastS} to {@code mostS}
-   * seconds later.
+   * While the condition holds, a share of all transactions is applied {@code leastS} to {@code
+   * mostS} seconds later.
    */
   static DelayedTransactions share(
       double share, double leastS, double mostS, BooleanSupplier isSo, Random draws) {
@@ -34,7 +36,9 @@
             : PROMPT;
   }
 
-  /** Of a share of all, for as long as it is so, only the answer is lost. */
+  /**
+   * While the condition holds, a share of all transactions is applied on arrival without an answer.
+   */
   static DelayedTransactions atOnce(double share, BooleanSupplier isSo, Random draws) {
     return transaction -> isSo.getAsBoolean() && draws.nextDouble() < share ? AT_ONCE : PROMPT;
   }
--- a/src/main/java/org/quincecross/emulator/DependencyInvariants.java
+++ b/src/main/java/org/quincecross/emulator/DependencyInvariants.java
@@ -9,34 +9,32 @@
 import org.quincecross.model.JobId;
 import org.quincecross.model.TaskId;
 
-/**
- * Watches over the rules of jobs that wait for others, by what machines do and what users are told.
- */
+/** Checks the rules for jobs with dependencies against what machines do and what users are told. */
 final class DependencyInvariants {
   private final ClusterEnvironment around;
   private final BiConsumer<String, Object> breaks;
 
-  /** Since when a job's users know that one before it is cancelled. */
+  /** Since when the users of a job know that one of its dependencies is cancelled. */
   private final Map<JobId, Double> cancelledBefore = new HashMap<>();
 
-  /** The jobs that are known to be cancelled; who needs them is looked up once. */
+  /** The jobs known to be cancelled; their dependents are looked up once. */
   private final Set<JobId> told = new HashSet<>();
 
-  /** The jobs of which it is settled that they are cancelled with another. */
+  /** The jobs that must be cancelled because a dependency was. */
   private final Set<JobId> withAnother = new HashSet<>();
 
   private final Set<JobId> orphaned = new HashSet<>();
   private final Set<JobId> late = new HashSet<>();
 
   /**
-   * @param breaks to be told of a broken rule and of what broke it
+   * @param breaks receives a broken rule and what broke it
    */
   DependencyInvariants(ClusterEnvironment around, BiConsumer<String, Object> breaks) {
     this.around = around;
     this.breaks = breaks;
   }
 
-  /** A job is submitted that names others: some of them may be known to be cancelled. */
+  /** A job with dependencies is submitted; some of them may already be known to be cancelled. */
   void submitted(JobId id) {
     for (JobId each : around.pipelines().before(id)) {
       Double at = around.rules().cancelledAt(each);
@@ -47,8 +45,8 @@
   }
 
   /**
-   * A submission that names others was answered for good: accepted if all that it names were, and
-   * else not.
+   * A submission with dependencies got a final answer: it must be accepted if all of its
+   * dependencies were, and otherwise refused.
    */
   void answered(JobId id, int status) {
     boolean known =
@@ -68,7 +66,7 @@
     }
   }
 
-  /** A task is on a machine now. */
+  /** A task is now on a machine. */
   void starts(TaskId task) {
     for (JobId each : around.pipelines().waitsOn(task.job())) {
       if (!around.rules().isComplete(each)) {
@@ -78,7 +76,7 @@
     checkGone(task.job());
   }
 
-  /** To be called now and then. */
+  /** Checks what depends on time; called periodically. */
   void check() {
     cancelledBefore.keySet().forEach(this::checkGone);
   }
@@ -95,7 +93,7 @@
     }
   }
 
-  /** Users were told of a job. */
+  /** Users were told the state of a job. */
   void told(JobId id, String state) {
     if (state.equals("cancelled") && told.add(id)) {
       around
@@ -110,7 +108,7 @@
     }
   }
 
-  /** A cancellation that was answered with {@code done} cancels nothing. */
+  /** A cancellation that was answered with {@code done} cancels no dependent job. */
   private void checkCancelled(JobId id) {
     if ("cancelled".equals(around.rules().lastTold(id))
         && !around.users().isCancelAsked(id)
@@ -122,7 +120,7 @@
   }
 
   /**
-   * Whether somebody asked for a job that it needs to be cancelled, and has not heard that it is
+   * Whether cancellation of a dependency was requested, and its user has not been told that it is
    * done.
    */
   boolean isCancelledBefore(JobId id) {
--- a/src/main/java/org/quincecross/emulator/DependentJobs.java
+++ b/src/main/java/org/quincecross/emulator/DependentJobs.java
@@ -14,15 +14,15 @@
 import org.quincecross.model.JobId;
 
 /**
- * Jobs that wait for others: whom each names in its submission, and their users, who submit them
- * one after the other.
+ * Jobs with dependencies: what each names in its submission, and the users who submit them one
+ * after the other.
  */
 final class DependentJobs {
-  /** When a user submits a job that needs others. */
+  /** When a user submits a job with dependencies. */
   enum Submitted {
-    /** As soon as those that it needs are accepted. */
+    /** As soon as its dependencies are accepted. */
     ONCE_ACCEPTED,
-    /** Only when those that it needs are done or cancelled. */
+    /** Only when its dependencies are done or cancelled. */
     ONCE_OVER
   }
 
@@ -37,23 +37,26 @@
     this.around = around;
   }
 
-  /** The jobs that a job named; none where it is in no pipeline. */
+  /** The direct dependencies of a job; none if it is in no pipeline. */
   Set<JobId> waitsOn(JobId id) {
     Job job = around.job(id);
     return job == null ? Set.of() : job.dependencies();
   }
 
-  /** The jobs that a job needs, directly or through others. */
+  /** All dependencies of a job, direct and indirect. */
   Set<JobId> before(JobId id) {
     return reached(id, this::waitsOn);
   }
 
-  /** The jobs that need a job, directly or through others. */
+  /** All jobs that depend on a job, directly or indirectly. */
   Set<JobId> after(JobId id) {
     return reached(id, each -> followers.getOrDefault(each, Set.of()));
   }
 
-  /** Goes from a job to those that need it, and on from each for which it is {@code news}. */
+  /**
+   * Visits the dependents of a job, and continues from each one that {@code shouldContinue}
+   * accepts.
+   */
   void spread(JobId from, Predicate<JobId> news) {
     Deque<JobId> open = new ArrayDeque<>(List.of(from));
     while (!open.isEmpty()) {
@@ -74,7 +77,7 @@
     return reached;
   }
 
-  /** Whether a job that it needs has not been called done or cancelled. */
+  /** Whether some dependency has been reported neither done nor cancelled. */
   boolean isWaiting(JobId id) {
     return waitsOn(id).stream().anyMatch(each -> !isOver(each));
   }
@@ -90,13 +93,13 @@
 
   // ---- submissions ----
 
-  /** Has a job submitted as soon as it is time for it, which may be now. */
+  /** Submits a job as soon as its condition holds, which may be now. */
   void submit(Step step) {
     held.add(step);
     submitHeld();
   }
 
-  /** A job is submitted now, whatever has become of those that it names. */
+  /** A job is submitted now, whatever the state of its dependencies. */
   void submitted(Job job) {
     job.dependencies()
         .forEach(
@@ -121,30 +124,27 @@
     }
   }
 
-  /** Users were told of a job. */
+  /** Users were told the state of a job. */
   void told(JobId id, String state) {
     around.pipelineRules().told(id, state);
     if (state.equals("cancelled")) {
-      around.served().cancelled(id, around.now()); // with one that it needs, perhaps
+      around.served().cancelled(id, around.now()); // possibly cancelled with a dependency
     }
     if (!held.isEmpty()) {
       submitHeld();
     }
   }
 
-  /** A submission was answered for good. */
+  /** A submission got a final answer. */
   void answered(JobId id, int status) {
     if (!waitsOn(id).isEmpty()) {
       around.pipelineRules().answered(id, status);
     }
   }
 
-  // ---- whom it serves ----
+  // ---- service levels ----
 
-  /**
-   * All tasks of a job are done: what is expected of those that waited for it alone counts from
-   * now.
-   */
+  /** All tasks of a job are done: the objectives of jobs that waited only for it apply from now. */
   void completed(JobId id) {
     for (JobId each : followers.getOrDefault(id, Set.of())) {
       if (isReleased(each)
--- a/src/main/java/org/quincecross/emulator/DuplicatedMessages.java
+++ b/src/main/java/org/quincecross/emulator/DuplicatedMessages.java
@@ -8,8 +8,8 @@
 import org.quincecross.model.Endpoint;
 
 /**
- * Some of the machines' reports come a second time: seconds to leases later, or just as the next
- * leader begins.
+ * Duplicates some of the reports of machines: the copies arrive seconds to several leases later, or
+ * just after the next leader takes over.
  */
 final class DuplicatedMessages {
   static final DuplicatedMessages NONE =
@@ -18,17 +18,17 @@
   private static final double LOOK_EVERY_S = 0.05;
 
   /**
-   * Of the copies that wait for the next leader: the longest after it has begun. Some come at once,
-   * others when it has acted.
+   * The longest delay of a copy after the next leader has begun. Some arrive at once, others after
+   * the leader has acted.
    */
   private static final double LONGEST_AFTER_S = 6;
 
-  /** Nobody leads for longer than this. */
+  /** Copies are discarded if no new leader appears within this time. */
   private static final double LONGEST_KEPT_S = 120;
 
   private static final int MOST_KEPT = 3000;
 
-  /** Sends a copy of a request to a place, some seconds from now. */
+  /** Sends a copy of a request to an address, after a delay in seconds. */
   interface PutOff {
     void send(double seconds, Endpoint there);
   }
@@ -39,7 +39,7 @@
   private final Random random;
   private final Supplier<Object> leadership;
 
-  /** Those that wait for the next leader. */
+  /** Copies that wait for the next leader. */
   private final List<PutOff> kept = new ArrayList<>();
 
   private boolean looking;
@@ -59,9 +59,11 @@
   }
 
   /**
+   * Copies that arrive after a delay.
+   *
    * @param share of the reports, 0 to 1
-   * @param latestS copies come 1 s to this much later
-   * @param nodes where a copy may come; most come where the report went
+   * @param latestS copies arrive between 1 s and this much later
+   * @param nodes where a copy may arrive; most arrive where the report went
    */
   static DuplicatedMessages inTime(
       double share, double latestS, List<Endpoint> nodes, Random random) {
@@ -69,17 +71,17 @@
   }
 
   /**
-   * Copies that are kept until there is a new leader, and then come to all controllers.
+   * Copies that are kept until there is a new leader and then arrive at all controllers.
    *
    * @param share of the reports, 0 to 1
-   * @param leadership says who leads, in which life; null where nobody does
+   * @param leadership the current leader and its process; null if there is no leader
    */
   static DuplicatedMessages forNext(
       double share, List<Endpoint> nodes, Random random, Supplier<Object> leadership) {
     return new DuplicatedMessages(share, 0, nodes, random, leadership);
   }
 
-  /** Has copies of a request put off, if it is to have any. */
+  /** Schedules copies of a request, if it is drawn. */
   void perhaps(HttpRequest request, Endpoint to, Clock clock, PutOff putOff) {
     if (share == 0 || !request.path().equals("/agent/beat") || random.nextDouble() >= share) {
       return;
--- a/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
+++ b/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
@@ -13,9 +13,10 @@
 import org.quincecross.model.Resources;
 
 /**
- * Once all troubles are over, no job is left waiting for 90 s while a machine that fits has room
- * and its team is under its limit. A job waits while some of it is to be done and on no machine,
- * and none of its tasks has started. Looked at each second, as machines are.
+ * After all faults have ended, no job waits for more than 90 s while a suitable machine has room
+ * and its team is below its limit. A job waits while some of its tasks are neither done nor on a
+ * machine, and none of its tasks has started. Checked every second, for the machines as they are
+ * then.
  */
 final class IdleCapacityInvariant {
   static final double LONGEST_S = 90;
@@ -31,7 +32,7 @@
     this.around = around;
   }
 
-  /** All troubles are over: from now on it is watched. */
+  /** All faults have ended: starts the checks. */
   void watch() {
     if (!isWatching) {
       isWatching = true;
@@ -62,7 +63,7 @@
     around.clock().after(1, this::look);
   }
 
-  /** Whether what is to start next of a job could: one task, or all of a gang. */
+  /** Whether the next tasks of a job could start: one task, or all tasks of a gang. */
   private boolean hasRoom(Job job, List<AgentSimulator> open) {
     int next = 0;
     while (next < job.taskCount()
@@ -95,7 +96,10 @@
     return places.values().stream().anyMatch(each -> each >= together);
   }
 
-  /** Of the tasks that machines of a zone have room for, those that may be there. */
+  /**
+   * Of the tasks that the machines of a zone have room for, the number that the spreading rule
+   * permits there.
+   */
   private int inZone(Job job, String zone, int room) {
     List<String> zones = new ArrayList<>(around.site().zones());
     zones.removeIf(each -> around.rules().onMachines(job.id(), each) == 0);
--- a/src/main/java/org/quincecross/emulator/ImageStore.java
+++ b/src/main/java/org/quincecross/emulator/ImageStore.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * The images of one machine: each is fetched once for all tasks that wait for it, fetches at the
- * same time share the rate, a fetch for which nobody waits any more is given up, and the images
- * used last are kept.
+ * The image cache of one machine. Each image is fetched once for all tasks that wait for it;
+ * concurrent fetches share the bandwidth; a fetch without waiting tasks is abandoned; the most
+ * recently used images stay cached.
  */
 final class ImageStore {
   private static final double ALMOST_GB = 1e-6;
@@ -47,7 +47,7 @@
   }
 
   /**
-   * Runs {@code there} once the machine has the image; whether it begins to be fetched for that.
+   * Runs {@code onReady} once the machine has the image; returns whether this call began a fetch.
    */
   boolean want(String image, double gb, Runnable there) {
     if (cached.get(image) != null || gb <= 0) {
@@ -61,7 +61,7 @@
     return begins;
   }
 
-  /** What {@link #want} was called with does not want it any more. */
+  /** Withdraws a request made with {@link #request}. */
   void giveUp(String image, Runnable there) {
     Fetch fetch = fetches.get(image);
     if (fetch != null && fetch.waiting.remove(there) && fetch.waiting.isEmpty()) {
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Notes how far the fetches have come. */
+  /** Updates the progress of the running fetches. */
   private void settle() {
     double now = clock.seconds();
     if (!fetches.isEmpty()) {
