--- a/src/main/java/org/quincecross/emulator/AgentSimulator.java
+++ b/src/main/java/org/quincecross/emulator/AgentSimulator.java
@@ -25,14 +25,14 @@
  * commands and task states.
  */
 final class AgentSimulator implements Network.Host {
-  private static final double NO_ANSWER_S = 4;
-  private static final double FAILS_AFTER_S = 0.3;
-  private static final double MISTAKE_AFTER_S =
+  private static final double RESPONSE_TIMEOUT_S = 4;
+  private static final double FAULTY_MACHINE_FAILURE_DELAY_S = 0.3;
+  private static final double FAULTY_JOB_FAILURE_DELAY_S =
       0.001; // a misconfigured job fails as soon as it runs
-  private static final double LEAST_BETWEEN_REPORTS_S = 0.5;
+  private static final double MIN_REPORT_INTERVAL_S = 0.5;
 
   /** The longest time that an expired lease goes unnoticed. */
-  private static final double LEASE_LOOK_S = 0.05;
+  private static final double MIN_LEASE_CHECK_DELAY_S = 0.05;
 
   /** A shorter delay would be rescheduled forever without the clock advancing. */
   private static final double CLOCK_STEP_S = 1e-9;
@@ -41,15 +41,15 @@
    * One attempt to run a task. The worker tells attempts apart and keeps each one until it is
    * cleared.
    */
-  private record Key(TaskId task, long attempt) {}
+  private record TaskAttempt(TaskId task, long attempt) {}
 
   private static final class Task {
     private String state = "pulling";
     private String cause;
-    private boolean saved;
+    private boolean checkpointSaved;
     private double runningFrom;
     private boolean ran;
-    private Runnable there;
+    private Runnable onImageReady;
 
     boolean isOver() {
       return state.equals("exited");
@@ -63,19 +63,19 @@
   private final MachineTraits traits;
   private ImageStore images;
   private ProcessScope life = new ProcessScope();
-  private final Map<Key, Task> tasks = new LinkedHashMap<>();
+  private final Map<TaskAttempt, Task> tasks = new LinkedHashMap<>();
   private long session = 1;
-  private long order;
+  private long reportNumber;
   private long token;
   private double leaseFrom;
-  private double takenAt = Double.NaN;
+  private double terminatesAt = Double.NaN;
   private int node;
   private boolean reporting;
-  private double lastBeat = -1;
-  private double tokenTold = -100;
-  private double hangsUntil;
-  private double deafUntil;
-  private double answeredFrom = -1;
+  private double lastReportAt = -1;
+  private double tokenReportedAt = -100;
+  private double suspendedUntil;
+  private double inboundDroppedUntil;
+  private double lastAnsweredReportAt = -1;
   private boolean destroyed;
 
   AgentSimulator(
@@ -92,7 +92,7 @@
     this.images = new ImageStore(clock, type.cacheGb(), type.pullGbPerSecond());
     this.node = firstNode;
     this.leaseFrom = clock.seconds();
-    beatLater(0.1);
+    scheduleReport(0.1);
     watchLease();
   }
 
@@ -100,8 +100,8 @@
    * When the last report was sent that a controller with an accepted token has answered; negative
    * before the first.
    */
-  double answeredFrom() {
-    return answeredFrom;
+  double lastAnsweredReportAt() {
+    return lastAnsweredReportAt;
   }
 
   Machine machine() {
@@ -111,7 +111,7 @@
   void destroy() {
     destroyed = true;
     life.end();
-    dropAll();
+    dropAllTasks();
     around.network().forget(machine.id().text());
   }
 
@@ -124,7 +124,7 @@
       return;
     }
     life.end();
-    dropAll();
+    dropAllTasks();
     ProcessScope next = new ProcessScope();
     clock.after(
         seconds,
@@ -133,34 +133,35 @@
             life = next;
             images = new ImageStore(clock, images.cacheGb(), images.rate());
             session = 1;
-            order = 0;
+            reportNumber = 0;
             token = 0;
             reporting = false;
-            lastBeat = -1;
-            tokenTold = -100;
-            hangsUntil = 0;
+            lastReportAt = -1;
+            tokenReportedAt = -100;
+            suspendedUntil = 0;
             leaseFrom = clock.seconds();
-            beatLater(0.1);
+            scheduleReport(0.1);
             watchLease();
           }
         });
   }
 
   /** The cloud announces that it will terminate the machine. */
-  void notice(double seconds) {
-    takenAt = clock.seconds() + seconds;
-    beatLater(0.5);
+  void announceTermination(double seconds) {
+    terminatesAt = clock.seconds() + seconds;
+    scheduleReport(0.5);
   }
 
-  private void dropAll() {
+  private void dropAllTasks() {
     around.coldStarts().lost(machine.id());
-    Map<Key, Task> lost = Map.copyOf(tasks);
-    for (Map.Entry<Key, Task> entry : lost.entrySet()) {
+    Map<TaskAttempt, Task> lost = Map.copyOf(tasks);
+    for (Map.Entry<TaskAttempt, Task> entry : lost.entrySet()) {
       keepCheckpoint(entry.getKey().task(), entry.getValue());
       around.rules().off(entry.getKey().task(), machine.id());
       around.tasks().gangTaskGone(entry.getKey().task(), entry.getKey().attempt());
       if (entry.getValue().state.equals("pulling")) {
-        images.giveUp(around.job(entry.getKey().task().job()).image(), entry.getValue().there);
+        images.withdraw(
+            around.job(entry.getKey().task().job()).image(), entry.getValue().onImageReady);
       }
       tasks.remove(entry.getKey());
     }
@@ -186,7 +187,7 @@
   /**
    * The delay until the next report: the configured interval with a jitter of a quarter either way.
    */
-  private double reportS() {
+  private double nextReportDelayS() {
     return around.site().workers().heartbeatInterval().seconds()
         * (0.75 + 0.5 * around.random().nextDouble());
   }
@@ -194,15 +195,15 @@
   // ---- reports ----
 
   private void after(double seconds, Runnable action) {
-    ProcessScope begun = life;
+    ProcessScope startedIn = life;
     clock.after(
         seconds,
         () -> {
-          if (begun != life) {
+          if (startedIn != life) {
             return; // scheduled by a worker process that has ended since
           }
-          if (life.isAlive() && clock.seconds() < hangsUntil) {
-            after(Math.max(hangsUntil - clock.seconds(), CLOCK_STEP_S), action);
+          if (life.isAlive() && clock.seconds() < suspendedUntil) {
+            after(Math.max(suspendedUntil - clock.seconds(), CLOCK_STEP_S), action);
           } else if (life.isAlive()) {
             action.run();
           }
@@ -210,68 +211,68 @@
   }
 
   /** Suspends the worker for a while. It resumes afterwards, if its lease permits. */
-  void hang(double seconds) {
-    hangsUntil = clock.seconds() + seconds;
+  void suspend(double seconds) {
+    suspendedUntil = clock.seconds() + seconds;
   }
 
   /**
    * Drops everything sent to this worker for a while, including answers to its reports. What the
    * worker sends still arrives.
    */
-  void deafen(double seconds) {
-    deafUntil = clock.seconds() + seconds;
+  void dropInbound(double seconds) {
+    inboundDroppedUntil = clock.seconds() + seconds;
   }
 
-  private boolean isDeaf() {
-    return clock.seconds() < deafUntil;
+  private boolean isInboundDropped() {
+    return clock.seconds() < inboundDroppedUntil;
   }
 
   /** Whether the worker is up, works correctly, and is not about to be terminated. */
-  boolean takesWork() {
+  boolean canRunTasks() {
     return life.isAlive()
-        && Double.isNaN(takenAt)
+        && Double.isNaN(terminatesAt)
         && !traits.sick()
-        && !isDeaf()
-        && clock.seconds() >= hangsUntil
-        && answeredFrom >= 0;
+        && !isInboundDropped()
+        && clock.seconds() >= suspendedUntil
+        && lastAnsweredReportAt >= 0;
   }
 
   private void watchLease() {
     double lease = around.site().workers().lease().seconds();
-    double held = (clock.seconds() - leaseFrom) * traits.clock();
-    if (held > lease) {
-      dropAll();
+    double leaseAge = (clock.seconds() - leaseFrom) * traits.clock();
+    if (leaseAge > lease) {
+      dropAllTasks();
       session++;
       leaseFrom = clock.seconds();
-      beatLater(LEAST_BETWEEN_REPORTS_S);
-      held = 0;
+      scheduleReport(MIN_REPORT_INTERVAL_S);
+      leaseAge = 0;
     }
     // Also checked for a machine that hangs: it may resume within its lease, but not after it.
-    ProcessScope begun = life;
+    ProcessScope startedIn = life;
     clock.after(
-        Math.max(LEASE_LOOK_S, (lease - held) / traits.clock()),
+        Math.max(MIN_LEASE_CHECK_DELAY_S, (lease - leaseAge) / traits.clock()),
         () -> {
-          if (begun == life && life.isAlive()) {
+          if (startedIn == life && life.isAlive()) {
             watchLease();
           }
         });
   }
 
-  private void beatLater(double seconds) {
+  private void scheduleReport(double seconds) {
     after(
         seconds,
         () -> {
-          if (!reporting && clock.seconds() - lastBeat >= 0.4) {
-            beat();
+          if (!reporting && clock.seconds() - lastReportAt >= 0.4) {
+            sendReport();
           }
         });
   }
 
-  private void beat() {
+  private void sendReport() {
     reporting = true;
-    lastBeat = clock.seconds();
+    lastReportAt = clock.seconds();
     long sentSession = session;
-    double sentAt = lastBeat;
+    double sentAt = lastReportAt;
     HttpRequest request = HttpRequest.post("/agent/beat", report());
     around
         .network()
@@ -280,69 +281,70 @@
             machine.id().text(),
             around.node(node),
             request,
-            TimeSpan.ofSeconds(NO_ANSWER_S),
+            TimeSpan.ofSeconds(RESPONSE_TIMEOUT_S),
             outcome -> {
               // A lost answer is noticed only when the request times out.
-              boolean lost = isDeaf() && outcome.response() != null;
+              boolean lost = isInboundDropped() && outcome.response() != null;
               after(
-                  lost ? sentAt + NO_ANSWER_S - clock.seconds() : 0,
+                  lost ? sentAt + RESPONSE_TIMEOUT_S - clock.seconds() : 0,
                   () -> {
                     reporting = false;
-                    answered(lost ? HttpOutcome.failed(true) : outcome, sentSession, sentAt);
+                    onReportAnswered(
+                        lost ? HttpOutcome.failed(true) : outcome, sentSession, sentAt);
                   });
             });
   }
 
-  private void answered(HttpOutcome outcome, long sentSession, double sentAt) {
+  private void onReportAnswered(HttpOutcome outcome, long sentSession, double sentAt) {
     if (outcome.status() == 200 && sentSession == session) {
       try {
         JsonFields in = Json.parseFields(outcome.response().body());
         long answerToken = in.has("Baton") ? in.unsigned("Baton") : 0;
         if (answerToken >= token) {
-          answeredFrom = sentAt;
+          lastAnsweredReportAt = sentAt;
           leaseFrom = Math.max(leaseFrom, sentAt);
-          raise(answerToken);
+          raiseToken(answerToken);
           execute(in.objects("Orders"));
         }
       } catch (MalformedMessageException e) {
         throw new IllegalStateException(e);
       }
-      beatLater(reportS());
+      scheduleReport(nextReportDelayS());
     } else if (outcome.status() == 421) {
       int next = around.nodeNamed(new String(outcome.response().body(), StandardCharsets.UTF_8));
       boolean known = next >= 0 && next != node;
       node = known ? next : (node + 1) % around.site().nodes();
-      beatLater(known ? 0.4 : 1);
+      scheduleReport(known ? 0.4 : 1);
     } else {
       node = (node + 1) % around.site().nodes();
-      beatLater(1);
+      scheduleReport(1);
     }
   }
 
-  private void raise(long seen) {
+  private void raiseToken(long seen) {
     if (seen > token) {
       token = seen;
-      if (clock.seconds() - tokenTold > around.site().workers().lease().seconds() / 2) {
-        tokenTold = clock.seconds();
-        beatLater(0.5);
+      if (clock.seconds() - tokenReportedAt > around.site().workers().lease().seconds() / 2) {
+        tokenReportedAt = clock.seconds();
+        scheduleReport(0.5);
       }
     }
   }
 
   private byte[] report() {
-    List<Object> pieces = new ArrayList<>();
+    List<Object> taskReports = new ArrayList<>();
     tasks.forEach(
         (key, task) -> {
-          Map<String, Object> piece =
+          Map<String, Object> taskReport =
               Json.object(
                   "Piece", key.task().toString(), "Try", key.attempt(), "Status", task.state);
           if (task.cause != null) {
-            piece.put("Cause", task.cause);
-            piece.put("Stored", task.saved);
+            taskReport.put("Cause", task.cause);
+            taskReport.put("Stored", task.checkpointSaved);
           }
-          pieces.add(piece);
+          taskReports.add(taskReport);
         });
-    Map<String, Object> out =
+    Map<String, Object> body =
         Json.object(
             "Host",
             machine.id().text(),
@@ -357,27 +359,27 @@
             "Shift",
             session,
             "Tick",
-            ++order,
+            ++reportNumber,
             "Baton",
             token,
             "Pieces",
-            pieces);
-    if (!Double.isNaN(takenAt)) {
-      out.put("RecallS", Math.max(0, takenAt - clock.seconds()));
+            taskReports);
+    if (!Double.isNaN(terminatesAt)) {
+      body.put("RecallS", Math.max(0, terminatesAt - clock.seconds()));
     }
-    return Json.write(out);
+    return Json.write(body);
   }
 
   // ---- commands ----
 
   @Override
   public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
-    if (isDeaf()) {
+    if (isInboundDropped()) {
       return; // the caller waits until its request times out
     }
-    if (clock.seconds() < hangsUntil) {
+    if (clock.seconds() < suspendedUntil) {
       after(
-          Math.max(hangsUntil - clock.seconds(), CLOCK_STEP_S),
+          Math.max(suspendedUntil - clock.seconds(), CLOCK_STEP_S),
           () -> request(from, request, reply));
       return;
     }
@@ -391,7 +393,7 @@
         reply.accept(HttpResponse.of(409, report()));
         return;
       }
-      raise(in.unsigned("Baton"));
+      raiseToken(in.unsigned("Baton"));
       execute(in.objects("Orders"));
       reply.accept(HttpResponse.of(200, report()));
     } catch (MalformedMessageException e) {
@@ -401,7 +403,8 @@
 
   private void execute(List<JsonFields> commands) throws MalformedMessageException {
     for (JsonFields command : commands) {
-      Key key = new Key(TaskId.parse(command.string("Piece")), command.unsigned("Try"));
+      TaskAttempt key =
+          new TaskAttempt(TaskId.parse(command.string("Piece")), command.unsigned("Try"));
       Task task = tasks.get(key);
       switch (command.string("Verb")) {
         case "start" -> {
@@ -424,7 +427,7 @@
     }
   }
 
-  private void start(Key key) {
+  private void start(TaskAttempt key) {
     Job job = around.job(key.task().job());
     if (job == null || key.task().index() >= job.taskCount()) {
       Task unknown = new Task();
@@ -444,13 +447,13 @@
       task.cause = inUse ? "in_use" : "full";
       return;
     }
-    task.there =
+    task.onImageReady =
         () -> {
           if (life.isAlive() && tasks.get(key) == task && task.state.equals("pulling")) {
             around.rules().on(key.task(), machine);
-            beatLater(0.5);
+            scheduleReport(0.5);
             if (job.kind() == JobKind.GANG) {
-              gather(key, task, job);
+              waitForGang(key, task, job);
             } else {
               run(key, task, job, around.tasks().secondsLeft(key.task()) / traits.speed());
             }
@@ -458,10 +461,13 @@
         };
     around
         .coldStarts()
-        .started(key.task(), machine.id(), images.want(job.image(), job.imageGb(), task.there));
+        .started(
+            key.task(),
+            machine.id(),
+            images.request(job.image(), job.imageGb(), task.onImageReady));
   }
 
-  private void gather(Key key, Task task, Job job) {
+  private void waitForGang(TaskAttempt key, Task task, Job job) {
     task.state = "gathering";
     after(
         around.site().workers().gangStartTimeout().seconds(),
@@ -473,18 +479,18 @@
     around.tasks().gangGathers(job, key.task(), key.attempt(), this);
   }
 
-  private void run(Key key, Task task, Job job, double seconds) {
+  private void run(TaskAttempt key, Task task, Job job, double seconds) {
     task.state = "running";
     task.runningFrom = clock.seconds();
     task.ran = true;
-    beatLater(0.5);
-    boolean mistaken = around.users().isMistaken(job.id());
-    if (traits.sick() || mistaken) {
+    scheduleReport(0.5);
+    boolean misconfigured = around.users().isMistaken(job.id());
+    if (traits.sick() || misconfigured) {
       after(
-          mistaken ? MISTAKE_AFTER_S : FAILS_AFTER_S,
+          misconfigured ? FAULTY_JOB_FAILURE_DELAY_S : FAULTY_MACHINE_FAILURE_DELAY_S,
           () -> {
             if (tasks.get(key) == task && !task.isOver()) {
-              if (mistaken) {
+              if (misconfigured) {
                 around.users().mistakeMade(job.id());
               }
               exit(key, task, "error");
@@ -508,8 +514,8 @@
   // ---- gangs ----
 
   /** Whether a gang task waits here for the other tasks of its attempt. */
-  boolean gathers(TaskId id, long attempt) {
-    Task task = tasks.get(new Key(id, attempt));
+  boolean isWaitingForGang(TaskId id, long attempt) {
+    Task task = tasks.get(new TaskAttempt(id, attempt));
     return task != null && task.state.equals("gathering");
   }
 
@@ -531,8 +537,8 @@
   /**
    * All tasks of the attempt have their images: they start together and run for {@code seconds}.
    */
-  void gangStarts(Job job, TaskId id, long attempt, double seconds) {
-    Key key = new Key(id, attempt);
+  void startGangTask(Job job, TaskId id, long attempt, double seconds) {
+    TaskAttempt key = new TaskAttempt(id, attempt);
     Task task = tasks.get(key);
     if (task != null && task.state.equals("gathering")) {
       run(key, task, job, seconds);
@@ -540,8 +546,8 @@
   }
 
   /** Another task of the gang is gone; this one notices after the gang peer timeout. */
-  void gangLost(TaskId id, long attempt) {
-    Key key = new Key(id, attempt);
+  void onGangPeerLost(TaskId id, long attempt) {
+    TaskAttempt key = new TaskAttempt(id, attempt);
     Task task = tasks.get(key);
     if (task != null && task.state.equals("running")) {
       after(
@@ -556,7 +562,7 @@
 
   // ---- ends ----
 
-  private void halt(Key key, Task task, double windDown) {
+  private void halt(TaskAttempt key, Task task, double windDown) {
     Job job = around.job(key.task().job());
     if (task.state.equals("running")
         && job.hasCheckpoints()
@@ -566,7 +572,7 @@
           job.checkpointCost().seconds(),
           () -> {
             if (tasks.get(key) == task && task.state.equals("saving")) {
-              task.saved = true;
+              task.checkpointSaved = true;
               around.tasks().save(key.task(), progress(task));
               exit(key, task, "stopped");
             }
@@ -590,7 +596,7 @@
 
   /** Completes the task, if this attempt of it is on this machine. */
   void complete(TaskId id, long attempt) {
-    Key key = new Key(id, attempt);
+    TaskAttempt key = new TaskAttempt(id, attempt);
     Task task = tasks.get(key);
     if (task != null && !task.isOver()) {
       exit(key, task, "done");
@@ -598,19 +604,19 @@
     }
   }
 
-  private void exit(Key key, Task task, String cause) {
-    if (!cause.equals("done") && !task.saved) {
+  private void exit(TaskAttempt key, Task task, String cause) {
+    if (!cause.equals("done") && !task.checkpointSaved) {
       keepCheckpoint(key.task(), task);
     }
     boolean ran = task.ran;
     if (task.state.equals("pulling")) {
-      images.giveUp(around.job(key.task().job()).image(), task.there);
+      images.withdraw(around.job(key.task().job()).image(), task.onImageReady);
     }
     task.state = "exited";
     task.cause = cause;
     around.rules().off(key.task(), machine.id());
     around.tasks().gangTaskGone(key.task(), key.attempt());
-    beatLater(0.5);
+    scheduleReport(0.5);
     Job job = around.job(key.task().job());
     if (job.kind() == JobKind.GANG && ran && !cause.equals("done") && !cause.equals("peers")) {
       around.tasks().gangLost(job, key.attempt());
--- a/src/main/java/org/quincecross/emulator/CloudSimulator.java
+++ b/src/main/java/org/quincecross/emulator/CloudSimulator.java
@@ -25,21 +25,21 @@
  * machines some are slow, faulty, late or never up.
  */
 final class CloudSimulator implements Network.Host {
-  private static final int MOST_AT_ONCE = 50;
-  private static final int MOST_LISTED = 500;
-  private static final double LIST_EVERY_S = 1;
+  private static final int MAX_RENTED_PER_REQUEST = 50;
+  private static final int MAX_LISTED_PER_PAGE = 500;
+  private static final double LIST_REFRESH_INTERVAL_S = 1;
 
   /** A rented machine; {@code worker} is null until the machine is up. */
-  private static final class Rented {
+  private static final class Instance {
     private final Machine machine;
     private final ClusterSpec.Pool pool;
-    private final double since;
+    private final double rentedAt;
     private AgentSimulator worker;
 
-    Rented(Machine machine, ClusterSpec.Pool pool, double since) {
+    Instance(Machine machine, ClusterSpec.Pool pool, double since) {
       this.machine = machine;
       this.pool = pool;
-      this.since = since;
+      this.rentedAt = since;
     }
   }
 
@@ -48,14 +48,14 @@
   private final ClusterEnvironment around;
   private final Random random;
   private final TokenBucket requests;
-  private final Map<MachineId, Rented> rented = new TreeMap<>();
-  private final Map<ClusterSpec.Pool, Integer> taken = new HashMap<>();
-  private final Map<String, List<Object>> charters = new HashMap<>();
+  private final Map<MachineId, Instance> instances = new TreeMap<>();
+  private final Map<ClusterSpec.Pool, Integer> rentedPerPool = new HashMap<>();
+  private final Map<String, List<Object>> instancesByRequest = new HashMap<>();
   private List<Listed> listed = List.of();
-  private boolean out;
+  private boolean unavailable;
   private int machines;
-  private double longestBootS;
-  private double bootsQuicklyUntil;
+  private double maxBootS;
+  private double quickBootUntil;
 
   CloudSimulator(ClusterEnvironment around) {
     this.around = around;
@@ -81,7 +81,7 @@
   /** Takes a snapshot of the machines, which the list shows after its configured lag. */
   private void refreshList() {
     List<Listed> list = new ArrayList<>();
-    for (Rented each : rented.values()) {
+    for (Instance each : instances.values()) {
       Machine machine = each.machine;
       list.add(
           new Listed(
@@ -100,25 +100,25 @@
                   "Status",
                   each.worker == null ? "starting" : "running",
                   "AgeS",
-                  around.clock().seconds() - each.since)));
+                  around.clock().seconds() - each.rentedAt)));
     }
     around
         .clock()
         .after(
             around.site().cloudLimits().listLag().seconds() * (1 + random.nextDouble()),
             () -> listed = list);
-    around.clock().after(LIST_EVERY_S, this::refreshList);
+    around.clock().after(LIST_REFRESH_INTERVAL_S, this::refreshList);
   }
 
   List<MachineId> machines() {
-    return rented.values().stream()
+    return instances.values().stream()
         .filter(each -> each.worker != null)
         .map(each -> each.machine.id())
         .toList();
   }
 
   List<AgentSimulator> workers() {
-    return rented.values().stream()
+    return instances.values().stream()
         .filter(each -> each.worker != null)
         .map(each -> each.worker)
         .toList();
@@ -129,23 +129,23 @@
     Machine machine =
         new Machine(
             id, around.network().machineAddress(machines), pool.type(), pool.zone(), pool.spot());
-    Rented place = new Rented(machine, pool, around.clock().seconds());
-    rented.put(id, place);
-    taken.merge(pool, 1, Integer::sum);
-    boolean odd = around.site().odd() && !ordinary;
-    MachineTraits traits = odd ? traits() : MachineTraits.ORDINARY;
-    if (!odd || random.nextInt(25) != 0) {
+    Instance instance = new Instance(machine, pool, around.clock().seconds());
+    instances.put(id, instance);
+    rentedPerPool.merge(pool, 1, Integer::sum);
+    boolean unreliable = around.site().unreliableMachines() && !ordinary;
+    MachineTraits traits = unreliable ? traits() : MachineTraits.ORDINARY;
+    if (!unreliable || random.nextInt(25) != 0) {
       around
           .clock()
           .after(
               bootS,
               () -> {
-                if (rented.get(id) == place) {
+                if (instances.get(id) == instance) {
                   MachineType type = around.site().type(pool.type());
-                  place.worker =
+                  instance.worker =
                       new AgentSimulator(
                           around, machine, type, traits, random.nextInt(around.site().nodes()));
-                  around.network().host(machine.address(), id.text(), place.worker);
+                  around.network().host(machine.address(), id.text(), instance.worker);
                 }
               });
     }
@@ -162,39 +162,39 @@
   }
 
   /** Terminates a machine, after {@code noticeS} seconds' notice if that is positive. */
-  void take(MachineId id, double noticeS) {
-    Rented place = rented.get(id);
-    if (place == null) {
+  void terminate(MachineId id, double noticeS) {
+    Instance instance = instances.get(id);
+    if (instance == null) {
       return;
     }
-    if (noticeS > 0 && place.worker != null) {
-      place.worker.notice(noticeS);
-      around.clock().after(noticeS, () -> take(id, 0));
+    if (noticeS > 0 && instance.worker != null) {
+      instance.worker.announceTermination(noticeS);
+      around.clock().after(noticeS, () -> terminate(id, 0));
       return;
     }
-    rented.remove(id);
-    taken.merge(place.pool, -1, Integer::sum);
-    if (place.worker != null) {
-      place.worker.destroy();
-      around.network().remove(place.machine.address());
+    instances.remove(id);
+    rentedPerPool.merge(instance.pool, -1, Integer::sum);
+    if (instance.worker != null) {
+      instance.worker.destroy();
+      around.network().remove(instance.machine.address());
     }
   }
 
   /** For {@code seconds}, rented machines boot within {@code mostS}. */
-  void bootWithin(double mostS, double seconds) {
-    longestBootS = mostS;
-    bootsQuicklyUntil = around.clock().seconds() + seconds;
+  void bootWithin(double longestS, double seconds) {
+    maxBootS = longestS;
+    quickBootUntil = around.clock().seconds() + seconds;
   }
 
-  private double longestBootS() {
-    return around.clock().seconds() < bootsQuicklyUntil
-        ? longestBootS * random.nextDouble()
+  private double maxBootS() {
+    return around.clock().seconds() < quickBootUntil
+        ? maxBootS * random.nextDouble()
         : Double.MAX_VALUE;
   }
 
   void outage(double seconds) {
-    out = true;
-    around.clock().after(seconds, () -> out = false);
+    unavailable = true;
+    around.clock().after(seconds, () -> unavailable = false);
   }
 
   @Override
@@ -205,7 +205,7 @@
   @Override
   public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
     try {
-      if (out) {
+      if (unavailable) {
         reply.accept(HttpResponse.of(503, JobCodec.writeError("trouble")));
       } else if (!requests.take(1, now())) {
         reply.accept(HttpResponse.of(429));
@@ -221,10 +221,12 @@
     Object body;
     if (request.path().equals("/catalog")) {
       body =
-          Json.object("Hulls", around.site().types().stream().map(CloudSimulator::hull).toList());
+          Json.object(
+              "Hulls",
+              around.site().types().stream().map(CloudSimulator::machineTypeJson).toList());
     } else if (request.path().equals("/hosts/return")) {
       for (String name : Json.parseFields(request.body()).strings("Hosts")) {
-        take(new MachineId(name), 0);
+        terminate(new MachineId(name), 0);
       }
       body = Json.object();
     } else if (request.method().equals("POST")) {
@@ -239,7 +241,7 @@
     return HttpResponse.of(200, Json.write(body));
   }
 
-  private static Map<String, Object> hull(MachineType type) {
+  private static Map<String, Object> machineTypeJson(MachineType type) {
     return Json.object(
         "Sku",
         type.name(),
@@ -271,22 +273,22 @@
     String type = in.string("Hull");
     String zone = in.string("Yard");
     boolean spot = in.bool("Loaners");
-    List<Object> known = charters.get(in.string("Charter"));
-    int more = in.integer("HowMany", 1, MOST_AT_ONCE);
-    if (known != null) {
-      return known;
+    List<Object> previous = instancesByRequest.get(in.string("Charter"));
+    int count = in.integer("HowMany", 1, MAX_RENTED_PER_REQUEST);
+    if (previous != null) {
+      return previous;
     }
     List<Object> names = new ArrayList<>();
     for (ClusterSpec.Pool pool : around.site().pools()) {
       if (pool.type().equals(type) && pool.zone().equals(zone) && pool.spot() == spot) {
         TimeSpan boot = around.site().type(type).bootTime();
-        while (names.size() < more
-            && taken.getOrDefault(pool, 0) < pool.most()
-            && rented.size() < around.site().mostMachines()) {
+        while (names.size() < count
+            && rentedPerPool.getOrDefault(pool, 0) < pool.maxMachines()
+            && instances.size() < around.site().maxMachines()) {
           names.add(
               boot(
                       pool,
-                      Math.min(boot.seconds() * (0.6 + 0.9 * random.nextDouble()), longestBootS()),
+                      Math.min(boot.seconds() * (0.6 + 0.9 * random.nextDouble()), maxBootS()),
                       false)
                   .text());
         }
@@ -295,21 +297,21 @@
     if (names.isEmpty()) {
       return null;
     }
-    charters.put(in.string("Charter"), names);
+    instancesByRequest.put(in.string("Charter"), names);
     return names;
   }
 
   private Object page(HttpRequest request) {
     String after = request.query("Since");
-    int most =
+    int limit =
         request.query("Page") == null
-            ? MOST_LISTED
-            : Math.min(MOST_LISTED, Integer.parseInt(request.query("Page")));
+            ? MAX_LISTED_PER_PAGE
+            : Math.min(MAX_LISTED_PER_PAGE, Integer.parseInt(request.query("Page")));
     List<Object> items = new ArrayList<>();
     boolean more = false;
     for (Listed each : listed) {
       if (after == null || each.id().text().compareTo(after) > 0) {
-        if (items.size() == most) {
+        if (items.size() == limit) {
           more = true;
           break;
         }
--- a/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
+++ b/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
@@ -28,7 +28,7 @@
   private final TaskSimulator tasks;
   private final CloudSimulator cloud;
   private final JobAccounting served;
-  private final ColdStarts coldStarts;
+  private final ColdStartInvariant coldStarts;
 
   /**
    * @param nodes where each controller listens for users and workers
@@ -48,7 +48,7 @@
     this.random = random;
     this.nodes = nodes;
     this.state = new KeyValueStoreSimulator(clock, random, site.stateLimits());
-    this.coldStarts = new ColdStarts(this);
+    this.coldStarts = new ColdStartInvariant(this);
     this.served = new JobAccounting(job -> Settings.objectivesOf(site.objectives(), job));
     this.users = new UserSimulator(this);
     this.rules = new ProtocolInvariants(this);
@@ -122,7 +122,7 @@
   }
 
   /** Watches how often models are started and their weights fetched. */
-  ColdStarts coldStarts() {
+  ColdStartInvariant coldStarts() {
     return coldStarts;
   }
 
--- a/src/main/java/org/quincecross/emulator/ClusterSpec.java
+++ b/src/main/java/org/quincecross/emulator/ClusterSpec.java
@@ -27,7 +27,7 @@
     List<String> zones,
     List<MachineType> types,
     List<Pool> pools,
-    int mostMachines,
+    int maxMachines,
     Map<String, Team> teams,
     Settings.AgentTimeouts workers,
     Settings.StoreLimits stateLimits,
@@ -35,14 +35,14 @@
     Settings.ProcessLimits quota,
     List<Settings.Objective> objectives,
     TimeSpan restart,
-    boolean odd,
+    boolean unreliableMachines,
     List<JobClass> classes) {
 
   /**
    * A pool of machines of one type, zone and price kind: {@code initial} are up at the start, and
    * the cloud has {@code maxMachines}.
    */
-  record Pool(String type, String zone, boolean spot, int initial, int most) {}
+  record Pool(String type, String zone, boolean spot, int initial, int maxMachines) {}
 
   /**
    * A class of jobs in the workload.
@@ -58,14 +58,14 @@
       int initial,
       double perMinute,
       int meanTasks,
-      Resources each,
+      Resources taskResources,
       double runS,
       double imageGb,
       int images,
       boolean spread,
       boolean spot,
-      double saveEveryS,
-      double dueS) {}
+      double checkpointEveryS,
+      double deadlineS) {}
 
   private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
 
@@ -86,8 +86,9 @@
     throw new IllegalArgumentException(name);
   }
 
-  private static Team team(String name, double cpus, double most) {
-    return new Team(name, new Resources(cpus, 0, 1e9), new Resources(most, NO_LIMIT, 1e9));
+  private static Team team(String name, double guaranteedCpus, double limitCpus) {
+    return new Team(
+        name, new Resources(guaranteedCpus, 0, 1e9), new Resources(limitCpus, NO_LIMIT, 1e9));
   }
 
   private static Map<String, Team> teams(Team... teams) {
@@ -165,7 +166,7 @@
       pools.add(new Pool("rack-16", zone, false, machines / 8, machines / 5));
       pools.add(new Pool("rack-16", zone, true, 0, machines / 6));
     }
-    double of = machines / 1000.0;
+    double scale = machines / 1000.0;
     double cpus = 16.0 * machines;
     List<JobClass> classes =
         List.of(
@@ -173,8 +174,8 @@
                 "front",
                 JobKind.SERVICE,
                 Priority.PRODUCTION,
-                (int) (200 * of),
-                24 * of,
+                (int) (200 * scale),
+                24 * scale,
                 4,
                 new Resources(4, 0, 28),
                 600,
@@ -188,8 +189,8 @@
                 "rebuild",
                 JobKind.ARRAY,
                 Priority.NORMAL,
-                (int) (40 * of),
-                36 * of,
+                (int) (40 * scale),
+                36 * scale,
                 50,
                 new Resources(2, 0, 13),
                 40,
@@ -203,8 +204,8 @@
                 "sweep",
                 JobKind.ARRAY,
                 Priority.LOW,
-                (int) (60 * of),
-                32 * of,
+                (int) (60 * scale),
+                32 * scale,
                 45,
                 new Resources(2, 0, 9),
                 50,
@@ -285,10 +286,10 @@
                 new Pool("card-96", "left", true, 0, machines * 3 / 100),
             new Pool("card-96", "right", false, machines * 4 / 100, machines * 5 / 100),
                 new Pool("card-96", "right", true, 0, machines * 2 / 100));
-    double of = machines / 690.0;
+    double scale = machines / 690.0;
     Team[] teams = new Team[6];
     for (int i = 0; i < teams.length; i++) {
-      teams[i] = team("crew-" + i, 1500 * of, 3500 * of);
+      teams[i] = team("crew-" + i, 1500 * scale, 3500 * scale);
     }
     List<JobClass> classes =
         List.of(
@@ -296,8 +297,8 @@
                 "intake",
                 JobKind.SERVICE,
                 Priority.PRODUCTION,
-                (int) (442 * of),
-                32 * of,
+                (int) (442 * scale),
+                32 * scale,
                 6,
                 new Resources(2, 0, 2.1),
                 800,
@@ -311,8 +312,8 @@
                 "sync",
                 JobKind.ARRAY,
                 Priority.NORMAL,
-                (int) (44 * of),
-                41 * of,
+                (int) (44 * scale),
+                41 * scale,
                 100,
                 new Resources(2, 0, 2.8),
                 40,
@@ -326,8 +327,8 @@
                 "train",
                 JobKind.GANG,
                 Priority.NORMAL,
-                (int) (17 * of),
-                7.7 * of,
+                (int) (17 * scale),
+                7.7 * scale,
                 1,
                 new Resources(86, 8, 310),
                 80,
@@ -414,7 +415,7 @@
         zones,
         types,
         pools,
-        mostMachines,
+        maxMachines,
         other,
         workers,
         stateLimits,
@@ -422,7 +423,7 @@
         quota,
         objectives,
         restart,
-        odd,
+        unreliableMachines,
         classes);
   }
 
@@ -433,7 +434,7 @@
         zones,
         types,
         pools,
-        mostMachines,
+        maxMachines,
         teams,
         other,
         stateLimits,
@@ -441,7 +442,7 @@
         quota,
         objectives,
         restart,
-        odd,
+        unreliableMachines,
         classes);
   }
 
@@ -452,7 +453,7 @@
         zones,
         types,
         pools,
-        mostMachines,
+        maxMachines,
         teams,
         workers,
         other,
@@ -460,7 +461,7 @@
         quota,
         objectives,
         restart,
-        odd,
+        unreliableMachines,
         classes);
   }
 
--- a/src/main/java/org/quincecross/emulator/ColdStarts.java
+++ b/src/main/java/org/quincecross/emulator/ColdStartInvariant.java
@@ -17,18 +17,18 @@
  * Checks that each placement in a model's record is started once and fetches the weights once, as
  * long as its machine is not lost. Compares what machines do with the records in the state service.
  */
-final class ColdStarts {
-  private record Place(TaskId task, MachineId machine, long epoch) {}
+final class ColdStartInvariant {
+  private record ReplicaPlacement(TaskId task, MachineId machine, long epoch) {}
 
   private final ClusterEnvironment around;
   private final Map<JobId, String> names = new HashMap<>();
-  private final Set<Place> started = new HashSet<>();
-  private final Set<Place> fetched = new HashSet<>();
-  private final List<String> wrong = new ArrayList<>();
+  private final Set<ReplicaPlacement> started = new HashSet<>();
+  private final Set<ReplicaPlacement> fetched = new HashSet<>();
+  private final List<String> violations = new ArrayList<>();
   private int fetches;
-  private int late;
+  private int lateStarts;
 
-  ColdStarts(ClusterEnvironment around) {
+  ColdStartInvariant(ClusterEnvironment around) {
     this.around = around;
   }
 
@@ -38,8 +38,8 @@
   }
 
   /** Placements that were started, or whose weights were fetched, more than once. */
-  List<String> wrong() {
-    return wrong;
+  List<String> violations() {
+    return violations;
   }
 
   /** The number of placements that were started. */
@@ -53,19 +53,19 @@
   }
 
   /** The number of starts that arrived after the placement had left the record. */
-  int late() {
-    return late;
+  int lateStarts() {
+    return lateStarts;
   }
 
   /** The model's state in the state service; null before the model is defined. */
-  static Map<?, ?> state(KeyValueStoreSimulator state, String name) {
-    return state.value("q/agreed/" + ModelKind.NAME + "/" + name) instanceof Map<?, ?> record
-            && record.get("state") instanceof Map<?, ?> of
-        ? of
+  static Map<?, ?> state(KeyValueStoreSimulator stateService, String name) {
+    return stateService.value("q/agreed/" + ModelKind.NAME + "/" + name) instanceof Map<?, ?> record
+            && record.get("state") instanceof Map<?, ?> state
+        ? state
         : null;
   }
 
-  private Place place(TaskId task, MachineId machine) {
+  private ReplicaPlacement placementOf(TaskId task, MachineId machine) {
     Map<?, ?> model = state(around.state(), names.get(task.job()));
     if (model != null && model.get("places") instanceof List<?> places) {
       for (Object each : places) {
@@ -76,7 +76,7 @@
             ((Number) place.get("replica")).intValue() == task.index()
                 || around.job(task.job()).kind() == JobKind.GANG;
         if (its && machine.text().equals(place.get("machine"))) {
-          return new Place(task, machine, ((Number) place.get("epoch")).longValue());
+          return new ReplicaPlacement(task, machine, ((Number) place.get("epoch")).longValue());
         }
       }
     }
@@ -89,13 +89,13 @@
       return;
     }
     fetches += fetch ? 1 : 0;
-    Place place = place(task, machine);
+    ReplicaPlacement place = placementOf(task, machine);
     if (place == null) {
-      late += state(around.state(), names.get(task.job())) == null ? 0 : 1;
+      lateStarts += state(around.state(), names.get(task.job())) == null ? 0 : 1;
     } else if (!started.add(place)) {
-      wrong.add("at " + around.clock().seconds() + " started again: " + place);
+      violations.add("at " + around.clock().seconds() + " started again: " + place);
     } else if (fetch && !fetched.add(place)) {
-      wrong.add("at " + around.clock().seconds() + " fetched again: " + place);
+      violations.add("at " + around.clock().seconds() + " fetched again: " + place);
     }
   }
 
--- a/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
+++ b/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
@@ -9,8 +9,8 @@
  * in turn within 10 ms and submit the job once more. Some cancel it at once.
  */
 final class ConcurrentReaders {
-  private static final int QUESTIONS = 5;
-  private static final double WITHIN_S = 0.01;
+  private static final int REQUESTS_PER_EVENT = 5;
+  private static final double REQUEST_WINDOW_S = 0.01;
 
   private final ClusterEnvironment around;
   private final Random random;
@@ -36,29 +36,29 @@
   static void begin(
       ClusterEnvironment around, double share, double cancelShare, double seconds, Random random) {
     ConcurrentReaders looks = new ConcurrentReaders(around, random, share, cancelShare, seconds);
-    around.users().watch(looks::look);
+    around.users().watch(looks::onJobEvent);
   }
 
-  private void look(UserSimulator.Moment moment, JobId id) {
+  private void onJobEvent(UserSimulator.Moment moment, JobId id) {
     if (around.clock().seconds() >= untilS || random.nextDouble() >= share) {
       return;
     }
     int first = random.nextInt(around.site().nodes());
-    for (int i = 0; i < QUESTIONS; i++) {
-      at(first + i, UserSimulator.Asks.STATE, id);
+    for (int i = 0; i < REQUESTS_PER_EVENT; i++) {
+      sendTo(first + i, UserSimulator.Asks.STATE, id);
     }
-    at(random.nextInt(around.site().nodes()), UserSimulator.Asks.AGAIN, id);
+    sendTo(random.nextInt(around.site().nodes()), UserSimulator.Asks.AGAIN, id);
     if (moment == UserSimulator.Moment.ACCEPTED && random.nextDouble() < cancelShare) {
-      at(random.nextInt(around.site().nodes()), UserSimulator.Asks.CANCEL, id);
-      around.clock().after(WITHIN_S, () -> around.users().cancel(id));
+      sendTo(random.nextInt(around.site().nodes()), UserSimulator.Asks.CANCEL, id);
+      around.clock().after(REQUEST_WINDOW_S, () -> around.users().cancel(id));
     }
   }
 
-  private void at(int node, UserSimulator.Asks what, JobId id) {
+  private void sendTo(int node, UserSimulator.Asks what, JobId id) {
     around
         .clock()
         .after(
-            WITHIN_S * random.nextDouble(),
+            REQUEST_WINDOW_S * random.nextDouble(),
             () -> around.users().once(node % around.site().nodes(), what, id));
   }
 }
--- a/src/main/java/org/quincecross/emulator/ControllerProcess.java
+++ b/src/main/java/org/quincecross/emulator/ControllerProcess.java
@@ -25,7 +25,7 @@
   record Footprint(double residentMb, int sockets, int threads) {
     static final Footprint NONE = new Footprint(0, 0, 0);
 
-    Footprint most(Footprint other) {
+    Footprint max(Footprint other) {
       return new Footprint(
           Math.max(residentMb, other.residentMb),
           Math.max(sockets, other.sockets),
@@ -38,7 +38,7 @@
   private final Path log;
   private State state = State.DOWN;
   private Process process;
-  private Footprint most = Footprint.NONE;
+  private Footprint peak = Footprint.NONE;
   private int starts;
 
   /** Runs {@code command} in {@code directory}; its output goes to {@code log}. */
@@ -93,16 +93,16 @@
   }
 
   /** Suspends or resumes the process. */
-  void freeze(boolean still) throws IOException {
+  void setSuspended(boolean suspended) throws IOException {
     if (state() != State.DOWN) {
       try {
-        new ProcessBuilder("kill", still ? "-STOP" : "-CONT", Long.toString(process.pid()))
+        new ProcessBuilder("kill", suspended ? "-STOP" : "-CONT", Long.toString(process.pid()))
             .start()
             .waitFor();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      enter(still ? State.STOPPED : State.RUNS);
+      enter(suspended ? State.STOPPED : State.RUNS);
     }
   }
 
@@ -110,7 +110,7 @@
    * Samples the resources that the process holds; {@link #peak} keeps the largest value of each.
    * Does nothing where the system does not report them.
    */
-  void look() {
+  void sampleFootprint() {
     if (state() == State.DOWN) {
       return;
     }
@@ -126,7 +126,7 @@
         }
       }
       int sockets = (int) files.filter(ControllerProcess::isSocket).count();
-      most = most.most(new Footprint(mb, sockets, threads));
+      peak = peak.max(new Footprint(mb, sockets, threads));
     } catch (IOException | java.io.UncheckedIOException e) {
       // the process has just ended, or this system has no such files
     }
@@ -140,8 +140,8 @@
     }
   }
 
-  Footprint most() {
-    return most;
+  Footprint peak() {
+    return peak;
   }
 
   /**
--- a/src/main/java/org/quincecross/emulator/DelayedMessages.java
+++ b/src/main/java/org/quincecross/emulator/DelayedMessages.java
@@ -10,10 +10,10 @@
  */
 final class DelayedMessages {
   static final DelayedMessages NONE = new DelayedMessages(0, 0, new Random(0));
-  private static final double LEAST_S = 0.5;
+  private static final double MIN_DELAY_S = 0.5;
 
   private final double share;
-  private final double longestS;
+  private final double maxDelayS;
   private final Random random;
 
   /**
@@ -22,17 +22,17 @@
    */
   DelayedMessages(double share, double longestS, Random random) {
     this.share = share;
-    this.longestS = longestS;
+    this.maxDelayS = longestS;
     this.random = random;
   }
 
   /** The delay of a request or of its answer, in seconds. */
-  double seconds(HttpRequest request) {
+  double delayS(HttpRequest request) {
     if (share == 0
         || (!request.path().equals("/orders") && !request.path().equals("/agent/beat"))
         || random.nextDouble() >= share) {
       return 0;
     }
-    return LEAST_S + random.nextDouble() * (longestS - LEAST_S);
+    return MIN_DELAY_S + random.nextDouble() * (maxDelayS - MIN_DELAY_S);
   }
 }
--- a/src/main/java/org/quincecross/emulator/DependencyInvariants.java
+++ b/src/main/java/org/quincecross/emulator/DependencyInvariants.java
@@ -12,16 +12,16 @@
 /** Checks the rules for jobs with dependencies against what machines do and what users are told. */
 final class DependencyInvariants {
   private final ClusterEnvironment around;
-  private final BiConsumer<String, Object> breaks;
+  private final BiConsumer<String, Object> violations;
 
   /** Since when the users of a job know that one of its dependencies is cancelled. */
-  private final Map<JobId, Double> cancelledBefore = new HashMap<>();
+  private final Map<JobId, Double> dependencyCancelledAt = new HashMap<>();
 
   /** The jobs known to be cancelled; their dependents are looked up once. */
-  private final Set<JobId> told = new HashSet<>();
+  private final Set<JobId> knownCancelled = new HashSet<>();
 
   /** The jobs that must be cancelled because a dependency was. */
-  private final Set<JobId> withAnother = new HashSet<>();
+  private final Set<JobId> cancelledWithDependency = new HashSet<>();
 
   private final Set<JobId> orphaned = new HashSet<>();
   private final Set<JobId> late = new HashSet<>();
@@ -31,15 +31,15 @@
    */
   DependencyInvariants(ClusterEnvironment around, BiConsumer<String, Object> breaks) {
     this.around = around;
-    this.breaks = breaks;
+    this.violations = breaks;
   }
 
   /** A job with dependencies is submitted; some of them may already be known to be cancelled. */
   void submitted(JobId id) {
-    for (JobId each : around.pipelines().before(id)) {
+    for (JobId each : around.pipelines().allDependencies(id)) {
       Double at = around.rules().cancelledAt(each);
       if (at != null) {
-        cancelledBefore.merge(id, at, Math::min);
+        dependencyCancelledAt.merge(id, at, Math::min);
       }
     }
   }
@@ -50,27 +50,27 @@
    */
   void answered(JobId id, int status) {
     boolean known =
-        around.pipelines().waitsOn(id).stream().allMatch(around.users().told()::containsKey);
+        around.pipelines().dependencies(id).stream().allMatch(around.users().told()::containsKey);
     boolean accepted = status == 200 || status == 201;
     if (accepted && !known) {
-      breaks.accept(
-          "names_unknown", id + " is accepted, and names " + around.pipelines().waitsOn(id));
+      violations.accept(
+          "names_unknown", id + " is accepted, and names " + around.pipelines().dependencies(id));
     } else if (!accepted && known) {
-      breaks.accept(
+      violations.accept(
           "refused",
           id
               + " gets "
               + status
               + ", and all that it names were accepted: "
-              + around.pipelines().waitsOn(id));
+              + around.pipelines().dependencies(id));
     }
   }
 
   /** A task is now on a machine. */
   void starts(TaskId task) {
-    for (JobId each : around.pipelines().waitsOn(task.job())) {
+    for (JobId each : around.pipelines().dependencies(task.job())) {
       if (!around.rules().isComplete(each)) {
-        breaks.accept("too_early", task + " before " + each);
+        violations.accept("too_early", task + " before " + each);
       }
     }
     checkGone(task.job());
@@ -78,33 +78,35 @@
 
   /** Checks what depends on time; called periodically. */
   void check() {
-    cancelledBefore.keySet().forEach(this::checkGone);
+    dependencyCancelledAt.keySet().forEach(this::checkGone);
   }
 
-  private boolean isTime(JobId id) {
-    Double at = cancelledBefore.get(id);
+  private boolean mustBeCancelledByNow(JobId id) {
+    Double at = dependencyCancelledAt.get(id);
     return at != null
         && around.clock().seconds() > at + around.site().workers().cancelTimeout().seconds();
   }
 
   private void checkGone(JobId id) {
-    if (isTime(id) && around.rules().onMachines(id) > 0 && late.add(id)) {
-      breaks.accept("ran_cancelled", id + " after one that it needs was cancelled");
+    if (mustBeCancelledByNow(id) && around.rules().onMachines(id) > 0 && late.add(id)) {
+      violations.accept("ran_cancelled", id + " after one that it needs was cancelled");
     }
   }
 
   /** Users were told the state of a job. */
-  void told(JobId id, String state) {
-    if (state.equals("cancelled") && told.add(id)) {
+  void knownCancelled(JobId id, String state) {
+    if (state.equals("cancelled") && knownCancelled.add(id)) {
       around
           .pipelines()
-          .spread(id, each -> cancelledBefore.putIfAbsent(each, around.clock().seconds()) == null);
+          .visitDependents(
+              id,
+              each -> dependencyCancelledAt.putIfAbsent(each, around.clock().seconds()) == null);
     } else if (state.equals("done") && around.users().isCancelAsked(id)) {
-      around.pipelines().after(id).forEach(this::checkCancelled);
+      around.pipelines().allDependents(id).forEach(this::checkCancelled);
     } else if ((state.equals("queued") || state.equals("running"))
-        && isTime(id)
+        && mustBeCancelledByNow(id)
         && orphaned.add(id)) {
-      breaks.accept("orphaned", id + " is called " + state);
+      violations.accept("orphaned", id + " is called " + state);
     }
   }
 
@@ -112,8 +114,8 @@
   private void checkCancelled(JobId id) {
     if ("cancelled".equals(around.rules().lastTold(id))
         && !around.users().isCancelAsked(id)
-        && !isCancelledBefore(id)) {
-      breaks.accept(
+        && !isDependencyCancelRequested(id)) {
+      violations.accept(
           "went_back",
           id + " is cancelled, and what it needs was done before it could be cancelled");
     }
@@ -123,10 +125,10 @@
    * Whether cancellation of a dependency was requested, and its user has not been told that it is
    * done.
    */
-  boolean isCancelledBefore(JobId id) {
-    if (!withAnother.contains(id)) {
+  boolean isDependencyCancelRequested(JobId id) {
+    if (!cancelledWithDependency.contains(id)) {
       List<JobId> asked =
-          around.pipelines().before(id).stream()
+          around.pipelines().allDependencies(id).stream()
               .filter(
                   each ->
                       around.users().isCancelAsked(each)
@@ -135,7 +137,7 @@
       if (asked.stream().noneMatch(each -> "cancelled".equals(around.rules().lastTold(each)))) {
         return !asked.isEmpty();
       }
-      withAnother.add(id);
+      cancelledWithDependency.add(id);
     }
     return true;
   }
--- a/src/main/java/org/quincecross/emulator/DependentJobs.java
+++ b/src/main/java/org/quincecross/emulator/DependentJobs.java
@@ -19,7 +19,7 @@
  */
 final class DependentJobs {
   /** When a user submits a job with dependencies. */
-  enum Submitted {
+  enum SubmitCondition {
     /** As soon as its dependencies are accepted. */
     ONCE_ACCEPTED,
     /** Only when its dependencies are done or cancelled. */
@@ -27,50 +27,52 @@
   }
 
   /** A job of a pipeline, and when it is submitted. */
-  record Step(Job job, Submitted when) {}
+  record PipelineJob(Job job, SubmitCondition when) {}
 
   private final ClusterEnvironment around;
-  private final Map<JobId, Set<JobId>> followers = new HashMap<>();
-  private final List<Step> held = new ArrayList<>();
+  private final Map<JobId, Set<JobId>> dependents = new HashMap<>();
+  private final List<PipelineJob> pending = new ArrayList<>();
 
   DependentJobs(ClusterEnvironment around) {
     this.around = around;
   }
 
   /** The direct dependencies of a job; none if it is in no pipeline. */
-  Set<JobId> waitsOn(JobId id) {
+  Set<JobId> dependencies(JobId id) {
     Job job = around.job(id);
     return job == null ? Set.of() : job.dependencies();
   }
 
   /** All dependencies of a job, direct and indirect. */
-  Set<JobId> before(JobId id) {
-    return reached(id, this::waitsOn);
+  Set<JobId> allDependencies(JobId id) {
+    return reached(id, this::dependencies);
   }
 
   /** All jobs that depend on a job, directly or indirectly. */
-  Set<JobId> after(JobId id) {
-    return reached(id, each -> followers.getOrDefault(each, Set.of()));
+  Set<JobId> allDependents(JobId id) {
+    return reached(id, each -> dependents.getOrDefault(each, Set.of()));
   }
 
   /**
    * Visits the dependents of a job, and continues from each one that {@code shouldContinue}
    * accepts.
    */
-  void spread(JobId from, Predicate<JobId> news) {
-    Deque<JobId> open = new ArrayDeque<>(List.of(from));
-    while (!open.isEmpty()) {
-      followers.getOrDefault(open.poll(), Set.of()).stream().filter(news).forEach(open::add);
+  void visitDependents(JobId from, Predicate<JobId> shouldContinue) {
+    Deque<JobId> queue = new ArrayDeque<>(List.of(from));
+    while (!queue.isEmpty()) {
+      dependents.getOrDefault(queue.poll(), Set.of()).stream()
+          .filter(shouldContinue)
+          .forEach(queue::add);
     }
   }
 
   private static Set<JobId> reached(JobId from, Function<JobId, ? extends Iterable<JobId>> next) {
     Set<JobId> reached = new LinkedHashSet<>();
-    Deque<JobId> open = new ArrayDeque<>(List.of(from));
-    while (!open.isEmpty()) {
-      for (JobId each : next.apply(open.poll())) {
+    Deque<JobId> queue = new ArrayDeque<>(List.of(from));
+    while (!queue.isEmpty()) {
+      for (JobId each : next.apply(queue.poll())) {
         if (reached.add(each)) {
-          open.add(each);
+          queue.add(each);
         }
       }
     }
@@ -79,7 +81,7 @@
 
   /** Whether some dependency has been reported neither done nor cancelled. */
   boolean isWaiting(JobId id) {
-    return waitsOn(id).stream().anyMatch(each -> !isOver(each));
+    return dependencies(id).stream().anyMatch(each -> !isOver(each));
   }
 
   private boolean isOver(JobId id) {
@@ -88,56 +90,56 @@
   }
 
   private boolean isReleased(JobId id) {
-    return waitsOn(id).stream().allMatch(each -> around.rules().isComplete(each));
+    return dependencies(id).stream().allMatch(each -> around.rules().isComplete(each));
   }
 
   // ---- submissions ----
 
   /** Submits a job as soon as its condition holds, which may be now. */
-  void submit(Step step) {
-    held.add(step);
-    submitHeld();
+  void submit(PipelineJob step) {
+    pending.add(step);
+    submitPending();
   }
 
   /** A job is submitted now, whatever the state of its dependencies. */
   void submitted(Job job) {
     job.dependencies()
         .forEach(
-            each -> followers.computeIfAbsent(each, named -> new LinkedHashSet<>()).add(job.id()));
+            each -> dependents.computeIfAbsent(each, named -> new LinkedHashSet<>()).add(job.id()));
     around.pipelineRules().submitted(job.id());
     if (isReleased(job.id())) {
       around.served().accepted(job, around.now());
     }
   }
 
-  private void submitHeld() {
-    for (Step step : List.copyOf(held)) {
+  private void submitPending() {
+    for (PipelineJob step : List.copyOf(pending)) {
       boolean due =
           step.job().dependencies().stream()
               .allMatch(
-                  step.when() == Submitted.ONCE_OVER
+                  step.when() == SubmitCondition.ONCE_OVER
                       ? this::isOver
                       : around.users().told()::containsKey);
-      if (due && held.remove(step)) {
+      if (due && pending.remove(step)) {
         around.users().submit(step.job());
       }
     }
   }
 
   /** Users were told the state of a job. */
-  void told(JobId id, String state) {
-    around.pipelineRules().told(id, state);
+  void onStateReported(JobId id, String state) {
+    around.pipelineRules().knownCancelled(id, state);
     if (state.equals("cancelled")) {
       around.served().cancelled(id, around.now()); // possibly cancelled with a dependency
     }
-    if (!held.isEmpty()) {
-      submitHeld();
+    if (!pending.isEmpty()) {
+      submitPending();
     }
   }
 
   /** A submission got a final answer. */
-  void answered(JobId id, int status) {
-    if (!waitsOn(id).isEmpty()) {
+  void onSubmissionAnswered(JobId id, int status) {
+    if (!dependencies(id).isEmpty()) {
       around.pipelineRules().answered(id, status);
     }
   }
@@ -146,7 +148,7 @@
 
   /** All tasks of a job are done: the objectives of jobs that waited only for it apply from now. */
   void completed(JobId id) {
-    for (JobId each : followers.getOrDefault(id, Set.of())) {
+    for (JobId each : dependents.getOrDefault(id, Set.of())) {
       if (isReleased(each)
           && !around.rules().isComplete(each)
           && around.rules().cancelledAt(each) == null) {
--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -202,11 +202,11 @@
         case ZONE -> {
           double length = LONGER_THAN_LEASE * around.site().workers().lease().seconds();
           String zone = around.site().nodeZones().get(0);
-          controllers.get(0).freeze(true);
+          controllers.get(0).setSuspended(true);
           around.cloud().workers().stream()
               .filter(worker -> worker.machine().zone().equals(zone))
-              .forEach(worker -> worker.hang(length));
-          end(length, () -> controllers.get(0).freeze(false));
+              .forEach(worker -> worker.suspend(length));
+          end(length, () -> controllers.get(0).setSuspended(false));
         }
         case STATE -> {
           around.state().outage(STATE_OUT_S);
@@ -215,7 +215,7 @@
         case WORKERS -> {
           List<MachineId> machines = new ArrayList<>(around.cloud().machines());
           for (int i = 0; i < machines.size(); i += 2) {
-            around.cloud().take(machines.get(i), 0);
+            around.cloud().terminate(machines.get(i), 0);
           }
           result.put("machines_lost", (machines.size() + 1) / 2);
           enter(Phase.RECOVERY);
@@ -224,7 +224,7 @@
           double length = DEAF_LEASES * around.site().workers().lease().seconds();
           List<AgentSimulator> workers = around.cloud().workers();
           for (int i = 0; i < workers.size(); i += DEAF_ONE_IN) {
-            workers.get(i).deafen(length);
+            workers.get(i).dropInbound(length);
           }
           result.put("machines_deaf", (workers.size() + DEAF_ONE_IN - 1) / DEAF_ONE_IN);
           around.clock().after(KILLED_AFTER_S, () -> controllers.get(0).kill());
@@ -357,7 +357,7 @@
   private void measure(double now) {
     double began = kind == Kind.RESTART ? failedAt : since;
     List<AgentSimulator> workers = around.cloud().workers();
-    if (workers.stream().anyMatch(worker -> worker.answeredFrom() > began)) {
+    if (workers.stream().anyMatch(worker -> worker.lastAnsweredReportAt() > began)) {
       result.putIfAbsent("first_report_answered_s", LocalCluster.round(now - failedAt));
     }
     if (workersUnanswered() == 0) {
@@ -374,7 +374,7 @@
   private long workersUnanswered() {
     double began = kind == Kind.RESTART ? failedAt : since;
     return around.cloud().workers().stream()
-        .filter(worker -> worker.answeredFrom() <= began)
+        .filter(worker -> worker.lastAnsweredReportAt() <= began)
         .count();
   }
 
--- a/src/main/java/org/quincecross/emulator/DuplicatedMessages.java
+++ b/src/main/java/org/quincecross/emulator/DuplicatedMessages.java
@@ -14,22 +14,22 @@
 final class DuplicatedMessages {
   static final DuplicatedMessages NONE =
       new DuplicatedMessages(0, 0, List.of(), new Random(0), null);
-  private static final double LEAST_LATE_S = 1;
-  private static final double LOOK_EVERY_S = 0.05;
+  private static final double MIN_DELAY_S = 1;
+  private static final double LEADER_CHECK_INTERVAL_S = 0.05;
 
   /**
    * The longest delay of a copy after the next leader has begun. Some arrive at once, others after
    * the leader has acted.
    */
-  private static final double LONGEST_AFTER_S = 6;
+  private static final double MAX_DELAY_AFTER_TAKEOVER_S = 6;
 
   /** Copies are discarded if no new leader appears within this time. */
-  private static final double LONGEST_KEPT_S = 120;
+  private static final double MAX_KEPT_S = 120;
 
-  private static final int MOST_KEPT = 3000;
+  private static final int MAX_KEPT_COPIES = 3000;
 
   /** Sends a copy of a request to an address, after a delay in seconds. */
-  interface PutOff {
+  interface DelayedSender {
     void send(double seconds, Endpoint there);
   }
 
@@ -40,10 +40,10 @@
   private final Supplier<Object> leadership;
 
   /** Copies that wait for the next leader. */
-  private final List<PutOff> kept = new ArrayList<>();
+  private final List<DelayedSender> kept = new ArrayList<>();
 
-  private boolean looking;
-  private Object before;
+  private boolean watchingLeader;
+  private Object leaderBefore;
 
   private DuplicatedMessages(
       double share,
@@ -65,7 +65,7 @@
    * @param latestS copies arrive between 1 s and this much later
    * @param nodes where a copy may arrive; most arrive where the report went
    */
-  static DuplicatedMessages inTime(
+  static DuplicatedMessages delayed(
       double share, double latestS, List<Endpoint> nodes, Random random) {
     return new DuplicatedMessages(share, latestS, nodes, random, null);
   }
@@ -76,48 +76,48 @@
    * @param share of the reports, 0 to 1
    * @param leadership the current leader and its process; null if there is no leader
    */
-  static DuplicatedMessages forNext(
+  static DuplicatedMessages forNextLeader(
       double share, List<Endpoint> nodes, Random random, Supplier<Object> leadership) {
     return new DuplicatedMessages(share, 0, nodes, random, leadership);
   }
 
   /** Schedules copies of a request, if it is drawn. */
-  void perhaps(HttpRequest request, Endpoint to, Clock clock, PutOff putOff) {
+  void maybeDuplicate(HttpRequest request, Endpoint to, Clock clock, DelayedSender sender) {
     if (share == 0 || !request.path().equals("/agent/beat") || random.nextDouble() >= share) {
       return;
     }
     if (leadership == null) {
       Endpoint there = random.nextInt(3) == 0 ? nodes.get(random.nextInt(nodes.size())) : to;
-      putOff.send(LEAST_LATE_S + random.nextDouble() * (latestS - LEAST_LATE_S), there);
+      sender.send(MIN_DELAY_S + random.nextDouble() * (latestS - MIN_DELAY_S), there);
       return;
     }
-    kept.add(putOff);
-    if (kept.size() > MOST_KEPT) {
+    kept.add(sender);
+    if (kept.size() > MAX_KEPT_COPIES) {
       kept.remove(0);
     }
-    if (!looking) {
-      looking = true;
-      before = leadership.get();
-      look(clock, clock.seconds() + LONGEST_KEPT_S);
+    if (!watchingLeader) {
+      watchingLeader = true;
+      leaderBefore = leadership.get();
+      checkLeader(clock, clock.seconds() + MAX_KEPT_S);
     }
   }
 
-  private void look(Clock clock, double untilS) {
+  private void checkLeader(Clock clock, double untilS) {
     Object now = leadership.get();
-    if (now == null || now.equals(before)) {
+    if (now == null || now.equals(leaderBefore)) {
       if (clock.seconds() < untilS) {
-        clock.after(LOOK_EVERY_S, () -> look(clock, untilS));
+        clock.after(LEADER_CHECK_INTERVAL_S, () -> checkLeader(clock, untilS));
       } else {
         kept.clear();
-        looking = false;
+        watchingLeader = false;
       }
       return;
     }
-    for (PutOff copy : kept) {
-      double after = random.nextInt(3) == 0 ? 0 : random.nextDouble() * LONGEST_AFTER_S;
+    for (DelayedSender copy : kept) {
+      double after = random.nextInt(3) == 0 ? 0 : random.nextDouble() * MAX_DELAY_AFTER_TAKEOVER_S;
       nodes.forEach(node -> copy.send(after, node));
     }
     kept.clear();
-    looking = false;
+    watchingLeader = false;
   }
 }
--- a/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
+++ b/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
@@ -19,13 +19,13 @@
  * then.
  */
 final class IdleCapacityInvariant {
-  static final double LONGEST_S = 90;
+  static final double MAX_WAIT_S = 90;
 
-  private record Waiting(double since, int started) {}
+  private record WaitingJob(double since, int started) {}
 
   private final ClusterEnvironment around;
-  private final Map<JobId, Waiting> waiting = new HashMap<>();
-  private final Set<JobId> found = new HashSet<>();
+  private final Map<JobId, WaitingJob> waiting = new HashMap<>();
+  private final Set<JobId> reported = new HashSet<>();
   private boolean isWatching;
 
   IdleCapacityInvariant(ClusterEnvironment around) {
@@ -36,13 +36,13 @@
   void watch() {
     if (!isWatching) {
       isWatching = true;
-      look();
+      check();
     }
   }
 
-  private void look() {
+  private void check() {
     List<AgentSimulator> open =
-        around.cloud().workers().stream().filter(AgentSimulator::takesWork).toList();
+        around.cloud().workers().stream().filter(AgentSimulator::canRunTasks).toList();
     for (JobId id : List.copyOf(around.users().told().keySet())) {
       if (!around.users().isOpen(id)
           || around.users().isCancelAsked(id)
@@ -53,14 +53,14 @@
       }
       double now = around.clock().seconds();
       int started = around.rules().started(id);
-      Waiting before = waiting.get(id);
+      WaitingJob before = waiting.get(id);
       if (before == null || before.started() != started) {
-        waiting.put(id, new Waiting(now, started));
-      } else if (now - before.since() >= LONGEST_S && found.add(id)) {
+        waiting.put(id, new WaitingJob(now, started));
+      } else if (now - before.since() >= MAX_WAIT_S && reported.add(id)) {
         around.rules().leftWaiting(id, now - before.since());
       }
     }
-    around.clock().after(1, this::look);
+    around.clock().after(1, this::check);
   }
 
   /** Whether the next tasks of a job could start: one task, or all tasks of a gang. */
@@ -86,7 +86,7 @@
       if (job.allows(machine.type(), machine.zone(), machine.spot())) {
         places.merge(
             job.singleZone() ? machine.zone() : "any",
-            inZone(
+            permittedInZone(
                 job,
                 machine.zone(),
                 worker.capacity().minus(worker.used()).capacityFor(job.taskResources())),
@@ -100,7 +100,7 @@
    * Of the tasks that the machines of a zone have room for, the number that the spreading rule
    * permits there.
    */
-  private int inZone(Job job, String zone, int room) {
+  private int permittedInZone(Job job, String zone, int room) {
     List<String> zones = new ArrayList<>(around.site().zones());
     zones.removeIf(each -> around.rules().onMachines(job.id(), each) == 0);
     if (job.singleZone() && !zones.isEmpty() && !zones.contains(zone)) {
--- a/src/main/java/org/quincecross/emulator/ImageStore.java
+++ b/src/main/java/org/quincecross/emulator/ImageStore.java
@@ -11,16 +11,16 @@
  * recently used images stay cached.
  */
 final class ImageStore {
-  private static final double ALMOST_GB = 1e-6;
+  private static final double COMPLETE_TOLERANCE_GB = 1e-6;
 
   private static final class Fetch {
     private final double gb;
-    private double left;
+    private double remainingGb;
     private final List<Runnable> waiting = new ArrayList<>();
 
     Fetch(double gb) {
       this.gb = gb;
-      this.left = gb;
+      this.remainingGb = gb;
     }
   }
 
@@ -29,8 +29,8 @@
   private final double rate;
   private final Map<String, Double> cached = new LinkedHashMap<>(16, 0.75f, true);
   private final Map<String, Fetch> fetches = new LinkedHashMap<>();
-  private double at;
-  private long plan;
+  private double settledAt;
+  private long planVersion;
 
   ImageStore(Clock clock, double cacheGb, double rate) {
     this.clock = clock;
@@ -49,22 +49,22 @@
   /**
    * Runs {@code onReady} once the machine has the image; returns whether this call began a fetch.
    */
-  boolean want(String image, double gb, Runnable there) {
+  boolean request(String image, double gb, Runnable onReady) {
     if (cached.get(image) != null || gb <= 0) {
-      clock.after(0, there);
+      clock.after(0, onReady);
       return false;
     }
     settle();
     boolean begins = !fetches.containsKey(image);
-    fetches.computeIfAbsent(image, i -> new Fetch(gb)).waiting.add(there);
+    fetches.computeIfAbsent(image, i -> new Fetch(gb)).waiting.add(onReady);
     replan();
     return begins;
   }
 
   /** Withdraws a request made with {@link #request}. */
-  void giveUp(String image, Runnable there) {
+  void withdraw(String image, Runnable onReady) {
     Fetch fetch = fetches.get(image);
-    if (fetch != null && fetch.waiting.remove(there) && fetch.waiting.isEmpty()) {
+    if (fetch != null && fetch.waiting.remove(onReady) && fetch.waiting.isEmpty()) {
       settle();
       fetches.remove(image);
       replan();
@@ -75,20 +75,21 @@
   private void settle() {
     double now = clock.seconds();
     if (!fetches.isEmpty()) {
-      double each = (now - at) * rate / fetches.size();
-      fetches.values().forEach(fetch -> fetch.left -= each);
+      double each = (now - settledAt) * rate / fetches.size();
+      fetches.values().forEach(fetch -> fetch.remainingGb -= each);
     }
-    at = now;
+    settledAt = now;
   }
 
   private void replan() {
-    long mine = ++plan;
-    double least = fetches.values().stream().mapToDouble(fetch -> fetch.left).min().orElse(-1);
+    long mine = ++planVersion;
+    double least =
+        fetches.values().stream().mapToDouble(fetch -> fetch.remainingGb).min().orElse(-1);
     if (!fetches.isEmpty()) {
       clock.after(
           Math.max(0, least) * fetches.size() / rate,
           () -> {
-            if (plan == mine) {
+            if (planVersion == mine) {
               settle();
               finish();
               replan();
@@ -99,7 +100,7 @@
 
   private void finish() {
     for (Map.Entry<String, Fetch> entry : List.copyOf(fetches.entrySet())) {
-      if (entry.getValue().left <= ALMOST_GB) {
+      if (entry.getValue().remainingGb <= COMPLETE_TOLERANCE_GB) {
         fetches.remove(entry.getKey());
         cached.put(entry.getKey(), entry.getValue().gb);
         double sum = cached.values().stream().mapToDouble(Double::doubleValue).sum();
--- a/src/main/java/org/quincecross/emulator/LateCancellations.java
+++ b/src/main/java/org/quincecross/emulator/LateCancellations.java
@@ -69,7 +69,7 @@
       around.cloud().workers().stream()
           .filter(worker -> around.rules().runsAny(worker.machine().id(), theirs))
           .limit(MOST_HANGING)
-          .forEach(worker -> worker.hang(hangS));
+          .forEach(worker -> worker.suspend(hangS));
     }
     return called;
   }
--- a/src/main/java/org/quincecross/emulator/Balancer.java
+++ b/src/main/java/org/quincecross/emulator/LoadBalancerSimulator.java
@@ -17,14 +17,14 @@
  * probes make it healthy again, but not before a pause that doubles with each removal within two
  * minutes.
  */
-final class Balancer {
-  private static final double PROBE_S = 1;
+final class LoadBalancerSimulator {
+  private static final double PROBE_INTERVAL_S = 1;
   private static final double RESET_AFTER_S = 5;
-  private static final double PAUSE_S = 3;
-  private static final double LONGEST_PAUSE_S = 60;
-  private static final double REMOVALS_COUNT_FOR_S = 120;
-  private static final double RAISED_OVER_S = 10;
-  private static final int PROBES = 6;
+  private static final double MIN_REINSTATEMENT_DELAY_S = 3;
+  private static final double MAX_REINSTATEMENT_DELAY_S = 60;
+  private static final double REMOVAL_MEMORY_S = 120;
+  private static final double SLOW_START_S = 10;
+  private static final int PROBE_WINDOW = 6;
 
   /** The load balancer's view of a controller. */
   private enum State {
@@ -35,12 +35,12 @@
 
   private static final class Node {
     private State state = State.NEW;
-    private double since;
-    private int fails;
-    private int goods;
-    private int recent;
+    private double stateSince;
+    private int consecutiveFailures;
+    private int consecutiveSuccesses;
+    private int recentFailures;
     private final List<Double> removals = new ArrayList<>();
-    private int open;
+    private int openConnections;
   }
 
   private static final class Connection {
@@ -56,7 +56,7 @@
   private final Node[] nodes;
   private final Map<Object, Connection> connections = new HashMap<>();
 
-  Balancer(ClusterEnvironment around) {
+  LoadBalancerSimulator(ClusterEnvironment around) {
     this.around = around;
     nodes = new Node[around.site().nodes()];
     for (int i = 0; i < nodes.length; i++) {
@@ -67,7 +67,7 @@
 
   private void enter(Node node, State next) {
     node.state = next;
-    node.since = around.clock().seconds();
+    node.stateSince = around.clock().seconds();
   }
 
   boolean isHealthy(int node) {
@@ -84,17 +84,21 @@
             HttpRequest.get(JobCodec.HEALTH_PATH),
             TimeSpan.ofSeconds(1),
             outcome -> probed(number, outcome.status() == 200));
-    around.clock().after(PROBE_S * (0.9 + 0.2 * around.random().nextDouble()), () -> probe(number));
+    around
+        .clock()
+        .after(PROBE_INTERVAL_S * (0.9 + 0.2 * around.random().nextDouble()), () -> probe(number));
   }
 
-  private void probed(int number, boolean good) {
+  private void probed(int number, boolean succeeded) {
     Node node = nodes[number];
     double now = around.clock().seconds();
-    node.goods = good ? node.goods + 1 : 0;
-    node.fails = good ? 0 : node.fails + 1;
-    node.recent = (node.recent << 1 | (good ? 0 : 1)) & (1 << PROBES) - 1;
-    if (node.state == State.HEALTHY && (node.fails >= 2 || Integer.bitCount(node.recent) >= 3)) {
-      node.removals.removeIf(at -> now - at > REMOVALS_COUNT_FOR_S);
+    node.consecutiveSuccesses = succeeded ? node.consecutiveSuccesses + 1 : 0;
+    node.consecutiveFailures = succeeded ? 0 : node.consecutiveFailures + 1;
+    node.recentFailures =
+        (node.recentFailures << 1 | (succeeded ? 0 : 1)) & (1 << PROBE_WINDOW) - 1;
+    if (node.state == State.HEALTHY
+        && (node.consecutiveFailures >= 2 || Integer.bitCount(node.recentFailures) >= 3)) {
+      node.removals.removeIf(at -> now - at > REMOVAL_MEMORY_S);
       node.removals.add(now);
       enter(node, State.UNHEALTHY);
       around
@@ -103,44 +107,46 @@
               RESET_AFTER_S,
               () -> {
                 if (node.state == State.UNHEALTHY
-                    && around.clock().seconds() - node.since >= RESET_AFTER_S - 0.01) {
+                    && around.clock().seconds() - node.stateSince >= RESET_AFTER_S - 0.01) {
                   connections.values().stream()
                       .filter(each -> each.node == number)
                       .toList()
                       .forEach(this::close);
                 }
               });
-    } else if (node.state == State.NEW && good) {
+    } else if (node.state == State.NEW && succeeded) {
       enter(node, State.HEALTHY);
     } else if (node.state == State.UNHEALTHY
-        && node.goods >= 2
-        && now - node.since
-            >= Math.min(LONGEST_PAUSE_S, PAUSE_S * Math.pow(2, node.removals.size() - 1))) {
-      node.recent = 0;
+        && node.consecutiveSuccesses >= 2
+        && now - node.stateSince
+            >= Math.min(
+                MAX_REINSTATEMENT_DELAY_S,
+                MIN_REINSTATEMENT_DELAY_S * Math.pow(2, node.removals.size() - 1))) {
+      node.recentFailures = 0;
       enter(node, State.HEALTHY);
     }
   }
 
   private void close(Connection connection) {
     if (connections.values().remove(connection)) {
-      nodes[connection.node].open--;
+      nodes[connection.node].openConnections--;
     }
     connection.life.end();
   }
 
-  private int choose() {
-    int best = -1;
-    double least = 0;
+  private int leastLoadedNode() {
+    int leastLoaded = -1;
+    double leastLoad = 0;
     for (int i = 0; i < nodes.length; i++) {
-      double raised =
-          Math.min(1, 0.1 + (around.clock().seconds() - nodes[i].since) / RAISED_OVER_S);
-      double load = (nodes[i].open + around.random().nextDouble()) / raised;
-      if (nodes[i].state == State.HEALTHY && (best < 0 || load < least)) {
-        best = i;
-        least = load;
+      double slowStartWeight =
+          Math.min(1, 0.1 + (around.clock().seconds() - nodes[i].stateSince) / SLOW_START_S);
+      double load = (nodes[i].openConnections + around.random().nextDouble()) / slowStartWeight;
+      if (nodes[i].state == State.HEALTHY && (leastLoaded < 0 || load < leastLoad)) {
+        leastLoaded = i;
+        leastLoad = load;
       }
     }
-    return best;
+    return leastLoaded;
   }
 
   /**
@@ -148,25 +154,25 @@
    * no answer.
    */
   void call(Object user, HttpRequest request, double timeoutS, Consumer<HttpOutcome> done) {
-    Connection kept = connections.get(user);
-    if (kept == null) {
-      int node = choose();
+    Connection existing = connections.get(user);
+    if (existing == null) {
+      int node = leastLoadedNode();
       if (node < 0) {
         around.clock().after(0.001, () -> done.accept(HttpOutcome.failed(false)));
         return;
       }
-      kept = new Connection(node);
-      connections.put(user, kept);
-      nodes[node].open++;
+      existing = new Connection(node);
+      connections.put(user, existing);
+      nodes[node].openConnections++;
     }
-    Connection over = kept;
+    Connection connection = existing;
     boolean[] answered = new boolean[1];
     Consumer<HttpOutcome> once =
         outcome -> {
           if (!answered[0]) {
             answered[0] = true;
             if (outcome.status() == 0 || outcome.response().close()) {
-              close(over);
+              close(connection);
             }
             done.accept(outcome);
           }
@@ -174,9 +180,9 @@
     around
         .network()
         .call(
-            over.life,
+            connection.life,
             "users",
-            around.node(over.node),
+            around.node(connection.node),
             request,
             TimeSpan.ofSeconds(timeoutS),
             once);
--- a/src/main/java/org/quincecross/emulator/LocalCluster.java
+++ b/src/main/java/org/quincecross/emulator/LocalCluster.java
@@ -248,7 +248,7 @@
     for (String line : Files.readAllLines(info)) {
       if (line.startsWith("MemAvailable:")) {
         long have = Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024;
-        long need = 200L * site.nodes() + site.mostMachines() / 2;
+        long need = 200L * site.nodes() + site.maxMachines() / 2;
         if (have < need) {
           throw new IOException(
               "too little memory: " + need + " MB are needed, " + have + " MB are free");
@@ -308,13 +308,14 @@
   }
 
   private void tick() {
-    controllers.forEach(ControllerProcess::look);
+    controllers.forEach(ControllerProcess::sampleFootprint);
     peakTasks = Math.max(peakTasks, around.rules().onMachines());
     double now = clock.seconds();
     switch (state) {
       case STARTING -> {
         boolean heard =
-            around.cloud().workers().stream().anyMatch(worker -> worker.answeredFrom() >= 0);
+            around.cloud().workers().stream()
+                .anyMatch(worker -> worker.lastAnsweredReportAt() >= 0);
         if (front.wellCount() == site.nodes() && heard) {
           readyAt = now;
           enter(State.READY);
@@ -527,7 +528,7 @@
                 .orElse(0)));
     List<Object> nodes = new ArrayList<>();
     for (int node = 0; node < controllers.size(); node++) {
-      ControllerProcess.Footprint most = controllers.get(node).most();
+      ControllerProcess.Footprint most = controllers.get(node).peak();
       nodes.add(
           Json.object(
               "controller",
--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -88,7 +88,7 @@
   }
 
   private String state() {
-    Map<?, ?> state = ColdStarts.state(around.state(), NAME);
+    Map<?, ?> state = ColdStartInvariant.state(around.state(), NAME);
     return state == null ? "" : String.valueOf(state.get("state"));
   }
 
@@ -181,7 +181,7 @@
             "nothing more happened in phase "
                 + phase
                 + ": "
-                + ColdStarts.state(around.state(), NAME));
+                + ColdStartInvariant.state(around.state(), NAME));
         end(Phase.FAILED);
         return;
       }
@@ -193,9 +193,9 @@
     result.put("wakes", wakes);
     result.put("starts", around.coldStarts().starts());
     result.put("fetches", around.coldStarts().fetches());
-    result.put("twice", around.coldStarts().wrong());
+    result.put("twice", around.coldStarts().violations());
     around.users().cancel(JOB);
-    enter(around.coldStarts().wrong().isEmpty() ? last : Phase.FAILED);
+    enter(around.coldStarts().violations().isEmpty() ? last : Phase.FAILED);
     over.run();
   }
 
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -136,7 +136,7 @@
   private void lose(double share) {
     for (MachineId machine : world.cloud().machines()) {
       if (random.nextDouble() < share) {
-        world.cloud().take(machine, 0);
+        world.cloud().terminate(machine, 0);
       }
     }
   }
--- a/src/main/java/org/quincecross/emulator/PipelineDraws.java
+++ b/src/main/java/org/quincecross/emulator/PipelineDraws.java
@@ -46,9 +46,9 @@
    * The jobs of one pipeline, none before one that it names; {@code earlier}: jobs of others that
    * its first ones may name.
    */
-  List<DependentJobs.Step> draw(List<JobId> earlier) {
+  List<DependentJobs.PipelineJob> draw(List<JobId> earlier) {
     String team = teams.get(random.nextInt(teams.size()));
-    List<DependentJobs.Step> steps = new ArrayList<>();
+    List<DependentJobs.PipelineJob> steps = new ArrayList<>();
     List<JobId> stage = List.of();
     List<JobId> before =
         earlier.isEmpty() || random.nextBoolean()
@@ -60,17 +60,17 @@
       for (int jobs = 1 + random.nextInt(MOST_JOBS_OF_A_STAGE); jobs > 0; jobs--) {
         Job job = job(team, i % 2 == 0 ? Priority.LOW : Priority.NORMAL, null, some(stage, before));
         next.add(job.id());
-        steps.add(new DependentJobs.Step(job, DependentJobs.Submitted.ONCE_ACCEPTED));
+        steps.add(new DependentJobs.PipelineJob(job, DependentJobs.SubmitCondition.ONCE_ACCEPTED));
       }
       before = stage;
       stage = next;
     }
     steps.add(
-        new DependentJobs.Step(
+        new DependentJobs.PipelineJob(
             job(team, Priority.HIGH, TimeSpan.ofSeconds(DUE_S), stage),
             random.nextInt(LATE_ONE_IN) == 0
-                ? DependentJobs.Submitted.ONCE_OVER
-                : DependentJobs.Submitted.ONCE_ACCEPTED));
+                ? DependentJobs.SubmitCondition.ONCE_OVER
+                : DependentJobs.SubmitCondition.ONCE_ACCEPTED));
     return steps;
   }
 
--- a/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
+++ b/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
@@ -223,7 +223,7 @@
     }
     if (state.equals("cancelled")) {
       cancelled.putIfAbsent(id, around.clock().seconds());
-      if (!asked && !around.pipelineRules().isCancelledBefore(id)) {
+      if (!asked && !around.pipelineRules().isDependencyCancelRequested(id)) {
         breaks("went_back", id + " was not cancelled by its user");
       }
     }
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -114,7 +114,10 @@
             Math.max(
                 1,
                 Math.round(
-                    mostShare * machines * type.capacity().capacityFor(front.each()) / TASKS_EACH));
+                    mostShare
+                        * machines
+                        * type.capacity().capacityFor(front.taskResources())
+                        / TASKS_EACH));
     WorkloadGenerator load = new WorkloadGenerator(world.around(), seed);
     world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
     world
@@ -158,9 +161,9 @@
             "tasks",
             TASKS_EACH,
             "cpus",
-            front.each().cpus(),
+            front.taskResources().cpus(),
             "memory_gb",
-            front.each().memoryGb(),
+            front.taskResources().memoryGb(),
             "zones",
             List.of());
     change(number, "a", command, () -> {});
@@ -192,7 +195,9 @@
             .orElseThrow()
             .name();
     int tasks =
-        site.mostMachines() * site.types().get(0).capacity().capacityFor(front.each()) / GROWS_IN;
+        site.maxMachines()
+            * site.types().get(0).capacity().capacityFor(front.taskResources())
+            / GROWS_IN;
     world
         .users()
         .submit(
@@ -202,7 +207,7 @@
                 .kind(JobKind.SERVICE)
                 .priority(front.priority())
                 .taskCount(tasks)
-                .taskResources(front.each())
+                .taskResources(front.taskResources())
                 .image(OTHER_FRONT)
                 .imageGb(front.imageGb())
                 .estimate(TimeSpan.ZERO)
@@ -227,7 +232,7 @@
               .kind(JobKind.SERVICE)
               .priority(front.priority())
               .taskCount(TASKS_EACH)
-              .taskResources(front.each())
+              .taskResources(front.taskResources())
               .spreadOverZones(true)
               .image(front.name() + "-1")
               .imageGb(front.imageGb())
--- a/src/main/java/org/quincecross/emulator/SimulatedCluster.java
+++ b/src/main/java/org/quincecross/emulator/SimulatedCluster.java
@@ -482,7 +482,8 @@
     net.copyLate(
         share == 0
             ? DuplicatedMessages.NONE
-            : DuplicatedMessages.inTime(share, 3 * site.workers().lease().seconds(), nodes, draws));
+            : DuplicatedMessages.delayed(
+                share, 3 * site.workers().lease().seconds(), nodes, draws));
   }
 
   /**
@@ -493,7 +494,7 @@
     net.copyLate(
         share == 0
             ? DuplicatedMessages.NONE
-            : DuplicatedMessages.forNext(share, nodes, draws, this::leadership));
+            : DuplicatedMessages.forNextLeader(share, nodes, draws, this::leadership));
   }
 
   /** Who leads by the records, in which life; null where nobody does. */
--- a/src/main/java/org/quincecross/emulator/TaskSimulator.java
+++ b/src/main/java/org/quincecross/emulator/TaskSimulator.java
@@ -68,7 +68,7 @@
     for (int i = 0; i < job.taskCount(); i++) {
       TaskId each = job.id().task(i);
       AgentSimulator worker = gangs.get(new Start(each, attempt));
-      if (worker == null || !worker.gathers(each, attempt)) {
+      if (worker == null || !worker.isWaitingForGang(each, attempt)) {
         return;
       }
       places.add(worker);
@@ -76,7 +76,7 @@
       speed = Math.min(speed, worker.speed());
     }
     for (int i = 0; i < job.taskCount(); i++) {
-      places.get(i).gangStarts(job, job.id().task(i), attempt, seconds / speed);
+      places.get(i).startGangTask(job, job.id().task(i), attempt, seconds / speed);
     }
   }
 
@@ -96,7 +96,7 @@
     for (int i = 0; i < job.taskCount(); i++) {
       AgentSimulator worker = gangs.get(new Start(job.id().task(i), attempt));
       if (worker != null) {
-        worker.gangLost(job.id().task(i), attempt);
+        worker.onGangPeerLost(job.id().task(i), attempt);
       }
     }
   }
--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -68,7 +68,7 @@
   private final PollLiveness polls;
   private final List<BiConsumer<Moment, JobId>> watchers = new ArrayList<>();
   private double pollsFaster = 1;
-  private Balancer balancer;
+  private LoadBalancerSimulator balancer;
 
   UserSimulator(ClusterEnvironment around) {
     this.around = around;
@@ -80,8 +80,8 @@
    * From now on users go through the load balancer, each over a connection of its own that stays as
    * long as it can.
    */
-  Balancer balance() {
-    balancer = new Balancer(around);
+  LoadBalancerSimulator balance() {
+    balancer = new LoadBalancerSimulator(around);
     return balancer;
   }
 
@@ -335,7 +335,7 @@
           if (isTold(job.id(), outcome, before)) {
             acceptedAfter.putIfAbsent(job.id(), now - since);
             polls.accepted(job.id());
-            around.pipelines().answered(job.id(), outcome.status());
+            around.pipelines().onSubmissionAnswered(job.id(), outcome.status());
             around.clock().after(2, () -> poll(job.id()));
             happens(Moment.ACCEPTED, job.id());
           } else if (outcome.status() != 400
@@ -345,7 +345,7 @@
                 .clock()
                 .after(Math.max(1, retryAfter(outcome)), () -> sendSubmission(job, since));
           } else {
-            around.pipelines().answered(job.id(), outcome.status());
+            around.pipelines().onSubmissionAnswered(job.id(), outcome.status());
           }
         });
   }
@@ -453,7 +453,7 @@
       String status = Json.parseFields(outcome.response().body()).string("Status");
       String last = told.put(id, status);
       around.rules().told(id, status, before, cancelAsked.containsKey(id));
-      around.pipelines().told(id, status);
+      around.pipelines().onStateReported(id, status);
       if (status.equals("done")
           && overAfter.putIfAbsent(id, around.clock().seconds() - submittedAt.getOrDefault(id, 0.0))
               == null) {
--- a/src/main/java/org/quincecross/emulator/VirtualNetwork.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNetwork.java
@@ -220,7 +220,7 @@
     if (request.path().equals("/orders")) {
       startWatcher.accept(request.body());
     }
-    double heldS = holdNext + held.seconds(request);
+    double heldS = holdNext + held.delayS(request);
     holdNext = 0;
     Object process = host.process();
     String link = from + ">" + to;
@@ -239,7 +239,7 @@
         () -> {
           // Of what was lost on its way there is no copy: that would be a report that is late, and
           // news.
-          copies.perhaps(
+          copies.maybeDuplicate(
               request,
               to,
               time,
@@ -259,7 +259,7 @@
                   send(
                       name,
                       from,
-                      held.seconds(request),
+                      held.delayS(request),
                       () -> once.accept(HttpOutcome.answered(response)));
                 });
           }
--- a/src/main/java/org/quincecross/emulator/WorkloadFile.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadFile.java
@@ -65,8 +65,8 @@
 
   /** A job and when it is submitted, at the earliest: those that it names are accepted before. */
   record Due(double atS, Job job) {
-    DependentJobs.Step step() {
-      return new DependentJobs.Step(job, DependentJobs.Submitted.ONCE_ACCEPTED);
+    DependentJobs.PipelineJob step() {
+      return new DependentJobs.PipelineJob(job, DependentJobs.SubmitCondition.ONCE_ACCEPTED);
     }
   }
 
@@ -227,8 +227,8 @@
     double every = in.amount("every_s", 0, 100_000);
     double due = in.amount("due_s", 0, 1_000_000);
     int copies = in.count("copies", 1, MOST_COPIES);
-    int perMachines = in.count("per_machines", site.mostMachines(), Integer.MAX_VALUE);
-    int all = Math.max(1, copies * site.mostMachines() / perMachines);
+    int perMachines = in.count("per_machines", site.maxMachines(), Integer.MAX_VALUE);
+    int all = Math.max(1, copies * site.maxMachines() / perMachines);
     List<List<JobId>> before = before(in);
     List<JobId> ids = new ArrayList<>();
     for (int i = 0; i < all; i++) {
--- a/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
@@ -83,7 +83,7 @@
         .after(
             gaps.sample(),
             () -> {
-              for (DependentJobs.Step step : draws.draw(earlier)) {
+              for (DependentJobs.PipelineJob step : draws.draw(earlier)) {
                 earlier.add(step.job().id());
                 around.pipelines().submit(step);
               }
@@ -162,7 +162,7 @@
         .kind(each.kind())
         .priority(each.priority())
         .taskCount(tasks)
-        .taskResources(each.each())
+        .taskResources(each.taskResources())
         .singleZone(each.kind() == JobKind.GANG)
         .spreadOverZones(each.spread())
         .allowsSpot(each.spot())
@@ -172,9 +172,9 @@
             each.kind() == JobKind.SERVICE
                 ? TimeSpan.ZERO
                 : TimeSpan.ofSeconds(each.runS() * Math.min(4, nearOne.sample())))
-        .checkpointInterval(TimeSpan.ofSeconds(each.saveEveryS()))
-        .checkpointCost(TimeSpan.ofSeconds(each.saveEveryS() > 0 ? 3 : 0))
-        .deadline(each.dueS() > 0 ? TimeSpan.ofSeconds(each.dueS()) : null)
+        .checkpointInterval(TimeSpan.ofSeconds(each.checkpointEveryS()))
+        .checkpointCost(TimeSpan.ofSeconds(each.checkpointEveryS() > 0 ? 3 : 0))
+        .deadline(each.deadlineS() > 0 ? TimeSpan.ofSeconds(each.deadlineS()) : null)
         .build();
   }
 }
--- a/src/test/java/org/quincecross/emulator/CombinedFaults.java
+++ b/src/test/java/org/quincecross/emulator/CombinedFaults.java
@@ -240,7 +240,7 @@
               .forEach(
                   worker -> {
                     if (random.nextDouble() < 0.3) {
-                      worker.hang(length * random.nextDouble());
+                      worker.suspend(length * random.nextDouble());
                     }
                   });
       case ZONE ->
@@ -282,7 +282,7 @@
         world.cloud().bootWithin(2, length);
         machines.stream()
             .filter(each -> random.nextInt(4) == 0)
-            .forEach(each -> world.cloud().take(each, 0));
+            .forEach(each -> world.cloud().terminate(each, 0));
         after(length * random.nextDouble(), () -> world.crash(leader(random)));
       }
       default -> throw new IllegalStateException(trouble.toString());
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -411,7 +411,7 @@
                 ordinary.add(worker.machine().id());
               }
             });
-    ordinary.subList(0, 8).forEach(id -> world.cloud().take(id, 0));
+    ordinary.subList(0, 8).forEach(id -> world.cloud().terminate(id, 0));
     run(45);
     assertEquals(
         DeadlineRequest.State.ARRIVED, watch.request("r-0").state(), watch.seen().toString());
@@ -452,7 +452,7 @@
         rented + " machines, later " + world.cloud().workers().size());
     for (AgentSimulator worker : world.cloud().workers()) {
       if (worker.machine().zone().equals("west")) {
-        world.cloud().take(worker.machine().id(), 0);
+        world.cloud().terminate(worker.machine().id(), 0);
       }
     }
     set("{\"renting\": false}");
--- a/src/test/java/org/quincecross/emulator/DependencyFaults.java
+++ b/src/test/java/org/quincecross/emulator/DependencyFaults.java
@@ -70,8 +70,8 @@
     world.users().told().keySet().stream()
         .filter(id -> world.job(id).kind() != JobKind.SERVICE && !world.users().isMistaken(id))
         .forEach(earlier::add);
-    List<DependentJobs.Step> steps = draws.draw(earlier);
-    for (DependentJobs.Step step : steps) {
+    List<DependentJobs.PipelineJob> steps = draws.draw(earlier);
+    for (DependentJobs.PipelineJob step : steps) {
       drawn.add(step.job().id());
       world.around().pipelines().submit(step);
     }
--- a/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
@@ -55,7 +55,7 @@
   private void tell(JobId id, String state, boolean asked) {
     world.users().told().put(id, state);
     rules.told(id, state, null, asked);
-    world.around().pipelines().told(id, state);
+    world.around().pipelines().onStateReported(id, state);
   }
 
   private void assertBroken(String... rulesInOrder) {
--- a/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
@@ -66,7 +66,8 @@
   }
 
   private void submitLater(Job job) {
-    pipelines().submit(new DependentJobs.Step(job, DependentJobs.Submitted.ONCE_ACCEPTED));
+    pipelines()
+        .submit(new DependentJobs.PipelineJob(job, DependentJobs.SubmitCondition.ONCE_ACCEPTED));
   }
 
   private void at(BooleanSupplier moment, Runnable what) {
@@ -111,7 +112,7 @@
       String state = Json.parseFields(body).string("Status");
       boolean isNew = world.users().told().put(id, state) == null;
       world.rules().told(id, state, before, world.users().isCancelAsked(id));
-      pipelines().told(id, state);
+      pipelines().onStateReported(id, state);
       if (isNew) {
         poll(id);
       }
--- a/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
@@ -79,7 +79,7 @@
                     token,
                     "Pieces",
                     List.of())));
-    world.cloud().take(machine, 0);
+    world.cloud().terminate(machine, 0);
     boolean left = false;
     for (double at = 40; at < 130; at += 0.25) {
       world.time().runUntil(at);
@@ -153,7 +153,7 @@
     List<AgentSimulator> workers = List.copyOf(world.cloud().workers());
     List<MachineId> gone =
         workers.subList(0, 4).stream().map(worker -> worker.machine().id()).toList();
-    gone.forEach(machine -> world.cloud().take(machine, 0));
+    gone.forEach(machine -> world.cloud().terminate(machine, 0));
     workers.subList(4, 10).forEach(worker -> worker.restart(0.3));
     workers
         .subList(10, 14)
--- a/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
@@ -34,7 +34,7 @@
       double inTime, double worst, double longestUnanswered, int fewestReplicas, int refused) {}
 
   private SimulatedCluster world;
-  private Balancer balancer;
+  private LoadBalancerSimulator balancer;
 
   private static Job one(int number) {
     return Job.builder(new JobId("job-" + number))
--- a/src/test/java/org/quincecross/emulator/LivenessInvariant.java
+++ b/src/test/java/org/quincecross/emulator/LivenessInvariant.java
@@ -98,7 +98,7 @@
   /** The same with all that it waits for. */
   private double secondsLeft(JobId id) {
     double before = 0;
-    for (JobId each : world.around().pipelines().before(id)) {
+    for (JobId each : world.around().pipelines().allDependencies(id)) {
       before += open().contains(each) ? secondsLeft(world.job(each)) : 0;
     }
     return before + secondsLeft(world.job(id));
--- a/src/test/java/org/quincecross/emulator/MachineLossTest.java
+++ b/src/test/java/org/quincecross/emulator/MachineLossTest.java
@@ -61,7 +61,7 @@
     assertEquals(80, replicas(world, services));
     List<MachineId> machines = world.cloud().machines();
     for (int i = 0; i < machines.size(); i += 2) {
-      world.cloud().take(machines.get(i), 0);
+      world.cloud().terminate(machines.get(i), 0);
     }
     assertTrue(replicas(world, services) < 80);
     double at = 35;
--- a/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
@@ -87,7 +87,7 @@
     for (int node = 0; node < 3; node++) {
       assertTrue(site.asked(node) <= 3, "changes asked for by one controller: " + site.asked(node));
     }
-    assertEquals(0, site.world.around().coldStarts().late());
+    assertEquals(0, site.world.around().coldStarts().lateStarts());
     assertEquals(2, site.onMachines(100));
     assertEquals(before + 3, site.epoch("m"), "woken, chosen, ready");
     assertEquals(2, site.world.around().coldStarts().starts() - started);
@@ -111,7 +111,7 @@
     }
     site.until("m", "WARM", 90);
     assertEquals(2, site.onMachines(100));
-    assertEquals(0, site.world.around().coldStarts().late());
+    assertEquals(0, site.world.around().coldStarts().lateStarts());
     site.assertRight();
   }
 
@@ -188,7 +188,9 @@
     site.wakeAt(T, 0, "m");
     site.until("m", "WARM", 60);
     String machine = site.machine("m").text();
-    site.world.time().at(T + 16, () -> site.world.cloud().take(new MachineId(machine), noticeS));
+    site.world
+        .time()
+        .at(T + 16, () -> site.world.cloud().terminate(new MachineId(machine), noticeS));
     for (int i = 0; i < 60; i++) {
       site.world
           .time()
--- a/src/test/java/org/quincecross/emulator/ModelServingCluster.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCluster.java
@@ -182,16 +182,16 @@
   }
 
   String phase(String name) {
-    Map<?, ?> state = ColdStarts.state(world.state(), name);
+    Map<?, ?> state = ColdStartInvariant.state(world.state(), name);
     return state == null ? "none" : String.valueOf(state.get("state"));
   }
 
   long epoch(String name) {
-    return ((Number) ColdStarts.state(world.state(), name).get("epoch")).longValue();
+    return ((Number) ColdStartInvariant.state(world.state(), name).get("epoch")).longValue();
   }
 
   MachineId machine(String name) {
-    List<?> places = (List<?>) ColdStarts.state(world.state(), name).get("places");
+    List<?> places = (List<?>) ColdStartInvariant.state(world.state(), name).get("places");
     return places.isEmpty()
         ? null
         : new MachineId((String) ((Map<?, ?>) places.get(0)).get("machine"));
@@ -215,7 +215,7 @@
                 + ", at "
                 + world.time().seconds()
                 + ": "
-                + ColdStarts.state(world.state(), name));
+                + ColdStartInvariant.state(world.state(), name));
       }
       world.time().runUntil(world.time().seconds() + 0.01);
     }
@@ -225,7 +225,7 @@
   /** No rule was broken, no place started or fetched twice, and no job is forgotten. */
   void assertRight() {
     assertEquals(List.of(), world.rules().broken());
-    assertEquals(List.of(), world.around().coldStarts().wrong());
+    assertEquals(List.of(), world.around().coldStarts().violations());
     jobs.forEach(
         job ->
             assertEquals(
--- a/src/test/java/org/quincecross/emulator/ModelServingScenario.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingScenario.java
@@ -82,7 +82,9 @@
       case 6 -> {
         List<MachineId> machines = world.cloud().machines();
         if (machines.size() > 8) {
-          world.cloud().take(machines.get(random.nextInt(machines.size())), random.nextInt(2) * 8);
+          world
+              .cloud()
+              .terminate(machines.get(random.nextInt(machines.size())), random.nextInt(2) * 8);
         }
       }
       default -> {
@@ -117,9 +119,9 @@
       expect(i, "WARM", i == 0 ? GANG : LEAST);
     }
     wrong.addAll(world.rules().broken());
-    wrong.addAll(world.around().coldStarts().wrong());
-    if (world.around().coldStarts().late() > MOST_LATE) {
-      wrong.add(world.around().coldStarts().late() + " starts where no record has a place");
+    wrong.addAll(world.around().coldStarts().violations());
+    if (world.around().coldStarts().lateStarts() > MOST_LATE) {
+      wrong.add(world.around().coldStarts().lateStarts() + " starts where no record has a place");
     }
     return wrong;
   }
@@ -135,13 +137,14 @@
               + " but has "
               + site.onMachines(100 + model)
               + ": "
-              + ColdStarts.state(site.world.state(), name(model)));
+              + ColdStartInvariant.state(site.world.state(), name(model)));
     }
   }
 
   /** Places started, fetches, and starts that came when the place was given up. */
   Map<String, Integer> counts() {
-    ColdStarts starts = site.world.around().coldStarts();
-    return Map.of("starts", starts.starts(), "fetches", starts.fetches(), "late", starts.late());
+    ColdStartInvariant starts = site.world.around().coldStarts();
+    return Map.of(
+        "starts", starts.starts(), "fetches", starts.fetches(), "late", starts.lateStarts());
   }
 }
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -218,7 +218,7 @@
               List<MachineId> machines = world.cloud().machines();
               machines
                   .subList(0, machines.size() / 2)
-                  .forEach(machine -> world.cloud().take(machine, 0));
+                  .forEach(machine -> world.cloud().terminate(machine, 0));
             });
     run(300);
     assertQuietTeamsAreServed(0.9, 20);
--- a/src/test/java/org/quincecross/emulator/RandomScenario.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -261,7 +261,7 @@
       case 9 ->
           machines.stream()
               .filter(each -> random.nextInt(4) == 0)
-              .forEach(each -> world.cloud().take(each, 3 + random.nextDouble() * 15));
+              .forEach(each -> world.cloud().terminate(each, 3 + random.nextDouble() * 15));
       case 10 -> new ZonePartitions(world).zone(node % world.site().zones().size(), length, lose);
       case 11 ->
           machines.forEach(
@@ -271,7 +271,7 @@
                       each.text(),
                       3 + random.nextDouble() * 5,
                       random.nextBoolean()));
-      case 12 -> world.cloud().take(machine, 0);
+      case 12 -> world.cloud().terminate(machine, 0);
       case 13 -> world.silence(node, length, lose);
       case 14 -> world.standStill(node, length);
       case 15 -> {
--- a/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
+++ b/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
@@ -124,7 +124,7 @@
             () -> {
               List<MachineId> machines = world.cloud().machines();
               for (int i = 0; i < machines.size(); i += 3) {
-                world.cloud().take(machines.get(i), 0);
+                world.cloud().terminate(machines.get(i), 0);
               }
             });
   }
--- a/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
@@ -112,7 +112,7 @@
             .forEach(
                 worker -> {
                   if (random.nextBoolean()) {
-                    worker.hang(2 + (lease - 2.5) * random.nextDouble());
+                    worker.suspend(2 + (lease - 2.5) * random.nextDouble());
                   }
                 });
         world
@@ -171,7 +171,7 @@
             .cloud()
             .workers()
             .subList(0, 12)
-            .forEach(worker -> worker.hang(lease * random.nextDouble()));
+            .forEach(worker -> worker.suspend(lease * random.nextDouble()));
         for (int node = 0; node < world.nodeCount(); node++) {
           int each = node;
           world
@@ -189,10 +189,10 @@
                 .toList();
         there
             .subList(0, there.size() / 2)
-            .forEach(worker -> world.cloud().take(worker.machine().id(), 0));
+            .forEach(worker -> world.cloud().terminate(worker.machine().id(), 0));
         there
             .subList(there.size() / 2, there.size())
-            .forEach(worker -> worker.hang(10 * random.nextDouble()));
+            .forEach(worker -> worker.suspend(10 * random.nextDouble()));
         world.time().after(8 * random.nextDouble(), () -> world.down(leader(), 4));
         callOff(WAVE / 2, 10);
       }
--- a/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
+++ b/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
@@ -28,7 +28,7 @@
           WIDE.zones(),
           WIDE.types(),
           WIDE.pools(),
-          WIDE.mostMachines(),
+          WIDE.maxMachines(),
           WIDE.teams(),
           WIDE.workers(),
           new Settings.StoreLimits(200, 15, 4096, 8),
