--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -13,45 +13,45 @@
 import org.quincecross.model.MachineId;
 import org.quincecross.protocol.Json;
 
-/** Something that fails on a site that is tried, and how long it takes until all is as it was. */
+/** Injects one fault into a trial deployment and measures how long recovery takes. */
 public final class Drill {
-  /** What fails. */
+  /** The fault to inject. */
   public enum Kind {
-    /** All controllers are killed and started again at once. */
+    /** All controllers are killed and restarted at once. */
     RESTART,
     /**
-     * The controller of one zone stands still, and its workers hang, for longer than leases last.
+     * The controller of one zone is suspended, and the workers there hang, for longer than a lease.
      */
     ZONE,
-    /** The state service refuses everybody for a while. */
+    /** The state service refuses all requests for a while. */
     STATE,
-    /** Half of the machines are gone without notice. */
+    /** Half of the machines are lost without notice. */
     WORKERS,
     /**
-     * A third of the machines still report, but nothing reaches them, for three leases and a half;
-     * a controller is killed meanwhile and started again. The replicas are to run elsewhere before
-     * the machines hear.
+     * A third of the machines still send reports, but receive nothing for three and a half leases;
+     * meanwhile a controller is killed and restarted. The replicas must run elsewhere before these
+     * machines receive messages again.
      */
     DEAF,
     /**
-     * The controllers are replaced one after the other, under load, by ones that can do the next
-     * level of the stored state; the first is put back once before. Then jobs that wait for others
-     * are submitted, and the state service lowers its limits. Over when the level has risen.
+     * The controllers are replaced one after the other, under load, by a build that supports the
+     * next feature level; the first one is rolled back once. Then jobs with dependencies are
+     * submitted, and the state service lowers its limits. The drill ends when the level has risen.
      */
     ROLL,
     /**
-     * The records of sweeps that run are held, and a controller is killed while they are being
-     * pinned.
+     * Records of running sweeps are placed under a legal hold, and a controller is killed while the
+     * records are being pinned.
      */
     HOLD,
     /**
-     * A model comes from zero, cold and then cached, wanted everywhere; the leading controller is
-     * killed in the middle.
+     * A model scales up from zero, cold and then cached, with requests at all controllers; the
+     * leader is killed in the middle.
      */
     MODEL
   }
 
-  /** Where the drill stands. */
+  /** The phase of the drill. */
   enum Phase {
     WAITS_FOR_REPLICAS,
     TROUBLE,
@@ -76,7 +76,7 @@
   private final ClusterEnvironment around;
   private final List<ControllerProcess> controllers;
 
-  /** The commands of the controllers before and after a roll; empty where there is none. */
+  /** The commands of the controllers before and after a rolling upgrade; empty if there is none. */
   private final List<List<String>> before;
 
   private final List<List<String>> after;
@@ -113,24 +113,24 @@
     return phase;
   }
 
-  /** Has something done once all controllers of a roll have been replaced. */
+  /** Registers an action that runs once a rolling upgrade has replaced all controllers. */
   void whenAllNew(Runnable what) {
     allNew = what;
   }
 
-  /** What was measured, in seconds since the trouble began. */
+  /** The measurements, in seconds since the fault began. */
   Map<String, Object> result() {
     result.put("phase", phase.toString().toLowerCase(java.util.Locale.ROOT));
     return result;
   }
 
-  /** The one place where the drill changes its phase. */
+  /** The only place where the phase changes. */
   private void enter(Phase next) {
     phase = next;
     since = around.clock().seconds();
   }
 
-  /** Begins once the site's replicas run, and not before so many seconds from now. */
+  /** Injects the fault once the replicas run, but not earlier than {@code afterS} from now. */
   void begin(double afterS) {
     notBefore = around.clock().seconds() + afterS;
     enter(Phase.WAITS_FOR_REPLICAS);
@@ -297,8 +297,8 @@
   }
 
   /**
-   * Replicas on machines that lose their lease go missing once it is over; they are back when none
-   * is missing any more.
+   * The replicas of machines without a valid lease go missing when the lease expires, and have been
+   * replaced when none is missing.
    */
   private void lookAtDeaf(double now) {
     if (replicasMissing() > 0) {
@@ -333,7 +333,7 @@
     }
   }
 
-  /** Something that ends a trouble. */
+  /** Ends a fault. */
   private interface End {
     void run() throws IOException;
   }
--- a/src/main/java/org/quincecross/emulator/HoldDrill.java
+++ b/src/main/java/org/quincecross/emulator/HoldDrill.java
@@ -16,12 +16,12 @@
 import org.quincecross.protocol.Json;
 
 /**
- * A hold against sweeps that run: one lane is told to be of sweeps, all of its records are held,
- * and the controller that was asked is killed in the middle. Once "pinned" stands in the records no
- * task of the lane is on a machine, until the hold is closed.
+ * A legal hold on the records of running sweeps: one lane is declared to run sweeps, all of its
+ * records are held, and the controller that received the request is killed in the middle. Once the
+ * record says "pinned", no task of the lane may be on a machine until the hold is closed.
  */
 final class HoldDrill {
-  /** Where it stands. */
+  /** The state of the drill. */
   enum State {
     WAITS_FOR_LEVEL,
     TELLS_LANE,
@@ -63,7 +63,7 @@
     return state;
   }
 
-  /** The one place where the state changes. */
+  /** The only place where the state changes. */
   private void enter(State next) {
     state = next;
     since = around.clock().seconds();
@@ -74,7 +74,7 @@
     enter(State.FAILED);
   }
 
-  /** To be called several times a second. */
+  /** Advances the drill; called several times a second. */
   void look() {
     double now = around.clock().seconds();
     switch (state) {
@@ -183,8 +183,8 @@
   }
 
   /**
-   * Asks one controller after the other, by the same name of the request, until it is done or
-   * refused.
+   * Sends one request, under the same request name, to one controller after the other until it is
+   * applied or refused.
    */
   private void ask(int node, String kind, String id, Map<String, Object> command, Runnable done) {
     byte[] body =
--- a/src/main/java/org/quincecross/emulator/KeyValueStoreSimulator.java
+++ b/src/main/java/org/quincecross/emulator/KeyValueStoreSimulator.java
@@ -25,11 +25,11 @@
 import org.quincecross.protocol.Settings;
 
 /**
- * A stand-in for the state service, as its protocol describes it: limits, leases, transactions,
+ * Simulates the state service as its protocol describes it: limits, leases, transactions and
  * watches.
  */
 final class KeyValueStoreSimulator implements Network.Host {
-  /** So many changes a watch may lie behind. */
+  /** How many changes a watch may lag behind. */
   private static final int KEPT_CHANGES = 10_000;
 
   private static final int MOST_ITEMS = 1000;
@@ -89,8 +89,8 @@
   }
 
   /**
-   * From now on these limits hold, without notice; what is stored stays readable, however large it
-   * is.
+   * Changes the limits from now on, without notice. Stored values stay readable, whatever their
+   * size.
    */
   void limit(Settings.StoreLimits other) {
     limits = other;
@@ -98,7 +98,7 @@
     writes = new TokenBucket(limits.writesPerSecond(), limits.writesPerSecond(), now());
   }
 
-  /** How many transactions were refused for a value or their own size (400). */
+  /** The number of transactions refused with 400 for a value or for their own size. */
   int tooLarge() {
     return tooLarge;
   }
@@ -112,24 +112,26 @@
     return new MonotonicTime((long) (clock.seconds() * 1e9));
   }
 
-  /** One in so many transactions is not answered and is applied seconds later; 0: none. */
+  /**
+   * Leaves one in {@code oneIn} transactions unanswered and applies it seconds later; 0 for none.
+   */
   void applyLate(int oneIn) {
     lateOneIn = oneIn;
   }
 
-  /** Has some transactions carried out late and not answered. */
+  /** Decides which transactions are applied late and not answered. */
   void late(DelayedTransactions late) {
     lateWrites = late;
   }
 
-  /** The statuses with which unanswered transactions were carried out, in that order. */
+  /** The statuses of the unanswered transactions that were applied, in that order. */
   List<Integer> lateOutcomes() {
     return lateOutcomes;
   }
 
   /**
-   * For a while each answer takes so many seconds; the request is carried out at some time in
-   * between.
+   * For {@code seconds}, each answer takes between {@code leastS} and {@code mostS}; the request is
+   * applied at a random time in between.
    */
   void slow(double leastS, double mostS, double seconds, Random draws) {
     slowLeastS = leastS;
@@ -139,8 +141,8 @@
   }
 
   /**
-   * The most requests that were under way at once while it was slow, those among them that nobody
-   * waited for any more.
+   * The largest number of concurrent requests while the service was slow, including those whose
+   * caller had timed out.
    */
   int mostUnderWay() {
     return mostUnderWay;
@@ -154,7 +156,7 @@
     return slowLeastS + slowDraws.nextDouble() * (slowMostS - slowLeastS);
   }
 
-  /** Watches that lie further behind than so many changes are answered with 410. */
+  /** Watches that lag by more than {@code most} changes are answered with 410. */
   void keepChanges(int most) {
     keptChanges = most;
     while (events.size() > keptChanges) {
@@ -183,7 +185,7 @@
         });
   }
 
-  /** How many requests were refused with 429. */
+  /** The number of requests refused with 429. */
   long throttled() {
     return throttled;
   }
@@ -196,7 +198,7 @@
   @Override
   public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
     if (!isSlow()) {
-      // A watch that is opened before may be answered while it is slow.
+      // A watch that was opened earlier may be answered while the service is slow.
       serve(
           from,
           request,
@@ -357,7 +359,7 @@
     }
   }
 
-  /** Carried out when the sender may have given up long ago. */
+  /** Applied when the sender may have timed out long ago. */
   private void carryOut(JsonFields in, List<JsonFields> changes) {
     try {
       expire();
@@ -422,19 +424,19 @@
     return value == null ? null : value.value();
   }
 
-  /** The keys under a prefix. */
+  /** The keys with a prefix. */
   Set<String> under(String under) {
     return new TreeSet<>(keys.keySet().stream().filter(key -> key.startsWith(under)).toList());
   }
 
-  /** Something else than a controller writes a key, or deletes it. */
+  /** Writes or deletes a key on behalf of a client other than a controller. */
   void write(String key, Object value) {
     epoch++;
     change(key, value, 100, 0);
     wakeWatches();
   }
 
-  /** The one place where a key changes. */
+  /** The only place where a key changes. */
   private void change(String key, Object value, int bytes, long hold) {
     Value before =
         value == null ? keys.remove(key) : keys.put(key, new Value(value, bytes, epoch, hold));
@@ -452,7 +454,7 @@
     }
   }
 
-  // ---- reading ----
+  // ---- reads ----
 
   private HttpResponse list(HttpRequest request) {
     List<Object> items = new ArrayList<>();
@@ -513,7 +515,7 @@
                 : Json.object("Set", event.key(), "Value", event.value(), "Stamp", event.stamp()));
       }
     }
-    // In an outage, for all or for one, open watches stay open.
+    // During an outage, for all clients or for one, open watches stay open.
     boolean silent = out || refused.contains(watch.from());
     if (!silent && (!log.isEmpty() || watch.until() <= clock.seconds())) {
       watch.reply().accept(answer(200, "Epoch", epoch, "Log", new ArrayList<>(log)));
--- a/src/main/java/org/quincecross/emulator/LateCancellations.java
+++ b/src/main/java/org/quincecross/emulator/LateCancellations.java
@@ -9,8 +9,8 @@
 import org.quincecross.model.JobId;
 
 /**
- * Users who call jobs off when it matters most: at the very end of the last task, or many long ones
- * all at once.
+ * Users who cancel jobs at the most critical times: as the last task ends, or many long-running
+ * jobs at once.
  */
 final class LateCancellations {
   private static final double WITHIN_S = 0.2;
@@ -19,9 +19,9 @@
   private LateCancellations() {}
 
   /**
-   * For some seconds that share of the jobs that end is called off when the last task ends.
+   * For some seconds, cancels a share of the ending jobs as their last task ends.
    *
-   * @param withinS how long after that at the most; 0: at that very moment
+   * @param withinS the maximum delay after the end; 0 cancels at that very moment
    */
   static void atEnd(
       ClusterEnvironment around, double share, double withinS, double seconds, Random random) {
@@ -41,10 +41,11 @@
   }
 
   /**
-   * Within a fifth of a second so many jobs are called off that run and have longest to go.
+   * Within a fifth of a second, cancels the {@code count} running jobs that have the most work
+   * left.
    *
-   * @param hangS for how long up to eight of their machines hang; 0: none does
-   * @return the jobs
+   * @param hangS for how long up to eight of their machines hang; 0 for none
+   * @return the cancelled jobs
    */
   static List<JobId> now(ClusterEnvironment around, int count, double hangS, Random random) {
     List<JobId> running = new ArrayList<>();
--- a/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
+++ b/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
@@ -9,9 +9,9 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * A stand-in for the users' load balancer, for people and scripts that try a site: each request
- * goes to the next controller that says it is well. Jobs that are submitted here are made known to
- * the machines, as their users upload them.
+ * Simulates the users' load balancer for people and scripts that try a deployment: each request
+ * goes to the next controller that reports healthy. Jobs submitted here are made known to the
+ * machines, as if their users had uploaded them.
  */
 final class LoadBalancerProxy implements Network.Host {
   private static final double PROBE_S = 0.5;
@@ -45,7 +45,7 @@
     around.clock().after(PROBE_S, this::probe);
   }
 
-  /** How many controllers answer and say that they are well. */
+  /** The number of controllers that answer and report healthy. */
   int wellCount() {
     int count = 0;
     for (boolean each : well) {
@@ -65,7 +65,7 @@
       try {
         around.users().upload(JobCodec.readRecord(Json.parseFields(request.body())));
       } catch (MalformedMessageException e) {
-        // the controller says what is wrong with it
+        // the controller reports what is wrong with it
       }
     }
     for (int tried = 0; tried < well.length; tried++) {
--- a/src/main/java/org/quincecross/emulator/LocalCluster.java
+++ b/src/main/java/org/quincecross/emulator/LocalCluster.java
@@ -31,13 +31,13 @@
 import org.quincecross.rollout.FeatureLevel;
 
 /**
- * A whole site on this machine: controllers as processes of their own with the deployed options,
- * and around them, in this process, stand-ins for the state service, the cloud, the workers, the
- * users and their load balancer, over real sockets on loopback. Jobs are submitted from a file;
- * with a {@link Drill} something fails. Ends when every job has, or its time is up.
+ * A whole deployment on this computer: controllers run as processes with the deployed options; this
+ * process simulates the state service, the cloud, the workers, the users and their load balancer,
+ * over real sockets on loopback. Jobs are submitted from a file, and a {@link Drill} injects a
+ * fault. Ends when every job has ended, or at the time limit.
  */
 public final class LocalCluster {
-  /** A roll is shown by what this level changes. */
+  /** The level that a rolling upgrade raises the cluster to. */
   private static final FeatureLevel ROLL_TO = Feature.ALLOCATION_CHANGES.since();
 
   private static final double TICK_S = 0.25;
@@ -61,18 +61,18 @@
   /**
    * What to try.
    *
-   * @param machines that the cloud has
-   * @param jobs the text of a jobs file, or null for the one that is shipped
-   * @param forS seconds after which it ends in any case
-   * @param front where users and scripts reach the site; its host is a loopback address
-   * @param basePort the first of the ports that everything else takes
-   * @param drill what is to fail, or null
-   * @param from the jar of another build that a roll begins with, or null for this program without
-   *     the next level
+   * @param machines the capacity of the cloud
+   * @param jobs the text of a jobs file, or null for the bundled one
+   * @param forS the time limit in seconds
+   * @param front the address for users and scripts; its host is a loopback address
+   * @param basePort the first of the ports used by everything else
+   * @param drill the fault to inject, or null
+   * @param from the jar of another build that a rolling upgrade starts with, or null for this
+   *     program without the next level
    * @param run the deployed command, or null for a plain one
-   * @param home the directory in which the command is run
+   * @param home the working directory of the command
    * @param json whether the summary is written as JSON
-   * @param live whether progress is shown in one line that changes
+   * @param live whether progress is shown in one line that is overwritten
    */
   public record Plan(
       int machines,
@@ -107,7 +107,7 @@
   private int peakTasks;
 
   /**
-   * @throws IOException with one line that says what stands in the way
+   * @throws IOException with a one-line reason why the trial cannot start
    */
   public LocalCluster(Plan plan, PrintStream out) throws IOException {
     this.plan = plan;
@@ -180,8 +180,8 @@
   }
 
   /**
-   * A file with the features that a command has, and with a build that can do levels up to {@code
-   * most}.
+   * Writes a features file with the features that a command has, for a build that supports levels
+   * up to {@code most}.
    */
   private Path features(List<String> command, String build, int most) throws IOException {
     Map<String, Object> features = new LinkedHashMap<>();
@@ -202,7 +202,10 @@
     return Files.write(directory.resolve("features-" + build + ".json"), Json.write(features));
   }
 
-  /** A file with the features that a command has, and with holds. */
+  /**
+   * Writes a features file with the features that a command has, and with replicated records
+   * enabled.
+   */
   private Path agreed(List<String> command) throws IOException {
     Path file = features(command, "holds", Feature.AGREED_RECORDS.since().number());
     try {
@@ -259,13 +262,15 @@
 
   // ---- running ----
 
-  /** The one place where the trial changes its state. */
+  /** The only place where the state of the trial changes. */
   private void enter(State next) {
     state = next;
     since = clock.seconds();
   }
 
-  /** Runs until it is over; returns 0 if every job ended as it should and no rule was broken. */
+  /**
+   * Runs the trial to its end; returns 0 if every job ended as it should and no rule was broken.
+   */
   public int run() throws IOException {
     Thread onInterrupt = new Thread(this::interrupted);
     Runtime.getRuntime().addShutdownHook(onInterrupt);
@@ -280,7 +285,7 @@
       try {
         Runtime.getRuntime().removeShutdownHook(onInterrupt);
       } catch (IllegalStateException e) {
-        // the program is ending already
+        // the program is already shutting down
       }
     }
     return summary();
@@ -303,7 +308,7 @@
         Files.deleteIfExists(file);
       }
     } catch (IOException | UncheckedIOException e) {
-      // gone already
+      // already deleted
     }
   }
 
@@ -358,7 +363,9 @@
     }
   }
 
-  /** Jobs that wait for others are asked for only once all controllers of a roll are new. */
+  /**
+   * Jobs with dependencies are submitted only once a rolling upgrade has replaced all controllers.
+   */
   private void submit() {
     List<WorkloadFile.Due> later =
         jobs.stream()
@@ -426,7 +433,7 @@
         .toList();
   }
 
-  // ---- what is shown ----
+  // ---- output ----
 
   private void say(String line) {
     if (!plan.json()) {
--- a/src/main/java/org/quincecross/emulator/MalformedRequests.java
+++ b/src/main/java/org/quincecross/emulator/MalformedRequests.java
@@ -12,19 +12,18 @@
 import org.quincecross.protocol.Json;
 
 /**
- * Users who err: they submit jobs again that are not over, call off jobs that are, ask for and call
- * off jobs that nobody submitted, and submit what can never run, lacks a field or is no job at all.
- * Whatever goes on, each gets the answer that the protocol has, or is to come again; and nothing
- * comes of it.
+ * Users who make mistakes: they resubmit jobs that are not over, cancel jobs that are, ask for and
+ * cancel unknown jobs, and submit jobs that can never run, lack a field or are no job at all. Each
+ * gets the answer that the protocol defines, or is told to retry; and none has an effect.
  */
 final class MalformedRequests {
-  /** Refused for now, or not answered. */
+  /** The request was refused for now, or not answered. */
   private static final Set<Integer> LATER = Set.of(0, 429, 503, 504);
 
   private static final List<String> MAY_BE_NULL = List.of("Hulls", "Yard", "DueS");
   private static final int FIRST_NUMBER = 900_000;
 
-  /** What a submission is that no controller may accept. */
+  /** Why a submission must be refused. */
   enum Bad {
     FITS_NO_MACHINE(422),
     NO_SUCH_TYPE(422),
@@ -57,7 +56,7 @@
     this.untilS = around.clock().seconds() + seconds;
   }
 
-  /** From now on one such request in so many seconds, for some time. */
+  /** Sends one such request every {@code everyS} seconds, for some time. */
   static void begin(ClusterEnvironment around, double everyS, double seconds, Random random) {
     new MalformedRequests(around, random, everyS, seconds).next();
   }
@@ -95,7 +94,7 @@
     }
   }
 
-  /** Also those that were submitted and refused: they are as if they had never been. */
+  /** Also for jobs that were submitted and refused: they must be unknown. */
   private void unknown(JobId id) {
     String path = JobCodec.JOBS_PATH + "/" + id;
     expect("state of none", HttpRequest.get(path), 404);
--- a/src/main/java/org/quincecross/emulator/Measurement.java
+++ b/src/main/java/org/quincecross/emulator/Measurement.java
@@ -9,16 +9,16 @@
 import org.quincecross.protocol.Features;
 
 /**
- * A day of a whole fleet in virtual time, all of whose controllers are restarted in the middle, and
- * what it costs its controllers: processor time and bytes allocated, by what they were called for.
- * One thread, no sockets: the HTTP parser, the selector and the start of a process are not in it.
+ * A simulated day of a whole fleet, with all controllers restarted in the middle, and its cost to
+ * the controllers: processor time and bytes allocated, by kind of call. It runs on one thread
+ * without sockets, so the HTTP parser, the selector and process start are not included.
  */
 public final class Measurement {
-  /** The sites that can be measured. */
+  /** The deployments that can be measured. */
   public enum Kind {
-    /** One type of machine in three zones: replicas, arrays, sweeps. */
+    /** One machine type in three zones: services, arrays and sweeps. */
     FLEET,
-    /** Three types in two zones, gangs of whole machines. */
+    /** Three machine types in two zones, with gangs of whole machines. */
     MIXED
   }
 
@@ -33,7 +33,7 @@
   private double lasted;
 
   /**
-   * @param features what is switched on in all controllers
+   * @param features the features that are enabled in all controllers
    */
   public Measurement(Kind kind, int machines, long seed, Features features) {
     this.kind = kind;
@@ -57,23 +57,23 @@
             });
   }
 
-  /** Plays the day up to a time, in seconds from its beginning. */
+  /** Runs the day up to a time, in seconds from its beginning. */
   public void playUntil(double seconds) {
     world.time().runUntil(seconds);
     lasted = seconds;
   }
 
-  /** Whether every rule was kept. */
+  /** Whether no rule was broken. */
   public boolean isSound() {
     return world.rules().broken().isEmpty();
   }
 
-  /** Processor time of all controllers so far, in seconds. */
+  /** The processor time of all controllers so far, in seconds. */
   public double processorS() {
     return meter.costs().values().stream().mapToLong(Meter.Cost::nanos).sum() / 1e9;
   }
 
-  /** What a call was made for, in the words of the table. */
+  /** The name of a kind of call in the table. */
   private static String name(String kind) {
     String[][] names = {
       {"POST /agent/…", "a worker's report"},
@@ -101,7 +101,10 @@
     return kind;
   }
 
-  /** Writes a table, dearest first, of what makes up all but a hundredth of the whole. */
+  /**
+   * Writes a table, most expensive first, of all calls that take more than a hundredth of the
+   * total.
+   */
   public void write(PrintStream out) {
     Map<String, Meter.Cost> costs = new LinkedHashMap<>();
     List<Map.Entry<String, Meter.Cost>> order = new ArrayList<>(meter.costs().entrySet());
--- a/src/main/java/org/quincecross/emulator/Meter.java
+++ b/src/main/java/org/quincecross/emulator/Meter.java
@@ -6,12 +6,12 @@
 import org.quincecross.net.InstrumentedTimers;
 
 /**
- * What controllers cost, by what they were called for: how often, processor time, bytes allocated.
- * Everything in a virtual site runs on one thread, so both are read before and after each call into
- * a controller.
+ * Measures what controllers cost, by kind of call: number of calls, processor time and bytes
+ * allocated. A simulated deployment runs on one thread, so both counters are read before and after
+ * each call into a controller.
  */
 final class Meter {
-  /** The calls of one kind. */
+  /** The cost of one kind of call. */
   static final class Cost {
     private long calls;
     private long nanos;
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Reads no clock: for days in which nothing is measured. */
+  /** Reads no counters: for days without measurement. */
   static final Meter OFF = new Meter(false);
 
   private final boolean on;
@@ -49,7 +49,10 @@
     this.on = on;
   }
 
-  /** Runs what a controller put off; it is named after the class that put it off. */
+  /**
+   * Runs an action that a controller scheduled; its kind is named after the class that scheduled
+   * it.
+   */
   void run(Runnable action) {
     if (!on) {
       action.run();
@@ -63,10 +66,7 @@
     run("timer " + owner.substring(owner.lastIndexOf('.') + 1), action);
   }
 
-  /**
-   * Runs a call into a controller and notes what it cost; calls inside others count for the outer
-   * one.
-   */
+  /** Runs a call into a controller and records its cost; nested calls count for the outer one. */
   void run(String kind, Runnable action) {
     if (!on || running) {
       action.run();
--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -17,23 +17,23 @@
 import org.quincecross.rollout.Feature;
 
 /**
- * A model that comes from zero twice, once cold and once with its weights in the caches, wanted at
- * all controllers at once, again and again, while the one that leads is killed in the middle.
+ * A model that scales up from zero twice, once cold and once with its weights cached. All
+ * controllers receive repeated wake requests, and the leader is killed in the middle.
  */
 final class ModelDrill {
-  /** Where the drill stands. */
+  /** The phase of the drill. */
   enum Phase {
-    /** Waits for the level that agreed records come with. */
+    /** Waits for the feature level that introduces replicated records. */
     LEVEL,
-    /** Its job is submitted, and defined as a model before its weights are anywhere. */
+    /** Its job is submitted, and defined as a model before any machine has its weights. */
     DEFINING,
-    /** Waits for the model to be at zero. */
+    /** Waits until the model has no replicas. */
     TO_ZERO,
-    /** Waits for it to serve, its weights on no machine. */
+    /** Waits until the model serves, with its weights on no machine beforehand. */
     COLD,
-    /** Waits for it to be idle and back at zero. */
+    /** Waits until the model is idle and has no replicas again. */
     IDLE,
-    /** Waits for it to serve, its weights in caches. */
+    /** Waits until the model serves, with its weights in caches. */
     CACHED,
     OVER,
     FAILED
@@ -59,7 +59,8 @@
   private int wakes;
 
   /**
-   * @param result where what is measured is written; {@code over}: told at the end
+   * @param result receives the measurements
+   * @param onOver runs at the end
    */
   ModelDrill(
       ClusterEnvironment around,
@@ -81,7 +82,7 @@
     return phase == Phase.FAILED;
   }
 
-  /** The one place where the drill changes its phase. */
+  /** The only place where the phase changes. */
   private void enter(Phase next) {
     phase = next;
     since = around.clock().seconds();
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -15,9 +15,9 @@
 import org.quincecross.protocol.Features;
 
 /**
- * A day on which a fleet has more work than it can do in time, in virtual time: one class or two
- * come several times as often, machines are lost, the cloud refuses, controllers crash; which, when
- * and how much is drawn from the seed.
+ * A simulated day on which a fleet has more work than it can finish in time: one or two classes
+ * arrive several times as often, machines are lost, the cloud refuses requests, controllers crash.
+ * The seed determines which, when and how much.
  */
 public final class OverloadDay {
   private static final double JOBS_FROM_S = 15;
@@ -26,11 +26,11 @@
   private static final double SLICE_S = 15;
 
   /**
-   * What came of a day.
+   * The result of a day.
    *
-   * @param bound the least share of any class in time that no scheduler could have surpassed
-   * @param usedShare the part of the processors beside services that arrays and gangs had, from 0
-   *     to 1
+   * @param bound an upper bound, for any scheduler, on the smallest share of any class in time
+   * @param usedShare the part of the processors not used by services that arrays and gangs used,
+   *     from 0 to 1
    */
   public record Result(
       long seed,
@@ -43,7 +43,7 @@
       int rulesBroken,
       int starts) {
 
-    /** The least share served of any class's largest tenth or quarter. */
+    /** The smallest share served of any class's largest tenth or quarter of jobs. */
     public double leastOfLargest() {
       return largest.values().stream()
           .flatMap(List::stream)
@@ -52,7 +52,7 @@
           .orElse(1);
     }
 
-    /** The least share of any class's largest tenth or quarter that began in time. */
+    /** The smallest share of any class's largest tenth or quarter of jobs that started in time. */
     public double largestInTime() {
       return largest.values().stream()
           .flatMap(List::stream)
@@ -61,7 +61,7 @@
           .orElse(1);
     }
 
-    /** The longest that any of them took to begin, in seconds. */
+    /** The longest start delay of any of these jobs, in seconds. */
     public double longestS() {
       return largest.values().stream()
           .flatMap(List::stream)
@@ -70,18 +70,18 @@
           .orElse(0);
     }
 
-    /** The least share of what was due that any class got, by each aim and by starts. */
+    /** The smallest share of due jobs that met an objective, or started, of any class. */
     public double leastOfClasses() {
       return classes.values().stream().mapToDouble(ServiceLevels::lowestShare).min().orElse(1);
     }
 
-    /** The same of teams. */
+    /** The same by team. */
     public double leastOfTeams() {
       return teams.values().stream().mapToDouble(ServiceLevels::lowestShare).min().orElse(1);
     }
 
     /**
-     * The share of a class whose jobs should end by a time: of those of which the first such aim
+     * The share of a class with a deadline that finished in time, of the jobs whose first deadline
      * was due.
      */
     public double leastInTime() {
@@ -141,7 +141,7 @@
     }
   }
 
-  /** Notes what machines have beside services, in the middle of each slice. */
+  /** Samples the capacity that services leave free, in the middle of each slice. */
   private void sample() {
     world
         .time()
@@ -162,7 +162,7 @@
             });
   }
 
-  /** Plays the day to its end. */
+  /** Runs the day to its end. */
   public Result play() {
     world.time().runUntil(LASTS_S);
     JobAccounting served = world.around().served();
@@ -182,7 +182,7 @@
     return all.stream().mapToDouble(Resources::cpus).sum();
   }
 
-  /** Of every job that should end in time, what it takes, and from when until when. */
+  /** For each job with a deadline: its work, and the interval in which it can be done. */
   private double bound() {
     List<UpperBound.Wanted> wanted = new ArrayList<>();
     for (Map.Entry<JobId, Double> submitted : world.users().submittedAt().entrySet()) {
--- a/src/main/java/org/quincecross/emulator/OverloadDays.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDays.java
@@ -14,7 +14,7 @@
 import org.quincecross.protocol.Features;
 import org.quincecross.protocol.Json;
 
-/** Many overloaded days, on all processors at once, and how they come out beside each other. */
+/** Many overload days, run on all processors, and the distribution of their results. */
 public final class OverloadDays {
   private static final int STEPS = 10;
 
@@ -22,7 +22,7 @@
   private final int machines;
   private final List<OverloadDay.Result> results;
 
-  /** Plays {@code days} days, the first of which is that of {@code seed}. */
+  /** Runs {@code days} days; the first one uses {@code seed}. */
   public OverloadDays(Measurement.Kind kind, int machines, long seed, int days, Features features) {
     this.kind = kind;
     this.machines = machines;
@@ -33,12 +33,12 @@
             .toList();
   }
 
-  /** Whether every rule was kept. */
+  /** Whether no rule was broken. */
   public boolean isSound() {
     return results.stream().allMatch(result -> result.rulesBroken() == 0);
   }
 
-  /** Writes how many days came out how, and what each class and team got. */
+  /** Writes the distribution of the results, and the shares by class and team. */
   public void write(PrintStream out) {
     out.printf(
         Locale.ROOT,
@@ -96,7 +96,7 @@
     out.println(line + String.format(Locale.ROOT, " | %.3f |", known == 0 ? 0 : sum / known));
   }
 
-  /** What each class got, on all days together. */
+  /** The share of each class over all days. */
   private void means(PrintStream out) {
     Map<String, double[]> sums = new TreeMap<>();
     for (OverloadDay.Result result : results) {
@@ -217,7 +217,7 @@
     out.println(new String(Json.write(days), java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  /** What each class or team got, as JSON has it. */
+  /** The share of each class or team, as JSON. */
   static Map<String, Object> served(Map<String, ServiceLevels> all) {
     Map<String, Object> written = Json.object();
     all.forEach(
--- a/src/main/java/org/quincecross/emulator/PipelineDraws.java
+++ b/src/main/java/org/quincecross/emulator/PipelineDraws.java
@@ -12,16 +12,16 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Draws pipelines as users have them: two to four stages of one to three jobs, each of which names
- * some of the stage before, and now and then one of the stage before that; some begin behind a job
- * of another team; one last job names the whole last stage and alone has a deadline and the
- * priority that its user cares about.
+ * Generates pipelines with random sizes: two to four stages of one to three jobs, each of which
+ * depends on some jobs of the stage before, and sometimes on one of the stage before that. Some
+ * pipelines depend on a job of another team. One final job depends on the whole last stage; it
+ * alone has a deadline and the priority that the user needs.
  */
 final class PipelineDraws {
   private static final int MOST_JOBS_OF_A_STAGE = 3;
   private static final int MOST_TASKS = 8;
 
-  /** One last job in so many is submitted only when all before it are over. */
+  /** One in this many final jobs is submitted only when all of its dependencies are over. */
   private static final int LATE_ONE_IN = 3;
 
   private static final double DUE_S = 240;
@@ -32,8 +32,8 @@
   private int number;
 
   /**
-   * @param firstNumber of the ids of the jobs that are drawn
-   * @param each what a task takes
+   * @param firstNumber the first number of the generated job ids
+   * @param taskResources the resources of a task
    */
   PipelineDraws(Random random, List<String> teams, Resources each, int firstNumber) {
     this.random = random;
@@ -43,8 +43,8 @@
   }
 
   /**
-   * The jobs of one pipeline, none before one that it names; {@code earlier}: jobs of others that
-   * its first ones may name.
+   * The jobs of one pipeline, dependencies first; {@code earlier} are jobs of other pipelines that
+   * its first jobs may depend on.
    */
   List<DependentJobs.PipelineJob> draw(List<JobId> earlier) {
     String team = teams.get(random.nextInt(teams.size()));
@@ -74,7 +74,7 @@
     return steps;
   }
 
-  /** A job that names another, without any pipeline. */
+  /** A job that depends on another, outside any pipeline. */
   Job lone(JobId named) {
     return job(teams.get(random.nextInt(teams.size())), Priority.NORMAL, null, List.of(named));
   }
--- a/src/main/java/org/quincecross/emulator/PollLiveness.java
+++ b/src/main/java/org/quincecross/emulator/PollLiveness.java
@@ -8,13 +8,13 @@
 import org.quincecross.model.JobId;
 
 /**
- * When each accepted job's questions were answered: a job about which none is for 75 s, once all
- * troubles are over, is forgotten.
+ * Records when requests about each accepted job were answered. After all faults have ended, a job
+ * without an answer for 75 s counts as forgotten.
  */
 final class PollLiveness {
   static final double FORGOTTEN_AFTER_S = 75;
 
-  /** The last answer, and the longest time without any that has ended. */
+  /** The time of the last answer, and the longest completed interval without one. */
   private record Asked(double lastS, double longestS) {
     Asked answered(double now) {
       return new Asked(now, Math.max(longestS, now - lastS));
@@ -28,7 +28,7 @@
     this.clock = clock;
   }
 
-  /** Troubles end now at the earliest: what came before is not counted. */
+  /** Faults may continue until now: earlier intervals do not count. */
   void trouble() {
     jobs.replaceAll((id, asked) -> new Asked(clock.seconds(), 0));
   }
@@ -42,15 +42,15 @@
   }
 
   /**
-   * The longest that a job went without an answer, in seconds; up to now if {@code open}, else up
-   * to its last answer.
+   * The longest interval without an answer for a job, in seconds; up to now if {@code open}, else
+   * up to its last answer.
    */
   double longest(JobId id, boolean open) {
     Asked asked = jobs.get(id);
     return asked == null ? 0 : open ? asked.answered(clock.seconds()).longestS() : asked.longestS();
   }
 
-  /** The jobs that are forgotten; {@code open}: those that are still asked about. */
+  /** The forgotten jobs; {@code open} are those that users still ask about. */
   List<JobId> forgotten(Set<JobId> open) {
     List<JobId> forgotten = new ArrayList<>();
     for (JobId id : jobs.keySet()) {
--- a/src/main/java/org/quincecross/emulator/ProcessScope.java
+++ b/src/main/java/org/quincecross/emulator/ProcessScope.java
@@ -1,6 +1,6 @@
 package org.quincecross.emulator;
 
-/** Something that lives and dies: what it has put off dies with it. */
+/** The lifetime of a simulated process: actions that it scheduled are dropped when it ends. */
 final class ProcessScope {
   private boolean alive = true;
   private double standsStillUntil;
@@ -9,12 +9,12 @@
     return alive;
   }
 
-  /** Nothing happens in it until then, though its clocks run on. */
+  /** Suspends the process until then; its clocks keep running. */
   void standStill(double untilS) {
     standsStillUntil = untilS;
   }
 
-  /** How long it still stands still, in seconds; 0 if it does not. */
+  /** How long the process stays suspended, in seconds; 0 if it is not suspended. */
   double standsStillFor(double now) {
     return Math.max(0, standsStillUntil - now);
   }
--- a/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
+++ b/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
@@ -15,7 +15,7 @@
 import org.quincecross.model.TaskId;
 import org.quincecross.model.TaskSet;
 
-/** Watches over the rules of the protocol, at a cost in proportion to what happens. */
+/** Checks the rules of the protocol, at a cost proportional to the number of events. */
 final class ProtocolInvariants {
   private final ClusterEnvironment around;
   private final Map<TaskId, Map<MachineId, Machine>> on = new HashMap<>();
@@ -49,12 +49,12 @@
     return startsOf.getOrDefault(job, 0);
   }
 
-  /** Notes that a rule is broken. */
+  /** Records that a rule is broken. */
   void breaks(String rule, Object what) {
     broken.add(rule + " at " + around.clock().seconds() + ": " + what);
   }
 
-  /** The one place where it is counted what is where. */
+  /** The only place where the counts of running tasks change. */
   private void count(TaskId task, Machine machine, int more) {
     Job job = around.job(task.job());
     used.merge(job.team(), job.taskResources().times(more), Resources::plus);
@@ -136,22 +136,22 @@
     return done.getOrDefault(job, Set.of()).size();
   }
 
-  /** When a job's user was told that it is cancelled, or null. */
+  /** When the job's user was told that it is cancelled, or null. */
   Double cancelledAt(JobId job) {
     return cancelled.get(job);
   }
 
-  /** How many tasks of a job are on machines. */
+  /** The number of tasks of a job on machines. */
   int onMachines(JobId job) {
     return zones.getOrDefault(job, Map.of()).values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** How many tasks of a job are on machines in a zone. */
+  /** The number of tasks of a job on machines in a zone. */
   int onMachines(JobId job, String zone) {
     return zones.getOrDefault(job, Map.of()).getOrDefault(zone, 0);
   }
 
-  /** How many tasks are on a machine. */
+  /** The number of tasks on a machine. */
   int onMachine(MachineId machine) {
     return (int) on.values().stream().filter(places -> places.containsKey(machine)).count();
   }
@@ -167,22 +167,22 @@
     return on.containsKey(task);
   }
 
-  /** How many tasks are on machines. */
+  /** The number of tasks on machines. */
   int onMachines() {
     return on.size();
   }
 
-  /** What the tasks of a team take that are on machines. */
+  /** The resources of a team's tasks on machines. */
   Resources used(String team) {
     return used.getOrDefault(team, Resources.NONE);
   }
 
-  /** What services take that are on machines. */
+  /** The resources of service tasks on machines. */
   Resources standing() {
     return standing;
   }
 
-  /** To be called now and then. */
+  /** Checks what depends on time; called periodically. */
   void check() {
     cancelled.keySet().forEach(this::checkCancelled);
     around.pipelineRules().check();
@@ -199,13 +199,14 @@
     }
   }
 
-  /** What users were told of a job last, or null. */
+  /** The state of a job that users were told last, or null. */
   String lastTold(JobId id) {
     return last.get(id);
   }
 
   /**
-   * A user was told of a job; {@code before}: what users had been told when the question was put.
+   * A user was told the state of a job; {@code before} is the last state told when the request was
+   * sent.
    */
   void told(JobId id, String state, String before, boolean asked) {
     last.put(id, state);
@@ -219,7 +220,8 @@
     if (over != null && !over.equals(state)) {
       breaks(
           "told_two_ends",
-          id + " is " + over + " and " + state); // whenever it was asked: neither ever changes
+          id + " is " + over + " and "
+              + state); // a final state never changes, whenever the request was sent
     }
     if (state.equals("cancelled")) {
       cancelled.putIfAbsent(id, around.clock().seconds());
@@ -234,8 +236,8 @@
   }
 
   /**
-   * An answer that does not tell a job's state; {@code before}: what users had been told when the
-   * question was put.
+   * An answer without the job's state; {@code before} is the last state told when the request was
+   * sent.
    */
   void refused(JobId id, int status, String before) {
     if (before != null && (status == 400 || status == 404 || status == 422)) {
@@ -243,7 +245,7 @@
     }
   }
 
-  /** A job was left waiting while there was room for it. */
+  /** A job waited although there was room for it. */
   void leftWaiting(JobId id, double seconds) {
     breaks("idle_room", around.job(id) + " for " + seconds + " s");
   }
@@ -252,14 +254,14 @@
     return !cancelled.isEmpty();
   }
 
-  /** A start leaves a controller: none may of a job that is confirmed as cancelled. */
+  /** A controller sends a start: none may be sent for a job whose cancellation is confirmed. */
   void startSent(JobId id) {
     if (cancelled.containsKey(id)) {
       breaks("started_cancelled", id + ", confirmed as cancelled at " + cancelled.get(id));
     }
   }
 
-  /** An answer other than the protocol has it, to a request about no accepted job. */
+  /** A request that concerns no accepted job got an answer that the protocol does not permit. */
   void wronglyAnswered(String what, int status) {
     breaks(
         status == 200 || status == 201 ? "accepted_bad" : "wrong_answer", what + " got " + status);
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -24,16 +24,16 @@
 import org.quincecross.rollout.FeatureLevel;
 
 /**
- * What room kept for requests costs, in virtual time: a fleet's day on which every class but the
- * front service comes three times as often for a while, and another front service grows until there
- * is no more room for it; in the middle of that the work for the requests' answers is submitted,
- * with so much of the processors reserved beforehand or with nothing reserved.
+ * The cost of capacity that is reserved for requests, on a simulated day: all classes but the front
+ * service arrive three times as often for a while, and another front service grows until the
+ * capacity is exhausted. In the middle of that, the work for the requests' answers is submitted,
+ * with a share of the processors reserved beforehand or with nothing reserved.
  */
 public final class RequestDay {
   private static final double JOBS_FROM_S = 15;
   private static final double JOBS_OVER_S = 20;
 
-  /** By then the level is in force that requests come with. */
+  /** By then the feature level that introduces requests is in force. */
   private static final double REQUESTS_AT_S = 40;
 
   private static final double FLOOD_AT_S = 100;
@@ -43,31 +43,31 @@
   private static final double DELIVERED_AT_S = 270;
   private static final double LASTS_S = 330;
 
-  /** Enough for all of them, beyond any guarantee. */
+  /** Enough for all requests, beyond any guarantee. */
   private static final double SHARE = 0.5;
 
   private static final int TASKS_EACH = 8;
   private static final int FIRST_NUMBER = 10_000;
   private static final double LOOK_EVERY_S = 0.25;
 
-  /** The other front service grows in so many steps. */
+  /** The other front service grows in this many steps. */
   private static final int GROWS_IN = 25;
 
   private static final String OTHER_FRONT = "other front";
 
   /**
-   * The lane of the work for answers: of its own, so that what else the front service does leaves
-   * its room alone.
+   * The lane of the work for answers: a lane of its own, so that other work of the front service
+   * does not use its reservation.
    */
   private static final String ANSWERS = "answers";
 
   /**
-   * What came of a day.
+   * The result of a day.
    *
-   * @param price of all machines while they were up, at the catalog's prices an hour
-   * @param reserved how many requests had room as their work was submitted
-   * @param waitsMs from submission to the first task on a machine, of a service to the last, by
-   *     class; what never came so far counts as the time that it waited
+   * @param price of all machines while they were up, by the hourly prices of the catalog
+   * @param reserved the number of requests with a reservation when their work was submitted
+   * @param waitsMs the time from submission to the first task on a machine, for services to the
+   *     last one, by class; jobs that have not started count with their waiting time so far
    */
   public record Result(
       double share,
@@ -183,8 +183,8 @@
   }
 
   /**
-   * Another front service, of the team that may have the most, by a part of what all machines of
-   * the cloud have.
+   * Submits another front service, of the team with the largest limit, sized as a part of the
+   * cloud's capacity.
    */
   private void grow() {
     ClusterSpec site = world.site();
@@ -214,7 +214,7 @@
                 .build());
   }
 
-  /** The work for the answers, the same whether there is room for it or not. */
+  /** The work for the answers, the same with or without a reservation. */
   private void submitAnswers() {
     for (String key : world.state().under("q/agreed/requests/r-")) {
       reserved +=
@@ -295,8 +295,8 @@
   }
 
   /**
-   * Plays the day of a seed with nothing reserved and with each of some shares of all processors,
-   * and writes a table; whether all was in order.
+   * Runs the day of a seed with nothing reserved and with each of the given shares of all
+   * processors reserved, and writes a table; returns whether all days were sound.
    */
   public static boolean play(int machines, long seed, double[] shares, PrintStream out) {
     double most = 0;
