--- a/src/main/java/org/quincecross/emulator/AgentSimulator.java
+++ b/src/main/java/org/quincecross/emulator/AgentSimulator.java
@@ -157,7 +157,7 @@
     Map<TaskAttempt, Task> lost = Map.copyOf(tasks);
     for (Map.Entry<TaskAttempt, Task> entry : lost.entrySet()) {
       keepCheckpoint(entry.getKey().task(), entry.getValue());
-      around.rules().off(entry.getKey().task(), machine.id());
+      around.rules().taskLeft(entry.getKey().task(), machine.id());
       around.tasks().gangTaskGone(entry.getKey().task(), entry.getKey().attempt());
       if (entry.getValue().state.equals("pulling")) {
         images.withdraw(
@@ -450,7 +450,7 @@
     task.onImageReady =
         () -> {
           if (life.isAlive() && tasks.get(key) == task && task.state.equals("pulling")) {
-            around.rules().on(key.task(), machine);
+            around.rules().taskArrived(key.task(), machine);
             scheduleReport(0.5);
             if (job.kind() == JobKind.GANG) {
               waitForGang(key, task, job);
@@ -614,7 +614,7 @@
     }
     task.state = "exited";
     task.cause = cause;
-    around.rules().off(key.task(), machine.id());
+    around.rules().taskLeft(key.task(), machine.id());
     around.tasks().gangTaskGone(key.task(), key.attempt());
     scheduleReport(0.5);
     Job job = around.job(key.task().job());
--- a/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
+++ b/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
@@ -54,7 +54,7 @@
     this.rules = new ProtocolInvariants(this);
     this.idleRoom = new IdleCapacityInvariant(this);
     this.pipelines = new DependentJobs(this);
-    this.pipelineRules = new DependencyInvariants(this, rules::breaks);
+    this.pipelineRules = new DependencyInvariants(this, rules::addViolation);
     this.tasks = new TaskSimulator(users, rules);
     for (int node = 0; node < stateAt.size(); node++) {
       if (node == 0 || !stateAt.get(node).equals(stateAt.get(node - 1))) {
@@ -99,7 +99,7 @@
    * All troubles are over: from now on no job may be left unanswered or waiting beside idle room.
    */
   void troublesAreOver() {
-    users.polls().trouble();
+    users.polls().onFault();
     idleRoom.watch();
   }
 
--- a/src/main/java/org/quincecross/emulator/DependencyInvariants.java
+++ b/src/main/java/org/quincecross/emulator/DependencyInvariants.java
@@ -112,7 +112,7 @@
 
   /** A cancellation that was answered with {@code done} cancels no dependent job. */
   private void checkCancelled(JobId id) {
-    if ("cancelled".equals(around.rules().lastTold(id))
+    if ("cancelled".equals(around.rules().lastReportedState(id))
         && !around.users().isCancelAsked(id)
         && !isDependencyCancelRequested(id)) {
       violations.accept(
@@ -132,9 +132,10 @@
               .filter(
                   each ->
                       around.users().isCancelAsked(each)
-                          && !"done".equals(around.rules().lastTold(each)))
+                          && !"done".equals(around.rules().lastReportedState(each)))
               .toList();
-      if (asked.stream().noneMatch(each -> "cancelled".equals(around.rules().lastTold(each)))) {
+      if (asked.stream()
+          .noneMatch(each -> "cancelled".equals(around.rules().lastReportedState(each)))) {
         return !asked.isEmpty();
       }
       cancelledWithDependency.add(id);
--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -60,36 +60,36 @@
     FAILED
   }
 
-  private static final double LOOK_S = 0.1;
-  private static final double STATE_OUT_S = 12;
-  private static final double ROLL_EVERY_S = 5;
-  private static final double SWITCHED_WITHIN_S = 60;
-  private static final double LONGER_THAN_LEASE = 1.5;
-  private static final double DEAF_LEASES = 3.5;
-  private static final int DEAF_ONE_IN = 3;
-  private static final double KILLED_AFTER_S = 5;
-  private static final double BACK_AFTER_S = 1;
-  private static final double PREPARED_WITHIN_S = 90;
-  private static final double RECOVERED_WITHIN_S = 150;
+  private static final double CHECK_INTERVAL_S = 0.1;
+  private static final double STATE_OUTAGE_S = 12;
+  private static final double REPLACEMENT_INTERVAL_S = 5;
+  private static final double LEVEL_RISE_TIMEOUT_S = 60;
+  private static final double ZONE_OUTAGE_LEASES = 1.5;
+  private static final double INBOUND_LOSS_LEASES = 3.5;
+  private static final int INBOUND_LOSS_ONE_IN = 3;
+  private static final double KILL_DELAY_S = 5;
+  private static final double RESTART_DELAY_S = 1;
+  private static final double PREPARATION_TIMEOUT_S = 90;
+  private static final double RECOVERY_TIMEOUT_S = 150;
 
   private final Kind kind;
   private final ClusterEnvironment around;
   private final List<ControllerProcess> controllers;
 
   /** The commands of the controllers before and after a rolling upgrade; empty if there is none. */
-  private final List<List<String>> before;
+  private final List<List<String>> commandsBefore;
 
-  private final List<List<String>> after;
+  private final List<List<String>> commandsAfter;
   private final Map<String, Object> result;
   private Phase phase = Phase.WAITS_FOR_REPLICAS;
-  private double since;
-  private double failedAt;
+  private double phaseSince;
+  private double faultAt;
   private double notBefore;
   private int acceptedBefore;
   private double missingS;
-  private Runnable allNew = () -> {};
-  private HoldDrill hold;
-  private ModelDrill model;
+  private Runnable onAllReplaced = () -> {};
+  private HoldDrill holdDrill;
+  private ModelDrill modelDrill;
 
   Drill(
       Kind kind,
@@ -97,8 +97,8 @@
       List<ControllerProcess> controllers,
       List<List<String>> before,
       List<List<String>> after) {
-    this.before = before;
-    this.after = after;
+    this.commandsBefore = before;
+    this.commandsAfter = after;
     this.kind = kind;
     this.around = around;
     this.controllers = controllers;
@@ -114,8 +114,8 @@
   }
 
   /** Registers an action that runs once a rolling upgrade has replaced all controllers. */
-  void whenAllNew(Runnable what) {
-    allNew = what;
+  void whenAllReplaced(Runnable what) {
+    onAllReplaced = what;
   }
 
   /** The measurements, in seconds since the fault began. */
@@ -127,17 +127,17 @@
   /** The only place where the phase changes. */
   private void enter(Phase next) {
     phase = next;
-    since = around.clock().seconds();
+    phaseSince = around.clock().seconds();
   }
 
   /** Injects the fault once the replicas run, but not earlier than {@code afterS} from now. */
   void begin(double afterS) {
     notBefore = around.clock().seconds() + afterS;
     enter(Phase.WAITS_FOR_REPLICAS);
-    around.clock().after(LOOK_S, this::look);
+    around.clock().after(CHECK_INTERVAL_S, this::check);
   }
 
-  private void look() {
+  private void check() {
     double now = around.clock().seconds();
     switch (phase) {
       case WAITS_FOR_REPLICAS -> {
@@ -145,23 +145,24 @@
           result.put("replicas", replicas());
           result.put("machines", around.cloud().workers().size());
           acceptedBefore = around.users().acceptedAfter().size();
-          failedAt = now;
+          faultAt = now;
           enter(Phase.TROUBLE);
-          fail();
-        } else if (now - since > PREPARED_WITHIN_S) {
+          injectFault();
+        } else if (now - phaseSince > PREPARATION_TIMEOUT_S) {
           result.put("why", replicasMissing() + " replicas never ran");
           enter(Phase.FAILED);
         }
       }
       case TROUBLE -> {
         if (kind == Kind.ROLL) {
-          lookAtRoll(now);
+          checkRollingUpgrade(now);
         } else if (kind == Kind.DEAF) {
-          lookAtDeaf(now);
+          checkInboundLoss(now);
         } else if (kind == Kind.HOLD) {
-          hold.look();
-          if (hold.state() == HoldDrill.State.OVER || hold.state() == HoldDrill.State.FAILED) {
-            enter(hold.state() == HoldDrill.State.OVER ? Phase.RECOVERY : Phase.FAILED);
+          holdDrill.advance();
+          if (holdDrill.state() == HoldDrill.State.OVER
+              || holdDrill.state() == HoldDrill.State.FAILED) {
+            enter(holdDrill.state() == HoldDrill.State.OVER ? Phase.RECOVERY : Phase.FAILED);
           }
         }
       }
@@ -171,7 +172,7 @@
           enter(Phase.FAILED);
         } else if (result.containsKey("all_replicas_s") && result.containsKey("all_workers_s")) {
           enter(Phase.OVER);
-        } else if (now - since > RECOVERED_WITHIN_S) {
+        } else if (now - phaseSince > RECOVERY_TIMEOUT_S) {
           result.put(
               "why",
               replicasMissing()
@@ -184,33 +185,33 @@
       default -> throw new IllegalStateException(phase.toString());
     }
     if (phase != Phase.OVER && phase != Phase.FAILED) {
-      around.clock().after(LOOK_S, this::look);
+      around.clock().after(CHECK_INTERVAL_S, this::check);
     }
   }
 
-  private void fail() {
+  private void injectFault() {
     try {
       switch (kind) {
         case RESTART -> {
           controllers.forEach(ControllerProcess::kill);
-          failedAt = around.clock().seconds();
+          faultAt = around.clock().seconds();
           for (ControllerProcess controller : controllers) {
             controller.start();
           }
           enter(Phase.RECOVERY);
         }
         case ZONE -> {
-          double length = LONGER_THAN_LEASE * around.site().workers().lease().seconds();
+          double length = ZONE_OUTAGE_LEASES * around.site().workers().lease().seconds();
           String zone = around.site().nodeZones().get(0);
           controllers.get(0).setSuspended(true);
           around.cloud().workers().stream()
               .filter(worker -> worker.machine().zone().equals(zone))
               .forEach(worker -> worker.suspend(length));
-          end(length, () -> controllers.get(0).setSuspended(false));
+          endFaultAfter(length, () -> controllers.get(0).setSuspended(false));
         }
         case STATE -> {
-          around.state().outage(STATE_OUT_S);
-          end(STATE_OUT_S, () -> {});
+          around.state().outage(STATE_OUTAGE_S);
+          endFaultAfter(STATE_OUTAGE_S, () -> {});
         }
         case WORKERS -> {
           List<MachineId> machines = new ArrayList<>(around.cloud().machines());
@@ -221,15 +222,16 @@
           enter(Phase.RECOVERY);
         }
         case DEAF -> {
-          double length = DEAF_LEASES * around.site().workers().lease().seconds();
+          double length = INBOUND_LOSS_LEASES * around.site().workers().lease().seconds();
           List<AgentSimulator> workers = around.cloud().workers();
-          for (int i = 0; i < workers.size(); i += DEAF_ONE_IN) {
+          for (int i = 0; i < workers.size(); i += INBOUND_LOSS_ONE_IN) {
             workers.get(i).dropInbound(length);
           }
-          result.put("machines_deaf", (workers.size() + DEAF_ONE_IN - 1) / DEAF_ONE_IN);
-          around.clock().after(KILLED_AFTER_S, () -> controllers.get(0).kill());
-          around.clock().after(KILLED_AFTER_S + BACK_AFTER_S, () -> start(controllers.get(0)));
-          end(
+          result.put(
+              "machines_deaf", (workers.size() + INBOUND_LOSS_ONE_IN - 1) / INBOUND_LOSS_ONE_IN);
+          around.clock().after(KILL_DELAY_S, () -> controllers.get(0).kill());
+          around.clock().after(KILL_DELAY_S + RESTART_DELAY_S, () -> start(controllers.get(0)));
+          endFaultAfter(
               length,
               () -> {
                 if (!result.containsKey("replicas_elsewhere_s")) {
@@ -238,34 +240,33 @@
                 }
               });
         }
-        case HOLD -> hold = new HoldDrill(around, controllers, result);
+        case HOLD -> holdDrill = new HoldDrill(around, controllers, result);
         case ROLL -> {
-          replace(0, 0, after);
-          replace(1, 0, before);
+          replace(0, 0, commandsAfter);
+          replace(1, 0, commandsBefore);
           for (int node = 0; node < controllers.size(); node++) {
-            replace(2 + node, node, after);
+            replace(2 + node, node, commandsAfter);
           }
-          double allNewAfterS = (1 + controllers.size()) * ROLL_EVERY_S;
-          around.clock().after(allNewAfterS, () -> allNew.run());
+          double allNewAfterS = (1 + controllers.size()) * REPLACEMENT_INTERVAL_S;
+          around.clock().after(allNewAfterS, () -> onAllReplaced.run());
           around
               .clock()
               .after(
-                  allNewAfterS + ROLL_EVERY_S,
+                  allNewAfterS + REPLACEMENT_INTERVAL_S,
                   () -> {
                     around.state().limit(around.site().stateLimits().min(ClusterSpec.TRY_OUT_NEXT));
                     result.put(
-                        "limits_lowered_s",
-                        LocalCluster.round(around.clock().seconds() - failedAt));
+                        "limits_lowered_s", LocalCluster.round(around.clock().seconds() - faultAt));
                   });
         }
         case MODEL -> {
-          model =
+          modelDrill =
               new ModelDrill(
                   around,
                   controllers,
                   result,
-                  () -> enter(model.hasFailed() ? Phase.FAILED : Phase.RECOVERY));
-          model.begin();
+                  () -> enter(modelDrill.hasFailed() ? Phase.FAILED : Phase.RECOVERY));
+          modelDrill.begin();
         }
         default -> throw new IllegalStateException(kind.toString());
       }
@@ -274,14 +275,14 @@
     }
   }
 
-  private void replace(int step, int node, List<List<String>> by) {
+  private void replace(int step, int node, List<List<String>> commands) {
     around
         .clock()
         .after(
-            step * ROLL_EVERY_S,
+            step * REPLACEMENT_INTERVAL_S,
             () -> {
               try {
-                controllers.get(node).replaceBy(by.get(node));
+                controllers.get(node).replaceBy(commands.get(node));
               } catch (IOException e) {
                 throw new UncheckedIOException(e);
               }
@@ -300,25 +301,25 @@
    * The replicas of machines without a valid lease go missing when the lease expires, and have been
    * replaced when none is missing.
    */
-  private void lookAtDeaf(double now) {
+  private void checkInboundLoss(double now) {
     if (replicasMissing() > 0) {
-      missingS += LOOK_S;
+      missingS += CHECK_INTERVAL_S;
       result.remove("replicas_elsewhere_s");
     } else if (missingS > 0) {
-      result.putIfAbsent("replicas_elsewhere_s", LocalCluster.round(now - failedAt));
+      result.putIfAbsent("replicas_elsewhere_s", LocalCluster.round(now - faultAt));
     }
     result.put("replicas_missing_s", LocalCluster.round(missingS));
   }
 
-  private void lookAtRoll(double now) {
-    missingS += replicasMissing() > 0 ? LOOK_S : 0;
+  private void checkRollingUpgrade(double now) {
+    missingS += replicasMissing() > 0 ? CHECK_INTERVAL_S : 0;
     result.put("replicas_missing_s", LocalCluster.round(missingS));
     boolean risen =
         around.state().value("q/level") instanceof Map<?, ?> level
             && level.get("level") instanceof Number number
             && number.intValue() > 1;
     if (risen && result.containsKey("limits_lowered_s")) {
-      result.put("level_risen_s", LocalCluster.round(now - failedAt));
+      result.put("level_risen_s", LocalCluster.round(now - faultAt));
       result.put(
           "longest_answer_s",
           LocalCluster.round(
@@ -327,18 +328,19 @@
                   .max()
                   .orElse(0)));
       enter(Phase.RECOVERY);
-    } else if (now - failedAt > (controllers.size() + 2) * ROLL_EVERY_S + SWITCHED_WITHIN_S) {
+    } else if (now - faultAt
+        > (controllers.size() + 2) * REPLACEMENT_INTERVAL_S + LEVEL_RISE_TIMEOUT_S) {
       result.put("why", "the level has not risen");
       enter(Phase.FAILED);
     }
   }
 
   /** Ends a fault. */
-  private interface End {
+  private interface FaultEnd {
     void run() throws IOException;
   }
 
-  private void end(double afterS, End end) {
+  private void endFaultAfter(double afterS, FaultEnd end) {
     around
         .clock()
         .after(
@@ -355,24 +357,24 @@
   }
 
   private void measure(double now) {
-    double began = kind == Kind.RESTART ? failedAt : since;
+    double began = kind == Kind.RESTART ? faultAt : phaseSince;
     List<AgentSimulator> workers = around.cloud().workers();
     if (workers.stream().anyMatch(worker -> worker.lastAnsweredReportAt() > began)) {
-      result.putIfAbsent("first_report_answered_s", LocalCluster.round(now - failedAt));
+      result.putIfAbsent("first_report_answered_s", LocalCluster.round(now - faultAt));
     }
     if (workersUnanswered() == 0) {
-      result.putIfAbsent("all_workers_s", LocalCluster.round(now - failedAt));
+      result.putIfAbsent("all_workers_s", LocalCluster.round(now - faultAt));
     }
     if (replicasMissing() == 0 && result.containsKey("all_workers_s")) {
-      result.putIfAbsent("all_replicas_s", LocalCluster.round(now - failedAt));
+      result.putIfAbsent("all_replicas_s", LocalCluster.round(now - faultAt));
     }
     if (around.users().acceptedAfter().size() > acceptedBefore) {
-      result.putIfAbsent("first_job_accepted_s", LocalCluster.round(now - failedAt));
+      result.putIfAbsent("first_job_accepted_s", LocalCluster.round(now - faultAt));
     }
   }
 
   private long workersUnanswered() {
-    double began = kind == Kind.RESTART ? failedAt : since;
+    double began = kind == Kind.RESTART ? faultAt : phaseSince;
     return around.cloud().workers().stream()
         .filter(worker -> worker.lastAnsweredReportAt() <= began)
         .count();
--- a/src/main/java/org/quincecross/emulator/HoldDrill.java
+++ b/src/main/java/org/quincecross/emulator/HoldDrill.java
@@ -36,18 +36,18 @@
   private static final String REFERENCE = "drill";
   private static final String SERIES = "records";
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(5);
-  private static final double AGAIN_S = 1;
-  private static final double KILL_AFTER_S = 0.03;
-  private static final double BACK_AFTER_S = 3;
-  private static final double WATCHED_S = 4;
-  private static final double PINNED_WITHIN_S = 60;
-  private static final double LEVEL_WITHIN_S = 90;
+  private static final double RETRY_DELAY_S = 1;
+  private static final double KILL_DELAY_S = 0.03;
+  private static final double RESTART_DELAY_S = 3;
+  private static final double OBSERVATION_S = 4;
+  private static final double PIN_TIMEOUT_S = 60;
+  private static final double LEVEL_TIMEOUT_S = 90;
 
   private final ClusterEnvironment around;
   private final List<ControllerProcess> controllers;
   private final Map<String, Object> result;
   private State state = State.WAITS_FOR_LEVEL;
-  private double since;
+  private double stateSince;
   private double openedAt;
   private String lane;
 
@@ -56,7 +56,7 @@
     this.around = around;
     this.controllers = controllers;
     this.result = result;
-    this.since = around.clock().seconds();
+    this.stateSince = around.clock().seconds();
   }
 
   State state() {
@@ -66,7 +66,7 @@
   /** The only place where the state changes. */
   private void enter(State next) {
     state = next;
-    since = around.clock().seconds();
+    stateSince = around.clock().seconds();
   }
 
   private void fail(String why) {
@@ -75,60 +75,60 @@
   }
 
   /** Advances the drill; called several times a second. */
-  void look() {
+  void advance() {
     double now = around.clock().seconds();
     switch (state) {
       case WAITS_FOR_LEVEL -> {
-        lane = sweeps();
+        lane = laneOfOpenArray();
         if (lane == null) {
           fail("no array is left that could be a sweep");
         } else if (around.state().value("q/level") instanceof Map<?, ?> level
             && level.get("level") instanceof Number number
             && number.intValue() > 2) {
           enter(State.TELLS_LANE);
-          ask(
+          sendUntilApplied(
               0,
               SweepClassKind.NAME,
               lane,
               Json.object("series", List.of(SERIES)),
               () -> enter(State.OPENS));
-        } else if (now - since > LEVEL_WITHIN_S) {
+        } else if (now - stateSince > LEVEL_TIMEOUT_S) {
           fail("the level of agreed records is not in force");
         }
       }
       case OPENS -> {
         openedAt = now;
-        result.put("tasks_running", onMachines());
+        result.put("tasks_running", runningTasksOfLane());
         enter(State.PINNING);
-        ask(
+        sendUntilApplied(
             1,
             LegalHoldKind.NAME,
             REFERENCE,
             Json.object("do", "open", "records", List.of(SERIES)),
             () -> {});
-        around.clock().after(KILL_AFTER_S, this::kill);
+        around.clock().after(KILL_DELAY_S, this::kill);
       }
       case PINNING -> {
-        if ("PINNED".equals(held())) {
+        if ("PINNED".equals(holdRecord())) {
           result.put("pinned_s", LocalCluster.round(now - openedAt));
           enter(State.PINNED);
-        } else if (now - since > PINNED_WITHIN_S) {
+        } else if (now - stateSince > PIN_TIMEOUT_S) {
           fail(
               "not pinned after "
-                  + PINNED_WITHIN_S
+                  + PIN_TIMEOUT_S
                   + " s, "
-                  + onMachines()
+                  + runningTasksOfLane()
                   + " tasks of "
                   + lane
                   + " run");
         }
       }
       case PINNED -> {
-        if (onMachines() > 0) {
-          fail(onMachines() + " tasks of " + lane + " run though their records are pinned");
-        } else if (now - since > WATCHED_S) {
+        if (runningTasksOfLane() > 0) {
+          fail(runningTasksOfLane() + " tasks of " + lane + " run though their records are pinned");
+        } else if (now - stateSince > OBSERVATION_S) {
           enter(State.CLOSES);
-          ask(
+          sendUntilApplied(
               2,
               LegalHoldKind.NAME,
               REFERENCE,
@@ -146,7 +146,7 @@
     around
         .clock()
         .after(
-            BACK_AFTER_S,
+            RESTART_DELAY_S,
             () -> {
               try {
                 controllers.get(1).start();
@@ -156,7 +156,7 @@
             });
   }
 
-  private Object held() {
+  private Object holdRecord() {
     return around.state().value("q/agreed/" + LegalHoldKind.NAME + "/" + REFERENCE)
                 instanceof Map<?, ?> record
             && record.get("state") instanceof Map<?, ?> hold
@@ -165,7 +165,7 @@
   }
 
   /** The lane of an array that has not ended, or null. */
-  private String sweeps() {
+  private String laneOfOpenArray() {
     for (JobId id : around.users().told().keySet()) {
       Job job = around.job(id);
       if (job.kind() == JobKind.ARRAY && !"done".equals(around.users().told().get(id))) {
@@ -175,7 +175,7 @@
     return null;
   }
 
-  private int onMachines() {
+  private int runningTasksOfLane() {
     return around.users().told().keySet().stream()
         .filter(id -> around.job(id).jobClass().equals(lane))
         .mapToInt(around.rules()::onMachines)
@@ -186,7 +186,8 @@
    * Sends one request, under the same request name, to one controller after the other until it is
    * applied or refused.
    */
-  private void ask(int node, String kind, String id, Map<String, Object> command, Runnable done) {
+  private void sendUntilApplied(
+      int node, String kind, String id, Map<String, Object> command, Runnable done) {
     byte[] body =
         Json.write(
             Json.object(
@@ -207,7 +208,9 @@
             around
                 .clock()
                 .after(
-                    AGAIN_S, () -> ask((node + 1) % controllers.size(), kind, id, command, done));
+                    RETRY_DELAY_S,
+                    () ->
+                        sendUntilApplied((node + 1) % controllers.size(), kind, id, command, done));
           }
         };
     around
--- a/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
+++ b/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
@@ -57,7 +57,7 @@
       if (before == null || before.started() != started) {
         waiting.put(id, new WaitingJob(now, started));
       } else if (now - before.since() >= MAX_WAIT_S && reported.add(id)) {
-        around.rules().leftWaiting(id, now - before.since());
+        around.rules().onLeftWaiting(id, now - before.since());
       }
     }
     around.clock().after(1, this::check);
--- a/src/main/java/org/quincecross/emulator/KeyValueStoreSimulator.java
+++ b/src/main/java/org/quincecross/emulator/KeyValueStoreSimulator.java
@@ -30,25 +30,25 @@
  */
 final class KeyValueStoreSimulator implements Network.Host {
   /** How many changes a watch may lag behind. */
-  private static final int KEPT_CHANGES = 10_000;
+  private static final int MAX_KEPT_CHANGES = 10_000;
 
-  private static final int MOST_ITEMS = 1000;
-  private static final int MOST_LIST_BYTES = 512 * 1024;
-  private static final int MOST_TXN_BYTES = 64 * 1024;
-  private static final double LONGEST_WATCH_S = 60;
+  private static final int MAX_LIST_ITEMS = 1000;
+  private static final int MAX_LIST_BYTES = 512 * 1024;
+  private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
+  private static final double MAX_WATCH_S = 60;
 
-  private record Value(Object value, int bytes, long stamp, long hold) {}
+  private record StoredValue(Object value, int bytes, long stamp, long lease) {}
 
-  private record Event(String key, Object value, long stamp) {}
+  private record ChangeEvent(String key, Object value, long stamp) {}
 
-  private static final class Hold {
-    private final double life;
+  private static final class Lease {
+    private final double timeToLiveS;
     private final Set<String> keys = new LinkedHashSet<>();
-    private double until;
+    private double expiresAt;
 
-    Hold(double life, double until) {
-      this.life = life;
-      this.until = until;
+    Lease(double timeToLiveS, double expiresAt) {
+      this.timeToLiveS = timeToLiveS;
+      this.expiresAt = expiresAt;
     }
   }
 
@@ -60,27 +60,27 @@
   private Settings.StoreLimits limits;
   private TokenBucket requests;
   private TokenBucket writes;
-  private final TreeMap<String, Value> keys = new TreeMap<>();
-  private final ArrayDeque<Event> events = new ArrayDeque<>();
-  private final Map<Long, Hold> holds = new HashMap<>();
+  private final TreeMap<String, StoredValue> keys = new TreeMap<>();
+  private final ArrayDeque<ChangeEvent> events = new ArrayDeque<>();
+  private final Map<Long, Lease> leases = new HashMap<>();
   private final Set<String> refused = new HashSet<>();
   private List<Watch> watches = new ArrayList<>();
   private long epoch;
-  private long oldest;
-  private long lastHold;
+  private long oldestKeptStamp;
+  private long lastLeaseId;
   private long throttled;
   private int tooLarge;
-  private boolean out;
+  private boolean unavailable;
   private int lateOneIn;
-  private DelayedTransactions lateWrites = DelayedTransactions.NONE;
+  private DelayedTransactions delayedTransactions = DelayedTransactions.NONE;
   private final List<Integer> lateOutcomes = new ArrayList<>();
-  private double slowLeastS;
-  private double slowMostS;
+  private double minSlowResponseS;
+  private double maxSlowResponseS;
   private double slowUntil;
-  private int underWay;
-  private int mostUnderWay;
+  private int pendingRequests;
+  private int maxPendingRequests;
   private Random slowDraws;
-  private int keptChanges = KEPT_CHANGES;
+  private int keptChanges = MAX_KEPT_CHANGES;
 
   KeyValueStoreSimulator(Clock clock, Random random, Settings.StoreLimits limits) {
     this.clock = clock;
@@ -120,8 +120,8 @@
   }
 
   /** Decides which transactions are applied late and not answered. */
-  void late(DelayedTransactions late) {
-    lateWrites = late;
+  void delayTransactions(DelayedTransactions late) {
+    delayedTransactions = late;
   }
 
   /** The statuses of the unanswered transactions that were applied, in that order. */
@@ -133,9 +133,9 @@
    * For {@code seconds}, each answer takes between {@code leastS} and {@code mostS}; the request is
    * applied at a random time in between.
    */
-  void slow(double leastS, double mostS, double seconds, Random draws) {
-    slowLeastS = leastS;
-    slowMostS = mostS;
+  void slowDown(double leastS, double mostS, double seconds, Random draws) {
+    minSlowResponseS = leastS;
+    maxSlowResponseS = mostS;
     slowUntil = clock.seconds() + seconds;
     slowDraws = draws;
   }
@@ -144,34 +144,34 @@
    * The largest number of concurrent requests while the service was slow, including those whose
    * caller had timed out.
    */
-  int mostUnderWay() {
-    return mostUnderWay;
+  int maxPendingRequests() {
+    return maxPendingRequests;
   }
 
   private boolean isSlow() {
     return clock.seconds() < slowUntil;
   }
 
-  private double slowness() {
-    return slowLeastS + slowDraws.nextDouble() * (slowMostS - slowLeastS);
+  private double slowResponseS() {
+    return minSlowResponseS + slowDraws.nextDouble() * (maxSlowResponseS - minSlowResponseS);
   }
 
   /** Watches that lag by more than {@code most} changes are answered with 410. */
   void keepChanges(int most) {
     keptChanges = most;
     while (events.size() > keptChanges) {
-      oldest = events.poll().stamp();
+      oldestKeptStamp = events.poll().stamp();
     }
   }
 
   void outage(double seconds) {
-    out = true;
+    unavailable = true;
     clock.after(
         seconds,
         () -> {
-          out = false;
-          holds.values().forEach(hold -> hold.until = clock.seconds() + hold.life);
-          wakeWatches();
+          unavailable = false;
+          leases.values().forEach(lease -> lease.expiresAt = clock.seconds() + lease.timeToLiveS);
+          answerWatches();
         });
   }
 
@@ -181,7 +181,7 @@
         seconds,
         () -> {
           refused.remove(node);
-          wakeWatches();
+          answerWatches();
         });
   }
 
@@ -204,29 +204,29 @@
           request,
           response -> {
             if (isSlow()) {
-              clock.after(slowness(), () -> reply.accept(response));
+              clock.after(slowResponseS(), () -> reply.accept(response));
             } else {
               reply.accept(response);
             }
           });
       return;
     }
-    double there = slowness();
-    double before = there * slowDraws.nextDouble();
-    underWay++;
-    mostUnderWay = Math.max(mostUnderWay, underWay);
-    clock.after(there, () -> underWay--);
+    double responseS = slowResponseS();
+    double appliedAfterS = responseS * slowDraws.nextDouble();
+    pendingRequests++;
+    maxPendingRequests = Math.max(maxPendingRequests, pendingRequests);
+    clock.after(responseS, () -> pendingRequests--);
     clock.after(
-        before,
+        appliedAfterS,
         () ->
             serve(
                 from,
                 request,
-                response -> clock.after(there - before, () -> reply.accept(response))));
+                response -> clock.after(responseS - appliedAfterS, () -> reply.accept(response))));
   }
 
   private void serve(String from, HttpRequest request, Consumer<HttpResponse> reply) {
-    if (out || refused.contains(from)) {
+    if (unavailable || refused.contains(from)) {
       reply.accept(HttpResponse.of(503));
       return;
     }
@@ -234,7 +234,7 @@
       throttle(reply);
       return;
     }
-    expire();
+    expireLeases();
     try {
       route(from, request, reply);
     } catch (MalformedMessageException | NumberFormatException e) {
@@ -252,9 +252,9 @@
       throws MalformedMessageException {
     String path = request.path();
     if (path.equals("/txn")) {
-      takeTxn(request, reply);
+      receiveTransaction(request, reply);
     } else if (path.startsWith("/keys/")) {
-      Value value = keys.get(path.substring(6));
+      StoredValue value = keys.get(path.substring(6));
       reply.accept(
           value == null
               ? answer(404, "Epoch", epoch)
@@ -267,26 +267,27 @@
                   "Stamp",
                   value.stamp(),
                   "Hold",
-                  value.hold()));
+                  value.lease()));
     } else if (path.equals("/keys")) {
       reply.accept(list(request));
     } else if (path.equals("/holds")) {
-      long id = ++lastHold;
-      double life = Json.parseFields(request.body()).integer("LifeMs", 100, 600_000) / 1000.0;
-      holds.put(id, new Hold(life, clock.seconds() + life));
+      long id = ++lastLeaseId;
+      double timeToLiveS =
+          Json.parseFields(request.body()).integer("LifeMs", 100, 600_000) / 1000.0;
+      leases.put(id, new Lease(timeToLiveS, clock.seconds() + timeToLiveS));
       reply.accept(answer(200, "Hold", id));
     } else if (path.startsWith("/holds/")) {
-      reply.accept(hold(request.method(), Long.parseLong(path.split("/")[2])));
+      reply.accept(renewOrRevokeLease(request.method(), Long.parseLong(path.split("/")[2])));
     } else if (path.equals("/follow")) {
       double wait =
           request.query("BlockMs") == null ? 0 : Long.parseLong(request.query("BlockMs")) / 1000.0;
       String under = request.query("Under");
-      follow(
+      answerOrWait(
           new Watch(
               from,
               under == null ? "" : under,
               Long.parseLong(request.query("Since")),
-              clock.seconds() + Math.min(wait, LONGEST_WATCH_S),
+              clock.seconds() + Math.min(wait, MAX_WATCH_S),
               reply));
     } else {
       reply.accept(HttpResponse.of(404));
@@ -299,41 +300,41 @@
 
   // ---- leases ----
 
-  private HttpResponse hold(String method, long id) {
-    Hold hold = holds.get(id);
-    if (hold == null) {
+  private HttpResponse renewOrRevokeLease(String method, long id) {
+    Lease lease = leases.get(id);
+    if (lease == null) {
       return answer(404);
     }
     if (method.equals("DELETE")) {
-      end(id);
+      endLease(id);
     } else {
-      hold.until = clock.seconds() + hold.life;
+      lease.expiresAt = clock.seconds() + lease.timeToLiveS;
     }
     return answer(200);
   }
 
-  private void expire() {
-    for (long id : List.copyOf(holds.keySet())) {
-      if (holds.get(id).until < clock.seconds()) {
-        end(id);
+  private void expireLeases() {
+    for (long id : List.copyOf(leases.keySet())) {
+      if (leases.get(id).expiresAt < clock.seconds()) {
+        endLease(id);
       }
     }
   }
 
-  private void end(long id) {
-    Collection<String> attached = holds.remove(id).keys;
+  private void endLease(long id) {
+    Collection<String> attached = leases.remove(id).keys;
     if (!attached.isEmpty()) {
       epoch++;
       List.copyOf(attached).forEach(key -> change(key, null, 0, 0));
-      wakeWatches();
+      answerWatches();
     }
   }
 
   // ---- transactions ----
 
-  private void takeTxn(HttpRequest request, Consumer<HttpResponse> reply)
+  private void receiveTransaction(HttpRequest request, Consumer<HttpResponse> reply)
       throws MalformedMessageException {
-    if (request.body().length > MOST_TXN_BYTES) {
+    if (request.body().length > MAX_TRANSACTION_BYTES) {
       reply.accept(tooLarge("too much in a transaction"));
       return;
     }
@@ -346,30 +347,30 @@
     double after =
         changes.isEmpty()
             ? DelayedTransactions.PROMPT
-            : lateWrites.afterS(new String(request.body(), StandardCharsets.UTF_8));
+            : delayedTransactions.afterS(new String(request.body(), StandardCharsets.UTF_8));
     if (after == DelayedTransactions.PROMPT && lateOneIn > 0 && random.nextInt(lateOneIn) == 0) {
       after = 3 + random.nextDouble() * 20;
     }
     if (after == DelayedTransactions.PROMPT) {
-      reply.accept(txn(in, changes));
+      reply.accept(applyTransaction(in, changes));
     } else if (after == DelayedTransactions.AT_ONCE) {
-      carryOut(in, changes);
+      applyWithoutAnswer(in, changes);
     } else {
-      clock.after(after, () -> carryOut(in, changes));
+      clock.after(after, () -> applyWithoutAnswer(in, changes));
     }
   }
 
   /** Applied when the sender may have timed out long ago. */
-  private void carryOut(JsonFields in, List<JsonFields> changes) {
+  private void applyWithoutAnswer(JsonFields in, List<JsonFields> changes) {
     try {
-      expire();
-      lateOutcomes.add(txn(in, changes).status());
+      expireLeases();
+      lateOutcomes.add(applyTransaction(in, changes).status());
     } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private HttpResponse txn(JsonFields in, List<JsonFields> changes)
+  private HttpResponse applyTransaction(JsonFields in, List<JsonFields> changes)
       throws MalformedMessageException {
     List<Object> failed = new ArrayList<>();
     List<JsonFields> guards = in.listOrEmpty("Guards").isEmpty() ? List.of() : in.objects("Guards");
@@ -380,7 +381,7 @@
       return tooLarge("too much in a transaction");
     }
     for (JsonFields guard : guards) {
-      Value value = keys.get(guard.string("Path"));
+      StoredValue value = keys.get(guard.string("Path"));
       if ((value == null ? 0 : value.stamp()) != guard.unsigned("Stamp")) {
         failed.add(guard.string("Path"));
       }
@@ -388,7 +389,7 @@
     int[] bytes = new int[changes.size()];
     for (int i = 0; i < bytes.length; i++) {
       JsonFields change = changes.get(i);
-      if (change.has("Hold") && !holds.containsKey(change.unsigned("Hold"))) {
+      if (change.has("Hold") && !leases.containsKey(change.unsigned("Hold"))) {
         return answer(400, "error", "no such lease");
       }
       bytes[i] = change.has("Set") ? Json.write(change.raw("Value")).length : 0;
@@ -413,43 +414,45 @@
           change(change.string("Drop"), null, 0, 0);
         }
       }
-      wakeWatches();
+      answerWatches();
     }
     return answer(200, "Epoch", epoch);
   }
 
   /** The value of a key, or null. */
   Object value(String key) {
-    Value value = keys.get(key);
+    StoredValue value = keys.get(key);
     return value == null ? null : value.value();
   }
 
   /** The keys with a prefix. */
-  Set<String> under(String under) {
-    return new TreeSet<>(keys.keySet().stream().filter(key -> key.startsWith(under)).toList());
+  Set<String> keysWithPrefix(String prefix) {
+    return new TreeSet<>(keys.keySet().stream().filter(key -> key.startsWith(prefix)).toList());
   }
 
   /** Writes or deletes a key on behalf of a client other than a controller. */
   void write(String key, Object value) {
     epoch++;
     change(key, value, 100, 0);
-    wakeWatches();
+    answerWatches();
   }
 
   /** The only place where a key changes. */
-  private void change(String key, Object value, int bytes, long hold) {
-    Value before =
-        value == null ? keys.remove(key) : keys.put(key, new Value(value, bytes, epoch, hold));
-    if (before != null && holds.containsKey(before.hold())) {
-      holds.get(before.hold()).keys.remove(key);
+  private void change(String key, Object value, int bytes, long lease) {
+    StoredValue before =
+        value == null
+            ? keys.remove(key)
+            : keys.put(key, new StoredValue(value, bytes, epoch, lease));
+    if (before != null && leases.containsKey(before.lease())) {
+      leases.get(before.lease()).keys.remove(key);
     }
-    if (hold != 0) {
-      holds.get(hold).keys.add(key);
+    if (lease != 0) {
+      leases.get(lease).keys.add(key);
     }
     if (value != null || before != null) {
-      events.add(new Event(key, value, epoch));
+      events.add(new ChangeEvent(key, value, epoch));
       while (events.size() > keptChanges) {
-        oldest = events.poll().stamp();
+        oldestKeptStamp = events.poll().stamp();
       }
     }
   }
@@ -460,13 +463,13 @@
     List<Object> items = new ArrayList<>();
     String after = request.query("Since");
     String under = request.query("Under") == null ? "" : request.query("Under");
-    int most =
+    int limit =
         request.query("Page") == null
-            ? MOST_ITEMS
-            : Math.min(MOST_ITEMS, Integer.parseInt(request.query("Page")));
+            ? MAX_LIST_ITEMS
+            : Math.min(MAX_LIST_ITEMS, Integer.parseInt(request.query("Page")));
     int bytes = 0;
     boolean more = false;
-    for (Map.Entry<String, Value> entry :
+    for (Map.Entry<String, StoredValue> entry :
         keys.tailMap(after == null ? under : after, after == null).entrySet()) {
       if (!entry.getKey().startsWith(under)) {
         if (entry.getKey().compareTo(under) > 0) {
@@ -474,7 +477,7 @@
         }
         continue;
       }
-      if (items.size() == most || bytes + entry.getValue().bytes() > MOST_LIST_BYTES) {
+      if (items.size() == limit || bytes + entry.getValue().bytes() > MAX_LIST_BYTES) {
         more = true;
         break;
       }
@@ -491,20 +494,20 @@
     return answer(200, "Items", items, "More", more, "Epoch", epoch);
   }
 
-  private void wakeWatches() {
+  private void answerWatches() {
     List<Watch> woken = watches;
     watches = new ArrayList<>();
-    woken.forEach(this::follow);
+    woken.forEach(this::answerOrWait);
   }
 
-  private void follow(Watch watch) {
-    if (watch.since() < oldest) {
+  private void answerOrWait(Watch watch) {
+    if (watch.since() < oldestKeptStamp) {
       watch.reply().accept(answer(410, "Epoch", epoch));
       return;
     }
     ArrayDeque<Object> log = new ArrayDeque<>();
-    for (Iterator<Event> newest = events.descendingIterator(); newest.hasNext(); ) {
-      Event event = newest.next();
+    for (Iterator<ChangeEvent> newest = events.descendingIterator(); newest.hasNext(); ) {
+      ChangeEvent event = newest.next();
       if (event.stamp() <= watch.since()) {
         break;
       }
@@ -516,7 +519,7 @@
       }
     }
     // During an outage, for all clients or for one, open watches stay open.
-    boolean silent = out || refused.contains(watch.from());
+    boolean silent = unavailable || refused.contains(watch.from());
     if (!silent && (!log.isEmpty() || watch.until() <= clock.seconds())) {
       watch.reply().accept(answer(200, "Epoch", epoch, "Log", new ArrayList<>(log)));
       return;
@@ -526,7 +529,7 @@
         Math.max(0.05, watch.until() - clock.seconds()),
         () -> {
           if (watches.remove(watch)) {
-            follow(watch);
+            answerOrWait(watch);
           }
         });
   }
--- a/src/main/java/org/quincecross/emulator/LateCancellations.java
+++ b/src/main/java/org/quincecross/emulator/LateCancellations.java
@@ -13,8 +13,8 @@
  * jobs at once.
  */
 final class LateCancellations {
-  private static final double WITHIN_S = 0.2;
-  private static final int MOST_HANGING = 8;
+  private static final double CANCEL_WINDOW_S = 0.2;
+  private static final int MAX_HANGING_MACHINES = 8;
 
   private LateCancellations() {}
 
@@ -47,7 +47,8 @@
    * @param hangS for how long up to eight of their machines hang; 0 for none
    * @return the cancelled jobs
    */
-  static List<JobId> now(ClusterEnvironment around, int count, double hangS, Random random) {
+  static List<JobId> cancelLongRunning(
+      ClusterEnvironment around, int count, double hangS, Random random) {
     List<JobId> running = new ArrayList<>();
     for (JobId id : around.users().told().keySet()) {
       if (around.users().isOpen(id)
@@ -64,12 +65,14 @@
     List<JobId> called = List.copyOf(running.subList(0, Math.min(count, running.size())));
     called.forEach(
         id ->
-            around.clock().after(WITHIN_S * random.nextDouble(), () -> around.users().cancel(id)));
+            around
+                .clock()
+                .after(CANCEL_WINDOW_S * random.nextDouble(), () -> around.users().cancel(id)));
     if (hangS > 0) {
       Set<JobId> theirs = new HashSet<>(called);
       around.cloud().workers().stream()
           .filter(worker -> around.rules().runsAny(worker.machine().id(), theirs))
-          .limit(MOST_HANGING)
+          .limit(MAX_HANGING_MACHINES)
           .forEach(worker -> worker.suspend(hangS));
     }
     return called;
--- a/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
+++ b/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
@@ -14,23 +14,23 @@
  * machines, as if their users had uploaded them.
  */
 final class LoadBalancerProxy implements Network.Host {
-  private static final double PROBE_S = 0.5;
+  private static final double PROBE_INTERVAL_S = 0.5;
   private static final TimeSpan PROBE_TIMEOUT = TimeSpan.ofSeconds(1);
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(5);
 
   private final ClusterEnvironment around;
   private final ProcessScope life = new ProcessScope();
-  private final boolean[] well;
+  private final boolean[] healthy;
   private int next;
 
   LoadBalancerProxy(ClusterEnvironment around) {
     this.around = around;
-    this.well = new boolean[around.site().nodes()];
+    this.healthy = new boolean[around.site().nodes()];
     probe();
   }
 
   private void probe() {
-    for (int node = 0; node < well.length; node++) {
+    for (int node = 0; node < healthy.length; node++) {
       int probed = node;
       around
           .network()
@@ -40,15 +40,15 @@
               around.node(node),
               HttpRequest.get(JobCodec.HEALTH_PATH),
               PROBE_TIMEOUT,
-              outcome -> well[probed] = outcome.status() == 200);
+              outcome -> healthy[probed] = outcome.status() == 200);
     }
-    around.clock().after(PROBE_S, this::probe);
+    around.clock().after(PROBE_INTERVAL_S, this::probe);
   }
 
   /** The number of controllers that answer and report healthy. */
-  int wellCount() {
+  int healthyCount() {
     int count = 0;
-    for (boolean each : well) {
+    for (boolean each : healthy) {
       count += each ? 1 : 0;
     }
     return count;
@@ -68,9 +68,9 @@
         // the controller reports what is wrong with it
       }
     }
-    for (int tried = 0; tried < well.length; tried++) {
-      next = (next + 1) % well.length;
-      if (well[next]) {
+    for (int tried = 0; tried < healthy.length; tried++) {
+      next = (next + 1) % healthy.length;
+      if (healthy[next]) {
         around
             .network()
             .call(
@@ -79,14 +79,16 @@
                 around.node(next),
                 request,
                 TIMEOUT,
-                outcome -> reply.accept(outcome.status() == 0 ? none() : outcome.response()));
+                outcome ->
+                    reply.accept(
+                        outcome.status() == 0 ? noHealthyController() : outcome.response()));
         return;
       }
     }
-    reply.accept(none());
+    reply.accept(noHealthyController());
   }
 
-  private static HttpResponse none() {
+  private static HttpResponse noHealthyController() {
     return HttpResponse.of(503, JobCodec.writeError("no controller answers")).withRetryAfter(1);
   }
 }
--- a/src/main/java/org/quincecross/emulator/LocalCluster.java
+++ b/src/main/java/org/quincecross/emulator/LocalCluster.java
@@ -38,12 +38,12 @@
  */
 public final class LocalCluster {
   /** The level that a rolling upgrade raises the cluster to. */
-  private static final FeatureLevel ROLL_TO = Feature.ALLOCATION_CHANGES.since();
+  private static final FeatureLevel UPGRADE_LEVEL = Feature.ALLOCATION_CHANGES.since();
 
   private static final double TICK_S = 0.25;
-  private static final double SAY_EVERY_S = 2;
-  private static final double READY_WITHIN_S = 60;
-  private static final double STOP_SERVICES_WITHIN_S = 30;
+  private static final double PROGRESS_INTERVAL_S = 2;
+  private static final double READY_TIMEOUT_S = 60;
+  private static final double STOP_SERVICES_TIMEOUT_S = 30;
   private static final int STATE_PORT = 1;
   private static final int CLOUD_PORT = 9;
   private static final int NODE_PORT = 10;
@@ -90,7 +90,7 @@
 
   private final Plan plan;
   private final ClusterSpec site;
-  private final PrintStream out;
+  private final PrintStream output;
   private final EventLoop loop = new EventLoop();
   private final Clock clock = new LoopClock(loop);
   private final LoopbackNetwork network;
@@ -101,9 +101,9 @@
   private final LoadBalancerProxy front;
   private final Drill drill;
   private State state = State.STARTING;
-  private double since;
+  private double stateSince;
   private double readyAt;
-  private double saidAt;
+  private double lastProgressAt;
   private int peakTasks;
 
   /**
@@ -111,10 +111,10 @@
    */
   public LocalCluster(Plan plan, PrintStream out) throws IOException {
     this.plan = plan;
-    this.out = out;
+    this.output = out;
     this.site = ClusterSpec.tryOut(plan.machines(), plan.drill() != null);
     try {
-      this.jobs = WorkloadFile.read(plan.jobs() == null ? shipped() : plan.jobs(), site);
+      this.jobs = WorkloadFile.read(plan.jobs() == null ? bundledJobs() : plan.jobs(), site);
     } catch (MalformedMessageException e) {
       throw new IOException("jobs file, " + e.getMessage(), e);
     }
@@ -157,19 +157,20 @@
       List<String> command = ControllerProcess.command(run, settings);
       if (plan.drill() == Drill.Kind.ROLL) {
         after.add(
-            ControllerProcess.withFeatures(command, features(command, "after", ROLL_TO.number())));
+            ControllerProcess.withFeatures(
+                command, featuresFile(command, "after", UPGRADE_LEVEL.number())));
         before.add(
             plan.from() != null
                 ? ControllerProcess.command(ControllerProcess.plainRun(plan.from()), settings)
                 : ControllerProcess.withFeatures(
-                    command, features(command, "before", ROLL_TO.previous().number())));
+                    command, featuresFile(command, "before", UPGRADE_LEVEL.previous().number())));
         command = before.get(node);
       } else if (plan.drill() == Drill.Kind.HOLD) {
-        command = ControllerProcess.withFeatures(command, agreed(command));
+        command = ControllerProcess.withFeatures(command, featuresFileWithRecords(command));
       } else if (plan.drill() == Drill.Kind.MODEL) {
         command =
             ControllerProcess.withFeatures(
-                command, features(command, "models", FeatureLevel.NEWEST.number()));
+                command, featuresFile(command, "models", FeatureLevel.NEWEST.number()));
       }
       controllers.add(
           new ControllerProcess(
@@ -183,7 +184,7 @@
    * Writes a features file with the features that a command has, for a build that supports levels
    * up to {@code most}.
    */
-  private Path features(List<String> command, String build, int most) throws IOException {
+  private Path featuresFile(List<String> command, String build, int most) throws IOException {
     Map<String, Object> features = new LinkedHashMap<>();
     int with = command.indexOf("--with");
     try {
@@ -206,8 +207,8 @@
    * Writes a features file with the features that a command has, and with replicated records
    * enabled.
    */
-  private Path agreed(List<String> command) throws IOException {
-    Path file = features(command, "holds", Feature.AGREED_RECORDS.since().number());
+  private Path featuresFileWithRecords(List<String> command) throws IOException {
+    Path file = featuresFile(command, "holds", Feature.AGREED_RECORDS.since().number());
     try {
       JsonFields known = Json.parseFields(Files.readAllBytes(file));
       Map<String, Object> features = new LinkedHashMap<>();
@@ -227,7 +228,7 @@
     return all;
   }
 
-  private static String shipped() throws IOException {
+  private static String bundledJobs() throws IOException {
     try (var in = LocalCluster.class.getResourceAsStream("sample-jobs.toml")) {
       return new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
     }
@@ -265,7 +266,7 @@
   /** The only place where the state of the trial changes. */
   private void enter(State next) {
     state = next;
-    since = clock.seconds();
+    stateSince = clock.seconds();
   }
 
   /**
@@ -288,7 +289,7 @@
         // the program is already shutting down
       }
     }
-    return summary();
+    return printSummary();
   }
 
   private void interrupted() {
@@ -321,10 +322,10 @@
         boolean heard =
             around.cloud().workers().stream()
                 .anyMatch(worker -> worker.lastAnsweredReportAt() >= 0);
-        if (front.wellCount() == site.nodes() && heard) {
+        if (front.healthyCount() == site.nodes() && heard) {
           readyAt = now;
           enter(State.READY);
-          say(
+          printLine(
               String.format(
                   "ready after %.1f s: %d controllers, %d machines; users reach them at %s",
                   now, site.nodes(), around.cloud().workers().size(), plan.front()));
@@ -332,10 +333,10 @@
           if (drill != null) {
             drill.begin(jobs.get(jobs.size() - 1).atS());
           }
-        } else if (now > READY_WITHIN_S
+        } else if (now > READY_TIMEOUT_S
             || controllers.stream()
                 .anyMatch(each -> each.state() == ControllerProcess.State.DOWN)) {
-          say(String.format("not ready after %.1f s: %s", now, failures()));
+          printLine(String.format("not ready after %.1f s: %s", now, failures()));
           enter(State.OVER);
         }
       }
@@ -349,13 +350,13 @@
       }
       case FINISHING -> {
         if ((services().isEmpty() && around.rules().onMachines() == 0)
-            || now - since > STOP_SERVICES_WITHIN_S) {
+            || now - stateSince > STOP_SERVICES_TIMEOUT_S) {
           enter(State.OVER);
         }
       }
       default -> throw new IllegalStateException(state.toString());
     }
-    progress(now);
+    printProgress(now);
     if (state == State.OVER) {
       loop.stop();
     } else {
@@ -372,7 +373,7 @@
             .filter(due -> plan.drill() == Drill.Kind.ROLL && !due.job().dependencies().isEmpty())
             .toList();
     if (!later.isEmpty()) {
-      drill.whenAllNew(() -> later.forEach(due -> around.pipelines().submit(due.step())));
+      drill.whenAllReplaced(() -> later.forEach(due -> around.pipelines().submit(due.step())));
     }
     jobs.stream()
         .filter(due -> !later.contains(due))
@@ -390,7 +391,7 @@
       }
     }
     return why.length() == 0
-        ? front.wellCount() + " of " + controllers.size() + " controllers answer"
+        ? front.healthyCount() + " of " + controllers.size() + " controllers answer"
         : why.toString().trim();
   }
 
@@ -435,17 +436,19 @@
 
   // ---- output ----
 
-  private void say(String line) {
+  private void printLine(String line) {
     if (!plan.json()) {
-      out.println((plan.live() ? "\r\033[K" : "") + line);
+      output.println((plan.live() ? "\r\033[K" : "") + line);
     }
   }
 
-  private void progress(double now) {
-    if (plan.json() || state == State.OVER || (!plan.live() && now - saidAt < SAY_EVERY_S)) {
+  private void printProgress(double now) {
+    if (plan.json()
+        || state == State.OVER
+        || (!plan.live() && now - lastProgressAt < PROGRESS_INTERVAL_S)) {
       return;
     }
-    saidAt = now;
+    lastProgressAt = now;
     Set<JobId> ended = new HashSet<>();
     jobs.forEach(
         due -> {
@@ -458,18 +461,18 @@
             "%6.1f s  %-9s controllers %d of %d well  machines %d  jobs %d submitted, %d ended  tasks on machines %d%s",
             now,
             state.toString().toLowerCase(java.util.Locale.ROOT),
-            front.wellCount(),
+            front.healthyCount(),
             site.nodes(),
             around.cloud().workers().size(),
             around.users().submitted(),
             ended.size(),
             around.rules().onMachines(),
             drill == null ? "" : "  drill " + drill.phase());
-    out.print(plan.live() ? "\r\033[K" + line : line + System.lineSeparator());
-    out.flush();
+    output.print(plan.live() ? "\r\033[K" + line : line + System.lineSeparator());
+    output.flush();
   }
 
-  private int summary() {
+  private int printSummary() {
     List<String> unfinished = new ArrayList<>();
     for (WorkloadFile.Due due : jobs) {
       String told = around.users().told().get(due.job().id());
@@ -483,7 +486,7 @@
                 + (told == null ? "was not accepted" : "is " + told));
       }
     }
-    List<String> broken = around.rules().broken();
+    List<String> broken = around.rules().violations();
     boolean good =
         state == State.OVER
             && readyAt > 0
@@ -515,9 +518,9 @@
             "longest_answer_s",
             around.users().longest(),
             "teams",
-            OverloadDays.served(around.served().teams(around.now())),
+            OverloadDays.servedAsJson(around.served().teams(around.now())),
             "classes",
-            OverloadDays.served(around.served().classes(around.now())));
+            OverloadDays.servedAsJson(around.served().classes(around.now())));
     List<JobId> dependent =
         jobs.stream()
             .map(WorkloadFile.Due::job)
@@ -554,10 +557,10 @@
       all.put("drill", drill.result());
     }
     if (plan.json()) {
-      out.println(new String(Json.write(all), java.nio.charset.StandardCharsets.UTF_8));
+      output.println(new String(Json.write(all), java.nio.charset.StandardCharsets.UTF_8));
       return good ? 0 : 1;
     }
-    say(
+    printLine(
         String.format(
             "%s after %.1f s: %d of %d jobs ended as they should, %d tasks were started, %s",
             good ? "good" : "NOT GOOD",
@@ -566,11 +569,11 @@
             jobs.size(),
             around.rules().starts(),
             broken.isEmpty() ? "every rule was kept" : broken.size() + " times a rule was broken"));
-    unfinished.stream().limit(10).forEach(line -> say("  " + line));
-    broken.stream().limit(10).forEach(line -> say("  " + line));
-    nodes.forEach(line -> say("  " + line));
+    unfinished.stream().limit(10).forEach(line -> printLine("  " + line));
+    broken.stream().limit(10).forEach(line -> printLine("  " + line));
+    nodes.forEach(line -> printLine("  " + line));
     if (drill != null) {
-      say("  drill " + drill.result());
+      printLine("  drill " + drill.result());
     }
     return good ? 0 : 1;
   }
--- a/src/main/java/org/quincecross/emulator/MalformedRequests.java
+++ b/src/main/java/org/quincecross/emulator/MalformedRequests.java
@@ -18,13 +18,13 @@
  */
 final class MalformedRequests {
   /** The request was refused for now, or not answered. */
-  private static final Set<Integer> LATER = Set.of(0, 429, 503, 504);
+  private static final Set<Integer> RETRY_STATUSES = Set.of(0, 429, 503, 504);
 
-  private static final List<String> MAY_BE_NULL = List.of("Hulls", "Yard", "DueS");
+  private static final List<String> NULLABLE_FIELDS = List.of("Hulls", "Yard", "DueS");
   private static final int FIRST_NUMBER = 900_000;
 
   /** Why a submission must be refused. */
-  enum Bad {
+  enum InvalidSubmission {
     FITS_NO_MACHINE(422),
     NO_SUCH_TYPE(422),
     NO_SUCH_ZONE(422),
@@ -37,7 +37,7 @@
 
     private final int status;
 
-    Bad(int status) {
+    InvalidSubmission(int status) {
       this.status = status;
     }
   }
@@ -58,10 +58,10 @@
 
   /** Sends one such request every {@code everyS} seconds, for some time. */
   static void begin(ClusterEnvironment around, double everyS, double seconds, Random random) {
-    new MalformedRequests(around, random, everyS, seconds).next();
+    new MalformedRequests(around, random, everyS, seconds).sendNext();
   }
 
-  private void next() {
+  private void sendNext() {
     if (around.clock().seconds() >= untilS) {
       return;
     }
@@ -80,32 +80,34 @@
             });
     int node = random.nextInt(around.site().nodes());
     switch (random.nextInt(4)) {
-      case 0 -> some(open, node, UserSimulator.Asks.AGAIN);
-      case 1 -> some(done, node, UserSimulator.Asks.CANCEL);
-      case 2 -> unknown(new JobId("job-" + (FIRST_NUMBER + random.nextInt(1000))));
-      default -> bad(Bad.values()[random.nextInt(Bad.values().length)]);
+      case 0 -> sendForAnyOf(open, node, UserSimulator.Asks.AGAIN);
+      case 1 -> sendForAnyOf(done, node, UserSimulator.Asks.CANCEL);
+      case 2 -> sendForUnknown(new JobId("job-" + (FIRST_NUMBER + random.nextInt(1000))));
+      default ->
+          sendInvalid(
+              InvalidSubmission.values()[random.nextInt(InvalidSubmission.values().length)]);
     }
-    around.clock().after(everyS * (0.5 + random.nextDouble()), this::next);
+    around.clock().after(everyS * (0.5 + random.nextDouble()), this::sendNext);
   }
 
-  private void some(List<JobId> jobs, int node, UserSimulator.Asks what) {
+  private void sendForAnyOf(List<JobId> jobs, int node, UserSimulator.Asks what) {
     if (!jobs.isEmpty()) {
       around.users().once(node, what, jobs.get(random.nextInt(jobs.size())));
     }
   }
 
   /** Also for jobs that were submitted and refused: they must be unknown. */
-  private void unknown(JobId id) {
+  private void sendForUnknown(JobId id) {
     String path = JobCodec.JOBS_PATH + "/" + id;
     expect("state of none", HttpRequest.get(path), 404);
     expect("cancel of none", HttpRequest.post(path + JobCodec.CANCEL_SUFFIX, new byte[0]), 404);
   }
 
-  private void bad(Bad what) {
+  private void sendInvalid(InvalidSubmission what) {
     expect(what.toString(), HttpRequest.post(JobCodec.JOBS_PATH, body(what)), what.status);
   }
 
-  private byte[] body(Bad what) {
+  private byte[] body(InvalidSubmission what) {
     Map<String, Object> job =
         Json.object(
             "Uid",
@@ -149,7 +151,7 @@
             "DueS",
             null);
     List<String> needed =
-        job.keySet().stream().filter(name -> !MAY_BE_NULL.contains(name)).toList();
+        job.keySet().stream().filter(name -> !NULLABLE_FIELDS.contains(name)).toList();
     switch (what) {
       case FITS_NO_MACHINE -> job.put("MemGb", 1e6);
       case NO_SUCH_TYPE -> job.put("Hulls", List.of("none"));
@@ -178,10 +180,10 @@
             "odd",
             request,
             outcome -> {
-              if (outcome.status() != status && !LATER.contains(outcome.status())) {
+              if (outcome.status() != status && !RETRY_STATUSES.contains(outcome.status())) {
                 around
                     .rules()
-                    .wronglyAnswered(
+                    .onWrongAnswer(
                         what + " " + new String(request.body(), StandardCharsets.UTF_8),
                         outcome.status());
               }
--- a/src/main/java/org/quincecross/emulator/Measurement.java
+++ b/src/main/java/org/quincecross/emulator/Measurement.java
@@ -22,15 +22,15 @@
     MIXED
   }
 
-  private static final double JOBS_FROM_S = 15;
-  private static final double JOBS_OVER_S = 20;
+  private static final double WORKLOAD_START_S = 15;
+  private static final double INITIAL_JOBS_SPREAD_S = 20;
   private static final double RESTART_AT_S = 150;
 
   private final Kind kind;
   private final int machines;
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Meter meter = new Meter(true);
-  private double lasted;
+  private double playedS;
 
   /**
    * @param features the features that are enabled in all controllers
@@ -38,34 +38,34 @@
   public Measurement(Kind kind, int machines, long seed, Features features) {
     this.kind = kind;
     this.machines = machines;
-    this.world =
+    this.cluster =
         new SimulatedCluster(
             kind == Kind.FLEET ? ClusterSpec.fleet(machines) : ClusterSpec.mixed(machines),
             seed,
             meter,
             features);
-    WorkloadGenerator load = new WorkloadGenerator(world.around(), seed);
-    world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
-    world
+    WorkloadGenerator load = new WorkloadGenerator(cluster.around(), seed);
+    cluster.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
+    cluster
         .time()
         .at(
             RESTART_AT_S,
             () -> {
-              for (int node = 0; node < world.nodeCount(); node++) {
-                world.crash(node);
+              for (int node = 0; node < cluster.nodeCount(); node++) {
+                cluster.crash(node);
               }
             });
   }
 
   /** Runs the day up to a time, in seconds from its beginning. */
   public void playUntil(double seconds) {
-    world.time().runUntil(seconds);
-    lasted = seconds;
+    cluster.time().runUntil(seconds);
+    playedS = seconds;
   }
 
   /** Whether no rule was broken. */
   public boolean isSound() {
-    return world.rules().broken().isEmpty();
+    return cluster.rules().violations().isEmpty();
   }
 
   /** The processor time of all controllers so far, in seconds. */
@@ -116,10 +116,10 @@
         "%s, %d machines (%d up at the end), %.0f s, %d jobs submitted, %d tasks started: %.1f s of processor time%n%n",
         kind.toString().toLowerCase(Locale.ROOT),
         machines,
-        world.cloud().workers().size(),
-        lasted,
-        world.users().submitted(),
-        world.rules().starts(),
+        cluster.cloud().workers().size(),
+        playedS,
+        cluster.users().submitted(),
+        cluster.rules().starts(),
         all);
     out.println("| what | calls | µs each | KB each | longest, ms | s | share |");
     out.println("| --- | --- | --- | --- | --- | --- | --- |");
@@ -133,7 +133,7 @@
                 cost.calls(),
                 cost.nanos() / 1e3 / cost.calls(),
                 cost.bytes() / 1024.0 / cost.calls(),
-                cost.longest() / 1e6,
+                cost.longestNanos() / 1e6,
                 cost.nanos() / 1e9,
                 100 * cost.nanos() / 1e9 / all);
           }
--- a/src/main/java/org/quincecross/emulator/Meter.java
+++ b/src/main/java/org/quincecross/emulator/Meter.java
@@ -16,7 +16,7 @@
     private long calls;
     private long nanos;
     private long bytes;
-    private long longest;
+    private long longestNanos;
 
     long calls() {
       return calls;
@@ -31,22 +31,22 @@
     }
 
     /** The longest single call, in nanoseconds. */
-    long longest() {
-      return longest;
+    long longestNanos() {
+      return longestNanos;
     }
   }
 
   /** Reads no counters: for days without measurement. */
   static final Meter OFF = new Meter(false);
 
-  private final boolean on;
+  private final boolean enabled;
   private final Map<String, Cost> costs = new TreeMap<>();
   private final com.sun.management.ThreadMXBean threads =
       (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
   private boolean running;
 
   Meter(boolean on) {
-    this.on = on;
+    this.enabled = on;
   }
 
   /**
@@ -54,7 +54,7 @@
    * it.
    */
   void run(Runnable action) {
-    if (!on) {
+    if (!enabled) {
       action.run();
       return;
     }
@@ -68,7 +68,7 @@
 
   /** Runs a call into a controller and records its cost; nested calls count for the outer one. */
   void run(String kind, Runnable action) {
-    if (!on || running) {
+    if (!enabled || running) {
       action.run();
       return;
     }
@@ -82,7 +82,7 @@
       Cost cost = costs.computeIfAbsent(kind, k -> new Cost());
       cost.calls++;
       cost.nanos += took;
-      cost.longest = Math.max(cost.longest, took);
+      cost.longestNanos = Math.max(cost.longestNanos, took);
       cost.bytes += threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - bytes;
       running = false;
     }
--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -43,19 +43,19 @@
   private static final JobId JOB = new JobId("job-990001");
   private static final int REPLICAS = 2;
   private static final double WEIGHTS_GB = 8;
-  private static final double IDLE_S = 6;
-  private static final double LOOK_S = 0.05;
-  private static final double ASK_EVERY_S = 0.2;
-  private static final double EACH_WITHIN_S = 60;
-  private static final double KILLED_AFTER_S = 0.3;
+  private static final double IDLE_TIMEOUT_S = 6;
+  private static final double CHECK_INTERVAL_S = 0.05;
+  private static final double WAKE_INTERVAL_S = 0.2;
+  private static final double PHASE_TIMEOUT_S = 60;
+  private static final double KILL_DELAY_S = 0.3;
 
   private final ClusterEnvironment around;
   private final List<ControllerProcess> controllers;
   private final Map<String, Object> result;
-  private final Runnable over;
+  private final Runnable onOver;
   private Phase phase;
-  private double since;
-  private double asked = -10;
+  private double phaseSince;
+  private double lastWakeAt = -10;
   private int wakes;
 
   /**
@@ -70,12 +70,12 @@
     this.around = around;
     this.controllers = controllers;
     this.result = result;
-    this.over = over;
+    this.onOver = over;
   }
 
   void begin() {
     enter(Phase.LEVEL);
-    around.clock().after(LOOK_S, this::look);
+    around.clock().after(CHECK_INTERVAL_S, this::check);
   }
 
   boolean hasFailed() {
@@ -85,7 +85,7 @@
   /** The only place where the phase changes. */
   private void enter(Phase next) {
     phase = next;
-    since = around.clock().seconds();
+    phaseSince = around.clock().seconds();
   }
 
   private String state() {
@@ -93,11 +93,11 @@
     return state == null ? "" : String.valueOf(state.get("state"));
   }
 
-  private boolean serves() {
+  private boolean isServing() {
     return state().equals("WARM") && around.rules().onMachines(JOB) == REPLICAS;
   }
 
-  private void look() {
+  private void check() {
     double now = around.clock().seconds();
     switch (phase) {
       case LEVEL -> {
@@ -125,8 +125,8 @@
         if (!state().isEmpty()) {
           around.coldStarts().watch(NAME, JOB);
           enter(Phase.TO_ZERO);
-        } else if (now - asked > ASK_EVERY_S) {
-          asked = now;
+        } else if (now - lastWakeAt > WAKE_INTERVAL_S) {
+          lastWakeAt = now;
           post(
               0,
               "",
@@ -138,7 +138,7 @@
                   "most",
                   REPLICAS,
                   "idle_s",
-                  IDLE_S,
+                  IDLE_TIMEOUT_S,
                   "request",
                   "drill-define"),
               outcome -> {});
@@ -147,13 +147,13 @@
       case TO_ZERO -> {
         if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
           enter(Phase.COLD);
-          around.clock().after(KILLED_AFTER_S, this::killLeader);
+          around.clock().after(KILL_DELAY_S, this::killLeader);
         }
       }
       case COLD -> {
-        wakeEverywhere();
-        if (serves()) {
-          result.put("cold_ready_s", LocalCluster.round(now - since));
+        wakeAtAllControllers();
+        if (isServing()) {
+          result.put("cold_ready_s", LocalCluster.round(now - phaseSince));
           result.put("cold_starts", around.coldStarts().starts());
           result.put("cold_fetches", around.coldStarts().fetches());
           enter(Phase.IDLE);
@@ -161,22 +161,22 @@
       }
       case IDLE -> {
         if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
-          result.put("back_at_zero_s", LocalCluster.round(now - since));
+          result.put("back_at_zero_s", LocalCluster.round(now - phaseSince));
           enter(Phase.CACHED);
-          around.clock().after(KILLED_AFTER_S, this::killLeader);
+          around.clock().after(KILL_DELAY_S, this::killLeader);
         }
       }
       case CACHED -> {
-        wakeEverywhere();
-        if (serves()) {
-          result.put("cached_ready_s", LocalCluster.round(now - since));
+        wakeAtAllControllers();
+        if (isServing()) {
+          result.put("cached_ready_s", LocalCluster.round(now - phaseSince));
           end(Phase.OVER);
         }
       }
       default -> throw new IllegalStateException(phase.toString());
     }
     if (phase != Phase.OVER && phase != Phase.FAILED) {
-      if (now - since > EACH_WITHIN_S) {
+      if (now - phaseSince > PHASE_TIMEOUT_S) {
         result.put(
             "why",
             "nothing more happened in phase "
@@ -186,7 +186,7 @@
         end(Phase.FAILED);
         return;
       }
-      around.clock().after(LOOK_S, this::look);
+      around.clock().after(CHECK_INTERVAL_S, this::check);
     }
   }
 
@@ -197,10 +197,10 @@
     result.put("twice", around.coldStarts().violations());
     around.users().cancel(JOB);
     enter(around.coldStarts().violations().isEmpty() ? last : Phase.FAILED);
-    over.run();
+    onOver.run();
   }
 
-  private void wakeEverywhere() {
+  private void wakeAtAllControllers() {
     for (int node = 0; node < controllers.size(); node++) {
       wakes++;
       post(node, "/wake", Json.object(), outcome -> {});
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -20,9 +20,9 @@
  * The seed determines which, when and how much.
  */
 public final class OverloadDay {
-  private static final double JOBS_FROM_S = 15;
-  private static final double JOBS_OVER_S = 20;
-  private static final double LASTS_S = 420;
+  private static final double WORKLOAD_START_S = 15;
+  private static final double INITIAL_JOBS_SPREAD_S = 20;
+  private static final double DURATION_S = 420;
   private static final double SLICE_S = 15;
 
   /**
@@ -112,7 +112,7 @@
     this.random = new Random(seed);
     this.world = new SimulatedCluster(site, seed, Meter.OFF, features);
     this.load = new WorkloadGenerator(world.around(), seed);
-    world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
+    world.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
     sample();
     int troubles = 1 + random.nextInt(3);
     for (int i = 0; i < troubles; i++) {
@@ -122,7 +122,7 @@
       world.time().at(70 + 90 * random.nextDouble(), () -> load.burst(burst.name(), factor, lasts));
     }
     double share = 0.25 * random.nextDouble();
-    world.time().at(90 + 80 * random.nextDouble(), () -> lose(share));
+    world.time().at(90 + 80 * random.nextDouble(), () -> loseMachines(share));
     double outage = 60 * random.nextDouble();
     world.time().at(90 + 60 * random.nextDouble(), () -> world.cloud().outage(outage));
     int crashes = random.nextInt(4);
@@ -133,7 +133,7 @@
     }
   }
 
-  private void lose(double share) {
+  private void loseMachines(double share) {
     for (MachineId machine : world.cloud().machines()) {
       if (random.nextDouble() < share) {
         world.cloud().terminate(machine, 0);
@@ -152,19 +152,19 @@
               for (AgentSimulator worker : world.cloud().workers()) {
                 up = up.plus(worker.capacity());
               }
-              capacity.add(up.minus(world.rules().standing()));
+              capacity.add(up.minus(world.rules().serviceResources()));
               Resources inUse = Resources.NONE;
               for (String team : world.site().teams().keySet()) {
                 inUse = inUse.plus(world.rules().used(team));
               }
-              used.add(inUse.minus(world.rules().standing()));
+              used.add(inUse.minus(world.rules().serviceResources()));
               sample();
             });
   }
 
   /** Runs the day to its end. */
   public Result play() {
-    world.time().runUntil(LASTS_S);
+    world.time().runUntil(DURATION_S);
     JobAccounting served = world.around().served();
     return new Result(
         seed,
@@ -172,9 +172,9 @@
         served.teams(world.around().now()),
         served.classes(world.around().now()),
         served.largest(world.around().now()),
-        bound(),
+        upperBound(),
         cpus(used) / cpus(capacity),
-        world.rules().broken().size(),
+        world.rules().violations().size(),
         world.rules().starts());
   }
 
@@ -183,7 +183,7 @@
   }
 
   /** For each job with a deadline: its work, and the interval in which it can be done. */
-  private double bound() {
+  private double upperBound() {
     List<UpperBound.Wanted> wanted = new ArrayList<>();
     for (Map.Entry<JobId, Double> submitted : world.users().submittedAt().entrySet()) {
       Job job = world.job(submitted.getKey());
--- a/src/main/java/org/quincecross/emulator/OverloadDays.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDays.java
@@ -16,7 +16,7 @@
 
 /** Many overload days, run on all processors, and the distribution of their results. */
 public final class OverloadDays {
-  private static final int STEPS = 10;
+  private static final int HISTOGRAM_STEPS = 10;
 
   private final Measurement.Kind kind;
   private final int machines;
@@ -51,16 +51,20 @@
     out.println(
         "| days on which the least share was | 0 to 0.1 | 0.2 | 0.3 | 0.4 | 0.5 | 0.6 | 0.7 | 0.8 | 0.9 | 1 | mean |");
     out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    row(out, "in time, of any class", OverloadDay.Result::leastInTime);
-    row(out, "that no scheduler surpasses", OverloadDay.Result::bound);
-    row(out, "by any aim or by starts, of any class", OverloadDay.Result::leastOfClasses);
-    row(out, "by any aim or by starts, of any team", OverloadDay.Result::leastOfTeams);
-    row(out, "of any class's largest tenth or quarter, done", OverloadDay.Result::leastOfLargest);
-    row(
+    writeHistogramRow(out, "in time, of any class", OverloadDay.Result::leastInTime);
+    writeHistogramRow(out, "that no scheduler surpasses", OverloadDay.Result::bound);
+    writeHistogramRow(
+        out, "by any aim or by starts, of any class", OverloadDay.Result::leastOfClasses);
+    writeHistogramRow(
+        out, "by any aim or by starts, of any team", OverloadDay.Result::leastOfTeams);
+    writeHistogramRow(
+        out, "of any class's largest tenth or quarter, done", OverloadDay.Result::leastOfLargest);
+    writeHistogramRow(
         out,
         "of any class's largest tenth or quarter, begun in time",
         OverloadDay.Result::largestInTime);
-    row(out, "of the processors beside services, used", OverloadDay.Result::usedShare);
+    writeHistogramRow(
+        out, "of the processors beside services, used", OverloadDay.Result::usedShare);
     out.println();
     out.printf(
         Locale.ROOT,
@@ -71,20 +75,23 @@
             .count(),
         JobSizeHistogram.MAX_START_DELAY_S);
     if (results.size() == 1) {
-      table(out, results.get(0));
+      writeDay(out, results.get(0));
     } else {
-      means(out);
+      writeMeans(out);
     }
   }
 
-  private void row(PrintStream out, String name, ToDoubleFunction<OverloadDay.Result> share) {
-    int[] days = new int[STEPS];
+  private void writeHistogramRow(
+      PrintStream out, String name, ToDoubleFunction<OverloadDay.Result> share) {
+    int[] days = new int[HISTOGRAM_STEPS];
     double sum = 0;
     int known = 0;
     for (OverloadDay.Result result : results) {
       double value = share.applyAsDouble(result);
       if (!Double.isNaN(value)) {
-        days[Math.max(0, Math.min(STEPS - 1, (int) Math.ceil(value * STEPS) - 1))]++;
+        days[
+            Math.max(
+                0, Math.min(HISTOGRAM_STEPS - 1, (int) Math.ceil(value * HISTOGRAM_STEPS) - 1))]++;
         sum += value;
         known++;
       }
@@ -97,7 +104,7 @@
   }
 
   /** The share of each class over all days. */
-  private void means(PrintStream out) {
+  private void writeMeans(PrintStream out) {
     Map<String, double[]> sums = new TreeMap<>();
     for (OverloadDay.Result result : results) {
       result
@@ -147,12 +154,14 @@
     sum[1] += all;
   }
 
-  private static void table(PrintStream out, OverloadDay.Result day) {
+  private static void writeDay(PrintStream out, OverloadDay.Result day) {
     out.println("| team, class | least | jobs ended | tasks started | aims | starved, s |");
     out.println("| --- | --- | --- | --- | --- | --- |");
     day.groups()
-        .forEach((group, served) -> line(out, group.team() + ", " + group.jobClass(), served));
-    day.teams().forEach((team, served) -> line(out, "all of " + team, served));
+        .forEach(
+            (group, served) ->
+                writeServiceLevels(out, group.team() + ", " + group.jobClass(), served));
+    day.teams().forEach((team, served) -> writeServiceLevels(out, "all of " + team, served));
     out.println();
     out.println("| of a class the largest | jobs | served | begun in time | longest, s |");
     out.println("| --- | --- | --- | --- | --- |");
@@ -173,7 +182,7 @@
                             part.longestS())));
   }
 
-  private static void line(PrintStream out, String name, ServiceLevels served) {
+  private static void writeServiceLevels(PrintStream out, String name, ServiceLevels served) {
     List<String> aims = new ArrayList<>();
     served
         .objectives()
@@ -206,11 +215,11 @@
               "in_time",
               result.leastInTime(),
               "classes",
-              served(result.classes()),
+              servedAsJson(result.classes()),
               "largest",
               AccountingLog.writeLargest(result.largest()),
               "teams",
-              served(result.teams()),
+              servedAsJson(result.teams()),
               "rules_broken",
               result.rulesBroken()));
     }
@@ -218,7 +227,7 @@
   }
 
   /** The share of each class or team, as JSON. */
-  static Map<String, Object> served(Map<String, ServiceLevels> all) {
+  static Map<String, Object> servedAsJson(Map<String, ServiceLevels> all) {
     Map<String, Object> written = Json.object();
     all.forEach(
         (name, served) -> {
--- a/src/main/java/org/quincecross/emulator/PipelineDraws.java
+++ b/src/main/java/org/quincecross/emulator/PipelineGenerator.java
@@ -17,28 +17,28 @@
  * pipelines depend on a job of another team. One final job depends on the whole last stage; it
  * alone has a deadline and the priority that the user needs.
  */
-final class PipelineDraws {
-  private static final int MOST_JOBS_OF_A_STAGE = 3;
-  private static final int MOST_TASKS = 8;
+final class PipelineGenerator {
+  private static final int MAX_JOBS_PER_STAGE = 3;
+  private static final int MAX_TASKS = 8;
 
   /** One in this many final jobs is submitted only when all of its dependencies are over. */
-  private static final int LATE_ONE_IN = 3;
+  private static final int LATE_SUBMISSION_ONE_IN = 3;
 
-  private static final double DUE_S = 240;
+  private static final double DEADLINE_S = 240;
 
   private final Random random;
   private final List<String> teams;
-  private final Resources each;
+  private final Resources taskResources;
   private int number;
 
   /**
    * @param firstNumber the first number of the generated job ids
    * @param taskResources the resources of a task
    */
-  PipelineDraws(Random random, List<String> teams, Resources each, int firstNumber) {
+  PipelineGenerator(Random random, List<String> teams, Resources taskResources, int firstNumber) {
     this.random = random;
     this.teams = teams;
-    this.each = each;
+    this.taskResources = taskResources;
     this.number = firstNumber;
   }
 
@@ -46,7 +46,7 @@
    * The jobs of one pipeline, dependencies first; {@code earlier} are jobs of other pipelines that
    * its first jobs may depend on.
    */
-  List<DependentJobs.PipelineJob> draw(List<JobId> earlier) {
+  List<DependentJobs.PipelineJob> nextPipeline(List<JobId> earlier) {
     String team = teams.get(random.nextInt(teams.size()));
     List<DependentJobs.PipelineJob> steps = new ArrayList<>();
     List<JobId> stage = List.of();
@@ -57,8 +57,9 @@
     int stages = 2 + random.nextInt(3);
     for (int i = 0; i < stages - 1; i++) {
       List<JobId> next = new ArrayList<>();
-      for (int jobs = 1 + random.nextInt(MOST_JOBS_OF_A_STAGE); jobs > 0; jobs--) {
-        Job job = job(team, i % 2 == 0 ? Priority.LOW : Priority.NORMAL, null, some(stage, before));
+      for (int jobs = 1 + random.nextInt(MAX_JOBS_PER_STAGE); jobs > 0; jobs--) {
+        Job job =
+            job(team, i % 2 == 0 ? Priority.LOW : Priority.NORMAL, null, someOf(stage, before));
         next.add(job.id());
         steps.add(new DependentJobs.PipelineJob(job, DependentJobs.SubmitCondition.ONCE_ACCEPTED));
       }
@@ -67,19 +68,19 @@
     }
     steps.add(
         new DependentJobs.PipelineJob(
-            job(team, Priority.HIGH, TimeSpan.ofSeconds(DUE_S), stage),
-            random.nextInt(LATE_ONE_IN) == 0
+            job(team, Priority.HIGH, TimeSpan.ofSeconds(DEADLINE_S), stage),
+            random.nextInt(LATE_SUBMISSION_ONE_IN) == 0
                 ? DependentJobs.SubmitCondition.ONCE_OVER
                 : DependentJobs.SubmitCondition.ONCE_ACCEPTED));
     return steps;
   }
 
   /** A job that depends on another, outside any pipeline. */
-  Job lone(JobId named) {
+  Job dependentOf(JobId named) {
     return job(teams.get(random.nextInt(teams.size())), Priority.NORMAL, null, List.of(named));
   }
 
-  private List<JobId> some(List<JobId> stage, List<JobId> before) {
+  private List<JobId> someOf(List<JobId> stage, List<JobId> before) {
     List<JobId> some = new ArrayList<>();
     stage.forEach(
         id -> {
@@ -101,8 +102,8 @@
         .team(team)
         .kind(kind)
         .priority(priority)
-        .taskCount(1 + random.nextInt(kind == JobKind.GANG ? 2 : MOST_TASKS))
-        .taskResources(each)
+        .taskCount(1 + random.nextInt(kind == JobKind.GANG ? 2 : MAX_TASKS))
+        .taskResources(taskResources)
         .allowsSpot(kind == JobKind.ARRAY && random.nextBoolean())
         .image("img-" + random.nextInt(3))
         .imageGb(1)
--- a/src/main/java/org/quincecross/emulator/PollLiveness.java
+++ b/src/main/java/org/quincecross/emulator/PollLiveness.java
@@ -15,26 +15,26 @@
   static final double FORGOTTEN_AFTER_S = 75;
 
   /** The time of the last answer, and the longest completed interval without one. */
-  private record Asked(double lastS, double longestS) {
-    Asked answered(double now) {
-      return new Asked(now, Math.max(longestS, now - lastS));
+  private record AnswerGap(double lastS, double longestS) {
+    AnswerGap answered(double now) {
+      return new AnswerGap(now, Math.max(longestS, now - lastS));
     }
   }
 
   private final Clock clock;
-  private final Map<JobId, Asked> jobs = new HashMap<>();
+  private final Map<JobId, AnswerGap> jobs = new HashMap<>();
 
   PollLiveness(Clock clock) {
     this.clock = clock;
   }
 
   /** Faults may continue until now: earlier intervals do not count. */
-  void trouble() {
-    jobs.replaceAll((id, asked) -> new Asked(clock.seconds(), 0));
+  void onFault() {
+    jobs.replaceAll((id, asked) -> new AnswerGap(clock.seconds(), 0));
   }
 
   void accepted(JobId id) {
-    jobs.putIfAbsent(id, new Asked(clock.seconds(), 0));
+    jobs.putIfAbsent(id, new AnswerGap(clock.seconds(), 0));
   }
 
   void answered(JobId id) {
@@ -45,8 +45,8 @@
    * The longest interval without an answer for a job, in seconds; up to now if {@code open}, else
    * up to its last answer.
    */
-  double longest(JobId id, boolean open) {
-    Asked asked = jobs.get(id);
+  double longestGapS(JobId id, boolean open) {
+    AnswerGap asked = jobs.get(id);
     return asked == null ? 0 : open ? asked.answered(clock.seconds()).longestS() : asked.longestS();
   }
 
@@ -54,7 +54,7 @@
   List<JobId> forgotten(Set<JobId> open) {
     List<JobId> forgotten = new ArrayList<>();
     for (JobId id : jobs.keySet()) {
-      if (longest(id, open.contains(id)) > FORGOTTEN_AFTER_S) {
+      if (longestGapS(id, open.contains(id)) > FORGOTTEN_AFTER_S) {
         forgotten.add(id);
       }
     }
--- a/src/main/java/org/quincecross/emulator/ProcessScope.java
+++ b/src/main/java/org/quincecross/emulator/ProcessScope.java
@@ -3,20 +3,20 @@
 /** The lifetime of a simulated process: actions that it scheduled are dropped when it ends. */
 final class ProcessScope {
   private boolean alive = true;
-  private double standsStillUntil;
+  private double suspendedUntil;
 
   boolean isAlive() {
     return alive;
   }
 
   /** Suspends the process until then; its clocks keep running. */
-  void standStill(double untilS) {
-    standsStillUntil = untilS;
+  void suspendUntil(double untilS) {
+    suspendedUntil = untilS;
   }
 
   /** How long the process stays suspended, in seconds; 0 if it is not suspended. */
-  double standsStillFor(double now) {
-    return Math.max(0, standsStillUntil - now);
+  double suspendedFor(double now) {
+    return Math.max(0, suspendedUntil - now);
   }
 
   void end() {
--- a/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
+++ b/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
@@ -18,26 +18,26 @@
 /** Checks the rules of the protocol, at a cost proportional to the number of events. */
 final class ProtocolInvariants {
   private final ClusterEnvironment around;
-  private final Map<TaskId, Map<MachineId, Machine>> on = new HashMap<>();
+  private final Map<TaskId, Map<MachineId, Machine>> taskArrived = new HashMap<>();
   private final Map<JobId, Map<String, Integer>> zones = new HashMap<>();
   private final Map<String, Resources> used = new HashMap<>();
   private final Map<JobId, Double> cancelled = new HashMap<>();
-  private final Set<JobId> late = new HashSet<>();
-  private final Map<JobId, String> last = new HashMap<>();
-  private final Map<JobId, String> ends = new HashMap<>();
+  private final Set<JobId> overdueCancellations = new HashSet<>();
+  private final Map<JobId, String> lastStates = new HashMap<>();
+  private final Map<JobId, String> finalStates = new HashMap<>();
   private final Map<JobId, Set<Integer>> done = new HashMap<>();
   private final Map<JobId, Integer> startsOf = new HashMap<>();
   private final Map<JobId, TaskSet> startedTasks = new HashMap<>();
-  private final List<String> broken = new ArrayList<>();
-  private Resources standing = Resources.NONE;
+  private final List<String> violations = new ArrayList<>();
+  private Resources serviceResources = Resources.NONE;
   private int starts;
 
   ProtocolInvariants(ClusterEnvironment around) {
     this.around = around;
   }
 
-  List<String> broken() {
-    return broken;
+  List<String> violations() {
+    return violations;
   }
 
   int starts() {
@@ -50,8 +50,8 @@
   }
 
   /** Records that a rule is broken. */
-  void breaks(String rule, Object what) {
-    broken.add(rule + " at " + around.clock().seconds() + ": " + what);
+  void addViolation(String rule, Object what) {
+    violations.add(rule + " at " + around.clock().seconds() + ": " + what);
   }
 
   /** The only place where the counts of running tasks change. */
@@ -59,7 +59,7 @@
     Job job = around.job(task.job());
     used.merge(job.team(), job.taskResources().times(more), Resources::plus);
     if (job.kind() == JobKind.SERVICE) {
-      standing = standing.plus(job.taskResources().times(more));
+      serviceResources = serviceResources.plus(job.taskResources().times(more));
     }
     Map<String, Integer> ofJob = zones.computeIfAbsent(task.job(), id -> new HashMap<>());
     ofJob.merge(machine.zone(), more, Integer::sum);
@@ -69,22 +69,22 @@
     }
   }
 
-  void on(TaskId task, Machine machine) {
+  void taskArrived(TaskId task, Machine machine) {
     starts++;
     startsOf.merge(task.job(), 1, Integer::sum);
     Job job = around.job(task.job());
     TaskSet everOn = startedTasks.computeIfAbsent(task.job(), id -> new TaskSet());
     everOn.add(task.index());
     around.served().started(task.job(), everOn.size(), around.now());
-    Map<MachineId, Machine> places = on.computeIfAbsent(task, t -> new HashMap<>(2));
+    Map<MachineId, Machine> places = taskArrived.computeIfAbsent(task, t -> new HashMap<>(2));
     if (places.put(machine.id(), machine) == null) {
       count(task, machine, 1);
     }
     if (places.size() > 1) {
-      breaks("ran_twice", task + " on " + places.keySet());
+      addViolation("ran_twice", task + " on " + places.keySet());
     }
     if (!used(job.team()).fitsIn(around.site().teams().get(job.team()).limit())) {
-      breaks("quota", task + " brings " + job.team() + " to " + used(job.team()));
+      addViolation("quota", task + " brings " + job.team() + " to " + used(job.team()));
     }
     Map<String, Integer> inZones = zones.get(job.id());
     boolean misplaced =
@@ -92,14 +92,14 @@
             || (job.singleZone() && inZones.size() > 1)
             || (job.spreadOverZones() && inZones.get(machine.zone()) > job.maxTasksPerZone());
     if (misplaced) {
-      breaks("wrong_place", task + " on " + machine);
+      addViolation("wrong_place", task + " on " + machine);
     }
     checkCancelled(job.id());
     around.pipelineRules().starts(task);
   }
 
-  void off(TaskId task, MachineId machine) {
-    Map<MachineId, Machine> places = on.get(task);
+  void taskLeft(TaskId task, MachineId machine) {
+    Map<MachineId, Machine> places = taskArrived.get(task);
     if (places != null) {
       checkCancelled(task.job());
       Machine left = places.remove(machine);
@@ -107,7 +107,7 @@
         count(task, left, -1);
       }
       if (places.isEmpty()) {
-        on.remove(task);
+        taskArrived.remove(task);
       }
     }
   }
@@ -153,23 +153,24 @@
 
   /** The number of tasks on a machine. */
   int onMachine(MachineId machine) {
-    return (int) on.values().stream().filter(places -> places.containsKey(machine)).count();
+    return (int)
+        taskArrived.values().stream().filter(places -> places.containsKey(machine)).count();
   }
 
   /** Whether a task of one of these jobs is on a machine. */
   boolean runsAny(MachineId machine, Set<JobId> jobs) {
-    return on.entrySet().stream()
+    return taskArrived.entrySet().stream()
         .anyMatch(
             each -> jobs.contains(each.getKey().job()) && each.getValue().containsKey(machine));
   }
 
   boolean isOn(TaskId task) {
-    return on.containsKey(task);
+    return taskArrived.containsKey(task);
   }
 
   /** The number of tasks on machines. */
   int onMachines() {
-    return on.size();
+    return taskArrived.size();
   }
 
   /** The resources of a team's tasks on machines. */
@@ -178,8 +179,8 @@
   }
 
   /** The resources of service tasks on machines. */
-  Resources standing() {
-    return standing;
+  Resources serviceResources() {
+    return serviceResources;
   }
 
   /** Checks what depends on time; called periodically. */
@@ -191,34 +192,36 @@
   private void checkCancelled(JobId job) {
     Double at = cancelled.get(job);
     if (at != null
-        && !late.contains(job)
+        && !overdueCancellations.contains(job)
         && zones.containsKey(job)
         && around.clock().seconds() > at + around.site().workers().cancelTimeout().seconds()) {
-      late.add(job);
-      breaks("ran_cancelled", job + " in " + zones.get(job));
+      overdueCancellations.add(job);
+      addViolation("ran_cancelled", job + " in " + zones.get(job));
     }
   }
 
   /** The state of a job that users were told last, or null. */
-  String lastTold(JobId id) {
-    return last.get(id);
+  String lastReportedState(JobId id) {
+    return lastStates.get(id);
   }
 
   /**
    * A user was told the state of a job; {@code before} is the last state told when the request was
    * sent.
    */
-  void told(JobId id, String state, String before, boolean asked) {
-    last.put(id, state);
+  void onStateReported(JobId id, String state, String before, boolean asked) {
+    lastStates.put(id, state);
     if (before != null
         && (before.equals("done") || before.equals("cancelled"))
         && !before.equals(state)) {
-      breaks("went_back", id + " from " + before + " to " + state);
+      addViolation("went_back", id + " from " + before + " to " + state);
     }
     String over =
-        state.equals("done") || state.equals("cancelled") ? ends.putIfAbsent(id, state) : null;
+        state.equals("done") || state.equals("cancelled")
+            ? finalStates.putIfAbsent(id, state)
+            : null;
     if (over != null && !over.equals(state)) {
-      breaks(
+      addViolation(
           "told_two_ends",
           id + " is " + over + " and "
               + state); // a final state never changes, whenever the request was sent
@@ -226,12 +229,12 @@
     if (state.equals("cancelled")) {
       cancelled.putIfAbsent(id, around.clock().seconds());
       if (!asked && !around.pipelineRules().isDependencyCancelRequested(id)) {
-        breaks("went_back", id + " was not cancelled by its user");
+        addViolation("went_back", id + " was not cancelled by its user");
       }
     }
     if (state.equals("done")
         && done.getOrDefault(id, Set.of()).size() < around.job(id).taskCount()) {
-      breaks("not_done", id);
+      addViolation("not_done", id);
     }
   }
 
@@ -239,15 +242,15 @@
    * An answer without the job's state; {@code before} is the last state told when the request was
    * sent.
    */
-  void refused(JobId id, int status, String before) {
+  void onRefused(JobId id, int status, String before) {
     if (before != null && (status == 400 || status == 404 || status == 422)) {
-      breaks("went_back", id + " from " + before + " to " + status);
+      addViolation("went_back", id + " from " + before + " to " + status);
     }
   }
 
   /** A job waited although there was room for it. */
-  void leftWaiting(JobId id, double seconds) {
-    breaks("idle_room", around.job(id) + " for " + seconds + " s");
+  void onLeftWaiting(JobId id, double seconds) {
+    addViolation("idle_room", around.job(id) + " for " + seconds + " s");
   }
 
   boolean hasCancelled() {
@@ -257,13 +260,13 @@
   /** A controller sends a start: none may be sent for a job whose cancellation is confirmed. */
   void startSent(JobId id) {
     if (cancelled.containsKey(id)) {
-      breaks("started_cancelled", id + ", confirmed as cancelled at " + cancelled.get(id));
+      addViolation("started_cancelled", id + ", confirmed as cancelled at " + cancelled.get(id));
     }
   }
 
   /** A request that concerns no accepted job got an answer that the protocol does not permit. */
-  void wronglyAnswered(String what, int status) {
-    breaks(
+  void onWrongAnswer(String what, int status) {
+    addViolation(
         status == 200 || status == 201 ? "accepted_bad" : "wrong_answer", what + " got " + status);
   }
 }
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -30,28 +30,28 @@
  * with a share of the processors reserved beforehand or with nothing reserved.
  */
 public final class RequestDay {
-  private static final double JOBS_FROM_S = 15;
-  private static final double JOBS_OVER_S = 20;
+  private static final double WORKLOAD_START_S = 15;
+  private static final double INITIAL_JOBS_SPREAD_S = 20;
 
   /** By then the feature level that introduces requests is in force. */
   private static final double REQUESTS_AT_S = 40;
 
   private static final double FLOOD_AT_S = 100;
-  private static final double FLOOD_LASTS_S = 120;
+  private static final double FLOOD_DURATION_S = 120;
   private static final double FLOOD_FACTOR = 3;
   private static final double ANSWERS_AT_S = 180;
   private static final double DELIVERED_AT_S = 270;
-  private static final double LASTS_S = 330;
+  private static final double DURATION_S = 330;
 
   /** Enough for all requests, beyond any guarantee. */
   private static final double SHARE = 0.5;
 
-  private static final int TASKS_EACH = 8;
+  private static final int TASKS_PER_REQUEST = 8;
   private static final int FIRST_NUMBER = 10_000;
-  private static final double LOOK_EVERY_S = 0.25;
+  private static final double CHECK_INTERVAL_S = 0.25;
 
   /** The other front service grows in this many steps. */
-  private static final int GROWS_IN = 25;
+  private static final int GROWTH_STEPS = 25;
 
   private static final String OTHER_FRONT = "other front";
 
@@ -80,14 +80,14 @@
   private final double share;
   private final SimulatedCluster world;
   private final Map<JobId, String> waiting = new HashMap<>();
-  private final Set<JobId> known = new HashSet<>();
-  private final Set<JobId> ofRequests = new HashSet<>();
+  private final Set<JobId> seenJobs = new HashSet<>();
+  private final Set<JobId> jobsOfRequests = new HashSet<>();
   private final Map<String, Histogram> waits = new TreeMap<>();
   private final int requests;
   private final ClusterSpec.JobClass front;
   private double price;
   private int reserved;
-  private int answeredAmiss;
+  private int wrongAnswers;
   private int grown;
 
   private RequestDay(int machines, long seed, double share, double mostShare) {
@@ -117,9 +117,9 @@
                     mostShare
                         * machines
                         * type.capacity().capacityFor(front.taskResources())
-                        / TASKS_EACH));
+                        / TASKS_PER_REQUEST));
     WorkloadGenerator load = new WorkloadGenerator(world.around(), seed);
-    world.time().at(JOBS_FROM_S, () -> load.begin(JOBS_OVER_S));
+    world.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
     world
         .time()
         .at(
@@ -127,16 +127,16 @@
             () ->
                 site.classes().stream()
                     .filter(each -> !each.equals(front))
-                    .forEach(each -> load.burst(each.name(), FLOOD_FACTOR, FLOOD_LASTS_S)));
+                    .forEach(each -> load.burst(each.name(), FLOOD_FACTOR, FLOOD_DURATION_S)));
     if (share > 0) {
       world.time().at(REQUESTS_AT_S, () -> send(0, (int) Math.round(requests * share / mostShare)));
     }
-    for (int i = 0; i < GROWS_IN; i++) {
+    for (int i = 0; i < GROWTH_STEPS; i++) {
       world.time().at(FLOOD_AT_S + 2 * i, this::grow);
     }
     world.time().at(ANSWERS_AT_S, this::submitAnswers);
     world.time().at(DELIVERED_AT_S, this::deliver);
-    look();
+    observe();
   }
 
   private void send(int number, int count) {
@@ -159,7 +159,7 @@
             "team",
             front.name(),
             "tasks",
-            TASKS_EACH,
+            TASKS_PER_REQUEST,
             "cpus",
             front.taskResources().cpus(),
             "memory_gb",
@@ -177,7 +177,7 @@
             "/admin/agreed/requests/r-" + number,
             Json.write(Json.object("request", name, "command", command))),
         response -> {
-          answeredAmiss += response.status() == 200 ? 0 : 1;
+          wrongAnswers += response.status() == 200 ? 0 : 1;
           done.run();
         });
   }
@@ -197,7 +197,7 @@
     int tasks =
         site.maxMachines()
             * site.types().get(0).capacity().capacityFor(front.taskResources())
-            / GROWS_IN;
+            / GROWTH_STEPS;
     world
         .users()
         .submit(
@@ -216,7 +216,7 @@
 
   /** The work for the answers, the same with or without a reservation. */
   private void submitAnswers() {
-    for (String key : world.state().under("q/agreed/requests/r-")) {
+    for (String key : world.state().keysWithPrefix("q/agreed/requests/r-")) {
       reserved +=
           world.state().value(key) instanceof Map<?, ?> record
                   && record.get("state") instanceof Map<?, ?> state
@@ -231,29 +231,29 @@
               .team(front.name())
               .kind(JobKind.SERVICE)
               .priority(front.priority())
-              .taskCount(TASKS_EACH)
+              .taskCount(TASKS_PER_REQUEST)
               .taskResources(front.taskResources())
               .spreadOverZones(true)
               .image(front.name() + "-1")
               .imageGb(front.imageGb())
               .estimate(TimeSpan.ZERO)
               .build();
-      ofRequests.add(job.id());
+      jobsOfRequests.add(job.id());
       world.time().after(0.05 * i, () -> world.users().submit(job));
     }
   }
 
   private void deliver() {
-    ofRequests.forEach(id -> world.users().cancel(id));
-    for (int i = 0; i < world.state().under("q/agreed/requests/r-").size(); i++) {
+    jobsOfRequests.forEach(id -> world.users().cancel(id));
+    for (int i = 0; i < world.state().keysWithPrefix("q/agreed/requests/r-").size(); i++) {
       int number = i;
       world.time().after(0.3 * i, () -> change(number, "d", Json.object("do", "answer"), () -> {}));
     }
   }
 
-  private void look() {
+  private void observe() {
     for (JobId id : world.users().submittedAt().keySet()) {
-      if (known.add(id)) {
+      if (seenJobs.add(id)) {
         waiting.put(id, world.job(id).jobClass());
       }
     }
@@ -266,7 +266,7 @@
                   world.rules().onMachines(entry.getKey())
                       >= (job.kind() == JobKind.SERVICE ? job.taskCount() : 1);
               if (started) {
-                note(entry.getValue(), entry.getKey());
+                recordWait(entry.getValue(), entry.getKey());
               }
               return started;
             });
@@ -274,13 +274,13 @@
       MachineType type = world.site().type(worker.machine().type());
       price +=
           (worker.machine().spot() ? type.hourlySpotPrice() : type.hourlyPrice())
-              * LOOK_EVERY_S
+              * CHECK_INTERVAL_S
               / 3600;
     }
-    world.time().after(LOOK_EVERY_S, this::look);
+    world.time().after(CHECK_INTERVAL_S, this::observe);
   }
 
-  private void note(String jobClass, JobId id) {
+  private void recordWait(String jobClass, JobId id) {
     waits
         .computeIfAbsent(jobClass, name -> new Histogram(3_600_000, 3))
         .recordValue(
@@ -288,10 +288,10 @@
   }
 
   private Result play() {
-    world.time().runUntil(LASTS_S);
-    waiting.forEach((id, jobClass) -> note(jobClass, id));
+    world.time().runUntil(DURATION_S);
+    waiting.forEach((id, jobClass) -> recordWait(jobClass, id));
     return new Result(
-        share, price, requests, reserved, world.rules().broken().size() + answeredAmiss, waits);
+        share, price, requests, reserved, world.rules().violations().size() + wrongAnswers, waits);
   }
 
   /**
@@ -315,7 +315,7 @@
         machines,
         seed,
         results.get(0).requests,
-        TASKS_EACH);
+        TASKS_PER_REQUEST);
     List<String> classes = new ArrayList<>(results.get(0).waitsMs.keySet());
     out.println(
         "| reserved | requests with room | price | "
--- a/src/main/java/org/quincecross/emulator/SimulatedCluster.java
+++ b/src/main/java/org/quincecross/emulator/SimulatedCluster.java
@@ -449,7 +449,7 @@
 
   /** A controller stands still for a while: its clocks run on, and what comes waits. */
   void standStill(int node, double seconds) {
-    lives[node].standStill(time.seconds() + seconds);
+    lives[node].suspendUntil(time.seconds() + seconds);
   }
 
   /** The controller that says it leads, or -1. */
--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -324,7 +324,7 @@
   private void sendSubmission(Job job, double since) {
     HttpRequest request =
         HttpRequest.post(JobCodec.JOBS_PATH, Json.write(JobCodec.writeSubmission(job)));
-    String before = around.rules().lastTold(job.id());
+    String before = around.rules().lastReportedState(job.id());
     ask(
         job.id(),
         "submit",
@@ -364,7 +364,7 @@
   }
 
   private void once(int node, Asks what, JobId id, Consumer<HttpOutcome> done) {
-    String before = around.rules().lastTold(id);
+    String before = around.rules().lastReportedState(id);
     HttpRequest request =
         switch (what) {
           case STATE -> HttpRequest.get(JobCodec.JOBS_PATH + "/" + id);
@@ -446,13 +446,13 @@
   /** Takes an answer to any request about a job; whether it says in which state the job is. */
   private boolean isTold(JobId id, HttpOutcome outcome, String before) {
     if (outcome.status() != 200 && outcome.status() != 201) {
-      around.rules().refused(id, outcome.status(), before);
+      around.rules().onRefused(id, outcome.status(), before);
       return false;
     }
     try {
       String status = Json.parseFields(outcome.response().body()).string("Status");
       String last = told.put(id, status);
-      around.rules().told(id, status, before, cancelAsked.containsKey(id));
+      around.rules().onStateReported(id, status, before, cancelAsked.containsKey(id));
       around.pipelines().onStateReported(id, status);
       if (status.equals("done")
           && overAfter.putIfAbsent(id, around.clock().seconds() - submittedAt.getOrDefault(id, 0.0))
--- a/src/main/java/org/quincecross/emulator/VirtualTime.java
+++ b/src/main/java/org/quincecross/emulator/VirtualTime.java
@@ -42,7 +42,7 @@
 
   /** Runs something in a process: not once it is dead, and later while it stands still. */
   void whenAwake(ProcessScope life, Runnable action) {
-    double still = life.standsStillFor(seconds());
+    double still = life.suspendedFor(seconds());
     if (still > 0) {
       // A rest of less than the clock's step would be waited for without the time moving on.
       after(Math.max(still, 1e-9), () -> whenAwake(life, action));
--- a/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
@@ -68,8 +68,8 @@
    * one that came before.
    */
   void pipelines(double perMinute, Resources each) {
-    PipelineDraws draws =
-        new PipelineDraws(
+    PipelineGenerator draws =
+        new PipelineGenerator(
             new Random(random.nextLong()),
             List.copyOf(around.site().teams().keySet()),
             each,
@@ -77,13 +77,13 @@
     pipeline(draws, ZigguratSampler.Exponential.of(random, 60 / perMinute), new ArrayList<>());
   }
 
-  private void pipeline(PipelineDraws draws, ContinuousSampler gaps, List<JobId> earlier) {
+  private void pipeline(PipelineGenerator draws, ContinuousSampler gaps, List<JobId> earlier) {
     around
         .clock()
         .after(
             gaps.sample(),
             () -> {
-              for (DependentJobs.PipelineJob step : draws.draw(earlier)) {
+              for (DependentJobs.PipelineJob step : draws.nextPipeline(earlier)) {
                 earlier.add(step.job().id());
                 around.pipelines().submit(step);
               }
--- a/src/test/java/org/quincecross/emulator/BusyCluster.java
+++ b/src/test/java/org/quincecross/emulator/BusyCluster.java
@@ -69,7 +69,7 @@
 
   void assertAllIsWell(double atS) {
     world.time().runUntil(atS);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     for (JobId id : arrays) {
       assertEquals("done", world.users().told().get(id), id.text());
     }
--- a/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
@@ -54,12 +54,15 @@
         .time()
         .at(
             atS,
-            () -> called = LateCancellations.now(world.around(), LONG_JOBS / 2, hangS, random));
+            () ->
+                called =
+                    LateCancellations.cancelLongRunning(
+                        world.around(), LONG_JOBS / 2, hangS, random));
   }
 
   private void assertAllAreGone(double atS) {
     world.time().runUntil(atS);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertTrue(called.size() >= LONG_JOBS / 3, "called off " + called.size());
     for (JobId id : called) {
       assertEquals("cancelled", world.users().told().get(id), id.text());
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
@@ -227,7 +227,7 @@
     world.time().runUntil(end + QUIET_S);
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
-    wrong.addAll(world.rules().broken());
+    wrong.addAll(world.rules().violations());
     if (world.rules().starts() < JOBS / 2) {
       wrong.add("little was started: " + world.rules().starts());
     }
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
@@ -108,7 +108,7 @@
 
   private void assertAllCancelledAreGone() {
     world.time().runUntil(outS + outageFor + 100);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     for (JobId id : cancelled()) {
       assertEquals("cancelled", world.users().told().get(id), id.text());
       assertEquals(0, world.rules().onMachines(id), id.text());
--- a/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
+++ b/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
@@ -119,7 +119,7 @@
     world = new SimulatedCluster(site, seed, Meter.OFF, features);
     Random random = new Random(seed * 31 + mix.ordinal());
     world.holdMessages(0.5, 4, random);
-    world.time().at(8, () -> world.state().slow(0.2, 1.2, OVER_S - 8, random));
+    world.time().at(8, () -> world.state().slowDown(0.2, 1.2, OVER_S - 8, random));
     world
         .time()
         .at(
@@ -198,7 +198,7 @@
     world.time().runUntil(LATE_S + LATE_RUNS_S);
     late.forEach(id -> assertEquals(2, world.rules().onMachines(id), "replicas that came late"));
     world.time().runUntil(UNTIL_S);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertTrue(begun[0] >= 0 && begun[0] <= LARGEST_BEGINS_S, "begun after " + begun[0]);
   }
 }
--- a/src/test/java/org/quincecross/emulator/CombinedFaults.java
+++ b/src/test/java/org/quincecross/emulator/CombinedFaults.java
@@ -175,7 +175,7 @@
         double until = world.time().seconds() + length;
         world
             .state()
-            .late(
+            .delayTransactions(
                 DelayedTransactions.share(
                     share, 2, 12, () -> world.time().seconds() < until, random));
       }
@@ -187,7 +187,7 @@
           some(machines, 0.1 + 0.5 * share, random).forEach(each -> world.deafen(each, length));
       case SLOW_STATE -> {
         double least = 1.5 * random.nextDouble();
-        world.state().slow(least, least + 3 * share, length, random);
+        world.state().slowDown(least, least + 3 * share, length, random);
       }
       case REFUSED_THEN_OUTAGE -> {
         double outage = world.site().workers().cancelTimeout().seconds() + 2 + 6 * share;
@@ -262,7 +262,7 @@
         double until = world.time().seconds() + length;
         world
             .state()
-            .late(
+            .delayTransactions(
                 DelayedTransactions.atOnce(
                     0.1 + 0.7 * share, () -> world.time().seconds() < until, random));
       }
--- a/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
+++ b/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
@@ -36,7 +36,7 @@
   @ValueSource(longs = {1, 2, 3})
   void noNodeAnswersAnythingOlder(long seed) {
     SimulatedCluster world = played(seed, 0.3, 0);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertTrue(
         world.users().answers().getOrDefault("poll 200", 0) > 10 * JOBS,
         world.users().answers().toString());
@@ -59,7 +59,7 @@
   @ValueSource(longs = {1, 2, 3})
   void aCancellationMeetsTheEndOfTheLastTask(long seed) {
     SimulatedCluster world = played(seed, 0, 0.7);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     long done =
         world.users().told().entrySet().stream()
             .filter(
--- a/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
@@ -303,7 +303,7 @@
         other.time().runUntil(140 + 2 * seconds);
         String what = step + " " + mishap + " " + seconds + " s";
         assertTrue(other.mishapHit() >= 0, what);
-        assertEquals(List.of(), other.rules().broken(), what);
+        assertEquals(List.of(), other.rules().violations(), what);
         for (JobId id : done) {
           assertEquals("done", other.users().told().get(id), what + ": " + id);
         }
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -211,7 +211,7 @@
   }
 
   private void assertSound() {
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(List.of(), watch.broken());
   }
 
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
@@ -68,7 +68,7 @@
   }
 
   private void look() {
-    for (String key : world.state().under(KEYS)) {
+    for (String key : world.state().keysWithPrefix(KEYS)) {
       Object value = world.state().value(key);
       if (key.startsWith(KEYS + "~") || values.put(key, value) == value) {
         continue;
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
@@ -43,7 +43,7 @@
         DelayedTransactions.share(MINUTES_SHARE * share, 12, 150, this::isTrouble, random);
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction -> {
               double after = minutes.afterS(transaction);
               return after == DelayedTransactions.PROMPT ? soon.afterS(transaction) : after;
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
@@ -34,7 +34,7 @@
     }
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction ->
                 transaction.contains("\"cancelled\"") && world.time().seconds() < 32.4
                     ? 32.5 + 0.5 * world.random().nextDouble() - world.time().seconds()
@@ -44,7 +44,7 @@
     world.time().runUntil(170);
     assertTrue(world.state().lateOutcomes().contains(200), world.state().lateOutcomes().toString());
     assertEquals(12, world.users().told().values().stream().filter("cancelled"::equals).count());
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   /**
@@ -72,7 +72,7 @@
     world.state().applyLate(0);
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction ->
                 transaction.contains("q/bundle/") && world.time().seconds() < 10.6
                     ? 60
@@ -107,8 +107,8 @@
       world.crash(node);
     }
     world.time().runUntil(200);
-    assertEquals(List.of(), world.rules().broken());
-    assertEquals(Set.of(), world.state().under("q/bundle/"));
+    assertEquals(List.of(), world.rules().violations());
+    assertEquals(Set.of(), world.state().keysWithPrefix("q/bundle/"));
   }
 
   /**
@@ -125,7 +125,7 @@
     }
     world.time().runUntil(18);
     int late = 0;
-    for (String bundle : world.state().under("q/bundle/")) {
+    for (String bundle : world.state().keysWithPrefix("q/bundle/")) {
       for (Object job : (List<?>) ((Map<?, ?>) world.state().value(bundle)).get("jobs")) {
         String key = "q/job/" + ((Map<?, ?>) ((Map<?, ?>) job).get("job")).get("Uid");
         if (world.state().value(key) == null) {
@@ -136,7 +136,7 @@
     }
     assertTrue(late > 5, late + " were in bundles alone");
     world.time().runUntil(150);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     world
         .users()
         .told()
@@ -157,7 +157,7 @@
     int[] late = new int[1];
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction ->
                 world.time().seconds() > 12 && transaction.contains(what) && late[0]++ % 3 == 0
                     ? 5
@@ -168,11 +168,11 @@
     }
     world.time().at(30, () -> world.crash((world.leader() + 1) % world.nodeCount()));
     world.time().runUntil(90);
-    world.state().late(DelayedTransactions.NONE);
+    world.state().delayTransactions(DelayedTransactions.NONE);
     world.time().runUntil(200);
     assertTrue(late[0] > 2, late[0] + " such");
     assertEquals(Set.of(409), Set.copyOf(world.state().lateOutcomes()));
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   /**
@@ -189,7 +189,7 @@
     boolean[] stood = new boolean[1];
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction -> {
               if (stood[0] || !transaction.contains("\"Set\":\"q/lead")) {
                 return DelayedTransactions.PROMPT;
--- a/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
@@ -135,7 +135,7 @@
       look();
     }
     assertEquals(List.of(), broken);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   private void assertTold(String state, Integer... numbers) {
@@ -171,7 +171,7 @@
     if (what.equals("LATE")) {
       world
           .state()
-          .late(
+          .delayTransactions(
               txn ->
                   txn.contains("\"done\"")
                           && txn.contains("q/job/")
@@ -189,7 +189,7 @@
               () -> {
                 Set<String> done =
                     new HashSet<>(
-                        world.state().under("q/job/").stream()
+                        world.state().keysWithPrefix("q/job/").stream()
                             .filter(
                                 key ->
                                     String.valueOf(world.state().value(key)).contains("phase=done"))
@@ -328,7 +328,7 @@
     assertTrue(
         refusals.getOrDefault("503", 0) <= 4,
         refusals.toString()); // one packet in a hundred takes seconds
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   /**
@@ -415,10 +415,10 @@
     assertEquals(Map.of("cancelled", length), said);
     assertEquals(
         1,
-        world.state().under("q/job/").stream()
+        world.state().keysWithPrefix("q/job/").stream()
             .filter(key -> String.valueOf(world.state().value(key)).contains("phase=cancelled"))
             .count());
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   /**
@@ -442,8 +442,8 @@
     world.time().runUntil(150);
     look();
     assertEquals(List.of(), broken);
-    assertEquals(List.of(), world.rules().broken());
-    assertTrue(world.state().under("q/after/").size() > 1);
+    assertEquals(List.of(), world.rules().violations());
+    assertTrue(world.state().keysWithPrefix("q/after/").size() > 1);
     assertEquals(
         Map.of("done", 2L * many + 1),
         world.users().told().values().stream()
--- a/src/test/java/org/quincecross/emulator/DependencyFaults.java
+++ b/src/test/java/org/quincecross/emulator/DependencyFaults.java
@@ -22,7 +22,7 @@
   private final Random random;
   private final double fromS;
   private final double untilS;
-  private final PipelineDraws draws;
+  private final PipelineGenerator draws;
   private final List<JobId> drawn = new ArrayList<>();
 
   private DependencyFaults(SimulatedCluster world, long seed, double fromS, double untilS) {
@@ -31,7 +31,7 @@
     this.fromS = fromS;
     this.untilS = untilS;
     this.draws =
-        new PipelineDraws(
+        new PipelineGenerator(
             random,
             List.copyOf(world.site().teams().keySet()),
             new Resources(1, 0, 2),
@@ -57,7 +57,8 @@
               () ->
                   world
                       .users()
-                      .submit(days.draws.lone(new JobId("job-9" + days.random.nextInt(99)))));
+                      .submit(
+                          days.draws.dependentOf(new JobId("job-9" + days.random.nextInt(99)))));
     }
   }
 
@@ -70,7 +71,7 @@
     world.users().told().keySet().stream()
         .filter(id -> world.job(id).kind() != JobKind.SERVICE && !world.users().isMistaken(id))
         .forEach(earlier::add);
-    List<DependentJobs.PipelineJob> steps = draws.draw(earlier);
+    List<DependentJobs.PipelineJob> steps = draws.nextPipeline(earlier);
     for (DependentJobs.PipelineJob step : steps) {
       drawn.add(step.job().id());
       world.around().pipelines().submit(step);
--- a/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
@@ -54,15 +54,15 @@
 
   private void tell(JobId id, String state, boolean asked) {
     world.users().told().put(id, state);
-    rules.told(id, state, null, asked);
+    rules.onStateReported(id, state, null, asked);
     world.around().pipelines().onStateReported(id, state);
   }
 
   private void assertBroken(String... rulesInOrder) {
     assertEquals(
         List.of(rulesInOrder),
-        rules.broken().stream().map(each -> each.substring(0, each.indexOf(' '))).toList(),
-        rules.broken().toString());
+        rules.violations().stream().map(each -> each.substring(0, each.indexOf(' '))).toList(),
+        rules.violations().toString());
   }
 
   private void later(double seconds) {
@@ -71,17 +71,17 @@
 
   @Test
   void aTaskStartsBeforeTheLastTaskOfTheJobBefore() {
-    rules.on(FIRST.task(0), machine);
+    rules.taskArrived(FIRST.task(0), machine);
     rules.completed(FIRST.task(0));
     assertBroken();
-    rules.on(MIDDLE.task(0), machine);
+    rules.taskArrived(MIDDLE.task(0), machine);
     assertBroken("too_early");
     rules.completed(FIRST.task(1));
-    rules.off(MIDDLE.task(0), machine.id());
-    rules.on(MIDDLE.task(0), machine);
+    rules.taskLeft(MIDDLE.task(0), machine.id());
+    rules.taskArrived(MIDDLE.task(0), machine);
     assertBroken("too_early");
     world.users().submit(job(new JobId("job-4"), 1, new JobId("job-77")));
-    rules.on(new JobId("job-4").task(0), machine);
+    rules.taskArrived(new JobId("job-4").task(0), machine);
     assertBroken("too_early", "too_early");
   }
 
@@ -109,7 +109,7 @@
   void aTaskIsOnAMachineLongAfterAJobBeforeItWasCancelled() {
     List.of(0, 1).forEach(i -> rules.completed(FIRST.task(i)));
     rules.completed(MIDDLE.task(0));
-    rules.on(LAST.task(0), machine);
+    rules.taskArrived(LAST.task(0), machine);
     world.users().noteCancel(MIDDLE);
     tell(MIDDLE, "cancelled", true);
     later(35);
--- a/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
@@ -83,7 +83,7 @@
    * 200 or 201; notes all answers.
    */
   private void ask(int node, JobId id, HttpRequest request, List<Integer> answers, Runnable then) {
-    String before = world.rules().lastTold(id);
+    String before = world.rules().lastReportedState(id);
     boolean[] answered = new boolean[1];
     world.ask(
         node,
@@ -111,7 +111,7 @@
     try {
       String state = Json.parseFields(body).string("Status");
       boolean isNew = world.users().told().put(id, state) == null;
-      world.rules().told(id, state, before, world.users().isCancelAsked(id));
+      world.rules().onStateReported(id, state, before, world.users().isCancelAsked(id));
       pipelines().onStateReported(id, state);
       if (isNew) {
         poll(id);
@@ -128,7 +128,7 @@
         .after(
             3,
             () -> {
-              String before = world.rules().lastTold(id);
+              String before = world.rules().lastReportedState(id);
               world.ask(
                   world.random().nextInt(world.nodeCount()),
                   HttpRequest.get(JobCodec.JOBS_PATH + "/" + id),
@@ -136,7 +136,7 @@
                     if (response.status() == 200) {
                       tell(id, response.body(), before);
                     } else if (response.status() == 404) {
-                      world.rules().refused(id, response.status(), before);
+                      world.rules().onRefused(id, response.status(), before);
                     }
                   });
               poll(id);
@@ -173,7 +173,7 @@
   /** All three are over, and the later ones as the first is. */
   private void assertAllEndAlike(double untilS) {
     world.time().runUntil(untilS);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     String first = told(FIRST);
     assertTrue(Set.of("done", "cancelled").contains(first), first);
     assertEquals(List.of(first, first), List.of(told(MIDDLE), told(LAST)));
@@ -224,7 +224,7 @@
     double[] doneAt = new double[1];
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction ->
                 ended[0] && transaction.contains("q/alloc") && late[0]++ < 1
                     ? 6
@@ -305,7 +305,7 @@
               world.ask(node, submission(first), lost -> {});
               at(
                   () ->
-                      world.state().under("q/").stream()
+                      world.state().keysWithPrefix("q/").stream()
                           .anyMatch(key -> key.contains("bundle") || key.equals("q/job/job-1")),
                   () ->
                       ask(
@@ -316,7 +316,7 @@
                           () -> submitTo(other(other(node)), middle, answers)));
             });
     world.time().runUntil(60);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(List.of(201), answers);
     assertEquals("done", told(MIDDLE));
   }
@@ -345,7 +345,7 @@
                   () -> submitTo(lone, job(MIDDLE, 3, 2, FIRST), answers));
             });
     world.time().runUntil(60);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertTrue(
         !answers.contains(422) && !answers.contains(400) && answers.contains(201),
         answers.toString());
@@ -393,7 +393,7 @@
           .at(10, () -> at(() -> isDurably(end, FIRST), () -> world.time().after(laterS, submit)));
     }
     world.time().runUntil(100);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertTrue(
         answers.size() >= next.size() && Set.of(200, 201).containsAll(answers), answers.toString());
     next.forEach(id -> assertEquals(end, told(id), id.text()));
@@ -461,7 +461,7 @@
     world.time().runUntil(150);
     assertTrue(out[0]);
     world.time().runUntil(175);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(List.of(), all.stream().filter(id -> !"cancelled".equals(told(id))).toList());
     assertEquals(0, all.stream().mapToInt(world.rules()::completedTasks).sum());
   }
@@ -492,7 +492,7 @@
       at(() -> world.rules().isComplete(many.get(500)), () -> world.users().cancel(many.get(999)));
     }
     world.time().runUntil(200);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     String last = told(FIRST);
     assertEquals(Set.of(last), Set.copyOf(after.stream().map(this::told).toList()));
     assertEquals(told(many.get(999)), last);
--- a/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
@@ -52,8 +52,8 @@
   }
 
   private void pipelines() {
-    PipelineDraws draws =
-        new PipelineDraws(
+    PipelineGenerator draws =
+        new PipelineGenerator(
             world.random(), List.of("web", "batch"), new Resources(0.5, 0, 1), 700_000);
     for (double at = ALL_NEW_S; at < ALL_NEW_S + PIPELINES_S; at += 3) {
       world
@@ -62,7 +62,7 @@
               at,
               () ->
                   draws
-                      .draw(arrays)
+                      .nextPipeline(arrays)
                       .forEach(
                           step -> {
                             dependent.add(step.job().id());
@@ -106,7 +106,7 @@
       default -> {}
     }
     world.time().runUntil(240);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertTrue(dependent.size() > 60, dependent.size() + " jobs in pipelines");
     for (JobId id : dependent) {
       assertEquals("done", world.users().told().get(id), id.text());
--- a/src/test/java/org/quincecross/emulator/FastBootTest.java
+++ b/src/test/java/org/quincecross/emulator/FastBootTest.java
@@ -55,7 +55,7 @@
         DelayedTransactions.atOnce(0.2, () -> world.time().seconds() < 60, draws);
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction -> {
               double after = late.afterS(transaction);
               return after == DelayedTransactions.PROMPT ? lost.afterS(transaction) : after;
@@ -75,7 +75,7 @@
     world.time().runUntil(110);
     assertEquals(Set.of(), inNoBlock(), "neither in a block nor returned");
     world.time().runUntil(230);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     world
         .users()
         .told()
--- a/src/test/java/org/quincecross/emulator/FastRestartTest.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartTest.java
@@ -169,7 +169,7 @@
     rolled.time().runUntil(120);
     liveness.watch();
     assertEquals(List.of(), liveness.findings());
-    assertEquals(List.of(), rolled.rules().broken());
+    assertEquals(List.of(), rolled.rules().violations());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
+++ b/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
@@ -90,7 +90,7 @@
     submit(30, "quiet", "idle", JobKind.ARRAY, Priority.LOW, 40, ONE, 10, 5);
     world.time().at(175, () -> world.crash(Math.max(0, world.leader())));
     world.time().runUntil(300);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     Map<String, List<LargestJobs>> largest = world.around().served().largest(world.around().now());
     for (String each : List.of("array", "gang", "idle")) {
       LargestJobs of = largest.get(each).get(0);
--- a/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
@@ -95,6 +95,6 @@
     }
     world.time().runUntil(400);
     assertTrue(longest < LONGEST_WAIT_S, "idle for " + longest + " s while work waits");
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
@@ -65,7 +65,7 @@
       world.time().at(FROM_S + i / PER_SECOND, () -> world.users().submit(job));
     }
     world.time().runUntil(FROM_S);
-    world.users().polls().trouble();
+    world.users().polls().onFault();
     trouble.accept(world.leader());
     int fewest = Integer.MAX_VALUE;
     for (double at = FROM_S; at < FROM_S + seconds + 20; at += 0.5) {
@@ -75,9 +75,9 @@
     world.time().runUntil(FROM_S + seconds + 100);
     double longest = 0;
     for (JobId id : world.users().told().keySet()) {
-      longest = Math.max(longest, world.users().polls().longest(id, true));
+      longest = Math.max(longest, world.users().polls().longestGapS(id, true));
     }
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(36, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
     for (JobId id : late) {
       assertEquals("done", world.users().told().get(id), id.text());
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -122,7 +122,7 @@
 
   /** Every job is done, and told in time. */
   private void assertAllAreDone(double troubleUntilS) {
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     ended
         .keySet()
         .forEach(
@@ -239,7 +239,7 @@
     world.time().runUntil(60);
     assertTrue(world.rules().used("long").cpus() <= LIMIT_CPUS);
     world.time().runUntil(500);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     ended.keySet().forEach(id -> assertEquals("done", world.users().told().get(id), id.text()));
   }
 
@@ -305,7 +305,7 @@
                 .count();
     assertTrue(over >= cancelled.size() - 2, "cancelled meanwhile: " + over);
     world.time().runUntil(230);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     ended
         .keySet()
         .forEach(
@@ -346,7 +346,7 @@
     atEnds(400, most -> {});
     world.time().runUntil(430);
     assertTrue(planner[0] >= 0);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     ended.keySet().forEach(id -> assertEquals("done", world.users().told().get(id), id.text()));
   }
 
--- a/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
+++ b/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
@@ -246,7 +246,7 @@
     LivenessInvariant liveness = new LivenessInvariant(world);
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
-    wrong.addAll(world.rules().broken());
+    wrong.addAll(world.rules().violations());
     if (world.rules().starts() <= LONG_JOBS) {
       wrong.add("little was started: " + world.rules().starts());
     }
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -74,10 +74,10 @@
     assertNotNull(block);
     assertEquals(1, world.rules().onMachines(id), "runs elsewhere before the late write comes");
     world.time().runUntil(20 + HELD_S + 6);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertNull(world.state().value("q/alloc/" + block), "the late write");
     world.time().runUntil(130);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(1, world.rules().starts());
     assertEquals("done", world.users().told().get(id));
   }
--- a/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
@@ -63,7 +63,7 @@
   void run(double untilS) {
     world.time().runUntil(untilS);
     assertEquals(List.of(), wrong);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   // ---- operators ----
@@ -278,7 +278,7 @@
                 }
               }
               Map<RecordSelector, String> pinned = new HashMap<>();
-              for (String key : world.state().under("q/agreed/holds/")) {
+              for (String key : world.state().keysWithPrefix("q/agreed/holds/")) {
                 String reference = key.substring("q/agreed/holds/".length());
                 if (!reference.startsWith("~") && state(reference).equals("PINNED")) {
                   pinnedAt.putIfAbsent(
--- a/src/test/java/org/quincecross/emulator/LostResponsesTest.java
+++ b/src/test/java/org/quincecross/emulator/LostResponsesTest.java
@@ -28,7 +28,7 @@
             new Random(5));
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction ->
                 transaction.contains(what) ? lost.afterS(transaction) : DelayedTransactions.PROMPT);
   }
@@ -71,7 +71,7 @@
             || what.equals("q/change/")
             || world.state().lateOutcomes().contains(200),
         world.state().lateOutcomes().toString());
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(40, world.users().told().size());
     world
         .users()
@@ -95,7 +95,7 @@
     boolean[] lost = new boolean[1];
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction -> {
               if (lost[0]
                   || !transaction.contains("\"Set\":\"q/member/" + ClusterSpec.nodeName(node))) {
@@ -134,7 +134,7 @@
             : DelayedTransactions.share(0.2, leastS, mostS, () -> true, draws);
     world
         .state()
-        .late(
+        .delayTransactions(
             transaction ->
                 world.time().seconds() > 20
                         && (transaction.contains("\"Set\":\"q/bundle/")
@@ -147,7 +147,7 @@
       world.time().at(20 + 0.25 * i, () -> world.users().submit(number));
     }
     world.time().runUntil(160);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     double[] after =
         world.users().acceptedAfter().values().stream()
             .mapToDouble(each -> each)
--- a/src/test/java/org/quincecross/emulator/MachineLossTest.java
+++ b/src/test/java/org/quincecross/emulator/MachineLossTest.java
@@ -72,7 +72,7 @@
     assertTrue(
         at - 35 < LEASE_S + MOST_AFTER_LEASE_S, "all replicas run again after " + (at - 35) + " s");
     world.time().runUntil(at + 60);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   private static int replicas(SimulatedCluster world, List<JobId> services) {
--- a/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
+++ b/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
@@ -45,7 +45,7 @@
       world.time().at(at, () -> begin(world, trouble, random));
     }
     world.time().runUntil(FROM_S + SECONDS + 30);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     Map<String, Integer> odd = new TreeMap<>(world.users().answers());
     odd.keySet().removeIf(kind -> !kind.startsWith("odd"));
     assertTrue(
@@ -53,7 +53,7 @@
         odd.toString());
     assertEquals(
         List.of(),
-        world.state().under("q/").stream().filter(key -> key.contains("job-9")).toList(),
+        world.state().keysWithPrefix("q/").stream().filter(key -> key.contains("job-9")).toList(),
         "records");
   }
 
@@ -61,12 +61,12 @@
     int leader = Math.max(0, world.leader());
     switch (trouble) {
       case NONE -> {}
-      case SLOW_STATE -> world.state().slow(0.5, 3, 12, random);
+      case SLOW_STATE -> world.state().slowDown(0.5, 3, 12, random);
       case LATE_WRITES -> {
         double until = world.time().seconds() + 14;
         world
             .state()
-            .late(
+            .delayTransactions(
                 DelayedTransactions.share(
                     0.4, 2, 12, () -> world.time().seconds() < until, random));
       }
--- a/src/test/java/org/quincecross/emulator/ModelServingCluster.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCluster.java
@@ -224,7 +224,7 @@
 
   /** No rule was broken, no place started or fetched twice, and no job is forgotten. */
   void assertRight() {
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(List.of(), world.around().coldStarts().violations());
     jobs.forEach(
         job ->
--- a/src/test/java/org/quincecross/emulator/ModelServingScenario.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingScenario.java
@@ -118,7 +118,7 @@
     for (int i = 0; i < MODELS; i++) {
       expect(i, "WARM", i == 0 ? GANG : LEAST);
     }
-    wrong.addAll(world.rules().broken());
+    wrong.addAll(world.rules().violations());
     wrong.addAll(world.around().coldStarts().violations());
     if (world.around().coldStarts().lateStarts() > MOST_LATE) {
       wrong.add(world.around().coldStarts().lateStarts() + " starts where no record has a place");
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
@@ -126,7 +126,7 @@
               seed,
               missing,
               site.world.startsUnheard(),
-              site.world.rules().broken());
+              site.world.rules().violations());
         }
       }
     }
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
@@ -36,6 +36,6 @@
     // One may be suspected at any moment: of a hundred packets one is late by seconds.
     assertTrue(site.closed().size() <= 1, "closed, though they hear: " + site.closed());
     assertTrue(site.deafInUse() > 0, "none of them is used again");
-    assertEquals(List.of(), site.world.rules().broken());
+    assertEquals(List.of(), site.world.rules().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -138,7 +138,7 @@
 
   private void run(double untilS) {
     world.time().runUntil(untilS);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   private static final Resources ONE = new Resources(1, 0, 2);
--- a/src/test/java/org/quincecross/emulator/PollLivenessTest.java
+++ b/src/test/java/org/quincecross/emulator/PollLivenessTest.java
@@ -23,7 +23,7 @@
     Set<JobId> all = Set.of(answered, late, never, over);
     all.forEach(polls::accepted);
     time.runUntil(100);
-    polls.trouble();
+    polls.onFault();
     for (int at = 105; at <= 300; at += 5) {
       time.runUntil(at);
       polls.answered(answered);
--- a/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
@@ -39,7 +39,7 @@
   }
 
   private long broken(String rule) {
-    return rules.broken().stream().filter(each -> each.startsWith(rule)).count();
+    return rules.violations().stream().filter(each -> each.startsWith(rule)).count();
   }
 
   /**
@@ -58,8 +58,8 @@
     "done, 429, 0"
   })
   void refusalsThatAreOlder(String before, int status, int count) {
-    rules.refused(ID, status, before);
-    assertEquals(count, broken("went_back"), rules.broken().toString());
+    rules.onRefused(ID, status, before);
+    assertEquals(count, broken("went_back"), rules.violations().toString());
   }
 
   @ParameterizedTest
@@ -73,8 +73,8 @@
   void statesThatAreOlder(String before, String state, int count) {
     world.users().upload(job(ID, 1, "web"));
     rules.completed(ID.task(0));
-    rules.told(ID, state, before, true);
-    assertEquals(count, broken("went_back"), rules.broken().toString());
+    rules.onStateReported(ID, state, before, true);
+    assertEquals(count, broken("went_back"), rules.violations().toString());
   }
 
   /**
@@ -85,26 +85,26 @@
   void twoEnds() {
     world.users().upload(job(ID, 1, "web"));
     rules.completed(ID.task(0));
-    rules.told(ID, "done", "running", true);
-    rules.told(ID, "done", "running", true);
-    assertEquals(List.of(), rules.broken());
-    rules.told(ID, "cancelled", "running", true);
+    rules.onStateReported(ID, "done", "running", true);
+    rules.onStateReported(ID, "done", "running", true);
+    assertEquals(List.of(), rules.violations());
+    rules.onStateReported(ID, "cancelled", "running", true);
     assertEquals(1, broken("told_two_ends"));
   }
 
   @Test
   void startsOfWhatIsCancelled() {
     rules.startSent(ID);
-    assertEquals(List.of(), rules.broken());
-    rules.told(ID, "cancelled", "running", true);
+    assertEquals(List.of(), rules.violations());
+    rules.onStateReported(ID, "cancelled", "running", true);
     rules.startSent(ID);
     assertEquals(1, broken("started_cancelled"));
   }
 
   @Test
   void whatMayNotBeAccepted() {
-    rules.wronglyAnswered("LACKS_A_FIELD", 201);
-    rules.wronglyAnswered("LACKS_A_FIELD", 422);
+    rules.onWrongAnswer("LACKS_A_FIELD", 201);
+    rules.onWrongAnswer("LACKS_A_FIELD", 422);
     assertEquals(1, broken("accepted_bad"));
     assertEquals(1, broken("wrong_answer"));
   }
@@ -142,11 +142,11 @@
         });
     still.around().troublesAreOver();
     still.time().runUntil(99);
-    assertEquals(List.of(), still.rules().broken());
+    assertEquals(List.of(), still.rules().violations());
     still.time().runUntil(103);
-    assertEquals(1, still.rules().broken().size(), still.rules().broken().toString());
+    assertEquals(1, still.rules().violations().size(), still.rules().violations().toString());
     assertTrue(
-        still.rules().broken().get(0).startsWith("idle_room")
-            && still.rules().broken().get(0).contains("job-1"));
+        still.rules().violations().get(0).startsWith("idle_room")
+            && still.rules().violations().get(0).contains("job-1"));
   }
 }
--- a/src/test/java/org/quincecross/emulator/RandomScenario.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -166,7 +166,7 @@
     world.time().runUntil(over + (meetings == null ? QUIET_S : QUIET_AFTER_MEETINGS_S));
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
-    wrong.addAll(world.rules().broken());
+    wrong.addAll(world.rules().violations());
     if (world.rules().starts() <= JOBS) {
       wrong.add("little was started: " + world.rules().starts());
     }
--- a/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
@@ -51,7 +51,7 @@
     world.time().at(24, () -> jobs.forEach(world.users()::cancel));
     world.time().runUntil(150);
     assertEquals(12, world.users().told().values().stream().filter("cancelled"::equals).count());
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   /**
@@ -69,7 +69,7 @@
       world.time().at(8 + 11 * i, () -> world.crash(node));
     }
     world.time().runUntil(300);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals("done", world.users().told().get(new JobId("job-1")));
   }
 
@@ -123,7 +123,8 @@
           .at(
               20 + i * 0.005,
               () -> {
-                if (!down[0] && "cancelled".equals(world.rules().lastTold(new JobId("job-1")))) {
+                if (!down[0]
+                    && "cancelled".equals(world.rules().lastReportedState(new JobId("job-1")))) {
                   down[0] = true;
                   world.state().outage(50);
                   for (int node = 0; node < world.nodeCount(); node++) {
@@ -134,6 +135,6 @@
     }
     world.time().runUntil(150);
     assertTrue(down[0]);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
@@ -171,7 +171,7 @@
           answer.startsWith("409") && answer.contains("n2, whose build (old) ends at level 2"),
           answer);
     }
-    assertTrue(day.world.state().under("q/agreed/").isEmpty());
+    assertTrue(day.world.state().keysWithPrefix("q/agreed/").isEmpty());
     day.world.roll(2, ReplicatedRecordCluster.NEW);
     day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 40);
     day.ask(2, "count", "early", "pass");
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
@@ -269,7 +269,7 @@
 
   void assertAllIsWell(double untilS) {
     world.time().runUntil(untilS);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(List.of(), wrong);
     jobs.forEach(
         (id, job) -> {
--- a/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
+++ b/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
@@ -51,7 +51,7 @@
     boolean refusedSome =
         world.users().answers().keySet().stream().anyMatch(answer -> answer.equals("submit 503"));
     assertTrue(refusedSome, "the trouble was none: " + world.users().answers());
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 
   private static void begin(SimulatedCluster world, Trouble trouble) {
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -123,7 +123,7 @@
 
   private void assertAllIsWell(double untilS, int level) throws MalformedMessageException {
     world.time().runUntil(untilS);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(List.of(), wrong);
     for (JobId id : arrays) {
       assertEquals("done", world.users().told().get(id), id.text());
@@ -158,7 +158,7 @@
     assertEquals(1, level());
     world.time().runUntil(70);
     assertEquals(2, level());
-    assertFalse(world.state().under("q/change/").isEmpty());
+    assertFalse(world.state().keysWithPrefix("q/change/").isEmpty());
     assertAllIsWell(220, 2);
   }
 
@@ -173,7 +173,7 @@
     world.time().at(36, () -> world.roll(0, OLD));
     world.time().at(44, () -> world.roll(1, OLD));
     assertAllIsWell(220, 1);
-    assertTrue(world.state().under("q/change/").isEmpty());
+    assertTrue(world.state().keysWithPrefix("q/change/").isEmpty());
   }
 
   /**
@@ -214,7 +214,9 @@
     world.time().runUntil(20);
     world.down(2, 1);
     world.state().write("q/job/job-77", Json.object("phase", "open", "at", 1));
-    world.state().late(DelayedTransactions.share(1, 30, 40, () -> true, new Random(1)));
+    world
+        .state()
+        .delayTransactions(DelayedTransactions.share(1, 30, 40, () -> true, new Random(1)));
     for (double at = 21.2; at < 25; at += 0.1) {
       world.time().runUntil(at);
       assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-77")));
@@ -326,7 +328,7 @@
                         Json.object("member", "n2", "life", 999_999, "zone", "west")));
     world.time().at(66, () -> world.crash(Math.max(0, world.leader())));
     world.time().runUntil(100);
-    for (String block : world.state().under("q/block/")) {
+    for (String block : world.state().keysWithPrefix("q/block/")) {
       assertFalse("n2".equals(((Map<?, ?>) world.state().value(block)).get("holder")), block);
     }
     world.time().at(100.5, () -> world.state().write("q/member/n2", null));
@@ -345,7 +347,7 @@
     set("{\"most_level\": 1}");
     world.time().runUntil(75);
     assertEquals(1, level());
-    assertEquals(List.of(), List.copyOf(world.state().under("q/change/")));
+    assertEquals(List.of(), List.copyOf(world.state().keysWithPrefix("q/change/")));
     rollAll(80, 6, OLD);
     assertAllIsWell(240, 1);
   }
@@ -357,7 +359,7 @@
   @Test
   void aRecordThatCannotBeRead() throws MalformedMessageException {
     world.time().runUntil(30);
-    String key = world.state().under("q/alloc/").iterator().next();
+    String key = world.state().keysWithPrefix("q/alloc/").iterator().next();
     Object good = world.state().value(key);
     world.state().write(key, Json.object("tasks", Json.object("17", "from the future")));
     world.time().runUntil(40);
--- a/src/test/java/org/quincecross/emulator/SlowStoreTest.java
+++ b/src/test/java/org/quincecross/emulator/SlowStoreTest.java
@@ -35,7 +35,7 @@
         .at(
             FROM_S,
             () -> {
-              world.state().slow(leastS, mostS, SECONDS, new Random(3));
+              world.state().slowDown(leastS, mostS, SECONDS, new Random(3));
               world.users().storm(4, SECONDS);
             });
     // All that is accepted is cancelled while it is slow.
@@ -48,7 +48,7 @@
               told.forEach(world.users()::cancel);
             });
     world.time().runUntil(FROM_S + SECONDS);
-    world.users().polls().trouble();
+    world.users().polls().onFault();
     world.time().runUntil(FROM_S + SECONDS + 100);
     Map<String, Double> longest = world.longestAnswers();
     longest.forEach(
@@ -58,13 +58,15 @@
             assertTrue(seconds <= most, what + " was answered after " + seconds + " s");
           }
         });
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     double unanswered =
         world.users().told().keySet().stream()
-            .mapToDouble(id -> world.users().polls().longest(id, true))
+            .mapToDouble(id -> world.users().polls().longestGapS(id, true))
             .max()
             .orElseThrow();
     assertTrue(unanswered < 20, "without an answer for " + unanswered + " s");
-    assertTrue(world.state().mostUnderWay() < 100, "under way " + world.state().mostUnderWay());
+    assertTrue(
+        world.state().maxPendingRequests() < 100,
+        "under way " + world.state().maxPendingRequests());
   }
 }
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -52,7 +52,7 @@
       world.time().at(10 + 10 * i, () -> world.users().submit(other));
     }
     world.time().runUntil(5 + SECONDS + 45);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals(
         0, world.users().told().keySet().stream().filter(world.users()::isOpen).count(), "open");
     double[] accepted =
--- a/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
+++ b/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
@@ -38,7 +38,7 @@
                 if (world.mishapHit() >= 0) {
                   world.users().cancel(JOB);
                 }
-                if (!out[0] && "cancelled".equals(world.rules().lastTold(JOB))) {
+                if (!out[0] && "cancelled".equals(world.rules().lastReportedState(JOB))) {
                   out[0] = true;
                   world.state().outage(60);
                 }
@@ -46,6 +46,6 @@
     }
     world.time().runUntil(120);
     assertTrue(out[0]);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
@@ -52,6 +52,6 @@
     int before = world.rules().starts();
     world.time().runUntil(OUT_S + OUT_FOR_S);
     assertTrue(world.rules().starts() > before, "starts from the tenth second of the outage on");
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
+++ b/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
@@ -83,7 +83,7 @@
 
   /** Those that may have to be changed: bundles are only ever deleted. */
   private List<String> recordsLargerThan(int bytes) {
-    return world.state().under("q/").stream()
+    return world.state().keysWithPrefix("q/").stream()
         .filter(
             key ->
                 !key.startsWith("q/bundle/") && Json.write(world.state().value(key)).length > bytes)
@@ -131,7 +131,7 @@
 
   private void assertAllEnds(List<JobId> cancelled) {
     world.time().runUntil(220);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     for (JobId id : batch) {
       String told = world.users().told().get(id);
       assertTrue(
@@ -256,6 +256,6 @@
     other.time().runUntil(20);
     assertTrue(other.leader() >= 0, "nobody is a member");
     assertEquals(0, other.state().tooLarge());
-    assertEquals(3, other.state().under("q/member/").size());
+    assertEquals(3, other.state().keysWithPrefix("q/member/").size());
   }
 }
--- a/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
@@ -333,7 +333,7 @@
             (name, team) -> atLimits &= world.rules().used(name).cpus() > team.limit().cpus() - 8);
     strike(trouble);
     world.time().runUntil(OVER_S + 60);
-    List<String> wrong = new ArrayList<>(world.rules().broken());
+    List<String> wrong = new ArrayList<>(world.rules().violations());
     jobs.keySet().stream()
         .filter(id -> jobs.get(id).kind() == JobKind.SERVICE && !called.contains(id))
         .forEach(id -> world.users().cancel(id));
--- a/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
+++ b/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
@@ -88,7 +88,7 @@
       world.time().at(15.2 + i * 0.3, () -> world.users().submit(job));
     }
     world.time().runUntil(90);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     long quick =
         others.stream()
             .filter(id -> world.users().acceptedAfter().getOrDefault(id, 99.0) < 2)
@@ -144,7 +144,7 @@
           id + " took " + world.users().overAfter().get(id));
     }
     world.time().runUntil(400);
-    assertEquals(List.of(), world.rules().broken());
+    assertEquals(List.of(), world.rules().violations());
     assertEquals("done", world.users().told().get(huge));
     for (JobId id : idle) {
       assertEquals("done", world.users().told().get(id), id.text());
--- a/src/test/java/org/quincecross/emulator/UserErrorFaults.java
+++ b/src/test/java/org/quincecross/emulator/UserErrorFaults.java
@@ -47,7 +47,7 @@
           world,
           random,
           () ->
-              LateCancellations.now(
+              LateCancellations.cancelLongRunning(
                   world.around(),
                   2 + random.nextInt(8),
                   random.nextBoolean() ? 0 : 2 + 8 * random.nextDouble(),
