--- a/src/main/java/org/quincecross/emulator/Clock.java
+++ b/src/main/java/org/quincecross/emulator/Clock.java
@@ -1,12 +1,10 @@
 package org.quincecross.emulator;
 
-/**
- * The time that the stand-ins live in: virtual, or that of a selector loop. Seconds since it began.
- */
+/** The clock of the simulators: virtual, or that of an event loop. Seconds since its start. */
 interface Clock {
   double seconds();
 
-  /** Runs {@code action} once, so many seconds from now; at once if that is negative. */
+  /** Runs {@code action} once, {@code seconds} from now; at once if negative. */
   void after(double seconds, Runnable action);
 
   default void at(double seconds, Runnable action) {
--- a/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
+++ b/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
@@ -10,8 +10,8 @@
 import org.quincecross.protocol.Settings;
 
 /**
- * Everything around the controllers of a site: state service, cloud with its workers, users, and
- * who watches the rules.
+ * The environment of the controllers: state service, cloud with its workers, users, and the checks
+ * of the rules.
  */
 final class ClusterEnvironment {
   private final ClusterSpec site;
@@ -31,8 +31,8 @@
   private final ColdStartInvariant coldStarts;
 
   /**
-   * @param nodes where each controller listens for users and workers
-   * @param stateAt where each controller reaches the state service
+   * @param nodes the address of each controller for users and workers
+   * @param stateAt the address of the state service for each controller
    */
   ClusterEnvironment(
       ClusterSpec site,
@@ -96,7 +96,8 @@
   }
 
   /**
-   * All troubles are over: from now on no job may be left unanswered or waiting beside idle room.
+   * All faults have ended: from now on no job may stay unanswered, or wait while suitable capacity
+   * is idle.
    */
   void troublesAreOver() {
     users.polls().onFault();
@@ -107,7 +108,7 @@
     return rules;
   }
 
-  /** Jobs that wait for others. */
+  /** Jobs with dependencies. */
   DependentJobs pipelines() {
     return pipelines;
   }
@@ -116,12 +117,12 @@
     return pipelineRules;
   }
 
-  /** Who was served, as users and machines see it. */
+  /** Service levels as users and machines observe them. */
   JobAccounting served() {
     return served;
   }
 
-  /** Watches how often models are started and their weights fetched. */
+  /** Checks how often models are started and their weights fetched. */
   ColdStartInvariant coldStarts() {
     return coldStarts;
   }
@@ -142,7 +143,7 @@
     return users.job(id);
   }
 
-  /** The controller that a redirect names; -1 where it names none. */
+  /** The controller that a redirect names; -1 if it names none. */
   int nodeNamed(String redirect) {
     for (int node = 0; node < site.nodes(); node++) {
       if (redirect.contains("\"" + ClusterSpec.nodeName(node) + "\"")) {
@@ -152,7 +153,7 @@
     return -1;
   }
 
-  /** Where a controller listens. */
+  /** The address of a controller. */
   Endpoint node(int node) {
     return nodes.get(node);
   }
--- a/src/main/java/org/quincecross/emulator/LoopClock.java
+++ b/src/main/java/org/quincecross/emulator/LoopClock.java
@@ -4,7 +4,10 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.EventLoop;
 
-/** The time of a selector loop: stand-ins that live in it run beside its sockets, on its thread. */
+/**
+ * The time of an event loop: simulators that use it run on the thread of the loop, beside its
+ * sockets.
+ */
 final class LoopClock implements Clock {
   private final EventLoop loop;
   private final MonotonicTime began;
--- a/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
+++ b/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
@@ -14,8 +14,8 @@
 import org.quincecross.net.HttpServer;
 
 /**
- * Real sockets on loopback. Each host listens at a port of its own and each caller has connections
- * of its own.
+ * Real sockets on loopback. Each host listens on a port of its own, and each caller has its own
+ * connections.
  */
 final class LoopbackNetwork implements Network {
   private static final String LOOPBACK = "127.0.0.1";
@@ -36,7 +36,7 @@
     return new Endpoint(LOOPBACK, port);
   }
 
-  /** Says who calls at an address: what comes over a socket does not tell. */
+  /** Sets the name of the caller at an address, which a socket does not carry. */
   void callerAt(Endpoint address, String caller) {
     callers.put(address, caller);
   }
@@ -65,7 +65,7 @@
     }
   }
 
-  /** A caller is gone: its connections end. */
+  /** A caller has ended: closes its connections. */
   @Override
   public void forget(String caller) {
     HttpClient client = clients.remove(caller);
--- a/src/main/java/org/quincecross/emulator/MachineTraits.java
+++ b/src/main/java/org/quincecross/emulator/MachineTraits.java
@@ -1,11 +1,11 @@
 package org.quincecross.emulator;
 
 /**
- * What a machine is like.
+ * The characteristics of a machine.
  *
- * @param speed 1 is nominal
- * @param sick whether every task that starts there fails
- * @param clock how fast its steady clock runs
+ * @param speed relative to nominal speed 1
+ * @param faulty whether every task that starts there fails
+ * @param clockRate the rate of its monotonic clock
  */
 record MachineTraits(double speed, boolean sick, double clock) {
   static final MachineTraits ORDINARY = new MachineTraits(1, false, 1);
--- a/src/main/java/org/quincecross/emulator/MessageObserver.java
+++ b/src/main/java/org/quincecross/emulator/MessageObserver.java
@@ -3,7 +3,7 @@
 import org.quincecross.http.HttpRequest;
 import org.quincecross.http.HttpResponse;
 
-/** Sees every message that crosses a virtual network. Hosts are named as on that network. */
+/** Observes every message on a simulated network. Hosts have their names on that network. */
 interface MessageObserver {
   /** Ignores all messages. */
   MessageObserver NONE =
--- a/src/main/java/org/quincecross/emulator/Network.java
+++ b/src/main/java/org/quincecross/emulator/Network.java
@@ -7,39 +7,42 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 
-/** What carries requests between the hosts of a site: virtual, or sockets on loopback. */
+/** Carries requests between the hosts of a deployment: simulated, or over sockets on loopback. */
 interface Network {
-  /** Answers what arrives at an address. */
+  /** Answers requests at an address. */
   interface Host {
     /** Whether a connection is accepted. */
     boolean isUp();
 
     /**
-     * What answers there now: a connection to one does not lead to another that comes in its place.
+     * The process that answers there now: a connection to one process does not lead to its
+     * successor.
      */
     default Object process() {
       return this;
     }
 
-    /** {@code from}: the name of the caller, where the network knows it. */
+    /**
+     * @param from the name of the caller, if the network knows it
+     */
     void request(String from, HttpRequest request, Consumer<HttpResponse> reply);
   }
 
-  /** Puts a host at an address. */
+  /** Registers a host at an address. */
   void host(Endpoint address, String name, Host host);
 
-  /** Takes the host at an address away. */
+  /** Removes the host at an address. */
   void remove(Endpoint address);
 
-  /** A caller is gone for good. */
+  /** A caller has ended for good. */
   default void forget(String caller) {}
 
-  /** Where machine {@code number} of the site listens. */
+  /** The address of machine {@code number}. */
   Endpoint machineAddress(int number);
 
   /**
-   * A request of {@code caller}; {@code done} is called at most once, and not at all once the
-   * caller is dead.
+   * Sends a request of {@code caller}; {@code done} is called at most once, and never after the
+   * caller has ended.
    */
   void call(
       ProcessScope caller,
--- a/src/main/java/org/quincecross/emulator/SimulatedCluster.java
+++ b/src/main/java/org/quincecross/emulator/SimulatedCluster.java
@@ -33,14 +33,14 @@
 import org.quincecross.rollout.Build;
 
 /**
- * A whole deployment in virtual time, on one thread: controllers as they are, everything around
- * them a stand-in.
+ * A whole deployment in virtual time, on one thread: the real controllers in a simulated
+ * environment.
  */
 final class SimulatedCluster {
   private static final Endpoint STATE = new Endpoint("10.2.0.1", 2379);
   private static final Endpoint CLOUD = new Endpoint("10.2.0.2", 8443);
 
-  /** The time of day when a world begins. */
+  /** The time of day at the start of a simulated day. */
   static final double EPOCH_S = 1_000_000;
 
   private final VirtualTime time = new VirtualTime();
@@ -55,8 +55,8 @@
   private final Map<Integer, Map<String, Team>> toldTeams = new HashMap<>();
 
   /**
-   * What a controller is told of the state service's limits, by its number; those of the site where
-   * nothing is said.
+   * The limits of the state service in the settings of a controller, by its number; absent if they
+   * are those of the deployment.
    */
   private final Map<Integer, Settings.StoreLimits> toldLimits = new HashMap<>();
 
@@ -67,15 +67,18 @@
   private final ProcessScope[] lives;
   private final Controller[] controllers;
 
-  /** Connections between controllers that something was sent on while the other side was silent. */
+  /**
+   * Connections between controllers on which something was sent while the other side was
+   * unreachable.
+   */
   private final Set<String> hanging = new HashSet<>();
 
   private final Map<String, Double> hangsUntil = new HashMap<>();
   private final Map<Set<String>, Double> refusedUntil = new HashMap<>();
 
   /**
-   * A small site with odd machines and a state service that now and then applies a transaction
-   * late.
+   * A small deployment with unreliable machines and a state service that sometimes applies a
+   * transaction late.
    */
   SimulatedCluster(long seed) {
     this(ClusterSpec.small(), seed, Meter.OFF);
@@ -87,14 +90,14 @@
   }
 
   /**
-   * @param features what is switched on in all controllers
+   * @param features the features that are enabled in all controllers
    */
   SimulatedCluster(ClusterSpec site, long seed, Meter meter, Features features) {
     this(site, seed, meter, features, (node, controller) -> {});
   }
 
   /**
-   * @param prepare done with each controller, by its number, before it is started
+   * @param prepare applied to each controller, with its number, before it starts
    */
   SimulatedCluster(
       ClusterSpec site,
@@ -126,8 +129,8 @@
   }
 
   /**
-   * What leaves for a machine is looked at once a job is cancelled: what was under way before that
-   * is not held against anybody.
+   * Checks messages to machines from the moment when a job is cancelled; messages already on their
+   * way then are not checked.
    */
   private void checkStarts(byte[] message) {
     if (!rules().hasCancelled() || message.length == 0) {
@@ -145,7 +148,7 @@
     }
   }
 
-  /** Has an observer see every message from now on. */
+  /** Registers an observer of all messages from now on. */
   void observe(MessageObserver observer) {
     net.observe(observer);
   }
@@ -230,8 +233,8 @@
   }
 
   /**
-   * The longest that a controller took for an answer, in seconds, by method and path; the way there
-   * and back is not in it.
+   * The longest time that a controller took to answer, in seconds, by method and path, without
+   * network delay.
    */
   Map<String, Double> longestAnswers() {
     return longestAnswers;
@@ -248,9 +251,8 @@
 
   private void startNode(int node) {
     if (lives[node] != null) {
-      lives[node]
-          .end(); // where two troubles had it started anew, the second start takes the first one's
-      // place
+      lives[node].end(); // if two faults restart the controller, the second start replaces
+      // the first one
     }
     ProcessScope life = new ProcessScope();
     lives[node] = life;
@@ -305,8 +307,8 @@
         if (net.isSilent(peer.text())) {
           hanging.add(name + " " + peer);
         }
-        // Tried again by TCP only when as much time has passed again as the silence took; a new
-        // connection is quicker.
+        // TCP retries only after as much time again as the silence lasted; a new connection is
+        // faster.
         boolean hangs =
             hanging.contains(name + " " + peer)
                 && time.seconds() < hangsUntil.getOrDefault(peer.text(), 0.0);
@@ -330,8 +332,8 @@
   }
 
   /**
-   * A controller says nothing and hears nothing for a while, then is back, with its memory or
-   * started anew without.
+   * A controller neither sends nor receives for a while; afterwards it continues with its memory,
+   * or restarts without it.
    */
   void silence(int node, double seconds, boolean keepsMemory) {
     net.silence(ClusterSpec.nodeName(node), time.seconds() + seconds);
@@ -341,19 +343,22 @@
     }
   }
 
-  /** What may come over a controller as it sends a message. */
+  /** A fault that strikes a controller as it sends a message. */
   enum Mishap {
-    /** It has decided, and stands still before the message is sent: the packet goes out late. */
+    /**
+     * The controller is suspended after its decision and before the message is sent: the packet
+     * leaves late.
+     */
     STILL_BEFORE,
-    /** The message is sent, and its answer waits for the controller. */
+    /** The message is sent, and its answer waits for the suspended controller. */
     STILL_AFTER,
-    /** The message is the last that is heard of it for a while. */
+    /** The controller is cut off for a while right after this message. */
     SILENT,
-    /** The message alone is held up by the network; its sender goes on, and gives up on it. */
+    /** The network delays this message only; its sender continues and times out. */
     HELD
   }
 
-  /** A controller that sends a request of a kind for the first time meets with a mishap. */
+  /** Applies a fault to the controller that first sends a matching request. */
   private final class Trap {
     private final Predicate<String> request;
     private final double seconds;
@@ -366,7 +371,7 @@
       this.mishap = mishap;
     }
 
-    /** For how long a request waits to be sent. */
+    /** The delay before a request is sent. */
     double sprung(int node, HttpRequest sent) {
       if (sprungAt >= 0
           || !request.test(
@@ -390,14 +395,13 @@
   }
 
   /**
-   * Has the next controller that sends a request which looks so (method, path and body) meet with a
-   * mishap.
+   * Applies a fault to the next controller that sends a matching request (method, path and body).
    */
   void mishapAt(Predicate<String> request, double seconds, Mishap mishap) {
     trap = new Trap(request, seconds, mishap);
   }
 
-  /** The controller that has met with the mishap; -1 where no such request was sent. */
+  /** The controller that the fault struck; -1 if no matching request was sent. */
   int mishapHit() {
     return trap.sprungAt;
   }
@@ -409,7 +413,7 @@
     }
   }
 
-  /** A controller has another build from its next start on. */
+  /** From its next start on, a controller runs another build. */
   void install(int node, Build build) {
     features[node] =
         new Features(
@@ -420,22 +424,21 @@
   }
 
   /**
-   * From its next start on the platform's file of a controller has other teams than those of the
-   * others.
+   * From its next start on, the settings of a controller have other teams than those of the other
+   * controllers.
    */
   void tellTeams(int node, Map<String, Team> teams) {
     toldTeams.put(node, teams);
   }
 
   /**
-   * From its next start on the platform's file of a controller says what the state service will
-   * allow from some moment on.
+   * From its next start on, the settings of a controller announce new limits of the state service.
    */
   void tellNext(int node, Settings.StoreLimits next) {
     toldLimits.put(node, site.stateLimits().min(next));
   }
 
-  /** A controller is replaced by one of another build: it ends, and the other is started. */
+  /** Replaces a controller by one with another build: it ends, and the new one starts. */
   void roll(int node, Build build) {
     install(node, build);
     crash(node);
@@ -447,12 +450,12 @@
     time.after(seconds, () -> startNode(node));
   }
 
-  /** A controller stands still for a while: its clocks run on, and what comes waits. */
+  /** Suspends a controller for a while: its clocks keep running, and incoming messages wait. */
   void standStill(int node, double seconds) {
     lives[node].suspendUntil(time.seconds() + seconds);
   }
 
-  /** The controller that says it leads, or -1. */
+  /** The controller that reports to be the leader, or -1. */
   int leader() {
     for (int node = 0; node < nodeCount(); node++) {
       try {
@@ -467,17 +470,17 @@
     return -1;
   }
 
-  /** Has all controllers find their memory short, or not. */
+  /** Sets whether all controllers find their memory short. */
   void memoryIsShort(boolean now) {
     memoryIsShort = now;
   }
 
-  /** The time of day is set forward for all controllers, or back. */
+  /** Sets the wall clock of all controllers forward or back. */
   void setClock(double aheadS) {
     clockAheadS = EPOCH_S + aheadS;
   }
 
-  /** From now on a share of all reports comes a second time, 1 s to three leases later. */
+  /** From now on a share of all reports arrives a second time, 1 s to three leases later. */
   void copyLate(double share, Random draws) {
     net.copyLate(
         share == 0
@@ -488,7 +491,7 @@
 
   /**
    * From now on copies of a share of all reports are kept until there is a new leader, and then
-   * come to every controller.
+   * arrive at every controller.
    */
   void keepForNextLeader(double share, Random draws) {
     net.copyLate(
@@ -497,7 +500,7 @@
             : DuplicatedMessages.forNextLeader(share, nodes, draws, this::leadership));
   }
 
-  /** Who leads by the records, in which life; null where nobody does. */
+  /** The leader by the records, and its process; null if there is none. */
   Object leadership() {
     Object leader =
         state().value("q/leads") instanceof Map<?, ?> moved ? moved : state().value("q/leader");
@@ -507,8 +510,8 @@
   }
 
   /**
-   * From now on a share of all commands to machines, of reports, and of the answers to either is
-   * held up for 0.5 s to so long.
+   * From now on a share of all commands to machines, of reports, and of the answers to both is
+   * delayed by 0.5 s to {@code longestS}.
    */
   void holdMessages(double share, double longestS, Random draws) {
     net.hold(new DelayedMessages(share, longestS, draws));
@@ -527,10 +530,10 @@
   }
 
   /**
-   * A controller is without the state service and the others for a while, and hears its machines
-   * and users as ever.
+   * Separates a controller from the state service and from the other controllers for a while; it
+   * still reaches its machines and users.
    *
-   * @param lose whether what it sends there is lost, rather than refused at once
+   * @param lose whether packets are lost, rather than refused at once
    */
   void lone(int node, double seconds, boolean lose) {
     if (lose) {
@@ -550,15 +553,12 @@
     net.cut(one, other, time.seconds() + seconds, lose);
   }
 
-  /** A machine's reports arrive, and for a while nothing that is sent to it does. */
+  /** The reports of a machine arrive, but for a while nothing that is sent to it does. */
   void deafen(MachineId machine, double seconds) {
     net.deafen(machine.text(), time.seconds() + seconds);
   }
 
-  /**
-   * A machine reaches no controller for a while; what is sent straight to it arrives, and is
-   * answered.
-   */
+  /** A machine reaches no controller for a while; what is sent to it arrives and is answered. */
   void mute(MachineId machine, double seconds) {
     net.mute(machine.text(), time.seconds() + seconds);
   }
@@ -567,12 +567,12 @@
     return net.startsUnheard();
   }
 
-  /** Asks a controller that is up, without the way there. */
+  /** Sends a request to a running controller directly, without the network. */
   void ask(int node, HttpRequest request, Consumer<HttpResponse> reply) {
     controllers[node].handle(request, reply);
   }
 
-  /** What a controller's status says; null where it is down. */
+  /** The status of a controller; null if it is down. */
   JsonFields status(int node) {
     JsonFields[] status = new JsonFields[1];
     if (lives[node].isAlive()) {
--- a/src/main/java/org/quincecross/emulator/SmallJobs.java
+++ b/src/main/java/org/quincecross/emulator/SmallJobs.java
@@ -9,7 +9,7 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * A swarm of jobs of one class, each of one short task; some are called off, at any time of their
+ * Many jobs of one class with one short task each; some are cancelled at a random time of their
  * lives.
  */
 final class SmallJobs {
@@ -19,10 +19,10 @@
   private SmallJobs() {}
 
   /**
-   * Has them come one after the other.
+   * Submits the jobs one after the other.
    *
-   * @param aSecond how many
-   * @param cancelShare of them that is called off within some seconds, 0 to 1
+   * @param perSecond the number per second
+   * @param cancelShare the share that is cancelled within some seconds, 0 to 1
    */
   static void begin(
       SimulatedCluster world,
--- a/src/main/java/org/quincecross/emulator/TaskSimulator.java
+++ b/src/main/java/org/quincecross/emulator/TaskSimulator.java
@@ -8,7 +8,8 @@
 import org.quincecross.model.TaskId;
 
 /**
- * What tasks do, wherever they are: how far they are, and how the tasks of a gang find one another.
+ * Simulates the work of tasks, wherever they run: their progress, and how the tasks of a gang find
+ * one another.
  */
 final class TaskSimulator {
   private record Start(TaskId task, long attempt) {}
@@ -24,10 +25,10 @@
     this.rules = rules;
   }
 
-  /** Seconds of work, at nominal speed, that a task still has to do. */
+  /** The remaining work of a task, in seconds at nominal speed. */
   double secondsLeft(TaskId task) {
     if (rules.isCompleted(task)) {
-      return 0; // its result is kept
+      return 0; // its result is stored
     }
     Job job = users.job(task.job());
     return Math.max(
@@ -35,19 +36,19 @@
   }
 
   /**
-   * Seconds of work, at nominal speed, of each task of a job: half of its estimate to one and a
-   * half times.
+   * The work of each task of a job, in seconds at nominal speed: between half and one and a half
+   * times its estimate.
    */
   double secondsOf(Job job) {
     return job.estimate().seconds() * (0.5 + Math.floorMod(job.id().hashCode(), 100) / 100.0);
   }
 
-  /** A task has so many seconds of work more than its job's others; less where negative. */
+  /** Gives a task {@code seconds} more work than the other tasks of its job; less if negative. */
   void runsLonger(TaskId task, double seconds) {
     more.put(task, seconds);
   }
 
-  /** A task has saved so many seconds more than it had when it started. */
+  /** A task saved a checkpoint {@code seconds} of work after its start. */
   void save(TaskId task, double seconds) {
     saved.merge(task, seconds, Double::sum);
   }
@@ -57,7 +58,7 @@
   }
 
   /**
-   * A task of a gang waits for the others: if all do, they start together, at the pace of the
+   * A gang task waits for the others: once all wait, they start together, at the pace of the
    * slowest machine.
    */
   void gangGathers(Job job, TaskId task, long attempt, AgentSimulator place) {
@@ -80,7 +81,7 @@
     }
   }
 
-  /** A gang completes together: if one task is done, every one is. */
+  /** A gang completes together: when one task is done, all are. */
   void completeGang(Job job, long attempt) {
     for (int i = 0; i < job.taskCount(); i++) {
       TaskId task = job.id().task(i);
--- a/src/main/java/org/quincecross/emulator/UpperBound.java
+++ b/src/main/java/org/quincecross/emulator/UpperBound.java
@@ -19,22 +19,22 @@
 import org.quincecross.model.Resources;
 
 /**
- * What the best of schedulers could not have surpassed: the largest share of jobs in time that
- * every class could have had at once. A relaxation over slices of time, so no scheduler is better,
- * and none may be as good: work is a fluid, known in advance, that flows into any machine without
- * images, and a job that is half done counts half.
+ * An upper bound for any scheduler: the largest share of jobs in time that all classes could reach
+ * at once. It is a relaxation over time slices, so no scheduler does better, and possibly none
+ * reaches it: work is a fluid, known in advance, that flows into any machine without image fetches,
+ * and a half-finished job counts half.
  */
 final class UpperBound {
   private static final int RESOURCES = 3;
   private static final int MOST_ITERATIONS = 200_000;
 
-  /** Jobs of a class that come in the same slice are taken together, by so many sizes. */
+  /** Jobs of a class that arrive in the same slice are grouped into this many size classes. */
   private static final int SIZES = 3;
 
-  /** A job that should have been over by some time, and what it takes: amounts times seconds. */
+  /** A job with a deadline and its work, in resources times seconds. */
   record Wanted(String jobClass, double from, double until, Resources work) {}
 
-  /** Jobs that are alike, each taken for the least of them and until the latest. */
+  /** Similar jobs, each counted with the size of the smallest and the deadline of the latest. */
   private static final class Cohort {
     private final String jobClass;
     private final int first;
@@ -54,8 +54,8 @@
   private final Map<String, Integer> jobs = new TreeMap<>();
 
   /**
-   * @param sliceS how long a slice is, in seconds
-   * @param capacity what machines had beside services, in each slice
+   * @param sliceS the length of a slice, in seconds
+   * @param capacity what the machines have free beside services, in each slice
    */
   UpperBound(double sliceS, List<Resources> capacity, Collection<Wanted> wanted) {
     this.sliceS = sliceS;
@@ -63,7 +63,8 @@
     Map<String, List<Wanted>> alike = new LinkedHashMap<>();
     for (Wanted each : wanted) {
       if (slice(each.until())
-          < capacity.size() - 1) { // the others could have been in time after the end
+          < capacity.size()
+              - 1) { // the other jobs could still finish in time after the end of the day
         alike
             .computeIfAbsent(each.jobClass() + " " + slice(each.from()), key -> new ArrayList<>())
             .add(each);
@@ -94,18 +95,17 @@
     }
   }
 
-  /** How many jobs of each class are in it. */
+  /** The number of jobs of each class that are included. */
   Map<String, Integer> jobs() {
     return jobs;
   }
 
-  /** The least share of any class, from 0 to 1, at its largest; NaN where it could not be found. */
+  /** The smallest share of any class, from 0 to 1, at its maximum; NaN if it was not found. */
   double leastShare() {
     if (cohorts.isEmpty()) {
       return 1;
     }
-    // Unknowns: of each cohort, how much is done of its jobs in each slice (in jobs), and the
-    // share.
+    // Unknowns: for each cohort the number of its jobs done in each slice, and the share.
     int unknowns = 1;
     int[] at = new int[cohorts.size()];
     for (int i = 0; i < at.length; i++) {
--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -22,11 +22,11 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Those who submit jobs, ask for them and cancel some, each over a connection to one of the
- * controllers.
+ * Simulates the users who submit jobs, ask about them and cancel some, each over a connection to
+ * one of the controllers.
  */
 final class UserSimulator {
-  /** Beyond one chunk of the records of done tasks. */
+  /** More than one chunk of the completed-task records holds. */
   private static final int MANY_TASKS = 4500;
 
   private static final double SUBMIT_TIMEOUT_S = 5;
@@ -36,14 +36,14 @@
   private static final double POLL_EVERY_S = 3;
   private static final double POLL_EVERY_AT_SIZE_S = 5;
 
-  /** What users put to a controller about a job that they know. */
+  /** The requests that users send about a job that they know. */
   enum Asks {
     STATE,
     AGAIN,
     CANCEL
   }
 
-  /** What happens to a job in the eyes of its user: the last three each come once. */
+  /** What happens to a job as its user sees it; the last three each occur once. */
   enum Moment {
     ACCEPTED,
     LAST_TASK_ENDED,
@@ -51,7 +51,7 @@
     TOLD_CANCELLED
   }
 
-  /** Of the nodes, whichever is drawn, or the load balancer's. */
+  /** A random controller, or the one that the load balancer chooses. */
   private static final int ANY = -1;
 
   private final ClusterEnvironment around;
@@ -77,15 +77,15 @@
   }
 
   /**
-   * From now on users go through the load balancer, each over a connection of its own that stays as
-   * long as it can.
+   * From now on users go through the load balancer, each over a connection of its own that is kept
+   * as long as possible.
    */
   LoadBalancerSimulator balance() {
     balancer = new LoadBalancerSimulator(around);
     return balancer;
   }
 
-  /** When questions were put and answered, job by job. */
+  /** When requests were sent and answered, by job. */
   PollLiveness polls() {
     return polls;
   }
@@ -94,7 +94,7 @@
     return jobs.get(id);
   }
 
-  /** From now on somebody is told at once of what happens to jobs. */
+  /** Registers a listener for job events. */
   void watch(BiConsumer<Moment, JobId> watcher) {
     watchers.add(watcher);
   }
@@ -103,7 +103,7 @@
     watchers.forEach(each -> each.accept(moment, id));
   }
 
-  /** Whether a job was accepted and its user does not know it as over. */
+  /** Whether a job was accepted and its user does not know that it is over. */
   boolean isOpen(JobId id) {
     String state = told.get(id);
     return state != null && !state.equals("done") && !state.equals("cancelled");
@@ -114,12 +114,12 @@
     return cancelAsked.containsKey(id);
   }
 
-  /** Makes a job known to the machines that are to run it, as its user uploads it. */
+  /** Makes a job known to the machines that will run it, as its user's upload does. */
   void upload(Job job) {
     jobs.put(job.id(), job);
   }
 
-  /** Submits a job that fails on every machine as soon as it runs there. */
+  /** Submits a job that fails on every machine as soon as it runs. */
   JobId submitMistaken(Job job) {
     mistakes.put(job.id(), 0);
     return submit(job);
@@ -133,15 +133,12 @@
     mistakes.merge(id, 1, Integer::sum);
   }
 
-  /** How often tasks of each job with a mistake were tried. */
+  /** The number of attempts of tasks of each misconfigured job. */
   Map<JobId, Integer> mistakes() {
     return mistakes;
   }
 
-  /**
-   * For a while users ask so many times as often, and as often again for jobs that nobody
-   * submitted.
-   */
+  /** For a while users poll {@code factor} times as often, and equally often for unknown jobs. */
   void storm(double factor, double seconds) {
     pollsFaster = factor;
     askForUnknown(around.clock().seconds() + seconds);
@@ -168,44 +165,42 @@
     }
   }
 
-  /** How many jobs have been submitted here. */
+  /** The number of jobs submitted. */
   int submitted() {
     return submittedAt.size();
   }
 
-  /** What users were told last of the jobs that were accepted. */
+  /** The last state that users were told, by accepted job. */
   Map<JobId, String> told() {
     return told;
   }
 
-  /** When each job was submitted for the first time. */
+  /** The time of the first submission of each job. */
   Map<JobId, Double> submittedAt() {
     return submittedAt;
   }
 
-  /** Seconds from the first try to the acceptance of each job that was accepted. */
+  /** The time from the first attempt to the acceptance of each accepted job, in seconds. */
   Map<JobId, Double> acceptedAfter() {
     return acceptedAfter;
   }
 
-  /** Seconds from the first try until a user heard that the job is done. */
+  /** The time from the first attempt until a user heard that the job is done, in seconds. */
   Map<JobId, Double> overAfter() {
     return overAfter;
   }
 
-  /**
-   * How many answers of each kind there were, such as {@code submit 201}; status 0: none in time.
-   */
+  /** The number of answers of each kind, such as {@code submit 201}; status 0 is a timeout. */
   Map<String, Integer> answers() {
     return answers;
   }
 
-  /** The longest that an answer of each kind took, in seconds. */
+  /** The longest response time of each kind of request, in seconds. */
   Map<String, Double> longest() {
     return longest;
   }
 
-  /** Submits one service replica that stays until it is cancelled. */
+  /** Submits one service replica that runs until it is cancelled. */
   JobId submitService(int number) {
     return submit(
         Job.builder(new JobId("job-" + number))
@@ -255,7 +250,10 @@
             .build());
   }
 
-  /** Submits an array of short tasks, more than a chunk of the records of done tasks has. */
+  /**
+   * Submits an array of short tasks with more tasks than a chunk of the completed-task records
+   * holds.
+   */
   JobId submitManyTasks(int number) {
     return submit(
         Job.builder(new JobId("job-" + number))
@@ -280,7 +278,7 @@
     return job.id();
   }
 
-  /** Submits a job of any kind; some are cancelled later, services all. */
+  /** Submits a job of a random kind; some are cancelled later, services always. */
   void submit(int number) {
     JobKind kind =
         random.nextInt(4) == 0
@@ -350,15 +348,12 @@
         });
   }
 
-  /** An accepted job is submitted once more, as a retry may come at any later time. */
+  /** Submits an accepted job once more, as a delayed retry may arrive at any time. */
   void submitAgain(JobId id) {
     once(ANY, Asks.AGAIN, id, outcome -> {});
   }
 
-  /**
-   * A job that was accepted is asked about, submitted again or called off at one of the nodes,
-   * once.
-   */
+  /** Sends one request about an accepted job to one of the controllers, without retry. */
   void once(int node, Asks what, JobId id) {
     once(node, what, id, outcome -> {});
   }
@@ -395,7 +390,7 @@
         });
   }
 
-  /** Somebody's request, at any node, that is about no job of the users here. */
+  /** Sends a request that concerns no job of these users, to any controller. */
   void request(String kind, HttpRequest request, Consumer<HttpOutcome> done) {
     ask(ANY, "strangers", kind, request, SUBMIT_TIMEOUT_S, done);
   }
@@ -443,7 +438,7 @@
     }
   }
 
-  /** Takes an answer to any request about a job; whether it says in which state the job is. */
+  /** Evaluates the answer to a request about a job; returns whether it contains the job's state. */
   private boolean isTold(JobId id, HttpOutcome outcome, String before) {
     if (outcome.status() != 200 && outcome.status() != 201) {
       around.rules().onRefused(id, outcome.status(), before);
@@ -486,7 +481,7 @@
         });
   }
 
-  /** Somebody asks for a job to be cancelled, here or by a request of a test's own. */
+  /** Records that cancellation of a job was requested, here or by a request of a test. */
   void noteCancel(JobId id) {
     if (cancelAsked.put(id, true) == null) {
       around.served().cancelled(id, around.now());
--- a/src/main/java/org/quincecross/emulator/VirtualNetwork.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNetwork.java
@@ -12,13 +12,13 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.HttpOutcome;
 
-/** A network that delays, and that holds or loses what goes over a cut. */
+/** A simulated network with delays and partitions; a partition holds or loses packets. */
 final class VirtualNetwork implements Network {
   private final VirtualTime time;
   private final Random random;
   private final Map<Endpoint, Host> hosts = new HashMap<>();
 
-  /** The process that each caller has reached at an address: a connection to it stands. */
+  /** The process that each caller has reached at an address: a connection to it is established. */
   private final Map<String, Object> connected = new HashMap<>();
 
   private final Map<Endpoint, String> names = new HashMap<>();
@@ -48,7 +48,7 @@
 
   @Override
   public void remove(Endpoint address) {
-    // A host that is gone says so itself; behind a cut nobody can tell.
+    // A host that is gone refuses connections; behind a partition nobody can tell.
   }
 
   @Override
@@ -57,7 +57,7 @@
         "10." + (16 + number / 62_500) + "." + number / 250 % 250 + "." + number % 250, 9000);
   }
 
-  /** Cuts two hosts off from each other: packets are held, or lost. */
+  /** Partitions two hosts from each other; packets are held or lost. */
   void cut(String one, String other, double untilS, boolean lose) {
     Set<String> link = new HashSet<>(Set.of(one, other));
     cutUntil.put(link, untilS);
@@ -68,22 +68,22 @@
     }
   }
 
-  /** A host says nothing and hears nothing; connections to it hang. */
+  /** A host neither sends nor receives; connections to it hang. */
   void silence(String name, double untilS) {
     silentUntil.put(name, untilS);
   }
 
-  /** The next request is held up for so long. */
+  /** Delays the next request by this many seconds. */
   void holdNext(double seconds) {
     holdNext = seconds;
   }
 
-  /** From now on some reports come a second time, later. */
+  /** From now on some reports arrive a second time, later. */
   void copyLate(DuplicatedMessages late) {
     copies = late;
   }
 
-  /** From now on some messages between controllers and machines are held up. */
+  /** From now on some messages between controllers and machines are delayed. */
   void hold(DelayedMessages messages) {
     held = messages;
   }
@@ -92,10 +92,7 @@
     return !silentUntil.isEmpty() && silentUntil.getOrDefault(name, 0.0) > time.seconds();
   }
 
-  /**
-   * A host goes on speaking and is heard, and hears nothing: neither what is sent to it nor the
-   * answers to what it sends.
-   */
+  /** A host still sends, but receives nothing: neither requests nor the answers to its own. */
   void deafen(String name, double untilS) {
     deafUntil.put(name, untilS);
   }
@@ -105,7 +102,7 @@
   }
 
   /**
-   * A host opens no connection, and those that it had are gone; what is sent to it arrives, and is
+   * A host opens no connections and loses those that it had; what is sent to it arrives and is
    * answered.
    */
   void mute(String name, double untilS) {
@@ -116,17 +113,17 @@
     return !muteUntil.isEmpty() && muteUntil.getOrDefault(name, 0.0) > time.seconds();
   }
 
-  /** How many starts were sent to machines that did not hear them. */
+  /** The number of starts sent to machines that did not receive them. */
   int startsUnheard() {
     return startsUnheard;
   }
 
-  /** Has somebody told of each message that leaves for a machine, or answers one. */
+  /** Registers a listener for each message that leaves for a machine, or answers one. */
   void watchStarts(Consumer<byte[]> watcher) {
     startWatcher = watcher;
   }
 
-  /** Has an observer see every message from now on. */
+  /** Registers an observer of all messages from now on. */
   void observe(MessageObserver messageObserver) {
     observer = messageObserver;
   }
@@ -143,7 +140,7 @@
     }
   }
 
-  /** Seconds until a packet arrives, or a negative number if it never does. */
+  /** The delay until a packet arrives, in seconds; negative if it never does. */
   double delay(String from, String to) {
     double delay =
         0.001
@@ -190,8 +187,8 @@
   }
 
   /**
-   * A request of {@code caller}; connections that stand already carry it into a cut, as if it were
-   * sent.
+   * Sends a request of {@code caller}; established connections carry it into a partition, as if it
+   * were sent.
    */
   @Override
   public void call(
@@ -228,7 +225,7 @@
       connected.remove(link);
     }
     if (isMute(from) || (isCut(from, name) && connected.get(link) != process)) {
-      // A connection that is attempted in a cut never completes.
+      // A connection attempt across a partition never completes.
       time.after(timeout.seconds(), () -> once.accept(HttpOutcome.failed(false)));
       return;
     }
@@ -237,14 +234,14 @@
         name,
         heldS,
         () -> {
-          // Of what was lost on its way there is no copy: that would be a report that is late, and
-          // news.
+          // A lost report has no copy: the copy would be a late first report.
           copies.maybeDuplicate(
               request,
               to,
               time,
               (late, endpoint) -> time.after(late, () -> copyArrives(from, endpoint, request)));
-          // What is held back is on a connection; a process that is back since knows nothing of it.
+          // A held message belongs to its connection; a process that has restarted since does not
+          // receive it.
           if (host.isUp() && host.process() == process) {
             connected.put(link, process);
             host.request(
--- a/src/main/java/org/quincecross/emulator/VirtualTime.java
+++ b/src/main/java/org/quincecross/emulator/VirtualTime.java
@@ -5,7 +5,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.net.Timers;
 
-/** Time that passes only when something is to happen. */
+/** A clock that advances only to the next scheduled action. */
 final class VirtualTime implements Clock {
   private record Due(long at, long order, Runnable action) implements Comparable<Due> {
     @Override
@@ -14,7 +14,7 @@
     }
   }
 
-  /** Timers fire in steps, a little late. */
+  /** Timers fire in steps of this size, slightly late. */
   private static final double STEP_S = 1e-4;
 
   private final PriorityQueue<Due> due = new PriorityQueue<>();
@@ -40,18 +40,21 @@
     now = (long) (seconds * 1e9);
   }
 
-  /** Runs something in a process: not once it is dead, and later while it stands still. */
+  /**
+   * Runs an action in a process: dropped once the process has ended, postponed while it is
+   * suspended.
+   */
   void whenAwake(ProcessScope life, Runnable action) {
     double still = life.suspendedFor(seconds());
     if (still > 0) {
-      // A rest of less than the clock's step would be waited for without the time moving on.
+      // A shorter delay would be rescheduled forever without the clock advancing.
       after(Math.max(still, 1e-9), () -> whenAwake(life, action));
     } else if (life.isAlive()) {
       action.run();
     }
   }
 
-  /** The timers of a process; its clock starts somewhere of its own and runs at {@code rate}. */
+  /** The timers of a process; its clock has an offset of its own and runs at {@code rate}. */
   Timers timersOf(ProcessScope life, long offset, double rate, Meter meter) {
     return new Timers() {
       @Override
--- a/src/main/java/org/quincecross/emulator/WorkloadFile.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadFile.java
@@ -19,10 +19,7 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/**
- * The jobs that a site is to be tried with, as a TOML file has them. What is wrong is told by line
- * and field.
- */
+/** The jobs for a trial deployment, read from a TOML file. Errors name the line and the field. */
 final class WorkloadFile {
   private static final Map<String, JobKind> SHAPES =
       Map.of("array", JobKind.ARRAY, "gang", JobKind.GANG, "service", JobKind.SERVICE);
@@ -63,7 +60,7 @@
   private static final int MOST_COPIES = 10_000;
   private static final int FIRST_NUMBER = 1000;
 
-  /** A job and when it is submitted, at the earliest: those that it names are accepted before. */
+  /** A job and its earliest submission time; its dependencies are accepted before. */
   record Due(double atS, Job job) {
     DependentJobs.PipelineJob step() {
       return new DependentJobs.PipelineJob(job, DependentJobs.SubmitCondition.ONCE_ACCEPTED);
@@ -73,9 +70,7 @@
   private final ClusterSpec site;
   private final List<Due> due = new ArrayList<>();
 
-  /**
-   * The jobs of each name that others may wait for: tables of one name are told apart by nobody.
-   */
+  /** The jobs by name, for the dependencies of others; tables may share a name. */
   private final Map<String, List<JobId>> named = new HashMap<>();
 
   private WorkloadFile(ClusterSpec site) {
@@ -83,7 +78,8 @@
   }
 
   /**
-   * The jobs in a file, first due first; their sizes and copies are checked against the site.
+   * Reads the jobs in a file, ordered by submission time; sizes and copies are checked against the
+   * deployment.
    *
    * @throws MalformedMessageException with the line and the field that are wrong
    */
@@ -124,7 +120,7 @@
         "line " + (at == null ? "?" : at.line()) + ": field " + field + " " + what);
   }
 
-  /** One table of the file, and where it begins. */
+  /** One table of the file, and its position. */
   private record Item(TomlTable table, TomlPosition begins) {
     MalformedMessageException wrong(String field, String what) {
       TomlPosition at = table.inputPositionOf(List.of(field));
@@ -264,7 +260,7 @@
   }
 
   /**
-   * The copies of each job that this one waits for; each of its own copies waits for one of them,
+   * The copies of each job that this one depends on; each of its own copies depends on one of them,
    * in turn.
    */
   private List<List<JobId>> before(Item in) throws MalformedMessageException {
--- a/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
@@ -17,16 +17,16 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * The jobs that a site's classes name, submitted as they come: Poisson arrivals, log-normal sizes
- * and run times, images by Zipf's law. Open loop: users do not wait for one another.
+ * Submits the jobs of a deployment's job classes over time: Poisson arrivals, log-normal sizes and
+ * run times, images by Zipf's law. The load is open-loop: users do not wait for one another.
  */
 final class WorkloadGenerator {
   private static final int FIRST_NUMBER = 100_000;
   private static final int FIRST_OF_PIPELINES = 10_000_000;
 
   /**
-   * Of the logarithm of sizes and run times: a twentieth of them are above two and a half times the
-   * median.
+   * The standard deviation of the logarithm of sizes and run times: a twentieth of them exceed two
+   * and a half times the median.
    */
   private static final double SIGMA = 0.55;
 
@@ -43,7 +43,7 @@
     this.nearOne = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), 0, SIGMA);
   }
 
-  /** Submits what is there at the start, spread over some seconds, and what comes after that. */
+  /** Submits the initial jobs, spread over some seconds, and the later arrivals. */
   void begin(double overSeconds) {
     for (ClusterSpec.JobClass each : around.site().classes()) {
       DiscreteSampler images = RejectionInversionZipfSampler.of(random, each.images(), ZIPF);
@@ -64,8 +64,8 @@
   }
 
   /**
-   * From now on pipelines come beside what the classes have, each behind nothing or behind a job of
-   * one that came before.
+   * From now on pipelines arrive in addition to the job classes, each without dependencies or
+   * depending on a job of an earlier one.
    */
   void pipelines(double perMinute, Resources each) {
     PipelineGenerator draws =
@@ -91,7 +91,7 @@
             });
   }
 
-  /** From now on for some time jobs of a class come several times as often. */
+  /** For some time jobs of a class arrive several times as often. */
   void burst(String jobClass, double factor, double seconds) {
     double until = around.clock().seconds() + seconds;
     for (ClusterSpec.JobClass each : around.site().classes()) {
