--- a/src/main/java/org/quincecross/emulator/AgentSimulator.java
+++ b/src/main/java/org/quincecross/emulator/AgentSimulator.java
@@ -56,13 +56,13 @@
     }
   }
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Clock clock;
   private final Machine machine;
   private final Resources capacity;
   private final MachineTraits traits;
   private ImageStore images;
-  private ProcessScope life = new ProcessScope();
+  private ProcessScope process = new ProcessScope();
   private final Map<TaskAttempt, Task> tasks = new LinkedHashMap<>();
   private long session = 1;
   private long reportNumber;
@@ -79,13 +79,13 @@
   private boolean destroyed;
 
   AgentSimulator(
-      ClusterEnvironment around,
+      ClusterEnvironment environment,
       Machine machine,
       MachineType type,
       MachineTraits traits,
       int firstNode) {
-    this.around = around;
-    this.clock = around.clock();
+    this.environment = environment;
+    this.clock = environment.clock();
     this.machine = machine;
     this.capacity = type.capacity();
     this.traits = traits;
@@ -110,9 +110,9 @@
 
   void destroy() {
     destroyed = true;
-    life.end();
+    process.end();
     dropAllTasks();
-    around.network().forget(machine.id().text());
+    environment.network().forget(machine.id().text());
   }
 
   /**
@@ -120,17 +120,17 @@
    * new worker: its counters and its fencing token start over.
    */
   void restart(double seconds) {
-    if (!life.isAlive()) {
+    if (!process.isAlive()) {
       return;
     }
-    life.end();
+    process.end();
     dropAllTasks();
     ProcessScope next = new ProcessScope();
     clock.after(
         seconds,
         () -> {
           if (!destroyed) {
-            life = next;
+            process = next;
             images = new ImageStore(clock, images.cacheGb(), images.rate());
             session = 1;
             reportNumber = 0;
@@ -153,58 +153,58 @@
   }
 
   private void dropAllTasks() {
-    around.coldStarts().lost(machine.id());
+    environment.coldStarts().lost(machine.id());
     Map<TaskAttempt, Task> lost = Map.copyOf(tasks);
     for (Map.Entry<TaskAttempt, Task> entry : lost.entrySet()) {
       keepCheckpoint(entry.getKey().task(), entry.getValue());
-      around.rules().taskLeft(entry.getKey().task(), machine.id());
-      around.tasks().gangTaskGone(entry.getKey().task(), entry.getKey().attempt());
+      environment.invariants().taskLeft(entry.getKey().task(), machine.id());
+      environment.tasks().onGangTaskGone(entry.getKey().task(), entry.getKey().attempt());
       if (entry.getValue().state.equals("pulling")) {
         images.withdraw(
-            around.job(entry.getKey().task().job()).image(), entry.getValue().onImageReady);
+            environment.job(entry.getKey().task().job()).image(), entry.getValue().onImageReady);
       }
       tasks.remove(entry.getKey());
     }
     lost.forEach(
         (key, task) -> {
-          Job job = around.job(key.task().job());
+          Job job = environment.job(key.task().job());
           if (job != null && job.kind() == JobKind.GANG && task.ran && !task.isOver()) {
-            around.tasks().gangLost(job, key.attempt());
+            environment.tasks().onGangLost(job, key.attempt());
           }
         });
   }
 
   @Override
   public boolean isUp() {
-    return life.isAlive();
+    return process.isAlive();
   }
 
   @Override
   public Object process() {
-    return life;
+    return process;
   }
 
   /**
    * The delay until the next report: the configured interval with a jitter of a quarter either way.
    */
   private double nextReportDelayS() {
-    return around.site().workers().heartbeatInterval().seconds()
-        * (0.75 + 0.5 * around.random().nextDouble());
+    return environment.site().workers().heartbeatInterval().seconds()
+        * (0.75 + 0.5 * environment.random().nextDouble());
   }
 
   // ---- reports ----
 
   private void after(double seconds, Runnable action) {
-    ProcessScope startedIn = life;
+    ProcessScope startedIn = process;
     clock.after(
         seconds,
         () -> {
-          if (startedIn != life) {
+          if (startedIn != process) {
             return; // scheduled by a worker process that has ended since
           }
-          if (life.isAlive() && clock.seconds() < suspendedUntil) {
+          if (process.isAlive() && clock.seconds() < suspendedUntil) {
             after(Math.max(suspendedUntil - clock.seconds(), CLOCK_STEP_S), action);
-          } else if (life.isAlive()) {
+          } else if (process.isAlive()) {
             action.run();
           }
         });
@@ -229,17 +229,17 @@
 
   /** Whether the worker is up, works correctly, and is not about to be terminated. */
   boolean canRunTasks() {
-    return life.isAlive()
+    return process.isAlive()
         && Double.isNaN(terminatesAt)
-        && !traits.sick()
+        && !traits.faulty()
         && !isInboundDropped()
         && clock.seconds() >= suspendedUntil
         && lastAnsweredReportAt >= 0;
   }
 
   private void watchLease() {
-    double lease = around.site().workers().lease().seconds();
-    double leaseAge = (clock.seconds() - leaseFrom) * traits.clock();
+    double lease = environment.site().workers().lease().seconds();
+    double leaseAge = (clock.seconds() - leaseFrom) * traits.clockRate();
     if (leaseAge > lease) {
       dropAllTasks();
       session++;
@@ -248,11 +248,11 @@
       leaseAge = 0;
     }
     // Also checked for a machine that hangs: it may resume within its lease, but not after it.
-    ProcessScope startedIn = life;
+    ProcessScope startedIn = process;
     clock.after(
-        Math.max(MIN_LEASE_CHECK_DELAY_S, (lease - leaseAge) / traits.clock()),
+        Math.max(MIN_LEASE_CHECK_DELAY_S, (lease - leaseAge) / traits.clockRate()),
         () -> {
-          if (startedIn == life && life.isAlive()) {
+          if (startedIn == process && process.isAlive()) {
             watchLease();
           }
         });
@@ -274,12 +274,12 @@
     long sentSession = session;
     double sentAt = lastReportAt;
     HttpRequest request = HttpRequest.post("/agent/beat", report());
-    around
+    environment
         .network()
         .call(
-            life,
+            process,
             machine.id().text(),
-            around.node(node),
+            environment.node(node),
             request,
             TimeSpan.ofSeconds(RESPONSE_TIMEOUT_S),
             outcome -> {
@@ -311,12 +311,13 @@
       }
       scheduleReport(nextReportDelayS());
     } else if (outcome.status() == 421) {
-      int next = around.nodeNamed(new String(outcome.response().body(), StandardCharsets.UTF_8));
+      int next =
+          environment.nodeNamed(new String(outcome.response().body(), StandardCharsets.UTF_8));
       boolean known = next >= 0 && next != node;
-      node = known ? next : (node + 1) % around.site().nodes();
+      node = known ? next : (node + 1) % environment.site().nodes();
       scheduleReport(known ? 0.4 : 1);
     } else {
-      node = (node + 1) % around.site().nodes();
+      node = (node + 1) % environment.site().nodes();
       scheduleReport(1);
     }
   }
@@ -324,7 +325,7 @@
   private void raiseToken(long seen) {
     if (seen > token) {
       token = seen;
-      if (clock.seconds() - tokenReportedAt > around.site().workers().lease().seconds() / 2) {
+      if (clock.seconds() - tokenReportedAt > environment.site().workers().lease().seconds() / 2) {
         tokenReportedAt = clock.seconds();
         scheduleReport(0.5);
       }
@@ -428,7 +429,7 @@
   }
 
   private void start(TaskAttempt key) {
-    Job job = around.job(key.task().job());
+    Job job = environment.job(key.task().job());
     if (job == null || key.task().index() >= job.taskCount()) {
       Task unknown = new Task();
       unknown.state = "exited";
@@ -449,17 +450,17 @@
     }
     task.onImageReady =
         () -> {
-          if (life.isAlive() && tasks.get(key) == task && task.state.equals("pulling")) {
-            around.rules().taskArrived(key.task(), machine);
+          if (process.isAlive() && tasks.get(key) == task && task.state.equals("pulling")) {
+            environment.invariants().taskArrived(key.task(), machine);
             scheduleReport(0.5);
             if (job.kind() == JobKind.GANG) {
               waitForGang(key, task, job);
             } else {
-              run(key, task, job, around.tasks().secondsLeft(key.task()) / traits.speed());
+              run(key, task, job, environment.tasks().secondsLeft(key.task()) / traits.speed());
             }
           }
         };
-    around
+    environment
         .coldStarts()
         .started(
             key.task(),
@@ -470,13 +471,13 @@
   private void waitForGang(TaskAttempt key, Task task, Job job) {
     task.state = "gathering";
     after(
-        around.site().workers().gangStartTimeout().seconds(),
+        environment.site().workers().gangStartTimeout().seconds(),
         () -> {
           if (tasks.get(key) == task && task.state.equals("gathering")) {
             exit(key, task, "alone");
           }
         });
-    around.tasks().gangGathers(job, key.task(), key.attempt(), this);
+    environment.tasks().onGangTaskWaiting(job, key.task(), key.attempt(), this);
   }
 
   private void run(TaskAttempt key, Task task, Job job, double seconds) {
@@ -484,14 +485,14 @@
     task.runningFrom = clock.seconds();
     task.ran = true;
     scheduleReport(0.5);
-    boolean misconfigured = around.users().isMistaken(job.id());
-    if (traits.sick() || misconfigured) {
+    boolean misconfigured = environment.users().isMisconfigured(job.id());
+    if (traits.faulty() || misconfigured) {
       after(
           misconfigured ? FAULTY_JOB_FAILURE_DELAY_S : FAULTY_MACHINE_FAILURE_DELAY_S,
           () -> {
             if (tasks.get(key) == task && !task.isOver()) {
               if (misconfigured) {
-                around.users().mistakeMade(job.id());
+                environment.users().onMisconfiguredAttempt(job.id());
               }
               exit(key, task, "error");
             }
@@ -502,7 +503,7 @@
           () -> {
             if (tasks.get(key) == task && task.state.equals("running")) {
               if (job.kind() == JobKind.GANG) {
-                around.tasks().completeGang(job, key.attempt());
+                environment.tasks().completeGang(job, key.attempt());
               } else {
                 complete(key.task(), key.attempt());
               }
@@ -526,7 +527,7 @@
   Resources used() {
     return tasks.entrySet().stream()
         .filter(each -> !each.getValue().isOver())
-        .map(each -> around.job(each.getKey().task().job()).taskResources())
+        .map(each -> environment.job(each.getKey().task().job()).taskResources())
         .reduce(Resources.NONE, Resources::plus);
   }
 
@@ -551,7 +552,7 @@
     Task task = tasks.get(key);
     if (task != null && task.state.equals("running")) {
       after(
-          around.site().workers().gangPeerTimeout().seconds(),
+          environment.site().workers().gangPeerTimeout().seconds(),
           () -> {
             if (tasks.get(key) == task && !task.isOver()) {
               exit(key, task, "peers");
@@ -563,7 +564,7 @@
   // ---- ends ----
 
   private void halt(TaskAttempt key, Task task, double windDown) {
-    Job job = around.job(key.task().job());
+    Job job = environment.job(key.task().job());
     if (task.state.equals("running")
         && job.hasCheckpoints()
         && windDown >= job.checkpointCost().seconds()) {
@@ -573,7 +574,7 @@
           () -> {
             if (tasks.get(key) == task && task.state.equals("saving")) {
               task.checkpointSaved = true;
-              around.tasks().save(key.task(), progress(task));
+              environment.tasks().save(key.task(), progress(task));
               exit(key, task, "stopped");
             }
           });
@@ -587,10 +588,10 @@
   }
 
   private void keepCheckpoint(TaskId id, Task task) {
-    Job job = around.job(id.job());
+    Job job = environment.job(id.job());
     double every = job == null ? 0 : job.checkpointInterval().seconds();
     if (every > 0 && !task.isOver()) {
-      around.tasks().save(id, Math.floor(progress(task) / every) * every);
+      environment.tasks().save(id, Math.floor(progress(task) / every) * every);
     }
   }
 
@@ -600,7 +601,7 @@
     Task task = tasks.get(key);
     if (task != null && !task.isOver()) {
       exit(key, task, "done");
-      around.rules().completed(id);
+      environment.invariants().completed(id);
     }
   }
 
@@ -610,16 +611,16 @@
     }
     boolean ran = task.ran;
     if (task.state.equals("pulling")) {
-      images.withdraw(around.job(key.task().job()).image(), task.onImageReady);
+      images.withdraw(environment.job(key.task().job()).image(), task.onImageReady);
     }
     task.state = "exited";
     task.cause = cause;
-    around.rules().taskLeft(key.task(), machine.id());
-    around.tasks().gangTaskGone(key.task(), key.attempt());
+    environment.invariants().taskLeft(key.task(), machine.id());
+    environment.tasks().onGangTaskGone(key.task(), key.attempt());
     scheduleReport(0.5);
-    Job job = around.job(key.task().job());
+    Job job = environment.job(key.task().job());
     if (job.kind() == JobKind.GANG && ran && !cause.equals("done") && !cause.equals("peers")) {
-      around.tasks().gangLost(job, key.attempt());
+      environment.tasks().onGangLost(job, key.attempt());
     }
   }
 }
--- a/src/main/java/org/quincecross/emulator/CloudSimulator.java
+++ b/src/main/java/org/quincecross/emulator/CloudSimulator.java
@@ -45,7 +45,7 @@
 
   private record Listed(MachineId id, Map<String, Object> item) {}
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Random random;
   private final TokenBucket requests;
   private final Map<MachineId, Instance> instances = new TreeMap<>();
@@ -57,14 +57,14 @@
   private double maxBootS;
   private double quickBootUntil;
 
-  CloudSimulator(ClusterEnvironment around) {
-    this.around = around;
-    this.random = around.random();
-    double perSecond = around.site().cloudLimits().requestsPerSecond();
+  CloudSimulator(ClusterEnvironment environment) {
+    this.environment = environment;
+    this.random = environment.random();
+    double perSecond = environment.site().cloudLimits().requestsPerSecond();
     this.requests = new TokenBucket(perSecond, 2 * perSecond, now());
     for (int more = 1, i = 0; more > 0; i++) {
       more = 0;
-      for (ClusterSpec.Pool pool : around.site().pools()) {
+      for (ClusterSpec.Pool pool : environment.site().pools()) {
         if (i < pool.initial()) {
           boot(pool, 0, true);
           more++;
@@ -75,7 +75,7 @@
   }
 
   private MonotonicTime now() {
-    return new MonotonicTime((long) (around.clock().seconds() * 1e9));
+    return new MonotonicTime((long) (environment.clock().seconds() * 1e9));
   }
 
   /** Takes a snapshot of the machines, which the list shows after its configured lag. */
@@ -100,14 +100,14 @@
                   "Status",
                   each.worker == null ? "starting" : "running",
                   "AgeS",
-                  around.clock().seconds() - each.rentedAt)));
+                  environment.clock().seconds() - each.rentedAt)));
     }
-    around
+    environment
         .clock()
         .after(
-            around.site().cloudLimits().listLag().seconds() * (1 + random.nextDouble()),
+            environment.site().cloudLimits().listLag().seconds() * (1 + random.nextDouble()),
             () -> listed = list);
-    around.clock().after(LIST_REFRESH_INTERVAL_S, this::refreshList);
+    environment.clock().after(LIST_REFRESH_INTERVAL_S, this::refreshList);
   }
 
   List<MachineId> machines() {
@@ -128,24 +128,32 @@
     MachineId id = new MachineId(String.format("m-%06d", machines++));
     Machine machine =
         new Machine(
-            id, around.network().machineAddress(machines), pool.type(), pool.zone(), pool.spot());
-    Instance instance = new Instance(machine, pool, around.clock().seconds());
+            id,
+            environment.network().machineAddress(machines),
+            pool.type(),
+            pool.zone(),
+            pool.spot());
+    Instance instance = new Instance(machine, pool, environment.clock().seconds());
     instances.put(id, instance);
     rentedPerPool.merge(pool, 1, Integer::sum);
-    boolean unreliable = around.site().unreliableMachines() && !ordinary;
+    boolean unreliable = environment.site().unreliableMachines() && !ordinary;
     MachineTraits traits = unreliable ? traits() : MachineTraits.ORDINARY;
     if (!unreliable || random.nextInt(25) != 0) {
-      around
+      environment
           .clock()
           .after(
               bootS,
               () -> {
                 if (instances.get(id) == instance) {
-                  MachineType type = around.site().type(pool.type());
+                  MachineType type = environment.site().type(pool.type());
                   instance.worker =
                       new AgentSimulator(
-                          around, machine, type, traits, random.nextInt(around.site().nodes()));
-                  around.network().host(machine.address(), id.text(), instance.worker);
+                          environment,
+                          machine,
+                          type,
+                          traits,
+                          random.nextInt(environment.site().nodes()));
+                  environment.network().host(machine.address(), id.text(), instance.worker);
                 }
               });
     }
@@ -169,32 +177,32 @@
     }
     if (noticeS > 0 && instance.worker != null) {
       instance.worker.announceTermination(noticeS);
-      around.clock().after(noticeS, () -> terminate(id, 0));
+      environment.clock().after(noticeS, () -> terminate(id, 0));
       return;
     }
     instances.remove(id);
     rentedPerPool.merge(instance.pool, -1, Integer::sum);
     if (instance.worker != null) {
       instance.worker.destroy();
-      around.network().remove(instance.machine.address());
+      environment.network().remove(instance.machine.address());
     }
   }
 
   /** For {@code seconds}, rented machines boot within {@code mostS}. */
   void bootWithin(double longestS, double seconds) {
     maxBootS = longestS;
-    quickBootUntil = around.clock().seconds() + seconds;
+    quickBootUntil = environment.clock().seconds() + seconds;
   }
 
   private double maxBootS() {
-    return around.clock().seconds() < quickBootUntil
+    return environment.clock().seconds() < quickBootUntil
         ? maxBootS * random.nextDouble()
         : Double.MAX_VALUE;
   }
 
   void outage(double seconds) {
     unavailable = true;
-    around.clock().after(seconds, () -> unavailable = false);
+    environment.clock().after(seconds, () -> unavailable = false);
   }
 
   @Override
@@ -223,7 +231,7 @@
       body =
           Json.object(
               "Hulls",
-              around.site().types().stream().map(CloudSimulator::machineTypeJson).toList());
+              environment.site().types().stream().map(CloudSimulator::machineTypeJson).toList());
     } else if (request.path().equals("/hosts/return")) {
       for (String name : Json.parseFields(request.body()).strings("Hosts")) {
         terminate(new MachineId(name), 0);
@@ -279,12 +287,12 @@
       return previous;
     }
     List<Object> names = new ArrayList<>();
-    for (ClusterSpec.Pool pool : around.site().pools()) {
+    for (ClusterSpec.Pool pool : environment.site().pools()) {
       if (pool.type().equals(type) && pool.zone().equals(zone) && pool.spot() == spot) {
-        TimeSpan boot = around.site().type(type).bootTime();
+        TimeSpan boot = environment.site().type(type).bootTime();
         while (names.size() < count
             && rentedPerPool.getOrDefault(pool, 0) < pool.maxMachines()
-            && instances.size() < around.site().maxMachines()) {
+            && instances.size() < environment.site().maxMachines()) {
           names.add(
               boot(
                       pool,
--- a/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
+++ b/src/main/java/org/quincecross/emulator/ClusterEnvironment.java
@@ -21,13 +21,13 @@
   private final List<Endpoint> nodes;
   private final KeyValueStoreSimulator state;
   private final UserSimulator users;
-  private final ProtocolInvariants rules;
-  private final IdleCapacityInvariant idleRoom;
+  private final ProtocolInvariants invariants;
+  private final IdleCapacityInvariant idleCapacity;
   private final DependentJobs pipelines;
-  private final DependencyInvariants pipelineRules;
+  private final DependencyInvariants dependencyInvariants;
   private final TaskSimulator tasks;
   private final CloudSimulator cloud;
-  private final JobAccounting served;
+  private final JobAccounting accounting;
   private final ColdStartInvariant coldStarts;
 
   /**
@@ -49,13 +49,13 @@
     this.nodes = nodes;
     this.state = new KeyValueStoreSimulator(clock, random, site.stateLimits());
     this.coldStarts = new ColdStartInvariant(this);
-    this.served = new JobAccounting(job -> Settings.objectivesOf(site.objectives(), job));
+    this.accounting = new JobAccounting(job -> Settings.objectivesOf(site.objectives(), job));
     this.users = new UserSimulator(this);
-    this.rules = new ProtocolInvariants(this);
-    this.idleRoom = new IdleCapacityInvariant(this);
+    this.invariants = new ProtocolInvariants(this);
+    this.idleCapacity = new IdleCapacityInvariant(this);
     this.pipelines = new DependentJobs(this);
-    this.pipelineRules = new DependencyInvariants(this, rules::addViolation);
-    this.tasks = new TaskSimulator(users, rules);
+    this.dependencyInvariants = new DependencyInvariants(this, invariants::addViolation);
+    this.tasks = new TaskSimulator(users, invariants);
     for (int node = 0; node < stateAt.size(); node++) {
       if (node == 0 || !stateAt.get(node).equals(stateAt.get(node - 1))) {
         network.host(stateAt.get(node), "state", state);
@@ -67,7 +67,7 @@
   }
 
   private void checkRules() {
-    rules.check();
+    invariants.check();
     clock.after(1, this::checkRules);
   }
 
@@ -99,13 +99,13 @@
    * All faults have ended: from now on no job may stay unanswered, or wait while suitable capacity
    * is idle.
    */
-  void troublesAreOver() {
+  void onFaultsEnded() {
     users.polls().onFault();
-    idleRoom.watch();
+    idleCapacity.watch();
   }
 
-  ProtocolInvariants rules() {
-    return rules;
+  ProtocolInvariants invariants() {
+    return invariants;
   }
 
   /** Jobs with dependencies. */
@@ -113,13 +113,13 @@
     return pipelines;
   }
 
-  DependencyInvariants pipelineRules() {
-    return pipelineRules;
+  DependencyInvariants dependencyInvariants() {
+    return dependencyInvariants;
   }
 
   /** Service levels as users and machines observe them. */
-  JobAccounting served() {
-    return served;
+  JobAccounting accounting() {
+    return accounting;
   }
 
   /** Checks how often models are started and their weights fetched. */
--- a/src/main/java/org/quincecross/emulator/ColdStartInvariant.java
+++ b/src/main/java/org/quincecross/emulator/ColdStartInvariant.java
@@ -20,7 +20,7 @@
 final class ColdStartInvariant {
   private record ReplicaPlacement(TaskId task, MachineId machine, long epoch) {}
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Map<JobId, String> names = new HashMap<>();
   private final Set<ReplicaPlacement> started = new HashSet<>();
   private final Set<ReplicaPlacement> fetched = new HashSet<>();
@@ -28,8 +28,8 @@
   private int fetches;
   private int lateStarts;
 
-  ColdStartInvariant(ClusterEnvironment around) {
-    this.around = around;
+  ColdStartInvariant(ClusterEnvironment environment) {
+    this.environment = environment;
   }
 
   /** Watches a job that serves the model of this name. */
@@ -66,7 +66,7 @@
   }
 
   private ReplicaPlacement placementOf(TaskId task, MachineId machine) {
-    Map<?, ?> model = state(around.state(), names.get(task.job()));
+    Map<?, ?> model = state(environment.state(), names.get(task.job()));
     if (model != null && model.get("places") instanceof List<?> places) {
       for (Object each : places) {
         Map<?, ?> place = (Map<?, ?>) each;
@@ -74,7 +74,7 @@
         // arrival.
         boolean its =
             ((Number) place.get("replica")).intValue() == task.index()
-                || around.job(task.job()).kind() == JobKind.GANG;
+                || environment.job(task.job()).kind() == JobKind.GANG;
         if (its && machine.text().equals(place.get("machine"))) {
           return new ReplicaPlacement(task, machine, ((Number) place.get("epoch")).longValue());
         }
@@ -91,11 +91,11 @@
     fetches += fetch ? 1 : 0;
     ReplicaPlacement place = placementOf(task, machine);
     if (place == null) {
-      lateStarts += state(around.state(), names.get(task.job())) == null ? 0 : 1;
+      lateStarts += state(environment.state(), names.get(task.job())) == null ? 0 : 1;
     } else if (!started.add(place)) {
-      violations.add("at " + around.clock().seconds() + " started again: " + place);
+      violations.add("at " + environment.clock().seconds() + " started again: " + place);
     } else if (fetch && !fetched.add(place)) {
-      violations.add("at " + around.clock().seconds() + " fetched again: " + place);
+      violations.add("at " + environment.clock().seconds() + " fetched again: " + place);
     }
   }
 
@@ -104,7 +104,7 @@
     Set<JobId> gangs = new HashSet<>();
     started.forEach(
         place -> {
-          Job job = around.job(place.task().job());
+          Job job = environment.job(place.task().job());
           if (place.machine().equals(machine) && job.kind() == JobKind.GANG) {
             gangs.add(
                 job.id()); // the other tasks of the gang cannot continue, and start again on the
--- a/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
+++ b/src/main/java/org/quincecross/emulator/ConcurrentReaders.java
@@ -12,19 +12,23 @@
   private static final int REQUESTS_PER_EVENT = 5;
   private static final double REQUEST_WINDOW_S = 0.01;
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Random random;
   private final double share;
   private final double cancelShare;
   private final double untilS;
 
   private ConcurrentReaders(
-      ClusterEnvironment around, Random random, double share, double cancelShare, double seconds) {
-    this.around = around;
+      ClusterEnvironment environment,
+      Random random,
+      double share,
+      double cancelShare,
+      double seconds) {
+    this.environment = environment;
     this.random = random;
     this.share = share;
     this.cancelShare = cancelShare;
-    this.untilS = around.clock().seconds() + seconds;
+    this.untilS = environment.clock().seconds() + seconds;
   }
 
   /**
@@ -34,31 +38,36 @@
    * @param cancelShare of the jobs that are cancelled as soon as they are accepted
    */
   static void begin(
-      ClusterEnvironment around, double share, double cancelShare, double seconds, Random random) {
-    ConcurrentReaders looks = new ConcurrentReaders(around, random, share, cancelShare, seconds);
-    around.users().watch(looks::onJobEvent);
+      ClusterEnvironment environment,
+      double share,
+      double cancelShare,
+      double seconds,
+      Random random) {
+    ConcurrentReaders looks =
+        new ConcurrentReaders(environment, random, share, cancelShare, seconds);
+    environment.users().addListener(looks::onJobEvent);
   }
 
-  private void onJobEvent(UserSimulator.Moment moment, JobId id) {
-    if (around.clock().seconds() >= untilS || random.nextDouble() >= share) {
+  private void onJobEvent(UserSimulator.JobEvent moment, JobId id) {
+    if (environment.clock().seconds() >= untilS || random.nextDouble() >= share) {
       return;
     }
-    int first = random.nextInt(around.site().nodes());
+    int first = random.nextInt(environment.site().nodes());
     for (int i = 0; i < REQUESTS_PER_EVENT; i++) {
-      sendTo(first + i, UserSimulator.Asks.STATE, id);
+      sendTo(first + i, UserSimulator.RequestKind.STATE, id);
     }
-    sendTo(random.nextInt(around.site().nodes()), UserSimulator.Asks.AGAIN, id);
-    if (moment == UserSimulator.Moment.ACCEPTED && random.nextDouble() < cancelShare) {
-      sendTo(random.nextInt(around.site().nodes()), UserSimulator.Asks.CANCEL, id);
-      around.clock().after(REQUEST_WINDOW_S, () -> around.users().cancel(id));
+    sendTo(random.nextInt(environment.site().nodes()), UserSimulator.RequestKind.AGAIN, id);
+    if (moment == UserSimulator.JobEvent.ACCEPTED && random.nextDouble() < cancelShare) {
+      sendTo(random.nextInt(environment.site().nodes()), UserSimulator.RequestKind.CANCEL, id);
+      environment.clock().after(REQUEST_WINDOW_S, () -> environment.users().cancel(id));
     }
   }
 
-  private void sendTo(int node, UserSimulator.Asks what, JobId id) {
-    around
+  private void sendTo(int node, UserSimulator.RequestKind what, JobId id) {
+    environment
         .clock()
         .after(
             REQUEST_WINDOW_S * random.nextDouble(),
-            () -> around.users().once(node % around.site().nodes(), what, id));
+            () -> environment.users().sendOnce(node % environment.site().nodes(), what, id));
   }
 }
--- a/src/main/java/org/quincecross/emulator/DependencyInvariants.java
+++ b/src/main/java/org/quincecross/emulator/DependencyInvariants.java
@@ -11,7 +11,7 @@
 
 /** Checks the rules for jobs with dependencies against what machines do and what users are told. */
 final class DependencyInvariants {
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final BiConsumer<String, Object> violations;
 
   /** Since when the users of a job know that one of its dependencies is cancelled. */
@@ -29,15 +29,15 @@
   /**
    * @param breaks receives a broken rule and what broke it
    */
-  DependencyInvariants(ClusterEnvironment around, BiConsumer<String, Object> breaks) {
-    this.around = around;
+  DependencyInvariants(ClusterEnvironment environment, BiConsumer<String, Object> breaks) {
+    this.environment = environment;
     this.violations = breaks;
   }
 
   /** A job with dependencies is submitted; some of them may already be known to be cancelled. */
   void submitted(JobId id) {
-    for (JobId each : around.pipelines().allDependencies(id)) {
-      Double at = around.rules().cancelledAt(each);
+    for (JobId each : environment.pipelines().allDependencies(id)) {
+      Double at = environment.invariants().cancelledAt(each);
       if (at != null) {
         dependencyCancelledAt.merge(id, at, Math::min);
       }
@@ -50,11 +50,13 @@
    */
   void answered(JobId id, int status) {
     boolean known =
-        around.pipelines().dependencies(id).stream().allMatch(around.users().told()::containsKey);
+        environment.pipelines().dependencies(id).stream()
+            .allMatch(environment.users().reportedStates()::containsKey);
     boolean accepted = status == 200 || status == 201;
     if (accepted && !known) {
       violations.accept(
-          "names_unknown", id + " is accepted, and names " + around.pipelines().dependencies(id));
+          "names_unknown",
+          id + " is accepted, and names " + environment.pipelines().dependencies(id));
     } else if (!accepted && known) {
       violations.accept(
           "refused",
@@ -62,14 +64,14 @@
               + " gets "
               + status
               + ", and all that it names were accepted: "
-              + around.pipelines().dependencies(id));
+              + environment.pipelines().dependencies(id));
     }
   }
 
   /** A task is now on a machine. */
   void starts(TaskId task) {
-    for (JobId each : around.pipelines().dependencies(task.job())) {
-      if (!around.rules().isComplete(each)) {
+    for (JobId each : environment.pipelines().dependencies(task.job())) {
+      if (!environment.invariants().isComplete(each)) {
         violations.accept("too_early", task + " before " + each);
       }
     }
@@ -84,11 +86,12 @@
   private boolean mustBeCancelledByNow(JobId id) {
     Double at = dependencyCancelledAt.get(id);
     return at != null
-        && around.clock().seconds() > at + around.site().workers().cancelTimeout().seconds();
+        && environment.clock().seconds()
+            > at + environment.site().workers().cancelTimeout().seconds();
   }
 
   private void checkGone(JobId id) {
-    if (mustBeCancelledByNow(id) && around.rules().onMachines(id) > 0 && late.add(id)) {
+    if (mustBeCancelledByNow(id) && environment.invariants().onMachines(id) > 0 && late.add(id)) {
       violations.accept("ran_cancelled", id + " after one that it needs was cancelled");
     }
   }
@@ -96,13 +99,14 @@
   /** Users were told the state of a job. */
   void knownCancelled(JobId id, String state) {
     if (state.equals("cancelled") && knownCancelled.add(id)) {
-      around
+      environment
           .pipelines()
           .visitDependents(
               id,
-              each -> dependencyCancelledAt.putIfAbsent(each, around.clock().seconds()) == null);
-    } else if (state.equals("done") && around.users().isCancelAsked(id)) {
-      around.pipelines().allDependents(id).forEach(this::checkCancelled);
+              each ->
+                  dependencyCancelledAt.putIfAbsent(each, environment.clock().seconds()) == null);
+    } else if (state.equals("done") && environment.users().isCancelRequested(id)) {
+      environment.pipelines().allDependents(id).forEach(this::checkCancelled);
     } else if ((state.equals("queued") || state.equals("running"))
         && mustBeCancelledByNow(id)
         && orphaned.add(id)) {
@@ -112,8 +116,8 @@
 
   /** A cancellation that was answered with {@code done} cancels no dependent job. */
   private void checkCancelled(JobId id) {
-    if ("cancelled".equals(around.rules().lastReportedState(id))
-        && !around.users().isCancelAsked(id)
+    if ("cancelled".equals(environment.invariants().lastReportedState(id))
+        && !environment.users().isCancelRequested(id)
         && !isDependencyCancelRequested(id)) {
       violations.accept(
           "went_back",
@@ -128,14 +132,15 @@
   boolean isDependencyCancelRequested(JobId id) {
     if (!cancelledWithDependency.contains(id)) {
       List<JobId> asked =
-          around.pipelines().allDependencies(id).stream()
+          environment.pipelines().allDependencies(id).stream()
               .filter(
                   each ->
-                      around.users().isCancelAsked(each)
-                          && !"done".equals(around.rules().lastReportedState(each)))
+                      environment.users().isCancelRequested(each)
+                          && !"done".equals(environment.invariants().lastReportedState(each)))
               .toList();
       if (asked.stream()
-          .noneMatch(each -> "cancelled".equals(around.rules().lastReportedState(each)))) {
+          .noneMatch(
+              each -> "cancelled".equals(environment.invariants().lastReportedState(each)))) {
         return !asked.isEmpty();
       }
       cancelledWithDependency.add(id);
--- a/src/main/java/org/quincecross/emulator/DependentJobs.java
+++ b/src/main/java/org/quincecross/emulator/DependentJobs.java
@@ -29,17 +29,17 @@
   /** A job of a pipeline, and when it is submitted. */
   record PipelineJob(Job job, SubmitCondition when) {}
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Map<JobId, Set<JobId>> dependents = new HashMap<>();
   private final List<PipelineJob> pending = new ArrayList<>();
 
-  DependentJobs(ClusterEnvironment around) {
-    this.around = around;
+  DependentJobs(ClusterEnvironment environment) {
+    this.environment = environment;
   }
 
   /** The direct dependencies of a job; none if it is in no pipeline. */
   Set<JobId> dependencies(JobId id) {
-    Job job = around.job(id);
+    Job job = environment.job(id);
     return job == null ? Set.of() : job.dependencies();
   }
 
@@ -85,12 +85,12 @@
   }
 
   private boolean isOver(JobId id) {
-    String told = around.users().told().get(id);
+    String told = environment.users().reportedStates().get(id);
     return "done".equals(told) || "cancelled".equals(told);
   }
 
   private boolean isReleased(JobId id) {
-    return dependencies(id).stream().allMatch(each -> around.rules().isComplete(each));
+    return dependencies(id).stream().allMatch(each -> environment.invariants().isComplete(each));
   }
 
   // ---- submissions ----
@@ -106,9 +106,9 @@
     job.dependencies()
         .forEach(
             each -> dependents.computeIfAbsent(each, named -> new LinkedHashSet<>()).add(job.id()));
-    around.pipelineRules().submitted(job.id());
+    environment.dependencyInvariants().submitted(job.id());
     if (isReleased(job.id())) {
-      around.served().accepted(job, around.now());
+      environment.accounting().accepted(job, environment.now());
     }
   }
 
@@ -119,18 +119,20 @@
               .allMatch(
                   step.when() == SubmitCondition.ONCE_OVER
                       ? this::isOver
-                      : around.users().told()::containsKey);
+                      : environment.users().reportedStates()::containsKey);
       if (due && pending.remove(step)) {
-        around.users().submit(step.job());
+        environment.users().submit(step.job());
       }
     }
   }
 
   /** Users were told the state of a job. */
   void onStateReported(JobId id, String state) {
-    around.pipelineRules().knownCancelled(id, state);
+    environment.dependencyInvariants().knownCancelled(id, state);
     if (state.equals("cancelled")) {
-      around.served().cancelled(id, around.now()); // possibly cancelled with a dependency
+      environment
+          .accounting()
+          .cancelled(id, environment.now()); // possibly cancelled with a dependency
     }
     if (!pending.isEmpty()) {
       submitPending();
@@ -140,7 +142,7 @@
   /** A submission got a final answer. */
   void onSubmissionAnswered(JobId id, int status) {
     if (!dependencies(id).isEmpty()) {
-      around.pipelineRules().answered(id, status);
+      environment.dependencyInvariants().answered(id, status);
     }
   }
 
@@ -150,9 +152,9 @@
   void completed(JobId id) {
     for (JobId each : dependents.getOrDefault(id, Set.of())) {
       if (isReleased(each)
-          && !around.rules().isComplete(each)
-          && around.rules().cancelledAt(each) == null) {
-        around.served().accepted(around.job(each), around.now());
+          && !environment.invariants().isComplete(each)
+          && environment.invariants().cancelledAt(each) == null) {
+        environment.accounting().accepted(environment.job(each), environment.now());
       }
     }
   }
--- a/src/main/java/org/quincecross/emulator/Drill.java
+++ b/src/main/java/org/quincecross/emulator/Drill.java
@@ -73,7 +73,7 @@
   private static final double RECOVERY_TIMEOUT_S = 150;
 
   private final Kind kind;
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final List<ControllerProcess> controllers;
 
   /** The commands of the controllers before and after a rolling upgrade; empty if there is none. */
@@ -93,14 +93,14 @@
 
   Drill(
       Kind kind,
-      ClusterEnvironment around,
+      ClusterEnvironment environment,
       List<ControllerProcess> controllers,
       List<List<String>> before,
       List<List<String>> after) {
     this.commandsBefore = before;
     this.commandsAfter = after;
     this.kind = kind;
-    this.around = around;
+    this.environment = environment;
     this.controllers = controllers;
     this.result = Json.object("kind", kind.toString().toLowerCase(java.util.Locale.ROOT));
   }
@@ -127,24 +127,24 @@
   /** The only place where the phase changes. */
   private void enter(Phase next) {
     phase = next;
-    phaseSince = around.clock().seconds();
+    phaseSince = environment.clock().seconds();
   }
 
   /** Injects the fault once the replicas run, but not earlier than {@code afterS} from now. */
   void begin(double afterS) {
-    notBefore = around.clock().seconds() + afterS;
+    notBefore = environment.clock().seconds() + afterS;
     enter(Phase.WAITS_FOR_REPLICAS);
-    around.clock().after(CHECK_INTERVAL_S, this::check);
+    environment.clock().after(CHECK_INTERVAL_S, this::check);
   }
 
   private void check() {
-    double now = around.clock().seconds();
+    double now = environment.clock().seconds();
     switch (phase) {
       case WAITS_FOR_REPLICAS -> {
         if (now >= notBefore && replicasMissing() == 0 && allAccepted()) {
           result.put("replicas", replicas());
-          result.put("machines", around.cloud().workers().size());
-          acceptedBefore = around.users().acceptedAfter().size();
+          result.put("machines", environment.cloud().workers().size());
+          acceptedBefore = environment.users().acceptedAfter().size();
           faultAt = now;
           enter(Phase.TROUBLE);
           injectFault();
@@ -185,7 +185,7 @@
       default -> throw new IllegalStateException(phase.toString());
     }
     if (phase != Phase.OVER && phase != Phase.FAILED) {
-      around.clock().after(CHECK_INTERVAL_S, this::check);
+      environment.clock().after(CHECK_INTERVAL_S, this::check);
     }
   }
 
@@ -194,43 +194,45 @@
       switch (kind) {
         case RESTART -> {
           controllers.forEach(ControllerProcess::kill);
-          faultAt = around.clock().seconds();
+          faultAt = environment.clock().seconds();
           for (ControllerProcess controller : controllers) {
             controller.start();
           }
           enter(Phase.RECOVERY);
         }
         case ZONE -> {
-          double length = ZONE_OUTAGE_LEASES * around.site().workers().lease().seconds();
-          String zone = around.site().nodeZones().get(0);
+          double length = ZONE_OUTAGE_LEASES * environment.site().workers().lease().seconds();
+          String zone = environment.site().nodeZones().get(0);
           controllers.get(0).setSuspended(true);
-          around.cloud().workers().stream()
+          environment.cloud().workers().stream()
               .filter(worker -> worker.machine().zone().equals(zone))
               .forEach(worker -> worker.suspend(length));
           endFaultAfter(length, () -> controllers.get(0).setSuspended(false));
         }
         case STATE -> {
-          around.state().outage(STATE_OUTAGE_S);
+          environment.state().outage(STATE_OUTAGE_S);
           endFaultAfter(STATE_OUTAGE_S, () -> {});
         }
         case WORKERS -> {
-          List<MachineId> machines = new ArrayList<>(around.cloud().machines());
+          List<MachineId> machines = new ArrayList<>(environment.cloud().machines());
           for (int i = 0; i < machines.size(); i += 2) {
-            around.cloud().terminate(machines.get(i), 0);
+            environment.cloud().terminate(machines.get(i), 0);
           }
           result.put("machines_lost", (machines.size() + 1) / 2);
           enter(Phase.RECOVERY);
         }
         case DEAF -> {
-          double length = INBOUND_LOSS_LEASES * around.site().workers().lease().seconds();
-          List<AgentSimulator> workers = around.cloud().workers();
+          double length = INBOUND_LOSS_LEASES * environment.site().workers().lease().seconds();
+          List<AgentSimulator> workers = environment.cloud().workers();
           for (int i = 0; i < workers.size(); i += INBOUND_LOSS_ONE_IN) {
             workers.get(i).dropInbound(length);
           }
           result.put(
               "machines_deaf", (workers.size() + INBOUND_LOSS_ONE_IN - 1) / INBOUND_LOSS_ONE_IN);
-          around.clock().after(KILL_DELAY_S, () -> controllers.get(0).kill());
-          around.clock().after(KILL_DELAY_S + RESTART_DELAY_S, () -> start(controllers.get(0)));
+          environment.clock().after(KILL_DELAY_S, () -> controllers.get(0).kill());
+          environment
+              .clock()
+              .after(KILL_DELAY_S + RESTART_DELAY_S, () -> start(controllers.get(0)));
           endFaultAfter(
               length,
               () -> {
@@ -240,7 +242,7 @@
                 }
               });
         }
-        case HOLD -> holdDrill = new HoldDrill(around, controllers, result);
+        case HOLD -> holdDrill = new HoldDrill(environment, controllers, result);
         case ROLL -> {
           replace(0, 0, commandsAfter);
           replace(1, 0, commandsBefore);
@@ -248,21 +250,24 @@
             replace(2 + node, node, commandsAfter);
           }
           double allNewAfterS = (1 + controllers.size()) * REPLACEMENT_INTERVAL_S;
-          around.clock().after(allNewAfterS, () -> onAllReplaced.run());
-          around
+          environment.clock().after(allNewAfterS, () -> onAllReplaced.run());
+          environment
               .clock()
               .after(
                   allNewAfterS + REPLACEMENT_INTERVAL_S,
                   () -> {
-                    around.state().limit(around.site().stateLimits().min(ClusterSpec.TRY_OUT_NEXT));
+                    environment
+                        .state()
+                        .limit(environment.site().stateLimits().min(ClusterSpec.TRY_OUT_NEXT));
                     result.put(
-                        "limits_lowered_s", LocalCluster.round(around.clock().seconds() - faultAt));
+                        "limits_lowered_s",
+                        LocalCluster.round(environment.clock().seconds() - faultAt));
                   });
         }
         case MODEL -> {
           modelDrill =
               new ModelDrill(
-                  around,
+                  environment,
                   controllers,
                   result,
                   () -> enter(modelDrill.hasFailed() ? Phase.FAILED : Phase.RECOVERY));
@@ -276,7 +281,7 @@
   }
 
   private void replace(int step, int node, List<List<String>> commands) {
-    around
+    environment
         .clock()
         .after(
             step * REPLACEMENT_INTERVAL_S,
@@ -315,7 +320,7 @@
     missingS += replicasMissing() > 0 ? CHECK_INTERVAL_S : 0;
     result.put("replicas_missing_s", LocalCluster.round(missingS));
     boolean risen =
-        around.state().value("q/level") instanceof Map<?, ?> level
+        environment.state().value("q/level") instanceof Map<?, ?> level
             && level.get("level") instanceof Number number
             && number.intValue() > 1;
     if (risen && result.containsKey("limits_lowered_s")) {
@@ -323,7 +328,7 @@
       result.put(
           "longest_answer_s",
           LocalCluster.round(
-              around.users().longest().values().stream()
+              environment.users().longestResponseS().values().stream()
                   .mapToDouble(each -> each)
                   .max()
                   .orElse(0)));
@@ -341,7 +346,7 @@
   }
 
   private void endFaultAfter(double afterS, FaultEnd end) {
-    around
+    environment
         .clock()
         .after(
             afterS,
@@ -358,7 +363,7 @@
 
   private void measure(double now) {
     double began = kind == Kind.RESTART ? faultAt : phaseSince;
-    List<AgentSimulator> workers = around.cloud().workers();
+    List<AgentSimulator> workers = environment.cloud().workers();
     if (workers.stream().anyMatch(worker -> worker.lastAnsweredReportAt() > began)) {
       result.putIfAbsent("first_report_answered_s", LocalCluster.round(now - faultAt));
     }
@@ -368,28 +373,28 @@
     if (replicasMissing() == 0 && result.containsKey("all_workers_s")) {
       result.putIfAbsent("all_replicas_s", LocalCluster.round(now - faultAt));
     }
-    if (around.users().acceptedAfter().size() > acceptedBefore) {
+    if (environment.users().acceptedAfter().size() > acceptedBefore) {
       result.putIfAbsent("first_job_accepted_s", LocalCluster.round(now - faultAt));
     }
   }
 
   private long workersUnanswered() {
     double began = kind == Kind.RESTART ? faultAt : phaseSince;
-    return around.cloud().workers().stream()
+    return environment.cloud().workers().stream()
         .filter(worker -> worker.lastAnsweredReportAt() <= began)
         .count();
   }
 
   private boolean allAccepted() {
-    return around.users().submitted() > 0
-        && around.users().acceptedAfter().size() >= around.users().submitted();
+    return environment.users().submitted() > 0
+        && environment.users().acceptedAfter().size() >= environment.users().submitted();
   }
 
   private Set<Job> services() {
     Set<Job> services = new HashSet<>();
-    for (JobId id : around.users().told().keySet()) {
-      Job job = around.job(id);
-      if (job.kind() == JobKind.SERVICE && around.rules().cancelledAt(id) == null) {
+    for (JobId id : environment.users().reportedStates().keySet()) {
+      Job job = environment.job(id);
+      if (job.kind() == JobKind.SERVICE && environment.invariants().cancelledAt(id) == null) {
         services.add(job);
       }
     }
@@ -402,7 +407,7 @@
 
   private int replicasMissing() {
     return services().stream()
-        .mapToInt(job -> job.taskCount() - around.rules().onMachines(job.id()))
+        .mapToInt(job -> job.taskCount() - environment.invariants().onMachines(job.id()))
         .sum();
   }
 }
--- a/src/main/java/org/quincecross/emulator/HoldDrill.java
+++ b/src/main/java/org/quincecross/emulator/HoldDrill.java
@@ -43,7 +43,7 @@
   private static final double PIN_TIMEOUT_S = 60;
   private static final double LEVEL_TIMEOUT_S = 90;
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final List<ControllerProcess> controllers;
   private final Map<String, Object> result;
   private State state = State.WAITS_FOR_LEVEL;
@@ -52,11 +52,13 @@
   private String lane;
 
   HoldDrill(
-      ClusterEnvironment around, List<ControllerProcess> controllers, Map<String, Object> result) {
-    this.around = around;
+      ClusterEnvironment environment,
+      List<ControllerProcess> controllers,
+      Map<String, Object> result) {
+    this.environment = environment;
     this.controllers = controllers;
     this.result = result;
-    this.stateSince = around.clock().seconds();
+    this.stateSince = environment.clock().seconds();
   }
 
   State state() {
@@ -66,7 +68,7 @@
   /** The only place where the state changes. */
   private void enter(State next) {
     state = next;
-    stateSince = around.clock().seconds();
+    stateSince = environment.clock().seconds();
   }
 
   private void fail(String why) {
@@ -76,13 +78,13 @@
 
   /** Advances the drill; called several times a second. */
   void advance() {
-    double now = around.clock().seconds();
+    double now = environment.clock().seconds();
     switch (state) {
       case WAITS_FOR_LEVEL -> {
         lane = laneOfOpenArray();
         if (lane == null) {
           fail("no array is left that could be a sweep");
-        } else if (around.state().value("q/level") instanceof Map<?, ?> level
+        } else if (environment.state().value("q/level") instanceof Map<?, ?> level
             && level.get("level") instanceof Number number
             && number.intValue() > 2) {
           enter(State.TELLS_LANE);
@@ -106,7 +108,7 @@
             REFERENCE,
             Json.object("do", "open", "records", List.of(SERIES)),
             () -> {});
-        around.clock().after(KILL_DELAY_S, this::kill);
+        environment.clock().after(KILL_DELAY_S, this::kill);
       }
       case PINNING -> {
         if ("PINNED".equals(holdRecord())) {
@@ -143,7 +145,7 @@
 
   private void kill() {
     controllers.get(1).kill();
-    around
+    environment
         .clock()
         .after(
             RESTART_DELAY_S,
@@ -157,7 +159,7 @@
   }
 
   private Object holdRecord() {
-    return around.state().value("q/agreed/" + LegalHoldKind.NAME + "/" + REFERENCE)
+    return environment.state().value("q/agreed/" + LegalHoldKind.NAME + "/" + REFERENCE)
                 instanceof Map<?, ?> record
             && record.get("state") instanceof Map<?, ?> hold
         ? hold.get("state")
@@ -166,9 +168,10 @@
 
   /** The lane of an array that has not ended, or null. */
   private String laneOfOpenArray() {
-    for (JobId id : around.users().told().keySet()) {
-      Job job = around.job(id);
-      if (job.kind() == JobKind.ARRAY && !"done".equals(around.users().told().get(id))) {
+    for (JobId id : environment.users().reportedStates().keySet()) {
+      Job job = environment.job(id);
+      if (job.kind() == JobKind.ARRAY
+          && !"done".equals(environment.users().reportedStates().get(id))) {
         return job.jobClass();
       }
     }
@@ -176,9 +179,9 @@
   }
 
   private int runningTasksOfLane() {
-    return around.users().told().keySet().stream()
-        .filter(id -> around.job(id).jobClass().equals(lane))
-        .mapToInt(around.rules()::onMachines)
+    return environment.users().reportedStates().keySet().stream()
+        .filter(id -> environment.job(id).jobClass().equals(lane))
+        .mapToInt(environment.invariants()::onMachines)
         .sum();
   }
 
@@ -205,7 +208,7 @@
           } else if (status >= 400 && status < 500 && status != 429 && status != 409) {
             fail("refused with " + status);
           } else {
-            around
+            environment
                 .clock()
                 .after(
                     RETRY_DELAY_S,
@@ -213,12 +216,12 @@
                         sendUntilApplied((node + 1) % controllers.size(), kind, id, command, done));
           }
         };
-    around
+    environment
         .network()
         .call(
             new ProcessScope(),
             "users",
-            around.node(node),
+            environment.node(node),
             HttpRequest.post("/admin/agreed/" + kind + "/" + id, body),
             TIMEOUT,
             answered);
--- a/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
+++ b/src/main/java/org/quincecross/emulator/IdleCapacityInvariant.java
@@ -23,13 +23,13 @@
 
   private record WaitingJob(double since, int started) {}
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Map<JobId, WaitingJob> waiting = new HashMap<>();
   private final Set<JobId> reported = new HashSet<>();
   private boolean isWatching;
 
-  IdleCapacityInvariant(ClusterEnvironment around) {
-    this.around = around;
+  IdleCapacityInvariant(ClusterEnvironment environment) {
+    this.environment = environment;
   }
 
   /** All faults have ended: starts the checks. */
@@ -42,39 +42,45 @@
 
   private void check() {
     List<AgentSimulator> open =
-        around.cloud().workers().stream().filter(AgentSimulator::canRunTasks).toList();
-    for (JobId id : List.copyOf(around.users().told().keySet())) {
-      if (!around.users().isOpen(id)
-          || around.users().isCancelAsked(id)
-          || around.users().isMistaken(id)
-          || !hasRoom(around.job(id), open)) {
+        environment.cloud().workers().stream().filter(AgentSimulator::canRunTasks).toList();
+    for (JobId id : List.copyOf(environment.users().reportedStates().keySet())) {
+      if (!environment.users().isOpen(id)
+          || environment.users().isCancelRequested(id)
+          || environment.users().isMisconfigured(id)
+          || !hasRoom(environment.job(id), open)) {
         waiting.remove(id);
         continue;
       }
-      double now = around.clock().seconds();
-      int started = around.rules().started(id);
+      double now = environment.clock().seconds();
+      int started = environment.invariants().started(id);
       WaitingJob before = waiting.get(id);
       if (before == null || before.started() != started) {
         waiting.put(id, new WaitingJob(now, started));
       } else if (now - before.since() >= MAX_WAIT_S && reported.add(id)) {
-        around.rules().onLeftWaiting(id, now - before.since());
+        environment.invariants().onLeftWaiting(id, now - before.since());
       }
     }
-    around.clock().after(1, this::check);
+    environment.clock().after(1, this::check);
   }
 
   /** Whether the next tasks of a job could start: one task, or all tasks of a gang. */
   private boolean hasRoom(Job job, List<AgentSimulator> open) {
     int next = 0;
     while (next < job.taskCount()
-        && (around.rules().isCompleted(job.id().task(next))
-            || around.rules().isOn(job.id().task(next)))) {
+        && (environment.invariants().isCompleted(job.id().task(next))
+            || environment.invariants().isOn(job.id().task(next)))) {
       next++;
     }
     int together = job.kind() == JobKind.GANG ? job.taskCount() : 1;
     Resources left =
-        around.site().teams().get(job.team()).limit().minus(around.rules().used(job.team()));
-    boolean isBegunGang = job.kind() == JobKind.GANG && around.rules().onMachines(job.id()) > 0;
+        environment
+            .site()
+            .teams()
+            .get(job.team())
+            .limit()
+            .minus(environment.invariants().used(job.team()));
+    boolean isBegunGang =
+        job.kind() == JobKind.GANG && environment.invariants().onMachines(job.id()) > 0;
     if (next == job.taskCount()
         || isBegunGang
         || left.capacityFor(job.taskResources()) < together) {
@@ -101,14 +107,16 @@
    * permits there.
    */
   private int permittedInZone(Job job, String zone, int room) {
-    List<String> zones = new ArrayList<>(around.site().zones());
-    zones.removeIf(each -> around.rules().onMachines(job.id(), each) == 0);
+    List<String> zones = new ArrayList<>(environment.site().zones());
+    zones.removeIf(each -> environment.invariants().onMachines(job.id(), each) == 0);
     if (job.singleZone() && !zones.isEmpty() && !zones.contains(zone)) {
       return 0;
     }
     return job.spreadOverZones()
         ? Math.min(
-            room, Math.max(0, job.maxTasksPerZone() - around.rules().onMachines(job.id(), zone)))
+            room,
+            Math.max(
+                0, job.maxTasksPerZone() - environment.invariants().onMachines(job.id(), zone)))
         : room;
   }
 }
--- a/src/main/java/org/quincecross/emulator/LateCancellations.java
+++ b/src/main/java/org/quincecross/emulator/LateCancellations.java
@@ -24,18 +24,18 @@
    * @param withinS the maximum delay after the end; 0 cancels at that very moment
    */
   static void atEnd(
-      ClusterEnvironment around, double share, double withinS, double seconds, Random random) {
-    double untilS = around.clock().seconds() + seconds;
-    around
+      ClusterEnvironment environment, double share, double withinS, double seconds, Random random) {
+    double untilS = environment.clock().seconds() + seconds;
+    environment
         .users()
-        .watch(
+        .addListener(
             (moment, id) -> {
-              if (moment == UserSimulator.Moment.LAST_TASK_ENDED
-                  && around.clock().seconds() < untilS
+              if (moment == UserSimulator.JobEvent.LAST_TASK_ENDED
+                  && environment.clock().seconds() < untilS
                   && random.nextDouble() < share) {
-                around
+                environment
                     .clock()
-                    .after(withinS * random.nextDouble(), () -> around.users().cancel(id));
+                    .after(withinS * random.nextDouble(), () -> environment.users().cancel(id));
               }
             });
   }
@@ -48,12 +48,12 @@
    * @return the cancelled jobs
    */
   static List<JobId> cancelLongRunning(
-      ClusterEnvironment around, int count, double hangS, Random random) {
+      ClusterEnvironment environment, int count, double hangS, Random random) {
     List<JobId> running = new ArrayList<>();
-    for (JobId id : around.users().told().keySet()) {
-      if (around.users().isOpen(id)
-          && !around.users().isCancelAsked(id)
-          && around.rules().onMachines(id) > 0) {
+    for (JobId id : environment.users().reportedStates().keySet()) {
+      if (environment.users().isOpen(id)
+          && !environment.users().isCancelRequested(id)
+          && environment.invariants().onMachines(id) > 0) {
         running.add(id);
       }
     }
@@ -61,17 +61,19 @@
     running.sort(
         (one, other) ->
             Double.compare(
-                around.job(other).estimate().seconds(), around.job(one).estimate().seconds()));
+                environment.job(other).estimate().seconds(),
+                environment.job(one).estimate().seconds()));
     List<JobId> called = List.copyOf(running.subList(0, Math.min(count, running.size())));
     called.forEach(
         id ->
-            around
+            environment
                 .clock()
-                .after(CANCEL_WINDOW_S * random.nextDouble(), () -> around.users().cancel(id)));
+                .after(
+                    CANCEL_WINDOW_S * random.nextDouble(), () -> environment.users().cancel(id)));
     if (hangS > 0) {
       Set<JobId> theirs = new HashSet<>(called);
-      around.cloud().workers().stream()
-          .filter(worker -> around.rules().runsAny(worker.machine().id(), theirs))
+      environment.cloud().workers().stream()
+          .filter(worker -> environment.invariants().runsAny(worker.machine().id(), theirs))
           .limit(MAX_HANGING_MACHINES)
           .forEach(worker -> worker.suspend(hangS));
     }
--- a/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
+++ b/src/main/java/org/quincecross/emulator/LoadBalancerProxy.java
@@ -18,31 +18,31 @@
   private static final TimeSpan PROBE_TIMEOUT = TimeSpan.ofSeconds(1);
   private static final TimeSpan TIMEOUT = TimeSpan.ofSeconds(5);
 
-  private final ClusterEnvironment around;
-  private final ProcessScope life = new ProcessScope();
+  private final ClusterEnvironment environment;
+  private final ProcessScope process = new ProcessScope();
   private final boolean[] healthy;
   private int next;
 
-  LoadBalancerProxy(ClusterEnvironment around) {
-    this.around = around;
-    this.healthy = new boolean[around.site().nodes()];
+  LoadBalancerProxy(ClusterEnvironment environment) {
+    this.environment = environment;
+    this.healthy = new boolean[environment.site().nodes()];
     probe();
   }
 
   private void probe() {
     for (int node = 0; node < healthy.length; node++) {
       int probed = node;
-      around
+      environment
           .network()
           .call(
-              life,
+              process,
               "probe",
-              around.node(node),
+              environment.node(node),
               HttpRequest.get(JobCodec.HEALTH_PATH),
               PROBE_TIMEOUT,
               outcome -> healthy[probed] = outcome.status() == 200);
     }
-    around.clock().after(PROBE_INTERVAL_S, this::probe);
+    environment.clock().after(PROBE_INTERVAL_S, this::probe);
   }
 
   /** The number of controllers that answer and report healthy. */
@@ -63,7 +63,7 @@
   public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
     if (request.path().equals(JobCodec.JOBS_PATH) && request.method().equals("POST")) {
       try {
-        around.users().upload(JobCodec.readRecord(Json.parseFields(request.body())));
+        environment.users().upload(JobCodec.readRecord(Json.parseFields(request.body())));
       } catch (MalformedMessageException e) {
         // the controller reports what is wrong with it
       }
@@ -71,12 +71,12 @@
     for (int tried = 0; tried < healthy.length; tried++) {
       next = (next + 1) % healthy.length;
       if (healthy[next]) {
-        around
+        environment
             .network()
             .call(
-                life,
+                process,
                 "front",
-                around.node(next),
+                environment.node(next),
                 request,
                 TIMEOUT,
                 outcome ->
--- a/src/main/java/org/quincecross/emulator/LoadBalancerSimulator.java
+++ b/src/main/java/org/quincecross/emulator/LoadBalancerSimulator.java
@@ -45,20 +45,20 @@
 
   private static final class Connection {
     private final int node;
-    private ProcessScope life = new ProcessScope();
+    private ProcessScope process = new ProcessScope();
 
     Connection(int node) {
       this.node = node;
     }
   }
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Node[] nodes;
   private final Map<Object, Connection> connections = new HashMap<>();
 
-  LoadBalancerSimulator(ClusterEnvironment around) {
-    this.around = around;
-    nodes = new Node[around.site().nodes()];
+  LoadBalancerSimulator(ClusterEnvironment environment) {
+    this.environment = environment;
+    nodes = new Node[environment.site().nodes()];
     for (int i = 0; i < nodes.length; i++) {
       nodes[i] = new Node();
       probe(i);
@@ -67,7 +67,7 @@
 
   private void enter(Node node, State next) {
     node.state = next;
-    node.stateSince = around.clock().seconds();
+    node.stateSince = environment.clock().seconds();
   }
 
   boolean isHealthy(int node) {
@@ -75,23 +75,25 @@
   }
 
   private void probe(int number) {
-    around
+    environment
         .network()
         .call(
             new ProcessScope(),
             "users",
-            around.node(number),
+            environment.node(number),
             HttpRequest.get(JobCodec.HEALTH_PATH),
             TimeSpan.ofSeconds(1),
             outcome -> probed(number, outcome.status() == 200));
-    around
+    environment
         .clock()
-        .after(PROBE_INTERVAL_S * (0.9 + 0.2 * around.random().nextDouble()), () -> probe(number));
+        .after(
+            PROBE_INTERVAL_S * (0.9 + 0.2 * environment.random().nextDouble()),
+            () -> probe(number));
   }
 
   private void probed(int number, boolean succeeded) {
     Node node = nodes[number];
-    double now = around.clock().seconds();
+    double now = environment.clock().seconds();
     node.consecutiveSuccesses = succeeded ? node.consecutiveSuccesses + 1 : 0;
     node.consecutiveFailures = succeeded ? 0 : node.consecutiveFailures + 1;
     node.recentFailures =
@@ -101,13 +103,13 @@
       node.removals.removeIf(at -> now - at > REMOVAL_MEMORY_S);
       node.removals.add(now);
       enter(node, State.UNHEALTHY);
-      around
+      environment
           .clock()
           .after(
               RESET_AFTER_S,
               () -> {
                 if (node.state == State.UNHEALTHY
-                    && around.clock().seconds() - node.stateSince >= RESET_AFTER_S - 0.01) {
+                    && environment.clock().seconds() - node.stateSince >= RESET_AFTER_S - 0.01) {
                   connections.values().stream()
                       .filter(each -> each.node == number)
                       .toList()
@@ -131,7 +133,7 @@
     if (connections.values().remove(connection)) {
       nodes[connection.node].openConnections--;
     }
-    connection.life.end();
+    connection.process.end();
   }
 
   private int leastLoadedNode() {
@@ -139,8 +141,9 @@
     double leastLoad = 0;
     for (int i = 0; i < nodes.length; i++) {
       double slowStartWeight =
-          Math.min(1, 0.1 + (around.clock().seconds() - nodes[i].stateSince) / SLOW_START_S);
-      double load = (nodes[i].openConnections + around.random().nextDouble()) / slowStartWeight;
+          Math.min(1, 0.1 + (environment.clock().seconds() - nodes[i].stateSince) / SLOW_START_S);
+      double load =
+          (nodes[i].openConnections + environment.random().nextDouble()) / slowStartWeight;
       if (nodes[i].state == State.HEALTHY && (leastLoaded < 0 || load < leastLoad)) {
         leastLoaded = i;
         leastLoad = load;
@@ -158,7 +161,7 @@
     if (existing == null) {
       int node = leastLoadedNode();
       if (node < 0) {
-        around.clock().after(0.001, () -> done.accept(HttpOutcome.failed(false)));
+        environment.clock().after(0.001, () -> done.accept(HttpOutcome.failed(false)));
         return;
       }
       existing = new Connection(node);
@@ -177,16 +180,16 @@
             done.accept(outcome);
           }
         };
-    around
+    environment
         .network()
         .call(
-            connection.life,
+            connection.process,
             "users",
-            around.node(connection.node),
+            environment.node(connection.node),
             request,
             TimeSpan.ofSeconds(timeoutS),
             once);
-    around
+    environment
         .clock()
         .after(
             timeoutS + 0.01,
--- a/src/main/java/org/quincecross/emulator/LocalCluster.java
+++ b/src/main/java/org/quincecross/emulator/LocalCluster.java
@@ -95,9 +95,9 @@
   private final Clock clock = new LoopClock(loop);
   private final LoopbackNetwork network;
   private final List<ControllerProcess> controllers = new ArrayList<>();
-  private final List<WorkloadFile.Due> jobs;
+  private final List<WorkloadFile.ScheduledJob> jobs;
   private final Path directory;
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final LoadBalancerProxy front;
   private final Drill drill;
   private State state = State.STARTING;
@@ -131,14 +131,14 @@
     }
     network = new LoopbackNetwork(loop, plan.basePort() + MACHINE_PORT);
     for (int node = 0; node < site.nodes(); node++) {
-      network.callerAt(states.get(node), ClusterSpec.nodeName(node));
+      network.setCaller(states.get(node), ClusterSpec.nodeName(node));
     }
     directory = Files.createTempDirectory("quincecross-try-");
     try {
-      around =
+      environment =
           new ClusterEnvironment(
               site, clock, network, new Random(plan.machines()), nodes, cloud, states);
-      front = new LoadBalancerProxy(around);
+      front = new LoadBalancerProxy(environment);
       network.host(plan.front(), "front", front);
     } catch (UncheckedIOException e) {
       deleteDirectory();
@@ -177,7 +177,9 @@
               command, plan.home(), directory.resolve(ClusterSpec.nodeName(node) + ".log")));
     }
     drill =
-        plan.drill() == null ? null : new Drill(plan.drill(), around, controllers, before, after);
+        plan.drill() == null
+            ? null
+            : new Drill(plan.drill(), environment, controllers, before, after);
   }
 
   /**
@@ -315,12 +317,12 @@
 
   private void tick() {
     controllers.forEach(ControllerProcess::sampleFootprint);
-    peakTasks = Math.max(peakTasks, around.rules().onMachines());
+    peakTasks = Math.max(peakTasks, environment.invariants().onMachines());
     double now = clock.seconds();
     switch (state) {
       case STARTING -> {
         boolean heard =
-            around.cloud().workers().stream()
+            environment.cloud().workers().stream()
                 .anyMatch(worker -> worker.lastAnsweredReportAt() >= 0);
         if (front.healthyCount() == site.nodes() && heard) {
           readyAt = now;
@@ -328,7 +330,7 @@
           printLine(
               String.format(
                   "ready after %.1f s: %d controllers, %d machines; users reach them at %s",
-                  now, site.nodes(), around.cloud().workers().size(), plan.front()));
+                  now, site.nodes(), environment.cloud().workers().size(), plan.front()));
           submit();
           if (drill != null) {
             drill.begin(jobs.get(jobs.size() - 1).atS());
@@ -344,12 +346,12 @@
         boolean timeIsUp = now - readyAt > plan.forS();
         if (timeIsUp
             || (allSubmitted() && openWork().isEmpty() && (drill == null || drill.isOver()))) {
-          services().forEach(id -> around.users().cancel(id));
+          services().forEach(id -> environment.users().cancel(id));
           enter(State.FINISHING);
         }
       }
       case FINISHING -> {
-        if ((services().isEmpty() && around.rules().onMachines() == 0)
+        if ((services().isEmpty() && environment.invariants().onMachines() == 0)
             || now - stateSince > STOP_SERVICES_TIMEOUT_S) {
           enter(State.OVER);
         }
@@ -368,16 +370,16 @@
    * Jobs with dependencies are submitted only once a rolling upgrade has replaced all controllers.
    */
   private void submit() {
-    List<WorkloadFile.Due> later =
+    List<WorkloadFile.ScheduledJob> later =
         jobs.stream()
             .filter(due -> plan.drill() == Drill.Kind.ROLL && !due.job().dependencies().isEmpty())
             .toList();
     if (!later.isEmpty()) {
-      drill.whenAllReplaced(() -> later.forEach(due -> around.pipelines().submit(due.step())));
+      drill.whenAllReplaced(() -> later.forEach(due -> environment.pipelines().submit(due.step())));
     }
     jobs.stream()
         .filter(due -> !later.contains(due))
-        .forEach(due -> clock.after(due.atS(), () -> around.pipelines().submit(due.step())));
+        .forEach(due -> clock.after(due.atS(), () -> environment.pipelines().submit(due.step())));
   }
 
   private String failures() {
@@ -406,29 +408,29 @@
   }
 
   private boolean allSubmitted() {
-    return around.users().submitted() >= jobs.size();
+    return environment.users().submitted() >= jobs.size();
   }
 
   private boolean isOver(JobId id) {
-    String told = around.users().told().get(id);
+    String told = environment.users().reportedStates().get(id);
     return "done".equals(told) || "cancelled".equals(told);
   }
 
   /** The arrays and gangs that have not ended. */
   private List<Job> openWork() {
     return jobs.stream()
-        .map(WorkloadFile.Due::job)
+        .map(WorkloadFile.ScheduledJob::job)
         .filter(job -> job.kind() != JobKind.SERVICE && !isOver(job.id()))
         .toList();
   }
 
   private List<JobId> services() {
     return jobs.stream()
-        .map(WorkloadFile.Due::job)
+        .map(WorkloadFile.ScheduledJob::job)
         .filter(
             job ->
                 job.kind() == JobKind.SERVICE
-                    && around.users().told().containsKey(job.id())
+                    && environment.users().reportedStates().containsKey(job.id())
                     && !isOver(job.id()))
         .map(Job::id)
         .toList();
@@ -463,10 +465,10 @@
             state.toString().toLowerCase(java.util.Locale.ROOT),
             front.healthyCount(),
             site.nodes(),
-            around.cloud().workers().size(),
-            around.users().submitted(),
+            environment.cloud().workers().size(),
+            environment.users().submitted(),
             ended.size(),
-            around.rules().onMachines(),
+            environment.invariants().onMachines(),
             drill == null ? "" : "  drill " + drill.phase());
     output.print(plan.live() ? "\r\033[K" + line : line + System.lineSeparator());
     output.flush();
@@ -474,8 +476,8 @@
 
   private int printSummary() {
     List<String> unfinished = new ArrayList<>();
-    for (WorkloadFile.Due due : jobs) {
-      String told = around.users().told().get(due.job().id());
+    for (WorkloadFile.ScheduledJob due : jobs) {
+      String told = environment.users().reportedStates().get(due.job().id());
       String wanted = due.job().kind() == JobKind.SERVICE ? "cancelled" : "done";
       if (!wanted.equals(told)) {
         unfinished.add(
@@ -486,7 +488,7 @@
                 + (told == null ? "was not accepted" : "is " + told));
       }
     }
-    List<String> broken = around.rules().violations();
+    List<String> broken = environment.invariants().violations();
     boolean good =
         state == State.OVER
             && readyAt > 0
@@ -510,20 +512,20 @@
             "rules_broken",
             broken,
             "tasks_started",
-            around.rules().starts(),
+            environment.invariants().starts(),
             "most_tasks_at_once",
             peakTasks,
             "answers",
-            around.users().answers(),
+            environment.users().answers(),
             "longest_answer_s",
-            around.users().longest(),
+            environment.users().longestResponseS(),
             "teams",
-            OverloadDays.servedAsJson(around.served().teams(around.now())),
+            OverloadDays.servedAsJson(environment.accounting().teams(environment.now())),
             "classes",
-            OverloadDays.servedAsJson(around.served().classes(around.now())));
+            OverloadDays.servedAsJson(environment.accounting().classes(environment.now())));
     List<JobId> dependent =
         jobs.stream()
-            .map(WorkloadFile.Due::job)
+            .map(WorkloadFile.ScheduledJob::job)
             .filter(job -> !job.dependencies().isEmpty())
             .map(Job::id)
             .toList();
@@ -533,7 +535,7 @@
         round(
             dependent.stream()
                 .mapToDouble(
-                    id -> around.users().acceptedAfter().getOrDefault(id, Double.MAX_VALUE))
+                    id -> environment.users().acceptedAfter().getOrDefault(id, Double.MAX_VALUE))
                 .max()
                 .orElse(0)));
     List<Object> nodes = new ArrayList<>();
@@ -567,7 +569,7 @@
             clock.seconds(),
             jobs.size() - unfinished.size(),
             jobs.size(),
-            around.rules().starts(),
+            environment.invariants().starts(),
             broken.isEmpty() ? "every rule was kept" : broken.size() + " times a rule was broken"));
     unfinished.stream().limit(10).forEach(line -> printLine("  " + line));
     broken.stream().limit(10).forEach(line -> printLine("  " + line));
--- a/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
+++ b/src/main/java/org/quincecross/emulator/LoopbackNetwork.java
@@ -19,7 +19,7 @@
  */
 final class LoopbackNetwork implements Network {
   private static final String LOOPBACK = "127.0.0.1";
-  private static final int MOST_CONNECTIONS = 4000;
+  private static final int MAX_CONNECTIONS = 4000;
 
   private final EventLoop loop;
   private final int firstMachinePort;
@@ -37,7 +37,7 @@
   }
 
   /** Sets the name of the caller at an address, which a socket does not carry. */
-  void callerAt(Endpoint address, String caller) {
+  void setCaller(Endpoint address, String caller) {
     callers.put(address, caller);
   }
 
@@ -50,7 +50,7 @@
           new HttpServer(
               loop,
               address,
-              MOST_CONNECTIONS,
+              MAX_CONNECTIONS,
               (request, reply) -> host.request(caller, request, reply)));
     } catch (IOException e) {
       throw new UncheckedIOException("cannot listen at " + address + ": " + e.getMessage(), e);
--- a/src/main/java/org/quincecross/emulator/MachineTraits.java
+++ b/src/main/java/org/quincecross/emulator/MachineTraits.java
@@ -7,6 +7,6 @@
  * @param faulty whether every task that starts there fails
  * @param clockRate the rate of its monotonic clock
  */
-record MachineTraits(double speed, boolean sick, double clock) {
+record MachineTraits(double speed, boolean faulty, double clockRate) {
   static final MachineTraits ORDINARY = new MachineTraits(1, false, 1);
 }
--- a/src/main/java/org/quincecross/emulator/MalformedRequests.java
+++ b/src/main/java/org/quincecross/emulator/MalformedRequests.java
@@ -42,57 +42,57 @@
     }
   }
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Random random;
   private final double everyS;
   private final double untilS;
   private int number = FIRST_NUMBER;
 
   private MalformedRequests(
-      ClusterEnvironment around, Random random, double everyS, double seconds) {
-    this.around = around;
+      ClusterEnvironment environment, Random random, double everyS, double seconds) {
+    this.environment = environment;
     this.random = random;
     this.everyS = everyS;
-    this.untilS = around.clock().seconds() + seconds;
+    this.untilS = environment.clock().seconds() + seconds;
   }
 
   /** Sends one such request every {@code everyS} seconds, for some time. */
-  static void begin(ClusterEnvironment around, double everyS, double seconds, Random random) {
-    new MalformedRequests(around, random, everyS, seconds).sendNext();
+  static void begin(ClusterEnvironment environment, double everyS, double seconds, Random random) {
+    new MalformedRequests(environment, random, everyS, seconds).sendNext();
   }
 
   private void sendNext() {
-    if (around.clock().seconds() >= untilS) {
+    if (environment.clock().seconds() >= untilS) {
       return;
     }
     List<JobId> open = new ArrayList<>();
     List<JobId> done = new ArrayList<>();
-    around
+    environment
         .users()
-        .told()
+        .reportedStates()
         .forEach(
             (id, state) -> {
-              if (around.users().isOpen(id)) {
+              if (environment.users().isOpen(id)) {
                 open.add(id);
               } else if (state.equals("done")) {
                 done.add(id);
               }
             });
-    int node = random.nextInt(around.site().nodes());
+    int node = random.nextInt(environment.site().nodes());
     switch (random.nextInt(4)) {
-      case 0 -> sendForAnyOf(open, node, UserSimulator.Asks.AGAIN);
-      case 1 -> sendForAnyOf(done, node, UserSimulator.Asks.CANCEL);
+      case 0 -> sendForAnyOf(open, node, UserSimulator.RequestKind.AGAIN);
+      case 1 -> sendForAnyOf(done, node, UserSimulator.RequestKind.CANCEL);
       case 2 -> sendForUnknown(new JobId("job-" + (FIRST_NUMBER + random.nextInt(1000))));
       default ->
           sendInvalid(
               InvalidSubmission.values()[random.nextInt(InvalidSubmission.values().length)]);
     }
-    around.clock().after(everyS * (0.5 + random.nextDouble()), this::sendNext);
+    environment.clock().after(everyS * (0.5 + random.nextDouble()), this::sendNext);
   }
 
-  private void sendForAnyOf(List<JobId> jobs, int node, UserSimulator.Asks what) {
+  private void sendForAnyOf(List<JobId> jobs, int node, UserSimulator.RequestKind what) {
     if (!jobs.isEmpty()) {
-      around.users().once(node, what, jobs.get(random.nextInt(jobs.size())));
+      environment.users().sendOnce(node, what, jobs.get(random.nextInt(jobs.size())));
     }
   }
 
@@ -115,7 +115,7 @@
             "Lane",
             "odd",
             "Crew",
-            around.site().teams().keySet().iterator().next(),
+            environment.site().teams().keySet().iterator().next(),
             "Shape",
             "standing",
             "Rank",
@@ -174,15 +174,15 @@
   }
 
   private void expect(String what, HttpRequest request, int status) {
-    around
+    environment
         .users()
         .request(
             "odd",
             request,
             outcome -> {
               if (outcome.status() != status && !RETRY_STATUSES.contains(outcome.status())) {
-                around
-                    .rules()
+                environment
+                    .invariants()
                     .onWrongAnswer(
                         what + " " + new String(request.body(), StandardCharsets.UTF_8),
                         outcome.status());
--- a/src/main/java/org/quincecross/emulator/Measurement.java
+++ b/src/main/java/org/quincecross/emulator/Measurement.java
@@ -44,7 +44,7 @@
             seed,
             meter,
             features);
-    WorkloadGenerator load = new WorkloadGenerator(cluster.around(), seed);
+    WorkloadGenerator load = new WorkloadGenerator(cluster.environment(), seed);
     cluster.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
     cluster
         .time()
@@ -65,7 +65,7 @@
 
   /** Whether no rule was broken. */
   public boolean isSound() {
-    return cluster.rules().violations().isEmpty();
+    return cluster.invariants().violations().isEmpty();
   }
 
   /** The processor time of all controllers so far, in seconds. */
@@ -119,7 +119,7 @@
         cluster.cloud().workers().size(),
         playedS,
         cluster.users().submitted(),
-        cluster.rules().starts(),
+        cluster.invariants().starts(),
         all);
     out.println("| what | calls | µs each | KB each | longest, ms | s | share |");
     out.println("| --- | --- | --- | --- | --- | --- | --- |");
--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -49,7 +49,7 @@
   private static final double PHASE_TIMEOUT_S = 60;
   private static final double KILL_DELAY_S = 0.3;
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final List<ControllerProcess> controllers;
   private final Map<String, Object> result;
   private final Runnable onOver;
@@ -63,11 +63,11 @@
    * @param onOver runs at the end
    */
   ModelDrill(
-      ClusterEnvironment around,
+      ClusterEnvironment environment,
       List<ControllerProcess> controllers,
       Map<String, Object> result,
       Runnable over) {
-    this.around = around;
+    this.environment = environment;
     this.controllers = controllers;
     this.result = result;
     this.onOver = over;
@@ -75,7 +75,7 @@
 
   void begin() {
     enter(Phase.LEVEL);
-    around.clock().after(CHECK_INTERVAL_S, this::check);
+    environment.clock().after(CHECK_INTERVAL_S, this::check);
   }
 
   boolean hasFailed() {
@@ -85,26 +85,26 @@
   /** The only place where the phase changes. */
   private void enter(Phase next) {
     phase = next;
-    phaseSince = around.clock().seconds();
+    phaseSince = environment.clock().seconds();
   }
 
   private String state() {
-    Map<?, ?> state = ColdStartInvariant.state(around.state(), NAME);
+    Map<?, ?> state = ColdStartInvariant.state(environment.state(), NAME);
     return state == null ? "" : String.valueOf(state.get("state"));
   }
 
   private boolean isServing() {
-    return state().equals("WARM") && around.rules().onMachines(JOB) == REPLICAS;
+    return state().equals("WARM") && environment.invariants().onMachines(JOB) == REPLICAS;
   }
 
   private void check() {
-    double now = around.clock().seconds();
+    double now = environment.clock().seconds();
     switch (phase) {
       case LEVEL -> {
-        if (around.state().value("q/level") instanceof Map<?, ?> level
+        if (environment.state().value("q/level") instanceof Map<?, ?> level
             && level.get("level") instanceof Number number
             && number.intValue() >= Feature.AGREED_RECORDS.since().number()) {
-          around
+          environment
               .users()
               .submit(
                   Job.builder(JOB)
@@ -123,7 +123,7 @@
       }
       case DEFINING -> {
         if (!state().isEmpty()) {
-          around.coldStarts().watch(NAME, JOB);
+          environment.coldStarts().watch(NAME, JOB);
           enter(Phase.TO_ZERO);
         } else if (now - lastWakeAt > WAKE_INTERVAL_S) {
           lastWakeAt = now;
@@ -145,25 +145,25 @@
         }
       }
       case TO_ZERO -> {
-        if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
+        if (state().equals("ZERO") && environment.invariants().onMachines(JOB) == 0) {
           enter(Phase.COLD);
-          around.clock().after(KILL_DELAY_S, this::killLeader);
+          environment.clock().after(KILL_DELAY_S, this::killLeader);
         }
       }
       case COLD -> {
         wakeAtAllControllers();
         if (isServing()) {
           result.put("cold_ready_s", LocalCluster.round(now - phaseSince));
-          result.put("cold_starts", around.coldStarts().starts());
-          result.put("cold_fetches", around.coldStarts().fetches());
+          result.put("cold_starts", environment.coldStarts().starts());
+          result.put("cold_fetches", environment.coldStarts().fetches());
           enter(Phase.IDLE);
         }
       }
       case IDLE -> {
-        if (state().equals("ZERO") && around.rules().onMachines(JOB) == 0) {
+        if (state().equals("ZERO") && environment.invariants().onMachines(JOB) == 0) {
           result.put("back_at_zero_s", LocalCluster.round(now - phaseSince));
           enter(Phase.CACHED);
-          around.clock().after(KILL_DELAY_S, this::killLeader);
+          environment.clock().after(KILL_DELAY_S, this::killLeader);
         }
       }
       case CACHED -> {
@@ -182,21 +182,21 @@
             "nothing more happened in phase "
                 + phase
                 + ": "
-                + ColdStartInvariant.state(around.state(), NAME));
+                + ColdStartInvariant.state(environment.state(), NAME));
         end(Phase.FAILED);
         return;
       }
-      around.clock().after(CHECK_INTERVAL_S, this::check);
+      environment.clock().after(CHECK_INTERVAL_S, this::check);
     }
   }
 
   private void end(Phase last) {
     result.put("wakes", wakes);
-    result.put("starts", around.coldStarts().starts());
-    result.put("fetches", around.coldStarts().fetches());
-    result.put("twice", around.coldStarts().violations());
-    around.users().cancel(JOB);
-    enter(around.coldStarts().violations().isEmpty() ? last : Phase.FAILED);
+    result.put("starts", environment.coldStarts().starts());
+    result.put("fetches", environment.coldStarts().fetches());
+    result.put("twice", environment.coldStarts().violations());
+    environment.users().cancel(JOB);
+    enter(environment.coldStarts().violations().isEmpty() ? last : Phase.FAILED);
     onOver.run();
   }
 
@@ -208,24 +208,24 @@
   }
 
   private void post(int node, String what, Map<String, Object> body, Consumer<HttpOutcome> done) {
-    around
+    environment
         .network()
         .call(
             new ProcessScope(),
             "operators",
-            around.node(node),
+            environment.node(node),
             HttpRequest.post("/admin/models/" + NAME + what, Json.write(body)),
             TimeSpan.ofSeconds(2),
             done);
   }
 
   private void killLeader() {
-    Object leads = around.state().value("q/leads");
+    Object leads = environment.state().value("q/leads");
     String leader =
         leads instanceof Map<?, ?> record
             ? String.valueOf(record.get("member"))
             : ClusterSpec.nodeName(0);
-    int node = around.nodeNamed("\"" + leader + "\"");
+    int node = environment.nodeNamed("\"" + leader + "\"");
     try {
       controllers.get(Math.max(0, node)).kill();
       controllers.get(Math.max(0, node)).start();
--- a/src/main/java/org/quincecross/emulator/OverloadDay.java
+++ b/src/main/java/org/quincecross/emulator/OverloadDay.java
@@ -98,7 +98,7 @@
     }
   }
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Random random;
   private final WorkloadGenerator load;
   private final List<Resources> capacity = new ArrayList<>();
@@ -110,72 +110,74 @@
         kind == Measurement.Kind.FLEET ? ClusterSpec.fleet(machines) : ClusterSpec.mixed(machines);
     this.seed = seed;
     this.random = new Random(seed);
-    this.world = new SimulatedCluster(site, seed, Meter.OFF, features);
-    this.load = new WorkloadGenerator(world.around(), seed);
-    world.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
+    this.cluster = new SimulatedCluster(site, seed, Meter.OFF, features);
+    this.load = new WorkloadGenerator(cluster.environment(), seed);
+    cluster.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
     sample();
     int troubles = 1 + random.nextInt(3);
     for (int i = 0; i < troubles; i++) {
       ClusterSpec.JobClass burst = site.classes().get(random.nextInt(site.classes().size()));
       double factor = 2 + 3 * random.nextDouble();
       double lasts = 40 + 60 * random.nextDouble();
-      world.time().at(70 + 90 * random.nextDouble(), () -> load.burst(burst.name(), factor, lasts));
+      cluster
+          .time()
+          .at(70 + 90 * random.nextDouble(), () -> load.burst(burst.name(), factor, lasts));
     }
     double share = 0.25 * random.nextDouble();
-    world.time().at(90 + 80 * random.nextDouble(), () -> loseMachines(share));
+    cluster.time().at(90 + 80 * random.nextDouble(), () -> loseMachines(share));
     double outage = 60 * random.nextDouble();
-    world.time().at(90 + 60 * random.nextDouble(), () -> world.cloud().outage(outage));
+    cluster.time().at(90 + 60 * random.nextDouble(), () -> cluster.cloud().outage(outage));
     int crashes = random.nextInt(4);
-    for (int node = 0; node < Math.min(crashes, world.nodeCount()); node++) {
+    for (int node = 0; node < Math.min(crashes, cluster.nodeCount()); node++) {
       int each = node;
-      double at = crashes == world.nodeCount() ? 170 : 100 + 100 * random.nextDouble();
-      world.time().at(at, () -> world.crash(each));
+      double at = crashes == cluster.nodeCount() ? 170 : 100 + 100 * random.nextDouble();
+      cluster.time().at(at, () -> cluster.crash(each));
     }
   }
 
   private void loseMachines(double share) {
-    for (MachineId machine : world.cloud().machines()) {
+    for (MachineId machine : cluster.cloud().machines()) {
       if (random.nextDouble() < share) {
-        world.cloud().terminate(machine, 0);
+        cluster.cloud().terminate(machine, 0);
       }
     }
   }
 
   /** Samples the capacity that services leave free, in the middle of each slice. */
   private void sample() {
-    world
+    cluster
         .time()
         .after(
             capacity.isEmpty() ? SLICE_S / 2 : SLICE_S,
             () -> {
               Resources up = Resources.NONE;
-              for (AgentSimulator worker : world.cloud().workers()) {
+              for (AgentSimulator worker : cluster.cloud().workers()) {
                 up = up.plus(worker.capacity());
               }
-              capacity.add(up.minus(world.rules().serviceResources()));
+              capacity.add(up.minus(cluster.invariants().serviceResources()));
               Resources inUse = Resources.NONE;
-              for (String team : world.site().teams().keySet()) {
-                inUse = inUse.plus(world.rules().used(team));
+              for (String team : cluster.site().teams().keySet()) {
+                inUse = inUse.plus(cluster.invariants().used(team));
               }
-              used.add(inUse.minus(world.rules().serviceResources()));
+              used.add(inUse.minus(cluster.invariants().serviceResources()));
               sample();
             });
   }
 
   /** Runs the day to its end. */
   public Result play() {
-    world.time().runUntil(DURATION_S);
-    JobAccounting served = world.around().served();
+    cluster.time().runUntil(DURATION_S);
+    JobAccounting served = cluster.environment().accounting();
     return new Result(
         seed,
-        served.groups(world.around().now()),
-        served.teams(world.around().now()),
-        served.classes(world.around().now()),
-        served.largest(world.around().now()),
+        served.groups(cluster.environment().now()),
+        served.teams(cluster.environment().now()),
+        served.classes(cluster.environment().now()),
+        served.largest(cluster.environment().now()),
         upperBound(),
         cpus(used) / cpus(capacity),
-        world.rules().violations().size(),
-        world.rules().starts());
+        cluster.invariants().violations().size(),
+        cluster.invariants().starts());
   }
 
   private static double cpus(List<Resources> all) {
@@ -184,15 +186,15 @@
 
   /** For each job with a deadline: its work, and the interval in which it can be done. */
   private double upperBound() {
-    List<UpperBound.Wanted> wanted = new ArrayList<>();
-    for (Map.Entry<JobId, Double> submitted : world.users().submittedAt().entrySet()) {
-      Job job = world.job(submitted.getKey());
+    List<UpperBound.WorkDemand> wanted = new ArrayList<>();
+    for (Map.Entry<JobId, Double> submitted : cluster.users().submittedAt().entrySet()) {
+      Job job = cluster.job(submitted.getKey());
       if (job.kind() == JobKind.SERVICE || job.deadline() == null) {
         continue;
       }
-      double runs = world.around().tasks().secondsOf(job);
+      double runs = cluster.environment().tasks().secondsOf(job);
       wanted.add(
-          new UpperBound.Wanted(
+          new UpperBound.WorkDemand(
               job.jobClass(),
               submitted.getValue(),
               submitted.getValue() + job.deadline().seconds(),
--- a/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
+++ b/src/main/java/org/quincecross/emulator/ProtocolInvariants.java
@@ -17,7 +17,7 @@
 
 /** Checks the rules of the protocol, at a cost proportional to the number of events. */
 final class ProtocolInvariants {
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Map<TaskId, Map<MachineId, Machine>> taskArrived = new HashMap<>();
   private final Map<JobId, Map<String, Integer>> zones = new HashMap<>();
   private final Map<String, Resources> used = new HashMap<>();
@@ -32,8 +32,8 @@
   private Resources serviceResources = Resources.NONE;
   private int starts;
 
-  ProtocolInvariants(ClusterEnvironment around) {
-    this.around = around;
+  ProtocolInvariants(ClusterEnvironment environment) {
+    this.environment = environment;
   }
 
   List<String> violations() {
@@ -51,12 +51,12 @@
 
   /** Records that a rule is broken. */
   void addViolation(String rule, Object what) {
-    violations.add(rule + " at " + around.clock().seconds() + ": " + what);
+    violations.add(rule + " at " + environment.clock().seconds() + ": " + what);
   }
 
   /** The only place where the counts of running tasks change. */
   private void count(TaskId task, Machine machine, int more) {
-    Job job = around.job(task.job());
+    Job job = environment.job(task.job());
     used.merge(job.team(), job.taskResources().times(more), Resources::plus);
     if (job.kind() == JobKind.SERVICE) {
       serviceResources = serviceResources.plus(job.taskResources().times(more));
@@ -72,10 +72,10 @@
   void taskArrived(TaskId task, Machine machine) {
     starts++;
     startsOf.merge(task.job(), 1, Integer::sum);
-    Job job = around.job(task.job());
+    Job job = environment.job(task.job());
     TaskSet everOn = startedTasks.computeIfAbsent(task.job(), id -> new TaskSet());
     everOn.add(task.index());
-    around.served().started(task.job(), everOn.size(), around.now());
+    environment.accounting().started(task.job(), everOn.size(), environment.now());
     Map<MachineId, Machine> places = taskArrived.computeIfAbsent(task, t -> new HashMap<>(2));
     if (places.put(machine.id(), machine) == null) {
       count(task, machine, 1);
@@ -83,7 +83,7 @@
     if (places.size() > 1) {
       addViolation("ran_twice", task + " on " + places.keySet());
     }
-    if (!used(job.team()).fitsIn(around.site().teams().get(job.team()).limit())) {
+    if (!used(job.team()).fitsIn(environment.site().teams().get(job.team()).limit())) {
       addViolation("quota", task + " brings " + job.team() + " to " + used(job.team()));
     }
     Map<String, Integer> inZones = zones.get(job.id());
@@ -95,7 +95,7 @@
       addViolation("wrong_place", task + " on " + machine);
     }
     checkCancelled(job.id());
-    around.pipelineRules().starts(task);
+    environment.dependencyInvariants().starts(task);
   }
 
   void taskLeft(TaskId task, MachineId machine) {
@@ -115,10 +115,10 @@
   void completed(TaskId task) {
     boolean isNew = done.computeIfAbsent(task.job(), job -> new HashSet<>()).add(task.index());
     if (isComplete(task.job())) {
-      around.served().done(task.job(), around.now());
-      around.pipelines().completed(task.job());
+      environment.accounting().done(task.job(), environment.now());
+      environment.pipelines().completed(task.job());
       if (isNew) {
-        around.users().happens(UserSimulator.Moment.LAST_TASK_ENDED, task.job());
+        environment.users().publish(UserSimulator.JobEvent.LAST_TASK_ENDED, task.job());
       }
     }
   }
@@ -129,7 +129,7 @@
 
   /** Whether all tasks of a job are done. */
   boolean isComplete(JobId job) {
-    return around.job(job) != null && completedTasks(job) == around.job(job).taskCount();
+    return environment.job(job) != null && completedTasks(job) == environment.job(job).taskCount();
   }
 
   int completedTasks(JobId job) {
@@ -186,7 +186,7 @@
   /** Checks what depends on time; called periodically. */
   void check() {
     cancelled.keySet().forEach(this::checkCancelled);
-    around.pipelineRules().check();
+    environment.dependencyInvariants().check();
   }
 
   private void checkCancelled(JobId job) {
@@ -194,7 +194,8 @@
     if (at != null
         && !overdueCancellations.contains(job)
         && zones.containsKey(job)
-        && around.clock().seconds() > at + around.site().workers().cancelTimeout().seconds()) {
+        && environment.clock().seconds()
+            > at + environment.site().workers().cancelTimeout().seconds()) {
       overdueCancellations.add(job);
       addViolation("ran_cancelled", job + " in " + zones.get(job));
     }
@@ -227,13 +228,13 @@
               + state); // a final state never changes, whenever the request was sent
     }
     if (state.equals("cancelled")) {
-      cancelled.putIfAbsent(id, around.clock().seconds());
-      if (!asked && !around.pipelineRules().isDependencyCancelRequested(id)) {
+      cancelled.putIfAbsent(id, environment.clock().seconds());
+      if (!asked && !environment.dependencyInvariants().isDependencyCancelRequested(id)) {
         addViolation("went_back", id + " was not cancelled by its user");
       }
     }
     if (state.equals("done")
-        && done.getOrDefault(id, Set.of()).size() < around.job(id).taskCount()) {
+        && done.getOrDefault(id, Set.of()).size() < environment.job(id).taskCount()) {
       addViolation("not_done", id);
     }
   }
@@ -250,7 +251,7 @@
 
   /** A job waited although there was room for it. */
   void onLeftWaiting(JobId id, double seconds) {
-    addViolation("idle_room", around.job(id) + " for " + seconds + " s");
+    addViolation("idle_room", environment.job(id) + " for " + seconds + " s");
   }
 
   boolean hasCancelled() {
--- a/src/main/java/org/quincecross/emulator/RequestDay.java
+++ b/src/main/java/org/quincecross/emulator/RequestDay.java
@@ -78,7 +78,7 @@
       Map<String, Histogram> waitsMs) {}
 
   private final double share;
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Map<JobId, String> waiting = new HashMap<>();
   private final Set<JobId> seenJobs = new HashSet<>();
   private final Set<JobId> jobsOfRequests = new HashSet<>();
@@ -93,7 +93,7 @@
   private RequestDay(int machines, long seed, double share, double mostShare) {
     this.share = share;
     ClusterSpec site = ClusterSpec.fleet(machines);
-    world =
+    cluster =
         new SimulatedCluster(
             site,
             seed,
@@ -118,9 +118,9 @@
                         * machines
                         * type.capacity().capacityFor(front.taskResources())
                         / TASKS_PER_REQUEST));
-    WorkloadGenerator load = new WorkloadGenerator(world.around(), seed);
-    world.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
-    world
+    WorkloadGenerator load = new WorkloadGenerator(cluster.environment(), seed);
+    cluster.time().at(WORKLOAD_START_S, () -> load.begin(INITIAL_JOBS_SPREAD_S));
+    cluster
         .time()
         .at(
             FLOOD_AT_S,
@@ -129,13 +129,15 @@
                     .filter(each -> !each.equals(front))
                     .forEach(each -> load.burst(each.name(), FLOOD_FACTOR, FLOOD_DURATION_S)));
     if (share > 0) {
-      world.time().at(REQUESTS_AT_S, () -> send(0, (int) Math.round(requests * share / mostShare)));
+      cluster
+          .time()
+          .at(REQUESTS_AT_S, () -> send(0, (int) Math.round(requests * share / mostShare)));
     }
     for (int i = 0; i < GROWTH_STEPS; i++) {
-      world.time().at(FLOOD_AT_S + 2 * i, this::grow);
+      cluster.time().at(FLOOD_AT_S + 2 * i, this::grow);
     }
-    world.time().at(ANSWERS_AT_S, this::submitAnswers);
-    world.time().at(DELIVERED_AT_S, this::deliver);
+    cluster.time().at(ANSWERS_AT_S, this::submitAnswers);
+    cluster.time().at(DELIVERED_AT_S, this::deliver);
     observe();
   }
 
@@ -143,7 +145,7 @@
     if (number >= count) {
       return;
     }
-    long nowMs = (long) (world.time().seconds() * 1000);
+    long nowMs = (long) (cluster.time().seconds() * 1000);
     Map<String, Object> command =
         Json.object(
             "do",
@@ -167,12 +169,12 @@
             "zones",
             List.of());
     change(number, "a", command, () -> {});
-    world.time().after(0.3, () -> send(number + 1, count));
+    cluster.time().after(0.3, () -> send(number + 1, count));
   }
 
   private void change(int number, String name, Map<String, Object> command, Runnable done) {
-    world.ask(
-        number % world.nodeCount(),
+    cluster.sendDirectly(
+        number % cluster.nodeCount(),
         HttpRequest.post(
             "/admin/agreed/requests/r-" + number,
             Json.write(Json.object("request", name, "command", command))),
@@ -187,7 +189,7 @@
    * cloud's capacity.
    */
   private void grow() {
-    ClusterSpec site = world.site();
+    ClusterSpec site = cluster.site();
     String team =
         site.teams().values().stream()
             .filter(each -> !each.name().equals(front.name()))
@@ -198,7 +200,7 @@
         site.maxMachines()
             * site.types().get(0).capacity().capacityFor(front.taskResources())
             / GROWTH_STEPS;
-    world
+    cluster
         .users()
         .submit(
             Job.builder(new JobId("job-" + (FIRST_NUMBER / 2 + grown++)))
@@ -216,9 +218,9 @@
 
   /** The work for the answers, the same with or without a reservation. */
   private void submitAnswers() {
-    for (String key : world.state().keysWithPrefix("q/agreed/requests/r-")) {
+    for (String key : cluster.state().keysWithPrefix("q/agreed/requests/r-")) {
       reserved +=
-          world.state().value(key) instanceof Map<?, ?> record
+          cluster.state().value(key) instanceof Map<?, ?> record
                   && record.get("state") instanceof Map<?, ?> state
                   && "reserved".equals(state.get("state"))
               ? 1
@@ -239,59 +241,66 @@
               .estimate(TimeSpan.ZERO)
               .build();
       jobsOfRequests.add(job.id());
-      world.time().after(0.05 * i, () -> world.users().submit(job));
+      cluster.time().after(0.05 * i, () -> cluster.users().submit(job));
     }
   }
 
   private void deliver() {
-    jobsOfRequests.forEach(id -> world.users().cancel(id));
-    for (int i = 0; i < world.state().keysWithPrefix("q/agreed/requests/r-").size(); i++) {
+    jobsOfRequests.forEach(id -> cluster.users().cancel(id));
+    for (int i = 0; i < cluster.state().keysWithPrefix("q/agreed/requests/r-").size(); i++) {
       int number = i;
-      world.time().after(0.3 * i, () -> change(number, "d", Json.object("do", "answer"), () -> {}));
+      cluster
+          .time()
+          .after(0.3 * i, () -> change(number, "d", Json.object("do", "answer"), () -> {}));
     }
   }
 
   private void observe() {
-    for (JobId id : world.users().submittedAt().keySet()) {
+    for (JobId id : cluster.users().submittedAt().keySet()) {
       if (seenJobs.add(id)) {
-        waiting.put(id, world.job(id).jobClass());
+        waiting.put(id, cluster.job(id).jobClass());
       }
     }
     waiting
         .entrySet()
         .removeIf(
             entry -> {
-              Job job = world.job(entry.getKey());
+              Job job = cluster.job(entry.getKey());
               boolean started =
-                  world.rules().onMachines(entry.getKey())
+                  cluster.invariants().onMachines(entry.getKey())
                       >= (job.kind() == JobKind.SERVICE ? job.taskCount() : 1);
               if (started) {
                 recordWait(entry.getValue(), entry.getKey());
               }
               return started;
             });
-    for (AgentSimulator worker : world.cloud().workers()) {
-      MachineType type = world.site().type(worker.machine().type());
+    for (AgentSimulator worker : cluster.cloud().workers()) {
+      MachineType type = cluster.site().type(worker.machine().type());
       price +=
           (worker.machine().spot() ? type.hourlySpotPrice() : type.hourlyPrice())
               * CHECK_INTERVAL_S
               / 3600;
     }
-    world.time().after(CHECK_INTERVAL_S, this::observe);
+    cluster.time().after(CHECK_INTERVAL_S, this::observe);
   }
 
   private void recordWait(String jobClass, JobId id) {
     waits
         .computeIfAbsent(jobClass, name -> new Histogram(3_600_000, 3))
         .recordValue(
-            (long) (1000 * (world.time().seconds() - world.users().submittedAt().get(id))));
+            (long) (1000 * (cluster.time().seconds() - cluster.users().submittedAt().get(id))));
   }
 
   private Result play() {
-    world.time().runUntil(DURATION_S);
+    cluster.time().runUntil(DURATION_S);
     waiting.forEach((id, jobClass) -> recordWait(jobClass, id));
     return new Result(
-        share, price, requests, reserved, world.rules().violations().size() + wrongAnswers, waits);
+        share,
+        price,
+        requests,
+        reserved,
+        cluster.invariants().violations().size() + wrongAnswers,
+        waits);
   }
 
   /**
--- a/src/main/java/org/quincecross/emulator/SimulatedCluster.java
+++ b/src/main/java/org/quincecross/emulator/SimulatedCluster.java
@@ -48,32 +48,32 @@
   private final BiConsumer<Integer, Controller> prepare;
   private final Features[] features;
   private final Random random;
-  private final VirtualNetwork net;
-  private final ClusterEnvironment around;
+  private final VirtualNetwork network;
+  private final ClusterEnvironment environment;
   private final Meter meter;
   private final List<Endpoint> nodes;
-  private final Map<Integer, Map<String, Team>> toldTeams = new HashMap<>();
+  private final Map<Integer, Map<String, Team>> configuredTeams = new HashMap<>();
 
   /**
    * The limits of the state service in the settings of a controller, by its number; absent if they
    * are those of the deployment.
    */
-  private final Map<Integer, Settings.StoreLimits> toldLimits = new HashMap<>();
+  private final Map<Integer, Settings.StoreLimits> configuredLimits = new HashMap<>();
 
   private boolean memoryIsShort;
-  private Trap trap;
+  private FaultTrigger faultTrigger;
   private double clockAheadS = EPOCH_S;
   private final Map<String, Double> longestAnswers = new TreeMap<>();
-  private final ProcessScope[] lives;
+  private final ProcessScope[] processes;
   private final Controller[] controllers;
 
   /**
    * Connections between controllers on which something was sent while the other side was
    * unreachable.
    */
-  private final Set<String> hanging = new HashSet<>();
+  private final Set<String> hangingConnections = new HashSet<>();
 
-  private final Map<String, Double> hangsUntil = new HashMap<>();
+  private final Map<String, Double> connectionsHangUntil = new HashMap<>();
   private final Map<Set<String>, Double> refusedUntil = new HashMap<>();
 
   /**
@@ -111,17 +111,17 @@
     Arrays.fill(this.features, features);
     this.meter = meter;
     random = new Random(seed);
-    net = new VirtualNetwork(time, random);
+    network = new VirtualNetwork(time, random);
     nodes =
         IntStream.range(0, site.nodes())
             .mapToObj(node -> new Endpoint("10.0.0." + (node + 1), 8080))
             .toList();
-    lives = new ProcessScope[site.nodes()];
+    processes = new ProcessScope[site.nodes()];
     controllers = new Controller[site.nodes()];
-    around =
+    environment =
         new ClusterEnvironment(
-            site, time, net, random, nodes, CLOUD, Collections.nCopies(site.nodes(), STATE));
-    net.watchStarts(this::checkStarts);
+            site, time, network, random, nodes, CLOUD, Collections.nCopies(site.nodes(), STATE));
+    network.watchStarts(this::checkStarts);
     for (int node = 0; node < site.nodes(); node++) {
       hostNode(node);
       startNode(node);
@@ -133,14 +133,14 @@
    * way then are not checked.
    */
   private void checkStarts(byte[] message) {
-    if (!rules().hasCancelled() || message.length == 0) {
+    if (!invariants().hasCancelled() || message.length == 0) {
       return;
     }
     try {
       JsonFields in = Json.parseFields(message);
       for (JsonFields order : in.has("Orders") ? in.objects("Orders") : List.<JsonFields>of()) {
         if (order.string("Verb").equals("start")) {
-          rules().startSent(TaskId.parse(order.string("Piece")).job());
+          invariants().startSent(TaskId.parse(order.string("Piece")).job());
         }
       }
     } catch (MalformedMessageException e) {
@@ -150,7 +150,7 @@
 
   /** Registers an observer of all messages from now on. */
   void observe(MessageObserver observer) {
-    net.observe(observer);
+    network.observe(observer);
   }
 
   ClusterSpec site() {
@@ -161,12 +161,12 @@
     return time;
   }
 
-  ClusterEnvironment around() {
-    return around;
+  ClusterEnvironment environment() {
+    return environment;
   }
 
-  ProtocolInvariants rules() {
-    return around.rules();
+  ProtocolInvariants invariants() {
+    return environment.invariants();
   }
 
   Random random() {
@@ -174,19 +174,19 @@
   }
 
   KeyValueStoreSimulator state() {
-    return around.state();
+    return environment.state();
   }
 
   CloudSimulator cloud() {
-    return around.cloud();
+    return environment.cloud();
   }
 
   UserSimulator users() {
-    return around.users();
+    return environment.users();
   }
 
   Job job(JobId id) {
-    return around.job(id);
+    return environment.job(id);
   }
 
   Team team(String name) {
@@ -200,22 +200,22 @@
   // ---- controllers ----
 
   private void hostNode(int node) {
-    net.host(
+    network.host(
         nodes.get(node),
         ClusterSpec.nodeName(node),
         new Network.Host() {
           @Override
           public boolean isUp() {
-            return lives[node] != null && lives[node].isAlive();
+            return processes[node] != null && processes[node].isAlive();
           }
 
           @Override
           public void request(String from, HttpRequest request, Consumer<HttpResponse> reply) {
-            ProcessScope life = lives[node];
-            String kind = request.method() + " " + kind(request.path());
+            ProcessScope process = processes[node];
+            String kind = request.method() + " " + pathWithoutIds(request.path());
             double begun = time.seconds();
             time.whenAwake(
-                life,
+                process,
                 () ->
                     meter.run(
                         kind,
@@ -223,7 +223,7 @@
                             controllers[node].handle(
                                 request,
                                 response -> {
-                                  if (life.isAlive()) {
+                                  if (process.isAlive()) {
                                     longestAnswers.merge(kind, time.seconds() - begun, Math::max);
                                     reply.accept(response);
                                   }
@@ -241,7 +241,7 @@
   }
 
   /** A path without ids. */
-  private static String kind(String path) {
+  private static String pathWithoutIds(String path) {
     String kind = path.replaceAll("[0-9]+", "N");
     int last = kind.indexOf('/', 1);
     return last < 0
@@ -250,34 +250,34 @@
   }
 
   private void startNode(int node) {
-    if (lives[node] != null) {
-      lives[node].end(); // if two faults restart the controller, the second start replaces
+    if (processes[node] != null) {
+      processes[node].end(); // if two faults restart the controller, the second start replaces
       // the first one
     }
-    ProcessScope life = new ProcessScope();
-    lives[node] = life;
+    ProcessScope process = new ProcessScope();
+    processes[node] = process;
     String name = ClusterSpec.nodeName(node);
     controllers[node] =
         new Controller(
             time.timersOf(
-                life, random.nextInt(1_000_000_000), 1 + 0.0005 * random.nextDouble(), meter),
+                process, random.nextInt(1_000_000_000), 1 + 0.0005 * random.nextDouble(), meter),
             (to, request, timeout, done) -> {
               Runnable send =
                   () ->
-                      net.call(
-                          life,
+                      network.call(
+                          process,
                           name,
                           to,
                           request,
                           timeout,
                           outcome ->
                               time.whenAwake(
-                                  life,
+                                  process,
                                   () ->
                                       meter.run(
-                                          "answer " + kind(request.path()),
+                                          "answer " + pathWithoutIds(request.path()),
                                           () -> done.accept(outcome))));
-              double late = trap == null ? 0 : trap.sprung(node, request);
+              double late = faultTrigger == null ? 0 : faultTrigger.delayFor(node, request);
               if (late > 0) {
                 time.after(late, send);
               } else {
@@ -285,8 +285,8 @@
               }
             },
             peerLinks(name),
-            site.with(toldTeams.getOrDefault(node, site.teams()))
-                .with(toldLimits.getOrDefault(node, site.stateLimits()))
+            site.with(configuredTeams.getOrDefault(node, site.teams()))
+                .with(configuredLimits.getOrDefault(node, site.stateLimits()))
                 .settings(node, nodes, nodes, CLOUD, STATE),
             features[node],
             () -> (long) ((time.seconds() + clockAheadS) * 1000),
@@ -303,22 +303,23 @@
         if (refusedUntil.getOrDefault(Set.of(name, peer.text()), 0.0) > time.seconds()) {
           return false;
         }
-        net.frameSent(frame);
-        if (net.isSilent(peer.text())) {
-          hanging.add(name + " " + peer);
+        network.frameSent(frame);
+        if (network.isIsolated(peer.text())) {
+          hangingConnections.add(name + " " + peer);
         }
         // TCP retries only after as much time again as the silence lasted; a new connection is
         // faster.
         boolean hangs =
-            hanging.contains(name + " " + peer)
-                && time.seconds() < hangsUntil.getOrDefault(peer.text(), 0.0);
+            hangingConnections.contains(name + " " + peer)
+                && time.seconds() < connectionsHangUntil.getOrDefault(peer.text(), 0.0);
         if (!hangs) {
-          net.send(
+          network.send(
               name,
               peer.text(),
               () -> {
                 Controller to = controllers[other];
-                time.whenAwake(lives[other], () -> meter.run("peer report", () -> to.frame(frame)));
+                time.whenAwake(
+                    processes[other], () -> meter.run("peer report", () -> to.frame(frame)));
               });
         }
         return true;
@@ -326,7 +327,7 @@
 
       @Override
       public void renew(ControllerId peer) {
-        hanging.remove(name + " " + peer);
+        hangingConnections.remove(name + " " + peer);
       }
     };
   }
@@ -335,16 +336,16 @@
    * A controller neither sends nor receives for a while; afterwards it continues with its memory,
    * or restarts without it.
    */
-  void silence(int node, double seconds, boolean keepsMemory) {
-    net.silence(ClusterSpec.nodeName(node), time.seconds() + seconds);
-    hangsUntil.put(ClusterSpec.nodeName(node), time.seconds() + 2 * seconds);
+  void isolate(int node, double seconds, boolean keepsMemory) {
+    network.isolate(ClusterSpec.nodeName(node), time.seconds() + seconds);
+    connectionsHangUntil.put(ClusterSpec.nodeName(node), time.seconds() + 2 * seconds);
     if (!keepsMemory) {
-      down(node, seconds);
+      stopFor(node, seconds);
     }
   }
 
   /** A fault that strikes a controller as it sends a message. */
-  enum Mishap {
+  enum SendFault {
     /**
      * The controller is suspended after its decision and before the message is sent: the packet
      * leaves late.
@@ -359,21 +360,21 @@
   }
 
   /** Applies a fault to the controller that first sends a matching request. */
-  private final class Trap {
+  private final class FaultTrigger {
     private final Predicate<String> request;
     private final double seconds;
-    private final Mishap mishap;
-    private int sprungAt = -1;
+    private final SendFault fault;
+    private int triggeredAt = -1;
 
-    Trap(Predicate<String> request, double seconds, Mishap mishap) {
+    FaultTrigger(Predicate<String> request, double seconds, SendFault mishap) {
       this.request = request;
       this.seconds = seconds;
-      this.mishap = mishap;
+      this.fault = mishap;
     }
 
     /** The delay before a request is sent. */
-    double sprung(int node, HttpRequest sent) {
-      if (sprungAt >= 0
+    double delayFor(int node, HttpRequest sent) {
+      if (triggeredAt >= 0
           || !request.test(
               sent.method()
                   + " "
@@ -382,33 +383,33 @@
                   + new String(sent.body(), StandardCharsets.UTF_8))) {
         return 0;
       }
-      sprungAt = node;
-      if (mishap == Mishap.HELD) {
-        net.holdNext(seconds);
-      } else if (mishap == Mishap.SILENT) {
-        time.after(0.006, () -> silence(node, seconds, true));
+      triggeredAt = node;
+      if (fault == SendFault.HELD) {
+        network.delayNext(seconds);
+      } else if (fault == SendFault.SILENT) {
+        time.after(0.006, () -> isolate(node, seconds, true));
       } else {
-        standStill(node, seconds);
+        suspend(node, seconds);
       }
-      return mishap == Mishap.STILL_BEFORE ? seconds : 0;
+      return fault == SendFault.STILL_BEFORE ? seconds : 0;
     }
   }
 
   /**
    * Applies a fault to the next controller that sends a matching request (method, path and body).
    */
-  void mishapAt(Predicate<String> request, double seconds, Mishap mishap) {
-    trap = new Trap(request, seconds, mishap);
+  void injectFaultAt(Predicate<String> request, double seconds, SendFault fault) {
+    faultTrigger = new FaultTrigger(request, seconds, fault);
   }
 
   /** The controller that the fault struck; -1 if no matching request was sent. */
-  int mishapHit() {
-    return trap.sprungAt;
+  int faultedController() {
+    return faultTrigger.triggeredAt;
   }
 
   void crash(int node) {
-    if (lives[node].isAlive()) {
-      lives[node].end();
+    if (processes[node].isAlive()) {
+      processes[node].end();
       time.after(site.restart().seconds(), () -> startNode(node));
     }
   }
@@ -427,32 +428,32 @@
    * From its next start on, the settings of a controller have other teams than those of the other
    * controllers.
    */
-  void tellTeams(int node, Map<String, Team> teams) {
-    toldTeams.put(node, teams);
+  void configureTeams(int node, Map<String, Team> teams) {
+    configuredTeams.put(node, teams);
   }
 
   /**
    * From its next start on, the settings of a controller announce new limits of the state service.
    */
-  void tellNext(int node, Settings.StoreLimits next) {
-    toldLimits.put(node, site.stateLimits().min(next));
+  void configureNextLimits(int node, Settings.StoreLimits next) {
+    configuredLimits.put(node, site.stateLimits().min(next));
   }
 
   /** Replaces a controller by one with another build: it ends, and the new one starts. */
-  void roll(int node, Build build) {
+  void upgrade(int node, Build build) {
     install(node, build);
     crash(node);
   }
 
   /** A controller is down for some time. */
-  void down(int node, double seconds) {
-    lives[node].end();
+  void stopFor(int node, double seconds) {
+    processes[node].end();
     time.after(seconds, () -> startNode(node));
   }
 
   /** Suspends a controller for a while: its clocks keep running, and incoming messages wait. */
-  void standStill(int node, double seconds) {
-    lives[node].suspendUntil(time.seconds() + seconds);
+  void suspend(int node, double seconds) {
+    processes[node].suspendUntil(time.seconds() + seconds);
   }
 
   /** The controller that reports to be the leader, or -1. */
@@ -481,8 +482,8 @@
   }
 
   /** From now on a share of all reports arrives a second time, 1 s to three leases later. */
-  void copyLate(double share, Random draws) {
-    net.copyLate(
+  void duplicateReports(double share, Random draws) {
+    network.duplicateReports(
         share == 0
             ? DuplicatedMessages.NONE
             : DuplicatedMessages.delayed(
@@ -493,8 +494,8 @@
    * From now on copies of a share of all reports are kept until there is a new leader, and then
    * arrive at every controller.
    */
-  void keepForNextLeader(double share, Random draws) {
-    net.copyLate(
+  void duplicateReportsForNextLeader(double share, Random draws) {
+    network.duplicateReports(
         share == 0
             ? DuplicatedMessages.NONE
             : DuplicatedMessages.forNextLeader(share, nodes, draws, this::leadership));
@@ -513,8 +514,8 @@
    * From now on a share of all commands to machines, of reports, and of the answers to both is
    * delayed by 0.5 s to {@code longestS}.
    */
-  void holdMessages(double share, double longestS, Random draws) {
-    net.hold(new DelayedMessages(share, longestS, draws));
+  void delayMessages(double share, double longestS, Random draws) {
+    network.delayMessages(new DelayedMessages(share, longestS, draws));
   }
 
   /** Connections between a controller and the others are refused for a while. */
@@ -535,7 +536,7 @@
    *
    * @param lose whether packets are lost, rather than refused at once
    */
-  void lone(int node, double seconds, boolean lose) {
+  void separate(int node, double seconds, boolean lose) {
     if (lose) {
       cut(ClusterSpec.nodeName(node), "state", seconds, true);
       for (int other = 0; other < nodeCount(); other++) {
@@ -550,32 +551,32 @@
   }
 
   void cut(String one, String other, double seconds, boolean lose) {
-    net.cut(one, other, time.seconds() + seconds, lose);
+    network.cut(one, other, time.seconds() + seconds, lose);
   }
 
   /** The reports of a machine arrive, but for a while nothing that is sent to it does. */
-  void deafen(MachineId machine, double seconds) {
-    net.deafen(machine.text(), time.seconds() + seconds);
+  void dropInbound(MachineId machine, double seconds) {
+    network.dropInbound(machine.text(), time.seconds() + seconds);
   }
 
   /** A machine reaches no controller for a while; what is sent to it arrives and is answered. */
-  void mute(MachineId machine, double seconds) {
-    net.mute(machine.text(), time.seconds() + seconds);
+  void dropOutbound(MachineId machine, double seconds) {
+    network.dropOutbound(machine.text(), time.seconds() + seconds);
   }
 
-  int startsUnheard() {
-    return net.startsUnheard();
+  int undeliveredStarts() {
+    return network.undeliveredStarts();
   }
 
   /** Sends a request to a running controller directly, without the network. */
-  void ask(int node, HttpRequest request, Consumer<HttpResponse> reply) {
+  void sendDirectly(int node, HttpRequest request, Consumer<HttpResponse> reply) {
     controllers[node].handle(request, reply);
   }
 
   /** The status of a controller; null if it is down. */
   JsonFields status(int node) {
     JsonFields[] status = new JsonFields[1];
-    if (lives[node].isAlive()) {
+    if (processes[node].isAlive()) {
       controllers[node].handle(
           HttpRequest.get("/admin/status"),
           response -> {
--- a/src/main/java/org/quincecross/emulator/SmallJobs.java
+++ b/src/main/java/org/quincecross/emulator/SmallJobs.java
@@ -14,7 +14,7 @@
  */
 final class SmallJobs {
   private static final int FIRST_NUMBER = 700_000;
-  private static final double LONGEST_S = 16;
+  private static final double MAX_RUN_S = 16;
 
   private SmallJobs() {}
 
@@ -25,14 +25,14 @@
    * @param cancelShare the share that is cancelled within some seconds, 0 to 1
    */
   static void begin(
-      SimulatedCluster world,
-      double aSecond,
+      SimulatedCluster cluster,
+      double perSecond,
       double cancelShare,
       double fromS,
       double seconds,
       Random random) {
-    String team = world.site().teams().keySet().stream().sorted().findFirst().orElseThrow();
-    for (int i = 0; i < aSecond * seconds; i++) {
+    String team = cluster.site().teams().keySet().stream().sorted().findFirst().orElseThrow();
+    for (int i = 0; i < perSecond * seconds; i++) {
       Job job =
           Job.builder(new JobId("job-" + (FIRST_NUMBER + i)))
               .jobClass("small")
@@ -44,16 +44,16 @@
               .allowsSpot(true)
               .image("img-" + random.nextInt(3))
               .imageGb(0.5)
-              .estimate(TimeSpan.ofSeconds(1 + random.nextDouble() * LONGEST_S / 2))
+              .estimate(TimeSpan.ofSeconds(1 + random.nextDouble() * MAX_RUN_S / 2))
               .build();
-      double at = fromS + (i + random.nextDouble()) / aSecond;
-      world.time().at(at, () -> world.users().submit(job));
+      double at = fromS + (i + random.nextDouble()) / perSecond;
+      cluster.time().at(at, () -> cluster.users().submit(job));
       if (random.nextDouble() < cancelShare) {
-        world
+        cluster
             .time()
             .at(
-                at + LONGEST_S * random.nextDouble() * random.nextDouble(),
-                () -> world.users().cancel(job.id()));
+                at + MAX_RUN_S * random.nextDouble() * random.nextDouble(),
+                () -> cluster.users().cancel(job.id()));
       }
     }
   }
--- a/src/main/java/org/quincecross/emulator/TaskSimulator.java
+++ b/src/main/java/org/quincecross/emulator/TaskSimulator.java
@@ -12,13 +12,13 @@
  * one another.
  */
 final class TaskSimulator {
-  private record Start(TaskId task, long attempt) {}
+  private record TaskStart(TaskId task, long attempt) {}
 
   private final UserSimulator users;
   private final ProtocolInvariants rules;
-  private final Map<TaskId, Double> saved = new HashMap<>();
-  private final Map<TaskId, Double> more = new HashMap<>();
-  private final Map<Start, AgentSimulator> gangs = new HashMap<>();
+  private final Map<TaskId, Double> checkpointedSeconds = new HashMap<>();
+  private final Map<TaskId, Double> extraSeconds = new HashMap<>();
+  private final Map<TaskStart, AgentSimulator> waitingGangTasks = new HashMap<>();
 
   TaskSimulator(UserSimulator users, ProtocolInvariants rules) {
     this.users = users;
@@ -32,7 +32,10 @@
     }
     Job job = users.job(task.job());
     return Math.max(
-        0, secondsOf(job) + more.getOrDefault(task, 0.0) - saved.getOrDefault(task, 0.0));
+        0,
+        secondsOf(job)
+            + extraSeconds.getOrDefault(task, 0.0)
+            - checkpointedSeconds.getOrDefault(task, 0.0));
   }
 
   /**
@@ -45,39 +48,39 @@
 
   /** Gives a task {@code seconds} more work than the other tasks of its job; less if negative. */
   void runsLonger(TaskId task, double seconds) {
-    more.put(task, seconds);
+    extraSeconds.put(task, seconds);
   }
 
   /** A task saved a checkpoint {@code seconds} of work after its start. */
   void save(TaskId task, double seconds) {
-    saved.merge(task, seconds, Double::sum);
+    checkpointedSeconds.merge(task, seconds, Double::sum);
   }
 
-  void gangTaskGone(TaskId task, long attempt) {
-    gangs.remove(new Start(task, attempt));
+  void onGangTaskGone(TaskId task, long attempt) {
+    waitingGangTasks.remove(new TaskStart(task, attempt));
   }
 
   /**
    * A gang task waits for the others: once all wait, they start together, at the pace of the
    * slowest machine.
    */
-  void gangGathers(Job job, TaskId task, long attempt, AgentSimulator place) {
-    gangs.put(new Start(task, attempt), place);
-    List<AgentSimulator> places = new ArrayList<>();
+  void onGangTaskWaiting(Job job, TaskId task, long attempt, AgentSimulator newWorker) {
+    waitingGangTasks.put(new TaskStart(task, attempt), newWorker);
+    List<AgentSimulator> workers = new ArrayList<>();
     double seconds = 0;
     double speed = Double.MAX_VALUE;
     for (int i = 0; i < job.taskCount(); i++) {
       TaskId each = job.id().task(i);
-      AgentSimulator worker = gangs.get(new Start(each, attempt));
+      AgentSimulator worker = waitingGangTasks.get(new TaskStart(each, attempt));
       if (worker == null || !worker.isWaitingForGang(each, attempt)) {
         return;
       }
-      places.add(worker);
+      workers.add(worker);
       seconds = Math.max(seconds, secondsLeft(each));
       speed = Math.min(speed, worker.speed());
     }
     for (int i = 0; i < job.taskCount(); i++) {
-      places.get(i).startGangTask(job, job.id().task(i), attempt, seconds / speed);
+      workers.get(i).startGangTask(job, job.id().task(i), attempt, seconds / speed);
     }
   }
 
@@ -86,16 +89,16 @@
     for (int i = 0; i < job.taskCount(); i++) {
       TaskId task = job.id().task(i);
       rules.completed(task);
-      AgentSimulator worker = gangs.get(new Start(task, attempt));
+      AgentSimulator worker = waitingGangTasks.get(new TaskStart(task, attempt));
       if (worker != null) {
         worker.complete(task, attempt);
       }
     }
   }
 
-  void gangLost(Job job, long attempt) {
+  void onGangLost(Job job, long attempt) {
     for (int i = 0; i < job.taskCount(); i++) {
-      AgentSimulator worker = gangs.get(new Start(job.id().task(i), attempt));
+      AgentSimulator worker = waitingGangTasks.get(new TaskStart(job.id().task(i), attempt));
       if (worker != null) {
         worker.onGangPeerLost(job.id().task(i), attempt);
       }
--- a/src/main/java/org/quincecross/emulator/UpperBound.java
+++ b/src/main/java/org/quincecross/emulator/UpperBound.java
@@ -26,13 +26,13 @@
  */
 final class UpperBound {
   private static final int RESOURCES = 3;
-  private static final int MOST_ITERATIONS = 200_000;
+  private static final int MAX_ITERATIONS = 200_000;
 
   /** Jobs of a class that arrive in the same slice are grouped into this many size classes. */
-  private static final int SIZES = 3;
+  private static final int SIZE_CLASSES = 3;
 
   /** A job with a deadline and its work, in resources times seconds. */
-  record Wanted(String jobClass, double from, double until, Resources work) {}
+  record WorkDemand(String jobClass, double from, double until, Resources work) {}
 
   /** Similar jobs, each counted with the size of the smallest and the deadline of the latest. */
   private static final class Cohort {
@@ -40,7 +40,7 @@
     private final int first;
     private int last;
     private int jobs;
-    private Resources least;
+    private Resources smallestWork;
 
     Cohort(String jobClass, int first) {
       this.jobClass = jobClass;
@@ -51,53 +51,53 @@
   private final double sliceS;
   private final List<Resources> capacity;
   private final List<Cohort> cohorts = new ArrayList<>();
-  private final Map<String, Integer> jobs = new TreeMap<>();
+  private final Map<String, Integer> jobsByClass = new TreeMap<>();
 
   /**
    * @param sliceS the length of a slice, in seconds
    * @param capacity what the machines have free beside services, in each slice
    */
-  UpperBound(double sliceS, List<Resources> capacity, Collection<Wanted> wanted) {
+  UpperBound(double sliceS, List<Resources> capacity, Collection<WorkDemand> demands) {
     this.sliceS = sliceS;
     this.capacity = capacity;
-    Map<String, List<Wanted>> alike = new LinkedHashMap<>();
-    for (Wanted each : wanted) {
+    Map<String, List<WorkDemand>> alike = new LinkedHashMap<>();
+    for (WorkDemand each : demands) {
       if (slice(each.until())
           < capacity.size()
               - 1) { // the other jobs could still finish in time after the end of the day
         alike
             .computeIfAbsent(each.jobClass() + " " + slice(each.from()), key -> new ArrayList<>())
             .add(each);
-        jobs.merge(each.jobClass(), 1, Integer::sum);
+        jobsByClass.merge(each.jobClass(), 1, Integer::sum);
       }
     }
-    alike.values().forEach(this::gather);
+    alike.values().forEach(this::addCohorts);
   }
 
   private int slice(double seconds) {
     return (int) Math.floor(seconds / sliceS);
   }
 
-  private void gather(List<Wanted> alike) {
-    alike.sort((one, other) -> Double.compare(one.work().cpus(), other.work().cpus()));
-    int each = (alike.size() + SIZES - 1) / SIZES;
-    for (int i = 0; i < alike.size(); i++) {
-      Wanted wanted = alike.get(i);
+  private void addCohorts(List<WorkDemand> similar) {
+    similar.sort((one, other) -> Double.compare(one.work().cpus(), other.work().cpus()));
+    int each = (similar.size() + SIZE_CLASSES - 1) / SIZE_CLASSES;
+    for (int i = 0; i < similar.size(); i++) {
+      WorkDemand wanted = similar.get(i);
       if (i % each == 0) {
         Cohort next = new Cohort(wanted.jobClass(), slice(wanted.from()));
-        next.least = wanted.work();
+        next.smallestWork = wanted.work();
         cohorts.add(next);
       }
       Cohort cohort = cohorts.get(cohorts.size() - 1);
       cohort.jobs++;
-      cohort.least = cohort.least.min(wanted.work());
+      cohort.smallestWork = cohort.smallestWork.min(wanted.work());
       cohort.last = Math.max(cohort.last, slice(wanted.until()));
     }
   }
 
   /** The number of jobs of each class that are included. */
-  Map<String, Integer> jobs() {
-    return jobs;
+  Map<String, Integer> jobsByClass() {
+    return jobsByClass;
   }
 
   /** The smallest share of any class, from 0 to 1, at its maximum; NaN if it was not found. */
@@ -125,7 +125,9 @@
         int x = at[i] + s - cohort.first;
         all[x] = 1;
         ofClass[x] = 1;
-        double[] takes = {cohort.least.cpus(), cohort.least.gpus(), cohort.least.memoryGb()};
+        double[] takes = {
+          cohort.smallestWork.cpus(), cohort.smallestWork.gpus(), cohort.smallestWork.memoryGb()
+        };
         for (int r = 0; r < RESOURCES; r++) {
           if (takes[r] > 0) {
             double[] row =
@@ -152,7 +154,7 @@
     }
     classes.forEach(
         (name, row) -> {
-          row[0] = -jobs.get(name);
+          row[0] = -jobsByClass.get(name);
           constraints.add(new LinearConstraint(row, Relationship.GEQ, 0));
         });
     double[] share = new double[unknowns];
@@ -162,7 +164,7 @@
       PointValuePair best =
           new SimplexSolver()
               .optimize(
-                  new MaxIter(MOST_ITERATIONS),
+                  new MaxIter(MAX_ITERATIONS),
                   new LinearObjectiveFunction(share, 0),
                   new LinearConstraintSet(constraints),
                   GoalType.MAXIMIZE,
--- a/src/main/java/org/quincecross/emulator/UserSimulator.java
+++ b/src/main/java/org/quincecross/emulator/UserSimulator.java
@@ -27,24 +27,24 @@
  */
 final class UserSimulator {
   /** More than one chunk of the completed-task records holds. */
-  private static final int MANY_TASKS = 4500;
+  private static final int TASKS_OF_LARGE_ARRAY = 4500;
 
   private static final double SUBMIT_TIMEOUT_S = 5;
   private static final double POLL_TIMEOUT_S = 2;
-  private static final double GIVES_UP_AFTER_S = 60;
-  private static final double MOST_RETRY_AFTER_S = 30;
-  private static final double POLL_EVERY_S = 3;
-  private static final double POLL_EVERY_AT_SIZE_S = 5;
+  private static final double SUBMISSION_RETRY_LIMIT_S = 60;
+  private static final double MAX_RETRY_AFTER_S = 30;
+  private static final double POLL_INTERVAL_S = 3;
+  private static final double POLL_INTERVAL_LARGE_S = 5;
 
   /** The requests that users send about a job that they know. */
-  enum Asks {
+  enum RequestKind {
     STATE,
     AGAIN,
     CANCEL
   }
 
   /** What happens to a job as its user sees it; the last three each occur once. */
-  enum Moment {
+  enum JobEvent {
     ACCEPTED,
     LAST_TASK_ENDED,
     TOLD_DONE,
@@ -52,37 +52,37 @@
   }
 
   /** A random controller, or the one that the load balancer chooses. */
-  private static final int ANY = -1;
+  private static final int ANY_NODE = -1;
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final Random random;
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
-  private final Map<JobId, String> told = new TreeMap<>();
-  private final Map<JobId, Boolean> cancelAsked = new HashMap<>();
+  private final Map<JobId, String> reportedStates = new TreeMap<>();
+  private final Map<JobId, Boolean> cancelRequested = new HashMap<>();
   private final Map<JobId, Double> submittedAt = new HashMap<>();
   private final Map<JobId, Double> acceptedAfter = new HashMap<>();
   private final Map<JobId, Double> overAfter = new HashMap<>();
   private final Map<String, Integer> answers = new TreeMap<>();
-  private final Map<String, Double> longest = new TreeMap<>();
-  private final Map<JobId, Integer> mistakes = new TreeMap<>();
+  private final Map<String, Double> longestResponseS = new TreeMap<>();
+  private final Map<JobId, Integer> misconfiguredAttempts = new TreeMap<>();
   private final PollLiveness polls;
-  private final List<BiConsumer<Moment, JobId>> watchers = new ArrayList<>();
-  private double pollsFaster = 1;
-  private LoadBalancerSimulator balancer;
+  private final List<BiConsumer<JobEvent, JobId>> listeners = new ArrayList<>();
+  private double pollFactor = 1;
+  private LoadBalancerSimulator loadBalancer;
 
-  UserSimulator(ClusterEnvironment around) {
-    this.around = around;
-    this.random = around.random();
-    this.polls = new PollLiveness(around.clock());
+  UserSimulator(ClusterEnvironment environment) {
+    this.environment = environment;
+    this.random = environment.random();
+    this.polls = new PollLiveness(environment.clock());
   }
 
   /**
    * From now on users go through the load balancer, each over a connection of its own that is kept
    * as long as possible.
    */
-  LoadBalancerSimulator balance() {
-    balancer = new LoadBalancerSimulator(around);
-    return balancer;
+  LoadBalancerSimulator useLoadBalancer() {
+    loadBalancer = new LoadBalancerSimulator(environment);
+    return loadBalancer;
   }
 
   /** When requests were sent and answered, by job. */
@@ -95,23 +95,23 @@
   }
 
   /** Registers a listener for job events. */
-  void watch(BiConsumer<Moment, JobId> watcher) {
-    watchers.add(watcher);
+  void addListener(BiConsumer<JobEvent, JobId> watcher) {
+    listeners.add(watcher);
   }
 
-  void happens(Moment moment, JobId id) {
-    watchers.forEach(each -> each.accept(moment, id));
+  void publish(JobEvent moment, JobId id) {
+    listeners.forEach(each -> each.accept(moment, id));
   }
 
   /** Whether a job was accepted and its user does not know that it is over. */
   boolean isOpen(JobId id) {
-    String state = told.get(id);
+    String state = reportedStates.get(id);
     return state != null && !state.equals("done") && !state.equals("cancelled");
   }
 
   /** Whether somebody has asked for a job to be cancelled. */
-  boolean isCancelAsked(JobId id) {
-    return cancelAsked.containsKey(id);
+  boolean isCancelRequested(JobId id) {
+    return cancelRequested.containsKey(id);
   }
 
   /** Makes a job known to the machines that will run it, as its user's upload does. */
@@ -120,35 +120,35 @@
   }
 
   /** Submits a job that fails on every machine as soon as it runs. */
-  JobId submitMistaken(Job job) {
-    mistakes.put(job.id(), 0);
+  JobId submitMisconfigured(Job job) {
+    misconfiguredAttempts.put(job.id(), 0);
     return submit(job);
   }
 
-  boolean isMistaken(JobId id) {
-    return mistakes.containsKey(id);
+  boolean isMisconfigured(JobId id) {
+    return misconfiguredAttempts.containsKey(id);
   }
 
-  void mistakeMade(JobId id) {
-    mistakes.merge(id, 1, Integer::sum);
+  void onMisconfiguredAttempt(JobId id) {
+    misconfiguredAttempts.merge(id, 1, Integer::sum);
   }
 
   /** The number of attempts of tasks of each misconfigured job. */
-  Map<JobId, Integer> mistakes() {
-    return mistakes;
+  Map<JobId, Integer> misconfiguredAttempts() {
+    return misconfiguredAttempts;
   }
 
   /** For a while users poll {@code factor} times as often, and equally often for unknown jobs. */
-  void storm(double factor, double seconds) {
-    pollsFaster = factor;
-    askForUnknown(around.clock().seconds() + seconds);
-    around.clock().after(seconds, () -> pollsFaster = 1);
+  void multiplyPolls(double factor, double seconds) {
+    pollFactor = factor;
+    askForUnknown(environment.clock().seconds() + seconds);
+    environment.clock().after(seconds, () -> pollFactor = 1);
   }
 
   private void askForUnknown(double untilS) {
-    if (around.clock().seconds() < untilS) {
+    if (environment.clock().seconds() < untilS) {
       JobId id = new JobId("job-" + (800_000 + random.nextInt(100_000)));
-      ask(
+      send(
           "strangers",
           "poll unknown",
           HttpRequest.get(JobCodec.JOBS_PATH + "/" + id),
@@ -158,10 +158,11 @@
               throw new IllegalStateException("invented " + id);
             }
           });
-      around
+      environment
           .clock()
           .after(
-              POLL_EVERY_S / pollsFaster / Math.max(1, told.size()), () -> askForUnknown(untilS));
+              POLL_INTERVAL_S / pollFactor / Math.max(1, reportedStates.size()),
+              () -> askForUnknown(untilS));
     }
   }
 
@@ -171,8 +172,8 @@
   }
 
   /** The last state that users were told, by accepted job. */
-  Map<JobId, String> told() {
-    return told;
+  Map<JobId, String> reportedStates() {
+    return reportedStates;
   }
 
   /** The time of the first submission of each job. */
@@ -196,8 +197,8 @@
   }
 
   /** The longest response time of each kind of request, in seconds. */
-  Map<String, Double> longest() {
-    return longest;
+  Map<String, Double> longestResponseS() {
+    return longestResponseS;
   }
 
   /** Submits one service replica that runs until it is cancelled. */
@@ -261,7 +262,7 @@
             .team("red")
             .kind(JobKind.ARRAY)
             .priority(Priority.NORMAL)
-            .taskCount(MANY_TASKS)
+            .taskCount(TASKS_OF_LARGE_ARRAY)
             .taskResources(new Resources(0.25, 0, 0.5))
             .allowsSpot(true)
             .image("img-0")
@@ -272,9 +273,9 @@
 
   JobId submit(Job job) {
     jobs.put(job.id(), job);
-    submittedAt.put(job.id(), around.clock().seconds());
-    around.pipelines().submitted(job);
-    sendSubmission(job, around.clock().seconds());
+    submittedAt.put(job.id(), environment.clock().seconds());
+    environment.pipelines().submitted(job);
+    sendSubmission(job, environment.clock().seconds());
     return job.id();
   }
 
@@ -313,7 +314,7 @@
             .build();
     submit(job);
     if (kind == JobKind.SERVICE || random.nextInt(4) == 0) {
-      around.clock().after(1 + random.nextDouble() * 60, () -> cancel(job.id()));
+      environment.clock().after(1 + random.nextDouble() * 60, () -> cancel(job.id()));
     }
   }
 
@@ -322,44 +323,44 @@
   private void sendSubmission(Job job, double since) {
     HttpRequest request =
         HttpRequest.post(JobCodec.JOBS_PATH, Json.write(JobCodec.writeSubmission(job)));
-    String before = around.rules().lastReportedState(job.id());
-    ask(
+    String before = environment.invariants().lastReportedState(job.id());
+    send(
         job.id(),
         "submit",
         request,
         SUBMIT_TIMEOUT_S,
         outcome -> {
-          double now = around.clock().seconds();
-          if (isTold(job.id(), outcome, before)) {
+          double now = environment.clock().seconds();
+          if (recordAnswer(job.id(), outcome, before)) {
             acceptedAfter.putIfAbsent(job.id(), now - since);
             polls.accepted(job.id());
-            around.pipelines().onSubmissionAnswered(job.id(), outcome.status());
-            around.clock().after(2, () -> poll(job.id()));
-            happens(Moment.ACCEPTED, job.id());
+            environment.pipelines().onSubmissionAnswered(job.id(), outcome.status());
+            environment.clock().after(2, () -> poll(job.id()));
+            publish(JobEvent.ACCEPTED, job.id());
           } else if (outcome.status() != 400
               && outcome.status() != 422
-              && now - since < GIVES_UP_AFTER_S) {
-            around
+              && now - since < SUBMISSION_RETRY_LIMIT_S) {
+            environment
                 .clock()
                 .after(Math.max(1, retryAfter(outcome)), () -> sendSubmission(job, since));
           } else {
-            around.pipelines().onSubmissionAnswered(job.id(), outcome.status());
+            environment.pipelines().onSubmissionAnswered(job.id(), outcome.status());
           }
         });
   }
 
   /** Submits an accepted job once more, as a delayed retry may arrive at any time. */
   void submitAgain(JobId id) {
-    once(ANY, Asks.AGAIN, id, outcome -> {});
+    sendOnce(ANY_NODE, RequestKind.AGAIN, id, outcome -> {});
   }
 
   /** Sends one request about an accepted job to one of the controllers, without retry. */
-  void once(int node, Asks what, JobId id) {
-    once(node, what, id, outcome -> {});
+  void sendOnce(int node, RequestKind what, JobId id) {
+    sendOnce(node, what, id, outcome -> {});
   }
 
-  private void once(int node, Asks what, JobId id, Consumer<HttpOutcome> done) {
-    String before = around.rules().lastReportedState(id);
+  private void sendOnce(int node, RequestKind what, JobId id, Consumer<HttpOutcome> done) {
+    String before = environment.invariants().lastReportedState(id);
     HttpRequest request =
         switch (what) {
           case STATE -> HttpRequest.get(JobCodec.JOBS_PATH + "/" + id);
@@ -375,63 +376,64 @@
           case AGAIN -> "submit";
           case CANCEL -> "cancel";
         };
-    if (what == Asks.CANCEL && !"done".equals(before)) {
+    if (what == RequestKind.CANCEL && !"done".equals(before)) {
       noteCancel(id);
     }
-    ask(
+    send(
         node,
         id,
         kind,
         request,
-        what == Asks.STATE ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S,
+        what == RequestKind.STATE ? POLL_TIMEOUT_S : SUBMIT_TIMEOUT_S,
         outcome -> {
-          isTold(id, outcome, before);
+          recordAnswer(id, outcome, before);
           done.accept(outcome);
         });
   }
 
   /** Sends a request that concerns no job of these users, to any controller. */
   void request(String kind, HttpRequest request, Consumer<HttpOutcome> done) {
-    ask(ANY, "strangers", kind, request, SUBMIT_TIMEOUT_S, done);
+    send(ANY_NODE, "strangers", kind, request, SUBMIT_TIMEOUT_S, done);
   }
 
   private static double retryAfter(HttpOutcome outcome) {
     return outcome.response() == null
         ? 0
-        : Math.min(MOST_RETRY_AFTER_S, outcome.response().retryAfterS());
+        : Math.min(MAX_RETRY_AFTER_S, outcome.response().retryAfterS());
   }
 
-  private void ask(
+  private void send(
       Object user, String kind, HttpRequest request, double timeout, Consumer<HttpOutcome> done) {
-    ask(ANY, user, kind, request, timeout, done);
+    send(ANY_NODE, user, kind, request, timeout, done);
   }
 
-  private void ask(
+  private void send(
       int node,
       Object user,
       String kind,
       HttpRequest request,
       double timeout,
       Consumer<HttpOutcome> done) {
-    double begun = around.clock().seconds();
+    double begun = environment.clock().seconds();
     Consumer<HttpOutcome> answered =
         outcome -> {
           answers.merge(kind + " " + outcome.status(), 1, Integer::sum);
           if (outcome.status() != 0) {
-            longest.merge(
-                kind + " " + outcome.status(), around.clock().seconds() - begun, Math::max);
+            longestResponseS.merge(
+                kind + " " + outcome.status(), environment.clock().seconds() - begun, Math::max);
           }
           done.accept(outcome);
         };
-    if (balancer != null && node == ANY) {
-      balancer.call(user, request, timeout, answered);
+    if (loadBalancer != null && node == ANY_NODE) {
+      loadBalancer.call(user, request, timeout, answered);
     } else {
-      around
+      environment
           .network()
           .call(
               new ProcessScope(),
               "users",
-              around.node(node == ANY ? random.nextInt(around.site().nodes()) : node),
+              environment.node(
+                  node == ANY_NODE ? random.nextInt(environment.site().nodes()) : node),
               request,
               TimeSpan.ofSeconds(timeout),
               answered);
@@ -439,22 +441,23 @@
   }
 
   /** Evaluates the answer to a request about a job; returns whether it contains the job's state. */
-  private boolean isTold(JobId id, HttpOutcome outcome, String before) {
+  private boolean recordAnswer(JobId id, HttpOutcome outcome, String before) {
     if (outcome.status() != 200 && outcome.status() != 201) {
-      around.rules().onRefused(id, outcome.status(), before);
+      environment.invariants().onRefused(id, outcome.status(), before);
       return false;
     }
     try {
       String status = Json.parseFields(outcome.response().body()).string("Status");
-      String last = told.put(id, status);
-      around.rules().onStateReported(id, status, before, cancelAsked.containsKey(id));
-      around.pipelines().onStateReported(id, status);
+      String last = reportedStates.put(id, status);
+      environment.invariants().onStateReported(id, status, before, cancelRequested.containsKey(id));
+      environment.pipelines().onStateReported(id, status);
       if (status.equals("done")
-          && overAfter.putIfAbsent(id, around.clock().seconds() - submittedAt.getOrDefault(id, 0.0))
+          && overAfter.putIfAbsent(
+                  id, environment.clock().seconds() - submittedAt.getOrDefault(id, 0.0))
               == null) {
-        happens(Moment.TOLD_DONE, id);
+        publish(JobEvent.TOLD_DONE, id);
       } else if (status.equals("cancelled") && !status.equals(last)) {
-        happens(Moment.TOLD_CANCELLED, id);
+        publish(JobEvent.TOLD_CANCELLED, id);
       }
       return true;
     } catch (MalformedMessageException e) {
@@ -463,43 +466,44 @@
   }
 
   private void poll(JobId id) {
-    once(
-        ANY,
-        Asks.STATE,
+    sendOnce(
+        ANY_NODE,
+        RequestKind.STATE,
         id,
         outcome -> {
           if (outcome.status() == 200) {
             polls.answered(id);
           }
-          boolean atSize = !around.site().classes().isEmpty();
+          boolean atSize = !environment.site().classes().isEmpty();
           if (!atSize || isOpen(id)) {
-            around
+            environment
                 .clock()
                 .after(
-                    (atSize ? POLL_EVERY_AT_SIZE_S : POLL_EVERY_S) / pollsFaster, () -> poll(id));
+                    (atSize ? POLL_INTERVAL_LARGE_S : POLL_INTERVAL_S) / pollFactor,
+                    () -> poll(id));
           }
         });
   }
 
   /** Records that cancellation of a job was requested, here or by a request of a test. */
   void noteCancel(JobId id) {
-    if (cancelAsked.put(id, true) == null) {
-      around.served().cancelled(id, around.now());
+    if (cancelRequested.put(id, true) == null) {
+      environment.accounting().cancelled(id, environment.now());
     }
   }
 
   void cancel(JobId id) {
-    if (!told.containsKey(id)) {
-      around.clock().after(1, () -> cancel(id)); // not accepted yet
+    if (!reportedStates.containsKey(id)) {
+      environment.clock().after(1, () -> cancel(id)); // not accepted yet
       return;
     }
-    once(
-        ANY,
-        Asks.CANCEL,
+    sendOnce(
+        ANY_NODE,
+        RequestKind.CANCEL,
         id,
         outcome -> {
           if (outcome.status() != 200) {
-            around.clock().after(1, () -> cancel(id));
+            environment.clock().after(1, () -> cancel(id));
           }
         });
   }
--- a/src/main/java/org/quincecross/emulator/VirtualNetwork.java
+++ b/src/main/java/org/quincecross/emulator/VirtualNetwork.java
@@ -19,21 +19,21 @@
   private final Map<Endpoint, Host> hosts = new HashMap<>();
 
   /** The process that each caller has reached at an address: a connection to it is established. */
-  private final Map<String, Object> connected = new HashMap<>();
+  private final Map<String, Object> establishedConnections = new HashMap<>();
 
   private final Map<Endpoint, String> names = new HashMap<>();
   private final Map<Set<String>, Double> cutUntil = new HashMap<>();
-  private final Set<Set<String>> losing = new HashSet<>();
-  private final Map<String, Double> silentUntil = new HashMap<>();
-  private final Map<String, Double> deafUntil = new HashMap<>();
-  private final Map<String, Double> muteUntil = new HashMap<>();
-  private int startsUnheard;
-  private double holdNext;
+  private final Set<Set<String>> lossyCuts = new HashSet<>();
+  private final Map<String, Double> isolatedUntil = new HashMap<>();
+  private final Map<String, Double> inboundDroppedUntil = new HashMap<>();
+  private final Map<String, Double> outboundDroppedUntil = new HashMap<>();
+  private int undeliveredStarts;
+  private double delayNext;
   private Consumer<byte[]> startWatcher = body -> {};
 
   private MessageObserver observer = MessageObserver.NONE;
-  private DuplicatedMessages copies = DuplicatedMessages.NONE;
-  private DelayedMessages held = DelayedMessages.NONE;
+  private DuplicatedMessages duplicates = DuplicatedMessages.NONE;
+  private DelayedMessages delays = DelayedMessages.NONE;
 
   VirtualNetwork(VirtualTime time, Random random) {
     this.time = time;
@@ -62,60 +62,62 @@
     Set<String> link = new HashSet<>(Set.of(one, other));
     cutUntil.put(link, untilS);
     if (lose) {
-      losing.add(link);
+      lossyCuts.add(link);
     } else {
-      losing.remove(link);
+      lossyCuts.remove(link);
     }
   }
 
   /** A host neither sends nor receives; connections to it hang. */
-  void silence(String name, double untilS) {
-    silentUntil.put(name, untilS);
+  void isolate(String name, double untilS) {
+    isolatedUntil.put(name, untilS);
   }
 
   /** Delays the next request by this many seconds. */
-  void holdNext(double seconds) {
-    holdNext = seconds;
+  void delayNext(double seconds) {
+    delayNext = seconds;
   }
 
   /** From now on some reports arrive a second time, later. */
-  void copyLate(DuplicatedMessages late) {
-    copies = late;
+  void duplicateReports(DuplicatedMessages late) {
+    duplicates = late;
   }
 
   /** From now on some messages between controllers and machines are delayed. */
-  void hold(DelayedMessages messages) {
-    held = messages;
+  void delayMessages(DelayedMessages messages) {
+    delays = messages;
   }
 
-  boolean isSilent(String name) {
-    return !silentUntil.isEmpty() && silentUntil.getOrDefault(name, 0.0) > time.seconds();
+  boolean isIsolated(String name) {
+    return !isolatedUntil.isEmpty() && isolatedUntil.getOrDefault(name, 0.0) > time.seconds();
   }
 
   /** A host still sends, but receives nothing: neither requests nor the answers to its own. */
-  void deafen(String name, double untilS) {
-    deafUntil.put(name, untilS);
+  void dropInbound(String name, double untilS) {
+    inboundDroppedUntil.put(name, untilS);
   }
 
-  private boolean isDeaf(String name) {
-    return !deafUntil.isEmpty() && deafUntil.getOrDefault(name, 0.0) > time.seconds();
+  private boolean isInboundDropped(String name) {
+    return !inboundDroppedUntil.isEmpty()
+        && inboundDroppedUntil.getOrDefault(name, 0.0) > time.seconds();
   }
 
   /**
    * A host opens no connections and loses those that it had; what is sent to it arrives and is
    * answered.
    */
-  void mute(String name, double untilS) {
-    muteUntil.put(name, untilS);
+  void dropOutbound(String name, double untilS) {
+    outboundDroppedUntil.put(name, untilS);
   }
 
-  private boolean isMute(String name) {
-    return !muteUntil.isEmpty() && muteUntil.getOrDefault(name, 0.0) > time.seconds();
+  private boolean isOutboundDropped(String name) {
+    return !outboundDroppedUntil.isEmpty()
+        && outboundDroppedUntil.getOrDefault(name, 0.0) > time.seconds();
   }
 
   /** The number of starts sent to machines that did not receive them. */
-  int startsUnheard() {
-    return startsUnheard;
+  int undeliveredStarts() {
+    return undeliveredStarts;
   }
 
   /** Registers a listener for each message that leaves for a machine, or answers one. */
@@ -133,9 +135,9 @@
     observer.frame(frame);
   }
 
-  private void countUnheard(String to, byte[] body) {
-    if (isDeaf(to)) {
-      startsUnheard +=
+  private void countUndeliveredStarts(String to, byte[] body) {
+    if (isInboundDropped(to)) {
+      undeliveredStarts +=
           new String(body, StandardCharsets.UTF_8).split("\"Verb\":\"start\"", -1).length - 1;
     }
   }
@@ -146,7 +148,7 @@
         0.001
             + random.nextDouble() * 0.004
             + (random.nextInt(100) == 0 ? random.nextDouble() * 3 : 0);
-    if (isSilent(from) || isSilent(to) || isDeaf(to)) {
+    if (isIsolated(from) || isIsolated(to) || isInboundDropped(to)) {
       return -1;
     }
     if (cutUntil.isEmpty()) {
@@ -157,13 +159,13 @@
     link.add(to);
     Double until = cutUntil.get(link);
     if (until != null && until > time.seconds()) {
-      return losing.contains(link) ? -1 : until - time.seconds() + delay;
+      return lossyCuts.contains(link) ? -1 : until - time.seconds() + delay;
     }
     return delay;
   }
 
   private boolean isCut(String from, String to) {
-    if (isSilent(from) || isSilent(to) || isDeaf(to)) {
+    if (isIsolated(from) || isIsolated(to) || isInboundDropped(to)) {
       return true;
     }
     if (cutUntil.isEmpty()) {
@@ -179,10 +181,10 @@
     send(from, to, 0, arrival);
   }
 
-  private void send(String from, String to, double heldS, Runnable arrival) {
+  private void send(String from, String to, double extraDelayS, Runnable arrival) {
     double delay = delay(from, to);
     if (delay >= 0) {
-      time.after(delay + heldS, arrival);
+      time.after(delay + extraDelayS, arrival);
     }
   }
 
@@ -212,19 +214,20 @@
       time.after(0.001, () -> once.accept(HttpOutcome.failed(false)));
       return;
     }
-    countUnheard(name, request.body());
+    countUndeliveredStarts(name, request.body());
     observer.request(from, name, request);
     if (request.path().equals("/orders")) {
       startWatcher.accept(request.body());
     }
-    double heldS = holdNext + held.delayS(request);
-    holdNext = 0;
+    double heldS = delayNext + delays.delayS(request);
+    delayNext = 0;
     Object process = host.process();
     String link = from + ">" + to;
-    if (isMute(from)) {
-      connected.remove(link);
+    if (isOutboundDropped(from)) {
+      establishedConnections.remove(link);
     }
-    if (isMute(from) || (isCut(from, name) && connected.get(link) != process)) {
+    if (isOutboundDropped(from)
+        || (isCut(from, name) && establishedConnections.get(link) != process)) {
       // A connection attempt across a partition never completes.
       time.after(timeout.seconds(), () -> once.accept(HttpOutcome.failed(false)));
       return;
@@ -235,20 +238,20 @@
         heldS,
         () -> {
           // A lost report has no copy: the copy would be a late first report.
-          copies.maybeDuplicate(
+          duplicates.maybeDuplicate(
               request,
               to,
               time,
-              (late, endpoint) -> time.after(late, () -> copyArrives(from, endpoint, request)));
+              (late, endpoint) -> time.after(late, () -> deliverCopy(from, endpoint, request)));
           // A held message belongs to its connection; a process that has restarted since does not
           // receive it.
           if (host.isUp() && host.process() == process) {
-            connected.put(link, process);
+            establishedConnections.put(link, process);
             host.request(
                 from,
                 request,
                 response -> {
-                  countUnheard(from, response.body());
+                  countUndeliveredStarts(from, response.body());
                   observer.response(from, name, request, response);
                   if (request.path().equals("/agent/beat")) {
                     startWatcher.accept(response.body());
@@ -256,7 +259,7 @@
                   send(
                       name,
                       from,
-                      held.delayS(request),
+                      delays.delayS(request),
                       () -> once.accept(HttpOutcome.answered(response)));
                 });
           }
@@ -264,7 +267,7 @@
     time.after(timeout.seconds(), () -> once.accept(HttpOutcome.failed(true)));
   }
 
-  private void copyArrives(String from, Endpoint at, HttpRequest request) {
+  private void deliverCopy(String from, Endpoint at, HttpRequest request) {
     Host there = hosts.get(at);
     if (there != null && there.isUp()) {
       there.request(from, request, response -> {}); // nobody waits for the answer to a copy
--- a/src/main/java/org/quincecross/emulator/VirtualTime.java
+++ b/src/main/java/org/quincecross/emulator/VirtualTime.java
@@ -7,9 +7,10 @@
 
 /** A clock that advances only to the next scheduled action. */
 final class VirtualTime implements Clock {
-  private record Due(long at, long order, Runnable action) implements Comparable<Due> {
+  private record ScheduledAction(long at, long order, Runnable action)
+      implements Comparable<ScheduledAction> {
     @Override
-    public int compareTo(Due other) {
+    public int compareTo(ScheduledAction other) {
       return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
     }
   }
@@ -17,7 +18,7 @@
   /** Timers fire in steps of this size, slightly late. */
   private static final double STEP_S = 1e-4;
 
-  private final PriorityQueue<Due> due = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
   private long now;
   private long order;
 
@@ -28,12 +29,12 @@
 
   @Override
   public void after(double seconds, Runnable action) {
-    due.add(new Due(now + Math.max(0, (long) (seconds * 1e9)), order++, action));
+    queue.add(new ScheduledAction(now + Math.max(0, (long) (seconds * 1e9)), order++, action));
   }
 
   void runUntil(double seconds) {
-    while (!due.isEmpty() && due.peek().at() <= seconds * 1e9) {
-      Due next = due.poll();
+    while (!queue.isEmpty() && queue.peek().at() <= seconds * 1e9) {
+      ScheduledAction next = queue.poll();
       now = Math.max(now, next.at());
       next.action().run();
     }
@@ -44,18 +45,18 @@
    * Runs an action in a process: dropped once the process has ended, postponed while it is
    * suspended.
    */
-  void whenAwake(ProcessScope life, Runnable action) {
-    double still = life.suspendedFor(seconds());
-    if (still > 0) {
+  void whenAwake(ProcessScope process, Runnable action) {
+    double suspendedS = process.suspendedFor(seconds());
+    if (suspendedS > 0) {
       // A shorter delay would be rescheduled forever without the clock advancing.
-      after(Math.max(still, 1e-9), () -> whenAwake(life, action));
-    } else if (life.isAlive()) {
+      after(Math.max(suspendedS, 1e-9), () -> whenAwake(process, action));
+    } else if (process.isAlive()) {
       action.run();
     }
   }
 
   /** The timers of a process; its clock has an offset of its own and runs at {@code rate}. */
-  Timers timersOf(ProcessScope life, long offset, double rate, Meter meter) {
+  Timers timersOf(ProcessScope process, long offset, double rate, Meter meter) {
     return new Timers() {
       @Override
       public MonotonicTime now() {
@@ -65,7 +66,7 @@
       @Override
       public void after(TimeSpan delay, Runnable action) {
         VirtualTime.this.after(
-            delay.seconds() / rate + STEP_S, () -> whenAwake(life, () -> meter.run(action)));
+            delay.seconds() / rate + STEP_S, () -> whenAwake(process, () -> meter.run(action)));
       }
 
       @Override
@@ -74,7 +75,7 @@
             period.seconds() / rate + STEP_S,
             () ->
                 whenAwake(
-                    life,
+                    process,
                     () -> {
                       meter.run(action);
                       every(period, action);
--- a/src/main/java/org/quincecross/emulator/WorkloadFile.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadFile.java
@@ -56,22 +56,22 @@
           "spot",
           "due_s",
           "waits_on");
-  private static final int MOST_TASKS = 100_000;
-  private static final int MOST_COPIES = 10_000;
+  private static final int MAX_TASKS = 100_000;
+  private static final int MAX_COPIES = 10_000;
   private static final int FIRST_NUMBER = 1000;
 
   /** A job and its earliest submission time; its dependencies are accepted before. */
-  record Due(double atS, Job job) {
+  record ScheduledJob(double atS, Job job) {
     DependentJobs.PipelineJob step() {
       return new DependentJobs.PipelineJob(job, DependentJobs.SubmitCondition.ONCE_ACCEPTED);
     }
   }
 
   private final ClusterSpec site;
-  private final List<Due> due = new ArrayList<>();
+  private final List<ScheduledJob> scheduled = new ArrayList<>();
 
   /** The jobs by name, for the dependencies of others; tables may share a name. */
-  private final Map<String, List<JobId>> named = new HashMap<>();
+  private final Map<String, List<JobId>> jobsByName = new HashMap<>();
 
   private WorkloadFile(ClusterSpec site) {
     this.site = site;
@@ -83,7 +83,7 @@
    *
    * @throws MalformedMessageException with the line and the field that are wrong
    */
-  static List<Due> read(String text, ClusterSpec site) throws MalformedMessageException {
+  static List<ScheduledJob> read(String text, ClusterSpec site) throws MalformedMessageException {
     TomlParseResult toml = Toml.parse(text);
     if (toml.hasErrors()) {
       throw new MalformedMessageException(
@@ -94,7 +94,8 @@
     }
     for (String key : toml.keySet()) {
       if (!key.equals("jobs")) {
-        throw wrong(toml.inputPositionOf(List.of(key)), key, "is not known; there are [[jobs]]");
+        throw malformed(
+            toml.inputPositionOf(List.of(key)), key, "is not known; there are [[jobs]]");
       }
     }
     TomlArray jobs = toml.isArray("jobs") ? toml.getArray("jobs") : null;
@@ -105,32 +106,32 @@
     }
     WorkloadFile file = new WorkloadFile(site);
     for (int i = 0; i < jobs.size(); i++) {
-      file.take(jobs.getTable(i), jobs.inputPositionOf(i));
+      file.readTable(jobs.getTable(i), jobs.inputPositionOf(i));
     }
-    file.due.sort((one, other) -> Double.compare(one.atS(), other.atS()));
-    return file.due;
+    file.scheduled.sort((one, other) -> Double.compare(one.atS(), other.atS()));
+    return file.scheduled;
   }
 
   private static String firstLine(String text) {
     return text == null ? "not TOML" : text.lines().findFirst().orElse("not TOML");
   }
 
-  private static MalformedMessageException wrong(TomlPosition at, String field, String what) {
+  private static MalformedMessageException malformed(TomlPosition at, String field, String what) {
     return new MalformedMessageException(
         "line " + (at == null ? "?" : at.line()) + ": field " + field + " " + what);
   }
 
   /** One table of the file, and its position. */
-  private record Item(TomlTable table, TomlPosition begins) {
-    MalformedMessageException wrong(String field, String what) {
+  private record JobTable(TomlTable table, TomlPosition position) {
+    MalformedMessageException malformed(String field, String what) {
       TomlPosition at = table.inputPositionOf(List.of(field));
-      return WorkloadFile.wrong(at == null ? begins : at, field, what);
+      return WorkloadFile.malformed(at == null ? position : at, field, what);
     }
 
     String text(String field, String otherwise) throws MalformedMessageException {
       Object value = table.get(List.of(field));
       if (value == null && otherwise == null) {
-        throw wrong(field, "is missing");
+        throw malformed(field, "is missing");
       }
       if (value == null) {
         return otherwise;
@@ -138,20 +139,20 @@
       if (value instanceof String text && !text.isBlank() && text.length() <= 60) {
         return text;
       }
-      throw wrong(field, "is not a short text");
+      throw malformed(field, "is not a short text");
     }
 
     double amount(String field, double otherwise, double most) throws MalformedMessageException {
       Object value = table.get(List.of(field));
       if (value == null && otherwise < 0) {
-        throw wrong(field, "is missing");
+        throw malformed(field, "is missing");
       }
       double amount =
           value == null
               ? otherwise
               : value instanceof Number number ? number.doubleValue() : Double.NaN;
       if (!(amount >= 0 && amount <= most)) {
-        throw wrong(field, "is not a number from 0 to " + most);
+        throw malformed(field, "is not a number from 0 to " + most);
       }
       return amount;
     }
@@ -159,11 +160,11 @@
     int count(String field, int otherwise, int most) throws MalformedMessageException {
       Object value = table.get(List.of(field));
       if (value == null && otherwise < 0) {
-        throw wrong(field, "is missing");
+        throw malformed(field, "is missing");
       }
       long count = value == null ? otherwise : value instanceof Long number ? number : -1;
       if (count < 1 || count > most) {
-        throw wrong(field, "is not a whole number from 1 to " + most);
+        throw malformed(field, "is not a whole number from 1 to " + most);
       }
       return (int) count;
     }
@@ -173,7 +174,7 @@
       if (value == null || value instanceof Boolean) {
         return Boolean.TRUE.equals(value);
       }
-      throw wrong(field, "is not true or false");
+      throw malformed(field, "is not true or false");
     }
 
     List<?> list(String field) throws MalformedMessageException {
@@ -181,58 +182,58 @@
       if (value == null || value instanceof TomlArray) {
         return value == null ? List.of() : ((TomlArray) value).toList();
       }
-      throw wrong(field, "is not a list");
+      throw malformed(field, "is not a list");
     }
 
     <T> T word(String field, Map<String, T> words) throws MalformedMessageException {
       T value = words.get(text(field, null));
       if (value == null) {
-        throw wrong(field, "is not one of " + words.keySet().stream().sorted().toList());
+        throw malformed(field, "is not one of " + words.keySet().stream().sorted().toList());
       }
       return value;
     }
   }
 
-  private void take(TomlTable table, TomlPosition begins) throws MalformedMessageException {
-    Item in = new Item(table, begins);
+  private void readTable(TomlTable table, TomlPosition begins) throws MalformedMessageException {
+    JobTable in = new JobTable(table, begins);
     for (String key : table.keySet()) {
       if (!FIELDS.contains(key)) {
-        throw in.wrong(key, "is not known");
+        throw in.malformed(key, "is not known");
       }
     }
     String name = in.text("name", null);
     JobKind kind = in.word("shape", SHAPES);
     String team = in.text("team", null);
     if (!site.teams().containsKey(team)) {
-      throw in.wrong("team", "is not one of " + site.teams().keySet());
+      throw in.malformed("team", "is not one of " + site.teams().keySet());
     }
-    int tasks = in.count("tasks", 1, MOST_TASKS);
+    int tasks = in.count("tasks", 1, MAX_TASKS);
     Resources each =
         new Resources(
             in.amount("cpus", -1, 1000),
             in.amount("gpus", 0, 100),
             in.amount("memory_gb", -1, 10_000));
     if (each.cpus() <= 0) {
-      throw in.wrong("cpus", "is not above 0");
+      throw in.malformed("cpus", "is not above 0");
     }
     if (site.types().stream().noneMatch(type -> each.fitsIn(type.capacity()))) {
-      throw in.wrong("cpus", "and memory_gb of a task fit no machine of this site");
+      throw in.malformed("cpus", "and memory_gb of a task fit no machine of this site");
     }
     boolean runs = kind != JobKind.SERVICE;
     double run = runs ? in.amount("run_s", -1, 100_000) : 0;
     double every = in.amount("every_s", 0, 100_000);
     double due = in.amount("due_s", 0, 1_000_000);
-    int copies = in.count("copies", 1, MOST_COPIES);
+    int copies = in.count("copies", 1, MAX_COPIES);
     int perMachines = in.count("per_machines", site.maxMachines(), Integer.MAX_VALUE);
     int all = Math.max(1, copies * site.maxMachines() / perMachines);
-    List<List<JobId>> before = before(in);
+    List<List<JobId>> before = dependencies(in);
     List<JobId> ids = new ArrayList<>();
     for (int i = 0; i < all; i++) {
       int number = i;
-      JobId id = new JobId("job-" + (FIRST_NUMBER + this.due.size()));
+      JobId id = new JobId("job-" + (FIRST_NUMBER + this.scheduled.size()));
       ids.add(id);
-      this.due.add(
-          new Due(
+      this.scheduled.add(
+          new ScheduledJob(
               i * every * copies / all,
               Job.builder(id)
                   .jobClass(name)
@@ -256,19 +257,19 @@
                           .collect(Collectors.toSet()))
                   .build()));
     }
-    named.put(name, named.containsKey(name) || kind == JobKind.SERVICE ? List.of() : ids);
+    jobsByName.put(name, jobsByName.containsKey(name) || kind == JobKind.SERVICE ? List.of() : ids);
   }
 
   /**
    * The copies of each job that this one depends on; each of its own copies depends on one of them,
    * in turn.
    */
-  private List<List<JobId>> before(Item in) throws MalformedMessageException {
+  private List<List<JobId>> dependencies(JobTable in) throws MalformedMessageException {
     List<List<JobId>> before = new ArrayList<>();
     for (Object name : in.list("waits_on")) {
-      List<JobId> those = named.getOrDefault(String.valueOf(name), List.of());
+      List<JobId> those = jobsByName.getOrDefault(String.valueOf(name), List.of());
       if (those.isEmpty()) {
-        throw in.wrong(
+        throw in.malformed(
             "waits_on", "names " + name + ", which is not the name of one job above that ends");
       }
       before.add(those);
--- a/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
+++ b/src/main/java/org/quincecross/emulator/WorkloadGenerator.java
@@ -30,34 +30,36 @@
    */
   private static final double SIGMA = 0.55;
 
-  private static final double ZIPF = 0.9;
+  private static final double ZIPF_EXPONENT = 0.9;
 
-  private final ClusterEnvironment around;
+  private final ClusterEnvironment environment;
   private final UniformRandomProvider random;
-  private final ContinuousSampler nearOne;
+  private final ContinuousSampler sizeFactor;
   private int number = FIRST_NUMBER;
 
-  WorkloadGenerator(ClusterEnvironment around, long seed) {
-    this.around = around;
+  WorkloadGenerator(ClusterEnvironment environment, long seed) {
+    this.environment = environment;
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    this.nearOne = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), 0, SIGMA);
+    this.sizeFactor = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(random), 0, SIGMA);
   }
 
   /** Submits the initial jobs, spread over some seconds, and the later arrivals. */
   void begin(double overSeconds) {
-    for (ClusterSpec.JobClass each : around.site().classes()) {
-      DiscreteSampler images = RejectionInversionZipfSampler.of(random, each.images(), ZIPF);
-      for (int i = 0; i < each.initial(); i++) {
-        around
+    for (ClusterSpec.JobClass jobClass : environment.site().classes()) {
+      DiscreteSampler images =
+          RejectionInversionZipfSampler.of(random, jobClass.images(), ZIPF_EXPONENT);
+      for (int i = 0; i < jobClass.initial(); i++) {
+        environment
             .clock()
             .after(
-                random.nextDouble() * overSeconds, () -> around.users().submit(draw(each, images)));
+                random.nextDouble() * overSeconds,
+                () -> environment.users().submit(randomJob(jobClass, images)));
       }
-      if (each.perMinute() > 0) {
-        arrive(
-            each,
+      if (jobClass.perMinute() > 0) {
+        onArrival(
+            jobClass,
             images,
-            ZigguratSampler.Exponential.of(random, 60 / each.perMinute()),
+            ZigguratSampler.Exponential.of(random, 60 / jobClass.perMinute()),
             overSeconds);
       }
     }
@@ -67,114 +69,120 @@
    * From now on pipelines arrive in addition to the job classes, each without dependencies or
    * depending on a job of an earlier one.
    */
-  void pipelines(double perMinute, Resources each) {
-    PipelineGenerator draws =
+  void pipelines(double perMinute, Resources jobClass) {
+    PipelineGenerator generator =
         new PipelineGenerator(
             new Random(random.nextLong()),
-            List.copyOf(around.site().teams().keySet()),
-            each,
+            List.copyOf(environment.site().teams().keySet()),
+            jobClass,
             FIRST_OF_PIPELINES);
-    pipeline(draws, ZigguratSampler.Exponential.of(random, 60 / perMinute), new ArrayList<>());
+    pipeline(generator, ZigguratSampler.Exponential.of(random, 60 / perMinute), new ArrayList<>());
   }
 
-  private void pipeline(PipelineGenerator draws, ContinuousSampler gaps, List<JobId> earlier) {
-    around
+  private void pipeline(PipelineGenerator generator, ContinuousSampler gaps, List<JobId> earlier) {
+    environment
         .clock()
         .after(
             gaps.sample(),
             () -> {
-              for (DependentJobs.PipelineJob step : draws.nextPipeline(earlier)) {
-                earlier.add(step.job().id());
-                around.pipelines().submit(step);
+              for (DependentJobs.PipelineJob pipelineJob : generator.nextPipeline(earlier)) {
+                earlier.add(pipelineJob.job().id());
+                environment.pipelines().submit(pipelineJob);
               }
-              pipeline(draws, gaps, earlier);
+              pipeline(generator, gaps, earlier);
             });
   }
 
   /** For some time jobs of a class arrive several times as often. */
-  void burst(String jobClass, double factor, double seconds) {
-    double until = around.clock().seconds() + seconds;
-    for (ClusterSpec.JobClass each : around.site().classes()) {
-      if (each.name().equals(jobClass) && each.perMinute() > 0 && factor > 1) {
-        more(
-            each,
-            RejectionInversionZipfSampler.of(random, each.images(), ZIPF),
-            ZigguratSampler.Exponential.of(random, 60 / (each.perMinute() * (factor - 1))),
+  void burst(String className, double factor, double seconds) {
+    double until = environment.clock().seconds() + seconds;
+    for (ClusterSpec.JobClass jobClass : environment.site().classes()) {
+      if (jobClass.name().equals(className) && jobClass.perMinute() > 0 && factor > 1) {
+        scheduleArrivals(
+            jobClass,
+            RejectionInversionZipfSampler.of(random, jobClass.images(), ZIPF_EXPONENT),
+            ZigguratSampler.Exponential.of(random, 60 / (jobClass.perMinute() * (factor - 1))),
             until);
       }
     }
   }
 
-  private void more(
-      ClusterSpec.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double until) {
+  private void scheduleArrivals(
+      ClusterSpec.JobClass jobClass, DiscreteSampler images, ContinuousSampler gaps, double until) {
     double gap = gaps.sample();
-    if (around.clock().seconds() + gap < until) {
-      around
+    if (environment.clock().seconds() + gap < until) {
+      environment
           .clock()
           .after(
               gap,
               () -> {
-                submit(each, images);
-                more(each, images, gaps, until);
+                submit(jobClass, images);
+                scheduleArrivals(jobClass, images, gaps, until);
               });
     }
   }
 
-  private void submit(ClusterSpec.JobClass each, DiscreteSampler images) {
-    Job job = draw(each, images);
-    around.users().submit(job);
+  private void submit(ClusterSpec.JobClass jobClass, DiscreteSampler images) {
+    Job job = randomJob(jobClass, images);
+    environment.users().submit(job);
     if (job.kind() == JobKind.SERVICE) {
-      around.clock().after(each.runS() * nearOne.sample(), () -> around.users().cancel(job.id()));
+      environment
+          .clock()
+          .after(jobClass.runS() * sizeFactor.sample(), () -> environment.users().cancel(job.id()));
     }
   }
 
-  private void arrive(
-      ClusterSpec.JobClass each, DiscreteSampler images, ContinuousSampler gaps, double inSeconds) {
-    around
+  private void onArrival(
+      ClusterSpec.JobClass jobClass,
+      DiscreteSampler images,
+      ContinuousSampler gaps,
+      double inSeconds) {
+    environment
         .clock()
         .after(
             inSeconds + gaps.sample(),
             () -> {
-              submit(each, images);
-              arrive(each, images, gaps, 0);
+              submit(jobClass, images);
+              onArrival(jobClass, images, gaps, 0);
             });
   }
 
-  private Job draw(ClusterSpec.JobClass each, DiscreteSampler images) {
-    String[] teams = around.site().teams().keySet().toArray(String[]::new);
+  private Job randomJob(ClusterSpec.JobClass jobClass, DiscreteSampler images) {
+    String[] teams = environment.site().teams().keySet().toArray(String[]::new);
     String team =
-        around.site().teams().containsKey(each.name())
-            ? each.name()
+        environment.site().teams().containsKey(jobClass.name())
+            ? jobClass.name()
             : teams[random.nextInt(teams.length)];
-    boolean varies = each.kind() != JobKind.GANG;
+    boolean varies = jobClass.kind() != JobKind.GANG;
     int tasks =
         varies
             ? (int)
                 Math.max(
                     1,
                     Math.min(
-                        4L * each.meanTasks(), Math.round(each.meanTasks() * nearOne.sample())))
-            : each.meanTasks();
+                        4L * jobClass.meanTasks(),
+                        Math.round(jobClass.meanTasks() * sizeFactor.sample())))
+            : jobClass.meanTasks();
     int image = images.sample();
     return Job.builder(new JobId("job-" + number++))
-        .jobClass(each.name())
+        .jobClass(jobClass.name())
         .team(team)
-        .kind(each.kind())
-        .priority(each.priority())
+        .kind(jobClass.kind())
+        .priority(jobClass.priority())
         .taskCount(tasks)
-        .taskResources(each.taskResources())
-        .singleZone(each.kind() == JobKind.GANG)
-        .spreadOverZones(each.spread())
-        .allowsSpot(each.spot())
-        .image(each.name() + "-" + image)
-        .imageGb(each.imageGb() * (0.6 + 0.8 * image / each.images()))
+        .taskResources(jobClass.taskResources())
+        .singleZone(jobClass.kind() == JobKind.GANG)
+        .spreadOverZones(jobClass.spread())
+        .allowsSpot(jobClass.spot())
+        .image(jobClass.name() + "-" + image)
+        .imageGb(jobClass.imageGb() * (0.6 + 0.8 * image / jobClass.images()))
         .estimate(
-            each.kind() == JobKind.SERVICE
+            jobClass.kind() == JobKind.SERVICE
                 ? TimeSpan.ZERO
-                : TimeSpan.ofSeconds(each.runS() * Math.min(4, nearOne.sample())))
-        .checkpointInterval(TimeSpan.ofSeconds(each.checkpointEveryS()))
-        .checkpointCost(TimeSpan.ofSeconds(each.checkpointEveryS() > 0 ? 3 : 0))
-        .deadline(each.deadlineS() > 0 ? TimeSpan.ofSeconds(each.deadlineS()) : null)
+                : TimeSpan.ofSeconds(jobClass.runS() * Math.min(4, sizeFactor.sample())))
+        .checkpointInterval(TimeSpan.ofSeconds(jobClass.checkpointEveryS()))
+        .checkpointCost(TimeSpan.ofSeconds(jobClass.checkpointEveryS() > 0 ? 3 : 0))
+        .deadline(jobClass.deadlineS() > 0 ? TimeSpan.ofSeconds(jobClass.deadlineS()) : null)
         .build();
   }
 }
--- a/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
+++ b/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
@@ -28,22 +28,22 @@
   void theirWorkRunsElsewhereOnceTheirLeasesAreOver(
       int count, double seconds, double leaderEndsAfterS) {
     double lease = site.workers().lease().seconds();
-    world.time().runUntil(40);
-    List<MachineId> mute = world.cloud().machines().subList(0, count);
-    int before = mute.stream().mapToInt(world.rules()::onMachine).sum();
+    cluster.time().runUntil(40);
+    List<MachineId> mute = cluster.cloud().machines().subList(0, count);
+    int before = mute.stream().mapToInt(cluster.invariants()::onMachine).sum();
     assertTrue(before > 0, "some runs there");
-    mute.forEach(machine -> world.mute(machine, seconds));
+    mute.forEach(machine -> cluster.dropOutbound(machine, seconds));
     if (leaderEndsAfterS >= 0) {
-      world.time().at(40 + leaderEndsAfterS, () -> world.crash(Math.max(0, world.leader())));
+      cluster.time().at(40 + leaderEndsAfterS, () -> cluster.crash(Math.max(0, cluster.leader())));
     }
-    world.time().runUntil(40 + 2 * lease + 25);
+    cluster.time().runUntil(40 + 2 * lease + 25);
     assertEquals(36, replicas());
-    List<MachineId> left = world.cloud().machines().stream().filter(mute::contains).toList();
-    world.time().runUntil(40 + seconds + 60);
+    List<MachineId> left = cluster.cloud().machines().stream().filter(mute::contains).toList();
+    cluster.time().runUntil(40 + seconds + 60);
     left.forEach(
         machine ->
             assertTrue(
-                !world.cloud().machines().contains(machine) || isOpen(machine),
+                !cluster.cloud().machines().contains(machine) || isOpen(machine),
                 "given no work: " + machine));
     assertAllIsWell(190);
   }
@@ -51,7 +51,7 @@
   private boolean isOpen(MachineId machine) {
     boolean[] open = new boolean[1];
     for (int node = 0; node < site.nodes(); node++) {
-      world.ask(
+      cluster.sendDirectly(
           node,
           HttpRequest.get("/admin/machines"),
           response -> {
--- a/src/test/java/org/quincecross/emulator/BusyCluster.java
+++ b/src/test/java/org/quincecross/emulator/BusyCluster.java
@@ -41,7 +41,7 @@
             """;
 
   final ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
-  final SimulatedCluster world;
+  final SimulatedCluster cluster;
   final List<JobId> services = new ArrayList<>();
   final List<JobId> arrays = new ArrayList<>();
 
@@ -50,28 +50,28 @@
   }
 
   BusyCluster(long seed) throws MalformedMessageException {
-    world = new SimulatedCluster(site, seed, Meter.OFF);
-    submit(world, services, arrays);
+    cluster = new SimulatedCluster(site, seed, Meter.OFF);
+    submit(cluster, services, arrays);
   }
 
   /** Has the jobs submitted in a world from its fourth second on, and notes which they are. */
-  static void submit(SimulatedCluster world, List<JobId> services, List<JobId> arrays)
+  static void submit(SimulatedCluster cluster, List<JobId> services, List<JobId> arrays)
       throws MalformedMessageException {
-    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, world.site())) {
-      world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, cluster.site())) {
+      cluster.time().at(4 + due.atS(), () -> cluster.users().submit(due.job()));
       (due.job().jobClass().equals("rebuild") ? arrays : services).add(due.job().id());
     }
   }
 
   int replicas() {
-    return services.stream().mapToInt(world.rules()::onMachines).sum();
+    return services.stream().mapToInt(cluster.invariants()::onMachines).sum();
   }
 
   void assertAllIsWell(double atS) {
-    world.time().runUntil(atS);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(atS);
+    assertEquals(List.of(), cluster.invariants().violations());
     for (JobId id : arrays) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
     assertEquals(36, replicas(), "replicas");
   }
--- a/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
@@ -44,29 +44,31 @@
               .estimate(TimeSpan.ofSeconds(300))
               .build();
       longOnes.add(job.id());
-      world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
+      cluster.time().at(5 + 0.3 * i, () -> cluster.users().submit(job));
     }
-    world.time().at(AT_S - 5, () -> ConcurrentReaders.begin(world.around(), 0.5, 0, 120, random));
+    cluster
+        .time()
+        .at(AT_S - 5, () -> ConcurrentReaders.begin(cluster.environment(), 0.5, 0, 120, random));
   }
 
   private void callOff(double atS, double hangS) {
-    world
+    cluster
         .time()
         .at(
             atS,
             () ->
                 called =
                     LateCancellations.cancelLongRunning(
-                        world.around(), LONG_JOBS / 2, hangS, random));
+                        cluster.environment(), LONG_JOBS / 2, hangS, random));
   }
 
   private void assertAllAreGone(double atS) {
-    world.time().runUntil(atS);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(atS);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(called.size() >= LONG_JOBS / 3, "called off " + called.size());
     for (JobId id : called) {
-      assertEquals("cancelled", world.users().told().get(id), id.text());
-      assertEquals(0, world.rules().onMachines(id), id.text());
+      assertEquals("cancelled", cluster.users().reportedStates().get(id), id.text());
+      assertEquals(0, cluster.invariants().onMachines(id), id.text());
     }
     assertEquals(36, replicas());
   }
@@ -88,19 +90,19 @@
     "2, 6, 8"
   })
   void oneControllersWorkChangesHands(int how, double afterS, double hangS) {
-    world
+    cluster
         .time()
         .at(
             AT_S,
             () -> {
               int node =
                   random.nextBoolean()
-                      ? Math.max(0, world.leader())
-                      : random.nextInt(world.nodeCount());
+                      ? Math.max(0, cluster.leader())
+                      : random.nextInt(cluster.nodeCount());
               switch (how) {
-                case 0 -> world.down(node, 25);
-                case 1 -> world.standStill(node, 15);
-                default -> world.lone(node, 20, true);
+                case 0 -> cluster.stopFor(node, 25);
+                case 1 -> cluster.suspend(node, 15);
+                default -> cluster.separate(node, 20, true);
               }
             });
     callOff(AT_S + afterS, hangS);
@@ -115,12 +117,12 @@
   @CsvSource({"-0.1, 0", "0, 0", "0, 6", "0.05, 0"})
   void theLeaderIsRefusedAtThatMoment(double afterS, double hangS) {
     double outage = site.workers().cancelTimeout().seconds() + 9;
-    world
+    cluster
         .time()
         .at(
             AT_S,
-            () -> world.state().refuse(ClusterSpec.nodeName(Math.max(0, world.leader())), 1.2));
-    world.time().at(AT_S + 1, () -> world.state().outage(outage));
+            () -> cluster.state().refuse(ClusterSpec.nodeName(Math.max(0, cluster.leader())), 1.2));
+    cluster.time().at(AT_S + 1, () -> cluster.state().outage(outage));
     callOff(AT_S + afterS, hangS);
     assertAllAreGone(AT_S + outage + 70);
   }
