--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
@@ -26,27 +26,27 @@
   private static final double LONGEST_GAP_S = 110;
   private static final double QUIET_S = 100;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Random random;
   private final LivenessInvariant liveness;
   private final List<JobId> jobs = new ArrayList<>();
   private final Map<JobId, Double> cancelAt = new TreeMap<>();
 
   CancellationDuringOutageScenario(long seed) {
-    world = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
+    cluster = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
     random = new Random(seed * 31 + 7);
-    liveness = new LivenessInvariant(world);
+    liveness = new LivenessInvariant(cluster);
     for (int i = 0; i < JOBS; i++) {
       Job job = job(FIRST + i);
       jobs.add(job.id());
-      world.time().at(3 + i * 0.4, () -> world.users().submit(job));
+      cluster.time().at(3 + i * 0.4, () -> cluster.users().submit(job));
     }
     switch (random.nextInt(3)) {
       case 0 -> heldUp(10 + upTo(4));
       case 1 -> allLate(6 + upTo(10));
       default -> {}
     }
-    world.time().at(GAP_FROM_S, this::gap);
+    cluster.time().at(GAP_FROM_S, this::gap);
   }
 
   /**
@@ -55,23 +55,23 @@
    */
   private void heldUp(double seconds) {
     double from = GAP_FROM_S - seconds + upTo(2);
-    int node = random.nextInt(world.nodeCount());
-    world
+    int node = random.nextInt(cluster.nodeCount());
+    cluster
         .time()
         .at(
             from - 0.1,
             () ->
-                world.mishapAt(
+                cluster.injectFaultAt(
                     request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""),
                     seconds,
-                    SimulatedCluster.Mishap.STILL_BEFORE));
-    world
+                    SimulatedCluster.SendFault.STILL_BEFORE));
+    cluster
         .time()
         .at(
             from,
             () -> {
-              world.users().noteCancel(jobs.get(0));
-              world.ask(
+              cluster.users().noteCancel(jobs.get(0));
+              cluster.sendDirectly(
                   node,
                   HttpRequest.post("/v2/runs/" + jobs.get(0) + "/cancel", new byte[0]),
                   answer -> {});
@@ -81,8 +81,8 @@
 
   /** For a while before the refusal no change is answered, and all are carried out late. */
   private void allLate(double seconds) {
-    world.time().at(GAP_FROM_S - seconds, () -> world.state().applyLate(1));
-    world.time().at(GAP_FROM_S - upTo(1), () -> world.state().applyLate(0));
+    cluster.time().at(GAP_FROM_S - seconds, () -> cluster.state().applyLate(1));
+    cluster.time().at(GAP_FROM_S - upTo(1), () -> cluster.state().applyLate(0));
     jobs.stream()
         .filter(id -> oneIn(2))
         .forEach(id -> cancelAt(id, GAP_FROM_S - seconds + upTo(seconds)));
@@ -90,12 +90,12 @@
 
   private void cancelAt(JobId id, double atS) {
     if (cancelAt.putIfAbsent(id, atS) == null) {
-      world.time().at(atS, () -> world.users().cancel(id));
+      cluster.time().at(atS, () -> cluster.users().cancel(id));
     }
   }
 
   SimulatedCluster world() {
-    return world;
+    return cluster;
   }
 
   private Job job(int number) {
@@ -131,32 +131,33 @@
   }
 
   private void after(double seconds, Runnable action) {
-    world.time().after(seconds, action);
+    cluster.time().after(seconds, action);
   }
 
   private void gap() {
-    int leader = world.leader();
-    int refused = leader >= 0 && !oneIn(4) ? leader : random.nextInt(world.nodeCount());
-    double cancelS = world.site().workers().cancelTimeout().seconds();
+    int leader = cluster.leader();
+    int refused = leader >= 0 && !oneIn(4) ? leader : random.nextInt(cluster.nodeCount());
+    double cancelS = cluster.site().workers().cancelTimeout().seconds();
     double refusal = 1 + upTo(17);
-    after(0, () -> world.state().refuse(ClusterSpec.nodeName(refused), refusal));
+    after(0, () -> cluster.state().refuse(ClusterSpec.nodeName(refused), refusal));
     if (oneIn(4)) {
       after(
           refusal + upTo(1.5),
           () ->
-              world
+              cluster
                   .state()
                   .refuse(
-                      ClusterSpec.nodeName(oneIn(3) ? random.nextInt(world.nodeCount()) : refused),
+                      ClusterSpec.nodeName(
+                          oneIn(3) ? random.nextInt(cluster.nodeCount()) : refused),
                       1 + upTo(12)));
     }
     double out = oneIn(6) ? upTo(20) - 4 : 0.5 + upTo(refusal);
     double length = oneIn(5) ? 1 + upTo(cancelS) : cancelS + upTo(20);
-    after(out, () -> world.state().outage(length));
+    after(out, () -> cluster.state().outage(length));
     if (oneIn(6)) {
       after(
           out + length + upTo(3),
-          () -> world.state().refuse(ClusterSpec.nodeName(refused), 1 + upTo(15)));
+          () -> cluster.state().refuse(ClusterSpec.nodeName(refused), 1 + upTo(15)));
     }
     for (JobId id : jobs) {
       if (!oneIn(5)) {
@@ -165,17 +166,19 @@
       }
     }
     if (oneIn(2)) {
-      after(upTo(3) - 2, () -> world.state().applyLate(2 + random.nextInt(4)));
-      after(out + upTo(3), () -> world.state().applyLate(0));
+      after(upTo(3) - 2, () -> cluster.state().applyLate(2 + random.nextInt(4)));
+      after(out + upTo(3), () -> cluster.state().applyLate(0));
     }
     if (oneIn(4)) {
-      after(upTo(out + 10), () -> world.standStill(refused, oneIn(2) ? upTo(8) : upTo(50)));
+      after(upTo(out + 10), () -> cluster.suspend(refused, oneIn(2) ? upTo(8) : upTo(50)));
     }
     if (oneIn(4)) {
-      after(upTo(out + 30), () -> world.crash(random.nextInt(world.nodeCount())));
+      after(upTo(out + 30), () -> cluster.crash(random.nextInt(cluster.nodeCount())));
     }
     if (oneIn(3)) {
-      after(upTo(out + 4), () -> machines(3).forEach(each -> world.deafen(each, 2 + upTo(25))));
+      after(
+          upTo(out + 4),
+          () -> machines(3).forEach(each -> cluster.dropInbound(each, 2 + upTo(25))));
     }
     if (oneIn(3)) {
       after(
@@ -185,22 +188,23 @@
                   .forEach(
                       each -> {
                         boolean lose = random.nextBoolean();
-                        for (int node = 0; node < world.nodeCount(); node++) {
+                        for (int node = 0; node < cluster.nodeCount(); node++) {
                           // The refused one is the only one that reaches them, or none does.
                           if (node != refused || lose) {
-                            world.cut(ClusterSpec.nodeName(node), each.text(), 2 + upTo(40), lose);
+                            cluster.cut(
+                                ClusterSpec.nodeName(node), each.text(), 2 + upTo(40), lose);
                           }
                         }
                       }));
     }
     if (oneIn(4)) {
-      after(upTo(out + 4), () -> world.refuseLinks(refused, 1 + upTo(20)));
+      after(upTo(out + 4), () -> cluster.refuseLinks(refused, 1 + upTo(20)));
     }
     if (oneIn(5)) {
       after(
           upTo(out + 30),
           () ->
-              world
+              cluster
                   .cloud()
                   .workers()
                   .forEach(
@@ -213,23 +217,23 @@
   }
 
   private List<MachineId> machines(int share) {
-    return world.cloud().machines().stream().filter(each -> oneIn(share)).toList();
+    return cluster.cloud().machines().stream().filter(each -> oneIn(share)).toList();
   }
 
   /** Plays the day; returns what went wrong. */
   List<String> play() {
     double end = GAP_FROM_S + LONGEST_GAP_S;
-    world.time().runUntil(end);
-    world.state().applyLate(0);
-    world.around().troublesAreOver();
-    world.time().runUntil(end + 30);
-    jobs.forEach(id -> world.users().cancel(id));
-    world.time().runUntil(end + QUIET_S);
+    cluster.time().runUntil(end);
+    cluster.state().applyLate(0);
+    cluster.environment().onFaultsEnded();
+    cluster.time().runUntil(end + 30);
+    jobs.forEach(id -> cluster.users().cancel(id));
+    cluster.time().runUntil(end + QUIET_S);
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
-    wrong.addAll(world.rules().violations());
-    if (world.rules().starts() < JOBS / 2) {
-      wrong.add("little was started: " + world.rules().starts());
+    wrong.addAll(cluster.invariants().violations());
+    if (cluster.invariants().starts() < JOBS / 2) {
+      wrong.add("little was started: " + cluster.invariants().starts());
     }
     return wrong;
   }
@@ -239,8 +243,8 @@
     Map<JobId, Double> told = new TreeMap<>();
     cancelAt.forEach(
         (id, at) -> {
-          if (world.rules().cancelledAt(id) != null) {
-            told.put(id, world.rules().cancelledAt(id) - at);
+          if (cluster.invariants().cancelledAt(id) != null) {
+            told.put(id, cluster.invariants().cancelledAt(id) - at);
           }
         });
     return told;
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
@@ -56,12 +56,13 @@
               .estimate(TimeSpan.ofSeconds(300))
               .build();
       longOnes.add(job.id());
-      world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
+      cluster.time().at(5 + 0.3 * i, () -> cluster.users().submit(job));
     }
-    world.time().at(REFUSED_S - 1, () -> world.users().storm(6, 100));
-    world.time().runUntil(REFUSED_S);
-    leader = world.leader();
-    assertTrue(longOnes.stream().mapToInt(world.rules()::onMachines).sum() > 100, "long tasks run");
+    cluster.time().at(REFUSED_S - 1, () -> cluster.users().multiplyPolls(6, 100));
+    cluster.time().runUntil(REFUSED_S);
+    leader = cluster.leader();
+    assertTrue(
+        longOnes.stream().mapToInt(cluster.invariants()::onMachines).sum() > 100, "long tasks run");
   }
 
   private String leaderName() {
@@ -73,8 +74,8 @@
   }
 
   private void gap() {
-    world.time().at(REFUSED_S, () -> world.state().refuse(leaderName(), REFUSED_FOR_S));
-    world.time().at(OUT_S, () -> world.state().outage(outageFor));
+    cluster.time().at(REFUSED_S, () -> cluster.state().refuse(leaderName(), REFUSED_FOR_S));
+    cluster.time().at(OUT_S, () -> cluster.state().outage(outageFor));
   }
 
   /**
@@ -84,13 +85,16 @@
   private void cancelAll(double fromS) {
     for (int i = 0; i < cancelled().size(); i++) {
       JobId id = cancelled().get(i);
-      world.time().at(fromS + 0.07 * i, () -> world.users().cancel(id));
+      cluster.time().at(fromS + 0.07 * i, () -> cluster.users().cancel(id));
     }
   }
 
   private long toldBy(double atS) {
     return cancelled().stream()
-        .filter(id -> world.rules().cancelledAt(id) != null && world.rules().cancelledAt(id) < atS)
+        .filter(
+            id ->
+                cluster.invariants().cancelledAt(id) != null
+                    && cluster.invariants().cancelledAt(id) < atS)
         .count();
   }
 
@@ -101,17 +105,17 @@
   private void assertTheGapWasBridged() {
     assertAllCancelledAreGone();
     for (JobId id : longOnes.subList(0, KEPT)) {
-      assertEquals(6, world.rules().onMachines(id), id.text());
+      assertEquals(6, cluster.invariants().onMachines(id), id.text());
     }
     assertEquals(36, replicas());
   }
 
   private void assertAllCancelledAreGone() {
-    world.time().runUntil(outS + outageFor + 100);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(outS + outageFor + 100);
+    assertEquals(List.of(), cluster.invariants().violations());
     for (JobId id : cancelled()) {
-      assertEquals("cancelled", world.users().told().get(id), id.text());
-      assertEquals(0, world.rules().onMachines(id), id.text());
+      assertEquals("cancelled", cluster.users().reportedStates().get(id), id.text());
+      assertEquals(0, cluster.invariants().onMachines(id), id.text());
     }
   }
 
@@ -120,11 +124,11 @@
   void theLeaderIsRefusedAndThenEverybody() {
     gap();
     cancelAll(REFUSED_S + 0.2);
-    world.time().runUntil(OUT_S + 10);
+    cluster.time().runUntil(OUT_S + 10);
     assertTrue(
         toldBy(OUT_S + 10) > 10, "most are told in the outage, after 8 s: " + toldBy(OUT_S + 10));
     assertTrue(
-        cancelled().stream().mapToInt(world.rules()::onMachines).sum() > 0,
+        cancelled().stream().mapToInt(cluster.invariants()::onMachines).sum() > 0,
         "what the refused leader holds goes on meanwhile");
     assertTheGapWasBridged();
   }
@@ -138,44 +142,45 @@
   void aCancellationThatBecomesDurableLate() {
     JobId large = cancelled().get(0);
     double heldS = 11;
-    world
+    cluster
         .time()
         .at(
             REFUSED_S + 0.1,
             () ->
-                world.mishapAt(
+                cluster.injectFaultAt(
                     request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""),
                     heldS,
-                    SimulatedCluster.Mishap.STILL_BEFORE));
-    world
+                    SimulatedCluster.SendFault.STILL_BEFORE));
+    cluster
         .time()
         .at(
             REFUSED_S + 0.2,
             () ->
-                world.ask(
+                cluster.sendDirectly(
                     (leader + 1) % 3,
                     HttpRequest.post("/v2/runs/" + large + "/cancel", new byte[0]),
                     answer -> {}));
     double durableS = REFUSED_S + 0.2 + heldS;
-    world
+    cluster
         .time()
         .at(
             durableS - 0.3,
             () -> {
-              leader = world.leader();
-              world.state().refuse(leaderName(), REFUSED_FOR_S);
+              leader = cluster.leader();
+              cluster.state().refuse(leaderName(), REFUSED_FOR_S);
             });
-    world.time().at(durableS + 1, () -> world.state().outage(outageFor));
-    world.time().at(durableS + 0.2, () -> world.users().cancel(large));
-    world
+    cluster.time().at(durableS + 1, () -> cluster.state().outage(outageFor));
+    cluster.time().at(durableS + 0.2, () -> cluster.users().cancel(large));
+    cluster
         .time()
         .at(
             REFUSED_S + 4,
-            () -> cancelled().subList(1, cancelled().size()).forEach(world.users()::cancel));
-    world.time().runUntil(durableS + 1);
-    assertNotEquals(-1, world.mishapHit());
-    assertNotEquals(leader, world.mishapHit());
-    assertTrue(world.rules().onMachines(large) > 0, "what the refused leader holds of it goes on");
+            () -> cancelled().subList(1, cancelled().size()).forEach(cluster.users()::cancel));
+    cluster.time().runUntil(durableS + 1);
+    assertNotEquals(-1, cluster.faultedController());
+    assertNotEquals(leader, cluster.faultedController());
+    assertTrue(
+        cluster.invariants().onMachines(large) > 0, "what the refused leader holds of it goes on");
     outS = durableS + 1;
     assertTheGapWasBridged();
   }
@@ -189,13 +194,13 @@
   void theOthersAreStartedAnewInBetween(double afterS) {
     gap();
     cancelAll(REFUSED_S + 0.1);
-    world
+    cluster
         .time()
         .at(
             REFUSED_S + afterS,
             () -> {
-              world.down((leader + 1) % 3, 0.1);
-              world.down((leader + 2) % 3, 0.1);
+              cluster.stopFor((leader + 1) % 3, 0.1);
+              cluster.stopFor((leader + 2) % 3, 0.1);
             });
     assertTheGapWasBridged();
   }
@@ -207,13 +212,15 @@
   @ParameterizedTest
   @CsvSource({"4, 0.3, 1", "4, 1.5, 6"})
   void refusedTwice(double firstS, double servedS, double outAfterS) {
-    world.time().at(REFUSED_S, () -> world.state().refuse(leaderName(), firstS));
-    world
+    cluster.time().at(REFUSED_S, () -> cluster.state().refuse(leaderName(), firstS));
+    cluster
         .time()
-        .at(REFUSED_S + firstS + servedS, () -> world.state().refuse(leaderName(), REFUSED_FOR_S));
-    world
+        .at(
+            REFUSED_S + firstS + servedS,
+            () -> cluster.state().refuse(leaderName(), REFUSED_FOR_S));
+    cluster
         .time()
-        .at(REFUSED_S + firstS + servedS + outAfterS, () -> world.state().outage(outageFor));
+        .at(REFUSED_S + firstS + servedS + outAfterS, () -> cluster.state().outage(outageFor));
     cancelAll(REFUSED_S + firstS + servedS - 0.3);
     assertTheGapWasBridged();
   }
@@ -222,7 +229,7 @@
   void refusedAgainAfterTheOutage() {
     gap();
     cancelAll(REFUSED_S + 0.5);
-    world.time().at(OUT_S + outageFor + 0.02, () -> world.state().refuse(leaderName(), 12));
+    cluster.time().at(OUT_S + outageFor + 0.02, () -> cluster.state().refuse(leaderName(), 12));
     assertTheGapWasBridged();
   }
 
@@ -235,7 +242,7 @@
   void theLeaderStandsStillPastItsTime(double fromS, double seconds) {
     gap();
     cancelAll(REFUSED_S + 0.5);
-    world.time().at(fromS, () -> world.standStill(leader, seconds));
+    cluster.time().at(fromS, () -> cluster.suspend(leader, seconds));
     assertTheGapWasBridged();
   }
 
@@ -247,19 +254,19 @@
   @ValueSource(booleans = {true, false})
   void aHolderThatHasNotedItEnds(boolean ends) {
     cancelAll(REFUSED_S);
-    world.time().at(REFUSED_S + 1.9, () -> world.state().outage(outageFor));
-    world
+    cluster.time().at(REFUSED_S + 1.9, () -> cluster.state().outage(outageFor));
+    cluster
         .time()
         .at(
             REFUSED_S + 1.5,
             () -> {
               if (ends) {
-                world.down(leader, outageFor);
+                cluster.stopFor(leader, outageFor);
               } else {
-                world.standStill(leader, outageFor);
+                cluster.suspend(leader, outageFor);
               }
             });
-    world.time().runUntil(OUT_S);
+    cluster.time().runUntil(OUT_S);
     assertTrue(toldBy(OUT_S) > 10, "told at once: " + toldBy(OUT_S));
     assertTheGapWasBridged();
   }
--- a/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
+++ b/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
@@ -43,7 +43,7 @@
     ALL
   }
 
-  private SimulatedCluster world;
+  private SimulatedCluster cluster;
   private int number = 100;
 
   private static Team team(String name, double most) {
@@ -67,7 +67,7 @@
             .checkpointInterval(TimeSpan.ofSeconds(number % 3 == 0 ? 10 : 0))
             .checkpointCost(TimeSpan.ofSeconds(number % 3 == 0 ? 0.5 : 0))
             .build();
-    world.time().at(atS, () -> world.users().submit(job));
+    cluster.time().at(atS, () -> cluster.users().submit(job));
     return job.id();
   }
 
@@ -116,17 +116,17 @@
                     team("batch", 1000),
                     "big",
                     team("big", mix == Mix.LARGE_AT_ITS_LIMIT ? 18 : 1000)));
-    world = new SimulatedCluster(site, seed, Meter.OFF, features);
+    cluster = new SimulatedCluster(site, seed, Meter.OFF, features);
     Random random = new Random(seed * 31 + mix.ordinal());
-    world.holdMessages(0.5, 4, random);
-    world.time().at(8, () -> world.state().slowDown(0.2, 1.2, OVER_S - 8, random));
-    world
+    cluster.delayMessages(0.5, 4, random);
+    cluster.time().at(8, () -> cluster.state().slowDown(0.2, 1.2, OVER_S - 8, random));
+    cluster
         .time()
         .at(
             OVER_S,
             () -> {
-              world.holdMessages(0, 0, random);
-              world.around().troublesAreOver();
+              cluster.delayMessages(0, 0, random);
+              cluster.environment().onFaultsEnded();
             });
     Function<Double, Double> from = within -> 10 + within * random.nextDouble();
     if (mix == Mix.SERVICES || mix == Mix.ALL) {
@@ -183,22 +183,24 @@
     JobId largest = submit(20, "batch", JobKind.ARRAY, Priority.NORMAL, 60, 1, 20);
     double[] begun = {-1};
     for (double at = 20; at < UNTIL_S; at += 1) {
-      world
+      cluster
           .time()
           .at(
               at,
               () -> {
-                world.rules().check();
+                cluster.invariants().check();
                 if (begun[0] < 0
-                    && world.rules().started(largest) >= world.job(largest).startQuorum()) {
-                  begun[0] = world.time().seconds() - 20;
+                    && cluster.invariants().started(largest)
+                        >= cluster.job(largest).startQuorum()) {
+                  begun[0] = cluster.time().seconds() - 20;
                 }
               });
     }
-    world.time().runUntil(LATE_S + LATE_RUNS_S);
-    late.forEach(id -> assertEquals(2, world.rules().onMachines(id), "replicas that came late"));
-    world.time().runUntil(UNTIL_S);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(LATE_S + LATE_RUNS_S);
+    late.forEach(
+        id -> assertEquals(2, cluster.invariants().onMachines(id), "replicas that came late"));
+    cluster.time().runUntil(UNTIL_S);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(begun[0] >= 0 && begun[0] <= LARGEST_BEGINS_S, "begun after " + begun[0]);
   }
 }
--- a/src/test/java/org/quincecross/emulator/CombinedFaults.java
+++ b/src/test/java/org/quincecross/emulator/CombinedFaults.java
@@ -56,7 +56,7 @@
     private static final int FURTHER_FROM = LOST_ANSWERS.ordinal();
   }
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final boolean further;
   private final List<String> story = new ArrayList<>();
   private double overS = UNTIL_S;
@@ -67,8 +67,8 @@
    * @param further whether the first trouble of each is one of those that days of meetings have
    *     learnt last
    */
-  CombinedFaults(SimulatedCluster world, long seed, Set<Integer> only, boolean further) {
-    this.world = world;
+  CombinedFaults(SimulatedCluster cluster, long seed, Set<Integer> only, boolean further) {
+    this.cluster = cluster;
     this.further = further;
     double at = FROM_S + 10 * source(seed, -2).nextDouble();
     for (; at < UNTIL_S; count++) {
@@ -122,7 +122,7 @@
   }
 
   private double length(Trouble trouble, Random random) {
-    double cancel = world.site().workers().cancelTimeout().seconds();
+    double cancel = cluster.site().workers().cancelTimeout().seconds();
     return switch (trouble) {
       case REFUSED_THEN_OUTAGE -> cancel + 4 + 22 * random.nextDouble();
       case LONE_LEADER, UNREACHED, SILENCE -> 4 + 30 * random.nextDouble();
@@ -133,11 +133,11 @@
   }
 
   private void begin(Trouble trouble, long seed, double atS, double lengthS) {
-    double lease = world.site().workers().lease().seconds();
+    double lease = cluster.site().workers().lease().seconds();
     // Copies of the last reports come leases later, the last writes and commands seconds later;
     // what ended is started anew.
     overS = Math.max(overS, atS + lengthS + (trouble == Trouble.LATE_REPORTS ? 3 * lease : 13));
-    world
+    cluster
         .time()
         .at(
             atS,
@@ -151,12 +151,12 @@
   }
 
   private void after(double seconds, Runnable action) {
-    world.time().after(seconds, action);
+    cluster.time().after(seconds, action);
   }
 
   private int leader(Random random) {
-    int leader = world.leader();
-    return leader < 0 ? random.nextInt(world.nodeCount()) : leader;
+    int leader = cluster.leader();
+    return leader < 0 ? random.nextInt(cluster.nodeCount()) : leader;
   }
 
   private List<MachineId> some(Collection<MachineId> machines, double share, Random random) {
@@ -165,63 +165,66 @@
 
   private String begin(Trouble trouble, Random random, double length) {
     int leader = leader(random);
-    int node = random.nextInt(3) > 0 ? leader : random.nextInt(world.nodeCount());
+    int node = random.nextInt(3) > 0 ? leader : random.nextInt(cluster.nodeCount());
     boolean lose = random.nextBoolean();
     double share = random.nextDouble();
-    List<MachineId> machines = world.cloud().machines();
+    List<MachineId> machines = cluster.cloud().machines();
     switch (trouble) {
       case LATE_WRITES -> {
         share = 0.05 + 0.45 * share * share;
-        double until = world.time().seconds() + length;
-        world
+        double until = cluster.time().seconds() + length;
+        cluster
             .state()
             .delayTransactions(
                 DelayedTransactions.share(
-                    share, 2, 12, () -> world.time().seconds() < until, random));
+                    share, 2, 12, () -> cluster.time().seconds() < until, random));
       }
       case LATE_REPORTS -> {
-        world.copyLate(0.02 + 0.3 * share, random);
-        after(length, () -> world.copyLate(0, random));
+        cluster.duplicateReports(0.02 + 0.3 * share, random);
+        after(length, () -> cluster.duplicateReports(0, random));
       }
       case DEAF_MACHINES ->
-          some(machines, 0.1 + 0.5 * share, random).forEach(each -> world.deafen(each, length));
+          some(machines, 0.1 + 0.5 * share, random)
+              .forEach(each -> cluster.dropInbound(each, length));
       case SLOW_STATE -> {
         double least = 1.5 * random.nextDouble();
-        world.state().slowDown(least, least + 3 * share, length, random);
+        cluster.state().slowDown(least, least + 3 * share, length, random);
       }
       case REFUSED_THEN_OUTAGE -> {
-        double outage = world.site().workers().cancelTimeout().seconds() + 2 + 6 * share;
+        double outage = cluster.site().workers().cancelTimeout().seconds() + 2 + 6 * share;
         double alone = Math.max(0.5, length - outage);
-        world.state().refuse(ClusterSpec.nodeName(leader), alone + 0.2);
-        after(alone, () -> world.state().outage(outage));
+        cluster.state().refuse(ClusterSpec.nodeName(leader), alone + 0.2);
+        after(alone, () -> cluster.state().outage(outage));
       }
       case LONE_LEADER -> {
         if (random.nextInt(3) == 0) {
           hold(node, length);
         } else {
-          world.lone(node, length, lose);
+          cluster.separate(node, length, lose);
         }
       }
       case QUICK_CONTROLLERS ->
           quick(random.nextInt(4) == 0 ? -1 : node, 1 + random.nextInt(3), random, length);
       case QUICK_MACHINES -> quickMachines(0.05 + 0.3 * share, random, length);
       case ELECTION -> {
-        world.crash(leader);
+        cluster.crash(leader);
         for (int i = 0; i < 1 + random.nextInt(3); i++) {
-          int other = (leader + 1 + i % 2) % world.nodeCount();
-          after(6 * random.nextDouble(), () -> world.down(other, 0.05 + 0.4 * random.nextDouble()));
+          int other = (leader + 1 + i % 2) % cluster.nodeCount();
+          after(
+              6 * random.nextDouble(),
+              () -> cluster.stopFor(other, 0.05 + 0.4 * random.nextDouble()));
         }
       }
       case HELD_MESSAGES -> {
-        world.holdMessages(0.02 + 0.3 * share, 9, random);
-        after(length, () -> world.holdMessages(0, 0, random));
+        cluster.delayMessages(0.02 + 0.3 * share, 9, random);
+        after(length, () -> cluster.delayMessages(0, 0, random));
       }
       case UNREACHED -> {
         // The leader ends while some machines are out of reach, of all or of some controllers.
         for (MachineId each : some(machines, 0.2 + 0.5 * share, random)) {
-          for (int other = 0; other < world.nodeCount(); other++) {
+          for (int other = 0; other < cluster.nodeCount(); other++) {
             if (lose || random.nextBoolean()) {
-              world.cut(
+              cluster.cut(
                   ClusterSpec.nodeName(other),
                   each.text(),
                   length * random.nextDouble(),
@@ -229,12 +232,12 @@
             }
           }
         }
-        after(length * random.nextDouble(), () -> world.crash(leader));
+        after(length * random.nextDouble(), () -> cluster.crash(leader));
       }
-      case STANDSTILL -> world.standStill(node, length);
-      case SILENCE -> world.silence(node, length, lose);
+      case STANDSTILL -> cluster.suspend(node, length);
+      case SILENCE -> cluster.isolate(node, length, lose);
       case HANGING_MACHINES ->
-          world
+          cluster
               .cloud()
               .workers()
               .forEach(
@@ -244,58 +247,61 @@
                     }
                   });
       case ZONE ->
-          new ZonePartitions(world).zone(random.nextInt(world.site().zones().size()), length, lose);
+          new ZonePartitions(cluster)
+              .zone(random.nextInt(cluster.site().zones().size()), length, lose);
       case CANCELLATIONS -> {
         for (JobId id : open(random, 0.1 + 0.3 * share)) {
-          after(length * random.nextDouble(), () -> world.users().cancel(id));
+          after(length * random.nextDouble(), () -> cluster.users().cancel(id));
         }
       }
-      case LEADER_ENDS -> world.down(leader, lose ? length : 0.1 + 0.8 * share);
+      case LEADER_ENDS -> cluster.stopFor(leader, lose ? length : 0.1 + 0.8 * share);
       case ALL_END -> {
-        for (int each = 0; each < world.nodeCount(); each++) {
+        for (int each = 0; each < cluster.nodeCount(); each++) {
           int one = each;
           after(
-              0.5 * random.nextDouble(), () -> world.down(one, 0.1 + length * random.nextDouble()));
+              0.5 * random.nextDouble(),
+              () -> cluster.stopFor(one, 0.1 + length * random.nextDouble()));
         }
       }
       case LOST_ANSWERS -> {
-        double until = world.time().seconds() + length;
-        world
+        double until = cluster.time().seconds() + length;
+        cluster
             .state()
             .delayTransactions(
                 DelayedTransactions.atOnce(
-                    0.1 + 0.7 * share, () -> world.time().seconds() < until, random));
+                    0.1 + 0.7 * share, () -> cluster.time().seconds() < until, random));
       }
       case KEPT_REPORTS -> {
         double down = 0.1 + 3 * share;
-        world.keepForNextLeader(0.05 + 0.5 * share, random);
+        cluster.duplicateReportsForNextLeader(0.05 + 0.5 * share, random);
         after(
             length,
             () -> {
-              world.keepForNextLeader(0, random);
-              world.down(leader(random), down);
+              cluster.duplicateReportsForNextLeader(0, random);
+              cluster.stopFor(leader(random), down);
             });
       }
       case MUTE_MACHINES ->
-          some(machines, 0.1 + 0.6 * share, random).forEach(each -> world.mute(each, length));
+          some(machines, 0.1 + 0.6 * share, random)
+              .forEach(each -> cluster.dropOutbound(each, length));
       case QUICK_BOOTS -> {
-        world.cloud().bootWithin(2, length);
+        cluster.cloud().bootWithin(2, length);
         machines.stream()
             .filter(each -> random.nextInt(4) == 0)
-            .forEach(each -> world.cloud().terminate(each, 0));
-        after(length * random.nextDouble(), () -> world.crash(leader(random)));
+            .forEach(each -> cluster.cloud().terminate(each, 0));
+        after(length * random.nextDouble(), () -> cluster.crash(leader(random)));
       }
       default -> throw new IllegalStateException(trouble.toString());
     }
     return String.format(Locale.ROOT, "leader n%d node n%d %s %.2f", leader, node, lose, share);
   }
 
-  /** As {@link SimulatedCluster#lone}, but what it sends is held until the end. */
+  /** As {@link SimulatedCluster#separate}, but what it sends is held until the end. */
   private void hold(int node, double length) {
-    world.cut(ClusterSpec.nodeName(node), "state", length, false);
-    for (int other = 0; other < world.nodeCount(); other++) {
+    cluster.cut(ClusterSpec.nodeName(node), "state", length, false);
+    for (int other = 0; other < cluster.nodeCount(); other++) {
       if (other != node) {
-        world.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), length, false);
+        cluster.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), length, false);
       }
     }
   }
@@ -306,9 +312,9 @@
       after(
           again == 0 ? 0 : length * random.nextDouble(),
           () -> {
-            for (int each = 0; each < world.nodeCount(); each++) {
+            for (int each = 0; each < cluster.nodeCount(); each++) {
               if (node < 0 || node == each) {
-                world.down(each, down);
+                cluster.stopFor(each, down);
               }
             }
           });
@@ -316,7 +322,7 @@
   }
 
   private void quickMachines(double share, Random random, double length) {
-    world
+    cluster
         .cloud()
         .workers()
         .forEach(
@@ -330,12 +336,12 @@
   }
 
   private List<JobId> open(Random random, double share) {
-    return world.users().told().entrySet().stream()
+    return cluster.users().reportedStates().entrySet().stream()
         .filter(
             each ->
                 !each.getValue().equals("done")
                     && !each.getValue().equals("cancelled")
-                    && !world.users().isMistaken(each.getKey()))
+                    && !cluster.users().isMisconfigured(each.getKey()))
         .filter(each -> random.nextDouble() < share)
         .map(each -> each.getKey())
         .toList();
@@ -366,34 +372,36 @@
               .imageGb(1)
               .estimate(TimeSpan.ofSeconds(45))
               .build();
-      world
+      cluster
           .time()
           .at(
               at,
               () -> {
                 for (int task = 0; task < seconds.size(); task++) {
-                  world
-                      .around()
+                  cluster
+                      .environment()
                       .tasks()
                       .runsLonger(
                           job.id().task(task),
-                          seconds.get(task) - world.around().tasks().secondsOf(job));
+                          seconds.get(task) - cluster.environment().tasks().secondsOf(job));
                 }
-                world.users().submit(job);
+                cluster.users().submit(job);
               });
       if (isCancelled) {
-        world.time().at(at + 2 + 45 * random.nextDouble(), () -> world.users().cancel(job.id()));
+        cluster
+            .time()
+            .at(at + 2 + 45 * random.nextDouble(), () -> cluster.users().cancel(job.id()));
       }
     }
     for (int i = 0; i < QUESTIONS; i++) {
-      world
+      cluster
           .time()
           .at(
               FROM_S + (UNTIL_S + 40) * random.nextDouble(),
               () -> {
-                List<JobId> known = List.copyOf(world.users().told().keySet());
+                List<JobId> known = List.copyOf(cluster.users().reportedStates().keySet());
                 if (!known.isEmpty()) {
-                  world.users().submitAgain(known.get(random.nextInt(known.size())));
+                  cluster.users().submitAgain(known.get(random.nextInt(known.size())));
                 }
               });
     }
--- a/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
+++ b/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
@@ -17,31 +17,33 @@
   private static final double SECONDS = 60;
 
   private SimulatedCluster played(long seed, double cancelShare, double atEndShare) {
-    SimulatedCluster world = new SimulatedCluster(seed);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
     Random random = new Random(seed);
-    ConcurrentReaders.begin(world.around(), 1, cancelShare, SECONDS, random);
+    ConcurrentReaders.begin(cluster.environment(), 1, cancelShare, SECONDS, random);
     if (atEndShare > 0) {
-      LateCancellations.atEnd(world.around(), atEndShare, seed % 2 == 0 ? 0 : 1.6, SECONDS, random);
+      LateCancellations.atEnd(
+          cluster.environment(), atEndShare, seed % 2 == 0 ? 0 : 1.6, SECONDS, random);
     }
     for (int i = 0; i < JOBS; i++) {
       int number = 100 + i;
       // Some come together, so that they share a record.
-      world.time().at(5 + 0.6 * (i / 3 * 3), () -> world.users().submit(number));
+      cluster.time().at(5 + 0.6 * (i / 3 * 3), () -> cluster.users().submit(number));
     }
-    world.time().runUntil(SECONDS + 50);
-    return world;
+    cluster.time().runUntil(SECONDS + 50);
+    return cluster;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void noNodeAnswersAnythingOlder(long seed) {
-    SimulatedCluster world = played(seed, 0.3, 0);
-    assertEquals(List.of(), world.rules().violations());
+    SimulatedCluster cluster = played(seed, 0.3, 0);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(
-        world.users().answers().getOrDefault("poll 200", 0) > 10 * JOBS,
-        world.users().answers().toString());
+        cluster.users().answers().getOrDefault("poll 200", 0) > 10 * JOBS,
+        cluster.users().answers().toString());
     assertTrue(
-        world.users().told().values().stream().filter("cancelled"::equals).count() > JOBS / 10);
+        cluster.users().reportedStates().values().stream().filter("cancelled"::equals).count()
+            > JOBS / 10);
   }
 
   /** A day drawn from a fixed seed, with other troubles; more of them in {@link SeedsTest}. */
@@ -58,21 +60,22 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aCancellationMeetsTheEndOfTheLastTask(long seed) {
-    SimulatedCluster world = played(seed, 0, 0.7);
-    assertEquals(List.of(), world.rules().violations());
+    SimulatedCluster cluster = played(seed, 0, 0.7);
+    assertEquals(List.of(), cluster.invariants().violations());
     long done =
-        world.users().told().entrySet().stream()
+        cluster.users().reportedStates().entrySet().stream()
             .filter(
                 each ->
-                    each.getValue().equals("done") && world.users().isCancelAsked(each.getKey()))
+                    each.getValue().equals("done")
+                        && cluster.users().isCancelRequested(each.getKey()))
             .count();
     long cancelled =
-        world.users().told().entrySet().stream()
+        cluster.users().reportedStates().entrySet().stream()
             .filter(
                 each ->
                     each.getValue().equals("cancelled")
-                        && world.rules().completedTasks(each.getKey())
-                            == world.job(each.getKey()).taskCount())
+                        && cluster.invariants().completedTasks(each.getKey())
+                            == cluster.job(each.getKey()).taskCount())
             .count();
     assertTrue(
         cancelled > 3 && (seed % 2 == 0 || done > 0),
--- a/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
@@ -51,7 +51,7 @@
   private int believed(int node) {
     int[] sum = new int[1];
     for (JobId id : services) {
-      world.ask(
+      cluster.sendDirectly(
           node,
           HttpRequest.get("/v2/runs/" + id),
           response -> {
@@ -62,7 +62,7 @@
             }
           });
     }
-    world.time().runUntil(world.time().seconds() + 2);
+    cluster.time().runUntil(cluster.time().seconds() + 2);
     return sum[0];
   }
 
@@ -74,21 +74,21 @@
   @ParameterizedTest
   @CsvSource({"35, false", "90, false", "35, true", "90, true"})
   void aControllerThatWasSilentForLongIsToldOfAllSoonAfter(double seconds, boolean keepsMemory) {
-    world.time().runUntil(30);
-    int node = (world.leader() + 1) % site.nodes();
-    world.silence(node, seconds, keepsMemory);
-    world.time().runUntil(30 + seconds + 8);
+    cluster.time().runUntil(30);
+    int node = (cluster.leader() + 1) % site.nodes();
+    cluster.isolate(node, seconds, keepsMemory);
+    cluster.time().runUntil(30 + seconds + 8);
     assertEquals(36, believed(node));
     assertAllIsWell(30 + seconds + 60);
   }
 
   private int blocksOf(int node) {
-    return blocksOf(world, node);
+    return blocksOf(cluster, node);
   }
 
-  private static int blocksOf(SimulatedCluster world, int node) {
+  private static int blocksOf(SimulatedCluster cluster, int node) {
     int[] count = new int[1];
-    world.ask(
+    cluster.sendDirectly(
         node,
         HttpRequest.get("/admin/blocks"),
         response ->
@@ -110,7 +110,7 @@
     int given = givenWhileDeaf(this);
     assertEquals(36, replicas());
     assertTrue(given <= 8, given + " times given a block");
-    world.time().runUntil(190);
+    cluster.time().runUntil(190);
     assertTrue(
         blocksOf(0) > 0 && blocksOf(1) > 0 && blocksOf(2) > 0,
         "it hears again, and has its part: " + blocksOf(0) + " " + blocksOf(1) + " " + blocksOf(2));
@@ -134,20 +134,20 @@
 
   /** How many times a controller is given a block while no machine hears it, for 70 s. */
   private static int givenWhileDeaf(BusyCluster on) {
-    SimulatedCluster world = on.world;
+    SimulatedCluster cluster = on.cluster;
     ClusterSpec site = on.site;
-    world.time().runUntil(30);
-    int deaf = (world.leader() + 1) % site.nodes();
-    world
+    cluster.time().runUntil(30);
+    int deaf = (cluster.leader() + 1) % site.nodes();
+    cluster
         .cloud()
         .machines()
-        .forEach(machine -> world.cut(ClusterSpec.nodeName(deaf), machine.text(), 70, true));
+        .forEach(machine -> cluster.cut(ClusterSpec.nodeName(deaf), machine.text(), 70, true));
     int given = 0;
-    int held = blocksOf(world, deaf);
+    int held = blocksOf(cluster, deaf);
     int most = 0;
     for (double at = 30; at < 100; at += 0.1) {
-      world.time().runUntil(at);
-      int now = blocksOf(world, deaf);
+      cluster.time().runUntil(at);
+      int now = blocksOf(cluster, deaf);
       given += Math.max(0, now - held);
       held = now;
       most = at > 45 ? Math.max(most, now) : most;
@@ -165,14 +165,14 @@
   @ParameterizedTest
   @ValueSource(doubles = {1, 2.7, 6, 12, 35, 90})
   void controllersThatStandStillInTurn(double seconds) {
-    world.time().runUntil(20.07);
-    int first = world.leader();
-    world.standStill(first, seconds);
-    world.time().runUntil(20 + seconds / 2 + 5);
-    world.standStill((first + 1) % site.nodes(), seconds);
-    world.time().runUntil(20 + seconds + 0.3);
-    world.standStill(first, seconds);
-    world.time().runUntil(20 + 3 * seconds + 20);
+    cluster.time().runUntil(20.07);
+    int first = cluster.leader();
+    cluster.suspend(first, seconds);
+    cluster.time().runUntil(20 + seconds / 2 + 5);
+    cluster.suspend((first + 1) % site.nodes(), seconds);
+    cluster.time().runUntil(20 + seconds + 0.3);
+    cluster.suspend(first, seconds);
+    cluster.time().runUntil(20 + 3 * seconds + 20);
     assertEquals(36, replicas());
     assertAllIsWell(20 + 3 * seconds + 90);
   }
@@ -199,26 +199,28 @@
                   .imageGb(0.5)
                   .estimate(TimeSpan.ofSeconds(6))
                   .build();
-      world.time().at(15 + 0.3 * i, () -> world.users().submitMistaken(job));
+      cluster.time().at(15 + 0.3 * i, () -> cluster.users().submitMisconfigured(job));
     }
-    world.time().runUntil(30);
-    int machines = world.cloud().machines().size();
+    cluster.time().runUntil(30);
+    int machines = cluster.cloud().machines().size();
     int early = attempts();
-    world.time().runUntil(90);
+    cluster.time().runUntil(90);
     int late = attempts() - early;
     assertEquals(36, replicas());
     for (JobId id : arrays) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
     assertTrue(early < 20 * 45, early + " attempts at first");
     assertTrue(late < 20 * 12, late + " attempts in a minute");
-    assertTrue(world.cloud().machines().size() <= machines, "machines were rented for them");
-    world.users().mistakes().keySet().forEach(id -> world.users().cancel(id));
+    assertTrue(cluster.cloud().machines().size() <= machines, "machines were rented for them");
+    cluster.users().misconfiguredAttempts().keySet().forEach(id -> cluster.users().cancel(id));
     assertAllIsWell(150);
   }
 
   private int attempts() {
-    return world.users().mistakes().values().stream().mapToInt(Integer::intValue).sum();
+    return cluster.users().misconfiguredAttempts().values().stream()
+        .mapToInt(Integer::intValue)
+        .sum();
   }
 
   /**
@@ -228,31 +230,32 @@
   @ParameterizedTest
   @ValueSource(doubles = {8, 30})
   void aStormOfQuestionsWhileAControllerIsAway(double factor) {
-    world.time().runUntil(20);
-    world.silence((world.leader() + 1) % site.nodes(), 40, false);
-    world.users().storm(factor, 60);
+    cluster.time().runUntil(20);
+    cluster.isolate((cluster.leader() + 1) % site.nodes(), 40, false);
+    cluster.users().multiplyPolls(factor, 60);
     List<JobId> late = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       Job job = array(71_000 + i, 2);
       late.add(job.id());
-      world.time().at(30 + i, () -> world.users().submit(job));
+      cluster.time().at(30 + i, () -> cluster.users().submit(job));
     }
     assertAllIsWell(120);
     for (JobId id : late) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
     // Whoever asks the silent one waits for 5 s and asks again; that is all that anybody waits for.
     assertTrue(
-        world.users().longest().get("submit 201") < 3.3,
-        world.users().longest().toString()); // one packet in a hundred takes 3 s
+        cluster.users().longestResponseS().get("submit 201") < 3.3,
+        cluster.users().longestResponseS().toString()); // one packet in a hundred takes 3 s
     assertTrue(
-        world.users().answers().getOrDefault("submit 503", 0) < 5,
-        world.users().answers().toString());
+        cluster.users().answers().getOrDefault("submit 503", 0) < 5,
+        cluster.users().answers().toString());
     assertTrue(
-        world.users().answers().get("poll 503") < world.users().answers().get("poll 200") / 50,
-        world.users().answers().toString());
+        cluster.users().answers().get("poll 503") < cluster.users().answers().get("poll 200") / 50,
+        cluster.users().answers().toString());
     assertTrue(
-        world.state().throttled() < 30, "refused for their number: " + world.state().throttled());
+        cluster.state().throttled() < 30,
+        "refused for their number: " + cluster.state().throttled());
   }
 
   /** The steps of a controller's work that a message goes out for, as its request looks. */
@@ -282,7 +285,7 @@
   @ParameterizedTest
   @EnumSource(Step.class)
   void aMishapInEachStep(Step step) throws MalformedMessageException {
-    for (SimulatedCluster.Mishap mishap : SimulatedCluster.Mishap.values()) {
+    for (SimulatedCluster.SendFault mishap : SimulatedCluster.SendFault.values()) {
       for (double seconds : new double[] {1, 6, 12, 35, 90}) {
         ClusterSpec growing = ClusterSpec.tryOut(MACHINES, false);
         SimulatedCluster other = new SimulatedCluster(growing, (long) (seconds * 10), Meter.OFF);
@@ -296,19 +299,19 @@
             .time()
             .at(
                 step == Step.LEADING ? 0 : 14,
-                () -> other.mishapAt(step.request.asMatchPredicate(), seconds, mishap));
+                () -> other.injectFaultAt(step.request.asMatchPredicate(), seconds, mishap));
         if (step == Step.LEADING) {
           other.time().at(15, () -> other.crash(other.leader()));
         }
         other.time().runUntil(140 + 2 * seconds);
         String what = step + " " + mishap + " " + seconds + " s";
-        assertTrue(other.mishapHit() >= 0, what);
-        assertEquals(List.of(), other.rules().violations(), what);
+        assertTrue(other.faultedController() >= 0, what);
+        assertEquals(List.of(), other.invariants().violations(), what);
         for (JobId id : done) {
-          assertEquals("done", other.users().told().get(id), what + ": " + id);
+          assertEquals("done", other.users().reportedStates().get(id), what + ": " + id);
         }
-        assertEquals("cancelled", other.users().told().get(cancelled), what);
-        assertEquals(0, other.rules().onMachines(cancelled), what);
+        assertEquals("cancelled", other.users().reportedStates().get(cancelled), what);
+        assertEquals(0, other.invariants().onMachines(cancelled), what);
       }
     }
   }
--- a/src/test/java/org/quincecross/emulator/CostScalingTest.java
+++ b/src/test/java/org/quincecross/emulator/CostScalingTest.java
@@ -10,10 +10,10 @@
 
   private static Meter play(int machines) {
     Meter meter = new Meter(true);
-    SimulatedCluster world = new SimulatedCluster(ClusterSpec.fleet(machines), 3, meter);
-    WorkloadGenerator load = new WorkloadGenerator(world.around(), 3);
-    world.time().at(10, () -> load.begin(15));
-    world.time().runUntil(DAY_S);
+    SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.fleet(machines), 3, meter);
+    WorkloadGenerator load = new WorkloadGenerator(cluster.environment(), 3);
+    cluster.time().at(10, () -> load.begin(15));
+    cluster.time().runUntil(DAY_S);
     return meter;
   }
 
@@ -49,11 +49,11 @@
   @Test
   void aQuietSiteIsNotLookedAtAllTheTime() {
     Meter meter = new Meter(true);
-    SimulatedCluster world = new SimulatedCluster(ClusterSpec.tryOut(30, false), 3, meter);
-    world.time().runUntil(30);
+    SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.tryOut(30, false), 3, meter);
+    cluster.time().runUntil(30);
     long before = meter.costs().values().stream().mapToLong(Meter.Cost::calls).sum();
     long reports = calls(meter, "POST /agent/…");
-    world.time().runUntil(60);
+    cluster.time().runUntil(60);
     long all = meter.costs().values().stream().mapToLong(Meter.Cost::calls).sum() - before;
     long perControllerAndSecond = (all - (calls(meter, "POST /agent/…") - reports)) / 3 / 30;
     assertTrue(
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -37,20 +37,20 @@
   private static final long HOUR_MS = 3_600_000;
 
   private final ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
-  private final SimulatedCluster world =
+  private final SimulatedCluster cluster =
       new SimulatedCluster(
           site,
           5,
           Meter.OFF,
           new Features(
               null, null, Build.present("requests", 3), Map.of("requests", Map.of("share", 0.5))));
-  private final DeadlineRequestInvariant watch = new DeadlineRequestInvariant(world);
+  private final DeadlineRequestInvariant watch = new DeadlineRequestInvariant(cluster);
   private final Map<String, Integer> answers = new HashMap<>();
   private final Map<String, String> words = new HashMap<>();
   private int jobs = 100;
 
   private void run(double seconds) {
-    world.time().runUntil(world.time().seconds() + seconds);
+    cluster.time().runUntil(cluster.time().seconds() + seconds);
   }
 
   /**
@@ -59,7 +59,7 @@
    */
   private void ask(
       int node, String name, String reference, Map<String, Object> command, Runnable durable) {
-    world.ask(
+    cluster.sendDirectly(
         node,
         HttpRequest.post(
             "/admin/agreed/requests/" + reference,
@@ -149,12 +149,12 @@
 
   private void set(String settings) throws MalformedMessageException {
     String[] known = new String[1];
-    world.ask(
+    cluster.sendDirectly(
         0,
         HttpRequest.get("/admin/settings"),
         response -> known[0] = new String(response.body(), UTF_8));
     long version = Json.parseFields(known[0].getBytes(UTF_8)).unsigned("version");
-    world.ask(
+    cluster.sendDirectly(
         0,
         new HttpRequest(
             "PUT",
@@ -171,13 +171,13 @@
    */
   private void flood() {
     for (int i = 0; i < 8; i++) {
-      world
+      cluster
           .users()
           .submit(job("side", "batch", JobKind.SERVICE, Priority.PRODUCTION, 10, 2, false, false));
-      world
+      cluster
           .users()
           .submit(job("rebuild", "batch", JobKind.ARRAY, Priority.HIGH, 60, 1, false, false));
-      world
+      cluster
           .users()
           .submit(job("sweep", "batch", JobKind.ARRAY, Priority.NORMAL, 60, 1, true, false));
     }
@@ -186,14 +186,14 @@
   private int on(JobId... ids) {
     int on = 0;
     for (JobId id : ids) {
-      on += world.rules().onMachines(id);
+      on += cluster.invariants().onMachines(id);
     }
     return on;
   }
 
   private JsonFields row(int node, String reference) {
     JsonFields[] row = new JsonFields[1];
-    world.ask(
+    cluster.sendDirectly(
         node,
         HttpRequest.get("/admin/agreed/requests/" + reference),
         (HttpResponse response) -> {
@@ -211,7 +211,7 @@
   }
 
   private void assertSound() {
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(List.of(), watch.broken());
   }
 
@@ -220,11 +220,11 @@
    * never are.
    */
   private double until(int tasks, double most, JobId... ids) {
-    double begun = world.time().seconds();
-    while (on(ids) < tasks && world.time().seconds() - begun < most) {
+    double begun = cluster.time().seconds();
+    while (on(ids) < tasks && cluster.time().seconds() - begun < most) {
       run(0.1);
     }
-    return world.time().seconds() - begun;
+    return cluster.time().seconds() - begun;
   }
 
   /**
@@ -233,7 +233,7 @@
    */
   @Test
   void theLaneStartsInAFloodOfEverythingElse() {
-    world.time().runUntil(READY_S);
+    cluster.time().runUntil(READY_S);
     arrive(0, "a", "police-1", "police", 24, 24);
     run(15);
     assertEquals(
@@ -243,11 +243,11 @@
         watch.request("police-1").toString());
     flood();
     run(60);
-    double used = world.rules().used("batch").cpus();
+    double used = cluster.invariants().used("batch").cpus();
     assertTrue(
         used > 8 * MACHINES - 24, "room that is not used is lent: " + used + " of " + 8 * MACHINES);
     JobId front =
-        world
+        cluster
             .users()
             .submit(job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 24, 2, false, true));
     double took = until(24, 60, front);
@@ -260,12 +260,12 @@
             + 8 * MACHINES);
     assertTrue(took < 8, took + " s");
     deliver(1, "d", "police-1");
-    world.users().cancel(front);
+    cluster.users().cancel(front);
     run(60);
     assertEquals(DeadlineRequest.State.ANSWERED, watch.request("police-1").state());
     assertTrue(
-        world.rules().used("batch").cpus() > 8 * MACHINES - 10,
-        "given back: " + world.rules().used("batch"));
+        cluster.invariants().used("batch").cpus() > 8 * MACHINES - 10,
+        "given back: " + cluster.invariants().used("batch"));
     assertSound();
   }
 
@@ -275,7 +275,7 @@
    */
   @Test
   void theSameReferenceWithOtherFigures() {
-    world.time().runUntil(READY_S);
+    cluster.time().runUntil(READY_S);
     arrive(0, "a", "r-1", "police", 24, 4);
     arrive(1, "b", "r-1", "carrier", 24, 6);
     run(5);
@@ -300,7 +300,7 @@
    */
   @Test
   void deliveredInEveryWrongMoment() {
-    world.time().runUntil(READY_S);
+    cluster.time().runUntil(READY_S);
     arrive(0, "a1", "r-1", "police", 24, 4);
     deliver(0, "d1", "r-1");
     arrive(1, "a2", "r-2", "police", 24, 4);
@@ -343,12 +343,12 @@
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.003, 0.01, 0.05, 0.2, 1})
   void theLeaderIsLostInEachState(double offset) {
-    world.state().applyLate(10);
-    world.time().runUntil(READY_S);
+    cluster.state().applyLate(10);
+    cluster.time().runUntil(READY_S);
     for (int round = 0; round < 6; round++) {
       int each = round;
       String reference = "r-" + each;
-      int leader = Math.max(0, world.leader());
+      int leader = Math.max(0, cluster.leader());
       int other = (leader + 1) % 3;
       double still = round % 2 == 0 ? 0 : 9;
       boolean ends = round >= 3;
@@ -360,9 +360,9 @@
         run(offset);
       }
       if (still == 0) {
-        world.crash(leader);
+        cluster.crash(leader);
       } else {
-        world.standStill(leader, still);
+        cluster.suspend(leader, still);
       }
       run(16);
       assertEquals(200, answers.get("a" + round), words.toString());
@@ -379,7 +379,7 @@
   private void keepAsking(int node, String name, Runnable ask) {
     if (!answers.containsKey(name) || answers.get(name) == 503) {
       ask.run();
-      world.time().after(5, () -> keepAsking(node, name, ask));
+      cluster.time().after(5, () -> keepAsking(node, name, ask));
     }
   }
 
@@ -389,7 +389,7 @@
    */
   @Test
   void capacityShrinksBelowWhatIsReserved() throws MalformedMessageException {
-    world.time().runUntil(READY_S);
+    cluster.time().runUntil(READY_S);
     for (int i = 0; i < 4; i++) {
       arrive(i % 3, "a" + i, "r-" + i, "police", 40 - i, 18);
     }
@@ -402,7 +402,7 @@
         watch.seen().toString());
     set("{\"renting\": false}");
     List<MachineId> ordinary = new ArrayList<>();
-    world
+    cluster
         .cloud()
         .workers()
         .forEach(
@@ -411,7 +411,7 @@
                 ordinary.add(worker.machine().id());
               }
             });
-    ordinary.subList(0, 8).forEach(id -> world.cloud().terminate(id, 0));
+    ordinary.subList(0, 8).forEach(id -> cluster.cloud().terminate(id, 0));
     run(45);
     assertEquals(
         DeadlineRequest.State.ARRIVED, watch.request("r-0").state(), watch.seen().toString());
@@ -439,20 +439,20 @@
    */
   @Test
   void keptRoomIsNotReturnedAndIsMadeAnewInOtherZones() throws MalformedMessageException {
-    world.time().runUntil(READY_S);
+    cluster.time().runUntil(READY_S);
     arrive(1, "a", "r-1", "carrier", 24, 12);
     run(30);
     assertEquals(Map.of("east", 4, "north", 4, "west", 4), watch.request("r-1").zones());
-    int rented = world.cloud().workers().size();
+    int rented = cluster.cloud().workers().size();
     long written = changes("r-1");
     run(150);
     assertEquals(written, changes("r-1"), "moved though nothing has changed");
     assertTrue(
-        rented <= 8 && world.cloud().workers().size() <= 8,
-        rented + " machines, later " + world.cloud().workers().size());
-    for (AgentSimulator worker : world.cloud().workers()) {
+        rented <= 8 && cluster.cloud().workers().size() <= 8,
+        rented + " machines, later " + cluster.cloud().workers().size());
+    for (AgentSimulator worker : cluster.cloud().workers()) {
       if (worker.machine().zone().equals("west")) {
-        world.cloud().terminate(worker.machine().id(), 0);
+        cluster.cloud().terminate(worker.machine().id(), 0);
       }
     }
     set("{\"renting\": false}");
@@ -461,7 +461,7 @@
     run(30);
     assertEquals(DeadlineRequest.State.RESERVED, watch.request("r-1").state());
     JobId front =
-        world
+        cluster
             .users()
             .submit(job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 12, 2, false, true));
     double took = until(12, 30, front);
@@ -470,7 +470,7 @@
   }
 
   private long changes(String reference) throws MalformedMessageException {
-    return JsonFields.of(world.state().value("q/agreed/requests/" + reference), "a record")
+    return JsonFields.of(cluster.state().value("q/agreed/requests/" + reference), "a record")
         .unsigned("change");
   }
 
@@ -480,9 +480,9 @@
    */
   @Test
   void tenThousandOpenRequests() throws MalformedMessageException {
-    world.time().runUntil(READY_S);
+    cluster.time().runUntil(READY_S);
     for (int i = 0; i < 10_000; i++) {
-      world
+      cluster
           .state()
           .write(
               "q/agreed/requests/r-" + i,
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
@@ -19,7 +19,7 @@
   private static final double EVERY_S = 0.05;
   private static final RequestKind KIND = new RequestKind(id -> "", 0);
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Map<String, Object> values = new HashMap<>();
   private final Map<String, DeadlineRequest> seen = new TreeMap<>();
 
@@ -33,8 +33,8 @@
   private final Map<String, Integer> ends = new HashMap<>();
   private final List<String> broken = new ArrayList<>();
 
-  DeadlineRequestInvariant(SimulatedCluster world) {
-    this.world = world;
+  DeadlineRequestInvariant(SimulatedCluster cluster) {
+    this.cluster = cluster;
     look();
   }
 
@@ -64,12 +64,12 @@
   }
 
   private void breaks(String reference, String what) {
-    broken.add("at " + world.time().seconds() + " " + reference + " " + what);
+    broken.add("at " + cluster.time().seconds() + " " + reference + " " + what);
   }
 
   private void look() {
-    for (String key : world.state().keysWithPrefix(KEYS)) {
-      Object value = world.state().value(key);
+    for (String key : cluster.state().keysWithPrefix(KEYS)) {
+      Object value = cluster.state().value(key);
       if (key.startsWith(KEYS + "~") || values.put(key, value) == value) {
         continue;
       }
@@ -94,7 +94,7 @@
             breaks(reference, "was told to be " + end + " and is " + request(reference).state());
           }
         });
-    world.time().after(seen.size() > 1000 ? 1 : EVERY_S, this::look);
+    cluster.time().after(seen.size() > 1000 ? 1 : EVERY_S, this::look);
   }
 
   private void check(DeadlineRequest before, DeadlineRequest now) {
--- a/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
@@ -22,8 +22,8 @@
     double copies = List.of(0.5, 0.05, 0.2, 0.1).get((int) (seed % 4));
     return new RandomScenario(seed)
         .with(
-            (world, each) ->
-                new FastRestartFaults(world, each)
+            (cluster, each) ->
+                new FastRestartFaults(cluster, each)
                     .copies(copies)
                     .held(held, LONGEST_S)
                     .machines(1.0 / 6, seed % 4 == 3 ? 2 : 0));
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
@@ -16,32 +16,32 @@
   private static final double UNTIL_S = 150;
   private static final double MINUTES_SHARE = 0.15;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Random random;
 
-  private DelayedTransactionFaults(SimulatedCluster world, long seed) {
-    this.world = world;
+  private DelayedTransactionFaults(SimulatedCluster cluster, long seed) {
+    this.cluster = cluster;
     this.random = new Random(seed * 31 + 7);
   }
 
   /** For {@link RandomScenario#with}. */
-  static void on(SimulatedCluster world, long seed) {
-    DelayedTransactionFaults days = new DelayedTransactionFaults(world, seed);
+  static void on(SimulatedCluster cluster, long seed) {
+    DelayedTransactionFaults days = new DelayedTransactionFaults(cluster, seed);
     days.lateWrites(0.2 + 0.1 * days.random.nextDouble());
     days.bundles(6, 7);
     days.cancellations(12);
-    new FastRestartFaults(world, seed).controllers(3);
+    new FastRestartFaults(cluster, seed).controllers(3);
   }
 
   private boolean isTrouble() {
-    return world.time().seconds() >= FROM_S && world.time().seconds() < UNTIL_S;
+    return cluster.time().seconds() >= FROM_S && cluster.time().seconds() < UNTIL_S;
   }
 
   private void lateWrites(double share) {
     DelayedTransactions soon = DelayedTransactions.share(share, 2, 12, this::isTrouble, random);
     DelayedTransactions minutes =
         DelayedTransactions.share(MINUTES_SHARE * share, 12, 150, this::isTrouble, random);
-    world
+    cluster
         .state()
         .delayTransactions(
             transaction -> {
@@ -63,9 +63,9 @@
       double at = moment();
       for (int each = 0; each < jobs; each++) {
         int number = 3000 + i * jobs + each;
-        world.time().at(at, () -> world.users().submit(number));
+        cluster.time().at(at, () -> cluster.users().submit(number));
         if (random.nextInt(4) == 0) {
-          world.time().at(at + 0.1, () -> world.users().cancel(new JobId("job-" + number)));
+          cluster.time().at(at + 0.1, () -> cluster.users().cancel(new JobId("job-" + number)));
         }
       }
     }
@@ -73,14 +73,14 @@
 
   private void cancellations(int times) {
     for (int i = 0; i < times; i++) {
-      world
+      cluster
           .time()
           .at(
               moment(),
               () -> {
-                List<JobId> told = new ArrayList<>(world.users().told().keySet());
+                List<JobId> told = new ArrayList<>(cluster.users().reportedStates().keySet());
                 if (!told.isEmpty()) {
-                  world.users().cancel(told.get(random.nextInt(told.size())));
+                  cluster.users().cancel(told.get(random.nextInt(told.size())));
                 }
               });
     }
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
@@ -26,25 +26,27 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
   void aCancellationThatBecomesDurableLate(int alone) {
-    SimulatedCluster world = new SimulatedCluster(1);
+    SimulatedCluster cluster = new SimulatedCluster(1);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       int number = i;
-      world.time().at(5 + i * 0.1, () -> jobs.add(world.users().submitService(number)));
+      cluster.time().at(5 + i * 0.1, () -> jobs.add(cluster.users().submitService(number)));
     }
-    world
+    cluster
         .state()
         .delayTransactions(
             transaction ->
-                transaction.contains("\"cancelled\"") && world.time().seconds() < 32.4
-                    ? 32.5 + 0.5 * world.random().nextDouble() - world.time().seconds()
+                transaction.contains("\"cancelled\"") && cluster.time().seconds() < 32.4
+                    ? 32.5 + 0.5 * cluster.random().nextDouble() - cluster.time().seconds()
                     : DelayedTransactions.PROMPT);
-    world.time().at(16, () -> jobs.forEach(world.users()::cancel));
-    world.time().at(32, () -> OwnerWithoutStore.isolate(world, alone, 90));
-    world.time().runUntil(170);
-    assertTrue(world.state().lateOutcomes().contains(200), world.state().lateOutcomes().toString());
-    assertEquals(12, world.users().told().values().stream().filter("cancelled"::equals).count());
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().at(16, () -> jobs.forEach(cluster.users()::cancel));
+    cluster.time().at(32, () -> OwnerWithoutStore.isolate(cluster, alone, 90));
+    cluster.time().runUntil(170);
+    assertTrue(
+        cluster.state().lateOutcomes().contains(200), cluster.state().lateOutcomes().toString());
+    assertEquals(
+        12, cluster.users().reportedStates().values().stream().filter("cancelled"::equals).count());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
   /**
@@ -68,47 +70,48 @@
    */
   @Test
   void bundlesCarriedOutAfterTheirJobsAreOver() {
-    SimulatedCluster world = new SimulatedCluster(2);
-    world.state().applyLate(0);
-    world
+    SimulatedCluster cluster = new SimulatedCluster(2);
+    cluster.state().applyLate(0);
+    cluster
         .state()
         .delayTransactions(
             transaction ->
-                transaction.contains("q/bundle/") && world.time().seconds() < 10.6
+                transaction.contains("q/bundle/") && cluster.time().seconds() < 10.6
                     ? 60
                     : DelayedTransactions.PROMPT);
     for (int i = 0; i < 24; i++) {
       int number = 100 + i;
-      world.time().at(10, () -> world.users().submit(number));
+      cluster.time().at(10, () -> cluster.users().submit(number));
     }
-    world
+    cluster
         .time()
         .at(
             30,
             () ->
-                List.copyOf(world.users().told().keySet())
+                List.copyOf(cluster.users().reportedStates().keySet())
                     .forEach(
                         id -> {
                           if (id.text().compareTo("job-110") < 0) {
-                            world.users().cancel(id);
+                            cluster.users().cancel(id);
                           }
                         }));
-    world.time().runUntil(69.9);
-    assertEquals(24, world.users().told().size());
+    cluster.time().runUntil(69.9);
+    assertEquals(24, cluster.users().reportedStates().size());
     long over =
-        world.users().told().values().stream()
+        cluster.users().reportedStates().values().stream()
             .filter(state -> !state.equals("queued") && !state.equals("running"))
             .count();
-    assertTrue(over > 8, "over are " + world.users().told());
-    world.time().runUntil(72);
-    assertTrue(world.state().lateOutcomes().contains(200), world.state().lateOutcomes().toString());
-    world.time().runUntil(80);
-    for (int node = 0; node < world.nodeCount(); node++) {
-      world.crash(node);
+    assertTrue(over > 8, "over are " + cluster.users().reportedStates());
+    cluster.time().runUntil(72);
+    assertTrue(
+        cluster.state().lateOutcomes().contains(200), cluster.state().lateOutcomes().toString());
+    cluster.time().runUntil(80);
+    for (int node = 0; node < cluster.nodeCount(); node++) {
+      cluster.crash(node);
     }
-    world.time().runUntil(200);
-    assertEquals(List.of(), world.rules().violations());
-    assertEquals(Set.of(), world.state().keysWithPrefix("q/bundle/"));
+    cluster.time().runUntil(200);
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertEquals(Set.of(), cluster.state().keysWithPrefix("q/bundle/"));
   }
 
   /**
@@ -117,29 +120,29 @@
    */
   @Test
   void aRecordOfItsOwnThatComesAfterABundle() {
-    SimulatedCluster world = new SimulatedCluster(2);
-    world.state().applyLate(0);
+    SimulatedCluster cluster = new SimulatedCluster(2);
+    cluster.state().applyLate(0);
     for (int i = 0; i < 24; i++) {
       int number = 100 + i;
-      world.time().at(10, () -> world.users().submit(number));
+      cluster.time().at(10, () -> cluster.users().submit(number));
     }
-    world.time().runUntil(18);
+    cluster.time().runUntil(18);
     int late = 0;
-    for (String bundle : world.state().keysWithPrefix("q/bundle/")) {
-      for (Object job : (List<?>) ((Map<?, ?>) world.state().value(bundle)).get("jobs")) {
+    for (String bundle : cluster.state().keysWithPrefix("q/bundle/")) {
+      for (Object job : (List<?>) ((Map<?, ?>) cluster.state().value(bundle)).get("jobs")) {
         String key = "q/job/" + ((Map<?, ?>) ((Map<?, ?>) job).get("job")).get("Uid");
-        if (world.state().value(key) == null) {
-          world.state().write(key, job);
+        if (cluster.state().value(key) == null) {
+          cluster.state().write(key, job);
           late++;
         }
       }
     }
     assertTrue(late > 5, late + " were in bundles alone");
-    world.time().runUntil(150);
-    assertEquals(List.of(), world.rules().violations());
-    world
+    cluster.time().runUntil(150);
+    assertEquals(List.of(), cluster.invariants().violations());
+    cluster
         .users()
-        .told()
+        .reportedStates()
         .forEach(
             (id, state) ->
                 assertTrue(state.equals("done") || state.equals("cancelled"), id + " " + state));
@@ -152,27 +155,27 @@
   @ParameterizedTest
   @ValueSource(strings = {"q/block/", "q/alloc/", "q/page/", "\"done\""})
   void whatALeaderWrote(String what) {
-    SimulatedCluster world = new SimulatedCluster(4);
-    world.state().applyLate(0);
+    SimulatedCluster cluster = new SimulatedCluster(4);
+    cluster.state().applyLate(0);
     int[] late = new int[1];
-    world
+    cluster
         .state()
         .delayTransactions(
             transaction ->
-                world.time().seconds() > 12 && transaction.contains(what) && late[0]++ % 3 == 0
+                cluster.time().seconds() > 12 && transaction.contains(what) && late[0]++ % 3 == 0
                     ? 5
                     : DelayedTransactions.PROMPT);
     for (int i = 0; i < 40; i++) {
       int number = 100 + i;
-      world.time().at(3 + 1.5 * i, () -> world.users().submit(number));
+      cluster.time().at(3 + 1.5 * i, () -> cluster.users().submit(number));
     }
-    world.time().at(30, () -> world.crash((world.leader() + 1) % world.nodeCount()));
-    world.time().runUntil(90);
-    world.state().delayTransactions(DelayedTransactions.NONE);
-    world.time().runUntil(200);
+    cluster.time().at(30, () -> cluster.crash((cluster.leader() + 1) % cluster.nodeCount()));
+    cluster.time().runUntil(90);
+    cluster.state().delayTransactions(DelayedTransactions.NONE);
+    cluster.time().runUntil(200);
     assertTrue(late[0] > 2, late[0] + " such");
-    assertEquals(Set.of(409), Set.copyOf(world.state().lateOutcomes()));
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(Set.of(409), Set.copyOf(cluster.state().lateOutcomes()));
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
   /**
@@ -182,12 +185,12 @@
   @ParameterizedTest
   @ValueSource(doubles = {0.5, 1.5, 2.9, 6})
   void whoEndedBeforeItStood(double later) {
-    SimulatedCluster world = new SimulatedCluster(4);
-    world.state().applyLate(0);
-    world.time().runUntil(30);
-    world.crash(world.leader());
+    SimulatedCluster cluster = new SimulatedCluster(4);
+    cluster.state().applyLate(0);
+    cluster.time().runUntil(30);
+    cluster.crash(cluster.leader());
     boolean[] stood = new boolean[1];
-    world
+    cluster
         .state()
         .delayTransactions(
             transaction -> {
@@ -197,14 +200,14 @@
               stood[0] = true;
               int node =
                   Integer.parseInt(transaction.replaceAll("(?s).*\"member\":\"n([0-9]).*", "$1"));
-              world.time().after(0.001, () -> world.down(node, 0.1));
+              cluster.time().after(0.001, () -> cluster.stopFor(node, 0.1));
               return later;
             });
-    world.time().runUntil(42);
+    cluster.time().runUntil(42);
     assertTrue(stood[0]);
-    assertTrue(world.leader() >= 0);
+    assertTrue(cluster.leader() >= 0);
     assertTrue(
-        Set.of(400, 409).containsAll(world.state().lateOutcomes()),
-        world.state().lateOutcomes().toString());
+        Set.of(400, 409).containsAll(cluster.state().lateOutcomes()),
+        cluster.state().lateOutcomes().toString());
   }
 }
--- a/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
@@ -40,7 +40,7 @@
 class DependencyCasesTest {
   private static final double LOOK_EVERY_S = 0.05;
 
-  private final SimulatedCluster world = new SimulatedCluster(ClusterSpec.small(), 40, Meter.OFF);
+  private final SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.small(), 40, Meter.OFF);
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final Map<JobId, Double> cancelledAt = new HashMap<>();
 
@@ -76,12 +76,12 @@
   private void submitWhenKnown(Job job) {
     jobs.put(job.id(), job);
     if (allBefore(job.id()).stream().anyMatch(asked::contains)) {
-      world.users().noteCancel(job.id());
+      cluster.users().noteCancel(job.id());
     }
-    if (world.users().told().keySet().containsAll(job.dependencies())) {
-      world.users().submit(job);
+    if (cluster.users().reportedStates().keySet().containsAll(job.dependencies())) {
+      cluster.users().submit(job);
     } else {
-      world.time().after(0.05, () -> submitWhenKnown(job));
+      cluster.time().after(0.05, () -> submitWhenKnown(job));
     }
   }
 
@@ -99,48 +99,49 @@
     asked.add(id);
     jobs.keySet().stream()
         .filter(other -> allBefore(other).contains(id))
-        .forEach(world.users()::noteCancel);
-    world.users().cancel(id);
+        .forEach(cluster.users()::noteCancel);
+    cluster.users().cancel(id);
   }
 
   private boolean isDone(JobId id) {
-    return world.rules().completedTasks(id) == jobs.get(id).taskCount();
+    return cluster.invariants().completedTasks(id) == jobs.get(id).taskCount();
   }
 
   private void look() {
-    Map<JobId, String> told = world.users().told();
+    Map<JobId, String> told = cluster.users().reportedStates();
     for (JobId id : jobs.keySet()) {
       Set<JobId> before = allBefore(id);
-      if (world.rules().onMachines(id) > 0 && !before.stream().allMatch(this::isDone)) {
-        broken.add("too early at " + world.time().seconds() + ": " + id);
+      if (cluster.invariants().onMachines(id) > 0 && !before.stream().allMatch(this::isDone)) {
+        broken.add("too early at " + cluster.time().seconds() + ": " + id);
       }
       if ("cancelled".equals(told.get(id))) {
-        cancelledAt.putIfAbsent(id, world.time().seconds());
+        cancelledAt.putIfAbsent(id, cluster.time().seconds());
       }
       for (JobId each : before) {
         Double since = cancelledAt.get(each);
         if (since != null
             && told.containsKey(id)
             && !"cancelled".equals(told.get(id))
-            && world.time().seconds() > since + world.site().workers().cancelTimeout().seconds()) {
-          broken.add("orphaned at " + world.time().seconds() + ": " + id);
+            && cluster.time().seconds()
+                > since + cluster.site().workers().cancelTimeout().seconds()) {
+          broken.add("orphaned at " + cluster.time().seconds() + ": " + id);
         }
       }
     }
   }
 
   private void runUntil(double seconds) {
-    while (world.time().seconds() < seconds) {
-      world.time().runUntil(world.time().seconds() + LOOK_EVERY_S);
+    while (cluster.time().seconds() < seconds) {
+      cluster.time().runUntil(cluster.time().seconds() + LOOK_EVERY_S);
       look();
     }
     assertEquals(List.of(), broken);
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
   private void assertTold(String state, Integer... numbers) {
     for (int number : numbers) {
-      assertEquals(state, world.users().told().get(id(number)), id(number).text());
+      assertEquals(state, cluster.users().reportedStates().get(id(number)), id(number).text());
     }
   }
 
@@ -169,42 +170,43 @@
   void eachRunsOnceThoseBeforeItAreDone(String what, double after) {
     Set<String> seen = new HashSet<>();
     if (what.equals("LATE")) {
-      world
+      cluster
           .state()
           .delayTransactions(
               txn ->
                   txn.contains("\"done\"")
                           && txn.contains("q/job/")
-                          && world.random().nextInt(3) == 0
+                          && cluster.random().nextInt(3) == 0
                       ? after
                       : DelayedTransactions.PROMPT);
     }
-    world.time().at(6, () -> diamond(1));
-    world.time().at(8, () -> diamond(101));
+    cluster.time().at(6, () -> diamond(1));
+    cluster.time().at(8, () -> diamond(101));
     for (double at = 6; at < 80; at += LOOK_EVERY_S) {
-      world
+      cluster
           .time()
           .at(
               at,
               () -> {
                 Set<String> done =
                     new HashSet<>(
-                        world.state().keysWithPrefix("q/job/").stream()
+                        cluster.state().keysWithPrefix("q/job/").stream()
                             .filter(
                                 key ->
-                                    String.valueOf(world.state().value(key)).contains("phase=done"))
+                                    String.valueOf(cluster.state().value(key))
+                                        .contains("phase=done"))
                             .toList());
                 if (seen.addAll(done) && !what.equals("NONE")) {
-                  world
+                  cluster
                       .time()
                       .after(
                           after,
                           () -> {
                             for (int node = 0;
-                                node < world.nodeCount() && !what.equals("LATE");
+                                node < cluster.nodeCount() && !what.equals("LATE");
                                 node++) {
-                              if (what.equals("ALL") || node == world.leader()) {
-                                world.crash(node);
+                              if (what.equals("ALL") || node == cluster.leader()) {
+                                cluster.crash(node);
                               }
                             }
                           });
@@ -229,29 +231,31 @@
     "4, 18, true"
   })
   void whatNeedsACancelledJobIsCancelled(int which, double at, boolean leaderEnds) {
-    world.time().at(6, () -> diamond(1));
-    world
+    cluster.time().at(6, () -> diamond(1));
+    cluster
         .time()
         .at(
             at,
             () -> {
               cancel(id(which));
               if (leaderEnds) {
-                world.crash(world.leader());
+                cluster.crash(cluster.leader());
               }
             });
-    world.time().at(25, () -> submitWhenKnown(job(9, which, 1)));
+    cluster.time().at(25, () -> submitWhenKnown(job(9, which, 1)));
     runUntil(110);
-    boolean wasDone = "done".equals(world.users().told().get(id(which)));
+    boolean wasDone = "done".equals(cluster.users().reportedStates().get(id(which)));
     for (JobId id : jobs.keySet()) {
       boolean needs = id.equals(id(which)) || allBefore(id).contains(id(which));
       assertEquals(
-          needs && !wasDone ? "cancelled" : "done", world.users().told().get(id), id.text());
+          needs && !wasDone ? "cancelled" : "done",
+          cluster.users().reportedStates().get(id),
+          id.text());
     }
   }
 
   private void post(int node, Job job, Consumer<HttpResponse> reply) {
-    world.ask(
+    cluster.sendDirectly(
         node,
         HttpRequest.post(JobCodec.JOBS_PATH, Json.write(JobCodec.writeSubmission(job))),
         reply);
@@ -264,7 +268,7 @@
         job,
         answer -> {
           if (answer.status() == 503) {
-            world.time().after(1, () -> postUntilTaken(node, job, reply));
+            cluster.time().after(1, () -> postUntilTaken(node, job, reply));
           } else {
             reply.accept(answer);
           }
@@ -286,7 +290,7 @@
                 answer.status() < 300 ? "accepted" : "" + answer.status(), 1, Integer::sum);
     for (int i = 0; i < 60; i++) {
       int number = 10 * i;
-      world
+      cluster
           .time()
           .at(
               10 + 0.31 * i,
@@ -300,12 +304,12 @@
                         postUntilRefused((number + 2) % 3, job(number + 2, number + 9), refusals);
                       }));
     }
-    world.time().runUntil(35);
+    cluster.time().runUntil(35);
     assertEquals(Map.of("accepted", 60), answers);
     assertEquals(60, refusals.get("422"));
-    world.time().at(36, () -> postUntilRefused(0, job(901, 0, 902), refusals));
-    world.time().at(37, () -> postUntilRefused(0, job(903, 903), refusals));
-    world
+    cluster.time().at(36, () -> postUntilRefused(0, job(901, 0, 902), refusals));
+    cluster.time().at(37, () -> postUntilRefused(0, job(903, 903), refusals));
+    cluster
         .time()
         .at(
             37.2,
@@ -314,21 +318,21 @@
                     0,
                     job(906, JobKind.SERVICE, 1, 1),
                     answer -> assertTrue(answer.status() < 300)));
-    world.time().at(37.5, () -> postUntilRefused(0, job(907, 906), refusals));
-    world
+    cluster.time().at(37.5, () -> postUntilRefused(0, job(907, 906), refusals));
+    cluster
         .time()
         .at(
             38,
             () -> post(1, job(1, 999, 1), count)); // accepted before, whatever its repetition says
-    world.time().at(50, () -> world.state().outage(6));
-    world.time().at(51, () -> post(0, job(904, 905), count));
-    world.time().runUntil(60);
+    cluster.time().at(50, () -> cluster.state().outage(6));
+    cluster.time().at(51, () -> post(0, job(904, 905), count));
+    cluster.time().runUntil(60);
     assertEquals(Map.of("accepted", 61, "503", 1), answers);
     assertEquals(63, refusals.get("422"));
     assertTrue(
         refusals.getOrDefault("503", 0) <= 4,
         refusals.toString()); // one packet in a hundred takes seconds
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
   /**
@@ -342,18 +346,18 @@
           assertTrue(Set.of(422, 503).contains(answer.status()), "" + answer.status());
           refusals.merge("" + answer.status(), 1, Integer::sum);
           if (answer.status() == 503) {
-            world.time().after(1, () -> postUntilRefused(node, job, refusals));
+            cluster.time().after(1, () -> postUntilRefused(node, job, refusals));
           }
         });
   }
 
   private void askUntilTold(int number, Consumer<String> told) {
-    world.ask(
-        number % world.nodeCount(),
+    cluster.sendDirectly(
+        number % cluster.nodeCount(),
         HttpRequest.get(JobCodec.JOBS_PATH + "/" + id(number)),
         answer -> {
           if (answer.status() == 503) {
-            world.time().after(1, () -> askUntilTold(number, told));
+            cluster.time().after(1, () -> askUntilTold(number, told));
           } else {
             told.accept(
                 new String(answer.body(), StandardCharsets.UTF_8)
@@ -370,55 +374,55 @@
   @ValueSource(booleans = {false, true})
   void aLongChainIsCancelledFromItsHead(boolean allRestart) throws MalformedMessageException {
     int length = 2000;
-    world.around().tasks().runsLonger(id(0).task(0), 300);
+    cluster.environment().tasks().runsLonger(id(0).task(0), 300);
     submitWhenKnown(job(0, JobKind.ARRAY, 2, 1));
     runUntil(5);
     for (int i = 1; i < length; i++) {
       Job job = job(i, i - 1);
       jobs.put(job.id(), job);
-      world.users().upload(job);
-      world
+      cluster.users().upload(job);
+      cluster
           .state()
           .write(
               StoreKeys.job(job.id()),
               Json.parse(
                   Json.write(JobRecord.writeOpen(job, (long) (SimulatedCluster.EPOCH_S * 1000)))));
     }
-    world.time().at(6, () -> world.state().outage(9));
-    world.time().at(7, () -> world.users().cancel(id(0)));
+    cluster.time().at(6, () -> cluster.state().outage(9));
+    cluster.time().at(7, () -> cluster.users().cancel(id(0)));
     if (allRestart) {
-      world
+      cluster
           .time()
           .at(
               8,
               () -> {
-                for (int node = 0; node < world.nodeCount(); node++) {
-                  world.crash(node);
+                for (int node = 0; node < cluster.nodeCount(); node++) {
+                  cluster.crash(node);
                 }
               });
     }
-    while (!"cancelled".equals(world.users().told().get(id(0)))) {
-      world.time().runUntil(world.time().seconds() + 0.1);
-      assertTrue(world.time().seconds() < 90, "never told");
+    while (!"cancelled".equals(cluster.users().reportedStates().get(id(0)))) {
+      cluster.time().runUntil(cluster.time().seconds() + 0.1);
+      assertTrue(cluster.time().seconds() < 90, "never told");
     }
     Map<String, Integer> said = new TreeMap<>();
-    double until = world.time().seconds() + world.site().workers().cancelTimeout().seconds();
+    double until = cluster.time().seconds() + cluster.site().workers().cancelTimeout().seconds();
     for (int i = 0; i < length; i++) {
       int number = i;
-      world
+      cluster
           .time()
           .after(
               1 + 0.01 * i,
               () -> askUntilTold(number, state -> said.merge(state, 1, Integer::sum)));
     }
-    world.time().runUntil(until);
+    cluster.time().runUntil(until);
     assertEquals(Map.of("cancelled", length), said);
     assertEquals(
         1,
-        world.state().keysWithPrefix("q/job/").stream()
-            .filter(key -> String.valueOf(world.state().value(key)).contains("phase=cancelled"))
+        cluster.state().keysWithPrefix("q/job/").stream()
+            .filter(key -> String.valueOf(cluster.state().value(key)).contains("phase=cancelled"))
             .count());
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
   /**
@@ -431,22 +435,22 @@
     for (int i = 0; i < many; i++) {
       all[i] = 10_000 + i;
       Job first = job(10_000 + i, JobKind.ARRAY, 1, 0.1);
-      world.time().at(5 + 0.02 * i, () -> submitWhenKnown(first));
+      cluster.time().at(5 + 0.02 * i, () -> submitWhenKnown(first));
     }
-    world.time().at(6, () -> submitWhenKnown(job(1, JobKind.ARRAY, 1, 0.1, all)));
+    cluster.time().at(6, () -> submitWhenKnown(job(1, JobKind.ARRAY, 1, 0.1, all)));
     for (int i = 0; i < many; i++) {
       Job last = job(20_000 + i, JobKind.ARRAY, 1, 0.1, 1);
-      world.time().at(20 + 0.02 * i, () -> submitWhenKnown(last));
+      cluster.time().at(20 + 0.02 * i, () -> submitWhenKnown(last));
     }
-    world.time().at(30, () -> world.crash(world.leader()));
-    world.time().runUntil(150);
+    cluster.time().at(30, () -> cluster.crash(cluster.leader()));
+    cluster.time().runUntil(150);
     look();
     assertEquals(List.of(), broken);
-    assertEquals(List.of(), world.rules().violations());
-    assertTrue(world.state().keysWithPrefix("q/after/").size() > 1);
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertTrue(cluster.state().keysWithPrefix("q/after/").size() > 1);
     assertEquals(
         Map.of("done", 2L * many + 1),
-        world.users().told().values().stream()
+        cluster.users().reportedStates().values().stream()
             .collect(Collectors.groupingBy(state -> state, Collectors.counting())));
   }
 }
--- a/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
@@ -20,20 +20,20 @@
   private static final JobId LAST = new JobId("job-3");
 
   /** Of the controllers of this world nothing is heard: what happens is said by the test alone. */
-  private final SimulatedCluster world = new SimulatedCluster(1);
+  private final SimulatedCluster cluster = new SimulatedCluster(1);
 
-  private final ProtocolInvariants rules = world.rules();
+  private final ProtocolInvariants rules = cluster.invariants();
   private Machine machine;
 
   DependencyInvariantsTest() {
-    world.time().runUntil(4);
-    for (int node = 0; node < world.nodeCount(); node++) {
-      world.down(node, 100_000);
+    cluster.time().runUntil(4);
+    for (int node = 0; node < cluster.nodeCount(); node++) {
+      cluster.stopFor(node, 100_000);
     }
-    machine = world.cloud().workers().get(0).machine();
-    world.users().submit(job(FIRST, 2));
-    world.users().submit(job(MIDDLE, 1, FIRST));
-    world.users().submit(job(LAST, 1, MIDDLE));
+    machine = cluster.cloud().workers().get(0).machine();
+    cluster.users().submit(job(FIRST, 2));
+    cluster.users().submit(job(MIDDLE, 1, FIRST));
+    cluster.users().submit(job(LAST, 1, MIDDLE));
   }
 
   private static Job job(JobId id, int tasks, JobId... waitsOn) {
@@ -53,9 +53,9 @@
   }
 
   private void tell(JobId id, String state, boolean asked) {
-    world.users().told().put(id, state);
+    cluster.users().reportedStates().put(id, state);
     rules.onStateReported(id, state, null, asked);
-    world.around().pipelines().onStateReported(id, state);
+    cluster.environment().pipelines().onStateReported(id, state);
   }
 
   private void assertBroken(String... rulesInOrder) {
@@ -66,7 +66,7 @@
   }
 
   private void later(double seconds) {
-    world.time().runUntil(world.time().seconds() + seconds);
+    cluster.time().runUntil(cluster.time().seconds() + seconds);
   }
 
   @Test
@@ -80,14 +80,14 @@
     rules.taskLeft(MIDDLE.task(0), machine.id());
     rules.taskArrived(MIDDLE.task(0), machine);
     assertBroken("too_early");
-    world.users().submit(job(new JobId("job-4"), 1, new JobId("job-77")));
+    cluster.users().submit(job(new JobId("job-4"), 1, new JobId("job-77")));
     rules.taskArrived(new JobId("job-4").task(0), machine);
     assertBroken("too_early", "too_early");
   }
 
   @Test
   void aJobIsCalledQueuedLongAfterOneBeforeItWasCancelled() {
-    world.users().noteCancel(FIRST);
+    cluster.users().noteCancel(FIRST);
     tell(FIRST, "cancelled", true);
     later(35.9);
     tell(LAST, "queued", false);
@@ -98,7 +98,7 @@
     assertBroken("orphaned");
     // One that is submitted only now is told at once.
     JobId late = new JobId("job-4");
-    world.users().submit(job(late, 1, LAST));
+    cluster.users().submit(job(late, 1, LAST));
     tell(late, "cancelled", false);
     assertBroken("orphaned");
     tell(late, "queued", false);
@@ -110,7 +110,7 @@
     List.of(0, 1).forEach(i -> rules.completed(FIRST.task(i)));
     rules.completed(MIDDLE.task(0));
     rules.taskArrived(LAST.task(0), machine);
-    world.users().noteCancel(MIDDLE);
+    cluster.users().noteCancel(MIDDLE);
     tell(MIDDLE, "cancelled", true);
     later(35);
     assertBroken();
@@ -122,7 +122,7 @@
   void aJobIsCancelledWithTheOneBeforeItAndNotWithoutIt() {
     tell(LAST, "cancelled", false);
     assertBroken("went_back");
-    world.users().noteCancel(FIRST);
+    cluster.users().noteCancel(FIRST);
     tell(
         MIDDLE, "cancelled", false); // whoever told it knew of the cancellation before its user did
     assertBroken("went_back");
@@ -137,7 +137,7 @@
 
   @Test
   void aSubmissionThatNamesAnUnknownJobIsAcceptedOrOneThatNamesAKnownOneIsNot() {
-    DependencyInvariants pipelines = world.around().pipelineRules();
+    DependencyInvariants pipelines = cluster.environment().dependencyInvariants();
     pipelines.answered(MIDDLE, 422);
     assertBroken();
     pipelines.answered(MIDDLE, 201);
--- a/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
@@ -35,7 +35,8 @@
   private static final JobId LAST = new JobId("job-3");
   private static final double LOOK_S = 0.005;
 
-  private SimulatedCluster world = new SimulatedCluster(ClusterSpec.tryOut(30, true), 3, Meter.OFF);
+  private SimulatedCluster cluster =
+      new SimulatedCluster(ClusterSpec.tryOut(30, true), 3, Meter.OFF);
 
   // ---- what users do, each at a controller of the test's choice ----
 
@@ -55,12 +56,12 @@
   }
 
   private DependentJobs pipelines() {
-    return world.around().pipelines();
+    return cluster.environment().pipelines();
   }
 
   /** Three jobs one after the other. */
   private void chain(double seconds) {
-    world.users().submit(job(FIRST, 4, seconds));
+    cluster.users().submit(job(FIRST, 4, seconds));
     submitLater(job(MIDDLE, 3, 2, FIRST));
     submitLater(job(LAST, 2, 2, MIDDLE));
   }
@@ -74,7 +75,7 @@
     if (moment.getAsBoolean()) {
       what.run();
     } else {
-      world.time().after(LOOK_S, () -> at(moment, what));
+      cluster.time().after(LOOK_S, () -> at(moment, what));
     }
   }
 
@@ -83,9 +84,9 @@
    * 200 or 201; notes all answers.
    */
   private void ask(int node, JobId id, HttpRequest request, List<Integer> answers, Runnable then) {
-    String before = world.rules().lastReportedState(id);
+    String before = cluster.invariants().lastReportedState(id);
     boolean[] answered = new boolean[1];
-    world.ask(
+    cluster.sendDirectly(
         node,
         request,
         response -> {
@@ -96,13 +97,13 @@
             then.run();
           }
         });
-    world
+    cluster
         .time()
         .after(
             1,
             () -> {
               if (!answered[0] || answers.get(answers.size() - 1) > 201) {
-                ask((node + 1) % world.nodeCount(), id, request, answers, then);
+                ask((node + 1) % cluster.nodeCount(), id, request, answers, then);
               }
             });
   }
@@ -110,8 +111,10 @@
   private void tell(JobId id, byte[] body, String before) {
     try {
       String state = Json.parseFields(body).string("Status");
-      boolean isNew = world.users().told().put(id, state) == null;
-      world.rules().onStateReported(id, state, before, world.users().isCancelAsked(id));
+      boolean isNew = cluster.users().reportedStates().put(id, state) == null;
+      cluster
+          .invariants()
+          .onStateReported(id, state, before, cluster.users().isCancelRequested(id));
       pipelines().onStateReported(id, state);
       if (isNew) {
         poll(id);
@@ -123,20 +126,20 @@
 
   /** Its user asks for it every 3 s, at any controller. */
   private void poll(JobId id) {
-    world
+    cluster
         .time()
         .after(
             3,
             () -> {
-              String before = world.rules().lastReportedState(id);
-              world.ask(
-                  world.random().nextInt(world.nodeCount()),
+              String before = cluster.invariants().lastReportedState(id);
+              cluster.sendDirectly(
+                  cluster.random().nextInt(cluster.nodeCount()),
                   HttpRequest.get(JobCodec.JOBS_PATH + "/" + id),
                   response -> {
                     if (response.status() == 200) {
                       tell(id, response.body(), before);
                     } else if (response.status() == 404) {
-                      world.rules().onRefused(id, response.status(), before);
+                      cluster.invariants().onRefused(id, response.status(), before);
                     }
                   });
               poll(id);
@@ -148,7 +151,7 @@
   }
 
   private void cancelAt(int node, JobId id) {
-    world.users().noteCancel(id);
+    cluster.users().noteCancel(id);
     ask(
         node,
         id,
@@ -158,26 +161,26 @@
   }
 
   private boolean isDurably(String phase, JobId id) {
-    return world.state().value("q/job/" + id) instanceof Map<?, ?> record
+    return cluster.state().value("q/job/" + id) instanceof Map<?, ?> record
         && phase.equals(record.get("phase"));
   }
 
   private String told(JobId id) {
-    return world.users().told().get(id);
+    return cluster.users().reportedStates().get(id);
   }
 
   private int other(int node) {
-    return (node + 1) % world.nodeCount();
+    return (node + 1) % cluster.nodeCount();
   }
 
   /** All three are over, and the later ones as the first is. */
   private void assertAllEndAlike(double untilS) {
-    world.time().runUntil(untilS);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(untilS);
+    assertEquals(List.of(), cluster.invariants().violations());
     String first = told(FIRST);
     assertTrue(Set.of("done", "cancelled").contains(first), first);
     assertEquals(List.of(first, first), List.of(told(MIDDLE), told(LAST)));
-    assertEquals(first.equals("done") ? 3 : 0, world.rules().completedTasks(MIDDLE));
+    assertEquals(first.equals("done") ? 3 : 0, cluster.invariants().completedTasks(MIDDLE));
   }
 
   // ---- the ends of jobs ----
@@ -190,24 +193,25 @@
   @CsvSource({"-0.02, 0.01", "0, 0", "0, 0.02", "0.05, -0.03", "0.2, 0.1", "0.6, 0.05", "1, 0"})
   void theLastTaskEndsAsItsJobIsCancelled(double cancelAfterS, double endAfterS) {
     int[] leader = new int[1];
-    world.time().at(10, () -> chain(6));
-    world
+    cluster.time().at(10, () -> chain(6));
+    cluster
         .time()
         .at(
             10,
             () ->
                 at(
-                    () -> world.rules().isComplete(FIRST),
+                    () -> cluster.invariants().isComplete(FIRST),
                     () -> {
-                      leader[0] = world.leader();
-                      world
+                      leader[0] = cluster.leader();
+                      cluster
                           .time()
                           .after(
                               Math.max(0, cancelAfterS), () -> cancelAt(other(leader[0]), FIRST));
-                      world
+                      cluster
                           .time()
                           .after(
-                              Math.max(0, cancelAfterS + endAfterS), () -> world.crash(leader[0]));
+                              Math.max(0, cancelAfterS + endAfterS),
+                              () -> cluster.crash(leader[0]));
                     }));
     assertAllEndAlike(140);
   }
@@ -222,15 +226,15 @@
     boolean[] ended = new boolean[1];
     int[] late = new int[1];
     double[] doneAt = new double[1];
-    world
+    cluster
         .state()
         .delayTransactions(
             transaction ->
                 ended[0] && transaction.contains("q/alloc") && late[0]++ < 1
                     ? 6
                     : DelayedTransactions.PROMPT);
-    world.time().at(10, () -> chain(6));
-    world
+    cluster.time().at(10, () -> chain(6));
+    cluster
         .time()
         .at(
             10,
@@ -238,26 +242,26 @@
                 at(
                     () -> isDurably("done", FIRST),
                     () ->
-                        world
+                        cluster
                             .time()
                             .after(
                                 laterS,
                                 () -> {
-                                  doneAt[0] = world.time().seconds();
+                                  doneAt[0] = cluster.time().seconds();
                                   ended[0] = true;
-                                  world.crash(world.leader());
+                                  cluster.crash(cluster.leader());
                                 })));
-    world
+    cluster
         .time()
         .at(
             10,
             () ->
                 at(
-                    () -> world.rules().onMachines(MIDDLE) > 0,
+                    () -> cluster.invariants().onMachines(MIDDLE) > 0,
                     () ->
                         assertTrue(
-                            world.time().seconds() - doneAt[0] < 25,
-                            "released after " + (world.time().seconds() - doneAt[0]))));
+                            cluster.time().seconds() - doneAt[0] < 25,
+                            "released after " + (cluster.time().seconds() - doneAt[0]))));
     assertAllEndAlike(140);
     assertEquals("done", told(LAST));
   }
@@ -265,23 +269,23 @@
   /** A job that only fails keeps all that need it waiting, until it is cancelled. */
   @Test
   void aJobThatCanOnlyFailIsCancelledInTheEnd() {
-    world
+    cluster
         .time()
         .at(
             10,
             () -> {
-              world.users().submitMistaken(job(FIRST, 4, 5));
+              cluster.users().submitMisconfigured(job(FIRST, 4, 5));
               submitLater(job(MIDDLE, 3, 2, FIRST));
               submitLater(job(LAST, 2, 2, MIDDLE));
             });
-    world.time().at(60, () -> world.crash(world.leader()));
-    world
+    cluster.time().at(60, () -> cluster.crash(cluster.leader()));
+    cluster
         .time()
         .at(80, () -> assertEquals(List.of("queued", "queued"), List.of(told(MIDDLE), told(LAST))));
-    world.time().at(80, () -> cancelAt(other(world.leader()), FIRST));
+    cluster.time().at(80, () -> cancelAt(other(cluster.leader()), FIRST));
     assertAllEndAlike(140);
     assertEquals("cancelled", told(LAST));
-    assertTrue(world.users().mistakes().get(FIRST) > 0);
+    assertTrue(cluster.users().misconfiguredAttempts().get(FIRST) > 0);
   }
 
   // ---- submissions ----
@@ -296,16 +300,16 @@
     List<Integer> answers = new ArrayList<>();
     Job first = job(FIRST, 4, 4);
     Job middle = job(MIDDLE, 3, 2, FIRST);
-    world
+    cluster
         .time()
         .at(
             10,
             () -> {
-              world.users().upload(first);
-              world.ask(node, submission(first), lost -> {});
+              cluster.users().upload(first);
+              cluster.sendDirectly(node, submission(first), lost -> {});
               at(
                   () ->
-                      world.state().keysWithPrefix("q/").stream()
+                      cluster.state().keysWithPrefix("q/").stream()
                           .anyMatch(key -> key.contains("bundle") || key.equals("q/job/job-1")),
                   () ->
                       ask(
@@ -315,8 +319,8 @@
                           new ArrayList<>(),
                           () -> submitTo(other(other(node)), middle, answers)));
             });
-    world.time().runUntil(60);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(60);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(List.of(201), answers);
     assertEquals("done", told(MIDDLE));
   }
@@ -330,13 +334,13 @@
   void whoCannotReadTheRecordsRefusesForNow(int lone) {
     List<Integer> answers = new ArrayList<>();
     Job first = job(FIRST, 4, 4);
-    world.time().at(10, () -> world.state().refuse(ClusterSpec.nodeName(lone), 6));
-    world
+    cluster.time().at(10, () -> cluster.state().refuse(ClusterSpec.nodeName(lone), 6));
+    cluster
         .time()
         .at(
             10.5,
             () -> {
-              world.users().upload(first);
+              cluster.users().upload(first);
               ask(
                   other(lone),
                   FIRST,
@@ -344,8 +348,8 @@
                   new ArrayList<>(),
                   () -> submitTo(lone, job(MIDDLE, 3, 2, FIRST), answers));
             });
-    world.time().runUntil(60);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(60);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(
         !answers.contains(422) && !answers.contains(400) && answers.contains(201),
         answers.toString());
@@ -354,7 +358,7 @@
 
   private void submitTo(int node, Job job, List<Integer> answers) {
     // Known to the rules as any other, and given to this controller alone at first.
-    world.users().upload(job);
+    cluster.users().upload(job);
     pipelines().submitted(job);
     ask(node, job.id(), submission(job), answers, () -> {});
   }
@@ -380,20 +384,24 @@
     List<Integer> answers = new ArrayList<>();
     Runnable submit =
         () -> next.forEach(id -> submitTo(next.indexOf(id), job(id, 2, 2, FIRST), answers));
-    world.time().at(10, () -> world.users().submit(job(FIRST, 4, end.equals("done") ? 6 : 200)));
+    cluster
+        .time()
+        .at(10, () -> cluster.users().submit(job(FIRST, 4, end.equals("done") ? 6 : 200)));
     if (end.equals("cancelled")) {
-      world.time().at(20, () -> cancelAt(other(world.leader()), FIRST));
+      cluster.time().at(20, () -> cancelAt(other(cluster.leader()), FIRST));
       if (laterS < 0) {
-        world.time().at(20 + laterS, submit);
+        cluster.time().at(20 + laterS, submit);
       }
     }
     if (laterS >= 0) {
-      world
+      cluster
           .time()
-          .at(10, () -> at(() -> isDurably(end, FIRST), () -> world.time().after(laterS, submit)));
+          .at(
+              10,
+              () -> at(() -> isDurably(end, FIRST), () -> cluster.time().after(laterS, submit)));
     }
-    world.time().runUntil(100);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(100);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(
         answers.size() >= next.size() && Set.of(200, 201).containsAll(answers), answers.toString());
     next.forEach(id -> assertEquals(end, told(id), id.text()));
@@ -412,12 +420,12 @@
     int depth = 30;
     Random random = new Random(8);
     List<JobId> all = new ArrayList<>();
-    world
+    cluster
         .time()
         .at(
             10,
             () -> {
-              world.users().submit(job(FIRST, 4, 400));
+              cluster.users().submit(job(FIRST, 4, 400));
               List<JobId> layer = List.of(FIRST);
               for (int level = 1; level < depth; level++) {
                 List<JobId> next = new ArrayList<>();
@@ -435,35 +443,36 @@
               }
             });
     boolean[] out = new boolean[1];
-    world
+    cluster
         .time()
         .at(
             80,
             () -> {
               assertTrue(
-                  world.users().told().keySet().containsAll(all),
-                  world.users().told().size() + " accepted");
-              cancelAt(other(world.leader()), FIRST);
+                  cluster.users().reportedStates().keySet().containsAll(all),
+                  cluster.users().reportedStates().size() + " accepted");
+              cancelAt(other(cluster.leader()), FIRST);
               at(
                   () -> "cancelled".equals(told(FIRST)),
                   () -> {
                     out[0] = true;
-                    world.state().outage(50);
+                    cluster.state().outage(50);
                     if (allEnd) {
-                      world
+                      cluster
                           .time()
                           .after(
                               55,
-                              () -> IntStream.range(0, world.nodeCount()).forEach(world::crash));
+                              () ->
+                                  IntStream.range(0, cluster.nodeCount()).forEach(cluster::crash));
                     }
                   });
             });
-    world.time().runUntil(150);
+    cluster.time().runUntil(150);
     assertTrue(out[0]);
-    world.time().runUntil(175);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(175);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(List.of(), all.stream().filter(id -> !"cancelled".equals(told(id))).toList());
-    assertEquals(0, all.stream().mapToInt(world.rules()::completedTasks).sum());
+    assertEquals(0, all.stream().mapToInt(cluster.invariants()::completedTasks).sum());
   }
 
   /**
@@ -477,22 +486,24 @@
         IntStream.range(0, 1000).mapToObj(i -> new JobId("job-" + (10_000 + i))).toList();
     List<JobId> after =
         IntStream.range(0, 1000).mapToObj(i -> new JobId("job-" + (20_000 + i))).toList();
-    world
+    cluster
         .time()
         .at(
             10,
             () -> {
-              many.forEach(id -> world.users().submit(job(id, 1, 1)));
+              many.forEach(id -> cluster.users().submit(job(id, 1, 1)));
               submitLater(job(FIRST, 1, 2, many.toArray(JobId[]::new)));
               after.forEach(id -> submitLater(job(id, 1, 1, FIRST)));
             });
-    world.time().at(25, () -> world.crash(world.leader()));
-    world.time().at(30, () -> world.crash(other(world.leader())));
+    cluster.time().at(25, () -> cluster.crash(cluster.leader()));
+    cluster.time().at(30, () -> cluster.crash(other(cluster.leader())));
     if (cancels) {
-      at(() -> world.rules().isComplete(many.get(500)), () -> world.users().cancel(many.get(999)));
+      at(
+          () -> cluster.invariants().isComplete(many.get(500)),
+          () -> cluster.users().cancel(many.get(999)));
     }
-    world.time().runUntil(200);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(200);
+    assertEquals(List.of(), cluster.invariants().violations());
     String last = told(FIRST);
     assertEquals(Set.of(last), Set.copyOf(after.stream().map(this::told).toList()));
     assertEquals(told(many.get(999)), last);
--- a/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
@@ -29,7 +29,7 @@
   private static final double PIPELINES_S = 60;
   private static final double MOST_REFUSED_S = 5;
 
-  private final SimulatedCluster world =
+  private final SimulatedCluster cluster =
       new SimulatedCluster(
           ClusterSpec.tryOut(BusyCluster.MACHINES, true),
           6,
@@ -40,7 +40,7 @@
   private final List<JobId> dependent = new ArrayList<>();
 
   DependencyUpgradeTest() throws MalformedMessageException {
-    BusyCluster.submit(world, services, arrays);
+    BusyCluster.submit(cluster, services, arrays);
   }
 
   /** What else happens in that spell. */
@@ -54,9 +54,9 @@
   private void pipelines() {
     PipelineGenerator draws =
         new PipelineGenerator(
-            world.random(), List.of("web", "batch"), new Resources(0.5, 0, 1), 700_000);
+            cluster.random(), List.of("web", "batch"), new Resources(0.5, 0, 1), 700_000);
     for (double at = ALL_NEW_S; at < ALL_NEW_S + PIPELINES_S; at += 3) {
-      world
+      cluster
           .time()
           .at(
               at,
@@ -66,7 +66,7 @@
                       .forEach(
                           step -> {
                             dependent.add(step.job().id());
-                            world.around().pipelines().submit(step);
+                            cluster.environment().pipelines().submit(step);
                           }));
     }
   }
@@ -84,38 +84,42 @@
     "40, OUTAGE_AS_THE_LIMITS_FALL"
   })
   void aRollWithPipelinesAndFallingLimits(double fallAt, Meanwhile meanwhile) {
-    for (int node = 0; node < world.nodeCount(); node++) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
-      world
+      cluster
           .time()
           .at(
               FIRST_REPLACED_S + 5 * node,
               () -> {
-                world.tellNext(each, LOW);
-                world.roll(each, NEW);
+                cluster.configureNextLimits(each, LOW);
+                cluster.upgrade(each, NEW);
               });
     }
     pipelines();
-    world.time().at(fallAt, () -> world.state().limit(LOW));
+    cluster.time().at(fallAt, () -> cluster.state().limit(LOW));
     switch (meanwhile) {
       case LEADER_ENDS ->
-          world.time().at(ALL_NEW_S + 1, () -> world.crash(Math.max(0, world.leader())));
+          cluster.time().at(ALL_NEW_S + 1, () -> cluster.crash(Math.max(0, cluster.leader())));
       case ONE_REFUSED ->
-          world.time().at(ALL_NEW_S + 1, () -> world.state().refuse(ClusterSpec.nodeName(1), 20));
-      case OUTAGE_AS_THE_LIMITS_FALL -> world.time().at(fallAt - 2, () -> world.state().outage(9));
+          cluster
+              .time()
+              .at(ALL_NEW_S + 1, () -> cluster.state().refuse(ClusterSpec.nodeName(1), 20));
+      case OUTAGE_AS_THE_LIMITS_FALL ->
+          cluster.time().at(fallAt - 2, () -> cluster.state().outage(9));
       default -> {}
     }
-    world.time().runUntil(240);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(240);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(dependent.size() > 60, dependent.size() + " jobs in pipelines");
     for (JobId id : dependent) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
     if (meanwhile == Meanwhile.NOTHING) {
       double longest =
-          dependent.stream().mapToDouble(world.users().acceptedAfter()::get).max().orElseThrow();
+          dependent.stream().mapToDouble(cluster.users().acceptedAfter()::get).max().orElseThrow();
       assertTrue(longest < MOST_REFUSED_S, "accepted after " + longest);
     }
-    assertEquals(36, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
+    assertEquals(
+        36, services.stream().mapToInt(cluster.invariants()::onMachines).sum(), "replicas");
   }
 }
--- a/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
@@ -23,7 +23,7 @@
  */
 class DuplicatedMessagesTest extends BusyCluster {
   DuplicatedMessagesTest() throws MalformedMessageException {
-    world.time().at(10, () -> world.copyLate(1, new Random(7)));
+    cluster.time().at(10, () -> cluster.duplicateReports(1, new Random(7)));
   }
 
   /**
@@ -33,14 +33,14 @@
   @Test
   void copiesKeepNoMachine() {
     double lease = site.workers().lease().seconds();
-    world.time().runUntil(40);
-    List<MachineId> cut = world.cloud().machines().subList(0, 8);
+    cluster.time().runUntil(40);
+    List<MachineId> cut = cluster.cloud().machines().subList(0, 8);
     for (MachineId machine : cut) {
       for (int node = 0; node < site.nodes(); node++) {
-        world.cut(ClusterSpec.nodeName(node), machine.text(), 300, true);
+        cluster.cut(ClusterSpec.nodeName(node), machine.text(), 300, true);
       }
     }
-    world.time().runUntil(40 + lease + 8);
+    cluster.time().runUntil(40 + lease + 8);
     assertEquals(36, replicas());
     assertAllIsWell(170);
   }
@@ -53,8 +53,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 0})
   void copiesBringNoMachineBack(long token) {
-    world.time().runUntil(40);
-    Machine gone = world.cloud().workers().get(3).machine();
+    cluster.time().runUntil(40);
+    Machine gone = cluster.cloud().workers().get(3).machine();
     MachineId machine = gone.id();
     HttpRequest copy =
         HttpRequest.post(
@@ -79,21 +79,21 @@
                     token,
                     "Pieces",
                     List.of())));
-    world.cloud().terminate(machine, 0);
+    cluster.cloud().terminate(machine, 0);
     boolean left = false;
     for (double at = 40; at < 130; at += 0.25) {
-      world.time().runUntil(at);
+      cluster.time().runUntil(at);
       boolean there = isInABlock(machine);
       for (int node = 0; left && node < site.nodes(); node++) {
-        if (world.status(node) != null) {
-          world.ask(node, copy, response -> {});
+        if (cluster.status(node) != null) {
+          cluster.sendDirectly(node, copy, response -> {});
         }
       }
       assertFalse(left && there, "taken in again at " + at);
       if (!there && !left) {
         left = true;
-        world.crash(
-            Math.max(0, world.leader())); // and with it what it knew of machines that are gone
+        cluster.crash(
+            Math.max(0, cluster.leader())); // and with it what it knew of machines that are gone
       }
     }
     assertTrue(left);
@@ -103,8 +103,8 @@
   private boolean isInABlock(MachineId machine) {
     boolean[] there = new boolean[1];
     for (int node = 0; node < site.nodes(); node++) {
-      if (world.status(node) != null) {
-        world.ask(
+      if (cluster.status(node) != null) {
+        cluster.sendDirectly(
             node,
             HttpRequest.get("/admin/machines"),
             response ->
@@ -124,12 +124,12 @@
   void copiesOfAFormerLife() {
     for (int i = 0; i < 5; i++) {
       int from = i * 8;
-      world
+      cluster
           .time()
           .at(
               30 + 4 * i,
               () ->
-                  world
+                  cluster
                       .cloud()
                       .workers()
                       .subList(from, from + 8)
@@ -146,27 +146,27 @@
   @ParameterizedTest
   @CsvSource({"1, 0.2", "1, 6", "0.4, 20"})
   void copiesThatWereKeptForTheNextLeader(double share, double downS) {
-    world.time().runUntil(20);
-    world.copyLate(0, new Random(7));
-    world.keepForNextLeader(share, new Random(8));
-    world.time().runUntil(48);
-    List<AgentSimulator> workers = List.copyOf(world.cloud().workers());
+    cluster.time().runUntil(20);
+    cluster.duplicateReports(0, new Random(7));
+    cluster.duplicateReportsForNextLeader(share, new Random(8));
+    cluster.time().runUntil(48);
+    List<AgentSimulator> workers = List.copyOf(cluster.cloud().workers());
     List<MachineId> gone =
         workers.subList(0, 4).stream().map(worker -> worker.machine().id()).toList();
-    gone.forEach(machine -> world.cloud().terminate(machine, 0));
+    gone.forEach(machine -> cluster.cloud().terminate(machine, 0));
     workers.subList(4, 10).forEach(worker -> worker.restart(0.3));
     workers
         .subList(10, 14)
         .forEach(
             worker -> {
               for (int node = 0; node < site.nodes(); node++) {
-                world.cut(ClusterSpec.nodeName(node), worker.machine().id().text(), 30, true);
+                cluster.cut(ClusterSpec.nodeName(node), worker.machine().id().text(), 30, true);
               }
             });
-    world.time().runUntil(50);
-    world.down(world.leader(), downS);
-    world.time().at(62, () -> world.down(Math.max(0, world.leader()), downS));
-    world.time().runUntil(62 + 3 * site.workers().lease().seconds() + 20);
+    cluster.time().runUntil(50);
+    cluster.stopFor(cluster.leader(), downS);
+    cluster.time().at(62, () -> cluster.stopFor(Math.max(0, cluster.leader()), downS));
+    cluster.time().runUntil(62 + 3 * site.workers().lease().seconds() + 20);
     assertEquals(36, replicas());
     gone.forEach(machine -> assertFalse(isInABlock(machine), "still in a block: " + machine));
     assertAllIsWell(190);
--- a/src/test/java/org/quincecross/emulator/FastBootTest.java
+++ b/src/test/java/org/quincecross/emulator/FastBootTest.java
@@ -18,14 +18,14 @@
  * ends, in virtual time.
  */
 class FastBootTest {
-  private final SimulatedCluster world = new SimulatedCluster(3);
+  private final SimulatedCluster cluster = new SimulatedCluster(3);
 
   /** The machines that the cloud has up and no block has. */
   private Set<MachineId> inNoBlock() {
-    Set<MachineId> outside = new TreeSet<>(world.cloud().machines());
-    for (int node = 0; node < world.nodeCount(); node++) {
-      if (world.status(node) != null) {
-        world.ask(
+    Set<MachineId> outside = new TreeSet<>(cluster.cloud().machines());
+    for (int node = 0; node < cluster.nodeCount(); node++) {
+      if (cluster.status(node) != null) {
+        cluster.sendDirectly(
             node,
             HttpRequest.get("/admin/machines"),
             response -> {
@@ -44,16 +44,16 @@
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 1, 2.2, 4.5, 9})
   void theLeaderEnds(double afterS) {
-    world.state().applyLate(0);
-    world.time().runUntil(15);
-    Set<MachineId> before = Set.copyOf(world.cloud().machines());
-    world.cloud().bootWithin(2, 60);
+    cluster.state().applyLate(0);
+    cluster.time().runUntil(15);
+    Set<MachineId> before = Set.copyOf(cluster.cloud().machines());
+    cluster.cloud().bootWithin(2, 60);
     Random draws = new Random(9);
     DelayedTransactions late =
-        DelayedTransactions.share(0.3, 2, 12, () -> world.time().seconds() < 60, draws);
+        DelayedTransactions.share(0.3, 2, 12, () -> cluster.time().seconds() < 60, draws);
     DelayedTransactions lost =
-        DelayedTransactions.atOnce(0.2, () -> world.time().seconds() < 60, draws);
-    world
+        DelayedTransactions.atOnce(0.2, () -> cluster.time().seconds() < 60, draws);
+    cluster
         .state()
         .delayTransactions(
             transaction -> {
@@ -62,23 +62,23 @@
             });
     for (int i = 0; i < 40; i++) {
       int number = 100 + i;
-      world.time().at(15 + 0.2 * i, () -> world.users().submit(number));
+      cluster.time().at(15 + 0.2 * i, () -> cluster.users().submit(number));
     }
     double rentedAt = 15;
-    while (before.containsAll(world.cloud().machines()) && rentedAt < 60) {
+    while (before.containsAll(cluster.cloud().machines()) && rentedAt < 60) {
       rentedAt += 0.1;
-      world.time().runUntil(rentedAt);
+      cluster.time().runUntil(rentedAt);
     }
     assertTrue(rentedAt < 60, "none were rented");
-    world.time().at(rentedAt + afterS, () -> world.crash(Math.max(0, world.leader())));
-    world.time().at(rentedAt + afterS + 8, () -> world.crash(Math.max(0, world.leader())));
-    world.time().runUntil(110);
+    cluster.time().at(rentedAt + afterS, () -> cluster.crash(Math.max(0, cluster.leader())));
+    cluster.time().at(rentedAt + afterS + 8, () -> cluster.crash(Math.max(0, cluster.leader())));
+    cluster.time().runUntil(110);
     assertEquals(Set.of(), inNoBlock(), "neither in a block nor returned");
-    world.time().runUntil(230);
-    assertEquals(List.of(), world.rules().violations());
-    world
+    cluster.time().runUntil(230);
+    assertEquals(List.of(), cluster.invariants().violations());
+    cluster
         .users()
-        .told()
+        .reportedStates()
         .forEach(
             (id, state) ->
                 assertTrue(state.equals("done") || state.equals("cancelled"), id + " " + state));
--- a/src/test/java/org/quincecross/emulator/FastRestartFaults.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartFaults.java
@@ -10,11 +10,11 @@
   private static final double FROM_S = 12;
   private static final double UNTIL_S = 150;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Random random;
 
-  FastRestartFaults(SimulatedCluster world, long seed) {
-    this.world = world;
+  FastRestartFaults(SimulatedCluster cluster, long seed) {
+    this.cluster = cluster;
     this.random = new Random(~seed);
   }
 
@@ -24,8 +24,8 @@
 
   /** A share of all reports comes a second time, 1 s to three leases later. */
   FastRestartFaults copies(double share) {
-    world.time().at(FROM_S, () -> world.copyLate(share, random));
-    world.time().at(UNTIL_S, () -> world.copyLate(0, random));
+    cluster.time().at(FROM_S, () -> cluster.duplicateReports(share, random));
+    cluster.time().at(UNTIL_S, () -> cluster.duplicateReports(0, random));
     return this;
   }
 
@@ -35,8 +35,8 @@
    */
   FastRestartFaults held(double share, double longestS) {
     Random draws = new Random(random.nextLong());
-    world.time().at(FROM_S, () -> world.holdMessages(share, longestS, draws));
-    world.time().at(UNTIL_S, () -> world.holdMessages(0, 0, draws));
+    cluster.time().at(FROM_S, () -> cluster.delayMessages(share, longestS, draws));
+    cluster.time().at(UNTIL_S, () -> cluster.delayMessages(0, 0, draws));
     return this;
   }
 
@@ -46,18 +46,18 @@
    */
   FastRestartFaults machines(double share, int times) {
     for (int i = 0; i < times; i++) {
-      world
+      cluster
           .time()
           .at(
               moment(),
               () ->
-                  world
+                  cluster
                       .cloud()
                       .workers()
                       .forEach(
                           worker -> {
                             if (random.nextDouble() < share) {
-                              world
+                              cluster
                                   .time()
                                   .after(
                                       random.nextDouble(),
@@ -72,17 +72,17 @@
   FastRestartFaults controllers(int times) {
     for (int i = 0; i < times; i++) {
       double at = moment();
-      int node = random.nextInt(world.nodeCount() + 1);
+      int node = random.nextInt(cluster.nodeCount() + 1);
       for (int again = random.nextInt(3); again >= 0; again--) {
         double length = 0.1 + 0.4 * random.nextDouble();
-        world
+        cluster
             .time()
             .at(
                 at + 6 * random.nextDouble(),
                 () -> {
-                  for (int each = 0; each < world.nodeCount(); each++) {
-                    if (node == world.nodeCount() || node == each) {
-                      world.down(each, length);
+                  for (int each = 0; each < cluster.nodeCount(); each++) {
+                    if (node == cluster.nodeCount() || node == each) {
+                      cluster.stopFor(each, length);
                     }
                   }
                 });
--- a/src/test/java/org/quincecross/emulator/FastRestartTest.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartTest.java
@@ -26,12 +26,12 @@
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.3, 0.9})
   void machinesWhoseCountsBeginAnew(double seconds) {
-    world.time().runUntil(30);
-    List<AgentSimulator> workers = world.cloud().workers();
+    cluster.time().runUntil(30);
+    List<AgentSimulator> workers = cluster.cloud().workers();
     workers.subList(0, workers.size() / 3).forEach(worker -> worker.restart(seconds));
-    world.time().runUntil(30.02);
+    cluster.time().runUntil(30.02);
     assertTrue(replicas() < 36, "some ran there");
-    world.time().runUntil(30 + 12);
+    cluster.time().runUntil(30 + 12);
     assertEquals(36, replicas());
     assertAllIsWell(170);
   }
@@ -40,19 +40,19 @@
   @Test
   void aMachineThatBeginsAnewAgainAndAgain() {
     for (int i = 0; i < 12; i++) {
-      world
+      cluster
           .time()
           .at(
               40 + 1.3 * i,
-              () -> world.cloud().workers().subList(0, 6).forEach(worker -> worker.restart(0.2)));
+              () -> cluster.cloud().workers().subList(0, 6).forEach(worker -> worker.restart(0.2)));
     }
-    world.time().runUntil(75);
+    cluster.time().runUntil(75);
     assertEquals(36, replicas());
     assertAllIsWell(170);
   }
 
   private void backAtOnce(int node, double seconds) {
-    world.down(node, seconds);
+    cluster.stopFor(node, seconds);
   }
 
   /**
@@ -62,15 +62,15 @@
   @ParameterizedTest
   @CsvSource({"0.05, 1", "0.4, 1", "1.1, 2", "2.3, 2", "3.1, 2", "3.6, 3", "4.5, 3", "6, 3"})
   void inAnElection(double after, int times) {
-    world.time().runUntil(30);
-    int leader = world.leader();
-    world.crash(leader);
+    cluster.time().runUntil(30);
+    int leader = cluster.leader();
+    cluster.crash(leader);
     for (int i = 0; i < times; i++) {
       int node = (leader + 1 + i % 2) % site.nodes();
-      world.time().at(30 + after + 0.6 * i, () -> backAtOnce(node, 0.1 + 0.1 * node));
+      cluster.time().at(30 + after + 0.6 * i, () -> backAtOnce(node, 0.1 + 0.1 * node));
     }
-    world.time().runUntil(30 + after + 25);
-    assertTrue(world.leader() >= 0);
+    cluster.time().runUntil(30 + after + 25);
+    assertTrue(cluster.leader() >= 0);
     assertEquals(36, replicas());
     assertAllIsWell(150);
   }
@@ -79,18 +79,18 @@
   @ParameterizedTest
   @CsvSource({"0.1, false", "0.3, false", "0.5, false", "0.1, true", "0.3, true", "0.5, true"})
   void theLeaderOrAll(double seconds, boolean all) {
-    world.time().runUntil(30);
-    int leader = world.leader();
+    cluster.time().runUntil(30);
+    int leader = cluster.leader();
     for (int again = 0; again < 2; again++) {
       for (int node = 0; node < site.nodes(); node++) {
         int each = node;
         if (all || each == leader) {
-          world.time().at(30.1 + again * 0.7, () -> backAtOnce(each, seconds));
+          cluster.time().at(30.1 + again * 0.7, () -> backAtOnce(each, seconds));
         }
       }
     }
-    world.time().runUntil(50);
-    assertTrue(world.leader() >= 0);
+    cluster.time().runUntil(50);
+    assertTrue(cluster.leader() >= 0);
     assertEquals(36, replicas());
     assertAllIsWell(150);
   }
@@ -109,26 +109,26 @@
     "0.3, false"
   })
   void inATakeOver(double after, boolean taker) {
-    world.time().runUntil(30);
-    int leader = world.leader();
+    cluster.time().runUntil(30);
+    int leader = cluster.leader();
     int lost = (leader + 1) % site.nodes();
-    world.down(lost, 20);
+    cluster.stopFor(lost, 20);
     boolean[] hit = new boolean[1];
-    world.mishapAt(
+    cluster.injectFaultAt(
         request -> {
           if (!hit[0]
               && request.startsWith("POST /txn")
               && request.contains("\"Set\":\"q/block/")
-              && world.time().seconds() > 30) {
+              && cluster.time().seconds() > 30) {
             hit[0] = true;
-            world
+            cluster
                 .time()
                 .after(after, () -> backAtOnce(taker ? (leader + 2) % site.nodes() : leader, 0.2));
           }
           return false;
         },
         0,
-        SimulatedCluster.Mishap.STILL_AFTER);
+        SimulatedCluster.SendFault.STILL_AFTER);
     assertAllIsWell(150);
     assertTrue(hit[0]);
   }
@@ -155,21 +155,21 @@
               15 + 4 * node,
               () -> {
                 rolled.install(each, Build.present("new", 2));
-                rolled.down(each, 0.1 * (each + 1));
+                rolled.stopFor(each, 0.1 * (each + 1));
               });
       rolled
           .time()
-          .at(15.0 + 4 * node + seed, () -> rolled.down((each + 1) % rolled.nodeCount(), 0.2));
+          .at(15.0 + 4 * node + seed, () -> rolled.stopFor((each + 1) % rolled.nodeCount(), 0.2));
     }
     for (double at = 26; at < 32; at += 1.1) {
       int node = (int) (at * 10) % rolled.nodeCount();
-      rolled.time().at(at, () -> rolled.down(node, 0.3));
+      rolled.time().at(at, () -> rolled.stopFor(node, 0.3));
     }
     LivenessInvariant liveness = new LivenessInvariant(rolled);
     rolled.time().runUntil(120);
     liveness.watch();
     assertEquals(List.of(), liveness.findings());
-    assertEquals(List.of(), rolled.rules().violations());
+    assertEquals(List.of(), rolled.invariants().violations());
   }
 
   /**
@@ -180,18 +180,18 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void anAnnouncementOfAFormerLifeThatComesLate(boolean leads) {
-    world.time().runUntil(30);
-    int node = (world.leader() + (leads ? 0 : 1)) % site.nodes();
+    cluster.time().runUntil(30);
+    int node = (cluster.leader() + (leads ? 0 : 1)) % site.nodes();
     String key = "q/member/" + ClusterSpec.nodeName(node);
-    Object present = world.state().value(key);
+    Object present = cluster.state().value(key);
     Map<String, Object> former = new TreeMap<>();
     ((Map<?, ?>) present)
         .forEach(
             (name, value) -> former.put((String) name, name.equals("life") ? (Object) 1L : value));
-    world.state().write(key, former);
-    world.time().at(31, () -> world.state().write(key, null));
-    world.time().runUntil(33);
-    assertEquals(present, world.state().value(key));
+    cluster.state().write(key, former);
+    cluster.time().at(31, () -> cluster.state().write(key, null));
+    cluster.time().runUntil(33);
+    assertEquals(present, cluster.state().value(key));
     assertAllIsWell(120);
   }
 }
--- a/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
@@ -44,7 +44,7 @@
     for (int i = 0; i < 3; i++) {
       for (int node = 0; node < site.nodes(); node++) {
         int each = node;
-        world.time().at(12 + 0.012 * i, () -> world.crash(each));
+        cluster.time().at(12 + 0.012 * i, () -> cluster.crash(each));
       }
     }
     assertAllIsWell(120);
@@ -56,8 +56,8 @@
    */
   @Test
   void aFollowThatIsTooOldOnAllAtOnce() {
-    world.time().at(12, () -> world.state().keepChanges(1));
-    world.time().at(18, () -> world.state().keepChanges(10_000));
+    cluster.time().at(12, () -> cluster.state().keepChanges(1));
+    cluster.time().at(18, () -> cluster.state().keepChanges(10_000));
     assertAllIsWell(120);
   }
 
@@ -67,22 +67,23 @@
    */
   @Test
   void aBurstOfSubmissionsThatCameBackAtTheSameSecond() {
-    world.time().at(30, () -> world.state().outage(15));
+    cluster.time().at(30, () -> cluster.state().outage(15));
     List<JobId> burst = new ArrayList<>();
     for (int i = 0; i < 150; i++) {
       JobId id = new JobId("job-" + (50_000 + i));
       burst.add(id);
-      world.time().at(33, () -> world.users().submit(oneTask(id)));
+      cluster.time().at(33, () -> cluster.users().submit(oneTask(id)));
     }
-    world.time().runUntil(44.9);
-    assertEquals(0, burst.stream().filter(world.users().acceptedAfter()::containsKey).count());
-    world.time().runUntil(50);
+    cluster.time().runUntil(44.9);
+    assertEquals(0, burst.stream().filter(cluster.users().acceptedAfter()::containsKey).count());
+    cluster.time().runUntil(50);
     assertEquals(
         150,
-        burst.stream().filter(world.users().acceptedAfter()::containsKey).count(),
-        world.users().answers().toString());
+        burst.stream().filter(cluster.users().acceptedAfter()::containsKey).count(),
+        cluster.users().answers().toString());
     assertTrue(
-        world.state().throttled() < 30, "refused for their number: " + world.state().throttled());
+        cluster.state().throttled() < 30,
+        "refused for their number: " + cluster.state().throttled());
     assertAllIsWell(150);
   }
 
@@ -92,21 +93,21 @@
    */
   @Test
   void withoutMemoryNewJobsAreRefusedAndOldOnesServed() {
-    world.time().at(25, () -> world.memoryIsShort(true));
+    cluster.time().at(25, () -> cluster.memoryIsShort(true));
     JobId late = new JobId("job-77");
-    world.time().at(26, () -> world.users().submit(oneTask(late)));
+    cluster.time().at(26, () -> cluster.users().submit(oneTask(late)));
     for (int node = 0; node < site.nodes(); node++) {
       int each = node;
-      world.time().at(28, () -> world.crash(each)); // each reads all records anew
+      cluster.time().at(28, () -> cluster.crash(each)); // each reads all records anew
     }
-    world.time().runUntil(45);
-    assertTrue(!world.users().acceptedAfter().containsKey(late));
+    cluster.time().runUntil(45);
+    assertTrue(!cluster.users().acceptedAfter().containsKey(late));
     assertTrue(
-        world.users().answers().getOrDefault("submit 503", 0) >= 1,
-        world.users().answers().toString());
-    world.time().at(46, () -> world.memoryIsShort(false));
+        cluster.users().answers().getOrDefault("submit 503", 0) >= 1,
+        cluster.users().answers().toString());
+    cluster.time().at(46, () -> cluster.memoryIsShort(false));
     assertAllIsWell(140);
-    assertTrue(world.users().acceptedAfter().get(late) > 20, "it came back when it was told to");
+    assertTrue(cluster.users().acceptedAfter().get(late) > 20, "it came back when it was told to");
   }
 
   /**
@@ -116,12 +117,12 @@
   @ParameterizedTest
   @ValueSource(doubles = {4, 9, 20, 33})
   void aLeaderThatGoesOnAfterItsSuccessorLeads(double seconds) {
-    world.time().runUntil(14.03);
-    int leader = world.leader();
+    cluster.time().runUntil(14.03);
+    int leader = cluster.leader();
     assertTrue(leader >= 0);
-    world.standStill(leader, seconds);
-    world.time().runUntil(14 + seconds + 3);
-    assertNotEquals(leader, world.leader());
+    cluster.suspend(leader, seconds);
+    cluster.time().runUntil(14 + seconds + 3);
+    assertNotEquals(leader, cluster.leader());
     assertAllIsWell(170);
   }
 }
--- a/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
+++ b/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
@@ -30,7 +30,7 @@
       new Features(new Shares(0.85, 0.5, 0.01, 0.01), TimeSpan.ofSeconds(20), Build.BEFORE_LEVELS);
   private static final Resources ONE = new Resources(1, 0, 2);
 
-  private final SimulatedCluster world = new SimulatedCluster(site(), 11, Meter.OFF, ON);
+  private final SimulatedCluster cluster = new SimulatedCluster(site(), 11, Meter.OFF, ON);
   private int number = 100;
 
   private static ClusterSpec site() {
@@ -68,7 +68,7 @@
             .checkpointCost(TimeSpan.ofSeconds(saveS > 0 ? 1 : 0))
             .deadline(saveS > 0 ? null : TimeSpan.ofSeconds(60))
             .build();
-    world.time().at(atS, () -> world.users().submit(job));
+    cluster.time().at(atS, () -> cluster.users().submit(job));
   }
 
   @Test
@@ -88,10 +88,11 @@
     submit(30, "quiet", "array", JobKind.ARRAY, Priority.NORMAL, 400, ONE, 10, 0);
     submit(30, "quiet", "gang", JobKind.GANG, Priority.NORMAL, 2, new Resources(8, 0, 8), 10, 0);
     submit(30, "quiet", "idle", JobKind.ARRAY, Priority.LOW, 40, ONE, 10, 5);
-    world.time().at(175, () -> world.crash(Math.max(0, world.leader())));
-    world.time().runUntil(300);
-    assertEquals(List.of(), world.rules().violations());
-    Map<String, List<LargestJobs>> largest = world.around().served().largest(world.around().now());
+    cluster.time().at(175, () -> cluster.crash(Math.max(0, cluster.leader())));
+    cluster.time().runUntil(300);
+    assertEquals(List.of(), cluster.invariants().violations());
+    Map<String, List<LargestJobs>> largest =
+        cluster.environment().accounting().largest(cluster.environment().now());
     for (String each : List.of("array", "gang", "idle")) {
       LargestJobs of = largest.get(each).get(0);
       assertTrue(
--- a/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
@@ -35,7 +35,7 @@
   private final List<JobId> anywhere = new ArrayList<>();
   private double longest;
 
-  private void submit(SimulatedCluster world, double atS, int number, String zone, double runS) {
+  private void submit(SimulatedCluster cluster, double atS, int number, String zone, double runS) {
     Job job =
         Job.builder(new JobId("job-" + number))
             .jobClass("any")
@@ -50,7 +50,7 @@
             .imageGb(1)
             .estimate(TimeSpan.ofSeconds(runS))
             .build();
-    world.time().at(atS, () -> world.users().submit(job));
+    cluster.time().at(atS, () -> cluster.users().submit(job));
     if (zone == null) {
       anywhere.add(job.id());
     }
@@ -64,16 +64,16 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void nothingWaitsBehindLongWorkWhileOthersAreIdle(long seed) {
-    SimulatedCluster world = new SimulatedCluster(site, seed, Meter.OFF);
+    SimulatedCluster cluster = new SimulatedCluster(site, seed, Meter.OFF);
     for (int i = 0; i < 4 * MACHINES; i++) {
-      submit(world, 10, 1000 + i, site.zones().get(i % 3), i % 3 == 0 ? 300 : 30);
+      submit(cluster, 10, 1000 + i, site.zones().get(i % 3), i % 3 == 0 ? 300 : 30);
     }
     for (int i = 0; i < 40; i++) {
-      submit(world, 16, 2000 + i, null, 200);
+      submit(cluster, 16, 2000 + i, null, 200);
     }
     double[] idleSince = {-1};
     for (double at = 20; at < 400; at += 0.5) {
-      world
+      cluster
           .time()
           .at(
               at,
@@ -82,19 +82,21 @@
                     anywhere.stream()
                         .anyMatch(
                             id ->
-                                world.rules().onMachines(id) == 0
-                                    && world.rules().completedTasks(id) == 0);
+                                cluster.invariants().onMachines(id) == 0
+                                    && cluster.invariants().completedTasks(id) == 0);
                 boolean idle =
-                    world.cloud().machines().stream()
-                        .anyMatch(each -> world.rules().onMachine(each) < 4);
+                    cluster.cloud().machines().stream()
+                        .anyMatch(each -> cluster.invariants().onMachine(each) < 4);
                 idleSince[0] =
-                    !waits || !idle ? -1 : idleSince[0] < 0 ? world.time().seconds() : idleSince[0];
-                double waited = idleSince[0] < 0 ? 0 : world.time().seconds() - idleSince[0];
+                    !waits || !idle
+                        ? -1
+                        : idleSince[0] < 0 ? cluster.time().seconds() : idleSince[0];
+                double waited = idleSince[0] < 0 ? 0 : cluster.time().seconds() - idleSince[0];
                 longest = Math.max(longest, waited);
               });
     }
-    world.time().runUntil(400);
+    cluster.time().runUntil(400);
     assertTrue(longest < LONGEST_WAIT_S, "idle for " + longest + " s while work waits");
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
@@ -33,7 +33,7 @@
   private record Outcome(
       double inTime, double worst, double longestUnanswered, int fewestReplicas, int refused) {}
 
-  private SimulatedCluster world;
+  private SimulatedCluster cluster;
   private LoadBalancerSimulator balancer;
 
   private static Job one(int number) {
@@ -53,42 +53,43 @@
   /** Plays a day on which something is wrong from {@link #FROM_S} on for some time. */
   private Outcome play(long seed, double seconds, IntConsumer trouble)
       throws MalformedMessageException {
-    world = new SimulatedCluster(ClusterSpec.tryOut(BusyCluster.MACHINES, true), seed, Meter.OFF);
-    balancer = world.users().balance();
+    cluster = new SimulatedCluster(ClusterSpec.tryOut(BusyCluster.MACHINES, true), seed, Meter.OFF);
+    balancer = cluster.users().useLoadBalancer();
     List<JobId> services = new ArrayList<>();
     List<JobId> arrays = new ArrayList<>();
-    BusyCluster.submit(world, services, arrays);
+    BusyCluster.submit(cluster, services, arrays);
     List<JobId> late = new ArrayList<>();
     for (int i = 0; i < PER_SECOND * (seconds + 20); i++) {
       Job job = one(60_000 + i);
       late.add(job.id());
-      world.time().at(FROM_S + i / PER_SECOND, () -> world.users().submit(job));
+      cluster.time().at(FROM_S + i / PER_SECOND, () -> cluster.users().submit(job));
     }
-    world.time().runUntil(FROM_S);
-    world.users().polls().onFault();
-    trouble.accept(world.leader());
+    cluster.time().runUntil(FROM_S);
+    cluster.users().polls().onFault();
+    trouble.accept(cluster.leader());
     int fewest = Integer.MAX_VALUE;
     for (double at = FROM_S; at < FROM_S + seconds + 20; at += 0.5) {
-      world.time().runUntil(at);
-      fewest = Math.min(fewest, services.stream().mapToInt(world.rules()::onMachines).sum());
+      cluster.time().runUntil(at);
+      fewest = Math.min(fewest, services.stream().mapToInt(cluster.invariants()::onMachines).sum());
     }
-    world.time().runUntil(FROM_S + seconds + 100);
+    cluster.time().runUntil(FROM_S + seconds + 100);
     double longest = 0;
-    for (JobId id : world.users().told().keySet()) {
-      longest = Math.max(longest, world.users().polls().longestGapS(id, true));
+    for (JobId id : cluster.users().reportedStates().keySet()) {
+      longest = Math.max(longest, cluster.users().polls().longestGapS(id, true));
     }
-    assertEquals(List.of(), world.rules().violations());
-    assertEquals(36, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertEquals(
+        36, services.stream().mapToInt(cluster.invariants()::onMachines).sum(), "replicas");
     for (JobId id : late) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
     return new Outcome(
-        late.stream().filter(id -> world.users().acceptedAfter().get(id) <= IN_TIME_S).count()
+        late.stream().filter(id -> cluster.users().acceptedAfter().get(id) <= IN_TIME_S).count()
             / (double) late.size(),
-        late.stream().mapToDouble(world.users().acceptedAfter()::get).max().orElseThrow(),
+        late.stream().mapToDouble(cluster.users().acceptedAfter()::get).max().orElseThrow(),
         longest,
         fewest,
-        world.users().answers().getOrDefault("submit 503", 0));
+        cluster.users().answers().getOrDefault("submit 503", 0));
   }
 
   /**
@@ -105,12 +106,12 @@
             7,
             seconds,
             leader -> {
-              int lone = (leader + afterLeader) % world.nodeCount();
-              world.lone(lone, seconds, lose);
+              int lone = (leader + afterLeader) % cluster.nodeCount();
+              cluster.separate(lone, seconds, lose);
               if (lose) {
-                world.time().after(4, () -> world.crash(leader));
+                cluster.time().after(4, () -> cluster.crash(leader));
               }
-              world.time().after(12, () -> assertFalse(balancer.isHealthy(lone)));
+              cluster.time().after(12, () -> assertFalse(balancer.isHealthy(lone)));
             });
     assertTrue(outcome.inTime() > 0.95, outcome.toString());
     assertTrue(outcome.longestUnanswered() < 16, outcome.toString());
@@ -129,12 +130,12 @@
             7,
             seconds,
             leader -> {
-              world.state().outage(seconds);
-              for (int node = 0; node < world.nodeCount(); node++) {
-                world.refuseLinks(node, seconds);
+              cluster.state().outage(seconds);
+              for (int node = 0; node < cluster.nodeCount(); node++) {
+                cluster.refuseLinks(node, seconds);
                 int each = node;
                 for (int at = 1; at < seconds; at++) {
-                  world.time().after(at, () -> assertTrue(balancer.isHealthy(each)));
+                  cluster.time().after(at, () -> assertTrue(balancer.isHealthy(each)));
                 }
               }
             });
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -44,7 +44,7 @@
                   new Team("long", new Resources(CPUS, 0, 1e9), new Resources(LIMIT_CPUS, 0, 1e9)),
                   "web",
                   new Team("web", new Resources(80, 0, 1e9), new Resources(120, 0, 1e9))));
-  private final SimulatedCluster world = new SimulatedCluster(site, 11, Meter.OFF);
+  private final SimulatedCluster cluster = new SimulatedCluster(site, 11, Meter.OFF);
   private final Random random = new Random(11);
   private final Map<JobId, Integer> ended = new LinkedHashMap<>();
   private final Map<JobId, Double> lastEnd = new HashMap<>();
@@ -70,14 +70,14 @@
               .estimate(TimeSpan.ofSeconds(20))
               .build();
       for (int task = 1; task < count; task++) {
-        world
-            .around()
+        cluster
+            .environment()
             .tasks()
             .runsLonger(job.id().task(task), task * (30 + 15 * random.nextDouble()));
       }
       tasks += count;
       ended.put(job.id(), 0);
-      world.time().at(5 + 0.3 * i, () -> world.users().submit(job));
+      cluster.time().at(5 + 0.3 * i, () -> cluster.users().submit(job));
     }
   }
 
@@ -86,17 +86,17 @@
    */
   private void atEnds(double untilS, IntConsumer what) {
     for (double at = 8; at < untilS; at += 0.02) {
-      world
+      cluster
           .time()
           .at(
               at,
               () -> {
                 int most = 0;
                 for (Map.Entry<JobId, Integer> job : ended.entrySet()) {
-                  int now = world.rules().completedTasks(job.getKey());
+                  int now = cluster.invariants().completedTasks(job.getKey());
                   if (now > job.getValue()) {
                     job.setValue(now);
-                    lastEnd.put(job.getKey(), world.time().seconds());
+                    lastEnd.put(job.getKey(), cluster.time().seconds());
                     most = Math.max(most, now);
                   }
                 }
@@ -108,27 +108,28 @@
   }
 
   private int leader() {
-    return Math.max(0, world.leader());
+    return Math.max(0, cluster.leader());
   }
 
   private void down(boolean leaderToo, boolean othersToo, double seconds) {
     int leader = leader();
-    for (int node = 0; node < world.nodeCount(); node++) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
       if (node == leader ? leaderToo : othersToo) {
-        world.down(node, seconds);
+        cluster.stopFor(node, seconds);
       }
     }
   }
 
   /** Every job is done, and told in time. */
   private void assertAllAreDone(double troubleUntilS) {
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
     ended
         .keySet()
         .forEach(
             id -> {
-              assertEquals("done", world.users().told().get(id), id.text());
-              double told = world.users().submittedAt().get(id) + world.users().overAfter().get(id);
+              assertEquals("done", cluster.users().reportedStates().get(id), id.text());
+              double told =
+                  cluster.users().submittedAt().get(id) + cluster.users().overAfter().get(id);
               double due = Math.max(troubleUntilS, lastEnd.get(id)) + TOLD_WITHIN_S;
               assertTrue(told <= due, id + " told at " + told + ", due at " + due);
             });
@@ -153,16 +154,16 @@
     atEnds(
         140,
         most -> {
-          if (world.time().seconds() > last[0] + 9) {
-            last[0] = world.time().seconds() + after;
-            world
+          if (cluster.time().seconds() > last[0] + 9) {
+            last[0] = cluster.time().seconds() + after;
+            cluster
                 .time()
                 .after(after, () -> down(leaderToo, othersToo, 0.3 + 2 * random.nextDouble()));
           }
         });
-    world.time().runUntil(170);
+    cluster.time().runUntil(170);
     assertAllAreDone(last[0] + 6);
-    assertEquals(tasks, world.rules().starts(), "tasks started, and started again");
+    assertEquals(tasks, cluster.invariants().starts(), "tasks started, and started again");
   }
 
   /**
@@ -176,23 +177,23 @@
     submitLong(8, 1);
     double[] last = new double[1];
     for (double at = 45; at < 130; at += 25) {
-      world
+      cluster
           .time()
           .at(
               at,
               () -> {
                 if (late) {
-                  world.state().applyLate(2);
-                  world.time().after(14, () -> world.state().applyLate(0));
+                  cluster.state().applyLate(2);
+                  cluster.time().after(14, () -> cluster.state().applyLate(0));
                 } else {
-                  world.state().outage(14);
+                  cluster.state().outage(14);
                 }
-                last[0] = world.time().seconds() + 14;
-                world.time().after(leaderAfter, () -> down(true, false, 0.5));
+                last[0] = cluster.time().seconds() + 14;
+                cluster.time().after(leaderAfter, () -> down(true, false, 0.5));
               });
     }
     atEnds(240, most -> {});
-    world.time().runUntil(260);
+    cluster.time().runUntil(260);
     // What was written last may be applied 23 s later, and until then its sender does not know.
     assertAllAreDone(last[0] + (late ? 12 : 3));
   }
@@ -202,16 +203,16 @@
    * which hear nobody.
    */
   private void unreachable(int former, double seconds) {
-    List<AgentSimulator> workers = new ArrayList<>(world.cloud().workers());
+    List<AgentSimulator> workers = new ArrayList<>(cluster.cloud().workers());
     for (int i = 0; i < workers.size(); i++) {
       Machine machine = workers.get(i).machine();
-      for (int node = 0; i % 3 != 2 && node < world.nodeCount(); node++) {
+      for (int node = 0; i % 3 != 2 && node < cluster.nodeCount(); node++) {
         if (node != former || i % 3 == 1) {
-          world.cut(ClusterSpec.nodeName(node), machine.id().text(), seconds, i % 2 == 0);
+          cluster.cut(ClusterSpec.nodeName(node), machine.id().text(), seconds, i % 2 == 0);
         }
       }
       if (i % 7 == 2) {
-        world.deafen(machine.id(), seconds / 4);
+        cluster.dropInbound(machine.id(), seconds / 4);
       }
     }
   }
@@ -226,7 +227,7 @@
   @CsvSource({"0, 36", "1, 36", "2, 36", "0, 55", "1, 55", "3, 30", "4, 30"})
   void aLeaderEndsWhileMachinesCannotBeReached(int how, double seconds) {
     submitLong(30, 3);
-    world
+    cluster
         .time()
         .at(
             22,
@@ -236,11 +237,13 @@
               cutOff(former, how, seconds);
             });
     atEnds(400, most -> {});
-    world.time().runUntil(60);
-    assertTrue(world.rules().used("long").cpus() <= LIMIT_CPUS);
-    world.time().runUntil(500);
-    assertEquals(List.of(), world.rules().violations());
-    ended.keySet().forEach(id -> assertEquals("done", world.users().told().get(id), id.text()));
+    cluster.time().runUntil(60);
+    assertTrue(cluster.invariants().used("long").cpus() <= LIMIT_CPUS);
+    cluster.time().runUntil(500);
+    assertEquals(List.of(), cluster.invariants().violations());
+    ended
+        .keySet()
+        .forEach(id -> assertEquals("done", cluster.users().reportedStates().get(id), id.text()));
   }
 
   /**
@@ -249,17 +252,17 @@
    */
   private void cutOff(int node, int how, double seconds) {
     switch (how) {
-      case 0, 1 -> world.lone(node, seconds, how == 1);
+      case 0, 1 -> cluster.separate(node, seconds, how == 1);
       case 2 -> {
-        world.cut(ClusterSpec.nodeName(node), "state", seconds, false);
-        for (int other = 0; other < world.nodeCount(); other++) {
+        cluster.cut(ClusterSpec.nodeName(node), "state", seconds, false);
+        for (int other = 0; other < cluster.nodeCount(); other++) {
           if (other != node) {
-            world.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, false);
+            cluster.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, false);
           }
         }
       }
-      case 3 -> world.down(node, 0.3);
-      default -> world.standStill(node, seconds);
+      case 3 -> cluster.stopFor(node, 0.3);
+      default -> cluster.suspend(node, seconds);
     }
   }
 
@@ -272,17 +275,17 @@
   @CsvSource({"0, 30", "0, 50", "1, 40", "2, 30", "2, 50"})
   void jobsAreCancelledWhileALeaderIsAlone(int how, double seconds) {
     submitLong(24, 3);
-    world
+    cluster
         .time()
         .at(
             22,
             () -> {
               int former = leader();
-              for (AgentSimulator worker : world.cloud().workers()) {
-                for (int node = 0; node < world.nodeCount(); node++) {
+              for (AgentSimulator worker : cluster.cloud().workers()) {
+                for (int node = 0; node < cluster.nodeCount(); node++) {
                   if (node != former
                       && worker.machine().zone().equals(site.nodeZones().get(former))) {
-                    world.cut(
+                    cluster.cut(
                         ClusterSpec.nodeName(node),
                         worker.machine().id().text(),
                         seconds + 20,
@@ -295,22 +298,22 @@
     List<JobId> cancelled = new ArrayList<>(ended.keySet()).subList(6, 24);
     for (int i = 0; i < cancelled.size(); i++) {
       JobId id = cancelled.get(i);
-      world.time().at(22.1 + i * 1.1, () -> world.users().cancel(id));
+      cluster.time().at(22.1 + i * 1.1, () -> cluster.users().cancel(id));
     }
-    world.time().runUntil(22 + seconds);
+    cluster.time().runUntil(22 + seconds);
     int over =
         (int)
             cancelled.stream()
-                .filter(id -> "cancelled".equals(world.users().told().get(id)))
+                .filter(id -> "cancelled".equals(cluster.users().reportedStates().get(id)))
                 .count();
     assertTrue(over >= cancelled.size() - 2, "cancelled meanwhile: " + over);
-    world.time().runUntil(230);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(230);
+    assertEquals(List.of(), cluster.invariants().violations());
     ended
         .keySet()
         .forEach(
             id -> {
-              String told = world.users().told().get(id);
+              String told = cluster.users().reportedStates().get(id);
               assertTrue(
                   "done".equals(told) || ("cancelled".equals(told) && cancelled.contains(id)),
                   id + " " + told);
@@ -326,28 +329,30 @@
   void aPlanOfAFormerLeadershipComesAfterTheNextButOne(double again) {
     submitLong(30, 3);
     int[] planner = {-1};
-    world.mishapAt(
+    cluster.injectFaultAt(
         request -> {
           boolean sprung =
               planner[0] < 0
-                  && world.time().seconds() > 20
+                  && cluster.time().seconds() > 20
                   && request.startsWith("POST /txn")
                   && request.contains("\"Set\":\"q/alloc");
           if (sprung) {
             planner[0] = leader();
-            world.time().after(again, () -> world.down((planner[0] + 1) % 3, 0.3));
-            world.time().after(again + 0.7, () -> world.down((planner[0] + 2) % 3, 0.3));
-            world.time().after(again + 6, () -> down(true, true, 0.3));
+            cluster.time().after(again, () -> cluster.stopFor((planner[0] + 1) % 3, 0.3));
+            cluster.time().after(again + 0.7, () -> cluster.stopFor((planner[0] + 2) % 3, 0.3));
+            cluster.time().after(again + 6, () -> down(true, true, 0.3));
           }
           return sprung;
         },
         5,
-        SimulatedCluster.Mishap.STILL_BEFORE);
+        SimulatedCluster.SendFault.STILL_BEFORE);
     atEnds(400, most -> {});
-    world.time().runUntil(430);
+    cluster.time().runUntil(430);
     assertTrue(planner[0] >= 0);
-    assertEquals(List.of(), world.rules().violations());
-    ended.keySet().forEach(id -> assertEquals("done", world.users().told().get(id), id.text()));
+    assertEquals(List.of(), cluster.invariants().violations());
+    ended
+        .keySet()
+        .forEach(id -> assertEquals("done", cluster.users().reportedStates().get(id), id.text()));
   }
 
   /** Days drawn from fixed seeds; more of them in {@link SeedsTest}. */
--- a/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
+++ b/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
@@ -26,7 +26,7 @@
   private static final int SERVICES = 5;
   private static final double LOOK_EVERY_S = 0.1;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Random random;
   private final Map<JobId, Integer> ended = new LinkedHashMap<>();
   private final List<JobId> all = new ArrayList<>();
@@ -34,7 +34,7 @@
   private double calmUntil;
 
   LeaderFailureScenario(long seed) {
-    world = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
+    cluster = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
     random = new Random(~seed);
     for (int i = 0; i < LONG_JOBS; i++) {
       Job job = longJob(100 + i);
@@ -59,12 +59,12 @@
       cancelAt(new JobId("job-" + (200 + i)), LAST_TROUBLE_S * random.nextDouble());
     }
     for (double at = 10; at < LAST_TROUBLE_S; at += LOOK_EVERY_S) {
-      world.time().at(at, this::look);
+      cluster.time().at(at, this::look);
     }
     for (double at = 20 + 20 * random.nextDouble();
         at < LAST_TROUBLE_S;
         at += 15 + 30 * random.nextDouble()) {
-      world.time().at(at, this::strike);
+      cluster.time().at(at, this::strike);
     }
   }
 
@@ -107,24 +107,27 @@
                 .checkpointCost(job.checkpointCost())
                 .build();
     for (int i = 1; i < tasks && !gang; i++) {
-      world.around().tasks().runsLonger(job.id().task(i), -i * (30 + 20 * random.nextDouble()));
+      cluster
+          .environment()
+          .tasks()
+          .runsLonger(job.id().task(i), -i * (30 + 20 * random.nextDouble()));
     }
     return spread;
   }
 
   private void submit(Job job, double atS) {
     all.add(job.id());
-    world.time().at(atS, () -> world.users().submit(job));
+    cluster.time().at(atS, () -> cluster.users().submit(job));
   }
 
   private void cancelAt(JobId id, double atS) {
-    world
+    cluster
         .time()
         .at(
             atS,
             () -> {
-              if (world.users().submittedAt().containsKey(id)) {
-                world.users().cancel(id);
+              if (cluster.users().submittedAt().containsKey(id)) {
+                cluster.users().cancel(id);
               } else {
                 cancelAt(id, atS + 5);
               }
@@ -134,66 +137,67 @@
   /** Looks for tasks that have ended; some ends are met by a trouble. */
   private void look() {
     for (Map.Entry<JobId, Integer> job : ended.entrySet()) {
-      int now = world.rules().completedTasks(job.getKey());
+      int now = cluster.invariants().completedTasks(job.getKey());
       if (now > job.getValue()) {
         job.setValue(now);
-        if (world.time().seconds() >= calmUntil && random.nextInt(3) != 0) {
-          calmUntil = world.time().seconds() + 12 * random.nextDouble();
-          world.time().after(2.5 * random.nextDouble(), this::strike);
+        if (cluster.time().seconds() >= calmUntil && random.nextInt(3) != 0) {
+          calmUntil = cluster.time().seconds() + 12 * random.nextDouble();
+          cluster.time().after(2.5 * random.nextDouble(), this::strike);
         }
       }
     }
   }
 
   private int leader() {
-    int leader = world.leader();
-    return leader >= 0 ? leader : random.nextInt(world.nodeCount());
+    int leader = cluster.leader();
+    return leader >= 0 ? leader : random.nextInt(cluster.nodeCount());
   }
 
   private void strike() {
     int leader = leader();
-    int other = (leader + 1 + random.nextInt(world.nodeCount() - 1)) % world.nodeCount();
+    int other = (leader + 1 + random.nextInt(cluster.nodeCount() - 1)) % cluster.nodeCount();
     double seconds = 3 + 25 * random.nextDouble();
     double longer = 30 + 20 * random.nextDouble();
     int kind = random.nextInt(13);
     strikes.add(
         String.format(
             "%.1f: %d, leader %d, other %d, %.1f or %.1f s",
-            world.time().seconds(), kind, leader, other, seconds, longer));
+            cluster.time().seconds(), kind, leader, other, seconds, longer));
     switch (kind) {
-      case 0 -> world.crash(leader);
-      case 1 -> world.crash(other);
-      case 2 -> world.down(leader, 0.1 + 0.8 * random.nextDouble());
+      case 0 -> cluster.crash(leader);
+      case 1 -> cluster.crash(other);
+      case 2 -> cluster.stopFor(leader, 0.1 + 0.8 * random.nextDouble());
       case 3 -> {
-        for (int node = 0; node < world.nodeCount(); node++) {
-          world.down(node, 0.1 + (random.nextBoolean() ? 0.8 : 6) * random.nextDouble());
+        for (int node = 0; node < cluster.nodeCount(); node++) {
+          cluster.stopFor(node, 0.1 + (random.nextBoolean() ? 0.8 : 6) * random.nextDouble());
         }
       }
-      case 4 -> world.state().outage(seconds);
+      case 4 -> cluster.state().outage(seconds);
       case 5 -> {
-        world.state().outage(seconds);
-        world.time().after(seconds * random.nextDouble(), () -> world.crash(leader));
+        cluster.state().outage(seconds);
+        cluster.time().after(seconds * random.nextDouble(), () -> cluster.crash(leader));
       }
       case 6, 7 -> lone(leader, longer);
       case 8 -> {
-        world.state().applyLate(3 + random.nextInt(8));
-        world.time().after(seconds, () -> world.state().applyLate(0));
+        cluster.state().applyLate(3 + random.nextInt(8));
+        cluster.time().after(seconds, () -> cluster.state().applyLate(0));
       }
       case 9 -> {
-        world.crash(leader);
+        cluster.crash(leader);
         unreachable(leader, longer);
       }
       case 10 -> {
         deaf(longer);
-        world
+        cluster
             .time()
             .after(
-                2 * random.nextDouble(), () -> world.down(leader, 0.2 + 10 * random.nextDouble()));
+                2 * random.nextDouble(),
+                () -> cluster.stopFor(leader, 0.2 + 10 * random.nextDouble()));
       }
-      case 11 -> world.standStill(leader, longer * random.nextDouble());
+      case 11 -> cluster.suspend(leader, longer * random.nextDouble());
       default -> {
-        world.state().refuse(ClusterSpec.nodeName(leader), longer);
-        world.time().after(longer * random.nextDouble(), () -> world.state().outage(seconds));
+        cluster.state().refuse(ClusterSpec.nodeName(leader), longer);
+        cluster.time().after(longer * random.nextDouble(), () -> cluster.state().outage(seconds));
       }
     }
     cancelSome(longer);
@@ -202,13 +206,13 @@
   /** Without the state service and the others, refused, lost or held back until it is over. */
   private void lone(int node, double seconds) {
     if (random.nextInt(3) != 0) {
-      world.lone(node, seconds, random.nextBoolean());
+      cluster.separate(node, seconds, random.nextBoolean());
       return;
     }
-    world.cut(ClusterSpec.nodeName(node), "state", seconds, false);
-    for (int other = 0; other < world.nodeCount(); other++) {
+    cluster.cut(ClusterSpec.nodeName(node), "state", seconds, false);
+    for (int other = 0; other < cluster.nodeCount(); other++) {
       if (other != node) {
-        world.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, false);
+        cluster.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, false);
       }
     }
   }
@@ -216,39 +220,39 @@
   /** Half of the machines cannot be reached by the other controllers than the one that ends. */
   private void unreachable(int ending, double seconds) {
     boolean lose = random.nextBoolean();
-    for (MachineId machine : world.cloud().machines()) {
-      for (int node = 0; random.nextBoolean() && node < world.nodeCount(); node++) {
+    for (MachineId machine : cluster.cloud().machines()) {
+      for (int node = 0; random.nextBoolean() && node < cluster.nodeCount(); node++) {
         if (node != ending) {
-          world.cut(ClusterSpec.nodeName(node), machine.text(), seconds, lose);
+          cluster.cut(ClusterSpec.nodeName(node), machine.text(), seconds, lose);
         }
       }
     }
   }
 
   private void deaf(double seconds) {
-    world.cloud().machines().stream()
+    cluster.cloud().machines().stream()
         .filter(machine -> random.nextInt(3) == 0)
-        .forEach(machine -> world.deafen(machine, seconds));
+        .forEach(machine -> cluster.dropInbound(machine, seconds));
   }
 
   private void cancelSome(double withinS) {
     for (JobId id : all) {
       if (random.nextInt(14) == 0) {
-        cancelAt(id, world.time().seconds() + withinS * random.nextDouble());
+        cancelAt(id, cluster.time().seconds() + withinS * random.nextDouble());
       }
     }
   }
 
   /** Plays the day until all work must be over; returns what went wrong. */
   List<String> play() {
-    world.time().runUntil(LAST_TROUBLE_S + QUIET_S);
-    world.around().troublesAreOver();
-    LivenessInvariant liveness = new LivenessInvariant(world);
+    cluster.time().runUntil(LAST_TROUBLE_S + QUIET_S);
+    cluster.environment().onFaultsEnded();
+    LivenessInvariant liveness = new LivenessInvariant(cluster);
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
-    wrong.addAll(world.rules().violations());
-    if (world.rules().starts() <= LONG_JOBS) {
-      wrong.add("little was started: " + world.rules().starts());
+    wrong.addAll(cluster.invariants().violations());
+    if (cluster.invariants().starts() <= LONG_JOBS) {
+      wrong.add("little was started: " + cluster.invariants().starts());
     }
     if (!wrong.isEmpty()) {
       wrong.add(strikes.toString());
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -35,27 +35,27 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aTaskThatTwoLeadersGiveToDifferentBlocksIsInOne(long seed) {
-    SimulatedCluster world = new SimulatedCluster(ClusterSpec.tryOut(30, true), seed, Meter.OFF);
+    SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.tryOut(30, true), seed, Meter.OFF);
     JobId id = new JobId("job-1");
-    world.mishapAt(
+    cluster.injectFaultAt(
         request -> {
           boolean gives = request.startsWith("POST /txn") && request.contains("\"Set\":\"q/alloc/");
           if (gives) {
             block = request.replaceFirst("(?s).*\"Set\":\"q/alloc/([^\"]*)\".*", "$1");
-            world.time().after(0.01, () -> strike(world));
+            cluster.time().after(0.01, () -> strike(cluster));
           }
           return gives;
         },
         HELD_S,
-        SimulatedCluster.Mishap.HELD);
+        SimulatedCluster.SendFault.HELD);
     // Into the leader's zone, where it holds all blocks itself: so the one that it chooses has a
     // new holder, which nobody there obeys.
-    world
+    cluster
         .time()
         .at(
             20,
             () ->
-                world
+                cluster
                     .users()
                     .submit(
                         Job.builder(id)
@@ -65,31 +65,32 @@
                             .priority(Priority.NORMAL)
                             .taskCount(1)
                             .taskResources(new Resources(2, 0, 2))
-                            .zone(world.site().nodeZones().get(world.leader()))
+                            .zone(cluster.site().nodeZones().get(cluster.leader()))
                             .image("img-1")
                             .imageGb(1)
                             .estimate(TimeSpan.ofSeconds(60))
                             .build()));
-    world.time().runUntil(20 + HELD_S - 1);
+    cluster.time().runUntil(20 + HELD_S - 1);
     assertNotNull(block);
-    assertEquals(1, world.rules().onMachines(id), "runs elsewhere before the late write comes");
-    world.time().runUntil(20 + HELD_S + 6);
-    assertEquals(List.of(), world.rules().violations());
-    assertNull(world.state().value("q/alloc/" + block), "the late write");
-    world.time().runUntil(130);
-    assertEquals(List.of(), world.rules().violations());
-    assertEquals(1, world.rules().starts());
-    assertEquals("done", world.users().told().get(id));
+    assertEquals(
+        1, cluster.invariants().onMachines(id), "runs elsewhere before the late write comes");
+    cluster.time().runUntil(20 + HELD_S + 6);
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertNull(cluster.state().value("q/alloc/" + block), "the late write");
+    cluster.time().runUntil(130);
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertEquals(1, cluster.invariants().starts());
+    assertEquals("done", cluster.users().reportedStates().get(id));
   }
 
   /** The leader ends, and nobody reaches the machines that it has just given the task to. */
-  private void strike(SimulatedCluster world) {
-    world.down(world.leader(), 60);
+  private void strike(SimulatedCluster cluster) {
+    cluster.stopFor(cluster.leader(), 60);
     List<?> machines =
-        (List<?>) ((Map<?, ?>) world.state().value("q/block/" + block)).get("machines");
+        (List<?>) ((Map<?, ?>) cluster.state().value("q/block/" + block)).get("machines");
     for (Object machine : machines) {
-      for (int node = 0; node < world.nodeCount(); node++) {
-        world.cut(ClusterSpec.nodeName(node), (String) ((List<?>) machine).get(0), CUT_S, true);
+      for (int node = 0; node < cluster.nodeCount(); node++) {
+        cluster.cut(ClusterSpec.nodeName(node), (String) ((List<?>) machine).get(0), CUT_S, true);
       }
     }
   }
--- a/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
@@ -71,10 +71,10 @@
     site.run(untilS);
     assertEquals("PINNED", site.state(reference));
     assertTrue(
-        site.sweeps().stream().anyMatch(id -> site.world.rules().completedTasks(id) == 12),
+        site.sweeps().stream().anyMatch(id -> site.cluster.invariants().completedTasks(id) == 12),
         "something was kept back");
     assertTrue(
-        site.sweeps().stream().allMatch(id -> site.world.rules().completedTasks(id) >= 12),
+        site.sweeps().stream().allMatch(id -> site.cluster.invariants().completedTasks(id) >= 12),
         "the rest runs");
     site.close(1, reference, "close-" + reference + opening, opening);
     site.run(doneByS);
@@ -96,7 +96,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void theHoldAndTheAllocationInOneInstant(long seed) throws MalformedMessageException {
-    site(seed).world.state().applyLate(8);
+    site(seed).cluster.state().applyLate(8);
     for (int i = 0; i < 8; i++) {
       String reference = "ref-" + i;
       // The sweeps come at 4, 10, 16 seconds and so on.
@@ -115,12 +115,12 @@
    * the hold is closed and opened again.
    */
   @ParameterizedTest
-  @EnumSource(SimulatedCluster.Mishap.class)
-  void theLeaderIsGoneBetweenItsGuardAndTheAnswer(SimulatedCluster.Mishap mishap) {
+  @EnumSource(SimulatedCluster.SendFault.class)
+  void theLeaderIsGoneBetweenItsGuardAndTheAnswer(SimulatedCluster.SendFault mishap) {
     site.at(
         READY_S + 1,
         () ->
-            site.world.mishapAt(
+            site.cluster.injectFaultAt(
                 request -> request.startsWith("POST /txn") && request.contains("\"PINNED\""),
                 25,
                 mishap));
@@ -128,7 +128,7 @@
     site.at(READY_S + 14, () -> site.close(2, "ref-1", "c1", 1));
     site.at(READY_S + 16, () -> site.open(1, "ref-1", "r2", MARCH));
     assertHeldAndThenDone("ref-1", 2, 150, 300);
-    assertTrue(site.world.mishapHit() >= 0);
+    assertTrue(site.cluster.faultedController() >= 0);
   }
 
   /**
@@ -143,7 +143,7 @@
           READY_S + 2 + i * 0.02,
           () -> {
             site.open(node, "ref-1", "r1", MARCH);
-            site.world.time().after(0.012, () -> site.world.down(node, 4 + node));
+            site.cluster.time().after(0.012, () -> site.cluster.stopFor(node, 4 + node));
           });
     }
     site.at(READY_S + 40, () -> site.close(0, "ref-1", "c1", 1));
@@ -212,14 +212,14 @@
         READY_S + 1,
         () -> {
           switch (trouble) {
-            case "outage" -> site.world.state().outage(20);
+            case "outage" -> site.cluster.state().outage(20);
             case "roll" -> site.rollAll();
             case "zone" -> site.cutZone(0, 40);
-            case "lone" -> site.leaveAlone((site.world.leader() + 1) % 3, 40);
+            case "lone" -> site.leaveAlone((site.cluster.leader() + 1) % 3, 40);
             case "deaf" -> site.deafen(5, 40);
             default -> {
               for (int node = 0; node < 3; node++) {
-                site.world.down(node, 3 + node);
+                site.cluster.stopFor(node, 3 + node);
               }
             }
           }
@@ -238,12 +238,12 @@
   void aFutureHoldIsInForceInTimeThroughARestartAndASteppedClock(double step) {
     double from = READY_S + 20;
     site.at(READY_S + 2, () -> site.openFrom(0, "ref-1", "r1", from, MARCH));
-    site.at(from - 8, () -> site.world.setClock(step));
+    site.at(from - 8, () -> site.cluster.setClock(step));
     if (step > -1) {
-      site.at(from - 7, () -> site.world.crash(1));
-      site.at(from - 3.5, () -> site.world.crash(2));
+      site.at(from - 7, () -> site.cluster.crash(1));
+      site.at(from - 3.5, () -> site.cluster.crash(2));
     }
-    site.at(from - 0.5, () -> site.world.state().outage(8));
+    site.at(from - 0.5, () -> site.cluster.state().outage(8));
     site.run(from - 3);
     assertEquals("FUTURE", site.state("ref-1"));
     site.run(from + 30);
@@ -290,7 +290,7 @@
     site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
     site.run(READY_S + 12);
     assertEquals("PINNED", site.state("ref-1"));
-    site.world
+    site.cluster
         .time()
         .at(
             READY_S + 13,
@@ -300,10 +300,10 @@
     assertEquals(
         1,
         site.widened("ref-1"),
-        site.answers + " " + site.world.state().value("q/agreed/holds/ref-1"));
+        site.answers + " " + site.cluster.state().value("q/agreed/holds/ref-1"));
     assertEquals(
         0,
-        site.sweeps().stream().mapToInt(site.world.rules()::onMachines).sum(),
+        site.sweeps().stream().mapToInt(site.cluster.invariants()::onMachines).sum(),
         "sweeps without claims touch all of their series");
     site.close(0, "ref-1", "c1", 1);
     site.run(300);
--- a/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
@@ -28,7 +28,7 @@
  * of what the controllers make of it.
  */
 final class LegalHoldCluster {
-  final SimulatedCluster world;
+  final SimulatedCluster cluster;
   private final List<JobId> sweeps = new ArrayList<>();
   private final List<JobId> services = new ArrayList<>();
   private final Map<JobId, Map<TaskSet, RecordSelector>> touches = new HashMap<>();
@@ -42,11 +42,11 @@
   LegalHoldCluster(String jobs, int machines, long seed) throws MalformedMessageException {
     ClusterSpec site = ClusterSpec.tryOut(machines, true);
     Build build = Build.present("holds", Feature.AGREED_RECORDS.since().number());
-    world =
+    cluster =
         new SimulatedCluster(
             site, seed, Meter.OFF, new Features(null, null, build, Map.of("holds", Map.of())));
-    for (WorkloadFile.Due due : WorkloadFile.read(jobs, site)) {
-      world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(jobs, site)) {
+      cluster.time().at(4 + due.atS(), () -> cluster.users().submit(due.job()));
       (due.job().jobClass().equals("front") ? services : sweeps).add(due.job().id());
     }
     watch();
@@ -57,13 +57,13 @@
   }
 
   void at(double seconds, Runnable what) {
-    world.time().at(seconds, what);
+    cluster.time().at(seconds, what);
   }
 
   void run(double untilS) {
-    world.time().runUntil(untilS);
+    cluster.time().runUntil(untilS);
     assertEquals(List.of(), wrong);
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
   // ---- operators ----
@@ -71,13 +71,13 @@
   /** Asks a controller, and then the next, until it is followed or refused for good. */
   void ask(int node, String kind, String id, String request, Object command) {
     boolean[] answered = {false};
-    Runnable again = () -> ask((node + 1) % world.nodeCount(), kind, id, request, command);
-    if (world.status(node) == null) {
-      world.time().after(1, again);
+    Runnable again = () -> ask((node + 1) % cluster.nodeCount(), kind, id, request, command);
+    if (cluster.status(node) == null) {
+      cluster.time().after(1, again);
       return;
     }
     byte[] body = Json.write(Json.object("request", request, "by", "clerk", "command", command));
-    world.ask(
+    cluster.sendDirectly(
         node,
         HttpRequest.post("/admin/agreed/" + kind + "/" + id, body),
         response -> {
@@ -86,12 +86,12 @@
           if (response.status() >= 500
               || response.status() == 429
               || (response.status() == 409 && text.contains("is not in force yet"))) {
-            world.time().after(1, again);
+            cluster.time().after(1, again);
           } else {
             answers.put(request, response.status() + " " + text);
           }
         });
-    world
+    cluster
         .time()
         .after(
             6,
@@ -103,7 +103,7 @@
   }
 
   void open(int node, String reference, String request, String... records) {
-    openedAt.putIfAbsent(reference, world.time().seconds());
+    openedAt.putIfAbsent(reference, cluster.time().seconds());
     ask(node, "holds", reference, request, Json.object("do", "open", "records", List.of(records)));
   }
 
@@ -111,7 +111,7 @@
    * @param fromS in seconds since the beginning of the world
    */
   void openFrom(int node, String reference, String request, double fromS, String... records) {
-    openedAt.putIfAbsent(reference, world.time().seconds());
+    openedAt.putIfAbsent(reference, cluster.time().seconds());
     ask(
         node,
         "holds",
@@ -154,24 +154,24 @@
 
   /** The controllers are replaced one after the other by another build of the same level. */
   void rollAll() {
-    for (int node = 0; node < world.nodeCount(); node++) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
-      world
+      cluster
           .time()
           .after(
               5 * node,
               () ->
-                  world.roll(
+                  cluster.upgrade(
                       each, Build.present("other", Feature.AGREED_RECORDS.since().number())));
     }
   }
 
   /** A controller has its workers, and neither the state service nor the other controllers. */
   void leaveAlone(int node, double seconds) {
-    world.state().refuse(ClusterSpec.nodeName(node), seconds);
-    for (int other = 0; other < world.nodeCount(); other++) {
+    cluster.state().refuse(ClusterSpec.nodeName(node), seconds);
+    for (int other = 0; other < cluster.nodeCount(); other++) {
       if (other != node) {
-        world.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, true);
+        cluster.cut(ClusterSpec.nodeName(node), ClusterSpec.nodeName(other), seconds, true);
       }
     }
   }
@@ -182,16 +182,16 @@
    */
   void cutZone(int zone, double seconds) {
     leaveAlone(zone, seconds);
-    world
-        .around()
+    cluster
+        .environment()
         .cloud()
         .workers()
         .forEach(
             worker -> {
-              boolean inside = worker.machine().zone().equals(world.site().zones().get(zone));
-              for (int node = 0; node < world.nodeCount(); node++) {
+              boolean inside = worker.machine().zone().equals(cluster.site().zones().get(zone));
+              for (int node = 0; node < cluster.nodeCount(); node++) {
                 if ((node == zone) != inside) {
-                  world.cut(
+                  cluster.cut(
                       worker.machine().id().text(), ClusterSpec.nodeName(node), seconds, false);
                 }
               }
@@ -200,12 +200,13 @@
 
   /** Some machines with sweeps are heard, and hear nothing. */
   void deafen(int machines, double seconds) {
-    world.around().cloud().workers().stream()
+    cluster.environment().cloud().workers().stream()
         .limit(machines)
         .forEach(
             worker -> {
-              for (int node = 0; node < world.nodeCount(); node++) {
-                world.cut(ClusterSpec.nodeName(node), worker.machine().id().text(), seconds, true);
+              for (int node = 0; node < cluster.nodeCount(); node++) {
+                cluster.cut(
+                    ClusterSpec.nodeName(node), worker.machine().id().text(), seconds, true);
               }
             });
   }
@@ -246,7 +247,7 @@
   }
 
   private Map<?, ?> hold(String reference) {
-    return world.state().value("q/agreed/holds/" + reference) instanceof Map<?, ?> record
+    return cluster.state().value("q/agreed/holds/" + reference) instanceof Map<?, ?> record
         ? (Map<?, ?>) record.get("state")
         : Map.of();
   }
@@ -260,29 +261,29 @@
    * a second.
    */
   private void watch() {
-    world
+    cluster
         .time()
         .after(
             0.1,
             () -> {
               for (JobId job : sweeps) {
                 for (int index = 0;
-                    world.job(job) != null && index < world.job(job).taskCount();
+                    cluster.job(job) != null && index < cluster.job(job).taskCount();
                     index++) {
                   TaskId task = job.task(index);
-                  if (!world.rules().isOn(task)) {
+                  if (!cluster.invariants().isOn(task)) {
                     on.remove(task);
                   } else if (on.add(task)) {
-                    startedAt.put(task, world.time().seconds());
+                    startedAt.put(task, cluster.time().seconds());
                   }
                 }
               }
               Map<RecordSelector, String> pinned = new HashMap<>();
-              for (String key : world.state().keysWithPrefix("q/agreed/holds/")) {
+              for (String key : cluster.state().keysWithPrefix("q/agreed/holds/")) {
                 String reference = key.substring("q/agreed/holds/".length());
                 if (!reference.startsWith("~") && state(reference).equals("PINNED")) {
                   pinnedAt.putIfAbsent(
-                      reference + "/" + hold(reference).get("opening"), world.time().seconds());
+                      reference + "/" + hold(reference).get("opening"), cluster.time().seconds());
                   List<?> records = (List<?>) hold(reference).get("records");
                   records.forEach(
                       each -> pinned.putIfAbsent(RecordSelector.parse((String) each), reference));
@@ -297,16 +298,18 @@
     for (JobId job : sweeps) {
       Map<TaskSet, RecordSelector> claims = touches.get(job);
       for (int index = 0;
-          claims != null && world.rules().onMachines(job) > 0 && index < world.job(job).taskCount();
+          claims != null
+              && cluster.invariants().onMachines(job) > 0
+              && index < cluster.job(job).taskCount();
           index++) {
         boolean touched = claims.isEmpty();
         for (Map.Entry<TaskSet, RecordSelector> claim : claims.entrySet()) {
           touched |= claim.getKey().contains(index) && claim.getValue().overlaps(held);
         }
-        if (touched && world.rules().isOn(job.task(index))) {
+        if (touched && cluster.invariants().isOn(job.task(index))) {
           wrong.add(
               "at "
-                  + world.time().seconds()
+                  + cluster.time().seconds()
                   + " "
                   + job
                   + "/"
@@ -332,8 +335,9 @@
 
   void assertAllDone() {
     for (JobId id : sweeps) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
-    assertEquals(12, services.stream().mapToInt(world.rules()::onMachines).sum(), "replicas");
+    assertEquals(
+        12, services.stream().mapToInt(cluster.invariants()::onMachines).sum(), "replicas");
   }
 }
--- a/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
@@ -37,7 +37,7 @@
       Random random = new Random(seed);
       LegalHoldCluster site = new LegalHoldCluster(LegalHoldCasesTest.JOBS, 30, seed);
       site.told("sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
-      site.world.state().applyLate(40);
+      site.cluster.state().applyLate(40);
       double at = READY_S + 2 + 10 * random.nextDouble();
       site.at(at - 0.5 + random.nextDouble(), () -> begin(site, trouble, random));
       List<String> records = List.of("cdr/2026-03", "cdr", "cdr/2026-04-05");
@@ -78,10 +78,12 @@
       case "controller cut off" -> site.leaveAlone(node, length);
       case "zone cut off" -> site.cutZone(node, length);
       case "machines deaf" -> site.deafen(8, length);
-      case "state service out" -> site.world.state().outage(length / 2);
+      case "state service out" -> site.cluster.state().outage(length / 2);
       case "crashes" -> {
-        site.world.crash(node);
-        site.world.time().after(random.nextDouble() * 3, () -> site.world.crash((node + 1) % 3));
+        site.cluster.crash(node);
+        site.cluster
+            .time()
+            .after(random.nextDouble() * 3, () -> site.cluster.crash((node + 1) % 3));
       }
       default -> {}
     }
--- a/src/test/java/org/quincecross/emulator/LivenessInvariant.java
+++ b/src/test/java/org/quincecross/emulator/LivenessInvariant.java
@@ -31,11 +31,11 @@
   private static final double LAST_S = 90;
   private static final double MOST_S = 1500;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final List<String> findings = new ArrayList<>();
 
-  LivenessInvariant(SimulatedCluster world) {
-    this.world = world;
+  LivenessInvariant(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   List<String> findings() {
@@ -44,9 +44,9 @@
 
   private Set<JobId> open() {
     Set<JobId> open = new TreeSet<>();
-    world
+    cluster
         .users()
-        .told()
+        .reportedStates()
         .forEach(
             (id, state) -> {
               if (!state.equals("done") && !state.equals("cancelled")) {
@@ -63,14 +63,14 @@
     for (JobId id : open()) {
       over = Math.max(over, secondsLeft(id));
     }
-    double until = world.time().seconds() + Math.min(MOST_S, over);
+    double until = cluster.time().seconds() + Math.min(MOST_S, over);
     for (int look = 0; look < LOOKS; look++) {
-      world.time().runUntil(world.time().seconds() + 1);
+      cluster.time().runUntil(cluster.time().seconds() + 1);
       for (JobId id : open()) {
-        if (!world.around().pipelines().isWaiting(id)
-            && world.rules().onMachines(id) == 0
-            && !isAtLimit(world.job(id))
-            && world.rules().cancelledAt(id) == null) {
+        if (!cluster.environment().pipelines().isWaiting(id)
+            && cluster.invariants().onMachines(id) == 0
+            && !isAtLimit(cluster.job(id))
+            && cluster.invariants().cancelledAt(id) == null) {
           idle.merge(id, 1, Integer::sum);
         }
       }
@@ -79,29 +79,29 @@
     idle.forEach(
         (id, looks) -> {
           if (looks == LOOKS && !named.containsKey(id.text())) {
-            findings.add("idle and not named: " + world.job(id) + ", named are " + named);
+            findings.add("idle and not named: " + cluster.job(id) + ", named are " + named);
           }
         });
-    while (world.time().seconds() < until - 0.001 && !open().isEmpty()) {
-      world.time().runUntil(Math.min(until, world.time().seconds() + 10));
+    while (cluster.time().seconds() < until - 0.001 && !open().isEmpty()) {
+      cluster.time().runUntil(Math.min(until, cluster.time().seconds() + 10));
     }
-    world
+    cluster
         .users()
         .polls()
         .forgotten(open())
-        .forEach(id -> findings.add("forgotten: " + world.job(id)));
+        .forEach(id -> findings.add("forgotten: " + cluster.job(id)));
     for (JobId id : open()) {
-      findings.add("hangs: " + world.job(id) + " " + named().get(id.text()));
+      findings.add("hangs: " + cluster.job(id) + " " + named().get(id.text()));
     }
   }
 
   /** The same with all that it waits for. */
   private double secondsLeft(JobId id) {
     double before = 0;
-    for (JobId each : world.around().pipelines().allDependencies(id)) {
-      before += open().contains(each) ? secondsLeft(world.job(each)) : 0;
+    for (JobId each : cluster.environment().pipelines().allDependencies(id)) {
+      before += open().contains(each) ? secondsLeft(cluster.job(each)) : 0;
     }
-    return before + secondsLeft(world.job(id));
+    return before + secondsLeft(cluster.job(id));
   }
 
   /** The longest that what is left of a job takes, with what else its team has to do. */
@@ -111,15 +111,17 @@
     }
     double sum = 0;
     for (JobId id : open()) {
-      Job other = world.job(id);
+      Job other = cluster.job(id);
       if (other.team().equals(job.team()) && other.kind() != JobKind.SERVICE) {
         double each = SLOWEST * other.estimate().seconds() + OVERHEAD_S;
         double atOnce =
             Math.max(
                 1,
                 Math.floor(
-                    world.team(job.team()).limit().cpus() / 2 / other.taskResources().cpus()));
-        sum += each * Math.ceil((other.taskCount() - world.rules().completedTasks(id)) / atOnce);
+                    cluster.team(job.team()).limit().cpus() / 2 / other.taskResources().cpus()));
+        sum +=
+            each
+                * Math.ceil((other.taskCount() - cluster.invariants().completedTasks(id)) / atOnce);
       }
     }
     return LAST_S + sum;
@@ -127,10 +129,10 @@
 
   private boolean isAtLimit(Job job) {
     int together = job.kind() == JobKind.GANG ? job.taskCount() : 1;
-    return world
+    return cluster
             .team(job.team())
             .limit()
-            .minus(world.rules().used(job.team()))
+            .minus(cluster.invariants().used(job.team()))
             .capacityFor(job.taskResources())
         < together;
   }
@@ -139,8 +141,8 @@
   private Map<String, String> named() {
     Map<String, String> named = new TreeMap<>();
     try {
-      for (int node = 0; node < world.nodeCount(); node++) {
-        JsonFields status = world.status(node);
+      for (int node = 0; node < cluster.nodeCount(); node++) {
+        JsonFields status = cluster.status(node);
         for (JsonFields stall :
             status == null ? List.<JsonFields>of() : status.objects("stalled")) {
           if (!stall.strings("waits_for").isEmpty()) {
--- a/src/test/java/org/quincecross/emulator/LocalClusterTest.java
+++ b/src/test/java/org/quincecross/emulator/LocalClusterTest.java
@@ -232,7 +232,8 @@
                 .replace("\"rebuild\"", "\"next\"")
                 .replace("copies = 2", "copies = 3")
             + "waits_on = [\"rebuild\"]\n";
-    List<WorkloadFile.Due> due = WorkloadFile.read(JOBS + next, ClusterSpec.tryOut(9, false));
+    List<WorkloadFile.ScheduledJob> due =
+        WorkloadFile.read(JOBS + next, ClusterSpec.tryOut(9, false));
     assertEquals(
         List.of(List.of("job-1003"), List.of("job-1004"), List.of("job-1003")),
         due.stream()
