--- a/src/test/java/org/quincecross/emulator/LostResponsesTest.java
+++ b/src/test/java/org/quincecross/emulator/LostResponsesTest.java
@@ -18,15 +18,15 @@
  * controllers in virtual time.
  */
 class LostResponsesTest {
-  private final SimulatedCluster world = new SimulatedCluster(4);
+  private final SimulatedCluster cluster = new SimulatedCluster(4);
 
   private void loseAnswers(double fromS, double untilS, double share, String what) {
     DelayedTransactions lost =
         DelayedTransactions.atOnce(
             share,
-            () -> world.time().seconds() >= fromS && world.time().seconds() < untilS,
+            () -> cluster.time().seconds() >= fromS && cluster.time().seconds() < untilS,
             new Random(5));
-    world
+    cluster
         .state()
         .delayTransactions(
             transaction ->
@@ -54,28 +54,28 @@
         "q/"
       })
   void eachKindOfWrite(String what) {
-    world.state().applyLate(0);
+    cluster.state().applyLate(0);
     loseAnswers(what.equals("q/member/") || what.equals("q/lead") ? 0 : 12, 70, 0.5, what);
     for (int i = 0; i < 40; i++) {
       int number = 100 + i;
-      world.time().at(i % 2 == 1 ? 20 : 3 + 1.5 * i, () -> world.users().submit(number));
+      cluster.time().at(i % 2 == 1 ? 20 : 3 + 1.5 * i, () -> cluster.users().submit(number));
       if (i % 4 == 0) {
-        world.time().at(6 + 1.5 * i, () -> world.users().cancel(new JobId("job-" + number)));
+        cluster.time().at(6 + 1.5 * i, () -> cluster.users().cancel(new JobId("job-" + number)));
       }
     }
-    world.time().at(30, () -> world.crash((world.leader() + 1) % world.nodeCount()));
-    world.time().at(45, () -> world.crash(Math.max(0, world.leader())));
-    world.time().runUntil(200);
+    cluster.time().at(30, () -> cluster.crash((cluster.leader() + 1) % cluster.nodeCount()));
+    cluster.time().at(45, () -> cluster.crash(Math.max(0, cluster.leader())));
+    cluster.time().runUntil(200);
     assertTrue(
         what.equals("q/page/")
             || what.equals("q/change/")
-            || world.state().lateOutcomes().contains(200),
-        world.state().lateOutcomes().toString());
-    assertEquals(List.of(), world.rules().violations());
-    assertEquals(40, world.users().told().size());
-    world
+            || cluster.state().lateOutcomes().contains(200),
+        cluster.state().lateOutcomes().toString());
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertEquals(40, cluster.users().reportedStates().size());
+    cluster
         .users()
-        .told()
+        .reportedStates()
         .forEach(
             (id, state) ->
                 assertTrue(state.equals("done") || state.equals("cancelled"), id + " " + state));
@@ -88,12 +88,12 @@
    */
   @Test
   void anAnnouncement() {
-    world.state().applyLate(0);
-    world.time().runUntil(30);
-    int node = (world.leader() + 1) % world.nodeCount();
-    world.crash(node);
+    cluster.state().applyLate(0);
+    cluster.time().runUntil(30);
+    int node = (cluster.leader() + 1) % cluster.nodeCount();
+    cluster.crash(node);
     boolean[] lost = new boolean[1];
-    world
+    cluster
         .state()
         .delayTransactions(
             transaction -> {
@@ -104,15 +104,15 @@
               lost[0] = true;
               return DelayedTransactions.AT_ONCE;
             });
-    Object life = null;
+    Object process = null;
     for (double at = 30; at < 60; at += 0.1) {
-      world.time().runUntil(at);
-      Object record = world.state().value("q/member/" + ClusterSpec.nodeName(node));
+      cluster.time().runUntil(at);
+      Object record = cluster.state().value("q/member/" + ClusterSpec.nodeName(node));
       if (lost[0]) {
         assertTrue(record != null, "no member any more at " + at);
         Object now = ((Map<?, ?>) record).get("life");
-        assertTrue(life == null || life.equals(now), "another life at " + at);
-        life = now;
+        assertTrue(process == null || process.equals(now), "another life at " + at);
+        process = now;
       }
     }
     assertTrue(lost[0]);
@@ -126,17 +126,17 @@
   @ParameterizedTest
   @CsvSource({"0, 0, 0.9, 5", "2, 12, 0.7, 15"})
   void submissionsAreNotHeldUp(double leastS, double mostS, double inTime, double longestS) {
-    world.state().applyLate(0);
+    cluster.state().applyLate(0);
     Random draws = new Random(6);
     DelayedTransactions late =
         leastS == 0
             ? DelayedTransactions.atOnce(0.2, () -> true, draws)
             : DelayedTransactions.share(0.2, leastS, mostS, () -> true, draws);
-    world
+    cluster
         .state()
         .delayTransactions(
             transaction ->
-                world.time().seconds() > 20
+                cluster.time().seconds() > 20
                         && (transaction.contains("\"Set\":\"q/bundle/")
                             || (transaction.contains("\"Set\":\"q/job/")
                                 && transaction.contains("\"open\"")))
@@ -144,12 +144,12 @@
                     : DelayedTransactions.PROMPT);
     for (int i = 0; i < 240; i++) {
       int number = 1000 + i;
-      world.time().at(20 + 0.25 * i, () -> world.users().submit(number));
+      cluster.time().at(20 + 0.25 * i, () -> cluster.users().submit(number));
     }
-    world.time().runUntil(160);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(160);
+    assertEquals(List.of(), cluster.invariants().violations());
     double[] after =
-        world.users().acceptedAfter().values().stream()
+        cluster.users().acceptedAfter().values().stream()
             .mapToDouble(each -> each)
             .sorted()
             .toArray();
--- a/src/test/java/org/quincecross/emulator/MachineLossTest.java
+++ b/src/test/java/org/quincecross/emulator/MachineLossTest.java
@@ -49,33 +49,33 @@
   @ValueSource(longs = {1, 2, 3})
   void allReplicasRunAgainSoonAfterTheLeasesAreOver(long seed) throws MalformedMessageException {
     ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
-    SimulatedCluster world = new SimulatedCluster(site, seed, Meter.OFF);
+    SimulatedCluster cluster = new SimulatedCluster(site, seed, Meter.OFF);
     List<JobId> services = new ArrayList<>();
-    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
-      world.time().at(6 + due.atS(), () -> world.users().submit(due.job()));
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
+      cluster.time().at(6 + due.atS(), () -> cluster.users().submit(due.job()));
       if (due.job().jobClass().equals("front")) {
         services.add(due.job().id());
       }
     }
-    world.time().runUntil(35);
-    assertEquals(80, replicas(world, services));
-    List<MachineId> machines = world.cloud().machines();
+    cluster.time().runUntil(35);
+    assertEquals(80, replicas(cluster, services));
+    List<MachineId> machines = cluster.cloud().machines();
     for (int i = 0; i < machines.size(); i += 2) {
-      world.cloud().terminate(machines.get(i), 0);
+      cluster.cloud().terminate(machines.get(i), 0);
     }
-    assertTrue(replicas(world, services) < 80);
+    assertTrue(replicas(cluster, services) < 80);
     double at = 35;
-    while (replicas(world, services) < 80 && at < 200) {
+    while (replicas(cluster, services) < 80 && at < 200) {
       at += 0.5;
-      world.time().runUntil(at);
+      cluster.time().runUntil(at);
     }
     assertTrue(
         at - 35 < LEASE_S + MOST_AFTER_LEASE_S, "all replicas run again after " + (at - 35) + " s");
-    world.time().runUntil(at + 60);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(at + 60);
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
-  private static int replicas(SimulatedCluster world, List<JobId> services) {
-    return services.stream().mapToInt(world.rules()::onMachines).sum();
+  private static int replicas(SimulatedCluster cluster, List<JobId> services) {
+    return services.stream().mapToInt(cluster.invariants()::onMachines).sum();
   }
 }
--- a/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
+++ b/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
@@ -33,52 +33,54 @@
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
   void eachGetsItsAnswer(int number) {
     Trouble trouble = Trouble.values()[number];
-    SimulatedCluster world = new SimulatedCluster(20 + number);
-    world.state().applyLate(0);
+    SimulatedCluster cluster = new SimulatedCluster(20 + number);
+    cluster.state().applyLate(0);
     Random random = new Random(number);
-    world.time().at(FROM_S, () -> MalformedRequests.begin(world.around(), 0.05, SECONDS, random));
+    cluster
+        .time()
+        .at(FROM_S, () -> MalformedRequests.begin(cluster.environment(), 0.05, SECONDS, random));
     for (int i = 0; i < 40; i++) {
       int job = 100 + i;
-      world.time().at(4 + i, () -> world.users().submit(job));
+      cluster.time().at(4 + i, () -> cluster.users().submit(job));
     }
     for (double at = 20; at < 70; at += 24) {
-      world.time().at(at, () -> begin(world, trouble, random));
+      cluster.time().at(at, () -> begin(cluster, trouble, random));
     }
-    world.time().runUntil(FROM_S + SECONDS + 30);
-    assertEquals(List.of(), world.rules().violations());
-    Map<String, Integer> odd = new TreeMap<>(world.users().answers());
+    cluster.time().runUntil(FROM_S + SECONDS + 30);
+    assertEquals(List.of(), cluster.invariants().violations());
+    Map<String, Integer> odd = new TreeMap<>(cluster.users().answers());
     odd.keySet().removeIf(kind -> !kind.startsWith("odd"));
     assertTrue(
         odd.get("odd 400") > 50 && odd.get("odd 422") > 50 && odd.get("odd 404") > 100,
         odd.toString());
     assertEquals(
         List.of(),
-        world.state().keysWithPrefix("q/").stream().filter(key -> key.contains("job-9")).toList(),
+        cluster.state().keysWithPrefix("q/").stream().filter(key -> key.contains("job-9")).toList(),
         "records");
   }
 
-  private void begin(SimulatedCluster world, Trouble trouble, Random random) {
-    int leader = Math.max(0, world.leader());
+  private void begin(SimulatedCluster cluster, Trouble trouble, Random random) {
+    int leader = Math.max(0, cluster.leader());
     switch (trouble) {
       case NONE -> {}
-      case SLOW_STATE -> world.state().slowDown(0.5, 3, 12, random);
+      case SLOW_STATE -> cluster.state().slowDown(0.5, 3, 12, random);
       case LATE_WRITES -> {
-        double until = world.time().seconds() + 14;
-        world
+        double until = cluster.time().seconds() + 14;
+        cluster
             .state()
             .delayTransactions(
                 DelayedTransactions.share(
-                    0.4, 2, 12, () -> world.time().seconds() < until, random));
+                    0.4, 2, 12, () -> cluster.time().seconds() < until, random));
       }
-      case REFUSED -> world.state().refuse(ClusterSpec.nodeName(leader), 10);
-      case OUTAGE -> world.state().outage(10);
+      case REFUSED -> cluster.state().refuse(ClusterSpec.nodeName(leader), 10);
+      case OUTAGE -> cluster.state().outage(10);
       case ALL_END -> {
-        for (int node = 0; node < world.nodeCount(); node++) {
-          world.down(node, 0.1 + 3 * random.nextDouble());
+        for (int node = 0; node < cluster.nodeCount(); node++) {
+          cluster.stopFor(node, 0.1 + 3 * random.nextDouble());
         }
       }
-      case LONE_LEADER -> world.lone(leader, 12, random.nextBoolean());
-      case STANDSTILL -> world.standStill(leader, 8);
+      case LONE_LEADER -> cluster.separate(leader, 12, random.nextBoolean());
+      case STANDSTILL -> cluster.suspend(leader, 8);
       default -> throw new IllegalStateException(trouble.toString());
     }
   }
--- a/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
@@ -31,7 +31,7 @@
     for (int node = 0; node < 3; node++) {
       for (int i = 0; i < 10_000; i++) {
         int each = node;
-        site.world
+        site.cluster
             .time()
             .at(
                 T + i / 10_000.0,
@@ -78,8 +78,8 @@
   void manyWakesAreOneColdStart() throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(4, 2);
     long before = site.epoch("m");
-    int started = site.world.around().coldStarts().starts();
-    int fetched = site.world.around().coldStarts().fetches();
+    int started = site.cluster.environment().coldStarts().starts();
+    int fetched = site.cluster.environment().coldStarts().fetches();
     double warm = manyWakes(site);
     assertTrue(
         warm > ModelServingCluster.FETCH_S && warm < ModelServingCluster.FETCH_S + 4,
@@ -87,11 +87,11 @@
     for (int node = 0; node < 3; node++) {
       assertTrue(site.asked(node) <= 3, "changes asked for by one controller: " + site.asked(node));
     }
-    assertEquals(0, site.world.around().coldStarts().lateStarts());
+    assertEquals(0, site.cluster.environment().coldStarts().lateStarts());
     assertEquals(2, site.onMachines(100));
     assertEquals(before + 3, site.epoch("m"), "woken, chosen, ready");
-    assertEquals(2, site.world.around().coldStarts().starts() - started);
-    assertEquals(2, site.world.around().coldStarts().fetches() - fetched);
+    assertEquals(2, site.cluster.environment().coldStarts().starts() - started);
+    assertEquals(2, site.cluster.environment().coldStarts().fetches() - fetched);
     site.until("m", "ZERO", 60);
     assertEquals(0, site.onMachines(100));
     site.assertRight();
@@ -107,11 +107,11 @@
     site.wakeAt(T, 1, "m");
     for (int node = 0; node < 3; node++) {
       int each = node;
-      site.world.time().at(T + afterS, () -> site.world.crash(each));
+      site.cluster.time().at(T + afterS, () -> site.cluster.crash(each));
     }
     site.until("m", "WARM", 90);
     assertEquals(2, site.onMachines(100));
-    assertEquals(0, site.world.around().coldStarts().lateStarts());
+    assertEquals(0, site.cluster.environment().coldStarts().lateStarts());
     site.assertRight();
   }
 
@@ -127,10 +127,10 @@
     "STILL_AFTER, 25",
     "SILENT, 25"
   })
-  void theLeaderIsFrozenAfterItsChoice(SimulatedCluster.Mishap mishap, double seconds)
+  void theLeaderIsFrozenAfterItsChoice(SimulatedCluster.SendFault mishap, double seconds)
       throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(6, 2);
-    site.world.mishapAt(
+    site.cluster.injectFaultAt(
         request ->
             request.startsWith("POST /txn")
                 && request.contains("agreed/models/m")
@@ -138,10 +138,10 @@
                 && request.contains("\"replica\""),
         seconds,
         mishap);
-    site.wakeAt(T, (site.world.leader() + 1) % 3, "m");
+    site.wakeAt(T, (site.cluster.leader() + 1) % 3, "m");
     site.until("m", "WARM", 90);
-    assertTrue(site.world.mishapHit() >= 0);
-    site.world.time().runUntil(site.world.time().seconds() + 5);
+    assertTrue(site.cluster.faultedController() >= 0);
+    site.cluster.time().runUntil(site.cluster.time().seconds() + 5);
     assertEquals(2, site.onMachines(100));
     site.assertRight();
   }
@@ -151,8 +151,8 @@
   @ValueSource(doubles = {0, 0.5, 3, 5.5})
   void twoWakesInAnElection(double afterS) throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(7, 2);
-    int leader = site.world.leader();
-    site.world.time().at(T, () -> site.world.down(leader, 30));
+    int leader = site.cluster.leader();
+    site.cluster.time().at(T, () -> site.cluster.stopFor(leader, 30));
     site.wakeAt(T + afterS, (leader + 1) % 3, "m");
     site.wakeAt(T + afterS, (leader + 2) % 3, "m");
     site.until("m", "WARM", 90);
@@ -165,14 +165,14 @@
   @CsvSource({"0, 3", "0.03, 10", "0.15, 10", "0.5, 10", "5, 10", "8.6, 10", "32, 10"})
   void anOutageInEachStep(double afterS, double seconds) throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(8, 2);
-    site.world.state().applyLate(60);
+    site.cluster.state().applyLate(60);
     site.wakeAt(T, 2, "m");
-    site.world.time().at(T + afterS, () -> site.world.state().outage(seconds));
+    site.cluster.time().at(T + afterS, () -> site.cluster.state().outage(seconds));
     site.until("m", "WARM", 90);
     site.until("m", "ZERO", 90);
-    site.world.time().runUntil(site.world.time().seconds() + 2);
+    site.cluster.time().runUntil(site.cluster.time().seconds() + 2);
     assertEquals(0, site.onMachines(100));
-    site.wakeAt(site.world.time().seconds() + 0.1, 0, "m");
+    site.wakeAt(site.cluster.time().seconds() + 0.1, 0, "m");
     site.until("m", "WARM", 90);
     site.assertRight();
   }
@@ -188,11 +188,11 @@
     site.wakeAt(T, 0, "m");
     site.until("m", "WARM", 60);
     String machine = site.machine("m").text();
-    site.world
+    site.cluster
         .time()
-        .at(T + 16, () -> site.world.cloud().terminate(new MachineId(machine), noticeS));
+        .at(T + 16, () -> site.cluster.cloud().terminate(new MachineId(machine), noticeS));
     for (int i = 0; i < 60; i++) {
-      site.world
+      site.cluster
           .time()
           .at(
               T + 16 + i,
@@ -200,7 +200,7 @@
                   site.send(
                       1, "m/load", Map.of("from", "gateway", "in_flight", 3), response -> {}));
     }
-    site.world.time().runUntil(T + 16 + 50);
+    site.cluster.time().runUntil(T + 16 + 50);
     assertEquals("WARM", site.phase("m"));
     assertEquals(1, site.onMachines(100));
     assertTrue(!machine.equals(site.machine("m").text()));
@@ -216,11 +216,11 @@
       site.wakeAt(T, 0, "m");
       site.until("m", phase, 90);
     }
-    site.world.users().cancel(new JobId("job-100"));
-    site.world.time().runUntil(site.world.time().seconds() + 30);
+    site.cluster.users().cancel(new JobId("job-100"));
+    site.cluster.time().runUntil(site.cluster.time().seconds() + 30);
     assertEquals("ZERO", site.phase("m"));
     assertEquals(0, site.onMachines(100));
-    assertEquals("cancelled", site.world.users().told().get(new JobId("job-100")));
+    assertEquals("cancelled", site.cluster.users().reportedStates().get(new JobId("job-100")));
     assertEquals(409, site.post(1, "m/wake", Map.of()));
     assertEquals("ZERO", site.phase("m"));
     site.assertRight();
@@ -242,9 +242,9 @@
       site.wakeAt(T, 0, "m");
       site.until("m", "WARM", 60);
       site.wakeAt(drainAt + offset, node, "m");
-      site.world.time().runUntil(drainAt + 1.2);
+      site.cluster.time().runUntil(drainAt + 1.2);
       site.until("m", "WARM", 20);
-      site.world.time().runUntil(Math.max(site.world.time().seconds(), drainAt + offset + 15));
+      site.cluster.time().runUntil(Math.max(site.cluster.time().seconds(), drainAt + offset + 15));
       assertEquals("WARM", site.phase("m"), "node " + node);
       assertEquals(2, site.onMachines(100));
       site.assertRight();
@@ -263,15 +263,15 @@
     ModelServingCluster site = new ModelServingCluster(plain.with(teams), 12);
     site.submit(ModelServingCluster.job(100, 2, 6, 2, false));
     site.submit(ModelServingCluster.job(101, 2, 6, 2, false));
-    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
+    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     site.define("m", 100, 2, 2);
     site.define("n", 101, 2, 2);
     site.until("m", "ZERO", 40);
     site.until("n", "ZERO", 40);
-    double at = site.world.time().seconds();
+    double at = site.cluster.time().seconds();
     site.wakeAt(at + 1, 0, "m");
     site.wakeAt(at + 1, 1, "n");
-    site.world.time().runUntil(at + 8);
+    site.cluster.time().runUntil(at + 8);
     assertEquals(
         3,
         site.onMachines(100) + site.onMachines(101),
@@ -279,8 +279,8 @@
     assertEquals("WARM", site.phase("m"));
     assertEquals("WARM", site.phase("n"));
     site.send(1, "n/load", Map.of("from", "gateway", "in_flight", 5), response -> {});
-    site.world.users().cancel(new JobId("job-100"));
-    site.world.time().runUntil(at + 30);
+    site.cluster.users().cancel(new JobId("job-100"));
+    site.cluster.time().runUntil(at + 30);
     assertEquals(2, site.onMachines(101), "what the limit held back comes when there is room");
     site.assertRight();
   }
@@ -323,17 +323,17 @@
       site.submitAt(
           ModelServingCluster.DEFINED_S - 0.5, ModelServingCluster.job(100 + i, 1, 2, 6, false));
     }
-    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
+    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < 4; i++) {
       site.define("m" + i, 100 + i, 1, 1);
     }
     double at = ModelServingCluster.DEFINED_S + 4;
-    site.world.time().runUntil(at);
+    site.cluster.time().runUntil(at);
     for (int i = 0; i < 4; i++) {
       site.wakeAt(at, i % 3, "m" + i);
     }
-    site.world.time().runUntil(at + 9);
-    assertTrue(site.world.rules().onMachines() >= 1, "side by side none would serve yet");
+    site.cluster.time().runUntil(at + 9);
+    assertTrue(site.cluster.invariants().onMachines() >= 1, "side by side none would serve yet");
     site.assertRight();
   }
 
@@ -345,15 +345,15 @@
   void keptWarmItComesBackWithoutAFetch() throws MalformedMessageException {
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), 15);
     site.submit(ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
-    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
+    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     site.define("m", 100, 1, 4, ModelServingCluster.IDLE_S, 1);
     site.until("m", "ZERO", 40);
-    site.world.time().runUntil(200);
-    int fetches = site.world.around().coldStarts().fetches();
+    site.cluster.time().runUntil(200);
+    int fetches = site.cluster.environment().coldStarts().fetches();
     site.wakeAt(200.1, 2, "m");
     double warm = site.until("m", "WARM", 20);
     assertTrue(warm < 204, "warm at " + warm);
-    assertEquals(fetches, site.world.around().coldStarts().fetches());
+    assertEquals(fetches, site.cluster.environment().coldStarts().fetches());
     site.assertRight();
   }
 
@@ -366,19 +366,19 @@
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(6, true), 16);
     site.submit(ModelServingCluster.job(100, 4, 6, 3, false));
     site.submit(ModelServingCluster.job(101, 2, 6, 3, false));
-    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
+    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     site.define("m", 100, 4, 4, 900, 0);
     site.define("n", 101, 2, 2, 900, 0);
     site.until("n", "ZERO", 40);
     site.wakeAt(T, 0, "m");
     site.until("m", "WARM", 60);
     site.wakeAt(T + 100, 1, "n");
-    site.world.time().runUntil(T + 115);
+    site.cluster.time().runUntil(T + 115);
     assertEquals("WARM", site.phase("m"), "machines may still be rented");
     site.until("n", "WARM", 40);
     assertEquals("ZERO", site.phase("m"));
     assertEquals(2, site.onMachines(101));
-    site.world.time().runUntil(site.world.time().seconds() + 60);
+    site.cluster.time().runUntil(site.cluster.time().seconds() + 60);
     assertEquals("WARM", site.phase("n"), "the one that gave way does not come back by itself");
     site.assertRight();
   }
@@ -390,9 +390,9 @@
   @Test
   void whatOneThatIsAwayHasSeenCounts() throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(13, 1);
-    int leader = site.world.leader();
+    int leader = site.cluster.leader();
     int other = (leader + 1) % 3;
-    site.world
+    site.cluster
         .time()
         .at(
             T,
@@ -400,24 +400,24 @@
                 site.send(
                     other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
     site.until("m", "WARM", 60);
-    site.world.time().runUntil(T + 25);
+    site.cluster.time().runUntil(T + 25);
     assertEquals(2, site.onMachines(100), "15 in flight at 10 a replica");
-    site.world
+    site.cluster
         .time()
         .at(
             T + 26,
             () ->
                 site.send(
                     other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
-    site.world.time().runUntil(T + 27);
-    site.world.silence(other, 60, true);
-    site.world.time().runUntil(T + 28);
+    site.cluster.time().runUntil(T + 27);
+    site.cluster.isolate(other, 60, true);
+    site.cluster.time().runUntil(T + 28);
     assertEquals("WARM", site.phase("m"));
     double drained = site.until("m", "DRAINING", 60);
     assertNull(
-        site.world.state().value("q/member/" + ClusterSpec.nodeName(other)), "its lease is over");
+        site.cluster.state().value("q/member/" + ClusterSpec.nodeName(other)), "its lease is over");
     assertTrue(drained < T + 27 + 20, "at " + drained);
-    site.world.time().runUntil(T + 150);
+    site.cluster.time().runUntil(T + 150);
     assertEquals("ZERO", site.phase("m"));
     site.assertRight();
   }
@@ -441,24 +441,24 @@
     for (int i = 0; i < count; i++) {
       site.submit(ModelServingCluster.job(1000 + i, 1, 0.25, 0.3, false));
     }
-    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
+    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < count; i++) {
       int each = i;
-      site.world
+      site.cluster
           .time()
           .at(
               ModelServingCluster.DEFINED_S + i / 25.0,
               () -> site.defineLater(each % 3, "m" + each, 1000 + each));
     }
-    site.world.time().runUntil(120);
+    site.cluster.time().runUntil(120);
     for (int i = 0; i < count; i++) {
       assertEquals("ZERO", site.phase("m" + i), "m" + i);
     }
-    assertEquals(0, site.world.rules().onMachines());
+    assertEquals(0, site.cluster.invariants().onMachines());
     for (int i = 0; i < count / 20; i++) {
       site.wakeAt(120.1, i % 3, "m" + 20 * i);
     }
-    site.world.time().runUntil(138);
+    site.cluster.time().runUntil(138);
     for (int i = 0; i < count; i++) {
       assertEquals(i % 20 == 0 ? "WARM" : "ZERO", site.phase("m" + i), "m" + i);
     }
--- a/src/test/java/org/quincecross/emulator/ModelServingCluster.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCluster.java
@@ -30,12 +30,12 @@
   /** How long the weights of the models here take to be fetched. */
   static final double FETCH_S = 8;
 
-  final SimulatedCluster world;
+  final SimulatedCluster cluster;
   private int requests;
   private final List<JobId> jobs = new ArrayList<>();
 
   ModelServingCluster(ClusterSpec site, long seed) {
-    world =
+    cluster =
         new SimulatedCluster(
             site,
             seed,
@@ -48,9 +48,9 @@
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), seed);
     // So late that its weights are on no machine when it becomes a model.
     site.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
-    site.world.time().runUntil(DEFINED_S);
+    site.cluster.time().runUntil(DEFINED_S);
     site.define("m", 100, least, 4);
-    site.world.time().runUntil(DEFINED_S + 17);
+    site.cluster.time().runUntil(DEFINED_S + 17);
     assertEquals("ZERO", site.phase("m"));
     return site;
   }
@@ -76,7 +76,7 @@
 
   void submitAt(double atS, Job job) {
     jobs.add(job.id());
-    world.time().at(atS, () -> world.users().submit(job));
+    cluster.time().at(atS, () -> cluster.users().submit(job));
   }
 
   void define(String name, int job, int least, int most) throws MalformedMessageException {
@@ -85,7 +85,7 @@
 
   void define(String name, int job, int least, int most, double idleS, int keepWarm)
       throws MalformedMessageException {
-    world.around().coldStarts().watch(name, new JobId("job-" + job));
+    cluster.environment().coldStarts().watch(name, new JobId("job-" + job));
     Map<String, Object> body =
         Json.object(
             "job",
@@ -104,7 +104,7 @@
             "r" + ++requests);
     int status = post(0, name, body);
     for (int tries = 0; status != 200 && tries < 20; tries++) {
-      world.time().runUntil(world.time().seconds() + 1);
+      cluster.time().runUntil(cluster.time().seconds() + 1);
       status = post(0, name, body);
     }
     assertEquals(200, status);
@@ -112,14 +112,14 @@
 
   /** Defines a model of one replica; asks again where that is not known to have been done. */
   void defineLater(int node, String name, int job) {
-    world.around().coldStarts().watch(name, new JobId("job-" + job));
+    cluster.environment().coldStarts().watch(name, new JobId("job-" + job));
     send(
         node,
         name,
         Json.object("job", "job-" + job, "idle_s", IDLE_S, "request", "r-" + name),
         response -> {
           if (response.status() != 200) {
-            world.time().after(1, () -> defineLater(node, name, job));
+            cluster.time().after(1, () -> defineLater(node, name, job));
           }
         });
   }
@@ -128,15 +128,15 @@
   int post(int node, String path, Map<String, Object> body) {
     int[] status = new int[1];
     send(node, path, body, response -> status[0] = response.status());
-    double until = world.time().seconds() + 6;
-    while (status[0] == 0 && world.time().seconds() < until) {
-      world.time().runUntil(world.time().seconds() + 0.01);
+    double until = cluster.time().seconds() + 6;
+    while (status[0] == 0 && cluster.time().seconds() < until) {
+      cluster.time().runUntil(cluster.time().seconds() + 0.01);
     }
     return status[0];
   }
 
   void send(int node, String path, Map<String, Object> body, Consumer<HttpResponse> reply) {
-    world.ask(
+    cluster.sendDirectly(
         node, new HttpRequest("POST", "/admin/models/" + path, Json.write(body), false), reply);
   }
 
@@ -144,7 +144,7 @@
    * Wakes a model at a time, at one controller; whoever does so comes again until it is answered.
    */
   void wakeAt(double atS, int node, String name) {
-    world.time().at(atS, () -> wake(node, name, 20));
+    cluster.time().at(atS, () -> wake(node, name, 20));
   }
 
   private void wake(int node, String name, int tries) {
@@ -154,20 +154,21 @@
         name + "/wake",
         Map.of(),
         response -> heard[0] |= response.status() == 200 || response.status() == 202);
-    world
+    cluster
         .time()
         .after(
             2,
             () -> {
               if (!heard[0] && tries > 0) {
-                wake((node + 1) % world.nodeCount(), name, tries - 1);
+                wake((node + 1) % cluster.nodeCount(), name, tries - 1);
               }
             });
   }
 
   private JsonFields get(int node, String path) throws MalformedMessageException {
     HttpResponse[] answer = new HttpResponse[1];
-    world.ask(node, HttpRequest.get("/admin/models" + path), response -> answer[0] = response);
+    cluster.sendDirectly(
+        node, HttpRequest.get("/admin/models" + path), response -> answer[0] = response);
     assertEquals(200, answer[0].status(), new String(answer[0].body(), StandardCharsets.UTF_8));
     return Json.parseFields(answer[0].body());
   }
@@ -182,30 +183,30 @@
   }
 
   String phase(String name) {
-    Map<?, ?> state = ColdStartInvariant.state(world.state(), name);
+    Map<?, ?> state = ColdStartInvariant.state(cluster.state(), name);
     return state == null ? "none" : String.valueOf(state.get("state"));
   }
 
   long epoch(String name) {
-    return ((Number) ColdStartInvariant.state(world.state(), name).get("epoch")).longValue();
+    return ((Number) ColdStartInvariant.state(cluster.state(), name).get("epoch")).longValue();
   }
 
   MachineId machine(String name) {
-    List<?> places = (List<?>) ColdStartInvariant.state(world.state(), name).get("places");
+    List<?> places = (List<?>) ColdStartInvariant.state(cluster.state(), name).get("places");
     return places.isEmpty()
         ? null
         : new MachineId((String) ((Map<?, ?>) places.get(0)).get("machine"));
   }
 
   int onMachines(int job) {
-    return world.rules().onMachines(new JobId("job-" + job));
+    return cluster.invariants().onMachines(new JobId("job-" + job));
   }
 
   /** When a model is next seen in a state, to the hundredth of a second. */
   double until(String name, String phase, double withinS) {
-    double end = world.time().seconds() + withinS;
+    double end = cluster.time().seconds() + withinS;
     while (!phase(name).equals(phase)) {
-      if (world.time().seconds() > end) {
+      if (cluster.time().seconds() > end) {
         throw new AssertionError(
             name
                 + " is "
@@ -213,24 +214,25 @@
                 + ", not "
                 + phase
                 + ", at "
-                + world.time().seconds()
+                + cluster.time().seconds()
                 + ": "
-                + ColdStartInvariant.state(world.state(), name));
+                + ColdStartInvariant.state(cluster.state(), name));
       }
-      world.time().runUntil(world.time().seconds() + 0.01);
+      cluster.time().runUntil(cluster.time().seconds() + 0.01);
     }
-    return world.time().seconds();
+    return cluster.time().seconds();
   }
 
   /** No rule was broken, no place started or fetched twice, and no job is forgotten. */
   void assertRight() {
-    assertEquals(List.of(), world.rules().violations());
-    assertEquals(List.of(), world.around().coldStarts().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertEquals(List.of(), cluster.environment().coldStarts().violations());
     jobs.forEach(
         job ->
             assertEquals(
                 true,
-                List.of("running", "queued", "cancelled").contains(world.users().told().get(job)),
-                job + " " + world.users().told().get(job)));
+                List.of("running", "queued", "cancelled")
+                    .contains(cluster.users().reportedStates().get(job)),
+                job + " " + cluster.users().reportedStates().get(job)));
   }
 }
--- a/src/test/java/org/quincecross/emulator/ModelServingScenario.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingScenario.java
@@ -38,12 +38,12 @@
           ModelServingCluster.job(
               100 + i, i == 0 ? GANG : 4, 3 + random.nextInt(4), 2 + random.nextInt(9), i == 0));
     }
-    site.world.time().runUntil(ModelServingCluster.DEFINED_S);
+    site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < MODELS; i++) {
       site.define(name(i), 100 + i, i == 0 ? GANG : LEAST, i == 0 ? GANG : 4);
     }
-    site.world.time().runUntil(FIRST_TROUBLE_S - 2);
-    site.world.state().applyLate(60);
+    site.cluster.time().runUntil(FIRST_TROUBLE_S - 2);
+    site.cluster.state().applyLate(60);
     for (int i = 0; i < 60; i++) {
       site.wakeAt(
           FIRST_TROUBLE_S + 130 * random.nextDouble(),
@@ -57,7 +57,7 @@
       double seconds = 0.2 + (LONGEST_TROUBLE_S - 0.2) * random.nextDouble() * random.nextDouble();
       int node = random.nextInt(3);
       int kind = random.nextInt(8);
-      site.world.time().at(atS, () -> trouble(kind, node, seconds));
+      site.cluster.time().at(atS, () -> trouble(kind, node, seconds));
     }
   }
 
@@ -66,30 +66,30 @@
   }
 
   private void trouble(int kind, int node, double seconds) {
-    SimulatedCluster world = site.world;
+    SimulatedCluster cluster = site.cluster;
     switch (kind) {
-      case 0 -> world.crash(node);
-      case 1 -> world.silence(node, seconds, random.nextBoolean());
-      case 2 -> world.standStill(node, seconds);
-      case 3 -> world.state().outage(Math.min(seconds, 15));
-      case 4 -> world.state().refuse(ClusterSpec.nodeName(node), seconds);
+      case 0 -> cluster.crash(node);
+      case 1 -> cluster.isolate(node, seconds, random.nextBoolean());
+      case 2 -> cluster.suspend(node, seconds);
+      case 3 -> cluster.state().outage(Math.min(seconds, 15));
+      case 4 -> cluster.state().refuse(ClusterSpec.nodeName(node), seconds);
       case 5 ->
-          world.cut(
+          cluster.cut(
               ClusterSpec.nodeName(node),
               ClusterSpec.nodeName((node + 1) % 3),
               seconds,
               random.nextBoolean());
       case 6 -> {
-        List<MachineId> machines = world.cloud().machines();
+        List<MachineId> machines = cluster.cloud().machines();
         if (machines.size() > 8) {
-          world
+          cluster
               .cloud()
               .terminate(machines.get(random.nextInt(machines.size())), random.nextInt(2) * 8);
         }
       }
       default -> {
         for (int each = 0; each < 3; each++) {
-          world.crash(each);
+          cluster.crash(each);
         }
       }
     }
@@ -100,13 +100,13 @@
    * up, or that do not go back to zero.
    */
   List<String> play() {
-    SimulatedCluster world = site.world;
-    world.time().runUntil(LAST_TROUBLE_S + QUIET_S);
+    SimulatedCluster cluster = site.cluster;
+    cluster.time().runUntil(LAST_TROUBLE_S + QUIET_S);
     for (int i = 0; i < MODELS; i++) {
       expect(i, "ZERO", 0);
-      site.wakeAt(world.time().seconds() + random.nextDouble(), random.nextInt(3), name(i));
+      site.wakeAt(cluster.time().seconds() + random.nextDouble(), random.nextInt(3), name(i));
     }
-    world.time().runUntil(world.time().seconds() + 15);
+    cluster.time().runUntil(cluster.time().seconds() + 15);
     for (int i = 0; i < MODELS; i++) {
       site.send(
           random.nextInt(3),
@@ -114,14 +114,15 @@
           Map.of("from", "gateway", "in_flight", 1),
           response -> {});
     }
-    world.time().runUntil(world.time().seconds() + 25);
+    cluster.time().runUntil(cluster.time().seconds() + 25);
     for (int i = 0; i < MODELS; i++) {
       expect(i, "WARM", i == 0 ? GANG : LEAST);
     }
-    wrong.addAll(world.rules().violations());
-    wrong.addAll(world.around().coldStarts().violations());
-    if (world.around().coldStarts().lateStarts() > MOST_LATE) {
-      wrong.add(world.around().coldStarts().lateStarts() + " starts where no record has a place");
+    wrong.addAll(cluster.invariants().violations());
+    wrong.addAll(cluster.environment().coldStarts().violations());
+    if (cluster.environment().coldStarts().lateStarts() > MOST_LATE) {
+      wrong.add(
+          cluster.environment().coldStarts().lateStarts() + " starts where no record has a place");
     }
     return wrong;
   }
@@ -137,13 +138,13 @@
               + " but has "
               + site.onMachines(100 + model)
               + ": "
-              + ColdStartInvariant.state(site.world.state(), name(model)));
+              + ColdStartInvariant.state(site.cluster.state(), name(model)));
     }
   }
 
   /** Places started, fetches, and starts that came when the place was given up. */
   Map<String, Integer> counts() {
-    ColdStartInvariant starts = site.world.around().coldStarts();
+    ColdStartInvariant starts = site.cluster.environment().coldStarts();
     return Map.of(
         "starts", starts.starts(), "fetches", starts.fetches(), "late", starts.lateStarts());
   }
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
@@ -44,44 +44,45 @@
             run_s = 40
             """;
 
-  final SimulatedCluster world;
+  final SimulatedCluster cluster;
   final List<JobId> services = new ArrayList<>();
   final List<MachineId> deaf = new ArrayList<>();
 
   OneWayPartitionCluster(long seed) throws MalformedMessageException {
     ClusterSpec site = ClusterSpec.tryOut(60, true);
-    world = new SimulatedCluster(site, seed, Meter.OFF);
-    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
-      world.time().at(6 + due.atS(), () -> world.users().submit(due.job()));
+    cluster = new SimulatedCluster(site, seed, Meter.OFF);
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
+      cluster.time().at(6 + due.atS(), () -> cluster.users().submit(due.job()));
       if (due.job().jobClass().equals("front")) {
         services.add(due.job().id());
       }
     }
-    world.time().runUntil(DEAF_AT_S);
+    cluster.time().runUntil(DEAF_AT_S);
   }
 
   /** Of every hundred machines so many hear nothing for a while. */
   void deafen(int percent, double seconds, long seed) {
-    List<MachineId> machines = new ArrayList<>(world.cloud().machines());
+    List<MachineId> machines = new ArrayList<>(cluster.cloud().machines());
     Collections.shuffle(machines, new Random(seed));
     deaf.addAll(machines.subList(0, Math.max(1, Math.round(machines.size() * percent / 100f))));
-    deaf.forEach(machine -> world.deafen(machine, seconds));
+    deaf.forEach(machine -> cluster.dropInbound(machine, seconds));
   }
 
   int replicas() {
-    return services.stream().mapToInt(world.rules()::onMachines).sum();
+    return services.stream().mapToInt(cluster.invariants()::onMachines).sum();
   }
 
   /** How many of the machines that were deaf have tasks. */
   int deafInUse() {
-    return (int) deaf.stream().filter(machine -> world.rules().onMachine(machine) > 0).count();
+    return (int)
+        deaf.stream().filter(machine -> cluster.invariants().onMachine(machine) > 0).count();
   }
 
   /** Those of them that their holders give no work. */
   List<String> closed() {
     List<String> closed = new ArrayList<>();
-    for (int node = 0; node < world.nodeCount(); node++) {
-      world.ask(
+    for (int node = 0; node < cluster.nodeCount(); node++) {
+      cluster.sendDirectly(
           node,
           HttpRequest.get("/admin/machines"),
           response -> {
@@ -104,7 +105,7 @@
   double missingUntil(double seconds) {
     double last = 0;
     for (double at = 0.5; at <= seconds; at += 0.5) {
-      world.time().runUntil(DEAF_AT_S + at);
+      cluster.time().runUntil(DEAF_AT_S + at);
       last = replicas() < REPLICAS ? at : last;
     }
     return last;
@@ -125,8 +126,8 @@
               seconds,
               seed,
               missing,
-              site.world.startsUnheard(),
-              site.world.rules().violations());
+              site.cluster.undeliveredStarts(),
+              site.cluster.invariants().violations());
         }
       }
     }
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
@@ -29,13 +29,13 @@
     double missing = site.missingUntil(seconds);
     assertTrue(missing < MOST_MISSING_S, "replicas missing for " + missing + " s");
     assertTrue(
-        site.world.startsUnheard() <= site.deaf.size(),
-        site.world.startsUnheard() + " starts to deaf machines");
+        site.cluster.undeliveredStarts() <= site.deaf.size(),
+        site.cluster.undeliveredStarts() + " starts to deaf machines");
     assertEquals(0, site.deafInUse());
     site.missingUntil(seconds + 40);
     // One may be suspected at any moment: of a hundred packets one is late by seconds.
     assertTrue(site.closed().size() <= 1, "closed, though they hear: " + site.closed());
     assertTrue(site.deafInUse() > 0, "none of them is used again");
-    assertEquals(List.of(), site.world.rules().violations());
+    assertEquals(List.of(), site.cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -35,7 +35,7 @@
   private static final List<String> QUIET =
       List.of("quiet-1", "quiet-2", "quiet-3", "quiet-4", "quiet-5");
 
-  private final SimulatedCluster world = new SimulatedCluster(site(), 7, Meter.OFF, ON);
+  private final SimulatedCluster cluster = new SimulatedCluster(site(), 7, Meter.OFF, ON);
   private int number = 100;
 
   /**
@@ -120,15 +120,15 @@
             .estimate(TimeSpan.ofSeconds(runS))
             .deadline(dueS > 0 ? TimeSpan.ofSeconds(dueS) : null)
             .build();
-    world.time().at(atS, () -> world.users().submit(job));
+    cluster.time().at(atS, () -> cluster.users().submit(job));
     return id;
   }
 
   private ServiceLevels of(String team, String jobClass) {
-    return world
-        .around()
-        .served()
-        .groups(world.around().now())
+    return cluster
+        .environment()
+        .accounting()
+        .groups(cluster.environment().now())
         .get(new JobAccounting.Group(team, jobClass));
   }
 
@@ -137,8 +137,8 @@
   }
 
   private void run(double untilS) {
-    world.time().runUntil(untilS);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(untilS);
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
   private static final Resources ONE = new Resources(1, 0, 2);
@@ -196,7 +196,7 @@
               0,
               0));
     }
-    services.subList(0, 40).forEach(id -> world.time().at(110, () -> world.users().cancel(id)));
+    services.subList(0, 40).forEach(id -> cluster.time().at(110, () -> cluster.users().cancel(id)));
     for (int i = 0; i < 170; i++) {
       submit(25 + i, LOUD, "batch", Priority.NORMAL, 20, ONE, 10, 60);
     }
@@ -209,16 +209,16 @@
   @Test
   void machinesLostInNumberWhileTheCloudRefuses() {
     burst();
-    world
+    cluster
         .time()
         .at(
             40,
             () -> {
-              world.cloud().outage(100);
-              List<MachineId> machines = world.cloud().machines();
+              cluster.cloud().outage(100);
+              List<MachineId> machines = cluster.cloud().machines();
               machines
                   .subList(0, machines.size() / 2)
-                  .forEach(machine -> world.cloud().terminate(machine, 0));
+                  .forEach(machine -> cluster.cloud().terminate(machine, 0));
             });
     run(300);
     assertQuietTeamsAreServed(0.9, 20);
@@ -292,23 +292,23 @@
     JobId large =
         largeJobUnderRestarts(
             () -> {
-              world.time().at(100, () -> world.crash(Math.max(0, world.leader())));
-              for (int node = 0; node < world.nodeCount(); node++) {
+              cluster.time().at(100, () -> cluster.crash(Math.max(0, cluster.leader())));
+              for (int node = 0; node < cluster.nodeCount(); node++) {
                 int each = node;
-                world.time().at(140, () -> world.crash(each));
+                cluster.time().at(140, () -> cluster.crash(each));
               }
             });
     assertTrue(of("quiet-1", "large").starvedS() < 40, of("quiet-1", "large").toString());
     assertTrue(
-        world.rules().completedTasks(large) >= 300,
-        "of 900: " + world.rules().completedTasks(large));
+        cluster.invariants().completedTasks(large) >= 300,
+        "of 900: " + cluster.invariants().completedTasks(large));
   }
 
   @Test
   void aClockThatJumps() {
     burst();
-    world.time().at(45, () -> world.setClock(-3000));
-    world.time().at(70, () -> world.setClock(3000));
+    cluster.time().at(45, () -> cluster.setClock(-3000));
+    cluster.time().at(70, () -> cluster.setClock(3000));
     run(260);
     assertQuietTeamsAreServed(1, 20);
   }
--- a/src/test/java/org/quincecross/emulator/OwnerWithoutStore.java
+++ b/src/test/java/org/quincecross/emulator/OwnerWithoutStore.java
@@ -12,13 +12,13 @@
    * @param alone the number of the controller that the machines still reach
    * @param forS how long, in seconds
    */
-  static void isolate(SimulatedCluster world, int alone, double forS) {
-    world.state().refuse(ClusterSpec.nodeName(alone), forS);
-    String next = ClusterSpec.nodeName((alone + 1) % world.nodeCount());
-    String other = ClusterSpec.nodeName((alone + 2) % world.nodeCount());
-    for (MachineId machine : world.cloud().machines()) {
-      world.cut(next, machine.text(), forS, true);
-      world.cut(other, machine.text(), forS, true);
+  static void isolate(SimulatedCluster cluster, int alone, double forS) {
+    cluster.state().refuse(ClusterSpec.nodeName(alone), forS);
+    String next = ClusterSpec.nodeName((alone + 1) % cluster.nodeCount());
+    String other = ClusterSpec.nodeName((alone + 2) % cluster.nodeCount());
+    for (MachineId machine : cluster.cloud().machines()) {
+      cluster.cut(next, machine.text(), forS, true);
+      cluster.cut(other, machine.text(), forS, true);
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
@@ -20,9 +20,9 @@
 class ProtocolInvariantsTest {
   private static final JobId ID = new JobId("job-1");
 
-  private final SimulatedCluster world =
+  private final SimulatedCluster cluster =
       new SimulatedCluster(ClusterSpec.tryOut(6, true), 1, Meter.OFF);
-  private final ProtocolInvariants rules = world.rules();
+  private final ProtocolInvariants rules = cluster.invariants();
 
   private Job job(JobId id, double cpus, String team) {
     return Job.builder(id)
@@ -71,7 +71,7 @@
     "cancelled, cancelled, 0"
   })
   void statesThatAreOlder(String before, String state, int count) {
-    world.users().upload(job(ID, 1, "web"));
+    cluster.users().upload(job(ID, 1, "web"));
     rules.completed(ID.task(0));
     rules.onStateReported(ID, state, before, true);
     assertEquals(count, broken("went_back"), rules.violations().toString());
@@ -83,7 +83,7 @@
    */
   @Test
   void twoEnds() {
-    world.users().upload(job(ID, 1, "web"));
+    cluster.users().upload(job(ID, 1, "web"));
     rules.completed(ID.task(0));
     rules.onStateReported(ID, "done", "running", true);
     rules.onStateReported(ID, "done", "running", true);
@@ -133,20 +133,21 @@
             job(new JobId("job-3"), 1, "batch"));
     still.time().runUntil(10);
     for (int node = 0; node < still.nodeCount(); node++) {
-      still.standStill(node, 1000); // nobody starts anything
+      still.suspend(node, 1000); // nobody starts anything
     }
     jobs.forEach(
         each -> {
           still.users().upload(each);
-          still.users().told().put(each.id(), "queued");
+          still.users().reportedStates().put(each.id(), "queued");
         });
-    still.around().troublesAreOver();
+    still.environment().onFaultsEnded();
     still.time().runUntil(99);
-    assertEquals(List.of(), still.rules().violations());
+    assertEquals(List.of(), still.invariants().violations());
     still.time().runUntil(103);
-    assertEquals(1, still.rules().violations().size(), still.rules().violations().toString());
+    assertEquals(
+        1, still.invariants().violations().size(), still.invariants().violations().toString());
     assertTrue(
-        still.rules().violations().get(0).startsWith("idle_room")
-            && still.rules().violations().get(0).contains("job-1"));
+        still.invariants().violations().get(0).startsWith("idle_room")
+            && still.invariants().violations().get(0).contains("job-1"));
   }
 }
--- a/src/test/java/org/quincecross/emulator/RandomScenario.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -39,7 +39,7 @@
   private static final int DAYS_PER_LARGE_JOB = 40;
 
   private final long seed;
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Random random;
   private final LivenessInvariant liveness;
   private final CombinedFaults meetings;
@@ -57,10 +57,10 @@
    * whatever goes on.
    */
   static RandomScenario ofRolls(long seed) {
-    SimulatedCluster world =
+    SimulatedCluster cluster =
         new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF, new Features(null, null, OLD));
-    world.state().applyLate(60);
-    RandomScenario day = new RandomScenario(seed, world);
+    cluster.state().applyLate(60);
+    RandomScenario day = new RandomScenario(seed, cluster);
     day.rollAll(10 + 40 * day.random.nextDouble(), NEW);
     if (day.random.nextBoolean()) {
       day.rollAll(30 + 40 * day.random.nextDouble(), OLD);
@@ -85,33 +85,33 @@
    */
   private void rollAll(double fromS, Build build) {
     double at = fromS;
-    for (int node = 0; node < world.nodeCount(); node++) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
-      world.time().at(at, () -> world.roll(each, build));
+      cluster.time().at(at, () -> cluster.upgrade(each, build));
       at += 1 + random.nextDouble() * 12;
     }
   }
 
-  private RandomScenario(long seed, SimulatedCluster world) {
-    this(seed, world, null);
+  private RandomScenario(long seed, SimulatedCluster cluster) {
+    this(seed, cluster, null);
     for (int i = 0; i < JOBS; i++) {
       int number = 1000 + i;
-      world.time().at(3 + i * 2.2, () -> world.users().submit(number));
+      cluster.time().at(3 + i * 2.2, () -> cluster.users().submit(number));
     }
     if (seed % DAYS_PER_LARGE_JOB == 0) {
-      world.time().at(5, () -> world.users().submitManyTasks(999));
+      cluster.time().at(5, () -> cluster.users().submitManyTasks(999));
     }
     for (double at = FIRST_TROUBLE_S; at < LAST_TROUBLE_S; at += 4 + random.nextDouble() * 14) {
-      world.time().at(at, this::trouble);
+      cluster.time().at(at, this::trouble);
     }
   }
 
-  private RandomScenario(long seed, SimulatedCluster world, CombinedFaults meetings) {
+  private RandomScenario(long seed, SimulatedCluster cluster, CombinedFaults meetings) {
     this.seed = seed;
-    this.world = world;
+    this.cluster = cluster;
     this.meetings = meetings;
-    random = world.random();
-    liveness = new LivenessInvariant(world);
+    random = cluster.random();
+    liveness = new LivenessInvariant(cluster);
   }
 
   /** A day of troubles that meet on purpose, on one of several sites. */
@@ -135,45 +135,45 @@
             site.workers(),
             ClusterSpec.tryOut(9, true).workers(),
             ClusterSpec.mixed(690).workers());
-    SimulatedCluster world =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             site.with(workers.get((int) Math.floorMod(seed, (long) workers.size()))),
             seed,
             Meter.OFF);
     RandomScenario day =
-        new RandomScenario(seed, world, new CombinedFaults(world, seed, only, further));
+        new RandomScenario(seed, cluster, new CombinedFaults(cluster, seed, only, further));
     for (int i = 0; i < JOBS; i++) {
       int number = 1000 + i;
-      world.time().at(3 + i * 2.2, () -> world.users().submit(number));
+      cluster.time().at(3 + i * 2.2, () -> cluster.users().submit(number));
     }
     for (int i = 0; i < MISTAKES; i++) {
-      world.time().at(FIRST_TROUBLE_S + 45 * i, day::mistake);
+      cluster.time().at(FIRST_TROUBLE_S + 45 * i, day::mistake);
     }
     return day;
   }
 
   /** Has more troubles beside those of the day. */
   RandomScenario with(BiConsumer<SimulatedCluster, Long> more) {
-    more.accept(world, seed);
+    more.accept(cluster, seed);
     return this;
   }
 
   /** Plays the day until all work must be over; returns what went wrong. */
   List<String> play() {
     double over = meetings == null ? LAST_TROUBLE_S + LONGEST_TROUBLE_S : meetings.overS();
-    world.time().runUntil(meetings == null ? over + QUIET_S - 80 : over);
-    world.around().troublesAreOver();
-    world.time().runUntil(over + (meetings == null ? QUIET_S : QUIET_AFTER_MEETINGS_S));
+    cluster.time().runUntil(meetings == null ? over + QUIET_S - 80 : over);
+    cluster.environment().onFaultsEnded();
+    cluster.time().runUntil(over + (meetings == null ? QUIET_S : QUIET_AFTER_MEETINGS_S));
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
-    wrong.addAll(world.rules().violations());
-    if (world.rules().starts() <= JOBS) {
-      wrong.add("little was started: " + world.rules().starts());
+    wrong.addAll(cluster.invariants().violations());
+    if (cluster.invariants().starts() <= JOBS) {
+      wrong.add("little was started: " + cluster.invariants().starts());
     }
     if (rolls
-        && !(world.state().value("q/level") instanceof Map<?, ?> level
+        && !(cluster.state().value("q/level") instanceof Map<?, ?> level
             && level.get("level").equals(2L))) {
-      wrong.add("all have the new build, and the level is " + world.state().value("q/level"));
+      wrong.add("all have the new build, and the level is " + cluster.state().value("q/level"));
     }
     if (meetings != null) {
       wrong.addAll(unserved());
@@ -190,10 +190,10 @@
    */
   private List<String> unserved() {
     List<String> unserved = new ArrayList<>();
-    world
-        .around()
-        .served()
-        .largest(world.around().now())
+    cluster
+        .environment()
+        .accounting()
+        .largest(cluster.environment().now())
         .forEach(
             (name, parts) ->
                 parts.forEach(
@@ -202,20 +202,20 @@
                         unserved.add("largest of " + name + ": " + part);
                       }
                     }));
-    world
-        .around()
-        .served()
-        .classes(world.around().now())
+    cluster
+        .environment()
+        .accounting()
+        .classes(cluster.environment().now())
         .forEach(
             (name, served) -> {
               if (served.startedShare() < 0.5) {
                 unserved.add("class " + name + ": " + served);
               }
             });
-    world
-        .around()
-        .served()
-        .teams(world.around().now())
+    cluster
+        .environment()
+        .accounting()
+        .teams(cluster.environment().now())
         .forEach(
             (name, served) -> {
               if (served.startedShare() < 0.5) {
@@ -226,68 +226,70 @@
   }
 
   private void trouble() {
-    int node = random.nextInt(world.nodeCount());
+    int node = random.nextInt(cluster.nodeCount());
     double length = 3 + random.nextDouble() * (LONGEST_TROUBLE_S - 3);
     boolean lose = random.nextBoolean();
-    List<MachineId> machines = world.cloud().machines();
+    List<MachineId> machines = cluster.cloud().machines();
     MachineId machine =
         machines.isEmpty() ? new MachineId("none") : machines.get(random.nextInt(machines.size()));
     switch (random.nextInt(20)) {
-      case 0 -> world.crash(node);
+      case 0 -> cluster.crash(node);
       case 1 -> {
-        for (int i = 0; i < world.nodeCount(); i++) {
-          world.crash(i);
+        for (int i = 0; i < cluster.nodeCount(); i++) {
+          cluster.crash(i);
         }
       }
-      case 2 -> world.state().outage(length);
-      case 3 -> world.state().refuse(ClusterSpec.nodeName(node), length);
-      case 4 -> world.cut(ClusterSpec.nodeName(node), "state", length, lose);
+      case 2 -> cluster.state().outage(length);
+      case 3 -> cluster.state().refuse(ClusterSpec.nodeName(node), length);
+      case 4 -> cluster.cut(ClusterSpec.nodeName(node), "state", length, lose);
       case 5 ->
           machines.forEach(
               each ->
-                  world.cut(ClusterSpec.nodeName(node), each.text(), length, random.nextBoolean()));
+                  cluster.cut(
+                      ClusterSpec.nodeName(node), each.text(), length, random.nextBoolean()));
       case 6 ->
-          world.cut(
+          cluster.cut(
               ClusterSpec.nodeName(node),
-              ClusterSpec.nodeName((node + 1) % world.nodeCount()),
+              ClusterSpec.nodeName((node + 1) % cluster.nodeCount()),
               length,
               lose);
       case 7 -> {
-        for (int i = 0; i < world.nodeCount(); i++) {
-          world.cut(ClusterSpec.nodeName(i), machine.text(), length, random.nextBoolean());
+        for (int i = 0; i < cluster.nodeCount(); i++) {
+          cluster.cut(ClusterSpec.nodeName(i), machine.text(), length, random.nextBoolean());
         }
       }
-      case 8 -> world.cloud().outage(length);
+      case 8 -> cluster.cloud().outage(length);
       case 9 ->
           machines.stream()
               .filter(each -> random.nextInt(4) == 0)
-              .forEach(each -> world.cloud().terminate(each, 3 + random.nextDouble() * 15));
-      case 10 -> new ZonePartitions(world).zone(node % world.site().zones().size(), length, lose);
+              .forEach(each -> cluster.cloud().terminate(each, 3 + random.nextDouble() * 15));
+      case 10 ->
+          new ZonePartitions(cluster).zone(node % cluster.site().zones().size(), length, lose);
       case 11 ->
           machines.forEach(
               each ->
-                  world.cut(
-                      ClusterSpec.nodeName(random.nextInt(world.nodeCount())),
+                  cluster.cut(
+                      ClusterSpec.nodeName(random.nextInt(cluster.nodeCount())),
                       each.text(),
                       3 + random.nextDouble() * 5,
                       random.nextBoolean()));
-      case 12 -> world.cloud().terminate(machine, 0);
-      case 13 -> world.silence(node, length, lose);
-      case 14 -> world.standStill(node, length);
+      case 12 -> cluster.cloud().terminate(machine, 0);
+      case 13 -> cluster.isolate(node, length, lose);
+      case 14 -> cluster.suspend(node, length);
       case 15 -> {
-        world.standStill(node, length / 3);
-        world
+        cluster.suspend(node, length / 3);
+        cluster
             .time()
             .at(
-                world.time().seconds() + length / 4,
-                () -> world.standStill((node + 1) % world.nodeCount(), length / 2));
+                cluster.time().seconds() + length / 4,
+                () -> cluster.suspend((node + 1) % cluster.nodeCount(), length / 2));
       }
-      case 16 -> world.users().storm(2 + random.nextInt(20), length);
-      case 17 -> world.lone(node, length, lose);
+      case 16 -> cluster.users().multiplyPolls(2 + random.nextInt(20), length);
+      case 17 -> cluster.separate(node, length, lose);
       case 18 ->
           machines.stream()
               .filter(each -> random.nextInt(4) == 0)
-              .forEach(each -> world.deafen(each, length));
+              .forEach(each -> cluster.dropInbound(each, length));
       default -> mistake();
     }
   }
@@ -296,7 +298,7 @@
   private void mistake() {
     JobKind kind = JobKind.values()[random.nextInt(JobKind.values().length)];
     Job job =
-        Job.builder(new JobId("job-" + (5000 + world.users().mistakes().size())))
+        Job.builder(new JobId("job-" + (5000 + cluster.users().misconfiguredAttempts().size())))
             .jobClass("mistake")
             .team(random.nextBoolean() ? "blue" : "red")
             .kind(kind)
@@ -308,11 +310,11 @@
             .imageGb(1)
             .estimate(TimeSpan.ofSeconds(10))
             .build();
-    world.users().submitMistaken(job);
-    world
+    cluster.users().submitMisconfigured(job);
+    cluster
         .time()
         .at(
-            world.time().seconds() + 20 + random.nextDouble() * 60,
-            () -> world.users().cancel(job.id()));
+            cluster.time().seconds() + 20 + random.nextDouble() * 60,
+            () -> cluster.users().cancel(job.id()));
   }
 }
--- a/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
@@ -41,17 +41,18 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
   void aHolderWithoutWordStopsInTimeForCancellations(int alone) {
-    SimulatedCluster world = new SimulatedCluster(1);
+    SimulatedCluster cluster = new SimulatedCluster(1);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       int number = i;
-      world.time().at(5 + i * 0.1, () -> jobs.add(world.users().submitService(number)));
+      cluster.time().at(5 + i * 0.1, () -> jobs.add(cluster.users().submitService(number)));
     }
-    world.time().at(20, () -> OwnerWithoutStore.isolate(world, alone, 90));
-    world.time().at(24, () -> jobs.forEach(world.users()::cancel));
-    world.time().runUntil(150);
-    assertEquals(12, world.users().told().values().stream().filter("cancelled"::equals).count());
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().at(20, () -> OwnerWithoutStore.isolate(cluster, alone, 90));
+    cluster.time().at(24, () -> jobs.forEach(cluster.users()::cancel));
+    cluster.time().runUntil(150);
+    assertEquals(
+        12, cluster.users().reportedStates().values().stream().filter("cancelled"::equals).count());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
   /**
@@ -62,15 +63,15 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void aGangLargerThanAnyBlockRuns(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
-    world.time().at(5, () -> world.users().submitLargeGang(1, 8));
+    SimulatedCluster cluster = new SimulatedCluster(seed);
+    cluster.time().at(5, () -> cluster.users().submitLargeGang(1, 8));
     for (int i = 0; i < seed; i++) {
-      int node = i % world.nodeCount();
-      world.time().at(8 + 11 * i, () -> world.crash(node));
+      int node = i % cluster.nodeCount();
+      cluster.time().at(8 + 11 * i, () -> cluster.crash(node));
     }
-    world.time().runUntil(300);
-    assertEquals(List.of(), world.rules().violations());
-    assertEquals("done", world.users().told().get(new JobId("job-1")));
+    cluster.time().runUntil(300);
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertEquals("done", cluster.users().reportedStates().get(new JobId("job-1")));
   }
 
   /**
@@ -79,27 +80,27 @@
    */
   @Test
   void whatMakesNoProgressIsNamedWithWhatItWaitsFor() throws MalformedMessageException {
-    SimulatedCluster world = new SimulatedCluster(3);
-    world.time().at(5, () -> world.users().submitService(2));
-    world.time().at(8, () -> world.users().submitLargeGang(1, 8));
-    world.time().runUntil(120);
-    assertEquals(Set.of(), stalled(world));
-    world.time().runUntil(160);
+    SimulatedCluster cluster = new SimulatedCluster(3);
+    cluster.time().at(5, () -> cluster.users().submitService(2));
+    cluster.time().at(8, () -> cluster.users().submitLargeGang(1, 8));
+    cluster.time().runUntil(120);
+    assertEquals(Set.of(), stalled(cluster));
+    cluster.time().runUntil(160);
     assertEquals(
         Set.of(
             "job-1 [8 tasks in the pool: team red uses Resources[cpus=1.0, gpus=0.0, memoryGb=2.0] of its limit "
                 + "Resources[cpus=40.0, gpus=Infinity, memoryGb=1.0E9]]"),
-        stalled(world));
-    world.time().at(161, () -> world.users().cancel(new JobId("job-2")));
-    world.time().runUntil(400);
-    assertEquals("done", world.users().told().get(new JobId("job-1")));
-    assertEquals(Set.of(), stalled(world));
+        stalled(cluster));
+    cluster.time().at(161, () -> cluster.users().cancel(new JobId("job-2")));
+    cluster.time().runUntil(400);
+    assertEquals("done", cluster.users().reportedStates().get(new JobId("job-1")));
+    assertEquals(Set.of(), stalled(cluster));
   }
 
-  private static Set<String> stalled(SimulatedCluster world) throws MalformedMessageException {
+  private static Set<String> stalled(SimulatedCluster cluster) throws MalformedMessageException {
     Set<String> stalled = new TreeSet<>();
-    for (int node = 0; node < world.nodeCount(); node++) {
-      for (JsonFields stall : world.status(node).objects("stalled")) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
+      for (JsonFields stall : cluster.status(node).objects("stalled")) {
         stalled.add(stall.string("job") + " " + stall.strings("waits_for"));
       }
     }
@@ -113,28 +114,29 @@
    */
   @Test
   void whatWasCancelledBeforeACrashOfAllDoesNotStartAfterIt() {
-    SimulatedCluster world = new SimulatedCluster(2);
-    world.time().at(5, () -> world.users().submitArray(1, 16));
-    world.time().at(20, () -> world.users().cancel(new JobId("job-1")));
+    SimulatedCluster cluster = new SimulatedCluster(2);
+    cluster.time().at(5, () -> cluster.users().submitArray(1, 16));
+    cluster.time().at(20, () -> cluster.users().cancel(new JobId("job-1")));
     boolean[] down = new boolean[1];
     for (int i = 0; i < 400; i++) {
-      world
+      cluster
           .time()
           .at(
               20 + i * 0.005,
               () -> {
                 if (!down[0]
-                    && "cancelled".equals(world.rules().lastReportedState(new JobId("job-1")))) {
+                    && "cancelled"
+                        .equals(cluster.invariants().lastReportedState(new JobId("job-1")))) {
                   down[0] = true;
-                  world.state().outage(50);
-                  for (int node = 0; node < world.nodeCount(); node++) {
-                    world.crash(node);
+                  cluster.state().outage(50);
+                  for (int node = 0; node < cluster.nodeCount(); node++) {
+                    cluster.crash(node);
                   }
                 }
               });
     }
-    world.time().runUntil(150);
+    cluster.time().runUntil(150);
     assertTrue(down[0]);
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -126,48 +126,49 @@
    * troubles that meet.
    */
   private void troubles() {
-    new RandomScenario(40).with((world, seed) -> watch(world, 300)).play();
-    RandomScenario.ofPipelines(42).with((world, seed) -> watch(world, 200)).play();
-    RandomScenario.ofRolls(43).with((world, seed) -> watch(world, 200)).play();
-    RandomScenario.ofFurtherMeetings(44).with((world, seed) -> watch(world, 200)).play();
+    new RandomScenario(40).with((cluster, seed) -> watch(cluster, 300)).play();
+    RandomScenario.ofPipelines(42).with((cluster, seed) -> watch(cluster, 200)).play();
+    RandomScenario.ofRolls(43).with((cluster, seed) -> watch(cluster, 200)).play();
+    RandomScenario.ofFurtherMeetings(44).with((cluster, seed) -> watch(cluster, 200)).play();
   }
 
-  private void watch(SimulatedCluster world, double untilS) {
-    world.observe(recorder);
+  private void watch(SimulatedCluster cluster, double untilS) {
+    cluster.observe(recorder);
     for (double at = 20; at < untilS; at += 45) {
-      world.time().at(at, () -> askEverything(world));
+      cluster.time().at(at, () -> askEverything(cluster));
     }
   }
 
   /** Asks each controller that is up what operators ask, and submits what cannot be accepted. */
-  private void askEverything(SimulatedCluster world) {
-    for (int node = 0; node < world.nodeCount(); node++) {
-      if (world.status(node) == null) {
+  private void askEverything(SimulatedCluster cluster) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
+      if (cluster.status(node) == null) {
         continue;
       }
       for (String path : ADMIN_PATHS) {
-        ask(world, node, HttpRequest.get(path));
+        ask(cluster, node, HttpRequest.get(path));
       }
       for (String body : BAD_JOBS) {
-        ask(world, node, HttpRequest.post("/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
+        ask(cluster, node, HttpRequest.post("/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
         ask(
-            world,
+            cluster,
             node,
             new HttpRequest(
                 "PUT", "/admin/settings", body.getBytes(StandardCharsets.UTF_8), false));
-        ask(world, node, HttpRequest.post("/agent/beat", body.getBytes(StandardCharsets.UTF_8)));
+        ask(cluster, node, HttpRequest.post("/agent/beat", body.getBytes(StandardCharsets.UTF_8)));
       }
-      ask(world, node, HttpRequest.get("/v2/runs/job-999999"));
-      ask(world, node, HttpRequest.delete("/v2/runs/job-999999"));
+      ask(cluster, node, HttpRequest.get("/v2/runs/job-999999"));
+      ask(cluster, node, HttpRequest.delete("/v2/runs/job-999999"));
     }
   }
 
-  private void ask(SimulatedCluster world, int node, HttpRequest request) {
-    world.ask(node, request, response -> recorder.answered("controller", request, response));
+  private void ask(SimulatedCluster cluster, int node, HttpRequest request) {
+    cluster.sendDirectly(
+        node, request, response -> recorder.answered("controller", request, response));
   }
 
-  private static void runUntil(SimulatedCluster world, double seconds) {
-    world.time().runUntil(seconds);
+  private static void runUntil(SimulatedCluster cluster, double seconds) {
+    cluster.time().runUntil(seconds);
   }
 
   /**
@@ -176,30 +177,30 @@
    */
   private void overload() {
     ClusterSpec site = ClusterSpec.fleet(60);
-    SimulatedCluster world =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             site,
             45,
             Meter.OFF,
             new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
-    watch(world, 120);
-    WorkloadGenerator load = new WorkloadGenerator(world.around(), 45);
-    world.time().at(10, () -> load.begin(10));
-    world.time().at(70, () -> world.crash(Math.max(0, world.leader())));
-    runUntil(world, 130);
+    watch(cluster, 120);
+    WorkloadGenerator load = new WorkloadGenerator(cluster.environment(), 45);
+    cluster.time().at(10, () -> load.begin(10));
+    cluster.time().at(70, () -> cluster.crash(Math.max(0, cluster.leader())));
+    runUntil(cluster, 130);
   }
 
   /** Gangs, large arrays and an operator's change of the settings. */
   private void mixedFleet() {
-    SimulatedCluster world =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             ClusterSpec.mixed(120),
             46,
             Meter.OFF,
             new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
-    watch(world, 120);
-    WorkloadGenerator load = new WorkloadGenerator(world.around(), 46);
-    world.time().at(10, () -> load.begin(10));
+    watch(cluster, 120);
+    WorkloadGenerator load = new WorkloadGenerator(cluster.environment(), 46);
+    cluster.time().at(10, () -> load.begin(10));
     // Waits on more jobs than its own record has room for.
     Set<JobId> predecessors =
         IntStream.range(0, 130)
@@ -207,18 +208,18 @@
             .collect(Collectors.toSet());
     for (int i = 0; i < predecessors.size(); i++) {
       int number = 900_000 + i;
-      world.time().at(8 + 0.1 * i, () -> world.users().submit(array(world, number)));
+      cluster.time().at(8 + 0.1 * i, () -> cluster.users().submit(array(cluster, number)));
     }
-    world
+    cluster
         .time()
-        .at(50, () -> world.users().submit(array(world, 998).withDependencies(predecessors)));
-    world
+        .at(50, () -> cluster.users().submit(array(cluster, 998).withDependencies(predecessors)));
+    cluster
         .time()
         .at(
             40,
             () ->
                 ask(
-                    world,
+                    cluster,
                     0,
                     new HttpRequest(
                         "PUT",
@@ -226,7 +227,7 @@
                         "{\"version\": 0, \"settings\": {\"spare_tasks\": 3, \"gone\": [\"n9\"]}}"
                             .getBytes(StandardCharsets.UTF_8),
                         false)));
-    runUntil(world, 150);
+    runUntil(cluster, 150);
   }
 
   /**
@@ -240,10 +241,10 @@
     }
   }
 
-  private static Job array(SimulatedCluster world, int number) {
+  private static Job array(SimulatedCluster cluster, int number) {
     return Job.builder(new JobId("job-" + number))
         .jobClass("sync")
-        .team(world.site().teams().keySet().iterator().next())
+        .team(cluster.site().teams().keySet().iterator().next())
         .kind(JobKind.ARRAY)
         .priority(Priority.NORMAL)
         .taskCount(5)
@@ -265,13 +266,13 @@
    * settings and features of that sort: the status, and the field that the answer names.
    */
   static List<String> malformed() throws MalformedMessageException {
-    SimulatedCluster world = new SimulatedCluster(ClusterSpec.mixed(120), 50, Meter.OFF);
-    runUntil(world, 20);
+    SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.mixed(120), 50, Meter.OFF);
+    runUntil(cluster, 20);
     List<String> lines = new ArrayList<>();
-    Map<String, Object> job = JobCodec.writeSubmission(array(world, 997));
+    Map<String, Object> job = JobCodec.writeSubmission(array(cluster, 997));
     job.put(JobCodec.DEPENDENCIES, List.of("job-1"));
     for (Map.Entry<String, Object> bad : spoilt(job).entrySet()) {
-      world.ask(
+      cluster.sendDirectly(
           0,
           HttpRequest.post(JobCodec.JOBS_PATH, Json.write(bad.getValue())),
           response ->
@@ -283,7 +284,7 @@
                       + ": "
                       + response.status()
                       + named(new String(response.body(), StandardCharsets.UTF_8))));
-      runUntil(world, world.time().seconds() + 1);
+      runUntil(cluster, cluster.time().seconds() + 1);
     }
     Map<String, Object> operators =
         Json.object(
@@ -304,7 +305,7 @@
                 "gone",
                 List.of("n9")));
     for (Map.Entry<String, Object> bad : spoilt(operators).entrySet()) {
-      world.ask(
+      cluster.sendDirectly(
           0,
           new HttpRequest("PUT", "/admin/settings", Json.write(bad.getValue()), false),
           response ->
@@ -314,7 +315,7 @@
                       + ": "
                       + response.status()
                       + named(new String(response.body(), StandardCharsets.UTF_8))));
-      runUntil(world, world.time().seconds() + 1);
+      runUntil(cluster, cluster.time().seconds() + 1);
     }
     List<Endpoint> nodes =
         IntStream.range(0, 3).mapToObj(i -> new Endpoint("10.0.0." + i, 80)).toList();
@@ -401,28 +402,28 @@
 
   private void holds() throws MalformedMessageException {
     LegalHoldCluster site = new LegalHoldCluster(SWEEPS, 30, 47);
-    watch(site.world, 160);
+    watch(site.cluster, 160);
     site.told("sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
     site.at(44, () -> site.open(0, "ref-1", "r1", "cdr/2025-03"));
     site.at(46, () -> site.openFrom(1, "ref-2", "r2", 60, "cdr/2025-04"));
     site.at(48, () -> site.open(1, "ref-3", "r3", "not a record"));
     site.at(80, () -> site.close(2, "ref-1", "c1", 1));
-    site.at(90, () -> site.world.crash(Math.max(0, site.world.leader())));
+    site.at(90, () -> site.cluster.crash(Math.max(0, site.cluster.leader())));
     site.at(100, () -> site.close(0, "ref-2", "c2", 1));
-    runUntil(site.world, 170);
+    runUntil(site.cluster, 170);
   }
 
   private void models() throws MalformedMessageException {
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), 48);
-    watch(site.world, 150);
+    watch(site.cluster, 150);
     site.submitAt(
         ModelServingCluster.DEFINED_S - 0.5,
         ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
-    runUntil(site.world, ModelServingCluster.DEFINED_S);
+    runUntil(site.cluster, ModelServingCluster.DEFINED_S);
     site.define("m", 100, 2, 4);
     site.wakeAt(50, 1, "m");
     for (int i = 0; i < 30; i++) {
-      site.world
+      site.cluster
           .time()
           .at(
               60 + i,
@@ -430,14 +431,14 @@
                   site.send(
                       1, "m/load", Map.of("from", "gateway", "in_flight", 30), response -> {}));
     }
-    site.world
+    site.cluster
         .time()
         .at(110, () -> site.send(0, "m/drain", Map.of("request", "d1"), response -> {}));
-    runUntil(site.world, 160);
+    runUntil(site.cluster, 160);
   }
 
   private void requests() {
-    SimulatedCluster world =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             ClusterSpec.tryOut(30, true),
             49,
@@ -447,7 +448,7 @@
                 null,
                 Build.present("requests", 3),
                 Map.of("requests", Map.of("share", 0.5))));
-    watch(world, 130);
+    watch(cluster, 130);
     List<Map<String, Object>> commands = new ArrayList<>();
     for (String kind : List.of("police", "carrier")) {
       commands.add(
@@ -479,13 +480,13 @@
     for (int i = 0; i < commands.size(); i++) {
       Map<String, Object> command = commands.get(i);
       int number = i;
-      world
+      cluster
           .time()
           .at(
               40 + 15 * i,
               () ->
                   ask(
-                      world,
+                      cluster,
                       number % 3,
                       HttpRequest.post(
                           "/admin/agreed/requests/ref-" + number % 2,
@@ -493,6 +494,6 @@
                               Json.object(
                                   "request", "r-" + number, "by", "clerk", "command", command)))));
     }
-    runUntil(world, 140);
+    runUntil(cluster, 140);
   }
 }
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
@@ -38,19 +38,19 @@
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
   void eachRequestIsOneChange(long seed, int trouble) throws MalformedMessageException {
     ReplicatedRecordCluster drawn = new ReplicatedRecordCluster(seed);
-    drawn.world.state().applyLate(4);
+    drawn.cluster.state().applyLate(4);
     for (int i = 0; i < 30; i++) {
       String name = "pass-" + i;
       int node = i;
       double at = ReplicatedRecordCluster.READY_S + 20 + 0.7 * i;
-      drawn.world.time().at(at, () -> drawn.ask(node, "count", name, "pass"));
-      drawn.world.time().at(at + 0.003, () -> drawn.ask(node + 1, "count", name, "pass"));
-      drawn.world.time().at(at + 40, () -> drawn.ask(node + 2, "count", name, "pass"));
+      drawn.cluster.time().at(at, () -> drawn.ask(node, "count", name, "pass"));
+      drawn.cluster.time().at(at + 0.003, () -> drawn.ask(node + 1, "count", name, "pass"));
+      drawn.cluster.time().at(at + 40, () -> drawn.ask(node + 2, "count", name, "pass"));
     }
-    drawn.world.time().at(ReplicatedRecordCluster.READY_S + 30, () -> drawn.trouble(trouble));
+    drawn.cluster.time().at(ReplicatedRecordCluster.READY_S + 30, () -> drawn.trouble(trouble));
     // A request is known for two minutes by its name: later ones wait until there is room for
     // theirs.
-    drawn.world.time().runUntil(ReplicatedRecordCluster.READY_S + 700);
+    drawn.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 700);
     assertEquals(List.of(), drawn.wrong);
     assertEquals(30, drawn.told.size(), () -> drawn.told.keySet().toString());
     assertEquals(Set.copyOf(drawn.told.values()).size(), 30);
@@ -69,29 +69,31 @@
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
   void whatIsKeptBackDoesNotRun(long seed, int trouble) throws MalformedMessageException {
     ReplicatedRecordCluster drawn = new ReplicatedRecordCluster(seed);
-    drawn.world.state().applyLate(20);
+    drawn.cluster.state().applyLate(20);
     int i = 0;
     for (JobId id : drawn.jobs.keySet()) {
       int n = ++i;
       drawn
-          .world
+          .cluster
           .time()
           .at(
               ReplicatedRecordCluster.READY_S + 10 + 0.9 * n,
               () -> drawn.ask(n, id.text(), "close-" + id, "close"));
       drawn
-          .world
+          .cluster
           .time()
           .at(
               ReplicatedRecordCluster.READY_S + 110 + 0.9 * n,
               () -> drawn.ask(n + 1, id.text(), "open-" + id, "open"));
     }
-    drawn.world.time().at(ReplicatedRecordCluster.READY_S + 16, () -> drawn.trouble(trouble));
-    drawn.world.time().runUntil(ReplicatedRecordCluster.READY_S + 109);
+    drawn.cluster.time().at(ReplicatedRecordCluster.READY_S + 16, () -> drawn.trouble(trouble));
+    drawn.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 109);
     assertEquals(drawn.jobs.keySet(), drawn.proven.keySet());
-    assertEquals(0, drawn.world.rules().onMachines());
+    assertEquals(0, drawn.cluster.invariants().onMachines());
     for (JobId id : drawn.jobs.keySet()) {
-      assertTrue(Set.of("queued", "done").contains(drawn.world.users().told().get(id)), id.text());
+      assertTrue(
+          Set.of("queued", "done").contains(drawn.cluster.users().reportedStates().get(id)),
+          id.text());
     }
     drawn.assertAllIsWell(ReplicatedRecordCluster.READY_S + 360);
   }
@@ -102,7 +104,7 @@
    */
   @Test
   void whatWasPlannedBeforeItWasKeptBackIsNotAllocated() throws MalformedMessageException {
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     JobId late = new JobId("job-4711");
     Job like =
         day.jobs.values().stream()
@@ -124,25 +126,25 @@
             .checkpointCost(like.checkpointCost())
             .build();
     day.jobs.put(late, job);
-    day.world.mishapAt(
+    day.cluster.injectFaultAt(
         request ->
             request.startsWith("POST /txn")
                 && (request.contains("q/alloc") || request.contains("q/change"))
                 && request.contains("\"4711\""),
         2,
-        SimulatedCluster.Mishap.STILL_BEFORE);
-    day.world.users().submit(job);
+        SimulatedCluster.SendFault.STILL_BEFORE);
+    day.cluster.users().submit(job);
     double until = ReplicatedRecordCluster.READY_S + 11;
-    while (day.world.mishapHit() < 0 && until < ReplicatedRecordCluster.READY_S + 15) {
+    while (day.cluster.faultedController() < 0 && until < ReplicatedRecordCluster.READY_S + 15) {
       until += 0.01;
-      day.world.time().runUntil(until);
+      day.cluster.time().runUntil(until);
     }
-    int leader = day.world.mishapHit();
+    int leader = day.cluster.faultedController();
     assertTrue(leader >= 0, "never allocated");
     day.ask(leader + 1, late.text(), "close", "close");
-    day.world.time().runUntil(until + 1.5);
+    day.cluster.time().runUntil(until + 1.5);
     assertTrue(day.proven.containsKey(late), "not proven before the transaction is sent");
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 30);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 30);
     assertEquals(List.of(), day.wrong);
     day.ask(leader, late.text(), "open", "open");
     day.assertAllIsWell(ReplicatedRecordCluster.READY_S + 200);
@@ -154,52 +156,52 @@
    */
   @Test
   void refusedUntilAllHaveIt() throws MalformedMessageException {
-    day.world.install(2, ReplicatedRecordCluster.OLD);
-    day.world.crash(2);
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    day.cluster.install(2, ReplicatedRecordCluster.OLD);
+    day.cluster.crash(2);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     List<String> answers = new ArrayList<>();
     for (int node = 0; node < 3; node++) {
-      day.world.ask(
+      day.cluster.sendDirectly(
           node,
           ReplicatedRecordCluster.post("count", "early", "pass"),
           response -> answers.add(response.status() + " " + new String(response.body(), UTF_8)));
     }
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
     assertEquals(3, answers.size());
     for (String answer : answers) {
       assertTrue(
           answer.startsWith("409") && answer.contains("n2, whose build (old) ends at level 2"),
           answer);
     }
-    assertTrue(day.world.state().keysWithPrefix("q/agreed/").isEmpty());
-    day.world.roll(2, ReplicatedRecordCluster.NEW);
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 40);
+    assertTrue(day.cluster.state().keysWithPrefix("q/agreed/").isEmpty());
+    day.cluster.upgrade(2, ReplicatedRecordCluster.NEW);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 40);
     day.ask(2, "count", "early", "pass");
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 42);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 42);
     assertEquals(1L, day.told.get("early"));
   }
 
   /** All know of a change soon; with one cut off it is known by time, and not before. */
   @Test
   void sinceWhenAllKnow() {
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     day.ask(0, "count", "first", "pass");
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
     Revision first = day.gates[0].index.get("count").version();
     assertEquals(
         ReplicationBarrier.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
-    day.world.silence(2, 120, true);
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 18);
+    day.cluster.isolate(2, 120, true);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 18);
     day.ask(0, "count", "second", "pass");
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 20);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20);
     Revision second = day.gates[0].index.get("count").version();
     ReplicationBarrier.Status answer = day.gates[0].base.known().of(second);
     assertEquals(ReplicationBarrier.State.SPREADING, answer.state());
     assertEquals("[n2]", answer.missing().toString());
     double left = answer.latest().since(day.gates[0].base.timers().now()).seconds();
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 20 + left - 0.5);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20 + left - 0.5);
     assertEquals(ReplicationBarrier.State.SPREADING, day.gates[0].base.known().of(second).state());
-    day.world.time().runUntil(day.world.time().seconds() + 1.5);
+    day.cluster.time().runUntil(day.cluster.time().seconds() + 1.5);
     assertEquals(
         ReplicationBarrier.State.KNOWN_BY_TIME, day.gates[0].base.known().of(second).state());
   }
@@ -211,18 +213,18 @@
   @ParameterizedTest
   @ValueSource(strings = {"q/agreed/gate/job-1", "q/agreed/unknown/x"})
   void whatCannotBeReadIsNotIgnored(String key) throws MalformedMessageException {
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
-    day.world
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    day.cluster
         .state()
         .write(key, Json.object("must", true, "change", 1, "state", "from the future"));
-    day.world.time().runUntil(ReplicatedRecordCluster.READY_S + 16);
+    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 16);
     for (int node = 0; node < 3; node++) {
       assertTrue(
-          day.world.status(node).string("unable").contains(key),
-          day.world.status(node).string("unable"));
+          day.cluster.status(node).string("unable").contains(key),
+          day.cluster.status(node).string("unable"));
     }
-    day.world.state().write(key, null);
+    day.cluster.state().write(key, null);
     day.assertAllIsWell(ReplicatedRecordCluster.READY_S + 260);
-    assertFalse(day.world.leader() < 0);
+    assertFalse(day.cluster.leader() < 0);
   }
 }
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
@@ -119,7 +119,7 @@
 
   private final ClusterSpec site = ClusterSpec.tryOut(30, true);
   final Gates[] gates = new Gates[3];
-  final SimulatedCluster world;
+  final SimulatedCluster cluster;
   final Map<JobId, Job> jobs = new TreeMap<>();
   final List<String> wrong = new ArrayList<>();
 
@@ -132,11 +132,11 @@
   final Map<String, Long> told = new TreeMap<>();
 
   ReplicatedRecordCluster(long seed) throws MalformedMessageException {
-    world =
+    cluster =
         new SimulatedCluster(
             site, seed, Meter.OFF, new Features(null, null, NEW, Map.of()), this::prepare);
-    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
-      world.time().at(READY_S - 25 + due.atS(), () -> world.users().submit(due.job()));
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
+      cluster.time().at(READY_S - 25 + due.atS(), () -> cluster.users().submit(due.job()));
       jobs.put(due.job().id(), due.job());
     }
     watch();
@@ -151,13 +151,13 @@
    * of any, until its gate opens.
    */
   private void watch() {
-    world
+    cluster
         .time()
         .after(
             0.02,
             () -> {
               for (JobId id : jobs.keySet()) {
-                Object record = world.state().value("q/agreed/gate/" + id.text());
+                Object record = cluster.state().value("q/agreed/gate/" + id.text());
                 if (!(record instanceof Map<?, ?> map
                     && map.get("state") instanceof Map<?, ?> state
                     && Boolean.TRUE.equals(state.get("closed")))) {
@@ -177,14 +177,14 @@
                   } else if (proven.containsKey(id) && revision.isAfter(proven.get(id).by())) {
                     wrong.add(
                         "at "
-                            + world.time().seconds()
+                            + cluster.time().seconds()
                             + " allocated after it was proven gone: "
                             + id);
                   }
                 }
-                if (proven.containsKey(id) && world.rules().onMachines(id) > 0) {
+                if (proven.containsKey(id) && cluster.invariants().onMachines(id) > 0) {
                   wrong.add(
-                      "at " + world.time().seconds() + " runs after it was proven gone: " + id);
+                      "at " + cluster.time().seconds() + " runs after it was proven gone: " + id);
                 }
               }
               watch();
@@ -203,13 +203,13 @@
 
   /** Asks one controller after the other by the same name until it is known what became of it. */
   void ask(int node, String id, String request, String what) {
-    world
-        .around()
+    cluster
+        .environment()
         .network()
         .call(
             new ProcessScope(),
             "operator",
-            world.around().node(node % 3),
+            cluster.environment().node(node % 3),
             post(id, request, what),
             TimeSpan.ofSeconds(6),
             outcome -> {
@@ -218,7 +218,7 @@
               } else if (outcome.status() == 0
                   || outcome.status() == 503
                   || outcome.status() == 429) {
-                world.time().after(1, () -> ask(node + 1, id, request, what));
+                cluster.time().after(1, () -> ask(node + 1, id, request, what));
               } else {
                 wrong.add(
                     request
@@ -245,8 +245,9 @@
     HttpResponse[] last = new HttpResponse[1];
     for (int i = 0; i < 10 && (last[0] == null || last[0].status() == 503); i++) {
       last[0] = null;
-      world.ask(node, HttpRequest.get("/admin/agreed" + path), response -> last[0] = response);
-      world.time().runUntil(world.time().seconds() + 1);
+      cluster.sendDirectly(
+          node, HttpRequest.get("/admin/agreed" + path), response -> last[0] = response);
+      cluster.time().runUntil(cluster.time().seconds() + 1);
     }
     assertEquals(200, last[0].status());
     return Json.parseFields(last[0].body());
@@ -254,29 +255,29 @@
 
   void trouble(int which) {
     switch (which) {
-      case 0 -> world.state().outage(8);
+      case 0 -> cluster.state().outage(8);
       case 1 -> {
         for (int node = 0; node < 3; node++) {
-          world.crash(node);
+          cluster.crash(node);
         }
       }
-      case 2 -> world.crash(Math.max(0, world.leader()));
-      case 3 -> world.standStill(Math.max(0, world.leader()), 9);
-      case 4 -> world.silence(Math.max(0, world.leader()), 20, true);
-      default -> world.state().refuse(ClusterSpec.nodeName(Math.max(0, world.leader())), 20);
+      case 2 -> cluster.crash(Math.max(0, cluster.leader()));
+      case 3 -> cluster.suspend(Math.max(0, cluster.leader()), 9);
+      case 4 -> cluster.isolate(Math.max(0, cluster.leader()), 20, true);
+      default -> cluster.state().refuse(ClusterSpec.nodeName(Math.max(0, cluster.leader())), 20);
     }
   }
 
   void assertAllIsWell(double untilS) {
-    world.time().runUntil(untilS);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(untilS);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(List.of(), wrong);
     jobs.forEach(
         (id, job) -> {
           if (job.kind() == JobKind.ARRAY) {
-            assertEquals("done", world.users().told().get(id), id.text());
+            assertEquals("done", cluster.users().reportedStates().get(id), id.text());
           } else {
-            assertEquals(job.taskCount(), world.rules().onMachines(id), id.text());
+            assertEquals(job.taskCount(), cluster.invariants().onMachines(id), id.text());
           }
         });
   }
--- a/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
+++ b/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
@@ -29,14 +29,14 @@
   @ParameterizedTest
   @EnumSource(Trouble.class)
   void everyRequestIsAnsweredInTime(Trouble trouble) {
-    SimulatedCluster world = new SimulatedCluster(7);
+    SimulatedCluster cluster = new SimulatedCluster(7);
     for (int i = 0; i < 150; i++) {
       int number = 1000 + i;
-      world.time().at(4 + i * 0.35, () -> world.users().submit(number));
+      cluster.time().at(4 + i * 0.35, () -> cluster.users().submit(number));
     }
-    world.time().at(15, () -> begin(world, trouble));
-    world.time().runUntil(110);
-    Map<String, Double> longest = world.longestAnswers();
+    cluster.time().at(15, () -> begin(cluster, trouble));
+    cluster.time().runUntil(110);
+    Map<String, Double> longest = cluster.longestAnswers();
     longest.forEach(
         (what, seconds) -> {
           if (what.contains("/vN")) {
@@ -49,36 +49,36 @@
         longest.keySet().stream().filter(what -> what.contains("/vN")).count(),
         longest.toString());
     boolean refusedSome =
-        world.users().answers().keySet().stream().anyMatch(answer -> answer.equals("submit 503"));
-    assertTrue(refusedSome, "the trouble was none: " + world.users().answers());
-    assertEquals(List.of(), world.rules().violations());
+        cluster.users().answers().keySet().stream().anyMatch(answer -> answer.equals("submit 503"));
+    assertTrue(refusedSome, "the trouble was none: " + cluster.users().answers());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 
-  private static void begin(SimulatedCluster world, Trouble trouble) {
+  private static void begin(SimulatedCluster cluster, Trouble trouble) {
     switch (trouble) {
-      case OUT -> world.state().outage(25);
-      case REFUSED_ALONE -> world.state().refuse(ClusterSpec.nodeName(0), 25);
-      case SILENT -> cutAll(world, true);
-      case HELD -> cutAll(world, false);
-      case SLOW_AND_LATE -> world.state().applyLate(2);
+      case OUT -> cluster.state().outage(25);
+      case REFUSED_ALONE -> cluster.state().refuse(ClusterSpec.nodeName(0), 25);
+      case SILENT -> cutAll(cluster, true);
+      case HELD -> cutAll(cluster, false);
+      case SLOW_AND_LATE -> cluster.state().applyLate(2);
       case OUT_AGAIN_AND_AGAIN -> {
         for (int i = 0; i < 10; i++) {
-          world.time().after(4.0 * i, () -> world.state().outage(1.9));
+          cluster.time().after(4.0 * i, () -> cluster.state().outage(1.9));
         }
       }
       case ALL_CRASH_IN_AN_OUTAGE -> {
-        world.state().outage(25);
-        for (int node = 0; node < world.nodeCount(); node++) {
-          world.crash(node);
+        cluster.state().outage(25);
+        for (int node = 0; node < cluster.nodeCount(); node++) {
+          cluster.crash(node);
         }
       }
       default -> throw new IllegalStateException();
     }
   }
 
-  private static void cutAll(SimulatedCluster world, boolean lose) {
-    for (int node = 0; node < world.nodeCount(); node++) {
-      world.cut(ClusterSpec.nodeName(node), "state", 25, lose);
+  private static void cutAll(SimulatedCluster cluster, boolean lose) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
+      cluster.cut(ClusterSpec.nodeName(node), "state", 25, lose);
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -66,14 +66,14 @@
   private final ClusterSpec site =
       ClusterSpec.tryOut(30, true).with(new Settings.StoreLimits(400, 56, 2048, 4));
 
-  private final SimulatedCluster world =
+  private final SimulatedCluster cluster =
       new SimulatedCluster(site, 5, Meter.OFF, new Features(null, null, OLD));
   private final List<JobId> arrays = new ArrayList<>();
   private final List<String> wrong = new ArrayList<>();
 
   RolloutCasesTest() throws MalformedMessageException {
-    for (WorkloadFile.Due due : WorkloadFile.read(JOBS, site)) {
-      world.time().at(4 + due.atS(), () -> world.users().submit(due.job()));
+    for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
+      cluster.time().at(4 + due.atS(), () -> cluster.users().submit(due.job()));
       if (due.job().jobClass().equals("rebuild")) {
         arrays.add(due.job().id());
       }
@@ -86,20 +86,20 @@
    * leads or holds anything.
    */
   private void watch() {
-    world
+    cluster
         .time()
         .after(
             0.05,
             () -> {
               int level = level();
-              for (int node = 0; node < world.nodeCount(); node++) {
-                if (world.state().value("q/member/" + ClusterSpec.nodeName(node))
+              for (int node = 0; node < cluster.nodeCount(); node++) {
+                if (cluster.state().value("q/member/" + ClusterSpec.nodeName(node))
                     instanceof Map<?, ?> member) {
                   int most = member.get("most") instanceof Number number ? number.intValue() : 1;
                   if (most < level && member.containsKey("build")) {
                     wrong.add(
                         "at "
-                            + world.time().seconds()
+                            + cluster.time().seconds()
                             + " a member that ends at level "
                             + most
                             + " under level "
@@ -112,38 +112,38 @@
   }
 
   private int level() {
-    return world.state().value("q/level") instanceof Map<?, ?> level
+    return cluster.state().value("q/level") instanceof Map<?, ?> level
         ? ((Number) level.get("level")).intValue()
         : 1;
   }
 
   private JsonFields status(int node) {
-    return world.status(node);
+    return cluster.status(node);
   }
 
   private void assertAllIsWell(double untilS, int level) throws MalformedMessageException {
-    world.time().runUntil(untilS);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(untilS);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(List.of(), wrong);
     for (JobId id : arrays) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
     assertEquals(
         24,
-        world.users().told().keySet().stream()
+        cluster.users().reportedStates().keySet().stream()
             .filter(id -> !arrays.contains(id))
-            .mapToInt(world.rules()::onMachines)
+            .mapToInt(cluster.invariants()::onMachines)
             .sum(),
         "replicas");
-    for (int node = 0; node < world.nodeCount(); node++) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
       assertEquals(level, status(node).integer("level", 1, 100), "level on " + node);
     }
   }
 
   private void rollAll(double fromS, double everyS, Build to) {
-    for (int node = 0; node < world.nodeCount(); node++) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
-      world.time().at(fromS + everyS * node, () -> world.roll(each, to));
+      cluster.time().at(fromS + everyS * node, () -> cluster.upgrade(each, to));
     }
   }
 
@@ -154,11 +154,11 @@
   @Test
   void aRollUnderLoad() throws MalformedMessageException {
     rollAll(20, 8, NEW);
-    world.time().runUntil(44);
+    cluster.time().runUntil(44);
     assertEquals(1, level());
-    world.time().runUntil(70);
+    cluster.time().runUntil(70);
     assertEquals(2, level());
-    assertFalse(world.state().keysWithPrefix("q/change/").isEmpty());
+    assertFalse(cluster.state().keysWithPrefix("q/change/").isEmpty());
     assertAllIsWell(220, 2);
   }
 
@@ -168,12 +168,12 @@
    */
   @Test
   void backHalfWay() throws MalformedMessageException {
-    world.time().at(20, () -> world.roll(0, NEW));
-    world.time().at(28, () -> world.roll(1, NEW));
-    world.time().at(36, () -> world.roll(0, OLD));
-    world.time().at(44, () -> world.roll(1, OLD));
+    cluster.time().at(20, () -> cluster.upgrade(0, NEW));
+    cluster.time().at(28, () -> cluster.upgrade(1, NEW));
+    cluster.time().at(36, () -> cluster.upgrade(0, OLD));
+    cluster.time().at(44, () -> cluster.upgrade(1, OLD));
     assertAllIsWell(220, 1);
-    assertTrue(world.state().keysWithPrefix("q/change/").isEmpty());
+    assertTrue(cluster.state().keysWithPrefix("q/change/").isEmpty());
   }
 
   /**
@@ -182,25 +182,25 @@
    */
   @Test
   void oneThatIsAwayComesBackOldAndThenNew() throws MalformedMessageException {
-    world.time().at(15, () -> world.down(2, 75));
-    world.time().at(20, () -> world.roll(0, NEW));
-    world.time().at(24, () -> world.roll(1, NEW));
-    world.time().runUntil(60);
+    cluster.time().at(15, () -> cluster.stopFor(2, 75));
+    cluster.time().at(20, () -> cluster.upgrade(0, NEW));
+    cluster.time().at(24, () -> cluster.upgrade(1, NEW));
+    cluster.time().runUntil(60);
     assertEquals(1, level());
-    int leader = world.leader();
+    int leader = cluster.leader();
     assertTrue(
         status(leader).string("level_waits_for").contains("n2, which is away"),
         status(leader).string("level_waits_for"));
     set("{\"gone\": [\"n2\"]}");
-    world.time().runUntil(80);
+    cluster.time().runUntil(80);
     assertEquals(2, level());
-    world.time().runUntil(100);
+    cluster.time().runUntil(100);
     assertTrue(
         status(2).string("unable").contains("level 2 is in force"), status(2).string("unable"));
     assertEquals(503, ask(2, HttpRequest.get("/up")));
     assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-1")));
     assertEquals(0, status(2).integer("blocks_held", 0, 1000));
-    world.time().at(110, () -> world.roll(2, NEW));
+    cluster.time().at(110, () -> cluster.upgrade(2, NEW));
     assertAllIsWell(220, 2);
     assertEquals(200, ask(2, HttpRequest.get("/up")));
   }
@@ -211,14 +211,14 @@
    */
   @Test
   void whatCannotBeReadIsNotUnknownBeforeAMemberIsAnnounced() {
-    world.time().runUntil(20);
-    world.down(2, 1);
-    world.state().write("q/job/job-77", Json.object("phase", "open", "at", 1));
-    world
+    cluster.time().runUntil(20);
+    cluster.stopFor(2, 1);
+    cluster.state().write("q/job/job-77", Json.object("phase", "open", "at", 1));
+    cluster
         .state()
         .delayTransactions(DelayedTransactions.share(1, 30, 40, () -> true, new Random(1)));
     for (double at = 21.2; at < 25; at += 0.1) {
-      world.time().runUntil(at);
+      cluster.time().runUntil(at);
       assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-77")));
     }
   }
@@ -234,14 +234,14 @@
     double switchAt = switchedAt();
     RolloutCasesTest other = new RolloutCasesTest();
     other.rollAll(20, 4, NEW);
-    other.world.time().at(switchAt + offset, () -> other.world.roll(1, OLD));
-    other.world.time().at(switchAt + 60, () -> other.world.roll(1, NEW));
+    other.cluster.time().at(switchAt + offset, () -> other.cluster.upgrade(1, OLD));
+    other.cluster.time().at(switchAt + 60, () -> other.cluster.upgrade(1, NEW));
     other.assertAllIsWell(240, 2);
   }
 
   private double switchedAt() {
     for (double at = 30; at < 80; at += 0.01) {
-      world.time().runUntil(at);
+      cluster.time().runUntil(at);
       if (level() == 2) {
         return at;
       }
@@ -261,13 +261,13 @@
     for (double still : new double[] {0, 6, 25}) {
       RolloutCasesTest other = new RolloutCasesTest();
       other.rollAll(20, 4, NEW);
-      other.world.state().applyLate(60);
-      other.world.time().runUntil(switchAt + offset);
-      int leader = Math.max(0, other.world.leader());
+      other.cluster.state().applyLate(60);
+      other.cluster.time().runUntil(switchAt + offset);
+      int leader = Math.max(0, other.cluster.leader());
       if (still == 0) {
-        other.world.crash(leader);
+        other.cluster.crash(leader);
       } else {
-        other.world.standStill(leader, still);
+        other.cluster.suspend(leader, still);
       }
       other.assertAllIsWell(260, 2);
     }
@@ -278,22 +278,22 @@
   @ValueSource(ints = {0, 1, 2})
   void troublesOverTheSwitch(int which) throws MalformedMessageException {
     rollAll(20, 4, NEW);
-    world
+    cluster
         .time()
         .at(
             38.5,
             () -> {
               switch (which) {
-                case 0 -> world.state().outage(12);
-                case 1 -> world.state().keepChanges(1);
+                case 0 -> cluster.state().outage(12);
+                case 1 -> cluster.state().keepChanges(1);
                 default -> {
-                  for (int node = 0; node < world.nodeCount(); node++) {
-                    world.crash(node);
+                  for (int node = 0; node < cluster.nodeCount(); node++) {
+                    cluster.crash(node);
                   }
                 }
               }
             });
-    world.time().at(50, () -> world.state().keepChanges(10_000));
+    cluster.time().at(50, () -> cluster.state().keepChanges(10_000));
     assertAllIsWell(240, 2);
   }
 
@@ -304,34 +304,34 @@
   @Test
   void aBuildFromBeforeLevelsNeverLeadsAfterTheSwitch() throws MalformedMessageException {
     rollAll(20, 4, NEW);
-    world.time().runUntil(60);
+    cluster.time().runUntil(60);
     assertEquals(2, level());
-    assertEquals("level-2", ((Map<?, ?>) world.state().value("q/leader")).get("member"));
+    assertEquals("level-2", ((Map<?, ?>) cluster.state().value("q/leader")).get("member"));
     // Such a build cannot be run here any more; what it does is in its records: it joins, and
     // stands where nobody leads.
-    world
+    cluster
         .time()
         .at(
             61,
             () -> {
-              world.down(2, 60);
+              cluster.stopFor(2, 60);
             });
-    world
+    cluster
         .time()
         .at(
             65,
             () ->
-                world
+                cluster
                     .state()
                     .write(
                         "q/member/n2",
                         Json.object("member", "n2", "life", 999_999, "zone", "west")));
-    world.time().at(66, () -> world.crash(Math.max(0, world.leader())));
-    world.time().runUntil(100);
-    for (String block : world.state().keysWithPrefix("q/block/")) {
-      assertFalse("n2".equals(((Map<?, ?>) world.state().value(block)).get("holder")), block);
+    cluster.time().at(66, () -> cluster.crash(Math.max(0, cluster.leader())));
+    cluster.time().runUntil(100);
+    for (String block : cluster.state().keysWithPrefix("q/block/")) {
+      assertFalse("n2".equals(((Map<?, ?>) cluster.state().value(block)).get("holder")), block);
     }
-    world.time().at(100.5, () -> world.state().write("q/member/n2", null));
+    cluster.time().at(100.5, () -> cluster.state().write("q/member/n2", null));
     assertAllIsWell(240, 2);
   }
 
@@ -342,12 +342,12 @@
   @Test
   void theLevelIsLowered() throws MalformedMessageException {
     rollAll(20, 4, NEW);
-    world.time().runUntil(60);
+    cluster.time().runUntil(60);
     assertEquals(2, level());
     set("{\"most_level\": 1}");
-    world.time().runUntil(75);
+    cluster.time().runUntil(75);
     assertEquals(1, level());
-    assertEquals(List.of(), List.copyOf(world.state().keysWithPrefix("q/change/")));
+    assertEquals(List.of(), List.copyOf(cluster.state().keysWithPrefix("q/change/")));
     rollAll(80, 6, OLD);
     assertAllIsWell(240, 1);
   }
@@ -358,37 +358,37 @@
    */
   @Test
   void aRecordThatCannotBeRead() throws MalformedMessageException {
-    world.time().runUntil(30);
-    String key = world.state().keysWithPrefix("q/alloc/").iterator().next();
-    Object good = world.state().value(key);
-    world.state().write(key, Json.object("tasks", Json.object("17", "from the future")));
-    world.time().runUntil(40);
-    for (int node = 0; node < world.nodeCount(); node++) {
+    cluster.time().runUntil(30);
+    String key = cluster.state().keysWithPrefix("q/alloc/").iterator().next();
+    Object good = cluster.state().value(key);
+    cluster.state().write(key, Json.object("tasks", Json.object("17", "from the future")));
+    cluster.time().runUntil(40);
+    for (int node = 0; node < cluster.nodeCount(); node++) {
       assertTrue(status(node).string("unable").contains(key), status(node).string("unable"));
       assertEquals(503, ask(node, HttpRequest.get("/up")));
     }
-    assertEquals(-1, world.leader());
-    world.state().write(key, good);
+    assertEquals(-1, cluster.leader());
+    cluster.state().write(key, good);
     assertAllIsWell(280, 1);
   }
 
   private int ask(int node, HttpRequest request) {
     int[] status = new int[1];
-    world.ask(node, request, (HttpResponse response) -> status[0] = response.status());
-    world.time().runUntil(world.time().seconds() + 2);
+    cluster.sendDirectly(node, request, (HttpResponse response) -> status[0] = response.status());
+    cluster.time().runUntil(cluster.time().seconds() + 2);
     return status[0];
   }
 
   private void set(String settings) throws MalformedMessageException {
-    int node = world.leader();
+    int node = cluster.leader();
     int[] status = new int[1];
     String[] version = new String[1];
-    world.ask(
+    cluster.sendDirectly(
         node,
         HttpRequest.get("/admin/settings"),
         response -> version[0] = new String(response.body(), UTF_8));
     long seen = Json.parseFields(version[0].getBytes(UTF_8)).unsigned("version");
-    world.ask(
+    cluster.sendDirectly(
         node,
         new HttpRequest(
             "PUT",
@@ -396,7 +396,7 @@
             ("{\"version\": " + seen + ", \"settings\": " + settings + "}").getBytes(UTF_8),
             false),
         response -> status[0] = response.status());
-    world.time().runUntil(world.time().seconds() + 2);
+    cluster.time().runUntil(cluster.time().seconds() + 2);
     assertEquals(200, status[0]);
   }
 
@@ -420,11 +420,11 @@
             .estimate(TimeSpan.ofSeconds(10))
             .build();
     rollAll(6, 3, NEW);
-    world.time().at(22, () -> world.users().submit(job));
-    world.time().runUntil(30);
+    cluster.time().at(22, () -> cluster.users().submit(job));
+    cluster.time().runUntil(30);
     assertTrue(
-        world.rules().used("batch").cpus() > 60,
-        "above the limit to come: " + world.rules().used("batch"));
+        cluster.invariants().used("batch").cpus() > 60,
+        "above the limit to come: " + cluster.invariants().used("batch"));
     Team batch = site.teams().get("batch");
     Map<String, Team> lower = new HashMap<>(site.teams());
     lower.put(
@@ -433,27 +433,27 @@
             "batch",
             batch.guarantee(),
             new Resources(40, batch.limit().gpus(), batch.limit().memoryGb())));
-    int other = (world.leader() + 1) % world.nodeCount();
-    world.tellTeams(other, lower);
-    world.crash(other);
-    world.time().runUntil(45);
-    assertTrue(world.leader() != other, "the leader was told the higher limit");
+    int other = (cluster.leader() + 1) % cluster.nodeCount();
+    cluster.configureTeams(other, lower);
+    cluster.crash(other);
+    cluster.time().runUntil(45);
+    assertTrue(cluster.leader() != other, "the leader was told the higher limit");
     assertTrue(
-        status(world.leader())
+        status(cluster.leader())
             .strings("settings_differ")
             .toString()
             .contains(ClusterSpec.nodeName(other) + " has other teams"),
-        status(world.leader()).strings("settings_differ").toString());
+        status(cluster.leader()).strings("settings_differ").toString());
     double most = 0;
     for (double at = 50; at < 80; at += 0.5) {
-      world.time().runUntil(at);
-      most = Math.max(most, world.rules().used("batch").cpus());
+      cluster.time().runUntil(at);
+      most = Math.max(most, cluster.invariants().used("batch").cpus());
     }
     assertTrue(most > 30 && most <= 40.001, most + " processors of 40");
-    world.tellTeams(other, site.teams());
-    world.crash(other);
+    cluster.configureTeams(other, site.teams());
+    cluster.crash(other);
     assertAllIsWell(240, 2);
-    assertEquals("done", world.users().told().get(wide));
+    assertEquals("done", cluster.users().reportedStates().get(wide));
     assertEquals(List.of(), status(0).strings("settings_differ"));
   }
 }
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -40,8 +40,8 @@
         seed ->
             (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
                 .with(
-                    (world, each) ->
-                        new FastRestartFaults(world, each)
+                    (cluster, each) ->
+                        new FastRestartFaults(cluster, each)
                             .copies(share)
                             .machines(1.0 / 6, machines)
                             .controllers(controllers)));
--- a/src/test/java/org/quincecross/emulator/SlowStoreTest.java
+++ b/src/test/java/org/quincecross/emulator/SlowStoreTest.java
@@ -25,32 +25,32 @@
   @ParameterizedTest
   @CsvSource({"0.2, 1", "1, 1.5", "1, 3", "3, 6"})
   void everyRequestIsAnsweredInTimeAndNothingPilesUp(double leastS, double mostS) {
-    SimulatedCluster world = new SimulatedCluster(7);
+    SimulatedCluster cluster = new SimulatedCluster(7);
     for (int i = 0; i < 200; i++) {
       int number = 1000 + i;
-      world.time().at(4 + i * 0.5, () -> world.users().submit(number));
+      cluster.time().at(4 + i * 0.5, () -> cluster.users().submit(number));
     }
-    world
+    cluster
         .time()
         .at(
             FROM_S,
             () -> {
-              world.state().slowDown(leastS, mostS, SECONDS, new Random(3));
-              world.users().storm(4, SECONDS);
+              cluster.state().slowDown(leastS, mostS, SECONDS, new Random(3));
+              cluster.users().multiplyPolls(4, SECONDS);
             });
     // All that is accepted is cancelled while it is slow.
-    world
+    cluster
         .time()
         .at(
             FROM_S + 5,
             () -> {
-              List<JobId> told = new ArrayList<>(world.users().told().keySet());
-              told.forEach(world.users()::cancel);
+              List<JobId> told = new ArrayList<>(cluster.users().reportedStates().keySet());
+              told.forEach(cluster.users()::cancel);
             });
-    world.time().runUntil(FROM_S + SECONDS);
-    world.users().polls().onFault();
-    world.time().runUntil(FROM_S + SECONDS + 100);
-    Map<String, Double> longest = world.longestAnswers();
+    cluster.time().runUntil(FROM_S + SECONDS);
+    cluster.users().polls().onFault();
+    cluster.time().runUntil(FROM_S + SECONDS + 100);
+    Map<String, Double> longest = cluster.longestAnswers();
     longest.forEach(
         (what, seconds) -> {
           if (what.contains("/vN")) {
@@ -58,15 +58,15 @@
             assertTrue(seconds <= most, what + " was answered after " + seconds + " s");
           }
         });
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
     double unanswered =
-        world.users().told().keySet().stream()
-            .mapToDouble(id -> world.users().polls().longestGapS(id, true))
+        cluster.users().reportedStates().keySet().stream()
+            .mapToDouble(id -> cluster.users().polls().longestGapS(id, true))
             .max()
             .orElseThrow();
     assertTrue(unanswered < 20, "without an answer for " + unanswered + " s");
     assertTrue(
-        world.state().maxPendingRequests() < 100,
-        "under way " + world.state().maxPendingRequests());
+        cluster.state().maxPendingRequests() < 100,
+        "under way " + cluster.state().maxPendingRequests());
   }
 }
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -31,10 +31,10 @@
   void eachHasItsEndToldAndOthersGetThrough(int changes) {
     ClusterSpec site =
         ClusterSpec.tryOut(60, true).with(new Settings.StoreLimits(200, changes, 4096, 8));
-    SimulatedCluster world = new SimulatedCluster(site, changes, Meter.OFF);
+    SimulatedCluster cluster = new SimulatedCluster(site, changes, Meter.OFF);
     Random random = new Random(changes);
     List<JobId> others = new ArrayList<>();
-    SmallJobs.begin(world, A_SECOND, 0.25, 5, SECONDS, random);
+    SmallJobs.begin(cluster, A_SECOND, 0.25, 5, SECONDS, random);
     for (int i = 0; i < 15; i++) {
       Job other =
           Job.builder(new JobId("job-" + (100 + i)))
@@ -49,18 +49,21 @@
               .estimate(TimeSpan.ofSeconds(5))
               .build();
       others.add(other.id());
-      world.time().at(10 + 10 * i, () -> world.users().submit(other));
+      cluster.time().at(10 + 10 * i, () -> cluster.users().submit(other));
     }
-    world.time().runUntil(5 + SECONDS + 45);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(5 + SECONDS + 45);
+    assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(
-        0, world.users().told().keySet().stream().filter(world.users()::isOpen).count(), "open");
+        0,
+        cluster.users().reportedStates().keySet().stream().filter(cluster.users()::isOpen).count(),
+        "open");
     double[] accepted =
-        world.users().acceptedAfter().values().stream()
+        cluster.users().acceptedAfter().values().stream()
             .mapToDouble(each -> each)
             .sorted()
             .toArray();
-    double[] over = others.stream().mapToDouble(world.users().overAfter()::get).sorted().toArray();
+    double[] over =
+        others.stream().mapToDouble(cluster.users().overAfter()::get).sorted().toArray();
     assertTrue(
         accepted.length >= 0.98 * (A_SECOND * SECONDS + others.size()),
         "accepted " + accepted.length);
--- a/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
+++ b/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
@@ -19,33 +19,33 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void aStartThatArrivesAfterAllThatTimeIsNotExecuted(long seed) {
-    SimulatedCluster world = new SimulatedCluster(seed);
+    SimulatedCluster cluster = new SimulatedCluster(seed);
     boolean[] out = new boolean[1];
-    world.mishapAt(
+    cluster.injectFaultAt(
         request ->
             request.startsWith("POST /orders")
                 && request.contains("\"start\"")
                 && request.contains("job-1/0"),
         40,
-        SimulatedCluster.Mishap.HELD);
-    world.time().at(20, () -> world.users().submitService(1));
+        SimulatedCluster.SendFault.HELD);
+    cluster.time().at(20, () -> cluster.users().submitService(1));
     for (int i = 0; i < 2000; i++) {
-      world
+      cluster
           .time()
           .at(
               20 + i * 0.005,
               () -> {
-                if (world.mishapHit() >= 0) {
-                  world.users().cancel(JOB);
+                if (cluster.faultedController() >= 0) {
+                  cluster.users().cancel(JOB);
                 }
-                if (!out[0] && "cancelled".equals(world.rules().lastReportedState(JOB))) {
+                if (!out[0] && "cancelled".equals(cluster.invariants().lastReportedState(JOB))) {
                   out[0] = true;
-                  world.state().outage(60);
+                  cluster.state().outage(60);
                 }
               });
     }
-    world.time().runUntil(120);
+    cluster.time().runUntil(120);
     assertTrue(out[0]);
-    assertEquals(List.of(), world.rules().violations());
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
@@ -27,7 +27,7 @@
   @ValueSource(longs = {1, 2, 3})
   void whatIsAllocatedStartsAfterTenSeconds(long seed) {
     Resources all = new Resources(1000, 1000, 10_000);
-    SimulatedCluster world =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             ClusterSpec.tryOut(15, true).with(Map.of("batch", new Team("batch", all, all))),
             seed,
@@ -45,13 +45,14 @@
               .imageGb(0.5)
               .estimate(TimeSpan.ofSeconds(35 + 2 * i))
               .build();
-      world.time().at(26 + i * 0.1, () -> world.users().submit(job));
+      cluster.time().at(26 + i * 0.1, () -> cluster.users().submit(job));
     }
-    world.time().at(OUT_S, () -> world.state().outage(OUT_FOR_S));
-    world.time().runUntil(OUT_S + 10);
-    int before = world.rules().starts();
-    world.time().runUntil(OUT_S + OUT_FOR_S);
-    assertTrue(world.rules().starts() > before, "starts from the tenth second of the outage on");
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().at(OUT_S, () -> cluster.state().outage(OUT_FOR_S));
+    cluster.time().runUntil(OUT_S + 10);
+    int before = cluster.invariants().starts();
+    cluster.time().runUntil(OUT_S + OUT_FOR_S);
+    assertTrue(
+        cluster.invariants().starts() > before, "starts from the tenth second of the outage on");
+    assertEquals(List.of(), cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
+++ b/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
@@ -38,7 +38,7 @@
   private static final int JOBS = 420;
   private static final int SERVICES = 12;
 
-  private final SimulatedCluster world =
+  private final SimulatedCluster cluster =
       new SimulatedCluster(
           ClusterSpec.tryOut(9, true).with(new Settings.StoreLimits(400, 60, 4096, 8)),
           5,
@@ -51,12 +51,12 @@
     for (int i = 0; i < JOBS; i++) {
       Job job = job(1_000_000_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.1, 35);
       batch.add(job.id());
-      world.time().at(4 + 0.02 * i, () -> world.users().submit(job));
+      cluster.time().at(4 + 0.02 * i, () -> cluster.users().submit(job));
     }
     for (int i = 0; i < SERVICES; i++) {
       Job job = job(90_000 + i, "web", JobKind.SERVICE, Priority.PRODUCTION, 3, 0.5, 0);
       services.add(job.id());
-      world.time().at(4 + i, () -> world.users().submit(job));
+      cluster.time().at(4 + i, () -> cluster.users().submit(job));
     }
   }
 
@@ -83,63 +83,64 @@
 
   /** Those that may have to be changed: bundles are only ever deleted. */
   private List<String> recordsLargerThan(int bytes) {
-    return world.state().keysWithPrefix("q/").stream()
+    return cluster.state().keysWithPrefix("q/").stream()
         .filter(
             key ->
-                !key.startsWith("q/bundle/") && Json.write(world.state().value(key)).length > bytes)
+                !key.startsWith("q/bundle/")
+                    && Json.write(cluster.state().value(key)).length > bytes)
         .toList();
   }
 
   private Set<String> tooLarge() throws MalformedMessageException {
-    return Set.copyOf(world.status(0).fields("too_large").fieldNames());
+    return Set.copyOf(cluster.status(0).fields("too_large").fieldNames());
   }
 
   private int level() {
-    return world.state().value("q/level") instanceof Map<?, ?> level
+    return cluster.state().value("q/level") instanceof Map<?, ?> level
         ? ((Number) level.get("level")).intValue()
         : 1;
   }
 
   /** All are replaced, one by one, by builds that are told of the limits to come. */
   private void roll() {
-    for (int node = 0; node < world.nodeCount(); node++) {
+    for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
-      world
+      cluster
           .time()
           .at(
               24 + 4 * node,
               () -> {
-                world.tellNext(each, LOW);
-                world.roll(each, NEW);
+                cluster.configureNextLimits(each, LOW);
+                cluster.upgrade(each, NEW);
               });
     }
-    world.time().runUntil(33);
+    cluster.time().runUntil(33);
   }
 
   private void loseMachines(double atS) {
-    world
+    cluster
         .time()
         .at(
             atS,
             () -> {
-              List<MachineId> machines = world.cloud().machines();
+              List<MachineId> machines = cluster.cloud().machines();
               for (int i = 0; i < machines.size(); i += 3) {
-                world.cloud().terminate(machines.get(i), 0);
+                cluster.cloud().terminate(machines.get(i), 0);
               }
             });
   }
 
   private void assertAllEnds(List<JobId> cancelled) {
-    world.time().runUntil(220);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(220);
+    assertEquals(List.of(), cluster.invariants().violations());
     for (JobId id : batch) {
-      String told = world.users().told().get(id);
+      String told = cluster.users().reportedStates().get(id);
       assertTrue(
           "done".equals(told) || (cancelled.contains(id) && "cancelled".equals(told)),
           id.text() + " " + told);
     }
     for (JobId id : services) {
-      assertEquals(3, world.rules().onMachines(id), id.text());
+      assertEquals(3, cluster.invariants().onMachines(id), id.text());
     }
     assertEquals(
         List.of(),
@@ -167,50 +168,50 @@
     "52, OUTAGE_AND_RESTART"
   })
   void theyFallAfterAllAreNew(double fallAt, Meanwhile meanwhile) throws MalformedMessageException {
-    world.time().runUntil(23.9);
+    cluster.time().runUntil(23.9);
     assertTrue(
         recordsLargerThan(LOW.maxValueBytes()).size() >= 3,
         recordsLargerThan(LOW.maxValueBytes()) + " large records");
     roll();
-    world.time().runUntil(37.9);
+    cluster.time().runUntil(37.9);
     assertFalse(tooLarge().isEmpty(), "the status names what is too large");
     loseMachines(fallAt + 3);
     List<JobId> cancelled = new ArrayList<>();
-    world
+    cluster
         .time()
         .at(
             fallAt + 1,
             () -> {
               for (int i = 0; i < JOBS; i += 50) {
                 JobId id = batch.get(i);
-                if (!"done".equals(world.users().told().get(id))) {
-                  world.users().cancel(id);
+                if (!"done".equals(cluster.users().reportedStates().get(id))) {
+                  cluster.users().cancel(id);
                   cancelled.add(id);
                 }
               }
             });
-    world.time().at(fallAt, () -> world.state().limit(LOW));
+    cluster.time().at(fallAt, () -> cluster.state().limit(LOW));
     if (meanwhile == Meanwhile.OUTAGE || meanwhile == Meanwhile.OUTAGE_AND_RESTART) {
-      world.time().at(fallAt - 2, () -> world.state().outage(9));
+      cluster.time().at(fallAt - 2, () -> cluster.state().outage(9));
     }
     if (meanwhile == Meanwhile.ALL_RESTART || meanwhile == Meanwhile.OUTAGE_AND_RESTART) {
-      world
+      cluster
           .time()
           .at(
               fallAt - 0.5,
               () -> {
-                for (int node = 0; node < world.nodeCount(); node++) {
-                  world.down(node, 6 + node);
+                for (int node = 0; node < cluster.nodeCount(); node++) {
+                  cluster.stopFor(node, 6 + node);
                 }
               });
     }
     if (meanwhile == Meanwhile.LEADER_CRASHES) {
-      world.time().at(fallAt - 0.1, () -> world.crash(Math.max(0, world.leader())));
+      cluster.time().at(fallAt - 0.1, () -> cluster.crash(Math.max(0, cluster.leader())));
     }
-    world.time().runUntil(fallAt);
+    cluster.time().runUntil(fallAt);
     assertEquals(fallAt > 50 ? 2 : 1, level());
     assertAllEnds(cancelled);
-    assertEquals(0, world.state().tooLarge(), "transactions that were too large");
+    assertEquals(0, cluster.state().tooLarge(), "transactions that were too large");
     assertEquals(2, level());
     assertEquals(Set.of(), tooLarge());
   }
@@ -218,10 +219,10 @@
   /** Nobody was told of the limits to come: work goes on, in smaller steps. */
   @Test
   void theyFallWithoutAWord() {
-    world.time().at(24, () -> world.state().limit(LOW));
+    cluster.time().at(24, () -> cluster.state().limit(LOW));
     loseMachines(30);
     // So many at once that a bundle of them is too large.
-    world
+    cluster
         .time()
         .at(
             40,
@@ -229,14 +230,14 @@
               for (int i = 0; i < 30; i++) {
                 Job job = job(80_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.1, 35);
                 batch.add(job.id());
-                world.users().submit(job);
+                cluster.users().submit(job);
               }
             });
     assertAllEnds(List.of());
-    assertTrue(world.state().tooLarge() > 0, "never too large");
+    assertTrue(cluster.state().tooLarge() > 0, "never too large");
     assertTrue(
-        world.state().tooLarge() < 200,
-        world.state().tooLarge() + " transactions that were too large");
+        cluster.state().tooLarge() < 200,
+        cluster.state().tooLarge() + " transactions that were too large");
   }
 
   /**
@@ -245,14 +246,14 @@
    */
   @Test
   void aMemberOfManyTeams() {
-    Map<String, Team> teams = new LinkedHashMap<>(world.site().teams());
+    Map<String, Team> teams = new LinkedHashMap<>(cluster.site().teams());
     for (int i = 0; i < 40; i++) {
       teams.put(
           "team-" + i, new Team("team-" + i, new Resources(1, 0, 1), new Resources(10, 0, 10)));
     }
     SimulatedCluster other =
         new SimulatedCluster(
-            world.site().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
+            cluster.site().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
     other.time().runUntil(20);
     assertTrue(other.leader() >= 0, "nobody is a member");
     assertEquals(0, other.state().tooLarge());
--- a/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
@@ -38,7 +38,7 @@
               Map.of("long", team("long", 48), "zonal", team("zonal", 40), "web", team("web", 24)));
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final List<JobId> called = new ArrayList<>();
-  private SimulatedCluster world;
+  private SimulatedCluster cluster;
   private Random random;
   private int changes;
   private int leader = -1;
@@ -79,12 +79,12 @@
             .estimate(TimeSpan.ofSeconds(runS))
             .build();
     jobs.put(job.id(), job);
-    world.time().at(5 + 12 * random.nextDouble(), () -> world.users().submit(job));
+    cluster.time().at(5 + 12 * random.nextDouble(), () -> cluster.users().submit(job));
   }
 
   private List<JobId> running() {
     return jobs.keySet().stream()
-        .filter(id -> world.rules().onMachines(id) > 0 && !called.contains(id))
+        .filter(id -> cluster.invariants().onMachines(id) > 0 && !called.contains(id))
         .toList();
   }
 
@@ -93,12 +93,12 @@
     List<JobId> running = running();
     for (JobId id : running.subList(0, Math.min(count, running.size()))) {
       called.add(id);
-      world.time().after(withinS * random.nextDouble(), () -> world.users().cancel(id));
+      cluster.time().after(withinS * random.nextDouble(), () -> cluster.users().cancel(id));
     }
   }
 
   private int leader() {
-    return Math.max(0, world.leader());
+    return Math.max(0, cluster.leader());
   }
 
   private void strike(Trouble trouble) {
@@ -106,7 +106,7 @@
     switch (trouble) {
       case HANG -> {
         callOff(WAVE, 0.2);
-        world
+        cluster
             .cloud()
             .workers()
             .forEach(
@@ -115,106 +115,110 @@
                     worker.suspend(2 + (lease - 2.5) * random.nextDouble());
                   }
                 });
-        world
+        cluster
             .time()
-            .after(random.nextDouble(), () -> world.down(leader(), 0.3 + 9 * random.nextDouble()));
+            .after(
+                random.nextDouble(),
+                () -> cluster.stopFor(leader(), 0.3 + 9 * random.nextDouble()));
       }
       case CUT -> {
         int former = leader();
         boolean lose = random.nextBoolean();
-        for (MachineId machine : world.cloud().machines()) {
+        for (MachineId machine : cluster.cloud().machines()) {
           int kind = random.nextInt(5);
-          for (int node = 0; kind < 3 && node < world.nodeCount(); node++) {
+          for (int node = 0; kind < 3 && node < cluster.nodeCount(); node++) {
             if (kind != 0 || node != former) {
-              world.cut(
+              cluster.cut(
                   ClusterSpec.nodeName(node), machine.text(), 6 + 34 * random.nextDouble(), lose);
             }
           }
         }
-        world.time().after(1, () -> world.down(former, 1 + 10 * random.nextDouble()));
+        cluster.time().after(1, () -> cluster.stopFor(former, 1 + 10 * random.nextDouble()));
         callOff(WAVE, 20);
       }
       case HAND_OVER -> {
-        world.holdMessages(0.2, 9, random);
+        cluster.delayMessages(0.2, 9, random);
         boolean[] hit = new boolean[1];
-        world.mishapAt(
+        cluster.injectFaultAt(
             request -> {
               if (!hit[0]
                   && request.startsWith("POST /txn")
                   && request.contains("\"Set\":\"q/block/")
-                  && world.time().seconds() > AT_S) {
+                  && cluster.time().seconds() > AT_S) {
                 hit[0] = true;
                 callOff(WAVE, 0.6);
               }
               return false;
             },
             0,
-            SimulatedCluster.Mishap.STILL_AFTER);
-        world.down((leader() + 1 + random.nextInt(2)) % 3, 15);
-        world.time().after(20, () -> world.holdMessages(0, 0, random));
+            SimulatedCluster.SendFault.STILL_AFTER);
+        cluster.stopFor((leader() + 1 + random.nextInt(2)) % 3, 15);
+        cluster.time().after(20, () -> cluster.delayMessages(0, 0, random));
       }
       case ZONE -> {
-        new ZonePartitions(world)
+        new ZonePartitions(cluster)
             .zone(random.nextInt(3), lease + 2 + 24 * random.nextDouble(), random.nextBoolean());
         callOff(WAVE, 16);
       }
       case TEN_LEADERS -> {
         for (int i = 0; i < 10; i++) {
-          world.time().after(12 * i, () -> world.down(leader(), 0.2 + 9 * random.nextDouble()));
+          cluster
+              .time()
+              .after(12 * i, () -> cluster.stopFor(leader(), 0.2 + 9 * random.nextDouble()));
         }
-        world.time().after(40 + 10 * random.nextDouble(), () -> world.state().outage(28));
+        cluster.time().after(40 + 10 * random.nextDouble(), () -> cluster.state().outage(28));
         callOff(WAVE, 60);
       }
       case ALL_AWAY -> {
         callOff(WAVE, 4);
-        world
+        cluster
             .cloud()
             .workers()
             .subList(0, 12)
             .forEach(worker -> worker.suspend(lease * random.nextDouble()));
-        for (int node = 0; node < world.nodeCount(); node++) {
+        for (int node = 0; node < cluster.nodeCount(); node++) {
           int each = node;
-          world
+          cluster
               .time()
               .after(
                   2 * random.nextDouble(),
-                  () -> world.down(each, lease + 1 + 14 * random.nextDouble()));
+                  () -> cluster.stopFor(each, lease + 1 + 14 * random.nextDouble()));
         }
       }
       case ZONE_LOSES_MACHINES -> {
         String zone = site.zones().get(random.nextInt(3));
         List<AgentSimulator> there =
-            world.cloud().workers().stream()
+            cluster.cloud().workers().stream()
                 .filter(worker -> worker.machine().zone().equals(zone))
                 .toList();
         there
             .subList(0, there.size() / 2)
-            .forEach(worker -> world.cloud().terminate(worker.machine().id(), 0));
+            .forEach(worker -> cluster.cloud().terminate(worker.machine().id(), 0));
         there
             .subList(there.size() / 2, there.size())
             .forEach(worker -> worker.suspend(10 * random.nextDouble()));
-        world.time().after(8 * random.nextDouble(), () -> world.down(leader(), 4));
+        cluster.time().after(8 * random.nextDouble(), () -> cluster.stopFor(leader(), 4));
         callOff(WAVE / 2, 10);
       }
       case TAKEN_OVER_AND_REFUSED -> {
         // Whoever takes blocks over is refused at once, and machines are back as new workers before
         // they show its token.
-        world.holdMessages(0.2, 9, random);
+        cluster.delayMessages(0.2, 9, random);
         boolean[] hit = new boolean[3];
-        world.mishapAt(
+        cluster.injectFaultAt(
             request -> {
               if (request.startsWith("POST /txn")
                   && request.contains("\"Set\":\"q/block/")
-                  && world.time().seconds() > AT_S) {
-                for (int node = 0; node < world.nodeCount(); node++) {
+                  && cluster.time().seconds() > AT_S) {
+                for (int node = 0; node < cluster.nodeCount(); node++) {
                   if (!hit[node]
                       && request.contains("\"holder\":\"" + ClusterSpec.nodeName(node) + "\"")
                       && !hit[(node + 1) % 3]
                       && !hit[(node + 2) % 3]) {
                     hit[node] = true;
                     takenOver++;
-                    world.state().refuse(ClusterSpec.nodeName(node), 45);
-                    world
+                    cluster.state().refuse(ClusterSpec.nodeName(node), 45);
+                    cluster
                         .cloud()
                         .workers()
                         .forEach(
@@ -229,24 +233,24 @@
               return false;
             },
             0,
-            SimulatedCluster.Mishap.STILL_AFTER);
-        world.down((leader() + 1 + random.nextInt(2)) % 3, 15);
+            SimulatedCluster.SendFault.STILL_AFTER);
+        cluster.stopFor((leader() + 1 + random.nextInt(2)) % 3, 15);
         callOff(WAVE, 12);
-        world.time().after(20, () -> world.holdMessages(0, 0, random));
+        cluster.time().after(20, () -> cluster.delayMessages(0, 0, random));
       }
       default -> {
         // The next leader may be one that has been told lower limits, or the only one that has not.
-        for (int node = 0; node < world.nodeCount(); node++) {
+        for (int node = 0; node < cluster.nodeCount(); node++) {
           if (node != leader()) {
-            world.tellTeams(
+            cluster.configureTeams(
                 node,
                 Map.of(
                     "long", team("long", 30), "zonal", team("zonal", 40), "web", team("web", 24)));
-            world.down(node, 0.5);
+            cluster.stopFor(node, 0.5);
           }
         }
         callOff(WAVE, 10);
-        world.time().after(12, () -> world.down(leader(), 5));
+        cluster.time().after(12, () -> cluster.stopFor(leader(), 5));
       }
     }
   }
@@ -276,7 +280,9 @@
     assertEquals(trouble == Trouble.TAKEN_OVER_AND_REFUSED ? 1 : 0, takenOver);
     assertTrue(atLimits, "all teams were at their limits");
     assertTrue(
-        called.stream().filter(id -> "cancelled".equals(world.users().told().get(id))).count()
+        called.stream()
+                .filter(id -> "cancelled".equals(cluster.users().reportedStates().get(id)))
+                .count()
             >= WAVE / 2 - 1,
         "cancelled");
     assertTrue(
@@ -304,7 +310,7 @@
   }
 
   private List<String> play(Trouble trouble, long seed) {
-    world = new SimulatedCluster(site, seed, Meter.OFF);
+    cluster = new SimulatedCluster(site, seed, Meter.OFF);
     random = new Random(seed * 31 + trouble.ordinal());
     for (int i = 0; i < 36; i++) {
       submit(100 + i, "long", JobKind.ARRAY, 2 + i % 2, 1, i % 4 == 0, 55);
@@ -316,32 +322,33 @@
       submit(300 + i, "web", JobKind.SERVICE, 2, 2, i % 2 == 0, 0);
     }
     for (double at = 6; at < OVER_S + 60; at += 0.25) {
-      world
+      cluster
           .time()
           .at(
               at,
               () -> {
-                world.rules().check();
-                int now = world.leader();
+                cluster.invariants().check();
+                int now = cluster.leader();
                 changes += now >= 0 && now != leader ? 1 : 0;
                 leader = now >= 0 ? now : leader;
               });
     }
-    world.time().runUntil(AT_S);
+    cluster.time().runUntil(AT_S);
     site.teams()
         .forEach(
-            (name, team) -> atLimits &= world.rules().used(name).cpus() > team.limit().cpus() - 8);
+            (name, team) ->
+                atLimits &= cluster.invariants().used(name).cpus() > team.limit().cpus() - 8);
     strike(trouble);
-    world.time().runUntil(OVER_S + 60);
-    List<String> wrong = new ArrayList<>(world.rules().violations());
+    cluster.time().runUntil(OVER_S + 60);
+    List<String> wrong = new ArrayList<>(cluster.invariants().violations());
     jobs.keySet().stream()
         .filter(id -> jobs.get(id).kind() == JobKind.SERVICE && !called.contains(id))
-        .forEach(id -> world.users().cancel(id));
-    world.time().runUntil(420);
+        .forEach(id -> cluster.users().cancel(id));
+    cluster.time().runUntil(420);
     jobs.keySet()
         .forEach(
             id -> {
-              String told = world.users().told().get(id);
+              String told = cluster.users().reportedStates().get(id);
               boolean over = "done".equals(told) || "cancelled".equals(told);
               if (!over) {
                 wrong.add(id + " is " + told);
--- a/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
+++ b/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
@@ -74,36 +74,37 @@
    */
   @Test
   void aSwarmOfSubmissionsHasItselfWait() {
-    SimulatedCluster world = world(NARROW);
+    SimulatedCluster cluster = world(NARROW);
     List<JobId> swarm = new ArrayList<>();
     for (int i = 0; i < 1500; i++) {
       Job job = job(100_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.5, 2, 0);
       swarm.add(job.id());
-      world.time().at(15 + i * 0.001, () -> world.users().submit(job));
+      cluster.time().at(15 + i * 0.001, () -> cluster.users().submit(job));
     }
     List<JobId> others = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       Job job = job(200_000 + i, "web", JobKind.SERVICE, Priority.PRODUCTION, 1, 1, 0, 0);
       others.add(job.id());
-      world.time().at(15.2 + i * 0.3, () -> world.users().submit(job));
+      cluster.time().at(15.2 + i * 0.3, () -> cluster.users().submit(job));
     }
-    world.time().runUntil(90);
-    assertEquals(List.of(), world.rules().violations());
+    cluster.time().runUntil(90);
+    assertEquals(List.of(), cluster.invariants().violations());
     long quick =
         others.stream()
-            .filter(id -> world.users().acceptedAfter().getOrDefault(id, 99.0) < 2)
+            .filter(id -> cluster.users().acceptedAfter().getOrDefault(id, 99.0) < 2)
             .count();
     assertTrue(
-        quick >= 18, quick + " of 20 accepted within two seconds, " + world.users().answers());
+        quick >= 18, quick + " of 20 accepted within two seconds, " + cluster.users().answers());
     for (JobId id : swarm) {
-      assertTrue(world.users().acceptedAfter().getOrDefault(id, 99.0) < 60, id.text());
+      assertTrue(cluster.users().acceptedAfter().getOrDefault(id, 99.0) < 60, id.text());
     }
     assertTrue(
-        world.users().answers().get("submit 503") < world.users().answers().get("submit 429") / 3,
-        world.users().answers().toString());
-    world.time().runUntil(200);
+        cluster.users().answers().get("submit 503")
+            < cluster.users().answers().get("submit 429") / 3,
+        cluster.users().answers().toString());
+    cluster.time().runUntil(200);
     for (JobId id : swarm) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
   }
 
@@ -114,14 +115,14 @@
    */
   @Test
   void guestsFillWhatIsFreeAndGiveWay() {
-    SimulatedCluster world = world(WIDE);
+    SimulatedCluster cluster = world(WIDE);
     JobId huge =
-        world.users().submit(job(1, "batch", JobKind.ARRAY, Priority.LOW, 20_000, 0.5, 2, 0));
+        cluster.users().submit(job(1, "batch", JobKind.ARRAY, Priority.LOW, 20_000, 0.5, 2, 0));
     List<JobId> idle = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       Job job = job(10 + i, "batch", JobKind.ARRAY, Priority.LOW, 50, 2, 80, 10);
       idle.add(job.id());
-      world.time().at(2 + i, () -> world.users().submit(job));
+      cluster.time().at(2 + i, () -> cluster.users().submit(job));
     }
     List<JobId> services = new ArrayList<>();
     List<JobId> arrays = new ArrayList<>();
@@ -130,24 +131,24 @@
       Job array = job(200 + i, "web", JobKind.ARRAY, Priority.NORMAL, 20, 1, 6, 0);
       services.add(service.id());
       arrays.add(array.id());
-      world.time().at(40 + 2 * i, () -> world.users().submit(service));
-      world.time().at(41 + 2 * i, () -> world.users().submit(array));
+      cluster.time().at(40 + 2 * i, () -> cluster.users().submit(service));
+      cluster.time().at(41 + 2 * i, () -> cluster.users().submit(array));
     }
-    world.time().at(50, () -> world.crash(world.leader()));
-    world.time().runUntil(85);
-    assertEquals(30, services.stream().mapToInt(world.rules()::onMachines).sum());
-    world.time().runUntil(130);
+    cluster.time().at(50, () -> cluster.crash(cluster.leader()));
+    cluster.time().runUntil(85);
+    assertEquals(30, services.stream().mapToInt(cluster.invariants()::onMachines).sum());
+    cluster.time().runUntil(130);
     for (JobId id : arrays) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
       assertTrue(
-          world.users().overAfter().get(id) < 45,
-          id + " took " + world.users().overAfter().get(id));
+          cluster.users().overAfter().get(id) < 45,
+          id + " took " + cluster.users().overAfter().get(id));
     }
-    world.time().runUntil(400);
-    assertEquals(List.of(), world.rules().violations());
-    assertEquals("done", world.users().told().get(huge));
+    cluster.time().runUntil(400);
+    assertEquals(List.of(), cluster.invariants().violations());
+    assertEquals("done", cluster.users().reportedStates().get(huge));
     for (JobId id : idle) {
-      assertEquals("done", world.users().told().get(id), id.text());
+      assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/UpperBoundTest.java
+++ b/src/test/java/org/quincecross/emulator/UpperBoundTest.java
@@ -15,8 +15,9 @@
 class UpperBoundTest {
   private static final Resources HUNDRED = new Resources(100, 0, 100);
 
-  private static UpperBound.Wanted wanted(String jobClass, double from, double until, double work) {
-    return new UpperBound.Wanted(jobClass, from, until, new Resources(work, 0, 0));
+  private static UpperBound.WorkDemand wanted(
+      String jobClass, double from, double until, double work) {
+    return new UpperBound.WorkDemand(jobClass, from, until, new Resources(work, 0, 0));
   }
 
   /**
@@ -27,7 +28,7 @@
     List<Resources> capacity = Collections.nCopies(4, HUNDRED);
     // Ten seconds a slice: 1,000 units each. Both classes want 2,000 units in the first two slices,
     // and there are 2,000.
-    List<UpperBound.Wanted> both =
+    List<UpperBound.WorkDemand> both =
         List.of(
             wanted("a", 0, 15, 1000),
             wanted("a", 0, 15, 1000),
@@ -38,7 +39,7 @@
     // What is due after the end of the day is in neither.
     assertEquals(1, new UpperBound(10, capacity, List.of(wanted("a", 0, 39, 1e9))).leastShare());
     // Of a large and two small jobs the small ones can be done.
-    List<UpperBound.Wanted> sizes =
+    List<UpperBound.WorkDemand> sizes =
         List.of(wanted("a", 0, 5, 500), wanted("a", 0, 5, 500), wanted("a", 0, 5, 1e6));
     assertEquals(2.0 / 3, new UpperBound(10, capacity, sizes).leastShare(), 1e-3);
   }
@@ -54,7 +55,7 @@
     for (int i = 0; i < slices; i++) {
       capacity.add(HUNDRED.times(0.5 + random.nextDouble()));
     }
-    List<UpperBound.Wanted> jobs = new ArrayList<>();
+    List<UpperBound.WorkDemand> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       double from = 50 * random.nextDouble();
       jobs.add(
@@ -74,7 +75,7 @@
       }
       int[] all = new int[2];
       int[] done = new int[2];
-      for (UpperBound.Wanted job : jobs) {
+      for (UpperBound.WorkDemand job : jobs) {
         int which = job.jobClass().equals("a") ? 0 : 1;
         if (Math.floor(job.until() / 10) >= slices - 1) {
           continue;
--- a/src/test/java/org/quincecross/emulator/UserErrorFaults.java
+++ b/src/test/java/org/quincecross/emulator/UserErrorFaults.java
@@ -15,50 +15,52 @@
   private UserErrorFaults() {}
 
   /** For {@link RandomScenario#with}. */
-  static void on(SimulatedCluster world, long seed) {
+  static void on(SimulatedCluster cluster, long seed) {
     Random random = new Random(new SplittableRandom(seed * 3011 + 5).nextLong());
     double seconds = 20 + 60 * random.nextDouble();
     at(
-        world,
+        cluster,
         random,
         () ->
             ConcurrentReaders.begin(
-                world.around(),
+                cluster.environment(),
                 0.3 + 0.7 * random.nextDouble(),
                 0.2 * random.nextDouble(),
                 seconds,
                 random));
     at(
-        world,
+        cluster,
         random,
         () ->
             LateCancellations.atEnd(
-                world.around(),
+                cluster.environment(),
                 0.5 * random.nextDouble(),
                 random.nextBoolean() ? 0 : 2,
                 seconds,
                 random));
     at(
-        world,
+        cluster,
         random,
-        () -> MalformedRequests.begin(world.around(), 0.2 + random.nextDouble(), seconds, random));
+        () ->
+            MalformedRequests.begin(
+                cluster.environment(), 0.2 + random.nextDouble(), seconds, random));
     for (int i = 0; i < 3; i++) {
       at(
-          world,
+          cluster,
           random,
           () ->
               LateCancellations.cancelLongRunning(
-                  world.around(),
+                  cluster.environment(),
                   2 + random.nextInt(8),
                   random.nextBoolean() ? 0 : 2 + 8 * random.nextDouble(),
                   random));
     }
     if (random.nextInt(4) == 0) {
-      SmallJobs.begin(world, 4, 0.25, FROM_S, UNTIL_S - FROM_S, random);
+      SmallJobs.begin(cluster, 4, 0.25, FROM_S, UNTIL_S - FROM_S, random);
     }
   }
 
-  private static void at(SimulatedCluster world, Random random, Runnable trouble) {
-    world.time().at(FROM_S + (UNTIL_S - FROM_S - 10) * random.nextDouble(), trouble);
+  private static void at(SimulatedCluster cluster, Random random, Runnable trouble) {
+    cluster.time().at(FROM_S + (UNTIL_S - FROM_S - 10) * random.nextDouble(), trouble);
   }
 }
--- a/src/test/java/org/quincecross/emulator/ZonePartitions.java
+++ b/src/test/java/org/quincecross/emulator/ZonePartitions.java
@@ -5,26 +5,28 @@
 
 /** Cuts of many links at once. */
 final class ZonePartitions {
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
 
-  ZonePartitions(SimulatedCluster world) {
-    this.world = world;
+  ZonePartitions(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /**
    * Cuts a zone off from everything outside: its machines and controllers still hear one another.
    */
   void zone(int zone, double length, boolean lose) {
-    String name = world.site().zones().get(zone);
+    String name = cluster.site().zones().get(zone);
     List<String> inside = new ArrayList<>();
     List<String> outside = new ArrayList<>(List.of("state", "cloud", "users"));
-    for (int i = 0; i < world.nodeCount(); i++) {
-      (name.equals(world.site().zones().get(i % world.site().zones().size())) ? inside : outside)
+    for (int i = 0; i < cluster.nodeCount(); i++) {
+      (name.equals(cluster.site().zones().get(i % cluster.site().zones().size()))
+              ? inside
+              : outside)
           .add(ClusterSpec.nodeName(i));
     }
-    for (AgentSimulator worker : world.cloud().workers()) {
+    for (AgentSimulator worker : cluster.cloud().workers()) {
       (name.equals(worker.machine().zone()) ? inside : outside).add(worker.machine().id().text());
     }
-    inside.forEach(in -> outside.forEach(out -> world.cut(in, out, length, lose)));
+    inside.forEach(in -> outside.forEach(out -> cluster.cut(in, out, length, lose)));
   }
 }
