--- a/src/main/java/org/quincecross/cli/ModelCommands.java
+++ b/src/main/java/org/quincecross/cli/ModelCommands.java
@@ -39,8 +39,7 @@
   @Override
   public Integer call() {
     throw new ParameterException(
-        spec.commandLine(),
-        "missing command: one of define, wake, load, drain, show, list and trail");
+        spec.commandLine(), "say what to do: define, wake, load, drain, show, list or trail");
   }
 
   /** Base of the commands that print one row of the response. */
