--- a/src/main/java/org/quincecross/emulator/ModelDrill.java
+++ b/src/main/java/org/quincecross/emulator/ModelDrill.java
@@ -66,11 +66,11 @@
       ClusterEnvironment environment,
       List<ControllerProcess> controllers,
       Map<String, Object> result,
-      Runnable over) {
+      Runnable onOver) {
     this.environment = environment;
     this.controllers = controllers;
     this.result = result;
-    this.onOver = over;
+    this.onOver = onOver;
   }
 
   void begin() {
--- a/src/main/java/org/quincecross/emulator/Network.java
+++ b/src/main/java/org/quincecross/emulator/Network.java
@@ -23,6 +23,8 @@
     }
 
     /**
+     * Handles a request and passes the response to {@code reply}.
+     *
      * @param from the name of the caller, if the network knows it
      */
     void request(String from, HttpRequest request, Consumer<HttpResponse> reply);
