--- a/src/main/java/org/quincecross/cli/HoldCommands.java
+++ b/src/main/java/org/quincecross/cli/HoldCommands.java
@@ -58,7 +58,7 @@
   public void run() {
     throw new ParameterException(
         spec.commandLine(),
-        "say which: open, close, review, show, list, kept, calendar, trail, claim, claims or sweeps");
+        "missing command: one of open, close, review, show, list, kept, calendar, trail, claim, claims and sweeps");
   }
 
   private abstract static class HoldCommand extends ReplicatedRecordCommand {
@@ -453,7 +453,9 @@
       boolean named = series != null && !series.isEmpty();
       if (named == none) {
         throw invalidUsage(
-            "name the series that jobs of " + jobClass + " may touch ('*' for any), or say --none");
+            "name the series that jobs of "
+                + jobClass
+                + " may access ('*' for any), or give --none");
       }
       List<String> all = named ? series : List.of();
       records(all.stream().filter(each -> !each.equals(RecordSelector.ANY.series())).toList());
--- a/src/main/java/org/quincecross/cli/ModelCommands.java
+++ b/src/main/java/org/quincecross/cli/ModelCommands.java
@@ -39,7 +39,8 @@
   @Override
   public Integer call() {
     throw new ParameterException(
-        spec.commandLine(), "say what to do: define, wake, load, drain, show, list or trail");
+        spec.commandLine(),
+        "missing command: one of define, wake, load, drain, show, list and trail");
   }
 
   /** Base of the commands that print one row of the response. */
