--- a/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
+++ b/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
@@ -12,16 +12,16 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Machines that reach no controller while direct commands reach them and are answered, with three
+ * Machines that reach no controller, although commands reach them and are answered; three
  * controllers in virtual time.
  */
 class AgentsCannotConnectTest extends BusyCluster {
   AgentsCannotConnectTest() throws MalformedMessageException {}
 
   /**
-   * A sixth, or half, of the machines is mute for so long; in some the leader ends meanwhile. What
-   * ran there runs elsewhere once the leases are over, and not before; those that speak again are
-   * given work again.
+   * A sixth or a half of the machines cannot send for a while; in some cases the leader fails
+   * meanwhile. Their tasks run elsewhere once the leases have expired, and not before; machines
+   * that send again are given work again.
    */
   @ParameterizedTest
   @CsvSource({"8, 8, -1", "8, 60, -1", "8, 60, 3", "8, 60, 11", "22, 20, 2", "22, 45, 14"})
--- a/src/test/java/org/quincecross/emulator/BusyCluster.java
+++ b/src/test/java/org/quincecross/emulator/BusyCluster.java
@@ -8,7 +8,7 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Three controllers, 45 machines, services of 36 replicas, and arrays that come for a while, in
+ * Three controllers, 45 machines, services of 36 replicas and a temporary load of arrays, in
  * virtual time.
  */
 class BusyCluster {
@@ -54,7 +54,7 @@
     submit(cluster, services, arrays);
   }
 
-  /** Has the jobs submitted in a world from its fourth second on, and notes which they are. */
+  /** Submits the jobs to a cluster from its fourth second on, and records their ids. */
   static void submit(SimulatedCluster cluster, List<JobId> services, List<JobId> arrays)
       throws MalformedMessageException {
     for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, cluster.site())) {
--- a/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
+++ b/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Users ask at all nodes within milliseconds, and repeat the submission, as soon as anything has
+ * Users poll all controllers within milliseconds and repeat the submission, as soon as anything has
  * happened to a job. Three controllers, in virtual time.
  */
 class ConcurrentReadersTest {
@@ -26,7 +26,7 @@
     }
     for (int i = 0; i < JOBS; i++) {
       int number = 100 + i;
-      // Some come together, so that they share a record.
+      // Some are submitted together, so that they share a record.
       cluster.time().at(5 + 0.6 * (i / 3 * 3), () -> cluster.users().submit(number));
     }
     cluster.time().runUntil(SECONDS + 50);
@@ -46,7 +46,7 @@
             > JOBS / 10);
   }
 
-  /** A day drawn from a fixed seed, with other troubles; more of them in {@link SeedsTest}. */
+  /** A day from a fixed seed, with other faults; {@link SeedsTest} runs more of them. */
   @ParameterizedTest
   @ValueSource(longs = 2)
   void daysOfUsersTroubles(long seed) {
@@ -54,8 +54,8 @@
   }
 
   /**
-   * A cancellation, questions and a repeated submission meet the end of the last task: told once,
-   * the same at all nodes.
+   * A cancellation, polls and a repeated submission coincide with the end of the last task: the
+   * outcome is reported once and is the same at all controllers.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
--- a/src/test/java/org/quincecross/emulator/CostScalingTest.java
+++ b/src/test/java/org/quincecross/emulator/CostScalingTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a fleet of twice the size costs: work is counted, in calls and in bytes, not timed. */
+/** The cost of doubling the fleet, counted in calls and bytes rather than timed. */
 class CostScalingTest {
   private static final double DAY_S = 100;
 
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Events grow with the machines; what is done by the clock does not, and neither does what one
-   * event costs.
+   * The number of events grows with the machines; the number of periodic calls and the cost of one
+   * event do not.
    */
   @Test
   void twiceTheMachinesCostTwiceTheEventsAndNoMore() {
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Three controllers with nothing to do but answer thirty machines. */
+  /** Three controllers whose only work is to answer thirty machines. */
   @Test
   void aQuietSiteIsNotLookedAtAllTheTime() {
     Meter meter = new Meter(true);
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
@@ -11,8 +11,8 @@
 import org.quincecross.reservation.RequestKind;
 
 /**
- * Watches the records of requests as the state service has them: none that was answered for is
- * lost, no reservation is lost or doubled.
+ * Checks the request records in the state service: no request that was confirmed is lost, and no
+ * reservation is lost or duplicated.
  */
 final class DeadlineRequestInvariant {
   private static final String KEYS = "q/agreed/requests/";
@@ -24,8 +24,8 @@
   private final Map<String, DeadlineRequest> seen = new TreeMap<>();
 
   /**
-   * What operators were told is durable, by reference: the kind of the request that was accepted,
-   * and the end of those that are over.
+   * The changes that operators were told are durable, by reference: the kind of the accepted
+   * request, and the final state of closed ones.
    */
   private final Map<String, String> accepted = new HashMap<>();
 
--- a/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
@@ -7,15 +7,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Days on which commands, reports and the answers to either are held up for half a second to 15 s
- * and then arrive, after later ones, and reports come a second time up to three leases late.
+ * Commands, reports and the answers to both are delayed by half a second to 15 s and then arrive
+ * after later messages; reports are duplicated up to three leases later.
  */
 class DelayedMessagesTest {
   private static final double LONGEST_S = 15;
 
   /**
-   * Of every four such days one has each of: few messages held up and many copies, many and few,
-   * half of all, machines back at once.
+   * Cycles through four kinds of runs: few delays and many duplicates, many delays and few
+   * duplicates, half of all messages, and machines that restart at once.
    */
   static RandomScenario day(long seed) {
     double held = List.of(0.03, 0.2, 0.5, 0.1).get((int) (seed % 4));
@@ -30,8 +30,8 @@
   }
 
   /**
-   * 8 fails where exits are cleared or starts without an answer are forgotten, 9 and 13 where late
-   * reports pass for news.
+   * Seed 8 fails if exits are cleared or unanswered starts are forgotten; seeds 9 and 13 fail if
+   * late reports count as new.
    */
   @ParameterizedTest
   @ValueSource(longs = {2, 8, 9, 13})
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
@@ -6,10 +6,10 @@
 import org.quincecross.model.JobId;
 
 /**
- * Troubles drawn beside those of a {@link RandomScenario}, from a source of their own: a fifth to a
- * third of all transactions are not answered and carried out 2 to 12 s later, some of them minutes
- * later, while jobs come together, are cancelled as soon as they are accepted or at any time, and
- * controllers are back at once.
+ * Faults drawn in addition to those of a {@link RandomScenario}, from a random source of their own:
+ * a fifth to a third of all transactions are not answered and applied 2 to 12 s later, some of them
+ * minutes later, while jobs arrive together, are cancelled as soon as they are accepted or at any
+ * time, and controllers restart at once.
  */
 final class DelayedTransactionFaults {
   private static final double FROM_S = 12;
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Jobs that come in the same moment share a record; some are cancelled at once, when nothing but
-   * that record names them.
+   * Jobs submitted at the same time share a record; some are cancelled at once, when only that
+   * record names them.
    */
   private void bundles(int times, int jobs) {
     for (int i = 0; i < times; i++) {
--- a/src/test/java/org/quincecross/emulator/DependencyFaults.java
+++ b/src/test/java/org/quincecross/emulator/DependencyFaults.java
@@ -8,9 +8,9 @@
 import org.quincecross.model.Resources;
 
 /**
- * Pipelines drawn beside the jobs of a {@link RandomScenario}, from a source of their own: half of
- * them have one of their jobs cancelled, at any time or at the moment at which its last task ends;
- * and some jobs name one that nobody submitted.
+ * Pipelines in addition to the jobs of a {@link RandomScenario}, from a random source of their own:
+ * half of them have one job cancelled, at any time or as its last task ends; some jobs depend on an
+ * unknown job.
  */
 final class DependencyFaults {
   private static final int PIPELINES = 9;
@@ -43,7 +43,7 @@
     between(cluster, seed, 5, 140);
   }
 
-  /** Pipelines are submitted in that time, in seconds. */
+  /** Submits pipelines in this interval, in seconds. */
   static void between(SimulatedCluster cluster, long seed, double fromS, double untilS) {
     DependencyFaults days = new DependencyFaults(cluster, seed, fromS, untilS);
     for (int i = 0; i < PIPELINES; i++) {
--- a/src/test/java/org/quincecross/emulator/DependencyScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyScenarioTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Days with pipelines drawn from fixed seeds, among all troubles: no task too early, no job
- * orphaned, and all work gets done.
+ * Runs random pipelines from fixed seeds with all kinds of faults: no task starts too early, no job
+ * is orphaned, and all work completes.
  */
 class DependencyScenarioTest {
   @ParameterizedTest
--- a/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
@@ -16,8 +16,8 @@
 import org.quincecross.rollout.Build;
 
 /**
- * Three controllers are replaced under load, pipelines come once all are new, and the state service
- * lowers its limits, in virtual time.
+ * Three controllers are replaced under load, pipelines arrive once all of them are new, and the
+ * state service lowers its limits, in virtual time.
  */
 @Timeout(60)
 class DependencyUpgradeTest {
@@ -43,7 +43,7 @@
     BusyCluster.submit(cluster, services, arrays);
   }
 
-  /** What else happens in that spell. */
+  /** Another event during the upgrade. */
   enum Meanwhile {
     NOTHING,
     LEADER_ENDS,
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Whatever happens, on no quiet day is a job that waits for others refused for 5 s after all are
-   * new.
+   * Whatever happens, on no day without faults is a job with dependencies refused for 5 s after all
+   * controllers are new.
    */
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/org/quincecross/emulator/FastBootTest.java
+++ b/src/test/java/org/quincecross/emulator/FastBootTest.java
@@ -14,13 +14,13 @@
 import org.quincecross.model.MachineId;
 
 /**
- * Machines that are up within two seconds and get work at once while writes lag, and the leader
- * ends, in virtual time.
+ * Machines boot within two seconds and get work at once while writes are delayed and the leader
+ * fails, in virtual time.
  */
 class FastBootTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-  /** The machines that the cloud has up and no block has. */
+  /** The running machines that no shard owns. */
   private Set<MachineId> inNoBlock() {
     Set<MachineId> outside = new TreeSet<>(cluster.cloud().machines());
     for (int node = 0; node < cluster.nodeCount(); node++) {
@@ -38,8 +38,8 @@
   }
 
   /**
-   * The leader ends so long after the first of them was rented: all get work or go back, and what
-   * was submitted ends.
+   * The leader fails {@code afterS} after the first machine was rented: all machines get work or
+   * are returned, and all submitted jobs end.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 1, 2.2, 4.5, 9})
@@ -69,11 +69,11 @@
       rentedAt += 0.1;
       cluster.time().runUntil(rentedAt);
     }
-    assertTrue(rentedAt < 60, "none were rented");
+    assertTrue(rentedAt < 60, "no machine was rented");
     cluster.time().at(rentedAt + afterS, () -> cluster.crash(Math.max(0, cluster.leader())));
     cluster.time().at(rentedAt + afterS + 8, () -> cluster.crash(Math.max(0, cluster.leader())));
     cluster.time().runUntil(110);
-    assertEquals(Set.of(), inNoBlock(), "neither in a block nor returned");
+    assertEquals(Set.of(), inNoBlock(), "neither in a shard nor returned");
     cluster.time().runUntil(230);
     assertEquals(List.of(), cluster.invariants().violations());
     cluster
--- a/src/test/java/org/quincecross/emulator/FastRestartFaults.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartFaults.java
@@ -3,8 +3,8 @@
 import java.util.Random;
 
 /**
- * Troubles drawn beside those of a {@link RandomScenario}, from a source of their own: late copies,
- * messages held up, machines and processes back at once.
+ * Faults drawn in addition to those of a {@link RandomScenario}, from a random source of their own:
+ * late duplicates, delayed messages, machines and processes that restart at once.
  */
 final class FastRestartFaults {
   private static final double FROM_S = 12;
@@ -22,7 +22,7 @@
     return FROM_S + random.nextDouble() * (UNTIL_S - FROM_S);
   }
 
-  /** A share of all reports comes a second time, 1 s to three leases later. */
+  /** A share of all reports arrives a second time, 1 s to three leases later. */
   FastRestartFaults copies(double share) {
     cluster.time().at(FROM_S, () -> cluster.duplicateReports(share, random));
     cluster.time().at(UNTIL_S, () -> cluster.duplicateReports(0, random));
@@ -30,8 +30,8 @@
   }
 
   /**
-   * Between these seconds of the day a share of commands, reports and answers to either is held up
-   * for up to so long.
+   * Between these seconds of the day a share of commands, reports and answers to both is delayed by
+   * up to {@code longestS}.
    */
   FastRestartFaults held(double share, double longestS) {
     Random draws = new Random(random.nextLong());
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Now and then each machine with this chance is restarted: it is back in a fraction of a second,
-   * its counts begun anew.
+   * Sometimes each machine restarts with this probability; it is back in a fraction of a second
+   * with its counters reset.
    */
   FastRestartFaults machines(double share, int times) {
     for (int i = 0; i < times; i++) {
@@ -68,7 +68,7 @@
     return this;
   }
 
-  /** A controller, or all, is back in 0.1 to 0.5 s, up to three times within six seconds. */
+  /** One controller, or all, restart within 0.1 to 0.5 s, up to three times within six seconds. */
   FastRestartFaults controllers(int times) {
     for (int i = 0; i < times; i++) {
       double at = moment();
--- a/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
@@ -11,8 +11,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * All that is said and stored keeps the names, types and words that it had; what is malformed keeps
- * its status and the field named.
+ * All messages and stored values keep their field names, types and values; a malformed message gets
+ * the same status and names the same field as before.
  */
 class GoldenMessagesTest {
   @Test
@@ -23,8 +23,8 @@
     lost.removeAll(now);
     TreeSet<String> added = new TreeSet<>(now);
     added.removeAll(before);
-    assertEquals(List.of(), List.copyOf(lost), "no longer said or stored");
-    assertEquals(List.of(), List.copyOf(added), "said or stored now, and never before");
+    assertEquals(List.of(), List.copyOf(lost), "no longer sent or stored");
+    assertEquals(List.of(), List.copyOf(added), "sent or stored now, and not before");
   }
 
   @Test
--- a/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
+++ b/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
@@ -21,7 +21,7 @@
 import org.quincecross.rollout.Build;
 
 /**
- * The largest array, a gang of two whole machines and an idle job in an overload, on three
+ * The largest array, a gang of two whole machines and an idle job during an overload, with three
  * controllers in virtual time.
  */
 class GuaranteedStartTest {
--- a/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
@@ -17,14 +17,14 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Work that waits in the queue of a block whose machines are busy for long, while those of other
- * blocks have nothing to do.
+ * Work that waits in the queue of a shard whose machines are busy for long, while machines of other
+ * shards are idle.
  */
 class IdleCapacityInvariantTest {
   private static final int MACHINES = 30;
   private static final double LONGEST_WAIT_S = 90;
 
-  /** More than there is room for. */
+  /** More work than there is room for. */
   private final ClusterSpec site =
       ClusterSpec.tryOut(MACHINES, true)
           .with(
@@ -57,9 +57,9 @@
   }
 
   /**
-   * All machines are full: those of one zone with work of five minutes and more, the others with
-   * work of half a minute; some more waits in the blocks' queues. When the short work is over there
-   * is room, and nothing may wait for the long work.
+   * All machines are full: those of one zone with work of at least five minutes, the others with
+   * work of half a minute; more work waits in the queues of the shards. Once the short work is done
+   * there is room, and nothing may wait behind the long work.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -96,7 +96,7 @@
               });
     }
     cluster.time().runUntil(400);
-    assertTrue(longest < LONGEST_WAIT_S, "idle for " + longest + " s while work waits");
+    assertTrue(longest < LONGEST_WAIT_S, "capacity idle for " + longest + " s while work waits");
     assertEquals(List.of(), cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -16,17 +16,16 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * A leader gives a task to a block and ends; what it wrote is held up until its successor, which
- * cannot reach that block's machines, has given the task to another block. No key that the late
- * write changes has changed since: its own versions still hold, and the leadership's alone refuses
- * it.
+ * A leader allocates a task to a shard and fails. Its write is delayed until its successor, which
+ * cannot reach that shard's machines, has allocated the task to another shard. No key of the late
+ * write has changed since, so only the leadership precondition refuses it.
  */
 class LeadershipGuardTest {
   private static final double HELD_S = 14;
 
   /**
-   * Long enough for the successor to choose another block, and over before the late write comes:
-   * the block would start the task at once.
+   * Long enough for the successor to choose another shard, and over before the late write arrives,
+   * because the shard would start the task at once.
    */
   private static final double CUT_S = 9;
 
@@ -48,8 +47,8 @@
         },
         HELD_S,
         SimulatedCluster.SendFault.HELD);
-    // Into the leader's zone, where it holds all blocks itself: so the one that it chooses has a
-    // new holder, which nobody there obeys.
+    // Into the leader's zone, where it owns all shards itself: so the chosen shard gets a new
+    // owner, which no machine there obeys yet.
     cluster
         .time()
         .at(
@@ -83,7 +82,10 @@
     assertEquals("done", cluster.users().reportedStates().get(id));
   }
 
-  /** The leader ends, and nobody reaches the machines that it has just given the task to. */
+  /**
+   * The leader fails, and no controller reaches the machines that it has just allocated the task
+   * to.
+   */
   private void strike(SimulatedCluster cluster) {
     cluster.stopFor(cluster.leader(), 60);
     List<?> machines =
--- a/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
@@ -13,8 +13,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Many days drawn from seeds: holds that overlap, come and go among troubles; how long pinning
- * takes is written to the log.
+ * Many random days: overlapping legal holds are placed and closed during faults. The time that
+ * pinning takes is logged.
  */
 @Tag("seeds")
 class LegalHoldSeedsTest {
--- a/src/test/java/org/quincecross/emulator/MachineLossTest.java
+++ b/src/test/java/org/quincecross/emulator/MachineLossTest.java
@@ -12,9 +12,9 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Half of all machines vanish without notice, on a site whose other half is full of arrays: what
- * blocks have lost more than they can start goes back to the pool, so all replicas run again soon
- * after the leases of the lost machines are over.
+ * Half of all machines fail without notice in a cluster whose other half is full of arrays. Lost
+ * replicas that their shard cannot restart return to the pool, so all replicas run again soon after
+ * the leases of the lost machines have expired.
  */
 class MachineLossTest {
   private static final int MACHINES = 60;
--- a/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
+++ b/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Odd requests under troubles: each answer is the protocol's or says later, and nothing comes of
- * any. Three controllers, in virtual time.
+ * Invalid requests during faults: each answer is the one that the protocol defines or asks to
+ * retry, and none of the requests has an effect. Three controllers, in virtual time.
  */
 class MalformedRequestsTest {
   private static final double FROM_S = 6;
--- a/src/test/java/org/quincecross/emulator/ModelServingSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingSeedsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quincecross.protocol.MalformedMessageException;
 
-/** Days of models among troubles; many of them with {@code mvn -B -Pseeds test -Dseeds=A-B}. */
+/** Runs models with faults; {@code mvn -B -Pseeds test -Dseeds=A-B} runs many seeds. */
 class ModelServingSeedsTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
@@ -9,14 +9,14 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Some machines speak and hear nothing for a while, also while their blocks go to other
- * controllers: what they had runs elsewhere soon after their leases, they are sent next to nothing,
- * and they are used again when they hear.
+ * Some machines send but receive nothing for a while, also while their shards move to other
+ * controllers. Their tasks run elsewhere soon after their leases expire, they are sent almost
+ * nothing, and they are used again once they receive messages.
  */
 class OneWayPartitionTest {
   /**
-   * A block that went elsewhere meanwhile settles a lease after the last answer that a deaf machine
-   * may have taken.
+   * A shard that moved meanwhile settles one lease after the last answer that such a machine may
+   * have received.
    */
   private static final double MOST_MISSING_S = 3 * OneWayPartitionCluster.LEASE_S;
 
@@ -33,8 +33,9 @@
         site.cluster.undeliveredStarts() + " starts to deaf machines");
     assertEquals(0, site.deafInUse());
     site.missingUntil(seconds + 40);
-    // One may be suspected at any moment: of a hundred packets one is late by seconds.
-    assertTrue(site.closed().size() <= 1, "closed, though they hear: " + site.closed());
+    // One machine may be suspected at any time: one in a hundred packets is late by seconds.
+    assertTrue(
+        site.closed().size() <= 1, "closed, although they receive messages: " + site.closed());
     assertTrue(site.deafInUse() > 0, "none of them is used again");
     assertEquals(List.of(), site.cluster.invariants().violations());
   }
--- a/src/test/java/org/quincecross/emulator/OwnerWithoutStore.java
+++ b/src/test/java/org/quincecross/emulator/OwnerWithoutStore.java
@@ -2,12 +2,14 @@
 
 import org.quincecross.model.MachineId;
 
-/** A controller that alone has lost the key-value store, while its machines reach no other one. */
+/**
+ * Isolates one controller from the key-value store, while its machines reach no other controller.
+ */
 final class OwnerWithoutStore {
   private OwnerWithoutStore() {}
 
   /**
-   * Cuts one of three controllers from the store, and all machines from the other two.
+   * Cuts one of three controllers off from the store, and all machines off from the other two.
    *
    * @param alone the number of the controller that the machines still reach
    * @param forS how long, in seconds
--- a/src/test/java/org/quincecross/emulator/PollLivenessTest.java
+++ b/src/test/java/org/quincecross/emulator/PollLivenessTest.java
@@ -8,7 +8,7 @@
 import org.quincecross.model.JobId;
 
 /**
- * A job whose questions are not answered for 75 s is found, however others fare, and whether or not
+ * A job without an answer for 75 s is reported, whatever happens to other jobs, and whether or not
  * it is answered later.
  */
 class PollLivenessTest {
--- a/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
+++ b/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Whatever the state service does, a user is answered well before he stops waiting: 5 s for a
+ * Whatever the state service does, users are answered well before they time out: 5 s for a
  * submission or a cancellation, 2 s for a poll.
  */
 class ResponseDeadlineTest {
@@ -50,7 +50,7 @@
         longest.toString());
     boolean refusedSome =
         cluster.users().answers().keySet().stream().anyMatch(answer -> answer.equals("submit 503"));
-    assertTrue(refusedSome, "the trouble was none: " + cluster.users().answers());
+    assertTrue(refusedSome, "the fault had no effect: " + cluster.users().answers());
     assertEquals(List.of(), cluster.invariants().violations());
   }
 
--- a/src/test/java/org/quincecross/emulator/SlowStoreTest.java
+++ b/src/test/java/org/quincecross/emulator/SlowStoreTest.java
@@ -12,9 +12,9 @@
 import org.quincecross.model.JobId;
 
 /**
- * The state service answers slowly while users submit, ask and cancel, in virtual time: each is
- * answered or refused before it stops waiting, what the controllers have under way stays bounded,
- * and soon after it each question is answered again.
+ * The state service answers slowly while users submit, poll and cancel, in virtual time. Each
+ * request is answered or refused before its user times out, the number of pending requests of the
+ * controllers stays bounded, and soon afterwards every poll is answered again.
  */
 class SlowStoreTest {
   private static final double FROM_S = 30;
@@ -38,7 +38,7 @@
               cluster.state().slowDown(leastS, mostS, SECONDS, new Random(3));
               cluster.users().multiplyPolls(4, SECONDS);
             });
-    // All that is accepted is cancelled while it is slow.
+    // All accepted jobs are cancelled while the state service is slow.
     cluster
         .time()
         .at(
@@ -64,7 +64,7 @@
             .mapToDouble(id -> cluster.users().polls().longestGapS(id, true))
             .max()
             .orElseThrow();
-    assertTrue(unanswered < 20, "without an answer for " + unanswered + " s");
+    assertTrue(unanswered < 20, "no answer for " + unanswered + " s");
     assertTrue(
         cluster.state().maxPendingRequests() < 100,
         "under way " + cluster.state().maxPendingRequests());
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -18,9 +18,9 @@
 import org.quincecross.protocol.Settings;
 
 /**
- * One-task jobs come four a second for minutes and a quarter of them is called off, while the state
- * service takes 15 changes a second, or 80: what is accepted has its end told, and other work gets
- * through. Three controllers, 60 machines, in virtual time.
+ * Four one-task jobs arrive per second for minutes, a quarter of which are cancelled, while the
+ * state service accepts 15 or 80 changes per second. Users are told the end of every accepted job,
+ * and other work still completes. Three controllers, 60 machines, in virtual time.
  */
 class SmallJobsTest {
   private static final double A_SECOND = 4;
@@ -70,6 +70,6 @@
     assertTrue(
         accepted[accepted.length * 98 / 100] < 3,
         "accepted after " + accepted[accepted.length * 98 / 100]);
-    assertTrue(over[over.length - 1] < 30, "others over after " + Arrays.toString(over));
+    assertTrue(over[over.length - 1] < 30, "other jobs completed after " + Arrays.toString(over));
   }
 }
--- a/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
+++ b/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
@@ -9,9 +9,9 @@
 import org.quincecross.model.JobId;
 
 /**
- * A start is held up in the network, its job is cancelled meanwhile and the user told; then the
- * state service is out for everybody, so that no new token ends the doubt about that start
- * (incident start-after-cancel).
+ * A start is delayed in the network while its job is cancelled and the user is told so. Then the
+ * state service is down for all controllers, so no new token settles whether the start can still
+ * arrive (incident start-after-cancel).
  */
 class StartAfterCancelTest {
   private static final JobId JOB = new JobId("job-1");
--- a/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
@@ -16,8 +16,9 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * The state service is out for all: what was allocated before still starts, as the others show that
- * they know no more (incident started-without-word).
+ * During an outage of the state service for all controllers, tasks that were allocated before still
+ * start, once the other controllers show that they know of no later change (incident
+ * started-without-word).
  */
 class StartsInOutageTest {
   private static final double OUT_S = 60;
--- a/src/test/java/org/quincecross/emulator/UpperBoundTest.java
+++ b/src/test/java/org/quincecross/emulator/UpperBoundTest.java
@@ -21,13 +21,14 @@
   }
 
   /**
-   * Two classes share what is there; a job that cannot be begun in its time is lost to everybody.
+   * Two classes share the capacity; a job that cannot start in time cannot be served by any
+   * scheduler.
    */
   @Test
   void theLeastOfTwoClasses() {
     List<Resources> capacity = Collections.nCopies(4, HUNDRED);
-    // Ten seconds a slice: 1,000 units each. Both classes want 2,000 units in the first two slices,
-    // and there are 2,000.
+    // Slices of ten seconds with 1,000 units each. Both classes want 2,000 units in the first two
+    // slices, which have 2,000 in total.
     List<UpperBound.WorkDemand> both =
         List.of(
             wanted("a", 0, 15, 1000),
@@ -36,18 +37,15 @@
             wanted("b", 0, 15, 1000));
     assertEquals(0.5, new UpperBound(10, capacity, both).leastShare(), 1e-6);
     assertEquals(1, new UpperBound(10, capacity, both.subList(0, 2)).leastShare(), 1e-6);
-    // What is due after the end of the day is in neither.
+    // Jobs that are due after the end of the day are not counted.
     assertEquals(1, new UpperBound(10, capacity, List.of(wanted("a", 0, 39, 1e9))).leastShare());
-    // Of a large and two small jobs the small ones can be done.
+    // Of one large and two small jobs the small ones can finish.
     List<UpperBound.WorkDemand> sizes =
         List.of(wanted("a", 0, 5, 500), wanted("a", 0, 5, 500), wanted("a", 0, 5, 1e6));
     assertEquals(2.0 / 3, new UpperBound(10, capacity, sizes).leastShare(), 1e-3);
   }
 
-  /**
-   * No order of jobs served one after the other, each by all machines, comes out better than the
-   * bound.
-   */
+  /** No order of jobs, served one after the other by all machines, exceeds the bound. */
   @Property(tries = 60, seed = "9")
   void noOrderSurpassesIt(@ForAll Random random) {
     int slices = 8;
--- a/src/test/java/org/quincecross/emulator/UserErrorFaults.java
+++ b/src/test/java/org/quincecross/emulator/UserErrorFaults.java
@@ -4,9 +4,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Troubles that users make, drawn beside those of a {@link RandomScenario} from a source of their
- * own: they look closely, call off at the end and many at once, err, and on some days submit one
- * class of one-task jobs, four a second, a quarter of them called off.
+ * Faults caused by users, drawn in addition to those of a {@link RandomScenario} from a random
+ * source of their own: they read from all controllers at once, cancel at the end of jobs and many
+ * at once, send malformed requests, and on some days submit four one-task jobs of one class per
+ * second, a quarter of which are cancelled.
  */
 final class UserErrorFaults {
   private static final double FROM_S = 14;
--- a/src/test/java/org/quincecross/emulator/ZonePartitions.java
+++ b/src/test/java/org/quincecross/emulator/ZonePartitions.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts of many links at once. */
+/** Partitions that cut many links at once. */
 final class ZonePartitions {
   private final SimulatedCluster cluster;
 
@@ -12,7 +12,7 @@
   }
 
   /**
-   * Cuts a zone off from everything outside: its machines and controllers still hear one another.
+   * Cuts a zone off from everything outside; its machines and controllers still reach one another.
    */
   void zone(int zone, double length, boolean lose) {
     String name = cluster.site().zones().get(zone);
