--- a/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
+++ b/src/test/java/org/quincecross/emulator/AgentsCannotConnectTest.java
@@ -25,8 +25,7 @@
    */
   @ParameterizedTest
   @CsvSource({"8, 8, -1", "8, 60, -1", "8, 60, 3", "8, 60, 11", "22, 20, 2", "22, 45, 14"})
-  void theirWorkRunsElsewhereOnceTheirLeasesAreOver(
-      int count, double seconds, double leaderEndsAfterS) {
+  void tasksRunElsewhereOnceLeasesHaveExpired(int count, double seconds, double leaderEndsAfterS) {
     double lease = site.workers().lease().seconds();
     cluster.time().runUntil(40);
     List<MachineId> mute = cluster.cloud().machines().subList(0, count);
@@ -45,7 +44,7 @@
             assertTrue(
                 !cluster.cloud().machines().contains(machine) || isOpen(machine),
                 "given no work: " + machine));
-    assertAllIsWell(190);
+    assertWorkCompletesAndReplicasRun(190);
   }
 
   private boolean isOpen(MachineId machine) {
--- a/src/test/java/org/quincecross/emulator/BusyCluster.java
+++ b/src/test/java/org/quincecross/emulator/BusyCluster.java
@@ -67,7 +67,7 @@
     return services.stream().mapToInt(cluster.invariants()::onMachines).sum();
   }
 
-  void assertAllIsWell(double atS) {
+  void assertWorkCompletesAndReplicasRun(double atS) {
     cluster.time().runUntil(atS);
     assertEquals(List.of(), cluster.invariants().violations());
     for (JobId id : arrays) {
--- a/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
+++ b/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
@@ -14,29 +14,29 @@
  */
 class ConcurrentReadersTest {
   private static final int JOBS = 72;
-  private static final double SECONDS = 60;
+  private static final double DURATION_S = 60;
 
-  private SimulatedCluster played(long seed, double cancelShare, double atEndShare) {
+  private SimulatedCluster runWithReaders(long seed, double cancelShare, double atEndShare) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     Random random = new Random(seed);
-    ConcurrentReaders.begin(cluster.environment(), 1, cancelShare, SECONDS, random);
+    ConcurrentReaders.begin(cluster.environment(), 1, cancelShare, DURATION_S, random);
     if (atEndShare > 0) {
       LateCancellations.atEnd(
-          cluster.environment(), atEndShare, seed % 2 == 0 ? 0 : 1.6, SECONDS, random);
+          cluster.environment(), atEndShare, seed % 2 == 0 ? 0 : 1.6, DURATION_S, random);
     }
     for (int i = 0; i < JOBS; i++) {
       int number = 100 + i;
       // Some are submitted together, so that they share a record.
       cluster.time().at(5 + 0.6 * (i / 3 * 3), () -> cluster.users().submit(number));
     }
-    cluster.time().runUntil(SECONDS + 50);
+    cluster.time().runUntil(DURATION_S + 50);
     return cluster;
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void noNodeAnswersAnythingOlder(long seed) {
-    SimulatedCluster cluster = played(seed, 0.3, 0);
+  void noControllerAnswersWithOlderState(long seed) {
+    SimulatedCluster cluster = runWithReaders(seed, 0.3, 0);
     assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(
         cluster.users().answers().getOrDefault("poll 200", 0) > 10 * JOBS,
@@ -49,8 +49,8 @@
   /** A day from a fixed seed, with other faults; {@link SeedsTest} runs more of them. */
   @ParameterizedTest
   @ValueSource(longs = 2)
-  void daysOfUsersTroubles(long seed) {
-    assertEquals(List.of(), RandomScenario.ofMeetings(seed).with(UserErrorFaults::on).play());
+  void keepsRulesWithUserErrors(long seed) {
+    assertEquals(List.of(), RandomScenario.ofMeetings(seed).with(UserErrorFaults::inject).play());
   }
 
   /**
@@ -59,8 +59,8 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aCancellationMeetsTheEndOfTheLastTask(long seed) {
-    SimulatedCluster cluster = played(seed, 0, 0.7);
+  void cancellationAtEndOfLastTaskHasOneOutcome(long seed) {
+    SimulatedCluster cluster = runWithReaders(seed, 0, 0.7);
     assertEquals(List.of(), cluster.invariants().violations());
     long done =
         cluster.users().reportedStates().entrySet().stream()
--- a/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
@@ -79,7 +79,7 @@
     cluster.isolate(node, seconds, keepsMemory);
     cluster.time().runUntil(30 + seconds + 8);
     assertEquals(36, believed(node));
-    assertAllIsWell(30 + seconds + 60);
+    assertWorkCompletesAndReplicasRun(30 + seconds + 60);
   }
 
   private int blocksOf(int node) {
@@ -114,7 +114,7 @@
     assertTrue(
         blocksOf(0) > 0 && blocksOf(1) > 0 && blocksOf(2) > 0,
         "it hears again, and has its part: " + blocksOf(0) + " " + blocksOf(1) + " " + blocksOf(2));
-    assertAllIsWell(200);
+    assertWorkCompletesAndReplicasRun(200);
   }
 
   /**
@@ -174,7 +174,7 @@
     cluster.suspend(first, seconds);
     cluster.time().runUntil(20 + 3 * seconds + 20);
     assertEquals(36, replicas());
-    assertAllIsWell(20 + 3 * seconds + 90);
+    assertWorkCompletesAndReplicasRun(20 + 3 * seconds + 90);
   }
 
   /**
@@ -214,7 +214,7 @@
     assertTrue(late < 20 * 12, late + " attempts in a minute");
     assertTrue(cluster.cloud().machines().size() <= machines, "machines were rented for them");
     cluster.users().misconfiguredAttempts().keySet().forEach(id -> cluster.users().cancel(id));
-    assertAllIsWell(150);
+    assertWorkCompletesAndReplicasRun(150);
   }
 
   private int attempts() {
@@ -239,7 +239,7 @@
       late.add(job.id());
       cluster.time().at(30 + i, () -> cluster.users().submit(job));
     }
-    assertAllIsWell(120);
+    assertWorkCompletesAndReplicasRun(120);
     for (JobId id : late) {
       assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
--- a/src/test/java/org/quincecross/emulator/CostScalingTest.java
+++ b/src/test/java/org/quincecross/emulator/CostScalingTest.java
@@ -22,7 +22,7 @@
    * event do not.
    */
   @Test
-  void twiceTheMachinesCostTwiceTheEventsAndNoMore() {
+  void twiceTheMachinesDoublesEventsOnly() {
     Meter small = play(120);
     Meter large = play(240);
     assertTrue(calls(large, "POST /agent/…") > 1.5 * calls(small, "POST /agent/…"));
@@ -47,7 +47,7 @@
 
   /** Three controllers whose only work is to answer thirty machines. */
   @Test
-  void aQuietSiteIsNotLookedAtAllTheTime() {
+  void idleClusterCausesFewCalls() {
     Meter meter = new Meter(true);
     SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.tryOut(30, false), 3, meter);
     cluster.time().runUntil(30);
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -212,7 +212,7 @@
 
   private void assertSound() {
     assertEquals(List.of(), cluster.invariants().violations());
-    assertEquals(List.of(), watch.broken());
+    assertEquals(List.of(), watch.violations());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestInvariant.java
@@ -16,7 +16,7 @@
  */
 final class DeadlineRequestInvariant {
   private static final String KEYS = "q/agreed/requests/";
-  private static final double EVERY_S = 0.05;
+  private static final double CHECK_INTERVAL_S = 0.05;
   private static final RequestKind KIND = new RequestKind(id -> "", 0);
 
   private final SimulatedCluster cluster;
@@ -31,15 +31,15 @@
 
   private final Map<String, DeadlineRequest.State> ended = new HashMap<>();
   private final Map<String, Integer> ends = new HashMap<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
 
   DeadlineRequestInvariant(SimulatedCluster cluster) {
     this.cluster = cluster;
-    look();
+    checkAll();
   }
 
-  List<String> broken() {
-    return broken;
+  List<String> violations() {
+    return violations;
   }
 
   Map<String, DeadlineRequest> seen() {
@@ -53,21 +53,21 @@
   void accepted(String reference, String kind) {
     String before = accepted.put(reference, kind);
     if (before != null && !before.equals(kind)) {
-      breaks(reference, "was accepted with other figures");
+      addViolation(reference, "was accepted with other figures");
     }
   }
 
   void ended(String reference, DeadlineRequest.State end) {
     if (!ended.merge(reference, end, (one, other) -> one).equals(end)) {
-      breaks(reference, "was ended in two ways");
+      addViolation(reference, "was ended in two ways");
     }
   }
 
-  private void breaks(String reference, String what) {
-    broken.add("at " + cluster.time().seconds() + " " + reference + " " + what);
+  private void addViolation(String reference, String what) {
+    violations.add("at " + cluster.time().seconds() + " " + reference + " " + what);
   }
 
-  private void look() {
+  private void checkAll() {
     for (String key : cluster.state().keysWithPrefix(KEYS)) {
       Object value = cluster.state().value(key);
       if (key.startsWith(KEYS + "~") || values.put(key, value) == value) {
@@ -79,37 +79,38 @@
                 .withReference(key.substring(KEYS.length()));
         check(seen.put(now.reference(), now), now);
       } catch (MalformedRecordException e) {
-        breaks(key, e.getMessage());
+        addViolation(key, e.getMessage());
       }
     }
     accepted.forEach(
         (reference, kind) -> {
           if (!request(reference).kind().equals(kind)) {
-            breaks(reference, "was accepted and is lost");
+            addViolation(reference, "was accepted and is lost");
           }
         });
     ended.forEach(
         (reference, end) -> {
           if (request(reference).state() != end) {
-            breaks(reference, "was told to be " + end + " and is " + request(reference).state());
+            addViolation(
+                reference, "was told to be " + end + " and is " + request(reference).state());
           }
         });
-    cluster.time().after(seen.size() > 1000 ? 1 : EVERY_S, this::look);
+    cluster.time().after(seen.size() > 1000 ? 1 : CHECK_INTERVAL_S, this::checkAll);
   }
 
   private void check(DeadlineRequest before, DeadlineRequest now) {
     int room = now.state() == DeadlineRequest.State.RESERVED ? now.need().tasks() : 0;
     if (now.reservedTasks() != room) {
-      breaks(now.reference(), "has room for " + now.reservedTasks() + " of " + room);
+      addViolation(now.reference(), "has room for " + now.reservedTasks() + " of " + room);
     }
     if (before != null && !before.state().isOpen() && !now.equals(before)) {
-      breaks(now.reference(), "was over and has changed");
+      addViolation(now.reference(), "was over and has changed");
     }
     if (before != null
         && before.state().isOpen()
         && !now.state().isOpen()
         && ends.merge(now.reference(), 1, Integer::sum) > 1) {
-      breaks(now.reference(), "was given back twice");
+      addViolation(now.reference(), "was given back twice");
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
@@ -11,22 +11,22 @@
  * after later messages; reports are duplicated up to three leases later.
  */
 class DelayedMessagesTest {
-  private static final double LONGEST_S = 15;
+  private static final double MAX_DELAY_S = 15;
 
   /**
    * Cycles through four kinds of runs: few delays and many duplicates, many delays and few
    * duplicates, half of all messages, and machines that restart at once.
    */
-  static RandomScenario day(long seed) {
+  static RandomScenario scenario(long seed) {
     double held = List.of(0.03, 0.2, 0.5, 0.1).get((int) (seed % 4));
     double copies = List.of(0.5, 0.05, 0.2, 0.1).get((int) (seed % 4));
     return new RandomScenario(seed)
         .with(
             (cluster, each) ->
                 new FastRestartFaults(cluster, each)
-                    .copies(copies)
-                    .held(held, LONGEST_S)
-                    .machines(1.0 / 6, seed % 4 == 3 ? 2 : 0));
+                    .duplicateReports(copies)
+                    .delayMessages(held, MAX_DELAY_S)
+                    .restartMachines(1.0 / 6, seed % 4 == 3 ? 2 : 0));
   }
 
   /**
@@ -35,7 +35,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {2, 8, 9, 13})
-  void keepsTheRulesAndFinishesTheWork(long seed) {
-    assertEquals(List.of(), day(seed).play());
+  void keepsRulesAndCompletesWork(long seed) {
+    assertEquals(List.of(), scenario(seed).play());
   }
 }
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionFaults.java
@@ -12,9 +12,9 @@
  * time, and controllers restart at once.
  */
 final class DelayedTransactionFaults {
-  private static final double FROM_S = 12;
-  private static final double UNTIL_S = 150;
-  private static final double MINUTES_SHARE = 0.15;
+  private static final double START_S = 12;
+  private static final double END_S = 150;
+  private static final double DELAYED_BY_MINUTES_SHARE = 0.15;
 
   private final SimulatedCluster cluster;
   private final Random random;
@@ -25,22 +25,23 @@
   }
 
   /** For {@link RandomScenario#with}. */
-  static void on(SimulatedCluster cluster, long seed) {
+  static void inject(SimulatedCluster cluster, long seed) {
     DelayedTransactionFaults days = new DelayedTransactionFaults(cluster, seed);
-    days.lateWrites(0.2 + 0.1 * days.random.nextDouble());
-    days.bundles(6, 7);
-    days.cancellations(12);
-    new FastRestartFaults(cluster, seed).controllers(3);
+    days.delayTransactions(0.2 + 0.1 * days.random.nextDouble());
+    days.submitTogether(6, 7);
+    days.cancelAtRandomTimes(12);
+    new FastRestartFaults(cluster, seed).restartControllers(3);
   }
 
-  private boolean isTrouble() {
-    return cluster.time().seconds() >= FROM_S && cluster.time().seconds() < UNTIL_S;
+  private boolean isFaultActive() {
+    return cluster.time().seconds() >= START_S && cluster.time().seconds() < END_S;
   }
 
-  private void lateWrites(double share) {
-    DelayedTransactions soon = DelayedTransactions.share(share, 2, 12, this::isTrouble, random);
+  private void delayTransactions(double share) {
+    DelayedTransactions soon = DelayedTransactions.share(share, 2, 12, this::isFaultActive, random);
     DelayedTransactions minutes =
-        DelayedTransactions.share(MINUTES_SHARE * share, 12, 150, this::isTrouble, random);
+        DelayedTransactions.share(
+            DELAYED_BY_MINUTES_SHARE * share, 12, 150, this::isFaultActive, random);
     cluster
         .state()
         .delayTransactions(
@@ -50,17 +51,17 @@
             });
   }
 
-  private double moment() {
-    return FROM_S + random.nextDouble() * (UNTIL_S - FROM_S);
+  private double randomTimeS() {
+    return START_S + random.nextDouble() * (END_S - START_S);
   }
 
   /**
    * Jobs submitted at the same time share a record; some are cancelled at once, when only that
    * record names them.
    */
-  private void bundles(int times, int jobs) {
+  private void submitTogether(int times, int jobs) {
     for (int i = 0; i < times; i++) {
-      double at = moment();
+      double at = randomTimeS();
       for (int each = 0; each < jobs; each++) {
         int number = 3000 + i * jobs + each;
         cluster.time().at(at, () -> cluster.users().submit(number));
@@ -71,12 +72,12 @@
     }
   }
 
-  private void cancellations(int times) {
+  private void cancelAtRandomTimes(int times) {
     for (int i = 0; i < times; i++) {
       cluster
           .time()
           .at(
-              moment(),
+              randomTimeS(),
               () -> {
                 List<JobId> told = new ArrayList<>(cluster.users().reportedStates().keySet());
                 if (!told.isEmpty()) {
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
@@ -59,7 +59,7 @@
     assertEquals(
         List.of(),
         (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
-            .with(DelayedTransactionFaults::on)
+            .with(DelayedTransactionFaults::inject)
             .play());
   }
 
--- a/src/test/java/org/quincecross/emulator/DependencyFaults.java
+++ b/src/test/java/org/quincecross/emulator/DependencyFaults.java
@@ -14,23 +14,23 @@
  */
 final class DependencyFaults {
   private static final int PIPELINES = 9;
-  private static final int STRANGERS = 3;
+  private static final int JOBS_WITH_UNKNOWN_DEPENDENCY = 3;
   private static final int FIRST_NUMBER = 700_000;
-  private static final double LOOK_S = 0.02;
+  private static final double CHECK_INTERVAL_S = 0.02;
 
   private final SimulatedCluster cluster;
   private final Random random;
   private final double fromS;
   private final double untilS;
-  private final PipelineGenerator draws;
-  private final List<JobId> drawn = new ArrayList<>();
+  private final PipelineGenerator generator;
+  private final List<JobId> submittedJobs = new ArrayList<>();
 
   private DependencyFaults(SimulatedCluster cluster, long seed, double fromS, double untilS) {
     this.cluster = cluster;
     this.random = new Random(seed * 37 + 11);
     this.fromS = fromS;
     this.untilS = untilS;
-    this.draws =
+    this.generator =
         new PipelineGenerator(
             random,
             List.copyOf(cluster.site().teams().keySet()),
@@ -39,59 +39,60 @@
   }
 
   /** For {@link RandomScenario#with}. */
-  static void on(SimulatedCluster cluster, long seed) {
-    between(cluster, seed, 5, 140);
+  static void inject(SimulatedCluster cluster, long seed) {
+    injectBetween(cluster, seed, 5, 140);
   }
 
   /** Submits pipelines in this interval, in seconds. */
-  static void between(SimulatedCluster cluster, long seed, double fromS, double untilS) {
+  static void injectBetween(SimulatedCluster cluster, long seed, double fromS, double untilS) {
     DependencyFaults days = new DependencyFaults(cluster, seed, fromS, untilS);
     for (int i = 0; i < PIPELINES; i++) {
-      cluster.time().at(days.moment(), days::pipeline);
+      cluster.time().at(days.randomTimeS(), days::submitPipeline);
     }
-    for (int i = 0; i < STRANGERS; i++) {
+    for (int i = 0; i < JOBS_WITH_UNKNOWN_DEPENDENCY; i++) {
       cluster
           .time()
           .at(
-              days.moment(),
+              days.randomTimeS(),
               () ->
                   cluster
                       .users()
                       .submit(
-                          days.draws.dependentOf(new JobId("job-9" + days.random.nextInt(99)))));
+                          days.generator.dependentOf(
+                              new JobId("job-9" + days.random.nextInt(99)))));
     }
   }
 
-  private double moment() {
+  private double randomTimeS() {
     return fromS + random.nextDouble() * (untilS - fromS);
   }
 
-  private void pipeline() {
-    List<JobId> earlier = new ArrayList<>(drawn);
+  private void submitPipeline() {
+    List<JobId> earlier = new ArrayList<>(submittedJobs);
     cluster.users().reportedStates().keySet().stream()
         .filter(
             id -> cluster.job(id).kind() != JobKind.SERVICE && !cluster.users().isMisconfigured(id))
         .forEach(earlier::add);
-    List<DependentJobs.PipelineJob> steps = draws.nextPipeline(earlier);
+    List<DependentJobs.PipelineJob> steps = generator.nextPipeline(earlier);
     for (DependentJobs.PipelineJob step : steps) {
-      drawn.add(step.job().id());
+      submittedJobs.add(step.job().id());
       cluster.environment().pipelines().submit(step);
     }
     JobId cancelled = steps.get(random.nextInt(steps.size())).job().id();
     double later = 1 + random.nextDouble() * 50;
     switch (random.nextInt(4)) {
       case 0 -> cluster.time().after(later, () -> cluster.users().cancel(cancelled));
-      case 1 -> cancelAtItsEnd(cancelled);
+      case 1 -> cancelAsItEnds(cancelled);
       default -> {}
     }
   }
 
-  private void cancelAtItsEnd(JobId id) {
+  private void cancelAsItEnds(JobId id) {
     if (cluster.invariants().isComplete(id)) {
       cluster.users().cancel(id);
     } else if (cluster.invariants().cancelledAt(id) == null
         && cluster.time().seconds() < untilS + 60) {
-      cluster.time().after(LOOK_S, () -> cancelAtItsEnd(id));
+      cluster.time().after(CHECK_INTERVAL_S, () -> cancelAsItEnds(id));
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/DependencyScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyScenarioTest.java
@@ -13,7 +13,7 @@
 class DependencyScenarioTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void keepsTheRulesAndFinishesTheWork(long seed) {
+  void keepsRulesAndCompletesWork(long seed) {
     assertEquals(List.of(), RandomScenario.ofPipelines(seed).play());
   }
 }
--- a/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyUpgradeTest.java
@@ -25,9 +25,9 @@
   private static final Build OLD = Build.present("old", 1);
   private static final Build NEW = Build.present("new", 2);
   private static final double FIRST_REPLACED_S = 20;
-  private static final double ALL_NEW_S = 31;
-  private static final double PIPELINES_S = 60;
-  private static final double MOST_REFUSED_S = 5;
+  private static final double ALL_REPLACED_S = 31;
+  private static final double PIPELINES_START_S = 60;
+  private static final double MAX_REFUSED_S = 5;
 
   private final SimulatedCluster cluster =
       new SimulatedCluster(
@@ -37,25 +37,25 @@
           new Features(null, null, OLD));
   private final List<JobId> services = new ArrayList<>();
   private final List<JobId> arrays = new ArrayList<>();
-  private final List<JobId> dependent = new ArrayList<>();
+  private final List<JobId> dependentJobs = new ArrayList<>();
 
   DependencyUpgradeTest() throws MalformedMessageException {
     BusyCluster.submit(cluster, services, arrays);
   }
 
   /** Another event during the upgrade. */
-  enum Meanwhile {
+  enum ConcurrentEvent {
     NOTHING,
     LEADER_ENDS,
     ONE_REFUSED,
     OUTAGE_AS_THE_LIMITS_FALL
   }
 
-  private void pipelines() {
+  private void submitPipelines() {
     PipelineGenerator draws =
         new PipelineGenerator(
             cluster.random(), List.of("web", "batch"), new Resources(0.5, 0, 1), 700_000);
-    for (double at = ALL_NEW_S; at < ALL_NEW_S + PIPELINES_S; at += 3) {
+    for (double at = ALL_REPLACED_S; at < ALL_REPLACED_S + PIPELINES_START_S; at += 3) {
       cluster
           .time()
           .at(
@@ -65,7 +65,7 @@
                       .nextPipeline(arrays)
                       .forEach(
                           step -> {
-                            dependent.add(step.job().id());
+                            dependentJobs.add(step.job().id());
                             cluster.environment().pipelines().submit(step);
                           }));
     }
@@ -83,7 +83,7 @@
     "45, ONE_REFUSED",
     "40, OUTAGE_AS_THE_LIMITS_FALL"
   })
-  void aRollWithPipelinesAndFallingLimits(double fallAt, Meanwhile meanwhile) {
+  void acceptsPipelinesDuringUpgradeWithFallingLimits(double fallAt, ConcurrentEvent meanwhile) {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
       cluster
@@ -95,29 +95,32 @@
                 cluster.upgrade(each, NEW);
               });
     }
-    pipelines();
+    submitPipelines();
     cluster.time().at(fallAt, () -> cluster.state().limit(LOW));
     switch (meanwhile) {
       case LEADER_ENDS ->
-          cluster.time().at(ALL_NEW_S + 1, () -> cluster.crash(Math.max(0, cluster.leader())));
+          cluster.time().at(ALL_REPLACED_S + 1, () -> cluster.crash(Math.max(0, cluster.leader())));
       case ONE_REFUSED ->
           cluster
               .time()
-              .at(ALL_NEW_S + 1, () -> cluster.state().refuse(ClusterSpec.nodeName(1), 20));
+              .at(ALL_REPLACED_S + 1, () -> cluster.state().refuse(ClusterSpec.nodeName(1), 20));
       case OUTAGE_AS_THE_LIMITS_FALL ->
           cluster.time().at(fallAt - 2, () -> cluster.state().outage(9));
       default -> {}
     }
     cluster.time().runUntil(240);
     assertEquals(List.of(), cluster.invariants().violations());
-    assertTrue(dependent.size() > 60, dependent.size() + " jobs in pipelines");
-    for (JobId id : dependent) {
+    assertTrue(dependentJobs.size() > 60, dependentJobs.size() + " jobs in pipelines");
+    for (JobId id : dependentJobs) {
       assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
-    if (meanwhile == Meanwhile.NOTHING) {
+    if (meanwhile == ConcurrentEvent.NOTHING) {
       double longest =
-          dependent.stream().mapToDouble(cluster.users().acceptedAfter()::get).max().orElseThrow();
-      assertTrue(longest < MOST_REFUSED_S, "accepted after " + longest);
+          dependentJobs.stream()
+              .mapToDouble(cluster.users().acceptedAfter()::get)
+              .max()
+              .orElseThrow();
+      assertTrue(longest < MAX_REFUSED_S, "accepted after " + longest);
     }
     assertEquals(
         36, services.stream().mapToInt(cluster.invariants()::onMachines).sum(), "replicas");
--- a/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
@@ -42,7 +42,7 @@
     }
     cluster.time().runUntil(40 + lease + 8);
     assertEquals(36, replicas());
-    assertAllIsWell(170);
+    assertWorkCompletesAndReplicasRun(170);
   }
 
   /**
@@ -97,7 +97,7 @@
       }
     }
     assertTrue(left);
-    assertAllIsWell(170);
+    assertWorkCompletesAndReplicasRun(170);
   }
 
   private boolean isInABlock(MachineId machine) {
@@ -135,7 +135,7 @@
                       .subList(from, from + 8)
                       .forEach(worker -> worker.restart(0.3)));
     }
-    assertAllIsWell(170);
+    assertWorkCompletesAndReplicasRun(170);
   }
 
   /**
@@ -169,6 +169,6 @@
     cluster.time().runUntil(62 + 3 * site.workers().lease().seconds() + 20);
     assertEquals(36, replicas());
     gone.forEach(machine -> assertFalse(isInABlock(machine), "still in a block: " + machine));
-    assertAllIsWell(190);
+    assertWorkCompletesAndReplicasRun(190);
   }
 }
--- a/src/test/java/org/quincecross/emulator/FastBootTest.java
+++ b/src/test/java/org/quincecross/emulator/FastBootTest.java
@@ -21,7 +21,7 @@
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
   /** The running machines that no shard owns. */
-  private Set<MachineId> inNoBlock() {
+  private Set<MachineId> machinesWithoutShard() {
     Set<MachineId> outside = new TreeSet<>(cluster.cloud().machines());
     for (int node = 0; node < cluster.nodeCount(); node++) {
       if (cluster.status(node) != null) {
@@ -43,7 +43,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 1, 2.2, 4.5, 9})
-  void theLeaderEnds(double afterS) {
+  void leaderFailureLeavesNoMachineUnused(double afterS) {
     cluster.state().applyLate(0);
     cluster.time().runUntil(15);
     Set<MachineId> before = Set.copyOf(cluster.cloud().machines());
@@ -73,7 +73,7 @@
     cluster.time().at(rentedAt + afterS, () -> cluster.crash(Math.max(0, cluster.leader())));
     cluster.time().at(rentedAt + afterS + 8, () -> cluster.crash(Math.max(0, cluster.leader())));
     cluster.time().runUntil(110);
-    assertEquals(Set.of(), inNoBlock(), "neither in a shard nor returned");
+    assertEquals(Set.of(), machinesWithoutShard(), "neither in a shard nor returned");
     cluster.time().runUntil(230);
     assertEquals(List.of(), cluster.invariants().violations());
     cluster
--- a/src/test/java/org/quincecross/emulator/FastRestartFaults.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartFaults.java
@@ -7,8 +7,8 @@
  * late duplicates, delayed messages, machines and processes that restart at once.
  */
 final class FastRestartFaults {
-  private static final double FROM_S = 12;
-  private static final double UNTIL_S = 150;
+  private static final double START_S = 12;
+  private static final double END_S = 150;
 
   private final SimulatedCluster cluster;
   private final Random random;
@@ -18,14 +18,14 @@
     this.random = new Random(~seed);
   }
 
-  private double moment() {
-    return FROM_S + random.nextDouble() * (UNTIL_S - FROM_S);
+  private double randomTimeS() {
+    return START_S + random.nextDouble() * (END_S - START_S);
   }
 
   /** A share of all reports arrives a second time, 1 s to three leases later. */
-  FastRestartFaults copies(double share) {
-    cluster.time().at(FROM_S, () -> cluster.duplicateReports(share, random));
-    cluster.time().at(UNTIL_S, () -> cluster.duplicateReports(0, random));
+  FastRestartFaults duplicateReports(double share) {
+    cluster.time().at(START_S, () -> cluster.duplicateReports(share, random));
+    cluster.time().at(END_S, () -> cluster.duplicateReports(0, random));
     return this;
   }
 
@@ -33,10 +33,10 @@
    * Between these seconds of the day a share of commands, reports and answers to both is delayed by
    * up to {@code longestS}.
    */
-  FastRestartFaults held(double share, double longestS) {
+  FastRestartFaults delayMessages(double share, double longestS) {
     Random draws = new Random(random.nextLong());
-    cluster.time().at(FROM_S, () -> cluster.delayMessages(share, longestS, draws));
-    cluster.time().at(UNTIL_S, () -> cluster.delayMessages(0, 0, draws));
+    cluster.time().at(START_S, () -> cluster.delayMessages(share, longestS, draws));
+    cluster.time().at(END_S, () -> cluster.delayMessages(0, 0, draws));
     return this;
   }
 
@@ -44,12 +44,12 @@
    * Sometimes each machine restarts with this probability; it is back in a fraction of a second
    * with its counters reset.
    */
-  FastRestartFaults machines(double share, int times) {
+  FastRestartFaults restartMachines(double share, int times) {
     for (int i = 0; i < times; i++) {
       cluster
           .time()
           .at(
-              moment(),
+              randomTimeS(),
               () ->
                   cluster
                       .cloud()
@@ -69,9 +69,9 @@
   }
 
   /** One controller, or all, restart within 0.1 to 0.5 s, up to three times within six seconds. */
-  FastRestartFaults controllers(int times) {
+  FastRestartFaults restartControllers(int times) {
     for (int i = 0; i < times; i++) {
-      double at = moment();
+      double at = randomTimeS();
       int node = random.nextInt(cluster.nodeCount() + 1);
       for (int again = random.nextInt(3); again >= 0; again--) {
         double length = 0.1 + 0.4 * random.nextDouble();
--- a/src/test/java/org/quincecross/emulator/FastRestartTest.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartTest.java
@@ -33,7 +33,7 @@
     assertTrue(replicas() < 36, "some ran there");
     cluster.time().runUntil(30 + 12);
     assertEquals(36, replicas());
-    assertAllIsWell(170);
+    assertWorkCompletesAndReplicasRun(170);
   }
 
   /** The same machine again and again, each time before its holder may have noticed. */
@@ -48,7 +48,7 @@
     }
     cluster.time().runUntil(75);
     assertEquals(36, replicas());
-    assertAllIsWell(170);
+    assertWorkCompletesAndReplicasRun(170);
   }
 
   private void backAtOnce(int node, double seconds) {
@@ -72,7 +72,7 @@
     cluster.time().runUntil(30 + after + 25);
     assertTrue(cluster.leader() >= 0);
     assertEquals(36, replicas());
-    assertAllIsWell(150);
+    assertWorkCompletesAndReplicasRun(150);
   }
 
   /** The leader itself, twice in a row, and all three at once, twice. */
@@ -92,7 +92,7 @@
     cluster.time().runUntil(50);
     assertTrue(cluster.leader() >= 0);
     assertEquals(36, replicas());
-    assertAllIsWell(150);
+    assertWorkCompletesAndReplicasRun(150);
   }
 
   /**
@@ -129,7 +129,7 @@
         },
         0,
         SimulatedCluster.SendFault.STILL_AFTER);
-    assertAllIsWell(150);
+    assertWorkCompletesAndReplicasRun(150);
     assertTrue(hit[0]);
   }
 
@@ -192,6 +192,6 @@
     cluster.time().at(31, () -> cluster.state().write(key, null));
     cluster.time().runUntil(33);
     assertEquals(present, cluster.state().value(key));
-    assertAllIsWell(120);
+    assertWorkCompletesAndReplicasRun(120);
   }
 }
--- a/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
@@ -47,7 +47,7 @@
         cluster.time().at(12 + 0.012 * i, () -> cluster.crash(each));
       }
     }
-    assertAllIsWell(120);
+    assertWorkCompletesAndReplicasRun(120);
   }
 
   /**
@@ -58,7 +58,7 @@
   void aFollowThatIsTooOldOnAllAtOnce() {
     cluster.time().at(12, () -> cluster.state().keepChanges(1));
     cluster.time().at(18, () -> cluster.state().keepChanges(10_000));
-    assertAllIsWell(120);
+    assertWorkCompletesAndReplicasRun(120);
   }
 
   /**
@@ -84,7 +84,7 @@
     assertTrue(
         cluster.state().throttled() < 30,
         "refused for their number: " + cluster.state().throttled());
-    assertAllIsWell(150);
+    assertWorkCompletesAndReplicasRun(150);
   }
 
   /**
@@ -106,7 +106,7 @@
         cluster.users().answers().getOrDefault("submit 503", 0) >= 1,
         cluster.users().answers().toString());
     cluster.time().at(46, () -> cluster.memoryIsShort(false));
-    assertAllIsWell(140);
+    assertWorkCompletesAndReplicasRun(140);
     assertTrue(cluster.users().acceptedAfter().get(late) > 20, "it came back when it was told to");
   }
 
@@ -123,6 +123,6 @@
     cluster.suspend(leader, seconds);
     cluster.time().runUntil(14 + seconds + 3);
     assertNotEquals(leader, cluster.leader());
-    assertAllIsWell(170);
+    assertWorkCompletesAndReplicasRun(170);
   }
 }
--- a/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
@@ -16,7 +16,7 @@
  */
 class GoldenMessagesTest {
   @Test
-  void theVocabularyStays() throws IOException, MalformedMessageException {
+  void messagesAndStoredValuesKeepTheirVocabulary() throws IOException, MalformedMessageException {
     TreeSet<String> before = new TreeSet<>(GoldenFiles.lines("vocabulary.txt"));
     SortedSet<String> now = RecordedDays.play().vocabulary();
     TreeSet<String> lost = new TreeSet<>(before);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void whatIsMalformedIsRefusedAsBefore() throws IOException, MalformedMessageException {
+  void malformedMessagesAreRefusedAsBefore() throws IOException, MalformedMessageException {
     assertEquals(
         String.join("\n", GoldenFiles.lines("malformed.txt")),
         String.join("\n", RecordedDays.malformed()));
--- a/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
+++ b/src/test/java/org/quincecross/emulator/GuaranteedStartTest.java
@@ -26,11 +26,11 @@
  */
 class GuaranteedStartTest {
   private static final int MACHINES = 12;
-  private static final Features ON =
+  private static final Features FEATURES =
       new Features(new Shares(0.85, 0.5, 0.01, 0.01), TimeSpan.ofSeconds(20), Build.BEFORE_LEVELS);
   private static final Resources ONE = new Resources(1, 0, 2);
 
-  private final SimulatedCluster cluster = new SimulatedCluster(site(), 11, Meter.OFF, ON);
+  private final SimulatedCluster cluster = new SimulatedCluster(site(), 11, Meter.OFF, FEATURES);
   private int number = 100;
 
   private static ClusterSpec site() {
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void theLargestBeginInTimeThoughTheLeaderDies() {
+  void largestJobsStartInTimeDespiteLeaderFailure() {
     for (int i = 0; i < 280; i++) {
       submit(
           20 + i,
--- a/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
+++ b/src/test/java/org/quincecross/emulator/IdleCapacityInvariantTest.java
@@ -22,7 +22,7 @@
  */
 class IdleCapacityInvariantTest {
   private static final int MACHINES = 30;
-  private static final double LONGEST_WAIT_S = 90;
+  private static final double MAX_WAIT_S = 90;
 
   /** More work than there is room for. */
   private final ClusterSpec site =
@@ -32,8 +32,8 @@
                   "batch",
                   new Team("batch", new Resources(80, 0, 1e9), new Resources(1000, 0, 1e9))));
 
-  private final List<JobId> anywhere = new ArrayList<>();
-  private double longest;
+  private final List<JobId> jobsForAnyZone = new ArrayList<>();
+  private double longestWaitS;
 
   private void submit(SimulatedCluster cluster, double atS, int number, String zone, double runS) {
     Job job =
@@ -52,7 +52,7 @@
             .build();
     cluster.time().at(atS, () -> cluster.users().submit(job));
     if (zone == null) {
-      anywhere.add(job.id());
+      jobsForAnyZone.add(job.id());
     }
   }
 
@@ -63,7 +63,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void nothingWaitsBehindLongWorkWhileOthersAreIdle(long seed) {
+  void noJobWaitsBehindLongWorkWhileOthersAreIdle(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(site, seed, Meter.OFF);
     for (int i = 0; i < 4 * MACHINES; i++) {
       submit(cluster, 10, 1000 + i, site.zones().get(i % 3), i % 3 == 0 ? 300 : 30);
@@ -79,7 +79,7 @@
               at,
               () -> {
                 boolean waits =
-                    anywhere.stream()
+                    jobsForAnyZone.stream()
                         .anyMatch(
                             id ->
                                 cluster.invariants().onMachines(id) == 0
@@ -92,11 +92,12 @@
                         ? -1
                         : idleSince[0] < 0 ? cluster.time().seconds() : idleSince[0];
                 double waited = idleSince[0] < 0 ? 0 : cluster.time().seconds() - idleSince[0];
-                longest = Math.max(longest, waited);
+                longestWaitS = Math.max(longestWaitS, waited);
               });
     }
     cluster.time().runUntil(400);
-    assertTrue(longest < LONGEST_WAIT_S, "capacity idle for " + longest + " s while work waits");
+    assertTrue(
+        longestWaitS < MAX_WAIT_S, "capacity idle for " + longestWaitS + " s while work waits");
     assertEquals(List.of(), cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
+++ b/src/test/java/org/quincecross/emulator/LeadershipGuardTest.java
@@ -21,31 +21,31 @@
  * write has changed since, so only the leadership precondition refuses it.
  */
 class LeadershipGuardTest {
-  private static final double HELD_S = 14;
+  private static final double WRITE_DELAY_S = 14;
 
   /**
    * Long enough for the successor to choose another shard, and over before the late write arrives,
    * because the shard would start the task at once.
    */
-  private static final double CUT_S = 9;
+  private static final double PARTITION_S = 9;
 
-  private String block;
+  private String shard;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aTaskThatTwoLeadersGiveToDifferentBlocksIsInOne(long seed) {
+  void taskAllocatedByTwoLeadersIsInOneShard(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.tryOut(30, true), seed, Meter.OFF);
     JobId id = new JobId("job-1");
     cluster.injectFaultAt(
         request -> {
           boolean gives = request.startsWith("POST /txn") && request.contains("\"Set\":\"q/alloc/");
           if (gives) {
-            block = request.replaceFirst("(?s).*\"Set\":\"q/alloc/([^\"]*)\".*", "$1");
-            cluster.time().after(0.01, () -> strike(cluster));
+            shard = request.replaceFirst("(?s).*\"Set\":\"q/alloc/([^\"]*)\".*", "$1");
+            cluster.time().after(0.01, () -> failLeader(cluster));
           }
           return gives;
         },
-        HELD_S,
+        WRITE_DELAY_S,
         SimulatedCluster.SendFault.HELD);
     // Into the leader's zone, where it owns all shards itself: so the chosen shard gets a new
     // owner, which no machine there obeys yet.
@@ -69,13 +69,13 @@
                             .imageGb(1)
                             .estimate(TimeSpan.ofSeconds(60))
                             .build()));
-    cluster.time().runUntil(20 + HELD_S - 1);
-    assertNotNull(block);
+    cluster.time().runUntil(20 + WRITE_DELAY_S - 1);
+    assertNotNull(shard);
     assertEquals(
         1, cluster.invariants().onMachines(id), "runs elsewhere before the late write comes");
-    cluster.time().runUntil(20 + HELD_S + 6);
+    cluster.time().runUntil(20 + WRITE_DELAY_S + 6);
     assertEquals(List.of(), cluster.invariants().violations());
-    assertNull(cluster.state().value("q/alloc/" + block), "the late write");
+    assertNull(cluster.state().value("q/alloc/" + shard), "the late write");
     cluster.time().runUntil(130);
     assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(1, cluster.invariants().starts());
@@ -86,13 +86,14 @@
    * The leader fails, and no controller reaches the machines that it has just allocated the task
    * to.
    */
-  private void strike(SimulatedCluster cluster) {
+  private void failLeader(SimulatedCluster cluster) {
     cluster.stopFor(cluster.leader(), 60);
     List<?> machines =
-        (List<?>) ((Map<?, ?>) cluster.state().value("q/block/" + block)).get("machines");
+        (List<?>) ((Map<?, ?>) cluster.state().value("q/block/" + shard)).get("machines");
     for (Object machine : machines) {
       for (int node = 0; node < cluster.nodeCount(); node++) {
-        cluster.cut(ClusterSpec.nodeName(node), (String) ((List<?>) machine).get(0), CUT_S, true);
+        cluster.cut(
+            ClusterSpec.nodeName(node), (String) ((List<?>) machine).get(0), PARTITION_S, true);
       }
     }
   }
--- a/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
@@ -18,7 +18,7 @@
  */
 @Tag("seeds")
 class LegalHoldSeedsTest {
-  private static final double READY_S = 42;
+  private static final double START_S = 42;
   private static final int SEEDS = Integer.getInteger("seeds", 20);
 
   @ParameterizedTest
@@ -31,15 +31,15 @@
         "state service out",
         "crashes"
       })
-  void whatIsPinnedIsNotTouched(String trouble) throws MalformedMessageException {
+  void pinnedRecordsAreNotAccessed(String fault) throws MalformedMessageException {
     List<Double> times = new ArrayList<>();
     for (long seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
       LegalHoldCluster site = new LegalHoldCluster(LegalHoldCasesTest.JOBS, 30, seed);
       site.told("sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
       site.cluster.state().applyLate(40);
-      double at = READY_S + 2 + 10 * random.nextDouble();
-      site.at(at - 0.5 + random.nextDouble(), () -> begin(site, trouble, random));
+      double at = START_S + 2 + 10 * random.nextDouble();
+      site.at(at - 0.5 + random.nextDouble(), () -> injectFault(site, fault, random));
       List<String> records = List.of("cdr/2026-03", "cdr", "cdr/2026-04-05");
       for (int i = 0; i < records.size(); i++) {
         String reference = "ref-" + i;
@@ -63,7 +63,7 @@
     Collections.sort(times);
     System.out.printf(
         "%-20s %4d holds: pinned after %.1f s (median), %.1f s (9 in 10), %.1f s (worst)%n",
-        trouble,
+        fault,
         times.size(),
         times.get(times.size() / 2),
         times.get(times.size() * 9 / 10),
@@ -71,10 +71,10 @@
     assertEquals(3 * SEEDS, times.size());
   }
 
-  private static void begin(LegalHoldCluster site, String trouble, Random random) {
+  private static void injectFault(LegalHoldCluster site, String fault, Random random) {
     int node = random.nextInt(3);
     double length = 20 + 20 * random.nextDouble();
-    switch (trouble) {
+    switch (fault) {
       case "controller cut off" -> site.leaveAlone(node, length);
       case "zone cut off" -> site.cutZone(node, length);
       case "machines deaf" -> site.deafen(8, length);
--- a/src/test/java/org/quincecross/emulator/MachineLossTest.java
+++ b/src/test/java/org/quincecross/emulator/MachineLossTest.java
@@ -19,7 +19,7 @@
 class MachineLossTest {
   private static final int MACHINES = 60;
   private static final double LEASE_S = 12;
-  private static final double MOST_AFTER_LEASE_S = 25;
+  private static final double MAX_AFTER_LEASE_S = 25;
   private static final String JOBS =
       """
             [[jobs]]
@@ -47,7 +47,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void allReplicasRunAgainSoonAfterTheLeasesAreOver(long seed) throws MalformedMessageException {
+  void allReplicasRunAgainSoonAfterLeaseExpiry(long seed) throws MalformedMessageException {
     ClusterSpec site = ClusterSpec.tryOut(MACHINES, true);
     SimulatedCluster cluster = new SimulatedCluster(site, seed, Meter.OFF);
     List<JobId> services = new ArrayList<>();
@@ -70,7 +70,7 @@
       cluster.time().runUntil(at);
     }
     assertTrue(
-        at - 35 < LEASE_S + MOST_AFTER_LEASE_S, "all replicas run again after " + (at - 35) + " s");
+        at - 35 < LEASE_S + MAX_AFTER_LEASE_S, "all replicas run again after " + (at - 35) + " s");
     cluster.time().runUntil(at + 60);
     assertEquals(List.of(), cluster.invariants().violations());
   }
--- a/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
+++ b/src/test/java/org/quincecross/emulator/MalformedRequestsTest.java
@@ -15,10 +15,10 @@
  * retry, and none of the requests has an effect. Three controllers, in virtual time.
  */
 class MalformedRequestsTest {
-  private static final double FROM_S = 6;
-  private static final double SECONDS = 80;
+  private static final double START_S = 6;
+  private static final double DURATION_S = 80;
 
-  private enum Trouble {
+  private enum Fault {
     NONE,
     SLOW_STATE,
     LATE_WRITES,
@@ -31,22 +31,24 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
-  void eachGetsItsAnswer(int number) {
-    Trouble trouble = Trouble.values()[number];
+  void invalidRequestsGetDefinedAnswers(int number) {
+    Fault fault = Fault.values()[number];
     SimulatedCluster cluster = new SimulatedCluster(20 + number);
     cluster.state().applyLate(0);
     Random random = new Random(number);
     cluster
         .time()
-        .at(FROM_S, () -> MalformedRequests.begin(cluster.environment(), 0.05, SECONDS, random));
+        .at(
+            START_S,
+            () -> MalformedRequests.begin(cluster.environment(), 0.05, DURATION_S, random));
     for (int i = 0; i < 40; i++) {
       int job = 100 + i;
       cluster.time().at(4 + i, () -> cluster.users().submit(job));
     }
     for (double at = 20; at < 70; at += 24) {
-      cluster.time().at(at, () -> begin(cluster, trouble, random));
+      cluster.time().at(at, () -> injectFault(cluster, fault, random));
     }
-    cluster.time().runUntil(FROM_S + SECONDS + 30);
+    cluster.time().runUntil(START_S + DURATION_S + 30);
     assertEquals(List.of(), cluster.invariants().violations());
     Map<String, Integer> odd = new TreeMap<>(cluster.users().answers());
     odd.keySet().removeIf(kind -> !kind.startsWith("odd"));
@@ -59,9 +61,9 @@
         "records");
   }
 
-  private void begin(SimulatedCluster cluster, Trouble trouble, Random random) {
+  private void injectFault(SimulatedCluster cluster, Fault fault, Random random) {
     int leader = Math.max(0, cluster.leader());
-    switch (trouble) {
+    switch (fault) {
       case NONE -> {}
       case SLOW_STATE -> cluster.state().slowDown(0.5, 3, 12, random);
       case LATE_WRITES -> {
@@ -81,7 +83,7 @@
       }
       case LONE_LEADER -> cluster.separate(leader, 12, random.nextBoolean());
       case STANDSTILL -> cluster.suspend(leader, 8);
-      default -> throw new IllegalStateException(trouble.toString());
+      default -> throw new IllegalStateException(fault.toString());
     }
   }
 }
--- a/src/test/java/org/quincecross/emulator/ModelServingSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingSeedsTest.java
@@ -16,13 +16,13 @@
 class ModelServingSeedsTest {
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void someDays(long seed) throws MalformedMessageException {
+  void keepsRulesOnFixedSeeds(long seed) throws MalformedMessageException {
     assertEquals(List.of(), new ModelServingScenario(seed).play());
   }
 
   @Test
   @Tag("seeds")
-  void manyDays() {
+  void keepsRulesOnManySeeds() {
     String[] range = System.getProperty("seeds", "20000-20999").split("-");
     Map<Long, Object> wrong = new ConcurrentSkipListMap<>();
     LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]))
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
@@ -18,7 +18,7 @@
    * A shard that moved meanwhile settles one lease after the last answer that such a machine may
    * have received.
    */
-  private static final double MOST_MISSING_S = 3 * OneWayPartitionCluster.LEASE_S;
+  private static final double MAX_MISSING_S = 3 * OneWayPartitionCluster.LEASE_S;
 
   @ParameterizedTest
   @CsvSource({"20, 150, 1", "33, 150, 1"})
@@ -27,7 +27,7 @@
     OneWayPartitionCluster site = new OneWayPartitionCluster(seed);
     site.deafen(percent, seconds, seed);
     double missing = site.missingUntil(seconds);
-    assertTrue(missing < MOST_MISSING_S, "replicas missing for " + missing + " s");
+    assertTrue(missing < MAX_MISSING_S, "replicas missing for " + missing + " s");
     assertTrue(
         site.cluster.undeliveredStarts() <= site.deaf.size(),
         site.cluster.undeliveredStarts() + " starts to deaf machines");
--- a/src/test/java/org/quincecross/emulator/PollLivenessTest.java
+++ b/src/test/java/org/quincecross/emulator/PollLivenessTest.java
@@ -13,7 +13,7 @@
  */
 class PollLivenessTest {
   @Test
-  void aJobThatNobodyAnswersForIsForgotten() {
+  void reportsJobWithoutAnswers() {
     VirtualTime time = new VirtualTime();
     PollLiveness polls = new PollLiveness(time);
     JobId answered = new JobId("job-1");
--- a/src/test/java/org/quincecross/emulator/RandomScenario.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -77,7 +77,8 @@
    * dependent jobs.
    */
   static RandomScenario ofPipelines(long seed) {
-    return (seed % 3 == 2 ? ofMeetings(seed) : new RandomScenario(seed)).with(DependencyFaults::on);
+    return (seed % 3 == 2 ? ofMeetings(seed) : new RandomScenario(seed))
+        .with(DependencyFaults::inject);
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
+++ b/src/test/java/org/quincecross/emulator/ResponseDeadlineTest.java
@@ -13,10 +13,10 @@
  * submission or a cancellation, 2 s for a poll.
  */
 class ResponseDeadlineTest {
-  private static final double MOST_CHANGE_S = 3.3;
-  private static final double MOST_POLL_S = 1.7;
+  private static final double MAX_CHANGE_RESPONSE_S = 3.3;
+  private static final double MAX_POLL_RESPONSE_S = 1.7;
 
-  enum Trouble {
+  enum Fault {
     OUT,
     REFUSED_ALONE,
     SILENT,
@@ -27,20 +27,20 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Trouble.class)
-  void everyRequestIsAnsweredInTime(Trouble trouble) {
+  @EnumSource(Fault.class)
+  void requestsAreAnsweredInTime(Fault fault) {
     SimulatedCluster cluster = new SimulatedCluster(7);
     for (int i = 0; i < 150; i++) {
       int number = 1000 + i;
       cluster.time().at(4 + i * 0.35, () -> cluster.users().submit(number));
     }
-    cluster.time().at(15, () -> begin(cluster, trouble));
+    cluster.time().at(15, () -> injectFault(cluster, fault));
     cluster.time().runUntil(110);
     Map<String, Double> longest = cluster.longestAnswers();
     longest.forEach(
         (what, seconds) -> {
           if (what.contains("/vN")) {
-            double most = what.startsWith("GET") ? MOST_POLL_S : MOST_CHANGE_S;
+            double most = what.startsWith("GET") ? MAX_POLL_RESPONSE_S : MAX_CHANGE_RESPONSE_S;
             assertTrue(seconds <= most, what + " was answered after " + seconds + " s");
           }
         });
@@ -54,8 +54,8 @@
     assertEquals(List.of(), cluster.invariants().violations());
   }
 
-  private static void begin(SimulatedCluster cluster, Trouble trouble) {
-    switch (trouble) {
+  private static void injectFault(SimulatedCluster cluster, Fault fault) {
+    switch (fault) {
       case OUT -> cluster.state().outage(25);
       case REFUSED_ALONE -> cluster.state().refuse(ClusterSpec.nodeName(0), 25);
       case SILENT -> cutAll(cluster, true);
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -42,9 +42,9 @@
                 .with(
                     (cluster, each) ->
                         new FastRestartFaults(cluster, each)
-                            .copies(share)
-                            .machines(1.0 / 6, machines)
-                            .controllers(controllers)));
+                            .duplicateReports(share)
+                            .restartMachines(1.0 / 6, machines)
+                            .restartControllers(controllers)));
   }
 
   /**
@@ -56,7 +56,7 @@
     play(
         seed ->
             (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
-                .with(DelayedTransactionFaults::on));
+                .with(DelayedTransactionFaults::inject));
   }
 
   /**
@@ -65,7 +65,7 @@
    */
   @Test
   void everyDayOfHeldMessagesKeepsTheRulesAndNothingHangs() {
-    play(DelayedMessagesTest::day);
+    play(DelayedMessagesTest::scenario);
   }
 
   /**
@@ -94,7 +94,7 @@
   /** The same beside the troubles that users make. */
   @Test
   void everyDayOfMeetingsAndUsersTroublesKeepsTheRulesAndNothingHangs() {
-    play(seed -> RandomScenario.ofMeetings(seed).with(UserErrorFaults::on));
+    play(seed -> RandomScenario.ofMeetings(seed).with(UserErrorFaults::inject));
   }
 
   /** The state service refuses one controller, then everybody, while users cancel and ask. */
--- a/src/test/java/org/quincecross/emulator/SettingsMarksTest.java
+++ b/src/test/java/org/quincecross/emulator/SettingsMarksTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void marksAreThoseOfBuildsBefore() {
+  void marksEqualThoseOfEarlierBuilds() {
     assertEquals(
         "{objectives=d4cbb29, state limits=3906042b, teams=3fe1ebfb, workers=554ac61c, zones=e3617560}",
         marks(ClusterSpec.small()).toString());
--- a/src/test/java/org/quincecross/emulator/SlowStoreTest.java
+++ b/src/test/java/org/quincecross/emulator/SlowStoreTest.java
@@ -17,14 +17,14 @@
  * controllers stays bounded, and soon afterwards every poll is answered again.
  */
 class SlowStoreTest {
-  private static final double FROM_S = 30;
-  private static final double SECONDS = 60;
-  private static final double MOST_CHANGE_S = 3.3;
-  private static final double MOST_POLL_S = 1.7;
+  private static final double START_S = 30;
+  private static final double DURATION_S = 60;
+  private static final double MAX_CHANGE_RESPONSE_S = 3.3;
+  private static final double MAX_POLL_RESPONSE_S = 1.7;
 
   @ParameterizedTest
   @CsvSource({"0.2, 1", "1, 1.5", "1, 3", "3, 6"})
-  void everyRequestIsAnsweredInTimeAndNothingPilesUp(double leastS, double mostS) {
+  void requestsAreAnsweredInTimeWithBoundedQueue(double leastS, double mostS) {
     SimulatedCluster cluster = new SimulatedCluster(7);
     for (int i = 0; i < 200; i++) {
       int number = 1000 + i;
@@ -33,28 +33,28 @@
     cluster
         .time()
         .at(
-            FROM_S,
+            START_S,
             () -> {
-              cluster.state().slowDown(leastS, mostS, SECONDS, new Random(3));
-              cluster.users().multiplyPolls(4, SECONDS);
+              cluster.state().slowDown(leastS, mostS, DURATION_S, new Random(3));
+              cluster.users().multiplyPolls(4, DURATION_S);
             });
     // All accepted jobs are cancelled while the state service is slow.
     cluster
         .time()
         .at(
-            FROM_S + 5,
+            START_S + 5,
             () -> {
               List<JobId> told = new ArrayList<>(cluster.users().reportedStates().keySet());
               told.forEach(cluster.users()::cancel);
             });
-    cluster.time().runUntil(FROM_S + SECONDS);
+    cluster.time().runUntil(START_S + DURATION_S);
     cluster.users().polls().onFault();
-    cluster.time().runUntil(FROM_S + SECONDS + 100);
+    cluster.time().runUntil(START_S + DURATION_S + 100);
     Map<String, Double> longest = cluster.longestAnswers();
     longest.forEach(
         (what, seconds) -> {
           if (what.contains("/vN")) {
-            double most = what.startsWith("GET") ? MOST_POLL_S : MOST_CHANGE_S;
+            double most = what.startsWith("GET") ? MAX_POLL_RESPONSE_S : MAX_CHANGE_RESPONSE_S;
             assertTrue(seconds <= most, what + " was answered after " + seconds + " s");
           }
         });
--- a/src/test/java/org/quincecross/emulator/SmallJobsTest.java
+++ b/src/test/java/org/quincecross/emulator/SmallJobsTest.java
@@ -23,18 +23,18 @@
  * and other work still completes. Three controllers, 60 machines, in virtual time.
  */
 class SmallJobsTest {
-  private static final double A_SECOND = 4;
-  private static final double SECONDS = 125;
+  private static final double JOBS_PER_SECOND = 4;
+  private static final double DURATION_S = 125;
 
   @ParameterizedTest
   @ValueSource(ints = {15, 80})
-  void eachHasItsEndToldAndOthersGetThrough(int changes) {
+  void reportsEveryEndAndCompletesOtherWork(int changes) {
     ClusterSpec site =
         ClusterSpec.tryOut(60, true).with(new Settings.StoreLimits(200, changes, 4096, 8));
     SimulatedCluster cluster = new SimulatedCluster(site, changes, Meter.OFF);
     Random random = new Random(changes);
     List<JobId> others = new ArrayList<>();
-    SmallJobs.begin(cluster, A_SECOND, 0.25, 5, SECONDS, random);
+    SmallJobs.begin(cluster, JOBS_PER_SECOND, 0.25, 5, DURATION_S, random);
     for (int i = 0; i < 15; i++) {
       Job other =
           Job.builder(new JobId("job-" + (100 + i)))
@@ -51,7 +51,7 @@
       others.add(other.id());
       cluster.time().at(10 + 10 * i, () -> cluster.users().submit(other));
     }
-    cluster.time().runUntil(5 + SECONDS + 45);
+    cluster.time().runUntil(5 + DURATION_S + 45);
     assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(
         0,
@@ -65,7 +65,7 @@
     double[] over =
         others.stream().mapToDouble(cluster.users().overAfter()::get).sorted().toArray();
     assertTrue(
-        accepted.length >= 0.98 * (A_SECOND * SECONDS + others.size()),
+        accepted.length >= 0.98 * (JOBS_PER_SECOND * DURATION_S + others.size()),
         "accepted " + accepted.length);
     assertTrue(
         accepted[accepted.length * 98 / 100] < 3,
--- a/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
+++ b/src/test/java/org/quincecross/emulator/StartAfterCancelTest.java
@@ -18,7 +18,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void aStartThatArrivesAfterAllThatTimeIsNotExecuted(long seed) {
+  void lateStartOfCancelledJobIsNotExecuted(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     boolean[] out = new boolean[1];
     cluster.injectFaultAt(
--- a/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/StartsInOutageTest.java
@@ -21,12 +21,12 @@
  * started-without-word).
  */
 class StartsInOutageTest {
-  private static final double OUT_S = 60;
-  private static final double OUT_FOR_S = 25;
+  private static final double OUTAGE_START_S = 60;
+  private static final double OUTAGE_DURATION_S = 25;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void whatIsAllocatedStartsAfterTenSeconds(long seed) {
+  void allocatedTasksStartAfterTenSeconds(long seed) {
     Resources all = new Resources(1000, 1000, 10_000);
     SimulatedCluster cluster =
         new SimulatedCluster(
@@ -48,10 +48,10 @@
               .build();
       cluster.time().at(26 + i * 0.1, () -> cluster.users().submit(job));
     }
-    cluster.time().at(OUT_S, () -> cluster.state().outage(OUT_FOR_S));
-    cluster.time().runUntil(OUT_S + 10);
+    cluster.time().at(OUTAGE_START_S, () -> cluster.state().outage(OUTAGE_DURATION_S));
+    cluster.time().runUntil(OUTAGE_START_S + 10);
     int before = cluster.invariants().starts();
-    cluster.time().runUntil(OUT_S + OUT_FOR_S);
+    cluster.time().runUntil(OUTAGE_START_S + OUTAGE_DURATION_S);
     assertTrue(
         cluster.invariants().starts() > before, "starts from the tenth second of the outage on");
     assertEquals(List.of(), cluster.invariants().violations());
--- a/src/test/java/org/quincecross/emulator/UpperBoundTest.java
+++ b/src/test/java/org/quincecross/emulator/UpperBoundTest.java
@@ -15,7 +15,7 @@
 class UpperBoundTest {
   private static final Resources HUNDRED = new Resources(100, 0, 100);
 
-  private static UpperBound.WorkDemand wanted(
+  private static UpperBound.WorkDemand demand(
       String jobClass, double from, double until, double work) {
     return new UpperBound.WorkDemand(jobClass, from, until, new Resources(work, 0, 0));
   }
@@ -25,29 +25,29 @@
    * scheduler.
    */
   @Test
-  void theLeastOfTwoClasses() {
+  void smallestShareOfTwoClasses() {
     List<Resources> capacity = Collections.nCopies(4, HUNDRED);
     // Slices of ten seconds with 1,000 units each. Both classes want 2,000 units in the first two
     // slices, which have 2,000 in total.
     List<UpperBound.WorkDemand> both =
         List.of(
-            wanted("a", 0, 15, 1000),
-            wanted("a", 0, 15, 1000),
-            wanted("b", 0, 15, 1000),
-            wanted("b", 0, 15, 1000));
+            demand("a", 0, 15, 1000),
+            demand("a", 0, 15, 1000),
+            demand("b", 0, 15, 1000),
+            demand("b", 0, 15, 1000));
     assertEquals(0.5, new UpperBound(10, capacity, both).leastShare(), 1e-6);
     assertEquals(1, new UpperBound(10, capacity, both.subList(0, 2)).leastShare(), 1e-6);
     // Jobs that are due after the end of the day are not counted.
-    assertEquals(1, new UpperBound(10, capacity, List.of(wanted("a", 0, 39, 1e9))).leastShare());
+    assertEquals(1, new UpperBound(10, capacity, List.of(demand("a", 0, 39, 1e9))).leastShare());
     // Of one large and two small jobs the small ones can finish.
     List<UpperBound.WorkDemand> sizes =
-        List.of(wanted("a", 0, 5, 500), wanted("a", 0, 5, 500), wanted("a", 0, 5, 1e6));
+        List.of(demand("a", 0, 5, 500), demand("a", 0, 5, 500), demand("a", 0, 5, 1e6));
     assertEquals(2.0 / 3, new UpperBound(10, capacity, sizes).leastShare(), 1e-3);
   }
 
   /** No order of jobs, served one after the other by all machines, exceeds the bound. */
   @Property(tries = 60, seed = "9")
-  void noOrderSurpassesIt(@ForAll Random random) {
+  void noOrderExceedsTheBound(@ForAll Random random) {
     int slices = 8;
     List<Resources> capacity = new ArrayList<>();
     for (int i = 0; i < slices; i++) {
@@ -57,7 +57,7 @@
     for (int i = 0; i < 12; i++) {
       double from = 50 * random.nextDouble();
       jobs.add(
-          wanted(
+          demand(
               random.nextBoolean() ? "a" : "b",
               from,
               from + 15 * random.nextDouble() + 1,
--- a/src/test/java/org/quincecross/emulator/UserErrorFaults.java
+++ b/src/test/java/org/quincecross/emulator/UserErrorFaults.java
@@ -10,13 +10,13 @@
  * second, a quarter of which are cancelled.
  */
 final class UserErrorFaults {
-  private static final double FROM_S = 14;
-  private static final double UNTIL_S = 150;
+  private static final double START_S = 14;
+  private static final double END_S = 150;
 
   private UserErrorFaults() {}
 
   /** For {@link RandomScenario#with}. */
-  static void on(SimulatedCluster cluster, long seed) {
+  static void inject(SimulatedCluster cluster, long seed) {
     Random random = new Random(new SplittableRandom(seed * 3011 + 5).nextLong());
     double seconds = 20 + 60 * random.nextDouble();
     at(
@@ -57,11 +57,11 @@
                   random));
     }
     if (random.nextInt(4) == 0) {
-      SmallJobs.begin(cluster, 4, 0.25, FROM_S, UNTIL_S - FROM_S, random);
+      SmallJobs.begin(cluster, 4, 0.25, START_S, END_S - START_S, random);
     }
   }
 
   private static void at(SimulatedCluster cluster, Random random, Runnable trouble) {
-    cluster.time().at(FROM_S + (UNTIL_S - FROM_S - 10) * random.nextDouble(), trouble);
+    cluster.time().at(START_S + (END_S - START_S - 10) * random.nextDouble(), trouble);
   }
 }
