--- a/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
@@ -17,9 +17,9 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Many long jobs are called off within a fifth of a second, some of their machines hang, and users
- * ask at all nodes: while one controller's work changes hands, and at the very moment at which the
- * state service refuses the leader alone. Three controllers, 45 machines.
+ * Many long jobs are cancelled within a fifth of a second, some of their machines hang, and users
+ * poll all controllers, during a failover of one controller's work or at the moment when the state
+ * service starts to refuse only the leader. Three controllers, 45 machines.
  */
 class CancellationDuringFailoverTest extends BusyCluster {
   private static final double AT_S = 30;
@@ -65,7 +65,7 @@
   private void assertAllAreGone(double atS) {
     cluster.time().runUntil(atS);
     assertEquals(List.of(), cluster.invariants().violations());
-    assertTrue(called.size() >= LONG_JOBS / 3, "called off " + called.size());
+    assertTrue(called.size() >= LONG_JOBS / 3, "cancelled " + called.size());
     for (JobId id : called) {
       assertEquals("cancelled", cluster.users().reportedStates().get(id), id.text());
       assertEquals(0, cluster.invariants().onMachines(id), id.text());
@@ -74,8 +74,8 @@
   }
 
   /**
-   * One controller ends, stands still or is alone; when its blocks are leased anew, before, while
-   * or after it, the jobs are called off.
+   * One controller fails, is suspended or is isolated. The jobs are cancelled before, while or
+   * after its shards are leased to others.
    */
   @ParameterizedTest
   @CsvSource({
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Called off within 0.1 s of the refusal of the leader alone; a second later the state service is
-   * out for all, for longer than a cancellation has.
+   * The jobs are cancelled within 0.1 s of the time when the state service refuses only the leader.
+   * One second later the state service is down for all, for longer than the cancellation timeout.
    */
   @ParameterizedTest
   @CsvSource({"-0.1, 0", "0, 0", "0, 6", "0.05, 0"})
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
@@ -15,9 +15,10 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * A day drawn from a seed on which the state service refuses one controller, users cancel through
- * the others, and it is then out for all, for about as long as a cancellation has. All times are
- * drawn against one another; late changes, deaf machines, cuts, crashes and a stillness join in.
+ * A day from a seed on which the state service refuses one controller, users cancel through the
+ * others, and then the service is down for all, for about the cancellation timeout. All times are
+ * drawn relative to one another; late changes, machines that receive nothing, partitions, crashes
+ * and a suspension are added.
  */
 final class CancellationDuringOutageScenario {
   private static final int FIRST = 2000;
@@ -50,7 +51,7 @@
   }
 
   /**
-   * The change that cancels the largest job is formed long before the refusal, and becomes durable
+   * The change that cancels the largest job is sent long before the refusal, and becomes durable
    * just after it.
    */
   private void heldUp(double seconds) {
@@ -79,7 +80,7 @@
     cancelAt(jobs.get(0), from + seconds + upTo(0.5));
   }
 
-  /** For a while before the refusal no change is answered, and all are carried out late. */
+  /** For a while before the refusal, all changes are applied late without an answer. */
   private void allLate(double seconds) {
     cluster.time().at(GAP_FROM_S - seconds, () -> cluster.state().applyLate(1));
     cluster.time().at(GAP_FROM_S - upTo(1), () -> cluster.state().applyLate(0));
@@ -189,7 +190,8 @@
                       each -> {
                         boolean lose = random.nextBoolean();
                         for (int node = 0; node < cluster.nodeCount(); node++) {
-                          // The refused one is the only one that reaches them, or none does.
+                          // Either only the refused controller reaches these machines, or none
+                          // does.
                           if (node != refused || lose) {
                             cluster.cut(
                                 ClusterSpec.nodeName(node), each.text(), 2 + upTo(40), lose);
@@ -220,7 +222,7 @@
     return cluster.cloud().machines().stream().filter(each -> oneIn(share)).toList();
   }
 
-  /** Plays the day; returns what went wrong. */
+  /** Runs the day; returns what went wrong. */
   List<String> play() {
     double end = GAP_FROM_S + LONGEST_GAP_S;
     cluster.time().runUntil(end);
@@ -238,7 +240,7 @@
     return wrong;
   }
 
-  /** Seconds from when each cancellation was asked for first until a user was told. */
+  /** The time from the first request of each cancellation until a user was told, in seconds. */
   Map<JobId, Double> toldAfter() {
     Map<JobId, Double> told = new TreeMap<>();
     cancelAt.forEach(
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
@@ -21,9 +21,10 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * The state service refuses the leader alone, users cancel through the others, and it is then out
- * for all, for longer than a cancellation has; the machines go on reporting to the old leader all
- * the while. All of a job must be gone in time after its user was told.
+ * The state service refuses only the leader, users cancel through the other controllers, and then
+ * the service is down for all, for longer than the cancellation timeout. The machines keep
+ * reporting to the former leader. All tasks of a cancelled job must have ended in time after its
+ * user was told.
  */
 class CancellationDuringOutageTest extends BusyCluster {
   private static final double REFUSED_S = 30;
@@ -79,8 +80,8 @@
   }
 
   /**
-   * All are cancelled just after the refusal began, so that most are durable before the outage, and
-   * told in it.
+   * All jobs are cancelled just after the refusal began, so most cancellations are durable before
+   * the outage and reported during it.
    */
   private void cancelAll(double fromS) {
     for (int i = 0; i < cancelled().size(); i++) {
@@ -99,8 +100,8 @@
   }
 
   /**
-   * Played to the end: no rule is broken, whoever was cancelled is told so and is gone, and whoever
-   * was not goes on.
+   * Runs to the end: no rule is broken, cancelled jobs are reported and gone, and other jobs
+   * continue.
    */
   private void assertTheGapWasBridged() {
     assertAllCancelledAreGone();
@@ -119,7 +120,7 @@
     }
   }
 
-  /** The operators' meeting. */
+  /** The basic sequence: refusal of the leader, then outage for all. */
   @Test
   void theLeaderIsRefusedAndThenEverybody() {
     gap();
@@ -134,9 +135,9 @@
   }
 
   /**
-   * The change that cancels is held up for longer than the delay, and becomes durable only when the
-   * leader is refused already: the time of day in it is old, and still nobody may be told at once
-   * (docs/incidents/told-by-an-old-time.md).
+   * The cancelling change is delayed for longer than the confirmation delay, and becomes durable
+   * only when the leader is already refused. Its wall-clock time is old, but users must not be told
+   * at once (docs/incidents/told-by-an-old-time.md).
    */
   @Test
   void aCancellationThatBecomesDurableLate() {
@@ -186,8 +187,8 @@
   }
 
   /**
-   * The others are started anew before the outage: what they read says nothing of when it became
-   * durable.
+   * The other controllers restart before the outage: the records do not tell them when the
+   * cancellation became durable.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.9, 1.2})
@@ -206,8 +207,8 @@
   }
 
   /**
-   * Refused, served for an instant, refused again, then the outage; or the outage first, and the
-   * leader refused once it is over.
+   * The leader is refused, served briefly, refused again, then the outage follows; or the outage
+   * comes first and the leader is refused after it.
    */
   @ParameterizedTest
   @CsvSource({"4, 0.3, 1", "4, 1.5, 6"})
@@ -234,8 +235,8 @@
   }
 
   /**
-   * The leader stands still before its time without word is over, and goes on after it, with
-   * machines whose leases still run.
+   * The leader is suspended before its time without confirmation ends, and resumes after it, with
+   * machines whose leases are still valid.
    */
   @ParameterizedTest
   @CsvSource({"55, 7", "40, 25"})
@@ -247,8 +248,8 @@
   }
 
   /**
-   * All holders have noted it and users are told at once; then a holder ends, or stands still, and
-   * nobody can succeed it in the outage.
+   * All owners have seen the cancellation and users are told at once; then an owner fails or is
+   * suspended, and nobody can succeed it during the outage.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -267,13 +268,13 @@
               }
             });
     cluster.time().runUntil(OUT_S);
-    assertTrue(toldBy(OUT_S) > 10, "told at once: " + toldBy(OUT_S));
+    assertTrue(toldBy(OUT_S) > 10, "told within 2 s: " + toldBy(OUT_S));
     assertTheGapWasBridged();
   }
 
   /**
-   * Some of the days that {@link SeedsTest} plays; the first three break the rule where the time in
-   * the record counts.
+   * Some of the days of {@link SeedsTest}; the first three break the rule if the time in the record
+   * counts.
    */
   @ParameterizedTest
   @ValueSource(longs = {7, 38, 115, 280})
--- a/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
+++ b/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
@@ -22,9 +22,9 @@
 import org.quincecross.rollout.Build;
 
 /**
- * There is more work than room, urgent and not, the cloud has no more machines, and all links are
- * slow at first. When they are not any more, nothing waits for 90 s beside room, and the largest
- * begins within 240 s. Three controllers, 18 machines, virtual time.
+ * There is more work than capacity, of different priorities; the cloud has no more machines, and
+ * all links are slow at first. After that, no job waits for 90 s beside free capacity, and the
+ * largest job starts within 240 s. Three controllers, 18 machines, virtual time.
  */
 class CapacityExhaustedTest {
   private static final int MACHINES = 18;
@@ -34,7 +34,7 @@
   private static final double LATE_RUNS_S = 8;
   private static final double LARGEST_BEGINS_S = 240;
 
-  /** What waits beside the room that others may have. */
+  /** The work that waits beside capacity that other jobs may use. */
   private enum Mix {
     SERVICES,
     LARGE,
@@ -178,7 +178,7 @@
               Priority.PRODUCTION,
               2,
               2,
-              0)); // what has waited long has their room by then
+              0)); // by then jobs that have waited long may have the room of these
     }
     JobId largest = submit(20, "batch", JobKind.ARRAY, Priority.NORMAL, 60, 1, 20);
     double[] begun = {-1};
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
@@ -13,15 +13,15 @@
 import org.quincecross.model.JobId;
 
 /**
- * Transactions without an answer that are carried out late, after newer ones of the same
+ * Transactions that are not answered and applied late, after later transactions of the same
  * controller, in virtual time.
  */
 class DelayedTransactionsTest {
   /**
-   * A cancellation becomes durable long after it was asked for, when a holder has just lost the
-   * state service and its machines hear nobody else. It is new when it becomes durable, not when it
-   * was asked for: told at once, it would be told 8 s too early for what that holder goes on
-   * answering (docs/incidents/told-by-an-old-time.md).
+   * A cancellation becomes durable long after it was requested, when a shard owner has just lost
+   * the state service and its machines reach no other controller. Its delay runs from when it
+   * becomes durable, not from when it was requested: otherwise users would be told 8 s too early,
+   * while that owner still answers (docs/incidents/told-by-an-old-time.md).
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Days with a quarter of all transactions carried out late, with restarts and cancellations; 18
-   * once broke a rule.
+   * Days on which a quarter of all transactions is applied late, with restarts and cancellations;
+   * seed 18 broke a rule before.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 6, 18})
@@ -64,9 +64,9 @@
   }
 
   /**
-   * Records of jobs accepted together are carried out a minute late: by then each job was accepted
-   * again, and is done or cancelled. Its own record counts before any bundle, for those who follow
-   * the records and for those who read them anew.
+   * Records of jobs accepted together are applied a minute late: by then each job was accepted
+   * again, and is done or cancelled. A job's own record takes precedence over any bundle, both for
+   * controllers that follow the changes and for those that read all records.
    */
   @Test
   void bundlesCarriedOutAfterTheirJobsAreOver() {
@@ -101,7 +101,7 @@
         cluster.users().reportedStates().values().stream()
             .filter(state -> !state.equals("queued") && !state.equals("running"))
             .count();
-    assertTrue(over > 8, "over are " + cluster.users().reportedStates());
+    assertTrue(over > 8, "ended jobs: " + cluster.users().reportedStates());
     cluster.time().runUntil(72);
     assertTrue(
         cluster.state().lateOutcomes().contains(200), cluster.state().lateOutcomes().toString());
@@ -115,8 +115,8 @@
   }
 
   /**
-   * A job's own record comes late, when the job runs and nothing but a bundle names it: it goes on,
-   * and is cancelled or done as ever.
+   * A job's own record is applied late, when the job runs and only a bundle names it: the job
+   * continues, and ends as done or cancelled.
    */
   @Test
   void aRecordOfItsOwnThatComesAfterABundle() {
@@ -149,8 +149,8 @@
   }
 
   /**
-   * What a leader writes comes late, after it has written other things: it has no effect any more,
-   * whatever it is.
+   * A leader's write is applied late, after later writes of the same leader: it has no effect,
+   * whatever it contains.
    */
   @ParameterizedTest
   @ValueSource(strings = {"q/block/", "q/alloc/", "q/page/", "\"done\""})
@@ -179,8 +179,8 @@
   }
 
   /**
-   * One that stands for leadership and ends before that is carried out: its former life does not
-   * lead.
+   * A controller that stands for election fails before its transaction is applied: its former
+   * process does not become the leader.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.5, 1.5, 2.9, 6})
--- a/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
@@ -13,13 +13,15 @@
 import org.quincecross.model.Resources;
 import org.quincecross.model.TimeSpan;
 
-/** Each rule of dependent jobs is fed what breaks it, and what just does not. */
+/**
+ * Each rule for dependent jobs reports events that break it, and accepts events that just comply.
+ */
 class DependencyInvariantsTest {
   private static final JobId FIRST = new JobId("job-1");
   private static final JobId MIDDLE = new JobId("job-2");
   private static final JobId LAST = new JobId("job-3");
 
-  /** Of the controllers of this world nothing is heard: what happens is said by the test alone. */
+  /** The controllers of this cluster stay idle: the test alone generates the events. */
   private final SimulatedCluster cluster = new SimulatedCluster(1);
 
   private final ProtocolInvariants rules = cluster.invariants();
@@ -96,7 +98,7 @@
     tell(LAST, "queued", false);
     tell(LAST, "running", false);
     assertBroken("orphaned");
-    // One that is submitted only now is told at once.
+    // A job that is submitted only now must be reported as cancelled at once.
     JobId late = new JobId("job-4");
     cluster.users().submit(job(late, 1, LAST));
     tell(late, "cancelled", false);
@@ -124,7 +126,9 @@
     assertBroken("went_back");
     cluster.users().noteCancel(FIRST);
     tell(
-        MIDDLE, "cancelled", false); // whoever told it knew of the cancellation before its user did
+        MIDDLE,
+        "cancelled",
+        false); // the controller that reported it knew of the cancellation before its user did
     assertBroken("went_back");
     rules.completed(FIRST.task(0));
     rules.completed(FIRST.task(1));
@@ -132,7 +136,7 @@
     assertBroken(
         "went_back",
         "went_back",
-        "went_back"); // both are called cancelled, and nothing that they need is
+        "went_back"); // both are reported as cancelled, although none of their dependencies is
   }
 
   @Test
--- a/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
@@ -18,7 +18,7 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Every report comes a second time, 1 s to three leases later, with three controllers in virtual
+ * Every report arrives a second time, 1 s to three leases later, with three controllers in virtual
  * time.
  */
 class DuplicatedMessagesTest extends BusyCluster {
@@ -27,8 +27,8 @@
   }
 
   /**
-   * Machines that nobody hears any more are lost with their leases, though copies of what they said
-   * go on to come.
+   * Machines that are gone are lost when their leases expire, although duplicates of their reports
+   * still arrive.
    */
   @Test
   void copiesKeepNoMachine() {
@@ -46,9 +46,9 @@
   }
 
   /**
-   * A leader that has just come to lead does not take in a machine that is gone, whatever still
-   * reports in its name: a late report, or its very first one, which shows no token and looks like
-   * that of a new machine (docs/incidents/a-gone-machines-first-report.md).
+   * A new leader does not admit a machine that is gone, whichever of its reports arrives late, even
+   * the very first, which carries no token and looks like that of a new machine
+   * (docs/incidents/a-gone-machines-first-report.md).
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 0})
@@ -89,11 +89,11 @@
           cluster.sendDirectly(node, copy, response -> {});
         }
       }
-      assertFalse(left && there, "taken in again at " + at);
+      assertFalse(left && there, "admitted again at " + at);
       if (!there && !left) {
         left = true;
         cluster.crash(
-            Math.max(0, cluster.leader())); // and with it what it knew of machines that are gone
+            Math.max(0, cluster.leader())); // and with it its knowledge of machines that are gone
       }
     }
     assertTrue(left);
@@ -117,8 +117,8 @@
   }
 
   /**
-   * All copies of a machine's former life come while it has begun anew: nothing is revived, and
-   * what it gets runs once.
+   * Duplicates of a machine's reports arrive after it has restarted: nothing of its former process
+   * is revived, and each of its new tasks runs once.
    */
   @Test
   void copiesOfAFormerLife() {
@@ -139,9 +139,9 @@
   }
 
   /**
-   * Copies of all reports of half a minute come to every controller just as the next leader begins,
-   * or when it has acted; meanwhile some machines have gone, some have begun anew, and some are
-   * reached by nobody. The next leader ends soon as well.
+   * Duplicates of all reports of half a minute arrive at every controller just as the next leader
+   * begins, or after it has acted; meanwhile some machines have gone, some have restarted, and some
+   * are unreachable. The next leader fails soon as well.
    */
   @ParameterizedTest
   @CsvSource({"1, 0.2", "1, 6", "0.4, 20"})
@@ -168,7 +168,7 @@
     cluster.time().at(62, () -> cluster.stopFor(Math.max(0, cluster.leader()), downS));
     cluster.time().runUntil(62 + 3 * site.workers().lease().seconds() + 20);
     assertEquals(36, replicas());
-    gone.forEach(machine -> assertFalse(isInABlock(machine), "still in a block: " + machine));
+    gone.forEach(machine -> assertFalse(isInABlock(machine), "still in a shard: " + machine));
     assertWorkCompletesAndReplicasRun(190);
   }
 }
--- a/src/test/java/org/quincecross/emulator/FastRestartTest.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartTest.java
@@ -14,13 +14,13 @@
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.rollout.Build;
 
-/** Machines and controllers that are back within a fraction of a second, in virtual time. */
+/** Machines and controllers that restart within a fraction of a second, in virtual time. */
 class FastRestartTest extends BusyCluster {
   FastRestartTest() throws MalformedMessageException {}
 
   /**
-   * A third of the machines is back at once with nothing on it, its counts begun anew: what ran
-   * there runs again soon, and none of them is taken for a copy of its former self (incident
+   * A third of the machines restart at once without tasks and with reset counters. Their tasks run
+   * again soon, and no machine is mistaken for a duplicate of its former process (incident
    * counts-begun-anew).
    */
   @ParameterizedTest
@@ -30,13 +30,13 @@
     List<AgentSimulator> workers = cluster.cloud().workers();
     workers.subList(0, workers.size() / 3).forEach(worker -> worker.restart(seconds));
     cluster.time().runUntil(30.02);
-    assertTrue(replicas() < 36, "some ran there");
+    assertTrue(replicas() < 36, "some replicas ran there");
     cluster.time().runUntil(30 + 12);
     assertEquals(36, replicas());
     assertWorkCompletesAndReplicasRun(170);
   }
 
-  /** The same machine again and again, each time before its holder may have noticed. */
+  /** The same machine restarts repeatedly, each time before its shard owner may have noticed. */
   @Test
   void aMachineThatBeginsAnewAgainAndAgain() {
     for (int i = 0; i < 12; i++) {
@@ -56,8 +56,8 @@
   }
 
   /**
-   * A controller is back in half a second or less, in each part of the election that follows the
-   * loss of the leader.
+   * A controller restarts within half a second, in each phase of the election that follows the loss
+   * of the leader.
    */
   @ParameterizedTest
   @CsvSource({"0.05, 1", "0.4, 1", "1.1, 2", "2.3, 2", "3.1, 2", "3.6, 3", "4.5, 3", "6, 3"})
@@ -75,7 +75,7 @@
     assertWorkCompletesAndReplicasRun(150);
   }
 
-  /** The leader itself, twice in a row, and all three at once, twice. */
+  /** The leader itself restarts twice in a row, or all three controllers restart at once, twice. */
   @ParameterizedTest
   @CsvSource({"0.1, false", "0.3, false", "0.5, false", "0.1, true", "0.3, true", "0.5, true"})
   void theLeaderOrAll(double seconds, boolean all) {
@@ -96,8 +96,8 @@
   }
 
   /**
-   * In the middle of a transaction that leases blocks anew: the one that takes them over, and the
-   * one that gives them.
+   * A restart in the middle of a transaction that leases shards to another owner: of the new owner,
+   * or of the former one.
    */
   @ParameterizedTest
   @CsvSource({
@@ -133,7 +133,7 @@
     assertTrue(hit[0]);
   }
 
-  /** While controllers are replaced by a newer build and the level is switched. */
+  /** Restarts during a rolling upgrade to a newer build, while the level rises. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void inARoll(long seed) {
@@ -173,9 +173,9 @@
   }
 
   /**
-   * An announcement of a former life comes late, takes the place of the present one's and goes with
-   * its lease: the controller is known again at once, rather than live and a member that nobody
-   * knows for the rest of the day.
+   * The announcement of a controller's former process is applied late, replaces that of its current
+   * process and disappears with its lease. The controller must become known again at once, rather
+   * than run as a member that no other controller knows.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
--- a/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
@@ -17,7 +17,7 @@
 import org.quincecross.model.TimeSpan;
 import org.quincecross.protocol.MalformedMessageException;
 
-/** What happens to a fleet all at once, in virtual time. */
+/** Failures that affect the whole fleet at once, in virtual time. */
 class FleetFailuresTest extends BusyCluster {
   FleetFailuresTest() throws MalformedMessageException {}
 
@@ -36,8 +36,8 @@
   }
 
   /**
-   * All controllers begin to read the records and are killed on the way, three times; then they
-   * come up.
+   * All controllers begin to read the records and are killed halfway, three times; then they start
+   * up.
    */
   @Test
   void aRestartInTheMiddleOfAPageOfRecords() {
@@ -62,8 +62,8 @@
   }
 
   /**
-   * In an outage users come back in the very second that they were told; all are accepted soon
-   * after its end.
+   * During an outage all users retry in the very second that they were told; all submissions are
+   * accepted soon after its end.
    */
   @Test
   void aBurstOfSubmissionsThatCameBackAtTheSameSecond() {
@@ -88,8 +88,8 @@
   }
 
   /**
-   * Without memory for more, new jobs are refused at once, to come back late; whatever was accepted
-   * goes on and is told.
+   * At the memory limit new jobs are refused at once with a long retry delay; accepted jobs
+   * continue and are reported.
    */
   @Test
   void withoutMemoryNewJobsAreRefusedAndOldOnesServed() {
@@ -98,7 +98,7 @@
     cluster.time().at(26, () -> cluster.users().submit(oneTask(late)));
     for (int node = 0; node < site.nodes(); node++) {
       int each = node;
-      cluster.time().at(28, () -> cluster.crash(each)); // each reads all records anew
+      cluster.time().at(28, () -> cluster.crash(each)); // each controller reads all records again
     }
     cluster.time().runUntil(45);
     assertTrue(!cluster.users().acceptedAfter().containsKey(late));
@@ -107,12 +107,12 @@
         cluster.users().answers().toString());
     cluster.time().at(46, () -> cluster.memoryIsShort(false));
     assertWorkCompletesAndReplicasRun(140);
-    assertTrue(cluster.users().acceptedAfter().get(late) > 20, "it came back when it was told to");
+    assertTrue(
+        cluster.users().acceptedAfter().get(late) > 20, "the user retried at the time given");
   }
 
   /**
-   * A leader stands still until another one leads, and goes on with plans and commands of the time
-   * before.
+   * A leader is suspended until another one leads, and resumes with outdated plans and commands.
    */
   @ParameterizedTest
   @ValueSource(doubles = {4, 9, 20, 33})
--- a/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
@@ -19,17 +19,17 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * A controller without the state service and without the others, but with its machines and users;
- * and outages of all beside it.
+ * A controller without the state service and the other controllers, but with its machines and
+ * users; for comparison, outages that affect all controllers.
  */
 class IsolatedControllerTest {
   private static final double FROM_S = 40;
   private static final double PER_SECOND = 4;
 
-  /** Whoever is accepted within so long was so in time. */
+  /** Submissions accepted within this time count as in time. */
   private static final double IN_TIME_S = 3;
 
-  /** What came of a day. */
+  /** The result of a day. */
   private record Outcome(
       double inTime, double worst, double longestUnanswered, int fewestReplicas, int refused) {}
 
@@ -50,7 +50,7 @@
         .build();
   }
 
-  /** Plays a day on which something is wrong from {@link #FROM_S} on for some time. */
+  /** Runs a day with a fault that begins at {@link #FAULT_START_S} and lasts for some time. */
   private Outcome play(long seed, double seconds, IntConsumer trouble)
       throws MalformedMessageException {
     cluster = new SimulatedCluster(ClusterSpec.tryOut(BusyCluster.MACHINES, true), seed, Meter.OFF);
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Alone while it leads, and while another one ends and starts anew: users are with the others
-   * before long.
+   * The leader is isolated, or another controller while the leader restarts: its users are soon
+   * connected to the other controllers.
    */
   @ParameterizedTest
   @CsvSource({"0, false", "1, true"})
@@ -119,8 +119,8 @@
   }
 
   /**
-   * All are without the state service and each other: nobody goes out, and the first tries after
-   * its end are accepted.
+   * All controllers lose the state service and each other: none leaves the load balancer, and the
+   * first attempts after the outage are accepted.
    */
   @Test
   void inAnOutageOfAllNobodyGoesOut() throws MalformedMessageException {
--- a/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
+++ b/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
@@ -14,10 +14,10 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * A day drawn from a seed: jobs of two and three tasks that end 30 to 100 s apart, and at their
- * ends the leader, a holder or all are lost, cut off or back at once, the state service is out or
- * applies late what it was sent, machines cannot be reached; some jobs are cancelled meanwhile.
- * Then quiet.
+ * A day from a seed: jobs of two and three tasks that end 30 to 100 s apart. At their ends the
+ * leader, a shard owner or all controllers fail, are partitioned or restart at once, the state
+ * service is down or applies changes late, or machines are unreachable; some jobs are cancelled
+ * meanwhile. Then a fault-free period.
  */
 final class LeaderFailureScenario {
   private static final double LAST_TROUBLE_S = 210;
@@ -134,7 +134,7 @@
             });
   }
 
-  /** Looks for tasks that have ended; some ends are met by a trouble. */
+  /** Finds tasks that have ended; some of these ends trigger a fault. */
   private void look() {
     for (Map.Entry<JobId, Integer> job : ended.entrySet()) {
       int now = cluster.invariants().completedTasks(job.getKey());
@@ -203,7 +203,10 @@
     cancelSome(longer);
   }
 
-  /** Without the state service and the others, refused, lost or held back until it is over. */
+  /**
+   * Separates a controller from the state service and the other controllers: requests are refused,
+   * lost or held back until the end.
+   */
   private void lone(int node, double seconds) {
     if (random.nextInt(3) != 0) {
       cluster.separate(node, seconds, random.nextBoolean());
@@ -217,7 +220,7 @@
     }
   }
 
-  /** Half of the machines cannot be reached by the other controllers than the one that ends. */
+  /** Half of the machines are unreachable for all controllers except the one that fails. */
   private void unreachable(int ending, double seconds) {
     boolean lose = random.nextBoolean();
     for (MachineId machine : cluster.cloud().machines()) {
@@ -243,7 +246,7 @@
     }
   }
 
-  /** Plays the day until all work must be over; returns what went wrong. */
+  /** Runs the day until all work must have ended; returns what went wrong. */
   List<String> play() {
     cluster.time().runUntil(LAST_TROUBLE_S + QUIET_S);
     cluster.environment().onFaultsEnded();
--- a/src/test/java/org/quincecross/emulator/LivenessInvariant.java
+++ b/src/test/java/org/quincecross/emulator/LivenessInvariant.java
@@ -13,18 +13,21 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Says which accepted jobs hang. Once it is quiet, each open job has a task on a machine, or its
- * team is at its limit, or a controller names it with what it waits for; and all of them are over
- * within what their estimates and their teams' limits leave.
+ * Finds accepted jobs that hang. Once all faults have ended, each open job must have a task on a
+ * machine, or its team must be at its limit, or a controller must report what the job waits for;
+ * and all jobs must end within the time that their estimates and the limits of their teams permit.
  */
 final class LivenessInvariant {
   /**
-   * Between one task and the next of a job there may be a start, a fetch and a result to be
-   * written.
+   * Between one task of a job and the next there may be a start, an image fetch and a write of the
+   * result.
    */
   private static final int LOOKS = 15;
 
-  /** Estimates in this world are wrong by up to half, machines as slow as a fifth. */
+  /**
+   * In this cluster estimates are wrong by up to a half, and machines are down to a fifth of the
+   * nominal speed.
+   */
   private static final double SLOWEST = 1.5 * 5;
 
   private static final double OVERHEAD_S = 4;
@@ -56,7 +59,7 @@
     return open;
   }
 
-  /** Lets time go on, from a quiet moment, until all must be over. */
+  /** Advances the time, from a moment without faults, until all jobs must have ended. */
   void watch() {
     Map<JobId, Integer> idle = new TreeMap<>();
     double over = LAST_S;
@@ -95,7 +98,7 @@
     }
   }
 
-  /** The same with all that it waits for. */
+  /** The same with all dependencies. */
   private double secondsLeft(JobId id) {
     double before = 0;
     for (JobId each : cluster.environment().pipelines().allDependencies(id)) {
@@ -104,7 +107,7 @@
     return before + secondsLeft(cluster.job(id));
   }
 
-  /** The longest that what is left of a job takes, with what else its team has to do. */
+  /** An upper bound for the remaining time of a job, including the other work of its team. */
   private double secondsLeft(Job job) {
     if (job.kind() == JobKind.SERVICE) {
       return LAST_S; // its user cancels it
@@ -137,7 +140,7 @@
         < together;
   }
 
-  /** The jobs that controllers name as without progress, with what they wait for. */
+  /** The jobs that controllers report as stalled, with what they wait for. */
   private Map<String, String> named() {
     Map<String, String> named = new TreeMap<>();
     try {
--- a/src/test/java/org/quincecross/emulator/LostResponsesTest.java
+++ b/src/test/java/org/quincecross/emulator/LostResponsesTest.java
@@ -14,7 +14,7 @@
 import org.quincecross.model.JobId;
 
 /**
- * Transactions that are carried out at once and of which only the answer is lost, with three
+ * Transactions that are applied at once and of which only the answer is lost, with three
  * controllers in virtual time.
  */
 class LostResponsesTest {
@@ -34,9 +34,9 @@
   }
 
   /**
-   * Each kind of write, while all nodes read what it wrote: it counts once, nobody is told anything
-   * else than what is on record, and what was submitted or cancelled meanwhile is done or
-   * cancelled. Of jobs one at a time, in bundles, and cancelled at once.
+   * For each kind of write, while all controllers read the result: it counts once, users are told
+   * only what is recorded, and all jobs that were submitted or cancelled meanwhile end as done or
+   * cancelled. Jobs are submitted one at a time, together, and cancelled at once.
    */
   @ParameterizedTest
   @ValueSource(
@@ -82,9 +82,9 @@
   }
 
   /**
-   * The announcement of a controller that begins is done and its answer lost: it is a member by the
-   * record, and its lease is renewed from then on, rather than running out while it is announced
-   * again (docs/incidents/announced-and-not-told.md).
+   * The announcement of a starting controller is applied and its answer is lost. The controller is
+   * a member by the record, and its lease is renewed from then on, rather than expiring while it
+   * announces itself again (docs/incidents/announced-and-not-told.md).
    */
   @Test
   void anAnnouncement() {
@@ -111,7 +111,7 @@
       if (lost[0]) {
         assertTrue(record != null, "no member any more at " + at);
         Object now = ((Map<?, ?>) record).get("life");
-        assertTrue(process == null || process.equals(now), "another life at " + at);
+        assertTrue(process == null || process.equals(now), "another process at " + at);
         process = now;
       }
     }
@@ -119,9 +119,9 @@
   }
 
   /**
-   * Of one in five of the writes that accept jobs the answer is lost, or they are carried out
-   * seconds later: whose job is on record is told so in time, and the others' submissions are not
-   * held up (docs/incidents/an-answer-that-holds-up-others.md).
+   * One in five writes that accept jobs loses its answer, or is applied seconds later. Users whose
+   * job is recorded are told so in time, and submissions of other users are not delayed
+   * (docs/incidents/an-answer-that-holds-up-others.md).
    */
   @ParameterizedTest
   @CsvSource({"0, 0, 0.9, 5", "2, 12, 0.7, 15"})
--- a/src/test/java/org/quincecross/emulator/MessageRecorder.java
+++ b/src/test/java/org/quincecross/emulator/MessageRecorder.java
@@ -23,9 +23,9 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Records what is said on a virtual network: the names of all fields with the types and the
- * constant words of their values (the vocabulary), an example of each shape of a message, and a
- * digest of all bytes.
+ * Records the messages on a simulated network: the names of all fields with the types and the
+ * constant values (the vocabulary), an example of each shape of a message, and a digest of all
+ * bytes.
  */
 final class MessageRecorder implements MessageObserver {
   private static final int EXAMPLES_PER_CHANNEL = 24;
@@ -45,7 +45,7 @@
     }
   }
 
-  /** One line for each channel, path and type or word. */
+  /** One line for each channel, path and type or value. */
   SortedSet<String> vocabulary() {
     return vocabulary;
   }
@@ -58,7 +58,7 @@
     return lines;
   }
 
-  /** The digest of all bytes so far, and how many messages they came in. */
+  /** The digest of all bytes so far, and the number of messages. */
   String digest() {
     try {
       MessageDigest soFar = (MessageDigest) digest.clone();
--- a/src/test/java/org/quincecross/emulator/ModelServingCluster.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCluster.java
@@ -22,12 +22,12 @@
 import org.quincecross.protocol.MalformedMessageException;
 import org.quincecross.rollout.Build;
 
-/** Three controllers, some machines, and models among their services, in virtual time. */
+/** Three controllers and some machines, with models among the services, in virtual time. */
 final class ModelServingCluster {
   static final double DEFINED_S = 18;
   static final double IDLE_S = 20;
 
-  /** How long the weights of the models here take to be fetched. */
+  /** How long it takes to fetch the weights of these models. */
   static final double FETCH_S = 8;
 
   final SimulatedCluster cluster;
@@ -43,10 +43,13 @@
             new Features(null, null, Build.present("agreed", 3), Map.of("models", Map.of())));
   }
 
-  /** One of 24 machines with one model of four replicas, {@code least} of which come up with it. */
+  /**
+   * A cluster of 24 machines with one model of four replicas; at least {@code least} of them are
+   * started together.
+   */
   static ModelServingCluster withOne(long seed, int least) throws MalformedMessageException {
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), seed);
-    // So late that its weights are on no machine when it becomes a model.
+    // Late enough that no machine has its weights when it becomes a model.
     site.submitAt(DEFINED_S - 0.5, job(100, 4, 6, FETCH_S, false));
     site.cluster.time().runUntil(DEFINED_S);
     site.define("m", 100, least, 4);
@@ -110,7 +113,7 @@
     assertEquals(200, status);
   }
 
-  /** Defines a model of one replica; asks again where that is not known to have been done. */
+  /** Defines a model of one replica; retries if the outcome is unknown. */
   void defineLater(int node, String name, int job) {
     cluster.environment().coldStarts().watch(name, new JobId("job-" + job));
     send(
@@ -124,7 +127,7 @@
         });
   }
 
-  /** Asks a controller to change something of a model, and waits for the answer; its status. */
+  /** Sends a change of a model to a controller and waits for the answer; returns its status. */
   int post(int node, String path, Map<String, Object> body) {
     int[] status = new int[1];
     send(node, path, body, response -> status[0] = response.status());
@@ -141,7 +144,7 @@
   }
 
   /**
-   * Wakes a model at a time, at one controller; whoever does so comes again until it is answered.
+   * Sends a wake request for a model at a time to one controller, and retries until it is answered.
    */
   void wakeAt(double atS, int node, String name) {
     cluster.time().at(atS, () -> wake(node, name, 20));
@@ -177,7 +180,7 @@
     return get(node, "/" + name);
   }
 
-  /** For how many changes of a record a controller has asked because somebody wanted a model. */
+  /** The number of record changes that a controller has requested because a model was needed. */
   long asked(int node) throws MalformedMessageException {
     return get(node, "").unsigned("asked");
   }
@@ -202,7 +205,7 @@
     return cluster.invariants().onMachines(new JobId("job-" + job));
   }
 
-  /** When a model is next seen in a state, to the hundredth of a second. */
+  /** The time when a model is next seen in a state, to the hundredth of a second. */
   double until(String name, String phase, double withinS) {
     double end = cluster.time().seconds() + withinS;
     while (!phase(name).equals(phase)) {
@@ -223,7 +226,9 @@
     return cluster.time().seconds();
   }
 
-  /** No rule was broken, no place started or fetched twice, and no job is forgotten. */
+  /**
+   * Asserts that no rule was broken, no placement started or fetched twice, and no job forgotten.
+   */
   void assertRight() {
     assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(List.of(), cluster.environment().coldStarts().violations());
--- a/src/test/java/org/quincecross/emulator/ModelServingScenario.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingScenario.java
@@ -8,17 +8,20 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * A day drawn from a seed: models that are wanted now and then, troubles alone and together, then
- * quiet.
+ * A day from a seed: models that are needed at intervals, faults alone and combined, then a
+ * fault-free period.
  */
 final class ModelServingScenario {
   private static final int MODELS = 5;
   private static final int LEAST = 2;
 
-  /** The first model is a gang of so many tasks. */
+  /** The first model is a gang of this many tasks. */
   private static final int GANG = 2;
 
-  /** A command may arrive when the record has changed; more of them would not follow the record. */
+  /**
+   * A command may arrive after the record has changed; more of them would mean that controllers do
+   * not follow the record.
+   */
   private static final int MOST_LATE = 3;
 
   private static final double FIRST_TROUBLE_S = 36;
@@ -96,8 +99,8 @@
   }
 
   /**
-   * What went wrong: rules, places started or fetched twice, models that are wanted and do not come
-   * up, or that do not go back to zero.
+   * Returns what went wrong: broken rules, placements started or fetched twice, and models that do
+   * not come up when needed or do not scale back to zero.
    */
   List<String> play() {
     SimulatedCluster cluster = site.cluster;
@@ -142,7 +145,10 @@
     }
   }
 
-  /** Places started, fetches, and starts that came when the place was given up. */
+  /**
+   * The number of placements started, fetches, and starts that arrived after the placement had been
+   * given up.
+   */
   Map<String, Integer> counts() {
     ColdStartInvariant starts = site.cluster.environment().coldStarts();
     return Map.of(
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
@@ -11,8 +11,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Three controllers, 61 machines, services of 80 replicas on them, in virtual time; some machines
- * stop hearing for a while.
+ * Three controllers, 61 machines and services of 80 replicas on them, in virtual time; some
+ * machines receive nothing for a while.
  */
 final class OneWayPartitionCluster {
   static final double LEASE_S = 12;
@@ -60,7 +60,7 @@
     cluster.time().runUntil(DEAF_AT_S);
   }
 
-  /** Of every hundred machines so many hear nothing for a while. */
+  /** This percentage of the machines receives nothing for a while. */
   void deafen(int percent, double seconds, long seed) {
     List<MachineId> machines = new ArrayList<>(cluster.cloud().machines());
     Collections.shuffle(machines, new Random(seed));
@@ -72,13 +72,13 @@
     return services.stream().mapToInt(cluster.invariants()::onMachines).sum();
   }
 
-  /** How many of the machines that were deaf have tasks. */
+  /** The number of these machines that run tasks. */
   int deafInUse() {
     return (int)
         deaf.stream().filter(machine -> cluster.invariants().onMachine(machine) > 0).count();
   }
 
-  /** Those of them that their holders give no work. */
+  /** Those of these machines that their owners give no work. */
   List<String> closed() {
     List<String> closed = new ArrayList<>();
     for (int node = 0; node < cluster.nodeCount(); node++) {
@@ -99,7 +99,7 @@
   }
 
   /**
-   * For how long after the machines went deaf replicas were missing, at the latest, within so many
+   * How long after the partition began the last replica was still missing, within the given
    * seconds.
    */
   double missingUntil(double seconds) {
@@ -111,7 +111,7 @@
     return last;
   }
 
-  /** Plays the table of docs/incidents/deaf-machines.md. */
+  /** Produces the table of docs/incidents/deaf-machines.md. */
   public static void main(String[] args) throws MalformedMessageException {
     System.out.println("deaf %  for s  seed  all again after s  starts unheard  rules broken");
     for (int percent : new int[] {33, 20, 5}) {
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -24,8 +24,8 @@
 import org.quincecross.rollout.Build;
 
 /**
- * More work than can be done in time, on three controllers in virtual time: who is served all the
- * same.
+ * More work than can be done in time, on three controllers in virtual time: which work is still
+ * served.
  */
 class OverloadCasesTest {
   private static final Features ON =
@@ -39,8 +39,8 @@
   private int number = 100;
 
   /**
-   * Thirty machines of 8 CPUs, all up, and a second type of which there are three; teams without
-   * guarantee.
+   * Thirty machines of 8 CPUs, all up, and a second type with three machines; teams without
+   * guarantees.
    */
   private static ClusterSpec site() {
     ClusterSpec base = ClusterSpec.tryOut(MACHINES, true);
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Five teams send a job of ten tasks every 20 s; the sixth sends four large ones a second for a
-   * minute.
+   * Five teams submit a job of ten tasks every 20 s; the sixth submits four large jobs per second
+   * for a minute.
    */
   private void burst() {
     for (int i = 0; i < 60; i++) {
@@ -176,8 +176,8 @@
   }
 
   /**
-   * Services take all machines for a while, then arrays of a higher priority take what is left,
-   * without an end.
+   * Services take all machines for a while, then arrays of a higher priority take the rest
+   * permanently.
    */
   @Test
   void theLowestPriorityUnderServicesAndArrays() {
@@ -268,15 +268,13 @@
       submit(60 + 2 * i, "quiet-1", "hopeless", Priority.NORMAL, 10, ONE, 20, 5);
     }
     run(170);
-    // They are late whatever happens, and come after all that is not; of their team's floor, 12
-    // CPUs, 60 of them can be run.
+    // These jobs are late in any case and run after all that are not; the floor of their team, 12
+    // CPUs, lets 60 of them run.
     assertTrue(of("quiet-1", "hopeless").started() >= 50, of("quiet-1", "hopeless").toString());
     assertTrue(inTime(LOUD, "batch") >= 0.4, of(LOUD, "batch").toString());
   }
 
-  /**
-   * A large job that has waited for long, beside many small ones, while controllers come and go.
-   */
+  /** A large job that has waited long, beside many small ones, while controllers restart. */
   private JobId largeJobUnderRestarts(Runnable trouble) {
     for (int i = 0; i < 200; i++) {
       submit(20 + i, LOUD, "batch", Priority.NORMAL, 22, ONE, 10, 60);
--- a/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
@@ -16,7 +16,7 @@
 import org.quincecross.model.Team;
 import org.quincecross.model.TimeSpan;
 
-/** Each rule is fed what breaks it, and what does not. */
+/** Each rule reports events that break it, and accepts events that do not. */
 class ProtocolInvariantsTest {
   private static final JobId ID = new JobId("job-1");
 
@@ -43,8 +43,8 @@
   }
 
   /**
-   * What was told of a job when a question was put, what it is answered with, and whether that is
-   * older.
+   * The state reported when a request was sent, the answer to that request, and whether the answer
+   * is older.
    */
   @ParameterizedTest
   @CsvSource({
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Asked at the same time, at two nodes: neither answer is older than the other, and one of them
-   * will change.
+   * Two requests at the same time to two controllers: neither answer is older than the other, but
+   * the two final states contradict each other.
    */
   @Test
   void twoEnds() {
@@ -110,8 +110,8 @@
   }
 
   /**
-   * One waits beside room that fits, one for more than any machine has, one whose team is at its
-   * limit.
+   * One job waits although a suitable machine has room; another is too large for any machine; the
+   * team of a third is at its limit.
    */
   @Test
   void idleRoom() {
@@ -133,7 +133,7 @@
             job(new JobId("job-3"), 1, "batch"));
     still.time().runUntil(10);
     for (int node = 0; node < still.nodeCount(); node++) {
-      still.suspend(node, 1000); // nobody starts anything
+      still.suspend(node, 1000); // nothing is started
     }
     jobs.forEach(
         each -> {
--- a/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
@@ -15,8 +15,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Days of a whole deployment with troubles drawn from fixed seeds: every rule is kept, and all work
- * gets done.
+ * Days of a whole deployment with random faults from fixed seeds: every rule is kept, and all work
+ * completes.
  */
 class RandomScenarioTest {
   @ParameterizedTest
@@ -26,7 +26,7 @@
     assertEquals(List.of(), new RandomScenario(seed).play());
   }
 
-  /** Troubles that meet on purpose: what is begun in one is not over when the next comes. */
+  /** Overlapping faults: the effects of one fault are still present when the next one begins. */
   @ParameterizedTest
   @ValueSource(longs = {101, 1328, 10237})
   void keepsTheRulesWhenTroublesMeet(long seed) {
@@ -34,9 +34,9 @@
   }
 
   /**
-   * A holder that alone has lost the state service, while its machines hear nobody else: it does
-   * not learn of cancellations, so it must stop answering early enough for the machines' leases to
-   * end in time.
+   * A shard owner alone has lost the state service, and its machines reach no other controller. It
+   * does not learn of cancellations, so it must stop answering early enough for the leases of its
+   * machines to expire in time.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
@@ -56,9 +56,9 @@
   }
 
   /**
-   * A gang larger than any block: a block grows for it, also where controllers crash meanwhile.
-   * With seed 4 each zone gets seven machines, one of which never boots: the idle ones of the other
-   * zone must make way, or nothing ever changes.
+   * A gang larger than any shard: a shard grows for it, also if controllers crash meanwhile. With
+   * seed 4 each zone gets seven machines, one of which never boots: the idle machines of the other
+   * zone must be replaced, or the gang never starts.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
@@ -75,8 +75,8 @@
   }
 
   /**
-   * A gang that its team's limit has no room for beside a service: named, once nothing explains its
-   * wait, with the reason.
+   * A gang for which its team's limit has no room beside a service: it is reported as stalled, with
+   * the reason, once nothing else explains the wait.
    */
   @Test
   void whatMakesNoProgressIsNamedWithWhatItWaitsFor() throws MalformedMessageException {
@@ -108,9 +108,9 @@
   }
 
   /**
-   * A job is cancelled, and before its tasks can leave the allocation everything goes down for
-   * longer than a cancellation has: the controllers that come back rebuild their queues from an
-   * allocation that still has it.
+   * A job is cancelled, and before its tasks can leave the allocation all controllers are down for
+   * longer than the cancellation timeout. The restarted controllers rebuild their queues from an
+   * allocation that still contains the job.
    */
   @Test
   void whatWasCancelledBeforeACrashOfAllDoesNotStartAfterIt() {
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
@@ -22,8 +22,8 @@
 import org.quincecross.replicated.ReplicationBarrier;
 
 /**
- * Records that three controllers agree on, and what they keep from running, among troubles, in
- * virtual time.
+ * Replicated records of three controllers and the tasks that they block, with faults, in virtual
+ * time.
  */
 class ReplicatedRecordCasesTest {
   private final ReplicatedRecordCluster day = new ReplicatedRecordCluster(7);
@@ -31,8 +31,8 @@
   ReplicatedRecordCasesTest() throws MalformedMessageException {}
 
   /**
-   * Requests come twice, at two controllers at once, and again later; some transactions are applied
-   * seconds after they were given up.
+   * Requests arrive twice, at two controllers at once, and again later; some transactions are
+   * applied seconds after they were given up.
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
@@ -48,7 +48,7 @@
       drawn.cluster.time().at(at + 40, () -> drawn.ask(node + 2, "count", name, "pass"));
     }
     drawn.cluster.time().at(ReplicatedRecordCluster.READY_S + 30, () -> drawn.trouble(trouble));
-    // A request is known for two minutes by its name: later ones wait until there is room for
+    // A request name is remembered for two minutes: later requests wait until there is room for
     // theirs.
     drawn.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 700);
     assertEquals(List.of(), drawn.wrong);
@@ -57,13 +57,13 @@
     for (ReplicatedRecordCluster.Gates each : drawn.gates) {
       assertEquals(30, each.index.state("count").passed());
     }
-    assertFalse(drawn.gates[0].index.pages().isEmpty(), "no page of the trail");
+    assertFalse(drawn.gates[0].index.pages().isEmpty(), "no page of the audit trail");
     assertEquals(30, drawn.get(1, "/gate/trail").objects("lines").size());
   }
 
   /**
-   * What is kept back is stopped, proven gone and started again, whatever comes in between; what
-   * runs is the proof's business alone.
+   * Blocked tasks are stopped, proven gone and started again, whatever happens in between; until
+   * the proof they may still run.
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
@@ -99,8 +99,8 @@
   }
 
   /**
-   * The leader has planned allocations and stands still before it sends them; meanwhile a gate
-   * closes and it is proven that nothing runs.
+   * The leader has planned allocations and is suspended before it sends them; meanwhile a gate
+   * closes and it is proven that none of the tasks runs.
    */
   @Test
   void whatWasPlannedBeforeItWasKeptBackIsNotAllocated() throws MalformedMessageException {
@@ -151,8 +151,8 @@
   }
 
   /**
-   * While one controller has a build that lacks it, nothing is changed, and the answer names it;
-   * then its successor can.
+   * While one controller runs a build without the feature, changes are refused and the answer names
+   * that controller; after its upgrade they are accepted.
    */
   @Test
   void refusedUntilAllHaveIt() throws MalformedMessageException {
@@ -181,7 +181,10 @@
     assertEquals(1L, day.told.get("early"));
   }
 
-  /** All know of a change soon; with one cut off it is known by time, and not before. */
+  /**
+   * All controllers know of a change soon; if one is unreachable, its knowledge is established by
+   * elapsed time, and not before.
+   */
   @Test
   void sinceWhenAllKnow() {
     day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
@@ -207,8 +210,8 @@
   }
 
   /**
-   * A record that keeps tasks back and cannot be read: whoever reads it takes no part, for it would
-   * let them run.
+   * A record that blocks tasks and cannot be read: a controller that reads it takes no part, since
+   * it would let the tasks run.
    */
   @ParameterizedTest
   @ValueSource(strings = {"q/agreed/gate/job-1", "q/agreed/unknown/x"})
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
@@ -31,8 +31,8 @@
 import org.quincecross.state.TerminationProof;
 
 /**
- * A site with records that its three controllers agree on, and a watch over what they keep from
- * running, in virtual time.
+ * A cluster whose three controllers share replicated records, and checks of the tasks that these
+ * records block, in virtual time.
  */
 final class ReplicatedRecordCluster {
   static final Build NEW = Build.present("new", 3);
@@ -66,7 +66,7 @@
             run_s = 40
             """;
 
-  /** What a controller knows of the gates. */
+  /** A controller's view of the gates. */
   static final class Gates implements StartBlock {
     final ReplicatedFeatureContext base;
     final ReplicatedRecordIndex<GateKind.State, GateKind.Command> index;
@@ -106,7 +106,7 @@
       return closed.contains(job) ? "its gate is closed" : null;
     }
 
-    /** Whether all tasks of a job whose gate is closed are proven gone here. */
+    /** Whether all tasks of a job with a closed gate are proven gone by this controller. */
     boolean isProven(JobId id, int tasks) {
       ReplicatedRecordIndex.Held<GateKind.State> held = index.get(id.text());
       return base.cache().isLoaded()
@@ -123,12 +123,15 @@
   final Map<JobId, Job> jobs = new TreeMap<>();
   final List<String> wrong = new ArrayList<>();
 
-  /** Of which closing, and by which records, it was proven that nothing of a job runs. */
+  /**
+   * The change that closed a gate, and the revision of the records by which no task of the job
+   * runs.
+   */
   record Proven(long change, Revision by) {}
 
   final Map<JobId, Proven> proven = new HashMap<>();
 
-  /** Requests by their names, that were told to be durable, with the change that was told. */
+  /** Requests that were reported as durable, by name, with the change number that was reported. */
   final Map<String, Long> told = new TreeMap<>();
 
   ReplicatedRecordCluster(long seed) throws MalformedMessageException {
@@ -147,8 +150,8 @@
   }
 
   /**
-   * From when any controller has proven it, nothing of the job runs or is allocated, by the records
-   * of any, until its gate opens.
+   * From when any controller has proven it until the gate opens, no task of the job runs or is
+   * allocated, by the records of any controller.
    */
   private void watch() {
     cluster
@@ -201,7 +204,10 @@
     return HttpRequest.post("/admin/agreed/gate/" + id, body.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Asks one controller after the other by the same name until it is known what became of it. */
+  /**
+   * Sends a request, under the same name, to one controller after the other until its outcome is
+   * known.
+   */
   void ask(int node, String id, String request, String what) {
     cluster
         .environment()
@@ -239,7 +245,8 @@
   }
 
   /**
-   * What a controller answers, asked again after 503 as its page says, for ten seconds at the most.
+   * The answer of a controller; retries after 503, as the protocol describes, for up to ten
+   * seconds.
    */
   JsonFields get(int node, String path) throws MalformedMessageException {
     HttpResponse[] last = new HttpResponse[1];
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many days, for a machine with time: {@code mvn -B -Pseeds test -Dseeds=20000-24999}. No part of
- * the ordinary tests. A seed that fails here goes into {@link RandomScenarioTest}.
+ * Many random days, for a machine with time: {@code mvn -B -Pseeds test -Dseeds=20000-24999}. Not
+ * part of the ordinary tests. A seed that fails here is added to {@link RandomScenarioTest}.
  */
 @Tag("seeds")
 class SeedsTest {
@@ -21,15 +21,15 @@
     play(RandomScenario::new);
   }
 
-  /** The same while controllers are replaced by ones with another form of the records. */
+  /** The same with a rolling upgrade to a build with another record format. */
   @Test
   void everyDayOfRollsKeepsTheRulesAndNothingHangs() {
     play(RandomScenario::ofRolls);
   }
 
   /**
-   * The same with late copies of reports, a sixth of the machines restarted now and then, and
-   * controllers back at once.
+   * The same with duplicated late reports, a sixth of the machines restarting now and then, and
+   * controllers that restart at once.
    */
   @Test
   void everyDayOfCopiesAndQuickReturnsKeepsTheRulesAndNothingHangs() {
@@ -48,7 +48,7 @@
   }
 
   /**
-   * The same with a quarter of all transactions carried out late, jobs that come together, and
+   * The same with a quarter of all transactions applied late, jobs that are submitted together, and
    * cancellations at any time.
    */
   @Test
@@ -60,7 +60,7 @@
   }
 
   /**
-   * The same with late copies of reports, and commands, reports and answers that are held up for up
+   * The same with duplicated late reports, and commands, reports and answers that are delayed by up
    * to 15 s.
    */
   @Test
@@ -69,41 +69,42 @@
   }
 
   /**
-   * Jobs of two and three tasks that end far apart while controllers end, are cut off and come
-   * back.
+   * Jobs of two and three tasks that end far apart, while controllers fail, are partitioned and
+   * return.
    */
   @Test
   void everyDayOfLeaderChangesKeepsTheRulesAndNothingHangs() {
     playAll(seed -> new LeaderFailureScenario(seed).play());
   }
 
-  /** Troubles that meet on purpose. */
+  /** Pairs of faults that overlap. */
   @Test
   void everyDayOfMeetingsKeepsTheRulesAndNothingHangs() {
     play(RandomScenario::ofMeetings);
   }
 
   /**
-   * The same with answers lost, reports kept for the next leader, mute machines and quick boots.
+   * The same with lost answers, reports kept for the next leader, machines that cannot send, and
+   * fast boots.
    */
   @Test
   void everyDayOfFurtherMeetingsKeepsTheRulesAndNothingHangs() {
     play(RandomScenario::ofFurtherMeetings);
   }
 
-  /** The same beside the troubles that users make. */
+  /** The same, with faults caused by users in addition. */
   @Test
   void everyDayOfMeetingsAndUsersTroublesKeepsTheRulesAndNothingHangs() {
     play(seed -> RandomScenario.ofMeetings(seed).with(UserErrorFaults::inject));
   }
 
-  /** The state service refuses one controller, then everybody, while users cancel and ask. */
+  /** The state service refuses one controller, then all, while users cancel and poll. */
   @Test
   void everyGapDayKeepsTheRulesAndNothingHangs() {
     playAll(seed -> new CancellationDuringOutageScenario(seed).play());
   }
 
-  /** Jobs that wait for others, cancelled at every stage, among all troubles. */
+  /** Jobs with dependencies, cancelled at every stage, with all kinds of faults. */
   @Test
   void everyDayOfPipelinesKeepsTheRulesAndNothingHangs() {
     play(RandomScenario::ofPipelines);
--- a/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
+++ b/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
@@ -28,8 +28,8 @@
 import org.quincecross.rollout.Build;
 
 /**
- * The state service lowers its limits without notice, after records have been written that are
- * larger than it takes from then on. Three controllers, in virtual time.
+ * The state service lowers its limits without notice, after records have been written that exceed
+ * the new limits. Three controllers, in virtual time.
  */
 @Timeout(120)
 class StoreLimitReductionTest {
@@ -81,7 +81,10 @@
         .build();
   }
 
-  /** Those that may have to be changed: bundles are only ever deleted. */
+  /**
+   * The records that may have to be changed; bundles are excluded, because they are only ever
+   * deleted.
+   */
   private List<String> recordsLargerThan(int bytes) {
     return cluster.state().keysWithPrefix("q/").stream()
         .filter(
@@ -101,7 +104,10 @@
         : 1;
   }
 
-  /** All are replaced, one by one, by builds that are told of the limits to come. */
+  /**
+   * Replaces all controllers, one after the other, by builds whose settings announce the new
+   * limits.
+   */
   private void roll() {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
@@ -148,7 +154,7 @@
         "nothing is left that could not be changed");
   }
 
-  /** What else happens as the limits fall. */
+  /** Another event as the limits are lowered. */
   enum Meanwhile {
     NOTHING,
     OUTAGE,
@@ -157,7 +163,7 @@
     OUTAGE_AND_RESTART
   }
 
-  /** Before the level at which a block's oversized record can be changed in part, or after it. */
+  /** Before and after the level at which a shard's oversized record can be changed in part. */
   @ParameterizedTest
   @CsvSource({
     "38, NOTHING",
@@ -174,7 +180,7 @@
         recordsLargerThan(LOW.maxValueBytes()) + " large records");
     roll();
     cluster.time().runUntil(37.9);
-    assertFalse(tooLarge().isEmpty(), "the status names what is too large");
+    assertFalse(tooLarge().isEmpty(), "the status names the oversized records");
     loseMachines(fallAt + 3);
     List<JobId> cancelled = new ArrayList<>();
     cluster
@@ -216,7 +222,7 @@
     assertEquals(Set.of(), tooLarge());
   }
 
-  /** Nobody was told of the limits to come: work goes on, in smaller steps. */
+  /** No controller was told of the new limits: work continues, in smaller steps. */
   @Test
   void theyFallWithoutAWord() {
     cluster.time().at(24, () -> cluster.state().limit(LOW));
@@ -234,15 +240,15 @@
               }
             });
     assertAllEnds(List.of());
-    assertTrue(cluster.state().tooLarge() > 0, "never too large");
+    assertTrue(cluster.state().tooLarge() > 0, "no transaction was too large");
     assertTrue(
         cluster.state().tooLarge() < 200,
         cluster.state().tooLarge() + " transactions that were too large");
   }
 
   /**
-   * So many teams that a member's record has no room for their limits: it says nothing of them, and
-   * takes part.
+   * So many teams that a member's record has no room for their limits: it omits them, and the
+   * controller still takes part.
    */
   @Test
   void aMemberOfManyTeams() {
@@ -255,7 +261,7 @@
         new SimulatedCluster(
             cluster.site().with(teams).with(LOW), 5, Meter.OFF, new Features(null, null, NEW));
     other.time().runUntil(20);
-    assertTrue(other.leader() >= 0, "nobody is a member");
+    assertTrue(other.leader() >= 0, "no controller is a member");
     assertEquals(0, other.state().tooLarge());
     assertEquals(3, other.state().keysWithPrefix("q/member/").size());
   }
--- a/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
+++ b/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
@@ -15,13 +15,13 @@
 import org.quincecross.protocol.Settings;
 
 /**
- * A team that comes without a guarantee: a swarm of tiny jobs, one huge array, long idle work;
- * beside others, in virtual time.
+ * A team without a guarantee submits many tiny jobs, one huge array, or long low-priority work,
+ * beside other teams, in virtual time.
  */
 class UnguaranteedTeamTest {
   private static final ClusterSpec WIDE = ClusterSpec.tryOut(45, true);
 
-  /** Fewer changes a second than jobs come in one. */
+  /** Fewer changes per second than jobs are submitted per second. */
   private static final ClusterSpec NARROW =
       new ClusterSpec(
           WIDE.nodeZones(),
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Hundreds of jobs of one team in two seconds: another team's are accepted as if they were alone,
-   * and the swarm is all the same.
+   * Hundreds of jobs of one team within two seconds: the jobs of another team are accepted as if
+   * they were alone, and the many jobs are all accepted as well.
    */
   @Test
   void aSwarmOfSubmissionsHasItselfWait() {
@@ -109,9 +109,9 @@
   }
 
   /**
-   * A huge array and long idle work of one team fill all that is free; what another team submits
-   * then starts and ends as if they were not there, a change of leader among it, and the guests'
-   * work is done in the end.
+   * A huge array and long low-priority work of one team fill all free capacity. What another team
+   * submits then starts and ends as if they were absent, even across a leader change, and the work
+   * of the first team completes in the end.
    */
   @Test
   void guestsFillWhatIsFreeAndGiveWay() {
