--- a/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringFailoverTest.java
@@ -26,8 +26,8 @@
   private static final int LONG_JOBS = 40;
 
   private final Random random = new Random(8);
-  private final List<JobId> longOnes = new ArrayList<>();
-  private List<JobId> called = List.of();
+  private final List<JobId> longJobs = new ArrayList<>();
+  private List<JobId> cancelledJobs = List.of();
 
   CancellationDuringFailoverTest() throws MalformedMessageException {
     for (int i = 0; i < LONG_JOBS; i++) {
@@ -43,7 +43,7 @@
               .imageGb(0.5)
               .estimate(TimeSpan.ofSeconds(300))
               .build();
-      longOnes.add(job.id());
+      longJobs.add(job.id());
       cluster.time().at(5 + 0.3 * i, () -> cluster.users().submit(job));
     }
     cluster
@@ -51,22 +51,22 @@
         .at(AT_S - 5, () -> ConcurrentReaders.begin(cluster.environment(), 0.5, 0, 120, random));
   }
 
-  private void callOff(double atS, double hangS) {
+  private void cancelLongJobs(double atS, double hangS) {
     cluster
         .time()
         .at(
             atS,
             () ->
-                called =
+                cancelledJobs =
                     LateCancellations.cancelLongRunning(
                         cluster.environment(), LONG_JOBS / 2, hangS, random));
   }
 
-  private void assertAllAreGone(double atS) {
+  private void assertAllCancelledAreGone(double atS) {
     cluster.time().runUntil(atS);
     assertEquals(List.of(), cluster.invariants().violations());
-    assertTrue(called.size() >= LONG_JOBS / 3, "cancelled " + called.size());
-    for (JobId id : called) {
+    assertTrue(cancelledJobs.size() >= LONG_JOBS / 3, "cancelled " + cancelledJobs.size());
+    for (JobId id : cancelledJobs) {
       assertEquals("cancelled", cluster.users().reportedStates().get(id), id.text());
       assertEquals(0, cluster.invariants().onMachines(id), id.text());
     }
@@ -89,7 +89,7 @@
     "2, 3.5, 0",
     "2, 6, 8"
   })
-  void oneControllersWorkChangesHands(int how, double afterS, double hangS) {
+  void cancelsInTimeDuringFailoverOfOneController(int how, double afterS, double hangS) {
     cluster
         .time()
         .at(
@@ -105,8 +105,8 @@
                 default -> cluster.separate(node, 20, true);
               }
             });
-    callOff(AT_S + afterS, hangS);
-    assertAllAreGone(AT_S + 120);
+    cancelLongJobs(AT_S + afterS, hangS);
+    assertAllCancelledAreGone(AT_S + 120);
   }
 
   /**
@@ -115,7 +115,7 @@
    */
   @ParameterizedTest
   @CsvSource({"-0.1, 0", "0, 0", "0, 6", "0.05, 0"})
-  void theLeaderIsRefusedAtThatMoment(double afterS, double hangS) {
+  void cancelsInTimeWhenLeaderIsRefused(double afterS, double hangS) {
     double outage = site.workers().cancelTimeout().seconds() + 9;
     cluster
         .time()
@@ -123,7 +123,7 @@
             AT_S,
             () -> cluster.state().refuse(ClusterSpec.nodeName(Math.max(0, cluster.leader())), 1.2));
     cluster.time().at(AT_S + 1, () -> cluster.state().outage(outage));
-    callOff(AT_S + afterS, hangS);
-    assertAllAreGone(AT_S + outage + 70);
+    cancelLongJobs(AT_S + afterS, hangS);
+    assertAllCancelledAreGone(AT_S + outage + 70);
   }
 }
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageScenario.java
@@ -21,11 +21,11 @@
  * and a suspension are added.
  */
 final class CancellationDuringOutageScenario {
-  private static final int FIRST = 2000;
+  private static final int FIRST_NUMBER = 2000;
   private static final int JOBS = 26;
-  private static final double GAP_FROM_S = 45;
-  private static final double LONGEST_GAP_S = 110;
-  private static final double QUIET_S = 100;
+  private static final double REFUSAL_START_S = 45;
+  private static final double MAX_REFUSAL_S = 110;
+  private static final double FAULT_FREE_S = 100;
 
   private final SimulatedCluster cluster;
   private final Random random;
@@ -38,24 +38,24 @@
     random = new Random(seed * 31 + 7);
     liveness = new LivenessInvariant(cluster);
     for (int i = 0; i < JOBS; i++) {
-      Job job = job(FIRST + i);
+      Job job = job(FIRST_NUMBER + i);
       jobs.add(job.id());
       cluster.time().at(3 + i * 0.4, () -> cluster.users().submit(job));
     }
     switch (random.nextInt(3)) {
-      case 0 -> heldUp(10 + upTo(4));
-      case 1 -> allLate(6 + upTo(10));
+      case 0 -> delayLargestCancellation(10 + randomUpTo(4));
+      case 1 -> delayAllChanges(6 + randomUpTo(10));
       default -> {}
     }
-    cluster.time().at(GAP_FROM_S, this::gap);
+    cluster.time().at(REFUSAL_START_S, this::injectFaults);
   }
 
   /**
    * The change that cancels the largest job is sent long before the refusal, and becomes durable
    * just after it.
    */
-  private void heldUp(double seconds) {
-    double from = GAP_FROM_S - seconds + upTo(2);
+  private void delayLargestCancellation(double seconds) {
+    double from = REFUSAL_START_S - seconds + randomUpTo(2);
     int node = random.nextInt(cluster.nodeCount());
     cluster
         .time()
@@ -77,16 +77,16 @@
                   HttpRequest.post("/v2/runs/" + jobs.get(0) + "/cancel", new byte[0]),
                   answer -> {});
             });
-    cancelAt(jobs.get(0), from + seconds + upTo(0.5));
+    cancelAt(jobs.get(0), from + seconds + randomUpTo(0.5));
   }
 
   /** For a while before the refusal, all changes are applied late without an answer. */
-  private void allLate(double seconds) {
-    cluster.time().at(GAP_FROM_S - seconds, () -> cluster.state().applyLate(1));
-    cluster.time().at(GAP_FROM_S - upTo(1), () -> cluster.state().applyLate(0));
+  private void delayAllChanges(double seconds) {
+    cluster.time().at(REFUSAL_START_S - seconds, () -> cluster.state().applyLate(1));
+    cluster.time().at(REFUSAL_START_S - randomUpTo(1), () -> cluster.state().applyLate(0));
     jobs.stream()
         .filter(id -> oneIn(2))
-        .forEach(id -> cancelAt(id, GAP_FROM_S - seconds + upTo(seconds)));
+        .forEach(id -> cancelAt(id, REFUSAL_START_S - seconds + randomUpTo(seconds)));
   }
 
   private void cancelAt(JobId id, double atS) {
@@ -95,24 +95,24 @@
     }
   }
 
-  SimulatedCluster world() {
+  SimulatedCluster cluster() {
     return cluster;
   }
 
   private Job job(int number) {
     JobKind kind =
-        number == FIRST
+        number == FIRST_NUMBER
             ? JobKind.ARRAY
             : random.nextInt(5) == 0
                 ? JobKind.SERVICE
                 : random.nextInt(8) == 0 ? JobKind.GANG : JobKind.ARRAY;
     int tasks =
-        number == FIRST
+        number == FIRST_NUMBER
             ? 18
             : kind == JobKind.ARRAY ? 1 + random.nextInt(5) : 1 + random.nextInt(2);
     return Job.builder(new JobId("job-" + number))
         .jobClass("gap")
-        .team(number != FIRST && oneIn(3) ? "blue" : "red")
+        .team(number != FIRST_NUMBER && oneIn(3) ? "blue" : "red")
         .kind(kind)
         .priority(kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL)
         .taskCount(tasks)
@@ -123,7 +123,7 @@
         .build();
   }
 
-  private double upTo(double seconds) {
+  private double randomUpTo(double seconds) {
     return random.nextDouble() * seconds;
   }
 
@@ -135,57 +135,59 @@
     cluster.time().after(seconds, action);
   }
 
-  private void gap() {
+  private void injectFaults() {
     int leader = cluster.leader();
     int refused = leader >= 0 && !oneIn(4) ? leader : random.nextInt(cluster.nodeCount());
     double cancelS = cluster.site().workers().cancelTimeout().seconds();
-    double refusal = 1 + upTo(17);
+    double refusal = 1 + randomUpTo(17);
     after(0, () -> cluster.state().refuse(ClusterSpec.nodeName(refused), refusal));
     if (oneIn(4)) {
       after(
-          refusal + upTo(1.5),
+          refusal + randomUpTo(1.5),
           () ->
               cluster
                   .state()
                   .refuse(
                       ClusterSpec.nodeName(
                           oneIn(3) ? random.nextInt(cluster.nodeCount()) : refused),
-                      1 + upTo(12)));
+                      1 + randomUpTo(12)));
     }
-    double out = oneIn(6) ? upTo(20) - 4 : 0.5 + upTo(refusal);
-    double length = oneIn(5) ? 1 + upTo(cancelS) : cancelS + upTo(20);
+    double out = oneIn(6) ? randomUpTo(20) - 4 : 0.5 + randomUpTo(refusal);
+    double length = oneIn(5) ? 1 + randomUpTo(cancelS) : cancelS + randomUpTo(20);
     after(out, () -> cluster.state().outage(length));
     if (oneIn(6)) {
       after(
-          out + length + upTo(3),
-          () -> cluster.state().refuse(ClusterSpec.nodeName(refused), 1 + upTo(15)));
+          out + length + randomUpTo(3),
+          () -> cluster.state().refuse(ClusterSpec.nodeName(refused), 1 + randomUpTo(15)));
     }
     for (JobId id : jobs) {
       if (!oneIn(5)) {
-        double at = oneIn(6) ? upTo(LONGEST_GAP_S) : upTo(out + 2) - 1;
-        cancelAt(id, GAP_FROM_S + Math.max(0, at));
+        double at = oneIn(6) ? randomUpTo(MAX_REFUSAL_S) : randomUpTo(out + 2) - 1;
+        cancelAt(id, REFUSAL_START_S + Math.max(0, at));
       }
     }
     if (oneIn(2)) {
-      after(upTo(3) - 2, () -> cluster.state().applyLate(2 + random.nextInt(4)));
-      after(out + upTo(3), () -> cluster.state().applyLate(0));
+      after(randomUpTo(3) - 2, () -> cluster.state().applyLate(2 + random.nextInt(4)));
+      after(out + randomUpTo(3), () -> cluster.state().applyLate(0));
     }
     if (oneIn(4)) {
-      after(upTo(out + 10), () -> cluster.suspend(refused, oneIn(2) ? upTo(8) : upTo(50)));
+      after(
+          randomUpTo(out + 10),
+          () -> cluster.suspend(refused, oneIn(2) ? randomUpTo(8) : randomUpTo(50)));
     }
     if (oneIn(4)) {
-      after(upTo(out + 30), () -> cluster.crash(random.nextInt(cluster.nodeCount())));
+      after(randomUpTo(out + 30), () -> cluster.crash(random.nextInt(cluster.nodeCount())));
     }
     if (oneIn(3)) {
       after(
-          upTo(out + 4),
-          () -> machines(3).forEach(each -> cluster.dropInbound(each, 2 + upTo(25))));
+          randomUpTo(out + 4),
+          () -> randomMachines(3).forEach(each -> cluster.dropInbound(each, 2 + randomUpTo(25))));
     }
     if (oneIn(3)) {
       after(
-          upTo(out + 4),
+          randomUpTo(out + 4),
           () ->
-              machines(3)
+              randomMachines(3)
                   .forEach(
                       each -> {
                         boolean lose = random.nextBoolean();
@@ -194,17 +196,17 @@
                           // does.
                           if (node != refused || lose) {
                             cluster.cut(
-                                ClusterSpec.nodeName(node), each.text(), 2 + upTo(40), lose);
+                                ClusterSpec.nodeName(node), each.text(), 2 + randomUpTo(40), lose);
                           }
                         }
                       }));
     }
     if (oneIn(4)) {
-      after(upTo(out + 4), () -> cluster.refuseLinks(refused, 1 + upTo(20)));
+      after(randomUpTo(out + 4), () -> cluster.refuseLinks(refused, 1 + randomUpTo(20)));
     }
     if (oneIn(5)) {
       after(
-          upTo(out + 30),
+          randomUpTo(out + 30),
           () ->
               cluster
                   .cloud()
@@ -212,25 +214,25 @@
                   .forEach(
                       worker -> {
                         if (oneIn(4)) {
-                          worker.restart(0.05 + upTo(0.8));
+                          worker.restart(0.05 + randomUpTo(0.8));
                         }
                       }));
     }
   }
 
-  private List<MachineId> machines(int share) {
+  private List<MachineId> randomMachines(int share) {
     return cluster.cloud().machines().stream().filter(each -> oneIn(share)).toList();
   }
 
   /** Runs the day; returns what went wrong. */
-  List<String> play() {
-    double end = GAP_FROM_S + LONGEST_GAP_S;
+  List<String> run() {
+    double end = REFUSAL_START_S + MAX_REFUSAL_S;
     cluster.time().runUntil(end);
     cluster.state().applyLate(0);
     cluster.environment().onFaultsEnded();
     cluster.time().runUntil(end + 30);
     jobs.forEach(id -> cluster.users().cancel(id));
-    cluster.time().runUntil(end + QUIET_S);
+    cluster.time().runUntil(end + FAULT_FREE_S);
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
     wrong.addAll(cluster.invariants().violations());
@@ -241,7 +243,7 @@
   }
 
   /** The time from the first request of each cancellation until a user was told, in seconds. */
-  Map<JobId, Double> toldAfter() {
+  Map<JobId, Double> confirmedAfterS() {
     Map<JobId, Double> told = new TreeMap<>();
     cancelAt.forEach(
         (id, at) -> {
--- a/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
+++ b/src/test/java/org/quincecross/emulator/CancellationDuringOutageTest.java
@@ -27,22 +27,22 @@
  * user was told.
  */
 class CancellationDuringOutageTest extends BusyCluster {
-  private static final double REFUSED_S = 30;
-  private static final double OUT_S = 32;
-  private static final double REFUSED_FOR_S = 14;
+  private static final double REFUSAL_START_S = 30;
+  private static final double OUTAGE_START_S = 32;
+  private static final double REFUSAL_DURATION_S = 14;
   private static final int LONG_JOBS = 20;
-  private static final int KEPT = 4;
+  private static final int JOBS_NOT_CANCELLED = 4;
 
   private final double cancelS = site.workers().cancelTimeout().seconds();
-  private final double outageFor = cancelS + 12;
-  private final List<JobId> longOnes = new ArrayList<>();
-  private double outS = OUT_S;
+  private final double outageDurationS = cancelS + 12;
+  private final List<JobId> longJobs = new ArrayList<>();
+  private double outageStartS = OUTAGE_START_S;
   private int leader;
 
   CancellationDuringOutageTest() throws MalformedMessageException {}
 
   @BeforeEach
-  void longArraysRun() {
+  void submitLongArrays() {
     for (int i = 0; i < LONG_JOBS; i++) {
       Job job =
           Job.builder(new JobId("job-" + (30_000 + i)))
@@ -50,20 +50,20 @@
               .team("batch")
               .kind(JobKind.ARRAY)
               .priority(Priority.NORMAL)
-              .taskCount(i == KEPT ? 60 : 6)
+              .taskCount(i == JOBS_NOT_CANCELLED ? 60 : 6)
               .taskResources(new Resources(1, 0, 2))
               .image("long")
               .imageGb(0.5)
               .estimate(TimeSpan.ofSeconds(300))
               .build();
-      longOnes.add(job.id());
+      longJobs.add(job.id());
       cluster.time().at(5 + 0.3 * i, () -> cluster.users().submit(job));
     }
-    cluster.time().at(REFUSED_S - 1, () -> cluster.users().multiplyPolls(6, 100));
-    cluster.time().runUntil(REFUSED_S);
+    cluster.time().at(REFUSAL_START_S - 1, () -> cluster.users().multiplyPolls(6, 100));
+    cluster.time().runUntil(REFUSAL_START_S);
     leader = cluster.leader();
     assertTrue(
-        longOnes.stream().mapToInt(cluster.invariants()::onMachines).sum() > 100, "long tasks run");
+        longJobs.stream().mapToInt(cluster.invariants()::onMachines).sum() > 100, "long tasks run");
   }
 
   private String leaderName() {
@@ -71,12 +71,14 @@
   }
 
   private List<JobId> cancelled() {
-    return longOnes.subList(KEPT, LONG_JOBS);
+    return longJobs.subList(JOBS_NOT_CANCELLED, LONG_JOBS);
   }
 
-  private void gap() {
-    cluster.time().at(REFUSED_S, () -> cluster.state().refuse(leaderName(), REFUSED_FOR_S));
-    cluster.time().at(OUT_S, () -> cluster.state().outage(outageFor));
+  private void injectRefusalAndOutage() {
+    cluster
+        .time()
+        .at(REFUSAL_START_S, () -> cluster.state().refuse(leaderName(), REFUSAL_DURATION_S));
+    cluster.time().at(OUTAGE_START_S, () -> cluster.state().outage(outageDurationS));
   }
 
   /**
@@ -90,7 +92,7 @@
     }
   }
 
-  private long toldBy(double atS) {
+  private long confirmedBy(double atS) {
     return cancelled().stream()
         .filter(
             id ->
@@ -103,16 +105,16 @@
    * Runs to the end: no rule is broken, cancelled jobs are reported and gone, and other jobs
    * continue.
    */
-  private void assertTheGapWasBridged() {
+  private void assertCancellationsWereKept() {
     assertAllCancelledAreGone();
-    for (JobId id : longOnes.subList(0, KEPT)) {
+    for (JobId id : longJobs.subList(0, JOBS_NOT_CANCELLED)) {
       assertEquals(6, cluster.invariants().onMachines(id), id.text());
     }
     assertEquals(36, replicas());
   }
 
   private void assertAllCancelledAreGone() {
-    cluster.time().runUntil(outS + outageFor + 100);
+    cluster.time().runUntil(outageStartS + outageDurationS + 100);
     assertEquals(List.of(), cluster.invariants().violations());
     for (JobId id : cancelled()) {
       assertEquals("cancelled", cluster.users().reportedStates().get(id), id.text());
@@ -122,16 +124,17 @@
 
   /** The basic sequence: refusal of the leader, then outage for all. */
   @Test
-  void theLeaderIsRefusedAndThenEverybody() {
-    gap();
-    cancelAll(REFUSED_S + 0.2);
-    cluster.time().runUntil(OUT_S + 10);
+  void cancelsInTimeWhenLeaderThenAllAreRefused() {
+    injectRefusalAndOutage();
+    cancelAll(REFUSAL_START_S + 0.2);
+    cluster.time().runUntil(OUTAGE_START_S + 10);
     assertTrue(
-        toldBy(OUT_S + 10) > 10, "most are told in the outage, after 8 s: " + toldBy(OUT_S + 10));
+        confirmedBy(OUTAGE_START_S + 10) > 10,
+        "most are told in the outage, after 8 s: " + confirmedBy(OUTAGE_START_S + 10));
     assertTrue(
         cancelled().stream().mapToInt(cluster.invariants()::onMachines).sum() > 0,
         "what the refused leader holds goes on meanwhile");
-    assertTheGapWasBridged();
+    assertCancellationsWereKept();
   }
 
   /**
@@ -140,13 +143,13 @@
    * at once (docs/incidents/told-by-an-old-time.md).
    */
   @Test
-  void aCancellationThatBecomesDurableLate() {
+  void cancelsInTimeWhenChangeBecomesDurableLate() {
     JobId large = cancelled().get(0);
     double heldS = 11;
     cluster
         .time()
         .at(
-            REFUSED_S + 0.1,
+            REFUSAL_START_S + 0.1,
             () ->
                 cluster.injectFaultAt(
                     request -> request.startsWith("POST /txn") && request.contains("\"cancelled\""),
@@ -155,35 +158,35 @@
     cluster
         .time()
         .at(
-            REFUSED_S + 0.2,
+            REFUSAL_START_S + 0.2,
             () ->
                 cluster.sendDirectly(
                     (leader + 1) % 3,
                     HttpRequest.post("/v2/runs/" + large + "/cancel", new byte[0]),
                     answer -> {}));
-    double durableS = REFUSED_S + 0.2 + heldS;
+    double durableS = REFUSAL_START_S + 0.2 + heldS;
     cluster
         .time()
         .at(
             durableS - 0.3,
             () -> {
               leader = cluster.leader();
-              cluster.state().refuse(leaderName(), REFUSED_FOR_S);
+              cluster.state().refuse(leaderName(), REFUSAL_DURATION_S);
             });
-    cluster.time().at(durableS + 1, () -> cluster.state().outage(outageFor));
+    cluster.time().at(durableS + 1, () -> cluster.state().outage(outageDurationS));
     cluster.time().at(durableS + 0.2, () -> cluster.users().cancel(large));
     cluster
         .time()
         .at(
-            REFUSED_S + 4,
+            REFUSAL_START_S + 4,
             () -> cancelled().subList(1, cancelled().size()).forEach(cluster.users()::cancel));
     cluster.time().runUntil(durableS + 1);
     assertNotEquals(-1, cluster.faultedController());
     assertNotEquals(leader, cluster.faultedController());
     assertTrue(
         cluster.invariants().onMachines(large) > 0, "what the refused leader holds of it goes on");
-    outS = durableS + 1;
-    assertTheGapWasBridged();
+    outageStartS = durableS + 1;
+    assertCancellationsWereKept();
   }
 
   /**
@@ -192,18 +195,18 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.9, 1.2})
-  void theOthersAreStartedAnewInBetween(double afterS) {
-    gap();
-    cancelAll(REFUSED_S + 0.1);
+  void cancelsInTimeWhenOthersRestartBeforeOutage(double afterS) {
+    injectRefusalAndOutage();
+    cancelAll(REFUSAL_START_S + 0.1);
     cluster
         .time()
         .at(
-            REFUSED_S + afterS,
+            REFUSAL_START_S + afterS,
             () -> {
               cluster.stopFor((leader + 1) % 3, 0.1);
               cluster.stopFor((leader + 2) % 3, 0.1);
             });
-    assertTheGapWasBridged();
+    assertCancellationsWereKept();
   }
 
   /**
@@ -212,26 +215,32 @@
    */
   @ParameterizedTest
   @CsvSource({"4, 0.3, 1", "4, 1.5, 6"})
-  void refusedTwice(double firstS, double servedS, double outAfterS) {
-    cluster.time().at(REFUSED_S, () -> cluster.state().refuse(leaderName(), firstS));
+  void cancelsInTimeWhenLeaderIsRefusedTwice(double firstS, double servedS, double outAfterS) {
+    cluster.time().at(REFUSAL_START_S, () -> cluster.state().refuse(leaderName(), firstS));
     cluster
         .time()
         .at(
-            REFUSED_S + firstS + servedS,
-            () -> cluster.state().refuse(leaderName(), REFUSED_FOR_S));
+            REFUSAL_START_S + firstS + servedS,
+            () -> cluster.state().refuse(leaderName(), REFUSAL_DURATION_S));
     cluster
         .time()
-        .at(REFUSED_S + firstS + servedS + outAfterS, () -> cluster.state().outage(outageFor));
-    cancelAll(REFUSED_S + firstS + servedS - 0.3);
-    assertTheGapWasBridged();
+        .at(
+            REFUSAL_START_S + firstS + servedS + outAfterS,
+            () -> cluster.state().outage(outageDurationS));
+    cancelAll(REFUSAL_START_S + firstS + servedS - 0.3);
+    assertCancellationsWereKept();
   }
 
   @Test
-  void refusedAgainAfterTheOutage() {
-    gap();
-    cancelAll(REFUSED_S + 0.5);
-    cluster.time().at(OUT_S + outageFor + 0.02, () -> cluster.state().refuse(leaderName(), 12));
-    assertTheGapWasBridged();
+  void cancelsInTimeWhenLeaderIsRefusedAfterOutage() {
+    injectRefusalAndOutage();
+    cancelAll(REFUSAL_START_S + 0.5);
+    cluster
+        .time()
+        .at(
+            OUTAGE_START_S + outageDurationS + 0.02,
+            () -> cluster.state().refuse(leaderName(), 12));
+    assertCancellationsWereKept();
   }
 
   /**
@@ -240,11 +249,11 @@
    */
   @ParameterizedTest
   @CsvSource({"55, 7", "40, 25"})
-  void theLeaderStandsStillPastItsTime(double fromS, double seconds) {
-    gap();
-    cancelAll(REFUSED_S + 0.5);
+  void cancelsInTimeWhenLeaderIsSuspended(double fromS, double seconds) {
+    injectRefusalAndOutage();
+    cancelAll(REFUSAL_START_S + 0.5);
     cluster.time().at(fromS, () -> cluster.suspend(leader, seconds));
-    assertTheGapWasBridged();
+    assertCancellationsWereKept();
   }
 
   /**
@@ -253,23 +262,24 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aHolderThatHasNotedItEnds(boolean ends) {
-    cancelAll(REFUSED_S);
-    cluster.time().at(REFUSED_S + 1.9, () -> cluster.state().outage(outageFor));
+  void cancelsInTimeWhenOwnerFailsAfterSeeingCancellation(boolean ends) {
+    cancelAll(REFUSAL_START_S);
+    cluster.time().at(REFUSAL_START_S + 1.9, () -> cluster.state().outage(outageDurationS));
     cluster
         .time()
         .at(
-            REFUSED_S + 1.5,
+            REFUSAL_START_S + 1.5,
             () -> {
               if (ends) {
-                cluster.stopFor(leader, outageFor);
+                cluster.stopFor(leader, outageDurationS);
               } else {
-                cluster.suspend(leader, outageFor);
+                cluster.suspend(leader, outageDurationS);
               }
             });
-    cluster.time().runUntil(OUT_S);
-    assertTrue(toldBy(OUT_S) > 10, "told within 2 s: " + toldBy(OUT_S));
-    assertTheGapWasBridged();
+    cluster.time().runUntil(OUTAGE_START_S);
+    assertTrue(
+        confirmedBy(OUTAGE_START_S) > 10, "told before the outage: " + confirmedBy(OUTAGE_START_S));
+    assertCancellationsWereKept();
   }
 
   /**
@@ -278,7 +288,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {7, 38, 115, 280})
-  void drawnDays(long seed) {
-    assertEquals(List.of(), new CancellationDuringOutageScenario(seed).play());
+  void keepsRulesOnFixedSeeds(long seed) {
+    assertEquals(List.of(), new CancellationDuringOutageScenario(seed).run());
   }
 }
--- a/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
+++ b/src/test/java/org/quincecross/emulator/CapacityExhaustedTest.java
@@ -28,11 +28,11 @@
  */
 class CapacityExhaustedTest {
   private static final int MACHINES = 18;
-  private static final double OVER_S = 60;
-  private static final double UNTIL_S = 330;
-  private static final double LATE_S = 200;
-  private static final double LATE_RUNS_S = 8;
-  private static final double LARGEST_BEGINS_S = 240;
+  private static final double FAULT_END_S = 60;
+  private static final double END_S = 330;
+  private static final double LATE_SUBMISSION_S = 200;
+  private static final double LATE_JOB_RUN_S = 8;
+  private static final double LARGEST_START_TIMEOUT_S = 240;
 
   /** The work that waits beside capacity that other jobs may use. */
   private enum Mix {
@@ -103,7 +103,7 @@
     "SERVICES, 7, false",
     "ALL, 7, true"
   })
-  void nothingWaitsBesideRoomForLong(Mix mix, long seed, boolean overload) {
+  void noJobWaitsLongBesideFreeCapacity(Mix mix, long seed, boolean overload) {
     Features features =
         overload ? new Features(Shares.DEFAULTS, null, Build.BEFORE_LEVELS) : Features.NONE;
     ClusterSpec site =
@@ -119,11 +119,11 @@
     cluster = new SimulatedCluster(site, seed, Meter.OFF, features);
     Random random = new Random(seed * 31 + mix.ordinal());
     cluster.delayMessages(0.5, 4, random);
-    cluster.time().at(8, () -> cluster.state().slowDown(0.2, 1.2, OVER_S - 8, random));
+    cluster.time().at(8, () -> cluster.state().slowDown(0.2, 1.2, FAULT_END_S - 8, random));
     cluster
         .time()
         .at(
-            OVER_S,
+            FAULT_END_S,
             () -> {
               cluster.delayMessages(0, 0, random);
               cluster.environment().onFaultsEnded();
@@ -172,7 +172,7 @@
     for (int i = 0; i < 2 && mix == Mix.SERVICES; i++) {
       late.add(
           submit(
-              LATE_S,
+              LATE_SUBMISSION_S,
               "web",
               JobKind.SERVICE,
               Priority.PRODUCTION,
@@ -182,7 +182,7 @@
     }
     JobId largest = submit(20, "batch", JobKind.ARRAY, Priority.NORMAL, 60, 1, 20);
     double[] begun = {-1};
-    for (double at = 20; at < UNTIL_S; at += 1) {
+    for (double at = 20; at < END_S; at += 1) {
       cluster
           .time()
           .at(
@@ -196,11 +196,11 @@
                 }
               });
     }
-    cluster.time().runUntil(LATE_S + LATE_RUNS_S);
+    cluster.time().runUntil(LATE_SUBMISSION_S + LATE_JOB_RUN_S);
     late.forEach(
         id -> assertEquals(2, cluster.invariants().onMachines(id), "replicas that came late"));
-    cluster.time().runUntil(UNTIL_S);
+    cluster.time().runUntil(END_S);
     assertEquals(List.of(), cluster.invariants().violations());
-    assertTrue(begun[0] >= 0 && begun[0] <= LARGEST_BEGINS_S, "begun after " + begun[0]);
+    assertTrue(begun[0] >= 0 && begun[0] <= LARGEST_START_TIMEOUT_S, "begun after " + begun[0]);
   }
 }
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
@@ -25,7 +25,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void aCancellationThatBecomesDurableLate(int alone) {
+  void cancellationDelayRunsFromDurability(int alone) {
     SimulatedCluster cluster = new SimulatedCluster(1);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -55,7 +55,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 6, 18})
-  void daysOfLateWrites(long seed) {
+  void keepsRulesWithDelayedTransactions(long seed) {
     assertEquals(
         List.of(),
         (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
@@ -69,7 +69,7 @@
    * controllers that follow the changes and for those that read all records.
    */
   @Test
-  void bundlesCarriedOutAfterTheirJobsAreOver() {
+  void bundlesAppliedAfterTheirJobsEndHaveNoEffect() {
     SimulatedCluster cluster = new SimulatedCluster(2);
     cluster.state().applyLate(0);
     cluster
@@ -119,7 +119,7 @@
    * continues, and ends as done or cancelled.
    */
   @Test
-  void aRecordOfItsOwnThatComesAfterABundle() {
+  void jobsWithDelayedOwnRecordEndNormally() {
     SimulatedCluster cluster = new SimulatedCluster(2);
     cluster.state().applyLate(0);
     for (int i = 0; i < 24; i++) {
@@ -154,7 +154,7 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"q/block/", "q/alloc/", "q/page/", "\"done\""})
-  void whatALeaderWrote(String what) {
+  void delayedLeaderWritesHaveNoEffect(String what) {
     SimulatedCluster cluster = new SimulatedCluster(4);
     cluster.state().applyLate(0);
     int[] late = new int[1];
@@ -184,7 +184,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.5, 1.5, 2.9, 6})
-  void whoEndedBeforeItStood(double later) {
+  void failedCandidateDoesNotLead(double later) {
     SimulatedCluster cluster = new SimulatedCluster(4);
     cluster.state().applyLate(0);
     cluster.time().runUntil(30);
--- a/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyInvariantsTest.java
@@ -24,7 +24,7 @@
   /** The controllers of this cluster stay idle: the test alone generates the events. */
   private final SimulatedCluster cluster = new SimulatedCluster(1);
 
-  private final ProtocolInvariants rules = cluster.invariants();
+  private final ProtocolInvariants invariants = cluster.invariants();
   private Machine machine;
 
   DependencyInvariantsTest() {
@@ -54,102 +54,102 @@
         .build();
   }
 
-  private void tell(JobId id, String state, boolean asked) {
+  private void reportState(JobId id, String state, boolean asked) {
     cluster.users().reportedStates().put(id, state);
-    rules.onStateReported(id, state, null, asked);
+    invariants.onStateReported(id, state, null, asked);
     cluster.environment().pipelines().onStateReported(id, state);
   }
 
-  private void assertBroken(String... rulesInOrder) {
+  private void assertViolations(String... rulesInOrder) {
     assertEquals(
         List.of(rulesInOrder),
-        rules.violations().stream().map(each -> each.substring(0, each.indexOf(' '))).toList(),
-        rules.violations().toString());
+        invariants.violations().stream().map(each -> each.substring(0, each.indexOf(' '))).toList(),
+        invariants.violations().toString());
   }
 
-  private void later(double seconds) {
+  private void advance(double seconds) {
     cluster.time().runUntil(cluster.time().seconds() + seconds);
   }
 
   @Test
-  void aTaskStartsBeforeTheLastTaskOfTheJobBefore() {
-    rules.taskArrived(FIRST.task(0), machine);
-    rules.completed(FIRST.task(0));
-    assertBroken();
-    rules.taskArrived(MIDDLE.task(0), machine);
-    assertBroken("too_early");
-    rules.completed(FIRST.task(1));
-    rules.taskLeft(MIDDLE.task(0), machine.id());
-    rules.taskArrived(MIDDLE.task(0), machine);
-    assertBroken("too_early");
+  void reportsTaskThatStartsBeforeDependencyIsDone() {
+    invariants.taskArrived(FIRST.task(0), machine);
+    invariants.completed(FIRST.task(0));
+    assertViolations();
+    invariants.taskArrived(MIDDLE.task(0), machine);
+    assertViolations("too_early");
+    invariants.completed(FIRST.task(1));
+    invariants.taskLeft(MIDDLE.task(0), machine.id());
+    invariants.taskArrived(MIDDLE.task(0), machine);
+    assertViolations("too_early");
     cluster.users().submit(job(new JobId("job-4"), 1, new JobId("job-77")));
-    rules.taskArrived(new JobId("job-4").task(0), machine);
-    assertBroken("too_early", "too_early");
+    invariants.taskArrived(new JobId("job-4").task(0), machine);
+    assertViolations("too_early", "too_early");
   }
 
   @Test
-  void aJobIsCalledQueuedLongAfterOneBeforeItWasCancelled() {
+  void reportsQueuedJobLongAfterDependencyWasCancelled() {
     cluster.users().noteCancel(FIRST);
-    tell(FIRST, "cancelled", true);
-    later(35.9);
-    tell(LAST, "queued", false);
-    assertBroken();
-    later(0.2);
-    tell(LAST, "queued", false);
-    tell(LAST, "running", false);
-    assertBroken("orphaned");
+    reportState(FIRST, "cancelled", true);
+    advance(35.9);
+    reportState(LAST, "queued", false);
+    assertViolations();
+    advance(0.2);
+    reportState(LAST, "queued", false);
+    reportState(LAST, "running", false);
+    assertViolations("orphaned");
     // A job that is submitted only now must be reported as cancelled at once.
     JobId late = new JobId("job-4");
     cluster.users().submit(job(late, 1, LAST));
-    tell(late, "cancelled", false);
-    assertBroken("orphaned");
-    tell(late, "queued", false);
-    assertBroken("orphaned", "orphaned");
+    reportState(late, "cancelled", false);
+    assertViolations("orphaned");
+    reportState(late, "queued", false);
+    assertViolations("orphaned", "orphaned");
   }
 
   @Test
-  void aTaskIsOnAMachineLongAfterAJobBeforeItWasCancelled() {
-    List.of(0, 1).forEach(i -> rules.completed(FIRST.task(i)));
-    rules.completed(MIDDLE.task(0));
-    rules.taskArrived(LAST.task(0), machine);
+  void reportsTaskThatRunsLongAfterDependencyWasCancelled() {
+    List.of(0, 1).forEach(i -> invariants.completed(FIRST.task(i)));
+    invariants.completed(MIDDLE.task(0));
+    invariants.taskArrived(LAST.task(0), machine);
     cluster.users().noteCancel(MIDDLE);
-    tell(MIDDLE, "cancelled", true);
-    later(35);
-    assertBroken();
-    later(3);
-    assertBroken("ran_cancelled");
+    reportState(MIDDLE, "cancelled", true);
+    advance(35);
+    assertViolations();
+    advance(3);
+    assertViolations("ran_cancelled");
   }
 
   @Test
-  void aJobIsCancelledWithTheOneBeforeItAndNotWithoutIt() {
-    tell(LAST, "cancelled", false);
-    assertBroken("went_back");
+  void reportsCancellationWithoutCancelledDependency() {
+    reportState(LAST, "cancelled", false);
+    assertViolations("went_back");
     cluster.users().noteCancel(FIRST);
-    tell(
+    reportState(
         MIDDLE,
         "cancelled",
         false); // the controller that reported it knew of the cancellation before its user did
-    assertBroken("went_back");
-    rules.completed(FIRST.task(0));
-    rules.completed(FIRST.task(1));
-    tell(FIRST, "done", true);
-    assertBroken(
+    assertViolations("went_back");
+    invariants.completed(FIRST.task(0));
+    invariants.completed(FIRST.task(1));
+    reportState(FIRST, "done", true);
+    assertViolations(
         "went_back",
         "went_back",
         "went_back"); // both are reported as cancelled, although none of their dependencies is
   }
 
   @Test
-  void aSubmissionThatNamesAnUnknownJobIsAcceptedOrOneThatNamesAKnownOneIsNot() {
+  void reportsWrongAnswersToSubmissionsWithDependencies() {
     DependencyInvariants pipelines = cluster.environment().dependencyInvariants();
     pipelines.answered(MIDDLE, 422);
-    assertBroken();
+    assertViolations();
     pipelines.answered(MIDDLE, 201);
-    assertBroken("names_unknown");
-    tell(FIRST, "queued", false);
+    assertViolations("names_unknown");
+    reportState(FIRST, "queued", false);
     pipelines.answered(MIDDLE, 200);
-    assertBroken("names_unknown");
+    assertViolations("names_unknown");
     pipelines.answered(MIDDLE, 400);
-    assertBroken("names_unknown", "refused");
+    assertViolations("names_unknown", "refused");
   }
 }
--- a/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DuplicatedMessagesTest.java
@@ -31,7 +31,7 @@
    * still arrive.
    */
   @Test
-  void copiesKeepNoMachine() {
+  void duplicatesKeepNoMachineAlive() {
     double lease = site.workers().lease().seconds();
     cluster.time().runUntil(40);
     List<MachineId> cut = cluster.cloud().machines().subList(0, 8);
@@ -52,7 +52,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 0})
-  void copiesBringNoMachineBack(long token) {
+  void duplicatesBringNoMachineBack(long token) {
     cluster.time().runUntil(40);
     Machine gone = cluster.cloud().workers().get(3).machine();
     MachineId machine = gone.id();
@@ -83,7 +83,7 @@
     boolean left = false;
     for (double at = 40; at < 130; at += 0.25) {
       cluster.time().runUntil(at);
-      boolean there = isInABlock(machine);
+      boolean there = isInShard(machine);
       for (int node = 0; left && node < site.nodes(); node++) {
         if (cluster.status(node) != null) {
           cluster.sendDirectly(node, copy, response -> {});
@@ -100,7 +100,7 @@
     assertWorkCompletesAndReplicasRun(170);
   }
 
-  private boolean isInABlock(MachineId machine) {
+  private boolean isInShard(MachineId machine) {
     boolean[] there = new boolean[1];
     for (int node = 0; node < site.nodes(); node++) {
       if (cluster.status(node) != null) {
@@ -121,7 +121,7 @@
    * is revived, and each of its new tasks runs once.
    */
   @Test
-  void copiesOfAFormerLife() {
+  void duplicatesFromBeforeRestartReviveNothing() {
     for (int i = 0; i < 5; i++) {
       int from = i * 8;
       cluster
@@ -145,7 +145,7 @@
    */
   @ParameterizedTest
   @CsvSource({"1, 0.2", "1, 6", "0.4, 20"})
-  void copiesThatWereKeptForTheNextLeader(double share, double downS) {
+  void duplicatesForNextLeaderReviveNothing(double share, double downS) {
     cluster.time().runUntil(20);
     cluster.duplicateReports(0, new Random(7));
     cluster.duplicateReportsForNextLeader(share, new Random(8));
@@ -168,7 +168,7 @@
     cluster.time().at(62, () -> cluster.stopFor(Math.max(0, cluster.leader()), downS));
     cluster.time().runUntil(62 + 3 * site.workers().lease().seconds() + 20);
     assertEquals(36, replicas());
-    gone.forEach(machine -> assertFalse(isInABlock(machine), "still in a shard: " + machine));
+    gone.forEach(machine -> assertFalse(isInShard(machine), "still in a shard: " + machine));
     assertWorkCompletesAndReplicasRun(190);
   }
 }
--- a/src/test/java/org/quincecross/emulator/FastRestartTest.java
+++ b/src/test/java/org/quincecross/emulator/FastRestartTest.java
@@ -25,7 +25,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.3, 0.9})
-  void machinesWhoseCountsBeginAnew(double seconds) {
+  void restartedMachinesRunTasksAgainSoon(double seconds) {
     cluster.time().runUntil(30);
     List<AgentSimulator> workers = cluster.cloud().workers();
     workers.subList(0, workers.size() / 3).forEach(worker -> worker.restart(seconds));
@@ -38,7 +38,7 @@
 
   /** The same machine restarts repeatedly, each time before its shard owner may have noticed. */
   @Test
-  void aMachineThatBeginsAnewAgainAndAgain() {
+  void repeatedRestartsOfOneMachineLoseNothing() {
     for (int i = 0; i < 12; i++) {
       cluster
           .time()
@@ -51,7 +51,7 @@
     assertWorkCompletesAndReplicasRun(170);
   }
 
-  private void backAtOnce(int node, double seconds) {
+  private void restartAtOnce(int node, double seconds) {
     cluster.stopFor(node, seconds);
   }
 
@@ -61,13 +61,13 @@
    */
   @ParameterizedTest
   @CsvSource({"0.05, 1", "0.4, 1", "1.1, 2", "2.3, 2", "3.1, 2", "3.6, 3", "4.5, 3", "6, 3"})
-  void inAnElection(double after, int times) {
+  void keepsRulesWithRestartsDuringElection(double after, int times) {
     cluster.time().runUntil(30);
     int leader = cluster.leader();
     cluster.crash(leader);
     for (int i = 0; i < times; i++) {
       int node = (leader + 1 + i % 2) % site.nodes();
-      cluster.time().at(30 + after + 0.6 * i, () -> backAtOnce(node, 0.1 + 0.1 * node));
+      cluster.time().at(30 + after + 0.6 * i, () -> restartAtOnce(node, 0.1 + 0.1 * node));
     }
     cluster.time().runUntil(30 + after + 25);
     assertTrue(cluster.leader() >= 0);
@@ -78,14 +78,14 @@
   /** The leader itself restarts twice in a row, or all three controllers restart at once, twice. */
   @ParameterizedTest
   @CsvSource({"0.1, false", "0.3, false", "0.5, false", "0.1, true", "0.3, true", "0.5, true"})
-  void theLeaderOrAll(double seconds, boolean all) {
+  void keepsRulesWithRestartsOfLeaderOrAll(double seconds, boolean all) {
     cluster.time().runUntil(30);
     int leader = cluster.leader();
     for (int again = 0; again < 2; again++) {
       for (int node = 0; node < site.nodes(); node++) {
         int each = node;
         if (all || each == leader) {
-          cluster.time().at(30.1 + again * 0.7, () -> backAtOnce(each, seconds));
+          cluster.time().at(30.1 + again * 0.7, () -> restartAtOnce(each, seconds));
         }
       }
     }
@@ -108,7 +108,7 @@
     "0.02, false",
     "0.3, false"
   })
-  void inATakeOver(double after, boolean taker) {
+  void keepsRulesWithRestartsDuringTakeover(double after, boolean taker) {
     cluster.time().runUntil(30);
     int leader = cluster.leader();
     int lost = (leader + 1) % site.nodes();
@@ -123,7 +123,8 @@
             hit[0] = true;
             cluster
                 .time()
-                .after(after, () -> backAtOnce(taker ? (leader + 2) % site.nodes() : leader, 0.2));
+                .after(
+                    after, () -> restartAtOnce(taker ? (leader + 2) % site.nodes() : leader, 0.2));
           }
           return false;
         },
@@ -136,7 +137,7 @@
   /** Restarts during a rolling upgrade to a newer build, while the level rises. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void inARoll(long seed) {
+  void keepsRulesWithRestartsDuringUpgrade(long seed) {
     SimulatedCluster rolled =
         new SimulatedCluster(
             ClusterSpec.small(),
@@ -179,7 +180,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void anAnnouncementOfAFormerLifeThatComesLate(boolean leads) {
+  void lateAnnouncementOfFormerProcessIsReplaced(boolean leads) {
     cluster.time().runUntil(30);
     int node = (cluster.leader() + (leads ? 0 : 1)) % site.nodes();
     String key = "q/member/" + ClusterSpec.nodeName(node);
--- a/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/FleetFailuresTest.java
@@ -40,7 +40,7 @@
    * up.
    */
   @Test
-  void aRestartInTheMiddleOfAPageOfRecords() {
+  void restartsWhileReadingRecords() {
     for (int i = 0; i < 3; i++) {
       for (int node = 0; node < site.nodes(); node++) {
         int each = node;
@@ -55,7 +55,7 @@
    * controllers at once.
    */
   @Test
-  void aFollowThatIsTooOldOnAllAtOnce() {
+  void recoversFromWatchesThatAreTooOld() {
     cluster.time().at(12, () -> cluster.state().keepChanges(1));
     cluster.time().at(18, () -> cluster.state().keepChanges(10_000));
     assertWorkCompletesAndReplicasRun(120);
@@ -66,7 +66,7 @@
    * accepted soon after its end.
    */
   @Test
-  void aBurstOfSubmissionsThatCameBackAtTheSameSecond() {
+  void acceptsSimultaneousRetriesAfterOutage() {
     cluster.time().at(30, () -> cluster.state().outage(15));
     List<JobId> burst = new ArrayList<>();
     for (int i = 0; i < 150; i++) {
@@ -92,7 +92,7 @@
    * continue and are reported.
    */
   @Test
-  void withoutMemoryNewJobsAreRefusedAndOldOnesServed() {
+  void refusesNewJobsAtMemoryLimitAndServesAcceptedOnes() {
     cluster.time().at(25, () -> cluster.memoryIsShort(true));
     JobId late = new JobId("job-77");
     cluster.time().at(26, () -> cluster.users().submit(oneTask(late)));
@@ -116,7 +116,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {4, 9, 20, 33})
-  void aLeaderThatGoesOnAfterItsSuccessorLeads(double seconds) {
+  void resumedLeaderDoesNotInterfereWithSuccessor(double seconds) {
     cluster.time().runUntil(14.03);
     int leader = cluster.leader();
     assertTrue(leader >= 0);
--- a/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
+++ b/src/test/java/org/quincecross/emulator/IsolatedControllerTest.java
@@ -23,8 +23,8 @@
  * users; for comparison, outages that affect all controllers.
  */
 class IsolatedControllerTest {
-  private static final double FROM_S = 40;
-  private static final double PER_SECOND = 4;
+  private static final double FAULT_START_S = 40;
+  private static final double SUBMISSIONS_PER_SECOND = 4;
 
   /** Submissions accepted within this time count as in time. */
   private static final double IN_TIME_S = 3;
@@ -34,9 +34,9 @@
       double inTime, double worst, double longestUnanswered, int fewestReplicas, int refused) {}
 
   private SimulatedCluster cluster;
-  private LoadBalancerSimulator balancer;
+  private LoadBalancerSimulator loadBalancer;
 
-  private static Job one(int number) {
+  private static Job oneTaskJob(int number) {
     return Job.builder(new JobId("job-" + number))
         .jobClass("late")
         .team("batch")
@@ -51,28 +51,30 @@
   }
 
   /** Runs a day with a fault that begins at {@link #FAULT_START_S} and lasts for some time. */
-  private Outcome play(long seed, double seconds, IntConsumer trouble)
+  private Outcome run(long seed, double seconds, IntConsumer fault)
       throws MalformedMessageException {
     cluster = new SimulatedCluster(ClusterSpec.tryOut(BusyCluster.MACHINES, true), seed, Meter.OFF);
-    balancer = cluster.users().useLoadBalancer();
+    loadBalancer = cluster.users().useLoadBalancer();
     List<JobId> services = new ArrayList<>();
     List<JobId> arrays = new ArrayList<>();
     BusyCluster.submit(cluster, services, arrays);
     List<JobId> late = new ArrayList<>();
-    for (int i = 0; i < PER_SECOND * (seconds + 20); i++) {
-      Job job = one(60_000 + i);
+    for (int i = 0; i < SUBMISSIONS_PER_SECOND * (seconds + 20); i++) {
+      Job job = oneTaskJob(60_000 + i);
       late.add(job.id());
-      cluster.time().at(FROM_S + i / PER_SECOND, () -> cluster.users().submit(job));
+      cluster
+          .time()
+          .at(FAULT_START_S + i / SUBMISSIONS_PER_SECOND, () -> cluster.users().submit(job));
     }
-    cluster.time().runUntil(FROM_S);
+    cluster.time().runUntil(FAULT_START_S);
     cluster.users().polls().onFault();
-    trouble.accept(cluster.leader());
+    fault.accept(cluster.leader());
     int fewest = Integer.MAX_VALUE;
-    for (double at = FROM_S; at < FROM_S + seconds + 20; at += 0.5) {
+    for (double at = FAULT_START_S; at < FAULT_START_S + seconds + 20; at += 0.5) {
       cluster.time().runUntil(at);
       fewest = Math.min(fewest, services.stream().mapToInt(cluster.invariants()::onMachines).sum());
     }
-    cluster.time().runUntil(FROM_S + seconds + 100);
+    cluster.time().runUntil(FAULT_START_S + seconds + 100);
     double longest = 0;
     for (JobId id : cluster.users().reportedStates().keySet()) {
       longest = Math.max(longest, cluster.users().polls().longestGapS(id, true));
@@ -98,11 +100,11 @@
    */
   @ParameterizedTest
   @CsvSource({"0, false", "1, true"})
-  void usersOfALoneControllerAreWithTheOthersSoon(int afterLeader, boolean lose)
+  void usersOfIsolatedControllerMoveToOthersSoon(int afterLeader, boolean lose)
       throws MalformedMessageException {
     double seconds = 20;
     Outcome outcome =
-        play(
+        run(
             7,
             seconds,
             leader -> {
@@ -111,7 +113,7 @@
               if (lose) {
                 cluster.time().after(4, () -> cluster.crash(leader));
               }
-              cluster.time().after(12, () -> assertFalse(balancer.isHealthy(lone)));
+              cluster.time().after(12, () -> assertFalse(loadBalancer.isHealthy(lone)));
             });
     assertTrue(outcome.inTime() > 0.95, outcome.toString());
     assertTrue(outcome.longestUnanswered() < 16, outcome.toString());
@@ -123,10 +125,10 @@
    * first attempts after the outage are accepted.
    */
   @Test
-  void inAnOutageOfAllNobodyGoesOut() throws MalformedMessageException {
+  void outageOfAllRemovesNoControllerFromLoadBalancer() throws MalformedMessageException {
     double seconds = 20;
     Outcome outcome =
-        play(
+        run(
             7,
             seconds,
             leader -> {
@@ -135,7 +137,7 @@
                 cluster.refuseLinks(node, seconds);
                 int each = node;
                 for (int at = 1; at < seconds; at++) {
-                  cluster.time().after(at, () -> assertTrue(balancer.isHealthy(each)));
+                  cluster.time().after(at, () -> assertTrue(loadBalancer.isHealthy(each)));
                 }
               }
             });
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -359,6 +359,6 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 417, 987})
   void daysOfLeaderChanges(long seed) {
-    assertEquals(List.of(), new LeaderFailureScenario(seed).play());
+    assertEquals(List.of(), new LeaderFailureScenario(seed).run());
   }
 }
--- a/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
+++ b/src/test/java/org/quincecross/emulator/LeaderFailureScenario.java
@@ -20,25 +20,25 @@
  * meanwhile. Then a fault-free period.
  */
 final class LeaderFailureScenario {
-  private static final double LAST_TROUBLE_S = 210;
-  private static final double QUIET_S = 60;
+  private static final double LAST_FAULT_S = 210;
+  private static final double FAULT_FREE_S = 60;
   private static final int LONG_JOBS = 16;
   private static final int SERVICES = 5;
-  private static final double LOOK_EVERY_S = 0.1;
+  private static final double CHECK_INTERVAL_S = 0.1;
 
   private final SimulatedCluster cluster;
   private final Random random;
-  private final Map<JobId, Integer> ended = new LinkedHashMap<>();
-  private final List<JobId> all = new ArrayList<>();
-  private final List<String> strikes = new ArrayList<>();
-  private double calmUntil;
+  private final Map<JobId, Integer> endedTasks = new LinkedHashMap<>();
+  private final List<JobId> allJobs = new ArrayList<>();
+  private final List<String> faults = new ArrayList<>();
+  private double noFaultUntil;
 
   LeaderFailureScenario(long seed) {
     cluster = new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF);
     random = new Random(~seed);
     for (int i = 0; i < LONG_JOBS; i++) {
       Job job = longJob(100 + i);
-      ended.put(job.id(), 0);
+      endedTasks.put(job.id(), 0);
       submit(job, 4 + 70 * random.nextDouble());
     }
     for (int i = 0; i < SERVICES; i++) {
@@ -56,15 +56,15 @@
               .estimate(TimeSpan.ZERO)
               .build(),
           4 + 20 * random.nextDouble());
-      cancelAt(new JobId("job-" + (200 + i)), LAST_TROUBLE_S * random.nextDouble());
+      cancelAt(new JobId("job-" + (200 + i)), LAST_FAULT_S * random.nextDouble());
     }
-    for (double at = 10; at < LAST_TROUBLE_S; at += LOOK_EVERY_S) {
-      cluster.time().at(at, this::look);
+    for (double at = 10; at < LAST_FAULT_S; at += CHECK_INTERVAL_S) {
+      cluster.time().at(at, this::checkTasks);
     }
     for (double at = 20 + 20 * random.nextDouble();
-        at < LAST_TROUBLE_S;
+        at < LAST_FAULT_S;
         at += 15 + 30 * random.nextDouble()) {
-      cluster.time().at(at, this::strike);
+      cluster.time().at(at, this::injectFault);
     }
   }
 
@@ -116,7 +116,7 @@
   }
 
   private void submit(Job job, double atS) {
-    all.add(job.id());
+    allJobs.add(job.id());
     cluster.time().at(atS, () -> cluster.users().submit(job));
   }
 
@@ -135,14 +135,14 @@
   }
 
   /** Finds tasks that have ended; some of these ends trigger a fault. */
-  private void look() {
-    for (Map.Entry<JobId, Integer> job : ended.entrySet()) {
+  private void checkTasks() {
+    for (Map.Entry<JobId, Integer> job : endedTasks.entrySet()) {
       int now = cluster.invariants().completedTasks(job.getKey());
       if (now > job.getValue()) {
         job.setValue(now);
-        if (cluster.time().seconds() >= calmUntil && random.nextInt(3) != 0) {
-          calmUntil = cluster.time().seconds() + 12 * random.nextDouble();
-          cluster.time().after(2.5 * random.nextDouble(), this::strike);
+        if (cluster.time().seconds() >= noFaultUntil && random.nextInt(3) != 0) {
+          noFaultUntil = cluster.time().seconds() + 12 * random.nextDouble();
+          cluster.time().after(2.5 * random.nextDouble(), this::injectFault);
         }
       }
     }
@@ -153,13 +153,13 @@
     return leader >= 0 ? leader : random.nextInt(cluster.nodeCount());
   }
 
-  private void strike() {
+  private void injectFault() {
     int leader = leader();
     int other = (leader + 1 + random.nextInt(cluster.nodeCount() - 1)) % cluster.nodeCount();
     double seconds = 3 + 25 * random.nextDouble();
     double longer = 30 + 20 * random.nextDouble();
     int kind = random.nextInt(13);
-    strikes.add(
+    faults.add(
         String.format(
             "%.1f: %d, leader %d, other %d, %.1f or %.1f s",
             cluster.time().seconds(), kind, leader, other, seconds, longer));
@@ -177,17 +177,17 @@
         cluster.state().outage(seconds);
         cluster.time().after(seconds * random.nextDouble(), () -> cluster.crash(leader));
       }
-      case 6, 7 -> lone(leader, longer);
+      case 6, 7 -> separate(leader, longer);
       case 8 -> {
         cluster.state().applyLate(3 + random.nextInt(8));
         cluster.time().after(seconds, () -> cluster.state().applyLate(0));
       }
       case 9 -> {
         cluster.crash(leader);
-        unreachable(leader, longer);
+        makeMachinesUnreachable(leader, longer);
       }
       case 10 -> {
-        deaf(longer);
+        dropInbound(longer);
         cluster
             .time()
             .after(
@@ -207,7 +207,7 @@
    * Separates a controller from the state service and the other controllers: requests are refused,
    * lost or held back until the end.
    */
-  private void lone(int node, double seconds) {
+  private void separate(int node, double seconds) {
     if (random.nextInt(3) != 0) {
       cluster.separate(node, seconds, random.nextBoolean());
       return;
@@ -221,7 +221,7 @@
   }
 
   /** Half of the machines are unreachable for all controllers except the one that fails. */
-  private void unreachable(int ending, double seconds) {
+  private void makeMachinesUnreachable(int ending, double seconds) {
     boolean lose = random.nextBoolean();
     for (MachineId machine : cluster.cloud().machines()) {
       for (int node = 0; random.nextBoolean() && node < cluster.nodeCount(); node++) {
@@ -232,14 +232,14 @@
     }
   }
 
-  private void deaf(double seconds) {
+  private void dropInbound(double seconds) {
     cluster.cloud().machines().stream()
         .filter(machine -> random.nextInt(3) == 0)
         .forEach(machine -> cluster.dropInbound(machine, seconds));
   }
 
   private void cancelSome(double withinS) {
-    for (JobId id : all) {
+    for (JobId id : allJobs) {
       if (random.nextInt(14) == 0) {
         cancelAt(id, cluster.time().seconds() + withinS * random.nextDouble());
       }
@@ -247,8 +247,8 @@
   }
 
   /** Runs the day until all work must have ended; returns what went wrong. */
-  List<String> play() {
-    cluster.time().runUntil(LAST_TROUBLE_S + QUIET_S);
+  List<String> run() {
+    cluster.time().runUntil(LAST_FAULT_S + FAULT_FREE_S);
     cluster.environment().onFaultsEnded();
     LivenessInvariant liveness = new LivenessInvariant(cluster);
     liveness.watch();
@@ -258,7 +258,7 @@
       wrong.add("little was started: " + cluster.invariants().starts());
     }
     if (!wrong.isEmpty()) {
-      wrong.add(strikes.toString());
+      wrong.add(faults.toString());
     }
     return wrong;
   }
--- a/src/test/java/org/quincecross/emulator/LivenessInvariant.java
+++ b/src/test/java/org/quincecross/emulator/LivenessInvariant.java
@@ -22,17 +22,17 @@
    * Between one task of a job and the next there may be a start, an image fetch and a write of the
    * result.
    */
-  private static final int LOOKS = 15;
+  private static final int CHECKS = 15;
 
   /**
    * In this cluster estimates are wrong by up to a half, and machines are down to a fifth of the
    * nominal speed.
    */
-  private static final double SLOWEST = 1.5 * 5;
+  private static final double MAX_SLOWDOWN = 1.5 * 5;
 
   private static final double OVERHEAD_S = 4;
   private static final double LAST_S = 90;
-  private static final double MOST_S = 1500;
+  private static final double MAX_REMAINING_S = 1500;
 
   private final SimulatedCluster cluster;
   private final List<String> findings = new ArrayList<>();
@@ -45,7 +45,7 @@
     return findings;
   }
 
-  private Set<JobId> open() {
+  private Set<JobId> openJobs() {
     Set<JobId> open = new TreeSet<>();
     cluster
         .users()
@@ -63,13 +63,13 @@
   void watch() {
     Map<JobId, Integer> idle = new TreeMap<>();
     double over = LAST_S;
-    for (JobId id : open()) {
+    for (JobId id : openJobs()) {
       over = Math.max(over, secondsLeft(id));
     }
-    double until = cluster.time().seconds() + Math.min(MOST_S, over);
-    for (int look = 0; look < LOOKS; look++) {
+    double until = cluster.time().seconds() + Math.min(MAX_REMAINING_S, over);
+    for (int look = 0; look < CHECKS; look++) {
       cluster.time().runUntil(cluster.time().seconds() + 1);
-      for (JobId id : open()) {
+      for (JobId id : openJobs()) {
         if (!cluster.environment().pipelines().isWaiting(id)
             && cluster.invariants().onMachines(id) == 0
             && !isAtLimit(cluster.job(id))
@@ -78,23 +78,23 @@
         }
       }
     }
-    Map<String, String> named = named();
+    Map<String, String> named = reportedAsStalled();
     idle.forEach(
         (id, looks) -> {
-          if (looks == LOOKS && !named.containsKey(id.text())) {
+          if (looks == CHECKS && !named.containsKey(id.text())) {
             findings.add("idle and not named: " + cluster.job(id) + ", named are " + named);
           }
         });
-    while (cluster.time().seconds() < until - 0.001 && !open().isEmpty()) {
+    while (cluster.time().seconds() < until - 0.001 && !openJobs().isEmpty()) {
       cluster.time().runUntil(Math.min(until, cluster.time().seconds() + 10));
     }
     cluster
         .users()
         .polls()
-        .forgotten(open())
+        .forgotten(openJobs())
         .forEach(id -> findings.add("forgotten: " + cluster.job(id)));
-    for (JobId id : open()) {
-      findings.add("hangs: " + cluster.job(id) + " " + named().get(id.text()));
+    for (JobId id : openJobs()) {
+      findings.add("hangs: " + cluster.job(id) + " " + reportedAsStalled().get(id.text()));
     }
   }
 
@@ -102,7 +102,7 @@
   private double secondsLeft(JobId id) {
     double before = 0;
     for (JobId each : cluster.environment().pipelines().allDependencies(id)) {
-      before += open().contains(each) ? secondsLeft(cluster.job(each)) : 0;
+      before += openJobs().contains(each) ? secondsLeft(cluster.job(each)) : 0;
     }
     return before + secondsLeft(cluster.job(id));
   }
@@ -113,10 +113,10 @@
       return LAST_S; // its user cancels it
     }
     double sum = 0;
-    for (JobId id : open()) {
+    for (JobId id : openJobs()) {
       Job other = cluster.job(id);
       if (other.team().equals(job.team()) && other.kind() != JobKind.SERVICE) {
-        double each = SLOWEST * other.estimate().seconds() + OVERHEAD_S;
+        double each = MAX_SLOWDOWN * other.estimate().seconds() + OVERHEAD_S;
         double atOnce =
             Math.max(
                 1,
@@ -141,7 +141,7 @@
   }
 
   /** The jobs that controllers report as stalled, with what they wait for. */
-  private Map<String, String> named() {
+  private Map<String, String> reportedAsStalled() {
     Map<String, String> named = new TreeMap<>();
     try {
       for (int node = 0; node < cluster.nodeCount(); node++) {
--- a/src/test/java/org/quincecross/emulator/LostResponsesTest.java
+++ b/src/test/java/org/quincecross/emulator/LostResponsesTest.java
@@ -53,7 +53,7 @@
         "q/lead",
         "q/"
       })
-  void eachKindOfWrite(String what) {
+  void everyKindOfWriteCountsOnce(String what) {
     cluster.state().applyLate(0);
     loseAnswers(what.equals("q/member/") || what.equals("q/lead") ? 0 : 12, 70, 0.5, what);
     for (int i = 0; i < 40; i++) {
@@ -87,7 +87,7 @@
    * announces itself again (docs/incidents/announced-and-not-told.md).
    */
   @Test
-  void anAnnouncement() {
+  void announcementWithLostAnswerKeepsItsLease() {
     cluster.state().applyLate(0);
     cluster.time().runUntil(30);
     int node = (cluster.leader() + 1) % cluster.nodeCount();
@@ -125,7 +125,8 @@
    */
   @ParameterizedTest
   @CsvSource({"0, 0, 0.9, 5", "2, 12, 0.7, 15"})
-  void submissionsAreNotHeldUp(double leastS, double mostS, double inTime, double longestS) {
+  void lostAnswersDoNotDelayOtherSubmissions(
+      double leastS, double mostS, double inTime, double longestS) {
     cluster.state().applyLate(0);
     Random draws = new Random(6);
     DelayedTransactions late =
--- a/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
@@ -43,7 +43,7 @@
                         response -> answered[0] += response.status() < 300 ? 1 : 0));
       }
     }
-    double warmAt = site.until("m", "WARM", 60);
+    double warmAt = site.timeWhenIn("m", "WARM", 60);
     assertEquals(30_000, answered[0]);
     return warmAt - T;
   }
@@ -85,16 +85,18 @@
         warm > ModelServingCluster.FETCH_S && warm < ModelServingCluster.FETCH_S + 4,
         "warm after " + warm);
     for (int node = 0; node < 3; node++) {
-      assertTrue(site.asked(node) <= 3, "changes asked for by one controller: " + site.asked(node));
+      assertTrue(
+          site.requestedChanges(node) <= 3,
+          "changes asked for by one controller: " + site.requestedChanges(node));
     }
     assertEquals(0, site.cluster.environment().coldStarts().lateStarts());
     assertEquals(2, site.onMachines(100));
     assertEquals(before + 3, site.epoch("m"), "woken, chosen, ready");
     assertEquals(2, site.cluster.environment().coldStarts().starts() - started);
     assertEquals(2, site.cluster.environment().coldStarts().fetches() - fetched);
-    site.until("m", "ZERO", 60);
+    site.timeWhenIn("m", "ZERO", 60);
     assertEquals(0, site.onMachines(100));
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /**
@@ -109,10 +111,10 @@
       int each = node;
       site.cluster.time().at(T + afterS, () -> site.cluster.crash(each));
     }
-    site.until("m", "WARM", 90);
+    site.timeWhenIn("m", "WARM", 90);
     assertEquals(2, site.onMachines(100));
     assertEquals(0, site.cluster.environment().coldStarts().lateStarts());
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /**
@@ -139,11 +141,11 @@
         seconds,
         mishap);
     site.wakeAt(T, (site.cluster.leader() + 1) % 3, "m");
-    site.until("m", "WARM", 90);
+    site.timeWhenIn("m", "WARM", 90);
     assertTrue(site.cluster.faultedController() >= 0);
     site.cluster.time().runUntil(site.cluster.time().seconds() + 5);
     assertEquals(2, site.onMachines(100));
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /** Two wakes while nobody leads, one at each of the controllers that are left. */
@@ -155,9 +157,9 @@
     site.cluster.time().at(T, () -> site.cluster.stopFor(leader, 30));
     site.wakeAt(T + afterS, (leader + 1) % 3, "m");
     site.wakeAt(T + afterS, (leader + 2) % 3, "m");
-    site.until("m", "WARM", 90);
+    site.timeWhenIn("m", "WARM", 90);
     assertEquals(2, site.onMachines(100));
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /** The state service is out for a while from some moment of a cold start on, and of a drain. */
@@ -168,13 +170,13 @@
     site.cluster.state().applyLate(60);
     site.wakeAt(T, 2, "m");
     site.cluster.time().at(T + afterS, () -> site.cluster.state().outage(seconds));
-    site.until("m", "WARM", 90);
-    site.until("m", "ZERO", 90);
+    site.timeWhenIn("m", "WARM", 90);
+    site.timeWhenIn("m", "ZERO", 90);
     site.cluster.time().runUntil(site.cluster.time().seconds() + 2);
     assertEquals(0, site.onMachines(100));
     site.wakeAt(site.cluster.time().seconds() + 0.1, 0, "m");
-    site.until("m", "WARM", 90);
-    site.assertRight();
+    site.timeWhenIn("m", "WARM", 90);
+    site.assertRulesKept();
   }
 
   /**
@@ -186,7 +188,7 @@
   void theLastWarmMachineIsTaken(double noticeS) throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(9, 1);
     site.wakeAt(T, 0, "m");
-    site.until("m", "WARM", 60);
+    site.timeWhenIn("m", "WARM", 60);
     String machine = site.machine("m").text();
     site.cluster
         .time()
@@ -204,7 +206,7 @@
     assertEquals("WARM", site.phase("m"));
     assertEquals(1, site.onMachines(100));
     assertTrue(!machine.equals(site.machine("m").text()));
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /** Its user cancels the job of a model in each of its states. */
@@ -214,7 +216,7 @@
     ModelServingCluster site = ModelServingCluster.withOne(10, 2);
     if (!phase.equals("ZERO")) {
       site.wakeAt(T, 0, "m");
-      site.until("m", phase, 90);
+      site.timeWhenIn("m", phase, 90);
     }
     site.cluster.users().cancel(new JobId("job-100"));
     site.cluster.time().runUntil(site.cluster.time().seconds() + 30);
@@ -223,7 +225,7 @@
     assertEquals("cancelled", site.cluster.users().reportedStates().get(new JobId("job-100")));
     assertEquals(409, site.post(1, "m/wake", Map.of()));
     assertEquals("ZERO", site.phase("m"));
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /**
@@ -235,19 +237,19 @@
   void aWakeAgainstADrain(double offset) throws MalformedMessageException {
     ModelServingCluster first = ModelServingCluster.withOne(11, 2);
     first.wakeAt(T, 0, "m");
-    first.until("m", "WARM", 60);
-    double drainAt = first.until("m", "DRAINING", 60);
+    first.timeWhenIn("m", "WARM", 60);
+    double drainAt = first.timeWhenIn("m", "DRAINING", 60);
     for (int node = 0; node < 3; node++) {
       ModelServingCluster site = ModelServingCluster.withOne(11, 2);
       site.wakeAt(T, 0, "m");
-      site.until("m", "WARM", 60);
+      site.timeWhenIn("m", "WARM", 60);
       site.wakeAt(drainAt + offset, node, "m");
       site.cluster.time().runUntil(drainAt + 1.2);
-      site.until("m", "WARM", 20);
+      site.timeWhenIn("m", "WARM", 20);
       site.cluster.time().runUntil(Math.max(site.cluster.time().seconds(), drainAt + offset + 15));
       assertEquals("WARM", site.phase("m"), "node " + node);
       assertEquals(2, site.onMachines(100));
-      site.assertRight();
+      site.assertRulesKept();
     }
   }
 
@@ -266,8 +268,8 @@
     site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     site.define("m", 100, 2, 2);
     site.define("n", 101, 2, 2);
-    site.until("m", "ZERO", 40);
-    site.until("n", "ZERO", 40);
+    site.timeWhenIn("m", "ZERO", 40);
+    site.timeWhenIn("n", "ZERO", 40);
     double at = site.cluster.time().seconds();
     site.wakeAt(at + 1, 0, "m");
     site.wakeAt(at + 1, 1, "n");
@@ -282,7 +284,7 @@
     site.cluster.users().cancel(new JobId("job-100"));
     site.cluster.time().runUntil(at + 30);
     assertEquals(2, site.onMachines(101), "what the limit held back comes when there is room");
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /**
@@ -309,7 +311,7 @@
     assertEquals(200, site.post(1, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
     assertEquals(200, site.post(2, "m", Map.of("job", "job-100", "most", 3, "request", "e")));
     assertEquals(epoch, site.epoch("m"));
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /**
@@ -334,7 +336,7 @@
     }
     site.cluster.time().runUntil(at + 9);
     assertTrue(site.cluster.invariants().onMachines() >= 1, "side by side none would serve yet");
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /**
@@ -347,14 +349,14 @@
     site.submit(ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
     site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     site.define("m", 100, 1, 4, ModelServingCluster.IDLE_S, 1);
-    site.until("m", "ZERO", 40);
+    site.timeWhenIn("m", "ZERO", 40);
     site.cluster.time().runUntil(200);
     int fetches = site.cluster.environment().coldStarts().fetches();
     site.wakeAt(200.1, 2, "m");
-    double warm = site.until("m", "WARM", 20);
+    double warm = site.timeWhenIn("m", "WARM", 20);
     assertTrue(warm < 204, "warm at " + warm);
     assertEquals(fetches, site.cluster.environment().coldStarts().fetches());
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /**
@@ -369,18 +371,18 @@
     site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     site.define("m", 100, 4, 4, 900, 0);
     site.define("n", 101, 2, 2, 900, 0);
-    site.until("n", "ZERO", 40);
+    site.timeWhenIn("n", "ZERO", 40);
     site.wakeAt(T, 0, "m");
-    site.until("m", "WARM", 60);
+    site.timeWhenIn("m", "WARM", 60);
     site.wakeAt(T + 100, 1, "n");
     site.cluster.time().runUntil(T + 115);
     assertEquals("WARM", site.phase("m"), "machines may still be rented");
-    site.until("n", "WARM", 40);
+    site.timeWhenIn("n", "WARM", 40);
     assertEquals("ZERO", site.phase("m"));
     assertEquals(2, site.onMachines(101));
     site.cluster.time().runUntil(site.cluster.time().seconds() + 60);
     assertEquals("WARM", site.phase("n"), "the one that gave way does not come back by itself");
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   /**
@@ -399,7 +401,7 @@
             () ->
                 site.send(
                     other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
-    site.until("m", "WARM", 60);
+    site.timeWhenIn("m", "WARM", 60);
     site.cluster.time().runUntil(T + 25);
     assertEquals(2, site.onMachines(100), "15 in flight at 10 a replica");
     site.cluster
@@ -413,13 +415,13 @@
     site.cluster.isolate(other, 60, true);
     site.cluster.time().runUntil(T + 28);
     assertEquals("WARM", site.phase("m"));
-    double drained = site.until("m", "DRAINING", 60);
+    double drained = site.timeWhenIn("m", "DRAINING", 60);
     assertNull(
         site.cluster.state().value("q/member/" + ClusterSpec.nodeName(other)), "its lease is over");
     assertTrue(drained < T + 27 + 20, "at " + drained);
     site.cluster.time().runUntil(T + 150);
     assertEquals("ZERO", site.phase("m"));
-    site.assertRight();
+    site.assertRulesKept();
   }
 
   @Test
@@ -462,6 +464,6 @@
     for (int i = 0; i < count; i++) {
       assertEquals(i % 20 == 0 ? "WARM" : "ZERO", site.phase("m" + i), "m" + i);
     }
-    site.assertRight();
+    site.assertRulesKept();
   }
 }
--- a/src/test/java/org/quincecross/emulator/ModelServingCluster.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCluster.java
@@ -176,12 +176,12 @@
     return Json.parseFields(answer[0].body());
   }
 
-  JsonFields show(int node, String name) throws MalformedMessageException {
+  JsonFields showModel(int node, String name) throws MalformedMessageException {
     return get(node, "/" + name);
   }
 
   /** The number of record changes that a controller has requested because a model was needed. */
-  long asked(int node) throws MalformedMessageException {
+  long requestedChanges(int node) throws MalformedMessageException {
     return get(node, "").unsigned("asked");
   }
 
@@ -206,7 +206,7 @@
   }
 
   /** The time when a model is next seen in a state, to the hundredth of a second. */
-  double until(String name, String phase, double withinS) {
+  double timeWhenIn(String name, String phase, double withinS) {
     double end = cluster.time().seconds() + withinS;
     while (!phase(name).equals(phase)) {
       if (cluster.time().seconds() > end) {
@@ -229,7 +229,7 @@
   /**
    * Asserts that no rule was broken, no placement started or fetched twice, and no job forgotten.
    */
-  void assertRight() {
+  void assertRulesKept() {
     assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(List.of(), cluster.environment().coldStarts().violations());
     jobs.forEach(
--- a/src/test/java/org/quincecross/emulator/ModelServingScenario.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingScenario.java
@@ -13,25 +13,25 @@
  */
 final class ModelServingScenario {
   private static final int MODELS = 5;
-  private static final int LEAST = 2;
+  private static final int MIN_REPLICAS = 2;
 
   /** The first model is a gang of this many tasks. */
-  private static final int GANG = 2;
+  private static final int GANG_SIZE = 2;
 
   /**
    * A command may arrive after the record has changed; more of them would mean that controllers do
    * not follow the record.
    */
-  private static final int MOST_LATE = 3;
+  private static final int MAX_LATE_STARTS = 3;
 
-  private static final double FIRST_TROUBLE_S = 36;
-  private static final double LAST_TROUBLE_S = 160;
-  private static final double LONGEST_TROUBLE_S = 30;
-  private static final double QUIET_S = 75;
+  private static final double FIRST_FAULT_S = 36;
+  private static final double LAST_FAULT_S = 160;
+  private static final double MAX_FAULT_DURATION_S = 30;
+  private static final double FAULT_FREE_S = 75;
 
   private final ModelServingCluster site;
   private final Random random;
-  private final List<String> wrong = new ArrayList<>();
+  private final List<String> findings = new ArrayList<>();
 
   ModelServingScenario(long seed) throws MalformedMessageException {
     random = new Random(seed * 31 + 7);
@@ -39,28 +39,33 @@
     for (int i = 0; i < MODELS; i++) {
       site.submit(
           ModelServingCluster.job(
-              100 + i, i == 0 ? GANG : 4, 3 + random.nextInt(4), 2 + random.nextInt(9), i == 0));
+              100 + i,
+              i == 0 ? GANG_SIZE : 4,
+              3 + random.nextInt(4),
+              2 + random.nextInt(9),
+              i == 0));
     }
     site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
     for (int i = 0; i < MODELS; i++) {
-      site.define(name(i), 100 + i, i == 0 ? GANG : LEAST, i == 0 ? GANG : 4);
+      site.define(name(i), 100 + i, i == 0 ? GANG_SIZE : MIN_REPLICAS, i == 0 ? GANG_SIZE : 4);
     }
-    site.cluster.time().runUntil(FIRST_TROUBLE_S - 2);
+    site.cluster.time().runUntil(FIRST_FAULT_S - 2);
     site.cluster.state().applyLate(60);
     for (int i = 0; i < 60; i++) {
       site.wakeAt(
-          FIRST_TROUBLE_S + 130 * random.nextDouble(),
+          FIRST_FAULT_S + 130 * random.nextDouble(),
           random.nextInt(3),
           name(random.nextInt(MODELS)));
     }
     for (int i = 0; i < 4 + random.nextInt(6); i++) {
       double atS =
-          FIRST_TROUBLE_S
-              + (LAST_TROUBLE_S - LONGEST_TROUBLE_S - FIRST_TROUBLE_S) * random.nextDouble();
-      double seconds = 0.2 + (LONGEST_TROUBLE_S - 0.2) * random.nextDouble() * random.nextDouble();
+          FIRST_FAULT_S
+              + (LAST_FAULT_S - MAX_FAULT_DURATION_S - FIRST_FAULT_S) * random.nextDouble();
+      double seconds =
+          0.2 + (MAX_FAULT_DURATION_S - 0.2) * random.nextDouble() * random.nextDouble();
       int node = random.nextInt(3);
       int kind = random.nextInt(8);
-      site.cluster.time().at(atS, () -> trouble(kind, node, seconds));
+      site.cluster.time().at(atS, () -> injectFault(kind, node, seconds));
     }
   }
 
@@ -68,7 +73,7 @@
     return "m" + model;
   }
 
-  private void trouble(int kind, int node, double seconds) {
+  private void injectFault(int kind, int node, double seconds) {
     SimulatedCluster cluster = site.cluster;
     switch (kind) {
       case 0 -> cluster.crash(node);
@@ -102,9 +107,9 @@
    * Returns what went wrong: broken rules, placements started or fetched twice, and models that do
    * not come up when needed or do not scale back to zero.
    */
-  List<String> play() {
+  List<String> run() {
     SimulatedCluster cluster = site.cluster;
-    cluster.time().runUntil(LAST_TROUBLE_S + QUIET_S);
+    cluster.time().runUntil(LAST_FAULT_S + FAULT_FREE_S);
     for (int i = 0; i < MODELS; i++) {
       expect(i, "ZERO", 0);
       site.wakeAt(cluster.time().seconds() + random.nextDouble(), random.nextInt(3), name(i));
@@ -119,20 +124,20 @@
     }
     cluster.time().runUntil(cluster.time().seconds() + 25);
     for (int i = 0; i < MODELS; i++) {
-      expect(i, "WARM", i == 0 ? GANG : LEAST);
+      expect(i, "WARM", i == 0 ? GANG_SIZE : MIN_REPLICAS);
     }
-    wrong.addAll(cluster.invariants().violations());
-    wrong.addAll(cluster.environment().coldStarts().violations());
-    if (cluster.environment().coldStarts().lateStarts() > MOST_LATE) {
-      wrong.add(
+    findings.addAll(cluster.invariants().violations());
+    findings.addAll(cluster.environment().coldStarts().violations());
+    if (cluster.environment().coldStarts().lateStarts() > MAX_LATE_STARTS) {
+      findings.add(
           cluster.environment().coldStarts().lateStarts() + " starts where no record has a place");
     }
-    return wrong;
+    return findings;
   }
 
   private void expect(int model, String phase, int replicas) {
     if (!site.phase(name(model)).equals(phase) || site.onMachines(100 + model) != replicas) {
-      wrong.add(
+      findings.add(
           name(model)
               + " is not "
               + phase
--- a/src/test/java/org/quincecross/emulator/ModelServingSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingSeedsTest.java
@@ -17,7 +17,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void keepsRulesOnFixedSeeds(long seed) throws MalformedMessageException {
-    assertEquals(List.of(), new ModelServingScenario(seed).play());
+    assertEquals(List.of(), new ModelServingScenario(seed).run());
   }
 
   @Test
@@ -31,7 +31,7 @@
             seed -> {
               Object findings;
               try {
-                findings = new ModelServingScenario(seed).play();
+                findings = new ModelServingScenario(seed).run();
               } catch (MalformedMessageException | RuntimeException | AssertionError e) {
                 findings = e;
               }
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionCluster.java
@@ -17,7 +17,7 @@
 final class OneWayPartitionCluster {
   static final double LEASE_S = 12;
   static final int REPLICAS = 80;
-  private static final double DEAF_AT_S = 35;
+  private static final double PARTITION_START_S = 35;
   private static final String JOBS =
       """
             [[jobs]]
@@ -46,7 +46,7 @@
 
   final SimulatedCluster cluster;
   final List<JobId> services = new ArrayList<>();
-  final List<MachineId> deaf = new ArrayList<>();
+  final List<MachineId> partitioned = new ArrayList<>();
 
   OneWayPartitionCluster(long seed) throws MalformedMessageException {
     ClusterSpec site = ClusterSpec.tryOut(60, true);
@@ -57,15 +57,16 @@
         services.add(due.job().id());
       }
     }
-    cluster.time().runUntil(DEAF_AT_S);
+    cluster.time().runUntil(PARTITION_START_S);
   }
 
   /** This percentage of the machines receives nothing for a while. */
-  void deafen(int percent, double seconds, long seed) {
+  void partition(int percent, double seconds, long seed) {
     List<MachineId> machines = new ArrayList<>(cluster.cloud().machines());
     Collections.shuffle(machines, new Random(seed));
-    deaf.addAll(machines.subList(0, Math.max(1, Math.round(machines.size() * percent / 100f))));
-    deaf.forEach(machine -> cluster.dropInbound(machine, seconds));
+    partitioned.addAll(
+        machines.subList(0, Math.max(1, Math.round(machines.size() * percent / 100f))));
+    partitioned.forEach(machine -> cluster.dropInbound(machine, seconds));
   }
 
   int replicas() {
@@ -73,9 +74,9 @@
   }
 
   /** The number of these machines that run tasks. */
-  int deafInUse() {
+  int partitionedInUse() {
     return (int)
-        deaf.stream().filter(machine -> cluster.invariants().onMachine(machine) > 0).count();
+        partitioned.stream().filter(machine -> cluster.invariants().onMachine(machine) > 0).count();
   }
 
   /** Those of these machines that their owners give no work. */
@@ -89,7 +90,7 @@
             for (String machine :
                 new String(response.body(), StandardCharsets.UTF_8).split("\\{")) {
               if (machine.contains("\"open\":false")
-                  && deaf.stream().anyMatch(id -> machine.contains("\"" + id + "\""))) {
+                  && partitioned.stream().anyMatch(id -> machine.contains("\"" + id + "\""))) {
                 closed.add(machine);
               }
             }
@@ -105,7 +106,7 @@
   double missingUntil(double seconds) {
     double last = 0;
     for (double at = 0.5; at <= seconds; at += 0.5) {
-      cluster.time().runUntil(DEAF_AT_S + at);
+      cluster.time().runUntil(PARTITION_START_S + at);
       last = replicas() < REPLICAS ? at : last;
     }
     return last;
@@ -118,7 +119,7 @@
       for (double seconds : new double[] {30, 150, 600}) {
         for (long seed = 1; seed <= 3; seed++) {
           OneWayPartitionCluster site = new OneWayPartitionCluster(seed);
-          site.deafen(percent, seconds, seed);
+          site.partition(percent, seconds, seed);
           double missing = site.missingUntil(seconds + 60);
           System.out.printf(
               "%6d %6.0f %5d %18.1f %15d  %s%n",
--- a/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
+++ b/src/test/java/org/quincecross/emulator/OneWayPartitionTest.java
@@ -22,21 +22,21 @@
 
   @ParameterizedTest
   @CsvSource({"20, 150, 1", "33, 150, 1"})
-  void whatDeafMachinesHadRunsElsewhereAfterTheirLeases(int percent, double seconds, long seed)
-      throws MalformedMessageException {
+  void tasksOfPartitionedMachinesRunElsewhereAfterLeaseExpiry(
+      int percent, double seconds, long seed) throws MalformedMessageException {
     OneWayPartitionCluster site = new OneWayPartitionCluster(seed);
-    site.deafen(percent, seconds, seed);
+    site.partition(percent, seconds, seed);
     double missing = site.missingUntil(seconds);
     assertTrue(missing < MAX_MISSING_S, "replicas missing for " + missing + " s");
     assertTrue(
-        site.cluster.undeliveredStarts() <= site.deaf.size(),
+        site.cluster.undeliveredStarts() <= site.partitioned.size(),
         site.cluster.undeliveredStarts() + " starts to deaf machines");
-    assertEquals(0, site.deafInUse());
+    assertEquals(0, site.partitionedInUse());
     site.missingUntil(seconds + 40);
     // One machine may be suspected at any time: one in a hundred packets is late by seconds.
     assertTrue(
         site.closed().size() <= 1, "closed, although they receive messages: " + site.closed());
-    assertTrue(site.deafInUse() > 0, "none of them is used again");
+    assertTrue(site.partitionedInUse() > 0, "none of them is used again");
     assertEquals(List.of(), site.cluster.invariants().violations());
   }
 }
--- a/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/OverloadCasesTest.java
@@ -28,14 +28,14 @@
  * served.
  */
 class OverloadCasesTest {
-  private static final Features ON =
+  private static final Features FEATURES =
       new Features(new Shares(0.85, 0.5, 0.1, 0.1), TimeSpan.ofSeconds(20), Build.BEFORE_LEVELS);
   private static final int MACHINES = 30;
-  private static final String LOUD = "loud";
-  private static final List<String> QUIET =
+  private static final String OVERLOADING_TEAM = "loud";
+  private static final List<String> OTHER_TEAMS =
       List.of("quiet-1", "quiet-2", "quiet-3", "quiet-4", "quiet-5");
 
-  private final SimulatedCluster cluster = new SimulatedCluster(site(), 7, Meter.OFF, ON);
+  private final SimulatedCluster cluster = new SimulatedCluster(site(), 7, Meter.OFF, FEATURES);
   private int number = 100;
 
   /**
@@ -59,8 +59,8 @@
     List<ClusterSpec.Pool> pools = new ArrayList<>(base.pools());
     pools.add(new ClusterSpec.Pool("rare-8", "east", false, 3, 3));
     Map<String, Team> teams = new LinkedHashMap<>();
-    List<String> names = new ArrayList<>(QUIET);
-    names.add(LOUD);
+    List<String> names = new ArrayList<>(OTHER_TEAMS);
+    names.add(OVERLOADING_TEAM);
     for (String name : names) {
       teams.put(name, new Team(name, Resources.NONE, new Resources(1e6, 1e6, 1e6)));
     }
@@ -124,7 +124,7 @@
     return id;
   }
 
-  private ServiceLevels of(String team, String jobClass) {
+  private ServiceLevels serviceLevels(String team, String jobClass) {
     return cluster
         .environment()
         .accounting()
@@ -133,7 +133,7 @@
   }
 
   private double inTime(String team, String jobClass) {
-    return of(team, jobClass).objectives().get(0).share();
+    return serviceLevels(team, jobClass).objectives().get(0).share();
   }
 
   private void run(double untilS) {
@@ -144,9 +144,9 @@
   private static final Resources ONE = new Resources(1, 0, 2);
   private static final Resources HALF = new Resources(4, 0, 4);
 
-  private void assertQuietTeamsAreServed(double share, double mostStarvedS) {
-    for (String team : QUIET) {
-      ServiceLevels served = of(team, "batch");
+  private void assertOtherTeamsAreServed(double share, double mostStarvedS) {
+    for (String team : OTHER_TEAMS) {
+      ServiceLevels served = serviceLevels(team, "batch");
       assertTrue(
           served.lowestShare() >= share && served.starvedS() < mostStarvedS, team + ": " + served);
     }
@@ -158,9 +158,9 @@
    */
   private void burst() {
     for (int i = 0; i < 60; i++) {
-      submit(20 + i, LOUD, "batch", Priority.NORMAL, 60, ONE, 10, 60);
+      submit(20 + i, OVERLOADING_TEAM, "batch", Priority.NORMAL, 60, ONE, 10, 60);
     }
-    for (String team : QUIET) {
+    for (String team : OTHER_TEAMS) {
       for (int i = 0; i < 8; i++) {
         submit(21 + 20 * i, team, "batch", Priority.NORMAL, 10, ONE, 10, 60);
       }
@@ -168,11 +168,11 @@
   }
 
   @Test
-  void aBurstOfOneTeamBesideFiveQuietOnes() {
+  void burstOfOneTeamDoesNotStarveOthers() {
     burst();
     run(260);
-    assertQuietTeamsAreServed(1, 20);
-    assertEquals(60, of(LOUD, "batch").ended());
+    assertOtherTeamsAreServed(1, 20);
+    assertEquals(60, serviceLevels(OVERLOADING_TEAM, "batch").ended());
   }
 
   /**
@@ -180,13 +180,13 @@
    * permanently.
    */
   @Test
-  void theLowestPriorityUnderServicesAndArrays() {
+  void lowestPriorityIsServedBesideServicesAndArrays() {
     List<JobId> services = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       services.add(
           submit(
               20 + 0.5 * i,
-              LOUD,
+              OVERLOADING_TEAM,
               "front",
               JobKind.SERVICE,
               Priority.PRODUCTION,
@@ -198,16 +198,18 @@
     }
     services.subList(0, 40).forEach(id -> cluster.time().at(110, () -> cluster.users().cancel(id)));
     for (int i = 0; i < 170; i++) {
-      submit(25 + i, LOUD, "batch", Priority.NORMAL, 20, ONE, 10, 60);
+      submit(25 + i, OVERLOADING_TEAM, "batch", Priority.NORMAL, 20, ONE, 10, 60);
     }
     submit(60, "quiet-1", "sweep", Priority.LOW, 80, ONE, 10, 0);
     run(195);
-    assertTrue(of("quiet-1", "sweep").started() >= 50, of("quiet-1", "sweep").toString());
-    assertEquals(240, of(LOUD, "front").started());
+    assertTrue(
+        serviceLevels("quiet-1", "sweep").started() >= 50,
+        serviceLevels("quiet-1", "sweep").toString());
+    assertEquals(240, serviceLevels(OVERLOADING_TEAM, "front").started());
   }
 
   @Test
-  void machinesLostInNumberWhileTheCloudRefuses() {
+  void teamsAreServedAfterMachineLossWithoutReplacement() {
     burst();
     cluster
         .time()
@@ -221,26 +223,26 @@
                   .forEach(machine -> cluster.cloud().terminate(machine, 0));
             });
     run(300);
-    assertQuietTeamsAreServed(0.9, 20);
+    assertOtherTeamsAreServed(0.9, 20);
   }
 
   @Test
-  void theOnlyTypeOfAClassRunsOut() {
+  void classWithScarceMachineTypeIsServed() {
     for (int i = 0; i < 60; i++) {
-      submit(20 + i, LOUD, "batch", Priority.NORMAL, 40, ONE, 10, 60);
+      submit(20 + i, OVERLOADING_TEAM, "batch", Priority.NORMAL, 40, ONE, 10, 60);
     }
     for (int i = 0; i < 10; i++) {
       submit(
           22 + 10 * i, "quiet-1", "rare", JobKind.ARRAY, Priority.NORMAL, 4, ONE, "rare-8", 10, 60);
     }
     run(200);
-    assertTrue(inTime("quiet-1", "rare") >= 0.9, of("quiet-1", "rare").toString());
+    assertTrue(inTime("quiet-1", "rare") >= 0.9, serviceLevels("quiet-1", "rare").toString());
   }
 
   @Test
-  void aTeamWhoseJobsAreLargerThanWhatIsEverFreeAtOnce() {
+  void largeJobsAreServedDespiteFragmentedCapacity() {
     for (int i = 0; i < 150; i++) {
-      submit(20 + i, LOUD, "batch", Priority.NORMAL, 34, ONE, 10, 60);
+      submit(20 + i, OVERLOADING_TEAM, "batch", Priority.NORMAL, 34, ONE, 10, 60);
     }
     submit(
         70,
@@ -255,14 +257,14 @@
         60);
     submit(70, "quiet-2", "gang", JobKind.GANG, Priority.NORMAL, 4, HALF, null, 10, 60);
     run(170);
-    assertEquals(1, of("quiet-1", "whole").ended());
-    assertEquals(1, of("quiet-2", "gang").ended());
+    assertEquals(1, serviceLevels("quiet-1", "whole").ended());
+    assertEquals(1, serviceLevels("quiet-2", "gang").ended());
   }
 
   @Test
-  void deadlinesThatNobodyCouldMeet() {
+  void unreachableDeadlinesDoNotStarveOthers() {
     for (int i = 0; i < 150; i++) {
-      submit(20 + i, LOUD, "batch", Priority.NORMAL, 34, ONE, 10, 60);
+      submit(20 + i, OVERLOADING_TEAM, "batch", Priority.NORMAL, 34, ONE, 10, 60);
     }
     for (int i = 0; i < 20; i++) {
       submit(60 + 2 * i, "quiet-1", "hopeless", Priority.NORMAL, 10, ONE, 20, 5);
@@ -270,23 +272,27 @@
     run(170);
     // These jobs are late in any case and run after all that are not; the floor of their team, 12
     // CPUs, lets 60 of them run.
-    assertTrue(of("quiet-1", "hopeless").started() >= 50, of("quiet-1", "hopeless").toString());
-    assertTrue(inTime(LOUD, "batch") >= 0.4, of(LOUD, "batch").toString());
+    assertTrue(
+        serviceLevels("quiet-1", "hopeless").started() >= 50,
+        serviceLevels("quiet-1", "hopeless").toString());
+    assertTrue(
+        inTime(OVERLOADING_TEAM, "batch") >= 0.4,
+        serviceLevels(OVERLOADING_TEAM, "batch").toString());
   }
 
   /** A large job that has waited long, beside many small ones, while controllers restart. */
-  private JobId largeJobUnderRestarts(Runnable trouble) {
+  private JobId largeJobUnderRestarts(Runnable fault) {
     for (int i = 0; i < 200; i++) {
-      submit(20 + i, LOUD, "batch", Priority.NORMAL, 22, ONE, 10, 60);
+      submit(20 + i, OVERLOADING_TEAM, "batch", Priority.NORMAL, 22, ONE, 10, 60);
     }
     JobId large = submit(30, "quiet-1", "large", Priority.NORMAL, 900, ONE, 10, 30);
-    trouble.run();
+    fault.run();
     run(220);
     return large;
   }
 
   @Test
-  void aChangeOfLeaderAndARestartOfAll() {
+  void waitingLargeJobIsServedAcrossRestarts() {
     JobId large =
         largeJobUnderRestarts(
             () -> {
@@ -296,18 +302,20 @@
                 cluster.time().at(140, () -> cluster.crash(each));
               }
             });
-    assertTrue(of("quiet-1", "large").starvedS() < 40, of("quiet-1", "large").toString());
+    assertTrue(
+        serviceLevels("quiet-1", "large").starvedS() < 40,
+        serviceLevels("quiet-1", "large").toString());
     assertTrue(
         cluster.invariants().completedTasks(large) >= 300,
         "of 900: " + cluster.invariants().completedTasks(large));
   }
 
   @Test
-  void aClockThatJumps() {
+  void waitingLargeJobIsServedAcrossClockSteps() {
     burst();
     cluster.time().at(45, () -> cluster.setClock(-3000));
     cluster.time().at(70, () -> cluster.setClock(3000));
     run(260);
-    assertQuietTeamsAreServed(1, 20);
+    assertOtherTeamsAreServed(1, 20);
   }
 }
--- a/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
+++ b/src/test/java/org/quincecross/emulator/ProtocolInvariantsTest.java
@@ -22,7 +22,7 @@
 
   private final SimulatedCluster cluster =
       new SimulatedCluster(ClusterSpec.tryOut(6, true), 1, Meter.OFF);
-  private final ProtocolInvariants rules = cluster.invariants();
+  private final ProtocolInvariants invariants = cluster.invariants();
 
   private Job job(JobId id, double cpus, String team) {
     return Job.builder(id)
@@ -38,8 +38,8 @@
         .build();
   }
 
-  private long broken(String rule) {
-    return rules.violations().stream().filter(each -> each.startsWith(rule)).count();
+  private long violationsOf(String rule) {
+    return invariants.violations().stream().filter(each -> each.startsWith(rule)).count();
   }
 
   /**
@@ -57,9 +57,9 @@
     "queued, 503, 0",
     "done, 429, 0"
   })
-  void refusalsThatAreOlder(String before, int status, int count) {
-    rules.onRefused(ID, status, before);
-    assertEquals(count, broken("went_back"), rules.violations().toString());
+  void reportsOutdatedRefusals(String before, int status, int count) {
+    invariants.onRefused(ID, status, before);
+    assertEquals(count, violationsOf("went_back"), invariants.violations().toString());
   }
 
   @ParameterizedTest
@@ -70,11 +70,11 @@
     "running, queued, 0",
     "cancelled, cancelled, 0"
   })
-  void statesThatAreOlder(String before, String state, int count) {
+  void reportsOutdatedStates(String before, String state, int count) {
     cluster.users().upload(job(ID, 1, "web"));
-    rules.completed(ID.task(0));
-    rules.onStateReported(ID, state, before, true);
-    assertEquals(count, broken("went_back"), rules.violations().toString());
+    invariants.completed(ID.task(0));
+    invariants.onStateReported(ID, state, before, true);
+    assertEquals(count, violationsOf("went_back"), invariants.violations().toString());
   }
 
   /**
@@ -82,31 +82,31 @@
    * the two final states contradict each other.
    */
   @Test
-  void twoEnds() {
+  void reportsTwoFinalStates() {
     cluster.users().upload(job(ID, 1, "web"));
-    rules.completed(ID.task(0));
-    rules.onStateReported(ID, "done", "running", true);
-    rules.onStateReported(ID, "done", "running", true);
-    assertEquals(List.of(), rules.violations());
-    rules.onStateReported(ID, "cancelled", "running", true);
-    assertEquals(1, broken("told_two_ends"));
+    invariants.completed(ID.task(0));
+    invariants.onStateReported(ID, "done", "running", true);
+    invariants.onStateReported(ID, "done", "running", true);
+    assertEquals(List.of(), invariants.violations());
+    invariants.onStateReported(ID, "cancelled", "running", true);
+    assertEquals(1, violationsOf("told_two_ends"));
   }
 
   @Test
-  void startsOfWhatIsCancelled() {
-    rules.startSent(ID);
-    assertEquals(List.of(), rules.violations());
-    rules.onStateReported(ID, "cancelled", "running", true);
-    rules.startSent(ID);
-    assertEquals(1, broken("started_cancelled"));
+  void reportsStartsOfCancelledJobs() {
+    invariants.startSent(ID);
+    assertEquals(List.of(), invariants.violations());
+    invariants.onStateReported(ID, "cancelled", "running", true);
+    invariants.startSent(ID);
+    assertEquals(1, violationsOf("started_cancelled"));
   }
 
   @Test
-  void whatMayNotBeAccepted() {
-    rules.onWrongAnswer("LACKS_A_FIELD", 201);
-    rules.onWrongAnswer("LACKS_A_FIELD", 422);
-    assertEquals(1, broken("accepted_bad"));
-    assertEquals(1, broken("wrong_answer"));
+  void reportsInvalidAcceptance() {
+    invariants.onWrongAnswer("LACKS_A_FIELD", 201);
+    invariants.onWrongAnswer("LACKS_A_FIELD", 422);
+    assertEquals(1, violationsOf("accepted_bad"));
+    assertEquals(1, violationsOf("wrong_answer"));
   }
 
   /**
@@ -114,7 +114,7 @@
    * team of a third is at its limit.
    */
   @Test
-  void idleRoom() {
+  void reportsJobThatWaitsBesideIdleCapacity() {
     SimulatedCluster still =
         new SimulatedCluster(
             ClusterSpec.tryOut(6, true)
--- a/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
@@ -22,14 +22,14 @@
   @ParameterizedTest
   @ValueSource(
       longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 515, 528, 10199, 21435, 21580, 23492})
-  void keepsTheRulesAndFinishesTheWork(long seed) {
+  void keepsRulesAndCompletesWork(long seed) {
     assertEquals(List.of(), new RandomScenario(seed).play());
   }
 
   /** Overlapping faults: the effects of one fault are still present when the next one begins. */
   @ParameterizedTest
   @ValueSource(longs = {101, 1328, 10237})
-  void keepsTheRulesWhenTroublesMeet(long seed) {
+  void keepsRulesWithCombinedFaults(long seed) {
     assertEquals(List.of(), RandomScenario.ofMeetings(seed).play());
   }
 
@@ -40,7 +40,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void aHolderWithoutWordStopsInTimeForCancellations(int alone) {
+  void isolatedOwnerStopsInTimeForCancellations(int alone) {
     SimulatedCluster cluster = new SimulatedCluster(1);
     List<JobId> jobs = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -62,7 +62,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void aGangLargerThanAnyBlockRuns(long seed) {
+  void gangLargerThanAnyShardRuns(long seed) {
     SimulatedCluster cluster = new SimulatedCluster(seed);
     cluster.time().at(5, () -> cluster.users().submitLargeGang(1, 8));
     for (int i = 0; i < seed; i++) {
@@ -79,7 +79,7 @@
    * the reason, once nothing else explains the wait.
    */
   @Test
-  void whatMakesNoProgressIsNamedWithWhatItWaitsFor() throws MalformedMessageException {
+  void stalledGangIsReportedWithReason() throws MalformedMessageException {
     SimulatedCluster cluster = new SimulatedCluster(3);
     cluster.time().at(5, () -> cluster.users().submitService(2));
     cluster.time().at(8, () -> cluster.users().submitLargeGang(1, 8));
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCasesTest.java
@@ -26,7 +26,7 @@
  * time.
  */
 class ReplicatedRecordCasesTest {
-  private final ReplicatedRecordCluster day = new ReplicatedRecordCluster(7);
+  private final ReplicatedRecordCluster site = new ReplicatedRecordCluster(7);
 
   ReplicatedRecordCasesTest() throws MalformedMessageException {}
 
@@ -36,29 +36,44 @@
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
-  void eachRequestIsOneChange(long seed, int trouble) throws MalformedMessageException {
-    ReplicatedRecordCluster drawn = new ReplicatedRecordCluster(seed);
-    drawn.cluster.state().applyLate(4);
+  void everyRequestIsAppliedOnce(long seed, int fault) throws MalformedMessageException {
+    ReplicatedRecordCluster randomSite = new ReplicatedRecordCluster(seed);
+    randomSite.cluster.state().applyLate(4);
     for (int i = 0; i < 30; i++) {
       String name = "pass-" + i;
       int node = i;
       double at = ReplicatedRecordCluster.READY_S + 20 + 0.7 * i;
-      drawn.cluster.time().at(at, () -> drawn.ask(node, "count", name, "pass"));
-      drawn.cluster.time().at(at + 0.003, () -> drawn.ask(node + 1, "count", name, "pass"));
-      drawn.cluster.time().at(at + 40, () -> drawn.ask(node + 2, "count", name, "pass"));
+      randomSite
+          .cluster
+          .time()
+          .at(at, () -> randomSite.sendUntilKnown(node, "count", name, "pass"));
+      randomSite
+          .cluster
+          .time()
+          .at(at + 0.003, () -> randomSite.sendUntilKnown(node + 1, "count", name, "pass"));
+      randomSite
+          .cluster
+          .time()
+          .at(at + 40, () -> randomSite.sendUntilKnown(node + 2, "count", name, "pass"));
     }
-    drawn.cluster.time().at(ReplicatedRecordCluster.READY_S + 30, () -> drawn.trouble(trouble));
+    randomSite
+        .cluster
+        .time()
+        .at(ReplicatedRecordCluster.READY_S + 30, () -> randomSite.injectFault(fault));
     // A request name is remembered for two minutes: later requests wait until there is room for
     // theirs.
-    drawn.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 700);
-    assertEquals(List.of(), drawn.wrong);
-    assertEquals(30, drawn.told.size(), () -> drawn.told.keySet().toString());
-    assertEquals(Set.copyOf(drawn.told.values()).size(), 30);
-    for (ReplicatedRecordCluster.Gates each : drawn.gates) {
+    randomSite.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 700);
+    assertEquals(List.of(), randomSite.findings);
+    assertEquals(
+        30,
+        randomSite.reportedChanges.size(),
+        () -> randomSite.reportedChanges.keySet().toString());
+    assertEquals(Set.copyOf(randomSite.reportedChanges.values()).size(), 30);
+    for (ReplicatedRecordCluster.Gates each : randomSite.gates) {
       assertEquals(30, each.index.state("count").passed());
     }
-    assertFalse(drawn.gates[0].index.pages().isEmpty(), "no page of the audit trail");
-    assertEquals(30, drawn.get(1, "/gate/trail").objects("lines").size());
+    assertFalse(randomSite.gates[0].index.pages().isEmpty(), "no page of the audit trail");
+    assertEquals(30, randomSite.get(1, "/gate/trail").objects("lines").size());
   }
 
   /**
@@ -67,35 +82,38 @@
    */
   @ParameterizedTest
   @CsvSource({"1,0", "2,1", "3,2", "4,3", "5,4", "6,5"})
-  void whatIsKeptBackDoesNotRun(long seed, int trouble) throws MalformedMessageException {
-    ReplicatedRecordCluster drawn = new ReplicatedRecordCluster(seed);
-    drawn.cluster.state().applyLate(20);
+  void blockedTasksDoNotRun(long seed, int fault) throws MalformedMessageException {
+    ReplicatedRecordCluster randomSite = new ReplicatedRecordCluster(seed);
+    randomSite.cluster.state().applyLate(20);
     int i = 0;
-    for (JobId id : drawn.jobs.keySet()) {
+    for (JobId id : randomSite.jobs.keySet()) {
       int n = ++i;
-      drawn
+      randomSite
           .cluster
           .time()
           .at(
               ReplicatedRecordCluster.READY_S + 10 + 0.9 * n,
-              () -> drawn.ask(n, id.text(), "close-" + id, "close"));
-      drawn
+              () -> randomSite.sendUntilKnown(n, id.text(), "close-" + id, "close"));
+      randomSite
           .cluster
           .time()
           .at(
               ReplicatedRecordCluster.READY_S + 110 + 0.9 * n,
-              () -> drawn.ask(n + 1, id.text(), "open-" + id, "open"));
+              () -> randomSite.sendUntilKnown(n + 1, id.text(), "open-" + id, "open"));
     }
-    drawn.cluster.time().at(ReplicatedRecordCluster.READY_S + 16, () -> drawn.trouble(trouble));
-    drawn.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 109);
-    assertEquals(drawn.jobs.keySet(), drawn.proven.keySet());
-    assertEquals(0, drawn.cluster.invariants().onMachines());
-    for (JobId id : drawn.jobs.keySet()) {
+    randomSite
+        .cluster
+        .time()
+        .at(ReplicatedRecordCluster.READY_S + 16, () -> randomSite.injectFault(fault));
+    randomSite.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 109);
+    assertEquals(randomSite.jobs.keySet(), randomSite.proven.keySet());
+    assertEquals(0, randomSite.cluster.invariants().onMachines());
+    for (JobId id : randomSite.jobs.keySet()) {
       assertTrue(
-          Set.of("queued", "done").contains(drawn.cluster.users().reportedStates().get(id)),
+          Set.of("queued", "done").contains(randomSite.cluster.users().reportedStates().get(id)),
           id.text());
     }
-    drawn.assertAllIsWell(ReplicatedRecordCluster.READY_S + 360);
+    randomSite.assertRulesKeptAndWorkDone(ReplicatedRecordCluster.READY_S + 360);
   }
 
   /**
@@ -103,11 +121,11 @@
    * closes and it is proven that none of the tasks runs.
    */
   @Test
-  void whatWasPlannedBeforeItWasKeptBackIsNotAllocated() throws MalformedMessageException {
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+  void allocationPlannedBeforeBlockIsRefused() throws MalformedMessageException {
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     JobId late = new JobId("job-4711");
     Job like =
-        day.jobs.values().stream()
+        site.jobs.values().stream()
             .filter(job -> job.kind() == JobKind.ARRAY)
             .findFirst()
             .orElseThrow();
@@ -125,29 +143,29 @@
             .checkpointInterval(like.checkpointInterval())
             .checkpointCost(like.checkpointCost())
             .build();
-    day.jobs.put(late, job);
-    day.cluster.injectFaultAt(
+    site.jobs.put(late, job);
+    site.cluster.injectFaultAt(
         request ->
             request.startsWith("POST /txn")
                 && (request.contains("q/alloc") || request.contains("q/change"))
                 && request.contains("\"4711\""),
         2,
         SimulatedCluster.SendFault.STILL_BEFORE);
-    day.cluster.users().submit(job);
+    site.cluster.users().submit(job);
     double until = ReplicatedRecordCluster.READY_S + 11;
-    while (day.cluster.faultedController() < 0 && until < ReplicatedRecordCluster.READY_S + 15) {
+    while (site.cluster.faultedController() < 0 && until < ReplicatedRecordCluster.READY_S + 15) {
       until += 0.01;
-      day.cluster.time().runUntil(until);
+      site.cluster.time().runUntil(until);
     }
-    int leader = day.cluster.faultedController();
+    int leader = site.cluster.faultedController();
     assertTrue(leader >= 0, "never allocated");
-    day.ask(leader + 1, late.text(), "close", "close");
-    day.cluster.time().runUntil(until + 1.5);
-    assertTrue(day.proven.containsKey(late), "not proven before the transaction is sent");
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 30);
-    assertEquals(List.of(), day.wrong);
-    day.ask(leader, late.text(), "open", "open");
-    day.assertAllIsWell(ReplicatedRecordCluster.READY_S + 200);
+    site.sendUntilKnown(leader + 1, late.text(), "close", "close");
+    site.cluster.time().runUntil(until + 1.5);
+    assertTrue(site.proven.containsKey(late), "not proven before the transaction is sent");
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 30);
+    assertEquals(List.of(), site.findings);
+    site.sendUntilKnown(leader, late.text(), "open", "open");
+    site.assertRulesKeptAndWorkDone(ReplicatedRecordCluster.READY_S + 200);
   }
 
   /**
@@ -155,30 +173,30 @@
    * that controller; after its upgrade they are accepted.
    */
   @Test
-  void refusedUntilAllHaveIt() throws MalformedMessageException {
-    day.cluster.install(2, ReplicatedRecordCluster.OLD);
-    day.cluster.crash(2);
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+  void changesAreRefusedUntilAllSupportFeature() throws MalformedMessageException {
+    site.cluster.install(2, ReplicatedRecordCluster.OLD);
+    site.cluster.crash(2);
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
     List<String> answers = new ArrayList<>();
     for (int node = 0; node < 3; node++) {
-      day.cluster.sendDirectly(
+      site.cluster.sendDirectly(
           node,
           ReplicatedRecordCluster.post("count", "early", "pass"),
           response -> answers.add(response.status() + " " + new String(response.body(), UTF_8)));
     }
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
     assertEquals(3, answers.size());
     for (String answer : answers) {
       assertTrue(
           answer.startsWith("409") && answer.contains("n2, whose build (old) ends at level 2"),
           answer);
     }
-    assertTrue(day.cluster.state().keysWithPrefix("q/agreed/").isEmpty());
-    day.cluster.upgrade(2, ReplicatedRecordCluster.NEW);
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 40);
-    day.ask(2, "count", "early", "pass");
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 42);
-    assertEquals(1L, day.told.get("early"));
+    assertTrue(site.cluster.state().keysWithPrefix("q/agreed/").isEmpty());
+    site.cluster.upgrade(2, ReplicatedRecordCluster.NEW);
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 40);
+    site.sendUntilKnown(2, "count", "early", "pass");
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 42);
+    assertEquals(1L, site.reportedChanges.get("early"));
   }
 
   /**
@@ -186,27 +204,27 @@
    * elapsed time, and not before.
    */
   @Test
-  void sinceWhenAllKnow() {
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
-    day.ask(0, "count", "first", "pass");
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
-    Revision first = day.gates[0].index.get("count").version();
+  void barrierWaitsForAllControllers() {
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    site.sendUntilKnown(0, "count", "first", "pass");
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 12);
+    Revision first = site.gates[0].index.get("count").version();
     assertEquals(
-        ReplicationBarrier.State.KNOWN_BY_REPORTS, day.gates[0].base.known().of(first).state());
-    day.cluster.isolate(2, 120, true);
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 18);
-    day.ask(0, "count", "second", "pass");
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20);
-    Revision second = day.gates[0].index.get("count").version();
-    ReplicationBarrier.Status answer = day.gates[0].base.known().of(second);
+        ReplicationBarrier.State.KNOWN_BY_REPORTS, site.gates[0].base.known().of(first).state());
+    site.cluster.isolate(2, 120, true);
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 18);
+    site.sendUntilKnown(0, "count", "second", "pass");
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20);
+    Revision second = site.gates[0].index.get("count").version();
+    ReplicationBarrier.Status answer = site.gates[0].base.known().of(second);
     assertEquals(ReplicationBarrier.State.SPREADING, answer.state());
     assertEquals("[n2]", answer.missing().toString());
-    double left = answer.latest().since(day.gates[0].base.timers().now()).seconds();
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20 + left - 0.5);
-    assertEquals(ReplicationBarrier.State.SPREADING, day.gates[0].base.known().of(second).state());
-    day.cluster.time().runUntil(day.cluster.time().seconds() + 1.5);
+    double left = answer.latest().since(site.gates[0].base.timers().now()).seconds();
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 20 + left - 0.5);
+    assertEquals(ReplicationBarrier.State.SPREADING, site.gates[0].base.known().of(second).state());
+    site.cluster.time().runUntil(site.cluster.time().seconds() + 1.5);
     assertEquals(
-        ReplicationBarrier.State.KNOWN_BY_TIME, day.gates[0].base.known().of(second).state());
+        ReplicationBarrier.State.KNOWN_BY_TIME, site.gates[0].base.known().of(second).state());
   }
 
   /**
@@ -215,19 +233,19 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"q/agreed/gate/job-1", "q/agreed/unknown/x"})
-  void whatCannotBeReadIsNotIgnored(String key) throws MalformedMessageException {
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
-    day.cluster
+  void unreadableRecordKeepsControllerOut(String key) throws MalformedMessageException {
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 10);
+    site.cluster
         .state()
         .write(key, Json.object("must", true, "change", 1, "state", "from the future"));
-    day.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 16);
+    site.cluster.time().runUntil(ReplicatedRecordCluster.READY_S + 16);
     for (int node = 0; node < 3; node++) {
       assertTrue(
-          day.cluster.status(node).string("unable").contains(key),
-          day.cluster.status(node).string("unable"));
+          site.cluster.status(node).string("unable").contains(key),
+          site.cluster.status(node).string("unable"));
     }
-    day.cluster.state().write(key, null);
-    day.assertAllIsWell(ReplicatedRecordCluster.READY_S + 260);
-    assertFalse(day.cluster.leader() < 0);
+    site.cluster.state().write(key, null);
+    site.assertRulesKeptAndWorkDone(ReplicatedRecordCluster.READY_S + 260);
+    assertFalse(site.cluster.leader() < 0);
   }
 }
--- a/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
+++ b/src/test/java/org/quincecross/emulator/ReplicatedRecordCluster.java
@@ -121,18 +121,18 @@
   final Gates[] gates = new Gates[3];
   final SimulatedCluster cluster;
   final Map<JobId, Job> jobs = new TreeMap<>();
-  final List<String> wrong = new ArrayList<>();
+  final List<String> findings = new ArrayList<>();
 
   /**
    * The change that closed a gate, and the revision of the records by which no task of the job
    * runs.
    */
-  record Proven(long change, Revision by) {}
+  record ProvenGone(long change, Revision provenAt) {}
 
-  final Map<JobId, Proven> proven = new HashMap<>();
+  final Map<JobId, ProvenGone> proven = new HashMap<>();
 
   /** Requests that were reported as durable, by name, with the change number that was reported. */
-  final Map<String, Long> told = new TreeMap<>();
+  final Map<String, Long> reportedChanges = new TreeMap<>();
 
   ReplicatedRecordCluster(long seed) throws MalformedMessageException {
     cluster =
@@ -176,9 +176,10 @@
                   }
                   Revision revision = each.base.cache().revision();
                   if (each.isProven(id, jobs.get(id).taskCount())) {
-                    proven.putIfAbsent(id, new Proven(change, revision));
-                  } else if (proven.containsKey(id) && revision.isAfter(proven.get(id).by())) {
-                    wrong.add(
+                    proven.putIfAbsent(id, new ProvenGone(change, revision));
+                  } else if (proven.containsKey(id)
+                      && revision.isAfter(proven.get(id).provenAt())) {
+                    findings.add(
                         "at "
                             + cluster.time().seconds()
                             + " allocated after it was proven gone: "
@@ -186,7 +187,7 @@
                   }
                 }
                 if (proven.containsKey(id) && cluster.invariants().onMachines(id) > 0) {
-                  wrong.add(
+                  findings.add(
                       "at " + cluster.time().seconds() + " runs after it was proven gone: " + id);
                 }
               }
@@ -208,7 +209,7 @@
    * Sends a request, under the same name, to one controller after the other until its outcome is
    * known.
    */
-  void ask(int node, String id, String request, String what) {
+  void sendUntilKnown(int node, String id, String request, String what) {
     cluster
         .environment()
         .network()
@@ -220,13 +221,13 @@
             TimeSpan.ofSeconds(6),
             outcome -> {
               if (outcome.status() == 200) {
-                told.put(request, change(outcome.response().body()));
+                reportedChanges.put(request, change(outcome.response().body()));
               } else if (outcome.status() == 0
                   || outcome.status() == 503
                   || outcome.status() == 429) {
-                cluster.time().after(1, () -> ask(node + 1, id, request, what));
+                cluster.time().after(1, () -> sendUntilKnown(node + 1, id, request, what));
               } else {
-                wrong.add(
+                findings.add(
                     request
                         + " was answered "
                         + outcome.status()
@@ -260,7 +261,7 @@
     return Json.parseFields(last[0].body());
   }
 
-  void trouble(int which) {
+  void injectFault(int which) {
     switch (which) {
       case 0 -> cluster.state().outage(8);
       case 1 -> {
@@ -275,10 +276,10 @@
     }
   }
 
-  void assertAllIsWell(double untilS) {
+  void assertRulesKeptAndWorkDone(double untilS) {
     cluster.time().runUntil(untilS);
     assertEquals(List.of(), cluster.invariants().violations());
-    assertEquals(List.of(), wrong);
+    assertEquals(List.of(), findings);
     jobs.forEach(
         (id, job) -> {
           if (job.kind() == JobKind.ARRAY) {
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -17,13 +17,13 @@
 @Tag("seeds")
 class SeedsTest {
   @Test
-  void everyDayKeepsTheRulesAndNothingHangs() {
+  void keepsRulesWithoutHangingJobs() {
     play(RandomScenario::new);
   }
 
   /** The same with a rolling upgrade to a build with another record format. */
   @Test
-  void everyDayOfRollsKeepsTheRulesAndNothingHangs() {
+  void keepsRulesDuringUpgrades() {
     play(RandomScenario::ofRolls);
   }
 
@@ -32,7 +32,7 @@
    * controllers that restart at once.
    */
   @Test
-  void everyDayOfCopiesAndQuickReturnsKeepsTheRulesAndNothingHangs() {
+  void keepsRulesWithDuplicatedReportsAndFastRestarts() {
     double share = Integer.getInteger("copies", 10) / 100.0;
     int machines = Integer.getInteger("machines", 4);
     int controllers = Integer.getInteger("controllers", 3);
@@ -52,7 +52,7 @@
    * cancellations at any time.
    */
   @Test
-  void everyDayOfLateWritesKeepsTheRulesAndNothingHangs() {
+  void keepsRulesWithDelayedTransactions() {
     play(
         seed ->
             (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
@@ -64,7 +64,7 @@
    * to 15 s.
    */
   @Test
-  void everyDayOfHeldMessagesKeepsTheRulesAndNothingHangs() {
+  void keepsRulesWithDelayedMessages() {
     play(DelayedMessagesTest::scenario);
   }
 
@@ -73,13 +73,13 @@
    * return.
    */
   @Test
-  void everyDayOfLeaderChangesKeepsTheRulesAndNothingHangs() {
-    playAll(seed -> new LeaderFailureScenario(seed).play());
+  void keepsRulesDuringLeaderChanges() {
+    playAll(seed -> new LeaderFailureScenario(seed).run());
   }
 
   /** Pairs of faults that overlap. */
   @Test
-  void everyDayOfMeetingsKeepsTheRulesAndNothingHangs() {
+  void keepsRulesWithCombinedFaults() {
     play(RandomScenario::ofMeetings);
   }
 
@@ -88,25 +88,25 @@
    * fast boots.
    */
   @Test
-  void everyDayOfFurtherMeetingsKeepsTheRulesAndNothingHangs() {
+  void keepsRulesWithFurtherCombinedFaults() {
     play(RandomScenario::ofFurtherMeetings);
   }
 
   /** The same, with faults caused by users in addition. */
   @Test
-  void everyDayOfMeetingsAndUsersTroublesKeepsTheRulesAndNothingHangs() {
+  void keepsRulesWithCombinedFaultsAndUserErrors() {
     play(seed -> RandomScenario.ofMeetings(seed).with(UserErrorFaults::inject));
   }
 
   /** The state service refuses one controller, then all, while users cancel and poll. */
   @Test
-  void everyGapDayKeepsTheRulesAndNothingHangs() {
-    playAll(seed -> new CancellationDuringOutageScenario(seed).play());
+  void keepsRulesWithCancellationsDuringOutages() {
+    playAll(seed -> new CancellationDuringOutageScenario(seed).run());
   }
 
   /** Jobs with dependencies, cancelled at every stage, with all kinds of faults. */
   @Test
-  void everyDayOfPipelinesKeepsTheRulesAndNothingHangs() {
+  void keepsRulesWithDependentJobs() {
     play(RandomScenario::ofPipelines);
   }
 
--- a/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
+++ b/src/test/java/org/quincecross/emulator/StoreLimitReductionTest.java
@@ -44,13 +44,13 @@
           5,
           Meter.OFF,
           Features.NONE);
-  private final List<JobId> batch = new ArrayList<>();
+  private final List<JobId> batchJobs = new ArrayList<>();
   private final List<JobId> services = new ArrayList<>();
 
   StoreLimitReductionTest() {
     for (int i = 0; i < JOBS; i++) {
       Job job = job(1_000_000_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.1, 35);
-      batch.add(job.id());
+      batchJobs.add(job.id());
       cluster.time().at(4 + 0.02 * i, () -> cluster.users().submit(job));
     }
     for (int i = 0; i < SERVICES; i++) {
@@ -94,7 +94,7 @@
         .toList();
   }
 
-  private Set<String> tooLarge() throws MalformedMessageException {
+  private Set<String> reportedAsTooLarge() throws MalformedMessageException {
     return Set.copyOf(cluster.status(0).fields("too_large").fieldNames());
   }
 
@@ -108,7 +108,7 @@
    * Replaces all controllers, one after the other, by builds whose settings announce the new
    * limits.
    */
-  private void roll() {
+  private void upgradeAll() {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
       cluster
@@ -139,7 +139,7 @@
   private void assertAllEnds(List<JobId> cancelled) {
     cluster.time().runUntil(220);
     assertEquals(List.of(), cluster.invariants().violations());
-    for (JobId id : batch) {
+    for (JobId id : batchJobs) {
       String told = cluster.users().reportedStates().get(id);
       assertTrue(
           "done".equals(told) || (cancelled.contains(id) && "cancelled".equals(told)),
@@ -155,7 +155,7 @@
   }
 
   /** Another event as the limits are lowered. */
-  enum Meanwhile {
+  enum ConcurrentEvent {
     NOTHING,
     OUTAGE,
     ALL_RESTART,
@@ -173,14 +173,15 @@
     "52, LEADER_CRASHES",
     "52, OUTAGE_AND_RESTART"
   })
-  void theyFallAfterAllAreNew(double fallAt, Meanwhile meanwhile) throws MalformedMessageException {
+  void limitsAreLoweredAfterUpgrade(double fallAt, ConcurrentEvent meanwhile)
+      throws MalformedMessageException {
     cluster.time().runUntil(23.9);
     assertTrue(
         recordsLargerThan(LOW.maxValueBytes()).size() >= 3,
         recordsLargerThan(LOW.maxValueBytes()) + " large records");
-    roll();
+    upgradeAll();
     cluster.time().runUntil(37.9);
-    assertFalse(tooLarge().isEmpty(), "the status names the oversized records");
+    assertFalse(reportedAsTooLarge().isEmpty(), "the status names the oversized records");
     loseMachines(fallAt + 3);
     List<JobId> cancelled = new ArrayList<>();
     cluster
@@ -189,7 +190,7 @@
             fallAt + 1,
             () -> {
               for (int i = 0; i < JOBS; i += 50) {
-                JobId id = batch.get(i);
+                JobId id = batchJobs.get(i);
                 if (!"done".equals(cluster.users().reportedStates().get(id))) {
                   cluster.users().cancel(id);
                   cancelled.add(id);
@@ -197,10 +198,11 @@
               }
             });
     cluster.time().at(fallAt, () -> cluster.state().limit(LOW));
-    if (meanwhile == Meanwhile.OUTAGE || meanwhile == Meanwhile.OUTAGE_AND_RESTART) {
+    if (meanwhile == ConcurrentEvent.OUTAGE || meanwhile == ConcurrentEvent.OUTAGE_AND_RESTART) {
       cluster.time().at(fallAt - 2, () -> cluster.state().outage(9));
     }
-    if (meanwhile == Meanwhile.ALL_RESTART || meanwhile == Meanwhile.OUTAGE_AND_RESTART) {
+    if (meanwhile == ConcurrentEvent.ALL_RESTART
+        || meanwhile == ConcurrentEvent.OUTAGE_AND_RESTART) {
       cluster
           .time()
           .at(
@@ -211,7 +213,7 @@
                 }
               });
     }
-    if (meanwhile == Meanwhile.LEADER_CRASHES) {
+    if (meanwhile == ConcurrentEvent.LEADER_CRASHES) {
       cluster.time().at(fallAt - 0.1, () -> cluster.crash(Math.max(0, cluster.leader())));
     }
     cluster.time().runUntil(fallAt);
@@ -219,12 +221,12 @@
     assertAllEnds(cancelled);
     assertEquals(0, cluster.state().tooLarge(), "transactions that were too large");
     assertEquals(2, level());
-    assertEquals(Set.of(), tooLarge());
+    assertEquals(Set.of(), reportedAsTooLarge());
   }
 
   /** No controller was told of the new limits: work continues, in smaller steps. */
   @Test
-  void theyFallWithoutAWord() {
+  void limitsAreLoweredWithoutAnnouncement() {
     cluster.time().at(24, () -> cluster.state().limit(LOW));
     loseMachines(30);
     // So many at once that a bundle of them is too large.
@@ -235,7 +237,7 @@
             () -> {
               for (int i = 0; i < 30; i++) {
                 Job job = job(80_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.1, 35);
-                batch.add(job.id());
+                batchJobs.add(job.id());
                 cluster.users().submit(job);
               }
             });
@@ -251,7 +253,7 @@
    * controller still takes part.
    */
   @Test
-  void aMemberOfManyTeams() {
+  void memberWithManyTeamsTakesPart() {
     Map<String, Team> teams = new LinkedHashMap<>(cluster.site().teams());
     for (int i = 0; i < 40; i++) {
       teams.put(
--- a/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
+++ b/src/test/java/org/quincecross/emulator/UnguaranteedTeamTest.java
@@ -64,7 +64,7 @@
         .build();
   }
 
-  private static SimulatedCluster world(ClusterSpec site) {
+  private static SimulatedCluster newCluster(ClusterSpec site) {
     return new SimulatedCluster(site, 7, Meter.OFF);
   }
 
@@ -73,8 +73,8 @@
    * they were alone, and the many jobs are all accepted as well.
    */
   @Test
-  void aSwarmOfSubmissionsHasItselfWait() {
-    SimulatedCluster cluster = world(NARROW);
+  void manySubmissionsDelayOnlyTheirOwnTeam() {
+    SimulatedCluster cluster = newCluster(NARROW);
     List<JobId> swarm = new ArrayList<>();
     for (int i = 0; i < 1500; i++) {
       Job job = job(100_000 + i, "batch", JobKind.ARRAY, Priority.LOW, 1, 0.5, 2, 0);
@@ -114,8 +114,8 @@
    * of the first team completes in the end.
    */
   @Test
-  void guestsFillWhatIsFreeAndGiveWay() {
-    SimulatedCluster cluster = world(WIDE);
+  void borrowedCapacityIsGivenBack() {
+    SimulatedCluster cluster = newCluster(WIDE);
     JobId huge =
         cluster.users().submit(job(1, "batch", JobKind.ARRAY, Priority.LOW, 20_000, 0.5, 2, 0));
     List<JobId> idle = new ArrayList<>();
