--- a/src/test/java/org/quincecross/emulator/CombinedFaults.java
+++ b/src/test/java/org/quincecross/emulator/CombinedFaults.java
@@ -16,9 +16,9 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Troubles that meet on purpose: they come in pairs, of which the second begins while the first
- * lasts or within seconds of its end. Each meeting is drawn from a source of its own, so a day with
- * some of them left out has the others as they were.
+ * Pairs of faults that overlap: the second one begins while the first lasts or within seconds of
+ * its end. Each pair is drawn from a random source of its own, so a day without some of the pairs
+ * has the others unchanged.
  */
 final class CombinedFaults {
   private static final double FROM_S = 14;
@@ -27,7 +27,7 @@
   private static final int SMALL_JOBS = 24;
   private static final int QUESTIONS = 60;
 
-  /** What may meet. */
+  /** The faults that are combined. */
   private enum Trouble {
     LATE_WRITES,
     LATE_REPORTS,
@@ -52,7 +52,7 @@
     MUTE_MACHINES,
     QUICK_BOOTS;
 
-    /** The kinds from here on are met on days of further meetings alone. */
+    /** Faults from here on are used only on days with the further faults. */
     private static final int FURTHER_FROM = LOST_ANSWERS.ordinal();
   }
 
@@ -63,9 +63,8 @@
   private int count;
 
   /**
-   * @param only the numbers of the meetings that take place; empty: all
-   * @param further whether the first trouble of each is one of those that days of meetings have
-   *     learnt last
+   * @param only the numbers of the pairs to inject; empty for all
+   * @param further whether the first fault of each pair is one of the further faults
    */
   CombinedFaults(SimulatedCluster cluster, long seed, Set<Integer> only, boolean further) {
     this.cluster = cluster;
@@ -78,30 +77,30 @@
     jobs(source(seed, -1));
   }
 
-  /** Mixed, as sources of neighbouring numbers draw alike. */
+  /** The seed is mixed, because random sources with consecutive seeds produce similar values. */
   private static Random source(long seed, int number) {
     return new Random(new SplittableRandom(seed * 1009 + number).nextLong());
   }
 
   /**
-   * When the last trouble is over, with what it leaves behind: reports, writes and commands that
-   * are still to come.
+   * When the last fault is over, including its after-effects: reports, writes and commands that are
+   * still on their way.
    */
   double overS() {
     return overS;
   }
 
-  /** How many meetings there are; those left out among them. */
+  /** The number of pairs, including those left out. */
   int count() {
     return count;
   }
 
-  /** What happened when. */
+  /** The faults and their times. */
   List<String> story() {
     return story;
   }
 
-  /** Draws a meeting that begins at a time; returns when both troubles are over. */
+  /** Draws a pair of faults that begins at a time; returns when both are over. */
   private double meet(Random random, double atS, boolean takesPlace) {
     int all = Trouble.values().length;
     int least = further ? Trouble.FURTHER_FROM : 0;
@@ -134,8 +133,8 @@
 
   private void begin(Trouble trouble, long seed, double atS, double lengthS) {
     double lease = cluster.site().workers().lease().seconds();
-    // Copies of the last reports come leases later, the last writes and commands seconds later;
-    // what ended is started anew.
+    // Duplicates of the last reports arrive leases later, the last writes and commands seconds
+    // later; failed processes restart.
     overS = Math.max(overS, atS + lengthS + (trouble == Trouble.LATE_REPORTS ? 3 * lease : 13));
     cluster
         .time()
@@ -220,7 +219,7 @@
         after(length, () -> cluster.delayMessages(0, 0, random));
       }
       case UNREACHED -> {
-        // The leader ends while some machines are out of reach, of all or of some controllers.
+        // The leader fails while some machines are unreachable, for all or for some controllers.
         for (MachineId each : some(machines, 0.2 + 0.5 * share, random)) {
           for (int other = 0; other < cluster.nodeCount(); other++) {
             if (lose || random.nextBoolean()) {
@@ -296,7 +295,7 @@
     return String.format(Locale.ROOT, "leader n%d node n%d %s %.2f", leader, node, lose, share);
   }
 
-  /** As {@link SimulatedCluster#separate}, but what it sends is held until the end. */
+  /** Like {@link SimulatedCluster#separate}, but packets are held until the end. */
   private void hold(int node, double length) {
     cluster.cut(ClusterSpec.nodeName(node), "state", length, false);
     for (int other = 0; other < cluster.nodeCount(); other++) {
@@ -347,7 +346,7 @@
         .toList();
   }
 
-  // ---- what users do all day ----
+  // ---- user activity during the day ----
 
   private void jobs(Random random) {
     for (int i = 0; i < SMALL_JOBS; i++) {
--- a/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
@@ -23,8 +23,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * The operators' bad nights, in virtual time: silent and frozen controllers, deaf ones, storms of
- * questions, jobs that only fail.
+ * Controller failures reported by operators, in virtual time: isolated and suspended controllers,
+ * controllers that receive nothing, excessive polling, and jobs that only fail.
  */
 class ControllerFailuresTest extends BusyCluster {
   ControllerFailuresTest() throws MalformedMessageException {}
@@ -47,7 +47,7 @@
         .build();
   }
 
-  /** How many replicas a controller believes to run. */
+  /** The number of replicas that run according to a controller. */
   private int believed(int node) {
     int[] sum = new int[1];
     for (JobId id : services) {
@@ -67,9 +67,9 @@
   }
 
   /**
-   * A controller that was silent for long is back: within seconds it knows what the others hold,
-   * though the connections that they had to it hang for as long again (incident
-   * blind-after-silence). Without that, the day that it leads nobody is given work.
+   * A controller returns after a long isolation: within seconds it knows the shards of the others,
+   * although their connections to it hang for as long again (incident blind-after-silence).
+   * Otherwise no task would be allocated while it is the leader.
    */
   @ParameterizedTest
   @CsvSource({"35, false", "90, false", "35, true", "90, true"})
@@ -101,15 +101,14 @@
   }
 
   /**
-   * A controller that is cut off from the machines alone, and from nothing else, for a while: its
-   * blocks go to others once, and are not given back to it again and again while it hears nobody
-   * (incident inc-6ced).
+   * A controller is cut off from the machines only, for a while: its shards move to others once,
+   * and are not leased to it repeatedly while no machine reaches it (incident inc-6ced).
    */
   @Test
   void aDeafControllerIsNotGivenBlocksAgainAndAgain() {
     int given = givenWhileDeaf(this);
     assertEquals(36, replicas());
-    assertTrue(given <= 8, given + " times given a block");
+    assertTrue(given <= 8, given + " shards leased");
     cluster.time().runUntil(190);
     assertTrue(
         blocksOf(0) > 0 && blocksOf(1) > 0 && blocksOf(2) > 0,
@@ -118,21 +117,23 @@
   }
 
   /**
-   * The same in other worlds: how often falls by where the tries fall, so their sum is bounded as
-   * well.
+   * The same in other clusters: the number of attempts depends on their timing, so their sum is
+   * bounded as well.
    */
   @Test
   void aDeafControllerIsTriedSeldom() throws MalformedMessageException {
     int given = 0;
     for (int seed = 1; seed <= 8; seed++) {
       int now = givenWhileDeaf(new BusyCluster(seed));
-      assertTrue(now <= 8, now + " times given a block, seed " + seed);
+      assertTrue(now <= 8, now + " shards leased, seed " + seed);
       given += now;
     }
-    assertTrue(given <= 60, given + " times given a block in eight worlds");
+    assertTrue(given <= 60, given + " shards leased in eight clusters");
   }
 
-  /** How many times a controller is given a block while no machine hears it, for 70 s. */
+  /**
+   * The number of times that a controller is leased a shard while no machine reaches it, for 70 s.
+   */
   private static int givenWhileDeaf(BusyCluster on) {
     SimulatedCluster cluster = on.cluster;
     ClusterSpec site = on.site;
@@ -159,8 +160,8 @@
   }
 
   /**
-   * Two controllers stand still one after the other, each for longer than leases of any kind, and
-   * one of them once more as it mends.
+   * Two controllers are suspended one after the other, each for longer than any lease, and one of
+   * them again during recovery.
    */
   @ParameterizedTest
   @ValueSource(doubles = {1, 2.7, 6, 12, 35, 90})
@@ -178,8 +179,8 @@
   }
 
   /**
-   * Jobs with a mistake beside others: few attempts, no machine is called sick for it or rented,
-   * and nothing else waits.
+   * Misconfigured jobs beside others: they are attempted rarely, no machine is marked faulty or
+   * rented because of them, and no other job waits.
    */
   @Test
   void jobsThatCanOnlyFailAreTriedNowAndThen() {
@@ -224,8 +225,8 @@
   }
 
   /**
-   * Eight and thirty times as many questions while a controller is silent: submissions are accepted
-   * as ever, and nobody is forgotten.
+   * Eight and thirty times as many polls while a controller is isolated: submissions are accepted
+   * as usual, and no job is forgotten.
    */
   @ParameterizedTest
   @ValueSource(doubles = {8, 30})
@@ -243,7 +244,7 @@
     for (JobId id : late) {
       assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
-    // Whoever asks the silent one waits for 5 s and asks again; that is all that anybody waits for.
+    // Requests to the isolated controller time out after 5 s and are retried; nothing else waits.
     assertTrue(
         cluster.users().longestResponseS().get("submit 201") < 3.3,
         cluster.users().longestResponseS().toString()); // one packet in a hundred takes 3 s
@@ -258,7 +259,7 @@
         "refused for their number: " + cluster.state().throttled());
   }
 
-  /** The steps of a controller's work that a message goes out for, as its request looks. */
+  /** The steps of a controller's work that send a message, with the form of the request. */
   private enum Step {
     LEADING("POST /txn .*\"q/leader\".*\"Set\":\"q/leader\".*"),
     LEASING("POST /txn .*\"Set\":\"q/block/.*"),
@@ -278,9 +279,9 @@
   }
 
   /**
-   * A controller stands still in each step of its work, between its decision and the message that
-   * it sends then, minutes late, or between the message and its answer; or it falls silent there.
-   * It wakes with plans, commands and answers of the time before.
+   * In each step of its work a controller is suspended between its decision and the message, for
+   * minutes, or between the message and the answer; or it is cut off there. It resumes with
+   * outdated plans, commands and answers.
    */
   @ParameterizedTest
   @EnumSource(Step.class)
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -27,11 +27,11 @@
 import org.quincecross.reservation.DeadlineRequest;
 import org.quincecross.rollout.Build;
 
-/** Requests with a due time on three controllers, in virtual time. */
+/** Requests with a deadline on three controllers, in virtual time. */
 class DeadlineRequestCasesTest {
   private static final int MACHINES = 30;
 
-  /** By then the level that requests come with is in force. */
+  /** By then the level that introduces requests is in force. */
   private static final double READY_S = 35;
 
   private static final long HOUR_MS = 3_600_000;
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Asks a controller for a change of a request; what it answers is known by {@code name}, the name
-   * of the operators' request.
+   * Sends a change of a request to a controller; the answer is recorded under {@code name}, the
+   * name of the operators' request.
    */
   private void ask(
       int node, String name, String reference, Map<String, Object> command, Runnable durable) {
@@ -166,8 +166,8 @@
   }
 
   /**
-   * More of everything else than there is room for: another front service, arrays that save and
-   * arrays that don't.
+   * More other work than there is capacity: another front service, arrays with checkpoints and
+   * arrays without.
    */
   private void flood() {
     for (int i = 0; i < 8; i++) {
@@ -216,8 +216,8 @@
   }
 
   /**
-   * Seconds until so many tasks of some jobs are on machines; the most that is waited where they
-   * never are.
+   * The time until {@code tasks} tasks of some jobs are on machines, in seconds; {@code most} if
+   * they never are.
    */
   private double until(int tasks, double most, JobId... ids) {
     double begun = cluster.time().seconds();
@@ -228,8 +228,8 @@
   }
 
   /**
-   * Everything else floods; the lane's tasks start in seconds, evenly over zones. What could borrow
-   * had the room meanwhile.
+   * All other work floods the cluster; the tasks of the lane start within seconds, spread over the
+   * zones. Work that may borrow used the capacity meanwhile.
    */
   @Test
   void theLaneStartsInAFloodOfEverythingElse() {
@@ -270,8 +270,8 @@
   }
 
   /**
-   * One reference, two controllers, other figures in one instant: one is accepted, the other is
-   * told which figures differ.
+   * Two controllers receive the same reference with different fields at the same moment: one
+   * request is accepted, and the other answer names the fields that differ.
    */
   @Test
   void theSameReferenceWithOtherFigures() {
@@ -295,8 +295,8 @@
   }
 
   /**
-   * Delivered before there was room, delivered twice, and withdrawn as it is delivered: it is over
-   * once.
+   * Delivered before there is a reservation, delivered twice, and withdrawn while it is delivered:
+   * the request is closed once.
    */
   @Test
   void deliveredInEveryWrongMoment() {
@@ -337,9 +337,7 @@
     assertSound();
   }
 
-  /**
-   * The leader is lost, or stands still, around each step, with transactions that are applied late.
-   */
+  /** The leader fails or is suspended around each step, with transactions that are applied late. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.003, 0.01, 0.05, 0.2, 1})
   void theLeaderIsLostInEachState(double offset) {
@@ -375,7 +373,7 @@
     assertSound();
   }
 
-  /** As an operator does: by the same name until there is an answer that says something. */
+  /** Like an operator, repeats the request under the same name until there is a definite answer. */
   private void keepAsking(int node, String name, Runnable ask) {
     if (!answers.containsKey(name) || answers.get(name) == 503) {
       ask.run();
@@ -384,8 +382,8 @@
   }
 
   /**
-   * Machines go until what is reserved has no room: the last due is told that it has none, and has
-   * room again when there is some.
+   * Machines are lost until a reservation no longer fits: the request with the latest deadline is
+   * told that it has none, and gets one again when there is room.
    */
   @Test
   void capacityShrinksBelowWhatIsReserved() throws MalformedMessageException {
@@ -434,8 +432,8 @@
   }
 
   /**
-   * Nothing else runs, so machines are idle: those with room that is kept stay, and no more are
-   * rented. Then a whole zone goes.
+   * Nothing else runs, so machines are idle: those with reserved capacity are kept, and no more are
+   * rented. Then a whole zone is lost.
    */
   @Test
   void keptRoomIsNotReturnedAndIsMadeAnewInOtherZones() throws MalformedMessageException {
@@ -446,7 +444,7 @@
     int rented = cluster.cloud().workers().size();
     long written = changes("r-1");
     run(150);
-    assertEquals(written, changes("r-1"), "moved though nothing has changed");
+    assertEquals(written, changes("r-1"), "rewritten although nothing has changed");
     assertTrue(
         rented <= 8 && cluster.cloud().workers().size() <= 8,
         rented + " machines, later " + cluster.cloud().workers().size());
@@ -475,8 +473,8 @@
   }
 
   /**
-   * 10,000 open requests: the first due have the room, the others are told, the leader and all
-   * answers keep their time.
+   * 10,000 open requests: the earliest deadlines are reserved, the others are told, and the leader
+   * and all answers stay on time.
    */
   @Test
   void tenThousandOpenRequests() throws MalformedMessageException {
--- a/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
@@ -35,7 +35,7 @@
 import org.quincecross.state.JobRecord;
 import org.quincecross.state.StoreKeys;
 
-/** Jobs that wait for others, with three controllers and failures, in virtual time. */
+/** Jobs with dependencies, with three controllers and failures, in virtual time. */
 @Timeout(120)
 class DependencyCasesTest {
   private static final double LOOK_EVERY_S = 0.05;
@@ -44,7 +44,7 @@
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final Map<JobId, Double> cancelledAt = new HashMap<>();
 
-  /** The jobs that were cancelled themselves. */
+  /** The jobs whose own cancellation was requested. */
   private final Set<JobId> asked = new HashSet<>();
 
   private final List<String> broken = new ArrayList<>();
@@ -72,7 +72,7 @@
     return job(number, JobKind.ARRAY, 4, 1, after);
   }
 
-  /** Submits a job as soon as those that it names were accepted, to whichever controller. */
+  /** Submits a job, to any controller, as soon as its dependencies were accepted. */
   private void submitWhenKnown(Job job) {
     jobs.put(job.id(), job);
     if (allBefore(job.id()).stream().anyMatch(asked::contains)) {
@@ -94,7 +94,7 @@
     return all;
   }
 
-  /** Cancels a job; those that need it are cancelled with it. */
+  /** Cancels a job; its dependents are cancelled with it. */
   private void cancel(JobId id) {
     asked.add(id);
     jobs.keySet().stream()
@@ -154,8 +154,8 @@
   }
 
   /**
-   * A chain and a diamond while the leader ends, or all do, each time that a job becomes done:
-   * before that is durable, or between that and the plan that lets the next one run.
+   * A chain and a diamond while the leader fails, or all controllers do, each time that a job is
+   * done: before that is durable, or between then and the plan that releases the next job.
    */
   @ParameterizedTest
   @CsvSource({
@@ -218,8 +218,8 @@
   }
 
   /**
-   * At each stage one job is cancelled, or the leader ends as it is; what needs it is cancelled,
-   * what does not is done.
+   * At each stage one job is cancelled, and in some cases the leader fails at that moment; its
+   * dependents are cancelled, and the other jobs complete.
    */
   @ParameterizedTest
   @CsvSource({
@@ -261,7 +261,7 @@
         reply);
   }
 
-  /** As a user does: one who is told to come back does. */
+  /** Like a user, retries as long as it is told to. */
   private void postUntilTaken(int node, Job job, Consumer<HttpResponse> reply) {
     post(
         node,
@@ -276,14 +276,14 @@
   }
 
   /**
-   * What was accepted a moment ago at another controller is known; what nobody accepted is said to
-   * be unknown, and only if that is sure.
+   * A job accepted a moment ago by another controller is known; a job that nobody accepted is
+   * reported as unknown, but only if that is certain.
    */
   @Test
   void whatAJobNamesIsLookedForInWhatIsDurableNow() {
     Map<String, Integer> answers = new TreeMap<>();
     Map<String, Integer> refusals = new TreeMap<>();
-    // 200 is as good as 201: what was accepted with others is looked up.
+    // 200 counts like 201: jobs that were accepted together are looked up.
     Consumer<HttpResponse> count =
         answer ->
             answers.merge(
@@ -323,7 +323,9 @@
         .time()
         .at(
             38,
-            () -> post(1, job(1, 999, 1), count)); // accepted before, whatever its repetition says
+            () ->
+                post(
+                    1, job(1, 999, 1), count)); // accepted before, whatever the repetition contains
     cluster.time().at(50, () -> cluster.state().outage(6));
     cluster.time().at(51, () -> post(0, job(904, 905), count));
     cluster.time().runUntil(60);
@@ -336,7 +338,8 @@
   }
 
   /**
-   * Who cannot be sure may say so and is asked again; the verdict is 422, and never an acceptance.
+   * A controller that is not certain may answer so, and the request is retried; the final answer is
+   * 422, never an acceptance.
    */
   private void postUntilRefused(int node, Job job, Map<String, Integer> refusals) {
     post(
@@ -367,8 +370,8 @@
   }
 
   /**
-   * Of a chain of 2,000 the head is cancelled while nobody can write: once it is told, each
-   * controller says so of all the others.
+   * The first job of a chain of 2,000 is cancelled while no changes can be written; once that is
+   * confirmed, each controller reports all others as cancelled.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -403,7 +406,7 @@
     }
     while (!"cancelled".equals(cluster.users().reportedStates().get(id(0)))) {
       cluster.time().runUntil(cluster.time().seconds() + 0.1);
-      assertTrue(cluster.time().seconds() < 90, "never told");
+      assertTrue(cluster.time().seconds() < 90, "never reported");
     }
     Map<String, Integer> said = new TreeMap<>();
     double until = cluster.time().seconds() + cluster.site().workers().cancelTimeout().seconds();
@@ -426,7 +429,7 @@
   }
 
   /**
-   * One job waits for 600, and 600 for that one; the first names more than a record has room for.
+   * One job depends on 600, and 600 depend on that one; the first names more than fit in a record.
    */
   @Test
   void oneWaitsForManyAndManyForOne() {
--- a/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
@@ -27,7 +27,7 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Jobs that wait for others where troubles meet their ends, with three controllers in virtual time.
+ * Jobs with dependencies whose ends coincide with faults, with three controllers in virtual time.
  */
 class DependencyTerminationTest {
   private static final JobId FIRST = new JobId("job-1");
@@ -38,7 +38,7 @@
   private SimulatedCluster cluster =
       new SimulatedCluster(ClusterSpec.tryOut(30, true), 3, Meter.OFF);
 
-  // ---- what users do, each at a controller of the test's choice ----
+  // ---- user requests, each to a controller that the test chooses ----
 
   private static Job job(JobId id, int tasks, double seconds, JobId... waitsOn) {
     return Job.builder(id)
@@ -59,7 +59,7 @@
     return cluster.environment().pipelines();
   }
 
-  /** Three jobs one after the other. */
+  /** Submits three jobs, each depending on the one before. */
   private void chain(double seconds) {
     cluster.users().submit(job(FIRST, 4, seconds));
     submitLater(job(MIDDLE, 3, 2, FIRST));
@@ -80,8 +80,8 @@
   }
 
   /**
-   * A request is put to a controller, and to the next one a second later, until one of them answers
-   * 200 or 201; notes all answers.
+   * Sends a request to a controller, and a second later to the next, until one of them answers 200
+   * or 201; records all answers.
    */
   private void ask(int node, JobId id, HttpRequest request, List<Integer> answers, Runnable then) {
     String before = cluster.invariants().lastReportedState(id);
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Its user asks for it every 3 s, at any controller. */
+  /** Its user polls it every 3 s, at any controller. */
   private void poll(JobId id) {
     cluster
         .time()
@@ -173,7 +173,7 @@
     return (node + 1) % cluster.nodeCount();
   }
 
-  /** All three are over, and the later ones as the first is. */
+  /** All three jobs have ended, the later ones in the same state as the first. */
   private void assertAllEndAlike(double untilS) {
     cluster.time().runUntil(untilS);
     assertEquals(List.of(), cluster.invariants().violations());
@@ -186,8 +186,8 @@
   // ---- the ends of jobs ----
 
   /**
-   * The last task of a job ends as the job is cancelled at a controller that does not lead, and the
-   * one that leads ends.
+   * The last task of a job ends as the job is cancelled at a controller other than the leader, and
+   * the leader fails.
    */
   @ParameterizedTest
   @CsvSource({"-0.02, 0.01", "0, 0", "0, 0.02", "0.05, -0.03", "0.2, 0.1", "0.6, 0.05", "1, 0"})
@@ -217,8 +217,8 @@
   }
 
   /**
-   * The leader ends once a job is durably done, before it lets the next one run; what the next
-   * leader writes first comes late.
+   * The leader fails once a job is durably done, before it releases the next one; the first write
+   * of the next leader is applied late.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.005, 0.02, 0.1})
@@ -266,7 +266,7 @@
     assertEquals("done", told(LAST));
   }
 
-  /** A job that only fails keeps all that need it waiting, until it is cancelled. */
+  /** A job that only fails keeps all of its dependents waiting until it is cancelled. */
   @Test
   void aJobThatCanOnlyFailIsCancelledInTheEnd() {
     cluster
@@ -291,8 +291,8 @@
   // ---- submissions ----
 
   /**
-   * The answer to a submission is lost, another controller says that it is known, and a third is at
-   * once given one that names it.
+   * The answer to a submission is lost, another controller answers that the job is known, and a
+   * third one receives a dependent of it at once.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
@@ -326,8 +326,8 @@
   }
 
   /**
-   * A controller that cannot read what was accepted elsewhere says neither that it was nor that it
-   * was not.
+   * A controller that cannot read what was accepted elsewhere reports the job neither as accepted
+   * nor as unknown.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
@@ -357,15 +357,15 @@
   }
 
   private void submitTo(int node, Job job, List<Integer> answers) {
-    // Known to the rules as any other, and given to this controller alone at first.
+    // Known to the invariants like any other job, but at first submitted to this controller only.
     cluster.users().upload(job);
     pipelines().submitted(job);
     ask(node, job.id(), submission(job), answers, () -> {});
   }
 
   /**
-   * At the instant at which a job is durably cancelled or done, and before and after it, each
-   * controller gets jobs that name it.
+   * At the moment when a job is durably cancelled or done, and before and after it, each controller
+   * receives jobs that depend on it.
    */
   @ParameterizedTest
   @CsvSource({
@@ -407,11 +407,11 @@
     next.forEach(id -> assertEquals(end, told(id), id.text()));
   }
 
-  // ---- many ----
+  // ---- many jobs ----
 
   /**
-   * The root of 2,000 jobs, 30 deep, is cancelled and at once the state service is out for longer
-   * than a cancellation has.
+   * The root of 2,000 jobs in 30 levels is cancelled, and at once the state service is down for
+   * longer than the cancellation timeout.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
@@ -476,8 +476,8 @@
   }
 
   /**
-   * A job that names 1,000, and 1,000 that name one, while the leader ends and a controller begins
-   * anew.
+   * A job with 1,000 dependencies and a job with 1,000 dependents, while the leader fails and a
+   * controller restarts.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -23,17 +23,17 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * A leader ends, or is cut off, while jobs of two and three long tasks run: what its successor
- * takes for running, what is told of jobs whose tasks end far apart, and what the former leader
- * does on its return. Three controllers, 30 machines, in virtual time.
+ * A leader fails or is partitioned while jobs of two and three long tasks run: which tasks its
+ * successor counts as running, what users are told of jobs whose tasks end far apart, and what the
+ * former leader does when it returns. Three controllers, 30 machines, in virtual time.
  */
 class LeaderChangesTest {
   private static final double CPUS = 8;
 
-  /** Of what the team of long jobs may use, so that more of them wait than run. */
+  /** The limit of the team with the long jobs; more of them wait than run. */
   private static final double LIMIT_CPUS = 48;
 
-  /** From the end of a job's last task, or of the trouble, until its user has been told. */
+  /** From the end of a job's last task, or of the fault, until its user has been told. */
   private static final double TOLD_WITHIN_S = 7;
 
   private final ClusterSpec site =
@@ -50,7 +50,7 @@
   private final Map<JobId, Double> lastEnd = new HashMap<>();
   private int tasks;
 
-  /** Submits jobs of two and three tasks that end 30 to 90 s apart, of all kinds of places. */
+  /** Submits jobs of two and three tasks that end 30 to 90 s apart, with all kinds of placement. */
   private void submitLong(int jobs, double each) {
     for (int i = 0; i < jobs; i++) {
       int count = 2 + i % 2;
@@ -82,7 +82,8 @@
   }
 
   /**
-   * Has something done each time that tasks end; {@code what} is given how many of the job's have.
+   * Runs an action each time that tasks end; {@code what} receives the number of ended tasks of the
+   * job.
    */
   private void atEnds(double untilS, IntConsumer what) {
     for (double at = 8; at < untilS; at += 0.02) {
@@ -120,7 +121,7 @@
     }
   }
 
-  /** Every job is done, and told in time. */
+  /** Every job is done, and its user is told in time. */
   private void assertAllAreDone(double troubleUntilS) {
     assertEquals(List.of(), cluster.invariants().violations());
     ended
@@ -136,8 +137,8 @@
   }
 
   /**
-   * Between the end of a task and the record of it the leader ends, the holders do, or all; the
-   * machine keeps the result until it is on record, and whoever holds its block next reports it.
+   * Between the end of a task and its record the leader fails, the shard owners do, or all. The
+   * machine keeps the result until it is recorded, and the next owner of its shard reports it.
    */
   @ParameterizedTest
   @CsvSource({
@@ -167,9 +168,8 @@
   }
 
   /**
-   * The state service is out, or applies late what it was sent, from a moment before the last task
-   * of a job ends; the leader ends meanwhile. Nobody is told too early, and all are told soon
-   * after.
+   * The state service is down, or applies changes late, from a moment before the last task of a job
+   * ends; the leader fails meanwhile. No user is told too early, and all are told soon afterwards.
    */
   @ParameterizedTest
   @CsvSource({"false, 0.3", "false, 9", "true, 0.3", "true, 9"})
@@ -194,13 +194,13 @@
     }
     atEnds(240, most -> {});
     cluster.time().runUntil(260);
-    // What was written last may be applied 23 s later, and until then its sender does not know.
+    // The last write may be applied 23 s later, and until then its sender does not know.
     assertAllAreDone(last[0] + (late ? 12 : 3));
   }
 
   /**
-   * Which machines only the controller reaches that ends or is cut off, which nobody does, and
-   * which hear nobody.
+   * Sets which machines only the failing controller reaches, which no controller reaches, and which
+   * receive nothing.
    */
   private void unreachable(int former, double seconds) {
     List<AgentSimulator> workers = new ArrayList<>(cluster.cloud().workers());
@@ -218,10 +218,10 @@
   }
 
   /**
-   * The leader is cut off from the state service and the others, or ends, while a third of the
-   * machines hears it alone, a third nobody, and some of the rest hear nothing. More of the team's
-   * work waits than its limit has room for, most of it bound to half its tasks in a zone or all of
-   * them in one: what cannot be reached counts until it is proven gone.
+   * The leader is cut off from the state service and the other controllers, or fails, while it
+   * alone reaches a third of the machines, no controller reaches another third, and some of the
+   * rest receive nothing. More work of the team waits than its limit permits; for most of it, half
+   * or all of its tasks are bound to one zone. Unreachable tasks count until they are proven gone.
    */
   @ParameterizedTest
   @CsvSource({"0, 36", "1, 36", "2, 36", "0, 55", "1, 55", "3, 30", "4, 30"})
@@ -247,8 +247,8 @@
   }
 
   /**
-   * 0: what it sends is refused; 1: lost; 2: held until it is over; 3: it ends, and is back in an
-   * instant; 4: it stands still.
+   * 0: requests are refused; 1: lost; 2: held until the end; 3: the leader fails and restarts at
+   * once; 4: it is suspended.
    */
   private void cutOff(int node, int how, double seconds) {
     switch (how) {
@@ -267,9 +267,10 @@
   }
 
   /**
-   * A leader alone, reached by workers and users as ever, while jobs are cancelled through the
-   * others: its machines that hear nobody else run them until it must stop, no user of it hears an
-   * older answer, and on its return it starts nothing of them.
+   * A leader is isolated from the other controllers, but workers and users reach it, while jobs are
+   * cancelled through the others. Machines that reach only this leader run these jobs until it must
+   * stop; no user is told an older state, and the leader starts none of their tasks when it
+   * returns.
    */
   @ParameterizedTest
   @CsvSource({"0, 30", "0, 50", "1, 40", "2, 30", "2, 50"})
@@ -321,8 +322,9 @@
   }
 
   /**
-   * A leader's plan goes out late, or is applied late, after another one has led and ended and, or,
-   * the first leads again: two hand-overs within a few seconds, and all of them at once at the end.
+   * A leader's plan is sent or applied late, after another controller has led and failed and, in
+   * some cases, the first one leads again: two leader changes within a few seconds, and all late
+   * messages arrive at once at the end.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 0.6, 1, 4.5, 9})
@@ -355,7 +357,7 @@
         .forEach(id -> assertEquals("done", cluster.users().reportedStates().get(id), id.text()));
   }
 
-  /** Days drawn from fixed seeds; more of them in {@link SeedsTest}. */
+  /** Days from fixed seeds; {@link SeedsTest} runs more of them. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 417, 987})
   void daysOfLeaderChanges(long seed) {
--- a/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
@@ -15,7 +15,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Holds against sweeps with three controllers in virtual time, under load and through what fails.
+ * Legal holds on the records of sweeps, with three controllers in virtual time, under load and with
+ * faults.
  */
 class LegalHoldCasesTest {
   static final String JOBS =
@@ -46,7 +47,7 @@
 
   private static final String MARCH = "cdr/2026-03";
 
-  /** By then the level has risen to that of agreed records. */
+  /** By then the level has risen to that of replicated records. */
   private static final double READY_S = 42;
 
   private LegalHoldCluster site = new LegalHoldCluster(JOBS, 30, 7);
@@ -55,7 +56,7 @@
     tell();
   }
 
-  /** Half of each sweep's tasks touch March, the others April. */
+  /** Half of each sweep's tasks access March, the others April. */
   private void tell() {
     site.told("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
   }
@@ -66,7 +67,10 @@
     return site;
   }
 
-  /** What is held waits, all else goes on; once it is closed all is done. */
+  /**
+   * Tasks that access held records wait, all others continue; once the hold is closed, everything
+   * completes.
+   */
   private void assertHeldAndThenDone(String reference, int opening, double untilS, double doneByS) {
     site.run(untilS);
     assertEquals("PINNED", site.state(reference));
@@ -81,7 +85,7 @@
     site.assertAllDone();
   }
 
-  /** Half of each sweep's tasks touch what is held: those wait, and the others run. */
+  /** Half of each sweep's tasks access held records: these wait, and the others run. */
   @Test
   void whatTouchesHeldRecordsWaitsAndTheRestRuns() {
     site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", "cdr/2026-03-10..2026-03-12"));
@@ -90,8 +94,8 @@
   }
 
   /**
-   * The sweeps come in the same instants as the hold, at another controller, and transactions are
-   * applied late.
+   * The sweeps are submitted at the same moments as the hold, to another controller, and
+   * transactions are applied late.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -99,7 +103,7 @@
     site(seed).cluster.state().applyLate(8);
     for (int i = 0; i < 8; i++) {
       String reference = "ref-" + i;
-      // The sweeps come at 4, 10, 16 seconds and so on.
+      // The sweeps are submitted at 4, 10, 16 seconds and so on.
       site.at(
           46 + 6 * (i % 4) + 0.03 * seed + 0.12 * i,
           () -> site.open((int) seed % 3, reference, "r-" + reference, MARCH));
@@ -111,8 +115,8 @@
   }
 
   /**
-   * Whoever pins stands still before its word is sent, or falls silent with it under way; meanwhile
-   * the hold is closed and opened again.
+   * The controller that pins is suspended before its message is sent, or is cut off while it is on
+   * its way; meanwhile the hold is closed and opened again.
    */
   @ParameterizedTest
   @EnumSource(SimulatedCluster.SendFault.class)
@@ -132,8 +136,8 @@
   }
 
   /**
-   * Each controller that is asked goes down before it can answer; the same is asked again, also
-   * long after the hold was closed.
+   * Each controller that receives the request goes down before it can answer; the same request is
+   * repeated, also long after the hold was closed.
    */
   @Test
   void theAnswerIsLostAndTheSameIsAskedAgain() {
@@ -159,8 +163,8 @@
   }
 
   /**
-   * Somebody who has seen the first opening asks for its closing when the second is there; and a
-   * closing of what was never opened.
+   * A closing request for the first opening arrives after the second opening; and a hold that was
+   * never opened is closed.
    */
   @Test
   void aClosingThatComesLateDoesNothingToALaterOpening() {
@@ -202,8 +206,8 @@
   }
 
   /**
-   * The state service is out, controllers are replaced, a zone is cut off, a controller is alone
-   * with its workers.
+   * The state service is down, controllers are replaced, a zone is partitioned, or a controller is
+   * isolated with its workers.
    */
   @ParameterizedTest
   @ValueSource(strings = {"outage", "roll", "zone", "lone", "deaf", "all down"})
@@ -230,8 +234,8 @@
   }
 
   /**
-   * Its time comes while the state service is out, controllers are started anew and their clocks
-   * are set, within their bound or far back.
+   * A future hold begins while the state service is down, controllers restart and their clocks are
+   * stepped, within their bound or far back.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.9, -0.9, -20})
@@ -252,8 +256,8 @@
   }
 
   /**
-   * A task runs as long as any hold on its records is open, whatever the order in which they come
-   * and go.
+   * A task stays blocked as long as any hold on its records is open, whatever the order in which
+   * holds are opened and closed.
    */
   @ParameterizedTest
   @ValueSource(longs = {11, 12})
@@ -281,8 +285,8 @@
   }
 
   /**
-   * A lane is told to be one of sweeps after its jobs have begun: what was pinned is so no more
-   * until they are off.
+   * A lane is declared to run sweeps after its jobs have started: the hold is no longer pinned
+   * until these tasks are gone.
    */
   @Test
   void aLaneToldLateIsPinnedAnew() throws MalformedMessageException {
--- a/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
@@ -23,9 +23,9 @@
 import org.quincecross.rollout.Feature;
 
 /**
- * Three controllers with holds switched on, sweeps, and a checker of its own: it reads the records
- * as the state service has them, and what runs by the stand-ins of the machines, and knows nothing
- * of what the controllers make of it.
+ * Three controllers with legal holds enabled, sweeps, and an independent checker: it reads the
+ * records from the state service and the running tasks from the simulated machines, without using
+ * the controllers' view.
  */
 final class LegalHoldCluster {
   final SimulatedCluster cluster;
@@ -68,7 +68,9 @@
 
   // ---- operators ----
 
-  /** Asks a controller, and then the next, until it is followed or refused for good. */
+  /**
+   * Sends a request to a controller, and then to the next, until it is applied or finally refused.
+   */
   void ask(int node, String kind, String id, String request, Object command) {
     boolean[] answered = {false};
     Runnable again = () -> ask((node + 1) % cluster.nodeCount(), kind, id, request, command);
@@ -97,7 +99,7 @@
             6,
             () -> {
               if (!answered[0]) {
-                again.run(); // it went down before it could answer
+                again.run(); // the controller went down before it could answer
               }
             });
   }
@@ -108,7 +110,7 @@
   }
 
   /**
-   * @param fromS in seconds since the beginning of the world
+   * @param fromS in seconds since the start of the cluster
    */
   void openFrom(int node, String reference, String request, double fromS, String... records) {
     openedAt.putIfAbsent(reference, cluster.time().seconds());
@@ -131,8 +133,8 @@
   }
 
   /**
-   * From the beginning on a lane is one of sweeps, and all its jobs have these claims: tasks and
-   * records in turn.
+   * Declares from the start that a lane runs sweeps, and that all of its jobs have these claims:
+   * tasks and records in turn.
    */
   void told(String lane, String series, String... claims) {
     at(1, () -> ask(0, "sweeps", lane, "sweep-" + lane, Json.object("series", List.of(series))));
@@ -150,9 +152,9 @@
     }
   }
 
-  // ---- troubles ----
+  // ---- faults ----
 
-  /** The controllers are replaced one after the other by another build of the same level. */
+  /** Replaces the controllers one after the other by another build of the same level. */
   void rollAll() {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
@@ -166,7 +168,7 @@
     }
   }
 
-  /** A controller has its workers, and neither the state service nor the other controllers. */
+  /** A controller reaches its workers, but neither the state service nor the other controllers. */
   void leaveAlone(int node, double seconds) {
     cluster.state().refuse(ClusterSpec.nodeName(node), seconds);
     for (int other = 0; other < cluster.nodeCount(); other++) {
@@ -177,7 +179,7 @@
   }
 
   /**
-   * A zone is cut off from all others and from the state service: its controller and machines hear
+   * A zone is cut off from all others and from the state service; its controller and machines reach
    * one another.
    */
   void cutZone(int zone, double seconds) {
@@ -198,7 +200,7 @@
             });
   }
 
-  /** Some machines with sweeps are heard, and hear nothing. */
+  /** Some machines with sweeps still send, but receive nothing. */
   void deafen(int machines, double seconds) {
     cluster.environment().cloud().workers().stream()
         .limit(machines)
@@ -213,7 +215,7 @@
 
   // ---- the checker ----
 
-  /** The tasks that began after a time and touch some records. */
+  /** The tasks that started after a time and access some records. */
   List<String> startedAfter(double seconds, String records) {
     RecordSelector held = RecordSelector.parse(records);
     List<String> late = new ArrayList<>();
@@ -235,9 +237,7 @@
     return pinnedAt.size();
   }
 
-  /**
-   * How often it was found that more touches a hold's records than was known when it was pinned.
-   */
+  /** How often more accessing tasks were found than were known when the hold was pinned. */
   int widened(String reference) {
     return ((Number) hold(reference).get("scope")).intValue();
   }
@@ -257,8 +257,8 @@
   }
 
   /**
-   * No task that touches a pinned record runs: looked at by the records as they are, several times
-   * a second.
+   * No task that accesses a pinned record runs: checked several times a second against the current
+   * records.
    */
   private void watch() {
     cluster
--- a/src/test/java/org/quincecross/emulator/LocalClusterTest.java
+++ b/src/test/java/org/quincecross/emulator/LocalClusterTest.java
@@ -26,7 +26,7 @@
 import org.quincecross.protocol.JsonFields;
 import org.quincecross.protocol.MalformedMessageException;
 
-/** A site of real processes and sockets on loopback. */
+/** A deployment of real processes and sockets on loopback. */
 class LocalClusterTest {
   private static final String JAVA =
       Path.of(System.getProperty("java.home"), "bin", "java").toString();
@@ -75,8 +75,8 @@
   }
 
   /**
-   * All controllers are killed and started again: every worker is answered, every replica is there,
-   * every job ends.
+   * All controllers are killed and restarted: every worker is answered, every replica runs, every
+   * job ends.
    */
   @Test
   void theRestartOfAllControllers() throws IOException, MalformedMessageException {
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Real sweeps are held while the controller that was asked is killed: pinned, none of them on a
-   * machine, and done once it is closed.
+   * Records of real sweeps are held while the controller that received the request is killed: the
+   * hold is pinned, none of these tasks is on a machine, and they complete once the hold is closed.
    */
   @Test
   void aHoldWhileAControllerIsKilled() throws IOException, MalformedMessageException {
@@ -129,9 +129,9 @@
   }
 
   /**
-   * Real controllers are replaced one after the other, the first one back once; then jobs that wait
-   * for others are submitted and the state service lowers its limits; the level rises, every job
-   * ends, no rule is broken.
+   * Real controllers are replaced one after the other, with one rollback of the first; then jobs
+   * with dependencies are submitted and the state service lowers its limits. The level rises, every
+   * job ends, and no rule is broken.
    */
   @Test
   void aRollOfRealControllersOverALevel() throws IOException, MalformedMessageException {
@@ -172,8 +172,8 @@
   }
 
   /**
-   * The program that made the site is killed, with transactions on their way: its controllers end,
-   * and none is left.
+   * The program that started the deployment is killed, with transactions on their way: its
+   * controllers end, and none is left.
    */
   @Test
   void nothingIsLeftOfASiteWhoseMakerIsKilled() throws IOException, InterruptedException {
@@ -197,7 +197,7 @@
         new BufferedReader(new InputStreamReader(maker.getInputStream(), StandardCharsets.UTF_8))) {
       String line = said.readLine();
       while (line != null && line.contains("starting")) {
-        line = said.readLine(); // a slow machine: it says so every two seconds
+        line = said.readLine(); // a slow machine prints a progress line every two seconds
       }
       assertTrue(line != null && line.startsWith("ready"), line);
       controllers = maker.children().toList();
@@ -224,7 +224,7 @@
     }
   }
 
-  /** Each copy of a job waits for a copy of each job that its table names. */
+  /** Each copy of a job depends on one copy of each job that its table names. */
   @Test
   void aJobsFileWithAPipeline() throws MalformedMessageException {
     String next =
@@ -242,7 +242,7 @@
             .toList());
   }
 
-  /** What is wrong with a jobs file is told by line and field. */
+  /** Errors in a jobs file name the line and the field. */
   @Test
   void aJobsFileWithAHole() {
     ClusterSpec site = ClusterSpec.tryOut(9, false);
--- a/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
@@ -18,13 +18,13 @@
 import org.quincecross.model.Team;
 import org.quincecross.protocol.MalformedMessageException;
 
-/** Models from zero with three controllers and failures, in virtual time. */
+/** Models that scale up from zero with three controllers and failures, in virtual time. */
 class ModelServingCasesTest {
   private static final double T = 40;
 
   /**
-   * 10,000 wakes in a second at each controller, until the model is warm; all are answered. Returns
-   * how long that took.
+   * Sends 10,000 wake requests per second to each controller until the model is warm; all are
+   * answered. Returns how long that took.
    */
   private static double manyWakes(ModelServingCluster site) throws MalformedMessageException {
     int[] answered = new int[1];
@@ -49,8 +49,8 @@
   }
 
   /**
-   * The model serves soon after its fetch; in one world of four what is drawn makes it seconds
-   * later, so the middle of five is bounded.
+   * The model serves soon after its fetch; in one of four clusters a random delay adds seconds, so
+   * the median of five is bounded.
    */
   @Test
   void theModelServesSoonAfterItsFetch() throws MalformedMessageException {
@@ -71,8 +71,8 @@
   }
 
   /**
-   * 10,000 wakes in a second at each controller: one change, one start, one fetch; in a world in
-   * which no answer is late.
+   * 10,000 wake requests per second at each controller cause one change, one start and one fetch;
+   * in a cluster in which no answer is late.
    */
   @Test
   void manyWakesAreOneColdStart() throws MalformedMessageException {
@@ -100,7 +100,8 @@
   }
 
   /**
-   * All three are restarted at once while the model starts: it goes on, and starts nothing twice.
+   * All three controllers restart at once while the model starts: the start continues, and nothing
+   * is started twice.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.01, 0.05, 0.15, 0.4, 1, 4, 8.5})
@@ -118,7 +119,7 @@
   }
 
   /**
-   * The leader stands still or is silent around the transaction that writes the choice, for longer
+   * The leader is suspended or cut off around the transaction that writes the placement, for longer
    * than its lease.
    */
   @ParameterizedTest
@@ -148,7 +149,7 @@
     site.assertRulesKept();
   }
 
-  /** Two wakes while nobody leads, one at each of the controllers that are left. */
+  /** Two wake requests while there is no leader, one at each of the remaining controllers. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.5, 3, 5.5})
   void twoWakesInAnElection(double afterS) throws MalformedMessageException {
@@ -162,7 +163,7 @@
     site.assertRulesKept();
   }
 
-  /** The state service is out for a while from some moment of a cold start on, and of a drain. */
+  /** The state service is down for a while from some moment of a cold start on, and of a drain. */
   @ParameterizedTest
   @CsvSource({"0, 3", "0.03, 10", "0.15, 10", "0.5, 10", "5, 10", "8.6, 10", "32, 10"})
   void anOutageInEachStep(double afterS, double seconds) throws MalformedMessageException {
@@ -180,8 +181,8 @@
   }
 
   /**
-   * The machine of the only warm replica is taken, with notice or without: a cold start elsewhere,
-   * by proof.
+   * The machine of the only warm replica is terminated, with or without notice: a cold start
+   * elsewhere, after proof that the replica is gone.
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 6, 30})
@@ -229,8 +230,8 @@
   }
 
   /**
-   * A wake in the moment of a drain, at each controller and at many offsets: it serves again, and
-   * nothing is started twice.
+   * A wake request at the moment of a drain, at each controller and at many offsets: the model
+   * serves again, and nothing is started twice.
    */
   @ParameterizedTest
   @ValueSource(doubles = {-0.2, -0.05, -0.02, -0.01, -0.004, 0, 0.004, 0.01, 0.03, 0.1, 0.5, 1})
@@ -254,8 +255,8 @@
   }
 
   /**
-   * A team's limit allows less than the least of two models: what it allows comes up and serves,
-   * and the limit holds.
+   * The limit of a team is below the minimum replicas of its two models: as many replicas as
+   * permitted come up and serve, and the limit holds.
    */
   @Test
   void aLimitBelowTheLeast() throws MalformedMessageException {
@@ -283,14 +284,11 @@
     site.send(1, "n/load", Map.of("from", "gateway", "in_flight", 5), response -> {});
     site.cluster.users().cancel(new JobId("job-100"));
     site.cluster.time().runUntil(at + 30);
-    assertEquals(2, site.onMachines(101), "what the limit held back comes when there is room");
+    assertEquals(2, site.onMachines(101), "the remaining replicas start when there is room");
     site.assertRulesKept();
   }
 
-  /**
-   * What is asked wrongly is refused, and changes nothing; a definition that is asked for again is
-   * one change.
-   */
+  /** Invalid requests are refused and change nothing; a repeated definition is one change. */
   @Test
   void mistakesChangeNothing() throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(17, 2);
@@ -315,7 +313,7 @@
   }
 
   /**
-   * Four models on two machines: their fetches come one after the other, so that some serve long
+   * Four models on two machines: their fetches run one after the other, so some models serve long
    * before all could.
    */
   @Test
@@ -340,8 +338,8 @@
   }
 
   /**
-   * The machines that keep its weights are not returned while it is at zero; it comes back without
-   * a fetch.
+   * The machines that cache its weights are not returned while the model is at zero; it comes back
+   * without a fetch.
    */
   @Test
   void keptWarmItComesBackWithoutAFetch() throws MalformedMessageException {
@@ -360,8 +358,8 @@
   }
 
   /**
-   * On scarce machines one that nobody uses gives way to one that is wanted, and comes back when it
-   * is wanted and there is room.
+   * With scarce machines an idle model is evicted for one that is needed, and comes back when it is
+   * needed and there is capacity.
    */
   @Test
   void anIdleModelGivesWay() throws MalformedMessageException {
@@ -381,13 +379,13 @@
     assertEquals("ZERO", site.phase("m"));
     assertEquals(2, site.onMachines(101));
     site.cluster.time().runUntil(site.cluster.time().seconds() + 60);
-    assertEquals("WARM", site.phase("n"), "the one that gave way does not come back by itself");
+    assertEquals("WARM", site.phase("n"), "an evicted model does not come back by itself");
     site.assertRulesKept();
   }
 
   /**
-   * A controller that has requests in flight falls silent: they count until its lease is over, and
-   * no longer than that.
+   * A controller with requests in flight is cut off: they count until its lease expires, and no
+   * longer.
    */
   @Test
   void whatOneThatIsAwayHasSeenCounts() throws MalformedMessageException {
@@ -435,9 +433,7 @@
     manyModels(200);
   }
 
-  /**
-   * Many models, of which one in twenty is wanted: these come up, and all the others stay at zero.
-   */
+  /** Many models, of which one in twenty is needed: these come up, and all others stay at zero. */
   private static void manyModels(int count) throws MalformedMessageException {
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(45, true), 14);
     for (int i = 0; i < count; i++) {
--- a/src/test/java/org/quincecross/emulator/RandomScenario.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -17,25 +17,28 @@
 import org.quincecross.protocol.Settings;
 import org.quincecross.rollout.Build;
 
-/** A day drawn from a seed: jobs of all kinds, troubles alone and together, then quiet. */
+/** A day from a seed: jobs of all kinds, faults alone and combined, then a fault-free period. */
 final class RandomScenario {
   private static final double FIRST_TROUBLE_S = 12;
   private static final double LAST_TROUBLE_S = 150;
   private static final double LONGEST_TROUBLE_S = 33;
 
-  /** After so much quiet whatever can run runs. */
+  /** After a fault-free period of this length, every job that can run does. */
   private static final double QUIET_S = 120;
 
   /**
-   * Machines that have begun anew are to be believed long before their counts are what those of
-   * their former selves were.
+   * Restarted machines are trusted long before their counters reach those of their former
+   * processes.
    */
   private static final double QUIET_AFTER_MEETINGS_S = 60;
 
   private static final int JOBS = 60;
   private static final int MISTAKES = 3;
 
-  /** Of so many days, one has a job of more tasks than a chunk of the records of done tasks. */
+  /**
+   * One in this many days has a job with more tasks than a chunk of the completed-task records
+   * holds.
+   */
   private static final int DAYS_PER_LARGE_JOB = 40;
 
   private final long seed;
@@ -53,8 +56,8 @@
   }
 
   /**
-   * The same with controllers that are replaced by ones of a newer build, back half way or not, in
-   * whatever goes on.
+   * The same with controllers that are replaced by a newer build, with or without a rollback
+   * halfway, during all kinds of faults.
    */
   static RandomScenario ofRolls(long seed) {
     SimulatedCluster cluster =
@@ -64,7 +67,7 @@
     day.rollAll(10 + 40 * day.random.nextDouble(), NEW);
     if (day.random.nextBoolean()) {
       day.rollAll(30 + 40 * day.random.nextDouble(), OLD);
-      // Those that the switch has left behind are out until they are replaced again.
+      // Controllers that the raised level excludes are out until they are replaced again.
       day.rollAll(70 + 60 * day.random.nextDouble(), NEW);
     }
     day.rollAll(LAST_TROUBLE_S + 1, NEW);
@@ -73,8 +76,8 @@
   }
 
   /**
-   * A day, or one of rolls that are over before, or of troubles that meet, with pipelines of
-   * dependent jobs.
+   * A day with pipelines of dependent jobs: an ordinary one, one with upgrades that are over
+   * before, or one with combined faults.
    */
   static RandomScenario ofPipelines(long seed) {
     return (seed % 3 == 2 ? ofMeetings(seed) : new RandomScenario(seed))
@@ -82,7 +85,8 @@
   }
 
   /**
-   * Each is replaced by another build, one after the other; some that have it already among them.
+   * Replaces all controllers by another build, one after the other; some of them may run it
+   * already.
    */
   private void rollAll(double fromS, Build build) {
     double at = fromS;
@@ -115,20 +119,20 @@
     liveness = new LivenessInvariant(cluster);
   }
 
-  /** A day of troubles that meet on purpose, on one of several sites. */
+  /** A day with combined faults, in one of several deployments. */
   static RandomScenario ofMeetings(long seed) {
     return ofMeetings(seed, Set.of(), false);
   }
 
   /**
-   * The same with lost answers, kept reports, mute machines and quick boots, each of them with any
-   * other trouble.
+   * The same with lost answers, kept reports, machines that cannot send and fast boots, each
+   * combined with any other fault.
    */
   static RandomScenario ofFurtherMeetings(long seed) {
     return ofMeetings(seed, Set.of(), true);
   }
 
-  /** The same with only some of its meetings, by number; none named: all. */
+  /** The same with only some of the fault pairs, by number; an empty set selects all. */
   static RandomScenario ofMeetings(long seed, Set<Integer> only, boolean further) {
     ClusterSpec site = ClusterSpec.small();
     List<Settings.AgentTimeouts> workers =
@@ -153,13 +157,13 @@
     return day;
   }
 
-  /** Has more troubles beside those of the day. */
+  /** Adds faults to those of the day. */
   RandomScenario with(BiConsumer<SimulatedCluster, Long> more) {
     more.accept(cluster, seed);
     return this;
   }
 
-  /** Plays the day until all work must be over; returns what went wrong. */
+  /** Runs the day until all work must have ended; returns what went wrong. */
   List<String> play() {
     double over = meetings == null ? LAST_TROUBLE_S + LONGEST_TROUBLE_S : meetings.overS();
     cluster.time().runUntil(meetings == null ? over + QUIET_S - 80 : over);
@@ -186,8 +190,8 @@
   }
 
   /**
-   * The classes of which less than half was served, in all or of the largest, or of which the
-   * largest began late.
+   * The classes of which less than half was served, in total or of the largest jobs, or of which
+   * the largest jobs started late.
    */
   private List<String> unserved() {
     List<String> unserved = new ArrayList<>();
@@ -295,7 +299,7 @@
     }
   }
 
-  /** A job that fails wherever it runs, until its user cancels it. */
+  /** A job that fails on every machine until its user cancels it. */
   private void mistake() {
     JobKind kind = JobKind.values()[random.nextInt(JobKind.values().length)];
     Job job =
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -35,7 +35,7 @@
 import org.quincecross.state.CompletedTasks;
 
 /**
- * Days in virtual time, the same at each call, that between them use every message, every kind of
+ * Days in virtual time, identical at each run, that together use every message, every kind of
  * record and every level.
  */
 final class RecordedDays {
@@ -92,9 +92,10 @@
   }
 
   /**
-   * Prints the digest of all messages: the same before and after a change that leaves all behaviour
-   * as it is, where the JVM gives maps and sets the same order each time. With a folder: writes
-   * what was recorded there, to be compared or added to the golden files.
+   * Prints the digest of all messages, which stays the same across a change without effect on
+   * behaviour, provided that the JVM iterates over maps and sets in the same order each time. With
+   * a folder as argument: writes the recorded messages there, for comparison with the golden files
+   * or addition to them.
    */
   public static void main(String[] arguments) throws MalformedMessageException, IOException {
     MessageRecorder recorder = play();
@@ -107,7 +108,7 @@
     }
   }
 
-  /** Plays all of them. */
+  /** Runs all of the days. */
   static MessageRecorder play() throws MalformedMessageException {
     MessageRecorder recorder = new MessageRecorder();
     RecordedDays days = new RecordedDays(recorder);
@@ -122,8 +123,8 @@
   }
 
   /**
-   * Drawn days of a small site: plain, with dependent jobs, over a change of the level, and with
-   * troubles that meet.
+   * Random days of a small deployment: without extras, with dependent jobs, with a change of the
+   * level, and with combined faults.
    */
   private void troubles() {
     new RandomScenario(40).with((cluster, seed) -> watch(cluster, 300)).play();
@@ -139,7 +140,7 @@
     }
   }
 
-  /** Asks each controller that is up what operators ask, and submits what cannot be accepted. */
+  /** Sends all requests of operators to each running controller, and submits invalid jobs. */
   private void askEverything(SimulatedCluster cluster) {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       if (cluster.status(node) == null) {
@@ -172,8 +173,8 @@
   }
 
   /**
-   * More work than room, with the deployed features: the order in an overload, and the counts of
-   * who is served.
+   * More work than capacity, with the deployed features: the order during an overload, and the
+   * service level counts.
    */
   private void overload() {
     ClusterSpec site = ClusterSpec.fleet(60);
@@ -190,7 +191,7 @@
     runUntil(cluster, 130);
   }
 
-  /** Gangs, large arrays and an operator's change of the settings. */
+  /** Gangs, large arrays and a change of the settings by an operator. */
   private void mixedFleet() {
     SimulatedCluster cluster =
         new SimulatedCluster(
@@ -201,7 +202,7 @@
     watch(cluster, 120);
     WorkloadGenerator load = new WorkloadGenerator(cluster.environment(), 46);
     cluster.time().at(10, () -> load.begin(10));
-    // Waits on more jobs than its own record has room for.
+    // Depends on more jobs than fit in its own record.
     Set<JobId> predecessors =
         IntStream.range(0, 130)
             .mapToObj(i -> new JobId("job-" + (900_000 + i)))
@@ -231,7 +232,8 @@
   }
 
   /**
-   * The records of done tasks of a job of more than a chunk, which days this short do not write.
+   * The completed-task records of a job with more tasks than a chunk, which days this short do not
+   * write.
    */
   private void largeJob() {
     TaskSet done = TaskSet.range(CompletedTasks.CHUNK_SIZE + 17);
@@ -262,8 +264,8 @@
   }
 
   /**
-   * What is answered to a submission of which each field is left out, or is of a wrong kind, and to
-   * settings and features of that sort: the status, and the field that the answer names.
+   * The answers to submissions, settings and features with each field missing or of a wrong type:
+   * the status, and the field that the answer names.
    */
   static List<String> malformed() throws MalformedMessageException {
     SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.mixed(120), 50, Meter.OFF);
@@ -368,8 +370,8 @@
   }
 
   /**
-   * The same with each field, also of nested objects, left out, of other kinds, out of range, and
-   * with one field too many.
+   * Variants of an object with each field, also of nested objects, missing, of other types or out
+   * of range, and with one additional field.
    */
   private static Map<String, Object> spoilt(Map<String, Object> whole) {
     Map<String, Object> spoilt = new LinkedHashMap<>();
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -30,8 +30,8 @@
 import org.quincecross.rollout.Build;
 
 /**
- * Controllers that are replaced one after the other by a build with another form of the stored
- * state, under load, in virtual time.
+ * Controllers are replaced one after the other by a build with another form of the stored state,
+ * under load, in virtual time.
  */
 class RolloutCasesTest {
   private static final Build OLD = Build.present("old", 1);
@@ -62,7 +62,7 @@
             run_s = 6
             """;
 
-  /** Few changes a transaction: the switch has to fit. */
+  /** Few changes per transaction: the level change has to fit. */
   private final ClusterSpec site =
       ClusterSpec.tryOut(30, true).with(new Settings.StoreLimits(400, 56, 2048, 4));
 
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Nobody who cannot do the level in force is a member for longer than it takes to see it, or
-   * leads or holds anything.
+   * No controller that does not support the current level is a member for longer than it takes to
+   * notice, or is the leader, or owns a shard.
    */
   private void watch() {
     cluster
@@ -148,8 +148,8 @@
   }
 
   /**
-   * All are replaced; the level rises once the last has been there for a while; allocations are
-   * then written as what changed.
+   * All controllers are replaced; the level rises some time after the last one is up; allocations
+   * are then written as deltas.
    */
   @Test
   void aRollUnderLoad() throws MalformedMessageException {
@@ -163,8 +163,8 @@
   }
 
   /**
-   * Back before the switch is a restart; nothing that was written by the new build is lost on the
-   * old one.
+   * A rollback before the level rises is a restart; the old build loses nothing that the new build
+   * wrote.
    */
   @Test
   void backHalfWay() throws MalformedMessageException {
@@ -177,8 +177,8 @@
   }
 
   /**
-   * One that is away keeps the level where it is, until operators say that it is gone; back with
-   * its old build it takes no part.
+   * A controller that is away keeps the level unchanged until operators declare it gone; if it
+   * returns with its old build it takes no part.
    */
   @Test
   void oneThatIsAwayComesBackOldAndThenNew() throws MalformedMessageException {
@@ -206,8 +206,8 @@
   }
 
   /**
-   * A controller that has read the records, is no member yet, and cannot read one of them does not
-   * call that job unknown.
+   * A controller that has read the records, is not yet a member, and cannot read one of them, does
+   * not report that job as unknown.
    */
   @Test
   void whatCannotBeReadIsNotUnknownBeforeAMemberIsAnnounced() {
@@ -224,8 +224,8 @@
   }
 
   /**
-   * In the moment of the switch one is restarted with its old build: either the switch fails, or it
-   * does not become a member.
+   * As the level rises, one controller restarts with its old build: either the change of level
+   * fails, or that controller does not become a member.
    */
   @ParameterizedTest
   @ValueSource(doubles = {-4.2, -4.05, -4, -3.95, -3.9, -1, 0, 0.01, 0.02})
@@ -250,8 +250,8 @@
   }
 
   /**
-   * The switching leader is killed or stands still around its transaction, and transactions are
-   * applied late.
+   * The leader is killed or suspended around the transaction that raises the level, and
+   * transactions are applied late.
    */
   @ParameterizedTest
   @ValueSource(doubles = {-0.02, -0.01, -0.005, 0, 0.005, 1})
@@ -273,7 +273,10 @@
     }
   }
 
-  /** State outages, watches that are too old and a restart of all, while the level rises. */
+  /**
+   * Outages of the state service, watches that are too old and a restart of all controllers, while
+   * the level rises.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
   void troublesOverTheSwitch(int which) throws MalformedMessageException {
@@ -298,8 +301,8 @@
   }
 
   /**
-   * A build from before levels comes back after the switch: it may serve users, but leads and holds
-   * nothing.
+   * A build from before the introduction of levels returns after the level has risen: it may serve
+   * users, but is not the leader and owns no shard.
    */
   @Test
   void aBuildFromBeforeLevelsNeverLeadsAfterTheSwitch() throws MalformedMessageException {
@@ -307,8 +310,8 @@
     cluster.time().runUntil(60);
     assertEquals(2, level());
     assertEquals("level-2", ((Map<?, ?>) cluster.state().value("q/leader")).get("member"));
-    // Such a build cannot be run here any more; what it does is in its records: it joins, and
-    // stands where nobody leads.
+    // Such a build is not available; the test writes its records: it joins, and stands for election
+    // when there is no leader.
     cluster
         .time()
         .at(
@@ -336,8 +339,8 @@
   }
 
   /**
-   * Operators take the level back: what only it can read is rewritten first, and then old builds
-   * may come again.
+   * Operators lower the level: records that only this level can read are rewritten first, and then
+   * old builds may return.
    */
   @Test
   void theLevelIsLowered() throws MalformedMessageException {
@@ -353,8 +356,8 @@
   }
 
   /**
-   * A record from the future, or a damaged one: whoever reads it takes no part until it can be
-   * read, and says which it is.
+   * A record of a later version, or a damaged one: a controller that reads it takes no part until
+   * it can be read, and reports its key.
    */
   @Test
   void aRecordThatCannotBeRead() throws MalformedMessageException {
@@ -401,8 +404,8 @@
   }
 
   /**
-   * The platform's file of one controller has a lower limit, with work above it running: from then
-   * on the lowest holds, whoever leads.
+   * The settings of one controller have a lower limit, with work above it running: from then on the
+   * lowest limit applies, whoever leads.
    */
   @Test
   void whileALimitDiffersTheLowestHolds() throws MalformedMessageException {
@@ -437,7 +440,7 @@
     cluster.configureTeams(other, lower);
     cluster.crash(other);
     cluster.time().runUntil(45);
-    assertTrue(cluster.leader() != other, "the leader was told the higher limit");
+    assertTrue(cluster.leader() != other, "the leader has the higher limit");
     assertTrue(
         status(cluster.leader())
             .strings("settings_differ")
--- a/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
@@ -23,9 +23,9 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * Every team is at its limit, with as much again waiting, much of it bound to one zone, while jobs
- * are cancelled and troubles meet. What cannot be reached counts until it is proven gone: by its
- * team's limit, and by its zone. Three controllers, 30 machines, virtual time.
+ * Every team is at its limit, with as much work again waiting, much of it bound to one zone, while
+ * jobs are cancelled during combined faults. Unreachable tasks count against the limits of their
+ * team and zone until they are proven gone. Three controllers, 30 machines, virtual time.
  */
 class TeamLimitDuringFailuresTest {
   private static final double AT_S = 28;
@@ -45,7 +45,7 @@
   private int takenOver;
   private boolean atLimits = true;
 
-  /** The troubles that meet a wave of cancellations. */
+  /** The faults that coincide with a wave of cancellations. */
   private enum Trouble {
     HANG,
     CUT,
@@ -88,7 +88,7 @@
         .toList();
   }
 
-  /** Users call off so many jobs that run, within so many seconds. */
+  /** Users cancel {@code count} running jobs within {@code withinS} seconds. */
   private void callOff(int count, double withinS) {
     List<JobId> running = running();
     for (JobId id : running.subList(0, Math.min(count, running.size()))) {
@@ -201,8 +201,8 @@
         callOff(WAVE / 2, 10);
       }
       case TAKEN_OVER_AND_REFUSED -> {
-        // Whoever takes blocks over is refused at once, and machines are back as new workers before
-        // they show its token.
+        // New owners of shards are refused at first, and machines restart as new workers before
+        // they show the new token.
         cluster.delayMessages(0.2, 9, random);
         boolean[] hit = new boolean[3];
         cluster.injectFaultAt(
@@ -239,7 +239,8 @@
         cluster.time().after(20, () -> cluster.delayMessages(0, 0, random));
       }
       default -> {
-        // The next leader may be one that has been told lower limits, or the only one that has not.
+        // The next leader may be one whose settings have lower limits, or the only one whose
+        // settings do not.
         for (int node = 0; node < cluster.nodeCount(); node++) {
           if (node != leader()) {
             cluster.configureTeams(
