--- a/src/test/java/org/quincecross/emulator/CombinedFaults.java
+++ b/src/test/java/org/quincecross/emulator/CombinedFaults.java
@@ -21,14 +21,14 @@
  * has the others unchanged.
  */
 final class CombinedFaults {
-  private static final double FROM_S = 14;
-  private static final double UNTIL_S = 150;
-  private static final double MOST_APART_S = 5;
+  private static final double START_S = 14;
+  private static final double END_S = 150;
+  private static final double MAX_GAP_S = 5;
   private static final int SMALL_JOBS = 24;
-  private static final int QUESTIONS = 60;
+  private static final int POLLS = 60;
 
   /** The faults that are combined. */
-  private enum Trouble {
+  private enum Fault {
     LATE_WRITES,
     LATE_REPORTS,
     DEAF_MACHINES,
@@ -58,8 +58,8 @@
 
   private final SimulatedCluster cluster;
   private final boolean further;
-  private final List<String> story = new ArrayList<>();
-  private double overS = UNTIL_S;
+  private final List<String> log = new ArrayList<>();
+  private double overS = END_S;
   private int count;
 
   /**
@@ -69,16 +69,19 @@
   CombinedFaults(SimulatedCluster cluster, long seed, Set<Integer> only, boolean further) {
     this.cluster = cluster;
     this.further = further;
-    double at = FROM_S + 10 * source(seed, -2).nextDouble();
-    for (; at < UNTIL_S; count++) {
-      Random random = source(seed, count);
-      at = meet(random, at, only.isEmpty() || only.contains(count)) + 2 + 8 * random.nextDouble();
+    double at = START_S + 10 * randomSource(seed, -2).nextDouble();
+    for (; at < END_S; count++) {
+      Random random = randomSource(seed, count);
+      at =
+          drawPair(random, at, only.isEmpty() || only.contains(count))
+              + 2
+              + 8 * random.nextDouble();
     }
-    jobs(source(seed, -1));
+    submitJobs(randomSource(seed, -1));
   }
 
   /** The seed is mixed, because random sources with consecutive seeds produce similar values. */
-  private static Random source(long seed, int number) {
+  private static Random randomSource(long seed, int number) {
     return new Random(new SplittableRandom(seed * 1009 + number).nextLong());
   }
 
@@ -96,22 +99,22 @@
   }
 
   /** The faults and their times. */
-  List<String> story() {
-    return story;
+  List<String> log() {
+    return log;
   }
 
   /** Draws a pair of faults that begins at a time; returns when both are over. */
-  private double meet(Random random, double atS, boolean takesPlace) {
-    int all = Trouble.values().length;
-    int least = further ? Trouble.FURTHER_FROM : 0;
-    Trouble first =
-        Trouble.values()[least + random.nextInt(further ? all - least : Trouble.FURTHER_FROM)];
-    Trouble second = Trouble.values()[random.nextInt(further ? all : Trouble.FURTHER_FROM)];
+  private double drawPair(Random random, double atS, boolean takesPlace) {
+    int all = Fault.values().length;
+    int least = further ? Fault.FURTHER_FROM : 0;
+    Fault first =
+        Fault.values()[least + random.nextInt(further ? all - least : Fault.FURTHER_FROM)];
+    Fault second = Fault.values()[random.nextInt(further ? all : Fault.FURTHER_FROM)];
     double length = length(first, random);
     double then =
         random.nextInt(10) < 7
             ? length * random.nextDouble()
-            : length + MOST_APART_S * random.nextDouble();
+            : length + MAX_GAP_S * random.nextDouble();
     double secondLength = length(second, random);
     if (takesPlace) {
       begin(first, random.nextLong(), atS, length);
@@ -120,9 +123,9 @@
     return Math.max(atS + length, atS + then + secondLength);
   }
 
-  private double length(Trouble trouble, Random random) {
+  private double length(Fault fault, Random random) {
     double cancel = cluster.site().workers().cancelTimeout().seconds();
-    return switch (trouble) {
+    return switch (fault) {
       case REFUSED_THEN_OUTAGE -> cancel + 4 + 22 * random.nextDouble();
       case LONE_LEADER, UNREACHED, SILENCE -> 4 + 30 * random.nextDouble();
       case QUICK_CONTROLLERS, QUICK_MACHINES, LEADER_ENDS, ALL_END -> 1 + 7 * random.nextDouble();
@@ -131,21 +134,20 @@
     };
   }
 
-  private void begin(Trouble trouble, long seed, double atS, double lengthS) {
+  private void begin(Fault fault, long seed, double atS, double lengthS) {
     double lease = cluster.site().workers().lease().seconds();
     // Duplicates of the last reports arrive leases later, the last writes and commands seconds
     // later; failed processes restart.
-    overS = Math.max(overS, atS + lengthS + (trouble == Trouble.LATE_REPORTS ? 3 * lease : 13));
+    overS = Math.max(overS, atS + lengthS + (fault == Fault.LATE_REPORTS ? 3 * lease : 13));
     cluster
         .time()
         .at(
             atS,
             () -> {
               Random random = new Random(seed);
-              String what = begin(trouble, random, lengthS);
-              story.add(
-                  String.format(
-                      Locale.ROOT, "%.2f for %.2f s: %s %s", atS, lengthS, trouble, what));
+              String what = begin(fault, random, lengthS);
+              log.add(
+                  String.format(Locale.ROOT, "%.2f for %.2f s: %s %s", atS, lengthS, fault, what));
             });
   }
 
@@ -158,17 +160,18 @@
     return leader < 0 ? random.nextInt(cluster.nodeCount()) : leader;
   }
 
-  private List<MachineId> some(Collection<MachineId> machines, double share, Random random) {
+  private List<MachineId> randomSubset(
+      Collection<MachineId> machines, double share, Random random) {
     return machines.stream().filter(each -> random.nextDouble() < share).toList();
   }
 
-  private String begin(Trouble trouble, Random random, double length) {
+  private String begin(Fault fault, Random random, double length) {
     int leader = leader(random);
     int node = random.nextInt(3) > 0 ? leader : random.nextInt(cluster.nodeCount());
     boolean lose = random.nextBoolean();
     double share = random.nextDouble();
     List<MachineId> machines = cluster.cloud().machines();
-    switch (trouble) {
+    switch (fault) {
       case LATE_WRITES -> {
         share = 0.05 + 0.45 * share * share;
         double until = cluster.time().seconds() + length;
@@ -183,7 +186,7 @@
         after(length, () -> cluster.duplicateReports(0, random));
       }
       case DEAF_MACHINES ->
-          some(machines, 0.1 + 0.5 * share, random)
+          randomSubset(machines, 0.1 + 0.5 * share, random)
               .forEach(each -> cluster.dropInbound(each, length));
       case SLOW_STATE -> {
         double least = 1.5 * random.nextDouble();
@@ -197,14 +200,15 @@
       }
       case LONE_LEADER -> {
         if (random.nextInt(3) == 0) {
-          hold(node, length);
+          isolateHolding(node, length);
         } else {
           cluster.separate(node, length, lose);
         }
       }
       case QUICK_CONTROLLERS ->
-          quick(random.nextInt(4) == 0 ? -1 : node, 1 + random.nextInt(3), random, length);
-      case QUICK_MACHINES -> quickMachines(0.05 + 0.3 * share, random, length);
+          restartRepeatedly(
+              random.nextInt(4) == 0 ? -1 : node, 1 + random.nextInt(3), random, length);
+      case QUICK_MACHINES -> restartMachinesRepeatedly(0.05 + 0.3 * share, random, length);
       case ELECTION -> {
         cluster.crash(leader);
         for (int i = 0; i < 1 + random.nextInt(3); i++) {
@@ -220,7 +224,7 @@
       }
       case UNREACHED -> {
         // The leader fails while some machines are unreachable, for all or for some controllers.
-        for (MachineId each : some(machines, 0.2 + 0.5 * share, random)) {
+        for (MachineId each : randomSubset(machines, 0.2 + 0.5 * share, random)) {
           for (int other = 0; other < cluster.nodeCount(); other++) {
             if (lose || random.nextBoolean()) {
               cluster.cut(
@@ -249,7 +253,7 @@
           new ZonePartitions(cluster)
               .zone(random.nextInt(cluster.site().zones().size()), length, lose);
       case CANCELLATIONS -> {
-        for (JobId id : open(random, 0.1 + 0.3 * share)) {
+        for (JobId id : openJobs(random, 0.1 + 0.3 * share)) {
           after(length * random.nextDouble(), () -> cluster.users().cancel(id));
         }
       }
@@ -281,7 +285,7 @@
             });
       }
       case MUTE_MACHINES ->
-          some(machines, 0.1 + 0.6 * share, random)
+          randomSubset(machines, 0.1 + 0.6 * share, random)
               .forEach(each -> cluster.dropOutbound(each, length));
       case QUICK_BOOTS -> {
         cluster.cloud().bootWithin(2, length);
@@ -290,13 +294,13 @@
             .forEach(each -> cluster.cloud().terminate(each, 0));
         after(length * random.nextDouble(), () -> cluster.crash(leader(random)));
       }
-      default -> throw new IllegalStateException(trouble.toString());
+      default -> throw new IllegalStateException(fault.toString());
     }
     return String.format(Locale.ROOT, "leader n%d node n%d %s %.2f", leader, node, lose, share);
   }
 
   /** Like {@link SimulatedCluster#separate}, but packets are held until the end. */
-  private void hold(int node, double length) {
+  private void isolateHolding(int node, double length) {
     cluster.cut(ClusterSpec.nodeName(node), "state", length, false);
     for (int other = 0; other < cluster.nodeCount(); other++) {
       if (other != node) {
@@ -305,7 +309,7 @@
     }
   }
 
-  private void quick(int node, int times, Random random, double length) {
+  private void restartRepeatedly(int node, int times, Random random, double length) {
     for (int again = 0; again < times; again++) {
       double down = 0.05 + 0.7 * random.nextDouble();
       after(
@@ -320,7 +324,7 @@
     }
   }
 
-  private void quickMachines(double share, Random random, double length) {
+  private void restartMachinesRepeatedly(double share, Random random, double length) {
     cluster
         .cloud()
         .workers()
@@ -334,7 +338,7 @@
             });
   }
 
-  private List<JobId> open(Random random, double share) {
+  private List<JobId> openJobs(Random random, double share) {
     return cluster.users().reportedStates().entrySet().stream()
         .filter(
             each ->
@@ -348,11 +352,11 @@
 
   // ---- user activity during the day ----
 
-  private void jobs(Random random) {
+  private void submitJobs(Random random) {
     for (int i = 0; i < SMALL_JOBS; i++) {
       int number = 2000 + i;
       boolean isCancelled = random.nextInt(5) == 0;
-      double at = 3 + (UNTIL_S - 10) * i / SMALL_JOBS;
+      double at = 3 + (END_S - 10) * i / SMALL_JOBS;
       List<Double> seconds =
           new ArrayList<>(List.of(1 + 3 * random.nextDouble(), 20 + 35 * random.nextDouble()));
       if (random.nextBoolean()) {
@@ -392,11 +396,11 @@
             .at(at + 2 + 45 * random.nextDouble(), () -> cluster.users().cancel(job.id()));
       }
     }
-    for (int i = 0; i < QUESTIONS; i++) {
+    for (int i = 0; i < POLLS; i++) {
       cluster
           .time()
           .at(
-              FROM_S + (UNTIL_S + 40) * random.nextDouble(),
+              START_S + (END_S + 40) * random.nextDouble(),
               () -> {
                 List<JobId> known = List.copyOf(cluster.users().reportedStates().keySet());
                 if (!known.isEmpty()) {
--- a/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
+++ b/src/test/java/org/quincecross/emulator/ConcurrentReadersTest.java
@@ -50,7 +50,8 @@
   @ParameterizedTest
   @ValueSource(longs = 2)
   void keepsRulesWithUserErrors(long seed) {
-    assertEquals(List.of(), RandomScenario.ofMeetings(seed).with(UserErrorFaults::inject).play());
+    assertEquals(
+        List.of(), RandomScenario.withCombinedFaults(seed).with(UserErrorFaults::inject).run());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/ControllerFailuresTest.java
@@ -48,7 +48,7 @@
   }
 
   /** The number of replicas that run according to a controller. */
-  private int believed(int node) {
+  private int replicasAccordingTo(int node) {
     int[] sum = new int[1];
     for (JobId id : services) {
       cluster.sendDirectly(
@@ -73,20 +73,20 @@
    */
   @ParameterizedTest
   @CsvSource({"35, false", "90, false", "35, true", "90, true"})
-  void aControllerThatWasSilentForLongIsToldOfAllSoonAfter(double seconds, boolean keepsMemory) {
+  void returningControllerLearnsStateSoon(double seconds, boolean keepsMemory) {
     cluster.time().runUntil(30);
     int node = (cluster.leader() + 1) % site.nodes();
     cluster.isolate(node, seconds, keepsMemory);
     cluster.time().runUntil(30 + seconds + 8);
-    assertEquals(36, believed(node));
+    assertEquals(36, replicasAccordingTo(node));
     assertWorkCompletesAndReplicasRun(30 + seconds + 60);
   }
 
-  private int blocksOf(int node) {
-    return blocksOf(cluster, node);
+  private int shardCount(int node) {
+    return shardCount(cluster, node);
   }
 
-  private static int blocksOf(SimulatedCluster cluster, int node) {
+  private static int shardCount(SimulatedCluster cluster, int node) {
     int[] count = new int[1];
     cluster.sendDirectly(
         node,
@@ -105,14 +105,19 @@
    * and are not leased to it repeatedly while no machine reaches it (incident inc-6ced).
    */
   @Test
-  void aDeafControllerIsNotGivenBlocksAgainAndAgain() {
-    int given = givenWhileDeaf(this);
+  void unreachableControllerGetsNoRepeatedShards() {
+    int given = shardsLeasedWhileUnreachable(this);
     assertEquals(36, replicas());
     assertTrue(given <= 8, given + " shards leased");
     cluster.time().runUntil(190);
     assertTrue(
-        blocksOf(0) > 0 && blocksOf(1) > 0 && blocksOf(2) > 0,
-        "it hears again, and has its part: " + blocksOf(0) + " " + blocksOf(1) + " " + blocksOf(2));
+        shardCount(0) > 0 && shardCount(1) > 0 && shardCount(2) > 0,
+        "it hears again, and has its part: "
+            + shardCount(0)
+            + " "
+            + shardCount(1)
+            + " "
+            + shardCount(2));
     assertWorkCompletesAndReplicasRun(200);
   }
 
@@ -121,10 +126,10 @@
    * bounded as well.
    */
   @Test
-  void aDeafControllerIsTriedSeldom() throws MalformedMessageException {
+  void unreachableControllerGetsFewShards() throws MalformedMessageException {
     int given = 0;
     for (int seed = 1; seed <= 8; seed++) {
-      int now = givenWhileDeaf(new BusyCluster(seed));
+      int now = shardsLeasedWhileUnreachable(new BusyCluster(seed));
       assertTrue(now <= 8, now + " shards leased, seed " + seed);
       given += now;
     }
@@ -134,7 +139,7 @@
   /**
    * The number of times that a controller is leased a shard while no machine reaches it, for 70 s.
    */
-  private static int givenWhileDeaf(BusyCluster on) {
+  private static int shardsLeasedWhileUnreachable(BusyCluster on) {
     SimulatedCluster cluster = on.cluster;
     ClusterSpec site = on.site;
     cluster.time().runUntil(30);
@@ -144,11 +149,11 @@
         .machines()
         .forEach(machine -> cluster.cut(ClusterSpec.nodeName(deaf), machine.text(), 70, true));
     int given = 0;
-    int held = blocksOf(cluster, deaf);
+    int held = shardCount(cluster, deaf);
     int most = 0;
     for (double at = 30; at < 100; at += 0.1) {
       cluster.time().runUntil(at);
-      int now = blocksOf(cluster, deaf);
+      int now = shardCount(cluster, deaf);
       given += Math.max(0, now - held);
       held = now;
       most = at > 45 ? Math.max(most, now) : most;
@@ -165,7 +170,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {1, 2.7, 6, 12, 35, 90})
-  void controllersThatStandStillInTurn(double seconds) {
+  void recoversFromSuspensionsInTurn(double seconds) {
     cluster.time().runUntil(20.07);
     int first = cluster.leader();
     cluster.suspend(first, seconds);
@@ -183,7 +188,7 @@
    * rented because of them, and no other job waits.
    */
   @Test
-  void jobsThatCanOnlyFailAreTriedNowAndThen() {
+  void misconfiguredJobsAreAttemptedRarely() {
     for (int i = 0; i < 20; i++) {
       Job job =
           i % 5 < 3
@@ -230,7 +235,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {8, 30})
-  void aStormOfQuestionsWhileAControllerIsAway(double factor) {
+  void excessivePollsDoNotDelaySubmissions(double factor) {
     cluster.time().runUntil(20);
     cluster.isolate((cluster.leader() + 1) % site.nodes(), 40, false);
     cluster.users().multiplyPolls(factor, 60);
@@ -285,7 +290,7 @@
    */
   @ParameterizedTest
   @EnumSource(Step.class)
-  void aMishapInEachStep(Step step) throws MalformedMessageException {
+  void recoversFromFaultInEachStep(Step step) throws MalformedMessageException {
     for (SimulatedCluster.SendFault mishap : SimulatedCluster.SendFault.values()) {
       for (double seconds : new double[] {1, 6, 12, 35, 90}) {
         ClusterSpec growing = ClusterSpec.tryOut(MACHINES, false);
--- a/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DeadlineRequestCasesTest.java
@@ -32,7 +32,7 @@
   private static final int MACHINES = 30;
 
   /** By then the level that introduces requests is in force. */
-  private static final double READY_S = 35;
+  private static final double START_S = 35;
 
   private static final long HOUR_MS = 3_600_000;
 
@@ -44,9 +44,9 @@
           Meter.OFF,
           new Features(
               null, null, Build.present("requests", 3), Map.of("requests", Map.of("share", 0.5))));
-  private final DeadlineRequestInvariant watch = new DeadlineRequestInvariant(cluster);
+  private final DeadlineRequestInvariant invariant = new DeadlineRequestInvariant(cluster);
   private final Map<String, Integer> answers = new HashMap<>();
-  private final Map<String, String> words = new HashMap<>();
+  private final Map<String, String> answerTexts = new HashMap<>();
   private int jobs = 100;
 
   private void run(double seconds) {
@@ -57,7 +57,7 @@
    * Sends a change of a request to a controller; the answer is recorded under {@code name}, the
    * name of the operators' request.
    */
-  private void ask(
+  private void send(
       int node, String name, String reference, Map<String, Object> command, Runnable durable) {
     cluster.sendDirectly(
         node,
@@ -66,7 +66,7 @@
             Json.write(Json.object("request", name, "command", command))),
         response -> {
           answers.put(name, response.status());
-          words.put(name, new String(response.body(), UTF_8));
+          answerTexts.put(name, new String(response.body(), UTF_8));
           if (response.status() == 200) {
             durable.run();
           }
@@ -75,7 +75,7 @@
 
   private void arrive(
       int node, String name, String reference, String kind, double dueH, int tasks) {
-    ask(
+    send(
         node,
         name,
         reference,
@@ -100,25 +100,25 @@
             4,
             "zones",
             List.of()),
-        () -> watch.accepted(reference, kind));
+        () -> invariant.accepted(reference, kind));
   }
 
   private void deliver(int node, String name, String reference) {
-    ask(
+    send(
         node,
         name,
         reference,
         Json.object("do", "answer"),
-        () -> watch.ended(reference, DeadlineRequest.State.ANSWERED));
+        () -> invariant.ended(reference, DeadlineRequest.State.ANSWERED));
   }
 
   private void withdraw(int node, String name, String reference) {
-    ask(
+    send(
         node,
         name,
         reference,
         Json.object("do", "withdraw", "why", "not needed"),
-        () -> watch.ended(reference, DeadlineRequest.State.WITHDRAWN));
+        () -> invariant.ended(reference, DeadlineRequest.State.WITHDRAWN));
   }
 
   private Job job(
@@ -169,7 +169,7 @@
    * More other work than there is capacity: another front service, arrays with checkpoints and
    * arrays without.
    */
-  private void flood() {
+  private void submitFlood() {
     for (int i = 0; i < 8; i++) {
       cluster
           .users()
@@ -183,7 +183,7 @@
     }
   }
 
-  private int on(JobId... ids) {
+  private int tasksOnMachines(JobId... ids) {
     int on = 0;
     for (JobId id : ids) {
       on += cluster.invariants().onMachines(id);
@@ -212,16 +212,16 @@
 
   private void assertSound() {
     assertEquals(List.of(), cluster.invariants().violations());
-    assertEquals(List.of(), watch.violations());
+    assertEquals(List.of(), invariant.violations());
   }
 
   /**
    * The time until {@code tasks} tasks of some jobs are on machines, in seconds; {@code most} if
    * they never are.
    */
-  private double until(int tasks, double most, JobId... ids) {
+  private double timeUntilRunning(int tasks, double most, JobId... ids) {
     double begun = cluster.time().seconds();
-    while (on(ids) < tasks && cluster.time().seconds() - begun < most) {
+    while (tasksOnMachines(ids) < tasks && cluster.time().seconds() - begun < most) {
       run(0.1);
     }
     return cluster.time().seconds() - begun;
@@ -232,16 +232,18 @@
    * zones. Work that may borrow used the capacity meanwhile.
    */
   @Test
-  void theLaneStartsInAFloodOfEverythingElse() {
-    cluster.time().runUntil(READY_S);
+  void reservedLaneStartsDuringFlood() {
+    cluster.time().runUntil(START_S);
     arrive(0, "a", "police-1", "police", 24, 24);
     run(15);
     assertEquals(
-        DeadlineRequest.State.RESERVED, watch.request("police-1").state(), words.toString());
+        DeadlineRequest.State.RESERVED,
+        invariant.request("police-1").state(),
+        answerTexts.toString());
     assertTrue(
-        watch.request("police-1").zones().values().stream().allMatch(tasks -> tasks == 8),
-        watch.request("police-1").toString());
-    flood();
+        invariant.request("police-1").zones().values().stream().allMatch(tasks -> tasks == 8),
+        invariant.request("police-1").toString());
+    submitFlood();
     run(60);
     double used = cluster.invariants().used("batch").cpus();
     assertTrue(
@@ -250,7 +252,7 @@
         cluster
             .users()
             .submit(job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 24, 2, false, true));
-    double took = until(24, 60, front);
+    double took = timeUntilRunning(24, 60, front);
     System.err.println(
         "24 tasks of the lane run "
             + took
@@ -262,7 +264,7 @@
     deliver(1, "d", "police-1");
     cluster.users().cancel(front);
     run(60);
-    assertEquals(DeadlineRequest.State.ANSWERED, watch.request("police-1").state());
+    assertEquals(DeadlineRequest.State.ANSWERED, invariant.request("police-1").state());
     assertTrue(
         cluster.invariants().used("batch").cpus() > 8 * MACHINES - 10,
         "given back: " + cluster.invariants().used("batch"));
@@ -274,23 +276,24 @@
    * request is accepted, and the other answer names the fields that differ.
    */
   @Test
-  void theSameReferenceWithOtherFigures() {
-    cluster.time().runUntil(READY_S);
+  void sameReferenceWithOtherFieldsIsRefused() {
+    cluster.time().runUntil(START_S);
     arrive(0, "a", "r-1", "police", 24, 4);
     arrive(1, "b", "r-1", "carrier", 24, 6);
     run(5);
-    assertEquals(List.of(200, 409), answers.values().stream().sorted().toList(), words.toString());
-    String refused = words.get(answers.get("a") == 409 ? "a" : "b");
+    assertEquals(
+        List.of(200, 409), answers.values().stream().sorted().toList(), answerTexts.toString());
+    String refused = answerTexts.get(answers.get("a") == 409 ? "a" : "b");
     assertTrue(refused.contains("kind is") && refused.contains("tasks is"), refused);
     arrive(
         2,
         answers.get("a") == 200 ? "a" : "b",
         "r-1",
-        watch.request("r-1").kind(),
+        invariant.request("r-1").kind(),
         24,
-        watch.request("r-1").need().tasks());
+        invariant.request("r-1").need().tasks());
     run(5);
-    assertEquals(DeadlineRequest.State.RESERVED, watch.request("r-1").state());
+    assertEquals(DeadlineRequest.State.RESERVED, invariant.request("r-1").state());
     assertSound();
   }
 
@@ -299,8 +302,8 @@
    * the request is closed once.
    */
   @Test
-  void deliveredInEveryWrongMoment() {
-    cluster.time().runUntil(READY_S);
+  void requestIsClosedOnceWheneverDelivered() {
+    cluster.time().runUntil(START_S);
     arrive(0, "a1", "r-1", "police", 24, 4);
     deliver(0, "d1", "r-1");
     arrive(1, "a2", "r-2", "police", 24, 4);
@@ -317,7 +320,7 @@
     assertEquals(
         List.of(200, 409),
         List.of(answers.get("d4"), answers.get("w4")).stream().sorted().toList(),
-        words.toString());
+        answerTexts.toString());
     arrive(0, "a4", "r-4", "carrier", 24, 4);
     run(5);
     withdraw(0, "w5", "r-4");
@@ -325,24 +328,24 @@
     deliver(1, "d7", "r-4");
     run(2);
     assertEquals(
-        List.of(200, 409), List.of(answers.get("w5"), answers.get("d7")), words.toString());
-    ask(0, "d5", "r-2", Json.object("do", "answer", "delivered_ms", 1_000_000_001L), () -> {});
-    ask(0, "d6", "r-9", Json.object("do", "answer"), () -> {});
+        List.of(200, 409), List.of(answers.get("w5"), answers.get("d7")), answerTexts.toString());
+    send(0, "d5", "r-2", Json.object("do", "answer", "delivered_ms", 1_000_000_001L), () -> {});
+    send(0, "d6", "r-9", Json.object("do", "answer"), () -> {});
     run(10);
     assertEquals(
-        List.of(409, 404), List.of(answers.get("d5"), answers.get("d6")), words.toString());
+        List.of(409, 404), List.of(answers.get("d5"), answers.get("d6")), answerTexts.toString());
     assertTrue(
-        watch.seen().values().stream().noneMatch(request -> request.state().isOpen()),
-        watch.seen().toString());
+        invariant.seen().values().stream().noneMatch(request -> request.state().isOpen()),
+        invariant.seen().toString());
     assertSound();
   }
 
   /** The leader fails or is suspended around each step, with transactions that are applied late. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.003, 0.01, 0.05, 0.2, 1})
-  void theLeaderIsLostInEachState(double offset) {
+  void requestsSurviveLeaderFailureInEachState(double offset) {
     cluster.state().applyLate(10);
-    cluster.time().runUntil(READY_S);
+    cluster.time().runUntil(START_S);
     for (int round = 0; round < 6; round++) {
       int each = round;
       String reference = "r-" + each;
@@ -350,11 +353,11 @@
       int other = (leader + 1) % 3;
       double still = round % 2 == 0 ? 0 : 9;
       boolean ends = round >= 3;
-      keepAsking(
+      repeatUntilAnswered(
           other, "a" + each, () -> arrive(other, "a" + each, reference, "police", 24 + each, 5));
       run(ends ? 4 : offset);
       if (ends) {
-        keepAsking(other, "d" + each, () -> deliver(other, "d" + each, reference));
+        repeatUntilAnswered(other, "d" + each, () -> deliver(other, "d" + each, reference));
         run(offset);
       }
       if (still == 0) {
@@ -363,21 +366,21 @@
         cluster.suspend(leader, still);
       }
       run(16);
-      assertEquals(200, answers.get("a" + round), words.toString());
+      assertEquals(200, answers.get("a" + round), answerTexts.toString());
       assertEquals(
           ends ? DeadlineRequest.State.ANSWERED : DeadlineRequest.State.RESERVED,
-          watch.request(reference).state(),
-          reference + " " + words);
+          invariant.request(reference).state(),
+          reference + " " + answerTexts);
     }
     run(30);
     assertSound();
   }
 
   /** Like an operator, repeats the request under the same name until there is a definite answer. */
-  private void keepAsking(int node, String name, Runnable ask) {
+  private void repeatUntilAnswered(int node, String name, Runnable ask) {
     if (!answers.containsKey(name) || answers.get(name) == 503) {
       ask.run();
-      cluster.time().after(5, () -> keepAsking(node, name, ask));
+      cluster.time().after(5, () -> repeatUntilAnswered(node, name, ask));
     }
   }
 
@@ -386,18 +389,18 @@
    * told that it has none, and gets one again when there is room.
    */
   @Test
-  void capacityShrinksBelowWhatIsReserved() throws MalformedMessageException {
-    cluster.time().runUntil(READY_S);
+  void latestDeadlineLosesReservationWhenCapacityShrinks() throws MalformedMessageException {
+    cluster.time().runUntil(START_S);
     for (int i = 0; i < 4; i++) {
       arrive(i % 3, "a" + i, "r-" + i, "police", 40 - i, 18);
     }
     run(15);
     assertEquals(
         4,
-        watch.seen().values().stream()
+        invariant.seen().values().stream()
             .filter(request -> request.state() == DeadlineRequest.State.RESERVED)
             .count(),
-        watch.seen().toString());
+        invariant.seen().toString());
     set("{\"renting\": false}");
     List<MachineId> ordinary = new ArrayList<>();
     cluster
@@ -412,9 +415,13 @@
     ordinary.subList(0, 8).forEach(id -> cluster.cloud().terminate(id, 0));
     run(45);
     assertEquals(
-        DeadlineRequest.State.ARRIVED, watch.request("r-0").state(), watch.seen().toString());
+        DeadlineRequest.State.ARRIVED,
+        invariant.request("r-0").state(),
+        invariant.seen().toString());
     assertEquals(
-        DeadlineRequest.State.RESERVED, watch.request("r-3").state(), watch.seen().toString());
+        DeadlineRequest.State.RESERVED,
+        invariant.request("r-3").state(),
+        invariant.seen().toString());
     for (int node = 0; node < 3; node++) {
       assertTrue(
           row(node, "r-0").string("without").contains("no room for 18 tasks"),
@@ -424,10 +431,10 @@
     run(40);
     assertEquals(
         4,
-        watch.seen().values().stream()
+        invariant.seen().values().stream()
             .filter(request -> request.state() == DeadlineRequest.State.RESERVED)
             .count(),
-        watch.seen().toString());
+        invariant.seen().toString());
     assertSound();
   }
 
@@ -436,11 +443,11 @@
    * rented. Then a whole zone is lost.
    */
   @Test
-  void keptRoomIsNotReturnedAndIsMadeAnewInOtherZones() throws MalformedMessageException {
-    cluster.time().runUntil(READY_S);
+  void reservedCapacityIsKeptAndMovesToOtherZones() throws MalformedMessageException {
+    cluster.time().runUntil(START_S);
     arrive(1, "a", "r-1", "carrier", 24, 12);
     run(30);
-    assertEquals(Map.of("east", 4, "north", 4, "west", 4), watch.request("r-1").zones());
+    assertEquals(Map.of("east", 4, "north", 4, "west", 4), invariant.request("r-1").zones());
     int rented = cluster.cloud().workers().size();
     long written = changes("r-1");
     run(150);
@@ -457,13 +464,15 @@
     run(60);
     set("{\"renting\": true}");
     run(30);
-    assertEquals(DeadlineRequest.State.RESERVED, watch.request("r-1").state());
+    assertEquals(DeadlineRequest.State.RESERVED, invariant.request("r-1").state());
     JobId front =
         cluster
             .users()
             .submit(job("front", "web", JobKind.SERVICE, Priority.PRODUCTION, 12, 2, false, true));
-    double took = until(12, 30, front);
-    assertTrue(took < 8, on(front) + " tasks run after " + took + " s, " + watch.request("r-1"));
+    double took = timeUntilRunning(12, 30, front);
+    assertTrue(
+        took < 8,
+        tasksOnMachines(front) + " tasks run after " + took + " s, " + invariant.request("r-1"));
     assertSound();
   }
 
@@ -477,8 +486,8 @@
    * and all answers stay on time.
    */
   @Test
-  void tenThousandOpenRequests() throws MalformedMessageException {
-    cluster.time().runUntil(READY_S);
+  void handlesTenThousandOpenRequests() throws MalformedMessageException {
+    cluster.time().runUntil(START_S);
     for (int i = 0; i < 10_000; i++) {
       cluster
           .state()
@@ -519,7 +528,7 @@
                   List.of()));
     }
     run(30);
-    List<DeadlineRequest> byDue = new ArrayList<>(watch.seen().values());
+    List<DeadlineRequest> byDue = new ArrayList<>(invariant.seen().values());
     byDue.sort(java.util.Comparator.comparing(DeadlineRequest::dueMs));
     int reserved =
         (int)
@@ -539,7 +548,7 @@
     assertEquals(200, answers.get("d"));
     assertEquals(
         DeadlineRequest.State.RESERVED,
-        watch.request(byDue.get(reserved).reference()).state(),
+        invariant.request(byDue.get(reserved).reference()).state(),
         "the next in line has what was given back");
     assertSound();
   }
--- a/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedMessagesTest.java
@@ -36,6 +36,6 @@
   @ParameterizedTest
   @ValueSource(longs = {2, 8, 9, 13})
   void keepsRulesAndCompletesWork(long seed) {
-    assertEquals(List.of(), scenario(seed).play());
+    assertEquals(List.of(), scenario(seed).run());
   }
 }
--- a/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
+++ b/src/test/java/org/quincecross/emulator/DelayedTransactionsTest.java
@@ -58,9 +58,9 @@
   void keepsRulesWithDelayedTransactions(long seed) {
     assertEquals(
         List.of(),
-        (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
+        (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.withUpgrade(seed))
             .with(DelayedTransactionFaults::inject)
-            .play());
+            .run());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyCasesTest.java
@@ -38,16 +38,16 @@
 /** Jobs with dependencies, with three controllers and failures, in virtual time. */
 @Timeout(120)
 class DependencyCasesTest {
-  private static final double LOOK_EVERY_S = 0.05;
+  private static final double CHECK_INTERVAL_S = 0.05;
 
   private final SimulatedCluster cluster = new SimulatedCluster(ClusterSpec.small(), 40, Meter.OFF);
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
   private final Map<JobId, Double> cancelledAt = new HashMap<>();
 
   /** The jobs whose own cancellation was requested. */
-  private final Set<JobId> asked = new HashSet<>();
+  private final Set<JobId> cancelRequested = new HashSet<>();
 
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> findings = new ArrayList<>();
 
   private static JobId id(int number) {
     return new JobId("job-" + number);
@@ -75,7 +75,7 @@
   /** Submits a job, to any controller, as soon as its dependencies were accepted. */
   private void submitWhenKnown(Job job) {
     jobs.put(job.id(), job);
-    if (allBefore(job.id()).stream().anyMatch(asked::contains)) {
+    if (allDependencies(job.id()).stream().anyMatch(cancelRequested::contains)) {
       cluster.users().noteCancel(job.id());
     }
     if (cluster.users().reportedStates().keySet().containsAll(job.dependencies())) {
@@ -85,20 +85,20 @@
     }
   }
 
-  private Set<JobId> allBefore(JobId id) {
+  private Set<JobId> allDependencies(JobId id) {
     Set<JobId> all = new LinkedHashSet<>();
     for (JobId before : jobs.get(id).dependencies()) {
       all.add(before);
-      all.addAll(jobs.containsKey(before) ? allBefore(before) : Set.of());
+      all.addAll(jobs.containsKey(before) ? allDependencies(before) : Set.of());
     }
     return all;
   }
 
   /** Cancels a job; its dependents are cancelled with it. */
   private void cancel(JobId id) {
-    asked.add(id);
+    cancelRequested.add(id);
     jobs.keySet().stream()
-        .filter(other -> allBefore(other).contains(id))
+        .filter(other -> allDependencies(other).contains(id))
         .forEach(cluster.users()::noteCancel);
     cluster.users().cancel(id);
   }
@@ -107,12 +107,12 @@
     return cluster.invariants().completedTasks(id) == jobs.get(id).taskCount();
   }
 
-  private void look() {
+  private void checkAll() {
     Map<JobId, String> told = cluster.users().reportedStates();
     for (JobId id : jobs.keySet()) {
-      Set<JobId> before = allBefore(id);
+      Set<JobId> before = allDependencies(id);
       if (cluster.invariants().onMachines(id) > 0 && !before.stream().allMatch(this::isDone)) {
-        broken.add("too early at " + cluster.time().seconds() + ": " + id);
+        findings.add("too early at " + cluster.time().seconds() + ": " + id);
       }
       if ("cancelled".equals(told.get(id))) {
         cancelledAt.putIfAbsent(id, cluster.time().seconds());
@@ -124,7 +124,7 @@
             && !"cancelled".equals(told.get(id))
             && cluster.time().seconds()
                 > since + cluster.site().workers().cancelTimeout().seconds()) {
-          broken.add("orphaned at " + cluster.time().seconds() + ": " + id);
+          findings.add("orphaned at " + cluster.time().seconds() + ": " + id);
         }
       }
     }
@@ -132,20 +132,20 @@
 
   private void runUntil(double seconds) {
     while (cluster.time().seconds() < seconds) {
-      cluster.time().runUntil(cluster.time().seconds() + LOOK_EVERY_S);
-      look();
+      cluster.time().runUntil(cluster.time().seconds() + CHECK_INTERVAL_S);
+      checkAll();
     }
-    assertEquals(List.of(), broken);
+    assertEquals(List.of(), findings);
     assertEquals(List.of(), cluster.invariants().violations());
   }
 
-  private void assertTold(String state, Integer... numbers) {
+  private void assertReported(String state, Integer... numbers) {
     for (int number : numbers) {
       assertEquals(state, cluster.users().reportedStates().get(id(number)), id(number).text());
     }
   }
 
-  private void diamond(int first) {
+  private void submitDiamond(int first) {
     submitWhenKnown(job(first));
     submitWhenKnown(job(first + 1, first));
     submitWhenKnown(job(first + 2, JobKind.GANG, 2, 1, first));
@@ -167,7 +167,7 @@
     "ALL, 0.3",
     "LATE, 5"
   })
-  void eachRunsOnceThoseBeforeItAreDone(String what, double after) {
+  void jobsRunOnceDependenciesAreDone(String what, double after) {
     Set<String> seen = new HashSet<>();
     if (what.equals("LATE")) {
       cluster
@@ -180,9 +180,9 @@
                       ? after
                       : DelayedTransactions.PROMPT);
     }
-    cluster.time().at(6, () -> diamond(1));
-    cluster.time().at(8, () -> diamond(101));
-    for (double at = 6; at < 80; at += LOOK_EVERY_S) {
+    cluster.time().at(6, () -> submitDiamond(1));
+    cluster.time().at(8, () -> submitDiamond(101));
+    for (double at = 6; at < 80; at += CHECK_INTERVAL_S) {
       cluster
           .time()
           .at(
@@ -214,7 +214,7 @@
               });
     }
     runUntil(what.equals("NONE") ? 60 : 160);
-    assertTold("done", 1, 2, 3, 4, 5, 101, 102, 103, 104, 105);
+    assertReported("done", 1, 2, 3, 4, 5, 101, 102, 103, 104, 105);
   }
 
   /**
@@ -230,8 +230,8 @@
     "4, 7, false",
     "4, 18, true"
   })
-  void whatNeedsACancelledJobIsCancelled(int which, double at, boolean leaderEnds) {
-    cluster.time().at(6, () -> diamond(1));
+  void dependentsOfCancelledJobAreCancelled(int which, double at, boolean leaderEnds) {
+    cluster.time().at(6, () -> submitDiamond(1));
     cluster
         .time()
         .at(
@@ -246,7 +246,7 @@
     runUntil(110);
     boolean wasDone = "done".equals(cluster.users().reportedStates().get(id(which)));
     for (JobId id : jobs.keySet()) {
-      boolean needs = id.equals(id(which)) || allBefore(id).contains(id(which));
+      boolean needs = id.equals(id(which)) || allDependencies(id).contains(id(which));
       assertEquals(
           needs && !wasDone ? "cancelled" : "done",
           cluster.users().reportedStates().get(id),
@@ -262,13 +262,13 @@
   }
 
   /** Like a user, retries as long as it is told to. */
-  private void postUntilTaken(int node, Job job, Consumer<HttpResponse> reply) {
+  private void postUntilAccepted(int node, Job job, Consumer<HttpResponse> reply) {
     post(
         node,
         job,
         answer -> {
           if (answer.status() == 503) {
-            cluster.time().after(1, () -> postUntilTaken(node, job, reply));
+            cluster.time().after(1, () -> postUntilAccepted(node, job, reply));
           } else {
             reply.accept(answer);
           }
@@ -280,7 +280,7 @@
    * reported as unknown, but only if that is certain.
    */
   @Test
-  void whatAJobNamesIsLookedForInWhatIsDurableNow() {
+  void dependenciesAreLookedUpInDurableRecords() {
     Map<String, Integer> answers = new TreeMap<>();
     Map<String, Integer> refusals = new TreeMap<>();
     // 200 counts like 201: jobs that were accepted together are looked up.
@@ -300,7 +300,7 @@
                       job(number),
                       first -> {
                         assertTrue(first.status() < 300, "" + first.status());
-                        postUntilTaken((number + 1) % 3, job(number + 1, number), count);
+                        postUntilAccepted((number + 1) % 3, job(number + 1, number), count);
                         postUntilRefused((number + 2) % 3, job(number + 2, number + 9), refusals);
                       }));
     }
@@ -354,13 +354,13 @@
         });
   }
 
-  private void askUntilTold(int number, Consumer<String> told) {
+  private void pollUntilAnswered(int number, Consumer<String> told) {
     cluster.sendDirectly(
         number % cluster.nodeCount(),
         HttpRequest.get(JobCodec.JOBS_PATH + "/" + id(number)),
         answer -> {
           if (answer.status() == 503) {
-            cluster.time().after(1, () -> askUntilTold(number, told));
+            cluster.time().after(1, () -> pollUntilAnswered(number, told));
           } else {
             told.accept(
                 new String(answer.body(), StandardCharsets.UTF_8)
@@ -375,7 +375,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aLongChainIsCancelledFromItsHead(boolean allRestart) throws MalformedMessageException {
+  void longChainIsCancelledWithItsFirstJob(boolean allRestart) throws MalformedMessageException {
     int length = 2000;
     cluster.environment().tasks().runsLonger(id(0).task(0), 300);
     submitWhenKnown(job(0, JobKind.ARRAY, 2, 1));
@@ -416,7 +416,7 @@
           .time()
           .after(
               1 + 0.01 * i,
-              () -> askUntilTold(number, state -> said.merge(state, 1, Integer::sum)));
+              () -> pollUntilAnswered(number, state -> said.merge(state, 1, Integer::sum)));
     }
     cluster.time().runUntil(until);
     assertEquals(Map.of("cancelled", length), said);
@@ -432,7 +432,7 @@
    * One job depends on 600, and 600 depend on that one; the first names more than fit in a record.
    */
   @Test
-  void oneWaitsForManyAndManyForOne() {
+  void acceptsManyDependenciesAndManyDependents() {
     int many = 600;
     Integer[] all = new Integer[many];
     for (int i = 0; i < many; i++) {
@@ -447,8 +447,8 @@
     }
     cluster.time().at(30, () -> cluster.crash(cluster.leader()));
     cluster.time().runUntil(150);
-    look();
-    assertEquals(List.of(), broken);
+    checkAll();
+    assertEquals(List.of(), findings);
     assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(cluster.state().keysWithPrefix("q/after/").size() > 1);
     assertEquals(
--- a/src/test/java/org/quincecross/emulator/DependencyScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyScenarioTest.java
@@ -14,6 +14,6 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
   void keepsRulesAndCompletesWork(long seed) {
-    assertEquals(List.of(), RandomScenario.ofPipelines(seed).play());
+    assertEquals(List.of(), RandomScenario.withPipelines(seed).run());
   }
 }
--- a/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
+++ b/src/test/java/org/quincecross/emulator/DependencyTerminationTest.java
@@ -33,7 +33,7 @@
   private static final JobId FIRST = new JobId("job-1");
   private static final JobId MIDDLE = new JobId("job-2");
   private static final JobId LAST = new JobId("job-3");
-  private static final double LOOK_S = 0.005;
+  private static final double CHECK_INTERVAL_S = 0.005;
 
   private SimulatedCluster cluster =
       new SimulatedCluster(ClusterSpec.tryOut(30, true), 3, Meter.OFF);
@@ -60,7 +60,7 @@
   }
 
   /** Submits three jobs, each depending on the one before. */
-  private void chain(double seconds) {
+  private void submitChain(double seconds) {
     cluster.users().submit(job(FIRST, 4, seconds));
     submitLater(job(MIDDLE, 3, 2, FIRST));
     submitLater(job(LAST, 2, 2, MIDDLE));
@@ -71,11 +71,11 @@
         .submit(new DependentJobs.PipelineJob(job, DependentJobs.SubmitCondition.ONCE_ACCEPTED));
   }
 
-  private void at(BooleanSupplier moment, Runnable what) {
+  private void when(BooleanSupplier moment, Runnable what) {
     if (moment.getAsBoolean()) {
       what.run();
     } else {
-      cluster.time().after(LOOK_S, () -> at(moment, what));
+      cluster.time().after(CHECK_INTERVAL_S, () -> when(moment, what));
     }
   }
 
@@ -83,7 +83,8 @@
    * Sends a request to a controller, and a second later to the next, until one of them answers 200
    * or 201; records all answers.
    */
-  private void ask(int node, JobId id, HttpRequest request, List<Integer> answers, Runnable then) {
+  private void sendUntilAccepted(
+      int node, JobId id, HttpRequest request, List<Integer> answers, Runnable then) {
     String before = cluster.invariants().lastReportedState(id);
     boolean[] answered = new boolean[1];
     cluster.sendDirectly(
@@ -93,7 +94,7 @@
           answered[0] = true;
           answers.add(response.status());
           if (response.status() == 200 || response.status() == 201) {
-            tell(id, response.body(), before);
+            recordState(id, response.body(), before);
             then.run();
           }
         });
@@ -103,12 +104,12 @@
             1,
             () -> {
               if (!answered[0] || answers.get(answers.size() - 1) > 201) {
-                ask((node + 1) % cluster.nodeCount(), id, request, answers, then);
+                sendUntilAccepted((node + 1) % cluster.nodeCount(), id, request, answers, then);
               }
             });
   }
 
-  private void tell(JobId id, byte[] body, String before) {
+  private void recordState(JobId id, byte[] body, String before) {
     try {
       String state = Json.parseFields(body).string("Status");
       boolean isNew = cluster.users().reportedStates().put(id, state) == null;
@@ -137,7 +138,7 @@
                   HttpRequest.get(JobCodec.JOBS_PATH + "/" + id),
                   response -> {
                     if (response.status() == 200) {
-                      tell(id, response.body(), before);
+                      recordState(id, response.body(), before);
                     } else if (response.status() == 404) {
                       cluster.invariants().onRefused(id, response.status(), before);
                     }
@@ -152,7 +153,7 @@
 
   private void cancelAt(int node, JobId id) {
     cluster.users().noteCancel(id);
-    ask(
+    sendUntilAccepted(
         node,
         id,
         HttpRequest.post(JobCodec.JOBS_PATH + "/" + id + JobCodec.CANCEL_SUFFIX, new byte[0]),
@@ -165,7 +166,7 @@
         && phase.equals(record.get("phase"));
   }
 
-  private String told(JobId id) {
+  private String reportedState(JobId id) {
     return cluster.users().reportedStates().get(id);
   }
 
@@ -174,12 +175,12 @@
   }
 
   /** All three jobs have ended, the later ones in the same state as the first. */
-  private void assertAllEndAlike(double untilS) {
+  private void assertSameEndState(double untilS) {
     cluster.time().runUntil(untilS);
     assertEquals(List.of(), cluster.invariants().violations());
-    String first = told(FIRST);
+    String first = reportedState(FIRST);
     assertTrue(Set.of("done", "cancelled").contains(first), first);
-    assertEquals(List.of(first, first), List.of(told(MIDDLE), told(LAST)));
+    assertEquals(List.of(first, first), List.of(reportedState(MIDDLE), reportedState(LAST)));
     assertEquals(first.equals("done") ? 3 : 0, cluster.invariants().completedTasks(MIDDLE));
   }
 
@@ -191,15 +192,15 @@
    */
   @ParameterizedTest
   @CsvSource({"-0.02, 0.01", "0, 0", "0, 0.02", "0.05, -0.03", "0.2, 0.1", "0.6, 0.05", "1, 0"})
-  void theLastTaskEndsAsItsJobIsCancelled(double cancelAfterS, double endAfterS) {
+  void completionDuringCancellationHasOneOutcome(double cancelAfterS, double endAfterS) {
     int[] leader = new int[1];
-    cluster.time().at(10, () -> chain(6));
+    cluster.time().at(10, () -> submitChain(6));
     cluster
         .time()
         .at(
             10,
             () ->
-                at(
+                when(
                     () -> cluster.invariants().isComplete(FIRST),
                     () -> {
                       leader[0] = cluster.leader();
@@ -213,7 +214,7 @@
                               Math.max(0, cancelAfterS + endAfterS),
                               () -> cluster.crash(leader[0]));
                     }));
-    assertAllEndAlike(140);
+    assertSameEndState(140);
   }
 
   /**
@@ -222,7 +223,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.005, 0.02, 0.1})
-  void theLeaderEndsBetweenDoneAndTheRelease(double laterS) {
+  void dependentsRunAfterLeaderFailure(double laterS) {
     boolean[] ended = new boolean[1];
     int[] late = new int[1];
     double[] doneAt = new double[1];
@@ -233,13 +234,13 @@
                 ended[0] && transaction.contains("q/alloc") && late[0]++ < 1
                     ? 6
                     : DelayedTransactions.PROMPT);
-    cluster.time().at(10, () -> chain(6));
+    cluster.time().at(10, () -> submitChain(6));
     cluster
         .time()
         .at(
             10,
             () ->
-                at(
+                when(
                     () -> isDurably("done", FIRST),
                     () ->
                         cluster
@@ -256,19 +257,19 @@
         .at(
             10,
             () ->
-                at(
+                when(
                     () -> cluster.invariants().onMachines(MIDDLE) > 0,
                     () ->
                         assertTrue(
                             cluster.time().seconds() - doneAt[0] < 25,
                             "released after " + (cluster.time().seconds() - doneAt[0]))));
-    assertAllEndAlike(140);
-    assertEquals("done", told(LAST));
+    assertSameEndState(140);
+    assertEquals("done", reportedState(LAST));
   }
 
   /** A job that only fails keeps all of its dependents waiting until it is cancelled. */
   @Test
-  void aJobThatCanOnlyFailIsCancelledInTheEnd() {
+  void dependentsOfFailingJobWaitUntilCancelled() {
     cluster
         .time()
         .at(
@@ -281,10 +282,15 @@
     cluster.time().at(60, () -> cluster.crash(cluster.leader()));
     cluster
         .time()
-        .at(80, () -> assertEquals(List.of("queued", "queued"), List.of(told(MIDDLE), told(LAST))));
+        .at(
+            80,
+            () ->
+                assertEquals(
+                    List.of("queued", "queued"),
+                    List.of(reportedState(MIDDLE), reportedState(LAST))));
     cluster.time().at(80, () -> cancelAt(other(cluster.leader()), FIRST));
-    assertAllEndAlike(140);
-    assertEquals("cancelled", told(LAST));
+    assertSameEndState(140);
+    assertEquals("cancelled", reportedState(LAST));
     assertTrue(cluster.users().misconfiguredAttempts().get(FIRST) > 0);
   }
 
@@ -296,7 +302,7 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void theAnswerIsLostAndTheNextIsSubmittedElsewhere(int node) {
+  void dependentIsAcceptedAfterLostAnswer(int node) {
     List<Integer> answers = new ArrayList<>();
     Job first = job(FIRST, 4, 4);
     Job middle = job(MIDDLE, 3, 2, FIRST);
@@ -307,12 +313,12 @@
             () -> {
               cluster.users().upload(first);
               cluster.sendDirectly(node, submission(first), lost -> {});
-              at(
+              when(
                   () ->
                       cluster.state().keysWithPrefix("q/").stream()
                           .anyMatch(key -> key.contains("bundle") || key.equals("q/job/job-1")),
                   () ->
-                      ask(
+                      sendUntilAccepted(
                           other(node),
                           FIRST,
                           submission(first),
@@ -322,7 +328,7 @@
     cluster.time().runUntil(60);
     assertEquals(List.of(), cluster.invariants().violations());
     assertEquals(List.of(201), answers);
-    assertEquals("done", told(MIDDLE));
+    assertEquals("done", reportedState(MIDDLE));
   }
 
   /**
@@ -331,36 +337,36 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void whoCannotReadTheRecordsRefusesForNow(int lone) {
+  void controllerWithoutRecordsRefusesTemporarily(int isolated) {
     List<Integer> answers = new ArrayList<>();
     Job first = job(FIRST, 4, 4);
-    cluster.time().at(10, () -> cluster.state().refuse(ClusterSpec.nodeName(lone), 6));
+    cluster.time().at(10, () -> cluster.state().refuse(ClusterSpec.nodeName(isolated), 6));
     cluster
         .time()
         .at(
             10.5,
             () -> {
               cluster.users().upload(first);
-              ask(
-                  other(lone),
+              sendUntilAccepted(
+                  other(isolated),
                   FIRST,
                   submission(first),
                   new ArrayList<>(),
-                  () -> submitTo(lone, job(MIDDLE, 3, 2, FIRST), answers));
+                  () -> submitTo(isolated, job(MIDDLE, 3, 2, FIRST), answers));
             });
     cluster.time().runUntil(60);
     assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(
         !answers.contains(422) && !answers.contains(400) && answers.contains(201),
         answers.toString());
-    assertEquals("done", told(MIDDLE));
+    assertEquals("done", reportedState(MIDDLE));
   }
 
   private void submitTo(int node, Job job, List<Integer> answers) {
     // Known to the invariants like any other job, but at first submitted to this controller only.
     cluster.users().upload(job);
     pipelines().submitted(job);
-    ask(node, job.id(), submission(job), answers, () -> {});
+    sendUntilAccepted(node, job.id(), submission(job), answers, () -> {});
   }
 
   /**
@@ -378,7 +384,7 @@
     "cancelled, 0.3",
     "cancelled, 45"
   })
-  void theNextIsSubmittedAtTheInstantOfTheEnd(String end, double laterS) {
+  void dependentsSubmittedAtEndOfJobAreHandled(String end, double laterS) {
     List<JobId> next =
         IntStream.range(100, 103).mapToObj(number -> new JobId("job-" + number)).toList();
     List<Integer> answers = new ArrayList<>();
@@ -398,13 +404,13 @@
           .time()
           .at(
               10,
-              () -> at(() -> isDurably(end, FIRST), () -> cluster.time().after(laterS, submit)));
+              () -> when(() -> isDurably(end, FIRST), () -> cluster.time().after(laterS, submit)));
     }
     cluster.time().runUntil(100);
     assertEquals(List.of(), cluster.invariants().violations());
     assertTrue(
         answers.size() >= next.size() && Set.of(200, 201).containsAll(answers), answers.toString());
-    next.forEach(id -> assertEquals(end, told(id), id.text()));
+    next.forEach(id -> assertEquals(end, reportedState(id), id.text()));
   }
 
   // ---- many jobs ----
@@ -415,7 +421,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aCascadeWhileTheStateServiceIsOut(boolean allEnd) {
+  void cascadeIsCancelledDespiteOutage(boolean allEnd) {
     int jobs = 2000;
     int depth = 30;
     Random random = new Random(8);
@@ -452,8 +458,8 @@
                   cluster.users().reportedStates().keySet().containsAll(all),
                   cluster.users().reportedStates().size() + " accepted");
               cancelAt(other(cluster.leader()), FIRST);
-              at(
-                  () -> "cancelled".equals(told(FIRST)),
+              when(
+                  () -> "cancelled".equals(reportedState(FIRST)),
                   () -> {
                     out[0] = true;
                     cluster.state().outage(50);
@@ -471,7 +477,8 @@
     assertTrue(out[0]);
     cluster.time().runUntil(175);
     assertEquals(List.of(), cluster.invariants().violations());
-    assertEquals(List.of(), all.stream().filter(id -> !"cancelled".equals(told(id))).toList());
+    assertEquals(
+        List.of(), all.stream().filter(id -> !"cancelled".equals(reportedState(id))).toList());
     assertEquals(0, all.stream().mapToInt(cluster.invariants()::completedTasks).sum());
   }
 
@@ -481,7 +488,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aJobThatNamesAThousandAndAThousandThatNameOne(boolean cancels) {
+  void handlesThousandDependenciesAndDependents(boolean cancels) {
     List<JobId> many =
         IntStream.range(0, 1000).mapToObj(i -> new JobId("job-" + (10_000 + i))).toList();
     List<JobId> after =
@@ -498,14 +505,14 @@
     cluster.time().at(25, () -> cluster.crash(cluster.leader()));
     cluster.time().at(30, () -> cluster.crash(other(cluster.leader())));
     if (cancels) {
-      at(
+      when(
           () -> cluster.invariants().isComplete(many.get(500)),
           () -> cluster.users().cancel(many.get(999)));
     }
     cluster.time().runUntil(200);
     assertEquals(List.of(), cluster.invariants().violations());
-    String last = told(FIRST);
-    assertEquals(Set.of(last), Set.copyOf(after.stream().map(this::told).toList()));
-    assertEquals(told(many.get(999)), last);
+    String last = reportedState(FIRST);
+    assertEquals(Set.of(last), Set.copyOf(after.stream().map(this::reportedState).toList()));
+    assertEquals(reportedState(many.get(999)), last);
   }
 }
--- a/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
+++ b/src/test/java/org/quincecross/emulator/GoldenMessagesTest.java
@@ -18,7 +18,7 @@
   @Test
   void messagesAndStoredValuesKeepTheirVocabulary() throws IOException, MalformedMessageException {
     TreeSet<String> before = new TreeSet<>(GoldenFiles.lines("vocabulary.txt"));
-    SortedSet<String> now = RecordedDays.play().vocabulary();
+    SortedSet<String> now = RecordedDays.run().vocabulary();
     TreeSet<String> lost = new TreeSet<>(before);
     lost.removeAll(now);
     TreeSet<String> added = new TreeSet<>(now);
--- a/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
+++ b/src/test/java/org/quincecross/emulator/LeaderChangesTest.java
@@ -34,7 +34,7 @@
   private static final double LIMIT_CPUS = 48;
 
   /** From the end of a job's last task, or of the fault, until its user has been told. */
-  private static final double TOLD_WITHIN_S = 7;
+  private static final double MAX_REPORT_DELAY_S = 7;
 
   private final ClusterSpec site =
       ClusterSpec.tryOut(30, true)
@@ -46,12 +46,12 @@
                   new Team("web", new Resources(80, 0, 1e9), new Resources(120, 0, 1e9))));
   private final SimulatedCluster cluster = new SimulatedCluster(site, 11, Meter.OFF);
   private final Random random = new Random(11);
-  private final Map<JobId, Integer> ended = new LinkedHashMap<>();
-  private final Map<JobId, Double> lastEnd = new HashMap<>();
+  private final Map<JobId, Integer> endedTasks = new LinkedHashMap<>();
+  private final Map<JobId, Double> lastTaskEnd = new HashMap<>();
   private int tasks;
 
   /** Submits jobs of two and three tasks that end 30 to 90 s apart, with all kinds of placement. */
-  private void submitLong(int jobs, double each) {
+  private void submitLongJobs(int jobs, double each) {
     for (int i = 0; i < jobs; i++) {
       int count = 2 + i % 2;
       Job job =
@@ -76,7 +76,7 @@
             .runsLonger(job.id().task(task), task * (30 + 15 * random.nextDouble()));
       }
       tasks += count;
-      ended.put(job.id(), 0);
+      endedTasks.put(job.id(), 0);
       cluster.time().at(5 + 0.3 * i, () -> cluster.users().submit(job));
     }
   }
@@ -85,7 +85,7 @@
    * Runs an action each time that tasks end; {@code what} receives the number of ended tasks of the
    * job.
    */
-  private void atEnds(double untilS, IntConsumer what) {
+  private void onTaskEnds(double untilS, IntConsumer what) {
     for (double at = 8; at < untilS; at += 0.02) {
       cluster
           .time()
@@ -93,11 +93,11 @@
               at,
               () -> {
                 int most = 0;
-                for (Map.Entry<JobId, Integer> job : ended.entrySet()) {
+                for (Map.Entry<JobId, Integer> job : endedTasks.entrySet()) {
                   int now = cluster.invariants().completedTasks(job.getKey());
                   if (now > job.getValue()) {
                     job.setValue(now);
-                    lastEnd.put(job.getKey(), cluster.time().seconds());
+                    lastTaskEnd.put(job.getKey(), cluster.time().seconds());
                     most = Math.max(most, now);
                   }
                 }
@@ -112,7 +112,7 @@
     return Math.max(0, cluster.leader());
   }
 
-  private void down(boolean leaderToo, boolean othersToo, double seconds) {
+  private void failControllers(boolean leaderToo, boolean othersToo, double seconds) {
     int leader = leader();
     for (int node = 0; node < cluster.nodeCount(); node++) {
       if (node == leader ? leaderToo : othersToo) {
@@ -122,16 +122,16 @@
   }
 
   /** Every job is done, and its user is told in time. */
-  private void assertAllAreDone(double troubleUntilS) {
+  private void assertAllDoneInTime(double troubleUntilS) {
     assertEquals(List.of(), cluster.invariants().violations());
-    ended
+    endedTasks
         .keySet()
         .forEach(
             id -> {
               assertEquals("done", cluster.users().reportedStates().get(id), id.text());
               double told =
                   cluster.users().submittedAt().get(id) + cluster.users().overAfter().get(id);
-              double due = Math.max(troubleUntilS, lastEnd.get(id)) + TOLD_WITHIN_S;
+              double due = Math.max(troubleUntilS, lastTaskEnd.get(id)) + MAX_REPORT_DELAY_S;
               assertTrue(told <= due, id + " told at " + told + ", due at " + due);
             });
   }
@@ -149,21 +149,23 @@
     "true, true, 0.02",
     "true, true, 1.4"
   })
-  void endsFarApartAcrossChangesOfLeader(boolean leaderToo, boolean othersToo, double after) {
-    submitLong(8, 1);
+  void completesJobsWhoseTasksEndFarApart(boolean leaderToo, boolean othersToo, double after) {
+    submitLongJobs(8, 1);
     double[] last = new double[1];
-    atEnds(
+    onTaskEnds(
         140,
         most -> {
           if (cluster.time().seconds() > last[0] + 9) {
             last[0] = cluster.time().seconds() + after;
             cluster
                 .time()
-                .after(after, () -> down(leaderToo, othersToo, 0.3 + 2 * random.nextDouble()));
+                .after(
+                    after,
+                    () -> failControllers(leaderToo, othersToo, 0.3 + 2 * random.nextDouble()));
           }
         });
     cluster.time().runUntil(170);
-    assertAllAreDone(last[0] + 6);
+    assertAllDoneInTime(last[0] + 6);
     assertEquals(tasks, cluster.invariants().starts(), "tasks started, and started again");
   }
 
@@ -173,8 +175,8 @@
    */
   @ParameterizedTest
   @CsvSource({"false, 0.3", "false, 9", "true, 0.3", "true, 9"})
-  void theLastTaskEndsWhileNothingCanBeWritten(boolean late, double leaderAfter) {
-    submitLong(8, 1);
+  void reportsJobThatEndsDuringOutage(boolean late, double leaderAfter) {
+    submitLongJobs(8, 1);
     double[] last = new double[1];
     for (double at = 45; at < 130; at += 25) {
       cluster
@@ -189,20 +191,20 @@
                   cluster.state().outage(14);
                 }
                 last[0] = cluster.time().seconds() + 14;
-                cluster.time().after(leaderAfter, () -> down(true, false, 0.5));
+                cluster.time().after(leaderAfter, () -> failControllers(true, false, 0.5));
               });
     }
-    atEnds(240, most -> {});
+    onTaskEnds(240, most -> {});
     cluster.time().runUntil(260);
     // The last write may be applied 23 s later, and until then its sender does not know.
-    assertAllAreDone(last[0] + (late ? 12 : 3));
+    assertAllDoneInTime(last[0] + (late ? 12 : 3));
   }
 
   /**
    * Sets which machines only the failing controller reaches, which no controller reaches, and which
    * receive nothing.
    */
-  private void unreachable(int former, double seconds) {
+  private void makeMachinesUnreachable(int former, double seconds) {
     List<AgentSimulator> workers = new ArrayList<>(cluster.cloud().workers());
     for (int i = 0; i < workers.size(); i++) {
       Machine machine = workers.get(i).machine();
@@ -225,23 +227,23 @@
    */
   @ParameterizedTest
   @CsvSource({"0, 36", "1, 36", "2, 36", "0, 55", "1, 55", "3, 30", "4, 30"})
-  void aLeaderEndsWhileMachinesCannotBeReached(int how, double seconds) {
-    submitLong(30, 3);
+  void staysWithinLimitWhenMachinesAreUnreachable(int how, double seconds) {
+    submitLongJobs(30, 3);
     cluster
         .time()
         .at(
             22,
             () -> {
               int former = leader();
-              unreachable(former, seconds);
+              makeMachinesUnreachable(former, seconds);
               cutOff(former, how, seconds);
             });
-    atEnds(400, most -> {});
+    onTaskEnds(400, most -> {});
     cluster.time().runUntil(60);
     assertTrue(cluster.invariants().used("long").cpus() <= LIMIT_CPUS);
     cluster.time().runUntil(500);
     assertEquals(List.of(), cluster.invariants().violations());
-    ended
+    endedTasks
         .keySet()
         .forEach(id -> assertEquals("done", cluster.users().reportedStates().get(id), id.text()));
   }
@@ -274,8 +276,8 @@
    */
   @ParameterizedTest
   @CsvSource({"0, 30", "0, 50", "1, 40", "2, 30", "2, 50"})
-  void jobsAreCancelledWhileALeaderIsAlone(int how, double seconds) {
-    submitLong(24, 3);
+  void cancelsJobsWhileLeaderIsIsolated(int how, double seconds) {
+    submitLongJobs(24, 3);
     cluster
         .time()
         .at(
@@ -296,7 +298,7 @@
               }
               cutOff(former, how, seconds);
             });
-    List<JobId> cancelled = new ArrayList<>(ended.keySet()).subList(6, 24);
+    List<JobId> cancelled = new ArrayList<>(endedTasks.keySet()).subList(6, 24);
     for (int i = 0; i < cancelled.size(); i++) {
       JobId id = cancelled.get(i);
       cluster.time().at(22.1 + i * 1.1, () -> cluster.users().cancel(id));
@@ -310,7 +312,7 @@
     assertTrue(over >= cancelled.size() - 2, "cancelled meanwhile: " + over);
     cluster.time().runUntil(230);
     assertEquals(List.of(), cluster.invariants().violations());
-    ended
+    endedTasks
         .keySet()
         .forEach(
             id -> {
@@ -328,8 +330,8 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.2, 0.6, 1, 4.5, 9})
-  void aPlanOfAFormerLeadershipComesAfterTheNextButOne(double again) {
-    submitLong(30, 3);
+  void latePlanOfFormerLeaderHasNoEffect(double again) {
+    submitLongJobs(30, 3);
     int[] planner = {-1};
     cluster.injectFaultAt(
         request -> {
@@ -342,17 +344,17 @@
             planner[0] = leader();
             cluster.time().after(again, () -> cluster.stopFor((planner[0] + 1) % 3, 0.3));
             cluster.time().after(again + 0.7, () -> cluster.stopFor((planner[0] + 2) % 3, 0.3));
-            cluster.time().after(again + 6, () -> down(true, true, 0.3));
+            cluster.time().after(again + 6, () -> failControllers(true, true, 0.3));
           }
           return sprung;
         },
         5,
         SimulatedCluster.SendFault.STILL_BEFORE);
-    atEnds(400, most -> {});
+    onTaskEnds(400, most -> {});
     cluster.time().runUntil(430);
     assertTrue(planner[0] >= 0);
     assertEquals(List.of(), cluster.invariants().violations());
-    ended
+    endedTasks
         .keySet()
         .forEach(id -> assertEquals("done", cluster.users().reportedStates().get(id), id.text()));
   }
@@ -360,7 +362,7 @@
   /** Days from fixed seeds; {@link SeedsTest} runs more of them. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 417, 987})
-  void daysOfLeaderChanges(long seed) {
+  void keepsRulesDuringLeaderChanges(long seed) {
     assertEquals(List.of(), new LeaderFailureScenario(seed).run());
   }
 }
--- a/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCasesTest.java
@@ -48,22 +48,22 @@
   private static final String MARCH = "cdr/2026-03";
 
   /** By then the level has risen to that of replicated records. */
-  private static final double READY_S = 42;
+  private static final double START_S = 42;
 
   private LegalHoldCluster site = new LegalHoldCluster(JOBS, 30, 7);
 
   LegalHoldCasesTest() throws MalformedMessageException {
-    tell();
+    declareSweeps();
   }
 
   /** Half of each sweep's tasks access March, the others April. */
-  private void tell() {
-    site.told("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
+  private void declareSweeps() {
+    site.declareSweepsWithClaims("sweep", "cdr", "0-11", MARCH, "12-23", "cdr/2026-04");
   }
 
   private LegalHoldCluster site(long seed) throws MalformedMessageException {
     site = new LegalHoldCluster(JOBS, 30, seed);
-    tell();
+    declareSweeps();
     return site;
   }
 
@@ -87,8 +87,8 @@
 
   /** Half of each sweep's tasks access held records: these wait, and the others run. */
   @Test
-  void whatTouchesHeldRecordsWaitsAndTheRestRuns() {
-    site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", "cdr/2026-03-10..2026-03-12"));
+  void onlyTasksThatAccessHeldRecordsWait() {
+    site.at(START_S + 2, () -> site.open(0, "ref-1", "r1", "cdr/2026-03-10..2026-03-12"));
     assertHeldAndThenDone("ref-1", 1, 140, 260);
     site.assertPinnedWithin("ref-1", 5);
   }
@@ -99,7 +99,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void theHoldAndTheAllocationInOneInstant(long seed) throws MalformedMessageException {
+  void holdDuringAllocationIsPinned(long seed) throws MalformedMessageException {
     site(seed).cluster.state().applyLate(8);
     for (int i = 0; i < 8; i++) {
       String reference = "ref-" + i;
@@ -120,17 +120,17 @@
    */
   @ParameterizedTest
   @EnumSource(SimulatedCluster.SendFault.class)
-  void theLeaderIsGoneBetweenItsGuardAndTheAnswer(SimulatedCluster.SendFault mishap) {
+  void reopenedHoldIsPinnedDespiteLeaderFault(SimulatedCluster.SendFault fault) {
     site.at(
-        READY_S + 1,
+        START_S + 1,
         () ->
             site.cluster.injectFaultAt(
                 request -> request.startsWith("POST /txn") && request.contains("\"PINNED\""),
                 25,
-                mishap));
-    site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-    site.at(READY_S + 14, () -> site.close(2, "ref-1", "c1", 1));
-    site.at(READY_S + 16, () -> site.open(1, "ref-1", "r2", MARCH));
+                fault));
+    site.at(START_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
+    site.at(START_S + 14, () -> site.close(2, "ref-1", "c1", 1));
+    site.at(START_S + 16, () -> site.open(1, "ref-1", "r2", MARCH));
     assertHeldAndThenDone("ref-1", 2, 150, 300);
     assertTrue(site.cluster.faultedController() >= 0);
   }
@@ -140,22 +140,22 @@
    * repeated, also long after the hold was closed.
    */
   @Test
-  void theAnswerIsLostAndTheSameIsAskedAgain() {
+  void repeatedRequestOpensHoldOnce() {
     for (int i = 0; i < 3; i++) {
       int node = i;
       site.at(
-          READY_S + 2 + i * 0.02,
+          START_S + 2 + i * 0.02,
           () -> {
             site.open(node, "ref-1", "r1", MARCH);
             site.cluster.time().after(0.012, () -> site.cluster.stopFor(node, 4 + node));
           });
     }
-    site.at(READY_S + 40, () -> site.close(0, "ref-1", "c1", 1));
+    site.at(START_S + 40, () -> site.close(0, "ref-1", "c1", 1));
     for (int i = 0; i < 3; i++) {
       int node = i;
-      site.at(READY_S + 50 + 15 * i, () -> site.open(node, "ref-1", "r1", MARCH));
+      site.at(START_S + 50 + 15 * i, () -> site.open(node, "ref-1", "r1", MARCH));
     }
-    site.run(READY_S + 110);
+    site.run(START_S + 110);
     assertEquals("CLOSED", site.state("ref-1"));
     assertEquals(1, site.opening("ref-1"));
     site.run(300);
@@ -167,15 +167,15 @@
    * never opened is closed.
    */
   @Test
-  void aClosingThatComesLateDoesNothingToALaterOpening() {
-    site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-    site.at(READY_S + 10, () -> site.close(0, "ref-1", "c1", 1));
-    site.at(READY_S + 12, () -> site.open(1, "ref-1", "r2", MARCH));
+  void lateClosingDoesNotAffectLaterOpening() {
+    site.at(START_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
+    site.at(START_S + 10, () -> site.close(0, "ref-1", "c1", 1));
+    site.at(START_S + 12, () -> site.open(1, "ref-1", "r2", MARCH));
     for (int i = 0; i < 5; i++) {
       String request = "late-" + i;
-      site.at(READY_S + 12.01 + i * i, () -> site.close(2, "ref-1", request, 1));
+      site.at(START_S + 12.01 + i * i, () -> site.close(2, "ref-1", request, 1));
     }
-    site.at(READY_S + 20, () -> site.close(2, "ref-1", "ahead", 3));
+    site.at(START_S + 20, () -> site.close(2, "ref-1", "ahead", 3));
     assertHeldAndThenDone("ref-1", 2, 140, 280);
     assertTrue(
         site.answers.get("late-4").startsWith("200")
@@ -185,19 +185,19 @@
   }
 
   @Test
-  void fiveHundredHoldsInAMinute() {
+  void acceptsFiveHundredHoldsInAMinute() {
     for (int i = 0; i < 500; i++) {
       String reference = "ref-" + i;
       int node = i % 3;
       String records = i % 2 == 0 ? MARCH : "cdr/2025-" + String.format("%02d", 1 + i % 12);
-      site.at(READY_S + i * 0.12, () -> site.open(node, reference, "r-" + i(reference), records));
+      site.at(START_S + i * 0.12, () -> site.open(node, reference, "r-" + i(reference), records));
     }
-    site.run(READY_S + 150);
+    site.run(START_S + 150);
     assertEquals(500, site.pinnedCount());
     for (int i = 0; i < 500; i++) {
       site.close(i % 3, "ref-" + i, "c-" + i, 1);
     }
-    site.run(READY_S + 400);
+    site.run(START_S + 400);
     site.assertAllDone();
   }
 
@@ -211,16 +211,16 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"outage", "roll", "zone", "lone", "deaf", "all down"})
-  void aHoldAmongTroubles(String trouble) {
+  void holdIsPinnedDuringFaults(String fault) {
     site.at(
-        READY_S + 1,
+        START_S + 1,
         () -> {
-          switch (trouble) {
+          switch (fault) {
             case "outage" -> site.cluster.state().outage(20);
-            case "roll" -> site.rollAll();
+            case "roll" -> site.replaceAll();
             case "zone" -> site.cutZone(0, 40);
-            case "lone" -> site.leaveAlone((site.cluster.leader() + 1) % 3, 40);
-            case "deaf" -> site.deafen(5, 40);
+            case "lone" -> site.isolate((site.cluster.leader() + 1) % 3, 40);
+            case "deaf" -> site.dropInbound(5, 40);
             default -> {
               for (int node = 0; node < 3; node++) {
                 site.cluster.stopFor(node, 3 + node);
@@ -228,7 +228,7 @@
             }
           }
         });
-    site.at(READY_S + 1.2, () -> site.open(0, "ref-1", "r1", MARCH));
+    site.at(START_S + 1.2, () -> site.open(0, "ref-1", "r1", MARCH));
     assertHeldAndThenDone("ref-1", 1, 170, 330);
     site.assertPinnedWithin("ref-1", 60);
   }
@@ -239,9 +239,9 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.9, -0.9, -20})
-  void aFutureHoldIsInForceInTimeThroughARestartAndASteppedClock(double step) {
-    double from = READY_S + 20;
-    site.at(READY_S + 2, () -> site.openFrom(0, "ref-1", "r1", from, MARCH));
+  void futureHoldIsInForceInTimeDespiteRestartAndClockStep(double step) {
+    double from = START_S + 20;
+    site.at(START_S + 2, () -> site.openFrom(0, "ref-1", "r1", from, MARCH));
     site.at(from - 8, () -> site.cluster.setClock(step));
     if (step > -1) {
       site.at(from - 7, () -> site.cluster.crash(1));
@@ -261,7 +261,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {11, 12})
-  void overlappingHoldsClosedInAnyOrder(long seed) throws MalformedMessageException {
+  void overlappingHoldsBlockUntilLastIsClosed(long seed) throws MalformedMessageException {
     site(seed);
     Random random = new Random(seed);
     List<String> records =
@@ -272,13 +272,13 @@
       String reference = "ref-" + i;
       String each = records.get(i);
       site.at(
-          READY_S + 2 + 10 * random.nextDouble(),
+          START_S + 2 + 10 * random.nextDouble(),
           () -> site.open(random.nextInt(3), reference, "r" + reference, each));
       site.at(
-          READY_S + 40 + 10 * order.get(i),
+          START_S + 40 + 10 * order.get(i),
           () -> site.close(random.nextInt(3), reference, "c" + reference, 1));
     }
-    site.run(READY_S + 38);
+    site.run(START_S + 38);
     assertEquals(6, site.pinnedCount());
     site.run(330);
     site.assertAllDone();
@@ -289,17 +289,19 @@
    * until these tasks are gone.
    */
   @Test
-  void aLaneToldLateIsPinnedAnew() throws MalformedMessageException {
+  void laneDeclaredLateIsPinnedAgain() throws MalformedMessageException {
     site = new LegalHoldCluster(JOBS, 30, 7);
-    site.at(READY_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
-    site.run(READY_S + 12);
+    site.at(START_S + 2, () -> site.open(0, "ref-1", "r1", MARCH));
+    site.run(START_S + 12);
     assertEquals("PINNED", site.state("ref-1"));
     site.cluster
         .time()
         .at(
-            READY_S + 13,
-            () -> site.ask(0, "sweeps", "sweep", "late", Map.of("series", List.of("cdr"))));
-    site.run(READY_S + 60);
+            START_S + 13,
+            () ->
+                site.sendUntilDecided(
+                    0, "sweeps", "sweep", "late", Map.of("series", List.of("cdr"))));
+    site.run(START_S + 60);
     assertEquals("PINNED", site.state("ref-1"));
     assertEquals(
         1,
--- a/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldCluster.java
@@ -31,12 +31,12 @@
   final SimulatedCluster cluster;
   private final List<JobId> sweeps = new ArrayList<>();
   private final List<JobId> services = new ArrayList<>();
-  private final Map<JobId, Map<TaskSet, RecordSelector>> touches = new HashMap<>();
+  private final Map<JobId, Map<TaskSet, RecordSelector>> claimedRecords = new HashMap<>();
   private final Map<String, Double> openedAt = new HashMap<>();
   private final Map<String, Double> pinnedAt = new TreeMap<>();
   private final Map<TaskId, Double> startedAt = new HashMap<>();
-  private final Set<TaskId> on = new HashSet<>();
-  private final List<String> wrong = new ArrayList<>();
+  private final Set<TaskId> runningTasks = new HashSet<>();
+  private final List<String> findings = new ArrayList<>();
   final Map<String, String> answers = new HashMap<>();
 
   LegalHoldCluster(String jobs, int machines, long seed) throws MalformedMessageException {
@@ -62,7 +62,7 @@
 
   void run(double untilS) {
     cluster.time().runUntil(untilS);
-    assertEquals(List.of(), wrong);
+    assertEquals(List.of(), findings);
     assertEquals(List.of(), cluster.invariants().violations());
   }
 
@@ -71,9 +71,10 @@
   /**
    * Sends a request to a controller, and then to the next, until it is applied or finally refused.
    */
-  void ask(int node, String kind, String id, String request, Object command) {
+  void sendUntilDecided(int node, String kind, String id, String request, Object command) {
     boolean[] answered = {false};
-    Runnable again = () -> ask((node + 1) % cluster.nodeCount(), kind, id, request, command);
+    Runnable again =
+        () -> sendUntilDecided((node + 1) % cluster.nodeCount(), kind, id, request, command);
     if (cluster.status(node) == null) {
       cluster.time().after(1, again);
       return;
@@ -106,7 +107,8 @@
 
   void open(int node, String reference, String request, String... records) {
     openedAt.putIfAbsent(reference, cluster.time().seconds());
-    ask(node, "holds", reference, request, Json.object("do", "open", "records", List.of(records)));
+    sendUntilDecided(
+        node, "holds", reference, request, Json.object("do", "open", "records", List.of(records)));
   }
 
   /**
@@ -114,7 +116,7 @@
    */
   void openFrom(int node, String reference, String request, double fromS, String... records) {
     openedAt.putIfAbsent(reference, cluster.time().seconds());
-    ask(
+    sendUntilDecided(
         node,
         "holds",
         reference,
@@ -129,15 +131,20 @@
   }
 
   void close(int node, String reference, String request, int opening) {
-    ask(node, "holds", reference, request, Json.object("do", "close", "opening", opening));
+    sendUntilDecided(
+        node, "holds", reference, request, Json.object("do", "close", "opening", opening));
   }
 
   /**
    * Declares from the start that a lane runs sweeps, and that all of its jobs have these claims:
    * tasks and records in turn.
    */
-  void told(String lane, String series, String... claims) {
-    at(1, () -> ask(0, "sweeps", lane, "sweep-" + lane, Json.object("series", List.of(series))));
+  void declareSweepsWithClaims(String lane, String series, String... claims) {
+    at(
+        1,
+        () ->
+            sendUntilDecided(
+                0, "sweeps", lane, "sweep-" + lane, Json.object("series", List.of(series))));
     for (JobId job : sweeps) {
       List<Object> all = new ArrayList<>();
       Map<TaskSet, RecordSelector> touched = new HashMap<>();
@@ -145,9 +152,13 @@
         all.add(Json.object("tasks", claims[i], "records", List.of(claims[i + 1])));
         touched.put(TaskSet.parse(claims[i], 100_000), RecordSelector.parse(claims[i + 1]));
       }
-      touches.put(job, touched);
+      claimedRecords.put(job, touched);
       if (!all.isEmpty()) {
-        at(1.5, () -> ask(1, "claims", job.text(), "claim-" + job, Json.object("claims", all)));
+        at(
+            1.5,
+            () ->
+                sendUntilDecided(
+                    1, "claims", job.text(), "claim-" + job, Json.object("claims", all)));
       }
     }
   }
@@ -155,7 +166,7 @@
   // ---- faults ----
 
   /** Replaces the controllers one after the other by another build of the same level. */
-  void rollAll() {
+  void replaceAll() {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
       cluster
@@ -169,7 +180,7 @@
   }
 
   /** A controller reaches its workers, but neither the state service nor the other controllers. */
-  void leaveAlone(int node, double seconds) {
+  void isolate(int node, double seconds) {
     cluster.state().refuse(ClusterSpec.nodeName(node), seconds);
     for (int other = 0; other < cluster.nodeCount(); other++) {
       if (other != node) {
@@ -183,7 +194,7 @@
    * one another.
    */
   void cutZone(int zone, double seconds) {
-    leaveAlone(zone, seconds);
+    isolate(zone, seconds);
     cluster
         .environment()
         .cloud()
@@ -201,7 +212,7 @@
   }
 
   /** Some machines with sweeps still send, but receive nothing. */
-  void deafen(int machines, double seconds) {
+  void dropInbound(int machines, double seconds) {
     cluster.environment().cloud().workers().stream()
         .limit(machines)
         .forEach(
@@ -222,7 +233,7 @@
     startedAt.forEach(
         (task, at) -> {
           boolean touched =
-              touches.getOrDefault(task.job(), Map.of()).entrySet().stream()
+              claimedRecords.getOrDefault(task.job(), Map.of()).entrySet().stream()
                   .anyMatch(
                       claim ->
                           claim.getKey().contains(task.index()) && claim.getValue().overlaps(held));
@@ -272,8 +283,8 @@
                     index++) {
                   TaskId task = job.task(index);
                   if (!cluster.invariants().isOn(task)) {
-                    on.remove(task);
-                  } else if (on.add(task)) {
+                    runningTasks.remove(task);
+                  } else if (runningTasks.add(task)) {
                     startedAt.put(task, cluster.time().seconds());
                   }
                 }
@@ -296,7 +307,7 @@
 
   private void check(String reference, RecordSelector held) {
     for (JobId job : sweeps) {
-      Map<TaskSet, RecordSelector> claims = touches.get(job);
+      Map<TaskSet, RecordSelector> claims = claimedRecords.get(job);
       for (int index = 0;
           claims != null
               && cluster.invariants().onMachines(job) > 0
@@ -307,7 +318,7 @@
           touched |= claim.getKey().contains(index) && claim.getValue().overlaps(held);
         }
         if (touched && cluster.invariants().isOn(job.task(index))) {
-          wrong.add(
+          findings.add(
               "at "
                   + cluster.time().seconds()
                   + " "
--- a/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/LegalHoldSeedsTest.java
@@ -36,7 +36,7 @@
     for (long seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
       LegalHoldCluster site = new LegalHoldCluster(LegalHoldCasesTest.JOBS, 30, seed);
-      site.told("sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
+      site.declareSweepsWithClaims("sweep", "cdr", "0-11", "cdr/2026-03", "12-23", "cdr/2026-04");
       site.cluster.state().applyLate(40);
       double at = START_S + 2 + 10 * random.nextDouble();
       site.at(at - 0.5 + random.nextDouble(), () -> injectFault(site, fault, random));
@@ -75,9 +75,9 @@
     int node = random.nextInt(3);
     double length = 20 + 20 * random.nextDouble();
     switch (fault) {
-      case "controller cut off" -> site.leaveAlone(node, length);
+      case "controller cut off" -> site.isolate(node, length);
       case "zone cut off" -> site.cutZone(node, length);
-      case "machines deaf" -> site.deafen(8, length);
+      case "machines deaf" -> site.dropInbound(8, length);
       case "state service out" -> site.cluster.state().outage(length / 2);
       case "crashes" -> {
         site.cluster.crash(node);
--- a/src/test/java/org/quincecross/emulator/LocalClusterTest.java
+++ b/src/test/java/org/quincecross/emulator/LocalClusterTest.java
@@ -79,7 +79,7 @@
    * job ends.
    */
   @Test
-  void theRestartOfAllControllers() throws IOException, MalformedMessageException {
+  void recoversFromRestartOfAllControllers() throws IOException, MalformedMessageException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     int status =
         new LocalCluster(plan(JOBS, 23_400, Drill.Kind.RESTART), new PrintStream(out, true)).run();
@@ -100,7 +100,7 @@
    * hold is pinned, none of these tasks is on a machine, and they complete once the hold is closed.
    */
   @Test
-  void aHoldWhileAControllerIsKilled() throws IOException, MalformedMessageException {
+  void pinsHoldWhileControllerIsKilled() throws IOException, MalformedMessageException {
     String sweeps = JOBS.replace("run_s = 1.5", "run_s = 4").replace("tasks = 10", "tasks = 400");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     LocalCluster.Plan plan =
@@ -134,7 +134,7 @@
    * job ends, and no rule is broken.
    */
   @Test
-  void aRollOfRealControllersOverALevel() throws IOException, MalformedMessageException {
+  void upgradesRealControllersToNextLevel() throws IOException, MalformedMessageException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String jobs =
         JOBS
@@ -176,8 +176,8 @@
    * controllers end, and none is left.
    */
   @Test
-  void nothingIsLeftOfASiteWhoseMakerIsKilled() throws IOException, InterruptedException {
-    Process maker =
+  void killedLauncherLeavesNoControllers() throws IOException, InterruptedException {
+    Process launcher =
         new ProcessBuilder(
                 JAVA,
                 "-cp",
@@ -193,17 +193,18 @@
             .redirectErrorStream(true)
             .start();
     List<ProcessHandle> controllers;
-    try (BufferedReader said =
-        new BufferedReader(new InputStreamReader(maker.getInputStream(), StandardCharsets.UTF_8))) {
-      String line = said.readLine();
+    try (BufferedReader output =
+        new BufferedReader(
+            new InputStreamReader(launcher.getInputStream(), StandardCharsets.UTF_8))) {
+      String line = output.readLine();
       while (line != null && line.contains("starting")) {
-        line = said.readLine(); // a slow machine prints a progress line every two seconds
+        line = output.readLine(); // a slow machine prints a progress line every two seconds
       }
       assertTrue(line != null && line.startsWith("ready"), line);
-      controllers = maker.children().toList();
+      controllers = launcher.children().toList();
       assertEquals(3, controllers.size());
     } finally {
-      maker.destroyForcibly();
+      launcher.destroyForcibly();
     }
     for (ProcessHandle controller : controllers) {
       controller.onExit().completeOnTimeout(null, 10, TimeUnit.SECONDS).join();
@@ -212,7 +213,7 @@
   }
 
   @Test
-  void aPortThatIsInUseIsNamed() throws IOException {
+  void reportsPortInUse() throws IOException {
     try (ServerSocket taken = new ServerSocket()) {
       taken.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 25_411));
       IOException e =
@@ -226,7 +227,7 @@
 
   /** Each copy of a job depends on one copy of each job that its table names. */
   @Test
-  void aJobsFileWithAPipeline() throws MalformedMessageException {
+  void readsPipelineFromJobsFile() throws MalformedMessageException {
     String next =
         JOBS.substring(JOBS.indexOf("[[jobs]]", 5))
                 .replace("\"rebuild\"", "\"next\"")
@@ -244,7 +245,7 @@
 
   /** Errors in a jobs file name the line and the field. */
   @Test
-  void aJobsFileWithAHole() {
+  void reportsErrorsInJobsFile() {
     ClusterSpec site = ClusterSpec.tryOut(9, false);
     Stream.of(
             new String[] {
--- a/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/ModelServingCasesTest.java
@@ -20,13 +20,13 @@
 
 /** Models that scale up from zero with three controllers and failures, in virtual time. */
 class ModelServingCasesTest {
-  private static final double T = 40;
+  private static final double START_S = 40;
 
   /**
    * Sends 10,000 wake requests per second to each controller until the model is warm; all are
    * answered. Returns how long that took.
    */
-  private static double manyWakes(ModelServingCluster site) throws MalformedMessageException {
+  private static double wakeUntilWarm(ModelServingCluster site) throws MalformedMessageException {
     int[] answered = new int[1];
     for (int node = 0; node < 3; node++) {
       for (int i = 0; i < 10_000; i++) {
@@ -34,7 +34,7 @@
         site.cluster
             .time()
             .at(
-                T + i / 10_000.0,
+                START_S + i / 10_000.0,
                 () ->
                     site.send(
                         each,
@@ -45,7 +45,7 @@
     }
     double warmAt = site.timeWhenIn("m", "WARM", 60);
     assertEquals(30_000, answered[0]);
-    return warmAt - T;
+    return warmAt - START_S;
   }
 
   /**
@@ -53,12 +53,12 @@
    * the median of five is bounded.
    */
   @Test
-  void theModelServesSoonAfterItsFetch() throws MalformedMessageException {
+  void modelServesSoonAfterItsFetch() throws MalformedMessageException {
     double[] warm = new double[5];
     for (int i = 0; i < warm.length; i++) {
       ModelServingCluster site = ModelServingCluster.withOne(4 + i, 2);
       long before = site.epoch("m");
-      warm[i] = manyWakes(site);
+      warm[i] = wakeUntilWarm(site);
       assertTrue(
           site.epoch("m") <= before + 5,
           "however many wakes, few changes: " + (site.epoch("m") - before));
@@ -75,12 +75,12 @@
    * in a cluster in which no answer is late.
    */
   @Test
-  void manyWakesAreOneColdStart() throws MalformedMessageException {
+  void manyWakesCauseOneColdStart() throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(4, 2);
     long before = site.epoch("m");
     int started = site.cluster.environment().coldStarts().starts();
     int fetched = site.cluster.environment().coldStarts().fetches();
-    double warm = manyWakes(site);
+    double warm = wakeUntilWarm(site);
     assertTrue(
         warm > ModelServingCluster.FETCH_S && warm < ModelServingCluster.FETCH_S + 4,
         "warm after " + warm);
@@ -105,12 +105,12 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.01, 0.05, 0.15, 0.4, 1, 4, 8.5})
-  void allRestartedWhileItStarts(double afterS) throws MalformedMessageException {
+  void coldStartSurvivesRestartOfAllControllers(double afterS) throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(5, 2);
-    site.wakeAt(T, 1, "m");
+    site.wakeAt(START_S, 1, "m");
     for (int node = 0; node < 3; node++) {
       int each = node;
-      site.cluster.time().at(T + afterS, () -> site.cluster.crash(each));
+      site.cluster.time().at(START_S + afterS, () -> site.cluster.crash(each));
     }
     site.timeWhenIn("m", "WARM", 90);
     assertEquals(2, site.onMachines(100));
@@ -130,7 +130,7 @@
     "STILL_AFTER, 25",
     "SILENT, 25"
   })
-  void theLeaderIsFrozenAfterItsChoice(SimulatedCluster.SendFault mishap, double seconds)
+  void coldStartSurvivesSuspendedLeader(SimulatedCluster.SendFault fault, double seconds)
       throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(6, 2);
     site.cluster.injectFaultAt(
@@ -140,8 +140,8 @@
                 && request.contains("\"STARTING\"")
                 && request.contains("\"replica\""),
         seconds,
-        mishap);
-    site.wakeAt(T, (site.cluster.leader() + 1) % 3, "m");
+        fault);
+    site.wakeAt(START_S, (site.cluster.leader() + 1) % 3, "m");
     site.timeWhenIn("m", "WARM", 90);
     assertTrue(site.cluster.faultedController() >= 0);
     site.cluster.time().runUntil(site.cluster.time().seconds() + 5);
@@ -152,12 +152,12 @@
   /** Two wake requests while there is no leader, one at each of the remaining controllers. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.5, 3, 5.5})
-  void twoWakesInAnElection(double afterS) throws MalformedMessageException {
+  void wakesDuringElectionCauseOneColdStart(double afterS) throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(7, 2);
     int leader = site.cluster.leader();
-    site.cluster.time().at(T, () -> site.cluster.stopFor(leader, 30));
-    site.wakeAt(T + afterS, (leader + 1) % 3, "m");
-    site.wakeAt(T + afterS, (leader + 2) % 3, "m");
+    site.cluster.time().at(START_S, () -> site.cluster.stopFor(leader, 30));
+    site.wakeAt(START_S + afterS, (leader + 1) % 3, "m");
+    site.wakeAt(START_S + afterS, (leader + 2) % 3, "m");
     site.timeWhenIn("m", "WARM", 90);
     assertEquals(2, site.onMachines(100));
     site.assertRulesKept();
@@ -166,11 +166,12 @@
   /** The state service is down for a while from some moment of a cold start on, and of a drain. */
   @ParameterizedTest
   @CsvSource({"0, 3", "0.03, 10", "0.15, 10", "0.5, 10", "5, 10", "8.6, 10", "32, 10"})
-  void anOutageInEachStep(double afterS, double seconds) throws MalformedMessageException {
+  void recoversFromOutageInEachStep(double afterS, double seconds)
+      throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(8, 2);
     site.cluster.state().applyLate(60);
-    site.wakeAt(T, 2, "m");
-    site.cluster.time().at(T + afterS, () -> site.cluster.state().outage(seconds));
+    site.wakeAt(START_S, 2, "m");
+    site.cluster.time().at(START_S + afterS, () -> site.cluster.state().outage(seconds));
     site.timeWhenIn("m", "WARM", 90);
     site.timeWhenIn("m", "ZERO", 90);
     site.cluster.time().runUntil(site.cluster.time().seconds() + 2);
@@ -186,24 +187,25 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 6, 30})
-  void theLastWarmMachineIsTaken(double noticeS) throws MalformedMessageException {
+  void restartsElsewhereWhenLastMachineIsTerminated(double noticeS)
+      throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(9, 1);
-    site.wakeAt(T, 0, "m");
+    site.wakeAt(START_S, 0, "m");
     site.timeWhenIn("m", "WARM", 60);
     String machine = site.machine("m").text();
     site.cluster
         .time()
-        .at(T + 16, () -> site.cluster.cloud().terminate(new MachineId(machine), noticeS));
+        .at(START_S + 16, () -> site.cluster.cloud().terminate(new MachineId(machine), noticeS));
     for (int i = 0; i < 60; i++) {
       site.cluster
           .time()
           .at(
-              T + 16 + i,
+              START_S + 16 + i,
               () ->
                   site.send(
                       1, "m/load", Map.of("from", "gateway", "in_flight", 3), response -> {}));
     }
-    site.cluster.time().runUntil(T + 16 + 50);
+    site.cluster.time().runUntil(START_S + 16 + 50);
     assertEquals("WARM", site.phase("m"));
     assertEquals(1, site.onMachines(100));
     assertTrue(!machine.equals(site.machine("m").text()));
@@ -213,10 +215,10 @@
   /** Its user cancels the job of a model in each of its states. */
   @ParameterizedTest
   @ValueSource(strings = {"ZERO", "STARTING", "WARM", "DRAINING"})
-  void itsJobIsCancelled(String phase) throws MalformedMessageException {
+  void modelOfCancelledJobEndsInEachState(String phase) throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(10, 2);
     if (!phase.equals("ZERO")) {
-      site.wakeAt(T, 0, "m");
+      site.wakeAt(START_S, 0, "m");
       site.timeWhenIn("m", phase, 90);
     }
     site.cluster.users().cancel(new JobId("job-100"));
@@ -235,14 +237,14 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {-0.2, -0.05, -0.02, -0.01, -0.004, 0, 0.004, 0.01, 0.03, 0.1, 0.5, 1})
-  void aWakeAgainstADrain(double offset) throws MalformedMessageException {
+  void wakeDuringDrainRestoresService(double offset) throws MalformedMessageException {
     ModelServingCluster first = ModelServingCluster.withOne(11, 2);
-    first.wakeAt(T, 0, "m");
+    first.wakeAt(START_S, 0, "m");
     first.timeWhenIn("m", "WARM", 60);
     double drainAt = first.timeWhenIn("m", "DRAINING", 60);
     for (int node = 0; node < 3; node++) {
       ModelServingCluster site = ModelServingCluster.withOne(11, 2);
-      site.wakeAt(T, 0, "m");
+      site.wakeAt(START_S, 0, "m");
       site.timeWhenIn("m", "WARM", 60);
       site.wakeAt(drainAt + offset, node, "m");
       site.cluster.time().runUntil(drainAt + 1.2);
@@ -259,7 +261,7 @@
    * permitted come up and serve, and the limit holds.
    */
   @Test
-  void aLimitBelowTheLeast() throws MalformedMessageException {
+  void teamLimitBelowMinimumReplicasHolds() throws MalformedMessageException {
     ClusterSpec plain = ClusterSpec.tryOut(24, true);
     Map<String, Team> teams = new LinkedHashMap<>(plain.teams());
     teams.put("web", new Team("web", new Resources(12, 0, 1e9), new Resources(20, 0, 1e9)));
@@ -290,7 +292,7 @@
 
   /** Invalid requests are refused and change nothing; a repeated definition is one change. */
   @Test
-  void mistakesChangeNothing() throws MalformedMessageException {
+  void invalidRequestsChangeNothing() throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(17, 2);
     long epoch = site.epoch("m");
     assertEquals(404, site.post(0, "other/wake", Map.of()));
@@ -317,7 +319,7 @@
    * before all could.
    */
   @Test
-  void fetchesOfAMachineTakeTurns() throws MalformedMessageException {
+  void fetchesOnOneMachineAreSequential() throws MalformedMessageException {
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(3, true), 18);
     for (int i = 0; i < 4; i++) {
       site.submitAt(
@@ -342,7 +344,7 @@
    * without a fetch.
    */
   @Test
-  void keptWarmItComesBackWithoutAFetch() throws MalformedMessageException {
+  void cachedModelComesBackWithoutFetch() throws MalformedMessageException {
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), 15);
     site.submit(ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
     site.cluster.time().runUntil(ModelServingCluster.DEFINED_S);
@@ -362,7 +364,7 @@
    * needed and there is capacity.
    */
   @Test
-  void anIdleModelGivesWay() throws MalformedMessageException {
+  void idleModelIsEvictedForNeededModel() throws MalformedMessageException {
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(6, true), 16);
     site.submit(ModelServingCluster.job(100, 4, 6, 3, false));
     site.submit(ModelServingCluster.job(101, 2, 6, 3, false));
@@ -370,10 +372,10 @@
     site.define("m", 100, 4, 4, 900, 0);
     site.define("n", 101, 2, 2, 900, 0);
     site.timeWhenIn("n", "ZERO", 40);
-    site.wakeAt(T, 0, "m");
+    site.wakeAt(START_S, 0, "m");
     site.timeWhenIn("m", "WARM", 60);
-    site.wakeAt(T + 100, 1, "n");
-    site.cluster.time().runUntil(T + 115);
+    site.wakeAt(START_S + 100, 1, "n");
+    site.cluster.time().runUntil(START_S + 115);
     assertEquals("WARM", site.phase("m"), "machines may still be rented");
     site.timeWhenIn("n", "WARM", 40);
     assertEquals("ZERO", site.phase("m"));
@@ -388,48 +390,48 @@
    * longer.
    */
   @Test
-  void whatOneThatIsAwayHasSeenCounts() throws MalformedMessageException {
+  void requestsAtLostControllerCountUntilLeaseExpiry() throws MalformedMessageException {
     ModelServingCluster site = ModelServingCluster.withOne(13, 1);
     int leader = site.cluster.leader();
     int other = (leader + 1) % 3;
     site.cluster
         .time()
         .at(
-            T,
+            START_S,
             () ->
                 site.send(
                     other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
     site.timeWhenIn("m", "WARM", 60);
-    site.cluster.time().runUntil(T + 25);
+    site.cluster.time().runUntil(START_S + 25);
     assertEquals(2, site.onMachines(100), "15 in flight at 10 a replica");
     site.cluster
         .time()
         .at(
-            T + 26,
+            START_S + 26,
             () ->
                 site.send(
                     other, "m/load", Map.of("from", "gateway", "in_flight", 15), response -> {}));
-    site.cluster.time().runUntil(T + 27);
+    site.cluster.time().runUntil(START_S + 27);
     site.cluster.isolate(other, 60, true);
-    site.cluster.time().runUntil(T + 28);
+    site.cluster.time().runUntil(START_S + 28);
     assertEquals("WARM", site.phase("m"));
     double drained = site.timeWhenIn("m", "DRAINING", 60);
     assertNull(
         site.cluster.state().value("q/member/" + ClusterSpec.nodeName(other)), "its lease is over");
-    assertTrue(drained < T + 27 + 20, "at " + drained);
-    site.cluster.time().runUntil(T + 150);
+    assertTrue(drained < START_S + 27 + 20, "at " + drained);
+    site.cluster.time().runUntil(START_S + 150);
     assertEquals("ZERO", site.phase("m"));
     site.assertRulesKept();
   }
 
   @Test
   @Tag("seeds")
-  void aThousandModels() throws MalformedMessageException {
+  void handlesThousandModels() throws MalformedMessageException {
     manyModels(1000);
   }
 
   @Test
-  void twoHundredModels() throws MalformedMessageException {
+  void handlesTwoHundredModels() throws MalformedMessageException {
     manyModels(200);
   }
 
--- a/src/test/java/org/quincecross/emulator/RandomScenario.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenario.java
@@ -19,21 +19,21 @@
 
 /** A day from a seed: jobs of all kinds, faults alone and combined, then a fault-free period. */
 final class RandomScenario {
-  private static final double FIRST_TROUBLE_S = 12;
-  private static final double LAST_TROUBLE_S = 150;
-  private static final double LONGEST_TROUBLE_S = 33;
+  private static final double FIRST_FAULT_S = 12;
+  private static final double LAST_FAULT_S = 150;
+  private static final double MAX_FAULT_DURATION_S = 33;
 
   /** After a fault-free period of this length, every job that can run does. */
-  private static final double QUIET_S = 120;
+  private static final double FAULT_FREE_S = 120;
 
   /**
    * Restarted machines are trusted long before their counters reach those of their former
    * processes.
    */
-  private static final double QUIET_AFTER_MEETINGS_S = 60;
+  private static final double FAULT_FREE_AFTER_COMBINED_FAULTS_S = 60;
 
   private static final int JOBS = 60;
-  private static final int MISTAKES = 3;
+  private static final int MISCONFIGURED_JOBS = 3;
 
   /**
    * One in this many days has a job with more tasks than a chunk of the completed-task records
@@ -45,8 +45,8 @@
   private final SimulatedCluster cluster;
   private final Random random;
   private final LivenessInvariant liveness;
-  private final CombinedFaults meetings;
-  private boolean rolls;
+  private final CombinedFaults combinedFaults;
+  private boolean upgrades;
 
   private static final Build OLD = Build.present("old", 1);
   private static final Build NEW = Build.present("new", 2);
@@ -59,19 +59,19 @@
    * The same with controllers that are replaced by a newer build, with or without a rollback
    * halfway, during all kinds of faults.
    */
-  static RandomScenario ofRolls(long seed) {
+  static RandomScenario withUpgrade(long seed) {
     SimulatedCluster cluster =
         new SimulatedCluster(ClusterSpec.small(), seed, Meter.OFF, new Features(null, null, OLD));
     cluster.state().applyLate(60);
     RandomScenario day = new RandomScenario(seed, cluster);
-    day.rollAll(10 + 40 * day.random.nextDouble(), NEW);
+    day.upgradeAll(10 + 40 * day.random.nextDouble(), NEW);
     if (day.random.nextBoolean()) {
-      day.rollAll(30 + 40 * day.random.nextDouble(), OLD);
+      day.upgradeAll(30 + 40 * day.random.nextDouble(), OLD);
       // Controllers that the raised level excludes are out until they are replaced again.
-      day.rollAll(70 + 60 * day.random.nextDouble(), NEW);
+      day.upgradeAll(70 + 60 * day.random.nextDouble(), NEW);
     }
-    day.rollAll(LAST_TROUBLE_S + 1, NEW);
-    day.rolls = true;
+    day.upgradeAll(LAST_FAULT_S + 1, NEW);
+    day.upgrades = true;
     return day;
   }
 
@@ -79,8 +79,8 @@
    * A day with pipelines of dependent jobs: an ordinary one, one with upgrades that are over
    * before, or one with combined faults.
    */
-  static RandomScenario ofPipelines(long seed) {
-    return (seed % 3 == 2 ? ofMeetings(seed) : new RandomScenario(seed))
+  static RandomScenario withPipelines(long seed) {
+    return (seed % 3 == 2 ? withCombinedFaults(seed) : new RandomScenario(seed))
         .with(DependencyFaults::inject);
   }
 
@@ -88,7 +88,7 @@
    * Replaces all controllers by another build, one after the other; some of them may run it
    * already.
    */
-  private void rollAll(double fromS, Build build) {
+  private void upgradeAll(double fromS, Build build) {
     double at = fromS;
     for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
@@ -106,34 +106,34 @@
     if (seed % DAYS_PER_LARGE_JOB == 0) {
       cluster.time().at(5, () -> cluster.users().submitManyTasks(999));
     }
-    for (double at = FIRST_TROUBLE_S; at < LAST_TROUBLE_S; at += 4 + random.nextDouble() * 14) {
-      cluster.time().at(at, this::trouble);
+    for (double at = FIRST_FAULT_S; at < LAST_FAULT_S; at += 4 + random.nextDouble() * 14) {
+      cluster.time().at(at, this::injectFault);
     }
   }
 
-  private RandomScenario(long seed, SimulatedCluster cluster, CombinedFaults meetings) {
+  private RandomScenario(long seed, SimulatedCluster cluster, CombinedFaults combinedFaults) {
     this.seed = seed;
     this.cluster = cluster;
-    this.meetings = meetings;
+    this.combinedFaults = combinedFaults;
     random = cluster.random();
     liveness = new LivenessInvariant(cluster);
   }
 
   /** A day with combined faults, in one of several deployments. */
-  static RandomScenario ofMeetings(long seed) {
-    return ofMeetings(seed, Set.of(), false);
+  static RandomScenario withCombinedFaults(long seed) {
+    return withCombinedFaults(seed, Set.of(), false);
   }
 
   /**
    * The same with lost answers, kept reports, machines that cannot send and fast boots, each
    * combined with any other fault.
    */
-  static RandomScenario ofFurtherMeetings(long seed) {
-    return ofMeetings(seed, Set.of(), true);
+  static RandomScenario withFurtherCombinedFaults(long seed) {
+    return withCombinedFaults(seed, Set.of(), true);
   }
 
   /** The same with only some of the fault pairs, by number; an empty set selects all. */
-  static RandomScenario ofMeetings(long seed, Set<Integer> only, boolean further) {
+  static RandomScenario withCombinedFaults(long seed, Set<Integer> only, boolean further) {
     ClusterSpec site = ClusterSpec.small();
     List<Settings.AgentTimeouts> workers =
         List.of(
@@ -151,8 +151,8 @@
       int number = 1000 + i;
       cluster.time().at(3 + i * 2.2, () -> cluster.users().submit(number));
     }
-    for (int i = 0; i < MISTAKES; i++) {
-      cluster.time().at(FIRST_TROUBLE_S + 45 * i, day::mistake);
+    for (int i = 0; i < MISCONFIGURED_JOBS; i++) {
+      cluster.time().at(FIRST_FAULT_S + 45 * i, day::submitMisconfigured);
     }
     return day;
   }
@@ -164,26 +164,30 @@
   }
 
   /** Runs the day until all work must have ended; returns what went wrong. */
-  List<String> play() {
-    double over = meetings == null ? LAST_TROUBLE_S + LONGEST_TROUBLE_S : meetings.overS();
-    cluster.time().runUntil(meetings == null ? over + QUIET_S - 80 : over);
+  List<String> run() {
+    double over =
+        combinedFaults == null ? LAST_FAULT_S + MAX_FAULT_DURATION_S : combinedFaults.overS();
+    cluster.time().runUntil(combinedFaults == null ? over + FAULT_FREE_S - 80 : over);
     cluster.environment().onFaultsEnded();
-    cluster.time().runUntil(over + (meetings == null ? QUIET_S : QUIET_AFTER_MEETINGS_S));
+    cluster
+        .time()
+        .runUntil(
+            over + (combinedFaults == null ? FAULT_FREE_S : FAULT_FREE_AFTER_COMBINED_FAULTS_S));
     liveness.watch();
     List<String> wrong = new ArrayList<>(liveness.findings());
     wrong.addAll(cluster.invariants().violations());
     if (cluster.invariants().starts() <= JOBS) {
       wrong.add("little was started: " + cluster.invariants().starts());
     }
-    if (rolls
+    if (upgrades
         && !(cluster.state().value("q/level") instanceof Map<?, ?> level
             && level.get("level").equals(2L))) {
       wrong.add("all have the new build, and the level is " + cluster.state().value("q/level"));
     }
-    if (meetings != null) {
-      wrong.addAll(unserved());
+    if (combinedFaults != null) {
+      wrong.addAll(poorlyServedClasses());
       if (!wrong.isEmpty()) {
-        wrong.addAll(meetings.story());
+        wrong.addAll(combinedFaults.log());
       }
     }
     return wrong;
@@ -193,7 +197,7 @@
    * The classes of which less than half was served, in total or of the largest jobs, or of which
    * the largest jobs started late.
    */
-  private List<String> unserved() {
+  private List<String> poorlyServedClasses() {
     List<String> unserved = new ArrayList<>();
     cluster
         .environment()
@@ -230,9 +234,9 @@
     return unserved;
   }
 
-  private void trouble() {
+  private void injectFault() {
     int node = random.nextInt(cluster.nodeCount());
-    double length = 3 + random.nextDouble() * (LONGEST_TROUBLE_S - 3);
+    double length = 3 + random.nextDouble() * (MAX_FAULT_DURATION_S - 3);
     boolean lose = random.nextBoolean();
     List<MachineId> machines = cluster.cloud().machines();
     MachineId machine =
@@ -295,12 +299,12 @@
           machines.stream()
               .filter(each -> random.nextInt(4) == 0)
               .forEach(each -> cluster.dropInbound(each, length));
-      default -> mistake();
+      default -> submitMisconfigured();
     }
   }
 
   /** A job that fails on every machine until its user cancels it. */
-  private void mistake() {
+  private void submitMisconfigured() {
     JobKind kind = JobKind.values()[random.nextInt(JobKind.values().length)];
     Job job =
         Job.builder(new JobId("job-" + (5000 + cluster.users().misconfiguredAttempts().size())))
--- a/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
@@ -23,14 +23,14 @@
   @ValueSource(
       longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 515, 528, 10199, 21435, 21580, 23492})
   void keepsRulesAndCompletesWork(long seed) {
-    assertEquals(List.of(), new RandomScenario(seed).play());
+    assertEquals(List.of(), new RandomScenario(seed).run());
   }
 
   /** Overlapping faults: the effects of one fault are still present when the next one begins. */
   @ParameterizedTest
   @ValueSource(longs = {101, 1328, 10237})
   void keepsRulesWithCombinedFaults(long seed) {
-    assertEquals(List.of(), RandomScenario.ofMeetings(seed).play());
+    assertEquals(List.of(), RandomScenario.withCombinedFaults(seed).run());
   }
 
   /**
--- a/src/test/java/org/quincecross/emulator/RecordedDays.java
+++ b/src/test/java/org/quincecross/emulator/RecordedDays.java
@@ -98,7 +98,7 @@
    * or addition to them.
    */
   public static void main(String[] arguments) throws MalformedMessageException, IOException {
-    MessageRecorder recorder = play();
+    MessageRecorder recorder = run();
     System.out.println(recorder.digest());
     if (arguments.length > 0) {
       Path folder = Path.of(arguments[0]);
@@ -109,16 +109,16 @@
   }
 
   /** Runs all of the days. */
-  static MessageRecorder play() throws MalformedMessageException {
+  static MessageRecorder run() throws MalformedMessageException {
     MessageRecorder recorder = new MessageRecorder();
     RecordedDays days = new RecordedDays(recorder);
-    days.troubles();
-    days.overload();
-    days.mixedFleet();
-    days.holds();
-    days.models();
-    days.requests();
-    days.largeJob();
+    days.runFaults();
+    days.runOverload();
+    days.runMixedFleet();
+    days.runLegalHolds();
+    days.runModels();
+    days.runDeadlineRequests();
+    days.recordLargeJob();
     return recorder;
   }
 
@@ -126,44 +126,46 @@
    * Random days of a small deployment: without extras, with dependent jobs, with a change of the
    * level, and with combined faults.
    */
-  private void troubles() {
-    new RandomScenario(40).with((cluster, seed) -> watch(cluster, 300)).play();
-    RandomScenario.ofPipelines(42).with((cluster, seed) -> watch(cluster, 200)).play();
-    RandomScenario.ofRolls(43).with((cluster, seed) -> watch(cluster, 200)).play();
-    RandomScenario.ofFurtherMeetings(44).with((cluster, seed) -> watch(cluster, 200)).play();
+  private void runFaults() {
+    new RandomScenario(40).with((cluster, seed) -> recordState(cluster, 300)).run();
+    RandomScenario.withPipelines(42).with((cluster, seed) -> recordState(cluster, 200)).run();
+    RandomScenario.withUpgrade(43).with((cluster, seed) -> recordState(cluster, 200)).run();
+    RandomScenario.withFurtherCombinedFaults(44)
+        .with((cluster, seed) -> recordState(cluster, 200))
+        .run();
   }
 
-  private void watch(SimulatedCluster cluster, double untilS) {
+  private void recordState(SimulatedCluster cluster, double untilS) {
     cluster.observe(recorder);
     for (double at = 20; at < untilS; at += 45) {
-      cluster.time().at(at, () -> askEverything(cluster));
+      cluster.time().at(at, () -> sendAllOperatorRequests(cluster));
     }
   }
 
   /** Sends all requests of operators to each running controller, and submits invalid jobs. */
-  private void askEverything(SimulatedCluster cluster) {
+  private void sendAllOperatorRequests(SimulatedCluster cluster) {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       if (cluster.status(node) == null) {
         continue;
       }
       for (String path : ADMIN_PATHS) {
-        ask(cluster, node, HttpRequest.get(path));
+        send(cluster, node, HttpRequest.get(path));
       }
       for (String body : BAD_JOBS) {
-        ask(cluster, node, HttpRequest.post("/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
-        ask(
+        send(cluster, node, HttpRequest.post("/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
+        send(
             cluster,
             node,
             new HttpRequest(
                 "PUT", "/admin/settings", body.getBytes(StandardCharsets.UTF_8), false));
-        ask(cluster, node, HttpRequest.post("/agent/beat", body.getBytes(StandardCharsets.UTF_8)));
+        send(cluster, node, HttpRequest.post("/agent/beat", body.getBytes(StandardCharsets.UTF_8)));
       }
-      ask(cluster, node, HttpRequest.get("/v2/runs/job-999999"));
-      ask(cluster, node, HttpRequest.delete("/v2/runs/job-999999"));
+      send(cluster, node, HttpRequest.get("/v2/runs/job-999999"));
+      send(cluster, node, HttpRequest.delete("/v2/runs/job-999999"));
     }
   }
 
-  private void ask(SimulatedCluster cluster, int node, HttpRequest request) {
+  private void send(SimulatedCluster cluster, int node, HttpRequest request) {
     cluster.sendDirectly(
         node, request, response -> recorder.answered("controller", request, response));
   }
@@ -176,7 +178,7 @@
    * More work than capacity, with the deployed features: the order during an overload, and the
    * service level counts.
    */
-  private void overload() {
+  private void runOverload() {
     ClusterSpec site = ClusterSpec.fleet(60);
     SimulatedCluster cluster =
         new SimulatedCluster(
@@ -184,7 +186,7 @@
             45,
             Meter.OFF,
             new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
-    watch(cluster, 120);
+    recordState(cluster, 120);
     WorkloadGenerator load = new WorkloadGenerator(cluster.environment(), 45);
     cluster.time().at(10, () -> load.begin(10));
     cluster.time().at(70, () -> cluster.crash(Math.max(0, cluster.leader())));
@@ -192,14 +194,14 @@
   }
 
   /** Gangs, large arrays and a change of the settings by an operator. */
-  private void mixedFleet() {
+  private void runMixedFleet() {
     SimulatedCluster cluster =
         new SimulatedCluster(
             ClusterSpec.mixed(120),
             46,
             Meter.OFF,
             new Features(Shares.DEFAULTS, TimeSpan.ofSeconds(30), Build.present("new", 2)));
-    watch(cluster, 120);
+    recordState(cluster, 120);
     WorkloadGenerator load = new WorkloadGenerator(cluster.environment(), 46);
     cluster.time().at(10, () -> load.begin(10));
     // Depends on more jobs than fit in its own record.
@@ -219,7 +221,7 @@
         .at(
             40,
             () ->
-                ask(
+                send(
                     cluster,
                     0,
                     new HttpRequest(
@@ -235,7 +237,7 @@
    * The completed-task records of a job with more tasks than a chunk, which days this short do not
    * write.
    */
-  private void largeJob() {
+  private void recordLargeJob() {
     TaskSet done = TaskSet.range(CompletedTasks.CHUNK_SIZE + 17);
     IntStream.range(1, 2000).forEach(i -> done.add(CompletedTasks.CHUNK_SIZE + 2 * i));
     for (int chunk = 0; chunk < 2; chunk++) {
@@ -273,7 +275,7 @@
     List<String> lines = new ArrayList<>();
     Map<String, Object> job = JobCodec.writeSubmission(array(cluster, 997));
     job.put(JobCodec.DEPENDENCIES, List.of("job-1"));
-    for (Map.Entry<String, Object> bad : spoilt(job).entrySet()) {
+    for (Map.Entry<String, Object> bad : malformedVariants(job).entrySet()) {
       cluster.sendDirectly(
           0,
           HttpRequest.post(JobCodec.JOBS_PATH, Json.write(bad.getValue())),
@@ -285,7 +287,7 @@
                       + bad.getKey()
                       + ": "
                       + response.status()
-                      + named(new String(response.body(), StandardCharsets.UTF_8))));
+                      + namedFields(new String(response.body(), StandardCharsets.UTF_8))));
       runUntil(cluster, cluster.time().seconds() + 1);
     }
     Map<String, Object> operators =
@@ -306,7 +308,7 @@
                 0L,
                 "gone",
                 List.of("n9")));
-    for (Map.Entry<String, Object> bad : spoilt(operators).entrySet()) {
+    for (Map.Entry<String, Object> bad : malformedVariants(operators).entrySet()) {
       cluster.sendDirectly(
           0,
           new HttpRequest("PUT", "/admin/settings", Json.write(bad.getValue()), false),
@@ -316,7 +318,7 @@
                       + bad.getKey()
                       + ": "
                       + response.status()
-                      + named(new String(response.body(), StandardCharsets.UTF_8))));
+                      + namedFields(new String(response.body(), StandardCharsets.UTF_8))));
       runUntil(cluster, cluster.time().seconds() + 1);
     }
     List<Endpoint> nodes =
@@ -324,7 +326,7 @@
     Settings settings =
         ClusterSpec.mixed(120).settings(0, nodes, nodes, nodes.get(1), nodes.get(2));
     for (Map.Entry<String, Object> bad :
-        spoilt(asMap(Json.parse(SettingsWriter.write(settings)))).entrySet()) {
+        malformedVariants(asMap(Json.parse(SettingsWriter.write(settings)))).entrySet()) {
       lines.add(
           "settings "
               + bad.getKey()
@@ -334,7 +336,8 @@
     byte[] features =
         "{\"overload\": {\"usable\": 0.85, \"coming\": 1, \"floor\": 0.05, \"turns\": 0.05, \"begin_s\": 100}, \"served\": {\"log_every_s\": 60}, \"rollout\": {\"build\": \"b\", \"most_level\": 2}, \"agreed\": {\"holds\": {}}}"
             .getBytes(StandardCharsets.UTF_8);
-    for (Map.Entry<String, Object> bad : spoilt(asMap(Json.parse(features))).entrySet()) {
+    for (Map.Entry<String, Object> bad :
+        malformedVariants(asMap(Json.parse(features))).entrySet()) {
       lines.add(
           "features "
               + bad.getKey()
@@ -354,12 +357,12 @@
       reading.read();
       return "read";
     } catch (MalformedMessageException e) {
-      return "refused" + named(e.getMessage());
+      return "refused" + namedFields(e.getMessage());
     }
   }
 
   /** The words of a message that name a field or a setting. */
-  private static String named(String message) {
+  private static String namedFields(String message) {
     Matcher matcher = Pattern.compile("(?:field|setting|name) ([A-Za-z_]+)").matcher(message);
     return matcher.find() ? " names " + matcher.group(1) : "";
   }
@@ -373,7 +376,7 @@
    * Variants of an object with each field, also of nested objects, missing, of other types or out
    * of range, and with one additional field.
    */
-  private static Map<String, Object> spoilt(Map<String, Object> whole) {
+  private static Map<String, Object> malformedVariants(Map<String, Object> whole) {
     Map<String, Object> spoilt = new LinkedHashMap<>();
     Map<String, Object> more = new LinkedHashMap<>(whole);
     more.put("surplus", 1L);
@@ -390,7 +393,7 @@
             spoilt.put(name + " = " + other, changed);
           }
           if (value instanceof Map<?, ?> map) {
-            spoilt(asMap(map))
+            malformedVariants(asMap(map))
                 .forEach(
                     (what, inner) -> {
                       Map<String, Object> changed = new LinkedHashMap<>(whole);
@@ -402,10 +405,10 @@
     return spoilt;
   }
 
-  private void holds() throws MalformedMessageException {
+  private void runLegalHolds() throws MalformedMessageException {
     LegalHoldCluster site = new LegalHoldCluster(SWEEPS, 30, 47);
-    watch(site.cluster, 160);
-    site.told("sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
+    recordState(site.cluster, 160);
+    site.declareSweepsWithClaims("sweep", "cdr", "0-19", "cdr/2025-03", "20-39", "cdr/2025-04");
     site.at(44, () -> site.open(0, "ref-1", "r1", "cdr/2025-03"));
     site.at(46, () -> site.openFrom(1, "ref-2", "r2", 60, "cdr/2025-04"));
     site.at(48, () -> site.open(1, "ref-3", "r3", "not a record"));
@@ -415,9 +418,9 @@
     runUntil(site.cluster, 170);
   }
 
-  private void models() throws MalformedMessageException {
+  private void runModels() throws MalformedMessageException {
     ModelServingCluster site = new ModelServingCluster(ClusterSpec.tryOut(24, true), 48);
-    watch(site.cluster, 150);
+    recordState(site.cluster, 150);
     site.submitAt(
         ModelServingCluster.DEFINED_S - 0.5,
         ModelServingCluster.job(100, 4, 6, ModelServingCluster.FETCH_S, false));
@@ -439,7 +442,7 @@
     runUntil(site.cluster, 160);
   }
 
-  private void requests() {
+  private void runDeadlineRequests() {
     SimulatedCluster cluster =
         new SimulatedCluster(
             ClusterSpec.tryOut(30, true),
@@ -450,7 +453,7 @@
                 null,
                 Build.present("requests", 3),
                 Map.of("requests", Map.of("share", 0.5))));
-    watch(cluster, 130);
+    recordState(cluster, 130);
     List<Map<String, Object>> commands = new ArrayList<>();
     for (String kind : List.of("police", "carrier")) {
       commands.add(
@@ -487,7 +490,7 @@
           .at(
               40 + 15 * i,
               () ->
-                  ask(
+                  send(
                       cluster,
                       number % 3,
                       HttpRequest.post(
--- a/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
+++ b/src/test/java/org/quincecross/emulator/RolloutCasesTest.java
@@ -69,7 +69,7 @@
   private final SimulatedCluster cluster =
       new SimulatedCluster(site, 5, Meter.OFF, new Features(null, null, OLD));
   private final List<JobId> arrays = new ArrayList<>();
-  private final List<String> wrong = new ArrayList<>();
+  private final List<String> findings = new ArrayList<>();
 
   RolloutCasesTest() throws MalformedMessageException {
     for (WorkloadFile.ScheduledJob due : WorkloadFile.read(JOBS, site)) {
@@ -97,7 +97,7 @@
                     instanceof Map<?, ?> member) {
                   int most = member.get("most") instanceof Number number ? number.intValue() : 1;
                   if (most < level && member.containsKey("build")) {
-                    wrong.add(
+                    findings.add(
                         "at "
                             + cluster.time().seconds()
                             + " a member that ends at level "
@@ -121,10 +121,10 @@
     return cluster.status(node);
   }
 
-  private void assertAllIsWell(double untilS, int level) throws MalformedMessageException {
+  private void assertRulesKeptAtLevel(double untilS, int level) throws MalformedMessageException {
     cluster.time().runUntil(untilS);
     assertEquals(List.of(), cluster.invariants().violations());
-    assertEquals(List.of(), wrong);
+    assertEquals(List.of(), findings);
     for (JobId id : arrays) {
       assertEquals("done", cluster.users().reportedStates().get(id), id.text());
     }
@@ -140,7 +140,7 @@
     }
   }
 
-  private void rollAll(double fromS, double everyS, Build to) {
+  private void upgradeAll(double fromS, double everyS, Build to) {
     for (int node = 0; node < cluster.nodeCount(); node++) {
       int each = node;
       cluster.time().at(fromS + everyS * node, () -> cluster.upgrade(each, to));
@@ -152,14 +152,14 @@
    * are then written as deltas.
    */
   @Test
-  void aRollUnderLoad() throws MalformedMessageException {
-    rollAll(20, 8, NEW);
+  void upgradeUnderLoadRaisesLevel() throws MalformedMessageException {
+    upgradeAll(20, 8, NEW);
     cluster.time().runUntil(44);
     assertEquals(1, level());
     cluster.time().runUntil(70);
     assertEquals(2, level());
     assertFalse(cluster.state().keysWithPrefix("q/change/").isEmpty());
-    assertAllIsWell(220, 2);
+    assertRulesKeptAtLevel(220, 2);
   }
 
   /**
@@ -167,12 +167,12 @@
    * wrote.
    */
   @Test
-  void backHalfWay() throws MalformedMessageException {
+  void rollbackBeforeLevelChangeLosesNothing() throws MalformedMessageException {
     cluster.time().at(20, () -> cluster.upgrade(0, NEW));
     cluster.time().at(28, () -> cluster.upgrade(1, NEW));
     cluster.time().at(36, () -> cluster.upgrade(0, OLD));
     cluster.time().at(44, () -> cluster.upgrade(1, OLD));
-    assertAllIsWell(220, 1);
+    assertRulesKeptAtLevel(220, 1);
     assertTrue(cluster.state().keysWithPrefix("q/change/").isEmpty());
   }
 
@@ -181,7 +181,7 @@
    * returns with its old build it takes no part.
    */
   @Test
-  void oneThatIsAwayComesBackOldAndThenNew() throws MalformedMessageException {
+  void absentControllerReturnsWithOldThenNewBuild() throws MalformedMessageException {
     cluster.time().at(15, () -> cluster.stopFor(2, 75));
     cluster.time().at(20, () -> cluster.upgrade(0, NEW));
     cluster.time().at(24, () -> cluster.upgrade(1, NEW));
@@ -201,7 +201,7 @@
     assertEquals(503, ask(2, HttpRequest.get("/v2/runs/job-1")));
     assertEquals(0, status(2).integer("blocks_held", 0, 1000));
     cluster.time().at(110, () -> cluster.upgrade(2, NEW));
-    assertAllIsWell(220, 2);
+    assertRulesKeptAtLevel(220, 2);
     assertEquals(200, ask(2, HttpRequest.get("/up")));
   }
 
@@ -210,7 +210,7 @@
    * not report that job as unknown.
    */
   @Test
-  void whatCannotBeReadIsNotUnknownBeforeAMemberIsAnnounced() {
+  void unreadableJobIsNotUnknownBeforeMembership() {
     cluster.time().runUntil(20);
     cluster.stopFor(2, 1);
     cluster.state().write("q/job/job-77", Json.object("phase", "open", "at", 1));
@@ -229,17 +229,18 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {-4.2, -4.05, -4, -3.95, -3.9, -1, 0, 0.01, 0.02})
-  void anOldOneJoinsInTheSameInstant(double offset) throws MalformedMessageException {
-    rollAll(20, 4, NEW);
-    double switchAt = switchedAt();
+  void oldBuildThatJoinsDuringLevelChangeIsExcluded(double offset)
+      throws MalformedMessageException {
+    upgradeAll(20, 4, NEW);
+    double switchAt = levelRisenAt();
     RolloutCasesTest other = new RolloutCasesTest();
-    other.rollAll(20, 4, NEW);
+    other.upgradeAll(20, 4, NEW);
     other.cluster.time().at(switchAt + offset, () -> other.cluster.upgrade(1, OLD));
     other.cluster.time().at(switchAt + 60, () -> other.cluster.upgrade(1, NEW));
-    other.assertAllIsWell(240, 2);
+    other.assertRulesKeptAtLevel(240, 2);
   }
 
-  private double switchedAt() {
+  private double levelRisenAt() {
     for (double at = 30; at < 80; at += 0.01) {
       cluster.time().runUntil(at);
       if (level() == 2) {
@@ -255,12 +256,12 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {-0.02, -0.01, -0.005, 0, 0.005, 1})
-  void theLeaderIsLostOverTheSwitch(double offset) throws MalformedMessageException {
-    rollAll(20, 4, NEW);
-    double switchAt = switchedAt();
+  void levelChangeSurvivesLeaderFailure(double offset) throws MalformedMessageException {
+    upgradeAll(20, 4, NEW);
+    double switchAt = levelRisenAt();
     for (double still : new double[] {0, 6, 25}) {
       RolloutCasesTest other = new RolloutCasesTest();
-      other.rollAll(20, 4, NEW);
+      other.upgradeAll(20, 4, NEW);
       other.cluster.state().applyLate(60);
       other.cluster.time().runUntil(switchAt + offset);
       int leader = Math.max(0, other.cluster.leader());
@@ -269,7 +270,7 @@
       } else {
         other.cluster.suspend(leader, still);
       }
-      other.assertAllIsWell(260, 2);
+      other.assertRulesKeptAtLevel(260, 2);
     }
   }
 
@@ -279,8 +280,8 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void troublesOverTheSwitch(int which) throws MalformedMessageException {
-    rollAll(20, 4, NEW);
+  void levelChangeSurvivesFaults(int which) throws MalformedMessageException {
+    upgradeAll(20, 4, NEW);
     cluster
         .time()
         .at(
@@ -297,7 +298,7 @@
               }
             });
     cluster.time().at(50, () -> cluster.state().keepChanges(10_000));
-    assertAllIsWell(240, 2);
+    assertRulesKeptAtLevel(240, 2);
   }
 
   /**
@@ -305,8 +306,8 @@
    * users, but is not the leader and owns no shard.
    */
   @Test
-  void aBuildFromBeforeLevelsNeverLeadsAfterTheSwitch() throws MalformedMessageException {
-    rollAll(20, 4, NEW);
+  void buildWithoutLevelsNeverLeadsAfterLevelChange() throws MalformedMessageException {
+    upgradeAll(20, 4, NEW);
     cluster.time().runUntil(60);
     assertEquals(2, level());
     assertEquals("level-2", ((Map<?, ?>) cluster.state().value("q/leader")).get("member"));
@@ -335,7 +336,7 @@
       assertFalse("n2".equals(((Map<?, ?>) cluster.state().value(block)).get("holder")), block);
     }
     cluster.time().at(100.5, () -> cluster.state().write("q/member/n2", null));
-    assertAllIsWell(240, 2);
+    assertRulesKeptAtLevel(240, 2);
   }
 
   /**
@@ -343,16 +344,16 @@
    * old builds may return.
    */
   @Test
-  void theLevelIsLowered() throws MalformedMessageException {
-    rollAll(20, 4, NEW);
+  void loweredLevelRewritesRecords() throws MalformedMessageException {
+    upgradeAll(20, 4, NEW);
     cluster.time().runUntil(60);
     assertEquals(2, level());
     set("{\"most_level\": 1}");
     cluster.time().runUntil(75);
     assertEquals(1, level());
     assertEquals(List.of(), List.copyOf(cluster.state().keysWithPrefix("q/change/")));
-    rollAll(80, 6, OLD);
-    assertAllIsWell(240, 1);
+    upgradeAll(80, 6, OLD);
+    assertRulesKeptAtLevel(240, 1);
   }
 
   /**
@@ -360,7 +361,7 @@
    * it can be read, and reports its key.
    */
   @Test
-  void aRecordThatCannotBeRead() throws MalformedMessageException {
+  void unreadableRecordKeepsControllerOut() throws MalformedMessageException {
     cluster.time().runUntil(30);
     String key = cluster.state().keysWithPrefix("q/alloc/").iterator().next();
     Object good = cluster.state().value(key);
@@ -372,7 +373,7 @@
     }
     assertEquals(-1, cluster.leader());
     cluster.state().write(key, good);
-    assertAllIsWell(280, 1);
+    assertRulesKeptAtLevel(280, 1);
   }
 
   private int ask(int node, HttpRequest request) {
@@ -408,7 +409,7 @@
    * lowest limit applies, whoever leads.
    */
   @Test
-  void whileALimitDiffersTheLowestHolds() throws MalformedMessageException {
+  void lowestOfDifferingLimitsApplies() throws MalformedMessageException {
     JobId wide = new JobId("job-90000");
     Job job =
         Job.builder(wide)
@@ -422,7 +423,7 @@
             .imageGb(0.5)
             .estimate(TimeSpan.ofSeconds(10))
             .build();
-    rollAll(6, 3, NEW);
+    upgradeAll(6, 3, NEW);
     cluster.time().at(22, () -> cluster.users().submit(job));
     cluster.time().runUntil(30);
     assertTrue(
@@ -455,7 +456,7 @@
     assertTrue(most > 30 && most <= 40.001, most + " processors of 40");
     cluster.configureTeams(other, site.teams());
     cluster.crash(other);
-    assertAllIsWell(240, 2);
+    assertRulesKeptAtLevel(240, 2);
     assertEquals("done", cluster.users().reportedStates().get(wide));
     assertEquals(List.of(), status(0).strings("settings_differ"));
   }
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -24,7 +24,7 @@
   /** The same with a rolling upgrade to a build with another record format. */
   @Test
   void keepsRulesDuringUpgrades() {
-    play(RandomScenario::ofRolls);
+    play(RandomScenario::withUpgrade);
   }
 
   /**
@@ -38,7 +38,7 @@
     int controllers = Integer.getInteger("controllers", 3);
     play(
         seed ->
-            (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
+            (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.withUpgrade(seed))
                 .with(
                     (cluster, each) ->
                         new FastRestartFaults(cluster, each)
@@ -55,7 +55,7 @@
   void keepsRulesWithDelayedTransactions() {
     play(
         seed ->
-            (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.ofRolls(seed))
+            (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.withUpgrade(seed))
                 .with(DelayedTransactionFaults::inject));
   }
 
@@ -80,7 +80,7 @@
   /** Pairs of faults that overlap. */
   @Test
   void keepsRulesWithCombinedFaults() {
-    play(RandomScenario::ofMeetings);
+    play(RandomScenario::withCombinedFaults);
   }
 
   /**
@@ -89,13 +89,13 @@
    */
   @Test
   void keepsRulesWithFurtherCombinedFaults() {
-    play(RandomScenario::ofFurtherMeetings);
+    play(RandomScenario::withFurtherCombinedFaults);
   }
 
   /** The same, with faults caused by users in addition. */
   @Test
   void keepsRulesWithCombinedFaultsAndUserErrors() {
-    play(seed -> RandomScenario.ofMeetings(seed).with(UserErrorFaults::inject));
+    play(seed -> RandomScenario.withCombinedFaults(seed).with(UserErrorFaults::inject));
   }
 
   /** The state service refuses one controller, then all, while users cancel and poll. */
@@ -107,11 +107,11 @@
   /** Jobs with dependencies, cancelled at every stage, with all kinds of faults. */
   @Test
   void keepsRulesWithDependentJobs() {
-    play(RandomScenario::ofPipelines);
+    play(RandomScenario::withPipelines);
   }
 
   private static void play(LongFunction<RandomScenario> day) {
-    playAll(seed -> day.apply(seed).play());
+    playAll(seed -> day.apply(seed).run());
   }
 
   private static void playAll(LongFunction<List<String>> day) {
--- a/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
+++ b/src/test/java/org/quincecross/emulator/TeamLimitDuringFailuresTest.java
@@ -28,25 +28,25 @@
  * team and zone until they are proven gone. Three controllers, 30 machines, virtual time.
  */
 class TeamLimitDuringFailuresTest {
-  private static final double AT_S = 28;
-  private static final double OVER_S = 110;
-  private static final int WAVE = 14;
+  private static final double FAULT_START_S = 28;
+  private static final double FAULT_END_S = 110;
+  private static final int CANCELLATIONS_PER_WAVE = 14;
 
   private final ClusterSpec site =
       ClusterSpec.tryOut(30, true)
           .with(
               Map.of("long", team("long", 48), "zonal", team("zonal", 40), "web", team("web", 24)));
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
-  private final List<JobId> called = new ArrayList<>();
+  private final List<JobId> cancelledJobs = new ArrayList<>();
   private SimulatedCluster cluster;
   private Random random;
   private int changes;
   private int leader = -1;
-  private int takenOver;
+  private int takeovers;
   private boolean atLimits = true;
 
   /** The faults that coincide with a wave of cancellations. */
-  private enum Trouble {
+  private enum Fault {
     HANG,
     CUT,
     HAND_OVER,
@@ -84,15 +84,15 @@
 
   private List<JobId> running() {
     return jobs.keySet().stream()
-        .filter(id -> cluster.invariants().onMachines(id) > 0 && !called.contains(id))
+        .filter(id -> cluster.invariants().onMachines(id) > 0 && !cancelledJobs.contains(id))
         .toList();
   }
 
   /** Users cancel {@code count} running jobs within {@code withinS} seconds. */
-  private void callOff(int count, double withinS) {
+  private void cancel(int count, double withinS) {
     List<JobId> running = running();
     for (JobId id : running.subList(0, Math.min(count, running.size()))) {
-      called.add(id);
+      cancelledJobs.add(id);
       cluster.time().after(withinS * random.nextDouble(), () -> cluster.users().cancel(id));
     }
   }
@@ -101,11 +101,11 @@
     return Math.max(0, cluster.leader());
   }
 
-  private void strike(Trouble trouble) {
+  private void injectFault(Fault fault) {
     double lease = site.workers().lease().seconds();
-    switch (trouble) {
+    switch (fault) {
       case HANG -> {
-        callOff(WAVE, 0.2);
+        cancel(CANCELLATIONS_PER_WAVE, 0.2);
         cluster
             .cloud()
             .workers()
@@ -134,7 +134,7 @@
           }
         }
         cluster.time().after(1, () -> cluster.stopFor(former, 1 + 10 * random.nextDouble()));
-        callOff(WAVE, 20);
+        cancel(CANCELLATIONS_PER_WAVE, 20);
       }
       case HAND_OVER -> {
         cluster.delayMessages(0.2, 9, random);
@@ -144,9 +144,9 @@
               if (!hit[0]
                   && request.startsWith("POST /txn")
                   && request.contains("\"Set\":\"q/block/")
-                  && cluster.time().seconds() > AT_S) {
+                  && cluster.time().seconds() > FAULT_START_S) {
                 hit[0] = true;
-                callOff(WAVE, 0.6);
+                cancel(CANCELLATIONS_PER_WAVE, 0.6);
               }
               return false;
             },
@@ -158,7 +158,7 @@
       case ZONE -> {
         new ZonePartitions(cluster)
             .zone(random.nextInt(3), lease + 2 + 24 * random.nextDouble(), random.nextBoolean());
-        callOff(WAVE, 16);
+        cancel(CANCELLATIONS_PER_WAVE, 16);
       }
       case TEN_LEADERS -> {
         for (int i = 0; i < 10; i++) {
@@ -167,10 +167,10 @@
               .after(12 * i, () -> cluster.stopFor(leader(), 0.2 + 9 * random.nextDouble()));
         }
         cluster.time().after(40 + 10 * random.nextDouble(), () -> cluster.state().outage(28));
-        callOff(WAVE, 60);
+        cancel(CANCELLATIONS_PER_WAVE, 60);
       }
       case ALL_AWAY -> {
-        callOff(WAVE, 4);
+        cancel(CANCELLATIONS_PER_WAVE, 4);
         cluster
             .cloud()
             .workers()
@@ -198,7 +198,7 @@
             .subList(there.size() / 2, there.size())
             .forEach(worker -> worker.suspend(10 * random.nextDouble()));
         cluster.time().after(8 * random.nextDouble(), () -> cluster.stopFor(leader(), 4));
-        callOff(WAVE / 2, 10);
+        cancel(CANCELLATIONS_PER_WAVE / 2, 10);
       }
       case TAKEN_OVER_AND_REFUSED -> {
         // New owners of shards are refused at first, and machines restart as new workers before
@@ -209,14 +209,14 @@
             request -> {
               if (request.startsWith("POST /txn")
                   && request.contains("\"Set\":\"q/block/")
-                  && cluster.time().seconds() > AT_S) {
+                  && cluster.time().seconds() > FAULT_START_S) {
                 for (int node = 0; node < cluster.nodeCount(); node++) {
                   if (!hit[node]
                       && request.contains("\"holder\":\"" + ClusterSpec.nodeName(node) + "\"")
                       && !hit[(node + 1) % 3]
                       && !hit[(node + 2) % 3]) {
                     hit[node] = true;
-                    takenOver++;
+                    takeovers++;
                     cluster.state().refuse(ClusterSpec.nodeName(node), 45);
                     cluster
                         .cloud()
@@ -235,7 +235,7 @@
             0,
             SimulatedCluster.SendFault.STILL_AFTER);
         cluster.stopFor((leader() + 1 + random.nextInt(2)) % 3, 15);
-        callOff(WAVE, 12);
+        cancel(CANCELLATIONS_PER_WAVE, 12);
         cluster.time().after(20, () -> cluster.delayMessages(0, 0, random));
       }
       default -> {
@@ -250,7 +250,7 @@
             cluster.stopFor(node, 0.5);
           }
         }
-        callOff(WAVE, 10);
+        cancel(CANCELLATIONS_PER_WAVE, 10);
         cluster.time().after(12, () -> cluster.stopFor(leader(), 5));
       }
     }
@@ -276,33 +276,32 @@
     "TAKEN_OVER_AND_REFUSED, 2",
     "TAKEN_OVER_AND_REFUSED, 3"
   })
-  void noTeamGoesBeyondItsLimitAndAllGoesOn(Trouble trouble, long seed) {
-    assertEquals(List.of(), play(trouble, seed));
-    assertEquals(trouble == Trouble.TAKEN_OVER_AND_REFUSED ? 1 : 0, takenOver);
+  void teamsStayWithinLimitsAndWorkContinues(Fault fault, long seed) {
+    assertEquals(List.of(), run(fault, seed));
+    assertEquals(fault == Fault.TAKEN_OVER_AND_REFUSED ? 1 : 0, takeovers);
     assertTrue(atLimits, "all teams were at their limits");
     assertTrue(
-        called.stream()
+        cancelledJobs.stream()
                 .filter(id -> "cancelled".equals(cluster.users().reportedStates().get(id)))
                 .count()
-            >= WAVE / 2 - 1,
+            >= CANCELLATIONS_PER_WAVE / 2 - 1,
         "cancelled");
     assertTrue(
-        trouble == Trouble.ZONE
-            || trouble == Trouble.TAKEN_OVER_AND_REFUSED
-            || changes
-                >= (trouble == Trouble.TEN_LEADERS ? 5 : trouble == Trouble.HAND_OVER ? 1 : 2),
+        fault == Fault.ZONE
+            || fault == Fault.TAKEN_OVER_AND_REFUSED
+            || changes >= (fault == Fault.TEN_LEADERS ? 5 : fault == Fault.HAND_OVER ? 1 : 2),
         "leaders " + changes);
   }
 
   @Test
   @Tag("seeds")
-  void theSameForManySeeds() {
+  void teamsStayWithinLimitsOnManySeeds() {
     String[] range = System.getProperty("seeds", "20000-20199").split("-");
     Map<Long, List<String>> wrong = new TreeMap<>();
     for (long seed = Long.parseLong(range[0]); seed <= Long.parseLong(range[1]); seed++) {
       List<String> found =
           new TeamLimitDuringFailuresTest()
-              .play(Trouble.values()[(int) (seed % Trouble.values().length)], seed);
+              .run(Fault.values()[(int) (seed % Fault.values().length)], seed);
       if (!found.isEmpty()) {
         wrong.put(seed, found);
       }
@@ -310,9 +309,9 @@
     assertEquals(Map.of(), wrong);
   }
 
-  private List<String> play(Trouble trouble, long seed) {
+  private List<String> run(Fault fault, long seed) {
     cluster = new SimulatedCluster(site, seed, Meter.OFF);
-    random = new Random(seed * 31 + trouble.ordinal());
+    random = new Random(seed * 31 + fault.ordinal());
     for (int i = 0; i < 36; i++) {
       submit(100 + i, "long", JobKind.ARRAY, 2 + i % 2, 1, i % 4 == 0, 55);
     }
@@ -322,7 +321,7 @@
     for (int i = 0; i < 8; i++) {
       submit(300 + i, "web", JobKind.SERVICE, 2, 2, i % 2 == 0, 0);
     }
-    for (double at = 6; at < OVER_S + 60; at += 0.25) {
+    for (double at = 6; at < FAULT_END_S + 60; at += 0.25) {
       cluster
           .time()
           .at(
@@ -334,16 +333,16 @@
                 leader = now >= 0 ? now : leader;
               });
     }
-    cluster.time().runUntil(AT_S);
+    cluster.time().runUntil(FAULT_START_S);
     site.teams()
         .forEach(
             (name, team) ->
                 atLimits &= cluster.invariants().used(name).cpus() > team.limit().cpus() - 8);
-    strike(trouble);
-    cluster.time().runUntil(OVER_S + 60);
+    injectFault(fault);
+    cluster.time().runUntil(FAULT_END_S + 60);
     List<String> wrong = new ArrayList<>(cluster.invariants().violations());
     jobs.keySet().stream()
-        .filter(id -> jobs.get(id).kind() == JobKind.SERVICE && !called.contains(id))
+        .filter(id -> jobs.get(id).kind() == JobKind.SERVICE && !cancelledJobs.contains(id))
         .forEach(id -> cluster.users().cancel(id));
     cluster.time().runUntil(420);
     jobs.keySet()
