--- a/src/test/java/org/quincecross/GoldenFiles.java
+++ b/src/test/java/org/quincecross/GoldenFiles.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * Files of bytes as builds before wrote them. They are added to, and never changed: see
+ * Files with messages and records of earlier builds. They are added to and never changed: see
  * CONTRIBUTING.md.
  */
 public final class GoldenFiles {
@@ -20,8 +20,8 @@
   }
 
   /**
-   * The messages of the channels whose names begin so, each in its columns: the channel, for
-   * records the key, and the message.
+   * The messages of the channels whose names have a prefix, in columns: the channel, for records
+   * the key, and the message.
    */
   public static List<String[]> messages(String channel) throws IOException {
     return lines("messages.tsv").stream()
--- a/src/test/java/org/quincecross/KnownRedTest.java
+++ b/src/test/java/org/quincecross/KnownRedTest.java
@@ -12,10 +12,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/**
- * The tests that are passed over because they fail for a known fault are those that KNOWN-RED.txt
- * lists, three at the most.
- */
+/** The skipped tests with a known fault are those that KNOWN-RED.txt lists, three at most. */
 class KnownRedTest {
   private static final Path TESTS = Path.of("src/test/java");
   private static final String TAG = "@Tag(\"known-red\")";
--- a/src/test/java/org/quincecross/PackageLayeringTest.java
+++ b/src/test/java/org/quincecross/PackageLayeringTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The packages stand on floors, and each imports from below alone; the packages of decisions have
- * no I/O and no clock.
+ * Packages are arranged in layers, and each package imports only from its own or lower layers; the
+ * decision packages have no I/O and no clock.
  */
 class PackageLayeringTest {
-  /** From the top down. Packages of a floor may know one another. */
+  /** From top to bottom. Packages of one layer may import each other. */
   private static final List<List<String>> FLOORS =
       List.of(
           List.of("cli"),
--- a/src/test/java/org/quincecross/cli/HoldCommandsTest.java
+++ b/src/test/java/org/quincecross/cli/HoldCommandsTest.java
@@ -19,8 +19,8 @@
   private static final long NOON = 1_796_212_800_000L; // 2026-12-02T12:00Z
 
   /**
-   * What the command line gets wrong is said in one line, and nobody is asked: there is no server
-   * here.
+   * Errors in the command line are reported in one line, and no request is sent: there is no server
+   * in this test.
    */
   @ParameterizedTest
   @CsvSource(
--- a/src/test/java/org/quincecross/cli/ModelCommandsTest.java
+++ b/src/test/java/org/quincecross/cli/ModelCommandsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** What the command line gets wrong is said in one line that names it, and nothing is asked. */
+/** Errors in the command line are reported in one line that names them, and no request is sent. */
 class ModelCommandsTest {
   @ParameterizedTest
   @CsvSource({
--- a/src/test/java/org/quincecross/model/TaskSetTest.java
+++ b/src/test/java/org/quincecross/model/TaskSetTest.java
@@ -20,7 +20,7 @@
     assertEquals(members.size(), set.size());
   }
 
-  /** Whatever is done to it, a set says what a plain one says. */
+  /** A task set behaves like a plain set under any sequence of operations. */
   @Property(tries = 300, seed = "10")
   void doesWhatAPlainSetDoes(@ForAll long seed) {
     Random random = new Random(seed);
--- a/src/test/java/org/quincecross/net/HttpClientTest.java
+++ b/src/test/java/org/quincecross/net/HttpClientTest.java
@@ -16,7 +16,8 @@
 import org.quincecross.model.TimeSpan;
 
 /**
- * A host that falls silent on the connections that stand, and answers on new ones: real sockets.
+ * A host that stops answering on established connections but answers on new ones, with real
+ * sockets.
  */
 class HttpClientTest {
   private static final byte[] OK =
@@ -48,14 +49,14 @@
               try {
                 work.run();
               } catch (IOException e) {
-                // the test is over
+                // the test has ended
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Answers so many requests, and is silent from then on. */
+  /** Answers the configured number of requests, and none after that. */
   private void serve(Socket socket) throws IOException {
     int end = 0;
     for (int answered = 0; answered < answeredOnEach; ) {
@@ -79,15 +80,15 @@
   }
 
   /**
-   * What was silent for one connection is not tried on the others that were kept: each would cost
-   * another wait.
+   * After a timeout on one connection, the other pooled connections are not tried: each would cost
+   * another timeout.
    */
   @Test
   void connectionsToASilentHostAreNotTriedOneAfterTheOther() throws Exception {
     Endpoint host = new Endpoint("127.0.0.1", server.getLocalPort());
     CompletableFuture<String> outcomes = new CompletableFuture<>();
-    // Three calls at once stand on three connections, which are kept; the first call after them
-    // finds its connection silent.
+    // Three concurrent calls open three connections, which are pooled; the next call finds its
+    // connection silent.
     StringBuilder seen = new StringBuilder();
     for (int i = 0; i < 3; i++) {
       client.call(
--- a/src/test/java/org/quincecross/net/HttpServerTest.java
+++ b/src/test/java/org/quincecross/net/HttpServerTest.java
@@ -24,7 +24,7 @@
 import org.quincecross.http.HttpResponse;
 import org.quincecross.model.Endpoint;
 
-/** A server whose sockets are nearly used up, with real ones. */
+/** A server whose connection limit is nearly reached, with real sockets. */
 class HttpServerTest {
   private static final int MOST = 40;
   private static final byte[] BEAT =
@@ -90,7 +90,7 @@
   }
 
   /**
-   * The status that a request, or what was sent before, is answered with; 0 where the connection
+   * Sends a request, or nothing more, and returns the status of the answer; 0 if the connection
    * ends without one.
    */
   private static int ask(Socket socket, byte[] request) {
@@ -107,13 +107,13 @@
           ? 0
           : Integer.parseInt(new String(head, 9, 3, StandardCharsets.US_ASCII));
     } catch (IOException e) {
-      return 0; // reset
+      return 0; // connection reset
     }
   }
 
   /**
-   * A body that is too large, by its length or chunk by chunk, or that is cut off: nobody is handed
-   * a request, the connection ends, others are served.
+   * A body that is too large, by its length or chunk by chunk, or that is cut off: no handler
+   * receives a request, the connection ends, and others are served.
    */
   @ParameterizedTest
   @CsvSource({
@@ -152,7 +152,7 @@
     int answered = ask(socket, new byte[0]);
     assertTrue(
         answered == status || answered == 0,
-        answered + " is answered"); // what is in flight when a connection ends may be lost
+        answered + " is answered"); // data in flight when a connection ends may be lost
     assertEquals(0, ask(socket, new byte[0]), "the connection goes on");
     assertEquals(status == 200 ? 1 : 0, handed.get());
     assertEquals(200, ask(connect(), UP));
@@ -174,7 +174,7 @@
   }
 
   /**
-   * Where every connection waits for an answer, one more is refused at once; those that wait are
+   * If every connection waits for an answer, one more is refused at once, and the waiting ones are
    * answered.
    */
   @Test
@@ -198,7 +198,7 @@
     loop.after(
         org.quincecross.model.TimeSpan.ZERO,
         () -> held.forEach(reply -> reply.accept(HttpResponse.of(200))));
-    ask(connect(), UP); // wakes the loop; refused or not
+    ask(connect(), UP); // wakes the event loop; may be refused
     for (Socket socket : waiting) {
       assertEquals('H', socket.getInputStream().read());
     }
--- a/src/test/java/org/quincecross/net/ManualClock.java
+++ b/src/test/java/org/quincecross/net/ManualClock.java
@@ -3,7 +3,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
 
-/** A clock that a test moves by hand, for what asks for the time alone. */
+/** A manually advanced clock, for code that only reads the time. */
 public final class ManualClock implements Timers {
   private long nanos;
 
--- a/src/test/java/org/quincecross/net/ManualTimers.java
+++ b/src/test/java/org/quincecross/net/ManualTimers.java
@@ -5,7 +5,7 @@
 import org.quincecross.model.MonotonicTime;
 import org.quincecross.model.TimeSpan;
 
-/** A clock that a test moves by hand, with timers that go off as it passes them. */
+/** A manually advanced clock whose timers fire as it passes them. */
 public final class ManualTimers implements Timers {
   private record Due(long at, long order, Runnable action) {}
 
--- a/src/test/java/org/quincecross/peer/GoldenFramesTest.java
+++ b/src/test/java/org/quincecross/peer/GoldenFramesTest.java
@@ -15,8 +15,8 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 /**
- * Frames as builds before sent them are read, and are the same when they are written again; the
- * order in a map says nothing.
+ * Frames sent by earlier builds can be read, and are the same when written again; the order of map
+ * entries is irrelevant.
  */
 class GoldenFramesTest {
   @Test
--- a/src/test/java/org/quincecross/peer/PeerCodecTest.java
+++ b/src/test/java/org/quincecross/peer/PeerCodecTest.java
@@ -26,7 +26,7 @@
 import org.quincecross.protocol.MalformedMessageException;
 
 class PeerCodecTest {
-  // A generator reads best whole.
+  // A generator is easier to read in one piece.
   @SuppressWarnings("MethodLength")
   @Provide
   static Arbitrary<PeerHeartbeat> reports() {
@@ -99,13 +99,13 @@
   }
 
   @Property(tries = 200, seed = "6")
-  void whatIsWrittenReadsTheSame(@ForAll("reports") PeerHeartbeat heartbeat)
+  void whatIsWrittenReadsTheSame(@ForAll("heartbeats") PeerHeartbeat heartbeat)
       throws MalformedMessageException {
     assertEquals(heartbeat, PeerCodec.read(PeerCodec.write(heartbeat)));
   }
 
   @Property(tries = 200, seed = "7")
-  void aPartOfAReportIsABadMessage(@ForAll("reports") PeerHeartbeat heartbeat) {
+  void aPartOfAReportIsABadMessage(@ForAll("heartbeats") PeerHeartbeat heartbeat) {
     byte[] whole = PeerCodec.write(heartbeat);
     byte[] part = Arrays.copyOf(whole, whole.length - 1);
     byte[] more = Arrays.copyOf(whole, whole.length + 1);
--- a/src/test/java/org/quincecross/peer/PeerViewsTest.java
+++ b/src/test/java/org/quincecross/peer/PeerViewsTest.java
@@ -29,8 +29,8 @@
   private static final MonotonicTime NOW = new MonotonicTime(1);
 
   /**
-   * A sender whose blocks change at random, and that tells what has changed since the report it
-   * builds on.
+   * A sender whose shards change at random, and that sends the changes since the acknowledged
+   * heartbeat.
    */
   private static final class Sender {
     private final Random random;
@@ -136,8 +136,8 @@
   }
 
   /**
-   * Reports are lost, repeated and late; a receiver never guesses, and after a receipt with a gap
-   * it has all again.
+   * Heartbeats are lost, repeated and late; a receiver never guesses, and has the full state again
+   * after it has reported a gap.
    */
   @Property(tries = 300, seed = "21")
   void whatIsLostRepeatedOrLateIsMadeGood(@ForAll long seed) {
@@ -155,12 +155,12 @@
         continue; // lost
       }
       if (random.nextInt(4) == 0) {
-        views.apply(sent.get(random.nextInt(sent.size())), NOW); // a late or repeated one
+        views.apply(sent.get(random.nextInt(sent.size())), NOW); // late or repeated
       }
       boolean taken = views.apply(heartbeat, NOW);
       PeerHeartbeat.Receipt receipt = views.receipts().get(SENDER);
       if (taken) {
-        assertEquals(sender.shards, seen(views), "what was taken is all there is");
+        assertEquals(sender.shards, seen(views), "the receiver has the sender's full state");
       } else {
         assertTrue(receipt.gap() && receipt.incarnation().equals(sender.incarnation));
         sender.base = receipt.number();
--- a/src/test/java/org/quincecross/protocol/FeaturesTest.java
+++ b/src/test/java/org/quincecross/protocol/FeaturesTest.java
@@ -28,7 +28,7 @@
     assertEquals(60, read("{\"served\": {\"log_every_s\": 60}}").accountingInterval().seconds());
   }
 
-  /** Levels run where the service is deployed, up to the one without agreed records. */
+  /** Deployments take part in levels up to the one before replicated records. */
   @Test
   void whatIsDeployedTakesPartInLevelTwo() throws MalformedMessageException, IOException {
     Features deployed = Features.read(Files.readAllBytes(Path.of("deploy/features.json")));
@@ -36,7 +36,7 @@
     assertNull(deployed.replicatedFeatures());
   }
 
-  /** A controller announces the level of agreed records only where they are named. */
+  /** A controller announces the level of replicated records only if its features name them. */
   @Test
   void agreedRecordsComeWithTheirLevel() throws MalformedMessageException {
     assertEquals(2, read("{\"rollout\": {}}").build().maxLevel().number());
--- a/src/test/java/org/quincecross/protocol/JobCodecTest.java
+++ b/src/test/java/org/quincecross/protocol/JobCodecTest.java
@@ -23,7 +23,7 @@
 import org.quincecross.model.TimeSpan;
 
 class JobCodecTest {
-  // A generator reads best whole.
+  // A generator is easier to read in one piece.
   @SuppressWarnings("MethodLength")
   @Provide
   static Arbitrary<Job> jobs() {
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Of a submission no field may be missing but those that may be null; a record may leave out what
-   * says nothing.
+   * A submission must have all fields except nullable ones; a stored record may omit fields with
+   * default values.
    */
   @Property(tries = 100, seed = "6")
   void aSubmissionHasAllItsFields(@ForAll("jobs") Job job) throws MalformedMessageException {
@@ -181,8 +181,8 @@
   }
 
   /**
-   * Nothing and an empty list wait on no job, one that is named twice is waited for once; all that
-   * is no list of ids is malformed.
+   * No list and an empty list mean no dependencies, and a duplicate counts once; anything else than
+   * a list of ids is malformed.
    */
   @Example
   void namesJobsToWaitOn() throws MalformedMessageException {
--- a/src/test/java/org/quincecross/protocol/SettingsTest.java
+++ b/src/test/java/org/quincecross/protocol/SettingsTest.java
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Nobody could be told of a cancellation in time: the program is to say so, by the field, rather
-   * than run and break it.
+   * With such leases users could not be told of a cancellation in time: the program refuses to
+   * start and names the field.
    */
   @Test
   void leasesTooLongForCancellationsAreNamed() throws MalformedMessageException {
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Of the limits that hold and those to come, a controller has the smaller of each from its start
-   * on; what is not named stays.
+   * From its start on, a controller uses the smaller of the current and the announced limits;
+   * limits that are not announced stay.
    */
   @Property(tries = 100, seed = "4")
   void theSmallerLimitsHold(
--- a/src/test/java/org/quincecross/state/AllocationDeltaTest.java
+++ b/src/test/java/org/quincecross/state/AllocationDeltaTest.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * What is written as a change of a whole record is read as what it was; a change of another whole
-   * record says nothing.
+   * A delta reads as the full record that it was made from; a delta of another base record is not
+   * applied.
    */
   @Property(tries = 200, seed = "6")
   void whatChangedIsReadAsTheWhole(@ForAll Random random) throws MalformedMessageException {
--- a/src/test/java/org/quincecross/state/CacheTestSupport.java
+++ b/src/test/java/org/quincecross/state/CacheTestSupport.java
@@ -6,11 +6,11 @@
 import org.quincecross.protocol.Json;
 import org.quincecross.protocol.MalformedMessageException;
 
-/** Lets tests of other packages change a ledger as the follower does. */
+/** Lets tests of other packages change a cache as the state watcher does. */
 public final class CacheTestSupport {
   private CacheTestSupport() {}
 
-  /** As it comes from the state service: through JSON. */
+  /** Applies a record as it arrives from the state service, through JSON. */
   public static void put(
       ClusterStateCache cache, String key, Map<String, Object> value, long revision) {
     try {
@@ -26,7 +26,7 @@
     cache.advance(new Revision(revision));
   }
 
-  /** Reads all records anew; each was last changed with {@code revision}. */
+  /** Reads all records again; each was last changed at {@code revision}. */
   public static void load(
       ClusterStateCache cache, Map<String, Map<String, Object>> values, long revision) {
     Map<String, ClusterStateCache.StateEntry> entries = new LinkedHashMap<>();
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -28,9 +28,7 @@
 import org.quincecross.replicated.ReplicatedRecord;
 import org.quincecross.reservation.RequestKind;
 
-/**
- * Records as builds before wrote them are read, and are the same bytes when they are written again.
- */
+/** Records written by earlier builds can be read, and are the same bytes when written again. */
 class GoldenRecordsTest {
   private static final Revision VERSION = new Revision(7);
   private static final RequestKind REQUESTS = new RequestKind(request -> null, 86_400_000);
@@ -136,7 +134,7 @@
 
   private static Object job(JobRecord record) {
     if (!record.dependencyParts().isEmpty()) {
-      return null; // names parts that are records of their own
+      return null; // refers to parts that are records of their own
     }
     return switch (record.phase()) {
       case OPEN -> JobRecord.writeOpen(record.job(), record.acceptedMs());
--- a/src/test/java/org/quincecross/state/JobIndexTest.java
+++ b/src/test/java/org/quincecross/state/JobIndexTest.java
@@ -80,8 +80,9 @@
   }
 
   /**
-   * What builds before pipelines ask of a record and of a bundle: of an open job the field {@code
-   * job}. Without it the record cannot be read, and who has such a one is no member any more.
+   * What builds without dependencies require of a record and of a bundle: the field {@code job} of
+   * an open job. Without it the record cannot be read, and a controller with such a build stops
+   * being a member.
    */
   private static void readAsBefore(Map<String, Object> value) throws MalformedMessageException {
     JsonFields in = Json.parseFields(Json.write(value));
@@ -97,8 +98,8 @@
   }
 
   /**
-   * What waits cannot be read by a build that would start it too early, alone or in a bundle; once
-   * it is over it can.
+   * A build without dependencies cannot read a waiting job, alone or in a bundle, since it would
+   * start it too early; it can read the job once it is over.
    */
   @Example
   void aBuildThatKnowsNoPipelinesCannotReadWhatWaits() throws MalformedMessageException {
@@ -117,8 +118,8 @@
   }
 
   /**
-   * However many a body of 64 KiB names: each record is below 2 KiB, and the job waits until the
-   * last of them is read, in any order.
+   * However many dependencies fit in a body of 64 KiB: each record is below 2 KiB, and the job
+   * waits until the last of them is read, in any order.
    */
   @Property(tries = 60, seed = "41")
   void whatAJobWaitsOnIsReadInAnyOrder(@ForAll long seed) {
@@ -152,8 +153,8 @@
   }
 
   /**
-   * A job is treated as the last that needs it asks for; when that is over, by its own record,
-   * which says so all the time.
+   * A job has the urgency of its most urgent dependent; once that has ended, its own record again,
+   * which never changes.
    */
   @Example
   void isAsUrgentAsTheLastJobThatNeedsIt() {
@@ -164,7 +165,7 @@
     assertEquals(Priority.HIGH, cache.job(id(1)).job().priority());
     assertEquals(
         TimeSpan.ofSeconds(61 - 4 - 3 - 1),
-        cache.job(id(1)).job().deadline()); // its run, the hand-over, and its image
+        cache.job(id(1)).job().deadline()); // its run time, the handover, and its image
     assertEquals(job(id(1), Set.of()), cache.storedJob(id(1)).job());
     put(StoreKeys.job(id(2)), cache.storedJob(id(2)).writeCancelled(5));
     assertEquals(job(id(1), Set.of()), cache.job(id(1)).job());
@@ -177,8 +178,8 @@
   }
 
   /**
-   * A job before this one is cancelled: so is this one, from that revision on, in no record of its
-   * own; a done one lets it run.
+   * A dependency is cancelled: so is this job, from that revision on, without a record of its own;
+   * a dependency that is done lets it run.
    */
   @Example
   void standsByTheRecordsOfOthers() {
--- a/src/test/java/org/quincecross/state/QuotaRecordTest.java
+++ b/src/test/java/org/quincecross/state/QuotaRecordTest.java
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Whatever becomes of a record: it reads as some tree, or is a bad message, and nothing else
-   * happens.
+   * However a record is damaged, it either reads as a tree or is a malformed message; no other
+   * exception is thrown.
    */
   @Property(tries = 300, seed = "72")
   void aSpoiltRecordIsATreeOrABadMessage(@ForAll long seed) {
--- a/src/test/java/org/quincecross/state/RecordsTest.java
+++ b/src/test/java/org/quincecross/state/RecordsTest.java
@@ -79,10 +79,10 @@
   }
 
   /**
-   * What a newer build has put into a record is there again after an older one has read it, changed
-   * what it knows, and written it.
+   * Fields that a newer build wrote into a record are preserved when an older build reads it,
+   * changes the fields that it knows, and writes it.
    */
-  // One kind of record after the other through the same rewrite.
+  // All kinds of records go through the same rewrite, one after the other.
   @SuppressWarnings("MethodLength")
   @Property(tries = 200, seed = "15")
   void unknownFieldsSurviveARewrite(
@@ -166,8 +166,8 @@
   }
 
   /**
-   * A job whose record is larger than a value may be now can be cancelled; what its tasks count by
-   * stays.
+   * A job whose record exceeds the current value limit can be cancelled; the fields that count its
+   * tasks stay.
    */
   @Property(tries = 100, seed = "16")
   void aJobOfTheOldSizeIsCancelledInLess(@ForAll Random random) throws MalformedMessageException {
--- a/src/test/java/org/quincecross/state/StateWatcherTest.java
+++ b/src/test/java/org/quincecross/state/StateWatcherTest.java
@@ -18,8 +18,8 @@
 import org.quincecross.protocol.Settings;
 
 /**
- * Whether the ledger is complete up to what is said to be confirmed, with every answer of the state
- * service in the test's hands.
+ * Whether the cache is complete up to the confirmed revision. The test produces every answer of the
+ * state service.
  */
 class StateWatcherTest {
   private record Call(HttpRequest request, Consumer<HttpOutcome> done) {
@@ -54,7 +54,7 @@
     watcher = new StateWatcher(clock, store, cache);
     watcher.start();
     answerPages(10);
-    answer(barrier(), 10); // what has changed since the first page
+    answer(barrier(), 10); // the changes since the first page
     answer(barrier(), 10);
     assertEquals(10, cache.revision().value());
   }
@@ -99,7 +99,7 @@
     call.done().accept(HttpOutcome.answered(HttpResponse.of(status)));
   }
 
-  /** The age of the last word from the state service, in seconds. */
+  /** The age of the last confirmation by the state service, in seconds. */
   private double unconfirmed() {
     return clock.now().since(watcher.confirmedAt()).seconds();
   }
