--- a/src/test/java/org/quincecross/KnownRedTest.java
+++ b/src/test/java/org/quincecross/KnownRedTest.java
@@ -18,7 +18,7 @@
   private static final String TAG = "@Tag(\"known-red\")";
 
   @Test
-  void whatIsPassedOverIsListed() throws IOException {
+  void skippedTestsAreListed() throws IOException {
     Path list = Path.of("KNOWN-RED.txt");
     List<String> lines = Files.exists(list) ? Files.readAllLines(list) : List.of();
     assertTrue(lines.size() <= 3, lines.toString());
--- a/src/test/java/org/quincecross/PackageLayeringTest.java
+++ b/src/test/java/org/quincecross/PackageLayeringTest.java
@@ -16,7 +16,7 @@
  */
 class PackageLayeringTest {
   /** From top to bottom. Packages of one layer may import each other. */
-  private static final List<List<String>> FLOORS =
+  private static final List<List<String>> LAYERS =
       List.of(
           List.of("cli"),
           List.of("emulator"),
@@ -68,9 +68,9 @@
   }
 
   @Test
-  void eachPackageImportsFromBelow() {
-    List<String> above = new ArrayList<>(FLOORS.get(0));
-    for (List<String> floor : FLOORS.subList(1, FLOORS.size())) {
+  void packagesImportOnlyDownward() {
+    List<String> above = new ArrayList<>(LAYERS.get(0));
+    for (List<String> floor : LAYERS.subList(1, LAYERS.size())) {
       noClasses()
           .that()
           .resideInAnyPackage(packages(floor))
@@ -83,8 +83,8 @@
   }
 
   @Test
-  void everyPackageHasItsFloor() {
-    List<String> all = FLOORS.stream().flatMap(List::stream).toList();
+  void everyPackageHasALayer() {
+    List<String> all = LAYERS.stream().flatMap(List::stream).toList();
     classes().should().resideInAnyPackage(packages(all)).check(CLASSES);
   }
 
--- a/src/test/java/org/quincecross/cli/HoldCommandsTest.java
+++ b/src/test/java/org/quincecross/cli/HoldCommandsTest.java
@@ -39,14 +39,14 @@
         "hold calendar --month 2026-13 | --month: '2026-13' is no month",
         "hold | missing command: one of open, close",
       })
-  void mistakesAreSaidAndNothingIsAsked(String line, String said) {
+  void invalidCommandLineIsReportedWithoutRequest(String line, String expected) {
     StringWriter err = new StringWriter();
     int status =
         new CommandLine(new QuincecrossCommand())
             .setErr(new PrintWriter(err))
             .execute(line.trim().split(" "));
     assertEquals(2, status, err.toString());
-    assertTrue(err.toString().contains(said.trim()), err.toString());
+    assertTrue(err.toString().contains(expected.trim()), err.toString());
   }
 
   private static Map<String, Object> line(long atMs, String event, Object... details) {
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void theCalendarHasADayForEachOnWhichAHoldIsInForce() {
+  void calendarListsEachDayWithAHoldInForce() {
     long day = 86_400_000L;
     List<Map<String, Object>> trail = new ArrayList<>();
     trail.add(
--- a/src/test/java/org/quincecross/cli/ModelCommandsTest.java
+++ b/src/test/java/org/quincecross/cli/ModelCommandsTest.java
@@ -25,12 +25,12 @@
     "model load m --from g --in-flight -1, --in-flight is at least 0",
     "model show m --output xml, xml"
   })
-  void mistakes(String line, String said) {
+  void invalidCommandLineIsReportedWithoutRequest(String line, String expected) {
     CommandLine command = new CommandLine(new QuincecrossCommand());
     StringWriter err = new StringWriter();
     command.setErr(new PrintWriter(err));
     command.setOut(new PrintWriter(new StringWriter()));
     assertEquals(2, command.execute(line.split(" ")));
-    assertTrue(err.toString().contains(said), err.toString());
+    assertTrue(err.toString().contains(expected), err.toString());
   }
 }
--- a/src/test/java/org/quincecross/cli/RequestReportTest.java
+++ b/src/test/java/org/quincecross/cli/RequestReportTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void byKindAndMonth() throws IOException {
+  void reportsByKindAndMonth() throws IOException {
     List<Map<String, Object>> rows =
         new RequestReport(
                 List.of(
--- a/src/test/java/org/quincecross/http/HttpParserTest.java
+++ b/src/test/java/org/quincecross/http/HttpParserTest.java
@@ -20,10 +20,10 @@
 import org.quincecross.http.HttpParser.Role;
 
 class HttpParserTest {
-  private static final int MOST = 64 * 1024;
+  private static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static List<HttpRequest> readAll(byte[] bytes, List<Integer> cuts) {
-    HttpParser parser = new HttpParser(Role.REQUESTS, MOST);
+    HttpParser parser = new HttpParser(Role.REQUESTS, MAX_BODY_BYTES);
     List<HttpRequest> requests = new ArrayList<>();
     int at = 0;
     int cut = 0;
@@ -89,7 +89,7 @@
 
   @Property(tries = 500, seed = "3")
   void neverThrowsOnGarbage(@ForAll byte[] garbage) {
-    HttpParser parser = new HttpParser(Role.REQUESTS, MOST);
+    HttpParser parser = new HttpParser(Role.REQUESTS, MAX_BODY_BYTES);
     ByteBuffer in = ByteBuffer.wrap(garbage);
     Phase phase = parser.feed(in);
     assertTrue(
@@ -99,13 +99,13 @@
   }
 
   private static int failureOf(String text) {
-    HttpParser parser = new HttpParser(Role.REQUESTS, MOST);
+    HttpParser parser = new HttpParser(Role.REQUESTS, MAX_BODY_BYTES);
     parser.feed(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
     return parser.phase() == Phase.FAILED ? parser.failure() : 0;
   }
 
   @Example
-  void refusesWhatHasTwoFramings() {
+  void refusesConflictingFraming() {
     assertEquals(
         400,
         failureOf("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"));
@@ -115,7 +115,7 @@
   }
 
   @Example
-  void keepsTheLimits() {
+  void enforcesSizeLimits() {
     assertEquals(413, failureOf("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"));
     assertEquals(0, failureOf("POST / HTTP/1.1\r\nContent-Length: 65536\r\n\r\n"));
     assertEquals(431, failureOf("GET / HTTP/1.1\r\nX: " + "y".repeat(17_000)));
@@ -123,8 +123,8 @@
   }
 
   @Example
-  void aResponseWithoutLengthEndsWithItsConnection() {
-    HttpParser parser = new HttpParser(Role.RESPONSES, MOST);
+  void responseWithoutLengthEndsWithConnection() {
+    HttpParser parser = new HttpParser(Role.RESPONSES, MAX_BODY_BYTES);
     parser.feed(ByteBuffer.wrap("HTTP/1.1 200 OK\r\n\r\nabc".getBytes(StandardCharsets.US_ASCII)));
     assertEquals(Phase.UNTIL_CLOSE, parser.phase());
     assertEquals(Phase.COMPLETE, parser.end());
--- a/src/test/java/org/quincecross/model/TaskSetTest.java
+++ b/src/test/java/org/quincecross/model/TaskSetTest.java
@@ -13,7 +13,7 @@
 
 class TaskSetTest {
   @Property(tries = 500, seed = "9")
-  void rangesReadTheSame(@ForAll Set<@IntRange(min = 0, max = 500) Integer> members) {
+  void writtenRangesReadTheSame(@ForAll Set<@IntRange(min = 0, max = 500) Integer> members) {
     TaskSet set = new TaskSet();
     members.forEach(set::add);
     assertEquals(set, TaskSet.parse(set.toString(), 501));
@@ -22,7 +22,7 @@
 
   /** A task set behaves like a plain set under any sequence of operations. */
   @Property(tries = 300, seed = "10")
-  void doesWhatAPlainSetDoes(@ForAll long seed) {
+  void behavesLikePlainSet(@ForAll long seed) {
     Random random = new Random(seed);
     TaskSet set = new TaskSet();
     TreeSet<Integer> plain = new TreeSet<>();
@@ -64,7 +64,7 @@
   }
 
   @Example
-  void refusesWhatIsNoSet() {
+  void refusesMalformedSets() {
     for (String text :
         new String[] {"a", "1-", "-1", "3-2", "1,,2", "10", "1-10", "99999999999", "1,", ",1"}) {
       assertNull(TaskSet.parse(text, 10), text);
--- a/src/test/java/org/quincecross/net/HttpClientTest.java
+++ b/src/test/java/org/quincecross/net/HttpClientTest.java
@@ -26,14 +26,14 @@
   private final EventLoop loop = new EventLoop();
   private final HttpClient client = new HttpClient(loop);
   private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-  private volatile int answeredOnEach = 1;
+  private volatile int answersPerConnection = 1;
 
   HttpClientTest() throws IOException {
-    daemon(
+    startDaemon(
         () -> {
           while (true) {
             Socket socket = server.accept();
-            daemon(() -> serve(socket));
+            startDaemon(() -> serve(socket));
           }
         });
   }
@@ -42,7 +42,7 @@
     void run() throws IOException;
   }
 
-  private static void daemon(Work work) {
+  private static void startDaemon(Work work) {
     Thread thread =
         new Thread(
             () -> {
@@ -59,7 +59,7 @@
   /** Answers the configured number of requests, and none after that. */
   private void serve(Socket socket) throws IOException {
     int end = 0;
-    for (int answered = 0; answered < answeredOnEach; ) {
+    for (int answered = 0; answered < answersPerConnection; ) {
       int next = socket.getInputStream().read();
       if (next < 0) {
         return;
@@ -84,7 +84,7 @@
    * another timeout.
    */
   @Test
-  void connectionsToASilentHostAreNotTriedOneAfterTheOther() throws Exception {
+  void timeoutDiscardsAllPooledConnectionsOfHost() throws Exception {
     Endpoint host = new Endpoint("127.0.0.1", server.getLocalPort());
     CompletableFuture<String> outcomes = new CompletableFuture<>();
     // Three concurrent calls open three connections, which are pooled; the next call finds its
@@ -113,7 +113,7 @@
             }
           });
     }
-    daemon(loop::run);
+    startDaemon(loop::run);
     assertEquals("200 200 200 0 200", outcomes.get(10, TimeUnit.SECONDS));
   }
 }
--- a/src/test/java/org/quincecross/net/HttpServerTest.java
+++ b/src/test/java/org/quincecross/net/HttpServerTest.java
@@ -26,7 +26,7 @@
 
 /** A server whose connection limit is nearly reached, with real sockets. */
 class HttpServerTest {
-  private static final int MOST = 40;
+  private static final int MAX_CONNECTIONS = 40;
   private static final byte[] BEAT =
       "POST /agent/beat HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}"
           .getBytes(StandardCharsets.US_ASCII);
@@ -35,8 +35,8 @@
 
   private final EventLoop loop = new EventLoop();
   private final List<Socket> sockets = new ArrayList<>();
-  private final List<Consumer<HttpResponse>> held = new CopyOnWriteArrayList<>();
-  private final AtomicInteger handed = new AtomicInteger();
+  private final List<Consumer<HttpResponse>> pendingReplies = new CopyOnWriteArrayList<>();
+  private final AtomicInteger handledRequests = new AtomicInteger();
   private InetSocketAddress address;
   private Thread thread;
 
@@ -50,12 +50,12 @@
     new HttpServer(
         loop,
         new Endpoint("127.0.0.1", port),
-        MOST,
+        MAX_CONNECTIONS,
         (request, reply) -> {
-          handed.addAndGet(
+          handledRequests.addAndGet(
               request.method().equals("POST") && request.path().equals("/v2/runs") ? 1 : 0);
           if (request.path().equals("/held")) {
-            held.add(reply);
+            pendingReplies.add(reply);
           } else {
             reply.accept(HttpResponse.of(200));
           }
@@ -93,7 +93,7 @@
    * Sends a request, or nothing more, and returns the status of the answer; 0 if the connection
    * ends without one.
    */
-  private static int ask(Socket socket, byte[] request) {
+  private static int send(Socket socket, byte[] request) {
     try {
       if (request.length > 0) {
         socket.getOutputStream().write(request);
@@ -125,7 +125,8 @@
     "20000, 20000, true, 0",
     "65536, 65536, false, 200"
   })
-  void aBodyTooLargeOrCutOff(int length, int sent, boolean chunked, int status) throws IOException {
+  void incompleteOrOversizedBodyEndsConnection(int length, int sent, boolean chunked, int status)
+      throws IOException {
     Socket socket = connect();
     String head =
         "POST /v2/runs HTTP/1.1\r\nHost: x\r\n"
@@ -149,13 +150,13 @@
     } catch (IOException e) {
       assertEquals(413, status, "ended while it was sent");
     }
-    int answered = ask(socket, new byte[0]);
+    int answered = send(socket, new byte[0]);
     assertTrue(
         answered == status || answered == 0,
         answered + " is answered"); // data in flight when a connection ends may be lost
-    assertEquals(0, ask(socket, new byte[0]), "the connection goes on");
-    assertEquals(status == 200 ? 1 : 0, handed.get());
-    assertEquals(200, ask(connect(), UP));
+    assertEquals(0, send(socket, new byte[0]), "the connection goes on");
+    assertEquals(status == 200 ? 1 : 0, handledRequests.get());
+    assertEquals(200, send(connect(), UP));
   }
 
   /**
@@ -163,14 +164,14 @@
    * answered, and so is /up.
    */
   @Test
-  void idleConnectionsMakeWayForReportsAndHealthChecks() throws IOException {
-    for (int i = 0; i < MOST; i++) {
+  void idleConnectionsAreClosedForReportsAndHealthChecks() throws IOException {
+    for (int i = 0; i < MAX_CONNECTIONS; i++) {
       connect();
     }
-    for (int i = 0; i < 2 * MOST; i++) {
-      assertEquals(200, ask(connect(), BEAT), "report " + i);
+    for (int i = 0; i < 2 * MAX_CONNECTIONS; i++) {
+      assertEquals(200, send(connect(), BEAT), "report " + i);
     }
-    assertEquals(200, ask(connect(), UP));
+    assertEquals(200, send(connect(), UP));
   }
 
   /**
@@ -178,30 +179,30 @@
    * answered.
    */
   @Test
-  void whatIsOneTooManyIsRefusedAtOnce() throws Exception {
+  void connectionBeyondLimitIsRefusedAtOnce() throws Exception {
     List<Socket> waiting = new ArrayList<>();
-    for (int i = 0; i < MOST; i++) {
+    for (int i = 0; i < MAX_CONNECTIONS; i++) {
       Socket socket = connect();
       socket
           .getOutputStream()
           .write("GET /held HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       waiting.add(socket);
     }
-    while (held.size() < MOST) {
+    while (pendingReplies.size() < MAX_CONNECTIONS) {
       Thread.sleep(5);
     }
     long begun = System.nanoTime();
-    assertEquals(0, ask(connect(), UP));
+    assertEquals(0, send(connect(), UP));
     assertTrue(
         System.nanoTime() - begun < 2_000_000_000L,
         "refused after " + (System.nanoTime() - begun) / 1e9 + " s");
     loop.after(
         org.quincecross.model.TimeSpan.ZERO,
-        () -> held.forEach(reply -> reply.accept(HttpResponse.of(200))));
-    ask(connect(), UP); // wakes the event loop; may be refused
+        () -> pendingReplies.forEach(reply -> reply.accept(HttpResponse.of(200))));
+    send(connect(), UP); // wakes the event loop; may be refused
     for (Socket socket : waiting) {
       assertEquals('H', socket.getInputStream().read());
     }
-    assertEquals(200, ask(connect(), UP));
+    assertEquals(200, send(connect(), UP));
   }
 }
--- a/src/test/java/org/quincecross/net/ManualTimers.java
+++ b/src/test/java/org/quincecross/net/ManualTimers.java
@@ -7,17 +7,18 @@
 
 /** A manually advanced clock whose timers fire as it passes them. */
 public final class ManualTimers implements Timers {
-  private record Due(long at, long order, Runnable action) {}
+  private record ScheduledAction(long at, long order, Runnable action) {}
 
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+  private final PriorityQueue<ScheduledAction> queue =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledAction::at).thenComparingLong(ScheduledAction::order));
   private long nanos;
   private long order;
 
   public void advance(double seconds) {
     long until = nanos + TimeSpan.ofSeconds(seconds).nanos();
-    while (!due.isEmpty() && due.peek().at() <= until) {
-      Due next = due.poll();
+    while (!queue.isEmpty() && queue.peek().at() <= until) {
+      ScheduledAction next = queue.poll();
       nanos = Math.max(nanos, next.at());
       next.action().run();
     }
@@ -31,6 +32,6 @@
 
   @Override
   public void after(TimeSpan delay, Runnable action) {
-    due.add(new Due(nanos + delay.nanos(), order++, action));
+    queue.add(new ScheduledAction(nanos + delay.nanos(), order++, action));
   }
 }
--- a/src/test/java/org/quincecross/peer/GoldenFramesTest.java
+++ b/src/test/java/org/quincecross/peer/GoldenFramesTest.java
@@ -20,7 +20,7 @@
  */
 class GoldenFramesTest {
   @Test
-  void framesAreReadAndWrittenTheSame() throws IOException, MalformedMessageException {
+  void framesOfEarlierBuildsRoundTrip() throws IOException, MalformedMessageException {
     List<String[]> frames = GoldenFiles.messages("frame");
     assertTrue(frames.size() > 10);
     for (String[] line : frames) {
--- a/src/test/java/org/quincecross/peer/PeerCodecTest.java
+++ b/src/test/java/org/quincecross/peer/PeerCodecTest.java
@@ -29,7 +29,7 @@
   // A generator is easier to read in one piece.
   @SuppressWarnings("MethodLength")
   @Provide
-  static Arbitrary<PeerHeartbeat> reports() {
+  static Arbitrary<PeerHeartbeat> heartbeats() {
     var jobs = Arbitraries.integers().between(0, 99_999).map(n -> new JobId("job-" + n));
     var tasks =
         Combinators.combine(jobs, Arbitraries.integers().between(0, 99_999))
@@ -99,13 +99,13 @@
   }
 
   @Property(tries = 200, seed = "6")
-  void whatIsWrittenReadsTheSame(@ForAll("heartbeats") PeerHeartbeat heartbeat)
+  void writtenHeartbeatReadsTheSame(@ForAll("heartbeats") PeerHeartbeat heartbeat)
       throws MalformedMessageException {
     assertEquals(heartbeat, PeerCodec.read(PeerCodec.write(heartbeat)));
   }
 
   @Property(tries = 200, seed = "7")
-  void aPartOfAReportIsABadMessage(@ForAll("heartbeats") PeerHeartbeat heartbeat) {
+  void truncatedHeartbeatIsMalformedMessage(@ForAll("heartbeats") PeerHeartbeat heartbeat) {
     byte[] whole = PeerCodec.write(heartbeat);
     byte[] part = Arrays.copyOf(whole, whole.length - 1);
     byte[] more = Arrays.copyOf(whole, whole.length + 1);
@@ -115,7 +115,7 @@
   }
 
   @Property(tries = 500, seed = "8")
-  void garbageIsABadMessageAndNothingElse(@ForAll byte[] garbage) {
+  void garbageIsMalformedMessage(@ForAll byte[] garbage) {
     assertThrows(MalformedMessageException.class, () -> PeerCodec.read(garbage));
   }
 }
--- a/src/test/java/org/quincecross/peer/PeerViewsTest.java
+++ b/src/test/java/org/quincecross/peer/PeerViewsTest.java
@@ -140,7 +140,7 @@
    * after it has reported a gap.
    */
   @Property(tries = 300, seed = "21")
-  void whatIsLostRepeatedOrLateIsMadeGood(@ForAll long seed) {
+  void recoversFromLostRepeatedAndLateHeartbeats(@ForAll long seed) {
     Random random = new Random(seed);
     Sender sender = new Sender(random);
     PeerViews views = new PeerViews();
@@ -173,7 +173,7 @@
   }
 
   @Example
-  void aReportWithNoKnownBaseSaysNothing() {
+  void ignoresHeartbeatWithUnknownBase() {
     PeerViews views = new PeerViews();
     PeerHeartbeat.ShardStatus shardStatus =
         new PeerHeartbeat.ShardStatus(
@@ -206,7 +206,7 @@
   }
 
   @Example
-  void aWholeBlockTakesThePlaceOfWhatWasKnown() {
+  void fullShardReplacesKnownState() {
     PeerViews views = new PeerViews();
     for (int i = 1; i <= 2; i++) {
       Map<MachineId, PeerHeartbeat.MachineState> expected = new LinkedHashMap<>();
--- a/src/test/java/org/quincecross/protocol/FeaturesTest.java
+++ b/src/test/java/org/quincecross/protocol/FeaturesTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void whatIsNotNamedIsOff() throws MalformedMessageException {
+  void unnamedFeaturesAreDisabled() throws MalformedMessageException {
     assertEquals(Features.NONE, read("{}"));
     assertEquals(Shares.DEFAULTS, read("{\"overload\": {}}").overload());
     assertNull(read("{\"overload\": {}}").accountingInterval());
@@ -30,7 +30,7 @@
 
   /** Deployments take part in levels up to the one before replicated records. */
   @Test
-  void whatIsDeployedTakesPartInLevelTwo() throws MalformedMessageException, IOException {
+  void deployedFeaturesSupportLevelTwo() throws MalformedMessageException, IOException {
     Features deployed = Features.read(Files.readAllBytes(Path.of("deploy/features.json")));
     assertEquals(2, deployed.build().maxLevel().number());
     assertNull(deployed.replicatedFeatures());
@@ -38,7 +38,7 @@
 
   /** A controller announces the level of replicated records only if its features name them. */
   @Test
-  void agreedRecordsComeWithTheirLevel() throws MalformedMessageException {
+  void replicatedRecordsRequireTheirLevel() throws MalformedMessageException {
     assertEquals(2, read("{\"rollout\": {}}").build().maxLevel().number());
     assertNull(read("{\"rollout\": {}}").replicatedFeatures());
     assertEquals(
@@ -73,7 +73,7 @@
         "{\"served\": {\"log_every_s\": 0.5}}",
         "{\"served\": {\"log_every_s\": 1e6}}"
       })
-  void whatIsWrongIsRefused(String json) {
+  void refusesInvalidFeatures(String json) {
     assertThrows(MalformedMessageException.class, () -> read(json));
   }
 }
--- a/src/test/java/org/quincecross/protocol/JobCodecTest.java
+++ b/src/test/java/org/quincecross/protocol/JobCodecTest.java
@@ -92,7 +92,7 @@
   }
 
   @Property(tries = 300, seed = "4")
-  void whatIsWrittenReadsTheSame(@ForAll("jobs") Job job) throws MalformedMessageException {
+  void writtenJobReadsTheSame(@ForAll("jobs") Job job) throws MalformedMessageException {
     assertEquals(job, JobCodec.readRecord(Json.parseFields(Json.write(JobCodec.writeRecord(job)))));
   }
 
@@ -101,7 +101,7 @@
    * default values.
    */
   @Property(tries = 100, seed = "6")
-  void aSubmissionHasAllItsFields(@ForAll("jobs") Job job) throws MalformedMessageException {
+  void submissionRequiresAllFields(@ForAll("jobs") Job job) throws MalformedMessageException {
     assertEquals(
         job, JobCodec.readSubmission(Json.parseFields(Json.write(JobCodec.writeSubmission(job)))));
     for (String name : JobCodec.writeSubmission(job).keySet()) {
@@ -153,7 +153,7 @@
   }
 
   @Example
-  void namesWhatIsWrong() throws MalformedMessageException {
+  void errorsNameTheField() throws MalformedMessageException {
     String good = new String(Json.write(plain()), java.nio.charset.StandardCharsets.UTF_8);
     readText(good);
     List<String> bad =
@@ -185,7 +185,7 @@
    * a list of ids is malformed.
    */
   @Example
-  void namesJobsToWaitOn() throws MalformedMessageException {
+  void readsDependencies() throws MalformedMessageException {
     String good =
         new String(Json.write(plain()), java.nio.charset.StandardCharsets.UTF_8)
             .replace("}", ",\"WaitsOn\":?}");
@@ -220,7 +220,7 @@
   }
 
   @Property(tries = 500, seed = "5")
-  void garbageIsABadMessageAndNothingElse(@ForAll byte[] garbage) {
+  void garbageIsMalformedMessage(@ForAll byte[] garbage) {
     try {
       JobCodec.readRecord(Json.parseFields(garbage));
     } catch (MalformedMessageException e) {
--- a/src/test/java/org/quincecross/protocol/SettingsTest.java
+++ b/src/test/java/org/quincecross/protocol/SettingsTest.java
@@ -51,7 +51,7 @@
    * start and names the field.
    */
   @Test
-  void leasesTooLongForCancellationsAreNamed() throws MalformedMessageException {
+  void refusesLeasesTooLongForCancellations() throws MalformedMessageException {
     assertEquals(TimeSpan.ofSeconds(60), with(60, 36).agentTimeouts().lease());
     String why = assertThrows(MalformedMessageException.class, () -> with(80, 36)).getMessage();
     assertEquals(
@@ -64,7 +64,7 @@
    * limits that are not announced stay.
    */
   @Property(tries = 100, seed = "4")
-  void theSmallerLimitsHold(
+  void smallerLimitsApply(
       @ForAll @IntRange(min = 1, max = 200) int perS,
       @ForAll @IntRange(min = 1, max = 64) int quarterKb,
       @ForAll @IntRange(min = 1, max = 40) int changes)
--- a/src/test/java/org/quincecross/state/AllocationDeltaTest.java
+++ b/src/test/java/org/quincecross/state/AllocationDeltaTest.java
@@ -36,7 +36,7 @@
    * applied.
    */
   @Property(tries = 200, seed = "6")
-  void whatChangedIsReadAsTheWhole(@ForAll Random random) throws MalformedMessageException {
+  void deltaReadsAsFullRecord(@ForAll Random random) throws MalformedMessageException {
     Allocation whole = new Allocation(tasks(random), new Revision(7));
     Map<JobId, TaskSet> next = tasks(random);
     AllocationDelta change =
--- a/src/test/java/org/quincecross/state/GoldenRecordsTest.java
+++ b/src/test/java/org/quincecross/state/GoldenRecordsTest.java
@@ -39,7 +39,7 @@
     TreeSet<String> kinds = new TreeSet<>();
     for (String[] line : GoldenFiles.messages("record ")) {
       Object value = Json.parse(line[2].getBytes(StandardCharsets.UTF_8));
-      Object again = again(line[1], value);
+      Object again = rewritten(line[1], value);
       if (again != null) {
         assertEquals(line[2], new String(Json.write(again), StandardCharsets.UTF_8), line[1]);
         kinds.add(line[0]);
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void allRecordsCanBeRead() throws IOException, MalformedMessageException {
+  void recordsOfEarlierBuildsRoundTrip() throws IOException, MalformedMessageException {
     ClusterStateCache cache = new ClusterStateCache();
     for (RecordKind<?, ?> kind :
         List.of(
@@ -88,11 +88,11 @@
         cache.members().size() >= 3 && cache.leader() != null && !cache.machineTypes().isEmpty());
   }
 
-  private static Object again(String key, Object value)
+  private static Object rewritten(String key, Object value)
       throws MalformedMessageException, MalformedRecordException {
     String[] parts = key.split("/");
     return switch (parts[1]) {
-      case "job" -> job(JobRecord.read(new JobId(parts[2]), value, VERSION));
+      case "job" -> rewrittenJob(JobRecord.read(new JobId(parts[2]), value, VERSION));
       case "bundle" -> {
         List<Map<String, Object>> open = new ArrayList<>();
         for (JobRecord record : JobRecord.readBundle(value, VERSION)) {
@@ -127,12 +127,12 @@
               ? null
               : parts[3].startsWith("~")
                   ? AuditPage.read(value).write()
-                  : agreed(kind(parts[2]), value);
+                  : rewrittenReplicatedRecord(kind(parts[2]), value);
       default -> null;
     };
   }
 
-  private static Object job(JobRecord record) {
+  private static Object rewrittenJob(JobRecord record) {
     if (!record.dependencyParts().isEmpty()) {
       return null; // refers to parts that are records of their own
     }
@@ -154,7 +154,7 @@
     };
   }
 
-  private static <S> Object agreed(RecordKind<S, ?> kind, Object value)
+  private static <S> Object rewrittenReplicatedRecord(RecordKind<S, ?> kind, Object value)
       throws MalformedRecordException {
     return ReplicatedRecord.read(kind, value).write(kind);
   }
--- a/src/test/java/org/quincecross/state/JobIndexTest.java
+++ b/src/test/java/org/quincecross/state/JobIndexTest.java
@@ -66,7 +66,7 @@
     CacheTestSupport.advance(cache, revision);
   }
 
-  private static Set<JobId> drawn(Random random, int most) {
+  private static Set<JobId> randomIds(Random random, int most) {
     Set<JobId> ids = new HashSet<>();
     int digits = 1 + random.nextInt(20);
     for (int i = random.nextInt(most); i >= 0; i--) {
@@ -84,7 +84,8 @@
    * an open job. Without it the record cannot be read, and a controller with such a build stops
    * being a member.
    */
-  private static void readAsBefore(Map<String, Object> value) throws MalformedMessageException {
+  private static void readByBuildWithoutDependencies(Map<String, Object> value)
+      throws MalformedMessageException {
     JsonFields in = Json.parseFields(Json.write(value));
     if (in.has("jobs")) {
       for (JsonFields one : in.objects("jobs")) {
@@ -102,19 +103,20 @@
    * start it too early; it can read the job once it is over.
    */
   @Example
-  void aBuildThatKnowsNoPipelinesCannotReadWhatWaits() throws MalformedMessageException {
+  void buildsWithoutDependenciesCannotReadWaitingJobs() throws MalformedMessageException {
     Map<String, Object> plain = JobRecord.writeOpen(job(id(1), Set.of()), 7);
     Map<String, Object> waits = JobRecord.writeOpen(job(id(2), Set.of(id(1))), 7);
-    readAsBefore(plain);
-    readAsBefore(JobRecord.writeBundle(List.of(plain)));
-    Assertions.assertThrows(MalformedMessageException.class, () -> readAsBefore(waits));
+    readByBuildWithoutDependencies(plain);
+    readByBuildWithoutDependencies(JobRecord.writeBundle(List.of(plain)));
+    Assertions.assertThrows(
+        MalformedMessageException.class, () -> readByBuildWithoutDependencies(waits));
     Assertions.assertThrows(
         MalformedMessageException.class,
-        () -> readAsBefore(JobRecord.writeBundle(List.of(plain, waits))));
+        () -> readByBuildWithoutDependencies(JobRecord.writeBundle(List.of(plain, waits))));
     JobRecord read = JobRecord.read(id(2), Json.parse(Json.write(waits)), new Revision(3));
-    readAsBefore(read.writeCancelled(9));
-    readAsBefore(read.writeDone());
-    readAsBefore(read.writeDone(9));
+    readByBuildWithoutDependencies(read.writeCancelled(9));
+    readByBuildWithoutDependencies(read.writeDone());
+    readByBuildWithoutDependencies(read.writeDone(9));
   }
 
   /**
@@ -122,12 +124,12 @@
    * waits until the last of them is read, in any order.
    */
   @Property(tries = 60, seed = "41")
-  void whatAJobWaitsOnIsReadInAnyOrder(@ForAll long seed) {
+  void dependenciesAreReadInAnyOrder(@ForAll long seed) {
     new JobIndexTest().readInAnyOrder(seed, new Random(seed));
   }
 
   private void readInAnyOrder(long seed, Random random) {
-    Set<JobId> waitsOn = drawn(random, seed % 2 == 0 ? 40 : 60_000 / 27);
+    Set<JobId> waitsOn = randomIds(random, seed % 2 == 0 ? 40 : 60_000 / 27);
     Job job = job(id(1), waitsOn);
     Map<String, Map<String, Object>> records = new LinkedHashMap<>(JobDependencies.parts(waitsOn));
     int parts = records.size();
@@ -157,7 +159,7 @@
    * which never changes.
    */
   @Example
-  void isAsUrgentAsTheLastJobThatNeedsIt() {
+  void inheritsUrgencyOfDependents() {
     put(StoreKeys.job(id(1)), JobRecord.writeOpen(job(id(1), Set.of()), 1000));
     Job last = job(id(2), Set.of(id(1))).withUrgency(Priority.HIGH, TimeSpan.ofSeconds(60));
     put(StoreKeys.job(id(2)), JobRecord.writeOpen(last, 2000));
@@ -182,7 +184,7 @@
    * a dependency that is done lets it run.
    */
   @Example
-  void standsByTheRecordsOfOthers() {
+  void stateFollowsDependencies() {
     put(StoreKeys.job(id(1)), JobRecord.writeOpen(job(id(1), Set.of()), 100));
     put(
         StoreKeys.bundle(new ControllerId("m"), new Incarnation(1), 1),
--- a/src/test/java/org/quincecross/state/OperatorSettingsTest.java
+++ b/src/test/java/org/quincecross/state/OperatorSettingsTest.java
@@ -19,7 +19,7 @@
   }
 
   @Property(tries = 100, seed = "14")
-  void whatIsWrittenReadsTheSame(
+  void writtenSettingsReadTheSame(
       @ForAll boolean renting,
       @ForAll boolean returning,
       @ForAll @IntRange(max = 86_400) int idle,
@@ -32,12 +32,12 @@
   }
 
   @Example
-  void whatIsLeftOutStays() throws MalformedMessageException {
+  void omittedSettingsKeepDefaults() throws MalformedMessageException {
     assertEquals(new OperatorSettings(true, true, 60, 2, 0, List.of()), read("{\"idle_s\":60}"));
   }
 
   @Example
-  void refusesWhatIsWrong() {
+  void refusesInvalidSettings() {
     for (String bad :
         new String[] {
           "[]",
--- a/src/test/java/org/quincecross/state/QuotaRecordTest.java
+++ b/src/test/java/org/quincecross/state/QuotaRecordTest.java
@@ -27,7 +27,7 @@
     return new Resources(amount(random, leftOut), amount(random, leftOut), amount(random, leftOut));
   }
 
-  private static List<NodeSpec> some(Random random, int depth) {
+  private static List<NodeSpec> randomNodes(Random random, int depth) {
     List<NodeSpec> specs = new ArrayList<>();
     for (int i = 0; i < random.nextInt(4); i++) {
       Kind kind = Kind.values()[random.nextInt(3)];
@@ -41,7 +41,7 @@
               random.nextInt(3),
               random.nextInt(3) / 2.0,
               resources(random, Double.POSITIVE_INFINITY),
-              depth > 9 ? new ArrayList<>() : some(random, depth + 1)));
+              depth > 9 ? new ArrayList<>() : randomNodes(random, depth + 1)));
     }
     return specs;
   }
@@ -51,8 +51,8 @@
   }
 
   @Property(tries = 200, seed = "71")
-  void aTreeReadsAsItWasWritten(@ForAll long seed) throws MalformedMessageException {
-    List<NodeSpec> tree = some(new Random(seed), 0);
+  void writtenTreeReadsTheSame(@ForAll long seed) throws MalformedMessageException {
+    List<NodeSpec> tree = randomNodes(new Random(seed), 0);
     assertEquals(tree, read(Json.write(QuotaRecord.write(tree))));
   }
 
@@ -61,9 +61,9 @@
    * exception is thrown.
    */
   @Property(tries = 300, seed = "72")
-  void aSpoiltRecordIsATreeOrABadMessage(@ForAll long seed) {
+  void damagedRecordIsTreeOrMalformedMessage(@ForAll long seed) {
     Random random = new Random(seed);
-    byte[] json = Json.write(QuotaRecord.write(some(random, 0)));
+    byte[] json = Json.write(QuotaRecord.write(randomNodes(random, 0)));
     for (int i = 0; i < 3; i++) {
       json[random.nextInt(json.length)] = (byte) " {}[],:0-9\"truenl/".charAt(random.nextInt(18));
     }
@@ -74,26 +74,26 @@
     }
   }
 
-  private static void assertBad(String message, String nodes) {
+  private static void assertMalformed(String message, String nodes) {
     byte[] json = ("{\"nodes\":[" + nodes + "]}").getBytes(StandardCharsets.UTF_8);
     assertEquals(
         message, assertThrows(MalformedMessageException.class, () -> read(json)).getMessage());
   }
 
   @Example
-  void whatIsBadlyWrittenIsNamedWithItsPath() {
+  void errorsNameThePath() {
     String a = "{\"path\":\"a\",\"kind\":\"organisation\"}";
-    assertBad(
+    assertMalformed(
         "b/c: the node above it does not stand before it",
         a + ",{\"path\":\"b/c\",\"kind\":\"team\"}");
-    assertBad("a: stands there twice", a + "," + a);
-    assertBad(
+    assertMalformed("a: stands there twice", a + "," + a);
+    assertMalformed(
         "a/c: unknown field gurantee",
         a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"gurantee\":{\"cpus\":1}}");
-    assertBad(
+    assertMalformed(
         "a/c: unknown field cpu of limit",
         a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"limit\":{\"cpu\":1}}");
-    assertBad(
+    assertMalformed(
         "a/c: field weight of an item of nodes of a tree of quotas is not a number of 0 or more",
         a + ",{\"path\":\"a/c\",\"kind\":\"team\",\"weight\":-1}");
   }
--- a/src/test/java/org/quincecross/state/RecordsTest.java
+++ b/src/test/java/org/quincecross/state/RecordsTest.java
@@ -35,7 +35,7 @@
 import org.quincecross.rollout.Build;
 
 class RecordsTest {
-  private static final int SMALLEST_VALUE = 1024;
+  private static final int MIN_VALUE_BYTES = 1024;
 
   private static Object throughJson(Map<String, Object> value) throws MalformedMessageException {
     return Json.parse(Json.write(value));
@@ -59,12 +59,12 @@
       }
     }
     Map<String, Object> value = CompletedTasks.write(all, chunk);
-    assertTrue(Json.write(value).length < SMALLEST_VALUE);
+    assertTrue(Json.write(value).length < MIN_VALUE_BYTES);
     assertEquals(inChunk, CompletedTasks.read(throughJson(value), chunk));
   }
 
   @Property(tries = 100, seed = "13")
-  void allocationsReadTheSame(@ForAll int seed) throws MalformedMessageException {
+  void writtenAllocationsReadTheSame(@ForAll int seed) throws MalformedMessageException {
     Random random = new Random(seed);
     Map<JobId, TaskSet> tasks = new java.util.LinkedHashMap<>();
     for (int j = 0; j < random.nextInt(6); j++) {
@@ -85,7 +85,7 @@
   // All kinds of records go through the same rewrite, one after the other.
   @SuppressWarnings("MethodLength")
   @Property(tries = 200, seed = "15")
-  void unknownFieldsSurviveARewrite(
+  void unknownFieldsSurviveRewrite(
       @ForAll @Size(max = 4)
           Map<@AlphaChars @StringLength(min = 9, max = 12) String, @IntRange Integer> newer)
       throws MalformedMessageException {
@@ -170,7 +170,8 @@
    * tasks stay.
    */
   @Property(tries = 100, seed = "16")
-  void aJobOfTheOldSizeIsCancelledInLess(@ForAll Random random) throws MalformedMessageException {
+  void oversizedJobIsCancelledInSmallerRecord(@ForAll Random random)
+      throws MalformedMessageException {
     Job job =
         Job.builder(new JobId("job-5"))
             .jobClass("c".repeat(random.nextInt(1500)) + "c")
--- a/src/test/java/org/quincecross/state/StateWatcherTest.java
+++ b/src/test/java/org/quincecross/state/StateWatcherTest.java
@@ -43,7 +43,7 @@
   private long asked;
 
   @BeforeEach
-  void recordsAreRead() {
+  void readRecords() {
     Endpoint state = new Endpoint("10.0.0.1", 80);
     KeyValueStoreClient store =
         new KeyValueStoreClient(
@@ -100,7 +100,7 @@
   }
 
   /** The age of the last confirmation by the state service, in seconds. */
-  private double unconfirmed() {
+  private double unconfirmedS() {
     return clock.now().since(watcher.confirmedAt()).seconds();
   }
 
@@ -109,13 +109,13 @@
    * is confirmed is as of when the request that was answered was sent, and nothing else moves it.
    */
   @Test
-  void onlyAnswersConfirmAndAsOfWhenTheyWereAskedFor() {
+  void onlyAnswersConfirmAsOfTheirRequestTime() {
     Call open = watch();
     clock.advance(0.6);
     Call slow = barrier();
     clock.advance(1);
     answer(slow, 11);
-    assertEquals(1.1, unconfirmed(), 0.11, "a slow answer");
+    assertEquals(1.1, unconfirmedS(), 0.11, "a slow answer");
     for (int i = 0; i < 40; i++) {
       clock.advance(0.25);
       calls.removeIf(
@@ -127,11 +127,11 @@
             return refused;
           });
     }
-    assertEquals(11.1, unconfirmed(), 0.2, "refused beside a watch that waits");
+    assertEquals(11.1, unconfirmedS(), 0.2, "refused beside a watch that waits");
     answer(open, 12);
     assertEquals(
         11.1,
-        unconfirmed(),
+        unconfirmedS(),
         0.2,
         "a watch that was opened before the last word says nothing of what came since");
     assertEquals(12, cache.revision().value());
@@ -143,7 +143,7 @@
    * back by records that were read before it.
    */
   @Test
-  void nothingIsTakenBackByReadingAnew() {
+  void fullReadRevertsNoLaterChange() {
     cache.addListener(
         changes ->
             assertTrue(
