--- a/src/test/java/org/quincecross/state/StateWatcherTest.java
+++ b/src/test/java/org/quincecross/state/StateWatcherTest.java
@@ -105,8 +105,8 @@
   }
 
   /**
-   * A watch that waits in silence, 503 for whatever else is asked, and answers that come late: what
-   * is confirmed is as of when the request that was answered was sent, and nothing else moves it.
+   * A watch waits without an answer, other requests get 503, and some answers arrive late: an
+   * answer confirms the state as of the time when its request was sent, and nothing else does.
    */
   @Test
   void onlyAnswersConfirmAsOfTheirRequestTime() {
@@ -138,9 +138,9 @@
   }
 
   /**
-   * A watch is too old though a barrier has brought the ledger on meanwhile, and the records are
-   * read anew. Nothing may move the ledger on beside that: what came by a barrier would be taken
-   * back by records that were read before it.
+   * A watch is too old although a barrier has advanced the cache meanwhile, so all records are read
+   * again. Nothing else may advance the cache during that read: changes received through a barrier
+   * would be reverted by records that were read before.
    */
   @Test
   void fullReadRevertsNoLaterChange() {
