--- a/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
+++ b/src/test/java/org/quincecross/emulator/RandomScenarioTest.java
@@ -113,7 +113,7 @@
    * allocation that still contains the job.
    */
   @Test
-  void whatWasCancelledBeforeACrashOfAllDoesNotStartAfterIt() {
+  void cancelledJobDoesNotStartAfterCrashOfAll() {
     SimulatedCluster cluster = new SimulatedCluster(2);
     cluster.time().at(5, () -> cluster.users().submitArray(1, 16));
     cluster.time().at(20, () -> cluster.users().cancel(new JobId("job-1")));
--- a/src/test/java/org/quincecross/emulator/SeedsTest.java
+++ b/src/test/java/org/quincecross/emulator/SeedsTest.java
@@ -18,13 +18,13 @@
 class SeedsTest {
   @Test
   void keepsRulesWithoutHangingJobs() {
-    play(RandomScenario::new);
+    run(RandomScenario::new);
   }
 
   /** The same with a rolling upgrade to a build with another record format. */
   @Test
   void keepsRulesDuringUpgrades() {
-    play(RandomScenario::withUpgrade);
+    run(RandomScenario::withUpgrade);
   }
 
   /**
@@ -36,7 +36,7 @@
     double share = Integer.getInteger("copies", 10) / 100.0;
     int machines = Integer.getInteger("machines", 4);
     int controllers = Integer.getInteger("controllers", 3);
-    play(
+    run(
         seed ->
             (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.withUpgrade(seed))
                 .with(
@@ -53,7 +53,7 @@
    */
   @Test
   void keepsRulesWithDelayedTransactions() {
-    play(
+    run(
         seed ->
             (seed % 2 == 0 ? new RandomScenario(seed) : RandomScenario.withUpgrade(seed))
                 .with(DelayedTransactionFaults::inject));
@@ -65,7 +65,7 @@
    */
   @Test
   void keepsRulesWithDelayedMessages() {
-    play(DelayedMessagesTest::scenario);
+    run(DelayedMessagesTest::scenario);
   }
 
   /**
@@ -74,13 +74,13 @@
    */
   @Test
   void keepsRulesDuringLeaderChanges() {
-    playAll(seed -> new LeaderFailureScenario(seed).run());
+    runAll(seed -> new LeaderFailureScenario(seed).run());
   }
 
   /** Pairs of faults that overlap. */
   @Test
   void keepsRulesWithCombinedFaults() {
-    play(RandomScenario::withCombinedFaults);
+    run(RandomScenario::withCombinedFaults);
   }
 
   /**
@@ -89,32 +89,32 @@
    */
   @Test
   void keepsRulesWithFurtherCombinedFaults() {
-    play(RandomScenario::withFurtherCombinedFaults);
+    run(RandomScenario::withFurtherCombinedFaults);
   }
 
   /** The same, with faults caused by users in addition. */
   @Test
   void keepsRulesWithCombinedFaultsAndUserErrors() {
-    play(seed -> RandomScenario.withCombinedFaults(seed).with(UserErrorFaults::inject));
+    run(seed -> RandomScenario.withCombinedFaults(seed).with(UserErrorFaults::inject));
   }
 
   /** The state service refuses one controller, then all, while users cancel and poll. */
   @Test
   void keepsRulesWithCancellationsDuringOutages() {
-    playAll(seed -> new CancellationDuringOutageScenario(seed).run());
+    runAll(seed -> new CancellationDuringOutageScenario(seed).run());
   }
 
   /** Jobs with dependencies, cancelled at every stage, with all kinds of faults. */
   @Test
   void keepsRulesWithDependentJobs() {
-    play(RandomScenario::withPipelines);
+    run(RandomScenario::withPipelines);
   }
 
-  private static void play(LongFunction<RandomScenario> day) {
-    playAll(seed -> day.apply(seed).run());
+  private static void run(LongFunction<RandomScenario> day) {
+    runAll(seed -> day.apply(seed).run());
   }
 
-  private static void playAll(LongFunction<List<String>> day) {
+  private static void runAll(LongFunction<List<String>> day) {
     String[] range = System.getProperty("seeds", "20000-24999").split("-");
     Map<Long, Object> wrong = new ConcurrentSkipListMap<>();
     LongStream.rangeClosed(Long.parseLong(range[0]), Long.parseLong(range[1]))
--- a/src/test/java/org/quincecross/legalhold/LegalHoldStateSpaceTest.java
+++ b/src/test/java/org/quincecross/legalhold/LegalHoldStateSpaceTest.java
@@ -326,7 +326,7 @@
   }
 
   @Test
-  void noTaskRunsOncePinnedAndEachRequestIsOneChange() {
+  void noTaskRunsOncePinnedAndRequestsAreAppliedOnce() {
     int states = explore();
     assertEquals(null, violation);
     assertTrue(states > 10_000 && states < MAX_STATES, "states: " + states);
--- a/src/test/java/org/quincecross/replicated/ReplicatedRecordStateSpaceTest.java
+++ b/src/test/java/org/quincecross/replicated/ReplicatedRecordStateSpaceTest.java
@@ -354,7 +354,7 @@
   }
 
   @Test
-  void eachRequestIsOneChangeAndWhatIsProvenHolds() {
+  void requestsAreAppliedOnceAndProofsHold() {
     int states = explore();
     assertNull(violation);
     assertTrue(states > 20_000, states + " states");
@@ -362,7 +362,7 @@
 
   @ParameterizedTest
   @EnumSource(Guard.class)
-  void withoutAGuardTheModelFindsWhatItGuardsAgainst(Guard guard) {
+  void disablingAnyGuardCausesViolation(Guard guard) {
     guards.remove(guard);
     explore();
     assertNotEquals(null, violation, guard.toString());
